--- a/internal/listsvc/door_test.go
+++ b/internal/listsvc/door_test.go
@@ -67,6 +67,13 @@
 
 // oneNode runs an instance that is a cluster by itself, and gives its two doors once it leads.
 func oneNode(t *testing.T) (reads, admin string) {
+	t.Helper()
+	return startNode(t, filepath.Join(t.TempDir(), "d"))
+}
+
+// startNode runs an instance that is a cluster by itself on a data directory, new or written before, and
+// returns its two addresses once it leads.
+func startNode(t *testing.T, dir string) (reads, admin string) {
 	t.Helper()
 	addr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,7 +83,7 @@
 		defer ln.Close()
 		return ln.Addr().String()
 	}
-	cfg := listsvc.Config{ID: "n1", DataDir: filepath.Join(t.TempDir(), "d"), RaftAddr: addr(), HTTPAddr: addr(), AdminAddr: addr(),
+	cfg := listsvc.Config{ID: "n1", DataDir: dir, RaftAddr: addr(), HTTPAddr: addr(), AdminAddr: addr(),
 		Bootstrap: true, MaxStale: time.Second, ElectionTimeout: 100 * time.Millisecond, KeepChanges: 64,
 		SnapshotEvery: 8192, TrailingLogs: 1024}
 	n, err := listsvc.Start(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- /dev/null
+++ b/internal/listsvc/stored_data_test.go
@@ -0,0 +1,55 @@
+package listsvc_test
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"clayproxy.example/clayproxy/internal/cluster"
+	"clayproxy.example/clayproxy/internal/listsvc"
+	"clayproxy.example/clayproxy/internal/targets"
+)
+
+// storedData is a data directory of format 2 as an earlier version of the program left it: a snapshot with two
+// servers and the settings of two services, and one more server and one more settings version in the log.
+const storedData = "testdata/data-format-2"
+
+// TestReadsStoredDataOfEarlierVersion starts an instance on a copy of storedData and holds what it serves to
+// what the earlier version served from it.
+func TestReadsStoredDataOfEarlierVersion(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "data")
+	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
+		t.Fatal(err)
+	}
+	reads, admin := startNode(t, dir)
+	wantList := targets.List{Version: 11, Full: true, Servers: []targets.Target{
+		{ID: "pod-a", Addr: "10.0.0.1:8080", Zone: "z1", Region: "r1", Kind: "small", Cell: 1, State: "up", Weight: 1,
+			StartedMs: 1764600000000},
+		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining", Weight: 2.5},
+		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: "up", Weight: 0.5},
+	}}
+	if err := cluster.Await(5*time.Second, "the log applied", func() bool { return statusAt(admin).Version == 11 }); err != nil {
+		t.Fatal(err)
+	}
+	if got := ask("GET", reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
+		t.Errorf("list %+v, want %+v", got, wantList)
+	}
+	for service, want := range map[string]listsvc.SettingsVersion{
+		"quotes": {Version: 12, AtMs: 1796206765381, Bytes: 136, Text: settingsText(4) + "\n"},
+		"orders": {Version: 10, AtMs: 1796206591154, Bytes: 136, Text: settingsText(3) + "\n"},
+	} {
+		var got listsvc.SettingsVersion
+		body := ask("GET", admin+"/v1/settings/"+service, "").body
+		if err := json.Unmarshal([]byte(body), &got); err != nil || got != want {
+			t.Errorf("settings of %s: %+v (%v), want %+v", service, got, err, want)
+		}
+	}
+	var history []listsvc.SettingsVersion
+	body := ask("GET", admin+"/v1/settings/quotes/history", "").body
+	if err := json.Unmarshal([]byte(body), &history); err != nil || len(history) != 3 {
+		t.Errorf("history of quotes: %q (%v), want three versions", body, err)
+	}
+}
