--- a/policy/health.go
+++ b/policy/health.go
@@ -177,7 +177,7 @@
 // (i228a10), and quick answers don't clear it: a cold server is quick while it has little.
 func (b *Balancer) heardFrom(s *server) {
 	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.TipAfterMs {
-		s.startedAt, s.window, s.credit = b.now, 1, 0
+		s.startedAt, s.assumed, s.window, s.credit = b.now, true, 1, 0
 	}
 	s.heard, s.lostAt = b.now, 0
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -17,7 +17,8 @@
 	cell          int
 	weight        float64
 	listedAt      float64 // start of its process by the list
-	startedAt     float64 // the same, or later where a restart is assumed
+	startedAt     float64 // the same on the agent's clock, or later where a restart is assumed
+	assumed       bool    // startedAt is of a restart that the list has not told
 	usable        bool    // listed as ready
 	state         State
 	since         float64 // when the state was entered
@@ -211,7 +212,7 @@
 func (b *Balancer) ramp(s *server) float64 {
 	c := &b.set.Contract
 	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.ColdMs || s.startedAt != s.listedAt && age > c.AskWithinMs {
+	if s.startedAt <= 0 || age >= c.ColdMs || s.assumed && age > c.AskWithinMs {
 		return 1 // long past, or assumed and not borne out by the list in its time
 	}
 	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdMs
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -117,28 +117,43 @@
 	})
 }
 
+// update takes one line of the list. Starts are compared as they are told: one that is ahead of the
+// agent's clock stays the same one while that goes on.
 func (b *Balancer) update(e *Entry) {
-	s, since := b.byAddr[e.Server], min(Finite(e.SinceMs), b.now)
-	if s == nil {
-		s = &server{id: e.Server, hash: mix(e.Server.Uint64()), state: Unknown, since: b.now,
-			startedAt: since, listedAt: since, credit: b.rng.Float64(),
-			window: float64(max(firstWindow, firstShare/max(b.set.Replicas, 1)))}
-		b.byAddr[s.id] = s
-		b.room += firstRoom * b.ramp(s) / max(float64(b.set.Replicas-firstShare), 0)
-		i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
-			return cmp.Compare(x.id.Uint64(), y.id.Uint64())
-		})
-		b.servers = slices.Insert(b.servers, i, s)
-	}
-	if since > s.listedAt {
-		// A new process: nothing known of the old one holds, and it is cold.
-		s.listedAt = since
-		s.startedAt, s.state, s.since, s.silent = since, Unknown, b.now, false
-		s.strikes, s.good, s.lat, s.calm, s.samples, s.window = 0, 0, 0, 0, 0, 1
-		// A part of a request by chance: of many agents that never earn a whole one, as
-		// many send one as together earned one (ia9314f: new servers were left idle).
-		s.credit = b.rng.Float64()
+	s, since := b.byAddr[e.Server], Finite(e.SinceMs)
+	switch {
+	case s == nil:
+		s = b.insert(e.Server, since)
+	case since > s.listedAt:
+		b.restarted(s, since)
 	}
 	s.zone, s.cell, s.usable = e.Zone, e.Cell, e.Health == Ready
 	s.weight = cmp.Or(max(Finite(e.Weight), 0), 1)
 }
+
+// insert adds a server that was not listed so far.
+func (b *Balancer) insert(id Addr, since float64) *server {
+	s := &server{id: id, hash: mix(id.Uint64()), state: Unknown, since: b.now,
+		startedAt: min(since, b.now), listedAt: since, credit: b.rng.Float64(),
+		window: float64(max(firstWindow, firstShare/max(b.set.Replicas, 1)))}
+	b.byAddr[s.id] = s
+	b.room += firstRoom * b.ramp(s) / max(float64(b.set.Replicas-firstShare), 0)
+	i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
+		return cmp.Compare(x.id.Uint64(), y.id.Uint64())
+	})
+	b.servers = slices.Insert(b.servers, i, s)
+	return s
+}
+
+// restarted begins anew with a server that is another process: nothing known of the old one holds,
+// and it is cold. No process starts before the one that it follows, so where the list says that, the
+// clock was set back, and all that is known of the start is that it was told by now.
+func (b *Balancer) restarted(s *server, since float64) {
+	s.startedAt = min(since, b.now)
+	s.listedAt, s.assumed = since, false
+	s.state, s.since, s.silent = Unknown, b.now, false
+	s.strikes, s.good, s.lat, s.calm, s.samples, s.window = 0, 0, 0, 0, 0, 1
+	// A part of a request by chance: of many agents that never earn a whole one, as
+	// many send one as together earned one (ia9314f: new servers were left idle).
+	s.credit = b.rng.Float64()
+}
