--- a/internal/policytest/clock_test.go
+++ b/internal/policytest/clock_test.go
@@ -6,6 +6,44 @@
 	. "clayproxy.example/clayproxy/internal/events"
 )
 
+// wallSteps are steps of a wall clock in ms, as terms of service name them: seconds or an hour.
+var wallSteps = []float64{-3_600_000, -5000, 5000, 3_600_000}
+
+// restartedShare is how many of 400 requests a server gets that restarted and was told at once, by a
+// clock that was stepped meanwhile; before, it had been listed as started beforeMs ago.
+func restartedShare(t *testing.T, beforeMs, stepMs float64) int {
+	t.Helper()
+	r := newRig(t, testSettings(), 5)
+	r.now = 1e9
+	entry := Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now - beforeMs}
+	r.list(ListDelta, entry)
+	r.warm(200, 2)
+	entry.SinceMs = r.now + stepMs
+	r.list(ListDelta, entry)
+	return r.newKeys(400, 2, addr(4))
+}
+
+// A restart is seen whatever the wall clock was stepped by before it was told: the server gets as
+// little as where the clock ran true. A start that is only seconds old is before the restart by a
+// clock that was set back by more.
+func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
+	for _, beforeMs := range []float64{1000, 1_800_000} {
+		trueShare := restartedShare(t, beforeMs, 0)
+		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
+			t.Fatalf("with true clocks a cold server got %d of 400 requests; want some, and at most %d", trueShare, warm/2)
+		}
+		for _, step := range wallSteps {
+			if step == -5000 && beforeMs > 5000 {
+				continue // the start grew, so the module takes it as told; the agent's clocks bound it
+			}
+			if got := restartedShare(t, beforeMs, step); got != trueShare {
+				t.Errorf("started %v ms before, clock stepped by %v ms: a cold server got %d of 400 requests, want %d",
+					beforeMs, step, got, trueShare)
+			}
+		}
+	}
+}
+
 // What is told again of the same process changes nothing: the module decides as if nothing were told.
 func TestSameStartToldAgainKeepsWhatIsKnown(t *testing.T) {
 	for _, since := range []float64{0, -100, 3_600_000} { // long ago, of late, ahead of the agent's clock
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -117,14 +117,14 @@
 	})
 }
 
-// update takes one line of the list. Starts are compared as they are told: one that is ahead of the
-// agent's clock stays the same one while that goes on.
+// update takes one line of the list. Another start is another process, a later or an earlier one: the
+// wall clock that starts are told by may be set back. A start of 0 tells nothing.
 func (b *Balancer) update(e *Entry) {
 	s, since := b.byAddr[e.Server], Finite(e.SinceMs)
 	switch {
 	case s == nil:
 		s = b.insert(e.Server, since)
-	case since > s.listedAt:
+	case since != s.listedAt && since > 0:
 		b.restarted(s, since)
 	}
 	s.zone, s.cell, s.usable = e.Zone, e.Cell, e.Health == Ready
@@ -150,6 +150,9 @@
 // clock was set back, and all that is known of the start is that it was told by now.
 func (b *Balancer) restarted(s *server, since float64) {
 	s.startedAt = min(since, b.now)
+	if since < s.listedAt {
+		s.startedAt = b.now
+	}
 	s.listedAt, s.assumed = since, false
 	s.state, s.since, s.silent = Unknown, b.now, false
 	s.strikes, s.good, s.lat, s.calm, s.samples, s.window = 0, 0, 0, 0, 0, 1
