--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,6 +12,7 @@
 	"runtime/debug"
 	"strconv"
 
+	"clayproxy.example/clayproxy/internal/clock"
 	"clayproxy.example/clayproxy/internal/events"
 	"clayproxy.example/clayproxy/internal/fleet"
 	"clayproxy.example/clayproxy/internal/targets"
@@ -43,6 +44,8 @@
 	Log *slog.Logger
 	// Hooks are told what happens.
 	Hooks Hooks
+	// Clock is the machine's; nil: the system's.
+	Clock clock.Clock
 	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
 	CallFrom net.IP
 
@@ -64,6 +67,13 @@
 	OnMemoryLimit func(bytes int64)
 }
 
+func (c *Config) clock() clock.Clock {
+	if c.Clock == nil {
+		return clock.System()
+	}
+	return c.Clock
+}
+
 func (c *Config) logger() *slog.Logger {
 	if c.Log == nil {
 		return slog.Default()
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -15,6 +15,7 @@
 
 	"golang.org/x/time/rate"
 
+	"clayproxy.example/clayproxy/internal/clock"
 	"clayproxy.example/clayproxy/internal/events"
 	"clayproxy.example/clayproxy/internal/targets"
 )
@@ -62,6 +63,7 @@
 	settings *settingsWatch
 	// from is the address that calls come from; nil: the system's choice.
 	from  net.IP
+	clock clock.Clock
 	count callCount
 	conns map[*countedConn]bool // open; nil once it is closed
 }
@@ -105,7 +107,9 @@
 	// anew tells that all there is was asked for, and not what has changed: the answer's
 	// version counts whatever was known before.
 	anew bool
-	err  error
+	// after is when discovery last answered before the call was made; 0: it had not.
+	after time.Duration
+	err   error
 }
 
 // place is where discovery is, at one address or at several that tell one list; left is done once
@@ -117,6 +121,8 @@
 	// version is what its watch has reached, by its own count; 0: all is still to be asked for.
 	// It belongs to the watch, of which there is one at a time.
 	version uint64
+	// answered is when it last answered a call, on the monotonic clock in ns; 0: never.
+	answered atomic.Int64
 	// past counts answers from the past, one after the other, of the watch.
 	past int
 }
@@ -133,11 +139,15 @@
 	return &place{ring: ring{addrs: addrs}, left: left, leave: leave, version: version}
 }
 
+// lastAnswer is when it last answered a call; 0: never.
+func (p *place) lastAnswer() time.Duration { return time.Duration(p.answered.Load()) }
+
 // newDiscovery makes the calls to addr, where version is known already.
 func newDiscovery(addr string, version uint64, told func(news)) *discovery {
 	d := &discovery{
 		place: newPlace(version, addr),
 		limit: rate.NewLimiter(callsPerS, callBurst),
+		clock: clock.System(),
 		told:  told,
 		conns: map[*countedConn]bool{},
 	}
@@ -238,11 +248,11 @@
 func (d *discovery) watch(ctx context.Context) (answered bool) {
 	call := func() chan news {
 		at, done := d.at(), make(chan news, 1)
-		from := at.version
+		from, after := at.version, at.lastAnswer()
 		go func() {
 			l, err := d.get(ctx, at, fmt.Sprintf("?index=%d&wait=%d%s", from, watchWait.Milliseconds(), d.settings.query()),
 				watchWait+callGrace, from)
-			done <- news{from: at, list: l, watch: true, anew: from == 0, err: err}
+			done <- news{from: at, list: l, watch: true, anew: from == 0, after: after, err: err}
 		}()
 		return done
 	}
@@ -285,13 +295,15 @@
 // fetch asks for the whole list once.
 func (d *discovery) fetch(ctx context.Context) {
 	at := d.at()
+	after := at.lastAnswer()
 	l, err := d.get(ctx, at, "", 2*callGrace, 0)
 	if errors.Is(err, errMoved) {
 		at = d.at()
+		after = at.lastAnswer()
 		l, err = d.get(ctx, at, "", 2*callGrace, 0)
 	}
 	if ctx.Err() == nil {
-		d.told(news{from: at, list: l, err: err})
+		d.told(news{from: at, list: l, after: after, err: err})
 	}
 }
 
@@ -310,6 +322,7 @@
 		return nil, errPast
 	}
 	if err == nil {
+		at.answered.Store(int64(d.clock.Monotonic()))
 		return l, nil
 	}
 	// Another connection that idles may have fallen silent with this one: the next call opens its own.
@@ -415,7 +428,8 @@
 
 // apply takes a list into the table and returns the module's entries, the
 // addresses whose idle connections are of no more use, and the backends gone.
-func (t *table) apply(l *List, full bool) (entries []events.Entry, stale []string, gone []*backend) {
+// started tells when a backend's process started, on the module's clock.
+func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []events.Entry, stale []string, gone []*backend) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -423,7 +437,7 @@
 			continue
 		}
 		named[s.ID] = true
-		e := events.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: s.StartedMs, Weight: s.Weight}
+		e := events.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: started(s), Weight: s.Weight}
 		if z, ok := t.zones[s.Zone]; ok {
 			e.Zone = z
 		}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -50,8 +50,8 @@
 	lines    chan func()   // log lines on their way to whoever reads the log
 
 	inbox    chan func()
-	started  time.Time // the clock's base: wall time, then monotonic
-	baseMs   float64
+	clock    *loopClock
+	starts   *startTimes
 	nextID   events.RequestID
 	requests map[events.RequestID]*request
 	open     int // requests that have no answer yet
@@ -163,15 +163,15 @@
 		return nil, err
 	}
 	log := cfg.logger()
-	now := time.Now()
+	now := newLoopClock(cfg.clock())
 	own := *cfg // its settings change as the loop says
 	l := &loop{cfg: &own, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
 		pool: newPool(cfg), logger: log, limit: rate.NewLimiter(5, 50), lines: make(chan func(), 64), inbox: make(chan func(), 4096),
-		started: now, baseMs: float64(now.UnixMicro()) / 1000,
+		clock: now, starts: newStartTimes(now),
 		requests: map[events.RequestID]*request{}, ready: ready,
 		figures: figures{ends: map[events.Status]int{}, probes: map[events.Status]int{}}}
 	l.disc = newDiscovery(cfg.Discovery, cfg.Known.Version, func(n news) { l.post(func() { l.onList(n) }) })
-	l.disc.from = cfg.CallFrom
+	l.disc.from, l.disc.clock = cfg.CallFrom, now
 	if cfg.Control != nil {
 		l.disc.control(cfg, cfg.Known.Version)
 	}
@@ -190,9 +190,9 @@
 // run is the loop; it ends with the context.
 func (l *loop) run() {
 	go l.writeLog()
-	l.carryOut(l.balancer.Start(l.now(), l.actions[:0]))
+	l.carryOut(l.balancer.Start(l.clock.now(), l.actions[:0]))
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(&l.cfg.Known, events.ListCached, true)
+	l.list(&l.cfg.Known, events.ListCached, true, listing{})
 	l.drain()
 	if l.table.usable() {
 		l.ready()
@@ -220,14 +220,9 @@
 	}
 }
 
-// now is the clock in ms: Unix time, as started_ms of the list, that only advances.
-func (l *loop) now() float64 {
-	return l.baseMs + float64(time.Since(l.started).Microseconds())/1000
-}
-
 // handle gives the module one event and carries out what it answers.
 func (l *loop) handle(ev *events.Event) {
-	l.carryOut(l.balancer.Handle(l.now(), ev, l.actions[:0]))
+	l.carryOut(l.balancer.Handle(l.clock.now(), ev, l.actions[:0]))
 }
 
 // drain handles the events that carrying out actions has raised.
@@ -676,7 +671,11 @@
 	if list.Full {
 		kind = events.ListFull
 	}
-	l.list(list, kind, list.Full)
+	told := listing{older: list.Version < l.version, after: n.after}
+	if n.anew {
+		told.after = 0
+	}
+	l.list(list, kind, list.Full, told)
 	if l.table.usable() {
 		l.ready()
 	}
@@ -688,9 +687,9 @@
 // pushed tells whether changes of the list come without the module's asking.
 func (l *loop) pushed() bool { return l.cfg.Settings.Membership == "pushed" }
 
-func (l *loop) list(list *List, kind events.ListKind, full bool) {
+func (l *loop) list(list *List, kind events.ListKind, full bool, told listing) {
 	l.version = list.Version
-	entries, stale, gone := l.table.apply(list, full)
+	entries, stale, gone := l.table.apply(list, full, func(t *Target) float64 { return l.starts.take(t, told) })
 	for _, addr := range stale {
 		l.pool.hangUp(addr)
 	}
@@ -698,6 +697,7 @@
 	for _, b := range gone {
 		l.table.forget(b)
 	}
+	l.starts.prune(l.table.byID)
 	l.shown.version.Store(list.Version)
 	l.shown.servers.Store(uint64(len(l.table.byID)))
 	if told := l.cfg.Hooks.OnList; told != nil && list.Version != l.told {
