--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -9,6 +9,8 @@
 	"net"
 	"net/netip"
 	"time"
+
+	"clayproxy.example/clayproxy/internal/clock"
 )
 
 // Config says how an agent takes part in its fleet. The JSON keys are those of the agent's
@@ -65,6 +67,8 @@
 	// OnView is called with each new view, from a goroutine of the fleet's own, one at a
 	// time; nil: nobody is told.
 	OnView func(*View) `json:"-"`
+	// Clock is the machine's; nil: the system's.
+	Clock clock.Clock `json:"-"`
 	// Log takes this process's lines; nil: slog.Default().
 	Log *slog.Logger `json:"-"`
 }
@@ -81,6 +85,13 @@
 	return c, c.complete()
 }
 
+func (c *Config) clock() clock.Clock {
+	if c.Clock == nil {
+		return clock.System()
+	}
+	return c.Clock
+}
+
 // complete sets the defaults and checks what the section gives.
 func (c *Config) complete() error {
 	if c.Advertise == "" {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -178,13 +178,13 @@
 // begin takes part over a transport; below is what memberlist is given of it, which only a test
 // has as another.
 func (f *Fleet) begin(tr *transport, below memberlist.NodeAwareTransport) error {
-	f.tr = tr
+	f.tr, tr.heard = tr, f.liftBar
 	list, err := memberlist.Create(f.listConfig(below))
 	if err != nil {
 		return err
 	}
 	f.list.Store(list)
-	f.base = startIncarnation(time.Now())
+	f.base = startIncarnation(f.cfg.clock().Wall())
 	if err := f.exceed(list); err != nil {
 		list.Shutdown()
 		return err
@@ -217,10 +217,10 @@
 
 // startIncarnation is where a process that starts now begins to count: quarters of a second
 // since 2026 began, which a uint32 holds for 34 years. The clock is that of one machine,
-// an agent's own, over its restarts; where it went back, what is told of an earlier
-// process is refuted one by one.
-func startIncarnation(now time.Time) uint32 {
-	return uint32(max(0, now.Sub(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))/(250*time.Millisecond)))
+// an agent's own, over its restarts; where it went back, this process begins below earlier ones,
+// refutes what it is told of them, and liftBar sees to those who took it for the earlier one.
+func startIncarnation(wall time.Time) uint32 {
+	return uint32(max(0, wall.Sub(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC))/(250*time.Millisecond)))
 }
 
 // listConfig is memberlist's configuration: its timings mostly in the proportions that it has
@@ -520,10 +520,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, old := range f.table.retired[n.Name] {
-		if old.process == m.Process && time.Since(old.at) < ms(f.cfg.ForgetMs) {
-			return errors.New("a process that was replaced")
-		}
+	if f.table.barred(n.Name, m.Process, time.Now()) {
+		return errors.New("a process that was replaced")
 	}
 	if !f.names[n.Name] {
 		if len(f.names) >= f.cfg.maxMembers() {
--- /dev/null
+++ b/internal/fleet/retired.go
@@ -0,0 +1,103 @@
+package fleet
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+	"github.com/hashicorp/memberlist"
+)
+
+// retired is a process that was replaced by another of its name. What comes late of it is not heard
+// for ForgetMs, unless it claims a higher incarnation than the process that took its place: see lift.
+type retired struct {
+	process string
+	at      time.Time
+}
+
+// keptRetired is how many retired processes of a name are remembered.
+const keptRetired = 4
+
+// retire remembers a process that was replaced.
+func (t *table) retire(name string, old retired) {
+	if len(t.retired) > 4*t.cfg.maxMembers() {
+		clear(t.retired) // names that come and go for ever: what is late of them is refuted
+	}
+	t.retired[name] = append([]retired{old}, t.retired[name]...)
+	t.retired[name] = t.retired[name][:min(len(t.retired[name]), keptRetired)]
+}
+
+// barred tells whether a process of a name is not heard, as it was replaced of late.
+func (t *table) barred(name, process string, now time.Time) bool {
+	return slices.ContainsFunc(t.retired[name], func(old retired) bool {
+		return old.process == process && now.Sub(old.at) < ms(t.cfg.ForgetMs)
+	})
+}
+
+// lift ends the bar of a process that claims a higher incarnation than the one that took its place.
+// Incarnations begin with the wall clock, so all that an earlier process told is below its successor.
+// Where that clock was set back between the two, a process begins below its predecessor: who hears of
+// it first and of the predecessor then takes it for the earlier one. It refutes that with a
+// higher incarnation, which shows that it is the one that lives.
+func (t *table) lift(name, process string, incarnation uint32) {
+	current, ok := t.view.Member(name)
+	if !ok || incarnation <= current.Incarnation {
+		return
+	}
+	t.retired[name] = slices.DeleteFunc(t.retired[name], func(old retired) bool { return old.process == process })
+}
+
+// aliveMessage is the word that a member is alive, as far as it is read here.
+type aliveMessage struct {
+	Incarnation uint32
+	Node        string
+	Meta        []byte
+}
+
+// liftBar lifts the bars that a message of members alive refutes: an alive message or a push/pull,
+// whose form was checked. It is called before memberlist has it.
+func (f *Fleet) liftBar(message []byte) {
+	f.mu.Lock()
+	none := len(f.table.retired) == 0
+	f.mu.Unlock()
+	if none {
+		return
+	}
+	claims, err := readAlive(message, f.cfg.maxMembers())
+	if err != nil {
+		return // memberlist passes it over
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i := range claims {
+		claim := &claims[i]
+		if len(f.table.retired[claim.Node]) == 0 {
+			continue
+		}
+		if m, err := f.metas.parse(claim.Meta); err == nil {
+			f.table.lift(claim.Node, m.Process, claim.Incarnation)
+		}
+	}
+}
+
+// readAlive reads what an alive message or a push/pull tells of members.
+func readAlive(message []byte, maxNodes int) (claims []aliveMessage, err error) {
+	defer func() {
+		if recover() != nil { // of no form, over which the decoder falls
+			claims, err = nil, errors.New("alive message of no form")
+		}
+	}()
+	if message[0] == msgPushPull {
+		nodes, err := readPushPull(message[1:], maxNodes)
+		for i := range nodes {
+			if n := &nodes[i]; n.State == memberlist.StateAlive {
+				claims = append(claims, aliveMessage{n.Incarnation, n.Name, n.Meta})
+			}
+		}
+		return claims, err
+	}
+	var claim aliveMessage
+	err = codec.NewDecoderBytes(message[1:], &codec.MsgpackHandle{}).Decode(&claim)
+	return []aliveMessage{claim}, err
+}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -75,6 +75,8 @@
 	told func()
 	// counts tells whether this process takes a member's word that another is dead.
 	counts func(accuser, accused string) bool
+	// heard is given each message that tells of members alive; it is set before awake is closed.
+	heard func(message []byte)
 	// awake is closed once this process may be heard: nothing is taken before.
 	awake chan struct{}
 	// list is what memberlist last told viewPeer; only the goroutine that asks uses it.
@@ -180,6 +182,9 @@
 			if hearsay(message, t.counts) {
 				t.count.hearsay.Add(1)
 			}
+			if message[0] == msgAlive {
+				t.heard(message)
+			}
 		})
 	}
 	if err != nil {
@@ -418,6 +423,9 @@
 	if err := checkStream(f.rest, f.t.cfg.maxMembers()); err != nil {
 		return f.bad(err)
 	}
+	if f.rest[0] == msgPushPull {
+		f.t.heard(f.rest)
+	}
 	return nil
 }
 
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -131,21 +131,12 @@
 	process string
 	view    *View
 	changes []Change
-	// retired are the processes that a name had before, the latest first, a few each: what
-	// comes late from one of them is not heard for ForgetMs. (No longer: where a machine's
-	// clock went back, a name's earlier process can pass for the later one at first.)
+	// retired are the processes that a name had before, the latest first, a few each.
 	retired map[string][]retired
 	// accusers are who last said of a member that it is dead, until it is alive or gone.
 	accusers map[string]string
 }
 
-type retired struct {
-	process string
-	at      time.Time
-}
-
-const keptRetired = 4
-
 func newTable(cfg *Config, process string, now time.Time) *table {
 	t := &table{cfg: cfg, process: process, retired: map[string][]retired{}, accusers: map[string]string{}}
 	t.view = t.make(nil, now)
@@ -253,7 +244,7 @@
 	}
 	t.view = v
 	for _, c := range changes {
-		c.Number, c.UnixUs, c.Digest = v.Number, now.UnixMicro(), v.Digest
+		c.Number, c.UnixUs, c.Digest = v.Number, t.cfg.clock().Wall().UnixMicro(), v.Digest
 		t.changes = append(t.changes, c)
 	}
 	if over := len(t.changes) - keptChanges; over > 0 {
@@ -262,14 +253,6 @@
 	return true
 }
 
-func (t *table) retire(name string, old retired) {
-	if len(t.retired) > 4*t.cfg.maxMembers() {
-		clear(t.retired) // names that come and go for ever: what is late of them is refuted
-	}
-	t.retired[name] = append([]retired{old}, t.retired[name]...)
-	t.retired[name] = t.retired[name][:min(len(t.retired[name]), keptRetired)]
-}
-
 // meta is what a member tells of itself, at most 512 bytes as JSON.
 type meta struct {
 	Process  string `json:"p"`
