--- a/internal/policytest/clock_test.go
+++ b/internal/policytest/clock_test.go
@@ -34,7 +34,7 @@
 		}
 		for _, step := range wallSteps {
 			if step == -5000 && beforeMs > 5000 {
-				continue // the start grew, so the module takes it as told; the agent's clocks bound it
+				continue // the start grew, and the module takes it as told: internal/agent bounds its age
 			}
 			if got := restartedShare(t, beforeMs, step); got != trueShare {
 				t.Errorf("started %v ms before, clock stepped by %v ms: a cold server got %d of 400 requests, want %d",
@@ -68,3 +68,32 @@
 		}
 	}
 }
+
+// A restart that is told while a request is out, and a drain before it, are taken as with true clocks:
+// nothing is sent to a server that drains, and the answer of the old process doesn't make the new one warm.
+func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
+	for _, step := range append([]float64{0}, wallSteps...) {
+		if step == -5000 {
+			continue // the start grew: as above
+		}
+		r := newRig(t, testSettings(), 1)
+		r.now = 1e9
+		entry := Entry{Server: addr(0), Health: Ready, Weight: 1, SinceMs: r.now - 1_800_000}
+		r.list(ListDelta, entry)
+		id, _ := r.sent(0, 7)
+		for i := 1; i < 5; i++ {
+			r.list(ListDelta, Entry{Server: addr(i), Health: Ready, Weight: 1})
+		}
+		entry.Health, entry.SinceMs = Draining, r.now+step
+		r.list(ListDelta, entry)
+		if got := r.newKeys(100, 2, addr(0)); got != 0 {
+			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", step, got)
+		}
+		r.outcome(id, 0, addr(0), OK, 200)
+		entry.Health, entry.SinceMs = Ready, r.now+step
+		r.list(ListDelta, entry)
+		if got, most := r.newKeys(400, 2, addr(0)), 400/5/2; got == 0 || got > most {
+			t.Errorf("clock stepped by %v ms: a cold server got %d of 400 requests, want some and at most %d", step, got, most)
+		}
+	}
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -18,6 +18,7 @@
 	weight        float64
 	listedAt      float64 // start of its process by the list
 	startedAt     float64 // the same on the agent's clock, or later where a restart is assumed
+	behind        float64 // how far the clock that its start is told by is known to be behind
 	assumed       bool    // startedAt is of a restart that the list has not told
 	usable        bool    // listed as ready
 	state         State
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -147,12 +147,14 @@
 
 // restarted begins anew with a server that is another process: nothing known of the old one holds,
 // and it is cold. No process starts before the one that it follows, so where the list says that, the
-// clock was set back, and all that is known of the start is that it was told by now.
+// clock was set back, and all that is known of the start is that it was told by now. Later starts by
+// that clock are as far behind.
 func (b *Balancer) restarted(s *server, since float64) {
-	s.startedAt = min(since, b.now)
+	s.startedAt = min(since+s.behind, b.now)
 	if since < s.listedAt {
 		s.startedAt = b.now
 	}
+	s.behind = max(s.startedAt-since, 0)
 	s.listedAt, s.assumed = since, false
 	s.state, s.since, s.silent = Unknown, b.now, false
 	s.strikes, s.good, s.lat, s.calm, s.samples, s.window = 0, 0, 0, 0, 0, 1
