--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -689,7 +689,7 @@
 
 func (l *loop) list(list *List, kind events.ListKind, full bool, told listing) {
 	l.version = list.Version
-	entries, stale, gone := l.table.apply(list, full, func(t *Target) float64 { return l.starts.take(t, told) })
+	entries, stale, gone := l.table.apply(list, full, func(t *Target) float64 { return l.starts.resolve(t, told) })
 	for _, addr := range stale {
 		l.pool.hangUp(addr)
 	}
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -68,8 +68,8 @@
 	return &startTimes{clock: c, known: map[string]processStart{}}
 }
 
-// take returns the start of a backend's process; 0 if it was long ago.
-func (s *startTimes) take(t *Target, told listing) float64 {
+// resolve returns the start of a backend's process; 0 if it was long ago.
+func (s *startTimes) resolve(t *Target, told listing) float64 {
 	startedMs := events.Finite(t.StartedMs)
 	if startedMs == 0 {
 		return 0
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -28,7 +28,7 @@
 
 // tell has discovery tell a start, and returns the age that the process is taken for.
 func (r *startsRig) tell(startedMs float64, told listing) time.Duration {
-	at := r.starts.take(&Target{ID: "s-1", StartedMs: startedMs}, told)
+	at := r.starts.resolve(&Target{ID: "s-1", StartedMs: startedMs}, told)
 	r.asOf = r.clock.Monotonic()
 	return ms(r.starts.clock.now() - at).Round(time.Millisecond)
 }
@@ -171,6 +171,18 @@
 	}
 }
 
+// An agent whose clock is ahead from its start on has nothing but the time of discovery's last answer to
+// know a new backend by, from its second answer on.
+func TestNewBackendIsBoundedByTheLastAnswer(t *testing.T) {
+	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
+	a, _ := steppedAgent(t, d, time.Hour)
+	d.told(t, target("s-1", "127.0.0.1:1"))
+	started := target("s-2", "127.0.0.1:2")
+	started.StartedMs = unixNowMs()
+	d.told(t, started)
+	wantCold(t, a, "s-2")
+}
+
 // wantCold holds a backend that has just started to an age of no more than the test has taken.
 func wantCold(t *testing.T, a *testAgent, id string) {
 	t.Helper()
