--- /dev/null
+++ b/internal/listener/listener_test.go
@@ -0,0 +1,109 @@
+package listener
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// failing is a listener whose accepts fail with each error in turn; the next gives a connection.
+type failing struct {
+	net.Listener
+	errs chan error
+}
+
+func acceptError(errno syscall.Errno) error {
+	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
+}
+
+func newFailing(errnos ...syscall.Errno) failing {
+	l := failing{errs: make(chan error, len(errnos))}
+	for _, errno := range errnos {
+		l.errs <- acceptError(errno)
+	}
+	return l
+}
+
+func (l failing) Accept() (net.Conn, error) {
+	select {
+	case err := <-l.errs:
+		return nil, err
+	default:
+		conn, _ := net.Pipe()
+		return conn, nil
+	}
+}
+
+func (l failing) Close() error { return nil }
+
+// momentary are the errors of accept(2), but those of a broken descriptor.
+var momentary = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
+	syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.ENETDOWN, syscall.ENOPROTOOPT,
+	syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
+	syscall.ETIMEDOUT,
+}
+
+func TestAcceptGoesOnAfterMomentaryErrors(t *testing.T) {
+	var told []error
+	l := New(newFailing(momentary...), func(err error, _ uint64) { told = append(told, err) })
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.Close()
+	if got := l.Failures(); got != uint64(len(momentary)) || len(told) != len(momentary) {
+		t.Errorf("%d failures counted, %d reported, want %d", got, len(told), len(momentary))
+	}
+}
+
+func TestErrorsThatLastAreReturned(t *testing.T) {
+	for _, want := range []error{net.ErrClosed, io.EOF, acceptError(syscall.EBADF), acceptError(syscall.EINVAL)} {
+		l := failing{errs: make(chan error, 1)}
+		l.errs <- want
+		if _, err := New(l, nil).Accept(); !errors.Is(err, want) {
+			t.Errorf("accept returned %v, want %v", err, want)
+		}
+	}
+}
+
+// A lack is waited for up to maxDelay; errors of single connections never add up to a wait.
+func TestDelays(t *testing.T) {
+	var delay time.Duration
+	for range 20 {
+		delay = nextDelay(acceptError(syscall.ENFILE), delay)
+	}
+	if delay != maxDelay {
+		t.Errorf("after 20 lacks the wait is %v, want %v", delay, maxDelay)
+	}
+	if got := nextDelay(acceptError(syscall.ECONNABORTED), delay); got != minDelay {
+		t.Errorf("after a connection's error the wait is %v, want %v", got, minDelay)
+	}
+}
+
+func TestCloseEndsTheWait(t *testing.T) {
+	l := New(failing{}, nil)
+	l.Close()
+	if l.wait(time.Hour) {
+		t.Error("a closed listener waited")
+	}
+}
+
+// A listener that fails at each call writes one line a second, not one a failure.
+func TestLogIsBounded(t *testing.T) {
+	var out bytes.Buffer
+	report := LogFailures(slog.New(slog.NewTextHandler(&out, nil)), "clients")
+	for i := range 1000 {
+		report(acceptError(syscall.ENOBUFS), uint64(i))
+	}
+	if lines := strings.Count(out.String(), "\n"); lines == 0 || lines > 100 {
+		t.Errorf("%d lines of 1000 failures", lines)
+	}
+}
