--- /dev/null
+++ b/internal/agent/accept_test.go
@@ -0,0 +1,56 @@
+package agent
+
+import (
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+)
+
+// acceptErrnos are errors that accept(2) may return for a moment and net/http takes for the end.
+var acceptErrnos = []syscall.Errno{
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED,
+}
+
+// flakyListener fails each accept once with every one of acceptErrnos before it accepts.
+type flakyListener struct {
+	net.Listener
+	mu   sync.Mutex
+	next int
+}
+
+func newFlakyListener(t *testing.T) *flakyListener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &flakyListener{Listener: ln}
+}
+
+func (l *flakyListener) Accept() (net.Conn, error) {
+	l.mu.Lock()
+	i := l.next
+	l.next = (i + 1) % (len(acceptErrnos) + 1)
+	l.mu.Unlock()
+	if i < len(acceptErrnos) {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", acceptErrnos[i])}
+	}
+	return l.Listener.Accept()
+}
+
+// Clients are served whatever accepts fail, and the failures are counted.
+func TestFailedAcceptsDoNotEndTheAgent(t *testing.T) {
+	b := newBackend(t, serving)
+	a := startAgentOn(t, newDiscoveryServer(t, target("s-1", b.addr)), newFlakyListener(t), nil)
+	for range 3 {
+		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		wantStatus(t, status, http.StatusOK)
+	}
+	if got, least := a.figures().acceptFailures, 3*len(acceptErrnos); got < least {
+		t.Errorf("%d failed accepts counted, want at least %d", got, least)
+	}
+}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"clayproxy.example/clayproxy/internal/fleet"
+	"clayproxy.example/clayproxy/internal/listener"
 	"clayproxy.example/clayproxy/internal/targets"
 )
 
@@ -89,7 +90,7 @@
 		w.take = a.take
 	}
 	a.front.loop = a.loop
-	a.clients = newClientListener(ln.Clients, a.front.conns.slots)
+	a.clients = newClientListener(listener.New(ln.Clients, a.front.acceptFailed), a.front.conns.slots)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -115,6 +115,14 @@
 	return fmt.Errorf("front: %w", err)
 }
 
+// acceptFailed counts and logs an accept that failed for a moment.
+func (f *front) acceptFailed(err error, _ uint64) {
+	f.loop.post(func() {
+		f.loop.figures.acceptFailures++
+		f.loop.log(slog.LevelWarn, "accept failed", "err", err)
+	})
+}
+
 // ready tells the front once a backend may be sent to.
 func (f *front) ready() {
 	f.takes.Store(true)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -83,6 +83,8 @@
 	// settings counts settings of the list service that were taken over, and settingsRefused those
 	// that could not be.
 	settings, settingsRefused int
+	// acceptFailures counts the accepts of clients that failed for a moment.
+	acceptFailures int
 	// unlogged counts the lines that the log's bound left out.
 	unlogged int
 	// listIn and listOut count the bytes of calls to discovery, heads and all, and listCalls
