--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"os"
@@ -54,3 +55,36 @@
 		t.Errorf("%d failed accepts counted, want at least %d", got, least)
 	}
 }
+
+// Operators are answered whatever accepts fail.
+func TestFailedAcceptsDoNotEndTheOperatorsListener(t *testing.T) {
+	m := newManagement(&front{}, nil, maxCalls)
+	ln := newFlakyListener(t)
+	served := make(chan error, 1)
+	go func() { served <- m.serve(ln) }()
+	for range 3 {
+		resp, err := testClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+		wantStatus(t, resp.StatusCode, http.StatusServiceUnavailable)
+	}
+	m.close()
+	if err := <-served; err != nil {
+		t.Errorf("after close: %v", err)
+	}
+}
+
+// A listener that is closed under the operators' server still ends it, with its reason.
+func TestClosedOperatorsListenerEndsWithItsReason(t *testing.T) {
+	m := newManagement(&front{}, nil, maxCalls)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	if err := m.serve(ln); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("ended with %v, want %v", err, net.ErrClosed)
+	}
+}
--- a/internal/agent/management.go
+++ b/internal/agent/management.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"clayproxy.example/clayproxy/internal/fleet"
+	"clayproxy.example/clayproxy/internal/listener"
 )
 
 const (
@@ -79,6 +80,7 @@
 
 // serve answers operators until close.
 func (m *management) serve(ln net.Listener) error {
+	ln = listener.New(ln, listener.LogFailures(m.log, "management"))
 	if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("management: %w", err)
 	}
