--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -22,6 +22,8 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"golang.org/x/time/rate"
+
+	"clayproxy.example/clayproxy/internal/listener"
 )
 
 // dataFormat is the layout of a data directory that this program writes; it reads that and
@@ -82,7 +84,7 @@
 		}
 		srv := &http.Server{Handler: door.c.calls(door.h), ReadHeaderTimeout: 5 * time.Second}
 		n.doors = append(n.doors, srv)
-		go srv.Serve(counted{Listener: ln, c: door.c})
+		go n.serve(srv, ln, door.c)
 	}
 	return n, nil
 }
@@ -104,6 +106,7 @@
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
+	ln = listener.New(ln, listener.LogFailures(n.log, cfg.RaftAddr))
 	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
--- /dev/null
+++ b/internal/listsvc/serve_test.go
@@ -0,0 +1,50 @@
+package listsvc
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+)
+
+// flakyListener fails every other accept with ENOBUFS.
+type flakyListener struct {
+	net.Listener
+	calls atomic.Uint64
+}
+
+func (l *flakyListener) Accept() (net.Conn, error) {
+	if l.calls.Add(1)%2 == 1 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.ENOBUFS)}
+	}
+	return l.Listener.Accept()
+}
+
+// serving starts a server on a listener.
+func serving(t *testing.T, ln net.Listener) {
+	t.Helper()
+	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	server := &http.Server{Handler: http.NotFoundHandler()}
+	t.Cleanup(func() { server.Close() })
+	go n.serve(server, ln, &n.reads)
+}
+
+func TestFailedAcceptsDoNotEndAnInstance(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	serving(t, &flakyListener{Listener: ln})
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	for range 3 {
+		resp, err := client.Get("http://" + ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+	}
+}
