--- a/cmd/fernlist/main.go
+++ b/cmd/fernlist/main.go
@@ -7,6 +7,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -53,8 +54,13 @@
 			log.Info("serving", "http", cfg.HTTPAddr, "admin", cfg.AdminAddr, "raft", cfg.RaftAddr)
 			sig := make(chan os.Signal, 1)
 			signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
-			log.Info("stopping", "signal", (<-sig).String())
-			return node.Close()
+			select {
+			case s := <-sig:
+				log.Info("stopping", "signal", s.String())
+				return node.Close()
+			case err := <-node.Failed():
+				return errors.Join(err, node.Close())
+			}
 		}}
 	cmd.Flags().StringVar(&path, "config", "fernlist.toml", "TOML file of the instance (see internal/listsvc.Config)")
 	cmd.Flags().StringVar(&format, "log-format", "text", "log records as text or json, on standard error")
--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -30,6 +30,9 @@
 // older ones. 2: the log and the snapshots have settings, which a program of 1 would drop.
 const dataFormat = 2
 
+// httpDoors is how many HTTP doors an instance has.
+const httpDoors = 2
+
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
 type Node struct {
@@ -43,6 +46,7 @@
 	peers   map[raft.ServerID]Peer
 	doors   []*http.Server
 	closed  chan struct{}
+	failed  chan error // what ended the service of a door
 
 	reads, admin, raftDoor counters
 }
@@ -59,7 +63,7 @@
 	}
 	n := &Node{cfg: cfg, log: log, list: newList(cfg.KeepChanges), heard: newHeard(),
 		barrier: barrier{pace: rate.NewLimiter(barriersPerS, 1)}, peers: map[raft.ServerID]Peer{},
-		closed: make(chan struct{})}
+		closed: make(chan struct{}), failed: make(chan error, httpDoors)}
 	for _, p := range cfg.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
 	}
--- a/internal/listsvc/serve.go
+++ b/internal/listsvc/serve.go
@@ -1,15 +1,26 @@
 package listsvc
 
 import (
+	"errors"
+	"fmt"
 	"net"
 	"net/http"
 
 	"clayproxy.example/clayproxy/internal/listener"
 )
 
-// serve answers the calls that come to a listener until the server is closed.
+// serve answers the calls that come to a listener until the server is closed. Where it ends for
+// another reason, Failed tells it.
 func (n *Node) serve(server *http.Server, ln net.Listener, c *counters) {
 	addr := ln.Addr().String()
 	ln = listener.New(ln, listener.LogFailures(n.log, addr))
-	server.Serve(counted{Listener: ln, c: c})
+	err := server.Serve(counted{Listener: ln, c: c})
+	if errors.Is(err, http.ErrServerClosed) {
+		return
+	}
+	n.failed <- fmt.Errorf("serve %s: %w", addr, err)
 }
+
+// Failed tells why an instance no longer accepts on one of its listeners. It can't serve from then
+// on, and is to be closed.
+func (n *Node) Failed() <-chan error { return n.failed }
--- a/internal/listsvc/serve_test.go
+++ b/internal/listsvc/serve_test.go
@@ -1,6 +1,7 @@
 package listsvc
 
 import (
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -24,13 +25,14 @@
 	return l.Listener.Accept()
 }
 
-// serving starts a server on a listener.
-func serving(t *testing.T, ln net.Listener) {
+// serving starts a server on a listener, and gives the instance that it belongs to.
+func serving(t *testing.T, ln net.Listener) *Node {
 	t.Helper()
-	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil)), failed: make(chan error, 1)}
 	server := &http.Server{Handler: http.NotFoundHandler()}
 	t.Cleanup(func() { server.Close() })
 	go n.serve(server, ln, &n.reads)
+	return n
 }
 
 func TestFailedAcceptsDoNotEndAnInstance(t *testing.T) {
@@ -38,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	serving(t, &flakyListener{Listener: ln})
+	n := serving(t, &flakyListener{Listener: ln})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
 		resp, err := client.Get("http://" + ln.Addr().String())
@@ -47,4 +49,21 @@
 		}
 		resp.Body.Close()
 	}
+	select {
+	case err := <-n.Failed():
+		t.Errorf("the instance failed: %v", err)
+	default:
+	}
+}
+
+// An instance that no longer accepts says so, with the reason.
+func TestBrokenListenerFailsTheInstance(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	if err := <-serving(t, ln).Failed(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("failed with %v, want %v", err, net.ErrClosed)
+	}
 }
