--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -60,6 +60,7 @@
 type pool struct {
 	max    int
 	budget quota
+	dial   dialFunc // nil: dialTCP
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
@@ -181,13 +182,8 @@
 func (p *pool) exchange(ctx context.Context, b *backend, addr string, m *message, deadline time.Time) result {
 	for {
 		cn, err := p.get(ctx, addr, deadline)
-		switch {
-		case errors.Is(err, errTooMany), errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
-			// This agent's own lack: the backend must not be demoted for it.
-			return result{status: events.Full, why: err.Error()}
-		case err != nil:
-			// Refused or never came up: not a byte was sent.
-			return result{status: events.ConnectFailed, why: err.Error()}
+		if err != nil { // not a byte was sent
+			return connectFailure(err)
 		}
 		kept := cn.uses > 0
 		r, unsent := p.over(ctx, cn, b, m, deadline)
@@ -497,8 +493,7 @@
 	p.tried++
 	until := earliest(deadline, time.Now().Add(p.connectTimeout))
 	p.mu.Unlock()
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	nc, err := p.connect(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -508,6 +503,21 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, maxHead), addr: addr, made: time.Now()}, nil
 }
 
+// dialFunc opens a connection to a backend until a time.
+type dialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
+
+func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
+
+func (p *pool) connect(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	if p.dial != nil {
+		return p.dial(ctx, addr, until)
+	}
+	return dialTCP(ctx, addr, until)
+}
+
 // evict closes the connection that has been idle longest, to make room for
 // another backend's. The lock is held.
 func (p *pool) evict() bool {
--- /dev/null
+++ b/internal/agent/connect_errors.go
@@ -0,0 +1,42 @@
+package agent
+
+import (
+	"errors"
+	"slices"
+	"syscall"
+
+	"clayproxy.example/clayproxy/internal/events"
+)
+
+// localErrors are the errors of socket, bind and connect that say that this machine lacks something.
+// Any backend would have met them, and nothing was sent:
+//   - EMFILE, ENFILE: no descriptor is left in the process or the system (socket(2));
+//   - ENOBUFS, ENOMEM: not enough memory for the socket (socket(2), ip(7));
+//   - EADDRNOTAVAIL: all ephemeral ports are in use, or the source address is not local (connect(2), ip(7));
+//   - EADDRINUSE: the local address is in use (connect(2));
+//   - EAGAIN: no entry is left in the routing cache (connect(2));
+//   - ENETUNREACH: this machine has no route (connect(2));
+//   - ENETDOWN: the interface is down (accept(2) names it among the network errors of TCP/IP).
+//
+// All other errors count against the backend: ECONNREFUSED and ETIMEDOUT (connect(2)), EHOSTUNREACH, which a
+// router may have sent (ip(7)), and EACCES and EPERM, a firewall's rule that may bar this address alone
+// (connect(2)). EINTR, EINPROGRESS and EALREADY never come out of package net.
+var localErrors = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+	syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
+}
+
+// connectFailure is how an attempt ends that got no connection. The backend is not demoted for what
+// this agent or its machine lacks.
+func connectFailure(err error) result {
+	status := events.ConnectFailed
+	if errors.Is(err, errTooMany) || isLocal(err) {
+		status = events.Full
+	}
+	return result{status: status, why: err.Error()}
+}
+
+func isLocal(err error) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
+}
--- /dev/null
+++ b/internal/agent/connect_errors_test.go
@@ -0,0 +1,86 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"clayproxy.example/clayproxy/internal/events"
+)
+
+// localErrnos say at connect that this machine lacks something, serverErrnos something of the server.
+var (
+	localErrnos = []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
+	}
+	serverErrnos = []syscall.Errno{
+		syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
+		syscall.EPERM, syscall.EACCES,
+	}
+)
+
+func connectError(errno syscall.Errno) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
+}
+
+// connectWith makes an attempt whose connect fails.
+func connectWith(t *testing.T, errno syscall.Errno) result {
+	t.Helper()
+	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 1,
+		idle: map[string][]*conn{}}
+	p.dial = func(context.Context, string, time.Time) (net.Conn, error) { return nil, connectError(errno) }
+	now := time.Now()
+	r := p.do(t.Context(), &backend{}, "127.0.0.1:1", &message{}, now, now.Add(patience))
+	if p.size() != 0 {
+		t.Errorf("%v: %d connections counted, want none", errno, p.size())
+	}
+	return r
+}
+
+func TestConnectErrorsTellOwnLackFromTheServersFault(t *testing.T) {
+	for _, errno := range localErrnos {
+		if r := connectWith(t, errno); r.status != events.Full {
+			t.Errorf("%v: ended as %d, want %d", errno, r.status, events.Full)
+		}
+	}
+	for _, errno := range serverErrnos {
+		if r := connectWith(t, errno); r.status != events.ConnectFailed {
+			t.Errorf("%v: ended as %d, want %d", errno, r.status, events.ConnectFailed)
+		}
+	}
+}
+
+// While connects fail for what this machine lacks, requests are refused or served by further attempts, and
+// no server is demoted.
+func TestOwnLackDemotesNoServer(t *testing.T) {
+	b, c, d := newBackend(t, serving), newBackend(t, serving), newBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr), target("s-2", c.addr), target("s-3", d.addr)), nil)
+	var connects atomic.Int64
+	inLoop(a, func(l *loop) struct{} {
+		l.pool.dial = func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+			n := int(connects.Add(1)) - 1
+			if n < 2*len(localErrnos) {
+				return nil, connectError(localErrnos[n%len(localErrnos)])
+			}
+			return dialTCP(ctx, addr, until)
+		}
+		return struct{}{}
+	})
+	until(t, "an answer once the lack is over", func() bool {
+		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		if status != http.StatusOK && status != http.StatusServiceUnavailable {
+			t.Fatalf("answered %d, want 200 or a refusal", status)
+		}
+		return status == http.StatusOK
+	})
+	states := inLoop(a, func(l *loop) [4]int { return l.balancer.View().States })
+	if demoted := states[events.UnhealthyPending] + states[events.Unhealthy]; demoted != 0 {
+		t.Errorf("%d servers demoted of %v", demoted, states)
+	}
+}
