--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -11,6 +11,7 @@
 	"net"
 	"net/http"
 	"net/url"
+	"os"
 	"regexp"
 	"slices"
 	"strconv"
@@ -387,12 +388,12 @@
 	return r, false
 }
 
-// broken maps what ended an attempt whose last byte was written: it may have run.
+// broken maps what ended an attempt whose last byte was written: it may have run. The kernel's
+// ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
 func broken(err error) events.Status {
-	var timeout net.Error
 	var op *net.OpError
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded):
 		return events.Timeout
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &op):
 		return events.Reset
