--- a/internal/fleet/watch.go
+++ b/internal/fleet/watch.go
@@ -250,8 +250,7 @@
 			c.Close()
 			return there
 		}
-		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() || !ended(err) {
+		if !ended(err) {
 			return silent
 		}
 		select {
@@ -263,8 +262,19 @@
 	return gone
 }
 
-// ended tells whether a call failed because nobody is there: it was refused, reset or ended.
+// ended tells whether a call failed because nobody is there: it was refused, reset or ended. A connection
+// that broke may show as the kernel's ETIMEDOUT or EHOSTUNREACH too; where it never came up these tell
+// only that nothing was heard.
 func ended(err error) bool {
-	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) ||
-		errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
+	if isOneOf(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
+		return true
+	}
+	var op *net.OpError
+	wasUp := errors.As(err, &op) && op.Op != "dial"
+	return wasUp && isOneOf(err, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
+}
+
+func isOneOf(err error, list ...syscall.Errno) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
--- a/internal/fleet/watch_test.go
+++ b/internal/fleet/watch_test.go
@@ -1,7 +1,12 @@
 package fleet
 
 import (
+	"errors"
+	"io"
+	"net"
+	"os"
 	"slices"
+	"syscall"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
@@ -62,3 +67,37 @@
 		t.Errorf("%v allocations for %d successors", n, len(into))
 	}
 }
+
+// What ends a connection that was up tells that nobody is there; a call that never came up tells it
+// only where it was refused or reset, and this process's own deadline tells nothing.
+func TestEndedTellsBrokenConnectionsFromSilence(t *testing.T) {
+	kernel := func(op string, errno syscall.Errno) error {
+		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
+	}
+	cases := []struct {
+		err   error
+		ended bool
+	}{
+		{io.EOF, true},
+		{kernel("read", syscall.ECONNRESET), true},
+		{kernel("write", syscall.EPIPE), true},
+		{kernel("read", syscall.ETIMEDOUT), true},
+		{kernel("write", syscall.ETIMEDOUT), true},
+		{kernel("read", syscall.EHOSTUNREACH), true},
+		{kernel("dial", syscall.ECONNREFUSED), true},
+		{kernel("dial", syscall.ECONNRESET), true},
+		{kernel("dial", syscall.ETIMEDOUT), false},
+		{kernel("dial", syscall.EHOSTUNREACH), false},
+		{kernel("dial", syscall.ENETUNREACH), false},
+		{kernel("dial", syscall.ENOBUFS), false},
+		{kernel("dial", syscall.EMFILE), false},
+		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
+		{&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
+		{errors.New("message of another kind"), false},
+	}
+	for _, c := range cases {
+		if got := ended(c.err); got != c.ended {
+			t.Errorf("%v: ended %v, want %v", c.err, got, c.ended)
+		}
+	}
+}
