--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -453,11 +453,7 @@
 		return false
 	}
 	left := false
-	if err := raw.Control(func(fd uintptr) {
-		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(fds, 0)
-		left = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	}); err != nil {
+	if err := raw.Control(func(fd uintptr) { left = hungUp(int32(fd), unix.Poll) }); err != nil {
 		return false
 	}
 	return left
--- /dev/null
+++ b/internal/agent/hangup_test.go
@@ -0,0 +1,26 @@
+package agent
+
+import (
+	"testing"
+
+	"golang.org/x/sys/unix"
+)
+
+// An interrupted look at a connection is made again: the client may have left.
+func TestHangupIsSeenAfterAnInterruptedPoll(t *testing.T) {
+	calls := 0
+	poll := func(fds []unix.PollFd, _ int) (int, error) {
+		if calls++; calls < 3 {
+			return -1, unix.EINTR
+		}
+		fds[0].Revents = unix.POLLRDHUP
+		return 1, nil
+	}
+	if !hungUp(0, poll) {
+		t.Errorf("no hangup seen after %d polls", calls)
+	}
+	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
+	if hungUp(0, failing) {
+		t.Error("a poll that failed was taken for a hangup")
+	}
+}
