--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -238,7 +238,7 @@
 	if n, err := cn.Write(out.Bytes()); err != nil {
 		if n < out.Len() {
 			// The last byte never left, and the connection is closed: it cannot run.
-			return result{status: events.ConnectFailed, why: cn.story(err)}, true
+			return result{status: writeFailure(err), why: cn.story(err)}, true
 		}
 		return result{status: broken(err), why: cn.story(err)}, false
 	}
@@ -319,7 +319,8 @@
 	}
 	if err != nil && h.resp == nil {
 		// The last byte never left, and the connection is closed: it cannot run.
-		return result{status: events.ConnectFailed, why: cn.story(cmp.Or(h.err, err))}, true
+		err = cmp.Or(h.err, err)
+		return result{status: writeFailure(err), why: cn.story(err)}, true
 	}
 	if r, *reusable = p.read(cn, b, h.resp, h.err); err != nil && r.body != nil {
 		r.body.end()
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/connect_errors.go
@@ -30,13 +30,25 @@
 // this agent or its machine lacks.
 func connectFailure(err error) result {
 	status := events.ConnectFailed
-	if errors.Is(err, errTooMany) || isLocal(err) {
+	if errors.Is(err, errTooMany) || isOneOf(err, localErrors) {
 		status = events.Full
 	}
 	return result{status: status, why: err.Error()}
 }
 
-func isLocal(err error) bool {
+// localWriteErrors say that this machine had no memory for a write (send(2)). What else ends a write shows
+// that the connection broke: ENETUNREACH too, as it has been up.
+var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
+
+// writeFailure is the status of an attempt whose last byte was not written.
+func writeFailure(err error) events.Status {
+	if isOneOf(err, localWriteErrors) {
+		return events.Full
+	}
+	return events.ConnectFailed
+}
+
+func isOneOf(err error, list []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
+	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -84,3 +84,26 @@
 		t.Errorf("%d servers demoted of %v", demoted, states)
 	}
 }
+
+// A request that could not be written for lack of memory accuses nobody either.
+func TestWriteErrorsTellOwnLackFromTheServersFault(t *testing.T) {
+	b := newBackend(t, serving)
+	want := map[syscall.Errno]events.Status{
+		syscall.ENOBUFS: events.Full, syscall.ENOMEM: events.Full,
+		syscall.EPIPE: events.ConnectFailed, syscall.ETIMEDOUT: events.ConnectFailed, syscall.ENETUNREACH: events.ConnectFailed,
+	}
+	for errno, status := range want {
+		p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 1,
+			idle: map[string][]*conn{}}
+		p.dial = newFaultPlan([]fault{{callWrite, 30, errno}}).dial
+		req := newRequest(b.addr, "order", "x")
+		c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
+		now := time.Now()
+		if r := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); r.status != status {
+			t.Errorf("%v: ended as %d, want %d", errno, r.status, status)
+		}
+	}
+	if b.count() != 0 {
+		t.Errorf("%d arrivals, want none", b.count())
+	}
+}
