--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"clayproxy.example/clayproxy/internal/listener"
 )
 
 const (
@@ -26,8 +28,6 @@
 	maxWatchers = 3 * watched
 	// streamTime bounds how long a stream may take, as memberlist has it for its own.
 	streamTime = 3 * time.Second
-	// acceptAgain is how long nothing is accepted after that failed: no descriptor is free.
-	acceptAgain = 50 * time.Millisecond
 	// viewPeer and doubtPeer are the names under which memberlist is asked for its own list, and given
 	// the list that doubts this process; no member may have them.
 	viewPeer  = "@view"
@@ -212,6 +212,9 @@
 	case <-t.ctx.Done():
 		return
 	}
+	ln := listener.New(t.tcp, func(err error, failures uint64) {
+		t.logger.Printf("[WARN] accept: %v (%d so far)", err, failures)
+	})
 	for {
 		// One too many waits unaccepted: ended, it would look like one to a dead process.
 		select {
@@ -219,18 +222,13 @@
 		case <-t.ctx.Done():
 			return
 		}
-		c, err := t.tcp.AcceptTCP()
+		c, err := ln.Accept()
 		if err != nil {
 			<-t.slots
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			t.logger.Printf("[WARN] accept: %v", err)
-			select {
-			case <-time.After(acceptAgain):
-			case <-t.ctx.Done():
+			if !errors.Is(err, net.ErrClosed) {
+				t.logger.Printf("[ERR] no more streams are accepted: %v", err)
 			}
-			continue
+			return
 		}
 		t.count.streams.Add(1)
 		go t.open(t.frame(c, sync.OnceFunc(func() { <-t.slots })))
