--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -11,6 +11,7 @@
 	"net"
 	"net/http"
 	"net/url"
+	"os"
 	"regexp"
 	"slices"
 	"strconv"
@@ -60,6 +61,7 @@
 type pool struct {
 	max    int
 	budget quota
+	dial   dialFunc // nil: dialTCP
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
@@ -181,13 +183,8 @@
 func (p *pool) exchange(ctx context.Context, b *backend, addr string, m *message, deadline time.Time) result {
 	for {
 		cn, err := p.get(ctx, addr, deadline)
-		switch {
-		case errors.Is(err, errTooMany), errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
-			// This agent's own lack: the backend must not be demoted for it.
-			return result{status: events.Full, why: err.Error()}
-		case err != nil:
-			// Refused or never came up: not a byte was sent.
-			return result{status: events.ConnectFailed, why: err.Error()}
+		if err != nil { // not a byte was sent
+			return connectFailure(err)
 		}
 		kept := cn.uses > 0
 		r, unsent := p.over(ctx, cn, b, m, deadline)
@@ -241,7 +238,7 @@
 	if n, err := cn.Write(out.Bytes()); err != nil {
 		if n < out.Len() {
 			// The last byte never left, and the connection is closed: it cannot run.
-			return result{status: events.ConnectFailed, why: cn.story(err)}, true
+			return result{status: writeFailure(err), why: cn.story(err)}, true
 		}
 		return result{status: broken(err), why: cn.story(err)}, false
 	}
@@ -322,7 +319,8 @@
 	}
 	if err != nil && h.resp == nil {
 		// The last byte never left, and the connection is closed: it cannot run.
-		return result{status: events.ConnectFailed, why: cn.story(cmp.Or(h.err, err))}, true
+		err = cmp.Or(h.err, err)
+		return result{status: writeFailure(err), why: cn.story(err)}, true
 	}
 	if r, *reusable = p.read(cn, b, h.resp, h.err); err != nil && r.body != nil {
 		r.body.end()
@@ -391,12 +389,12 @@
 	return r, false
 }
 
-// broken maps what ended an attempt whose last byte was written: it may have run.
+// broken maps what ended an attempt whose last byte was written: it may have run. The kernel's
+// ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
 func broken(err error) events.Status {
-	var timeout net.Error
 	var op *net.OpError
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded):
 		return events.Timeout
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &op):
 		return events.Reset
@@ -497,8 +495,7 @@
 	p.tried++
 	until := earliest(deadline, time.Now().Add(p.connectTimeout))
 	p.mu.Unlock()
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	nc, err := p.connect(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -508,6 +505,21 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, maxHead), addr: addr, made: time.Now()}, nil
 }
 
+// dialFunc opens a connection to a backend until a time.
+type dialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
+
+func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
+
+func (p *pool) connect(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	if p.dial != nil {
+		return p.dial(ctx, addr, until)
+	}
+	return dialTCP(ctx, addr, until)
+}
+
 // evict closes the connection that has been idle longest, to make room for
 // another backend's. The lock is held.
 func (p *pool) evict() bool {
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -115,6 +115,14 @@
 	return fmt.Errorf("front: %w", err)
 }
 
+// acceptFailed counts and logs an accept that failed for a moment.
+func (f *front) acceptFailed(err error, _ uint64) {
+	f.loop.post(func() {
+		f.loop.figures.acceptFailures++
+		f.loop.log(slog.LevelWarn, "accept failed", "err", err)
+	})
+}
+
 // ready tells the front once a backend may be sent to.
 func (f *front) ready() {
 	f.takes.Store(true)
@@ -445,11 +453,7 @@
 		return false
 	}
 	left := false
-	if err := raw.Control(func(fd uintptr) {
-		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(fds, 0)
-		left = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	}); err != nil {
+	if err := raw.Control(func(fd uintptr) { left = hungUp(int32(fd), unix.Poll) }); err != nil {
 		return false
 	}
 	return left
--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -22,12 +22,17 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"golang.org/x/time/rate"
+
+	"clayproxy.example/clayproxy/internal/listener"
 )
 
 // dataFormat is the layout of a data directory that this program writes; it reads that and
 // older ones. 2: the log and the snapshots have settings, which a program of 1 would drop.
 const dataFormat = 2
 
+// httpDoors is how many HTTP doors an instance has.
+const httpDoors = 2
+
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
 type Node struct {
@@ -41,6 +46,7 @@
 	peers   map[raft.ServerID]Peer
 	doors   []*http.Server
 	closed  chan struct{}
+	failed  chan error // what ended the service of a door
 
 	reads, admin, raftDoor counters
 }
@@ -57,7 +63,7 @@
 	}
 	n := &Node{cfg: cfg, log: log, list: newList(cfg.KeepChanges), heard: newHeard(),
 		barrier: barrier{pace: rate.NewLimiter(barriersPerS, 1)}, peers: map[raft.ServerID]Peer{},
-		closed: make(chan struct{})}
+		closed: make(chan struct{}), failed: make(chan error, httpDoors)}
 	for _, p := range cfg.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
 	}
@@ -82,7 +88,7 @@
 		}
 		srv := &http.Server{Handler: door.c.calls(door.h), ReadHeaderTimeout: 5 * time.Second}
 		n.doors = append(n.doors, srv)
-		go srv.Serve(counted{Listener: ln, c: door.c})
+		go n.serve(srv, ln, door.c)
 	}
 	return n, nil
 }
@@ -104,6 +110,7 @@
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
+	ln = listener.New(ln, listener.LogFailures(n.log, cfg.RaftAddr))
 	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
