--- /dev/null
+++ b/internal/agent/client_close_test.go
@@ -0,0 +1,247 @@
+package agent
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const (
+	longTimeoutMs = 30_000 // longer than any of these tests waits for an answer
+	readRequest   = "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n"
+)
+
+// clientCloses are the ways in which a client ends its connection.
+var clientCloses = map[string]func(*net.TCPConn) error{
+	"close":      (*net.TCPConn).Close,
+	"half-close": (*net.TCPConn).CloseWrite,
+	"reset": func(c *net.TCPConn) error {
+		if err := c.SetLinger(0); err != nil {
+			return err
+		}
+		return c.Close()
+	},
+}
+
+// closeMoment is an agent in the state in which a client ends its connection.
+type closeMoment struct {
+	agent    *testAgent
+	requests string      // what the client has sent by then
+	reached  func() bool // tells whether the moment has come
+	proceed  func()      // lets go on whatever waited for the close
+	begun    func() int  // requests that have begun to arrive at backends
+	allowed  int         // how many of those began before the close
+	answers  int         // final answers that a client which still reads is owed
+}
+
+// heldBackend holds each request until release is called.
+func heldBackend(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeBackend, release func()) {
+	held := make(chan struct{})
+	b = newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		<-held
+		return answer(c, req, n)
+	})
+	release = sync.OnceFunc(func() { close(held) })
+	t.Cleanup(release)
+	return b, release
+}
+
+func turnAway(c net.Conn, _ *http.Request, _ int) bool {
+	return send(c, 503, "Not-Started: 1\r\n", "")
+}
+
+// closeAtBackend closes while a backend works on the request.
+func closeAtBackend(t *testing.T) closeMoment {
+	b, release := heldBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.count() == 1 },
+		proceed: release, begun: b.begun, allowed: 1, answers: 1}
+}
+
+// closeBeforeRetry closes while the attempt is out whose end leads to a retry.
+func closeBeforeRetry(t *testing.T) closeMoment {
+	first, release := heldBackend(t, turnAway)
+	second, releaseSecond := heldBackend(t, turnAway)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
+	begun := func() int { return first.begun() + second.begun() }
+	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
+		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
+}
+
+// closeWhileQueued closes while the request waits in the agent for room at its only backend.
+func closeWhileQueued(t *testing.T) closeMoment {
+	b, release := heldBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	const room = 8 // at a backend that has not been measured yet
+	for range room {
+		fmt.Fprint(a.dial(), readRequest)
+	}
+	until(t, "all room is taken", func() bool { return b.count() == room })
+	queued := func() bool { return inLoop(a, func(l *loop) int { return l.balancer.View().Held }) == 1 }
+	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
+		begun: b.begun, allowed: room, answers: 1}
+}
+
+// closeWhileConnecting closes while the connection to the backend has not come up.
+func closeWhileConnecting(t *testing.T) closeMoment {
+	ln := fullListener(t)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
+		c.Settings.Limits.ConnectTimeoutMs = 10_000
+	})
+	var mu sync.Mutex
+	arrived := 0
+	accept := func() {
+		go func() {
+			for {
+				c, err := ln.Accept()
+				if err != nil {
+					return
+				}
+				go func() {
+					defer c.Close()
+					if n, _ := c.Read(make([]byte, 1)); n > 0 {
+						mu.Lock()
+						arrived++
+						mu.Unlock()
+					}
+				}()
+			}
+		}()
+		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
+	}
+	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
+		reached: func() bool { return a.loop.pool.connects() == 1 },
+		begun: func() int {
+			mu.Lock()
+			defer mu.Unlock()
+			return arrived
+		}}
+}
+
+// blockedConn is a kept connection that looks open and is found broken at its first write,
+// which takes until it is let go on.
+type blockedConn struct {
+	net.Conn
+	writing, proceed chan struct{}
+}
+
+func (c blockedConn) Write([]byte) (int, error) {
+	close(c.writing)
+	<-c.proceed
+	return 0, syscall.EPIPE
+}
+
+// closeOnBrokenKeptConnection closes while the request is written to a kept connection that
+// breaks, after which the agent would open another. The byte behind the request hides the
+// close from the server's own look.
+func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
+	b := newBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	inner, peer := net.Pipe()
+	t.Cleanup(func() { peer.Close() })
+	broken := blockedConn{inner, make(chan struct{}), make(chan struct{})}
+	p := a.loop.pool
+	p.mu.Lock()
+	p.idle[b.addr] = []*conn{{Conn: broken, br: bufio.NewReader(inner), addr: b.addr, uses: 1,
+		made: time.Now(), since: time.Now().Add(-5 * settleTime)}}
+	p.open++
+	p.mu.Unlock()
+	reached := func() bool {
+		select {
+		case <-broken.writing:
+			return true
+		default:
+			return false
+		}
+	}
+	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
+		proceed: func() { close(broken.proceed) }, begun: b.begun, answers: 1}
+}
+
+// closeBehindEarlierResponse closes while the earlier of two requests of the connection is
+// still at a backend.
+func closeBehindEarlierResponse(t *testing.T) closeMoment {
+	b, release := heldBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.count() == 1 },
+		proceed: release, begun: b.begun, allowed: 1, answers: 2}
+}
+
+// closeInLongBody closes before the last byte of a body that is streamed.
+func closeInLongBody(t *testing.T) closeMoment {
+	b := newBackend(t, hashing)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBody)
+	// Its head may have begun to arrive, its end can't: none counts as a request.
+	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBody),
+		reached: func() bool { return b.begun() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
+}
+
+// A client that ends its connection gets no further attempt, whatever the moment. One that
+// ends only its own side may still read: it is owed a final answer, which is a backend's or
+// an error.
+func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
+	moments := map[string]func(*testing.T) closeMoment{
+		"at a backend":                      closeAtBackend,
+		"before a retry":                    closeBeforeRetry,
+		"queued":                            closeWhileQueued,
+		"connecting":                        closeWhileConnecting,
+		"broken kept connection":            closeOnBrokenKeptConnection,
+		"behind the response of an earlier": closeBehindEarlierResponse,
+		"in a long body":                    closeInLongBody,
+	}
+	for name, arrange := range moments {
+		for way, end := range clientCloses {
+			t.Run(name+"/"+way, func(t *testing.T) {
+				t.Parallel()
+				m := arrange(t)
+				client := m.agent.dial()
+				fmt.Fprint(client, m.requests)
+				until(t, "the moment has come", m.reached)
+				if err := end(client.Conn.(*net.TCPConn)); err != nil {
+					t.Fatal(err)
+				}
+				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
+				m.proceed()
+				if way == "half-close" {
+					wantFinalAnswers(t, client.br, m.answers)
+				}
+				until(t, "the connection has ended", func() bool {
+					return inLoop(m.agent, func(l *loop) int { return l.open }) == 0
+				})
+				if begun := m.begun(); begun != m.allowed {
+					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
+				}
+				if f := m.agent.figures(); f.guarded+f.backstops > 0 {
+					t.Errorf("figures %+v", f)
+				}
+			})
+		}
+	}
+}
+
+// wantFinalAnswers reads one final answer for each request: what a backend said, or an error.
+func wantFinalAnswers(t *testing.T, br *bufio.Reader, want int) {
+	t.Helper()
+	for i := range want {
+		resp, err := http.ReadResponse(br, nil)
+		if err != nil {
+			t.Fatalf("answer %d of %d: %v", i+1, want, err)
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Fatalf("answer %d of %d: %v", i+1, want, err)
+		}
+		if resp.StatusCode == http.StatusOK && len(body) == 0 {
+			t.Errorf("answer %d of %d: 200 that no backend gave", i+1, want)
+		}
+	}
+}
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -257,6 +257,9 @@
 		f.write(w, c, a)
 	case <-req.Context().Done():
 		f.loop.post(func() { f.loop.discard(<-took) })
+		// The client may have ended only its sending, and still read. With nothing
+		// written here the server would write an empty 200.
+		f.write(w, c, answer{verdict: failed})
 	}
 }
 
