--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -76,8 +76,11 @@
 }
 
 // closeWhileQueued closes while the request waits in the agent for room at its only backend.
-func closeWhileQueued(t *testing.T) closeMoment {
-	b, release := heldBackend(t, serving)
+func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, serving) }
+
+// queuedBehind has all room taken at the only backend, which answers once it is let go on.
+func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
+	b, release := heldBackend(t, answer)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	const room = 8 // at a backend that has not been measured yet
 	for range room {
@@ -138,21 +141,26 @@
 	return 0, syscall.EPIPE
 }
 
-// closeOnBrokenKeptConnection closes while the request is written to a kept connection that
-// breaks, after which the agent would open another. The byte behind the request hides the
-// close from the server's own look.
-func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := newBackend(t, serving)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+// keepBlockedConn has the pool keep a blockedConn to an address.
+func keepBlockedConn(t *testing.T, p *pool, addr string) blockedConn {
 	inner, peer := net.Pipe()
 	t.Cleanup(func() { peer.Close() })
 	broken := blockedConn{inner, make(chan struct{}), make(chan struct{})}
-	p := a.loop.pool
 	p.mu.Lock()
-	p.idle[b.addr] = []*conn{{Conn: broken, br: bufio.NewReader(inner), addr: b.addr, uses: 1,
+	defer p.mu.Unlock()
+	p.idle[addr] = []*conn{{Conn: broken, br: bufio.NewReader(inner), addr: addr, uses: 1,
 		made: time.Now(), since: time.Now().Add(-5 * settleTime)}}
 	p.open++
-	p.mu.Unlock()
+	return broken
+}
+
+// closeOnBrokenKeptConnection closes while the request is written to a kept connection that
+// breaks, after which the agent would open another. The byte behind the request hides the
+// close from the server's own look.
+func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
+	b := newBackend(t, serving)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	broken := keepBlockedConn(t, a.loop.pool, b.addr)
 	reached := func() bool {
 		select {
 		case <-broken.writing:
--- /dev/null
+++ b/internal/agent/deadline_test.go
@@ -0,0 +1,198 @@
+package agent
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+const (
+	// testDelay is what the cases below take off a request's time before its attempt begins.
+	testDelay = 300 * time.Millisecond
+	timeoutMs = 4000
+)
+
+// deadlineRecorder keeps what each attempt tells its backend.
+type deadlineRecorder struct {
+	mu   sync.Mutex
+	told []int
+}
+
+// recording is answer, with the attempt's Request-Timeout-Ms kept.
+func (d *deadlineRecorder) recording(answer func(net.Conn, *http.Request, int) bool) func(net.Conn, *http.Request, int) bool {
+	return func(c net.Conn, req *http.Request, n int) bool {
+		told, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
+		if err != nil {
+			told = 1 << 30
+		}
+		d.mu.Lock()
+		d.told = append(d.told, told)
+		d.mu.Unlock()
+		return answer(c, req, n)
+	}
+}
+
+// want checks that the attempts told no more than what the client had left.
+func (d *deadlineRecorder) want(t *testing.T, left ...int) {
+	t.Helper()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.told) != len(left) {
+		t.Fatalf("attempts told %v, want %d of them", d.told, len(left))
+	}
+	for i, told := range d.told {
+		if told > left[i] {
+			t.Errorf("attempt %d told %d ms, and the client had %d left at the most", i, told, left[i])
+		}
+	}
+}
+
+// timed is a request with a time-out and a body.
+func timed(timeoutMs int, body string) string {
+	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", timeoutMs, len(body), body)
+}
+
+// finalStatus reads the answer to the request on a connection.
+func finalStatus(t *testing.T, k *kept) int {
+	t.Helper()
+	resp, err := http.ReadResponse(k.br, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	return resp.StatusCode
+}
+
+// An attempt tells its backend no more time than the client has left. The times that have
+// passed before an attempt are the least that they can be, so a slow machine fails no case.
+func TestAttemptsTellNoMoreThanTheClientHasLeft(t *testing.T) {
+	const left = timeoutMs - int(testDelay/time.Millisecond)
+	for name, test := range map[string]func(t *testing.T, d *deadlineRecorder){
+		"first attempt": func(t *testing.T, d *deadlineRecorder) {
+			a, _ := one(t, d.recording(serving))
+			c := a.dial()
+			fmt.Fprint(c, timed(timeoutMs, "x"))
+			wantStatus(t, finalStatus(t, c), 200)
+			d.want(t, timeoutMs)
+		},
+		"after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
+			a, _ := one(t, d.recording(serving))
+			askDuringStall(t, a, timed(timeoutMs, "x"))
+			d.want(t, left)
+		},
+		"long body after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
+			a, _ := one(t, d.recording(hashing))
+			askDuringStall(t, a, timed(timeoutMs, strings.Repeat("x", 2*maxBody)))
+			d.want(t, left)
+		},
+		"retries": func(t *testing.T, d *deadlineRecorder) {
+			slow := d.recording(func(c net.Conn, req *http.Request, n int) bool {
+				time.Sleep(testDelay)
+				return turnAway(c, req, n)
+			})
+			first, second := newBackend(t, slow), newBackend(t, slow)
+			a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
+			c := a.dial()
+			fmt.Fprint(c, timed(timeoutMs, "x"))
+			wantStatus(t, finalStatus(t, c), 503)
+			// The third attempt goes back to one of the two: there are no others.
+			d.mu.Lock()
+			attempts := len(d.told)
+			d.mu.Unlock()
+			if attempts < 2 {
+				t.Fatalf("%d attempts, want a retry", attempts)
+			}
+			var lefts []int
+			for i := range attempts {
+				lefts = append(lefts, timeoutMs-i*int(testDelay/time.Millisecond))
+			}
+			d.want(t, lefts...)
+		},
+		"late connect": func(t *testing.T, d *deadlineRecorder) {
+			ln := fullListener(t)
+			a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
+				c.Settings.Limits.ConnectTimeoutMs = 10_000
+			})
+			c := a.dial()
+			fmt.Fprint(c, timed(timeoutMs, "x"))
+			until(t, "the connect is under way", func() bool { return a.loop.pool.connects() == 1 })
+			time.Sleep(testDelay)
+			go (&fakeBackend{t: t, ln: ln, answer: d.recording(serving), ended: make(chan struct{}, 10)}).accept()
+			wantStatus(t, finalStatus(t, c), 200)
+			d.want(t, left)
+		},
+		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
+			b := newBackend(t, d.recording(serving))
+			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+			broken := keepBlockedConn(t, a.loop.pool, b.addr)
+			c := a.dial()
+			fmt.Fprint(c, timed(timeoutMs, "x"))
+			<-broken.writing
+			time.Sleep(testDelay)
+			close(broken.proceed)
+			wantStatus(t, finalStatus(t, c), 200)
+			d.want(t, left)
+		},
+		"queued": func(t *testing.T, d *deadlineRecorder) {
+			m := queuedBehind(t, d.recording(serving))
+			d.mu.Lock()
+			d.told = nil
+			d.mu.Unlock()
+			c := m.agent.dial()
+			fmt.Fprint(c, timed(timeoutMs, "x"))
+			until(t, "it waits", m.reached)
+			time.Sleep(testDelay)
+			m.proceed()
+			wantStatus(t, finalStatus(t, c), 200)
+			d.mu.Lock()
+			d.told = d.told[len(d.told)-1:]
+			d.mu.Unlock()
+			d.want(t, left)
+		},
+		"body that comes late": func(t *testing.T, d *deadlineRecorder) {
+			a, _ := one(t, d.recording(serving))
+			c := a.dial()
+			text := timed(timeoutMs, "xy")
+			fmt.Fprint(c, text[:len(text)-1])
+			time.Sleep(testDelay)
+			fmt.Fprint(c, text[len(text)-1:])
+			wantStatus(t, finalStatus(t, c), 200)
+			d.want(t, timeoutMs) // the time counts from the last byte
+		},
+		"long upload": func(t *testing.T, d *deadlineRecorder) {
+			a, _ := one(t, d.recording(hashing))
+			c := a.dial()
+			text := timed(timeoutMs, strings.Repeat("x", 4*maxBody))
+			for _, part := range []string{text[:2*maxBody], text[2*maxBody : 3*maxBody], text[3*maxBody:]} {
+				fmt.Fprint(c, part)
+				time.Sleep(testDelay)
+			}
+			wantStatus(t, finalStatus(t, c), 200)
+			d.want(t, timeoutMs)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			test(t, &deadlineRecorder{})
+		})
+	}
+}
+
+// askDuringStall sends a request while the loop does not run, for testDelay after the
+// request was read.
+func askDuringStall(t *testing.T, a *testAgent, text string) {
+	t.Helper()
+	release := a.hold()
+	c := a.dial()
+	fmt.Fprint(c, text)
+	until(t, "the loop is to take the request", func() bool { return len(a.loop.inbox) > 0 })
+	time.Sleep(testDelay)
+	release()
+	wantStatus(t, finalStatus(t, c), 200)
+}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -56,18 +56,21 @@
 	}
 	b := &fakeBackend{t: t, ln: ln, addr: ln.Addr().String(), answer: answer, ended: make(chan struct{}, 1000)}
 	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go b.serve(c)
-		}
-	}()
+	go b.accept()
 	return b
 }
 
+// accept serves connections until the listener is closed.
+func (b *fakeBackend) accept() {
+	for {
+		c, err := b.ln.Accept()
+		if err != nil {
+			return
+		}
+		go b.serve(c)
+	}
+}
+
 func (b *fakeBackend) serve(c net.Conn) {
 	defer c.Close()
 	b.mu.Lock()
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -466,12 +466,10 @@
 	now := time.Now()
 	t := &attempt{backend: b, sent: now}
 	r.attempts = append(r.attempts, t)
+	// Also the last byte of a long body may have come by now, which nobody has read yet.
 	until := r.call.deadline.Add(-backstopMargin)
 	long := r.call.long != nil
-	switch {
-	case long: // its time counts from its last byte, which has not come
-		until = now.Add(r.call.timeout)
-	case a.Ms != 0:
+	if a.Ms != 0 {
 		until = earliest(until, now.Add(ms(a.Ms)))
 	}
 	why := ""
