--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -196,3 +196,27 @@
 	release()
 	wantStatus(t, finalStatus(t, c), 200)
 }
+
+// With hardly any time left a request has its answer, and tells no backend more than that.
+func TestRequestsWithLittleTimeAreAnswered(t *testing.T) {
+	d := &deadlineRecorder{}
+	a, _ := one(t, d.recording(serving))
+	for _, timeout := range []int{1, 2, 3, 4, 5, 8, 12} {
+		c := a.dial()
+		fmt.Fprint(c, timed(timeout, "x"))
+		if status := finalStatus(t, c); status != 200 && status != 502 && status != 503 && status != 504 {
+			t.Errorf("%d ms: answered %d", timeout, status)
+		}
+		d.mu.Lock()
+		for _, told := range d.told {
+			if told > timeout {
+				t.Errorf("%d ms: told %d", timeout, told)
+			}
+		}
+		d.told = nil
+		d.mu.Unlock()
+	}
+	if f := a.figures(); f.guarded > 0 {
+		t.Errorf("the module sent attempts that have no time: figures %+v", f)
+	}
+}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -115,6 +115,13 @@
 	answer       chan answer // of capacity one: the loop never waits for a client
 }
 
+// margin is how long before the client's deadline the backstop answers: less than
+// backstopMargin where the client gives little time.
+func (c *call) margin() time.Duration { return min(backstopMargin, c.timeout/16) }
+
+// answerBy is when the backstop answers and no attempt goes on any more.
+func (c *call) answerBy() time.Time { return c.deadline.Add(-c.margin()) }
+
 type verdict uint8
 
 const (
@@ -299,12 +306,12 @@
 	l.open++
 	left := time.Until(c.deadline)
 	most := l.cfg.Settings.Limits.OpenCap
-	if left <= 0 || most > 0 && l.open > most {
+	if time.Until(c.answerBy()) <= 0 || most > 0 && l.open > most {
 		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
 	}
 	l.requests[r.id] = r
-	r.backstop = time.AfterFunc(left-min(backstopMargin, left/16), func() {
+	r.backstop = time.AfterFunc(time.Until(c.answerBy()), func() {
 		l.post(func() { l.late(r) })
 	})
 	left -= min(moduleMargin, left/8)
@@ -322,7 +329,7 @@
 	}
 	c := r.call
 	c.came, c.deadline = time.Now(), time.Now().Add(c.timeout)
-	r.backstop.Reset(c.timeout - min(backstopMargin, c.timeout/16))
+	r.backstop.Reset(time.Until(c.answerBy()))
 	left := c.timeout - min(moduleMargin, c.timeout/8)
 	l.handle(&events.Event{Kind: events.EvWritten, Request: r.id, Attempt: index,
 		LeftMs: float64(left.Microseconds()) / 1000})
@@ -336,7 +343,7 @@
 	}
 	l.figures.backstops++
 	l.log(slog.LevelWarn, "backstop ended a request", "id", r.call.id, "attempts", len(r.attempts), "out", r.out,
-		"late_ms", float64(time.Since(r.call.deadline.Add(-backstopMargin)).Microseconds())/1000)
+		"late_ms", float64(time.Since(r.call.answerBy()).Microseconds())/1000)
 	l.finish(r, answer{verdict: failed, late: true})
 	l.abandon(r)
 }
@@ -467,7 +474,7 @@
 	t := &attempt{backend: b, sent: now}
 	r.attempts = append(r.attempts, t)
 	// Also the last byte of a long body may have come by now, which nobody has read yet.
-	until := r.call.deadline.Add(-backstopMargin)
+	until := r.call.answerBy()
 	long := r.call.long != nil
 	if a.Ms != 0 {
 		until = earliest(until, now.Add(ms(a.Ms)))
@@ -501,7 +508,7 @@
 	ctx, cancel := context.WithCancel(r.call.ctx)
 	t.cancel = cancel
 	addr := b.addr
-	m := &message{request: r.call.request, long: r.call.long, gone: r.call.gone, sendBy: sendBy, within: r.call.timeout - backstopMargin,
+	m := &message{request: r.call.request, long: r.call.long, gone: r.call.gone, sendBy: sendBy, within: r.call.timeout - r.call.margin(),
 		written: func() { l.post(func() { l.written(r, index) }) }}
 	go func() {
 		res := l.pool.do(ctx, b, addr, m, now, until)
