--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -20,9 +20,11 @@
 	pieceSize = 16 << 10
 	// bodyGrace and bodyPace bound the time that a client may take for a body: it has the
 	// grace, and more by the bytes that it brought, at half of the pace that is owed to
-	// honest ones. Peers that bring nothing are owed an end 3 s after connecting.
+	// honest ones. It may never bring nothing for longer than the grace: peers that stop
+	// are owed an end within 3 s.
 	bodyGrace, bodyPace = 2500 * time.Millisecond, 32 << 10
-	// stall is how long a peer may bring or take nothing of a long body.
+	// stall is how long a server may bring or take nothing of a long body, and a client take
+	// nothing of one.
 	stall = 10 * time.Second
 	// gatherTime is how long the bytes of an answer that does not tell its length are
 	// gathered before they are passed on: first bytes count where it proves long.
@@ -54,7 +56,7 @@
 	now := time.Now()
 	left := bodyGrace + time.Duration(b.got)*time.Second/bodyPace - b.waited
 	// A connection that has no deadlines can't be a client's.
-	_ = b.control.SetReadDeadline(now.Add(min(left, stall)))
+	_ = b.control.SetReadDeadline(now.Add(min(left, bodyGrace)))
 	n, err := b.from.Read(p)
 	b.waited += time.Since(now)
 	b.got += int64(n)
--- /dev/null
+++ b/internal/agent/stalled_body_test.go
@@ -0,0 +1,43 @@
+package agent
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A client that stops in the middle of its body and stays is answered with an error and its
+// connection closed within the time that improper peers are owed, however much it has sent.
+func TestClientThatStopsInItsBodyIsEndedInTime(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct{ sent, length int }{
+		"kept body":             {maxBody / 2, maxBody},
+		"start of a long body":  {2 * maxBody, 40 * maxBody},
+		"middle of a long body": {20 * maxBody, 40 * maxBody},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			a, b := one(t, hashing)
+			c := a.dial()
+			text := timed(60_000, strings.Repeat("x", test.length))
+			if _, err := io.WriteString(c, text[:len(text)-(test.length-test.sent)]); err != nil {
+				t.Fatal(err)
+			}
+			stopped := time.Now()
+			if status := finalStatus(t, c); status < 400 {
+				t.Errorf("answered %d, want an error", status)
+			}
+			if _, err := io.Copy(io.Discard, c.br); err != nil {
+				t.Errorf("after the answer: %v", err)
+			}
+			// A second more than what is owed: a busy machine is not what is tested.
+			if took := time.Since(stopped); took > 4*time.Second {
+				t.Errorf("ended %v after it stopped", took)
+			}
+			if b.count() != 0 {
+				t.Errorf("%d arrivals of a request that never came whole", b.count())
+			}
+		})
+	}
+}
