--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -62,12 +62,20 @@
 	b.got += int64(n)
 	if err != nil {
 		b.err.Store(&err)
-		// The server reads on, to see the client leave, and that is not the body's.
-		_ = b.control.SetReadDeadline(time.Time{})
+		_ = b.control.SetReadDeadline(readDeadlineAfter(err))
 	}
 	return n, err
 }
 
+// readDeadlineAfter is until when the server may read on a connection behind a body that
+// ended with err: with no bound, to see the client leave, or for the rest of a broken one.
+func readDeadlineAfter(err error) time.Time {
+	if err == io.EOF {
+		return time.Time{}
+	}
+	return time.Now().Add(rejectTime)
+}
+
 // whole tells whether all of the body has come.
 func (b *clientBody) whole() bool {
 	err := b.err.Load()
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -12,9 +12,10 @@
 func TestClientThatStopsInItsBodyIsEndedInTime(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ sent, length int }{
-		"kept body":             {maxBody / 2, maxBody},
-		"start of a long body":  {2 * maxBody, 40 * maxBody},
-		"middle of a long body": {20 * maxBody, 40 * maxBody},
+		"kept body":                   {maxBody / 2, maxBody},
+		"start of a long body":        {2 * maxBody, 40 * maxBody},
+		"middle of a long body":       {20 * maxBody, 40 * maxBody},
+		"shortly before the long end": {2 * maxBody, 3 * maxBody},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
