--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -280,7 +280,7 @@
 		heads <- head{resp, err}
 	}()
 	go func() {
-		w := bufio.NewWriterSize(serverWriter{ctx, cn}, pieceSize)
+		w := bufio.NewWriterSize(serverWriter{ctx, cn, m.long, m.within}, pieceSize)
 		err := req.Write(w)
 		if err == nil {
 			err = w.Flush()
@@ -294,7 +294,7 @@
 		switch client := m.long.broken(); {
 		case err == nil:
 			m.written()
-			cn.SetReadDeadline(time.Now().Add(m.within))
+			cn.SetReadDeadline(m.long.answerBy(m.within))
 		case client != nil:
 			cn.SetReadDeadline(time.Unix(1, 0))
 			<-heads
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -44,14 +44,20 @@
 	from   io.Reader
 	got    int64
 	waited time.Duration
-	err    atomic.Pointer[error] // what ended it; io.EOF: it has come whole
+	end    atomic.Pointer[bodyEnd] // nil: it is still coming
+}
+
+// bodyEnd tells what ended a body, and when; io.EOF: it has come whole.
+type bodyEnd struct {
+	err error
+	at  time.Time
 }
 
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err := b.err.Load(); err != nil {
-		return 0, *err
+	if end := b.end.Load(); end != nil {
+		return 0, end.err
 	}
 	now := time.Now()
 	left := bodyGrace + time.Duration(b.got)*time.Second/bodyPace - b.waited
@@ -61,7 +67,7 @@
 	b.waited += time.Since(now)
 	b.got += int64(n)
 	if err != nil {
-		b.err.Store(&err)
+		b.end.Store(&bodyEnd{err, time.Now()})
 		_ = b.control.SetReadDeadline(readDeadlineAfter(err))
 	}
 	return n, err
@@ -78,18 +84,27 @@
 
 // whole tells whether all of the body has come.
 func (b *clientBody) whole() bool {
-	err := b.err.Load()
-	return err != nil && *err == io.EOF
+	end := b.end.Load()
+	return end != nil && end.err == io.EOF
 }
 
 // broken is what ended the body before its end, if anything did.
 func (b *clientBody) broken() error {
-	if err := b.err.Load(); err != nil && *err != io.EOF {
-		return *err
+	if end := b.end.Load(); end != nil && end.err != io.EOF {
+		return end.err
 	}
 	return nil
 }
 
+// answerBy is when the answer is due at the latest to a request that gives so much time
+// from its last byte on. That may have come, unread, while a server takes nothing more.
+func (b *clientBody) answerBy(within time.Duration) time.Time {
+	if end := b.end.Load(); end != nil {
+		return end.at.Add(within)
+	}
+	return time.Now().Add(within)
+}
+
 // longBody is the part of a request's body that is not kept: it is read from the client
 // while it goes to a server, so that it goes out once at most.
 type longBody struct {
@@ -283,16 +298,19 @@
 	return nil, nil
 }
 
-// serverWriter writes to a server, which has a time for each piece, not for the whole.
+// serverWriter writes a long body to a server, which has a time for each piece, not for the
+// whole: no more than the client has if its last byte has come.
 type serverWriter struct {
-	ctx context.Context // withdraws the attempt
-	cn  *conn
+	ctx    context.Context // withdraws the attempt
+	cn     *conn
+	body   *longBody
+	within time.Duration // the client's time from its last byte on
 }
 
 func (w serverWriter) Write(p []byte) (int, error) {
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
-	w.cn.SetWriteDeadline(time.Now().Add(stall))
+	w.cn.SetWriteDeadline(earliest(time.Now().Add(stall), w.body.answerBy(w.within)))
 	return w.cn.Write(p)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -328,9 +328,11 @@
 		return
 	}
 	c := r.call
-	c.came, c.deadline = time.Now(), time.Now().Add(c.timeout)
+	c.deadline = c.long.answerBy(c.timeout)
+	c.came = c.deadline.Add(-c.timeout)
 	r.backstop.Reset(time.Until(c.answerBy()))
-	left := c.timeout - min(moduleMargin, c.timeout/8)
+	left := max(time.Until(c.deadline), 0)
+	left -= min(moduleMargin, left/8)
 	l.handle(&events.Event{Kind: events.EvWritten, Request: r.id, Attempt: index,
 		LeftMs: float64(left.Microseconds()) / 1000})
 }
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -1,7 +1,9 @@
 package agent
 
 import (
+	"fmt"
 	"io"
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -42,3 +44,42 @@
 		})
 	}
 }
+
+// stuckBackend takes connections and reads no more than the first byte of each.
+func stuckBackend(t *testing.T) net.Listener {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			_ = c.(*net.TCPConn).SetReadBuffer(4096)
+			_, _ = c.Read(make([]byte, 1))
+			t.Cleanup(func() { c.Close() })
+		}
+	}()
+	return ln
+}
+
+// A backend that stops reading in the middle of a long body frees nobody of the answer: the
+// client may have sent its last byte, and its time runs.
+func TestBackendThatStopsReadingALongBody(t *testing.T) {
+	t.Parallel()
+	const timeout = 800 * time.Millisecond
+	ln := stuckBackend(t)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
+	c := a.dial()
+	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * maxBody)
+	fmt.Fprint(c, timed(int(timeout.Milliseconds()), strings.Repeat("x", 100*maxBody)))
+	sent := time.Now()
+	wantStatus(t, finalStatus(t, c), 503)
+	// What is lost is what is answered half a second after its time or later.
+	if took := time.Since(sent); took > 2*timeout+time.Second {
+		t.Errorf("answered %v after its last byte, of %v", took, timeout)
+	}
+}
