--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -58,17 +58,26 @@
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", timeoutMs, len(body), body)
 }
 
-// finalStatus reads the answer to the request on a connection.
-func finalStatus(t *testing.T, k *kept) int {
-	t.Helper()
+// status reads the answer to the request on a connection; 0: there is none.
+func (k *kept) status() int {
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
-		t.Fatal(err)
+		return 0
 	}
 	resp.Body.Close()
 	return resp.StatusCode
 }
 
+// finalStatus is status where there has to be an answer.
+func finalStatus(t *testing.T, k *kept) int {
+	t.Helper()
+	status := k.status()
+	if status == 0 {
+		t.Fatal("the connection ended with no answer")
+	}
+	return status
+}
+
 // An attempt tells its backend no more time than the client has left. The times that have
 // passed before an attempt are the least that they can be, so a slow machine fails no case.
 func TestAttemptsTellNoMoreThanTheClientHasLeft(t *testing.T) {
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -174,7 +174,7 @@
 // closed resets what it holds, so while connections still come after the signal they are
 // accepted. A queue that is shared is not closed with this process's listener: what it
 // holds is for the other process, at once.
-func (f *front) shutdown(ln net.Listener, shared bool, held time.Duration) error {
+func (f *front) shutdown(ln clientListener, shared bool, held time.Duration) error {
 	over := time.NewTimer(held)
 	defer over.Stop()
 	defer time.AfterFunc(takenFor, func() {
@@ -190,6 +190,7 @@
 	}
 	if !shared {
 		time.Sleep(linger)
+		f.acceptQueued(ln, over)
 	}
 	ln.Close()
 	f.accepting.Wait() // what was accepted last is counted by then
@@ -208,6 +209,24 @@
 	return fmt.Errorf("%d connections of clients still open", f.conns.size())
 }
 
+// acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
+// listener would reset them. When the time is over they are left, and over fires again.
+func (f *front) acceptQueued(ln clientListener, over *time.Timer) {
+	if !ln.finish() {
+		return
+	}
+	accepted := make(chan struct{})
+	go func() {
+		f.accepting.Wait()
+		close(accepted)
+	}()
+	select {
+	case <-accepted:
+	case <-over.C:
+		over.Reset(0)
+	}
+}
+
 func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	// A connection that is being closed as idle may just have brought a request. Its
 	// client can't have an answer and sends the request once more on another
@@ -439,7 +458,13 @@
 // gone tells whether the client has closed its side, also behind bytes that nobody has read:
 // a server that has read ahead of a request, or leaves its body unread, does not notice.
 func (c *clientConn) gone() bool {
-	sc, ok := c.Conn.(syscall.Conn)
+	return polled(c.Conn, unix.POLLRDHUP, unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR)
+}
+
+// polled asks the system for poll events of a socket, without waiting, and tells whether one of
+// those that count has come. Of what is no socket nothing is known.
+func polled(socket any, ask, count int16) bool {
+	sc, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -447,15 +472,15 @@
 	if err != nil {
 		return false
 	}
-	left := false
+	come := false
 	if err := raw.Control(func(fd uintptr) {
-		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		fds := []unix.PollFd{{Fd: int32(fd), Events: ask}}
 		n, err := unix.Poll(fds, 0)
-		left = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		come = err == nil && n > 0 && fds[0].Revents&count != 0
 	}); err != nil {
 		return false
 	}
-	return left
+	return come
 }
 
 func (c *clientConn) Close() error {
@@ -470,14 +495,15 @@
 // in the accept queue, not as descriptors.
 type clientListener struct {
 	net.Listener
-	slots quota
-	open  context.Context
-	stop  context.CancelFunc
+	slots     quota
+	open      context.Context
+	stop      context.CancelFunc
+	finishing *atomic.Bool // Accept ends once no connection waits
 }
 
 func newClientListener(ln net.Listener, slots quota) clientListener {
 	open, stop := context.WithCancel(context.Background())
-	return clientListener{ln, slots, open, stop}
+	return clientListener{ln, slots, open, stop, new(atomic.Bool)}
 }
 
 // noClients is a listener to which nobody comes.
@@ -504,6 +530,9 @@
 func (l noClients) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (l clientListener) Accept() (net.Conn, error) {
+	if l.finishing.Load() && !l.queued() {
+		return nil, net.ErrClosed
+	}
 	if err := l.slots.Acquire(l.open, 1); err != nil {
 		return nil, net.ErrClosed
 	}
@@ -515,6 +544,17 @@
 	return &clientConn{Conn: c, release: func() { l.slots.Release(1) }}, nil
 }
 
+// finish has Accept end once it has taken the connections that wait, and tells whether any do.
+func (l clientListener) finish() bool {
+	l.finishing.Store(true)
+	return l.queued()
+}
+
+// queued tells whether connections wait to be accepted.
+func (l clientListener) queued() bool {
+	return polled(l.Listener, unix.POLLIN, unix.POLLIN)
+}
+
 func (l clientListener) Close() error {
 	l.stop()
 	return l.Listener.Close()
--- /dev/null
+++ b/internal/agent/shutdown_test.go
@@ -0,0 +1,79 @@
+package agent
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// takeAllSlots leaves clients no slot for a connection until release is called.
+func takeAllSlots(a *testAgent) (release func()) {
+	slots := a.front.conns.slots
+	taken := int64(0)
+	for slots.TryAcquire(1) {
+		taken++
+	}
+	return func() { slots.Release(taken) }
+}
+
+// A connection that waits to be accepted when the shutdown closes the listener has come: its
+// request is owed an answer, also where there was no slot for it until then.
+func TestShutdownAnswersWhatWaitsToBeAccepted(t *testing.T) {
+	t.Parallel()
+	a, _ := one(t, serving)
+	release := takeAllSlots(a)
+	accepted := a.dial() // takes the slot that Accept holds already
+	until(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+	waiting := a.dial()
+	fmt.Fprint(waiting, timed(timeoutMs, "x"))
+	a.stop()
+	time.AfterFunc(linger+testDelay, release)
+	if status := finalStatus(t, waiting); status != 200 && status != 503 {
+		t.Errorf("answered %d", status)
+	}
+	accepted.Close()
+}
+
+// First requests of new connections have their answer at each moment of the shutdown, and
+// those that were connected before it too.
+func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
+	t.Parallel()
+	a, b := one(t, serving)
+	type moment struct{ dial, send time.Duration } // after the signal; 0: before it
+	var ended []chan int
+	begin := time.Now()
+	for _, m := range []moment{{0, 50 * time.Millisecond}, {0, linger + 20*time.Millisecond},
+		{0, takenFor + 100*time.Millisecond}, {0, 1500 * time.Millisecond},
+		{200 * time.Millisecond, 200 * time.Millisecond}, {300 * time.Millisecond, linger},
+		{300 * time.Millisecond, takenFor}, {300 * time.Millisecond, time.Second}} {
+		status := make(chan int, 1)
+		ended = append(ended, status)
+		dial := func() {
+			c := a.dial()
+			time.AfterFunc(time.Until(begin.Add(m.send)), func() {
+				fmt.Fprint(c, timed(timeoutMs, "x"))
+				status <- c.status()
+			})
+		}
+		if m.dial == 0 {
+			dial()
+		} else {
+			time.AfterFunc(m.dial, dial)
+		}
+	}
+	until(t, "those that came before are accepted", func() bool { return a.front.conns.size() >= 4 })
+	a.stop()
+	served := 0
+	for i, status := range ended {
+		switch got := <-status; got {
+		case 200:
+			served++
+		case 503:
+		default:
+			t.Errorf("connection %d: answered %d", i, got)
+		}
+	}
+	if b.count() != served {
+		t.Errorf("%d arrivals, %d served", b.count(), served)
+	}
+}
