--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -196,7 +196,11 @@
 	f.accepting.Wait() // what was accepted last is counted by then
 	defer f.server.Close()
 	defer f.refill()
-	for _, then := range []func(){func() { f.loop.post(f.loop.giveUp) }, func() {}} {
+	end := func() {
+		f.loop.post(f.loop.giveUp)
+		f.conns.leaveSilent()
+	}
+	for _, then := range []func(){end, func() {}} {
 		select {
 		case <-f.conns.none():
 			return nil
@@ -669,6 +673,18 @@
 	}
 }
 
+// leaveSilent ends all connections on which no request has begun, also those that never
+// brought one.
+func (c *clientConns) leaveSilent() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for nc := range c.open {
+		if cc, ok := nc.(*clientConn); ok {
+			cc.leave()
+		}
+	}
+}
+
 // none returns a channel that is closed once no connection is open.
 func (c *clientConns) none() <-chan struct{} {
 	c.mu.Lock()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"testing"
 	"time"
 )
@@ -77,3 +78,25 @@
 		t.Errorf("%d arrivals, %d served", b.count(), served)
 	}
 }
+
+// A connection that never brought a request ends before the process may be killed: a request
+// on it could come too late to be answered.
+func TestSilentConnectionsEndBeforeTheKill(t *testing.T) {
+	t.Parallel()
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", newBackend(t, serving).addr)), func(c *Config) {
+		for i := range c.Settings.Classes {
+			c.Settings.Classes[i].GiveUpMs = 300
+		}
+	})
+	c := a.dial()
+	until(t, "it is accepted", func() bool { return a.front.conns.size() > 0 })
+	stopped := time.Now()
+	a.stop()
+	if n, err := io.Copy(io.Discard, c); n > 0 || err != nil {
+		t.Errorf("read %d bytes, %v", n, err)
+	}
+	// 0.85 s after the signal; without a request it has headTime otherwise.
+	if took := time.Since(stopped); took > headTime-time.Second/2 {
+		t.Errorf("ended %v after the signal", took)
+	}
+}
