--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,7 +31,7 @@
 type Agent struct {
 	cfg     *Config
 	ln      Listeners
-	clients clientListener
+	clients *clientListener
 	front   *front
 	loop    *loop
 	stop    context.CancelFunc // of the loop, and of all that has its context
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -229,3 +229,50 @@
 		t.Errorf("the module sent attempts that have no time: figures %+v", f)
 	}
 }
+
+// A connection may have waited for a slot in the accept queue with its request: that time is
+// the client's too.
+func TestTimeInTheAcceptQueueCounts(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		timeoutMs, status int
+		told              []int
+	}{
+		"time is left":     {timeoutMs, 200, []int{timeoutMs - int(testDelay/time.Millisecond)}},
+		"its time is over": {int(testDelay/time.Millisecond) / 2, 503, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			d := &deadlineRecorder{}
+			a, _ := one(t, d.recording(serving))
+			release := takeAllSlots(a)
+			a.dial() // takes the slot that Accept holds already
+			until(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+			c := a.dial()
+			fmt.Fprint(c, timed(test.timeoutMs, "x"))
+			time.Sleep(testDelay)
+			release()
+			wantStatus(t, finalStatus(t, c), test.status)
+			d.want(t, test.told...)
+		})
+	}
+}
+
+// A request that comes only once its connection has been accepted has its whole time, however
+// long the connection waited.
+func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
+	t.Parallel()
+	a, _ := one(t, serving)
+	release := takeAllSlots(a)
+	a.dial()
+	until(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+	const timeout = 2 * time.Second
+	c := a.dial()
+	time.Sleep(timeout)
+	release()
+	until(t, "it is accepted", func() bool { return a.front.conns.size() > 1 })
+	for range 2 {
+		fmt.Fprint(c, timed(int(timeout.Milliseconds()), "x"))
+		wantStatus(t, finalStatus(t, c), 200)
+	}
+}
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -37,6 +37,9 @@
 	// rejectTime bounds how long what follows on a rejected request is read, so that its
 	// peer can read the answer.
 	rejectTime = 300 * time.Millisecond
+	// queueLook is how often the accept queue is looked at while slots are lacking: the time
+	// that a request has waited there is known that well.
+	queueLook = 25 * time.Millisecond
 	// maxTimeout bounds the time that a client may give.
 	maxTimeout = 60_000
 )
@@ -174,7 +177,7 @@
 // closed resets what it holds, so while connections still come after the signal they are
 // accepted. A queue that is shared is not closed with this process's listener: what it
 // holds is for the other process, at once.
-func (f *front) shutdown(ln clientListener, shared bool, held time.Duration) error {
+func (f *front) shutdown(ln *clientListener, shared bool, held time.Duration) error {
 	over := time.NewTimer(held)
 	defer over.Stop()
 	defer time.AfterFunc(takenFor, func() {
@@ -215,7 +218,7 @@
 
 // acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
 // listener would reset them. When the time is over they are left, and over fires again.
-func (f *front) acceptQueued(ln clientListener, over *time.Timer) {
+func (f *front) acceptQueued(ln *clientListener, over *time.Timer) {
 	if !ln.finish() {
 		return
 	}
@@ -305,8 +308,9 @@
 		return nil, 0, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxLong)
 	}
 	c = &call{ctx: req.Context(), id: h.Get("Request-Id"), method: req.Method, host: req.Host, url: req.URL, header: h, answer: make(chan answer, 1)}
-	if cc, ok := req.Context().Value(connKey{}).(*clientConn); ok {
-		c.gone = cc.gone
+	client, known := req.Context().Value(connKey{}).(*clientConn)
+	if known {
+		c.gone = client.gone
 	}
 	classes := f.classes.Load()
 	if c.rules = classes.rules[h.Get("Request-Class")]; c.rules == nil {
@@ -343,6 +347,9 @@
 	}
 	// A request's time counts from its last byte; of a long one it begins again with that.
 	c.came = time.Now()
+	if known && !client.queuedAt.IsZero() {
+		c.came = client.queuedAt
+	}
 	c.deadline = c.came.Add(c.timeout)
 	return c, held, 0, nil
 }
@@ -402,6 +409,9 @@
 	release func() // gives its slot back
 	closed  atomic.Bool
 	begun   atomic.Bool // bytes have come since it idled last
+	// queuedAt is when its first request may have come, where that waited to be accepted.
+	// It belongs to the goroutine that serves the connection.
+	queuedAt time.Time
 
 	mu      sync.Mutex
 	leaving bool      // to be closed if nothing has come: its reader is woken to look
@@ -502,12 +512,15 @@
 	slots     quota
 	open      context.Context
 	stop      context.CancelFunc
-	finishing *atomic.Bool // Accept ends once no connection waits
+	finishing atomic.Bool // Accept ends once no connection waits
+	// queuedAt is since when connections have waited to be accepted, where slots were
+	// lacking: those that wait now came after it. Zero: none has waited. It is Accept's.
+	queuedAt time.Time
 }
 
-func newClientListener(ln net.Listener, slots quota) clientListener {
+func newClientListener(ln net.Listener, slots quota) *clientListener {
 	open, stop := context.WithCancel(context.Background())
-	return clientListener{ln, slots, open, stop, new(atomic.Bool)}
+	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
 }
 
 // noClients is a listener to which nobody comes.
@@ -533,33 +546,65 @@
 
 func (l noClients) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l clientListener) Accept() (net.Conn, error) {
+func (l *clientListener) Accept() (net.Conn, error) {
 	if l.finishing.Load() && !l.queued() {
 		return nil, net.ErrClosed
 	}
-	if err := l.slots.Acquire(l.open, 1); err != nil {
-		return nil, net.ErrClosed
+	if !l.slots.TryAcquire(1) {
+		if err := l.awaitSlot(); err != nil {
+			return nil, net.ErrClosed
+		}
 	}
-	c, err := l.Listener.Accept()
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		l.slots.Release(1)
 		return nil, err
 	}
-	return &clientConn{Conn: c, release: func() { l.slots.Release(1) }}, nil
+	c := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
+	if !l.queuedAt.IsZero() {
+		l.noteQueued(c)
+	}
+	return c, nil
+}
+
+// awaitSlot waits for a slot, and notes since when connections wait for it too.
+func (l *clientListener) awaitSlot() error {
+	for {
+		looked := time.Now()
+		if l.queuedAt.IsZero() && l.queued() {
+			l.queuedAt = looked.Add(-queueLook)
+		}
+		ctx, cancel := context.WithTimeout(l.open, queueLook)
+		err := l.slots.Acquire(ctx, 1)
+		cancel()
+		if err == nil || l.open.Err() != nil {
+			return err
+		}
+	}
+}
+
+// noteQueued tells a connection since when it may have waited with a request on it.
+func (l *clientListener) noteQueued(c *clientConn) {
+	if !alive(c.Conn) { // its bytes were there before it was accepted
+		c.queuedAt = l.queuedAt
+	}
+	if !l.queued() {
+		l.queuedAt = time.Time{}
+	}
 }
 
 // finish has Accept end once it has taken the connections that wait, and tells whether any do.
-func (l clientListener) finish() bool {
+func (l *clientListener) finish() bool {
 	l.finishing.Store(true)
 	return l.queued()
 }
 
 // queued tells whether connections wait to be accepted.
-func (l clientListener) queued() bool {
+func (l *clientListener) queued() bool {
 	return polled(l.Listener, unix.POLLIN, unix.POLLIN)
 }
 
-func (l clientListener) Close() error {
+func (l *clientListener) Close() error {
 	l.stop()
 	return l.Listener.Close()
 }
@@ -605,6 +650,7 @@
 	case http.StateIdle:
 		if cc, ok := nc.(*clientConn); ok {
 			cc.begun.Store(false)
+			cc.queuedAt = time.Time{}
 		}
 		if !c.open[nc] {
 			c.idle[nc] = c.order.PushBack(nc)
