--- /dev/null
+++ b/internal/agent/first_request_test.go
@@ -0,0 +1,103 @@
+package agent
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// smallAgent has the fewest descriptors that may be set.
+func smallAgent(t *testing.T) (a *testAgent, most int) {
+	b := newBackend(t, serving)
+	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
+	return a, a.loop.cfg.clientConns()
+}
+
+// askReady asks on a connection whether the agent is ready, so that it rests afterwards.
+func (k *kept) askReady(t *testing.T) {
+	t.Helper()
+	fmt.Fprint(k, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	wantStatus(t, finalStatus(t, k), 200)
+}
+
+// The first request on a new connection is answered, whatever the agent does with others just
+// then to keep within its descriptors.
+func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
+	for name, fill := range map[string]func(t *testing.T, a *testAgent, most int){
+		"room is made of resting connections": func(t *testing.T, a *testAgent, most int) {
+			for range most {
+				a.dial().askReady(t)
+			}
+		},
+		"silent connections hold all": func(t *testing.T, a *testAgent, most int) {
+			for range most {
+				a.dial()
+			}
+		},
+		"halves of requests hold all": func(t *testing.T, a *testAgent, most int) {
+			for range most {
+				fmt.Fprint(a.dial(), "GET /api/a HTTP/1.1\r\n")
+			}
+		},
+		"halves of bodies hold all": func(t *testing.T, a *testAgent, most int) {
+			for range most {
+				fmt.Fprint(a.dial(), strings.TrimSuffix(timed(60_000, "xy"), "y"))
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			a, most := smallAgent(t)
+			fill(t, a, most)
+			var asking sync.WaitGroup
+			for range 8 {
+				asking.Add(1)
+				go func() {
+					defer asking.Done()
+					c := a.dial()
+					fmt.Fprint(c, timed(30_000, "x"))
+					if status := c.status(); status != 200 && status != 503 {
+						t.Errorf("answered %d", status)
+					}
+				}()
+			}
+			asking.Wait()
+		})
+	}
+}
+
+// Bytes that are no request, ahead of one on a new connection, are answered with an error or
+// served as if they were not there; the connection never ends with nothing said.
+func TestBadBytesBeforeTheFirstRequest(t *testing.T) {
+	a, b := one(t, serving)
+	for name, bytes := range map[string]string{
+		"an empty line":        "\r\n",
+		"nonsense":             "nonsense\r\n\r\n",
+		"a zero byte":          "\x00",
+		"a TLS hello":          "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
+		"HTTP/2's preface":     "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
+		"a line without end":   strings.Repeat("x", 40<<10),
+		"two lengths":          "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
+		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := a.dial()
+			fmt.Fprint(c, bytes+timed(timeoutMs, "x"))
+			resp, err := http.ReadResponse(c.br, nil)
+			if err != nil {
+				t.Fatalf("no answer: %v", err)
+			}
+			defer resp.Body.Close()
+			body, _ := io.ReadAll(resp.Body)
+			if resp.StatusCode < 400 && !strings.Contains(string(body), "/api/a") {
+				t.Errorf("answered %d with %q", resp.StatusCode, body)
+			}
+		})
+	}
+	if n := b.count(); n > 1 {
+		t.Errorf("%d arrivals", n)
+	}
+}
