--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -416,6 +416,7 @@
 	mu      sync.Mutex
 	leaving bool      // to be closed if nothing has come: its reader is woken to look
 	until   time.Time // the reader's own deadline
+	mayLook bool      // one look at what has come is left once that is over
 }
 
 // leave has the connection closed by whoever reads it, unless a request has come.
@@ -433,6 +434,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = t
+	c.mayLook = t.After(time.Now())
 	if c.leaving {
 		return nil
 	}
@@ -452,21 +454,53 @@
 	return true
 }
 
-// Read is where a connection that is to leave ends. Its reader looks once more at what has
-// come, so that no request is crossed that was there before.
+// Read is where a connection that is to leave ends, or whose time is over. Its reader looks
+// once more at what has come, so that no request is crossed that was there before.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
+		expired := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
+		if expired && c.woken() {
+			if !c.begun.Load() && alive(c.Conn) {
+				return 0, err
+			}
+			continue
+		}
+		if expired {
+			n = c.lastLook(p)
+		}
 		if n > 0 {
 			c.begun.Store(true)
+			return n, nil
 		}
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.woken() {
-			return n, err
-		}
-		if !c.begun.Load() && alive(c.Conn) {
-			return n, err
+		return n, err
+	}
+}
+
+// lastLook reads what came before the deadline and was not read in time, as the process was
+// held up. It does so once for each deadline: who goes on sending gains no time by it.
+func (c *clientConn) lastLook(p []byte) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	sc, ok := c.Conn.(syscall.Conn)
+	if !ok || !c.mayLook {
+		return 0
+	}
+	c.mayLook = false
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	n := 0
+	if err := raw.Control(func(fd uintptr) { // unlike Read it works past the deadline
+		n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT)
+		if err != nil {
+			n = 0
 		}
+	}); err != nil {
+		return 0
 	}
+	return n
 }
 
 // gone tells whether the client has closed its side, also behind bytes that nobody has read:
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 // hold stops the loop until the returned function is called.
@@ -287,3 +289,54 @@
 		t.Errorf("the wait for the client's leaving ended with %v, and it has not left", err)
 	}
 }
+
+// What came before the reader's deadline is read, also where the process was held up and looks
+// only after it: closing would cross a request that came in time.
+func TestWhatCameBeforeTheDeadlineIsRead(t *testing.T) {
+	const deadline = 50 * time.Millisecond
+	pair := func(t *testing.T) (net.Conn, *clientConn, []byte) {
+		client, c := clientPair(t)
+		return client, c, make([]byte, 10)
+	}
+	arrived := func(t *testing.T, c *clientConn) {
+		until(t, "the bytes have arrived", func() bool { return polled(c.Conn, unix.POLLIN, unix.POLLIN) })
+	}
+	t.Run("a first request", func(t *testing.T) {
+		client, c, buf := pair(t)
+		c.SetReadDeadline(time.Now().Add(deadline))
+		fmt.Fprint(client, "GET")
+		arrived(t, c)
+		time.Sleep(2 * deadline) // held up
+		if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
+			t.Errorf("read %q, %v", buf[:n], err)
+		}
+	})
+	t.Run("once only", func(t *testing.T) {
+		client, c, buf := pair(t)
+		c.SetReadDeadline(time.Now().Add(deadline))
+		time.Sleep(2 * deadline)
+		for i := range 2 {
+			fmt.Fprint(client, "x")
+			arrived(t, c)
+			if _, err := c.Read(buf); (err == nil) != (i == 0) {
+				t.Errorf("look %d after the deadline: %v", i+1, err)
+			}
+		}
+	})
+	t.Run("not under a deadline that was past", func(t *testing.T) {
+		client, c, buf := pair(t)
+		fmt.Fprint(client, "x")
+		arrived(t, c)
+		c.SetReadDeadline(time.Now().Add(-deadline))
+		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("read %v", err)
+		}
+	})
+	t.Run("nothing came", func(t *testing.T) {
+		_, c, buf := pair(t)
+		c.SetReadDeadline(time.Now().Add(deadline))
+		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("read %v", err)
+		}
+	})
+}
