--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -20,9 +20,11 @@
 	pieceSize = 16 << 10
 	// bodyGrace and bodyPace bound the time that a client may take for a body: it has the
 	// grace, and more by the bytes that it brought, at half of the pace that is owed to
-	// honest ones. Peers that bring nothing are owed an end 3 s after connecting.
+	// honest ones. It may never bring nothing for longer than the grace: peers that stop
+	// are owed an end within 3 s.
 	bodyGrace, bodyPace = 2500 * time.Millisecond, 32 << 10
-	// stall is how long a peer may bring or take nothing of a long body.
+	// stall is how long a server may bring or take nothing of a long body, and a client take
+	// nothing of one.
 	stall = 10 * time.Second
 	// gatherTime is how long the bytes of an answer that does not tell its length are
 	// gathered before they are passed on: first bytes count where it proves long.
@@ -42,44 +44,67 @@
 	from   io.Reader
 	got    int64
 	waited time.Duration
-	err    atomic.Pointer[error] // what ended it; io.EOF: it has come whole
+	end    atomic.Pointer[bodyEnd] // nil: it is still coming
+}
+
+// bodyEnd tells what ended a body, and when; io.EOF: it has come whole.
+type bodyEnd struct {
+	err error
+	at  time.Time
 }
 
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err := b.err.Load(); err != nil {
-		return 0, *err
+	if end := b.end.Load(); end != nil {
+		return 0, end.err
 	}
 	now := time.Now()
 	left := bodyGrace + time.Duration(b.got)*time.Second/bodyPace - b.waited
 	// A connection that has no deadlines can't be a client's.
-	_ = b.control.SetReadDeadline(now.Add(min(left, stall)))
+	_ = b.control.SetReadDeadline(now.Add(min(left, bodyGrace)))
 	n, err := b.from.Read(p)
 	b.waited += time.Since(now)
 	b.got += int64(n)
 	if err != nil {
-		b.err.Store(&err)
-		// The server reads on, to see the client leave, and that is not the body's.
-		_ = b.control.SetReadDeadline(time.Time{})
+		b.end.Store(&bodyEnd{err, time.Now()})
+		_ = b.control.SetReadDeadline(readDeadlineAfter(err))
 	}
 	return n, err
 }
 
+// readDeadlineAfter is until when the server may read on a connection behind a body that
+// ended with err: with no bound, to see the client leave, or for the rest of a broken one.
+func readDeadlineAfter(err error) time.Time {
+	if err == io.EOF {
+		return time.Time{}
+	}
+	return time.Now().Add(rejectTime)
+}
+
 // whole tells whether all of the body has come.
 func (b *clientBody) whole() bool {
-	err := b.err.Load()
-	return err != nil && *err == io.EOF
+	end := b.end.Load()
+	return end != nil && end.err == io.EOF
 }
 
 // broken is what ended the body before its end, if anything did.
 func (b *clientBody) broken() error {
-	if err := b.err.Load(); err != nil && *err != io.EOF {
-		return *err
+	if end := b.end.Load(); end != nil && end.err != io.EOF {
+		return end.err
 	}
 	return nil
 }
 
+// answerBy is when the answer is due at the latest to a request that gives so much time
+// from its last byte on. That may have come, unread, while a server takes nothing more.
+func (b *clientBody) answerBy(within time.Duration) time.Time {
+	if end := b.end.Load(); end != nil {
+		return end.at.Add(within)
+	}
+	return time.Now().Add(within)
+}
+
 // longBody is the part of a request's body that is not kept: it is read from the client
 // while it goes to a server, so that it goes out once at most.
 type longBody struct {
@@ -273,16 +298,19 @@
 	return nil, nil
 }
 
-// serverWriter writes to a server, which has a time for each piece, not for the whole.
+// serverWriter writes a long body to a server, which has a time for each piece, not for the
+// whole: no more than the client has if its last byte has come.
 type serverWriter struct {
-	ctx context.Context // withdraws the attempt
-	cn  *conn
+	ctx    context.Context // withdraws the attempt
+	cn     *conn
+	body   *longBody
+	within time.Duration // the client's time from its last byte on
 }
 
 func (w serverWriter) Write(p []byte) (int, error) {
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
-	w.cn.SetWriteDeadline(time.Now().Add(stall))
+	w.cn.SetWriteDeadline(earliest(time.Now().Add(stall), w.body.answerBy(w.within)))
 	return w.cn.Write(p)
 }
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -37,6 +37,9 @@
 	// rejectTime bounds how long what follows on a rejected request is read, so that its
 	// peer can read the answer.
 	rejectTime = 300 * time.Millisecond
+	// queueLook is how often the accept queue is looked at while slots are lacking: the time
+	// that a request has waited there is known that well.
+	queueLook = 25 * time.Millisecond
 	// maxTimeout bounds the time that a client may give.
 	maxTimeout = 60_000
 )
@@ -182,7 +185,7 @@
 // closed resets what it holds, so while connections still come after the signal they are
 // accepted. A queue that is shared is not closed with this process's listener: what it
 // holds is for the other process, at once.
-func (f *front) shutdown(ln net.Listener, shared bool, held time.Duration) error {
+func (f *front) shutdown(ln *clientListener, shared bool, held time.Duration) error {
 	over := time.NewTimer(held)
 	defer over.Stop()
 	defer time.AfterFunc(takenFor, func() {
@@ -198,12 +201,17 @@
 	}
 	if !shared {
 		time.Sleep(linger)
+		f.acceptQueued(ln, over)
 	}
 	ln.Close()
 	f.accepting.Wait() // what was accepted last is counted by then
 	defer f.server.Close()
 	defer f.refill()
-	for _, then := range []func(){func() { f.loop.post(f.loop.giveUp) }, func() {}} {
+	end := func() {
+		f.loop.post(f.loop.giveUp)
+		f.conns.leaveSilent()
+	}
+	for _, then := range []func(){end, func() {}} {
 		select {
 		case <-f.conns.none():
 			return nil
@@ -216,6 +224,24 @@
 	return fmt.Errorf("%d connections of clients still open", f.conns.size())
 }
 
+// acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
+// listener would reset them. When the time is over they are left, and over fires again.
+func (f *front) acceptQueued(ln *clientListener, over *time.Timer) {
+	if !ln.finish() {
+		return
+	}
+	accepted := make(chan struct{})
+	go func() {
+		f.accepting.Wait()
+		close(accepted)
+	}()
+	select {
+	case <-accepted:
+	case <-over.C:
+		over.Reset(0)
+	}
+}
+
 func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	// A connection that is being closed as idle may just have brought a request. Its
 	// client can't have an answer and sends the request once more on another
@@ -265,6 +291,9 @@
 		f.write(w, c, a)
 	case <-req.Context().Done():
 		f.loop.post(func() { f.loop.discard(<-took) })
+		// The client may have ended only its sending, and still read. With nothing
+		// written here the server would write an empty 200.
+		f.write(w, c, answer{verdict: failed})
 	}
 }
 
@@ -287,8 +316,9 @@
 		return nil, 0, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxLong)
 	}
 	c = &call{ctx: req.Context(), id: h.Get("Request-Id"), method: req.Method, host: req.Host, url: req.URL, header: h, answer: make(chan answer, 1)}
-	if cc, ok := req.Context().Value(connKey{}).(*clientConn); ok {
-		c.gone = cc.gone
+	client, known := req.Context().Value(connKey{}).(*clientConn)
+	if known {
+		c.gone = client.gone
 	}
 	classes := f.classes.Load()
 	if c.rules = classes.rules[h.Get("Request-Class")]; c.rules == nil {
@@ -325,6 +355,9 @@
 	}
 	// A request's time counts from its last byte; of a long one it begins again with that.
 	c.came = time.Now()
+	if known && !client.queuedAt.IsZero() {
+		c.came = client.queuedAt
+	}
 	c.deadline = c.came.Add(c.timeout)
 	return c, held, 0, nil
 }
@@ -384,10 +417,14 @@
 	release func() // gives its slot back
 	closed  atomic.Bool
 	begun   atomic.Bool // bytes have come since it idled last
+	// queuedAt is when its first request may have come, where that waited to be accepted.
+	// It belongs to the goroutine that serves the connection.
+	queuedAt time.Time
 
 	mu      sync.Mutex
 	leaving bool      // to be closed if nothing has come: its reader is woken to look
 	until   time.Time // the reader's own deadline
+	mayLook bool      // one look at what has come is left once that is over
 }
 
 // leave has the connection closed by whoever reads it, unless a request has come.
@@ -405,6 +442,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = t
+	c.mayLook = t.After(time.Now())
 	if c.leaving {
 		return nil
 	}
@@ -424,39 +462,54 @@
 	return true
 }
 
-// Read is where a connection that is to leave ends. Its reader looks once more at what has
-// come, so that no request is crossed that was there before.
+// Read is where a connection that is to leave ends, or whose time is over. Its reader looks
+// once more at what has come, so that no request is crossed that was there before.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if n > 0 {
-			c.begun.Store(true)
+		expired := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
+		if expired && c.woken() {
+			if !c.begun.Load() && alive(c.Conn) {
+				return 0, err
+			}
+			continue
 		}
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !c.woken() {
-			return n, err
+		if expired {
+			n = c.lastLook(p)
 		}
-		if !c.begun.Load() && alive(c.Conn) {
-			return n, err
+		if n > 0 {
+			c.begun.Store(true)
+			return n, nil
 		}
+		return n, err
 	}
 }
 
-// gone tells whether the client has closed its side, also behind bytes that nobody has read:
-// a server that has read ahead of a request, or leaves its body unread, does not notice.
-func (c *clientConn) gone() bool {
+// lastLook reads what came before the deadline and was not read in time, as the process was
+// held up. It does so once for each deadline: who goes on sending gains no time by it.
+func (c *clientConn) lastLook(p []byte) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	sc, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return false
+	if !ok || !c.mayLook {
+		return 0
 	}
+	c.mayLook = false
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return false
+		return 0
 	}
-	left := false
-	if err := raw.Control(func(fd uintptr) { left = hungUp(int32(fd), unix.Poll) }); err != nil {
-		return false
+	n := 0
+	if err := raw.Control(func(fd uintptr) { n = readNow(int(fd), p) }); err != nil { // unlike Read past the deadline
+		return 0
 	}
-	return left
+	return n
+}
+
+// gone tells whether the client has closed its side, also behind bytes that nobody has read:
+// a server that has read ahead of a request, or leaves its body unread, does not notice.
+func (c *clientConn) gone() bool {
+	return polled(c.Conn, unix.POLLRDHUP, hangupEvents)
 }
 
 func (c *clientConn) Close() error {
@@ -471,14 +524,18 @@
 // in the accept queue, not as descriptors.
 type clientListener struct {
 	net.Listener
-	slots quota
-	open  context.Context
-	stop  context.CancelFunc
+	slots     quota
+	open      context.Context
+	stop      context.CancelFunc
+	finishing atomic.Bool // Accept ends once no connection waits
+	// queuedAt is since when connections have waited to be accepted, where slots were
+	// lacking: those that wait now came after it. Zero: none has waited. It is Accept's.
+	queuedAt time.Time
 }
 
-func newClientListener(ln net.Listener, slots quota) clientListener {
+func newClientListener(ln net.Listener, slots quota) *clientListener {
 	open, stop := context.WithCancel(context.Background())
-	return clientListener{ln, slots, open, stop}
+	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
 }
 
 // noClients is a listener to which nobody comes.
@@ -504,19 +561,65 @@
 
 func (l noClients) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l clientListener) Accept() (net.Conn, error) {
-	if err := l.slots.Acquire(l.open, 1); err != nil {
+func (l *clientListener) Accept() (net.Conn, error) {
+	if l.finishing.Load() && !l.queued() {
 		return nil, net.ErrClosed
 	}
-	c, err := l.Listener.Accept()
+	if !l.slots.TryAcquire(1) {
+		if err := l.awaitSlot(); err != nil {
+			return nil, net.ErrClosed
+		}
+	}
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		l.slots.Release(1)
 		return nil, err
 	}
-	return &clientConn{Conn: c, release: func() { l.slots.Release(1) }}, nil
+	c := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
+	if !l.queuedAt.IsZero() {
+		l.noteQueued(c)
+	}
+	return c, nil
 }
 
-func (l clientListener) Close() error {
+// awaitSlot waits for a slot, and notes since when connections wait for it too.
+func (l *clientListener) awaitSlot() error {
+	for {
+		looked := time.Now()
+		if l.queuedAt.IsZero() && l.queued() {
+			l.queuedAt = looked.Add(-queueLook)
+		}
+		ctx, cancel := context.WithTimeout(l.open, queueLook)
+		err := l.slots.Acquire(ctx, 1)
+		cancel()
+		if err == nil || l.open.Err() != nil {
+			return err
+		}
+	}
+}
+
+// noteQueued tells a connection since when it may have waited with a request on it.
+func (l *clientListener) noteQueued(c *clientConn) {
+	if !alive(c.Conn) { // its bytes were there before it was accepted
+		c.queuedAt = l.queuedAt
+	}
+	if !l.queued() {
+		l.queuedAt = time.Time{}
+	}
+}
+
+// finish has Accept end once it has taken the connections that wait, and tells whether any do.
+func (l *clientListener) finish() bool {
+	l.finishing.Store(true)
+	return l.queued()
+}
+
+// queued tells whether connections wait to be accepted.
+func (l *clientListener) queued() bool {
+	return polled(l.Listener, unix.POLLIN, unix.POLLIN)
+}
+
+func (l *clientListener) Close() error {
 	l.stop()
 	return l.Listener.Close()
 }
@@ -562,6 +665,7 @@
 	case http.StateIdle:
 		if cc, ok := nc.(*clientConn); ok {
 			cc.begun.Store(false)
+			cc.queuedAt = time.Time{}
 		}
 		if !c.open[nc] {
 			c.idle[nc] = c.order.PushBack(nc)
@@ -630,6 +734,18 @@
 	}
 }
 
+// leaveSilent ends all connections on which no request has begun, also those that never
+// brought one.
+func (c *clientConns) leaveSilent() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for nc := range c.open {
+		if cc, ok := nc.(*clientConn); ok {
+			cc.leave()
+		}
+	}
+}
+
 // none returns a channel that is closed once no connection is open.
 func (c *clientConns) none() <-chan struct{} {
 	c.mu.Lock()
--- a/internal/agent/hangup_test.go
+++ b/internal/agent/hangup_test.go
@@ -16,11 +16,11 @@
 		fds[0].Revents = unix.POLLRDHUP
 		return 1, nil
 	}
-	if !hungUp(0, poll) {
+	if !pollNow(0, unix.POLLRDHUP, hangupEvents, poll) {
 		t.Errorf("no hangup seen after %d polls", calls)
 	}
 	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
-	if hungUp(0, failing) {
+	if pollNow(0, unix.POLLRDHUP, hangupEvents, failing) {
 		t.Error("a poll that failed was taken for a hangup")
 	}
 }
--- /dev/null
+++ b/internal/agent/stalled_body_test.go
@@ -0,0 +1,85 @@
+package agent
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A client that stops in the middle of its body and stays is answered with an error and its
+// connection closed within the time that improper peers are owed, however much it has sent.
+func TestClientThatStopsInItsBodyIsEndedInTime(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct{ sent, length int }{
+		"kept body":                   {maxBody / 2, maxBody},
+		"start of a long body":        {2 * maxBody, 40 * maxBody},
+		"middle of a long body":       {20 * maxBody, 40 * maxBody},
+		"shortly before the long end": {2 * maxBody, 3 * maxBody},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			a, b := one(t, hashing)
+			c := a.dial()
+			text := timed(60_000, strings.Repeat("x", test.length))
+			if _, err := io.WriteString(c, text[:len(text)-(test.length-test.sent)]); err != nil {
+				t.Fatal(err)
+			}
+			stopped := time.Now()
+			if status := finalStatus(t, c); status < 400 {
+				t.Errorf("answered %d, want an error", status)
+			}
+			if _, err := io.Copy(io.Discard, c.br); err != nil {
+				t.Errorf("after the answer: %v", err)
+			}
+			// A second more than what is owed: a busy machine is not what is tested.
+			if took := time.Since(stopped); took > 4*time.Second {
+				t.Errorf("ended %v after it stopped", took)
+			}
+			if b.count() != 0 {
+				t.Errorf("%d arrivals of a request that never came whole", b.count())
+			}
+		})
+	}
+}
+
+// stuckBackend takes connections and reads no more than the first byte of each.
+func stuckBackend(t *testing.T) net.Listener {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			_ = c.(*net.TCPConn).SetReadBuffer(4096)
+			_, _ = c.Read(make([]byte, 1))
+			t.Cleanup(func() { c.Close() })
+		}
+	}()
+	return ln
+}
+
+// A backend that stops reading in the middle of a long body frees nobody of the answer: the
+// client may have sent its last byte, and its time runs.
+func TestBackendThatStopsReadingALongBody(t *testing.T) {
+	t.Parallel()
+	const timeout = 800 * time.Millisecond
+	ln := stuckBackend(t)
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
+	c := a.dial()
+	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * maxBody)
+	fmt.Fprint(c, timed(int(timeout.Milliseconds()), strings.Repeat("x", 100*maxBody)))
+	sent := time.Now()
+	wantStatus(t, finalStatus(t, c), 503)
+	// What is lost is what is answered half a second after its time or later.
+	if took := time.Since(sent); took > 2*timeout+time.Second {
+		t.Errorf("answered %v after its last byte, of %v", took, timeout)
+	}
+}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -74,6 +74,15 @@
 // Close closes the listener and ends the wait of an Accept.
 func (l *Listener) Close() error { return l.close() }
 
+// SyscallConn is the listening socket's (syscall.Conn); an error where there is none.
+func (l *Listener) SyscallConn() (syscall.RawConn, error) {
+	socket, ok := l.Listener.(syscall.Conn)
+	if !ok {
+		return nil, errors.ErrUnsupported
+	}
+	return socket.SyscallConn()
+}
+
 // Failures is the number of accepts that failed for a moment.
 func (l *Listener) Failures() uint64 { return l.failures.Load() }
 
