--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -154,7 +154,7 @@
 	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
 	// off a connect; an answer that was already there stands.
 	if ctx.Err() != nil && r.status != events.OK && r.status != events.Full {
-		if r.status = events.Cancelled; !whole && r.client == nil {
+		if r.status = events.Cancelled; !whole && !m.long.whole() && r.client == nil {
 			r.status = events.Moot // its last byte was never sent
 		}
 	}
@@ -317,6 +317,10 @@
 			cn.SetWriteDeadline(time.Unix(1, 0))
 		}
 	}
+	if errors.Is(err, errEarly) && h.resp == nil && mayHaveLeft(cn, m.long) {
+		status := broken(h.err)
+		return result{status: status, why: cn.story(h.err), cut: status == events.Reset}, false
+	}
 	if err != nil && h.resp == nil {
 		// The last byte never left, and the connection is closed: it cannot run.
 		err = cmp.Or(h.err, err)
@@ -330,6 +334,13 @@
 	return r, false
 }
 
+// mayHaveLeft closes a connection whose writer has not told how far it came, as it may be held up, and returns
+// whether the last byte of the request may have been written: only if the body was read to its end by then.
+func mayHaveLeft(cn *conn, body *longBody) bool {
+	_ = cn.Close() // whoever writes from now on fails; the pool counts the connection when it closes it
+	return body.whole()
+}
+
 // earlyAnswer is how long the answer of a backend is waited for that takes no more of a
 // long request, and the news that all is written once its answer is there.
 const earlyAnswer = 50 * time.Millisecond
--- /dev/null
+++ b/internal/agent/late_write_news_test.go
@@ -0,0 +1,85 @@
+package agent
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// lateWriteConn is a connection whose server gets a whole request and then resets the connection, while the
+// goroutine that wrote the last byte is held up until the connection is closed.
+type lateWriteConn struct {
+	net.Conn // nil: what is not overridden isn't called
+	lastByte byte
+	sent     chan struct{}
+	closed   chan struct{}
+	close    func()
+}
+
+func newLateWriteConn(lastByte byte) *lateWriteConn {
+	c := &lateWriteConn{lastByte: lastByte, sent: make(chan struct{}), closed: make(chan struct{})}
+	c.close = sync.OnceFunc(func() { close(c.closed) })
+	return c
+}
+
+func (c *lateWriteConn) Write(p []byte) (int, error) {
+	if bytes.HasSuffix(p, []byte{c.lastByte}) {
+		close(c.sent)
+		<-c.closed
+	}
+	return len(p), nil
+}
+
+func (c *lateWriteConn) Read([]byte) (int, error) {
+	<-c.sent
+	return 0, &net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}
+}
+
+func (c *lateWriteConn) Close() error {
+	c.close()
+	return nil
+}
+
+func (c *lateWriteConn) SetDeadline(time.Time) error      { return nil }
+func (c *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
+
+// TestLongBodyWrittenBeforeTheResetMayHaveRun resets a connection behind the last byte of a long body, before
+// the news that it was written: the request is unsafe to repeat, may have run, and must not be refused.
+func TestLongBodyWrittenBeforeTheResetMayHaveRun(t *testing.T) {
+	t.Parallel()
+	const lastByte = 'Z'
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, err := newFaultyWorld(t, 1).agent(ln, newFaultPlan(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	a.loop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
+		return newLateWriteConn(lastByte), nil
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- a.Run(context.Background(), nil) }()
+	defer func() {
+		a.Kill()
+		<-ended
+	}()
+	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBody)+string(lastByte))
+	req.Header.Set("Request-Timeout-Ms", "2000")
+	resp, err := http.DefaultTransport.RoundTrip(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("answered %d, want %d: it may have run", resp.StatusCode, http.StatusBadGateway)
+	}
+}
