--- a/internal/listsvc/config.go
+++ b/internal/listsvc/config.go
@@ -45,6 +45,9 @@
 	SnapshotEvery uint64 `toml:"snapshot_every"`
 	TrailingLogs  uint64 `toml:"trailing_logs"`
 	Peers         []Peer `toml:"peers"`
+	// WrapStore, if set, is given the store that the instance opened and gives the one it uses:
+	// tests inject faults by it. No file sets it.
+	WrapStore func(Store) Store `toml:"-"`
 }
 
 // Load reads a TOML file into a Config with its defaults and checks it. The error names
--- a/internal/listsvc/consistent.go
+++ b/internal/listsvc/consistent.go
@@ -56,33 +56,35 @@
 		b.err = n.raft.Barrier(consistentWithin).Error()
 		b.version = n.list.current()
 	} else {
-		b.version, b.err = n.askLeader(ctx)
+		var leader Status
+		leader, b.err = n.askLeader(ctx)
+		b.version = leader.Version
 	}
 	return b.version, b.err
 }
 
-// askLeader is the leader's part of committed, asked by a follower.
-func (n *Node) askLeader(ctx context.Context) (uint64, error) {
+// askLeader is the leader's part of committed, asked by a follower: its status once it has applied
+// all that was committed.
+func (n *Node) askLeader(ctx context.Context) (st Status, err error) {
 	_, id := n.raft.LeaderWithID()
 	p, ok := n.peers[id]
 	if !ok {
-		return 0, errors.New("no leader known")
+		return st, errors.New("no leader known")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Admin+"/v1/status?consistent=true", nil)
 	if err != nil {
-		return 0, err
+		return st, err
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, err
+		return st, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("leader %s answered %s", id, resp.Status)
+		return st, fmt.Errorf("leader %s answered %s", id, resp.Status)
 	}
-	var st Status
 	err = json.NewDecoder(resp.Body).Decode(&st)
-	return st.Version, err
+	return st, err
 }
 
 // settle decides what a watch from a version newer than the list applied here gets. Either
--- a/internal/listsvc/http.go
+++ b/internal/listsvc/http.go
@@ -140,18 +140,35 @@
 
 // fresh tells whether this instance may serve reads: it leads, or heard from a leader
 // within MaxStale; and after how long that has to be asked again, if nothing more is heard.
+//
+// After an outage of the store the list counts as of its begin, until it has caught up.
 func (n *Node) fresh() (time.Duration, error) {
+	last := n.raft.LastContact()
+	behind := n.store.health.behindSince(time.Now(), n.store.outageLimit)
 	if n.raft.State() == raft.Leader {
-		return min(n.cfg.MaxStale, n.lease()), nil
+		if behind.IsZero() {
+			return min(n.cfg.MaxStale, n.lease()), nil
+		}
+		last = time.Now()
+	}
+	if !behind.IsZero() && behind.Before(last) {
+		last = behind
 	}
-	last := n.raft.LastContact()
 	left := n.cfg.MaxStale - time.Since(last)
 	if last.IsZero() || left < 0 {
-		return 0, fmt.Errorf("listsvc %s: no leader heard within %v", n.cfg.ID, n.cfg.MaxStale)
+		return 0, n.staleError(behind)
 	}
 	return left + time.Millisecond, nil
 }
 
+// staleError says why this instance may not serve reads.
+func (n *Node) staleError(behind time.Time) error {
+	if behind.IsZero() {
+		return fmt.Errorf("listsvc %s: no leader heard within %v", n.cfg.ID, n.cfg.MaxStale)
+	}
+	return fmt.Errorf("listsvc %s: store unavailable, or not caught up since, for over %v", n.cfg.ID, n.cfg.MaxStale)
+}
+
 // lease is for how long a leader that hears no majority leads on.
 func (n *Node) lease() time.Duration { return n.cfg.ElectionTimeout / 2 }
 
@@ -190,7 +207,7 @@
 	if err := f.Error(); err != nil {
 		code := http.StatusInternalServerError
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) ||
-			errors.Is(err, raft.ErrEnqueueTimeout) {
+			errors.Is(err, raft.ErrEnqueueTimeout) || errors.As(err, new(*StoreError)) {
 			code = http.StatusServiceUnavailable
 		}
 		n.log.Warn("write not committed", "op", c.Op, "id", c.Server.ID+c.Service, "err", err)
@@ -209,8 +226,11 @@
 }
 
 // redirect sends a write to the leader's admin door with 307, or answers 503 while no
-// leader is known. It tells whether it answered.
+// leader is known or this instance's store is unavailable. It tells whether it answered.
 func (n *Node) redirect(w http.ResponseWriter, r *http.Request) bool {
+	if n.refuseWithoutStore(w) {
+		return true
+	}
 	if n.raft.State() == raft.Leader {
 		return false
 	}
--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -28,6 +28,13 @@
 // older ones. 2: the log and the snapshots have settings, which a program of 1 would drop.
 const dataFormat = 2
 
+const (
+	// storeFile is the file of the data directory that has Raft's log, term and vote.
+	storeFile = "raft.db"
+	// stopWithin bounds how long Close waits for Raft, which may wait for a failing disk.
+	stopWithin = 5 * time.Second
+)
+
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
 type Node struct {
@@ -37,7 +44,7 @@
 	heard   *heard
 	barrier barrier
 	raft    *raft.Raft
-	store   *raftboltdb.BoltStore
+	store   *retryingStore
 	peers   map[raft.ServerID]Peer
 	doors   []*http.Server
 	closed  chan struct{}
@@ -95,24 +102,26 @@
 	rc.HeartbeatTimeout, rc.ElectionTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout
 	rc.LeaderLeaseTimeout = n.lease()
 	rc.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: os.Stderr})
-	store, err := raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, "raft.db"))
+	store, err := n.openStore()
 	if err != nil {
-		return fmt.Errorf("data_dir: raft store: %w", err)
+		return err
 	}
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, 2, rc.Logger)
 	if err != nil {
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
-	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
+	trans := newGatedTransport(network, store, n.closed)
 	r, err := raft.NewRaft(rc, n.list, store, store, snaps, trans)
 	if err != nil {
 		store.Close()
 		return fmt.Errorf("raft: %w", err)
 	}
 	n.raft, n.store = r, store
+	store.attach(&storeMember{raft: r, recovered: n.catchUp})
 	if !cfg.Bootstrap {
 		return nil
 	}
@@ -127,6 +136,26 @@
 	return r.BootstrapCluster(members).Error()
 }
 
+// openStore opens the store of Raft's log, term and vote.
+func (n *Node) openStore() (*retryingStore, error) {
+	path := filepath.Join(n.cfg.DataDir, storeFile)
+	bolt, err := raftboltdb.NewBoltStore(path)
+	if err != nil {
+		return nil, fmt.Errorf("data_dir: raft store %s: %w", path, err)
+	}
+	var inner Store = bolt
+	if n.cfg.WrapStore != nil {
+		inner = n.cfg.WrapStore(inner)
+	}
+	store, err := newRetryingStore(inner, n.log, n.cfg.ElectionTimeout, n.closed)
+	if err != nil {
+		inner.Close()
+		return nil, fmt.Errorf("data_dir: raft store %s: %w", path, err)
+	}
+	store.rewrite = func() error { return rewriteMeta(path) }
+	return store, nil
+}
+
 // ServerAddr is where this instance reaches a peer's Raft (raft.ServerAddressProvider):
 // its own table, so that each instance may reach the others by an address of its own.
 func (n *Node) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
@@ -147,8 +176,14 @@
 	for _, d := range n.doors {
 		d.Close()
 	}
-	err := n.raft.Shutdown().Error()
-	return errors.Join(err, n.store.Close())
+	stopped := make(chan error, 1)
+	go func() { stopped <- n.raft.Shutdown().Error() }()
+	select {
+	case err := <-stopped:
+		return errors.Join(err, n.store.Close())
+	case <-time.After(stopWithin):
+		return fmt.Errorf("raft has not stopped within %v: %w", stopWithin, n.store.available())
+	}
 }
 
 // claimDir makes the data directory, or checks that its format is one this program reads, and
--- /dev/null
+++ b/internal/listsvc/recover.go
@@ -0,0 +1,84 @@
+package listsvc
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// catchUpPause is the time between two questions to the leader after an outage of the store.
+const catchUpPause = 100 * time.Millisecond
+
+// refuseWithoutStore answers a write with 503 while the store is unavailable, and tells whether
+// it did.
+func (n *Node) refuseWithoutStore(w http.ResponseWriter) bool {
+	err := n.store.available()
+	if err != nil {
+		w.Header().Set("Retry-After", "1")
+		http.Error(w, fmt.Sprintf("listsvc %s: %v", n.cfg.ID, err), http.StatusServiceUnavailable)
+	}
+	return err != nil
+}
+
+// catchUp ends, after the numbered outage of the store, the time in which the list counts as of
+// the outage's begin: once it has applied all that was committed when the leader was asked. A
+// heartbeat alone does not tell: it comes before the entries that were missed.
+func (n *Node) catchUp(outages int) {
+	for !n.isClosed() {
+		if n.appliedAllCommitted() {
+			n.store.health.caughtUp(outages)
+			return
+		}
+		time.Sleep(catchUpPause)
+	}
+}
+
+func (n *Node) isClosed() bool {
+	select {
+	case <-n.closed:
+		return true
+	default:
+		return false
+	}
+}
+
+// appliedAllCommitted asks the leader, and tells whether this instance has applied as much.
+func (n *Node) appliedAllCommitted() bool {
+	if n.raft.State() == raft.Leader {
+		return n.raft.Barrier(consistentWithin).Error() == nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), consistentWithin)
+	defer cancel()
+	leader, err := n.askLeader(ctx)
+	return err == nil && n.raft.AppliedIndex() >= leader.Applied && n.list.current() >= leader.Version
+}
+
+// metaBytes covers the two meta pages at the head of a bbolt file (one page each).
+func metaBytes() int { return 2 * os.Getpagesize() }
+
+// rewriteMeta writes the two meta pages of a bbolt file again as they are, and syncs them. After a
+// sync that failed Linux may drop what was to be written and count it as clean, so that a later
+// sync succeeds without it (fsync(2), "EIO"). bbolt writes data pages that no meta page refers to
+// yet, syncs, writes one meta page and syncs. If the first sync failed the data pages are free
+// again and are written anew; if the second did, the meta page is in the page cache, bbolt goes
+// on from it and may overwrite what the older one on disk refers to. So it has to be on disk
+// before the next commit begins.
+func rewriteMeta(path string) error {
+	file, err := os.OpenFile(path, os.O_RDWR, 0)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	pages := make([]byte, metaBytes())
+	if _, err := file.ReadAt(pages, 0); err != nil {
+		return err
+	}
+	if _, err := file.WriteAt(pages, 0); err != nil {
+		return err
+	}
+	return file.Sync()
+}
