--- a/internal/listsvc/recover.go
+++ b/internal/listsvc/recover.go
@@ -10,8 +10,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// catchUpPause is the time between two questions to the leader after an outage of the store.
-const catchUpPause = 100 * time.Millisecond
+const (
+	// catchUpWithin is how long after an outage of the store an instance may take to apply what
+	// the leader had committed, before it asks again.
+	catchUpWithin = 10 * time.Second
+	// catchUpPause is the time between two looks at what is applied.
+	catchUpPause = 50 * time.Millisecond
+)
 
 // refuseWithoutStore answers a write with 503 while the store is unavailable, and tells whether
 // it did.
@@ -46,7 +51,8 @@
 	}
 }
 
-// appliedAllCommitted asks the leader, and tells whether this instance has applied as much.
+// appliedAllCommitted asks the leader what is committed, and tells whether this instance has applied
+// as much soon after. Each question adds an entry to the log.
 func (n *Node) appliedAllCommitted() bool {
 	if n.raft.State() == raft.Leader {
 		return n.raft.Barrier(consistentWithin).Error() == nil
@@ -54,7 +60,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), consistentWithin)
 	defer cancel()
 	leader, err := n.askLeader(ctx)
-	return err == nil && n.raft.AppliedIndex() >= leader.Applied && n.list.current() >= leader.Version
+	if err != nil {
+		return false
+	}
+	for end := time.Now().Add(catchUpWithin); time.Now().Before(end) && !n.isClosed(); time.Sleep(catchUpPause) {
+		if n.raft.AppliedIndex() >= leader.Applied && n.list.current() >= leader.Version {
+			return true
+		}
+	}
+	return false
 }
 
 // metaBytes covers the two meta pages at the head of a bbolt file (one page each).
--- a/internal/listsvc/store_test.go
+++ b/internal/listsvc/store_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"log/slog"
 	"path/filepath"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -18,58 +17,15 @@
 // within bounds every wait of these tests.
 const within = 20 * time.Second
 
-// faultyStore is a store whose writes, and with reads too its reads, fail while failing is set;
-// with applied a write that fails has happened all the same, as after a sync that failed.
-type faultyStore struct {
-	Store
-	failing, applied, reads atomic.Bool
-	calls                   atomic.Int64 // that failed
-}
-
-func (f *faultyStore) write(do func() error) error {
-	if !f.failing.Load() {
-		return do()
-	}
-	if f.applied.Load() {
-		do()
-	}
-	f.calls.Add(1)
-	return syscall.ENOSPC
-}
-
-func (f *faultyStore) StoreLogs(entries []*raft.Log) error {
-	return f.write(func() error { return f.Store.StoreLogs(entries) })
-}
-
-func (f *faultyStore) DeleteRange(first, last uint64) error {
-	return f.write(func() error { return f.Store.DeleteRange(first, last) })
-}
-
-func (f *faultyStore) Set(key, value []byte) error {
-	return f.write(func() error { return f.Store.Set(key, value) })
-}
-
-func (f *faultyStore) SetUint64(key []byte, value uint64) error {
-	return f.write(func() error { return f.Store.SetUint64(key, value) })
-}
-
-func (f *faultyStore) GetLog(index uint64, entry *raft.Log) error {
-	if f.reads.Load() && f.failing.Load() {
-		f.calls.Add(1)
-		return syscall.EIO
-	}
-	return f.Store.GetLog(index, entry)
-}
-
 // openFaulty is a retrying store over a bbolt file whose calls can be made to fail.
-func openFaulty(t *testing.T) (*retryingStore, *faultyStore) {
+func openFaulty(t *testing.T) (*retryingStore, *FaultyStore) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), storeFile)
 	bolt, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := &faultyStore{Store: bolt}
+	faulty := &FaultyStore{Store: bolt}
 	closed := make(chan struct{})
 	store, err := newRetryingStore(faulty, slog.New(slog.DiscardHandler), time.Minute, closed)
 	if err != nil {
@@ -101,7 +57,7 @@
 }
 
 // begin runs a call of the store while it fails, and returns once it has failed below.
-func begin(t *testing.T, faulty *faultyStore, call func() error) <-chan error {
+func begin(t *testing.T, faulty *FaultyStore, call func() error) <-chan error {
 	t.Helper()
 	before, done := faulty.calls.Load(), make(chan error, 1)
 	go func() { done <- call() }()
@@ -125,16 +81,15 @@
 		"remove": func() error { return store.DeleteRange(1, 1) },
 		"read":   func() error { return store.GetLog(2, &entry) },
 	} {
-		faulty.reads.Store(name == "read")
-		faulty.failing.Store(true)
+		faulty.Fail(&StoreFault{Log: true, Stable: true, Read: name == "read", Err: syscall.ENOSPC})
 		done := begin(t, faulty, call)
 		if len(done) > 0 {
 			t.Errorf("%s: returned during the outage", name)
 		}
-		if err := store.Set([]byte("LastVoteCand"), []byte("n2")); !errors.As(err, new(*StoreError)) || !errors.Is(store.available(), syscall.ENOSPC) && !errors.Is(store.available(), syscall.EIO) {
+		if err := store.Set([]byte("LastVoteCand"), []byte("n2")); !errors.As(err, new(*StoreError)) || !errors.Is(store.available(), syscall.ENOSPC) {
 			t.Errorf("%s: vote %v, available %v in the outage", name, err, store.available())
 		}
-		faulty.failing.Store(false)
+		faulty.Fail(nil)
 		finish(t, done)
 		if err := cluster.Await(within, "the end of the outage", func() bool { return store.available() == nil }); err != nil {
 			t.Fatal(name, err)
@@ -155,12 +110,11 @@
 	if err := store.StoreLogs(entries(1, 1, 3)); err != nil {
 		t.Fatal(err)
 	}
-	faulty.applied.Store(true)
-	faulty.failing.Store(true)
+	faulty.Fail(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
 	if err := store.write("append entries", store.appendEntries(entries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("append: %v", err)
 	}
-	faulty.failing.Store(false)
+	faulty.Fail(nil)
 	if err := store.StoreLogs(entries(2, 4, 5)); err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +129,7 @@
 	if err := store.SetUint64(keyCurrentTerm, 6); err != nil {
 		t.Fatal(err)
 	}
-	faulty.failing.Store(true)
+	faulty.Fail(&StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC})
 	done := make(chan error, 1)
 	go func() { done <- store.SetUint64(keyCurrentTerm, 5) }()
 	finish(t, done)
