--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -20,7 +20,6 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"golang.org/x/time/rate"
 )
 
@@ -28,12 +27,8 @@
 // older ones. 2: the log and the snapshots have settings, which a program of 1 would drop.
 const dataFormat = 2
 
-const (
-	// storeFile is the file of the data directory that has Raft's log, term and vote.
-	storeFile = "raft.db"
-	// stopWithin bounds how long Close waits for Raft, which may wait for a failing disk.
-	stopWithin = 5 * time.Second
-)
+// stopWithin bounds how long Close waits for Raft, which may wait for a failing disk.
+const stopWithin = 5 * time.Second
 
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
@@ -111,6 +106,10 @@
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
+	if err := withoutPageFaults(func() error { return checkLog(store.Store, snaps) }); err != nil {
+		store.Close()
+		return fmt.Errorf("data_dir: %w", &StoreDamage{Path: filepath.Join(cfg.DataDir, storeFile), Err: err})
+	}
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
@@ -139,9 +138,9 @@
 // openStore opens the store of Raft's log, term and vote.
 func (n *Node) openStore() (*retryingStore, error) {
 	path := filepath.Join(n.cfg.DataDir, storeFile)
-	bolt, err := raftboltdb.NewBoltStore(path)
+	bolt, err := openBolt(n.cfg.DataDir, n.log)
 	if err != nil {
-		return nil, fmt.Errorf("data_dir: raft store %s: %w", path, err)
+		return nil, fmt.Errorf("data_dir: %w", err)
 	}
 	var inner Store = bolt
 	if n.cfg.WrapStore != nil {
