--- a/internal/listsvc/disk_test.go
+++ b/internal/listsvc/disk_test.go
@@ -61,6 +61,7 @@
 	{name: "log of the leader", fault: listsvc.StoreFault{Log: true, Err: syscall.ENOSPC}, who: leaderOnly, short: 6 * time.Second},
 	{name: "all of the leader, after the write", who: leaderOnly, short: 2 * time.Second,
 		fault: listsvc.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.EIO}},
+	{name: "log of the leader hangs", fault: listsvc.StoreFault{Log: true, Hang: true}, who: leaderOnly, short: 8 * time.Second},
 	{name: "log of a follower", fault: listsvc.StoreFault{Log: true, Err: syscall.EIO}, who: followerOnly, short: 6 * time.Second},
 	{name: "reads of a follower", fault: listsvc.StoreFault{Read: true, Err: syscall.EIO}, who: followerOnly, short: time.Second},
 	{name: "all of the followers", who: bothFollowers, short: 6 * time.Second,
--- a/internal/listsvc/faulty_store_test.go
+++ b/internal/listsvc/faulty_store_test.go
@@ -6,6 +6,7 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"time"
 
 	"github.com/hashicorp/raft"
 )
@@ -15,6 +16,7 @@
 	Log, Stable, Read bool // which calls fail: writes of the log, of term and vote, reads of the log
 	Applied           bool // a write that fails has happened all the same, as after a sync that failed
 	Unsynced          bool // appends succeed without being written: the bug that a checker has to find
+	Hang              bool // a write that would fail waits instead, until the fault is another
 	Err               syscall.Errno
 }
 
@@ -45,25 +47,32 @@
 	return fault
 }
 
-func (f *FaultyStore) write(failing, applied bool, errno syscall.Errno, do func() error) error {
-	if !failing {
+// hangPause is the time between two looks whether a call hangs on.
+const hangPause = 10 * time.Millisecond
+
+// write carries out a write that fails where the fault says so.
+func (f *FaultyStore) write(failing func(StoreFault) bool, do func() error) error {
+	fault := f.current()
+	for failing(fault) && fault.Hang {
+		time.Sleep(hangPause)
+		fault = f.current()
+	}
+	if !failing(fault) {
 		return do()
 	}
-	if applied {
+	if fault.Applied {
 		do()
 	}
 	f.calls.Add(1)
-	return errno
+	return fault.Err
 }
 
 func (f *FaultyStore) writeLog(do func() error) error {
-	fault := f.current()
-	return f.write(fault.Log, fault.Applied, fault.Err, do)
+	return f.write(func(fault StoreFault) bool { return fault.Log }, do)
 }
 
 func (f *FaultyStore) writeStable(do func() error) error {
-	fault := f.current()
-	return f.write(fault.Stable, fault.Applied, fault.Err, do)
+	return f.write(func(fault StoreFault) bool { return fault.Stable }, do)
 }
 
 func (f *FaultyStore) StoreLogs(entries []*raft.Log) error {
