--- a/internal/policytest/decision_test.go
+++ b/internal/policytest/decision_test.go
@@ -26,7 +26,7 @@
 			var d *decider
 			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
 				if d == nil { // once for all sizes of b.N and all of -count
-					d = newDecider(b, servers)
+					d = newDecider(b, servers, servers)
 				}
 				d.TB, d.ticks, d.atOnce = b, 0, 0
 				b.ReportAllocs()
@@ -65,9 +65,9 @@
 	atOnce  int // requests that were sent when they came
 }
 
-func newDecider(t testing.TB, servers int) *decider {
+func newDecider(t testing.TB, agents, servers int) *decider {
 	set := testSettings()
-	set.Replicas, set.Zone = servers, 1 // no server is of its zone, whose weight moves
+	set.Replicas, set.Zone = agents, 1 // no server is of its zone, whose weight moves
 	b, err := policy.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/policytest/large_fleet_test.go
@@ -0,0 +1,57 @@
+package policytest
+
+import (
+	"fmt"
+	"testing"
+
+	. "clayproxy.example/clayproxy/internal/events"
+)
+
+const (
+	// largeFleetAgents is the number of agents of the largest fleet that the operators name.
+	largeFleetAgents = 900
+	// requestInterval is the time in ms between two requests of one agent of that fleet.
+	requestInterval = 100.0
+	// answerTime is how long in ms a server takes to answer.
+	answerTime = 60.0
+)
+
+// BenchmarkLargeFleetDecision is what one request costs the module with the settings of 900 agents: its
+// arrival, its attempts, their outcomes, and the ticks that fall due until the next request. quiet: the
+// first server answers. crowded: every other attempt is turned away by a full server.
+func BenchmarkLargeFleetDecision(b *testing.B) {
+	for _, servers := range []int{200, 3200} {
+		for _, state := range []string{"quiet", "crowded"} {
+			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
+				d := newDecider(b, largeFleetAgents, servers)
+				full := 0
+				if state == "crowded" {
+					full = 2
+				}
+				b.ResetTimer()
+				for range b.N {
+					d.serveAmongFull(d.anyKey(), full)
+				}
+			})
+		}
+	}
+}
+
+// serveAmongFull plays one request of which full in four attempts find a full server.
+func (d *decider) serveAmongFull(key uint64, full int) {
+	came := d.now
+	id := d.ask(0, key)
+	for attempt := 0; d.sent != (Addr{}); attempt++ {
+		server := d.sent
+		d.sent = Addr{}
+		status, took := OK, answerTime
+		if d.rng.IntN(4) < full {
+			status, took = Full, 1
+		}
+		d.pass(took)
+		d.handle(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Server: server, Status: status,
+			LatencyMs: took, Final: status == OK})
+	}
+	d.handle(Event{Kind: EvDropped, Request: id}) // a request that is still held for room
+	d.pass(max(came+requestInterval-d.now, 0))
+}
