--- a/internal/policytest/large_fleet_test.go
+++ b/internal/policytest/large_fleet_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"syscall"
 	"testing"
+	"time"
 
 	. "clayproxy.example/clayproxy/internal/events"
 )
@@ -29,9 +31,11 @@
 					full = 2
 				}
 				b.ResetTimer()
+				before := processorTime(b)
 				for range b.N {
 					d.serveAmongFull(d.anyKey(), full)
 				}
+				b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 			})
 		}
 	}
@@ -55,3 +59,13 @@
 	d.handle(Event{Kind: EvDropped, Request: id}) // a request that is still held for room
 	d.pass(max(came+requestInterval-d.now, 0))
 }
+
+// processorTime is what the process has used so far: unlike the wall clock it tells little of what else
+// the machine does.
+func processorTime(t testing.TB) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		t.Fatal(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -127,7 +127,7 @@
 // lost is the number of attempts out at servers that have fallen silent.
 func (b *Balancer) lost() int {
 	n := 0
-	for _, s := range b.servers {
+	for _, s := range b.busy {
 		if s.state >= UnhealthyPending && s.silent {
 			n += len(s.out)
 		}
@@ -164,10 +164,16 @@
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
 // hasRoom, whose credit every attempt to a cold server is charged in send.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline ||
-		len(r.attempts) >= r.most {
-		return false
-	}
+	return s.usable && b.mayTry(r) && b.mayTryAt(r, s)
+}
+
+// mayTry is the part of maySend that holds for all servers.
+func (b *Balancer) mayTry(r *request) bool {
+	return !r.closed && !r.started && r.open == 0 && b.now < r.deadline && len(r.attempts) < r.most
+}
+
+// mayTryAt is the part of maySend that earlier attempts of the request decide.
+func (b *Balancer) mayTryAt(r *request, s *server) bool {
 	for _, a := range r.attempts {
 		if a.s == s && len(b.servers) > len(r.attempts) {
 			return false // further attempts go elsewhere
@@ -212,6 +218,9 @@
 // begin counts an attempt as work of its server.
 func (b *Balancer) begin(a *attempt) {
 	a.begun, a.sentAt = true, b.now
+	if len(a.s.out) == 0 {
+		b.markBusy(a.s)
+	}
 	a.s.out = append(a.s.out, a)
 	b.inflight++
 }
@@ -237,7 +246,7 @@
 	}
 	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + 1/warm
 	b.flowAt = b.now
-	for _, o := range b.servers {
+	for _, o := range b.coldServers() {
 		if b.ramp(o) < 1 {
 			o.credit = min(o.credit+b.coldShare(o)*o.weight/warm, coldBurst)
 		}
@@ -312,6 +321,9 @@
 		r.most = len(r.attempts)
 	}
 	s.out = slices.DeleteFunc(s.out, func(o *attempt) bool { return o == a })
+	if a.begun && len(s.out) == 0 {
+		b.busy = slices.DeleteFunc(b.busy, func(o *server) bool { return o == s })
+	}
 	if ev.Status.NeverRan() {
 		r.risky--
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -178,6 +178,7 @@
 func (b *Balancer) heardFrom(s *server) {
 	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.TipAfterMs {
 		s.startedAt, s.window, s.credit = b.now, 1, 0
+		b.starts++
 	}
 	s.heard, s.lostAt = b.now, 0
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -39,54 +39,126 @@
 	return 0
 }
 
-// pick walks the best tier that has anyone in the order of the key's hash and takes the first
-// server that is under its cap and has room. Only servers that matter are scored, and none
+// tierCount is the number of tiers that rank tells apart.
+const tierCount = 3
+
+// pick takes of the best tier that has anyone the first server in the order of the key's hash
+// that is under its cap and has room. Only servers that can win are scored in full, and none
 // sorted: with hundreds of them that took more than the agent's CPU share.
 func (b *Balancer) pick(r *request) *server {
-	waits := b.waits(r)
-	for pass := range 6 {
+	r.tierWeight = 0
+	if !b.mayTry(r) {
+		return nil
+	}
+	for rank := range tierCount {
+		resting := b.fillTier(r, rank)
 		// Of each tier those that rest come last, unless most do: then all are crowded.
-		rank, rest := pass/2, pass%2 == 0
-		tier, resting := b.tier[:0], 0.0
-		r.tierWeight = 0
-		var near [keyServers]*server
-		for _, s := range b.servers {
-			if b.rank(s, r) != rank || !b.maySend(r, s) {
-				continue
-			}
-			r.tierWeight += s.weight * b.ramp(s)
-			if rest && b.now < s.restUntil {
-				resting += s.weight * b.ramp(s)
-				continue
+		for _, skipResting := range [...]bool{true, false} {
+			if r.tierWeight == 0 || skipResting && resting > r.tierWeight/2 {
+				b.skipDraws(r, skipResting)
+				continue // an empty tier passes down
 			}
-			if !waits && !b.hasRoom(s, r) {
-				continue
-			}
-			s.score = b.score(r, s)
-			tier = append(tier, s)
-			for i, at := 0, s; i < keyServers && at != nil; i++ {
-				if near[i] == nil || at.score < near[i].score {
-					near[i], at = at, near[i]
-				}
+			best, found := b.nearest(r, skipResting)
+			if found || !skipResting {
+				return best
 			}
 		}
-		b.tier = tier
-		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
-			continue // an empty tier passes down
+	}
+	return nil
+}
+
+// fillTier puts the servers of the tier that the request may go to into b.tier and their weight
+// into r.tierWeight, and returns the weight of those that rest.
+func (b *Balancer) fillTier(r *request, rank int) (resting float64) {
+	servers := b.servers
+	if rank > 0 {
+		servers = b.demotedServers()
+	}
+	tier := b.tier[:0]
+	r.tierWeight = 0
+	for _, s := range servers {
+		if !s.usable || b.rank(s, r) != rank || len(r.attempts) > 0 && !b.mayTryAt(r, s) {
+			continue
+		}
+		weight := s.weight * b.ramp(s)
+		r.tierWeight += weight
+		if b.now < s.restUntil {
+			resting += weight
+		}
+		tier = append(tier, s)
+	}
+	b.tier = tier
+	return resting
+}
+
+// nearest is the first server of b.tier in the request's order that takes it; found tells whether
+// there was any to choose from. A request that waits for the servers of its key has no others.
+func (b *Balancer) nearest(r *request, skipResting bool) (best *server, found bool) {
+	if b.waits(r) {
+		return b.nearestOfKey(r, skipResting)
+	}
+	for _, s := range b.tier {
+		if skipResting && b.now < s.restUntil || !b.hasRoom(s, r) {
+			continue
+		}
+		found = true
+		place := b.place(r, s)
+		weight := b.orderWeight(s)
+		if best != nil && place.leastScore(weight) >= best.score || !b.underCap(s, r) {
+			continue
+		}
+		s.score = place.score(weight)
+		if best == nil || s.score < best.score {
+			best = s
+		}
+	}
+	return best, found
+}
+
+// nearestOfKey is the first of the keyServers that are nearest the request's key that takes it.
+func (b *Balancer) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
+	var near [keyServers]*server
+	count := 0
+	for _, s := range b.tier {
+		if skipResting && b.now < s.restUntil {
+			continue
 		}
-		if waits && len(tier) > keyServers {
-			r.near, r.epoch = near, b.epoch
-			tier = near[:]
+		count++
+		place := b.place(r, s)
+		weight := b.orderWeight(s)
+		farthest := near[keyServers-1]
+		if farthest != nil && place.leastScore(weight) >= farthest.score {
+			continue
 		}
-		var best *server
-		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.takes(s, r) {
-				best = s
+		s.score = place.score(weight)
+		for i, at := 0, s; i < keyServers && at != nil; i++ {
+			if near[i] == nil || at.score < near[i].score {
+				near[i], at = at, near[i]
 			}
 		}
-		return best
 	}
-	return nil
+	if count > keyServers {
+		r.near, r.epoch = near, b.epoch
+	}
+	for _, s := range near {
+		if s != nil && (best == nil || s.score < best.score) && b.takes(s, r) {
+			best = s
+		}
+	}
+	return best, count > 0
+}
+
+// skipDraws passes over the random places of a walk that decides nothing: what is drawn later does
+// not depend on who rests.
+func (b *Balancer) skipDraws(r *request, skipResting bool) {
+	if r.key != 0 {
+		return
+	}
+	for _, s := range b.tier {
+		if !(skipResting && b.now < s.restUntil) && b.hasRoom(s, r) {
+			b.rng.Uint64()
+		}
+	}
 }
 
 // waits tells whether the request still waits for the servers nearest its key.
@@ -94,26 +166,51 @@
 	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < keyWait*(r.aimAt-r.arrived)
 }
 
-// score orders servers by weighted rendezvous hashing: every agent of a zone
-// finds the same order for a key, and a server's share of keys is that of its weight.
-func (b *Balancer) score(r *request, s *server) float64 {
-	x := mix(r.spot ^ s.hash)
+// place is where a hash falls between 0 and 1, in steps of 1/placeSteps.
+type place uint64
+
+const (
+	placeSteps = 1 << 53
+	// leastMargin is more than the relative error of a logarithm.
+	leastMargin = 1 - 1.0/(1<<40)
+)
+
+// place is the server's place for the request's key, or one drawn if it has none: every agent of a
+// zone finds the same for a key.
+func (b *Balancer) place(r *request, s *server) place {
 	if r.key == 0 {
-		x = b.rng.Uint64()
+		return place(b.rng.Uint64() >> 11)
 	}
-	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.coldShare(s)
+	return place(mix(r.spot^s.hash) >> 11)
+}
+
+// score orders servers by weighted rendezvous hashing: a server's share of keys is that of its weight.
+func (p place) score(weight float64) float64 {
+	return -math.Log(float64(p)/placeSteps+1e-18) / weight
+}
+
+// leastScore is at most the score, at a fraction of its cost: 1-u is at most -log(u), by leastMargin
+// also as computed, and dividing both by one weight keeps their order.
+func (p place) leastScore(weight float64) float64 {
+	return float64(placeSteps-p) / placeSteps * leastMargin / weight
+}
+
+// orderWeight is the server's weight in a request's order.
+func (b *Balancer) orderWeight(s *server) float64 {
+	weight := s.weight * b.coldShare(s)
 	if s.zone == b.set.Zone {
-		w *= b.own
+		weight *= b.own
 	}
-	return -math.Log(u+1e-18) / w
+	return weight
 }
 
-// takes tells whether the server is under its cap in the tier of the request's
-// last pick and has room.
-func (b *Balancer) takes(s *server, r *request) bool {
+// takes tells whether the server is under its cap and has room.
+func (b *Balancer) takes(s *server, r *request) bool { return b.underCap(s, r) && b.hasRoom(s, r) }
+
+// underCap tells whether the server is under its cap in the tier of the request's last pick.
+func (b *Balancer) underCap(s *server, r *request) bool {
 	share := s.weight * b.ramp(s) / r.tierWeight
-	return float64(b.holds(s)) < math.Ceil(capFactor*float64(b.inflight+1)*share) && b.hasRoom(s, r)
+	return float64(b.holds(s)) < math.Ceil(capFactor*float64(b.inflight+1)*share)
 }
 
 // holds is the number of attempts that a server is at work on: a lost one keeps no room.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -102,6 +102,7 @@
 		b.aimMin = min(b.aimMin, c.AimMs)
 	}
 	b.set, b.classes, b.worst = set, classes, classes[0]
+	b.starts++ // what counts as cold may have changed
 	return nil
 }
 
--- /dev/null
+++ b/policy/reference_test.go
@@ -0,0 +1,317 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	. "clayproxy.example/clayproxy/internal/events"
+)
+
+// The plain forms of what the module computes with less work: each walks all servers, and scores all
+// that it may choose. The module has to agree with them to the last bit.
+
+func (b *Balancer) referencePick(r *request) *server {
+	waits := b.waits(r)
+	for pass := range 6 {
+		rank, rest := pass/2, pass%2 == 0
+		tier, resting := []*server{}, 0.0
+		r.tierWeight = 0
+		var near [keyServers]*server
+		for _, s := range b.servers {
+			if b.rank(s, r) != rank || !b.maySend(r, s) {
+				continue
+			}
+			r.tierWeight += s.weight * b.ramp(s)
+			if rest && b.now < s.restUntil {
+				resting += s.weight * b.ramp(s)
+				continue
+			}
+			if !waits && !b.hasRoom(s, r) {
+				continue
+			}
+			s.score = b.referenceScore(r, s)
+			tier = append(tier, s)
+			for i, at := 0, s; i < keyServers && at != nil; i++ {
+				if near[i] == nil || at.score < near[i].score {
+					near[i], at = at, near[i]
+				}
+			}
+		}
+		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
+			continue
+		}
+		if waits && len(tier) > keyServers {
+			r.near, r.epoch = near, b.epoch
+			tier = near[:]
+		}
+		var best *server
+		for _, s := range tier {
+			if (best == nil || s.score < best.score) && b.takes(s, r) {
+				best = s
+			}
+		}
+		return best
+	}
+	return nil
+}
+
+func (b *Balancer) referenceScore(r *request, s *server) float64 {
+	x := mix(r.spot ^ s.hash)
+	if r.key == 0 {
+		x = b.rng.Uint64()
+	}
+	u := float64(x>>11) / (1 << 53)
+	w := s.weight * b.coldShare(s)
+	if s.zone == b.set.Zone {
+		w *= b.own
+	}
+	return -math.Log(u+1e-18) / w
+}
+
+func (b *Balancer) referenceWarmWeight() (warm float64) {
+	for _, s := range b.servers {
+		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
+			warm += s.weight
+		}
+	}
+	return warm
+}
+
+// serversWhere are the listed servers of a kind, by address.
+func (b *Balancer) serversWhere(is func(*server) bool) (found []*server) {
+	for _, s := range b.servers {
+		if is(s) {
+			found = append(found, s)
+		}
+	}
+	return found
+}
+
+// randomDay plays random requests, outcomes and lists against one Balancer.
+type randomDay struct {
+	*testing.T
+	rng      *rand.Rand
+	draws    *rand.PCG // the Balancer's own
+	b        *Balancer
+	now      float64
+	next     RequestID
+	attempts map[RequestID]int
+	open     []Event // outcomes to come
+	seen     map[string]int
+}
+
+func newRandomDay(t *testing.T, seed uint64) *randomDay {
+	d := &randomDay{T: t, rng: rand.New(rand.NewPCG(seed, 1)), draws: rand.NewPCG(seed, 2), now: 1e5,
+		attempts: map[RequestID]int{}, seen: map[string]int{}}
+	b, err := New(d.settings(), seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.b, b.rng = b, rand.New(d.draws)
+	b.Start(d.now, nil)
+	return d
+}
+
+func (d *randomDay) settings() Settings {
+	return Settings{
+		Classes: []Class{
+			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: Free, Credit: 1, LateShare: 0.2},
+			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: SingleShot, Credit: 4},
+			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: Guarded, KeyTTLMs: 900, Credit: 2,
+				Group: []Group{GroupAll, GroupZone, GroupCell}[d.rng.IntN(3)]},
+		},
+		Limits: Limits{Cancelling: true, Probing: d.rng.IntN(2) == 0, MaxAttempts: 1 + d.rng.IntN(4),
+			MaxRetryAfterMs: 500},
+		Contract: Contract{AskWithinMs: 2000, ColdFrom: []float64{0, 0.14, 1}[d.rng.IntN(3)],
+			ColdMs: 4000 * d.rng.Float64(), FallMultiple: float64(d.rng.IntN(4)), TipAfterMs: 500},
+		Membership: "pushed", Replicas: 1 + d.rng.IntN(900), RoundMs: 5, WorthBy: "request",
+	}
+}
+
+func (d *randomDay) handle(ev Event) {
+	for _, a := range d.b.Handle(d.now, &ev, nil) {
+		if a.Kind == ActSend {
+			d.open = append(d.open, Event{Kind: EvOutcome, Request: a.Request, Attempt: d.attempts[a.Request],
+				Server: a.Server})
+			d.attempts[a.Request]++
+		}
+	}
+}
+
+// list tells a few servers anew, or all.
+func (d *randomDay) list(count int, kind ListKind) {
+	var entries []Entry
+	for range count {
+		i := d.rng.IntN(60)
+		e := Entry{Server: Addr{10, 0, 0, byte(i), 1, 1}, Zone: i % 3, Cell: i % 4, SinceMs: 1,
+			Weight: float64(d.rng.IntN(3)),
+			Health: []Health{Ready, Ready, Ready, Ready, Draining, Gone}[d.rng.IntN(6)]}
+		if d.rng.IntN(3) == 0 {
+			e.SinceMs = d.now - 100*d.rng.Float64()
+		}
+		entries = append(entries, e)
+	}
+	d.handle(Event{Kind: EvList, List: kind, Entries: entries})
+	for range d.rng.IntN(3) { // equal scores, which hashes of addresses hardly give
+		if n := len(d.b.servers); n > 0 {
+			d.b.servers[d.rng.IntN(n)].hash = d.b.servers[d.rng.IntN(n)].hash
+		}
+	}
+}
+
+func (d *randomDay) step() {
+	d.now += 20 * d.rng.ExpFloat64()
+	if d.rng.IntN(100) == 0 {
+		d.now -= 300 // the caller's clock is not relied on to go forward only
+	}
+	switch n := d.rng.IntN(40); {
+	case n < 18:
+		d.next++
+		d.handle(Event{Kind: EvRequest, Request: d.next, Class: d.rng.IntN(3), Key: uint64(d.rng.IntN(12)),
+			LeftMs: 100 + 900*d.rng.Float64(), Long: d.rng.IntN(8) == 0})
+	case n < 32 && len(d.open) > 0:
+		i := d.rng.IntN(len(d.open))
+		ev := d.open[i]
+		ev.Kind, ev.LeftMs = EvWritten, 300
+		d.handle(ev)
+		if d.rng.IntN(3) == 0 {
+			return // its outcome comes later
+		}
+		d.open = slices.Delete(d.open, i, i+1)
+		ev.Kind, ev.LatencyMs = EvOutcome, 300*d.rng.Float64()
+		statuses := []Status{OK, OK, OK, Error, Full, Full, Timeout, ConnectFailed, Reset, Unfit}
+		ev.Status = statuses[d.rng.IntN(len(statuses))]
+		d.handle(ev)
+	case n < 34:
+		d.handle(Event{Kind: EvTimer, Token: tickToken})
+	case n < 35 && len(d.b.servers) > 0:
+		d.handle(Event{Kind: EvProbed, Server: d.b.servers[d.rng.IntN(len(d.b.servers))].id, Status: OK})
+	case n < 36:
+		d.list(1+d.rng.IntN(5), ListDelta)
+	case n < 37 && d.rng.IntN(10) == 0:
+		d.list(30, ListCached)
+	case n < 38:
+		if err := d.b.Retune(d.settings()); err != nil {
+			d.Fatal(err)
+		}
+	case len(d.open) > 0: // at one moment with what came before, with the request's client gone
+		d.handle(Event{Kind: EvDropped, Request: d.open[0].Request})
+	}
+}
+
+// name is a server's address, for messages.
+func name(s *server) string {
+	if s == nil {
+		return "none"
+	}
+	return fmt.Sprint(s.id)
+}
+
+// comparePick holds the choice for a request to that of the plain form, and leaves no trace of either.
+func (d *randomDay) comparePick(r *request) {
+	b, was, draws := d.b, *r, *d.draws
+	want := b.referencePick(r)
+	expected, wantDraws := *r, *d.draws
+	*r, *d.draws = was, draws
+	got := b.pick(r)
+	if got != want || *d.draws != wantDraws || r.near != expected.near || r.epoch != expected.epoch ||
+		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
+		d.Fatalf("request %d, key %d: picked %s, plainly %s; tier weight %v and %v, draws equal: %t",
+			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *d.draws == wantDraws)
+	}
+	if got != nil {
+		d.seen[fmt.Sprintf("rank %d", b.rank(got, r))]++
+		if b.now < got.restUntil {
+			d.seen["resting"]++
+		}
+		if b.ramp(got) < 1 {
+			d.seen["cold"]++
+		}
+	} else {
+		d.seen["none"]++
+	}
+	*r, *d.draws = was, draws
+}
+
+func (d *randomDay) compare() {
+	b := d.b
+	b.now += 1e-3 // a moment of its own: the weight is counted once for all decisions of one
+	d.now = b.now
+	if got, want := b.warmWeight(), b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
+		d.Fatalf("warm weight %v, in the plain form %v", got, want)
+	}
+	sets := []struct {
+		name string
+		got  []*server
+		is   func(*server) bool
+	}{
+		{"busy", b.busy, func(s *server) bool { return len(s.out) > 0 }},
+		{"demoted", b.demotedServers(), func(s *server) bool { return s.state >= UnhealthyPending }},
+		{"cold", b.coldServers(), func(s *server) bool { return b.ramp(s) != 1 }},
+	}
+	for _, set := range sets {
+		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
+			d.Fatalf("%s: %d servers, in the plain form %d", set.name, len(set.got), len(want))
+		}
+	}
+	for _, r := range b.held {
+		d.comparePick(r)
+	}
+	class := b.classes[d.rng.IntN(len(b.classes))]
+	r := &request{id: 1 << 30, class: class, most: 3, key: uint64(d.rng.IntN(12)), arrived: b.now,
+		aimAt: b.now + 300, deadline: b.now + 400}
+	if r.spot = r.key; d.rng.IntN(2) == 0 {
+		r.arrived -= 200 // it waits no longer for its key's servers
+	}
+	d.comparePick(r)
+	if n := len(b.servers); n > 0 { // it has tried one before, where it may have run
+		s := b.servers[d.rng.IntN(n)]
+		r.attempts = []*attempt{{r: r, s: s, done: true}}
+		r.risky, r.ranAt, r.ranOn = 1, b.now, s
+		d.comparePick(r)
+	}
+}
+
+// TestDecisionsEqualThePlainForm holds what the module keeps from event to event, and the choice that
+// scores only the servers that can win, to their plain forms in the states of random days.
+func TestDecisionsEqualThePlainForm(t *testing.T) {
+	seen := map[string]int{}
+	for seed := range uint64(60) {
+		d := newRandomDay(t, seed)
+		d.seen = seen
+		d.list(int(seed)%50, ListCached)
+		for range 600 {
+			d.step()
+			d.compare()
+		}
+	}
+	for _, kind := range []string{"rank 0", "rank 1", "rank 2", "resting", "cold", "none"} {
+		if seen[kind] < 100 {
+			t.Errorf("only %d choices of kind %q: the days don't reach what they are for", seen[kind], kind)
+		}
+	}
+	t.Log(seen)
+}
+
+// TestLeastScoreIsNoMoreThanTheScore plays places and weights of all sizes, the extremes first.
+func TestLeastScoreIsNoMoreThanTheScore(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	weights := []float64{0, 5e-324, 1e-310, 1, math.MaxFloat64, math.Inf(1)}
+	places := []place{0, 1, 2, placeSteps / 2, placeSteps - 2, placeSteps - 1}
+	for range 100000 {
+		distance := place(rng.Uint64() >> (11 + rng.IntN(53))) // of any size, from either end
+		places = append(places[:6], distance, placeSteps-1-distance)
+		weights = append(weights[:6], math.Exp(1400*rng.Float64()-700))
+		for _, p := range places {
+			for _, weight := range weights {
+				if p.leastScore(weight) > p.score(weight) {
+					t.Fatalf("place %d, weight %v: least %v, score %v",
+						p, weight, p.leastScore(weight), p.score(weight))
+				}
+			}
+		}
+	}
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"cmp"
 	"math/rand/v2"
 	"slices"
 
@@ -9,33 +10,35 @@
 
 // What a Balancer remembers, and plain arithmetic on it.
 
-// server is what the agent knows of one listed server.
+// server is what the agent knows of one listed server. What each walk over all servers reads
+// stands first, within a line of the processor's cache or two.
 type server struct {
-	id            Addr
-	hash          uint64
-	zone          int
-	cell          int
-	weight        float64
-	listedAt      float64 // start of its process by the list
-	startedAt     float64 // the same, or later where a restart is assumed
-	usable        bool    // listed as ready
-	state         State
-	since         float64 // when the state was entered
-	silent        bool    // demoted for silence, not for an answer
-	lostAt        float64 // first failed connect since it last answered; 0: none
-	strikes       int     // how often it failed of late; sets the hold
-	good          int     // served since the last change of strikes
-	probing       bool
-	out           []*attempt // attempts out, oldest first
-	heard         float64    // when it last answered anything
-	lat, calm     float64    // mean answer time as a part of the aim, and the least it has been
-	samples       int
-	window, cutAt float64 // attempts it may hold of this agent; when it was last cut
-	sentAt, gap   float64 // last attempt, and mean time between attempts
-	restUntil     float64 // passed over in its tier
-	rtt           float64 // mean answer time
-	credit        float64 // work a cold server may still be sent
-	score         float64 // place in a request's order; lower is nearer
+	hash        uint64
+	zone        int
+	weight      float64
+	startedAt   float64 // as listed, or later where a restart is assumed
+	listedAt    float64 // start of its process by the list
+	restUntil   float64 // passed over in its tier
+	usable      bool    // listed as ready
+	state       State
+	silent      bool       // demoted for silence, not for an answer
+	probing     bool       // a probe is under way
+	window      float64    // attempts it may hold of this agent
+	out         []*attempt // attempts out, oldest first
+	id          Addr
+	cell        int
+	since       float64 // when the state was entered
+	lostAt      float64 // first failed connect since it last answered; 0: none
+	strikes     int     // how often it failed of late; sets the hold
+	good        int     // served since the last change of strikes
+	heard       float64 // when it last answered anything
+	lat, calm   float64 // mean answer time as a part of the aim, and the least it has been
+	samples     int
+	cutAt       float64 // when its window was last cut
+	sentAt, gap float64 // last attempt, and mean time between attempts
+	rtt         float64 // mean answer time
+	credit      float64 // work a cold server may still be sent
+	score       float64 // place in a request's order; lower is nearer
 }
 
 // class is what is known of one class of requests. Those that came under other rules than
@@ -103,9 +106,19 @@
 	keys            map[uint64]float64 // requests of each key, of keyed in all, halved now and then
 	keyed           float64
 	tier            []*server // scratch of pick
+	busy            []*server // the listed ones with attempts out, by address
+	demoted         []*server // see demotedServers, as of demotedEpoch
+	demotedEpoch    uint64
+	cold            []*server // see coldServers, as of coldAt, coldEpoch and coldStarts
+	coldAt          float64
+	coldEpoch       uint64
+	coldStarts      uint64
+	starts          uint64 // counts changes of what counts as cold that the epoch does not
 	pasts           []past
 	warm, warmAt    float64 // weight of warm servers, at warmAt and warmEpoch
 	warmEpoch       uint64
+	warmStarts      uint64
+	warmCold        int     // number of cold servers when it was summed up
 	epoch           uint64  // counts changes of tiers and list
 	own             float64 // how much more a server of the own zone weighs
 	inflight        int
@@ -217,13 +230,19 @@
 	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdMs
 }
 
-// warmWeight is the weight of the servers of the top tier that are not cold, counted
-// once for all decisions of a moment.
+// warmWeight is the weight of the servers of the top tier that are not cold, counted once for all
+// decisions of a moment, and again only where a server's state, listing or warmth has changed.
 func (b *Balancer) warmWeight() float64 {
 	if b.warmAt == b.now && b.warmEpoch == b.epoch {
 		return b.warm
 	}
-	b.warm, b.warmAt, b.warmEpoch = 0, b.now, b.epoch
+	cold := len(b.coldServers())
+	same := b.warmEpoch == b.epoch && b.warmStarts == b.starts && b.warmCold == cold
+	b.warmAt, b.warmEpoch, b.warmStarts, b.warmCold = b.now, b.epoch, b.starts, cold
+	if same {
+		return b.warm
+	}
+	b.warm = 0
 	for _, s := range b.servers {
 		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
 			b.warm += s.weight
@@ -232,6 +251,47 @@
 	return b.warm
 }
 
+// coldServers returns the listed servers that are not warm, by address. Between changes of the list
+// and of starts time can only make them fewer.
+func (b *Balancer) coldServers() []*server {
+	isWarm := func(s *server) bool { return b.ramp(s) == 1 }
+	if b.coldEpoch != b.epoch || b.coldStarts != b.starts || b.now < b.coldAt {
+		b.cold = append(b.cold[:0], b.servers...)
+		b.coldEpoch, b.coldStarts = b.epoch, b.starts
+	}
+	b.cold = slices.DeleteFunc(b.cold, isWarm)
+	b.coldAt = b.now
+	return b.cold
+}
+
+// demotedServers returns the listed servers that are Unhealthy or wait for validation, by address.
+// The slice is valid until the next call.
+func (b *Balancer) demotedServers() []*server {
+	if b.demotedEpoch == b.epoch {
+		return b.demoted
+	}
+	b.demoted, b.demotedEpoch = b.demoted[:0], b.epoch
+	for _, s := range b.servers {
+		if s.state >= UnhealthyPending {
+			b.demoted = append(b.demoted, s)
+		}
+	}
+	return b.demoted
+}
+
+// markBusy notes that a server has its first attempt out. One that the list has dropped since its
+// request was sent is not watched any more.
+func (b *Balancer) markBusy(s *server) {
+	if b.byAddr[s.id] != s {
+		return
+	}
+	i, _ := slices.BinarySearchFunc(b.busy, s, byAddress)
+	b.busy = slices.Insert(b.busy, i, s)
+}
+
+// byAddress compares servers by address.
+func byAddress(x, y *server) int { return cmp.Compare(x.id.Uint64(), y.id.Uint64()) }
+
 // enter notes a server's new state and its time; tiers have changed.
 func (b *Balancer) enter(s *server, to State) {
 	if s.state > Unknown || to > Unknown {
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -23,8 +23,8 @@
 // watchSilence demotes servers that took attempts and have answered nothing for
 // several answer times: hung or gone silent, they would stay Connected.
 func (b *Balancer) watchSilence() {
-	for _, s := range b.servers {
-		if len(s.out) == 0 || s.state == Unhealthy {
+	for _, s := range b.busy {
+		if s.state == Unhealthy {
 			continue
 		}
 		a := s.out[0]
@@ -37,7 +37,7 @@
 // revalidate is what each request triggers: servers that were Unhealthy long
 // enough are refreshed to pending and validated in the background.
 func (b *Balancer) revalidate() {
-	for _, s := range b.servers {
+	for _, s := range b.demotedServers() {
 		if s.state == Unhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.holdFor(s) {
 			b.enter(s, UnhealthyPending)
 			b.refetch()
