--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -29,6 +29,8 @@
 	hot     float64 // part of the requests that are for one key
 	asked   int
 	served  int
+	// clockAhead is how far in ms the list's clock is ahead of the agents'.
+	clockAhead float64
 }
 
 type dayAgent struct {
@@ -44,6 +46,8 @@
 	gain    float64 // by how much keys that it knows lighten the work once it is warm
 	free    float64 // when what it holds is done
 	dead    bool
+	silent  float64   // until when it answers nothing
+	failing float64   // until when it answers all with an error
 	got     []float64 // times of what it was sent since its start
 }
 
@@ -148,14 +152,40 @@
 	for _, i := range which {
 		s := d.servers[i]
 		s.started, s.got, s.free = d.now, nil, d.now
-		d.entries[i].SinceMs = d.now
+		d.entries[i].SinceMs = d.now + d.clockAhead
 		delta = append(delta, d.entries[i])
 	}
+	d.tell(delta)
+}
+
+// tell has all agents hear of changes at once.
+func (d *fleetDay) tell(delta []Entry) {
 	for _, a := range d.agents {
 		d.hand(a, Event{Kind: EvList, List: ListDelta, Entries: delta})
 	}
 }
 
+// loseWarm has no connection reach the servers that are not new.
+func (d *fleetDay) loseWarm() {
+	for _, s := range d.servers {
+		s.dead = s.started == 0
+	}
+}
+
+// silence has servers answer nothing for some time.
+func (d *fleetDay) silence(ms float64, which ...int) {
+	for _, i := range which {
+		d.servers[i].silent = d.now + ms
+	}
+}
+
+// fail has servers answer all with an error for some time.
+func (d *fleetDay) fail(ms float64, which ...int) {
+	for _, i := range which {
+		d.servers[i].failing = d.now + ms
+	}
+}
+
 func (d *fleetDay) act(a *dayAgent, actions []Action) {
 	born := a.born
 	for _, x := range actions {
@@ -190,6 +220,10 @@
 	switch wait := max(s.free-d.now, 0); {
 	case s.dead:
 		status, took = ConnectFailed, 1
+	case d.now < s.silent:
+		status, took = Timeout, x.Ms
+	case d.now < s.failing:
+		status, took = Error, 1
 	case wait > 500:
 		status, took = Full, 1
 	default:
@@ -243,8 +277,13 @@
 	d.now = end
 }
 
+// allowance is what a cold server bears in a window for which the settings allow it n requests: those
+// and what is chance. The terms allow 3 x root of n + 3 of chance where n is under 30, which is more;
+// the smaller figure holds for all.
+func allowance(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+
 // worst is the most that a cold server was sent in any window that the settings name, in parts of
-// what is allowed: the budget N, which all agents share, and 2 x root of N + 2 of chance.
+// its allowance, which all agents share.
 func (d *fleetDay) worst() (most float64, how string) {
 	w := d.set.Contract.TipAfterMs
 	for i, s := range d.servers {
@@ -261,7 +300,7 @@
 				continue // warm
 			}
 			got := float64(to - from + 1)
-			if x := got / (n + 2*math.Sqrt(n) + 2); x > most {
+			if x := got / allowance(n); x > most {
 				most, how = x, fmt.Sprintf("server %d got %.0f where %.1f are its budget, %.1f s after its start",
 					i, got, n, (s.got[from]-s.started)/1000)
 			}
@@ -316,9 +355,7 @@
 		{"all warm lost", 0.7, func(d *fleetDay) {
 			d.cold(fifth(d)...)
 			d.run(4000)
-			for _, s := range d.servers {
-				s.dead = s.started == 0
-			}
+			d.loseWarm()
 			d.run(8000)
 		}},
 		{"half in steps", 0.8, func(d *fleetDay) {
@@ -367,19 +404,75 @@
 			d.restartMost()
 			d.run(20000)
 		}},
+		{"all cold, uneven", 0.7, func(d *fleetDay) {
+			d.uneven(func(i int) float64 { return 1 / float64(i+1) })
+			d.run(3000)
+			d.cold(all(d)...)
+			d.run(24000)
+		}},
+		{"overload, then all cold", 2.2, func(d *fleetDay) {
+			d.cold(all(d)...)
+			d.run(24000)
+		}},
+		{"overload, one cold", 2.2, func(d *fleetDay) {
+			d.cold(0)
+			d.run(24000)
+		}},
+		{"overload, one warm left", 1.8, func(d *fleetDay) {
+			d.cold(all(d)[1:]...)
+			d.run(24000)
+		}},
+		{"early surge", 0.05, func(d *fleetDay) {
+			d.cold(fifth(d)...)
+			d.run(400)
+			d.perMs *= 40
+			d.run(6000)
+		}},
+		{"agents restarted again and again", 0.7, func(d *fleetDay) {
+			d.cold(fifth(d)...)
+			for range 10 {
+				d.run(500)
+				d.restartMost()
+			}
+			d.run(10000)
+		}},
+		{"all cold and failing", 0.7, func(d *fleetDay) {
+			d.cold(all(d)...)
+			d.run(500)
+			d.fail(6000, all(d)...)
+			d.run(10000)
+		}},
+		{"all warm lost, cold failing", 0.7, func(d *fleetDay) {
+			d.cold(fifth(d)...)
+			d.run(500)
+			d.loseWarm()
+			d.fail(6000, fifth(d)...)
+			d.run(10000)
+		}},
+		{"all silent, a fifth cold", 0.7, func(d *fleetDay) {
+			d.cold(fifth(d)...)
+			d.run(500)
+			d.silence(2500, all(d)...)
+			d.run(10000)
+		}},
+		{"list's clock an hour ahead", 0.7, func(d *fleetDay) {
+			d.clockAhead = 3600e3
+			d.cold(fifth(d)...)
+			d.run(3000)
+			d.restartMost()
+			d.run(18000)
+		}},
+	}
+	fleets := []struct{ agents, servers int }{
+		{1, 12}, {3, 12}, {30, 12}, {300, 30},
+		{1500, 15}, // a hundred at each, as 30 would take a minute under the race detector
+		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
 	}
 	for _, c := range cases {
-		for _, agents := range []int{1, 3, 30, 300, 1500} {
-			t.Run(fmt.Sprintf("%s, %d agents", c.name, agents), func(t *testing.T) {
+		for _, fleet := range fleets {
+			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
 				t.Parallel()
-				servers := 12
-				switch agents {
-				case 300:
-					servers = 30
-				case 1500: // a hundred at each, as 30 would take a minute under the race detector
-					servers = 15
-				}
-				d := newFleetDay(t, 1, agents, servers, c.load)
+				d := newFleetDay(t, 1, fleet.agents, fleet.servers, c.load)
 				d.arrivals()
 				d.run(5000)
 				c.play(d)
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -231,15 +231,20 @@
 }
 
 // hasRoom bounds what a server holds of this agent: its window, one at a time
-// until it is validated, and a cold server's credit.
+// until it is validated, and whatever its state a cold server's credit.
 func (b *Balancer) hasRoom(s *server, r *request) bool {
+	if !b.hasCredit(s) {
+		return false
+	}
 	if s.state >= UnhealthyPending {
 		return len(s.out) == 0
 	}
 	// A window under one is kept by pausing: with many agents even one attempt of
 	// each can be too much, and a server that tipped needs rest to recover.
-	if b.holds(s) >= max(int(s.window), 1) || s.window < 1 && b.now-s.sentAt < s.rtt/s.window {
-		return false
-	}
+	return b.holds(s) < max(int(s.window), 1) && (s.window >= 1 || b.now-s.sentAt >= s.rtt/s.window)
+}
+
+// hasCredit tells whether a cold server may be sent another attempt; a warm one always may.
+func (b *Balancer) hasCredit(s *server) bool {
 	return b.ramp(s) == 1 || s.credit+b.accrued(s) >= 1
 }
