--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -172,6 +172,21 @@
 	}
 }
 
+// drainWarm tells all agents that the servers that are not new drain, but for the first few.
+func (d *fleetDay) drainWarm(but int) {
+	var delta []Entry
+	for i, s := range d.servers {
+		if s.started > 0 {
+			continue
+		}
+		if but--; but < 0 {
+			d.entries[i].Health = Draining
+			delta = append(delta, d.entries[i])
+		}
+	}
+	d.tell(delta)
+}
+
 // silence has servers answer nothing for some time.
 func (d *fleetDay) silence(ms float64, which ...int) {
 	for _, i := range which {
@@ -484,6 +499,25 @@
 	}
 }
 
+// What draining servers answer late earns a cold server no more than what it bears.
+func TestColdServersBearWhatDrainingOnesAnswer(t *testing.T) {
+	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
+		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
+			t.Parallel()
+			d := newFleetDay(t, 1, fleet.agents, fleet.servers, 1.8)
+			d.arrivals()
+			d.run(5000)
+			d.cold(fifth(d)...)
+			d.run(300)
+			d.drainWarm(1)
+			d.run(4000)
+			if most, how := d.worst(); most > 1 || d.served == 0 {
+				t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.asked)
+			}
+		})
+	}
+}
+
 func fifth(d *fleetDay) (is []int) {
 	for i := 0; i < len(d.servers); i += 5 {
 		is = append(is, i)
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -238,10 +238,11 @@
 // knows, so all agents' credits at ramp k grow by 2.5 C W k FallMultiple/coldMargin: 5/8 of the
 // budget N = C W k FallMultiple. As each begins with a part of one drawn by chance, what they spend
 // is that and a sum of rounded parts, whose variance is under N: by chance 2 x root of N + 2 at most.
-// What was only sent does not count (ifa9784: 6 attempts a request, most turned away).
+// What was only sent does not count (ifa9784: 6 attempts a request, most turned away), nor what
+// servers answer late that drain or failed: the weight of those that are left says nothing of them.
 func (b *Balancer) earn(s *server) {
 	warm := b.warmWeight()
-	if b.ramp(s) < 1 || warm == 0 {
+	if warm == 0 || !b.isWarm(s) {
 		return
 	}
 	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + 1/warm
--- a/policy/state.go
+++ b/policy/state.go
@@ -244,22 +244,25 @@
 	}
 	b.warm = 0
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
+		if b.isWarm(s) {
 			b.warm += s.weight
 		}
 	}
 	return b.warm
 }
 
+// isWarm tells whether a server counts in warmWeight.
+func (b *Balancer) isWarm(s *server) bool { return s.usable && s.state <= Unknown && b.ramp(s) == 1 }
+
 // coldServers returns the listed servers that are not warm, by address. Between changes of the list
 // and of starts time can only make them fewer.
 func (b *Balancer) coldServers() []*server {
-	isWarm := func(s *server) bool { return b.ramp(s) == 1 }
+	rampEnded := func(s *server) bool { return b.ramp(s) == 1 }
 	if b.coldEpoch != b.epoch || b.coldStarts != b.starts || b.now < b.coldAt {
 		b.cold = append(b.cold[:0], b.servers...)
 		b.coldEpoch, b.coldStarts = b.epoch, b.starts
 	}
-	b.cold = slices.DeleteFunc(b.cold, isWarm)
+	b.cold = slices.DeleteFunc(b.cold, rampEnded)
 	b.coldAt = b.now
 	return b.cold
 }
