--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -491,9 +491,7 @@
 				d.arrivals()
 				d.run(5000)
 				c.play(d)
-				if most, how := d.worst(); most > 1 || d.served == 0 {
-					t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.asked)
-				}
+				d.checkColdServers(t)
 			})
 		}
 	}
@@ -511,13 +509,37 @@
 			d.run(300)
 			d.drainWarm(1)
 			d.run(4000)
-			if most, how := d.worst(); most > 1 || d.served == 0 {
-				t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.asked)
-			}
+			d.checkColdServers(t)
+		})
+	}
+}
+
+// Where the last warm server drains, credit by time counts from then on, and not once more the time for
+// which the warm ones had earned it. The rate is that of the warm ones, learned in a long day before.
+func TestColdServersBearTheLossOfAllWarm(t *testing.T) {
+	for _, agents := range []int{12, 300} {
+		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
+			t.Parallel()
+			d := newFleetDay(t, 1, agents, 12, 0.9)
+			d.arrivals()
+			d.run(45000)
+			d.cold(fifth(d)...)
+			d.run(8000)
+			d.drainWarm(0)
+			d.run(8000)
+			d.checkColdServers(t)
 		})
 	}
 }
 
+// checkColdServers holds what cold servers were sent to what they bear.
+func (d *fleetDay) checkColdServers(t *testing.T) {
+	t.Helper()
+	if most, how := d.worst(); most > 1 || d.served == 0 {
+		t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.asked)
+	}
+}
+
 func fifth(d *fleetDay) (is []int) {
 	for i := 0; i < len(d.servers); i += 5 {
 		is = append(is, i)
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -256,13 +256,15 @@
 
 // accrued is the credit that a cold server gains with time where no warm one is left to earn it:
 // at the rate at which the warm ones last served, and for one call a window of all agents at least.
+// Until they were gone they had earned it: that time does not count again.
 func (b *Balancer) accrued(s *server) float64 {
 	if b.warmWeight() > 0 {
 		return 0
 	}
 	c := &b.set.Contract
 	least := 1 / (max(c.TipAfterMs, 1) * float64(max(b.set.Replicas, 1)))
-	return (b.now - max(s.sentAt, s.since)) * max(b.flow*s.weight*b.coldShare(s)/c.ColdMs, least)
+	perMs := max(b.flow*s.weight*b.coldShare(s)/c.ColdMs, least)
+	return (b.now - max(s.sentAt, s.since, b.warmGoneAt)) * perMs
 }
 
 // end is the guard of all final answers but served ones: a refusal where the
--- a/policy/state.go
+++ b/policy/state.go
@@ -119,6 +119,7 @@
 	warmEpoch       uint64
 	warmStarts      uint64
 	warmCold        int     // number of cold servers when it was summed up
+	warmGoneAt      float64 // when the last warm server was gone
 	epoch           uint64  // counts changes of tiers and list
 	own             float64 // how much more a server of the own zone weighs
 	inflight        int
@@ -242,12 +243,16 @@
 	if same {
 		return b.warm
 	}
+	before := b.warm
 	b.warm = 0
 	for _, s := range b.servers {
 		if b.isWarm(s) {
 			b.warm += s.weight
 		}
 	}
+	if before > 0 && b.warm == 0 {
+		b.warmGoneAt = b.now
+	}
 	return b.warm
 }
 
