--- a/internal/listsvc/store_check.go
+++ b/internal/listsvc/store_check.go
@@ -66,7 +66,7 @@
 	if _, err := os.Stat(filepath.Join(dir, createdFile)); err == nil {
 		return true
 	}
-	snapshots, _ := filepath.Glob(filepath.Join(dir, "*-*-*", "meta.json"))
+	snapshots, _ := filepath.Glob(filepath.Join(dir, "snapshots", "*", "meta.json")) // the pattern is well-formed
 	return len(snapshots) > 0
 }
 
