--- a/internal/policytest/large_fleet_test.go
+++ b/internal/policytest/large_fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"runtime"
 	"syscall"
 	"testing"
 	"time"
@@ -14,6 +15,10 @@
 	largeFleetAgents = 900
 	// requestInterval is the time in ms between two requests of one agent of that fleet.
 	requestInterval = 100.0
+	// largeFleetLoad is the part of the servers' capacity that the agents' requests take.
+	largeFleetLoad = 0.7
+	// largeFleetDay is the length in ms of a day of BenchmarkLargeFleetDay.
+	largeFleetDay = 30000.0
 	// answerTime is how long in ms a server takes to answer.
 	answerTime = 60.0
 )
@@ -69,3 +74,46 @@
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
+
+// BenchmarkLargeFleetDay is a quiet day of whole fleets in one virtual time, agents in proportion to servers:
+// the share served, the servers that an agent sent something to (it opened at least one connection to each)
+// and the memory that a Balancer holds at the end, with what the day keeps for it. Keys are as many as 40 for
+// each server, equally popular or skewed: the share of one falls as its rank grows.
+func BenchmarkLargeFleetDay(b *testing.B) {
+	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
+		for _, keys := range []string{"even", "skewed"} {
+			b.Run(fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys), func(b *testing.B) {
+				for range b.N {
+					playLargeFleetDay(b, fleet.agents, fleet.servers, keys == "even")
+				}
+			})
+		}
+	}
+}
+
+func playLargeFleetDay(b *testing.B, agents, servers int, evenKeys bool) {
+	before := heapInUse()
+	d := newFleetDay(b, 1, agents, servers, largeFleetLoad)
+	d.perMs, d.evenKeys = float64(agents)/requestInterval, evenKeys
+	for _, s := range d.servers {
+		s.perMs = d.perMs / largeFleetLoad / float64(servers)
+	}
+	d.arrivals()
+	d.run(largeFleetDay)
+	used := 0
+	for _, a := range d.agents {
+		used += len(a.used)
+	}
+	b.ReportMetric(float64(d.served)/float64(d.asked), "served-share")
+	b.ReportMetric(float64(used)/float64(agents), "servers-used/agent")
+	b.ReportMetric(float64(heapInUse()-before)/float64(agents), "heap-B/agent")
+	runtime.KeepAlive(d)
+}
+
+// heapInUse is the memory that is reachable.
+func heapInUse() int64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -14,21 +14,22 @@
 // fleetDay is many balancers and their servers in one virtual time: what each sends is judged by
 // the sum of all. It knows no list but the one that is told to all at once.
 type fleetDay struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	now     float64
-	queue   dueQueue
-	order   int
-	agents  []*dayAgent
-	servers []*dayServer
-	entries []Entry
-	share   []float64 // of requests, summed up by agent
-	perMs   float64   // requests
-	keys    int
-	hot     float64 // part of the requests that are for one key
-	asked   int
-	served  int
+	t        testing.TB
+	rng      *rand.Rand
+	set      Settings
+	now      float64
+	queue    dueQueue
+	order    int
+	agents   []*dayAgent
+	servers  []*dayServer
+	entries  []Entry
+	share    []float64 // of requests, summed up by agent
+	perMs    float64   // requests
+	keys     int
+	evenKeys bool    // keys are equally popular; else one's share falls as its rank grows
+	hot      float64 // part of the requests that are for one key
+	asked    int
+	served   int
 	// clockAhead is how far in ms the list's clock is ahead of the agents'.
 	clockAhead float64
 }
@@ -38,6 +39,7 @@
 	id   RequestID
 	born int // which process: what belongs to an earlier one is void
 	open map[RequestID]float64
+	used map[Addr]bool // servers that its processes have sent something to
 }
 
 type dayServer struct {
@@ -87,7 +89,7 @@
 	return c.ColdFrom + (1-c.ColdFrom)*max(at-s.started, 0)/c.ColdMs
 }
 
-func newFleetDay(t *testing.T, seed uint64, agents, servers int, load float64) *fleetDay {
+func newFleetDay(t testing.TB, seed uint64, agents, servers int, load float64) *fleetDay {
 	set := testSettings()
 	set.Replicas = agents
 	set.Limits.ParallelTries = false
@@ -100,7 +102,7 @@
 	}
 	d.perMs = load * 0.03 * float64(servers)
 	for i := range agents {
-		d.agents = append(d.agents, &dayAgent{})
+		d.agents = append(d.agents, &dayAgent{used: map[Addr]bool{}})
 		d.share = append(d.share, float64(i+1)/float64(agents))
 	}
 	for i := range agents {
@@ -224,6 +226,7 @@
 	born, sent := a.born, d.now
 	try := int(a.open[x.Request])
 	a.open[x.Request]++
+	a.used[x.Server] = true
 	s := d.servers[int(x.Server[2])<<8|int(x.Server[3])]
 	s.got = append(s.got, d.now)
 	k := d.part(s, d.now)
@@ -272,7 +275,11 @@
 		a := d.agents[i]
 		a.id++
 		a.open[a.id] = 0
-		key := uint64(math.Pow(float64(d.keys), d.rng.Float64())) * 0x9e3779b97f4a7c15
+		rank := math.Pow(float64(d.keys), d.rng.Float64())
+		if d.evenKeys {
+			rank = float64(d.rng.IntN(d.keys))
+		}
+		key := uint64(rank) * 0x9e3779b97f4a7c15
 		if d.rng.Float64() < d.hot {
 			key = 77
 		}
