--- a/internal/listsvc/node.go
+++ b/internal/listsvc/node.go
@@ -20,7 +20,6 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
-	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"golang.org/x/time/rate"
 
 	"clayproxy.example/clayproxy/internal/listener"
@@ -33,6 +32,12 @@
 // httpDoors is how many HTTP doors an instance has.
 const httpDoors = 2
 
+// stopWithin bounds how long Close waits for Raft, which may wait for a failing disk.
+const stopWithin = 5 * time.Second
+
+// longAgo is the time that the list counts as of until it has caught up for the first time.
+var longAgo = time.Unix(0, 0)
+
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
 type Node struct {
@@ -42,7 +47,7 @@
 	heard   *heard
 	barrier barrier
 	raft    *raft.Raft
-	store   *raftboltdb.BoltStore
+	store   *retryingStore
 	peers   map[raft.ServerID]Peer
 	doors   []*http.Server
 	closed  chan struct{}
@@ -101,25 +106,31 @@
 	rc.HeartbeatTimeout, rc.ElectionTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout
 	rc.LeaderLeaseTimeout = n.lease()
 	rc.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: os.Stderr})
-	store, err := raftboltdb.NewBoltStore(filepath.Join(cfg.DataDir, "raft.db"))
+	store, err := n.openStore()
 	if err != nil {
-		return fmt.Errorf("data_dir: raft store: %w", err)
+		return err
 	}
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.DataDir, 2, rc.Logger)
 	if err != nil {
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
+	if err := withoutPageFaults(func() error { return checkLog(store.Store, snaps) }); err != nil {
+		store.Close()
+		return fmt.Errorf("data_dir: %w", &StoreDamage{Path: filepath.Join(cfg.DataDir, storeFile), Err: err})
+	}
 	ln = listener.New(ln, listener.LogFailures(n.log, cfg.RaftAddr))
-	trans := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
+	trans := newGatedTransport(network, store, n.closed)
 	r, err := raft.NewRaft(rc, n.list, store, store, snaps, trans)
 	if err != nil {
 		store.Close()
 		return fmt.Errorf("raft: %w", err)
 	}
 	n.raft, n.store = r, store
+	store.attach(&storeMember{raft: r, recovered: n.catchUp})
 	if !cfg.Bootstrap {
 		return nil
 	}
@@ -134,6 +145,27 @@
 	return r.BootstrapCluster(members).Error()
 }
 
+// openStore opens the store of Raft's log, term and vote.
+func (n *Node) openStore() (*retryingStore, error) {
+	path := filepath.Join(n.cfg.DataDir, storeFile)
+	bolt, err := openBolt(n.cfg.DataDir, n.log)
+	if err != nil {
+		return nil, fmt.Errorf("data_dir: %w", err)
+	}
+	var inner Store = bolt
+	if n.cfg.WrapStore != nil {
+		inner = n.cfg.WrapStore(inner)
+	}
+	store, err := newRetryingStore(inner, n.log, n.cfg.ElectionTimeout, n.closed)
+	if err != nil {
+		inner.Close()
+		return nil, fmt.Errorf("data_dir: raft store %s: %w", path, err)
+	}
+	store.health.lagsSince(longAgo) // until the list has what was committed before this start
+	store.rewrite = func() error { return rewriteMeta(path) }
+	return store, nil
+}
+
 // ServerAddr is where this instance reaches a peer's Raft (raft.ServerAddressProvider):
 // its own table, so that each instance may reach the others by an address of its own.
 func (n *Node) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
@@ -154,8 +186,14 @@
 	for _, d := range n.doors {
 		d.Close()
 	}
-	err := n.raft.Shutdown().Error()
-	return errors.Join(err, n.store.Close())
+	stopped := make(chan error, 1)
+	go func() { stopped <- n.raft.Shutdown().Error() }()
+	select {
+	case err := <-stopped:
+		return errors.Join(err, n.store.Close())
+	case <-time.After(stopWithin):
+		return fmt.Errorf("raft has not stopped within %v: %w", stopWithin, n.store.available())
+	}
 }
 
 // claimDir makes the data directory, or checks that its format is one this program reads, and
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -127,7 +127,7 @@
 // lost is the number of attempts out at servers that have fallen silent.
 func (b *Balancer) lost() int {
 	n := 0
-	for _, s := range b.servers {
+	for _, s := range b.busy {
 		if s.state >= UnhealthyPending && s.silent {
 			n += len(s.out)
 		}
@@ -164,10 +164,16 @@
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
 // hasRoom, whose credit every attempt to a cold server is charged in send.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline ||
-		len(r.attempts) >= r.most {
-		return false
-	}
+	return s.usable && b.mayTry(r) && b.mayTryAt(r, s)
+}
+
+// mayTry is the part of maySend that holds for all servers.
+func (b *Balancer) mayTry(r *request) bool {
+	return !r.closed && !r.started && r.open == 0 && b.now < r.deadline && len(r.attempts) < r.most
+}
+
+// mayTryAt is the part of maySend that earlier attempts of the request decide.
+func (b *Balancer) mayTryAt(r *request, s *server) bool {
 	for _, a := range r.attempts {
 		if a.s == s && len(b.servers) > len(r.attempts) {
 			return false // further attempts go elsewhere
@@ -212,6 +218,9 @@
 // begin counts an attempt as work of its server.
 func (b *Balancer) begin(a *attempt) {
 	a.begun, a.sentAt = true, b.now
+	if len(a.s.out) == 0 {
+		b.markBusy(a.s)
+	}
 	a.s.out = append(a.s.out, a)
 	b.inflight++
 }
@@ -229,15 +238,16 @@
 // knows, so all agents' credits at ramp k grow by 2.5 C W k FallMultiple/coldMargin: 5/8 of the
 // budget N = C W k FallMultiple. As each begins with a part of one drawn by chance, what they spend
 // is that and a sum of rounded parts, whose variance is under N: by chance 2 x root of N + 2 at most.
-// What was only sent does not count (ifa9784: 6 attempts a request, most turned away).
+// What was only sent does not count (ifa9784: 6 attempts a request, most turned away), nor what
+// servers answer late that drain or failed: the weight of those that are left says nothing of them.
 func (b *Balancer) earn(s *server) {
 	warm := b.warmWeight()
-	if b.ramp(s) < 1 || warm == 0 {
+	if warm == 0 || !b.isWarm(s) {
 		return
 	}
 	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + 1/warm
 	b.flowAt = b.now
-	for _, o := range b.servers {
+	for _, o := range b.coldServers() {
 		if b.ramp(o) < 1 {
 			o.credit = min(o.credit+b.coldShare(o)*o.weight/warm, coldBurst)
 		}
@@ -246,13 +256,15 @@
 
 // accrued is the credit that a cold server gains with time where no warm one is left to earn it:
 // at the rate at which the warm ones last served, and for one call a window of all agents at least.
+// Until they were gone they had earned it: that time does not count again.
 func (b *Balancer) accrued(s *server) float64 {
 	if b.warmWeight() > 0 {
 		return 0
 	}
 	c := &b.set.Contract
 	least := 1 / (max(c.TipAfterMs, 1) * float64(max(b.set.Replicas, 1)))
-	return (b.now - max(s.sentAt, s.since)) * max(b.flow*s.weight*b.coldShare(s)/c.ColdMs, least)
+	perMs := max(b.flow*s.weight*b.coldShare(s)/c.ColdMs, least)
+	return (b.now - max(s.sentAt, s.since, b.warmGoneAt)) * perMs
 }
 
 // end is the guard of all final answers but served ones: a refusal where the
@@ -312,6 +324,9 @@
 		r.most = len(r.attempts)
 	}
 	s.out = slices.DeleteFunc(s.out, func(o *attempt) bool { return o == a })
+	if a.begun && len(s.out) == 0 {
+		b.busy = slices.DeleteFunc(b.busy, func(o *server) bool { return o == s })
+	}
 	if ev.Status.NeverRan() {
 		r.risky--
 	}
