--- a/internal/scale/hostwire.go
+++ b/internal/scaletest/hostwire.go
@@ -1,11 +1,11 @@
-// Package scale plays the days of docs/CAPACITY.md on one machine: fleets of hollow agents (the
+// Package scaletest plays the days of docs/CAPACITY.md on one machine: fleets of hollow agents (the
 // agent's own code for all but client traffic, many in one process) beside real ones and the real
 // list service, and records what each role took.
-package scale
+package scaletest
 
 import "encoding/json"
 
-// The words between `fernlab scale` and its host processes (`fernlab scale-host`): one JSON object a
+// The words between `experiment scale` and its host processes (`experiment scale-host`): one JSON object a
 // line, orders on the host's standard input, tellings on its standard output. Its end of input ends
 // the host and all its agents.
 
--- a/internal/scale/lists.go
+++ b/internal/scaletest/lists.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
@@ -15,14 +15,14 @@
 	"sync/atomic"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/listsvc"
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // lists is the real list service: instances whose Raft links pass through proxies that can be cut.
 type lists struct {
-	*cluster.Cluster
+	*processtest.Cluster
 	client *http.Client
 	turn   atomic.Uint32 // the instance that is written to
 }
@@ -42,9 +42,9 @@
 	for i := range count {
 		names = append(names, fmt.Sprintf("list-%d", i+1))
 	}
-	c, err := cluster.New(cluster.Config{Binary: program, Dir: dir, Names: names, Ports: []string{"raft", "http", "admin"},
+	c, err := processtest.New(processtest.Config{Binary: program, Dir: dir, Names: names, Ports: []string{"raft", "http", "admin"},
 		IP: func(name string) string { return ip(slices.Index(names, name)) },
-		Args: func(c *cluster.Cluster, name string) []string {
+		Args: func(c *processtest.Cluster, name string) []string {
 			path := filepath.Join(dir, name+".toml")
 			if err := writeListConfig(c, name, dir, path); err != nil {
 				return []string{"serve", "--config", filepath.Join(dir, "none")} // it then says that it can't
@@ -70,7 +70,7 @@
 
 // awaitLeader waits until an instance leads.
 func (l *lists) awaitLeader() (lead string, err error) {
-	err = cluster.Await(leaderTime, "the list service has a leader", func() bool {
+	err = processtest.Await(leaderTime, "the list service has a leader", func() bool {
 		lead = l.leader()
 		return lead != ""
 	})
@@ -78,7 +78,7 @@
 }
 
 // writeListConfig writes an instance's configuration: it reaches the others by links of its own.
-func writeListConfig(c *cluster.Cluster, name, dir, path string) error {
+func writeListConfig(c *processtest.Cluster, name, dir, path string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\nbootstrap = %v\n",
 		name, filepath.Join(dir, name), name == c.Names()[0])
@@ -96,7 +96,7 @@
 }
 
 // status is what an instance tells of itself.
-func (l *lists) status(name string) (st listsvc.Status, err error) {
+func (l *lists) status(name string) (st server.Status, err error) {
 	resp, err := l.client.Get("http://" + l.Addr(name, "admin") + "/v1/status")
 	if err != nil {
 		return st, err
@@ -122,7 +122,7 @@
 var errRefused = errors.New("refused")
 
 // put sets a server's entry; it gives the change's version.
-func (l *lists) put(ctx context.Context, t targets.Target) (version uint64, err error) {
+func (l *lists) put(ctx context.Context, t endpoint.Target) (version uint64, err error) {
 	return l.persist(ctx, "/v1/servers/"+t.ID, t)
 }
 
--- a/internal/scale/measure.go
+++ b/internal/scaletest/measure.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"clayproxy.example/clayproxy/internal/capacity"
-	"clayproxy.example/clayproxy/internal/cluster"
+	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // figures are by the names of package capacity.
@@ -137,7 +137,7 @@
 
 // realNow reads what a real agent's present process has taken: from /proc, its door and its log.
 func (f *running) realNow(ctx context.Context, m *member) (counted, held figures, err error) {
-	u, err := cluster.ProcessUsage(f.reals.Pid(m.name))
+	u, err := processtest.ProcessUsage(f.reals.Pid(m.name))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -185,7 +185,7 @@
 // listNow reads what an instance's present process has taken. Its admin door is left out: what
 // this runner asks there is no part of the service's day.
 func (f *running) listNow(name string) (counted, held figures, err error) {
-	u, err := cluster.ProcessUsage(f.lists.Pid(name))
+	u, err := processtest.ProcessUsage(f.lists.Pid(name))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/scale/plan.go
+++ b/internal/scaletest/plan.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"clayproxy.example/clayproxy/internal/lab"
+	"fernbeam.example/fernbeam/internal/experiment"
 )
 
 // Plan is what is played: fleets of some sizes, and days on each. The TOML keys are its fields'
@@ -60,13 +60,13 @@
 	p := DefaultPlan()
 	md, err := toml.Decode(text, p)
 	if err != nil {
-		return nil, lab.TOMLError(path, err)
+		return nil, experiment.TOMLError(path, err)
 	}
 	if extra := md.Undecoded(); len(extra) > 0 {
-		return nil, fmt.Errorf("%s:%d: unknown key %q", path, lab.LineOf(text, extra[0]), extra[0])
+		return nil, fmt.Errorf("%s:%d: unknown key %q", path, experiment.LineOf(text, extra[0]), extra[0])
 	}
 	if key, err := p.check(); err != nil {
-		return nil, fmt.Errorf("%s:%d: %s: %w", path, lab.LineOf(text, []string{key}), key, err)
+		return nil, fmt.Errorf("%s:%d: %s: %w", path, experiment.LineOf(text, []string{key}), key, err)
 	}
 	return p, nil
 }
--- a/internal/scale/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/capacity"
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // TestPlanErrors: a wrong key or value is an error of one line that names the file, the line and it.
--- a/internal/scale/print.go
+++ b/internal/scaletest/print.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"clayproxy.example/clayproxy/internal/capacity"
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // shown are the figures that are printed, and roles their order.
--- a/internal/scale/reals.go
+++ b/internal/scaletest/reals.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -14,13 +14,13 @@
 	"sync"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/fleet"
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // reals are the processes of the real agent, with what their logs say.
 type reals struct {
-	*cluster.Cluster
+	*processtest.Cluster
 	dir    string
 	heard  trackers
 	client *http.Client
@@ -52,7 +52,7 @@
 		return r, nil
 	}
 	var err error
-	r.Cluster, err = cluster.New(cluster.Config{Binary: program, Dir: dir, Names: names, Env: func(name string) []string {
+	r.Cluster, err = processtest.New(processtest.Config{Binary: program, Dir: dir, Names: names, Env: func(name string) []string {
 		return []string{"PROXY_CONFIG=" + filepath.Join(dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
 			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + dir}
 	}})
@@ -64,7 +64,7 @@
 	if err := r.Start(name); err != nil {
 		return err
 	}
-	err := cluster.Await(agentTime, name+" is ready", func() bool {
+	err := processtest.Await(agentTime, name+" is ready", func() bool {
 		if ctx.Err() != nil {
 			return true
 		}
@@ -104,10 +104,10 @@
 }
 
 // status is an agent's fleet view by its door.
-func (r *reals) status(ctx context.Context, door string) (*fleet.Status, error) {
+func (r *reals) status(ctx context.Context, door string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	return fleet.Ask(ctx, door, "members=none&since=4611686018427387904")
+	return membership.Ask(ctx, door, "members=none&since=4611686018427387904")
 }
 
 // The lines of an agent's log that are read (README, "Reading the log"): "list", an answer of
--- a/internal/scale/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"slices"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/capacity"
-	"clayproxy.example/clayproxy/internal/switchboard"
+	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
 // Config is how a plan is played.
 type Config struct {
 	Plan   *Plan
 	Target *Target
-	Agent  string   // the built agent (bin/ringtrack)
-	List   string   // the built list service (bin/fernlist)
+	Agent  string   // the built agent (bin/agent)
+	List   string   // the built list service (bin/discovery)
 	Host   []string // the command line of a host process
 	Dir    string   // for configurations, logs and the list service's data
 	Commit string   // of the programs
@@ -98,7 +98,7 @@
 	}
 	defer f.close()
 	if slices.Contains(names, "region") {
-		if f.board, err = switchboard.New(seed); err != nil {
+		if f.board, err = faultproxy.New(seed); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/capacity"
-	"clayproxy.example/clayproxy/internal/cluster"
+	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // programs builds what a run starts, once for all tests.
@@ -26,7 +26,7 @@
 	if err != nil {
 		return "", err
 	}
-	for _, program := range []string{"ringtrack", "fernlist", "fernlab"} {
+	for _, program := range []string{"agent", "discovery", "experiment"} {
 		if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "../../cmd/"+program).CombinedOutput(); err != nil {
 			return dir, fmt.Errorf("build %s: %w\n%s", program, err, out)
 		}
@@ -62,8 +62,8 @@
 		t.Fatal(err)
 	}
 	var runs []*capacity.Run
-	err = Play(context.Background(), Config{Plan: p, Target: target, Dir: t.TempDir(), Commit: "test", Agent: filepath.Join(bin, "ringtrack"),
-		List: filepath.Join(bin, "fernlist"), Host: []string{filepath.Join(bin, "fernlab"), "scale-host"},
+	err = Play(context.Background(), Config{Plan: p, Target: target, Dir: t.TempDir(), Commit: "test", Agent: filepath.Join(bin, "agent"),
+		List: filepath.Join(bin, "discovery"), Host: []string{filepath.Join(bin, "experiment"), "scale-host"},
 		Progress: t.Logf, Done: func(r *capacity.Run) error { runs = append(runs, r); return nil }})
 	if err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 			if err := os.WriteFile(plan, []byte("sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\nhurry = 5000.0\nrepeats = 9"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command(filepath.Join(bin, "fernlab"), "scale", plan, "--record", record, "--programs", bin, "--logs", dir, "--target", "../../deploy/target.toml")
+			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin, "--logs", dir, "--target", "../../deploy/target.toml")
 			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 			var said bytes.Buffer
 			cmd.Stdout, cmd.Stderr = &said, &said
@@ -224,12 +224,12 @@
 				text, _ := os.ReadFile(record)
 				return bytes.Count(text, []byte("\n"))
 			}
-			if err := cluster.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 }); err != nil {
+			if err := processtest.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 }); err != nil {
 				t.Fatalf("%v\n%s", err, &said)
 			}
 			// On the ordinary day an agent may be between its end and its next start.
 			var started []int
-			if err := cluster.Await(10*time.Second, "2 hosts, 2 agents and 3 list instances run", func() bool {
+			if err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 list instances run", func() bool {
 				started = descendants(cmd.Process.Pid)
 				return len(started) == 2+2+3
 			}); err != nil {
@@ -240,7 +240,7 @@
 			if err == nil || sig == syscall.SIGINT && !strings.Contains(said.String(), "interrupted") {
 				t.Errorf("it ended with %v and said:\n%s", err, &said)
 			}
-			if err := cluster.Await(10*time.Second, "all its processes have ended", func() bool { return gone(started) }); err != nil {
+			if err := processtest.Await(10*time.Second, "all its processes have ended", func() bool { return gone(started) }); err != nil {
 				t.Error(err)
 			}
 			f, err := os.Open(record)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,7 +10,7 @@
 	"io"
 	"math"
 
-	"clayproxy.example/clayproxy/internal/events"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Record sizes of the wire.
@@ -67,7 +67,7 @@
 	Instance uint32
 	Seed     uint64
 	Settings []byte
-	Event    events.Event
+	Event    balancer.Event
 }
 
 // Decoder reads batches from a stream. It keeps the numbered lists, which
@@ -75,7 +75,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
-	pools [16][]events.Entry
+	pools [16][]balancer.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -168,11 +168,11 @@
 		rec.Kind = 0
 		return d.pool(raw, tail)
 	case codeTargets:
-		ev.Kind, ev.List = events.EvList, events.ListKind(raw[5])
-		if raw[5] > uint8(events.ListFailed) {
+		ev.Kind, ev.List = balancer.EvList, balancer.ListKind(raw[5])
+		if raw[5] > uint8(balancer.ListFailed) {
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
-		if ev.List != events.ListFailed {
+		if ev.List != balancer.ListFailed {
 			table := be.Uint32(raw[10:])
 			if int64(table) >= int64(len(d.pools)) {
 				return fmt.Errorf("targets: table: %d is out of range", table)
@@ -180,29 +180,29 @@
 			ev.Entries = d.pools[table]
 		}
 	case codeAsk:
-		ev.Kind, ev.Request = events.EvRequest, events.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EvRequest, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Class = int(be.Uint16(raw[9:]))
 		ev.Key, ev.LeftMs, ev.Retry = be.Uint64(raw[15:]), getF64(raw[23:]), raw[39]&2 != 0
 	case codeVerdict:
-		ev.Kind, ev.Request = events.EvOutcome, events.RequestID(be.Uint32(raw[5:]))
-		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), events.Addr(raw[11:17])
-		ev.Status, ev.LatencyMs = events.Status(be.Uint16(raw[17:])), getF64(raw[19:])
+		ev.Kind, ev.Request = balancer.EvOutcome, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), balancer.Addr(raw[11:17])
+		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[17:])), getF64(raw[19:])
 		ev.Final = raw[27] != 0
-		if ev.Status != events.OK && (ev.Status < events.Error || ev.Status > events.Moot) {
+		if ev.Status != balancer.OK && (ev.Status < balancer.Error || ev.Status > balancer.Moot) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
 	case codeFlowing:
-		ev.Kind, ev.Request = events.EvStarted, events.RequestID(be.Uint32(raw[5:]))
-		ev.Server, ev.LatencyMs, ev.Attempt = events.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
+		ev.Kind, ev.Request = balancer.EvStarted, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Server, ev.LatencyMs, ev.Attempt = balancer.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
 	case codeDropped:
-		ev.Kind, ev.Request = events.EvDropped, events.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EvDropped, balancer.RequestID(be.Uint32(raw[5:]))
 	case codeHealth:
-		ev.Kind, ev.Server = events.EvProbed, events.Addr(raw[5:11])
-		ev.Status, ev.LatencyMs = events.Status(be.Uint16(raw[11:])), getF64(raw[13:])
+		ev.Kind, ev.Server = balancer.EvProbed, balancer.Addr(raw[5:11])
+		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[11:])), getF64(raw[13:])
 	case codeFired:
-		ev.Kind, ev.Token = events.EvTimer, be.Uint32(raw[5:])
+		ev.Kind, ev.Token = balancer.EvTimer, be.Uint32(raw[5:])
 	case codePeerData:
-		ev.Kind = events.EvPeer
+		ev.Kind = balancer.EvPeer
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
@@ -220,16 +220,16 @@
 	if err != nil {
 		return err
 	}
-	entries := make([]events.Entry, 0, len(lines)/entrySize)
+	entries := make([]balancer.Entry, 0, len(lines)/entrySize)
 	for ; len(lines) > 0; lines = lines[entrySize:] {
-		if lines[10] > uint8(events.Gone) {
+		if lines[10] > uint8(balancer.Gone) {
 			return fmt.Errorf("pool: health: unknown value %d", lines[10])
 		}
-		entries = append(entries, events.Entry{
+		entries = append(entries, balancer.Entry{
 			Zone:    int(be.Uint16(lines)),
 			SinceMs: getF64(lines[2:]),
-			Health:  events.Health(lines[10]),
-			Server:  events.Addr(lines[11:17]),
+			Health:  balancer.Health(lines[10]),
+			Server:  balancer.Addr(lines[11:17]),
 			Weight:  float64(math.Float32frombits(be.Uint32(lines[17:]))),
 			Cell:    int(be.Uint16(lines[21:])),
 			Kind:    int(lines[23]),
@@ -240,8 +240,8 @@
 }
 
 // ParseSettings reads the JSON text of a boot record. Unknown keys are skipped.
-func ParseSettings(text []byte) (events.Settings, error) {
-	var s events.Settings
+func ParseSettings(text []byte) (balancer.Settings, error) {
+	var s balancer.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		var bad *json.UnmarshalTypeError
 		if errors.As(err, &bad) {
@@ -283,37 +283,37 @@
 func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
 
 // Add appends one action of an instance.
-func (e *Encoder) Add(instance uint32, a *events.Action) {
+func (e *Encoder) Add(instance uint32, a *balancer.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
-	case events.ActSend:
+	case balancer.ActSend:
 		raw := e.record(codeCallOut, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
 		putF64(raw[15:], a.Ms)
-	case events.ActCancel:
+	case balancer.ActCancel:
 		raw := e.record(codeRetract, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
-	case events.ActRefuse:
+	case balancer.ActRefuse:
 		raw := e.record(codeNotNow, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.Ms)
-	case events.ActFail:
+	case balancer.ActFail:
 		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
-	case events.ActProbe:
+	case balancer.ActProbe:
 		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
-	case events.ActTimer:
+	case balancer.ActTimer:
 		raw := e.record(codeNotifyMe, instance)
 		putF64(raw[5:], a.Ms)
 		be.PutUint32(raw[13:], a.Token)
-	case events.ActFollow:
+	case balancer.ActFollow:
 		e.record(codeFollow, instance)[5] = 1
-	case events.ActFetch:
+	case balancer.ActFetch:
 		e.record(codeReadList, instance)
-	case events.ActClose:
+	case balancer.ActClose:
 		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
-	case events.ActLog:
+	case balancer.ActLog:
 		e.text(codeTrace, instance, a.Text)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"clayproxy.example/clayproxy/internal/events"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // frame builds a batch from hex text; blanks and newlines are for the reader.
@@ -51,14 +51,14 @@
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
 	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != events.EvRequest || ask.Request != 0x5d3a91c4 || ask.LeftMs != 240 ||
+	if recs[0].Instance != 3 || ask.Kind != balancer.EvRequest || ask.Request != 0x5d3a91c4 || ask.LeftMs != 240 ||
 		ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
-	if e := recs[1].Event; e.Kind != events.EvTimer || e.Token != 0x4d {
+	if e := recs[1].Event; e.Kind != balancer.EvTimer || e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
 	}
-	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != events.EvDropped || e.Request != 0x0e6f2b19 {
+	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != balancer.EvDropped || e.Request != 0x0e6f2b19 {
 		t.Errorf("dropped: %+v", recs[2])
 	}
 }
@@ -72,11 +72,11 @@
 		t.Fatal(err)
 	}
 	v := recs[0].Event
-	if v.Kind != events.EvOutcome || v.Attempt != 2 || v.Server != (events.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
-		v.Status != events.OK || v.LatencyMs != 18.5 || !v.Final {
+	if v.Kind != balancer.EvOutcome || v.Attempt != 2 || v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+		v.Status != balancer.OK || v.LatencyMs != 18.5 || !v.Final {
 		t.Errorf("verdict: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != events.EvProbed || p.Status != events.OK || p.LatencyMs != 1.4 {
+	if p := recs[1].Event; p.Kind != balancer.EvProbed || p.Status != balancer.OK || p.LatencyMs != 1.4 {
 		t.Errorf("health: %+v", p)
 	}
 }
@@ -96,11 +96,11 @@
 		t.Fatal(err)
 	}
 	a, b := recs[0].Event, recs[1].Event
-	if a.List != events.ListCached || b.List != events.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
+	if a.List != balancer.ListCached || b.List != balancer.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
 	e := a.Entries[0]
-	if e.Zone != 1 || e.SinceMs != 6100 || e.Health != events.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
+	if e.Zone != 1 || e.SinceMs != 6100 || e.Health != balancer.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
 		t.Errorf("entry: %+v", e)
 	}
 }
@@ -120,18 +120,18 @@
 
 func TestReplyAgainstWorkedOutBytes(t *testing.T) {
 	var e Encoder
-	s := events.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
-	for _, a := range []events.Action{
-		{Kind: events.ActSend, Request: 0x5d3a91c4, Server: s, Ms: 80},
-		{Kind: events.ActTimer, Ms: 500, Token: 0x4d},
-		{Kind: events.ActRefuse, Request: 0x0e6f2b19, Ms: 250},
-		{Kind: events.ActFail, Request: 0x0e6f2b19},
-		{Kind: events.ActCancel, Request: 0x5d3a91c4, Attempt: 1},
-		{Kind: events.ActProbe, Server: s},
-		{Kind: events.ActFollow},
-		{Kind: events.ActFetch},
-		{Kind: events.ActClose, Server: s},
-		{Kind: events.ActLog, Text: "two servers known"},
+	s := balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
+	for _, a := range []balancer.Action{
+		{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: s, Ms: 80},
+		{Kind: balancer.ActTimer, Ms: 500, Token: 0x4d},
+		{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, Ms: 250},
+		{Kind: balancer.ActFail, Request: 0x0e6f2b19},
+		{Kind: balancer.ActCancel, Request: 0x5d3a91c4, Attempt: 1},
+		{Kind: balancer.ActProbe, Server: s},
+		{Kind: balancer.ActFollow},
+		{Kind: balancer.ActFetch},
+		{Kind: balancer.ActClose, Server: s},
+		{Kind: balancer.ActLog, Text: "two servers known"},
 	} {
 		e.Add(3, &a)
 	}
@@ -218,14 +218,14 @@
 	if err != nil || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if e := recs[0].Event; e.Kind != events.EvStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
-		e.Server != (events.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
+	if e := recs[0].Event; e.Kind != balancer.EvStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
+		e.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
 		t.Errorf("flowing: %+v", e)
 	}
-	if e := recs[1].Event; e.Kind != events.EvList || e.List != events.ListFailed || e.Entries != nil {
+	if e := recs[1].Event; e.Kind != balancer.EvList || e.List != balancer.ListFailed || e.Entries != nil {
 		t.Errorf("targets of a failed call: %+v", e)
 	}
-	if e := recs[2].Event; e.Kind != events.EvPeer {
+	if e := recs[2].Event; e.Kind != balancer.EvPeer {
 		t.Errorf("peer_data: %+v", e)
 	}
 }
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Admission and budget: what is held, sent, refused, tried again, and what it may cost.
--- a/policy/health.go
+++ b/policy/health.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Tiers and demotion: what each answer tells of its server, its window and the agent's room.
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // The key hash with a load cap: which server of the best tier a request goes to.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,7 +7,7 @@
 	"math"
 	"math/rand/v2"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // The plain forms of what the module computes with less work: each walks all servers, and scores all
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // What a Balancer remembers, and plain arithmetic on it.
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	. "clayproxy.example/clayproxy/internal/events"
+	. "fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Validation and lapse: how a demoted server returns, and how the list is followed.
