--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -52,8 +52,8 @@
 		operators = ln.Operators.Addr().String()
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
-		"management", operators, "membership", cfg.Settings.Membership,
-		"agents", cfg.Settings.Replicas, "known", len(cfg.Known.Servers), "prices", fmt.Sprintf("%+v", cfg.Settings.Prices))
+		"management", operators, "membership", cfg.Settings.DiscoveryMode,
+		"agents", cfg.Settings.FleetSize, "known", len(cfg.Known.Servers), "prices", fmt.Sprintf("%+v", cfg.Settings.Costs))
 	reloads := make(chan *agent.Config)
 	go reload(stop, cfg, hangups, reloads)
 	return agent.Run(stop, cfg, ln, reloads)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -304,7 +304,7 @@
 func (c *Config) heldFor() time.Duration {
 	held := 100 * time.Millisecond
 	for _, class := range c.Settings.Classes {
-		held = max(held, min(ms(class.GiveUpMs), longestWait)+50*time.Millisecond)
+		held = max(held, min(ms(class.TotalTimeoutMs), longestWait)+50*time.Millisecond)
 	}
 	return linger + held
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -192,8 +192,8 @@
 	req := newRequest(addr, "order", "")
 	c := &call{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBody)}
 	now := time.Now()
-	if res := p.do(context.Background(), &backend{}, addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.ConnectFailed {
-		t.Errorf("ended as %d, want %d", res.status, balancer.ConnectFailed)
+	if res := p.do(context.Background(), &backend{}, addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusConnectFailed {
+		t.Errorf("ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
 	if p.open != 0 {
 		t.Errorf("%d connections counted as open", p.open)
@@ -210,17 +210,17 @@
 	now := time.Now()
 	drained := &backend{}
 	drained.closed.Store(true)
-	if res := p.do(t.Context(), drained, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.ConnectFailed {
-		t.Errorf("drained: ended as %d, want %d", res.status, balancer.ConnectFailed)
+	if res := p.do(t.Context(), drained, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusConnectFailed {
+		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := p.do(ctx, &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.Cancelled {
-		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.Cancelled)
+	if res := p.do(ctx, &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusCancelled {
+		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.StatusCancelled)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.OK {
-		t.Errorf("ended as %d, want %d", res.status, balancer.OK)
+	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
+		t.Errorf("ended as %d, want %d", res.status, balancer.StatusOK)
 	}
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
@@ -307,7 +307,7 @@
 }
 
 // orderRules are those of a class that must never run twice.
-var orderRules = &balancer.Rules{Class: balancer.Class{Name: "order", AimMs: 2000, GiveUpMs: 4000, Effect: balancer.SingleShot}, MaxAttempts: 3}
+var orderRules = &balancer.RequestRules{Class: balancer.Class{Name: "order", LatencyObjectiveMs: 2000, TotalTimeoutMs: 4000, Idempotency: balancer.NonIdempotent}, MaxAttempts: 3}
 
 // The backstop answers before the deadline when the module does not.
 func TestBackstop(t *testing.T) {
@@ -722,7 +722,7 @@
 	if text := waitLine(t, lines, "decaf"); !strings.Contains(text, "unknown Request-Class") {
 		t.Errorf("line %q does not say why", text)
 	}
-	if f := a.figures(); f.rejected != 1 || f.failed != 1 || f.ends[balancer.Error] != 1 {
+	if f := a.figures(); f.rejected != 1 || f.failed != 1 || f.ends[balancer.StatusError] != 1 {
 		t.Errorf("figures %+v", f)
 	}
 	if b.count() != 1 {
@@ -802,9 +802,9 @@
 		return serving(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
-		c.Settings.Limits.Probing = true
+		c.Settings.Limits.HealthChecks = true
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].AimMs = 20 // how long a first failure holds
+			c.Settings.Classes[i].LatencyObjectiveMs = 20 // how long a first failure holds
 		}
 	})
 	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
@@ -833,12 +833,12 @@
 		answer func(net.Conn, *http.Request, int) bool
 		want   balancer.Status
 	}{
-		"healthy":     {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 200, "", "") }, balancer.OK},
-		"not healthy": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "", "") }, balancer.Error},
+		"healthy":     {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 200, "", "") }, balancer.StatusOK},
+		"not healthy": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "", "") }, balancer.StatusError},
 		"full": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "Not-Started: 1\r\n", "") },
-			balancer.Full},
-		"reset":  {func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, balancer.Reset},
-		"silent": {func(net.Conn, *http.Request, int) bool { return true }, balancer.Timeout},
+			balancer.StatusOverloaded},
+		"reset":  {func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, balancer.StatusReset},
+		"silent": {func(net.Conn, *http.Request, int) bool { return true }, balancer.StatusTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t, test.answer)
@@ -848,8 +848,8 @@
 			}
 			drained := &backend{}
 			drained.closed.Store(true)
-			if res := p.probe(t.Context(), drained, b.addr, "x"); res.status != balancer.ConnectFailed {
-				t.Errorf("drained: ended as %d, want %d", res.status, balancer.ConnectFailed)
+			if res := p.probe(t.Context(), drained, b.addr, "x"); res.status != balancer.StatusConnectFailed {
+				t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 			}
 			if b.count() != 1 {
 				t.Errorf("%d arrivals, want 1", b.count())
@@ -934,7 +934,7 @@
 func TestPushedChangesAreWatchedFor(t *testing.T) {
 	first, second := newBackend(t, serving), newBackend(t, serving)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
-	a := startAgent(t, d, func(c *Config) { c.Settings.Membership = "pushed" })
+	a := startAgent(t, d, func(c *Config) { c.Settings.DiscoveryMode = "pushed" })
 	d.told(t, target("s-2", second.addr))
 	d.setDown(true)
 	for before := d.callCount(); d.callCount() < before+2; time.Sleep(time.Millisecond) {
@@ -960,7 +960,7 @@
 		t.Run(mode, func(t *testing.T) {
 			first, second := newBackend(t, serving), newBackend(t, serving)
 			old := newDiscoveryServer(t, target("s-1", first.addr))
-			a := startAgent(t, old, func(c *Config) { c.Settings.Membership = mode })
+			a := startAgent(t, old, func(c *Config) { c.Settings.DiscoveryMode = mode })
 			old.wait(t, 1)
 			moved := newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr))
 			moved.list.Version = 7
@@ -1072,16 +1072,16 @@
 	req := newRequest(b.addr, "order", "x")
 	c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 	now := time.Now()
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.OK {
-		t.Errorf("ended as %d (%s), want %d", res.status, res.why, balancer.OK)
+	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
+		t.Errorf("ended as %d (%s), want %d", res.status, res.why, balancer.StatusOK)
 	}
 	if b.count() != 1 || p.size() != 1 {
 		t.Errorf("%d arrivals and %d connections, want 1 and 1", b.count(), p.size())
 	}
 	p.hangUp(b.addr)
 	p.max = 0
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.Full {
-		t.Errorf("no descriptor: ended as %d, want %d", res.status, balancer.Full)
+	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOverloaded {
+		t.Errorf("no descriptor: ended as %d, want %d", res.status, balancer.StatusOverloaded)
 	}
 }
 
@@ -1096,7 +1096,7 @@
 	p.times.feed(100, 200*time.Millisecond, 2)
 	for _, idled := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond} {
 		now := time.Now()
-		if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.OK {
+		if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
 			t.Fatalf("ended as %d (%s)", res.status, res.why)
 		}
 		p.idle[b.addr][0].since = time.Now().Add(-idled)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -153,9 +153,9 @@
 	r := p.exchange(ctx, b, addr, m, deadline)
 	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
 	// off a connect; an answer that was already there stands.
-	if ctx.Err() != nil && r.status != balancer.OK && r.status != balancer.Full {
-		if r.status = balancer.Cancelled; !whole && !m.long.whole() && r.client == nil {
-			r.status = balancer.Moot // its last byte was never sent
+	if ctx.Err() != nil && r.status != balancer.StatusOK && r.status != balancer.StatusOverloaded {
+		if r.status = balancer.StatusCancelled; !whole && !m.long.whole() && r.client == nil {
+			r.status = balancer.StatusUnsent // its last byte was never sent
 		}
 	}
 	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
@@ -212,7 +212,7 @@
 			r.body.rest.pace(true)
 		case r.body != nil && r.body.rest != nil:
 			r.body.end()
-			r = result{status: balancer.Cancelled}
+			r = result{status: balancer.StatusCancelled}
 		case reusable && !withdrawn:
 			p.put(cn, b)
 		default:
@@ -222,7 +222,7 @@
 	}()
 	cn.SetDeadline(deadline)
 	if ctx.Err() != nil {
-		return result{status: balancer.ConnectFailed}, false
+		return result{status: balancer.StatusConnectFailed}, false
 	}
 	if r, reusable = m.barred(b); reusable {
 		return r, false
@@ -233,7 +233,7 @@
 	}
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
-		return result{status: balancer.ConnectFailed, why: err.Error()}, false
+		return result{status: balancer.StatusConnectFailed, why: err.Error()}, false
 	}
 	if n, err := cn.Write(out.Bytes()); err != nil {
 		if n < out.Len() {
@@ -253,11 +253,11 @@
 func (m *message) barred(b *backend) (r result, yes bool) {
 	switch {
 	case b.closed.Load():
-		return result{status: balancer.ConnectFailed, why: "drains or gone"}, true
+		return result{status: balancer.StatusConnectFailed, why: "drains or gone"}, true
 	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
-		return result{status: balancer.Moot, why: "the time for repeats is over"}, true
+		return result{status: balancer.StatusUnsent, why: "the time for repeats is over"}, true
 	case m.gone != nil && m.gone():
-		return result{status: balancer.Moot, why: errGone.Error(), client: errGone}, true
+		return result{status: balancer.StatusUnsent, why: errGone.Error(), client: errGone}, true
 	}
 	return result{}, false
 }
@@ -295,7 +295,7 @@
 		case client != nil:
 			cn.SetReadDeadline(time.Unix(1, 0))
 			<-heads
-			return result{status: balancer.Cancelled, why: "client: " + client.Error(), client: client}, false
+			return result{status: balancer.StatusCancelled, why: "client: " + client.Error(), client: client}, false
 		default: // an answer may be there, or on its way behind what was not read
 			cn.SetReadDeadline(time.Now().Add(earlyAnswer))
 		}
@@ -319,7 +319,7 @@
 	}
 	if errors.Is(err, errEarly) && h.resp == nil && mayHaveLeft(cn, m.long) {
 		status := broken(h.err)
-		return result{status: status, why: cn.story(h.err), cut: status == balancer.Reset}, false
+		return result{status: status, why: cn.story(h.err), cut: status == balancer.StatusReset}, false
 	}
 	if err != nil && h.resp == nil {
 		// The last byte never left, and the connection is closed: it cannot run.
@@ -328,7 +328,7 @@
 	}
 	if r, *reusable = p.read(cn, b, h.resp, h.err); err != nil && r.body != nil {
 		r.body.end()
-		return result{status: balancer.Error, why: err.Error()}, false
+		return result{status: balancer.StatusError, why: err.Error()}, false
 	}
 	*reusable = *reusable && err == nil
 	return r, false
@@ -352,9 +352,9 @@
 func (p *pool) read(cn *conn, b *backend, resp *http.Response, err error) (r result, reusable bool) {
 	if resp == nil {
 		s := broken(err)
-		return result{status: s, why: cn.story(err), cut: s == balancer.Reset}, false
+		return result{status: s, why: cn.story(err), cut: s == balancer.StatusReset}, false
 	}
-	if r.status = outcome(resp); r.status != balancer.OK {
+	if r.status = outcome(resp); r.status != balancer.StatusOK {
 		r.why = resp.Status
 		// What it says is no one's, but it has to have come whole.
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
@@ -406,11 +406,11 @@
 	var op *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return balancer.Timeout
+		return balancer.StatusTimeout
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &op):
-		return balancer.Reset
+		return balancer.StatusReset
 	}
-	return balancer.Error // an answer that can't be read
+	return balancer.StatusError // an answer that can't be read
 }
 
 // outcome maps a whole answer. Only the backend's own word proves that a request
@@ -418,14 +418,14 @@
 func outcome(resp *http.Response) balancer.Status {
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return balancer.OK
+		return balancer.StatusOK
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Not-Started") == "1":
-		return balancer.Full
+		return balancer.StatusOverloaded
 	case resp.StatusCode == http.StatusBadRequest:
-		return balancer.Unfit
+		return balancer.StatusBadRequest
 	}
-	return balancer.Error
+	return balancer.StatusError
 }
 
 // readHead reads the head of one final answer, passing over interim ones.
--- a/internal/agent/broken_test.go
+++ b/internal/agent/broken_test.go
@@ -19,14 +19,14 @@
 // connection broke, it was reset.
 func TestBrokenConnectionsAreResets(t *testing.T) {
 	want := map[error]balancer.Status{
-		readError(os.ErrDeadlineExceeded): balancer.Timeout,
-		io.EOF:                            balancer.Reset,
-		io.ErrUnexpectedEOF:               balancer.Reset,
-		errors.New("answer is not HTTP"):  balancer.Error,
+		readError(os.ErrDeadlineExceeded): balancer.StatusTimeout,
+		io.EOF:                            balancer.StatusReset,
+		io.ErrUnexpectedEOF:               balancer.StatusReset,
+		errors.New("answer is not HTTP"):  balancer.StatusError,
 	}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM} {
-		want[readError(os.NewSyscallError("read", errno))] = balancer.Reset
+		want[readError(os.NewSyscallError("read", errno))] = balancer.StatusReset
 	}
 	for err, status := range want {
 		if got := broken(err); got != status {
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -87,7 +87,7 @@
 		fmt.Fprint(a.dial(), readRequest)
 	}
 	until(t, "all room is taken", func() bool { return b.count() == room })
-	queued := func() bool { return inLoop(a, func(l *loop) int { return l.balancer.View().Held }) == 1 }
+	queued := func() bool { return inLoop(a, func(l *loop) int { return l.balancer.Stats().Queued }) == 1 }
 	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
 		begun: b.begun, allowed: room, answers: 1}
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -283,7 +283,7 @@
 		if c.Fleet, err = membership.Parse(f.Fleet); err != nil {
 			return nil, fmt.Errorf("config: %w", err)
 		}
-		c.Fleet.Name, c.Fleet.Size = c.Name, c.Settings.Replicas
+		c.Fleet.Name, c.Fleet.Size = c.Name, c.Settings.FleetSize
 		if c.Fleet.Version = version(); c.Sockets < minSockets+membership.Sockets {
 			return nil, fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", minSockets+membership.Sockets, c.Sockets)
 		}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -60,7 +60,7 @@
 // be killed: the longest deadline, 3 s at the most, and 0.7 s later.
 func TestTheEndIsBeforeTheKill(t *testing.T) {
 	for _, longest := range []float64{300, 3000, 20000} {
-		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{GiveUpMs: 200}, {GiveUpMs: longest}}}}
+		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
 		end, kill := c.heldFor(), min(ms(longest), 3*time.Second)+700*time.Millisecond
 		if end <= linger+min(ms(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
 			t.Errorf("longest deadline %v ms: the end is %v after SIGTERM, the kill %v", longest, end, kill)
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/connect_errors.go
@@ -29,9 +29,9 @@
 // connectFailure is how an attempt ends that got no connection. The backend is not demoted for what
 // this agent or its machine lacks.
 func connectFailure(err error) result {
-	status := balancer.ConnectFailed
+	status := balancer.StatusConnectFailed
 	if errors.Is(err, errTooMany) || isOneOf(err, localErrors) {
-		status = balancer.Full
+		status = balancer.StatusOverloaded
 	}
 	return result{status: status, why: err.Error()}
 }
@@ -43,9 +43,9 @@
 // writeFailure is the status of an attempt whose last byte was not written.
 func writeFailure(err error) balancer.Status {
 	if isOneOf(err, localWriteErrors) {
-		return balancer.Full
+		return balancer.StatusOverloaded
 	}
-	return balancer.ConnectFailed
+	return balancer.StatusConnectFailed
 }
 
 func isOneOf(err error, list []syscall.Errno) bool {
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -45,13 +45,13 @@
 
 func TestConnectErrorsTellOwnLackFromTheServersFault(t *testing.T) {
 	for _, errno := range localErrnos {
-		if r := connectWith(t, errno); r.status != balancer.Full {
-			t.Errorf("%v: ended as %d, want %d", errno, r.status, balancer.Full)
+		if r := connectWith(t, errno); r.status != balancer.StatusOverloaded {
+			t.Errorf("%v: ended as %d, want %d", errno, r.status, balancer.StatusOverloaded)
 		}
 	}
 	for _, errno := range serverErrnos {
-		if r := connectWith(t, errno); r.status != balancer.ConnectFailed {
-			t.Errorf("%v: ended as %d, want %d", errno, r.status, balancer.ConnectFailed)
+		if r := connectWith(t, errno); r.status != balancer.StatusConnectFailed {
+			t.Errorf("%v: ended as %d, want %d", errno, r.status, balancer.StatusConnectFailed)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 		}
 		return status == http.StatusOK
 	})
-	states := inLoop(a, func(l *loop) [4]int { return l.balancer.View().States })
+	states := inLoop(a, func(l *loop) [4]int { return l.balancer.Stats().States })
 	if demoted := states[balancer.UnhealthyPending] + states[balancer.Unhealthy]; demoted != 0 {
 		t.Errorf("%d servers demoted of %v", demoted, states)
 	}
@@ -89,8 +89,8 @@
 func TestWriteErrorsTellOwnLackFromTheServersFault(t *testing.T) {
 	b := newBackend(t, serving)
 	want := map[syscall.Errno]balancer.Status{
-		syscall.ENOBUFS: balancer.Full, syscall.ENOMEM: balancer.Full,
-		syscall.EPIPE: balancer.ConnectFailed, syscall.ETIMEDOUT: balancer.ConnectFailed, syscall.ENETUNREACH: balancer.ConnectFailed,
+		syscall.ENOBUFS: balancer.StatusOverloaded, syscall.ENOMEM: balancer.StatusOverloaded,
+		syscall.EPIPE: balancer.StatusConnectFailed, syscall.ETIMEDOUT: balancer.StatusConnectFailed, syscall.ENETUNREACH: balancer.StatusConnectFailed,
 	}
 	for errno, status := range want {
 		p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 1,
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -145,7 +145,7 @@
 func inForceNow(a *testAgent) [4]int {
 	return inLoop(a, func(l *loop) [4]int {
 		s := &l.cfg.Settings
-		return [4]int{s.Limits.MaxAttempts, int(s.RoundMs), s.Index, s.Zone}
+		return [4]int{s.Limits.MaxAttempts, int(s.RoundTripMs), s.Index, s.Zone}
 	})
 }
 
@@ -271,7 +271,7 @@
 		}
 	}()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), func(c *Config) {
-		c.Name, c.Discovery, c.Settings.Membership = "pay-1", ln.Addr().String(), "pushed"
+		c.Name, c.Discovery, c.Settings.DiscoveryMode = "pay-1", ln.Addr().String(), "pushed"
 	})
 	for _, index := range []int{1, 5, 5} {
 		want := fmt.Sprintf("GET /api/targets?index=%d&wait=1000 HTTP/1.1\r\nHost: %s\r\nUser-Agent: Go-http-client/1.1\r\n\r\n", index, ln.Addr())
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -55,7 +55,7 @@
 		a := startAgent(t, newDiscoveryServer(t, target(ids[0], fails.addr), target(ids[1], ln.Addr().String())), func(c *Config) {
 			c.Settings.Limits.ConnectTimeoutMs = 10_000
 			for i := range c.Settings.Classes {
-				c.Settings.Classes[i].KeyTTLMs = 400
+				c.Settings.Classes[i].DedupWindowMs = 400
 			}
 		})
 		before := fails.count()
@@ -99,7 +99,7 @@
 		if status := <-got; status != 502 {
 			t.Errorf("answered %d, want 502", status)
 		}
-		if f := a.figures(); f.ends[balancer.Moot] != 1 {
+		if f := a.figures(); f.ends[balancer.StatusUnsent] != 1 {
 			t.Errorf("figures %+v", f)
 		}
 		return
@@ -121,7 +121,7 @@
 		return fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, b.addr)
 	})
 	from := time.Now()
-	a := startAgent(t, newDiscoveryServer(t), func(c *Config) { c.Discovery, c.Settings.Membership = addr, "pushed" })
+	a := startAgent(t, newDiscoveryServer(t), func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
 	if took := time.Since(from); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -429,7 +429,7 @@
 // apply takes a list into the table and returns the module's entries, the
 // addresses whose idle connections are of no more use, and the backends gone.
 // started tells when a backend's process started, on the module's clock.
-func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Entry, stale []string, gone []*backend) {
+func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Endpoint, stale []string, gone []*backend) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -437,7 +437,7 @@
 			continue
 		}
 		named[s.ID] = true
-		e := balancer.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: started(s), Weight: s.Weight}
+		e := balancer.Endpoint{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, StartedMs: started(s), Weight: s.Weight}
 		if z, ok := t.zones[s.Zone]; ok {
 			e.Zone = z
 		}
@@ -446,11 +446,11 @@
 		}
 		switch s.State {
 		case "up":
-			e.Health = balancer.Ready
+			e.State = balancer.Ready
 		case "removed":
-			e.Health = balancer.Gone
+			e.State = balancer.Removed
 		default: // draining, and whatever else is not said to be up
-			e.Health = balancer.Draining
+			e.State = balancer.Draining
 		}
 		b := t.backend(s.ID)
 		e.Server = b.name
@@ -458,10 +458,10 @@
 			stale = append(stale, b.addr)
 			b.addr = s.Addr
 		}
-		if b.closed.Store(e.Health != balancer.Ready); e.Health != balancer.Ready {
+		if b.closed.Store(e.State != balancer.Ready); e.State != balancer.Ready {
 			stale = append(stale, b.addr)
 		}
-		if b.gone = e.Health == balancer.Gone; b.gone {
+		if b.gone = e.State == balancer.Removed; b.gone {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -112,9 +112,9 @@
 			d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 			a := startAgent(t, d, func(c *Config) {
 				c.Discovery = addr
-				c.Settings.Membership = mode
-				c.Settings.Replicas = 300
-				c.Settings.Contract.AskWithinMs = 10000
+				c.Settings.DiscoveryMode = mode
+				c.Settings.FleetSize = 300
+				c.Settings.Contract.PollWithinMs = 10000
 			})
 			nextCall(t, calls)
 			nextCall(t, calls)
@@ -223,7 +223,7 @@
 			})
 			d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 			d.list.Version = 50
-			a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.Membership = addr, "pushed" })
+			a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
 			lines := a.logged(t)
 			close(release)
 			waitLine(t, lines, "discovery call failed")
@@ -263,7 +263,7 @@
 	})
 	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 	d.list.Version = 50
-	a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.Membership = addr, "pushed" })
+	a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
 	until(t, "the list of the discovery that started again is followed", func() bool {
 		return inLoop(a, func(l *loop) bool {
 			ids := l.table.byID
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -90,17 +90,17 @@
 // classTable has the rules of each class by its name, and what else settings say of requests.
 // It is never changed, but replaced.
 type classTable struct {
-	rules        map[string]*balancer.Rules
+	rules        map[string]*balancer.RequestRules
 	marksRetry   bool
 	retryAfterMs float64
 }
 
 // retune puts the settings in force for requests that come from now on.
 func (f *front) retune(cfg *Config) {
-	t := &classTable{rules: map[string]*balancer.Rules{}, marksRetry: cfg.Settings.Clients.MarksRetry,
+	t := &classTable{rules: map[string]*balancer.RequestRules{}, marksRetry: cfg.Settings.Clients.MarksRetry,
 		retryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs}
 	for _, c := range cfg.Settings.Classes {
-		t.rules[c.Name] = &balancer.Rules{Class: c, MaxAttempts: cfg.Settings.Limits.MaxAttempts}
+		t.rules[c.Name] = &balancer.RequestRules{Class: c, MaxAttempts: cfg.Settings.Limits.MaxAttempts}
 	}
 	f.classes.Store(t)
 }
@@ -327,7 +327,7 @@
 	if c.id == "" {
 		return bad("no Request-Id")
 	}
-	if c.rules.Effect == balancer.Guarded && h.Get("Idempotency-Key") == "" {
+	if c.rules.Idempotency == balancer.IdempotentByKey && h.Get("Idempotency-Key") == "" {
 		return bad("no Idempotency-Key, which this class needs")
 	}
 	left, err := strconv.Atoi(h.Get("Request-Timeout-Ms"))
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -152,7 +152,7 @@
 			c := a.dial()
 			fmt.Fprint(c, text)
 			until(t, "the ninth waits", func() bool {
-				return inLoop(a, func(l *loop) int { return l.balancer.View().Held }) == 1
+				return inLoop(a, func(l *loop) int { return l.balancer.Stats().Queued }) == 1
 			})
 			if name == "a further byte" {
 				fmt.Fprint(c, "X")
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -110,7 +110,7 @@
 	body         []byte    // as far as it is kept
 	long         *longBody // its rest, if there is more
 	timeout      time.Duration
-	rules        *balancer.Rules // as they were when it came
+	rules        *balancer.RequestRules // as they were when it came
 	key          uint64
 	retry        bool
 	deadline     time.Time
@@ -249,44 +249,44 @@
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case balancer.ActSend:
+		case balancer.ActionForward:
 			l.send(a)
-		case balancer.ActCancel:
+		case balancer.ActionCancelAttempt:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
 					t.cancel()
 				}
 			}
-		case balancer.ActRefuse:
+		case balancer.ActionReject:
 			if r := l.requests[a.Request]; r != nil {
 				l.refuse(r, a.Ms)
 			}
-		case balancer.ActFail:
+		case balancer.ActionFail:
 			if r := l.requests[a.Request]; r != nil {
 				l.finish(r, answer{verdict: failed, unfit: r.unfit})
 			}
-		case balancer.ActTimer:
+		case balancer.ActionSetTimer:
 			token := a.Token
 			time.AfterFunc(ms(a.Ms), func() {
-				l.post(func() { l.handle(&balancer.Event{Kind: balancer.EvTimer, Token: token}) })
+				l.post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
 			})
-		case balancer.ActFollow:
+		case balancer.ActionWatchList:
 			if !l.watching { // one watch is enough; it tells what another would
 				l.watching = true
 				go l.disc.watch(l.ctx)
 			}
-		case balancer.ActFetch:
+		case balancer.ActionFetchList:
 			if !l.fetching {
 				l.fetching = true
 				go l.disc.fetch(l.ctx)
 			}
-		case balancer.ActClose:
+		case balancer.ActionCloseIdle:
 			if b := l.table.byAddr[a.Server]; b != nil {
 				l.pool.hangUp(b.addr)
 			}
-		case balancer.ActLog:
+		case balancer.ActionLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
-		case balancer.ActProbe:
+		case balancer.ActionHealthCheck:
 			l.probe(a.Server)
 		}
 	}
@@ -302,7 +302,7 @@
 	r := &request{id: l.nextID, call: c}
 	l.open++
 	left := time.Until(c.deadline)
-	most := l.cfg.Settings.Limits.OpenCap
+	most := l.cfg.Settings.Limits.MaxOpenRequests
 	if time.Until(c.answerBy()) <= 0 || most > 0 && l.open > most {
 		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
@@ -312,8 +312,8 @@
 		l.post(func() { l.late(r) })
 	})
 	left -= min(moduleMargin, left/8)
-	l.handle(&balancer.Event{Kind: balancer.EvRequest, Request: r.id, Rules: c.rules,
-		Key: c.key, LeftMs: float64(left.Microseconds()) / 1000, Retry: c.retry, Long: c.long != nil})
+	l.handle(&balancer.Event{Kind: balancer.EventRequest, Request: r.id, Rules: c.rules,
+		Key: c.key, RemainingMs: float64(left.Microseconds()) / 1000, Retry: c.retry, StreamedBody: c.long != nil})
 	return r
 }
 
@@ -330,8 +330,8 @@
 	r.backstop.Reset(time.Until(c.answerBy()))
 	left := max(time.Until(c.deadline), 0)
 	left -= min(moduleMargin, left/8)
-	l.handle(&balancer.Event{Kind: balancer.EvWritten, Request: r.id, Attempt: index,
-		LeftMs: float64(left.Microseconds()) / 1000})
+	l.handle(&balancer.Event{Kind: balancer.EventRequestSent, Request: r.id, Attempt: index,
+		RemainingMs: float64(left.Microseconds()) / 1000})
 }
 
 // late is the backstop: the module should have ended the request before. That it
@@ -406,14 +406,14 @@
 			t.cancel()
 		}
 	}
-	l.handle(&balancer.Event{Kind: balancer.EvDropped, Request: r.id})
+	l.handle(&balancer.Event{Kind: balancer.EventClientGone, Request: r.id})
 }
 
 // refuse answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
 func (l *loop) refuse(r *request, afterMs float64) {
 	c := r.call.rules
-	if r.mayRun > 0 && (c.Effect == balancer.SingleShot || c.Effect == balancer.Guarded && c.Group != balancer.GroupAll) {
+	if r.mayRun > 0 && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
 		l.guard("refusal after an attempt that may have run", "id", r.call.id)
 		l.finish(r, answer{verdict: failed})
 		return
@@ -426,7 +426,7 @@
 	if r.answered {
 		return
 	}
-	aim := ms(r.call.rules.AimMs)
+	aim := ms(r.call.rules.LatencyObjectiveMs)
 	switch {
 	case a.verdict == served && time.Since(r.call.came) <= aim:
 		l.figures.served++
@@ -486,18 +486,18 @@
 		l.guard(why, "id", r.call.id)
 	}
 	if why != "" {
-		t.done, t.end, t.why = true, balancer.Moot, why
-		l.pending = append(l.pending, balancer.Event{Kind: balancer.EvOutcome, Request: r.id, Attempt: index,
-			Server: a.Server, Status: balancer.Moot, Final: r.answered})
+		t.done, t.end, t.why = true, balancer.StatusUnsent, why
+		l.pending = append(l.pending, balancer.Event{Kind: balancer.EventAttemptDone, Request: r.id, Attempt: index,
+			Server: a.Server, Status: balancer.StatusUnsent, RequestDone: r.answered})
 		return
 	}
 	var sendBy time.Time
 	if r.mayRun == 0 {
 		r.ranAt = now
-	} else if c := r.call.rules; c.Effect == balancer.Guarded {
+	} else if c := r.call.rules; c.Idempotency == balancer.IdempotentByKey {
 		// Backends drop repeats for so long. The connect may take its time, so the module's
 		// look at the clock is not enough; what is written has a round to arrive.
-		sendBy = r.ranAt.Add(ms(c.KeyTTLMs - 2*l.cfg.Settings.RoundMs))
+		sendBy = r.ranAt.Add(ms(c.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
 	}
 	r.writing = long
 	r.out++
@@ -520,8 +520,8 @@
 // probe, so one that can't be sent has ended too.
 func (l *loop) probe(name balancer.Addr) {
 	b := l.table.byAddr[name]
-	if b == nil || b.addr == "" || b.closed.Load() || !l.cfg.Settings.Limits.Probing {
-		l.pending = append(l.pending, balancer.Event{Kind: balancer.EvProbed, Server: name, Status: balancer.Moot})
+	if b == nil || b.addr == "" || b.closed.Load() || !l.cfg.Settings.Limits.HealthChecks {
+		l.pending = append(l.pending, balancer.Event{Kind: balancer.EventHealthCheckDone, Server: name, Status: balancer.StatusUnsent})
 		return
 	}
 	b.out++
@@ -536,10 +536,10 @@
 func (l *loop) probed(b *backend, res *result) {
 	b.out--
 	l.figures.probes[res.status]++
-	if res.status != balancer.OK {
+	if res.status != balancer.StatusOK {
 		l.log(slog.LevelInfo, "probe failed", "backend", b.id, "ended", res.status, "why", res.why)
 	}
-	l.handle(&balancer.Event{Kind: balancer.EvProbed, Server: b.name, Status: res.status,
+	l.handle(&balancer.Event{Kind: balancer.EventHealthCheckDone, Server: b.name, Status: res.status,
 		LatencyMs: res.latencyMs})
 	l.table.forget(b)
 }
@@ -560,7 +560,7 @@
 		return "more attempts than allowed"
 	case r.call.long.spent():
 		return "repeat of a body that was not kept"
-	case r.mayRun > 0 && c.Effect == balancer.SingleShot:
+	case r.mayRun > 0 && c.Idempotency == balancer.NonIdempotent:
 		return "repeat of an unsafe request that may have run"
 	case !until.After(now):
 		return "attempt without time"
@@ -575,24 +575,24 @@
 	l.figures.ends[res.status]++
 	t.backend.out--
 	r.out--
-	if res.status.NeverRan() {
+	if res.status.NotExecuted() {
 		r.mayRun--
 	}
-	r.unfit = res.status == balancer.Unfit
+	r.unfit = res.status == balancer.StatusBadRequest
 	r.writing = false
 	switch {
 	case r.answered:
 		res.body.end()
-	case res.status != balancer.OK && r.call.ctx.Err() != nil:
+	case res.status != balancer.StatusOK && r.call.ctx.Err() != nil:
 		l.left(r) // the front's word of it is on its way
-	case res.status == balancer.OK:
+	case res.status == balancer.StatusOK:
 		l.finish(r, answer{verdict: served, header: res.header, body: res.body})
 	case res.client != nil:
 		// No more of the request comes, so it is none, and no backend has it whole.
 		l.finish(r, answer{verdict: failed, unfit: true})
 	}
-	l.handle(&balancer.Event{Kind: balancer.EvOutcome, Request: r.id, Attempt: index, Server: t.backend.name,
-		Status: res.status, LatencyMs: res.latencyMs, Final: r.answered, Spent: r.call.long.spent()})
+	l.handle(&balancer.Event{Kind: balancer.EventAttemptDone, Request: r.id, Attempt: index, Server: t.backend.name,
+		Status: res.status, LatencyMs: res.latencyMs, RequestDone: r.answered, BodyConsumed: r.call.long.spent()})
 	if r.answered && r.out == 0 {
 		delete(l.requests, r.id)
 	}
@@ -659,7 +659,7 @@
 		if n.watch {
 			l.watching = false
 		}
-		l.handle(&balancer.Event{Kind: balancer.EvList, List: balancer.ListFailed})
+		l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 		return
 	}
 	list := n.list
@@ -694,15 +694,15 @@
 func (l *loop) keepsWatch() bool { return l.disc.turn != nil || l.pushed() }
 
 // pushed tells whether changes of the list come without the module's asking.
-func (l *loop) pushed() bool { return l.cfg.Settings.Membership == "pushed" }
+func (l *loop) pushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
 
-func (l *loop) list(list *List, kind balancer.ListKind, full bool, told listing) {
+func (l *loop) list(list *List, kind balancer.ListUpdate, full bool, told listing) {
 	l.version = list.Version
 	entries, stale, gone := l.table.apply(list, full, func(t *Target) float64 { return l.starts.resolve(t, told) })
 	for _, addr := range stale {
 		l.pool.hangUp(addr)
 	}
-	l.handle(&balancer.Event{Kind: balancer.EvList, List: kind, Entries: entries})
+	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
 	for _, b := range gone {
 		l.table.forget(b)
 	}
@@ -779,7 +779,7 @@
 
 func (l *loop) logFigures() {
 	l.write(slog.LevelInfo, "figures", "open", l.open, "backend_conns", l.pool.size(), "connects", l.pool.connects(), "idle_limit", l.pool.idleLimit(),
-		"module", fmt.Sprintf("%+v", l.balancer.View()),
+		"module", fmt.Sprintf("%+v", l.balancer.Stats()),
 		"counts", fmt.Sprintf("%+v", *l.counts()))
 }
 
--- a/internal/agent/management_test.go
+++ b/internal/agent/management_test.go
@@ -205,8 +205,8 @@
 	cfg := *a.loop.cfg
 	cfg.Settings.Limits.MaxAttempts = 1
 	cfg.Settings.Classes = []balancer.Class{
-		{Name: "read", AimMs: 1000, GiveUpMs: 3000, Effect: balancer.SingleShot, Credit: 1},
-		{Name: "fresh", AimMs: 1000, GiveUpMs: 3000, Effect: balancer.SingleShot, Credit: 1},
+		{Name: "read", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
+		{Name: "fresh", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
 	}
 	lines := a.logged(t)
 	a.reloads <- &cfg
--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -83,7 +83,7 @@
 		list[i] = target(fmt.Sprintf("s-%d", i), newBackend(b, serving).addr)
 	}
 	a := startAgent(b, newDiscoveryServer(b, list...), func(c *Config) {
-		c.Sockets, c.Settings.Replicas = 4096, servers
+		c.Sockets, c.Settings.FleetSize = 4096, servers
 	})
 	idle := a.loop.pool.idleLimit()
 	direct := newWay(2, idle)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -88,7 +88,7 @@
 	t.Parallel()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", newBackend(t, serving).addr)), func(c *Config) {
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].GiveUpMs = 300
+			c.Settings.Classes[i].TotalTimeoutMs = 300
 		}
 	})
 	c := a.dial()
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -108,7 +108,7 @@
 // steppedAgent is an agent of one backend, with a clock that a test steps.
 func steppedAgent(t *testing.T, d *fakeDiscovery, ahead time.Duration) (*testAgent, *clocktest.Stepped) {
 	stepped := clocktest.NewStepped(ahead)
-	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.Membership = stepped, "pushed" }), stepped
+	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.DiscoveryMode = stepped, "pushed" }), stepped
 }
 
 // unixNowMs is the time of day by a true clock, as lists tell it.
--- a/internal/policytest/clock_test.go
+++ b/internal/policytest/clock_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // wallSteps are steps of a wall clock in ms, as terms of service name them: seconds or an hour.
@@ -15,11 +15,11 @@
 	t.Helper()
 	r := newRig(t, testSettings(), 5)
 	r.now = 1e9
-	entry := Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now - beforeMs}
-	r.list(ListDelta, entry)
+	entry := balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now - beforeMs}
+	r.list(balancer.ListDelta, entry)
 	r.warm(200, 2)
-	entry.SinceMs = r.now + stepMs
-	r.list(ListDelta, entry)
+	entry.StartedMs = r.now + stepMs
+	r.list(balancer.ListDelta, entry)
 	return r.newKeys(400, 2, addr(4))
 }
 
@@ -49,16 +49,16 @@
 	for _, since := range []float64{0, -100, 3_600_000} { // long ago, of late, ahead of the agent's clock
 		share := func(tell bool) int {
 			r := newRig(t, testSettings(), 5)
-			entry := Entry{Server: addr(4), Health: Ready, Weight: 1}
+			entry := balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1}
 			if since != 0 {
-				entry.SinceMs = r.now + since
+				entry.StartedMs = r.now + since
 			}
-			r.list(ListDelta, entry)
+			r.list(balancer.ListDelta, entry)
 			got := 0
 			for range 20 {
 				got += r.newKeys(20, 2, addr(4))
 				if tell {
-					r.list(ListDelta, entry)
+					r.list(balancer.ListDelta, entry)
 				}
 			}
 			return got
@@ -78,20 +78,20 @@
 		}
 		r := newRig(t, testSettings(), 1)
 		r.now = 1e9
-		entry := Entry{Server: addr(0), Health: Ready, Weight: 1, SinceMs: r.now - 1_800_000}
-		r.list(ListDelta, entry)
+		entry := balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1, StartedMs: r.now - 1_800_000}
+		r.list(balancer.ListDelta, entry)
 		id, _ := r.sent(0, 7)
 		for i := 1; i < 5; i++ {
-			r.list(ListDelta, Entry{Server: addr(i), Health: Ready, Weight: 1})
+			r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1})
 		}
-		entry.Health, entry.SinceMs = Draining, r.now+step
-		r.list(ListDelta, entry)
+		entry.State, entry.StartedMs = balancer.Draining, r.now+step
+		r.list(balancer.ListDelta, entry)
 		if got := r.newKeys(100, 2, addr(0)); got != 0 {
 			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", step, got)
 		}
-		r.outcome(id, 0, addr(0), OK, 200)
-		entry.Health, entry.SinceMs = Ready, r.now+step
-		r.list(ListDelta, entry)
+		r.outcome(id, 0, addr(0), balancer.StatusOK, 200)
+		entry.State, entry.StartedMs = balancer.Ready, r.now+step
+		r.list(balancer.ListDelta, entry)
 		if got, most := r.newKeys(400, 2, addr(0)), 400/5/2; got == 0 || got > most {
 			t.Errorf("clock stepped by %v ms: a cold server got %d of 400 requests, want some and at most %d", step, got, most)
 		}
--- a/internal/policytest/decision_test.go
+++ b/internal/policytest/decision_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 )
 
@@ -54,31 +54,31 @@
 	servers int
 	now     float64
 	due     float64 // of the tick that is armed; infinite: none is
-	id      RequestID
-	actions []Action
-	sent    Addr // where the last request went; zero: it waits
+	id      balancer.RequestID
+	actions []balancer.Action
+	sent    balancer.Addr // where the last request went; zero: it waits
 	pool    []uint64
-	choice  map[uint64][2]Addr // the two servers that a key prefers
-	first   map[Addr][]uint64  // keys by their first choice
-	failed  float64            // when all servers last had
+	choice  map[uint64][2]balancer.Addr // the two servers that a key prefers
+	first   map[balancer.Addr][]uint64  // keys by their first choice
+	failed  float64                     // when all servers last had
 	ticks   int
 	atOnce  int // requests that were sent when they came
 }
 
 func newDecider(t testing.TB, agents, servers int) *decider {
 	set := testSettings()
-	set.Replicas, set.Zone = agents, 1 // no server is of its zone, whose weight moves
+	set.FleetSize, set.Zone = agents, 1 // no server is of its zone, whose weight moves
 	b, err := policy.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &decider{TB: t, b: b, rng: rand.New(rand.NewPCG(1, 2)), servers: servers, now: 1e6, due: math.Inf(1)}
 	d.actions = b.Start(d.now, nil)
-	entries := make([]Entry, servers)
+	entries := make([]balancer.Endpoint, servers)
 	for i := range entries {
-		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i / 8}
+		entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1, Cell: i / 8}
 	}
-	d.handle(Event{Kind: EvList, List: ListCached, Entries: entries})
+	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: entries})
 	for range 16 * servers {
 		d.pool = append(d.pool, d.rng.Uint64()|1)
 	}
@@ -88,13 +88,13 @@
 	return d
 }
 
-func (d *decider) handle(ev Event) {
+func (d *decider) handle(ev balancer.Event) {
 	d.actions = d.b.Handle(d.now, &ev, d.actions[:0])
 	for i := range d.actions {
 		switch a := &d.actions[i]; a.Kind {
-		case ActTimer:
+		case balancer.ActionSetTimer:
 			d.due = d.now + a.Ms
-		case ActSend:
+		case balancer.ActionForward:
 			d.sent = a.Server
 		}
 	}
@@ -106,31 +106,31 @@
 	for d.due <= end {
 		d.now, d.due = d.due, math.Inf(1)
 		d.ticks++
-		d.handle(Event{Kind: EvTimer, Token: 1})
+		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: 1})
 	}
 	d.now = end
 }
 
-func (d *decider) ask(class int, key uint64) RequestID {
+func (d *decider) ask(class int, key uint64) balancer.RequestID {
 	d.id++
-	d.sent = Addr{}
-	d.handle(Event{Kind: EvRequest, Request: d.id, Class: class, Key: key, LeftMs: 600})
+	d.sent = balancer.Addr{}
+	d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.id, Class: class, Key: key, RemainingMs: 600})
 	return d.id
 }
 
-func (d *decider) answer(id RequestID, s Addr, status Status, ms float64) {
-	d.handle(Event{Kind: EvOutcome, Request: id, Server: s, Status: status, LatencyMs: ms, Final: status == OK})
+func (d *decider) answer(id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64) {
+	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms, RequestDone: status == balancer.StatusOK})
 }
 
 // serve is one request, sent at once and answered after ms.
 func (d *decider) serve(class int, key uint64, ms float64) {
 	id := d.ask(class, key)
-	if d.sent == (Addr{}) {
+	if d.sent == (balancer.Addr{}) {
 		d.Fatal("a request waits that should not: ", d.actions)
 	}
 	d.atOnce++
 	d.pass(ms)
-	d.answer(id, d.sent, OK, ms)
+	d.answer(id, d.sent, balancer.StatusOK, ms)
 	d.pass(1000.0/120 - ms)
 }
 
@@ -143,7 +143,7 @@
 }
 
 // at asks for a key and ends its request as one that tells nothing of its server; it returns that.
-func (d *decider) at(key uint64) Addr {
+func (d *decider) at(key uint64) balancer.Addr {
 	id := d.ask(0, key)
 	s := d.sent
 	d.forget(id, s)
@@ -152,17 +152,17 @@
 }
 
 // forget ends a request so that nothing is learned of the server it went to, if it went to one.
-func (d *decider) forget(id RequestID, s Addr) {
-	if s == (Addr{}) {
-		d.handle(Event{Kind: EvDropped, Request: id})
+func (d *decider) forget(id balancer.RequestID, s balancer.Addr) {
+	if s == (balancer.Addr{}) {
+		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		return
 	}
-	d.answer(id, s, Unfit, 1)
+	d.answer(id, s, balancer.StatusBadRequest, 1)
 }
 
 // learn finds out which servers keys prefer.
 func (d *decider) learn() {
-	d.first, d.choice = map[Addr][]uint64{}, map[uint64][2]Addr{}
+	d.first, d.choice = map[balancer.Addr][]uint64{}, map[uint64][2]balancer.Addr{}
 	for _, key := range d.pool {
 		s := d.at(key)
 		d.first[s] = append(d.first[s], key)
@@ -170,7 +170,7 @@
 	for s, keys := range d.first {
 		for _, key := range keys[:len(keys)/2] {
 			if id := d.fill(s, key); id > 0 {
-				d.choice[key] = [2]Addr{s, d.at(key)}
+				d.choice[key] = [2]balancer.Addr{s, d.at(key)}
 				d.forget(id, s)
 			}
 		}
@@ -178,7 +178,7 @@
 }
 
 // fill puts a request to a server that others than this key prefer; 0: none went there.
-func (d *decider) fill(s Addr, but uint64) RequestID {
+func (d *decider) fill(s balancer.Addr, but uint64) balancer.RequestID {
 	keys := d.first[s]
 	for range 2 * len(keys) {
 		key := keys[d.rng.IntN(len(keys))]
@@ -222,17 +222,17 @@
 // waitAndServe is one request that finds the servers full that its key prefers.
 func (d *decider) waitAndServe(key uint64) {
 	id, came := d.ask(0, key), d.now
-	if d.sent != (Addr{}) {
+	if d.sent != (balancer.Addr{}) {
 		d.atOnce++
 	}
-	for d.sent == (Addr{}) {
+	for d.sent == (balancer.Addr{}) {
 		if d.now > came+100 {
 			d.Fatal("a request is not sent")
 		}
 		d.pass(10)
 	}
 	d.pass(50)
-	d.answer(id, d.sent, OK, 50)
+	d.answer(id, d.sent, balancer.StatusOK, 50)
 }
 
 func (d *decider) demoted(b *testing.B) {
@@ -258,7 +258,7 @@
 		d.fail()
 	}
 	d.failed = d.now
-	if states := d.b.View().States; states[Unhealthy] != d.servers {
+	if states := d.b.Stats().States; states[balancer.Unhealthy] != d.servers {
 		d.Fatal("servers by state: ", states)
 	}
 }
@@ -266,5 +266,5 @@
 // fail has one server fail a request that goes no further, of the best tier.
 func (d *decider) fail() {
 	id := d.ask(1, d.anyKey())
-	d.answer(id, d.sent, Error, 5)
+	d.answer(id, d.sent, balancer.StatusError, 5)
 }
--- a/internal/policytest/large_fleet_test.go
+++ b/internal/policytest/large_fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
@@ -50,18 +50,18 @@
 func (d *decider) serveAmongFull(key uint64, full int) {
 	came := d.now
 	id := d.ask(0, key)
-	for attempt := 0; d.sent != (Addr{}); attempt++ {
+	for attempt := 0; d.sent != (balancer.Addr{}); attempt++ {
 		server := d.sent
-		d.sent = Addr{}
-		status, took := OK, answerTime
+		d.sent = balancer.Addr{}
+		status, took := balancer.StatusOK, answerTime
 		if d.rng.IntN(4) < full {
-			status, took = Full, 1
+			status, took = balancer.StatusOverloaded, 1
 		}
 		d.pass(took)
-		d.handle(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Server: server, Status: status,
-			LatencyMs: took, Final: status == OK})
+		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server, Status: status,
+			LatencyMs: took, RequestDone: status == balancer.StatusOK})
 	}
-	d.handle(Event{Kind: EvDropped, Request: id}) // a request that is still held for room
+	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id}) // a request that is still held for room
 	d.pass(max(came+requestInterval-d.now, 0))
 }
 
--- a/internal/policytest/property_test.go
+++ b/internal/policytest/property_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 	"pgregory.net/rapid"
 )
@@ -26,30 +26,30 @@
 type world struct {
 	t        checker
 	rng      *rand.Rand
-	set      Settings
+	set      balancer.Settings
 	b        *policy.Balancer
 	now      float64
-	next     RequestID
-	reqs     map[RequestID]*worldReq
+	next     balancer.RequestID
+	reqs     map[balancer.RequestID]*worldReq
 	timers   []worldTimer
-	list     map[Addr]Entry
-	badSince map[Addr]float64 // told that it drains or is gone
-	history  []Action
-	past     []Rules // that were in force
+	list     map[balancer.Addr]balancer.Endpoint
+	badSince map[balancer.Addr]float64 // told that it drains or is gone
+	history  []balancer.Action
+	past     []balancer.RequestRules // that were in force
 }
 
 type worldTry struct {
-	server Addr
+	server balancer.Addr
 	sentAt float64
 	endsAt float64
 	// written is when the last byte of a long request is with its server.
 	written float64
-	status  Status
+	status  balancer.Status
 	ended   bool
 }
 
 type worldReq struct {
-	rules    Rules // as they were when it came
+	rules    balancer.RequestRules // as they were when it came
 	deadline float64
 	long     bool
 	before   float64 // its deadline if it is never written
@@ -64,78 +64,78 @@
 
 // drawSettings draws a deployment's settings around testSettings, each by its key, so that
 // a broken rule shrinks to the fewest settings that break it.
-func drawSettings(t *rapid.T) Settings {
+func drawSettings(t *rapid.T) balancer.Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rapid.Bool().Draw(t, "limits.parallelTries")
-	s.Limits.Cancelling = rapid.Bool().Draw(t, "limits.cancelling")
-	s.Limits.Probing = rapid.Bool().Draw(t, "limits.probing")
+	s.Limits.HedgedRequests = rapid.Bool().Draw(t, "limits.parallelTries")
+	s.Limits.AttemptCancellation = rapid.Bool().Draw(t, "limits.cancelling")
+	s.Limits.HealthChecks = rapid.Bool().Draw(t, "limits.probing")
 	s.Limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "limits.maxAttempts")
-	s.Replicas = rapid.IntRange(1, 80).Draw(t, "replicasOfMe")
-	s.Classes[2].Group = rapid.SampledFrom([]Group{GroupAll, GroupZone, GroupCell}).Draw(t, "classes[2].group")
-	s.Classes[2].KeyTTLMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
+	s.FleetSize = rapid.IntRange(1, 80).Draw(t, "replicasOfMe")
+	s.Classes[2].DedupScope = rapid.SampledFrom([]balancer.DedupScope{balancer.DedupFleet, balancer.DedupZone, balancer.DedupCell}).Draw(t, "classes[2].group")
+	s.Classes[2].DedupWindowMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
 	for i := range s.Classes {
-		s.Classes[i].AimMs = rapid.Float64Range(50, 450).Draw(t, fmt.Sprintf("classes[%d].aimMs", i))
-		s.Classes[i].LateShare = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, fmt.Sprintf("classes[%d].lateShare", i))
+		s.Classes[i].LatencyObjectiveMs = rapid.Float64Range(50, 450).Draw(t, fmt.Sprintf("classes[%d].aimMs", i))
+		s.Classes[i].LateFraction = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, fmt.Sprintf("classes[%d].lateShare", i))
 	}
-	s.Membership = rapid.SampledFrom([]string{"pushed", "on_request"}).Draw(t, "membershipMode")
+	s.DiscoveryMode = rapid.SampledFrom([]string{"pushed", "on_request"}).Draw(t, "membershipMode")
 	s.Clients.MarksRetry = rapid.Bool().Draw(t, "clients.marksRetry")
 	return s
 }
 
-func (w *world) apply(actions []Action) {
+func (w *world) apply(actions []balancer.Action) {
 	w.history = append(w.history, actions...)
 	for _, a := range actions {
 		r := w.reqs[a.Request]
 		switch a.Kind {
-		case ActSend:
+		case balancer.ActionForward:
 			w.checkSend(r, &a)
 			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
-			if st == Timeout {
+			st := []balancer.Status{balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset}[w.rng.IntN(10)]
+			if st == balancer.StatusTimeout {
 				ends = w.now + a.Ms
 			}
 			try := &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st}
 			if r.long { // its server takes as long as its client does, and turns some away before the end
 				try.written, try.endsAt = w.now+300*w.rng.Float64(), ends
-				if try.written < ends || !st.NeverRan() {
+				if try.written < ends || !st.NotExecuted() {
 					try.endsAt = max(ends, try.written+1)
 				}
 				r.before, r.deadline = r.deadline, math.Inf(1) // until it is written, or ends before
 			}
 			r.tries = append(r.tries, try)
-		case ActRefuse, ActFail:
+		case balancer.ActionReject, balancer.ActionFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+			if w.now > r.deadline+w.set.Contract.ResponseSlackMs {
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := r.rules
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+			if a.Kind == balancer.ActionReject && r.mayHaveRun() && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
+				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Idempotency)
 			}
-		case ActCancel:
-			if !w.set.Limits.Cancelling {
+		case balancer.ActionCancelAttempt:
+			if !w.set.Limits.AttemptCancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if try := r.tries[a.Attempt]; !try.ended {
-				try.status, try.endsAt = Cancelled, w.now+5
+				try.status, try.endsAt = balancer.StatusCancelled, w.now+5
 			}
-		case ActProbe:
-			if !w.set.Limits.Probing {
+		case balancer.ActionHealthCheck:
+			if !w.set.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
-		case ActTimer:
+		case balancer.ActionSetTimer:
 			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
 		}
 	}
 }
 
 func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NeverRan() })
+	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
-func (w *world) checkSend(r *worldReq, a *Action) {
+func (w *world) checkSend(r *worldReq, a *balancer.Action) {
 	c := r.rules
 	if r.final > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
@@ -147,36 +147,36 @@
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+		if !t.ended && !w.set.Limits.HedgedRequests {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
-		if t.ended && t.status.NeverRan() {
+		if t.ended && t.status.NotExecuted() {
 			continue
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == SingleShot:
+		case c.Idempotency == balancer.NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Idempotency == balancer.IdempotentByKey && w.now-t.sentAt > c.DedupWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == Guarded && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
+		case c.Idempotency == balancer.IdempotentByKey && (c.DedupScope == balancer.DedupZone && x.Zone != y.Zone || c.DedupScope == balancer.DedupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
 }
 
-func (w *world) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
+func (w *world) handle(ev balancer.Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
 
 func (w *world) step() {
-	w.now += w.set.RoundMs
+	w.now += w.set.RoundTripMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
 			i--
-			w.handle(Event{Kind: EvTimer, Token: t.token})
+			w.handle(balancer.Event{Kind: balancer.EventTimer, Token: t.token})
 		}
 	}
-	for id := RequestID(1); id <= w.next; id++ {
+	for id := balancer.RequestID(1); id <= w.next; id++ {
 		r := w.reqs[id]
 		if r == nil {
 			continue
@@ -191,7 +191,7 @@
 				left := 20 + 300*w.rng.Float64()
 				r.deadline = w.now + left
 				t.endsAt = min(t.endsAt, r.deadline)
-				w.handle(Event{Kind: EvWritten, Request: id, Attempt: i, LeftMs: left})
+				w.handle(balancer.Event{Kind: balancer.EventRequestSent, Request: id, Attempt: i, RemainingMs: left})
 			}
 			if t.endsAt > w.now {
 				open = true
@@ -201,14 +201,14 @@
 			if t.written > 0 {
 				r.deadline = max(r.before, w.now)
 			}
-			if t.status == OK {
+			if t.status == balancer.StatusOK {
 				r.final++ // a second copy's answer changes nothing
 				r.final = min(r.final, 1)
 			}
-			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
-				LatencyMs: w.now - t.sentAt, Final: r.final > 0, Spent: r.long && w.rng.IntN(2) == 0})
+			w.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: i, Server: t.server, Status: t.status,
+				LatencyMs: w.now - t.sentAt, RequestDone: r.final > 0, BodyConsumed: r.long && w.rng.IntN(2) == 0})
 		}
-		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
+		if r.final == 0 && w.now > r.deadline+w.set.Contract.ResponseSlackMs {
 			w.t.Fatalf("request %d of class %s lost: no answer %.0f ms after its deadline", id, r.rules.Name, w.now-r.deadline)
 		}
 		if r.final > 0 && !open && len(r.tries) > 0 && w.now > r.deadline+100 {
@@ -220,19 +220,19 @@
 // retune drops, adds and changes classes and attempts; what nobody can use changes nothing.
 func (w *world) retune() {
 	for _, c := range w.set.Classes {
-		w.past = append(w.past, Rules{Class: c, MaxAttempts: w.set.Limits.MaxAttempts})
+		w.past = append(w.past, balancer.RequestRules{Class: c, MaxAttempts: w.set.Limits.MaxAttempts})
 	}
 	set := w.set // membership and what the deployment permits stay; attempts and aims change
 	set.Limits.MaxAttempts = 1 + w.rng.IntN(5)
 	set.Classes = slices.Clone(testSettings().Classes)
 	for i := range set.Classes {
-		set.Classes[i].AimMs = 50 + 400*w.rng.Float64()
+		set.Classes[i].LatencyObjectiveMs = 50 + 400*w.rng.Float64()
 	}
 	set.Classes = set.Classes[w.rng.IntN(len(set.Classes)):]
 	c := &set.Classes[0]
-	c.Effect, c.Group, c.KeyTTLMs = []Effect{Free, SingleShot, Guarded}[w.rng.IntN(3)], GroupCell, 300
+	c.Idempotency, c.DedupScope, c.DedupWindowMs = []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent, balancer.IdempotentByKey}[w.rng.IntN(3)], balancer.DedupCell, 300
 	if w.rng.IntN(3) == 0 {
-		set.Classes = append(set.Classes, Class{Name: "new", AimMs: 200, GiveUpMs: 800, Effect: SingleShot})
+		set.Classes = append(set.Classes, balancer.Class{Name: "new", LatencyObjectiveMs: 200, TotalTimeoutMs: 800, Idempotency: balancer.NonIdempotent})
 	}
 	bad := set
 	bad.Limits.MaxAttempts = 0
@@ -247,26 +247,26 @@
 
 func (w *world) changeList() {
 	s := addr(w.rng.IntN(8))
-	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
-		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
+	e := balancer.Endpoint{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
+		State: []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Removed}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
-		e.SinceMs = w.now - 100*w.rng.Float64()
+		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
 	w.list[s] = e
-	if e.Health == Ready {
+	if e.State == balancer.Ready {
 		delete(w.badSince, s)
 	} else if _, told := w.badSince[s]; !told {
 		w.badSince[s] = w.now
 	}
-	w.handle(Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListDelta, Endpoints: []balancer.Endpoint{e}})
 }
 
 // play runs a day of random clients, servers and lists, drawn from the seed, against one
 // Balancer with these settings, and returns every action it gave.
-func play(t checker, set Settings, seed uint64) []Action {
+func play(t checker, set balancer.Settings, seed uint64) []balancer.Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{t: t, rng: rng, set: set, now: 5000, reqs: map[RequestID]*worldReq{},
-		list: map[Addr]Entry{}, badSince: map[Addr]float64{}}
+	w := &world{t: t, rng: rng, set: set, now: 5000, reqs: map[balancer.RequestID]*worldReq{},
+		list: map[balancer.Addr]balancer.Endpoint{}, badSince: map[balancer.Addr]float64{}}
 	var err error
 	if w.b, err = policy.New(w.set, seed); err != nil {
 		t.Fatal(err)
@@ -281,15 +281,15 @@
 			w.next++
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
-			rules := Rules{Class: w.set.Classes[class], MaxAttempts: w.set.Limits.MaxAttempts}
-			ev := Event{Kind: EvRequest, Request: w.next, Class: class, Key: uint64(rng.IntN(30)),
-				LeftMs: left, Retry: rng.IntN(5) == 0}
+			rules := balancer.RequestRules{Class: w.set.Classes[class], MaxAttempts: w.set.Limits.MaxAttempts}
+			ev := balancer.Event{Kind: balancer.EventRequest, Request: w.next, Class: class, Key: uint64(rng.IntN(30)),
+				RemainingMs: left, Retry: rng.IntN(5) == 0}
 			if len(w.past) > 0 && rng.IntN(3) == 0 { // it was on its way when the settings changed
 				rules = w.past[rng.IntN(len(w.past))]
 				ev.Rules = &rules
 			}
-			ev.Long = rng.IntN(5) == 0
-			w.reqs[w.next] = &worldReq{rules: rules, long: ev.Long, deadline: w.now + left}
+			ev.StreamedBody = rng.IntN(5) == 0
+			w.reqs[w.next] = &worldReq{rules: rules, long: ev.StreamedBody, deadline: w.now + left}
 			w.handle(ev)
 		}
 		switch rng.IntN(40) {
@@ -298,13 +298,13 @@
 		case 1:
 			if r := w.reqs[w.next]; r != nil && r.final == 0 {
 				r.final = 1
-				w.handle(Event{Kind: EvDropped, Request: w.next})
+				w.handle(balancer.Event{Kind: balancer.EventClientGone, Request: w.next})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
-			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
-			w.handle(Event{Kind: EvTimer, Token: 99})
-			w.handle(Event{Kind: EvList, List: ListFailed})
+			w.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 1 << 30, Server: addr(1), Status: balancer.StatusOK})
+			w.handle(balancer.Event{Kind: balancer.EventClientGone, Request: 1 << 30})
+			w.handle(balancer.Event{Kind: balancer.EventTimer, Token: 99})
+			w.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 		case 3:
 			w.retune()
 		}
@@ -326,8 +326,8 @@
 			}
 		}
 	}
-	if v := w.b.View(); v.Held != 0 || v.InFlight != 0 {
-		w.t.Errorf("seed %d: %d held and %d in flight at the end", seed, v.Held, v.InFlight)
+	if v := w.b.Stats(); v.Queued != 0 || v.InFlight != 0 {
+		w.t.Errorf("seed %d: %d held and %d in flight at the end", seed, v.Queued, v.InFlight)
 	}
 }
 
--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 )
 
@@ -16,13 +16,13 @@
 type fleetDay struct {
 	t        testing.TB
 	rng      *rand.Rand
-	set      Settings
+	set      balancer.Settings
 	now      float64
 	queue    dueQueue
 	order    int
 	agents   []*dayAgent
 	servers  []*dayServer
-	entries  []Entry
+	entries  []balancer.Endpoint
 	share    []float64 // of requests, summed up by agent
 	perMs    float64   // requests
 	keys     int
@@ -36,10 +36,10 @@
 
 type dayAgent struct {
 	b    *policy.Balancer
-	id   RequestID
+	id   balancer.RequestID
 	born int // which process: what belongs to an earlier one is void
-	open map[RequestID]float64
-	used map[Addr]bool // servers that its processes have sent something to
+	open map[balancer.RequestID]float64
+	used map[balancer.Addr]bool // servers that its processes have sent something to
 }
 
 type dayServer struct {
@@ -83,26 +83,26 @@
 // part is the part of its capacity that a server has, at the contract's least.
 func (d *fleetDay) part(s *dayServer, at float64) float64 {
 	c := &d.set.Contract
-	if s.started == 0 || at-s.started >= c.ColdMs {
+	if s.started == 0 || at-s.started >= c.SlowStartMs {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*max(at-s.started, 0)/c.ColdMs
+	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(at-s.started, 0)/c.SlowStartMs
 }
 
 func newFleetDay(t testing.TB, seed uint64, agents, servers int, load float64) *fleetDay {
 	set := testSettings()
-	set.Replicas = agents
-	set.Limits.ParallelTries = false
-	set.Contract.ColdFrom, set.Contract.ColdMs, set.Contract.TipAfterMs = 0.14, 24000, 2000
+	set.FleetSize = agents
+	set.Limits.HedgedRequests = false
+	set.Contract.SlowStartFrom, set.Contract.SlowStartMs, set.Contract.OverloadWindowMs = 0.14, 24000, 2000
 	set.FamilyInfo.WarmKeys = true
 	d := &fleetDay{t: t, rng: rand.New(rand.NewPCG(seed, 5)), set: set, now: 1e6, keys: 40 * servers}
 	for i := range servers {
 		d.servers = append(d.servers, &dayServer{perMs: 0.03, gain: 1.6})
-		d.entries = append(d.entries, Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
+		d.entries = append(d.entries, balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
 	}
 	d.perMs = load * 0.03 * float64(servers)
 	for i := range agents {
-		d.agents = append(d.agents, &dayAgent{used: map[Addr]bool{}})
+		d.agents = append(d.agents, &dayAgent{used: map[balancer.Addr]bool{}})
 		d.share = append(d.share, float64(i+1)/float64(agents))
 	}
 	for i := range agents {
@@ -132,9 +132,9 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	a.b, a.born, a.open = b, a.born+1, map[RequestID]float64{}
+	a.b, a.born, a.open = b, a.born+1, map[balancer.RequestID]float64{}
 	d.act(a, b.Start(d.now, nil))
-	d.hand(a, Event{Kind: EvList, List: ListCached, Entries: d.entries})
+	d.hand(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: d.entries})
 }
 
 // restartMost starts seven in ten agents anew at once.
@@ -146,24 +146,24 @@
 	}
 }
 
-func (d *fleetDay) hand(a *dayAgent, ev Event) { d.act(a, a.b.Handle(d.now, &ev, nil)) }
+func (d *fleetDay) hand(a *dayAgent, ev balancer.Event) { d.act(a, a.b.Handle(d.now, &ev, nil)) }
 
 // cold starts servers anew, and tells all agents.
 func (d *fleetDay) cold(which ...int) {
-	var delta []Entry
+	var delta []balancer.Endpoint
 	for _, i := range which {
 		s := d.servers[i]
 		s.started, s.got, s.free = d.now, nil, d.now
-		d.entries[i].SinceMs = d.now + d.clockAhead
+		d.entries[i].StartedMs = d.now + d.clockAhead
 		delta = append(delta, d.entries[i])
 	}
 	d.tell(delta)
 }
 
 // tell has all agents hear of changes at once.
-func (d *fleetDay) tell(delta []Entry) {
+func (d *fleetDay) tell(delta []balancer.Endpoint) {
 	for _, a := range d.agents {
-		d.hand(a, Event{Kind: EvList, List: ListDelta, Entries: delta})
+		d.hand(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListDelta, Endpoints: delta})
 	}
 }
 
@@ -176,13 +176,13 @@
 
 // drainWarm tells all agents that the servers that are not new drain, but for the first few.
 func (d *fleetDay) drainWarm(but int) {
-	var delta []Entry
+	var delta []balancer.Endpoint
 	for i, s := range d.servers {
 		if s.started > 0 {
 			continue
 		}
 		if but--; but < 0 {
-			d.entries[i].Health = Draining
+			d.entries[i].State = balancer.Draining
 			delta = append(delta, d.entries[i])
 		}
 	}
@@ -203,26 +203,26 @@
 	}
 }
 
-func (d *fleetDay) act(a *dayAgent, actions []Action) {
+func (d *fleetDay) act(a *dayAgent, actions []balancer.Action) {
 	born := a.born
 	for _, x := range actions {
 		switch x.Kind {
-		case ActTimer:
+		case balancer.ActionSetTimer:
 			d.after(x.Ms, func() {
 				if a.born == born {
-					d.hand(a, Event{Kind: EvTimer, Token: x.Token})
+					d.hand(a, balancer.Event{Kind: balancer.EventTimer, Token: x.Token})
 				}
 			})
-		case ActSend:
+		case balancer.ActionForward:
 			d.send(a, x)
-		case ActRefuse, ActFail:
+		case balancer.ActionReject, balancer.ActionFail:
 			delete(a.open, x.Request)
 		}
 	}
 }
 
 // send is an attempt at its server: one queue, worked off at its present capacity, with a bound.
-func (d *fleetDay) send(a *dayAgent, x Action) {
+func (d *fleetDay) send(a *dayAgent, x balancer.Action) {
 	born, sent := a.born, d.now
 	try := int(a.open[x.Request])
 	a.open[x.Request]++
@@ -234,33 +234,33 @@
 	if s.started == 0 {
 		work /= s.gain
 	}
-	status, took := OK, 0.0
+	status, took := balancer.StatusOK, 0.0
 	switch wait := max(s.free-d.now, 0); {
 	case s.dead:
-		status, took = ConnectFailed, 1
+		status, took = balancer.StatusConnectFailed, 1
 	case d.now < s.silent:
-		status, took = Timeout, x.Ms
+		status, took = balancer.StatusTimeout, x.Ms
 	case d.now < s.failing:
-		status, took = Error, 1
+		status, took = balancer.StatusError, 1
 	case wait > 500:
-		status, took = Full, 1
+		status, took = balancer.StatusOverloaded, 1
 	default:
 		s.free = d.now + wait + work
 		took = wait + work + 60
 		if took > x.Ms {
-			status, took = Timeout, x.Ms
+			status, took = balancer.StatusTimeout, x.Ms
 		}
 	}
 	d.after(took, func() {
 		if a.born != born {
 			return
 		}
-		if status == OK {
+		if status == balancer.StatusOK {
 			d.served++
 			delete(a.open, x.Request)
 		}
-		d.hand(a, Event{Kind: EvOutcome, Request: x.Request, Attempt: try, Server: x.Server, Status: status,
-			LatencyMs: d.now - sent, Final: status == OK})
+		d.hand(a, balancer.Event{Kind: balancer.EventAttemptDone, Request: x.Request, Attempt: try, Server: x.Server, Status: status,
+			LatencyMs: d.now - sent, RequestDone: status == balancer.StatusOK})
 	})
 }
 
@@ -284,7 +284,7 @@
 			key = 77
 		}
 		d.asked++
-		d.hand(a, Event{Kind: EvRequest, Request: a.id, Class: d.rng.IntN(3), Key: key | 1, LeftMs: 1000})
+		d.hand(a, balancer.Event{Kind: balancer.EventRequest, Request: a.id, Class: d.rng.IntN(3), Key: key | 1, RemainingMs: 1000})
 		d.arrivals()
 	})
 }
@@ -307,7 +307,7 @@
 // worst is the most that a cold server was sent in any window that the settings name, in parts of
 // its allowance, which all agents share.
 func (d *fleetDay) worst() (most float64, how string) {
-	w := d.set.Contract.TipAfterMs
+	w := d.set.Contract.OverloadWindowMs
 	for i, s := range d.servers {
 		if s.started == 0 {
 			continue
@@ -317,8 +317,8 @@
 				from++
 			}
 			// By the capacity at the window's first call: it only grows.
-			n := d.set.Contract.FallMultiple * s.perMs * d.part(s, s.got[from]) * w
-			if n >= d.set.Contract.FallMultiple*s.perMs*w {
+			n := d.set.Contract.OverloadMultiple * s.perMs * d.part(s, s.got[from]) * w
+			if n >= d.set.Contract.OverloadMultiple*s.perMs*w {
 				continue // warm
 			}
 			got := float64(to - from + 1)
--- a/internal/policytest/scenario_test.go
+++ b/internal/policytest/scenario_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 )
 
@@ -15,10 +15,10 @@
 type rig struct {
 	t   testing.TB
 	b   *policy.Balancer
-	set Settings // in force
+	set balancer.Settings // in force
 	rng *rand.Rand
 	now float64
-	id  RequestID
+	id  balancer.RequestID
 	// timers are those armed and not fired yet.
 	timers []timer
 }
@@ -28,7 +28,7 @@
 	token uint32
 }
 
-func newRig(t testing.TB, s Settings, servers int) *rig {
+func newRig(t testing.TB, s balancer.Settings, servers int) *rig {
 	t.Helper()
 	b, err := policy.New(s, 1)
 	if err != nil {
@@ -36,43 +36,43 @@
 	}
 	r := &rig{t: t, b: b, set: s, rng: rand.New(rand.NewPCG(1, 2)), now: 1e6}
 	r.arm(b.Start(r.now, nil))
-	entries := make([]Entry, servers)
+	entries := make([]balancer.Endpoint, servers)
 	for i := range entries {
-		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+		entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
 	}
-	r.list(ListCached, entries...)
+	r.list(balancer.ListCached, entries...)
 	return r
 }
 
 // do hands the module one event at the rig's time and keeps the timers it arms.
-func (r *rig) do(ev Event) []Action {
+func (r *rig) do(ev balancer.Event) []balancer.Action {
 	return r.arm(r.b.Handle(r.now, &ev, nil))
 }
 
 // arm keeps the timers that the actions arm.
-func (r *rig) arm(actions []Action) []Action {
+func (r *rig) arm(actions []balancer.Action) []balancer.Action {
 	for _, a := range actions {
-		if a.Kind == ActTimer {
+		if a.Kind == balancer.ActionSetTimer {
 			r.timers = append(r.timers, timer{r.now + a.Ms, a.Token})
 		}
 	}
 	return actions
 }
 
-func (r *rig) list(kind ListKind, entries ...Entry) []Action {
-	return r.do(Event{Kind: EvList, List: kind, Entries: entries})
+func (r *rig) list(kind balancer.ListUpdate, entries ...balancer.Endpoint) []balancer.Action {
+	return r.do(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
 }
 
-func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
+func (r *rig) ask(class int, key uint64) (balancer.RequestID, []balancer.Action) {
 	r.id++
-	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
+	return r.id, r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
 
-func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
-	return r.do(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+func (r *rig) outcome(id balancer.RequestID, try int, s balancer.Addr, st balancer.Status, rtt float64) []balancer.Action {
+	return r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, RequestDone: st == balancer.StatusOK})
 }
 
-func find(actions []Action, kind ActionKind) *Action {
+func find(actions []balancer.Action, kind balancer.ActionKind) *balancer.Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
 			return &actions[i]
@@ -82,10 +82,10 @@
 }
 
 // sent asks once and returns where the request went.
-func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
+func (r *rig) sent(class int, key uint64) (balancer.RequestID, balancer.Addr) {
 	r.t.Helper()
 	id, actions := r.ask(class, key)
-	a := find(actions, ActSend)
+	a := find(actions, balancer.ActionForward)
 	if a == nil {
 		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
 	}
@@ -94,9 +94,9 @@
 
 // tick lets ms pass and fires the timers that the module armed and that are due by then,
 // in the order of their times; it returns all that they called for.
-func (r *rig) tick(ms float64) []Action {
+func (r *rig) tick(ms float64) []balancer.Action {
 	end := r.now + ms
-	var all []Action
+	var all []balancer.Action
 	for {
 		i := -1
 		for j, x := range r.timers {
@@ -110,7 +110,7 @@
 		x := r.timers[i]
 		r.timers = slices.Delete(r.timers, i, i+1)
 		r.now = max(r.now, x.at)
-		all = append(all, r.do(Event{Kind: EvTimer, Token: x.token})...)
+		all = append(all, r.do(balancer.Event{Kind: balancer.EventTimer, Token: x.token})...)
 	}
 	r.now = end
 	return all
@@ -120,46 +120,46 @@
 	r := newRig(t, testSettings(), 2)
 	for range 2 {
 		id, s := r.sent(1, 3)
-		r.outcome(id, 0, s, Error, 5)
+		r.outcome(id, 0, s, balancer.StatusError, 5)
 	}
-	if _, s := r.sent(0, 3); s == (Addr{}) {
+	if _, s := r.sent(0, 3); s == (balancer.Addr{}) {
 		t.Error("nothing was sent though Unhealthy servers are the only ones")
 	}
 }
 
 func TestSingleShotIsNotRepeated(t *testing.T) {
-	for _, st := range []Status{Error, Timeout, Reset, Cancelled} {
+	for _, st := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled} {
 		r := newRig(t, testSettings(), 3)
 		id, s := r.sent(1, 5)
 		actions := r.outcome(id, 0, s, st, 50)
-		if find(actions, ActSend) != nil || find(actions, ActRefuse) != nil || find(actions, ActFail) == nil {
+		if find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionReject) != nil || find(actions, balancer.ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 5)
-	if actions := r.outcome(id, 0, s, ConnectFailed, 50); find(actions, ActSend) == nil {
+	if actions := r.outcome(id, 0, s, balancer.StatusConnectFailed, 50); find(actions, balancer.ActionForward) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.list(ListDelta, Entry{Server: addr(0), Health: Draining, Weight: 1})
+	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(0), State: balancer.Draining, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
 		if s == addr(0) {
 			t.Fatal("sent to a draining server")
 		}
-		r.outcome(id, 0, s, OK, 20)
+		r.outcome(id, 0, s, balancer.StatusOK, 20)
 	}
-	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1})
+	r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
 		if s == addr(1) {
 			t.Fatal("sent to a server that left the list")
 		}
-		r.outcome(id, 0, s, OK, 20)
+		r.outcome(id, 0, s, balancer.StatusOK, 20)
 	}
 }
 
@@ -167,7 +167,7 @@
 	r := newRig(t, testSettings(), 0)
 	id, actions := r.ask(1, 1)
 	for range 130 {
-		if a := find(actions, ActRefuse); a != nil {
+		if a := find(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
 				t.Fatalf("refused %d, want %d", a.Request, id)
 			}
@@ -181,7 +181,7 @@
 // A cold server gets no more than its share by ramp, even after a quiet time.
 func TestColdServerBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now - 10})
+	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now - 10})
 	got, all := 0, 2000
 	for range all {
 		r.now++
@@ -189,7 +189,7 @@
 		if s == addr(4) {
 			got++
 		}
-		r.outcome(id, 0, s, OK, 20)
+		r.outcome(id, 0, s, balancer.StatusOK, 20)
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
@@ -199,27 +199,27 @@
 
 func TestListIsFollowedAgainAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.Membership = "on_request"
+	set.DiscoveryMode = "on_request"
 	b, err := policy.New(set, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := find(b.Start(0, nil), ActTimer)
-	if first == nil || first.Ms > set.Contract.AskWithinMs {
+	first := find(b.Start(0, nil), balancer.ActionSetTimer)
+	if first == nil || first.Ms > set.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActFollow) == nil {
+	if find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil), balancer.ActionWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		again := find(b.Handle(first.Ms, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
-		if again == nil || again.Ms > set.Contract.AskWithinMs {
+		again := find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		if again == nil || again.Ms > set.Contract.PollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
-		if more := find(b.Handle(first.Ms, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer); more != nil {
+		if more := find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer); more != nil {
 			t.Fatalf("a second call was set beside the one that waits: %+v", more)
 		}
-		b.Handle(first.Ms, &Event{Kind: EvTimer, Token: again.Token}, nil)
+		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: again.Token}, nil)
 	}
 }
 
@@ -227,19 +227,19 @@
 // discovery one after another; a few need no such time.
 func TestCallsForTheListAreSpreadByTheNumberOfAgents(t *testing.T) {
 	set := testSettings()
-	set.Membership = "on_request"
+	set.DiscoveryMode = "on_request"
 	busiest := func(agents int, failures int) int {
-		set.Replicas = agents
+		set.FleetSize = agents
 		calls := map[int]int{}
 		for seed := range agents {
 			b, err := policy.New(set, uint64(seed))
 			if err != nil {
 				t.Fatal(err)
 			}
-			call := find(b.Start(0, nil), ActTimer)
+			call := find(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
-				b.Handle(0, &Event{Kind: EvTimer, Token: call.Token}, nil)
-				call = find(b.Handle(0, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
+				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
+				call = find(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
 			}
 			calls[int(call.Ms/1000)]++
 		}
@@ -265,17 +265,17 @@
 // of what remains to its answer.
 func TestAFailedCallForTheListIsRepeatedInTime(t *testing.T) {
 	set := testSettings()
-	set.Membership, set.Replicas, set.Contract.AskWithinMs = "on_request", 300, 10000
+	set.DiscoveryMode, set.FleetSize, set.Contract.PollWithinMs = "on_request", 300, 10000
 	most := 0.0
 	for seed := range uint64(50) {
 		b, err := policy.New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := find(b.Start(0, nil), ActTimer)
+		call := find(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
-			b.Handle(0, &Event{Kind: EvTimer, Token: call.Token}, nil)
-			call = find(b.Handle(0, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
+			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
+			call = find(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
 			most = max(most, call.Ms)
 		}
 	}
@@ -285,14 +285,14 @@
 }
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
-		"classes":             func(s *Settings) { s.Classes = nil },
-		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].AimMs = math.NaN() },
-		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].GiveUpMs = -1 },
-		"classes[0].effect":   func(s *Settings) { s.Classes[0].Effect = "maybe" },
-		"classes[2].group":    func(s *Settings) { s.Classes[2].Group = "moon" },
-		"contract.coldMs":     func(s *Settings) { s.Contract.ColdMs = -5 },
-		"membershipMode":      func(s *Settings) { s.Membership = "" },
+	for key, spoil := range map[string]func(*balancer.Settings){
+		"classes":             func(s *balancer.Settings) { s.Classes = nil },
+		"classes[0].aimMs":    func(s *balancer.Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
+		"classes[1].giveUpMs": func(s *balancer.Settings) { s.Classes[1].TotalTimeoutMs = -1 },
+		"classes[0].effect":   func(s *balancer.Settings) { s.Classes[0].Idempotency = "maybe" },
+		"classes[2].group":    func(s *balancer.Settings) { s.Classes[2].DedupScope = "moon" },
+		"contract.coldMs":     func(s *balancer.Settings) { s.Contract.SlowStartMs = -5 },
+		"membershipMode":      func(s *balancer.Settings) { s.DiscoveryMode = "" },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -312,11 +312,11 @@
 }
 
 func ExampleBalancer() {
-	settings := Settings{
-		Classes:    []Class{{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: Free, Credit: 1}},
-		Limits:     Limits{MaxAttempts: 3},
-		Membership: "pushed",
-		RoundMs:    5,
+	settings := balancer.Settings{
+		Classes:       []balancer.Class{{Name: "read", LatencyObjectiveMs: 200, TotalTimeoutMs: 800, Idempotency: balancer.Idempotent, PriorityWeight: 1}},
+		Limits:        balancer.Limits{MaxAttempts: 3},
+		DiscoveryMode: "pushed",
+		RoundTripMs:   5,
 	}
 	b, err := policy.New(settings, 42)
 	if err != nil {
@@ -325,10 +325,10 @@
 	}
 	now := 1000.0
 	b.Start(now, nil)
-	list := []Entry{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: Ready, Weight: 1}}
-	b.Handle(now, &Event{Kind: EvList, List: ListFull, Entries: list}, nil)
-	for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: 1, Key: 7, LeftMs: 800}, nil) {
-		if a.Kind == ActSend {
+	list := []balancer.Endpoint{{Server: balancer.Addr{10, 0, 0, 1, 0x1f, 0x90}, State: balancer.Ready, Weight: 1}}
+	b.Handle(now, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFull, Endpoints: list}, nil)
+	for _, a := range b.Handle(now, &balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+		if a.Kind == balancer.ActionForward {
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
 	}
@@ -339,7 +339,7 @@
 // had more than one of its requests in flight. Other keys keep to few servers.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	r := newRig(t, testSettings(), 20)
-	popular, rare := map[Addr]bool{}, map[Addr]bool{}
+	popular, rare := map[balancer.Addr]bool{}, map[balancer.Addr]bool{}
 	for i := range 4000 {
 		r.now += 20
 		key := 1000 + r.rng.Uint64N(1000)
@@ -349,7 +349,7 @@
 			key = 8
 		}
 		id, s := r.sent(0, key)
-		r.outcome(id, 0, s, OK, 10)
+		r.outcome(id, 0, s, balancer.StatusOK, 10)
 		switch key {
 		case 7:
 			popular[s] = true
@@ -371,13 +371,13 @@
 		closes          bool
 	}{{1000, 0.05, 0.05, true}, {10, 0.05, 0.05, false}, {1000, 0, 0, false}, {1000, 0, 0.05, false}} {
 		set := testSettings()
-		set.Replicas, set.Prices.Open, set.Prices.Handshake = c.agents, c.open, c.handshake
+		set.FleetSize, set.Costs.Connection, set.Costs.Handshake = c.agents, c.open, c.handshake
 		r := newRig(t, set, 8)
 		closed := 0
 		for range 200 {
 			r.now += 50
 			id, s := r.sent(0, r.rng.Uint64())
-			if a := find(r.outcome(id, 0, s, OK, 20), ActClose); a != nil && a.Server == s {
+			if a := find(r.outcome(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil && a.Server == s {
 				closed++
 			}
 		}
@@ -391,10 +391,10 @@
 // each refusal brings a retry. Errors are no crowd, nor is what finds no room here.
 func TestLateServersAreRelieved(t *testing.T) {
 	for _, c := range []struct {
-		end  Status
+		end  balancer.Status
 		rtt  float64
 		want bool
-	}{{OK, 20, false}, {OK, 500, true}, {Full, 1, true}, {Timeout, 600, true}, {Error, 5, false}} {
+	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true}, {balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
 		r := newRig(t, set, 6)
@@ -402,10 +402,10 @@
 		for range 200 {
 			r.now += 500
 			id, actions := r.ask(0, r.rng.Uint64())
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, balancer.ActionForward); a != nil {
 				r.now += c.rtt
 				r.outcome(id, 0, a.Server, c.end, c.rtt)
-			} else if find(actions, ActRefuse) != nil {
+			} else if find(actions, balancer.ActionReject) != nil {
 				refused++
 			}
 		}
@@ -425,21 +425,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		entries := make([]Entry, 20)
+		entries := make([]balancer.Endpoint, 20)
 		for i := range entries {
-			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
+			entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1}
 		}
 		r.b, r.rng = b, rand.New(rand.NewPCG(seed, 2))
-		r.list(ListFull, entries...)
-		entries[19].SinceMs = r.now - 2000
-		r.list(ListFull, entries...)
+		r.list(balancer.ListFull, entries...)
+		entries[19].StartedMs = r.now - 2000
+		r.list(balancer.ListFull, entries...)
 		for range 20 {
 			r.now += 100
 			id, s := r.sent(0, r.rng.Uint64())
 			if all++; s == addr(19) {
 				cold++
 			}
-			r.outcome(id, 0, s, OK, 20)
+			r.outcome(id, 0, s, balancer.StatusOK, 20)
 		}
 	}
 	if even := all / 20; cold < even/20 || cold > even {
@@ -452,14 +452,14 @@
 func TestGuardedIsRefusedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after float64
-		want  ActionKind
-	}{{100, ActRefuse}, {550, ActFail}} {
+		want  balancer.ActionKind
+	}{{100, balancer.ActionReject}, {550, balancer.ActionFail}} {
 		set := testSettings()
-		set.Classes[2].Group, set.Limits.MaxAttempts = GroupAll, 1
+		set.Classes[2].DedupScope, set.Limits.MaxAttempts = balancer.DedupFleet, 1
 		r := newRig(t, set, 4)
 		id, s := r.sent(2, 5)
 		r.now += c.after
-		if actions := r.outcome(id, 0, s, Error, c.after); find(actions, c.want) == nil {
+		if actions := r.outcome(id, 0, s, balancer.StatusError, c.after); find(actions, c.want) == nil {
 			t.Errorf("failed after %.0f of 500 ms: %+v", c.after, actions)
 		}
 	}
@@ -468,23 +468,23 @@
 func TestViewTellsWhyRequestsWait(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	id, s := r.sent(1, 0)
-	r.outcome(id, 0, s, Error, 5)
+	r.outcome(id, 0, s, balancer.StatusError, 5)
 	r.sent(1, 0)
-	v := r.b.View()
-	if v.States != [4]int{0, 1, 0, 1} || v.InFlight != 1 || v.Held != 0 || v.Window != 2*2 { // two unmeasured servers of one of three agents, two attempts each
+	v := r.b.Stats()
+	if v.States != [4]int{0, 1, 0, 1} || v.InFlight != 1 || v.Queued != 0 || v.ServerLimits != 2*2 { // two unmeasured servers of one of three agents, two attempts each
 		t.Errorf("%+v", v)
 	}
 }
 
 // crowd plays phases to an agent of so many with 60 servers and returns its view at the end
 // of each.
-func crowd(t *testing.T, agents int, phases ...phase) []View {
+func crowd(t *testing.T, agents int, phases ...phase) []balancer.Stats {
 	set := testSettings()
-	set.Replicas = agents
+	set.FleetSize = agents
 	r := newRig(t, set, 60)
 	type flight struct {
-		id  RequestID
-		s   Addr
+		id  balancer.RequestID
+		s   balancer.Addr
 		end float64
 	}
 	var out []flight
@@ -494,22 +494,22 @@
 			for len(out) > 0 && out[0].end <= r.now {
 				f := out[0]
 				out = out[1:]
-				for _, a := range r.outcome(f.id, 0, f.s, OK, rtt) {
-					if a.Kind == ActSend {
+				for _, a := range r.outcome(f.id, 0, f.s, balancer.StatusOK, rtt) {
+					if a.Kind == balancer.ActionForward {
 						out = append(out, flight{a.Request, a.Server, r.now + rtt})
 					}
 				}
 			}
-			if id, actions := r.ask(1, r.rng.Uint64()); find(actions, ActSend) != nil {
-				out = append(out, flight{id, find(actions, ActSend).Server, r.now + rtt})
+			if id, actions := r.ask(1, r.rng.Uint64()); find(actions, balancer.ActionForward) != nil {
+				out = append(out, flight{id, find(actions, balancer.ActionForward).Server, r.now + rtt})
 			}
 			r.tick(0)
 		}
 	}
-	var views []View
+	var views []balancer.Stats
 	for _, p := range phases {
 		play(p.rtt, p.requests)
-		views = append(views, r.b.View())
+		views = append(views, r.b.Stats())
 	}
 	return views
 }
@@ -537,8 +537,8 @@
 func TestRoomsLimitIsHigherForFewAgents(t *testing.T) {
 	few := crowd(t, 3, phase{80, 200}, phase{120, 200})
 	many := crowd(t, 80, phase{80, 200}, phase{120, 200})
-	if !math.IsInf(few[1].Room, 1) || many[1].Room >= 1 {
-		t.Errorf("room %.1f of three agents, %.1f of eighty, after answers 1.5 times as long", few[1].Room, many[1].Room)
+	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
+		t.Errorf("room %.1f of three agents, %.1f of eighty, after answers 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
 	}
 }
 
@@ -546,34 +546,34 @@
 // the least, and answers at ease bring it back.
 func TestRoomReturns(t *testing.T) {
 	v := crowd(t, 3, phase{80, 200}, phase{250, 200})
-	if v[1].Room < 20 || v[1].Room > 21 {
-		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", v[1].Room)
+	if v[1].ConcurrencyLimit < 20 || v[1].ConcurrencyLimit > 21 {
+		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", v[1].ConcurrencyLimit)
 	}
 	v = crowd(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
-	if v[1].Room >= 1 || v[2].Room < 2*v[1].Room {
-		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", v[1].Room, v[2].Room)
+	if v[1].ConcurrencyLimit >= 1 || v[2].ConcurrencyLimit < 2*v[1].ConcurrencyLimit {
+		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", v[1].ConcurrencyLimit, v[2].ConcurrencyLimit)
 	}
 }
 
 // states is the number of listed servers in each state, best first.
-func (r *rig) states() [4]int { return r.b.View().States }
+func (r *rig) states() [4]int { return r.b.Stats().States }
 
 // warm serves n requests of keys never seen again, each in ms, so that the agent knows its
 // servers a little and takes keys for one of many.
 func (r *rig) warm(n int, ms float64) {
 	r.t.Helper()
-	r.newKeys(n, ms, Addr{})
+	r.newKeys(n, ms, balancer.Addr{})
 }
 
 // newKeys sends n requests of new keys one after the other, each answered ms after it was
 // sent, and returns how many went to s.
-func (r *rig) newKeys(n int, ms float64, s Addr) int {
+func (r *rig) newKeys(n int, ms float64, s balancer.Addr) int {
 	r.t.Helper()
 	got := 0
 	for range n {
 		id, to := r.sent(0, r.rng.Uint64()|1)
 		r.now += ms
-		r.outcome(id, 0, to, OK, ms)
+		r.outcome(id, 0, to, balancer.StatusOK, ms)
 		if to == s {
 			got++
 		}
@@ -586,7 +586,7 @@
 func (r *rig) hold() float64 {
 	least := math.Inf(1)
 	for _, c := range r.set.Classes {
-		least = min(least, c.AimMs)
+		least = min(least, c.LatencyObjectiveMs)
 	}
 	return least
 }
@@ -598,7 +598,7 @@
 	}
 	id, s := r.sent(0, 7)
 	r.now += 50
-	r.outcome(id, 0, s, OK, 50)
+	r.outcome(id, 0, s, balancer.StatusOK, 50)
 	if got := r.states(); got != [4]int{1, 3, 0, 0} {
 		t.Fatalf("served: %v, want one Connected", got)
 	}
@@ -606,44 +606,44 @@
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
-	actions := r.outcome(id, 0, s, Error, 5)
-	if got := r.states(); got[Unhealthy] != 1 || got[Connected] != 0 {
+	actions := r.outcome(id, 0, s, balancer.StatusError, 5)
+	if got := r.states(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
 		t.Fatalf("error: %v, want the server Unhealthy", got)
 	}
-	if find(actions, ActFetch) == nil {
+	if find(actions, balancer.ActionFetchList) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
-	a := find(actions, ActSend)
+	a := find(actions, balancer.ActionForward)
 	if a == nil || a.Server == s {
 		t.Fatalf("the free request did not go on to another server: %+v", actions)
 	}
 	r.now += 5
-	r.outcome(id, 1, a.Server, OK, 5)
+	r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
 	// While it is Unhealthy nothing goes there; after its hold the next request makes it
 	// pending and checks it, and a served answer makes it Connected.
 	for range 20 {
 		if id, to := r.sent(0, r.rng.Uint64()|1); to == s {
 			t.Fatal("an Unhealthy server was chosen before the better tier")
 		} else {
-			r.outcome(id, 0, to, OK, 1)
+			r.outcome(id, 0, to, balancer.StatusOK, 1)
 		}
 	}
 	r.now += r.hold() + 1
 	for i := 0; ; i++ {
-		var to Addr
+		var to balancer.Addr
 		id, to = r.sent(0, r.rng.Uint64()|1)
-		if got := r.states(); got[UnhealthyPending] != 1 {
+		if got := r.states(); got[balancer.UnhealthyPending] != 1 {
 			t.Fatalf("after the hold: %v, want it pending", got)
 		}
 		if to == s {
 			break
 		}
-		if r.outcome(id, 0, to, OK, 1); i > 50 {
+		if r.outcome(id, 0, to, balancer.StatusOK, 1); i > 50 {
 			t.Fatal("a server pending after its hold is never checked by a request")
 		}
 	}
 	r.now += 50
-	r.outcome(id, 0, s, OK, 50)
+	r.outcome(id, 0, s, balancer.StatusOK, 50)
 	if got := r.states(); got != [4]int{4, 0, 0, 0} {
 		t.Fatalf("validated: %v, want it Connected", got)
 	}
@@ -652,40 +652,40 @@
 func TestFullDemotesNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 7)
-	actions := r.outcome(id, 0, s, Full, 1)
-	if got := r.states(); got[Unhealthy]+got[UnhealthyPending] != 0 {
+	actions := r.outcome(id, 0, s, balancer.StatusOverloaded, 1)
+	if got := r.states(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
 		t.Errorf("full demoted the server: %v", got)
 	}
-	if a := find(actions, ActSend); a == nil || a.Server == s {
+	if a := find(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
 	}
 }
 
 func TestProbesValidateWhereAllowed(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
+	set.Limits.HealthChecks = true
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
-	actions := r.outcome(id, 0, s, Error, 5)
-	if a := find(actions, ActSend); a != nil {
-		r.outcome(id, 1, a.Server, OK, 5)
+	actions := r.outcome(id, 0, s, balancer.StatusError, 5)
+	if a := find(actions, balancer.ActionForward); a != nil {
+		r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
 	}
 	r.now += 2 * r.hold()
 	_, actions = r.ask(0, 7)
-	if p := find(actions, ActProbe); p == nil || p.Server != s {
+	if p := find(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
 	}
-	if a := find(actions, ActSend); a == nil || a.Server == s {
+	if a := find(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(Event{Kind: EvProbed, Server: s, Status: Timeout, LatencyMs: 100})
-	if r.states()[Unhealthy] != 1 {
+	r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
+	if r.states()[balancer.Unhealthy] != 1 {
 		t.Errorf("a failed probe did not demote: %v", r.states())
 	}
 	r.now += 10 * r.hold()
 	r.ask(0, 8)
-	r.do(Event{Kind: EvProbed, Server: s, Status: OK, LatencyMs: 5})
-	if got := r.states(); got[Unhealthy]+got[UnhealthyPending] != 0 || got[Connected] == 0 {
+	r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
+	if got := r.states(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
 		t.Errorf("a good probe did not set Connected: %v", got)
 	}
 }
@@ -693,16 +693,16 @@
 // Servers i of the rig are in cell i%2.
 func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	cell := func(a Addr) int { return int(a[3]) % 2 }
+	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
 	id, s := r.sent(2, 5)
-	actions := r.outcome(id, 0, s, Error, 20)
-	a := find(actions, ActSend)
+	actions := r.outcome(id, 0, s, balancer.StatusError, 20)
+	a := find(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	r.now += 496 // just inside the 500 ms less the margin
-	actions = r.outcome(id, 1, a.Server, Error, 20)
-	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && r.b.View().Held == 0 {
+	actions = r.outcome(id, 1, a.Server, balancer.StatusError, 20)
+	if find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionFail) == nil && r.b.Stats().Queued == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -713,7 +713,7 @@
 	r.warm(200, 10) // learn what an answer takes
 	r.sent(0, 9)
 	for range 30 {
-		if r.tick(10); r.states()[Unhealthy] == 1 {
+		if r.tick(10); r.states()[balancer.Unhealthy] == 1 {
 			return
 		}
 	}
@@ -725,34 +725,34 @@
 	r := newRig(t, testSettings(), 2)
 	r.warm(200, 10)
 	// The warm ones fall silent: what reaches them cannot connect. Then a cold one is listed.
-	for i := 0; r.states()[Unhealthy] < 2; i++ {
+	for i := 0; r.states()[balancer.Unhealthy] < 2; i++ {
 		if i > 20 {
 			t.Fatalf("the warm servers were not left: %v", r.states())
 		}
 		r.now += 10
 		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, ActSend) != nil; try++ {
-			actions = r.outcome(id, try, find(actions, ActSend).Server, ConnectFailed, 5)
+		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
+			actions = r.outcome(id, try, find(actions, balancer.ActionForward).Server, balancer.StatusConnectFailed, 5)
 		}
 	}
 	r.now += 10
-	r.list(ListDelta, Entry{Server: addr(2), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(2), State: balancer.Ready, Weight: 1, StartedMs: r.now})
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
 	var first, got float64
 	for i := range 200 {
 		r.now += 10
 		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, ActSend) != nil; try++ {
-			to := find(actions, ActSend).Server
+		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
+			to := find(actions, balancer.ActionForward).Server
 			if to != addr(2) {
-				actions = r.outcome(id, try, to, ConnectFailed, 5)
+				actions = r.outcome(id, try, to, balancer.StatusConnectFailed, 5)
 				continue
 			}
 			if got++; got == 1 {
 				first = float64(i+1) * 10
 			}
-			actions = r.outcome(id, try, to, OK, 20)
+			actions = r.outcome(id, try, to, balancer.StatusOK, 20)
 		}
 	}
 	if got < 1 || first > 1000 || got > 2*50*0.28*0.75 {
@@ -765,8 +765,8 @@
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	id, bad := r.sent(0, 7)
-	if a := find(r.outcome(id, 0, bad, Error, 5), ActSend); a != nil {
-		r.outcome(id, 1, a.Server, OK, 5)
+	if a := find(r.outcome(id, 0, bad, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+		r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
 	}
 	free, once := 0, 0
 	for range 200 {
@@ -774,12 +774,12 @@
 		for class, n := range []*int{&free, &once} {
 			id, s := r.sent(class, r.rng.Uint64()|1)
 			if s != bad {
-				r.outcome(id, 0, s, OK, 5)
+				r.outcome(id, 0, s, balancer.StatusOK, 5)
 				continue
 			}
 			*n++
-			if a := find(r.outcome(id, 0, s, Error, 5), ActSend); a != nil {
-				r.outcome(id, 1, a.Server, OK, 5)
+			if a := find(r.outcome(id, 0, s, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 		}
 	}
@@ -790,10 +790,10 @@
 
 func TestOwnZoneIsPreferredByKey(t *testing.T) {
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
-	own, used, all := 0, map[Addr]bool{}, 600
+	own, used, all := 0, map[balancer.Addr]bool{}, 600
 	for range all {
 		id, s := r.sent(0, r.rng.Uint64()|1)
-		r.outcome(id, 0, s, OK, 20)
+		r.outcome(id, 0, s, balancer.StatusOK, 20)
 		used[s] = true
 		if s[3]%2 == 0 {
 			own++
@@ -806,34 +806,34 @@
 
 func TestDemotionAsksForNoListWhereChangesAreFollowed(t *testing.T) {
 	set := testSettings()
-	set.Membership = "on_request"
+	set.DiscoveryMode = "on_request"
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 7)
-	if a := find(r.outcome(id, 0, s, Error, 5), ActFetch); a != nil {
+	if a := find(r.outcome(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
 		t.Error("a demotion asked for the whole list")
 	}
-	if r.states()[Unhealthy] != 1 {
+	if r.states()[balancer.Unhealthy] != 1 {
 		t.Errorf("the failure did not demote its server: %v", r.states())
 	}
 }
 
 func TestStartedStreamIsLeftAlone(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Streamed = true
+	set.Classes[0].Streaming = true
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 3)
 	r.now += 30
-	r.do(Event{Kind: EvStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	r.do(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
 	for range 200 {
 		for _, a := range r.tick(10) {
-			if a.Request == id && a.Kind != ActTimer {
+			if a.Request == id && a.Kind != balancer.ActionSetTimer {
 				t.Fatalf("action %+v for a request whose answer streams", a)
 			}
 		}
 	}
-	actions := r.do(Event{Kind: EvOutcome, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
-	if v := r.b.View(); find(actions, ActSend) != nil || find(actions, ActFail) != nil || v.InFlight+v.Held != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, v.InFlight, v.Held)
+	actions := r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s, Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	if v := r.b.Stats(); find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionFail) != nil || v.InFlight+v.Queued != 0 {
+		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, v.InFlight, v.Queued)
 	}
 }
 
@@ -842,11 +842,11 @@
 		r := newRig(t, testSettings(), 4)
 		id, s := r.sent(class, 7)
 		r.now += 5
-		actions := r.outcome(id, 0, s, Unfit, 5)
-		if f := find(actions, ActFail); f == nil || f.Request != id || len(actions) != 1 {
+		actions := r.outcome(id, 0, s, balancer.StatusBadRequest, 5)
+		if f := find(actions, balancer.ActionFail); f == nil || f.Request != id || len(actions) != 1 {
 			t.Errorf("%s: %+v, want one failure", c.Name, actions)
 		}
-		if v := r.b.View(); v.States != [4]int{0, 4, 0, 0} || v.InFlight+v.Held != 0 {
+		if v := r.b.Stats(); v.States != [4]int{0, 4, 0, 0} || v.InFlight+v.Queued != 0 {
 			t.Errorf("%s: %+v, want all servers as they were and the request gone", c.Name, v)
 		}
 	}
@@ -854,18 +854,18 @@
 
 func TestCrowdedWindowShrinks(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
+	set.FleetSize = 20 // many, as on ie9df20: each sees little of the load
 	r := newRig(t, set, 1)
 	r.warm(300, 20) // long enough to know the calm answer time
-	grown := r.b.View().Window
+	grown := r.b.Stats().ServerLimits
 	for range 200 {
-		if id, actions := r.ask(0, 1); find(actions, ActSend) != nil {
+		if id, actions := r.ask(0, 1); find(actions, balancer.ActionForward) != nil {
 			r.now += 140
-			r.outcome(id, 0, addr(0), OK, 140)
+			r.outcome(id, 0, addr(0), balancer.StatusOK, 140)
 		}
 		r.now += 10
 	}
-	w := r.b.View().Window
+	w := r.b.Stats().ServerLimits
 	if w >= grown {
 		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, w)
 	}
@@ -880,38 +880,38 @@
 	r := newRig(t, testSettings(), 2)
 	for i := range 49 { // calm is known from the 50th answer on
 		r.warm(1, 20)
-		if w := r.b.View().Window; w > 2*2 {
+		if w := r.b.Stats().ServerLimits; w > 2*2 {
 			t.Fatalf("windows %.2f after %d answers", w, i+1)
 		}
 	}
-	var ids []RequestID
-	var tos []Addr
+	var ids []balancer.RequestID
+	var tos []balancer.Addr
 	for range 40 {
 		ids, tos = ids[:0], tos[:0]
 		for range 3 {
-			if id, actions := r.ask(0, r.rng.Uint64()|1); find(actions, ActSend) != nil {
-				ids, tos = append(ids, id), append(tos, find(actions, ActSend).Server)
+			if id, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) != nil {
+				ids, tos = append(ids, id), append(tos, find(actions, balancer.ActionForward).Server)
 			}
 		}
 		r.now += 20
 		for i := range ids {
-			r.outcome(ids[i], 0, tos[i], OK, 20)
+			r.outcome(ids[i], 0, tos[i], balancer.StatusOK, 20)
 		}
 	}
-	if w := r.b.View().Window; w <= 2*2 {
+	if w := r.b.Stats().ServerLimits; w <= 2*2 {
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
 
 // An answered failure tells nothing of a crowd; one that did not connect halves the window.
 func TestAnsweredFailureKeepsTheWindow(t *testing.T) {
-	for status, want := range map[Status]float64{Error: 8 + 8, Reset: 8 + 8, ConnectFailed: 8 + 4} {
+	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8, balancer.StatusConnectFailed: 8 + 4} {
 		set := testSettings()
-		set.Replicas = 1 // an agent alone begins with eight a server
+		set.FleetSize = 1 // an agent alone begins with eight a server
 		r := newRig(t, set, 2)
 		id, s := r.sent(1, 0)
 		r.outcome(id, 0, s, status, 5)
-		if v := r.b.View(); v.States[Unhealthy] != 1 || v.Window != want {
+		if v := r.b.Stats(); v.States[balancer.Unhealthy] != 1 || v.ServerLimits != want {
 			t.Errorf("ended %d: %+v, want one Unhealthy and windows of %v", status, v, want)
 		}
 	}
@@ -920,8 +920,8 @@
 func TestFewAgentsBeginWithLargerWindows(t *testing.T) {
 	for replicas, want := range map[int]float64{0: 8, 1: 8, 2: 4, 4: 2, 80: 2} {
 		set := testSettings()
-		set.Replicas = replicas
-		if w := newRig(t, set, 1).b.View().Window; w != want {
+		set.FleetSize = replicas
+		if w := newRig(t, set, 1).b.Stats().ServerLimits; w != want {
 			t.Errorf("%d agents: window %v, want %v", replicas, w, want)
 		}
 	}
@@ -934,16 +934,16 @@
 		for i := range 100 {
 			r.now += 500
 			id, actions := r.ask(0, r.rng.Uint64()|1)
-			a := find(actions, ActSend)
+			a := find(actions, balancer.ActionForward)
 			if a == nil {
 				continue // shed: the agent sees little served in time
 			}
 			if served && i%5 > 0 {
-				r.outcome(id, 0, a.Server, OK, 10)
+				r.outcome(id, 0, a.Server, balancer.StatusOK, 10)
 				continue
 			}
 			for try := 0; a != nil; try++ {
-				if a = find(r.outcome(id, try, a.Server, Full, 1), ActSend); a != nil {
+				if a = find(r.outcome(id, try, a.Server, balancer.StatusOverloaded, 1), balancer.ActionForward); a != nil {
 					further++
 				}
 			}
@@ -957,19 +957,19 @@
 
 func TestProbesAreFewerThanRequests(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
+	set.Limits.HealthChecks = true
 	r := newRig(t, set, 6)
-	for i := 0; r.states()[Unhealthy] < 4; i++ { // four fall silent
+	for i := 0; r.states()[balancer.Unhealthy] < 4; i++ { // four fall silent
 		if i > 50 {
 			t.Fatalf("four servers were not left: %v", r.states())
 		}
 		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, ActSend) != nil; try++ {
-			to, st := find(actions, ActSend).Server, OK
+		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
+			to, st := find(actions, balancer.ActionForward).Server, balancer.StatusOK
 			if to[3] < 4 {
-				st = ConnectFailed
+				st = balancer.StatusConnectFailed
 			}
-			if actions = r.outcome(id, try, to, st, 5); st == OK {
+			if actions = r.outcome(id, try, to, st, 5); st == balancer.StatusOK {
 				break
 			}
 		}
@@ -978,15 +978,15 @@
 	for range 200 {
 		r.now += 50
 		id, actions := r.ask(0, r.rng.Uint64()|1)
-		sent := find(actions, ActSend)
+		sent := find(actions, balancer.ActionForward)
 		for _, a := range actions {
-			if a.Kind == ActProbe {
+			if a.Kind == balancer.ActionHealthCheck {
 				probes++
-				r.do(Event{Kind: EvProbed, Server: a.Server, Status: Full, LatencyMs: 1})
+				r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server, Status: balancer.StatusOverloaded, LatencyMs: 1})
 			}
 		}
 		if sent != nil {
-			r.outcome(id, 0, sent.Server, Full, 1)
+			r.outcome(id, 0, sent.Server, balancer.StatusOverloaded, 1)
 		}
 	}
 	if probes == 0 || probes > 30 {
@@ -999,18 +999,18 @@
 func TestNumbersThatMakeNoSense(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		r := newRig(t, testSettings(), 3)
-		r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: x, SinceMs: x},
-			Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: -x})
+		r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: x, StartedMs: x},
+			balancer.Endpoint{Server: addr(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
 		id, s := r.sent(0, 7)
-		r.do(Event{Kind: EvOutcome, Request: id, Server: s, Status: OK, LatencyMs: x, Final: true})
-		r.do(Event{Kind: EvRequest, Request: 99, LeftMs: x, Attempt: -1})
-		r.do(Event{Kind: EvOutcome, Request: 99, Attempt: -1, Server: s, Status: OK})
+		r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: x, RequestDone: true})
+		r.do(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
+		r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s, Status: balancer.StatusOK})
 		for range 40 { // each is sent at once
 			r.now += 10
 			id, s := r.sent(0, r.rng.Uint64()|1)
-			r.outcome(id, 0, s, OK, 10)
+			r.outcome(id, 0, s, balancer.StatusOK, 10)
 		}
-		if v := r.b.View(); math.IsNaN(v.Window) || math.IsNaN(v.Room) || math.IsNaN(v.Shed) || math.IsNaN(v.Over) {
+		if v := r.b.Stats(); math.IsNaN(v.ServerLimits) || math.IsNaN(v.ConcurrencyLimit) || math.IsNaN(v.Shed) || math.IsNaN(v.OverloadedFraction) {
 			t.Errorf("%v: view %+v", x, v)
 		}
 	}
@@ -1021,19 +1021,19 @@
 func TestOwnZoneWeighsMoreWhileItServesInTime(t *testing.T) {
 	share := func(price, rtt float64) float64 {
 		set := testSettings()
-		set.Prices.CrossZone = price
+		set.Costs.CrossZone = price
 		r := newRig(t, set, 6)
 		own, all := 0, 0
 		for i := range 600 {
 			r.now += 500
 			id, actions := r.ask(0, r.rng.Uint64()|1)
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, balancer.ActionForward); a != nil {
 				if i >= 400 {
 					all++
 					own += 1 - int(a.Server[3]%2)
 				}
 				r.now += rtt
-				r.outcome(id, 0, a.Server, OK, rtt)
+				r.outcome(id, 0, a.Server, balancer.StatusOK, rtt)
 			}
 		}
 		return float64(own) / float64(max(all, 1))
@@ -1050,15 +1050,15 @@
 // A cold server earns its turns by what the fleet's requests are served: where all are
 // turned away, it gets none, and where they are served it gets some.
 func TestColdServerEarnsByWhatIsServedOnly(t *testing.T) {
-	cold := func(st Status) int {
+	cold := func(st balancer.Status) int {
 		r := newRig(t, testSettings(), 4)
-		r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now})
+		r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now})
 		n := 0
 		for range 200 {
 			r.now += 5
 			id, actions := r.ask(1, r.rng.Uint64()|1)
-			for try := 0; find(actions, ActSend) != nil; try++ {
-				to := find(actions, ActSend).Server
+			for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
+				to := find(actions, balancer.ActionForward).Server
 				if to == addr(4) {
 					n++
 				}
@@ -1067,7 +1067,7 @@
 		}
 		return n
 	}
-	if full, served := cold(Full), cold(OK); full != 0 || served == 0 {
+	if full, served := cold(balancer.StatusOverloaded), cold(balancer.StatusOK); full != 0 || served == 0 {
 		t.Errorf("of 200 requests the cold server got %d where all were full, %d where all were served", full, served)
 	}
 }
@@ -1075,23 +1075,23 @@
 // A probe that was answered, even badly, is no silence; one that timed out or did not
 // connect is, and silence halves the window (an agent alone begins with eight).
 func TestBrokenProbeIsNoSilence(t *testing.T) {
-	for status, silent := range map[Status]bool{Error: false, Reset: false, Timeout: true, ConnectFailed: true} {
+	for status, silent := range map[balancer.Status]bool{balancer.StatusError: false, balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
 		set := testSettings()
-		set.Limits.Probing = true
-		set.Replicas = 1
+		set.Limits.HealthChecks = true
+		set.FleetSize = 1
 		r := newRig(t, set, 1)
 		id, s := r.sent(1, 0)
-		r.outcome(id, 0, s, Error, 5)
-		r.now += 2 * set.Classes[1].AimMs
-		if _, actions := r.ask(1, 0); find(actions, ActProbe) == nil {
+		r.outcome(id, 0, s, balancer.StatusError, 5)
+		r.now += 2 * set.Classes[1].LatencyObjectiveMs
+		if _, actions := r.ask(1, 0); find(actions, balancer.ActionHealthCheck) == nil {
 			t.Fatalf("no probe was sent: %+v", actions)
 		}
-		r.do(Event{Kind: EvProbed, Server: s, Status: status, LatencyMs: 1})
+		r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
 		want := 8.0
 		if silent {
 			want = 4
 		}
-		if v := r.b.View(); v.States[Unhealthy] != 1 || v.Window != want {
+		if v := r.b.Stats(); v.States[balancer.Unhealthy] != 1 || v.ServerLimits != want {
 			t.Errorf("probe ended %d: %+v, want it Unhealthy with a window of %v", status, v, want)
 		}
 	}
@@ -1104,14 +1104,14 @@
 		r := newRig(t, testSettings(), 3)
 		r.warm(30, 20)
 		id, s := r.sent(0, 9)
-		st := OK
+		st := balancer.StatusOK
 		if silent {
-			st = ConnectFailed
+			st = balancer.StatusConnectFailed
 		}
-		if a := find(r.outcome(id, 0, s, st, 100), ActSend); a != nil {
-			r.outcome(id, 1, a.Server, OK, 20)
+		if a := find(r.outcome(id, 0, s, st, 100), balancer.ActionForward); a != nil {
+			r.outcome(id, 1, a.Server, balancer.StatusOK, 20)
 		}
-		r.now += r.set.Contract.TipAfterMs + 500
+		r.now += r.set.Contract.OverloadWindowMs + 500
 		return r.newKeys(90, 20, s)
 	}
 	if silent, warm := share(true), share(false); silent == 0 || 2*silent >= warm {
@@ -1126,19 +1126,19 @@
 		r := newRig(t, testSettings(), 1)
 		id, s := r.sent(0, 5)
 		r.now += 200
-		r.do(Event{Kind: EvDropped, Request: id})
-		r.outcome(id, 0, s, Cancelled, 200)
-		for r.b.View().InFlight < 2 { // the server's window is full: what comes is held
-			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, ActSend) == nil {
-				t.Fatalf("the window is not filled: %+v", r.b.View())
+		r.do(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+		r.outcome(id, 0, s, balancer.StatusCancelled, 200)
+		for r.b.Stats().InFlight < 2 { // the server's window is full: what comes is held
+			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) == nil {
+				t.Fatalf("the window is not filled: %+v", r.b.Stats())
 			}
 		}
 		r.id++
 		start := r.now
-		actions := r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, LeftMs: 600, Retry: retry})
+		actions := r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: retry})
 		for range 100 {
 			for _, a := range actions {
-				if a.Request == r.id && a.Kind != ActTimer {
+				if a.Request == r.id && a.Kind != balancer.ActionSetTimer {
 					return r.now - start
 				}
 			}
@@ -1161,19 +1161,19 @@
 		set := testSettings() // the aim is 300 ms, the time for all tries 1,000 ms
 		set.Clients.MarksRetry = false
 		r := newRig(t, set, 1)
-		come := func(left float64) []Action {
+		come := func(left float64) []balancer.Action {
 			r.id++
-			return r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: r.rng.Uint64() | 1, LeftMs: left})
+			return r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: 0, Key: r.rng.Uint64() | 1, RemainingMs: left})
 		}
-		for r.b.View().InFlight < 2 { // the server's window is full: what comes is held
-			if find(come(given), ActSend) == nil {
-				t.Fatalf("the window is not filled: %+v", r.b.View())
+		for r.b.Stats().InFlight < 2 { // the server's window is full: what comes is held
+			if find(come(given), balancer.ActionForward) == nil {
+				t.Fatalf("the window is not filled: %+v", r.b.Stats())
 			}
 		}
 		start, actions := r.now, come(left)
 		for range 100 {
 			for _, a := range actions {
-				if a.Request == r.id && a.Kind != ActTimer {
+				if a.Request == r.id && a.Kind != balancer.ActionSetTimer {
 					return r.now - start
 				}
 			}
@@ -1195,23 +1195,23 @@
 // Where an answer after the aim earns nothing its attempt ends with the aim, and keeps no server
 // at work for longer; the client is told at once. Elsewhere it has the client's whole time.
 func TestNoWorkForAnAnswerThatEarnsNothing(t *testing.T) {
-	for class, want := range []ActionKind{ActRefuse, ActFail, ActFail} {
+	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
 		set := testSettings()
-		set.Classes[class].LateShare = 0
+		set.Classes[class].LateFraction = 0
 		set.Clients.MarksRetry = false
 		r := newRig(t, set, 3)
 		id, actions := r.ask(class, 5)
-		a := find(actions, ActSend)
+		a := find(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
 			t.Fatalf("class %d, aim 300 ms of 600: want an attempt that ends with the aim, got %+v", class, actions)
 		}
 		r.now += a.Ms
-		if actions = r.outcome(id, 0, a.Server, Timeout, a.Ms); find(actions, want) == nil {
+		if actions = r.outcome(id, 0, a.Server, balancer.StatusTimeout, a.Ms); find(actions, want) == nil {
 			t.Errorf("class %d: not told once the aim was over: %+v", class, actions)
 		}
-		set.Classes[class].LateShare = 0.2
+		set.Classes[class].LateFraction = 0.2
 		_, actions = newRig(t, set, 3).ask(class, 5)
-		if a = find(actions, ActSend); a == nil || a.Ms < 500 {
+		if a = find(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
 			t.Errorf("class %d, late answers earn something: want an attempt for the whole time, got %+v", class, actions)
 		}
 	}
@@ -1225,19 +1225,19 @@
 		r := newRig(t, testSettings(), 4)
 		id, bad := r.sent(0, r.rng.Uint64()|1)
 		for strikes := 1; ; strikes++ {
-			if a := find(r.outcome(id, 0, bad, Error, 5), ActSend); a != nil {
-				r.outcome(id, 1, a.Server, OK, 5)
+			if a := find(r.outcome(id, 0, bad, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 			if strikes == 3 {
 				break
 			}
 			r.now += float64(int(1)<<(strikes-1))*r.hold() + 1
 			for i := 0; ; i++ { // the next request to it checks it, and fails again
-				var to Addr
+				var to balancer.Addr
 				if id, to = r.sent(0, r.rng.Uint64()|1); to == bad {
 					break
 				}
-				if r.outcome(id, 0, to, OK, 5); i > 100 {
+				if r.outcome(id, 0, to, balancer.StatusOK, 5); i > 100 {
 					t.Fatal("a pending server was never checked")
 				}
 			}
@@ -1249,7 +1249,7 @@
 		}
 		r.now += r.hold() + 1
 		r.ask(0, 0)
-		if tried := r.states()[UnhealthyPending] == 1; tried != full {
+		if tried := r.states()[balancer.UnhealthyPending] == 1; tried != full {
 			t.Errorf("others full: %v; failing server tried after one aim: %v (%v)", full, tried, r.states())
 		}
 	}
@@ -1264,14 +1264,14 @@
 		r.now += 5
 		id, _ := r.sent(1, 0)
 		r.now += 35
-		r.outcome(id, 0, s, OK, 35)
+		r.outcome(id, 0, s, balancer.StatusOK, 35)
 	}
 	r.sent(1, 0)
 	r.sent(1, 0) // the window takes two beside the lost one
-	if _, actions := r.ask(1, 0); find(actions, ActSend) != nil {
-		t.Fatalf("a third was sent to a window of two: %+v", r.b.View())
+	if _, actions := r.ask(1, 0); find(actions, balancer.ActionForward) != nil {
+		t.Fatalf("a third was sent to a window of two: %+v", r.b.Stats())
 	}
-	if a := find(r.outcome(lost, 0, s, Timeout, 600), ActSend); a != nil {
+	if a := find(r.outcome(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
 		t.Errorf("the end of the lost attempt made room: %+v", a)
 	}
 }
@@ -1282,7 +1282,7 @@
 func TestTippedServerMissesTurns(t *testing.T) {
 	after := func(agents int, rtt float64) int {
 		set := testSettings()
-		set.Replicas = agents
+		set.FleetSize = agents
 		r := newRig(t, set, 6)
 		for range 100 {
 			r.now += 100
@@ -1290,7 +1290,7 @@
 		}
 		id, s := r.sent(0, r.rng.Uint64()|1)
 		r.now += rtt
-		r.outcome(id, 0, s, OK, rtt)
+		r.outcome(id, 0, s, balancer.StatusOK, rtt)
 		return r.newKeys(60, 2, s)
 	}
 	if n := after(80, 200); n != 0 {
@@ -1317,24 +1317,24 @@
 			r.warm(1, 20)
 		}
 		if c.crowd == "most" { // four of six, and then the one judged
-			for late := map[Addr]bool{}; len(late) < 4; {
+			for late := map[balancer.Addr]bool{}; len(late) < 4; {
 				r.now++
 				id, s := r.sent(0, r.rng.Uint64()|1)
-				r.outcome(id, 0, s, OK, 400)
+				r.outcome(id, 0, s, balancer.StatusOK, 400)
 				late[s] = true
 			}
 		}
 		id, s := r.sent(0, r.rng.Uint64()|1)
-		ev := Event{Kind: EvOutcome, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true}
+		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: 20, RequestDone: true}
 		switch c.crowd {
 		case "full":
-			ev.Status, ev.Final = Full, false
+			ev.Status, ev.RequestDone = balancer.StatusOverloaded, false
 		case "late", "most":
 			ev.LatencyMs = 400
 		}
 		r.now++
-		if a := find(r.do(ev), ActSend); a != nil {
-			r.outcome(id, 1, a.Server, OK, 1)
+		if a := find(r.do(ev), balancer.ActionForward); a != nil {
+			r.outcome(id, 1, a.Server, balancer.StatusOK, 1)
 		}
 		if n := r.newKeys(60, 1, s); (n == 0) != c.passed {
 			t.Errorf("%s: the server got %d of the next 60 new keys", c.crowd, n)
@@ -1347,8 +1347,8 @@
 // second at ease, some twelve answer times, it grows, and by less than itself.
 func TestRoomGrowsByAPartOfItself(t *testing.T) {
 	v := crowd(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
-	if v[2].Room <= v[1].Room || v[2].Room >= 2*v[1].Room {
-		t.Errorf("room went from %.2f to %.2f in a second at ease", v[1].Room, v[2].Room)
+	if v[2].ConcurrencyLimit <= v[1].ConcurrencyLimit || v[2].ConcurrencyLimit >= 2*v[1].ConcurrencyLimit {
+		t.Errorf("room went from %.2f to %.2f in a second at ease", v[1].ConcurrencyLimit, v[2].ConcurrencyLimit)
 	}
 }
 
@@ -1358,12 +1358,12 @@
 func TestLeastLimitFallsWithTheAgents(t *testing.T) {
 	for _, agents := range []int{1, 20} {
 		set := testSettings()
-		set.Replicas = agents
+		set.FleetSize = agents
 		r := newRig(t, set, 2)
 		r.warm(60, 20)
-		first := r.b.View().Window
+		first := r.b.Stats().ServerLimits
 		r.warm(200, 75)
-		if w := r.b.View().Window; (w >= first) != (agents == 1) {
+		if w := r.b.Stats().ServerLimits; (w >= first) != (agents == 1) {
 			t.Errorf("%d agents: windows %.1f after answers in a quarter of the aim, %.1f before", agents, w, first)
 		}
 	}
@@ -1383,16 +1383,16 @@
 				rtt = slow
 			}
 			r.now += rtt
-			r.outcome(id, 0, s, OK, rtt)
+			r.outcome(id, 0, s, balancer.StatusOK, rtt)
 		}
 	}
-	first := r.b.View().Window
+	first := r.b.Stats().ServerLimits
 	serve(400, 120)
-	if w := r.b.View().Window; w < first {
+	if w := r.b.Stats().ServerLimits; w < first {
 		t.Errorf("at its own calm, four times the other's, the slow server's window was cut: %.1f of %.1f", w, first)
 	}
 	serve(100, 240)
-	if w := r.b.View().Window; w >= first {
+	if w := r.b.Stats().ServerLimits; w >= first {
 		t.Errorf("at twice its own calm the slow server's window stays: %.1f of %.1f", w, first)
 	}
 }
@@ -1402,16 +1402,16 @@
 // third of a hundredth of the weight takes what has no key.
 func TestWaitingForAKeyBlocksNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
-	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1}, Entry{Server: addr(1), Health: Ready, Weight: 1},
-		Entry{Server: addr(2), Health: Ready, Weight: 0.01})
-	out := map[Addr]RequestID{}
-	var free RequestID
+	r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1}, balancer.Endpoint{Server: addr(1), State: balancer.Ready, Weight: 1},
+		balancer.Endpoint{Server: addr(2), State: balancer.Ready, Weight: 0.01})
+	out := map[balancer.Addr]balancer.RequestID{}
+	var free balancer.RequestID
 	for i := 0; free == 0; i++ { // of no key, until all three are full
 		if i > 20 {
-			t.Fatalf("the servers never filled: %+v", r.b.View())
+			t.Fatalf("the servers never filled: %+v", r.b.Stats())
 		}
 		id, actions := r.ask(0, 0)
-		if a := find(actions, ActSend); a != nil {
+		if a := find(actions, balancer.ActionForward); a != nil {
 			out[a.Server] = id
 		} else {
 			free = id
@@ -1425,7 +1425,7 @@
 	}
 	if c, ok := out[addr(2)]; !ok {
 		t.Fatalf("nothing went to the light server: %v", out)
-	} else if a := find(r.outcome(c, 0, addr(2), OK, 5), ActSend); a == nil || a.Request != free {
+	} else if a := find(r.outcome(c, 0, addr(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != free {
 		t.Errorf("room at the light server went to %+v, want request %d of no key", a, free)
 	}
 }
@@ -1436,30 +1436,30 @@
 func TestWorstClassCountsAmongHeld(t *testing.T) {
 	first := func(starved int) int {
 		set := testSettings()
-		set.Objective = Objective{Whole: 0.1, WorstClass: 0.9}
+		set.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
 		r := newRig(t, set, 1)
 		for i := range 200 {
 			for class := range 2 {
 				r.now += 10
 				id, s := r.sent(class, 0)
 				if class == starved && i%2 == 0 {
-					r.do(Event{Kind: EvDropped, Request: id})
-					r.outcome(id, 0, s, Cancelled, 5)
+					r.do(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+					r.outcome(id, 0, s, balancer.StatusCancelled, 5)
 					continue
 				}
-				r.outcome(id, 0, s, OK, 5)
+				r.outcome(id, 0, s, balancer.StatusOK, 5)
 			}
 		}
-		var out []RequestID
-		for r.b.View().InFlight < 2 { // the window is full: what comes is held
+		var out []balancer.RequestID
+		for r.b.Stats().InFlight < 2 { // the window is full: what comes is held
 			id, _ := r.sent(1-starved, 0)
 			out = append(out, id)
 		}
-		held := [2]RequestID{}
+		held := [2]balancer.RequestID{}
 		for class := range 2 {
 			held[class], _ = r.ask(class, 0)
 		}
-		a := find(r.outcome(out[0], 0, addr(0), OK, 5), ActSend)
+		a := find(r.outcome(out[0], 0, addr(0), balancer.StatusOK, 5), balancer.ActionForward)
 		for class, id := range held {
 			if a != nil && a.Request == id {
 				return class
@@ -1485,10 +1485,10 @@
 	r.warm(50, 20)
 	lost, s := r.sent(0, r.rng.Uint64()|1)
 	r.warm(28, 20) // 560 ms of the 600 that the request has
-	before := r.b.View()
+	before := r.b.Stats()
 	r.now += 20
-	r.outcome(lost, 0, s, Timeout, 580)
-	if v := r.b.View(); v.Window < before.Window || v.Over != before.Over || v.States != [4]int{2, 0, 0, 0} {
+	r.outcome(lost, 0, s, balancer.StatusTimeout, 580)
+	if v := r.b.Stats(); v.ServerLimits < before.ServerLimits || v.OverloadedFraction != before.OverloadedFraction || v.States != [4]int{2, 0, 0, 0} {
 		t.Errorf("a lost answer: view %+v, before %+v", v, before)
 	}
 	if n := r.newKeys(60, 1, s); n == 0 {
@@ -1498,32 +1498,32 @@
 	if s == other {
 		other = addr(1)
 	}
-	alone := func(late func(id RequestID)) {
-		r.list(ListDelta, Entry{Server: other, Health: Draining, Weight: 1})
+	alone := func(late func(id balancer.RequestID)) {
+		r.list(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
 		id, to := r.sent(0, r.rng.Uint64()|1)
 		if to != s {
 			t.Fatalf("sent to %v while the other drains", to)
 		}
 		late(id)
-		r.list(ListDelta, Entry{Server: other, Health: Ready, Weight: 1})
+		r.list(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
 	}
-	alone(func(rare RequestID) {
+	alone(func(rare balancer.RequestID) {
 		for range 3 {
 			r.now += 160
 			r.warm(1, 20)
 		}
 		r.now += 40
-		r.outcome(rare, 0, s, Timeout, 580)
+		r.outcome(rare, 0, s, balancer.StatusTimeout, 580)
 	})
 	if n := r.newKeys(20, 1, s); n != 0 {
 		t.Errorf("seldom seen: its server got %d of the next 20 new keys, want it to miss turns", n)
 	}
-	r.now += 16 * r.set.Contract.ColdMs / 10 // past the longest rest
+	r.now += 16 * r.set.Contract.SlowStartMs / 10 // past the longest rest
 	r.warm(20, 20)
-	alone(func(slow RequestID) {
+	alone(func(slow balancer.RequestID) {
 		r.warm(4, 145)
 		r.now += 20
-		r.outcome(slow, 0, s, Timeout, 600)
+		r.outcome(slow, 0, s, balancer.StatusTimeout, 600)
 	})
 	if n := r.newKeys(20, 1, s); n != 0 {
 		t.Errorf("a crowd: its server got %d of the next 20 new keys, want it to miss turns", n)
@@ -1533,10 +1533,10 @@
 // busy plays n rounds: each asks k new keys, then answers every attempt out in rtt, those
 // sent meanwhile too.
 func (r *rig) busy(n, k int, rtt float64) {
-	var out []*Action
-	take := func(actions []Action) {
+	var out []*balancer.Action
+	take := func(actions []balancer.Action) {
 		for i := range actions {
-			if actions[i].Kind == ActSend {
+			if actions[i].Kind == balancer.ActionForward {
 				out = append(out, &actions[i])
 			}
 		}
@@ -1550,7 +1550,7 @@
 		now := out
 		out = nil
 		for _, a := range now {
-			take(r.outcome(a.Request, 0, a.Server, OK, rtt))
+			take(r.outcome(a.Request, 0, a.Server, balancer.StatusOK, rtt))
 		}
 		take(r.tick(0))
 	}
@@ -1562,13 +1562,13 @@
 // windows grow again.
 func TestLoneAgentLearnsThatItsServersAreCalm(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 1
+	set.FleetSize = 1
 	r := newRig(t, set, 4)
 	r.warm(100, 20)
 	r.warm(2400, 120) // one at a time
-	before := r.b.View().Window
+	before := r.b.Stats().ServerLimits
 	r.busy(100, 6, 120)
-	if w := r.b.View().Window; w <= before {
+	if w := r.b.Stats().ServerLimits; w <= before {
 		t.Errorf("under load at the answer time it learned, a lone agent's windows went from %.1f to %.1f", before, w)
 	}
 }
@@ -1581,9 +1581,9 @@
 	r := newRig(t, testSettings(), 1)
 	r.warm(12, 20)  // the server's own calm is quick
 	r.warm(38, 270) // the rest of the 50 answers by which calm is first measured
-	before := r.b.View().Window
+	before := r.b.Stats().ServerLimits
 	r.busy(100, 3, 140)
-	if w := r.b.View().Window; w > before {
+	if w := r.b.Stats().ServerLimits; w > before {
 		t.Errorf("answers in 0.9 of the aim were taken for calm: the window grew from %.1f to %.1f", before, w)
 	}
 }
@@ -1595,19 +1595,19 @@
 		agents, cold, most int
 	}{{8, 0, 40}, {108, 0, 13}, {108, 100, 8}} {
 		set := testSettings()
-		set.Replicas = c.agents
+		set.FleetSize = c.agents
 		r := newRig(t, set, 0)
-		entries := make([]Entry, 200)
+		entries := make([]balancer.Endpoint, 200)
 		for i := range entries {
-			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
+			entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1}
 			if i < c.cold {
-				entries[i].SinceMs = r.now
+				entries[i].StartedMs = r.now
 			}
 		}
-		r.list(ListCached, entries...)
+		r.list(balancer.ListCached, entries...)
 		sent := 0
 		for range 40 {
-			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, ActSend) != nil {
+			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) != nil {
 				sent++
 			}
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -75,7 +75,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
-	pools [16][]balancer.Entry
+	pools [16][]balancer.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -168,41 +168,41 @@
 		rec.Kind = 0
 		return d.pool(raw, tail)
 	case codeTargets:
-		ev.Kind, ev.List = balancer.EvList, balancer.ListKind(raw[5])
+		ev.Kind, ev.ListUpdate = balancer.EventList, balancer.ListUpdate(raw[5])
 		if raw[5] > uint8(balancer.ListFailed) {
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
-		if ev.List != balancer.ListFailed {
+		if ev.ListUpdate != balancer.ListFailed {
 			table := be.Uint32(raw[10:])
 			if int64(table) >= int64(len(d.pools)) {
 				return fmt.Errorf("targets: table: %d is out of range", table)
 			}
-			ev.Entries = d.pools[table]
+			ev.Endpoints = d.pools[table]
 		}
 	case codeAsk:
-		ev.Kind, ev.Request = balancer.EvRequest, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EventRequest, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Class = int(be.Uint16(raw[9:]))
-		ev.Key, ev.LeftMs, ev.Retry = be.Uint64(raw[15:]), getF64(raw[23:]), raw[39]&2 != 0
+		ev.Key, ev.RemainingMs, ev.Retry = be.Uint64(raw[15:]), getF64(raw[23:]), raw[39]&2 != 0
 	case codeVerdict:
-		ev.Kind, ev.Request = balancer.EvOutcome, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EventAttemptDone, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), balancer.Addr(raw[11:17])
 		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[17:])), getF64(raw[19:])
-		ev.Final = raw[27] != 0
-		if ev.Status != balancer.OK && (ev.Status < balancer.Error || ev.Status > balancer.Moot) {
+		ev.RequestDone = raw[27] != 0
+		if ev.Status != balancer.StatusOK && (ev.Status < balancer.StatusError || ev.Status > balancer.StatusUnsent) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
 	case codeFlowing:
-		ev.Kind, ev.Request = balancer.EvStarted, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EventResponseStarted, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Server, ev.LatencyMs, ev.Attempt = balancer.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
 	case codeDropped:
-		ev.Kind, ev.Request = balancer.EvDropped, balancer.RequestID(be.Uint32(raw[5:]))
+		ev.Kind, ev.Request = balancer.EventClientGone, balancer.RequestID(be.Uint32(raw[5:]))
 	case codeHealth:
-		ev.Kind, ev.Server = balancer.EvProbed, balancer.Addr(raw[5:11])
+		ev.Kind, ev.Server = balancer.EventHealthCheckDone, balancer.Addr(raw[5:11])
 		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[11:])), getF64(raw[13:])
 	case codeFired:
-		ev.Kind, ev.Token = balancer.EvTimer, be.Uint32(raw[5:])
+		ev.Kind, ev.Token = balancer.EventTimer, be.Uint32(raw[5:])
 	case codePeerData:
-		ev.Kind = balancer.EvPeer
+		ev.Kind = balancer.EventPeerMessage
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
@@ -220,19 +220,19 @@
 	if err != nil {
 		return err
 	}
-	entries := make([]balancer.Entry, 0, len(lines)/entrySize)
+	entries := make([]balancer.Endpoint, 0, len(lines)/entrySize)
 	for ; len(lines) > 0; lines = lines[entrySize:] {
-		if lines[10] > uint8(balancer.Gone) {
+		if lines[10] > uint8(balancer.Removed) {
 			return fmt.Errorf("pool: health: unknown value %d", lines[10])
 		}
-		entries = append(entries, balancer.Entry{
-			Zone:    int(be.Uint16(lines)),
-			SinceMs: getF64(lines[2:]),
-			Health:  balancer.Health(lines[10]),
-			Server:  balancer.Addr(lines[11:17]),
-			Weight:  float64(math.Float32frombits(be.Uint32(lines[17:]))),
-			Cell:    int(be.Uint16(lines[21:])),
-			Kind:    int(lines[23]),
+		entries = append(entries, balancer.Endpoint{
+			Zone:      int(be.Uint16(lines)),
+			StartedMs: getF64(lines[2:]),
+			State:     balancer.EndpointState(lines[10]),
+			Server:    balancer.Addr(lines[11:17]),
+			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
+			Cell:      int(be.Uint16(lines[21:])),
+			Kind:      int(lines[23]),
 		})
 	}
 	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
@@ -286,34 +286,34 @@
 func (e *Encoder) Add(instance uint32, a *balancer.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
-	case balancer.ActSend:
+	case balancer.ActionForward:
 		raw := e.record(codeCallOut, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
 		putF64(raw[15:], a.Ms)
-	case balancer.ActCancel:
+	case balancer.ActionCancelAttempt:
 		raw := e.record(codeRetract, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
-	case balancer.ActRefuse:
+	case balancer.ActionReject:
 		raw := e.record(codeNotNow, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		putF64(raw[9:], a.Ms)
-	case balancer.ActFail:
+	case balancer.ActionFail:
 		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
-	case balancer.ActProbe:
+	case balancer.ActionHealthCheck:
 		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
-	case balancer.ActTimer:
+	case balancer.ActionSetTimer:
 		raw := e.record(codeNotifyMe, instance)
 		putF64(raw[5:], a.Ms)
 		be.PutUint32(raw[13:], a.Token)
-	case balancer.ActFollow:
+	case balancer.ActionWatchList:
 		e.record(codeFollow, instance)[5] = 1
-	case balancer.ActFetch:
+	case balancer.ActionFetchList:
 		e.record(codeReadList, instance)
-	case balancer.ActClose:
+	case balancer.ActionCloseIdle:
 		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
-	case balancer.ActLog:
+	case balancer.ActionLog:
 		e.text(codeTrace, instance, a.Text)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -51,14 +51,14 @@
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
 	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != balancer.EvRequest || ask.Request != 0x5d3a91c4 || ask.LeftMs != 240 ||
+	if recs[0].Instance != 3 || ask.Kind != balancer.EventRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
 		ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
-	if e := recs[1].Event; e.Kind != balancer.EvTimer || e.Token != 0x4d {
+	if e := recs[1].Event; e.Kind != balancer.EventTimer || e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
 	}
-	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != balancer.EvDropped || e.Request != 0x0e6f2b19 {
+	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != balancer.EventClientGone || e.Request != 0x0e6f2b19 {
 		t.Errorf("dropped: %+v", recs[2])
 	}
 }
@@ -72,11 +72,11 @@
 		t.Fatal(err)
 	}
 	v := recs[0].Event
-	if v.Kind != balancer.EvOutcome || v.Attempt != 2 || v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
-		v.Status != balancer.OK || v.LatencyMs != 18.5 || !v.Final {
+	if v.Kind != balancer.EventAttemptDone || v.Attempt != 2 || v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+		v.Status != balancer.StatusOK || v.LatencyMs != 18.5 || !v.RequestDone {
 		t.Errorf("verdict: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != balancer.EvProbed || p.Status != balancer.OK || p.LatencyMs != 1.4 {
+	if p := recs[1].Event; p.Kind != balancer.EventHealthCheckDone || p.Status != balancer.StatusOK || p.LatencyMs != 1.4 {
 		t.Errorf("health: %+v", p)
 	}
 }
@@ -96,11 +96,11 @@
 		t.Fatal(err)
 	}
 	a, b := recs[0].Event, recs[1].Event
-	if a.List != balancer.ListCached || b.List != balancer.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
+	if a.ListUpdate != balancer.ListCached || b.ListUpdate != balancer.ListFull || a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
-	e := a.Entries[0]
-	if e.Zone != 1 || e.SinceMs != 6100 || e.Health != balancer.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
+	e := a.Endpoints[0]
+	if e.Zone != 1 || e.StartedMs != 6100 || e.State != balancer.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
 		t.Errorf("entry: %+v", e)
 	}
 }
@@ -122,16 +122,16 @@
 	var e Encoder
 	s := balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []balancer.Action{
-		{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: s, Ms: 80},
-		{Kind: balancer.ActTimer, Ms: 500, Token: 0x4d},
-		{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, Ms: 250},
-		{Kind: balancer.ActFail, Request: 0x0e6f2b19},
-		{Kind: balancer.ActCancel, Request: 0x5d3a91c4, Attempt: 1},
-		{Kind: balancer.ActProbe, Server: s},
-		{Kind: balancer.ActFollow},
-		{Kind: balancer.ActFetch},
-		{Kind: balancer.ActClose, Server: s},
-		{Kind: balancer.ActLog, Text: "two servers known"},
+		{Kind: balancer.ActionForward, Request: 0x5d3a91c4, Server: s, Ms: 80},
+		{Kind: balancer.ActionSetTimer, Ms: 500, Token: 0x4d},
+		{Kind: balancer.ActionReject, Request: 0x0e6f2b19, Ms: 250},
+		{Kind: balancer.ActionFail, Request: 0x0e6f2b19},
+		{Kind: balancer.ActionCancelAttempt, Request: 0x5d3a91c4, Attempt: 1},
+		{Kind: balancer.ActionHealthCheck, Server: s},
+		{Kind: balancer.ActionWatchList},
+		{Kind: balancer.ActionFetchList},
+		{Kind: balancer.ActionCloseIdle, Server: s},
+		{Kind: balancer.ActionLog, Text: "two servers known"},
 	} {
 		e.Add(3, &a)
 	}
@@ -181,7 +181,7 @@
 
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
-	if err != nil || len(s.Classes) != 1 || s.Classes[0].AimMs != 5 || s.RoundMs != 5 {
+	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyObjectiveMs != 5 || s.RoundTripMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
@@ -218,14 +218,14 @@
 	if err != nil || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if e := recs[0].Event; e.Kind != balancer.EvStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
+	if e := recs[0].Event; e.Kind != balancer.EventResponseStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
 		e.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
 		t.Errorf("flowing: %+v", e)
 	}
-	if e := recs[1].Event; e.Kind != balancer.EvList || e.List != balancer.ListFailed || e.Entries != nil {
+	if e := recs[1].Event; e.Kind != balancer.EventList || e.ListUpdate != balancer.ListFailed || e.Endpoints != nil {
 		t.Errorf("targets of a failed call: %+v", e)
 	}
-	if e := recs[2].Event; e.Kind != balancer.EvPeer {
+	if e := recs[2].Event; e.Kind != balancer.EventPeerMessage {
 		t.Errorf("peer_data: %+v", e)
 	}
 }
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -5,23 +5,23 @@
 	"math"
 	"slices"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Admission and budget: what is held, sent, refused, tried again, and what it may cost.
 
-func (b *Balancer) onRequest(ev *Event) {
+func (b *Balancer) onRequest(ev *balancer.Event) {
 	rules := ev.Rules
 	if rules == nil && ev.Class >= 0 && ev.Class < len(b.classes) {
-		rules = &Rules{Class: b.set.Classes[ev.Class], MaxAttempts: b.set.Limits.MaxAttempts}
+		rules = &balancer.RequestRules{Class: b.set.Classes[ev.Class], MaxAttempts: b.set.Limits.MaxAttempts}
 	}
 	if rules == nil || b.requests[ev.Request] != nil {
 		return
 	}
 	c := b.classOf(rules.Class)
-	r := &request{id: ev.Request, long: ev.Long, class: c, most: rules.MaxAttempts, key: ev.Key,
+	r := &request{id: ev.Request, long: ev.StreamedBody, class: c, most: rules.MaxAttempts, key: ev.Key,
 		arrived: b.now, first: b.firstTry(c, ev)}
-	b.due(r, max(ev.LeftMs, 0), r.first)
+	b.due(r, max(ev.RemainingMs, 0), r.first)
 	r.spot = b.spot(r.key)
 	b.requests[r.id] = r
 	b.tally(r.class)
@@ -36,9 +36,9 @@
 
 // due sets until when the request's answer earns its worth, and until when anything.
 func (b *Balancer) due(r *request, left, first float64) {
-	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
-	r.aimAt = min(first+r.class.AimMs, r.deadline)
-	if r.class.LateShare == 0 {
+	r.deadline = b.now + left - min(b.set.RoundTripMs, left/4)
+	r.aimAt = min(first+r.class.LatencyObjectiveMs, r.deadline)
+	if r.class.LateFraction == 0 {
 		r.deadline = r.aimAt // work for it would be in vain
 	}
 }
@@ -54,14 +54,14 @@
 // the objective: a part of the whole, and all of the worst class if it is of it.
 func (b *Balancer) value(r *request) float64 {
 	c, o := r.class, &b.set.Objective
-	v := c.Credit * (o.Whole + o.WorstWindow)
+	v := c.PriorityWeight * (o.Total + o.WorstWindow)
 	if r.class == b.worst {
 		v += o.WorstClass * b.credit / c.asked
 	}
 	if b.now+r.class.expect > r.aimAt {
-		v *= c.LateShare + b.set.Prices.LateFail
+		v *= c.LateFraction + b.set.Costs.LateFailure
 	}
-	if b.set.WorthBy != "work" {
+	if b.set.WeightBy != "work" {
 		v /= c.expect
 	}
 	return v
@@ -113,7 +113,7 @@
 	for i := 0; i < len(b.held); {
 		r := b.held[i]
 		last := r.aimAt
-		if r.class.LateShare > 0 && !b.scarce {
+		if r.class.LateFraction > 0 && !b.scarce {
 			last = r.deadline
 		}
 		if b.now+r.class.expect > last || b.now >= r.deadline {
@@ -128,7 +128,7 @@
 func (b *Balancer) lost() int {
 	n := 0
 	for _, s := range b.busy {
-		if s.state >= UnhealthyPending && s.silent {
+		if s.state >= balancer.UnhealthyPending && s.silent {
 			n += len(s.out)
 		}
 	}
@@ -149,14 +149,14 @@
 }
 
 // few is how much later than one of very many agents one of few acts by what it meets.
-func (b *Balancer) few() float64 { return 1 + 2/float64(max(b.set.Replicas, 1)) }
+func (b *Balancer) few() float64 { return 1 + 2/float64(max(b.set.FleetSize, 1)) }
 
 // coldShare is the part of an even share that a server may be sent: of a cold one
 // what keeps the contract, so that its keys move to it as it warms up, instead of
 // waiting for it.
 func (b *Balancer) coldShare(s *server) float64 {
 	if k := b.ramp(s); k < 1 {
-		return k * b.set.Contract.FallMultiple / coldMargin
+		return k * b.set.Contract.OverloadMultiple / coldMargin
 	}
 	return 1
 }
@@ -180,11 +180,13 @@
 		}
 	}
 	c := r.class
-	if r.risky == 0 || c.Effect == Free {
+	if r.risky == 0 || c.Idempotency == balancer.Idempotent {
 		return true
 	}
-	return c.Effect == Guarded && b.now-r.ranAt <= c.KeyTTLMs-2*b.set.RoundMs && (c.Group == GroupAll ||
-		c.Group == GroupZone && s.zone == r.ranOn.zone || c.Group == GroupCell && s.cell == r.ranOn.cell)
+	return c.Idempotency == balancer.IdempotentByKey &&
+		b.now-r.ranAt <= c.DedupWindowMs-2*b.set.RoundTripMs && (c.DedupScope == balancer.DedupFleet ||
+		c.DedupScope == balancer.DedupZone && s.zone == r.ranOn.zone ||
+		c.DedupScope == balancer.DedupCell && s.cell == r.ranOn.cell)
 }
 
 func (b *Balancer) send(r *request, s *server) bool {
@@ -211,7 +213,7 @@
 		s.credit = min(s.credit+b.accrued(s), coldBurst) - 1
 	}
 	s.sentAt, b.sentAt = b.now, b.now
-	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now})
+	b.do(balancer.Action{Kind: balancer.ActionForward, Request: r.id, Server: s.id, Ms: r.deadline - b.now})
 	return true
 }
 
@@ -226,9 +228,9 @@
 }
 
 // onWritten begins a long request: its server has it whole, and its time counts from here.
-func (b *Balancer) onWritten(ev *Event) {
+func (b *Balancer) onWritten(ev *balancer.Event) {
 	if a := b.attemptOf(ev); a != nil && !a.begun && !a.r.closed {
-		b.due(a.r, ev.LeftMs, b.now)
+		b.due(a.r, ev.RemainingMs, b.now)
 		b.begin(a)
 	}
 }
@@ -245,7 +247,7 @@
 	if warm == 0 || !b.isWarm(s) {
 		return
 	}
-	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + 1/warm
+	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.SlowStartMs) + 1/warm
 	b.flowAt = b.now
 	for _, o := range b.coldServers() {
 		if b.ramp(o) < 1 {
@@ -262,8 +264,8 @@
 		return 0
 	}
 	c := &b.set.Contract
-	least := 1 / (max(c.TipAfterMs, 1) * float64(max(b.set.Replicas, 1)))
-	perMs := max(b.flow*s.weight*b.coldShare(s)/c.ColdMs, least)
+	least := 1 / (max(c.OverloadWindowMs, 1) * float64(max(b.set.FleetSize, 1)))
+	perMs := max(b.flow*s.weight*b.coldShare(s)/c.SlowStartMs, least)
 	return (b.now - max(s.sentAt, s.since, b.warmGoneAt)) * perMs
 }
 
@@ -276,18 +278,19 @@
 	b.remember(r)
 	c := r.class
 	// Past the window a repeat of a guarded request would run again.
-	harmless := r.risky == 0 || c.Effect == Free ||
-		c.Effect == Guarded && c.Group == GroupAll && b.now-r.ranAt < c.KeyTTLMs
+	harmless := r.risky == 0 || c.Idempotency == balancer.Idempotent ||
+		c.Idempotency == balancer.IdempotentByKey && c.DedupScope == balancer.DedupFleet &&
+			b.now-r.ranAt < c.DedupWindowMs
 	b.close(r)
 	if harmless {
-		b.do(Action{Kind: ActRefuse, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
+		b.do(balancer.Action{Kind: balancer.ActionReject, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
 	} else {
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.do(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 	}
 }
 
 // attemptOf is the attempt that an event is about, unless it has ended.
-func (b *Balancer) attemptOf(ev *Event) *attempt {
+func (b *Balancer) attemptOf(ev *balancer.Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
 		return nil
@@ -300,8 +303,8 @@
 	r.closed = true
 	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
 	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancelling {
-			b.do(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
+		if !a.done && b.set.Limits.AttemptCancellation {
+			b.do(balancer.Action{Kind: balancer.ActionCancelAttempt, Request: r.id, Attempt: a.index})
 		}
 	}
 	if r.open == 0 {
@@ -309,7 +312,7 @@
 	}
 }
 
-func (b *Balancer) onOutcome(ev *Event) {
+func (b *Balancer) onOutcome(ev *balancer.Event) {
 	a := b.attemptOf(ev)
 	if a == nil {
 		return
@@ -320,24 +323,24 @@
 	if a.begun {
 		b.inflight--
 	}
-	if ev.Spent {
+	if ev.BodyConsumed {
 		r.most = len(r.attempts)
 	}
 	s.out = slices.DeleteFunc(s.out, func(o *attempt) bool { return o == a })
 	if a.begun && len(s.out) == 0 {
 		b.busy = slices.DeleteFunc(b.busy, func(o *server) bool { return o == s })
 	}
-	if ev.Status.NeverRan() {
+	if ev.Status.NotExecuted() {
 		r.risky--
 	}
 	b.judge(a, ev)
 	b.hangUp(s)
 	switch {
-	case r.closed || r.started || ev.Final || ev.Status == OK:
+	case r.closed || r.started || ev.RequestDone || ev.Status == balancer.StatusOK:
 		b.close(r)
-	case ev.Status == Unfit: // so it is at every server, and on every try of the client's
+	case ev.Status == balancer.StatusBadRequest: // so it is at every server, and on every try of the client's
 		b.close(r)
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.do(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 	default:
 		b.further(r, ev.Status)
 	}
@@ -347,20 +350,21 @@
 // until the next attempt costs more than opening one: of a thousand agents each would
 // hold some to a third of the servers (i29baa9: 23 points of service).
 func (b *Balancer) hangUp(s *server) {
-	p, n := &b.set.Prices, float64(len(b.servers))
+	p, n := &b.set.Costs, float64(len(b.servers))
 	gap := cmp.Or(s.gap, b.gap*n)
-	if len(s.out) == 0 && p.Open*gap*float64(b.set.Replicas) > 100*n*b.gap*p.Handshake {
-		b.do(Action{Kind: ActClose, Server: s.id})
+	if len(s.out) == 0 && p.Connection*gap*float64(b.set.FleetSize) > 100*n*b.gap*p.Handshake {
+		b.do(balancer.Action{Kind: balancer.ActionCloseIdle, Server: s.id})
 	}
 }
 
 // further holds an unanswered request for another server where its class and time allow,
 // and ends it otherwise. Further attempts are earned by served requests: where few are served
 // they would only multiply the load (ia9314f, ifa9784: two to six attempts a request).
-func (b *Balancer) further(r *request, why Status) {
-	if r.risky > 0 && r.class.Effect == SingleShot || b.again < 1 || len(r.attempts) >= r.most ||
-		why == Moot || b.now >= r.deadline {
-		if why == Full || why == Timeout {
+func (b *Balancer) further(r *request, why balancer.Status) {
+	if r.risky > 0 && r.class.Idempotency == balancer.NonIdempotent || b.again < 1 ||
+		len(r.attempts) >= r.most ||
+		why == balancer.StatusUnsent || b.now >= r.deadline {
+		if why == balancer.StatusOverloaded || why == balancer.StatusTimeout {
 			b.gain(0) // errors and lost connections tell nothing of crowds
 		}
 		b.end(r)
--- a/policy/health.go
+++ b/policy/health.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Tiers and demotion: what each answer tells of its server, its window and the agent's room.
@@ -21,7 +21,7 @@
 	switch {
 	case b.over > 0.5 && a.sentAt >= b.roomCutAt:
 		// One at each server of all agents together is no crowd.
-		least := float64(len(b.servers)) / float64(max(b.set.Replicas, 1))
+		least := float64(len(b.servers)) / float64(max(b.set.FleetSize, 1))
 		b.room, b.roomCutAt = max(min(b.room, out)*0.85, least, leastWindow), b.now
 	case b.over < 0.5 && out+1 > b.room:
 		b.room += roomStep // so by a part of itself for each answer time, whatever its size
@@ -29,22 +29,22 @@
 }
 
 // judge takes what an attempt's end says about its server.
-func (b *Balancer) judge(a *attempt, ev *Event) {
+func (b *Balancer) judge(a *attempt, ev *balancer.Event) {
 	s := a.s
 	switch ev.Status {
-	case OK:
+	case balancer.StatusOK:
 		b.served(a, ev)
-	case Unfit:
+	case balancer.StatusBadRequest:
 		s.heard = b.now // an answer, and no failure of the server's
-	case Error, Reset:
+	case balancer.StatusError, balancer.StatusReset:
 		s.heard = b.now
 		b.demote(s, false)
-	case ConnectFailed:
+	case balancer.StatusConnectFailed:
 		b.demote(s, true)
 		if s.lostAt == 0 {
 			s.lostAt = b.now
 		}
-	case Timeout:
+	case balancer.StatusTimeout:
 		// Overtaken at a server that is known to answer well since, its answer was lost and tells
 		// nothing. A server that answered others meanwhile is not to blame, and counts as slow.
 		if s.lat <= b.limit(s) && b.overtaken(a) && b.now-a.sentAt > calmSamples*s.gap {
@@ -53,12 +53,12 @@
 		b.weighZone(s, true)
 		b.rest(s, 1)
 		if s.heard > a.sentAt {
-			b.learn(s, min(ev.LatencyMs/a.r.class.AimMs, 2))
+			b.learn(s, min(ev.LatencyMs/a.r.class.LatencyObjectiveMs, 2))
 			b.sense(a, true)
 		} else {
 			b.demote(s, true)
 		}
-	case Full:
+	case balancer.StatusOverloaded:
 		s.heard = b.now
 		b.cut(s, 0.7, 1)
 		b.sense(a, true)
@@ -73,7 +73,7 @@
 	if s.zone != b.set.Zone {
 		return
 	}
-	x := b.set.Prices.CrossZone
+	x := b.set.Costs.CrossZone
 	if missed {
 		x--
 	}
@@ -84,18 +84,18 @@
 // minute cannot follow its crowd by window; but all together send it less by those that met it.
 func (b *Balancer) rest(s *server, turns float64) {
 	turn := b.gap * float64(len(b.servers))
-	s.restUntil = b.now + min(turns*turn, b.set.Contract.ColdMs)*(0.5+b.rng.Float64())
+	s.restUntil = b.now + min(turns*turn, b.set.Contract.SlowStartMs)*(0.5+b.rng.Float64())
 }
 
-func (b *Balancer) served(a *attempt, ev *Event) {
+func (b *Balancer) served(a *attempt, ev *balancer.Event) {
 	s, r, rtt := a.s, a.r, ev.LatencyMs
 	b.earn(s)
 	b.again = min(b.again+againShare, againMost)
 	b.heardFrom(s)
 	s.rtt = mean(s.rtt, rtt, smooth)
 	c := r.class
-	c.expect = mean(c.expect, min(rtt, 2*c.AimMs), 4*slowSmooth)
-	gain := c.LateShare
+	c.expect = mean(c.expect, min(rtt, 2*c.LatencyObjectiveMs), 4*slowSmooth)
+	gain := c.LateFraction
 	late := b.now > r.aimAt
 	b.weighZone(s, late)
 	if !late {
@@ -105,7 +105,7 @@
 	if !r.closed {
 		b.gain(gain)
 	}
-	x := min(rtt/c.AimMs, 2) // as a part of the aim
+	x := min(rtt/c.LatencyObjectiveMs, 2) // as a part of the aim
 	b.answers++
 	b.fleetLat = mean(b.fleetLat, x, max(slowSmooth, 1/b.answers))
 	b.ease = min(b.fleetLat, mean(b.ease, b.fleetLat, slowSmooth/10))
@@ -129,11 +129,11 @@
 	if b.answers >= learnFor {
 		b.sense(a, x > min(max(limit, b.easeLimit()/b.ramp(s)), 1))
 	}
-	if s.state == Unhealthy && a.sentAt < s.since && !s.silent {
+	if s.state == balancer.Unhealthy && a.sentAt < s.since && !s.silent {
 		return // sent before the failure: says nothing about what came after
 	}
-	if s.state != Connected {
-		b.enter(s, Connected)
+	if s.state != balancer.Connected {
+		b.enter(s, balancer.Connected)
 	}
 	if s.silent {
 		s.silent, s.strikes = false, max(s.strikes-1, 0)
@@ -158,7 +158,7 @@
 // answers well within the aim; a calm taken too low would leave it idle. A cold server
 // is slow before it is crowded (i5d0607: only cold ones were left).
 func (b *Balancer) limit(s *server) float64 {
-	least := 2 * crowdShare / (2 + float64(b.set.Replicas))
+	least := 2 * crowdShare / (2 + float64(b.set.FleetSize))
 	return min(crowdShare, max(crowdFactor*max(b.calmLat, s.calm), least)) / b.ramp(s)
 }
 
@@ -167,7 +167,7 @@
 // lone one that took quick first answers for calm would leave its servers idle for good.
 func (b *Balancer) calmRise(a *attempt) float64 {
 	if a.alone {
-		return slowSmooth / min(2*math.Pow(float64(max(b.set.Replicas, 1)), 3), 250)
+		return slowSmooth / min(2*math.Pow(float64(max(b.set.FleetSize, 1)), 3), 250)
 	}
 	return slowSmooth / 250
 }
@@ -176,7 +176,7 @@
 // not yet listed as such: it is ramped as if it had started now. Time-outs alone don't tell
 // (i228a10), and quick answers don't clear it: a cold server is quick while it has little.
 func (b *Balancer) heardFrom(s *server) {
-	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.TipAfterMs {
+	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.OverloadWindowMs {
 		s.startedAt, s.assumed, s.window, s.credit = b.now, true, 1, 0
 		b.starts++
 	}
@@ -197,9 +197,9 @@
 
 // demote makes a server Unhealthy. Failures of one moment count as one strike.
 func (b *Balancer) demote(s *server, silent bool) {
-	if s.state != Unhealthy {
+	if s.state != balancer.Unhealthy {
 		s.strikes = min(s.strikes+1, maxStrikes)
-		b.enter(s, Unhealthy)
+		b.enter(s, balancer.Unhealthy)
 		s.silent = silent
 		s.good, s.lat, s.samples = 0, 0, 0
 		if silent { // a failure that was answered tells nothing of a crowd
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // The key hash with a load cap: which server of the best tier a request goes to.
@@ -28,11 +28,12 @@
 // rank is the server's tier for the request.
 func (b *Balancer) rank(s *server, r *request) int {
 	switch s.state {
-	case Unhealthy:
+	case balancer.Unhealthy:
 		return 2
-	case UnhealthyPending:
+	case balancer.UnhealthyPending:
 		// What must not run twice does not check a server while others are healthy.
-		if r.class.Effect == SingleShot || b.set.Limits.Probing && b.now-s.since < b.aimMin {
+		if r.class.Idempotency == balancer.NonIdempotent || b.set.Limits.HealthChecks &&
+			b.now-s.since < b.aimMin {
 			return 1
 		}
 	}
@@ -236,7 +237,7 @@
 	if !b.hasCredit(s) {
 		return false
 	}
-	if s.state >= UnhealthyPending {
+	if s.state >= balancer.UnhealthyPending {
 		return len(s.out) == 0
 	}
 	// A window under one is kept by pausing: with many agents even one attempt of
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,7 +7,7 @@
 	"math"
 	"math/rand/v2"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
@@ -81,9 +81,9 @@
 
 // New returns the balancer of one agent, or an error that names the setting
 // that makes no sense. All its randomness comes from the seed.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[Addr]*server{},
-		requests: map[RequestID]*request{}, keys: map[uint64]float64{}, mayProbe: probeCap,
+func New(set balancer.Settings, seed uint64) (*Balancer, error) {
+	b := &Balancer{rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[balancer.Addr]*server{},
+		requests: map[balancer.RequestID]*request{}, keys: map[uint64]float64{}, mayProbe: probeCap,
 		own: ownLeast, again: againMost, tried: shedMemory / 2, gained: shedMemory / 2,
 		lookedAt: math.Inf(-1)}
 	return b, b.Retune(set)
@@ -91,7 +91,7 @@
 
 // Retune puts settings in force, or returns an error that names the one that makes no sense.
 // What was learned stays, and requests that are open keep their classes' rules.
-func (b *Balancer) Retune(set Settings) error {
+func (b *Balancer) Retune(set balancer.Settings) error {
 	if err := set.Validate(); err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	b.aimMin = math.Inf(1)
 	for _, c := range set.Classes {
 		classes = append(classes, b.classOf(c))
-		b.aimMin = min(b.aimMin, c.AimMs)
+		b.aimMin = min(b.aimMin, c.LatencyObjectiveMs)
 	}
 	b.set, b.classes, b.worst = set, classes, classes[0]
 	b.starts++ // what counts as cold may have changed
@@ -107,7 +107,7 @@
 }
 
 // Start gives the first actions of a new agent and appends them to out.
-func (b *Balancer) Start(now float64, out []Action) []Action {
+func (b *Balancer) Start(now float64, out []balancer.Action) []balancer.Action {
 	b.now, b.out = now, out
 	b.follow()
 	return b.out
@@ -115,21 +115,21 @@
 
 // Handle takes one event and appends the actions it calls for to out. Events
 // for what is finished or unknown are ignored.
-func (b *Balancer) Handle(now float64, event *Event, out []Action) []Action {
+func (b *Balancer) Handle(now float64, event *balancer.Event, out []balancer.Action) []balancer.Action {
 	b.now, b.out = now, out
 	ev := event.Finite()
 	switch ev.Kind {
-	case EvRequest:
+	case balancer.EventRequest:
 		b.onRequest(ev)
-	case EvOutcome:
+	case balancer.EventAttemptDone:
 		b.onOutcome(ev)
-	case EvWritten:
+	case balancer.EventRequestSent:
 		b.onWritten(ev)
-	case EvStarted:
+	case balancer.EventResponseStarted:
 		if a := b.attemptOf(ev); a != nil && !a.r.closed {
 			a.r.started, a.s.heard = true, now
 		}
-	case EvDropped:
+	case balancer.EventClientGone:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			b.remember(r)
 			if r.open > 0 {
@@ -137,11 +137,11 @@
 			}
 			b.close(r)
 		}
-	case EvList:
+	case balancer.EventList:
 		b.onList(ev)
-	case EvProbed:
+	case balancer.EventHealthCheckDone:
 		b.onProbed(ev)
-	case EvTimer:
+	case balancer.EventTimer:
 		b.onTimer(ev.Token)
 	}
 	b.dispatch()
@@ -149,13 +149,14 @@
 	return b.out
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) do(a balancer.Action) { b.out = append(b.out, a) }
 
 // arm keeps one timer running while there is something to watch.
 func (b *Balancer) arm() {
 	if !b.ticking && (len(b.held) > 0 || b.inflight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActTimer, Ms: max(2*b.set.RoundMs, 5), Token: tickToken})
+		b.do(balancer.Action{Kind: balancer.ActionSetTimer, Ms: max(2*b.set.RoundTripMs, 5),
+			Token: tickToken})
 	}
 }
 
@@ -163,7 +164,7 @@
 	switch token {
 	case followToken:
 		b.calling = false
-		b.do(Action{Kind: ActFollow})
+		b.do(balancer.Action{Kind: balancer.ActionWatchList})
 	case tickToken:
 		b.ticking = false
 		b.watchSilence()
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // The plain forms of what the module computes with less work: each walks all servers, and scores all
@@ -73,7 +73,7 @@
 
 func (b *Balancer) referenceWarmWeight() (warm float64) {
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
+		if s.usable && s.state <= balancer.Unknown && b.ramp(s) == 1 {
 			warm += s.weight
 		}
 	}
@@ -97,15 +97,15 @@
 	draws    *rand.PCG // the Balancer's own
 	b        *Balancer
 	now      float64
-	next     RequestID
-	attempts map[RequestID]int
-	open     []Event // outcomes to come
+	next     balancer.RequestID
+	attempts map[balancer.RequestID]int
+	open     []balancer.Event // outcomes to come
 	seen     map[string]int
 }
 
 func newRandomDay(t *testing.T, seed uint64) *randomDay {
 	d := &randomDay{T: t, rng: rand.New(rand.NewPCG(seed, 1)), draws: rand.NewPCG(seed, 2), now: 1e5,
-		attempts: map[RequestID]int{}, seen: map[string]int{}}
+		attempts: map[balancer.RequestID]int{}, seen: map[string]int{}}
 	b, err := New(d.settings(), seed)
 	if err != nil {
 		t.Fatal(err)
@@ -115,46 +115,55 @@
 	return d
 }
 
-func (d *randomDay) settings() Settings {
-	return Settings{
-		Classes: []Class{
-			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: Free, Credit: 1, LateShare: 0.2},
-			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: SingleShot, Credit: 4},
-			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: Guarded, KeyTTLMs: 900, Credit: 2,
-				Group: []Group{GroupAll, GroupZone, GroupCell}[d.rng.IntN(3)]},
+func (d *randomDay) settings() balancer.Settings {
+	return balancer.Settings{
+		Classes: []balancer.Class{
+			{Name: "free", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
+				Idempotency: balancer.Idempotent, PriorityWeight: 1, LateFraction: 0.2},
+			{Name: "once", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
+				Idempotency: balancer.NonIdempotent, PriorityWeight: 4},
+			{Name: "keyed", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
+				Idempotency: balancer.IdempotentByKey, DedupWindowMs: 900, PriorityWeight: 2,
+				DedupScope: []balancer.DedupScope{balancer.DedupFleet, balancer.DedupZone,
+					balancer.DedupCell}[d.rng.IntN(3)]},
 		},
-		Limits: Limits{Cancelling: true, Probing: d.rng.IntN(2) == 0, MaxAttempts: 1 + d.rng.IntN(4),
+		Limits: balancer.Limits{AttemptCancellation: true, HealthChecks: d.rng.IntN(2) == 0,
+			MaxAttempts:     1 + d.rng.IntN(4),
 			MaxRetryAfterMs: 500},
-		Contract: Contract{AskWithinMs: 2000, ColdFrom: []float64{0, 0.14, 1}[d.rng.IntN(3)],
-			ColdMs: 4000 * d.rng.Float64(), FallMultiple: float64(d.rng.IntN(4)), TipAfterMs: 500},
-		Membership: "pushed", Replicas: 1 + d.rng.IntN(900), RoundMs: 5, WorthBy: "request",
+		Contract: balancer.Contract{PollWithinMs: 2000, SlowStartFrom: []float64{0, 0.14, 1}[d.rng.IntN(3)],
+			SlowStartMs: 4000 * d.rng.Float64(), OverloadMultiple: float64(d.rng.IntN(4)),
+			OverloadWindowMs: 500},
+		DiscoveryMode: "pushed", FleetSize: 1 + d.rng.IntN(900), RoundTripMs: 5, WeightBy: "request",
 	}
 }
 
-func (d *randomDay) handle(ev Event) {
+func (d *randomDay) handle(ev balancer.Event) {
 	for _, a := range d.b.Handle(d.now, &ev, nil) {
-		if a.Kind == ActSend {
-			d.open = append(d.open, Event{Kind: EvOutcome, Request: a.Request, Attempt: d.attempts[a.Request],
-				Server: a.Server})
+		if a.Kind == balancer.ActionForward {
+			d.open = append(d.open, balancer.Event{Kind: balancer.EventAttemptDone, Request: a.Request,
+				Attempt: d.attempts[a.Request],
+				Server:  a.Server})
 			d.attempts[a.Request]++
 		}
 	}
 }
 
 // list tells a few servers anew, or all.
-func (d *randomDay) list(count int, kind ListKind) {
-	var entries []Entry
+func (d *randomDay) list(count int, kind balancer.ListUpdate) {
+	var entries []balancer.Endpoint
 	for range count {
 		i := d.rng.IntN(60)
-		e := Entry{Server: Addr{10, 0, 0, byte(i), 1, 1}, Zone: i % 3, Cell: i % 4, SinceMs: 1,
-			Weight: float64(d.rng.IntN(3)),
-			Health: []Health{Ready, Ready, Ready, Ready, Draining, Gone}[d.rng.IntN(6)]}
+		e := balancer.Endpoint{Server: balancer.Addr{10, 0, 0, byte(i), 1, 1}, Zone: i % 3, Cell: i % 4,
+			StartedMs: 1,
+			Weight:    float64(d.rng.IntN(3)),
+			State: []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Ready,
+				balancer.Ready, balancer.Draining, balancer.Removed}[d.rng.IntN(6)]}
 		if d.rng.IntN(3) == 0 {
-			e.SinceMs = d.now - 100*d.rng.Float64()
+			e.StartedMs = d.now - 100*d.rng.Float64()
 		}
 		entries = append(entries, e)
 	}
-	d.handle(Event{Kind: EvList, List: kind, Entries: entries})
+	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
 	for range d.rng.IntN(3) { // equal scores, which hashes of addresses hardly give
 		if n := len(d.b.servers); n > 0 {
 			d.b.servers[d.rng.IntN(n)].hash = d.b.servers[d.rng.IntN(n)].hash
@@ -170,35 +179,40 @@
 	switch n := d.rng.IntN(40); {
 	case n < 18:
 		d.next++
-		d.handle(Event{Kind: EvRequest, Request: d.next, Class: d.rng.IntN(3), Key: uint64(d.rng.IntN(12)),
-			LeftMs: 100 + 900*d.rng.Float64(), Long: d.rng.IntN(8) == 0})
+		d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.next, Class: d.rng.IntN(3),
+			Key:         uint64(d.rng.IntN(12)),
+			RemainingMs: 100 + 900*d.rng.Float64(), StreamedBody: d.rng.IntN(8) == 0})
 	case n < 32 && len(d.open) > 0:
 		i := d.rng.IntN(len(d.open))
 		ev := d.open[i]
-		ev.Kind, ev.LeftMs = EvWritten, 300
+		ev.Kind, ev.RemainingMs = balancer.EventRequestSent, 300
 		d.handle(ev)
 		if d.rng.IntN(3) == 0 {
 			return // its outcome comes later
 		}
 		d.open = slices.Delete(d.open, i, i+1)
-		ev.Kind, ev.LatencyMs = EvOutcome, 300*d.rng.Float64()
-		statuses := []Status{OK, OK, OK, Error, Full, Full, Timeout, ConnectFailed, Reset, Unfit}
+		ev.Kind, ev.LatencyMs = balancer.EventAttemptDone, 300*d.rng.Float64()
+		statuses := []balancer.Status{balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
+			balancer.StatusError, balancer.StatusOverloaded, balancer.StatusOverloaded,
+			balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset,
+			balancer.StatusBadRequest}
 		ev.Status = statuses[d.rng.IntN(len(statuses))]
 		d.handle(ev)
 	case n < 34:
-		d.handle(Event{Kind: EvTimer, Token: tickToken})
+		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: tickToken})
 	case n < 35 && len(d.b.servers) > 0:
-		d.handle(Event{Kind: EvProbed, Server: d.b.servers[d.rng.IntN(len(d.b.servers))].id, Status: OK})
+		d.handle(balancer.Event{Kind: balancer.EventHealthCheckDone,
+			Server: d.b.servers[d.rng.IntN(len(d.b.servers))].id, Status: balancer.StatusOK})
 	case n < 36:
-		d.list(1+d.rng.IntN(5), ListDelta)
+		d.list(1+d.rng.IntN(5), balancer.ListDelta)
 	case n < 37 && d.rng.IntN(10) == 0:
-		d.list(30, ListCached)
+		d.list(30, balancer.ListCached)
 	case n < 38:
 		if err := d.b.Retune(d.settings()); err != nil {
 			d.Fatal(err)
 		}
 	case len(d.open) > 0: // at one moment with what came before, with the request's client gone
-		d.handle(Event{Kind: EvDropped, Request: d.open[0].Request})
+		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: d.open[0].Request})
 	}
 }
 
@@ -249,7 +263,7 @@
 		is   func(*server) bool
 	}{
 		{"busy", b.busy, func(s *server) bool { return len(s.out) > 0 }},
-		{"demoted", b.demotedServers(), func(s *server) bool { return s.state >= UnhealthyPending }},
+		{"demoted", b.demotedServers(), func(s *server) bool { return s.state >= balancer.UnhealthyPending }},
 		{"cold", b.coldServers(), func(s *server) bool { return b.ramp(s) != 1 }},
 	}
 	for _, set := range sets {
@@ -282,7 +296,7 @@
 	for seed := range uint64(60) {
 		d := newRandomDay(t, seed)
 		d.seen = seen
-		d.list(int(seed)%50, ListCached)
+		d.list(int(seed)%50, balancer.ListCached)
 		for range 600 {
 			d.step()
 			d.compare()
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // What a Balancer remembers, and plain arithmetic on it.
@@ -21,12 +21,12 @@
 	assumed     bool    // startedAt is of a restart that the list has not told
 	restUntil   float64 // passed over in its tier
 	usable      bool    // listed as ready
-	state       State
+	state       balancer.HealthState
 	silent      bool       // demoted for silence, not for an answer
 	probing     bool       // a probe is under way
 	window      float64    // attempts it may hold of this agent
 	out         []*attempt // attempts out, oldest first
-	id          Addr
+	id          balancer.Addr
 	cell        int
 	behind      float64 // how far the clock that its start is told by is known to be behind
 	since       float64 // when the state was entered
@@ -46,7 +46,7 @@
 // class is what is known of one class of requests. Those that came under other rules than
 // are in force now have one of their own.
 type class struct {
-	Class
+	balancer.Class
 	expect float64 // mean answer time
 	asked  float64 // its share of requests
 	won    float64 // and of those served in time
@@ -66,7 +66,7 @@
 
 // request is one try of a client, kept until it is answered and no attempt is out.
 type request struct {
-	id              RequestID
+	id              balancer.RequestID
 	class           *class
 	most            int  // attempts that it may have
 	long            bool // goes to its server as it comes
@@ -97,13 +97,13 @@
 
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
-	set             Settings
+	set             balancer.Settings
 	rng             *rand.Rand
 	now             float64
-	out             []Action
+	out             []balancer.Action
 	servers         []*server // by address
-	byAddr          map[Addr]*server
-	requests        map[RequestID]*request
+	byAddr          map[balancer.Addr]*server
+	requests        map[balancer.RequestID]*request
 	held            []*request
 	keys            map[uint64]float64 // requests of each key, of keyed in all, halved now and then
 	keyed           float64
@@ -150,8 +150,8 @@
 
 // classOf is the class with these rules. Where the rules have changed what was learned of
 // the class is taken along.
-func (b *Balancer) classOf(rules Class) *class {
-	k := &class{Class: rules, expect: rules.AimMs * crowdShare / 2, asked: 1, won: 1}
+func (b *Balancer) classOf(rules balancer.Class) *class {
+	k := &class{Class: rules, expect: rules.LatencyObjectiveMs * crowdShare / 2, asked: 1, won: 1}
 	for _, c := range b.classes {
 		if c.Class == rules {
 			return c
@@ -171,7 +171,7 @@
 		if c == of {
 			c.asked += 1 - fade
 		}
-		b.credit += c.asked * c.Credit
+		b.credit += c.asked * c.PriorityWeight
 		if c.won*b.worst.asked < b.worst.won*c.asked {
 			b.worst = c
 		}
@@ -197,16 +197,16 @@
 func (b *Balancer) remember(r *request) {
 	b.pasts = slices.DeleteFunc(b.pasts, func(p past) bool { return b.now > p.until })
 	if b.set.Clients.MarksRetry && len(b.pasts) < maxHeld {
-		b.pasts = append(b.pasts, past{r.class.Name, r.key, r.first, r.first + r.class.GiveUpMs})
+		b.pasts = append(b.pasts, past{r.class.Name, r.key, r.first, r.first + r.class.TotalTimeoutMs})
 	}
 }
 
 // firstTry is when the client's first try came. That of a marked retry is remembered. Where
 // retries bear no mark they lack what has passed of the time for all tries, if a try may have it all.
-func (b *Balancer) firstTry(c *class, ev *Event) float64 {
-	c.given = max(c.given, min(ev.LeftMs, c.GiveUpMs))
-	if !b.set.Clients.MarksRetry && c.given > wholeTime*c.GiveUpMs {
-		return b.now - max(c.given-ev.LeftMs, 0)
+func (b *Balancer) firstTry(c *class, ev *balancer.Event) float64 {
+	c.given = max(c.given, min(ev.RemainingMs, c.TotalTimeoutMs))
+	if !b.set.Clients.MarksRetry && c.given > wholeTime*c.TotalTimeoutMs {
+		return b.now - max(c.given-ev.RemainingMs, 0)
 	}
 	i := slices.IndexFunc(b.pasts, func(p past) bool { return p.class == c.Name && p.key == ev.Key })
 	if !ev.Retry || i < 0 {
@@ -227,10 +227,10 @@
 func (b *Balancer) ramp(s *server) float64 {
 	c := &b.set.Contract
 	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.ColdMs || s.assumed && age > c.AskWithinMs {
+	if s.startedAt <= 0 || age >= c.SlowStartMs || s.assumed && age > c.PollWithinMs {
 		return 1 // long past, or assumed and not borne out by the list in its time
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdMs
+	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
 }
 
 // warmWeight is the weight of the servers of the top tier that are not cold, counted once for all
@@ -259,7 +259,9 @@
 }
 
 // isWarm tells whether a server counts in warmWeight.
-func (b *Balancer) isWarm(s *server) bool { return s.usable && s.state <= Unknown && b.ramp(s) == 1 }
+func (b *Balancer) isWarm(s *server) bool {
+	return s.usable && s.state <= balancer.Unknown && b.ramp(s) == 1
+}
 
 // coldServers returns the listed servers that are not warm, by address. Between changes of the list
 // and of starts time can only make them fewer.
@@ -282,7 +284,7 @@
 	}
 	b.demoted, b.demotedEpoch = b.demoted[:0], b.epoch
 	for _, s := range b.servers {
-		if s.state >= UnhealthyPending {
+		if s.state >= balancer.UnhealthyPending {
 			b.demoted = append(b.demoted, s)
 		}
 	}
@@ -303,8 +305,8 @@
 func byAddress(x, y *server) int { return cmp.Compare(x.id.Uint64(), y.id.Uint64()) }
 
 // enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *server, to State) {
-	if s.state > Unknown || to > Unknown {
+func (b *Balancer) enter(s *server, to balancer.HealthState) {
+	if s.state > balancer.Unknown || to > balancer.Unknown {
 		b.epoch++
 	}
 	s.state, s.since = to, b.now
@@ -327,11 +329,12 @@
 }
 
 // View sums up the moment, for the log.
-func (b *Balancer) View() View {
-	v := View{Held: len(b.held), InFlight: b.inflight, Shed: b.shed(), Room: b.room, Over: b.over}
+func (b *Balancer) Stats() balancer.Stats {
+	v := balancer.Stats{Queued: len(b.held), InFlight: b.inflight, Shed: b.shed(),
+		ConcurrencyLimit: b.room, OverloadedFraction: b.over}
 	for _, s := range b.servers {
 		v.States[s.state]++
-		v.Window += s.window
+		v.ServerLimits += s.window
 	}
 	return v
 }
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	. "fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Validation and lapse: how a demoted server returns, and how the list is followed.
@@ -24,7 +24,7 @@
 // several answer times: hung or gone silent, they would stay Connected.
 func (b *Balancer) watchSilence() {
 	for _, s := range b.busy {
-		if s.state == Unhealthy {
+		if s.state == balancer.Unhealthy {
 			continue
 		}
 		a := s.out[0]
@@ -38,19 +38,19 @@
 // enough are refreshed to pending and validated in the background.
 func (b *Balancer) revalidate() {
 	for _, s := range b.demotedServers() {
-		if s.state == Unhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.holdFor(s) {
-			b.enter(s, UnhealthyPending)
+		if s.state == balancer.Unhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.holdFor(s) {
+			b.enter(s, balancer.UnhealthyPending)
 			b.refetch()
 		}
-		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.mayProbe >= 1 && b.probes < probeCap {
+		pending := s.state == balancer.UnhealthyPending && s.usable
+		if pending && b.set.Limits.HealthChecks && !s.probing && b.mayProbe >= 1 && b.probes < probeCap {
 			s.probing, b.probes, b.mayProbe = true, b.probes+1, b.mayProbe-1
-			b.do(Action{Kind: ActProbe, Server: s.id})
+			b.do(balancer.Action{Kind: balancer.ActionHealthCheck, Server: s.id})
 		}
 	}
 }
 
-func (b *Balancer) onProbed(ev *Event) {
+func (b *Balancer) onProbed(ev *balancer.Event) {
 	s := b.byAddr[ev.Server]
 	if s == nil || !s.probing {
 		return
@@ -58,12 +58,12 @@
 	s.probing = false
 	b.probes--
 	switch {
-	case s.state != UnhealthyPending:
-	case ev.Status == OK:
+	case s.state != balancer.UnhealthyPending:
+	case ev.Status == balancer.StatusOK:
 		b.heardFrom(s)
-		b.enter(s, Connected)
-	case ev.Status != Full:
-		b.demote(s, ev.Status != Error && ev.Status != Reset)
+		b.enter(s, balancer.Connected)
+	case ev.Status != balancer.StatusOverloaded:
+		b.demote(s, ev.Status != balancer.StatusError && ev.Status != balancer.StatusReset)
 	}
 }
 
@@ -71,9 +71,9 @@
 // is asked there is no other call: at one bad server's first failures all agents would ask,
 // and their whole lists keep discovery from the calls that bring changes.
 func (b *Balancer) refetch() {
-	if b.set.Membership != "on_request" && b.now-b.lookedAt >= max(b.set.Contract.AskWithinMs, 1000) {
+	if b.set.DiscoveryMode != "on_request" && b.now-b.lookedAt >= max(b.set.Contract.PollWithinMs, 1000) {
 		b.lookedAt = b.now
-		b.do(Action{Kind: ActFetch})
+		b.do(balancer.Action{Kind: balancer.ActionFetchList})
 	}
 }
 
@@ -81,29 +81,30 @@
 // call one after another, as long apart as their number needs, and after each failure
 // twice as long. One call is on its way at a time, whatever fails meanwhile.
 func (b *Balancer) follow() {
-	if b.set.Membership != "on_request" || b.calling {
+	if b.set.DiscoveryMode != "on_request" || b.calling {
 		return
 	}
 	b.calling = true
-	most := min(b.set.Contract.AskWithinMs/2, callMost)
-	spread := callGap * float64(b.set.Replicas) * math.Pow(2, float64(b.follows))
-	b.do(Action{Kind: ActTimer, Ms: b.rng.Float64() * min(max(spread, 2*b.aimMin), most), Token: followToken})
+	most := min(b.set.Contract.PollWithinMs/2, callMost)
+	spread := callGap * float64(b.set.FleetSize) * math.Pow(2, float64(b.follows))
+	b.do(balancer.Action{Kind: balancer.ActionSetTimer, Ms: b.rng.Float64() * min(max(spread,
+		2*b.aimMin), most), Token: followToken})
 }
 
-func (b *Balancer) onList(ev *Event) {
-	if ev.List == ListFailed {
+func (b *Balancer) onList(ev *balancer.Event) {
+	if ev.ListUpdate == balancer.ListFailed {
 		b.follows++
 		b.follow()
 		return
 	}
 	b.follows = 0
 	b.epoch++
-	named := map[Addr]bool{}
-	for i := range ev.Entries {
-		named[ev.Entries[i].Server] = true
-		b.update(&ev.Entries[i])
+	named := map[balancer.Addr]bool{}
+	for i := range ev.Endpoints {
+		named[ev.Endpoints[i].Server] = true
+		b.update(&ev.Endpoints[i])
 	}
-	if ev.List != ListDelta {
+	if ev.ListUpdate != balancer.ListDelta {
 		for _, s := range b.servers {
 			s.usable = s.usable && named[s.id]
 		}
@@ -119,25 +120,25 @@
 
 // update takes one line of the list. Another start is another process, a later or an earlier one: the
 // wall clock that starts are told by may be set back. A start of 0 tells nothing.
-func (b *Balancer) update(e *Entry) {
-	s, since := b.byAddr[e.Server], Finite(e.SinceMs)
+func (b *Balancer) update(e *balancer.Endpoint) {
+	s, since := b.byAddr[e.Server], balancer.Finite(e.StartedMs)
 	switch {
 	case s == nil:
 		s = b.insert(e.Server, since)
 	case since != s.listedAt && since > 0:
 		b.restarted(s, since)
 	}
-	s.zone, s.cell, s.usable = e.Zone, e.Cell, e.Health == Ready
-	s.weight = cmp.Or(max(Finite(e.Weight), 0), 1)
+	s.zone, s.cell, s.usable = e.Zone, e.Cell, e.State == balancer.Ready
+	s.weight = cmp.Or(max(balancer.Finite(e.Weight), 0), 1)
 }
 
 // insert adds a server that was not listed so far.
-func (b *Balancer) insert(id Addr, since float64) *server {
-	s := &server{id: id, hash: mix(id.Uint64()), state: Unknown, since: b.now,
+func (b *Balancer) insert(id balancer.Addr, since float64) *server {
+	s := &server{id: id, hash: mix(id.Uint64()), state: balancer.Unknown, since: b.now,
 		startedAt: min(since, b.now), listedAt: since, credit: b.rng.Float64(),
-		window: float64(max(firstWindow, firstShare/max(b.set.Replicas, 1)))}
+		window: float64(max(firstWindow, firstShare/max(b.set.FleetSize, 1)))}
 	b.byAddr[s.id] = s
-	b.room += firstRoom * b.ramp(s) / max(float64(b.set.Replicas-firstShare), 0)
+	b.room += firstRoom * b.ramp(s) / max(float64(b.set.FleetSize-firstShare), 0)
 	i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
 		return cmp.Compare(x.id.Uint64(), y.id.Uint64())
 	})
@@ -156,7 +157,7 @@
 	}
 	s.behind = max(s.startedAt-since, 0)
 	s.listedAt, s.assumed = since, false
-	s.state, s.since, s.silent = Unknown, b.now, false
+	s.state, s.since, s.silent = balancer.Unknown, b.now, false
 	s.strikes, s.good, s.lat, s.calm, s.samples, s.window = 0, 0, 0, 0, 0, 1
 	// A part of a request by chance: of many agents that never earn a whole one, as
 	// many send one as together earned one (ia9314f: new servers were left idle).
