--- a/internal/listsvc/http.go
+++ b/internal/listsvc/http.go
@@ -131,6 +131,9 @@
 // if not, for how long that holds.
 func (n *Node) refuseStale(w http.ResponseWriter) (time.Duration, bool) {
 	left, err := n.fresh()
+	if err != nil && n.awaitCaughtUp() {
+		left, err = n.fresh()
+	}
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/listsvc/recover.go
+++ b/internal/listsvc/recover.go
@@ -42,6 +42,20 @@
 	}
 }
 
+// awaitCaughtUp gives an instance that works but has not caught up a moment to do so, as at a start;
+// it tells whether it has.
+func (n *Node) awaitCaughtUp() bool {
+	for end := time.Now().Add(consistentWithin); n.store.available() == nil && !n.isClosed(); time.Sleep(catchUpPause / 10) {
+		if n.store.health.behindSince(time.Now(), n.store.outageLimit).IsZero() {
+			return true
+		}
+		if time.Now().After(end) {
+			break
+		}
+	}
+	return false
+}
+
 func (n *Node) isClosed() bool {
 	select {
 	case <-n.closed:
