--- a/cmd/ringtrack/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command ringtrack is one agent: it takes requests from the application beside
+// Command agent is one agent: it takes requests from the application beside
 // it and places them on backends, as the decision module says.
 package main
 
@@ -16,12 +16,12 @@
 	"strconv"
 	"syscall"
 
-	"clayproxy.example/clayproxy/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "ringtrack:", err)
+		fmt.Fprintln(os.Stderr, "agent:", err)
 		os.Exit(1)
 	}
 }
@@ -52,8 +52,8 @@
 		operators = ln.Operators.Addr().String()
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
-		"management", operators, "membership", cfg.Settings.Membership,
-		"agents", cfg.Settings.Replicas, "known", len(cfg.Known.Servers), "prices", fmt.Sprintf("%+v", cfg.Settings.Prices))
+		"management", operators, "membership", cfg.Settings.DiscoveryMode,
+		"agents", cfg.Settings.FleetSize, "known", len(cfg.Known.Servers), "prices", fmt.Sprintf("%+v", cfg.Settings.Costs))
 	reloads := make(chan *agent.Config)
 	go reload(stop, cfg, hangups, reloads)
 	return agent.Run(stop, cfg, ln, reloads)
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // teller is an instance of a list service that tells settings.
@@ -27,7 +27,7 @@
 
 	mu       sync.Mutex
 	version  uint64
-	settings *targets.Settings
+	settings *endpoint.Settings
 	stubborn bool // it tells its settings whatever the call has
 	down     bool
 	wake     chan struct{}
@@ -85,7 +85,7 @@
 
 func (d *teller) tell(version uint64, value string) {
 	d.change(func() {
-		d.settings = &targets.Settings{Service: "pay", Version: version, Value: json.RawMessage(value)}
+		d.settings = &endpoint.Settings{Service: "pay", Version: version, Value: json.RawMessage(value)}
 	})
 }
 
@@ -145,7 +145,7 @@
 func inForceNow(a *testAgent) [4]int {
 	return inLoop(a, func(l *loop) [4]int {
 		s := &l.cfg.Settings
-		return [4]int{s.Limits.MaxAttempts, int(s.RoundMs), s.Index, s.Zone}
+		return [4]int{s.Limits.MaxAttempts, int(s.RoundTripMs), s.Index, s.Zone}
 	})
 }
 
@@ -271,7 +271,7 @@
 		}
 	}()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), func(c *Config) {
-		c.Name, c.Discovery, c.Settings.Membership = "pay-1", ln.Addr().String(), "pushed"
+		c.Name, c.Discovery, c.Settings.DiscoveryMode = "pay-1", ln.Addr().String(), "pushed"
 	})
 	for _, index := range []int{1, 5, 5} {
 		want := fmt.Sprintf("GET /api/targets?index=%d&wait=1000 HTTP/1.1\r\nHost: %s\r\nUser-Agent: Go-http-client/1.1\r\n\r\n", index, ln.Addr())
@@ -529,11 +529,11 @@
 // An agent that ends takes no more settings over, and does not ask again and again for them.
 func TestAnEndingAgentAsksForNoSettings(t *testing.T) {
 	t.Parallel()
-	w := &settingsWatch{service: "pay", agent: "pay-1", take: func(context.Context, *targets.Settings) error { return errNotServing }}
+	w := &settingsWatch{service: "pay", agent: "pay-1", take: func(context.Context, *endpoint.Settings) error { return errNotServing }}
 	if want := "&service=pay&agent=pay-1&in_force=0"; w.query() != want {
 		t.Errorf("asks %q, want %q", w.query(), want)
 	}
-	if w.come(t.Context(), &targets.Settings{Version: 5}); w.query() != "" {
+	if w.come(t.Context(), &endpoint.Settings{Version: 5}); w.query() != "" {
 		t.Errorf("asks %q after the end", w.query())
 	}
 }
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/clock/clocktest"
+	"fernbeam.example/fernbeam/internal/clock/clocktest"
 )
 
 // startsRig is a machine whose wall clock may be wrong, and the starts that an agent on it is told.
@@ -108,7 +108,7 @@
 // steppedAgent is an agent of one backend, with a clock that a test steps.
 func steppedAgent(t *testing.T, d *fakeDiscovery, ahead time.Duration) (*testAgent, *clocktest.Stepped) {
 	stepped := clocktest.NewStepped(ahead)
-	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.Membership = stepped, "pushed" }), stepped
+	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.DiscoveryMode = stepped, "pushed" }), stepped
 }
 
 // unixNowMs is the time of day by a true clock, as lists tell it.
