--- a/policy/pick.go
+++ b/policy/pick.go
@@ -12,28 +12,28 @@
 // this agent's requests is split at random into parts, each with an order of its own: of
 // many agents none has enough in flight for the cap to move a popular key on (ia9314f:
 // one server got 18 times the mean). While little is known each key has two parts.
-func (b *Balancer) spot(key uint64) uint64 {
+func (b *Balancer) partition(key uint64) uint64 {
 	if key == 0 {
 		return 0
 	}
-	all := float64(len(b.servers)) / keyPart
-	b.countKey(key, keyMemory*all)
-	parts := b.keys[key] * all / (b.keyed + all/2)
+	all := float64(len(b.servers)) / maxPartitionShare
+	b.countKey(key, keyCountWindow*all)
+	parts := b.keyCounts[key] * all / (b.keyTotal + all/2)
 	if i := uint64(b.rng.Float64() * math.Ceil(parts)); i > 0 {
-		return mix(key + i)
+		return splitmix64(key + i)
 	}
 	return key
 }
 
 // rank is the server's tier for the request.
-func (b *Balancer) rank(s *server, r *request) int {
-	switch s.state {
+func (b *Balancer) tierOf(s *server, r *request) int {
+	switch s.health {
 	case balancer.Unhealthy:
 		return 2
 	case balancer.UnhealthyPending:
 		// What must not run twice does not check a server while others are healthy.
-		if r.class.Idempotency == balancer.NonIdempotent || b.set.Limits.HealthChecks &&
-			b.now-s.since < b.aimMin {
+		if r.class.Idempotency == balancer.NonIdempotent || b.settings.Limits.HealthChecks &&
+			b.now-s.healthSince < b.minObjectiveMs {
 			return 1
 		}
 	}
@@ -48,7 +48,7 @@
 // sorted: with hundreds of them that took more than the agent's CPU share.
 func (b *Balancer) pick(r *request) *server {
 	r.tierWeight = 0
-	if !b.mayTry(r) {
+	if !b.mayAttempt(r) {
 		return nil
 	}
 	for rank := range tierCount {
@@ -78,12 +78,12 @@
 	tier := b.tier[:0]
 	r.tierWeight = 0
 	for _, s := range servers {
-		if !s.usable || b.rank(s, r) != rank || len(r.attempts) > 0 && !b.mayTryAt(r, s) {
+		if !s.ready || b.tierOf(s, r) != rank || len(r.attempts) > 0 && !b.mayAttemptAt(r, s) {
 			continue
 		}
-		weight := s.weight * b.ramp(s)
+		weight := s.weight * b.slowStartFraction(s)
 		r.tierWeight += weight
-		if b.now < s.restUntil {
+		if b.now < s.restingUntil {
 			resting += weight
 		}
 		tier = append(tier, s)
@@ -95,11 +95,11 @@
 // nearest is the first server of b.tier in the request's order that takes it; found tells whether
 // there was any to choose from. A request that waits for the servers of its key has no others.
 func (b *Balancer) nearest(r *request, skipResting bool) (best *server, found bool) {
-	if b.waits(r) {
+	if b.waitsForKey(r) {
 		return b.nearestOfKey(r, skipResting)
 	}
 	for _, s := range b.tier {
-		if skipResting && b.now < s.restUntil || !b.hasRoom(s, r) {
+		if skipResting && b.now < s.restingUntil || !b.hasCapacity(s, r) {
 			continue
 		}
 		found = true
@@ -118,31 +118,31 @@
 
 // nearestOfKey is the first of the keyServers that are nearest the request's key that takes it.
 func (b *Balancer) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
-	var near [keyServers]*server
+	var near [preferredServers]*server
 	count := 0
 	for _, s := range b.tier {
-		if skipResting && b.now < s.restUntil {
+		if skipResting && b.now < s.restingUntil {
 			continue
 		}
 		count++
 		place := b.place(r, s)
 		weight := b.orderWeight(s)
-		farthest := near[keyServers-1]
+		farthest := near[preferredServers-1]
 		if farthest != nil && place.leastScore(weight) >= farthest.score {
 			continue
 		}
 		s.score = place.score(weight)
-		for i, at := 0, s; i < keyServers && at != nil; i++ {
+		for i, at := 0, s; i < preferredServers && at != nil; i++ {
 			if near[i] == nil || at.score < near[i].score {
 				near[i], at = at, near[i]
 			}
 		}
 	}
-	if count > keyServers {
-		r.near, r.epoch = near, b.epoch
+	if count > preferredServers {
+		r.nearest, r.nearestEpoch = near, b.epoch
 	}
 	for _, s := range near {
-		if s != nil && (best == nil || s.score < best.score) && b.takes(s, r) {
+		if s != nil && (best == nil || s.score < best.score) && b.accepts(s, r) {
 			best = s
 		}
 	}
@@ -156,15 +156,16 @@
 		return
 	}
 	for _, s := range b.tier {
-		if !(skipResting && b.now < s.restUntil) && b.hasRoom(s, r) {
+		if !(skipResting && b.now < s.restingUntil) && b.hasCapacity(s, r) {
 			b.rng.Uint64()
 		}
 	}
 }
 
 // waits tells whether the request still waits for the servers nearest its key.
-func (b *Balancer) waits(r *request) bool {
-	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < keyWait*(r.aimAt-r.arrived)
+func (b *Balancer) waitsForKey(r *request) bool {
+	return r.key != 0 && len(r.attempts) == 0 &&
+		b.now-r.arrivedAt < keyWaitFraction*(r.objectiveAt-r.arrivedAt)
 }
 
 // place is where a hash falls between 0 and 1, in steps of 1/placeSteps.
@@ -182,7 +183,7 @@
 	if r.key == 0 {
 		return place(b.rng.Uint64() >> 11)
 	}
-	return place(mix(r.spot^s.hash) >> 11)
+	return place(splitmix64(r.partitionKey^s.hash) >> 11)
 }
 
 // score orders servers by weighted rendezvous hashing: a server's share of keys is that of its weight.
@@ -198,27 +199,29 @@
 
 // orderWeight is the server's weight in a request's order.
 func (b *Balancer) orderWeight(s *server) float64 {
-	weight := s.weight * b.coldShare(s)
-	if s.zone == b.set.Zone {
-		weight *= b.own
+	weight := s.weight * b.slowStartLoad(s)
+	if s.zone == b.settings.Zone {
+		weight *= b.zonePreference
 	}
 	return weight
 }
 
 // takes tells whether the server is under its cap and has room.
-func (b *Balancer) takes(s *server, r *request) bool { return b.underCap(s, r) && b.hasRoom(s, r) }
+func (b *Balancer) accepts(s *server, r *request) bool {
+	return b.underCap(s, r) && b.hasCapacity(s, r)
+}
 
 // underCap tells whether the server is under its cap in the tier of the request's last pick.
 func (b *Balancer) underCap(s *server, r *request) bool {
-	share := s.weight * b.ramp(s) / r.tierWeight
-	return float64(b.holds(s)) < math.Ceil(capFactor*float64(b.inflight+1)*share)
+	share := s.weight * b.slowStartFraction(s) / r.tierWeight
+	return float64(b.activeAttempts(s)) < math.Ceil(loadCapFactor*float64(b.inFlight+1)*share)
 }
 
 // holds is the number of attempts that a server is at work on: a lost one keeps no room.
-func (b *Balancer) holds(s *server) int {
-	n := len(s.out)
-	for _, a := range s.out {
-		if b.overtaken(a) {
+func (b *Balancer) activeAttempts(s *server) int {
+	n := len(s.inFlight)
+	for _, a := range s.inFlight {
+		if b.lostResponse(a) {
 			n--
 		}
 	}
@@ -226,26 +229,27 @@
 }
 
 // overtaken tells whether its server has answered later ones for several answer times.
-func (b *Balancer) overtaken(a *attempt) bool {
-	t := lostAfter * max(a.r.class.expect, a.s.rtt)
-	return b.now-a.sentAt > t && a.s.heard-a.sentAt > t/2
+func (b *Balancer) lostResponse(a *attempt) bool {
+	t := lostAfterResponses * max(a.request.class.expectedMs, a.server.responseMs)
+	return b.now-a.startedAt > t && a.server.lastResponseAt-a.startedAt > t/2
 }
 
 // hasRoom bounds what a server holds of this agent: its window, one at a time
 // until it is validated, and whatever its state a cold server's credit.
-func (b *Balancer) hasRoom(s *server, r *request) bool {
+func (b *Balancer) hasCapacity(s *server, r *request) bool {
 	if !b.hasCredit(s) {
 		return false
 	}
-	if s.state >= balancer.UnhealthyPending {
-		return len(s.out) == 0
+	if s.health >= balancer.UnhealthyPending {
+		return len(s.inFlight) == 0
 	}
 	// A window under one is kept by pausing: with many agents even one attempt of
 	// each can be too much, and a server that tipped needs rest to recover.
-	return b.holds(s) < max(int(s.window), 1) && (s.window >= 1 || b.now-s.sentAt >= s.rtt/s.window)
+	return b.activeAttempts(s) < max(int(s.limit), 1) && (s.limit >= 1 ||
+		b.now-s.lastForwardAt >= s.responseMs/s.limit)
 }
 
 // hasCredit tells whether a cold server may be sent another attempt; a warm one always may.
 func (b *Balancer) hasCredit(s *server) bool {
-	return b.ramp(s) == 1 || s.credit+b.accrued(s) >= 1
+	return b.slowStartFraction(s) == 1 || s.slowStartCredit+b.accruedCredit(s) >= 1
 }
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -14,27 +14,27 @@
 // that it may choose. The module has to agree with them to the last bit.
 
 func (b *Balancer) referencePick(r *request) *server {
-	waits := b.waits(r)
+	waits := b.waitsForKey(r)
 	for pass := range 6 {
 		rank, rest := pass/2, pass%2 == 0
 		tier, resting := []*server{}, 0.0
 		r.tierWeight = 0
-		var near [keyServers]*server
+		var near [preferredServers]*server
 		for _, s := range b.servers {
-			if b.rank(s, r) != rank || !b.maySend(r, s) {
+			if b.tierOf(s, r) != rank || !b.mayForward(r, s) {
 				continue
 			}
-			r.tierWeight += s.weight * b.ramp(s)
-			if rest && b.now < s.restUntil {
-				resting += s.weight * b.ramp(s)
+			r.tierWeight += s.weight * b.slowStartFraction(s)
+			if rest && b.now < s.restingUntil {
+				resting += s.weight * b.slowStartFraction(s)
 				continue
 			}
-			if !waits && !b.hasRoom(s, r) {
+			if !waits && !b.hasCapacity(s, r) {
 				continue
 			}
 			s.score = b.referenceScore(r, s)
 			tier = append(tier, s)
-			for i, at := 0, s; i < keyServers && at != nil; i++ {
+			for i, at := 0, s; i < preferredServers && at != nil; i++ {
 				if near[i] == nil || at.score < near[i].score {
 					near[i], at = at, near[i]
 				}
@@ -43,13 +43,13 @@
 		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
 			continue
 		}
-		if waits && len(tier) > keyServers {
-			r.near, r.epoch = near, b.epoch
+		if waits && len(tier) > preferredServers {
+			r.nearest, r.nearestEpoch = near, b.epoch
 			tier = near[:]
 		}
 		var best *server
 		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.takes(s, r) {
+			if (best == nil || s.score < best.score) && b.accepts(s, r) {
 				best = s
 			}
 		}
@@ -59,21 +59,21 @@
 }
 
 func (b *Balancer) referenceScore(r *request, s *server) float64 {
-	x := mix(r.spot ^ s.hash)
+	x := splitmix64(r.partitionKey ^ s.hash)
 	if r.key == 0 {
 		x = b.rng.Uint64()
 	}
 	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.coldShare(s)
-	if s.zone == b.set.Zone {
-		w *= b.own
+	w := s.weight * b.slowStartLoad(s)
+	if s.zone == b.settings.Zone {
+		w *= b.zonePreference
 	}
 	return -math.Log(u+1e-18) / w
 }
 
 func (b *Balancer) referenceWarmWeight() (warm float64) {
 	for _, s := range b.servers {
-		if s.usable && s.state <= balancer.Unknown && b.ramp(s) == 1 {
+		if s.ready && s.health <= balancer.Unknown && b.slowStartFraction(s) == 1 {
 			warm += s.weight
 		}
 	}
@@ -202,7 +202,7 @@
 		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: tickToken})
 	case n < 35 && len(d.b.servers) > 0:
 		d.handle(balancer.Event{Kind: balancer.EventHealthCheckDone,
-			Server: d.b.servers[d.rng.IntN(len(d.b.servers))].id, Status: balancer.StatusOK})
+			Server: d.b.servers[d.rng.IntN(len(d.b.servers))].address, Status: balancer.StatusOK})
 	case n < 36:
 		d.list(1+d.rng.IntN(5), balancer.ListDelta)
 	case n < 37 && d.rng.IntN(10) == 0:
@@ -221,7 +221,7 @@
 	if s == nil {
 		return "none"
 	}
-	return fmt.Sprint(s.id)
+	return fmt.Sprint(s.address)
 }
 
 // comparePick holds the choice for a request to that of the plain form, and leaves no trace of either.
@@ -231,17 +231,18 @@
 	expected, wantDraws := *r, *d.draws
 	*r, *d.draws = was, draws
 	got := b.pick(r)
-	if got != want || *d.draws != wantDraws || r.near != expected.near || r.epoch != expected.epoch ||
+	if got != want || *d.draws != wantDraws || r.nearest != expected.nearest ||
+		r.nearestEpoch != expected.nearestEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
 		d.Fatalf("request %d, key %d: picked %s, plainly %s; tier weight %v and %v, draws equal: %t",
 			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *d.draws == wantDraws)
 	}
 	if got != nil {
-		d.seen[fmt.Sprintf("rank %d", b.rank(got, r))]++
-		if b.now < got.restUntil {
+		d.seen[fmt.Sprintf("rank %d", b.tierOf(got, r))]++
+		if b.now < got.restingUntil {
 			d.seen["resting"]++
 		}
-		if b.ramp(got) < 1 {
+		if b.slowStartFraction(got) < 1 {
 			d.seen["cold"]++
 		}
 	} else {
@@ -254,7 +255,8 @@
 	b := d.b
 	b.now += 1e-3 // a moment of its own: the weight is counted once for all decisions of one
 	d.now = b.now
-	if got, want := b.warmWeight(), b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
+	if got, want := b.warmWeight(),
+		b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
 		d.Fatalf("warm weight %v, in the plain form %v", got, want)
 	}
 	sets := []struct {
@@ -262,29 +264,30 @@
 		got  []*server
 		is   func(*server) bool
 	}{
-		{"busy", b.busy, func(s *server) bool { return len(s.out) > 0 }},
-		{"demoted", b.demotedServers(), func(s *server) bool { return s.state >= balancer.UnhealthyPending }},
-		{"cold", b.coldServers(), func(s *server) bool { return b.ramp(s) != 1 }},
+		{"busy", b.busy, func(s *server) bool { return len(s.inFlight) > 0 }},
+		{"demoted", b.demotedServers(),
+			func(s *server) bool { return s.health >= balancer.UnhealthyPending }},
+		{"cold", b.slowStartServers(), func(s *server) bool { return b.slowStartFraction(s) != 1 }},
 	}
 	for _, set := range sets {
 		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
 			d.Fatalf("%s: %d servers, in the plain form %d", set.name, len(set.got), len(want))
 		}
 	}
-	for _, r := range b.held {
+	for _, r := range b.queued {
 		d.comparePick(r)
 	}
 	class := b.classes[d.rng.IntN(len(b.classes))]
-	r := &request{id: 1 << 30, class: class, most: 3, key: uint64(d.rng.IntN(12)), arrived: b.now,
-		aimAt: b.now + 300, deadline: b.now + 400}
-	if r.spot = r.key; d.rng.IntN(2) == 0 {
-		r.arrived -= 200 // it waits no longer for its key's servers
+	r := &request{id: 1 << 30, class: class, maxAttempts: 3, key: uint64(d.rng.IntN(12)), arrivedAt: b.now,
+		objectiveAt: b.now + 300, deadline: b.now + 400}
+	if r.partitionKey = r.key; d.rng.IntN(2) == 0 {
+		r.arrivedAt -= 200 // it waits no longer for its key's servers
 	}
 	d.comparePick(r)
 	if n := len(b.servers); n > 0 { // it has tried one before, where it may have run
 		s := b.servers[d.rng.IntN(n)]
-		r.attempts = []*attempt{{r: r, s: s, done: true}}
-		r.risky, r.ranAt, r.ranOn = 1, b.now, s
+		r.attempts = []*attempt{{request: r, server: s, ended: true}}
+		r.maybeExecuted, r.executedAt, r.executedOn = 1, b.now, s
 		d.comparePick(r)
 	}
 }
