--- /dev/null
+++ b/policy/attempts.go
@@ -0,0 +1,224 @@
+package policy
+
+import (
+	"cmp"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// forward starts an attempt of the request at the server, if it is permitted.
+func (b *Balancer) forward(r *request, s *server) bool {
+	if !b.selector.mayForward(r, s) {
+		return false
+	}
+	a := &attempt{
+		request:   r,
+		server:    s,
+		index:     len(r.attempts),
+		alone:     len(s.inFlight) == 0,
+		startedAt: b.now,
+	}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	if r.maybeExecuted == 0 {
+		r.executedAt = b.now
+		r.executedOn = s
+	}
+	r.maybeExecuted++
+	if !r.streamedBody {
+		b.concurrency.begin(a)
+	}
+	b.slowStart.spend(s)
+	b.concurrency.recordForward(s)
+	timeoutMs := r.deadline - b.now
+	b.emit(balancer.Action{Kind: balancer.ActionForward, Request: r.id, Server: s.address, Ms: timeoutMs})
+	return true
+}
+
+// attemptOf is the attempt that an event is about; nil if it has ended or is not known.
+func (b *Balancer) attemptOf(ev *balancer.Event) *attempt {
+	r := b.requests[ev.Request]
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
+		return nil
+	}
+	if a := r.attempts[ev.Attempt]; !a.ended {
+		return a
+	}
+	return nil
+}
+
+// onRequestSent counts an attempt of a request with a streamed body: the server has all of it now,
+// and its time counts from here.
+func (b *Balancer) onRequestSent(ev *balancer.Event) {
+	a := b.attemptOf(ev)
+	if a == nil || a.counted || a.request.closed {
+		return
+	}
+	a.request.setDeadlines(b.environment, ev.RemainingMs, b.now)
+	b.concurrency.begin(a)
+}
+
+// onResponseStarted notes that the client has begun to receive a streamed response.
+func (b *Balancer) onResponseStarted(ev *balancer.Event) {
+	a := b.attemptOf(ev)
+	if a == nil || a.request.closed {
+		return
+	}
+	a.request.responseStarted = true
+	a.server.lastResponseAt = b.now
+}
+
+// onAttemptDone takes the end of an attempt: it updates what is known of the server, and answers the
+// request or decides about a retry.
+func (b *Balancer) onAttemptDone(ev *balancer.Event) {
+	a := b.attemptOf(ev)
+	if a == nil {
+		return
+	}
+	r := a.request
+	b.endAttempt(a, ev)
+	b.recordStatus(a, ev)
+	b.closeIdle(a.server)
+	switch {
+	case r.closed || r.responseStarted || ev.RequestDone || ev.Status == balancer.StatusOK:
+		b.close(r)
+	case ev.Status == balancer.StatusBadRequest: // as it would be at every server, and for each retry
+		b.close(r)
+		b.emit(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
+	default:
+		b.retryOrReject(r, ev.Status)
+	}
+}
+
+// endAttempt takes an ended attempt out of all counts.
+func (b *Balancer) endAttempt(a *attempt, ev *balancer.Event) {
+	r := a.request
+	a.ended = true
+	r.inFlight--
+	if ev.BodyConsumed {
+		r.maxAttempts = len(r.attempts)
+	}
+	b.concurrency.end(a)
+	if ev.Status.NotExecuted() {
+		r.maybeExecuted--
+	}
+}
+
+// recordStatus updates what is known of the attempt's server by how the attempt ended.
+func (b *Balancer) recordStatus(a *attempt, ev *balancer.Event) {
+	s := a.server
+	switch ev.Status {
+	case balancer.StatusOK:
+		b.recordSuccess(a, ev)
+	case balancer.StatusBadRequest: // a response, and no failure of the server's
+		s.lastResponseAt = b.now
+	case balancer.StatusError, balancer.StatusReset:
+		s.lastResponseAt = b.now
+		b.outliers.eject(s, false)
+	case balancer.StatusConnectFailed:
+		b.outliers.recordUnreachable(s)
+	case balancer.StatusTimeout:
+		b.recordTimeout(a, ev)
+	case balancer.StatusOverloaded:
+		s.lastResponseAt = b.now
+		b.concurrency.cutServer(s, rejectionDecrease, 1)
+		b.concurrency.recordOverload(a, true)
+		b.zone.record(s, true)
+		b.concurrency.rest(s, 1)
+	}
+}
+
+// recordTimeout records a timeout. A server that has responded to other attempts meanwhile counts as
+// slow, another one as unresponsive. Where a server has responded well to later attempts since, the
+// response was lost on its way and says nothing about the server.
+func (b *Balancer) recordTimeout(a *attempt, ev *balancer.Event) {
+	s := a.server
+	if s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
+		b.now-a.startedAt > baselineSamples*s.pace.intervalMs {
+		return
+	}
+	b.zone.record(s, true)
+	b.concurrency.rest(s, 1)
+	if s.lastResponseAt > a.startedAt {
+		s.recordLatency(a.request.class.latency(ev.LatencyMs))
+		b.concurrency.recordOverload(a, true)
+		return
+	}
+	b.outliers.eject(s, true)
+}
+
+// recordSuccess records a successful response with all concerns that learn from it.
+func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
+	s := a.server
+	b.slowStart.earn(s)
+	b.retries.earn()
+	b.slowStart.recordContact(s)
+	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
+	late := b.recordEarnings(a.request, ev.LatencyMs)
+	b.zone.record(s, late)
+	latency := a.request.class.latency(ev.LatencyMs)
+	b.latency.record(latency, a.alone)
+	s.recordLatency(latency)
+	b.concurrency.restIfSlow(s, latency, late)
+	limit := b.concurrency.serverLatencyLimit(s)
+	if b.latency.known() {
+		b.concurrency.recordOverload(a, b.concurrency.isOverload(s, latency, limit))
+	}
+	if b.outliers.recordSuccess(a) {
+		b.concurrency.adjustServer(s, limit, ev.LatencyMs)
+	}
+}
+
+// recordEarnings counts a response into the statistics of its class and the served fraction, and
+// tells whether it missed the latency objective.
+func (b *Balancer) recordEarnings(r *request, responseMs float64) (late bool) {
+	r.class.recordResponseTime(responseMs)
+	late = b.now > r.objectiveAt
+	earned := r.class.LateFraction
+	if !late {
+		r.class.countInTime()
+		earned = 1
+	}
+	if !r.closed {
+		b.shedder.record(earned)
+	}
+	return late
+}
+
+// closeIdle closes the idle connections to a server where, by the costs in the settings, keeping
+// them until the next attempt costs more than opening one. Without that each of a thousand agents
+// kept connections to a third of the servers, which cost 23 points of the result.
+func (b *Balancer) closeIdle(s *server) {
+	costs := &b.settings.Costs
+	servers := float64(len(b.endpoints.servers))
+	intervalMs := b.concurrency.pace.intervalMs
+	serverIntervalMs := cmp.Or(s.pace.intervalMs, intervalMs*servers)
+	keepCost := costs.Connection * serverIntervalMs * float64(b.settings.FleetSize)
+	openCost := 100 * servers * intervalMs * costs.Handshake
+	if len(s.inFlight) == 0 && keepCost > openCost {
+		b.emit(balancer.Action{Kind: balancer.ActionCloseIdle, Server: s.address})
+	}
+}
+
+// retryOrReject queues a request whose attempt failed for another server, where its class, its time
+// and the retry budget permit that, and rejects it otherwise.
+func (b *Balancer) retryOrReject(r *request, status balancer.Status) {
+	if b.mayRetry(r, status) {
+		b.retries.spend()
+		b.queue.add(r)
+		return
+	}
+	if status == balancer.StatusOverloaded || status == balancer.StatusTimeout {
+		b.shedder.record(0) // errors and lost connections are no sign of overload
+	}
+	b.reject(r)
+}
+
+// mayRetry tells whether another attempt may follow one that ended with the status.
+func (b *Balancer) mayRetry(r *request, status balancer.Status) bool {
+	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
+		return false
+	}
+	return b.retries.available() && len(r.attempts) < r.maxAttempts &&
+		status != balancer.StatusUnsent && !(b.now >= r.deadline)
+}
--- /dev/null
+++ b/policy/concurrency.go
@@ -0,0 +1,194 @@
+package policy
+
+import (
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+const (
+	// initialFleetAttempts is what all agents together may have in flight for each new server.
+	initialFleetAttempts = 6.0
+	// minLimit is the least concurrency limit: enough to see when an overload is over.
+	minLimit = 0.1
+	// severeOverloadFactor times the latency limit is a severe overload, in which a server's
+	// concurrency limit may fall below one attempt.
+	severeOverloadFactor = 2.5
+	// overloadDecrease and rejectionDecrease are the factors of the multiplicative decrease.
+	overloadDecrease  = 0.85
+	rejectionDecrease = 0.7
+	// limitStep is the additive increase of the limit of all servers by a response without overload:
+	// in one response time a twentieth of the limit. One attempt more of each agent would be a
+	// fifth more of eighty.
+	limitStep = 0.05
+	// overloadSmoothing is the weight of one response in the overloaded fraction.
+	overloadSmoothing = 1.0 / 16
+	// overloadedMajority is the overloaded fraction from which all servers count as overloaded.
+	overloadedMajority = 0.5
+	// restFactor times the unloaded latency makes a server rest: an overloaded one takes twice as
+	// long or more, and recovers only with next to no load.
+	restFactor = 2.0
+	// maxRestTurns bounds the turns that a server misses for one slow response.
+	maxRestTurns = 4
+	// lostAfterResponses is the number of response times after which an attempt is lost whose server
+	// has responded to later ones.
+	lostAfterResponses = 6.0
+)
+
+// concurrencyLimits holds the limits of this agent's attempts in flight, at all servers together and
+// at each, by additive increase and multiplicative decrease (AIMD, Chiu and Jain 1989).
+type concurrencyLimits struct {
+	env       *environment
+	endpoints *endpointList
+	classes   *classTable
+	latency   *latencyBaselines
+	slowStart *slowStart
+
+	inFlight           int
+	limit              float64 // attempts that may be in flight at all servers
+	limitCutAt         float64 // when the limit was last decreased; 0: never
+	overloadedFraction float64 // part of the responses of late that came from overloaded servers
+	pace               forwardPace
+}
+
+// addServer raises the limit of all servers for a new one.
+func (c *concurrencyLimits) addServer(s *server) {
+	otherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
+	c.limit += initialFleetAttempts * c.slowStart.fraction(s) / otherAgents
+}
+
+// begin counts an attempt as work of its server.
+func (c *concurrencyLimits) begin(a *attempt) {
+	a.counted = true
+	a.startedAt = c.env.now
+	c.endpoints.addInFlight(a)
+	c.inFlight++
+}
+
+// end takes an ended attempt out of the counts.
+func (c *concurrencyLimits) end(a *attempt) {
+	if a.counted {
+		c.inFlight--
+	}
+	c.endpoints.removeInFlight(a)
+}
+
+// recordForward notes that an attempt at the server is forwarded now.
+func (c *concurrencyLimits) recordForward(s *server) {
+	s.pace.record(c.env.now, serverSmoothing)
+	c.pace.record(c.env.now, fleetSmoothing)
+}
+
+// allows tells whether another attempt may be forwarded with so many in flight at all servers. A
+// limit below one attempt is kept by a pause between attempts.
+func (c *concurrencyLimits) allows(inFlight int) bool {
+	if !(float64(inFlight) < max(c.limit, 1)) {
+		return false
+	}
+	pause := c.latency.baseline * c.classes.minObjectiveMs / c.limit
+	return c.limit >= 1 || c.limitCutAt == 0 || c.env.now-c.pace.lastAt >= pause
+}
+
+// recordOverload counts whether a response came from an overloaded server, and adjusts the limit of
+// all servers. Of many servers each responds too rarely to one of many agents for its own limit to
+// follow an overload. But when most responses of late took longer than their servers' limits, all
+// are overloaded, and each agent sees that within about a second: it decreases its limit, by steps
+// that wait for the effect of the last, until they are not.
+func (c *concurrencyLimits) recordOverload(a *attempt, overloaded bool) {
+	c.overloadedFraction -= overloadSmoothing * c.overloadedFraction
+	if overloaded {
+		c.overloadedFraction += overloadSmoothing
+	}
+	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1)
+	switch {
+	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitCutAt:
+		// One attempt of all agents together at each server is no overload.
+		least := float64(len(c.endpoints.servers)) / c.env.fleetSize()
+		c.limit = max(min(c.limit, inFlight)*overloadDecrease, least, minLimit)
+		c.limitCutAt = c.env.now
+	case c.overloadedFraction < overloadedMajority && inFlight+1 > c.limit:
+		c.limit += limitStep
+	}
+}
+
+// serverLatencyLimit is the mean latency above which the server counts as overloaded.
+func (c *concurrencyLimits) serverLatencyLimit(s *server) float64 {
+	return c.latency.serverLimit(s, c.slowStart.fraction(s))
+}
+
+// isOverload tells whether one response with this latency came from an overloaded server, whose mean
+// latency is limited by limit.
+func (c *concurrencyLimits) isOverload(s *server, latency, limit float64) bool {
+	return latency > min(max(limit, c.latency.fleetLimit()/c.slowStart.fraction(s)), 1)
+}
+
+// adjustServer adjusts a server's limit after a response in responseMs: multiplicative decrease at
+// most once in a response time while its mean latency is above the latency limit; increase by one in
+// a response time below it, if the limit is used.
+func (c *concurrencyLimits) adjustServer(s *server, limit, responseMs float64) {
+	switch {
+	case s.latency > limit && c.env.now-s.limitCutAt > responseMs:
+		least := 1.0
+		if s.latency > severeOverloadFactor*limit {
+			least = minLimit
+		}
+		c.cutServer(s, overloadDecrease, least)
+	case s.latency < limit && float64(len(s.inFlight)+2) > s.limit && c.latency.responses > baselineResponses:
+		s.limit += min(1/s.limit, s.limit)
+	}
+}
+
+// cutServer decreases a server's limit by a factor, to least at the lowest.
+func (c *concurrencyLimits) cutServer(s *server, factor, least float64) {
+	s.limit = min(s.limit, max(s.limit*factor, least))
+	s.limitCutAt = c.env.now
+}
+
+// serverAllows tells whether a server may have another attempt in flight: within its limit, one at a
+// time until it is healthy, and whatever its health within its slow-start credit. A limit below one
+// attempt is kept by a pause between attempts: with many agents even one attempt of each can be too
+// much, and an overloaded server has to recover.
+func (c *concurrencyLimits) serverAllows(s *server) bool {
+	if !c.slowStart.hasCredit(s) {
+		return false
+	}
+	if s.health >= balancer.UnhealthyPending {
+		return len(s.inFlight) == 0
+	}
+	if c.active(s) >= max(int(s.limit), 1) {
+		return false
+	}
+	return s.limit >= 1 || c.env.now-s.pace.lastAt >= s.responseMs/s.limit
+}
+
+// active is the number of attempts that a server works on: those in flight that are not lost.
+func (c *concurrencyLimits) active(s *server) int {
+	count := len(s.inFlight)
+	for _, a := range s.inFlight {
+		if c.isLost(a) {
+			count--
+		}
+	}
+	return count
+}
+
+// isLost tells whether an attempt's server has responded to later ones for several response times.
+func (c *concurrencyLimits) isLost(a *attempt) bool {
+	lostAfterMs := lostAfterResponses * max(a.request.class.expectedMs, a.server.responseMs)
+	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
+}
+
+// rest makes an overloaded server miss about so many turns of this agent. An agent that sees the
+// server twice a minute cannot follow its overload by a limit; but all agents together send it less
+// load, by those that met the overload.
+func (c *concurrencyLimits) rest(s *server, turns float64) {
+	turnMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
+	restMs := min(turns*turnMs, c.env.settings.Contract.SlowStartMs)
+	s.restingUntil = c.env.now + restMs*(0.5+c.env.random.Float64())
+}
+
+// restIfSlow makes a server rest after a response that was late, or much slower than without load.
+func (c *concurrencyLimits) restIfSlow(s *server, latency float64, late bool) {
+	slowness := latency / c.latency.unloaded
+	if late || slowness > restFactor*c.latency.fleetFactor() {
+		c.rest(s, min(max(slowness-1, 1), maxRestTurns))
+	}
+}
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -14,42 +14,42 @@
 // that it may choose. The module has to agree with them to the last bit.
 
 func (b *Balancer) referencePick(r *request) *server {
-	waits := b.waitsForKey(r)
+	waits := r.waitsForKey(b.now)
 	for pass := range 6 {
 		rank, rest := pass/2, pass%2 == 0
-		tier, resting := []*server{}, 0.0
+		candidates, resting := []*server{}, 0.0
 		r.tierWeight = 0
 		var near [preferredServers]*server
-		for _, s := range b.servers {
-			if b.tierOf(s, r) != rank || !b.mayForward(r, s) {
+		for _, s := range b.endpoints.servers {
+			if b.outliers.tierOf(s, r) != tier(rank) || !b.selector.mayForward(r, s) {
 				continue
 			}
-			r.tierWeight += s.weight * b.slowStartFraction(s)
+			r.tierWeight += s.weight * b.slowStart.fraction(s)
 			if rest && b.now < s.restingUntil {
-				resting += s.weight * b.slowStartFraction(s)
+				resting += s.weight * b.slowStart.fraction(s)
 				continue
 			}
-			if !waits && !b.hasCapacity(s, r) {
+			if !waits && !b.concurrency.serverAllows(s) {
 				continue
 			}
 			s.score = b.referenceScore(r, s)
-			tier = append(tier, s)
+			candidates = append(candidates, s)
 			for i, at := 0, s; i < preferredServers && at != nil; i++ {
 				if near[i] == nil || at.score < near[i].score {
 					near[i], at = at, near[i]
 				}
 			}
 		}
-		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
+		if r.tierWeight == 0 || rest && (len(candidates) == 0 || resting > r.tierWeight/2) {
 			continue
 		}
-		if waits && len(tier) > preferredServers {
-			r.nearest, r.nearestEpoch = near, b.epoch
-			tier = near[:]
+		if waits && len(candidates) > preferredServers {
+			r.nearest, r.nearestEpoch = near, b.endpoints.epoch
+			candidates = near[:]
 		}
 		var best *server
-		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.accepts(s, r) {
+		for _, s := range candidates {
+			if (best == nil || s.score < best.score) && b.selector.accepts(s, r) {
 				best = s
 			}
 		}
@@ -61,19 +61,19 @@
 func (b *Balancer) referenceScore(r *request, s *server) float64 {
 	x := splitmix64(r.partitionKey ^ s.hash)
 	if r.key == 0 {
-		x = b.rng.Uint64()
+		x = b.random.Uint64()
 	}
 	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.slowStartLoad(s)
+	w := s.weight * b.slowStart.loadShare(s)
 	if s.zone == b.settings.Zone {
-		w *= b.zonePreference
+		w *= b.zone.factor
 	}
 	return -math.Log(u+1e-18) / w
 }
 
 func (b *Balancer) referenceWarmWeight() (warm float64) {
-	for _, s := range b.servers {
-		if s.ready && s.health <= balancer.Unknown && b.slowStartFraction(s) == 1 {
+	for _, s := range b.endpoints.servers {
+		if s.ready && s.health <= balancer.Unknown && b.slowStart.fraction(s) == 1 {
 			warm += s.weight
 		}
 	}
@@ -82,7 +82,7 @@
 
 // serversWhere are the listed servers of a kind, by address.
 func (b *Balancer) serversWhere(is func(*server) bool) (found []*server) {
-	for _, s := range b.servers {
+	for _, s := range b.endpoints.servers {
 		if is(s) {
 			found = append(found, s)
 		}
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.b, b.rng = b, rand.New(d.draws)
+	d.b, b.random = b, rand.New(d.draws)
 	b.Start(d.now, nil)
 	return d
 }
@@ -165,8 +165,8 @@
 	}
 	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
 	for range d.rng.IntN(3) { // equal scores, which hashes of addresses hardly give
-		if n := len(d.b.servers); n > 0 {
-			d.b.servers[d.rng.IntN(n)].hash = d.b.servers[d.rng.IntN(n)].hash
+		if n := len(d.b.endpoints.servers); n > 0 {
+			d.b.endpoints.servers[d.rng.IntN(n)].hash = d.b.endpoints.servers[d.rng.IntN(n)].hash
 		}
 	}
 }
@@ -199,10 +199,11 @@
 		ev.Status = statuses[d.rng.IntN(len(statuses))]
 		d.handle(ev)
 	case n < 34:
-		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: tickToken})
-	case n < 35 && len(d.b.servers) > 0:
-		d.handle(balancer.Event{Kind: balancer.EventHealthCheckDone,
-			Server: d.b.servers[d.rng.IntN(len(d.b.servers))].address, Status: balancer.StatusOK})
+		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: tickTimer})
+	case n < 35 && len(d.b.endpoints.servers) > 0:
+		checked := d.b.endpoints.servers[d.rng.IntN(len(d.b.endpoints.servers))]
+		d.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: checked.address,
+			Status: balancer.StatusOK})
 	case n < 36:
 		d.list(1+d.rng.IntN(5), balancer.ListDelta)
 	case n < 37 && d.rng.IntN(10) == 0:
@@ -230,7 +231,7 @@
 	want := b.referencePick(r)
 	expected, wantDraws := *r, *d.draws
 	*r, *d.draws = was, draws
-	got := b.pick(r)
+	got := b.selector.choose(r)
 	if got != want || *d.draws != wantDraws || r.nearest != expected.nearest ||
 		r.nearestEpoch != expected.nearestEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
@@ -238,11 +239,11 @@
 			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *d.draws == wantDraws)
 	}
 	if got != nil {
-		d.seen[fmt.Sprintf("rank %d", b.tierOf(got, r))]++
+		d.seen[fmt.Sprintf("rank %d", b.outliers.tierOf(got, r))]++
 		if b.now < got.restingUntil {
 			d.seen["resting"]++
 		}
-		if b.slowStartFraction(got) < 1 {
+		if b.slowStart.fraction(got) < 1 {
 			d.seen["cold"]++
 		}
 	} else {
@@ -255,7 +256,7 @@
 	b := d.b
 	b.now += 1e-3 // a moment of its own: the weight is counted once for all decisions of one
 	d.now = b.now
-	if got, want := b.warmWeight(),
+	if got, want := b.slowStart.warmWeight(),
 		b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
 		d.Fatalf("warm weight %v, in the plain form %v", got, want)
 	}
@@ -264,28 +265,28 @@
 		got  []*server
 		is   func(*server) bool
 	}{
-		{"busy", b.busy, func(s *server) bool { return len(s.inFlight) > 0 }},
-		{"demoted", b.demotedServers(),
+		{"busy", b.endpoints.busy, func(s *server) bool { return len(s.inFlight) > 0 }},
+		{"demoted", b.endpoints.notHealthy(),
 			func(s *server) bool { return s.health >= balancer.UnhealthyPending }},
-		{"cold", b.slowStartServers(), func(s *server) bool { return b.slowStartFraction(s) != 1 }},
+		{"cold", b.slowStart.warmingServers(), func(s *server) bool { return b.slowStart.fraction(s) != 1 }},
 	}
 	for _, set := range sets {
 		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
 			d.Fatalf("%s: %d servers, in the plain form %d", set.name, len(set.got), len(want))
 		}
 	}
-	for _, r := range b.queued {
+	for _, r := range b.queue.requests {
 		d.comparePick(r)
 	}
-	class := b.classes[d.rng.IntN(len(b.classes))]
+	class := b.classes.classes[d.rng.IntN(len(b.classes.classes))]
 	r := &request{id: 1 << 30, class: class, maxAttempts: 3, key: uint64(d.rng.IntN(12)), arrivedAt: b.now,
 		objectiveAt: b.now + 300, deadline: b.now + 400}
 	if r.partitionKey = r.key; d.rng.IntN(2) == 0 {
 		r.arrivedAt -= 200 // it waits no longer for its key's servers
 	}
 	d.comparePick(r)
-	if n := len(b.servers); n > 0 { // it has tried one before, where it may have run
-		s := b.servers[d.rng.IntN(n)]
+	if n := len(b.endpoints.servers); n > 0 { // it has tried one before, where it may have run
+		s := b.endpoints.servers[d.rng.IntN(n)]
 		r.attempts = []*attempt{{request: r, server: s, ended: true}}
 		r.maybeExecuted, r.executedAt, r.executedOn = 1, b.now, s
 		d.comparePick(r)
@@ -313,20 +314,20 @@
 	t.Log(seen)
 }
 
-// TestLeastScoreIsNoMoreThanTheScore plays places and weights of all sizes, the extremes first.
-func TestLeastScoreIsNoMoreThanTheScore(t *testing.T) {
+// TestMinScoreIsNoMoreThanTheScore plays places and weights of all sizes, the extremes first.
+func TestMinScoreIsNoMoreThanTheScore(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	weights := []float64{0, 5e-324, 1e-310, 1, math.MaxFloat64, math.Inf(1)}
-	places := []place{0, 1, 2, placeSteps / 2, placeSteps - 2, placeSteps - 1}
+	places := []position{0, 1, 2, positionSteps / 2, positionSteps - 2, positionSteps - 1}
 	for range 100000 {
-		distance := place(rng.Uint64() >> (11 + rng.IntN(53))) // of any size, from either end
-		places = append(places[:6], distance, placeSteps-1-distance)
+		distance := position(rng.Uint64() >> (11 + rng.IntN(53))) // of any size, from either end
+		places = append(places[:6], distance, positionSteps-1-distance)
 		weights = append(weights[:6], math.Exp(1400*rng.Float64()-700))
 		for _, p := range places {
 			for _, weight := range weights {
-				if p.leastScore(weight) > p.score(weight) {
+				if p.minScore(weight) > p.score(weight) {
 					t.Fatalf("place %d, weight %v: least %v, score %v",
-						p, weight, p.leastScore(weight), p.score(weight))
+						p, weight, p.minScore(weight), p.score(weight))
 				}
 			}
 		}
--- /dev/null
+++ b/policy/request.go
@@ -0,0 +1,104 @@
+package policy
+
+import (
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// request is one request of the client, from its arrival until it is answered and none of its
+// attempts is in flight. Times are in milliseconds on the host's clock.
+type request struct {
+	id              balancer.RequestID
+	class           *class
+	maxAttempts     int
+	streamedBody    bool // its body goes to the server as it comes
+	key             uint64
+	partitionKey    uint64  // the key, or one of its partitions
+	firstArrivedAt  float64 // when the client first sent it, as far as known
+	arrivedAt       float64
+	objectiveAt     float64 // a response by then meets the latency objective
+	deadline        float64 // the last useful moment, a round trip to the client already deducted
+	attempts        []*attempt
+	inFlight        int // attempts
+	maybeExecuted   int // attempts that may have executed
+	executedAt      float64
+	executedOn      *server
+	nearest         [preferredServers]*server // in the order of its key, as of nearestEpoch
+	nearestEpoch    uint64
+	tierWeight      float64 // weight of the tier in which a server was last selected
+	priority        float64
+	closed          bool
+	responseStarted bool // the client has begun to receive a streamed response
+}
+
+// attempt is one forwarding of a request to a server.
+type attempt struct {
+	request   *request
+	server    *server
+	index     int
+	startedAt float64
+	counted   bool // in flight at its server, which has all of the request
+	alone     bool // no other attempt of this agent was in flight at its server
+	ended     bool
+}
+
+// setDeadlines sets until when a response meets the latency objective, which counts from start, and
+// until when any response is of use, with remainingMs left to the client.
+func (r *request) setDeadlines(env *environment, remainingMs, start float64) {
+	r.deadline = env.now + remainingMs - min(env.settings.RoundTripMs, remainingMs/4)
+	r.objectiveAt = min(start+r.class.LatencyObjectiveMs, r.deadline)
+	if r.class.LateFraction == 0 {
+		r.deadline = r.objectiveAt // a late response earns nothing, so work for it would be wasted
+	}
+}
+
+// mayAttempt tells whether the request's own state permits another attempt at some server.
+func (r *request) mayAttempt(now float64) bool {
+	return !r.closed && !r.responseStarted && r.inFlight == 0 && now < r.deadline &&
+		len(r.attempts) < r.maxAttempts
+}
+
+// mayAttemptAt tells whether the attempts so far permit another one at the server, of serverCount in
+// the endpoint list: at a server that was not used yet if there is any, and after one that may have
+// executed only where its execution twice is harmless.
+func (r *request) mayAttemptAt(s *server, env *environment, serverCount int) bool {
+	for _, a := range r.attempts {
+		if a.server == s && serverCount > len(r.attempts) {
+			return false
+		}
+	}
+	if r.maybeExecuted == 0 || r.class.Idempotency == balancer.Idempotent {
+		return true
+	}
+	return r.class.Idempotency == balancer.IdempotentByKey &&
+		env.now-r.executedAt <= r.class.DedupWindowMs-2*env.settings.RoundTripMs &&
+		r.sharesDeduplication(s)
+}
+
+// sharesDeduplication tells whether the server drops a duplicate of what may have executed already.
+func (r *request) sharesDeduplication(s *server) bool {
+	switch r.class.DedupScope {
+	case balancer.DedupFleet:
+		return true
+	case balancer.DedupZone:
+		return s.zone == r.executedOn.zone
+	case balancer.DedupCell:
+		return s.cell == r.executedOn.cell
+	}
+	return false
+}
+
+// harmlessToRepeat tells whether the client may be told that its own retry cannot execute the
+// request twice. Past the deduplication window a repeat would execute again.
+func (r *request) harmlessToRepeat(now float64) bool {
+	if r.maybeExecuted == 0 || r.class.Idempotency == balancer.Idempotent {
+		return true
+	}
+	return r.class.Idempotency == balancer.IdempotentByKey && r.class.DedupScope == balancer.DedupFleet &&
+		now-r.executedAt < r.class.DedupWindowMs
+}
+
+// waitsForKey tells whether the request still waits for the servers nearest its key.
+func (r *request) waitsForKey(now float64) bool {
+	return r.key != 0 && len(r.attempts) == 0 &&
+		now-r.arrivedAt < keyWaitFraction*(r.objectiveAt-r.arrivedAt)
+}
--- /dev/null
+++ b/policy/selection.go
@@ -0,0 +1,214 @@
+package policy
+
+import "math"
+
+const (
+	// loadCapFactor is how far above its even share of the agent's attempts in flight a server may
+	// go before a key's request moves on to the next server in the key's order.
+	loadCapFactor = 3.0
+	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
+	// preferredServers nearest its key: to go on at once would lose the server's cache for the key
+	// just when servers are short of time.
+	keyWaitFraction  = 0.25
+	preferredServers = 2
+)
+
+// serverSelector selects the server of an attempt: of the best health tier that has any, the first
+// in the order of weighted rendezvous hashing that is under its load cap and has capacity.
+type serverSelector struct {
+	env         *environment
+	endpoints   *endpointList
+	slowStart   *slowStart
+	concurrency *concurrencyLimits
+	outliers    *outlierDetector
+	zone        *zonePreference
+	candidates  []*server // scratch: the servers of the tier at hand
+}
+
+// mayForward tells whether an attempt of the request at the server is permitted. The limits of its
+// load are in concurrencyLimits.serverAllows.
+func (l *serverSelector) mayForward(r *request, s *server) bool {
+	return s.ready && r.mayAttempt(l.env.now) && r.mayAttemptAt(s, l.env, len(l.endpoints.servers))
+}
+
+// choose selects a server for the request; nil if none has capacity. Only servers that can win are
+// scored in full, and none are sorted: with hundreds of them that took more than the agent's part of
+// a CPU.
+func (l *serverSelector) choose(r *request) *server {
+	r.tierWeight = 0
+	if !r.mayAttempt(l.env.now) {
+		return nil
+	}
+	for t := range tierCount {
+		if s, found := l.chooseInTier(r, t); found {
+			return s
+		}
+	}
+	return nil
+}
+
+// chooseInTier selects a server of one tier; found tells whether the tier has any to choose from.
+// Those that rest come last, unless most of them rest: then all are overloaded.
+func (l *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
+	restingWeight := l.fillCandidates(r, t)
+	if r.tierWeight == 0 || restingWeight > r.tierWeight/2 {
+		l.skipDraws(r, true)
+	} else if s, found = l.nearest(r, true); found {
+		return s, true
+	}
+	if r.tierWeight == 0 {
+		l.skipDraws(r, false)
+		return nil, false
+	}
+	s, _ = l.nearest(r, false)
+	return s, true
+}
+
+// fillCandidates makes the servers of the tier to which the request may go the candidates, sets
+// r.tierWeight to their weight, and returns the weight of those that rest.
+func (l *serverSelector) fillCandidates(r *request, t tier) (restingWeight float64) {
+	servers := l.endpoints.servers
+	if t > healthyTier {
+		servers = l.endpoints.notHealthy()
+	}
+	candidates := l.candidates[:0]
+	r.tierWeight = 0
+	for _, s := range servers {
+		if !s.ready || l.outliers.tierOf(s, r) != t {
+			continue
+		}
+		if len(r.attempts) > 0 && !r.mayAttemptAt(s, l.env, len(l.endpoints.servers)) {
+			continue
+		}
+		weight := s.weight * l.slowStart.fraction(s)
+		r.tierWeight += weight
+		if s.isResting(l.env.now) {
+			restingWeight += weight
+		}
+		candidates = append(candidates, s)
+	}
+	l.candidates = candidates
+	return restingWeight
+}
+
+// nearest is the first candidate in the request's order that accepts it; found tells whether there
+// was any to choose from. A request that waits for the servers of its key has no others.
+func (l *serverSelector) nearest(r *request, skipResting bool) (best *server, found bool) {
+	if r.waitsForKey(l.env.now) {
+		return l.nearestOfKey(r, skipResting)
+	}
+	for _, s := range l.candidates {
+		if skipResting && s.isResting(l.env.now) || !l.concurrency.serverAllows(s) {
+			continue
+		}
+		found = true
+		position := l.position(r, s)
+		weight := l.orderWeight(s)
+		if best != nil && position.minScore(weight) >= best.score || !l.underLoadCap(s, r) {
+			continue
+		}
+		s.score = position.score(weight)
+		if best == nil || s.score < best.score {
+			best = s
+		}
+	}
+	return best, found
+}
+
+// nearestOfKey is the first of the preferredServers nearest the request's key that accepts it.
+func (l *serverSelector) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
+	var preferred [preferredServers]*server
+	count := 0
+	for _, s := range l.candidates {
+		if skipResting && s.isResting(l.env.now) {
+			continue
+		}
+		count++
+		position := l.position(r, s)
+		weight := l.orderWeight(s)
+		farthest := preferred[preferredServers-1]
+		if farthest != nil && position.minScore(weight) >= farthest.score {
+			continue
+		}
+		s.score = position.score(weight)
+		insertByScore(&preferred, s)
+	}
+	if count > preferredServers {
+		r.nearest = preferred
+		r.nearestEpoch = l.endpoints.epoch
+	}
+	for _, s := range preferred {
+		if s != nil && (best == nil || s.score < best.score) && l.accepts(s, r) {
+			best = s
+		}
+	}
+	return best, count > 0
+}
+
+// insertByScore puts a server among those with the lowest scores, in order, if it belongs there; of
+// equal scores the earlier one stays first.
+func insertByScore(lowest *[preferredServers]*server, s *server) {
+	for i, other := range lowest {
+		if other == nil || s.score < other.score {
+			lowest[i] = s
+			s = other
+		}
+		if s == nil {
+			return
+		}
+	}
+}
+
+// skipDraws passes over the random positions of a choice among no candidates, so that later random
+// numbers do not depend on which servers rest.
+func (l *serverSelector) skipDraws(r *request, skipResting bool) {
+	if r.key != 0 {
+		return
+	}
+	for _, s := range l.candidates {
+		if !(skipResting && s.isResting(l.env.now)) && l.concurrency.serverAllows(s) {
+			l.env.random.Uint64()
+		}
+	}
+}
+
+// position is the server's position for the request's key, the same for all agents of a zone, or a
+// random one if the request has no key.
+func (l *serverSelector) position(r *request, s *server) position {
+	if r.key == 0 {
+		return newPosition(l.env.random.Uint64())
+	}
+	return newPosition(splitmix64(r.partitionKey ^ s.hash))
+}
+
+// orderWeight is the server's weight in the order of a request.
+func (l *serverSelector) orderWeight(s *server) float64 {
+	return l.zone.weight(s, s.weight*l.slowStart.loadShare(s))
+}
+
+// nearestAreFull tells whether the request waits for the servers nearest its key, as they were last
+// determined, and none of them accepts it.
+func (l *serverSelector) nearestAreFull(r *request) bool {
+	if !r.waitsForKey(l.env.now) || r.nearestEpoch != l.endpoints.epoch {
+		return false
+	}
+	for _, s := range r.nearest {
+		if l.accepts(s, r) {
+			return false
+		}
+	}
+	return true
+}
+
+// accepts tells whether the server is under its load cap and has capacity.
+func (l *serverSelector) accepts(s *server, r *request) bool {
+	return l.underLoadCap(s, r) && l.concurrency.serverAllows(s)
+}
+
+// underLoadCap tells whether the server is under its load cap in the tier of the last selection for
+// the request.
+func (l *serverSelector) underLoadCap(s *server, r *request) bool {
+	share := s.weight * l.slowStart.fraction(s) / r.tierWeight
+	loadCap := math.Ceil(loadCapFactor * float64(l.concurrency.inFlight+1) * share)
+	return float64(l.concurrency.active(s)) < loadCap
+}
--- /dev/null
+++ b/policy/server.go
@@ -0,0 +1,70 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// server is what the agent knows of one listed server. The fields that each walk over all servers
+// reads stand first, so that they share one or two lines of the processor's cache. Times are in
+// milliseconds on the host's clock; latencies are fractions of the latency objective.
+type server struct {
+	hash           uint64
+	zone           int
+	weight         float64
+	startedAt      float64 // as listed, on the agent's clock, or later where a restart is assumed
+	listedStart    float64 // start of its process as the endpoint list has it
+	restartAssumed bool    // startedAt is of a restart that the endpoint list does not show (yet)
+	restingUntil   float64 // passed over within its tier until then
+	ready          bool    // listed as ready
+	health         balancer.HealthState
+	unresponsive   bool       // ejected because it did not respond, not for a response
+	checking       bool       // a health check is under way
+	limit          float64    // concurrency limit: attempts of this agent that it may have in flight
+	inFlight       []*attempt // oldest first
+
+	address          balancer.Addr
+	cell             int
+	clockLagMs       float64 // how far the clock of its listed start is known to be behind
+	healthSince      float64 // when it entered its health state
+	unreachableSince float64 // first failed connect since its last response; 0: none
+	ejectionLevel    int     // doubles the ejection time with each failure of late
+	successes        int     // responses since the ejection level changed
+	lastResponseAt   float64
+	latency          float64 // moving mean
+	baseline         float64 // the least that the moving mean has been; 0: not known
+	latencySamples   int
+	limitCutAt       float64 // when its concurrency limit was last decreased
+	pace             forwardPace
+	responseMs       float64 // moving mean of response times
+	slowStartCredit  float64 // attempts that it may still be sent in slow start
+	score            float64 // place in the order of the request at hand; the lowest comes first
+}
+
+// isResting tells whether the server is passed over within its tier.
+func (s *server) isResting(now float64) bool { return now < s.restingUntil }
+
+// removeAttempt takes an attempt out of those in flight.
+func (s *server) removeAttempt(a *attempt) {
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *attempt) bool { return other == a })
+}
+
+// recordLatency counts a latency, a fraction of the objective, into the server's mean and baseline.
+func (s *server) recordLatency(latency float64) {
+	s.latencySamples++
+	s.latency = movingMean(s.latency, latency, max(serverSmoothing, 1/float64(s.latencySamples)))
+	if s.latencySamples >= baselineSamples && (s.baseline == 0 || s.latency < s.baseline) {
+		s.baseline = s.latency
+	}
+}
+
+// forgetLatency starts the server's mean latency anew; its baseline stays.
+func (s *server) forgetLatency() {
+	s.latency = 0
+	s.latencySamples = 0
+}
+
+// compareAddress orders servers by address.
+func compareAddress(x, y *server) int { return cmp.Compare(x.address.Uint64(), y.address.Uint64()) }
--- /dev/null
+++ b/policy/slowstart.go
@@ -0,0 +1,197 @@
+package policy
+
+import (
+	"math"
+	"slices"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+const (
+	// maxSlowStartCredit bounds a server's slow-start credit, in attempts: all agents may spend
+	// theirs at once, and the server's budget counts over a short time.
+	maxSlowStartCredit = 1.0
+	// slowStartMargin is how much of its present capacity an even share of the load may cost a
+	// server in slow start: warm servers save up to three quarters of the work by their caches.
+	slowStartMargin = 4.0
+)
+
+// slowStart limits what servers are sent for a while after their start, when they have a part of
+// their capacity. Each such server has a credit of attempts, which grows with what the warm servers
+// serve.
+type slowStart struct {
+	env       *environment
+	endpoints *endpointList
+	// changes counts what changes the set of servers in slow start without a change of the list.
+	changes uint64
+	warming warmingServers
+	warm    warmWeight
+	// servedRate is the attempts served for each unit of warm weight, with exponential decay over
+	// the slow-start time, as of servedRateAt.
+	servedRate   float64
+	servedRateAt float64
+}
+
+// warmingServers caches the servers in slow start.
+type warmingServers struct {
+	servers []*server
+	at      float64
+	epoch   uint64
+	changes uint64
+}
+
+// warmWeight caches the weight of the warm servers.
+type warmWeight struct {
+	sum     float64
+	at      float64
+	epoch   uint64
+	changes uint64
+	warming int     // number of servers in slow start when it was summed up
+	goneAt  float64 // when the last warm server was lost
+}
+
+// newSlowStart returns a slow start without servers.
+func newSlowStart(env *environment, endpoints *endpointList) *slowStart {
+	return &slowStart{env: env, endpoints: endpoints}
+}
+
+// invalidate notes that the set of servers in slow start may have changed.
+func (w *slowStart) invalidate() { w.changes++ }
+
+// fraction is the part of its capacity that a server has by the contract: 1 where its start is long
+// past or not known, or was assumed and has not been confirmed by the endpoint list in time.
+func (w *slowStart) fraction(s *server) float64 {
+	contract := &w.env.settings.Contract
+	age := w.env.now - s.startedAt
+	if s.startedAt <= 0 || age >= contract.SlowStartMs || s.restartAssumed && age > contract.PollWithinMs {
+		return 1
+	}
+	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+}
+
+// loadShare is the part of an even share of the load that a server may be sent. For one in slow
+// start it is what keeps the contract, so that its keys move to it as it warms up, instead of
+// waiting for it.
+func (w *slowStart) loadShare(s *server) float64 {
+	if fraction := w.fraction(s); fraction < 1 {
+		return fraction * w.env.settings.Contract.OverloadMultiple / slowStartMargin
+	}
+	return 1
+}
+
+// isWarm tells whether a server counts into the warm weight: healthy, and not in slow start.
+func (w *slowStart) isWarm(s *server) bool {
+	return s.ready && s.health <= balancer.Unknown && w.fraction(s) == 1
+}
+
+// warmWeight is the weight of the warm servers. It is computed once for all decisions of a moment,
+// and again only where a server's health, listing or slow start has changed.
+func (w *slowStart) warmWeight() float64 {
+	cache := &w.warm
+	if cache.at == w.env.now && cache.epoch == w.endpoints.epoch {
+		return cache.sum
+	}
+	warming := len(w.warmingServers())
+	unchanged := cache.epoch == w.endpoints.epoch && cache.changes == w.changes && cache.warming == warming
+	cache.at = w.env.now
+	cache.epoch = w.endpoints.epoch
+	cache.changes = w.changes
+	cache.warming = warming
+	if unchanged {
+		return cache.sum
+	}
+	before := cache.sum
+	cache.sum = 0
+	for _, s := range w.endpoints.servers {
+		if w.isWarm(s) {
+			cache.sum += s.weight
+		}
+	}
+	if before > 0 && cache.sum == 0 {
+		cache.goneAt = w.env.now
+	}
+	return cache.sum
+}
+
+// warmingServers returns the listed servers in slow start, by address. Between changes of the list
+// and of starts, time can only make them fewer.
+func (w *slowStart) warmingServers() []*server {
+	cache := &w.warming
+	if cache.epoch != w.endpoints.epoch || cache.changes != w.changes || w.env.now < cache.at {
+		cache.servers = append(cache.servers[:0], w.endpoints.servers...)
+		cache.epoch = w.endpoints.epoch
+		cache.changes = w.changes
+	}
+	cache.servers = slices.DeleteFunc(cache.servers, func(s *server) bool { return w.fraction(s) == 1 })
+	cache.at = w.env.now
+	return cache.servers
+}
+
+// earn adds to the credits of the servers in slow start what a response of a warm server allows:
+// each gets its share by weight and slow-start fraction.
+//
+// In a window W a server of capacity C serves at most 2.5 C W attempts, by keys that it knows. So
+// the credits of all agents at fraction k grow by 2.5 C W k OverloadMultiple/slowStartMargin, which
+// is 5/8 of the budget N = C W k OverloadMultiple. As each agent begins with a random part of one
+// attempt, they spend that and a sum of rounded parts, whose variance is under N: by chance at most
+// 2 sqrt(N) + 2 more.
+//
+// Attempts that were only sent do not count: in a test with six attempts for each request most were
+// rejected. Nor do late responses of servers that drain or failed: the weight of the servers that
+// are left says nothing of them.
+func (w *slowStart) earn(from *server) {
+	warm := w.warmWeight()
+	if warm == 0 || !w.isWarm(from) {
+		return
+	}
+	decay := math.Exp((w.servedRateAt - w.env.now) / w.env.settings.Contract.SlowStartMs)
+	w.servedRate = w.servedRate*decay + 1/warm
+	w.servedRateAt = w.env.now
+	for _, s := range w.warmingServers() {
+		if w.fraction(s) < 1 {
+			s.slowStartCredit = min(s.slowStartCredit+w.loadShare(s)*s.weight/warm, maxSlowStartCredit)
+		}
+	}
+}
+
+// accrued is the credit that a server in slow start gains with time where no warm server is left to
+// earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
+// an overload window. What the warm servers earned before they were lost does not count twice.
+func (w *slowStart) accrued(s *server) float64 {
+	if w.warmWeight() > 0 {
+		return 0
+	}
+	contract := &w.env.settings.Contract
+	least := 1 / (max(contract.OverloadWindowMs, 1) * w.env.fleetSize())
+	perMs := max(w.servedRate*s.weight*w.loadShare(s)/contract.SlowStartMs, least)
+	return (w.env.now - max(s.pace.lastAt, s.healthSince, w.warm.goneAt)) * perMs
+}
+
+// hasCredit tells whether a server may be sent an attempt; one that is not in slow start always may.
+func (w *slowStart) hasCredit(s *server) bool {
+	return w.fraction(s) == 1 || s.slowStartCredit+w.accrued(s) >= 1
+}
+
+// spend charges an attempt to the credit of a server in slow start.
+func (w *slowStart) spend(s *server) {
+	if w.fraction(s) < 1 {
+		s.slowStartCredit = min(s.slowStartCredit+w.accrued(s), maxSlowStartCredit) - 1
+	}
+}
+
+// recordContact notes a response of the server or of its health check. A server that no connect
+// reached for long may be a new process that is not listed as such yet: it is taken to have started
+// now. Timeouts alone are no sign of a restart, and quick responses are no sign against one: a
+// server in slow start is quick while it has little load.
+func (w *slowStart) recordContact(s *server) {
+	unreachableMs := w.env.now - s.unreachableSince
+	if s.unreachableSince > 0 && unreachableMs > w.env.settings.Contract.OverloadWindowMs {
+		s.startedAt = w.env.now
+		s.restartAssumed = true
+		s.limit = 1
+		s.slowStartCredit = 0
+		w.invalidate()
+	}
+	s.lastResponseAt = w.env.now
+	s.unreachableSince = 0
+}
