--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -1,7 +1,7 @@
-// Package balancer is the surface of the decision module, package policy: the settings it
-// reads and their checks, the events with a time that go in and the actions that come
-// out, in order. It decides nothing; every decision is policy's. The shapes are those
-// of the simulator's wire (WIRE-fernbeam) and of the agent's configuration (PROTOCOL).
+// Package balancer is the interface of the balancing policy (package policy): the settings that it
+// reads and their validation, the events that it takes, and the actions that it returns. It makes no
+// decisions itself. The JSON keys and the numbers of statuses are those of the simulator's protocol
+// (WIRE-fernbeam) and of the agent's configuration (PROTOCOL). All times are in milliseconds.
 package balancer
 
 import (
@@ -9,94 +9,107 @@
 	"math"
 )
 
-// Addr names a server: four bytes of address and a port. It has no meaning
-// beyond equality and is sent back exactly as it came.
+// Addr is the address of a server: four bytes of IPv4 address and two of port, big-endian. The policy
+// only compares and hashes it, and returns it unchanged.
 type Addr [6]byte
 
-// Uint64 is the address as one number: its four bytes, then the port.
+// Uint64 returns the address as one number: its four bytes, then the port.
 func (a Addr) Uint64() uint64 {
 	return uint64(binary.BigEndian.Uint32(a[:]))<<16 | uint64(binary.BigEndian.Uint16(a[4:]))
 }
 
-// RequestID names one try of a client; an id is never used twice.
+// RequestID identifies one request of a client; an id is never used twice.
 type RequestID uint32
 
-// State is what an agent holds a listed server to be.
+// HealthState is the health of a listed server as this agent knows it.
 type HealthState uint8
 
-// The four states, best first.
+// The health states, best first.
 const (
-	Connected HealthState = iota
-	Unknown
-	UnhealthyPending
-	Unhealthy
+	Connected        HealthState = iota // its last response was good
+	Unknown                             // nothing is known of it yet
+	UnhealthyPending                    // its ejection time has passed; it waits for a check
+	Unhealthy                           // ejected
 )
 
-// Effect tells whether a request of a class may run more than once.
+// Idempotency tells whether a request of a class may execute more than once.
 type Idempotency string
 
-// The effects a class may have.
+// The values of Idempotency.
 const (
-	Idempotent      Idempotency = "free"        // safe to repeat
-	IdempotentByKey Idempotency = "guarded"     // repeats are dropped within a group of servers, for a time
-	NonIdempotent   Idempotency = "single_shot" // must never run twice
+	Idempotent      Idempotency = "free"        // may execute any number of times
+	IdempotentByKey Idempotency = "guarded"     // duplicates are dropped within DedupScope and DedupWindowMs
+	NonIdempotent   Idempotency = "single_shot" // must not execute twice
 )
 
-// Group tells which servers drop repeats of a guarded request.
+// DedupScope tells which servers drop duplicates of a request that is idempotent by key.
 type DedupScope string
 
-// The groups a guarded class may have.
+// The values of DedupScope.
 const (
-	DedupFleet DedupScope = "all"
-	DedupZone  DedupScope = "zone"
-	DedupCell  DedupScope = "cell"
+	DedupFleet DedupScope = "all"  // all servers
+	DedupZone  DedupScope = "zone" // the servers of the zone of the first execution
+	DedupCell  DedupScope = "cell" // the servers of the cell of the first execution
 )
 
-// Class is one class of requests.
+// Class holds the rules of one class of requests.
 type Class struct {
-	Name               string      `json:"name"`
-	LatencyObjectiveMs float64     `json:"aimMs"`
-	TotalTimeoutMs     float64     `json:"giveUpMs"`
-	Idempotency        Idempotency `json:"effect"`
-	DedupScope         DedupScope  `json:"group"`
-	DedupWindowMs      float64     `json:"keyTtlMs"`
-	PriorityWeight     float64     `json:"credit"`
-	LateFraction       float64     `json:"lateShare"`
-	Streaming          bool        `json:"streamed"`
+	Name string `json:"name"`
+	// LatencyObjectiveMs is the response time from which a response earns only LateFraction.
+	LatencyObjectiveMs float64 `json:"aimMs"`
+	// TotalTimeoutMs is the time after which a client gives up, its retries included.
+	TotalTimeoutMs float64     `json:"giveUpMs"`
+	Idempotency    Idempotency `json:"effect"`
+	DedupScope     DedupScope  `json:"group"`
+	// DedupWindowMs is how long after the first execution duplicates are dropped.
+	DedupWindowMs float64 `json:"keyTtlMs"`
+	// PriorityWeight is what a response in time earns.
+	PriorityWeight float64 `json:"credit"`
+	// LateFraction is the part of PriorityWeight that a late response earns.
+	LateFraction float64 `json:"lateShare"`
+	// Streaming tells that the client receives the response as it comes.
+	Streaming bool `json:"streamed"`
 }
 
-// Rules are what a request is held to from its start to its end, whatever is put in force
-// meanwhile.
+// RequestRules are the rules of one request. They stay the same from its start to its end, whatever
+// settings are put in force meanwhile.
 type RequestRules struct {
 	Class
 	MaxAttempts int
 }
 
-// Limits is what a deployment permits an agent.
+// Limits is what a deployment permits an agent to do.
 type Limits struct {
 	AttemptCancellation bool    `json:"cancelling"`
 	ConnectTimeoutMs    float64 `json:"connectTimeoutMs"`
 	KeepaliveMs         float64 `json:"keepaliveMs"`
-	MaxAttempts         int     `json:"maxAttempts"`
-	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"`
+	MaxAttempts         int     `json:"maxAttempts"`     // for each request, the first included
+	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"` // of the advice in a rejection
 	HedgedRequests      bool    `json:"parallelTries"`
 	HealthChecks        bool    `json:"probing"`
 	RetryAfter          bool    `json:"retryAfter"`
 	MaxOpenRequests     int     `json:"openCap"`
 }
 
-// Contract holds the figures of the four rules.
+// Contract holds what the agents promise about responses, the endpoint list, slow start and draining.
 type Contract struct {
-	ResponseSlackMs  float64 `json:"answerSlackMs"`
-	PollWithinMs     float64 `json:"askWithinMs"`
-	SlowStartFrom    float64 `json:"coldFrom"`
-	SlowStartMs      float64 `json:"coldMs"`
-	DrainGraceMs     float64 `json:"drainGraceMs"`
+	// ResponseSlackMs is how long after its deadline a request may still be answered.
+	ResponseSlackMs float64 `json:"answerSlackMs"`
+	// PollWithinMs is the time in which an agent calls discovery after a start or a failed call.
+	PollWithinMs float64 `json:"askWithinMs"`
+	// SlowStartFrom is the part of its capacity that a server has at its start.
+	SlowStartFrom float64 `json:"coldFrom"`
+	// SlowStartMs is the time after which a server has all of its capacity.
+	SlowStartMs float64 `json:"coldMs"`
+	// DrainGraceMs is how long after the notification of its drain a server may still be sent attempts.
+	DrainGraceMs float64 `json:"drainGraceMs"`
+	// OverloadMultiple is how many times its present capacity a server bears in OverloadWindowMs.
 	OverloadMultiple float64 `json:"fallMultiple"`
+	// OverloadWindowMs is the window in which that load is counted.
 	OverloadWindowMs float64 `json:"tipAfterMs"`
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Costs are points that are taken off the result, each for its part of the requests or its rate.
 type Costs struct {
 	CrossZone    float64 `json:"crossZone"`
 	Handshake    float64 `json:"handshake"`
@@ -107,14 +120,14 @@
 	EndpointList float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the parts of the result.
 type Objective struct {
-	Total       float64 `json:"whole"`
-	WorstWindow float64 `json:"worstWindow"`
-	WorstClass  float64 `json:"worstClass"`
+	Total       float64 `json:"whole"`       // what all requests earn
+	WorstWindow float64 `json:"worstWindow"` // what those of the worst time window earn
+	WorstClass  float64 `json:"worstClass"`  // what those of the worst class earn
 }
 
-// Settings is what an agent is told at its start.
+// Settings is the configuration of the policy, given at an agent's start and changed by Retune.
 type Settings struct {
 	Classes       []Class   `json:"classes"`
 	Limits        Limits    `json:"limits"`
@@ -123,127 +136,149 @@
 	Objective     Objective `json:"objectiveMix"`
 	DiscoveryMode string    `json:"membershipMode"` // "pushed" or "on_request"
 	Clients       struct {
-		MarksRetry bool `json:"marksRetry"`
+		MarksRetry bool `json:"marksRetry"` // clients mark their retries as such
 	} `json:"clients"`
 	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"`
+		WarmKeys bool `json:"warmKeys"` // servers do less work for keys that they have served before
 	} `json:"familyInfo"`
-	Index       int     `json:"index"`
-	FleetSize   int     `json:"replicasOfMe"`
-	RoundTripMs float64 `json:"roundMs"`
-	Weights     string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WeightBy    string  `json:"worthBy"` // "request" or "work"
-	Zone        int     `json:"zone"`
+	Index       int     `json:"index"`        // of this agent
+	FleetSize   int     `json:"replicasOfMe"` // number of agents; 0: not known
+	RoundTripMs float64 `json:"roundMs"`      // between agent and client, and between agent and server
+	Weights     string  `json:"weights"`      // "off", "nominal", "rough" or "live"
+	WeightBy    string  `json:"worthBy"`      // whether each request earns alike ("request") or by its work ("work")
+	Zone        int     `json:"zone"`         // of this agent
 }
 
-// Health is what the list says of a server.
+// EndpointState is the state of a server in the endpoint list.
 type EndpointState uint8
 
-// The list's words.
+// The values of EndpointState.
 const (
-	Draining EndpointState = iota
+	Draining EndpointState = iota // takes no new attempts; those in flight finish
 	Ready
 	Removed
 )
 
-// Entry is one line of the list of servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Server    Addr
 	Zone      int
 	Cell      int
 	Kind      int
-	StartedMs float64 // clock time of the latest start; 0: long past
+	StartedMs float64 // wall-clock time of the latest start; 0: not known or long past
 	State     EndpointState
 	Weight    float64
 }
 
-// ListKind tells how a list event changes the list at hand.
+// ListUpdate tells how an EventList changes the endpoint list.
 type ListUpdate uint8
 
-// The kinds of list events.
+// The values of ListUpdate.
 const (
-	ListDelta ListUpdate = iota
-	ListFull
-	ListCached
-	ListFailed
+	ListDelta  ListUpdate = iota // some entries have changed
+	ListFull                     // the complete list
+	ListCached                   // the complete list as it was last known, perhaps long ago
+	ListFailed                   // the call for the list failed
 )
 
-// Status is how an attempt or a probe ended.
+// Status tells how an attempt or a health check ended.
 type Status uint16
 
-// The endings.
+// The values of Status.
 const (
 	StatusOK            Status = 100
 	StatusError         Status = 301
-	StatusOverloaded    Status = 302
+	StatusOverloaded    Status = 302 // the server rejected it, as it is at its own limit
 	StatusTimeout       Status = 303
 	StatusConnectFailed Status = 304
-	StatusReset         Status = 305
+	StatusReset         Status = 305 // the connection was lost
 	StatusCancelled     Status = 306
-	StatusUnsent        Status = 307
-	StatusBadRequest    Status = 400 // the server answered that the request itself is wrong; only real servers do
+	StatusUnsent        Status = 307 // the agent did not send it
+	StatusBadRequest    Status = 400 // the request itself is wrong; only real servers answer so
 )
 
-// NeverRan tells whether the ending proves that the attempt did not run.
+// NotExecuted tells whether the status proves that the attempt was not executed.
 func (s Status) NotExecuted() bool {
 	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusUnsent
 }
 
-// EventKind tells which fields of an Event count.
+// EventKind tells what an Event is about, and so which of its fields are set.
 type EventKind uint8
 
-// The events.
+// The kinds of events, each with the fields that are set.
 const (
-	EventRequest         EventKind = iota + 1 // Request, Rules or Class, Key, LeftMs, Retry, Long
-	EventAttemptDone                          // Request, Attempt, Server, Status, LatencyMs, Final, Spent
-	EventRequestSent                          // Request, Attempt, LeftMs: the last byte of a long one is with its server
-	EventResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EventClientGone                           // Request: the client left
-	EventList                                 // List, Entries
-	EventHealthCheckDone                      // Server, Status, LatencyMs
-	EventTimer                                // Token
-	EventPeerMessage                          // a message of another agent; carries nothing that is used
+	// EventRequest: a client sent a request. Request, Rules or Class, Key, RemainingMs, Retry,
+	// StreamedBody.
+	EventRequest EventKind = iota + 1
+	// EventAttemptDone: an attempt ended. Request, Attempt, Server, Status, LatencyMs, RequestDone,
+	// BodyConsumed.
+	EventAttemptDone
+	// EventRequestSent: the last byte of a streamed body is with the server. Request, Attempt,
+	// RemainingMs.
+	EventRequestSent
+	// EventResponseStarted: a streamed response began. Request, Attempt, Server, LatencyMs.
+	EventResponseStarted
+	// EventClientGone: the client closed its connection. Request.
+	EventClientGone
+	// EventList: the endpoint list changed, or a call for it failed. ListUpdate, Endpoints.
+	EventList
+	// EventHealthCheckDone: a health check ended. Server, Status, LatencyMs.
+	EventHealthCheckDone
+	// EventTimer: a timer that ActionSetTimer set has fired. Token.
+	EventTimer
+	// EventPeerMessage: a message of another agent; the policy does not use it.
+	EventPeerMessage
 )
 
 // Event is something that happened to one agent.
 type Event struct {
 	Kind         EventKind
 	Request      RequestID
-	Class        int           // its place in the settings in force
+	Class        int           // index in the classes of the settings in force
 	Rules        *RequestRules // nil: those of Class
-	Key          uint64        // 0: none
-	RemainingMs  float64
-	Retry        bool
-	StreamedBody bool // its body goes to a server as it comes; its time counts from EvWritten on
-	BodyConsumed bool // bytes of its body are gone: it can't be sent again
-	Attempt      int
+	Key          uint64        // affinity key; 0: none
+	RemainingMs  float64       // time left until the client gives up
+	Retry        bool          // the client marked the request as a retry
+	StreamedBody bool          // the body goes to a server as it comes; its time counts from EventRequestSent
+	BodyConsumed bool          // a part of the body was read, so it cannot be sent to another server
+	Attempt      int           // index of the attempt among those of its request
 	Server       Addr
 	Status       Status
 	LatencyMs    float64
-	RequestDone  bool // the request is finished
+	RequestDone  bool // the request has its final answer
 	ListUpdate   ListUpdate
-	Endpoints    []Endpoint // not changed and not kept by the Balancer
+	Endpoints    []Endpoint // neither changed nor retained by the policy
 	Token        uint32
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind tells what an Action asks for, and so which of its fields are set.
 type ActionKind uint8
 
-// The actions.
+// The kinds of actions, each with the fields that are set.
 const (
-	ActionForward       ActionKind = iota + 1 // Request, Server, Ms: time-out
-	ActionCancelAttempt                       // Request, Attempt
-	ActionReject                              // Request, Ms: advice
-	ActionFail                                // Request
-	ActionHealthCheck                         // Server
-	ActionSetTimer                            // Ms, Token
-	ActionWatchList                           // subscribe to the list
-	ActionFetchList                           // ask for the whole list once
-	ActionLog                                 // Text
-	ActionCloseIdle                           // Server: close idle connections
+	// ActionForward starts an attempt. Request, Server, Ms: its timeout.
+	ActionForward ActionKind = iota + 1
+	// ActionCancelAttempt cancels an attempt. Request, Attempt.
+	ActionCancelAttempt
+	// ActionReject answers that a retry is harmless. Request, Ms: the Retry-After.
+	ActionReject
+	// ActionFail answers with an error. Request.
+	ActionFail
+	// ActionHealthCheck starts a health check. Server.
+	ActionHealthCheck
+	// ActionSetTimer sets a timer. Ms, Token.
+	ActionSetTimer
+	// ActionWatchList calls discovery for changes of the endpoint list.
+	ActionWatchList
+	// ActionFetchList calls discovery for the complete endpoint list.
+	ActionFetchList
+	// ActionLog logs a text. Text.
+	ActionLog
+	// ActionCloseIdle closes the idle connections to a server. Server.
+	ActionCloseIdle
 )
 
-// Action is something the agent is to do, in the order given.
+// Action is something that the agent is to do. Actions are carried out in the order given.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
@@ -254,15 +289,18 @@
 	Text    string
 }
 
-// View is what an operator sees of the module (policy.Balancer.View): why requests wait or are refused.
+// Stats sums up the state of the policy for metrics and the log: why requests wait or are rejected.
 type Stats struct {
-	States                               [4]int // listed servers by state
-	Queued, InFlight                     int
-	ServerLimits, Shed                   float64 // attempts that all may hold; the part refused at once
-	ConcurrencyLimit, OverloadedFraction float64 // attempts that may be out; the part of late that met a crowd
+	States             [4]int  // number of listed servers by HealthState
+	Queued             int     // requests that wait for capacity
+	InFlight           int     // attempts
+	ServerLimits       float64 // sum of the servers' concurrency limits, in attempts
+	Shed               float64 // part of arriving requests that is rejected at once
+	ConcurrencyLimit   float64 // attempts that may be in flight at all servers
+	OverloadedFraction float64 // part of the responses of late that came from overloaded servers
 }
 
-// Finite is the number, or 0 where it is negative, infinite or not a number.
+// Finite returns x, or 0 where x is negative, infinite or not a number.
 func Finite(x float64) float64 {
 	if !(x > 0) || math.IsInf(x, 1) {
 		return 0
@@ -270,7 +308,7 @@
 	return x
 }
 
-// Finite is a copy of the event whose times make sense: see Finite.
+// Finite returns a copy of the event with its times made Finite.
 func (ev *Event) Finite() *Event {
 	e := *ev
 	e.RemainingMs, e.LatencyMs = Finite(e.RemainingMs), Finite(e.LatencyMs)
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Validate reports the first setting that makes no sense, by its key, as
-// "settings: KEY: what is wrong"; nil where all make sense.
+// Validate returns an error for the first setting that is not valid, as "settings: KEY: what is
+// wrong", or nil.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
