--- a/internal/policytest/clock_test.go
+++ b/internal/policytest/clock_test.go
@@ -7,20 +7,20 @@
 )
 
 // wallSteps are steps of a wall clock in ms, as terms of service name them: seconds or an hour.
-var wallSteps = []float64{-3_600_000, -5000, 5000, 3_600_000}
+var clockStepsMs = []float64{-3_600_000, -5000, 5000, 3_600_000}
 
 // restartedShare is how many of 400 requests a server gets that restarted and was told at once, by a
 // clock that was stepped meanwhile; before, it had been listed as started beforeMs ago.
-func restartedShare(t *testing.T, beforeMs, stepMs float64) int {
+func forwardsAfterRestart(t *testing.T, beforeMs, stepMs float64) int {
 	t.Helper()
-	r := newRig(t, testSettings(), 5)
-	r.now = 1e9
-	entry := balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now - beforeMs}
-	r.list(balancer.ListDelta, entry)
-	r.warm(200, 2)
-	entry.StartedMs = r.now + stepMs
-	r.list(balancer.ListDelta, entry)
-	return r.newKeys(400, 2, addr(4))
+	h := newHarness(t, testSettings(), 5)
+	h.now = 1e9
+	entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - beforeMs}
+	h.updateList(balancer.ListDelta, entry)
+	h.serve(200, 2)
+	entry.StartedMs = h.now + stepMs
+	h.updateList(balancer.ListDelta, entry)
+	return h.serveAndCount(400, 2, serverAddress(4))
 }
 
 // A restart is seen whatever the wall clock was stepped by before it was told: the server gets as
@@ -28,15 +28,15 @@
 // clock that was set back by more.
 func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
-		trueShare := restartedShare(t, beforeMs, 0)
+		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
 			t.Fatalf("with true clocks a cold server got %d of 400 requests; want some, and at most %d", trueShare, warm/2)
 		}
-		for _, step := range wallSteps {
+		for _, step := range clockStepsMs {
 			if step == -5000 && beforeMs > 5000 {
 				continue // the start grew, and the module takes it as told: internal/agent bounds its age
 			}
-			if got := restartedShare(t, beforeMs, step); got != trueShare {
+			if got := forwardsAfterRestart(t, beforeMs, step); got != trueShare {
 				t.Errorf("started %v ms before, clock stepped by %v ms: a cold server got %d of 400 requests, want %d",
 					beforeMs, step, got, trueShare)
 			}
@@ -48,17 +48,17 @@
 func TestSameStartToldAgainKeepsWhatIsKnown(t *testing.T) {
 	for _, since := range []float64{0, -100, 3_600_000} { // long ago, of late, ahead of the agent's clock
 		share := func(tell bool) int {
-			r := newRig(t, testSettings(), 5)
-			entry := balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1}
+			h := newHarness(t, testSettings(), 5)
+			entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1}
 			if since != 0 {
-				entry.StartedMs = r.now + since
+				entry.StartedMs = h.now + since
 			}
-			r.list(balancer.ListDelta, entry)
+			h.updateList(balancer.ListDelta, entry)
 			got := 0
 			for range 20 {
-				got += r.newKeys(20, 2, addr(4))
+				got += h.serveAndCount(20, 2, serverAddress(4))
 				if tell {
-					r.list(balancer.ListDelta, entry)
+					h.updateList(balancer.ListDelta, entry)
 				}
 			}
 			return got
@@ -72,27 +72,27 @@
 // A restart that is told while a request is out, and a drain before it, are taken as with true clocks:
 // nothing is sent to a server that drains, and the answer of the old process doesn't make the new one warm.
 func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
-	for _, step := range append([]float64{0}, wallSteps...) {
+	for _, step := range append([]float64{0}, clockStepsMs...) {
 		if step == -5000 {
 			continue // the start grew: as above
 		}
-		r := newRig(t, testSettings(), 1)
-		r.now = 1e9
-		entry := balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1, StartedMs: r.now - 1_800_000}
-		r.list(balancer.ListDelta, entry)
-		id, _ := r.sent(0, 7)
+		h := newHarness(t, testSettings(), 1)
+		h.now = 1e9
+		entry := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1, StartedMs: h.now - 1_800_000}
+		h.updateList(balancer.ListDelta, entry)
+		id, _ := h.mustForward(0, 7)
 		for i := 1; i < 5; i++ {
-			r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1})
+			h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
 		}
-		entry.State, entry.StartedMs = balancer.Draining, r.now+step
-		r.list(balancer.ListDelta, entry)
-		if got := r.newKeys(100, 2, addr(0)); got != 0 {
+		entry.State, entry.StartedMs = balancer.Draining, h.now+step
+		h.updateList(balancer.ListDelta, entry)
+		if got := h.serveAndCount(100, 2, serverAddress(0)); got != 0 {
 			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", step, got)
 		}
-		r.outcome(id, 0, addr(0), balancer.StatusOK, 200)
-		entry.State, entry.StartedMs = balancer.Ready, r.now+step
-		r.list(balancer.ListDelta, entry)
-		if got, most := r.newKeys(400, 2, addr(0)), 400/5/2; got == 0 || got > most {
+		h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 200)
+		entry.State, entry.StartedMs = balancer.Ready, h.now+step
+		h.updateList(balancer.ListDelta, entry)
+		if got, most := h.serveAndCount(400, 2, serverAddress(0)), 400/5/2; got == 0 || got > most {
 			t.Errorf("clock stepped by %v ms: a cold server got %d of 400 requests, want some and at most %d", step, got, most)
 		}
 	}
--- a/internal/policytest/large_fleet_test.go
+++ b/internal/policytest/large_fleet_test.go
@@ -14,13 +14,13 @@
 	// largeFleetAgents is the number of agents of the largest fleet that the operators name.
 	largeFleetAgents = 900
 	// requestInterval is the time in ms between two requests of one agent of that fleet.
-	requestInterval = 100.0
+	requestIntervalMs = 100.0
 	// largeFleetLoad is the part of the servers' capacity that the agents' requests take.
 	largeFleetLoad = 0.7
 	// largeFleetDay is the length in ms of a day of BenchmarkLargeFleetDay.
-	largeFleetDay = 30000.0
+	largeFleetDurationMs = 30000.0
 	// answerTime is how long in ms a server takes to answer.
-	answerTime = 60.0
+	responseTimeMs = 60.0
 )
 
 // BenchmarkLargeFleetDecision is what one request costs the module with the settings of 900 agents: its
@@ -30,7 +30,7 @@
 	for _, servers := range []int{200, 3200} {
 		for _, state := range []string{"quiet", "crowded"} {
 			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
-				d := newDecider(b, largeFleetAgents, servers)
+				d := newDecisionBenchmark(b, largeFleetAgents, servers)
 				full := 0
 				if state == "crowded" {
 					full = 2
@@ -38,7 +38,7 @@
 				b.ResetTimer()
 				before := processorTime(b)
 				for range b.N {
-					d.serveAmongFull(d.anyKey(), full)
+					d.serveAmongOverloaded(d.anyKey(), full)
 				}
 				b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 			})
@@ -47,22 +47,22 @@
 }
 
 // serveAmongFull plays one request of which full in four attempts find a full server.
-func (d *decider) serveAmongFull(key uint64, full int) {
+func (d *decisionBenchmark) serveAmongOverloaded(key uint64, full int) {
 	came := d.now
-	id := d.ask(0, key)
-	for attempt := 0; d.sent != (balancer.Addr{}); attempt++ {
-		server := d.sent
-		d.sent = balancer.Addr{}
-		status, took := balancer.StatusOK, answerTime
-		if d.rng.IntN(4) < full {
+	id := d.request(0, key)
+	for attempt := 0; d.forwardedTo != (balancer.Addr{}); attempt++ {
+		server := d.forwardedTo
+		d.forwardedTo = balancer.Addr{}
+		status, took := balancer.StatusOK, responseTimeMs
+		if d.random.IntN(4) < full {
 			status, took = balancer.StatusOverloaded, 1
 		}
-		d.pass(took)
+		d.advance(took)
 		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server, Status: status,
 			LatencyMs: took, RequestDone: status == balancer.StatusOK})
 	}
 	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id}) // a request that is still held for room
-	d.pass(max(came+requestInterval-d.now, 0))
+	d.advance(max(came+requestIntervalMs-d.now, 0))
 }
 
 // processorTime is what the process has used so far: unlike the wall clock it tells little of what else
@@ -84,27 +84,27 @@
 		for _, keys := range []string{"even", "skewed"} {
 			b.Run(fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys), func(b *testing.B) {
 				for range b.N {
-					playLargeFleetDay(b, fleet.agents, fleet.servers, keys == "even")
+					runLargeFleetDay(b, fleet.agents, fleet.servers, keys == "even")
 				}
 			})
 		}
 	}
 }
 
-func playLargeFleetDay(b *testing.B, agents, servers int, evenKeys bool) {
+func runLargeFleetDay(b *testing.B, agents, servers int, evenKeys bool) {
 	before := heapInUse()
-	d := newFleetDay(b, 1, agents, servers, largeFleetLoad)
-	d.perMs, d.evenKeys = float64(agents)/requestInterval, evenKeys
+	d := newFleetSimulation(b, 1, agents, servers, largeFleetLoad)
+	d.requestsPerMs, d.evenKeys = float64(agents)/requestIntervalMs, evenKeys
 	for _, s := range d.servers {
-		s.perMs = d.perMs / largeFleetLoad / float64(servers)
+		s.requestsPerMs = d.requestsPerMs / largeFleetLoad / float64(servers)
 	}
-	d.arrivals()
-	d.run(largeFleetDay)
+	d.scheduleArrivals()
+	d.run(largeFleetDurationMs)
 	used := 0
 	for _, a := range d.agents {
-		used += len(a.used)
+		used += len(a.serversUsed)
 	}
-	b.ReportMetric(float64(d.served)/float64(d.asked), "served-share")
+	b.ReportMetric(float64(d.served)/float64(d.requests), "served-share")
 	b.ReportMetric(float64(used)/float64(agents), "servers-used/agent")
 	b.ReportMetric(float64(heapInUse()-before)/float64(agents), "heap-B/agent")
 	runtime.KeepAlive(d)
--- a/internal/policytest/property_test.go
+++ b/internal/policytest/property_test.go
@@ -23,41 +23,41 @@
 
 // world plays random clients, servers and lists against one Balancer and
 // checks the rules from outside, on the actions alone.
-type world struct {
-	t        checker
-	rng      *rand.Rand
-	set      balancer.Settings
-	b        *policy.Balancer
-	now      float64
-	next     balancer.RequestID
-	reqs     map[balancer.RequestID]*worldReq
-	timers   []worldTimer
-	list     map[balancer.Addr]balancer.Endpoint
-	badSince map[balancer.Addr]float64 // told that it drains or is gone
-	history  []balancer.Action
-	past     []balancer.RequestRules // that were in force
+type randomScenario struct {
+	t             checker
+	random        *rand.Rand
+	settings      balancer.Settings
+	policy        *policy.Balancer
+	now           float64
+	lastRequest   balancer.RequestID
+	requests      map[balancer.RequestID]*simulatedRequest
+	timers        []scenarioTimer
+	endpoints     map[balancer.Addr]balancer.Endpoint
+	unusableSince map[balancer.Addr]float64 // told that it drains or is gone
+	history       []balancer.Action
+	earlierRules  []balancer.RequestRules // that were in force
 }
 
-type worldTry struct {
-	server balancer.Addr
-	sentAt float64
-	endsAt float64
+type simulatedAttempt struct {
+	server    balancer.Addr
+	startedAt float64
+	endsAt    float64
 	// written is when the last byte of a long request is with its server.
-	written float64
-	status  balancer.Status
-	ended   bool
+	fullySentAt float64
+	status      balancer.Status
+	ended       bool
 }
 
-type worldReq struct {
-	rules    balancer.RequestRules // as they were when it came
-	deadline float64
-	long     bool
-	before   float64 // its deadline if it is never written
-	tries    []*worldTry
-	final    int
+type simulatedRequest struct {
+	rules          balancer.RequestRules // as they were when it came
+	deadline       float64
+	streamedBody   bool
+	unsentDeadline float64 // its deadline if it is never written
+	attempts       []*simulatedAttempt
+	finalAnswers   int
 }
 
-type worldTimer struct {
+type scenarioTimer struct {
 	at    float64
 	token uint32
 }
@@ -82,93 +82,93 @@
 	return s
 }
 
-func (w *world) apply(actions []balancer.Action) {
+func (w *randomScenario) apply(actions []balancer.Action) {
 	w.history = append(w.history, actions...)
 	for _, a := range actions {
-		r := w.reqs[a.Request]
+		r := w.requests[a.Request]
 		switch a.Kind {
 		case balancer.ActionForward:
-			w.checkSend(r, &a)
-			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []balancer.Status{balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset}[w.rng.IntN(10)]
+			w.checkForward(r, &a)
+			ends := w.now + 1 + 150*w.random.Float64()
+			st := []balancer.Status{balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset}[w.random.IntN(10)]
 			if st == balancer.StatusTimeout {
 				ends = w.now + a.Ms
 			}
-			try := &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st}
-			if r.long { // its server takes as long as its client does, and turns some away before the end
-				try.written, try.endsAt = w.now+300*w.rng.Float64(), ends
-				if try.written < ends || !st.NotExecuted() {
-					try.endsAt = max(ends, try.written+1)
+			try := &simulatedAttempt{server: a.Server, startedAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st}
+			if r.streamedBody { // its server takes as long as its client does, and turns some away before the end
+				try.fullySentAt, try.endsAt = w.now+300*w.random.Float64(), ends
+				if try.fullySentAt < ends || !st.NotExecuted() {
+					try.endsAt = max(ends, try.fullySentAt+1)
 				}
-				r.before, r.deadline = r.deadline, math.Inf(1) // until it is written, or ends before
+				r.unsentDeadline, r.deadline = r.deadline, math.Inf(1) // until it is written, or ends before
 			}
-			r.tries = append(r.tries, try)
+			r.attempts = append(r.attempts, try)
 		case balancer.ActionReject, balancer.ActionFail:
-			if r.final++; r.final > 1 {
+			if r.finalAnswers++; r.finalAnswers > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			if w.now > r.deadline+w.set.Contract.ResponseSlackMs {
+			if w.now > r.deadline+w.settings.Contract.ResponseSlackMs {
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := r.rules
-			if a.Kind == balancer.ActionReject && r.mayHaveRun() && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
+			if a.Kind == balancer.ActionReject && r.mayHaveExecuted() && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Idempotency)
 			}
 		case balancer.ActionCancelAttempt:
-			if !w.set.Limits.AttemptCancellation {
+			if !w.settings.Limits.AttemptCancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
-			if try := r.tries[a.Attempt]; !try.ended {
+			if try := r.attempts[a.Attempt]; !try.ended {
 				try.status, try.endsAt = balancer.StatusCancelled, w.now+5
 			}
 		case balancer.ActionHealthCheck:
-			if !w.set.Limits.HealthChecks {
+			if !w.settings.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case balancer.ActionSetTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+			w.timers = append(w.timers, scenarioTimer{w.now + a.Ms, a.Token})
 		}
 	}
 }
 
-func (r *worldReq) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NotExecuted() })
+func (r *simulatedRequest) mayHaveExecuted() bool {
+	return slices.ContainsFunc(r.attempts, func(t *simulatedAttempt) bool { return !t.ended || !t.status.NotExecuted() })
 }
 
-func (w *world) checkSend(r *worldReq, a *balancer.Action) {
+func (w *randomScenario) checkForward(r *simulatedRequest, a *balancer.Action) {
 	c := r.rules
-	if r.final > 0 || w.now > r.deadline {
+	if r.finalAnswers > 0 || w.now > r.deadline {
 		w.t.Fatalf("request %d sent after its end", a.Request)
 	}
-	if len(r.tries) >= c.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.tries)+1, c.MaxAttempts)
+	if len(r.attempts) >= c.MaxAttempts {
+		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, c.MaxAttempts)
 	}
-	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
+	if since, bad := w.unusableSince[a.Server]; bad && w.now-since > w.settings.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
-	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.HedgedRequests {
+	for _, t := range r.attempts {
+		if !t.ended && !w.settings.Limits.HedgedRequests {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
 		if t.ended && t.status.NotExecuted() {
 			continue
 		}
-		x, y := w.list[t.server], w.list[a.Server]
+		x, y := w.endpoints[t.server], w.endpoints[a.Server]
 		switch {
 		case c.Idempotency == balancer.NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Idempotency == balancer.IdempotentByKey && w.now-t.sentAt > c.DedupWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
+		case c.Idempotency == balancer.IdempotentByKey && w.now-t.startedAt > c.DedupWindowMs:
+			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.startedAt)
 		case c.Idempotency == balancer.IdempotentByKey && (c.DedupScope == balancer.DedupZone && x.Zone != y.Zone || c.DedupScope == balancer.DedupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
 }
 
-func (w *world) handle(ev balancer.Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
+func (w *randomScenario) handle(ev balancer.Event) { w.apply(w.policy.Handle(w.now, &ev, nil)) }
 
-func (w *world) step() {
-	w.now += w.set.RoundTripMs
+func (w *randomScenario) step() {
+	w.now += w.settings.RoundTripMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
@@ -176,19 +176,19 @@
 			w.handle(balancer.Event{Kind: balancer.EventTimer, Token: t.token})
 		}
 	}
-	for id := balancer.RequestID(1); id <= w.next; id++ {
-		r := w.reqs[id]
+	for id := balancer.RequestID(1); id <= w.lastRequest; id++ {
+		r := w.requests[id]
 		if r == nil {
 			continue
 		}
 		open := false
-		for i, t := range r.tries {
+		for i, t := range r.attempts {
 			if t.ended {
 				continue
 			}
-			if t.written > 0 && t.written <= w.now && r.final == 0 {
-				t.written = 0
-				left := 20 + 300*w.rng.Float64()
+			if t.fullySentAt > 0 && t.fullySentAt <= w.now && r.finalAnswers == 0 {
+				t.fullySentAt = 0
+				left := 20 + 300*w.random.Float64()
 				r.deadline = w.now + left
 				t.endsAt = min(t.endsAt, r.deadline)
 				w.handle(balancer.Event{Kind: balancer.EventRequestSent, Request: id, Attempt: i, RemainingMs: left})
@@ -198,110 +198,110 @@
 				continue
 			}
 			t.ended = true
-			if t.written > 0 {
-				r.deadline = max(r.before, w.now)
+			if t.fullySentAt > 0 {
+				r.deadline = max(r.unsentDeadline, w.now)
 			}
 			if t.status == balancer.StatusOK {
-				r.final++ // a second copy's answer changes nothing
-				r.final = min(r.final, 1)
+				r.finalAnswers++ // a second copy's answer changes nothing
+				r.finalAnswers = min(r.finalAnswers, 1)
 			}
 			w.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: i, Server: t.server, Status: t.status,
-				LatencyMs: w.now - t.sentAt, RequestDone: r.final > 0, BodyConsumed: r.long && w.rng.IntN(2) == 0})
+				LatencyMs: w.now - t.startedAt, RequestDone: r.finalAnswers > 0, BodyConsumed: r.streamedBody && w.random.IntN(2) == 0})
 		}
-		if r.final == 0 && w.now > r.deadline+w.set.Contract.ResponseSlackMs {
+		if r.finalAnswers == 0 && w.now > r.deadline+w.settings.Contract.ResponseSlackMs {
 			w.t.Fatalf("request %d of class %s lost: no answer %.0f ms after its deadline", id, r.rules.Name, w.now-r.deadline)
 		}
-		if r.final > 0 && !open && len(r.tries) > 0 && w.now > r.deadline+100 {
-			delete(w.reqs, id)
+		if r.finalAnswers > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
+			delete(w.requests, id)
 		}
 	}
 }
 
 // retune drops, adds and changes classes and attempts; what nobody can use changes nothing.
-func (w *world) retune() {
-	for _, c := range w.set.Classes {
-		w.past = append(w.past, balancer.RequestRules{Class: c, MaxAttempts: w.set.Limits.MaxAttempts})
+func (w *randomScenario) retune() {
+	for _, c := range w.settings.Classes {
+		w.earlierRules = append(w.earlierRules, balancer.RequestRules{Class: c, MaxAttempts: w.settings.Limits.MaxAttempts})
 	}
-	set := w.set // membership and what the deployment permits stay; attempts and aims change
-	set.Limits.MaxAttempts = 1 + w.rng.IntN(5)
+	set := w.settings // membership and what the deployment permits stay; attempts and aims change
+	set.Limits.MaxAttempts = 1 + w.random.IntN(5)
 	set.Classes = slices.Clone(testSettings().Classes)
 	for i := range set.Classes {
-		set.Classes[i].LatencyObjectiveMs = 50 + 400*w.rng.Float64()
+		set.Classes[i].LatencyObjectiveMs = 50 + 400*w.random.Float64()
 	}
-	set.Classes = set.Classes[w.rng.IntN(len(set.Classes)):]
+	set.Classes = set.Classes[w.random.IntN(len(set.Classes)):]
 	c := &set.Classes[0]
-	c.Idempotency, c.DedupScope, c.DedupWindowMs = []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent, balancer.IdempotentByKey}[w.rng.IntN(3)], balancer.DedupCell, 300
-	if w.rng.IntN(3) == 0 {
+	c.Idempotency, c.DedupScope, c.DedupWindowMs = []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent, balancer.IdempotentByKey}[w.random.IntN(3)], balancer.DedupCell, 300
+	if w.random.IntN(3) == 0 {
 		set.Classes = append(set.Classes, balancer.Class{Name: "new", LatencyObjectiveMs: 200, TotalTimeoutMs: 800, Idempotency: balancer.NonIdempotent})
 	}
 	bad := set
 	bad.Limits.MaxAttempts = 0
-	if w.b.Retune(bad) == nil {
+	if w.policy.Retune(bad) == nil {
 		w.t.Fatal("settings without attempts are taken over")
 	}
-	if err := w.b.Retune(set); err != nil {
+	if err := w.policy.Retune(set); err != nil {
 		w.t.Fatal(err)
 	}
-	w.set = set
+	w.settings = set
 }
 
-func (w *world) changeList() {
-	s := addr(w.rng.IntN(8))
-	e := balancer.Endpoint{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
-		State: []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Removed}[w.rng.IntN(4)]}
-	if w.rng.IntN(3) == 0 {
-		e.StartedMs = w.now - 100*w.rng.Float64()
+func (w *randomScenario) changeEndpoint() {
+	s := serverAddress(w.random.IntN(8))
+	e := balancer.Endpoint{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.random.Float64(),
+		State: []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Removed}[w.random.IntN(4)]}
+	if w.random.IntN(3) == 0 {
+		e.StartedMs = w.now - 100*w.random.Float64()
 	}
-	w.list[s] = e
+	w.endpoints[s] = e
 	if e.State == balancer.Ready {
-		delete(w.badSince, s)
-	} else if _, told := w.badSince[s]; !told {
-		w.badSince[s] = w.now
+		delete(w.unusableSince, s)
+	} else if _, told := w.unusableSince[s]; !told {
+		w.unusableSince[s] = w.now
 	}
 	w.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListDelta, Endpoints: []balancer.Endpoint{e}})
 }
 
 // play runs a day of random clients, servers and lists, drawn from the seed, against one
 // Balancer with these settings, and returns every action it gave.
-func play(t checker, set balancer.Settings, seed uint64) []balancer.Action {
+func runRandomScenario(t checker, set balancer.Settings, seed uint64) []balancer.Action {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	w := &world{t: t, rng: rng, set: set, now: 5000, reqs: map[balancer.RequestID]*worldReq{},
-		list: map[balancer.Addr]balancer.Endpoint{}, badSince: map[balancer.Addr]float64{}}
+	w := &randomScenario{t: t, random: rng, settings: set, now: 5000, requests: map[balancer.RequestID]*simulatedRequest{},
+		endpoints: map[balancer.Addr]balancer.Endpoint{}, unusableSince: map[balancer.Addr]float64{}}
 	var err error
-	if w.b, err = policy.New(w.set, seed); err != nil {
+	if w.policy, err = policy.New(w.settings, seed); err != nil {
 		t.Fatal(err)
 	}
-	w.apply(w.b.Start(w.now, nil))
+	w.apply(w.policy.Start(w.now, nil))
 	for range 10 {
-		w.changeList()
+		w.changeEndpoint()
 	}
 	for i := range 1500 {
 		w.step()
 		for i < 1200 && rng.IntN(3) == 0 {
-			w.next++
+			w.lastRequest++
 			left := 20 + 800*rng.Float64()
-			class := rng.IntN(len(w.set.Classes))
-			rules := balancer.RequestRules{Class: w.set.Classes[class], MaxAttempts: w.set.Limits.MaxAttempts}
-			ev := balancer.Event{Kind: balancer.EventRequest, Request: w.next, Class: class, Key: uint64(rng.IntN(30)),
+			class := rng.IntN(len(w.settings.Classes))
+			rules := balancer.RequestRules{Class: w.settings.Classes[class], MaxAttempts: w.settings.Limits.MaxAttempts}
+			ev := balancer.Event{Kind: balancer.EventRequest, Request: w.lastRequest, Class: class, Key: uint64(rng.IntN(30)),
 				RemainingMs: left, Retry: rng.IntN(5) == 0}
-			if len(w.past) > 0 && rng.IntN(3) == 0 { // it was on its way when the settings changed
-				rules = w.past[rng.IntN(len(w.past))]
+			if len(w.earlierRules) > 0 && rng.IntN(3) == 0 { // it was on its way when the settings changed
+				rules = w.earlierRules[rng.IntN(len(w.earlierRules))]
 				ev.Rules = &rules
 			}
 			ev.StreamedBody = rng.IntN(5) == 0
-			w.reqs[w.next] = &worldReq{rules: rules, long: ev.StreamedBody, deadline: w.now + left}
+			w.requests[w.lastRequest] = &simulatedRequest{rules: rules, streamedBody: ev.StreamedBody, deadline: w.now + left}
 			w.handle(ev)
 		}
 		switch rng.IntN(40) {
 		case 0:
-			w.changeList()
+			w.changeEndpoint()
 		case 1:
-			if r := w.reqs[w.next]; r != nil && r.final == 0 {
-				r.final = 1
-				w.handle(balancer.Event{Kind: balancer.EventClientGone, Request: w.next})
+			if r := w.requests[w.lastRequest]; r != nil && r.finalAnswers == 0 {
+				r.finalAnswers = 1
+				w.handle(balancer.Event{Kind: balancer.EventClientGone, Request: w.lastRequest})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 1 << 30, Server: addr(1), Status: balancer.StatusOK})
+			w.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 1 << 30, Server: serverAddress(1), Status: balancer.StatusOK})
 			w.handle(balancer.Event{Kind: balancer.EventClientGone, Request: 1 << 30})
 			w.handle(balancer.Event{Kind: balancer.EventTimer, Token: 99})
 			w.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
@@ -315,31 +315,31 @@
 
 // finish checks from outside that nothing is left at the end: every request has had its
 // one final answer, every attempt its end, and the module holds and sends nothing.
-func (w *world) finish(seed uint64) {
-	for id, r := range w.reqs {
-		if r.final != 1 {
-			w.t.Errorf("seed %d: request %d has %d final answers at the end", seed, id, r.final)
+func (w *randomScenario) finish(seed uint64) {
+	for id, r := range w.requests {
+		if r.finalAnswers != 1 {
+			w.t.Errorf("seed %d: request %d has %d final answers at the end", seed, id, r.finalAnswers)
 		}
-		for i, try := range r.tries {
+		for i, try := range r.attempts {
 			if !try.ended {
 				w.t.Errorf("seed %d: request %d: attempt %d at %v never ended", seed, id, i, try.server)
 			}
 		}
 	}
-	if v := w.b.Stats(); v.Queued != 0 || v.InFlight != 0 {
+	if v := w.policy.Stats(); v.Queued != 0 || v.InFlight != 0 {
 		w.t.Errorf("seed %d: %d held and %d in flight at the end", seed, v.Queued, v.InFlight)
 	}
 }
 
 // TestRulesHoldOnRandomDays plays days drawn by rapid: settings, and the seed of the day.
-func TestRulesHoldOnRandomDays(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { play(t, drawSettings(t), rapid.Uint64().Draw(t, "seed")) })
+func TestRulesHoldInRandomScenarios(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { runRandomScenario(t, drawSettings(t), rapid.Uint64().Draw(t, "seed")) })
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
-		if !reflect.DeepEqual(play(t, set, seed), play(t, set, seed)) {
+		if !reflect.DeepEqual(runRandomScenario(t, set, seed), runRandomScenario(t, set, seed)) {
 			t.Error("two runs of one day differ")
 		}
 	})
--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -13,288 +13,290 @@
 
 // fleetDay is many balancers and their servers in one virtual time: what each sends is judged by
 // the sum of all. It knows no list but the one that is told to all at once.
-type fleetDay struct {
-	t        testing.TB
-	rng      *rand.Rand
-	set      balancer.Settings
-	now      float64
-	queue    dueQueue
-	order    int
-	agents   []*dayAgent
-	servers  []*dayServer
-	entries  []balancer.Endpoint
-	share    []float64 // of requests, summed up by agent
-	perMs    float64   // requests
-	keys     int
-	evenKeys bool    // keys are equally popular; else one's share falls as its rank grows
-	hot      float64 // part of the requests that are for one key
-	asked    int
-	served   int
+type fleetSimulation struct {
+	t                testing.TB
+	random           *rand.Rand
+	settings         balancer.Settings
+	now              float64
+	queue            eventQueue
+	sequence         int
+	agents           []*simulatedAgent
+	servers          []*simulatedServer
+	endpoints        []balancer.Endpoint
+	cumulativeShares []float64 // of requests, summed up by agent
+	requestsPerMs    float64   // requests
+	keyCount         int
+	evenKeys         bool    // keys are equally popular; else one's share falls as its rank grows
+	popularShare     float64 // part of the requests that are for one key
+	requests         int
+	served           int
 	// clockAhead is how far in ms the list's clock is ahead of the agents'.
-	clockAhead float64
+	clockAheadMs float64
 }
 
-type dayAgent struct {
-	b    *policy.Balancer
-	id   balancer.RequestID
-	born int // which process: what belongs to an earlier one is void
-	open map[balancer.RequestID]float64
-	used map[balancer.Addr]bool // servers that its processes have sent something to
+type simulatedAgent struct {
+	policy      *policy.Balancer
+	lastRequest balancer.RequestID
+	incarnation int // which process: what belongs to an earlier one is void
+	attempts    map[balancer.RequestID]float64
+	serversUsed map[balancer.Addr]bool // servers that its processes have sent something to
 }
 
-type dayServer struct {
-	started float64 // 0: long ago
-	perMs   float64 // requests of mean work when warm
-	gain    float64 // by how much keys that it knows lighten the work once it is warm
-	free    float64 // when what it holds is done
-	dead    bool
-	silent  float64   // until when it answers nothing
-	failing float64   // until when it answers all with an error
-	got     []float64 // times of what it was sent since its start
+type simulatedServer struct {
+	startedAt     float64 // 0: long ago
+	requestsPerMs float64 // requests of mean work when warm
+	cacheSpeedup  float64 // by how much keys that it knows lighten the work once it is warm
+	idleAt        float64 // when what it holds is done
+	unreachable   bool
+	hangsUntil    float64   // until when it answers nothing
+	failsUntil    float64   // until when it answers all with an error
+	receivedAt    []float64 // times of what it was sent since its start
 }
 
 // due is something that happens at a time.
-type due struct {
-	at    float64
-	order int
-	do    func()
+type scheduledEvent struct {
+	at       float64
+	sequence int
+	run      func()
 }
 
-type dueQueue []due
+type eventQueue []scheduledEvent
 
-func (q dueQueue) Len() int { return len(q) }
-func (q dueQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q dueQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *dueQueue) Push(x any)   { *q = append(*q, x.(due)) }
-func (q *dueQueue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
 	*q = (*q)[:last]
 	return x
 }
 
-func (d *fleetDay) after(ms float64, do func()) {
-	d.order++
-	heap.Push(&d.queue, due{d.now + ms, d.order, do})
+func (d *fleetSimulation) schedule(ms float64, do func()) {
+	d.sequence++
+	heap.Push(&d.queue, scheduledEvent{d.now + ms, d.sequence, do})
 }
 
 // part is the part of its capacity that a server has, at the contract's least.
-func (d *fleetDay) part(s *dayServer, at float64) float64 {
-	c := &d.set.Contract
-	if s.started == 0 || at-s.started >= c.SlowStartMs {
+func (d *fleetSimulation) capacityFraction(s *simulatedServer, at float64) float64 {
+	c := &d.settings.Contract
+	if s.startedAt == 0 || at-s.startedAt >= c.SlowStartMs {
 		return 1
 	}
-	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(at-s.started, 0)/c.SlowStartMs
+	return c.SlowStartFrom + (1-c.SlowStartFrom)*max(at-s.startedAt, 0)/c.SlowStartMs
 }
 
-func newFleetDay(t testing.TB, seed uint64, agents, servers int, load float64) *fleetDay {
+func newFleetSimulation(t testing.TB, seed uint64, agents, servers int, load float64) *fleetSimulation {
 	set := testSettings()
 	set.FleetSize = agents
 	set.Limits.HedgedRequests = false
 	set.Contract.SlowStartFrom, set.Contract.SlowStartMs, set.Contract.OverloadWindowMs = 0.14, 24000, 2000
 	set.FamilyInfo.WarmKeys = true
-	d := &fleetDay{t: t, rng: rand.New(rand.NewPCG(seed, 5)), set: set, now: 1e6, keys: 40 * servers}
+	d := &fleetSimulation{t: t, random: rand.New(rand.NewPCG(seed, 5)), settings: set, now: 1e6, keyCount: 40 * servers}
 	for i := range servers {
-		d.servers = append(d.servers, &dayServer{perMs: 0.03, gain: 1.6})
-		d.entries = append(d.entries, balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
+		d.servers = append(d.servers, &simulatedServer{requestsPerMs: 0.03, cacheSpeedup: 1.6})
+		d.endpoints = append(d.endpoints, balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
 	}
-	d.perMs = load * 0.03 * float64(servers)
+	d.requestsPerMs = load * 0.03 * float64(servers)
 	for i := range agents {
-		d.agents = append(d.agents, &dayAgent{used: map[balancer.Addr]bool{}})
-		d.share = append(d.share, float64(i+1)/float64(agents))
+		d.agents = append(d.agents, &simulatedAgent{serversUsed: map[balancer.Addr]bool{}})
+		d.cumulativeShares = append(d.cumulativeShares, float64(i+1)/float64(agents))
 	}
 	for i := range agents {
-		d.start(i)
+		d.startAgent(i)
 	}
 	return d
 }
 
 // uneven gives agents shares of the requests by weights.
-func (d *fleetDay) uneven(weight func(i int) float64) {
+func (d *fleetSimulation) setShares(weight func(i int) float64) {
 	sum := 0.0
-	for i := range d.share {
+	for i := range d.cumulativeShares {
 		sum += weight(i)
-		d.share[i] = sum
+		d.cumulativeShares[i] = sum
 	}
-	for i := range d.share {
-		d.share[i] /= sum
+	for i := range d.cumulativeShares {
+		d.cumulativeShares[i] /= sum
 	}
 }
 
 // start starts an agent's process, and ends the one before.
-func (d *fleetDay) start(i int) {
+func (d *fleetSimulation) startAgent(i int) {
 	a := d.agents[i]
-	set := d.set
+	set := d.settings
 	set.Index, set.Zone = i, i%2
-	b, err := policy.New(set, d.rng.Uint64())
+	b, err := policy.New(set, d.random.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	a.b, a.born, a.open = b, a.born+1, map[balancer.RequestID]float64{}
-	d.act(a, b.Start(d.now, nil))
-	d.hand(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: d.entries})
+	a.policy, a.incarnation, a.attempts = b, a.incarnation+1, map[balancer.RequestID]float64{}
+	d.carryOut(a, b.Start(d.now, nil))
+	d.handle(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: d.endpoints})
 }
 
 // restartMost starts seven in ten agents anew at once.
-func (d *fleetDay) restartMost() {
+func (d *fleetSimulation) restartMostAgents() {
 	for i := range d.agents {
 		if i%10 < 7 {
-			d.start(i)
+			d.startAgent(i)
 		}
 	}
 }
 
-func (d *fleetDay) hand(a *dayAgent, ev balancer.Event) { d.act(a, a.b.Handle(d.now, &ev, nil)) }
+func (d *fleetSimulation) handle(a *simulatedAgent, ev balancer.Event) {
+	d.carryOut(a, a.policy.Handle(d.now, &ev, nil))
+}
 
 // cold starts servers anew, and tells all agents.
-func (d *fleetDay) cold(which ...int) {
+func (d *fleetSimulation) restartServers(which ...int) {
 	var delta []balancer.Endpoint
 	for _, i := range which {
 		s := d.servers[i]
-		s.started, s.got, s.free = d.now, nil, d.now
-		d.entries[i].StartedMs = d.now + d.clockAhead
-		delta = append(delta, d.entries[i])
+		s.startedAt, s.receivedAt, s.idleAt = d.now, nil, d.now
+		d.endpoints[i].StartedMs = d.now + d.clockAheadMs
+		delta = append(delta, d.endpoints[i])
 	}
-	d.tell(delta)
+	d.notifyAll(delta)
 }
 
 // tell has all agents hear of changes at once.
-func (d *fleetDay) tell(delta []balancer.Endpoint) {
+func (d *fleetSimulation) notifyAll(delta []balancer.Endpoint) {
 	for _, a := range d.agents {
-		d.hand(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListDelta, Endpoints: delta})
+		d.handle(a, balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListDelta, Endpoints: delta})
 	}
 }
 
 // loseWarm has no connection reach the servers that are not new.
-func (d *fleetDay) loseWarm() {
+func (d *fleetSimulation) disconnectWarm() {
 	for _, s := range d.servers {
-		s.dead = s.started == 0
+		s.unreachable = s.startedAt == 0
 	}
 }
 
 // drainWarm tells all agents that the servers that are not new drain, but for the first few.
-func (d *fleetDay) drainWarm(but int) {
+func (d *fleetSimulation) drainWarm(but int) {
 	var delta []balancer.Endpoint
 	for i, s := range d.servers {
-		if s.started > 0 {
+		if s.startedAt > 0 {
 			continue
 		}
 		if but--; but < 0 {
-			d.entries[i].State = balancer.Draining
-			delta = append(delta, d.entries[i])
+			d.endpoints[i].State = balancer.Draining
+			delta = append(delta, d.endpoints[i])
 		}
 	}
-	d.tell(delta)
+	d.notifyAll(delta)
 }
 
 // silence has servers answer nothing for some time.
-func (d *fleetDay) silence(ms float64, which ...int) {
+func (d *fleetSimulation) hangServers(ms float64, which ...int) {
 	for _, i := range which {
-		d.servers[i].silent = d.now + ms
+		d.servers[i].hangsUntil = d.now + ms
 	}
 }
 
 // fail has servers answer all with an error for some time.
-func (d *fleetDay) fail(ms float64, which ...int) {
+func (d *fleetSimulation) failServers(ms float64, which ...int) {
 	for _, i := range which {
-		d.servers[i].failing = d.now + ms
+		d.servers[i].failsUntil = d.now + ms
 	}
 }
 
-func (d *fleetDay) act(a *dayAgent, actions []balancer.Action) {
-	born := a.born
+func (d *fleetSimulation) carryOut(a *simulatedAgent, actions []balancer.Action) {
+	born := a.incarnation
 	for _, x := range actions {
 		switch x.Kind {
 		case balancer.ActionSetTimer:
-			d.after(x.Ms, func() {
-				if a.born == born {
-					d.hand(a, balancer.Event{Kind: balancer.EventTimer, Token: x.Token})
+			d.schedule(x.Ms, func() {
+				if a.incarnation == born {
+					d.handle(a, balancer.Event{Kind: balancer.EventTimer, Token: x.Token})
 				}
 			})
 		case balancer.ActionForward:
-			d.send(a, x)
+			d.forward(a, x)
 		case balancer.ActionReject, balancer.ActionFail:
-			delete(a.open, x.Request)
+			delete(a.attempts, x.Request)
 		}
 	}
 }
 
 // send is an attempt at its server: one queue, worked off at its present capacity, with a bound.
-func (d *fleetDay) send(a *dayAgent, x balancer.Action) {
-	born, sent := a.born, d.now
-	try := int(a.open[x.Request])
-	a.open[x.Request]++
-	a.used[x.Server] = true
+func (d *fleetSimulation) forward(a *simulatedAgent, x balancer.Action) {
+	born, sent := a.incarnation, d.now
+	try := int(a.attempts[x.Request])
+	a.attempts[x.Request]++
+	a.serversUsed[x.Server] = true
 	s := d.servers[int(x.Server[2])<<8|int(x.Server[3])]
-	s.got = append(s.got, d.now)
-	k := d.part(s, d.now)
-	work := 1 / (s.perMs * k)
-	if s.started == 0 {
-		work /= s.gain
+	s.receivedAt = append(s.receivedAt, d.now)
+	k := d.capacityFraction(s, d.now)
+	work := 1 / (s.requestsPerMs * k)
+	if s.startedAt == 0 {
+		work /= s.cacheSpeedup
 	}
 	status, took := balancer.StatusOK, 0.0
-	switch wait := max(s.free-d.now, 0); {
-	case s.dead:
+	switch wait := max(s.idleAt-d.now, 0); {
+	case s.unreachable:
 		status, took = balancer.StatusConnectFailed, 1
-	case d.now < s.silent:
+	case d.now < s.hangsUntil:
 		status, took = balancer.StatusTimeout, x.Ms
-	case d.now < s.failing:
+	case d.now < s.failsUntil:
 		status, took = balancer.StatusError, 1
 	case wait > 500:
 		status, took = balancer.StatusOverloaded, 1
 	default:
-		s.free = d.now + wait + work
+		s.idleAt = d.now + wait + work
 		took = wait + work + 60
 		if took > x.Ms {
 			status, took = balancer.StatusTimeout, x.Ms
 		}
 	}
-	d.after(took, func() {
-		if a.born != born {
+	d.schedule(took, func() {
+		if a.incarnation != born {
 			return
 		}
 		if status == balancer.StatusOK {
 			d.served++
-			delete(a.open, x.Request)
+			delete(a.attempts, x.Request)
 		}
-		d.hand(a, balancer.Event{Kind: balancer.EventAttemptDone, Request: x.Request, Attempt: try, Server: x.Server, Status: status,
+		d.handle(a, balancer.Event{Kind: balancer.EventAttemptDone, Request: x.Request, Attempt: try, Server: x.Server, Status: status,
 			LatencyMs: d.now - sent, RequestDone: status == balancer.StatusOK})
 	})
 }
 
 // arrivals brings requests from now on.
-func (d *fleetDay) arrivals() {
-	d.after(d.rng.ExpFloat64()/d.perMs, func() {
-		at := d.rng.Float64()
+func (d *fleetSimulation) scheduleArrivals() {
+	d.schedule(d.random.ExpFloat64()/d.requestsPerMs, func() {
+		at := d.random.Float64()
 		i := 0
-		for d.share[i] < at {
+		for d.cumulativeShares[i] < at {
 			i++
 		}
 		a := d.agents[i]
-		a.id++
-		a.open[a.id] = 0
-		rank := math.Pow(float64(d.keys), d.rng.Float64())
+		a.lastRequest++
+		a.attempts[a.lastRequest] = 0
+		rank := math.Pow(float64(d.keyCount), d.random.Float64())
 		if d.evenKeys {
-			rank = float64(d.rng.IntN(d.keys))
+			rank = float64(d.random.IntN(d.keyCount))
 		}
 		key := uint64(rank) * 0x9e3779b97f4a7c15
-		if d.rng.Float64() < d.hot {
+		if d.random.Float64() < d.popularShare {
 			key = 77
 		}
-		d.asked++
-		d.hand(a, balancer.Event{Kind: balancer.EventRequest, Request: a.id, Class: d.rng.IntN(3), Key: key | 1, RemainingMs: 1000})
-		d.arrivals()
+		d.requests++
+		d.handle(a, balancer.Event{Kind: balancer.EventRequest, Request: a.lastRequest, Class: d.random.IntN(3), Key: key | 1, RemainingMs: 1000})
+		d.scheduleArrivals()
 	})
 }
 
-func (d *fleetDay) run(ms float64) {
+func (d *fleetSimulation) run(ms float64) {
 	end := d.now + ms
 	for len(d.queue) > 0 && d.queue[0].at <= end {
-		x := heap.Pop(&d.queue).(due)
+		x := heap.Pop(&d.queue).(scheduledEvent)
 		d.now = x.at
-		x.do()
+		x.run()
 	}
 	d.now = end
 }
@@ -302,29 +304,29 @@
 // allowance is what a cold server bears in a window for which the settings allow it n requests: those
 // and what is chance. The terms allow 3 x root of n + 3 of chance where n is under 30, which is more;
 // the smaller figure holds for all.
-func allowance(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+func maxReceived(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // worst is the most that a cold server was sent in any window that the settings name, in parts of
 // its allowance, which all agents share.
-func (d *fleetDay) worst() (most float64, how string) {
-	w := d.set.Contract.OverloadWindowMs
+func (d *fleetSimulation) worstOverload() (most float64, how string) {
+	w := d.settings.Contract.OverloadWindowMs
 	for i, s := range d.servers {
-		if s.started == 0 {
+		if s.startedAt == 0 {
 			continue
 		}
-		for from, to := 0, 0; to < len(s.got); to++ {
-			for s.got[to]-s.got[from] > w {
+		for from, to := 0, 0; to < len(s.receivedAt); to++ {
+			for s.receivedAt[to]-s.receivedAt[from] > w {
 				from++
 			}
 			// By the capacity at the window's first call: it only grows.
-			n := d.set.Contract.OverloadMultiple * s.perMs * d.part(s, s.got[from]) * w
-			if n >= d.set.Contract.OverloadMultiple*s.perMs*w {
+			n := d.settings.Contract.OverloadMultiple * s.requestsPerMs * d.capacityFraction(s, s.receivedAt[from]) * w
+			if n >= d.settings.Contract.OverloadMultiple*s.requestsPerMs*w {
 				continue // warm
 			}
 			got := float64(to - from + 1)
-			if x := got / allowance(n); x > most {
+			if x := got / maxReceived(n); x > most {
 				most, how = x, fmt.Sprintf("server %d got %.0f where %.1f are its budget, %.1f s after its start",
-					i, got, n, (s.got[from]-s.started)/1000)
+					i, got, n, (s.receivedAt[from]-s.startedAt)/1000)
 			}
 		}
 	}
@@ -338,49 +340,49 @@
 	cases := []struct {
 		name string
 		load float64
-		play func(d *fleetDay)
+		play func(d *fleetSimulation)
 	}{
-		{"a fifth replaced", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"a fifth replaced", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(20000)
 		}},
-		{"agents restarted", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"agents restarted", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(1000)
-			d.restartMost()
+			d.restartMostAgents()
 			d.run(20000)
 		}},
-		{"uneven", 0.7, func(d *fleetDay) {
-			d.uneven(func(i int) float64 { return 1 / float64(i+1) })
+		{"uneven", 0.7, func(d *fleetSimulation) {
+			d.setShares(func(i int) float64 { return 1 / float64(i+1) })
 			d.run(3000)
-			d.cold(fifth(d)...)
+			d.restartServers(everyFifth(d)...)
 			d.run(20000)
 		}},
-		{"all cold", 0.7, func(d *fleetDay) {
-			d.cold(all(d)...)
+		{"all cold", 0.7, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)...)
 			d.run(24000)
 		}},
-		{"burst", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"burst", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(4000)
-			d.perMs *= 2.5
+			d.requestsPerMs *= 2.5
 			d.run(8000)
 		}},
-		{"warm lost", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"warm lost", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(4000)
 			for i, s := range d.servers {
-				s.dead = i%2 == 0 && s.started == 0
+				s.unreachable = i%2 == 0 && s.startedAt == 0
 			}
 			d.run(8000)
 		}},
-		{"all warm lost", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"all warm lost", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(4000)
-			d.loseWarm()
+			d.disconnectWarm()
 			d.run(8000)
 		}},
-		{"half in steps", 0.8, func(d *fleetDay) {
+		{"half in steps", 0.8, func(d *fleetSimulation) {
 			for k := range 5 {
 				var which []int
 				for i := range d.servers {
@@ -388,100 +390,100 @@
 						which = append(which, i)
 					}
 				}
-				d.cold(which...)
+				d.restartServers(which...)
 				d.run(3000)
 			}
 			d.run(9000)
 		}},
-		{"surge", 0.2, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"surge", 0.2, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(4000)
-			d.perMs *= 10
+			d.requestsPerMs *= 10
 			d.run(6000)
 		}},
-		{"surge, seven in ten agents new", 0.2, func(d *fleetDay) {
-			d.restartMost()
-			d.cold(fifth(d)...)
+		{"surge, seven in ten agents new", 0.2, func(d *fleetSimulation) {
+			d.restartMostAgents()
+			d.restartServers(everyFifth(d)...)
 			d.run(2000)
-			d.perMs *= 10
+			d.requestsPerMs *= 10
 			d.run(6000)
 		}},
-		{"one warm left", 0.7, func(d *fleetDay) {
-			d.cold(all(d)[1:]...)
+		{"one warm left", 0.7, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)[1:]...)
 			d.run(24000)
 		}},
-		{"hot key", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"hot key", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(4000)
-			d.hot = 0.25
+			d.popularShare = 0.25
 			d.run(8000)
 		}},
-		{"overload", 1.8, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"overload", 1.8, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(20000)
 		}},
-		{"all cold, agents restarted", 0.7, func(d *fleetDay) {
-			d.cold(all(d)...)
+		{"all cold, agents restarted", 0.7, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)...)
 			d.run(1000)
-			d.restartMost()
+			d.restartMostAgents()
 			d.run(20000)
 		}},
-		{"all cold, uneven", 0.7, func(d *fleetDay) {
-			d.uneven(func(i int) float64 { return 1 / float64(i+1) })
+		{"all cold, uneven", 0.7, func(d *fleetSimulation) {
+			d.setShares(func(i int) float64 { return 1 / float64(i+1) })
 			d.run(3000)
-			d.cold(all(d)...)
+			d.restartServers(allServers(d)...)
 			d.run(24000)
 		}},
-		{"overload, then all cold", 2.2, func(d *fleetDay) {
-			d.cold(all(d)...)
+		{"overload, then all cold", 2.2, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)...)
 			d.run(24000)
 		}},
-		{"overload, one cold", 2.2, func(d *fleetDay) {
-			d.cold(0)
+		{"overload, one cold", 2.2, func(d *fleetSimulation) {
+			d.restartServers(0)
 			d.run(24000)
 		}},
-		{"overload, one warm left", 1.8, func(d *fleetDay) {
-			d.cold(all(d)[1:]...)
+		{"overload, one warm left", 1.8, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)[1:]...)
 			d.run(24000)
 		}},
-		{"early surge", 0.05, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"early surge", 0.05, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(400)
-			d.perMs *= 40
+			d.requestsPerMs *= 40
 			d.run(6000)
 		}},
-		{"agents restarted again and again", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"agents restarted again and again", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			for range 10 {
 				d.run(500)
-				d.restartMost()
+				d.restartMostAgents()
 			}
 			d.run(10000)
 		}},
-		{"all cold and failing", 0.7, func(d *fleetDay) {
-			d.cold(all(d)...)
+		{"all cold and failing", 0.7, func(d *fleetSimulation) {
+			d.restartServers(allServers(d)...)
 			d.run(500)
-			d.fail(6000, all(d)...)
+			d.failServers(6000, allServers(d)...)
 			d.run(10000)
 		}},
-		{"all warm lost, cold failing", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"all warm lost, cold failing", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(500)
-			d.loseWarm()
-			d.fail(6000, fifth(d)...)
+			d.disconnectWarm()
+			d.failServers(6000, everyFifth(d)...)
 			d.run(10000)
 		}},
-		{"all silent, a fifth cold", 0.7, func(d *fleetDay) {
-			d.cold(fifth(d)...)
+		{"all silent, a fifth cold", 0.7, func(d *fleetSimulation) {
+			d.restartServers(everyFifth(d)...)
 			d.run(500)
-			d.silence(2500, all(d)...)
+			d.hangServers(2500, allServers(d)...)
 			d.run(10000)
 		}},
-		{"list's clock an hour ahead", 0.7, func(d *fleetDay) {
-			d.clockAhead = 3600e3
-			d.cold(fifth(d)...)
+		{"list's clock an hour ahead", 0.7, func(d *fleetSimulation) {
+			d.clockAheadMs = 3600e3
+			d.restartServers(everyFifth(d)...)
 			d.run(3000)
-			d.restartMost()
+			d.restartMostAgents()
 			d.run(18000)
 		}},
 	}
@@ -494,11 +496,11 @@
 		for _, fleet := range fleets {
 			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
 				t.Parallel()
-				d := newFleetDay(t, 1, fleet.agents, fleet.servers, c.load)
-				d.arrivals()
+				d := newFleetSimulation(t, 1, fleet.agents, fleet.servers, c.load)
+				d.scheduleArrivals()
 				d.run(5000)
 				c.play(d)
-				d.checkColdServers(t)
+				d.checkSlowStart(t)
 			})
 		}
 	}
@@ -509,14 +511,14 @@
 	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
 		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
 			t.Parallel()
-			d := newFleetDay(t, 1, fleet.agents, fleet.servers, 1.8)
-			d.arrivals()
+			d := newFleetSimulation(t, 1, fleet.agents, fleet.servers, 1.8)
+			d.scheduleArrivals()
 			d.run(5000)
-			d.cold(fifth(d)...)
+			d.restartServers(everyFifth(d)...)
 			d.run(300)
 			d.drainWarm(1)
 			d.run(4000)
-			d.checkColdServers(t)
+			d.checkSlowStart(t)
 		})
 	}
 }
@@ -527,34 +529,34 @@
 	for _, agents := range []int{12, 300} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
 			t.Parallel()
-			d := newFleetDay(t, 1, agents, 12, 0.9)
-			d.arrivals()
+			d := newFleetSimulation(t, 1, agents, 12, 0.9)
+			d.scheduleArrivals()
 			d.run(45000)
-			d.cold(fifth(d)...)
+			d.restartServers(everyFifth(d)...)
 			d.run(8000)
 			d.drainWarm(0)
 			d.run(8000)
-			d.checkColdServers(t)
+			d.checkSlowStart(t)
 		})
 	}
 }
 
 // checkColdServers holds what cold servers were sent to what they bear.
-func (d *fleetDay) checkColdServers(t *testing.T) {
+func (d *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
-	if most, how := d.worst(); most > 1 || d.served == 0 {
-		t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.asked)
+	if most, how := d.worstOverload(); most > 1 || d.served == 0 {
+		t.Errorf("%.2f times what is allowed: %s; %d of %d served", most, how, d.served, d.requests)
 	}
 }
 
-func fifth(d *fleetDay) (is []int) {
+func everyFifth(d *fleetSimulation) (is []int) {
 	for i := 0; i < len(d.servers); i += 5 {
 		is = append(is, i)
 	}
 	return is
 }
 
-func all(d *fleetDay) (is []int) {
+func allServers(d *fleetSimulation) (is []int) {
 	for i := range d.servers {
 		is = append(is, i)
 	}
--- a/internal/policytest/rig_test.go
+++ b/internal/policytest/rig_test.go
@@ -2,7 +2,9 @@
 
 import "fernbeam.example/fernbeam/internal/balancer"
 
-func addr(i int) balancer.Addr { return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
+func serverAddress(i int) balancer.Addr {
+	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
+}
 
 // testSettings are three classes of one deployment: one that may run again, one that must
 // not, and one whose repeats are dropped in a cell for half a second.
--- a/internal/policytest/scenario_test.go
+++ b/internal/policytest/scenario_test.go
@@ -12,13 +12,13 @@
 )
 
 // rig drives one Balancer by hand, from outside: events in, actions out.
-type rig struct {
-	t   testing.TB
-	b   *policy.Balancer
-	set balancer.Settings // in force
-	rng *rand.Rand
-	now float64
-	id  balancer.RequestID
+type harness struct {
+	t           testing.TB
+	policy      *policy.Balancer
+	settings    balancer.Settings // in force
+	random      *rand.Rand
+	now         float64
+	lastRequest balancer.RequestID
 	// timers are those armed and not fired yet.
 	timers []timer
 }
@@ -28,51 +28,51 @@
 	token uint32
 }
 
-func newRig(t testing.TB, s balancer.Settings, servers int) *rig {
+func newHarness(t testing.TB, s balancer.Settings, servers int) *harness {
 	t.Helper()
 	b, err := policy.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, set: s, rng: rand.New(rand.NewPCG(1, 2)), now: 1e6}
-	r.arm(b.Start(r.now, nil))
+	h := &harness{t: t, policy: b, settings: s, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
+	h.collectTimers(b.Start(h.now, nil))
 	entries := make([]balancer.Endpoint, servers)
 	for i := range entries {
-		entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
 	}
-	r.list(balancer.ListCached, entries...)
-	return r
+	h.updateList(balancer.ListCached, entries...)
+	return h
 }
 
 // do hands the module one event at the rig's time and keeps the timers it arms.
-func (r *rig) do(ev balancer.Event) []balancer.Action {
-	return r.arm(r.b.Handle(r.now, &ev, nil))
+func (h *harness) handle(ev balancer.Event) []balancer.Action {
+	return h.collectTimers(h.policy.Handle(h.now, &ev, nil))
 }
 
 // arm keeps the timers that the actions arm.
-func (r *rig) arm(actions []balancer.Action) []balancer.Action {
+func (h *harness) collectTimers(actions []balancer.Action) []balancer.Action {
 	for _, a := range actions {
 		if a.Kind == balancer.ActionSetTimer {
-			r.timers = append(r.timers, timer{r.now + a.Ms, a.Token})
+			h.timers = append(h.timers, timer{h.now + a.Ms, a.Token})
 		}
 	}
 	return actions
 }
 
-func (r *rig) list(kind balancer.ListUpdate, entries ...balancer.Endpoint) []balancer.Action {
-	return r.do(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
+func (h *harness) updateList(kind balancer.ListUpdate, entries ...balancer.Endpoint) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
 }
 
-func (r *rig) ask(class int, key uint64) (balancer.RequestID, []balancer.Action) {
-	r.id++
-	return r.id, r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
+func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
+	h.lastRequest++
+	return h.lastRequest, h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: class, Key: key, RemainingMs: 600})
 }
 
-func (r *rig) outcome(id balancer.RequestID, try int, s balancer.Addr, st balancer.Status, rtt float64) []balancer.Action {
-	return r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, RequestDone: st == balancer.StatusOK})
+func (h *harness) endAttempt(id balancer.RequestID, attempt int, s balancer.Addr, status balancer.Status, responseMs float64) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: s, Status: status, LatencyMs: responseMs, RequestDone: status == balancer.StatusOK})
 }
 
-func find(actions []balancer.Action, kind balancer.ActionKind) *balancer.Action {
+func findAction(actions []balancer.Action, kind balancer.ActionKind) *balancer.Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
 			return &actions[i]
@@ -82,114 +82,114 @@
 }
 
 // sent asks once and returns where the request went.
-func (r *rig) sent(class int, key uint64) (balancer.RequestID, balancer.Addr) {
-	r.t.Helper()
-	id, actions := r.ask(class, key)
-	a := find(actions, balancer.ActionForward)
+func (h *harness) mustForward(class int, key uint64) (balancer.RequestID, balancer.Addr) {
+	h.t.Helper()
+	id, actions := h.request(class, key)
+	a := findAction(actions, balancer.ActionForward)
 	if a == nil {
-		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
+		h.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
 	}
 	return id, a.Server
 }
 
 // tick lets ms pass and fires the timers that the module armed and that are due by then,
 // in the order of their times; it returns all that they called for.
-func (r *rig) tick(ms float64) []balancer.Action {
-	end := r.now + ms
+func (h *harness) advance(ms float64) []balancer.Action {
+	end := h.now + ms
 	var all []balancer.Action
 	for {
 		i := -1
-		for j, x := range r.timers {
-			if x.at <= end && (i < 0 || x.at < r.timers[i].at) {
+		for j, x := range h.timers {
+			if x.at <= end && (i < 0 || x.at < h.timers[i].at) {
 				i = j
 			}
 		}
 		if i < 0 {
 			break
 		}
-		x := r.timers[i]
-		r.timers = slices.Delete(r.timers, i, i+1)
-		r.now = max(r.now, x.at)
-		all = append(all, r.do(balancer.Event{Kind: balancer.EventTimer, Token: x.token})...)
+		x := h.timers[i]
+		h.timers = slices.Delete(h.timers, i, i+1)
+		h.now = max(h.now, x.at)
+		all = append(all, h.handle(balancer.Event{Kind: balancer.EventTimer, Token: x.token})...)
 	}
-	r.now = end
+	h.now = end
 	return all
 }
 
 func TestEmptyTopTierPassesDown(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	for range 2 {
-		id, s := r.sent(1, 3)
-		r.outcome(id, 0, s, balancer.StatusError, 5)
+		id, s := h.mustForward(1, 3)
+		h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	}
-	if _, s := r.sent(0, 3); s == (balancer.Addr{}) {
+	if _, s := h.mustForward(0, 3); s == (balancer.Addr{}) {
 		t.Error("nothing was sent though Unhealthy servers are the only ones")
 	}
 }
 
 func TestSingleShotIsNotRepeated(t *testing.T) {
-	for _, st := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled} {
-		r := newRig(t, testSettings(), 3)
-		id, s := r.sent(1, 5)
-		actions := r.outcome(id, 0, s, st, 50)
-		if find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionReject) != nil || find(actions, balancer.ActionFail) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
+	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled} {
+		h := newHarness(t, testSettings(), 3)
+		id, s := h.mustForward(1, 5)
+		actions := h.endAttempt(id, 0, s, status, 50)
+		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil || findAction(actions, balancer.ActionFail) == nil {
+			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
 	}
-	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 5)
-	if actions := r.outcome(id, 0, s, balancer.StatusConnectFailed, 50); find(actions, balancer.ActionForward) == nil {
+	h := newHarness(t, testSettings(), 3)
+	id, s := h.mustForward(1, 5)
+	if actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50); findAction(actions, balancer.ActionForward) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(0), State: balancer.Draining, Weight: 1})
+	h := newHarness(t, testSettings(), 2)
+	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(0), State: balancer.Draining, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
-		if s == addr(0) {
+		id, s := h.mustForward(0, key+1)
+		if s == serverAddress(0) {
 			t.Fatal("sent to a draining server")
 		}
-		r.outcome(id, 0, s, balancer.StatusOK, 20)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
-	r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1})
+	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
-		if s == addr(1) {
+		id, s := h.mustForward(0, key+1)
+		if s == serverAddress(1) {
 			t.Fatal("sent to a server that left the list")
 		}
-		r.outcome(id, 0, s, balancer.StatusOK, 20)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
 }
 
 func TestEmptyListIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, testSettings(), 0)
-	id, actions := r.ask(1, 1)
+	h := newHarness(t, testSettings(), 0)
+	id, actions := h.request(1, 1)
 	for range 130 {
-		if a := find(actions, balancer.ActionReject); a != nil {
+		if a := findAction(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
 				t.Fatalf("refused %d, want %d", a.Request, id)
 			}
 			return
 		}
-		actions = r.tick(10)
+		actions = h.advance(10)
 	}
 	t.Error("a request with an empty list was never answered")
 }
 
 // A cold server gets no more than its share by ramp, even after a quiet time.
 func TestColdServerBudget(t *testing.T) {
-	r := newRig(t, testSettings(), 5)
-	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now - 10})
+	h := newHarness(t, testSettings(), 5)
+	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
 	got, all := 0, 2000
 	for range all {
-		r.now++
-		id, s := r.sent(0, uint64(r.rng.Int64()))
-		if s == addr(4) {
+		h.now++
+		id, s := h.mustForward(0, uint64(h.random.Int64()))
+		if s == serverAddress(4) {
 			got++
 		}
-		r.outcome(id, 0, s, balancer.StatusOK, 20)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
@@ -198,48 +198,48 @@
 }
 
 func TestListIsFollowedAgainAfterFailures(t *testing.T) {
-	set := testSettings()
-	set.DiscoveryMode = "on_request"
-	b, err := policy.New(set, 3)
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
+	b, err := policy.New(settings, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := find(b.Start(0, nil), balancer.ActionSetTimer)
-	if first == nil || first.Ms > set.Contract.PollWithinMs {
+	first := findAction(b.Start(0, nil), balancer.ActionSetTimer)
+	if first == nil || first.Ms > settings.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil), balancer.ActionWatchList) == nil {
+	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil), balancer.ActionWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		again := find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
-		if again == nil || again.Ms > set.Contract.PollWithinMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
+		retryTimer := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
+			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
 		}
-		if more := find(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer); more != nil {
+		if more := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer); more != nil {
 			t.Fatalf("a second call was set beside the one that waits: %+v", more)
 		}
-		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: again.Token}, nil)
+		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
 	}
 }
 
 // Eighty agents that start together, as after a mass restart, or fail together call
 // discovery one after another; a few need no such time.
 func TestCallsForTheListAreSpreadByTheNumberOfAgents(t *testing.T) {
-	set := testSettings()
-	set.DiscoveryMode = "on_request"
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
 	busiest := func(agents int, failures int) int {
-		set.FleetSize = agents
+		settings.FleetSize = agents
 		calls := map[int]int{}
 		for seed := range agents {
-			b, err := policy.New(set, uint64(seed))
+			b, err := policy.New(settings, uint64(seed))
 			if err != nil {
 				t.Fatal(err)
 			}
-			call := find(b.Start(0, nil), balancer.ActionSetTimer)
+			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
 				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-				call = find(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+				call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
 			}
 			calls[int(call.Ms/1000)]++
 		}
@@ -264,18 +264,18 @@
 // up after 2.25 s; whatever failed before, and of however many agents, the next one leaves a second
 // of what remains to its answer.
 func TestAFailedCallForTheListIsRepeatedInTime(t *testing.T) {
-	set := testSettings()
-	set.DiscoveryMode, set.FleetSize, set.Contract.PollWithinMs = "on_request", 300, 10000
+	settings := testSettings()
+	settings.DiscoveryMode, settings.FleetSize, settings.Contract.PollWithinMs = "on_request", 300, 10000
 	most := 0.0
 	for seed := range uint64(50) {
-		b, err := policy.New(set, seed)
+		b, err := policy.New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		call := find(b.Start(0, nil), balancer.ActionSetTimer)
+		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-			call = find(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
 			most = max(most, call.Ms)
 		}
 	}
@@ -338,18 +338,18 @@
 // ia9314f: one key drew a tenth of the traffic and one server got all of it, as no agent
 // had more than one of its requests in flight. Other keys keep to few servers.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
-	r := newRig(t, testSettings(), 20)
+	h := newHarness(t, testSettings(), 20)
 	popular, rare := map[balancer.Addr]bool{}, map[balancer.Addr]bool{}
 	for i := range 4000 {
-		r.now += 20
-		key := 1000 + r.rng.Uint64N(1000)
+		h.now += 20
+		key := 1000 + h.random.Uint64N(1000)
 		if i%5 == 0 {
 			key = 7
 		} else if i%100 == 1 {
 			key = 8
 		}
-		id, s := r.sent(0, key)
-		r.outcome(id, 0, s, balancer.StatusOK, 10)
+		id, s := h.mustForward(0, key)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		switch key {
 		case 7:
 			popular[s] = true
@@ -370,14 +370,14 @@
 		open, handshake float64
 		closes          bool
 	}{{1000, 0.05, 0.05, true}, {10, 0.05, 0.05, false}, {1000, 0, 0, false}, {1000, 0, 0.05, false}} {
-		set := testSettings()
-		set.FleetSize, set.Costs.Connection, set.Costs.Handshake = c.agents, c.open, c.handshake
-		r := newRig(t, set, 8)
+		settings := testSettings()
+		settings.FleetSize, settings.Costs.Connection, settings.Costs.Handshake = c.agents, c.open, c.handshake
+		h := newHarness(t, settings, 8)
 		closed := 0
 		for range 200 {
-			r.now += 50
-			id, s := r.sent(0, r.rng.Uint64())
-			if a := find(r.outcome(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil && a.Server == s {
+			h.now += 50
+			id, s := h.mustForward(0, h.random.Uint64())
+			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil && a.Server == s {
 				closed++
 			}
 		}
@@ -395,22 +395,22 @@
 		rtt  float64
 		want bool
 	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true}, {balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
-		set := testSettings()
-		set.Limits.MaxAttempts = 1
-		r := newRig(t, set, 6)
-		refused := 0
+		settings := testSettings()
+		settings.Limits.MaxAttempts = 1
+		h := newHarness(t, settings, 6)
+		rejected := 0
 		for range 200 {
-			r.now += 500
-			id, actions := r.ask(0, r.rng.Uint64())
-			if a := find(actions, balancer.ActionForward); a != nil {
-				r.now += c.rtt
-				r.outcome(id, 0, a.Server, c.end, c.rtt)
-			} else if find(actions, balancer.ActionReject) != nil {
-				refused++
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64())
+			if a := findAction(actions, balancer.ActionForward); a != nil {
+				h.now += c.rtt
+				h.endAttempt(id, 0, a.Server, c.end, c.rtt)
+			} else if findAction(actions, balancer.ActionReject) != nil {
+				rejected++
 			}
 		}
-		if c.want && (refused < 100 || refused > 170) || !c.want && refused > 0 {
-			t.Errorf("all end with %d after %.0f ms: %d of 200 refused", c.end, c.rtt, refused)
+		if c.want && (rejected < 100 || rejected > 170) || !c.want && rejected > 0 {
+			t.Errorf("all end with %d after %.0f ms: %d of 200 refused", c.end, c.rtt, rejected)
 		}
 	}
 }
@@ -420,26 +420,26 @@
 func TestColdServersGetTheirShareFromManySmallAgents(t *testing.T) {
 	cold, all := 0, 0
 	for seed := range uint64(200) {
-		r := newRig(t, testSettings(), 19)
+		h := newHarness(t, testSettings(), 19)
 		b, err := policy.New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		entries := make([]balancer.Endpoint, 20)
 		for i := range entries {
-			entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1}
+			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 		}
-		r.b, r.rng = b, rand.New(rand.NewPCG(seed, 2))
-		r.list(balancer.ListFull, entries...)
-		entries[19].StartedMs = r.now - 2000
-		r.list(balancer.ListFull, entries...)
+		h.policy, h.random = b, rand.New(rand.NewPCG(seed, 2))
+		h.updateList(balancer.ListFull, entries...)
+		entries[19].StartedMs = h.now - 2000
+		h.updateList(balancer.ListFull, entries...)
 		for range 20 {
-			r.now += 100
-			id, s := r.sent(0, r.rng.Uint64())
-			if all++; s == addr(19) {
+			h.now += 100
+			id, s := h.mustForward(0, h.random.Uint64())
+			if all++; s == serverAddress(19) {
 				cold++
 			}
-			r.outcome(id, 0, s, balancer.StatusOK, 20)
+			h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		}
 	}
 	if even := all / 20; cold < even/20 || cold > even {
@@ -454,89 +454,89 @@
 		after float64
 		want  balancer.ActionKind
 	}{{100, balancer.ActionReject}, {550, balancer.ActionFail}} {
-		set := testSettings()
-		set.Classes[2].DedupScope, set.Limits.MaxAttempts = balancer.DedupFleet, 1
-		r := newRig(t, set, 4)
-		id, s := r.sent(2, 5)
-		r.now += c.after
-		if actions := r.outcome(id, 0, s, balancer.StatusError, c.after); find(actions, c.want) == nil {
+		settings := testSettings()
+		settings.Classes[2].DedupScope, settings.Limits.MaxAttempts = balancer.DedupFleet, 1
+		h := newHarness(t, settings, 4)
+		id, s := h.mustForward(2, 5)
+		h.now += c.after
+		if actions := h.endAttempt(id, 0, s, balancer.StatusError, c.after); findAction(actions, c.want) == nil {
 			t.Errorf("failed after %.0f of 500 ms: %+v", c.after, actions)
 		}
 	}
 }
 
 func TestViewTellsWhyRequestsWait(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	id, s := r.sent(1, 0)
-	r.outcome(id, 0, s, balancer.StatusError, 5)
-	r.sent(1, 0)
-	v := r.b.Stats()
-	if v.States != [4]int{0, 1, 0, 1} || v.InFlight != 1 || v.Queued != 0 || v.ServerLimits != 2*2 { // two unmeasured servers of one of three agents, two attempts each
-		t.Errorf("%+v", v)
+	h := newHarness(t, testSettings(), 2)
+	id, s := h.mustForward(1, 0)
+	h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	h.mustForward(1, 0)
+	stats := h.policy.Stats()
+	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 || stats.ServerLimits != 2*2 { // two unmeasured servers of one of three agents, two attempts each
+		t.Errorf("%+v", stats)
 	}
 }
 
 // crowd plays phases to an agent of so many with 60 servers and returns its view at the end
 // of each.
-func crowd(t *testing.T, agents int, phases ...phase) []balancer.Stats {
-	set := testSettings()
-	set.FleetSize = agents
-	r := newRig(t, set, 60)
+func runPhases(t *testing.T, agents int, phases ...phase) []balancer.Stats {
+	settings := testSettings()
+	settings.FleetSize = agents
+	h := newHarness(t, settings, 60)
 	type flight struct {
 		id  balancer.RequestID
 		s   balancer.Addr
 		end float64
 	}
 	var out []flight
-	play := func(rtt float64, requests int) {
+	play := func(responseMs float64, requests int) {
 		for range requests {
-			r.now += 40
-			for len(out) > 0 && out[0].end <= r.now {
+			h.now += 40
+			for len(out) > 0 && out[0].end <= h.now {
 				f := out[0]
 				out = out[1:]
-				for _, a := range r.outcome(f.id, 0, f.s, balancer.StatusOK, rtt) {
+				for _, a := range h.endAttempt(f.id, 0, f.s, balancer.StatusOK, responseMs) {
 					if a.Kind == balancer.ActionForward {
-						out = append(out, flight{a.Request, a.Server, r.now + rtt})
+						out = append(out, flight{a.Request, a.Server, h.now + responseMs})
 					}
 				}
 			}
-			if id, actions := r.ask(1, r.rng.Uint64()); find(actions, balancer.ActionForward) != nil {
-				out = append(out, flight{id, find(actions, balancer.ActionForward).Server, r.now + rtt})
+			if id, actions := h.request(1, h.random.Uint64()); findAction(actions, balancer.ActionForward) != nil {
+				out = append(out, flight{id, findAction(actions, balancer.ActionForward).Server, h.now + responseMs})
 			}
-			r.tick(0)
+			h.advance(0)
 		}
 	}
 	var views []balancer.Stats
 	for _, p := range phases {
-		play(p.rtt, p.requests)
-		views = append(views, r.b.Stats())
+		play(p.responseMs, p.requests)
+		views = append(views, h.policy.Stats())
 	}
 	return views
 }
 
 // phase is a stretch of a crowd: requests every 40 ms, each answered in rtt ms.
 type phase struct {
-	rtt      float64
-	requests int
+	responseMs float64
+	requests   int
 }
 
 // One agent of eighty sees each server answer once in some seconds: no window follows a
 // crowd. What all its answers have in common must tell it within a second or two.
 func TestAgentOfManyHasLessOutWhenAllServersAreCrowded(t *testing.T) {
 	ease := phase{80, 200}
-	if v := crowd(t, 80, ease, phase{250, 60}); v[1].InFlight > v[0].InFlight+2 { // with no bound 6 or 7
-		t.Errorf("%d attempts out at ease, %d when all answers take 0.8 of the aim", v[0].InFlight, v[1].InFlight)
+	if stats := runPhases(t, 80, ease, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 { // with no bound 6 or 7
+		t.Errorf("%d attempts out at ease, %d when all answers take 0.8 of the aim", stats[0].InFlight, stats[1].InFlight)
 	}
-	if v := crowd(t, 80, ease, phase{95, 60}); v[1].InFlight < v[0].InFlight {
-		t.Errorf("%d attempts out at ease, %d when answers take a fifth longer", v[0].InFlight, v[1].InFlight)
+	if stats := runPhases(t, 80, ease, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
+		t.Errorf("%d attempts out at ease, %d when answers take a fifth longer", stats[0].InFlight, stats[1].InFlight)
 	}
 }
 
 // Of few agents, answers in one and a half times those at ease are no crowd; of many they
 // are: each sees little of the load and acts later by what it meets.
 func TestRoomsLimitIsHigherForFewAgents(t *testing.T) {
-	few := crowd(t, 3, phase{80, 200}, phase{120, 200})
-	many := crowd(t, 80, phase{80, 200}, phase{120, 200})
+	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
+	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
 	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
 		t.Errorf("room %.1f of three agents, %.1f of eighty, after answers 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
 	}
@@ -545,35 +545,35 @@
 // A crowd at all servers cuts the room, down to the servers' even share of the agents at
 // the least, and answers at ease bring it back.
 func TestRoomReturns(t *testing.T) {
-	v := crowd(t, 3, phase{80, 200}, phase{250, 200})
-	if v[1].ConcurrencyLimit < 20 || v[1].ConcurrencyLimit > 21 {
-		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", v[1].ConcurrencyLimit)
+	stats := runPhases(t, 3, phase{80, 200}, phase{250, 200})
+	if stats[1].ConcurrencyLimit < 20 || stats[1].ConcurrencyLimit > 21 {
+		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", stats[1].ConcurrencyLimit)
 	}
-	v = crowd(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
-	if v[1].ConcurrencyLimit >= 1 || v[2].ConcurrencyLimit < 2*v[1].ConcurrencyLimit {
-		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", v[1].ConcurrencyLimit, v[2].ConcurrencyLimit)
+	stats = runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
+	if stats[1].ConcurrencyLimit >= 1 || stats[2].ConcurrencyLimit < 2*stats[1].ConcurrencyLimit {
+		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
 // states is the number of listed servers in each state, best first.
-func (r *rig) states() [4]int { return r.b.Stats().States }
+func (h *harness) healthStates() [4]int { return h.policy.Stats().States }
 
 // warm serves n requests of keys never seen again, each in ms, so that the agent knows its
 // servers a little and takes keys for one of many.
-func (r *rig) warm(n int, ms float64) {
-	r.t.Helper()
-	r.newKeys(n, ms, balancer.Addr{})
+func (h *harness) serve(n int, ms float64) {
+	h.t.Helper()
+	h.serveAndCount(n, ms, balancer.Addr{})
 }
 
 // newKeys sends n requests of new keys one after the other, each answered ms after it was
 // sent, and returns how many went to s.
-func (r *rig) newKeys(n int, ms float64, s balancer.Addr) int {
-	r.t.Helper()
+func (h *harness) serveAndCount(n int, ms float64, s balancer.Addr) int {
+	h.t.Helper()
 	got := 0
 	for range n {
-		id, to := r.sent(0, r.rng.Uint64()|1)
-		r.now += ms
-		r.outcome(id, 0, to, balancer.StatusOK, ms)
+		id, to := h.mustForward(0, h.random.Uint64()|1)
+		h.now += ms
+		h.endAttempt(id, 0, to, balancer.StatusOK, ms)
 		if to == s {
 			got++
 		}
@@ -583,137 +583,137 @@
 
 // hold is how long a server that failed once is left alone: the shortest aim (DESIGN:
 // a demoted server returns by validation or a bounded lapse).
-func (r *rig) hold() float64 {
+func (h *harness) ejectionMs() float64 {
 	least := math.Inf(1)
-	for _, c := range r.set.Classes {
+	for _, c := range h.settings.Classes {
 		least = min(least, c.LatencyObjectiveMs)
 	}
 	return least
 }
 
 func TestStateTransitions(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	if got := r.states(); got != [4]int{0, 4, 0, 0} {
+	h := newHarness(t, testSettings(), 4)
+	if got := h.healthStates(); got != [4]int{0, 4, 0, 0} {
 		t.Fatalf("listed servers start as %v, want all Unknown", got)
 	}
-	id, s := r.sent(0, 7)
-	r.now += 50
-	r.outcome(id, 0, s, balancer.StatusOK, 50)
-	if got := r.states(); got != [4]int{1, 3, 0, 0} {
+	id, s := h.mustForward(0, 7)
+	h.now += 50
+	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
+	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
 		t.Fatalf("served: %v, want one Connected", got)
 	}
-	id, s2 := r.sent(0, 7)
+	id, s2 := h.mustForward(0, 7)
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
-	actions := r.outcome(id, 0, s, balancer.StatusError, 5)
-	if got := r.states(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	if got := h.healthStates(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
 		t.Fatalf("error: %v, want the server Unhealthy", got)
 	}
-	if find(actions, balancer.ActionFetchList) == nil {
+	if findAction(actions, balancer.ActionFetchList) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
-	a := find(actions, balancer.ActionForward)
+	a := findAction(actions, balancer.ActionForward)
 	if a == nil || a.Server == s {
 		t.Fatalf("the free request did not go on to another server: %+v", actions)
 	}
-	r.now += 5
-	r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
+	h.now += 5
+	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 	// While it is Unhealthy nothing goes there; after its hold the next request makes it
 	// pending and checks it, and a served answer makes it Connected.
 	for range 20 {
-		if id, to := r.sent(0, r.rng.Uint64()|1); to == s {
+		if id, to := h.mustForward(0, h.random.Uint64()|1); to == s {
 			t.Fatal("an Unhealthy server was chosen before the better tier")
 		} else {
-			r.outcome(id, 0, to, balancer.StatusOK, 1)
+			h.endAttempt(id, 0, to, balancer.StatusOK, 1)
 		}
 	}
-	r.now += r.hold() + 1
+	h.now += h.ejectionMs() + 1
 	for i := 0; ; i++ {
 		var to balancer.Addr
-		id, to = r.sent(0, r.rng.Uint64()|1)
-		if got := r.states(); got[balancer.UnhealthyPending] != 1 {
+		id, to = h.mustForward(0, h.random.Uint64()|1)
+		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
 			t.Fatalf("after the hold: %v, want it pending", got)
 		}
 		if to == s {
 			break
 		}
-		if r.outcome(id, 0, to, balancer.StatusOK, 1); i > 50 {
+		if h.endAttempt(id, 0, to, balancer.StatusOK, 1); i > 50 {
 			t.Fatal("a server pending after its hold is never checked by a request")
 		}
 	}
-	r.now += 50
-	r.outcome(id, 0, s, balancer.StatusOK, 50)
-	if got := r.states(); got != [4]int{4, 0, 0, 0} {
+	h.now += 50
+	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
+	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
 		t.Fatalf("validated: %v, want it Connected", got)
 	}
 }
 
 func TestFullDemotesNobody(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 7)
-	actions := r.outcome(id, 0, s, balancer.StatusOverloaded, 1)
-	if got := r.states(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
+	h := newHarness(t, testSettings(), 3)
+	id, s := h.mustForward(1, 7)
+	actions := h.endAttempt(id, 0, s, balancer.StatusOverloaded, 1)
+	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
 		t.Errorf("full demoted the server: %v", got)
 	}
-	if a := find(actions, balancer.ActionForward); a == nil || a.Server == s {
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
 	}
 }
 
 func TestProbesValidateWhereAllowed(t *testing.T) {
-	set := testSettings()
-	set.Limits.HealthChecks = true
-	r := newRig(t, set, 3)
-	id, s := r.sent(0, 7)
-	actions := r.outcome(id, 0, s, balancer.StatusError, 5)
-	if a := find(actions, balancer.ActionForward); a != nil {
-		r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
-	}
-	r.now += 2 * r.hold()
-	_, actions = r.ask(0, 7)
-	if p := find(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
+	settings := testSettings()
+	settings.Limits.HealthChecks = true
+	h := newHarness(t, settings, 3)
+	id, s := h.mustForward(0, 7)
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	if a := findAction(actions, balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+	}
+	h.now += 2 * h.ejectionMs()
+	_, actions = h.request(0, 7)
+	if p := findAction(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
 	}
-	if a := find(actions, balancer.ActionForward); a == nil || a.Server == s {
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
-	if r.states()[balancer.Unhealthy] != 1 {
-		t.Errorf("a failed probe did not demote: %v", r.states())
+	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
+	if h.healthStates()[balancer.Unhealthy] != 1 {
+		t.Errorf("a failed probe did not demote: %v", h.healthStates())
 	}
-	r.now += 10 * r.hold()
-	r.ask(0, 8)
-	r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
-	if got := r.states(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
+	h.now += 10 * h.ejectionMs()
+	h.request(0, 8)
+	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
+	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
 		t.Errorf("a good probe did not set Connected: %v", got)
 	}
 }
 
 // Servers i of the rig are in cell i%2.
 func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
-	r := newRig(t, testSettings(), 6)
+	h := newHarness(t, testSettings(), 6)
 	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
-	id, s := r.sent(2, 5)
-	actions := r.outcome(id, 0, s, balancer.StatusError, 20)
-	a := find(actions, balancer.ActionForward)
+	id, s := h.mustForward(2, 5)
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
+	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
-	r.now += 496 // just inside the 500 ms less the margin
-	actions = r.outcome(id, 1, a.Server, balancer.StatusError, 20)
-	if find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionFail) == nil && r.b.Stats().Queued == 0 {
+	h.now += 496 // just inside the 500 ms less the margin
+	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
+	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
 
 // Hung servers stay Connected in the source's scheme; silence demotes them.
 func TestHungServerIsLeft(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.warm(200, 10) // learn what an answer takes
-	r.sent(0, 9)
+	h := newHarness(t, testSettings(), 4)
+	h.serve(200, 10) // learn what an answer takes
+	h.mustForward(0, 9)
 	for range 30 {
-		if r.tick(10); r.states()[balancer.Unhealthy] == 1 {
+		if h.advance(10); h.healthStates()[balancer.Unhealthy] == 1 {
 			return
 		}
 	}
@@ -722,37 +722,37 @@
 
 // i5d0607: a zone was lost and only cold servers were left.
 func TestColdServersServeWhenTheWarmOnesFailed(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.warm(200, 10)
+	h := newHarness(t, testSettings(), 2)
+	h.serve(200, 10)
 	// The warm ones fall silent: what reaches them cannot connect. Then a cold one is listed.
-	for i := 0; r.states()[balancer.Unhealthy] < 2; i++ {
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
 		if i > 20 {
-			t.Fatalf("the warm servers were not left: %v", r.states())
+			t.Fatalf("the warm servers were not left: %v", h.healthStates())
 		}
-		r.now += 10
-		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
-			actions = r.outcome(id, try, find(actions, balancer.ActionForward).Server, balancer.StatusConnectFailed, 5)
+		h.now += 10
+		id, actions := h.request(0, h.random.Uint64()|1)
+		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
+			actions = h.endAttempt(id, attempt, findAction(actions, balancer.ActionForward).Server, balancer.StatusConnectFailed, 5)
 		}
 	}
-	r.now += 10
-	r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(2), State: balancer.Ready, Weight: 1, StartedMs: r.now})
+	h.now += 10
+	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 1, StartedMs: h.now})
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
 	var first, got float64
 	for i := range 200 {
-		r.now += 10
-		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
-			to := find(actions, balancer.ActionForward).Server
-			if to != addr(2) {
-				actions = r.outcome(id, try, to, balancer.StatusConnectFailed, 5)
+		h.now += 10
+		id, actions := h.request(0, h.random.Uint64()|1)
+		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
+			to := findAction(actions, balancer.ActionForward).Server
+			if to != serverAddress(2) {
+				actions = h.endAttempt(id, attempt, to, balancer.StatusConnectFailed, 5)
 				continue
 			}
 			if got++; got == 1 {
 				first = float64(i+1) * 10
 			}
-			actions = r.outcome(id, try, to, balancer.StatusOK, 20)
+			actions = h.endAttempt(id, attempt, to, balancer.StatusOK, 20)
 		}
 	}
 	if got < 1 || first > 1000 || got > 2*50*0.28*0.75 {
@@ -763,109 +763,109 @@
 // A request that must not run twice does not find out whether a pending server is back;
 // one that may run again does.
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id, bad := r.sent(0, 7)
-	if a := find(r.outcome(id, 0, bad, balancer.StatusError, 5), balancer.ActionForward); a != nil {
-		r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
+	h := newHarness(t, testSettings(), 4)
+	id, failing := h.mustForward(0, 7)
+	if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 	}
-	free, once := 0, 0
+	idempotent, nonIdempotent := 0, 0
 	for range 200 {
-		r.now += 16*r.hold() + 1 // past the longest hold: the next request makes it pending
-		for class, n := range []*int{&free, &once} {
-			id, s := r.sent(class, r.rng.Uint64()|1)
-			if s != bad {
-				r.outcome(id, 0, s, balancer.StatusOK, 5)
+		h.now += 16*h.ejectionMs() + 1 // past the longest hold: the next request makes it pending
+		for class, n := range []*int{&idempotent, &nonIdempotent} {
+			id, s := h.mustForward(class, h.random.Uint64()|1)
+			if s != failing {
+				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 				continue
 			}
 			*n++
-			if a := find(r.outcome(id, 0, s, balancer.StatusError, 5), balancer.ActionForward); a != nil {
-				r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
+			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 		}
 	}
-	if free == 0 || once > 0 {
-		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", free, once)
+	if idempotent == 0 || nonIdempotent > 0 {
+		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", idempotent, nonIdempotent)
 	}
 }
 
 func TestOwnZoneIsPreferredByKey(t *testing.T) {
-	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
-	own, used, all := 0, map[balancer.Addr]bool{}, 600
+	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	ownZone, used, all := 0, map[balancer.Addr]bool{}, 600
 	for range all {
-		id, s := r.sent(0, r.rng.Uint64()|1)
-		r.outcome(id, 0, s, balancer.StatusOK, 20)
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		used[s] = true
 		if s[3]%2 == 0 {
-			own++
+			ownZone++
 		}
 	}
-	if share := float64(own) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
+	if share := float64(ownZone) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
 		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
 	}
 }
 
 func TestDemotionAsksForNoListWhereChangesAreFollowed(t *testing.T) {
-	set := testSettings()
-	set.DiscoveryMode = "on_request"
-	r := newRig(t, set, 4)
-	id, s := r.sent(0, 7)
-	if a := find(r.outcome(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
+	h := newHarness(t, settings, 4)
+	id, s := h.mustForward(0, 7)
+	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
 		t.Error("a demotion asked for the whole list")
 	}
-	if r.states()[balancer.Unhealthy] != 1 {
-		t.Errorf("the failure did not demote its server: %v", r.states())
+	if h.healthStates()[balancer.Unhealthy] != 1 {
+		t.Errorf("the failure did not demote its server: %v", h.healthStates())
 	}
 }
 
 func TestStartedStreamIsLeftAlone(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].Streaming = true
-	r := newRig(t, set, 4)
-	id, s := r.sent(0, 3)
-	r.now += 30
-	r.do(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	settings := testSettings()
+	settings.Classes[0].Streaming = true
+	h := newHarness(t, settings, 4)
+	id, s := h.mustForward(0, 3)
+	h.now += 30
+	h.handle(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
 	for range 200 {
-		for _, a := range r.tick(10) {
+		for _, a := range h.advance(10) {
 			if a.Request == id && a.Kind != balancer.ActionSetTimer {
 				t.Fatalf("action %+v for a request whose answer streams", a)
 			}
 		}
 	}
-	actions := r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s, Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
-	if v := r.b.Stats(); find(actions, balancer.ActionForward) != nil || find(actions, balancer.ActionFail) != nil || v.InFlight+v.Queued != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, v.InFlight, v.Queued)
+	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s, Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
+		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, stats.InFlight, stats.Queued)
 	}
 }
 
 func TestUnfitRequestFailsAndDemotesNobody(t *testing.T) {
 	for class, c := range testSettings().Classes {
-		r := newRig(t, testSettings(), 4)
-		id, s := r.sent(class, 7)
-		r.now += 5
-		actions := r.outcome(id, 0, s, balancer.StatusBadRequest, 5)
-		if f := find(actions, balancer.ActionFail); f == nil || f.Request != id || len(actions) != 1 {
+		h := newHarness(t, testSettings(), 4)
+		id, s := h.mustForward(class, 7)
+		h.now += 5
+		actions := h.endAttempt(id, 0, s, balancer.StatusBadRequest, 5)
+		if f := findAction(actions, balancer.ActionFail); f == nil || f.Request != id || len(actions) != 1 {
 			t.Errorf("%s: %+v, want one failure", c.Name, actions)
 		}
-		if v := r.b.Stats(); v.States != [4]int{0, 4, 0, 0} || v.InFlight+v.Queued != 0 {
-			t.Errorf("%s: %+v, want all servers as they were and the request gone", c.Name, v)
+		if stats := h.policy.Stats(); stats.States != [4]int{0, 4, 0, 0} || stats.InFlight+stats.Queued != 0 {
+			t.Errorf("%s: %+v, want all servers as they were and the request gone", c.Name, stats)
 		}
 	}
 }
 
 func TestCrowdedWindowShrinks(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 20 // many, as on ie9df20: each sees little of the load
-	r := newRig(t, set, 1)
-	r.warm(300, 20) // long enough to know the calm answer time
-	grown := r.b.Stats().ServerLimits
+	settings := testSettings()
+	settings.FleetSize = 20 // many, as on ie9df20: each sees little of the load
+	h := newHarness(t, settings, 1)
+	h.serve(300, 20) // long enough to know the calm answer time
+	grown := h.policy.Stats().ServerLimits
 	for range 200 {
-		if id, actions := r.ask(0, 1); find(actions, balancer.ActionForward) != nil {
-			r.now += 140
-			r.outcome(id, 0, addr(0), balancer.StatusOK, 140)
+		if id, actions := h.request(0, 1); findAction(actions, balancer.ActionForward) != nil {
+			h.now += 140
+			h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 140)
 		}
-		r.now += 10
+		h.now += 10
 	}
-	w := r.b.Stats().ServerLimits
+	w := h.policy.Stats().ServerLimits
 	if w >= grown {
 		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, w)
 	}
@@ -877,28 +877,28 @@
 
 // A server that is not measured yet may hold two attempts of one of many agents.
 func TestNoWindowGrowsBeforeCalmIsKnown(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	for i := range 49 { // calm is known from the 50th answer on
-		r.warm(1, 20)
-		if w := r.b.Stats().ServerLimits; w > 2*2 {
+		h.serve(1, 20)
+		if w := h.policy.Stats().ServerLimits; w > 2*2 {
 			t.Fatalf("windows %.2f after %d answers", w, i+1)
 		}
 	}
-	var ids []balancer.RequestID
-	var tos []balancer.Addr
+	var requests []balancer.RequestID
+	var servers []balancer.Addr
 	for range 40 {
-		ids, tos = ids[:0], tos[:0]
+		requests, servers = requests[:0], servers[:0]
 		for range 3 {
-			if id, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) != nil {
-				ids, tos = append(ids, id), append(tos, find(actions, balancer.ActionForward).Server)
+			if id, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
+				requests, servers = append(requests, id), append(servers, findAction(actions, balancer.ActionForward).Server)
 			}
 		}
-		r.now += 20
-		for i := range ids {
-			r.outcome(ids[i], 0, tos[i], balancer.StatusOK, 20)
+		h.now += 20
+		for i := range requests {
+			h.endAttempt(requests[i], 0, servers[i], balancer.StatusOK, 20)
 		}
 	}
-	if w := r.b.Stats().ServerLimits; w <= 2*2 {
+	if w := h.policy.Stats().ServerLimits; w <= 2*2 {
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
@@ -906,22 +906,22 @@
 // An answered failure tells nothing of a crowd; one that did not connect halves the window.
 func TestAnsweredFailureKeepsTheWindow(t *testing.T) {
 	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8, balancer.StatusConnectFailed: 8 + 4} {
-		set := testSettings()
-		set.FleetSize = 1 // an agent alone begins with eight a server
-		r := newRig(t, set, 2)
-		id, s := r.sent(1, 0)
-		r.outcome(id, 0, s, status, 5)
-		if v := r.b.Stats(); v.States[balancer.Unhealthy] != 1 || v.ServerLimits != want {
-			t.Errorf("ended %d: %+v, want one Unhealthy and windows of %v", status, v, want)
+		settings := testSettings()
+		settings.FleetSize = 1 // an agent alone begins with eight a server
+		h := newHarness(t, settings, 2)
+		id, s := h.mustForward(1, 0)
+		h.endAttempt(id, 0, s, status, 5)
+		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
+			t.Errorf("ended %d: %+v, want one Unhealthy and windows of %v", status, stats, want)
 		}
 	}
 }
 
 func TestFewAgentsBeginWithLargerWindows(t *testing.T) {
 	for replicas, want := range map[int]float64{0: 8, 1: 8, 2: 4, 4: 2, 80: 2} {
-		set := testSettings()
-		set.FleetSize = replicas
-		if w := newRig(t, set, 1).b.Stats().ServerLimits; w != want {
+		settings := testSettings()
+		settings.FleetSize = replicas
+		if w := newHarness(t, settings, 1).policy.Stats().ServerLimits; w != want {
 			t.Errorf("%d agents: window %v, want %v", replicas, w, want)
 		}
 	}
@@ -929,68 +929,68 @@
 
 func TestFurtherAttemptsAreEarnedByServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
-		r := newRig(t, testSettings(), 8)
-		further := 0
+		h := newHarness(t, testSettings(), 8)
+		retries := 0
 		for i := range 100 {
-			r.now += 500
-			id, actions := r.ask(0, r.rng.Uint64()|1)
-			a := find(actions, balancer.ActionForward)
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64()|1)
+			a := findAction(actions, balancer.ActionForward)
 			if a == nil {
 				continue // shed: the agent sees little served in time
 			}
 			if served && i%5 > 0 {
-				r.outcome(id, 0, a.Server, balancer.StatusOK, 10)
+				h.endAttempt(id, 0, a.Server, balancer.StatusOK, 10)
 				continue
 			}
-			for try := 0; a != nil; try++ {
-				if a = find(r.outcome(id, try, a.Server, balancer.StatusOverloaded, 1), balancer.ActionForward); a != nil {
-					further++
+			for attempt := 0; a != nil; attempt++ {
+				if a = findAction(h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1), balancer.ActionForward); a != nil {
+					retries++
 				}
 			}
 		}
 		// againMost, four, is what an agent saves up of further attempts.
-		if served && further < 15 || !served && further > 4 {
-			t.Errorf("four of five served: %v; %d further attempts", served, further)
+		if served && retries < 15 || !served && retries > 4 {
+			t.Errorf("four of five served: %v; %d further attempts", served, retries)
 		}
 	}
 }
 
 func TestProbesAreFewerThanRequests(t *testing.T) {
-	set := testSettings()
-	set.Limits.HealthChecks = true
-	r := newRig(t, set, 6)
-	for i := 0; r.states()[balancer.Unhealthy] < 4; i++ { // four fall silent
+	settings := testSettings()
+	settings.Limits.HealthChecks = true
+	h := newHarness(t, settings, 6)
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four fall silent
 		if i > 50 {
-			t.Fatalf("four servers were not left: %v", r.states())
+			t.Fatalf("four servers were not left: %v", h.healthStates())
 		}
-		id, actions := r.ask(0, r.rng.Uint64()|1)
-		for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
-			to, st := find(actions, balancer.ActionForward).Server, balancer.StatusOK
+		id, actions := h.request(0, h.random.Uint64()|1)
+		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
+			to, status := findAction(actions, balancer.ActionForward).Server, balancer.StatusOK
 			if to[3] < 4 {
-				st = balancer.StatusConnectFailed
+				status = balancer.StatusConnectFailed
 			}
-			if actions = r.outcome(id, try, to, st, 5); st == balancer.StatusOK {
+			if actions = h.endAttempt(id, attempt, to, status, 5); status == balancer.StatusOK {
 				break
 			}
 		}
 	}
-	probes := 0
+	checks := 0
 	for range 200 {
-		r.now += 50
-		id, actions := r.ask(0, r.rng.Uint64()|1)
-		sent := find(actions, balancer.ActionForward)
+		h.now += 50
+		id, actions := h.request(0, h.random.Uint64()|1)
+		sent := findAction(actions, balancer.ActionForward)
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
-				probes++
-				r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server, Status: balancer.StatusOverloaded, LatencyMs: 1})
+				checks++
+				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server, Status: balancer.StatusOverloaded, LatencyMs: 1})
 			}
 		}
 		if sent != nil {
-			r.outcome(id, 0, sent.Server, balancer.StatusOverloaded, 1)
+			h.endAttempt(id, 0, sent.Server, balancer.StatusOverloaded, 1)
 		}
 	}
-	if probes == 0 || probes > 30 {
-		t.Errorf("%d probes in 200 requests", probes)
+	if checks == 0 || checks > 30 {
+		t.Errorf("%d probes in 200 requests", checks)
 	}
 }
 
@@ -998,20 +998,20 @@
 // goes on placing requests, and its view stays a number.
 func TestNumbersThatMakeNoSense(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
-		r := newRig(t, testSettings(), 3)
-		r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: x, StartedMs: x},
-			balancer.Endpoint{Server: addr(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
-		id, s := r.sent(0, 7)
-		r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: x, RequestDone: true})
-		r.do(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
-		r.do(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s, Status: balancer.StatusOK})
+		h := newHarness(t, testSettings(), 3)
+		h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
+			balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
+		id, s := h.mustForward(0, 7)
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: x, RequestDone: true})
+		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s, Status: balancer.StatusOK})
 		for range 40 { // each is sent at once
-			r.now += 10
-			id, s := r.sent(0, r.rng.Uint64()|1)
-			r.outcome(id, 0, s, balancer.StatusOK, 10)
+			h.now += 10
+			id, s := h.mustForward(0, h.random.Uint64()|1)
+			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		}
-		if v := r.b.Stats(); math.IsNaN(v.ServerLimits) || math.IsNaN(v.ConcurrencyLimit) || math.IsNaN(v.Shed) || math.IsNaN(v.OverloadedFraction) {
-			t.Errorf("%v: view %+v", x, v)
+		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) || math.IsNaN(stats.Shed) || math.IsNaN(stats.OverloadedFraction) {
+			t.Errorf("%v: view %+v", x, stats)
 		}
 	}
 }
@@ -1019,24 +1019,24 @@
 // The own zone weighs more in a key's order while it serves in time and crossing has a
 // price; late, or where crossing is free, it weighs the least. Servers i are in zone i%2.
 func TestOwnZoneWeighsMoreWhileItServesInTime(t *testing.T) {
-	share := func(price, rtt float64) float64 {
-		set := testSettings()
-		set.Costs.CrossZone = price
-		r := newRig(t, set, 6)
-		own, all := 0, 0
+	share := func(price, responseMs float64) float64 {
+		settings := testSettings()
+		settings.Costs.CrossZone = price
+		h := newHarness(t, settings, 6)
+		ownZone, all := 0, 0
 		for i := range 600 {
-			r.now += 500
-			id, actions := r.ask(0, r.rng.Uint64()|1)
-			if a := find(actions, balancer.ActionForward); a != nil {
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64()|1)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
 				if i >= 400 {
 					all++
-					own += 1 - int(a.Server[3]%2)
+					ownZone += 1 - int(a.Server[3]%2)
 				}
-				r.now += rtt
-				r.outcome(id, 0, a.Server, balancer.StatusOK, rtt)
+				h.now += responseMs
+				h.endAttempt(id, 0, a.Server, balancer.StatusOK, responseMs)
 			}
 		}
-		return float64(own) / float64(max(all, 1))
+		return float64(ownZone) / float64(max(all, 1))
 	}
 	least := share(0, 20) // as in TestOwnZoneIsPreferredByKey: about 0.6
 	if s := share(0.1, 20); s < least+0.15 {
@@ -1050,19 +1050,19 @@
 // A cold server earns its turns by what the fleet's requests are served: where all are
 // turned away, it gets none, and where they are served it gets some.
 func TestColdServerEarnsByWhatIsServedOnly(t *testing.T) {
-	cold := func(st balancer.Status) int {
-		r := newRig(t, testSettings(), 4)
-		r.list(balancer.ListDelta, balancer.Endpoint{Server: addr(4), State: balancer.Ready, Weight: 1, StartedMs: r.now})
+	cold := func(status balancer.Status) int {
+		h := newHarness(t, testSettings(), 4)
+		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
 		n := 0
 		for range 200 {
-			r.now += 5
-			id, actions := r.ask(1, r.rng.Uint64()|1)
-			for try := 0; find(actions, balancer.ActionForward) != nil; try++ {
-				to := find(actions, balancer.ActionForward).Server
-				if to == addr(4) {
+			h.now += 5
+			id, actions := h.request(1, h.random.Uint64()|1)
+			for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
+				to := findAction(actions, balancer.ActionForward).Server
+				if to == serverAddress(4) {
 					n++
 				}
-				actions = r.outcome(id, try, to, st, 1)
+				actions = h.endAttempt(id, attempt, to, status, 1)
 			}
 		}
 		return n
@@ -1075,24 +1075,24 @@
 // A probe that was answered, even badly, is no silence; one that timed out or did not
 // connect is, and silence halves the window (an agent alone begins with eight).
 func TestBrokenProbeIsNoSilence(t *testing.T) {
-	for status, silent := range map[balancer.Status]bool{balancer.StatusError: false, balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
-		set := testSettings()
-		set.Limits.HealthChecks = true
-		set.FleetSize = 1
-		r := newRig(t, set, 1)
-		id, s := r.sent(1, 0)
-		r.outcome(id, 0, s, balancer.StatusError, 5)
-		r.now += 2 * set.Classes[1].LatencyObjectiveMs
-		if _, actions := r.ask(1, 0); find(actions, balancer.ActionHealthCheck) == nil {
+	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false, balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
+		settings := testSettings()
+		settings.Limits.HealthChecks = true
+		settings.FleetSize = 1
+		h := newHarness(t, settings, 1)
+		id, s := h.mustForward(1, 0)
+		h.endAttempt(id, 0, s, balancer.StatusError, 5)
+		h.now += 2 * settings.Classes[1].LatencyObjectiveMs
+		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
 			t.Fatalf("no probe was sent: %+v", actions)
 		}
-		r.do(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
+		h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
 		want := 8.0
-		if silent {
+		if unresponsive {
 			want = 4
 		}
-		if v := r.b.Stats(); v.States[balancer.Unhealthy] != 1 || v.ServerLimits != want {
-			t.Errorf("probe ended %d: %+v, want it Unhealthy with a window of %v", status, v, want)
+		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
+			t.Errorf("probe ended %d: %+v, want it Unhealthy with a window of %v", status, stats, want)
 		}
 	}
 }
@@ -1100,56 +1100,56 @@
 // i958eff: servers came back from silence cold, before the list told. One back from silence
 // is taken for cold: it gets less than a warm one's share of new keys.
 func TestReturnFromSilenceIsRamped(t *testing.T) {
-	share := func(silent bool) int {
-		r := newRig(t, testSettings(), 3)
-		r.warm(30, 20)
-		id, s := r.sent(0, 9)
-		st := balancer.StatusOK
-		if silent {
-			st = balancer.StatusConnectFailed
+	share := func(unresponsive bool) int {
+		h := newHarness(t, testSettings(), 3)
+		h.serve(30, 20)
+		id, s := h.mustForward(0, 9)
+		status := balancer.StatusOK
+		if unresponsive {
+			status = balancer.StatusConnectFailed
 		}
-		if a := find(r.outcome(id, 0, s, st, 100), balancer.ActionForward); a != nil {
-			r.outcome(id, 1, a.Server, balancer.StatusOK, 20)
+		if a := findAction(h.endAttempt(id, 0, s, status, 100), balancer.ActionForward); a != nil {
+			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 20)
 		}
-		r.now += r.set.Contract.OverloadWindowMs + 500
-		return r.newKeys(90, 20, s)
+		h.now += h.settings.Contract.OverloadWindowMs + 500
+		return h.serveAndCount(90, 20, s)
 	}
-	if silent, warm := share(true), share(false); silent == 0 || 2*silent >= warm {
-		t.Errorf("of 90 new keys a server back from silence got %d, one that stayed %d", silent, warm)
+	if unresponsive, warm := share(true), share(false); unresponsive == 0 || 2*unresponsive >= warm {
+		t.Errorf("of 90 new keys a server back from silence got %d, one that stayed %d", unresponsive, warm)
 	}
 }
 
 // A client's retry is judged by the time that has passed for the client: where it can only
 // be held, it is told at once when its first try's aim is over, not a whole aim later.
 func TestRetryKeepsTheClientsTime(t *testing.T) {
-	ended := func(retry bool) float64 {
-		r := newRig(t, testSettings(), 1)
-		id, s := r.sent(0, 5)
-		r.now += 200
-		r.do(balancer.Event{Kind: balancer.EventClientGone, Request: id})
-		r.outcome(id, 0, s, balancer.StatusCancelled, 200)
-		for r.b.Stats().InFlight < 2 { // the server's window is full: what comes is held
-			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) == nil {
-				t.Fatalf("the window is not filled: %+v", r.b.Stats())
+	ended := func(marked bool) float64 {
+		h := newHarness(t, testSettings(), 1)
+		id, s := h.mustForward(0, 5)
+		h.now += 200
+		h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+		h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
+		for h.policy.Stats().InFlight < 2 { // the server's window is full: what comes is held
+			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) == nil {
+				t.Fatalf("the window is not filled: %+v", h.policy.Stats())
 			}
 		}
-		r.id++
-		start := r.now
-		actions := r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: retry})
+		h.lastRequest++
+		start := h.now
+		actions := h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: 5, RemainingMs: 600, Retry: marked})
 		for range 100 {
 			for _, a := range actions {
-				if a.Request == r.id && a.Kind != balancer.ActionSetTimer {
-					return r.now - start
+				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
+					return h.now - start
 				}
 			}
-			actions = r.tick(5)
+			actions = h.advance(5)
 		}
-		t.Fatalf("retry %v: held for 500 ms", retry)
+		t.Fatalf("retry %v: held for 500 ms", marked)
 		return 0
 	}
 	// The client had waited 200 ms for its first try: its retry ends that much sooner.
-	if retry, fresh := ended(true), ended(false); math.Abs(fresh-retry-200) > 10 {
-		t.Errorf("a held retry was told after %.0f ms, a fresh request after %.0f", retry, fresh)
+	if marked, fresh := ended(true), ended(false); math.Abs(fresh-marked-200) > 10 {
+		t.Errorf("a held retry was told after %.0f ms, a fresh request after %.0f", marked, fresh)
 	}
 }
 
@@ -1157,35 +1157,35 @@
 // given lacks what has passed since its first try, and is judged by that. Where each try has a
 // time of its own, less than the time for all, a shorter one tells nothing.
 func TestUnmarkedRetryIsJudgedByItsFirstTry(t *testing.T) {
-	ended := func(given, left float64) float64 {
-		set := testSettings() // the aim is 300 ms, the time for all tries 1,000 ms
-		set.Clients.MarksRetry = false
-		r := newRig(t, set, 1)
-		come := func(left float64) []balancer.Action {
-			r.id++
-			return r.do(balancer.Event{Kind: balancer.EventRequest, Request: r.id, Class: 0, Key: r.rng.Uint64() | 1, RemainingMs: left})
-		}
-		for r.b.Stats().InFlight < 2 { // the server's window is full: what comes is held
-			if find(come(given), balancer.ActionForward) == nil {
-				t.Fatalf("the window is not filled: %+v", r.b.Stats())
+	ended := func(given, remainingMs float64) float64 {
+		settings := testSettings() // the aim is 300 ms, the time for all tries 1,000 ms
+		settings.Clients.MarksRetry = false
+		h := newHarness(t, settings, 1)
+		come := func(remainingMs float64) []balancer.Action {
+			h.lastRequest++
+			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
+		}
+		for h.policy.Stats().InFlight < 2 { // the server's window is full: what comes is held
+			if findAction(come(given), balancer.ActionForward) == nil {
+				t.Fatalf("the window is not filled: %+v", h.policy.Stats())
 			}
 		}
-		start, actions := r.now, come(left)
+		start, actions := h.now, come(remainingMs)
 		for range 100 {
 			for _, a := range actions {
-				if a.Request == r.id && a.Kind != balancer.ActionSetTimer {
-					return r.now - start
+				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
+					return h.now - start
 				}
 			}
-			actions = r.tick(5)
+			actions = h.advance(5)
 		}
-		t.Fatalf("held for 500 ms, given %.0f of %.0f ms", left, given)
+		t.Fatalf("held for 500 ms, given %.0f of %.0f ms", remainingMs, given)
 		return 0
 	}
-	first, retry, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
-	if math.Abs(first-retry-200) > 10 || third > 10 {
+	first, marked, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
+	if math.Abs(first-marked-200) > 10 || third > 10 {
 		t.Errorf("first tries were held for %.0f ms, retries after 200 ms for %.0f, after 350 ms for %.0f",
-			first, retry, third)
+			first, marked, third)
 	}
 	if a, b := ended(500, 500), ended(500, 400); math.Abs(a-first) > 10 || math.Abs(b-first) > 10 {
 		t.Errorf("tries of 500 ms were held for %.0f ms, one of 400 for %.0f, first tries for %.0f", a, b, first)
@@ -1196,22 +1196,22 @@
 // at work for longer; the client is told at once. Elsewhere it has the client's whole time.
 func TestNoWorkForAnAnswerThatEarnsNothing(t *testing.T) {
 	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
-		set := testSettings()
-		set.Classes[class].LateFraction = 0
-		set.Clients.MarksRetry = false
-		r := newRig(t, set, 3)
-		id, actions := r.ask(class, 5)
-		a := find(actions, balancer.ActionForward)
+		settings := testSettings()
+		settings.Classes[class].LateFraction = 0
+		settings.Clients.MarksRetry = false
+		h := newHarness(t, settings, 3)
+		id, actions := h.request(class, 5)
+		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
 			t.Fatalf("class %d, aim 300 ms of 600: want an attempt that ends with the aim, got %+v", class, actions)
 		}
-		r.now += a.Ms
-		if actions = r.outcome(id, 0, a.Server, balancer.StatusTimeout, a.Ms); find(actions, want) == nil {
+		h.now += a.Ms
+		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
 			t.Errorf("class %d: not told once the aim was over: %+v", class, actions)
 		}
-		set.Classes[class].LateFraction = 0.2
-		_, actions = newRig(t, set, 3).ask(class, 5)
-		if a = find(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
+		settings.Classes[class].LateFraction = 0.2
+		_, actions = newHarness(t, settings, 3).request(class, 5)
+		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
 			t.Errorf("class %d, late answers earn something: want an attempt for the whole time, got %+v", class, actions)
 		}
 	}
@@ -1222,35 +1222,35 @@
 // refusing them all.
 func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
-		r := newRig(t, testSettings(), 4)
-		id, bad := r.sent(0, r.rng.Uint64()|1)
+		h := newHarness(t, testSettings(), 4)
+		id, failing := h.mustForward(0, h.random.Uint64()|1)
 		for strikes := 1; ; strikes++ {
-			if a := find(r.outcome(id, 0, bad, balancer.StatusError, 5), balancer.ActionForward); a != nil {
-				r.outcome(id, 1, a.Server, balancer.StatusOK, 5)
+			if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 			if strikes == 3 {
 				break
 			}
-			r.now += float64(int(1)<<(strikes-1))*r.hold() + 1
+			h.now += float64(int(1)<<(strikes-1))*h.ejectionMs() + 1
 			for i := 0; ; i++ { // the next request to it checks it, and fails again
 				var to balancer.Addr
-				if id, to = r.sent(0, r.rng.Uint64()|1); to == bad {
+				if id, to = h.mustForward(0, h.random.Uint64()|1); to == failing {
 					break
 				}
-				if r.outcome(id, 0, to, balancer.StatusOK, 5); i > 100 {
+				if h.endAttempt(id, 0, to, balancer.StatusOK, 5); i > 100 {
 					t.Fatal("a pending server was never checked")
 				}
 			}
 		}
 		if full {
 			for range 40 { // more than the other windows hold, of no key: they take any server
-				r.ask(0, 0)
+				h.request(0, 0)
 			}
 		}
-		r.now += r.hold() + 1
-		r.ask(0, 0)
-		if tried := r.states()[balancer.UnhealthyPending] == 1; tried != full {
-			t.Errorf("others full: %v; failing server tried after one aim: %v (%v)", full, tried, r.states())
+		h.now += h.ejectionMs() + 1
+		h.request(0, 0)
+		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != full {
+			t.Errorf("others full: %v; failing server tried after one aim: %v (%v)", full, checked, h.healthStates())
 		}
 	}
 }
@@ -1258,20 +1258,20 @@
 // An attempt that others have overtaken by far is lost: it holds no place in the window of
 // its server (two, for one of three agents), and its end frees none.
 func TestLostAttemptKeepsNoRoom(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	lost, s := r.sent(1, 0)
+	h := newHarness(t, testSettings(), 1)
+	lost, s := h.mustForward(1, 0)
 	for range 12 { // 480 ms, and the lost one has 600
-		r.now += 5
-		id, _ := r.sent(1, 0)
-		r.now += 35
-		r.outcome(id, 0, s, balancer.StatusOK, 35)
+		h.now += 5
+		id, _ := h.mustForward(1, 0)
+		h.now += 35
+		h.endAttempt(id, 0, s, balancer.StatusOK, 35)
 	}
-	r.sent(1, 0)
-	r.sent(1, 0) // the window takes two beside the lost one
-	if _, actions := r.ask(1, 0); find(actions, balancer.ActionForward) != nil {
-		t.Fatalf("a third was sent to a window of two: %+v", r.b.Stats())
+	h.mustForward(1, 0)
+	h.mustForward(1, 0) // the window takes two beside the lost one
+	if _, actions := h.request(1, 0); findAction(actions, balancer.ActionForward) != nil {
+		t.Fatalf("a third was sent to a window of two: %+v", h.policy.Stats())
 	}
-	if a := find(r.outcome(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
+	if a := findAction(h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
 		t.Errorf("the end of the lost attempt made room: %+v", a)
 	}
 }
@@ -1280,18 +1280,18 @@
 // keys pass it over. One a fifth slower does not, nor does one of few agents, whose windows
 // follow it.
 func TestTippedServerMissesTurns(t *testing.T) {
-	after := func(agents int, rtt float64) int {
-		set := testSettings()
-		set.FleetSize = agents
-		r := newRig(t, set, 6)
+	after := func(agents int, responseMs float64) int {
+		settings := testSettings()
+		settings.FleetSize = agents
+		h := newHarness(t, settings, 6)
 		for range 100 {
-			r.now += 100
-			r.warm(1, 50)
+			h.now += 100
+			h.serve(1, 50)
 		}
-		id, s := r.sent(0, r.rng.Uint64()|1)
-		r.now += rtt
-		r.outcome(id, 0, s, balancer.StatusOK, rtt)
-		return r.newKeys(60, 2, s)
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		h.now += responseMs
+		h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
+		return h.serveAndCount(60, 2, s)
 	}
 	if n := after(80, 200); n != 0 {
 		t.Errorf("a server that took four times as long got %d of the next 60 new keys", n)
@@ -1311,20 +1311,20 @@
 		crowd  string
 		passed bool
 	}{{"calm", false}, {"full", true}, {"late", true}, {"most", false}} {
-		r := newRig(t, testSettings(), 6)
+		h := newHarness(t, testSettings(), 6)
 		for range 40 {
-			r.now += 500
-			r.warm(1, 20)
+			h.now += 500
+			h.serve(1, 20)
 		}
 		if c.crowd == "most" { // four of six, and then the one judged
 			for late := map[balancer.Addr]bool{}; len(late) < 4; {
-				r.now++
-				id, s := r.sent(0, r.rng.Uint64()|1)
-				r.outcome(id, 0, s, balancer.StatusOK, 400)
+				h.now++
+				id, s := h.mustForward(0, h.random.Uint64()|1)
+				h.endAttempt(id, 0, s, balancer.StatusOK, 400)
 				late[s] = true
 			}
 		}
-		id, s := r.sent(0, r.rng.Uint64()|1)
+		id, s := h.mustForward(0, h.random.Uint64()|1)
 		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: 20, RequestDone: true}
 		switch c.crowd {
 		case "full":
@@ -1332,11 +1332,11 @@
 		case "late", "most":
 			ev.LatencyMs = 400
 		}
-		r.now++
-		if a := find(r.do(ev), balancer.ActionForward); a != nil {
-			r.outcome(id, 1, a.Server, balancer.StatusOK, 1)
+		h.now++
+		if a := findAction(h.handle(ev), balancer.ActionForward); a != nil {
+			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
 		}
-		if n := r.newKeys(60, 1, s); (n == 0) != c.passed {
+		if n := h.serveAndCount(60, 1, s); (n == 0) != c.passed {
 			t.Errorf("%s: the server got %d of the next 60 new keys", c.crowd, n)
 		}
 	}
@@ -1346,9 +1346,9 @@
 // for each answer: one attempt more of each of eighty agents would undo every cut. In a
 // second at ease, some twelve answer times, it grows, and by less than itself.
 func TestRoomGrowsByAPartOfItself(t *testing.T) {
-	v := crowd(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
-	if v[2].ConcurrencyLimit <= v[1].ConcurrencyLimit || v[2].ConcurrencyLimit >= 2*v[1].ConcurrencyLimit {
-		t.Errorf("room went from %.2f to %.2f in a second at ease", v[1].ConcurrencyLimit, v[2].ConcurrencyLimit)
+	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
+	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit || stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
+		t.Errorf("room went from %.2f to %.2f in a second at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -1357,13 +1357,13 @@
 // the windows of one agent alone stay, those of one of twenty are cut.
 func TestLeastLimitFallsWithTheAgents(t *testing.T) {
 	for _, agents := range []int{1, 20} {
-		set := testSettings()
-		set.FleetSize = agents
-		r := newRig(t, set, 2)
-		r.warm(60, 20)
-		first := r.b.Stats().ServerLimits
-		r.warm(200, 75)
-		if w := r.b.Stats().ServerLimits; (w >= first) != (agents == 1) {
+		settings := testSettings()
+		settings.FleetSize = agents
+		h := newHarness(t, settings, 2)
+		h.serve(60, 20)
+		first := h.policy.Stats().ServerLimits
+		h.serve(200, 75)
+		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
 			t.Errorf("%d agents: windows %.1f after answers in a quarter of the aim, %.1f before", agents, w, first)
 		}
 	}
@@ -1373,26 +1373,26 @@
 // the other's answer time, over one and a half times the fleet's calm, its window stays; at
 // twice its own it is cut.
 func TestSlowServerIsNotTakenForACrowdedOne(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	h := newHarness(t, testSettings(), 2)
 	serve := func(n int, slow float64) {
 		for range n {
-			r.now += 200
-			id, s := r.sent(0, r.rng.Uint64()|1)
-			rtt := 30.0
-			if s == addr(0) {
-				rtt = slow
+			h.now += 200
+			id, s := h.mustForward(0, h.random.Uint64()|1)
+			responseMs := 30.0
+			if s == serverAddress(0) {
+				responseMs = slow
 			}
-			r.now += rtt
-			r.outcome(id, 0, s, balancer.StatusOK, rtt)
+			h.now += responseMs
+			h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
 		}
 	}
-	first := r.b.Stats().ServerLimits
+	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
-	if w := r.b.Stats().ServerLimits; w < first {
+	if w := h.policy.Stats().ServerLimits; w < first {
 		t.Errorf("at its own calm, four times the other's, the slow server's window was cut: %.1f of %.1f", w, first)
 	}
 	serve(100, 240)
-	if w := r.b.Stats().ServerLimits; w >= first {
+	if w := h.policy.Stats().ServerLimits; w >= first {
 		t.Errorf("at twice its own calm the slow server's window stays: %.1f of %.1f", w, first)
 	}
 }
@@ -1401,32 +1401,32 @@
 // from servers that have room. Two servers of full weight are the nearest of every key; a
 // third of a hundredth of the weight takes what has no key.
 func TestWaitingForAKeyBlocksNobody(t *testing.T) {
-	r := newRig(t, testSettings(), 0)
-	r.list(balancer.ListFull, balancer.Endpoint{Server: addr(0), State: balancer.Ready, Weight: 1}, balancer.Endpoint{Server: addr(1), State: balancer.Ready, Weight: 1},
-		balancer.Endpoint{Server: addr(2), State: balancer.Ready, Weight: 0.01})
+	h := newHarness(t, testSettings(), 0)
+	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1}, balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
+		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
 	out := map[balancer.Addr]balancer.RequestID{}
-	var free balancer.RequestID
-	for i := 0; free == 0; i++ { // of no key, until all three are full
+	var idempotent balancer.RequestID
+	for i := 0; idempotent == 0; i++ { // of no key, until all three are full
 		if i > 20 {
-			t.Fatalf("the servers never filled: %+v", r.b.Stats())
+			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
 		}
-		id, actions := r.ask(0, 0)
-		if a := find(actions, balancer.ActionForward); a != nil {
+		id, actions := h.request(0, 0)
+		if a := findAction(actions, balancer.ActionForward); a != nil {
 			out[a.Server] = id
 		} else {
-			free = id
+			idempotent = id
 		}
 	}
 	for range 10 { // newer, so tried first: each waits for the two nearest of its key
-		r.now++
-		if _, actions := r.ask(0, r.rng.Uint64()|1); len(actions) != 0 {
+		h.now++
+		if _, actions := h.request(0, h.random.Uint64()|1); len(actions) != 0 {
 			t.Fatalf("a keyed request was not held: %+v", actions)
 		}
 	}
-	if c, ok := out[addr(2)]; !ok {
+	if c, ok := out[serverAddress(2)]; !ok {
 		t.Fatalf("nothing went to the light server: %v", out)
-	} else if a := find(r.outcome(c, 0, addr(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != free {
-		t.Errorf("room at the light server went to %+v, want request %d of no key", a, free)
+	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != idempotent {
+		t.Errorf("room at the light server went to %+v, want request %d of no key", a, idempotent)
 	}
 }
 
@@ -1435,32 +1435,32 @@
 // before their answers goes first, whichever of the two classes that is.
 func TestWorstClassCountsAmongHeld(t *testing.T) {
 	first := func(starved int) int {
-		set := testSettings()
-		set.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
-		r := newRig(t, set, 1)
+		settings := testSettings()
+		settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
+		h := newHarness(t, settings, 1)
 		for i := range 200 {
 			for class := range 2 {
-				r.now += 10
-				id, s := r.sent(class, 0)
+				h.now += 10
+				id, s := h.mustForward(class, 0)
 				if class == starved && i%2 == 0 {
-					r.do(balancer.Event{Kind: balancer.EventClientGone, Request: id})
-					r.outcome(id, 0, s, balancer.StatusCancelled, 5)
+					h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+					h.endAttempt(id, 0, s, balancer.StatusCancelled, 5)
 					continue
 				}
-				r.outcome(id, 0, s, balancer.StatusOK, 5)
+				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 			}
 		}
 		var out []balancer.RequestID
-		for r.b.Stats().InFlight < 2 { // the window is full: what comes is held
-			id, _ := r.sent(1-starved, 0)
+		for h.policy.Stats().InFlight < 2 { // the window is full: what comes is held
+			id, _ := h.mustForward(1-starved, 0)
 			out = append(out, id)
 		}
-		held := [2]balancer.RequestID{}
+		queued := [2]balancer.RequestID{}
 		for class := range 2 {
-			held[class], _ = r.ask(class, 0)
+			queued[class], _ = h.request(class, 0)
 		}
-		a := find(r.outcome(out[0], 0, addr(0), balancer.StatusOK, 5), balancer.ActionForward)
-		for class, id := range held {
+		a := findAction(h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5), balancer.ActionForward)
+		for class, id := range queued {
 			if a != nil && a.Request == id {
 				return class
 			}
@@ -1481,60 +1481,60 @@
 // (zone+vast); nor is an answer lost where the others are slow as well: both times the
 // server misses turns for a slow one. While the other server drains, all go to the first.
 func TestLostAnswerTellsNothingOfItsServer(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.warm(50, 20)
-	lost, s := r.sent(0, r.rng.Uint64()|1)
-	r.warm(28, 20) // 560 ms of the 600 that the request has
-	before := r.b.Stats()
-	r.now += 20
-	r.outcome(lost, 0, s, balancer.StatusTimeout, 580)
-	if v := r.b.Stats(); v.ServerLimits < before.ServerLimits || v.OverloadedFraction != before.OverloadedFraction || v.States != [4]int{2, 0, 0, 0} {
-		t.Errorf("a lost answer: view %+v, before %+v", v, before)
-	}
-	if n := r.newKeys(60, 1, s); n == 0 {
+	h := newHarness(t, testSettings(), 2)
+	h.serve(50, 20)
+	lost, s := h.mustForward(0, h.random.Uint64()|1)
+	h.serve(28, 20) // 560 ms of the 600 that the request has
+	before := h.policy.Stats()
+	h.now += 20
+	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
+	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits || stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
+		t.Errorf("a lost answer: view %+v, before %+v", stats, before)
+	}
+	if n := h.serveAndCount(60, 1, s); n == 0 {
 		t.Error("after a lost answer its server got none of the next 60 new keys")
 	}
-	other := addr(0)
+	other := serverAddress(0)
 	if s == other {
-		other = addr(1)
+		other = serverAddress(1)
 	}
 	alone := func(late func(id balancer.RequestID)) {
-		r.list(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
-		id, to := r.sent(0, r.rng.Uint64()|1)
+		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+		id, to := h.mustForward(0, h.random.Uint64()|1)
 		if to != s {
 			t.Fatalf("sent to %v while the other drains", to)
 		}
 		late(id)
-		r.list(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
+		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
 	}
 	alone(func(rare balancer.RequestID) {
 		for range 3 {
-			r.now += 160
-			r.warm(1, 20)
+			h.now += 160
+			h.serve(1, 20)
 		}
-		r.now += 40
-		r.outcome(rare, 0, s, balancer.StatusTimeout, 580)
+		h.now += 40
+		h.endAttempt(rare, 0, s, balancer.StatusTimeout, 580)
 	})
-	if n := r.newKeys(20, 1, s); n != 0 {
+	if n := h.serveAndCount(20, 1, s); n != 0 {
 		t.Errorf("seldom seen: its server got %d of the next 20 new keys, want it to miss turns", n)
 	}
-	r.now += 16 * r.set.Contract.SlowStartMs / 10 // past the longest rest
-	r.warm(20, 20)
+	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
+	h.serve(20, 20)
 	alone(func(slow balancer.RequestID) {
-		r.warm(4, 145)
-		r.now += 20
-		r.outcome(slow, 0, s, balancer.StatusTimeout, 600)
+		h.serve(4, 145)
+		h.now += 20
+		h.endAttempt(slow, 0, s, balancer.StatusTimeout, 600)
 	})
-	if n := r.newKeys(20, 1, s); n != 0 {
+	if n := h.serveAndCount(20, 1, s); n != 0 {
 		t.Errorf("a crowd: its server got %d of the next 20 new keys, want it to miss turns", n)
 	}
 }
 
 // busy plays n rounds: each asks k new keys, then answers every attempt out in rtt, those
 // sent meanwhile too.
-func (r *rig) busy(n, k int, rtt float64) {
+func (h *harness) serveRounds(n, k int, responseMs float64) {
 	var out []*balancer.Action
-	take := func(actions []balancer.Action) {
+	collect := func(actions []balancer.Action) {
 		for i := range actions {
 			if actions[i].Kind == balancer.ActionForward {
 				out = append(out, &actions[i])
@@ -1543,16 +1543,16 @@
 	}
 	for range n {
 		for range k {
-			_, actions := r.ask(0, r.rng.Uint64()|1)
-			take(actions)
+			_, actions := h.request(0, h.random.Uint64()|1)
+			collect(actions)
 		}
-		r.now += rtt
+		h.now += responseMs
 		now := out
 		out = nil
 		for _, a := range now {
-			take(r.outcome(a.Request, 0, a.Server, balancer.StatusOK, rtt))
+			collect(h.endAttempt(a.Request, 0, a.Server, balancer.StatusOK, responseMs))
 		}
-		take(r.tick(0))
+		collect(h.advance(0))
 	}
 }
 
@@ -1561,14 +1561,14 @@
 // calm follows answers in 0.4 of the aim, over its least limit of a third: under load its
 // windows grow again.
 func TestLoneAgentLearnsThatItsServersAreCalm(t *testing.T) {
-	set := testSettings()
-	set.FleetSize = 1
-	r := newRig(t, set, 4)
-	r.warm(100, 20)
-	r.warm(2400, 120) // one at a time
-	before := r.b.Stats().ServerLimits
-	r.busy(100, 6, 120)
-	if w := r.b.Stats().ServerLimits; w <= before {
+	settings := testSettings()
+	settings.FleetSize = 1
+	h := newHarness(t, settings, 4)
+	h.serve(100, 20)
+	h.serve(2400, 120) // one at a time
+	before := h.policy.Stats().ServerLimits
+	h.serveRounds(100, 6, 120)
+	if w := h.policy.Stats().ServerLimits; w <= before {
 		t.Errorf("under load at the answer time it learned, a lone agent's windows went from %.1f to %.1f", before, w)
 	}
 }
@@ -1578,12 +1578,12 @@
 // then answers in 0.9 of the aim, one server's answers in 0.47 of it still count as crowded,
 // and under load its window does not grow.
 func TestACrowdAtTheStartIsNotTakenForCalm(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	r.warm(12, 20)  // the server's own calm is quick
-	r.warm(38, 270) // the rest of the 50 answers by which calm is first measured
-	before := r.b.Stats().ServerLimits
-	r.busy(100, 3, 140)
-	if w := r.b.Stats().ServerLimits; w > before {
+	h := newHarness(t, testSettings(), 1)
+	h.serve(12, 20)  // the server's own calm is quick
+	h.serve(38, 270) // the rest of the 50 answers by which calm is first measured
+	before := h.policy.Stats().ServerLimits
+	h.serveRounds(100, 3, 140)
+	if w := h.policy.Stats().ServerLimits; w > before {
 		t.Errorf("answers in 0.9 of the aim were taken for calm: the window grew from %.1f to %.1f", before, w)
 	}
 }
@@ -1594,20 +1594,20 @@
 	for _, c := range []struct {
 		agents, cold, most int
 	}{{8, 0, 40}, {108, 0, 13}, {108, 100, 8}} {
-		set := testSettings()
-		set.FleetSize = c.agents
-		r := newRig(t, set, 0)
+		settings := testSettings()
+		settings.FleetSize = c.agents
+		h := newHarness(t, settings, 0)
 		entries := make([]balancer.Endpoint, 200)
 		for i := range entries {
-			entries[i] = balancer.Endpoint{Server: addr(i), State: balancer.Ready, Weight: 1}
+			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 			if i < c.cold {
-				entries[i].StartedMs = r.now
+				entries[i].StartedMs = h.now
 			}
 		}
-		r.list(balancer.ListCached, entries...)
+		h.updateList(balancer.ListCached, entries...)
 		sent := 0
 		for range 40 {
-			if _, actions := r.ask(0, r.rng.Uint64()|1); find(actions, balancer.ActionForward) != nil {
+			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
 				sent++
 			}
 		}
