--- /dev/null
+++ b/internal/policytest/admission_test.go
@@ -0,0 +1,193 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// With an empty endpoint list a request is rejected in time.
+func TestRequestIsRejectedWhileNoServerIsListed(t *testing.T) {
+	h := newHarness(t, testSettings(), 0)
+	id, actions := h.request(1, 1)
+	for range 130 {
+		if a := findAction(actions, balancer.ActionReject); a != nil {
+			if a.Request != id {
+				t.Fatalf("refused %d, want %d", a.Request, id)
+			}
+			return
+		}
+		actions = h.advance(10)
+	}
+	t.Error("a request with an empty list was never answered")
+}
+
+// Load is shed where responses are late: overloaded servers work for clients that have left, and each
+// rejection brings a retry. Errors are no sign of overload, nor are queued requests.
+func TestLoadIsShedWhereResponsesAreLate(t *testing.T) {
+	for _, c := range []struct {
+		end  balancer.Status
+		rtt  float64
+		want bool
+	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true}, {balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
+		settings := testSettings()
+		settings.Limits.MaxAttempts = 1
+		h := newHarness(t, settings, 6)
+		rejected := 0
+		for range 200 {
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64())
+			if a := findAction(actions, balancer.ActionForward); a != nil {
+				h.now += c.rtt
+				h.endAttempt(id, 0, a.Server, c.end, c.rtt)
+			} else if findAction(actions, balancer.ActionReject) != nil {
+				rejected++
+			}
+		}
+		if c.want && (rejected < 100 || rejected > 170) || !c.want && rejected > 0 {
+			t.Errorf("all end with %d after %.0f ms: %d of 200 refused", c.end, c.rtt, rejected)
+		}
+	}
+}
+
+// A rejection tells the client that a retry is harmless: past the deduplication window it is not, and
+// the request fails instead.
+func TestRejectionOnlyWithinTheDeduplicationWindow(t *testing.T) {
+	for _, c := range []struct {
+		after float64
+		want  balancer.ActionKind
+	}{{100, balancer.ActionReject}, {550, balancer.ActionFail}} {
+		settings := testSettings()
+		settings.Classes[2].DedupScope, settings.Limits.MaxAttempts = balancer.DedupFleet, 1
+		h := newHarness(t, settings, 4)
+		id, s := h.mustForward(2, 5)
+		h.now += c.after
+		if actions := h.endAttempt(id, 0, s, balancer.StatusError, c.after); findAction(actions, c.want) == nil {
+			t.Errorf("failed after %.0f of 500 ms: %+v", c.after, actions)
+		}
+	}
+}
+
+// Once a streamed response has begun the policy neither answers nor retries the request.
+func TestStartedStreamIsNotInterrupted(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].Streaming = true
+	h := newHarness(t, settings, 4)
+	id, s := h.mustForward(0, 3)
+	h.now += 30
+	h.handle(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	for range 200 {
+		for _, a := range h.advance(10) {
+			if a.Request == id && a.Kind != balancer.ActionSetTimer {
+				t.Fatalf("action %+v for a request whose answer streams", a)
+			}
+		}
+	}
+	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s, Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
+		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, stats.InFlight, stats.Queued)
+	}
+}
+
+// Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
+// busy for longer; the client is answered at once. Elsewhere it has the client's whole time.
+func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
+	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
+		settings := testSettings()
+		settings.Classes[class].LateFraction = 0
+		settings.Clients.MarksRetry = false
+		h := newHarness(t, settings, 3)
+		id, actions := h.request(class, 5)
+		a := findAction(actions, balancer.ActionForward)
+		if a == nil || a.Ms > 300 || a.Ms < 280 {
+			t.Fatalf("class %d, aim 300 ms of 600: want an attempt that ends with the aim, got %+v", class, actions)
+		}
+		h.now += a.Ms
+		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
+			t.Errorf("class %d: not told once the aim was over: %+v", class, actions)
+		}
+		settings.Classes[class].LateFraction = 0.2
+		_, actions = newHarness(t, settings, 3).request(class, 5)
+		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
+			t.Errorf("class %d, late answers earn something: want an attempt for the whole time, got %+v", class, actions)
+		}
+	}
+}
+
+// Queued requests that wait for the servers of their keys do not keep others from servers with capacity.
+// Two servers of full weight are the nearest of every key; a third, of a hundredth of the weight, takes a
+// request without a key.
+func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
+	h := newHarness(t, testSettings(), 0)
+	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1}, balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
+		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
+	out := map[balancer.Addr]balancer.RequestID{}
+	var idempotent balancer.RequestID
+	for i := 0; idempotent == 0; i++ { // of no key, until all three are full
+		if i > 20 {
+			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
+		}
+		id, actions := h.request(0, 0)
+		if a := findAction(actions, balancer.ActionForward); a != nil {
+			out[a.Server] = id
+		} else {
+			idempotent = id
+		}
+	}
+	for range 10 { // newer, so tried first: each waits for the two nearest of its key
+		h.now++
+		if _, actions := h.request(0, h.random.Uint64()|1); len(actions) != 0 {
+			t.Fatalf("a keyed request was not held: %+v", actions)
+		}
+	}
+	if c, ok := out[serverAddress(2)]; !ok {
+		t.Fatalf("nothing went to the light server: %v", out)
+	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != idempotent {
+		t.Errorf("room at the light server went to %+v, want request %d of no key", a, idempotent)
+	}
+}
+
+// The class served worst weighs more in the queue, by the objective's part for the worst class: of two
+// queued requests the one goes first whose class lost half of its clients before their responses,
+// whichever of the two classes that is.
+func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
+	first := func(starved int) int {
+		settings := testSettings()
+		settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
+		h := newHarness(t, settings, 1)
+		for i := range 200 {
+			for class := range 2 {
+				h.now += 10
+				id, s := h.mustForward(class, 0)
+				if class == starved && i%2 == 0 {
+					h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+					h.endAttempt(id, 0, s, balancer.StatusCancelled, 5)
+					continue
+				}
+				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
+			}
+		}
+		var out []balancer.RequestID
+		for h.policy.Stats().InFlight < 2 { // the window is full: what comes is held
+			id, _ := h.mustForward(1-starved, 0)
+			out = append(out, id)
+		}
+		queued := [2]balancer.RequestID{}
+		for class := range 2 {
+			queued[class], _ = h.request(class, 0)
+		}
+		a := findAction(h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5), balancer.ActionForward)
+		for class, id := range queued {
+			if a != nil && a.Request == id {
+				return class
+			}
+		}
+		t.Fatalf("starved %d: room went to %+v, not to a held request", starved, a)
+		return -1
+	}
+	for starved := range 2 {
+		if got := first(starved); got != starved {
+			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/concurrency_test.go
@@ -0,0 +1,227 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// runPhases plays phases to an agent, one of so many, with 60 servers and returns its Stats at the end of
+// each.
+func runPhases(t *testing.T, agents int, phases ...phase) []balancer.Stats {
+	settings := testSettings()
+	settings.FleetSize = agents
+	h := newHarness(t, settings, 60)
+	type flight struct {
+		id  balancer.RequestID
+		s   balancer.Addr
+		end float64
+	}
+	var out []flight
+	play := func(responseMs float64, requests int) {
+		for range requests {
+			h.now += 40
+			for len(out) > 0 && out[0].end <= h.now {
+				f := out[0]
+				out = out[1:]
+				for _, a := range h.endAttempt(f.id, 0, f.s, balancer.StatusOK, responseMs) {
+					if a.Kind == balancer.ActionForward {
+						out = append(out, flight{a.Request, a.Server, h.now + responseMs})
+					}
+				}
+			}
+			if id, actions := h.request(1, h.random.Uint64()); findAction(actions, balancer.ActionForward) != nil {
+				out = append(out, flight{id, findAction(actions, balancer.ActionForward).Server, h.now + responseMs})
+			}
+			h.advance(0)
+		}
+	}
+	var views []balancer.Stats
+	for _, p := range phases {
+		play(p.responseMs, p.requests)
+		views = append(views, h.policy.Stats())
+	}
+	return views
+}
+
+// phase is a number of requests, one every 40 ms, each with a response after responseMs.
+type phase struct {
+	responseMs float64
+	requests   int
+}
+
+// One agent of eighty gets a response of each server once in some seconds, so no server's own limit can
+// follow an overload. An overload of all servers must show in the limit of all within a second or two.
+func TestOverloadOfAllServersReducesAttemptsInFlight(t *testing.T) {
+	ease := phase{80, 200}
+	if stats := runPhases(t, 80, ease, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 { // with no bound 6 or 7
+		t.Errorf("%d attempts out at ease, %d when all answers take 0.8 of the aim", stats[0].InFlight, stats[1].InFlight)
+	}
+	if stats := runPhases(t, 80, ease, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
+		t.Errorf("%d attempts out at ease, %d when answers take a fifth longer", stats[0].InFlight, stats[1].InFlight)
+	}
+}
+
+// An overload of all servers decreases the concurrency limit, to the servers' even share of the agents at
+// the lowest, and responses without overload increase it.
+func TestConcurrencyLimitRecovers(t *testing.T) {
+	stats := runPhases(t, 3, phase{80, 200}, phase{250, 200})
+	if stats[1].ConcurrencyLimit < 20 || stats[1].ConcurrencyLimit > 21 {
+		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", stats[1].ConcurrencyLimit)
+	}
+	stats = runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
+	if stats[1].ConcurrencyLimit >= 1 || stats[2].ConcurrencyLimit < 2*stats[1].ConcurrencyLimit {
+		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+	}
+}
+
+// A server's concurrency limit shrinks while it is overloaded, below one attempt: with many agents one
+// attempt of each keeps an overloaded server busy.
+func TestServerLimitShrinksUnderOverload(t *testing.T) {
+	settings := testSettings()
+	settings.FleetSize = 20 // many, as on ie9df20: each sees little of the load
+	h := newHarness(t, settings, 1)
+	h.serve(300, 20) // long enough to know the calm answer time
+	grown := h.policy.Stats().ServerLimits
+	for range 200 {
+		if id, actions := h.request(0, 1); findAction(actions, balancer.ActionForward) != nil {
+			h.now += 140
+			h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 140)
+		}
+		h.now += 10
+	}
+	w := h.policy.Stats().ServerLimits
+	if w >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, w)
+	}
+	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
+	if w >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", w)
+	}
+}
+
+// The first limit of a server is larger the fewer agents there are.
+func TestFewAgentsBeginWithLargerServerLimits(t *testing.T) {
+	for replicas, want := range map[int]float64{0: 8, 1: 8, 2: 4, 4: 2, 80: 2} {
+		settings := testSettings()
+		settings.FleetSize = replicas
+		if w := newHarness(t, settings, 1).policy.Stats().ServerLimits; w != want {
+			t.Errorf("%d agents: window %v, want %v", replicas, w, want)
+		}
+	}
+}
+
+// An attempt that many later ones have overtaken is lost: it does not count against the limit of its
+// server (two, for one of three agents), and its end frees no place.
+func TestLostAttemptDoesNotCountAgainstTheServerLimit(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	lost, s := h.mustForward(1, 0)
+	for range 12 { // 480 ms, and the lost one has 600
+		h.now += 5
+		id, _ := h.mustForward(1, 0)
+		h.now += 35
+		h.endAttempt(id, 0, s, balancer.StatusOK, 35)
+	}
+	h.mustForward(1, 0)
+	h.mustForward(1, 0) // the window takes two beside the lost one
+	if _, actions := h.request(1, 0); findAction(actions, balancer.ActionForward) != nil {
+		t.Fatalf("a third was sent to a window of two: %+v", h.policy.Stats())
+	}
+	if a := findAction(h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
+		t.Errorf("the end of the lost attempt made room: %+v", a)
+	}
+}
+
+// The concurrency limit grows by a twentieth of itself in a response time without overload, not by one
+// for each response: one attempt more of each of eighty agents would undo every decrease. In a second
+// without overload, some twelve response times, it grows, and by less than itself.
+func TestConcurrencyLimitGrowsByAPartOfItself(t *testing.T) {
+	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
+	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit || stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
+		t.Errorf("room went from %.2f to %.2f in a second at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+	}
+}
+
+// An attempt that many others overtook, at a server that responds well since, lost its response: the
+// server keeps its limit, its health state and its turns. A few others are no evidence: of many agents
+// each sees a server too rarely to know how it responds now. Nor is a response lost where the others are
+// slow as well. Both times the server rests as a slow one. While the other server drains, all requests go
+// to the first.
+func TestLostResponseIsNoSignOfOverload(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	h.serve(50, 20)
+	lost, s := h.mustForward(0, h.random.Uint64()|1)
+	h.serve(28, 20) // 560 ms of the 600 that the request has
+	before := h.policy.Stats()
+	h.now += 20
+	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
+	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits || stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
+		t.Errorf("a lost answer: view %+v, before %+v", stats, before)
+	}
+	if n := h.serveAndCount(60, 1, s); n == 0 {
+		t.Error("after a lost answer its server got none of the next 60 new keys")
+	}
+	other := serverAddress(0)
+	if s == other {
+		other = serverAddress(1)
+	}
+	alone := func(late func(id balancer.RequestID)) {
+		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+		id, to := h.mustForward(0, h.random.Uint64()|1)
+		if to != s {
+			t.Fatalf("sent to %v while the other drains", to)
+		}
+		late(id)
+		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
+	}
+	alone(func(rare balancer.RequestID) {
+		for range 3 {
+			h.now += 160
+			h.serve(1, 20)
+		}
+		h.now += 40
+		h.endAttempt(rare, 0, s, balancer.StatusTimeout, 580)
+	})
+	if n := h.serveAndCount(20, 1, s); n != 0 {
+		t.Errorf("seldom seen: its server got %d of the next 20 new keys, want it to miss turns", n)
+	}
+	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
+	h.serve(20, 20)
+	alone(func(slow balancer.RequestID) {
+		h.serve(4, 145)
+		h.now += 20
+		h.endAttempt(slow, 0, s, balancer.StatusTimeout, 600)
+	})
+	if n := h.serveAndCount(20, 1, s); n != 0 {
+		t.Errorf("a crowd: its server got %d of the next 20 new keys, want it to miss turns", n)
+	}
+}
+
+// Of very many agents that start at once each has no more in flight than its part of six attempts at each
+// server, less for servers in slow start; of eight agents the servers' limits are the bound.
+func TestManyNewAgentsShareTheInitialLimit(t *testing.T) {
+	for _, c := range []struct {
+		agents, cold, most int
+	}{{8, 0, 40}, {108, 0, 13}, {108, 100, 8}} {
+		settings := testSettings()
+		settings.FleetSize = c.agents
+		h := newHarness(t, settings, 0)
+		entries := make([]balancer.Endpoint, 200)
+		for i := range entries {
+			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
+			if i < c.cold {
+				entries[i].StartedMs = h.now
+			}
+		}
+		h.updateList(balancer.ListCached, entries...)
+		sent := 0
+		for range 40 {
+			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
+				sent++
+			}
+		}
+		if sent > c.most || sent < c.most/2 {
+			t.Errorf("one of %d new agents, %d of 200 servers cold, has %d out, want %d at the most", c.agents, c.cold, sent, c.most)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/harness_test.go
@@ -0,0 +1,183 @@
+package policytest
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
+)
+
+// harness drives one Balancer from outside: events in, actions out.
+type harness struct {
+	t           testing.TB
+	policy      *policy.Balancer
+	settings    balancer.Settings // in force
+	random      *rand.Rand
+	now         float64
+	lastRequest balancer.RequestID
+	// timers are those armed and not fired yet.
+	timers []timer
+}
+
+// timer is a timer that the policy has set and that has not fired yet.
+type timer struct {
+	at    float64
+	token uint32
+}
+
+// newHarness returns a harness of an agent with so many servers, all ready.
+func newHarness(t testing.TB, s balancer.Settings, servers int) *harness {
+	t.Helper()
+	b, err := policy.New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &harness{t: t, policy: b, settings: s, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
+	h.collectTimers(b.Start(h.now, nil))
+	entries := make([]balancer.Endpoint, servers)
+	for i := range entries {
+		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+	}
+	h.updateList(balancer.ListCached, entries...)
+	return h
+}
+
+// handle hands the policy one event at the harness's time and collects the timers that it sets.
+func (h *harness) handle(ev balancer.Event) []balancer.Action {
+	return h.collectTimers(h.policy.Handle(h.now, &ev, nil))
+}
+
+// collectTimers adds the timers that the actions set, and returns the actions.
+func (h *harness) collectTimers(actions []balancer.Action) []balancer.Action {
+	for _, a := range actions {
+		if a.Kind == balancer.ActionSetTimer {
+			h.timers = append(h.timers, timer{h.now + a.Ms, a.Token})
+		}
+	}
+	return actions
+}
+
+// updateList hands the policy an update of the endpoint list.
+func (h *harness) updateList(kind balancer.ListUpdate, entries ...balancer.Endpoint) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
+}
+
+// request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
+func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
+	h.lastRequest++
+	return h.lastRequest, h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: class, Key: key, RemainingMs: 600})
+}
+
+// endAttempt hands the policy the end of an attempt.
+func (h *harness) endAttempt(id balancer.RequestID, attempt int, s balancer.Addr, status balancer.Status, responseMs float64) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: s, Status: status, LatencyMs: responseMs, RequestDone: status == balancer.StatusOK})
+}
+
+// findAction returns the first action of a kind; nil if there is none.
+func findAction(actions []balancer.Action, kind balancer.ActionKind) *balancer.Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
+	}
+	return nil
+}
+
+// mustForward makes a request that has to be forwarded at once, and returns its id and its server.
+func (h *harness) mustForward(class int, key uint64) (balancer.RequestID, balancer.Addr) {
+	h.t.Helper()
+	id, actions := h.request(class, key)
+	a := findAction(actions, balancer.ActionForward)
+	if a == nil {
+		h.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
+	}
+	return id, a.Server
+}
+
+// advance lets ms pass and fires the timers that are due by then, in the order of their times; it returns
+// all actions.
+func (h *harness) advance(ms float64) []balancer.Action {
+	end := h.now + ms
+	var all []balancer.Action
+	for {
+		i := -1
+		for j, x := range h.timers {
+			if x.at <= end && (i < 0 || x.at < h.timers[i].at) {
+				i = j
+			}
+		}
+		if i < 0 {
+			break
+		}
+		x := h.timers[i]
+		h.timers = slices.Delete(h.timers, i, i+1)
+		h.now = max(h.now, x.at)
+		all = append(all, h.handle(balancer.Event{Kind: balancer.EventTimer, Token: x.token})...)
+	}
+	h.now = end
+	return all
+}
+
+// healthStates is the number of listed servers in each health state, best first.
+func (h *harness) healthStates() [4]int { return h.policy.Stats().States }
+
+// serve has n requests of new keys served, each after ms, so that the agent knows its servers a little
+// and takes each key for one of many.
+func (h *harness) serve(n int, ms float64) {
+	h.t.Helper()
+	h.serveAndCount(n, ms, balancer.Addr{})
+}
+
+// serveAndCount has n requests of new keys served, one after the other, each after ms, and returns how
+// many went to s.
+func (h *harness) serveAndCount(n int, ms float64, s balancer.Addr) int {
+	h.t.Helper()
+	got := 0
+	for range n {
+		id, to := h.mustForward(0, h.random.Uint64()|1)
+		h.now += ms
+		h.endAttempt(id, 0, to, balancer.StatusOK, ms)
+		if to == s {
+			got++
+		}
+	}
+	return got
+}
+
+// ejectionMs is how long a server that failed once is ejected: the shortest latency objective.
+func (h *harness) ejectionMs() float64 {
+	least := math.Inf(1)
+	for _, c := range h.settings.Classes {
+		least = min(least, c.LatencyObjectiveMs)
+	}
+	return least
+}
+
+// serveRounds plays n rounds: each makes k requests of new keys, then ends every attempt in flight after
+// responseMs, those forwarded meanwhile too.
+func (h *harness) serveRounds(n, k int, responseMs float64) {
+	var out []*balancer.Action
+	collect := func(actions []balancer.Action) {
+		for i := range actions {
+			if actions[i].Kind == balancer.ActionForward {
+				out = append(out, &actions[i])
+			}
+		}
+	}
+	for range n {
+		for range k {
+			_, actions := h.request(0, h.random.Uint64()|1)
+			collect(actions)
+		}
+		h.now += responseMs
+		now := out
+		out = nil
+		for _, a := range now {
+			collect(h.endAttempt(a.Request, 0, a.Server, balancer.StatusOK, responseMs))
+		}
+		collect(h.advance(0))
+	}
+}
--- /dev/null
+++ b/internal/policytest/healthcheck_test.go
@@ -0,0 +1,102 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// Where health checks are permitted, they decide whether a server is put back in service.
+func TestHealthCheckDecidesAboutAPendingServer(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.HealthChecks = true
+	h := newHarness(t, settings, 3)
+	id, s := h.mustForward(0, 7)
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	if a := findAction(actions, balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+	}
+	h.now += 2 * h.ejectionMs()
+	_, actions = h.request(0, 7)
+	if p := findAction(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
+		t.Fatalf("no probe of the pending server: %+v", actions)
+	}
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
+		t.Error("a request went to a pending server before its probe")
+	}
+	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
+	if h.healthStates()[balancer.Unhealthy] != 1 {
+		t.Errorf("a failed probe did not demote: %v", h.healthStates())
+	}
+	h.now += 10 * h.ejectionMs()
+	h.request(0, 8)
+	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
+	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
+		t.Errorf("a good probe did not set Connected: %v", got)
+	}
+}
+
+// Health checks are limited to a part of the requests.
+func TestHealthChecksAreFewerThanRequests(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.HealthChecks = true
+	h := newHarness(t, settings, 6)
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four fall silent
+		if i > 50 {
+			t.Fatalf("four servers were not left: %v", h.healthStates())
+		}
+		id, actions := h.request(0, h.random.Uint64()|1)
+		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
+			to, status := findAction(actions, balancer.ActionForward).Server, balancer.StatusOK
+			if to[3] < 4 {
+				status = balancer.StatusConnectFailed
+			}
+			if actions = h.endAttempt(id, attempt, to, status, 5); status == balancer.StatusOK {
+				break
+			}
+		}
+	}
+	checks := 0
+	for range 200 {
+		h.now += 50
+		id, actions := h.request(0, h.random.Uint64()|1)
+		sent := findAction(actions, balancer.ActionForward)
+		for _, a := range actions {
+			if a.Kind == balancer.ActionHealthCheck {
+				checks++
+				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server, Status: balancer.StatusOverloaded, LatencyMs: 1})
+			}
+		}
+		if sent != nil {
+			h.endAttempt(id, 0, sent.Server, balancer.StatusOverloaded, 1)
+		}
+	}
+	if checks == 0 || checks > 30 {
+		t.Errorf("%d probes in 200 requests", checks)
+	}
+}
+
+// A health check with a response, even an error, does not make a server unresponsive; one that times out
+// or cannot connect does, and halves the server's limit (eight at first for a single agent).
+func TestHealthCheckWithAResponseIsNotUnresponsive(t *testing.T) {
+	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false, balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
+		settings := testSettings()
+		settings.Limits.HealthChecks = true
+		settings.FleetSize = 1
+		h := newHarness(t, settings, 1)
+		id, s := h.mustForward(1, 0)
+		h.endAttempt(id, 0, s, balancer.StatusError, 5)
+		h.now += 2 * settings.Classes[1].LatencyObjectiveMs
+		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
+			t.Fatalf("no probe was sent: %+v", actions)
+		}
+		h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
+		want := 8.0
+		if unresponsive {
+			want = 4
+		}
+		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
+			t.Errorf("probe ended %d: %+v, want it Unhealthy with a window of %v", status, stats, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/latency_test.go
@@ -0,0 +1,124 @@
+package policytest
+
+import (
+	"math"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// For few agents, responses that take one and a half times as long as without load are no overload; for
+// many they are: each of these sees little of the load and reacts later.
+func TestOverloadLatencyIsHigherForFewAgents(t *testing.T) {
+	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
+	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
+	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
+		t.Errorf("room %.1f of three agents, %.1f of eighty, after answers 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
+	}
+}
+
+// No server's limit grows before the baseline latency is known. Until then a server may have two attempts
+// in flight of one of many agents.
+func TestNoServerLimitGrowsBeforeTheBaselineIsKnown(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	for i := range 49 { // calm is known from the 50th answer on
+		h.serve(1, 20)
+		if w := h.policy.Stats().ServerLimits; w > 2*2 {
+			t.Fatalf("windows %.2f after %d answers", w, i+1)
+		}
+	}
+	var requests []balancer.RequestID
+	var servers []balancer.Addr
+	for range 40 {
+		requests, servers = requests[:0], servers[:0]
+		for range 3 {
+			if id, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
+				requests, servers = append(requests, id), append(servers, findAction(actions, balancer.ActionForward).Server)
+			}
+		}
+		h.now += 20
+		for i := range requests {
+			h.endAttempt(requests[i], 0, servers[i], balancer.StatusOK, 20)
+		}
+	}
+	if w := h.policy.Stats().ServerLimits; w <= 2*2 {
+		t.Errorf("no window grew once calm was known: %.2f", w)
+	}
+}
+
+// Few agents see most of the load: a server that responds well within the objective is not overloaded,
+// however low the baseline is. After responses in a quarter of the objective, where the baseline is a
+// fifteenth, the limits of a single agent stay, and those of one of twenty are decreased.
+func TestOverloadLatencyFallsWithTheFleetSize(t *testing.T) {
+	for _, agents := range []int{1, 20} {
+		settings := testSettings()
+		settings.FleetSize = agents
+		h := newHarness(t, settings, 2)
+		h.serve(60, 20)
+		first := h.policy.Stats().ServerLimits
+		h.serve(200, 75)
+		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
+			t.Errorf("%d agents: windows %.1f after answers in a quarter of the aim, %.1f before", agents, w, first)
+		}
+	}
+}
+
+// A server that is always slow is judged by its own baseline, not by that of all: at four times the
+// other's response time, over one and a half times the common baseline, its limit stays; at twice its own
+// it is decreased.
+func TestSlowServerIsJudgedByItsOwnBaseline(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	serve := func(n int, slow float64) {
+		for range n {
+			h.now += 200
+			id, s := h.mustForward(0, h.random.Uint64()|1)
+			responseMs := 30.0
+			if s == serverAddress(0) {
+				responseMs = slow
+			}
+			h.now += responseMs
+			h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
+		}
+	}
+	first := h.policy.Stats().ServerLimits
+	serve(400, 120)
+	if w := h.policy.Stats().ServerLimits; w < first {
+		t.Errorf("at its own calm, four times the other's, the slow server's window was cut: %.1f of %.1f", w, first)
+	}
+	serve(100, 240)
+	if w := h.policy.Stats().ServerLimits; w >= first {
+		t.Errorf("at twice its own calm the slow server's window stays: %.1f of %.1f", w, first)
+	}
+}
+
+// A single agent had quick first responses (a few popular keys), and counted all that followed as
+// overload, with one attempt in flight at a server, for good. A single agent's baseline has to follow
+// responses in 0.4 of the objective, above its least latency limit of a third: under load its limits grow
+// again.
+func TestSingleAgentRaisesItsBaseline(t *testing.T) {
+	settings := testSettings()
+	settings.FleetSize = 1
+	h := newHarness(t, settings, 4)
+	h.serve(100, 20)
+	h.serve(2400, 120) // one at a time
+	before := h.policy.Stats().ServerLimits
+	h.serveRounds(100, 6, 120)
+	if w := h.policy.Stats().ServerLimits; w <= before {
+		t.Errorf("under load at the answer time it learned, a lone agent's windows went from %.1f to %.1f", before, w)
+	}
+}
+
+// Agents may be restarted one by one while the fleet is overloaded. The baseline of the first responses
+// is at most a quarter of the objective: after quick responses and then responses in 0.9 of the
+// objective, a server's responses in 0.47 of it still count as overload, and its limit does not grow
+// under load.
+func TestOverloadAtTheStartDoesNotBecomeTheBaseline(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	h.serve(12, 20)  // the server's own calm is quick
+	h.serve(38, 270) // the rest of the 50 answers by which calm is first measured
+	before := h.policy.Stats().ServerLimits
+	h.serveRounds(100, 3, 140)
+	if w := h.policy.Stats().ServerLimits; w > before {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: the window grew from %.1f to %.1f", before, w)
+	}
+}
--- /dev/null
+++ b/internal/policytest/outliers_test.go
@@ -0,0 +1,185 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// A request goes to an ejected server if there is no server of a better tier.
+func TestEjectedServersServeWhenNoOtherIsLeft(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	for range 2 {
+		id, s := h.mustForward(1, 3)
+		h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	}
+	if _, s := h.mustForward(0, 3); s == (balancer.Addr{}) {
+		t.Error("nothing was sent though Unhealthy servers are the only ones")
+	}
+}
+
+// A server's health state follows its responses: Unknown, Connected, Unhealthy, and after its ejection
+// time UnhealthyPending until a request checks it.
+func TestHealthStateTransitions(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	if got := h.healthStates(); got != [4]int{0, 4, 0, 0} {
+		t.Fatalf("listed servers start as %v, want all Unknown", got)
+	}
+	id, s := h.mustForward(0, 7)
+	h.now += 50
+	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
+	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
+		t.Fatalf("served: %v, want one Connected", got)
+	}
+	id, s2 := h.mustForward(0, 7)
+	if s2 != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	}
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	if got := h.healthStates(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
+		t.Fatalf("error: %v, want the server Unhealthy", got)
+	}
+	if findAction(actions, balancer.ActionFetchList) == nil {
+		t.Error("a demotion did not force a refresh of the list")
+	}
+	a := findAction(actions, balancer.ActionForward)
+	if a == nil || a.Server == s {
+		t.Fatalf("the free request did not go on to another server: %+v", actions)
+	}
+	h.now += 5
+	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+	// While it is Unhealthy nothing goes there; after its hold the next request makes it
+	// pending and checks it, and a served answer makes it Connected.
+	for range 20 {
+		if id, to := h.mustForward(0, h.random.Uint64()|1); to == s {
+			t.Fatal("an Unhealthy server was chosen before the better tier")
+		} else {
+			h.endAttempt(id, 0, to, balancer.StatusOK, 1)
+		}
+	}
+	h.now += h.ejectionMs() + 1
+	for i := 0; ; i++ {
+		var to balancer.Addr
+		id, to = h.mustForward(0, h.random.Uint64()|1)
+		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
+			t.Fatalf("after the hold: %v, want it pending", got)
+		}
+		if to == s {
+			break
+		}
+		if h.endAttempt(id, 0, to, balancer.StatusOK, 1); i > 50 {
+			t.Fatal("a server pending after its hold is never checked by a request")
+		}
+	}
+	h.now += 50
+	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
+	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
+		t.Fatalf("validated: %v, want it Connected", got)
+	}
+}
+
+// A server that rejects an attempt as overloaded is not ejected, and the request goes to another.
+func TestOverloadedStatusDoesNotEject(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	id, s := h.mustForward(1, 7)
+	actions := h.endAttempt(id, 0, s, balancer.StatusOverloaded, 1)
+	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
+		t.Errorf("full demoted the server: %v", got)
+	}
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
+		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+	}
+}
+
+// A server that hangs would stay Connected by its statuses alone; it is ejected as it does not respond.
+func TestUnresponsiveServerIsEjected(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	h.serve(200, 10) // learn what an answer takes
+	h.mustForward(0, 9)
+	for range 30 {
+		if h.advance(10); h.healthStates()[balancer.Unhealthy] == 1 {
+			return
+		}
+	}
+	t.Error("a server that answers nothing for 300 ms was not demoted")
+}
+
+// A non-idempotent request does not find out whether a pending server serves again; an idempotent one
+// does.
+func TestNonIdempotentRequestDoesNotCheckAServer(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	id, failing := h.mustForward(0, 7)
+	if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+	}
+	idempotent, nonIdempotent := 0, 0
+	for range 200 {
+		h.now += 16*h.ejectionMs() + 1 // past the longest hold: the next request makes it pending
+		for class, n := range []*int{&idempotent, &nonIdempotent} {
+			id, s := h.mustForward(class, h.random.Uint64()|1)
+			if s != failing {
+				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
+				continue
+			}
+			*n++
+			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+			}
+		}
+	}
+	if idempotent == 0 || nonIdempotent > 0 {
+		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", idempotent, nonIdempotent)
+	}
+}
+
+// A failure with a response is no sign of overload and keeps the server's limit; a failed connect halves
+// it.
+func TestFailureWithAResponseKeepsTheServerLimit(t *testing.T) {
+	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8, balancer.StatusConnectFailed: 8 + 4} {
+		settings := testSettings()
+		settings.FleetSize = 1 // an agent alone begins with eight a server
+		h := newHarness(t, settings, 2)
+		id, s := h.mustForward(1, 0)
+		h.endAttempt(id, 0, s, status, 5)
+		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
+			t.Errorf("ended %d: %+v, want one Unhealthy and windows of %v", status, stats, want)
+		}
+	}
+}
+
+// A server that failed three times in a row is ejected for four latency objectives. While the others have
+// no capacity it is checked after one: a server that fails some requests is better than rejecting all.
+func TestEjectionEndsEarlyWhileOthersAreSaturated(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		h := newHarness(t, testSettings(), 4)
+		id, failing := h.mustForward(0, h.random.Uint64()|1)
+		for strikes := 1; ; strikes++ {
+			if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
+			}
+			if strikes == 3 {
+				break
+			}
+			h.now += float64(int(1)<<(strikes-1))*h.ejectionMs() + 1
+			for i := 0; ; i++ { // the next request to it checks it, and fails again
+				var to balancer.Addr
+				if id, to = h.mustForward(0, h.random.Uint64()|1); to == failing {
+					break
+				}
+				if h.endAttempt(id, 0, to, balancer.StatusOK, 5); i > 100 {
+					t.Fatal("a pending server was never checked")
+				}
+			}
+		}
+		if full {
+			for range 40 { // more than the other windows hold, of no key: they take any server
+				h.request(0, 0)
+			}
+		}
+		h.now += h.ejectionMs() + 1
+		h.request(0, 0)
+		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != full {
+			t.Errorf("others full: %v; failing server tried after one aim: %v (%v)", full, checked, h.healthStates())
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/polling_test.go
@@ -0,0 +1,111 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
+)
+
+// The call for the endpoint list is made within the contract's time after the start and after each
+// failure, one at a time.
+func TestFailedPollIsRepeated(t *testing.T) {
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
+	b, err := policy.New(settings, 3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := findAction(b.Start(0, nil), balancer.ActionSetTimer)
+	if first == nil || first.Ms > settings.Contract.PollWithinMs {
+		t.Fatalf("no subscription within the contract's time: %+v", first)
+	}
+	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil), balancer.ActionWatchList) == nil {
+		t.Fatal("the timer did not subscribe")
+	}
+	for range 8 {
+		retryTimer := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
+			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
+		}
+		if more := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer); more != nil {
+			t.Fatalf("a second call was set beside the one that waits: %+v", more)
+		}
+		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
+	}
+}
+
+// Eighty agents that start together, as after a mass restart, or whose calls fail together, spread their
+// next calls to discovery over time; a few agents need no such time.
+func TestPollsAreSpreadByFleetSize(t *testing.T) {
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
+	busiest := func(agents int, failures int) int {
+		settings.FleetSize = agents
+		calls := map[int]int{}
+		for seed := range agents {
+			b, err := policy.New(settings, uint64(seed))
+			if err != nil {
+				t.Fatal(err)
+			}
+			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
+			for range failures {
+				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
+				call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+			}
+			calls[int(call.Ms/1000)]++
+		}
+		most := 0
+		for _, n := range calls {
+			most = max(most, n)
+		}
+		return most
+	}
+	if n := busiest(80, 0); n > 35 {
+		t.Errorf("%d of 80 agents call in one second after a start", n)
+	}
+	if n := busiest(80, 1); n > 35 {
+		t.Errorf("%d of 80 agents call in one second after a failure", n)
+	}
+	if n := busiest(3, 0); n != 3 {
+		t.Errorf("%d of 3 agents call in the first second", n)
+	}
+}
+
+// A change counts as notified up to 6 s after discovery could be called. A call without a response is
+// given up after 2.25 s; whatever failed before, and with any number of agents, the next call must leave
+// a second of what remains for its response.
+func TestFailedPollIsRepeatedInTimeForTheContract(t *testing.T) {
+	settings := testSettings()
+	settings.DiscoveryMode, settings.FleetSize, settings.Contract.PollWithinMs = "on_request", 300, 10000
+	most := 0.0
+	for seed := range uint64(50) {
+		b, err := policy.New(settings, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
+		for range 8 {
+			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
+			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+			most = max(most, call.Ms)
+		}
+	}
+	if most > 6000-2250-1000 || most < 1000 {
+		t.Errorf("a failed call is repeated after %.0f ms at the most", most)
+	}
+}
+
+// Where agents call discovery for changes, an ejection does not fetch the complete list.
+func TestEjectionFetchesNoListInOnRequestMode(t *testing.T) {
+	settings := testSettings()
+	settings.DiscoveryMode = "on_request"
+	h := newHarness(t, settings, 4)
+	id, s := h.mustForward(0, 7)
+	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
+		t.Error("a demotion asked for the whole list")
+	}
+	if h.healthStates()[balancer.Unhealthy] != 1 {
+		t.Errorf("the failure did not demote its server: %v", h.healthStates())
+	}
+}
--- /dev/null
+++ b/internal/policytest/resting_test.go
@@ -0,0 +1,72 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// A server whose response took twice as long as without load, or more, rests: the next new keys pass it
+// over. One that is a fifth slower does not, nor does one of few agents, whose limits follow it.
+func TestOverloadedServerRests(t *testing.T) {
+	after := func(agents int, responseMs float64) int {
+		settings := testSettings()
+		settings.FleetSize = agents
+		h := newHarness(t, settings, 6)
+		for range 100 {
+			h.now += 100
+			h.serve(1, 50)
+		}
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		h.now += responseMs
+		h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
+		return h.serveAndCount(60, 2, s)
+	}
+	if n := after(80, 200); n != 0 {
+		t.Errorf("a server that took four times as long got %d of the next 60 new keys", n)
+	}
+	if n := after(80, 60); n == 0 {
+		t.Error("a server that took a fifth longer got none of the next 60 new keys")
+	}
+	if n := after(3, 140); n == 0 {
+		t.Error("of three agents, one left a server that took 2.8 times as long alone")
+	}
+}
+
+// A server that was overloaded or late rests: the next new keys pass it over, unless most servers were:
+// then all are overloaded, and none is passed over.
+func TestServerRestsUnlessMostAreOverloaded(t *testing.T) {
+	for _, c := range []struct {
+		crowd  string
+		passed bool
+	}{{"calm", false}, {"full", true}, {"late", true}, {"most", false}} {
+		h := newHarness(t, testSettings(), 6)
+		for range 40 {
+			h.now += 500
+			h.serve(1, 20)
+		}
+		if c.crowd == "most" { // four of six, and then the one judged
+			for late := map[balancer.Addr]bool{}; len(late) < 4; {
+				h.now++
+				id, s := h.mustForward(0, h.random.Uint64()|1)
+				h.endAttempt(id, 0, s, balancer.StatusOK, 400)
+				late[s] = true
+			}
+		}
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: 20, RequestDone: true}
+		switch c.crowd {
+		case "full":
+			ev.Status, ev.RequestDone = balancer.StatusOverloaded, false
+		case "late", "most":
+			ev.LatencyMs = 400
+		}
+		h.now++
+		if a := findAction(h.handle(ev), balancer.ActionForward); a != nil {
+			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
+		}
+		if n := h.serveAndCount(60, 1, s); (n == 0) != c.passed {
+			t.Errorf("%s: the server got %d of the next 60 new keys", c.crowd, n)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/retry_test.go
@@ -0,0 +1,87 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// A non-idempotent request is retried only after an attempt that did not execute.
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
+	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled} {
+		h := newHarness(t, testSettings(), 3)
+		id, s := h.mustForward(1, 5)
+		actions := h.endAttempt(id, 0, s, status, 50)
+		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil || findAction(actions, balancer.ActionFail) == nil {
+			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
+		}
+	}
+	h := newHarness(t, testSettings(), 3)
+	id, s := h.mustForward(1, 5)
+	if actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50); findAction(actions, balancer.ActionForward) == nil {
+		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+	}
+}
+
+// A request that is idempotent by key is retried only within the scope and the window in which duplicates
+// are dropped. Server i of the harness is in cell i%2.
+func TestRetryStaysInItsDeduplicationScopeAndWindow(t *testing.T) {
+	h := newHarness(t, testSettings(), 6)
+	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
+	id, s := h.mustForward(2, 5)
+	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
+	a := findAction(actions, balancer.ActionForward)
+	if a == nil || cell(a.Server) != cell(s) {
+		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+	}
+	h.now += 496 // just inside the 500 ms less the margin
+	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
+	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
+		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+	}
+}
+
+// A request that a server answers as bad fails at once, and no server is ejected.
+func TestBadRequestFailsWithoutEjection(t *testing.T) {
+	for class, c := range testSettings().Classes {
+		h := newHarness(t, testSettings(), 4)
+		id, s := h.mustForward(class, 7)
+		h.now += 5
+		actions := h.endAttempt(id, 0, s, balancer.StatusBadRequest, 5)
+		if f := findAction(actions, balancer.ActionFail); f == nil || f.Request != id || len(actions) != 1 {
+			t.Errorf("%s: %+v, want one failure", c.Name, actions)
+		}
+		if stats := h.policy.Stats(); stats.States != [4]int{0, 4, 0, 0} || stats.InFlight+stats.Queued != 0 {
+			t.Errorf("%s: %+v, want all servers as they were and the request gone", c.Name, stats)
+		}
+	}
+}
+
+// The retry budget grows with served requests; without them only what was saved up may be spent.
+func TestRetryBudgetIsEarnedByServedRequests(t *testing.T) {
+	for _, served := range []bool{true, false} {
+		h := newHarness(t, testSettings(), 8)
+		retries := 0
+		for i := range 100 {
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64()|1)
+			a := findAction(actions, balancer.ActionForward)
+			if a == nil {
+				continue // shed: the agent sees little served in time
+			}
+			if served && i%5 > 0 {
+				h.endAttempt(id, 0, a.Server, balancer.StatusOK, 10)
+				continue
+			}
+			for attempt := 0; a != nil; attempt++ {
+				if a = findAction(h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1), balancer.ActionForward); a != nil {
+					retries++
+				}
+			}
+		}
+		// againMost, four, is what an agent saves up of further attempts.
+		if served && retries < 15 || !served && retries > 4 {
+			t.Errorf("four of five served: %v; %d further attempts", served, retries)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/settings_test.go
@@ -0,0 +1,60 @@
+package policytest
+
+import (
+	"math"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
+)
+
+// Invalid settings are refused with an error that names the key.
+func TestInvalidSettingsAreRefused(t *testing.T) {
+	for key, spoil := range map[string]func(*balancer.Settings){
+		"classes":             func(s *balancer.Settings) { s.Classes = nil },
+		"classes[0].aimMs":    func(s *balancer.Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
+		"classes[1].giveUpMs": func(s *balancer.Settings) { s.Classes[1].TotalTimeoutMs = -1 },
+		"classes[0].effect":   func(s *balancer.Settings) { s.Classes[0].Idempotency = "maybe" },
+		"classes[2].group":    func(s *balancer.Settings) { s.Classes[2].DedupScope = "moon" },
+		"contract.coldMs":     func(s *balancer.Settings) { s.Contract.SlowStartMs = -5 },
+		"membershipMode":      func(s *balancer.Settings) { s.DiscoveryMode = "" },
+	} {
+		s := testSettings()
+		spoil(&s)
+		if _, err := policy.New(s, 1); err == nil || !contains(err.Error(), key) {
+			t.Errorf("spoilt %s: error %v does not name it", key, err)
+		}
+	}
+}
+
+// contains tells whether part occurs in s.
+func contains(s, part string) bool {
+	for i := 0; i+len(part) <= len(s); i++ {
+		if s[i:i+len(part)] == part {
+			return true
+		}
+	}
+	return false
+}
+
+// Invalid numbers in the endpoint list and in events count as not given: the policy goes on forwarding
+// requests, and its Stats stay numbers.
+func TestInvalidNumbersAreIgnored(t *testing.T) {
+	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
+		h := newHarness(t, testSettings(), 3)
+		h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
+			balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
+		id, s := h.mustForward(0, 7)
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: x, RequestDone: true})
+		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s, Status: balancer.StatusOK})
+		for range 40 { // each is sent at once
+			h.now += 10
+			id, s := h.mustForward(0, h.random.Uint64()|1)
+			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
+		}
+		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) || math.IsNaN(stats.Shed) || math.IsNaN(stats.OverloadedFraction) {
+			t.Errorf("%v: view %+v", x, stats)
+		}
+	}
+}
--- /dev/null
+++ b/internal/policytest/stats_test.go
@@ -0,0 +1,19 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// Stats shows the servers' states, the requests in flight and the limits.
+func TestStatsShowStatesAndLimits(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	id, s := h.mustForward(1, 0)
+	h.endAttempt(id, 0, s, balancer.StatusError, 5)
+	h.mustForward(1, 0)
+	stats := h.policy.Stats()
+	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 || stats.ServerLimits != 2*2 { // two unmeasured servers of one of three agents, two attempts each
+		t.Errorf("%+v", stats)
+	}
+}
--- /dev/null
+++ b/internal/policytest/zone_test.go
@@ -0,0 +1,55 @@
+package policytest
+
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// Servers of the agent's own zone get more of the keys, and all servers get some.
+func TestOwnZoneIsPreferred(t *testing.T) {
+	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	ownZone, used, all := 0, map[balancer.Addr]bool{}, 600
+	for range all {
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
+		used[s] = true
+		if s[3]%2 == 0 {
+			ownZone++
+		}
+	}
+	if share := float64(ownZone) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
+		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
+	}
+}
+
+// The zone preference grows while the zone serves in time and traffic to another zone has a cost. Where
+// the zone is late, or that traffic is free, it is the weakest. Server i is in zone i%2.
+func TestZonePreferenceGrowsWhileTheZoneServesInTime(t *testing.T) {
+	share := func(price, responseMs float64) float64 {
+		settings := testSettings()
+		settings.Costs.CrossZone = price
+		h := newHarness(t, settings, 6)
+		ownZone, all := 0, 0
+		for i := range 600 {
+			h.now += 500
+			id, actions := h.request(0, h.random.Uint64()|1)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
+				if i >= 400 {
+					all++
+					ownZone += 1 - int(a.Server[3]%2)
+				}
+				h.now += responseMs
+				h.endAttempt(id, 0, a.Server, balancer.StatusOK, responseMs)
+			}
+		}
+		return float64(ownZone) / float64(max(all, 1))
+	}
+	least := share(0, 20) // as in TestOwnZoneIsPreferred: about 0.6
+	if s := share(0.1, 20); s < least+0.15 {
+		t.Errorf("own zone in time: %.2f of the keys, against %.2f where crossing is free", s, least)
+	}
+	if s := share(0.1, 500); s > least+0.05 {
+		t.Errorf("own zone late: %.2f of the keys, against %.2f where crossing is free", s, least)
+	}
+}
