--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -13,7 +13,7 @@
 	for range 130 {
 		if a := findAction(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
-				t.Fatalf("refused %d, want %d", a.Request, id)
+				t.Fatalf("rejected %d, want %d", a.Request, id)
 			}
 			return
 		}
@@ -45,7 +45,7 @@
 			}
 		}
 		if c.want && (rejected < 100 || rejected > 170) || !c.want && rejected > 0 {
-			t.Errorf("all end with %d after %.0f ms: %d of 200 refused", c.end, c.rtt, rejected)
+			t.Errorf("all end with %d after %.0f ms: %d of 200 rejected", c.end, c.rtt, rejected)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	for range 200 {
 		for _, a := range h.advance(10) {
 			if a.Request == id && a.Kind != balancer.ActionSetTimer {
-				t.Fatalf("action %+v for a request whose answer streams", a)
+				t.Fatalf("action %+v for a request whose response streams", a)
 			}
 		}
 	}
@@ -100,16 +100,16 @@
 		id, actions := h.request(class, 5)
 		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
-			t.Fatalf("class %d, aim 300 ms of 600: want an attempt that ends with the aim, got %+v", class, actions)
+			t.Fatalf("class %d, objective 300 ms of 600: want an attempt that ends with the objective, got %+v", class, actions)
 		}
 		h.now += a.Ms
 		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
-			t.Errorf("class %d: not told once the aim was over: %+v", class, actions)
+			t.Errorf("class %d: not answered once the objective was over: %+v", class, actions)
 		}
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late answers earn something: want an attempt for the whole time, got %+v", class, actions)
+			t.Errorf("class %d, late responses earn something: want an attempt for the whole time, got %+v", class, actions)
 		}
 	}
 }
@@ -134,16 +134,16 @@
 			idempotent = id
 		}
 	}
-	for range 10 { // newer, so tried first: each waits for the two nearest of its key
+	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
 		h.now++
 		if _, actions := h.request(0, h.random.Uint64()|1); len(actions) != 0 {
-			t.Fatalf("a keyed request was not held: %+v", actions)
+			t.Fatalf("a request with a key was not queued: %+v", actions)
 		}
 	}
 	if c, ok := out[serverAddress(2)]; !ok {
 		t.Fatalf("nothing went to the light server: %v", out)
 	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != idempotent {
-		t.Errorf("room at the light server went to %+v, want request %d of no key", a, idempotent)
+		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, idempotent)
 	}
 }
 
@@ -168,7 +168,7 @@
 			}
 		}
 		var out []balancer.RequestID
-		for h.policy.Stats().InFlight < 2 { // the window is full: what comes is held
+		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			id, _ := h.mustForward(1-starved, 0)
 			out = append(out, id)
 		}
@@ -182,7 +182,7 @@
 				return class
 			}
 		}
-		t.Fatalf("starved %d: room went to %+v, not to a held request", starved, a)
+		t.Fatalf("starved %d: capacity went to %+v, not to a queued request", starved, a)
 		return -1
 	}
 	for starved := range 2 {
--- a/internal/policytest/concurrency_test.go
+++ b/internal/policytest/concurrency_test.go
@@ -53,12 +53,12 @@
 // One agent of eighty gets a response of each server once in some seconds, so no server's own limit can
 // follow an overload. An overload of all servers must show in the limit of all within a second or two.
 func TestOverloadOfAllServersReducesAttemptsInFlight(t *testing.T) {
-	ease := phase{80, 200}
-	if stats := runPhases(t, 80, ease, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 { // with no bound 6 or 7
-		t.Errorf("%d attempts out at ease, %d when all answers take 0.8 of the aim", stats[0].InFlight, stats[1].InFlight)
+	unloaded := phase{80, 200}
+	if stats := runPhases(t, 80, unloaded, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 { // with no bound 6 or 7
+		t.Errorf("%d attempts in flight without load, %d when all responses take 0.8 of the objective", stats[0].InFlight, stats[1].InFlight)
 	}
-	if stats := runPhases(t, 80, ease, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
-		t.Errorf("%d attempts out at ease, %d when answers take a fifth longer", stats[0].InFlight, stats[1].InFlight)
+	if stats := runPhases(t, 80, unloaded, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
+		t.Errorf("%d attempts in flight without load, %d when responses take a fifth longer", stats[0].InFlight, stats[1].InFlight)
 	}
 }
 
@@ -67,11 +67,11 @@
 func TestConcurrencyLimitRecovers(t *testing.T) {
 	stats := runPhases(t, 3, phase{80, 200}, phase{250, 200})
 	if stats[1].ConcurrencyLimit < 20 || stats[1].ConcurrencyLimit > 21 {
-		t.Errorf("room %.1f of three agents for 60 servers after a long crowd, want 20", stats[1].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f of three agents for 60 servers after a long overload, want 20", stats[1].ConcurrencyLimit)
 	}
 	stats = runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
 	if stats[1].ConcurrencyLimit >= 1 || stats[2].ConcurrencyLimit < 2*stats[1].ConcurrencyLimit {
-		t.Errorf("room %.1f after a crowd, %.1f after 200 answers at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f after an overload, %.1f after 200 responses without load", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -79,9 +79,9 @@
 // attempt of each keeps an overloaded server busy.
 func TestServerLimitShrinksUnderOverload(t *testing.T) {
 	settings := testSettings()
-	settings.FleetSize = 20 // many, as on ie9df20: each sees little of the load
+	settings.FleetSize = 20 // many: each sees little of the load
 	h := newHarness(t, settings, 1)
-	h.serve(300, 20) // long enough to know the calm answer time
+	h.serve(300, 20) // long enough for the baseline latency to be known
 	grown := h.policy.Stats().ServerLimits
 	for range 200 {
 		if id, actions := h.request(0, 1); findAction(actions, balancer.ActionForward) != nil {
@@ -92,11 +92,10 @@
 	}
 	w := h.policy.Stats().ServerLimits
 	if w >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, w)
+		t.Errorf("responses took seven times as long and the limit went from %.2f to %.2f", grown, w)
 	}
-	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
 	if w >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", w)
+		t.Errorf("an overloaded server does not recover: limit %.2f", w)
 	}
 }
 
@@ -106,7 +105,7 @@
 		settings := testSettings()
 		settings.FleetSize = replicas
 		if w := newHarness(t, settings, 1).policy.Stats().ServerLimits; w != want {
-			t.Errorf("%d agents: window %v, want %v", replicas, w, want)
+			t.Errorf("%d agents: limit %v, want %v", replicas, w, want)
 		}
 	}
 }
@@ -123,12 +122,12 @@
 		h.endAttempt(id, 0, s, balancer.StatusOK, 35)
 	}
 	h.mustForward(1, 0)
-	h.mustForward(1, 0) // the window takes two beside the lost one
+	h.mustForward(1, 0) // the limit permits two beside the lost one
 	if _, actions := h.request(1, 0); findAction(actions, balancer.ActionForward) != nil {
-		t.Fatalf("a third was sent to a window of two: %+v", h.policy.Stats())
+		t.Fatalf("a third was sent to a limit of two: %+v", h.policy.Stats())
 	}
 	if a := findAction(h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
-		t.Errorf("the end of the lost attempt made room: %+v", a)
+		t.Errorf("the end of the lost attempt freed capacity: %+v", a)
 	}
 }
 
@@ -138,7 +137,7 @@
 func TestConcurrencyLimitGrowsByAPartOfItself(t *testing.T) {
 	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
 	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit || stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
-		t.Errorf("room went from %.2f to %.2f in a second at ease", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+		t.Errorf("concurrency limit went from %.2f to %.2f in a second without load", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -156,10 +155,10 @@
 	h.now += 20
 	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
 	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits || stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
-		t.Errorf("a lost answer: view %+v, before %+v", stats, before)
+		t.Errorf("a lost response: stats %+v, before %+v", stats, before)
 	}
 	if n := h.serveAndCount(60, 1, s); n == 0 {
-		t.Error("after a lost answer its server got none of the next 60 new keys")
+		t.Error("after a lost response its server got none of the next 60 new keys")
 	}
 	other := serverAddress(0)
 	if s == other {
@@ -183,7 +182,7 @@
 		h.endAttempt(rare, 0, s, balancer.StatusTimeout, 580)
 	})
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("seldom seen: its server got %d of the next 20 new keys, want it to miss turns", n)
+		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it to rest", n)
 	}
 	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
 	h.serve(20, 20)
@@ -193,7 +192,7 @@
 		h.endAttempt(slow, 0, s, balancer.StatusTimeout, 600)
 	})
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("a crowd: its server got %d of the next 20 new keys, want it to miss turns", n)
+		t.Errorf("an overload: its server got %d of the next 20 new keys, want it to rest", n)
 	}
 }
 
@@ -201,7 +200,7 @@
 // server, less for servers in slow start; of eight agents the servers' limits are the bound.
 func TestManyNewAgentsShareTheInitialLimit(t *testing.T) {
 	for _, c := range []struct {
-		agents, cold, most int
+		agents, restarted, most int
 	}{{8, 0, 40}, {108, 0, 13}, {108, 100, 8}} {
 		settings := testSettings()
 		settings.FleetSize = c.agents
@@ -209,7 +208,7 @@
 		entries := make([]balancer.Endpoint, 200)
 		for i := range entries {
 			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
-			if i < c.cold {
+			if i < c.restarted {
 				entries[i].StartedMs = h.now
 			}
 		}
@@ -221,7 +220,7 @@
 			}
 		}
 		if sent > c.most || sent < c.most/2 {
-			t.Errorf("one of %d new agents, %d of 200 servers cold, has %d out, want %d at the most", c.agents, c.cold, sent, c.most)
+			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, want %d at the most", c.agents, c.restarted, sent, c.most)
 		}
 	}
 }
--- a/internal/policytest/fixtures_test.go
+++ b/internal/policytest/fixtures_test.go
@@ -6,8 +6,8 @@
 	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
-// testSettings are three classes of one deployment: one that may run again, one that must
-// not, and one whose repeats are dropped in a cell for half a second.
+// testSettings returns settings with three classes: an idempotent one, a non-idempotent one, and one
+// whose duplicates are dropped within a cell for half a second.
 func testSettings() balancer.Settings {
 	s := balancer.Settings{
 		Classes: []balancer.Class{
--- a/internal/policytest/healthcheck_test.go
+++ b/internal/policytest/healthcheck_test.go
@@ -19,20 +19,20 @@
 	h.now += 2 * h.ejectionMs()
 	_, actions = h.request(0, 7)
 	if p := findAction(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
-		t.Fatalf("no probe of the pending server: %+v", actions)
+		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
-		t.Error("a request went to a pending server before its probe")
+		t.Error("a request went to a pending server before its health check")
 	}
 	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
 	if h.healthStates()[balancer.Unhealthy] != 1 {
-		t.Errorf("a failed probe did not demote: %v", h.healthStates())
+		t.Errorf("a failed health check did not eject: %v", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
 	h.request(0, 8)
 	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
-		t.Errorf("a good probe did not set Connected: %v", got)
+		t.Errorf("a successful health check did not set Connected: %v", got)
 	}
 }
 
@@ -41,7 +41,7 @@
 	settings := testSettings()
 	settings.Limits.HealthChecks = true
 	h := newHarness(t, settings, 6)
-	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four fall silent
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four become unreachable
 		if i > 50 {
 			t.Fatalf("four servers were not left: %v", h.healthStates())
 		}
@@ -72,7 +72,7 @@
 		}
 	}
 	if checks == 0 || checks > 30 {
-		t.Errorf("%d probes in 200 requests", checks)
+		t.Errorf("%d health checks in 200 requests", checks)
 	}
 }
 
@@ -88,7 +88,7 @@
 		h.endAttempt(id, 0, s, balancer.StatusError, 5)
 		h.now += 2 * settings.Classes[1].LatencyObjectiveMs
 		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
-			t.Fatalf("no probe was sent: %+v", actions)
+			t.Fatalf("no health check was sent: %+v", actions)
 		}
 		h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
 		want := 8.0
@@ -96,7 +96,7 @@
 			want = 4
 		}
 		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
-			t.Errorf("probe ended %d: %+v, want it Unhealthy with a window of %v", status, stats, want)
+			t.Errorf("health check ended %d: %+v, want it Unhealthy with a limit of %v", status, stats, want)
 		}
 	}
 }
--- a/internal/policytest/history_test.go
+++ b/internal/policytest/history_test.go
@@ -16,9 +16,9 @@
 		h.now += 200
 		h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
-		for h.policy.Stats().InFlight < 2 { // the server's window is full: what comes is held
+		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) == nil {
-				t.Fatalf("the window is not filled: %+v", h.policy.Stats())
+				t.Fatalf("the limit is not filled: %+v", h.policy.Stats())
 			}
 		}
 		h.lastRequest++
@@ -32,12 +32,12 @@
 			}
 			actions = h.advance(5)
 		}
-		t.Fatalf("retry %v: held for 500 ms", marked)
+		t.Fatalf("retry %v: queued for 500 ms", marked)
 		return 0
 	}
-	// The client had waited 200 ms for its first try: its retry ends that much sooner.
+	// The client had waited 200 ms for its first request: its retry ends that much sooner.
 	if marked, fresh := ended(true), ended(false); math.Abs(fresh-marked-200) > 10 {
-		t.Errorf("a held retry was told after %.0f ms, a fresh request after %.0f", marked, fresh)
+		t.Errorf("a queued retry was rejected after %.0f ms, a fresh request after %.0f", marked, fresh)
 	}
 }
 
@@ -46,16 +46,16 @@
 // time of its own, shorter than the total timeout, a shorter time has no such meaning.
 func TestUnmarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	ended := func(given, remainingMs float64) float64 {
-		settings := testSettings() // the aim is 300 ms, the time for all tries 1,000 ms
+		settings := testSettings() // the objective is 300 ms, the total timeout 1,000 ms
 		settings.Clients.MarksRetry = false
 		h := newHarness(t, settings, 1)
 		come := func(remainingMs float64) []balancer.Action {
 			h.lastRequest++
 			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
 		}
-		for h.policy.Stats().InFlight < 2 { // the server's window is full: what comes is held
+		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if findAction(come(given), balancer.ActionForward) == nil {
-				t.Fatalf("the window is not filled: %+v", h.policy.Stats())
+				t.Fatalf("the limit is not filled: %+v", h.policy.Stats())
 			}
 		}
 		start, actions := h.now, come(remainingMs)
@@ -67,15 +67,15 @@
 			}
 			actions = h.advance(5)
 		}
-		t.Fatalf("held for 500 ms, given %.0f of %.0f ms", remainingMs, given)
+		t.Fatalf("queued for 500 ms, given %.0f of %.0f ms", remainingMs, given)
 		return 0
 	}
 	first, marked, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
 	if math.Abs(first-marked-200) > 10 || third > 10 {
-		t.Errorf("first tries were held for %.0f ms, retries after 200 ms for %.0f, after 350 ms for %.0f",
+		t.Errorf("first requests were queued for %.0f ms, retries after 200 ms for %.0f, after 350 ms for %.0f",
 			first, marked, third)
 	}
 	if a, b := ended(500, 500), ended(500, 400); math.Abs(a-first) > 10 || math.Abs(b-first) > 10 {
-		t.Errorf("tries of 500 ms were held for %.0f ms, one of 400 for %.0f, first tries for %.0f", a, b, first)
+		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f", a, b, first)
 	}
 }
--- a/internal/policytest/latency_test.go
+++ b/internal/policytest/latency_test.go
@@ -13,7 +13,7 @@
 	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
 	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
 	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
-		t.Errorf("room %.1f of three agents, %.1f of eighty, after answers 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f of three agents, %.1f of eighty, after responses 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
 	}
 }
 
@@ -21,10 +21,10 @@
 // in flight of one of many agents.
 func TestNoServerLimitGrowsBeforeTheBaselineIsKnown(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	for i := range 49 { // calm is known from the 50th answer on
+	for i := range 49 { // the baseline is known from the 50th response on
 		h.serve(1, 20)
 		if w := h.policy.Stats().ServerLimits; w > 2*2 {
-			t.Fatalf("windows %.2f after %d answers", w, i+1)
+			t.Fatalf("limits %.2f after %d responses", w, i+1)
 		}
 	}
 	var requests []balancer.RequestID
@@ -42,7 +42,7 @@
 		}
 	}
 	if w := h.policy.Stats().ServerLimits; w <= 2*2 {
-		t.Errorf("no window grew once calm was known: %.2f", w)
+		t.Errorf("no limit grew once the baseline was known: %.2f", w)
 	}
 }
 
@@ -58,7 +58,7 @@
 		first := h.policy.Stats().ServerLimits
 		h.serve(200, 75)
 		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
-			t.Errorf("%d agents: windows %.1f after answers in a quarter of the aim, %.1f before", agents, w, first)
+			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before", agents, w, first)
 		}
 	}
 }
@@ -83,11 +83,11 @@
 	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
 	if w := h.policy.Stats().ServerLimits; w < first {
-		t.Errorf("at its own calm, four times the other's, the slow server's window was cut: %.1f of %.1f", w, first)
+		t.Errorf("at its own baseline latency, four times the other's, the slow server's limit was cut: %.1f of %.1f", w, first)
 	}
 	serve(100, 240)
 	if w := h.policy.Stats().ServerLimits; w >= first {
-		t.Errorf("at twice its own calm the slow server's window stays: %.1f of %.1f", w, first)
+		t.Errorf("at twice its own baseline latency the slow server's limit stays: %.1f of %.1f", w, first)
 	}
 }
 
@@ -104,7 +104,7 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
 	if w := h.policy.Stats().ServerLimits; w <= before {
-		t.Errorf("under load at the answer time it learned, a lone agent's windows went from %.1f to %.1f", before, w)
+		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f", before, w)
 	}
 }
 
@@ -114,11 +114,11 @@
 // under load.
 func TestOverloadAtTheStartDoesNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
-	h.serve(12, 20)  // the server's own calm is quick
-	h.serve(38, 270) // the rest of the 50 answers by which calm is first measured
+	h.serve(12, 20)  // the server's own baseline is short
+	h.serve(38, 270) // the rest of the 50 responses by which the baseline is first known
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 3, 140)
 	if w := h.policy.Stats().ServerLimits; w > before {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: the window grew from %.1f to %.1f", before, w)
+		t.Errorf("responses in 0.9 of the objective became the baseline: the limit grew from %.1f to %.1f", before, w)
 	}
 }
--- a/internal/policytest/main_test.go
+++ b/internal/policytest/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the days that rapid draws, so that every run gives the same verdict;
+// TestMain fixes the scenarios that rapid draws, so that every run gives the same result;
 // -rapid.seed=N plays others, and -rapid.checks=N more of them.
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/internal/policytest/outliers_test.go
+++ b/internal/policytest/outliers_test.go
@@ -40,11 +40,11 @@
 		t.Fatalf("error: %v, want the server Unhealthy", got)
 	}
 	if findAction(actions, balancer.ActionFetchList) == nil {
-		t.Error("a demotion did not force a refresh of the list")
+		t.Error("an ejection did not fetch the list")
 	}
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || a.Server == s {
-		t.Fatalf("the free request did not go on to another server: %+v", actions)
+		t.Fatalf("the idempotent request did not go on to another server: %+v", actions)
 	}
 	h.now += 5
 	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
@@ -62,13 +62,13 @@
 		var to balancer.Addr
 		id, to = h.mustForward(0, h.random.Uint64()|1)
 		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
-			t.Fatalf("after the hold: %v, want it pending", got)
+			t.Fatalf("after the ejection time: %v, want it pending", got)
 		}
 		if to == s {
 			break
 		}
 		if h.endAttempt(id, 0, to, balancer.StatusOK, 1); i > 50 {
-			t.Fatal("a server pending after its hold is never checked by a request")
+			t.Fatal("a server pending after its ejection time is never checked by a request")
 		}
 	}
 	h.now += 50
@@ -84,10 +84,10 @@
 	id, s := h.mustForward(1, 7)
 	actions := h.endAttempt(id, 0, s, balancer.StatusOverloaded, 1)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
-		t.Errorf("full demoted the server: %v", got)
+		t.Errorf("an overloaded status ejected the server: %v", got)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
-		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+		t.Errorf("a request that was rejected by the server did not go elsewhere: %+v", actions)
 	}
 }
 
@@ -101,7 +101,7 @@
 			return
 		}
 	}
-	t.Error("a server that answers nothing for 300 ms was not demoted")
+	t.Error("a server that does not respond for 300 ms was not ejected")
 }
 
 // A non-idempotent request does not find out whether a pending server serves again; an idempotent one
@@ -128,7 +128,7 @@
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", idempotent, nonIdempotent)
+		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; want some and none", idempotent, nonIdempotent)
 	}
 }
 
@@ -142,7 +142,7 @@
 		id, s := h.mustForward(1, 0)
 		h.endAttempt(id, 0, s, status, 5)
 		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
-			t.Errorf("ended %d: %+v, want one Unhealthy and windows of %v", status, stats, want)
+			t.Errorf("ended %d: %+v, want one Unhealthy and limits of %v", status, stats, want)
 		}
 	}
 }
@@ -153,15 +153,15 @@
 	for _, full := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
 		id, failing := h.mustForward(0, h.random.Uint64()|1)
-		for strikes := 1; ; strikes++ {
+		for failures := 1; ; failures++ {
 			if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
 				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 			}
-			if strikes == 3 {
+			if failures == 3 {
 				break
 			}
-			h.now += float64(int(1)<<(strikes-1))*h.ejectionMs() + 1
-			for i := 0; ; i++ { // the next request to it checks it, and fails again
+			h.now += float64(int(1)<<(failures-1))*h.ejectionMs() + 1
+			for i := 0; ; i++ { // the next request to it checks it, and fails as well
 				var to balancer.Addr
 				if id, to = h.mustForward(0, h.random.Uint64()|1); to == failing {
 					break
@@ -172,14 +172,14 @@
 			}
 		}
 		if full {
-			for range 40 { // more than the other windows hold, of no key: they take any server
+			for range 40 { // more than the other limits permit, without a key: they take any server
 				h.request(0, 0)
 			}
 		}
 		h.now += h.ejectionMs() + 1
 		h.request(0, 0)
 		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != full {
-			t.Errorf("others full: %v; failing server tried after one aim: %v (%v)", full, checked, h.healthStates())
+			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)", full, checked, h.healthStates())
 		}
 	}
 }
--- a/internal/policytest/polling_test.go
+++ b/internal/policytest/polling_test.go
@@ -103,9 +103,9 @@
 	h := newHarness(t, settings, 4)
 	id, s := h.mustForward(0, 7)
 	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
-		t.Error("a demotion asked for the whole list")
+		t.Error("an ejection fetched the complete list")
 	}
 	if h.healthStates()[balancer.Unhealthy] != 1 {
-		t.Errorf("the failure did not demote its server: %v", h.healthStates())
+		t.Errorf("the failure did not eject its server: %v", h.healthStates())
 	}
 }
--- a/internal/policytest/random_scenario_test.go
+++ b/internal/policytest/random_scenario_test.go
@@ -112,7 +112,7 @@
 			}
 			c := r.rules
 			if a.Kind == balancer.ActionReject && r.mayHaveExecuted() && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Idempotency)
+				w.t.Fatalf("request %d of idempotency %s rejected though it may have executed", a.Request, c.Idempotency)
 			}
 		case balancer.ActionCancelAttempt:
 			if !w.settings.Limits.AttemptCancellation {
@@ -123,7 +123,7 @@
 			}
 		case balancer.ActionHealthCheck:
 			if !w.settings.Limits.HealthChecks {
-				w.t.Fatal("probed where it is not allowed")
+				w.t.Fatal("health check where it is not allowed")
 			}
 		case balancer.ActionSetTimer:
 			w.timers = append(w.timers, scenarioTimer{w.now + a.Ms, a.Token})
@@ -144,11 +144,11 @@
 		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, c.MaxAttempts)
 	}
 	if since, bad := w.unusableSince[a.Server]; bad && w.now-since > w.settings.Contract.DrainGraceMs {
-		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
+		w.t.Fatalf("sent to %v %.0f ms after it was notified of its drain", a.Server, w.now-since)
 	}
 	for _, t := range r.attempts {
 		if !t.ended && !w.settings.Limits.HedgedRequests {
-			w.t.Fatalf("request %d: two attempts out at once", a.Request)
+			w.t.Fatalf("request %d: two attempts in flight at once", a.Request)
 		}
 		if t.ended && t.status.NotExecuted() {
 			continue
@@ -156,11 +156,11 @@
 		x, y := w.endpoints[t.server], w.endpoints[a.Server]
 		switch {
 		case c.Idempotency == balancer.NonIdempotent:
-			w.t.Fatalf("request %d sent again though it may have run", a.Request)
+			w.t.Fatalf("request %d retried though it may have executed", a.Request)
 		case c.Idempotency == balancer.IdempotentByKey && w.now-t.startedAt > c.DedupWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.startedAt)
+			w.t.Fatalf("request %d retried %.0f ms after it may have executed", a.Request, w.now-t.startedAt)
 		case c.Idempotency == balancer.IdempotentByKey && (c.DedupScope == balancer.DedupZone && x.Zone != y.Zone || c.DedupScope == balancer.DedupCell && x.Cell != y.Cell):
-			w.t.Fatalf("request %d sent again outside its group", a.Request)
+			w.t.Fatalf("request %d retried outside its deduplication scope", a.Request)
 		}
 	}
 }
@@ -318,7 +318,7 @@
 func (w *randomScenario) finish(seed uint64) {
 	for id, r := range w.requests {
 		if r.finalAnswers != 1 {
-			w.t.Errorf("seed %d: request %d has %d final answers at the end", seed, id, r.finalAnswers)
+			w.t.Errorf("seed %d: request %d has %d final responses at the end", seed, id, r.finalAnswers)
 		}
 		for i, try := range r.attempts {
 			if !try.ended {
@@ -340,7 +340,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
 		if !reflect.DeepEqual(runRandomScenario(t, set, seed), runRandomScenario(t, set, seed)) {
-			t.Error("two runs of one day differ")
+			t.Error("two runs of one scenario differ")
 		}
 	})
 }
--- a/internal/policytest/restart_test.go
+++ b/internal/policytest/restart_test.go
@@ -6,11 +6,11 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// wallSteps are steps of a wall clock in ms, as terms of service name them: seconds or an hour.
+// clockStepsMs are steps of a wall clock, in milliseconds: seconds, or an hour.
 var clockStepsMs = []float64{-3_600_000, -5000, 5000, 3_600_000}
 
-// restartedShare is how many of 400 requests a server gets that restarted and was told at once, by a
-// clock that was stepped meanwhile; before, it had been listed as started beforeMs ago.
+// forwardsAfterRestart is how many of 400 requests a server gets whose restart is listed at once, by a
+// clock that was stepped meanwhile; before, it was listed as started beforeMs ago.
 func forwardsAfterRestart(t *testing.T, beforeMs, stepMs float64) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
@@ -23,31 +23,31 @@
 	return h.serveAndCount(400, 2, serverAddress(4))
 }
 
-// A restart is seen whatever the wall clock was stepped by before it was told: the server gets as
-// little as where the clock ran true. A start that is only seconds old is before the restart by a
-// clock that was set back by more.
+// A restart is detected whatever the wall clock was stepped by before it was listed: the server gets as
+// little as with a true clock. This includes a start only seconds ago, which by a clock that was set
+// back by more is later than the restart.
 func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
-			t.Fatalf("with true clocks a cold server got %d of 400 requests; want some, and at most %d", trueShare, warm/2)
+			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; want some, and at most %d", trueShare, warm/2)
 		}
 		for _, step := range clockStepsMs {
 			if step == -5000 && beforeMs > 5000 {
-				continue // the start grew, and the module takes it as told: internal/agent bounds its age
+				continue // the start is later, and the policy takes it as listed: internal/agent bounds its age
 			}
 			if got := forwardsAfterRestart(t, beforeMs, step); got != trueShare {
-				t.Errorf("started %v ms before, clock stepped by %v ms: a cold server got %d of 400 requests, want %d",
+				t.Errorf("started %v ms before, clock stepped by %v ms: a server in slow start got %d of 400 requests, want %d",
 					beforeMs, step, got, trueShare)
 			}
 		}
 	}
 }
 
-// What is told again of the same process changes nothing: the module decides as if nothing were told.
-func TestSameStartToldAgainKeepsWhatIsKnown(t *testing.T) {
-	for _, since := range []float64{0, -100, 3_600_000} { // long ago, of late, ahead of the agent's clock
-		share := func(tell bool) int {
+// A repeated entry of the same process changes no decision.
+func TestRepeatedEntryChangesNothing(t *testing.T) {
+	for _, since := range []float64{0, -100, 3_600_000} { // long ago, lately, ahead of the agent's clock
+		forwards := func(repeat bool) int {
 			h := newHarness(t, testSettings(), 5)
 			entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1}
 			if since != 0 {
@@ -57,24 +57,24 @@
 			got := 0
 			for range 20 {
 				got += h.serveAndCount(20, 2, serverAddress(4))
-				if tell {
+				if repeat {
 					h.updateList(balancer.ListDelta, entry)
 				}
 			}
 			return got
 		}
-		if got, want := share(true), share(false); got != want {
-			t.Errorf("start of %v ms: told again and again the server got %d of 400 requests, want %d", since, got, want)
+		if got, want := forwards(true), forwards(false); got != want {
+			t.Errorf("start of %v ms: listed repeatedly the server got %d of 400 requests, want %d", since, got, want)
 		}
 	}
 }
 
-// A restart that is told while a request is out, and a drain before it, are taken as with true clocks:
-// nothing is sent to a server that drains, and the answer of the old process doesn't make the new one warm.
+// A drain and then a restart that are listed while an attempt is in flight count as with true clocks: a
+// draining server gets no attempts, and the response of the old process does not make the new one warm.
 func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
 	for _, step := range append([]float64{0}, clockStepsMs...) {
 		if step == -5000 {
-			continue // the start grew: as above
+			continue // the start is later: as above
 		}
 		h := newHarness(t, testSettings(), 1)
 		h.now = 1e9
@@ -93,7 +93,7 @@
 		entry.State, entry.StartedMs = balancer.Ready, h.now+step
 		h.updateList(balancer.ListDelta, entry)
 		if got, most := h.serveAndCount(400, 2, serverAddress(0)), 400/5/2; got == 0 || got > most {
-			t.Errorf("clock stepped by %v ms: a cold server got %d of 400 requests, want some and at most %d", step, got, most)
+			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, want some and at most %d", step, got, most)
 		}
 	}
 }
--- a/internal/policytest/resting_test.go
+++ b/internal/policytest/resting_test.go
@@ -37,15 +37,15 @@
 // then all are overloaded, and none is passed over.
 func TestServerRestsUnlessMostAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
-		crowd  string
+		state  string
 		passed bool
-	}{{"calm", false}, {"full", true}, {"late", true}, {"most", false}} {
+	}{{"unloaded", false}, {"overloaded", true}, {"late", true}, {"most overloaded", false}} {
 		h := newHarness(t, testSettings(), 6)
 		for range 40 {
 			h.now += 500
 			h.serve(1, 20)
 		}
-		if c.crowd == "most" { // four of six, and then the one judged
+		if c.state == "most overloaded" { // four of six, and then the one under test
 			for late := map[balancer.Addr]bool{}; len(late) < 4; {
 				h.now++
 				id, s := h.mustForward(0, h.random.Uint64()|1)
@@ -55,10 +55,10 @@
 		}
 		id, s := h.mustForward(0, h.random.Uint64()|1)
 		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: 20, RequestDone: true}
-		switch c.crowd {
-		case "full":
+		switch c.state {
+		case "overloaded":
 			ev.Status, ev.RequestDone = balancer.StatusOverloaded, false
-		case "late", "most":
+		case "late", "most overloaded":
 			ev.LatencyMs = 400
 		}
 		h.now++
@@ -66,7 +66,7 @@
 			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
 		}
 		if n := h.serveAndCount(60, 1, s); (n == 0) != c.passed {
-			t.Errorf("%s: the server got %d of the next 60 new keys", c.crowd, n)
+			t.Errorf("%s: the server got %d of the next 60 new keys", c.state, n)
 		}
 	}
 }
--- a/internal/policytest/retry_test.go
+++ b/internal/policytest/retry_test.go
@@ -32,12 +32,12 @@
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
-		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+		t.Fatalf("a deduplicated repeat did not stay in its cell: %+v", actions)
 	}
 	h.now += 496 // just inside the 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
 	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
-		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+		t.Errorf("a deduplicated repeat went out after its time: %+v", actions)
 	}
 }
 
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		// againMost, four, is what an agent saves up of further attempts.
+		// The retry budget holds four tokens at the most.
 		if served && retries < 15 || !served && retries > 4 {
 			t.Errorf("four of five served: %v; %d further attempts", served, retries)
 		}
--- a/internal/policytest/settings_test.go
+++ b/internal/policytest/settings_test.go
@@ -54,7 +54,7 @@
 			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		}
 		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) || math.IsNaN(stats.Shed) || math.IsNaN(stats.OverloadedFraction) {
-			t.Errorf("%v: view %+v", x, stats)
+			t.Errorf("%v: stats %+v", x, stats)
 		}
 	}
 }
--- a/internal/policytest/slowstart_test.go
+++ b/internal/policytest/slowstart_test.go
@@ -24,14 +24,14 @@
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
+		t.Errorf("a server in slow start got %d of %d sends; want some, and at most %.0f", got, all, limit)
 	}
 }
 
 // Many agents with few requests each send a server in slow start its part together, though none of them
 // earns a whole attempt for it. Once, the new half of a fleet stood idle until it was warm.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
-	cold, all := 0, 0
+	warming, all := 0, 0
 	for seed := range uint64(200) {
 		h := newHarness(t, testSettings(), 19)
 		b, err := policy.New(testSettings(), seed)
@@ -50,13 +50,13 @@
 			h.now += 100
 			id, s := h.mustForward(0, h.random.Uint64())
 			if all++; s == serverAddress(19) {
-				cold++
+				warming++
 			}
 			h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		}
 	}
-	if even := all / 20; cold < even/20 || cold > even {
-		t.Errorf("a cold server got %d of %d requests, where an even share is %d", cold, all, even)
+	if even := all / 20; warming < even/20 || warming > even {
+		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", warming, all, even)
 	}
 }
 
@@ -64,7 +64,7 @@
 func TestServersInSlowStartServeWhenAllWarmOnesFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(200, 10)
-	// The warm ones fall silent: what reaches them cannot connect. Then a cold one is listed.
+	// No connect reaches the warm ones any more. Then a server in slow start is listed.
 	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
 		if i > 20 {
 			t.Fatalf("the warm servers were not left: %v", h.healthStates())
@@ -96,14 +96,14 @@
 		}
 	}
 	if got < 1 || first > 1000 || got > 2*50*0.28*0.75 {
-		t.Errorf("the cold server got %.0f requests, the first after %.0f ms", got, first)
+		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, first)
 	}
 }
 
 // Slow-start credit is earned by served requests: a server in slow start gets none where all requests are
 // rejected by the servers, and some where they are served.
 func TestSlowStartCreditIsEarnedByServedRequestsOnly(t *testing.T) {
-	cold := func(status balancer.Status) int {
+	forwards := func(status balancer.Status) int {
 		h := newHarness(t, testSettings(), 4)
 		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
 		n := 0
@@ -120,8 +120,8 @@
 		}
 		return n
 	}
-	if full, served := cold(balancer.StatusOverloaded), cold(balancer.StatusOK); full != 0 || served == 0 {
-		t.Errorf("of 200 requests the cold server got %d where all were full, %d where all were served", full, served)
+	if full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK); full != 0 || served == 0 {
+		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, %d where all were served", full, served)
 	}
 }
 
@@ -143,6 +143,6 @@
 		return h.serveAndCount(90, 20, s)
 	}
 	if unresponsive, warm := share(true), share(false); unresponsive == 0 || 2*unresponsive >= warm {
-		t.Errorf("of 90 new keys a server back from silence got %d, one that stayed %d", unresponsive, warm)
+		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d", unresponsive, warm)
 	}
 }
