--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -24,7 +24,8 @@
 			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.PriorityWeight)
 		case c.Idempotency != Idempotent && c.Idempotency != IdempotentByKey && c.Idempotency != NonIdempotent:
 			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Idempotency)
-		case c.Idempotency == IdempotentByKey && c.DedupScope != DedupFleet && c.DedupScope != DedupZone && c.DedupScope != DedupCell:
+		case c.Idempotency == IdempotentByKey && c.DedupScope != DedupFleet && c.DedupScope != DedupZone &&
+			c.DedupScope != DedupCell:
 			return fmt.Errorf("%s: unknown group %q", at("group"), c.DedupScope)
 		case c.Idempotency == IdempotentByKey && !(c.DedupWindowMs > 0):
 			return fmt.Errorf("%s: must be above 0, is %v", at("keyTtlMs"), c.DedupWindowMs)
--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -29,7 +29,8 @@
 		end  balancer.Status
 		rtt  float64
 		want bool
-	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true}, {balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
+	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true},
+		{balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
 		settings := testSettings()
 		settings.Limits.MaxAttempts = 1
 		h := newHarness(t, settings, 6)
@@ -83,8 +84,10 @@
 			}
 		}
 	}
-	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s, Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
-	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
+	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s,
+		Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil ||
+		findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
 		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, stats.InFlight, stats.Queued)
 	}
 }
@@ -100,7 +103,8 @@
 		id, actions := h.request(class, 5)
 		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
-			t.Fatalf("class %d, objective 300 ms of 600: want an attempt that ends with the objective, got %+v", class, actions)
+			t.Fatalf("class %d, objective 300 ms of 600: want an attempt that ends with the objective, got %+v",
+				class, actions)
 		}
 		h.now += a.Ms
 		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
@@ -109,7 +113,8 @@
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: want an attempt for the whole time, got %+v", class, actions)
+			t.Errorf("class %d, late responses earn something: want an attempt for the whole time, got %+v", class,
+				actions)
 		}
 	}
 }
@@ -119,7 +124,8 @@
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1}, balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
+	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
+		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
 	out := map[balancer.Addr]balancer.RequestID{}
 	var idempotent balancer.RequestID
@@ -142,7 +148,8 @@
 	}
 	if c, ok := out[serverAddress(2)]; !ok {
 		t.Fatalf("nothing went to the light server: %v", out)
-	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5), balancer.ActionForward); a == nil || a.Request != idempotent {
+	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5),
+		balancer.ActionForward); a == nil || a.Request != idempotent {
 		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, idempotent)
 	}
 }
--- a/internal/policytest/concurrency_test.go
+++ b/internal/policytest/concurrency_test.go
@@ -54,11 +54,14 @@
 // follow an overload. An overload of all servers must show in the limit of all within a second or two.
 func TestOverloadOfAllServersReducesAttemptsInFlight(t *testing.T) {
 	unloaded := phase{80, 200}
-	if stats := runPhases(t, 80, unloaded, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 { // with no bound 6 or 7
-		t.Errorf("%d attempts in flight without load, %d when all responses take 0.8 of the objective", stats[0].InFlight, stats[1].InFlight)
+	// with no bound 6 or 7
+	if stats := runPhases(t, 80, unloaded, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 {
+		t.Errorf("%d attempts in flight without load, %d when all responses take 0.8 of the objective",
+			stats[0].InFlight, stats[1].InFlight)
 	}
 	if stats := runPhases(t, 80, unloaded, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
-		t.Errorf("%d attempts in flight without load, %d when responses take a fifth longer", stats[0].InFlight, stats[1].InFlight)
+		t.Errorf("%d attempts in flight without load, %d when responses take a fifth longer", stats[0].InFlight,
+			stats[1].InFlight)
 	}
 }
 
@@ -67,11 +70,13 @@
 func TestConcurrencyLimitRecovers(t *testing.T) {
 	stats := runPhases(t, 3, phase{80, 200}, phase{250, 200})
 	if stats[1].ConcurrencyLimit < 20 || stats[1].ConcurrencyLimit > 21 {
-		t.Errorf("concurrency limit %.1f of three agents for 60 servers after a long overload, want 20", stats[1].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f of three agents for 60 servers after a long overload, want 20",
+			stats[1].ConcurrencyLimit)
 	}
 	stats = runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 200})
 	if stats[1].ConcurrencyLimit >= 1 || stats[2].ConcurrencyLimit < 2*stats[1].ConcurrencyLimit {
-		t.Errorf("concurrency limit %.1f after an overload, %.1f after 200 responses without load", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f after an overload, %.1f after 200 responses without load",
+			stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -136,8 +141,10 @@
 // without overload, some twelve response times, it grows, and by less than itself.
 func TestConcurrencyLimitGrowsByAPartOfItself(t *testing.T) {
 	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
-	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit || stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
-		t.Errorf("concurrency limit went from %.2f to %.2f in a second without load", stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
+	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit ||
+		stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
+		t.Errorf("concurrency limit went from %.2f to %.2f in a second without load", stats[1].ConcurrencyLimit,
+			stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -154,7 +161,8 @@
 	before := h.policy.Stats()
 	h.now += 20
 	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
-	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits || stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
+	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits ||
+		stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
 		t.Errorf("a lost response: stats %+v, before %+v", stats, before)
 	}
 	if n := h.serveAndCount(60, 1, s); n == 0 {
@@ -220,7 +228,8 @@
 			}
 		}
 		if sent > c.most || sent < c.most/2 {
-			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, want %d at the most", c.agents, c.restarted, sent, c.most)
+			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, want %d at the most",
+				c.agents, c.restarted, sent, c.most)
 		}
 	}
 }
--- a/internal/policytest/connections_test.go
+++ b/internal/policytest/connections_test.go
@@ -21,7 +21,8 @@
 		for range 200 {
 			h.now += 50
 			id, s := h.mustForward(0, h.random.Uint64())
-			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil && a.Server == s {
+			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil &&
+				a.Server == s {
 				closed++
 			}
 		}
--- a/internal/policytest/decision_bench_test.go
+++ b/internal/policytest/decision_bench_test.go
@@ -72,7 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &decisionBenchmark{TB: t, policy: b, random: rand.New(rand.NewPCG(1, 2)), servers: servers, now: 1e6, tickAt: math.Inf(1)}
+	d := &decisionBenchmark{TB: t, policy: b, random: rand.New(rand.NewPCG(1, 2)), servers: servers, now: 1e6,
+		tickAt: math.Inf(1)}
 	d.actions = b.Start(d.now, nil)
 	entries := make([]balancer.Endpoint, servers)
 	for i := range entries {
@@ -114,12 +115,14 @@
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
-	d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.lastRequest, Class: class, Key: key, RemainingMs: 600})
+	d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.lastRequest, Class: class, Key: key,
+		RemainingMs: 600})
 	return d.lastRequest
 }
 
 func (d *decisionBenchmark) endAttempt(id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64) {
-	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms, RequestDone: status == balancer.StatusOK})
+	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms,
+		RequestDone: status == balancer.StatusOK})
 }
 
 // serve is one request, sent at once and answered after ms.
--- a/internal/policytest/example_test.go
+++ b/internal/policytest/example_test.go
@@ -9,7 +9,8 @@
 
 func ExampleBalancer() {
 	settings := balancer.Settings{
-		Classes:       []balancer.Class{{Name: "read", LatencyObjectiveMs: 200, TotalTimeoutMs: 800, Idempotency: balancer.Idempotent, PriorityWeight: 1}},
+		Classes: []balancer.Class{{Name: "read", LatencyObjectiveMs: 200, TotalTimeoutMs: 800,
+			Idempotency: balancer.Idempotent, PriorityWeight: 1}},
 		Limits:        balancer.Limits{MaxAttempts: 3},
 		DiscoveryMode: "pushed",
 		RoundTripMs:   5,
@@ -23,7 +24,8 @@
 	b.Start(now, nil)
 	list := []balancer.Endpoint{{Server: balancer.Addr{10, 0, 0, 1, 0x1f, 0x90}, State: balancer.Ready, Weight: 1}}
 	b.Handle(now, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFull, Endpoints: list}, nil)
-	for _, a := range b.Handle(now, &balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+	for _, a := range b.Handle(now,
+		&balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
 		if a.Kind == balancer.ActionForward {
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
--- a/internal/policytest/harness_test.go
+++ b/internal/policytest/harness_test.go
@@ -39,7 +39,8 @@
 	h.collectTimers(b.Start(h.now, nil))
 	entries := make([]balancer.Endpoint, servers)
 	for i := range entries {
-		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i % 2,
+			Zone: i % 2}
 	}
 	h.updateList(balancer.ListCached, entries...)
 	return h
@@ -68,12 +69,16 @@
 // request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
 func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
 	h.lastRequest++
-	return h.lastRequest, h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: class, Key: key, RemainingMs: 600})
+	return h.lastRequest,
+		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: class, Key: key,
+			RemainingMs: 600})
 }
 
 // endAttempt hands the policy the end of an attempt.
-func (h *harness) endAttempt(id balancer.RequestID, attempt int, s balancer.Addr, status balancer.Status, responseMs float64) []balancer.Action {
-	return h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: s, Status: status, LatencyMs: responseMs, RequestDone: status == balancer.StatusOK})
+func (h *harness) endAttempt(id balancer.RequestID, attempt int, s balancer.Addr, status balancer.Status,
+	responseMs float64) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: s,
+		Status: status, LatencyMs: responseMs, RequestDone: status == balancer.StatusOK})
 }
 
 // findAction returns the first action of a kind; nil if there is none.
--- a/internal/policytest/healthcheck_test.go
+++ b/internal/policytest/healthcheck_test.go
@@ -24,14 +24,16 @@
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its health check")
 	}
-	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout, LatencyMs: 100})
+	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout,
+		LatencyMs: 100})
 	if h.healthStates()[balancer.Unhealthy] != 1 {
 		t.Errorf("a failed health check did not eject: %v", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
 	h.request(0, 8)
 	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
-	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 || got[balancer.Connected] == 0 {
+	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 ||
+		got[balancer.Connected] == 0 {
 		t.Errorf("a successful health check did not set Connected: %v", got)
 	}
 }
@@ -64,7 +66,8 @@
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
 				checks++
-				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server, Status: balancer.StatusOverloaded, LatencyMs: 1})
+				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server,
+					Status: balancer.StatusOverloaded, LatencyMs: 1})
 			}
 		}
 		if sent != nil {
@@ -79,7 +82,8 @@
 // A health check with a response, even an error, does not make a server unresponsive; one that times out
 // or cannot connect does, and halves the server's limit (eight at first for a single agent).
 func TestHealthCheckWithAResponseIsNotUnresponsive(t *testing.T) {
-	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false, balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
+	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false,
+		balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
 		settings := testSettings()
 		settings.Limits.HealthChecks = true
 		settings.FleetSize = 1
--- a/internal/policytest/history_test.go
+++ b/internal/policytest/history_test.go
@@ -23,7 +23,8 @@
 		}
 		h.lastRequest++
 		start := h.now
-		actions := h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: 5, RemainingMs: 600, Retry: marked})
+		actions := h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: 5,
+			RemainingMs: 600, Retry: marked})
 		for range 100 {
 			for _, a := range actions {
 				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
@@ -51,7 +52,8 @@
 		h := newHarness(t, settings, 1)
 		come := func(remainingMs float64) []balancer.Action {
 			h.lastRequest++
-			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
+			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0,
+				Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
 		}
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if findAction(come(given), balancer.ActionForward) == nil {
@@ -76,6 +78,7 @@
 			first, marked, third)
 	}
 	if a, b := ended(500, 500), ended(500, 400); math.Abs(a-first) > 10 || math.Abs(b-first) > 10 {
-		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f", a, b, first)
+		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f", a, b,
+			first)
 	}
 }
--- a/internal/policytest/large_fleet_bench_test.go
+++ b/internal/policytest/large_fleet_bench_test.go
@@ -58,7 +58,8 @@
 			status, took = balancer.StatusOverloaded, 1
 		}
 		d.advance(took)
-		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server, Status: status,
+		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server,
+			Status:    status,
 			LatencyMs: took, RequestDone: status == balancer.StatusOK})
 	}
 	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id}) // a request that is still held for room
--- a/internal/policytest/latency_test.go
+++ b/internal/policytest/latency_test.go
@@ -13,7 +13,8 @@
 	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
 	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
 	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
-		t.Errorf("concurrency limit %.1f of three agents, %.1f of eighty, after responses 1.5 times as long", few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
+		t.Errorf("concurrency limit %.1f of three agents, %.1f of eighty, after responses 1.5 times as long",
+			few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
 	}
 }
 
@@ -33,7 +34,8 @@
 		requests, servers = requests[:0], servers[:0]
 		for range 3 {
 			if id, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
-				requests, servers = append(requests, id), append(servers, findAction(actions, balancer.ActionForward).Server)
+				requests, servers = append(requests, id),
+					append(servers, findAction(actions, balancer.ActionForward).Server)
 			}
 		}
 		h.now += 20
@@ -58,7 +60,8 @@
 		first := h.policy.Stats().ServerLimits
 		h.serve(200, 75)
 		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
-			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before", agents, w, first)
+			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before", agents, w,
+				first)
 		}
 	}
 }
@@ -83,7 +86,8 @@
 	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
 	if w := h.policy.Stats().ServerLimits; w < first {
-		t.Errorf("at its own baseline latency, four times the other's, the slow server's limit was cut: %.1f of %.1f", w, first)
+		t.Errorf("at its own baseline latency, four times the other's, the slow server's limit was cut: %.1f of %.1f",
+			w, first)
 	}
 	serve(100, 240)
 	if w := h.policy.Stats().ServerLimits; w >= first {
@@ -104,7 +108,8 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
 	if w := h.policy.Stats().ServerLimits; w <= before {
-		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f", before, w)
+		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f", before,
+			w)
 	}
 }
 
--- a/internal/policytest/outliers_test.go
+++ b/internal/policytest/outliers_test.go
@@ -128,14 +128,16 @@
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; want some and none", idempotent, nonIdempotent)
+		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; want some and none",
+			idempotent, nonIdempotent)
 	}
 }
 
 // A failure with a response is no sign of overload and keeps the server's limit; a failed connect halves
 // it.
 func TestFailureWithAResponseKeepsTheServerLimit(t *testing.T) {
-	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8, balancer.StatusConnectFailed: 8 + 4} {
+	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8,
+		balancer.StatusConnectFailed: 8 + 4} {
 		settings := testSettings()
 		settings.FleetSize = 1 // an agent alone begins with eight a server
 		h := newHarness(t, settings, 2)
@@ -154,7 +156,8 @@
 		h := newHarness(t, testSettings(), 4)
 		id, failing := h.mustForward(0, h.random.Uint64()|1)
 		for failures := 1; ; failures++ {
-			if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+			actions := h.endAttempt(id, 0, failing, balancer.StatusError, 5)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
 				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 			if failures == 3 {
@@ -179,7 +182,8 @@
 		h.now += h.ejectionMs() + 1
 		h.request(0, 0)
 		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != full {
-			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)", full, checked, h.healthStates())
+			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)", full, checked,
+				h.healthStates())
 		}
 	}
 }
--- a/internal/policytest/polling_test.go
+++ b/internal/policytest/polling_test.go
@@ -20,15 +20,19 @@
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil), balancer.ActionWatchList) == nil {
+	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil),
+		balancer.ActionWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		retryTimer := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		retryTimer := findAction(b.Handle(first.Ms,
+			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
 		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
 		}
-		if more := findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer); more != nil {
+		if more := findAction(b.Handle(first.Ms,
+			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
+			balancer.ActionSetTimer); more != nil {
 			t.Fatalf("a second call was set beside the one that waits: %+v", more)
 		}
 		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
@@ -51,7 +55,9 @@
 			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
 				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-				call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+				call = findAction(b.Handle(0,
+					&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
+					balancer.ActionSetTimer)
 			}
 			calls[int(call.Ms/1000)]++
 		}
@@ -87,7 +93,8 @@
 		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed},
+				nil), balancer.ActionSetTimer)
 			most = max(most, call.Ms)
 		}
 	}
--- a/internal/policytest/ramp_test.go
+++ b/internal/policytest/ramp_test.go
@@ -95,10 +95,12 @@
 	set.Limits.HedgedRequests = false
 	set.Contract.SlowStartFrom, set.Contract.SlowStartMs, set.Contract.OverloadWindowMs = 0.14, 24000, 2000
 	set.FamilyInfo.WarmKeys = true
-	d := &fleetSimulation{t: t, random: rand.New(rand.NewPCG(seed, 5)), settings: set, now: 1e6, keyCount: 40 * servers}
+	d := &fleetSimulation{t: t, random: rand.New(rand.NewPCG(seed, 5)), settings: set, now: 1e6,
+		keyCount: 40 * servers}
 	for i := range servers {
 		d.servers = append(d.servers, &simulatedServer{requestsPerMs: 0.03, cacheSpeedup: 1.6})
-		d.endpoints = append(d.endpoints, balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
+		d.endpoints = append(d.endpoints,
+			balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8, Zone: i % 2})
 	}
 	d.requestsPerMs = load * 0.03 * float64(servers)
 	for i := range agents {
@@ -261,7 +263,8 @@
 			d.served++
 			delete(a.attempts, x.Request)
 		}
-		d.handle(a, balancer.Event{Kind: balancer.EventAttemptDone, Request: x.Request, Attempt: try, Server: x.Server, Status: status,
+		d.handle(a, balancer.Event{Kind: balancer.EventAttemptDone, Request: x.Request, Attempt: try,
+			Server: x.Server, Status: status,
 			LatencyMs: d.now - sent, RequestDone: status == balancer.StatusOK})
 	})
 }
@@ -286,7 +289,8 @@
 			key = 77
 		}
 		d.requests++
-		d.handle(a, balancer.Event{Kind: balancer.EventRequest, Request: a.lastRequest, Class: d.random.IntN(3), Key: key | 1, RemainingMs: 1000})
+		d.handle(a, balancer.Event{Kind: balancer.EventRequest, Request: a.lastRequest, Class: d.random.IntN(3),
+			Key: key | 1, RemainingMs: 1000})
 		d.scheduleArrivals()
 	})
 }
@@ -319,7 +323,8 @@
 				from++
 			}
 			// By the capacity at the window's first call: it only grows.
-			n := d.settings.Contract.OverloadMultiple * s.requestsPerMs * d.capacityFraction(s, s.receivedAt[from]) * w
+			n := d.settings.Contract.OverloadMultiple * s.requestsPerMs * d.capacityFraction(s,
+				s.receivedAt[from]) * w
 			if n >= d.settings.Contract.OverloadMultiple*s.requestsPerMs*w {
 				continue // warm
 			}
--- /dev/null
+++ b/internal/policytest/random_rules_test.go
@@ -0,0 +1,149 @@
+package policytest
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"pgregory.net/rapid"
+)
+
+// drawSettings draws a deployment's settings around testSettings, each by its key, so that
+// a broken rule shrinks to the fewest settings that break it.
+func drawSettings(t *rapid.T) balancer.Settings {
+	s := testSettings()
+	s.Limits.HedgedRequests = rapid.Bool().Draw(t, "limits.parallelTries")
+	s.Limits.AttemptCancellation = rapid.Bool().Draw(t, "limits.cancelling")
+	s.Limits.HealthChecks = rapid.Bool().Draw(t, "limits.probing")
+	s.Limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "limits.maxAttempts")
+	s.FleetSize = rapid.IntRange(1, 80).Draw(t, "replicasOfMe")
+	s.Classes[2].DedupScope = rapid.SampledFrom([]balancer.DedupScope{balancer.DedupFleet,
+		balancer.DedupZone, balancer.DedupCell}).Draw(t, "classes[2].group")
+	s.Classes[2].DedupWindowMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
+	for i := range s.Classes {
+		s.Classes[i].LatencyObjectiveMs = rapid.Float64Range(50, 450).Draw(t,
+			fmt.Sprintf("classes[%d].aimMs", i))
+		s.Classes[i].LateFraction = rapid.SampledFrom([]float64{0, 0.2}).Draw(t,
+			fmt.Sprintf("classes[%d].lateShare", i))
+	}
+	s.DiscoveryMode = rapid.SampledFrom([]string{"pushed", "on_request"}).Draw(t, "membershipMode")
+	s.Clients.MarksRetry = rapid.Bool().Draw(t, "clients.marksRetry")
+	return s
+}
+
+// mayHaveExecuted tells whether an attempt of the request may have executed.
+func (r *simulatedRequest) mayHaveExecuted() bool {
+	return slices.ContainsFunc(r.attempts, (*simulatedAttempt).mayHaveExecuted)
+}
+
+// mayHaveExecuted tells whether the attempt may have executed.
+func (a *simulatedAttempt) mayHaveExecuted() bool { return !a.ended || !a.status.NotExecuted() }
+
+// checkForward checks a new attempt of a request: its number, its time, its server, and that it cannot
+// execute a request twice that must not.
+func (s *randomScenario) checkForward(r *simulatedRequest, a *balancer.Action) {
+	s.t.Helper()
+	if r.finalAnswers > 0 || s.now > r.deadline {
+		s.t.Fatalf("request %d sent after its end", a.Request)
+	}
+	if len(r.attempts) >= r.rules.MaxAttempts {
+		s.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, r.rules.MaxAttempts)
+	}
+	since, unusable := s.unusableSince[a.Server]
+	if unusable && s.now-since > s.settings.Contract.DrainGraceMs {
+		s.t.Fatalf("sent to %v %.0f ms after it was notified of its drain", a.Server, s.now-since)
+	}
+	for _, earlier := range r.attempts {
+		if !earlier.ended && !s.settings.Limits.HedgedRequests {
+			s.t.Fatalf("request %d: two attempts in flight at once", a.Request)
+		}
+		if earlier.mayHaveExecuted() {
+			s.checkRetry(r, earlier, a)
+		}
+	}
+}
+
+// checkRetry checks an attempt after one that may have executed.
+func (s *randomScenario) checkRetry(r *simulatedRequest, earlier *simulatedAttempt, a *balancer.Action) {
+	s.t.Helper()
+	if r.rules.Idempotency == balancer.NonIdempotent {
+		s.t.Fatalf("request %d retried though it may have executed", a.Request)
+	}
+	if r.rules.Idempotency != balancer.IdempotentByKey {
+		return
+	}
+	if afterMs := s.now - earlier.startedAt; afterMs > r.rules.DedupWindowMs {
+		s.t.Fatalf("request %d retried %.0f ms after it may have executed", a.Request, afterMs)
+	}
+	from, to := s.endpoints[earlier.server], s.endpoints[a.Server]
+	if r.rules.DedupScope == balancer.DedupZone && from.Zone != to.Zone ||
+		r.rules.DedupScope == balancer.DedupCell && from.Cell != to.Cell {
+		s.t.Fatalf("request %d retried outside its deduplication scope", a.Request)
+	}
+}
+
+// checkFinalAnswer checks a rejection or a failure: it is the only final answer, in time, and a
+// rejection does not permit a retry that may execute the request twice.
+func (s *randomScenario) checkFinalAnswer(r *simulatedRequest, a *balancer.Action) {
+	s.t.Helper()
+	if r.finalAnswers > 1 {
+		s.t.Fatalf("request %d: a second final answer", a.Request)
+	}
+	if s.now > r.deadline+s.settings.Contract.ResponseSlackMs {
+		s.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, s.now-r.deadline)
+	}
+	repeatable := r.rules.Idempotency == balancer.Idempotent ||
+		r.rules.Idempotency == balancer.IdempotentByKey && r.rules.DedupScope == balancer.DedupFleet
+	if a.Kind == balancer.ActionReject && r.mayHaveExecuted() && !repeatable {
+		s.t.Fatalf("request %d of idempotency %s rejected though it may have executed",
+			a.Request, r.rules.Idempotency)
+	}
+}
+
+// checkNotLost checks that a request has its final answer in time.
+func (s *randomScenario) checkNotLost(id balancer.RequestID, r *simulatedRequest) {
+	s.t.Helper()
+	if r.finalAnswers == 0 && s.now > r.deadline+s.settings.Contract.ResponseSlackMs {
+		s.t.Fatalf("request %d of class %s lost: no answer %.0f ms after its deadline",
+			id, r.rules.Name, s.now-r.deadline)
+	}
+}
+
+// checkEnd checks that nothing is left at the end: every request has had its one final answer, every
+// attempt has ended, and the policy has nothing queued or in flight.
+func (s *randomScenario) checkEnd(seed uint64) {
+	s.t.Helper()
+	for id, r := range s.requests {
+		if r.finalAnswers != 1 {
+			s.t.Errorf("seed %d: request %d has %d final answers at the end", seed, id, r.finalAnswers)
+		}
+		for i, attempt := range r.attempts {
+			if !attempt.ended {
+				s.t.Errorf("seed %d: request %d: attempt %d at %v never ended", seed, id, i, attempt.server)
+			}
+		}
+	}
+	if stats := s.policy.Stats(); stats.Queued != 0 || stats.InFlight != 0 {
+		s.t.Errorf("seed %d: %d queued and %d in flight at the end", seed, stats.Queued, stats.InFlight)
+	}
+}
+
+// The rules hold in scenarios that rapid draws: their settings, and the seed of the rest.
+func TestRulesHoldInRandomScenarios(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		runRandomScenario(t, drawSettings(t), rapid.Uint64().Draw(t, "seed"))
+	})
+}
+
+// Two runs of one scenario give the same actions.
+func TestEqualInputsGiveEqualActions(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		settings, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
+		first := runRandomScenario(t, settings, seed)
+		if !reflect.DeepEqual(first, runRandomScenario(t, settings, seed)) {
+			t.Error("two runs of one scenario differ")
+		}
+	})
+}
--- a/internal/policytest/restart_test.go
+++ b/internal/policytest/restart_test.go
@@ -15,7 +15,8 @@
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
 	h.now = 1e9
-	entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - beforeMs}
+	entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1,
+		StartedMs: h.now - beforeMs}
 	h.updateList(balancer.ListDelta, entry)
 	h.serve(200, 2)
 	entry.StartedMs = h.now + stepMs
@@ -30,14 +31,16 @@
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
-			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; want some, and at most %d", trueShare, warm/2)
+			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; want some, and at most %d",
+				trueShare, warm/2)
 		}
 		for _, step := range clockStepsMs {
 			if step == -5000 && beforeMs > 5000 {
 				continue // the start is later, and the policy takes it as listed: internal/agent bounds its age
 			}
 			if got := forwardsAfterRestart(t, beforeMs, step); got != trueShare {
-				t.Errorf("started %v ms before, clock stepped by %v ms: a server in slow start got %d of 400 requests, want %d",
+				t.Errorf("started %v ms before, clock stepped by %v ms: "+
+					"a server in slow start got %d of 400 requests, want %d",
 					beforeMs, step, got, trueShare)
 			}
 		}
@@ -78,11 +81,13 @@
 		}
 		h := newHarness(t, testSettings(), 1)
 		h.now = 1e9
-		entry := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1, StartedMs: h.now - 1_800_000}
+		entry := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1,
+			StartedMs: h.now - 1_800_000}
 		h.updateList(balancer.ListDelta, entry)
 		id, _ := h.mustForward(0, 7)
 		for i := 1; i < 5; i++ {
-			h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
+			h.updateList(balancer.ListDelta,
+				balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
 		}
 		entry.State, entry.StartedMs = balancer.Draining, h.now+step
 		h.updateList(balancer.ListDelta, entry)
@@ -93,7 +98,8 @@
 		entry.State, entry.StartedMs = balancer.Ready, h.now+step
 		h.updateList(balancer.ListDelta, entry)
 		if got, most := h.serveAndCount(400, 2, serverAddress(0)), 400/5/2; got == 0 || got > most {
-			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, want some and at most %d", step, got, most)
+			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, want some and at most %d",
+				step, got, most)
 		}
 	}
 }
--- a/internal/policytest/resting_test.go
+++ b/internal/policytest/resting_test.go
@@ -54,7 +54,8 @@
 			}
 		}
 		id, s := h.mustForward(0, h.random.Uint64()|1)
-		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: 20, RequestDone: true}
+		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK,
+			LatencyMs: 20, RequestDone: true}
 		switch c.state {
 		case "overloaded":
 			ev.Status, ev.RequestDone = balancer.StatusOverloaded, false
--- a/internal/policytest/retry_test.go
+++ b/internal/policytest/retry_test.go
@@ -8,17 +8,20 @@
 
 // A non-idempotent request is retried only after an attempt that did not execute.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
-	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled} {
+	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset,
+		balancer.StatusCancelled} {
 		h := newHarness(t, testSettings(), 3)
 		id, s := h.mustForward(1, 5)
 		actions := h.endAttempt(id, 0, s, status, 50)
-		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil || findAction(actions, balancer.ActionFail) == nil {
+		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil ||
+			findAction(actions, balancer.ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
 	}
 	h := newHarness(t, testSettings(), 3)
 	id, s := h.mustForward(1, 5)
-	if actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50); findAction(actions, balancer.ActionForward) == nil {
+	if actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50); findAction(actions,
+		balancer.ActionForward) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
@@ -36,7 +39,8 @@
 	}
 	h.now += 496 // just inside the 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
-	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
+	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil &&
+		h.policy.Stats().Queued == 0 {
 		t.Errorf("a deduplicated repeat went out after its time: %+v", actions)
 	}
 }
@@ -74,7 +78,8 @@
 				continue
 			}
 			for attempt := 0; a != nil; attempt++ {
-				if a = findAction(h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1), balancer.ActionForward); a != nil {
+				actions := h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1)
+				if a = findAction(actions, balancer.ActionForward); a != nil {
 					retries++
 				}
 			}
--- a/internal/policytest/settings_test.go
+++ b/internal/policytest/settings_test.go
@@ -42,18 +42,22 @@
 func TestInvalidNumbersAreIgnored(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		h := newHarness(t, testSettings(), 3)
-		h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
+		h.updateList(balancer.ListFull,
+			balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
 			balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
 		id, s := h.mustForward(0, 7)
-		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK, LatencyMs: x, RequestDone: true})
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK,
+			LatencyMs: x, RequestDone: true})
 		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
-		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s, Status: balancer.StatusOK})
+		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s,
+			Status: balancer.StatusOK})
 		for range 40 { // each is sent at once
 			h.now += 10
 			id, s := h.mustForward(0, h.random.Uint64()|1)
 			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		}
-		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) || math.IsNaN(stats.Shed) || math.IsNaN(stats.OverloadedFraction) {
+		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) ||
+			math.IsNaN(stats.Shed) || math.IsNaN(stats.OverloadedFraction) {
 			t.Errorf("%v: stats %+v", x, stats)
 		}
 	}
--- a/internal/policytest/slowstart_test.go
+++ b/internal/policytest/slowstart_test.go
@@ -12,7 +12,8 @@
 // without requests.
 func TestSlowStartLimitsTheShareOfAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
-	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
+	h.updateList(balancer.ListDelta,
+		balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
 	got, all := 0, 2000
 	for range all {
 		h.now++
@@ -72,11 +73,13 @@
 		h.now += 10
 		id, actions := h.request(0, h.random.Uint64()|1)
 		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			actions = h.endAttempt(id, attempt, findAction(actions, balancer.ActionForward).Server, balancer.StatusConnectFailed, 5)
+			actions = h.endAttempt(id, attempt, findAction(actions, balancer.ActionForward).Server,
+				balancer.StatusConnectFailed, 5)
 		}
 	}
 	h.now += 10
-	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 1, StartedMs: h.now})
+	h.updateList(balancer.ListDelta,
+		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 1, StartedMs: h.now})
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
 	var first, got float64
@@ -105,7 +108,8 @@
 func TestSlowStartCreditIsEarnedByServedRequestsOnly(t *testing.T) {
 	forwards := func(status balancer.Status) int {
 		h := newHarness(t, testSettings(), 4)
-		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
+		h.updateList(balancer.ListDelta,
+			balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
 		n := 0
 		for range 200 {
 			h.now += 5
@@ -121,7 +125,8 @@
 		return n
 	}
 	if full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK); full != 0 || served == 0 {
-		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, %d where all were served", full, served)
+		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, %d where all were served",
+			full, served)
 	}
 }
 
--- a/internal/policytest/source_files_test.go
+++ b/internal/policytest/source_files_test.go
@@ -41,7 +41,8 @@
 	}
 	named := regexp.MustCompile(`[^", ]+`).FindAllString(string(list[1]), -1)
 	slices.Sort(named)
-	present := slices.DeleteFunc(policyFiles(t), func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	present := slices.DeleteFunc(policyFiles(t),
+		func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	slices.Sort(present)
 	if !slices.Equal(named, present) {
 		t.Errorf("the deploy file names %v, policy/ has %v", named, present)
--- a/internal/policytest/stats_test.go
+++ b/internal/policytest/stats_test.go
@@ -13,7 +13,8 @@
 	h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	h.mustForward(1, 0)
 	stats := h.policy.Stats()
-	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 || stats.ServerLimits != 2*2 { // two unmeasured servers of one of three agents, two attempts each
+	// two unmeasured servers of one of three agents, two attempts each
+	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 || stats.ServerLimits != 2*2 {
 		t.Errorf("%+v", stats)
 	}
 }
