--- a/internal/discovery/server/faults_test.go
+++ b/internal/discovery/server/faults_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "discovery")
-	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/discovery").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/discovery").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	c, err := processtest.New(processtest.Config{Binary: bin, Dir: dir, Names: names,
