--- a/cmd/discovery/main.go
+++ b/cmd/discovery/main.go
@@ -76,7 +76,7 @@
 
 func putCmd() *cobra.Command {
 	var admin string
-	var t endpoint.Target
+	var t endpoint.Endpoint
 	cmd := &cobra.Command{Use: "put ID", Short: "set a server's entry whole", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			t.ID = args[0]
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -203,7 +203,7 @@
 	q := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
 		endpoint.QueryAgent, url.QueryEscape(w.agent), endpoint.QueryInForce, w.inForce)
 	if w.refused > 0 {
-		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.refused, endpoint.QueryWhy, url.QueryEscape(w.why))
+		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRejected, w.refused, endpoint.QueryReason, url.QueryEscape(w.why))
 	}
 	return q
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -23,7 +23,7 @@
 // List and Target are the protocol's shapes, shared with the list service.
 type (
 	List   = endpoint.List
-	Target = endpoint.Target
+	Target = endpoint.Endpoint
 )
 
 // What discovery has to tell counts as told 6 s after it had it and could be reached, whatever
--- a/internal/discovery/server/clock_test.go
+++ b/internal/discovery/server/clock_test.go
@@ -15,7 +15,7 @@
 )
 
 // putServer sets a server's entry and returns the version of the write.
-func putServer(t *testing.T, admin string, s endpoint.Target) uint64 {
+func putServer(t *testing.T, admin string, s endpoint.Endpoint) uint64 {
 	t.Helper()
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -45,7 +45,7 @@
 	const startedMs = 1_800_000_000_000
 	for i, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
-			s := endpoint.Target{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "m", State: "up", Weight: 1, StartedMs: startedMs}
+			s := endpoint.Endpoint{ID: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "a", Kind: "m", State: "up", Weight: 1, StartedMs: startedMs}
 			version := putServer(t, admin, s)
 			for _, change := range []func(){
 				func() { s.StartedMs = startedMs + 1000 + float64(step.Milliseconds()) }, // it restarts after the step
--- a/internal/discovery/server/faults_test.go
+++ b/internal/discovery/server/faults_test.go
@@ -92,7 +92,7 @@
 // write puts one entry at an admin address, following a redirect to the leader; it gives
 // the acknowledged write's version, or 0 where it was not acknowledged.
 func write(admin, id string) uint64 {
-	body, _ := json.Marshal(endpoint.Target{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: "up", Weight: 1})
+	body, _ := json.Marshal(endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: "up", Weight: 1})
 	req, _ := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/servers/"+id, bytes.NewReader(body))
 	resp, err := writer.Do(req)
 	if err != nil {
@@ -140,7 +140,7 @@
 type watcher struct {
 	mu      sync.Mutex
 	version uint64
-	list    map[string]endpoint.Target
+	list    map[string]endpoint.Endpoint
 }
 
 func (w *watcher) run(t *testing.T, c *processtest.Cluster, first int, stop <-chan struct{}) {
@@ -177,7 +177,7 @@
 		t.Errorf("watch went back from version %d to %d", w.version, l.Version)
 	}
 	if l.Full {
-		w.list = map[string]endpoint.Target{}
+		w.list = map[string]endpoint.Endpoint{}
 	}
 	for _, s := range l.Servers {
 		if s.State == "removed" {
@@ -201,7 +201,7 @@
 	watchers := make([]*watcher, 3)
 	var wg sync.WaitGroup
 	for i := range watchers {
-		watchers[i] = &watcher{list: map[string]endpoint.Target{}}
+		watchers[i] = &watcher{list: map[string]endpoint.Endpoint{}}
 		wg.Add(1)
 		go func() { defer wg.Done(); watchers[i].run(t, c, i, stop) }()
 	}
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -119,11 +119,11 @@
 	if c.report.InForce, err = uintParam(q.Get(endpoint.QueryInForce)); err != nil {
 		return c, fmt.Errorf("%s: %w", endpoint.QueryInForce, err)
 	}
-	if c.report.Refused, err = uintParam(q.Get(endpoint.QueryRefused)); err != nil {
-		return c, fmt.Errorf("%s: %w", endpoint.QueryRefused, err)
+	if c.report.Refused, err = uintParam(q.Get(endpoint.QueryRejected)); err != nil {
+		return c, fmt.Errorf("%s: %w", endpoint.QueryRejected, err)
 	}
 	c.have = max(c.report.InForce, c.report.Refused)
-	c.agent, c.report.Why = q.Get(endpoint.QueryAgent), oneLine(q.Get(endpoint.QueryWhy), maxWhy)
+	c.agent, c.report.Why = q.Get(endpoint.QueryAgent), oneLine(q.Get(endpoint.QueryReason), maxWhy)
 	return c, checkName(c.service)
 }
 
@@ -181,7 +181,7 @@
 	if n.redirect(w, r) {
 		return
 	}
-	var t endpoint.Target
+	var t endpoint.Endpoint
 	dec := json.NewDecoder(io.LimitReader(r.Body, maxBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&t); err != nil {
@@ -200,7 +200,7 @@
 
 func (n *Node) serveRemove(w http.ResponseWriter, r *http.Request) {
 	if !n.redirect(w, r) {
-		n.apply(w, command{Op: "remove", Server: endpoint.Target{ID: r.PathValue("id")}})
+		n.apply(w, command{Op: "remove", Server: endpoint.Endpoint{ID: r.PathValue("id")}})
 	}
 }
 
@@ -274,7 +274,7 @@
 }
 
 // check names what makes an entry unfit for the list.
-func check(t endpoint.Target, id string) error {
+func check(t endpoint.Endpoint, id string) error {
 	switch {
 	case t.ID != id:
 		return fmt.Errorf("id %q in the body is not %q of the path", t.ID, id)
--- a/internal/discovery/server/list.go
+++ b/internal/discovery/server/list.go
@@ -20,11 +20,11 @@
 // whole, Op "remove" takes it out (a change that says "removed"), Op "settings" sets the
 // whole settings of a service.
 type command struct {
-	Op      string          `json:"op"`
-	Server  endpoint.Target `json:"server"`
-	Service string          `json:"service,omitempty"`
-	Text    string          `json:"text,omitempty"`  // of the settings, byte for byte as it came
-	AtMs    int64           `json:"at_ms,omitempty"` // Unix time in ms at the leader that took it
+	Op      string            `json:"op"`
+	Server  endpoint.Endpoint `json:"server"`
+	Service string            `json:"service,omitempty"`
+	Text    string            `json:"text,omitempty"`  // of the settings, byte for byte as it came
+	AtMs    int64             `json:"at_ms,omitempty"` // Unix time in ms at the leader that took it
 	// IfVersion is the version of the settings that the write replaces (0: none yet); nil:
 	// whichever is there.
 	IfVersion *uint64 `json:"if_version,omitempty"`
@@ -32,8 +32,8 @@
 
 // change is one entry as a write left it, with the Raft index of that write.
 type change struct {
-	Index  uint64          `json:"index"`
-	Server endpoint.Target `json:"server"`
+	Index  uint64            `json:"index"`
+	Server endpoint.Endpoint `json:"server"`
 }
 
 // list is the replicated state machine (raft.FSM): the servers by id and the last
@@ -42,7 +42,7 @@
 // the same index and leave version alone, so a watch of servers does not see them.
 type list struct {
 	mu      sync.RWMutex
-	servers map[string]endpoint.Target
+	servers map[string]endpoint.Endpoint
 	setAt   map[string]uint64 // the index of each server's last change
 	changes []change
 	version uint64
@@ -59,7 +59,7 @@
 }
 
 func newList(keep int) *list {
-	l := &list{servers: map[string]endpoint.Target{}, setAt: map[string]uint64{}, keep: keep, wake: make(chan struct{}),
+	l := &list{servers: map[string]endpoint.Endpoint{}, setAt: map[string]uint64{}, keep: keep, wake: make(chan struct{}),
 		answers: map[answerKey][]byte{}, settings: map[string][]SettingsVersion{}}
 	for i := range l.settingsWakes {
 		l.settingsWakes[i] = make(chan struct{})
@@ -190,7 +190,7 @@
 	if full {
 		return endpoint.List{Version: l.version, Full: true, Servers: l.all()}
 	}
-	out := endpoint.List{Version: max(l.version, version), Servers: []endpoint.Target{}}
+	out := endpoint.List{Version: max(l.version, version), Servers: []endpoint.Endpoint{}}
 	first, _ := slices.BinarySearchFunc(l.changes, version+1, func(c change, v uint64) int { return cmp.Compare(c.Index, v) })
 	last := map[string]int{}
 	for _, c := range l.changes[first:] {
@@ -206,8 +206,8 @@
 }
 
 // all is every listed server by id; the caller holds mu.
-func (l *list) all() []endpoint.Target {
-	out := make([]endpoint.Target, 0, len(l.servers))
+func (l *list) all() []endpoint.Endpoint {
+	out := make([]endpoint.Endpoint, 0, len(l.servers))
 	for _, s := range l.servers {
 		out = append(out, s)
 	}
@@ -215,7 +215,7 @@
 	return out
 }
 
-func byID(a, b endpoint.Target) int { return strings.Compare(a.ID, b.ID) }
+func byID(a, b endpoint.Endpoint) int { return strings.Compare(a.ID, b.ID) }
 
 // current is the version of the last change of a server applied here.
 func (l *list) current() uint64 {
@@ -233,11 +233,11 @@
 
 // image is what a snapshot holds.
 type image struct {
-	Version uint64            `json:"version"`
-	Floor   uint64            `json:"floor"`
-	Servers []endpoint.Target `json:"servers"`
-	Changes []change          `json:"changes"`
-	SetAt   map[string]uint64 `json:"set_at"`
+	Version uint64              `json:"version"`
+	Floor   uint64              `json:"floor"`
+	Servers []endpoint.Endpoint `json:"servers"`
+	Changes []change            `json:"changes"`
+	SetAt   map[string]uint64   `json:"set_at"`
 	// Settings are not there in the snapshots of a program that did not keep any.
 	Settings map[string][]SettingsVersion `json:"settings,omitempty"`
 }
@@ -260,7 +260,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.servers = map[string]endpoint.Target{}
+	l.servers = map[string]endpoint.Endpoint{}
 	for _, s := range im.Servers {
 		l.servers[s.ID] = s
 	}
--- a/internal/discovery/server/settings_test.go
+++ b/internal/discovery/server/settings_test.go
@@ -60,7 +60,7 @@
 				l = restored(t, l)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "server") == 0 {
-				data, _ := json.Marshal(command{Op: "put", Server: endpoint.Target{ID: "s", Weight: float64(index)}})
+				data, _ := json.Marshal(command{Op: "put", Server: endpoint.Endpoint{ID: "s", Weight: float64(index)}})
 				servers = l.Apply(&raft.Log{Index: index, Data: data}).(uint64)
 				continue
 			}
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	reads, admin := startNode(t, dir)
-	wantList := endpoint.List{Version: 11, Full: true, Servers: []endpoint.Target{
+	wantList := endpoint.List{Version: 11, Full: true, Servers: []endpoint.Endpoint{
 		{ID: "pod-a", Addr: "10.0.0.1:8080", Zone: "z1", Region: "r1", Kind: "small", Cell: 1, State: "up", Weight: 1,
 			StartedMs: 1764600000000},
 		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining", Weight: 2.5},
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -19,7 +19,7 @@
 // address of its own, in front of one machine.
 type backend struct {
 	w     *World
-	entry endpoint.Target // as listed, but for the address
+	entry endpoint.Endpoint // as listed, but for the address
 	zone  int
 	addrs []string // by the agents' zone
 	gates []*gate
@@ -44,7 +44,7 @@
 // maxBody bounds what is read of a body, in bytes.
 const maxBody = 1 << 20
 
-func newBackend(w *World, entry endpoint.Target, zone int, m Model, started time.Duration, addrs []string, seed uint64) (*backend, error) {
+func newBackend(w *World, entry endpoint.Endpoint, zone int, m Model, started time.Duration, addrs []string, seed uint64) (*backend, error) {
 	b := &backend{w: w, entry: entry, zone: zone, addrs: addrs}
 	for from, addr := range addrs {
 		g, err := newGate(addr)
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -42,7 +42,7 @@
 }
 
 type listed struct {
-	endpoint.Target
+	endpoint.Endpoint
 	version uint64
 	told    time.Duration
 }
@@ -50,7 +50,7 @@
 type pending struct {
 	at      time.Duration
 	version uint64
-	entry   endpoint.Target
+	entry   endpoint.Endpoint
 }
 
 func newList(w *World) *list {
@@ -144,10 +144,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full = full || index > v.version
-	out := endpoint.List{Version: v.version, Full: full, Servers: []endpoint.Target{}}
+	out := endpoint.List{Version: v.version, Full: full, Servers: []endpoint.Endpoint{}}
 	for _, id := range v.ids {
 		if s := v.servers[id]; full && s.State != "removed" || !full && s.version > index {
-			out.Servers = append(out.Servers, s.Target)
+			out.Servers = append(out.Servers, s.Endpoint)
 		}
 	}
 	return out, v.wake
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -183,7 +183,7 @@
 	for z := range w.cfg.Zones {
 		addrs = append(addrs, fmt.Sprintf("127.%d.%d.%d:8000", w.net+1, 12*z+i/250%12, i%250+1))
 	}
-	entry := endpoint.Target{ID: fmt.Sprintf("s-%04x", (i*2654435761)&0xffff), Zone: w.cfg.Zones[zone], Kind: m.Kind,
+	entry := endpoint.Endpoint{ID: fmt.Sprintf("s-%04x", (i*2654435761)&0xffff), Zone: w.cfg.Zones[zone], Kind: m.Kind,
 		Cell: i % w.cfg.Nodes / w.cfg.CellSize, State: "up", Weight: 1}
 	if started >= 0 {
 		entry.StartedMs = float64(w.start.Add(started).UnixMilli())
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -89,7 +89,7 @@
 
 	mu       sync.Mutex
 	members  []*member
-	servers  []endpoint.Target
+	servers  []endpoint.Endpoint
 	settings uint64 // how many times settings were written
 }
 
@@ -141,7 +141,7 @@
 func (f *running) fill(ctx context.Context) error {
 	for i := range f.listed {
 		zone := i % len(zoneNames)
-		f.servers = append(f.servers, endpoint.Target{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
+		f.servers = append(f.servers, endpoint.Endpoint{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
 			Zone: zoneNames[zone], Region: zoneNames[zone][:2], Kind: experiment.Site().Models[i%2].Kind, Cell: i / 6, State: "up", Weight: 1})
 	}
 	var group errgroup.Group
@@ -216,7 +216,7 @@
 	s := deployment()
 	c := map[string]any{"name": m.name, "listen": m.at(clientPort), "management": m.at(operatorPort),
 		"discovery": f.lists.Addr(f.instance(m), "http"), "seed": strconv.FormatUint(f.plan.Seed*100_000+uint64(m.index), 16), "limits": s.Limits(),
-		"known": endpoint.List{Full: true, Servers: []endpoint.Target{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
+		"known": endpoint.List{Full: true, Servers: []endpoint.Endpoint{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
 	if m.service != "" {
 		c["control"] = agent.Control{Service: m.service, Addresses: f.addresses()}
 	}
--- a/internal/scaletest/host_test.go
+++ b/internal/scaletest/host_test.go
@@ -64,9 +64,9 @@
 		l.from[from] = true
 		version, wake := l.version, l.wake
 		l.mu.Unlock()
-		answer := endpoint.List{Version: version, Servers: []endpoint.Target{}}
+		answer := endpoint.List{Version: version, Servers: []endpoint.Endpoint{}}
 		for v := index + 1; v <= version; v++ {
-			answer.Servers = append(answer.Servers, endpoint.Target{ID: fmt.Sprintf("s-%d", v), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1})
+			answer.Servers = append(answer.Servers, endpoint.Endpoint{ID: fmt.Sprintf("s-%d", v), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1})
 		}
 		answer.Full = index == 0
 		if version > index {
--- a/internal/scaletest/lists.go
+++ b/internal/scaletest/lists.go
@@ -122,7 +122,7 @@
 var errRefused = errors.New("refused")
 
 // put sets a server's entry; it gives the change's version.
-func (l *lists) put(ctx context.Context, t endpoint.Target) (version uint64, err error) {
+func (l *lists) put(ctx context.Context, t endpoint.Endpoint) (version uint64, err error) {
 	return l.persist(ctx, "/v1/servers/"+t.ID, t)
 }
 
