--- a/cmd/discovery/main.go
+++ b/cmd/discovery/main.go
@@ -122,7 +122,7 @@
 }
 
 // callWithin bounds an admin call: longer than a write may wait for its commit.
-const callWithin = 10 * time.Second
+const callTimeout = 10 * time.Second
 
 // call makes one admin call, following a redirect to the leader, and prints the answer.
 func call(method, admin, path string, body []byte) error {
@@ -140,18 +140,18 @@
 		return nil, err
 	}
 	maps.Copy(req.Header, header)
-	resp, err := (&http.Client{Timeout: callWithin}).Do(req)
+	resp, err := (&http.Client{Timeout: callTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(method, path, resp, text)
+		return nil, statusError(method, path, resp, text)
 	}
 	return text, nil
 }
 
-func refusal(method, path string, resp *http.Response, text []byte) error {
+func statusError(method, path string, resp *http.Response, text []byte) error {
 	return fmt.Errorf("%s %s: %s: %s", method, path, resp.Status, bytes.TrimSpace(text))
 }
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -20,7 +20,7 @@
 
 const (
 	// heardWithin bounds how long status waits for what another instance has heard.
-	heardWithin = time.Second
+	peerTimeout = time.Second
 	// silentAfter is how long an agent has been silent when status says so: agents call about
 	// once a second, and go on to another instance within a few.
 	silentAfter = 10 * time.Second
@@ -81,7 +81,7 @@
 			if err := fetchJSON(admin, path, &s); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", s.Version, written(s))
+			fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", s.Version, writtenAt(s))
 			_, err := io.WriteString(cmd.OutOrStdout(), s.Text)
 			return err
 		}}
@@ -101,7 +101,7 @@
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(out, "VERSION\tWRITTEN\tBYTES")
 			for _, s := range kept {
-				fmt.Fprintf(out, "%d\t%s\t%d\n", s.Version, written(s), s.Bytes)
+				fmt.Fprintf(out, "%d\t%s\t%d\n", s.Version, writtenAt(s), s.Bytes)
 			}
 			return out.Flush()
 		}}
@@ -109,15 +109,15 @@
 	return cmd
 }
 
-func written(s server.SettingsVersion) string {
-	return time.UnixMilli(s.AtMs).UTC().Format("2006-01-02T15:04:05.000Z")
+func writtenAt(s server.SettingsVersion) string {
+	return time.UnixMilli(s.WrittenAtMs).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
 func settingsStatusCmd() *cobra.Command {
 	var admin string
 	cmd := &cobra.Command{Use: "status SERVICE", Short: "which agents have which version in force; exit 1 while one lacks the newest",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			g, err := gather(admin, args[0])
+			g, err := collectStatus(admin, args[0])
 			if err != nil {
 				return err
 			}
@@ -128,19 +128,19 @@
 }
 
 // gathered is what all instances that were reached have heard of a service's agents.
-type gathered struct {
-	version uint64 // of the newest settings that one of them has
-	agents  map[string]server.HeardAgent
-	reached int
-	missed  map[string]error // by instance, with its address
+type settingsStatus struct {
+	version     uint64 // of the newest settings that one of them has
+	agents      map[string]server.AgentReport
+	reached     int
+	unreachable map[string]error // by instance, with its address
 }
 
 // gather asks the instance at admin and, at once and for heardWithin each, its peers. Of an
 // agent that several heard the last word counts.
-func gather(admin, service string) (*gathered, error) {
-	g := &gathered{agents: map[string]server.HeardAgent{}, missed: map[string]error{}}
+func collectStatus(admin, service string) (*settingsStatus, error) {
+	g := &settingsStatus{agents: map[string]server.AgentReport{}, unreachable: map[string]error{}}
 	path := settingsPath(service) + "/heard"
-	var first server.Heard
+	var first server.AgentReports
 	if err := fetchJSON(admin, path, &first); err != nil {
 		return nil, err
 	}
@@ -151,12 +151,12 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			var h server.Heard
-			err := getJSON(&http.Client{Timeout: heardWithin}, peer, path, &h)
+			var h server.AgentReports
+			err := getJSON(&http.Client{Timeout: peerTimeout}, peer, path, &h)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				g.missed[id+" at "+peer] = err
+				g.unreachable[id+" at "+peer] = err
 			} else {
 				g.add(h)
 			}
@@ -169,7 +169,7 @@
 	return g, nil
 }
 
-func (g *gathered) add(h server.Heard) {
+func (g *settingsStatus) add(h server.AgentReports) {
 	g.reached++
 	g.version = max(g.version, h.Version)
 	for _, a := range h.Agents {
@@ -180,66 +180,66 @@
 }
 
 // print tells it to people. The error says how many lack the newest version, if any do.
-func (g *gathered) print(w io.Writer, service string) error {
+func (g *settingsStatus) print(w io.Writer, service string) error {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "settings of %s: newest version %d; %d agents heard by %d of %d instances\n", service, g.version,
-		len(g.agents), g.reached, g.reached+len(g.missed))
-	for _, id := range slices.Sorted(maps.Keys(g.missed)) {
-		fmt.Fprintf(out, "not reached: %s: %v\n", id, g.missed[id])
+		len(g.agents), g.reached, g.reached+len(g.unreachable))
+	for _, id := range slices.Sorted(maps.Keys(g.unreachable)) {
+		fmt.Fprintf(out, "not reached: %s: %v\n", id, g.unreachable[id])
 	}
 	count := map[uint64]int{}
-	var lacking, silent []server.HeardAgent
+	var lacking, silent []server.AgentReport
 	for _, name := range slices.Sorted(maps.Keys(g.agents)) {
 		a := g.agents[name]
 		count[a.InForce]++
 		if a.InForce < g.version {
 			lacking = append(lacking, a)
 		}
-		if quiet(a) >= silentAfter {
+		if silence(a) >= silentAfter {
 			silent = append(silent, a)
 		}
 	}
 	fmt.Fprintln(out, "\nIN FORCE\tAGENTS")
 	for _, v := range slices.Backward(slices.Sorted(maps.Keys(count))) {
-		fmt.Fprintf(out, "%s\t%d\n", inForce(v), count[v])
+		fmt.Fprintf(out, "%s\t%d\n", versionName(v), count[v])
 	}
-	table(out, fmt.Sprint("LACKS ", g.version), lacking)
-	table(out, fmt.Sprintf("SILENT OVER %v", silentAfter), silent)
+	printAgents(out, fmt.Sprint("LACKS ", g.version), lacking)
+	printAgents(out, fmt.Sprintf("SILENT OVER %v", silentAfter), silent)
 	if err := out.Flush(); err != nil || len(lacking) == 0 {
 		return err
 	}
 	return fmt.Errorf("%d of %d agents lack version %d", len(lacking), len(g.agents), g.version)
 }
 
-func table(out io.Writer, title string, agents []server.HeardAgent) {
+func printAgents(out io.Writer, title string, agents []server.AgentReport) {
 	if len(agents) == 0 {
 		return
 	}
 	fmt.Fprintf(out, "\n%s\tIN FORCE\tSILENT FOR\tREFUSED\tWHY\n", title)
 	for _, a := range agents {
 		refused := "-"
-		if a.Refused > a.InForce {
-			refused = fmt.Sprint(a.Refused)
+		if a.Rejected > a.InForce {
+			refused = fmt.Sprint(a.Rejected)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%v\t%s\t%s\n", a.Agent, inForce(a.InForce), quiet(a), refused, a.Why)
+		fmt.Fprintf(out, "%s\t%s\t%v\t%s\t%s\n", a.Agent, versionName(a.InForce), silence(a), refused, a.Reason)
 	}
 }
 
 // inForce names a version; agents that have none of the service's yet run by their file's.
-func inForce(version uint64) string {
+func versionName(version uint64) string {
 	if version == 0 {
 		return "its file's"
 	}
 	return fmt.Sprint(version)
 }
 
-func quiet(a server.HeardAgent) time.Duration {
+func silence(a server.AgentReport) time.Duration {
 	return (time.Duration(a.SilentMs) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
 // fetchJSON reads an admin door's answer into out.
 func fetchJSON(admin, path string, out any) error {
-	return getJSON(&http.Client{Timeout: callWithin}, admin, path, out)
+	return getJSON(&http.Client{Timeout: callTimeout}, admin, path, out)
 }
 
 func getJSON(client *http.Client, admin, path string, out any) error {
@@ -250,7 +250,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-		return refusal(http.MethodGet, path, resp, text)
+		return statusError(http.MethodGet, path, resp, text)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
 		return fmt.Errorf("%s%s: %w", admin, path, err)
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -49,18 +49,18 @@
 				r := newStartsRig(t, 0)
 				first := trueMs - 1_800_000
 				r.want(r.tell(first, listing{}), 30*time.Minute)
-				r.clock.Pass(time.Minute)
+				r.clock.Advance(time.Minute)
 				r.want(r.tell(first, listing{after: r.asOf}), 31*time.Minute)
 				r.clock.Step(step)
 				r.want(r.tell(first, listing{after: r.asOf}), 31*time.Minute)
-				r.clock.Pass(time.Minute)
+				r.clock.Advance(time.Minute)
 				second := trueMs + 120_000 - 500 + float64(listStep.Milliseconds())
 				got := r.tell(second, listing{after: r.asOf})
 				if got < 0 || got > 500*time.Millisecond {
 					t.Errorf("a backend that started 0.5 s ago is taken for %v old", got)
 				}
 				r.clock.Step(-step)
-				r.clock.Pass(time.Second)
+				r.clock.Advance(time.Second)
 				r.want(r.tell(second, listing{after: r.asOf}), got+time.Second)
 			})
 		}
@@ -76,7 +76,7 @@
 			r.want(r.tell(trueMs-500, listing{}), 0)
 		}
 		r.asOf = r.clock.Monotonic()
-		r.clock.Pass(time.Second)
+		r.clock.Advance(time.Second)
 		r.want(r.tell(trueMs+900, listing{after: r.asOf}), 0)
 	}
 }
@@ -86,7 +86,7 @@
 	for _, late := range []time.Duration{0, 3 * time.Second, time.Minute} {
 		r := newStartsRig(t, 0)
 		r.tell(0, listing{})
-		r.clock.Pass(late) // discovery is silent meanwhile
+		r.clock.Advance(late) // discovery is silent meanwhile
 		startedMs := trueMs + 17
 		want := max(late-17*time.Millisecond, 0)
 		r.want(r.tell(startedMs, listing{after: r.asOf}), want)
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -42,7 +42,7 @@
 func NewManual(wall time.Time) *Manual { return &Manual{wall: wall, elapsed: time.Second} }
 
 // Pass lets time pass on both clocks.
-func (m *Manual) Pass(by time.Duration) { m.wall, m.elapsed = m.wall.Add(by), m.elapsed+by }
+func (m *Manual) Advance(by time.Duration) { m.wall, m.elapsed = m.wall.Add(by), m.elapsed+by }
 
 // Step moves the wall clock alone.
 func (m *Manual) Step(by time.Duration) { m.wall = m.wall.Add(by) }
--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -87,7 +87,7 @@
 			case i%2 == 0 && r.InForce != w.Version:
 				return false
 			case i%2 == 0:
-			case r.Refused != w.Version || r.InForce != 0 || !strings.Contains(r.Why, "contract.coldMs: missing"):
+			case r.Rejected != w.Version || r.InForce != 0 || !strings.Contains(r.Reason, "contract.coldMs: missing"):
 				return false
 			default:
 				refused++
@@ -104,7 +104,7 @@
 
 // heardAt is what was last heard of an agent, and where.
 type heardAt struct {
-	server.HeardAgent
+	server.AgentReport
 	instance string
 }
 
@@ -112,7 +112,7 @@
 func (l *Lab) heard() map[string]heardAt {
 	out := map[string]heardAt{}
 	for _, instance := range l.Instances {
-		var h server.Heard
+		var h server.AgentReports
 		if err := l.ask(instance, "GET", "/v1/settings/"+service+"/heard", "", &h); err != nil {
 			continue
 		}
--- a/internal/discovery/server/heard.go
+++ b/internal/discovery/server/agent_reports.go
@@ -12,90 +12,90 @@
 
 const (
 	// maxWhy bounds an agent's reason for a refusal, in bytes.
-	maxWhy = 200
+	maxReasonBytes = 200
 	// maxHeard bounds the agents that an instance remembers: beyond it the one that has been
 	// silent for longest is forgotten.
-	maxHeard = 8192
+	maxReports = 8192
 	// heardFor is how long an agent is remembered after its last call: longer than regions
 	// lose each other for, so that who came without the newest settings is still named.
-	heardFor = 2 * time.Hour
+	reportRetention = 2 * time.Hour
 )
 
 // AgentReport is what a call of a watch tells of its agent: the versions of its service's
 // settings that it has in force (0: those of its file) and that it last refused, if that is
 // newer, and why (one line, 200 bytes at most).
-type AgentReport struct {
-	InForce uint64 `json:"in_force"`
-	Refused uint64 `json:"refused,omitempty"`
-	Why     string `json:"why,omitempty"`
+type SettingsReport struct {
+	InForce  uint64 `json:"in_force"`
+	Rejected uint64 `json:"refused,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
 // HeardAgent is what an instance last heard of an agent.
-type HeardAgent struct {
+type AgentReport struct {
 	Agent    string `json:"agent"`
 	SilentMs int64  `json:"silent_ms"` // since its last call came to this instance
-	AgentReport
+	SettingsReport
 }
 
 // Heard is what one instance has heard of a service's agents in the last two hours.
-type Heard struct {
+type AgentReports struct {
 	ID      string            `json:"id"`      // the instance
 	Service string            `json:"service"` // of the agents
 	Version uint64            `json:"version"` // of the newest settings applied here; 0: none are kept
-	Agents  []HeardAgent      `json:"agents"`  // by name
+	Agents  []AgentReport     `json:"agents"`  // by name
 	Peers   map[string]string `json:"peers"`   // the other instances' admin addresses by id
 }
 
 // heard remembers agents by name, in memory only: an instance that starts has heard nobody.
-type heard struct {
+type reportRegistry struct {
 	mu     sync.Mutex
-	agents map[string]heardFrom
+	agents map[string]receivedReport
 }
 
-type heardFrom struct {
+type receivedReport struct {
 	service string
-	AgentReport
-	at time.Time
+	SettingsReport
+	receivedAt time.Time
 }
 
-func newHeard() *heard { return &heard{agents: map[string]heardFrom{}} }
+func newReportRegistry() *reportRegistry { return &reportRegistry{agents: map[string]receivedReport{}} }
 
 // note remembers a call of an agent.
-func (h *heard) note(service, agent string, report AgentReport, now time.Time) {
-	agent = oneLine(agent, maxName)
+func (h *reportRegistry) record(service, agent string, report SettingsReport, now time.Time) {
+	agent = oneLine(agent, maxNameBytes)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, known := h.agents[agent]; !known && len(h.agents) >= maxHeard {
-		h.forget(now)
+	if _, known := h.agents[agent]; !known && len(h.agents) >= maxReports {
+		h.evict(now)
 	}
-	h.agents[agent] = heardFrom{service: service, AgentReport: report, at: now}
+	h.agents[agent] = receivedReport{service: service, SettingsReport: report, receivedAt: now}
 }
 
 // forget drops who has been silent for too long, or else who has been so for longest. The
 // caller holds mu.
-func (h *heard) forget(now time.Time) {
+func (h *reportRegistry) evict(now time.Time) {
 	oldest, at := "", now
 	for agent, from := range h.agents {
-		if now.Sub(from.at) > heardFor {
+		if now.Sub(from.receivedAt) > reportRetention {
 			delete(h.agents, agent)
-		} else if !from.at.After(at) {
-			oldest, at = agent, from.at
+		} else if !from.receivedAt.After(at) {
+			oldest, at = agent, from.receivedAt
 		}
 	}
-	if len(h.agents) >= maxHeard {
+	if len(h.agents) >= maxReports {
 		delete(h.agents, oldest)
 	}
 }
 
 // of is what was heard of a service's agents, by name.
-func (h *heard) of(service string, now time.Time) []HeardAgent {
+func (h *reportRegistry) ofService(service string, now time.Time) []AgentReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := []HeardAgent{}
+	out := []AgentReport{}
 	for _, agent := range slices.Sorted(maps.Keys(h.agents)) {
 		from := h.agents[agent]
-		if silent := now.Sub(from.at); from.service == service && silent <= heardFor {
-			out = append(out, HeardAgent{Agent: agent, SilentMs: silent.Milliseconds(), AgentReport: from.AgentReport})
+		if silent := now.Sub(from.receivedAt); from.service == service && silent <= reportRetention {
+			out = append(out, AgentReport{Agent: agent, SilentMs: silent.Milliseconds(), SettingsReport: from.SettingsReport})
 		}
 	}
 	return out
--- a/internal/discovery/server/recover.go
+++ b/internal/discovery/server/catch_up.go
@@ -13,14 +13,14 @@
 const (
 	// catchUpWithin is how long after an outage of the store an instance may take to apply what
 	// the leader had committed, before it asks again.
-	catchUpWithin = 10 * time.Second
+	catchUpTimeout = 10 * time.Second
 	// catchUpPause is the time between two looks at what is applied.
-	catchUpPause = 50 * time.Millisecond
+	catchUpInterval = 50 * time.Millisecond
 )
 
 // refuseWithoutStore answers a write with 503 while the store is unavailable, and tells whether
 // it did.
-func (n *Node) refuseWithoutStore(w http.ResponseWriter) bool {
+func (n *Node) rejectWithoutStore(w http.ResponseWriter) bool {
 	err := n.store.available()
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
@@ -38,14 +38,14 @@
 			n.store.health.caughtUp(outages)
 			return
 		}
-		time.Sleep(catchUpPause)
+		time.Sleep(catchUpInterval)
 	}
 }
 
 // awaitCaughtUp gives an instance that works but has not caught up a moment to do so, as at a start;
 // it tells whether it has.
 func (n *Node) awaitCaughtUp() bool {
-	for end := time.Now().Add(consistentWithin); n.store.available() == nil && !n.isClosed(); time.Sleep(catchUpPause / 10) {
+	for end := time.Now().Add(readIndexTimeout); n.store.available() == nil && !n.isClosed(); time.Sleep(catchUpInterval / 10) {
 		if n.store.health.behindSince(time.Now(), n.store.outageLimit).IsZero() {
 			return true
 		}
@@ -69,16 +69,16 @@
 // as much soon after. Each question adds an entry to the log.
 func (n *Node) appliedAllCommitted() bool {
 	if n.raft.State() == raft.Leader {
-		return n.raft.Barrier(consistentWithin).Error() == nil
+		return n.raft.Barrier(readIndexTimeout).Error() == nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), consistentWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), readIndexTimeout)
 	defer cancel()
-	leader, err := n.askLeader(ctx)
+	leader, err := n.leaderStatus(ctx)
 	if err != nil {
 		return false
 	}
-	for end := time.Now().Add(catchUpWithin); time.Now().Before(end) && !n.isClosed(); time.Sleep(catchUpPause) {
-		if n.raft.AppliedIndex() >= leader.Applied && n.list.current() >= leader.Version {
+	for end := time.Now().Add(catchUpTimeout); time.Now().Before(end) && !n.isClosed(); time.Sleep(catchUpInterval) {
+		if n.raft.AppliedIndex() >= leader.Applied && n.state.currentVersion() >= leader.Version {
 			return true
 		}
 	}
@@ -86,7 +86,7 @@
 }
 
 // metaBytes covers the two meta pages at the head of a bbolt file (one page each).
-func metaBytes() int { return 2 * os.Getpagesize() }
+func metaPagesSize() int { return 2 * os.Getpagesize() }
 
 // rewriteMeta writes the two meta pages of a bbolt file again as they are, and syncs them. After a
 // sync that failed Linux may drop what was to be written and count it as clean, so that a later
@@ -95,13 +95,13 @@
 // again and are written anew; if the second did, the meta page is in the page cache, bbolt goes
 // on from it and may overwrite what the older one on disk refers to. So it has to be on disk
 // before the next commit begins.
-func rewriteMeta(path string) error {
+func rewriteMetaPages(path string) error {
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	pages := make([]byte, metaBytes())
+	pages := make([]byte, metaPagesSize())
 	if _, err := file.ReadAt(pages, 0); err != nil {
 		return err
 	}
--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -102,7 +102,7 @@
 	}
 	for key, addr := range map[string]string{"raft_addr": c.RaftAddr, "http_addr": c.HTTPAddr,
 		"admin_addr": c.AdminAddr} {
-		if err := checkAddr(addr); err != nil {
+		if err := validateAddress(addr); err != nil {
 			return fmt.Errorf("key %s: %w", key, err)
 		}
 	}
@@ -112,17 +112,17 @@
 			return fmt.Errorf("key peers[%d].id: missing or named twice", i)
 		}
 		seen[p.ID] = true
-		if err := checkAddr(p.Raft); err != nil {
+		if err := validateAddress(p.Raft); err != nil {
 			return fmt.Errorf("key peers[%d].raft: %w", i, err)
 		}
-		if err := checkAddr(p.Admin); err != nil {
+		if err := validateAddress(p.Admin); err != nil {
 			return fmt.Errorf("key peers[%d].admin: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func checkAddr(addr string) error {
+func validateAddress(addr string) error {
 	if strings.HasPrefix(addr, "fd:") {
 		return nil
 	}
--- a/internal/discovery/server/disklab_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -23,19 +23,19 @@
 const (
 	// instanceConfig and instanceFault are the environment variables by which this test binary
 	// runs as an instance: its configuration, and the control file of its store's faults.
-	instanceConfig = "LISTSVC_TEST_CONFIG"
-	instanceFault  = "LISTSVC_TEST_FAULT"
+	configVariable = "LISTSVC_TEST_CONFIG"
+	faultVariable  = "LISTSVC_TEST_FAULT"
 	// longRuns asks for the cases in full length.
-	longRuns = "LISTSVC_LONG"
+	longTestsVariable = "LISTSVC_LONG"
 	// settled bounds the time in which instances are the same again after a fault.
-	settled = 60 * time.Second
+	convergenceTimeout = 60 * time.Second
 	// logShown is how much of an instance's log a failed test shows.
-	logShown = 6000
+	maxLogShown = 6000
 )
 
 // TestMain runs the tests, or one instance where the environment asks for it.
 func TestMain(m *testing.M) {
-	if path := os.Getenv(instanceConfig); path != "" {
+	if path := os.Getenv(configVariable); path != "" {
 		if err := runInstance(path); err != nil {
 			fmt.Fprintln(os.Stderr, "instance:", err)
 			os.Exit(1)
@@ -52,7 +52,7 @@
 		return err
 	}
 	config.WrapStore = func(store server.Store) server.Store {
-		return &server.FaultyStore{Store: store, Control: os.Getenv(instanceFault)}
+		return &server.FaultyStore{Store: store, Control: os.Getenv(faultVariable)}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	node, err := server.Start(config, log)
@@ -72,28 +72,28 @@
 
 // diskLab is a cluster of instances of this test binary, clients that write and read all the
 // while, and their history.
-type diskLab struct {
+type faultCluster struct {
 	*processtest.Cluster
-	t       *testing.T
-	dir     string
-	history *history
-	stop    chan struct{}
-	once    sync.Once // closes stop
-	clients sync.WaitGroup
+	t        *testing.T
+	dir      string
+	history  *history
+	stop     chan struct{}
+	stopOnce sync.Once // closes stop
+	clients  sync.WaitGroup
 }
 
 // startDiskLab starts the instances and waits for a leader; program nil: this test binary.
-func startDiskLab(t *testing.T, instances []string, extra string) *diskLab {
+func startFaultCluster(t *testing.T, instances []string, extra string) *faultCluster {
 	t.Helper()
 	binary, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	lab := &diskLab{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
+	lab := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
 	lab.Cluster, err = processtest.New(processtest.Config{Binary: binary, Dir: lab.dir, Names: instances,
 		Ports: []string{"raft", "http", "admin"},
 		Env: func(name string) []string {
-			return []string{instanceConfig + "=" + lab.path(name, "toml"), instanceFault + "=" + lab.path(name, "fault")}
+			return []string{configVariable + "=" + lab.path(name, "toml"), faultVariable + "=" + lab.path(name, "fault")}
 		}})
 	if err != nil {
 		t.Fatal(err)
@@ -110,13 +110,15 @@
 	return lab
 }
 
-func (lab *diskLab) path(name, extension string) string {
+func (lab *faultCluster) path(name, extension string) string {
 	return filepath.Join(lab.dir, name+"."+extension)
 }
 
-func (lab *diskLab) storePath(name string) string { return filepath.Join(lab.dir, name, "raft.db") }
+func (lab *faultCluster) storePath(name string) string {
+	return filepath.Join(lab.dir, name, "raft.db")
+}
 
-func (lab *diskLab) writeConfig(name, extra string) {
+func (lab *faultCluster) writeConfig(name, extra string) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n"+
 		"bootstrap = %v\nmax_stale = \"1s\"\n%s\n", name, filepath.Join(lab.dir, name), name == lab.Names()[0], extra)
@@ -130,23 +132,23 @@
 	}
 }
 
-func (lab *diskLab) await(what string, condition func() bool) {
+func (lab *faultCluster) await(what string, condition func() bool) {
 	lab.t.Helper()
-	if err := processtest.Await(settled, what, condition); err != nil {
+	if err := processtest.Await(convergenceTimeout, what, condition); err != nil {
 		lab.showLogs()
 		lab.t.Fatal(err)
 	}
 }
 
 // showLogs tells the test's log how each instance's own ends.
-func (lab *diskLab) showLogs() {
+func (lab *faultCluster) showLogs() {
 	for _, name := range lab.Names() {
 		text, _ := os.ReadFile(lab.path(name, "log"))
-		lab.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(lab.Addr(name, "admin")), text[max(0, len(text)-logShown):])
+		lab.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(lab.Addr(name, "admin")), text[max(0, len(text)-maxLogShown):])
 	}
 }
 
-func (lab *diskLab) leader() string {
+func (lab *faultCluster) leader() string {
 	for _, name := range lab.Names() {
 		if lab.Running(name) && statusAt(lab.Addr(name, "admin")).State == "Leader" {
 			return name
@@ -156,7 +158,7 @@
 }
 
 // pids are the running instances' process ids.
-func (lab *diskLab) pids() map[string]int {
+func (lab *faultCluster) pids() map[string]int {
 	out := map[string]int{}
 	for _, name := range lab.Names() {
 		out[name] = lab.Pid(name)
@@ -165,7 +167,7 @@
 }
 
 // fail sets an instance's fault, until it is set again; it replaces the file whole.
-func (lab *diskLab) fail(name string, fault server.StoreFault) {
+func (lab *faultCluster) setFault(name string, fault server.StoreFault) {
 	text, _ := json.Marshal(fault)
 	path := lab.path(name, "fault")
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
@@ -177,17 +179,17 @@
 }
 
 // run starts writers, each at instances in turn, and a reader of each instance.
-func (lab *diskLab) run(writers int) {
+func (lab *faultCluster) startClients(writers int) {
 	for w := range writers {
-		lab.client(func(i int) {
+		lab.repeat(func(i int) {
 			lab.write(lab.Names()[(w+i)%len(lab.Names())], fmt.Sprintf("s-%d-%d", w, i))
 			time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
 		})
 	}
 	for _, name := range lab.Names() {
-		lab.client(func(int) {
+		lab.repeat(func(int) {
 			if read, ok := lab.read(name); ok {
-				lab.history.read(read)
+				lab.history.recordRead(read)
 			}
 			time.Sleep(250 * time.Millisecond)
 		})
@@ -195,7 +197,7 @@
 }
 
 // client repeats a call until finish.
-func (lab *diskLab) client(call func(i int)) {
+func (lab *faultCluster) repeat(call func(i int)) {
 	lab.clients.Add(1)
 	go func() {
 		defer lab.clients.Done()
@@ -211,18 +213,18 @@
 }
 
 // write makes one write and records it; it tells whether it was acknowledged.
-func (lab *diskLab) write(name, id string) bool {
-	record := writeRecord{id: id, begun: lab.history.now()}
-	record.version = write(lab.Addr(name, "admin"), id)
+func (lab *faultCluster) write(name, id string) bool {
+	record := writeRecord{id: id, started: lab.history.now()}
+	record.version = putServer(lab.Addr(name, "admin"), id)
 	record.ended = lab.history.now()
-	lab.history.wrote(record)
+	lab.history.recordWrite(record)
 	return record.version != 0
 }
 
 // read is an instance's whole list; false where it gives none.
-func (lab *diskLab) read(name string) (readRecord, bool) {
-	record := readRecord{instance: name, begun: lab.history.now()}
-	resp, err := writer.Get("http://" + lab.Addr(name, "http") + "/api/targets")
+func (lab *faultCluster) read(name string) (readRecord, bool) {
+	record := readRecord{instance: name, started: lab.history.now()}
+	resp, err := writeClient.Get("http://" + lab.Addr(name, "http") + "/api/targets")
 	if err != nil {
 		return record, false
 	}
@@ -239,19 +241,19 @@
 }
 
 // stopClients ends the clients that run started.
-func (lab *diskLab) stopClients() {
-	lab.once.Do(func() { close(lab.stop) })
+func (lab *faultCluster) stopClients() {
+	lab.stopOnce.Do(func() { close(lab.stop) })
 	lab.clients.Wait()
 }
 
 // finish stops the clients, waits until every instance has the last acknowledged write, and
 // checks the history.
-func (lab *diskLab) finish(stale time.Duration) error {
+func (lab *faultCluster) stopAndCheck(stale time.Duration) error {
 	lab.stopClients()
 	lab.await("a write after it all", func() bool { return lab.write(lab.Names()[0], fmt.Sprint("last-", rand.Int())) })
 	acked := lab.history.acknowledged()
 	last := acked[len(acked)-1].version
-	processtest.Await(settled, "every instance at the last write", func() bool {
+	processtest.Await(convergenceTimeout, "every instance at the last write", func() bool {
 		lab.history.final = nil
 		for _, name := range lab.Names() {
 			if read, ok := lab.read(name); ok && read.version >= last {
--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -23,9 +23,9 @@
 // FaultyStore is a store whose calls fail as a StoreFault says.
 type FaultyStore struct {
 	Store
-	Control string // path of a file with a StoreFault in JSON, read at each call; "": Fail sets it
-	fault   atomic.Pointer[StoreFault]
-	calls   atomic.Int64 // that failed
+	Control     string // path of a file with a StoreFault in JSON, read at each call; "": Fail sets it
+	fault       atomic.Pointer[StoreFault]
+	failedCalls atomic.Int64 // that failed
 
 	mu       sync.Mutex
 	unsynced map[uint64]raft.Log
@@ -48,13 +48,13 @@
 }
 
 // hangPause is the time between two looks whether a call hangs on.
-const hangPause = 10 * time.Millisecond
+const hangPollInterval = 10 * time.Millisecond
 
 // write carries out a write that fails where the fault says so.
 func (f *FaultyStore) write(failing func(StoreFault) bool, do func() error) error {
 	fault := f.current()
 	for failing(fault) && fault.Hang {
-		time.Sleep(hangPause)
+		time.Sleep(hangPollInterval)
 		fault = f.current()
 	}
 	if !failing(fault) {
@@ -63,7 +63,7 @@
 	if fault.Applied {
 		do()
 	}
-	f.calls.Add(1)
+	f.failedCalls.Add(1)
 	return fault.Err
 }
 
@@ -104,7 +104,7 @@
 
 func (f *FaultyStore) GetLog(index uint64, entry *raft.Log) error {
 	if fault := f.current(); fault.Read {
-		f.calls.Add(1)
+		f.failedCalls.Add(1)
 		return fault.Err
 	}
 	f.mu.Lock()
--- a/internal/discovery/server/transport.go
+++ b/internal/discovery/server/gated_transport.go
@@ -30,14 +30,14 @@
 	for {
 		select {
 		case call := <-t.NetworkTransport.Consumer():
-			t.handOver(call)
+			t.deliver(call)
 		case <-t.closed:
 			return
 		}
 	}
 }
 
-func (t *gatedTransport) handOver(call raft.RPC) {
+func (t *gatedTransport) deliver(call raft.RPC) {
 	if err := t.store.available(); err != nil {
 		call.Respond(nil, err)
 		return
@@ -58,7 +58,7 @@
 	t.NetworkTransport.SetHeartbeatHandler(func(call raft.RPC) {
 		request, ok := call.Command.(*raft.AppendEntriesRequest)
 		if !ok || request.Term != t.store.savedTerm.Load() {
-			t.handOver(call)
+			t.deliver(call)
 			return
 		}
 		if err := t.store.available(); err != nil {
--- a/internal/discovery/server/history_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -12,15 +12,15 @@
 
 // writeRecord is one write of a server's entry, each under an id of its own.
 type writeRecord struct {
-	id           string
-	begun, ended time.Duration
-	version      uint64 // 0: not acknowledged; it may have happened
+	id             string
+	started, ended time.Duration
+	version        uint64 // 0: not acknowledged; it may have happened
 }
 
 // readRecord is a whole list as one instance gave it.
 type readRecord struct {
 	instance string
-	begun    time.Duration
+	started  time.Duration
 	version  uint64
 	ids      []string
 }
@@ -38,13 +38,13 @@
 
 func (h *history) now() time.Duration { return time.Since(h.start) }
 
-func (h *history) wrote(record writeRecord) {
+func (h *history) recordWrite(record writeRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.writes = append(h.writes, record)
 }
 
-func (h *history) read(record readRecord) {
+func (h *history) recordRead(record readRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reads = append(h.reads, record)
@@ -91,10 +91,10 @@
 		if i > 0 && acked[i-1].version == write.version {
 			return fmt.Errorf("%s and %s are both version %d", acked[i-1].id, write.id, write.version)
 		}
-		if write.ended < latestBegin.begun {
+		if write.ended < latestBegin.started {
 			return fmt.Errorf("%s (version %d) was acknowledged before %s (version %d) began", write.id, write.version, latestBegin.id, latestBegin.version)
 		}
-		if write.begun > latestBegin.begun {
+		if write.started > latestBegin.started {
 			latestBegin = write
 		}
 	}
@@ -118,8 +118,8 @@
 // checkFresh wants a list to hold what was acknowledged longer ago than stale.
 func checkFresh(acked []writeRecord, read readRecord, stale time.Duration) error {
 	for _, write := range acked {
-		if write.version > read.version && read.begun-write.ended > stale {
-			return fmt.Errorf("%s at version %d: read %v after %s (version %d) was acknowledged", read.instance, read.version, read.begun-write.ended, write.id, write.version)
+		if write.version > read.version && read.started-write.ended > stale {
+			return fmt.Errorf("%s at version %d: read %v after %s (version %d) was acknowledged", read.instance, read.version, read.started-write.ended, write.id, write.version)
 		}
 	}
 	return nil
@@ -134,14 +134,14 @@
 		"before":         func(h *history) { h.writes[0].version, h.writes[1].version = 2, 1 },
 		"holds b":        func(h *history) { h.reads[0].ids = []string{"a"} },
 		"holds c":        func(h *history) { h.reads[0].ids = []string{"a", "b", "c"} },
-		"after c":        func(h *history) { h.reads[0].begun = 20 * second },
+		"after c":        func(h *history) { h.reads[0].started = 20 * second },
 		"ends at":        func(h *history) { h.final[1] = readRecord{instance: "n2", version: 2, ids: []string{"a", "b"}} },
 		"different list": func(h *history) { h.final[1].ids = []string{"a", "b", "c", "other"} },
 	} {
 		h := &history{
-			writes: []writeRecord{{id: "a", begun: 0, ended: second, version: 1}, {id: "b", begun: 2 * second, ended: 3 * second, version: 2},
-				{id: "c", begun: 4 * second, ended: 5 * second, version: 3}, {id: "lost", begun: 4 * second, ended: 5 * second}},
-			reads: []readRecord{{instance: "n1", begun: 5 * second, version: 2, ids: []string{"a", "b"}}},
+			writes: []writeRecord{{id: "a", started: 0, ended: second, version: 1}, {id: "b", started: 2 * second, ended: 3 * second, version: 2},
+				{id: "c", started: 4 * second, ended: 5 * second, version: 3}, {id: "lost", started: 4 * second, ended: 5 * second}},
+			reads: []readRecord{{instance: "n1", started: 5 * second, version: 2, ids: []string{"a", "b"}}},
 			final: []readRecord{{instance: "n1", version: 3, ids: []string{"a", "b", "c"}}, {instance: "n2", version: 3, ids: []string{"a", "b", "c"}}},
 		}
 		spoil(h)
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -18,28 +18,28 @@
 
 const (
 	// maxWait is the protocol's cap on a watch's wait.
-	maxWait = 60 * time.Second
+	maxWatchWait = 60 * time.Second
 	// maxBody bounds a write's body, as the protocol bounds any body.
-	maxBody = 64 << 10
+	maxBodyBytes = 64 << 10
 	// applyWithin bounds how long a write waits for its commit.
-	applyWithin = 5 * time.Second
+	commitTimeout = 5 * time.Second
 )
 
 func (n *Node) readMux() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", n.serveTargets)
+	mux.HandleFunc("GET /api/targets", n.serveEndpoints)
 	return mux
 }
 
 func (n *Node) adminMux() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /v1/servers/{id}", n.servePut)
-	mux.HandleFunc("DELETE /v1/servers/{id}", n.serveRemove)
+	mux.HandleFunc("PUT /v1/servers/{id}", n.servePutEndpoint)
+	mux.HandleFunc("DELETE /v1/servers/{id}", n.serveDeleteEndpoint)
 	mux.HandleFunc("GET /v1/status", n.serveStatus)
 	mux.HandleFunc("PUT /v1/settings/{service}", n.servePutSettings)
 	mux.HandleFunc("GET /v1/settings/{service}", n.serveSettings)
-	mux.HandleFunc("GET /v1/settings/{service}/history", n.serveHistory)
-	mux.HandleFunc("GET /v1/settings/{service}/heard", n.serveHeard)
+	mux.HandleFunc("GET /v1/settings/{service}/history", n.serveSettingsHistory)
+	mux.HandleFunc("GET /v1/settings/{service}/heard", n.serveAgentReports)
 	return mux
 }
 
@@ -49,19 +49,19 @@
 // they are already, and what it says of the agent is remembered. A follower that has not
 // heard from a leader within MaxStale answers 503, also to a watch that is open. What an
 // index gets that is newer than the list applied here stands at settle.
-func (n *Node) serveTargets(w http.ResponseWriter, r *http.Request) {
-	c, err := readCall(r.URL.Query())
+func (n *Node) serveEndpoints(w http.ResponseWriter, r *http.Request) {
+	c, err := parseWatchRequest(r.URL.Query())
 	if err == nil && c.service != "" && c.agent != "" {
-		n.heard.note(c.service, c.agent, c.report, time.Now())
+		n.reports.record(c.service, c.agent, c.report, time.Now())
 	}
-	if _, stale := n.refuseStale(w); stale {
+	if _, stale := n.rejectStale(w); stale {
 		return
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	whole, err := n.settle(r.Context(), c.version)
+	whole, err := n.awaitVersion(r.Context(), c.version)
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, fmt.Sprintf("listsvc %s: %v", n.cfg.ID, err), http.StatusServiceUnavailable)
@@ -71,12 +71,12 @@
 	timer := time.NewTimer(c.wait)
 	defer timer.Stop()
 	for last := c.wait == 0; ; {
-		left, stale := n.refuseStale(w)
+		left, stale := n.rejectStale(w)
 		if stale {
 			return
 		}
-		out, wake, settings := n.list.since(c.query)
-		if out.news || last {
+		out, wake, settings := n.state.changesSince(c.watchQuery)
+		if out.hasUpdate || last {
 			w.Header().Set("Content-Type", "application/json")
 			w.Write(out.body)
 			return
@@ -97,42 +97,42 @@
 }
 
 // watchCall is one call of GET /api/targets.
-type watchCall struct {
-	query
+type watchRequest struct {
+	watchQuery
 	wait   time.Duration
 	agent  string
-	report AgentReport
+	report SettingsReport
 }
 
 // readCall reads a call's parameters; of settings only where it names a service.
-func readCall(q url.Values) (c watchCall, err error) {
+func parseWatchRequest(q url.Values) (c watchRequest, err error) {
 	index, err := uintParam(q.Get("index"))
 	wait, err2 := uintParam(q.Get("wait"))
 	if err = errors.Join(err, err2); err != nil {
 		return c, err
 	}
 	c.version, c.full = index, !q.Has("index")
-	c.wait = time.Duration(min(wait, uint64(maxWait.Milliseconds()))) * time.Millisecond
+	c.wait = time.Duration(min(wait, uint64(maxWatchWait.Milliseconds()))) * time.Millisecond
 	if c.service = q.Get(endpoint.QueryService); c.service == "" {
 		return c, nil
 	}
 	if c.report.InForce, err = uintParam(q.Get(endpoint.QueryInForce)); err != nil {
 		return c, fmt.Errorf("%s: %w", endpoint.QueryInForce, err)
 	}
-	if c.report.Refused, err = uintParam(q.Get(endpoint.QueryRejected)); err != nil {
+	if c.report.Rejected, err = uintParam(q.Get(endpoint.QueryRejected)); err != nil {
 		return c, fmt.Errorf("%s: %w", endpoint.QueryRejected, err)
 	}
-	c.have = max(c.report.InForce, c.report.Refused)
-	c.agent, c.report.Why = q.Get(endpoint.QueryAgent), oneLine(q.Get(endpoint.QueryReason), maxWhy)
-	return c, checkName(c.service)
+	c.knownSettings = max(c.report.InForce, c.report.Rejected)
+	c.agent, c.report.Reason = q.Get(endpoint.QueryAgent), oneLine(q.Get(endpoint.QueryReason), maxReasonBytes)
+	return c, validateName(c.service)
 }
 
 // refuseStale answers 503 where this instance may not serve reads, and tells whether it did;
 // if not, for how long that holds.
-func (n *Node) refuseStale(w http.ResponseWriter) (time.Duration, bool) {
-	left, err := n.fresh()
+func (n *Node) rejectStale(w http.ResponseWriter) (time.Duration, bool) {
+	left, err := n.freshness()
 	if err != nil && n.awaitCaughtUp() {
-		left, err = n.fresh()
+		left, err = n.freshness()
 	}
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
@@ -146,12 +146,12 @@
 //
 // After an outage of the store the list counts as of its begin, and after a start as older than
 // any, until it has caught up.
-func (n *Node) fresh() (time.Duration, error) {
+func (n *Node) freshness() (time.Duration, error) {
 	last := n.raft.LastContact()
 	behind := n.store.health.behindSince(time.Now(), n.store.outageLimit)
 	if n.raft.State() == raft.Leader {
 		if behind.IsZero() {
-			return min(n.cfg.MaxStale, n.lease()), nil
+			return min(n.cfg.MaxStale, n.leaderLease()), nil
 		}
 		last = time.Now()
 	}
@@ -174,15 +174,15 @@
 }
 
 // lease is for how long a leader that hears no majority leads on.
-func (n *Node) lease() time.Duration { return n.cfg.ElectionTimeout / 2 }
+func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / 2 }
 
 // servePut sets a server's entry whole from a JSON body in the shape of endpoint.Target.
-func (n *Node) servePut(w http.ResponseWriter, r *http.Request) {
-	if n.redirect(w, r) {
+func (n *Node) servePutEndpoint(w http.ResponseWriter, r *http.Request) {
+	if n.redirectToLeader(w, r) {
 		return
 	}
 	var t endpoint.Endpoint
-	dec := json.NewDecoder(io.LimitReader(r.Body, maxBody))
+	dec := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&t); err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
@@ -191,23 +191,23 @@
 	if t.ID == "" {
 		t.ID = r.PathValue("id")
 	}
-	if err := check(t, r.PathValue("id")); err != nil {
+	if err := validateEndpoint(t, r.PathValue("id")); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	n.apply(w, command{Op: "put", Server: t})
+	n.commit(w, command{Op: "put", Server: t})
 }
 
-func (n *Node) serveRemove(w http.ResponseWriter, r *http.Request) {
-	if !n.redirect(w, r) {
-		n.apply(w, command{Op: "remove", Server: endpoint.Endpoint{ID: r.PathValue("id")}})
+func (n *Node) serveDeleteEndpoint(w http.ResponseWriter, r *http.Request) {
+	if !n.redirectToLeader(w, r) {
+		n.commit(w, command{Op: "remove", Server: endpoint.Endpoint{ID: r.PathValue("id")}})
 	}
 }
 
 // apply commits a write and answers {"version": N} once a majority has it.
-func (n *Node) apply(w http.ResponseWriter, c command) {
+func (n *Node) commit(w http.ResponseWriter, c command) {
 	data, _ := json.Marshal(c)
-	f := n.raft.Apply(data, applyWithin)
+	f := n.raft.Apply(data, commitTimeout)
 	if err := f.Error(); err != nil {
 		code := http.StatusInternalServerError
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) ||
@@ -220,7 +220,7 @@
 	}
 	if err, ok := f.Response().(error); ok {
 		code := http.StatusInternalServerError
-		if errors.As(err, &conflict{}) {
+		if errors.As(err, &versionConflict{}) {
 			code = http.StatusPreconditionFailed
 		}
 		http.Error(w, err.Error(), code)
@@ -231,8 +231,8 @@
 
 // redirect sends a write to the leader's admin door with 307, or answers 503 while no
 // leader is known or this instance's store is unavailable. It tells whether it answered.
-func (n *Node) redirect(w http.ResponseWriter, r *http.Request) bool {
-	if n.refuseWithoutStore(w) {
+func (n *Node) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
+	if n.rejectWithoutStore(w) {
 		return true
 	}
 	if n.raft.State() == raft.Leader {
@@ -263,18 +263,18 @@
 // barrier, so that it has applied all that was committed before, and 503 anywhere else.
 func (n *Node) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("consistent") == "true" {
-		if err := n.raft.Barrier(consistentWithin).Error(); err != nil {
+		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
 			http.Error(w, "not consistent: "+err.Error(), http.StatusServiceUnavailable)
 			return
 		}
 	}
 	_, leader := n.raft.LeaderWithID()
 	writeJSON(w, http.StatusOK, Status{ID: n.cfg.ID, State: n.raft.State().String(),
-		Leader: string(leader), Version: n.list.current(), Applied: n.raft.AppliedIndex(), Usage: n.usage()})
+		Leader: string(leader), Version: n.state.currentVersion(), Applied: n.raft.AppliedIndex(), Usage: n.usage()})
 }
 
 // check names what makes an entry unfit for the list.
-func check(t endpoint.Endpoint, id string) error {
+func validateEndpoint(t endpoint.Endpoint, id string) error {
 	switch {
 	case t.ID != id:
 		return fmt.Errorf("id %q in the body is not %q of the path", t.ID, id)
--- a/internal/discovery/server/faults_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -18,24 +18,24 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-var names = []string{"n1", "n2", "n3"}
+var instanceNames = []string{"n1", "n2", "n3"}
 
 // startList builds cmd/discovery and runs three instances whose Raft links pass through
 // the harness's proxies.
-func startList(t *testing.T) *processtest.Cluster {
+func startCluster(t *testing.T) *processtest.Cluster {
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "discovery")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/discovery").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	c, err := processtest.New(processtest.Config{Binary: bin, Dir: dir, Names: names,
-		Ports: []string{"raft", "http", "admin"}, Args: args(t, dir)})
+	c, err := processtest.New(processtest.Config{Binary: bin, Dir: dir, Names: instanceNames,
+		Ports: []string{"raft", "http", "admin"}, Args: serveArguments(t, dir)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	for _, n := range names {
+	for _, n := range instanceNames {
 		if err := c.Start(n); err != nil {
 			t.Fatal(err)
 		}
@@ -43,13 +43,13 @@
 	return c
 }
 
-func args(t *testing.T, dir string) func(*processtest.Cluster, string) []string {
+func serveArguments(t *testing.T, dir string) func(*processtest.Cluster, string) []string {
 	return func(c *processtest.Cluster, name string) []string {
 		var b strings.Builder
 		fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\n"+
 			"admin_addr = \"fd:5\"\nbootstrap = %v\nmax_stale = \"1s\"\n", name,
 			filepath.Join(dir, name), name == "n1")
-		for _, p := range names {
+		for _, p := range instanceNames {
 			if p == name {
 				continue
 			}
@@ -78,7 +78,7 @@
 }
 
 func leader(c *processtest.Cluster) string {
-	for _, n := range names {
+	for _, n := range instanceNames {
 		if statusAt(c.Addr(n, "admin")).State == "Leader" {
 			return n
 		}
@@ -87,14 +87,14 @@
 }
 
 // writer makes the tests' writes: longer than a write may wait for its commit.
-var writer = &http.Client{Timeout: 6 * time.Second}
+var writeClient = &http.Client{Timeout: 6 * time.Second}
 
 // write puts one entry at an admin address, following a redirect to the leader; it gives
 // the acknowledged write's version, or 0 where it was not acknowledged.
-func write(admin, id string) uint64 {
+func putServer(admin, id string) uint64 {
 	body, _ := json.Marshal(endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: "up", Weight: 1})
 	req, _ := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/servers/"+id, bytes.NewReader(body))
-	resp, err := writer.Do(req)
+	resp, err := writeClient.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -108,9 +108,9 @@
 
 // put writes one entry through any instance, moving on at a failure; it gives the
 // version of the acknowledged write, or 0 if none was acknowledged within 20 s.
-func put(c *processtest.Cluster, id string) uint64 {
+func putServerAnywhere(c *processtest.Cluster, id string) uint64 {
 	for try, end := 0, time.Now().Add(20*time.Second); time.Now().Before(end); try++ {
-		if v := write(c.Addr(names[try%3], "admin"), id); v != 0 {
+		if v := putServer(c.Addr(instanceNames[try%3], "admin"), id); v != 0 {
 			return v
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -119,7 +119,7 @@
 }
 
 // listed tells whether an instance's whole list names the id.
-func listed(c *processtest.Cluster, name, id string) bool {
+func listsServer(c *processtest.Cluster, name, id string) bool {
 	resp, err := http.Get("http://" + c.Addr(name, "http") + "/api/targets")
 	if err != nil {
 		return false
@@ -152,7 +152,7 @@
 		default:
 		}
 		w.mu.Lock()
-		url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=500", c.Addr(names[i%3], "http"), w.version)
+		url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=500", c.Addr(instanceNames[i%3], "http"), w.version)
 		w.mu.Unlock()
 		resp, err := client.Get(url)
 		if err != nil {
@@ -165,12 +165,12 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			continue
 		}
-		w.take(t, l)
+		w.apply(t, l)
 		i-- // stay while it answers
 	}
 }
 
-func (w *watcher) take(t *testing.T, l endpoint.List) {
+func (w *watcher) apply(t *testing.T, l endpoint.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Version < w.version {
@@ -193,7 +193,7 @@
 // 300 acknowledged and started again; no acknowledged write is lost, no two share a
 // version, and every watcher ends at the same list, which holds them all.
 func TestLeaderKilledDuringWrites(t *testing.T) {
-	c := startList(t)
+	c := startCluster(t)
 	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 			defer writers.Done()
 			for i := w; i < 1000; i += 8 {
 				id := fmt.Sprintf("s-%04d", i)
-				v := put(c, id)
+				v := putServerAnywhere(c, id)
 				mu.Lock()
 				if v != 0 {
 					if other, ok := acked[v]; ok {
--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -30,30 +30,30 @@
 const dataFormat = 2
 
 // httpDoors is how many HTTP doors an instance has.
-const httpDoors = 2
+const httpServerCount = 2
 
 // stopWithin bounds how long Close waits for Raft, which may wait for a failing disk.
-const stopWithin = 5 * time.Second
+const shutdownTimeout = 5 * time.Second
 
 // longAgo is the time that the list counts as of until it has caught up for the first time.
-var longAgo = time.Unix(0, 0)
+var beforeAnyStart = time.Unix(0, 0)
 
 // Node is one running instance: its Raft member, its list, what it heard of agents, and its
 // two HTTP doors.
 type Node struct {
-	cfg     Config
-	log     *slog.Logger
-	list    *list
-	heard   *heard
-	barrier barrier
-	raft    *raft.Raft
-	store   *retryingStore
-	peers   map[raft.ServerID]Peer
-	doors   []*http.Server
-	closed  chan struct{}
-	failed  chan error // what ended the service of a door
-
-	reads, admin, raftDoor counters
+	cfg         Config
+	log         *slog.Logger
+	state       *stateMachine
+	reports     *reportRegistry
+	readIndex   readIndexCache
+	raft        *raft.Raft
+	store       *retryingStore
+	peers       map[raft.ServerID]Peer
+	httpServers []*http.Server
+	closed      chan struct{}
+	failed      chan error // what ended the service of a door
+
+	readTraffic, adminTraffic, raftTraffic trafficCounters
 }
 
 // Start opens the data directory, joins or founds the cluster, and serves reads on
@@ -63,12 +63,12 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	if err := claimDir(cfg.DataDir); err != nil {
+	if err := claimDataDir(cfg.DataDir); err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, log: log, list: newList(cfg.KeepChanges), heard: newHeard(),
-		barrier: barrier{pace: rate.NewLimiter(barriersPerS, 1)}, peers: map[raft.ServerID]Peer{},
-		closed: make(chan struct{}), failed: make(chan error, httpDoors)}
+	n := &Node{cfg: cfg, log: log, state: newStateMachine(cfg.KeepChanges), reports: newReportRegistry(),
+		readIndex: readIndexCache{limiter: rate.NewLimiter(readIndexesPerSecond, 1)}, peers: map[raft.ServerID]Peer{},
+		closed: make(chan struct{}), failed: make(chan error, httpServerCount)}
 	for _, p := range cfg.Peers {
 		n.peers[raft.ServerID(p.ID)] = p
 	}
@@ -84,15 +84,15 @@
 	for _, door := range []struct {
 		addr string
 		h    http.Handler
-		c    *counters
-	}{{cfg.HTTPAddr, n.readMux(), &n.reads}, {cfg.AdminAddr, n.adminMux(), &n.admin}} {
+		c    *trafficCounters
+	}{{cfg.HTTPAddr, n.readMux(), &n.readTraffic}, {cfg.AdminAddr, n.adminMux(), &n.adminTraffic}} {
 		ln, err := listen(door.addr)
 		if err != nil {
 			n.Close()
 			return nil, fmt.Errorf("listen %s: %w", door.addr, err)
 		}
-		srv := &http.Server{Handler: door.c.calls(door.h), ReadHeaderTimeout: 5 * time.Second}
-		n.doors = append(n.doors, srv)
+		srv := &http.Server{Handler: door.c.countRequests(door.h), ReadHeaderTimeout: 5 * time.Second}
+		n.httpServers = append(n.httpServers, srv)
 		go n.serve(srv, ln, door.c)
 	}
 	return n, nil
@@ -104,7 +104,7 @@
 	rc.LocalID = raft.ServerID(cfg.ID)
 	rc.SnapshotThreshold, rc.TrailingLogs = cfg.SnapshotEvery, cfg.TrailingLogs
 	rc.HeartbeatTimeout, rc.ElectionTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout
-	rc.LeaderLeaseTimeout = n.lease()
+	rc.LeaderLeaseTimeout = n.leaderLease()
 	rc.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: os.Stderr})
 	store, err := n.openStore()
 	if err != nil {
@@ -115,16 +115,16 @@
 		store.Close()
 		return fmt.Errorf("data_dir: snapshots: %w", err)
 	}
-	if err := withoutPageFaults(func() error { return checkLog(store.Store, snaps) }); err != nil {
+	if err := catchPageFaults(func() error { return checkLog(store.Store, snaps) }); err != nil {
 		store.Close()
-		return fmt.Errorf("data_dir: %w", &StoreDamage{Path: filepath.Join(cfg.DataDir, storeFile), Err: err})
+		return fmt.Errorf("data_dir: %w", &StoreDamageError{Path: filepath.Join(cfg.DataDir, storeFile), Err: err})
 	}
 	ln = listener.New(ln, listener.LogFailures(n.log, cfg.RaftAddr))
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		ServerAddressProvider: n, Stream: stream{counted{Listener: ln, c: &n.raftDoor, writes: true}}, MaxPool: 3, Timeout: 2 * time.Second,
+		ServerAddressProvider: n, Stream: streamLayer{countingListener{Listener: ln, counters: &n.raftTraffic, countWrites: true}}, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: rc.Logger})
 	trans := newGatedTransport(network, store, n.closed)
-	r, err := raft.NewRaft(rc, n.list, store, store, snaps, trans)
+	r, err := raft.NewRaft(rc, n.state, store, store, snaps, trans)
 	if err != nil {
 		store.Close()
 		return fmt.Errorf("raft: %w", err)
@@ -161,8 +161,8 @@
 		inner.Close()
 		return nil, fmt.Errorf("data_dir: raft store %s: %w", path, err)
 	}
-	store.health.lagsSince(longAgo) // until the list has what was committed before this start
-	store.rewrite = func() error { return rewriteMeta(path) }
+	store.health.recordLag(beforeAnyStart) // until the list has what was committed before this start
+	store.rewriteLastCommit = func() error { return rewriteMetaPages(path) }
 	return store, nil
 }
 
@@ -183,7 +183,7 @@
 	default:
 		close(n.closed)
 	}
-	for _, d := range n.doors {
+	for _, d := range n.httpServers {
 		d.Close()
 	}
 	stopped := make(chan error, 1)
@@ -191,14 +191,14 @@
 	select {
 	case err := <-stopped:
 		return errors.Join(err, n.store.Close())
-	case <-time.After(stopWithin):
-		return fmt.Errorf("raft has not stopped within %v: %w", stopWithin, n.store.available())
+	case <-time.After(shutdownTimeout):
+		return fmt.Errorf("raft has not stopped within %v: %w", shutdownTimeout, n.store.available())
 	}
 }
 
 // claimDir makes the data directory, or checks that its format is one this program reads, and
 // marks it as of this program's.
-func claimDir(dir string) error {
+func claimDataDir(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("data_dir: %w", err)
 	}
@@ -238,14 +238,14 @@
 }
 
 // stream is Raft's stream layer on a listener of ours (raft.StreamLayer).
-type stream struct{ counted }
+type streamLayer struct{ countingListener }
 
-func (s stream) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", string(addr), timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, s.c, s.writes}, nil
+	return &countingConn{conn, s.counters, s.countWrites}, nil
 }
 
 var _ io.Closer = (*Node)(nil)
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -13,19 +13,19 @@
 // healed. Its reads stop within max_stale (1 s) and its lease (0.5 s) and a margin; the
 // other two elect a leader and take writes; nothing written on the cut-off side is
 // acknowledged; after the heal every instance holds every acknowledged write.
-func TestLeaderPartitionedAway(t *testing.T) {
-	c := startList(t)
+func TestPartitionedLeader(t *testing.T) {
+	c := startCluster(t)
 	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
 		t.Fatal(err)
 	}
 	old := leader(c)
 	var rest []string
-	for _, n := range names {
+	for _, n := range instanceNames {
 		if n != old {
 			rest = append(rest, n)
 		}
 	}
-	if put(c, "before") == 0 {
+	if putServerAnywhere(c, "before") == 0 {
 		t.Fatal("no write before the partition")
 	}
 	c.Partition([]string{old}, rest)
@@ -40,10 +40,10 @@
 			}
 		}
 		id := fmt.Sprintf("cut-%d", i)
-		if write(c.Addr(old, "admin"), id) != 0 {
+		if putServer(c.Addr(old, "admin"), id) != 0 {
 			t.Errorf("%s acknowledged by %s, cut off from the majority %v after the cut", id, old, time.Since(cut))
 		}
-		if id := fmt.Sprintf("major-%d", i); write(c.Addr(rest[i%2], "admin"), id) != 0 {
+		if id := fmt.Sprintf("major-%d", i); putServer(c.Addr(rest[i%2], "admin"), id) != 0 {
 			acked[id] = true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -56,9 +56,9 @@
 	}
 	c.Heal()
 	err := processtest.Await(20*time.Second, "every instance at the majority's writes", func() bool {
-		for _, n := range names {
+		for _, n := range instanceNames {
 			for id := range acked {
-				if !listed(c, n, id) {
+				if !listsServer(c, n, id) {
 					return false
 				}
 			}
--- a/internal/discovery/server/consistent.go
+++ b/internal/discovery/server/read_index.go
@@ -15,22 +15,22 @@
 
 const (
 	// consistentWithin bounds how long an instance tries to learn what is committed.
-	consistentWithin = 500 * time.Millisecond
+	readIndexTimeout = 500 * time.Millisecond
 	// barriersPerS bounds the entries that this costs the log, whoever asks; beyond, those
 	// who ask share one.
-	barriersPerS = 10
+	readIndexesPerSecond = 10
 )
 
 // errUnknown is why a call that names a version this instance has not applied is refused.
-var errUnknown = errors.New("whether the version named was ever given can't be known here now")
+var errVersionUnknown = errors.New("whether the version named was ever given can't be known here now")
 
 // barrier is the last answer of the leader to what is committed.
-type barrier struct {
-	mu      sync.Mutex
-	pace    *rate.Limiter
-	begun   time.Time
-	version uint64
-	err     error
+type readIndexCache struct {
+	mu          sync.Mutex
+	limiter     *rate.Limiter
+	requestedAt time.Time
+	version     uint64
+	err         error
 }
 
 // committed gives a version of the list that is not older than any that an instance gave
@@ -39,25 +39,25 @@
 // Ongaro's thesis ("Consensus: Bridging Theory and Practice", 2014, 6.4) with a barrier in
 // place of the round of heartbeats, since a follower of hashicorp/raft can't ask for one.
 // Calls that wait for one another share an answer that was asked for after they came.
-func (n *Node) committed() (uint64, error) {
-	came, b := time.Now(), &n.barrier
+func (n *Node) committedVersion() (uint64, error) {
+	came, b := time.Now(), &n.readIndex
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.begun.After(came) {
+	if b.requestedAt.After(came) {
 		return b.version, b.err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), consistentWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), readIndexTimeout)
 	defer cancel()
-	if err := b.pace.Wait(ctx); err != nil {
+	if err := b.limiter.Wait(ctx); err != nil {
 		return 0, err
 	}
-	b.begun = time.Now()
+	b.requestedAt = time.Now()
 	if n.raft.State() == raft.Leader {
-		b.err = n.raft.Barrier(consistentWithin).Error()
-		b.version = n.list.current()
+		b.err = n.raft.Barrier(readIndexTimeout).Error()
+		b.version = n.state.currentVersion()
 	} else {
 		var leader Status
-		leader, b.err = n.askLeader(ctx)
+		leader, b.err = n.leaderStatus(ctx)
 		b.version = leader.Version
 	}
 	return b.version, b.err
@@ -65,7 +65,7 @@
 
 // askLeader is the leader's part of committed, asked by a follower: its status once it has applied
 // all that was committed.
-func (n *Node) askLeader(ctx context.Context) (st Status, err error) {
+func (n *Node) leaderStatus(ctx context.Context) (st Status, err error) {
 	_, id := n.raft.LeaderWithID()
 	p, ok := n.peers[id]
 	if !ok {
@@ -95,25 +95,25 @@
 // can't be told within half a second: no leader answers, or this instance does not catch up.
 // A version that nobody gave and that the log has since passed can't be told from one that
 // somebody gave.
-func (n *Node) settle(ctx context.Context, version uint64) (whole bool, err error) {
-	if version <= n.list.current() {
+func (n *Node) awaitVersion(ctx context.Context, version uint64) (whole bool, err error) {
+	if version <= n.state.currentVersion() {
 		return false, nil
 	}
-	upTo, err := n.committed()
+	upTo, err := n.committedVersion()
 	if err != nil {
-		return false, fmt.Errorf("%w: %w", errUnknown, err)
+		return false, fmt.Errorf("%w: %w", errVersionUnknown, err)
 	}
-	late := time.NewTimer(consistentWithin)
+	late := time.NewTimer(readIndexTimeout)
 	defer late.Stop()
 	for {
-		at, wake := n.list.applied()
+		at, wake := n.state.versionAndChange()
 		if at >= upTo {
 			return version > at, nil
 		}
 		select {
 		case <-wake:
 		case <-late.C:
-			return false, fmt.Errorf("%w: version %d of %d applied", errUnknown, at, upTo)
+			return false, fmt.Errorf("%w: version %d of %d applied", errVersionUnknown, at, upTo)
 		case <-ctx.Done():
 			return false, ctx.Err()
 		}
--- a/internal/discovery/server/serve.go
+++ b/internal/discovery/server/serve.go
@@ -11,10 +11,10 @@
 
 // serve answers the calls that come to a listener until the server is closed. Where it ends for
 // another reason, Failed tells it.
-func (n *Node) serve(server *http.Server, ln net.Listener, c *counters) {
+func (n *Node) serve(server *http.Server, ln net.Listener, c *trafficCounters) {
 	addr := ln.Addr().String()
 	ln = listener.New(ln, listener.LogFailures(n.log, addr))
-	err := server.Serve(counted{Listener: ln, c: c})
+	err := server.Serve(countingListener{Listener: ln, counters: c})
 	if errors.Is(err, http.ErrServerClosed) {
 		return
 	}
--- a/internal/discovery/server/serve_test.go
+++ b/internal/discovery/server/serve_test.go
@@ -26,12 +26,12 @@
 }
 
 // serving starts a server on a listener, and gives the instance that it belongs to.
-func serving(t *testing.T, ln net.Listener) *Node {
+func startServer(t *testing.T, ln net.Listener) *Node {
 	t.Helper()
 	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil)), failed: make(chan error, 1)}
 	server := &http.Server{Handler: http.NotFoundHandler()}
 	t.Cleanup(func() { server.Close() })
-	go n.serve(server, ln, &n.reads)
+	go n.serve(server, ln, &n.readTraffic)
 	return n
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := serving(t, &flakyListener{Listener: ln})
+	n := startServer(t, &flakyListener{Listener: ln})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
 		resp, err := client.Get("http://" + ln.Addr().String())
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if err := <-serving(t, ln).Failed(); !errors.Is(err, net.ErrClosed) {
+	if err := <-startServer(t, ln).Failed(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("failed with %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/discovery/server/settings_faults_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -15,10 +15,10 @@
 )
 
 // histories are all instances' histories of a service; the same of all, or nil.
-func histories(c *processtest.Cluster, service string) (kept []server.SettingsVersion) {
-	var first answer
-	for _, n := range names {
-		a := ask("GET", c.Addr(n, "admin")+"/v1/settings/"+service+"/history", "")
+func commonHistory(c *processtest.Cluster, service string) (kept []server.SettingsVersion) {
+	var first response
+	for _, n := range instanceNames {
+		a := request("GET", c.Addr(n, "admin")+"/v1/settings/"+service+"/history", "")
 		if first.code == 0 {
 			first = a
 		}
@@ -31,9 +31,9 @@
 }
 
 // putSettings writes through any instance, moving on at a failure, and gives the version.
-func putSettings(c *processtest.Cluster, service, text string) uint64 {
+func putSettingsAnywhere(c *processtest.Cluster, service, text string) uint64 {
 	for try, end := 0, time.Now().Add(20*time.Second); time.Now().Before(end); try++ {
-		if v := ask("PUT", c.Addr(names[try%3], "admin")+"/v1/settings/"+service, text).version(); v != 0 {
+		if v := request("PUT", c.Addr(instanceNames[try%3], "admin")+"/v1/settings/"+service, text).version(); v != 0 {
 			return v
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -46,19 +46,19 @@
 // ten services with the leader killed after 30, and started again: every acknowledged one is
 // in every instance's history, once, and nothing else is.
 func TestSettingsUnderFaults(t *testing.T) {
-	c := startList(t)
+	c := startCluster(t)
 	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
 		t.Fatal(err)
 	}
-	base := putSettings(c, "two", settingsText(1))
+	base := putSettingsAnywhere(c, "two", settingsText(1))
 	for round, header := range [][]string{{"If-Match", fmt.Sprint(base)}, nil} {
-		var got [2]answer
+		var got [2]response
 		var both sync.WaitGroup
 		for w := range got {
 			both.Add(1)
 			go func() {
 				defer both.Done()
-				got[w] = ask("PUT", c.Addr(names[w+1], "admin")+"/v1/settings/two", settingsText(10+2*round+w), header...)
+				got[w] = request("PUT", c.Addr(instanceNames[w+1], "admin")+"/v1/settings/two", settingsText(10+2*round+w), header...)
 			}()
 		}
 		both.Wait()
@@ -78,7 +78,7 @@
 			defer writers.Done()
 			service := fmt.Sprint("s-", s)
 			for i := range 10 {
-				v := putSettings(c, service, settingsText(i))
+				v := putSettingsAnywhere(c, service, settingsText(i))
 				if done.Add(1) == 30 {
 					for l := ""; l == ""; c.Kill(l) {
 						l = leader(c)
@@ -91,7 +91,7 @@
 		}()
 	}
 	writers.Wait()
-	killed := slices.DeleteFunc(slices.Clone(names), c.Running)
+	killed := slices.DeleteFunc(slices.Clone(instanceNames), c.Running)
 	if len(killed) != 1 {
 		t.Fatalf("%d instances were killed, want the leader", len(killed))
 	}
@@ -101,7 +101,7 @@
 	for service, versions := range acked {
 		var kept []server.SettingsVersion
 		if err := processtest.Await(30*time.Second, "one history everywhere", func() bool {
-			kept = histories(c, service)
+			kept = commonHistory(c, service)
 			return len(kept) > 0 && (service == "two" || kept[0].Version >= versions[0])
 		}); err != nil {
 			t.Fatal(err)
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -12,7 +12,7 @@
 )
 
 // maxSettings bounds the text of a service's settings, in bytes.
-const maxSettings = 64 << 10
+const maxSettingsBytes = 64 << 10
 
 // servePutSettings sets a service's settings whole: the body is their text, 64 KiB at most,
 // in the form of the agent's configuration without index and zone. What no agent could take
@@ -20,19 +20,19 @@
 // yet) it answers 412 if another version is in place. Otherwise {"version": N}, that of the
 // newest where the text is exactly the same.
 func (n *Node) servePutSettings(w http.ResponseWriter, r *http.Request) {
-	if n.redirect(w, r) {
+	if n.redirectToLeader(w, r) {
 		return
 	}
-	c := command{Op: "settings", Service: r.PathValue("service"), AtMs: time.Now().UnixMilli()}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSettings))
+	c := command{Op: "settings", Service: r.PathValue("service"), WrittenAtMs: time.Now().UnixMilli()}
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSettingsBytes))
 	switch {
 	case errors.As(err, new(*http.MaxBytesError)):
-		err = fmt.Errorf("settings: longer than %d bytes", maxSettings)
+		err = fmt.Errorf("settings: longer than %d bytes", maxSettingsBytes)
 	case err != nil:
 		err = fmt.Errorf("body: %w", err)
 	default:
-		if err = checkName(c.Service); err == nil {
-			err = checkSettings(text)
+		if err = validateName(c.Service); err == nil {
+			err = validateSettings(text)
 		}
 	}
 	if match := r.Header.Get("If-Match"); match != "" && err == nil {
@@ -47,13 +47,13 @@
 		return
 	}
 	c.Text = string(text)
-	n.apply(w, c)
+	n.commit(w, c)
 }
 
 // serveSettings answers a service's newest settings as SettingsVersion, or with ?version=N
 // that version, of the last 20; 404 where it is not kept.
 func (n *Node) serveSettings(w http.ResponseWriter, r *http.Request) {
-	kept, ok := n.kept(w, r)
+	kept, ok := n.storedSettings(w, r)
 	if !ok {
 		return
 	}
@@ -76,8 +76,8 @@
 
 // serveHistory answers the versions kept of a service's settings, the newest first and
 // without their texts; 404 where there are none.
-func (n *Node) serveHistory(w http.ResponseWriter, r *http.Request) {
-	kept, ok := n.kept(w, r)
+func (n *Node) serveSettingsHistory(w http.ResponseWriter, r *http.Request) {
+	kept, ok := n.storedSettings(w, r)
 	if !ok {
 		return
 	}
@@ -91,11 +91,11 @@
 
 // kept is what is kept of the path's service's settings. It answers and gives false where
 // that is nothing, or where this instance may not serve reads.
-func (n *Node) kept(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
-	if _, stale := n.refuseStale(w); stale {
+func (n *Node) storedSettings(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
+	if _, stale := n.rejectStale(w); stale {
 		return nil, false
 	}
-	kept := n.list.history(r.PathValue("service"))
+	kept := n.state.history(r.PathValue("service"))
 	if len(kept) == 0 {
 		http.Error(w, fmt.Sprintf("no settings of %.40q are kept", r.PathValue("service")), http.StatusNotFound)
 	}
@@ -103,10 +103,10 @@
 }
 
 // serveHeard answers what this instance, and no other, has heard of a service's agents.
-func (n *Node) serveHeard(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveAgentReports(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("service")
-	out := Heard{ID: n.cfg.ID, Service: service, Agents: n.heard.of(service, time.Now()), Peers: map[string]string{}}
-	if kept := n.list.history(service); len(kept) > 0 {
+	out := AgentReports{ID: n.cfg.ID, Service: service, Agents: n.reports.ofService(service, time.Now()), Peers: map[string]string{}}
+	if kept := n.state.history(service); len(kept) > 0 {
 		out.Version = kept[len(kept)-1].Version
 	}
 	for _, p := range n.cfg.Peers {
--- a/internal/discovery/server/settings_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -30,13 +30,13 @@
 func (*memorySink) Close() error  { return nil }
 
 // restored is a new list from a snapshot of l.
-func restored(t interface{ Fatal(...any) }, l *list) *list {
+func restoreFromSnapshot(t interface{ Fatal(...any) }, l *stateMachine) *stateMachine {
 	snap, err := l.Snapshot()
 	var sink memorySink
 	if err == nil {
 		err = snap.Persist(&sink)
 	}
-	next := newList(l.keep)
+	next := newStateMachine(l.maxChanges)
 	if err == nil {
 		err = next.Restore(io.NopCloser(&sink.Buffer))
 	}
@@ -52,12 +52,12 @@
 // last 20 are kept, and watches of servers see those alone, from answers that they share.
 func TestSettingsStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, model := newList(8), map[string][]SettingsVersion{}
+		l, model := newStateMachine(8), map[string][]SettingsVersion{}
 		servers := uint64(0)                // the version of their last change
 		seen := []map[string]uint64{{}, {}} // what each writer last knew of a service
 		for index := uint64(1); index <= uint64(rapid.IntRange(1, 120).Draw(t, "writes")); index++ {
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				l = restored(t, l)
+				l = restoreFromSnapshot(t, l)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "server") == 0 {
 				data, _ := json.Marshal(command{Op: "put", Server: endpoint.Endpoint{ID: "s", Weight: float64(index)}})
@@ -66,7 +66,7 @@
 			}
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
 			know := seen[rapid.IntRange(0, 1).Draw(t, "writer")]
-			c := command{Op: "settings", Service: service, Text: settingsText(rapid.IntRange(1, 40).Draw(t, "text")), AtMs: int64(index)}
+			c := command{Op: "settings", Service: service, Text: settingsText(rapid.IntRange(1, 40).Draw(t, "text")), WrittenAtMs: int64(index)}
 			if rapid.Bool().Draw(t, "if") {
 				v := know[service]
 				c.IfVersion = &v
@@ -82,9 +82,9 @@
 			case newest.Text == c.Text:
 				want = newest.Version
 			case c.IfVersion != nil && *c.IfVersion != newest.Version:
-				want = conflict{service: service, want: *c.IfVersion, is: newest.Version}
+				want = versionConflict{service: service, want: *c.IfVersion, current: newest.Version}
 			default:
-				kept = append(kept, SettingsVersion{Version: index, AtMs: c.AtMs, Bytes: len(c.Text), Text: c.Text})
+				kept = append(kept, SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text})
 				model[service] = kept[max(0, len(kept)-20):]
 			}
 			if got != want {
@@ -98,11 +98,11 @@
 			if a, b := fmt.Sprint(l.history(service)), fmt.Sprint(model[service]); a != b {
 				t.Fatalf("after write %d kept %s, want %s", index, a, b)
 			}
-			for _, q := range []query{{full: true}, {version: servers}, {version: servers / 2}} {
-				out, _, _ := l.since(q)
+			for _, q := range []watchQuery{{full: true}, {version: servers}, {version: servers / 2}} {
+				out, _, _ := l.changesSince(q)
 				var got endpoint.List
 				if err := json.Unmarshal(out.body, &got); err != nil || got.Version != servers || got.Settings != nil ||
-					out.news != (q.full || q.version < servers) || len(got.Servers) > 0 && got.Servers[0].Weight != float64(servers) {
+					out.hasUpdate != (q.full || q.version < servers) || len(got.Servers) > 0 && got.Servers[0].Weight != float64(servers) {
 					t.Fatalf("a watch of servers, %+v, gets %s (%v) at version %d", q, out.body, err, servers)
 				}
 			}
@@ -112,21 +112,21 @@
 
 // TestOldSnapshot: a snapshot from before settings were kept is read, and settings go on
 // from it.
-func TestOldSnapshot(t *testing.T) {
-	l := newList(8)
+func TestRestoreSnapshotWithoutSettings(t *testing.T) {
+	l := newStateMachine(8)
 	old := `{"version":7,"floor":0,"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":1}],"changes":[],"set_at":{"s":7}}`
 	if err := l.Restore(io.NopCloser(strings.NewReader(old))); err != nil {
 		t.Fatal(err)
 	}
 	data, _ := json.Marshal(command{Op: "settings", Service: "a", Text: settingsText(1)})
-	if got := l.Apply(&raft.Log{Index: 8, Data: data}); got != uint64(8) || l.current() != 7 || len(l.all()) != 1 {
-		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, l.current(), len(l.all()))
+	if got := l.Apply(&raft.Log{Index: 8, Data: data}); got != uint64(8) || l.currentVersion() != 7 || len(l.allEndpoints()) != 1 {
+		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, l.currentVersion(), len(l.allEndpoints()))
 	}
 }
 
 // TestCheckSettings: what no agent could take is refused with one line that names the key.
 func TestCheckSettings(t *testing.T) {
-	if err := checkSettings([]byte(settingsText(1))); err != nil {
+	if err := validateSettings([]byte(settingsText(1))); err != nil {
 		t.Error(err)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
@@ -138,7 +138,7 @@
 		"zone":       {`"roundMs"`, `"ZONE":0,"roundMs"`, "zone: is each agent's own"},
 		"zone names": {`"roundMs"`, `"failureDomains":[1],"roundMs"`, "failureDomains"},
 	} {
-		err := checkSettings([]byte(strings.Replace(settingsText(1), c.old, c.new, 1)))
+		err := validateSettings([]byte(strings.Replace(settingsText(1), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line with %q", name, err, c.want)
 		}
@@ -146,19 +146,19 @@
 }
 
 // TestHeardIsBounded in number, by who has been silent for longest, and in time.
-func TestHeardIsBounded(t *testing.T) {
-	h, now := newHeard(), time.Now()
-	for i := range maxHeard + 10 {
-		h.note("a", fmt.Sprint("agent-", i), AgentReport{InForce: uint64(i)}, now.Add(time.Duration(i)))
+func TestReportRegistryIsBounded(t *testing.T) {
+	h, now := newReportRegistry(), time.Now()
+	for i := range maxReports + 10 {
+		h.record("a", fmt.Sprint("agent-", i), SettingsReport{InForce: uint64(i)}, now.Add(time.Duration(i)))
 	}
-	got := h.of("a", now.Add(time.Minute))
-	if len(got) != maxHeard || slices.ContainsFunc(got, func(a HeardAgent) bool { return a.InForce < 10 }) {
-		t.Errorf("%d agents remembered, want the last %d", len(got), maxHeard)
+	got := h.ofService("a", now.Add(time.Minute))
+	if len(got) != maxReports || slices.ContainsFunc(got, func(a AgentReport) bool { return a.InForce < 10 }) {
+		t.Errorf("%d agents remembered, want the last %d", len(got), maxReports)
 	}
-	if got := h.of("a", now.Add(heardFor+time.Minute)); len(got) != 0 {
-		t.Errorf("%d agents remembered after %v", len(got), heardFor)
+	if got := h.ofService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
+		t.Errorf("%d agents remembered after %v", len(got), reportRetention)
 	}
-	if got := oneLine("no\nroom"+strings.Repeat("é", 200), maxWhy); len(got) > maxWhy || !strings.HasPrefix(got, "no room") {
+	if got := oneLine("no\nroom"+strings.Repeat("é", 200), maxReasonBytes); len(got) > maxReasonBytes || !strings.HasPrefix(got, "no room") {
 		t.Errorf("the reason is kept as %q", got)
 	}
 }
--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -15,7 +15,7 @@
 )
 
 // repairPause is the time between two attempts to bring a failing store back.
-const repairPause = 50 * time.Millisecond
+const repairInterval = 50 * time.Millisecond
 
 // keyCurrentTerm is hashicorp/raft's key of the current term, and keyProbe that of the value by
 // which a store that has failed is tried.
@@ -25,7 +25,7 @@
 )
 
 // errSlowStore is the cause of an outage in which the store neither succeeds nor fails.
-var errSlowStore = errors.New("no answer from the disk")
+var errStoreTimeout = errors.New("no answer from the disk")
 
 // Store is what an instance keeps on disk for Raft: the log, and the term and the vote.
 type Store interface {
@@ -67,15 +67,15 @@
 // left behind shorter ones, and rewrites what the failed sync may have dropped (see rewriteMeta).
 type retryingStore struct {
 	Store
-	log         *slog.Logger
-	rewrite     func() error    // makes the file's last commit durable again; nil: nothing to do
-	outageLimit time.Duration   // a write that lasts longer counts as an outage
-	closed      <-chan struct{} // closes when the instance stops
-	member      atomic.Pointer[storeMember]
-	savedTerm   atomic.Uint64 // the newest term saved
-	health      storeHealth
-	writing     sync.Mutex // held while Store is written
-	unclean     uint64     // first index of a failed append, 0: none; guarded by writing
+	log               *slog.Logger
+	rewriteLastCommit func() error    // makes the file's last commit durable again; nil: nothing to do
+	outageLimit       time.Duration   // a write that lasts longer counts as an outage
+	closed            <-chan struct{} // closes when the instance stops
+	member            atomic.Pointer[storeMember]
+	savedTerm         atomic.Uint64 // the newest term saved
+	health            storeHealth
+	writeMu           sync.Mutex // held while Store is written
+	failedAppend      uint64     // first index of a failed append, 0: none; guarded by writing
 }
 
 // storeMember is the Raft member that a store belongs to.
@@ -99,7 +99,7 @@
 func (s *retryingStore) attach(member *storeMember) {
 	s.member.Store(member)
 	if !s.health.behindSince(time.Now(), s.outageLimit).IsZero() {
-		s.recovered(s.health.begun())
+		s.recovered(s.health.outageCount())
 	}
 }
 
@@ -136,7 +136,7 @@
 	return func() error {
 		err := s.Store.StoreLogs(entries)
 		if err != nil && len(entries) > 0 {
-			s.unclean = entries[0].Index
+			s.failedAppend = entries[0].Index
 		}
 		return err
 	}
@@ -178,14 +178,14 @@
 // GetLog reads an entry, however long it takes; raft.ErrLogNotFound is an answer.
 func (s *retryingStore) GetLog(index uint64, entry *raft.Log) error {
 	read := func() error {
-		err := withoutPageFaults(func() error { return s.Store.GetLog(index, entry) })
+		err := catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
 		if errors.Is(err, raft.ErrLogNotFound) {
 			return nil
 		}
 		return err
 	}
 	for {
-		err := withoutPageFaults(func() error { return s.Store.GetLog(index, entry) })
+		err := catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
 		if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 			return err
 		}
@@ -198,7 +198,7 @@
 
 // withoutPageFaults runs a read of the mapped file and gives an error where a page can't be read
 // (SIGBUS), which would end the process.
-func withoutPageFaults(read func() error) (err error) {
+func catchPageFaults(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -210,8 +210,8 @@
 
 // write carries out one write, or returns a StoreError; the first that fails begins an outage.
 func (s *retryingStore) write(operation string, do func() error) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if cause := s.health.failure(); cause != nil {
 		return &StoreError{Operation: operation, Err: cause.Err}
 	}
@@ -226,7 +226,7 @@
 	}
 	if time.Since(begun) > s.outageLimit {
 		s.log.Warn("store was slow", "operation", operation, "took", time.Since(begun))
-		s.recovered(s.health.lagsSince(begun))
+		s.recovered(s.health.recordLag(begun))
 	}
 	return nil
 }
@@ -266,7 +266,7 @@
 func (s *retryingStore) endOutage(begun time.Time, check func() error) {
 	for attempts := 1; ; attempts++ {
 		select {
-		case <-time.After(repairPause):
+		case <-time.After(repairInterval):
 		case <-s.closed:
 			return
 		}
@@ -282,18 +282,18 @@
 
 // repair brings the store to the state that raft takes it to be in, and tries a write.
 func (s *retryingStore) repair(check func() error) error {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	if s.rewrite != nil {
-		if err := s.rewrite(); err != nil {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if s.rewriteLastCommit != nil {
+		if err := s.rewriteLastCommit(); err != nil {
 			return err
 		}
 	}
-	if s.unclean != 0 {
-		if err := s.Store.DeleteRange(s.unclean, math.MaxUint64); err != nil {
+	if s.failedAppend != 0 {
+		if err := s.Store.DeleteRange(s.failedAppend, math.MaxUint64); err != nil {
 			return err
 		}
-		s.unclean = 0
+		s.failedAppend = 0
 	}
 	if err := s.Store.SetUint64(keyProbe, uint64(time.Now().UnixNano())); err != nil {
 		return err
--- a/internal/discovery/server/disk_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -16,8 +16,8 @@
 const fastElection = `election_timeout = "100ms"`
 
 // kills is how often TestKilledInAWrite kills an instance.
-func kills() int {
-	if os.Getenv(longRuns) != "" {
+func killCount() int {
+	if os.Getenv(longTestsVariable) != "" {
 		return 200
 	}
 	return 6
@@ -25,59 +25,59 @@
 
 // TestKilledInAWrite: an instance that is alone, so that what it acknowledged is on its disk or
 // lost, is killed at random moments of a burst of writes and started again.
-func TestKilledInAWrite(t *testing.T) {
-	lab := startDiskLab(t, names[:1], fastElection)
-	lab.run(8)
-	for range kills() {
+func TestKilledDuringWrites(t *testing.T) {
+	lab := startFaultCluster(t, instanceNames[:1], fastElection)
+	lab.startClients(8)
+	for range killCount() {
 		time.Sleep(time.Duration(rand.IntN(300)) * time.Millisecond)
 		before := len(lab.history.acknowledged())
-		if err := lab.Restart(names[0]); err != nil {
+		if err := lab.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
 		}
 		lab.await("writes after the kill", func() bool { return len(lab.history.acknowledged()) > before+8 })
 	}
-	if err := lab.finish(staleBound); err != nil {
+	if err := lab.stopAndCheck(staleBound); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d kills, %d writes acknowledged", kills(), len(lab.history.acknowledged()))
+	t.Logf("%d kills, %d writes acknowledged", killCount(), len(lab.history.acknowledged()))
 }
 
 // TestHistoryFindsUnsyncedWrites: an instance that acknowledges what it has not written is found
 // by the checker after a kill.
 func TestHistoryFindsUnsyncedWrites(t *testing.T) {
-	lab := startDiskLab(t, names[:1], fastElection)
-	lab.fail(names[0], server.StoreFault{Unsynced: true})
-	if !lab.write(names[0], "unsynced") {
+	lab := startFaultCluster(t, instanceNames[:1], fastElection)
+	lab.setFault(instanceNames[0], server.StoreFault{Unsynced: true})
+	if !lab.write(instanceNames[0], "unsynced") {
 		t.Fatal("not acknowledged")
 	}
-	lab.fail(names[0], server.StoreFault{})
-	if err := lab.Restart(names[0]); err != nil {
+	lab.setFault(instanceNames[0], server.StoreFault{})
+	if err := lab.Restart(instanceNames[0]); err != nil {
 		t.Fatal(err)
 	}
 	lab.await("a leader", func() bool { return lab.leader() != "" })
-	if err := lab.finish(staleBound); err == nil {
+	if err := lab.stopAndCheck(staleBound); err == nil {
 		t.Error("the checker finds nothing")
 	}
 }
 
 // TestStartServesNothingLess: the first read that a restarted instance answers has all that it
 // acknowledged before.
-func TestStartServesNothingLess(t *testing.T) {
-	lab := startDiskLab(t, names[:1], fastElection)
+func TestRestartServesAcknowledgedWrites(t *testing.T) {
+	lab := startFaultCluster(t, instanceNames[:1], fastElection)
 	for i := range 20 {
-		lab.write(names[0], fmt.Sprint("s-", i))
+		lab.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
 	acked := lab.history.acknowledged()
 	for range 10 {
-		if err := lab.Restart(names[0]); err != nil {
+		if err := lab.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
 		}
-		read, served := lab.read(names[0])
-		for end := time.Now().Add(settled); !served && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			read, served = lab.read(names[0])
+		read, served := lab.read(instanceNames[0])
+		for end := time.Now().Add(convergenceTimeout); !served && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			read, served = lab.read(instanceNames[0])
 		}
 		for _, write := range acked {
-			if err := checkHolds(read, write); err != nil {
+			if err := checkContains(read, write); err != nil {
 				t.Fatalf("first read, version %d: %v", read.version, err)
 			}
 		}
@@ -85,12 +85,12 @@
 }
 
 // damage is something done to a data directory that has acknowledged writes.
-type damage struct {
-	name string
-	do   func(dir string) error
+type damageCase struct {
+	name  string
+	apply func(dir string) error
 }
 
-func cutTo(size func(int64) int64) func(string) error {
+func truncateTo(size func(int64) int64) func(string) error {
 	return func(dir string) error {
 		path := filepath.Join(dir, "raft.db")
 		info, err := os.Stat(path)
@@ -102,7 +102,7 @@
 }
 
 // tear overwrites the second half of one page with zeros.
-func tear(page int64) func(string) error {
+func tearPage(page int64) func(string) error {
 	return func(dir string) error {
 		file, err := os.OpenFile(filepath.Join(dir, "raft.db"), os.O_WRONLY, 0)
 		if err != nil {
@@ -115,18 +115,18 @@
 	}
 }
 
-func damages() []damage {
+func damageCases() []damageCase {
 	page := int64(os.Getpagesize())
-	out := []damage{
+	out := []damageCase{
 		{"missing", func(dir string) error { return os.Remove(filepath.Join(dir, "raft.db")) }},
-		{"empty", cutTo(func(int64) int64 { return 0 })},
-		{"a byte short", cutTo(func(size int64) int64 { return size - 1 })},
-		{"half", cutTo(func(size int64) int64 { return size / 2 })},
-		{"two pages", cutTo(func(int64) int64 { return 2 * page })},
-		{"six pages", cutTo(func(int64) int64 { return 6 * page })},
+		{"empty", truncateTo(func(int64) int64 { return 0 })},
+		{"a byte short", truncateTo(func(size int64) int64 { return size - 1 })},
+		{"half", truncateTo(func(size int64) int64 { return size / 2 })},
+		{"two pages", truncateTo(func(int64) int64 { return 2 * page })},
+		{"six pages", truncateTo(func(int64) int64 { return 6 * page })},
 	}
 	for i := range int64(16) {
-		out = append(out, damage{fmt.Sprintf("page %d torn", i), tear(i)})
+		out = append(out, damageCase{fmt.Sprintf("page %d torn", i), tearPage(i)})
 	}
 	return out
 }
@@ -134,18 +134,18 @@
 // TestDamagedStore: with its store cut or with a torn page an instance either serves all that it
 // acknowledged or refuses to start, with one line that names the file.
 func TestDamagedStore(t *testing.T) {
-	lab := startDiskLab(t, names[:1], fastElection)
+	lab := startFaultCluster(t, instanceNames[:1], fastElection)
 	for i := range 60 {
-		lab.write(names[0], fmt.Sprint("s-", i))
+		lab.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
 	acked := lab.history.acknowledged()
-	lab.Kill(names[0])
-	dir := filepath.Join(lab.dir, names[0])
+	lab.Kill(instanceNames[0])
+	dir := filepath.Join(lab.dir, instanceNames[0])
 	saved := filepath.Join(lab.dir, "saved")
 	copyDir(t, dir, saved)
-	for _, d := range damages() {
+	for _, d := range damageCases() {
 		copyDir(t, saved, dir)
-		if err := d.do(dir); err != nil {
+		if err := d.apply(dir); err != nil {
 			t.Fatal(d.name, err)
 		}
 		lab.checkDamaged(d.name, acked)
@@ -153,23 +153,23 @@
 }
 
 // checkDamaged starts the instance over a damaged directory.
-func (lab *diskLab) checkDamaged(name string, acked []writeRecord) {
+func (lab *faultCluster) checkDamaged(name string, acked []writeRecord) {
 	lab.t.Helper()
-	logPath := lab.path(names[0], "log")
+	logPath := lab.path(instanceNames[0], "log")
 	os.Truncate(logPath, 0)
-	if err := lab.Start(names[0]); err != nil {
+	if err := lab.Start(instanceNames[0]); err != nil {
 		lab.t.Fatal(err)
 	}
-	defer lab.Kill(names[0])
+	defer lab.Kill(instanceNames[0])
 	var read readRecord
 	served := false
 	lab.await("reads or an end", func() bool {
-		read, served = lab.read(names[0])
-		return served || !lab.Running(names[0])
+		read, served = lab.read(instanceNames[0])
+		return served || !lab.Running(instanceNames[0])
 	})
 	if served {
 		for _, write := range acked {
-			if err := checkHolds(read, write); err != nil {
+			if err := checkContains(read, write); err != nil {
 				lab.t.Errorf("%s: %v", name, err)
 				return
 			}
@@ -187,7 +187,7 @@
 	lab.t.Logf("%s: %s", name, last)
 }
 
-func checkHolds(read readRecord, write writeRecord) error {
+func checkContains(read readRecord, write writeRecord) error {
 	for _, id := range read.ids {
 		if id == write.id {
 			return nil
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -8,21 +8,21 @@
 // storeHealth is what is known of a store: whether it fails, whether a write hangs, and since
 // when the instance may lag for it. The zero value is a store that works.
 type storeHealth struct {
-	mu          sync.Mutex
-	outage      *storeOutage // nil while the store works
-	outages     int          // begun so far
-	lagging     time.Time    // since when the list may lack entries for an outage; zero: it does not
-	operation   string       // the write under way
-	writingFrom time.Time    // its begin; zero: none is
+	mu             sync.Mutex
+	outage         *storeOutage // nil while the store works
+	outages        int          // begun so far
+	laggingSince   time.Time    // since when the list may lack entries for an outage; zero: it does not
+	writeOperation string       // the write under way
+	writeStarted   time.Time    // its begin; zero: none is
 }
 
 // storeOutage is one span in which the store fails.
 type storeOutage struct {
 	cause *StoreError
-	over  chan struct{}
+	ended chan struct{}
 }
 
-var alwaysOver = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	over := make(chan struct{})
 	close(over)
 	return over
@@ -35,8 +35,8 @@
 	if h.outage != nil {
 		return h.outage.cause
 	}
-	if !h.writingFrom.IsZero() && now.Sub(h.writingFrom) > limit {
-		return &StoreError{Operation: h.operation, Err: errSlowStore}
+	if !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit {
+		return &StoreError{Operation: h.writeOperation, Err: errStoreTimeout}
 	}
 	return nil
 }
@@ -56,21 +56,21 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.outage == nil {
-		return alwaysOver
+		return closedChannel
 	}
-	return h.outage.over
+	return h.outage.ended
 }
 
 func (h *storeHealth) beginWrite(operation string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.operation, h.writingFrom = operation, now
+	h.writeOperation, h.writeStarted = operation, now
 }
 
 func (h *storeHealth) endWrite() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.writingFrom = time.Time{}
+	h.writeStarted = time.Time{}
 }
 
 // beginOutage tells whether it began one: false if one is under way.
@@ -80,8 +80,8 @@
 	if h.outage != nil {
 		return false
 	}
-	h.outage = &storeOutage{cause: cause, over: make(chan struct{})}
-	h.lag(now)
+	h.outage = &storeOutage{cause: cause, ended: make(chan struct{})}
+	h.markLagging(now)
 	return true
 }
 
@@ -89,31 +89,31 @@
 func (h *storeHealth) endOutage() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	close(h.outage.over)
+	close(h.outage.ended)
 	h.outage = nil
 	return h.outages
 }
 
 // lagsSince notes a write that lasted too long, as an outage that is over.
-func (h *storeHealth) lagsSince(begun time.Time) int {
+func (h *storeHealth) recordLag(begun time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lag(begun)
+	h.markLagging(begun)
 	return h.outages
 }
 
 // begun is the number of outages so far.
-func (h *storeHealth) begun() int {
+func (h *storeHealth) outageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.outages
 }
 
 // lag is called with mu held.
-func (h *storeHealth) lag(since time.Time) {
+func (h *storeHealth) markLagging(since time.Time) {
 	h.outages++
-	if h.lagging.IsZero() {
-		h.lagging = since
+	if h.laggingSince.IsZero() {
+		h.laggingSince = since
 	}
 }
 
@@ -125,7 +125,7 @@
 	if h.outages != outages {
 		return false
 	}
-	h.lagging = time.Time{}
+	h.laggingSince = time.Time{}
 	return true
 }
 
@@ -134,11 +134,11 @@
 func (h *storeHealth) behindSince(now time.Time, limit time.Duration) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.lagging.IsZero() {
-		return h.lagging
+	if !h.laggingSince.IsZero() {
+		return h.laggingSince
 	}
-	if !h.writingFrom.IsZero() && now.Sub(h.writingFrom) > limit {
-		return h.writingFrom
+	if !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit {
+		return h.writeStarted
 	}
 	return time.Time{}
 }
--- a/internal/discovery/server/disk_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -16,38 +16,38 @@
 const staleBound = 4500 * time.Millisecond
 
 // takenOver is the length of an outage in which the others have elected a leader and taken writes.
-const takenOver = 5 * time.Second
+const failoverTime = 5 * time.Second
 
 // diskCase is an outage of the store of some instances.
-type diskCase struct {
-	name  string
-	fault server.StoreFault
-	who   func(lab *diskLab) []string
+type outageCase struct {
+	name    string
+	fault   server.StoreFault
+	failing func(lab *faultCluster) []string
 	// restart has the leader killed and started again once the fault is there, so that terms and
 	// votes have to be saved.
 	restart bool
 	// short is the outage's length in a short run: one that is longer than staleBound shows that
 	// reads end.
-	short time.Duration
+	shortOutage time.Duration
 }
 
 // outages are the lengths to play: of a run in full length those of issue 35.
-func (c diskCase) outages() []time.Duration {
-	if os.Getenv(longRuns) != "" {
+func (c outageCase) outages() []time.Duration {
+	if os.Getenv(longTestsVariable) != "" {
 		return []time.Duration{time.Second, 5 * time.Second, 30 * time.Second}
 	}
-	return []time.Duration{c.short}
+	return []time.Duration{c.shortOutage}
 }
 
-func leaderOnly(lab *diskLab) []string { return []string{lab.leader()} }
+func leaderOnly(lab *faultCluster) []string { return []string{lab.leader()} }
 
-func followerOnly(lab *diskLab) []string { return followers(lab)[:1] }
+func followerOnly(lab *faultCluster) []string { return followers(lab)[:1] }
 
-func bothFollowers(lab *diskLab) []string { return followers(lab) }
+func bothFollowers(lab *faultCluster) []string { return followers(lab) }
 
-func leaderAndFollower(lab *diskLab) []string { return append(followers(lab)[:1], lab.leader()) }
+func leaderAndFollower(lab *faultCluster) []string { return append(followers(lab)[:1], lab.leader()) }
 
-func followers(lab *diskLab) (out []string) {
+func followers(lab *faultCluster) (out []string) {
 	leader := lab.leader()
 	for _, name := range lab.Names() {
 		if name != leader {
@@ -57,40 +57,40 @@
 	return out
 }
 
-var diskCases = []diskCase{
-	{name: "log of the leader", fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}, who: leaderOnly, short: 6 * time.Second},
-	{name: "all of the leader, after the write", who: leaderOnly, short: 2 * time.Second,
+var outageCases = []outageCase{
+	{name: "log of the leader", fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}, failing: leaderOnly, shortOutage: 6 * time.Second},
+	{name: "all of the leader, after the write", failing: leaderOnly, shortOutage: 2 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.EIO}},
-	{name: "log of the leader hangs", fault: server.StoreFault{Log: true, Hang: true}, who: leaderOnly, short: 8 * time.Second},
-	{name: "log of a follower", fault: server.StoreFault{Log: true, Err: syscall.EIO}, who: followerOnly, short: 6 * time.Second},
-	{name: "reads of a follower", fault: server.StoreFault{Read: true, Err: syscall.EIO}, who: followerOnly, short: time.Second},
-	{name: "all of the followers", who: bothFollowers, short: 6 * time.Second,
+	{name: "log of the leader hangs", fault: server.StoreFault{Log: true, Hang: true}, failing: leaderOnly, shortOutage: 8 * time.Second},
+	{name: "log of a follower", fault: server.StoreFault{Log: true, Err: syscall.EIO}, failing: followerOnly, shortOutage: 6 * time.Second},
+	{name: "reads of a follower", fault: server.StoreFault{Read: true, Err: syscall.EIO}, failing: followerOnly, shortOutage: time.Second},
+	{name: "all of the followers", failing: bothFollowers, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC}},
-	{name: "term and vote of a follower", who: followerOnly, restart: true, short: 3 * time.Second,
+	{name: "term and vote of a follower", failing: followerOnly, restart: true, shortOutage: 3 * time.Second,
 		fault: server.StoreFault{Stable: true, Err: syscall.EIO}},
-	{name: "term and vote of the followers", who: bothFollowers, restart: true, short: 3 * time.Second,
+	{name: "term and vote of the followers", failing: bothFollowers, restart: true, shortOutage: 3 * time.Second,
 		fault: server.StoreFault{Stable: true, Err: syscall.ENOSPC}},
-	{name: "all of a majority, after the write", who: leaderAndFollower, short: 3 * time.Second,
+	{name: "all of a majority, after the write", failing: leaderAndFollower, shortOutage: 3 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.ENOSPC}},
 }
 
 // TestStoreOutages: in a burst of writes the store of instances fails for a while. No instance
 // ends, each goes on after it, and the history of all clients is that of one list.
 func TestStoreOutages(t *testing.T) {
-	for _, c := range diskCases {
+	for _, c := range outageCases {
 		for _, outage := range c.outages() {
-			t.Run(fmt.Sprintf("%s/%v", c.name, outage), func(t *testing.T) { playOutage(t, c, outage) })
+			t.Run(fmt.Sprintf("%s/%v", c.name, outage), func(t *testing.T) { runOutage(t, c, outage) })
 		}
 	}
 }
 
-func playOutage(t *testing.T, c diskCase, outage time.Duration) {
-	lab := startDiskLab(t, names, "")
-	lab.run(4)
+func runOutage(t *testing.T, c outageCase, outage time.Duration) {
+	lab := startFaultCluster(t, instanceNames, "")
+	lab.startClients(4)
 	time.Sleep(time.Second)
-	failing, leader := c.who(lab), lab.leader()
+	failing, leader := c.failing(lab), lab.leader()
 	for _, name := range failing {
-		lab.fail(name, c.fault)
+		lab.setFault(name, c.fault)
 	}
 	if c.restart {
 		if err := lab.Restart(leader); err != nil {
@@ -102,15 +102,15 @@
 	time.Sleep(outage)
 	during := len(lab.history.acknowledged())
 	for _, name := range failing {
-		lab.fail(name, server.StoreFault{})
+		lab.setFault(name, server.StoreFault{})
 	}
 	healed := time.Now()
 	lab.await("a write after the outage", func() bool { return len(lab.history.acknowledged()) > during+10 })
 	resumed := time.Since(healed)
-	if err := lab.finish(staleBound); err != nil {
+	if err := lab.stopAndCheck(staleBound); err != nil {
 		t.Error(err)
 	}
-	if minority := len(failing) == 1; minority && outage >= takenOver && during == before {
+	if minority := len(failing) == 1; minority && outage >= failoverTime && during == before {
 		t.Errorf("no write in the outage of %v, a minority", failing)
 	}
 	if now := lab.pids(); !maps.Equal(pids, now) {
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -15,10 +15,10 @@
 )
 
 // within bounds every wait of these tests.
-const within = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // openFaulty is a retrying store over a bbolt file whose calls can be made to fail.
-func openFaulty(t *testing.T) (*retryingStore, *FaultyStore) {
+func openFaultyStore(t *testing.T) (*retryingStore, *FaultyStore) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), storeFile)
 	bolt, err := raftboltdb.NewBoltStore(path)
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store.rewrite = func() error { return rewriteMeta(path) }
+	store.rewriteLastCommit = func() error { return rewriteMetaPages(path) }
 	t.Cleanup(func() { close(closed); bolt.Close() })
 	return store, faulty
 }
 
-func entries(term, first, last uint64) (out []*raft.Log) {
+func logEntries(term, first, last uint64) (out []*raft.Log) {
 	for index := first; index <= last; index++ {
 		out = append(out, &raft.Log{Index: index, Term: term, Data: []byte(`{"op":"remove"}`)})
 	}
@@ -44,24 +44,24 @@
 }
 
 // finish waits for a call that was begun, and fails the test on its error.
-func finish(t *testing.T, call <-chan error) {
+func waitForCall(t *testing.T, call <-chan error) {
 	t.Helper()
 	select {
 	case err := <-call:
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(within):
+	case <-time.After(waitTimeout):
 		t.Fatal("the call has not returned")
 	}
 }
 
 // begin runs a call of the store while it fails, and returns once it has failed below.
-func begin(t *testing.T, faulty *FaultyStore, call func() error) <-chan error {
+func startFailingCall(t *testing.T, faulty *FaultyStore, call func() error) <-chan error {
 	t.Helper()
-	before, done := faulty.calls.Load(), make(chan error, 1)
+	before, done := faulty.failedCalls.Load(), make(chan error, 1)
 	go func() { done <- call() }()
-	if err := processtest.Await(within, "a failed call", func() bool { return faulty.calls.Load() > before+1 || len(done) > 0 }); err != nil {
+	if err := processtest.Await(waitTimeout, "a failed call", func() bool { return faulty.failedCalls.Load() > before+1 || len(done) > 0 }); err != nil {
 		t.Fatal(err)
 	}
 	return done
@@ -69,20 +69,20 @@
 
 // TestStoreWaitsOutAnOutage: what raft would panic for, or forget, waits until the disk works and
 // then has happened; a vote is refused at once.
-func TestStoreWaitsOutAnOutage(t *testing.T) {
-	store, faulty := openFaulty(t)
-	if err := store.StoreLogs(entries(1, 1, 3)); err != nil {
+func TestStoreRetriesUntilOutageEnds(t *testing.T) {
+	store, faulty := openFaultyStore(t)
+	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
 		t.Fatal(err)
 	}
 	var entry raft.Log
 	for name, call := range map[string]func() error{
 		"term":   func() error { return store.SetUint64(keyCurrentTerm, store.savedTerm.Load()+1) },
-		"append": func() error { return store.StoreLogs(entries(1, 4, 6)) },
+		"append": func() error { return store.StoreLogs(logEntries(1, 4, 6)) },
 		"remove": func() error { return store.DeleteRange(1, 1) },
 		"read":   func() error { return store.GetLog(2, &entry) },
 	} {
 		faulty.Fail(&StoreFault{Log: true, Stable: true, Read: name == "read", Err: syscall.ENOSPC})
-		done := begin(t, faulty, call)
+		done := startFailingCall(t, faulty, call)
 		if len(done) > 0 {
 			t.Errorf("%s: returned during the outage", name)
 		}
@@ -90,8 +90,8 @@
 			t.Errorf("%s: vote %v, available %v in the outage", name, err, store.available())
 		}
 		faulty.Fail(nil)
-		finish(t, done)
-		if err := processtest.Await(within, "the end of the outage", func() bool { return store.available() == nil }); err != nil {
+		waitForCall(t, done)
+		if err := processtest.Await(waitTimeout, "the end of the outage", func() bool { return store.available() == nil }); err != nil {
 			t.Fatal(name, err)
 		}
 	}
@@ -106,16 +106,16 @@
 // TestFailedAppendLeavesNoEntries: an append of a leader that failed but reached the file is
 // removed before another, shorter one follows it.
 func TestFailedAppendLeavesNoEntries(t *testing.T) {
-	store, faulty := openFaulty(t)
-	if err := store.StoreLogs(entries(1, 1, 3)); err != nil {
+	store, faulty := openFaultyStore(t)
+	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
 		t.Fatal(err)
 	}
 	faulty.Fail(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
-	if err := store.write("append entries", store.appendEntries(entries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
+	if err := store.write("append entries", store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("append: %v", err)
 	}
 	faulty.Fail(nil)
-	if err := store.StoreLogs(entries(2, 4, 5)); err != nil {
+	if err := store.StoreLogs(logEntries(2, 4, 5)); err != nil {
 		t.Fatal(err)
 	}
 	if last, err := store.LastIndex(); last != 5 || err != nil {
@@ -124,31 +124,31 @@
 }
 
 // TestTermNeverGoesBack: an older term that is saved late changes nothing and needs no disk.
-func TestTermNeverGoesBack(t *testing.T) {
-	store, faulty := openFaulty(t)
+func TestTermNeverDecreases(t *testing.T) {
+	store, faulty := openFaultyStore(t)
 	if err := store.SetUint64(keyCurrentTerm, 6); err != nil {
 		t.Fatal(err)
 	}
 	faulty.Fail(&StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC})
 	done := make(chan error, 1)
 	go func() { done <- store.SetUint64(keyCurrentTerm, 5) }()
-	finish(t, done)
+	waitForCall(t, done)
 	if term, err := store.GetUint64(keyCurrentTerm); term != 6 || err != nil {
 		t.Errorf("term %d, %v: want 6", term, err)
 	}
 }
 
 // TestHangingStoreIsUnavailable: a write that neither succeeds nor fails counts as an outage.
-func TestHangingStoreIsUnavailable(t *testing.T) {
-	store, _ := openFaulty(t)
+func TestHangingWriteMakesStoreUnavailable(t *testing.T) {
+	store, _ := openFaultyStore(t)
 	store.outageLimit = time.Millisecond
 	release, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- store.write("append entries", func() error { <-release; return nil }) }()
-	if err := processtest.Await(within, "an outage", func() bool { return errors.Is(store.available(), errSlowStore) }); err != nil {
+	if err := processtest.Await(waitTimeout, "an outage", func() bool { return errors.Is(store.available(), errStoreTimeout) }); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
-	finish(t, done)
+	waitForCall(t, done)
 	if err := store.available(); err != nil {
 		t.Errorf("after the write: %v", err)
 	}
--- a/internal/discovery/server/store_check.go
+++ b/internal/discovery/server/store_verify.go
@@ -25,14 +25,14 @@
 
 // StoreDamage is why a start refuses a data directory: what it would serve may lack what was
 // acknowledged.
-type StoreDamage struct {
+type StoreDamageError struct {
 	Path string // the file
 	Err  error
 }
 
-func (d *StoreDamage) Error() string { return fmt.Sprintf("damaged file %s: %v", d.Path, d.Err) }
+func (d *StoreDamageError) Error() string { return fmt.Sprintf("damaged file %s: %v", d.Path, d.Err) }
 
-func (d *StoreDamage) Unwrap() error { return d.Err }
+func (d *StoreDamageError) Unwrap() error { return d.Err }
 
 // openBolt opens the data directory's store, or creates it in a new directory. A file that was
 // cut, or that has pages that can't be read, is refused as StoreDamage. bbolt sums up only its two
@@ -44,18 +44,18 @@
 	switch {
 	case err == nil && info.Size() > 0:
 		if err := checkFile(path, info.Size()); err != nil {
-			return nil, &StoreDamage{Path: path, Err: err}
+			return nil, &StoreDamageError{Path: path, Err: err}
 		}
 	case err != nil && !errors.Is(err, os.ErrNotExist):
 		return nil, err
 	case wasCreated(dir):
-		return nil, &StoreDamage{Path: path, Err: errors.New("missing or empty, and this directory had one")}
+		return nil, &StoreDamageError{Path: path, Err: errors.New("missing or empty, and this directory had one")}
 	}
 	store, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := noteCreated(dir); err != nil {
+	if err := markCreated(dir); err != nil {
 		log.Warn("store not marked as created", "err", err)
 	}
 	return store, nil
@@ -70,7 +70,7 @@
 	return len(snapshots) > 0
 }
 
-func noteCreated(dir string) error {
+func markCreated(dir string) error {
 	file, err := os.OpenFile(filepath.Join(dir, createdFile), os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 
 // checkFile reads the whole database and returns an error for what can't be right.
 func checkFile(path string, size int64) error {
-	return withoutPageFaults(func() error {
+	return catchPageFaults(func() error {
 		if err := viewDatabase(path, true, func(tx *bbolt.Tx) error { return checkSize(tx, size) }); err != nil {
 			return err
 		}
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -34,25 +34,25 @@
 		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining", Weight: 2.5},
 		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: "up", Weight: 0.5},
 	}}
-	caughtUp := func() bool { return ask("GET", reads+"/api/targets", "").code == http.StatusOK }
+	caughtUp := func() bool { return request("GET", reads+"/api/targets", "").code == http.StatusOK }
 	if err := processtest.Await(5*time.Second, "the log applied", caughtUp); err != nil {
 		t.Fatal(err)
 	}
-	if got := ask("GET", reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
+	if got := request("GET", reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
 		t.Errorf("list %+v, want %+v", got, wantList)
 	}
 	for service, want := range map[string]server.SettingsVersion{
-		"quotes": {Version: 12, AtMs: 1796206765381, Bytes: 136, Text: settingsText(4) + "\n"},
-		"orders": {Version: 10, AtMs: 1796206591154, Bytes: 136, Text: settingsText(3) + "\n"},
+		"quotes": {Version: 12, WrittenAtMs: 1796206765381, Bytes: 136, Text: settingsText(4) + "\n"},
+		"orders": {Version: 10, WrittenAtMs: 1796206591154, Bytes: 136, Text: settingsText(3) + "\n"},
 	} {
 		var got server.SettingsVersion
-		body := ask("GET", admin+"/v1/settings/"+service, "").body
+		body := request("GET", admin+"/v1/settings/"+service, "").body
 		if err := json.Unmarshal([]byte(body), &got); err != nil || got != want {
 			t.Errorf("settings of %s: %+v (%v), want %+v", service, got, err, want)
 		}
 	}
 	var history []server.SettingsVersion
-	body := ask("GET", admin+"/v1/settings/quotes/history", "").body
+	body := request("GET", admin+"/v1/settings/quotes/history", "").body
 	if err := json.Unmarshal([]byte(body), &history); err != nil || len(history) != 3 {
 		t.Errorf("history of quotes: %q (%v), want three versions", body, err)
 	}
@@ -68,8 +68,8 @@
 	if err := os.Remove(filepath.Join(dir, "raft.db")); err != nil {
 		t.Fatal(err)
 	}
-	_, err := server.Start(nodeConfig(t, dir), slog.New(slog.DiscardHandler))
-	var damage *server.StoreDamage
+	_, err := server.Start(singleNodeConfig(t, dir), slog.New(slog.DiscardHandler))
+	var damage *server.StoreDamageError
 	if !errors.As(err, &damage) {
 		t.Errorf("start returned %v, want a StoreDamage", err)
 	}
--- a/internal/discovery/server/traffic.go
+++ b/internal/discovery/server/usage.go
@@ -12,7 +12,7 @@
 // and Raft's own words, nothing below TCP), and messages. At an HTTP door a message is a call,
 // counted as it comes; at Raft's it is a write to a stream, of which Raft makes one for each of
 // its calls and each of its answers.
-type Door struct {
+type Traffic struct {
 	In       uint64 `json:"in"`
 	Out      uint64 `json:"out"`
 	Messages uint64 `json:"messages"`
@@ -20,9 +20,9 @@
 
 // Usage is what an instance has taken, as GET /v1/status tells it.
 type Usage struct {
-	Reads Door `json:"reads"` // GET /api/targets: reads and watches
-	Admin Door `json:"admin"` // writes and status
-	Raft  Door `json:"raft"`  // with the other instances, both ways of calling
+	Reads Traffic `json:"reads"` // GET /api/targets: reads and watches
+	Admin Traffic `json:"admin"` // writes and status
+	Raft  Traffic `json:"raft"`  // with the other instances, both ways of calling
 	// HeapBytes is live memory as of the last collection, AllocBytes all that was allocated since
 	// the start (runtime/metrics: /gc/heap/live:bytes, /gc/heap/allocs:bytes).
 	HeapBytes  uint64 `json:"heap_bytes"`
@@ -31,14 +31,14 @@
 }
 
 // counters counts what passes a door.
-type counters struct{ in, out, messages atomic.Uint64 }
+type trafficCounters struct{ in, out, messages atomic.Uint64 }
 
-func (c *counters) door() Door {
-	return Door{In: c.in.Load(), Out: c.out.Load(), Messages: c.messages.Load()}
+func (c *trafficCounters) snapshot() Traffic {
+	return Traffic{In: c.in.Load(), Out: c.out.Load(), Messages: c.messages.Load()}
 }
 
 // calls counts the calls of an HTTP door.
-func (c *counters) calls(h http.Handler) http.Handler {
+func (c *trafficCounters) countRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.messages.Add(1)
 		h.ServeHTTP(w, r)
@@ -46,38 +46,38 @@
 }
 
 // counted is a listener whose connections are counted.
-type counted struct {
+type countingListener struct {
 	net.Listener
-	c *counters
+	counters *trafficCounters
 	// writes tells that each write is a message.
-	writes bool
+	countWrites bool
 }
 
-func (l counted) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, l.c, l.writes}, nil
+	return &countingConn{conn, l.counters, l.countWrites}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	c      *counters
-	writes bool
+	counters    *trafficCounters
+	countWrites bool
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.in.Add(uint64(n))
+	c.counters.in.Add(uint64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.out.Add(uint64(n))
-	if c.writes {
-		c.c.messages.Add(1)
+	c.counters.out.Add(uint64(n))
+	if c.countWrites {
+		c.counters.messages.Add(1)
 	}
 	return n, err
 }
@@ -86,6 +86,6 @@
 func (n *Node) usage() Usage {
 	heap := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/gc/heap/allocs:bytes"}}
 	metrics.Read(heap)
-	return Usage{Reads: n.reads.door(), Admin: n.admin.door(), Raft: n.raftDoor.door(),
+	return Usage{Reads: n.readTraffic.snapshot(), Admin: n.adminTraffic.snapshot(), Raft: n.raftTraffic.snapshot(),
 		HeapBytes: heap[0].Value.Uint64(), AllocBytes: heap[1].Value.Uint64(), Goroutines: runtime.NumGoroutine()}
 }
--- a/internal/discovery/server/traffic_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestUsageIsTold: an instance tells what passed each of its doors, and no door's for another's.
-func TestUsageIsTold(t *testing.T) {
-	c := startList(t)
-	if put(c, "s-1") == 0 {
+func TestStatusReportsTraffic(t *testing.T) {
+	c := startCluster(t)
+	if putServerAnywhere(c, "s-1") == 0 {
 		t.Fatal("no write was acknowledged")
 	}
 	lead := leader(c)
@@ -28,7 +28,7 @@
 		}
 		bytes += len(text)
 	}
-	if put(c, "s-2") == 0 {
+	if putServerAnywhere(c, "s-2") == 0 {
 		t.Fatal("no write was acknowledged")
 	}
 	after := statusAt(c.Addr(lead, "admin")).Usage
--- a/internal/discovery/server/bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -18,7 +18,7 @@
 )
 
 // threeNodes runs three instances in this process on loopback ports from the system.
-func threeNodes(b testing.TB, election time.Duration) ([]server.Config, []*server.Node) {
+func startThreeNodes(b testing.TB, election time.Duration) ([]server.Config, []*server.Node) {
 	addr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -55,10 +55,10 @@
 // time from the write's acknowledgement to a watcher's answer (0 where the answer came
 // first), and the p99 from the moment the write was sent, its commit included.
 func BenchmarkWatchFanout(b *testing.B) {
-	cfgs, _ := threeNodes(b, time.Second)
+	cfgs, _ := startThreeNodes(b, time.Second)
 	admin := cfgs[0].AdminAddr
 	for v := uint64(0); v == 0; {
-		v = write(admin, "warm")
+		v = putServer(admin, "warm")
 		time.Sleep(50 * time.Millisecond)
 	}
 	const watchers = 1000
@@ -105,7 +105,7 @@
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
 		sent = append(sent, time.Now())
-		write(admin, fmt.Sprint("s-", i))
+		putServer(admin, fmt.Sprint("s-", i))
 		acked = append(acked, time.Now())
 		for range watchers {
 			<-seen
@@ -131,19 +131,19 @@
 // Raft's timeouts at their default of 1 s and at 500 ms.
 func BenchmarkFailover(b *testing.B) {
 	for _, election := range []time.Duration{time.Second, 500 * time.Millisecond} {
-		b.Run(fmt.Sprint("election=", election), func(b *testing.B) { failover(b, election) })
+		b.Run(fmt.Sprint("election=", election), func(b *testing.B) { benchmarkFailover(b, election) })
 	}
 }
 
-func failover(b *testing.B, election time.Duration) {
+func benchmarkFailover(b *testing.B, election time.Duration) {
 	var total time.Duration
 	for i := 0; i < b.N; i++ {
 		b.StopTimer()
-		cfgs, nodes := threeNodes(b, election)
+		cfgs, nodes := startThreeNodes(b, election)
 		lead := -1
 		for lead < 0 {
 			for j, c := range cfgs {
-				if write(c.AdminAddr, "warm") != 0 && statusAt(c.AdminAddr).Leader == c.ID {
+				if putServer(c.AdminAddr, "warm") != 0 && statusAt(c.AdminAddr).Leader == c.ID {
 					lead = j
 				}
 			}
@@ -152,7 +152,7 @@
 		start := time.Now()
 		nodes[lead].Close()
 		other := cfgs[(lead+1)%3].AdminAddr
-		for write(other, fmt.Sprint("after-", i)) == 0 {
+		for putServer(other, fmt.Sprint("after-", i)) == 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
 		total += time.Since(start)
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -17,11 +17,11 @@
 	for _, state := range []string{"Follower", "Leader"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			cfgs, nodes := threeNodes(t, 300*time.Millisecond)
+			cfgs, nodes := startThreeNodes(t, 300*time.Millisecond)
 			var v uint64
 			stays := -1
 			if err := processtest.Await(20*time.Second, "an instance to hang on", func() bool {
-				v = write(cfgs[0].AdminAddr, "s-1")
+				v = putServer(cfgs[0].AdminAddr, "s-1")
 				for i, c := range cfgs {
 					if st := statusAt(c.AdminAddr); v != 0 && st.State == state && st.Version == v {
 						stays = i
@@ -31,9 +31,9 @@
 			}); err != nil {
 				t.Fatal(err)
 			}
-			got, begun := make(chan answer, 1), time.Now()
+			got, begun := make(chan response, 1), time.Now()
 			go func() {
-				got <- ask("GET", fmt.Sprintf("%s/api/targets?index=%d&wait=60000", cfgs[stays].HTTPAddr, v), "")
+				got <- request("GET", fmt.Sprintf("%s/api/targets?index=%d&wait=60000", cfgs[stays].HTTPAddr, v), "")
 			}()
 			for i, n := range nodes {
 				if i != stays {
@@ -51,30 +51,30 @@
 // TestWatchFromTheFuture: a version that nobody gave gets the whole list from the leader and
 // from a follower; one that a follower has not applied yet, as its link to the leader is
 // slow, gets nothing older from it.
-func TestWatchFromTheFuture(t *testing.T) {
-	c := startList(t)
+func TestWatchFromUnknownVersion(t *testing.T) {
+	c := startCluster(t)
 	lead := ""
 	if err := processtest.Await(20*time.Second, "a leader and a write everywhere", func() bool {
 		lead = leader(c)
-		return lead != "" && put(c, "s-1") != 0 && !slices.ContainsFunc(names, func(n string) bool { return !listed(c, n, "s-1") })
+		return lead != "" && putServerAnywhere(c, "s-1") != 0 && !slices.ContainsFunc(instanceNames, func(n string) bool { return !listsServer(c, n, "s-1") })
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range names {
+	for _, n := range instanceNames {
 		at := c.Addr(n, "http") + "/api/targets?wait=500&index="
-		if l := ask("GET", at+"99999", "").list(t); !l.Full || l.Version > 999 || len(l.Servers) != 1 {
+		if l := request("GET", at+"99999", "").list(t); !l.Full || l.Version > 999 || len(l.Servers) != 1 {
 			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the whole list", n, lead, l)
 		}
 	}
-	lag := names[(slices.Index(names, lead)+1)%3]
+	lag := instanceNames[(slices.Index(instanceNames, lead)+1)%3]
 	slow, err := c.Link(lead, lag, "raft")
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow.SetDelay(150 * time.Millisecond)
 	for i := range 5 {
-		v := write(c.Addr(lead, "admin"), fmt.Sprint("new-", i))
-		a := ask("GET", fmt.Sprintf("%s/api/targets?wait=0&index=%d", c.Addr(lag, "http"), v), "")
+		v := putServer(c.Addr(lead, "admin"), fmt.Sprint("new-", i))
+		a := request("GET", fmt.Sprintf("%s/api/targets?wait=0&index=%d", c.Addr(lag, "http"), v), "")
 		if a.code == http.StatusServiceUnavailable {
 			continue // it can't know: the caller goes to another
 		}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -31,19 +31,19 @@
 
 // Report is told of each accept that failed for a moment, and how many did so far. It is called
 // by the goroutine that accepts.
-type Report func(err error, failures uint64)
+type FailureReporter func(err error, failures uint64)
 
 // Listener is a net.Listener whose Accept tries again after a momentary error.
 type Listener struct {
 	net.Listener
-	report   Report
+	report   FailureReporter
 	failures atomic.Uint64
 	closed   chan struct{}
 	close    func() error
 }
 
 // New wraps a listener, which belongs to the result from then on.
-func New(inner net.Listener, report Report) *Listener {
+func New(inner net.Listener, report FailureReporter) *Listener {
 	l := &Listener{Listener: inner, report: report, closed: make(chan struct{})}
 	l.close = sync.OnceValue(func() error {
 		close(l.closed)
@@ -60,7 +60,7 @@
 		if err == nil {
 			return conn, nil
 		}
-		if !Momentary(err) {
+		if !Temporary(err) {
 			return nil, err
 		}
 		l.report(err, l.failures.Add(1))
@@ -101,7 +101,7 @@
 // nextDelay doubles the wait while this machine lacks something. Any other error took one
 // connection out of the queue, and the next may be good.
 func nextDelay(err error, previous time.Duration) time.Duration {
-	if !isOneOf(err, exhausted) {
+	if !isOneOf(err, exhaustionErrors) {
 		return minDelay
 	}
 	return min(max(2*previous, minDelay), maxDelay)
@@ -109,17 +109,17 @@
 
 // exhausted are the errors of accept(2) that say that the process or the system has no descriptor,
 // buffer or memory left.
-var exhausted = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // broken are the errors of accept(2) that say that the descriptor can't accept: another call
 // would fail alike. EOPNOTSUPP is not among them, as it may be one connection's pending error.
-var broken = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
+var permanentErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
 
 // Momentary tells whether an accept's error is one that another call may not meet: each of the
 // kernel's errors but those of a broken descriptor.
-func Momentary(err error) bool {
+func Temporary(err error) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && !slices.Contains(broken, errno)
+	return errors.As(err, &errno) && !slices.Contains(permanentErrors, errno)
 }
 
 func isOneOf(err error, list []syscall.Errno) bool {
@@ -128,7 +128,7 @@
 }
 
 // LogFailures reports to a log, one line a second at the most; each line has the count so far.
-func LogFailures(log *slog.Logger, name string) Report {
+func LogFailures(log *slog.Logger, name string) FailureReporter {
 	limit := rate.NewLimiter(rate.Every(logEvery), 1)
 	return func(err error, failures uint64) {
 		if limit.Allow() {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -14,7 +14,7 @@
 )
 
 // failing is a listener whose accepts fail with each error in turn; the next gives a connection.
-type failing struct {
+type failingListener struct {
 	net.Listener
 	errs chan error
 }
@@ -23,15 +23,15 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-func newFailing(errnos ...syscall.Errno) failing {
-	l := failing{errs: make(chan error, len(errnos))}
+func newFailingListener(errnos ...syscall.Errno) failingListener {
+	l := failingListener{errs: make(chan error, len(errnos))}
 	for _, errno := range errnos {
 		l.errs <- acceptError(errno)
 	}
 	return l
 }
 
-func (l failing) Accept() (net.Conn, error) {
+func (l failingListener) Accept() (net.Conn, error) {
 	select {
 	case err := <-l.errs:
 		return nil, err
@@ -41,32 +41,32 @@
 	}
 }
 
-func (l failing) Close() error { return nil }
+func (l failingListener) Close() error { return nil }
 
 // momentary are the errors of accept(2), but those of a broken descriptor.
-var momentary = []syscall.Errno{
+var temporaryErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.ENETDOWN, syscall.ENOPROTOOPT,
 	syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 	syscall.ETIMEDOUT,
 }
 
-func TestAcceptGoesOnAfterMomentaryErrors(t *testing.T) {
+func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	var told []error
-	l := New(newFailing(momentary...), func(err error, _ uint64) { told = append(told, err) })
+	l := New(newFailingListener(temporaryErrors...), func(err error, _ uint64) { told = append(told, err) })
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
-	if got := l.Failures(); got != uint64(len(momentary)) || len(told) != len(momentary) {
-		t.Errorf("%d failures counted, %d reported, want %d", got, len(told), len(momentary))
+	if got := l.Failures(); got != uint64(len(temporaryErrors)) || len(told) != len(temporaryErrors) {
+		t.Errorf("%d failures counted, %d reported, want %d", got, len(told), len(temporaryErrors))
 	}
 }
 
-func TestErrorsThatLastAreReturned(t *testing.T) {
+func TestPermanentErrorsAreReturned(t *testing.T) {
 	for _, want := range []error{net.ErrClosed, io.EOF, acceptError(syscall.EBADF), acceptError(syscall.EINVAL)} {
-		l := failing{errs: make(chan error, 1)}
+		l := failingListener{errs: make(chan error, 1)}
 		l.errs <- want
 		if _, err := New(l, nil).Accept(); !errors.Is(err, want) {
 			t.Errorf("accept returned %v, want %v", err, want)
@@ -89,7 +89,7 @@
 }
 
 func TestCloseEndsTheWait(t *testing.T) {
-	l := New(failing{}, nil)
+	l := New(failingListener{}, nil)
 	l.Close()
 	if l.wait(time.Hour) {
 		t.Error("a closed listener waited")
