--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,16 +1,17 @@
-// Package clock reads the two clocks of a machine. The wall clock tells the time of day, and may be
-// stepped at any time, forward or back. The monotonic clock counts real time from an arbitrary
-// moment and never steps. Spans of time (deadlines, waits, ages) are taken from the monotonic clock;
-// the wall clock is read only for what is told to people or compared with other machines' wall clocks.
+// Package clock reads the two clocks of a machine. The wall clock shows the time of day and may be
+// stepped at any time, forward or back. The monotonic clock measures elapsed time from an arbitrary
+// origin and is never stepped. Durations (deadlines, waits, ages) are measured with the monotonic
+// clock; the wall clock is read only for times that are shown to people or compared with other
+// machines' wall clocks.
 package clock
 
 import "time"
 
-// Clock reads the clocks of one machine. It is safe for concurrent use.
+// Clock provides the clocks of one machine. It is safe for concurrent use.
 type Clock interface {
-	// Wall is the time of day. It carries no monotonic reading.
+	// Wall returns the time of day. It has no monotonic reading.
 	Wall() time.Time
-	// Monotonic is the time since an arbitrary moment of the past. It is above zero and never
+	// Monotonic returns the time since an arbitrary origin in the past. It is above zero and never
 	// decreases.
 	Monotonic() time.Duration
 }
@@ -18,9 +19,10 @@
 // System returns the clocks of this machine.
 func System() Clock { return system{} }
 
+// system is the Clock of this machine.
 type system struct{}
 
-// origin has a monotonic reading, which time.Since uses.
+// origin is that of Monotonic. It has a monotonic reading, which time.Since uses.
 var origin = time.Now().Add(-time.Second)
 
 func (system) Wall() time.Time { return time.Now().Round(0) }
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,10 +1,10 @@
-// Package listener makes a net.Listener that goes on after an accept that failed for a moment.
+// Package listener provides a net.Listener that continues after a temporary error of accept.
 //
-// accept(2) of Linux passes on network errors that were pending on the new connection and says
-// to treat them like EAGAIN; a lack of descriptors or memory passes as well. net/http's Serve
-// returns at most of these errors and raft's transport backs off for up to a second. This
-// listener tries again within milliseconds, as connections wait in the queue meanwhile, and
-// returns only an error that lasts.
+// accept(2) of Linux returns network errors that were pending on the new connection, and its manual
+// page says to treat them like EAGAIN; a lack of descriptors or memory is temporary as well. Serve
+// of net/http returns at most of these errors, and raft's transport backs off for up to a second.
+// This listener retries within milliseconds, while connections wait in the kernel's queue, and
+// returns only permanent errors.
 package listener
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	// minDelay is the wait after a first failure, and after each that spent one connection.
+	// minDelay is the backoff after a first failure, and after each failure of a single connection.
 	minDelay = time.Millisecond
-	// maxDelay bounds the wait, which doubles while a resource is lacking.
+	// maxDelay bounds the backoff, which doubles while a resource is exhausted.
 	maxDelay = 32 * time.Millisecond
-	// logEvery is how often LogFailures writes a line at the most.
-	logEvery = time.Second
+	// logInterval is the minimum time between two lines of LogFailures.
+	logInterval = time.Second
 )
 
-// Report is told of each accept that failed for a moment, and how many did so far. It is called
-// by the goroutine that accepts.
+// FailureReporter is called for each temporary error of accept, with the number of such errors so
+// far, by the goroutine that accepts.
 type FailureReporter func(err error, failures uint64)
 
-// Listener is a net.Listener whose Accept tries again after a momentary error.
+// Listener is a net.Listener whose Accept retries after a temporary error.
 type Listener struct {
 	net.Listener
 	report   FailureReporter
@@ -42,7 +42,7 @@
 	close    func() error
 }
 
-// New wraps a listener, which belongs to the result from then on.
+// New wraps a listener. Closing the result closes it.
 func New(inner net.Listener, report FailureReporter) *Listener {
 	l := &Listener{Listener: inner, report: report, closed: make(chan struct{})}
 	l.close = sync.OnceValue(func() error {
@@ -52,7 +52,7 @@
 	return l
 }
 
-// Accept returns the next connection, or an error that lasts: net.ErrClosed after Close.
+// Accept returns the next connection, or a permanent error: net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	var delay time.Duration
 	for {
@@ -71,10 +71,11 @@
 	}
 }
 
-// Close closes the listener and ends the wait of an Accept.
+// Close closes the listener and ends the backoff of an Accept.
 func (l *Listener) Close() error { return l.close() }
 
-// SyscallConn is the listening socket's (syscall.Conn); an error where there is none.
+// SyscallConn returns the raw listening socket (syscall.Conn), or errors.ErrUnsupported if the
+// wrapped listener has none.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) {
 	socket, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -83,10 +84,10 @@
 	return socket.SyscallConn()
 }
 
-// Failures is the number of accepts that failed for a moment.
+// Failures returns the number of temporary errors of accept so far.
 func (l *Listener) Failures() uint64 { return l.failures.Load() }
 
-// wait returns false at once where the listener is closed.
+// wait waits for the delay, or returns false as soon as the listener is closed.
 func (l *Listener) wait(delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -98,8 +99,8 @@
 	}
 }
 
-// nextDelay doubles the wait while this machine lacks something. Any other error took one
-// connection out of the queue, and the next may be good.
+// nextDelay doubles the backoff while a resource of this machine is exhausted. Any other error took
+// one connection out of the queue, and the next connection may be good.
 func nextDelay(err error, previous time.Duration) time.Duration {
 	if !isOneOf(err, exhaustionErrors) {
 		return minDelay
@@ -107,29 +108,31 @@
 	return min(max(2*previous, minDelay), maxDelay)
 }
 
-// exhausted are the errors of accept(2) that say that the process or the system has no descriptor,
+// exhaustionErrors are the errors of accept(2) by which the process or the system has no descriptor,
 // buffer or memory left.
 var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// broken are the errors of accept(2) that say that the descriptor can't accept: another call
-// would fail alike. EOPNOTSUPP is not among them, as it may be one connection's pending error.
+// permanentErrors are the errors of accept(2) by which the descriptor can't accept, so that a retry
+// would fail alike. EOPNOTSUPP is not among them, as it may be the pending error of a connection.
 var permanentErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
 
-// Momentary tells whether an accept's error is one that another call may not meet: each of the
-// kernel's errors but those of a broken descriptor.
+// Temporary reports whether an error of accept may not occur on a retry. That is so for all of the
+// kernel's errors except those of an unusable descriptor.
 func Temporary(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && !slices.Contains(permanentErrors, errno)
 }
 
-func isOneOf(err error, list []syscall.Errno) bool {
+// isOneOf reports whether an error is one of a list of the kernel's errors.
+func isOneOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(list, errno)
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// LogFailures reports to a log, one line a second at the most; each line has the count so far.
+// LogFailures returns a FailureReporter that logs at most one line a second, with the number of
+// failures so far.
 func LogFailures(log *slog.Logger, name string) FailureReporter {
-	limit := rate.NewLimiter(rate.Every(logEvery), 1)
+	limit := rate.NewLimiter(rate.Every(logInterval), 1)
 	return func(err error, failures uint64) {
 		if limit.Allow() {
 			log.Warn("accept failed", "listener", name, "failures", failures, "err", err)
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -13,16 +13,18 @@
 	"time"
 )
 
-// failing is a listener whose accepts fail with each error in turn; the next gives a connection.
+// failingListener is a listener whose accepts fail with each of its errors in turn and then succeed.
 type failingListener struct {
 	net.Listener
 	errs chan error
 }
 
+// acceptError is an error as net.Listener.Accept returns it.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
+// newFailingListener returns a listener that fails with each of the errors.
 func newFailingListener(errnos ...syscall.Errno) failingListener {
 	l := failingListener{errs: make(chan error, len(errnos))}
 	for _, errno := range errnos {
@@ -43,7 +45,7 @@
 
 func (l failingListener) Close() error { return nil }
 
-// momentary are the errors of accept(2), but those of a broken descriptor.
+// temporaryErrors are the errors of accept(2), except those of an unusable descriptor.
 var temporaryErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.ENETDOWN, syscall.ENOPROTOOPT,
@@ -52,15 +54,15 @@
 }
 
 func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
-	var told []error
-	l := New(newFailingListener(temporaryErrors...), func(err error, _ uint64) { told = append(told, err) })
+	var reported []error
+	l := New(newFailingListener(temporaryErrors...), func(err error, _ uint64) { reported = append(reported, err) })
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
-	if got := l.Failures(); got != uint64(len(temporaryErrors)) || len(told) != len(temporaryErrors) {
-		t.Errorf("%d failures counted, %d reported, want %d", got, len(told), len(temporaryErrors))
+	if got := l.Failures(); got != uint64(len(temporaryErrors)) || len(reported) != len(temporaryErrors) {
+		t.Errorf("%d failures counted, %d reported, want %d", got, len(reported), len(temporaryErrors))
 	}
 }
 
@@ -74,21 +76,22 @@
 	}
 }
 
-// A lack is waited for up to maxDelay; errors of single connections never add up to a wait.
-func TestDelays(t *testing.T) {
+// The backoff grows up to maxDelay while a resource is exhausted; errors of single connections do not
+// add up.
+func TestBackoff(t *testing.T) {
 	var delay time.Duration
 	for range 20 {
 		delay = nextDelay(acceptError(syscall.ENFILE), delay)
 	}
 	if delay != maxDelay {
-		t.Errorf("after 20 lacks the wait is %v, want %v", delay, maxDelay)
+		t.Errorf("after 20 failures for lack of descriptors the delay is %v, want %v", delay, maxDelay)
 	}
 	if got := nextDelay(acceptError(syscall.ECONNABORTED), delay); got != minDelay {
-		t.Errorf("after a connection's error the wait is %v, want %v", got, minDelay)
+		t.Errorf("after the error of a connection the delay is %v, want %v", got, minDelay)
 	}
 }
 
-func TestCloseEndsTheWait(t *testing.T) {
+func TestCloseEndsBackoff(t *testing.T) {
 	l := New(failingListener{}, nil)
 	l.Close()
 	if l.wait(time.Hour) {
@@ -96,14 +99,14 @@
 	}
 }
 
-// A listener that fails at each call writes one line a second, not one a failure.
-func TestLogIsBounded(t *testing.T) {
+// A listener that fails at each call logs one line a second, not one for each failure.
+func TestLogFailuresIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	report := LogFailures(slog.New(slog.NewTextHandler(&out, nil)), "clients")
 	for i := range 1000 {
 		report(acceptError(syscall.ENOBUFS), uint64(i))
 	}
 	if lines := strings.Count(out.String(), "\n"); lines == 0 || lines > 100 {
-		t.Errorf("%d lines of 1000 failures", lines)
+		t.Errorf("%d lines for 1000 failures", lines)
 	}
 }
