--- /dev/null
+++ b/cmd/discovery/endpoints.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/spf13/cobra"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// putCommand returns the command that writes a server's entry.
+func putCommand() *cobra.Command {
+	var admin string
+	var entry endpoint.Endpoint
+	cmd := &cobra.Command{
+		Use:   "put ID",
+		Short: "replace a server's entry",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			entry.ID = args[0]
+			body, err := json.Marshal(entry)
+			if err != nil {
+				return err
+			}
+			return callAndPrint(cmd, admin, http.MethodPut, serverPath(entry.ID), body)
+		},
+	}
+	addAdminFlag(cmd, &admin)
+	flags := cmd.Flags()
+	flags.StringVar(&entry.Addr, "addr", "", "the server's address, host:port")
+	flags.StringVar(&entry.Zone, "zone", "", "its zone")
+	flags.StringVar(&entry.Region, "region", "", "its region")
+	flags.StringVar(&entry.Kind, "kind", "", "its kind of machine")
+	flags.IntVar(&entry.Cell, "cell", 0, "its cell")
+	flags.StringVar(&entry.State, "state", endpoint.StateUp, "up or draining")
+	flags.Float64Var(&entry.Weight, "weight", 1, "its weight, above zero")
+	flags.Float64Var(&entry.StartedMs, "started-ms", 0, "Unix time in ms of its last start; 0: long ago")
+	return cmd
+}
+
+// removeCommand returns the command that removes a server from the list.
+func removeCommand() *cobra.Command {
+	var admin string
+	cmd := &cobra.Command{
+		Use:   "remove ID",
+		Short: "remove a server from the list",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return callAndPrint(cmd, admin, http.MethodDelete, serverPath(args[0]), nil)
+		},
+	}
+	addAdminFlag(cmd, &admin)
+	return cmd
+}
+
+// statusCommand returns the command that prints an instance's status.
+func statusCommand() *cobra.Command {
+	var admin string
+	cmd := &cobra.Command{
+		Use:   "status",
+		Short: "an instance's Raft state, leader and version",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return callAndPrint(cmd, admin, http.MethodGet, "/v1/status", nil)
+		},
+	}
+	addAdminFlag(cmd, &admin)
+	return cmd
+}
+
+// serverPath is the admin path of a server's entry.
+func serverPath(id string) string { return "/v1/servers/" + id }
+
+// callAndPrint makes a call to an admin address and prints the answer.
+func callAndPrint(cmd *cobra.Command, admin, method, path string, body []byte) error {
+	answer, err := newAdminClient(admin, callTimeout).text(method, path, body, nil)
+	if err != nil {
+		return err
+	}
+	_, err = cmd.OutOrStdout().Write(answer)
+	return err
+}
--- /dev/null
+++ b/cmd/discovery/serve.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"errors"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+)
+
+// serveCommand returns the command that runs one instance.
+func serveCommand() *cobra.Command {
+	var configPath, logFormat string
+	cmd := &cobra.Command{
+		Use:   "serve",
+		Short: "run one instance until SIGTERM or SIGINT",
+		RunE:  func(*cobra.Command, []string) error { return serve(configPath, logFormat) },
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&configPath, "config", "discovery.toml",
+		"TOML file of the instance (see internal/discovery/server.Config)")
+	flags.StringVar(&logFormat, "log-format", "text", "log records as text or json, on standard error")
+	return cmd
+}
+
+// serve runs one instance until SIGTERM or SIGINT, or until it fails.
+func serve(configPath, logFormat string) error {
+	config, err := server.Load(configPath)
+	if err != nil {
+		return err
+	}
+	log := newLogger(logFormat).With("node", config.ID)
+	node, err := server.Start(config, log)
+	if err != nil {
+		return err
+	}
+	log.Info("serving", "http", config.HTTPAddr, "admin", config.AdminAddr, "raft", config.RaftAddr)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	select {
+	case received := <-signals:
+		log.Info("stopping", "signal", received.String())
+		return node.Close()
+	case err := <-node.Failed():
+		return errors.Join(err, node.Close())
+	}
+}
+
+// newLogger returns a logger to standard error, in JSON or else in text.
+func newLogger(format string) *slog.Logger {
+	if format == "json" {
+		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
+	}
+	return slog.New(slog.NewTextHandler(os.Stderr, nil))
+}
--- /dev/null
+++ b/cmd/discovery/settings_status.go
@@ -0,0 +1,206 @@
+package main
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+)
+
+const (
+	// peerTimeout bounds how long status waits for the agent reports of another instance.
+	peerTimeout = time.Second
+	// silentAfter is how long ago an agent's last call was when status lists it as silent. Agents
+	// call about once a second, and switch to another instance within a few seconds.
+	silentAfter = 10 * time.Second
+	// silenceResolution is that of the times shown.
+	silenceResolution = 100 * time.Millisecond
+)
+
+// settingsStatusCommand returns the command that shows which agents have which settings in force.
+func settingsStatusCommand() *cobra.Command {
+	var admin string
+	cmd := &cobra.Command{
+		Use:   "status SERVICE",
+		Short: "which agents have which version in force; exit 1 while one lacks the newest",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			status, err := collectStatus(admin, args[0])
+			if err != nil {
+				return err
+			}
+			if err := writeTable(cmd.OutOrStdout(), status.table()); err != nil {
+				return err
+			}
+			return status.lackingError()
+		},
+	}
+	addAdminFlag(cmd, &admin)
+	return cmd
+}
+
+// lackingError says that agents do not have the newest version in force.
+type lackingError struct {
+	lacking, agents int
+	version         uint64
+}
+
+func (e *lackingError) Error() string {
+	return fmt.Sprintf("%d of %d agents lack version %d", e.lacking, e.agents, e.version)
+}
+
+// settingsStatus is what all reachable instances know about the settings of a service's agents.
+type settingsStatus struct {
+	service     string
+	version     uint64                        // of the newest settings at any instance
+	agents      map[string]server.AgentReport // the last report of each agent, by name
+	reached     int                           // instances
+	unreachable map[string]error              // by the instance's id and address
+}
+
+// collectStatus requests the agent reports of the instance at an admin address, and then those of
+// its peers at once, for at most peerTimeout.
+func collectStatus(admin, service string) (*settingsStatus, error) {
+	status := &settingsStatus{
+		service:     service,
+		agents:      map[string]server.AgentReport{},
+		unreachable: map[string]error{},
+	}
+	path := settingsPath(service) + "/heard"
+	var first server.AgentReports
+	if err := newAdminClient(admin, callTimeout).getJSON(path, &first); err != nil {
+		return nil, err
+	}
+	status.add(first)
+	status.collectPeers(first.Peers, path)
+	if status.version == 0 {
+		return nil, fmt.Errorf("no settings of %q are kept", service)
+	}
+	return status, nil
+}
+
+// collectPeers requests the agent reports of the peers, given as addresses by id.
+func (s *settingsStatus) collectPeers(peers map[string]string, path string) {
+	var mu sync.Mutex
+	var requests sync.WaitGroup
+	for id, address := range peers {
+		requests.Add(1)
+		go func() {
+			defer requests.Done()
+			var reports server.AgentReports
+			err := newAdminClient(address, peerTimeout).getJSON(path, &reports)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				s.unreachable[id+" at "+address] = err
+				return
+			}
+			s.add(reports)
+		}()
+	}
+	requests.Wait()
+}
+
+// add adds the reports of one instance. Of two reports of an agent the later one remains.
+func (s *settingsStatus) add(reports server.AgentReports) {
+	s.reached++
+	s.version = max(s.version, reports.Version)
+	for _, report := range reports.Agents {
+		known, ok := s.agents[report.Agent]
+		if !ok || report.SilentMs < known.SilentMs {
+			s.agents[report.Agent] = report
+		}
+	}
+}
+
+// selectAgents returns the reports that fulfil a condition, ordered by the agent's name.
+func (s *settingsStatus) selectAgents(condition func(server.AgentReport) bool) []server.AgentReport {
+	var selected []server.AgentReport
+	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
+		if report := s.agents[name]; condition(report) {
+			selected = append(selected, report)
+		}
+	}
+	return selected
+}
+
+// lacking returns the reports of the agents that do not have the newest version in force.
+func (s *settingsStatus) lacking() []server.AgentReport {
+	return s.selectAgents(func(report server.AgentReport) bool { return report.InForce < s.version })
+}
+
+// silent returns the reports that are older than silentAfter.
+func (s *settingsStatus) silent() []server.AgentReport {
+	return s.selectAgents(func(report server.AgentReport) bool { return silence(report) >= silentAfter })
+}
+
+// lackingError returns a lackingError if agents lack the newest version, or nil.
+func (s *settingsStatus) lackingError() error {
+	lacking := len(s.lacking())
+	if lacking == 0 {
+		return nil
+	}
+	return &lackingError{lacking: lacking, agents: len(s.agents), version: s.version}
+}
+
+// table returns the status as text for writeTable.
+func (s *settingsStatus) table() string {
+	var table strings.Builder
+	fmt.Fprintf(&table, "settings of %s: newest version %d; %d agents heard by %d of %d instances\n",
+		s.service, s.version, len(s.agents), s.reached, s.reached+len(s.unreachable))
+	for _, instance := range slices.Sorted(maps.Keys(s.unreachable)) {
+		fmt.Fprintf(&table, "not reached: %s: %v\n", instance, s.unreachable[instance])
+	}
+	s.addVersions(&table)
+	addAgents(&table, fmt.Sprint("LACKS ", s.version), s.lacking())
+	addAgents(&table, fmt.Sprintf("SILENT OVER %v", silentAfter), s.silent())
+	return table.String()
+}
+
+// addVersions adds the number of agents that have each version in force, the newest first.
+func (s *settingsStatus) addVersions(table *strings.Builder) {
+	agents := map[uint64]int{}
+	for _, report := range s.agents {
+		agents[report.InForce]++
+	}
+	table.WriteString("\nIN FORCE\tAGENTS\n")
+	for _, version := range slices.Backward(slices.Sorted(maps.Keys(agents))) {
+		fmt.Fprintf(table, "%s\t%d\n", versionName(version), agents[version])
+	}
+}
+
+// addAgents adds a table of agents under a title, if there are any.
+func addAgents(table *strings.Builder, title string, reports []server.AgentReport) {
+	if len(reports) == 0 {
+		return
+	}
+	fmt.Fprintf(table, "\n%s\tIN FORCE\tSILENT FOR\tREFUSED\tWHY\n", title)
+	for _, report := range reports {
+		rejected := "-"
+		if report.Rejected > report.InForce {
+			rejected = fmt.Sprint(report.Rejected)
+		}
+		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\n",
+			report.Agent, versionName(report.InForce), silence(report), rejected, report.Reason)
+	}
+}
+
+// versionName names a version in force. Agents that have none of the service's settings yet run
+// with those of their configuration file.
+func versionName(version uint64) string {
+	if version == 0 {
+		return "its file's"
+	}
+	return fmt.Sprint(version)
+}
+
+// silence is the time since an agent's last call.
+func silence(report server.AgentReport) time.Duration {
+	return (time.Duration(report.SilentMs) * time.Millisecond).Round(silenceResolution)
+}
--- a/cmd/discovery/settings_test.go
+++ b/cmd/discovery/settings_test.go
@@ -24,7 +24,7 @@
 
 // discovery runs a command line with a text as its standard input.
 func discovery(in string, args ...string) (out, errs string, err error) {
-	cmd := root()
+	cmd := rootCommand()
 	var o, e bytes.Buffer
 	cmd.SetArgs(args)
 	cmd.SetIn(strings.NewReader(in))
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -41,7 +41,9 @@
 // in its last form, or the full list where some of the changes have been discarded; and newer
 // settings. It also returns the channels that are closed at the next change of a server, and of the
 // service's settings (nil without a service; see settingsChannel).
-func (m *stateMachine) changesSince(query watchQuery) (response watchResponse, changed, settingsChanged <-chan struct{}) {
+func (m *stateMachine) changesSince(
+	query watchQuery,
+) (response watchResponse, changed, settingsChanged <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	key := responseKey{version: query.version}
