--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -5,35 +5,35 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"os/signal"
 	"path/filepath"
-	"strings"
+	"slices"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
-	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
-	// instanceConfig and instanceFault are the environment variables by which this test binary
-	// runs as an instance: its configuration, and the control file of its store's faults.
-	configVariable = "LISTSVC_TEST_CONFIG"
-	faultVariable  = "LISTSVC_TEST_FAULT"
-	// longRuns asks for the cases in full length.
-	longTestsVariable = "LISTSVC_LONG"
-	// settled bounds the time in which instances are the same again after a fault.
+	// configVariable is the environment variable with the path of a configuration, by which this
+	// test binary runs as an instance.
+	configVariable = "DISCOVERY_TEST_CONFIG"
+	// faultVariable is the environment variable with the path of the control file of the
+	// instance's FaultyStore.
+	faultVariable = "DISCOVERY_TEST_FAULT"
+	// longTestsVariable is the environment variable by which cases run in full length.
+	longTestsVariable = "DISCOVERY_LONG_TESTS"
+	// convergenceTimeout bounds the time until instances have the same state after a fault.
 	convergenceTimeout = 60 * time.Second
-	// logShown is how much of an instance's log a failed test shows.
+	// maxLogShown is the number of bytes of an instance's log that a failed test shows.
 	maxLogShown = 6000
 )
 
-// TestMain runs the tests, or one instance where the environment asks for it.
+// TestMain runs the tests, or one instance if configVariable is set.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(configVariable); path != "" {
 		if err := runInstance(path); err != nil {
@@ -45,7 +45,7 @@
 	os.Exit(m.Run())
 }
 
-// runInstance is one instance with a FaultyStore until SIGTERM; SIGUSR1 makes it take a snapshot.
+// runInstance runs an instance with a FaultyStore until SIGTERM. On SIGUSR1 it takes a snapshot.
 func runInstance(path string) error {
 	config, err := server.Load(path)
 	if err != nil {
@@ -70,140 +70,155 @@
 	return nil
 }
 
-// diskLab is a cluster of instances of this test binary, clients that write and read all the
-// while, and their history.
+// faultCluster is a cluster of processes that run this test binary as instances whose stores can be
+// made to fail, with clients that write and read, and the clients' history.
 type faultCluster struct {
 	*processtest.Cluster
 	t        *testing.T
 	dir      string
 	history  *history
-	stop     chan struct{}
-	stopOnce sync.Once // closes stop
+	stop     chan struct{} // closed by stopClients
+	stopOnce sync.Once
 	clients  sync.WaitGroup
 }
 
-// startDiskLab starts the instances and waits for a leader; program nil: this test binary.
-func startFaultCluster(t *testing.T, instances []string, extra string) *faultCluster {
+// startFaultCluster starts instances and waits for a leader. extraConfig are more lines of the
+// instances' configuration.
+func startFaultCluster(t *testing.T, instances []string, extraConfig string) *faultCluster {
 	t.Helper()
 	binary, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	lab := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
-	lab.Cluster, err = processtest.New(processtest.Config{Binary: binary, Dir: lab.dir, Names: instances,
-		Ports: []string{"raft", "http", "admin"},
-		Env: func(name string) []string {
-			return []string{configVariable + "=" + lab.path(name, "toml"), faultVariable + "=" + lab.path(name, "fault")}
-		}})
+	cluster := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
+	environment := func(name string) []string {
+		return []string{
+			configVariable + "=" + cluster.path(name, "toml"),
+			faultVariable + "=" + cluster.path(name, "fault"),
+		}
+	}
+	cluster.Cluster, err = processtest.New(processtest.Config{
+		Binary: binary,
+		Dir:    cluster.dir,
+		Names:  instances,
+		Ports:  instancePorts(),
+		Env:    environment,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(lab.Close)
-	t.Cleanup(lab.stopClients)
+	t.Cleanup(cluster.Close)
+	t.Cleanup(cluster.stopClients)
 	for _, name := range instances {
-		lab.writeConfig(name, extra)
-		if err := lab.Start(name); err != nil {
+		cluster.writeConfig(name, extraConfig)
+		if err := cluster.Start(name); err != nil {
 			t.Fatal(err)
 		}
 	}
-	lab.await("a leader", func() bool { return lab.leader() != "" })
-	return lab
+	cluster.await("a leader", func() bool { return cluster.leader() != "" })
+	return cluster
 }
 
-func (lab *faultCluster) path(name, extension string) string {
-	return filepath.Join(lab.dir, name+"."+extension)
+// path is that of a file of an instance.
+func (c *faultCluster) path(name, extension string) string {
+	return filepath.Join(c.dir, name+"."+extension)
 }
 
-func (lab *faultCluster) storePath(name string) string {
-	return filepath.Join(lab.dir, name, "raft.db")
-}
+// dataDir is the data directory of an instance.
+func (c *faultCluster) dataDir(name string) string { return filepath.Join(c.dir, name) }
 
-func (lab *faultCluster) writeConfig(name, extra string) {
-	var text strings.Builder
-	fmt.Fprintf(&text, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n"+
-		"bootstrap = %v\nmax_stale = \"1s\"\n%s\n", name, filepath.Join(lab.dir, name), name == lab.Names()[0], extra)
-	for _, peer := range lab.Names() {
-		if peer != name {
-			fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, lab.Addr(peer, "raft"), lab.Addr(peer, "admin"))
-		}
-	}
-	if err := os.WriteFile(lab.path(name, "toml"), []byte(text.String()), 0o644); err != nil {
-		lab.t.Fatal(err)
+// writeConfig writes the configuration of an instance, which reaches its peers directly.
+func (c *faultCluster) writeConfig(name, extra string) {
+	c.t.Helper()
+	raftAddress := func(peer string) string { return c.Addr(peer, raftPort) }
+	text := configText(c.Cluster, c.dataDir(name), name, raftAddress, extra)
+	if err := os.WriteFile(c.path(name, "toml"), []byte(text), 0o644); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-func (lab *faultCluster) await(what string, condition func() bool) {
-	lab.t.Helper()
+// await waits for a condition, and fails the test if it is not fulfilled within convergenceTimeout.
+func (c *faultCluster) await(what string, condition func() bool) {
+	c.t.Helper()
 	if err := processtest.Await(convergenceTimeout, what, condition); err != nil {
-		lab.showLogs()
-		lab.t.Fatal(err)
+		c.showLogs()
+		c.t.Fatal(err)
 	}
 }
 
-// showLogs tells the test's log how each instance's own ends.
-func (lab *faultCluster) showLogs() {
-	for _, name := range lab.Names() {
-		text, _ := os.ReadFile(lab.path(name, "log"))
-		lab.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(lab.Addr(name, "admin")), text[max(0, len(text)-maxLogShown):])
+// showLogs logs each instance's status and the end of its log.
+func (c *faultCluster) showLogs() {
+	c.t.Helper()
+	for _, name := range c.Names() {
+		text, _ := os.ReadFile(c.path(name, "log")) // a missing log is shown as empty
+		end := text[max(0, len(text)-maxLogShown):]
+		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, adminPort)), end)
 	}
 }
 
-func (lab *faultCluster) leader() string {
-	for _, name := range lab.Names() {
-		if lab.Running(name) && statusAt(lab.Addr(name, "admin")).State == "Leader" {
-			return name
-		}
-	}
-	return ""
+// leader returns the name of a running instance that leads, or "".
+func (c *faultCluster) leader() string { return leader(c.Cluster) }
+
+// followers returns the names of the instances that do not lead.
+func (c *faultCluster) followers() []string {
+	leader := c.leader()
+	return slices.DeleteFunc(slices.Clone(c.Names()), func(name string) bool { return name == leader })
 }
 
-// pids are the running instances' process ids.
-func (lab *faultCluster) pids() map[string]int {
-	out := map[string]int{}
-	for _, name := range lab.Names() {
-		out[name] = lab.Pid(name)
+// pids returns the instances' process ids by name.
+func (c *faultCluster) pids() map[string]int {
+	pids := map[string]int{}
+	for _, name := range c.Names() {
+		pids[name] = c.Pid(name)
 	}
-	return out
+	return pids
 }
 
-// fail sets an instance's fault, until it is set again; it replaces the file whole.
-func (lab *faultCluster) setFault(name string, fault server.StoreFault) {
-	text, _ := json.Marshal(fault)
-	path := lab.path(name, "fault")
+// setFault sets the fault of an instance's store until the next call. It replaces the control file
+// atomically.
+func (c *faultCluster) setFault(name string, fault server.StoreFault) {
+	c.t.Helper()
+	text, err := json.Marshal(fault)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	path := c.path(name, "fault")
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
-		lab.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		lab.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
-// run starts writers, each at instances in turn, and a reader of each instance.
-func (lab *faultCluster) startClients(writers int) {
-	for w := range writers {
-		lab.repeat(func(i int) {
-			lab.write(lab.Names()[(w+i)%len(lab.Names())], fmt.Sprintf("s-%d-%d", w, i))
+// startClients starts writers, each of which writes to all instances in turn, and a reader of each
+// instance.
+func (c *faultCluster) startClients(writers int) {
+	for writer := range writers {
+		c.repeat(func(i int) {
+			name := c.Names()[(writer+i)%len(c.Names())]
+			c.write(name, fmt.Sprintf("s-%d-%d", writer, i))
 			time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
 		})
 	}
-	for _, name := range lab.Names() {
-		lab.repeat(func(int) {
-			if read, ok := lab.read(name); ok {
-				lab.history.recordRead(read)
+	for _, name := range c.Names() {
+		c.repeat(func(int) {
+			if read, ok := c.read(name); ok {
+				c.history.recordRead(read)
 			}
 			time.Sleep(250 * time.Millisecond)
 		})
 	}
 }
 
-// client repeats a call until finish.
-func (lab *faultCluster) repeat(call func(i int)) {
-	lab.clients.Add(1)
+// repeat repeats a call in a goroutine until stopClients.
+func (c *faultCluster) repeat(call func(i int)) {
+	c.clients.Add(1)
 	go func() {
-		defer lab.clients.Done()
+		defer c.clients.Done()
 		for i := 0; ; i++ {
 			select {
-			case <-lab.stop:
+			case <-c.stop:
 				return
 			default:
 				call(i)
@@ -212,59 +227,56 @@
 	}()
 }
 
-// write makes one write and records it; it tells whether it was acknowledged.
-func (lab *faultCluster) write(name, id string) bool {
-	record := writeRecord{id: id, started: lab.history.now()}
-	record.version = putServer(lab.Addr(name, "admin"), id)
-	record.ended = lab.history.now()
-	lab.history.recordWrite(record)
+// write writes an entry at an instance and records it. It reports whether it was acknowledged.
+func (c *faultCluster) write(name, id string) bool {
+	record := writeRecord{id: id, started: c.history.now()}
+	record.version = putServer(c.Addr(name, adminPort), id)
+	record.ended = c.history.now()
+	c.history.recordWrite(record)
 	return record.version != 0
 }
 
-// read is an instance's whole list; false where it gives none.
-func (lab *faultCluster) read(name string) (readRecord, bool) {
-	record := readRecord{instance: name, started: lab.history.now()}
-	resp, err := writeClient.Get("http://" + lab.Addr(name, "http") + "/api/targets")
-	if err != nil {
-		return record, false
-	}
-	defer resp.Body.Close()
-	var list endpoint.List
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&list) != nil {
+// read returns the full list of an instance, and whether the instance served it.
+func (c *faultCluster) read(name string) (readRecord, bool) {
+	record := readRecord{instance: name, started: c.history.now()}
+	list, served := fetchList(c.Addr(name, httpPort))
+	if !served {
 		return record, false
 	}
 	record.version = list.Version
-	for _, server := range list.Servers {
-		record.ids = append(record.ids, server.ID)
+	for _, entry := range list.Servers {
+		record.ids = append(record.ids, entry.ID)
 	}
 	return record, true
 }
 
-// stopClients ends the clients that run started.
-func (lab *faultCluster) stopClients() {
-	lab.stopOnce.Do(func() { close(lab.stop) })
-	lab.clients.Wait()
+// stopClients ends the clients that startClients started.
+func (c *faultCluster) stopClients() {
+	c.stopOnce.Do(func() { close(c.stop) })
+	c.clients.Wait()
 }
 
-// finish stops the clients, waits until every instance has the last acknowledged write, and
+// stopAndCheck stops the clients, waits until each instance has the last acknowledged write, and
 // checks the history.
-func (lab *faultCluster) stopAndCheck(stale time.Duration) error {
-	lab.stopClients()
-	lab.await("a write after it all", func() bool { return lab.write(lab.Names()[0], fmt.Sprint("last-", rand.Int())) })
-	acked := lab.history.acknowledged()
-	last := acked[len(acked)-1].version
-	processtest.Await(convergenceTimeout, "every instance at the last write", func() bool {
-		lab.history.final = nil
-		for _, name := range lab.Names() {
-			if read, ok := lab.read(name); ok && read.version >= last {
-				lab.history.final = append(lab.history.final, read)
+func (c *faultCluster) stopAndCheck(maxStale time.Duration) error {
+	c.t.Helper()
+	c.stopClients()
+	lastID := func() string { return fmt.Sprint("last-", rand.Int()) }
+	c.await("a last write", func() bool { return c.write(c.Names()[0], lastID()) })
+	acknowledged := c.history.acknowledged()
+	last := acknowledged[len(acknowledged)-1].version
+	allHaveLast := func() bool {
+		c.history.final = nil
+		for _, name := range c.Names() {
+			if read, ok := c.read(name); ok && read.version >= last {
+				c.history.final = append(c.history.final, read)
 			}
 		}
-		return len(lab.history.final) == len(lab.Names())
-	})
-	if len(lab.history.final) < len(lab.Names()) {
-		lab.showLogs()
-		return fmt.Errorf("%d of %d instances came to version %d", len(lab.history.final), len(lab.Names()), last)
+		return len(c.history.final) == len(c.Names())
+	}
+	if err := processtest.Await(convergenceTimeout, "the last write at each instance", allHaveLast); err != nil {
+		c.showLogs()
+		return fmt.Errorf("%d of %d instances have version %d: %w", len(c.history.final), len(c.Names()), last, err)
 	}
-	return lab.history.check(stale)
+	return c.history.check(maxStale)
 }
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitFileSize sets how long a running process may make files, in bytes: writes beyond it fail
-// with EFBIG. It gives the limit that was there.
+// limitFileSize sets how long a running process may make files, in bytes; writes beyond it fail with
+// EFBIG. It returns the limit before.
 func limitFileSize(t *testing.T, pid int, limit uint64) uint64 {
 	t.Helper()
 	var old unix.Rlimit
@@ -25,85 +25,88 @@
 	return old.Cur
 }
 
-// putStatus is the status of a write at an admin address, 0 without an answer.
+// putStatus is the status code of a write at an admin address; 0: there was no response.
 func putStatus(admin string) int {
-	body := strings.NewReader(`{"addr":"127.0.0.1:9","state":"up","weight":1}`)
-	req, _ := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/servers/limited", body)
-	resp, err := writeClient.Do(req)
-	if err != nil {
-		return 0
-	}
-	resp.Body.Close()
-	return resp.StatusCode
+	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
+	return request(http.MethodPut, admin+"/v1/servers/limited", body).code
 }
 
-// TestFileSizeLimit: every write of the real program to a file fails for 3 s, on all instances:
-// none ends, writes are answered 503, and are acknowledged again after it.
+// TestFileSizeLimit: all writes of cmd/discovery to files fail for 3 s, on all instances. No instance
+// ends, writes are answered with 503 meanwhile, and are acknowledged afterwards.
 func TestFileSizeLimit(t *testing.T) {
-	c := startCluster(t)
-	if putServerAnywhere(c, "before") == 0 {
+	cluster := startCluster(t)
+	if putServerAnywhere(cluster, "before") == 0 {
 		t.Fatal("no write before the limit")
 	}
-	old := map[string]uint64{}
+	limits := map[string]uint64{}
 	for _, name := range instanceNames {
-		old[name] = limitFileSize(t, c.Pid(name), 0)
+		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if code := putStatus(c.Addr(instanceNames[0], "admin")); code != http.StatusServiceUnavailable {
+		if code := putStatus(cluster.Addr(instanceNames[0], adminPort)); code != http.StatusServiceUnavailable {
 			t.Fatalf("a write was answered with %d while no file can be written", code)
 		}
 	}
 	for _, name := range instanceNames {
-		if !c.Running(name) {
+		if !cluster.Running(name) {
 			t.Fatalf("%s has ended", name)
 		}
-		limitFileSize(t, c.Pid(name), old[name])
+		limitFileSize(t, cluster.Pid(name), limits[name])
 	}
-	if putServerAnywhere(c, "after") == 0 {
+	if putServerAnywhere(cluster, "after") == 0 {
 		t.Error("no write after the limit")
 	}
 }
 
-// snapshotLimit is under what a snapshot of TestSnapshotOutage takes, and above what logs do.
+// snapshotLimit is less than the size of a snapshot of TestSnapshotOutage, and more than that of the
+// instance's log.
 const snapshotLimit = 16 << 10
 
-// TestSnapshotOutage: a snapshot that can't be written leaves the log as it is; one that can
-// shortens it, and a kill after either loses nothing.
+// TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
+// is written compacts it. A kill after either loses nothing.
 func TestSnapshotOutage(t *testing.T) {
-	lab := startFaultCluster(t, instanceNames[:1], fastElection+"\ntrailing_logs = 10")
+	cluster := startFaultCluster(t, instanceNames[:1], fastElection+"\ntrailing_logs = 10")
 	for i := range 150 {
-		lab.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
 	for _, wantErr := range []bool{true, false} {
-		old := uint64(unix.RLIM_INFINITY)
+		limit := uint64(unix.RLIM_INFINITY)
 		if wantErr {
-			old = limitFileSize(t, lab.Pid(instanceNames[0]), snapshotLimit)
+			limit = limitFileSize(t, cluster.Pid(instanceNames[0]), snapshotLimit)
 		}
-		if line := lab.snapshot(instanceNames[0]); strings.Contains(line, "err=<nil>") == wantErr {
+		if line := cluster.snapshot(instanceNames[0]); strings.Contains(line, "err=<nil>") == wantErr {
 			t.Errorf("snapshot: %s", line)
 		}
 		if wantErr {
-			limitFileSize(t, lab.Pid(instanceNames[0]), old)
+			limitFileSize(t, cluster.Pid(instanceNames[0]), limit)
 		}
-		if err := lab.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := lab.stopAndCheck(staleBound); err != nil {
+	if err := cluster.stopAndCheck(staleBound); err != nil {
 		t.Error(err)
 	}
 }
 
-// snapshot makes an instance take a snapshot, and gives the line of its log about it.
-func (lab *faultCluster) snapshot(name string) (line string) {
-	lab.await("reads", func() bool { _, served := lab.read(name); return served })
-	unix.Kill(lab.Pid(name), unix.SIGUSR1)
-	lab.await("the snapshot's line", func() bool {
-		text, _ := os.ReadFile(lab.path(name, "log"))
+// snapshot makes an instance take a snapshot, and returns the line of its log about it.
+func (c *faultCluster) snapshot(name string) (line string) {
+	c.t.Helper()
+	c.await("reads", func() bool {
+		_, served := c.read(name)
+		return served
+	})
+	if err := unix.Kill(c.Pid(name), unix.SIGUSR1); err != nil {
+		c.t.Fatal(err)
+	}
+	c.await("the snapshot's line", func() bool {
+		text, _ := os.ReadFile(c.path(name, "log"))
 		_, after, found := strings.Cut(string(text), "msg=snapshot ")
 		line, _, _ = strings.Cut(after, "\n")
 		return found
 	})
-	os.Truncate(lab.path(name, "log"), 0)
+	if err := os.Truncate(c.path(name, "log"), 0); err != nil {
+		c.t.Fatal(err)
+	}
 	return line
 }
--- /dev/null
+++ b/internal/discovery/server/helpers_test.go
@@ -0,0 +1,213 @@
+package server_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// startTimeout bounds how long a test waits for a leader or a first write.
+	startTimeout = 20 * time.Second
+	// retryInterval is the time between two attempts of a write.
+	retryInterval = 20 * time.Millisecond
+)
+
+// writeClient is the client of the tests' writes. Its timeout is longer than a write may wait for
+// its commit.
+var writeClient = &http.Client{Timeout: 6 * time.Second}
+
+// response is the status and the body of an HTTP response; code 0: there was no response.
+type response struct {
+	code int
+	body string
+}
+
+// request makes one request, following a redirect to the leader. A header is a name and a value.
+func request(method, url, body string, header ...string) response {
+	req, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
+	if err != nil {
+		return response{}
+	}
+	if len(header) == 2 {
+		req.Header.Set(header[0], header[1])
+	}
+	resp, err := writeClient.Do(req)
+	if err != nil {
+		return response{}
+	}
+	defer resp.Body.Close()
+	text, _ := io.ReadAll(resp.Body)
+	return response{resp.StatusCode, string(text)}
+}
+
+// version returns the version of an acknowledged write, or 0.
+func (r response) version() uint64 {
+	var written struct{ Version uint64 }
+	if r.code != http.StatusOK || json.Unmarshal([]byte(r.body), &written) != nil {
+		return 0
+	}
+	return written.Version
+}
+
+// list decodes the response to a watch.
+func (r response) list(t *testing.T) endpoint.List {
+	t.Helper()
+	var list endpoint.List
+	if err := json.Unmarshal([]byte(r.body), &list); r.code != http.StatusOK || err != nil {
+		t.Fatalf("response %d %q, want a list", r.code, r.body)
+	}
+	return list
+}
+
+// fetchList returns an instance's full list, and whether the instance served it.
+func fetchList(reads string) (endpoint.List, bool) {
+	var list endpoint.List
+	got := request(http.MethodGet, reads+"/api/targets", "")
+	served := got.code == http.StatusOK && json.Unmarshal([]byte(got.body), &list) == nil
+	return list, served
+}
+
+// statusAt returns the status of the instance at an admin address; the zero Status if there is no
+// response.
+func statusAt(admin string) server.Status {
+	var status server.Status
+	got := request(http.MethodGet, admin+"/v1/status", "")
+	if json.Unmarshal([]byte(got.body), &status) != nil {
+		return server.Status{}
+	}
+	return status
+}
+
+// reportsAt returns the agent reports of a service at an admin address.
+func reportsAt(admin, service string) server.AgentReports {
+	var reports server.AgentReports
+	got := request(http.MethodGet, admin+"/v1/settings/"+service+"/heard", "")
+	if json.Unmarshal([]byte(got.body), &reports) != nil {
+		return server.AgentReports{}
+	}
+	return reports
+}
+
+// watchIsOpen reports whether the watch of service pay by the agent "a" with a number has arrived.
+func watchIsOpen(admin string, number uint64) bool {
+	name := fmt.Sprint("a", number)
+	isNamed := func(report server.AgentReport) bool { return report.Agent == name }
+	return slices.ContainsFunc(reportsAt(admin, "pay").Agents, isNamed)
+}
+
+// putServer writes an entry under an id. It returns the version of the write, or 0 if it was not
+// acknowledged.
+func putServer(admin, id string) uint64 {
+	return putEntry(admin, endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: endpoint.StateUp, Weight: 1})
+}
+
+// putEntry writes an entry. It returns the version of the write, or 0 if it was not acknowledged.
+func putEntry(admin string, entry endpoint.Endpoint) uint64 {
+	body, err := json.Marshal(entry)
+	if err != nil {
+		return 0
+	}
+	return request(http.MethodPut, admin+"/v1/servers/"+entry.ID, string(body)).version()
+}
+
+// freeAddress returns a loopback address with a port that is free.
+func freeAddress(t testing.TB) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// nodeConfig returns the configuration of an instance on free ports, which founds its cluster.
+func nodeConfig(t testing.TB, id, dir string, electionTimeout time.Duration) server.Config {
+	t.Helper()
+	return server.Config{
+		ID:              id,
+		DataDir:         dir,
+		RaftAddr:        freeAddress(t),
+		HTTPAddr:        freeAddress(t),
+		AdminAddr:       freeAddress(t),
+		Bootstrap:       true,
+		MaxStale:        time.Second,
+		ElectionTimeout: electionTimeout,
+		KeepChanges:     4096,
+		SnapshotEvery:   8192,
+		TrailingLogs:    1024,
+	}
+}
+
+// singleNodeConfig returns the configuration of an instance that is a cluster by itself.
+func singleNodeConfig(t *testing.T, dir string) server.Config {
+	t.Helper()
+	config := nodeConfig(t, "n1", dir, 100*time.Millisecond)
+	config.KeepChanges = 64
+	return config
+}
+
+// startNode starts an instance in this process, which ends with the test.
+func startNode(t testing.TB, config server.Config) *server.Node {
+	t.Helper()
+	node, err := server.Start(config, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { node.Close() })
+	return node
+}
+
+// startSingleNode starts an instance that is a cluster by itself, on a new data directory or one
+// that was written before. It returns the instance's addresses once the instance leads.
+func startSingleNode(t *testing.T, dir string) (reads, admin string) {
+	t.Helper()
+	config := singleNodeConfig(t, dir)
+	startNode(t, config)
+	isLeader := func() bool { return statusAt(config.AdminAddr).State == "Leader" }
+	if err := processtest.Await(startTimeout, "a leader", isLeader); err != nil {
+		t.Fatal(err)
+	}
+	return config.HTTPAddr, config.AdminAddr
+}
+
+// startThreeNodes starts three instances in this process.
+func startThreeNodes(t testing.TB, electionTimeout time.Duration) ([]server.Config, []*server.Node) {
+	t.Helper()
+	configs := make([]server.Config, 3)
+	for i := range configs {
+		id := fmt.Sprint("n", i)
+		configs[i] = nodeConfig(t, id, filepath.Join(t.TempDir(), "data"), electionTimeout)
+		configs[i].Bootstrap = i == 0
+	}
+	nodes := make([]*server.Node, len(configs))
+	for i := range configs {
+		configs[i].Peers = peersOf(configs, i)
+		nodes[i] = startNode(t, configs[i])
+	}
+	return configs, nodes
+}
+
+// peersOf returns the peers of one of several instances.
+func peersOf(configs []server.Config, instance int) []server.Peer {
+	var peers []server.Peer
+	for i, config := range configs {
+		if i != instance {
+			peers = append(peers, server.Peer{ID: config.ID, Raft: config.RaftAddr, Admin: config.AdminAddr})
+		}
+	}
+	return peers
+}
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -1,140 +1,17 @@
 package server_test
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-var instanceNames = []string{"n1", "n2", "n3"}
-
-// startList builds cmd/discovery and runs three instances whose Raft links pass through
-// the harness's proxies.
-func startCluster(t *testing.T) *processtest.Cluster {
-	t.Helper()
-	dir := t.TempDir()
-	bin := filepath.Join(dir, "discovery")
-	if out, err := exec.Command("go", "build", "-o", bin, "../../../cmd/discovery").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	c, err := processtest.New(processtest.Config{Binary: bin, Dir: dir, Names: instanceNames,
-		Ports: []string{"raft", "http", "admin"}, Args: serveArguments(t, dir)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(c.Close)
-	for _, n := range instanceNames {
-		if err := c.Start(n); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return c
-}
-
-func serveArguments(t *testing.T, dir string) func(*processtest.Cluster, string) []string {
-	return func(c *processtest.Cluster, name string) []string {
-		var b strings.Builder
-		fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\n"+
-			"admin_addr = \"fd:5\"\nbootstrap = %v\nmax_stale = \"1s\"\n", name,
-			filepath.Join(dir, name), name == "n1")
-		for _, p := range instanceNames {
-			if p == name {
-				continue
-			}
-			l, err := c.Link(name, p, "raft")
-			if err != nil {
-				t.Error(err)
-			}
-			fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", p, l.Addr(), c.Addr(p, "admin"))
-		}
-		path := filepath.Join(dir, name+".toml")
-		if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
-			t.Error(err)
-		}
-		return []string{"serve", "--config", path}
-	}
-}
-
-// statusAt is an instance's status by its admin address; zero where it does not answer.
-func statusAt(admin string) (st server.Status) {
-	resp, err := http.Get("http://" + admin + "/v1/status")
-	if err == nil {
-		json.NewDecoder(resp.Body).Decode(&st)
-		resp.Body.Close()
-	}
-	return st
-}
-
-func leader(c *processtest.Cluster) string {
-	for _, n := range instanceNames {
-		if statusAt(c.Addr(n, "admin")).State == "Leader" {
-			return n
-		}
-	}
-	return ""
-}
-
-// writer makes the tests' writes: longer than a write may wait for its commit.
-var writeClient = &http.Client{Timeout: 6 * time.Second}
-
-// write puts one entry at an admin address, following a redirect to the leader; it gives
-// the acknowledged write's version, or 0 where it was not acknowledged.
-func putServer(admin, id string) uint64 {
-	body, _ := json.Marshal(endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: "up", Weight: 1})
-	req, _ := http.NewRequest(http.MethodPut, "http://"+admin+"/v1/servers/"+id, bytes.NewReader(body))
-	resp, err := writeClient.Do(req)
-	if err != nil {
-		return 0
-	}
-	defer resp.Body.Close()
-	var v struct{ Version uint64 }
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&v) != nil {
-		return 0
-	}
-	return v.Version
-}
-
-// put writes one entry through any instance, moving on at a failure; it gives the
-// version of the acknowledged write, or 0 if none was acknowledged within 20 s.
-func putServerAnywhere(c *processtest.Cluster, id string) uint64 {
-	for try, end := 0, time.Now().Add(20*time.Second); time.Now().Before(end); try++ {
-		if v := putServer(c.Addr(instanceNames[try%3], "admin"), id); v != 0 {
-			return v
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-	return 0
-}
-
-// listed tells whether an instance's whole list names the id.
-func listsServer(c *processtest.Cluster, name, id string) bool {
-	resp, err := http.Get("http://" + c.Addr(name, "http") + "/api/targets")
-	if err != nil {
-		return false
-	}
-	defer resp.Body.Close()
-	var l endpoint.List
-	json.NewDecoder(resp.Body).Decode(&l)
-	for _, s := range l.Servers {
-		if s.ID == id {
-			return true
-		}
-	}
-	return false
-}
-
 // watcher follows the list as an agent would, moving to the next instance at a failure
 // and resuming from the version it has; it fails the test if a version goes back.
 type watcher struct {
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -1,7 +1,6 @@
 package server_test
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
@@ -14,104 +13,117 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// histories are all instances' histories of a service; the same of all, or nil.
-func commonHistory(c *processtest.Cluster, service string) (kept []server.SettingsVersion) {
-	var first response
-	for _, n := range instanceNames {
-		a := request("GET", c.Addr(n, "admin")+"/v1/settings/"+service+"/history", "")
-		if first.code == 0 {
-			first = a
-		}
-		if a.code != http.StatusOK || a != first {
-			return nil
-		}
-	}
-	json.Unmarshal([]byte(first.body), &kept)
-	return kept
-}
+const (
+	// concurrentService is the service that two writers write at the same time.
+	concurrentService = "two"
+	// concurrentVersions is the number of its settings versions afterwards.
+	concurrentVersions = 4
+)
 
-// putSettings writes through any instance, moving on at a failure, and gives the version.
-func putSettingsAnywhere(c *processtest.Cluster, service, text string) uint64 {
-	for try, end := 0, time.Now().Add(20*time.Second); time.Now().Before(end); try++ {
-		if v := request("PUT", c.Addr(instanceNames[try%3], "admin")+"/v1/settings/"+service, text).version(); v != 0 {
-			return v
+// TestSettingsUnderFaults: of two concurrent writers that name the version they replace, one
+// succeeds; of two that name none, both do, in the same order at all instances. Then ten services
+// get ten changes each, and the leader is killed after 30 of them and started again: every
+// acknowledged change is in the history of each instance, once, and nothing else is.
+func TestSettingsUnderFaults(t *testing.T) {
+	cluster, _ := startClusterWithLeader(t)
+	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
+	checkConcurrentWrites(t, cluster, 10, []int{http.StatusOK, http.StatusPreconditionFailed}, "If-Match", fmt.Sprint(base))
+	checkConcurrentWrites(t, cluster, 12, []int{http.StatusOK, http.StatusOK})
+
+	acknowledged := changeSettings(cluster)
+	killed := slices.DeleteFunc(slices.Clone(instanceNames), cluster.Running)
+	if len(killed) != 1 {
+		t.Fatalf("%d instances were killed, want the leader", len(killed))
+	}
+	if err := cluster.Start(killed[0]); err != nil {
+		t.Fatal(err)
+	}
+	for service, want := range acknowledged {
+		got := awaitHistory(t, cluster, service, want[0])
+		if !slices.Equal(got, want) {
+			t.Errorf("%s has versions %d, acknowledged were %d", service, got, want)
 		}
-		time.Sleep(20 * time.Millisecond)
 	}
-	return 0
+	if got := awaitHistory(t, cluster, concurrentService, 0); len(got) != concurrentVersions {
+		t.Errorf("%s has versions %d, want %d of them", concurrentService, got, concurrentVersions)
+	}
 }
 
-// TestSettingsUnderFaults: of two writers at one moment who name the version they replace
-// one writes, and of two who name none both do, in one order everywhere. Then 100 changes of
-// ten services with the leader killed after 30, and started again: every acknowledged one is
-// in every instance's history, once, and nothing else is.
-func TestSettingsUnderFaults(t *testing.T) {
-	c := startCluster(t)
-	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
-		t.Fatal(err)
+// checkConcurrentWrites writes two settings at two instances at the same time, and checks the sorted
+// status codes.
+func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, want []int, header ...string) {
+	t.Helper()
+	var got [2]response
+	var writers sync.WaitGroup
+	for i := range got {
+		writers.Add(1)
+		go func() {
+			defer writers.Done()
+			url := cluster.Addr(instanceNames[i+1], adminPort) + "/v1/settings/" + concurrentService
+			got[i] = request(http.MethodPut, url, server.SettingsText(firstMark+i), header...)
+		}()
 	}
-	base := putSettingsAnywhere(c, "two", settingsText(1))
-	for round, header := range [][]string{{"If-Match", fmt.Sprint(base)}, nil} {
-		var got [2]response
-		var both sync.WaitGroup
-		for w := range got {
-			both.Add(1)
-			go func() {
-				defer both.Done()
-				got[w] = request("PUT", c.Addr(instanceNames[w+1], "admin")+"/v1/settings/two", settingsText(10+2*round+w), header...)
-			}()
-		}
-		both.Wait()
-		codes := []int{got[0].code, got[1].code}
-		slices.Sort(codes)
-		if want := []int{200, []int{412, 200}[round]}; !slices.Equal(codes, want) || got[0].version() == got[1].version() {
-			t.Errorf("two writers at one moment, If-Match %v: %v", header, got)
-		}
+	writers.Wait()
+	codes := []int{got[0].code, got[1].code}
+	slices.Sort(codes)
+	if !slices.Equal(codes, want) || got[0].version() == got[1].version() {
+		t.Errorf("two concurrent writers, header %v: %v, want %v", header, got, want)
 	}
+}
+
+// changeSettings makes ten changes of ten services each and kills the leader after 30 of them. It
+// returns the acknowledged versions by service, the newest first.
+func changeSettings(cluster *processtest.Cluster) map[string][]uint64 {
+	const services, changes, changesBeforeKill = 10, 10, 30
+	acknowledged := map[string][]uint64{}
 	var mu sync.Mutex
 	var writers sync.WaitGroup
 	var done atomic.Int32
-	acked := map[string][]uint64{"two": nil}
-	for s := range 10 {
+	for i := range services {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			service := fmt.Sprint("s-", s)
-			for i := range 10 {
-				v := putSettingsAnywhere(c, service, settingsText(i))
-				if done.Add(1) == 30 {
-					for l := ""; l == ""; c.Kill(l) {
-						l = leader(c)
-					}
+			service := fmt.Sprint("s-", i)
+			for change := range changes {
+				version := putSettingsAnywhere(cluster, service, server.SettingsText(change))
+				if done.Add(1) == changesBeforeKill {
+					killLeader(cluster)
 				}
 				mu.Lock()
-				acked[service] = append([]uint64{v}, acked[service]...) // the newest first
+				acknowledged[service] = slices.Insert(acknowledged[service], 0, version)
 				mu.Unlock()
 			}
 		}()
 	}
 	writers.Wait()
-	killed := slices.DeleteFunc(slices.Clone(instanceNames), c.Running)
-	if len(killed) != 1 {
-		t.Fatalf("%d instances were killed, want the leader", len(killed))
+	return acknowledged
+}
+
+// killLeader kills the leader, once there is one, and returns its name.
+func killLeader(cluster *processtest.Cluster) string {
+	name := ""
+	for name == "" {
+		name = leader(cluster)
+	}
+	cluster.Kill(name)
+	return name
+}
+
+// awaitHistory waits until all instances have the same history of a service, up to a version at
+// least, and returns its versions, the newest first.
+func awaitHistory(t *testing.T, cluster *processtest.Cluster, service string, version uint64) []uint64 {
+	t.Helper()
+	var history []server.SettingsVersion
+	agree := func() bool {
+		history = commonHistory(cluster, service)
+		return len(history) > 0 && history[0].Version >= version
 	}
-	if err := c.Start(killed[0]); err != nil {
+	if err := processtest.Await(30*time.Second, "one history at all instances", agree); err != nil {
 		t.Fatal(err)
 	}
-	for service, versions := range acked {
-		var kept []server.SettingsVersion
-		if err := processtest.Await(30*time.Second, "one history everywhere", func() bool {
-			kept = commonHistory(c, service)
-			return len(kept) > 0 && (service == "two" || kept[0].Version >= versions[0])
-		}); err != nil {
-			t.Fatal(err)
-		}
-		var got []uint64
-		for _, k := range kept {
-			got = append(got, k.Version)
-		}
-		if service == "two" && len(got) != 4 || service != "two" && !slices.Equal(got, versions) {
-			t.Errorf("%s keeps versions %d, acknowledged were %d", service, got, versions)
-		}
+	var versions []uint64
+	for _, settings := range history {
+		versions = append(versions, settings.Version)
 	}
+	return versions
 }
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -16,8 +16,8 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// settingsText is a text that agents take; mark sets it apart from others.
-func settingsText(mark int) string {
+// SettingsText returns settings that agents accept; texts differ by their mark.
+func SettingsText(mark int) string {
 	return fmt.Sprintf(`{"classes":[{"name":"read","aimMs":20,"giveUpMs":40,"effect":"free"}],`+
 		`"limits":{"maxAttempts":3},"membershipMode":"pushed","roundMs":%d}`, mark)
 }
@@ -66,7 +66,7 @@
 			}
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
 			know := seen[rapid.IntRange(0, 1).Draw(t, "writer")]
-			c := command{Op: "settings", Service: service, Text: settingsText(rapid.IntRange(1, 40).Draw(t, "text")), WrittenAtMs: int64(index)}
+			c := command{Op: "settings", Service: service, Text: SettingsText(rapid.IntRange(1, 40).Draw(t, "text")), WrittenAtMs: int64(index)}
 			if rapid.Bool().Draw(t, "if") {
 				v := know[service]
 				c.IfVersion = &v
@@ -118,7 +118,7 @@
 	if err := l.Restore(io.NopCloser(strings.NewReader(old))); err != nil {
 		t.Fatal(err)
 	}
-	data, _ := json.Marshal(command{Op: "settings", Service: "a", Text: settingsText(1)})
+	data, _ := json.Marshal(command{Op: "settings", Service: "a", Text: SettingsText(1)})
 	if got := l.Apply(&raft.Log{Index: 8, Data: data}); got != uint64(8) || l.currentVersion() != 7 || len(l.allEndpoints()) != 1 {
 		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, l.currentVersion(), len(l.allEndpoints()))
 	}
@@ -126,7 +126,7 @@
 
 // TestCheckSettings: what no agent could take is refused with one line that names the key.
 func TestCheckSettings(t *testing.T) {
-	if err := validateSettings([]byte(settingsText(1))); err != nil {
+	if err := validateSettings([]byte(SettingsText(1))); err != nil {
 		t.Error(err)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
@@ -138,7 +138,7 @@
 		"zone":       {`"roundMs"`, `"ZONE":0,"roundMs"`, "zone: is each agent's own"},
 		"zone names": {`"roundMs"`, `"failureDomains":[1],"roundMs"`, "failureDomains"},
 	} {
-		err := validateSettings([]byte(strings.Replace(settingsText(1), c.old, c.new, 1)))
+		err := validateSettings([]byte(strings.Replace(SettingsText(1), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want one line with %q", name, err, c.want)
 		}
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -12,10 +12,10 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
-// fastElection makes an instance that is alone lead soon after its start.
+// fastElection makes an instance that is a cluster by itself lead soon after its start.
 const fastElection = `election_timeout = "100ms"`
 
-// kills is how often TestKilledInAWrite kills an instance.
+// killCount is how often TestKilledDuringWrites kills an instance.
 func killCount() int {
 	if os.Getenv(longTestsVariable) != "" {
 		return 200
@@ -23,58 +23,60 @@
 	return 6
 }
 
-// TestKilledInAWrite: an instance that is alone, so that what it acknowledged is on its disk or
-// lost, is killed at random moments of a burst of writes and started again.
+// TestKilledDuringWrites: an instance that is a cluster by itself, so that what it acknowledged is on
+// its disk or lost, is killed at random times during writes and started again.
 func TestKilledDuringWrites(t *testing.T) {
-	lab := startFaultCluster(t, instanceNames[:1], fastElection)
-	lab.startClients(8)
+	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster.startClients(8)
 	for range killCount() {
 		time.Sleep(time.Duration(rand.IntN(300)) * time.Millisecond)
-		before := len(lab.history.acknowledged())
-		if err := lab.Restart(instanceNames[0]); err != nil {
+		before := len(cluster.history.acknowledged())
+		if err := cluster.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
 		}
-		lab.await("writes after the kill", func() bool { return len(lab.history.acknowledged()) > before+8 })
+		cluster.await("writes after the kill", func() bool { return len(cluster.history.acknowledged()) > before+8 })
 	}
-	if err := lab.stopAndCheck(staleBound); err != nil {
+	if err := cluster.stopAndCheck(staleBound); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d kills, %d writes acknowledged", killCount(), len(lab.history.acknowledged()))
+	t.Logf("%d kills, %d writes acknowledged", killCount(), len(cluster.history.acknowledged()))
 }
 
-// TestHistoryFindsUnsyncedWrites: an instance that acknowledges what it has not written is found
-// by the checker after a kill.
+// TestHistoryFindsUnsyncedWrites: after a kill the checker finds that an instance has acknowledged
+// what it has not written.
 func TestHistoryFindsUnsyncedWrites(t *testing.T) {
-	lab := startFaultCluster(t, instanceNames[:1], fastElection)
-	lab.setFault(instanceNames[0], server.StoreFault{Unsynced: true})
-	if !lab.write(instanceNames[0], "unsynced") {
+	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster.setFault(instanceNames[0], server.StoreFault{Unsynced: true})
+	if !cluster.write(instanceNames[0], "unsynced") {
 		t.Fatal("not acknowledged")
 	}
-	lab.setFault(instanceNames[0], server.StoreFault{})
-	if err := lab.Restart(instanceNames[0]); err != nil {
+	cluster.setFault(instanceNames[0], server.StoreFault{})
+	if err := cluster.Restart(instanceNames[0]); err != nil {
 		t.Fatal(err)
 	}
-	lab.await("a leader", func() bool { return lab.leader() != "" })
-	if err := lab.stopAndCheck(staleBound); err == nil {
-		t.Error("the checker finds nothing")
+	cluster.await("a leader", func() bool { return cluster.leader() != "" })
+	if err := cluster.stopAndCheck(staleBound); err == nil {
+		t.Error("the checker found nothing")
 	}
 }
 
-// TestStartServesNothingLess: the first read that a restarted instance answers has all that it
-// acknowledged before.
+// TestRestartServesAcknowledgedWrites: the first read that a restarted instance serves has all writes
+// that it acknowledged before.
 func TestRestartServesAcknowledgedWrites(t *testing.T) {
-	lab := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
 	for i := range 20 {
-		lab.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
-	acked := lab.history.acknowledged()
+	acked := cluster.history.acknowledged()
 	for range 10 {
-		if err := lab.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
 		}
-		read, served := lab.read(instanceNames[0])
-		for end := time.Now().Add(convergenceTimeout); !served && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			read, served = lab.read(instanceNames[0])
+		read, served := cluster.read(instanceNames[0])
+		deadline := time.Now().Add(convergenceTimeout)
+		for !served && time.Now().Before(deadline) {
+			time.Sleep(time.Millisecond)
+			read, served = cluster.read(instanceNames[0])
 		}
 		for _, write := range acked {
 			if err := checkContains(read, write); err != nil {
@@ -84,12 +86,13 @@
 	}
 }
 
-// damage is something done to a data directory that has acknowledged writes.
+// damageCase is a damage to a data directory that has acknowledged writes.
 type damageCase struct {
 	name  string
 	apply func(dir string) error
 }
 
+// truncateTo truncates the store to a size that depends on its size.
 func truncateTo(size func(int64) int64) func(string) error {
 	return func(dir string) error {
 		path := filepath.Join(dir, "raft.db")
@@ -101,7 +104,7 @@
 	}
 }
 
-// tear overwrites the second half of one page with zeros.
+// tearPage overwrites the second half of one page with zeros.
 func tearPage(page int64) func(string) error {
 	return func(dir string) error {
 		file, err := os.OpenFile(filepath.Join(dir, "raft.db"), os.O_WRONLY, 0)
@@ -115,6 +118,7 @@
 	}
 }
 
+// damageCases are the damages that TestDamagedStore tries.
 func damageCases() []damageCase {
 	page := int64(os.Getpagesize())
 	out := []damageCase{
@@ -131,62 +135,67 @@
 	return out
 }
 
-// TestDamagedStore: with its store cut or with a torn page an instance either serves all that it
-// acknowledged or refuses to start, with one line that names the file.
+// TestDamagedStore: on a truncated store, or one with a torn page, an instance either serves all that
+// it acknowledged or does not start, with one line that names the file.
 func TestDamagedStore(t *testing.T) {
-	lab := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
 	for i := range 60 {
-		lab.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
-	acked := lab.history.acknowledged()
-	lab.Kill(instanceNames[0])
-	dir := filepath.Join(lab.dir, instanceNames[0])
-	saved := filepath.Join(lab.dir, "saved")
+	acked := cluster.history.acknowledged()
+	cluster.Kill(instanceNames[0])
+	dir := cluster.dataDir(instanceNames[0])
+	saved := filepath.Join(cluster.dir, "saved")
 	copyDir(t, dir, saved)
 	for _, d := range damageCases() {
 		copyDir(t, saved, dir)
 		if err := d.apply(dir); err != nil {
 			t.Fatal(d.name, err)
 		}
-		lab.checkDamaged(d.name, acked)
+		cluster.checkDamaged(d.name, acked)
 	}
 }
 
 // checkDamaged starts the instance over a damaged directory.
-func (lab *faultCluster) checkDamaged(name string, acked []writeRecord) {
-	lab.t.Helper()
-	logPath := lab.path(instanceNames[0], "log")
-	os.Truncate(logPath, 0)
-	if err := lab.Start(instanceNames[0]); err != nil {
-		lab.t.Fatal(err)
-	}
-	defer lab.Kill(instanceNames[0])
+func (c *faultCluster) checkDamaged(name string, acked []writeRecord) {
+	c.t.Helper()
+	logPath := c.path(instanceNames[0], "log")
+	if err := os.Truncate(logPath, 0); err != nil {
+		c.t.Fatal(err)
+	}
+	if err := c.Start(instanceNames[0]); err != nil {
+		c.t.Fatal(err)
+	}
+	defer c.Kill(instanceNames[0])
 	var read readRecord
 	served := false
-	lab.await("reads or an end", func() bool {
-		read, served = lab.read(instanceNames[0])
-		return served || !lab.Running(instanceNames[0])
+	c.await("reads or an end", func() bool {
+		read, served = c.read(instanceNames[0])
+		return served || !c.Running(instanceNames[0])
 	})
 	if served {
 		for _, write := range acked {
 			if err := checkContains(read, write); err != nil {
-				lab.t.Errorf("%s: %v", name, err)
+				c.t.Errorf("%s: %v", name, err)
 				return
 			}
 		}
-		lab.t.Logf("%s: recovered", name)
+		c.t.Logf("%s: recovered", name)
 		return
 	}
 	text, _ := os.ReadFile(logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	last := lines[len(lines)-1]
-	if !strings.HasPrefix(last, "instance: ") || !strings.Contains(last, "raft.db") || strings.Contains(string(text), "goroutine ") {
-		lab.t.Errorf("%s: refused with %q", name, text[:min(len(text), 400)])
+	namesFile := strings.HasPrefix(last, "instance: ") && strings.Contains(last, "raft.db")
+	panicked := strings.Contains(string(text), "goroutine ")
+	if !namesFile || panicked {
+		c.t.Errorf("%s: refused with %q", name, text[:min(len(text), 400)])
 		return
 	}
-	lab.t.Logf("%s: %s", name, last)
+	c.t.Logf("%s: %s", name, last)
 }
 
+// checkContains returns an error if a read lacks a write.
 func checkContains(read readRecord, write writeRecord) error {
 	for _, id := range read.ids {
 		if id == write.id {
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -11,27 +11,28 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
-// staleBound is how old a read may be: max_stale (1 s) and the leader's lease (0.5 s), and 3 s for
-// a crowded machine.
+// staleBound is how old a read may be: max_stale (1 s) and the leader's lease (0.5 s), and 3 s for a
+// busy machine.
 const staleBound = 4500 * time.Millisecond
 
-// takenOver is the length of an outage in which the others have elected a leader and taken writes.
+// failoverTime is the length of an outage in which the other instances have elected a leader and
+// acknowledged writes.
 const failoverTime = 5 * time.Second
 
-// diskCase is an outage of the store of some instances.
+// outageCase is an outage of the stores of some instances.
 type outageCase struct {
 	name    string
 	fault   server.StoreFault
-	failing func(lab *faultCluster) []string
-	// restart has the leader killed and started again once the fault is there, so that terms and
-	// votes have to be saved.
+	failing func(cluster *faultCluster) []string
+	// restart says that the leader is killed and started again during the outage, so that terms
+	// and votes have to be saved.
 	restart bool
-	// short is the outage's length in a short run: one that is longer than staleBound shows that
-	// reads end.
+	// shortOutage is the length of the outage in a short run. One that is longer than staleBound
+	// shows that reads end.
 	shortOutage time.Duration
 }
 
-// outages are the lengths to play: of a run in full length those of issue 35.
+// outages returns the lengths of the outage to test.
 func (c outageCase) outages() []time.Duration {
 	if os.Getenv(longTestsVariable) != "" {
 		return []time.Duration{time.Second, 5 * time.Second, 30 * time.Second}
@@ -39,31 +40,27 @@
 	return []time.Duration{c.shortOutage}
 }
 
-func leaderOnly(lab *faultCluster) []string { return []string{lab.leader()} }
+func leaderOnly(cluster *faultCluster) []string { return []string{cluster.leader()} }
 
-func followerOnly(lab *faultCluster) []string { return followers(lab)[:1] }
+func followerOnly(cluster *faultCluster) []string { return cluster.followers()[:1] }
 
-func bothFollowers(lab *faultCluster) []string { return followers(lab) }
+func bothFollowers(cluster *faultCluster) []string { return cluster.followers() }
 
-func leaderAndFollower(lab *faultCluster) []string { return append(followers(lab)[:1], lab.leader()) }
-
-func followers(lab *faultCluster) (out []string) {
-	leader := lab.leader()
-	for _, name := range lab.Names() {
-		if name != leader {
-			out = append(out, name)
-		}
-	}
-	return out
+func leaderAndFollower(cluster *faultCluster) []string {
+	return append(cluster.followers()[:1], cluster.leader())
 }
 
 var outageCases = []outageCase{
-	{name: "log of the leader", fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}, failing: leaderOnly, shortOutage: 6 * time.Second},
+	{name: "log of the leader", failing: leaderOnly, shortOutage: 6 * time.Second,
+		fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}},
 	{name: "all of the leader, after the write", failing: leaderOnly, shortOutage: 2 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.EIO}},
-	{name: "log of the leader hangs", fault: server.StoreFault{Log: true, Hang: true}, failing: leaderOnly, shortOutage: 8 * time.Second},
-	{name: "log of a follower", fault: server.StoreFault{Log: true, Err: syscall.EIO}, failing: followerOnly, shortOutage: 6 * time.Second},
-	{name: "reads of a follower", fault: server.StoreFault{Read: true, Err: syscall.EIO}, failing: followerOnly, shortOutage: time.Second},
+	{name: "log of the leader hangs", failing: leaderOnly, shortOutage: 8 * time.Second,
+		fault: server.StoreFault{Log: true, Hang: true}},
+	{name: "log of a follower", failing: followerOnly, shortOutage: 6 * time.Second,
+		fault: server.StoreFault{Log: true, Err: syscall.EIO}},
+	{name: "reads of a follower", failing: followerOnly, shortOutage: time.Second,
+		fault: server.StoreFault{Read: true, Err: syscall.EIO}},
 	{name: "all of the followers", failing: bothFollowers, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC}},
 	{name: "term and vote of a follower", failing: followerOnly, restart: true, shortOutage: 3 * time.Second,
@@ -74,8 +71,8 @@
 		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.ENOSPC}},
 }
 
-// TestStoreOutages: in a burst of writes the store of instances fails for a while. No instance
-// ends, each goes on after it, and the history of all clients is that of one list.
+// TestStoreOutages: the stores of some instances fail for a while during writes. No instance ends,
+// each continues after the outage, and the history of all clients is that of one list.
 func TestStoreOutages(t *testing.T) {
 	for _, c := range outageCases {
 		for _, outage := range c.outages() {
@@ -84,36 +81,38 @@
 	}
 }
 
+// runOutage runs one outage and checks the history.
 func runOutage(t *testing.T, c outageCase, outage time.Duration) {
-	lab := startFaultCluster(t, instanceNames, "")
-	lab.startClients(4)
+	cluster := startFaultCluster(t, instanceNames, "")
+	cluster.startClients(4)
 	time.Sleep(time.Second)
-	failing, leader := c.failing(lab), lab.leader()
+	failing := c.failing(cluster)
+	leader := cluster.leader()
 	for _, name := range failing {
-		lab.setFault(name, c.fault)
+		cluster.setFault(name, c.fault)
 	}
 	if c.restart {
-		if err := lab.Restart(leader); err != nil {
+		if err := cluster.Restart(leader); err != nil {
 			t.Fatal(err)
 		}
 	}
-	pids := lab.pids()
-	before := len(lab.history.acknowledged())
+	pids := cluster.pids()
+	before := len(cluster.history.acknowledged())
 	time.Sleep(outage)
-	during := len(lab.history.acknowledged())
+	during := len(cluster.history.acknowledged())
 	for _, name := range failing {
-		lab.setFault(name, server.StoreFault{})
+		cluster.setFault(name, server.StoreFault{})
 	}
 	healed := time.Now()
-	lab.await("a write after the outage", func() bool { return len(lab.history.acknowledged()) > during+10 })
+	cluster.await("a write after the outage", func() bool { return len(cluster.history.acknowledged()) > during+10 })
 	resumed := time.Since(healed)
-	if err := lab.stopAndCheck(staleBound); err != nil {
+	if err := cluster.stopAndCheck(staleBound); err != nil {
 		t.Error(err)
 	}
 	if minority := len(failing) == 1; minority && outage >= failoverTime && during == before {
 		t.Errorf("no write in the outage of %v, a minority", failing)
 	}
-	if now := lab.pids(); !maps.Equal(pids, now) {
+	if now := cluster.pids(); !maps.Equal(pids, now) {
 		t.Errorf("processes were %v, are %v", pids, now)
 	}
 	t.Logf("%v failed for %v: %d writes acknowledged before and %d in it, the next after %v, all instances alike after %v",
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -16,22 +16,23 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// storedData is a data directory of format 2 as an earlier version of the program left it: a snapshot with two
+// storedData is a data directory of format 2 that an earlier version of the program wrote: a snapshot with two
 // servers and the settings of two services, and one more server and one more settings version in the log.
 const storedData = "testdata/data-format-2"
 
-// TestReadsStoredDataOfEarlierVersion starts an instance on a copy of storedData and holds what it serves to
-// what the earlier version served from it.
+// TestReadsStoredDataOfEarlierVersion starts an instance on a copy of storedData and compares what it serves
+// with what the earlier version served from it.
 func TestReadsStoredDataOfEarlierVersion(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
 		t.Fatal(err)
 	}
-	reads, admin := startNode(t, dir)
+	reads, admin := startSingleNode(t, dir)
 	wantList := endpoint.List{Version: 11, Full: true, Servers: []endpoint.Endpoint{
 		{ID: "pod-a", Addr: "10.0.0.1:8080", Zone: "z1", Region: "r1", Kind: "small", Cell: 1, State: "up", Weight: 1,
 			StartedMs: 1764600000000},
-		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining", Weight: 2.5},
+		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining",
+			Weight: 2.5},
 		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: "up", Weight: 0.5},
 	}}
 	caughtUp := func() bool { return request("GET", reads+"/api/targets", "").code == http.StatusOK }
@@ -42,8 +43,8 @@
 		t.Errorf("list %+v, want %+v", got, wantList)
 	}
 	for service, want := range map[string]server.SettingsVersion{
-		"quotes": {Version: 12, WrittenAtMs: 1796206765381, Bytes: 136, Text: settingsText(4) + "\n"},
-		"orders": {Version: 10, WrittenAtMs: 1796206591154, Bytes: 136, Text: settingsText(3) + "\n"},
+		"quotes": {Version: 12, WrittenAtMs: 1796206765381, Bytes: 136, Text: server.SettingsText(4) + "\n"},
+		"orders": {Version: 10, WrittenAtMs: 1796206591154, Bytes: 136, Text: server.SettingsText(3) + "\n"},
 	} {
 		var got server.SettingsVersion
 		body := request("GET", admin+"/v1/settings/"+service, "").body
@@ -58,9 +59,9 @@
 	}
 }
 
-// TestRefusesStoredDataWithoutItsLog starts an instance on a copy of storedData that lacks its log: as there
-// are snapshots, it is damage and not a new directory, though that version left no mark of its store.
-func TestRefusesStoredDataWithoutItsLog(t *testing.T) {
+// TestRejectsStoredDataWithoutLog starts an instance on a copy of storedData without its log. As there are
+// snapshots, the directory is damaged and not new, though that version did not mark that it had a store.
+func TestRejectsStoredDataWithoutLog(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
 		t.Fatal(err)
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -3,53 +3,15 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
-	"net"
 	"net/http"
-	"path/filepath"
 	"slices"
 	"sync"
 	"testing"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// threeNodes runs three instances in this process on loopback ports from the system.
-func startThreeNodes(b testing.TB, election time.Duration) ([]server.Config, []*server.Node) {
-	addr := func() string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
-		}
-		defer ln.Close()
-		return ln.Addr().String()
-	}
-	cfgs := make([]server.Config, 3)
-	for i := range cfgs {
-		cfgs[i] = server.Config{ID: fmt.Sprint("n", i), DataDir: filepath.Join(b.TempDir(), "d"),
-			RaftAddr: addr(), HTTPAddr: addr(), AdminAddr: addr(), Bootstrap: i == 0,
-			MaxStale: time.Second, ElectionTimeout: election, KeepChanges: 4096, SnapshotEvery: 8192, TrailingLogs: 1024}
-	}
-	nodes := make([]*server.Node, 3)
-	for i := range cfgs {
-		for j, p := range cfgs {
-			if i != j {
-				cfgs[i].Peers = append(cfgs[i].Peers, server.Peer{ID: p.ID, Raft: p.RaftAddr, Admin: p.AdminAddr})
-			}
-		}
-		n, err := server.Start(cfgs[i], slog.New(slog.NewTextHandler(io.Discard, nil)))
-		if err != nil {
-			b.Fatal(err)
-		}
-		nodes[i] = n
-		b.Cleanup(func() { n.Close() })
-	}
-	return cfgs, nodes
-}
-
 // BenchmarkWatchFanout: 1,000 watchers spread over three instances; each iteration writes
 // one change and waits until every watcher has it. Reported, in ms: the p50 and p99 of the
 // time from the write's acknowledgement to a watcher's answer (0 where the answer came
