--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -11,19 +11,23 @@
 	"github.com/hashicorp/raft"
 )
 
-// StoreFault is what a FaultyStore does wrong.
+// StoreFault is the fault of a FaultyStore.
 type StoreFault struct {
-	Log, Stable, Read bool // which calls fail: writes of the log, of term and vote, reads of the log
-	Applied           bool // a write that fails has happened all the same, as after a sync that failed
-	Unsynced          bool // appends succeed without being written: the bug that a checker has to find
-	Hang              bool // a write that would fail waits instead, until the fault is another
-	Err               syscall.Errno
+	Log      bool          // writes of the log fail
+	Stable   bool          // writes of the term and the vote fail
+	Read     bool          // reads of the log fail
+	Applied  bool          // a write that fails has reached the file, as after a failed sync
+	Unsynced bool          // appends succeed without being written, for the checker to find
+	Hang     bool          // a write that would fail waits instead, until the fault changes
+	Err      syscall.Errno // the error of the calls that fail
 }
 
-// FaultyStore is a store whose calls fail as a StoreFault says.
+// FaultyStore is a store whose calls fail according to a StoreFault.
 type FaultyStore struct {
 	Store
-	Control     string // path of a file with a StoreFault in JSON, read at each call; "": Fail sets it
+	// Control is the path of a file with a StoreFault in JSON, which is read at each call; "": the
+	// fault is that of the last Fail.
+	Control     string
 	fault       atomic.Pointer[StoreFault]
 	failedCalls atomic.Int64 // that failed
 
@@ -31,9 +35,10 @@
 	unsynced map[uint64]raft.Log
 }
 
-// Fail sets the fault of the calls to come; nil: none.
+// Fail sets the fault of the following calls; nil: none.
 func (f *FaultyStore) Fail(fault *StoreFault) { f.fault.Store(fault) }
 
+// current returns the present fault.
 func (f *FaultyStore) current() (fault StoreFault) {
 	if f.Control == "" {
 		if set := f.fault.Load(); set != nil {
@@ -47,10 +52,10 @@
 	return fault
 }
 
-// hangPause is the time between two looks whether a call hangs on.
+// hangPollInterval is the time between two checks of a call that hangs.
 const hangPollInterval = 10 * time.Millisecond
 
-// write carries out a write that fails where the fault says so.
+// write runs a write, which fails if the fault says so.
 func (f *FaultyStore) write(failing func(StoreFault) bool, do func() error) error {
 	fault := f.current()
 	for failing(fault) && fault.Hang {
@@ -75,6 +80,7 @@
 	return f.write(func(fault StoreFault) bool { return fault.Stable }, do)
 }
 
+// StoreLogs appends entries, or fails.
 func (f *FaultyStore) StoreLogs(entries []*raft.Log) error {
 	if f.current().Unsynced {
 		f.mu.Lock()
@@ -90,28 +96,32 @@
 	return f.writeLog(func() error { return f.Store.StoreLogs(entries) })
 }
 
+// DeleteRange removes entries, or fails.
 func (f *FaultyStore) DeleteRange(first, last uint64) error {
 	return f.writeLog(func() error { return f.Store.DeleteRange(first, last) })
 }
 
+// Set saves a value, or fails.
 func (f *FaultyStore) Set(key, value []byte) error {
 	return f.writeStable(func() error { return f.Store.Set(key, value) })
 }
 
+// SetUint64 saves a number, or fails.
 func (f *FaultyStore) SetUint64(key []byte, value uint64) error {
 	return f.writeStable(func() error { return f.Store.SetUint64(key, value) })
 }
 
+// GetLog reads an entry, or fails.
 func (f *FaultyStore) GetLog(index uint64, entry *raft.Log) error {
 	if fault := f.current(); fault.Read {
 		f.failedCalls.Add(1)
 		return fault.Err
 	}
 	f.mu.Lock()
-	kept, ok := f.unsynced[index]
+	stored, ok := f.unsynced[index]
 	f.mu.Unlock()
 	if ok {
-		*entry = kept
+		*entry = stored
 		return nil
 	}
 	return f.Store.GetLog(index, entry)
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -12,139 +12,182 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// watcher follows the list as an agent would, moving to the next instance at a failure
-// and resuming from the version it has; it fails the test if a version goes back.
+// Load of TestLeaderKilledDuringWrites.
+const (
+	loadWriters      = 8
+	loadWrites       = 1000
+	writesBeforeKill = 300
+)
+
+// watcher watches the list as an agent does: after a failure it continues at the next instance from
+// the version that it has. It fails the test if a version is older than that.
 type watcher struct {
 	mu      sync.Mutex
 	version uint64
-	list    map[string]endpoint.Endpoint
+	servers map[string]endpoint.Endpoint
+}
+
+// currentVersion returns the version that the watcher has.
+func (w *watcher) currentVersion() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.version
 }
 
-func (w *watcher) run(t *testing.T, c *processtest.Cluster, first int, stop <-chan struct{}) {
+// run watches until stop is closed, at first at the numbered instance.
+func (w *watcher) run(t *testing.T, cluster *processtest.Cluster, first int, stop <-chan struct{}) {
 	client := &http.Client{Timeout: 3 * time.Second}
-	for i := first; ; i++ {
+	for instance := first; ; {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		w.mu.Lock()
-		url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=500", c.Addr(instanceNames[i%3], "http"), w.version)
-		w.mu.Unlock()
-		resp, err := client.Get(url)
-		if err != nil {
-			time.Sleep(20 * time.Millisecond)
-			continue
+		address := cluster.Addr(instanceNames[instance%len(instanceNames)], httpPort)
+		if !w.watchOnce(t, client, address) {
+			instance++
 		}
-		var l endpoint.List
-		err = json.NewDecoder(resp.Body).Decode(&l)
-		resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusOK {
-			continue
-		}
-		w.apply(t, l)
-		i-- // stay while it answers
 	}
 }
 
-func (w *watcher) apply(t *testing.T, l endpoint.List) {
+// watchOnce makes one watch at an instance, and reports whether the instance served it.
+func (w *watcher) watchOnce(t *testing.T, client *http.Client, address string) bool {
+	url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=500", address, w.currentVersion())
+	resp, err := client.Get(url)
+	if err != nil {
+		time.Sleep(retryInterval)
+		return false
+	}
+	defer resp.Body.Close()
+	var list endpoint.List
+	if json.NewDecoder(resp.Body).Decode(&list) != nil || resp.StatusCode != http.StatusOK {
+		return false
+	}
+	w.apply(t, list)
+	return true
+}
+
+// apply applies the response to a watch.
+func (w *watcher) apply(t *testing.T, list endpoint.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.Version < w.version {
-		t.Errorf("watch went back from version %d to %d", w.version, l.Version)
+	if list.Version < w.version {
+		t.Errorf("watch went back from version %d to %d", w.version, list.Version)
 	}
-	if l.Full {
-		w.list = map[string]endpoint.Endpoint{}
+	if list.Full {
+		w.servers = map[string]endpoint.Endpoint{}
 	}
-	for _, s := range l.Servers {
-		if s.State == "removed" {
-			delete(w.list, s.ID)
+	for _, server := range list.Servers {
+		if server.State == endpoint.StateRemoved {
+			delete(w.servers, server.ID)
 		} else {
-			w.list[s.ID] = s
+			w.servers[server.ID] = server
 		}
 	}
-	w.version = l.Version
+	w.version = list.Version
 }
 
-// TestLeaderKilledDuringWrites: 1,000 writes by eight writers, the leader SIGKILLed after
-// 300 acknowledged and started again; no acknowledged write is lost, no two share a
-// version, and every watcher ends at the same list, which holds them all.
+// TestLeaderKilledDuringWrites: eight writers make 1,000 writes; the leader is killed after 300 are
+// acknowledged, and started again. No acknowledged write is lost, no two have the same version, and
+// all watchers have the same list in the end, with all acknowledged writes.
 func TestLeaderKilledDuringWrites(t *testing.T) {
-	c := startCluster(t)
-	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
-		t.Fatal(err)
-	}
+	cluster, _ := startClusterWithLeader(t)
 	stop := make(chan struct{})
-	watchers := make([]*watcher, 3)
-	var wg sync.WaitGroup
+	watchers := make([]*watcher, len(instanceNames))
+	var watching sync.WaitGroup
 	for i := range watchers {
-		watchers[i] = &watcher{list: map[string]endpoint.Endpoint{}}
-		wg.Add(1)
-		go func() { defer wg.Done(); watchers[i].run(t, c, i, stop) }()
+		watchers[i] = &watcher{servers: map[string]endpoint.Endpoint{}}
+		watching.Add(1)
+		go func() {
+			defer watching.Done()
+			watchers[i].run(t, cluster, i, stop)
+		}()
+	}
+	acknowledged, killed := writeAndKillLeader(t, cluster)
+	if err := cluster.Start(killed); err != nil {
+		t.Fatal(err)
+	}
+	err := processtest.Await(30*time.Second, "the last write at every watcher", func() bool {
+		return haveVersion(watchers, lastVersion(acknowledged))
+	})
+	close(stop)
+	watching.Wait()
+	if err != nil {
+		t.Fatal(err)
 	}
+	checkWatchers(t, watchers, acknowledged)
+	t.Logf("%d of %d writes acknowledged; leader %s killed at %d; history of %d events",
+		len(acknowledged), loadWrites, killed, writesBeforeKill, len(cluster.History()))
+}
+
+// writeAndKillLeader makes the writes and kills the leader. It returns the ids of the acknowledged
+// writes by version, and the killed instance.
+func writeAndKillLeader(t *testing.T, cluster *processtest.Cluster) (acknowledged map[uint64]string, killed string) {
+	t.Helper()
+	acknowledged = map[uint64]string{}
 	var mu sync.Mutex
-	acked := map[uint64]string{}
-	killed := make(chan string, 1)
+	record := func(version uint64, id string) (count int) {
+		mu.Lock()
+		defer mu.Unlock()
+		if version == 0 {
+			return len(acknowledged)
+		}
+		if other, ok := acknowledged[version]; ok {
+			t.Errorf("%s and %s both acknowledged at version %d", other, id, version)
+		}
+		acknowledged[version] = id
+		return len(acknowledged)
+	}
+	killedNames := make(chan string, 1)
 	var writers sync.WaitGroup
-	for w := range 8 {
+	for writer := range loadWriters {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			for i := w; i < 1000; i += 8 {
+			for i := writer; i < loadWrites; i += loadWriters {
 				id := fmt.Sprintf("s-%04d", i)
-				v := putServerAnywhere(c, id)
-				mu.Lock()
-				if v != 0 {
-					if other, ok := acked[v]; ok {
-						t.Errorf("%s and %s both acknowledged at version %d", other, id, v)
-					}
-					acked[v] = id
-				}
-				n := len(acked)
-				mu.Unlock()
-				if n == 300 {
-					l := leader(c)
-					c.Kill(l)
-					killed <- l
+				if record(putServerAnywhere(cluster, id), id) == writesBeforeKill {
+					name := leader(cluster)
+					cluster.Kill(name)
+					killedNames <- name
 				}
 			}
 		}()
 	}
 	writers.Wait()
-	l := <-killed
-	if err := c.Start(l); err != nil {
-		t.Fatal(err)
-	}
-	var top uint64
-	for v := range acked {
-		top = max(top, v)
+	return acknowledged, <-killedNames
+}
+
+// lastVersion returns the latest version of the acknowledged writes.
+func lastVersion(acknowledged map[uint64]string) uint64 {
+	var last uint64
+	for version := range acknowledged {
+		last = max(last, version)
 	}
-	err := processtest.Await(30*time.Second, "every watcher at the last write", func() bool {
-		for _, w := range watchers {
-			w.mu.Lock()
-			v := w.version
-			w.mu.Unlock()
-			if v < top {
-				return false
-			}
+	return last
+}
+
+// haveVersion reports whether all watchers have a version or a later one.
+func haveVersion(watchers []*watcher, version uint64) bool {
+	for _, w := range watchers {
+		if w.currentVersion() < version {
+			return false
 		}
-		return true
-	})
-	close(stop)
-	wg.Wait()
-	if err != nil {
-		t.Fatal(err)
 	}
+	return true
+}
+
+// checkWatchers checks that all watchers, which have ended, have the same list with all writes.
+func checkWatchers(t *testing.T, watchers []*watcher, acknowledged map[uint64]string) {
+	t.Helper()
 	for i, w := range watchers {
-		for _, id := range acked {
-			if _, ok := w.list[id]; !ok {
+		for _, id := range acknowledged {
+			if _, ok := w.servers[id]; !ok {
 				t.Fatalf("watcher %d lacks acknowledged %s", i, id)
 			}
 		}
-		if len(w.list) != len(watchers[0].list) {
-			t.Fatalf("watcher %d holds %d entries, watcher 0 %d", i, len(w.list), len(watchers[0].list))
+		if len(w.servers) != len(watchers[0].servers) {
+			t.Fatalf("watcher %d has %d entries, watcher 0 has %d", i, len(w.servers), len(watchers[0].servers))
 		}
 	}
-	t.Logf("%d of 1000 writes acknowledged; leader %s killed at 300; history %d events",
-		len(acked), l, len(c.History()))
 }
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -3,71 +3,81 @@
 import (
 	"fmt"
 	"net/http"
+	"slices"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestLeaderPartitionedAway: the leader is cut off from both followers for 10 s and then
-// healed. Its reads stop within max_stale (1 s) and its lease (0.5 s) and a margin; the
-// other two elect a leader and take writes; nothing written on the cut-off side is
-// acknowledged; after the heal every instance holds every acknowledged write.
+const (
+	// partitionTime is how long TestPartitionedLeader cuts off the leader.
+	partitionTime = 10 * time.Second
+	// maxReadsAfterCut is how long a leader that is cut off may serve reads: max_stale (1 s), the
+	// leader's lease (0.5 s) and a margin.
+	maxReadsAfterCut = 2500 * time.Millisecond
+)
+
+// TestPartitionedLeader: the leader is cut off from both followers for 10 s. Its reads end within
+// maxReadsAfterCut and it acknowledges no write; the other two elect a leader and acknowledge writes.
+// After the partition every instance has every acknowledged write.
 func TestPartitionedLeader(t *testing.T) {
-	c := startCluster(t)
-	if err := processtest.Await(20*time.Second, "a leader", func() bool { return leader(c) != "" }); err != nil {
-		t.Fatal(err)
-	}
-	old := leader(c)
-	var rest []string
-	for _, n := range instanceNames {
-		if n != old {
-			rest = append(rest, n)
-		}
-	}
-	if putServerAnywhere(c, "before") == 0 {
+	cluster, oldLeader := startClusterWithLeader(t)
+	majority := slices.DeleteFunc(slices.Clone(instanceNames), func(name string) bool { return name == oldLeader })
+	if putServerAnywhere(cluster, "before") == 0 {
 		t.Fatal("no write before the partition")
 	}
-	c.Partition([]string{old}, rest)
-	cut := time.Now()
-	lastRead := cut
-	acked := map[string]bool{}
-	for i := 0; time.Since(cut) < 10*time.Second; i++ {
-		if resp, err := http.Get("http://" + c.Addr(old, "http") + "/api/targets"); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				lastRead = time.Now()
-			}
+	cluster.Partition([]string{oldLeader}, majority)
+	cutAt := time.Now()
+	lastRead := cutAt
+	var acknowledged []string
+	for i := 0; time.Since(cutAt) < partitionTime; i++ {
+		if servesReads(cluster, oldLeader) {
+			lastRead = time.Now()
 		}
-		id := fmt.Sprintf("cut-%d", i)
-		if putServer(c.Addr(old, "admin"), id) != 0 {
-			t.Errorf("%s acknowledged by %s, cut off from the majority %v after the cut", id, old, time.Since(cut))
+		minorityID := fmt.Sprintf("cut-%d", i)
+		if putServer(cluster.Addr(oldLeader, adminPort), minorityID) != 0 {
+			t.Errorf("%s acknowledged by %s %v after it was cut off", minorityID, oldLeader, time.Since(cutAt))
 		}
-		if id := fmt.Sprintf("major-%d", i); putServer(c.Addr(rest[i%2], "admin"), id) != 0 {
-			acked[id] = true
+		majorityID := fmt.Sprintf("major-%d", i)
+		if putServer(cluster.Addr(majority[i%len(majority)], adminPort), majorityID) != 0 {
+			acknowledged = append(acknowledged, majorityID)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if stale := lastRead.Sub(cut); stale > 2500*time.Millisecond {
-		t.Errorf("the cut-off instance served reads %v after the cut", stale)
+	if readsAfterCut := lastRead.Sub(cutAt); readsAfterCut > maxReadsAfterCut {
+		t.Errorf("the leader served reads until %v after it was cut off", readsAfterCut)
 	}
-	if len(acked) == 0 {
-		t.Fatal("the majority took no write while the leader was cut off")
+	if len(acknowledged) == 0 {
+		t.Fatal("the majority acknowledged no write while the leader was cut off")
+	}
+	cluster.Heal()
+	allHaveWrites := func() bool { return allList(cluster, acknowledged) }
+	if err := processtest.Await(20*time.Second, "the majority's writes at every instance", allHaveWrites); err != nil {
+		t.Fatal(err)
 	}
-	c.Heal()
-	err := processtest.Await(20*time.Second, "every instance at the majority's writes", func() bool {
-		for _, n := range instanceNames {
-			for id := range acked {
-				if !listsServer(c, n, id) {
-					return false
-				}
+	t.Logf("reads of the leader ended %v after it was cut off; the majority acknowledged %d writes",
+		lastRead.Sub(cutAt), len(acknowledged))
+}
+
+// servesReads reports whether an instance serves reads.
+func servesReads(cluster *processtest.Cluster, name string) bool {
+	resp, err := http.Get("http://" + cluster.Addr(name, httpPort) + "/api/targets")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// allList reports whether the full list of every instance has all ids.
+func allList(cluster *processtest.Cluster, ids []string) bool {
+	for _, name := range instanceNames {
+		for _, id := range ids {
+			if !listsServer(cluster, name, id) {
+				return false
 			}
 		}
-		return true
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
-	t.Logf("reads of the cut-off side stopped %v after the cut; %d writes on the majority side",
-		lastRead.Sub(cut), len(acked))
+	return true
 }
--- a/internal/discovery/server/serve_test.go
+++ b/internal/discovery/server/serve_test.go
@@ -25,7 +25,7 @@
 	return l.Listener.Accept()
 }
 
-// serving starts a server on a listener, and gives the instance that it belongs to.
+// startServer starts an HTTP server on a listener, and returns the instance that it belongs to.
 func startServer(t *testing.T, ln net.Listener) *Node {
 	t.Helper()
 	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil)), failed: make(chan error, 1)}
@@ -35,7 +35,8 @@
 	return n
 }
 
-func TestFailedAcceptsDoNotEndAnInstance(t *testing.T) {
+// TestFailedAcceptsDoNotStopInstance: temporary errors of accept do not stop an instance.
+func TestFailedAcceptsDoNotStopInstance(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +57,7 @@
 	}
 }
 
-// An instance that no longer accepts says so, with the reason.
+// TestBrokenListenerFailsTheInstance: an instance that no longer accepts connections reports why.
 func TestBrokenListenerFailsTheInstance(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -27,7 +27,8 @@
 func TestSettingsUnderFaults(t *testing.T) {
 	cluster, _ := startClusterWithLeader(t)
 	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
-	checkConcurrentWrites(t, cluster, 10, []int{http.StatusOK, http.StatusPreconditionFailed}, "If-Match", fmt.Sprint(base))
+	oneConflict := []int{http.StatusOK, http.StatusPreconditionFailed}
+	checkConcurrentWrites(t, cluster, 10, oneConflict, "If-Match", fmt.Sprint(base))
 	checkConcurrentWrites(t, cluster, 12, []int{http.StatusOK, http.StatusOK})
 
 	acknowledged := changeSettings(cluster)
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -25,7 +25,8 @@
 		t.Errorf("a write got version %d, its retry %d", first, retried)
 	}
 	checkRejectedSettings(t, url, first)
-	second := request(http.MethodPut, url, server.SettingsText(2), "If-Match", fmt.Sprintf("%q", fmt.Sprint(first))).version()
+	quoted := fmt.Sprintf("%q", fmt.Sprint(first))
+	second := request(http.MethodPut, url, server.SettingsText(2), "If-Match", quoted).version()
 	newest := decodeSettings(t, request(http.MethodGet, url, ""))
 	age := time.Since(time.UnixMilli(newest.WrittenAtMs))
 	if second <= first || newest.Version != second || newest.Text != server.SettingsText(2) || age > time.Hour {
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -29,103 +29,134 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// restored is a new list from a snapshot of l.
-func restoreFromSnapshot(t interface{ Fatal(...any) }, l *stateMachine) *stateMachine {
-	snap, err := l.Snapshot()
+// restoreFromSnapshot returns a new state machine that was restored from a snapshot of another one.
+func restoreFromSnapshot(t *rapid.T, state *stateMachine) *stateMachine {
+	t.Helper()
+	snapshot, err := state.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
 	var sink memorySink
-	if err == nil {
-		err = snap.Persist(&sink)
+	if err := snapshot.Persist(&sink); err != nil {
+		t.Fatal(err)
 	}
-	next := newStateMachine(l.maxChanges)
-	if err == nil {
-		err = next.Restore(io.NopCloser(&sink.Buffer))
+	restored := newStateMachine(state.maxChanges)
+	if err := restored.Restore(io.NopCloser(&sink.Buffer)); err != nil {
+		t.Fatal(err)
 	}
+	return restored
+}
+
+// applyCommand applies a command as the log entry at an index.
+func applyCommand(t interface{ Fatal(...any) }, state *stateMachine, index uint64, c command) any {
+	data, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return next
+	return state.Apply(&raft.Log{Index: index, Data: data})
+}
+
+// settingsModel is a simple model of the settings' versions by service.
+type settingsModel map[string][]SettingsVersion
+
+// apply applies a write of settings and returns its expected result.
+func (m settingsModel) apply(c command, index uint64) any {
+	newest := m.newest(c.Service)
+	switch {
+	case newest.Text == c.Text:
+		return newest.Version
+	case c.IfVersion != nil && *c.IfVersion != newest.Version:
+		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+	}
+	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
+	versions := append(m[c.Service], written)
+	m[c.Service] = versions[max(0, len(versions)-20):]
+	return index
 }
 
-// TestSettingsStateMachine holds random writes, of two writers that may name the version
-// they replace, and snapshots and a server's changes between them against a plain model:
-// versions only grow, a repeat answers its version, a write over another's is refused, the
-// last 20 are kept, and watches of servers see those alone, from answers that they share.
+// newest returns the newest version of a service's settings.
+func (m settingsModel) newest(service string) SettingsVersion {
+	versions := m[service]
+	if len(versions) == 0 {
+		return SettingsVersion{}
+	}
+	return versions[len(versions)-1]
+}
+
+// TestSettingsStateMachine compares random writes of settings with settingsModel. There are two writers,
+// which may name the version that they replace, and snapshots and changes of a server between the
+// writes. Versions increase, a retry returns its version, a write over another one is rejected, the last
+// 20 versions are stored, and watches of servers see the changes of servers only.
 func TestSettingsStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, model := newStateMachine(8), map[string][]SettingsVersion{}
-		servers := uint64(0)                // the version of their last change
-		seen := []map[string]uint64{{}, {}} // what each writer last knew of a service
+		state := newStateMachine(8)
+		model := settingsModel{}
+		listVersion := uint64(0)             // of the last change of the server
+		known := []map[string]uint64{{}, {}} // the version that each writer knows of a service
 		for index := uint64(1); index <= uint64(rapid.IntRange(1, 120).Draw(t, "writes")); index++ {
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				l = restoreFromSnapshot(t, l)
+				state = restoreFromSnapshot(t, state)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "server") == 0 {
-				data, _ := json.Marshal(command{Op: "put", Server: endpoint.Endpoint{ID: "s", Weight: float64(index)}})
-				servers = l.Apply(&raft.Log{Index: index, Data: data}).(uint64)
+				entry := endpoint.Endpoint{ID: "s", Weight: float64(index)}
+				listVersion = applyCommand(t, state, index, command{Op: operationPut, Server: entry}).(uint64)
 				continue
 			}
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
-			know := seen[rapid.IntRange(0, 1).Draw(t, "writer")]
-			c := command{Op: "settings", Service: service, Text: SettingsText(rapid.IntRange(1, 40).Draw(t, "text")), WrittenAtMs: int64(index)}
+			versions := known[rapid.IntRange(0, 1).Draw(t, "writer")]
+			text := SettingsText(rapid.IntRange(1, 40).Draw(t, "text"))
+			c := command{Op: operationSettings, Service: service, Text: text, WrittenAtMs: int64(index)}
 			if rapid.Bool().Draw(t, "if") {
-				v := know[service]
-				c.IfVersion = &v
+				version := versions[service]
+				c.IfVersion = &version
 			}
-			data, _ := json.Marshal(c)
-			got := l.Apply(&raft.Log{Index: index, Data: data})
-			kept, newest := model[service], SettingsVersion{}
-			if len(kept) > 0 {
-				newest = kept[len(kept)-1]
-			}
-			var want any = index
-			switch {
-			case newest.Text == c.Text:
-				want = newest.Version
-			case c.IfVersion != nil && *c.IfVersion != newest.Version:
-				want = versionConflict{service: service, expected: *c.IfVersion, current: newest.Version}
-			default:
-				kept = append(kept, SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text})
-				model[service] = kept[max(0, len(kept)-20):]
-			}
-			if got != want {
+			got := applyCommand(t, state, index, c)
+			if want := model.apply(c, index); got != want {
 				t.Fatalf("write %d: %v, want %v", index, got, want)
 			}
-			if v, ok := got.(uint64); ok {
-				know[service] = v
-			} else {
-				know[service] = newest.Version // it reads anew
-			}
-			if a, b := fmt.Sprint(l.history(service)), fmt.Sprint(model[service]); a != b {
-				t.Fatalf("after write %d kept %s, want %s", index, a, b)
-			}
-			for _, q := range []watchQuery{{full: true}, {version: servers}, {version: servers / 2}} {
-				out, _, _ := l.changesSince(q)
-				var got endpoint.List
-				if err := json.Unmarshal(out.body, &got); err != nil || got.Version != servers || got.Settings != nil ||
-					out.hasUpdate != (q.full || q.version < servers) || len(got.Servers) > 0 && got.Servers[0].Weight != float64(servers) {
-					t.Fatalf("a watch of servers, %+v, gets %s (%v) at version %d", q, out.body, err, servers)
-				}
+			versions[service] = model.newest(service).Version
+			if got, want := fmt.Sprint(state.history(service)), fmt.Sprint(model[service]); got != want {
+				t.Fatalf("after write %d the history is %s, want %s", index, got, want)
 			}
+			checkServerWatches(t, state, listVersion)
 		}
 	})
 }
 
-// TestOldSnapshot: a snapshot from before settings were kept is read, and settings go on
-// from it.
+// checkServerWatches checks the responses to watches of servers at a version of the list.
+func checkServerWatches(t *rapid.T, state *stateMachine, version uint64) {
+	t.Helper()
+	for _, query := range []watchQuery{{full: true}, {version: version}, {version: version / 2}} {
+		response, _, _ := state.changesSince(query)
+		var list endpoint.List
+		err := json.Unmarshal(response.body, &list)
+		wantUpdate := query.full || query.version < version
+		wrongServer := len(list.Servers) > 0 && list.Servers[0].Weight != float64(version)
+		if err != nil || list.Version != version || list.Settings != nil || response.hasUpdate != wantUpdate || wrongServer {
+			t.Fatalf("a watch of servers, %+v, gets %s (%v) at version %d", query, response.body, err, version)
+		}
+	}
+}
+
+// TestRestoreSnapshotWithoutSettings: a snapshot of a program that did not store settings is restored, and
+// settings are written after it.
 func TestRestoreSnapshotWithoutSettings(t *testing.T) {
-	l := newStateMachine(8)
-	old := `{"version":7,"floor":0,"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":1}],"changes":[],"set_at":{"s":7}}`
-	if err := l.Restore(io.NopCloser(strings.NewReader(old))); err != nil {
+	state := newStateMachine(8)
+	const snapshot = `{"version":7,"floor":0,"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":1}],` +
+		`"changes":[],"set_at":{"s":7}}`
+	if err := state.Restore(io.NopCloser(strings.NewReader(snapshot))); err != nil {
 		t.Fatal(err)
 	}
-	data, _ := json.Marshal(command{Op: "settings", Service: "a", Text: SettingsText(1)})
-	if got := l.Apply(&raft.Log{Index: 8, Data: data}); got != uint64(8) || l.currentVersion() != 7 || len(l.allEndpoints()) != 1 {
-		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, l.currentVersion(), len(l.allEndpoints()))
+	got := applyCommand(t, state, 8, command{Op: operationSettings, Service: "a", Text: SettingsText(1)})
+	version, servers := state.currentVersion(), len(state.allEndpoints())
+	if got != uint64(8) || version != 7 || servers != 1 {
+		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, version, servers)
 	}
 }
 
-// TestCheckSettings: what no agent could take is refused with one line that names the key.
-func TestCheckSettings(t *testing.T) {
+// TestValidateSettings: settings that no agent could put in force are rejected with one line that names
+// the key.
+func TestValidateSettings(t *testing.T) {
 	if err := validateSettings([]byte(SettingsText(1))); err != nil {
 		t.Error(err)
 	}
@@ -145,20 +176,24 @@
 	}
 }
 
-// TestHeardIsBounded in number, by who has been silent for longest, and in time.
+// TestReportRegistryIsBounded: the number of reports is bounded by evicting the oldest, and their age too.
 func TestReportRegistryIsBounded(t *testing.T) {
-	h, now := newReportRegistry(), time.Now()
+	registry := newReportRegistry()
+	now := time.Now()
 	for i := range maxReports + 10 {
-		h.record("a", fmt.Sprint("agent-", i), SettingsReport{InForce: uint64(i)}, now.Add(time.Duration(i)))
+		report := SettingsReport{InForce: uint64(i)}
+		registry.record("a", fmt.Sprint("agent-", i), report, now.Add(time.Duration(i)))
 	}
-	got := h.ofService("a", now.Add(time.Minute))
-	if len(got) != maxReports || slices.ContainsFunc(got, func(a AgentReport) bool { return a.InForce < 10 }) {
+	got := registry.ofService("a", now.Add(time.Minute))
+	isEvicted := func(report AgentReport) bool { return report.InForce < 10 }
+	if len(got) != maxReports || slices.ContainsFunc(got, isEvicted) {
 		t.Errorf("%d agents remembered, want the last %d", len(got), maxReports)
 	}
-	if got := h.ofService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
+	if got := registry.ofService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
 		t.Errorf("%d agents remembered after %v", len(got), reportRetention)
 	}
-	if got := oneLine("no\nroom"+strings.Repeat("é", 200), maxReasonBytes); len(got) > maxReasonBytes || !strings.HasPrefix(got, "no room") {
-		t.Errorf("the reason is kept as %q", got)
+	reason := oneLine("no\nroom"+strings.Repeat("é", 200), maxReasonBytes)
+	if len(reason) > maxReasonBytes || !strings.HasPrefix(reason, "no room") {
+		t.Errorf("the reason is %q", reason)
 	}
 }
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -14,10 +14,11 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// within bounds every wait of these tests.
+// waitTimeout bounds each wait of these tests.
 const waitTimeout = 20 * time.Second
 
-// openFaulty is a retrying store over a bbolt file whose calls can be made to fail.
+// openFaultyStore returns a retrying store on a new bbolt file, and the store below it, whose calls
+// can be made to fail.
 func openFaultyStore(t *testing.T) (*retryingStore, *FaultyStore) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), storeFile)
@@ -32,18 +33,23 @@
 		t.Fatal(err)
 	}
 	store.rewriteLastCommit = func() error { return rewriteMetaPages(path) }
-	t.Cleanup(func() { close(closed); bolt.Close() })
+	t.Cleanup(func() {
+		close(closed)
+		bolt.Close()
+	})
 	return store, faulty
 }
 
-func logEntries(term, first, last uint64) (out []*raft.Log) {
+// logEntries returns log entries with the indexes from first to last.
+func logEntries(term, first, last uint64) []*raft.Log {
+	var entries []*raft.Log
 	for index := first; index <= last; index++ {
-		out = append(out, &raft.Log{Index: index, Term: term, Data: []byte(`{"op":"remove"}`)})
+		entries = append(entries, &raft.Log{Index: index, Term: term, Data: []byte(`{"op":"remove"}`)})
 	}
-	return out
+	return entries
 }
 
-// finish waits for a call that was begun, and fails the test on its error.
+// waitForCall waits for a call that was started, and fails the test on its error.
 func waitForCall(t *testing.T, call <-chan error) {
 	t.Helper()
 	select {
@@ -56,19 +62,22 @@
 	}
 }
 
-// begin runs a call of the store while it fails, and returns once it has failed below.
+// startFailingCall starts a call of a store that fails, and returns once the call has failed below
+// or has returned.
 func startFailingCall(t *testing.T, faulty *FaultyStore, call func() error) <-chan error {
 	t.Helper()
-	before, done := faulty.failedCalls.Load(), make(chan error, 1)
+	before := faulty.failedCalls.Load()
+	done := make(chan error, 1)
 	go func() { done <- call() }()
-	if err := processtest.Await(waitTimeout, "a failed call", func() bool { return faulty.failedCalls.Load() > before+1 || len(done) > 0 }); err != nil {
+	hasFailed := func() bool { return faulty.failedCalls.Load() > before+1 || len(done) > 0 }
+	if err := processtest.Await(waitTimeout, "a failed call", hasFailed); err != nil {
 		t.Fatal(err)
 	}
 	return done
 }
 
-// TestStoreWaitsOutAnOutage: what raft would panic for, or forget, waits until the disk works and
-// then has happened; a vote is refused at once.
+// TestStoreRetriesUntilOutageEnds: operations whose failure would make raft panic, or would leave its
+// state inconsistent, return once the disk works and have succeeded then. A vote fails at once.
 func TestStoreRetriesUntilOutageEnds(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
@@ -86,12 +95,14 @@
 		if len(done) > 0 {
 			t.Errorf("%s: returned during the outage", name)
 		}
-		if err := store.Set([]byte("LastVoteCand"), []byte("n2")); !errors.As(err, new(*StoreError)) || !errors.Is(store.available(), syscall.ENOSPC) {
+		err := store.Set([]byte("LastVoteCand"), []byte("n2"))
+		if !errors.As(err, new(*StoreError)) || !errors.Is(store.available(), syscall.ENOSPC) {
 			t.Errorf("%s: vote %v, available %v in the outage", name, err, store.available())
 		}
 		faulty.Fail(nil)
 		waitForCall(t, done)
-		if err := processtest.Await(waitTimeout, "the end of the outage", func() bool { return store.available() == nil }); err != nil {
+		isAvailable := func() bool { return store.available() == nil }
+		if err := processtest.Await(waitTimeout, "the end of the outage", isAvailable); err != nil {
 			t.Fatal(name, err)
 		}
 	}
@@ -103,8 +114,8 @@
 	}
 }
 
-// TestFailedAppendLeavesNoEntries: an append of a leader that failed but reached the file is
-// removed before another, shorter one follows it.
+// TestFailedAppendLeavesNoEntries: the entries of a leader's append that failed but reached the file
+// are removed before a shorter append.
 func TestFailedAppendLeavesNoEntries(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
@@ -123,7 +134,7 @@
 	}
 }
 
-// TestTermNeverGoesBack: an older term that is saved late changes nothing and needs no disk.
+// TestTermNeverDecreases: saving an older term changes nothing and does not use the disk.
 func TestTermNeverDecreases(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.SetUint64(keyCurrentTerm, 6); err != nil {
@@ -138,13 +149,19 @@
 	}
 }
 
-// TestHangingStoreIsUnavailable: a write that neither succeeds nor fails counts as an outage.
+// TestHangingWriteMakesStoreUnavailable: a write that neither succeeds nor fails counts as an outage.
 func TestHangingWriteMakesStoreUnavailable(t *testing.T) {
 	store, _ := openFaultyStore(t)
 	store.outageLimit = time.Millisecond
-	release, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- store.write("append entries", func() error { <-release; return nil }) }()
-	if err := processtest.Await(waitTimeout, "an outage", func() bool { return errors.Is(store.available(), errStoreTimeout) }); err != nil {
+	release := make(chan struct{})
+	hang := func() error {
+		<-release
+		return nil
+	}
+	done := make(chan error, 1)
+	go func() { done <- store.write("append entries", hang) }()
+	isUnavailable := func() bool { return errors.Is(store.available(), errStoreTimeout) }
+	if err := processtest.Await(waitTimeout, "an outage", isUnavailable); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
@@ -153,6 +170,6 @@
 		t.Errorf("after the write: %v", err)
 	}
 	if store.health.behindSince(time.Now(), time.Minute).IsZero() {
-		t.Error("the list does not count as behind after the outage")
+		t.Error("the list does not count as stale after the outage")
 	}
 }
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -4,45 +4,69 @@
 	"io"
 	"net/http"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestUsageIsTold: an instance tells what passed each of its doors, and no door's for another's.
+// maxHeaderBytes bounds the header of a response in TestStatusReportsTraffic.
+const maxHeaderBytes = 500
+
+// TestStatusReportsTraffic: an instance reports the traffic of each of its addresses, each apart from
+// that of the others.
 func TestStatusReportsTraffic(t *testing.T) {
-	c := startCluster(t)
-	if putServerAnywhere(c, "s-1") == 0 {
-		t.Fatal("no write was acknowledged")
-	}
-	lead := leader(c)
-	before := statusAt(c.Addr(lead, "admin")).Usage
-	const calls = 5
-	bytes := 0
-	for range calls {
-		resp, err := http.Get("http://" + c.Addr(lead, "http") + "/api/targets")
-		if err != nil {
-			t.Fatal(err)
-		}
-		text, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %v", resp.Status, err)
-		}
-		bytes += len(text)
+	cluster := startCluster(t)
+	mustPutAnywhere(t, cluster, "s-1")
+	leaderName := leader(cluster)
+	admin := cluster.Addr(leaderName, adminPort)
+	before := statusAt(admin).Usage
+	const reads = 5
+	bodyBytes := uint64(0)
+	for range reads {
+		bodyBytes += readListBytes(t, cluster.Addr(leaderName, httpPort))
 	}
-	if putServerAnywhere(c, "s-2") == 0 {
-		t.Fatal("no write was acknowledged")
+	mustPutAnywhere(t, cluster, "s-2")
+	after := statusAt(admin).Usage
+	if got := after.Reads.Messages - before.Reads.Messages; got != reads {
+		t.Errorf("%d requests were counted, %d made", got, reads)
 	}
-	after := statusAt(c.Addr(lead, "admin")).Usage
-	if got := after.Reads.Messages - before.Reads.Messages; got != calls {
-		t.Errorf("%d calls were counted, %d made", got, calls)
+	if out := after.Reads.Out - before.Reads.Out; out < bodyBytes || out > bodyBytes+reads*maxHeaderBytes {
+		t.Errorf("%d bytes sent were counted, bodies had %d", out, bodyBytes)
 	}
-	if out := after.Reads.Out - before.Reads.Out; out < uint64(bytes) || out > uint64(bytes+calls*500) {
-		t.Errorf("%d bytes went out by the count, bodies had %d", out, bytes)
-	}
-	if after.Reads.In == before.Reads.In || after.Raft.Out == before.Raft.Out || after.Raft.In == before.Raft.In || after.Raft.Messages == before.Raft.Messages ||
-		after.Admin.Messages == before.Admin.Messages {
-		t.Errorf("nothing was counted of some: %+v, before %+v", after, before)
+	for name, counts := range map[string][2]uint64{
+		"bytes received by reads": {before.Reads.In, after.Reads.In},
+		"bytes sent by Raft":      {before.Raft.Out, after.Raft.Out},
+		"bytes received by Raft":  {before.Raft.In, after.Raft.In},
+		"messages of Raft":        {before.Raft.Messages, after.Raft.Messages},
+		"admin requests":          {before.Admin.Messages, after.Admin.Messages},
+	} {
+		if counts[0] == counts[1] {
+			t.Errorf("no %s were counted: %+v, before %+v", name, after, before)
+		}
 	}
 	if after.AllocBytes <= before.AllocBytes || after.Goroutines < 1 {
-		t.Errorf("its memory: %+v, before %+v", after, before)
+		t.Errorf("memory and goroutines: %+v, before %+v", after, before)
+	}
+}
+
+// mustPutAnywhere writes an entry at any instance.
+func mustPutAnywhere(t *testing.T, cluster *processtest.Cluster, id string) {
+	t.Helper()
+	if putServerAnywhere(cluster, id) == 0 {
+		t.Fatalf("the write of %s was not acknowledged", id)
+	}
+}
+
+// readListBytes reads the full list on a connection of the default client, and returns its length.
+func readListBytes(t *testing.T, address string) uint64 {
+	t.Helper()
+	resp, err := http.Get("http://" + address + "/api/targets")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Fatalf("%s: %v", resp.Status, err)
 	}
+	return uint64(len(text))
 }
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -12,112 +12,142 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// BenchmarkWatchFanout: 1,000 watchers spread over three instances; each iteration writes
-// one change and waits until every watcher has it. Reported, in ms: the p50 and p99 of the
-// time from the write's acknowledgement to a watcher's answer (0 where the answer came
-// first), and the p99 from the moment the write was sent, its commit included.
+const (
+	// fanoutWatchers is the number of watches of BenchmarkWatchFanout.
+	fanoutWatchers = 1000
+	// writeBeforeStart is the id of the entry by whose write benchmarks wait for a leader.
+	writeBeforeStart = "warm"
+)
+
+// BenchmarkWatchFanout has 1,000 watchers at three instances. Each iteration writes one change and waits
+// until every watcher has it. It reports in ms the p50 and p99 of the time from the write's
+// acknowledgement to a watcher's response (0 if the response was first), and the p99 from the time at
+// which the write was sent, which includes its commit.
 func BenchmarkWatchFanout(b *testing.B) {
-	cfgs, _ := startThreeNodes(b, time.Second)
-	admin := cfgs[0].AdminAddr
-	for v := uint64(0); v == 0; {
-		v = putServer(admin, "warm")
+	configs, _ := startThreeNodes(b, time.Second)
+	admin := configs[0].AdminAddr
+	for putServer(admin, writeBeforeStart) == 0 {
 		time.Sleep(50 * time.Millisecond)
 	}
-	const watchers = 1000
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: watchers}}
-	var mu sync.Mutex
-	var lags []time.Time
-	var sent, acked []time.Time
-	seen := make(chan struct{}, watchers)
-	stop := make(chan struct{})
-	var wg sync.WaitGroup
-	for w := range watchers {
-		wg.Add(1)
+	fanout := newFanout()
+	for i := range fanoutWatchers {
+		fanout.watching.Add(1)
 		go func() {
-			defer wg.Done()
-			var version uint64
-			for {
-				url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=2000", cfgs[w%3].HTTPAddr, version)
-				resp, err := client.Get(url)
-				select {
-				case <-stop:
-					if err == nil {
-						resp.Body.Close()
-					}
-					return
-				default:
-				}
-				if err != nil {
-					continue
-				}
-				var l endpoint.List
-				json.NewDecoder(resp.Body).Decode(&l)
-				resp.Body.Close()
-				if version != 0 && l.Version > version {
-					mu.Lock()
-					lags = append(lags, time.Now())
-					mu.Unlock()
-					seen <- struct{}{}
-				}
-				version = max(version, l.Version)
-			}
+			defer fanout.watching.Done()
+			fanout.watch(configs[i%len(configs)].HTTPAddr)
 		}()
 	}
-	time.Sleep(time.Second) // every watcher holds its first version
+	time.Sleep(time.Second) // until every watcher has its first version
+	var sentAt, acknowledgedAt []time.Time
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
-		sent = append(sent, time.Now())
+		sentAt = append(sentAt, time.Now())
 		putServer(admin, fmt.Sprint("s-", i))
-		acked = append(acked, time.Now())
-		for range watchers {
-			<-seen
+		acknowledgedAt = append(acknowledgedAt, time.Now())
+		for range fanoutWatchers {
+			<-fanout.received
 		}
 	}
 	b.StopTimer()
-	close(stop)
-	var fromAck, fromSend []float64
-	for i, at := range lags {
-		fromAck = append(fromAck, max(at.Sub(acked[i/watchers]).Seconds()*1000, 0))
-		fromSend = append(fromSend, at.Sub(sent[i/watchers]).Seconds()*1000)
+	close(fanout.stop)
+	var fromAcknowledged, fromSent []float64
+	for i, receivedAt := range fanout.receivedAt {
+		write := i / fanoutWatchers
+		fromAcknowledged = append(fromAcknowledged, max(milliseconds(receivedAt.Sub(acknowledgedAt[write])), 0))
+		fromSent = append(fromSent, milliseconds(receivedAt.Sub(sentAt[write])))
+	}
+	slices.Sort(fromAcknowledged)
+	slices.Sort(fromSent)
+	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)/2], "p50-ms")
+	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)*99/100], "p99-ms")
+	b.ReportMetric(fromSent[len(fromSent)*99/100], "p99-sent-ms")
+	fanout.watching.Wait()
+}
+
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
+
+// fanout is the watchers of BenchmarkWatchFanout.
+type fanout struct {
+	client   *http.Client
+	received chan struct{} // gets a value for each change at each watcher
+	stop     chan struct{}
+	watching sync.WaitGroup
+
+	mu         sync.Mutex
+	receivedAt []time.Time // of each change at each watcher, in order
+}
+
+func newFanout() *fanout {
+	return &fanout{
+		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: fanoutWatchers}},
+		received: make(chan struct{}, fanoutWatchers),
+		stop:     make(chan struct{}),
+	}
+}
+
+// watch watches the list at an instance until stop is closed, and records each change.
+func (f *fanout) watch(address string) {
+	var version uint64
+	for {
+		url := fmt.Sprintf("http://%s/api/targets?index=%d&wait=2000", address, version)
+		resp, err := f.client.Get(url)
+		select {
+		case <-f.stop:
+			if err == nil {
+				resp.Body.Close()
+			}
+			return
+		default:
+		}
+		if err != nil {
+			continue
+		}
+		var list endpoint.List
+		err = json.NewDecoder(resp.Body).Decode(&list)
+		resp.Body.Close()
+		if err != nil {
+			continue
+		}
+		if version != 0 && list.Version > version {
+			f.mu.Lock()
+			f.receivedAt = append(f.receivedAt, time.Now())
+			f.mu.Unlock()
+			f.received <- struct{}{}
+		}
+		version = max(version, list.Version)
 	}
-	slices.Sort(fromAck)
-	slices.Sort(fromSend)
-	b.ReportMetric(fromAck[len(fromAck)/2], "p50-ms")
-	b.ReportMetric(fromAck[len(fromAck)*99/100], "p99-ms")
-	b.ReportMetric(fromSend[len(fromSend)*99/100], "p99-sent-ms")
-	wg.Wait()
 }
 
-// BenchmarkFailover: three instances; each iteration closes the leader and measures the
-// time until a write at one of the others is acknowledged. Reported: ms per failover, with
-// Raft's timeouts at their default of 1 s and at 500 ms.
+// BenchmarkFailover has three instances. Each iteration closes the leader and measures the time until a
+// write at another instance is acknowledged. It reports ms per failover, with Raft's timeouts at their
+// default of 1 s and at 500 ms.
 func BenchmarkFailover(b *testing.B) {
-	for _, election := range []time.Duration{time.Second, 500 * time.Millisecond} {
-		b.Run(fmt.Sprint("election=", election), func(b *testing.B) { benchmarkFailover(b, election) })
+	for _, timeout := range []time.Duration{time.Second, 500 * time.Millisecond} {
+		b.Run(fmt.Sprint("election=", timeout), func(b *testing.B) { benchmarkFailover(b, timeout) })
 	}
 }
 
-func benchmarkFailover(b *testing.B, election time.Duration) {
+func benchmarkFailover(b *testing.B, electionTimeout time.Duration) {
 	var total time.Duration
 	for i := 0; i < b.N; i++ {
 		b.StopTimer()
-		cfgs, nodes := startThreeNodes(b, election)
-		lead := -1
-		for lead < 0 {
-			for j, c := range cfgs {
-				if putServer(c.AdminAddr, "warm") != 0 && statusAt(c.AdminAddr).Leader == c.ID {
-					lead = j
+		configs, nodes := startThreeNodes(b, electionTimeout)
+		leader := -1
+		for leader < 0 {
+			for instance, config := range configs {
+				if putServer(config.AdminAddr, writeBeforeStart) != 0 && statusAt(config.AdminAddr).Leader == config.ID {
+					leader = instance
 				}
 			}
 		}
 		b.StartTimer()
-		start := time.Now()
-		nodes[lead].Close()
-		other := cfgs[(lead+1)%3].AdminAddr
+		startedAt := time.Now()
+		nodes[leader].Close()
+		other := configs[(leader+1)%len(configs)].AdminAddr
 		for putServer(other, fmt.Sprint("after-", i)) == 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		total += time.Since(start)
+		total += time.Since(startedAt)
 	}
 	b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "ms/failover")
 }
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -7,79 +7,92 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestOpenWatchEndsWithItsLeader: a watch that is open on an instance ends with 503 within
-// max_stale, as a fresh read would, once the instance is alone: a follower that lost its
-// leader, and a leader that lost its followers.
+// TestOpenWatchEndsWithItsLeader: a watch that is open at an instance ends with 503 within max_stale,
+// as a new read would, once the instance is alone: a follower that lost its leader, and a leader that
+// lost its followers.
 func TestOpenWatchEndsWithItsLeader(t *testing.T) {
 	for _, state := range []string{"Follower", "Leader"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			cfgs, nodes := startThreeNodes(t, 300*time.Millisecond)
-			var v uint64
-			stays := -1
-			if err := processtest.Await(20*time.Second, "an instance to hang on", func() bool {
-				v = putServer(cfgs[0].AdminAddr, "s-1")
-				for i, c := range cfgs {
-					if st := statusAt(c.AdminAddr); v != 0 && st.State == state && st.Version == v {
-						stays = i
-					}
+			configs, nodes := startThreeNodes(t, 300*time.Millisecond)
+			remaining, version := awaitState(t, configs, state)
+			result := make(chan response, 1)
+			startedAt := time.Now()
+			url := fmt.Sprintf("%s/api/targets?index=%d&wait=60000", configs[remaining].HTTPAddr, version)
+			go func() { result <- request(http.MethodGet, url, "") }()
+			for i, node := range nodes {
+				if i != remaining {
+					node.Close()
 				}
-				return stays >= 0
-			}); err != nil {
-				t.Fatal(err)
 			}
-			got, begun := make(chan response, 1), time.Now()
-			go func() {
-				got <- request("GET", fmt.Sprintf("%s/api/targets?index=%d&wait=60000", cfgs[stays].HTTPAddr, v), "")
-			}()
-			for i, n := range nodes {
-				if i != stays {
-					n.Close()
-				}
-			}
-			// ask itself gives up after 6 s.
-			if a := <-got; a.code != http.StatusServiceUnavailable {
-				t.Errorf("after %v: %v, want 503", time.Since(begun), a)
+			// The client of request has a timeout of 6 s.
+			if got := <-result; got.code != http.StatusServiceUnavailable {
+				t.Errorf("after %v: %v, want 503", time.Since(startedAt), got)
 			}
 		})
 	}
 }
 
-// TestWatchFromTheFuture: a version that nobody gave gets the whole list from the leader and
-// from a follower; one that a follower has not applied yet, as its link to the leader is
-// slow, gets nothing older from it.
+// awaitState writes an entry, and waits for an instance in a Raft state that has applied it. It returns
+// the number of the instance and the version of the write.
+func awaitState(t *testing.T, configs []server.Config, state string) (instance int, version uint64) {
+	t.Helper()
+	instance = -1
+	found := func() bool {
+		version = putServer(configs[0].AdminAddr, "s-1")
+		for i, config := range configs {
+			status := statusAt(config.AdminAddr)
+			if version != 0 && status.State == state && status.Version == version {
+				instance = i
+			}
+		}
+		return instance >= 0
+	}
+	if err := processtest.Await(startTimeout, "an instance in state "+state, found); err != nil {
+		t.Fatal(err)
+	}
+	return instance, version
+}
+
+// TestWatchFromUnknownVersion: a watch from a version that no instance returned gets the full list from
+// the leader and from a follower. A watch from a version that a follower has not applied yet, as its
+// connection to the leader is slow, gets nothing older from the follower.
 func TestWatchFromUnknownVersion(t *testing.T) {
-	c := startCluster(t)
-	lead := ""
-	if err := processtest.Await(20*time.Second, "a leader and a write everywhere", func() bool {
-		lead = leader(c)
-		return lead != "" && putServerAnywhere(c, "s-1") != 0 && !slices.ContainsFunc(instanceNames, func(n string) bool { return !listsServer(c, n, "s-1") })
-	}); err != nil {
+	cluster := startCluster(t)
+	leaderName := ""
+	allHaveWrite := func() bool {
+		leaderName = leader(cluster)
+		return leaderName != "" && putServerAnywhere(cluster, "s-1") != 0 && allList(cluster, []string{"s-1"})
+	}
+	if err := processtest.Await(startTimeout, "a leader and a write at every instance", allHaveWrite); err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range instanceNames {
-		at := c.Addr(n, "http") + "/api/targets?wait=500&index="
-		if l := request("GET", at+"99999", "").list(t); !l.Full || l.Version > 999 || len(l.Servers) != 1 {
-			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the whole list", n, lead, l)
+	for _, name := range instanceNames {
+		url := cluster.Addr(name, httpPort) + "/api/targets?wait=500&index=99999"
+		list := request(http.MethodGet, url, "").list(t)
+		if !list.Full || list.Version > 999 || len(list.Servers) != 1 {
+			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the full list", name, leaderName, list)
 		}
 	}
-	lag := instanceNames[(slices.Index(instanceNames, lead)+1)%3]
-	slow, err := c.Link(lead, lag, "raft")
+	follower := instanceNames[(slices.Index(instanceNames, leaderName)+1)%len(instanceNames)]
+	slowLink, err := cluster.Link(leaderName, follower, raftPort)
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow.SetDelay(150 * time.Millisecond)
+	slowLink.SetDelay(150 * time.Millisecond)
 	for i := range 5 {
-		v := putServer(c.Addr(lead, "admin"), fmt.Sprint("new-", i))
-		a := request("GET", fmt.Sprintf("%s/api/targets?wait=0&index=%d", c.Addr(lag, "http"), v), "")
-		if a.code == http.StatusServiceUnavailable {
-			continue // it can't know: the caller goes to another
+		version := putServer(cluster.Addr(leaderName, adminPort), fmt.Sprint("new-", i))
+		url := fmt.Sprintf("%s/api/targets?wait=0&index=%d", cluster.Addr(follower, httpPort), version)
+		got := request(http.MethodGet, url, "")
+		if got.code == http.StatusServiceUnavailable {
+			continue // it can't tell: the client would go on to another instance
 		}
-		if l := a.list(t); l.Version < v || l.Full {
-			t.Errorf("version %d of the leader's got %+v at a slow follower", v, l)
+		if list := got.list(t); list.Version < version || list.Full {
+			t.Errorf("the watch from version %d got %+v from a slow follower", version, list)
 		}
 	}
 }
