--- a/internal/discovery/server/serve_test.go
+++ b/internal/discovery/server/serve_test.go
@@ -25,22 +25,23 @@
 	return l.Listener.Accept()
 }
 
-// serving starts a server on a listener, and gives the instance that it belongs to.
-func serving(t *testing.T, ln net.Listener) *Node {
+// startServer starts an HTTP server on a listener, and returns the instance that it belongs to.
+func startServer(t *testing.T, ln net.Listener) *Node {
 	t.Helper()
 	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil)), failed: make(chan error, 1)}
 	server := &http.Server{Handler: http.NotFoundHandler()}
 	t.Cleanup(func() { server.Close() })
-	go n.serve(server, ln, &n.reads)
+	go n.serve(server, ln, &n.readTraffic)
 	return n
 }
 
-func TestFailedAcceptsDoNotEndAnInstance(t *testing.T) {
+// TestFailedAcceptsDoNotStopInstance: temporary errors of accept do not stop an instance.
+func TestFailedAcceptsDoNotStopInstance(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := serving(t, &flakyListener{Listener: ln})
+	n := startServer(t, &flakyListener{Listener: ln})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
 		resp, err := client.Get("http://" + ln.Addr().String())
@@ -56,14 +57,14 @@
 	}
 }
 
-// An instance that no longer accepts says so, with the reason.
+// TestBrokenListenerFailsTheInstance: an instance that no longer accepts connections reports why.
 func TestBrokenListenerFailsTheInstance(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
-	if err := <-serving(t, ln).Failed(); !errors.Is(err, net.ErrClosed) {
+	if err := <-startServer(t, ln).Failed(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("failed with %v, want %v", err, net.ErrClosed)
 	}
 }
--- /dev/null
+++ b/internal/discovery/server/settings_state.go
@@ -0,0 +1,144 @@
+package server
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"maps"
+	"slices"
+	"strings"
+	"unicode"
+	"unicode/utf8"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/wire"
+)
+
+const (
+	// maxSettingsVersions bounds the stored versions of each service's settings, the newest included.
+	maxSettingsVersions = 20
+	// maxNameBytes bounds the name of a service or an agent.
+	maxNameBytes = 128
+)
+
+// SettingsVersion is one stored version of a service's settings.
+type SettingsVersion struct {
+	Version     uint64 `json:"version"`        // Raft index of its write
+	WrittenAtMs int64  `json:"at_ms"`          // Unix time in ms at which the leader received the write
+	Bytes       int    `json:"bytes"`          // length of the text
+	Text        string `json:"text,omitempty"` // as it was written, byte for byte; empty in a history
+}
+
+// versionConflict is the result of a write of settings that named another version than the newest
+// one; it changes nothing.
+type versionConflict struct {
+	service  string
+	expected uint64 // by the write
+	current  uint64
+}
+
+func (c versionConflict) Error() string {
+	return fmt.Sprintf("settings of %s: version %d is in place, not %d", c.service, c.current, c.expected)
+}
+
+// validateSettings checks a text of settings as an agent would. Its error is one line that names
+// the key: wire.ParseSettings or Settings.Validate rejects the text, the names of zones or machine
+// kinds are not strings, or it sets index or zone, which each agent has of its own.
+func validateSettings(text []byte) error {
+	var keys map[string]json.RawMessage
+	if !utf8.Valid(text) || json.Unmarshal(text, &keys) != nil || keys == nil {
+		return errors.New("settings: not a JSON object in UTF-8")
+	}
+	if err := rejectAgentKeys(keys); err != nil {
+		return err
+	}
+	for _, key := range []string{"failureDomains", "shapes"} {
+		var names []string
+		if raw, ok := keys[key]; ok && json.Unmarshal(raw, &names) != nil {
+			return fmt.Errorf("settings: %s: must be a list of names", key)
+		}
+	}
+	settings, err := wire.ParseSettings(text)
+	if err != nil {
+		return err
+	}
+	return settings.Validate()
+}
+
+// rejectAgentKeys returns an error if a key is one that each agent has of its own. Case does not
+// matter, as encoding/json matches a field's name in any case.
+func rejectAgentKeys(keys map[string]json.RawMessage) error {
+	for _, key := range slices.Sorted(maps.Keys(keys)) {
+		if strings.EqualFold(key, "index") || strings.EqualFold(key, "zone") {
+			return fmt.Errorf("settings: %s: is each agent's own, leave it out", strings.ToLower(key))
+		}
+	}
+	return nil
+}
+
+// validateName returns an error if a text can't be the name of a service.
+func validateName(service string) error {
+	valid := service != "" && service != "." && service != ".." &&
+		len(service) <= maxNameBytes &&
+		utf8.ValidString(service) &&
+		!strings.Contains(service, "/") &&
+		!strings.ContainsFunc(service, unicode.IsControl)
+	if !valid {
+		return fmt.Errorf("service: %.40q is no name: want 1 to %d bytes, no / and no control characters",
+			service, maxNameBytes)
+	}
+	return nil
+}
+
+// applySettings applies a committed write of settings and returns its version, or the newest
+// version if the text is the same, or a versionConflict. The caller holds mu.
+func (m *stateMachine) applySettings(c command, index uint64) any {
+	versions := m.settings[c.Service]
+	var newest SettingsVersion
+	if len(versions) > 0 {
+		newest = versions[len(versions)-1]
+	}
+	switch {
+	case len(versions) > 0 && newest.Text == c.Text:
+		return newest.Version // possibly a retry of a write whose answer was lost
+	case c.IfVersion != nil && *c.IfVersion != newest.Version:
+		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+	}
+	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
+	versions = append(versions, written)
+	// A clone, as history returns the slice to readers.
+	m.settings[c.Service] = slices.Clone(versions[max(0, len(versions)-maxSettingsVersions):])
+	changed := m.settingsChannel(c.Service)
+	close(*changed)
+	*changed = make(chan struct{})
+	return index
+}
+
+// settingsChannel is the channel that is closed at the next write of the service's settings. There
+// is a fixed number of channels, which the names hash to, so that names without settings cost no
+// memory; a waiter checks whether the write was one of its own service. The caller holds mu.
+func (m *stateMachine) settingsChannel(service string) *chan struct{} {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(service)) // a hash.Hash never returns an error
+	return &m.settingsChanged[hash.Sum32()%uint32(len(m.settingsChanged))]
+}
+
+// settingsNewerThan returns the service's newest settings if they are newer than a version, or
+// nil. The caller holds mu.
+func (m *stateMachine) settingsNewerThan(service string, version uint64) *endpoint.Settings {
+	versions := m.settings[service]
+	if len(versions) == 0 || versions[len(versions)-1].Version <= version {
+		return nil
+	}
+	newest := versions[len(versions)-1]
+	return &endpoint.Settings{Service: service, Version: newest.Version, Value: json.RawMessage(newest.Text)}
+}
+
+// history returns the stored versions of a service's settings, the oldest first. The caller must
+// not change them.
+func (m *stateMachine) history(service string) []SettingsVersion {
+	m.mu.RLock()
+	defer m.mu.RUnlock()
+	return m.settings[service]
+}
--- /dev/null
+++ b/internal/discovery/server/settings_state_test.go
@@ -0,0 +1,199 @@
+package server
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"pgregory.net/rapid"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// SettingsText returns settings that agents accept; texts differ by their mark.
+func SettingsText(mark int) string {
+	return fmt.Sprintf(`{"classes":[{"name":"read","aimMs":20,"giveUpMs":40,"effect":"free"}],`+
+		`"limits":{"maxAttempts":3},"membershipMode":"pushed","roundMs":%d}`, mark)
+}
+
+// memorySink is a snapshot sink in memory (raft.SnapshotSink).
+type memorySink struct{ bytes.Buffer }
+
+func (*memorySink) ID() string    { return "m" }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) Close() error  { return nil }
+
+// restoreFromSnapshot returns a new state machine that was restored from a snapshot of another one.
+func restoreFromSnapshot(t *rapid.T, state *stateMachine) *stateMachine {
+	t.Helper()
+	snapshot, err := state.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var sink memorySink
+	if err := snapshot.Persist(&sink); err != nil {
+		t.Fatal(err)
+	}
+	restored := newStateMachine(state.maxChanges)
+	if err := restored.Restore(io.NopCloser(&sink.Buffer)); err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
+
+// applyCommand applies a command as the log entry at an index.
+func applyCommand(t interface{ Fatal(...any) }, state *stateMachine, index uint64, c command) any {
+	data, err := json.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state.Apply(&raft.Log{Index: index, Data: data})
+}
+
+// settingsModel is a simple model of the settings' versions by service.
+type settingsModel map[string][]SettingsVersion
+
+// apply applies a write of settings and returns its expected result.
+func (m settingsModel) apply(c command, index uint64) any {
+	newest := m.newest(c.Service)
+	switch {
+	case newest.Text == c.Text:
+		return newest.Version
+	case c.IfVersion != nil && *c.IfVersion != newest.Version:
+		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+	}
+	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
+	versions := append(m[c.Service], written)
+	m[c.Service] = versions[max(0, len(versions)-20):]
+	return index
+}
+
+// newest returns the newest version of a service's settings.
+func (m settingsModel) newest(service string) SettingsVersion {
+	versions := m[service]
+	if len(versions) == 0 {
+		return SettingsVersion{}
+	}
+	return versions[len(versions)-1]
+}
+
+// TestSettingsStateMachine compares random writes of settings with settingsModel. There are two writers,
+// which may name the version that they replace, and snapshots and changes of a server between the
+// writes. Versions increase, a retry returns its version, a write over another one is rejected, the last
+// 20 versions are stored, and watches of servers see the changes of servers only.
+func TestSettingsStateMachine(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		state := newStateMachine(8)
+		model := settingsModel{}
+		listVersion := uint64(0)             // of the last change of the server
+		known := []map[string]uint64{{}, {}} // the version that each writer knows of a service
+		for index := uint64(1); index <= uint64(rapid.IntRange(1, 120).Draw(t, "writes")); index++ {
+			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
+				state = restoreFromSnapshot(t, state)
+			}
+			if rapid.IntRange(0, 4).Draw(t, "server") == 0 {
+				entry := endpoint.Endpoint{ID: "s", Weight: float64(index)}
+				listVersion = applyCommand(t, state, index, command{Op: operationPut, Server: entry}).(uint64)
+				continue
+			}
+			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
+			versions := known[rapid.IntRange(0, 1).Draw(t, "writer")]
+			text := SettingsText(rapid.IntRange(1, 40).Draw(t, "text"))
+			c := command{Op: operationSettings, Service: service, Text: text, WrittenAtMs: int64(index)}
+			if rapid.Bool().Draw(t, "if") {
+				version := versions[service]
+				c.IfVersion = &version
+			}
+			got := applyCommand(t, state, index, c)
+			if want := model.apply(c, index); got != want {
+				t.Fatalf("write %d: %v, want %v", index, got, want)
+			}
+			versions[service] = model.newest(service).Version
+			if got, want := fmt.Sprint(state.history(service)), fmt.Sprint(model[service]); got != want {
+				t.Fatalf("after write %d the history is %s, want %s", index, got, want)
+			}
+			checkServerWatches(t, state, listVersion)
+		}
+	})
+}
+
+// checkServerWatches checks the responses to watches of servers at a version of the list.
+func checkServerWatches(t *rapid.T, state *stateMachine, version uint64) {
+	t.Helper()
+	for _, query := range []watchQuery{{full: true}, {version: version}, {version: version / 2}} {
+		response, _, _ := state.changesSince(query)
+		var list endpoint.List
+		err := json.Unmarshal(response.body, &list)
+		wantUpdate := query.full || query.version < version
+		wrongServer := len(list.Servers) > 0 && list.Servers[0].Weight != float64(version)
+		if err != nil || list.Version != version || list.Settings != nil || response.hasUpdate != wantUpdate || wrongServer {
+			t.Fatalf("a watch of servers, %+v, gets %s (%v) at version %d", query, response.body, err, version)
+		}
+	}
+}
+
+// TestRestoreSnapshotWithoutSettings: a snapshot of a program that did not store settings is restored, and
+// settings are written after it.
+func TestRestoreSnapshotWithoutSettings(t *testing.T) {
+	state := newStateMachine(8)
+	const snapshot = `{"version":7,"floor":0,"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":1}],` +
+		`"changes":[],"set_at":{"s":7}}`
+	if err := state.Restore(io.NopCloser(strings.NewReader(snapshot))); err != nil {
+		t.Fatal(err)
+	}
+	got := applyCommand(t, state, 8, command{Op: operationSettings, Service: "a", Text: SettingsText(1)})
+	version, servers := state.currentVersion(), len(state.allEndpoints())
+	if got != uint64(8) || version != 7 || servers != 1 {
+		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, version, servers)
+	}
+}
+
+// TestValidateSettings: settings that no agent could put in force are rejected with one line that names
+// the key.
+func TestValidateSettings(t *testing.T) {
+	if err := validateSettings([]byte(SettingsText(1))); err != nil {
+		t.Error(err)
+	}
+	for name, c := range map[string]struct{ old, new, want string }{
+		"not JSON":   {`{`, `[`, "not a JSON object"},
+		"type":       {`"maxAttempts":3`, `"maxAttempts":"3"`, "limits.maxAttempts"},
+		"value":      {`"aimMs":20`, `"aimMs":0`, "classes[0].aimMs"},
+		"mode":       {`"pushed"`, `"pulled"`, "membershipMode"},
+		"index":      {`"roundMs"`, `"index":0,"roundMs"`, "index: is each agent's own"},
+		"zone":       {`"roundMs"`, `"ZONE":0,"roundMs"`, "zone: is each agent's own"},
+		"zone names": {`"roundMs"`, `"failureDomains":[1],"roundMs"`, "failureDomains"},
+	} {
+		err := validateSettings([]byte(strings.Replace(SettingsText(1), c.old, c.new, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, want one line with %q", name, err, c.want)
+		}
+	}
+}
+
+// TestReportRegistryIsBounded: the number of reports is bounded by evicting the oldest, and their age too.
+func TestReportRegistryIsBounded(t *testing.T) {
+	registry := newReportRegistry()
+	now := time.Now()
+	for i := range maxReports + 10 {
+		report := SettingsReport{InForce: uint64(i)}
+		registry.record("a", fmt.Sprint("agent-", i), report, now.Add(time.Duration(i)))
+	}
+	got := registry.ofService("a", now.Add(time.Minute))
+	isEvicted := func(report AgentReport) bool { return report.InForce < 10 }
+	if len(got) != maxReports || slices.ContainsFunc(got, isEvicted) {
+		t.Errorf("%d agents remembered, want the last %d", len(got), maxReports)
+	}
+	if got := registry.ofService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
+		t.Errorf("%d agents remembered after %v", len(got), reportRetention)
+	}
+	reason := oneLine("no\nroom"+strings.Repeat("é", 200), maxReasonBytes)
+	if len(reason) > maxReasonBytes || !strings.HasPrefix(reason, "no room") {
+		t.Errorf("the reason is %q", reason)
+	}
+}
