--- a/cmd/membership/main.go
+++ b/cmd/membership/main.go
@@ -74,7 +74,7 @@
 		go func() {
 			defer wg.Done()
 			views[i].Addr = addr
-			s, err := membership.Ask(ctx, addr, "")
+			s, err := membership.FetchStatus(ctx, addr, "")
 			if err != nil {
 				views[i].Error = err.Error()
 				return
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -41,7 +41,7 @@
 	// told takes settings that the list service told, until unserved is closed.
 	told     chan handover
 	unserved chan struct{}
-	view     atomic.Pointer[membership.Fleet]
+	view     atomic.Pointer[membership.Membership]
 	door     *management
 	killed   context.Context
 	kill     context.CancelFunc
@@ -260,13 +260,13 @@
 
 // joinFleet begins to take part in the fleet view, where the configuration has one. The loop
 // gets each view as a posted event; nothing in the loop waits for it.
-func joinFleet(cfg *Config, f *front, l *loop) (*membership.Fleet, error) {
+func joinFleet(cfg *Config, f *front, l *loop) (*membership.Membership, error) {
 	if cfg.Fleet == nil {
 		return nil, nil
 	}
 	c := *cfg.Fleet
 	c.Log = cfg.logger()
-	c.OnView = func(v *membership.View) { l.post(func() { l.onFleet(v) }) }
+	c.OnSnapshot = func(v *membership.Snapshot) { l.post(func() { l.onFleet(v) }) }
 	view, err := membership.Start(c)
 	if err == nil {
 		f.onDrain = view.SetDraining
@@ -276,7 +276,7 @@
 
 // leaveFleet tells the others that this process ends, beside its last requests; what it gives
 // is closed once they are told.
-func leaveFleet(view *membership.Fleet) <-chan struct{} {
+func leaveFleet(view *membership.Membership) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -284,8 +284,8 @@
 			return nil, fmt.Errorf("config: %w", err)
 		}
 		c.Fleet.Name, c.Fleet.Size = c.Name, c.Settings.FleetSize
-		if c.Fleet.Version = version(); c.Sockets < minSockets+membership.Sockets {
-			return nil, fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", minSockets+membership.Sockets, c.Sockets)
+		if c.Fleet.Version = version(); c.Sockets < minSockets+membership.MaxDescriptors {
+			return nil, fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", minSockets+membership.MaxDescriptors, c.Sockets)
 		}
 	}
 	return c, nil
@@ -318,7 +318,7 @@
 	if c.Fleet == nil {
 		return c.Sockets
 	}
-	return c.Sockets - membership.Sockets
+	return c.Sockets - membership.MaxDescriptors
 }
 
 // version is the commit that the program was built from, as far as the build tells.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -65,7 +65,7 @@
 	told     uint64 // the version that was last told as in force
 	shown    shown
 	figures  figures
-	fleet    *membership.View // nil: there is none
+	fleet    *membership.Snapshot // nil: there is none
 }
 
 // figures are counted for the log: every few seconds, and at the end.
@@ -716,7 +716,7 @@
 }
 
 // onFleet takes a new view of the fleet. Nothing rests on it yet but the log.
-func (l *loop) onFleet(v *membership.View) {
+func (l *loop) onFleet(v *membership.Snapshot) {
 	l.fleet = v
 	l.log(slog.LevelInfo, "fleet view", "number", v.Number, "present", v.Present, "of", v.Size, "digest", v.Digest)
 }
--- a/internal/agent/management.go
+++ b/internal/agent/management.go
@@ -35,7 +35,7 @@
 // it answers whatever the load.
 type management struct {
 	front  *front
-	fleet  *membership.Fleet // nil: there is none
+	fleet  *membership.Membership // nil: there is none
 	log    *slog.Logger
 	server *http.Server
 
@@ -52,7 +52,7 @@
 	m.most = most
 }
 
-func newManagement(f *front, fl *membership.Fleet, most int) *management {
+func newManagement(f *front, fl *membership.Membership, most int) *management {
 	m := &management{front: f, fleet: fl, most: most, log: slog.Default()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", m.readiness)
@@ -112,7 +112,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	status := m.fleet.Status(since)
 	if req.FormValue("members") == "none" {
-		status = status.Brief()
+		status = status.WithoutMembers()
 	}
 	if err := json.NewEncoder(w).Encode(status); err != nil {
 		m.log.Warn("fleet view not told", "to", req.RemoteAddr, "err", err)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -315,7 +315,7 @@
 func (r *run) sees(name string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	s, err := membership.Ask(ctx, r.w.Address(r.index[name], emulator.ManagementPort), "members=none&since=4611686018427387904")
+	s, err := membership.FetchStatus(ctx, r.w.Address(r.index[name], emulator.ManagementPort), "members=none&since=4611686018427387904")
 	if err != nil {
 		return 0
 	}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -13,18 +13,18 @@
 
 // peopled is one process's part in a fleet of so many members, all alive in its list and its view.
 // Nothing of it runs by itself: memberlist neither probes nor gossips.
-func peopled(b *testing.B, members int) *Fleet {
+func peopled(b *testing.B, members int) *Membership {
 	b.Helper()
 	cfg := quick(memberName(0), freeAddr(b))
 	cfg.Size, cfg.Zone = members, "zone-0"
-	f, err := newFleet(cfg)
+	f, err := newMembership(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if f.tr, err = newTransport(&f.cfg, f.log.std(), &f.count, f.tell, f.wordCounts); err != nil {
+	if f.transport, err = newTransport(&f.cfg, f.log.std(), &f.traffic, f.notifyListChanged, f.trustsDeathReport); err != nil {
 		b.Fatal(err)
 	}
-	c := f.listConfig(f.tr)
+	c := f.listConfig(f.transport)
 	c.ProbeInterval, c.GossipInterval, c.PushPullInterval = time.Hour, time.Hour, time.Hour
 	list, err := memberlist.Create(c)
 	if err != nil {
@@ -32,20 +32,20 @@
 	}
 	b.Cleanup(func() { f.cancel(); list.Shutdown() })
 	f.list.Store(list)
-	f.tr.doubt = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
+	f.transport.suspicionOfSelf = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
 	for i := 1; i < members; i++ {
 		m := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
-		f.tr.doubt = append(f.tr.doubt, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
+		f.transport.suspicionOfSelf = append(f.transport.suspicionOfSelf, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
 			Port: 7946, Meta: m.bytes(), Incarnation: uint32(1000 + i), Vsn: []uint8{1, 5, 2, 0, 0, 0}})[1:]...)
 	}
-	if _, err := list.Join([]string{doubtPeer + "/" + f.cfg.Advertise}); err != nil {
+	if _, err := list.Join([]string{suspicionPeer + "/" + f.cfg.Advertise}); err != nil {
 		b.Fatal(err)
 	}
-	v := f.snapshot(time.Now())
+	v := f.readSnapshot(time.Now())
 	if v == nil || v.Present != members {
 		b.Fatalf("the list of %d members was read as %+v", members, v)
 	}
-	f.view.Store(v)
+	f.snapshot.Store(v)
 	return f
 }
 
@@ -58,11 +58,11 @@
 		name    string
 		changed bool
 		changes int
-	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, keptChanges}} {
+	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, maxChanges}} {
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("%s/%d", kept.name, n), func(b *testing.B) {
 				f := peopled(b, n)
-				was := *f.table.view
+				was := *f.table.snapshot
 				if kept.changed {
 					was.Members = append([]Member(nil), was.Members...)
 					was.Members[n/2].Incarnation--
@@ -71,11 +71,11 @@
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
-					f.table.view = &was
+					f.table.snapshot = &was
 					if !kept.changed || kept.changes == 0 {
 						f.table.changes = f.table.changes[:0]
 					}
-					if v := f.snapshot(now); (v != nil) != kept.changed {
+					if v := f.readSnapshot(now); (v != nil) != kept.changed {
 						b.Fatalf("changed: %v", v != nil)
 					}
 				}
@@ -92,7 +92,7 @@
 			var got []Member
 			b.ReportAllocs()
 			for b.Loop() {
-				if got = f.successors(got[:0]); len(got) != watched {
+				if got = f.successors(got[:0]); len(got) != watchedSuccessors {
 					b.Fatalf("%d successors", len(got))
 				}
 			}
--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -10,11 +10,11 @@
 )
 
 // maxStatus bounds an answer of a door, in bytes: the largest fleet with all kept changes.
-const maxStatus = 16 << 20
+const maxStatusBytes = 16 << 20
 
 // Ask asks an agent's operators' door (host:port) for its view: GET /ops/fleet with a query
 // (see docs/ON-CALL.md), empty or such as "members=none&since=4".
-func Ask(ctx context.Context, door, query string) (*Status, error) {
+func FetchStatus(ctx context.Context, door, query string) (*Status, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+door+"/ops/fleet?"+query, nil)
 	if err != nil {
 		return nil, err
@@ -31,8 +31,8 @@
 	default:
 		return nil, fmt.Errorf("answered %s", resp.Status)
 	}
-	s := &Status{View: new(View)}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(s); err != nil {
+	s := &Status{Snapshot: new(Snapshot)}
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(s); err != nil {
 		return nil, fmt.Errorf("can't be read: %w", err)
 	}
 	return s, nil
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -37,7 +37,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := newFleet(quick("a", "127.0.0.1:7"))
+			f, err := newMembership(quick("a", "127.0.0.1:7"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,8 +46,8 @@
 				f.table.update([]Member{{Name: "b", Process: process(digit), State: Alive, Incarnation: incarnation}}, now)
 			}
 			heard := func(digit string, incarnation uint32) bool {
-				f.liftBar(message(process(digit), incarnation))
-				return f.acceptable(aliveNode(process(digit))) == nil
+				f.liftRetirements(message(process(digit), incarnation))
+				return f.checkMember(aliveNode(process(digit))) == nil
 			}
 			see("2", back)    // the later process, which began below
 			see(earlier, set) // and an old word of its predecessor
@@ -77,7 +77,7 @@
 			}
 			t.Cleanup(first.Leave)
 			bind, stepped := freeAddr(t), clocktest.NewStepped(0)
-			start := func() *Fleet {
+			start := func() *Membership {
 				cfg := quick("b", bind, first.cfg.Bind)
 				cfg.Clock = stepped
 				f, err := Start(cfg)
@@ -85,8 +85,8 @@
 					t.Fatal(err)
 				}
 				await(t, 10*time.Second, "a sees the process of b that runs", func() bool {
-					m, _ := first.View().Member("b")
-					return m.Process == f.process && m.State == Alive && f.View().Digest == first.View().Digest
+					m, _ := first.Snapshot().Member("b")
+					return m.Process == f.process && m.State == Alive && f.Snapshot().Digest == first.Snapshot().Digest
 				})
 				return f
 			}
@@ -99,7 +99,7 @@
 			last := start()
 			defer last.Leave()
 			stepped.Step(step)
-			m, _ := first.View().Member("b")
+			m, _ := first.Snapshot().Member("b")
 			if m.Process != last.process {
 				t.Errorf("a takes b for process %s, want %s", m.Process, last.process)
 			}
@@ -114,9 +114,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Leave)
-	await(t, 5*time.Second, "a has a view", func() bool { return f.View().Present == 1 })
-	v := f.View()
-	for name, at := range map[string]time.Time{"changed": v.changed, "agreed": v.agreed, "since": v.Members[0].since} {
+	await(t, 5*time.Second, "a has a view", func() bool { return f.Snapshot().Present == 1 })
+	v := f.Snapshot()
+	for name, at := range map[string]time.Time{"changed": v.changedAt, "agreed": v.digestSince, "since": v.Members[0].stateSince} {
 		if at == at.Round(0) {
 			t.Errorf("%s has no monotonic reading: %v", name, at)
 		}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -66,7 +66,7 @@
 	Version string `json:"-"`
 	// OnView is called with each new view, from a goroutine of the fleet's own, one at a
 	// time; nil: nobody is told.
-	OnView func(*View) `json:"-"`
+	OnSnapshot func(*Snapshot) `json:"-"`
 	// Clock is the machine's; nil: the system's.
 	Clock clock.Clock `json:"-"`
 	// Log takes this process's lines; nil: slog.Default().
@@ -145,21 +145,21 @@
 	return nil
 }
 
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // suspicionMult is memberlist's factor by which a suspicion lasts SuspectTimeoutMs at
 // least: it scales that up with the logarithm of the fleet, never down.
-func (c *Config) suspicionMult() int {
+func (c *Config) suspicionMultiplier() int {
 	return int(math.Ceil(float64(c.SuspectTimeoutMs) / float64(c.ProbeIntervalMs)))
 }
 
 // suspicionMax is by how much longer a suspicion lasts that nobody else shares.
-const suspicionMax = 2
+const suspicionMaxMultiplier = 2
 
 // longestSuspicion is how long a suspicion lasts at the most in a fleet of so many members.
-func (c *Config) longestSuspicion(members int) time.Duration {
+func (c *Config) maxSuspicion(members int) time.Duration {
 	scale := math.Max(1, math.Log10(math.Max(1, float64(members))))
-	return time.Duration(suspicionMax * scale * float64(ms(c.SuspectTimeoutMs)))
+	return time.Duration(suspicionMaxMultiplier * scale * float64(milliseconds(c.SuspectTimeoutMs)))
 }
 
 // maxMembers bounds the members that are known: a forged flood of names ends there.
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -14,8 +14,8 @@
 // leaves out. memberlist's own lines come through std.
 type logger struct {
 	*slog.Logger
-	limit *rate.Limiter
-	left  atomic.Uint64
+	limit   *rate.Limiter
+	dropped atomic.Uint64
 }
 
 func newLogger(to *slog.Logger) *logger {
@@ -30,7 +30,7 @@
 
 func (l *logger) write(level slog.Level, text string, args ...any) {
 	if !l.limit.Allow() {
-		l.left.Add(1)
+		l.dropped.Add(1)
 		return
 	}
 	l.Logger.Log(context.Background(), level, text, args...)
--- a/internal/membership/fleet.go
+++ b/internal/membership/membership.go
@@ -39,49 +39,49 @@
 	// The list is read snapshotEvery at the most often, and so seldom that reading takes a
 	// snapshotShare of the time, but each snapshotSlowest: what a change costs is bounded
 	// whatever the fleet's size, and less is done when the machine is short of time.
-	snapshotEvery   = 100 * time.Millisecond
-	snapshotSlowest = time.Second
-	snapshotShare   = 0.02
+	minSnapshotInterval     = 100 * time.Millisecond
+	maxSnapshotInterval     = time.Second
+	maxSnapshotTimeFraction = 0.02
 	// stallAfter is how late the reader of the list may be before this process is taken
 	// to have stood still. What it then reads first is old: its timers have run out, and
 	// what answered them waits in its sockets. So nothing is published for wakeFor.
-	stallAfter = time.Second
-	wakeFor    = 500 * time.Millisecond
+	stallThreshold = time.Second
+	stallQuietTime = 500 * time.Millisecond
 	// bindEvery is how often a process looks whether the address that another process of
 	// its agent has is free.
-	bindEvery = 100 * time.Millisecond
+	bindRetryInterval = 100 * time.Millisecond
 )
 
 // Fleet is this process's part in its fleet.
-type Fleet struct {
-	cfg     Config
-	process string
-	base    uint32        // below this process's incarnations, above those of earlier ones
-	known   chan struct{} // closed once this process is above base
-	log     *logger
-	count   traffic
-	told    chan struct{} // of one: the list may have changed
-
-	view     atomic.Pointer[View]
-	list     atomic.Pointer[memberlist.Memberlist]
-	tr       *transport
-	draining atomic.Bool
-	stalls   atomic.Uint64
-	heals    atomic.Uint64 // tries to reach a member or a seed
-	syncs    atomic.Uint64 // exchanges with members that had another digest
-	lost     atomic.Uint64 // members that were declared dead as their address refused calls
-
-	metas    metaCache
-	mu       sync.Mutex
-	table    *table
-	names    map[string]bool // admitted since the last snapshot, and its names
-	differ   string          // a member whose digest was another, name/address
-	differed time.Time       // when one last was
+type Membership struct {
+	cfg             Config
+	process         string
+	baseIncarnation uint32        // below this process's incarnations, above those of earlier ones
+	announced       chan struct{} // closed once this process is above base
+	log             *logger
+	traffic         traffic
+	listChanged     chan struct{} // of one: the list may have changed
+
+	snapshot     atomic.Pointer[Snapshot]
+	list         atomic.Pointer[memberlist.Memberlist]
+	transport    *transport
+	draining     atomic.Bool
+	stalls       atomic.Uint64
+	reconnects   atomic.Uint64 // tries to reach a member or a seed
+	exchanges    atomic.Uint64 // exchanges with members that had another digest
+	declaredDead atomic.Uint64 // members that were declared dead as their address refused calls
+
+	metas         metaCache
+	mu            sync.Mutex
+	table         *memberTable
+	admitted      map[string]bool // admitted since the last snapshot, and its names
+	differingPeer string          // a member whose digest was another, name/address
+	differedAt    time.Time       // when one last was
 	// exchanged is when lists were last exchanged with somebody; zero: never.
-	exchanged time.Time
-	leaving   bool
-	killed    bool
-	ending    sync.Mutex // held while memberlist leaves or shuts down: it does one after the other
+	exchangedAt   time.Time
+	leaving       bool
+	killed        bool
+	shutdownMutex sync.Mutex // held while memberlist leaves or shuts down: it does one after the other
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -92,8 +92,8 @@
 // answered, and an agent that finds nobody goes on alone and keeps trying. Where another
 // process of this machine has the address (the old one, in an upgrade), this one waits
 // until it has ended. The error is for a configuration that can't be used.
-func Start(cfg Config) (*Fleet, error) {
-	f, err := newFleet(cfg)
+func Start(cfg Config) (*Membership, error) {
+	f, err := newMembership(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
 		f.log.Info("fleet: another process has the address, waiting until it ends", "bind", cfg.Bind)
-		f.spawn(f.standBy)
+		f.spawn(f.waitForAddress)
 	case err != nil:
 		f.cancel()
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -110,12 +110,12 @@
 }
 
 // newFleet is a process's part that has not begun, with an identity and no socket.
-func newFleet(cfg Config) (*Fleet, error) {
+func newMembership(cfg Config) (*Membership, error) {
 	if err := cfg.complete(); err != nil {
 		return nil, err
 	}
-	if cfg.Name == "" || len(cfg.Name) > maxName || strings.ContainsAny(cfg.Name, "/@") {
-		return nil, fmt.Errorf("fleet: name %q: must have 1 to %d bytes and neither / nor @", cfg.Name, maxName)
+	if cfg.Name == "" || len(cfg.Name) > maxNameBytes || strings.ContainsAny(cfg.Name, "/@") {
+		return nil, fmt.Errorf("fleet: name %q: must have 1 to %d bytes and neither / nor @", cfg.Name, maxNameBytes)
 	}
 	if cfg.Size < 1 {
 		return nil, fmt.Errorf("fleet: the size of the fleet must be 1 at least, is %d", cfg.Size)
@@ -125,15 +125,15 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.Default()
 	}
-	f := &Fleet{cfg: cfg, process: hex.EncodeToString(id[:]), log: newLogger(cfg.Log),
-		told: make(chan struct{}, 1), known: make(chan struct{}), names: map[string]bool{}}
+	f := &Membership{cfg: cfg, process: hex.EncodeToString(id[:]), log: newLogger(cfg.Log),
+		listChanged: make(chan struct{}, 1), announced: make(chan struct{}), admitted: map[string]bool{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.table = newTable(&f.cfg, f.process, time.Now())
-	f.view.Store(f.table.view)
+	f.table = newMemberTable(&f.cfg, f.process, time.Now())
+	f.snapshot.Store(f.table.snapshot)
 	return f, nil
 }
 
-func (f *Fleet) spawn(task func()) {
+func (f *Membership) spawn(task func()) {
 	f.tasks.Add(1)
 	go func() {
 		defer f.tasks.Done()
@@ -142,8 +142,8 @@
 }
 
 // standBy binds as soon as the address is free.
-func (f *Fleet) standBy() {
-	look := time.NewTicker(bindEvery)
+func (f *Membership) waitForAddress() {
+	look := time.NewTicker(bindRetryInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -163,12 +163,12 @@
 }
 
 // bind opens the sockets and begins to take part.
-func (f *Fleet) bind() error {
-	tr, err := newTransport(&f.cfg, f.log.std(), &f.count, f.tell, f.wordCounts)
+func (f *Membership) bind() error {
+	tr, err := newTransport(&f.cfg, f.log.std(), &f.traffic, f.notifyListChanged, f.trustsDeathReport)
 	if err != nil {
 		return err
 	}
-	if err := f.begin(tr, tr); err != nil {
+	if err := f.run(tr, tr); err != nil {
 		tr.Shutdown()
 		return err
 	}
@@ -177,23 +177,23 @@
 
 // begin takes part over a transport; below is what memberlist is given of it, which only a test
 // has as another.
-func (f *Fleet) begin(tr *transport, below memberlist.NodeAwareTransport) error {
-	f.tr, tr.heard = tr, f.liftBar
+func (f *Membership) run(tr *transport, below memberlist.NodeAwareTransport) error {
+	f.transport, tr.onAlive = tr, f.liftRetirements
 	list, err := memberlist.Create(f.listConfig(below))
 	if err != nil {
 		return err
 	}
 	f.list.Store(list)
-	f.base = startIncarnation(f.cfg.clock().Wall())
-	if err := f.exceed(list); err != nil {
+	f.baseIncarnation = startIncarnation(f.cfg.clock().Wall())
+	if err := f.raiseIncarnation(list); err != nil {
 		list.Shutdown()
 		return err
 	}
-	f.tell()
-	f.spawn(f.publish)
-	f.spawn(f.heal)
-	f.spawn(f.confirm)
-	f.spawn(f.watch)
+	f.notifyListChanged()
+	f.spawn(f.publishSnapshots)
+	f.spawn(f.runReconnects)
+	f.spawn(f.confirmSuspects)
+	f.spawn(f.watchSuccessors)
 	return nil
 }
 
@@ -202,14 +202,14 @@
 // doubt of itself makes it refute with a higher one. The doubt comes as the list of nobody, which is
 // taken over at once; one that came as a packet would only be queued, and no event of memberlist's
 // tells of the refutation of one that is alone.
-func (f *Fleet) exceed(list *memberlist.Memberlist) error {
+func (f *Membership) raiseIncarnation(list *memberlist.Memberlist) error {
 	n := list.LocalNode()
 	doubt := encodeMessage(msgPushPull, pushPullHeader{Nodes: 1})
 	doubt = append(doubt, encodeMessage(0, pushNode{Name: n.Name, Addr: n.Addr, Port: n.Port, Meta: n.Meta,
-		Incarnation: f.base, State: memberlist.StateSuspect,
+		Incarnation: f.baseIncarnation, State: memberlist.StateSuspect,
 		Vsn: []uint8{n.PMin, n.PMax, n.PCur, n.DMin, n.DMax, n.DCur}})[1:]...)
-	f.tr.doubt = doubt
-	if _, err := list.Join([]string{doubtPeer + "/" + f.cfg.Advertise}); err != nil {
+	f.transport.suspicionOfSelf = doubt
+	if _, err := list.Join([]string{suspicionPeer + "/" + f.cfg.Advertise}); err != nil {
 		return fmt.Errorf("beginning above earlier processes: %w", err)
 	}
 	return nil
@@ -225,22 +225,22 @@
 
 // listConfig is memberlist's configuration: its timings mostly in the proportions that it has
 // by default, with a suspicion that lasts at least SuspectTimeoutMs.
-func (f *Fleet) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
+func (f *Membership) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	adv, _ := net.ResolveTCPAddr("tcp", f.cfg.Advertise) // complete has checked it
 	c.Name, c.Label, c.Transport = f.cfg.Name, f.cfg.Site, below
 	c.BindPort, c.AdvertiseAddr, c.AdvertisePort = adv.Port, adv.IP.String(), adv.Port
 	c.CIDRsAllowed = f.cfg.networks()
 	c.EnableCompression = false
-	c.TCPTimeout = streamTime
-	c.ProbeInterval = ms(f.cfg.ProbeIntervalMs)
+	c.TCPTimeout = streamTimeout
+	c.ProbeInterval = milliseconds(f.cfg.ProbeIntervalMs)
 	c.ProbeTimeout = c.ProbeInterval / 2
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = f.cfg.suspicionMult(), suspicionMax
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = f.cfg.suspicionMultiplier(), suspicionMaxMultiplier
 	// What is told in a round costs nothing when there is nothing to tell, and after a heal or a
 	// start all members are: the rounds, not the processors, are what that waits for.
 	c.GossipInterval, c.GossipNodes, c.RetransmitMult = max(c.ProbeInterval/20, 20*time.Millisecond), 6, 3
-	c.GossipToTheDeadTime = ms(f.cfg.ForgetMs)
-	c.DeadNodeReclaimTime = ms(f.cfg.ReclaimMs)
+	c.GossipToTheDeadTime = milliseconds(f.cfg.ForgetMs)
+	c.DeadNodeReclaimTime = milliseconds(f.cfg.ReclaimMs)
 	c.HandoffQueueDepth = 4096
 	c.Logger = f.log.std()
 	c.Delegate, c.Events, c.Alive, c.Ping = f, f, f, f
@@ -251,33 +251,33 @@
 // member itself is surely there, as in a Conclusion, and, where it came back from the dead or
 // from a long doubt, once the suspicions have run out that it may have begun on the other side of a cut. Any other's
 // word makes a suspicion, which the accused hears of and refutes.
-func (f *Fleet) wordCounts(accuser, accused string) bool {
-	v, now := f.view.Load(), time.Now()
+func (f *Membership) trustsDeathReport(accuser, accused string) bool {
+	v, now := f.snapshot.Load(), time.Now()
 	m, ok := v.Member(accuser)
-	if !ok || accuser != f.cfg.Name && (!m.surely(now, ms(f.cfg.SettleMs)) || !m.back.IsZero() && now.Sub(m.back) < f.cfg.longestSuspicion(len(v.Members))) {
+	if !ok || accuser != f.cfg.Name && (!m.isStable(now, milliseconds(f.cfg.SettleMs)) || !m.returnedAt.IsZero() && now.Sub(m.returnedAt) < f.cfg.maxSuspicion(len(v.Members))) {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.names[accused] { // what is said of nobody is not kept
-		f.table.accusers[accused] = accuser
+	if f.admitted[accused] { // what is said of nobody is not kept
+		f.table.deathReporters[accused] = accuser
 	}
 	return true
 }
 
 // tell says that the list may have changed; it never waits.
-func (f *Fleet) tell() {
+func (f *Membership) notifyListChanged() {
 	select {
-	case f.told <- struct{}{}:
+	case f.listChanged <- struct{}{}:
 	default:
 	}
 }
 
 // View is the view as it is now.
-func (f *Fleet) View() *View { return f.view.Load() }
+func (f *Membership) Snapshot() *Snapshot { return f.snapshot.Load() }
 
 // SetDraining tells the others whether this agent empties; it does not wait for them.
-func (f *Fleet) SetDraining(on bool) {
+func (f *Membership) SetDraining(on bool) {
 	if f.draining.Swap(on) == on {
 		return
 	}
@@ -294,7 +294,7 @@
 
 // Leave tells the others that this process ends, for LeaveMs at the most, and closes all.
 // It may be called once.
-func (f *Fleet) Leave() {
+func (f *Membership) Leave() {
 	f.mu.Lock()
 	f.leaving = true
 	killed := f.killed
@@ -303,13 +303,13 @@
 	if killed {
 		return
 	}
-	f.ending.Lock()
-	if list := f.list.Load(); list != nil && !f.cut() {
-		if err := list.Leave(ms(f.cfg.LeaveMs)); err != nil {
+	f.shutdownMutex.Lock()
+	if list := f.list.Load(); list != nil && !f.killedSockets() {
+		if err := list.Leave(milliseconds(f.cfg.LeaveMs)); err != nil {
 			f.log.Warn("fleet: not all may have heard that this process ends", "err", err)
 		}
 	}
-	f.ending.Unlock()
+	f.shutdownMutex.Unlock()
 	f.tasks.Wait()
 	f.shutdown()
 }
@@ -317,13 +317,13 @@
 // Kill closes all at once and tells nobody: to the others it is as if the process had been
 // killed. It may be called at any time, also during Leave and after it, and returns once all that
 // the view ran has ended.
-func (f *Fleet) Kill() {
+func (f *Membership) Kill() {
 	f.mu.Lock()
 	f.leaving, f.killed = true, true
 	f.mu.Unlock()
 	f.cancel()
 	if f.list.Load() != nil {
-		f.tr.cut()
+		f.transport.kill()
 	}
 	f.shutdown()
 	f.tasks.Wait()
@@ -331,12 +331,12 @@
 }
 
 // cut tells whether the process's sockets are closed already.
-func (f *Fleet) cut() bool { return f.tr.ctx.Err() != nil }
+func (f *Membership) killedSockets() bool { return f.transport.ctx.Err() != nil }
 
 // shutdown ends memberlist, if it runs.
-func (f *Fleet) shutdown() {
-	f.ending.Lock()
-	defer f.ending.Unlock()
+func (f *Membership) shutdown() {
+	f.shutdownMutex.Lock()
+	defer f.shutdownMutex.Unlock()
 	if list := f.list.Load(); list != nil {
 		list.Shutdown()
 	}
@@ -344,8 +344,8 @@
 
 // publish reads the list when it may have changed, at most every snapshotEvery, and
 // publishes a view where it did change.
-func (f *Fleet) publish() {
-	tick := time.NewTicker(snapshotEvery)
+func (f *Membership) publishSnapshots() {
+	tick := time.NewTicker(minSnapshotInterval)
 	defer tick.Stop()
 	last, quiet, next, low := time.Now(), time.Time{}, time.Time{}, true
 	for {
@@ -355,10 +355,10 @@
 			return
 		}
 		now := time.Now()
-		if now.Sub(last) > stallAfter {
+		if now.Sub(last) > stallThreshold {
 			f.stalls.Add(1)
 			f.log.Warn("fleet: this process stood still", "for", now.Sub(last).Round(time.Millisecond))
-			quiet = now.Add(wakeFor)
+			quiet = now.Add(stallQuietTime)
 		}
 		last = now
 		if now.Before(quiet) {
@@ -368,21 +368,21 @@
 			continue
 		}
 		select {
-		case <-f.told:
+		case <-f.listChanged:
 		default:
 			continue
 		}
-		v := f.snapshot(now)
+		v := f.readSnapshot(now)
 		took := time.Since(now)
-		next = now.Add(min(snapshotSlowest, time.Duration(float64(took)/snapshotShare)))
+		next = now.Add(min(maxSnapshotInterval, time.Duration(float64(took)/maxSnapshotTimeFraction)))
 		if v != nil {
-			if self, _ := v.Member(f.cfg.Name); low && self.Incarnation > f.base {
+			if self, _ := v.Member(f.cfg.Name); low && self.Incarnation > f.baseIncarnation {
 				low = false
-				f.rise()
+				f.announce()
 			}
-			f.view.Store(v)
-			if f.cfg.OnView != nil {
-				f.cfg.OnView(v)
+			f.snapshot.Store(v)
+			if f.cfg.OnSnapshot != nil {
+				f.cfg.OnSnapshot(v)
 			}
 		}
 		last = time.Now() // what telling took is no stall
@@ -393,24 +393,24 @@
 // keeps the word of its first incarnation, one, among what it has to tell, beside the
 // refutation; a word by the same name takes its place. (Told, it was taken by those who had
 // just started themselves, then an earlier process's word for a later one.)
-func (f *Fleet) rise() {
+func (f *Membership) announce() {
 	if err := f.list.Load().UpdateNode(time.Second); err != nil {
 		f.log.Warn("fleet: telling of the start", "err", err)
 	}
-	f.tell() // memberlist tells nobody of a word without other news, and alone it gossips nothing
-	close(f.known)
-	close(f.tr.awake)
+	f.notifyListChanged() // memberlist tells nobody of a word without other news, and alone it gossips nothing
+	close(f.announced)
+	close(f.transport.announced)
 }
 
 // snapshot reads memberlist's list and gives the new view, or nil if it did not change.
-func (f *Fleet) snapshot(now time.Time) *View {
-	f.tr.list = nil
+func (f *Membership) readSnapshot(now time.Time) *Snapshot {
+	f.transport.recordedList = nil
 	// The push/pull with nobody always fails; what counts is what was recorded.
-	_, _ = f.list.Load().Join([]string{viewPeer + "/" + f.cfg.Advertise})
-	if f.tr.list == nil {
+	_, _ = f.list.Load().Join([]string{listPeer + "/" + f.cfg.Advertise})
+	if f.transport.recordedList == nil {
 		return nil
 	}
-	nodes, err := readPushPull(f.tr.list[1:], 1<<20)
+	nodes, err := readPushPull(f.transport.recordedList[1:], 1<<20)
 	if err != nil {
 		f.log.Warn("fleet: the list can't be read", "err", err)
 		return nil
@@ -429,17 +429,17 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.names = names
+	f.admitted = names
 	if !f.table.update(members, now) {
 		return nil
 	}
-	return f.table.view
+	return f.table.snapshot
 }
 
 // Status is what operators see of a fleet view.
 type Status struct {
-	*View
-	Conclusion
+	*Snapshot
+	Assessment
 	UnchangedMs int64 `json:"unchanged_ms"`
 	// Member tells whether this process takes part; if not, another of its agent has the
 	// address, or it has left.
@@ -452,18 +452,18 @@
 }
 
 // Brief is the status without the members.
-func (s Status) Brief() Status {
-	v := *s.View
+func (s Status) WithoutMembers() Status {
+	v := *s.Snapshot
 	v.Members = nil
-	s.View = &v
+	s.Snapshot = &v
 	return s
 }
 
 // Status is what this process knows, with the changes of its view after number since.
-func (f *Fleet) Status(since uint64) Status {
+func (f *Membership) Status(since uint64) Status {
 	now := time.Now()
 	f.mu.Lock()
-	v := f.table.view
+	v := f.table.snapshot
 	var changes []Change
 	for _, c := range f.table.changes {
 		if c.Number > since {
@@ -472,37 +472,37 @@
 	}
 	leaving := f.leaving
 	f.mu.Unlock()
-	s := Status{View: v, Conclusion: v.Conclude(now), UnchangedMs: now.Sub(v.changed).Milliseconds(), Changes: changes}
+	s := Status{Snapshot: v, Assessment: v.Assess(now), UnchangedMs: now.Sub(v.changedAt).Milliseconds(), Changes: changes}
 	if list := f.list.Load(); list != nil {
 		s.Member, s.Health = !leaving, list.GetHealthScore()
 	}
-	n := &f.count
+	n := &f.traffic
 	s.Traffic = map[string]uint64{"packets_in": n.packetsIn.Load(), "bytes_in": n.bytesIn.Load(),
 		"packets_out": n.packetsOut.Load(), "bytes_out": n.bytesOut.Load(), "streams": n.streams.Load(), "streams_out": n.streamsOut.Load(),
 		"stream_bytes_in": n.streamBytesIn.Load(), "stream_bytes_out": n.streamBytesOut.Load(),
-		"bad_packets": n.badPackets.Load(), "bad_streams": n.badStreams.Load(), "foreign": n.foreign.Load(),
-		"rejected": n.rejected.Load(), "hearsay": n.hearsay.Load(), "reconnects": f.heals.Load(), "syncs": f.syncs.Load(),
-		"declared_gone": f.lost.Load(), "stalls": f.stalls.Load(), "unlogged": f.log.left.Load()}
+		"bad_packets": n.badPackets.Load(), "bad_streams": n.badStreams.Load(), "foreign": n.foreignSite.Load(),
+		"rejected": n.rejected.Load(), "hearsay": n.demotedDeaths.Load(), "reconnects": f.reconnects.Load(), "syncs": f.exchanges.Load(),
+		"declared_gone": f.declaredDead.Load(), "stalls": f.stalls.Load(), "unlogged": f.log.dropped.Load()}
 	return s
 }
 
 // ---- what memberlist asks and tells (its goroutines, some under its lock) ----
 
 // NodeMeta is what this process tells of itself.
-func (f *Fleet) NodeMeta(int) []byte {
+func (f *Membership) NodeMeta(int) []byte {
 	return meta{Process: f.process, Zone: f.cfg.Zone, Version: f.cfg.Version, Draining: f.draining.Load()}.bytes()
 }
 
 // NotifyAlive refuses members that can't be one of ours: it is the only way into the list.
-func (f *Fleet) NotifyAlive(n *memberlist.Node) error {
-	err := f.acceptable(n)
+func (f *Membership) NotifyAlive(n *memberlist.Node) error {
+	err := f.checkMember(n)
 	if err != nil {
-		f.count.rejected.Add(1)
+		f.traffic.rejected.Add(1)
 	}
 	return err
 }
 
-func (f *Fleet) acceptable(n *memberlist.Node) error {
+func (f *Membership) checkMember(n *memberlist.Node) error {
 	if n.Name == f.cfg.Name {
 		return nil // what is wrong of it is refuted
 	}
@@ -510,7 +510,7 @@
 	if err != nil {
 		return err
 	}
-	if n.Name == "" || len(n.Name) > maxName || strings.ContainsAny(n.Name, "/@") || len(n.Addr) != 4 && len(n.Addr) != 16 {
+	if n.Name == "" || len(n.Name) > maxNameBytes || strings.ContainsAny(n.Name, "/@") || len(n.Addr) != 4 && len(n.Addr) != 16 {
 		return errors.New("a name or an address that none has")
 	}
 	// A version that none of ours speaks would make every exchange of lists fail.
@@ -520,52 +520,52 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.table.barred(n.Name, m.Process, time.Now()) {
+	if f.table.isRetired(n.Name, m.Process, time.Now()) {
 		return errors.New("a process that was replaced")
 	}
-	if !f.names[n.Name] {
-		if len(f.names) >= f.cfg.maxMembers() {
+	if !f.admitted[n.Name] {
+		if len(f.admitted) >= f.cfg.maxMembers() {
 			return errors.New("too many members")
 		}
-		f.names[n.Name] = true
+		f.admitted[n.Name] = true
 	}
 	return nil
 }
 
 // NotifyJoin, NotifyLeave and NotifyUpdate tell that the list has changed.
-func (f *Fleet) NotifyJoin(*memberlist.Node)   { f.tell() }
-func (f *Fleet) NotifyLeave(*memberlist.Node)  { f.tell() }
-func (f *Fleet) NotifyUpdate(*memberlist.Node) { f.tell() }
+func (f *Membership) NotifyJoin(*memberlist.Node)   { f.notifyListChanged() }
+func (f *Membership) NotifyLeave(*memberlist.Node)  { f.notifyListChanged() }
+func (f *Membership) NotifyUpdate(*memberlist.Node) { f.notifyListChanged() }
 
 // AckPayload is this process's digest, which goes with each answer to a probe.
-func (f *Fleet) AckPayload() []byte {
-	return binary.BigEndian.AppendUint64(nil, f.view.Load().digest)
+func (f *Membership) AckPayload() []byte {
+	return binary.BigEndian.AppendUint64(nil, f.snapshot.Load().digest)
 }
 
 // NotifyPingComplete compares a member's digest with this process's. While a change runs
 // through the fleet they differ; where they still do after a settled time, lists are exchanged.
-func (f *Fleet) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
+func (f *Membership) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
 	if len(payload) != 8 {
 		return
 	}
-	v, now := f.view.Load(), time.Now()
+	v, now := f.snapshot.Load(), time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if binary.BigEndian.Uint64(payload) == v.digest || now.Sub(v.agreed) < f.differFor() && now.Sub(f.exchanged) < 2*f.differFor() {
+	if binary.BigEndian.Uint64(payload) == v.digest || now.Sub(v.digestSince) < f.digestSettleTime() && now.Sub(f.exchangedAt) < 2*f.digestSettleTime() {
 		return
 	}
-	f.differ = n.Name + "/" + n.Address()
-	f.differed = now
+	f.differingPeer = n.Name + "/" + n.Address()
+	f.differedAt = now
 }
 
 // differFor is how long the digest is unchanged before another is looked into: some rounds
 // of the gossip. (Doubts that come and go do not count: in a large fleet some always do.)
 // Where it never rests, as one member after the other is heard of, it is twice as long since
 // the last exchange of lists.
-func (f *Fleet) differFor() time.Duration { return 3 * ms(f.cfg.ProbeIntervalMs) }
+func (f *Membership) digestSettleTime() time.Duration { return 3 * milliseconds(f.cfg.ProbeIntervalMs) }
 
 // NotifyMsg, GetBroadcasts, LocalState and MergeRemoteState carry nothing yet.
-func (f *Fleet) NotifyMsg([]byte)                           {}
-func (f *Fleet) GetBroadcasts(overhead, limit int) [][]byte { return nil }
-func (f *Fleet) LocalState(bool) []byte                     { return nil }
-func (f *Fleet) MergeRemoteState([]byte, bool)              {}
+func (f *Membership) NotifyMsg([]byte)                           {}
+func (f *Membership) GetBroadcasts(overhead, limit int) [][]byte { return nil }
+func (f *Membership) LocalState(bool) []byte                     { return nil }
+func (f *Membership) MergeRemoteState([]byte, bool)              {}
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/membership_test.go
@@ -39,7 +39,7 @@
 func TestConclusions(t *testing.T) {
 	cfg := &Config{Name: "a", Size: 5, SettleMs: 1000}
 	t0 := time.Now()
-	tab := newTable(cfg, "0000000000000001", t0)
+	tab := newMemberTable(cfg, "0000000000000001", t0)
 	list := func(states ...State) (l []Member) {
 		for i, s := range states {
 			l = append(l, Member{Name: string(rune('a' + i)), Process: strings.Repeat(string(rune('0'+i)), 16), State: s})
@@ -62,22 +62,22 @@
 		{6 * time.Second, list(Alive, Alive, Alive, Alive, Alive, Alive), 1, 6, false},
 	} {
 		tab.update(step.list, t0.Add(step.at))
-		c := tab.view.Conclude(t0.Add(step.at))
+		c := tab.snapshot.Assess(t0.Add(step.at))
 		if c.AtLeast != step.atLeast || c.AtMost != step.most || c.Quorate != step.quorate {
 			t.Errorf("step %d: %+v", i, c)
 		}
 	}
-	if m, _ := tab.view.Member("b"); m.State != Alive {
+	if m, _ := tab.snapshot.Member("b"); m.State != Alive {
 		t.Errorf("b is %v", m)
 	}
 	// A dead member that memberlist forgets is kept, to be sought; one that left is not.
 	cfg.ReconnectForMs = 60_000
 	tab.update(list(Alive, Dead, Left), t0.Add(7*time.Second))
 	tab.update(list(Alive), t0.Add(8*time.Second))
-	if _, ok := tab.view.Member("b"); !ok {
+	if _, ok := tab.snapshot.Member("b"); !ok {
 		t.Error("the dead member is forgotten with the gossip's list")
 	}
-	if _, ok := tab.view.Member("c"); ok {
+	if _, ok := tab.snapshot.Member("c"); ok {
 		t.Error("the member that left is kept")
 	}
 }
@@ -98,7 +98,7 @@
 	short := node
 	short.Vsn = []uint8{1, 5}
 	long := node
-	long.Name = strings.Repeat("x", maxName+1)
+	long.Name = strings.Repeat("x", maxNameBytes+1)
 	for name, b := range map[string][]byte{
 		"members without end": message(pushPullHeader{Nodes: 1 << 60}, node),
 		"less than none":      message(pushPullHeader{Nodes: -1}),
@@ -129,7 +129,7 @@
 		inner := append([]byte{msgCompound, 1, 0, 0}, encodeMessage(msgDead, deadMessage{Incarnation: 3, Node: "b", From: from})...)
 		inner[3] = byte(len(inner) - 4)
 		b := append(binary.BigEndian.AppendUint32([]byte{msgCRC}, crc32.ChecksumIEEE(inner)), inner...)
-		err := checkPacket(b, 0, func(m []byte) { hearsay(m, func(who, _ string) bool { return who == "sure" }) })
+		err := checkPacket(b, 0, func(m []byte) { demoteDeathReport(m, func(who, _ string) bool { return who == "sure" }) })
 		if again := checkPacket(b, 0, func([]byte) {}); err != nil || again != nil || (b[9] == msgSuspect) != (from == "unsure") {
 			t.Errorf("the word of %q makes a message of type %d (%v, %v)", from, b[9], err, again)
 		}
--- a/internal/membership/heal.go
+++ b/internal/membership/reconnect.go
@@ -12,16 +12,16 @@
 // jitter) to ReconnectMs, and exchanges lists with members whose digest stays another. The
 // work of an agent is bounded however many are missing; over a fleet it adds up, so that
 // the first pair to meet after a cut is a matter of milliseconds.
-func (f *Fleet) heal() {
+func (f *Membership) runReconnects() {
 	select {
-	case <-f.known: // nobody is told of this process before it is above all earlier ones
+	case <-f.announced: // nobody is told of this process before it is above all earlier ones
 	case <-f.ctx.Done():
 		return
 	}
 	bound := f.backoff()
 	wait := time.NewTimer(rand.N(bound.NextBackOff())) // not all at one moment after a power cut
 	defer wait.Stop()
-	look := time.NewTicker(ms(f.cfg.ProbeIntervalMs))
+	look := time.NewTicker(milliseconds(f.cfg.ProbeIntervalMs))
 	defer look.Stop()
 	missing := 0
 	for {
@@ -29,9 +29,9 @@
 		case <-f.ctx.Done():
 			return
 		case <-look.C:
-			f.greet()
-			f.sync()
-			if n := len(f.missing()); n > missing {
+			f.firstExchange()
+			f.syncWithDifferingPeer()
+			if n := len(f.missingAddresses()); n > missing {
 				// Someone else is gone: what was tried in vain before says nothing of it.
 				bound.Reset()
 				missing = n
@@ -49,17 +49,17 @@
 }
 
 // backoff doubles from the probe interval to ReconnectMs; the jitter is drawn over all of it.
-func (f *Fleet) backoff() *backoff.ExponentialBackOff {
+func (f *Membership) backoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = ms(f.cfg.ProbeIntervalMs), ms(f.cfg.ReconnectMs)
+	b.InitialInterval, b.MaxInterval = milliseconds(f.cfg.ProbeIntervalMs), milliseconds(f.cfg.ReconnectMs)
 	b.Multiplier, b.RandomizationFactor = 2, 0
 	b.Reset()
 	return b
 }
 
 // missing are the addresses of the dead members and of the seeds that are not there.
-func (f *Fleet) missing() (addrs []string) {
-	v := f.view.Load()
+func (f *Membership) missingAddresses() (addrs []string) {
+	v := f.snapshot.Load()
 	there := map[string]bool{f.cfg.Advertise: true}
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -77,21 +77,21 @@
 }
 
 // reconnect tries one of what is missing and tells whether it answered.
-func (f *Fleet) reconnect() bool {
-	addrs := f.missing()
+func (f *Membership) reconnect() bool {
+	addrs := f.missingAddresses()
 	if len(addrs) == 0 {
 		return false
 	}
-	f.heals.Add(1)
-	return f.join(addrs[rand.IntN(len(addrs))]) == nil
+	f.reconnects.Add(1)
+	return f.exchangeWith(addrs[rand.IntN(len(addrs))]) == nil
 }
 
 // join exchanges lists with whoever is at an address, which may have a name before it.
-func (f *Fleet) join(addr string) error {
+func (f *Membership) exchangeWith(addr string) error {
 	_, err := f.list.Load().Join([]string{addr})
 	if err == nil {
 		f.mu.Lock()
-		f.exchanged = time.Now()
+		f.exchangedAt = time.Now()
 		f.mu.Unlock()
 	}
 	return err
@@ -100,41 +100,41 @@
 // greet exchanges lists with the first member that this process hears of where it has not yet
 // with any: its seeds may be on the other side of a cut, and those that find it one by one
 // tell it of themselves alone.
-func (f *Fleet) greet() {
+func (f *Membership) firstExchange() {
 	f.mu.Lock()
-	met := !f.exchanged.IsZero()
+	met := !f.exchangedAt.IsZero()
 	f.mu.Unlock()
 	if met {
 		return
 	}
-	for _, m := range f.view.Load().Members {
+	for _, m := range f.snapshot.Load().Members {
 		if m.State == Alive && m.Name != f.cfg.Name {
-			f.exchange(m.Name + "/" + m.Addr)
+			f.exchangeLists(m.Name + "/" + m.Addr)
 			return
 		}
 	}
 }
 
 // syncOneIn is in how many probe intervals an agent whose digest differs exchanges lists once.
-const syncOneIn = 2
+const exchangeOneIn = 2
 
 // sync exchanges lists with a member whose digest was another.
-func (f *Fleet) sync() {
+func (f *Membership) syncWithDifferingPeer() {
 	f.mu.Lock()
-	peer := f.differ
-	f.differ = ""
+	peer := f.differingPeer
+	f.differingPeer = ""
 	f.mu.Unlock()
 	// Few agents at a time: the others' digests change with what they bring.
-	if peer == "" || rand.IntN(syncOneIn) != 0 {
+	if peer == "" || rand.IntN(exchangeOneIn) != 0 {
 		return
 	}
-	f.exchange(peer)
+	f.exchangeLists(peer)
 }
 
 // exchange gives a member, name/address, this process's list and takes its own.
-func (f *Fleet) exchange(peer string) {
-	f.syncs.Add(1)
-	if err := f.join(peer); err != nil {
+func (f *Membership) exchangeLists(peer string) {
+	f.exchanges.Add(1)
+	if err := f.exchangeWith(peer); err != nil {
 		f.log.Info("fleet: exchange of lists failed", "peer", peer, "err", err)
 	}
 }
--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -11,27 +11,27 @@
 
 // retired is a process that was replaced by another of its name. What comes late of it is not heard
 // for ForgetMs, unless it claims a higher incarnation than the process that took its place: see lift.
-type retired struct {
-	process string
-	at      time.Time
+type retiredProcess struct {
+	process   string
+	retiredAt time.Time
 }
 
 // keptRetired is how many retired processes of a name are remembered.
-const keptRetired = 4
+const maxRetiredPerName = 4
 
 // retire remembers a process that was replaced.
-func (t *table) retire(name string, old retired) {
+func (t *memberTable) retire(name string, old retiredProcess) {
 	if len(t.retired) > 4*t.cfg.maxMembers() {
 		clear(t.retired) // names that come and go for ever: what is late of them is refuted
 	}
-	t.retired[name] = append([]retired{old}, t.retired[name]...)
-	t.retired[name] = t.retired[name][:min(len(t.retired[name]), keptRetired)]
+	t.retired[name] = append([]retiredProcess{old}, t.retired[name]...)
+	t.retired[name] = t.retired[name][:min(len(t.retired[name]), maxRetiredPerName)]
 }
 
 // barred tells whether a process of a name is not heard, as it was replaced of late.
-func (t *table) barred(name, process string, now time.Time) bool {
-	return slices.ContainsFunc(t.retired[name], func(old retired) bool {
-		return old.process == process && now.Sub(old.at) < ms(t.cfg.ForgetMs)
+func (t *memberTable) isRetired(name, process string, now time.Time) bool {
+	return slices.ContainsFunc(t.retired[name], func(old retiredProcess) bool {
+		return old.process == process && now.Sub(old.retiredAt) < milliseconds(t.cfg.ForgetMs)
 	})
 }
 
@@ -40,12 +40,12 @@
 // Where that clock was set back between the two, a process begins below its predecessor: who hears of
 // it first and of the predecessor then takes it for the earlier one. It refutes that with a
 // higher incarnation, which shows that it is the one that lives.
-func (t *table) lift(name, process string, incarnation uint32) {
-	current, ok := t.view.Member(name)
+func (t *memberTable) liftRetirement(name, process string, incarnation uint32) {
+	current, ok := t.snapshot.Member(name)
 	if !ok || incarnation <= current.Incarnation {
 		return
 	}
-	t.retired[name] = slices.DeleteFunc(t.retired[name], func(old retired) bool { return old.process == process })
+	t.retired[name] = slices.DeleteFunc(t.retired[name], func(old retiredProcess) bool { return old.process == process })
 }
 
 // aliveMessage is the word that a member is alive, as far as it is read here.
@@ -57,7 +57,7 @@
 
 // liftBar lifts the bars that a message of members alive refutes: an alive message or a push/pull,
 // whose form was checked. It is called before memberlist has it.
-func (f *Fleet) liftBar(message []byte) {
+func (f *Membership) liftRetirements(message []byte) {
 	f.mu.Lock()
 	none := len(f.table.retired) == 0
 	f.mu.Unlock()
@@ -76,7 +76,7 @@
 			continue
 		}
 		if m, err := f.metas.parse(claim.Meta); err == nil {
-			f.table.lift(claim.Node, m.Process, claim.Incarnation)
+			f.table.liftRetirement(claim.Node, m.Process, claim.Incarnation)
 		}
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/snapshot.go
@@ -23,7 +23,7 @@
 
 // present tells whether a member of this state counts as there: suspicion alone takes
 // nobody out.
-func (s State) present() bool { return s == Alive || s == Suspect }
+func (s State) isPresent() bool { return s == Alive || s == Suspect }
 
 // Member is one agent as this process sees it.
 type Member struct {
@@ -36,17 +36,17 @@
 	Incarnation uint32 `json:"incarnation"` // grows when the member refutes or changes
 	Addr        string `json:"addr"`
 
-	since time.Time // of State and Process, on this process's clock
-	back  time.Time // when this process, or its predecessor as it, came back from the dead or a long doubt; zero: never
+	stateSince time.Time // of State and Process, on this process's clock
+	returnedAt time.Time // when this process, or its predecessor as it, came back from the dead or a long doubt; zero: never
 }
 
 // surely tells whether a member has been alive without a doubt for the settle time.
-func (m *Member) surely(now time.Time, settle time.Duration) bool {
-	return m.State == Alive && now.Sub(m.since) >= settle
+func (m *Member) isStable(now time.Time, settle time.Duration) bool {
+	return m.State == Alive && now.Sub(m.stateSince) >= settle
 }
 
 // View is what one process knows of its fleet. It is never changed once it is made.
-type View struct {
+type Snapshot struct {
 	Self    string `json:"self"`
 	Process string `json:"process"`
 	Site    string `json:"site"`
@@ -62,10 +62,10 @@
 	Suspects int      `json:"suspects"`          // of those that are present
 	Members  []Member `json:"members,omitempty"` // by name
 
-	digest  uint64
-	settle  time.Duration
-	changed time.Time
-	agreed  time.Time // since when the digest is this
+	digest      uint64
+	settleTime  time.Duration
+	changedAt   time.Time
+	digestSince time.Time // since when the digest is this
 }
 
 // Conclusion is all that may be concluded from a view at a time. The rule: a member counts
@@ -74,7 +74,7 @@
 // still be there, serving, on the other side of a cut, so at most all that the configuration
 // names (or more, if more are seen) are there. That a member is dead in the view never
 // means that it sends nothing.
-type Conclusion struct {
+type Assessment struct {
 	AtLeast int  `json:"at_least"` // agents, this one included
 	AtMost  int  `json:"at_most"`
 	Quorate bool `json:"quorate"` // AtLeast is a majority of the size that is configured
@@ -83,11 +83,11 @@
 }
 
 // Conclude is what may be concluded from the view at a time of this process's clock.
-func (v *View) Conclude(now time.Time) Conclusion {
-	c := Conclusion{AtMost: max(v.Size, v.Present), Settled: now.Sub(v.changed) >= v.settle}
+func (v *Snapshot) Assess(now time.Time) Assessment {
+	c := Assessment{AtMost: max(v.Size, v.Present), Settled: now.Sub(v.changedAt) >= v.settleTime}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if m.Name == v.Self || m.surely(now, v.settle) {
+		if m.Name == v.Self || m.isStable(now, v.settleTime) {
 			c.AtLeast++
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // Member is a member by its name.
-func (v *View) Member(name string) (Member, bool) {
+func (v *Snapshot) Member(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, n string) int { return strings.Compare(m.Name, n) })
 	if !ok {
 		return Member{}, false
@@ -118,38 +118,38 @@
 	Digest      string `json:"digest"` // of the view that it led to
 	Draining    bool   `json:"draining,omitempty"`
 	// By is, where To is dead, who said so; empty: this process itself, or nobody.
-	By string `json:"by,omitempty"`
+	ReportedBy string `json:"by,omitempty"`
 }
 
 // keptChanges is how many changes a process remembers for GET /ops/fleet.
-const keptChanges = 8192
+const maxChanges = 8192
 
 // table makes views of what memberlist's list says, one snapshot after another. One
 // goroutine uses it.
-type table struct {
-	cfg     *Config
-	process string
-	view    *View
-	changes []Change
+type memberTable struct {
+	cfg      *Config
+	process  string
+	snapshot *Snapshot
+	changes  []Change
 	// retired are the processes that a name had before, the latest first, a few each.
-	retired map[string][]retired
+	retired map[string][]retiredProcess
 	// accusers are who last said of a member that it is dead, until it is alive or gone.
-	accusers map[string]string
+	deathReporters map[string]string
 }
 
-func newTable(cfg *Config, process string, now time.Time) *table {
-	t := &table{cfg: cfg, process: process, retired: map[string][]retired{}, accusers: map[string]string{}}
-	t.view = t.make(nil, now)
+func newMemberTable(cfg *Config, process string, now time.Time) *memberTable {
+	t := &memberTable{cfg: cfg, process: process, retired: map[string][]retiredProcess{}, deathReporters: map[string]string{}}
+	t.snapshot = t.newSnapshot(nil, now)
 	return t
 }
 
 // make is a view of these members, which has no number yet.
-func (t *table) make(members []Member, now time.Time) *View {
+func (t *memberTable) newSnapshot(members []Member, now time.Time) *Snapshot {
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-	v := &View{Self: t.cfg.Name, Process: t.process, Site: t.cfg.Site, Size: t.cfg.Size,
-		Members: members, settle: ms(t.cfg.SettleMs), changed: now}
+	v := &Snapshot{Self: t.cfg.Name, Process: t.process, Site: t.cfg.Site, Size: t.cfg.Size,
+		Members: members, settleTime: milliseconds(t.cfg.SettleMs), changedAt: now}
 	for i := range members {
-		if members[i].State.present() {
+		if members[i].State.isPresent() {
 			v.Present++
 		}
 		if members[i].State == Suspect {
@@ -165,7 +165,7 @@
 func digest(members []Member) uint64 {
 	h := xxhash.New()
 	for i := range members {
-		if members[i].State.present() {
+		if members[i].State.isPresent() {
 			fmt.Fprintf(h, "%s\x00%s\n", members[i].Name, members[i].Process)
 		}
 	}
@@ -181,32 +181,32 @@
 // update takes a snapshot of memberlist's list and tells whether the view changed. Dead
 // members that memberlist has forgotten stay, so that they can be sought, for
 // ReconnectForMs; those that left go with it.
-func (t *table) update(list []Member, now time.Time) bool {
+func (t *memberTable) update(list []Member, now time.Time) bool {
 	var changes []Change
 	seen := map[string]bool{}
 	next := make([]Member, 0, len(list))
 	for _, m := range list {
-		old, known := t.view.Member(m.Name)
+		old, known := t.snapshot.Member(m.Name)
 		seen[m.Name] = true
-		m.since = now
+		m.stateSince = now
 		same := known && old.Process == m.Process
 		if same {
-			m.back = old.back
+			m.returnedAt = old.returnedAt
 		}
 		if same && old.State == m.State {
-			m.since = old.since
+			m.stateSince = old.stateSince
 		}
 		// A doubt that lasted, too, may have been a cut, with doubts on its other side.
-		lasted := known && old.State == Suspect && m.State == Alive && now.Sub(old.since) >= ms(t.cfg.SuspectTimeoutMs)/2
-		if lasted || known && old.State == Dead && m.State.present() {
-			m.back = now
+		lasted := known && old.State == Suspect && m.State == Alive && now.Sub(old.stateSince) >= milliseconds(t.cfg.SuspectTimeoutMs)/2
+		if lasted || known && old.State == Dead && m.State.isPresent() {
+			m.returnedAt = now
 		}
 		if known && !same {
-			t.retire(m.Name, retired{old.Process, now})
+			t.retire(m.Name, retiredProcess{old.Process, now})
 		}
 		next = append(next, m)
 		if m.State == Alive {
-			delete(t.accusers, m.Name)
+			delete(t.deathReporters, m.Name)
 		}
 		if !same || old.State != m.State || old.Draining != m.Draining || old.Incarnation != m.Incarnation {
 			c := Change{Name: m.Name, Process: m.Process, To: m.State, Incarnation: m.Incarnation, Draining: m.Draining}
@@ -214,40 +214,40 @@
 				c.From = old.State
 			}
 			if m.State == Dead {
-				c.By = t.accusers[m.Name]
+				c.ReportedBy = t.deathReporters[m.Name]
 			}
 			changes = append(changes, c)
 		}
 	}
-	for _, m := range t.view.Members {
+	for _, m := range t.snapshot.Members {
 		switch {
 		case seen[m.Name]:
-		case m.State == Dead && now.Sub(m.since) < ms(t.cfg.ReconnectForMs), m.State.present():
+		case m.State == Dead && now.Sub(m.stateSince) < milliseconds(t.cfg.ReconnectForMs), m.State.isPresent():
 			// Present and forgotten cannot be but between two snapshots: it died.
-			if m.State.present() {
+			if m.State.isPresent() {
 				changes = append(changes, Change{Name: m.Name, Process: m.Process, From: m.State, To: Dead, Incarnation: m.Incarnation})
-				m.State, m.since = Dead, now
+				m.State, m.stateSince = Dead, now
 			}
 			next = append(next, m)
 		default:
-			delete(t.accusers, m.Name)
+			delete(t.deathReporters, m.Name)
 			changes = append(changes, Change{Name: m.Name, Process: m.Process, From: m.State, Incarnation: m.Incarnation})
 		}
 	}
 	if len(changes) == 0 {
 		return false
 	}
-	v := t.make(next, now)
-	v.Number, v.agreed = t.view.Number+1, now
-	if v.digest == t.view.digest {
-		v.agreed = t.view.agreed
+	v := t.newSnapshot(next, now)
+	v.Number, v.digestSince = t.snapshot.Number+1, now
+	if v.digest == t.snapshot.digest {
+		v.digestSince = t.snapshot.digestSince
 	}
-	t.view = v
+	t.snapshot = v
 	for _, c := range changes {
 		c.Number, c.UnixUs, c.Digest = v.Number, t.cfg.clock().Wall().UnixMicro(), v.Digest
 		t.changes = append(t.changes, c)
 	}
-	if over := len(t.changes) - keptChanges; over > 0 {
+	if over := len(t.changes) - maxChanges; over > 0 {
 		t.changes = slices.Clone(t.changes[over:])
 	}
 	return true
@@ -280,26 +280,26 @@
 // metaCache keeps what members told of themselves, read: the same bytes come again with
 // each word about them.
 type metaCache struct {
-	mu   sync.Mutex
-	read map[string]meta
+	mu     sync.Mutex
+	parsed map[string]meta
 }
 
 // maxMetas bounds the cache; past it, it begins anew.
-const maxMetas = 4096
+const maxCachedMetas = 4096
 
 func (c *metaCache) parse(b []byte) (meta, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m, ok := c.read[string(b)]; ok {
+	if m, ok := c.parsed[string(b)]; ok {
 		return m, nil
 	}
 	m, err := parseMeta(b)
 	if err != nil {
 		return m, err
 	}
-	if c.read == nil || len(c.read) >= maxMetas {
-		c.read = map[string]meta{}
+	if c.parsed == nil || len(c.parsed) >= maxCachedMetas {
+		c.parsed = map[string]meta{}
 	}
-	c.read[string(b)] = m
+	c.parsed[string(b)] = m
 	return m, nil
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -51,7 +51,7 @@
 
 func (l *late) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
 	c, err := l.transport.DialAddressTimeout(a, within)
-	if err != nil || a.Name != viewPeer {
+	if err != nil || a.Name != listPeer {
 		return c, err
 	}
 	l.began.Add(1)
@@ -105,27 +105,27 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Leave)
-	f, err := newFleet(quick("b", freeAddr(t), first.cfg.Bind))
+	f, err := newMembership(quick("b", freeAddr(t), first.cfg.Bind))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &late{packets: make(chan *memberlist.Packet), announced: make(chan struct{}), spent: func() bool { return len(f.told) == 0 }}
+	l := &late{packets: make(chan *memberlist.Packet), announced: make(chan struct{}), spent: func() bool { return len(f.listChanged) == 0 }}
 	announce := sync.OnceFunc(func() { close(l.announced) })
-	tr, err := newTransport(&f.cfg, f.log.std(), &f.count, func() { f.tell(); announce() }, f.wordCounts)
+	tr, err := newTransport(&f.cfg, f.log.std(), &f.traffic, func() { f.notifyListChanged(); announce() }, f.trustsDeathReport)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.transport = tr
 	go l.pass()
-	if err := f.begin(tr, l); err != nil {
+	if err := f.run(tr, l); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Leave)
 	await(t, 10*time.Second, "a and b see each other", func() bool {
-		return f.View().Present == 2 && first.View().Present == 2 && f.View().Digest == first.View().Digest
+		return f.Snapshot().Present == 2 && first.Snapshot().Present == 2 && f.Snapshot().Digest == first.Snapshot().Digest
 	})
-	if self, _ := f.View().Member("b"); self.Incarnation <= f.base {
-		t.Errorf("b is at incarnation %d, not above %d", self.Incarnation, f.base)
+	if self, _ := f.Snapshot().Member("b"); self.Incarnation <= f.baseIncarnation {
+		t.Errorf("b is at incarnation %d, not above %d", self.Incarnation, f.baseIncarnation)
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	t.Cleanup(f.Leave)
 	await(t, 5*time.Second, "a is above its base, and told so once more", func() bool {
-		self, _ := f.View().Member("a")
-		return self.Incarnation == f.base+2
+		self, _ := f.Snapshot().Member("a")
+		return self.Incarnation == f.baseIncarnation+2
 	})
 }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -18,18 +18,18 @@
 // ring of hashed names. When a process ends its connections end with it, so that a crash
 // is known at once by up to so many others; only what falls silent is left to the probes,
 // which can be slow then and make no false alarms under load.
-const watched = 3
+const watchedSuccessors = 3
 
 // msgWatch begins a stream that stays open for as long as both processes live. It is no
 // message of memberlist's.
 const msgWatch = 200
 
 // watch keeps the connections to this member's successors.
-func (f *Fleet) watch() {
+func (f *Membership) watchSuccessors() {
 	open := map[string]net.Conn{} // by process
-	want := make([]Member, 0, watched)
+	want := make([]Member, 0, watchedSuccessors)
 	var mu sync.Mutex
-	look := time.NewTicker(ms(f.cfg.ProbeIntervalMs) / 4)
+	look := time.NewTicker(milliseconds(f.cfg.ProbeIntervalMs) / 4)
 	defer look.Stop()
 	var ended sync.WaitGroup
 	defer func() {
@@ -62,7 +62,7 @@
 		}
 		mu.Unlock()
 		for _, m := range begin {
-			c, err := f.openWatch(&m)
+			c, err := f.dialWatch(&m)
 			if err != nil {
 				continue // the next look tries again; that it is gone is for confirm
 			}
@@ -81,7 +81,7 @@
 				}
 				mu.Unlock()
 				if mine && f.ctx.Err() == nil {
-					f.ended(&m)
+					f.watchEnded(&m)
 				}
 			}()
 		}
@@ -90,9 +90,9 @@
 
 // successors are the members that this one watches, appended to into: those whose hashed names follow its
 // own, the next one first. It takes one pass and no memory, as each look asks for them.
-func (f *Fleet) successors(into []Member) []Member {
-	members, own := f.view.Load().Members, xxhash.Sum64String(f.cfg.Name)
-	var nearest [watched]struct {
+func (f *Membership) successors(into []Member) []Member {
+	members, own := f.snapshot.Load().Members, xxhash.Sum64String(f.cfg.Name)
+	var nearest [watchedSuccessors]struct {
 		after uint64 // by how much the hash follows this process's own, around the ring
 		index int
 	}
@@ -106,10 +106,10 @@
 		for at > 0 && after < nearest[at-1].after {
 			at--
 		}
-		if at == watched {
+		if at == watchedSuccessors {
 			continue
 		}
-		found = min(found+1, watched)
+		found = min(found+1, watchedSuccessors)
 		copy(nearest[at+1:found], nearest[at:])
 		nearest[at].after, nearest[at].index = after, i
 	}
@@ -120,12 +120,12 @@
 }
 
 // openWatch opens a connection to a member and has it acknowledged.
-func (f *Fleet) openWatch(m *Member) (net.Conn, error) {
-	c, err := f.tr.DialAddressTimeout(memberlist.Address{Name: m.Name, Addr: m.Addr}, ms(f.cfg.ProbeIntervalMs))
+func (f *Membership) dialWatch(m *Member) (net.Conn, error) {
+	c, err := f.transport.DialAddressTimeout(memberlist.Address{Name: m.Name, Addr: m.Addr}, milliseconds(f.cfg.ProbeIntervalMs))
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(ms(f.cfg.ProbeIntervalMs)))
+	c.SetDeadline(time.Now().Add(milliseconds(f.cfg.ProbeIntervalMs)))
 	err = memberlist.AddLabelHeaderToStream(c, f.cfg.Site)
 	if err == nil {
 		_, err = c.Write(append([]byte{msgWatch}, f.cfg.Name...))
@@ -142,24 +142,24 @@
 
 // ended is called when a watched member's connection ended: if its address refuses calls
 // its process is gone.
-func (f *Fleet) ended(m *Member) {
-	if now, ok := f.view.Load().Member(m.Name); ok && now.Process == m.Process && now.State.present() && f.ask(m) == gone {
-		f.declareGone(&now)
+func (f *Membership) watchEnded(m *Member) {
+	if now, ok := f.snapshot.Load().Member(m.Name); ok && now.Process == m.Process && now.State.isPresent() && f.checkAddress(m) == addressRefuses {
+		f.declareDead(&now)
 	}
 }
 
 // declareGone tells memberlist, and so the fleet, that a member is dead.
-func (f *Fleet) declareGone(m *Member) {
-	f.lost.Add(1)
+func (f *Membership) declareDead(m *Member) {
+	f.declaredDead.Add(1)
 	f.log.Info("fleet: a member's address refuses calls", "name", m.Name, "addr", m.Addr)
-	f.tr.inject(encodeMessage(msgDead, deadMessage{Incarnation: m.Incarnation, Node: m.Name, From: f.cfg.Name}))
+	f.transport.injectMessage(encodeMessage(msgDead, deadMessage{Incarnation: m.Incarnation, Node: m.Name, From: f.cfg.Name}))
 }
 
 // checkers is how many agents look at a suspect in each probe interval, on average over
 // the fleet, and sure how many refusals one after the other declare it dead.
 const (
-	checkers = 3
-	sure     = 3
+	checkersPerInterval   = 3
+	refusalsToDeclareDead = 3
 )
 
 // confirm asks suspects. Where the address refuses calls, or ends them without a word, the
@@ -167,8 +167,8 @@
 // the rest of the suspicion. One that answers is told that it is suspected, so that it
 // refutes. One that stands still or is cut off says nothing, and keeps its time; once that is
 // half over another member is asked what it knows.
-func (f *Fleet) confirm() {
-	look := time.NewTicker(ms(f.cfg.ProbeIntervalMs) / 2)
+func (f *Membership) confirmSuspects() {
+	look := time.NewTicker(milliseconds(f.cfg.ProbeIntervalMs) / 2)
 	defer look.Stop()
 	for {
 		select {
@@ -176,19 +176,19 @@
 			return
 		case <-look.C:
 		}
-		v, odd := f.view.Load(), f.odd()
+		v, odd := f.snapshot.Load(), f.digestDifferedLately()
 		for i := range v.Members {
 			m := &v.Members[i]
-			if m.State != Suspect || !odd && !f.overdue(m) && rand.IntN(max(1, v.Present)) >= checkers {
+			if m.State != Suspect || !odd && !f.overdueCheckDrawn(m) && rand.IntN(max(1, v.Present)) >= checkersPerInterval {
 				continue
 			}
-			switch f.ask(m) {
-			case gone:
-				f.declareGone(m)
-			case there:
-				f.exchange(m.Name + "/" + m.Addr)
-			case silent:
-				f.askOthers(m)
+			switch f.checkAddress(m) {
+			case addressRefuses:
+				f.declareDead(m)
+			case addressAnswers:
+				f.exchangeLists(m.Name + "/" + m.Addr)
+			case addressSilent:
+				f.exchangeAboutSuspect(m)
 			}
 			break // one at a time: the others have their checkers
 		}
@@ -197,18 +197,18 @@
 
 // askOthers exchanges lists with some member about a suspect that is silent to this process: the
 // suspicion may be refuted to all others, and no digest shows it, as doubts do not count there.
-func (f *Fleet) askOthers(suspect *Member) {
+func (f *Membership) exchangeAboutSuspect(suspect *Member) {
 	f.mu.Lock()
-	lately := time.Since(f.exchanged) < ms(f.cfg.SuspectTimeoutMs)/2
+	lately := time.Since(f.exchangedAt) < milliseconds(f.cfg.SuspectTimeoutMs)/2
 	f.mu.Unlock()
-	if lately || time.Since(suspect.since) < ms(f.cfg.SuspectTimeoutMs)/2 {
+	if lately || time.Since(suspect.stateSince) < milliseconds(f.cfg.SuspectTimeoutMs)/2 {
 		return
 	}
-	v := f.view.Load()
+	v := f.snapshot.Load()
 	from := rand.IntN(len(v.Members))
 	for i := range v.Members {
 		if m := &v.Members[(from+i)%len(v.Members)]; m.State == Alive && m.Name != f.cfg.Name {
-			f.exchange(m.Name + "/" + m.Addr)
+			f.exchangeLists(m.Name + "/" + m.Addr)
 			return
 		}
 	}
@@ -216,56 +216,56 @@
 
 // overdue tells, now and then, that a suspicion is half over: the others may long have heard
 // its refutation, which this process missed, so it asks for itself.
-func (f *Fleet) overdue(m *Member) bool {
-	return time.Since(m.since) > ms(f.cfg.SuspectTimeoutMs)/2 && rand.IntN(overdueOneIn) == 0
+func (f *Membership) overdueCheckDrawn(m *Member) bool {
+	return time.Since(m.stateSince) > milliseconds(f.cfg.SuspectTimeoutMs)/2 && rand.IntN(overdueCheckOneIn) == 0
 }
 
 // overdueOneIn is in how many looks an overdue suspect is asked once, so that a machine that
 // stands still is not called by all at one moment.
-const overdueOneIn = 6
+const overdueCheckOneIn = 6
 
 // odd tells whether this process's digest was lately another than that of members it
 // probed: what it doubts then may long be decided (memberlist takes another's dead member
 // for a suspect), so it asks for itself.
-func (f *Fleet) odd() bool {
+func (f *Membership) digestDifferedLately() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.differed.IsZero() && time.Since(f.differed) < 2*f.differFor()
+	return !f.differedAt.IsZero() && time.Since(f.differedAt) < 2*f.digestSettleTime()
 }
 
 // found is what calling a member showed.
-type found int
+type addressState int
 
 const (
-	silent found = iota // no answer in time, which says nothing
-	there
-	gone
+	addressSilent addressState = iota // no answer in time, which says nothing
+	addressAnswers
+	addressRefuses
 )
 
 // ask calls a member until it answers, is silent, or has refused so often that it is gone.
-func (f *Fleet) ask(m *Member) found {
-	for range sure {
-		c, err := f.openWatch(m)
+func (f *Membership) checkAddress(m *Member) addressState {
+	for range refusalsToDeclareDead {
+		c, err := f.dialWatch(m)
 		if err == nil {
 			c.Close()
-			return there
+			return addressAnswers
 		}
-		if !ended(err) {
-			return silent
+		if !isPeerGone(err) {
+			return addressSilent
 		}
 		select {
-		case <-time.After(ms(f.cfg.ProbeIntervalMs) / 20):
+		case <-time.After(milliseconds(f.cfg.ProbeIntervalMs) / 20):
 		case <-f.ctx.Done():
-			return silent
+			return addressSilent
 		}
 	}
-	return gone
+	return addressRefuses
 }
 
 // ended tells whether a call failed because nobody is there: it was refused, reset or ended. A connection
 // that broke may show as the kernel's ETIMEDOUT or EHOSTUNREACH too; where it never came up these tell
 // only that nothing was heard.
-func ended(err error) bool {
+func isPeerGone(err error) bool {
 	if isOneOf(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
 		return true
 	}
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -15,7 +15,7 @@
 
 // ring is what successors are by definition: of all others that are alive, in the order in which their
 // hashed names follow one's own, the first few.
-func ring(v *View, name string) []Member {
+func ring(v *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
 	var there []Member
 	for _, m := range v.Members {
@@ -30,7 +30,7 @@
 		}
 		return 1
 	})
-	return there[:min(watched, len(there))]
+	return there[:min(watchedSuccessors, len(there))]
 }
 
 // Every member of a drawn fleet, and one that is not in it, watches those that follow it on the ring.
@@ -44,10 +44,10 @@
 		}
 		var got []Member
 		for _, self := range append(names, "nobody") {
-			f := &Fleet{cfg: Config{Name: self}}
-			f.view.Store(&View{Members: members})
+			f := &Membership{cfg: Config{Name: self}}
+			f.snapshot.Store(&Snapshot{Members: members})
 			got = f.successors(got[:0])
-			if want := ring(f.View(), self); !slices.Equal(got, want) {
+			if want := ring(f.Snapshot(), self); !slices.Equal(got, want) {
 				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
 			}
 		}
@@ -56,14 +56,14 @@
 
 // A look takes no memory, whatever the fleet's size.
 func TestSuccessorsTakeNoMemory(t *testing.T) {
-	f := &Fleet{cfg: Config{Name: memberName(7)}}
-	v := &View{}
+	f := &Membership{cfg: Config{Name: memberName(7)}}
+	v := &Snapshot{}
 	for i := range 1500 {
 		v.Members = append(v.Members, Member{Name: memberName(i), State: Alive})
 	}
-	f.view.Store(v)
-	into := make([]Member, 0, watched)
-	if n := testing.AllocsPerRun(100, func() { into = f.successors(into[:0]) }); n != 0 || len(into) != watched {
+	f.snapshot.Store(v)
+	into := make([]Member, 0, watchedSuccessors)
+	if n := testing.AllocsPerRun(100, func() { into = f.successors(into[:0]) }); n != 0 || len(into) != watchedSuccessors {
 		t.Errorf("%v allocations for %d successors", n, len(into))
 	}
 }
@@ -96,7 +96,7 @@
 		{errors.New("message of another kind"), false},
 	}
 	for _, c := range cases {
-		if got := ended(c.err); got != c.ended {
+		if got := isPeerGone(c.err); got != c.ended {
 			t.Errorf("%v: ended %v, want %v", c.err, got, c.ended)
 		}
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -119,13 +119,13 @@
 }
 
 // tellsState tells whether a message says something of a member's state.
-func tellsState(message []byte) bool {
+func changesState(message []byte) bool {
 	return message[0] == msgSuspect || message[0] == msgAlive || message[0] == msgDead
 }
 
 // hearsay turns the word that a member is dead into a suspicion, unless it is the member's own
 // (it leaves) or comes from one whose word counts; both have one form but their first byte.
-func hearsay(message []byte, counts func(accuser, accused string) bool) (turned bool) {
+func demoteDeathReport(message []byte, counts func(accuser, accused string) bool) (turned bool) {
 	if message[0] != msgDead {
 		return false
 	}
@@ -157,7 +157,7 @@
 		if err := dec.Decode(n); err != nil {
 			return nil, fmt.Errorf("push/pull member %d: %w", i, err)
 		}
-		if len(n.Vsn) != 6 || len(n.Name) > maxName || len(n.Meta) > memberlist.MetaMaxSize || len(n.Addr) != 4 && len(n.Addr) != 16 {
+		if len(n.Vsn) != 6 || len(n.Name) > maxNameBytes || len(n.Meta) > memberlist.MetaMaxSize || len(n.Addr) != 4 && len(n.Addr) != 16 {
 			return nil, fmt.Errorf("push/pull member %d: a field of a length that none has", i)
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // maxName bounds a member's name, in bytes.
-const maxName = 64
+const maxNameBytes = 64
 
 // checkStream tells why a message of a stream is none that a member sends.
 func checkStream(b []byte, maxNodes int) (err error) {
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -69,7 +69,7 @@
 
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s saw %s/%s go from %q to %q (incarnation %d, by %q) in view %d at %s", v.Rule, v.Observer,
-		v.Change.Name, v.Change.Process, v.Change.From, v.Change.To, v.Change.Incarnation, v.Change.By, v.Change.Number,
+		v.Change.Name, v.Change.Process, v.Change.From, v.Change.To, v.Change.Incarnation, v.Change.ReportedBy, v.Change.Number,
 		time.UnixMicro(v.Change.UnixUs).Format("05.000000"))
 }
 
@@ -218,7 +218,7 @@
 		for _, c := range r.Changes {
 			if c.Process == process {
 				steps = append(steps, step{c.UnixUs, fmt.Sprintf("%s %s/%s: %q to %q by %q, incarnation %d, draining %v, view %d",
-					at(time.UnixMicro(c.UnixUs)), r.Observer, r.Process, c.From, c.To, c.By, c.Incarnation, c.Draining, c.Number)})
+					at(time.UnixMicro(c.UnixUs)), r.Observer, r.Process, c.From, c.To, c.ReportedBy, c.Incarnation, c.Draining, c.Number)})
 			}
 		}
 	}
--- a/internal/membershiptest/lab.go
+++ b/internal/membershiptest/lab.go
@@ -307,7 +307,7 @@
 func (l *Lab) Status(name string, since uint64) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
 	defer cancel()
-	s, err := membership.Ask(ctx, l.door(name, 8001), fmt.Sprintf("members=none&since=%d", since))
+	s, err := membership.FetchStatus(ctx, l.door(name, 8001), fmt.Sprintf("members=none&since=%d", since))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -403,14 +403,14 @@
 		}
 		told++
 		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
-		s, err := membership.Ask(ctx, l.door(n, 8001), "since=4611686018427387904")
+		s, err := membership.FetchStatus(ctx, l.door(n, 8001), "since=4611686018427387904")
 		cancel()
 		if err != nil {
 			continue
 		}
 		fmt.Fprintf(&b, "\n%s, unchanged for %d ms, counts %v:", n, s.UnchangedMs, s.Traffic)
 		for _, m := range there {
-			if seen, ok := s.View.Member(m.Name); !ok || seen.Process != m.Process || seen.State != membership.Alive {
+			if seen, ok := s.Snapshot.Member(m.Name); !ok || seen.Process != m.Process || seen.State != membership.Alive {
 				fmt.Fprintf(&b, " %s/%s seen as %q %s incarnation %d after", m.Name, m.Process, seen.State, seen.Process, seen.Incarnation)
 				l.mu.Lock()
 				for _, c := range l.records[s.Process].Changes {
--- a/internal/scaletest/host_test.go
+++ b/internal/scaletest/host_test.go
@@ -339,12 +339,12 @@
 	var seen *membership.Status
 	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
 		var err error
-		if seen, err = membership.Ask(t.Context(), s.door(0), "since=0"); err != nil {
+		if seen, err = membership.FetchStatus(t.Context(), s.door(0), "since=0"); err != nil {
 			t.Fatal(err)
 		}
 		right := 0
 		for name, state := range want {
-			if m, ok := seen.View.Member(name); ok && m.State == state {
+			if m, ok := seen.Snapshot.Member(name); ok && m.State == state {
 				right++
 			}
 		}
--- a/internal/scaletest/reals.go
+++ b/internal/scaletest/reals.go
@@ -107,7 +107,7 @@
 func (r *reals) status(ctx context.Context, door string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	return membership.Ask(ctx, door, "members=none&since=4611686018427387904")
+	return membership.FetchStatus(ctx, door, "members=none&since=4611686018427387904")
 }
 
 // The lines of an agent's log that are read (README, "Reading the log"): "list", an answer of
