--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -17,36 +17,36 @@
 	b.Helper()
 	cfg := quick(memberName(0), freeAddr(b))
 	cfg.Size, cfg.Zone = members, "zone-0"
-	f, err := newMembership(cfg)
+	m, err := newMembership(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if f.transport, err = newTransport(&f.cfg, f.log.std(), &f.traffic, f.notifyListChanged, f.trustsDeathReport); err != nil {
+	if m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport); err != nil {
 		b.Fatal(err)
 	}
-	c := f.listConfig(f.transport)
+	c := m.listConfig(m.transport)
 	c.ProbeInterval, c.GossipInterval, c.PushPullInterval = time.Hour, time.Hour, time.Hour
 	list, err := memberlist.Create(c)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { f.cancel(); list.Shutdown() })
-	f.list.Store(list)
-	f.transport.suspicionOfSelf = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
+	b.Cleanup(func() { m.cancel(); list.Shutdown() })
+	m.list.Store(list)
+	m.transport.suspicionOfSelf = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
 	for i := 1; i < members; i++ {
-		m := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
-		f.transport.suspicionOfSelf = append(f.transport.suspicionOfSelf, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
-			Port: 7946, Meta: m.bytes(), Incarnation: uint32(1000 + i), Vsn: []uint8{1, 5, 2, 0, 0, 0}})[1:]...)
+		parsed := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
+		m.transport.suspicionOfSelf = append(m.transport.suspicionOfSelf, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
+			Port: 7946, Meta: parsed.bytes(), Incarnation: uint32(1000 + i), Vsn: []uint8{1, 5, 2, 0, 0, 0}})[1:]...)
 	}
-	if _, err := list.Join([]string{suspicionPeer + "/" + f.cfg.Advertise}); err != nil {
+	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
 		b.Fatal(err)
 	}
-	v := f.readSnapshot(time.Now())
-	if v == nil || v.Present != members {
-		b.Fatalf("the list of %d members was read as %+v", members, v)
+	snapshot := m.readSnapshot(time.Now())
+	if snapshot == nil || snapshot.Present != members {
+		b.Fatalf("the list of %d members was read as %+v", members, snapshot)
 	}
-	f.snapshot.Store(v)
-	return f
+	m.snapshot.Store(snapshot)
+	return m
 }
 
 func memberName(i int) string { return fmt.Sprintf("agent-%04d", i) }
@@ -61,22 +61,22 @@
 	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, maxChanges}} {
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("%s/%d", kept.name, n), func(b *testing.B) {
-				f := peopled(b, n)
-				was := *f.table.snapshot
+				m := peopled(b, n)
+				was := *m.table.snapshot
 				if kept.changed {
 					was.Members = append([]Member(nil), was.Members...)
 					was.Members[n/2].Incarnation--
 				}
-				f.table.changes = make([]Change, kept.changes)
+				m.table.changes = make([]Change, kept.changes)
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
-					f.table.snapshot = &was
+					m.table.snapshot = &was
 					if !kept.changed || kept.changes == 0 {
-						f.table.changes = f.table.changes[:0]
+						m.table.changes = m.table.changes[:0]
 					}
-					if v := f.readSnapshot(now); (v != nil) != kept.changed {
-						b.Fatalf("changed: %v", v != nil)
+					if snapshot := m.readSnapshot(now); (snapshot != nil) != kept.changed {
+						b.Fatalf("changed: %v", snapshot != nil)
 					}
 				}
 			})
@@ -88,11 +88,11 @@
 func BenchmarkSuccessors(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := peopled(b, n)
+			m := peopled(b, n)
 			var got []Member
 			b.ReportAllocs()
 			for b.Loop() {
-				if got = f.successors(got[:0]); len(got) != watchedSuccessors {
+				if got = m.successors(got[:0]); len(got) != watchedSuccessors {
 					b.Fatalf("%d successors", len(got))
 				}
 			}
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -37,17 +37,17 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, err := newMembership(quick("a", "127.0.0.1:7"))
+			m, err := newMembership(quick("a", "127.0.0.1:7"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Now()
 			see := func(digit string, incarnation uint32) {
-				f.table.update([]Member{{Name: "b", Process: process(digit), State: Alive, Incarnation: incarnation}}, now)
+				m.table.update([]Member{{Name: "b", Process: process(digit), State: Alive, Incarnation: incarnation}}, now)
 			}
 			heard := func(digit string, incarnation uint32) bool {
-				f.liftRetirements(message(process(digit), incarnation))
-				return f.checkMember(aliveNode(process(digit))) == nil
+				m.liftRetirements(message(process(digit), incarnation))
+				return m.checkMember(aliveNode(process(digit))) == nil
 			}
 			see("2", back)    // the later process, which began below
 			see(earlier, set) // and an old word of its predecessor
@@ -80,15 +80,15 @@
 			start := func() *Membership {
 				cfg := quick("b", bind, first.cfg.Bind)
 				cfg.Clock = stepped
-				f, err := Start(cfg)
+				m, err := Start(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
 				await(t, 10*time.Second, "a sees the process of b that runs", func() bool {
-					m, _ := first.Snapshot().Member("b")
-					return m.Process == f.process && m.State == Alive && f.Snapshot().Digest == first.Snapshot().Digest
+					member, _ := first.Snapshot().Member("b")
+					return member.Process == m.process && member.State == Alive && m.Snapshot().Digest == first.Snapshot().Digest
 				})
-				return f
+				return m
 			}
 			killed := start()
 			killed.Kill()
@@ -99,9 +99,9 @@
 			last := start()
 			defer last.Leave()
 			stepped.Step(step)
-			m, _ := first.Snapshot().Member("b")
-			if m.Process != last.process {
-				t.Errorf("a takes b for process %s, want %s", m.Process, last.process)
+			member, _ := first.Snapshot().Member("b")
+			if member.Process != last.process {
+				t.Errorf("a takes b for process %s, want %s", member.Process, last.process)
 			}
 		})
 	}
@@ -109,14 +109,14 @@
 
 // Spans of the view are taken from the monotonic clock: each time that it keeps has a reading of it.
 func TestTimesOfTheViewAreMonotonic(t *testing.T) {
-	f, err := Start(quick("a", freeAddr(t)))
+	m, err := Start(quick("a", freeAddr(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Leave)
-	await(t, 5*time.Second, "a has a view", func() bool { return f.Snapshot().Present == 1 })
-	v := f.Snapshot()
-	for name, at := range map[string]time.Time{"changed": v.changedAt, "agreed": v.digestSince, "since": v.Members[0].stateSince} {
+	t.Cleanup(m.Leave)
+	await(t, 5*time.Second, "a has a view", func() bool { return m.Snapshot().Present == 1 })
+	snapshot := m.Snapshot()
+	for name, at := range map[string]time.Time{"changed": snapshot.changedAt, "agreed": snapshot.digestSince, "since": snapshot.Members[0].stateSince} {
 		if at == at.Round(0) {
 			t.Errorf("%s has no monotonic reading: %v", name, at)
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -93,20 +93,20 @@
 // process of this machine has the address (the old one, in an upgrade), this one waits
 // until it has ended. The error is for a configuration that can't be used.
 func Start(cfg Config) (*Membership, error) {
-	f, err := newMembership(cfg)
+	m, err := newMembership(cfg)
 	if err != nil {
 		return nil, err
 	}
-	err = f.bind()
+	err = m.bind()
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
-		f.log.Info("fleet: another process has the address, waiting until it ends", "bind", cfg.Bind)
-		f.spawn(f.waitForAddress)
+		m.log.Info("fleet: another process has the address, waiting until it ends", "bind", cfg.Bind)
+		m.spawn(m.waitForAddress)
 	case err != nil:
-		f.cancel()
+		m.cancel()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	return f, nil
+	return m, nil
 }
 
 // newFleet is a process's part that has not begun, with an identity and no socket.
@@ -125,51 +125,51 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.Default()
 	}
-	f := &Membership{cfg: cfg, process: hex.EncodeToString(id[:]), log: newLogger(cfg.Log),
+	m := &Membership{cfg: cfg, process: hex.EncodeToString(id[:]), log: newLogger(cfg.Log),
 		listChanged: make(chan struct{}, 1), announced: make(chan struct{}), admitted: map[string]bool{}}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.table = newMemberTable(&f.cfg, f.process, time.Now())
-	f.snapshot.Store(f.table.snapshot)
-	return f, nil
+	m.ctx, m.cancel = context.WithCancel(context.Background())
+	m.table = newMemberTable(&m.cfg, m.process, time.Now())
+	m.snapshot.Store(m.table.snapshot)
+	return m, nil
 }
 
-func (f *Membership) spawn(task func()) {
-	f.tasks.Add(1)
+func (m *Membership) spawn(task func()) {
+	m.tasks.Add(1)
 	go func() {
-		defer f.tasks.Done()
+		defer m.tasks.Done()
 		task()
 	}()
 }
 
 // standBy binds as soon as the address is free.
-func (f *Membership) waitForAddress() {
+func (m *Membership) waitForAddress() {
 	look := time.NewTicker(bindRetryInterval)
 	defer look.Stop()
 	for {
 		select {
 		case <-look.C:
-			err := f.bind()
+			err := m.bind()
 			if err == nil {
-				f.log.Info("fleet: the address is this process's now", "bind", f.cfg.Bind)
+				m.log.Info("fleet: the address is this process's now", "bind", m.cfg.Bind)
 				return
 			}
 			if !errors.Is(err, syscall.EADDRINUSE) {
-				f.log.Warn("fleet: the address can't be used", "bind", f.cfg.Bind, "err", err)
+				m.log.Warn("fleet: the address can't be used", "bind", m.cfg.Bind, "err", err)
 			}
-		case <-f.ctx.Done():
+		case <-m.ctx.Done():
 			return
 		}
 	}
 }
 
 // bind opens the sockets and begins to take part.
-func (f *Membership) bind() error {
-	tr, err := newTransport(&f.cfg, f.log.std(), &f.traffic, f.notifyListChanged, f.trustsDeathReport)
+func (m *Membership) bind() error {
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
 	if err != nil {
 		return err
 	}
-	if err := f.run(tr, tr); err != nil {
-		tr.Shutdown()
+	if err := m.run(sockets, sockets); err != nil {
+		sockets.Shutdown()
 		return err
 	}
 	return nil
@@ -177,23 +177,23 @@
 
 // begin takes part over a transport; below is what memberlist is given of it, which only a test
 // has as another.
-func (f *Membership) run(tr *transport, below memberlist.NodeAwareTransport) error {
-	f.transport, tr.onAlive = tr, f.liftRetirements
-	list, err := memberlist.Create(f.listConfig(below))
+func (m *Membership) run(sockets *transport, below memberlist.NodeAwareTransport) error {
+	m.transport, sockets.onAlive = sockets, m.liftRetirements
+	list, err := memberlist.Create(m.listConfig(below))
 	if err != nil {
 		return err
 	}
-	f.list.Store(list)
-	f.baseIncarnation = startIncarnation(f.cfg.clock().Wall())
-	if err := f.raiseIncarnation(list); err != nil {
+	m.list.Store(list)
+	m.baseIncarnation = startIncarnation(m.cfg.clock().Wall())
+	if err := m.raiseIncarnation(list); err != nil {
 		list.Shutdown()
 		return err
 	}
-	f.notifyListChanged()
-	f.spawn(f.publishSnapshots)
-	f.spawn(f.runReconnects)
-	f.spawn(f.confirmSuspects)
-	f.spawn(f.watchSuccessors)
+	m.notifyListChanged()
+	m.spawn(m.publishSnapshots)
+	m.spawn(m.runReconnects)
+	m.spawn(m.confirmSuspects)
+	m.spawn(m.watchSuccessors)
 	return nil
 }
 
@@ -202,14 +202,14 @@
 // doubt of itself makes it refute with a higher one. The doubt comes as the list of nobody, which is
 // taken over at once; one that came as a packet would only be queued, and no event of memberlist's
 // tells of the refutation of one that is alone.
-func (f *Membership) raiseIncarnation(list *memberlist.Memberlist) error {
-	n := list.LocalNode()
+func (m *Membership) raiseIncarnation(list *memberlist.Memberlist) error {
+	node := list.LocalNode()
 	doubt := encodeMessage(msgPushPull, pushPullHeader{Nodes: 1})
-	doubt = append(doubt, encodeMessage(0, pushNode{Name: n.Name, Addr: n.Addr, Port: n.Port, Meta: n.Meta,
-		Incarnation: f.baseIncarnation, State: memberlist.StateSuspect,
-		Vsn: []uint8{n.PMin, n.PMax, n.PCur, n.DMin, n.DMax, n.DCur}})[1:]...)
-	f.transport.suspicionOfSelf = doubt
-	if _, err := list.Join([]string{suspicionPeer + "/" + f.cfg.Advertise}); err != nil {
+	doubt = append(doubt, encodeMessage(0, pushNode{Name: node.Name, Addr: node.Addr, Port: node.Port, Meta: node.Meta,
+		Incarnation: m.baseIncarnation, State: memberlist.StateSuspect,
+		Vsn: []uint8{node.PMin, node.PMax, node.PCur, node.DMin, node.DMax, node.DCur}})[1:]...)
+	m.transport.suspicionOfSelf = doubt
+	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
 		return fmt.Errorf("beginning above earlier processes: %w", err)
 	}
 	return nil
@@ -225,25 +225,25 @@
 
 // listConfig is memberlist's configuration: its timings mostly in the proportions that it has
 // by default, with a suspicion that lasts at least SuspectTimeoutMs.
-func (f *Membership) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
+func (m *Membership) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	adv, _ := net.ResolveTCPAddr("tcp", f.cfg.Advertise) // complete has checked it
-	c.Name, c.Label, c.Transport = f.cfg.Name, f.cfg.Site, below
+	adv, _ := net.ResolveTCPAddr("tcp", m.cfg.Advertise) // complete has checked it
+	c.Name, c.Label, c.Transport = m.cfg.Name, m.cfg.Site, below
 	c.BindPort, c.AdvertiseAddr, c.AdvertisePort = adv.Port, adv.IP.String(), adv.Port
-	c.CIDRsAllowed = f.cfg.networks()
+	c.CIDRsAllowed = m.cfg.networks()
 	c.EnableCompression = false
 	c.TCPTimeout = streamTimeout
-	c.ProbeInterval = milliseconds(f.cfg.ProbeIntervalMs)
+	c.ProbeInterval = milliseconds(m.cfg.ProbeIntervalMs)
 	c.ProbeTimeout = c.ProbeInterval / 2
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = f.cfg.suspicionMultiplier(), suspicionMaxMultiplier
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult = m.cfg.suspicionMultiplier(), suspicionMaxMultiplier
 	// What is told in a round costs nothing when there is nothing to tell, and after a heal or a
 	// start all members are: the rounds, not the processors, are what that waits for.
 	c.GossipInterval, c.GossipNodes, c.RetransmitMult = max(c.ProbeInterval/20, 20*time.Millisecond), 6, 3
-	c.GossipToTheDeadTime = milliseconds(f.cfg.ForgetMs)
-	c.DeadNodeReclaimTime = milliseconds(f.cfg.ReclaimMs)
+	c.GossipToTheDeadTime = milliseconds(m.cfg.ForgetMs)
+	c.DeadNodeReclaimTime = milliseconds(m.cfg.ReclaimMs)
 	c.HandoffQueueDepth = 4096
-	c.Logger = f.log.std()
-	c.Delegate, c.Events, c.Alive, c.Ping = f, f, f, f
+	c.Logger = m.log.std()
+	c.Delegate, c.Events, c.Alive, c.Ping = m, m, m, m
 	return c
 }
 
@@ -251,42 +251,42 @@
 // member itself is surely there, as in a Conclusion, and, where it came back from the dead or
 // from a long doubt, once the suspicions have run out that it may have begun on the other side of a cut. Any other's
 // word makes a suspicion, which the accused hears of and refutes.
-func (f *Membership) trustsDeathReport(accuser, accused string) bool {
-	v, now := f.snapshot.Load(), time.Now()
-	m, ok := v.Member(accuser)
-	if !ok || accuser != f.cfg.Name && (!m.isStable(now, milliseconds(f.cfg.SettleMs)) || !m.returnedAt.IsZero() && now.Sub(m.returnedAt) < f.cfg.maxSuspicion(len(v.Members))) {
+func (m *Membership) trustsDeathReport(accuser, accused string) bool {
+	snapshot, now := m.snapshot.Load(), time.Now()
+	member, ok := snapshot.Member(accuser)
+	if !ok || accuser != m.cfg.Name && (!member.isStable(now, milliseconds(m.cfg.SettleMs)) || !member.returnedAt.IsZero() && now.Sub(member.returnedAt) < m.cfg.maxSuspicion(len(snapshot.Members))) {
 		return false
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.admitted[accused] { // what is said of nobody is not kept
-		f.table.deathReporters[accused] = accuser
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.admitted[accused] { // what is said of nobody is not kept
+		m.table.deathReporters[accused] = accuser
 	}
 	return true
 }
 
 // tell says that the list may have changed; it never waits.
-func (f *Membership) notifyListChanged() {
+func (m *Membership) notifyListChanged() {
 	select {
-	case f.listChanged <- struct{}{}:
+	case m.listChanged <- struct{}{}:
 	default:
 	}
 }
 
 // View is the view as it is now.
-func (f *Membership) Snapshot() *Snapshot { return f.snapshot.Load() }
+func (m *Membership) Snapshot() *Snapshot { return m.snapshot.Load() }
 
 // SetDraining tells the others whether this agent empties; it does not wait for them.
-func (f *Membership) SetDraining(on bool) {
-	if f.draining.Swap(on) == on {
+func (m *Membership) SetDraining(on bool) {
+	if m.draining.Swap(on) == on {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if list := f.list.Load(); list != nil && !f.leaving {
-		f.spawn(func() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if list := m.list.Load(); list != nil && !m.leaving {
+		m.spawn(func() {
 			if err := list.UpdateNode(time.Second); err != nil {
-				f.log.Warn("fleet: telling of the drain", "err", err)
+				m.log.Warn("fleet: telling of the drain", "err", err)
 			}
 		})
 	}
@@ -294,70 +294,70 @@
 
 // Leave tells the others that this process ends, for LeaveMs at the most, and closes all.
 // It may be called once.
-func (f *Membership) Leave() {
-	f.mu.Lock()
-	f.leaving = true
-	killed := f.killed
-	f.mu.Unlock()
-	f.cancel()
+func (m *Membership) Leave() {
+	m.mu.Lock()
+	m.leaving = true
+	killed := m.killed
+	m.mu.Unlock()
+	m.cancel()
 	if killed {
 		return
 	}
-	f.shutdownMutex.Lock()
-	if list := f.list.Load(); list != nil && !f.killedSockets() {
-		if err := list.Leave(milliseconds(f.cfg.LeaveMs)); err != nil {
-			f.log.Warn("fleet: not all may have heard that this process ends", "err", err)
+	m.shutdownMutex.Lock()
+	if list := m.list.Load(); list != nil && !m.killedSockets() {
+		if err := list.Leave(milliseconds(m.cfg.LeaveMs)); err != nil {
+			m.log.Warn("fleet: not all may have heard that this process ends", "err", err)
 		}
 	}
-	f.shutdownMutex.Unlock()
-	f.tasks.Wait()
-	f.shutdown()
+	m.shutdownMutex.Unlock()
+	m.tasks.Wait()
+	m.shutdown()
 }
 
 // Kill closes all at once and tells nobody: to the others it is as if the process had been
 // killed. It may be called at any time, also during Leave and after it, and returns once all that
 // the view ran has ended.
-func (f *Membership) Kill() {
-	f.mu.Lock()
-	f.leaving, f.killed = true, true
-	f.mu.Unlock()
-	f.cancel()
-	if f.list.Load() != nil {
-		f.transport.kill()
-	}
-	f.shutdown()
-	f.tasks.Wait()
-	f.shutdown() // where it was bound meanwhile
+func (m *Membership) Kill() {
+	m.mu.Lock()
+	m.leaving, m.killed = true, true
+	m.mu.Unlock()
+	m.cancel()
+	if m.list.Load() != nil {
+		m.transport.kill()
+	}
+	m.shutdown()
+	m.tasks.Wait()
+	m.shutdown() // where it was bound meanwhile
 }
 
 // cut tells whether the process's sockets are closed already.
-func (f *Membership) killedSockets() bool { return f.transport.ctx.Err() != nil }
+func (m *Membership) killedSockets() bool { return m.transport.ctx.Err() != nil }
 
 // shutdown ends memberlist, if it runs.
-func (f *Membership) shutdown() {
-	f.shutdownMutex.Lock()
-	defer f.shutdownMutex.Unlock()
-	if list := f.list.Load(); list != nil {
+func (m *Membership) shutdown() {
+	m.shutdownMutex.Lock()
+	defer m.shutdownMutex.Unlock()
+	if list := m.list.Load(); list != nil {
 		list.Shutdown()
 	}
 }
 
 // publish reads the list when it may have changed, at most every snapshotEvery, and
 // publishes a view where it did change.
-func (f *Membership) publishSnapshots() {
+func (m *Membership) publishSnapshots() {
 	tick := time.NewTicker(minSnapshotInterval)
 	defer tick.Stop()
 	last, quiet, next, low := time.Now(), time.Time{}, time.Time{}, true
 	for {
 		select {
 		case <-tick.C:
-		case <-f.ctx.Done():
+		case <-m.ctx.Done():
 			return
 		}
 		now := time.Now()
 		if now.Sub(last) > stallThreshold {
-			f.stalls.Add(1)
-			f.log.Warn("fleet: this process stood still", "for", now.Sub(last).Round(time.Millisecond))
+			m.stalls.Add(1)
+			m.log.Warn("fleet: this process stood still", "for", now.Sub(last).Round(time.Millisecond))
 			quiet = now.Add(stallQuietTime)
 		}
 		last = now
@@ -368,21 +368,21 @@
 			continue
 		}
 		select {
-		case <-f.listChanged:
+		case <-m.listChanged:
 		default:
 			continue
 		}
-		v := f.readSnapshot(now)
+		snapshot := m.readSnapshot(now)
 		took := time.Since(now)
 		next = now.Add(min(maxSnapshotInterval, time.Duration(float64(took)/maxSnapshotTimeFraction)))
-		if v != nil {
-			if self, _ := v.Member(f.cfg.Name); low && self.Incarnation > f.baseIncarnation {
+		if snapshot != nil {
+			if self, _ := snapshot.Member(m.cfg.Name); low && self.Incarnation > m.baseIncarnation {
 				low = false
-				f.announce()
+				m.announce()
 			}
-			f.snapshot.Store(v)
-			if f.cfg.OnSnapshot != nil {
-				f.cfg.OnSnapshot(v)
+			m.snapshot.Store(snapshot)
+			if m.cfg.OnSnapshot != nil {
+				m.cfg.OnSnapshot(snapshot)
 			}
 		}
 		last = time.Now() // what telling took is no stall
@@ -393,47 +393,47 @@
 // keeps the word of its first incarnation, one, among what it has to tell, beside the
 // refutation; a word by the same name takes its place. (Told, it was taken by those who had
 // just started themselves, then an earlier process's word for a later one.)
-func (f *Membership) announce() {
-	if err := f.list.Load().UpdateNode(time.Second); err != nil {
-		f.log.Warn("fleet: telling of the start", "err", err)
+func (m *Membership) announce() {
+	if err := m.list.Load().UpdateNode(time.Second); err != nil {
+		m.log.Warn("fleet: telling of the start", "err", err)
 	}
-	f.notifyListChanged() // memberlist tells nobody of a word without other news, and alone it gossips nothing
-	close(f.announced)
-	close(f.transport.announced)
+	m.notifyListChanged() // memberlist tells nobody of a word without other news, and alone it gossips nothing
+	close(m.announced)
+	close(m.transport.announced)
 }
 
 // snapshot reads memberlist's list and gives the new view, or nil if it did not change.
-func (f *Membership) readSnapshot(now time.Time) *Snapshot {
-	f.transport.recordedList = nil
+func (m *Membership) readSnapshot(now time.Time) *Snapshot {
+	m.transport.recordedList = nil
 	// The push/pull with nobody always fails; what counts is what was recorded.
-	_, _ = f.list.Load().Join([]string{listPeer + "/" + f.cfg.Advertise})
-	if f.transport.recordedList == nil {
+	_, _ = m.list.Load().Join([]string{listPeer + "/" + m.cfg.Advertise})
+	if m.transport.recordedList == nil {
 		return nil
 	}
-	nodes, err := readPushPull(f.transport.recordedList[1:], 1<<20)
+	nodes, err := readPushPull(m.transport.recordedList[1:], 1<<20)
 	if err != nil {
-		f.log.Warn("fleet: the list can't be read", "err", err)
+		m.log.Warn("fleet: the list can't be read", "err", err)
 		return nil
 	}
 	members := make([]Member, 0, len(nodes))
 	names := make(map[string]bool, len(nodes))
 	for _, n := range nodes {
-		m, err := f.metas.parse(n.Meta)
+		parsed, err := m.metas.parse(n.Meta)
 		if err != nil {
 			continue // NotifyAlive lets none in
 		}
 		names[n.Name] = true
-		members = append(members, Member{Name: n.Name, Process: m.Process, Zone: m.Zone, Version: m.Version, Draining: m.Draining,
+		members = append(members, Member{Name: n.Name, Process: parsed.Process, Zone: parsed.Zone, Version: parsed.Version, Draining: parsed.Draining,
 			State:       [...]State{Alive, Suspect, Dead, Left}[n.State&3],
 			Incarnation: n.Incarnation, Addr: net.JoinHostPort(net.IP(n.Addr).String(), fmt.Sprint(n.Port))})
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.admitted = names
-	if !f.table.update(members, now) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.admitted = names
+	if !m.table.update(members, now) {
 		return nil
 	}
-	return f.table.snapshot
+	return m.table.snapshot
 }
 
 // Status is what operators see of a fleet view.
@@ -453,119 +453,119 @@
 
 // Brief is the status without the members.
 func (s Status) WithoutMembers() Status {
-	v := *s.Snapshot
-	v.Members = nil
-	s.Snapshot = &v
+	brief := *s.Snapshot
+	brief.Members = nil
+	s.Snapshot = &brief
 	return s
 }
 
 // Status is what this process knows, with the changes of its view after number since.
-func (f *Membership) Status(since uint64) Status {
+func (m *Membership) Status(since uint64) Status {
 	now := time.Now()
-	f.mu.Lock()
-	v := f.table.snapshot
+	m.mu.Lock()
+	snapshot := m.table.snapshot
 	var changes []Change
-	for _, c := range f.table.changes {
+	for _, c := range m.table.changes {
 		if c.Number > since {
 			changes = append(changes, c)
 		}
 	}
-	leaving := f.leaving
-	f.mu.Unlock()
-	s := Status{Snapshot: v, Assessment: v.Assess(now), UnchangedMs: now.Sub(v.changedAt).Milliseconds(), Changes: changes}
-	if list := f.list.Load(); list != nil {
+	leaving := m.leaving
+	m.mu.Unlock()
+	s := Status{Snapshot: snapshot, Assessment: snapshot.Assess(now), UnchangedMs: now.Sub(snapshot.changedAt).Milliseconds(), Changes: changes}
+	if list := m.list.Load(); list != nil {
 		s.Member, s.Health = !leaving, list.GetHealthScore()
 	}
-	n := &f.traffic
-	s.Traffic = map[string]uint64{"packets_in": n.packetsIn.Load(), "bytes_in": n.bytesIn.Load(),
-		"packets_out": n.packetsOut.Load(), "bytes_out": n.bytesOut.Load(), "streams": n.streams.Load(), "streams_out": n.streamsOut.Load(),
-		"stream_bytes_in": n.streamBytesIn.Load(), "stream_bytes_out": n.streamBytesOut.Load(),
-		"bad_packets": n.badPackets.Load(), "bad_streams": n.badStreams.Load(), "foreign": n.foreignSite.Load(),
-		"rejected": n.rejected.Load(), "hearsay": n.demotedDeaths.Load(), "reconnects": f.reconnects.Load(), "syncs": f.exchanges.Load(),
-		"declared_gone": f.declaredDead.Load(), "stalls": f.stalls.Load(), "unlogged": f.log.dropped.Load()}
+	counts := &m.traffic
+	s.Traffic = map[string]uint64{"packets_in": counts.packetsIn.Load(), "bytes_in": counts.bytesIn.Load(),
+		"packets_out": counts.packetsOut.Load(), "bytes_out": counts.bytesOut.Load(), "streams": counts.streams.Load(), "streams_out": counts.streamsOut.Load(),
+		"stream_bytes_in": counts.streamBytesIn.Load(), "stream_bytes_out": counts.streamBytesOut.Load(),
+		"bad_packets": counts.badPackets.Load(), "bad_streams": counts.badStreams.Load(), "foreign": counts.foreignSite.Load(),
+		"rejected": counts.rejected.Load(), "hearsay": counts.demotedDeaths.Load(), "reconnects": m.reconnects.Load(), "syncs": m.exchanges.Load(),
+		"declared_gone": m.declaredDead.Load(), "stalls": m.stalls.Load(), "unlogged": m.log.dropped.Load()}
 	return s
 }
 
 // ---- what memberlist asks and tells (its goroutines, some under its lock) ----
 
 // NodeMeta is what this process tells of itself.
-func (f *Membership) NodeMeta(int) []byte {
-	return meta{Process: f.process, Zone: f.cfg.Zone, Version: f.cfg.Version, Draining: f.draining.Load()}.bytes()
+func (m *Membership) NodeMeta(int) []byte {
+	return meta{Process: m.process, Zone: m.cfg.Zone, Version: m.cfg.Version, Draining: m.draining.Load()}.bytes()
 }
 
 // NotifyAlive refuses members that can't be one of ours: it is the only way into the list.
-func (f *Membership) NotifyAlive(n *memberlist.Node) error {
-	err := f.checkMember(n)
+func (m *Membership) NotifyAlive(node *memberlist.Node) error {
+	err := m.checkMember(node)
 	if err != nil {
-		f.traffic.rejected.Add(1)
+		m.traffic.rejected.Add(1)
 	}
 	return err
 }
 
-func (f *Membership) checkMember(n *memberlist.Node) error {
-	if n.Name == f.cfg.Name {
+func (m *Membership) checkMember(node *memberlist.Node) error {
+	if node.Name == m.cfg.Name {
 		return nil // what is wrong of it is refuted
 	}
-	m, err := f.metas.parse(n.Meta)
+	parsed, err := m.metas.parse(node.Meta)
 	if err != nil {
 		return err
 	}
-	if n.Name == "" || len(n.Name) > maxNameBytes || strings.ContainsAny(n.Name, "/@") || len(n.Addr) != 4 && len(n.Addr) != 16 {
+	if node.Name == "" || len(node.Name) > maxNameBytes || strings.ContainsAny(node.Name, "/@") || len(node.Addr) != 4 && len(node.Addr) != 16 {
 		return errors.New("a name or an address that none has")
 	}
 	// A version that none of ours speaks would make every exchange of lists fail.
 	const version = memberlist.ProtocolVersion2Compatible
-	if n.PMin > version || n.PMax < version || n.PCur != version || n.DMin|n.DMax|n.DCur != 0 {
+	if node.PMin > version || node.PMax < version || node.PCur != version || node.DMin|node.DMax|node.DCur != 0 {
 		return errors.New("another version of the protocol")
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.table.isRetired(n.Name, m.Process, time.Now()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.table.isRetired(node.Name, parsed.Process, time.Now()) {
 		return errors.New("a process that was replaced")
 	}
-	if !f.admitted[n.Name] {
-		if len(f.admitted) >= f.cfg.maxMembers() {
+	if !m.admitted[node.Name] {
+		if len(m.admitted) >= m.cfg.maxMembers() {
 			return errors.New("too many members")
 		}
-		f.admitted[n.Name] = true
+		m.admitted[node.Name] = true
 	}
 	return nil
 }
 
 // NotifyJoin, NotifyLeave and NotifyUpdate tell that the list has changed.
-func (f *Membership) NotifyJoin(*memberlist.Node)   { f.notifyListChanged() }
-func (f *Membership) NotifyLeave(*memberlist.Node)  { f.notifyListChanged() }
-func (f *Membership) NotifyUpdate(*memberlist.Node) { f.notifyListChanged() }
+func (m *Membership) NotifyJoin(*memberlist.Node)   { m.notifyListChanged() }
+func (m *Membership) NotifyLeave(*memberlist.Node)  { m.notifyListChanged() }
+func (m *Membership) NotifyUpdate(*memberlist.Node) { m.notifyListChanged() }
 
 // AckPayload is this process's digest, which goes with each answer to a probe.
-func (f *Membership) AckPayload() []byte {
-	return binary.BigEndian.AppendUint64(nil, f.snapshot.Load().digest)
+func (m *Membership) AckPayload() []byte {
+	return binary.BigEndian.AppendUint64(nil, m.snapshot.Load().digest)
 }
 
 // NotifyPingComplete compares a member's digest with this process's. While a change runs
 // through the fleet they differ; where they still do after a settled time, lists are exchanged.
-func (f *Membership) NotifyPingComplete(n *memberlist.Node, _ time.Duration, payload []byte) {
+func (m *Membership) NotifyPingComplete(node *memberlist.Node, _ time.Duration, payload []byte) {
 	if len(payload) != 8 {
 		return
 	}
-	v, now := f.snapshot.Load(), time.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if binary.BigEndian.Uint64(payload) == v.digest || now.Sub(v.digestSince) < f.digestSettleTime() && now.Sub(f.exchangedAt) < 2*f.digestSettleTime() {
+	snapshot, now := m.snapshot.Load(), time.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if binary.BigEndian.Uint64(payload) == snapshot.digest || now.Sub(snapshot.digestSince) < m.digestSettleTime() && now.Sub(m.exchangedAt) < 2*m.digestSettleTime() {
 		return
 	}
-	f.differingPeer = n.Name + "/" + n.Address()
-	f.differedAt = now
+	m.differingPeer = node.Name + "/" + node.Address()
+	m.differedAt = now
 }
 
 // differFor is how long the digest is unchanged before another is looked into: some rounds
 // of the gossip. (Doubts that come and go do not count: in a large fleet some always do.)
 // Where it never rests, as one member after the other is heard of, it is twice as long since
 // the last exchange of lists.
-func (f *Membership) digestSettleTime() time.Duration { return 3 * milliseconds(f.cfg.ProbeIntervalMs) }
+func (m *Membership) digestSettleTime() time.Duration { return 3 * milliseconds(m.cfg.ProbeIntervalMs) }
 
 // NotifyMsg, GetBroadcasts, LocalState and MergeRemoteState carry nothing yet.
-func (f *Membership) NotifyMsg([]byte)                           {}
-func (f *Membership) GetBroadcasts(overhead, limit int) [][]byte { return nil }
-func (f *Membership) LocalState(bool) []byte                     { return nil }
-func (f *Membership) MergeRemoteState([]byte, bool)              {}
+func (m *Membership) NotifyMsg([]byte)                           {}
+func (m *Membership) GetBroadcasts(overhead, limit int) [][]byte { return nil }
+func (m *Membership) LocalState(bool) []byte                     { return nil }
+func (m *Membership) MergeRemoteState([]byte, bool)              {}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -67,8 +67,8 @@
 			t.Errorf("step %d: %+v", i, c)
 		}
 	}
-	if m, _ := tab.snapshot.Member("b"); m.State != Alive {
-		t.Errorf("b is %v", m)
+	if member, _ := tab.snapshot.Member("b"); member.State != Alive {
+		t.Errorf("b is %v", member)
 	}
 	// A dead member that memberlist forgets is kept, to be sought; one that left is not.
 	cfg.ReconnectForMs = 60_000
--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -57,26 +57,26 @@
 
 // liftBar lifts the bars that a message of members alive refutes: an alive message or a push/pull,
 // whose form was checked. It is called before memberlist has it.
-func (f *Membership) liftRetirements(message []byte) {
-	f.mu.Lock()
-	none := len(f.table.retired) == 0
-	f.mu.Unlock()
+func (m *Membership) liftRetirements(message []byte) {
+	m.mu.Lock()
+	none := len(m.table.retired) == 0
+	m.mu.Unlock()
 	if none {
 		return
 	}
-	claims, err := readAlive(message, f.cfg.maxMembers())
+	claims, err := readAlive(message, m.cfg.maxMembers())
 	if err != nil {
 		return // memberlist passes it over
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for i := range claims {
 		claim := &claims[i]
-		if len(f.table.retired[claim.Node]) == 0 {
+		if len(m.table.retired[claim.Node]) == 0 {
 			continue
 		}
-		if m, err := f.metas.parse(claim.Meta); err == nil {
-			f.table.liftRetirement(claim.Node, m.Process, claim.Incarnation)
+		if parsed, err := m.metas.parse(claim.Meta); err == nil {
+			m.table.liftRetirement(claim.Node, parsed.Process, claim.Incarnation)
 		}
 	}
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -41,8 +41,8 @@
 }
 
 // surely tells whether a member has been alive without a doubt for the settle time.
-func (m *Member) isStable(now time.Time, settle time.Duration) bool {
-	return m.State == Alive && now.Sub(m.stateSince) >= settle
+func (member *Member) isStable(now time.Time, settle time.Duration) bool {
+	return member.State == Alive && now.Sub(member.stateSince) >= settle
 }
 
 // View is what one process knows of its fleet. It is never changed once it is made.
@@ -83,25 +83,25 @@
 }
 
 // Conclude is what may be concluded from the view at a time of this process's clock.
-func (v *Snapshot) Assess(now time.Time) Assessment {
-	c := Assessment{AtMost: max(v.Size, v.Present), Settled: now.Sub(v.changedAt) >= v.settleTime}
-	for i := range v.Members {
-		m := &v.Members[i]
-		if m.Name == v.Self || m.isStable(now, v.settleTime) {
+func (snapshot *Snapshot) Assess(now time.Time) Assessment {
+	c := Assessment{AtMost: max(snapshot.Size, snapshot.Present), Settled: now.Sub(snapshot.changedAt) >= snapshot.settleTime}
+	for i := range snapshot.Members {
+		member := &snapshot.Members[i]
+		if member.Name == snapshot.Self || member.isStable(now, snapshot.settleTime) {
 			c.AtLeast++
 		}
 	}
-	c.Quorate = 2*c.AtLeast > v.Size
+	c.Quorate = 2*c.AtLeast > snapshot.Size
 	return c
 }
 
 // Member is a member by its name.
-func (v *Snapshot) Member(name string) (Member, bool) {
-	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, n string) int { return strings.Compare(m.Name, n) })
+func (snapshot *Snapshot) Member(name string) (Member, bool) {
+	i, ok := slices.BinarySearchFunc(snapshot.Members, name, func(member Member, n string) int { return strings.Compare(member.Name, n) })
 	if !ok {
 		return Member{}, false
 	}
-	return v.Members[i], true
+	return snapshot.Members[i], true
 }
 
 // Change is one step of this process's view.
@@ -146,19 +146,19 @@
 // make is a view of these members, which has no number yet.
 func (t *memberTable) newSnapshot(members []Member, now time.Time) *Snapshot {
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-	v := &Snapshot{Self: t.cfg.Name, Process: t.process, Site: t.cfg.Site, Size: t.cfg.Size,
+	snapshot := &Snapshot{Self: t.cfg.Name, Process: t.process, Site: t.cfg.Site, Size: t.cfg.Size,
 		Members: members, settleTime: milliseconds(t.cfg.SettleMs), changedAt: now}
 	for i := range members {
 		if members[i].State.isPresent() {
-			v.Present++
+			snapshot.Present++
 		}
 		if members[i].State == Suspect {
-			v.Suspects++
+			snapshot.Suspects++
 		}
 	}
-	v.digest = digest(members)
-	v.Digest = fmt.Sprintf("%016x", v.digest)
-	return v
+	snapshot.digest = digest(members)
+	snapshot.Digest = fmt.Sprintf("%016x", snapshot.digest)
+	return snapshot
 }
 
 // digest is a hash of the names and processes that are present, in the order of names.
@@ -185,66 +185,66 @@
 	var changes []Change
 	seen := map[string]bool{}
 	next := make([]Member, 0, len(list))
-	for _, m := range list {
-		old, known := t.snapshot.Member(m.Name)
-		seen[m.Name] = true
-		m.stateSince = now
-		same := known && old.Process == m.Process
+	for _, member := range list {
+		old, known := t.snapshot.Member(member.Name)
+		seen[member.Name] = true
+		member.stateSince = now
+		same := known && old.Process == member.Process
 		if same {
-			m.returnedAt = old.returnedAt
+			member.returnedAt = old.returnedAt
 		}
-		if same && old.State == m.State {
-			m.stateSince = old.stateSince
+		if same && old.State == member.State {
+			member.stateSince = old.stateSince
 		}
 		// A doubt that lasted, too, may have been a cut, with doubts on its other side.
-		lasted := known && old.State == Suspect && m.State == Alive && now.Sub(old.stateSince) >= milliseconds(t.cfg.SuspectTimeoutMs)/2
-		if lasted || known && old.State == Dead && m.State.isPresent() {
-			m.returnedAt = now
+		lasted := known && old.State == Suspect && member.State == Alive && now.Sub(old.stateSince) >= milliseconds(t.cfg.SuspectTimeoutMs)/2
+		if lasted || known && old.State == Dead && member.State.isPresent() {
+			member.returnedAt = now
 		}
 		if known && !same {
-			t.retire(m.Name, retiredProcess{old.Process, now})
+			t.retire(member.Name, retiredProcess{old.Process, now})
 		}
-		next = append(next, m)
-		if m.State == Alive {
-			delete(t.deathReporters, m.Name)
+		next = append(next, member)
+		if member.State == Alive {
+			delete(t.deathReporters, member.Name)
 		}
-		if !same || old.State != m.State || old.Draining != m.Draining || old.Incarnation != m.Incarnation {
-			c := Change{Name: m.Name, Process: m.Process, To: m.State, Incarnation: m.Incarnation, Draining: m.Draining}
+		if !same || old.State != member.State || old.Draining != member.Draining || old.Incarnation != member.Incarnation {
+			c := Change{Name: member.Name, Process: member.Process, To: member.State, Incarnation: member.Incarnation, Draining: member.Draining}
 			if same {
 				c.From = old.State
 			}
-			if m.State == Dead {
-				c.ReportedBy = t.deathReporters[m.Name]
+			if member.State == Dead {
+				c.ReportedBy = t.deathReporters[member.Name]
 			}
 			changes = append(changes, c)
 		}
 	}
-	for _, m := range t.snapshot.Members {
+	for _, member := range t.snapshot.Members {
 		switch {
-		case seen[m.Name]:
-		case m.State == Dead && now.Sub(m.stateSince) < milliseconds(t.cfg.ReconnectForMs), m.State.isPresent():
+		case seen[member.Name]:
+		case member.State == Dead && now.Sub(member.stateSince) < milliseconds(t.cfg.ReconnectForMs), member.State.isPresent():
 			// Present and forgotten cannot be but between two snapshots: it died.
-			if m.State.isPresent() {
-				changes = append(changes, Change{Name: m.Name, Process: m.Process, From: m.State, To: Dead, Incarnation: m.Incarnation})
-				m.State, m.stateSince = Dead, now
+			if member.State.isPresent() {
+				changes = append(changes, Change{Name: member.Name, Process: member.Process, From: member.State, To: Dead, Incarnation: member.Incarnation})
+				member.State, member.stateSince = Dead, now
 			}
-			next = append(next, m)
+			next = append(next, member)
 		default:
-			delete(t.deathReporters, m.Name)
-			changes = append(changes, Change{Name: m.Name, Process: m.Process, From: m.State, Incarnation: m.Incarnation})
+			delete(t.deathReporters, member.Name)
+			changes = append(changes, Change{Name: member.Name, Process: member.Process, From: member.State, Incarnation: member.Incarnation})
 		}
 	}
 	if len(changes) == 0 {
 		return false
 	}
-	v := t.newSnapshot(next, now)
-	v.Number, v.digestSince = t.snapshot.Number+1, now
-	if v.digest == t.snapshot.digest {
-		v.digestSince = t.snapshot.digestSince
+	snapshot := t.newSnapshot(next, now)
+	snapshot.Number, snapshot.digestSince = t.snapshot.Number+1, now
+	if snapshot.digest == t.snapshot.digest {
+		snapshot.digestSince = t.snapshot.digestSince
 	}
-	t.snapshot = v
+	t.snapshot = snapshot
 	for _, c := range changes {
-		c.Number, c.UnixUs, c.Digest = v.Number, t.cfg.clock().Wall().UnixMicro(), v.Digest
+		c.Number, c.UnixUs, c.Digest = snapshot.Number, t.cfg.clock().Wall().UnixMicro(), snapshot.Digest
 		t.changes = append(t.changes, c)
 	}
 	if over := len(t.changes) - maxChanges; over > 0 {
@@ -261,20 +261,20 @@
 	Draining bool   `json:"d,omitempty"`
 }
 
-func (m meta) bytes() []byte {
-	b, _ := json.Marshal(m) // strings and a bool cannot fail
+func (parsed meta) bytes() []byte {
+	b, _ := json.Marshal(parsed) // strings and a bool cannot fail
 	return b
 }
 
 // parseMeta reads what a member told of itself; what no member of ours says is an error.
-func parseMeta(b []byte) (m meta, err error) {
-	if err := json.Unmarshal(b, &m); err != nil {
-		return m, fmt.Errorf("meta: %w", err)
+func parseMeta(b []byte) (parsed meta, err error) {
+	if err := json.Unmarshal(b, &parsed); err != nil {
+		return parsed, fmt.Errorf("meta: %w", err)
 	}
-	if len(m.Process) != 16 || len(m.Zone) > 64 || len(m.Version) > 64 {
-		return m, fmt.Errorf("meta: process, zone or version of a length that none has")
+	if len(parsed.Process) != 16 || len(parsed.Zone) > 64 || len(parsed.Version) > 64 {
+		return parsed, fmt.Errorf("meta: process, zone or version of a length that none has")
 	}
-	return m, nil
+	return parsed, nil
 }
 
 // metaCache keeps what members told of themselves, read: the same bytes come again with
@@ -290,16 +290,16 @@
 func (c *metaCache) parse(b []byte) (meta, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m, ok := c.parsed[string(b)]; ok {
-		return m, nil
+	if parsed, ok := c.parsed[string(b)]; ok {
+		return parsed, nil
 	}
-	m, err := parseMeta(b)
+	parsed, err := parseMeta(b)
 	if err != nil {
-		return m, err
+		return parsed, err
 	}
 	if c.parsed == nil || len(c.parsed) >= maxCachedMetas {
 		c.parsed = map[string]meta{}
 	}
-	c.parsed[string(b)] = m
-	return m, nil
+	c.parsed[string(b)] = parsed
+	return parsed, nil
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -49,9 +49,9 @@
 
 func (l *late) PacketCh() <-chan *memberlist.Packet { return l.packets }
 
-func (l *late) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	c, err := l.transport.DialAddressTimeout(a, within)
-	if err != nil || a.Name != listPeer {
+func (l *late) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
+	c, err := l.transport.DialAddressTimeout(address, within)
+	if err != nil || address.Name != listPeer {
 		return c, err
 	}
 	l.began.Add(1)
@@ -105,39 +105,39 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Leave)
-	f, err := newMembership(quick("b", freeAddr(t), first.cfg.Bind))
+	m, err := newMembership(quick("b", freeAddr(t), first.cfg.Bind))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &late{packets: make(chan *memberlist.Packet), announced: make(chan struct{}), spent: func() bool { return len(f.listChanged) == 0 }}
+	l := &late{packets: make(chan *memberlist.Packet), announced: make(chan struct{}), spent: func() bool { return len(m.listChanged) == 0 }}
 	announce := sync.OnceFunc(func() { close(l.announced) })
-	tr, err := newTransport(&f.cfg, f.log.std(), &f.traffic, func() { f.notifyListChanged(); announce() }, f.trustsDeathReport)
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, func() { m.notifyListChanged(); announce() }, m.trustsDeathReport)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.transport = tr
+	l.transport = sockets
 	go l.pass()
-	if err := f.run(tr, l); err != nil {
+	if err := m.run(sockets, l); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Leave)
+	t.Cleanup(m.Leave)
 	await(t, 10*time.Second, "a and b see each other", func() bool {
-		return f.Snapshot().Present == 2 && first.Snapshot().Present == 2 && f.Snapshot().Digest == first.Snapshot().Digest
+		return m.Snapshot().Present == 2 && first.Snapshot().Present == 2 && m.Snapshot().Digest == first.Snapshot().Digest
 	})
-	if self, _ := f.Snapshot().Member("b"); self.Incarnation <= f.baseIncarnation {
-		t.Errorf("b is at incarnation %d, not above %d", self.Incarnation, f.baseIncarnation)
+	if self, _ := m.Snapshot().Member("b"); self.Incarnation <= m.baseIncarnation {
+		t.Errorf("b is at incarnation %d, not above %d", self.Incarnation, m.baseIncarnation)
 	}
 }
 
 // A process that is alone shows the incarnation that it tells, also where that grew after it rose.
 func TestOneAloneShowsItsOwnIncarnation(t *testing.T) {
-	f, err := Start(quick("a", freeAddr(t)))
+	m, err := Start(quick("a", freeAddr(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Leave)
+	t.Cleanup(m.Leave)
 	await(t, 5*time.Second, "a is above its base, and told so once more", func() bool {
-		self, _ := f.Snapshot().Member("a")
-		return self.Incarnation == f.baseIncarnation+2
+		self, _ := m.Snapshot().Member("a")
+		return self.Incarnation == m.baseIncarnation+2
 	})
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -242,35 +242,35 @@
 
 // open reads a stream's label and first message: a watcher's is kept, any other is for
 // memberlist.
-func (t *transport) routeStream(f *framedStream) {
-	f.SetDeadline(time.Now().Add(streamTimeout))
-	err := f.readMessage()
-	label := f.unread
+func (t *transport) routeStream(s *framedStream) {
+	s.SetDeadline(time.Now().Add(streamTimeout))
+	err := s.readMessage()
+	label := s.unread
 	if err == nil && label[0] == msgLabel {
-		err = f.readMessage()
+		err = s.readMessage()
 	}
 	if err != nil {
-		f.Close()
+		s.Close()
 		return
 	}
-	if f.unread[0] == msgWatch {
-		t.serveWatcher(f)
+	if s.unread[0] == msgWatch {
+		t.serveWatcher(s)
 		return
 	}
-	f.unread = append(bytes.Clone(label), f.unread...)
+	s.unread = append(bytes.Clone(label), s.unread...)
 	select {
-	case t.streams <- f:
+	case t.streams <- s:
 	case <-t.ctx.Done():
-		f.Close()
+		s.Close()
 	}
 }
 
 // watched answers a watcher and keeps its connection until either side ends. It takes no
 // place among the streams; those of the watchers are bounded on their own, and one too many is
 // answered and ended: it comes again.
-func (t *transport) serveWatcher(f *framedStream) {
-	_, err := f.Write([]byte{msgWatch})
-	f.releaseSlot()
+func (t *transport) serveWatcher(s *framedStream) {
+	_, err := s.Write([]byte{msgWatch})
+	s.releaseSlot()
 	select {
 	case t.watchers <- struct{}{}:
 		defer func() { <-t.watchers }()
@@ -278,12 +278,12 @@
 		err = errTooManyWatchers
 	}
 	if err == nil {
-		f.SetDeadline(time.Time{})
-		stop := context.AfterFunc(t.ctx, func() { f.Close() })
+		s.SetDeadline(time.Time{})
+		stop := context.AfterFunc(t.ctx, func() { s.Close() })
 		defer stop()
-		f.Conn.Read(make([]byte, 1)) // nothing comes; it ends
+		s.Conn.Read(make([]byte, 1)) // nothing comes; it ends
 	}
-	f.Close()
+	s.Close()
 }
 
 // allowed tells whether something may be sent to an address.
@@ -309,8 +309,8 @@
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	if err := t.checkNetworks(a.Addr); err != nil {
+func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
+	if err := t.checkNetworks(address.Addr); err != nil {
 		return time.Time{}, err
 	}
 	t.traffic.packetsOut.Add(1)
@@ -321,7 +321,7 @@
 			t.onStateMessage()
 		}
 	}
-	to, err := net.ResolveUDPAddr("udp", a.Addr)
+	to, err := net.ResolveUDPAddr("udp", address.Addr)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -333,18 +333,18 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, within)
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	switch a.Name {
+func (t *transport) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
+	switch address.Name {
 	case listPeer:
-		return newLocalStream(a.Addr, func(b []byte) { t.recordedList = b }, encodeMessage(msgError, errorMessage{"nobody"}))
+		return newLocalStream(address.Addr, func(b []byte) { t.recordedList = b }, encodeMessage(msgError, errorMessage{"nobody"}))
 	case suspicionPeer:
-		return newLocalStream(a.Addr, func([]byte) {}, t.suspicionOfSelf)
+		return newLocalStream(address.Addr, func([]byte) {}, t.suspicionOfSelf)
 	}
-	if err := t.checkNetworks(a.Addr); err != nil {
+	if err := t.checkNetworks(address.Addr); err != nil {
 		return nil, err
 	}
 	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.localIP}}
-	c, err := d.DialContext(t.killContext, "tcp", a.Addr)
+	c, err := d.DialContext(t.killContext, "tcp", address.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -368,68 +368,68 @@
 	return &framedStream{Conn: c, transport: t, releaseSlot: release, detachFromKill: context.AfterFunc(t.killContext, func() { c.Close() })}
 }
 
-func (f *framedStream) Close() error {
-	f.detachFromKill()
-	f.releaseSlot()
-	return f.Conn.Close()
+func (s *framedStream) Close() error {
+	s.detachFromKill()
+	s.releaseSlot()
+	return s.Conn.Close()
 }
 
-func (f *framedStream) Write(p []byte) (int, error) {
+func (s *framedStream) Write(p []byte) (int, error) {
 	if len(p) > maxFrameBytes {
 		return 0, fmt.Errorf("message of %d bytes", len(p))
 	}
 	b := append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(p)), uint32(len(p))), p...)
-	n, err := f.Conn.Write(b)
-	f.transport.traffic.streamBytesOut.Add(uint64(n))
+	n, err := s.Conn.Write(b)
+	s.transport.traffic.streamBytesOut.Add(uint64(n))
 	return max(0, n-4), err
 }
 
-func (f *framedStream) Read(p []byte) (int, error) {
-	if len(f.unread) == 0 {
-		if err := f.readMessage(); err != nil {
+func (s *framedStream) Read(p []byte) (int, error) {
+	if len(s.unread) == 0 {
+		if err := s.readMessage(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, f.unread)
-	f.unread = f.unread[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
 // next reads and checks one message.
-func (f *framedStream) readMessage() error {
+func (s *framedStream) readMessage() error {
 	var head [4]byte
-	if _, err := io.ReadFull(f.Conn, head[:]); err != nil {
+	if _, err := io.ReadFull(s.Conn, head[:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size == 0 || size > maxFrameBytes {
-		return f.rejectMessage(fmt.Errorf("message of %d bytes", size))
+		return s.rejectMessage(fmt.Errorf("message of %d bytes", size))
 	}
 	var b bytes.Buffer // grows with what comes, not with what is claimed
-	if _, err := io.CopyN(&b, f.Conn, int64(size)); err != nil {
+	if _, err := io.CopyN(&b, s.Conn, int64(size)); err != nil {
 		return err
 	}
-	f.transport.traffic.streamBytesIn.Add(4 + uint64(size))
-	f.unread = b.Bytes()
-	if f.unread[0] == msgLabel {
-		if string(f.unread[min(2, len(f.unread)):]) != f.transport.cfg.Site {
-			f.transport.traffic.foreignSite.Add(1)
+	s.transport.traffic.streamBytesIn.Add(4 + uint64(size))
+	s.unread = b.Bytes()
+	if s.unread[0] == msgLabel {
+		if string(s.unread[min(2, len(s.unread)):]) != s.transport.cfg.Site {
+			s.transport.traffic.foreignSite.Add(1)
 			return errors.New("stream of another site")
 		}
 		return nil
 	}
-	if err := checkStream(f.unread, f.transport.cfg.maxMembers()); err != nil {
-		return f.rejectMessage(err)
+	if err := checkStream(s.unread, s.transport.cfg.maxMembers()); err != nil {
+		return s.rejectMessage(err)
 	}
-	if f.unread[0] == msgPushPull {
-		f.transport.onAlive(f.unread)
+	if s.unread[0] == msgPushPull {
+		s.transport.onAlive(s.unread)
 	}
 	return nil
 }
 
-func (f *framedStream) rejectMessage(err error) error {
-	f.transport.traffic.badStreams.Add(1)
-	f.unread = nil
+func (s *framedStream) rejectMessage(err error) error {
+	s.transport.traffic.badStreams.Add(1)
+	s.unread = nil
 	return err
 }
 
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -25,11 +25,11 @@
 const msgWatch = 200
 
 // watch keeps the connections to this member's successors.
-func (f *Membership) watchSuccessors() {
+func (m *Membership) watchSuccessors() {
 	open := map[string]net.Conn{} // by process
 	want := make([]Member, 0, watchedSuccessors)
 	var mu sync.Mutex
-	look := time.NewTicker(milliseconds(f.cfg.ProbeIntervalMs) / 4)
+	look := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / 4)
 	defer look.Stop()
 	var ended sync.WaitGroup
 	defer func() {
@@ -42,32 +42,32 @@
 	}()
 	for {
 		select {
-		case <-f.ctx.Done():
+		case <-m.ctx.Done():
 			return
 		case <-look.C:
 		}
-		want = f.successors(want[:0])
+		want = m.successors(want[:0])
 		mu.Lock()
 		for process, c := range open {
-			if !slices.ContainsFunc(want, func(m Member) bool { return m.Process == process }) {
+			if !slices.ContainsFunc(want, func(member Member) bool { return member.Process == process }) {
 				delete(open, process)
 				c.Close()
 			}
 		}
 		var begin []Member
-		for _, m := range want {
-			if open[m.Process] == nil {
-				begin = append(begin, m)
+		for _, member := range want {
+			if open[member.Process] == nil {
+				begin = append(begin, member)
 			}
 		}
 		mu.Unlock()
-		for _, m := range begin {
-			c, err := f.dialWatch(&m)
+		for _, member := range begin {
+			c, err := m.dialWatch(&member)
 			if err != nil {
 				continue // the next look tries again; that it is gone is for confirm
 			}
 			mu.Lock()
-			open[m.Process] = c
+			open[member.Process] = c
 			mu.Unlock()
 			ended.Add(1)
 			go func() {
@@ -75,13 +75,13 @@
 				c.Read(make([]byte, 1)) // nothing comes; it ends
 				c.Close()
 				mu.Lock()
-				mine := open[m.Process] == c
+				mine := open[member.Process] == c
 				if mine {
-					delete(open, m.Process)
+					delete(open, member.Process)
 				}
 				mu.Unlock()
-				if mine && f.ctx.Err() == nil {
-					f.watchEnded(&m)
+				if mine && m.ctx.Err() == nil {
+					m.watchEnded(&member)
 				}
 			}()
 		}
@@ -90,19 +90,19 @@
 
 // successors are the members that this one watches, appended to into: those whose hashed names follow its
 // own, the next one first. It takes one pass and no memory, as each look asks for them.
-func (f *Membership) successors(into []Member) []Member {
-	members, own := f.snapshot.Load().Members, xxhash.Sum64String(f.cfg.Name)
+func (m *Membership) successors(into []Member) []Member {
+	members, own := m.snapshot.Load().Members, xxhash.Sum64String(m.cfg.Name)
 	var nearest [watchedSuccessors]struct {
 		after uint64 // by how much the hash follows this process's own, around the ring
 		index int
 	}
 	found := 0
 	for i := range members {
-		m := &members[i]
-		if m.State != Alive || m.Name == f.cfg.Name {
+		member := &members[i]
+		if member.State != Alive || member.Name == m.cfg.Name {
 			continue
 		}
-		after, at := xxhash.Sum64String(m.Name)-own, found
+		after, at := xxhash.Sum64String(member.Name)-own, found
 		for at > 0 && after < nearest[at-1].after {
 			at--
 		}
@@ -120,15 +120,15 @@
 }
 
 // openWatch opens a connection to a member and has it acknowledged.
-func (f *Membership) dialWatch(m *Member) (net.Conn, error) {
-	c, err := f.transport.DialAddressTimeout(memberlist.Address{Name: m.Name, Addr: m.Addr}, milliseconds(f.cfg.ProbeIntervalMs))
+func (m *Membership) dialWatch(member *Member) (net.Conn, error) {
+	c, err := m.transport.DialAddressTimeout(memberlist.Address{Name: member.Name, Addr: member.Addr}, milliseconds(m.cfg.ProbeIntervalMs))
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(milliseconds(f.cfg.ProbeIntervalMs)))
-	err = memberlist.AddLabelHeaderToStream(c, f.cfg.Site)
+	c.SetDeadline(time.Now().Add(milliseconds(m.cfg.ProbeIntervalMs)))
+	err = memberlist.AddLabelHeaderToStream(c, m.cfg.Site)
 	if err == nil {
-		_, err = c.Write(append([]byte{msgWatch}, f.cfg.Name...))
+		_, err = c.Write(append([]byte{msgWatch}, m.cfg.Name...))
 	}
 	if err == nil {
 		_, err = c.Read(make([]byte, 1))
@@ -142,17 +142,17 @@
 
 // ended is called when a watched member's connection ended: if its address refuses calls
 // its process is gone.
-func (f *Membership) watchEnded(m *Member) {
-	if now, ok := f.snapshot.Load().Member(m.Name); ok && now.Process == m.Process && now.State.isPresent() && f.checkAddress(m) == addressRefuses {
-		f.declareDead(&now)
+func (m *Membership) watchEnded(member *Member) {
+	if now, ok := m.snapshot.Load().Member(member.Name); ok && now.Process == member.Process && now.State.isPresent() && m.checkAddress(member) == addressRefuses {
+		m.declareDead(&now)
 	}
 }
 
 // declareGone tells memberlist, and so the fleet, that a member is dead.
-func (f *Membership) declareDead(m *Member) {
-	f.declaredDead.Add(1)
-	f.log.Info("fleet: a member's address refuses calls", "name", m.Name, "addr", m.Addr)
-	f.transport.injectMessage(encodeMessage(msgDead, deadMessage{Incarnation: m.Incarnation, Node: m.Name, From: f.cfg.Name}))
+func (m *Membership) declareDead(member *Member) {
+	m.declaredDead.Add(1)
+	m.log.Info("fleet: a member's address refuses calls", "name", member.Name, "addr", member.Addr)
+	m.transport.injectMessage(encodeMessage(msgDead, deadMessage{Incarnation: member.Incarnation, Node: member.Name, From: m.cfg.Name}))
 }
 
 // checkers is how many agents look at a suspect in each probe interval, on average over
@@ -167,28 +167,28 @@
 // the rest of the suspicion. One that answers is told that it is suspected, so that it
 // refutes. One that stands still or is cut off says nothing, and keeps its time; once that is
 // half over another member is asked what it knows.
-func (f *Membership) confirmSuspects() {
-	look := time.NewTicker(milliseconds(f.cfg.ProbeIntervalMs) / 2)
+func (m *Membership) confirmSuspects() {
+	look := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / 2)
 	defer look.Stop()
 	for {
 		select {
-		case <-f.ctx.Done():
+		case <-m.ctx.Done():
 			return
 		case <-look.C:
 		}
-		v, odd := f.snapshot.Load(), f.digestDifferedLately()
-		for i := range v.Members {
-			m := &v.Members[i]
-			if m.State != Suspect || !odd && !f.overdueCheckDrawn(m) && rand.IntN(max(1, v.Present)) >= checkersPerInterval {
+		snapshot, odd := m.snapshot.Load(), m.digestDifferedLately()
+		for i := range snapshot.Members {
+			member := &snapshot.Members[i]
+			if member.State != Suspect || !odd && !m.overdueCheckDrawn(member) && rand.IntN(max(1, snapshot.Present)) >= checkersPerInterval {
 				continue
 			}
-			switch f.checkAddress(m) {
+			switch m.checkAddress(member) {
 			case addressRefuses:
-				f.declareDead(m)
+				m.declareDead(member)
 			case addressAnswers:
-				f.exchangeLists(m.Name + "/" + m.Addr)
+				m.exchangeLists(member.Name + "/" + member.Addr)
 			case addressSilent:
-				f.exchangeAboutSuspect(m)
+				m.exchangeAboutSuspect(member)
 			}
 			break // one at a time: the others have their checkers
 		}
@@ -197,18 +197,18 @@
 
 // askOthers exchanges lists with some member about a suspect that is silent to this process: the
 // suspicion may be refuted to all others, and no digest shows it, as doubts do not count there.
-func (f *Membership) exchangeAboutSuspect(suspect *Member) {
-	f.mu.Lock()
-	lately := time.Since(f.exchangedAt) < milliseconds(f.cfg.SuspectTimeoutMs)/2
-	f.mu.Unlock()
-	if lately || time.Since(suspect.stateSince) < milliseconds(f.cfg.SuspectTimeoutMs)/2 {
+func (m *Membership) exchangeAboutSuspect(suspect *Member) {
+	m.mu.Lock()
+	lately := time.Since(m.exchangedAt) < milliseconds(m.cfg.SuspectTimeoutMs)/2
+	m.mu.Unlock()
+	if lately || time.Since(suspect.stateSince) < milliseconds(m.cfg.SuspectTimeoutMs)/2 {
 		return
 	}
-	v := f.snapshot.Load()
-	from := rand.IntN(len(v.Members))
-	for i := range v.Members {
-		if m := &v.Members[(from+i)%len(v.Members)]; m.State == Alive && m.Name != f.cfg.Name {
-			f.exchangeLists(m.Name + "/" + m.Addr)
+	snapshot := m.snapshot.Load()
+	from := rand.IntN(len(snapshot.Members))
+	for i := range snapshot.Members {
+		if member := &snapshot.Members[(from+i)%len(snapshot.Members)]; member.State == Alive && member.Name != m.cfg.Name {
+			m.exchangeLists(member.Name + "/" + member.Addr)
 			return
 		}
 	}
@@ -216,8 +216,8 @@
 
 // overdue tells, now and then, that a suspicion is half over: the others may long have heard
 // its refutation, which this process missed, so it asks for itself.
-func (f *Membership) overdueCheckDrawn(m *Member) bool {
-	return time.Since(m.stateSince) > milliseconds(f.cfg.SuspectTimeoutMs)/2 && rand.IntN(overdueCheckOneIn) == 0
+func (m *Membership) overdueCheckDrawn(member *Member) bool {
+	return time.Since(member.stateSince) > milliseconds(m.cfg.SuspectTimeoutMs)/2 && rand.IntN(overdueCheckOneIn) == 0
 }
 
 // overdueOneIn is in how many looks an overdue suspect is asked once, so that a machine that
@@ -227,10 +227,10 @@
 // odd tells whether this process's digest was lately another than that of members it
 // probed: what it doubts then may long be decided (memberlist takes another's dead member
 // for a suspect), so it asks for itself.
-func (f *Membership) digestDifferedLately() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return !f.differedAt.IsZero() && time.Since(f.differedAt) < 2*f.digestSettleTime()
+func (m *Membership) digestDifferedLately() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.differedAt.IsZero() && time.Since(m.differedAt) < 2*m.digestSettleTime()
 }
 
 // found is what calling a member showed.
@@ -243,9 +243,9 @@
 )
 
 // ask calls a member until it answers, is silent, or has refused so often that it is gone.
-func (f *Membership) checkAddress(m *Member) addressState {
+func (m *Membership) checkAddress(member *Member) addressState {
 	for range refusalsToDeclareDead {
-		c, err := f.dialWatch(m)
+		c, err := m.dialWatch(member)
 		if err == nil {
 			c.Close()
 			return addressAnswers
@@ -254,8 +254,8 @@
 			return addressSilent
 		}
 		select {
-		case <-time.After(milliseconds(f.cfg.ProbeIntervalMs) / 20):
-		case <-f.ctx.Done():
+		case <-time.After(milliseconds(m.cfg.ProbeIntervalMs) / 20):
+		case <-m.ctx.Done():
 			return addressSilent
 		}
 	}
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -15,15 +15,15 @@
 
 // ring is what successors are by definition: of all others that are alive, in the order in which their
 // hashed names follow one's own, the first few.
-func ring(v *Snapshot, name string) []Member {
+func ring(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
 	var there []Member
-	for _, m := range v.Members {
-		if m.State == Alive && m.Name != name {
-			there = append(there, m)
+	for _, member := range snapshot.Members {
+		if member.State == Alive && member.Name != name {
+			there = append(there, member)
 		}
 	}
-	after := func(m Member) uint64 { return xxhash.Sum64String(m.Name) - own }
+	after := func(member Member) uint64 { return xxhash.Sum64String(member.Name) - own }
 	slices.SortFunc(there, func(a, b Member) int {
 		if after(a) < after(b) {
 			return -1
@@ -44,10 +44,10 @@
 		}
 		var got []Member
 		for _, self := range append(names, "nobody") {
-			f := &Membership{cfg: Config{Name: self}}
-			f.snapshot.Store(&Snapshot{Members: members})
-			got = f.successors(got[:0])
-			if want := ring(f.Snapshot(), self); !slices.Equal(got, want) {
+			m := &Membership{cfg: Config{Name: self}}
+			m.snapshot.Store(&Snapshot{Members: members})
+			got = m.successors(got[:0])
+			if want := ring(m.Snapshot(), self); !slices.Equal(got, want) {
 				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
 			}
 		}
@@ -56,14 +56,14 @@
 
 // A look takes no memory, whatever the fleet's size.
 func TestSuccessorsTakeNoMemory(t *testing.T) {
-	f := &Membership{cfg: Config{Name: memberName(7)}}
-	v := &Snapshot{}
+	m := &Membership{cfg: Config{Name: memberName(7)}}
+	snapshot := &Snapshot{}
 	for i := range 1500 {
-		v.Members = append(v.Members, Member{Name: memberName(i), State: Alive})
+		snapshot.Members = append(snapshot.Members, Member{Name: memberName(i), State: Alive})
 	}
-	f.snapshot.Store(v)
+	m.snapshot.Store(snapshot)
 	into := make([]Member, 0, watchedSuccessors)
-	if n := testing.AllocsPerRun(100, func() { into = f.successors(into[:0]) }); n != 0 || len(into) != watchedSuccessors {
+	if n := testing.AllocsPerRun(100, func() { into = m.successors(into[:0]) }); n != 0 || len(into) != watchedSuccessors {
 		t.Errorf("%v allocations for %d successors", n, len(into))
 	}
 }
