--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -9,64 +9,70 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// retired is a process that was replaced by another of its name. What comes late of it is not heard
-// for ForgetMs, unless it claims a higher incarnation than the process that took its place: see lift.
+// retiredProcess is a process that another process of the same name replaced. Late messages about it are ignored
+// for ForgetMs, unless one claims a higher incarnation than the process that replaced it: see liftRetirement.
 type retiredProcess struct {
 	process   string
 	retiredAt time.Time
 }
 
-// keptRetired is how many retired processes of a name are remembered.
-const maxRetiredPerName = 4
+const (
+	// maxRetiredPerName is how many retired processes of a name are remembered.
+	maxRetiredPerName = 4
+	// retiredNamesFactor bounds the names with retired processes, as a multiple of maxMembers.
+	retiredNamesFactor = 4
+)
+
+var errInvalidAlive = errors.New("invalid alive message")
 
 // retire remembers a process that was replaced.
 func (t *memberTable) retire(name string, old retiredProcess) {
-	if len(t.retired) > 4*t.cfg.maxMembers() {
-		clear(t.retired) // names that come and go for ever: what is late of them is refuted
+	if len(t.retired) > retiredNamesFactor*t.cfg.maxMembers() {
+		clear(t.retired) // new names keep coming; late messages about the old ones are refuted by their members
 	}
-	t.retired[name] = append([]retiredProcess{old}, t.retired[name]...)
-	t.retired[name] = t.retired[name][:min(len(t.retired[name]), maxRetiredPerName)]
+	processes := append([]retiredProcess{old}, t.retired[name]...)
+	t.retired[name] = processes[:min(len(processes), maxRetiredPerName)]
 }
 
-// barred tells whether a process of a name is not heard, as it was replaced of late.
+// isRetired tells whether messages about a process are ignored, as it was replaced within ForgetMs.
 func (t *memberTable) isRetired(name, process string, now time.Time) bool {
 	return slices.ContainsFunc(t.retired[name], func(old retiredProcess) bool {
 		return old.process == process && now.Sub(old.retiredAt) < milliseconds(t.cfg.ForgetMs)
 	})
 }
 
-// lift ends the bar of a process that claims a higher incarnation than the one that took its place.
-// Incarnations begin with the wall clock, so all that an earlier process told is below its successor.
-// Where that clock was set back between the two, a process begins below its predecessor: who hears of
-// it first and of the predecessor then takes it for the earlier one. It refutes that with a
-// higher incarnation, which shows that it is the one that lives.
+// liftRetirement ends the retirement of a process that claims a higher incarnation than the one that replaced it.
+//
+// Incarnations start from the wall clock, so all that an earlier process sent is below its successor. Where that
+// clock was set back between the two, a process starts below its predecessor: a member that learns of it first,
+// and of the predecessor then, takes it for the earlier one. The process refutes that with a higher incarnation,
+// which shows that it is the one that runs.
 func (t *memberTable) liftRetirement(name, process string, incarnation uint32) {
 	current, ok := t.snapshot.Member(name)
 	if !ok || incarnation <= current.Incarnation {
 		return
 	}
-	t.retired[name] = slices.DeleteFunc(t.retired[name], func(old retiredProcess) bool { return old.process == process })
+	t.retired[name] = slices.DeleteFunc(t.retired[name], func(old retiredProcess) bool {
+		return old.process == process
+	})
 }
 
-// aliveMessage is the word that a member is alive, as far as it is read here.
+// aliveMessage is memberlist's message that a member is alive, as far as it is read here.
 type aliveMessage struct {
 	Incarnation uint32
 	Node        string
 	Meta        []byte
 }
 
-// liftBar lifts the bars that a message of members alive refutes: an alive message or a push/pull,
-// whose form was checked. It is called before memberlist has it.
+// liftRetirements lifts the retirements that an alive message or a push/pull refutes. Its form has been checked,
+// and memberlist has not seen it yet.
 func (m *Membership) liftRetirements(message []byte) {
-	m.mu.Lock()
-	none := len(m.table.retired) == 0
-	m.mu.Unlock()
-	if none {
+	if !m.hasRetired() {
 		return
 	}
 	claims, err := readAlive(message, m.cfg.maxMembers())
 	if err != nil {
-		return // memberlist passes it over
+		return // memberlist drops the message too
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,23 +87,40 @@
 	}
 }
 
-// readAlive reads what an alive message or a push/pull tells of members.
+func (m *Membership) hasRetired() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.table.retired) > 0
+}
+
+// readAlive reads the members that an alive message or a push/pull claims to be alive.
 func readAlive(message []byte, maxNodes int) (claims []aliveMessage, err error) {
 	defer func() {
-		if recover() != nil { // of no form, over which the decoder falls
-			claims, err = nil, errors.New("alive message of no form")
+		if recover() != nil { // the decoder panics at some input that is not msgpack
+			claims = nil
+			err = errInvalidAlive
 		}
 	}()
 	if message[0] == msgPushPull {
-		nodes, err := readPushPull(message[1:], maxNodes)
-		for i := range nodes {
-			if n := &nodes[i]; n.State == memberlist.StateAlive {
-				claims = append(claims, aliveMessage{n.Incarnation, n.Name, n.Meta})
-			}
-		}
-		return claims, err
+		return readAliveNodes(message, maxNodes)
 	}
 	var claim aliveMessage
 	err = codec.NewDecoderBytes(message[1:], &codec.MsgpackHandle{}).Decode(&claim)
 	return []aliveMessage{claim}, err
 }
+
+// readAliveNodes reads the alive members of a push/pull.
+func readAliveNodes(message []byte, maxNodes int) ([]aliveMessage, error) {
+	nodes, err := readPushPull(message[1:], maxNodes)
+	if err != nil {
+		return nil, err
+	}
+	var claims []aliveMessage
+	for i := range nodes {
+		node := &nodes[i]
+		if node.State == memberlist.StateAlive {
+			claims = append(claims, aliveMessage{node.Incarnation, node.Name, node.Meta})
+		}
+	}
+	return claims, nil
+}
