--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -85,6 +85,17 @@
 	return c, c.complete()
 }
 
+// checkAgent checks what comes from the agent and not from the section.
+func (c *Config) checkAgent() error {
+	if !isValidName(c.Name) {
+		return fmt.Errorf("fleet: name %q: must have 1 to %d bytes and neither / nor @", c.Name, maxNameBytes)
+	}
+	if c.Size < 1 {
+		return fmt.Errorf("fleet: the size of the fleet must be 1 at least, is %d", c.Size)
+	}
+	return nil
+}
+
 func (c *Config) clock() clock.Clock {
 	if c.Clock == nil {
 		return clock.System()
--- a/internal/membership/membertable.go
+++ b/internal/membership/membertable.go
@@ -209,3 +209,14 @@
 		t.changes = slices.Clone(t.changes[excess:])
 	}
 }
+
+// changesSince are the kept changes after the snapshot of a number; nil if there are none.
+func (t *memberTable) changesSince(number uint64) []Change {
+	var changes []Change
+	for _, change := range t.changes {
+		if change.Number > number {
+			changes = append(changes, change)
+		}
+	}
+	return changes
+}
--- /dev/null
+++ b/internal/membership/status.go
@@ -0,0 +1,74 @@
+package membership
+
+import "time"
+
+// Status is the answer of the admin endpoint's GET /ops/fleet.
+type Status struct {
+	*Snapshot
+	Assessment
+	// UnchangedMs is how long the snapshot has been the same.
+	UnchangedMs int64 `json:"unchanged_ms"`
+	// Member tells whether this process takes part; if not, another process of its agent has the address, or it
+	// leaves.
+	Member bool `json:"member"`
+	// Health is Lifeguard's local health score: 0 is healthy; the higher it is, the slower this process suspects
+	// others.
+	Health int `json:"health"`
+	// Traffic are counts since the start, by name.
+	Traffic map[string]uint64 `json:"traffic"`
+	Changes []Change          `json:"changes,omitempty"`
+}
+
+// WithoutMembers is the status without the members.
+func (s Status) WithoutMembers() Status {
+	brief := *s.Snapshot
+	brief.Members = nil
+	s.Snapshot = &brief
+	return s
+}
+
+// Status is what this process knows, with the changes after the snapshot of number since.
+func (m *Membership) Status(since uint64) Status {
+	now := time.Now()
+	m.mu.Lock()
+	snapshot := m.table.snapshot
+	changes := m.table.changesSince(since)
+	leaving := m.leaving
+	m.mu.Unlock()
+	status := Status{
+		Snapshot:    snapshot,
+		Assessment:  snapshot.Assess(now),
+		UnchangedMs: now.Sub(snapshot.changedAt).Milliseconds(),
+		Traffic:     m.counts(),
+		Changes:     changes,
+	}
+	if list := m.list.Load(); list != nil {
+		status.Member = !leaving
+		status.Health = list.GetHealthScore()
+	}
+	return status
+}
+
+// counts are the counts of Status.Traffic; their names are part of the admin endpoint's answer.
+func (m *Membership) counts() map[string]uint64 {
+	return map[string]uint64{
+		"packets_in":       m.traffic.packetsIn.Load(),
+		"bytes_in":         m.traffic.bytesIn.Load(),
+		"packets_out":      m.traffic.packetsOut.Load(),
+		"bytes_out":        m.traffic.bytesOut.Load(),
+		"streams":          m.traffic.streams.Load(),
+		"streams_out":      m.traffic.streamsOut.Load(),
+		"stream_bytes_in":  m.traffic.streamBytesIn.Load(),
+		"stream_bytes_out": m.traffic.streamBytesOut.Load(),
+		"bad_packets":      m.traffic.badPackets.Load(),
+		"bad_streams":      m.traffic.badStreams.Load(),
+		"foreign":          m.traffic.foreignSite.Load(),
+		"rejected":         m.traffic.rejected.Load(),
+		"hearsay":          m.traffic.demotedDeaths.Load(),
+		"reconnects":       m.reconnects.Load(),
+		"syncs":            m.exchanges.Load(),
+		"declared_gone":    m.declaredDead.Load(),
+		"stalls":           m.stalls.Load(),
+		"unlogged":         m.log.dropped.Load(),
+	}
+}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -67,6 +67,15 @@
 	return append(out, b...)
 }
 
+// encodePushPull is a push/pull with one member.
+func encodePushPull(node pushNode) []byte {
+	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: 1})
+	return append(message, encodeMessage(0, node)[1:]...)
+}
+
+// isValidIP tells whether an address in a message has the length of an IPv4 or IPv6 address.
+func isValidIP(addr []byte) bool { return len(addr) == 4 || len(addr) == 16 }
+
 // checkPacket tells why a packet, its label taken off, is none that a member sends; nil:
 // it may go to memberlist. Each of its messages is given to each, which may change its bytes
 // in their place (not their number); checksums then follow. Compressed and encrypted messages
@@ -157,7 +166,7 @@
 		if err := dec.Decode(n); err != nil {
 			return nil, fmt.Errorf("push/pull member %d: %w", i, err)
 		}
-		if len(n.Vsn) != 6 || len(n.Name) > maxNameBytes || len(n.Meta) > memberlist.MetaMaxSize || len(n.Addr) != 4 && len(n.Addr) != 16 {
+		if len(n.Vsn) != 6 || len(n.Name) > maxNameBytes || len(n.Meta) > memberlist.MetaMaxSize || !isValidIP(n.Addr) {
 			return nil, fmt.Errorf("push/pull member %d: a field of a length that none has", i)
 		}
 	}
