--- /dev/null
+++ b/internal/membership/exchange.go
@@ -0,0 +1,96 @@
+package membership
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// exchangeOneIn is in how many probe intervals an agent whose digest differs exchanges lists once. Few agents do
+// so at a time: what they bring changes the digests of the others.
+const exchangeOneIn = 2
+
+// joinAddress is a member's address as memberlist's Join takes it.
+func joinAddress(member *Member) string { return member.Name + "/" + member.Addr }
+
+// exchangeWith exchanges lists (a push/pull) with whoever is at an address, which may have a name before it.
+func (m *Membership) exchangeWith(addr string) error {
+	if _, err := m.list.Load().Join([]string{addr}); err != nil {
+		return err
+	}
+	m.mu.Lock()
+	m.exchangedAt = time.Now()
+	m.mu.Unlock()
+	return nil
+}
+
+// exchangeLists exchanges lists with a member, name/address, counts it and logs its failure.
+func (m *Membership) exchangeLists(peer string) {
+	m.exchanges.Add(1)
+	if err := m.exchangeWith(peer); err != nil {
+		m.log.Info("membership: push/pull failed", "peer", peer, "err", err)
+	}
+}
+
+// firstExchange exchanges lists with the first member that this process discovers, if it has not yet with any: its
+// seeds may be on the other side of a partition, and members that find it one by one only send about themselves.
+func (m *Membership) firstExchange() {
+	m.mu.Lock()
+	exchanged := !m.exchangedAt.IsZero()
+	m.mu.Unlock()
+	if exchanged {
+		return
+	}
+	members := m.snapshot.Load().Members
+	for i := range members {
+		if m.isAlivePeer(&members[i]) {
+			m.exchangeLists(joinAddress(&members[i]))
+			return
+		}
+	}
+}
+
+// syncWithDifferingPeer exchanges lists with a member whose digest differed.
+func (m *Membership) syncWithDifferingPeer() {
+	m.mu.Lock()
+	peer := m.differingPeer
+	m.differingPeer = ""
+	m.mu.Unlock()
+	if peer == "" || rand.IntN(exchangeOneIn) != 0 {
+		return
+	}
+	m.exchangeLists(peer)
+}
+
+// exchangeAboutSuspect exchanges lists with some member about a suspect that does not answer this process: the
+// suspicion may be refuted to all others, and no digest shows it, as suspicions do not count there.
+func (m *Membership) exchangeAboutSuspect(suspect *Member) {
+	wait := milliseconds(m.cfg.SuspectTimeoutMs) / 2
+	m.mu.Lock()
+	exchangedLately := time.Since(m.exchangedAt) < wait
+	m.mu.Unlock()
+	if exchangedLately || time.Since(suspect.stateSince) < wait {
+		return
+	}
+	members := m.snapshot.Load().Members
+	first := rand.IntN(len(members))
+	for i := range members {
+		member := &members[(first+i)%len(members)]
+		if m.isAlivePeer(member) {
+			m.exchangeLists(joinAddress(member))
+			return
+		}
+	}
+}
+
+// isAlivePeer tells whether a member is alive and not this process's own agent.
+func (m *Membership) isAlivePeer(member *Member) bool {
+	return member.State == Alive && member.Name != m.cfg.Name
+}
+
+// digestDifferedLately tells whether this process's digest was lately different from that of members it probed:
+// what it suspects then may long be decided (memberlist takes another's dead member for a suspect).
+func (m *Membership) digestDifferedLately() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.differedAt.IsZero() && time.Since(m.differedAt) < 2*m.digestSettleTime()
+}
