--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -10,22 +10,29 @@
 	"golang.org/x/time/rate"
 )
 
-// logger bounds the fleet's log lines, 2 a second with 20 saved up, and counts what that
-// leaves out. memberlist's own lines come through std.
+const (
+	// logLinesPerSecond and logBurst bound the log lines.
+	logLinesPerSecond = 2
+	logBurst          = 20
+	// maxLogTextBytes bounds the text of one of memberlist's lines.
+	maxLogTextBytes = 200
+)
+
+// logger bounds the log lines and counts those that it drops. memberlist's own lines come through std.
 type logger struct {
-	*slog.Logger
+	out     *slog.Logger
 	limit   *rate.Limiter
 	dropped atomic.Uint64
 }
 
-func newLogger(to *slog.Logger) *logger {
-	l := &logger{limit: rate.NewLimiter(2, 20)}
-	l.Logger = to
-	return l
+func newLogger(out *slog.Logger) *logger {
+	return &logger{out: out, limit: rate.NewLimiter(logLinesPerSecond, logBurst)}
 }
 
-// Info and Warn write a line if the bound allows it.
+// Info writes a line if the bound allows it.
 func (l *logger) Info(text string, args ...any) { l.write(slog.LevelInfo, text, args...) }
+
+// Warn writes a line if the bound allows it.
 func (l *logger) Warn(text string, args ...any) { l.write(slog.LevelWarn, text, args...) }
 
 func (l *logger) write(level slog.Level, text string, args ...any) {
@@ -33,25 +40,34 @@
 		l.dropped.Add(1)
 		return
 	}
-	l.Logger.Log(context.Background(), level, text, args...)
+	l.out.Log(context.Background(), level, text, args...)
 }
 
 // std is the logger for memberlist, which writes its level in brackets before the text.
 func (l *logger) std() *log.Logger { return log.New(l, "", 0) }
 
-// Write takes one line of memberlist's. Its debug lines are left out.
+// Write takes one of memberlist's lines. Its debug lines are dropped.
 func (l *logger) Write(line []byte) (int, error) {
-	text := bytes.TrimSpace(line)
-	level := slog.LevelInfo
-	if end := bytes.IndexByte(text, ']'); len(text) > 0 && text[0] == '[' && end > 0 {
-		switch string(text[1:end]) {
-		case "DEBUG":
-			return len(line), nil
-		case "WARN", "ERR", "ERROR":
-			level = slog.LevelWarn
-		}
-		text = bytes.TrimSpace(text[end+1:])
+	level, text := splitLevel(bytes.TrimSpace(line))
+	if level > slog.LevelDebug {
+		l.write(level, "membership", "text", string(text[:min(len(text), maxLogTextBytes)]))
 	}
-	l.write(level, "fleet", "text", string(text[:min(len(text), 200)]))
 	return len(line), nil
 }
+
+// splitLevel splits a line of memberlist's, such as "[WARN] memberlist: ...", into level and text.
+func splitLevel(line []byte) (slog.Level, []byte) {
+	end := bytes.IndexByte(line, ']')
+	if end <= 0 || line[0] != '[' {
+		return slog.LevelInfo, line
+	}
+	text := bytes.TrimSpace(line[end+1:])
+	switch string(line[1:end]) {
+	case "DEBUG":
+		return slog.LevelDebug, text
+	case "WARN", "ERR", "ERROR":
+		return slog.LevelWarn, text
+	default:
+		return slog.LevelInfo, text
+	}
+}
