--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -8,36 +8,40 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// benchSizes are the fleets, in members, by which the growth of what each look costs is measured.
+// benchSizes are the numbers of members by which the growth of the costs of a round is measured.
 var benchSizes = []int{100, 200, 400, 800, 1500}
 
-// peopled is one process's part in a fleet of so many members, all alive in its list and its view.
-// Nothing of it runs by itself: memberlist neither probes nor gossips.
-func peopled(b *testing.B, members int) *Membership {
+// newPopulated is a Membership with a number of members, all alive in its list and its snapshot. Nothing of it runs
+// by itself: memberlist neither probes nor gossips.
+func newPopulated(b *testing.B, members int) *Membership {
 	b.Helper()
-	cfg := quick(memberName(0), freeAddr(b))
-	cfg.Size, cfg.Zone = members, "zone-0"
+	cfg := testConfig(memberName(0), freeAddr(b))
+	cfg.Size = members
+	cfg.Zone = "zone-0"
 	m, err := newMembership(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport); err != nil {
+	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
+	if err != nil {
 		b.Fatal(err)
 	}
-	c := m.listConfig(m.transport)
-	c.ProbeInterval, c.GossipInterval, c.PushPullInterval = time.Hour, time.Hour, time.Hour
-	list, err := memberlist.Create(c)
+	listConfig := m.listConfig(m.transport)
+	listConfig.ProbeInterval = time.Hour
+	listConfig.GossipInterval = time.Hour
+	listConfig.PushPullInterval = time.Hour
+	list, err := memberlist.Create(listConfig)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { m.cancel(); list.Shutdown() })
+	b.Cleanup(func() {
+		m.cancel()
+		if err := list.Shutdown(); err != nil {
+			b.Error(err)
+		}
+	})
 	m.list.Store(list)
-	m.transport.suspicionOfSelf = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
-	for i := 1; i < members; i++ {
-		parsed := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
-		m.transport.suspicionOfSelf = append(m.transport.suspicionOfSelf, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
-			Port: 7946, Meta: parsed.bytes(), Incarnation: uint32(1000 + i), Vsn: []uint8{1, 5, 2, 0, 0, 0}})[1:]...)
-	}
+	m.transport.suspicionOfSelf = pushPullOf(members)
 	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
 		b.Fatal(err)
 	}
@@ -49,33 +53,51 @@
 	return m
 }
 
+// pushPullOf is a push/pull of all members but the first.
+func pushPullOf(members int) []byte {
+	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
+	for i := 1; i < members; i++ {
+		metadata := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
+		node := pushNode{
+			Name:        memberName(i),
+			Addr:        []byte{127, 2, byte(i >> 8), byte(i)},
+			Port:        7946,
+			Meta:        metadata.bytes(),
+			Incarnation: uint32(1000 + i),
+			Vsn:         []uint8{1, 5, 2, 0, 0, 0},
+		}
+		message = append(message, encodeMessage(0, node)[1:]...)
+	}
+	return message
+}
+
 func memberName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// BenchmarkSnapshot is one reading of the list: where nothing changed, where one member did, and where one
-// did and all the changes are there that are kept.
+// BenchmarkSnapshot is one reading of the list: where nothing changed, where one member did, and where one did and
+// the table has as many changes as it keeps.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, kept := range []struct {
+	for _, bench := range []struct {
 		name    string
 		changed bool
 		changes int
 	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, maxChanges}} {
-		for _, n := range benchSizes {
-			b.Run(fmt.Sprintf("%s/%d", kept.name, n), func(b *testing.B) {
-				m := peopled(b, n)
-				was := *m.table.snapshot
-				if kept.changed {
-					was.Members = append([]Member(nil), was.Members...)
-					was.Members[n/2].Incarnation--
+		for _, size := range benchSizes {
+			b.Run(fmt.Sprintf("%s/%d", bench.name, size), func(b *testing.B) {
+				m := newPopulated(b, size)
+				before := *m.table.snapshot
+				if bench.changed {
+					before.Members = append([]Member(nil), before.Members...)
+					before.Members[size/2].Incarnation--
 				}
-				m.table.changes = make([]Change, kept.changes)
+				m.table.changes = make([]Change, bench.changes)
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
-					m.table.snapshot = &was
-					if !kept.changed || kept.changes == 0 {
+					m.table.snapshot = &before
+					if !bench.changed || bench.changes == 0 {
 						m.table.changes = m.table.changes[:0]
 					}
-					if snapshot := m.readSnapshot(now); (snapshot != nil) != kept.changed {
+					if snapshot := m.readSnapshot(now); (snapshot != nil) != bench.changed {
 						b.Fatalf("changed: %v", snapshot != nil)
 					}
 				}
@@ -84,11 +106,11 @@
 	}
 }
 
-// BenchmarkSuccessors is what each look of watch, four in a probe interval, has to find.
+// BenchmarkSuccessors is what each round of watchSuccessors, four in a probe interval, computes.
 func BenchmarkSuccessors(b *testing.B) {
-	for _, n := range benchSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := peopled(b, n)
+	for _, size := range benchSizes {
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			m := newPopulated(b, size)
 			var got []Member
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -12,20 +12,22 @@
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
 )
 
-// process is a member's identity in tests, of one digit.
-func process(digit string) string { return strings.Repeat(digit, 16) }
+// processID is the identity of a process in tests, of one digit.
+func processID(digit string) string { return strings.Repeat(digit, 16) }
 
-// aliveNode is what memberlist asks of, for a process of member b.
+// aliveNode is the node that memberlist has for a process of member b.
 func aliveNode(process string) *memberlist.Node {
-	return &memberlist.Node{Name: "b", Addr: net.IPv4(127, 0, 0, 1).To4(), Port: 7, Meta: meta{Process: process}.bytes(),
-		PMin: 1, PMax: 5, PCur: memberlist.ProtocolVersion2Compatible}
+	return &memberlist.Node{
+		Name: "b", Addr: net.IPv4(127, 0, 0, 1).To4(), Port: 7, Meta: meta{Process: process}.bytes(),
+		PMin: 1, PMax: 5, PCur: memberlist.ProtocolVersion2Compatible,
+	}
 }
 
-// A process that began below its predecessor, as the wall clock was set back between them, is heard
-// again by a member that took it for the earlier of the two, as soon as it refutes that. What comes late
-// of the predecessor is still not heard.
-func TestRefutationEndsTheBarOfALaterProcess(t *testing.T) {
-	const set, back, earlier = 1000, 400, "1"
+// A process that started below its predecessor, as the wall clock was set back between them, is admitted by a member
+// that took it for the earlier of the two, as soon as it refutes that. Late messages of the predecessor are still
+// rejected.
+func TestRefutationLiftsRetirement(t *testing.T) {
+	const firstIncarnation, laterIncarnation = 1000, 400 // of the earlier process "1" and the later process "2"
 	for name, message := range map[string]func(process string, incarnation uint32) []byte{
 		"packet": func(process string, incarnation uint32) []byte {
 			return encodeMessage(msgAlive, aliveMessage{incarnation, "b", meta{Process: process}.bytes()})
@@ -37,54 +39,54 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, err := newMembership(quick("a", "127.0.0.1:7"))
+			m, err := newMembership(testConfig("a", "127.0.0.1:7"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Now()
-			see := func(digit string, incarnation uint32) {
-				m.table.update([]Member{{Name: "b", Process: process(digit), State: Alive, Incarnation: incarnation}}, now)
+			update := func(digit string, incarnation uint32) {
+				m.table.update([]Member{{Name: "b", Process: processID(digit), State: Alive, Incarnation: incarnation}}, now)
 			}
-			heard := func(digit string, incarnation uint32) bool {
-				m.liftRetirements(message(process(digit), incarnation))
-				return m.checkMember(aliveNode(process(digit))) == nil
+			admitted := func(digit string, incarnation uint32) bool {
+				m.liftRetirements(message(processID(digit), incarnation))
+				return m.checkMember(aliveNode(processID(digit))) == nil
 			}
-			see("2", back)    // the later process, which began below
-			see(earlier, set) // and an old word of its predecessor
-			if heard("2", back) || heard("2", set) {
-				t.Error("a process is heard that claims no more than the one that took its place")
+			update("2", laterIncarnation)
+			update("1", firstIncarnation) // a late message of the predecessor
+			if admitted("2", laterIncarnation) || admitted("2", firstIncarnation) {
+				t.Error("a process is admitted that claims no more than the one that replaced it")
 			}
-			if !heard("2", set+1) {
-				t.Fatal("the process that lives refuted the earlier one, and is not heard")
+			if !admitted("2", firstIncarnation+1) {
+				t.Fatal("the process that runs refuted the earlier one, and is not admitted")
 			}
-			see("2", set+1)
-			if heard(earlier, set) {
-				t.Error("a word that comes late of the earlier process is heard")
+			update("2", firstIncarnation+1)
+			if admitted("1", firstIncarnation) {
+				t.Error("a late message of the earlier process is admitted")
 			}
 		})
 	}
 }
 
-// A member that starts again is taken for its new process, whatever its machine's clock was stepped by
-// between its starts and is while it runs, and the view changes by none of it.
-func TestMemberStartsAgainAfterAStepOfTheWallClock(t *testing.T) {
+// A member that restarts is seen as its new process, whatever its machine's clock was stepped by between its starts
+// and is while it runs, and the snapshot changes by none of it.
+func TestRestartAfterWallClockStep(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			first, err := Start(quick("a", freeAddr(t)))
+			first, err := Start(testConfig("a", freeAddr(t)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(first.Leave)
 			bind, stepped := freeAddr(t), clocktest.NewStepped(0)
 			start := func() *Membership {
-				cfg := quick("b", bind, first.cfg.Bind)
+				cfg := testConfig("b", bind, first.cfg.Bind)
 				cfg.Clock = stepped
 				m, err := Start(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
-				await(t, 10*time.Second, "a sees the process of b that runs", func() bool {
+				await(t, 10*time.Second, "a sees the running process of b", func() bool {
 					member, _ := first.Snapshot().Member("b")
 					return member.Process == m.process && member.State == Alive && m.Snapshot().Digest == first.Snapshot().Digest
 				})
@@ -101,35 +103,39 @@
 			stepped.Step(step)
 			member, _ := first.Snapshot().Member("b")
 			if member.Process != last.process {
-				t.Errorf("a takes b for process %s, want %s", member.Process, last.process)
+				t.Errorf("a sees b as process %s, want %s", member.Process, last.process)
 			}
 		})
 	}
 }
 
-// Spans of the view are taken from the monotonic clock: each time that it keeps has a reading of it.
-func TestTimesOfTheViewAreMonotonic(t *testing.T) {
-	m, err := Start(quick("a", freeAddr(t)))
+// The times of a snapshot have a reading of the monotonic clock.
+func TestSnapshotTimesAreMonotonic(t *testing.T) {
+	m, err := Start(testConfig("a", freeAddr(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Leave)
-	await(t, 5*time.Second, "a has a view", func() bool { return m.Snapshot().Present == 1 })
+	await(t, 5*time.Second, "a has a snapshot", func() bool { return m.Snapshot().Present == 1 })
 	snapshot := m.Snapshot()
-	for name, at := range map[string]time.Time{"changed": snapshot.changedAt, "agreed": snapshot.digestSince, "since": snapshot.Members[0].stateSince} {
+	for name, at := range map[string]time.Time{
+		"changedAt":   snapshot.changedAt,
+		"digestSince": snapshot.digestSince,
+		"stateSince":  snapshot.Members[0].stateSince,
+	} {
 		if at == at.Round(0) {
 			t.Errorf("%s has no monotonic reading: %v", name, at)
 		}
 	}
 }
 
-// A process begins above those of earlier starts while the wall clock grows, and the count holds.
-func TestStartIncarnationGrowsWithTheWallClock(t *testing.T) {
+// A process starts above earlier ones while the wall clock grows, and never below zero.
+func TestStartIncarnationGrowsWithWallClock(t *testing.T) {
 	wall := clock.System().Wall()
 	if a, b := startIncarnation(wall), startIncarnation(wall.Add(time.Second)); b != a+4 {
 		t.Errorf("incarnations of starts one second apart: %d and %d", a, b)
 	}
 	if got := startIncarnation(time.Unix(0, 0)); got != 0 {
-		t.Errorf("a clock before the count begins gives %d, want 0", got)
+		t.Errorf("a clock before the epoch gives %d, want 0", got)
 	}
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -130,22 +130,22 @@
 
 // checkAddresses checks the addresses of this process and of the seeds.
 func (c *Config) checkAddresses() error {
-	if err := checkAddress("bind", c.Bind); err != nil {
+	if err := checkAddrPort("bind", c.Bind); err != nil {
 		return err
 	}
-	if err := checkAddress("advertise", c.Advertise); err != nil {
+	if err := checkAddrPort("advertise", c.Advertise); err != nil {
 		return err
 	}
 	for i, seed := range c.Seeds {
-		if err := checkAddress(fmt.Sprintf("seeds[%d]", i), seed); err != nil {
+		if err := checkAddrPort(fmt.Sprintf("seeds[%d]", i), seed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkAddress checks that a key's value is the IP:port of one machine.
-func checkAddress(key, value string) error {
+// checkAddrPort checks that a key's value is the IP:port of one machine.
+func checkAddrPort(key, value string) error {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
 		return fmt.Errorf("fleet: %s: %q is no IP:port of one machine", key, value)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-func TestBadSectionsNameTheirKey(t *testing.T) {
+// An error about the section names the key.
+func TestParseErrorsNameTheKey(t *testing.T) {
 	good := `{"bind":"127.0.0.1:7","site":"s"`
 	for section, key := range map[string]string{
 		`{"site":"s"}`:                                      "bind",
@@ -34,9 +35,8 @@
 	}
 }
 
-// What is concluded counts on nobody who is new, doubted or gone, and never rules out that
-// all of the configured fleet is there.
-func TestConclusions(t *testing.T) {
+// An assessment counts no member that is new, suspected or gone, and always allows for all configured agents.
+func TestAssessment(t *testing.T) {
 	cfg := &Config{Name: "a", Size: 5, SettleMs: 1000}
 	t0 := time.Now()
 	tab := newMemberTable(cfg, "0000000000000001", t0)
@@ -56,7 +56,7 @@
 		{999 * time.Millisecond, list(Alive, Alive, Alive), 1, 5, false},
 		{time.Second, list(Alive, Alive, Alive), 3, 5, true},
 		{2 * time.Second, list(Alive, Suspect, Alive), 2, 5, false},
-		{3 * time.Second, list(Alive, Alive, Alive), 2, 5, false}, // refuted, and new again
+		{3 * time.Second, list(Alive, Alive, Alive), 2, 5, false}, // refuted, and settling from now
 		{4 * time.Second, list(Alive, Alive, Alive), 3, 5, true},
 		{5 * time.Second, list(Alive, Dead, Left), 1, 5, false},
 		{6 * time.Second, list(Alive, Alive, Alive, Alive, Alive, Alive), 1, 6, false},
@@ -70,20 +70,20 @@
 	if member, _ := tab.snapshot.Member("b"); member.State != Alive {
 		t.Errorf("b is %v", member)
 	}
-	// A dead member that memberlist forgets is kept, to be sought; one that left is not.
+	// A dead member that memberlist forgets is kept for reconnects; one that left is not.
 	cfg.ReconnectForMs = 60_000
 	tab.update(list(Alive, Dead, Left), t0.Add(7*time.Second))
 	tab.update(list(Alive), t0.Add(8*time.Second))
 	if _, ok := tab.snapshot.Member("b"); !ok {
-		t.Error("the dead member is forgotten with the gossip's list")
+		t.Error("the dead member is forgotten with memberlist's list")
 	}
 	if _, ok := tab.snapshot.Member("c"); ok {
 		t.Error("the member that left is kept")
 	}
 }
 
-// Messages with lengths that are not there, or that memberlist would fall over, are refused.
-func TestForgedMessages(t *testing.T) {
+// Messages with lengths beyond their end, or at which memberlist would panic, are rejected.
+func TestForgedMessagesAreRejected(t *testing.T) {
 	node := pushNode{Name: "b", Addr: []byte{127, 0, 0, 1}, Port: 1, Vsn: []uint8{1, 5, 2, 0, 0, 0}}
 	message := func(h pushPullHeader, nodes ...pushNode) []byte {
 		b := encodeMessage(msgPushPull, h)
@@ -93,17 +93,17 @@
 		return b
 	}
 	if err := checkStream(message(pushPullHeader{Nodes: 1}, node), 8); err != nil {
-		t.Fatalf("an honest list: %v", err)
+		t.Fatalf("a valid list: %v", err)
 	}
 	short := node
 	short.Vsn = []uint8{1, 5}
 	long := node
 	long.Name = strings.Repeat("x", maxNameBytes+1)
 	for name, b := range map[string][]byte{
-		"members without end": message(pushPullHeader{Nodes: 1 << 60}, node),
-		"less than none":      message(pushPullHeader{Nodes: -1}),
-		"state without end":   message(pushPullHeader{Nodes: 1, UserStateLen: 1 << 40}, node),
-		"state not told":      append(message(pushPullHeader{Nodes: 1}, node), 1, 2, 3),
+		"too many members":    message(pushPullHeader{Nodes: 1 << 60}, node),
+		"negative members":    message(pushPullHeader{Nodes: -1}),
+		"too much user state": message(pushPullHeader{Nodes: 1, UserStateLen: 1 << 40}, node),
+		"unannounced state":   append(message(pushPullHeader{Nodes: 1}, node), 1, 2, 3),
 		"cut off":             message(pushPullHeader{Nodes: 2}, node),
 		"short versions":      message(pushPullHeader{Nodes: 1}, short),
 		"long name":           message(pushPullHeader{Nodes: 1}, long),
@@ -118,26 +118,33 @@
 	for range 8 {
 		nested = append([]byte{msgCompound, 1, 0, byte(len(nested))}, nested...)
 	}
-	for name, b := range map[string][]byte{"compressed within": {msgCompound, 1, 0, 2, msgCompress, 1}, "nested": nested,
-		"cut off": {msgCompound, 9, 0}, "unknown": {99}} {
+	for name, b := range map[string][]byte{
+		"compressed within": {msgCompound, 1, 0, 2, msgCompress, 1},
+		"nested":            nested,
+		"cut off":           {msgCompound, 9, 0},
+		"unknown":           {99},
+	} {
 		if checkPacket(b, 0, func([]byte) {}) == nil {
 			t.Errorf("packet %s: accepted", name)
 		}
 	}
-	// A death is believed of those whose word counts and of the member itself.
-	for _, from := range []string{"sure", "unsure", "b"} {
-		inner := append([]byte{msgCompound, 1, 0, 0}, encodeMessage(msgDead, deadMessage{Incarnation: 3, Node: "b", From: from})...)
+	// A death report is believed from a trusted member and from the member itself.
+	for _, from := range []string{"trusted", "untrusted", "b"} {
+		report := encodeMessage(msgDead, deadMessage{Incarnation: 3, Node: "b", From: from})
+		inner := append([]byte{msgCompound, 1, 0, 0}, report...)
 		inner[3] = byte(len(inner) - 4)
 		b := append(binary.BigEndian.AppendUint32([]byte{msgCRC}, crc32.ChecksumIEEE(inner)), inner...)
-		err := checkPacket(b, 0, func(m []byte) { demoteDeathReport(m, func(who, _ string) bool { return who == "sure" }) })
-		if again := checkPacket(b, 0, func([]byte) {}); err != nil || again != nil || (b[9] == msgSuspect) != (from == "unsure") {
-			t.Errorf("the word of %q makes a message of type %d (%v, %v)", from, b[9], err, again)
+		trusts := func(reporter, _ string) bool { return reporter == "trusted" }
+		err := checkPacket(b, 0, func(message []byte) { demoteDeathReport(message, trusts) })
+		recheckErr := checkPacket(b, 0, func([]byte) {})
+		if err != nil || recheckErr != nil || (b[9] == msgSuspect) != (from == "untrusted") {
+			t.Errorf("the report of %q becomes a message of type %d (%v, %v)", from, b[9], err, recheckErr)
 		}
 	}
 	draw := rand.New(rand.NewPCG(1, 1))
-	honest := message(pushPullHeader{Nodes: 2}, node, node)
-	for range 20_000 { // no form of it may panic
-		b := append([]byte(nil), honest[:draw.IntN(len(honest)+1)]...)
+	valid := message(pushPullHeader{Nodes: 2}, node, node)
+	for range 20_000 { // none of them may panic
+		b := append([]byte(nil), valid[:draw.IntN(len(valid)+1)]...)
 		for range draw.IntN(4) {
 			if len(b) > 1 {
 				b[1+draw.IntN(len(b)-1)] = byte(draw.Uint32())
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -21,35 +21,35 @@
 	return l.Addr().String()
 }
 
-// quick is a configuration with short times.
-func quick(name, bind string, seeds ...string) Config {
+// testConfig is a configuration with short times.
+func testConfig(name, bind string, seeds ...string) Config {
 	return Config{Name: name, Size: 2, Bind: bind, Seeds: seeds, Site: "test", Version: "1",
 		ProbeIntervalMs: 50, SuspectTimeoutMs: 1000, SettleMs: 50, ReconnectMs: 200, LeaveMs: 200}
 }
 
-// await waits until something holds, for some time at the most.
-func await(t *testing.T, within time.Duration, what string, holds func() bool) {
+// await waits until a condition is met, for a time at the most.
+func await(t *testing.T, within time.Duration, what string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(within); !met(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", within, what)
 		}
 	}
 }
 
-// late is a transport under memberlist on which what the process itself hands in as a packet is taken
-// only once it has been announced and that announcement is spent on a reading of the list.
-type late struct {
+// delayedTransport is a transport below memberlist that delivers a packet of the process itself only once the list
+// was notified as changed and has been read after that notification.
+type delayedTransport struct {
 	*transport
 	packets      chan *memberlist.Packet
-	announced    chan struct{} // closed once told was called
-	spent        func() bool   // no announcement waits
+	notified     chan struct{} // closed once onStateMessage was called
+	isTaken      func() bool   // no notification waits
 	began, ended atomic.Int64  // readings of the list
 }
 
-func (l *late) PacketCh() <-chan *memberlist.Packet { return l.packets }
+func (l *delayedTransport) PacketCh() <-chan *memberlist.Packet { return l.packets }
 
-func (l *late) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
+func (l *delayedTransport) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
 	c, err := l.transport.DialAddressTimeout(address, within)
 	if err != nil || address.Name != listPeer {
 		return c, err
@@ -60,7 +60,7 @@
 
 type readingConn struct {
 	net.Conn
-	l *late
+	l *delayedTransport
 }
 
 func (c readingConn) Close() error {
@@ -68,13 +68,13 @@
 	return c.Conn.Close()
 }
 
-// pass gives memberlist the packets in their order, until the transport ends.
-func (l *late) pass() {
+// pass delivers the packets in their order, until the transport ends.
+func (l *delayedTransport) pass() {
 	for {
 		select {
 		case p := <-l.transport.packets:
-			if from, ok := p.From.(*net.UDPAddr); ok && from.Port == 0 { // of no socket: the process's own
-				l.hold()
+			if from, ok := p.From.(*net.UDPAddr); ok && from.Port == 0 { // no socket: injected
+				l.awaitReading()
 			}
 			select {
 			case l.packets <- p:
@@ -86,32 +86,41 @@
 	}
 }
 
-func (l *late) hold() {
+// awaitReading waits until the list was read after the notification.
+func (l *delayedTransport) awaitReading() {
 	select {
-	case <-l.announced:
+	case <-l.notified:
 	case <-l.ctx.Done():
 	}
 	before := l.began.Load()
-	for l.ctx.Err() == nil && !(l.spent() && l.ended.Load() > before && l.ended.Load() == l.began.Load()) {
+	for l.ctx.Err() == nil && !(l.isTaken() && l.ended.Load() > before && l.ended.Load() == l.began.Load()) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A process that starts is heard of, and hears, also where its list is read between the handing in of a
-// packet and memberlist's taking it: what announces a change is given once the change is made.
-func TestStartIsHeardOfWhenTheListIsReadEarly(t *testing.T) {
-	first, err := Start(quick("a", freeAddr(t)))
+// A process that starts is announced, and sees others, also where its list is read between the injection of a packet
+// and memberlist's handling of it: a change is notified once it is made.
+func TestStartIsAnnouncedWhenListIsReadEarly(t *testing.T) {
+	first, err := Start(testConfig("a", freeAddr(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Leave)
-	m, err := newMembership(quick("b", freeAddr(t), first.cfg.Bind))
+	m, err := newMembership(testConfig("b", freeAddr(t), first.cfg.Bind))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &late{packets: make(chan *memberlist.Packet), announced: make(chan struct{}), spent: func() bool { return len(m.listChanged) == 0 }}
-	announce := sync.OnceFunc(func() { close(l.announced) })
-	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, func() { m.notifyListChanged(); announce() }, m.trustsDeathReport)
+	l := &delayedTransport{
+		packets:  make(chan *memberlist.Packet),
+		notified: make(chan struct{}),
+		isTaken:  func() bool { return len(m.listChanged) == 0 },
+	}
+	closeNotified := sync.OnceFunc(func() { close(l.notified) })
+	onStateMessage := func() {
+		m.notifyListChanged()
+		closeNotified()
+	}
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, onStateMessage, m.trustsDeathReport)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,14 +138,14 @@
 	}
 }
 
-// A process that is alone shows the incarnation that it tells, also where that grew after it rose.
-func TestOneAloneShowsItsOwnIncarnation(t *testing.T) {
-	m, err := Start(quick("a", freeAddr(t)))
+// A process that is alone has its own incarnation in its snapshot, also where that grew after its announcement.
+func TestSnapshotHasOwnIncarnationWhenAlone(t *testing.T) {
+	m, err := Start(testConfig("a", freeAddr(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Leave)
-	await(t, 5*time.Second, "a is above its base, and told so once more", func() bool {
+	await(t, 5*time.Second, "a is above its base incarnation, and announced that with one more update", func() bool {
 		self, _ := m.Snapshot().Member("a")
 		return self.Incarnation == m.baseIncarnation+2
 	})
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// ring is what successors are by definition: of all others that are alive, in the order in which their
-// hashed names follow one's own, the first few.
-func ring(snapshot *Snapshot, name string) []Member {
+// successorsByDefinition are the first few of all other alive members, in the order in which their hashed names
+// follow the own one.
+func successorsByDefinition(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
 	var there []Member
 	for _, member := range snapshot.Members {
@@ -33,8 +33,8 @@
 	return there[:min(watchedSuccessors, len(there))]
 }
 
-// Every member of a drawn fleet, and one that is not in it, watches those that follow it on the ring.
-func TestSuccessorsAreTheNextOnTheRing(t *testing.T) {
+// Every drawn member, and one that is not in the list, watches those that follow it on the ring.
+func TestSuccessorsAreNextOnRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []State{Alive, Alive, Alive, Suspect, Dead, Left}
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), 0, 60, rapid.ID).Draw(t, "names")
@@ -47,15 +47,15 @@
 			m := &Membership{cfg: Config{Name: self}}
 			m.snapshot.Store(&Snapshot{Members: members})
 			got = m.successors(got[:0])
-			if want := ring(m.Snapshot(), self); !slices.Equal(got, want) {
+			if want := successorsByDefinition(m.Snapshot(), self); !slices.Equal(got, want) {
 				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
 			}
 		}
 	})
 }
 
-// A look takes no memory, whatever the fleet's size.
-func TestSuccessorsTakeNoMemory(t *testing.T) {
+// successors allocates nothing, whatever the number of members.
+func TestSuccessorsAllocateNothing(t *testing.T) {
 	m := &Membership{cfg: Config{Name: memberName(7)}}
 	snapshot := &Snapshot{}
 	for i := range 1500 {
@@ -63,20 +63,21 @@
 	}
 	m.snapshot.Store(snapshot)
 	into := make([]Member, 0, watchedSuccessors)
-	if n := testing.AllocsPerRun(100, func() { into = m.successors(into[:0]) }); n != 0 || len(into) != watchedSuccessors {
+	n := testing.AllocsPerRun(100, func() { into = m.successors(into[:0]) })
+	if n != 0 || len(into) != watchedSuccessors {
 		t.Errorf("%v allocations for %d successors", n, len(into))
 	}
 }
 
-// What ends a connection that was up tells that nobody is there; a call that never came up tells it
-// only where it was refused or reset, and this process's own deadline tells nothing.
-func TestEndedTellsBrokenConnectionsFromSilence(t *testing.T) {
+// The end of an established connection shows that the peer is gone; a connection that was never established shows it
+// only where it was refused or reset, and this process's own deadline shows nothing.
+func TestIsPeerGone(t *testing.T) {
 	kernel := func(op string, errno syscall.Errno) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 	}
 	cases := []struct {
-		err   error
-		ended bool
+		err  error
+		gone bool
 	}{
 		{io.EOF, true},
 		{kernel("read", syscall.ECONNRESET), true},
@@ -96,8 +97,8 @@
 		{errors.New("message of another kind"), false},
 	}
 	for _, c := range cases {
-		if got := isPeerGone(c.err); got != c.ended {
-			t.Errorf("%v: ended %v, want %v", c.err, got, c.ended)
+		if got := isPeerGone(c.err); got != c.gone {
+			t.Errorf("%v: gone %v, want %v", c.err, got, c.gone)
 		}
 	}
 }
