--- a/internal/quota/budget.go
+++ b/internal/quota/quota.go
@@ -40,14 +40,14 @@
 	Budgets map[string]Amount
 	Window  time.Duration
 	// Loan is how long a loan lasts, from the request on.
-	Loan time.Duration
+	LoanDuration time.Duration
 	// Lendable is the part of a share, from 0 to 1, that may be lent. A process that has just
 	// started has no use of it until the loans of those before it in its place have lapsed.
-	Lendable float64
+	LendableFraction float64
 	// Drift bounds how fast or slow a process's clock runs, as a part of true time: 0.01 is 1 %.
-	Drift float64
+	MaxClockDrift float64
 	// Loans bounds how many loans a process has out, and how many it holds, of one budget.
-	Loans int
+	MaxLoans int
 }
 
 func (c *Config) check() error {
@@ -56,14 +56,14 @@
 		return errors.New("shared: a process's identity is needed")
 	case c.Size < 1:
 		return fmt.Errorf("shared: the size of the fleet must be 1 at least, is %d", c.Size)
-	case c.Window <= 0 || c.Loan <= 0:
+	case c.Window <= 0 || c.LoanDuration <= 0:
 		return errors.New("shared: window and loan must be above 0")
-	case !(c.Lendable >= 0 && c.Lendable <= 1):
-		return fmt.Errorf("shared: the lendable part must be from 0 to 1, is %g", c.Lendable)
-	case !(c.Drift >= 0 && c.Drift < 0.5):
-		return fmt.Errorf("shared: the drift must be from 0 to below 0.5, is %g", c.Drift)
-	case c.Loans < 1:
-		return fmt.Errorf("shared: the number of loans must be 1 at least, is %d", c.Loans)
+	case !(c.LendableFraction >= 0 && c.LendableFraction <= 1):
+		return fmt.Errorf("shared: the lendable part must be from 0 to 1, is %g", c.LendableFraction)
+	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < 0.5):
+		return fmt.Errorf("shared: the drift must be from 0 to below 0.5, is %g", c.MaxClockDrift)
+	case c.MaxLoans < 1:
+		return fmt.Errorf("shared: the number of loans must be 1 at least, is %d", c.MaxLoans)
 	}
 	for name, b := range c.Budgets {
 		if b < 0 {
@@ -75,31 +75,31 @@
 
 // longer is a time on this clock in which at least d of true time pass on any other that keeps
 // within Drift; shorter is one in which at most d do.
-func (c *Config) longer(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + c.Drift) / (1 - c.Drift))
+func (c *Config) atLeast(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
 }
 
-func (c *Config) shorter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - c.Drift) / (1 + c.Drift))
+func (c *Config) atMost(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
 
 // Budgets are a process's rights. All methods take the time on this process's own monotonic
 // clock, from any start; it never goes back. They are for one goroutine.
-type Budgets struct {
-	cfg    Config
-	start  time.Duration
-	asked  map[uint64]request // by number: requests without a grant yet
-	serial uint64
-	by     map[string]*account
-	lapsed uint64
-	bug    string // for the model check: a rule left out
+type Quotas struct {
+	cfg          Config
+	startedAt    time.Duration
+	pending      map[uint64]pendingRequest // by number: requests without a grant yet
+	lastNumber   uint64
+	accounts     map[string]*account
+	expiredLoans uint64
+	bug          string // for the model check: a rule left out
 }
 
-type request struct {
-	at     time.Duration
-	budget string
-	lender string
-	amount Amount
+type pendingRequest struct {
+	requestedAt time.Duration
+	budget      string
+	lender      string
+	amount      Amount
 }
 
 // account is what a process has of one budget.
@@ -111,8 +111,8 @@
 }
 
 type entry struct {
-	amount Amount
-	until  time.Duration
+	amount    Amount
+	expiresAt time.Duration
 }
 
 func sum(entries []entry) (s Amount) {
@@ -124,63 +124,63 @@
 
 // New is a process that starts, or becomes a member in its agent's place, at a time. For one
 // window it spends nothing, as what went before it in its place may have spent its share.
-func New(cfg Config, now time.Duration) (*Budgets, error) {
+func New(cfg Config, now time.Duration) (*Quotas, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	b := &Budgets{cfg: cfg, start: now, asked: map[uint64]request{}, by: map[string]*account{}}
+	q := &Quotas{cfg: cfg, startedAt: now, pending: map[uint64]pendingRequest{}, accounts: map[string]*account{}}
 	for name, all := range cfg.Budgets {
-		b.by[name] = &account{share: all / Amount(cfg.Size)}
+		q.accounts[name] = &account{share: all / Amount(cfg.Size)}
 	}
-	return b, nil
+	return q, nil
 }
 
 // settle drops what is over.
-func (b *Budgets) settle(a *account, now time.Duration) {
-	over := func(e entry) bool { return e.until <= now }
-	a.spent = slices.DeleteFunc(a.spent, over)
-	a.lent = slices.DeleteFunc(a.lent, over)
-	n := len(a.borrowed)
-	a.borrowed = slices.DeleteFunc(a.borrowed, over)
-	b.lapsed += uint64(n - len(a.borrowed))
+func (q *Quotas) dropExpired(account *account, now time.Duration) {
+	over := func(e entry) bool { return e.expiresAt <= now }
+	account.spent = slices.DeleteFunc(account.spent, over)
+	account.lent = slices.DeleteFunc(account.lent, over)
+	n := len(account.borrowed)
+	account.borrowed = slices.DeleteFunc(account.borrowed, over)
+	q.expiredLoans += uint64(n - len(account.borrowed))
 }
 
 // own is the part of its share that a process may use itself or lend at a time.
-func (b *Budgets) own(a *account, now time.Duration) Amount {
-	age := now - b.start
-	lendable := Amount(float64(a.share) * b.cfg.Lendable)
-	switch c := &b.cfg; {
-	case b.bug == "no quarantine":
-		return a.share - sum(a.lent)
-	case age < c.longer(c.Window):
+func (q *Quotas) ownAmount(account *account, now time.Duration) Amount {
+	age := now - q.startedAt
+	lendable := Amount(float64(account.share) * q.cfg.LendableFraction)
+	switch c := &q.cfg; {
+	case q.bug == "no quarantine":
+		return account.share - sum(account.lent)
+	case age < c.atLeast(c.Window):
 		return 0
-	case age < c.longer(c.Loan+c.Window):
-		return a.share - lendable
+	case age < c.atLeast(c.LoanDuration+c.Window):
+		return account.share - lendable
 	}
-	return a.share - sum(a.lent)
+	return account.share - sum(account.lent)
 }
 
 // Free is what a process may spend of a budget now.
-func (b *Budgets) Free(budget string, now time.Duration) Amount {
-	a := b.by[budget]
-	if a == nil {
+func (q *Quotas) Available(budget string, now time.Duration) Amount {
+	account := q.accounts[budget]
+	if account == nil {
 		return 0
 	}
-	b.settle(a, now)
-	return b.own(a, now) + sum(a.borrowed) - sum(a.spent)
+	q.dropExpired(account, now)
+	return q.ownAmount(account, now) + sum(account.borrowed) - sum(account.spent)
 }
 
 // Spend spends an amount of a budget, whole or not at all.
-func (b *Budgets) Spend(budget string, amount Amount, now time.Duration) bool {
-	if amount <= 0 || b.Free(budget, now) < amount {
+func (q *Quotas) Spend(budget string, amount Amount, now time.Duration) bool {
+	if amount <= 0 || q.Available(budget, now) < amount {
 		return false
 	}
-	a := b.by[budget]
-	window := b.cfg.longer(b.cfg.Window)
-	if b.bug == "short window" {
+	account := q.accounts[budget]
+	window := q.cfg.atLeast(q.cfg.Window)
+	if q.bug == "short window" {
 		window /= 2
 	}
-	a.spent = append(a.spent, entry{amount, now + window})
+	account.spent = append(account.spent, entry{amount, now + window})
 	return true
 }
 
@@ -203,74 +203,74 @@
 }
 
 // Ask makes a request for a loan of an amount; false: too many are out.
-func (b *Budgets) Ask(budget, lender string, amount Amount, now time.Duration) (Request, bool) {
-	for n, r := range b.asked {
-		if now-r.at >= b.cfg.shorter(b.cfg.Loan) {
-			delete(b.asked, n) // a grant would be over
+func (q *Quotas) RequestLoan(budget, lender string, amount Amount, now time.Duration) (Request, bool) {
+	for n, r := range q.pending {
+		if now-r.requestedAt >= q.cfg.atMost(q.cfg.LoanDuration) {
+			delete(q.pending, n) // a grant would be over
 		}
 	}
-	if b.by[budget] == nil || amount <= 0 || len(b.asked) >= b.cfg.Loans || lender == b.cfg.Process {
+	if q.accounts[budget] == nil || amount <= 0 || len(q.pending) >= q.cfg.MaxLoans || lender == q.cfg.Process {
 		return Request{}, false
 	}
-	b.serial++
-	b.asked[b.serial] = request{now, budget, lender, amount}
-	return Request{Budget: budget, Borrower: b.cfg.Process, Lender: lender, Number: b.serial, Amount: amount}, true
+	q.lastNumber++
+	q.pending[q.lastNumber] = pendingRequest{now, budget, lender, amount}
+	return Request{Budget: budget, Borrower: q.cfg.Process, Lender: lender, Number: q.lastNumber, Amount: amount}, true
 }
 
 // Lend answers a request of another process: it lends what it can spare beside keep of what it
 // has now, at the most what is asked. The right is out from now on, whether or not the grant
 // arrives, until the loan is over on the slowest clock and one window more, in which what was
 // spent under it still counts.
-func (b *Budgets) Lend(r Request, keep Amount, now time.Duration) (Grant, bool) {
-	a := b.by[r.Budget]
-	if a == nil || r.Lender != b.cfg.Process || r.Borrower == b.cfg.Process || r.Amount <= 0 || len(a.lent) >= b.cfg.Loans {
+func (q *Quotas) GrantLoan(r Request, keep Amount, now time.Duration) (Grant, bool) {
+	account := q.accounts[r.Budget]
+	if account == nil || r.Lender != q.cfg.Process || r.Borrower == q.cfg.Process || r.Amount <= 0 || len(account.lent) >= q.cfg.MaxLoans {
 		return Grant{}, false
 	}
-	b.settle(a, now)
-	if now-b.start < b.cfg.longer(b.cfg.Loan+b.cfg.Window) && b.bug != "no quarantine" {
+	q.dropExpired(account, now)
+	if now-q.startedAt < q.cfg.atLeast(q.cfg.LoanDuration+q.cfg.Window) && q.bug != "no quarantine" {
 		return Grant{}, false // its place may have rights out that it does not know of
 	}
 	// Only its own is lent, what it has spent of late counted as spent of that.
-	spent := sum(a.spent)
-	if b.bug == "lends what is spent" {
+	spent := sum(account.spent)
+	if q.bug == "lends what is spent" {
 		spent = 0
 	}
-	lendable := Amount(float64(a.share)*b.cfg.Lendable) - sum(a.lent)
-	amount := min(r.Amount, lendable, b.own(a, now)-spent-max(0, keep))
+	lendable := Amount(float64(account.share)*q.cfg.LendableFraction) - sum(account.lent)
+	amount := min(r.Amount, lendable, q.ownAmount(account, now)-spent-max(0, keep))
 	if amount <= 0 {
 		return Grant{}, false
 	}
-	back := b.cfg.longer(b.cfg.Loan + b.cfg.Window)
-	switch b.bug {
+	back := q.cfg.atLeast(q.cfg.LoanDuration + q.cfg.Window)
+	switch q.bug {
 	case "back without a window":
-		back = b.cfg.longer(b.cfg.Loan)
+		back = q.cfg.atLeast(q.cfg.LoanDuration)
 	case "back before its end":
-		back = b.cfg.Window
+		back = q.cfg.Window
 	}
-	a.lent = append(a.lent, entry{amount, now + back})
+	account.lent = append(account.lent, entry{amount, now + back})
 	return Grant{Budget: r.Budget, Borrower: r.Borrower, Lender: r.Lender, Number: r.Number, Amount: amount}, true
 }
 
 // Take uses a grant, if it answers a request of this process's own that has none yet; the loan
 // counts from the request, which was before the lender's count began.
-func (b *Budgets) Take(g Grant, now time.Duration) bool {
-	r, ok := b.asked[g.Number]
-	if !ok || g.Borrower != b.cfg.Process || g.Budget != r.budget || g.Lender != r.lender || g.Amount <= 0 || g.Amount > r.amount {
+func (q *Quotas) AcceptGrant(g Grant, now time.Duration) bool {
+	r, ok := q.pending[g.Number]
+	if !ok || g.Borrower != q.cfg.Process || g.Budget != r.budget || g.Lender != r.lender || g.Amount <= 0 || g.Amount > r.amount {
 		return false
 	}
-	a := b.by[g.Budget]
-	b.settle(a, now)
-	end := r.at + b.cfg.shorter(b.cfg.Loan)
-	if b.bug == "counts from the grant" {
-		end = now + b.cfg.Loan
+	account := q.accounts[g.Budget]
+	q.dropExpired(account, now)
+	end := r.requestedAt + q.cfg.atMost(q.cfg.LoanDuration)
+	if q.bug == "counts from the grant" {
+		end = now + q.cfg.LoanDuration
 	}
-	if b.bug != "takes a grant twice" {
-		delete(b.asked, g.Number)
+	if q.bug != "takes a grant twice" {
+		delete(q.pending, g.Number)
 	}
-	if now >= end || len(a.borrowed) >= b.cfg.Loans {
+	if now >= end || len(account.borrowed) >= q.cfg.MaxLoans {
 		return false
 	}
-	a.borrowed = append(a.borrowed, entry{g.Amount, end})
+	account.borrowed = append(account.borrowed, entry{g.Amount, end})
 	return true
 }
 
@@ -278,15 +278,15 @@
 type Holding struct {
 	Budget                            string
 	Share, Own, Lent, Borrowed, Spent Amount
-	Lapsed                            uint64 // loans, of all budgets, that ended while they were held
+	ExpiredLoans                      uint64 // loans, of all budgets, that ended while they were held
 }
 
 // Holdings are all budgets, by name.
-func (b *Budgets) Holdings(now time.Duration) (out []Holding) {
-	for _, name := range slices.Sorted(maps.Keys(b.by)) {
-		a := b.by[name]
-		b.settle(a, now)
-		out = append(out, Holding{Budget: name, Share: a.share, Own: b.own(a, now), Lent: sum(a.lent), Borrowed: sum(a.borrowed), Spent: sum(a.spent), Lapsed: b.lapsed})
+func (q *Quotas) Holdings(now time.Duration) (out []Holding) {
+	for _, name := range slices.Sorted(maps.Keys(q.accounts)) {
+		account := q.accounts[name]
+		q.dropExpired(account, now)
+		out = append(out, Holding{Budget: name, Share: account.share, Own: q.ownAmount(account, now), Lent: sum(account.lent), Borrowed: sum(account.borrowed), Spent: sum(account.spent), ExpiredLoans: q.expiredLoans})
 	}
 	return out
 }
--- a/internal/quota/budget_test.go
+++ b/internal/quota/quota_test.go
@@ -14,77 +14,77 @@
 // clocks that are offset and drift, processes that stand still and that start again with
 // nothing remembered. True time is known to it alone.
 type model struct {
-	draw  func(name string, n int) int // 0 to n-1
-	now   time.Duration
-	cfg   Config
-	bug   string
-	procs []*proc
-	mail  []any // Request or Grant; any may be brought, doubled or dropped at any time
-	spent []entry
-	seq   int
+	draw      func(name string, n int) int // 0 to n-1
+	now       time.Duration
+	cfg       Config
+	bug       string
+	processes []*modelProcess
+	messages  []any // Request or Grant; any may be brought, doubled or dropped at any time
+	spent     []entry
+	started   int
 }
 
-type proc struct {
-	b      *Budgets
+type modelProcess struct {
+	quotas *Quotas
 	name   string
 	offset time.Duration
 	rate   float64
 	paused bool
 }
 
-func (p *proc) clock(now time.Duration) time.Duration {
+func (p *modelProcess) clock(now time.Duration) time.Duration {
 	return p.offset + time.Duration(float64(now)*p.rate)
 }
 
 func newModel(draw func(string, int) int, bug string) *model {
 	m := &model{draw: draw, bug: bug, cfg: Config{Size: 3, Budgets: map[string]Amount{"cold": 30 * Unit}, Window: 2 * time.Second,
-		Loan: 5 * time.Second, Lendable: 0.8, Drift: 0.02, Loans: 4}}
+		LoanDuration: 5 * time.Second, LendableFraction: 0.8, MaxClockDrift: 0.02, MaxLoans: 4}}
 	for range m.cfg.Size {
-		p := &proc{offset: time.Duration(draw("offset", 1000)) * time.Second, rate: 1 + 0.02*float64(draw("rate", 3)-1)}
-		m.procs = append(m.procs, p)
-		m.begin(p)
+		p := &modelProcess{offset: time.Duration(draw("offset", 1000)) * time.Second, rate: 1 + 0.02*float64(draw("rate", 3)-1)}
+		m.processes = append(m.processes, p)
+		m.startProcess(p)
 	}
 	return m
 }
 
 // begin starts a process anew.
-func (m *model) begin(p *proc) {
-	m.seq++
+func (m *model) startProcess(p *modelProcess) {
+	m.started++
 	c := m.cfg
-	c.Process = fmt.Sprint("p", m.seq)
+	c.Process = fmt.Sprint("p", m.started)
 	if m.bug == "no margin" {
-		c.Drift = 0
+		c.MaxClockDrift = 0
 	}
 	p.name, p.paused = c.Process, false
-	p.b, _ = New(c, p.clock(m.now))
-	p.b.bug = m.bug
+	p.quotas, _ = New(c, p.clock(m.now))
+	p.quotas.bug = m.bug
 }
 
 // step does one thing, and gives an error if more than the budget was spent in a window.
 func (m *model) step() error {
-	p := m.procs[m.draw("process", len(m.procs))]
+	p := m.processes[m.draw("process", len(m.processes))]
 	what := m.draw("what", 100)
 	switch {
 	case what == 0:
-		m.begin(p)
+		m.startProcess(p)
 	case what < 4:
 		p.paused = !p.paused
 	case what < 30:
 		m.now += time.Duration(1+m.draw("ms", 1500)) * time.Millisecond
-	case what < 60 && len(m.mail) > 0:
-		i := m.draw("letter", len(m.mail))
-		letter := m.mail[i]
+	case what < 60 && len(m.messages) > 0:
+		i := m.draw("letter", len(m.messages))
+		message := m.messages[i]
 		if m.draw("keep", 3) > 0 { // or it comes again
-			m.mail = slices.Delete(m.mail, i, i+1)
+			m.messages = slices.Delete(m.messages, i, i+1)
 		}
 		if m.draw("lose", 5) > 0 {
-			m.bring(letter)
+			m.deliver(message)
 		}
 	case p.paused:
 	case what < 80:
-		to := m.procs[m.draw("lender", len(m.procs))]
-		if r, ok := p.b.Ask("cold", to.name, Amount(1+m.draw("amount", 10))*Unit, p.clock(m.now)); ok {
-			m.mail = append(m.mail, r)
+		to := m.processes[m.draw("lender", len(m.processes))]
+		if r, ok := p.quotas.RequestLoan("cold", to.name, Amount(1+m.draw("amount", 10))*Unit, p.clock(m.now)); ok {
+			m.messages = append(m.messages, r)
 		}
 	default:
 		return m.spend(p)
@@ -92,32 +92,32 @@
 	return nil
 }
 
-func (m *model) bring(letter any) {
-	for _, p := range m.procs {
+func (m *model) deliver(message any) {
+	for _, p := range m.processes {
 		if p.paused {
 			continue
 		}
-		switch l := letter.(type) {
+		switch l := message.(type) {
 		case Request:
-			if g, ok := p.b.Lend(l, 0, p.clock(m.now)); ok {
-				m.mail = append(m.mail, g)
+			if g, ok := p.quotas.GrantLoan(l, 0, p.clock(m.now)); ok {
+				m.messages = append(m.messages, g)
 			}
 		case Grant:
-			p.b.Take(l, p.clock(m.now))
+			p.quotas.AcceptGrant(l, p.clock(m.now))
 		}
 	}
 }
 
 // spend has a process spend all that it may, and judges the window that ends now.
-func (m *model) spend(p *proc) error {
-	amount := p.b.Free("cold", p.clock(m.now)) / Amount(1+m.draw("part", 2))
-	if !p.b.Spend("cold", amount, p.clock(m.now)) {
+func (m *model) spend(p *modelProcess) error {
+	amount := p.quotas.Available("cold", p.clock(m.now)) / Amount(1+m.draw("part", 2))
+	if !p.quotas.Spend("cold", amount, p.clock(m.now)) {
 		return nil
 	}
 	m.spent = append(m.spent, entry{amount, m.now})
 	all := Amount(0)
 	for _, e := range m.spent {
-		if m.now-e.until < m.cfg.Window {
+		if m.now-e.expiresAt < m.cfg.Window {
 			all += e.amount
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 // play runs the model on a seed.
-func play(seed uint64, bug string, steps int) (m *model, err error) {
+func runModel(seed uint64, bug string, steps int) (m *model, err error) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	m = newModel(func(_ string, n int) int { return r.IntN(n) }, bug)
 	for range steps {
@@ -156,12 +156,12 @@
 func TestModelFindsEachBug(t *testing.T) {
 	loans := 0
 	for seed := range uint64(200) {
-		m, err := play(seed, "", 2000)
+		m, err := runModel(seed, "", 2000)
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		for _, p := range m.procs {
-			loans += int(p.b.lapsed)
+		for _, p := range m.processes {
+			loans += int(p.quotas.expiredLoans)
 		}
 	}
 	if loans < 200 {
@@ -171,7 +171,7 @@
 		"counts from the grant", "takes a grant twice", "no margin"} {
 		found := false
 		for seed := uint64(0); seed < 400 && !found; seed++ {
-			_, err := play(seed, bug, 2000)
+			_, err := runModel(seed, bug, 2000)
 			found = err != nil
 		}
 		if !found {
@@ -182,14 +182,14 @@
 
 // TestForgedWordsChangeNothing: grants that were not asked for, or for more, and requests for
 // others or of senseless amounts.
-func TestForgedWordsChangeNothing(t *testing.T) {
-	c := Config{Process: "a", Size: 2, Budgets: map[string]Amount{"x": 10 * Unit}, Window: time.Second, Loan: time.Second, Lendable: 1, Loans: 2}
-	b, err := New(c, 0)
+func TestForgedMessagesChangeNothing(t *testing.T) {
+	c := Config{Process: "a", Size: 2, Budgets: map[string]Amount{"x": 10 * Unit}, Window: time.Second, LoanDuration: time.Second, LendableFraction: 1, MaxLoans: 2}
+	q, err := New(c, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 10 * time.Second
-	r, _ := b.Ask("x", "b", Unit, now)
+	r, _ := q.RequestLoan("x", "b", Unit, now)
 	good := Grant{Budget: "x", Borrower: "a", Lender: "b", Number: r.Number, Amount: Unit}
 	for name, change := range map[string]func(g *Grant){
 		"another number":   func(g *Grant) { g.Number++ },
@@ -201,26 +201,26 @@
 	} {
 		g := good
 		change(&g)
-		if b.Take(g, now) {
+		if q.AcceptGrant(g, now) {
 			t.Errorf("a grant of %s is taken", name)
 		}
 	}
 	for _, r := range []Request{{Budget: "x", Borrower: "b", Lender: "c", Amount: Unit}, {Budget: "y", Borrower: "b", Lender: "a", Amount: Unit},
 		{Budget: "x", Borrower: "b", Lender: "a", Amount: -Unit}, {Budget: "x", Borrower: "a", Lender: "a", Amount: Unit}} {
-		if _, ok := b.Lend(r, 0, now); ok {
+		if _, ok := q.GrantLoan(r, 0, now); ok {
 			t.Errorf("%+v is granted", r)
 		}
 	}
-	if !b.Take(good, now) || b.Take(good, now) || b.Free("x", now) != 6*Unit || b.Free("x", now+time.Second) != 5*Unit {
-		t.Errorf("an honest loan: %+v", b.Holdings(now))
+	if !q.AcceptGrant(good, now) || q.AcceptGrant(good, now) || q.Available("x", now) != 6*Unit || q.Available("x", now+time.Second) != 5*Unit {
+		t.Errorf("an honest loan: %+v", q.Holdings(now))
 	}
 	for range 10 { // what others ask for bounds nothing but what is lent
-		b.Lend(Request{Budget: "x", Borrower: "b", Lender: "a", Amount: 1}, 0, now)
+		q.GrantLoan(Request{Budget: "x", Borrower: "b", Lender: "a", Amount: 1}, 0, now)
 	}
-	if h := b.Holdings(now + time.Second)[0]; h.Lent != 2 || h.Lapsed != 1 {
+	if h := q.Holdings(now + time.Second)[0]; h.Lent != 2 || h.ExpiredLoans != 1 {
 		t.Errorf("%+v", h)
 	}
-	c.Drift = 0.7
+	c.MaxClockDrift = 0.7
 	if _, err := New(c, 0); err == nil {
 		t.Error("a drift without sense is taken")
 	}
