--- /dev/null
+++ b/internal/quota/model_test.go
@@ -0,0 +1,229 @@
+package quota
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// modelBudget is the one budget of the model.
+const modelBudget = "requests"
+
+// model is a fleet of processes on a network that loses, duplicates, delays and reorders messages, with clocks that
+// are offset and drift, and processes that stall and that restart without their state. Only the model knows the true
+// time.
+type model struct {
+	draw      func(name string, n int) int // 0 to n-1
+	now       time.Duration
+	cfg       Config
+	omission  omission
+	processes []*modelProcess
+	messages  []any // Request or Grant; any may be delivered, duplicated or dropped at any time
+	spent     []spending
+	started   int
+}
+
+// omission is a rule that the model check leaves out. noDriftMargin is one of the configuration's, the others are
+// those of Quotas.
+type omission struct {
+	name          string
+	rule          rule
+	noDriftMargin bool
+}
+
+// modelProcess is one process of the model, with its clock.
+type modelProcess struct {
+	quotas *Quotas
+	name   string
+	offset time.Duration
+	rate   float64
+	paused bool
+}
+
+// spending is an amount that was spent at a true time.
+type spending struct {
+	amount Amount
+	at     time.Duration
+}
+
+func (p *modelProcess) clock(now time.Duration) time.Duration {
+	return p.offset + time.Duration(float64(now)*p.rate)
+}
+
+func newModel(draw func(string, int) int, omitted omission) *model {
+	m := &model{draw: draw, omission: omitted, cfg: Config{
+		Size:             3,
+		Budgets:          map[string]Amount{modelBudget: 30 * Unit},
+		Window:           2 * time.Second,
+		LoanDuration:     5 * time.Second,
+		LendableFraction: 0.8,
+		MaxClockDrift:    0.02,
+		MaxLoans:         4,
+	}}
+	for range m.cfg.Size {
+		p := &modelProcess{
+			offset: time.Duration(draw("offset", 1000)) * time.Second,
+			rate:   1 + 0.02*float64(draw("rate", 3)-1),
+		}
+		m.processes = append(m.processes, p)
+		m.startProcess(p)
+	}
+	return m
+}
+
+// startProcess starts a process anew.
+func (m *model) startProcess(p *modelProcess) {
+	m.started++
+	cfg := m.cfg
+	cfg.Process = fmt.Sprint("p", m.started)
+	if m.omission.noDriftMargin {
+		cfg.MaxClockDrift = 0
+	}
+	p.name = cfg.Process
+	p.paused = false
+	p.quotas, _ = New(cfg, p.clock(m.now))
+	p.quotas.omitted = m.omission.rule
+}
+
+// step does one thing, and gives an error if more than the budget was spent in a window.
+func (m *model) step() error {
+	p := m.processes[m.draw("process", len(m.processes))]
+	action := m.draw("action", 100)
+	switch {
+	case action == 0:
+		m.startProcess(p)
+	case action < 4:
+		p.paused = !p.paused
+	case action < 30:
+		m.now += time.Duration(1+m.draw("ms", 1500)) * time.Millisecond
+	case action < 60 && len(m.messages) > 0:
+		m.passMessage()
+	case p.paused:
+	case action < 80:
+		m.requestLoan(p)
+	default:
+		return m.spend(p)
+	}
+	return nil
+}
+
+// passMessage delivers or drops a message; it may stay, to come again.
+func (m *model) passMessage() {
+	i := m.draw("message", len(m.messages))
+	message := m.messages[i]
+	if m.draw("keep", 3) > 0 {
+		m.messages = slices.Delete(m.messages, i, i+1)
+	}
+	if m.draw("lose", 5) > 0 {
+		m.deliver(message)
+	}
+}
+
+func (m *model) deliver(message any) {
+	for _, p := range m.processes {
+		if p.paused {
+			continue
+		}
+		switch message := message.(type) {
+		case Request:
+			if grant, ok := p.quotas.GrantLoan(message, 0, p.clock(m.now)); ok {
+				m.messages = append(m.messages, grant)
+			}
+		case Grant:
+			p.quotas.AcceptGrant(message, p.clock(m.now))
+		}
+	}
+}
+
+func (m *model) requestLoan(p *modelProcess) {
+	lender := m.processes[m.draw("lender", len(m.processes))]
+	amount := Amount(1+m.draw("amount", 10)) * Unit
+	if request, ok := p.quotas.RequestLoan(modelBudget, lender.name, amount, p.clock(m.now)); ok {
+		m.messages = append(m.messages, request)
+	}
+}
+
+// spend has a process spend all that it may, or half of it, and checks the window that ends now.
+func (m *model) spend(p *modelProcess) error {
+	amount := p.quotas.Available(modelBudget, p.clock(m.now)) / Amount(1+m.draw("part", 2))
+	if !p.quotas.Spend(modelBudget, amount, p.clock(m.now)) {
+		return nil
+	}
+	m.spent = append(m.spent, spending{amount, m.now})
+	total := Amount(0)
+	for _, s := range m.spent {
+		if m.now-s.at < m.cfg.Window {
+			total += s.amount
+		}
+	}
+	if total > m.cfg.Budgets[modelBudget] {
+		return fmt.Errorf("%d of %d spent in the window up to %v", total, m.cfg.Budgets[modelBudget], m.now)
+	}
+	return nil
+}
+
+// TestBudgetIsNeverExceeded is the model check; a violation shrinks to the fewest steps.
+func TestBudgetIsNeverExceeded(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		draw := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
+		m := newModel(draw, omission{})
+		for range rapid.IntRange(50, 400).Draw(t, "steps") {
+			if err := m.step(); err != nil {
+				t.Fatal(err)
+			}
+		}
+	})
+}
+
+// runModel runs the model on a seed.
+func runModel(seed uint64, omitted omission, steps int) (*model, error) {
+	r := rand.New(rand.NewPCG(seed, 1))
+	m := newModel(func(_ string, n int) int { return r.IntN(n) }, omitted)
+	for range steps {
+		if err := m.step(); err != nil {
+			return m, err
+		}
+	}
+	return m, nil
+}
+
+// TestModelFindsEachOmittedRule: 200 random schedules keep the budget, lend and spend; with a rule omitted some
+// exceed it.
+func TestModelFindsEachOmittedRule(t *testing.T) {
+	loans := 0
+	for seed := range uint64(200) {
+		m, err := runModel(seed, omission{}, 2000)
+		if err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+		for _, p := range m.processes {
+			loans += int(p.quotas.expiredLoans)
+		}
+	}
+	if loans < 200 {
+		t.Errorf("only %d loans were used in 200 schedules", loans)
+	}
+	for _, omitted := range []omission{
+		{name: "start quarantine", rule: startQuarantine},
+		{name: "full window", rule: fullWindow},
+		{name: "lend only unspent", rule: lendOnlyUnspent},
+		{name: "return after spend", rule: returnAfterSpend},
+		{name: "return after loan", rule: returnAfterLoan},
+		{name: "loan from request", rule: loanFromRequest},
+		{name: "grant once", rule: grantOnce},
+		{name: "drift margin", noDriftMargin: true},
+	} {
+		found := false
+		for seed := uint64(0); seed < 400 && !found; seed++ {
+			_, err := runModel(seed, omitted, 2000)
+			found = err != nil
+		}
+		if !found {
+			t.Errorf("the model does not find the omission of the rule %q", omitted.name)
+		}
+	}
+}
