--- a/cmd/membership/experiment.go
+++ b/cmd/membership/experiment.go
@@ -130,7 +130,7 @@
 			return err
 		}
 		defer f.Close()
-		j.To = f
+		j.Out = f
 	}
 	err := p.rounds(ctx, j)
 	if err == nil && p.Costs > 0 && ctx.Err() == nil {
@@ -150,7 +150,7 @@
 func (p plan) rounds(ctx context.Context, j *membershiptest.Journal) error {
 	for round := range p.Runs {
 		seed := p.Seed + uint64(round)
-		var l *membershiptest.Lab
+		var l *membershiptest.Harness
 		var done func()
 		for _, c := range membershiptest.Cases {
 			if ctx.Err() != nil || len(p.Cases) > 0 && !slices.Contains(p.Cases, c.Name) {
@@ -162,12 +162,12 @@
 					return err
 				}
 			}
-			m, err := l.Play(c, p.scale())
+			m, err := l.RunCase(c, p.scale())
 			if jerr := j.Add(c.Name, seed, m, err); jerr != nil {
 				done()
 				return jerr
 			}
-			if err != nil || c.Last {
+			if err != nil || c.EndsCluster {
 				done()
 				l = nil
 			}
@@ -202,7 +202,7 @@
 
 func bytesLine(b []byte) string { return string(b[:max(0, len(b)-1)]) }
 
-func (p plan) lab(seed uint64, alone func(int) bool) (*membershiptest.Lab, func(), error) {
+func (p plan) lab(seed uint64, alone func(int) bool) (*membershiptest.Harness, func(), error) {
 	dir, err := os.MkdirTemp(p.logs, "membership")
 	if err != nil {
 		return nil, nil, err
@@ -216,8 +216,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	l, err := membershiptest.New(membershiptest.Config{Binary: binary, Dir: dir, N: p.Agents, Seeds: p.Seeds, Seed: seed, Alone: alone,
-		Fleet: membership.Config{ProbeIntervalMs: msOf(p.Probe), SuspectTimeoutMs: msOf(p.Suspect), SettleMs: msOf(p.Settle),
+	l, err := membershiptest.New(membershiptest.Config{Binary: binary, Dir: dir, Agents: p.Agents, Seeds: p.Seeds, Seed: seed, WithoutMembership: alone,
+		Membership: membership.Config{ProbeIntervalMs: msOf(p.Probe), SuspectTimeoutMs: msOf(p.Suspect), SettleMs: msOf(p.Settle),
 			ForgetMs: msOf(p.Forget), ReclaimMs: msOf(p.Reclaim), ReconnectMs: msOf(p.Reconnect)}})
 	if err != nil {
 		remove()
@@ -227,8 +227,8 @@
 }
 
 func (p plan) scale() membershiptest.Scale {
-	return membershiptest.Scale{Cut: p.Cut, Long: p.Long, Pause: p.Pause, Faulty: p.Faulty,
-		Loss: p.Loss, Within: p.Within}
+	return membershiptest.Scale{ShortPartition: p.Cut, LongPartition: p.Long, Pause: p.Pause, FaultTime: p.Faulty,
+		LossTime: p.Loss, ConvergeWithin: p.Within}
 }
 
 // costs measures what the view takes, beside two agents that have none.
@@ -239,7 +239,7 @@
 		return err
 	}
 	defer done()
-	m, err := membershiptest.Measures(nil), l.StartSettled(p.Within)
+	m, err := membershiptest.Metrics(nil), l.StartSettled(p.Within)
 	if err == nil {
 		m, err = l.Costs(p.Costs)
 	}
--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -17,53 +17,53 @@
 // what it returns of figures is for the log.
 type Case struct {
 	Name string
-	run  func(l *Lab) (figures string, err error)
+	run  func(h *Harness) (figures string, err error)
 }
 
 // Cases are played on one lab in this order: the first needs agents that have their files' settings.
 var Cases = []Case{
-	{"half refuse", (*Lab).halfRefuse},
-	{"leader killed in a burst", (*Lab).leaderKilled},
-	{"instance paused", func(l *Lab) (string, error) { return l.instanceGone((*Lab).paused) }},
-	{"instance cut off", func(l *Lab) (string, error) { return l.instanceGone((*Lab).cutOff) }},
-	{"instance killed", func(l *Lab) (string, error) { return l.instanceGone((*Lab).killed) }},
-	{"two writers", (*Lab).twoWriters},
-	{"region cut", (*Lab).regionCut},
-	{"all down", (*Lab).allDown},
+	{"half refuse", (*Harness).halfRefuse},
+	{"leader killed in a burst", (*Harness).leaderKilled},
+	{"instance paused", func(h *Harness) (string, error) { return h.instanceGone((*Harness).pause) }},
+	{"instance cut off", func(h *Harness) (string, error) { return h.instanceGone((*Harness).cutOff) }},
+	{"instance killed", func(h *Harness) (string, error) { return h.instanceGone((*Harness).kill) }},
+	{"two writers", (*Harness).twoWriters},
+	{"region cut", (*Harness).regionCut},
+	{"all down", (*Harness).allDown},
 }
 
 // Play plays a case, waits until all that was changed is in force where it must be, and judges all
 // that was seen so far. The error tells what broke, or the rules that the history breaks.
-func (l *Lab) Play(c Case) error {
+func (h *Harness) RunCase(c Case) error {
 	begun := time.Now()
-	figures, err := c.run(l)
+	figures, err := c.run(h)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Name, err)
 	}
-	err = l.settle()
-	h, err2 := l.History()
+	err = h.awaitLastChange()
+	history, err2 := h.History()
 	if err = errors.Join(err, err2); err != nil {
 		return fmt.Errorf("%s: %w", c.Name, err)
 	}
-	took := h.Delays(begun)
-	l.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s", c.Name, time.Since(begun).Seconds(),
+	took := history.Delays(begun)
+	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s", c.Name, time.Since(begun).Seconds(),
 		Quantile(took, 0.5), Quantile(took, 0.99), Quantile(took, 1), len(took), figures)
-	if found := Check(h, l.cfg.Within); len(found) > 0 {
+	if found := Check(history, h.cfg.Within); len(found) > 0 {
 		return fmt.Errorf("%s: %d rules broken, such as %v", c.Name, len(found), found[:min(len(found), 5)])
 	}
 	return nil
 }
 
 // settle returns once each agent that runs knows the last change, or this was due.
-func (l *Lab) settle() error {
-	for end := time.Now().Add(l.cfg.Within + time.Second); ; time.Sleep(50 * time.Millisecond) {
-		h, err := l.seen()
+func (h *Harness) awaitLastChange() error {
+	for end := time.Now().Add(h.cfg.Within + time.Second); ; time.Sleep(50 * time.Millisecond) {
+		history, err := h.observed()
 		if err != nil {
 			return err
 		}
-		last := slices.MaxFunc(h.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
-		lacks := slices.ContainsFunc(h.Lives, func(life *Life) bool {
-			return life.To.IsZero() && !life.knew(last.Version, time.Now())
+		last := slices.MaxFunc(history.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
+		lacks := slices.ContainsFunc(history.Incarnations, func(incarnation *ProcessIncarnation) bool {
+			return incarnation.To.IsZero() && !incarnation.knew(last.Version, time.Now())
 		})
 		if !lacks || time.Now().After(end) {
 			return nil
@@ -73,16 +73,16 @@
 
 // halfRefuse: a change that lacks a key which half of the agents have in force. They keep what they
 // have and are named with why; the next change reaches all.
-func (l *Lab) halfRefuse() (string, error) {
-	w, err := l.Change(func(mark int) string { return settings(mark, "") }, l.Instances...)
+func (h *Harness) halfRefuse() (string, error) {
+	w, err := h.Change(func(mark int) string { return settings(mark, "") }, h.Instances...)
 	if err != nil {
 		return "", err
 	}
 	refused := 0
-	err = processtest.Await(l.cfg.Within, "all agents named with what became of the change", func() bool {
+	err = processtest.Await(h.cfg.Within, "all agents named with what became of the change", func() bool {
 		refused = 0
-		told := l.heard()
-		for i, agent := range l.Agents {
+		told := h.agentReports()
+		for i, agent := range h.Agents {
 			switch r := told[agent]; {
 			case i%2 == 0 && r.InForce != w.Version:
 				return false
@@ -96,29 +96,29 @@
 		return true
 	})
 	if err != nil {
-		return "", fmt.Errorf("%w: %v", err, l.heard())
+		return "", fmt.Errorf("%w: %v", err, h.agentReports())
 	}
-	_, err = l.Change(good, l.Instances...)
+	_, err = h.Change(validSettings, h.Instances...)
 	return fmt.Sprintf("; %d refused", refused), err
 }
 
 // heardAt is what was last heard of an agent, and where.
-type heardAt struct {
+type agentReport struct {
 	server.HeardAgent
 	instance string
 }
 
 // heard is what the service has heard of each agent, from the instance that heard it last.
-func (l *Lab) heard() map[string]heardAt {
-	out := map[string]heardAt{}
-	for _, instance := range l.Instances {
-		var h server.Heard
-		if err := l.ask(instance, "GET", "/v1/settings/"+service+"/heard", "", &h); err != nil {
+func (h *Harness) agentReports() map[string]agentReport {
+	out := map[string]agentReport{}
+	for _, instance := range h.Instances {
+		var heard server.Heard
+		if err := h.callAdmin(instance, "GET", "/v1/settings/"+service+"/heard", "", &heard); err != nil {
 			continue
 		}
-		for _, a := range h.Agents {
+		for _, a := range heard.Agents {
 			if old, ok := out[a.Agent]; !ok || a.SilentMs < old.SilentMs {
-				out[a.Agent] = heardAt{a, instance}
+				out[a.Agent] = agentReport{a, instance}
 			}
 		}
 	}
@@ -126,65 +126,65 @@
 }
 
 // leaderKilled: the leader is killed in the middle of a burst of changes, and comes back after it.
-func (l *Lab) leaderKilled() (_ string, err error) {
-	for i := range l.cfg.Burst {
-		if i == l.cfg.Burst/3 {
-			lead := l.leader()
-			if err := l.svc.Kill(lead); err != nil {
+func (h *Harness) leaderKilled() (_ string, err error) {
+	for i := range h.cfg.Burst {
+		if i == h.cfg.Burst/3 {
+			lead := h.leader()
+			if err := h.discovery.Kill(lead); err != nil {
 				return "", err
 			}
-			defer func() { err = errors.Join(err, l.svc.Start(lead)) }()
+			defer func() { err = errors.Join(err, h.discovery.Start(lead)) }()
 		}
-		if _, err := l.Change(good, l.Instances...); err != nil {
+		if _, err := h.Change(validSettings, h.Instances...); err != nil {
 			return "", err
 		}
 	}
 	return "", nil
 }
 
-func (l *Lab) setPaused(instance string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pausedNow = instance
+func (h *Harness) setPaused(instance string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.pausedInstance = instance
 }
 
-func (l *Lab) paused(instance string) (end func() error, err error) {
-	l.setPaused(instance)
-	return func() error { l.setPaused(""); return l.svc.Resume(instance) }, l.svc.Pause(instance)
+func (h *Harness) pause(instance string) (end func() error, err error) {
+	h.setPaused(instance)
+	return func() error { h.setPaused(""); return h.discovery.Resume(instance) }, h.discovery.Pause(instance)
 }
 
-func (l *Lab) killed(instance string) (end func() error, err error) {
-	return func() error { return l.svc.Start(instance) }, l.svc.Kill(instance)
+func (h *Harness) kill(instance string) (end func() error, err error) {
+	return func() error { return h.discovery.Start(instance) }, h.discovery.Kill(instance)
 }
 
-func (l *Lab) cutOff(instance string) (end func() error, err error) {
-	others := slices.DeleteFunc(slices.Clone(l.Instances), func(n string) bool { return n == instance })
-	l.svc.Partition([]string{instance}, append(others, l.Agents...))
-	return func() error { l.svc.Heal(); return nil }, nil
+func (h *Harness) cutOff(instance string) (end func() error, err error) {
+	others := slices.DeleteFunc(slices.Clone(h.Instances), func(n string) bool { return n == instance })
+	h.discovery.Partition([]string{instance}, append(others, h.Agents...))
+	return func() error { h.discovery.Heal(); return nil }, nil
 }
 
 // instanceGone: an instance on which agents hang is gone, and settings change as soon as the
 // others take a write.
-func (l *Lab) instanceGone(how func(*Lab, string) (func() error, error)) (string, error) {
-	instance, agents, err := l.hung()
+func (h *Harness) instanceGone(how func(*Harness, string) (func() error, error)) (string, error) {
+	instance, agents, err := h.busiestInstance()
 	if err != nil {
 		return "", err
 	}
-	others := slices.DeleteFunc(slices.Clone(l.Instances), func(n string) bool { return n == instance })
-	lead := l.leader() == instance
-	end, err := how(l, instance)
+	others := slices.DeleteFunc(slices.Clone(h.Instances), func(n string) bool { return n == instance })
+	lead := h.leader() == instance
+	end, err := how(h, instance)
 	if err != nil {
 		return "", err
 	}
-	_, err = l.Change(good, others...)
+	_, err = h.Change(validSettings, others...)
 	if err == nil {
-		err = l.settle()
+		err = h.awaitLastChange()
 	}
 	return fmt.Sprintf("; %d agents hung on it, it led: %v", agents, lead), errors.Join(err, end())
 }
 
 // twoWriters: two writers at one moment, at different instances, ten times.
-func (l *Lab) twoWriters() (string, error) {
+func (h *Harness) twoWriters() (string, error) {
 	var group sync.WaitGroup
 	errs := make([]error, 2)
 	for w := range errs {
@@ -192,7 +192,7 @@
 		go func() {
 			defer group.Done()
 			for range 10 {
-				_, err := l.Change(good, l.Instances[w:]...)
+				_, err := h.Change(validSettings, h.Instances[w:]...)
 				errs[w] = errors.Join(errs[w], err)
 			}
 		}()
@@ -203,80 +203,80 @@
 
 // regionCut: an instance and a third of the agents are cut off from the rest while settings change: the
 // others have them in time, these keep the last they had and have the newest in time after the heal.
-func (l *Lab) regionCut() (string, error) {
-	away, err := l.follower()
+func (h *Harness) regionCut() (string, error) {
+	away, err := h.drawFollower()
 	if err != nil {
 		return "", err
 	}
-	here := slices.DeleteFunc(slices.Clone(l.Instances), func(n string) bool { return n == away })
-	third := l.Agents[:len(l.Agents)/3]
+	here := slices.DeleteFunc(slices.Clone(h.Instances), func(n string) bool { return n == away })
+	third := h.Agents[:len(h.Agents)/3]
 	cut := time.Now()
-	l.svc.Partition(append([]string{away}, third...), append(slices.Clone(here), l.Agents[len(third):]...))
+	h.discovery.Partition(append([]string{away}, third...), append(slices.Clone(here), h.Agents[len(third):]...))
 	for i := 0; i < 3 && err == nil; i++ {
-		time.Sleep(l.cfg.Outage / 3)
-		_, err = l.Change(good, here...)
+		time.Sleep(h.cfg.Outage / 3)
+		_, err = h.Change(validSettings, here...)
 	}
-	h, err2 := l.seen()
+	history, err2 := h.observed()
 	if err = errors.Join(err, err2); err != nil {
 		return "", err
 	}
-	for _, life := range h.Lives {
-		if slices.Contains(third, life.Agent) && life.To.IsZero() && slices.ContainsFunc(life.Seen, func(s Seen) bool {
-			return s.At.After(cut.Add(time.Second)) && s.Version >= h.Writes[len(h.Writes)-3].Version
+	for _, incarnation := range history.Incarnations {
+		if slices.Contains(third, incarnation.Agent) && incarnation.To.IsZero() && slices.ContainsFunc(incarnation.Observations, func(s Observation) bool {
+			return s.At.After(cut.Add(time.Second)) && s.Version >= history.Writes[len(history.Writes)-3].Version
 		}) {
-			err = fmt.Errorf("%s, which was cut off, has a change that was made on the other side", life.Agent)
+			err = fmt.Errorf("%s, which was cut off, has a change that was made on the other side", incarnation.Agent)
 		}
 	}
-	l.svc.Heal()
-	l.excuse(cut, third...)
+	h.discovery.Heal()
+	h.exempt(cut, third...)
 	return "", err
 }
 
 // allDown: all instances are killed, and a tenth of the agents is restarted meanwhile; when they are
 // back, the agents come one by one. The change is made once they are.
-func (l *Lab) allDown() (string, error) {
+func (h *Harness) allDown() (string, error) {
 	fall := time.Now()
-	if err := processtest.Each(l.Instances, l.svc.Kill); err != nil {
+	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
 		return "", err
 	}
-	time.Sleep(l.cfg.Outage / 2)
-	tenth := l.Agents[:max(1, len(l.Agents)/10)]
-	if err := processtest.Each(tenth, l.restart); err != nil {
+	time.Sleep(h.cfg.Outage / 2)
+	tenth := h.Agents[:max(1, len(h.Agents)/10)]
+	if err := processtest.Each(tenth, h.restart); err != nil {
 		return "", err
 	}
-	time.Sleep(l.cfg.Outage / 2)
-	for _, agent := range l.Agents {
-		if !l.agents.Running(agent) {
+	time.Sleep(h.cfg.Outage / 2)
+	for _, agent := range h.Agents {
+		if !h.agents.Running(agent) {
 			return "", fmt.Errorf("%s does not run any more", agent)
 		}
 	}
 	back := time.Now()
-	if err := processtest.Each(l.Instances, l.svc.Start); err != nil {
+	if err := processtest.Each(h.Instances, h.discovery.Start); err != nil {
 		return "", err
 	}
-	_, err := l.Change(good, l.Instances...)
-	l.excuse(fall)
+	_, err := h.Change(validSettings, h.Instances...)
+	h.exempt(fall)
 	if err == nil {
-		err = l.settle()
+		err = h.awaitLastChange()
 	}
 	if err != nil {
 		return "", err
 	}
-	down, err := l.peak(fall, back)
-	after, err2 := l.peak(back, back.Add(l.cfg.Within))
-	if err = errors.Join(err, err2); err == nil && max(down, after) >= len(l.Agents) {
-		err = fmt.Errorf("%d of %d agents called in 100 ms while all were down, %d after their return", down, len(l.Agents), after)
+	down, err := h.peakCalls(fall, back)
+	after, err2 := h.peakCalls(back, back.Add(h.cfg.Within))
+	if err = errors.Join(err, err2); err == nil && max(down, after) >= len(h.Agents) {
+		err = fmt.Errorf("%d of %d agents called in 100 ms while all were down, %d after their return", down, len(h.Agents), after)
 	}
-	return fmt.Sprintf("; most calls in 100 ms of %d agents: %d while down, %d after the return", len(l.Agents), down, after), err
+	return fmt.Sprintf("; most calls in 100 ms of %d agents: %d while down, %d after the return", len(h.Agents), down, after), err
 }
 
 // peak is how many calls came to the instances in the 100 ms that had the most, where each call comes on
 // a connection of its own: after a failure nothing is kept.
-func (l *Lab) peak(from, to time.Time) (most int, err error) {
+func (h *Harness) peakCalls(from, to time.Time) (most int, err error) {
 	var calls []time.Time
-	for _, agent := range l.Agents {
-		for _, instance := range l.Instances {
-			link, err := l.svc.Link(agent, instance, "http")
+	for _, agent := range h.Agents {
+		for _, instance := range h.Instances {
+			link, err := h.discovery.Link(agent, instance, "http")
 			if err != nil {
 				return 0, err
 			}
--- a/internal/configtest/lab_test.go
+++ b/internal/configtest/cases_test.go
@@ -10,7 +10,7 @@
 
 // TestHardCases plays every case on one lab of three instances and 12 agents of the real programs. With
 // CONFIGLAB_LONG=1 instances and regions are gone for 30 s instead of 6.
-func TestHardCases(t *testing.T) {
+func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"agent", "discovery"} {
 		if out, err := exec.Command("go", "build", "-o", dir+"/", "../../cmd/"+name).CombinedOutput(); err != nil {
@@ -21,15 +21,15 @@
 	if os.Getenv("CONFIGLAB_LONG") != "" {
 		outage = 30 * time.Second
 	}
-	l, err := New(Config{Agent: filepath.Join(dir, "agent"), Service: filepath.Join(dir, "discovery"), Dir: dir, N: 12, Seed: 1,
+	h, err := New(Config{AgentBinary: filepath.Join(dir, "agent"), DiscoveryBinary: filepath.Join(dir, "discovery"), Dir: dir, Agents: 12, Seed: 1,
 		Within: 11 * time.Second, Outage: outage, Burst: 100, Log: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(l.Close)
+	t.Cleanup(h.Close)
 	for _, c := range Cases {
 		if !t.Run(c.Name, func(t *testing.T) {
-			if err := l.Play(c); err != nil {
+			if err := h.RunCase(c); err != nil {
 				t.Fatal(err)
 			}
 		}) {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -96,7 +96,7 @@
 	w := &World{cfg: cfg, start: time.Now(), nodes: map[string]*backend{},
 		podKeys: map[int]map[string]time.Duration{}, down: map[string]bool{}, late: hdrhistogram.New(1, 60_000_000, 3), closed: make(chan struct{}), stopped: make(chan struct{})}
 	var err error
-	if w.hold, w.net, err = faultproxy.Network(); err != nil {
+	if w.hold, w.net, err = faultproxy.ReserveNetwork(); err != nil {
 		return nil, err
 	}
 	for _, c := range cfg.Classes {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -171,7 +171,7 @@
 	w     *emulator.World
 	wcfg  emulator.Config
 	arm   Arm
-	board *faultproxy.Board // nil: the agents do not talk
+	board *faultproxy.Proxy // nil: the agents do not talk
 	procs *processtest.Cluster
 	names []string
 	index map[string]int
--- a/internal/faultproxy/switchboard_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -11,53 +11,53 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // process is a stand-in that listens where a board tells it to.
-type process struct {
+type testProcess struct {
 	bind, advertise string
 	udp             *net.UDPConn
 	tcp             net.Listener
 }
 
-func start(t *testing.T, b *Board, name string) *process {
+func startProcess(t *testing.T, p *Proxy, name string) *testProcess {
 	t.Helper()
-	bind, advertise, err := b.Add(name)
+	bind, advertise, err := p.Add(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{bind: bind, advertise: advertise}
-	if p.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind))); err != nil {
+	process := &testProcess{bind: bind, advertise: advertise}
+	if process.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind))); err != nil {
 		t.Fatal(err)
 	}
-	if p.tcp, err = net.Listen("tcp4", bind); err != nil {
+	if process.tcp, err = net.Listen("tcp4", bind); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.close)
-	return p
+	t.Cleanup(process.close)
+	return process
 }
 
-func (p *process) close() {
-	p.udp.Close()
-	p.tcp.Close()
+func (process *testProcess) close() {
+	process.udp.Close()
+	process.tcp.Close()
 }
 
-func (p *process) send(to *process, text string) {
-	p.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to.advertise))
+func (process *testProcess) send(to *testProcess, text string) {
+	process.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to.advertise))
 }
 
-func (p *process) dial(to *process) (net.Conn, error) {
-	host, _, _ := net.SplitHostPort(p.bind)
-	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}, Timeout: patience}).Dial("tcp4", to.advertise)
+func (process *testProcess) dial(to *testProcess) (net.Conn, error) {
+	host, _, _ := net.SplitHostPort(process.bind)
+	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}, Timeout: testTimeout}).Dial("tcp4", to.advertise)
 }
 
 // heard reads packets up to one that says "end", which has to come.
-func (p *process) heard(t *testing.T) (got []string) {
+func (process *testProcess) receiveUntilEnd(t *testing.T) (got []string) {
 	t.Helper()
 	buf := make([]byte, 100)
-	p.udp.SetReadDeadline(time.Now().Add(patience))
+	process.udp.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
-		n, err := p.udp.Read(buf)
+		n, err := process.udp.Read(buf)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,32 +69,32 @@
 }
 
 // The same seed loses, doubles and delays the same packets; a one-way cut is one way.
-func TestPacketsFollowTheRuleAndTheSeed(t *testing.T) {
+func TestPacketsFollowRuleAndSeed(t *testing.T) {
 	play := func(seed uint64) []string {
-		b, err := New(seed)
+		p, err := New(seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer b.Close()
-		x, y := start(t, b, "x"), start(t, b, "y")
+		defer p.Close()
+		x, y := startProcess(t, p, "x"), startProcess(t, p, "y")
 		defer x.close()
 		defer y.close()
-		b.Set("x", "y", Rule{Loss: 0.3, Duplicate: 0.1, Replay: 0.1})
-		b.Set("y", "x", Rule{Cut: true})
+		p.Set("x", "y", Rule{Loss: 0.3, Duplicate: 0.1, Replay: 0.1})
+		p.Set("y", "x", Rule{Cut: true})
 		for i := range 200 {
 			x.send(y, fmt.Sprint(i))
 			y.send(x, "cut off")
 		}
-		for b.Counts().Packets < 400 {
+		for p.Counts().Packets < 400 {
 			time.Sleep(time.Millisecond)
 		}
-		b.Clear()
+		p.Clear()
 		x.send(y, "end")
 		y.send(x, "end")
-		if got := x.heard(t); len(got) > 0 {
+		if got := x.receiveUntilEnd(t); len(got) > 0 {
 			t.Errorf("%d packets came against a cut", len(got))
 		}
-		return y.heard(t)
+		return y.receiveUntilEnd(t)
 	}
 	first, again, other := play(7), play(7), play(8)
 	if !slices.Equal(first, again) {
@@ -111,13 +111,13 @@
 
 // A cut takes connections silently and resets them when it heals; a process that is not
 // there refuses; after the cut calls come through.
-func TestStreams(t *testing.T) {
-	b, err := New(1)
+func TestStreamsDuringAndAfterCut(t *testing.T) {
+	p, err := New(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	x, y := start(t, b, "x"), start(t, b, "y")
+	defer p.Close()
+	x, y := startProcess(t, p, "x"), startProcess(t, p, "y")
 	go func() {
 		for {
 			c, err := y.tcp.Accept()
@@ -138,7 +138,7 @@
 		}
 	}()
 	echo := func(c net.Conn) error {
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Write([]byte("x")); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 	if err != nil || echo(before) != nil {
 		t.Fatalf("a call without rules fails: %v", err)
 	}
-	b.Partition("p", []string{"x"}, []string{"y"})
+	p.Partition("p", []string{"x"}, []string{"y"})
 	during, err := x.dial(y)
 	if err != nil {
 		t.Fatal(err)
@@ -162,9 +162,9 @@
 			t.Errorf("a connection %s the cut is not silent: %v", name, err)
 		}
 	}
-	b.Heal("p")
+	p.Heal("p")
 	for name, c := range map[string]net.Conn{"open before": before, "opened during": during} {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("a connection %s the cut ends with %v after it", name, err)
 		}
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -11,11 +11,11 @@
 
 // Life is one process's time: from its start to its end as the lab made them. All times of
 // a lab are of one machine's clock.
-type Life struct {
+type ProcessIncarnation struct {
 	Name, Process string
 	Start, End    time.Time // End is zero while it runs
 	Left          bool      // it ended by SIGTERM
-	proc          string
+	processName   string
 }
 
 // Record is what one process saw, in its order.
@@ -42,7 +42,7 @@
 }
 
 // settledAt is when the view came to a digest for good.
-func (r *Record) settledAt(digest string) (at time.Time) {
+func (r *Record) convergedAt(digest string) (at time.Time) {
 	for _, c := range slices.Backward(r.Changes) {
 		if c.Digest != digest {
 			break
@@ -53,7 +53,7 @@
 }
 
 // Excuse is a time in which an observer (by name) may rightly declare a member dead.
-type Excuse struct {
+type Exemption struct {
 	From, To time.Time
 	Pair     func(observer, member string) bool
 }
@@ -74,10 +74,10 @@
 }
 
 // Check judges the merged histories of all processes against the rules.
-func Check(lives []*Life, records []*Record, excuses []Excuse) (found []Violation) {
-	byProcess := map[string]*Life{}
-	for _, l := range lives {
-		byProcess[l.Process] = l
+func Check(lives []*ProcessIncarnation, records []*Record, excuses []Exemption) (found []Violation) {
+	byProcess := map[string]*ProcessIncarnation{}
+	for _, incarnation := range lives {
+		byProcess[incarnation.Process] = incarnation
 	}
 	for _, r := range records {
 		// What this observer knows of each name: its process, incarnation and state.
@@ -96,7 +96,7 @@
 			if known && old.Process != c.Process {
 				replaced[old.Process] = true
 			}
-			if replaced[c.Process] || known && before(byProcess[c.Process], byProcess[old.Process]) {
+			if replaced[c.Process] || known && endedBefore(byProcess[c.Process], byProcess[old.Process]) {
 				broken("return")
 			}
 			if known && old.Process == c.Process {
@@ -107,7 +107,7 @@
 					broken("leaver")
 				}
 			}
-			if c.To == membership.Dead && falseDeath(byProcess[c.Process], r.Observer, c, excuses) {
+			if c.To == membership.Dead && isFalseDeath(byProcess[c.Process], r.Observer, c, excuses) {
 				broken("false death")
 			}
 			seen[c.Name] = c
@@ -117,26 +117,26 @@
 }
 
 // before tells whether a process is known to have ended before another began.
-func before(a, b *Life) bool {
+func endedBefore(a, b *ProcessIncarnation) bool {
 	return a != nil && b != nil && !a.End.IsZero() && a.End.Before(b.Start)
 }
 
-func falseDeath(life *Life, observer string, c membership.Change, excuses []Excuse) bool {
+func isFalseDeath(incarnation *ProcessIncarnation, observer string, c membership.Change, excuses []Exemption) bool {
 	at := time.UnixMicro(c.UnixUs)
-	if life == nil || !life.End.IsZero() && at.After(life.End) {
+	if incarnation == nil || !incarnation.End.IsZero() && at.After(incarnation.End) {
 		return false
 	}
-	return !slices.ContainsFunc(excuses, func(e Excuse) bool {
+	return !slices.ContainsFunc(excuses, func(e Exemption) bool {
 		return at.After(e.From) && at.Before(e.To) && e.Pair(observer, c.Name)
 	})
 }
 
 // Flaps counts, for each pair of an observer and a running member since a time, how often
 // the observer came to doubt the member, and gives the most for a pair and the sum.
-func Flaps(lives []*Life, records []*Record, since time.Time) (most, sum int) {
+func Flaps(lives []*ProcessIncarnation, records []*Record, since time.Time) (most, sum int) {
 	running := map[string]bool{}
-	for _, l := range lives {
-		running[l.Process] = l.End.IsZero()
+	for _, incarnation := range lives {
+		running[incarnation.Process] = incarnation.End.IsZero()
 	}
 	for _, r := range records {
 		pairs := map[string]int{}
@@ -153,26 +153,26 @@
 
 // Detections are the times from the ends of processes that were killed since a time until
 // each process that runs saw them dead, in order; missing counts those that never did.
-func Detections(lives []*Life, records []*Record, since time.Time) (took []time.Duration, missing int) {
+func DetectionTimes(lives []*ProcessIncarnation, records []*Record, since time.Time) (took []time.Duration, missing int) {
 	running := map[string]bool{}
-	for _, l := range lives {
-		running[l.Process] = l.End.IsZero()
+	for _, incarnation := range lives {
+		running[incarnation.Process] = incarnation.End.IsZero()
 	}
 	for _, r := range records {
 		if !running[r.Process] {
 			continue
 		}
-		for _, l := range lives {
-			if l.End.IsZero() || l.Left || l.End.Before(since) {
+		for _, incarnation := range lives {
+			if incarnation.End.IsZero() || incarnation.Left || incarnation.End.Before(since) {
 				continue
 			}
 			i := slices.IndexFunc(r.Changes, func(c membership.Change) bool {
-				return c.Process == l.Process && c.To == membership.Dead && time.UnixMicro(c.UnixUs).After(l.End)
+				return c.Process == incarnation.Process && c.To == membership.Dead && time.UnixMicro(c.UnixUs).After(incarnation.End)
 			})
 			if i < 0 {
 				missing++
 			} else {
-				took = append(took, time.UnixMicro(r.Changes[i].UnixUs).Sub(l.End))
+				took = append(took, time.UnixMicro(r.Changes[i].UnixUs).Sub(incarnation.End))
 			}
 		}
 	}
@@ -189,32 +189,32 @@
 }
 
 // Check judges all that the lab's processes saw so far.
-func (l *Lab) Check() []Violation {
-	l.collect(l.Live())
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Check(l.lives, l.list(), l.excuses)
+func (h *Harness) Check() []Violation {
+	h.collectChanges(h.Running())
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return Check(h.incarnations, h.sortedRecords(), h.exemptions)
 }
 
 // course is what all processes saw of one, in the order of time.
-func (l *Lab) course(process string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (h *Harness) timeline(process string) string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	type step struct {
 		at   int64
 		text string
 	}
 	var steps []step
 	at := func(t time.Time) string { return t.Format("05.000000") }
-	for _, life := range l.lives {
-		if life.Process == process {
-			steps = append(steps, step{life.Start.UnixMicro(), at(life.Start) + " started"})
-			if !life.End.IsZero() {
-				steps = append(steps, step{life.End.UnixMicro(), at(life.End) + fmt.Sprintf(" ended, orderly: %v", life.Left)})
+	for _, incarnation := range h.incarnations {
+		if incarnation.Process == process {
+			steps = append(steps, step{incarnation.Start.UnixMicro(), at(incarnation.Start) + " started"})
+			if !incarnation.End.IsZero() {
+				steps = append(steps, step{incarnation.End.UnixMicro(), at(incarnation.End) + fmt.Sprintf(" ended, orderly: %v", incarnation.Left)})
 			}
 		}
 	}
-	for _, r := range l.records {
+	for _, r := range h.records {
 		for _, c := range r.Changes {
 			if c.Process == process {
 				steps = append(steps, step{c.UnixUs, fmt.Sprintf("%s %s/%s: %q to %q by %q, incarnation %d, draining %v, view %d",
@@ -231,8 +231,8 @@
 }
 
 // list are the records. The caller holds mu.
-func (l *Lab) list() (records []*Record) {
-	for _, r := range l.records {
+func (h *Harness) sortedRecords() (records []*Record) {
+	for _, r := range h.records {
 		records = append(records, r)
 	}
 	slices.SortFunc(records, func(a, b *Record) int { return len(b.Changes) - len(a.Changes) })
@@ -240,16 +240,16 @@
 }
 
 // Flaps and Detections are those of the lab's history since a time.
-func (l *Lab) Flaps(since time.Time) (most, sum int) {
-	l.collect(l.Live())
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Flaps(l.lives, l.list(), since)
-}
-
-func (l *Lab) Detections(since time.Time) ([]time.Duration, int) {
-	l.collect(l.Live())
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Detections(l.lives, l.list(), since)
+func (h *Harness) Flaps(since time.Time) (most, sum int) {
+	h.collectChanges(h.Running())
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return Flaps(h.incarnations, h.sortedRecords(), since)
+}
+
+func (h *Harness) DetectionTimes(since time.Time) ([]time.Duration, int) {
+	h.collectChanges(h.Running())
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return DetectionTimes(h.incarnations, h.sortedRecords(), since)
 }
--- a/internal/membershiptest/check_test.go
+++ b/internal/membershiptest/check_test.go
@@ -13,7 +13,7 @@
 func TestCheckerFindsEachBrokenRule(t *testing.T) {
 	t0 := time.UnixMicro(1_000_000_000)
 	at := func(s int) int64 { return t0.Add(time.Duration(s) * time.Second).UnixMicro() }
-	lives := []*Life{{Name: "b", Process: "b1", Start: t0, End: t0.Add(5 * time.Second)},
+	lives := []*ProcessIncarnation{{Name: "b", Process: "b1", Start: t0, End: t0.Add(5 * time.Second)},
 		{Name: "b", Process: "b2", Start: t0.Add(7 * time.Second)},
 		{Name: "c", Process: "c1", Start: t0}, {Name: "d", Process: "d1", Start: t0, End: t0.Add(4 * time.Second), Left: true}}
 	kept := func() []membership.Change {
@@ -28,9 +28,9 @@
 			{Number: 7, UnixUs: at(9), Name: "c", Process: "c1", From: membership.Alive, To: membership.Dead, Incarnation: 4},
 		}
 	}
-	cut := Excuse{From: t0.Add(8 * time.Second), To: t0.Add(10 * time.Second),
+	cut := Exemption{From: t0.Add(8 * time.Second), To: t0.Add(10 * time.Second),
 		Pair: func(observer, member string) bool { return observer == "a" && member == "c" }}
-	check := func(changes []membership.Change, excuses ...Excuse) (rules []string) {
+	check := func(changes []membership.Change, excuses ...Exemption) (rules []string) {
 		for _, v := range Check(lives, []*Record{{Observer: "a", Process: "a1", Changes: changes}}, excuses) {
 			rules = append(rules, v.Rule)
 		}
--- a/internal/membershiptest/lab.go
+++ b/internal/membershiptest/harness.go
@@ -32,31 +32,31 @@
 type Config struct {
 	Binary string // the built agent
 	Dir    string // for configurations and logs
-	N      int    // processes, in three zones
+	Agents int    // processes, in three zones
 	Seeds  int    // the first so many are everyone's seeds
 	Seed   uint64 // of all that is drawn
 	// Fleet are the timings of the agents' section "fleet" (see membership.Config).
-	Fleet membership.Config
+	Membership membership.Config
 	// Alone tells which processes have no fleet section; nil: none.
-	Alone func(i int) bool
+	WithoutMembership func(i int) bool
 	// Log is told what happens; nil: nobody.
 	Log func(format string, args ...any)
 }
 
 // Lab is a running fleet with its board and its history.
-type Lab struct {
-	cfg   Config
-	Board *faultproxy.Board
-	procs *processtest.Cluster
-	Names []string
-	addr  map[string][2]string // bind and advertise
-	disc  *http.Server
-	draw  *rand.Rand
+type Harness struct {
+	cfg       Config
+	Proxy     *faultproxy.Proxy
+	processes *processtest.Cluster
+	Names     []string
+	relays    map[string][2]string // bind and advertise
+	discovery *http.Server
+	random    *rand.Rand
 
-	mu      sync.Mutex
-	lives   []*Life
-	records map[string]*Record // by observer's process
-	excuses []Excuse
+	mu           sync.Mutex
+	incarnations []*ProcessIncarnation
+	records      map[string]*Record // by observer's process
+	exemptions   []Exemption
 }
 
 // agentSettings are the least that an agent takes.
@@ -66,12 +66,12 @@
 "membershipMode":"on_request","objectiveMix":{"whole":1},"roundMs":5}`
 
 // Upgrade is the name of the second process of an agent, beside the first.
-func Upgrade(name string) string { return name + "-next" }
+func UpgradeName(name string) string { return name + "-next" }
 
 // New makes the fleet's addresses and configurations; nothing runs yet.
-func New(cfg Config) (*Lab, error) {
-	if cfg.N < 2 || cfg.Seeds < 1 || cfg.Seeds > cfg.N {
-		return nil, fmt.Errorf("fleetlab: %d processes with %d seeds", cfg.N, cfg.Seeds)
+func New(cfg Config) (*Harness, error) {
+	if cfg.Agents < 2 || cfg.Seeds < 1 || cfg.Seeds > cfg.Agents {
+		return nil, fmt.Errorf("fleetlab: %d processes with %d seeds", cfg.Agents, cfg.Seeds)
 	}
 	if cfg.Log == nil {
 		cfg.Log = func(string, ...any) {}
@@ -80,44 +80,44 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Lab{cfg: cfg, Board: board, addr: map[string][2]string{}, draw: rand.New(rand.NewPCG(cfg.Seed, 1)),
+	h := &Harness{cfg: cfg, Proxy: board, relays: map[string][2]string{}, random: rand.New(rand.NewPCG(cfg.Seed, 1)),
 		records: map[string]*Record{}}
 	var all []string
-	for i := range cfg.N {
+	for i := range cfg.Agents {
 		name := fmt.Sprintf("a%03d", i)
-		l.Names = append(l.Names, name)
-		all = append(all, name, Upgrade(name))
+		h.Names = append(h.Names, name)
+		all = append(all, name, UpgradeName(name))
 		bind, advertise, err := board.Add(name)
 		if err != nil {
 			board.Close()
 			return nil, err
 		}
-		l.addr[name] = [2]string{bind, advertise}
+		h.relays[name] = [2]string{bind, advertise}
 	}
-	if err := l.discover(); err != nil {
+	if err := h.serveDiscovery(); err != nil {
 		board.Close()
 		return nil, err
 	}
-	l.procs, err = processtest.New(processtest.Config{Binary: cfg.Binary, Dir: cfg.Dir, Names: all, Env: func(name string) []string {
+	h.processes, err = processtest.New(processtest.Config{Binary: cfg.Binary, Dir: cfg.Dir, Names: all, Env: func(name string) []string {
 		return []string{"PROXY_CONFIG=" + filepath.Join(cfg.Dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
 			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + cfg.Dir}
 	}})
-	for i, name := range l.Names {
+	for i, name := range h.Names {
 		for _, next := range []bool{false, true} {
 			if err == nil {
-				err = l.configure(name, i, next)
+				err = h.writeConfig(name, i, next)
 			}
 		}
 	}
 	if err != nil {
-		l.Close()
+		h.Close()
 		return nil, err
 	}
-	return l, nil
+	return h, nil
 }
 
 // discover serves a list of one server to all agents, and is that server.
-func (l *Lab) discover() error {
+func (h *Harness) serveDiscovery() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -136,133 +136,133 @@
 		io.Copy(io.Discard, r.Body)
 		fmt.Fprint(w, "done")
 	})
-	l.disc = &http.Server{Addr: ln.Addr().String(), Handler: mux}
-	go l.disc.Serve(ln)
+	h.discovery = &http.Server{Addr: ln.Addr().String(), Handler: mux}
+	go h.discovery.Serve(ln)
 	return nil
 }
 
 // configure writes an agent's configuration; the next process of an agent has the same
 // but the doors.
-func (l *Lab) configure(name string, i int, next bool) error {
-	own := l.addr[name]
-	c := l.cfg.Fleet
+func (h *Harness) writeConfig(name string, i int, next bool) error {
+	own := h.relays[name]
+	c := h.cfg.Membership
 	c.Bind, c.Advertise, c.Site, c.Zone = own[0], own[1], "lab", fmt.Sprintf("z%d", i%3)
 	c.Networks = []string{"127.0.0.0/8"}
-	for _, s := range l.Names[:l.cfg.Seeds] {
-		c.Seeds = append(c.Seeds, l.addr[s][1])
+	for _, s := range h.Names[:h.cfg.Seeds] {
+		c.Seeds = append(c.Seeds, h.relays[s][1])
 	}
 	file := name
 	if next {
-		file = Upgrade(name)
+		file = UpgradeName(name)
 	}
-	sections := map[string]any{"name": name, "listen": l.door(file, 8000), "management": l.door(file, 8001),
-		"discovery": l.disc.Addr, "seed": "1", "limits": map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
+	sections := map[string]any{"name": name, "listen": h.address(file, 8000), "management": h.address(file, 8001),
+		"discovery": h.discovery.Addr, "seed": "1", "limits": map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
 		"known": map[string]any{"version": 0, "full": true, "servers": []any{}}, "fleet": c,
-		"settings": json.RawMessage(fmt.Sprintf(agentSettings, l.cfg.N))}
-	if l.cfg.Alone != nil && l.cfg.Alone(i) {
+		"settings": json.RawMessage(fmt.Sprintf(agentSettings, h.cfg.Agents))}
+	if h.cfg.WithoutMembership != nil && h.cfg.WithoutMembership(i) {
 		delete(sections, "fleet")
 	}
 	text, err := json.Marshal(sections)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(l.cfg.Dir, file+".json"), text, 0o600)
+	return os.WriteFile(filepath.Join(h.cfg.Dir, file+".json"), text, 0o600)
 }
 
 // door is an address of a process for those outside the fleet: port 8000 is the clients',
 // 8001 the operators'.
-func (l *Lab) door(name string, port int) string {
-	if bind, ok := l.addr[name]; ok {
+func (h *Harness) address(name string, port int) string {
+	if bind, ok := h.relays[name]; ok {
 		host, _, _ := net.SplitHostPort(bind[0])
 		return net.JoinHostPort(host, strconv.Itoa(port))
 	}
-	return l.door(name[:len(name)-len("-next")], port+10)
+	return h.address(name[:len(name)-len("-next")], port+10)
 }
 
 // Close ends every process, the board and the list.
-func (l *Lab) Close() {
-	if l.procs != nil {
-		processtest.Each(l.procs.Names(), func(n string) error { return l.procs.Kill(n) })
+func (h *Harness) Close() {
+	if h.processes != nil {
+		processtest.Each(h.processes.Names(), func(n string) error { return h.processes.Kill(n) })
 	}
-	l.disc.Close()
-	l.Board.Close()
+	h.discovery.Close()
+	h.Proxy.Close()
 }
 
 // Start starts processes at once and waits until each has told its identity.
-func (l *Lab) Start(names ...string) error {
+func (h *Harness) Start(names ...string) error {
 	began := time.Now()
-	if err := processtest.Each(names, func(n string) error { return l.procs.Start(n) }); err != nil {
+	if err := processtest.Each(names, func(n string) error { return h.processes.Start(n) }); err != nil {
 		return err
 	}
 	return processtest.Each(names, func(n string) error {
-		if l.alone(n) {
+		if h.isWithoutMembership(n) {
 			return nil
 		}
 		var s *membership.Status
 		if err := processtest.Await(time.Minute, n+" answers its operators", func() bool {
-			s, _ = l.Status(n, 1<<62)
+			s, _ = h.Status(n, 1<<62)
 			return s != nil
 		}); err != nil {
 			return err
 		}
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.lives = append(l.lives, &Life{Name: s.Self, Process: s.Process, proc: n, Start: began})
-		l.records[s.Process] = &Record{Observer: s.Self, Process: s.Process}
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.incarnations = append(h.incarnations, &ProcessIncarnation{Name: s.Self, Process: s.Process, processName: n, Start: began})
+		h.records[s.Process] = &Record{Observer: s.Self, Process: s.Process}
 		return nil
 	})
 }
 
 // alone tells whether a process has no fleet view.
-func (l *Lab) alone(name string) bool {
-	return l.cfg.Alone != nil && l.cfg.Alone(slices.Index(l.Names, name))
+func (h *Harness) isWithoutMembership(name string) bool {
+	return h.cfg.WithoutMembership != nil && h.cfg.WithoutMembership(slices.Index(h.Names, name))
 }
 
 // end notes the end of a process's life.
-func (l *Lab) end(proc string, left bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, life := range l.lives {
-		if life.proc == proc && life.End.IsZero() {
-			life.End, life.Left = time.Now(), left
+func (h *Harness) recordEnd(proc string, left bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, incarnation := range h.incarnations {
+		if incarnation.processName == proc && incarnation.End.IsZero() {
+			incarnation.End, incarnation.Left = time.Now(), left
 		}
 	}
 }
 
 // Kill sends SIGKILL to processes at one moment, after a last look at what they saw.
-func (l *Lab) Kill(names ...string) error {
-	l.collect(names)
+func (h *Harness) Kill(names ...string) error {
+	h.collectChanges(names)
 	for _, n := range names {
-		l.end(n, false)
+		h.recordEnd(n, false)
 	}
-	return processtest.Each(names, func(n string) error { return l.procs.Kill(n) })
+	return processtest.Each(names, func(n string) error { return h.processes.Kill(n) })
 }
 
 // Term sends SIGTERM to processes and waits for their ends.
-func (l *Lab) Term(names ...string) error {
-	l.collect(names)
+func (h *Harness) Term(names ...string) error {
+	h.collectChanges(names)
 	for _, n := range names {
-		l.end(n, true)
+		h.recordEnd(n, true)
 	}
-	return processtest.Each(names, func(n string) error { return l.procs.Term(n) })
+	return processtest.Each(names, func(n string) error { return h.processes.Term(n) })
 }
 
 // Pause stands processes still for a time.
-func (l *Lab) Pause(d time.Duration, names ...string) error {
+func (h *Harness) Pause(d time.Duration, names ...string) error {
 	for _, n := range names {
-		if err := l.procs.Pause(n); err != nil {
+		if err := h.processes.Pause(n); err != nil {
 			return err
 		}
 	}
 	time.Sleep(d)
-	return processtest.Each(names, func(n string) error { return l.procs.Resume(n) })
+	return processtest.Each(names, func(n string) error { return h.processes.Resume(n) })
 }
 
 // Starve gives processes a tenth of the time, in slices of 10 ms, for a time.
-func (l *Lab) Starve(d time.Duration, names ...string) error {
+func (h *Harness) Starve(d time.Duration, names ...string) error {
 	signal := func(s syscall.Signal) {
 		for _, n := range names {
-			if pid := l.procs.Pid(n); pid != 0 {
+			if pid := h.processes.Pid(n); pid != 0 {
 				syscall.Kill(pid, s)
 			}
 		}
@@ -277,11 +277,11 @@
 }
 
 // Live are the names of the processes that run.
-func (l *Lab) Live() (names []string) {
-	for _, n := range l.Names {
-		for _, p := range []string{n, Upgrade(n)} {
-			if l.procs.Running(p) {
-				names = append(names, p)
+func (h *Harness) Running() (names []string) {
+	for _, n := range h.Names {
+		for _, name := range []string{n, UpgradeName(n)} {
+			if h.processes.Running(name) {
+				names = append(names, name)
 			}
 		}
 	}
@@ -289,11 +289,11 @@
 }
 
 // Some draws a share of the running processes that are no seeds, one at least.
-func (l *Lab) Some(share float64) []string {
-	live := l.Live()
+func (h *Harness) DrawRunning(share float64) []string {
+	live := h.Running()
 	var some []string
-	for _, i := range l.draw.Perm(len(live)) {
-		if n := live[i]; n >= l.Names[l.cfg.Seeds] || l.cfg.Seeds == len(l.Names) {
+	for _, i := range h.random.Perm(len(live)) {
+		if n := live[i]; n >= h.Names[h.cfg.Seeds] || h.cfg.Seeds == len(h.Names) {
 			some = append(some, n)
 		}
 		if len(some) >= max(1, int(share*float64(len(live)))) {
@@ -304,10 +304,10 @@
 }
 
 // Status asks a process for its view and its changes after a number.
-func (l *Lab) Status(name string, since uint64) (*membership.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+func (h *Harness) Status(name string, since uint64) (*membership.Status, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	s, err := membership.FetchStatus(ctx, l.door(name, 8001), fmt.Sprintf("members=none&since=%d", since))
+	s, err := membership.FetchStatus(ctx, h.address(name, 8001), fmt.Sprintf("members=none&since=%d", since))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -315,31 +315,31 @@
 }
 
 // answerTime is how long a process may take to tell its view: the machine is full.
-const answerTime = 3 * time.Second
+const statusTimeout = 3 * time.Second
 
 // collect adds what processes saw since they were last asked to their records, and gives
 // their statuses; a process that does not answer has none.
-func (l *Lab) collect(names []string) map[string]*membership.Status {
+func (h *Harness) collectChanges(names []string) map[string]*membership.Status {
 	var mu sync.Mutex
 	got := map[string]*membership.Status{}
 	processtest.Each(names, func(n string) error {
-		l.mu.Lock()
+		h.mu.Lock()
 		var since uint64
-		for _, life := range l.lives {
-			if life.proc == n && life.End.IsZero() {
-				since = l.records[life.Process].last()
+		for _, incarnation := range h.incarnations {
+			if incarnation.processName == n && incarnation.End.IsZero() {
+				since = h.records[incarnation.Process].last()
 			}
 		}
-		l.mu.Unlock()
-		s, err := l.Status(n, since)
+		h.mu.Unlock()
+		s, err := h.Status(n, since)
 		if err != nil {
 			return nil
 		}
-		l.mu.Lock()
-		if r := l.records[s.Process]; r != nil {
+		h.mu.Lock()
+		if r := h.records[s.Process]; r != nil {
 			r.add(s.Changes)
 		}
-		l.mu.Unlock()
+		h.mu.Unlock()
 		mu.Lock()
 		got[n] = s
 		mu.Unlock()
@@ -349,32 +349,32 @@
 }
 
 // Excuse tells the checker that for a time members may rightly be declared dead by others.
-func (l *Lab) Excuse(from, to time.Time, pair func(observer, member string) bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.excuses = append(l.excuses, Excuse{from, to, pair})
+func (h *Harness) Exempt(from, to time.Time, pair func(observer, member string) bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.exemptions = append(h.exemptions, Exemption{from, to, pair})
 }
 
 // Settle waits until all running processes that take part see exactly each other, and gives
 // the time from since on that the last of them took to come to that for good.
-func (l *Lab) Settle(since time.Time, within time.Duration) (time.Duration, error) {
+func (h *Harness) AwaitConvergence(since time.Time, within time.Duration) (time.Duration, error) {
 	var last map[string]*membership.Status
 	apart := ""
 	err := processtest.Await(within, "all agree", func() bool {
-		time.Sleep(max(150, time.Duration(2*l.cfg.N)) * time.Millisecond)
-		live := slices.DeleteFunc(l.Live(), l.alone)
-		last = l.collect(live)
-		apart = Apart(last, live)
+		time.Sleep(max(150, time.Duration(2*h.cfg.Agents)) * time.Millisecond)
+		live := slices.DeleteFunc(h.Running(), h.isWithoutMembership)
+		last = h.collectChanges(live)
+		apart = Disagreement(last, live)
 		return apart == ""
 	})
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s%s", err, apart, l.differences(last))
+		return 0, fmt.Errorf("%w: %s%s", err, apart, h.describeDifferences(last))
 	}
 	var settled time.Time
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for _, s := range last {
-		if at := l.records[s.Process].settledAt(s.Digest); at.After(settled) {
+		if at := h.records[s.Process].convergedAt(s.Digest); at.After(settled) {
 			settled = at
 		}
 	}
@@ -382,7 +382,7 @@
 }
 
 // present are those that take part among processes that answered, by their own word.
-func present(got map[string]*membership.Status, live []string) (there []membership.Member) {
+func presentMembers(got map[string]*membership.Status, live []string) (there []membership.Member) {
 	for _, n := range live {
 		if s := got[n]; s != nil && s.Member {
 			there = append(there, membership.Member{Name: s.Self, Process: s.Process, State: membership.Alive})
@@ -393,17 +393,17 @@
 
 // differences says, for a few views that are not the fleet as it is, which members they
 // have otherwise, and what their processes counted.
-func (l *Lab) differences(got map[string]*membership.Status) string {
+func (h *Harness) describeDifferences(got map[string]*membership.Status) string {
 	var b strings.Builder
-	there := present(got, slices.Sorted(maps.Keys(got)))
+	there := presentMembers(got, slices.Sorted(maps.Keys(got)))
 	digest, told := membership.DigestOf(there), 0
 	for _, n := range slices.Sorted(maps.Keys(got)) {
 		if s := got[n]; !s.Member || s.Digest == digest && s.Suspects == 0 || told >= 3 {
 			continue
 		}
 		told++
-		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
-		s, err := membership.FetchStatus(ctx, l.door(n, 8001), "since=4611686018427387904")
+		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+		s, err := membership.FetchStatus(ctx, h.address(n, 8001), "since=4611686018427387904")
 		cancel()
 		if err != nil {
 			continue
@@ -412,13 +412,13 @@
 		for _, m := range there {
 			if seen, ok := s.Snapshot.Member(m.Name); !ok || seen.Process != m.Process || seen.State != membership.Alive {
 				fmt.Fprintf(&b, " %s/%s seen as %q %s incarnation %d after", m.Name, m.Process, seen.State, seen.Process, seen.Incarnation)
-				l.mu.Lock()
-				for _, c := range l.records[s.Process].Changes {
+				h.mu.Lock()
+				for _, c := range h.records[s.Process].Changes {
 					if c.Name == m.Name {
 						fmt.Fprintf(&b, " %d: %s %q %d,", c.Number, c.Process, c.To, c.Incarnation)
 					}
 				}
-				l.mu.Unlock()
+				h.mu.Unlock()
 			}
 		}
 	}
@@ -426,13 +426,13 @@
 }
 
 // Apart says where views differ from each other or from who is there; empty: they agree.
-func Apart(got map[string]*membership.Status, live []string) string {
+func Disagreement(got map[string]*membership.Status, live []string) string {
 	for _, n := range live {
 		if got[n] == nil {
 			return n + " does not answer"
 		}
 	}
-	there := present(got, live)
+	there := presentMembers(got, live)
 	digest := membership.DigestOf(there)
 	apart := 0
 	first := ""
--- a/internal/membershiptest/journal.go
+++ b/internal/membershiptest/journal.go
@@ -12,13 +12,13 @@
 
 // Run is one run of a case: its figures, or why it failed.
 type Run struct {
-	Case       string   `json:"case"`
-	Agents     int      `json:"agents"`
-	Seed       uint64   `json:"seed"` // of the lab that played it
-	Commit     string   `json:"commit"`
-	Processors int      `json:"processors"`
-	Figures    Measures `json:"figures,omitempty"`
-	Failed     string   `json:"failed,omitempty"`
+	Case       string  `json:"case"`
+	Agents     int     `json:"agents"`
+	Seed       uint64  `json:"seed"` // of the lab that played it
+	Commit     string  `json:"commit"`
+	Processors int     `json:"processors"`
+	Metrics    Metrics `json:"figures,omitempty"`
+	Failed     string  `json:"failed,omitempty"`
 }
 
 // Journal is what runs gave, each written out as soon as it has ended.
@@ -26,21 +26,21 @@
 	Commit     string
 	Agents     int
 	Processors int
-	To         io.Writer // a JSON object a line; nil: nowhere
+	Out        io.Writer // a JSON object a line; nil: nowhere
 	runs       []Run
 }
 
 // Add notes a run; the error is that of writing it.
-func (j *Journal) Add(name string, seed uint64, m Measures, failed error) error {
-	r := Run{Case: name, Agents: j.Agents, Seed: seed, Commit: j.Commit, Processors: j.Processors, Figures: m}
+func (j *Journal) Add(name string, seed uint64, metrics Metrics, failed error) error {
+	r := Run{Case: name, Agents: j.Agents, Seed: seed, Commit: j.Commit, Processors: j.Processors, Metrics: metrics}
 	if failed != nil {
 		r.Failed = failed.Error()
 	}
 	j.runs = append(j.runs, r)
-	if j.To == nil {
+	if j.Out == nil {
 		return nil
 	}
-	return json.NewEncoder(j.To).Encode(r)
+	return json.NewEncoder(j.Out).Encode(r)
 }
 
 // Read adds the runs of a record.
@@ -72,12 +72,12 @@
 			failed++
 			continue
 		}
-		for _, f := range slices.Sorted(maps.Keys(r.Figures)) {
+		for _, f := range slices.Sorted(maps.Keys(r.Metrics)) {
 			k := key{r.Agents, r.Case, f}
 			if figures[k] == nil {
 				order = append(order, k)
 			}
-			figures[k] = append(figures[k], r.Figures[f])
+			figures[k] = append(figures[k], r.Metrics[f])
 		}
 	}
 	for _, k := range order {
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -40,15 +40,15 @@
 // Cluster is a running set of processes and the proxies between them. Its methods are
 // safe for concurrent use.
 type Cluster struct {
-	cfg   Config
-	start time.Time
-	mu    sync.Mutex
-	procs map[string]*proc
-	links map[[2]string]*Link
-	hist  []Event
+	cfg       Config
+	start     time.Time
+	mu        sync.Mutex
+	processes map[string]*process
+	links     map[[2]string]*Link
+	history   []Event
 }
 
-type proc struct {
+type process struct {
 	name  string
 	addrs map[string]string
 	cmd   *exec.Cmd
@@ -60,9 +60,9 @@
 	if cfg.Binary == "" || cfg.Dir == "" || len(cfg.Names) == 0 {
 		return nil, errors.New("cluster: Binary, Dir and Names are all needed")
 	}
-	c := &Cluster{cfg: cfg, start: time.Now(), procs: map[string]*proc{}, links: map[[2]string]*Link{}}
+	c := &Cluster{cfg: cfg, start: time.Now(), processes: map[string]*process{}, links: map[[2]string]*Link{}}
 	for _, name := range cfg.Names {
-		p, ip := &proc{name: name, addrs: map[string]string{}}, ownIP()
+		p, ip := &process{name: name, addrs: map[string]string{}}, drawIP()
 		if cfg.IP != nil {
 			ip = cfg.IP(name)
 		}
@@ -74,13 +74,13 @@
 			p.addrs[port] = ln.Addr().String()
 			ln.Close() // taken again at each start, on the same port
 		}
-		c.procs[name] = p
+		c.processes[name] = p
 	}
 	return c, nil
 }
 
 // ownIP draws a loopback address; calls come from 127.0.0.1, which it never is.
-func ownIP() string {
+func drawIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 }
 
@@ -88,18 +88,18 @@
 func (c *Cluster) Addr(name, port string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.procs[name].addrs[port]
+	return c.processes[name].addrs[port]
 }
 
 // Start runs a process that is not running, with its listeners inherited.
 func (c *Cluster) Start(name string) error {
 	c.mu.Lock()
-	p := c.procs[name]
+	p := c.processes[name]
 	c.mu.Unlock()
 	if p == nil {
 		return fmt.Errorf("cluster: no process %q", name)
 	}
-	if _, _, ok := c.live(name); ok {
+	if _, _, ok := c.running(name); ok {
 		return fmt.Errorf("cluster: %s is running", name)
 	}
 	var files []*os.File
@@ -148,10 +148,10 @@
 }
 
 // live is a process's command and the channel that closes at its end, if it runs.
-func (c *Cluster) live(name string) (*exec.Cmd, <-chan struct{}, bool) {
+func (c *Cluster) running(name string) (*exec.Cmd, <-chan struct{}, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.procs[name]
+	p := c.processes[name]
 	if p == nil || p.done == nil {
 		return nil, nil, false
 	}
@@ -171,7 +171,7 @@
 func (c *Cluster) Term(name string) error { return c.stop(name, syscall.SIGTERM, "term") }
 
 func (c *Cluster) stop(name string, sig syscall.Signal, what string) error {
-	cmd, done, ok := c.live(name)
+	cmd, done, ok := c.running(name)
 	if !ok {
 		return nil
 	}
@@ -187,7 +187,7 @@
 func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
 
 func (c *Cluster) signal(name string, sig syscall.Signal, what string) error {
-	cmd, _, ok := c.live(name)
+	cmd, _, ok := c.running(name)
 	if !ok {
 		return fmt.Errorf("cluster: %s is not running", name)
 	}
@@ -212,7 +212,7 @@
 	if l := c.links[key]; l != nil {
 		return l, nil
 	}
-	p := c.procs[to]
+	p := c.processes[to]
 	if p == nil || p.addrs[port] == "" {
 		return nil, fmt.Errorf("cluster: no listener %s of %q", port, to)
 	}
@@ -259,13 +259,13 @@
 
 // Running tells whether a process runs (a paused one does).
 func (c *Cluster) Running(name string) bool {
-	_, _, ok := c.live(name)
+	_, _, ok := c.running(name)
 	return ok
 }
 
 // Pid is a running process's id, or 0.
 func (c *Cluster) Pid(name string) int {
-	if cmd, _, ok := c.live(name); ok {
+	if cmd, _, ok := c.running(name); ok {
 		return cmd.Process.Pid
 	}
 	return 0
@@ -296,14 +296,14 @@
 func (c *Cluster) Note(proc, what, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hist = append(c.hist, Event{At: time.Since(c.start), Proc: proc, What: what, Detail: detail})
+	c.history = append(c.history, Event{At: time.Since(c.start), Proc: proc, What: what, Detail: detail})
 }
 
 // History is a copy of the events so far, in order.
 func (c *Cluster) History() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.hist)
+	return slices.Clone(c.history)
 }
 
 // Await checks cond every 10 ms until it holds or within has passed; the error says
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -77,7 +77,7 @@
 	draw    *rand.Rand // used under mu
 	hold    net.Listener
 	network byte
-	board   *faultproxy.Board // nil: the fleet view's packets pass no relay
+	board   *faultproxy.Proxy // nil: the fleet view's packets pass no relay
 	lists   *lists
 	hosts   []*hostProcess
 	reals   *reals
@@ -96,7 +96,7 @@
 // start starts a whole fleet; the caller closes it, also after an error.
 func (f *running) start(ctx context.Context, cfg *Config, hollow int) error {
 	var err error
-	if f.hold, f.network, err = faultproxy.Network(); err != nil {
+	if f.hold, f.network, err = faultproxy.ReserveNetwork(); err != nil {
 		return err
 	}
 	if f.lists, err = startLists(cfg.List, f.dir, f.plan.Lists, func(i int) string { return f.address(2, i) }); err != nil {
