--- a/cmd/membership/experiment.go
+++ b/cmd/membership/experiment.go
@@ -10,85 +10,35 @@
 	"path/filepath"
 	"runtime"
 	"slices"
-	"time"
+	"strings"
 
-	"github.com/BurntSushi/toml"
 	"github.com/spf13/cobra"
 
-	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/membershiptest"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// plan is the TOML file of an experiment. Times are such as "300ms"; what is left out has
-// the value that --help names.
-type plan struct {
-	Binary string        `toml:"binary"` // the built agent
-	Agents int           `toml:"agents"`
-	Seeds  int           `toml:"seeds"`
-	Seed   uint64        `toml:"seed"`
-	Runs   int           `toml:"runs"`  // of each case, each on a fleet of its own seed
-	Cases  []string      `toml:"cases"` // empty: all
-	Costs  time.Duration `toml:"costs"` // how long traffic, CPU, memory and latency are measured
-
-	Cut    time.Duration `toml:"cut"`
-	Long   time.Duration `toml:"long"`
-	Pause  time.Duration `toml:"pause"`
-	Faulty time.Duration `toml:"faulty"`
-	Loss   time.Duration `toml:"loss"`
-	Within time.Duration `toml:"within"`
-
-	Probe     time.Duration `toml:"probe_interval"`
-	Suspect   time.Duration `toml:"suspect_timeout"`
-	Settle    time.Duration `toml:"settle"`
-	Forget    time.Duration `toml:"forget"`
-	Reclaim   time.Duration `toml:"reclaim"`
-	Reconnect time.Duration `toml:"reconnect"`
-
-	logs string // where the agents' logs stay; empty: nowhere
-}
-
-func msOf(d time.Duration) int { return int(d.Milliseconds()) }
-
-func defaultPlan() plan {
-	return plan{Binary: "bin/agent", Agents: 24, Seeds: 3, Seed: 1, Runs: 1, Cut: 5 * time.Second,
-		Long: 45 * time.Second, Pause: 3 * time.Second, Faulty: 20 * time.Second, Loss: time.Minute,
-		Within: 2 * time.Minute, Forget: 10 * time.Second}
-}
+const (
+	// agentMemoryMB is the memory that one agent takes in an experiment.
+	agentMemoryMB = 20
+	// agentsWithoutMembership is the number of agents without one while costs are measured.
+	agentsWithoutMembership = 2
+	// latencyRate is the number of requests a second by which latency is measured.
+	latencyRate = 100
+	// costsCase is the name under which costs are recorded.
+	costsCase = "costs"
+)
 
-func loadPlan(path string) (plan, error) {
-	p := defaultPlan()
-	md, err := toml.DecodeFile(path, &p)
-	if err != nil {
-		return p, fmt.Errorf("%s: %w", path, err)
-	}
-	if extra := md.Undecoded(); len(extra) > 0 {
-		return p, fmt.Errorf("%s: unknown key %q", path, extra[0].String())
-	}
-	known := map[string]bool{}
-	for _, c := range membershiptest.Cases {
-		known[c.Name] = true
-	}
-	for _, c := range p.Cases {
-		if !known[c] {
-			return p, fmt.Errorf("%s: key cases: there is no case %q", path, c)
-		}
-	}
-	switch {
-	case p.Runs < 0:
-		return p, fmt.Errorf("%s: key runs: below zero", path)
-	case p.Agents < 5 || p.Seeds < 1 || p.Seeds >= p.Agents:
-		return p, fmt.Errorf("%s: keys agents, seeds: 5 agents at least, and more than seeds", path)
-	}
-	return p, nil
-}
+var errInterrupted = errors.New("interrupted")
 
-func experimentCmd() *cobra.Command {
-	var path, record, logs string
-	cmd := &cobra.Command{Use: "experiment", Short: "run fleets of the real agent with faults and print what they took",
-		Long: `Runs the fleet view's hard cases on this machine, each as often as the plan says, judges
-every history, and prints a table: the median, 99th percentile and worst of each figure.
-All cases are played in turn, then all again on the next seed: a run that fails is named with
+func experimentCommand() *cobra.Command {
+	var path, record, logDir string
+	cmd := &cobra.Command{
+		Use:   "experiment",
+		Short: "run clusters of the real agent with faults and print what they measured",
+		Long: `Runs the membership's fault cases on this machine, each as often as the plan says, checks
+every history, and prints a table: the median, 99th percentile and worst of each metric.
+All cases are run in turn, then all again on the next seed: a run that fails is named with
 its seed, from which its faults can be drawn again. With --record each run is kept as soon as
 it has ended, and "figures" prints the table of all runs of several records. The plan is a
 TOML file:
@@ -99,7 +49,7 @@
   cases = []                 by name; empty: all
   costs = "0s"               how long traffic, CPU, memory and latency are measured
   cut = "5s", long = "45s", pause = "3s", faulty = "20s", loss = "60s", within = "120s"
-                             of the faults, and the time to settle in
+                             of the faults, and the time to converge in
   probe_interval, suspect_timeout, settle, forget (10s), reclaim, reconnect
                              the agents' timings; default: theirs`,
 		Args: cobra.NoArgs,
@@ -108,144 +58,187 @@
 			if err != nil {
 				return err
 			}
-			p.logs = logs
+			p.logDir = logDir
 			return p.run(cmd.Context(), cmd.OutOrStdout(), record)
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&path, "config", "experiment.toml", "the plan")
-	cmd.Flags().StringVar(&logs, "logs", "", "directory in which the agents' logs stay; default: none does")
+	cmd.Flags().StringVar(&logDir, "logs", "", "directory in which the agents' logs are kept; default: they are removed")
 	cmd.Flags().StringVar(&record, "record", "", "file to which each run is added, a JSON object a line")
 	return cmd
 }
 
-// run plays the plan's rounds and prints what they gave.
-func (p plan) run(ctx context.Context, out io.Writer, record string) error {
-	if need := p.Agents * 20; need > processtest.FreeMB() {
-		return fmt.Errorf("%d agents take some %d MB, and %d MB are free", p.Agents, need, processtest.FreeMB())
+// figuresCommand prints the table of records that were made at several times.
+func figuresCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "figures FILE...",
+		Short: "print the table of all runs of experiments' records",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, paths []string) error {
+			journal := new(membershiptest.Journal)
+			for _, path := range paths {
+				if err := readRecord(journal, path); err != nil {
+					return err
+				}
+			}
+			return journal.Table(cmd.OutOrStdout())
+		},
+	}
+}
+
+// readRecord adds the runs of a record to a journal.
+func readRecord(journal *membershiptest.Journal, path string) error {
+	file, err := os.Open(path)
+	if err != nil {
+		return err
 	}
-	commit, _ := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
-	j := &membershiptest.Journal{Commit: bytesLine(commit), Agents: p.Agents, Processors: runtime.NumCPU()}
+	defer func() { _ = file.Close() }() // it was only read
+	if err := journal.Read(file); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+// run runs the plan and prints its table; with a record, the runs are added to that file.
+func (p plan) run(ctx context.Context, out io.Writer, record string) (err error) {
+	need, free := p.Agents*agentMemoryMB, processtest.FreeMB()
+	if need > free {
+		return fmt.Errorf("%d agents take some %d MB, and %d MB are free", p.Agents, need, free)
+	}
+	journal := &membershiptest.Journal{Commit: currentCommit(ctx), Agents: p.Agents, Processors: runtime.NumCPU()}
 	if record != "" {
-		f, err := os.OpenFile(record, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-		if err != nil {
-			return err
+		file, openErr := os.OpenFile(record, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		if openErr != nil {
+			return openErr
 		}
-		defer f.Close()
-		j.Out = f
+		defer func() { err = errors.Join(err, file.Close()) }()
+		journal.Out = file
 	}
-	err := p.rounds(ctx, j)
+	err = p.runRounds(ctx, journal)
 	if err == nil && p.Costs > 0 && ctx.Err() == nil {
-		err = p.costs(j)
+		err = p.measureCosts(journal)
 	}
-	if terr := j.Table(out); err == nil {
-		err = terr
+	if tableErr := journal.Table(out); err == nil {
+		err = tableErr
 	}
 	if err == nil && ctx.Err() != nil {
-		err = errors.New("interrupted")
+		err = errInterrupted
 	}
 	return err
 }
 
-// rounds plays the plan's cases in turn, each round on a fleet of the next seed; a run that
-// fails ends its fleet, and the round goes on with a new one.
-func (p plan) rounds(ctx context.Context, j *membershiptest.Journal) error {
+// currentCommit is the short hash of the working directory's commit; empty if it has none.
+func currentCommit(ctx context.Context) string {
+	hash, _ := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output() // a record may lack it
+	return strings.TrimSuffix(string(hash), "\n")
+}
+
+// runRounds runs the plan's cases, each round on a cluster of the next seed.
+func (p plan) runRounds(ctx context.Context, journal *membershiptest.Journal) error {
 	for round := range p.Runs {
-		seed := p.Seed + uint64(round)
-		var l *membershiptest.Harness
-		var done func()
-		for _, c := range membershiptest.Cases {
-			if ctx.Err() != nil || len(p.Cases) > 0 && !slices.Contains(p.Cases, c.Name) {
-				continue
-			}
-			if l == nil {
-				var err error
-				if l, done, err = p.lab(seed, nil); err != nil {
-					return err
-				}
-			}
-			m, err := l.RunCase(c, p.scale())
-			if jerr := j.Add(c.Name, seed, m, err); jerr != nil {
-				done()
-				return jerr
-			}
-			if err != nil || c.EndsCluster {
-				done()
-				l = nil
+		if err := p.runRound(ctx, journal, p.Seed+uint64(round)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// runRound runs the plan's cases in turn. A run that fails ends its cluster, and the round goes on with a new one.
+func (p plan) runRound(ctx context.Context, journal *membershiptest.Journal, seed uint64) error {
+	var c *cluster
+	defer func() {
+		if c != nil {
+			c.close()
+		}
+	}()
+	for _, faultCase := range membershiptest.Cases {
+		if ctx.Err() != nil || !p.hasCase(faultCase.Name) {
+			continue
+		}
+		if c == nil {
+			var err error
+			if c, err = p.newCluster(seed, nil); err != nil {
+				return err
 			}
 		}
-		if l != nil {
-			done()
+		metrics, runErr := c.RunCase(faultCase, p.scale())
+		if err := journal.Add(faultCase.Name, seed, metrics, runErr); err != nil {
+			return err
+		}
+		if runErr != nil || faultCase.EndsCluster {
+			c.close()
+			c = nil
 		}
 	}
 	return nil
 }
 
-// figuresCmd prints the table of records that were made at several times.
-func figuresCmd() *cobra.Command {
-	return &cobra.Command{Use: "figures FILE...", Short: "print the table of all runs of experiments' records",
-		Args: cobra.MinimumNArgs(1),
-		RunE: func(cmd *cobra.Command, files []string) error {
-			j := new(membershiptest.Journal)
-			for _, path := range files {
-				f, err := os.Open(path)
-				if err != nil {
-					return err
-				}
-				err = j.Read(f)
-				f.Close()
-				if err != nil {
-					return fmt.Errorf("%s: %w", path, err)
-				}
-			}
-			return j.Table(cmd.OutOrStdout())
-		}}
+// hasCase tells whether the plan has a case.
+func (p plan) hasCase(name string) bool { return len(p.Cases) == 0 || slices.Contains(p.Cases, name) }
+
+// cluster is a test cluster with its directory.
+type cluster struct {
+	*membershiptest.Harness
+	dir     string
+	keepDir bool
 }
 
-func bytesLine(b []byte) string { return string(b[:max(0, len(b)-1)]) }
+// close ends the cluster and removes its directory.
+func (c *cluster) close() {
+	c.Close()
+	c.removeDir()
+}
 
-func (p plan) lab(seed uint64, alone func(int) bool) (*membershiptest.Harness, func(), error) {
-	dir, err := os.MkdirTemp(p.logs, "membership")
-	if err != nil {
-		return nil, nil, err
-	}
-	remove := func() {
-		if p.logs == "" {
-			os.RemoveAll(dir)
-		}
+func (c *cluster) removeDir() {
+	if !c.keepDir {
+		_ = os.RemoveAll(c.dir) // a directory that stays in the temporary one does no harm
 	}
+}
+
+// newCluster makes a cluster of a seed; nothing runs yet.
+func (p plan) newCluster(seed uint64, withoutMembership func(i int) bool) (*cluster, error) {
 	binary, err := filepath.Abs(p.Binary)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	l, err := membershiptest.New(membershiptest.Config{Binary: binary, Dir: dir, Agents: p.Agents, Seeds: p.Seeds, Seed: seed, WithoutMembership: alone,
-		Membership: membership.Config{ProbeIntervalMs: msOf(p.Probe), SuspectTimeoutMs: msOf(p.Suspect), SettleMs: msOf(p.Settle),
-			ForgetMs: msOf(p.Forget), ReclaimMs: msOf(p.Reclaim), ReconnectMs: msOf(p.Reconnect)}})
+	dir, err := os.MkdirTemp(p.logDir, "membership")
+	if err != nil {
+		return nil, err
+	}
+	c := &cluster{dir: dir, keepDir: p.logDir != ""}
+	c.Harness, err = membershiptest.New(membershiptest.Config{
+		Binary:            binary,
+		Dir:               dir,
+		Agents:            p.Agents,
+		Seeds:             p.Seeds,
+		Seed:              seed,
+		WithoutMembership: withoutMembership,
+		Membership:        p.membershipConfig(),
+	})
 	if err != nil {
-		remove()
-		return nil, nil, err
+		c.removeDir()
+		return nil, err
 	}
-	return l, func() { l.Close(); remove() }, nil
+	return c, nil
 }
 
-func (p plan) scale() membershiptest.Scale {
-	return membershiptest.Scale{ShortPartition: p.Cut, LongPartition: p.Long, Pause: p.Pause, FaultTime: p.Faulty,
-		LossTime: p.Loss, ConvergeWithin: p.Within}
-}
-
-// costs measures what the view takes, beside two agents that have none.
-func (p plan) costs(j *membershiptest.Journal) error {
-	alone := func(i int) bool { return i >= p.Agents-2 }
-	l, done, err := p.lab(p.Seed, alone)
+// measureCosts measures what the membership takes, beside agents that have none.
+func (p plan) measureCosts(journal *membershiptest.Journal) error {
+	firstWithout := p.Agents - agentsWithoutMembership
+	c, err := p.newCluster(p.Seed, func(i int) bool { return i >= firstWithout })
 	if err != nil {
 		return err
 	}
-	defer done()
-	m, err := membershiptest.Metrics(nil), l.StartSettled(p.Within)
-	if err == nil {
-		m, err = l.Costs(p.Costs)
+	defer c.close()
+	var metrics membershiptest.Metrics
+	runErr := c.StartSettled(p.ConvergeWithin)
+	if runErr == nil {
+		metrics, runErr = c.Costs(p.Costs)
 	}
-	if jerr := j.Add("costs", p.Seed, m, err); err != nil || jerr != nil {
-		return jerr
+	if err := journal.Add(costsCase, p.Seed, metrics, runErr); err != nil || runErr != nil {
+		return err
 	}
-	m, err = l.Latency(l.Names[p.Agents-3], l.Names[p.Agents-1], 100, p.Costs)
-	return j.Add("costs", p.Seed, m, err)
+	with, without := c.Names[firstWithout-1], c.Names[p.Agents-1]
+	metrics, runErr = c.Latency(with, without, latencyRate, p.Costs)
+	return journal.Add(costsCase, p.Seed, metrics, runErr)
 }
--- /dev/null
+++ b/cmd/membership/plan.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/BurntSushi/toml"
+
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/membershiptest"
+)
+
+// minAgents is the least number of agents that the fault cases need.
+const minAgents = 5
+
+// plan is the TOML file of an experiment. Times are such as "300ms"; what is left out has the value that --help names.
+type plan struct {
+	Binary string        `toml:"binary"` // the built agent
+	Agents int           `toml:"agents"`
+	Seeds  int           `toml:"seeds"`
+	Seed   uint64        `toml:"seed"`
+	Runs   int           `toml:"runs"`  // of each case, each on a cluster of its own seed
+	Cases  []string      `toml:"cases"` // empty: all
+	Costs  time.Duration `toml:"costs"` // how long traffic, CPU, memory and latency are measured
+
+	ShortPartition time.Duration `toml:"cut"`
+	LongPartition  time.Duration `toml:"long"`
+	Pause          time.Duration `toml:"pause"`
+	FaultTime      time.Duration `toml:"faulty"`
+	LossTime       time.Duration `toml:"loss"`
+	ConvergeWithin time.Duration `toml:"within"`
+
+	ProbeInterval  time.Duration `toml:"probe_interval"`
+	SuspectTimeout time.Duration `toml:"suspect_timeout"`
+	Settle         time.Duration `toml:"settle"`
+	Forget         time.Duration `toml:"forget"`
+	Reclaim        time.Duration `toml:"reclaim"`
+	Reconnect      time.Duration `toml:"reconnect"`
+
+	logDir string // where the agents' logs are kept; empty: they are removed
+}
+
+func defaultPlan() plan {
+	return plan{
+		Binary:         "bin/agent",
+		Agents:         24,
+		Seeds:          3,
+		Seed:           1,
+		Runs:           1,
+		ShortPartition: 5 * time.Second,
+		LongPartition:  45 * time.Second,
+		Pause:          3 * time.Second,
+		FaultTime:      20 * time.Second,
+		LossTime:       time.Minute,
+		ConvergeWithin: 2 * time.Minute,
+		Forget:         10 * time.Second,
+	}
+}
+
+// loadPlan reads a plan; the error names an unknown key or an invalid value.
+func loadPlan(path string) (plan, error) {
+	p := defaultPlan()
+	metadata, err := toml.DecodeFile(path, &p)
+	if err != nil {
+		return p, fmt.Errorf("%s: %w", path, err)
+	}
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		return p, fmt.Errorf("%s: unknown key %q", path, unknown[0].String())
+	}
+	if err := p.check(); err != nil {
+		return p, fmt.Errorf("%s: %w", path, err)
+	}
+	return p, nil
+}
+
+// check tells why a plan can't be run.
+func (p plan) check() error {
+	known := map[string]bool{}
+	for _, c := range membershiptest.Cases {
+		known[c.Name] = true
+	}
+	for _, name := range p.Cases {
+		if !known[name] {
+			return fmt.Errorf("key cases: there is no case %q", name)
+		}
+	}
+	if p.Runs < 0 {
+		return errors.New("key runs: below zero")
+	}
+	if p.Agents < minAgents || p.Seeds < 1 || p.Seeds >= p.Agents {
+		return fmt.Errorf("keys agents, seeds: %d agents at least, and more than seeds", minAgents)
+	}
+	return nil
+}
+
+// scale are the times of the plan's faults.
+func (p plan) scale() membershiptest.Scale {
+	return membershiptest.Scale{
+		ShortPartition: p.ShortPartition,
+		LongPartition:  p.LongPartition,
+		Pause:          p.Pause,
+		FaultTime:      p.FaultTime,
+		LossTime:       p.LossTime,
+		ConvergeWithin: p.ConvergeWithin,
+	}
+}
+
+// membershipConfig are the timings of the agents' memberships.
+func (p plan) membershipConfig() membership.Config {
+	return membership.Config{
+		ProbeIntervalMs:  toMs(p.ProbeInterval),
+		SuspectTimeoutMs: toMs(p.SuspectTimeout),
+		SettleMs:         toMs(p.Settle),
+		ForgetMs:         toMs(p.Forget),
+		ReclaimMs:        toMs(p.Reclaim),
+		ReconnectMs:      toMs(p.Reconnect),
+	}
+}
+
+func toMs(d time.Duration) int { return int(d.Milliseconds()) }
