--- /dev/null
+++ b/internal/faultproxy/partition.go
@@ -0,0 +1,23 @@
+package faultproxy
+
+// Partition separates groups of processes from each other; processes of no group are separated from none.
+type Partition struct {
+	groupOf map[string]int // by process, from 1 on
+}
+
+// NewPartition is the partition between the groups.
+func NewPartition(groups ...[]string) Partition {
+	groupOf := map[string]int{}
+	for i, group := range groups {
+		for _, name := range group {
+			groupOf[name] = i + 1
+		}
+	}
+	return Partition{groupOf: groupOf}
+}
+
+// Separates tells whether two processes are in different groups.
+func (p Partition) Separates(a, b string) bool {
+	groupA, groupB := p.groupOf[a], p.groupOf[b]
+	return groupA != 0 && groupB != 0 && groupA != groupB
+}
--- /dev/null
+++ b/internal/processtest/await.go
@@ -0,0 +1,53 @@
+package processtest
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+)
+
+const (
+	// awaitInterval is how often Await checks its condition.
+	awaitInterval = 10 * time.Millisecond
+	// maxParallel is for how many processes Each does something at a time.
+	maxParallel = 64
+)
+
+// Await checks a condition every 10 ms until it is met or the time has passed; the error says what was awaited.
+func Await(within time.Duration, what string, met func() bool) error {
+	end := time.Now().Add(within)
+	for !met() {
+		if time.Now().After(end) {
+			return fmt.Errorf("processtest: %s: not within %v", what, within)
+		}
+		time.Sleep(awaitInterval)
+	}
+	return nil
+}
+
+// Each does something for many processes at once, up to 64 at a time, and returns all errors.
+func Each(names []string, do func(string) error) error {
+	var group sync.WaitGroup
+	errs := make([]error, len(names))
+	slots := make(chan struct{}, maxParallel)
+	for i, name := range names {
+		group.Add(1)
+		slots <- struct{}{}
+		go func() {
+			defer group.Done()
+			errs[i] = do(name)
+			<-slots
+		}()
+	}
+	group.Wait()
+	return errors.Join(errs...)
+}
+
+// Quantile is a quantile (0 to 1) of values in order; 0 of none.
+func Quantile[T time.Duration | float64](sorted []T, q float64) T {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
+}
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -8,16 +8,19 @@
 	"time"
 )
 
-// Link is a TCP proxy on one directed link: from reaches to's listener through Addr.
-// A cut link resets its connections and refuses new ones (closes them at once); delay
-// holds every chunk of bytes that long in each direction; drop closes that share of new
-// connections at once, as lost packets would fail them. Its methods are safe for
-// concurrent use.
+const (
+	// linkDialTimeout bounds a link's connection to its target.
+	linkDialTimeout = time.Second
+	// linkChunkBytes is the most that a link relays at a time.
+	linkChunkBytes = 32 << 10
+)
+
+// Link is a TCP proxy on one directed link. A cut link resets its connections and closes new ones at once; a delay
+// holds each chunk of bytes that long in each direction; a drop closes that share of new connections at once, as lost
+// packets would fail them. Its methods are safe for concurrent use.
 type Link struct {
-	from, to string
 	target   string
 	ln       net.Listener
-	c        *Cluster
 	mu       sync.Mutex
 	cut      bool
 	delay    time.Duration
@@ -26,12 +29,13 @@
 	accepted []time.Time
 }
 
-func newLink(from, to, target string, c *Cluster) (*Link, error) {
+// newLink starts a proxy to a target.
+func newLink(target string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{from: from, to: to, target: target, ln: ln, c: c, conns: map[net.Conn]bool{}}
+	l := &Link{target: target, ln: ln, conns: map[net.Conn]bool{}}
 	go l.accept()
 	return l, nil
 }
@@ -39,98 +43,113 @@
 // Addr is the proxy's address, host:port on loopback.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Accepted is when connections came, in order, those that were refused with them.
+// Accepted are the times at which connections came, in order, those that were closed at once among them.
 func (l *Link) Accepted() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.accepted)
 }
 
-// SetCut cuts the link (true) or restores it; cutting resets what is open.
+// SetCut cuts the link (true) or restores it; a cut closes the open connections.
 func (l *Link) SetCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 	if cut {
 		for conn := range l.conns {
-			conn.Close()
+			closeConn(conn)
 		}
 	}
 }
 
-// SetDelay holds each chunk of bytes d before passing it on.
+// SetDelay delays each chunk of bytes.
 func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.delay = d
-	l.mu.Unlock()
 }
 
-// SetDrop fails that share (0 to 1) of new connections.
+// SetDrop closes that share (0 to 1) of new connections.
 func (l *Link) SetDrop(share float64) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.drop = share
-	l.mu.Unlock()
 }
 
+// accept relays connections until the link is closed.
 func (l *Link) accept() {
 	for {
 		in, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		l.accepted = append(l.accepted, time.Now())
-		refuse := l.cut || rand.Float64() < l.drop
-		l.mu.Unlock()
-		if refuse {
-			in.Close()
+		if !l.admit() {
+			closeConn(in)
 			continue
 		}
-		go l.carry(in)
+		go l.relay(in)
 	}
 }
 
-func (l *Link) carry(in net.Conn) {
-	out, err := net.DialTimeout("tcp", l.target, time.Second)
+// admit records a new connection and tells whether it is relayed.
+func (l *Link) admit() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.accepted = append(l.accepted, time.Now())
+	return !l.cut && rand.Float64() >= l.drop
+}
+
+// relay connects to the target and relays both directions until one ends.
+func (l *Link) relay(in net.Conn) {
+	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
 	if err != nil {
-		in.Close()
+		closeConn(in)
 		return
 	}
-	l.mu.Lock()
-	if l.cut {
-		l.mu.Unlock()
-		in.Close()
-		out.Close()
+	if !l.register(in, out) {
+		closeConn(in)
+		closeConn(out)
 		return
 	}
-	l.conns[in], l.conns[out] = true, true
-	l.mu.Unlock()
-	var wg sync.WaitGroup
-	wg.Add(2)
-	go func() { defer wg.Done(); l.pipe(out, in) }()
-	go func() { defer wg.Done(); l.pipe(in, out) }()
-	wg.Wait()
+	var pipes sync.WaitGroup
+	pipes.Add(2)
+	go func() {
+		defer pipes.Done()
+		l.pipe(out, in)
+	}()
+	go func() {
+		defer pipes.Done()
+		l.pipe(in, out)
+	}()
+	pipes.Wait()
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	delete(l.conns, in)
 	delete(l.conns, out)
-	l.mu.Unlock()
+}
+
+// register adds the two connections of a relay, which a cut closes, and tells whether the link is not cut.
+func (l *Link) register(in, out net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.cut {
+		return false
+	}
+	l.conns[in] = true
+	l.conns[out] = true
+	return true
 }
 
 // pipe copies src to dst, each chunk after the link's delay, and closes both at the end.
 func (l *Link) pipe(dst, src net.Conn) {
-	defer dst.Close()
-	defer src.Close()
-	buf := make([]byte, 32<<10)
+	defer closeConn(dst)
+	defer closeConn(src)
+	buf := make([]byte, linkChunkBytes)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			l.mu.Lock()
-			d := l.delay
-			l.mu.Unlock()
-			if d > 0 {
-				time.Sleep(d)
-			}
-			if _, werr := dst.Write(buf[:n]); werr != nil {
+			l.awaitDelay()
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
@@ -140,7 +159,19 @@
 	}
 }
 
+// awaitDelay waits for the link's delay.
+func (l *Link) awaitDelay() {
+	l.mu.Lock()
+	delay := l.delay
+	l.mu.Unlock()
+	time.Sleep(delay)
+}
+
+// close ends the proxy and its connections.
 func (l *Link) close() {
-	l.ln.Close()
+	_ = l.ln.Close() // the harness ends
 	l.SetCut(true)
 }
+
+// closeConn closes a relayed connection: its two ends see the result, the relay has no use for the error.
+func closeConn(conn net.Conn) { _ = conn.Close() }
--- /dev/null
+++ b/internal/processtest/process.go
@@ -0,0 +1,219 @@
+package processtest
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+)
+
+// The slices of time of a starved process: it runs for a tenth of the time.
+const (
+	starvedPause = 90 * time.Millisecond
+	starvedRun   = 10 * time.Millisecond
+)
+
+// process is one process of a cluster, running or not.
+type process struct {
+	addrs map[string]string // of its listeners, by port name
+	cmd   *exec.Cmd         // of the last start; nil: it was never started
+	ended chan struct{}     // closed at the end of cmd
+}
+
+// Start runs a process that is not running, with its listeners inherited.
+func (c *Cluster) Start(name string) error {
+	c.mu.Lock()
+	p := c.processes[name]
+	c.mu.Unlock()
+	if p == nil {
+		return fmt.Errorf("processtest: no process %q", name)
+	}
+	if c.Running(name) {
+		return fmt.Errorf("processtest: %s is running", name)
+	}
+	listeners, err := c.listen(name, p)
+	defer closeAll(listeners)
+	if err != nil {
+		return err
+	}
+	logPath := filepath.Join(c.cfg.Dir, name+".log")
+	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	if err != nil {
+		return err
+	}
+	defer closeAll([]*os.File{log})
+	cmd := c.command(name)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	cmd.ExtraFiles = listeners
+	if err := cmd.Start(); err != nil {
+		return fmt.Errorf("processtest: start %s: %w", name, err)
+	}
+	ended := make(chan struct{})
+	go func() {
+		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
+		close(ended)
+	}()
+	c.mu.Lock()
+	p.cmd = cmd
+	p.ended = ended
+	c.mu.Unlock()
+	c.Note(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
+	return nil
+}
+
+// command is the command of a process, without its files.
+func (c *Cluster) command(name string) *exec.Cmd {
+	cmd := exec.Command(c.cfg.Binary)
+	if c.cfg.Args != nil {
+		cmd.Args = append(cmd.Args, c.cfg.Args(c, name)...)
+	}
+	if c.cfg.Env != nil {
+		cmd.Env = append(os.Environ(), c.cfg.Env(name)...)
+	}
+	// However the harness ends, none of its processes stays.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	return cmd
+}
+
+// listen opens a process's listeners, as files that it inherits; after an error these are the ones opened until then.
+func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
+	var files []*os.File
+	for _, port := range c.cfg.Ports {
+		ln, err := net.Listen("tcp", p.addrs[port])
+		if err != nil {
+			return files, fmt.Errorf("processtest: %s: port %s: %w", name, port, err)
+		}
+		file, err := ln.(*net.TCPListener).File()
+		_ = ln.Close() // the file is a duplicate of it
+		if err != nil {
+			return files, err
+		}
+		files = append(files, file)
+	}
+	return files, nil
+}
+
+// closeAll closes files that a process has inherited.
+func closeAll(files []*os.File) {
+	for _, file := range files {
+		_ = file.Close() // the process has duplicates
+	}
+}
+
+// running is a process's command and the channel that closes at its end, if it runs.
+func (c *Cluster) running(name string) (*exec.Cmd, <-chan struct{}, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.processes[name]
+	if p == nil || p.ended == nil {
+		return nil, nil, false
+	}
+	select {
+	case <-p.ended:
+		return nil, nil, false
+	default:
+		return p.cmd, p.ended, true
+	}
+}
+
+// Running tells whether a process runs (a paused one does).
+func (c *Cluster) Running(name string) bool {
+	_, _, ok := c.running(name)
+	return ok
+}
+
+// Pid is a running process's id, or 0.
+func (c *Cluster) Pid(name string) int {
+	if cmd, _, ok := c.running(name); ok {
+		return cmd.Process.Pid
+	}
+	return 0
+}
+
+// Kill sends SIGKILL (and SIGCONT, so that a paused process ends too) and waits for the end; a process that is not
+// running is left alone.
+func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, "kill") }
+
+// Term sends SIGTERM and waits for the end.
+func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, "term") }
+
+func (c *Cluster) end(name string, signal syscall.Signal, what string) error {
+	cmd, ended, ok := c.running(name)
+	if !ok {
+		return nil
+	}
+	c.Note(name, what, "")
+	// A process that has ended by itself meanwhile takes no signal.
+	_ = cmd.Process.Signal(signal)
+	_ = cmd.Process.Signal(syscall.SIGCONT)
+	<-ended
+	return nil
+}
+
+// Restart kills a process if it runs and starts it again on the same ports.
+func (c *Cluster) Restart(name string) error {
+	if err := c.Kill(name); err != nil {
+		return err
+	}
+	return c.Start(name)
+}
+
+// Pause sends SIGSTOP.
+func (c *Cluster) Pause(name string) error { return c.signal(name, syscall.SIGSTOP, "pause") }
+
+// Resume sends SIGCONT.
+func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
+
+func (c *Cluster) signal(name string, signal syscall.Signal, what string) error {
+	cmd, _, ok := c.running(name)
+	if !ok {
+		return fmt.Errorf("processtest: %s is not running", name)
+	}
+	c.Note(name, what, "")
+	return cmd.Process.Signal(signal)
+}
+
+// PauseFor pauses processes for a time.
+func (c *Cluster) PauseFor(d time.Duration, names ...string) error {
+	for _, name := range names {
+		if err := c.Pause(name); err != nil {
+			return err
+		}
+	}
+	time.Sleep(d)
+	return Each(names, c.Resume)
+}
+
+// Starve lets processes run for a tenth of the time, in short slices, for a time. Those that have ended are left alone.
+func (c *Cluster) Starve(d time.Duration, names ...string) error {
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		if err := c.signalRunning(syscall.SIGSTOP, names); err != nil {
+			return err
+		}
+		time.Sleep(starvedPause)
+		if err := c.signalRunning(syscall.SIGCONT, names); err != nil {
+			return err
+		}
+		time.Sleep(starvedRun)
+	}
+	return nil
+}
+
+// signalRunning sends a signal to those of some processes that run; the history does not have it.
+func (c *Cluster) signalRunning(signal syscall.Signal, names []string) error {
+	for _, name := range names {
+		cmd, _, ok := c.running(name)
+		if !ok {
+			continue
+		}
+		if err := cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/processtest/usage.go
+++ b/internal/processtest/usage.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Usage is what a process has taken: processor time, user and system, since its start, resident
-// memory now, open descriptors and threads.
+// Usage are the resources of a process: processor time, user and system, since its start, resident memory now, open
+// descriptors and threads.
 type Usage struct {
 	CPU         time.Duration
 	RSS         int64 // bytes
@@ -17,26 +17,65 @@
 	Threads     int
 }
 
-// ProcessUsage reads what a running process has taken from /proc (proc(5)).
-func ProcessUsage(pid int) (u Usage, err error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+// The fields of /proc/PID/stat that are read, counted from zero behind the command, and their units (proc(5)).
+const (
+	statUserTime   = 11 // clock ticks
+	statSystemTime = 12 // clock ticks
+	statThreads    = 17
+	statRSS        = 21 // pages
+	clockTick      = 10 * time.Millisecond
+)
+
+// ProcessUsage reads the resources of a running process from /proc (proc(5)).
+func ProcessUsage(pid int) (Usage, error) {
+	path := fmt.Sprintf("/proc/%d/stat", pid)
+	stat, err := os.ReadFile(path)
+	if err != nil {
+		return Usage{}, err
+	}
+	usage, err := parseStat(string(stat))
 	if err != nil {
-		return u, err
+		return usage, fmt.Errorf("%s: %w", path, err)
+	}
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	usage.Descriptors = len(descriptors)
+	return usage, err
+}
+
+// parseStat reads all of a Usage but the descriptors from a line of /proc/PID/stat.
+func parseStat(stat string) (Usage, error) {
+	// The command is in brackets and may have any characters; the fields that are read follow it.
+	commandEnd := strings.LastIndexByte(stat, ')')
+	fields := strings.Fields(stat[commandEnd+1:])
+	if len(fields) <= statRSS {
+		return Usage{}, fmt.Errorf("%d fields behind the command", len(fields))
+	}
+	var numbers [statRSS + 1]int64
+	for _, i := range []int{statUserTime, statSystemTime, statThreads, statRSS} {
+		number, err := strconv.ParseInt(fields[i], 10, 64)
+		if err != nil {
+			return Usage{}, err
+		}
+		numbers[i] = number
 	}
-	// Behind the command, in brackets, utime and stime are the 12th and 13th fields, in
-	// ticks of 10 ms; num_threads is the 18th and rss the 22nd, in pages.
-	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-	if len(fields) < 22 {
-		return u, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
+	return Usage{
+		CPU:     time.Duration(numbers[statUserTime]+numbers[statSystemTime]) * clockTick,
+		Threads: int(numbers[statThreads]),
+		RSS:     numbers[statRSS] * int64(os.Getpagesize()),
+	}, nil
+}
+
+// FreeMB is this machine's available memory in MB (proc(5), meminfo); 0 if it can't be read.
+func FreeMB() int {
+	text, err := os.ReadFile("/proc/meminfo")
+	if err != nil {
+		return 0
 	}
-	var n [4]int64
-	for i, at := range []int{11, 12, 17, 21} {
-		if n[i], err = strconv.ParseInt(fields[at], 10, 64); err != nil {
-			return u, err
+	for line := range strings.Lines(string(text)) {
+		var kilobytes int
+		if n, _ := fmt.Sscanf(line, "MemAvailable: %d kB", &kilobytes); n == 1 { // other lines do not match
+			return kilobytes >> 10
 		}
 	}
-	u.CPU, u.Threads, u.RSS = time.Duration(n[0]+n[1])*10*time.Millisecond, int(n[2]), n[3]*int64(os.Getpagesize())
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	u.Descriptors = len(fds)
-	return u, err
+	return 0
 }
