--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -13,7 +13,7 @@
 
 const testTimeout = 20 * time.Second
 
-// process is a stand-in that listens where a board tells it to.
+// testProcess is a process that listens where a proxy tells it to.
 type testProcess struct {
 	bind, advertise string
 	udp             *net.UDPConn
@@ -51,7 +51,7 @@
 	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}, Timeout: testTimeout}).Dial("tcp4", to.advertise)
 }
 
-// heard reads packets up to one that says "end", which has to come.
+// receiveUntilEnd reads packets up to one with the text "end", which has to come.
 func (process *testProcess) receiveUntilEnd(t *testing.T) (got []string) {
 	t.Helper()
 	buf := make([]byte, 100)
@@ -68,9 +68,9 @@
 	}
 }
 
-// The same seed loses, doubles and delays the same packets; a one-way cut is one way.
+// The same seed loses, duplicates and replays the same packets; a one-way cut is one way.
 func TestPacketsFollowRuleAndSeed(t *testing.T) {
-	play := func(seed uint64) []string {
+	run := func(seed uint64) []string {
 		p, err := New(seed)
 		if err != nil {
 			t.Fatal(err)
@@ -92,25 +92,25 @@
 		x.send(y, "end")
 		y.send(x, "end")
 		if got := x.receiveUntilEnd(t); len(got) > 0 {
-			t.Errorf("%d packets came against a cut", len(got))
+			t.Errorf("%d packets passed a cut", len(got))
 		}
 		return y.receiveUntilEnd(t)
 	}
-	first, again, other := play(7), play(7), play(8)
-	if !slices.Equal(first, again) {
-		t.Error("the same seed gave another course")
+	first, second, other := run(7), run(7), run(8)
+	if !slices.Equal(first, second) {
+		t.Error("the same seed gave other packets")
 	}
 	if slices.Equal(first, other) {
-		t.Error("another seed gave the same course")
+		t.Error("another seed gave the same packets")
 	}
 	once := slices.Compact(slices.Clone(first))
 	if lost, twice := 200-len(once), len(first)-len(once); lost < 30 || lost > 90 || twice < 10 || twice > 60 {
-		t.Errorf("%d of 200 lost and %d once more, with shares of 0.3 and 0.2", lost, twice)
+		t.Errorf("%d of 200 lost and %d duplicated or replayed, with fractions of 0.3 and 0.2", lost, twice)
 	}
 }
 
-// A cut takes connections silently and resets them when it heals; a process that is not
-// there refuses; after the cut calls come through.
+// A cut interrupts connections silently and resets them when it heals; a process that does not run refuses
+// connections; after the cut connections work.
 func TestStreamsDuringAndAfterCut(t *testing.T) {
 	p, err := New(1)
 	if err != nil {
@@ -147,7 +147,7 @@
 	}
 	before, err := x.dial(y)
 	if err != nil || echo(before) != nil {
-		t.Fatalf("a call without rules fails: %v", err)
+		t.Fatalf("a connection without rules fails: %v", err)
 	}
 	p.Partition("p", []string{"x"}, []string{"y"})
 	during, err := x.dial(y)
@@ -171,7 +171,7 @@
 	}
 	after, err := x.dial(y)
 	if err != nil || echo(after) != nil {
-		t.Fatalf("a call after the cut fails: %v", err)
+		t.Fatalf("a connection after the cut fails: %v", err)
 	}
 	y.tcp.Close()
 	gone, err := x.dial(y)
@@ -179,6 +179,6 @@
 		err = echo(gone)
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("a process that is not there gives %v", err)
+		t.Errorf("a connection to a process that does not run gives %v", err)
 	}
 }
