--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -166,9 +166,13 @@
 // then it is reset.
 func (p *Proxy) stallUntilHealed(conn *net.TCPConn, from, to string) {
 	gone := discardInput(conn)
-	for !p.passesBothWays(from, to) {
+	for {
+		healed := p.nextChange() // taken before the check, so that no change is missed
+		if p.passesBothWays(from, to) {
+			break
+		}
 		select {
-		case <-p.nextChange():
+		case <-healed:
 		case <-gone:
 			return
 		case <-p.closed:
