--- a/cmd/membership/experiment.go
+++ b/cmd/membership/experiment.go
@@ -116,7 +116,7 @@
 	}
 	err = p.runRounds(ctx, journal)
 	if err == nil && p.Costs > 0 && ctx.Err() == nil {
-		err = p.measureCosts(journal)
+		err = p.measureCosts(journal) //nolint:contextcheck // an interrupt counts between runs: a run goes to its end
 	}
 	if tableErr := journal.Table(out); err == nil {
 		err = tableErr
@@ -161,6 +161,7 @@
 				return err
 			}
 		}
+		//nolint:contextcheck // an interrupt counts between runs: a run goes to its end
 		metrics, runErr := c.RunCase(faultCase, p.scale())
 		if err := journal.Add(faultCase.Name, seed, metrics, runErr); err != nil {
 			return err
@@ -231,7 +232,7 @@
 	}
 	defer c.close()
 	var metrics membershiptest.Metrics
-	runErr := c.StartSettled(p.ConvergeWithin)
+	runErr := c.StartConverged(p.ConvergeWithin)
 	if runErr == nil {
 		metrics, runErr = c.Costs(p.Costs)
 	}
--- a/internal/membershiptest/cases_test.go
+++ b/internal/membershiptest/cases_test.go
@@ -9,28 +9,49 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// TestHardCases plays every case on one fleet of 24 agents of the real program, one after
-// another; the checker judges all that the processes saw.
+// TestFaultCases runs every case on one cluster of 24 agents of the real program, one after another; the checker checks
+// all that the processes saw.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
-	bin := filepath.Join(dir, "agent")
-	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/agent").CombinedOutput(); err != nil {
+	binary := filepath.Join(dir, "agent")
+	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/agent").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	h, err := New(Config{Binary: bin, Dir: dir, Agents: 24, Seeds: 3, Seed: 1, Log: t.Logf,
-		Membership: membership.Config{ProbeIntervalMs: 150, SuspectTimeoutMs: 3000, SettleMs: 500, ForgetMs: 2000, ReclaimMs: 1000, ReconnectMs: 1000}})
+	h, err := New(Config{
+		Binary: binary,
+		Dir:    dir,
+		Agents: 24,
+		Seeds:  3,
+		Seed:   1,
+		Log:    t.Logf,
+		Membership: membership.Config{
+			ProbeIntervalMs:  150,
+			SuspectTimeoutMs: 3000,
+			SettleMs:         500,
+			ForgetMs:         2000,
+			ReclaimMs:        1000,
+			ReconnectMs:      1000,
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Close)
-	scale := Scale{ShortPartition: time.Second, LongPartition: 12 * time.Second, Pause: 1200 * time.Millisecond, FaultTime: 3 * time.Second,
-		LossTime: 5 * time.Second, ConvergeWithin: 60 * time.Second}
+	scale := Scale{
+		ShortPartition: time.Second,
+		LongPartition:  12 * time.Second,
+		Pause:          1200 * time.Millisecond,
+		FaultTime:      3 * time.Second,
+		LossTime:       5 * time.Second,
+		ConvergeWithin: 60 * time.Second,
+	}
 	for _, c := range Cases {
-		if !t.Run(c.Name, func(t *testing.T) {
+		passed := t.Run(c.Name, func(t *testing.T) {
 			if _, err := h.RunCase(c, scale); err != nil {
 				t.Fatal(err)
 			}
-		}) {
+		})
+		if !passed {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/membershiptest/control.go
@@ -0,0 +1,112 @@
+package membershiptest
+
+import (
+	"math"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// startTimeout bounds how long a process may take until it answers.
+	startTimeout = time.Minute
+	// noChanges asks for the changes after a number that no snapshot has.
+	noChanges = math.MaxInt64
+)
+
+// Start starts processes at once and waits until each has answered with its identity.
+func (h *Harness) Start(names ...string) error {
+	startedAt := time.Now()
+	if err := processtest.Each(names, h.processes.Start); err != nil {
+		return err
+	}
+	return processtest.Each(names, func(name string) error {
+		if h.isWithoutMembership(name) {
+			return nil
+		}
+		return h.recordStart(name, startedAt)
+	})
+}
+
+// recordStart waits until a process answers, and adds it to the history.
+func (h *Harness) recordStart(name string, startedAt time.Time) error {
+	var status *membership.Status
+	err := processtest.Await(startTimeout, name+" answers", func() bool {
+		status, _ = h.Status(name, noChanges) // until it answers
+		return status != nil
+	})
+	if err != nil {
+		return err
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.incarnations = append(h.incarnations, &ProcessIncarnation{
+		Name:        status.Self,
+		Process:     status.Process,
+		Start:       startedAt,
+		processName: name,
+	})
+	h.records[status.Process] = &Record{Observer: status.Self, Process: status.Process}
+	return nil
+}
+
+// recordEnd adds the end of a process to the history.
+func (h *Harness) recordEnd(name string, left bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, incarnation := range h.incarnations {
+		if incarnation.processName == name && incarnation.End.IsZero() {
+			incarnation.End = time.Now()
+			incarnation.Left = left
+		}
+	}
+}
+
+// Kill sends SIGKILL to processes at once, after it has collected what they saw.
+func (h *Harness) Kill(names ...string) error {
+	h.collectChanges(names)
+	for _, name := range names {
+		h.recordEnd(name, false)
+	}
+	return processtest.Each(names, h.processes.Kill)
+}
+
+// Term sends SIGTERM to processes and waits for their ends.
+func (h *Harness) Term(names ...string) error {
+	h.collectChanges(names)
+	for _, name := range names {
+		h.recordEnd(name, true)
+	}
+	return processtest.Each(names, h.processes.Term)
+}
+
+// Running are the names of the processes that run.
+func (h *Harness) Running() []string {
+	var running []string
+	for _, name := range h.Names {
+		for _, process := range []string{name, UpgradeName(name)} {
+			if h.processes.Running(process) {
+				running = append(running, process)
+			}
+		}
+	}
+	return running
+}
+
+// DrawRunning draws a fraction of the running processes that are no seeds, one at least.
+func (h *Harness) DrawRunning(fraction float64) []string {
+	running := h.Running()
+	wanted := max(1, int(fraction*float64(len(running))))
+	allAreSeeds := h.cfg.Seeds == len(h.Names)
+	var drawn []string
+	for _, i := range h.random.Perm(len(running)) {
+		if allAreSeeds || running[i] >= h.Names[h.cfg.Seeds] {
+			drawn = append(drawn, running[i])
+		}
+		if len(drawn) >= wanted {
+			break
+		}
+	}
+	return drawn
+}
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -16,86 +16,128 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Usage is what one process has taken, and what its fleet view sent.
+const (
+	bytesPerMB = 1 << 20
+	// The bounds and the precision of the latency histogram.
+	minLatencyUs      = 1
+	maxLatencyUs      = 10_000_000
+	latencyDigits     = 3
+	responseTimeout   = 5 * time.Second
+	affinityKeys      = 64
+	labelWith         = "with"
+	labelWithout      = "without"
+	latencyRequestFmt = "POST /api/%x HTTP/1.1\r\nHost: x\r\nRequest-Id: %s%d\r\nRequest-Class: order\r\n" +
+		"Request-Timeout-Ms: 3000\r\nContent-Length: 1\r\n\r\nx"
+)
+
+// latencyPercentiles are the percentiles that Latency returns.
+var latencyPercentiles = []float64{50, 99, 99.9}
+
+// Usage are the resources of one process, and what its membership sent.
 type Usage struct {
 	processtest.Usage
 	Packets uint64
 	Bytes   uint64 // in packets and on streams
 }
 
-// usage reads what a running process has taken from /proc and its door.
-func (h *Harness) usage(name string) (u Usage, err error) {
-	if u.Usage, err = processtest.ProcessUsage(h.processes.Pid(name)); err != nil {
-		return u, err
+// usage reads the resources of a running process from /proc and what its membership sent from its status; a process
+// without a membership sent nothing.
+func (h *Harness) usage(name string) (Usage, error) {
+	resources, err := processtest.ProcessUsage(h.processes.Pid(name))
+	usage := Usage{Usage: resources}
+	if err != nil || h.isWithoutMembership(name) {
+		return usage, err
 	}
-	if s, serr := h.Status(name, 1<<62); serr == nil {
-		u.Packets, u.Bytes = s.Traffic["packets_out"], s.Traffic["bytes_out"]+s.Traffic["stream_bytes_out"]
+	status, err := h.Status(name, noChanges)
+	if err != nil {
+		return usage, err
 	}
-	return u, nil
+	usage.Packets = status.Traffic["packets_out"]
+	usage.Bytes = status.Traffic["bytes_out"] + status.Traffic["stream_bytes_out"]
+	return usage, nil
 }
 
-// Costs measures, over a time in which nothing is done to the fleet, what a member's view
-// takes: means over the members, and of those without a view where there are any.
-func (h *Harness) Costs(during time.Duration) (Metrics, error) {
-	before := map[string]Usage{}
-	for _, n := range h.Running() {
-		u, err := h.usage(n)
+// usages are the resources of some processes by name.
+func (h *Harness) usages(names []string) (map[string]Usage, error) {
+	usages := map[string]Usage{}
+	for _, name := range names {
+		usage, err := h.usage(name)
 		if err != nil {
 			return nil, err
 		}
-		before[n] = u
+		usages[name] = usage
+	}
+	return usages, nil
+}
+
+// usageSum adds up the usages of agents over a time; CPU, Packets and Bytes are those of that time.
+type usageSum struct {
+	Usage
+	agents float64
+}
+
+func (s *usageSum) add(before, after Usage) {
+	s.agents++
+	s.CPU += after.CPU - before.CPU
+	s.RSS += after.RSS
+	s.Descriptors += after.Descriptors
+	s.Packets += after.Packets - before.Packets
+	s.Bytes += after.Bytes - before.Bytes
+}
+
+// addTo adds the means over the agents to the metrics.
+func (s *usageSum) addTo(metrics Metrics, label string, seconds float64) {
+	metrics["CPU share "+label] = s.CPU.Seconds() / s.agents / seconds
+	metrics["memory MB "+label] = float64(s.RSS) / s.agents / bytesPerMB
+	metrics["descriptors "+label] = float64(s.Descriptors) / s.agents
+}
+
+// Costs measures, over a time without faults, what a member's membership takes: means over the members, and over the
+// agents without a membership where there are any.
+func (h *Harness) Costs(during time.Duration) (Metrics, error) {
+	before, err := h.usages(h.Names)
+	if err != nil {
+		return nil, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	time.Sleep(during)
-	sums := map[bool]*Usage{true: {}, false: {}}
-	count := map[bool]int{}
-	seconds := time.Since(began).Seconds()
-	for i, n := range h.Names {
-		u, err := h.usage(n)
-		if err != nil {
-			return nil, err
-		}
-		alone := h.cfg.WithoutMembership != nil && h.cfg.WithoutMembership(i)
-		sum := sums[alone]
-		count[alone]++
-		sum.CPU += u.CPU - before[n].CPU
-		sum.RSS += u.RSS
-		sum.Descriptors += u.Descriptors
-		sum.Packets += u.Packets - before[n].Packets
-		sum.Bytes += u.Bytes - before[n].Bytes
+	seconds := time.Since(startedAt).Seconds()
+	after, err := h.usages(h.Names)
+	if err != nil {
+		return nil, err
 	}
-	metrics := Metrics{}
-	for alone, sum := range sums {
-		k, with := float64(count[alone]), "with"
-		if count[alone] == 0 {
-			continue
-		}
-		if alone {
-			with = "without"
+	var with, without usageSum
+	for _, name := range h.Names {
+		if h.isWithoutMembership(name) {
+			without.add(before[name], after[name])
 		} else {
-			metrics["packets a member and second"] = float64(sum.Packets) / k / seconds
-			metrics["bytes a member and second"] = float64(sum.Bytes) / k / seconds
+			with.add(before[name], after[name])
 		}
-		metrics["CPU share "+with] = sum.CPU.Seconds() / k / seconds
-		metrics["memory MB "+with] = float64(sum.RSS) / k / (1 << 20)
-		metrics["descriptors "+with] = float64(sum.Descriptors) / k
+	}
+	metrics := Metrics{}
+	if with.agents > 0 {
+		with.addTo(metrics, labelWith, seconds)
+		metrics["packets a member and second"] = float64(with.Packets) / with.agents / seconds
+		metrics["bytes a member and second"] = float64(with.Bytes) / with.agents / seconds
+	}
+	if without.agents > 0 {
+		without.addTo(metrics, labelWithout, seconds)
 	}
 	return metrics, nil
 }
 
-// Latency sends requests at a steady rate to two agents in turn, one with a view and one
-// without, and gives the quantiles of the times from sending to the whole answer.
+// Latency sends requests at a steady rate to two agents, one with a membership and one without, and returns the
+// percentiles of the times from sending to the end of the response.
 func (h *Harness) Latency(with, without string, rate int, during time.Duration) (Metrics, error) {
-	names := map[string]string{"with": with, "without": without}
 	histograms := map[string]*hdrhistogram.Histogram{}
 	var group errgroup.Group
 	var mu sync.Mutex
-	for label, name := range names {
+	for label, name := range map[string]string{labelWith: with, labelWithout: without} {
 		group.Go(func() error {
 			histogram, err := h.measureLatency(name, rate, during)
 			mu.Lock()
+			defer mu.Unlock()
 			histograms[label] = histogram
-			mu.Unlock()
 			return err
 		})
 	}
@@ -104,40 +146,36 @@
 	}
 	metrics := Metrics{}
 	for label, histogram := range histograms {
-		for _, q := range []float64{50, 99, 99.9} {
-			metrics[fmt.Sprintf("latency p%g us %s", q, label)] = float64(histogram.ValueAtQuantile(q))
+		for _, percentile := range latencyPercentiles {
+			name := fmt.Sprintf("latency p%g us %s", percentile, label)
+			metrics[name] = float64(histogram.ValueAtQuantile(percentile))
 		}
 	}
 	return metrics, nil
 }
 
-// send sends requests to one agent, each on the same connection and at its time; what is
-// late of it counts (the time runs from when it was due).
+// measureLatency sends requests to one agent, each on the same connection and at its time; a time runs from when its
+// request was due, so that a late one counts.
 func (h *Harness) measureLatency(name string, rate int, during time.Duration) (*hdrhistogram.Histogram, error) {
-	histogram := hdrhistogram.New(1, 10_000_000, 3)
-	c, err := net.Dial("tcp", h.address(name, 8000))
+	histogram := hdrhistogram.New(minLatencyUs, maxLatencyUs, latencyDigits)
+	conn, err := net.Dial("tcp", h.address(name, clientPort))
 	if err != nil {
 		return histogram, err
 	}
-	defer c.Close()
-	answers := bufio.NewReader(c)
-	began := time.Now()
+	defer func() { _ = conn.Close() }() // all responses have been read
+	responses := bufio.NewReader(conn)
+	startedAt := time.Now()
 	for i := range int(during.Seconds() * float64(rate)) {
-		due := began.Add(time.Duration(i) * time.Second / time.Duration(rate))
+		due := startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))
 		time.Sleep(time.Until(due))
-		c.SetDeadline(due.Add(5 * time.Second))
-		if _, err := fmt.Fprintf(c, "POST /api/%x HTTP/1.1\r\nHost: x\r\nRequest-Id: %s%d\r\nRequest-Class: order\r\n"+
-			"Request-Timeout-Ms: 3000\r\nContent-Length: 1\r\n\r\nx", i%64, name, i); err != nil {
+		if err := conn.SetDeadline(due.Add(responseTimeout)); err != nil {
 			return histogram, err
 		}
-		resp, err := http.ReadResponse(answers, nil)
-		if err != nil {
+		if _, err := fmt.Fprintf(conn, latencyRequestFmt, i%affinityKeys, name, i); err != nil {
 			return histogram, err
 		}
-		_, err = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		if err != nil || resp.StatusCode != http.StatusOK {
-			return histogram, errors.Join(err, fmt.Errorf("%s answered %s", name, resp.Status))
+		if err := readResponse(responses); err != nil {
+			return histogram, fmt.Errorf("%s: %w", name, err)
 		}
 		if err := histogram.RecordValue(time.Since(due).Microseconds()); err != nil {
 			return histogram, err
@@ -145,3 +183,17 @@
 	}
 	return histogram, nil
 }
+
+// readResponse reads one response, which must be 200.
+func readResponse(responses *bufio.Reader) error {
+	resp, err := http.ReadResponse(responses, nil)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	err = errors.Join(err, resp.Body.Close())
+	if resp.StatusCode != http.StatusOK {
+		err = errors.Join(err, fmt.Errorf("answered %s", resp.Status))
+	}
+	return err
+}
--- /dev/null
+++ b/internal/membershiptest/discovery.go
@@ -0,0 +1,48 @@
+package membershiptest
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// serveDiscovery serves an endpoint list with one server to all agents, and is that server.
+func (h *Harness) serveDiscovery() error {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /api/targets", func(w http.ResponseWriter, r *http.Request) {
+		awaitWatch(r)
+		_, _ = fmt.Fprintf(w, `{"version":1,"full":true,"servers":[`+
+			`{"id":"s-1","addr":%q,"zone":"east","kind":"big","state":"up","weight":1}]}`, ln.Addr()) // the agent polls again
+	})
+	mux.HandleFunc("POST /api/", func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // the agent sees what becomes of its request
+		_, _ = fmt.Fprint(w, "done")
+	})
+	h.discovery = &http.Server{Addr: ln.Addr().String(), Handler: mux}
+	go func() {
+		if err := h.discovery.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+			h.cfg.Log("discovery: %v", err)
+		}
+	}()
+	return nil
+}
+
+// awaitWatch waits as long as a watch asks for: the list never changes.
+func awaitWatch(r *http.Request) {
+	waitMs, err := strconv.Atoi(r.FormValue("wait"))
+	if err != nil {
+		return
+	}
+	select {
+	case <-time.After(time.Duration(waitMs) * time.Millisecond):
+	case <-r.Context().Done():
+	}
+}
--- /dev/null
+++ b/internal/membershiptest/faults_network.go
@@ -0,0 +1,223 @@
+package membershiptest
+
+import (
+	"slices"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/faultproxy"
+)
+
+const (
+	// partitionName names the one partition of a case.
+	partitionName = "case"
+	// lossJitter is the jitter of messages under loss, and their duplicated and reordered fractions are lossShare of
+	// the lost one.
+	lossJitter = 2 * time.Millisecond
+	lossShare  = 1.0 / 5
+	// replayedFraction is the fraction of packets that come once more, replayRestarts the number of restarts meanwhile.
+	replayedFraction = 0.3
+	replayRestarts   = 4
+	// churnPauses is the number of pauses between two restarts that a short partition has.
+	churnPauses = 4
+)
+
+// twoSides are the running processes in two parts, the first with two fifths of them.
+func (h *Harness) twoSides() (first, second []string) {
+	running := h.Running()
+	end := len(running) * 2 / 5
+	return running[:end], running[end:]
+}
+
+// duringPartition partitions groups while something is done, and exempts deaths between them until a while after.
+func (h *Harness) duringPartition(scale Scale, do func() error, groups ...[]string) (healedAt time.Time, err error) {
+	cutAt := time.Now()
+	h.Proxy.Partition(partitionName, groups...)
+	err = do()
+	h.Proxy.Heal(partitionName)
+	healedAt = time.Now()
+	h.Exempt(cutAt, healedAt.Add(scale.ConvergeWithin), faultproxy.NewPartition(groups...).Separates)
+	return healedAt, err
+}
+
+func shortPartition(h *Harness, scale Scale) (Metrics, error) {
+	return h.partition(scale.ShortPartition, scale)
+}
+
+func longPartition(h *Harness, scale Scale) (Metrics, error) {
+	return h.partition(scale.LongPartition, scale)
+}
+
+// partition partitions two sides for a time.
+func (h *Harness) partition(d time.Duration, scale Scale) (Metrics, error) {
+	first, second := h.twoSides()
+	wait := func() error {
+		time.Sleep(d)
+		return nil
+	}
+	healedAt, err := h.duringPartition(scale, wait, first, second)
+	if err != nil {
+		return nil, err
+	}
+	return h.measureConvergence(healedAt, scale)
+}
+
+// overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
+// there is no exemption.
+func overlappingPartitions(h *Harness, scale Scale) (Metrics, error) {
+	running := h.Running()
+	third := len(running) / 3
+	cutAt := time.Now()
+	h.Proxy.Partition(partitionName, running[:third], running[2*third:])
+	time.Sleep(scale.FaultTime)
+	h.Proxy.Heal(partitionName)
+	return h.measureFlaps(cutAt, scale)
+}
+
+// oneWayCuts cuts one direction of a third of all pairs.
+func oneWayCuts(h *Harness, scale Scale) (Metrics, error) {
+	cutAt := time.Now()
+	running := h.Running()
+	for i, from := range running {
+		for _, to := range running[i+1:] {
+			if h.random.IntN(3) != 0 {
+				continue
+			}
+			if h.random.IntN(2) == 0 {
+				h.Proxy.Set(to, from, faultproxy.Rule{Cut: true})
+			} else {
+				h.Proxy.Set(from, to, faultproxy.Rule{Cut: true})
+			}
+		}
+	}
+	time.Sleep(scale.FaultTime)
+	h.Proxy.Clear()
+	return h.measureFlaps(cutAt, scale)
+}
+
+// lossOf is the case of a fraction of messages lost on all links.
+func lossOf(fraction float64) func(h *Harness, scale Scale) (Metrics, error) {
+	return func(h *Harness, scale Scale) (Metrics, error) {
+		lossAt := time.Now()
+		h.Proxy.SetAll(faultproxy.Rule{
+			Loss:      fraction,
+			Jitter:    lossJitter,
+			Duplicate: fraction * lossShare,
+			Reorder:   fraction * lossShare,
+		})
+		time.Sleep(scale.LossTime)
+		h.Proxy.Clear()
+		return h.measureFlaps(lossAt, scale)
+	}
+}
+
+// churnDuringPartition kills and starts processes on both sides of a partition.
+func churnDuringPartition(h *Harness, scale Scale) (Metrics, error) {
+	first, second := h.twoSides()
+	churn := func() error {
+		for end := time.Now().Add(scale.LongPartition); time.Now().Before(end); {
+			for _, side := range [][]string{first, second} {
+				if err := h.restartKilled(side[h.random.IntN(len(side))]); err != nil {
+					return err
+				}
+			}
+			time.Sleep(scale.ShortPartition / churnPauses)
+		}
+		return nil
+	}
+	healedAt, err := h.duringPartition(scale, churn, first, second)
+	if err != nil {
+		return nil, err
+	}
+	return h.measureConvergence(healedAt, scale)
+}
+
+// replayedPackets replays a fraction of all packets later, while processes are killed, leave and restart: messages by
+// and about replaced processes reach their successors and all others.
+func replayedPackets(h *Harness, scale Scale) (Metrics, error) {
+	h.Proxy.SetAll(faultproxy.Rule{Replay: replayedFraction, MaxReplayDelay: scale.FaultTime})
+	for i := range replayRestarts {
+		restart := h.restartKilled
+		if i%2 == 1 {
+			restart = h.restartGracefully
+		}
+		if err := restart(h.DrawRunning(killedFraction)...); err != nil {
+			return nil, err
+		}
+		time.Sleep(scale.FaultTime / replayRestarts)
+	}
+	metrics, err := h.measureConvergence(time.Now(), scale) // while old packets still come
+	if err != nil {
+		return metrics, err
+	}
+	time.Sleep(scale.FaultTime)
+	h.Proxy.Clear()
+	_, err = h.AwaitConvergence(time.Now(), scale.ConvergeWithin)
+	return metrics, err
+}
+
+const (
+	// drawnSteps is the number of steps of drawn faults, drawnActions that of the actions to draw from.
+	drawnSteps   = 4
+	drawnActions = 5
+)
+
+// drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of two,
+// and meanwhile processes that are killed, leave, pause or starve.
+func drawnFaults(h *Harness, scale Scale) (Metrics, error) {
+	var healedAt time.Time
+	for step := range drawnSteps {
+		rule := h.drawRule(scale)
+		names := h.DrawRunning(0.02 + 0.13*h.random.Float64())
+		action := h.random.IntN(drawnActions)
+		groups := h.drawGroups()
+		h.cfg.Log("drawn step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
+		h.Proxy.SetAll(rule)
+		var err error
+		act := func() error { return h.act(action, names, scale) }
+		if healedAt, err = h.duringPartition(scale, act, groups...); err != nil {
+			return nil, err
+		}
+	}
+	h.Proxy.Clear()
+	return h.measureConvergence(healedAt, scale)
+}
+
+// drawRule draws bad links.
+func (h *Harness) drawRule(scale Scale) faultproxy.Rule {
+	return faultproxy.Rule{
+		Loss:           0.05 * h.random.Float64(),
+		Jitter:         time.Duration(h.random.IntN(10)) * time.Millisecond,
+		Duplicate:      0.1 * h.random.Float64(),
+		Reorder:        0.1 * h.random.Float64(),
+		Replay:         0.1 * h.random.Float64(),
+		MaxReplayDelay: scale.ShortPartition,
+	}
+}
+
+// act does one of the drawn actions to processes.
+func (h *Harness) act(action int, names []string, scale Scale) error {
+	switch action {
+	case 0:
+		return h.restartKilled(names...)
+	case 1:
+		return h.restartGracefully(names...)
+	case 2:
+		return h.processes.PauseFor(scale.Pause, names...)
+	case 3:
+		return h.processes.Starve(scale.ShortPartition, names...)
+	default:
+		time.Sleep(scale.ShortPartition)
+		return nil
+	}
+}
+
+// drawGroups draws a partition in two or three groups, or none.
+func (h *Harness) drawGroups() [][]string {
+	if h.random.IntN(2) != 0 {
+		return nil
+	}
+	running := h.Running()
+	h.random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
+	size := len(running)/(2+h.random.IntN(2)) + 1
+	return slices.Collect(slices.Chunk(running, size))
+}
--- a/internal/membershiptest/journal.go
+++ b/internal/membershiptest/journal.go
@@ -8,91 +8,135 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Run is one run of a case: its figures, or why it failed.
+// Run is one run of a case: its metrics, or why it failed. The JSON keys are those of records.
 type Run struct {
 	Case       string  `json:"case"`
 	Agents     int     `json:"agents"`
-	Seed       uint64  `json:"seed"` // of the lab that played it
+	Seed       uint64  `json:"seed"` // of the harness that ran it
 	Commit     string  `json:"commit"`
 	Processors int     `json:"processors"`
 	Metrics    Metrics `json:"figures,omitempty"`
 	Failed     string  `json:"failed,omitempty"`
 }
 
-// Journal is what runs gave, each written out as soon as it has ended.
+// Journal has the runs of cases, each written as soon as it has ended.
 type Journal struct {
 	Commit     string
 	Agents     int
 	Processors int
-	Out        io.Writer // a JSON object a line; nil: nowhere
+	Out        io.Writer // a JSON object a line; nil: nothing is written
 	runs       []Run
 }
 
-// Add notes a run; the error is that of writing it.
+// Add adds a run; the error is that of writing it.
 func (j *Journal) Add(name string, seed uint64, metrics Metrics, failed error) error {
-	r := Run{Case: name, Agents: j.Agents, Seed: seed, Commit: j.Commit, Processors: j.Processors, Metrics: metrics}
+	run := Run{
+		Case:       name,
+		Agents:     j.Agents,
+		Seed:       seed,
+		Commit:     j.Commit,
+		Processors: j.Processors,
+		Metrics:    metrics,
+	}
 	if failed != nil {
-		r.Failed = failed.Error()
+		run.Failed = failed.Error()
 	}
-	j.runs = append(j.runs, r)
+	j.runs = append(j.runs, run)
 	if j.Out == nil {
 		return nil
 	}
-	return json.NewEncoder(j.Out).Encode(r)
+	return json.NewEncoder(j.Out).Encode(run)
 }
 
 // Read adds the runs of a record.
 func (j *Journal) Read(from io.Reader) error {
-	for dec, n := json.NewDecoder(from), 1; ; n++ {
-		var r Run
-		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
+	decoder := json.NewDecoder(from)
+	for number := 1; ; number++ {
+		var run Run
+		err := decoder.Decode(&run)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
-			return fmt.Errorf("run %d: %w", n, err)
 		}
-		j.runs = append(j.runs, r)
+		if err != nil {
+			return fmt.Errorf("run %d: %w", number, err)
+		}
+		j.runs = append(j.runs, run)
 	}
 }
 
-// Table writes the median, 99th percentile and worst of each figure of each case by number of
-// agents, and the runs that failed, by their seeds; if any did, that is the error.
+// FailedRunsError tells that some of a journal's runs failed.
+type FailedRunsError struct {
+	Failed, Runs int
+}
+
+func (e *FailedRunsError) Error() string {
+	return fmt.Sprintf("%d of %d runs failed", e.Failed, e.Runs)
+}
+
+// tableKey identifies a line of the table.
+type tableKey struct {
+	agents       int
+	name, metric string
+}
+
+// Table writes the median, 99th percentile and worst of each metric of each case by number of agents, and the runs that
+// failed, by their seeds; if any did, the error is a FailedRunsError.
 func (j *Journal) Table(out io.Writer) error {
-	fmt.Fprintln(out, "| agents | case | figure | runs | median | p99 | worst |\n| --- | --- | --- | --- | --- | --- | --- |")
-	type key struct {
-		agents       int
-		name, figure string
+	var text strings.Builder
+	text.WriteString("| agents | case | figure | runs | median | p99 | worst |\n")
+	text.WriteString("| --- | --- | --- | --- | --- | --- | --- |\n")
+	keys, values := j.valuesByKey()
+	for _, key := range keys {
+		sorted := slices.Sorted(slices.Values(values[key]))
+		fmt.Fprintf(&text, "| %d | %s | %s | %d | %.4g | %.4g | %.4g |\n", key.agents, key.name, key.metric, len(sorted),
+			processtest.Quantile(sorted, 0.5), processtest.Quantile(sorted, 0.99), sorted[len(sorted)-1])
 	}
-	figures := map[key][]float64{}
-	var order []key
-	failed := 0
-	for _, r := range j.runs {
-		if r.Failed != "" {
-			failed++
+	failed := j.writeFailed(&text)
+	if _, err := io.WriteString(out, text.String()); err != nil {
+		return err
+	}
+	if failed > 0 {
+		return &FailedRunsError{Failed: failed, Runs: len(j.runs)}
+	}
+	return nil
+}
+
+// valuesByKey are the values of each metric of the runs that did not fail, and their keys in the order of the runs.
+func (j *Journal) valuesByKey() ([]tableKey, map[tableKey][]float64) {
+	var keys []tableKey
+	values := map[tableKey][]float64{}
+	for _, run := range j.runs {
+		if run.Failed != "" {
 			continue
 		}
-		for _, f := range slices.Sorted(maps.Keys(r.Metrics)) {
-			k := key{r.Agents, r.Case, f}
-			if figures[k] == nil {
-				order = append(order, k)
+		for _, metric := range slices.Sorted(maps.Keys(run.Metrics)) {
+			key := tableKey{run.Agents, run.Case, metric}
+			if values[key] == nil {
+				keys = append(keys, key)
 			}
-			figures[k] = append(figures[k], r.Metrics[f])
+			values[key] = append(values[key], run.Metrics[metric])
 		}
 	}
-	for _, k := range order {
-		v := figures[k]
-		slices.Sort(v)
-		fmt.Fprintf(out, "| %d | %s | %s | %d | %.4g | %.4g | %.4g |\n", k.agents, k.name, k.figure, len(v), Quantile(v, 0.5), Quantile(v, 0.99), v[len(v)-1])
-	}
-	if failed == 0 {
-		return nil
-	}
-	fmt.Fprintln(out)
-	for _, r := range j.runs {
-		if r.Failed != "" {
-			fmt.Fprintf(out, "FAILED: %s, %d agents, seed %d, commit %s: %s\n", r.Case, r.Agents, r.Seed, r.Commit, strings.ReplaceAll(r.Failed, "\n", "; "))
+	return keys, values
+}
+
+// writeFailed writes the runs that failed, and returns their number.
+func (j *Journal) writeFailed(text *strings.Builder) int {
+	failed := 0
+	for _, run := range j.runs {
+		if run.Failed == "" {
+			continue
+		}
+		if failed == 0 {
+			text.WriteString("\n")
 		}
+		failed++
+		fmt.Fprintf(text, "FAILED: %s, %d agents, seed %d, commit %s: %s\n", run.Case, run.Agents, run.Seed, run.Commit,
+			strings.ReplaceAll(run.Failed, "\n", "; "))
 	}
-	return fmt.Errorf("%d of %d runs failed", failed, len(j.runs))
+	return failed
 }
