--- a/internal/configtest/cases_test.go
+++ b/internal/configtest/cases_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestHardCases plays every case on one lab of three instances and 12 agents of the real programs. With
-// CONFIGLAB_LONG=1 instances and regions are gone for 30 s instead of 6.
+// TestFaultCases runs every case on one harness of three instances and 12 agents of the real programs. With
+// CONFIGTEST_LONG=1 instances and regions are gone for 30 s instead of 6.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"agent", "discovery"} {
@@ -18,21 +18,31 @@
 		}
 	}
 	outage := 6 * time.Second
-	if os.Getenv("CONFIGLAB_LONG") != "" {
+	if os.Getenv("CONFIGTEST_LONG") != "" {
 		outage = 30 * time.Second
 	}
-	h, err := New(Config{AgentBinary: filepath.Join(dir, "agent"), DiscoveryBinary: filepath.Join(dir, "discovery"), Dir: dir, Agents: 12, Seed: 1,
-		Within: 11 * time.Second, Outage: outage, Burst: 100, Log: t.Logf})
+	h, err := New(Config{
+		AgentBinary:     filepath.Join(dir, "agent"),
+		DiscoveryBinary: filepath.Join(dir, "discovery"),
+		Dir:             dir,
+		Agents:          12,
+		Seed:            1,
+		Within:          11 * time.Second,
+		Outage:          outage,
+		Burst:           100,
+		Log:             t.Logf,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Close)
 	for _, c := range Cases {
-		if !t.Run(c.Name, func(t *testing.T) {
+		passed := t.Run(c.Name, func(t *testing.T) {
 			if err := h.RunCase(c); err != nil {
 				t.Fatal(err)
 			}
-		}) {
+		})
+		if !passed {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/configtest/discovery.go
@@ -0,0 +1,200 @@
+package configtest
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// settingsPath is the path of the service's settings at the admin endpoint of an instance.
+	settingsPath = "/v1/settings/" + service
+	// retryTimeout bounds the retries of what needs a leader or all agents.
+	retryTimeout = 20 * time.Second
+	// changeTimeout bounds the retries of a change.
+	changeTimeout = 30 * time.Second
+	// changePause and leaderPause are the pauses between retries.
+	changePause = 20 * time.Millisecond
+	leaderPause = 50 * time.Millisecond
+)
+
+var errNoLeader = errors.New("configtest: no leader")
+
+// callAdmin makes one call of an instance's admin endpoint, and reads its answer into out if it is 200.
+func (h *Harness) callAdmin(instance, method, path string, body []byte, out any) error {
+	url := "http://" + h.discovery.Addr(instance, "admin") + path
+	req, err := http.NewRequest(method, url, strings.NewReader(string(body)))
+	if err != nil {
+		return err
+	}
+	resp, err := h.client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = resp.Body.Close() }() // it was only read
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("configtest: %s answered %d to %s %s", instance, resp.StatusCode, method, path)
+	}
+	return json.NewDecoder(resp.Body).Decode(out)
+}
+
+// get is callAdmin without a body.
+func (h *Harness) get(instance, path string, out any) error {
+	return h.callAdmin(instance, http.MethodGet, path, nil, out)
+}
+
+// leader is the instance that leads by its own status, of those that are not paused; "": none does.
+func (h *Harness) leader() string {
+	h.mu.Lock()
+	paused := h.pausedInstance
+	h.mu.Unlock()
+	for _, name := range h.Instances {
+		if name == paused || !h.discovery.Running(name) {
+			continue
+		}
+		var status server.Status
+		if h.get(name, "/v1/status", &status) == nil && status.State == "Leader" {
+			return name
+		}
+	}
+	return ""
+}
+
+// awaitLeader waits until there is a leader.
+func (h *Harness) awaitLeader(within time.Duration) error {
+	return processtest.Await(within, "a leader", func() bool { return h.leader() != "" })
+}
+
+// atLeader does something at the leader, or, until there is one and for retryTimeout, retries.
+func (h *Harness) atLeader(do func(instance string) error) error {
+	ctx, cancel := context.WithTimeout(context.Background(), retryTimeout)
+	defer cancel()
+	for {
+		err := errNoLeader
+		if leader := h.leader(); leader != "" {
+			err = do(leader)
+		}
+		if err == nil || ctx.Err() != nil {
+			return err
+		}
+		time.Sleep(leaderPause)
+	}
+}
+
+// others are the instances but one.
+func (h *Harness) others(instance string) []string {
+	return slices.DeleteFunc(slices.Clone(h.Instances), func(name string) bool { return name == instance })
+}
+
+// drawFollower draws an instance that does not lead.
+func (h *Harness) drawFollower() (string, error) {
+	err := h.awaitLeader(retryTimeout)
+	followers := h.others(h.leader())
+	return followers[h.random.IntN(len(followers))], err
+}
+
+// agentReport is the last report of an agent, and the instance that received it.
+type agentReport struct {
+	server.HeardAgent
+	instance string
+}
+
+// agentReports are the last reports of the agents, by their names.
+func (h *Harness) agentReports() map[string]agentReport {
+	reports := map[string]agentReport{}
+	for _, instance := range h.Instances {
+		var heard server.Heard
+		if h.get(instance, settingsPath+"/heard", &heard) != nil {
+			continue // an instance that is down has no reports
+		}
+		for _, agent := range heard.Agents {
+			if old, ok := reports[agent.Agent]; !ok || agent.SilentMs < old.SilentMs {
+				reports[agent.Agent] = agentReport{agent, instance}
+			}
+		}
+	}
+	return reports
+}
+
+// busiestInstance is the follower that most agents use, or the leader where all use that, and the number of those
+// agents: an agent uses the instance that received its last call. (An instance that was paused receives then what was
+// sent to it meanwhile.) The error tells that not all agents have called within retryTimeout.
+func (h *Harness) busiestInstance() (instance string, agents int, err error) {
+	startedAt := time.Now()
+	agentsOf := map[string]int{}
+	err = processtest.Await(retryTimeout, "calls of all agents", func() bool {
+		reports := h.agentReports()
+		for _, report := range reports {
+			if report.SilentMs >= time.Since(startedAt).Milliseconds() {
+				return false
+			}
+		}
+		for _, report := range reports {
+			agentsOf[report.instance]++
+		}
+		return true
+	})
+	leader := h.leader()
+	for _, name := range h.Instances {
+		n := agentsOf[name]
+		if n == 0 {
+			continue
+		}
+		isBusierFollower := n > agents && name != leader
+		if isBusierFollower || instance == leader || agents == 0 {
+			instance = name
+			agents = n
+		}
+	}
+	return instance, agents, err
+}
+
+// Change writes settings with a marker of their own until they are acknowledged, at the given instances in turn, and
+// records that; the error is that this took longer than changeTimeout. It is safe for concurrent use.
+func (h *Harness) Change(settingsOf func(marker int) processtest.AgentSettings, instances ...string) (Write, error) {
+	write := Write{Marker: h.nextMarker()}
+	text, err := json.Marshal(settingsOf(write.Marker))
+	if err != nil {
+		return write, err
+	}
+	end := time.Now().Add(changeTimeout)
+	for attempt := 0; time.Now().Before(end); attempt++ {
+		var answer struct{ Version uint64 }
+		instance := instances[attempt%len(instances)]
+		if err = h.callAdmin(instance, http.MethodPut, settingsPath, text, &answer); err == nil {
+			write.Version = answer.Version
+			write.AckedAt = time.Now()
+			h.recordWrite(write)
+			return write, nil
+		}
+		time.Sleep(changePause)
+	}
+	return write, fmt.Errorf("configtest: change %d not acknowledged within %v: %w", write.Marker, changeTimeout, err)
+}
+
+func (h *Harness) nextMarker() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lastMarker++
+	return h.lastMarker
+}
+
+func (h *Harness) recordWrite(write Write) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.writes = append(h.writes, write)
+}
+
+// change changes settings to such as all agents take.
+func (h *Harness) change(instances ...string) error {
+	_, err := h.Change(settings, instances...)
+	return err
+}
--- /dev/null
+++ b/internal/configtest/faults.go
@@ -0,0 +1,285 @@
+package configtest
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// missingKey is what the reason of a refused change names.
+	missingKey = "contract.coldMs: missing"
+	// writers and writesPerWriter are those of twoWriters.
+	writers         = 2
+	writesPerWriter = 10
+	// regionChanges are the changes that are made while a region is cut off.
+	regionChanges = 3
+	// cutGrace is how long after a cut an agent may still put in force what was sent to it before.
+	cutGrace = time.Second
+	// peakWindow is the time over which calls are counted.
+	peakWindow = 100 * time.Millisecond
+)
+
+// halfRefuse: a change lacks a key that half of the agents have in force. They keep what they have and are reported with
+// the reason; the next change reaches all.
+func (h *Harness) halfRefuse() (string, error) {
+	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
+	if err != nil {
+		return "", err
+	}
+	refused := 0
+	err = processtest.Await(h.cfg.Within, "all agents reported with the result of the change", func() bool {
+		reports := h.agentReports()
+		refused = 0
+		for i, agent := range h.Agents {
+			report := reports[agent]
+			hasKey := i%2 == 1
+			if hasKey && !report.refused(write.Version) || !hasKey && report.InForce != write.Version {
+				return false
+			}
+			if hasKey {
+				refused++
+			}
+		}
+		return true
+	})
+	if err != nil {
+		return "", fmt.Errorf("%w: %v", err, h.agentReports())
+	}
+	return fmt.Sprintf("; %d refused", refused), h.change(h.Instances...)
+}
+
+// refused tells whether an agent reported that it refused a version for the missing key and has none in force.
+func (r agentReport) refused(version uint64) bool {
+	return r.Refused == version && r.InForce == 0 && strings.Contains(r.Why, missingKey)
+}
+
+// leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
+func (h *Harness) leaderKilled() (_ string, err error) {
+	for i := range h.cfg.Burst {
+		if i == h.cfg.Burst/3 {
+			leader := h.leader()
+			if err := h.discovery.Kill(leader); err != nil {
+				return "", err
+			}
+			defer func() { err = errors.Join(err, h.discovery.Start(leader)) }()
+		}
+		if err := h.change(h.Instances...); err != nil {
+			return "", err
+		}
+	}
+	return "", nil
+}
+
+// fault injects a fault into an instance; end ends it.
+type fault func(instance string) (end func() error, err error)
+
+func (h *Harness) setPaused(instance string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.pausedInstance = instance
+}
+
+func (h *Harness) pause(instance string) (end func() error, err error) {
+	h.setPaused(instance)
+	resume := func() error {
+		h.setPaused("")
+		return h.discovery.Resume(instance)
+	}
+	return resume, h.discovery.Pause(instance)
+}
+
+func (h *Harness) kill(instance string) (end func() error, err error) {
+	start := func() error { return h.discovery.Start(instance) }
+	return start, h.discovery.Kill(instance)
+}
+
+func (h *Harness) cutOff(instance string) (end func() error, err error) {
+	h.discovery.Partition([]string{instance}, append(h.others(instance), h.Agents...))
+	heal := func() error {
+		h.discovery.Heal()
+		return nil
+	}
+	return heal, nil
+}
+
+// instanceGone: an instance that agents use is gone, and settings change as soon as the others take a write.
+func (h *Harness) instanceGone(inject fault) (string, error) {
+	instance, agents, err := h.busiestInstance()
+	if err != nil {
+		return "", err
+	}
+	wasLeader := h.leader() == instance
+	end, err := inject(instance)
+	if err != nil {
+		return "", err
+	}
+	err = h.change(h.others(instance)...)
+	if err == nil {
+		err = h.awaitLastChange()
+	}
+	return fmt.Sprintf("; %d agents used it, it led: %v", agents, wasLeader), errors.Join(err, end())
+}
+
+// twoWriters: two writers write at once, at different instances, ten times.
+func (h *Harness) twoWriters() (string, error) {
+	var group sync.WaitGroup
+	errs := make([]error, writers)
+	for writer := range errs {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			for range writesPerWriter {
+				errs[writer] = errors.Join(errs[writer], h.change(h.Instances[writer:]...))
+			}
+		}()
+	}
+	group.Wait()
+	return "", errors.Join(errs...)
+}
+
+// regionCut: an instance and a third of the agents are cut off from the rest while settings change: the others have the
+// changes in time, these keep the last they had and have the newest in time after the heal.
+func (h *Harness) regionCut() (string, error) {
+	region, err := h.drawFollower()
+	if err != nil {
+		return "", err
+	}
+	rest := h.others(region)
+	third := len(h.Agents) / 3
+	regionAgents, restAgents := h.Agents[:third], h.Agents[third:]
+	cutAt := time.Now()
+	h.discovery.Partition(append([]string{region}, regionAgents...), append(slices.Clone(rest), restAgents...))
+	for range regionChanges {
+		time.Sleep(h.cfg.Outage / regionChanges)
+		if err := h.change(rest...); err != nil {
+			return "", err
+		}
+	}
+	history, err := h.observed()
+	if err != nil {
+		return "", err
+	}
+	firstChange := history.Writes[len(history.Writes)-regionChanges].Version
+	err = checkCutOff(history, regionAgents, firstChange, cutAt.Add(cutGrace))
+	h.discovery.Heal()
+	h.exempt(cutAt, regionAgents...)
+	return "", err
+}
+
+// checkCutOff checks that no running process of the agents observed a version, or a newer one, after a time.
+func checkCutOff(history *History, agents []string, version uint64, after time.Time) error {
+	for _, p := range history.Incarnations {
+		if !slices.Contains(agents, p.Agent) || !p.To.IsZero() {
+			continue
+		}
+		crossed := slices.ContainsFunc(p.Observations, func(o Observation) bool {
+			return o.At.After(after) && o.Version >= version
+		})
+		if crossed {
+			return fmt.Errorf("%s, which was cut off, has a change that was made on the other side", p.Agent)
+		}
+	}
+	return nil
+}
+
+// allDown: all instances are killed, and a tenth of the agents restarts meanwhile; once they run again, the agents call
+// one by one. The change is made then.
+func (h *Harness) allDown() (string, error) {
+	downAt := time.Now()
+	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
+		return "", err
+	}
+	if err := h.restartTenthDuringOutage(); err != nil {
+		return "", err
+	}
+	backAt := time.Now()
+	if err := processtest.Each(h.Instances, h.discovery.Start); err != nil {
+		return "", err
+	}
+	err := h.change(h.Instances...)
+	h.exempt(downAt)
+	if err != nil {
+		return "", err
+	}
+	if err := h.awaitLastChange(); err != nil {
+		return "", err
+	}
+	whileDown, err := h.peakCalls(downAt, backAt)
+	if err != nil {
+		return "", err
+	}
+	afterReturn, err := h.peakCalls(backAt, backAt.Add(h.cfg.Within))
+	if err != nil {
+		return "", err
+	}
+	metrics := fmt.Sprintf("; most calls in %v of %d agents: %d while down, %d after the return", peakWindow, len(h.Agents),
+		whileDown, afterReturn)
+	if max(whileDown, afterReturn) >= len(h.Agents) {
+		return metrics, fmt.Errorf("too many calls at once%s", metrics)
+	}
+	return metrics, nil
+}
+
+// restartTenthDuringOutage restarts a tenth of the agents in the middle of an outage, and checks that all agents run at
+// its end.
+func (h *Harness) restartTenthDuringOutage() error {
+	time.Sleep(h.cfg.Outage / 2)
+	tenth := h.Agents[:max(1, len(h.Agents)/10)]
+	if err := processtest.Each(tenth, h.restart); err != nil {
+		return err
+	}
+	time.Sleep(h.cfg.Outage / 2)
+	for _, agent := range h.Agents {
+		if !h.agents.Running(agent) {
+			return fmt.Errorf("%s does not run any more", agent)
+		}
+	}
+	return nil
+}
+
+// restart kills an agent and starts it again.
+func (h *Harness) restart(agent string) error {
+	h.mu.Lock()
+	h.kills[agent] = append(h.kills[agent], time.Now())
+	h.mu.Unlock()
+	return h.agents.Restart(agent)
+}
+
+// peakCalls is the number of calls of the instances in the 100 ms with the most of them. Each call counted is a
+// connection of its own: after a failure no connection is kept.
+func (h *Harness) peakCalls(from, to time.Time) (int, error) {
+	var calls []time.Time
+	for _, agent := range h.Agents {
+		for _, instance := range h.Instances {
+			link, err := h.discovery.Link(agent, instance, "http")
+			if err != nil {
+				return 0, err
+			}
+			for _, at := range link.Accepted() {
+				if !at.Before(from) && !at.After(to) {
+					calls = append(calls, at)
+				}
+			}
+		}
+	}
+	return mostWithin(calls, peakWindow), nil
+}
+
+// mostWithin is the largest number of times that are within a window.
+func mostWithin(times []time.Time, window time.Duration) int {
+	slices.SortFunc(times, time.Time.Compare)
+	most, first := 0, 0
+	for i := range times {
+		for times[i].Sub(times[first]) > window {
+			first++
+		}
+		most = max(most, i-first+1)
+	}
+	return most
+}
--- /dev/null
+++ b/internal/configtest/history.go
@@ -0,0 +1,191 @@
+package configtest
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+)
+
+// Write is one write of settings. Marker is what distinguishes its settings from others.
+type Write struct {
+	Marker  int
+	Version uint64    // of the acknowledgement
+	AckedAt time.Time // zero: it was not acknowledged
+}
+
+// StoredVersion is a version in the service's history.
+type StoredVersion struct {
+	Version uint64
+	Marker  int
+}
+
+// Observation is a line of an agent's log: settings of a version that it put in force or refused.
+type Observation struct {
+	At      time.Time
+	Version uint64
+	Marker  int // of what it put in force
+	Refused bool
+	Reason  string // of the refusal
+}
+
+// ProcessIncarnation is one run of an agent, with what it observed in its order.
+type ProcessIncarnation struct {
+	Agent        string
+	From, To     time.Time // To is zero while it runs
+	Observations []Observation
+}
+
+// knew tells whether the process had put in force or refused a version, or a newer one, at a time.
+func (p *ProcessIncarnation) knew(version uint64, at time.Time) bool {
+	return slices.ContainsFunc(p.Observations, func(o Observation) bool {
+		return o.Version >= version && !o.At.After(at)
+	})
+}
+
+// refused tells whether the process refused a version.
+func (p *ProcessIncarnation) refused(version uint64) bool {
+	return slices.ContainsFunc(p.Observations, func(o Observation) bool { return o.Refused && o.Version == version })
+}
+
+// inForceAt is when the process put a version or a newer one in force, and whether it did.
+func (p *ProcessIncarnation) inForceAt(version uint64) (time.Time, bool) {
+	for _, o := range p.Observations {
+		if !o.Refused && o.Version >= version {
+			return o.At, true
+		}
+	}
+	return time.Time{}, false
+}
+
+// Exemption is a time in which agents (all, where none is named) could reach no instance that knows more than they do:
+// what is due in it is due after it.
+type Exemption struct {
+	From, To time.Time
+	Agents   []string
+}
+
+// covers tells whether an agent is exempt.
+func (e Exemption) covers(agent string) bool {
+	return len(e.Agents) == 0 || slices.Contains(e.Agents, agent)
+}
+
+// History is all that the processes of a harness saw and did. All times are of one machine's clock.
+type History struct {
+	Writes       []Write
+	Stored       []StoredVersion // what the service has of its history, the last 20 versions
+	Incarnations []*ProcessIncarnation
+	Exemptions   []Exemption
+}
+
+// lastWrite is the write of the newest version.
+func (h *History) lastWrite() Write {
+	return slices.MaxFunc(h.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
+}
+
+// dueAt is when a process must know of a change; false where it need not, as it ended before.
+func (h *History) dueAt(w Write, p *ProcessIncarnation, within time.Duration) (time.Time, bool) {
+	from := w.firstKnownAt(p)
+	for _, e := range h.Exemptions {
+		if e.covers(p.Agent) && !from.Add(within).Before(e.From) && from.Before(e.To) {
+			from = e.To
+		}
+	}
+	due := from.Add(within)
+	return due, !w.AckedAt.IsZero() && (p.To.IsZero() || p.To.After(due))
+}
+
+// firstKnownAt is when a process could first know of a change.
+func (w Write) firstKnownAt(p *ProcessIncarnation) time.Time {
+	if p.From.After(w.AckedAt) {
+		return p.From
+	}
+	return w.AckedAt
+}
+
+// Delays are the times from the acknowledgements since a time to in force, at each process that ran then, did not refuse
+// the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt process the
+// time counts from the end of its exemption.
+func (h *History) Delays(since time.Time) []time.Duration {
+	var delays []time.Duration
+	for _, w := range h.Writes {
+		for _, p := range h.Incarnations {
+			due, ok := h.dueAt(w, p, 0)
+			if !ok || p.refused(w.Version) || w.AckedAt.Before(since) || p.From.After(w.AckedAt) {
+				continue
+			}
+			if at, ok := p.inForceAt(w.Version); ok {
+				delays = append(delays, max(0, at.Sub(due)))
+			}
+		}
+	}
+	slices.Sort(delays)
+	return delays
+}
+
+// observed is all that was seen and done so far, but for the service's own history.
+func (h *Harness) observed() (*History, error) {
+	h.mu.Lock()
+	history := &History{Writes: slices.Clone(h.writes), Exemptions: slices.Clone(h.exemptions)}
+	h.mu.Unlock()
+	for _, agent := range h.Agents {
+		incarnations, err := h.incarnations(agent)
+		if err != nil {
+			return nil, err
+		}
+		history.Incarnations = append(history.Incarnations, incarnations...)
+	}
+	return history, nil
+}
+
+// History is all that was seen and done so far.
+func (h *Harness) History() (*History, error) {
+	history, err := h.observed()
+	if err != nil {
+		return nil, err
+	}
+	history.Stored, err = h.storedVersions()
+	return history, err
+}
+
+// storedVersions is the service's history.
+func (h *Harness) storedVersions() ([]StoredVersion, error) {
+	var versions []server.SettingsVersion
+	err := h.atLeader(func(instance string) error { return h.get(instance, settingsPath+"/history", &versions) })
+	if err != nil {
+		return nil, err
+	}
+	var stored []StoredVersion
+	for _, version := range versions {
+		marker, err := h.storedMarker(version.Version)
+		if err != nil {
+			return nil, err
+		}
+		stored = append(stored, StoredVersion{Version: version.Version, Marker: marker})
+	}
+	return stored, nil
+}
+
+// storedMarker is the marker of a stored version.
+func (h *Harness) storedMarker(version uint64) (int, error) {
+	var stored server.SettingsVersion
+	err := h.atLeader(func(instance string) error {
+		return h.get(instance, fmt.Sprintf("%s?version=%d", settingsPath, version), &stored)
+	})
+	if err != nil {
+		return 0, err
+	}
+	var settings struct{ Limits struct{ MaxAttempts int } }
+	err = json.Unmarshal([]byte(stored.Text), &settings)
+	return settings.Limits.MaxAttempts, err
+}
+
+// exempt records that agents (none: all) could reach nobody who knows more, from a time until now.
+func (h *Harness) exempt(from time.Time, agents ...string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.exemptions = append(h.exemptions, Exemption{From: from, To: time.Now(), Agents: agents})
+}
--- /dev/null
+++ b/internal/configtest/logs.go
@@ -0,0 +1,116 @@
+package configtest
+
+import (
+	"bufio"
+	"bytes"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// The agent's log messages that are read, and their attributes.
+const (
+	messageStarted = "listening"
+	messageInForce = "settings taken over"
+	messageRefused = "settings refused" // the message begins with it
+	numberVersion  = "version"
+	numberMarker   = "max_attempts"
+)
+
+var (
+	logLine     = regexp.MustCompile(`^time=(\S+) level=\S+ msg=("(?:[^"\\]|\\.)*"|\S+)(.*)$`)
+	numberField = regexp.MustCompile(` (version|max_attempts)=(\d+)`)
+	errorField  = regexp.MustCompile(` err=("(?:[^"\\]|\\.)*"|\S+)`)
+)
+
+// logEntry is a line of an agent's log.
+type logEntry struct {
+	at      time.Time
+	message string
+	err     string
+	numbers map[string]uint64
+}
+
+// readLog reads an agent's log, of all its processes; lines that are not complete are left out.
+func (h *Harness) readLog(agent string) ([]logEntry, error) {
+	text, err := os.ReadFile(filepath.Join(h.cfg.Dir, agent+".log"))
+	if err != nil {
+		return nil, err
+	}
+	var entries []logEntry
+	for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); {
+		match := logLine.FindStringSubmatch(scanner.Text())
+		if match == nil {
+			continue
+		}
+		entry, err := parseEntry(match[1], match[2], match[3])
+		if err != nil {
+			return nil, err
+		}
+		entries = append(entries, entry)
+	}
+	return entries, nil
+}
+
+// parseEntry parses the time, the message and the attributes of a line.
+func parseEntry(at, message, attributes string) (logEntry, error) {
+	entry := logEntry{message: strings.Trim(message, `"`), numbers: map[string]uint64{}}
+	var err error
+	if entry.at, err = time.Parse(time.RFC3339Nano, at); err != nil {
+		return entry, err
+	}
+	for _, field := range numberField.FindAllStringSubmatch(attributes, -1) {
+		if entry.numbers[field[1]], err = strconv.ParseUint(field[2], 10, 64); err != nil {
+			return entry, err
+		}
+	}
+	if field := errorField.FindStringSubmatch(attributes); field != nil {
+		entry.err = field[1]
+	}
+	return entry, nil
+}
+
+// observation is what a line says about settings, and whether it does.
+func (e logEntry) observation() (Observation, bool) {
+	version, ok := e.numbers[numberVersion]
+	switch {
+	case ok && e.message == messageInForce:
+		return Observation{At: e.at, Version: version, Marker: int(e.numbers[numberMarker])}, true
+	case ok && strings.HasPrefix(e.message, messageRefused):
+		return Observation{At: e.at, Version: version, Refused: true, Reason: e.err}, true
+	default:
+		return Observation{}, false
+	}
+}
+
+// incarnations are an agent's processes by its log, with the ends that the harness made.
+func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
+	entries, err := h.readLog(agent)
+	if err != nil {
+		return nil, err
+	}
+	h.mu.Lock()
+	kills := slices.Clone(h.kills[agent])
+	h.mu.Unlock()
+	var incarnations []*ProcessIncarnation
+	for _, entry := range entries {
+		if entry.message == messageStarted {
+			if n := len(incarnations); n > 0 && n <= len(kills) {
+				incarnations[n-1].To = kills[n-1]
+			}
+			incarnations = append(incarnations, &ProcessIncarnation{Agent: agent, From: entry.at})
+		}
+		if len(incarnations) == 0 {
+			continue
+		}
+		if observation, ok := entry.observation(); ok {
+			current := incarnations[len(incarnations)-1]
+			current.Observations = append(current.Observations, observation)
+		}
+	}
+	return incarnations, nil
+}
