--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -12,14 +12,14 @@
 const (
 	// maxReported is how many violations an error has.
 	maxReported = 5
-	// pollInterval is how often awaitLastChange reads the logs, and settleMargin how much longer it waits than a change
-	// may take.
+	// pollInterval is how often awaitLastChange reads the logs, and settleMargin how much longer it waits than a
+	// change may take.
 	pollInterval = 50 * time.Millisecond
 	settleMargin = time.Second
 )
 
-// Case is one fault case. Its run returns once the last change is acknowledged and all faults are over; the metrics that
-// it returns are for the log.
+// Case is one fault case. Its run returns once the last change is acknowledged and all faults are over; the metrics
+// that it returns are for the log.
 type Case struct {
 	Name string
 	run  func(h *Harness) (metrics string, err error)
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -25,8 +25,8 @@
 	peakWindow = 100 * time.Millisecond
 )
 
-// halfRefuse: a change lacks a key that half of the agents have in force. They keep what they have and are reported with
-// the reason; the next change reaches all.
+// halfRefuse: a change lacks a key that half of the agents have in force. They keep what they have and are reported
+// with the reason; the next change reaches all.
 func (h *Harness) halfRefuse() (string, error) {
 	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
 	if err != nil {
@@ -218,8 +218,8 @@
 	if err != nil {
 		return "", err
 	}
-	metrics := fmt.Sprintf("; most calls in %v of %d agents: %d while down, %d after the return", peakWindow, len(h.Agents),
-		whileDown, afterReturn)
+	metrics := fmt.Sprintf("; most calls in %v of %d agents: %d while down, %d after the return",
+		peakWindow, len(h.Agents), whileDown, afterReturn)
 	if max(whileDown, afterReturn) >= len(h.Agents) {
 		return metrics, fmt.Errorf("too many calls at once%s", metrics)
 	}
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -106,9 +106,9 @@
 	return w.AckedAt
 }
 
-// Delays are the times from the acknowledgements since a time to in force, at each process that ran then, did not refuse
-// the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt process the
-// time counts from the end of its exemption.
+// Delays are the times from the acknowledgements since a time to in force, at each process that ran then, did not
+// refuse the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt
+// process the time counts from the end of its exemption.
 func (h *History) Delays(since time.Time) []time.Duration {
 	var delays []time.Duration
 	for _, w := range h.Writes {
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -94,8 +94,8 @@
 	}, nil
 }
 
-// ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n and
-// 127.n+1. It is the caller's until the reservation is closed.
+// ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n
+// and 127.n+1. It is the caller's until the reservation is closed.
 func ReserveNetwork() (reservation net.Listener, n byte, err error) {
 	for n := byte(firstNetwork); n < endNetwork; n += 2 {
 		reservation, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", n, reservationPort))
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -33,9 +33,9 @@
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: %s saw %s/%s go from %q to %q (incarnation %d, by %q) in snapshot %d at %s", v.Rule, v.Observer,
-		v.Change.Name, v.Change.Process, v.Change.From, v.Change.To, v.Change.Incarnation, v.Change.ReportedBy,
-		v.Change.Number, changeTime(v.Change).Format(timeOfMinute))
+	return fmt.Sprintf("%s: %s saw %s/%s go from %q to %q (incarnation %d, by %q) in snapshot %d at %s",
+		v.Rule, v.Observer, v.Change.Name, v.Change.Process, v.Change.From, v.Change.To, v.Change.Incarnation,
+		v.Change.ReportedBy, v.Change.Number, changeTime(v.Change).Format(timeOfMinute))
 }
 
 // Check checks the merged histories of all processes against the rules.
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -161,8 +161,8 @@
 	drawnActions = 5
 )
 
-// drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of two,
-// and meanwhile processes that are killed, leave, pause or starve.
+// drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of
+// two, and meanwhile processes that are killed, leave, pause or starve.
 func drawnFaults(h *Harness, scale Scale) (Metrics, error) {
 	var healedAt time.Time
 	for step := range drawnSteps {
