--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -127,7 +127,7 @@
 		link.SetCut(partition.Separates(key.from, key.to))
 	}
 	c.mu.Unlock()
-	c.Note("", "partition", fmt.Sprint(groups))
+	c.record("", "partition", fmt.Sprint(groups))
 }
 
 // Heal restores every link to pass everything at once.
@@ -139,7 +139,7 @@
 		link.SetDrop(0)
 	}
 	c.mu.Unlock()
-	c.Note("", "heal", "")
+	c.record("", "heal", "")
 }
 
 // Close kills every process and closes every proxy.
--- a/internal/processtest/history.go
+++ b/internal/processtest/history.go
@@ -8,17 +8,17 @@
 // Event is one entry of the history: when (since New), which process ("" for the whole cluster), what was done or seen,
 // and any detail.
 type Event struct {
-	At     time.Duration
-	Proc   string
-	What   string
-	Detail string
+	At      time.Duration
+	Process string
+	Action  string
+	Detail  string
 }
 
-// Note adds an event to the history.
-func (c *Cluster) Note(proc, what, detail string) {
+// record adds an event to the history.
+func (c *Cluster) record(process, action, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.history = append(c.history, Event{At: time.Since(c.start), Proc: proc, What: what, Detail: detail})
+	c.history = append(c.history, Event{At: time.Since(c.start), Process: process, Action: action, Detail: detail})
 }
 
 // History is a copy of the events so far, in order.
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -62,7 +62,7 @@
 	p.cmd = cmd
 	p.ended = ended
 	c.mu.Unlock()
-	c.Note(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
+	c.record(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
 	return nil
 }
 
@@ -142,12 +142,12 @@
 // Term sends SIGTERM and waits for the end.
 func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, "term") }
 
-func (c *Cluster) end(name string, signal syscall.Signal, what string) error {
+func (c *Cluster) end(name string, signal syscall.Signal, action string) error {
 	cmd, ended, ok := c.running(name)
 	if !ok {
 		return nil
 	}
-	c.Note(name, what, "")
+	c.record(name, action, "")
 	// A process that has ended by itself meanwhile takes no signal.
 	_ = cmd.Process.Signal(signal)
 	_ = cmd.Process.Signal(syscall.SIGCONT)
@@ -169,12 +169,12 @@
 // Resume sends SIGCONT.
 func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
 
-func (c *Cluster) signal(name string, signal syscall.Signal, what string) error {
+func (c *Cluster) signal(name string, signal syscall.Signal, action string) error {
 	cmd, _, ok := c.running(name)
 	if !ok {
 		return fmt.Errorf("processtest: %s is not running", name)
 	}
-	c.Note(name, what, "")
+	c.record(name, action, "")
 	return cmd.Process.Signal(signal)
 }
 
