--- /dev/null
+++ b/internal/configtest/cases_test.go
@@ -0,0 +1,49 @@
+package configtest
+
+import (
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// TestFaultCases runs every case on one harness of three instances and 12 agents of the real programs. With
+// CONFIGTEST_LONG=1 instances and regions are gone for 30 s instead of 6.
+func TestFaultCases(t *testing.T) {
+	dir := t.TempDir()
+	for _, name := range []string{"agent", "discovery"} {
+		if out, err := exec.Command("go", "build", "-o", dir+"/", "../../cmd/"+name).CombinedOutput(); err != nil {
+			t.Fatalf("build: %v\n%s", err, out)
+		}
+	}
+	outage := 6 * time.Second
+	if os.Getenv("CONFIGTEST_LONG") != "" {
+		outage = 30 * time.Second
+	}
+	h, err := New(Config{
+		AgentBinary:     filepath.Join(dir, "agent"),
+		DiscoveryBinary: filepath.Join(dir, "discovery"),
+		Dir:             dir,
+		Agents:          12,
+		Seed:            1,
+		Within:          11 * time.Second,
+		Outage:          outage,
+		Burst:           100,
+		Log:             t.Logf,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(h.Close)
+	for _, c := range Cases {
+		passed := t.Run(c.Name, func(t *testing.T) {
+			if err := h.RunCase(c); err != nil {
+				t.Fatal(err)
+			}
+		})
+		if !passed {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/configtest/harness.go
@@ -0,0 +1,228 @@
+// Package configtest runs the real discovery service and real agents on one machine, with a proxy on every link between
+// them, injects faults between them while settings change, and checks the merged histories of writers, agents and
+// service. The program's tests run its cases at a small size.
+package configtest
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// minAgents is the least number of agents that the cases need.
+	minAgents = 4
+	// service is the service whose settings the agents take.
+	service = "pay"
+	// replicas is the agents' replicasOfMe.
+	replicas = 12
+	// fileMarker is the marker of the settings in the agents' files, firstMarker is below those of all changes.
+	fileMarker  = 3
+	firstMarker = 1000
+	// slowStartMs is the value of the key that the first change leaves out.
+	slowStartMs = 8000
+	// leaderTimeout bounds how long the service may take until it has a leader.
+	leaderTimeout = 30 * time.Second
+	// adminTimeout bounds a call of an instance's admin endpoint.
+	adminTimeout = 7 * time.Second
+)
+
+// Config says what to run.
+type Config struct {
+	AgentBinary     string // path of the built agent
+	DiscoveryBinary string // path of the built discovery
+	Dir             string // for configurations, logs and data
+	Agents          int    // 4 at least; every second has a key in its file that the first change lacks
+	Seed            uint64 // of all that is drawn
+	// Within is how long a change may take from its acknowledgement to in force everywhere.
+	Within time.Duration
+	// Outage is how long all instances, or a region, are gone; Burst is how many changes a burst has.
+	Outage time.Duration
+	Burst  int
+	// Log takes the course of the cases; nil: it is dropped.
+	Log func(format string, args ...any)
+}
+
+// check tells why a configuration can't be used.
+func (c *Config) check() error {
+	if c.Agents < minAgents || c.Within <= 0 || c.Burst < 1 {
+		return fmt.Errorf("configtest: %d agents, %d changes in a burst, within %v: want %d, 1 and above 0",
+			c.Agents, c.Burst, c.Within, minAgents)
+	}
+	return nil
+}
+
+// settings are settings that agents take. The marker of a change is its number of attempts: agents log that of
+// settings that they have put in force.
+func settings(marker int) processtest.AgentSettings {
+	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
+}
+
+// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those refuse.
+func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
+	without := settings(marker)
+	without.SlowStartMs = 0
+	return without
+}
+
+// Harness is a running service of three instances and its agents.
+type Harness struct {
+	cfg       Config
+	Instances []string
+	Agents    []string
+	discovery *processtest.Cluster // its links are those of the agents too
+	agents    *processtest.Cluster
+	random    *rand.Rand
+	client    *http.Client
+
+	mu         sync.Mutex
+	lastMarker int
+	writes     []Write
+	exemptions []Exemption
+	kills      map[string][]time.Time // of each agent
+	// pausedInstance is the instance that is paused; "": none.
+	pausedInstance string
+}
+
+// New starts the service and the agents, and returns once a write would be taken; the error says what could not be
+// started.
+func New(cfg Config) (*Harness, error) {
+	if err := cfg.check(); err != nil {
+		return nil, err
+	}
+	if cfg.Log == nil {
+		cfg.Log = func(string, ...any) {}
+	}
+	h := &Harness{
+		cfg:        cfg,
+		Instances:  []string{"n1", "n2", "n3"},
+		random:     rand.New(rand.NewPCG(cfg.Seed, 1)),
+		client:     &http.Client{Timeout: adminTimeout},
+		lastMarker: firstMarker,
+		kills:      map[string][]time.Time{},
+	}
+	for i := range cfg.Agents {
+		h.Agents = append(h.Agents, fmt.Sprintf("pay-%03d", i))
+	}
+	if err := h.newClusters(); err != nil {
+		return nil, err
+	}
+	if err := h.start(); err != nil {
+		h.Close()
+		return nil, err
+	}
+	return h, nil
+}
+
+// newClusters makes the addresses of all processes.
+func (h *Harness) newClusters() error {
+	var err error
+	h.discovery, err = processtest.New(processtest.Config{
+		Binary: h.cfg.DiscoveryBinary,
+		Dir:    h.cfg.Dir,
+		Names:  h.Instances,
+		Ports:  []string{"raft", "http", "admin"},
+		Args: func(_ *processtest.Cluster, name string) []string {
+			return []string{"serve", "--config", filepath.Join(h.cfg.Dir, name+".toml")}
+		},
+	})
+	if err != nil {
+		return err
+	}
+	h.agents, err = processtest.New(processtest.Config{
+		Binary: h.cfg.AgentBinary,
+		Dir:    h.cfg.Dir,
+		Names:  h.Agents,
+		Env:    processtest.AgentEnv(h.cfg.Dir),
+	})
+	return err
+}
+
+// start writes all configurations, starts all processes and waits for a leader.
+func (h *Harness) start() error {
+	for i, name := range h.Instances {
+		if err := h.writeInstanceConfig(name, i == 0); err != nil {
+			return err
+		}
+	}
+	for i, name := range h.Agents {
+		if err := h.writeAgentConfig(name, i); err != nil {
+			return err
+		}
+	}
+	if err := processtest.Each(h.Instances, h.discovery.Start); err != nil {
+		return err
+	}
+	if err := processtest.Each(h.Agents, h.agents.Start); err != nil {
+		return err
+	}
+	return h.awaitLeader(leaderTimeout)
+}
+
+// Close ends all processes.
+func (h *Harness) Close() {
+	h.agents.Close()
+	h.discovery.Close()
+}
+
+// writeInstanceConfig writes the configuration of an instance of the service.
+func (h *Harness) writeInstanceConfig(name string, bootstrap bool) error {
+	var text strings.Builder
+	fmt.Fprintf(&text, "id = %q\n", name)
+	fmt.Fprintf(&text, "data_dir = %q\n", filepath.Join(h.cfg.Dir, name))
+	fmt.Fprintf(&text, "raft_addr = %q\nhttp_addr = %q\nadmin_addr = %q\n", "fd:3", "fd:4", "fd:5")
+	fmt.Fprintf(&text, "bootstrap = %v\n", bootstrap)
+	fmt.Fprintf(&text, "max_stale = %q\n", "1s")
+	for _, peer := range h.Instances {
+		if peer == name {
+			continue
+		}
+		link, err := h.discovery.Link(name, peer, "raft")
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), h.discovery.Addr(peer, "admin"))
+	}
+	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".toml"), []byte(text.String()), 0o644)
+}
+
+// writeAgentConfig writes the configuration of the agent of a number.
+func (h *Harness) writeAgentConfig(name string, number int) error {
+	var addrs []string
+	for _, instance := range h.Instances {
+		link, err := h.discovery.Link(name, instance, "http")
+		if err != nil {
+			return err
+		}
+		addrs = append(addrs, link.Addr())
+	}
+	own := settingsWithoutSlowStart(fileMarker)
+	if number%2 == 1 {
+		own = settings(fileMarker)
+	}
+	zone := 0
+	own.Index = &number
+	own.Zone = &zone
+	text, err := json.Marshal(map[string]any{
+		"name":      name,
+		"listen":    "127.0.0.1:0",
+		"discovery": addrs[0],
+		"seed":      fmt.Sprintf("%x", number+1),
+		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
+		"known":     map[string]any{"version": 0, "servers": []any{}},
+		"control":   map[string]any{"service": service, "addresses": addrs[1:]},
+		"settings":  own,
+	})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".json"), text, 0o644)
+}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -8,75 +8,97 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// benchSizes are the fleets, in members, by which the growth of what each look costs is measured.
+// benchSizes are the numbers of members by which the growth of the costs of a round is measured.
 var benchSizes = []int{100, 200, 400, 800, 1500}
 
-// peopled is one process's part in a fleet of so many members, all alive in its list and its view.
-// Nothing of it runs by itself: memberlist neither probes nor gossips.
-func peopled(b *testing.B, members int) *Fleet {
+// newPopulated is a Membership with a number of members, all alive in its list and its snapshot. Nothing of it runs
+// by itself: memberlist neither probes nor gossips.
+func newPopulated(b *testing.B, members int) *Membership {
 	b.Helper()
-	cfg := quick(memberName(0), freeAddr(b))
-	cfg.Size, cfg.Zone = members, "zone-0"
-	f, err := newFleet(cfg)
+	cfg := testConfig(memberName(0), freeAddr(b))
+	cfg.Size = members
+	cfg.Zone = "zone-0"
+	m, err := newMembership(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	if f.tr, err = newTransport(&f.cfg, f.log.std(), &f.count, f.tell, f.wordCounts); err != nil {
+	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
+	if err != nil {
 		b.Fatal(err)
 	}
-	c := f.listConfig(f.tr)
-	c.ProbeInterval, c.GossipInterval, c.PushPullInterval = time.Hour, time.Hour, time.Hour
-	list, err := memberlist.Create(c)
+	listConfig := m.listConfig(m.transport)
+	listConfig.ProbeInterval = time.Hour
+	listConfig.GossipInterval = time.Hour
+	listConfig.PushPullInterval = time.Hour
+	list, err := memberlist.Create(listConfig)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { f.cancel(); list.Shutdown() })
-	f.list.Store(list)
-	f.tr.doubt = encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
-	for i := 1; i < members; i++ {
-		m := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
-		f.tr.doubt = append(f.tr.doubt, encodeMessage(0, pushNode{Name: memberName(i), Addr: []byte{127, 2, byte(i >> 8), byte(i)},
-			Port: 7946, Meta: m.bytes(), Incarnation: uint32(1000 + i), Vsn: []uint8{1, 5, 2, 0, 0, 0}})[1:]...)
-	}
-	if _, err := list.Join([]string{doubtPeer + "/" + f.cfg.Advertise}); err != nil {
+	b.Cleanup(func() {
+		m.cancel()
+		if err := list.Shutdown(); err != nil {
+			b.Error(err)
+		}
+	})
+	m.list.Store(list)
+	m.transport.suspicionOfSelf = pushPullOf(members)
+	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
 		b.Fatal(err)
 	}
-	v := f.snapshot(time.Now())
-	if v == nil || v.Present != members {
-		b.Fatalf("the list of %d members was read as %+v", members, v)
+	snapshot := m.readSnapshot(time.Now())
+	if snapshot == nil || snapshot.Present != members {
+		b.Fatalf("the list of %d members was read as %+v", members, snapshot)
+	}
+	m.snapshot.Store(snapshot)
+	return m
+}
+
+// pushPullOf is a push/pull of all members but the first.
+func pushPullOf(members int) []byte {
+	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
+	for i := 1; i < members; i++ {
+		metadata := meta{Process: fmt.Sprintf("%016x", i), Zone: fmt.Sprintf("zone-%d", i%3), Version: "1"}
+		node := pushNode{
+			Name:        memberName(i),
+			Addr:        []byte{127, 2, byte(i >> 8), byte(i)},
+			Port:        7946,
+			Meta:        metadata.bytes(),
+			Incarnation: uint32(1000 + i),
+			Vsn:         []uint8{1, 5, 2, 0, 0, 0},
+		}
+		message = append(message, encodeMessage(0, node)[1:]...)
 	}
-	f.view.Store(v)
-	return f
+	return message
 }
 
 func memberName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// BenchmarkSnapshot is one reading of the list: where nothing changed, where one member did, and where one
-// did and all the changes are there that are kept.
+// BenchmarkSnapshot is one reading of the list: where nothing changed, where one member did, and where one did and
+// the table has as many changes as it keeps.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, kept := range []struct {
+	for _, bench := range []struct {
 		name    string
 		changed bool
 		changes int
-	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, keptChanges}} {
-		for _, n := range benchSizes {
-			b.Run(fmt.Sprintf("%s/%d", kept.name, n), func(b *testing.B) {
-				f := peopled(b, n)
-				was := *f.table.view
-				if kept.changed {
-					was.Members = append([]Member(nil), was.Members...)
-					was.Members[n/2].Incarnation--
+	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, maxChanges}} {
+		for _, size := range benchSizes {
+			b.Run(fmt.Sprintf("%s/%d", bench.name, size), func(b *testing.B) {
+				m := newPopulated(b, size)
+				before := *m.table.snapshot
+				if bench.changed {
+					before.Members = append([]Member(nil), before.Members...)
+					before.Members[size/2].Incarnation--
 				}
-				f.table.changes = make([]Change, kept.changes)
+				m.table.changes = make([]Change, bench.changes)
 				now := time.Now()
 				b.ReportAllocs()
 				for b.Loop() {
-					f.table.view = &was
-					if !kept.changed || kept.changes == 0 {
-						f.table.changes = f.table.changes[:0]
+					m.table.snapshot = &before
+					if !bench.changed || bench.changes == 0 {
+						m.table.changes = m.table.changes[:0]
 					}
-					if v := f.snapshot(now); (v != nil) != kept.changed {
-						b.Fatalf("changed: %v", v != nil)
+					if snapshot := m.readSnapshot(now); (snapshot != nil) != bench.changed {
+						b.Fatalf("changed: %v", snapshot != nil)
 					}
 				}
 			})
@@ -84,15 +106,15 @@
 	}
 }
 
-// BenchmarkSuccessors is what each look of watch, four in a probe interval, has to find.
+// BenchmarkSuccessors is what each round of watchSuccessors, four in a probe interval, computes.
 func BenchmarkSuccessors(b *testing.B) {
-	for _, n := range benchSizes {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := peopled(b, n)
+	for _, size := range benchSizes {
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			m := newPopulated(b, size)
 			var got []Member
 			b.ReportAllocs()
 			for b.Loop() {
-				if got = f.successors(got[:0]); len(got) != watched {
+				if got = m.successors(got[:0]); len(got) != watchedSuccessors {
 					b.Fatalf("%d successors", len(got))
 				}
 			}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"log"
 	"net"
 	"sync"
@@ -14,314 +12,275 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
-
-	"fernbeam.example/fernbeam/internal/listener"
 )
 
 const (
-	// maxFrame bounds a message on a stream, in bytes: the state of some 5,000 members.
-	maxFrame = 1 << 20
-	// maxStreams bounds the streams from others at a time; more wait unaccepted.
-	maxStreams = 6
-	// maxWatchers bounds the connections of those that watch this member: mostly as many
-	// as it watches, more where views differ.
-	maxWatchers = 3 * watched
-	// streamTime bounds how long a stream may take, as memberlist has it for its own.
-	streamTime = 3 * time.Second
-	// viewPeer and doubtPeer are the names under which memberlist is asked for its own list, and given
-	// the list that doubts this process; no member may have them.
-	viewPeer  = "@view"
-	doubtPeer = "@doubt"
+	// maxPacketBytes bounds a packet.
+	maxPacketBytes = 64 << 10
+	// receiveBufferBytes is the size of the socket's receive buffer, so that a process that stalled still has the
+	// packets that came meanwhile.
+	receiveBufferBytes = 2 << 20
 )
 
-// Sockets is how many descriptors a fleet view takes at the most: its two sockets, streams
-// from others, as many to them, and the watchers' and the watched members' connections.
-const Sockets = 2 + 2*maxStreams + maxWatchers + watched
-
-var errTooMany = errors.New("too many watchers")
+// MaxDescriptors is how many file descriptors a Membership takes at the most: its two sockets, streams from others,
+// as many to them, and the connections of the watchers and to the watched members.
+const MaxDescriptors = 2 + 2*maxStreams + maxWatchers + watchedSuccessors
 
-// traffic counts what passes and what is dropped, since the start.
+// traffic counts messages and bytes since the start.
 type traffic struct {
-	packetsIn, bytesIn, packetsOut, bytesOut  atomic.Uint64
-	streams, streamsOut                       atomic.Uint64 // both ways, and of these the ones that this process began
-	streamBytesIn, streamBytesOut             atomic.Uint64
-	badPackets, badStreams, foreign, rejected atomic.Uint64
-	hearsay                                   atomic.Uint64
+	packetsIn      atomic.Uint64
+	bytesIn        atomic.Uint64
+	packetsOut     atomic.Uint64
+	bytesOut       atomic.Uint64
+	streams        atomic.Uint64 // both ways
+	streamsOut     atomic.Uint64 // those of them that this process opened
+	streamBytesIn  atomic.Uint64
+	streamBytesOut atomic.Uint64
+	badPackets     atomic.Uint64 // dropped: no member sends such a packet
+	badStreams     atomic.Uint64 // closed: no member sends such a message
+	foreignSite    atomic.Uint64 // dropped: the label of another site
+	rejected       atomic.Uint64 // members that NotifyAlive rejected
+	demotedDeaths  atomic.Uint64 // death reports that became suspicions
 }
 
-// transport is the network under memberlist, with a guard: packets and stream messages that
-// no member of ours sends are dropped and counted before memberlist reads them, streams are
-// bounded in number and each message on one in size (a length of four bytes goes before
-// each), and calls come from the bound address, so that who sends is known by it. (Beside
-// that memberlist's own transport takes 64 KiB of new memory for each packet.)
+// transport is the network below memberlist, with a guard: packets and stream messages that no member of this site
+// sends are dropped and counted before memberlist reads them; streams are bounded in number and each message on one
+// in size (a length of four bytes goes before each); and connections come from the bound address, so that it
+// identifies the sender. (Besides, memberlist's own transport takes 64 KiB of new memory for each packet.)
 type transport struct {
 	cfg      *Config
-	local    net.IP
-	nets     []net.IPNet
+	localIP  net.IP
+	networks []net.IPNet
 	logger   *log.Logger
-	count    *traffic
+	traffic  *traffic
 	udp      *net.UDPConn
 	tcp      *net.TCPListener
 	packets  chan *memberlist.Packet
 	streams  chan net.Conn
 	slots    chan struct{}
 	watchers chan struct{}
-	ctx      context.Context // done at Shutdown
-	end      context.CancelFunc
-	dead     context.Context // done at cut: streams end too that may else come to their end
-	kill     context.CancelFunc
-	closed   func() error // closes the sockets, once
-	// told is called when a packet came or went that says something of a member's state.
-	told func()
-	// counts tells whether this process takes a member's word that another is dead.
-	counts func(accuser, accused string) bool
-	// heard is given each message that tells of members alive; it is set before awake is closed.
-	heard func(message []byte)
-	// awake is closed once this process may be heard: nothing is taken before.
-	awake chan struct{}
-	// list is what memberlist last told viewPeer; only the goroutine that asks uses it.
-	list []byte
-	// doubt is the push/pull that doubtPeer answers.
-	doubt []byte
+	// ctx ends at Shutdown.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// killContext ends at kill, which closes the streams that Shutdown lets finish.
+	killContext  context.Context
+	cancelKill   context.CancelFunc
+	closeSockets func() error // once
+	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
+	onStateMessage func()
+	// trustsDeathReport tells whether this process believes a member's report that another is dead.
+	trustsDeathReport func(reporter, accused string) bool
+	// onAlive is called with each message about members that are alive; it is set before announced is closed.
+	onAlive func(message []byte)
+	// announced is closed once this process may take part: nothing is received before.
+	announced chan struct{}
+	// recordedList is the list that memberlist last wrote to listPeer; only the goroutine that reads it uses it.
+	recordedList []byte
+	// suspicionOfSelf is the push/pull that suspicionPeer answers.
+	suspicionOfSelf []byte
 }
 
-// receiveBuffer is asked of the system for packets, in bytes, so that a process that stood
-// still finds what was said meanwhile.
-const receiveBuffer = 2 << 20
-
-func newTransport(cfg *Config, logger *log.Logger, count *traffic, told func(), counts func(accuser, accused string) bool) (*transport, error) {
+// newTransport opens the sockets of cfg.Bind and starts to receive.
+func newTransport(cfg *Config, logger *log.Logger, counts *traffic, onStateMessage func(),
+	trustsDeathReport func(reporter, accused string) bool) (*transport, error) {
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Bind)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{cfg: cfg, local: addr.IP, nets: cfg.networks(), logger: logger, count: count,
-		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), slots: make(chan struct{}, maxStreams),
-		watchers: make(chan struct{}, maxWatchers), awake: make(chan struct{}), told: told, counts: counts}
-	if t.tcp, err = net.ListenTCP("tcp", addr); err != nil {
+	t := &transport{
+		cfg:               cfg,
+		localIP:           addr.IP,
+		networks:          cfg.networks(),
+		logger:            logger,
+		traffic:           counts,
+		packets:           make(chan *memberlist.Packet),
+		streams:           make(chan net.Conn),
+		slots:             make(chan struct{}, maxStreams),
+		watchers:          make(chan struct{}, maxWatchers),
+		announced:         make(chan struct{}),
+		onStateMessage:    onStateMessage,
+		trustsDeathReport: trustsDeathReport,
+	}
+	if err := t.openSockets(addr); err != nil {
 		return nil, err
 	}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
+	t.killContext, t.cancelKill = context.WithCancel(context.Background())
+	t.closeSockets = sync.OnceValue(func() error { return errors.Join(t.udp.Close(), t.tcp.Close()) })
+	go t.receivePackets()
+	go t.acceptStreams()
+	return t, nil
+}
+
+// openSockets opens the TCP and the UDP socket of an address.
+func (t *transport) openSockets(addr *net.TCPAddr) error {
+	var err error
+	if t.tcp, err = net.ListenTCP("tcp", addr); err != nil {
+		return err
+	}
 	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port}); err != nil {
-		t.tcp.Close()
-		return nil, err
+		_ = t.tcp.Close() // the error that counts is the one before
+		return err
 	}
-	if err := t.udp.SetReadBuffer(receiveBuffer); err != nil {
-		logger.Printf("[WARN] receive buffer: %v", err)
+	if err := t.udp.SetReadBuffer(receiveBufferBytes); err != nil {
+		t.logger.Printf("[WARN] receive buffer: %v", err)
 	}
-	t.ctx, t.end = context.WithCancel(context.Background())
-	t.dead, t.kill = context.WithCancel(context.Background())
-	t.closed = sync.OnceValue(func() error { return errors.Join(t.udp.Close(), t.tcp.Close()) })
-	go t.takePackets()
-	go t.takeStreams()
-	return t, nil
+	return nil
 }
 
+// PacketCh has the packets that were received.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// FinalAdvertiseAddr is the address that others are told, which complete has checked.
+// StreamCh has the streams that were accepted.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// FinalAdvertiseAddr is the address that other members use, which complete has checked.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
-	a := net.ParseIP(ip)
-	if a4 := a.To4(); a4 != nil {
-		a = a4
+	addr := net.ParseIP(ip)
+	if ipv4 := addr.To4(); ipv4 != nil {
+		addr = ipv4
 	}
-	return a, port, nil
+	return addr, port, nil
 }
 
-// Shutdown closes the sockets and the watchers' connections; other streams that are under way
-// have their time.
+// Shutdown closes the sockets and the watchers' connections; other open streams may finish.
 func (t *transport) Shutdown() error {
-	t.end()
-	return t.closed()
+	t.cancel()
+	return t.closeSockets()
 }
 
-// cut closes all at once, as the kernel does for a process that is killed.
-func (t *transport) cut() {
-	t.kill()
+// kill closes everything at once, as the kernel does for a process that is killed.
+func (t *transport) kill() {
+	t.cancelKill()
 	_ = t.Shutdown() // nothing is left that an error could be about
 }
 
-func (t *transport) takePackets() {
-	buf := make([]byte, 64<<10)
+// receivePackets hands packets to memberlist until Shutdown.
+func (t *transport) receivePackets() {
+	buf := make([]byte, maxPacketBytes)
 	for t.ctx.Err() == nil {
 		n, from, err := t.udp.ReadFromUDP(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a refusal of an earlier packet shows here
+			continue // the refusal of an earlier packet shows here
 		}
-		p := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: time.Now()}
-		select {
-		case <-t.awake:
-		default:
-			continue
-		}
-		if t.admit(p) {
-			select {
-			case t.packets <- p:
-			case <-t.ctx.Done():
-			}
+		packet := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: time.Now()}
+		if t.isAnnounced() && t.acceptPacket(packet) {
+			t.deliver(packet)
 		}
 	}
 }
 
-// admit tells whether a packet may go to memberlist.
-func (t *transport) admit(p *memberlist.Packet) bool {
-	t.count.packetsIn.Add(1)
-	t.count.bytesIn.Add(uint64(len(p.Buf)))
-	b, label, err := memberlist.RemoveLabelHeaderFromPacket(p.Buf)
+// isAnnounced tells whether this process may take part yet.
+func (t *transport) isAnnounced() bool {
+	select {
+	case <-t.announced:
+		return true
+	default:
+		return false
+	}
+}
+
+// deliver hands a packet to memberlist and tells whether it was taken before Shutdown.
+func (t *transport) deliver(packet *memberlist.Packet) bool {
+	select {
+	case t.packets <- packet:
+		return true
+	case <-t.ctx.Done():
+		return false
+	}
+}
+
+// acceptPacket tells whether a packet may go to memberlist, and turns death reports into suspicions where they are
+// not believed.
+func (t *transport) acceptPacket(packet *memberlist.Packet) bool {
+	t.traffic.packetsIn.Add(1)
+	t.traffic.bytesIn.Add(uint64(len(packet.Buf)))
+	b, label, err := memberlist.RemoveLabelHeaderFromPacket(packet.Buf)
 	if err == nil && label != t.cfg.Site {
-		t.count.foreign.Add(1)
-		t.logger.Printf("[WARN] packet of another site, %.64q, from %v", label, p.From)
+		t.traffic.foreignSite.Add(1)
+		t.logger.Printf("[WARN] packet of another site, %.64q, from %v", label, packet.From)
 		return false
 	}
-	tells := false
+	hasState := false
 	if err == nil {
 		err = checkPacket(b, 0, func(message []byte) {
-			tells = tells || tellsState(message)
-			if hearsay(message, t.counts) {
-				t.count.hearsay.Add(1)
-			}
-			if message[0] == msgAlive {
-				t.heard(message)
-			}
+			hasState = hasState || changesState(message)
+			t.acceptMessage(message)
 		})
 	}
 	if err != nil {
-		t.count.badPackets.Add(1)
-		t.logger.Printf("[WARN] packet of %d bytes from %v dropped: %v", len(p.Buf), p.From, err)
+		t.traffic.badPackets.Add(1)
+		t.logger.Printf("[WARN] packet of %d bytes from %v dropped: %v", len(packet.Buf), packet.From, err)
 		return false
 	}
-	if tells {
-		t.told()
+	if hasState {
+		t.onStateMessage()
 	}
 	return true
 }
 
-// inject gives memberlist a message as if it had come.
-func (t *transport) inject(b []byte) {
-	b, err := memberlist.AddLabelHeaderToPacket(b, t.cfg.Site)
-	if err != nil {
-		return // the site's length is checked
+// acceptMessage handles one message of a packet before memberlist has it.
+func (t *transport) acceptMessage(message []byte) {
+	if demoteDeathReport(message, t.trustsDeathReport) {
+		t.traffic.demotedDeaths.Add(1)
 	}
-	select {
-	case t.packets <- &memberlist.Packet{Buf: b, From: &net.UDPAddr{IP: t.local}, Timestamp: time.Now()}:
-		t.told()
-	case <-t.ctx.Done():
+	if message[0] == msgAlive {
+		t.onAlive(message)
 	}
 }
 
-func (t *transport) takeStreams() {
-	select {
-	case <-t.awake:
-	case <-t.ctx.Done():
-		return
-	}
-	ln := listener.New(t.tcp, func(err error, failures uint64) {
-		t.logger.Printf("[WARN] accept: %v (%d so far)", err, failures)
-	})
-	for {
-		// One too many waits unaccepted: ended, it would look like one to a dead process.
-		select {
-		case t.slots <- struct{}{}:
-		case <-t.ctx.Done():
-			return
-		}
-		c, err := ln.Accept()
-		if err != nil {
-			<-t.slots
-			if !errors.Is(err, net.ErrClosed) {
-				t.logger.Printf("[ERR] no more streams are accepted: %v", err)
-			}
-			return
-		}
-		t.count.streams.Add(1)
-		go t.open(t.frame(c, sync.OnceFunc(func() { <-t.slots })))
-	}
-}
-
-// open reads a stream's label and first message: a watcher's is kept, any other is for
-// memberlist.
-func (t *transport) open(f *framed) {
-	f.SetDeadline(time.Now().Add(streamTime))
-	err := f.next()
-	label := f.rest
-	if err == nil && label[0] == msgLabel {
-		err = f.next()
-	}
+// injectMessage gives memberlist a message as if it had been received.
+func (t *transport) injectMessage(message []byte) {
+	packet, err := memberlist.AddLabelHeaderToPacket(message, t.cfg.Site)
 	if err != nil {
-		f.Close()
-		return
+		return // complete has checked the site's length
 	}
-	if f.rest[0] == msgWatch {
-		t.watched(f)
-		return
-	}
-	f.rest = append(bytes.Clone(label), f.rest...)
-	select {
-	case t.streams <- f:
-	case <-t.ctx.Done():
-		f.Close()
+	from := &net.UDPAddr{IP: t.localIP}
+	if t.deliver(&memberlist.Packet{Buf: packet, From: from, Timestamp: time.Now()}) {
+		t.onStateMessage()
 	}
 }
 
-// watched answers a watcher and keeps its connection until either side ends. It takes no
-// place among the streams; those of the watchers are bounded on their own, and one too many is
-// answered and ended: it comes again.
-func (t *transport) watched(f *framed) {
-	_, err := f.Write([]byte{msgWatch})
-	f.release()
-	select {
-	case t.watchers <- struct{}{}:
-		defer func() { <-t.watchers }()
-	default:
-		err = errTooMany
-	}
-	if err == nil {
-		f.SetDeadline(time.Time{})
-		stop := context.AfterFunc(t.ctx, func() { f.Close() })
-		defer stop()
-		f.Conn.Read(make([]byte, 1)) // nothing comes; it ends
-	}
-	f.Close()
-}
-
-// allowed tells whether something may be sent to an address.
-func (t *transport) allowed(addr string) error {
+// checkNetworks tells why nothing may be sent to an address; nil: it may.
+func (t *transport) checkNetworks(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
-	if ip := net.ParseIP(host); ip != nil {
-		for _, n := range t.nets {
-			if n.Contains(ip) {
-				return nil
-			}
-		}
-		if len(t.nets) == 0 {
-			return nil
-		}
+	if ip := net.ParseIP(host); ip != nil && t.isInNetworks(ip) {
+		return nil
 	}
 	return fmt.Errorf("%s is in none of the networks", addr)
 }
 
+func (t *transport) isInNetworks(ip net.IP) bool {
+	for _, network := range t.networks {
+		if network.Contains(ip) {
+			return true
+		}
+	}
+	return len(t.networks) == 0
+}
+
+// WriteTo sends a packet.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	if err := t.allowed(a.Addr); err != nil {
+// WriteToAddress sends a packet.
+func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
+	if err := t.checkNetworks(address.Addr); err != nil {
 		return time.Time{}, err
 	}
-	t.count.packetsOut.Add(1)
-	t.count.bytesOut.Add(uint64(len(b)))
-	if msg, _, err := memberlist.RemoveLabelHeaderFromPacket(b); err == nil {
-		tells := false
-		if checkPacket(msg, 0, func(message []byte) { tells = tells || tellsState(message) }); tells {
-			t.told()
-		}
+	t.traffic.packetsOut.Add(1)
+	t.traffic.bytesOut.Add(uint64(len(b)))
+	if hasStateMessage(b) {
+		t.onStateMessage()
 	}
-	to, err := net.ResolveUDPAddr("udp", a.Addr)
+	to, err := net.ResolveUDPAddr("udp", address.Addr)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -329,136 +288,41 @@
 	return time.Now(), err
 }
 
-func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, within)
-}
-
-func (t *transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	switch a.Name {
-	case viewPeer:
-		return newRecorder(a.Addr, func(b []byte) { t.list = b }, encodeMessage(msgError, errorMessage{"nobody"}))
-	case doubtPeer:
-		return newRecorder(a.Addr, func([]byte) {}, t.doubt)
-	}
-	if err := t.allowed(a.Addr); err != nil {
-		return nil, err
-	}
-	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: t.local}}
-	c, err := d.DialContext(t.dead, "tcp", a.Addr)
+// hasStateMessage tells whether a packet of this process has a message about a member's state.
+func hasStateMessage(packet []byte) bool {
+	b, _, err := memberlist.RemoveLabelHeaderFromPacket(packet)
 	if err != nil {
-		return nil, err
-	}
-	t.count.streams.Add(1)
-	t.count.streamsOut.Add(1)
-	return t.frame(c, func() {}), nil
-}
-
-// framed is a stream whose messages have their length before them, in four bytes, and are
-// checked whole before a byte of one is given to memberlist.
-type framed struct {
-	net.Conn
-	t       *transport
-	release func()
-	detach  func() bool // from cut
-	rest    []byte
-}
-
-// frame makes a stream of a connection, which cut closes.
-func (t *transport) frame(c net.Conn, release func()) *framed {
-	return &framed{Conn: c, t: t, release: release, detach: context.AfterFunc(t.dead, func() { c.Close() })}
-}
-
-func (f *framed) Close() error {
-	f.detach()
-	f.release()
-	return f.Conn.Close()
-}
-
-func (f *framed) Write(p []byte) (int, error) {
-	if len(p) > maxFrame {
-		return 0, fmt.Errorf("message of %d bytes", len(p))
+		return false
 	}
-	b := append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(p)), uint32(len(p))), p...)
-	n, err := f.Conn.Write(b)
-	f.t.count.streamBytesOut.Add(uint64(n))
-	return max(0, n-4), err
+	hasState := false
+	// Of a message of another kind memberlist's own packet has none: what was found until then counts.
+	_ = checkPacket(b, 0, func(message []byte) { hasState = hasState || changesState(message) })
+	return hasState
 }
 
-func (f *framed) Read(p []byte) (int, error) {
-	if len(f.rest) == 0 {
-		if err := f.next(); err != nil {
-			return 0, err
-		}
-	}
-	n := copy(p, f.rest)
-	f.rest = f.rest[n:]
-	return n, nil
+// DialTimeout opens a stream.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// next reads and checks one message.
-func (f *framed) next() error {
-	var head [4]byte
-	if _, err := io.ReadFull(f.Conn, head[:]); err != nil {
-		return err
-	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size == 0 || size > maxFrame {
-		return f.bad(fmt.Errorf("message of %d bytes", size))
-	}
-	var b bytes.Buffer // grows with what comes, not with what is claimed
-	if _, err := io.CopyN(&b, f.Conn, int64(size)); err != nil {
-		return err
-	}
-	f.t.count.streamBytesIn.Add(4 + uint64(size))
-	f.rest = b.Bytes()
-	if f.rest[0] == msgLabel {
-		if string(f.rest[min(2, len(f.rest)):]) != f.t.cfg.Site {
-			f.t.count.foreign.Add(1)
-			return errors.New("stream of another site")
-		}
-		return nil
+// DialAddressTimeout opens a stream to a member, or one of the local streams.
+func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	switch address.Name {
+	case listPeer:
+		onList := func(list []byte) { t.recordedList = list }
+		return newLocalStream(address.Addr, onList, encodeMessage(msgError, errorMessage{"local stream"}))
+	case suspicionPeer:
+		return newLocalStream(address.Addr, func([]byte) {}, t.suspicionOfSelf)
 	}
-	if err := checkStream(f.rest, f.t.cfg.maxMembers()); err != nil {
-		return f.bad(err)
-	}
-	if f.rest[0] == msgPushPull {
-		f.t.heard(f.rest)
+	if err := t.checkNetworks(address.Addr); err != nil {
+		return nil, err
 	}
-	return nil
-}
-
-func (f *framed) bad(err error) error {
-	f.t.count.badStreams.Add(1)
-	f.rest = nil
-	return err
-}
-
-// recorder is a stream to nobody, on which memberlist tells its own list: the first half
-// of a push/pull. The other half is an answer that was made before.
-type recorder struct {
-	net.Conn // nil: no method but those below is used
-	addr     net.Addr
-	wrote    func([]byte)
-	answer   *bytes.Reader
-}
-
-func newRecorder(addr string, wrote func([]byte), answer []byte) (net.Conn, error) {
-	a, err := net.ResolveTCPAddr("tcp", addr)
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.localIP}}
+	conn, err := dialer.DialContext(t.killContext, "tcp", address.Addr)
 	if err != nil {
 		return nil, err
 	}
-	return &recorder{addr: a, wrote: wrote, answer: bytes.NewReader(answer)}, nil
-}
-
-func (r *recorder) Write(p []byte) (int, error) {
-	if len(p) > 0 && p[0] == msgPushPull {
-		r.wrote(bytes.Clone(p))
-	}
-	return len(p), nil
+	t.traffic.streams.Add(1)
+	t.traffic.streamsOut.Add(1)
+	return t.newFramedStream(conn, func() {}), nil
 }
-func (r *recorder) Read(p []byte) (int, error)       { return r.answer.Read(p) }
-func (r *recorder) Close() error                     { return nil }
-func (r *recorder) RemoteAddr() net.Addr             { return r.addr }
-func (r *recorder) SetDeadline(time.Time) error      { return nil }
-func (r *recorder) SetReadDeadline(time.Time) error  { return nil }
-func (r *recorder) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -1,280 +1,192 @@
 package membership
 
 import (
-	"errors"
-	"io"
-	"math/rand/v2"
 	"net"
 	"slices"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/memberlist"
 )
 
-// watched is how many members each one watches by an open connection: its successors on a
-// ring of hashed names. When a process ends its connections end with it, so that a crash
-// is known at once by up to so many others; only what falls silent is left to the probes,
-// which can be slow then and make no false alarms under load.
-const watched = 3
+const (
+	// watchedSuccessors is how many members each one watches by an open connection: its successors on a ring of
+	// hashed names. When a process ends its connections end with it, so up to so many others detect a crash at
+	// once; only members that fall silent are left to the probes, which can be slow then and cause no false
+	// alarms under load.
+	watchedSuccessors = 3
+	// watchRoundsPerProbe is how often in a probe interval the watched members are compared with the successors.
+	watchRoundsPerProbe = 4
+	// msgWatch begins a stream that stays open for as long as both processes run. It is not one of memberlist's
+	// messages.
+	msgWatch = 200
+)
 
-// msgWatch begins a stream that stays open for as long as both processes live. It is no
-// message of memberlist's.
-const msgWatch = 200
+// watcher has the connections to the members that a process watches.
+type watcher struct {
+	m     *Membership
+	mu    sync.Mutex
+	conns map[string]net.Conn // by process
+	ended sync.WaitGroup
+}
 
-// watch keeps the connections to this member's successors.
-func (f *Fleet) watch() {
-	open := map[string]net.Conn{} // by process
-	want := make([]Member, 0, watched)
-	var mu sync.Mutex
-	look := time.NewTicker(ms(f.cfg.ProbeIntervalMs) / 4)
-	defer look.Stop()
-	var ended sync.WaitGroup
-	defer func() {
-		mu.Lock()
-		for _, c := range open {
-			c.Close()
-		}
-		mu.Unlock()
-		ended.Wait()
-	}()
+// watchSuccessors keeps the connections to this member's successors.
+func (m *Membership) watchSuccessors() {
+	w := &watcher{m: m, conns: map[string]net.Conn{}}
+	defer w.close()
+	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / watchRoundsPerProbe)
+	defer ticker.Stop()
+	wanted := make([]Member, 0, watchedSuccessors)
 	for {
 		select {
-		case <-f.ctx.Done():
+		case <-m.ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
-		want = f.successors(want[:0])
-		mu.Lock()
-		for process, c := range open {
-			if !slices.ContainsFunc(want, func(m Member) bool { return m.Process == process }) {
-				delete(open, process)
-				c.Close()
-			}
-		}
-		var begin []Member
-		for _, m := range want {
-			if open[m.Process] == nil {
-				begin = append(begin, m)
-			}
-		}
-		mu.Unlock()
-		for _, m := range begin {
-			c, err := f.openWatch(&m)
-			if err != nil {
-				continue // the next look tries again; that it is gone is for confirm
-			}
-			mu.Lock()
-			open[m.Process] = c
-			mu.Unlock()
-			ended.Add(1)
-			go func() {
-				defer ended.Done()
-				c.Read(make([]byte, 1)) // nothing comes; it ends
-				c.Close()
-				mu.Lock()
-				mine := open[m.Process] == c
-				if mine {
-					delete(open, m.Process)
-				}
-				mu.Unlock()
-				if mine && f.ctx.Err() == nil {
-					f.ended(&m)
-				}
-			}()
+		wanted = m.successors(wanted[:0])
+		for _, member := range w.replaceUnwanted(wanted) {
+			w.open(member)
 		}
 	}
 }
 
-// successors are the members that this one watches, appended to into: those whose hashed names follow its
-// own, the next one first. It takes one pass and no memory, as each look asks for them.
-func (f *Fleet) successors(into []Member) []Member {
-	members, own := f.view.Load().Members, xxhash.Sum64String(f.cfg.Name)
-	var nearest [watched]struct {
-		after uint64 // by how much the hash follows this process's own, around the ring
-		index int
+// close closes all connections and waits until their goroutines have ended.
+func (w *watcher) close() {
+	w.mu.Lock()
+	for _, conn := range w.conns {
+		_ = conn.Close() // nothing was written that could be lost
 	}
-	found := 0
-	for i := range members {
-		m := &members[i]
-		if m.State != Alive || m.Name == f.cfg.Name {
-			continue
-		}
-		after, at := xxhash.Sum64String(m.Name)-own, found
-		for at > 0 && after < nearest[at-1].after {
-			at--
-		}
-		if at == watched {
-			continue
+	w.mu.Unlock()
+	w.ended.Wait()
+}
+
+// replaceUnwanted closes the connections to members that are not wanted, and returns the wanted ones without a
+// connection.
+func (w *watcher) replaceUnwanted(wanted []Member) []Member {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for process, conn := range w.conns {
+		isWanted := slices.ContainsFunc(wanted, func(member Member) bool { return member.Process == process })
+		if !isWanted {
+			delete(w.conns, process)
+			_ = conn.Close() // nothing was written that could be lost
 		}
-		found = min(found+1, watched)
-		copy(nearest[at+1:found], nearest[at:])
-		nearest[at].after, nearest[at].index = after, i
 	}
-	for _, n := range nearest[:found] {
-		into = append(into, members[n.index])
+	var unwatched []Member
+	for _, member := range wanted {
+		if w.conns[member.Process] == nil {
+			unwatched = append(unwatched, member)
+		}
 	}
-	return into
+	return unwatched
 }
 
-// openWatch opens a connection to a member and has it acknowledged.
-func (f *Fleet) openWatch(m *Member) (net.Conn, error) {
-	c, err := f.tr.DialAddressTimeout(memberlist.Address{Name: m.Name, Addr: m.Addr}, ms(f.cfg.ProbeIntervalMs))
+// open connects to a member and watches the connection. A failure is left to the next round, and to
+// confirmSuspects.
+func (w *watcher) open(member Member) {
+	conn, err := w.m.dialWatch(&member)
 	if err != nil {
-		return nil, err
-	}
-	c.SetDeadline(time.Now().Add(ms(f.cfg.ProbeIntervalMs)))
-	err = memberlist.AddLabelHeaderToStream(c, f.cfg.Site)
-	if err == nil {
-		_, err = c.Write(append([]byte{msgWatch}, f.cfg.Name...))
-	}
-	if err == nil {
-		_, err = c.Read(make([]byte, 1))
-	}
-	if err != nil {
-		c.Close()
-		return nil, err
+		return
 	}
-	return c, c.SetDeadline(time.Time{})
+	w.mu.Lock()
+	w.conns[member.Process] = conn
+	w.mu.Unlock()
+	w.ended.Add(1)
+	go func() {
+		defer w.ended.Done()
+		w.watch(&member, conn)
+	}()
 }
 
-// ended is called when a watched member's connection ended: if its address refuses calls
-// its process is gone.
-func (f *Fleet) ended(m *Member) {
-	if now, ok := f.view.Load().Member(m.Name); ok && now.Process == m.Process && now.State.present() && f.ask(m) == gone {
-		f.declareGone(&now)
+// watch waits for the end of a connection, and checks the member if the member ended it.
+func (w *watcher) watch(member *Member, conn net.Conn) {
+	_, _ = conn.Read(make([]byte, 1)) // the member sends nothing: this returns at the end of the connection
+	_ = conn.Close()                  // it has ended
+	w.mu.Lock()
+	endedByPeer := w.conns[member.Process] == conn
+	if endedByPeer {
+		delete(w.conns, member.Process)
 	}
-}
-
-// declareGone tells memberlist, and so the fleet, that a member is dead.
-func (f *Fleet) declareGone(m *Member) {
-	f.lost.Add(1)
-	f.log.Info("fleet: a member's address refuses calls", "name", m.Name, "addr", m.Addr)
-	f.tr.inject(encodeMessage(msgDead, deadMessage{Incarnation: m.Incarnation, Node: m.Name, From: f.cfg.Name}))
-}
-
-// checkers is how many agents look at a suspect in each probe interval, on average over
-// the fleet, and sure how many refusals one after the other declare it dead.
-const (
-	checkers = 3
-	sure     = 3
-)
-
-// confirm asks suspects. Where the address refuses calls, or ends them without a word, the
-// process is gone (PROTOCOL, "The network"), and it is declared dead without waiting for
-// the rest of the suspicion. One that answers is told that it is suspected, so that it
-// refutes. One that stands still or is cut off says nothing, and keeps its time; once that is
-// half over another member is asked what it knows.
-func (f *Fleet) confirm() {
-	look := time.NewTicker(ms(f.cfg.ProbeIntervalMs) / 2)
-	defer look.Stop()
-	for {
-		select {
-		case <-f.ctx.Done():
-			return
-		case <-look.C:
-		}
-		v, odd := f.view.Load(), f.odd()
-		for i := range v.Members {
-			m := &v.Members[i]
-			if m.State != Suspect || !odd && !f.overdue(m) && rand.IntN(max(1, v.Present)) >= checkers {
-				continue
-			}
-			switch f.ask(m) {
-			case gone:
-				f.declareGone(m)
-			case there:
-				f.exchange(m.Name + "/" + m.Addr)
-			case silent:
-				f.askOthers(m)
-			}
-			break // one at a time: the others have their checkers
-		}
+	w.mu.Unlock()
+	if endedByPeer && w.m.ctx.Err() == nil {
+		w.m.watchEnded(member)
 	}
 }
 
-// askOthers exchanges lists with some member about a suspect that is silent to this process: the
-// suspicion may be refuted to all others, and no digest shows it, as doubts do not count there.
-func (f *Fleet) askOthers(suspect *Member) {
-	f.mu.Lock()
-	lately := time.Since(f.exchanged) < ms(f.cfg.SuspectTimeoutMs)/2
-	f.mu.Unlock()
-	if lately || time.Since(suspect.since) < ms(f.cfg.SuspectTimeoutMs)/2 {
+// watchEnded is called when a watched member's connection has ended: if its address refuses connections its
+// process is gone.
+func (m *Membership) watchEnded(watched *Member) {
+	current, ok := m.snapshot.Load().Member(watched.Name)
+	if !ok || current.Process != watched.Process || !current.State.isPresent() {
 		return
 	}
-	v := f.view.Load()
-	from := rand.IntN(len(v.Members))
-	for i := range v.Members {
-		if m := &v.Members[(from+i)%len(v.Members)]; m.State == Alive && m.Name != f.cfg.Name {
-			f.exchange(m.Name + "/" + m.Addr)
-			return
-		}
+	if m.checkAddress(watched) == addressRefuses {
+		m.declareDead(&current)
 	}
 }
 
-// overdue tells, now and then, that a suspicion is half over: the others may long have heard
-// its refutation, which this process missed, so it asks for itself.
-func (f *Fleet) overdue(m *Member) bool {
-	return time.Since(m.since) > ms(f.cfg.SuspectTimeoutMs)/2 && rand.IntN(overdueOneIn) == 0
-}
-
-// overdueOneIn is in how many looks an overdue suspect is asked once, so that a machine that
-// stands still is not called by all at one moment.
-const overdueOneIn = 6
-
-// odd tells whether this process's digest was lately another than that of members it
-// probed: what it doubts then may long be decided (memberlist takes another's dead member
-// for a suspect), so it asks for itself.
-func (f *Fleet) odd() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return !f.differed.IsZero() && time.Since(f.differed) < 2*f.differFor()
-}
-
-// found is what calling a member showed.
-type found int
-
-const (
-	silent found = iota // no answer in time, which says nothing
-	there
-	gone
-)
-
-// ask calls a member until it answers, is silent, or has refused so often that it is gone.
-func (f *Fleet) ask(m *Member) found {
-	for range sure {
-		c, err := f.openWatch(m)
-		if err == nil {
-			c.Close()
-			return there
+// successors are the members that this one watches, appended to into: those whose hashed names follow its own, the
+// next one first. It takes one pass and no memory, as each round of watchSuccessors calls it.
+func (m *Membership) successors(into []Member) []Member {
+	members := m.snapshot.Load().Members
+	own := xxhash.Sum64String(m.cfg.Name)
+	var nearest [watchedSuccessors]struct {
+		distance uint64 // by how much the hash follows this process's own, around the ring
+		index    int
+	}
+	found := 0
+	for i := range members {
+		if !m.isAlivePeer(&members[i]) {
+			continue
 		}
-		if !ended(err) {
-			return silent
+		distance := xxhash.Sum64String(members[i].Name) - own
+		at := found
+		for at > 0 && distance < nearest[at-1].distance {
+			at--
 		}
-		select {
-		case <-time.After(ms(f.cfg.ProbeIntervalMs) / 20):
-		case <-f.ctx.Done():
-			return silent
+		if at == watchedSuccessors {
+			continue
 		}
+		found = min(found+1, watchedSuccessors)
+		copy(nearest[at+1:found], nearest[at:])
+		nearest[at].distance = distance
+		nearest[at].index = i
 	}
-	return gone
+	for _, successor := range nearest[:found] {
+		into = append(into, members[successor.index])
+	}
+	return into
 }
 
-// ended tells whether a call failed because nobody is there: it was refused, reset or ended. A connection
-// that broke may show as the kernel's ETIMEDOUT or EHOSTUNREACH too; where it never came up these tell
-// only that nothing was heard.
-func ended(err error) bool {
-	if isOneOf(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
-		return true
+// dialWatch opens a watch connection to a member, which has acknowledged it.
+func (m *Membership) dialWatch(member *Member) (net.Conn, error) {
+	timeout := milliseconds(m.cfg.ProbeIntervalMs)
+	address := memberlist.Address{Name: member.Name, Addr: member.Addr}
+	conn, err := m.transport.DialAddressTimeout(address, timeout)
+	if err != nil {
+		return nil, err
+	}
+	if err := m.startWatch(conn, timeout); err != nil {
+		_ = conn.Close() // the error that counts is the one before
+		return nil, err
 	}
-	var op *net.OpError
-	wasUp := errors.As(err, &op) && op.Op != "dial"
-	return wasUp && isOneOf(err, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
+	return conn, nil
 }
 
-func isOneOf(err error, list ...syscall.Errno) bool {
-	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(list, errno)
+// startWatch sends the label and the watch message on a connection and waits for the acknowledgement.
+func (m *Membership) startWatch(conn net.Conn, timeout time.Duration) error {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	if err := memberlist.AddLabelHeaderToStream(conn, m.cfg.Site); err != nil {
+		return err
+	}
+	if _, err := conn.Write(append([]byte{msgWatch}, m.cfg.Name...)); err != nil {
+		return err
+	}
+	if _, err := conn.Read(make([]byte, 1)); err != nil {
+		return err
+	}
+	return conn.SetDeadline(time.Time{})
 }
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -13,28 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// ring is what successors are by definition: of all others that are alive, in the order in which their
-// hashed names follow one's own, the first few.
-func ring(v *View, name string) []Member {
+// successorsByDefinition are the first few of all other alive members, in the order in which their hashed names
+// follow the own one.
+func successorsByDefinition(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
 	var there []Member
-	for _, m := range v.Members {
-		if m.State == Alive && m.Name != name {
-			there = append(there, m)
+	for _, member := range snapshot.Members {
+		if member.State == Alive && member.Name != name {
+			there = append(there, member)
 		}
 	}
-	after := func(m Member) uint64 { return xxhash.Sum64String(m.Name) - own }
+	after := func(member Member) uint64 { return xxhash.Sum64String(member.Name) - own }
 	slices.SortFunc(there, func(a, b Member) int {
 		if after(a) < after(b) {
 			return -1
 		}
 		return 1
 	})
-	return there[:min(watched, len(there))]
+	return there[:min(watchedSuccessors, len(there))]
 }
 
-// Every member of a drawn fleet, and one that is not in it, watches those that follow it on the ring.
-func TestSuccessorsAreTheNextOnTheRing(t *testing.T) {
+// Every drawn member, and one that is not in the list, watches those that follow it on the ring.
+func TestSuccessorsAreNextOnRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []State{Alive, Alive, Alive, Suspect, Dead, Left}
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9-]{1,12}`), 0, 60, rapid.ID).Draw(t, "names")
@@ -44,39 +44,40 @@
 		}
 		var got []Member
 		for _, self := range append(names, "nobody") {
-			f := &Fleet{cfg: Config{Name: self}}
-			f.view.Store(&View{Members: members})
-			got = f.successors(got[:0])
-			if want := ring(f.View(), self); !slices.Equal(got, want) {
+			m := &Membership{cfg: Config{Name: self}}
+			m.snapshot.Store(&Snapshot{Members: members})
+			got = m.successors(got[:0])
+			if want := successorsByDefinition(m.Snapshot(), self); !slices.Equal(got, want) {
 				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
 			}
 		}
 	})
 }
 
-// A look takes no memory, whatever the fleet's size.
-func TestSuccessorsTakeNoMemory(t *testing.T) {
-	f := &Fleet{cfg: Config{Name: memberName(7)}}
-	v := &View{}
+// successors allocates nothing, whatever the number of members.
+func TestSuccessorsAllocateNothing(t *testing.T) {
+	m := &Membership{cfg: Config{Name: memberName(7)}}
+	snapshot := &Snapshot{}
 	for i := range 1500 {
-		v.Members = append(v.Members, Member{Name: memberName(i), State: Alive})
+		snapshot.Members = append(snapshot.Members, Member{Name: memberName(i), State: Alive})
 	}
-	f.view.Store(v)
-	into := make([]Member, 0, watched)
-	if n := testing.AllocsPerRun(100, func() { into = f.successors(into[:0]) }); n != 0 || len(into) != watched {
+	m.snapshot.Store(snapshot)
+	into := make([]Member, 0, watchedSuccessors)
+	n := testing.AllocsPerRun(100, func() { into = m.successors(into[:0]) })
+	if n != 0 || len(into) != watchedSuccessors {
 		t.Errorf("%v allocations for %d successors", n, len(into))
 	}
 }
 
-// What ends a connection that was up tells that nobody is there; a call that never came up tells it
-// only where it was refused or reset, and this process's own deadline tells nothing.
-func TestEndedTellsBrokenConnectionsFromSilence(t *testing.T) {
+// The end of an established connection shows that the peer is gone; a connection that was never established shows it
+// only where it was refused or reset, and this process's own deadline shows nothing.
+func TestIsPeerGone(t *testing.T) {
 	kernel := func(op string, errno syscall.Errno) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 	}
 	cases := []struct {
-		err   error
-		ended bool
+		err  error
+		gone bool
 	}{
 		{io.EOF, true},
 		{kernel("read", syscall.ECONNRESET), true},
@@ -96,8 +97,8 @@
 		{errors.New("message of another kind"), false},
 	}
 	for _, c := range cases {
-		if got := ended(c.err); got != c.ended {
-			t.Errorf("%v: ended %v, want %v", c.err, got, c.ended)
+		if got := isPeerGone(c.err); got != c.gone {
+			t.Errorf("%v: gone %v, want %v", c.err, got, c.gone)
 		}
 	}
 }
