--- a/cmd/discovery/admin_client.go
+++ b/cmd/discovery/admin_client.go
@@ -34,6 +34,7 @@
 	message      string // the body
 }
 
+// Error names the call, the status and the body.
 func (e *statusError) Error() string {
 	return fmt.Sprintf("%s %s: %s: %s", e.method, e.path, e.status, e.message)
 }
--- a/cmd/discovery/settings_status.go
+++ b/cmd/discovery/settings_status.go
@@ -51,6 +51,7 @@
 	version         uint64
 }
 
+// Error says how many agents lack which version.
 func (e *lackingError) Error() string {
 	return fmt.Sprintf("%d of %d agents lack version %d", e.lacking, e.agents, e.version)
 }
--- a/cmd/discovery/settings_test.go
+++ b/cmd/discovery/settings_test.go
@@ -18,6 +18,7 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
+// settings are settings that agents accept.
 const settings = `{"classes": [{"name":"read","aimMs":20,"giveUpMs":40,"effect":"free"}],
  "limits": {"maxAttempts":3}, "membershipMode": "pushed"}
 `
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,6 +25,8 @@
 // origin is that of Monotonic. It has a monotonic reading, which time.Since uses.
 var origin = time.Now().Add(-time.Second)
 
+// Wall returns the machine's wall clock.
 func (system) Wall() time.Time { return time.Now().Round(0) }
 
+// Monotonic returns the time since origin.
 func (system) Monotonic() time.Duration { return time.Since(origin) }
--- a/internal/discovery/server/agent_reports.go
+++ b/internal/discovery/server/agent_reports.go
@@ -62,6 +62,7 @@
 	receivedAt time.Time
 }
 
+// newReportRegistry returns an empty registry.
 func newReportRegistry() *reportRegistry {
 	return &reportRegistry{agents: map[string]receivedReport{}}
 }
--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -72,10 +72,12 @@
 	return fault.Err
 }
 
+// writeLog runs a write of the log, or fails.
 func (f *FaultyStore) writeLog(do func() error) error {
 	return f.write(func(fault StoreFault) bool { return fault.Log }, do)
 }
 
+// writeStable runs a write of the term or the vote, or fails.
 func (f *FaultyStore) writeStable(do func() error) error {
 	return f.write(func(fault StoreFault) bool { return fault.Stable }, do)
 }
--- a/internal/discovery/server/history_checker_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -34,16 +34,20 @@
 	final  []readRecord // one of each instance, at the end
 }
 
+// newHistory returns an empty history that starts now.
 func newHistory() *history { return &history{start: time.Now()} }
 
+// now returns the time since the start of the history.
 func (h *history) now() time.Duration { return time.Since(h.start) }
 
+// recordWrite adds a write.
 func (h *history) recordWrite(record writeRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.writes = append(h.writes, record)
 }
 
+// recordRead adds a read.
 func (h *history) recordRead(record readRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/discovery/server/serve_test.go
+++ b/internal/discovery/server/serve_test.go
@@ -18,6 +18,7 @@
 	calls atomic.Uint64
 }
 
+// Accept fails or accepts a connection, in turn.
 func (l *flakyListener) Accept() (net.Conn, error) {
 	if l.calls.Add(1)%2 == 1 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.ENOBUFS)}
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -38,6 +38,7 @@
 	current  uint64
 }
 
+// Error names the service and both versions.
 func (c versionConflict) Error() string {
 	return fmt.Sprintf("settings of %s: version %d is in place, not %d", c.service, c.current, c.expected)
 }
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -126,8 +126,10 @@
 	return servers
 }
 
+// compareToIndex orders changes by their index.
 func compareToIndex(c change, index uint64) int { return cmp.Compare(c.Index, index) }
 
+// compareByID orders entries by their id.
 func compareByID(a, b endpoint.Endpoint) int { return strings.Compare(a.ID, b.ID) }
 
 // currentVersion returns the version of the last change of a server applied here.
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -28,6 +28,7 @@
 // closedChannel is a channel that is closed.
 var closedChannel = newClosedChannel()
 
+// newClosedChannel returns a channel that is closed.
 func newClosedChannel() <-chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -40,6 +40,8 @@
 	return []time.Duration{c.shortOutage}
 }
 
+// Selections of the instances whose stores fail.
+
 func leaderOnly(cluster *faultCluster) []string { return []string{cluster.leader()} }
 
 func followerOnly(cluster *faultCluster) []string { return cluster.followers()[:1] }
@@ -50,6 +52,7 @@
 	return append(cluster.followers()[:1], cluster.leader())
 }
 
+// outageCases are the outages of TestStoreOutages.
 var outageCases = []outageCase{
 	{name: "log of the leader", failing: leaderOnly, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}},
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -64,6 +64,7 @@
 	fanout.watching.Wait()
 }
 
+// milliseconds returns a duration in ms.
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
 // fanout is the watchers of BenchmarkWatchFanout.
@@ -77,6 +78,7 @@
 	receivedAt []time.Time // of each change at each watcher, in order
 }
 
+// newFanout returns a fanout without watchers.
 func newFanout() *fanout {
 	return &fanout{
 		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: fanoutWatchers}},
@@ -127,6 +129,7 @@
 	}
 }
 
+// benchmarkFailover measures failovers with an election timeout.
 func benchmarkFailover(b *testing.B, electionTimeout time.Duration) {
 	var total time.Duration
 	for i := 0; i < b.N; i++ {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -33,6 +33,7 @@
 	return l
 }
 
+// Accept returns the next error, or a connection once there is none.
 func (l failingListener) Accept() (net.Conn, error) {
 	select {
 	case err := <-l.errs:
@@ -43,6 +44,7 @@
 	}
 }
 
+// Close does nothing.
 func (l failingListener) Close() error { return nil }
 
 // temporaryErrors are the errors of accept(2), except those of an unusable descriptor.
