--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -39,11 +39,30 @@
 	io.Closer
 }
 
+// StoreOperation names an operation of the store in errors and log lines.
+type StoreOperation string
+
+// Operations of the store.
+const (
+	// AppendEntries appends entries to the log.
+	AppendEntries StoreOperation = "append entries"
+	// RemoveEntries removes entries from the log.
+	RemoveEntries StoreOperation = "remove entries"
+	// ReadEntry reads an entry of the log.
+	ReadEntry StoreOperation = "read an entry"
+	// SaveTerm saves the current term.
+	SaveTerm StoreOperation = "save the term"
+	// SaveVote saves the candidate that got the vote.
+	SaveVote StoreOperation = "save the vote"
+	// SaveVoteTerm saves the term of the vote.
+	SaveVoteTerm StoreOperation = "save the term of the vote"
+)
+
 // StoreError says that an operation of the store failed, or was not begun because an earlier one
 // had failed. A write that returns it is not acknowledged.
 type StoreError struct {
-	Operation string // such as "append entries"
-	Err       error  // the cause
+	Operation StoreOperation
+	Err       error // the cause
 }
 
 // Error names the operation and the cause.
@@ -144,9 +163,9 @@
 // StoreLogs appends entries. A leader's append fails at once, a follower's is retried.
 func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
 	if s.isLeader() {
-		return s.write("append entries", s.appendEntries(entries))
+		return s.write(AppendEntries, s.appendEntries(entries))
 	}
-	return s.writeUntilDone("append entries", s.appendEntries(entries))
+	return s.writeUntilDone(AppendEntries, s.appendEntries(entries))
 }
 
 // appendEntries returns a function for write that appends entries. If it fails it records which
@@ -163,12 +182,12 @@
 
 // DeleteRange removes entries, with retries.
 func (s *retryingStore) DeleteRange(first, last uint64) error {
-	return s.writeUntilDone("remove entries", func() error { return s.Store.DeleteRange(first, last) })
+	return s.writeUntilDone(RemoveEntries, func() error { return s.Store.DeleteRange(first, last) })
 }
 
 // Set saves the candidate that got the vote, or fails at once.
 func (s *retryingStore) Set(key, value []byte) error {
-	return s.write("save the vote", func() error { return s.Store.Set(key, value) })
+	return s.write(SaveVote, func() error { return s.Store.Set(key, value) })
 }
 
 // SetUint64 saves the current term, with retries, or the term of the vote, which fails at once. A
@@ -176,12 +195,12 @@
 // and an older one must not replace a newer one.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != string(keyCurrentTerm) {
-		return s.write("save the term of the vote", func() error { return s.Store.SetUint64(key, value) })
+		return s.write(SaveVoteTerm, func() error { return s.Store.SetUint64(key, value) })
 	}
 	if value <= s.savedTerm.Load() {
 		return nil
 	}
-	err := s.writeUntilDone("save the term", func() error { return s.saveTerm(value) })
+	err := s.writeUntilDone(SaveTerm, func() error { return s.saveTerm(value) })
 	if err != nil {
 		blockForever()
 	}
@@ -221,7 +240,7 @@
 		if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 			return err
 		}
-		s.beginOutage(&StoreError{Operation: "read an entry", Err: err}, checkRead)
+		s.beginOutage(&StoreError{Operation: ReadEntry, Err: err}, checkRead)
 		if !s.awaitRecovery() {
 			blockForever()
 		}
@@ -242,7 +261,7 @@
 
 // write runs one write. A failure begins an outage and is returned as a StoreError; during an outage
 // the write is not run.
-func (s *retryingStore) write(operation string, do func() error) error {
+func (s *retryingStore) write(operation StoreOperation, do func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	if cause := s.health.failure(); cause != nil {
@@ -266,7 +285,7 @@
 
 // writeUntilDone runs a write and retries it after each outage. It fails only once the instance is
 // closed.
-func (s *retryingStore) writeUntilDone(operation string, do func() error) error {
+func (s *retryingStore) writeUntilDone(operation StoreOperation, do func() error) error {
 	for {
 		err := s.write(operation, do)
 		if err == nil || !s.awaitRecovery() {
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -15,7 +15,7 @@
 	// laggingSince is since when the list may lack entries because of an outage; zero: it does not.
 	laggingSince time.Time
 	// writeOperation is the write that is running since writeStarted; zero: none is.
-	writeOperation string
+	writeOperation StoreOperation
 	writeStarted   time.Time
 }
 
@@ -74,7 +74,7 @@
 }
 
 // beginWrite records the start of a write.
-func (h *storeHealth) beginWrite(operation string, now time.Time) {
+func (h *storeHealth) beginWrite(operation StoreOperation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.writeOperation = operation
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	faulty.Fail(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
-	if err := store.write("append entries", store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
+	if err := store.write(AppendEntries, store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("append: %v", err)
 	}
 	faulty.Fail(nil)
@@ -159,7 +159,7 @@
 		return nil
 	}
 	done := make(chan error, 1)
-	go func() { done <- store.write("append entries", hang) }()
+	go func() { done <- store.write(AppendEntries, hang) }()
 	isUnavailable := func() bool { return errors.Is(store.available(), errStoreTimeout) }
 	if err := processtest.Await(waitTimeout, "an outage", isUnavailable); err != nil {
 		t.Fatal(err)
