--- /dev/null
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -0,0 +1,282 @@
+package server_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// configVariable is the environment variable with the path of a configuration, by which this
+	// test binary runs as an instance.
+	configVariable = "DISCOVERY_TEST_CONFIG"
+	// faultVariable is the environment variable with the path of the control file of the
+	// instance's FaultyStore.
+	faultVariable = "DISCOVERY_TEST_FAULT"
+	// longTestsVariable is the environment variable by which cases run in full length.
+	longTestsVariable = "DISCOVERY_LONG_TESTS"
+	// convergenceTimeout bounds the time until instances have the same state after a fault.
+	convergenceTimeout = 60 * time.Second
+	// maxLogShown is the number of bytes of an instance's log that a failed test shows.
+	maxLogShown = 6000
+)
+
+// TestMain runs the tests, or one instance if configVariable is set.
+func TestMain(m *testing.M) {
+	if path := os.Getenv(configVariable); path != "" {
+		if err := runInstance(path); err != nil {
+			fmt.Fprintln(os.Stderr, "instance:", err)
+			os.Exit(1)
+		}
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// runInstance runs an instance with a FaultyStore until SIGTERM. On SIGUSR1 it takes a snapshot.
+func runInstance(path string) error {
+	config, err := server.Load(path)
+	if err != nil {
+		return err
+	}
+	config.WrapStore = func(store server.Store) server.Store {
+		return &server.FaultyStore{Store: store, Control: os.Getenv(faultVariable)}
+	}
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
+	node, err := server.Start(config, log)
+	if err != nil {
+		return err
+	}
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGUSR1)
+	for received := range signals {
+		if received == syscall.SIGTERM {
+			return node.Close()
+		}
+		log.Info("snapshot", "err", node.Snapshot())
+	}
+	return nil
+}
+
+// faultCluster is a cluster of processes that run this test binary as instances whose stores can be
+// made to fail, with clients that write and read, and the clients' history.
+type faultCluster struct {
+	*processtest.Cluster
+	t        *testing.T
+	dir      string
+	history  *history
+	stop     chan struct{} // closed by stopClients
+	stopOnce sync.Once
+	clients  sync.WaitGroup
+}
+
+// startFaultCluster starts instances and waits for a leader. extraConfig are more lines of the
+// instances' configuration.
+func startFaultCluster(t *testing.T, instances []string, extraConfig string) *faultCluster {
+	t.Helper()
+	binary, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cluster := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
+	environment := func(name string) []string {
+		return []string{
+			configVariable + "=" + cluster.path(name, "toml"),
+			faultVariable + "=" + cluster.path(name, "fault"),
+		}
+	}
+	cluster.Cluster, err = processtest.New(processtest.Config{
+		Binary: binary,
+		Dir:    cluster.dir,
+		Names:  instances,
+		Ports:  instancePorts(),
+		Env:    environment,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(cluster.Close)
+	t.Cleanup(cluster.stopClients)
+	for _, name := range instances {
+		cluster.writeConfig(name, extraConfig)
+		if err := cluster.Start(name); err != nil {
+			t.Fatal(err)
+		}
+	}
+	cluster.await("a leader", func() bool { return cluster.leader() != "" })
+	return cluster
+}
+
+// path is that of a file of an instance.
+func (c *faultCluster) path(name, extension string) string {
+	return filepath.Join(c.dir, name+"."+extension)
+}
+
+// dataDir is the data directory of an instance.
+func (c *faultCluster) dataDir(name string) string { return filepath.Join(c.dir, name) }
+
+// writeConfig writes the configuration of an instance, which reaches its peers directly.
+func (c *faultCluster) writeConfig(name, extra string) {
+	c.t.Helper()
+	raftAddress := func(peer string) string { return c.Addr(peer, raftPort) }
+	text := configText(c.Cluster, c.dataDir(name), name, raftAddress, extra)
+	if err := os.WriteFile(c.path(name, "toml"), []byte(text), 0o644); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// await waits for a condition, and fails the test if it is not fulfilled within convergenceTimeout.
+func (c *faultCluster) await(what string, condition func() bool) {
+	c.t.Helper()
+	if err := processtest.Await(convergenceTimeout, what, condition); err != nil {
+		c.showLogs()
+		c.t.Fatal(err)
+	}
+}
+
+// showLogs logs each instance's status and the end of its log.
+func (c *faultCluster) showLogs() {
+	c.t.Helper()
+	for _, name := range c.Names() {
+		text, _ := os.ReadFile(c.path(name, "log")) // a missing log is shown as empty
+		end := text[max(0, len(text)-maxLogShown):]
+		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, adminPort)), end)
+	}
+}
+
+// leader returns the name of a running instance that leads, or "".
+func (c *faultCluster) leader() string { return leader(c.Cluster) }
+
+// followers returns the names of the instances that do not lead.
+func (c *faultCluster) followers() []string {
+	leader := c.leader()
+	return slices.DeleteFunc(slices.Clone(c.Names()), func(name string) bool { return name == leader })
+}
+
+// pids returns the instances' process ids by name.
+func (c *faultCluster) pids() map[string]int {
+	pids := map[string]int{}
+	for _, name := range c.Names() {
+		pids[name] = c.Pid(name)
+	}
+	return pids
+}
+
+// setFault sets the fault of an instance's store until the next call. It replaces the control file
+// atomically.
+func (c *faultCluster) setFault(name string, fault server.StoreFault) {
+	c.t.Helper()
+	text, err := json.Marshal(fault)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	path := c.path(name, "fault")
+	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
+		c.t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// startClients starts writers, each of which writes to all instances in turn, and a reader of each
+// instance.
+func (c *faultCluster) startClients(writers int) {
+	for writer := range writers {
+		c.repeat(func(i int) {
+			name := c.Names()[(writer+i)%len(c.Names())]
+			c.write(name, fmt.Sprintf("s-%d-%d", writer, i))
+			time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
+		})
+	}
+	for _, name := range c.Names() {
+		c.repeat(func(int) {
+			if read, ok := c.read(name); ok {
+				c.history.recordRead(read)
+			}
+			time.Sleep(250 * time.Millisecond)
+		})
+	}
+}
+
+// repeat repeats a call in a goroutine until stopClients.
+func (c *faultCluster) repeat(call func(i int)) {
+	c.clients.Add(1)
+	go func() {
+		defer c.clients.Done()
+		for i := 0; ; i++ {
+			select {
+			case <-c.stop:
+				return
+			default:
+				call(i)
+			}
+		}
+	}()
+}
+
+// write writes an entry at an instance and records it. It reports whether it was acknowledged.
+func (c *faultCluster) write(name, id string) bool {
+	record := writeRecord{id: id, started: c.history.now()}
+	record.version = putServer(c.Addr(name, adminPort), id)
+	record.ended = c.history.now()
+	c.history.recordWrite(record)
+	return record.version != 0
+}
+
+// read returns the full list of an instance, and whether the instance served it.
+func (c *faultCluster) read(name string) (readRecord, bool) {
+	record := readRecord{instance: name, started: c.history.now()}
+	list, served := fetchList(c.Addr(name, httpPort))
+	if !served {
+		return record, false
+	}
+	record.version = list.Version
+	for _, entry := range list.Servers {
+		record.ids = append(record.ids, entry.ID)
+	}
+	return record, true
+}
+
+// stopClients ends the clients that startClients started.
+func (c *faultCluster) stopClients() {
+	c.stopOnce.Do(func() { close(c.stop) })
+	c.clients.Wait()
+}
+
+// stopAndCheck stops the clients, waits until each instance has the last acknowledged write, and
+// checks the history.
+func (c *faultCluster) stopAndCheck(maxStale time.Duration) error {
+	c.t.Helper()
+	c.stopClients()
+	lastID := func() string { return fmt.Sprint("last-", rand.Int()) }
+	c.await("a last write", func() bool { return c.write(c.Names()[0], lastID()) })
+	acknowledged := c.history.acknowledged()
+	last := acknowledged[len(acknowledged)-1].version
+	allHaveLast := func() bool {
+		c.history.final = nil
+		for _, name := range c.Names() {
+			if read, ok := c.read(name); ok && read.version >= last {
+				c.history.final = append(c.history.final, read)
+			}
+		}
+		return len(c.history.final) == len(c.Names())
+	}
+	if err := processtest.Await(convergenceTimeout, "the last write at each instance", allHaveLast); err != nil {
+		c.showLogs()
+		return fmt.Errorf("%d of %d instances have version %d: %w", len(c.history.final), len(c.Names()), last, err)
+	}
+	return c.history.check(maxStale)
+}
--- /dev/null
+++ b/internal/discovery/server/settings_http_test.go
@@ -0,0 +1,166 @@
+package server_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+// TestSettingsAdminEndpoint: the responses of the admin address to writes and reads of settings.
+func TestSettingsAdminEndpoint(t *testing.T) {
+	_, admin := startSingleNode(t, t.TempDir())
+	url := admin + "/v1/settings/pay"
+	if got := request(http.MethodGet, url, ""); got.code != http.StatusNotFound {
+		t.Errorf("before any write: %v", got)
+	}
+	first := request(http.MethodPut, url, server.SettingsText(1), "If-Match", "0").version()
+	retried := request(http.MethodPut, url, server.SettingsText(1)).version()
+	if first == 0 || retried != first {
+		t.Errorf("a write got version %d, its retry %d", first, retried)
+	}
+	checkRejectedSettings(t, url, first)
+	quoted := fmt.Sprintf("%q", fmt.Sprint(first))
+	second := request(http.MethodPut, url, server.SettingsText(2), "If-Match", quoted).version()
+	newest := decodeSettings(t, request(http.MethodGet, url, ""))
+	age := time.Since(time.UnixMilli(newest.WrittenAtMs))
+	if second <= first || newest.Version != second || newest.Text != server.SettingsText(2) || age > time.Hour {
+		t.Errorf("after versions %d and %d the newest is %+v", first, second, newest)
+	}
+	older := decodeSettings(t, request(http.MethodGet, fmt.Sprint(url, "?version=", first), ""))
+	if older.Version != first || older.Text != server.SettingsText(1) {
+		t.Errorf("version %d is %+v", first, older)
+	}
+	var history []server.SettingsVersion
+	if err := json.Unmarshal([]byte(request(http.MethodGet, url+"/history", "").body), &history); err != nil {
+		t.Fatal(err)
+	}
+	if len(history) != 2 || history[0].Version != second || history[1].Version != first ||
+		history[0].Bytes != len(server.SettingsText(2)) {
+		t.Errorf("the history is %+v", history)
+	}
+}
+
+// decodeSettings decodes a settings version.
+func decodeSettings(t *testing.T, got response) server.SettingsVersion {
+	t.Helper()
+	var settings server.SettingsVersion
+	if err := json.Unmarshal([]byte(got.body), &settings); err != nil {
+		t.Fatalf("%v: %v", got, err)
+	}
+	return settings
+}
+
+// checkRejectedSettings checks the responses to writes that are rejected while a version is the newest.
+func checkRejectedSettings(t *testing.T, url string, newest uint64) {
+	t.Helper()
+	text := server.SettingsText(2)
+	conflict := func(expected uint64) string {
+		return fmt.Sprintf("settings of pay: version %d is in place, not %d\n", newest, expected)
+	}
+	for name, c := range map[string]struct {
+		url, body string
+		ifMatch   string
+		want      response
+	}{
+		"invalid value": {
+			body: strings.Replace(text, `"maxAttempts":3`, `"maxAttempts":0`, 1),
+			want: response{400, "settings: limits.maxAttempts: must be above 0, is 0\n"},
+		},
+		"key of the agent": {
+			body: strings.Replace(text, `"roundMs"`, `"zone":1,"roundMs"`, 1),
+			want: response{400, "settings: zone: is each agent's own, leave it out\n"},
+		},
+		"too long": {
+			body: text + strings.Repeat(" ", 64<<10),
+			want: response{400, "settings: longer than 65536 bytes\n"},
+		},
+		"invalid name": {
+			url:  strings.Replace(url, "/pay", "/a%2Fb", 1),
+			body: text,
+			want: response{400, "service: \"a/b\" is no name: want 1 to 128 bytes, no / and no control characters\n"},
+		},
+		"invalid version": {body: text, ifMatch: "x", want: response{400, "If-Match: \"x\" is no version\n"}},
+		"another version": {body: text, ifMatch: fmt.Sprint(newest + 9), want: response{412, conflict(newest + 9)}},
+		"no version yet":  {body: text, ifMatch: "0", want: response{412, conflict(0)}},
+	} {
+		target := c.url
+		if target == "" {
+			target = url
+		}
+		var header []string
+		if c.ifMatch != "" {
+			header = []string{"If-Match", c.ifMatch}
+		}
+		if got := request(http.MethodPut, target, c.body, header...); got != c.want {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
+
+// TestSettingsByWatch: a watch that names its service gets newer settings, at once or when they are
+// written. Other watches are not woken. The report about the agent is recorded.
+func TestSettingsByWatch(t *testing.T) {
+	reads, admin := startSingleNode(t, t.TempDir())
+	listVersion := putServer(admin, "s-1")
+	watch := func(query string) <-chan response {
+		result := make(chan response, 1)
+		url := fmt.Sprintf("%s/api/targets?index=%d&%s", reads, listVersion, query)
+		go func() { result <- request(http.MethodGet, url, "") }()
+		return result
+	}
+	withoutService := watch("wait=1500")
+	otherService := watch("wait=1500&service=ship&agent=s1")
+	ownService := watch("wait=60000&service=pay&agent=p1")
+	areOpen := func() bool {
+		return len(reportsAt(admin, "pay").Agents)+len(reportsAt(admin, "ship").Agents) == 2
+	}
+	if err := processtest.Await(startTimeout, "the watches", areOpen); err != nil {
+		t.Fatal(err)
+	}
+	version := request(http.MethodPut, admin+"/v1/settings/pay", server.SettingsText(1)).version()
+	if got := (<-ownService).list(t); got.Settings == nil || got.Settings.Version != version ||
+		got.Settings.Service != "pay" || string(got.Settings.Value) != server.SettingsText(1) ||
+		got.Version != listVersion || got.Full || len(got.Servers) != 0 {
+		t.Errorf("the service's own watch got %+v, want settings %d", got, version)
+	}
+	unchanged := response{200, fmt.Sprintf("{\"version\":%d,\"full\":false,\"servers\":[]}\n", listVersion)}
+	for _, result := range []<-chan response{withoutService, otherService} {
+		if got := <-result; got != unchanged {
+			t.Errorf("a watch without this service got %v, want %v at its timeout", got, unchanged)
+		}
+	}
+	checkSettingsInResponses(t, reads, listVersion, version)
+	reports := reportsAt(admin, "pay")
+	want := server.SettingsReport{InForce: 1, Rejected: version, Reason: "no room"}
+	if reports.Version != version || len(reports.Agents) != 1 || reports.Agents[0].Agent != "p1" ||
+		reports.Agents[0].SettingsReport != want {
+		t.Errorf("reports %+v, want p1 with %+v", reports, want)
+	}
+}
+
+// checkSettingsInResponses checks for queries whether the response has the service's settings.
+func checkSettingsInResponses(t *testing.T, reads string, listVersion, version uint64) {
+	t.Helper()
+	for name, c := range map[string]struct {
+		query string
+		want  uint64 // 0: no settings
+	}{
+		"at once":        {fmt.Sprintf("index=%d&wait=60000&service=pay", listVersion), version},
+		"in force older": {fmt.Sprintf("index=%d&wait=60000&service=pay&in_force=%d", listVersion, version-1), version},
+		"full list":      {"service=pay", version},
+		"in force":       {fmt.Sprintf("service=pay&in_force=%d", version), 0},
+		"rejected":       {fmt.Sprintf("service=pay&agent=p1&in_force=1&refused=%d&why=no%%0Aroom", version), 0},
+		"no service":     {"agent=p1", 0},
+	} {
+		got := request(http.MethodGet, reads+"/api/targets?"+c.query, "").list(t).Settings
+		if (c.want == 0) != (got == nil) || got != nil && got.Version != c.want {
+			t.Errorf("%s: settings %+v, want version %d", name, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/server/state_machine.go
@@ -0,0 +1,149 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sync"
+
+	"github.com/hashicorp/raft"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// operation says what a command does. Its values are part of the stored log.
+type operation string
+
+const (
+	// operationPut replaces a server's entry.
+	operationPut operation = "put"
+	// operationRemove removes a server's entry; its change has StateRemoved.
+	operationRemove operation = "remove"
+	// operationSettings replaces the settings of a service.
+	operationSettings operation = "settings"
+)
+
+// command is one write as it is stored in the Raft log.
+type command struct {
+	Op      operation         `json:"op"`
+	Server  endpoint.Endpoint `json:"server"`
+	Service string            `json:"service,omitempty"`
+	// Text is that of the settings, byte for byte as it was received.
+	Text string `json:"text,omitempty"`
+	// WrittenAtMs is the Unix time in ms at which the leader received the write.
+	WrittenAtMs int64 `json:"at_ms,omitempty"`
+	// IfVersion is the version of the settings that the write replaces (0: there are none yet);
+	// nil: any.
+	IfVersion *uint64 `json:"if_version,omitempty"`
+}
+
+// change is an entry as a write left it, with the Raft index of the write.
+type change struct {
+	Index  uint64            `json:"index"`
+	Server endpoint.Endpoint `json:"server"`
+}
+
+// settingsChannels is the number of channels that services' names hash to; see settingsChannel.
+const settingsChannels = 256
+
+// stateMachine is the replicated state (raft.FSM): the servers, their last changes, and the last
+// versions of each service's settings. It is safe for concurrent use.
+//
+// version is the Raft index of the last change of a server. Writes of settings have versions of the
+// same sequence but leave version alone, so that watches of servers do not see them.
+type stateMachine struct {
+	mu        sync.RWMutex
+	servers   map[string]endpoint.Endpoint // by id
+	changedAt map[string]uint64            // Raft index of each server's last change, by id
+	changes   []change                     // the last maxChanges, the oldest first
+	version   uint64
+	// discardedVersion is the version of the newest change that is no longer in changes.
+	discardedVersion uint64
+	maxChanges       int
+	changed          chan struct{} // closed and replaced at each change of a server
+
+	// responses are encoded answers at the present version, for requests that ask the same.
+	// responsesMu is locked while mu is locked for reading; a change, which replaces responses,
+	// locks mu for writing, which is sufficient.
+	responsesMu sync.Mutex
+	responses   map[responseKey][]byte
+
+	settings        map[string][]SettingsVersion    // by service, the oldest first
+	settingsChanged [settingsChannels]chan struct{} // like changed; see settingsChannel
+}
+
+// newStateMachine returns an empty state that keeps a number of changes for watches.
+func newStateMachine(maxChanges int) *stateMachine {
+	m := &stateMachine{
+		servers:    map[string]endpoint.Endpoint{},
+		changedAt:  map[string]uint64{},
+		maxChanges: maxChanges,
+		changed:    make(chan struct{}),
+		responses:  map[responseKey][]byte{},
+		settings:   map[string][]SettingsVersion{},
+	}
+	for i := range m.settingsChanged {
+		m.settingsChanged[i] = make(chan struct{})
+	}
+	return m
+}
+
+// Apply applies one committed write and returns its version as a uint64 (raft.FSM); for one of
+// settings see applySettings. A command that can't be decoded changes nothing and returns an error.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	var c command
+	if err := json.Unmarshal(entry.Data, &c); err != nil {
+		return fmt.Errorf("discovery: log entry %d is not a command: %w", entry.Index, err)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if c.Op == operationSettings {
+		return m.applySettings(c, entry.Index)
+	}
+	return m.applyServer(c, entry.Index)
+}
+
+// applyServer applies a write of a server's entry and returns its version: its own index; for a put
+// that changes nothing, the index of the write that set the entry so; for the removal of a server
+// that is not listed, the present version. The caller holds mu.
+func (m *stateMachine) applyServer(c command, index uint64) uint64 {
+	id := c.Server.ID
+	listed, isListed := m.servers[id]
+	written := c.Server
+	switch {
+	case c.Op == operationPut && (!isListed || listed != c.Server):
+		m.servers[id] = c.Server
+		m.changedAt[id] = index
+	case c.Op == operationRemove && isListed:
+		delete(m.servers, id)
+		delete(m.changedAt, id)
+		written = listed
+		written.State = endpoint.StateRemoved
+	case isListed:
+		return m.changedAt[id] // a retry of an earlier write
+	default:
+		return m.version
+	}
+	m.recordChange(change{Index: index, Server: written})
+	return m.version
+}
+
+// recordChange appends a change, discards the oldest ones beyond maxChanges, and wakes the watches.
+// The caller holds mu.
+func (m *stateMachine) recordChange(c change) {
+	m.changes = append(m.changes, c)
+	if excess := len(m.changes) - m.maxChanges; excess > 0 {
+		m.discardedVersion = m.changes[excess-1].Index
+		m.changes = slices.Delete(m.changes, 0, excess)
+	}
+	m.version = c.Index
+	m.notifyWatches()
+}
+
+// notifyWatches wakes every watch that waits for a change of a server, and discards the responses
+// that were encoded before. The caller holds mu.
+func (m *stateMachine) notifyWatches() {
+	m.responses = map[responseKey][]byte{}
+	close(m.changed)
+	m.changed = make(chan struct{})
+}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -96,7 +96,7 @@
 	w := &World{cfg: cfg, start: time.Now(), nodes: map[string]*backend{},
 		podKeys: map[int]map[string]time.Duration{}, down: map[string]bool{}, late: hdrhistogram.New(1, 60_000_000, 3), closed: make(chan struct{}), stopped: make(chan struct{})}
 	var err error
-	if w.hold, w.net, err = faultproxy.Network(); err != nil {
+	if w.hold, w.net, err = faultproxy.ReserveNetwork(); err != nil {
 		return nil, err
 	}
 	for _, c := range cfg.Classes {
@@ -183,7 +183,7 @@
 	for z := range w.cfg.Zones {
 		addrs = append(addrs, fmt.Sprintf("127.%d.%d.%d:8000", w.net+1, 12*z+i/250%12, i%250+1))
 	}
-	entry := endpoint.Target{ID: fmt.Sprintf("s-%04x", (i*2654435761)&0xffff), Zone: w.cfg.Zones[zone], Kind: m.Kind,
+	entry := endpoint.Endpoint{ID: fmt.Sprintf("s-%04x", (i*2654435761)&0xffff), Zone: w.cfg.Zones[zone], Kind: m.Kind,
 		Cell: i % w.cfg.Nodes / w.cfg.CellSize, State: "up", Weight: 1}
 	if started >= 0 {
 		entry.StartedMs = float64(w.start.Add(started).UnixMilli())
--- /dev/null
+++ b/internal/faultproxy/proxy.go
@@ -0,0 +1,186 @@
+// Package faultproxy relays UDP and TCP between processes on one machine, with a rule for each ordered pair: pass, cut,
+// delay with jitter, loss, duplication, reordering, replay.
+//
+// Every process has a loopback address of its own, by which the proxy identifies the sender; the others use the address
+// of its relay. A cut is silent, as a network partition is: packets vanish, open connections stay open and deliver
+// nothing, new ones never get a response; when the cut heals, these connections are reset. A process that does not run
+// refuses connections through the relay too. What happens to a packet is drawn from the proxy's seed, by one generator
+// for each ordered pair.
+package faultproxy
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+)
+
+const (
+	// processPort is the port of every process and relay; their addresses differ.
+	processPort = 19998
+	// reservationPort is the port by which a network of addresses is reserved.
+	reservationPort = 19999
+	// maxProcesses bounds the processes, addressesPerNet those with the same third byte.
+	maxProcesses    = 50_000
+	addressesPerNet = 250
+	// firstNetwork and endNetwork bound the second byte of the addresses.
+	firstNetwork = 10
+	endNetwork   = 250
+	// receiveBufferBytes is the size of a relay's receive buffer.
+	receiveBufferBytes = 4 << 20
+)
+
+var (
+	errNoNetwork        = errors.New("faultproxy: no network of loopback addresses is free")
+	errTooManyProcesses = errors.New("faultproxy: too many processes")
+)
+
+// Counts are what a proxy has relayed and dropped, in packets; Streams are connections.
+type Counts struct{ Packets, Bytes, Lost, Cut, Streams uint64 }
+
+// Proxy is a set of relays. Its methods are safe for concurrent use.
+type Proxy struct {
+	seed        uint64
+	network     byte // second byte of the addresses, so that two proxies share none
+	reservation net.Listener
+
+	mu          sync.Mutex
+	relays      map[string]*relay // by the process's name
+	byProcessIP map[netip.Addr]*relay
+	defaultRule Rule
+	rules       map[pair]Rule
+	partitions  map[string]Partition // by name
+	random      map[pair]*rand.Rand
+	healed      chan struct{} // closed and replaced at each change of the rules
+	closed      chan struct{}
+	wg          sync.WaitGroup
+
+	packets, bytes, lost, cut, streams atomic.Uint64
+}
+
+// pair is an ordered pair of processes.
+type pair struct{ from, to string }
+
+// relay has the sockets that the others use for a process.
+type relay struct {
+	name        string
+	processAddr netip.AddrPort // where the process listens, and its connections come from
+	relayAddr   netip.AddrPort
+	udp         *net.UDPConn
+	tcp         *net.TCPListener
+}
+
+// New makes a proxy without processes. It takes a free network of addresses, so proxies of several programs can exist
+// at once.
+func New(seed uint64) (*Proxy, error) {
+	reservation, network, err := ReserveNetwork()
+	if err != nil {
+		return nil, err
+	}
+	return &Proxy{
+		seed:        seed,
+		network:     network,
+		reservation: reservation,
+		relays:      map[string]*relay{},
+		byProcessIP: map[netip.Addr]*relay{},
+		rules:       map[pair]Rule{},
+		partitions:  map[string]Partition{},
+		random:      map[pair]*rand.Rand{},
+		healed:      make(chan struct{}),
+		closed:      make(chan struct{}),
+	}, nil
+}
+
+// ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n
+// and 127.n+1. It is the caller's until the reservation is closed.
+func ReserveNetwork() (reservation net.Listener, n byte, err error) {
+	for n := byte(firstNetwork); n < endNetwork; n += 2 {
+		reservation, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", n, reservationPort))
+		if err == nil {
+			return reservation, n, nil
+		}
+	}
+	return nil, 0, errNoNetwork
+}
+
+// Add makes the relay of one more process: bind is where the process has to listen and connect from (UDP and TCP),
+// advertise what the others have to use.
+func (p *Proxy) Add(name string) (bind, advertise string, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.relays[name] != nil {
+		return "", "", fmt.Errorf("faultproxy: %q exists already", name)
+	}
+	r, err := p.newRelay(name, len(p.relays)+1)
+	if err != nil {
+		return "", "", err
+	}
+	p.relays[name] = r
+	p.byProcessIP[r.processAddr.Addr()] = r
+	p.wg.Add(2)
+	go p.relayPackets(r)
+	go p.relayStreams(r)
+	return r.processAddr.String(), r.relayAddr.String(), nil
+}
+
+// newRelay opens the sockets of the relay of a number, counted from one.
+func (p *Proxy) newRelay(name string, number int) (*relay, error) {
+	if number > maxProcesses {
+		return nil, errTooManyProcesses
+	}
+	high, low := byte(number/addressesPerNet), byte(number%addressesPerNet+1)
+	processIP := netip.AddrFrom4([4]byte{127, p.network, high, low})
+	relayIP := netip.AddrFrom4([4]byte{127, p.network + 1, high, low})
+	r := &relay{
+		name:        name,
+		processAddr: netip.AddrPortFrom(processIP, processPort),
+		relayAddr:   netip.AddrPortFrom(relayIP, processPort),
+	}
+	var err error
+	if r.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(r.relayAddr)); err != nil {
+		return nil, err
+	}
+	if r.tcp, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(r.relayAddr)); err != nil {
+		return nil, errors.Join(err, r.udp.Close())
+	}
+	_ = r.udp.SetReadBuffer(receiveBufferBytes) // a smaller buffer only loses more under load
+	return r, nil
+}
+
+// Counts are what the proxy has relayed and dropped so far.
+func (p *Proxy) Counts() Counts {
+	return Counts{
+		Packets: p.packets.Load(),
+		Bytes:   p.bytes.Load(),
+		Lost:    p.lost.Load(),
+		Cut:     p.cut.Load(),
+		Streams: p.streams.Load(),
+	}
+}
+
+// Close ends all relays and their connections.
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	close(p.closed)
+	for _, r := range p.relays {
+		// Nothing is left that an error could be about.
+		_ = r.udp.Close()
+		_ = r.tcp.Close()
+	}
+	p.mu.Unlock()
+	p.wg.Wait()
+	_ = p.reservation.Close() // as above
+}
+
+// senderOf is the process with an address; empty: none.
+func (p *Proxy) senderOf(addr netip.Addr) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if r := p.byProcessIP[addr.Unmap()]; r != nil {
+		return r.name
+	}
+	return ""
+}
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -77,7 +77,7 @@
 	draw    *rand.Rand // used under mu
 	hold    net.Listener
 	network byte
-	board   *faultproxy.Board // nil: the fleet view's packets pass no relay
+	board   *faultproxy.Proxy // nil: the fleet view's packets pass no relay
 	lists   *lists
 	hosts   []*hostProcess
 	reals   *reals
@@ -89,14 +89,14 @@
 
 	mu       sync.Mutex
 	members  []*member
-	servers  []endpoint.Target
+	servers  []endpoint.Endpoint
 	settings uint64 // how many times settings were written
 }
 
 // start starts a whole fleet; the caller closes it, also after an error.
 func (f *running) start(ctx context.Context, cfg *Config, hollow int) error {
 	var err error
-	if f.hold, f.network, err = faultproxy.Network(); err != nil {
+	if f.hold, f.network, err = faultproxy.ReserveNetwork(); err != nil {
 		return err
 	}
 	if f.lists, err = startLists(cfg.List, f.dir, f.plan.Lists, func(i int) string { return f.address(2, i) }); err != nil {
@@ -141,7 +141,7 @@
 func (f *running) fill(ctx context.Context) error {
 	for i := range f.listed {
 		zone := i % len(zoneNames)
-		f.servers = append(f.servers, endpoint.Target{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
+		f.servers = append(f.servers, endpoint.Endpoint{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
 			Zone: zoneNames[zone], Region: zoneNames[zone][:2], Kind: experiment.Site().Models[i%2].Kind, Cell: i / 6, State: "up", Weight: 1})
 	}
 	var group errgroup.Group
@@ -216,7 +216,7 @@
 	s := deployment()
 	c := map[string]any{"name": m.name, "listen": m.at(clientPort), "management": m.at(operatorPort),
 		"discovery": f.lists.Addr(f.instance(m), "http"), "seed": strconv.FormatUint(f.plan.Seed*100_000+uint64(m.index), 16), "limits": s.Limits(),
-		"known": endpoint.List{Full: true, Servers: []endpoint.Target{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
+		"known": endpoint.List{Full: true, Servers: []endpoint.Endpoint{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
 	if m.service != "" {
 		c["control"] = agent.Control{Service: m.service, Addresses: f.addresses()}
 	}
