--- /dev/null
+++ b/internal/policytest/fleet_slowstart_test.go
@@ -0,0 +1,305 @@
+package policytest
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// maxReceived is how many attempts a server in slow start bears in a window for which the settings allow
+// it n: those and what is due to chance. The operators' terms allow 3 sqrt(n) + 3 for chance where n is
+// under 30, which is more; the smaller figure holds for all n.
+func maxReceived(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+
+// overload describes the window in which a server in slow start got most attempts for its budget.
+type overload struct {
+	server       int
+	received     float64
+	budget       float64
+	sinceStartMs float64
+}
+
+// ratio is what the server got, as a multiple of what it bears.
+func (o overload) ratio() float64 { return o.received / maxReceived(o.budget) }
+
+// String describes the window, for messages.
+func (o overload) String() string {
+	return fmt.Sprintf("server %d got %.0f where %.1f are its budget, %.1f s after its start",
+		o.server, o.received, o.budget, o.sinceStartMs/1000)
+}
+
+// worstOverload returns the worst overload of all servers that were in slow start; the zero value where
+// there was none.
+func (s *fleetSimulation) worstOverload() overload {
+	var worst overload
+	for i, server := range s.servers {
+		if server.startedAt == 0 {
+			continue
+		}
+		if o := s.worstOverloadOf(i, server); o.ratio() > worst.ratio() {
+			worst = o
+		}
+	}
+	return worst
+}
+
+// worstOverloadOf returns the worst overload of one server. The budget of a window is that of the
+// capacity at its first attempt, as the capacity only grows.
+func (s *fleetSimulation) worstOverloadOf(index int, server *simulatedServer) overload {
+	contract := &s.settings.Contract
+	warmBudget := contract.OverloadMultiple * server.requestsPerMs * contract.OverloadWindowMs
+	var worst overload
+	first := 0
+	for last, at := range server.receivedAt {
+		for at-server.receivedAt[first] > contract.OverloadWindowMs {
+			first++
+		}
+		budget := contract.OverloadMultiple * server.requestsPerMs *
+			s.capacityFraction(server, server.receivedAt[first]) * contract.OverloadWindowMs
+		if budget >= warmBudget {
+			continue
+		}
+		o := overload{
+			server:       index,
+			received:     float64(last - first + 1),
+			budget:       budget,
+			sinceStartMs: server.receivedAt[first] - server.startedAt,
+		}
+		if o.ratio() > worst.ratio() {
+			worst = o
+		}
+	}
+	return worst
+}
+
+// checkSlowStart checks that no server in slow start got more attempts than it bears.
+func (s *fleetSimulation) checkSlowStart(t *testing.T) {
+	t.Helper()
+	if worst := s.worstOverload(); worst.ratio() > 1 || s.served == 0 {
+		t.Errorf("%.2f times what is allowed: %v; %d of %d served", worst.ratio(), worst, s.served, s.requests)
+	}
+}
+
+// everyFifth returns the indices of every fifth server.
+func everyFifth(s *fleetSimulation) (indices []int) {
+	for i := 0; i < len(s.servers); i += 5 {
+		indices = append(indices, i)
+	}
+	return indices
+}
+
+// allServers returns the indices of all servers.
+func allServers(s *fleetSimulation) (indices []int) {
+	for i := range s.servers {
+		indices = append(indices, i)
+	}
+	return indices
+}
+
+// In any overload window a server in slow start gets no more attempts of all agents together than its
+// budget and what is due to chance, however many agents there are, whatever fails at the same time, and
+// however their requests are spread. (The doc comment of slowStart.earn derives the budget.)
+func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
+	cases := []struct {
+		name string
+		load float64
+		run  func(s *fleetSimulation)
+	}{
+		{"a fifth replaced", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(20000)
+		}},
+		{"agents restarted", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(1000)
+			s.restartMostAgents()
+			s.run(20000)
+		}},
+		{"uneven", 0.7, func(s *fleetSimulation) {
+			s.setShares(func(i int) float64 { return 1 / float64(i+1) })
+			s.run(3000)
+			s.restartServers(everyFifth(s)...)
+			s.run(20000)
+		}},
+		{"all in slow start", 0.7, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)...)
+			s.run(24000)
+		}},
+		{"burst", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(4000)
+			s.requestsPerMs *= 2.5
+			s.run(8000)
+		}},
+		{"warm lost", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(4000)
+			for i, server := range s.servers {
+				server.unreachable = i%2 == 0 && server.startedAt == 0
+			}
+			s.run(8000)
+		}},
+		{"all warm lost", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(4000)
+			s.disconnectWarm()
+			s.run(8000)
+		}},
+		{"half in steps", 0.8, func(s *fleetSimulation) {
+			for k := range 5 {
+				var which []int
+				for i := range s.servers {
+					if i%10 == k {
+						which = append(which, i)
+					}
+				}
+				s.restartServers(which...)
+				s.run(3000)
+			}
+			s.run(9000)
+		}},
+		{"surge", 0.2, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(4000)
+			s.requestsPerMs *= 10
+			s.run(6000)
+		}},
+		{"surge, seven in ten agents new", 0.2, func(s *fleetSimulation) {
+			s.restartMostAgents()
+			s.restartServers(everyFifth(s)...)
+			s.run(2000)
+			s.requestsPerMs *= 10
+			s.run(6000)
+		}},
+		{"one warm left", 0.7, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)[1:]...)
+			s.run(24000)
+		}},
+		{"popular key", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(4000)
+			s.popularShare = 0.25
+			s.run(8000)
+		}},
+		{"overload", 1.8, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(20000)
+		}},
+		{"all in slow start, agents restarted", 0.7, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)...)
+			s.run(1000)
+			s.restartMostAgents()
+			s.run(20000)
+		}},
+		{"all in slow start, uneven", 0.7, func(s *fleetSimulation) {
+			s.setShares(func(i int) float64 { return 1 / float64(i+1) })
+			s.run(3000)
+			s.restartServers(allServers(s)...)
+			s.run(24000)
+		}},
+		{"overload, then all in slow start", 2.2, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)...)
+			s.run(24000)
+		}},
+		{"overload, one in slow start", 2.2, func(s *fleetSimulation) {
+			s.restartServers(0)
+			s.run(24000)
+		}},
+		{"overload, one warm left", 1.8, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)[1:]...)
+			s.run(24000)
+		}},
+		{"early surge", 0.05, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(400)
+			s.requestsPerMs *= 40
+			s.run(6000)
+		}},
+		{"agents restarted repeatedly", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			for range 10 {
+				s.run(500)
+				s.restartMostAgents()
+			}
+			s.run(10000)
+		}},
+		{"all in slow start and failing", 0.7, func(s *fleetSimulation) {
+			s.restartServers(allServers(s)...)
+			s.run(500)
+			s.failServers(6000, allServers(s)...)
+			s.run(10000)
+		}},
+		{"all warm lost, others failing", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(500)
+			s.disconnectWarm()
+			s.failServers(6000, everyFifth(s)...)
+			s.run(10000)
+		}},
+		{"all unresponsive, a fifth in slow start", 0.7, func(s *fleetSimulation) {
+			s.restartServers(everyFifth(s)...)
+			s.run(500)
+			s.hangServers(2500, allServers(s)...)
+			s.run(10000)
+		}},
+		{"list's clock an hour ahead", 0.7, func(s *fleetSimulation) {
+			s.clockAheadMs = 3600e3
+			s.restartServers(everyFifth(s)...)
+			s.run(3000)
+			s.restartMostAgents()
+			s.run(18000)
+		}},
+	}
+	fleets := []struct{ agents, servers int }{
+		{1, 12}, {3, 12}, {30, 12}, {300, 30},
+		{1500, 15}, // a hundred at each, as 30 would take a minute under the race detector
+		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
+	}
+	for _, c := range cases {
+		for _, fleet := range fleets {
+			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
+				t.Parallel()
+				s := newFleetSimulation(t, 1, fleet.agents, fleet.servers, c.load)
+				s.scheduleArrivals()
+				s.run(5000)
+				c.run(s)
+				s.checkSlowStart(t)
+			})
+		}
+	}
+}
+
+// Late responses of draining servers earn a server in slow start no more credit than its budget.
+func TestSlowStartBoundsWhatDrainingServersEarn(t *testing.T) {
+	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
+		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
+			t.Parallel()
+			s := newFleetSimulation(t, 1, fleet.agents, fleet.servers, 1.8)
+			s.scheduleArrivals()
+			s.run(5000)
+			s.restartServers(everyFifth(s)...)
+			s.run(300)
+			s.drainWarm(1)
+			s.run(4000)
+			s.checkSlowStart(t)
+		})
+	}
+}
+
+// Where the last warm server drains, credit accrues with time from then on, and not for the time in which
+// the warm servers earned it. The rate is that of the warm servers, measured for long before.
+func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarm(t *testing.T) {
+	for _, agents := range []int{12, 300} {
+		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
+			t.Parallel()
+			s := newFleetSimulation(t, 1, agents, 12, 0.9)
+			s.scheduleArrivals()
+			s.run(45000)
+			s.restartServers(everyFifth(s)...)
+			s.run(8000)
+			s.drainWarm(0)
+			s.run(8000)
+			s.checkSlowStart(t)
+		})
+	}
+}
