--- a/internal/policytest/decision_bench_test.go
+++ b/internal/policytest/decision_bench_test.go
@@ -12,17 +12,27 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// BenchmarkDecision is what the module's decisions for one served request take: the request comes
-// and is sent, its answer comes, and the ticks that fall due meanwhile are handled, at the 120 calls
-// a second of deploy/target.toml. Agents are as many as servers, keys as many as keep one from being
-// split. calm: nothing is out, each request goes to its key's first choice. crowded: both servers
-// that a key prefers are full, so its request waits a quarter of its aim, is looked at in each tick,
-// and then goes to any other. demoted: all servers have just failed a request, so that a walk of each
-// better tier finds none. What brings a state about isn't timed. A profile shows only the timed
-// part's proportions for calm, where all is timed.
+// The states of BenchmarkDecision. Their values stand in the recorded results (docs/capacity).
+const (
+	// stateUnloaded: nothing is in flight, each request goes to the first server of its key.
+	stateUnloaded = "calm"
+	// stateOverloaded: both servers that a key prefers are at their limits, so its request waits for a
+	// quarter of its objective, is considered in each tick, and then goes to another server.
+	stateOverloaded = "crowded"
+	// stateEjected: all servers have just failed a request, so that there is none in any better tier.
+	stateEjected = "demoted"
+)
+
+// requestsPerSecond is the rate of requests, that of deploy/target.toml.
+const requestsPerSecond = 120
+
+// BenchmarkDecision measures the policy's decisions for one served request: the request arrives and is
+// forwarded, its response comes, and the ticks that are due meanwhile are handled. There are as many
+// agents as servers, and so many keys that none is split. What it takes to bring the state about is not
+// timed. A profile shows the proportions of the timed part only for stateUnloaded, where all is timed.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{10, 100, 1500} {
-		for _, state := range []string{"calm", "crowded", "demoted"} {
+		for _, state := range []string{stateUnloaded, stateOverloaded, stateEjected} {
 			var d *decisionBenchmark
 			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
 				if d == nil { // once for all sizes of b.N and all of -count
@@ -32,11 +42,11 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				switch state {
-				case "calm":
+				case stateUnloaded:
 					d.serveUnloaded(b)
-				case "crowded":
+				case stateOverloaded:
 					d.serveOverloaded(b)
-				case "demoted":
+				case stateEjected:
 					d.serveAfterEjections(b)
 				}
 				b.ReportMetric(float64(d.ticks)/float64(b.N), "ticks/op")
@@ -46,49 +56,53 @@
 	}
 }
 
-// decider is one balancer with its clock and its one timer.
+// decisionBenchmark is one Balancer with its clock and its one timer.
 type decisionBenchmark struct {
 	testing.TB
 	policy          *policy.Balancer
 	random          *rand.Rand
 	servers         int
 	now             float64
-	tickAt          float64 // of the tick that is armed; infinite: none is
+	tickAt          float64 // time of the tick that is set; infinite: none is
 	lastRequest     balancer.RequestID
 	actions         []balancer.Action
-	forwardedTo     balancer.Addr // where the last request went; zero: it waits
-	keys            []uint64
+	forwardedTo     balancer.Addr               // server of the last request; zero: it is queued
+	keys            []uint64                    // of which the requests' keys are drawn
 	preferred       map[uint64][2]balancer.Addr // the two servers that a key prefers
-	keysByServer    map[balancer.Addr][]uint64  // keys by their first choice
-	failedAt        float64                     // when all servers last had
+	keysByServer    map[balancer.Addr][]uint64  // keys by the first server of their order
+	failedAt        float64                     // when all servers last failed a request
 	ticks           int
-	forwardedAtOnce int // requests that were sent when they came
+	forwardedAtOnce int // requests that were forwarded on arrival
 }
 
+// newDecisionBenchmark returns a benchmark of one of so many agents, which knows its servers' baseline
+// latency and the share of each key.
 func newDecisionBenchmark(t testing.TB, agents, servers int) *decisionBenchmark {
-	set := testSettings()
-	set.FleetSize, set.Zone = agents, 1 // no server is of its zone, whose weight moves
-	b, err := policy.New(set, 1)
+	t.Helper()
+	settings := testSettings()
+	settings.FleetSize, settings.Zone = agents, 1 // no server is of the agent's zone, as the zone preference changes
+	b, err := policy.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &decisionBenchmark{TB: t, policy: b, random: rand.New(rand.NewPCG(1, 2)), servers: servers, now: 1e6,
 		tickAt: math.Inf(1)}
 	d.actions = b.Start(d.now, nil)
-	entries := make([]balancer.Endpoint, servers)
-	for i := range entries {
-		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8}
+	endpoints := make([]balancer.Endpoint, servers)
+	for i := range endpoints {
+		endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8}
 	}
-	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: entries})
+	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: endpoints})
 	for range 16 * servers {
 		d.keys = append(d.keys, d.random.Uint64()|1)
 	}
-	for range max(8*servers, 100) { // calm is learned, and each key's share
+	for range max(8*servers, 100) {
 		d.serve(0, d.anyKey(), 5)
 	}
 	return d
 }
 
+// handle hands the policy an event and notes the timer and the server of its actions.
 func (d *decisionBenchmark) handle(ev balancer.Event) {
 	d.actions = d.policy.Handle(d.now, &ev, d.actions[:0])
 	for i := range d.actions {
@@ -101,7 +115,7 @@
 	}
 }
 
-// pass lets time pass, and handles the ticks that fall due.
+// advance lets ms pass and handles the ticks that are due.
 func (d *decisionBenchmark) advance(ms float64) {
 	end := d.now + ms
 	for d.tickAt <= end {
@@ -112,6 +126,7 @@
 	d.now = end
 }
 
+// request makes a request and returns its id.
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
@@ -120,32 +135,35 @@
 	return d.lastRequest
 }
 
+// endAttempt ends the first attempt of a request.
 func (d *decisionBenchmark) endAttempt(id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64) {
 	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms,
 		RequestDone: status == balancer.StatusOK})
 }
 
-// serve is one request, sent at once and answered after ms.
+// serve plays one request that is forwarded on arrival and served after ms.
 func (d *decisionBenchmark) serve(class int, key uint64, ms float64) {
 	id := d.request(class, key)
 	if d.forwardedTo == (balancer.Addr{}) {
-		d.Fatal("a request waits that should not: ", d.actions)
+		d.Fatal("a request is queued that should be forwarded: ", d.actions)
 	}
 	d.forwardedAtOnce++
 	d.advance(ms)
 	d.endAttempt(id, d.forwardedTo, balancer.StatusOK, ms)
-	d.advance(1000.0/120 - ms)
+	d.advance(1000.0/requestsPerSecond - ms)
 }
 
+// anyKey draws a key.
 func (d *decisionBenchmark) anyKey() uint64 { return d.keys[d.random.IntN(len(d.keys))] }
 
+// serveUnloaded measures requests without load.
 func (d *decisionBenchmark) serveUnloaded(b *testing.B) {
 	for range b.N {
 		d.serve(0, d.anyKey(), 5)
 	}
 }
 
-// at asks for a key and ends its request as one that tells nothing of its server; it returns that.
+// serverOf makes a request of the key, ends it without effect on its server, and returns the server.
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
 	id := d.request(0, key)
 	s := d.forwardedTo
@@ -154,7 +172,7 @@
 	return s
 }
 
-// forget ends a request so that nothing is learned of the server it went to, if it went to one.
+// endUnjudged ends a request so that nothing is learned of its server, if it was forwarded.
 func (d *decisionBenchmark) endUnjudged(id balancer.RequestID, s balancer.Addr) {
 	if s == (balancer.Addr{}) {
 		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
@@ -163,7 +181,7 @@
 	d.endAttempt(id, s, balancer.StatusBadRequest, 1)
 }
 
-// learn finds out which servers keys prefer.
+// learnPreferred determines the two servers that keys prefer.
 func (d *decisionBenchmark) learnPreferred() {
 	d.keysByServer, d.preferred = map[balancer.Addr][]uint64{}, map[uint64][2]balancer.Addr{}
 	for _, key := range d.keys {
@@ -180,57 +198,58 @@
 	}
 }
 
-// fill puts a request to a server that others than this key prefer; 0: none went there.
-func (d *decisionBenchmark) occupy(s balancer.Addr, but uint64) balancer.RequestID {
+// occupy forwards a request of another key to the server and returns its id; 0 if none went there.
+func (d *decisionBenchmark) occupy(s balancer.Addr, except uint64) balancer.RequestID {
 	keys := d.keysByServer[s]
 	for range 2 * len(keys) {
 		key := keys[d.random.IntN(len(keys))]
-		if key == but {
+		if key == except {
 			continue
 		}
 		id := d.request(0, key)
 		if d.forwardedTo == s {
 			return id
 		}
-		d.endUnjudged(id, d.forwardedTo) // it was split, or its server is full
+		d.endUnjudged(id, d.forwardedTo) // its key was split, or the server is at its limit
 	}
 	return 0
 }
 
+// serveOverloaded measures requests whose preferred servers are at their limits.
 func (d *decisionBenchmark) serveOverloaded(b *testing.B) {
 	b.StopTimer()
 	if d.keysByServer == nil {
 		d.learnPreferred()
 	}
 	keys := slices.Sorted(maps.Keys(d.preferred))
-	for n, tries := 0, 0; n < b.N; tries++ {
-		if tries > 4*b.N+100 {
-			b.Fatalf("%d of %d times both were full", n, tries)
+	for n, rounds := 0, 0; n < b.N; rounds++ {
+		if rounds > 4*b.N+100 {
+			b.Fatalf("%d of %d times both were at their limits", n, rounds)
 		}
 		key := keys[d.random.IntN(len(keys))]
 		s := d.preferred[key]
-		one, two := d.occupy(s[0], key), d.occupy(s[1], key)
-		if one > 0 && two > 0 {
+		first, second := d.occupy(s[0], key), d.occupy(s[1], key)
+		if first > 0 && second > 0 {
 			n++
 			b.StartTimer()
 			d.waitAndServe(key)
 			b.StopTimer()
 		}
-		d.endUnjudged(one, s[0])
-		d.endUnjudged(two, s[1])
+		d.endUnjudged(first, s[0])
+		d.endUnjudged(second, s[1])
 		d.advance(1)
 	}
 }
 
-// waitAndServe is one request that finds the servers full that its key prefers.
+// waitAndServe plays one request that is queued, as the servers that its key prefers are at their limits.
 func (d *decisionBenchmark) waitAndServe(key uint64) {
-	id, came := d.request(0, key), d.now
+	id, arrivedAt := d.request(0, key), d.now
 	if d.forwardedTo != (balancer.Addr{}) {
 		d.forwardedAtOnce++
 	}
 	for d.forwardedTo == (balancer.Addr{}) {
-		if d.now > came+100 {
-			d.Fatal("a request is not sent")
+		if d.now > arrivedAt+100 {
+			d.Fatal("a request is not forwarded")
 		}
 		d.advance(10)
 	}
@@ -238,9 +257,10 @@
 	d.endAttempt(id, d.forwardedTo, balancer.StatusOK, 50)
 }
 
+// serveAfterEjections measures requests while all servers are ejected.
 func (d *decisionBenchmark) serveAfterEjections(b *testing.B) {
 	b.StopTimer()
-	for range 5 { // by then a failed server is left alone for 4.8 s
+	for range 5 { // by then the ejection time is 4.8 s
 		d.failAll()
 	}
 	for range b.N {
@@ -250,13 +270,13 @@
 		b.StartTimer()
 		d.serve(0, d.anyKey(), 5)
 		b.StopTimer()
-		d.fail() // the one that is good again
+		d.fail() // the one that has served
 	}
 }
 
 // failAll has each server fail one request.
 func (d *decisionBenchmark) failAll() {
-	d.advance(5000) // all are to be validated again
+	d.advance(5000) // past all ejection times
 	for range d.servers {
 		d.fail()
 	}
@@ -266,7 +286,7 @@
 	}
 }
 
-// fail has one server fail a request that goes no further, of the best tier.
+// fail has one server of the best tier fail a request that is not retried.
 func (d *decisionBenchmark) fail() {
 	id := d.request(1, d.anyKey())
 	d.endAttempt(id, d.forwardedTo, balancer.StatusError, 5)
--- a/internal/policytest/large_fleet_bench_test.go
+++ b/internal/policytest/large_fleet_bench_test.go
@@ -13,32 +13,39 @@
 const (
 	// largeFleetAgents is the number of agents of the largest fleet that the operators name.
 	largeFleetAgents = 900
-	// requestInterval is the time in ms between two requests of one agent of that fleet.
+	// requestIntervalMs is the time between two requests of one agent of that fleet.
 	requestIntervalMs = 100.0
 	// largeFleetLoad is the part of the servers' capacity that the agents' requests take.
 	largeFleetLoad = 0.7
-	// largeFleetDay is the length in ms of a day of BenchmarkLargeFleetDay.
+	// largeFleetDurationMs is the duration of a simulation of BenchmarkLargeFleetDay.
 	largeFleetDurationMs = 30000.0
-	// answerTime is how long in ms a server takes to answer.
+	// responseTimeMs is how long a server takes to respond.
 	responseTimeMs = 60.0
 )
 
-// BenchmarkLargeFleetDecision is what one request costs the module with the settings of 900 agents: its
-// arrival, its attempts, their outcomes, and the ticks that fall due until the next request. quiet: the
-// first server answers. crowded: every other attempt is turned away by a full server.
+// The states of BenchmarkLargeFleetDecision. Their values stand in the recorded results (docs/CAPACITY.md).
+const (
+	// stateQuiet: the first server serves the request.
+	stateQuiet = "quiet"
+	// stateRejecting: every other attempt is rejected by an overloaded server.
+	stateRejecting = "crowded"
+)
+
+// BenchmarkLargeFleetDecision measures the processor time of one request with the settings of 900 agents:
+// its arrival, its attempts, their ends, and the ticks that are due until the next request.
 func BenchmarkLargeFleetDecision(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
-		for _, state := range []string{"quiet", "crowded"} {
+		for _, state := range []string{stateQuiet, stateRejecting} {
 			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
 				d := newDecisionBenchmark(b, largeFleetAgents, servers)
-				full := 0
-				if state == "crowded" {
-					full = 2
+				overloaded := 0
+				if state == stateRejecting {
+					overloaded = 2
 				}
 				b.ResetTimer()
 				before := processorTime(b)
 				for range b.N {
-					d.serveAmongOverloaded(d.anyKey(), full)
+					d.serveAmongOverloaded(d.anyKey(), overloaded)
 				}
 				b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 			})
@@ -46,29 +53,31 @@
 	}
 }
 
-// serveAmongFull plays one request of which full in four attempts find a full server.
-func (d *decisionBenchmark) serveAmongOverloaded(key uint64, full int) {
-	came := d.now
+// serveAmongOverloaded plays one request of which so many in four attempts find an overloaded server.
+func (d *decisionBenchmark) serveAmongOverloaded(key uint64, overloaded int) {
+	arrivedAt := d.now
 	id := d.request(0, key)
 	for attempt := 0; d.forwardedTo != (balancer.Addr{}); attempt++ {
 		server := d.forwardedTo
 		d.forwardedTo = balancer.Addr{}
-		status, took := balancer.StatusOK, responseTimeMs
-		if d.random.IntN(4) < full {
-			status, took = balancer.StatusOverloaded, 1
+		status, tookMs := balancer.StatusOK, responseTimeMs
+		if d.random.IntN(4) < overloaded {
+			status, tookMs = balancer.StatusOverloaded, 1
 		}
-		d.advance(took)
+		d.advance(tookMs)
 		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server,
 			Status:    status,
-			LatencyMs: took, RequestDone: status == balancer.StatusOK})
+			LatencyMs: tookMs, RequestDone: status == balancer.StatusOK})
 	}
-	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id}) // a request that is still held for room
-	d.advance(max(came+requestIntervalMs-d.now, 0))
+	// The request may still be queued.
+	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+	d.advance(max(arrivedAt+requestIntervalMs-d.now, 0))
 }
 
-// processorTime is what the process has used so far: unlike the wall clock it tells little of what else
-// the machine does.
+// processorTime is the processor time that the process has used so far. Unlike the wall clock it depends
+// little on what else the machine does.
 func processorTime(t testing.TB) time.Duration {
+	t.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		t.Fatal(err)
@@ -76,10 +85,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkLargeFleetDay is a quiet day of whole fleets in one virtual time, agents in proportion to servers:
-// the share served, the servers that an agent sent something to (it opened at least one connection to each)
-// and the memory that a Balancer holds at the end, with what the day keeps for it. Keys are as many as 40 for
-// each server, equally popular or skewed: the share of one falls as its rank grows.
+// BenchmarkLargeFleetDay simulates fleets without faults, with agents in proportion to servers. It reports
+// the part of the requests that is served, the servers that an agent has forwarded to (with at least one
+// connection to each), and the memory of a Balancer at the end, with what the simulation has for it. There
+// are 40 keys for each server, equally popular or skewed: the share of a key falls with its rank.
 func BenchmarkLargeFleetDay(b *testing.B) {
 	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
 		for _, keys := range []string{"even", "skewed"} {
@@ -92,26 +101,28 @@
 	}
 }
 
+// runLargeFleetDay simulates one fleet and reports its metrics.
 func runLargeFleetDay(b *testing.B, agents, servers int, evenKeys bool) {
 	before := heapInUse()
-	d := newFleetSimulation(b, 1, agents, servers, largeFleetLoad)
-	d.requestsPerMs, d.evenKeys = float64(agents)/requestIntervalMs, evenKeys
-	for _, s := range d.servers {
-		s.requestsPerMs = d.requestsPerMs / largeFleetLoad / float64(servers)
+	s := newFleetSimulation(b, 1, agents, servers, largeFleetLoad)
+	s.requestsPerMs = float64(agents) / requestIntervalMs
+	s.evenKeys = evenKeys
+	for _, server := range s.servers {
+		server.requestsPerMs = s.requestsPerMs / largeFleetLoad / float64(servers)
 	}
-	d.scheduleArrivals()
-	d.run(largeFleetDurationMs)
+	s.scheduleArrivals()
+	s.run(largeFleetDurationMs)
 	used := 0
-	for _, a := range d.agents {
-		used += len(a.serversUsed)
+	for _, agent := range s.agents {
+		used += len(agent.serversUsed)
 	}
-	b.ReportMetric(float64(d.served)/float64(d.requests), "served-share")
+	b.ReportMetric(float64(s.served)/float64(s.requests), "served-share")
 	b.ReportMetric(float64(used)/float64(agents), "servers-used/agent")
 	b.ReportMetric(float64(heapInUse()-before)/float64(agents), "heap-B/agent")
-	runtime.KeepAlive(d)
+	runtime.KeepAlive(s)
 }
 
-// heapInUse is the memory that is reachable.
+// heapInUse is the size of the reachable memory, in bytes.
 func heapInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
