--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -88,12 +88,12 @@
 		Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
 	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil ||
 		findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d held", actions, stats.InFlight, stats.Queued)
+		t.Errorf("a stream that broke: %+v, %d in flight and %d queued", actions, stats.InFlight, stats.Queued)
 	}
 }
 
 // Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
-// busy for longer; the client is answered at once. Elsewhere it has the client's whole time.
+// busy for longer; the client is answered at once. Elsewhere it has all of the client's time.
 func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
 	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
 		settings := testSettings()
@@ -113,7 +113,7 @@
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: want an attempt for the whole time, got %+v", class,
+			t.Errorf("class %d, late responses earn something: want an attempt for all of the time, got %+v", class,
 				actions)
 		}
 	}
--- a/internal/policytest/outliers_test.go
+++ b/internal/policytest/outliers_test.go
@@ -49,7 +49,7 @@
 	h.now += 5
 	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 	// While it is Unhealthy nothing goes there; after its hold the next request makes it
-	// pending and checks it, and a served answer makes it Connected.
+	// pending and checks it, and a response makes it Connected.
 	for range 20 {
 		if id, to := h.mustForward(0, h.random.Uint64()|1); to == s {
 			t.Fatal("an Unhealthy server was chosen before the better tier")
@@ -94,7 +94,7 @@
 // A server that hangs would stay Connected by its statuses alone; it is ejected as it does not respond.
 func TestUnresponsiveServerIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	h.serve(200, 10) // learn what an answer takes
+	h.serve(200, 10) // so that the response time is known
 	h.mustForward(0, 9)
 	for range 30 {
 		if h.advance(10); h.healthStates()[balancer.Unhealthy] == 1 {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,7 +5,7 @@
 )
 
 // maxPlacementFailures is the number of requests that may go to any server, and for which none has
-// capacity, after which the rest of the queue is not looked at.
+// capacity, after which the rest of the queue is not considered.
 const maxPlacementFailures = 4
 
 // onRequest admits a request to the queue, or rejects it to shed load.
@@ -109,8 +109,8 @@
 	}
 }
 
-// reject gives the final answer to a request that is not served: a rejection where the client may be
-// told that a retry is harmless, else a failure.
+// reject gives the final answer to a request that is not served: a rejection where a retry of the client
+// is harmless, else a failure.
 func (b *Balancer) reject(r *request) {
 	if r.closed || r.responseStarted {
 		return
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -78,7 +78,7 @@
 }
 
 // allows tells whether another attempt may be forwarded with so many in flight at all servers. A
-// limit below one attempt is kept by a pause between attempts.
+// limit below one attempt is enforced by a pause between attempts.
 func (c *concurrencyLimits) allows(inFlight int) bool {
 	if !(float64(inFlight) < max(c.limit, 1)) {
 		return false
@@ -144,7 +144,7 @@
 
 // serverAllows tells whether a server may have another attempt in flight: within its limit, one at a
 // time until it is healthy, and whatever its health within its slow-start credit. A limit below one
-// attempt is kept by a pause between attempts: with many agents even one attempt of each can be too
+// attempt is enforced by a pause between attempts: with many agents even one attempt of each can be too
 // much, and an overloaded server has to recover.
 func (c *concurrencyLimits) serverAllows(s *server) bool {
 	if !c.slowStart.hasCredit(s) {
--- a/policy/history.go
+++ b/policy/history.go
@@ -43,7 +43,7 @@
 
 // firstArrival is when the client first sent the request. For a marked retry that is remembered.
 // Where retries are not marked, a retry has less time left than a first request, by the time that
-// has passed; this holds only if clients give a first request the whole timeout.
+// has passed; this holds only if clients give a first request all of the timeout.
 func (h *requestHistory) firstArrival(c *class, ev *balancer.Event) float64 {
 	now := h.env.now
 	c.longestTimeoutMs = max(c.longestTimeoutMs, min(ev.RemainingMs, c.TotalTimeoutMs))
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -81,8 +81,8 @@
 }
 
 // fleetLimit is the latency above which a response counts as one of overloaded servers: with the
-// usual spread a mean half as long again as without load. Of few agents each sees its servers often,
-// and the servers' own limits have to react to an overload first.
+// usual spread of response times, at a mean of 1.5 times that without load. Of few agents each sees its
+// servers often, and the servers' own limits have to react to an overload first.
 func (l *latencyBaselines) fleetLimit() float64 {
 	limit := min(max(fleetOverloadFactor*l.unloaded, maxMeanLatency/2), maxFleetLatency)
 	return limit * l.fleetFactor()
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -9,10 +9,10 @@
 	maxEjectionLevel = 5
 	// successesPerLevel is the number of responses, for each ejection level, that lower the level.
 	successesPerLevel = 16
-	// silenceResponses is the number of expected response times, divided by the attempts in flight
-	// (at most silenceAttempts of them), after which a server that does not respond is ejected.
-	silenceResponses = 8
-	silenceAttempts  = 3
+	// unresponsiveAfter is the number of expected response times, divided by the attempts in flight
+	// (at most unresponsiveAttempts of them), after which a server that does not respond is ejected.
+	unresponsiveAfter    = 8
+	unresponsiveAttempts = 3
 )
 
 // tier is a server's health tier for a request: a server of a lower tier is used first.
@@ -51,7 +51,7 @@
 	return healthyTier
 }
 
-// ejectionMs is how long a server stays ejected until it is checked again: one latency objective for
+// ejectionMs is how long a server stays ejected until it is checked: one latency objective for
 // a single failure, doubled with each further level. While no other server has capacity it is 0: a
 // server that fails some requests is better than rejecting them all, unless it does not respond.
 func (o *outlierDetector) ejectionMs(s *server) float64 {
@@ -91,9 +91,9 @@
 			continue
 		}
 		oldest := s.inFlight[0]
-		inFlight := min(len(s.inFlight), silenceAttempts)
-		silenceMs := oldest.request.class.expectedMs * silenceResponses / float64(inFlight)
-		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= silenceMs {
+		inFlight := min(len(s.inFlight), unresponsiveAttempts)
+		limitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
+		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= limitMs {
 			o.eject(s, true)
 		}
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -87,8 +87,8 @@
 	return false
 }
 
-// harmlessToRepeat tells whether the client may be told that its own retry cannot execute the
-// request twice. Past the deduplication window a repeat would execute again.
+// harmlessToRepeat tells whether a retry of the client cannot execute the request twice. Past the
+// deduplication window a duplicate would be executed.
 func (r *request) harmlessToRepeat(now float64) bool {
 	if r.maybeExecuted == 0 || r.class.Idempotency == balancer.Idempotent {
 		return true
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -85,7 +85,7 @@
 }
 
 // warmWeight is the weight of the warm servers. It is computed once for all decisions of a moment,
-// and again only where a server's health, listing or slow start has changed.
+// and summed up anew only where a server's health, listing or slow start has changed.
 func (w *slowStart) warmWeight() float64 {
 	cache := &w.warm
 	if cache.at == w.env.now && cache.epoch == w.endpoints.epoch {
@@ -154,7 +154,7 @@
 	}
 }
 
-// accrued is the credit that a server in slow start gains with time where no warm server is left to
+// accrued is the credit that accrues to a server in slow start with time where no warm server is left to
 // earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
 // an overload window. What the warm servers earned before they were lost does not count twice.
 func (w *slowStart) accrued(s *server) float64 {
