--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -26,46 +26,70 @@
 // rejection brings a retry. Errors are no sign of overload, nor are queued requests.
 func TestLoadIsShedWhereResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
-		end  balancer.Status
-		rtt  float64
-		want bool
-	}{{balancer.StatusOK, 20, false}, {balancer.StatusOK, 500, true}, {balancer.StatusOverloaded, 1, true},
-		{balancer.StatusTimeout, 600, true}, {balancer.StatusError, 5, false}} {
-		settings := testSettings()
-		settings.Limits.MaxAttempts = 1
-		h := newHarness(t, settings, 6)
-		rejected := 0
-		for range 200 {
-			h.now += 500
-			id, actions := h.request(0, h.random.Uint64())
-			if a := findAction(actions, balancer.ActionForward); a != nil {
-				h.now += c.rtt
-				h.endAttempt(id, 0, a.Server, c.end, c.rtt)
-			} else if findAction(actions, balancer.ActionReject) != nil {
-				rejected++
+		name       string
+		status     balancer.Status
+		responseMs float64
+		sheds      bool
+	}{
+		{"in time", balancer.StatusOK, 20, false},
+		{"late", balancer.StatusOK, 500, true},
+		{"overloaded", balancer.StatusOverloaded, 1, true},
+		{"timeout", balancer.StatusTimeout, 600, true},
+		{"error", balancer.StatusError, 5, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			rejected := rejectedOf200(t, c.status, c.responseMs)
+			if c.sheds && (rejected < 100 || rejected > 170) || !c.sheds && rejected > 0 {
+				t.Errorf("%d of 200 requests rejected", rejected)
 			}
-		}
-		if c.want && (rejected < 100 || rejected > 170) || !c.want && rejected > 0 {
-			t.Errorf("all end with %d after %.0f ms: %d of 200 rejected", c.end, c.rtt, rejected)
+		})
+	}
+}
+
+// rejectedOf200 is how many of 200 requests are rejected where each attempt ends with the status after
+// responseMs.
+func rejectedOf200(t *testing.T, status balancer.Status, responseMs float64) int {
+	t.Helper()
+	settings := testSettings()
+	settings.Limits.MaxAttempts = 1
+	h := newHarness(t, settings, 6)
+	rejected := 0
+	for range 200 {
+		h.now += 500
+		id, actions := h.request(0, h.random.Uint64())
+		if a := findAction(actions, balancer.ActionForward); a != nil {
+			h.now += responseMs
+			h.endAttempt(id, 0, a.Server, status, responseMs)
+		} else if findAction(actions, balancer.ActionReject) != nil {
+			rejected++
 		}
 	}
+	return rejected
 }
 
 // A rejection tells the client that a retry is harmless: past the deduplication window it is not, and
 // the request fails instead.
 func TestRejectionOnlyWithinTheDeduplicationWindow(t *testing.T) {
 	for _, c := range []struct {
-		after float64
-		want  balancer.ActionKind
-	}{{100, balancer.ActionReject}, {550, balancer.ActionFail}} {
-		settings := testSettings()
-		settings.Classes[2].DedupScope, settings.Limits.MaxAttempts = balancer.DedupFleet, 1
-		h := newHarness(t, settings, 4)
-		id, s := h.mustForward(2, 5)
-		h.now += c.after
-		if actions := h.endAttempt(id, 0, s, balancer.StatusError, c.after); findAction(actions, c.want) == nil {
-			t.Errorf("failed after %.0f of 500 ms: %+v", c.after, actions)
-		}
+		name    string
+		afterMs float64
+		want    balancer.ActionKind
+	}{
+		{"within the window of 500 ms", 100, balancer.ActionReject},
+		{"past the window of 500 ms", 550, balancer.ActionFail},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.Classes[2].DedupScope = balancer.DedupFleet
+			settings.Limits.MaxAttempts = 1
+			h := newHarness(t, settings, 4)
+			id, s := h.mustForward(2, 5)
+			h.now += c.afterMs
+			actions := h.endAttempt(id, 0, s, balancer.StatusError, c.afterMs)
+			if findAction(actions, c.want) == nil {
+				t.Errorf("failed after %.0f ms: %+v", c.afterMs, actions)
+			}
+		})
 	}
 }
 
--- a/internal/policytest/concurrency_test.go
+++ b/internal/policytest/concurrency_test.go
@@ -9,39 +9,62 @@
 // runPhases plays phases to an agent, one of so many, with 60 servers and returns its Stats at the end of
 // each.
 func runPhases(t *testing.T, agents int, phases ...phase) []balancer.Stats {
+	t.Helper()
 	settings := testSettings()
 	settings.FleetSize = agents
-	h := newHarness(t, settings, 60)
-	type flight struct {
-		id  balancer.RequestID
-		s   balancer.Addr
-		end float64
-	}
-	var out []flight
-	play := func(responseMs float64, requests int) {
-		for range requests {
-			h.now += 40
-			for len(out) > 0 && out[0].end <= h.now {
-				f := out[0]
-				out = out[1:]
-				for _, a := range h.endAttempt(f.id, 0, f.s, balancer.StatusOK, responseMs) {
-					if a.Kind == balancer.ActionForward {
-						out = append(out, flight{a.Request, a.Server, h.now + responseMs})
-					}
-				}
-			}
-			if id, actions := h.request(1, h.random.Uint64()); findAction(actions, balancer.ActionForward) != nil {
-				out = append(out, flight{id, findAction(actions, balancer.ActionForward).Server, h.now + responseMs})
-			}
-			h.advance(0)
+	p := phasePlayer{harness: newHarness(t, settings, 60)}
+	var stats []balancer.Stats
+	for _, phase := range phases {
+		p.play(phase)
+		stats = append(stats, p.policy.Stats())
+	}
+	return stats
+}
+
+// phasePlayer plays phases to a harness.
+type phasePlayer struct {
+	*harness
+	inFlight []phaseAttempt // the next one to end first
+}
+
+// phaseAttempt is an attempt in flight.
+type phaseAttempt struct {
+	request balancer.RequestID
+	server  balancer.Addr
+	endsAt  float64
+}
+
+// play plays the requests of one phase.
+func (p *phasePlayer) play(phase phase) {
+	for range phase.requests {
+		p.now += 40
+		p.endDue(phase.responseMs)
+		_, actions := p.request(1, p.random.Uint64())
+		if a := findAction(actions, balancer.ActionForward); a != nil {
+			p.start(a, phase.responseMs)
 		}
+		p.advance(0)
 	}
-	var views []balancer.Stats
-	for _, p := range phases {
-		play(p.responseMs, p.requests)
-		views = append(views, h.policy.Stats())
+}
+
+// start notes an attempt that is forwarded now and ends after responseMs.
+func (p *phasePlayer) start(a *balancer.Action, responseMs float64) {
+	p.inFlight = append(p.inFlight, phaseAttempt{a.Request, a.Server, p.now + responseMs})
+}
+
+// endDue ends the attempts that are due, each with a response after responseMs, and notes those that are
+// forwarded in their place.
+func (p *phasePlayer) endDue(responseMs float64) {
+	for len(p.inFlight) > 0 && p.inFlight[0].endsAt <= p.now {
+		ended := p.inFlight[0]
+		p.inFlight = p.inFlight[1:]
+		actions := p.endAttempt(ended.request, 0, ended.server, balancer.StatusOK, responseMs)
+		for i := range actions {
+			if actions[i].Kind == balancer.ActionForward {
+				p.start(&actions[i], responseMs)
+			}
+		}
 	}
-	return views
 }
 
 // phase is a number of requests, one every 40 ms, each with a response after responseMs.
@@ -213,14 +236,14 @@
 		settings := testSettings()
 		settings.FleetSize = c.agents
 		h := newHarness(t, settings, 0)
-		entries := make([]balancer.Endpoint, 200)
-		for i := range entries {
-			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
+		endpoints := make([]balancer.Endpoint, 200)
+		for i := range endpoints {
+			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 			if i < c.restarted {
-				entries[i].StartedMs = h.now
+				endpoints[i].StartedMs = h.now
 			}
 		}
-		h.updateList(balancer.ListCached, entries...)
+		h.updateList(balancer.ListCached, endpoints...)
 		sent := 0
 		for range 40 {
 			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
--- a/internal/policytest/connections_test.go
+++ b/internal/policytest/connections_test.go
@@ -10,24 +10,42 @@
 // thousand agents kept connections to a third of the servers, at a cost for each.
 func TestIdleConnectionsAreClosedWhereKeepingCostsMore(t *testing.T) {
 	for _, c := range []struct {
-		agents          int
-		open, handshake float64
-		closes          bool
-	}{{1000, 0.05, 0.05, true}, {10, 0.05, 0.05, false}, {1000, 0, 0, false}, {1000, 0, 0.05, false}} {
-		settings := testSettings()
-		settings.FleetSize, settings.Costs.Connection, settings.Costs.Handshake = c.agents, c.open, c.handshake
-		h := newHarness(t, settings, 8)
-		closed := 0
-		for range 200 {
-			h.now += 50
-			id, s := h.mustForward(0, h.random.Uint64())
-			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusOK, 20), balancer.ActionCloseIdle); a != nil &&
-				a.Server == s {
-				closed++
+		name                  string
+		agents                int
+		connection, handshake float64
+		closes                bool
+	}{
+		{"many agents", 1000, 0.05, 0.05, true},
+		{"few agents", 10, 0.05, 0.05, false},
+		{"no costs", 1000, 0, 0, false},
+		{"no cost of a connection", 1000, 0, 0.05, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := testSettings()
+			settings.FleetSize = c.agents
+			settings.Costs.Connection = c.connection
+			settings.Costs.Handshake = c.handshake
+			closed := closedOf200(t, settings)
+			if c.closes && closed < 150 || !c.closes && closed > 20 {
+				t.Errorf("%d agents, connection %v, handshake %v: closed %d times of 200",
+					c.agents, c.connection, c.handshake, closed)
 			}
-		}
-		if c.closes && closed < 150 || !c.closes && closed > 20 {
-			t.Errorf("%+v: closed %d times of 200", c, closed)
+		})
+	}
+}
+
+// closedOf200 is after how many of 200 served requests the idle connections of their server are closed.
+func closedOf200(t *testing.T, settings balancer.Settings) int {
+	t.Helper()
+	h := newHarness(t, settings, 8)
+	closed := 0
+	for range 200 {
+		h.now += 50
+		id, s := h.mustForward(0, h.random.Uint64())
+		actions := h.endAttempt(id, 0, s, balancer.StatusOK, 20)
+		if a := findAction(actions, balancer.ActionCloseIdle); a != nil && a.Server == s {
+			closed++
 		}
 	}
+	return closed
 }
--- a/internal/policytest/harness_test.go
+++ b/internal/policytest/harness_test.go
@@ -18,8 +18,7 @@
 	random      *rand.Rand
 	now         float64
 	lastRequest balancer.RequestID
-	// timers are those armed and not fired yet.
-	timers []timer
+	timers      []timer // set and not fired yet
 }
 
 // timer is a timer that the policy has set and that has not fired yet.
@@ -29,20 +28,25 @@
 }
 
 // newHarness returns a harness of an agent with so many servers, all ready.
-func newHarness(t testing.TB, s balancer.Settings, servers int) *harness {
+func newHarness(t testing.TB, settings balancer.Settings, servers int) *harness {
 	t.Helper()
-	b, err := policy.New(s, 1)
+	b, err := policy.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, policy: b, settings: s, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
+	h := &harness{t: t, policy: b, settings: settings, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
 	h.collectTimers(b.Start(h.now, nil))
-	entries := make([]balancer.Endpoint, servers)
-	for i := range entries {
-		entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i % 2,
-			Zone: i % 2}
+	endpoints := make([]balancer.Endpoint, servers)
+	for i := range endpoints {
+		endpoints[i] = balancer.Endpoint{
+			Server: serverAddress(i),
+			State:  balancer.Ready,
+			Weight: 1,
+			Cell:   i % 2,
+			Zone:   i % 2,
+		}
 	}
-	h.updateList(balancer.ListCached, entries...)
+	h.updateList(balancer.ListCached, endpoints...)
 	return h
 }
 
@@ -62,23 +66,35 @@
 }
 
 // updateList hands the policy an update of the endpoint list.
-func (h *harness) updateList(kind balancer.ListUpdate, entries ...balancer.Endpoint) []balancer.Action {
-	return h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
+func (h *harness) updateList(update balancer.ListUpdate, endpoints ...balancer.Endpoint) []balancer.Action {
+	return h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: endpoints})
 }
 
 // request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
 func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
 	h.lastRequest++
-	return h.lastRequest,
-		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: class, Key: key,
-			RemainingMs: 600})
+	return h.lastRequest, h.handle(balancer.Event{
+		Kind:        balancer.EventRequest,
+		Request:     h.lastRequest,
+		Class:       class,
+		Key:         key,
+		RemainingMs: 600,
+	})
 }
 
 // endAttempt hands the policy the end of an attempt.
-func (h *harness) endAttempt(id balancer.RequestID, attempt int, s balancer.Addr, status balancer.Status,
-	responseMs float64) []balancer.Action {
-	return h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: s,
-		Status: status, LatencyMs: responseMs, RequestDone: status == balancer.StatusOK})
+func (h *harness) endAttempt(
+	id balancer.RequestID, attempt int, server balancer.Addr, status balancer.Status, responseMs float64,
+) []balancer.Action {
+	return h.handle(balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Attempt:     attempt,
+		Server:      server,
+		Status:      status,
+		LatencyMs:   responseMs,
+		RequestDone: status == balancer.StatusOK,
+	})
 }
 
 // findAction returns the first action of a kind; nil if there is none.
@@ -97,7 +113,7 @@
 	id, actions := h.request(class, key)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil {
-		h.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
+		h.t.Fatalf("request %d of class %d was not forwarded: %+v", id, class, actions)
 	}
 	return id, a.Server
 }
@@ -107,25 +123,27 @@
 func (h *harness) advance(ms float64) []balancer.Action {
 	end := h.now + ms
 	var all []balancer.Action
-	for {
-		i := -1
-		for j, x := range h.timers {
-			if x.at <= end && (i < 0 || x.at < h.timers[i].at) {
-				i = j
-			}
-		}
-		if i < 0 {
-			break
-		}
-		x := h.timers[i]
+	for i := h.nextTimer(end); i >= 0; i = h.nextTimer(end) {
+		fired := h.timers[i]
 		h.timers = slices.Delete(h.timers, i, i+1)
-		h.now = max(h.now, x.at)
-		all = append(all, h.handle(balancer.Event{Kind: balancer.EventTimer, Token: x.token})...)
+		h.now = max(h.now, fired.at)
+		all = append(all, h.handle(balancer.Event{Kind: balancer.EventTimer, Token: fired.token})...)
 	}
 	h.now = end
 	return all
 }
 
+// nextTimer returns the index of the first timer that is due by a time; -1 if there is none.
+func (h *harness) nextTimer(by float64) int {
+	next := -1
+	for i, timer := range h.timers {
+		if timer.at <= by && (next < 0 || timer.at < h.timers[next].at) {
+			next = i
+		}
+	}
+	return next
+}
+
 // healthStates is the number of listed servers in each health state, best first.
 func (h *harness) healthStates() [4]int { return h.policy.Stats().States }
 
@@ -164,11 +182,11 @@
 // serveRounds plays n rounds: each makes k requests of new keys, then ends every attempt in flight after
 // responseMs, those forwarded meanwhile too.
 func (h *harness) serveRounds(n, k int, responseMs float64) {
-	var out []*balancer.Action
+	var inFlight []*balancer.Action
 	collect := func(actions []balancer.Action) {
 		for i := range actions {
 			if actions[i].Kind == balancer.ActionForward {
-				out = append(out, &actions[i])
+				inFlight = append(inFlight, &actions[i])
 			}
 		}
 	}
@@ -178,9 +196,9 @@
 			collect(actions)
 		}
 		h.now += responseMs
-		now := out
-		out = nil
-		for _, a := range now {
+		ending := inFlight
+		inFlight = nil
+		for _, a := range ending {
 			collect(h.endAttempt(a.Request, 0, a.Server, balancer.StatusOK, responseMs))
 		}
 		collect(h.advance(0))
--- a/internal/policytest/healthcheck_test.go
+++ b/internal/policytest/healthcheck_test.go
@@ -18,7 +18,7 @@
 	}
 	h.now += 2 * h.ejectionMs()
 	_, actions = h.request(0, 7)
-	if p := findAction(actions, balancer.ActionHealthCheck); p == nil || p.Server != s {
+	if check := findAction(actions, balancer.ActionHealthCheck); check == nil || check.Server != s {
 		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
@@ -45,7 +45,7 @@
 	h := newHarness(t, settings, 6)
 	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four become unreachable
 		if i > 50 {
-			t.Fatalf("four servers were not left: %v", h.healthStates())
+			t.Fatalf("four servers were not ejected: %v", h.healthStates())
 		}
 		id, actions := h.request(0, h.random.Uint64()|1)
 		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
--- a/internal/policytest/history_test.go
+++ b/internal/policytest/history_test.go
@@ -18,7 +18,7 @@
 		h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) == nil {
-				t.Fatalf("the limit is not filled: %+v", h.policy.Stats())
+				t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
 			}
 		}
 		h.lastRequest++
@@ -37,8 +37,8 @@
 		return 0
 	}
 	// The client had waited 200 ms for its first request: its retry ends that much sooner.
-	if marked, fresh := ended(true), ended(false); math.Abs(fresh-marked-200) > 10 {
-		t.Errorf("a queued retry was rejected after %.0f ms, a fresh request after %.0f", marked, fresh)
+	if retry, first := ended(true), ended(false); math.Abs(first-retry-200) > 10 {
+		t.Errorf("a queued retry was rejected after %.0f ms, a first request after %.0f", retry, first)
 	}
 }
 
@@ -50,17 +50,17 @@
 		settings := testSettings() // the objective is 300 ms, the total timeout 1,000 ms
 		settings.Clients.MarksRetry = false
 		h := newHarness(t, settings, 1)
-		come := func(remainingMs float64) []balancer.Action {
+		arrive := func(remainingMs float64) []balancer.Action {
 			h.lastRequest++
 			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0,
 				Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
 		}
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
-			if findAction(come(given), balancer.ActionForward) == nil {
-				t.Fatalf("the limit is not filled: %+v", h.policy.Stats())
+			if findAction(arrive(given), balancer.ActionForward) == nil {
+				t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
 			}
 		}
-		start, actions := h.now, come(remainingMs)
+		start, actions := h.now, arrive(remainingMs)
 		for range 100 {
 			for _, a := range actions {
 				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
@@ -72,13 +72,14 @@
 		t.Fatalf("queued for 500 ms, given %.0f of %.0f ms", remainingMs, given)
 		return 0
 	}
-	first, marked, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
-	if math.Abs(first-marked-200) > 10 || third > 10 {
+	first, second, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
+	if math.Abs(first-second-200) > 10 || third > 10 {
 		t.Errorf("first requests were queued for %.0f ms, retries after 200 ms for %.0f, after 350 ms for %.0f",
-			first, marked, third)
+			first, second, third)
 	}
-	if a, b := ended(500, 500), ended(500, 400); math.Abs(a-first) > 10 || math.Abs(b-first) > 10 {
-		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f", a, b,
-			first)
+	full, shorter := ended(500, 500), ended(500, 400)
+	if math.Abs(full-first) > 10 || math.Abs(shorter-first) > 10 {
+		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f",
+			full, shorter, first)
 	}
 }
--- a/internal/policytest/outliers_test.go
+++ b/internal/policytest/outliers_test.go
@@ -31,9 +31,9 @@
 	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
 		t.Fatalf("served: %v, want one Connected", got)
 	}
-	id, s2 := h.mustForward(0, 7)
-	if s2 != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	id, second := h.mustForward(0, 7)
+	if second != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, second)
 	}
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
@@ -48,7 +48,7 @@
 	}
 	h.now += 5
 	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-	// While it is Unhealthy nothing goes there; after its hold the next request makes it
+	// While it is Unhealthy nothing goes there; after its ejection time the next request makes it
 	// pending and checks it, and a response makes it Connected.
 	for range 20 {
 		if id, to := h.mustForward(0, h.random.Uint64()|1); to == s {
@@ -74,7 +74,7 @@
 	h.now += 50
 	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
 	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
-		t.Fatalf("validated: %v, want it Connected", got)
+		t.Fatalf("checked: %v, want it Connected", got)
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	idempotent, nonIdempotent := 0, 0
 	for range 200 {
-		h.now += 16*h.ejectionMs() + 1 // past the longest hold: the next request makes it pending
+		h.now += 16*h.ejectionMs() + 1 // past the longest ejection time: the next request makes it pending
 		for class, n := range []*int{&idempotent, &nonIdempotent} {
 			id, s := h.mustForward(class, h.random.Uint64()|1)
 			if s != failing {
@@ -139,7 +139,7 @@
 	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8,
 		balancer.StatusConnectFailed: 8 + 4} {
 		settings := testSettings()
-		settings.FleetSize = 1 // an agent alone begins with eight a server
+		settings.FleetSize = 1 // a single agent begins with eight for each server
 		h := newHarness(t, settings, 2)
 		id, s := h.mustForward(1, 0)
 		h.endAttempt(id, 0, s, status, 5)
--- a/internal/policytest/resting_test.go
+++ b/internal/policytest/resting_test.go
@@ -37,37 +37,44 @@
 // then all are overloaded, and none is passed over.
 func TestServerRestsUnlessMostAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
-		state  string
-		passed bool
-	}{{"unloaded", false}, {"overloaded", true}, {"late", true}, {"most overloaded", false}} {
-		h := newHarness(t, testSettings(), 6)
-		for range 40 {
-			h.now += 500
-			h.serve(1, 20)
-		}
-		if c.state == "most overloaded" { // four of six, and then the one under test
-			for late := map[balancer.Addr]bool{}; len(late) < 4; {
-				h.now++
-				id, s := h.mustForward(0, h.random.Uint64()|1)
-				h.endAttempt(id, 0, s, balancer.StatusOK, 400)
-				late[s] = true
+		name      string
+		status    balancer.Status
+		latencyMs float64
+		lateFirst int // servers that were late before the one under test
+		rests     bool
+	}{
+		{"in time", balancer.StatusOK, 20, 0, false},
+		{"overloaded", balancer.StatusOverloaded, 20, 0, true},
+		{"late", balancer.StatusOK, 400, 0, true},
+		{"late, as most others", balancer.StatusOK, 400, 4, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, testSettings(), 6)
+			for range 40 {
+				h.now += 500
+				h.serve(1, 20)
 			}
-		}
-		id, s := h.mustForward(0, h.random.Uint64()|1)
-		ev := balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK,
-			LatencyMs: 20, RequestDone: true}
-		switch c.state {
-		case "overloaded":
-			ev.Status, ev.RequestDone = balancer.StatusOverloaded, false
-		case "late", "most overloaded":
-			ev.LatencyMs = 400
-		}
+			h.makeLate(c.lateFirst)
+			id, s := h.mustForward(0, h.random.Uint64()|1)
+			h.now++
+			actions := h.endAttempt(id, 0, s, c.status, c.latencyMs)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
+				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
+			}
+			if n := h.serveAndCount(60, 1, s); (n == 0) != c.rests {
+				t.Errorf("the server got %d of the next 60 new keys", n)
+			}
+		})
+	}
+}
+
+// makeLate has so many servers respond late.
+func (h *harness) makeLate(servers int) {
+	h.t.Helper()
+	for late := map[balancer.Addr]bool{}; len(late) < servers; {
 		h.now++
-		if a := findAction(h.handle(ev), balancer.ActionForward); a != nil {
-			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
-		}
-		if n := h.serveAndCount(60, 1, s); (n == 0) != c.passed {
-			t.Errorf("%s: the server got %d of the next 60 new keys", c.state, n)
-		}
+		id, s := h.mustForward(0, h.random.Uint64()|1)
+		h.endAttempt(id, 0, s, balancer.StatusOK, 400)
+		late[s] = true
 	}
 }
--- a/internal/policytest/retry_test.go
+++ b/internal/policytest/retry_test.go
@@ -20,9 +20,9 @@
 	}
 	h := newHarness(t, testSettings(), 3)
 	id, s := h.mustForward(1, 5)
-	if actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50); findAction(actions,
-		balancer.ActionForward) == nil {
-		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+	actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50)
+	if findAction(actions, balancer.ActionForward) == nil {
+		t.Errorf("an attempt that was not executed was not retried: %+v", actions)
 	}
 }
 
@@ -35,13 +35,13 @@
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
-		t.Fatalf("a deduplicated repeat did not stay in its cell: %+v", actions)
+		t.Fatalf("a retry did not stay in its cell: %+v", actions)
 	}
 	h.now += 496 // just inside the 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
 	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil &&
 		h.policy.Stats().Queued == 0 {
-		t.Errorf("a deduplicated repeat went out after its time: %+v", actions)
+		t.Errorf("a retry was forwarded after its window: %+v", actions)
 	}
 }
 
@@ -86,7 +86,7 @@
 		}
 		// The retry budget holds four tokens at the most.
 		if served && retries < 15 || !served && retries > 4 {
-			t.Errorf("four of five served: %v; %d further attempts", served, retries)
+			t.Errorf("four of five served: %v; %d retries", served, retries)
 		}
 	}
 }
--- a/internal/policytest/slowstart_test.go
+++ b/internal/policytest/slowstart_test.go
@@ -25,7 +25,7 @@
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a server in slow start got %d of %d sends; want some, and at most %.0f", got, all, limit)
+		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f", got, all, limit)
 	}
 }
 
@@ -39,14 +39,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		entries := make([]balancer.Endpoint, 20)
-		for i := range entries {
-			entries[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
+		endpoints := make([]balancer.Endpoint, 20)
+		for i := range endpoints {
+			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 		}
 		h.policy, h.random = b, rand.New(rand.NewPCG(seed, 2))
-		h.updateList(balancer.ListFull, entries...)
-		entries[19].StartedMs = h.now - 2000
-		h.updateList(balancer.ListFull, entries...)
+		h.updateList(balancer.ListFull, endpoints...)
+		endpoints[19].StartedMs = h.now - 2000
+		h.updateList(balancer.ListFull, endpoints...)
 		for range 20 {
 			h.now += 100
 			id, s := h.mustForward(0, h.random.Uint64())
@@ -68,7 +68,7 @@
 	// No connect reaches the warm ones any more. Then a server in slow start is listed.
 	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
 		if i > 20 {
-			t.Fatalf("the warm servers were not left: %v", h.healthStates())
+			t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
 		}
 		h.now += 10
 		id, actions := h.request(0, h.random.Uint64()|1)
