--- a/internal/policytest/fleet_slowstart_test.go
+++ b/internal/policytest/fleet_slowstart_test.go
@@ -96,166 +96,171 @@
 	return indices
 }
 
-// In any overload window a server in slow start gets no more attempts of all agents together than its
-// budget and what is due to chance, however many agents there are, whatever fails at the same time, and
-// however their requests are spread. (The doc comment of slowStart.earn derives the budget.)
-func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
-	cases := []struct {
-		name string
-		load float64
-		run  func(s *fleetSimulation)
-	}{
-		{"a fifth replaced", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(20000)
-		}},
-		{"agents restarted", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(1000)
-			s.restartMostAgents()
-			s.run(20000)
-		}},
-		{"uneven", 0.7, func(s *fleetSimulation) {
-			s.setShares(func(i int) float64 { return 1 / float64(i+1) })
-			s.run(3000)
-			s.restartServers(everyFifth(s)...)
-			s.run(20000)
-		}},
-		{"all in slow start", 0.7, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)...)
-			s.run(24000)
-		}},
-		{"burst", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(4000)
-			s.requestsPerMs *= 2.5
-			s.run(8000)
-		}},
-		{"warm lost", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(4000)
-			for i, server := range s.servers {
-				server.unreachable = i%2 == 0 && server.startedAt == 0
-			}
-			s.run(8000)
-		}},
-		{"all warm lost", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(4000)
-			s.disconnectWarm()
-			s.run(8000)
-		}},
-		{"half in steps", 0.8, func(s *fleetSimulation) {
-			for k := range 5 {
-				var which []int
-				for i := range s.servers {
-					if i%10 == k {
-						which = append(which, i)
-					}
+// slowStartCase is a course of events in a fleet simulation, after 5 s without faults.
+type slowStartCase struct {
+	name string
+	load float64 // part of the warm servers' capacity, as for newFleetSimulation
+	run  func(s *fleetSimulation)
+}
+
+// slowStartCases are the cases of TestSlowStartBoundsTheSumOfAllAgents.
+var slowStartCases = []slowStartCase{
+	{"a fifth replaced", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(20000)
+	}},
+	{"agents restarted", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(1000)
+		s.restartMostAgents()
+		s.run(20000)
+	}},
+	{"uneven", 0.7, func(s *fleetSimulation) {
+		s.setShares(func(i int) float64 { return 1 / float64(i+1) })
+		s.run(3000)
+		s.restartServers(everyFifth(s)...)
+		s.run(20000)
+	}},
+	{"all in slow start", 0.7, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)...)
+		s.run(24000)
+	}},
+	{"burst", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(4000)
+		s.requestsPerMs *= 2.5
+		s.run(8000)
+	}},
+	{"warm lost", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(4000)
+		for i, server := range s.servers {
+			server.unreachable = i%2 == 0 && server.startedAt == 0
+		}
+		s.run(8000)
+	}},
+	{"all warm lost", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(4000)
+		s.disconnectWarm()
+		s.run(8000)
+	}},
+	{"half in steps", 0.8, func(s *fleetSimulation) {
+		for k := range 5 {
+			var which []int
+			for i := range s.servers {
+				if i%10 == k {
+					which = append(which, i)
 				}
-				s.restartServers(which...)
-				s.run(3000)
 			}
-			s.run(9000)
-		}},
-		{"surge", 0.2, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(4000)
-			s.requestsPerMs *= 10
-			s.run(6000)
-		}},
-		{"surge, seven in ten agents new", 0.2, func(s *fleetSimulation) {
-			s.restartMostAgents()
-			s.restartServers(everyFifth(s)...)
-			s.run(2000)
-			s.requestsPerMs *= 10
-			s.run(6000)
-		}},
-		{"one warm left", 0.7, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)[1:]...)
-			s.run(24000)
-		}},
-		{"popular key", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(4000)
-			s.popularShare = 0.25
-			s.run(8000)
-		}},
-		{"overload", 1.8, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(20000)
-		}},
-		{"all in slow start, agents restarted", 0.7, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)...)
-			s.run(1000)
-			s.restartMostAgents()
-			s.run(20000)
-		}},
-		{"all in slow start, uneven", 0.7, func(s *fleetSimulation) {
-			s.setShares(func(i int) float64 { return 1 / float64(i+1) })
+			s.restartServers(which...)
 			s.run(3000)
-			s.restartServers(allServers(s)...)
-			s.run(24000)
-		}},
-		{"overload, then all in slow start", 2.2, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)...)
-			s.run(24000)
-		}},
-		{"overload, one in slow start", 2.2, func(s *fleetSimulation) {
-			s.restartServers(0)
-			s.run(24000)
-		}},
-		{"overload, one warm left", 1.8, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)[1:]...)
-			s.run(24000)
-		}},
-		{"early surge", 0.05, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(400)
-			s.requestsPerMs *= 40
-			s.run(6000)
-		}},
-		{"agents restarted repeatedly", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			for range 10 {
-				s.run(500)
-				s.restartMostAgents()
-			}
-			s.run(10000)
-		}},
-		{"all in slow start and failing", 0.7, func(s *fleetSimulation) {
-			s.restartServers(allServers(s)...)
-			s.run(500)
-			s.failServers(6000, allServers(s)...)
-			s.run(10000)
-		}},
-		{"all warm lost, others failing", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
-			s.run(500)
-			s.disconnectWarm()
-			s.failServers(6000, everyFifth(s)...)
-			s.run(10000)
-		}},
-		{"all unresponsive, a fifth in slow start", 0.7, func(s *fleetSimulation) {
-			s.restartServers(everyFifth(s)...)
+		}
+		s.run(9000)
+	}},
+	{"surge", 0.2, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(4000)
+		s.requestsPerMs *= 10
+		s.run(6000)
+	}},
+	{"surge, seven in ten agents new", 0.2, func(s *fleetSimulation) {
+		s.restartMostAgents()
+		s.restartServers(everyFifth(s)...)
+		s.run(2000)
+		s.requestsPerMs *= 10
+		s.run(6000)
+	}},
+	{"one warm left", 0.7, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)[1:]...)
+		s.run(24000)
+	}},
+	{"popular key", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(4000)
+		s.popularShare = 0.25
+		s.run(8000)
+	}},
+	{"overload", 1.8, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(20000)
+	}},
+	{"all in slow start, agents restarted", 0.7, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)...)
+		s.run(1000)
+		s.restartMostAgents()
+		s.run(20000)
+	}},
+	{"all in slow start, uneven", 0.7, func(s *fleetSimulation) {
+		s.setShares(func(i int) float64 { return 1 / float64(i+1) })
+		s.run(3000)
+		s.restartServers(allServers(s)...)
+		s.run(24000)
+	}},
+	{"overload, then all in slow start", 2.2, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)...)
+		s.run(24000)
+	}},
+	{"overload, one in slow start", 2.2, func(s *fleetSimulation) {
+		s.restartServers(0)
+		s.run(24000)
+	}},
+	{"overload, one warm left", 1.8, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)[1:]...)
+		s.run(24000)
+	}},
+	{"early surge", 0.05, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(400)
+		s.requestsPerMs *= 40
+		s.run(6000)
+	}},
+	{"agents restarted repeatedly", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		for range 10 {
 			s.run(500)
-			s.hangServers(2500, allServers(s)...)
-			s.run(10000)
-		}},
-		{"list's clock an hour ahead", 0.7, func(s *fleetSimulation) {
-			s.clockAheadMs = 3600e3
-			s.restartServers(everyFifth(s)...)
-			s.run(3000)
 			s.restartMostAgents()
-			s.run(18000)
-		}},
-	}
+		}
+		s.run(10000)
+	}},
+	{"all in slow start and failing", 0.7, func(s *fleetSimulation) {
+		s.restartServers(allServers(s)...)
+		s.run(500)
+		s.failServers(6000, allServers(s)...)
+		s.run(10000)
+	}},
+	{"all warm lost, others failing", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(500)
+		s.disconnectWarm()
+		s.failServers(6000, everyFifth(s)...)
+		s.run(10000)
+	}},
+	{"all unresponsive, a fifth in slow start", 0.7, func(s *fleetSimulation) {
+		s.restartServers(everyFifth(s)...)
+		s.run(500)
+		s.hangServers(2500, allServers(s)...)
+		s.run(10000)
+	}},
+	{"list's clock an hour ahead", 0.7, func(s *fleetSimulation) {
+		s.clockAheadMs = 3600e3
+		s.restartServers(everyFifth(s)...)
+		s.run(3000)
+		s.restartMostAgents()
+		s.run(18000)
+	}},
+}
+
+// In any overload window a server in slow start gets no more attempts of all agents together than its
+// budget and what is due to chance, however many agents there are, whatever fails at the same time, and
+// however their requests are spread. (The doc comment of slowStart.earn derives the budget.)
+func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
 		{1500, 15}, // a hundred at each, as 30 would take a minute under the race detector
 		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
 	}
-	for _, c := range cases {
+	for _, c := range slowStartCases {
 		for _, fleet := range fleets {
 			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
 				t.Parallel()
