--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
 )
 
 // With an empty endpoint list a request is rejected in time.
@@ -222,3 +223,21 @@
 		}
 	}
 }
+
+// A request with a key that comes before any endpoint list waits for one, as others do.
+func TestKeyedRequestBeforeTheFirstListWaits(t *testing.T) {
+	b, err := policy.New(testSettings(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const now = 1e6
+	b.Start(now, nil)
+	for _, a := range b.Handle(now, &balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+		if a.Kind != balancer.ActionSetTimer {
+			t.Errorf("action %+v, want the request queued", a)
+		}
+	}
+	if queued := b.Stats().Queued; queued != 1 {
+		t.Errorf("%d requests queued, want 1", queued)
+	}
+}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -189,7 +189,8 @@
 // nearestAreFull tells whether the request waits for the servers nearest its key, as they were last
 // determined, and none of them accepts it.
 func (l *serverSelector) nearestAreFull(r *request) bool {
-	if !r.waitsForKey(l.env.now) || r.nearestEpoch != l.endpoints.epoch {
+	determined := r.nearest[0] != nil && r.nearestEpoch == l.endpoints.epoch
+	if !determined || !r.waitsForKey(l.env.now) {
 		return false
 	}
 	for _, s := range r.nearest {
