--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -45,20 +45,20 @@
 
 // Clients are served whatever accepts fail, and the failures are counted.
 func TestFailedAcceptsDoNotEndTheAgent(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newFakeServer(t, respondOK)
 	a := startAgentOn(t, newDiscoveryServer(t, target("s-1", b.addr)), newFlakyListener(t), nil)
 	for range 3 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, http.StatusOK)
 	}
-	if got, least := a.figures().acceptFailures, 3*len(acceptErrnos); got < least {
+	if got, least := a.metricsNow().acceptFailures, 3*len(acceptErrnos); got < least {
 		t.Errorf("%d failed accepts counted, want at least %d", got, least)
 	}
 }
 
 // Operators are answered whatever accepts fail.
-func TestFailedAcceptsDoNotEndTheOperatorsListener(t *testing.T) {
-	m := newManagement(&front{}, nil, maxCalls)
+func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
+	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns)
 	ln := newFlakyListener(t)
 	served := make(chan error, 1)
 	go func() { served <- m.serve(ln) }()
@@ -77,8 +77,8 @@
 }
 
 // A listener that is closed under the operators' server still ends it, with its reason.
-func TestClosedOperatorsListenerEndsWithItsReason(t *testing.T) {
-	m := newManagement(&front{}, nil, maxCalls)
+func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
+	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/addresses.go
+++ b/internal/agent/addresses.go
@@ -26,21 +26,21 @@
 const (
 	// moveMost bounds the wait before the next address is asked: agents that hung on one instance
 	// must not come to the others in step.
-	moveMost = 750 * time.Millisecond
+	maxFailoverDelay = 750 * time.Millisecond
 	// turnFirst and turnMost bound the wait, drawn evenly from nothing up to a bound that doubles, before
 	// the next turn once all addresses have failed in one.
-	turnFirst, turnMost = time.Second, 4 * time.Second
+	minRoundBackoff, maxRoundBackoff = time.Second, 4 * time.Second
 )
 
 // order is all addresses in an agent's own order, by a hash of its name: the agents begin spread over
 // the addresses, and those of one that fails go on to different ones. An address is in the place that
 // its own hash with the name gives it, so that another that comes or goes moves few agents.
-func order(addrs []string, name string) []string {
+func orderAddresses(addrs []string, name string) []string {
 	out := make([]string, 0, len(addrs))
 	for _, addr := range addrs {
 		at := len(out)
 		for i, o := range out {
-			if mix(hashString(name+"\x00"+addr)) < mix(hashString(name+"\x00"+o)) {
+			if mixHash(hashString(name+"\x00"+addr)) < mixHash(hashString(name+"\x00"+o)) {
 				at = i
 				break
 			}
@@ -51,65 +51,65 @@
 }
 
 // mix spreads what differs in a hash's low bits over all of it (the finalizer of MurmurHash3).
-func mix(h uint64) uint64 {
+func mixHash(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
 // ring is the addresses of a place, of which one is asked until a call there fails.
-type ring struct {
-	addrs []string
-	at    atomic.Uint32
+type addressRing struct {
+	addrs   []string
+	current atomic.Uint32
 }
 
 // now is the address to ask, and which that is.
-func (r *ring) now() (addr string, at uint32) {
-	at = r.at.Load()
+func (r *addressRing) address() (addr string, at uint32) {
+	at = r.current.Load()
 	return r.addrs[int(at)%len(r.addrs)], at
 }
 
 // failed goes on to the next address, unless another call has done so already.
-func (r *ring) failed(at uint32) { r.at.CompareAndSwap(at, at+1) }
+func (r *addressRing) advance(at uint32) { r.current.CompareAndSwap(at, at+1) }
 
 // turn says how long a watch waits after a failure; it belongs to the watch.
-type turn struct {
+type addressBackoff struct {
 	backoff  backoff.ExponentialBackOff
 	failures int
 }
 
-func newTurn() *turn {
-	t := &turn{backoff: backoff.ExponentialBackOff{InitialInterval: turnFirst / 2, MaxInterval: turnMost / 2,
+func newAddressBackoff() *addressBackoff {
+	t := &addressBackoff{backoff: backoff.ExponentialBackOff{InitialInterval: minRoundBackoff / 2, MaxInterval: maxRoundBackoff / 2,
 		RandomizationFactor: 1, Multiplier: 2}} // so the wait is drawn from nothing to twice the interval
 	t.backoff.Reset()
 	return t
 }
 
 // wait is the time from a failure to the next call, where so many addresses are asked in turn.
-func (t *turn) wait(addrs int) time.Duration {
+func (t *addressBackoff) nextDelay(addrs int) time.Duration {
 	if t.failures++; t.failures < addrs {
-		return rand.N(moveMost)
+		return rand.N(maxFailoverDelay)
 	}
 	t.failures = 0
 	return t.backoff.NextBackOff()
 }
 
 // answered begins anew, as after the start.
-func (t *turn) answered() {
+func (t *addressBackoff) reset() {
 	t.failures = 0
 	t.backoff.Reset()
 }
 
 // errLost ends a call whose connection was lost.
-var errLost = errors.New("the connection was lost")
+var errConnectionLost = errors.New("the connection was lost")
 
 // hadConn is the key of whether a call has had a connection.
-type hadConn struct{}
+type hadConnKey struct{}
 
 // onOneConn is the context of a call that is not made again by itself. The client of net/http makes a call
 // whose kept connection is lost again at once, on a new one: at an instance's fall all its agents would.
-func onOneConn(ctx context.Context) context.Context {
+func withSingleConn(ctx context.Context) context.Context {
 	had := new(atomic.Bool)
-	ctx = context.WithValue(ctx, hadConn{}, had)
+	ctx = context.WithValue(ctx, hadConnKey{}, had)
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { had.Store(true) }})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,21 +30,21 @@
 
 // Agent is one agent. Many may run in one process.
 type Agent struct {
-	cfg     *Config
-	ln      Listeners
-	clients *clientListener
-	front   *front
-	loop    *loop
-	stop    context.CancelFunc // of the loop, and of all that has its context
-	ended   chan struct{}      // closed once the loop has
-	usable  chan struct{}      // closed once a backend may be sent to
+	cfg        *Config
+	ln         Listeners
+	clients    *clientListener
+	downstream *downstreamServer
+	eventLoop  *eventLoop
+	stopLoop   context.CancelFunc // of the loop, and of all that has its context
+	loopDone   chan struct{}      // closed once the loop has
+	usable     chan struct{}      // closed once a backend may be sent to
 	// told takes settings that the list service told, until unserved is closed.
-	told     chan handover
-	unserved chan struct{}
-	view     atomic.Pointer[membership.Fleet]
-	door     *management
-	killed   context.Context
-	kill     context.CancelFunc
+	settingsUpdates chan settingsUpdate
+	servingDone     chan struct{}
+	membership      atomic.Pointer[membership.Fleet]
+	admin           *adminServer
+	killed          context.Context
+	kill            context.CancelFunc
 }
 
 // ErrKilled is what Run returns after Kill.
@@ -55,16 +55,16 @@
 // replaces the settings, unless the list service has told others, and the addresses of discovery; the
 // rest takes effect at a start only.
 func Run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config) error {
-	return run(stop, cfg, ln, reloads, func(*front, *loop) {})
+	return run(stop, cfg, ln, reloads, func(*downstreamServer, *eventLoop) {})
 }
 
 // run is Run, which also hands out the parts before they start.
-func run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config, made func(*front, *loop)) error {
+func run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config, made func(*downstreamServer, *eventLoop)) error {
 	a, err := New(cfg, ln)
 	if err != nil {
 		return err
 	}
-	made(a.front, a.loop)
+	made(a.downstream, a.eventLoop)
 	return a.Run(stop, reloads)
 }
 
@@ -75,22 +75,22 @@
 		if ln.Shared {
 			return nil, errors.New("agent: no listener to share")
 		}
-		ln.Clients = newNoClients()
+		ln.Clients = newUnusedListener()
 	}
-	a := &Agent{cfg: cfg, ln: ln, front: newFront(cfg), ended: make(chan struct{}), usable: make(chan struct{}),
-		told: make(chan handover), unserved: make(chan struct{})}
+	a := &Agent{cfg: cfg, ln: ln, downstream: newDownstreamServer(cfg), loopDone: make(chan struct{}), usable: make(chan struct{}),
+		settingsUpdates: make(chan settingsUpdate), servingDone: make(chan struct{})}
 	ctx, stop := context.WithCancel(context.Background())
-	a.stop = stop
+	a.stopLoop = stop
 	var err error
-	if a.loop, err = newLoop(ctx, cfg, sync.OnceFunc(func() { close(a.usable) })); err != nil {
+	if a.eventLoop, err = newEventLoop(ctx, cfg, sync.OnceFunc(func() { close(a.usable) })); err != nil {
 		stop()
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	if w := a.loop.disc.settings; w != nil {
-		w.take = a.take
+	if w := a.eventLoop.discovery.settingsWatch; w != nil {
+		w.apply = a.applySettings
 	}
-	a.front.loop = a.loop
-	a.clients = newClientListener(listener.New(ln.Clients, a.front.acceptFailed), a.front.conns.slots)
+	a.downstream.loop = a.eventLoop
+	a.clients = newClientListener(listener.New(ln.Clients, a.downstream.acceptFailed), a.downstream.conns.slots)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
@@ -99,30 +99,30 @@
 // as the function Run says. At its return all sockets are closed. After Kill it returns ErrKilled.
 func (a *Agent) Run(stop context.Context, reloads <-chan *Config) error {
 	go func() {
-		defer close(a.ended)
-		a.loop.run()
+		defer close(a.loopDone)
+		a.eventLoop.run()
 	}()
-	view, err := joinFleet(a.cfg, a.front, a.loop)
-	a.view.Store(view)
-	a.door = newManagement(a.front, view, a.cfg.operatorConns(1))
-	a.door.logTo(a.cfg.logger())
-	end := sync.OnceFunc(a.end)
+	view, err := startMembership(a.cfg, a.downstream, a.eventLoop)
+	a.membership.Store(view)
+	a.admin = newAdminServer(a.downstream, view, a.cfg.adminConns(1))
+	a.admin.setLogger(a.cfg.logger())
+	end := sync.OnceFunc(a.closeAll)
 	defer end()
 	defer context.AfterFunc(a.killed, end)()
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	share := &shares{cfg: a.cfg, door: a.door, conns: a.front.conns, pool: a.loop.pool,
-		quotas: []quota{a.front.conns.slots, a.front.budget, a.loop.pool.budget}}
+	share := &sharedLimits{cfg: a.cfg, admin: a.admin, conns: a.downstream.conns, pool: a.eventLoop.pool,
+		quotas: []quota{a.downstream.conns.slots, a.downstream.bodyBudget, a.eventLoop.pool.budget}}
 	held, err := a.serve(stop, reloads, share)
 	if err != nil {
 		return err
 	}
 	if a.ln.Shared {
-		share.halve(a.loop.ctx) // the other process is there, or comes
+		share.halve(a.eventLoop.ctx) // the other process is there, or comes
 	}
-	left := leaveFleet(view)
-	err = a.front.shutdown(a.clients, a.ln.Shared, held)
+	left := leaveMembership(view)
+	err = a.downstream.shutdown(a.clients, a.ln.Shared, held)
 	if a.killed.Err() != nil {
 		return ErrKilled
 	}
@@ -130,26 +130,26 @@
 		a.cfg.logger().Warn("shutdown", "err", err)
 	}
 	<-left
-	a.stop() // only after the front: requests held need the loop to the end
-	<-a.ended
-	a.cfg.logger().Info("stopped", "figures", fmt.Sprintf("%+v", *a.loop.counts()))
+	a.stopLoop() // only after the front: requests held need the loop to the end
+	<-a.loopDone
+	a.cfg.logger().Info("stopped", "figures", fmt.Sprintf("%+v", *a.eventLoop.currentMetrics()))
 	return nil
 }
 
 // serve serves until stop is done, and tells how long requests are held from then on.
-func (a *Agent) serve(stop context.Context, reloads <-chan *Config, share *shares) (held time.Duration, err error) {
-	defer close(a.unserved)
+func (a *Agent) serve(stop context.Context, reloads <-chan *Config, share *sharedLimits) (held time.Duration, err error) {
+	defer close(a.servingDone)
 	failed := make(chan error, 2)
 	if a.ln.Operators != nil {
-		go func() { failed <- a.door.serve(a.ln.Operators) }()
+		go func() { failed <- a.admin.serve(a.ln.Operators) }()
 	}
 	if a.ln.Shared {
 		// Before the first client, so that what the other process has is left to it.
-		if err := share.takeTurn(a.loop.ctx, a.ln.Lock); err != nil {
+		if err := share.holdLock(a.eventLoop.ctx, a.ln.Lock); err != nil {
 			return 0, fmt.Errorf("agent: %w", err)
 		}
 	}
-	serve := func() { failed <- a.front.serve(a.clients) }
+	serve := func() { failed <- a.downstream.serve(a.clients) }
 	if !a.ln.Shared {
 		// Until a backend is known clients are answered that it is not.
 		go serve()
@@ -157,10 +157,10 @@
 	}
 	var waited <-chan time.Time
 	if !a.ln.Shared { // there the process that still serves knows more
-		waited = time.After(firstListWait)
+		waited = time.After(firstListTimeout)
 	}
 	usable := a.usable
-	force := &inForce{cfg: a.cfg, front: a.front, loop: a.loop, held: a.cfg.heldFor()}
+	force := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.eventLoop, drainTime: a.cfg.drainTime()}
 	for {
 		select {
 		case <-usable:
@@ -169,10 +169,10 @@
 			if serve != nil {
 				go serve()
 			}
-			a.front.ready()
+			a.downstream.setServing()
 			usable = nil
 		case <-waited:
-			a.front.takes.Store(true)
+			a.downstream.acceptsClients.Store(true)
 		case err := <-failed:
 			if a.killed.Err() != nil {
 				err = ErrKilled
@@ -180,32 +180,32 @@
 			return 0, err
 		case c := <-reloads:
 			force.reload(c)
-		case h := <-a.told:
-			force.come(h)
+		case h := <-a.settingsUpdates:
+			force.applyUpdate(h)
 		case <-a.killed.Done():
 			return 0, ErrKilled
 		case <-stop.Done():
-			return force.held, nil
+			return force.drainTime, nil
 		}
 	}
 }
 
 // take hands settings that the list service told to serve, and returns once they are in force. An
 // error is why they are not: errNotServing once nothing is taken over any more.
-func (a *Agent) take(ctx context.Context, s *endpoint.Settings) error {
-	h := handover{settings: s, done: make(chan error, 1)}
+func (a *Agent) applySettings(ctx context.Context, s *endpoint.Settings) error {
+	h := settingsUpdate{settings: s, done: make(chan error, 1)}
 	select {
-	case a.told <- h:
-	case <-a.unserved:
-		return errNotServing
+	case a.settingsUpdates <- h:
+	case <-a.servingDone:
+		return errAgentStopping
 	case <-ctx.Done():
-		return errNotServing
+		return errAgentStopping
 	}
 	select {
 	case err := <-h.done:
 		return err
 	case <-ctx.Done():
-		return errNotServing
+		return errAgentStopping
 	}
 }
 
@@ -215,20 +215,20 @@
 
 // end closes whatever is open, clients first: a request that the loop's end cut off must not
 // look answered.
-func (a *Agent) end() {
+func (a *Agent) closeAll() {
 	a.clients.Close()
-	a.front.server.Close()
+	a.downstream.server.Close()
 	if a.ln.Operators != nil {
 		a.ln.Operators.Close() // where it has not been served yet
 	}
-	a.door.close()
-	a.stop()
-	a.loop.disc.close()
-	a.loop.pool.end()
-	if view := a.view.Load(); view != nil {
+	a.admin.close()
+	a.stopLoop()
+	a.eventLoop.discovery.close()
+	a.eventLoop.pool.shutdown()
+	if view := a.membership.Load(); view != nil {
 		view.Kill()
 	}
-	<-a.ended
+	<-a.loopDone
 }
 
 // Status is what an agent has counted and knows.
@@ -247,11 +247,11 @@
 
 // Status tells the agent's counts; it never waits for its work.
 func (a *Agent) Status() Status {
-	n, l := &a.loop.disc.count, &a.loop.shown
-	s := Status{ListVersion: l.version.Load(), Servers: int(l.servers.Load()),
-		SettingsVersion: l.settings.Load(),
-		ListIn:          n.in.Load(), ListOut: n.out.Load(), ListCalls: n.calls.Load()}
-	if view := a.view.Load(); view != nil {
+	n, l := &a.eventLoop.discovery.counters, &a.eventLoop.published
+	s := Status{ListVersion: l.listVersion.Load(), Servers: int(l.servers.Load()),
+		SettingsVersion: l.settingsVersion.Load(),
+		ListIn:          n.bytesIn.Load(), ListOut: n.bytesOut.Load(), ListCalls: n.calls.Load()}
+	if view := a.membership.Load(); view != nil {
 		status := view.Status(math.MaxUint64)
 		s.Fleet = &status
 	}
@@ -260,13 +260,13 @@
 
 // joinFleet begins to take part in the fleet view, where the configuration has one. The loop
 // gets each view as a posted event; nothing in the loop waits for it.
-func joinFleet(cfg *Config, f *front, l *loop) (*membership.Fleet, error) {
+func startMembership(cfg *Config, f *downstreamServer, l *eventLoop) (*membership.Fleet, error) {
 	if cfg.Fleet == nil {
 		return nil, nil
 	}
 	c := *cfg.Fleet
 	c.Log = cfg.logger()
-	c.OnView = func(v *membership.View) { l.post(func() { l.onFleet(v) }) }
+	c.OnView = func(v *membership.View) { l.post(func() { l.onMembershipView(v) }) }
 	view, err := membership.Start(c)
 	if err == nil {
 		f.onDrain = view.SetDraining
@@ -276,7 +276,7 @@
 
 // leaveFleet tells the others that this process ends, beside its last requests; what it gives
 // is closed once they are told.
-func leaveFleet(view *membership.Fleet) <-chan struct{} {
+func leaveMembership(view *membership.Fleet) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -289,22 +289,22 @@
 
 // firstListWait is how long clients are kept waiting for a first server: restarts are ready within
 // 10 s, also where nothing is known and discovery is silent. Requests are then refused in time.
-const firstListWait = 5 * time.Second
+const firstListTimeout = 5 * time.Second
 
 // MemoryLimit is the memory that the runtime is to keep within, long before the limit over
 // which the agent would be killed.
 func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
 
 // longestWait is how long a deadline counts for the platform at the most.
-const longestWait = 3 * time.Second
+const maxCountedTimeout = 3 * time.Second
 
 // heldFor is how long requests are held after SIGTERM at the most. SIGKILL comes no sooner
 // than the longest deadline (but longestWait) and 0.7 s after it: what came while connections
 // still did has its whole time up to that, and its final answer well before the kill.
-func (c *Config) heldFor() time.Duration {
+func (c *Config) drainTime() time.Duration {
 	held := 100 * time.Millisecond
 	for _, class := range c.Settings.Classes {
-		held = max(held, min(ms(class.TotalTimeoutMs), longestWait)+50*time.Millisecond)
+		held = max(held, min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)+50*time.Millisecond)
 	}
-	return linger + held
+	return drainAcceptTime + held
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,27 +22,27 @@
 )
 
 // one starts an agent in front of one backend with the given script.
-func one(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
+func startWithServer(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeServer) {
 	t.Helper()
-	b := newBackend(t, answer)
+	b := newFakeServer(t, answer)
 	return startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil), b
 }
 
 func TestServed(t *testing.T) {
 	var mu sync.Mutex
 	var seen http.Header
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		seen = req.Header.Clone()
 		mu.Unlock()
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
 	req := newRequest(a.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
 	// What a client says of its connection does not take away what names its request.
 	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
 	req.Header.Set("X-Hop", "1")
-	status, header, body := a.ask(req)
+	status, header, body := a.do(req)
 	wantStatus(t, status, 200)
 	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
 		t.Errorf("body %q, want %q", body, want)
@@ -67,7 +67,7 @@
 // The ends of an attempt: what the client is told and how often the backend saw it.
 func TestOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool { return send(c, status, header, body) }
+		return func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, status, header, body) }
 	}
 	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool {
@@ -85,7 +85,7 @@
 		{"500 may have run", "order", always(500, "", ""), 502, 1},
 		{"503 without proof may have run", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have run", "order",
-			func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, 502, 1},
+			func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 502, 1},
 		{"close after the last byte may have run", "order", raw("", false), 502, 1},
 		{"broken body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
 		{"broken chunk may have run", "order",
@@ -93,22 +93,22 @@
 		{"an answer may end with its connection", "order", raw("HTTP/1.1 200 OK\r\n\r\nwhole", false), 200, 1},
 		{"an answer cut off by a reset may have run", "order", func(c net.Conn, _ *http.Request, _ int) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-			return reset(c)
+			return resetConn(c)
 		}, 502, 1},
 		{"two framings at once may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", true), 502, 1},
-		{"an endless head may have run", "order", raw("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*maxHead), true), 502, 1},
+		{"an endless head may have run", "order", raw("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*maxResponseHead), true), 502, 1},
 		{"what is no HTTP is not waited for", "order", raw("\x00\x01 no end of line", true), 502, 1},
 		{"unreadable head may have run", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"a long answer is streamed", "order", always(200, "", strings.Repeat("x", 40*maxBody)), 200, 1},
+		{"a long answer is streamed", "order", always(200, "", strings.Repeat("x", 40*maxBufferedBody)), 200, 1},
 		{"turned away never ran", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
 		{"504 with proof never ran", "order", always(504, "Not-Started: 1\r\n", ""), 503, 3},
 		{"what a server calls unfit fails, also where an error goes again", "send", always(400, "", ""), 400, 1},
 		{"an error is repeated for a keyed one, three attempts at most", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := one(t, test.answer)
-			status, header, _ := a.ask(newRequest(a.addr, test.class, "x"))
+			a, b := startWithServer(t, test.answer)
+			status, header, _ := a.do(newRequest(a.addr, test.class, "x"))
 			wantStatus(t, status, test.status)
 			if b.count() != test.arrivals {
 				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
@@ -116,37 +116,37 @@
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.figures(); f.backstops+f.guarded > 0 {
+			if f := a.metricsNow(); f.backstops+f.violations > 0 {
 				t.Errorf("a guard had to act: %+v", f)
 			}
 		})
 	}
 }
 
-func TestTurnedAwayGoesAgain(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+func TestOverloadedAttemptIsRetried(t *testing.T) {
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
-			return send(c, 503, "Not-Started: 1\r\n", "")
+			return sendResponse(c, 503, "Not-Started: 1\r\n", "")
 		}
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
 	}
 }
 
-func TestInterimAnswerIsPassedOver(t *testing.T) {
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+func TestInterimResponseIsSkipped(t *testing.T) {
+	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
-func TestRefusedConnectNeverRan(t *testing.T) {
+func TestRefusedConnectDidNotExecute(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", addr)), nil)
-	status, header, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, header, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
 		t.Error("refused without Retry-After")
@@ -163,7 +163,7 @@
 
 // A connection that breaks before the last byte is written proves that the
 // attempt never ran; only the count of bytes written tells it from a reset.
-func TestBreakBeforeLastByteNeverRan(t *testing.T) {
+func TestBreakBeforeLastByteDidNotExecute(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
@@ -178,7 +178,7 @@
 			return
 		}
 		c.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
-		reset(c)
+		resetConn(c)
 		c.Close()
 	}()
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -187,39 +187,39 @@
 	}
 	nc.(*net.TCPConn).SetWriteBuffer(4096)
 	addr := ln.Addr().String()
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: time.Second, keepalive: time.Minute, max: 8, open: 1, idle: map[string][]*conn{
-		addr: {{Conn: nc, br: bufio.NewReader(nc), addr: addr, since: time.Now().Add(-time.Second)}}}}
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
+		addr: {{Conn: nc, reader: bufio.NewReader(nc), addr: addr, idleSince: time.Now().Add(-time.Second)}}}}
 	req := newRequest(addr, "order", "")
-	c := &call{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBody)}
+	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBufferedBody)}
 	now := time.Now()
-	if res := p.do(context.Background(), &backend{}, addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusConnectFailed {
+	if res := p.attempt(context.Background(), &upstreamServer{}, addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusConnectFailed {
 		t.Errorf("ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
-	if p.open != 0 {
-		t.Errorf("%d connections counted as open", p.open)
+	if p.openConns != 0 {
+		t.Errorf("%d connections counted as open", p.openConns)
 	}
 }
 
 // A backend told to drain while the attempt was connecting gets nothing new, and an
 // attempt withdrawn meanwhile says nothing against its backend.
-func TestNothingIsBegunOnceDrainedOrWithdrawn(t *testing.T) {
-	b := newBackend(t, serving)
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 8, idle: map[string][]*conn{}}
+func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
+	b := newFakeServer(t, respondOK)
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
 	req := newRequest(b.addr, "order", "")
-	c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
+	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 	now := time.Now()
-	drained := &backend{}
-	drained.closed.Store(true)
-	if res := p.do(t.Context(), drained, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusConnectFailed {
+	drained := &upstreamServer{}
+	drained.unavailable.Store(true)
+	if res := p.attempt(t.Context(), drained, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusConnectFailed {
 		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := p.do(ctx, &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusCancelled {
+	if res := p.attempt(ctx, &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusCancelled {
 		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.StatusCancelled)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
+	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
 		t.Errorf("ended as %d, want %d", res.status, balancer.StatusOK)
 	}
 	if b.count() != 1 {
@@ -228,9 +228,9 @@
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithServer(t, respondOK)
 	for range 3 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(2 * settleTime)
 	}
@@ -244,19 +244,19 @@
 // A kept connection that the backend has closed must be noticed before it carries
 // a request: an unsafe one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		serving(c, req, n)
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+		respondOK(c, req, n)
 		return n > 0
 	})
 	wantServed := func() {
 		t.Helper()
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	wantServed()
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the backend did not close")
 	}
 	wantServed()
@@ -269,13 +269,13 @@
 // request may have run and is never sent again behind the module's back, not even
 // with the key or without the body that make http.Transport do so.
 func TestNoSilentResend(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		return n == 0 && serving(c, req, n)
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+		return n == 0 && respondOK(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ := a.do(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 200)
 	time.Sleep(2 * settleTime)
-	status, _, _ = a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ = a.do(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 502)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
@@ -284,12 +284,12 @@
 
 // A backend that says nothing: the request fails within its time, and the
 // connection is closed, as the late answer would be taken for the next one's.
-func TestSilentBackend(t *testing.T) {
-	a, b := one(t, func(net.Conn, *http.Request, int) bool { return true })
+func TestSilentServer(t *testing.T) {
+	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	from := time.Now()
-	status, _, _ := a.ask(req)
+	status, _, _ := a.do(req)
 	if status != 502 && status != 504 {
 		t.Errorf("answered %d, want a failure", status)
 	}
@@ -298,7 +298,7 @@
 	}
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the connection stays open")
 	}
 	if b.count() != 1 {
@@ -311,75 +311,75 @@
 
 // The backstop answers before the deadline when the module does not.
 func TestBackstop(t *testing.T) {
-	l, err := newLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.cfg, func() {})
+	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.cfg, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// A request that the module was never told of stands for one that it forgot.
-	c := &call{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), answer: make(chan answer, 1)}
-	r := &request{id: 1, call: c}
-	l.requests[1], l.open = r, 1
-	l.late(r)
-	if a := <-c.answer; a.verdict != failed || !a.late {
+	c := &clientRequest{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), response: make(chan finalResponse, 1)}
+	r := &request{id: 1, client: c}
+	l.requests[1], l.unanswered = r, 1
+	l.backstopExpired(r)
+	if a := <-c.response; a.kind != responseFailed || !a.timedOut {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
-	l.finish(r, answer{verdict: served})
-	if len(c.answer) != 0 || l.figures.backstops != 1 || l.open != 0 || len(l.requests) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.answer), l.figures, l.open)
+	l.finish(r, finalResponse{kind: responseServed})
+	if len(c.response) != 0 || l.metrics.backstops != 1 || l.unanswered != 0 || len(l.requests) != 0 {
+		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.metrics, l.unanswered)
 	}
 }
 
 // The guards hold whatever the module says.
-func TestGuards(t *testing.T) {
-	up := func() *backend { return &backend{addr: "127.0.0.1:1"} }
+func TestViolationsArePrevented(t *testing.T) {
+	up := func() *upstreamServer { return &upstreamServer{addr: "127.0.0.1:1"} }
 	drained := up()
-	drained.closed.Store(true)
+	drained.unavailable.Store(true)
 	now := time.Now()
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
 	for _, test := range []struct {
 		name  string
 		r     request
-		b     *backend
+		b     *upstreamServer
 		until time.Time
 		want  bool
 	}{
 		{"allowed", request{}, up(), now.Add(time.Second), true},
 		{"drained", request{}, drained, now.Add(time.Second), false},
 		{"unknown backend", request{}, nil, now.Add(time.Second), false},
-		{"one out", request{out: 1}, up(), now.Add(time.Second), false},
+		{"one out", request{inFlight: 1}, up(), now.Add(time.Second), false},
 		{"answered", request{answered: true}, up(), now.Add(time.Second), false},
-		{"may have run", request{mayRun: 1}, up(), now.Add(time.Second), false},
+		{"may have run", request{mayHaveRun: 1}, up(), now.Add(time.Second), false},
 		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
 		{"no time", request{}, up(), now, false},
 	} {
-		test.r.call = &call{ctx: t.Context(), rules: orderRules}
-		if why := l.forbidden(&test.r, test.b, now, test.until); (why == "") != test.want {
+		test.r.client = &clientRequest{ctx: t.Context(), rules: orderRules}
+		if why := l.violation(&test.r, test.b, now, test.until); (why == "") != test.want {
 			t.Errorf("%s: %q", test.name, why)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
-	c := &call{ctx: t.Context(), rules: orderRules, answer: make(chan answer, 1)}
+	c := &clientRequest{ctx: t.Context(), rules: orderRules, response: make(chan finalResponse, 1)}
 	done := make(chan bool)
-	l.post(func() { l.refuse(&request{id: 1 << 30, call: c, mayRun: 1}, 1); close(done) })
+	l.post(func() { l.reject(&request{id: 1 << 30, client: c, mayHaveRun: 1}, 1); close(done) })
 	<-done
-	if a := <-c.answer; a.verdict != failed {
+	if a := <-c.response; a.kind != responseFailed {
 		t.Errorf("answered %+v, want a failure", a)
 	}
 }
 
 func TestDrain(t *testing.T) {
-	old, other := newBackend(t, serving), newBackend(t, serving)
+	old, other := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", old.addr))
 	a := startAgent(t, d, nil)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	d.set(target("s-2", other.addr))
 	drains := target("s-1", old.addr)
 	drains.State = "draining"
-	d.told(t, drains)
+	d.waitNotified(t, drains)
 	before := old.count()
 	for range 8 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if old.count() != before || other.count() < 8 {
@@ -387,19 +387,19 @@
 	}
 	select { // its idle connection is closed
 	case <-old.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the idle connection to the draining backend stays open")
 	}
 }
 
 func TestAddressChange(t *testing.T) {
-	old, moved := newBackend(t, serving), newBackend(t, serving)
+	old, moved := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", old.addr))
 	a := startAgent(t, d, nil)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	d.told(t, target("s-1", moved.addr))
-	status, _, _ = a.ask(newRequest(a.addr, "order", "x"))
+	d.waitNotified(t, target("s-1", moved.addr))
+	status, _, _ = a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if old.count() != 1 || moved.count() != 1 {
 		t.Errorf("%d arrivals at the old address, %d at the new", old.count(), moved.count())
@@ -408,15 +408,15 @@
 
 // While discovery is down the list at hand serves on and the calls are few; when
 // it is back the agent hears of what has changed.
-func TestDiscoveryDownAndBack(t *testing.T) {
-	first, second := newBackend(t, serving), newBackend(t, serving)
+func TestDiscoveryOutage(t *testing.T) {
+	first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
 	a := startAgent(t, d, nil)
-	d.wait(t, 1)
+	d.waitVersion(t, 1)
 	d.setDown(true)
 	before := d.callCount()
 	for d.callCount() == before { // the module asks again, after a time of its choice
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -427,8 +427,8 @@
 	gone := target("s-1", first.addr)
 	gone.State = "removed"
 	d.set(target("s-2", second.addr))
-	d.told(t, gone)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	d.waitNotified(t, gone)
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if second.count() == 0 {
 		t.Error("the new backend is not used")
@@ -436,19 +436,19 @@
 }
 
 // A discovery that answers every watch at once is not asked in a tight loop.
-func TestDiscoveryIsNotHammered(t *testing.T) {
+func TestDiscoveryCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer busy.Close()
-	d := newDiscovery(busy.Listener.Addr().String(), 1, func(news) {})
+	d := newDiscoveryClient(busy.Listener.Addr().String(), 1, func(listResponse) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	from := time.Now()
 	d.watch(ctx)
-	most := callBurst + int64(callsPerS*time.Since(from).Seconds()) + 1
+	most := maxCallBurst + int64(maxCallsPerSecond*time.Since(from).Seconds()) + 1
 	if n := calls.Load(); n < 2 || n > most {
 		t.Errorf("%d calls, want 2 to %d", n, most)
 	}
@@ -462,30 +462,30 @@
 		defer close(done)
 		drains := target("s-1", "127.0.0.1:1")
 		drains.State = "draining"
-		at := l.disc.at()
+		at := l.discovery.currentSource()
 		up := []Target{target("s-1", "127.0.0.1:1")}
-		l.onList(news{from: at, watch: true, list: &List{Version: 9, Servers: []Target{drains}}})
-		l.onList(news{from: at, list: &List{Version: 8, Full: true, Servers: up}})
-		l.onList(news{from: at, watch: true, list: &List{Version: 8, Full: true, Servers: up}})
-		if !l.table.byID["s-1"].closed.Load() {
+		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 9, Servers: []Target{drains}}})
+		l.onListResponse(listResponse{source: at, list: &List{Version: 8, Full: true, Servers: up}})
+		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 8, Full: true, Servers: up}})
+		if !l.endpoints.byID["s-1"].unavailable.Load() {
 			t.Error("an older list took back a drain")
 		}
-		l.onList(news{from: at, watch: true, list: &List{Version: 10, Full: true}})
-		if len(l.table.byID) != 0 || len(l.table.byAddr) != 0 {
+		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 10, Full: true}})
+		if len(l.endpoints.byID) != 0 || len(l.endpoints.byAddr) != 0 {
 			t.Error("a backend that is gone is kept")
 		}
 	})
 	<-done
 }
 
-func TestNamesAreTheSameAtEveryAgentAndNeverCollide(t *testing.T) {
-	x, y := newTable(nil, nil), newTable(nil, nil)
-	a, b := x.backend("s-1"), y.backend("s-1")
-	if a.name != b.name {
+func TestPolicyAddressesAreStableAndUnique(t *testing.T) {
+	x, y := newEndpointList(nil, nil), newEndpointList(nil, nil)
+	a, b := x.findOrAdd("s-1"), y.findOrAdd("s-1")
+	if a.policyAddr != b.policyAddr {
 		t.Error("two agents name one backend differently")
 	}
 	delete(y.byID, "s-1") // now its name is taken by another id
-	if c := y.backend("s-1"); c.name == b.name {
+	if c := y.findOrAdd("s-1"); c.policyAddr == b.policyAddr {
 		t.Error("two backends have one name")
 	}
 }
@@ -493,7 +493,7 @@
 // A client that goes away has its attempt withdrawn.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	a, b := one(t, func(net.Conn, *http.Request, int) bool {
+	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
 		return true
 	})
@@ -510,42 +510,42 @@
 	<-failed
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt goes on")
 	}
-	if f := a.figures(); f.gone != 1 || f.backstops != 0 {
+	if f := a.metricsNow(); f.clientsGone != 1 || f.backstops != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // A log that nobody reads does not hold up the loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
-	a, _ := one(t, serving)
+	a, _ := startWithServer(t, respondOK)
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.loop.lines <- func() { close(held); <-blocked }
+	a.loop.logLines <- func() { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
 	a.loop.post(func() {
-		a.loop.limit.SetLimit(rate.Inf)
-		for range 2 * cap(a.loop.lines) {
+		a.loop.logLimit.SetLimit(rate.Inf)
+		for range 2 * cap(a.loop.logLines) {
 			a.loop.log(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
 func TestMalformedInput(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, _ int) bool { // no echo: it would be too large
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool { // no echo: it would be too large
 		body, _ := io.ReadAll(req.Body)
-		return send(c, 200, "", fmt.Sprint(len(body)))
+		return sendResponse(c, 200, "", fmt.Sprint(len(body)))
 	})
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -566,22 +566,22 @@
 		{"time-out zero", "order", set("Request-Timeout-Ms", "0"), "x", 400},
 		{"time-out huge", "order", set("Request-Timeout-Ms", "99999999999999999999"), "x", 400},
 		{"method", "order", func(r *http.Request) { r.Method = "DELETE" }, "x", 405},
-		{"oversize", "order", func(r *http.Request) { r.ContentLength = maxLong + 1 }, "x", 413},
+		{"oversize", "order", func(r *http.Request) { r.ContentLength = maxRequestBody + 1 }, "x", 413},
 	} {
 		req := newRequest(a.addr, test.class, test.body)
 		if test.change != nil {
 			test.change(req)
 		}
 		if test.status == 413 { // it has no end that the client could send
-			c := a.dial()
+			c := a.dialKept()
 			fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-				"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\nx", maxLong+1)
+				"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\nx", maxRequestBody+1)
 			if resp, err := http.ReadResponse(c.br, nil); err != nil || resp.StatusCode != 413 {
 				t.Errorf("%s: %v, %v", test.name, resp, err)
 			}
 			continue
 		}
-		if status, _, _ := a.ask(req); status != test.status {
+		if status, _, _ := a.do(req); status != test.status {
 			t.Errorf("%s: answered %d, want %d", test.name, status, test.status)
 		}
 	}
@@ -591,7 +591,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, text)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 400 {
@@ -599,7 +599,7 @@
 		}
 		c.Close()
 	}
-	if status, _, got := a.ask(newRequest(a.addr, "order", strings.Repeat("x", maxBody))); status != 200 || got != fmt.Sprint(maxBody) {
+	if status, _, got := a.do(newRequest(a.addr, "order", strings.Repeat("x", maxBufferedBody))); status != 200 || got != fmt.Sprint(maxBufferedBody) {
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
 	if b.count() != 1 {
@@ -610,7 +610,7 @@
 // Connections that all come before any is idle reach the limit with nobody to make
 // room; those that fall idle then must. None is chosen twice while its close is
 // under way.
-func TestIdleClientsMakeRoomAtTheLimit(t *testing.T) {
+func TestIdleClientsAreClosedAtTheLimit(t *testing.T) {
 	const most = 16
 	c := newClientConns(most)
 	var conns []*clientConn
@@ -624,7 +624,7 @@
 	}
 	closed := func() (n int) {
 		for _, x := range conns {
-			if x.leaving { // nothing has come, so its reader ends it
+			if x.closeIfIdle { // nothing has come, so its reader ends it
 				n++
 			}
 		}
@@ -653,9 +653,9 @@
 // connections: neither side can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
 	most := a.loop.cfg.clientConns()
@@ -665,48 +665,48 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 	close(release)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 2, idle: map[string][]*conn{}}
-	end := time.Now().Add(patience)
-	x, err := p.get(t.Context(), b.addr, end)
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 2, idle: map[string][]*serverConn{}}
+	end := time.Now().Add(testTimeout)
+	x, err := p.acquire(t.Context(), b.addr, end)
 	if err != nil {
 		t.Fatal(err)
 	}
-	y, err := p.get(t.Context(), b.addr, end)
+	y, err := p.acquire(t.Context(), b.addr, end)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer y.Close()
-	if _, err := p.get(t.Context(), b.addr, end); err != errTooMany {
+	if _, err := p.acquire(t.Context(), b.addr, end); err != errNoDescriptor {
 		t.Errorf("a third connection of two: %v", err)
 	}
-	p.put(x, &backend{})
-	z, err := p.get(t.Context(), newBackend(t, serving).addr, end) // the idle one gives way
+	p.release(x, &upstreamServer{})
+	z, err := p.acquire(t.Context(), newFakeServer(t, respondOK).addr, end) // the idle one gives way
 	if err != nil {
 		t.Fatal(err)
 	}
 	z.Close()
-	if p.open != 2 {
-		t.Errorf("%d connections counted, want 2", p.open)
+	if p.openConns != 2 {
+		t.Errorf("%d connections counted, want 2", p.openConns)
 	}
 }
 
 // The log tells the whole course of a request that ended badly, by its id.
-func TestCourseOfABadRequestIsLogged(t *testing.T) {
-	a, b := one(t, func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 500, "", "") })
-	lines := a.logged(t)
+func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
+	a, b := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
+	lines := a.logLines(t)
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Id", "c0ffee")
-	status, _, _ := a.ask(req)
+	status, _, _ := a.do(req)
 	wantStatus(t, status, 502)
 	text := waitLine(t, lines, "c0ffee")
 	for _, want := range []string{"request failed", "class=order", "[s-1 at ", "ended 301 after "} {
@@ -717,12 +717,12 @@
 	req = newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Id", "decaf")
 	req.Header.Set("Request-Class", "nobody's")
-	status, _, _ = a.ask(req)
+	status, _, _ = a.do(req)
 	wantStatus(t, status, 400)
 	if text := waitLine(t, lines, "decaf"); !strings.Contains(text, "unknown Request-Class") {
 		t.Errorf("line %q does not say why", text)
 	}
-	if f := a.figures(); f.rejected != 1 || f.failed != 1 || f.ends[balancer.StatusError] != 1 {
+	if f := a.metricsNow(); f.invalid != 1 || f.failed != 1 || f.attempts[balancer.StatusError] != 1 {
 		t.Errorf("figures %+v", f)
 	}
 	if b.count() != 1 {
@@ -754,13 +754,13 @@
 		{"rejected, plain", head("nobody's", "Content-Length: 0"), 400, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := one(t, serving)
+			a, b := startWithServer(t, respondOK)
 			c, err := net.Dial("tcp", a.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			fmt.Fprint(c, test.head+body)
 			br := bufio.NewReader(c)
 			resp, err := http.ReadResponse(br, nil)
@@ -787,19 +787,19 @@
 
 // Where the settings allow probes a demoted backend is validated by one, on the
 // health path and with nothing of a client's; where it drains it gets none.
-func TestProbeValidatesADemotedBackend(t *testing.T) {
+func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	probes := make(chan *http.Request, 100)
 	var healthy atomic.Bool // until a probe says so everything fails
-	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if req.URL.Path == "/-/healthy" {
 			healthy.Store(true)
 			probes <- req
-			return send(c, 200, "", "")
+			return sendResponse(c, 200, "", "")
 		}
 		if !healthy.Load() {
-			return send(c, 500, "", "")
+			return sendResponse(c, 500, "", "")
 		}
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
 		c.Settings.Limits.HealthChecks = true
@@ -807,11 +807,11 @@
 			c.Settings.Classes[i].LatencyObjectiveMs = 20 // how long a first failure holds
 		}
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 502)
 	var probe *http.Request
-	for end := time.Now().Add(patience); probe == nil && time.Now().Before(end); {
-		a.ask(newRequest(a.addr, "order", "x"))
+	for end := time.Now().Add(testTimeout); probe == nil && time.Now().Before(end); {
+		a.do(newRequest(a.addr, "order", "x"))
 		select {
 		case probe = <-probes:
 		default:
@@ -823,32 +823,32 @@
 	if probe.Method != http.MethodGet || probe.Header.Get("Request-Id") != "" || probe.ContentLength != 0 {
 		t.Errorf("the probe was %s %s with %v", probe.Method, probe.URL, probe.Header)
 	}
-	status, _, _ = a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ = a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
 // How a probe ends, as the module is told.
-func TestProbeOutcomes(t *testing.T) {
+func TestHealthCheckOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer func(net.Conn, *http.Request, int) bool
 		want   balancer.Status
 	}{
-		"healthy":     {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 200, "", "") }, balancer.StatusOK},
-		"not healthy": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "", "") }, balancer.StatusError},
-		"full": {func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 503, "Not-Started: 1\r\n", "") },
+		"healthy":     {func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 200, "", "") }, balancer.StatusOK},
+		"not healthy": {func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 503, "", "") }, balancer.StatusError},
+		"full": {func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 503, "Not-Started: 1\r\n", "") },
 			balancer.StatusOverloaded},
-		"reset":  {func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, balancer.StatusReset},
+		"reset":  {func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, balancer.StatusReset},
 		"silent": {func(net.Conn, *http.Request, int) bool { return true }, balancer.StatusTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, test.answer)
-			p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: 200 * time.Millisecond, keepalive: time.Minute, max: 8, idle: map[string][]*conn{}}
-			if res := p.probe(t.Context(), &backend{}, b.addr, "x"); res.status != test.want {
+			b := newFakeServer(t, test.answer)
+			p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: 200 * time.Millisecond, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+			if res := p.healthCheck(t.Context(), &upstreamServer{}, b.addr, "x"); res.status != test.want {
 				t.Errorf("ended as %d, want %d", res.status, test.want)
 			}
-			drained := &backend{}
-			drained.closed.Store(true)
-			if res := p.probe(t.Context(), drained, b.addr, "x"); res.status != balancer.StatusConnectFailed {
+			drained := &upstreamServer{}
+			drained.unavailable.Store(true)
+			if res := p.healthCheck(t.Context(), drained, b.addr, "x"); res.status != balancer.StatusConnectFailed {
 				t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 			}
 			if b.count() != 1 {
@@ -860,7 +860,7 @@
 
 // lateCloses makes connections that the agent closes go on being read: a request that
 // crosses the close is what they bring then.
-type lateCloses struct{ net.Listener }
+type lateCloseListener struct{ net.Listener }
 
 type lateClose struct {
 	net.Conn
@@ -868,7 +868,7 @@
 	once   sync.Once
 }
 
-func (l lateCloses) Accept() (net.Conn, error) {
+func (l lateCloseListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -888,21 +888,21 @@
 
 // A request that crosses the close of its idle connection is sent once more by its
 // client, on another: if the agent passes it on as well, two copies run.
-func TestRequestThatCrossesACloseIsNotPassedOn(t *testing.T) {
-	b := newBackend(t, serving)
+func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
+	b := newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", b.addr))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := startAgentOn(t, d, lateCloses{ln}, nil)
+	a := startAgentOn(t, d, lateCloseListener{ln}, nil)
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c, bufio.NewReader(c)
 	}
 	first, br := dial()
@@ -911,7 +911,7 @@
 		t.Fatalf("%v, %v", resp, err)
 	}
 	conns := a.front.conns
-	until(t, "the connection idles", func() bool {
+	waitUntil(t, "the connection idles", func() bool {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
 		return conns.order.Len() == 1
@@ -924,28 +924,28 @@
 	if resp, err := http.ReadResponse(br, nil); err == nil {
 		t.Errorf("answered %d on a connection that was closed", resp.StatusCode)
 	}
-	if f := a.figures(); f.taken != 0 || b.count() != 0 {
-		t.Errorf("%d taken, %d arrivals, want none", f.taken, b.count())
+	if f := a.metricsNow(); f.requests != 0 || b.count() != 0 {
+		t.Errorf("%d taken, %d arrivals, want none", f.requests, b.count())
 	}
 }
 
 // Where changes of the list are pushed the module asks for nothing: the agent watches
 // by itself from its start, and again after failures.
 func TestPushedChangesAreWatchedFor(t *testing.T) {
-	first, second := newBackend(t, serving), newBackend(t, serving)
+	first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
 	a := startAgent(t, d, func(c *Config) { c.Settings.DiscoveryMode = "pushed" })
-	d.told(t, target("s-2", second.addr))
+	d.waitNotified(t, target("s-2", second.addr))
 	d.setDown(true)
 	for before := d.callCount(); d.callCount() < before+2; time.Sleep(time.Millisecond) {
 	}
 	d.setDown(false)
 	gone := target("s-1", first.addr)
 	gone.State = "removed"
-	d.told(t, gone)
+	d.waitNotified(t, gone)
 	before := first.count()
 	for range 4 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if first.count() != before || second.count() < 4 {
@@ -958,22 +958,22 @@
 func TestReloadMovesDiscovery(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			first, second := newBackend(t, serving), newBackend(t, serving)
+			first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 			old := newDiscoveryServer(t, target("s-1", first.addr))
 			a := startAgent(t, old, func(c *Config) { c.Settings.DiscoveryMode = mode })
-			old.wait(t, 1)
+			old.waitVersion(t, 1)
 			moved := newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr))
 			moved.list.Version = 7
 			cfg := *a.loop.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
 			a.reloads <- &cfg
-			moved.wait(t, 7)
+			moved.waitVersion(t, 7)
 			before := old.callCount()
 			gone := target("s-1", first.addr)
 			gone.State = "removed"
-			moved.told(t, gone)
+			moved.waitNotified(t, gone)
 			for range 4 {
-				status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+				status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 				wantStatus(t, status, 200)
 			}
 			if first.count() != 0 || second.count() < 4 {
@@ -990,7 +990,7 @@
 // connecting, also one that sends a byte now and then.
 func TestImproperPeersAreEndedInTime(t *testing.T) {
 	t.Parallel()
-	a, b := one(t, serving)
+	a, b := startWithServer(t, respondOK)
 	head := "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\n"
 	for name, peer := range map[string]struct{ at, drip string }{
 		"silent":       {"", ""},
@@ -1011,7 +1011,7 @@
 			}
 			defer c.Close()
 			from := time.Now()
-			c.SetDeadline(from.Add(patience))
+			c.SetDeadline(from.Add(testTimeout))
 			fmt.Fprint(c, peer.at)
 			over := make(chan struct{})
 			go func() {
@@ -1040,15 +1040,15 @@
 }
 
 // A request may wait for longer than it may take to come.
-func TestRequestOutlivesTheTimeToBringIt(t *testing.T) {
+func TestRequestOutlivesItsReadTimeout(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
-	time.AfterFunc(bodyGrace+500*time.Millisecond, func() { close(release) })
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	time.AfterFunc(bodyGracePeriod+500*time.Millisecond, func() { close(release) })
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
@@ -1059,28 +1059,28 @@
 
 // A kept connection that breaks before the last byte is written says nothing of its
 // backend, and the request goes out on another; lack of descriptors neither.
-func TestBrokenKeptConnectionAndOwnLackAccuseNobody(t *testing.T) {
-	b := newBackend(t, serving)
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 2, idle: map[string][]*conn{}}
+func TestBrokenKeptConnectionAndLocalShortageDemoteNoServer(t *testing.T) {
+	b := newFakeServer(t, respondOK)
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 2, idle: map[string][]*serverConn{}}
 	for range 2 {
 		x, y := net.Pipe()
 		defer y.Close()
-		p.idle[b.addr] = append(p.idle[b.addr], &conn{Conn: brokenConn{x}, br: bufio.NewReader(x), addr: b.addr,
-			uses: 1, since: time.Now().Add(-time.Second)})
-		p.open++
+		p.idle[b.addr] = append(p.idle[b.addr], &serverConn{Conn: brokenConn{x}, reader: bufio.NewReader(x), addr: b.addr,
+			uses: 1, idleSince: time.Now().Add(-time.Second)})
+		p.openConns++
 	}
 	req := newRequest(b.addr, "order", "x")
-	c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
+	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 	now := time.Now()
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
-		t.Errorf("ended as %d (%s), want %d", res.status, res.why, balancer.StatusOK)
+	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
+		t.Errorf("ended as %d (%s), want %d", res.status, res.reason, balancer.StatusOK)
 	}
 	if b.count() != 1 || p.size() != 1 {
 		t.Errorf("%d arrivals and %d connections, want 1 and 1", b.count(), p.size())
 	}
-	p.hangUp(b.addr)
-	p.max = 0
-	if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOverloaded {
+	p.closeIdle(b.addr)
+	p.maxConns = 0
+	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOverloaded {
 		t.Errorf("no descriptor: ended as %d, want %d", res.status, balancer.StatusOverloaded)
 	}
 }
@@ -1088,21 +1088,21 @@
 // A backend that drops idle connections without a sign costs a request now and then,
 // not each one that comes after a pause.
 func TestConnectionsThatIdleTooLongAreNotUsed(t *testing.T) {
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 8, idle: map[string][]*conn{}}
-	b := newBackend(t, serving)
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+	b := newFakeServer(t, respondOK)
 	req := newRequest(b.addr, "order", "x")
-	c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-	p.times.feed(100, 0, 0)
-	p.times.feed(100, 200*time.Millisecond, 2)
+	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
+	p.idleTimes.feed(100, 0, 0)
+	p.idleTimes.feed(100, 200*time.Millisecond, 2)
 	for _, idled := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond} {
 		now := time.Now()
-		if res := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); res.status != balancer.StatusOK {
-			t.Fatalf("ended as %d (%s)", res.status, res.why)
+		if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
+			t.Fatalf("ended as %d (%s)", res.status, res.reason)
 		}
-		p.idle[b.addr][0].since = time.Now().Add(-idled)
+		p.idle[b.addr][0].idleSince = time.Now().Add(-idled)
 	}
 	now := time.Now()
-	p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience))
+	p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.arrivals != 3 {
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -26,7 +26,7 @@
 
 const (
 	// maxHead is the largest head of an answer.
-	maxHead = 16 << 10
+	maxResponseHead = 16 << 10
 	// settleTime is how long a connection rests before it carries another message. A backend may
 	// bring a second answer some milliseconds late; one that comes later than this would be
 	// taken for the next message's.
@@ -34,88 +34,88 @@
 )
 
 // backend is one listed server. Its fields belong to the loop, but for closed.
-type backend struct {
-	id     string
-	name   balancer.Addr // what the module calls it
-	addr   string        // where it listens, as told to this agent last
-	gone   bool
-	out    int         // attempts out
-	closed atomic.Bool // told to drain or gone: read by attempts just before they write
+type upstreamServer struct {
+	id          string
+	policyAddr  balancer.Addr // what the module calls it
+	addr        string        // where it listens, as told to this agent last
+	removed     bool
+	inFlight    int         // attempts out
+	unavailable atomic.Bool // told to drain or gone: read by attempts just before they write
 }
 
 // result is how one attempt ended.
-type result struct {
-	status    balancer.Status
-	why       string // what ended a failed attempt, for the log
-	cut       bool   // the connection broke before any answer
-	latencyMs float64
-	header    http.Header
-	body      *payload
-	client    error // what the client broke off in the middle of its body
+type attemptResult struct {
+	status         balancer.Status
+	reason         string // what ended a failed attempt, for the log
+	connectionLost bool   // the connection broke before any answer
+	latencyMs      float64
+	header         http.Header
+	body           *responseBody
+	clientErr      error // what the client broke off in the middle of its body
 }
 
 // pool makes attempts and keeps idle connections. http.Transport is not used on
 // purpose: it sends again by itself on a broken kept connection, and does not
 // tell whether the last byte was written, on which hangs whether an attempt may
 // have run.
-type pool struct {
-	max    int
-	budget quota
-	dial   dialFunc // nil: dialTCP
+type connectionPool struct {
+	maxConns int
+	budget   quota
+	dial     dialFunc // nil: dialTCP
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
 	keepalive      time.Duration // idle connections older than this are not used again
 
-	idle  map[string][]*conn // by address, the most recently used last
-	ended bool               // nothing is kept any more
-	open  int
-	tried int // connects since the start
-	times idleTimes
+	idle            map[string][]*serverConn // by address, the most recently used last
+	closed          bool                     // nothing is kept any more
+	openConns       int
+	connectAttempts int // connects since the start
+	idleTimes       idleTimeModel
 }
 
-type conn struct {
+type serverConn struct {
 	net.Conn
-	br    *bufio.Reader
-	addr  string
-	made  time.Time
-	since time.Time     // idle since
-	uses  int           // requests carried
-	idled time.Duration // before the one it carries now
+	reader    *bufio.Reader
+	addr      string
+	createdAt time.Time
+	idleSince time.Time     // idle since
+	uses      int           // requests carried
+	idledFor  time.Duration // before the one it carries now
 }
 
 // story tells what broke a connection, and whether it was a kept one.
-func (c *conn) story(err error) string {
+func (c *serverConn) describeFailure(err error) string {
 	return fmt.Sprintf("%v on request %d of a connection of %d ms that had idled %d ms", err, c.uses,
-		time.Since(c.made).Milliseconds(), c.idled.Milliseconds())
+		time.Since(c.createdAt).Milliseconds(), c.idledFor.Milliseconds())
 }
 
 var (
-	errGone    = errors.New("client left")
-	errTooMany = errors.New("no descriptor left for a connection")
+	errClientGone   = errors.New("client left")
+	errNoDescriptor = errors.New("no descriptor left for a connection")
 )
 
-func newPool(c *Config) *pool {
-	p := &pool{max: c.backendConns(), budget: newBudget(c), idle: map[string][]*conn{}}
-	p.retune(c)
+func newConnectionPool(c *Config) *connectionPool {
+	p := &connectionPool{maxConns: c.serverConns(), budget: newBodyBudget(c), idle: map[string][]*serverConn{}}
+	p.applySettings(c)
 	return p
 }
 
 // limit bounds the connections from now on.
-func (p *pool) limit(most int) {
+func (p *connectionPool) setLimit(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.max = most; p.open > p.max && p.evict(); {
+	for p.maxConns = most; p.openConns > p.maxConns && p.evict(); {
 	}
 }
 
 // retune puts the settings in force for connections from now on.
-func (p *pool) retune(c *Config) {
+func (p *connectionPool) applySettings(c *Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connectTimeout = ms(c.Settings.Limits.ConnectTimeoutMs)
+	p.connectTimeout = milliseconds(c.Settings.Limits.ConnectTimeoutMs)
 	// The backend closes at keepalive at the latest; half of it is well before.
-	p.keepalive = ms(c.Settings.Limits.KeepaliveMs / 2)
+	p.keepalive = milliseconds(c.Settings.Limits.KeepaliveMs / 2)
 	if p.connectTimeout <= 0 {
 		p.connectTimeout = time.Second
 	}
@@ -125,27 +125,27 @@
 }
 
 // message is what goes to a backend.
-type message struct {
+type upstreamMessage struct {
 	// request is made for the time that is left.
-	request func(left time.Duration) *http.Request
+	newRequest func(left time.Duration) *http.Request
 	// sendBy is when a repeat's time is over: nothing is begun later. Zero: it is none.
 	sendBy time.Time
 	// gone tells whether who sent it has left; nil: it can't be told.
-	gone func() bool
+	clientGone func() bool
 	// long is the part of its body that is not kept; nil: there is none.
-	long *longBody
+	streamed *streamedBody
 	// within is the time that the answer to a long one has from its last byte on.
-	within time.Duration
+	responseTime time.Duration
 	// written is told when the last byte of a long one is written.
-	written func()
+	onSent func()
 }
 
 // do makes one attempt and returns how it ended, exactly once. It never sends
 // anything twice. Cancelling ctx withdraws the attempt and closes its connection.
-func (p *pool) do(ctx context.Context, b *backend, addr string, m *message, sent, deadline time.Time) result {
-	whole := m.long == nil
-	if written := m.written; m.long != nil {
-		m.written = func() {
+func (p *connectionPool) attempt(ctx context.Context, b *upstreamServer, addr string, m *upstreamMessage, sent, deadline time.Time) attemptResult {
+	whole := m.streamed == nil
+	if written := m.onSent; m.streamed != nil {
+		m.onSent = func() {
 			sent, whole = time.Now(), true
 			written()
 		}
@@ -154,7 +154,7 @@
 	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
 	// off a connect; an answer that was already there stands.
 	if ctx.Err() != nil && r.status != balancer.StatusOK && r.status != balancer.StatusOverloaded {
-		if r.status = balancer.StatusCancelled; !whole && !m.long.whole() && r.client == nil {
+		if r.status = balancer.StatusCancelled; !whole && !m.streamed.complete() && r.clientErr == nil {
 			r.status = balancer.StatusUnsent // its last byte was never sent
 		}
 	}
@@ -165,14 +165,14 @@
 // probe asks a backend whether it is healthy, over the connections that attempts use.
 // It is given up after twice the time that a connect may take: a backend that lets a
 // cheap answer wait for so long is not validated.
-func (p *pool) probe(ctx context.Context, b *backend, addr, host string) result {
-	m := &message{request: func(time.Duration) *http.Request {
+func (p *connectionPool) healthCheck(ctx context.Context, b *upstreamServer, addr, host string) attemptResult {
+	m := &upstreamMessage{newRequest: func(time.Duration) *http.Request {
 		return &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/-/healthy"}, Host: host,
 			Header: http.Header{"User-Agent": {""}}}
 	}}
 	sent := time.Now()
-	r := p.exchange(ctx, b, addr, m, sent.Add(2*p.patience()))
-	r.body.end() // only its status counts
+	r := p.exchange(ctx, b, addr, m, sent.Add(2*p.connectTimeLimit()))
+	r.body.release() // only its status counts
 	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
 	return r
 }
@@ -180,18 +180,18 @@
 // exchange writes one message and reads its answer. A kept connection that turns out
 // broken before the last byte is written has brought nothing to the backend and says
 // nothing of it: the message goes out on the next one, and on a new one at the last.
-func (p *pool) exchange(ctx context.Context, b *backend, addr string, m *message, deadline time.Time) result {
+func (p *connectionPool) exchange(ctx context.Context, b *upstreamServer, addr string, m *upstreamMessage, deadline time.Time) attemptResult {
 	for {
-		cn, err := p.get(ctx, addr, deadline)
+		cn, err := p.acquire(ctx, addr, deadline)
 		if err != nil { // not a byte was sent
-			return connectFailure(err)
+			return connectFailureResult(err)
 		}
 		kept := cn.uses > 0
-		r, unsent := p.over(ctx, cn, b, m, deadline)
+		r, unsent := p.exchangeOn(ctx, cn, b, m, deadline)
 		if kept {
-			p.note(cn.idled, unsent || r.cut)
+			p.recordIdleUse(cn.idledFor, unsent || r.connectionLost)
 		}
-		if !unsent || !kept || ctx.Err() != nil || !time.Now().Before(deadline) || m.long.spent() {
+		if !unsent || !kept || ctx.Err() != nil || !time.Now().Before(deadline) || m.streamed.isConsumed() {
 			return r
 		}
 	}
@@ -199,7 +199,7 @@
 
 // over makes the exchange on one connection; unsent tells that the connection broke
 // before the last byte was written.
-func (p *pool) over(ctx context.Context, cn *conn, b *backend, m *message, deadline time.Time) (r result, unsent bool) {
+func (p *connectionPool) exchangeOn(ctx context.Context, cn *serverConn, b *upstreamServer, m *upstreamMessage, deadline time.Time) (r attemptResult, unsent bool) {
 	reusable := false
 	// Withdrawing makes whatever reads or writes end at once.
 	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
@@ -207,64 +207,64 @@
 	defer func() {
 		withdrawn := !stop()
 		switch {
-		case r.body != nil && r.body.rest != nil && !withdrawn:
+		case r.body != nil && r.body.stream != nil && !withdrawn:
 			// The connection is the stream's until that ends.
-			r.body.rest.pace(true)
-		case r.body != nil && r.body.rest != nil:
-			r.body.end()
-			r = result{status: balancer.StatusCancelled}
+			r.body.stream.extendDeadline(true)
+		case r.body != nil && r.body.stream != nil:
+			r.body.release()
+			r = attemptResult{status: balancer.StatusCancelled}
 		case reusable && !withdrawn:
-			p.put(cn, b)
+			p.release(cn, b)
 		default:
 			// If the withdrawal has begun its deadline would hit the next user.
-			p.close(cn)
+			p.discard(cn)
 		}
 	}()
 	cn.SetDeadline(deadline)
 	if ctx.Err() != nil {
-		return result{status: balancer.StatusConnectFailed}, false
+		return attemptResult{status: balancer.StatusConnectFailed}, false
 	}
-	if r, reusable = m.barred(b); reusable {
+	if r, reusable = m.unsendable(b); reusable {
 		return r, false
 	}
-	req := m.request(time.Until(deadline))
-	if m.long != nil {
-		return p.long(ctx, cn, b, m, req, &reusable)
+	req := m.newRequest(time.Until(deadline))
+	if m.streamed != nil {
+		return p.exchangeStreamed(ctx, cn, b, m, req, &reusable)
 	}
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
-		return result{status: balancer.StatusConnectFailed, why: err.Error()}, false
+		return attemptResult{status: balancer.StatusConnectFailed, reason: err.Error()}, false
 	}
 	if n, err := cn.Write(out.Bytes()); err != nil {
 		if n < out.Len() {
 			// The last byte never left, and the connection is closed: it cannot run.
-			return result{status: writeFailure(err), why: cn.story(err)}, true
+			return attemptResult{status: writeFailureStatus(err), reason: cn.describeFailure(err)}, true
 		}
-		return result{status: broken(err), why: cn.story(err)}, false
+		return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
 	}
-	resp, err := readHead(cn.br, req.Method)
-	r, reusable = p.read(cn, b, resp, err)
+	resp, err := readResponseHead(cn.reader, req.Method)
+	r, reusable = p.readResponse(cn, b, resp, err)
 	return r, false
 }
 
 // barred tells whether the message must not be begun at b any more, and how its attempt ends. The
 // connect may have taken long: the drain grace runs from the telling, backends drop repeats for a
 // time only, and the client may have left meanwhile.
-func (m *message) barred(b *backend) (r result, yes bool) {
+func (m *upstreamMessage) unsendable(b *upstreamServer) (r attemptResult, yes bool) {
 	switch {
-	case b.closed.Load():
-		return result{status: balancer.StatusConnectFailed, why: "drains or gone"}, true
+	case b.unavailable.Load():
+		return attemptResult{status: balancer.StatusConnectFailed, reason: "drains or gone"}, true
 	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
-		return result{status: balancer.StatusUnsent, why: "the time for repeats is over"}, true
-	case m.gone != nil && m.gone():
-		return result{status: balancer.StatusUnsent, why: errGone.Error(), client: errGone}, true
+		return attemptResult{status: balancer.StatusUnsent, reason: "the time for repeats is over"}, true
+	case m.clientGone != nil && m.clientGone():
+		return attemptResult{status: balancer.StatusUnsent, reason: errClientGone.Error(), clientErr: errClientGone}, true
 	}
-	return result{}, false
+	return attemptResult{}, false
 }
 
 // long makes the exchange of a long message: it is written as it comes from the client, and
 // an answer that is there before its end ends it.
-func (p *pool) long(ctx context.Context, cn *conn, b *backend, m *message, req *http.Request, reusable *bool) (r result, unsent bool) {
+func (p *connectionPool) exchangeStreamed(ctx context.Context, cn *serverConn, b *upstreamServer, m *upstreamMessage, req *http.Request, reusable *bool) (r attemptResult, unsent bool) {
 	type head struct {
 		resp *http.Response
 		err  error
@@ -273,11 +273,11 @@
 	cn.SetReadDeadline(time.Time{})
 	heads, written := make(chan head, 1), make(chan error, 1)
 	go func() {
-		resp, err := readHead(cn.br, req.Method)
+		resp, err := readResponseHead(cn.reader, req.Method)
 		heads <- head{resp, err}
 	}()
 	go func() {
-		w := bufio.NewWriterSize(serverWriter{ctx, cn, m.long, m.within}, pieceSize)
+		w := bufio.NewWriterSize(serverWriter{ctx, cn, m.streamed, m.responseTime}, chunkSize)
 		err := req.Write(w)
 		if err == nil {
 			err = w.Flush()
@@ -288,47 +288,47 @@
 	var err error
 	select {
 	case err = <-written:
-		switch client := m.long.broken(); {
+		switch client := m.streamed.failure(); {
 		case err == nil:
-			m.written()
-			cn.SetReadDeadline(m.long.answerBy(m.within))
+			m.onSent()
+			cn.SetReadDeadline(m.streamed.respondBy(m.responseTime))
 		case client != nil:
 			cn.SetReadDeadline(time.Unix(1, 0))
 			<-heads
-			return result{status: balancer.StatusCancelled, why: "client: " + client.Error(), client: client}, false
+			return attemptResult{status: balancer.StatusCancelled, reason: "client: " + client.Error(), clientErr: client}, false
 		default: // an answer may be there, or on its way behind what was not read
-			cn.SetReadDeadline(time.Now().Add(earlyAnswer))
+			cn.SetReadDeadline(time.Now().Add(earlyResponseWait))
 		}
 		if ctx.Err() != nil { // the deadlines just set may have undone the withdrawal's
 			cn.SetReadDeadline(time.Unix(1, 0))
 		}
 		h = <-heads
 	case h = <-heads:
-		err = errEarly
+		err = errEarlyResponse
 		select {
 		case err = <-written: // only the news of it was later
-		case <-time.After(earlyAnswer):
+		case <-time.After(earlyResponseWait):
 		}
 		if err == nil {
-			m.written()
+			m.onSent()
 		} else {
 			// Who writes may yet wait for the client. What that brings is gone.
-			m.long.taken.Store(true)
+			m.streamed.consumed.Store(true)
 			cn.SetWriteDeadline(time.Unix(1, 0))
 		}
 	}
-	if errors.Is(err, errEarly) && h.resp == nil && mayHaveLeft(cn, m.long) {
-		status := broken(h.err)
-		return result{status: status, why: cn.story(h.err), cut: status == balancer.StatusReset}, false
+	if errors.Is(err, errEarlyResponse) && h.resp == nil && bodyMayHaveLeft(cn, m.streamed) {
+		status := brokenStatus(h.err)
+		return attemptResult{status: status, reason: cn.describeFailure(h.err), connectionLost: status == balancer.StatusReset}, false
 	}
 	if err != nil && h.resp == nil {
 		// The last byte never left, and the connection is closed: it cannot run.
 		err = cmp.Or(h.err, err)
-		return result{status: writeFailure(err), why: cn.story(err)}, true
+		return attemptResult{status: writeFailureStatus(err), reason: cn.describeFailure(err)}, true
 	}
-	if r, *reusable = p.read(cn, b, h.resp, h.err); err != nil && r.body != nil {
-		r.body.end()
-		return result{status: balancer.StatusError, why: err.Error()}, false
+	if r, *reusable = p.readResponse(cn, b, h.resp, h.err); err != nil && r.body != nil {
+		r.body.release()
+		return attemptResult{status: balancer.StatusError, reason: err.Error()}, false
 	}
 	*reusable = *reusable && err == nil
 	return r, false
@@ -336,65 +336,65 @@
 
 // mayHaveLeft closes a connection whose writer has not told how far it came, as it may be held up, and returns
 // whether the last byte of the request may have been written: only if the body was read to its end by then.
-func mayHaveLeft(cn *conn, body *longBody) bool {
+func bodyMayHaveLeft(cn *serverConn, body *streamedBody) bool {
 	_ = cn.Close() // whoever writes from now on fails; the pool counts the connection when it closes it
-	return body.whole()
+	return body.complete()
 }
 
 // earlyAnswer is how long the answer of a backend is waited for that takes no more of a
 // long request, and the news that all is written once its answer is there.
-const earlyAnswer = 50 * time.Millisecond
+const earlyResponseWait = 50 * time.Millisecond
 
-var errEarly = errors.New("answered before the end of the request")
+var errEarlyResponse = errors.New("answered before the end of the request")
 
 // read reads the answer behind its head, and tells whether the connection may carry another
 // message. An answer that is long or takes long comes back with its rest as a stream.
-func (p *pool) read(cn *conn, b *backend, resp *http.Response, err error) (r result, reusable bool) {
+func (p *connectionPool) readResponse(cn *serverConn, b *upstreamServer, resp *http.Response, err error) (r attemptResult, reusable bool) {
 	if resp == nil {
-		s := broken(err)
-		return result{status: s, why: cn.story(err), cut: s == balancer.StatusReset}, false
+		s := brokenStatus(err)
+		return attemptResult{status: s, reason: cn.describeFailure(err), connectionLost: s == balancer.StatusReset}, false
 	}
-	if r.status = outcome(resp); r.status != balancer.StatusOK {
-		r.why = resp.Status
+	if r.status = responseStatus(resp); r.status != balancer.StatusOK {
+		r.reason = resp.Status
 		// What it says is no one's, but it has to have come whole.
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody))
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBody))
 		if err != nil {
-			r.status, r.why = broken(err), cn.story(err)
+			r.status, r.reason = brokenStatus(err), cn.describeFailure(err)
 		}
-		return r, err == nil && n < maxBody && !resp.Close && cn.br.Buffered() == 0
+		return r, err == nil && n < maxBufferedBody && !resp.Close && cn.reader.Buffered() == 0
 	}
 	r.header = resp.Header
-	body := &payload{length: resp.ContentLength, budget: p.budget}
-	if resp.ContentLength >= 0 && resp.ContentLength <= maxBody && p.budget.TryAcquire(resp.ContentLength) {
-		body.held, body.kept = resp.ContentLength, make([]byte, resp.ContentLength)
-		if _, err := io.ReadFull(resp.Body, body.kept); err != nil {
-			body.end()
-			return result{status: broken(err), why: cn.story(err)}, false
+	body := &responseBody{length: resp.ContentLength, budget: p.budget}
+	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody && p.budget.TryAcquire(resp.ContentLength) {
+		body.reserved, body.buffered = resp.ContentLength, make([]byte, resp.ContentLength)
+		if _, err := io.ReadFull(resp.Body, body.buffered); err != nil {
+			body.release()
+			return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
 		}
 		r.body = body
-		return r, !resp.Close && cn.br.Buffered() == 0
+		return r, !resp.Close && cn.reader.Buffered() == 0
 	}
-	body.rest = newStream(cn, resp.Body)
-	body.rest.close = func(whole bool) {
-		if whole && !resp.Close && cn.br.Buffered() == 0 {
-			p.put(cn, b)
+	body.stream = newStream(cn, resp.Body)
+	body.stream.close = func(whole bool) {
+		if whole && !resp.Close && cn.reader.Buffered() == 0 {
+			p.release(cn, b)
 		} else {
-			p.close(cn)
+			p.discard(cn)
 		}
 	}
 	r.body = body
-	if resp.ContentLength < 0 && p.budget.TryAcquire(maxBody) {
-		body.held = maxBody
+	if resp.ContentLength < 0 && p.budget.TryAcquire(maxBufferedBody) {
+		body.reserved = maxBufferedBody
 		var whole bool
-		if body.kept, whole, err = body.rest.ahead(maxBody, gatherTime); err != nil {
-			body.rest.leave()
-			body.rest = nil
-			body.end()
-			return result{status: broken(err), why: cn.story(err)}, false
+		if body.buffered, whole, err = body.stream.buffer(maxBufferedBody, bufferingTime); err != nil {
+			body.stream.detach()
+			body.stream = nil
+			body.release()
+			return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
 		}
 		if whole {
-			body.length, body.rest = int64(len(body.kept)), nil
-			return r, !resp.Close && cn.br.Buffered() == 0
+			body.length, body.stream = int64(len(body.buffered)), nil
+			return r, !resp.Close && cn.reader.Buffered() == 0
 		}
 	}
 	return r, false
@@ -402,7 +402,7 @@
 
 // broken maps what ended an attempt whose last byte was written: it may have run. The kernel's
 // ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
-func broken(err error) balancer.Status {
+func brokenStatus(err error) balancer.Status {
 	var op *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -415,7 +415,7 @@
 
 // outcome maps a whole answer. Only the backend's own word proves that a request
 // did not run: a bare 503 or 504 may come from half-way through.
-func outcome(resp *http.Response) balancer.Status {
+func responseStatus(resp *http.Response) balancer.Status {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return balancer.StatusOK
@@ -429,9 +429,9 @@
 }
 
 // readHead reads the head of one final answer, passing over interim ones.
-func readHead(br *bufio.Reader, method string) (*http.Response, error) {
+func readResponseHead(br *bufio.Reader, method string) (*http.Response, error) {
 	for range 8 { // interim answers that may come ahead
-		if err := checkHead(br); err != nil {
+		if err := checkResponseHead(br); err != nil {
 			return nil, err
 		}
 		resp, err := http.ReadResponse(br, &http.Request{Method: method})
@@ -449,7 +449,7 @@
 // refuses what the library would read in its own way: it holds a line of any length, and
 // reads an answer with two framings by its chunks, though the other might be meant and
 // its rest be taken for the next answer.
-func checkHead(br *bufio.Reader) error {
+func checkResponseHead(br *bufio.Reader) error {
 	const start = "HTTP/1."
 	for n := 1; ; n = br.Buffered() + 1 {
 		if _, err := br.Peek(n); err != nil {
@@ -478,12 +478,12 @@
 
 // get returns an idle connection that is still good and has rested, the most recently used
 // first, or opens one.
-func (p *pool) get(ctx context.Context, addr string, deadline time.Time) (*conn, error) {
+func (p *connectionPool) acquire(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	for {
 		p.mu.Lock()
 		list := p.idle[addr]
 		i := len(list) - 1
-		for i >= 0 && time.Since(list[i].since) < settleTime {
+		for i >= 0 && time.Since(list[i].idleSince) < settleTime {
 			i--
 		}
 		if i < 0 {
@@ -491,29 +491,29 @@
 		}
 		cn := list[i]
 		p.idle[addr] = slices.Delete(list, i, i+1)
-		limit := p.times.limit(p.keepalive)
+		limit := p.idleTimes.limit(p.keepalive)
 		p.mu.Unlock()
-		if cn.idled = time.Since(cn.since); cn.idled < limit && alive(cn.Conn) {
+		if cn.idledFor = time.Since(cn.idleSince); cn.idledFor < limit && isIdleConnAlive(cn.Conn) {
 			return cn, nil
 		}
-		p.close(cn)
+		p.discard(cn)
 	}
-	if p.open >= p.max && !p.evict() {
+	if p.openConns >= p.maxConns && !p.evict() {
 		p.mu.Unlock()
-		return nil, errTooMany
+		return nil, errNoDescriptor
 	}
-	p.open++
-	p.tried++
+	p.openConns++
+	p.connectAttempts++
 	until := earliest(deadline, time.Now().Add(p.connectTimeout))
 	p.mu.Unlock()
-	nc, err := p.connect(ctx, addr, until)
+	nc, err := p.dialServer(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, maxHead), addr: addr, made: time.Now()}, nil
+	return &serverConn{Conn: nc, reader: bufio.NewReaderSize(nc, maxResponseHead), addr: addr, createdAt: time.Now()}, nil
 }
 
 // dialFunc opens a connection to a backend until a time.
@@ -524,7 +524,7 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-func (p *pool) connect(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+func (p *connectionPool) dialServer(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	if p.dial != nil {
 		return p.dial(ctx, addr, until)
 	}
@@ -533,10 +533,10 @@
 
 // evict closes the connection that has been idle longest, to make room for
 // another backend's. The lock is held.
-func (p *pool) evict() bool {
-	var oldest *conn
+func (p *connectionPool) evict() bool {
+	var oldest *serverConn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			oldest = list[0]
 		}
 	}
@@ -544,94 +544,94 @@
 		return false
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
-	p.open--
+	p.openConns--
 	oldest.Close()
 	return true
 }
 
-func (p *pool) put(cn *conn, b *backend) {
+func (p *connectionPool) release(cn *serverConn, b *upstreamServer) {
 	cn.SetDeadline(time.Time{})
-	cn.since = time.Now()
+	cn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b.closed.Load() || p.ended {
-		p.open--
+	if b.unavailable.Load() || p.closed {
+		p.openConns--
 		cn.Close()
 		return
 	}
 	p.idle[cn.addr] = append(p.idle[cn.addr], cn)
 }
 
-func (p *pool) close(cn *conn) {
+func (p *connectionPool) discard(cn *serverConn) {
 	cn.Close()
 	p.mu.Lock()
-	p.open--
+	p.openConns--
 	p.mu.Unlock()
 }
 
 // note takes the use of a kept connection for what is known of idle times.
-func (p *pool) note(idled time.Duration, lost bool) {
+func (p *connectionPool) recordIdleUse(idled time.Duration, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.times.note(idled, lost)
+	p.idleTimes.record(idled, lost)
 }
 
 // idleLimit is how long a connection may idle by what is known now.
-func (p *pool) idleLimit() time.Duration {
+func (p *connectionPool) idleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.times.limit(p.keepalive)
+	return p.idleTimes.limit(p.keepalive)
 }
 
 // patience is how long a connect may take.
-func (p *pool) patience() time.Duration {
+func (p *connectionPool) connectTimeLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectTimeout
 }
 
 // size is the number of connections that are open or being opened.
-func (p *pool) size() int {
+func (p *connectionPool) size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.openConns
 }
 
 // connects is the number of connections that were tried to open since the start.
-func (p *pool) connects() int {
+func (p *connectionPool) connectCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tried
+	return p.connectAttempts
 }
 
 // hangUp closes the idle connections to an address.
-func (p *pool) hangUp(addr string) {
+func (p *connectionPool) closeIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cn := range p.idle[addr] {
-		p.open--
+		p.openConns--
 		cn.Close()
 	}
 	delete(p.idle, addr)
 }
 
 // end closes what idles, and what falls idle from now on.
-func (p *pool) end() {
+func (p *connectionPool) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.ended = true; p.evict(); {
+	for p.closed = true; p.evict(); {
 	}
 }
 
 // sweep closes connections that have idled too long.
-func (p *pool) sweep() {
+func (p *connectionPool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	limit := p.times.limit(p.keepalive)
+	limit := p.idleTimes.limit(p.keepalive)
 	for addr, list := range p.idle {
 		n := 0
-		for n < len(list) && time.Since(list[n].since) >= limit {
-			p.open--
+		for n < len(list) && time.Since(list[n].idleSince) >= limit {
+			p.openConns--
 			list[n].Close()
 			n++
 		}
@@ -644,7 +644,7 @@
 // alive tells whether an idle connection is still open and silent. One that the
 // peer closed, or that brings bytes nobody asked for, must not carry a request:
 // it would end as a reset, which may have run.
-func alive(nc net.Conn) bool {
+func isIdleConnAlive(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return true
@@ -664,30 +664,30 @@
 }
 
 // hop names the header fields that are for one connection only.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
 // identity names the fields that make a request the client's own at its backend: they
 // are passed on whatever its Connection field lists.
-var identity = []string{"Request-Id", "Idempotency-Key"}
+var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
-func endToEnd(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
 // request is the request as it goes to a backend, told how long the agent waits.
-func (c *call) request(left time.Duration) *http.Request {
-	h := endToEnd(c.header)
-	for _, name := range identity {
+func (c *clientRequest) upstreamRequest(left time.Duration) *http.Request {
+	h := endToEndHeaders(c.header)
+	for _, name := range identityHeaders {
 		if values := c.header.Values(name); len(values) > 0 {
 			h[name] = values
 		}
@@ -699,8 +699,8 @@
 	req := &http.Request{Method: c.method, URL: &url.URL{Path: c.url.Path, RawPath: c.url.RawPath,
 		RawQuery: c.url.RawQuery, ForceQuery: c.url.ForceQuery}, Host: c.host, Header: h}
 	switch {
-	case c.long != nil:
-		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(c.body), c.long)), c.long.length
+	case c.streamed != nil:
+		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(c.body), c.streamed)), c.streamed.length
 	case len(c.body) > 0:
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(c.body)), int64(len(c.body))
 	}
@@ -714,4 +714,4 @@
 	return b
 }
 
-func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/agent/body_test.go
+++ b/internal/agent/body_test.go
@@ -15,7 +15,7 @@
 )
 
 // noise is n bytes that are not alike.
-func noise(n int) []byte {
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i * 31 >> (i % 5))
@@ -26,20 +26,20 @@
 // digest is what hashing backends answer.
 func digest(b []byte) string { return fmt.Sprintf("%d %x", len(b), sha256.Sum256(b)) }
 
-func hashing(c net.Conn, req *http.Request, _ int) bool {
+func hashResponder(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return send(c, 200, "", digest(body))
+	return sendResponse(c, 200, "", digest(body))
 }
 
 // slowly brings a body in pieces, with a call before each.
-type slowly struct {
+type slowReader struct {
 	body   []byte
 	piece  int
 	before func(at int)
 	at     int
 }
 
-func (s *slowly) Read(p []byte) (int, error) {
+func (s *slowReader) Read(p []byte) (int, error) {
 	if s.at == len(s.body) {
 		return 0, io.EOF
 	}
@@ -49,11 +49,11 @@
 	return n, nil
 }
 
-func TestLongBodyGoesThroughOnce(t *testing.T) {
-	a, b := one(t, hashing)
-	for i, length := range []int{maxBody - 1, maxBody, maxBody + 1, 5 << 20} {
+func TestStreamedBodyIsForwardedOnce(t *testing.T) {
+	a, b := startWithServer(t, hashResponder)
+	for i, length := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
 		for _, told := range []bool{true, false} {
-			body := noise(length)
+			body := randomBytes(length)
 			req := newRequest(a.addr, "order", "")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
 			if told {
@@ -62,7 +62,7 @@
 			if i == 3 {
 				req.Header.Set("Expect", "100-continue")
 			}
-			status, _, got := a.ask(req)
+			status, _, got := a.do(req)
 			wantStatus(t, status, 200)
 			if got != digest(body) {
 				t.Errorf("length %d, told %v: arrived as %s", length, told, got)
@@ -72,39 +72,39 @@
 	if b.count() != 8 {
 		t.Errorf("%d arrivals, want 8", b.count())
 	}
-	if f := a.figures(); f.served != 8 || f.guarded+f.backstops > 0 {
+	if f := a.metricsNow(); f.served != 8 || f.violations+f.backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // The time of a request counts from its last byte, and its server is not to blame for a
 // client that brings it slowly.
-func TestSlowLongBodyHasItsTime(t *testing.T) {
+func TestSlowStreamedBodyHasItsFullTime(t *testing.T) {
 	t.Parallel()
-	a, b := one(t, hashing)
-	body := noise(6 * maxBody)
+	a, b := startWithServer(t, hashResponder)
+	body := randomBytes(6 * maxBufferedBody)
 	req := newRequest(a.addr, "order", "")
 	req.Header.Set("Request-Timeout-Ms", "700")
 	req.ContentLength = int64(len(body))
-	req.Body = io.NopCloser(&slowly{body: body, piece: maxBody / 2, before: func(at int) {
+	req.Body = io.NopCloser(&slowReader{body: body, piece: maxBufferedBody / 2, before: func(at int) {
 		if at > 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}})
-	status, _, got := a.ask(req)
+	status, _, got := a.do(req)
 	wantStatus(t, status, 200)
 	if got != digest(body) || b.count() != 1 {
 		t.Errorf("arrived as %s, %d times", got, b.count())
 	}
-	if f := a.figures(); f.ends[100] != 1 || f.guarded+f.backstops > 0 {
+	if f := a.metricsNow(); f.attempts[100] != 1 || f.violations+f.backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // A server that takes no more of a long body ends the attempt with its answer. What is
 // gone is not sent again, and what never ran is refused.
-func TestLongBodyTurnedAwayHalfway(t *testing.T) {
-	b := newBackend(t, nil)
+func TestStreamedBodyRejectedHalfway(t *testing.T) {
+	b := newFakeServer(t, nil)
 	b.ln.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,19 +125,19 @@
 					return
 				}
 				heads <- struct{}{}
-				io.CopyN(io.Discard, br, 2*maxBody)
-				send(c, 503, "Not-Started: 1\r\n", "")
+				io.CopyN(io.Discard, br, 2*maxBufferedBody)
+				sendResponse(c, 503, "Not-Started: 1\r\n", "")
 				io.Copy(io.Discard, br)
 			}()
 		}
 	}()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
 	// A client that brings the rest only once it has its answer.
-	c := a.dial()
-	body := noise(20 * maxBody)
+	c := a.dialKept()
+	body := randomBytes(20 * maxBufferedBody)
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", len(body))
-	c.Write(body[:3*maxBody])
+	c.Write(body[:3*maxBufferedBody])
 	resp, err := http.ReadResponse(c.br, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -148,42 +148,42 @@
 	if len(heads) != 1 {
 		t.Errorf("%d attempts, want 1", len(heads))
 	}
-	if f := a.figures(); f.ends[302] != 1 || f.guarded > 0 {
+	if f := a.metricsNow(); f.attempts[302] != 1 || f.violations > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // A client that breaks off its body leaves nothing at a server that counts as a request.
-func TestLongBodyBrokenOff(t *testing.T) {
-	a, b := one(t, hashing)
-	lines := a.logged(t)
-	c := a.dial()
+func TestStreamedBodyAborted(t *testing.T) {
+	a, b := startWithServer(t, hashResponder)
+	lines := a.logLines(t)
+	c := a.dialKept()
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBody)
-	c.Write(noise(3 * maxBody))
+		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
+	c.Write(randomBytes(3 * maxBufferedBody))
 	c.Close()
 	waitLine(t, lines, " id=1 ") // as left or as failed, whichever is seen first
 	<-b.ended
 	if b.count() != 0 {
 		t.Errorf("%d arrivals, want none", b.count())
 	}
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	f := a.figures()
-	for end := time.Now().Add(patience); f.ends[306]+f.ends[307] == 0 && time.Now().Before(end); f = a.figures() {
+	f := a.metricsNow()
+	for end := time.Now().Add(testTimeout); f.attempts[306]+f.attempts[307] == 0 && time.Now().Before(end); f = a.metricsNow() {
 		time.Sleep(time.Millisecond) // the attempt's end comes to the loop by itself
 	}
-	if f.ends[306]+f.ends[307] != 1 || f.guarded+f.backstops > 0 {
+	if f.attempts[306]+f.attempts[307] != 1 || f.violations+f.backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // The first bytes of a long answer, and of one that takes long, are passed on while the
 // rest is yet to come.
-func TestLongAnswerIsPassedOnAsItComes(t *testing.T) {
+func TestLongResponseIsStreamed(t *testing.T) {
 	more := make(chan struct{})
-	long := noise(3 * maxBody)
-	a, b := one(t, func(c net.Conn, req *http.Request, _ int) bool {
+	long := randomBytes(3 * maxBufferedBody)
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
@@ -230,9 +230,9 @@
 }
 
 // An answer that breaks halfway can't be taken for whole, and is sent once.
-func TestLongAnswerThatBreaksOff(t *testing.T) {
-	long := noise(3 * maxBody)
-	a, b := one(t, func(c net.Conn, req *http.Request, _ int) bool {
+func TestLongResponseAborted(t *testing.T) {
+	long := randomBytes(3 * maxBufferedBody)
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)+1)
@@ -243,7 +243,7 @@
 		return false
 	})
 	for i, form := range []string{"told", "chunks"} {
-		lines := a.logged(t)
+		lines := a.logLines(t)
 		req := newRequest(a.addr, "read", "")
 		req.URL.RawQuery = form
 		resp, err := testClient.Do(req)
@@ -263,18 +263,18 @@
 }
 
 // A client that goes away in the middle of a long answer gives its server's connection up.
-func TestClientLeavesInTheMiddleOfALongAnswer(t *testing.T) {
+func TestClientClosesDuringALongResponse(t *testing.T) {
 	gone := make(chan error, 1)
-	a, _ := one(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	a, _ := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
 		var err error
-		for piece := noise(maxBody); err == nil; {
+		for piece := randomBytes(maxBufferedBody); err == nil; {
 			_, err = c.Write(piece)
 		}
 		gone <- err
 		return false
 	})
-	c := a.dial()
+	c := a.dialKept()
 	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
 	if _, err := c.br.Peek(4096); err != nil {
 		t.Fatal(err)
@@ -282,34 +282,34 @@
 	c.Close()
 	select {
 	case <-gone:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the server's connection stays open")
 	}
 }
 
 // What the budget has no room for is not kept, but it goes through.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
-	b := newBudget(&Config{MemoryMB: 1})
+	b := newBodyBudget(&Config{MemoryMB: 1})
 	if !b.TryAcquire(1 << 20 / 6) {
 		t.Fatal("no budget")
 	}
-	kept, whole, held, err := b.gather(strings.NewReader("body"), 4)
+	kept, whole, held, err := b.readBody(strings.NewReader("body"), 4)
 	if len(kept) > 0 || whole || held != 0 || err != nil {
 		t.Errorf("kept %q, whole %v, held %d, %v", kept, whole, held, err)
 	}
 	b.Release(4)
-	kept, whole, held, err = b.gather(strings.NewReader("body"), 4)
+	kept, whole, held, err = b.readBody(strings.NewReader("body"), 4)
 	if string(kept) != "body" || !whole || held != 4 || err != nil {
 		t.Errorf("kept %q, whole %v, held %d, %v", kept, whole, held, err)
 	}
 
-	a, backend := one(t, hashing)
-	for _, bytes := range []quota{a.loop.pool.budget, a.front.budget} {
+	a, backend := startWithServer(t, hashResponder)
+	for _, bytes := range []quota{a.loop.pool.budget, a.front.bodyBudget} {
 		for bytes.TryAcquire(1 << 10) {
 		}
 	}
-	body := noise(100)
-	status, _, got := a.ask(newRequest(a.addr, "order", string(body)))
+	body := randomBytes(100)
+	status, _, got := a.do(newRequest(a.addr, "order", string(body)))
 	wantStatus(t, status, 200)
 	if got != digest(body) || backend.count() != 1 {
 		t.Errorf("arrived as %s, %d times", got, backend.count())
@@ -317,22 +317,22 @@
 }
 
 // What bodies held of the budget is there again once they are through.
-func TestTheBudgetIsGivenBack(t *testing.T) {
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+func TestBodyBudgetIsReleased(t *testing.T) {
+	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n%2 == 0 {
-			return send(c, 200, "", strings.Repeat("x", 100*(n+1)))
+			return sendResponse(c, 200, "", strings.Repeat("x", 100*(n+1)))
 		}
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 		return err == nil
 	})
 	for range 10 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "some body"))
+		status, _, _ := a.do(newRequest(a.addr, "order", "some body"))
 		wantStatus(t, status, 200)
 	}
 	all := int64(192) << 20 / 6
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		// The handler gives back behind the answer's last byte.
-		if a.front.budget.TryAcquire(all) && a.loop.pool.budget.TryAcquire(all) {
+		if a.front.bodyBudget.TryAcquire(all) && a.loop.pool.budget.TryAcquire(all) {
 			break
 		}
 		if time.Now().After(end) {
@@ -343,24 +343,24 @@
 
 // A long request that is still coming when the process ends is refused and can go to
 // another one; its server has none of it that counts.
-func TestLongBodyIsRefusedAtTheEnd(t *testing.T) {
+func TestStreamedBodyIsRejectedAtShutdown(t *testing.T) {
 	t.Parallel()
-	a, b := one(t, hashing)
-	c := a.dial()
+	a, b := startWithServer(t, hashResponder)
+	c := a.dialKept()
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBody)
-	c.Write(noise(3 * maxBody))
+		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
+	c.Write(randomBytes(3 * maxBufferedBody))
 	for { // until it is on its way
 		writing := make(chan bool, 1)
-		a.loop.post(func() { writing <- len(a.loop.requests) == 1 && a.loop.requests[1].writing })
+		a.loop.post(func() { writing <- len(a.loop.requests) == 1 && a.loop.requests[1].sendingBody })
 		if <-writing {
 			break
 		}
 	}
-	late := a.dial() // its head comes in two parts, the second of them after the end has begun
+	late := a.dialKept() // its head comes in two parts, the second of them after the end has begun
 	fmt.Fprint(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	a.stop()
-	refused := func(name string, k *kept) {
+	refused := func(name string, k *keptConn) {
 		t.Helper()
 		resp, err := http.ReadResponse(k.br, nil)
 		if err != nil {
--- a/internal/agent/broken_test.go
+++ b/internal/agent/broken_test.go
@@ -29,7 +29,7 @@
 		want[readError(os.NewSyscallError("read", errno))] = balancer.StatusReset
 	}
 	for err, status := range want {
-		if got := broken(err); got != status {
+		if got := brokenStatus(err); got != status {
 			t.Errorf("%v: ended as %d, want %d", err, got, status)
 		}
 	}
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -42,9 +42,9 @@
 }
 
 // heldBackend holds each request until release is called.
-func heldBackend(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeBackend, release func()) {
+func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeServer, release func()) {
 	held := make(chan struct{})
-	b = newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	b = newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-held
 		return answer(c, req, n)
 	})
@@ -53,43 +53,43 @@
 	return b, release
 }
 
-func turnAway(c net.Conn, _ *http.Request, _ int) bool {
-	return send(c, 503, "Not-Started: 1\r\n", "")
+func respondOverloaded(c net.Conn, _ *http.Request, _ int) bool {
+	return sendResponse(c, 503, "Not-Started: 1\r\n", "")
 }
 
 // closeAtBackend closes while a backend works on the request.
-func closeAtBackend(t *testing.T) closeMoment {
-	b, release := heldBackend(t, serving)
+func closeAtServer(t *testing.T) closeMoment {
+	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.begun, allowed: 1, answers: 1}
+		proceed: release, begun: b.startedCount, allowed: 1, answers: 1}
 }
 
 // closeBeforeRetry closes while the attempt is out whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
-	first, release := heldBackend(t, turnAway)
-	second, releaseSecond := heldBackend(t, turnAway)
+	first, release := blockedServer(t, respondOverloaded)
+	second, releaseSecond := blockedServer(t, respondOverloaded)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
-	begun := func() int { return first.begun() + second.begun() }
+	begun := func() int { return first.startedCount() + second.startedCount() }
 	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
 		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
 }
 
 // closeWhileQueued closes while the request waits in the agent for room at its only backend.
-func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, serving) }
+func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, respondOK) }
 
 // queuedBehind has all room taken at the only backend, which answers once it is let go on.
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
-	b, release := heldBackend(t, answer)
+	b, release := blockedServer(t, answer)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	const room = 8 // at a backend that has not been measured yet
 	for range room {
-		fmt.Fprint(a.dial(), readRequest)
+		fmt.Fprint(a.dialKept(), readRequest)
 	}
-	until(t, "all room is taken", func() bool { return b.count() == room })
-	queued := func() bool { return inLoop(a, func(l *loop) int { return l.balancer.Stats().Queued }) == 1 }
+	waitUntil(t, "all room is taken", func() bool { return b.count() == room })
+	queued := func() bool { return inLoop(a, func(l *eventLoop) int { return l.balancer.Stats().Queued }) == 1 }
 	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
-		begun: b.begun, allowed: room, answers: 1}
+		begun: b.startedCount, allowed: room, answers: 1}
 }
 
 // closeWhileConnecting closes while the connection to the backend has not come up.
@@ -120,7 +120,7 @@
 		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
 	}
 	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.loop.pool.connects() == 1 },
+		reached: func() bool { return a.loop.pool.connectCount() == 1 },
 		begun: func() int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -142,15 +142,15 @@
 }
 
 // keepBlockedConn has the pool keep a blockedConn to an address.
-func keepBlockedConn(t *testing.T, p *pool, addr string) blockedConn {
+func keepBlockedConn(t *testing.T, p *connectionPool, addr string) blockedConn {
 	inner, peer := net.Pipe()
 	t.Cleanup(func() { peer.Close() })
 	broken := blockedConn{inner, make(chan struct{}), make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle[addr] = []*conn{{Conn: broken, br: bufio.NewReader(inner), addr: addr, uses: 1,
-		made: time.Now(), since: time.Now().Add(-5 * settleTime)}}
-	p.open++
+	p.idle[addr] = []*serverConn{{Conn: broken, reader: bufio.NewReader(inner), addr: addr, uses: 1,
+		createdAt: time.Now(), idleSince: time.Now().Add(-5 * settleTime)}}
+	p.openConns++
 	return broken
 }
 
@@ -158,7 +158,7 @@
 // breaks, after which the agent would open another. The byte behind the request hides the
 // close from the server's own look.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := newBackend(t, serving)
+	b := newFakeServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	broken := keepBlockedConn(t, a.loop.pool, b.addr)
 	reached := func() bool {
@@ -170,27 +170,27 @@
 		}
 	}
 	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
-		proceed: func() { close(broken.proceed) }, begun: b.begun, answers: 1}
+		proceed: func() { close(broken.proceed) }, begun: b.startedCount, answers: 1}
 }
 
 // closeBehindEarlierResponse closes while the earlier of two requests of the connection is
 // still at a backend.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
-	b, release := heldBackend(t, serving)
+	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.begun, allowed: 1, answers: 2}
+		proceed: release, begun: b.startedCount, allowed: 1, answers: 2}
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
 func closeInLongBody(t *testing.T) closeMoment {
-	b := newBackend(t, hashing)
+	b := newFakeServer(t, hashResponder)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBody)
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBufferedBody)
 	// Its head may have begun to arrive, its end can't: none counts as a request.
-	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBody),
-		reached: func() bool { return b.begun() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
+	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBufferedBody),
+		reached: func() bool { return b.startedCount() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
 }
 
 // A client that ends its connection gets no further attempt, whatever the moment. One that
@@ -198,7 +198,7 @@
 // an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
 	moments := map[string]func(*testing.T) closeMoment{
-		"at a backend":                      closeAtBackend,
+		"at a backend":                      closeAtServer,
 		"before a retry":                    closeBeforeRetry,
 		"queued":                            closeWhileQueued,
 		"connecting":                        closeWhileConnecting,
@@ -211,9 +211,9 @@
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				m := arrange(t)
-				client := m.agent.dial()
+				client := m.agent.dialKept()
 				fmt.Fprint(client, m.requests)
-				until(t, "the moment has come", m.reached)
+				waitUntil(t, "the moment has come", m.reached)
 				if err := end(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
@@ -222,13 +222,13 @@
 				if way == "half-close" {
 					wantFinalAnswers(t, client.br, m.answers)
 				}
-				until(t, "the connection has ended", func() bool {
-					return inLoop(m.agent, func(l *loop) int { return l.open }) == 0
+				waitUntil(t, "the connection has ended", func() bool {
+					return inLoop(m.agent, func(l *eventLoop) int { return l.unanswered }) == 0
 				})
 				if begun := m.begun(); begun != m.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
 				}
-				if f := m.agent.figures(); f.guarded+f.backstops > 0 {
+				if f := m.agent.metricsNow(); f.violations+f.backstops > 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -49,8 +49,8 @@
 	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
 	CallFrom net.IP
 
-	text map[string]any     // the file, to compare the next with
-	told *endpoint.Settings // those in force, where the list service told them
+	text            map[string]any     // the file, to compare the next with
+	serviceSettings *endpoint.Settings // those in force, where the list service told them
 }
 
 // Hooks are called when something has happened, each where it is not nil, from goroutines of the
@@ -67,7 +67,7 @@
 	OnMemoryLimit func(bytes int64)
 }
 
-func (c *Config) clock() clock.Clock {
+func (c *Config) systemClock() clock.Clock {
 	if c.Clock == nil {
 		return clock.System()
 	}
@@ -82,7 +82,7 @@
 }
 
 // file is the form of $PROXY_CONFIG.
-type file struct {
+type configFile struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
 	Discovery  string `json:"discovery"`
@@ -129,12 +129,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.after(now)
+	return f.reloaded(now)
 }
 
 // ParseConfig reads a configuration of the form of $PROXY_CONFIG's file; an error names the key.
 func ParseConfig(text []byte) (*Config, error) {
-	f, err := parse(text)
+	f, err := parseFile(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
@@ -143,16 +143,16 @@
 
 // ParseReload reads such a configuration as ReloadConfig does, in place of the one in force.
 func ParseReload(text []byte, now *Config) (*Config, error) {
-	f, err := parse(text)
+	f, err := parseFile(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	return f.after(now)
+	return f.reloaded(now)
 }
 
 // after is the configuration that takes the place of now.
-func (f *file) after(now *Config) (*Config, error) {
-	if key := missing(now.text, f.text); key != "" {
+func (f *configFile) reloaded(now *Config) (*Config, error) {
+	if key := missingKey(now.text, f.text); key != "" {
 		return nil, fmt.Errorf("config: %s: missing, though it was there before", key)
 	}
 	return f.config()
@@ -160,7 +160,7 @@
 
 // missing names a key that an object has and its successor has not; "" if there is none.
 // Of a list of objects only the keys count that all of them have.
-func missing(now, then map[string]any) string {
+func missingKey(now, then map[string]any) string {
 	for key, old := range now {
 		value := then[key]
 		if value == nil && old != nil {
@@ -173,7 +173,7 @@
 			if !ok {
 				return key
 			}
-			within = missing(old, value)
+			within = missingKey(old, value)
 		case []any:
 			value, ok := value.([]any)
 			if !ok {
@@ -185,7 +185,7 @@
 			common := commonKeys(old)
 			for i := range value {
 				if item, ok := value[i].(map[string]any); ok && within == "" {
-					within = missing(common, item)
+					within = missingKey(common, item)
 				}
 			}
 		}
@@ -215,7 +215,7 @@
 	return common
 }
 
-func readFile(getenv func(string) string) (*file, error) {
+func readFile(getenv func(string) string) (*configFile, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("config: PROXY_CONFIG is not set")
@@ -224,15 +224,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	f, err := parse(text)
+	f, err := parseFile(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
 	return f, nil
 }
 
-func parse(text []byte) (*file, error) {
-	f := new(file)
+func parseFile(text []byte) (*configFile, error) {
+	f := new(configFile)
 	for _, to := range []any{f, &f.text} {
 		if err := json.Unmarshal(text, to); err != nil {
 			return nil, err
@@ -241,7 +241,7 @@
 	return f, nil
 }
 
-func (f *file) config() (*Config, error) {
+func (f *configFile) config() (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known, text: f.text,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
 	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery},
@@ -268,7 +268,7 @@
 	if len(f.Settings) == 0 {
 		return nil, fmt.Errorf("config: settings: none given")
 	}
-	if err := c.takeSettings(f.Settings); err != nil {
+	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	if len(f.Control) > 0 {
@@ -284,7 +284,7 @@
 			return nil, fmt.Errorf("config: %w", err)
 		}
 		c.Fleet.Name, c.Fleet.Size = c.Name, c.Settings.FleetSize
-		if c.Fleet.Version = version(); c.Sockets < minSockets+membership.Sockets {
+		if c.Fleet.Version = buildRevision(); c.Sockets < minSockets+membership.Sockets {
 			return nil, fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", minSockets+membership.Sockets, c.Sockets)
 		}
 	}
@@ -299,18 +299,18 @@
 	// and one connection that is accepted before another is closed.
 	fixedSockets = 14
 	// leastReserve lets two processes stand side by side with two operators each.
-	leastReserve = 2 * (fixedSockets + 2)
+	minReserve = 2 * (fixedSockets + 2)
 )
 
 // clientConns and backendConns divide the descriptors: neither side can take the other's, nor
 // the reserve, which is for operators and what a process takes whatever comes.
-func (c *Config) clientConns() int  { return (c.ownSockets() - max(c.ownSockets()/8, leastReserve)) / 2 }
-func (c *Config) backendConns() int { return c.clientConns() }
+func (c *Config) clientConns() int { return (c.ownSockets() - max(c.ownSockets()/8, minReserve)) / 2 }
+func (c *Config) serverConns() int { return c.clientConns() }
 
 // operatorConns are the operators' connections where the reserve is shared by so many processes.
-func (c *Config) operatorConns(processes int) int {
-	reserve := c.ownSockets() - c.clientConns() - c.backendConns()
-	return min(reserve/processes-fixedSockets, maxCalls)
+func (c *Config) adminConns(processes int) int {
+	reserve := c.ownSockets() - c.clientConns() - c.serverConns()
+	return min(reserve/processes-fixedSockets, maxAdminConns)
 }
 
 // ownSockets are the descriptors but those that the fleet view takes, where there is one.
@@ -322,7 +322,7 @@
 }
 
 // version is the commit that the program was built from, as far as the build tells.
-func version() string {
+func buildRevision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -58,18 +58,18 @@
 
 // After SIGTERM what came last has its whole time, and the program has ended before it may
 // be killed: the longest deadline, 3 s at the most, and 0.7 s later.
-func TestTheEndIsBeforeTheKill(t *testing.T) {
+func TestDrainTimeIsWithinTheKillDelay(t *testing.T) {
 	for _, longest := range []float64{300, 3000, 20000} {
 		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
-		end, kill := c.heldFor(), min(ms(longest), 3*time.Second)+700*time.Millisecond
-		if end <= linger+min(ms(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
+		end, kill := c.drainTime(), min(milliseconds(longest), 3*time.Second)+700*time.Millisecond
+		if end <= drainAcceptTime+min(milliseconds(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
 			t.Errorf("longest deadline %v ms: the end is %v after SIGTERM, the kill %v", longest, end, kill)
 		}
 	}
 }
 
 // What a file lacks or gets wrong leaves the settings in force as they are, whole.
-func TestReloadRefusesBrokenFiles(t *testing.T) {
+func TestReloadRejectsInvalidFiles(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:9"}]},"settings":` + testSettings + `}`
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/connect_errors.go
@@ -28,12 +28,12 @@
 
 // connectFailure is how an attempt ends that got no connection. The backend is not demoted for what
 // this agent or its machine lacks.
-func connectFailure(err error) result {
+func connectFailureResult(err error) attemptResult {
 	status := balancer.StatusConnectFailed
-	if errors.Is(err, errTooMany) || isOneOf(err, localErrors) {
+	if errors.Is(err, errNoDescriptor) || isOneOf(err, localErrors) {
 		status = balancer.StatusOverloaded
 	}
-	return result{status: status, why: err.Error()}
+	return attemptResult{status: status, reason: err.Error()}
 }
 
 // localWriteErrors say that this machine had no memory for a write (send(2)). What else ends a write shows
@@ -41,7 +41,7 @@
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
 // writeFailure is the status of an attempt whose last byte was not written.
-func writeFailure(err error) balancer.Status {
+func writeFailureStatus(err error) balancer.Status {
 	if isOneOf(err, localWriteErrors) {
 		return balancer.StatusOverloaded
 	}
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -30,20 +30,20 @@
 }
 
 // connectWith makes an attempt whose connect fails.
-func connectWith(t *testing.T, errno syscall.Errno) result {
+func connectWith(t *testing.T, errno syscall.Errno) attemptResult {
 	t.Helper()
-	p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 1,
-		idle: map[string][]*conn{}}
+	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 1,
+		idle: map[string][]*serverConn{}}
 	p.dial = func(context.Context, string, time.Time) (net.Conn, error) { return nil, connectError(errno) }
 	now := time.Now()
-	r := p.do(t.Context(), &backend{}, "127.0.0.1:1", &message{}, now, now.Add(patience))
+	r := p.attempt(t.Context(), &upstreamServer{}, "127.0.0.1:1", &upstreamMessage{}, now, now.Add(testTimeout))
 	if p.size() != 0 {
 		t.Errorf("%v: %d connections counted, want none", errno, p.size())
 	}
 	return r
 }
 
-func TestConnectErrorsTellOwnLackFromTheServersFault(t *testing.T) {
+func TestConnectErrorsSeparateLocalShortageFromServerFault(t *testing.T) {
 	for _, errno := range localErrnos {
 		if r := connectWith(t, errno); r.status != balancer.StatusOverloaded {
 			t.Errorf("%v: ended as %d, want %d", errno, r.status, balancer.StatusOverloaded)
@@ -58,11 +58,11 @@
 
 // While connects fail for what this machine lacks, requests are refused or served by further attempts, and
 // no server is demoted.
-func TestOwnLackDemotesNoServer(t *testing.T) {
-	b, c, d := newBackend(t, serving), newBackend(t, serving), newBackend(t, serving)
+func TestLocalShortageDemotesNoServer(t *testing.T) {
+	b, c, d := newFakeServer(t, respondOK), newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr), target("s-2", c.addr), target("s-3", d.addr)), nil)
 	var connects atomic.Int64
-	inLoop(a, func(l *loop) struct{} {
+	inLoop(a, func(l *eventLoop) struct{} {
 		l.pool.dial = func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 			n := int(connects.Add(1)) - 1
 			if n < 2*len(localErrnos) {
@@ -72,34 +72,34 @@
 		}
 		return struct{}{}
 	})
-	until(t, "an answer once the lack is over", func() bool {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	waitUntil(t, "an answer once the lack is over", func() bool {
+		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Fatalf("answered %d, want 200 or a refusal", status)
 		}
 		return status == http.StatusOK
 	})
-	states := inLoop(a, func(l *loop) [4]int { return l.balancer.Stats().States })
+	states := inLoop(a, func(l *eventLoop) [4]int { return l.balancer.Stats().States })
 	if demoted := states[balancer.UnhealthyPending] + states[balancer.Unhealthy]; demoted != 0 {
 		t.Errorf("%d servers demoted of %v", demoted, states)
 	}
 }
 
 // A request that could not be written for lack of memory accuses nobody either.
-func TestWriteErrorsTellOwnLackFromTheServersFault(t *testing.T) {
-	b := newBackend(t, serving)
+func TestWriteErrorsSeparateLocalShortageFromServerFault(t *testing.T) {
+	b := newFakeServer(t, respondOK)
 	want := map[syscall.Errno]balancer.Status{
 		syscall.ENOBUFS: balancer.StatusOverloaded, syscall.ENOMEM: balancer.StatusOverloaded,
 		syscall.EPIPE: balancer.StatusConnectFailed, syscall.ETIMEDOUT: balancer.StatusConnectFailed, syscall.ENETUNREACH: balancer.StatusConnectFailed,
 	}
 	for errno, status := range want {
-		p := &pool{budget: newBudget(&Config{MemoryMB: 64}), connectTimeout: patience, keepalive: time.Minute, max: 1,
-			idle: map[string][]*conn{}}
-		p.dial = newFaultPlan([]fault{{callWrite, 30, errno}}).dial
+		p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 1,
+			idle: map[string][]*serverConn{}}
+		p.dial = newFaultPlan([]callFault{{callWrite, 30, errno}}).dial
 		req := newRequest(b.addr, "order", "x")
-		c := &call{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
+		c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 		now := time.Now()
-		if r := p.do(t.Context(), &backend{}, b.addr, &message{request: c.request}, now, now.Add(patience)); r.status != status {
+		if r := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); r.status != status {
 			t.Errorf("%v: ended as %d, want %d", errno, r.status, status)
 		}
 	}
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -27,7 +27,7 @@
 const (
 	// maxName bounds the names that the list service takes, in bytes, and maxWhy the reason of a
 	// refusal that it is told.
-	maxName, maxWhy = 128, 200
+	maxServiceName, maxRejectionReason = 128, 200
 )
 
 // Control is the section "control" of the configuration: how the agent is reached by what the
@@ -60,8 +60,8 @@
 		return nil, errors.New("control: must have service, addresses or both")
 	}
 	for key, value := range keys {
-		if strings.EqualFold(key, "service") && !isName(c.Service) {
-			return nil, fmt.Errorf("control: service: %.40q is no name: want 1 to %d bytes, no / and no control characters", c.Service, maxName)
+		if strings.EqualFold(key, "service") && !isServiceName(c.Service) {
+			return nil, fmt.Errorf("control: service: %.40q is no name: want 1 to %d bytes, no / and no control characters", c.Service, maxServiceName)
 		}
 		if strings.EqualFold(key, "addresses") && len(c.Addresses) == 0 {
 			return nil, fmt.Errorf("control: addresses: must name one at least, is %.40s", value)
@@ -83,8 +83,8 @@
 }
 
 // isName tells whether the list service takes a text as a service's name.
-func isName(s string) bool {
-	return s != "" && s != "." && s != ".." && len(s) <= maxName && utf8.ValidString(s) &&
+func isServiceName(s string) bool {
+	return s != "" && s != "." && s != ".." && len(s) <= maxServiceName && utf8.ValidString(s) &&
 		!strings.Contains(s, "/") && !strings.ContainsFunc(s, unicode.IsControl)
 }
 
@@ -102,7 +102,7 @@
 }
 
 // takeSettings reads and checks the settings of a configuration; an error names the key.
-func (c *Config) takeSettings(text []byte) error {
+func (c *Config) parseSettings(text []byte) error {
 	settings, err := wire.ParseSettings(text)
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 // withTold is the configuration with settings that the list service told in place of its own, but
 // for index and zone. The rules are ReloadConfig's: an error names the key that can't be used, or
 // that the settings in force have and these lack.
-func (c *Config) withTold(s *endpoint.Settings) (*Config, error) {
+func (c *Config) withServiceSettings(s *endpoint.Settings) (*Config, error) {
 	var text map[string]any
 	if err := json.Unmarshal(s.Value, &text); err != nil || text == nil {
 		return nil, errors.New("settings: not a JSON object")
@@ -136,11 +136,11 @@
 			text[key] = value
 		}
 	}
-	if key := missing(own, text); key != "" {
+	if key := missingKey(own, text); key != "" {
 		return nil, fmt.Errorf("settings: %s: missing, though it was there before", key)
 	}
 	n := *c
-	if err := n.takeSettings(s.Value); err != nil {
+	if err := n.parseSettings(s.Value); err != nil {
 		return nil, err
 	}
 	n.Settings.Index, n.Settings.Zone = c.Settings.Index, c.Settings.Zone
@@ -148,14 +148,14 @@
 	if n.text == nil {
 		n.text = map[string]any{}
 	}
-	n.text["settings"], n.told = text, s
+	n.text["settings"], n.serviceSettings = text, s
 	return &n, nil
 }
 
 // withForced is the configuration, which a file brought, with the settings of the one in force where
 // those came from the list service: they win over a file's.
-func (c *Config) withForced(now *Config) (*Config, error) {
-	if now.told == nil {
+func (c *Config) keepServiceSettings(now *Config) (*Config, error) {
+	if now.serviceSettings == nil {
 		return c, nil
 	}
 	n := *c
@@ -170,7 +170,7 @@
 		}
 		n.text["settings"] = kept
 	}
-	return n.withTold(now.told)
+	return n.withServiceSettings(now.serviceSettings)
 }
 
 // settingsWatch is what a watch tells the list service of the settings that the agent has, and
@@ -179,16 +179,16 @@
 	service, agent string
 	// take takes settings over and returns once they are in force; an error is why they are not:
 	// errNotServing where nothing is taken over any more.
-	take func(context.Context, *endpoint.Settings) error
+	apply func(context.Context, *endpoint.Settings) error
 
-	mu               sync.Mutex
-	inForce, refused uint64
-	why              string
-	ended            bool
+	mu                              sync.Mutex
+	appliedVersion, rejectedVersion uint64
+	rejectionReason                 string
+	ended                           bool
 }
 
 // errNotServing ends the taking over of settings by an agent that ends.
-var errNotServing = errors.New("the agent ends")
+var errAgentStopping = errors.New("the agent ends")
 
 // query is what a call of the watch has beside its index; "" once nothing is taken over any more.
 func (w *settingsWatch) query() string {
@@ -201,41 +201,41 @@
 		return ""
 	}
 	q := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
-		endpoint.QueryAgent, url.QueryEscape(w.agent), endpoint.QueryInForce, w.inForce)
-	if w.refused > 0 {
-		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.refused, endpoint.QueryWhy, url.QueryEscape(w.why))
+		endpoint.QueryAgent, url.QueryEscape(w.agent), endpoint.QueryInForce, w.appliedVersion)
+	if w.rejectedVersion > 0 {
+		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.rejectedVersion, endpoint.QueryWhy, url.QueryEscape(w.rejectionReason))
 	}
 	return q
 }
 
 // come takes settings that an answer brought, unless they are no newer than what was taken or
 // refused: a version never goes back.
-func (w *settingsWatch) come(ctx context.Context, s *endpoint.Settings) {
+func (w *settingsWatch) receive(ctx context.Context, s *endpoint.Settings) {
 	w.mu.Lock()
-	old := s.Version <= max(w.inForce, w.refused)
+	old := s.Version <= max(w.appliedVersion, w.rejectedVersion)
 	w.mu.Unlock()
 	if old {
 		return
 	}
-	err := w.take(ctx, s)
+	err := w.apply(ctx, s)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case errors.Is(err, errNotServing):
+	case errors.Is(err, errAgentStopping):
 		w.ended = true
 	case err != nil:
-		w.refused, w.why = s.Version, shortLine(err.Error(), maxWhy)
+		w.rejectedVersion, w.rejectionReason = s.Version, shortLine(err.Error(), maxRejectionReason)
 	default:
-		w.inForce, w.refused, w.why = s.Version, 0, ""
+		w.appliedVersion, w.rejectedVersion, w.rejectionReason = s.Version, 0, ""
 	}
 }
 
 // retry forgets what was refused, so that it is told and judged again: what it was refused for may
 // have changed.
-func (w *settingsWatch) retry() {
+func (w *settingsWatch) forgetRejection() {
 	if w != nil {
 		w.mu.Lock()
-		w.refused, w.why = 0, ""
+		w.rejectedVersion, w.rejectionReason = 0, ""
 		w.mu.Unlock()
 	}
 }
@@ -255,72 +255,72 @@
 }
 
 // handover is settings on their way from the watch to whoever reloads.
-type handover struct {
+type settingsUpdate struct {
 	settings *endpoint.Settings
 	done     chan error // of capacity one: who takes them over waits for nobody
 }
 
 // inForce is the configuration in force, with how long requests are held at the end. It belongs to
 // the goroutine that reloads.
-type inForce struct {
-	cfg   *Config
-	front *front
-	loop  *loop
-	held  time.Duration
+type activeConfig struct {
+	cfg        *Config
+	downstream *downstreamServer
+	loop       *eventLoop
+	drainTime  time.Duration
 }
 
 // reload takes over what a file brought, as far as the list service's settings leave it.
-func (f *inForce) reload(file *Config) {
-	c, err := file.withForced(f.cfg)
+func (f *activeConfig) reload(file *Config) {
+	c, err := file.keepServiceSettings(f.cfg)
 	if err != nil { // they were checked when they came
-		f.loop.post(func() { f.loop.write(slog.LevelError, "settings not taken over", "err", err) })
+		f.loop.post(func() { f.loop.logAlways(slog.LevelError, "settings not taken over", "err", err) })
 		return
 	}
-	if c.told != nil {
+	if c.serviceSettings != nil {
 		f.loop.post(func() {
-			f.loop.write(slog.LevelInfo, "settings of the file wait behind the service's", "version", c.told.Version)
+			f.loop.logAlways(slog.LevelInfo, "settings of the file wait behind the service's", "version", c.serviceSettings.Version)
 		})
 	}
-	f.set(c, func(error) {})
-	f.loop.disc.settings.retry()
+	f.activate(c, func(error) {})
+	f.loop.discovery.settingsWatch.forgetRejection()
 }
 
 // come takes over settings that the list service told; what became of it is told when it is over.
-func (f *inForce) come(h handover) {
-	c, err := f.cfg.withTold(h.settings)
+func (f *activeConfig) applyUpdate(h settingsUpdate) {
+	c, err := f.cfg.withServiceSettings(h.settings)
 	if err != nil {
 		f.loop.post(func() {
-			f.loop.refuseSettings(h.settings.Version, err)
+			f.loop.rejectSettings(h.settings.Version, err)
 			h.done <- err
 		})
 		return
 	}
-	f.set(c, func(err error) {
+	f.activate(c, func(err error) {
 		if err != nil {
-			f.loop.refuseSettings(h.settings.Version, err)
+			f.loop.rejectSettings(h.settings.Version, err)
 		}
 		h.done <- err
 	})
 }
 
 // set puts a configuration in force, in one step of the loop, and tells done in it.
-func (f *inForce) set(c *Config, done func(error)) {
-	f.held = max(f.held, c.heldFor()) // what is open keeps its old deadline
+func (f *activeConfig) activate(c *Config, done func(error)) {
+	f.drainTime = max(f.drainTime, c.drainTime()) // what is open keeps its old deadline
 	f.cfg = c
-	f.front.retune(c)
-	f.loop.post(func() { done(f.loop.reload(c)) })
+	f.downstream.applySettings(c)
+	f.loop.post(func() { done(f.loop.applyConfig(c)) })
 }
 
 // refuseSettings counts and logs settings of the list service that can't be used.
-func (l *loop) refuseSettings(version uint64, err error) {
-	l.figures.settingsRefused++
-	l.write(slog.LevelError, "settings refused, the old stay", "version", version, "err", err)
+func (l *eventLoop) rejectSettings(version uint64, err error) {
+	l.metrics.settingsRejected++
+	l.logAlways(slog.LevelError, "settings refused, the old stay", "version", version, "err", err)
 }
 
 // settingsVersion is that of the settings in force, 0 where they are the file's.
 func (c *Config) settingsVersion() uint64 {
-	if c.told == nil {
+	if c.serviceSettings == nil {
 		return 0
 	}
-	return c.told.Version
+	return c.serviceSettings.Version
 }
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -21,7 +21,7 @@
 )
 
 // teller is an instance of a list service that tells settings.
-type teller struct {
+type fakeSettingsDiscovery struct {
 	*httptest.Server
 	calls chan url.Values // of each call
 
@@ -33,8 +33,8 @@
 	wake     chan struct{}
 }
 
-func newTeller(t *testing.T, version uint64) *teller {
-	d := &teller{version: version, calls: make(chan url.Values, 1000), wake: make(chan struct{})}
+func newFakeSettingsDiscovery(t *testing.T, version uint64) *fakeSettingsDiscovery {
+	d := &fakeSettingsDiscovery{version: version, calls: make(chan url.Values, 1000), wake: make(chan struct{})}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -43,9 +43,9 @@
 	return d
 }
 
-func (d *teller) addr() string { return d.Listener.Addr().String() }
+func (d *fakeSettingsDiscovery) addr() string { return d.Listener.Addr().String() }
 
-func (d *teller) serve(w http.ResponseWriter, req *http.Request) {
+func (d *fakeSettingsDiscovery) serve(w http.ResponseWriter, req *http.Request) {
 	q := req.URL.Query()
 	d.calls <- q
 	num := func(key string) uint64 { n, _ := strconv.ParseUint(q.Get(key), 10, 64); return n }
@@ -75,7 +75,7 @@
 	}
 }
 
-func (d *teller) change(f func()) {
+func (d *fakeSettingsDiscovery) change(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
@@ -83,16 +83,16 @@
 	d.wake = make(chan struct{})
 }
 
-func (d *teller) tell(version uint64, value string) {
+func (d *fakeSettingsDiscovery) publish(version uint64, value string) {
 	d.change(func() {
 		d.settings = &endpoint.Settings{Service: "pay", Version: version, Value: json.RawMessage(value)}
 	})
 }
 
 // called waits for a call that is so.
-func (d *teller) called(t *testing.T, what string, is func(url.Values) bool) url.Values {
+func (d *fakeSettingsDiscovery) waitCall(t *testing.T, what string, is func(url.Values) bool) url.Values {
 	t.Helper()
-	for over := time.After(patience); ; {
+	for over := time.After(testTimeout); ; {
 		select {
 		case q := <-d.calls:
 			if is(q) {
@@ -104,27 +104,27 @@
 	}
 }
 
-func (d *teller) calledWith(t *testing.T, key, value string) url.Values {
+func (d *fakeSettingsDiscovery) waitCallWith(t *testing.T, key, value string) url.Values {
 	t.Helper()
-	return d.called(t, key+"="+value, func(q url.Values) bool { return q.Get(key) == value })
+	return d.waitCall(t, key+"="+value, func(q url.Values) bool { return q.Get(key) == value })
 }
 
 // drain forgets the calls so far.
-func (d *teller) drain() {
+func (d *fakeSettingsDiscovery) drain() {
 	for len(d.calls) > 0 {
 		<-d.calls
 	}
 }
 
 // toldSettings are the tests' settings without what is each agent's own, one text replaced by another.
-func toldSettings(from, to string) string {
+func settingsWith(from, to string) string {
 	text := strings.NewReplacer(`"index":0,`, ``, `,"zone":0`, ``).Replace(testSettings)
 	return strings.Replace(text, from, to, 1)
 }
 
 // startTold starts an agent that takes the settings of service pay, at index 3 in zone 1; its
 // configuration's file is the one that is given, so that it may come again.
-func startTold(t *testing.T, addrs ...string) (*testAgent, *Config) {
+func startWithSettingsService(t *testing.T, addrs ...string) (*testAgent, *Config) {
 	t.Helper()
 	text := strings.NewReplacer(`"index":0`, `"index":3`, `"zone":0`, `"zone":1`).Replace(testSettings)
 	more, _ := json.Marshal(addrs)
@@ -142,8 +142,8 @@
 
 // inForceNow is the largest number of attempts and the round of the settings in force, with what is
 // the agent's own.
-func inForceNow(a *testAgent) [4]int {
-	return inLoop(a, func(l *loop) [4]int {
+func settingsInForce(a *testAgent) [4]int {
+	return inLoop(a, func(l *eventLoop) [4]int {
 		s := &l.cfg.Settings
 		return [4]int{s.Limits.MaxAttempts, int(s.RoundTripMs), s.Index, s.Zone}
 	})
@@ -200,8 +200,8 @@
 	pairs := map[[2]string]int{}
 	for i := range 600 {
 		name := fmt.Sprint("pay-", i)
-		o := order(addrs, name)
-		if again := order([]string{addrs[2], addrs[0], addrs[1]}, name); !slices.Equal(o, again) {
+		o := orderAddresses(addrs, name)
+		if again := orderAddresses([]string{addrs[2], addrs[0], addrs[1]}, name); !slices.Equal(o, again) {
 			t.Fatalf("%s asks in the order %v, or %v where the file names them otherwise", name, o, again)
 		}
 		pairs[[2]string{o[0], o[1]}]++
@@ -220,17 +220,17 @@
 func TestWaitsHaveFullJitter(t *testing.T) {
 	most, low := map[int]time.Duration{}, map[int]time.Duration{}
 	for range 300 {
-		for turns, i := newTurn(), 0; i < 15; i++ {
-			w := turns.wait(3)
+		for turns, i := newAddressBackoff(), 0; i < 15; i++ {
+			w := turns.nextDelay(3)
 			if most[i] = max(most[i], w); low[i] == 0 || w < low[i] {
 				low[i] = w
 			}
 		}
 	}
 	for i := range 15 {
-		bound := moveMost
+		bound := maxFailoverDelay
 		if i%3 == 2 {
-			bound = min(turnFirst<<(i/3), turnMost)
+			bound = min(minRoundBackoff<<(i/3), maxRoundBackoff)
 		}
 		if most[i] > bound || most[i] < bound*3/4 || low[i] > bound/4 {
 			t.Errorf("wait %d is %v to %v in 300 draws, want 0 to %v", i, low[i], most[i], bound)
@@ -239,7 +239,7 @@
 }
 
 // Without the section a call is what it was, to the byte, and what an answer says of settings is nothing.
-func TestWithoutControlACallIsAsItWas(t *testing.T) {
+func TestWithoutControlTheCallFormIsUnchanged(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,7 +279,7 @@
 			t.Errorf("the call is %q, want %q", got, want)
 		}
 	}
-	if d := a.loop.disc; d.turn != nil || d.settings != nil || len(d.at().addrs) != 1 {
+	if d := a.loop.discovery; d.backoff != nil || d.settingsWatch != nil || len(d.currentSource().addrs) != 1 {
 		t.Error("the discovery client has parts that only the section calls for")
 	}
 }
@@ -287,29 +287,29 @@
 // A watch moves where a call fails, keeps its version and stays where it is answered.
 func TestWatchMovesOnFailureAndStays(t *testing.T) {
 	t.Parallel()
-	by := map[string]*teller{}
+	by := map[string]*fakeSettingsDiscovery{}
 	cfg := &Config{Name: "pay-1", Control: &Control{}}
 	for range 3 {
-		d := newTeller(t, 41)
+		d := newFakeSettingsDiscovery(t, 41)
 		by[d.addr()] = d
 		cfg.Control.Addresses = append(cfg.Control.Addresses, d.addr())
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
-	d := newDiscovery(cfg.Discovery, 7, func(news) {})
-	d.control(cfg, 7)
+	d := newDiscoveryClient(cfg.Discovery, 7, func(listResponse) {})
+	d.configure(cfg, 7)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	asked := order(cfg.addresses(), "pay-1")
+	asked := orderAddresses(cfg.addresses(), "pay-1")
 	first, second, third := by[asked[0]], by[asked[1]], by[asked[2]]
-	go d.follow(ctx)
-	first.calledWith(t, "index", "7")
-	first.calledWith(t, "index", "41")
+	go d.keepWatch(ctx)
+	first.waitCallWith(t, "index", "7")
+	first.waitCallWith(t, "index", "41")
 	first.change(func() { first.down = true })
-	second.calledWith(t, "index", "41")
+	second.waitCallWith(t, "index", "41")
 	first.change(func() { first.down = false })
 	first.drain()
 	for range 3 {
-		if q := second.calledWith(t, "index", "41"); len(q) != 2 {
+		if q := second.waitCallWith(t, "index", "41"); len(q) != 2 {
 			t.Errorf("the call has %v", q)
 		}
 	}
@@ -318,12 +318,12 @@
 	}
 	second.Listener.Close()
 	second.CloseClientConnections()
-	third.calledWith(t, "index", "41")
+	third.waitCallWith(t, "index", "41")
 }
 
 // A call whose connection is lost is not made again until the wait after a failure is over: the agents of
 // an instance that falls would all come at once.
-func TestALostCallIsNotMadeAgainAtOnce(t *testing.T) {
+func TestLostCallIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -351,15 +351,15 @@
 	}()
 	atFailure := make(chan int64, 100)
 	cfg := &Config{Name: "pay-1", Discovery: ln.Addr().String(), Control: &Control{Service: "pay"}}
-	d := newDiscovery(cfg.Discovery, 1, func(n news) {
+	d := newDiscoveryClient(cfg.Discovery, 1, func(n listResponse) {
 		if n.err != nil {
 			atFailure <- conns.Load()
 		}
 	})
-	d.control(cfg, 1)
+	d.configure(cfg, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.follow(ctx)
+	go d.keepWatch(ctx)
 	for want := range int64(3) {
 		if got := <-atFailure; got != want+1 {
 			t.Errorf("%d connections came before failure %d was told", got, want+1)
@@ -368,7 +368,7 @@
 }
 
 // An instance that has less than the others is passed over; only once all have less is all asked for.
-func TestOnlyAPastOnAllAddressesIsBelieved(t *testing.T) {
+func TestOlderVersionIsAcceptedOnlyFromAllAddresses(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Name: "pay-1", Control: &Control{}}
 	var mu sync.Mutex
@@ -386,12 +386,12 @@
 		cfg.Control.Addresses = append(cfg.Control.Addresses, addr)
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
-	d := newDiscovery(cfg.Discovery, 7, func(news) {})
-	d.control(cfg, 7)
+	d := newDiscoveryClient(cfg.Discovery, 7, func(listResponse) {})
+	d.configure(cfg, 7)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.follow(ctx)
-	until(t, "five calls", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 5 })
+	go d.keepWatch(ctx)
+	waitUntil(t, "five calls", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 5 })
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"7", "7", "7", "0", "2"}; !slices.Equal(asked[:5], want) {
@@ -401,60 +401,63 @@
 
 // Settings that the service tells are taken over whole, but for what is the agent's own; a version
 // never goes back.
-func TestSettingsOfTheServiceAreTakenOver(t *testing.T) {
+func TestServiceSettingsAreApplied(t *testing.T) {
 	t.Parallel()
-	d := newTeller(t, 41)
-	a, _ := startTold(t, d.addr())
-	lines := a.logged(t)
+	d := newFakeSettingsDiscovery(t, 41)
+	a, _ := startWithSettingsService(t, d.addr())
+	lines := a.logLines(t)
 	told := make(chan uint64, 100)
-	inLoop(a, func(l *loop) bool { l.cfg.Hooks.OnSettings = func(version uint64) { told <- version }; return true })
-	q := d.calledWith(t, "in_force", "0")
+	inLoop(a, func(l *eventLoop) bool {
+		l.cfg.Hooks.OnSettings = func(version uint64) { told <- version }
+		return true
+	})
+	q := d.waitCallWith(t, "in_force", "0")
 	if q.Get("service") != "pay" || q.Get("agent") != "pay-1" || q.Has("refused") || q.Has("why") {
 		t.Errorf("the first call has %v", q)
 	}
-	d.tell(50, toldSettings(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.calledWith(t, "in_force", "50")
-	if got := inForceNow(a); got != [4]int{2, 5, 3, 1} {
+	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.waitCallWith(t, "in_force", "50")
+	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
 	if line := waitLine(t, lines, "settings taken over"); !strings.Contains(line, "version=50") {
 		t.Errorf("logged %q", line)
 	}
 	for _, index := range []string{`"Index":9,`, `"zone":0,"index":9,`} { // who writes them is refused; an older service may not refuse
-		d.tell(d.settings.Version+1, `{`+index+toldSettings(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
-		d.calledWith(t, "in_force", fmt.Sprint(d.settings.Version))
-		if got := inForceNow(a); got != [4]int{2, 5, 3, 1} {
+		d.publish(d.settings.Version+1, `{`+index+settingsWith(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
+		d.waitCallWith(t, "in_force", fmt.Sprint(d.settings.Version))
+		if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
 			t.Errorf("in force: %v", got)
 		}
 	}
 	// An instance that lags, or lies, turns nothing back.
 	d.change(func() { d.stubborn = true })
-	d.tell(51, toldSettings(`"roundMs":5`, `"roundMs":6`))
+	d.publish(51, settingsWith(`"roundMs":5`, `"roundMs":6`))
 	d.drain()
 	for range 5 {
-		d.calledWith(t, "in_force", "52")
+		d.waitCallWith(t, "in_force", "52")
 	}
-	if got := inForceNow(a); got != [4]int{2, 5, 3, 1} || a.figures().settings != 3 {
-		t.Errorf("in force: %v, after %d changes", got, a.figures().settings)
+	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().settings != 3 {
+		t.Errorf("in force: %v, after %d changes", got, a.metricsNow().settings)
 	}
 	var hooked []uint64
 	for len(told) > 0 {
 		hooked = append(hooked, <-told)
 	}
-	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.loop.shown.settings.Load() != 52 {
-		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.loop.shown.settings.Load())
+	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.loop.published.settingsVersion.Load() != 52 {
+		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.loop.published.settingsVersion.Load())
 	}
 }
 
 // Settings that the agent can't take are counted, logged and told with the key, and the old stay.
-func TestSettingsThatCanNotBeTakenAreRefused(t *testing.T) {
+func TestInvalidServiceSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	d := newTeller(t, 41)
-	a, _ := startTold(t, d.addr())
-	lines := a.logged(t)
-	d.calledWith(t, "in_force", "0")
-	d.tell(50, toldSettings(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.calledWith(t, "in_force", "50")
+	d := newFakeSettingsDiscovery(t, 41)
+	a, _ := startWithSettingsService(t, d.addr())
+	lines := a.logLines(t)
+	d.waitCallWith(t, "in_force", "0")
+	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.waitCallWith(t, "in_force", "50")
 	for i, bad := range []struct{ from, to, want string }{
 		{`"coldMs":8000,`, ``, "settings: contract.coldMs: missing, though it was there before"},
 		{`"maxAttempts":3`, `"maxAttempts":0`, "settings: limits.maxAttempts: must be above 0, is 0"},
@@ -463,8 +466,8 @@
 		{`"effect":"free"`, `"effect":"` + strings.Repeat("x", 300) + `\n"`, `settings: classes[0].effect: unknown effect "xxx`},
 	} {
 		version := fmt.Sprint(60 + i)
-		d.tell(uint64(60+i), toldSettings(bad.from, bad.to))
-		q := d.calledWith(t, "refused", version)
+		d.publish(uint64(60+i), settingsWith(bad.from, bad.to))
+		q := d.waitCallWith(t, "refused", version)
 		if why := q.Get("why"); !strings.HasPrefix(why, bad.want) || len(why) > 200 || strings.Contains(why, "\n") || q.Get("in_force") != "50" {
 			t.Errorf("%s: told %v, want %q", bad.to, q, bad.want)
 		}
@@ -472,11 +475,11 @@
 			t.Errorf("logged %q", line)
 		}
 	}
-	if got := inForceNow(a); got != [4]int{2, 5, 3, 1} || a.figures().settingsRefused != 5 {
-		t.Errorf("in force: %v, after %d refusals", got, a.figures().settingsRefused)
+	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().settingsRejected != 5 {
+		t.Errorf("in force: %v, after %d refusals", got, a.metricsNow().settingsRejected)
 	}
-	d.tell(70, toldSettings(`"maxAttempts":3`, `"maxAttempts":1`))
-	if q := d.calledWith(t, "in_force", "70"); q.Has("refused") || q.Has("why") || inForceNow(a)[0] != 1 {
+	d.publish(70, settingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
+	if q := d.waitCallWith(t, "in_force", "70"); q.Has("refused") || q.Has("why") || settingsInForce(a)[0] != 1 {
 		t.Errorf("after a good change the call has %v", q)
 	}
 }
@@ -485,9 +488,9 @@
 // taken, and what was refused is judged again.
 func TestReloadWithControl(t *testing.T) {
 	t.Parallel()
-	d, moved := newTeller(t, 41), newTeller(t, 3)
-	a, file := startTold(t, d.addr())
-	lines := a.logged(t)
+	d, moved := newFakeSettingsDiscovery(t, 41), newFakeSettingsDiscovery(t, 3)
+	a, file := startWithSettingsService(t, d.addr())
+	lines := a.logLines(t)
 	for i, attempts := range []int{4, 7} { // without told settings the file's are taken, as ever
 		c := *file
 		c.Settings.Limits.MaxAttempts = attempts
@@ -496,13 +499,13 @@
 			t.Errorf("reload %d logged %q", i, line)
 		}
 	}
-	if got := inForceNow(a); got != [4]int{7, 5, 3, 1} {
+	if got := settingsInForce(a); got != [4]int{7, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
-	d.tell(50, toldSettings(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.calledWith(t, "in_force", "50")
-	d.tell(51, toldSettings(`"coldMs":8000,`, ``))
-	d.calledWith(t, "refused", "51")
+	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.waitCallWith(t, "in_force", "50")
+	d.publish(51, settingsWith(`"coldMs":8000,`, ``))
+	d.waitCallWith(t, "refused", "51")
 	c := *file
 	c.Settings.Index, c.Settings.Zone, c.Settings.Limits.MaxAttempts = 4, 0, 9
 	c.Discovery, c.Control = moved.addr(), &Control{Service: "other", Addresses: []string{d.addr()}}
@@ -512,28 +515,28 @@
 	if line := waitLine(t, lines, "discovery moves"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.addr(), d.addr())) {
 		t.Errorf("logged %q", line)
 	}
-	if got := inForceNow(a); got != [4]int{2, 5, 4, 0} {
+	if got := settingsInForce(a); got != [4]int{2, 5, 4, 0} {
 		t.Errorf("in force: %v", got)
 	}
-	until(t, "what was refused is judged again", func() bool { return a.figures().settingsRefused == 2 })
-	if at := a.loop.disc.at(); len(at.addrs) != 2 {
+	waitUntil(t, "what was refused is judged again", func() bool { return a.metricsNow().settingsRejected == 2 })
+	if at := a.loop.discovery.currentSource(); len(at.addrs) != 2 {
 		t.Errorf("the addresses are %v", at.addrs)
 	}
-	for _, to := range []*teller{d, moved} { // wherever it hangs now
+	for _, to := range []*fakeSettingsDiscovery{d, moved} { // wherever it hangs now
 		to.change(func() { to.stubborn = false })
-		to.tell(60, toldSettings(`"maxAttempts":3`, `"maxAttempts":1`))
+		to.publish(60, settingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
 	}
-	until(t, "the next settings are taken", func() bool { return inForceNow(a) == [4]int{1, 5, 4, 0} })
+	waitUntil(t, "the next settings are taken", func() bool { return settingsInForce(a) == [4]int{1, 5, 4, 0} })
 }
 
 // An agent that ends takes no more settings over, and does not ask again and again for them.
-func TestAnEndingAgentAsksForNoSettings(t *testing.T) {
+func TestStoppingAgentRequestsNoSettings(t *testing.T) {
 	t.Parallel()
-	w := &settingsWatch{service: "pay", agent: "pay-1", take: func(context.Context, *endpoint.Settings) error { return errNotServing }}
+	w := &settingsWatch{service: "pay", agent: "pay-1", apply: func(context.Context, *endpoint.Settings) error { return errAgentStopping }}
 	if want := "&service=pay&agent=pay-1&in_force=0"; w.query() != want {
 		t.Errorf("asks %q, want %q", w.query(), want)
 	}
-	if w.come(t.Context(), &endpoint.Settings{Version: 5}); w.query() != "" {
+	if w.receive(t.Context(), &endpoint.Settings{Version: 5}); w.query() != "" {
 		t.Errorf("asks %q after the end", w.query())
 	}
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -53,13 +53,13 @@
 }
 
 // timed is a request with a time-out and a body.
-func timed(timeoutMs int, body string) string {
+func timedRequest(timeoutMs int, body string) string {
 	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", timeoutMs, len(body), body)
 }
 
 // status reads the answer to the request on a connection; 0: there is none.
-func (k *kept) status() int {
+func (k *keptConn) status() int {
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
 		return 0
@@ -69,7 +69,7 @@
 }
 
 // finalStatus is status where there has to be an answer.
-func finalStatus(t *testing.T, k *kept) int {
+func finalStatus(t *testing.T, k *keptConn) int {
 	t.Helper()
 	status := k.status()
 	if status == 0 {
@@ -80,35 +80,35 @@
 
 // An attempt tells its backend no more time than the client has left. The times that have
 // passed before an attempt are the least that they can be, so a slow machine fails no case.
-func TestAttemptsTellNoMoreThanTheClientHasLeft(t *testing.T) {
+func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
 	const left = timeoutMs - int(testDelay/time.Millisecond)
 	for name, test := range map[string]func(t *testing.T, d *deadlineRecorder){
 		"first attempt": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := one(t, d.recording(serving))
-			c := a.dial()
-			fmt.Fprint(c, timed(timeoutMs, "x"))
+			a, _ := startWithServer(t, d.recording(respondOK))
+			c := a.dialKept()
+			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			wantStatus(t, finalStatus(t, c), 200)
 			d.want(t, timeoutMs)
 		},
 		"after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := one(t, d.recording(serving))
-			askDuringStall(t, a, timed(timeoutMs, "x"))
+			a, _ := startWithServer(t, d.recording(respondOK))
+			requestDuringStall(t, a, timedRequest(timeoutMs, "x"))
 			d.want(t, left)
 		},
 		"long body after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := one(t, d.recording(hashing))
-			askDuringStall(t, a, timed(timeoutMs, strings.Repeat("x", 2*maxBody)))
+			a, _ := startWithServer(t, d.recording(hashResponder))
+			requestDuringStall(t, a, timedRequest(timeoutMs, strings.Repeat("x", 2*maxBufferedBody)))
 			d.want(t, left)
 		},
 		"retries": func(t *testing.T, d *deadlineRecorder) {
 			slow := d.recording(func(c net.Conn, req *http.Request, n int) bool {
 				time.Sleep(testDelay)
-				return turnAway(c, req, n)
+				return respondOverloaded(c, req, n)
 			})
-			first, second := newBackend(t, slow), newBackend(t, slow)
+			first, second := newFakeServer(t, slow), newFakeServer(t, slow)
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
-			c := a.dial()
-			fmt.Fprint(c, timed(timeoutMs, "x"))
+			c := a.dialKept()
+			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			wantStatus(t, finalStatus(t, c), 503)
 			// The third attempt goes back to one of the two: there are no others.
 			d.mu.Lock()
@@ -128,20 +128,20 @@
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
 				c.Settings.Limits.ConnectTimeoutMs = 10_000
 			})
-			c := a.dial()
-			fmt.Fprint(c, timed(timeoutMs, "x"))
-			until(t, "the connect is under way", func() bool { return a.loop.pool.connects() == 1 })
+			c := a.dialKept()
+			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
+			waitUntil(t, "the connect is under way", func() bool { return a.loop.pool.connectCount() == 1 })
 			time.Sleep(testDelay)
-			go (&fakeBackend{t: t, ln: ln, answer: d.recording(serving), ended: make(chan struct{}, 10)}).accept()
+			go (&fakeServer{t: t, ln: ln, answer: d.recording(respondOK), ended: make(chan struct{}, 10)}).accept()
 			wantStatus(t, finalStatus(t, c), 200)
 			d.want(t, left)
 		},
 		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
-			b := newBackend(t, d.recording(serving))
+			b := newFakeServer(t, d.recording(respondOK))
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 			broken := keepBlockedConn(t, a.loop.pool, b.addr)
-			c := a.dial()
-			fmt.Fprint(c, timed(timeoutMs, "x"))
+			c := a.dialKept()
+			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			<-broken.writing
 			time.Sleep(testDelay)
 			close(broken.proceed)
@@ -149,13 +149,13 @@
 			d.want(t, left)
 		},
 		"queued": func(t *testing.T, d *deadlineRecorder) {
-			m := queuedBehind(t, d.recording(serving))
+			m := queuedBehind(t, d.recording(respondOK))
 			d.mu.Lock()
 			d.told = nil
 			d.mu.Unlock()
-			c := m.agent.dial()
-			fmt.Fprint(c, timed(timeoutMs, "x"))
-			until(t, "it waits", m.reached)
+			c := m.agent.dialKept()
+			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
+			waitUntil(t, "it waits", m.reached)
 			time.Sleep(testDelay)
 			m.proceed()
 			wantStatus(t, finalStatus(t, c), 200)
@@ -165,9 +165,9 @@
 			d.want(t, left)
 		},
 		"body that comes late": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := one(t, d.recording(serving))
-			c := a.dial()
-			text := timed(timeoutMs, "xy")
+			a, _ := startWithServer(t, d.recording(respondOK))
+			c := a.dialKept()
+			text := timedRequest(timeoutMs, "xy")
 			fmt.Fprint(c, text[:len(text)-1])
 			time.Sleep(testDelay)
 			fmt.Fprint(c, text[len(text)-1:])
@@ -175,10 +175,10 @@
 			d.want(t, timeoutMs) // the time counts from the last byte
 		},
 		"long upload": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := one(t, d.recording(hashing))
-			c := a.dial()
-			text := timed(timeoutMs, strings.Repeat("x", 4*maxBody))
-			for _, part := range []string{text[:2*maxBody], text[2*maxBody : 3*maxBody], text[3*maxBody:]} {
+			a, _ := startWithServer(t, d.recording(hashResponder))
+			c := a.dialKept()
+			text := timedRequest(timeoutMs, strings.Repeat("x", 4*maxBufferedBody))
+			for _, part := range []string{text[:2*maxBufferedBody], text[2*maxBufferedBody : 3*maxBufferedBody], text[3*maxBufferedBody:]} {
 				fmt.Fprint(c, part)
 				time.Sleep(testDelay)
 			}
@@ -195,24 +195,24 @@
 
 // askDuringStall sends a request while the loop does not run, for testDelay after the
 // request was read.
-func askDuringStall(t *testing.T, a *testAgent, text string) {
+func requestDuringStall(t *testing.T, a *testAgent, text string) {
 	t.Helper()
-	release := a.hold()
-	c := a.dial()
+	release := a.blockLoop()
+	c := a.dialKept()
 	fmt.Fprint(c, text)
-	until(t, "the loop is to take the request", func() bool { return len(a.loop.inbox) > 0 })
+	waitUntil(t, "the loop is to take the request", func() bool { return len(a.loop.inbox) > 0 })
 	time.Sleep(testDelay)
 	release()
 	wantStatus(t, finalStatus(t, c), 200)
 }
 
 // With hardly any time left a request has its answer, and tells no backend more than that.
-func TestRequestsWithLittleTimeAreAnswered(t *testing.T) {
+func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
 	d := &deadlineRecorder{}
-	a, _ := one(t, d.recording(serving))
+	a, _ := startWithServer(t, d.recording(respondOK))
 	for _, timeout := range []int{1, 2, 3, 4, 5, 8, 12} {
-		c := a.dial()
-		fmt.Fprint(c, timed(timeout, "x"))
+		c := a.dialKept()
+		fmt.Fprint(c, timedRequest(timeout, "x"))
 		if status := finalStatus(t, c); status != 200 && status != 502 && status != 503 && status != 504 {
 			t.Errorf("%d ms: answered %d", timeout, status)
 		}
@@ -225,7 +225,7 @@
 		d.told = nil
 		d.mu.Unlock()
 	}
-	if f := a.figures(); f.guarded > 0 {
+	if f := a.metricsNow(); f.violations > 0 {
 		t.Errorf("the module sent attempts that have no time: figures %+v", f)
 	}
 }
@@ -244,12 +244,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := &deadlineRecorder{}
-			a, _ := one(t, d.recording(serving))
+			a, _ := startWithServer(t, d.recording(respondOK))
 			release := takeAllSlots(t, a)
-			a.dial() // takes the slot that Accept holds already
-			until(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
-			c := a.dial()
-			fmt.Fprint(c, timed(test.timeoutMs, "x"))
+			a.dialKept() // takes the slot that Accept holds already
+			waitUntil(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+			c := a.dialKept()
+			fmt.Fprint(c, timedRequest(test.timeoutMs, "x"))
 			time.Sleep(testDelay)
 			release()
 			wantStatus(t, finalStatus(t, c), test.status)
@@ -262,17 +262,17 @@
 // long the connection waited.
 func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
 	t.Parallel()
-	a, _ := one(t, serving)
+	a, _ := startWithServer(t, respondOK)
 	release := takeAllSlots(t, a)
-	a.dial()
-	until(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+	a.dialKept()
+	waitUntil(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
 	const timeout = 2 * time.Second
-	c := a.dial()
+	c := a.dialKept()
 	time.Sleep(timeout)
 	release()
-	until(t, "it is accepted", func() bool { return a.front.conns.size() > 1 })
+	waitUntil(t, "it is accepted", func() bool { return a.front.conns.size() > 1 })
 	for range 2 {
-		fmt.Fprint(c, timed(int(timeout.Milliseconds()), "x"))
+		fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), "x"))
 		wantStatus(t, finalStatus(t, c), 200)
 	}
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -37,12 +37,12 @@
 	callGrace = 1250 * time.Millisecond
 	// callsPerS and callBurst bound the calls: a discovery that answers watches at
 	// once must not be asked in a tight loop. A watch outlives the gap.
-	callsPerS, callBurst = 10, 10
+	maxCallsPerSecond, maxCallBurst = 10, 10
 	// followFirst and followMost bound the wait, doubled at each failure and jittered,
 	// before a watch that the agent keeps by itself is opened anew.
-	followFirst, followMost = 100 * time.Millisecond, time.Second
+	minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
 	// maxList bounds an answer of discovery.
-	maxList = 8 << 20
+	maxListBytes = 8 << 20
 )
 
 // discovery makes the calls that the module asks for and hands on what they
@@ -50,106 +50,106 @@
 // call ends the watch and is told as ListFailed, and the module answers with a
 // timer, doubled and jittered, so that discovery is never hammered. Where changes
 // are pushed the module does not ask, and follow keeps a watch.
-type discovery struct {
-	mu     sync.Mutex
-	place  *place
-	client *http.Client
-	limit  *rate.Limiter
-	told   func(news)
+type discoveryClient struct {
+	mu         sync.Mutex
+	source     *discoverySource
+	client     *http.Client
+	limit      *rate.Limiter
+	onResponse func(listResponse)
 	// name is the agent's, and turn how long the watch waits after a failure; nil: as with one address.
-	name string
-	turn *turn
+	name    string
+	backoff *addressBackoff
 	// settings is what the watch tells and asks of settings; nil: nothing.
-	settings *settingsWatch
+	settingsWatch *settingsWatch
 	// from is the address that calls come from; nil: the system's choice.
-	from  net.IP
-	clock clock.Clock
-	count callCount
-	conns map[*countedConn]bool // open; nil once it is closed
+	localAddr net.IP
+	clock     clock.Clock
+	counters  callCounters
+	conns     map[*countedConn]bool // open; nil once it is closed
 }
 
 // callCount counts what passes on the sockets of calls to discovery, since the start.
-type callCount struct {
-	in, out atomic.Uint64 // bytes, the heads of calls and answers with them
-	calls   atomic.Uint64
+type callCounters struct {
+	bytesIn, bytesOut atomic.Uint64 // bytes, the heads of calls and answers with them
+	calls             atomic.Uint64
 }
 
 // countedConn counts its bytes.
 type countedConn struct {
 	net.Conn
-	d *discovery
+	client *discoveryClient
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.d.count.in.Add(uint64(n))
+	c.client.counters.bytesIn.Add(uint64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.d.count.out.Add(uint64(n))
+	c.client.counters.bytesOut.Add(uint64(n))
 	return n, err
 }
 
 func (c *countedConn) Close() error {
-	c.d.mu.Lock()
-	delete(c.d.conns, c)
-	c.d.mu.Unlock()
+	c.client.mu.Lock()
+	delete(c.client.conns, c)
+	c.client.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // news is what one call brought; a nil list is a failure.
-type news struct {
-	from  *place
-	list  *List
-	watch bool
+type listResponse struct {
+	source *discoverySource
+	list   *List
+	watch  bool
 	// anew tells that all there is was asked for, and not what has changed: the answer's
 	// version counts whatever was known before.
-	anew bool
+	complete bool
 	// after is when discovery last answered before the call was made; 0: it had not.
-	after time.Duration
-	err   error
+	lastAnswer time.Duration
+	err        error
 }
 
 // place is where discovery is, at one address or at several that tell one list; left is done once
 // it is elsewhere.
-type place struct {
-	ring
-	left  context.Context
-	leave context.CancelFunc
+type discoverySource struct {
+	addressRing
+	moved     context.Context
+	markMoved context.CancelFunc
 	// version is what its watch has reached, by its own count; 0: all is still to be asked for.
 	// It belongs to the watch, of which there is one at a time.
 	version uint64
 	// answered is when it last answered a call, on the monotonic clock in ns; 0: never.
 	answered atomic.Int64
 	// past counts answers from the past, one after the other, of the watch.
-	past int
+	olderAnswers int
 }
 
 // errMoved ends a call to an address that discovery has left, errPast one whose answer is older
 // than what was asked from.
 var (
-	errMoved = errors.New("discovery has moved")
-	errPast  = errors.New("discovery: answered with a version from the past")
+	errDiscoveryMoved = errors.New("discovery has moved")
+	errOlderVersion   = errors.New("discovery: answered with a version from the past")
 )
 
-func newPlace(version uint64, addrs ...string) *place {
+func newDiscoverySource(version uint64, addrs ...string) *discoverySource {
 	left, leave := context.WithCancel(context.Background())
-	return &place{ring: ring{addrs: addrs}, left: left, leave: leave, version: version}
+	return &discoverySource{addressRing: addressRing{addrs: addrs}, moved: left, markMoved: leave, version: version}
 }
 
 // lastAnswer is when it last answered a call; 0: never.
-func (p *place) lastAnswer() time.Duration { return time.Duration(p.answered.Load()) }
+func (p *discoverySource) lastAnswer() time.Duration { return time.Duration(p.answered.Load()) }
 
 // newDiscovery makes the calls to addr, where version is known already.
-func newDiscovery(addr string, version uint64, told func(news)) *discovery {
-	d := &discovery{
-		place: newPlace(version, addr),
-		limit: rate.NewLimiter(callsPerS, callBurst),
-		clock: clock.System(),
-		told:  told,
-		conns: map[*countedConn]bool{},
+func newDiscoveryClient(addr string, version uint64, told func(listResponse)) *discoveryClient {
+	d := &discoveryClient{
+		source:     newDiscoverySource(version, addr),
+		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
+		clock:      clock.System(),
+		onResponse: told,
+		conns:      map[*countedConn]bool{},
 	}
 	d.client = &http.Client{Transport: &http.Transport{
 		DialContext: d.dial, MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4,
@@ -158,13 +158,13 @@
 	return d
 }
 
-func (d *discovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if had, ok := ctx.Value(hadConn{}).(*atomic.Bool); ok && had.Load() {
-		return nil, errLost
+func (d *discoveryClient) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	if had, ok := ctx.Value(hadConnKey{}).(*atomic.Bool); ok && had.Load() {
+		return nil, errConnectionLost
 	}
 	dialer := net.Dialer{Timeout: callGrace}
-	if d.from != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: d.from}
+	if d.localAddr != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: d.localAddr}
 	}
 	nc, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // close ends all connections; no call is answered any more.
-func (d *discovery) close() {
+func (d *discoveryClient) close() {
 	d.mu.Lock()
 	open := d.conns
 	d.conns = nil
@@ -194,11 +194,11 @@
 
 // control has the watch go round all addresses that a configuration's section "control" names, where
 // version is known already, and ask for the settings of its service.
-func (d *discovery) control(cfg *Config, version uint64) {
-	d.name, d.turn = cfg.Name, newTurn()
-	d.place = newPlace(version, order(cfg.addresses(), d.name)...)
+func (d *discoveryClient) configure(cfg *Config, version uint64) {
+	d.name, d.backoff = cfg.Name, newAddressBackoff()
+	d.source = newDiscoverySource(version, orderAddresses(cfg.addresses(), d.name)...)
 	if cfg.Control.Service != "" {
-		d.settings = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name}
+		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name}
 	}
 }
 
@@ -206,34 +206,34 @@
 // there, and it is asked for all it has, as it may count versions of its own. The old
 // address closes what stays open, so nothing is kept. Of several addresses the first to be
 // asked goes by the agent's name.
-func (d *discovery) move(addrs ...string) {
+func (d *discoveryClient) moveTo(addrs ...string) {
 	d.mu.Lock()
-	old := d.place
-	d.place = newPlace(0, order(addrs, d.name)...)
+	old := d.source
+	d.source = newDiscoverySource(0, orderAddresses(addrs, d.name)...)
 	d.mu.Unlock()
-	old.leave()
+	old.markMoved()
 	d.client.CloseIdleConnections()
 }
 
-func (d *discovery) at() *place {
+func (d *discoveryClient) currentSource() *discoverySource {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.place
+	return d.source
 }
 
 // follow keeps a watch until ctx ends.
-func (d *discovery) follow(ctx context.Context) {
-	for wait := followFirst; ctx.Err() == nil; wait = min(2*wait, followMost) {
+func (d *discoveryClient) keepWatch(ctx context.Context) {
+	for wait := minWatchBackoff; ctx.Err() == nil; wait = min(2*wait, maxWatchBackoff) {
 		answered := d.watch(ctx)
 		if answered {
-			wait = followFirst
+			wait = minWatchBackoff
 		}
 		pause := wait/2 + rand.N(wait/2)
-		if d.turn != nil {
+		if d.backoff != nil {
 			if answered {
-				d.turn.answered()
+				d.backoff.reset()
 			}
-			pause = d.turn.wait(len(d.at().addrs))
+			pause = d.backoff.nextDelay(len(d.currentSource().addrs))
 		}
 		select {
 		case <-time.After(pause):
@@ -245,81 +245,81 @@
 // watch follows the changes, until a call fails or ctx ends, and tells whether any call
 // was answered. The next call goes out before the last answer is even handed on: a
 // watch lives for 200 ms without one, and a new watch loads discovery.
-func (d *discovery) watch(ctx context.Context) (answered bool) {
-	call := func() chan news {
-		at, done := d.at(), make(chan news, 1)
+func (d *discoveryClient) watch(ctx context.Context) (answered bool) {
+	call := func() chan listResponse {
+		at, done := d.currentSource(), make(chan listResponse, 1)
 		from, after := at.version, at.lastAnswer()
 		go func() {
-			l, err := d.get(ctx, at, fmt.Sprintf("?index=%d&wait=%d%s", from, watchWait.Milliseconds(), d.settings.query()),
+			l, err := d.get(ctx, at, fmt.Sprintf("?index=%d&wait=%d%s", from, watchWait.Milliseconds(), d.settingsWatch.query()),
 				watchWait+callGrace, from)
-			done <- news{from: at, list: l, watch: true, anew: from == 0, after: after, err: err}
+			done <- listResponse{source: at, list: l, watch: true, complete: from == 0, lastAnswer: after, err: err}
 		}()
 		return done
 	}
 	for next := call(); ; {
 		n := <-next
 		switch {
-		case errors.Is(n.err, errMoved):
+		case errors.Is(n.err, errDiscoveryMoved):
 			next = call()
 			continue
 		case ctx.Err() != nil:
 			return answered
-		case errors.Is(n.err, errPast):
+		case errors.Is(n.err, errOlderVersion):
 			// Started again from less, perhaps: the next watch asks for all it has. Of several
 			// addresses one may have less for a time.
-			if n.from.past++; n.from.past >= len(n.from.addrs) {
-				n.from.version, n.from.past = 0, 0
+			if n.source.olderAnswers++; n.source.olderAnswers >= len(n.source.addrs) {
+				n.source.version, n.source.olderAnswers = 0, 0
 			}
 		}
 		if n.err != nil {
-			d.told(n)
+			d.onResponse(n)
 			return answered
 		}
-		n.from.version, n.from.past = n.list.Version, 0
+		n.source.version, n.source.olderAnswers = n.list.Version, 0
 		settings := n.list.Settings
 		if settings == nil {
 			next = call()
 		}
 		// An empty answer says nothing, but the first is the answer to the call.
-		if !answered || n.anew || n.list.Full || len(n.list.Servers) > 0 {
-			d.told(n)
+		if !answered || n.complete || n.list.Full || len(n.list.Servers) > 0 {
+			d.onResponse(n)
 		}
 		answered = true
 		if settings != nil { // the next call tells what has become of them
-			d.settings.come(ctx, settings)
+			d.settingsWatch.receive(ctx, settings)
 			next = call()
 		}
 	}
 }
 
 // fetch asks for the whole list once.
-func (d *discovery) fetch(ctx context.Context) {
-	at := d.at()
+func (d *discoveryClient) fetch(ctx context.Context) {
+	at := d.currentSource()
 	after := at.lastAnswer()
 	l, err := d.get(ctx, at, "", 2*callGrace, 0)
-	if errors.Is(err, errMoved) {
-		at = d.at()
+	if errors.Is(err, errDiscoveryMoved) {
+		at = d.currentSource()
 		after = at.lastAnswer()
 		l, err = d.get(ctx, at, "", 2*callGrace, 0)
 	}
 	if ctx.Err() == nil {
-		d.told(news{from: at, list: l, after: after, err: err})
+		d.onResponse(listResponse{source: at, list: l, lastAnswer: after, err: err})
 	}
 }
 
 // get makes one call, and takes no answer that is older than from.
-func (d *discovery) get(ctx context.Context, at *place, query string, within time.Duration, from uint64) (*List, error) {
+func (d *discoveryClient) get(ctx context.Context, at *discoverySource, query string, within time.Duration, from uint64) (*List, error) {
 	if err := d.limit.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	defer context.AfterFunc(at.left, cancel)()
-	addr, which := at.now()
+	defer context.AfterFunc(at.moved, cancel)()
+	addr, which := at.address()
 	l, err := d.call(ctx, "http://"+addr+"/api/targets"+query)
 	if err == nil && l.Version < from {
-		at.failed(which)
-		return nil, errPast
+		at.advance(which)
+		return nil, errOlderVersion
 	}
 	if err == nil {
 		at.answered.Store(int64(d.clock.Monotonic()))
@@ -327,31 +327,31 @@
 	}
 	// Another connection that idles may have fallen silent with this one: the next call opens its own.
 	d.client.CloseIdleConnections()
-	if at.left.Err() != nil {
-		return nil, errMoved
+	if at.moved.Err() != nil {
+		return nil, errDiscoveryMoved
 	}
-	if at.failed(which); len(at.addrs) > 1 {
+	if at.advance(which); len(at.addrs) > 1 {
 		err = fmt.Errorf("%s: %w", addr, err)
 	}
 	return nil, err
 }
 
 // call makes one call and reads the list that it brings.
-func (d *discovery) call(ctx context.Context, url string) (*List, error) {
-	if d.turn != nil {
-		ctx = onOneConn(ctx)
+func (d *discoveryClient) call(ctx context.Context, url string) (*List, error) {
+	if d.backoff != nil {
+		ctx = withSingleConn(ctx)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d.count.calls.Add(1)
+	d.counters.calls.Add(1)
 	resp, err := d.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
@@ -373,11 +373,11 @@
 		return nil, errors.New("discovery: answered with no list")
 	}
 	list := &List{Version: *l.Version, Full: l.Full, Servers: l.Servers}
-	if d.settings != nil && len(l.Settings) > 0 {
+	if d.settingsWatch != nil && len(l.Settings) > 0 {
 		if err := json.Unmarshal(l.Settings, &list.Settings); err != nil {
 			return nil, fmt.Errorf("discovery: settings: %w", err)
 		}
-		if s := list.Settings; s != nil && s.Service != d.settings.service {
+		if s := list.Settings; s != nil && s.Service != d.settingsWatch.service {
 			return nil, fmt.Errorf("discovery: answered with the settings of %.40q", s.Service)
 		}
 	}
@@ -386,13 +386,13 @@
 
 // table holds the backends that discovery listed, by id and by the module's
 // name for them. It belongs to the loop.
-type table struct {
+type endpointList struct {
 	zones, kinds map[string]int
-	byID         map[string]*backend
-	byAddr       map[balancer.Addr]*backend
+	byID         map[string]*upstreamServer
+	byAddr       map[balancer.Addr]*upstreamServer
 }
 
-func newTable(zones, kinds []string) *table {
+func newEndpointList(zones, kinds []string) *endpointList {
 	index := func(names []string) map[string]int {
 		m := map[string]int{}
 		for i, n := range names {
@@ -400,36 +400,36 @@
 		}
 		return m
 	}
-	return &table{zones: index(zones), kinds: index(kinds),
-		byID: map[string]*backend{}, byAddr: map[balancer.Addr]*backend{}}
+	return &endpointList{zones: index(zones), kinds: index(kinds),
+		byID: map[string]*upstreamServer{}, byAddr: map[balancer.Addr]*upstreamServer{}}
 }
 
 // backend finds or makes the entry of an id. The module's name comes from the
 // id, not from the address: addresses differ from one agent to the next, and the
 // agents must agree on the order of servers for a key without talking.
-func (t *table) backend(id string) *backend {
+func (t *endpointList) findOrAdd(id string) *upstreamServer {
 	if b := t.byID[id]; b != nil {
 		return b
 	}
-	b := &backend{id: id}
+	b := &upstreamServer{id: id}
 	h := hashString(id)
 	for {
-		for i := range b.name {
-			b.name[i] = byte(h >> (8 * i))
+		for i := range b.policyAddr {
+			b.policyAddr[i] = byte(h >> (8 * i))
 		}
-		if t.byAddr[b.name] == nil {
+		if t.byAddr[b.policyAddr] == nil {
 			break
 		}
 		h++ // two ids of one hash: the later takes the next free name
 	}
-	t.byID[id], t.byAddr[b.name] = b, b
+	t.byID[id], t.byAddr[b.policyAddr] = b, b
 	return b
 }
 
 // apply takes a list into the table and returns the module's entries, the
 // addresses whose idle connections are of no more use, and the backends gone.
 // started tells when a backend's process started, on the module's clock.
-func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Endpoint, stale []string, gone []*backend) {
+func (t *endpointList) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Endpoint, stale []string, gone []*upstreamServer) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -452,16 +452,16 @@
 		default: // draining, and whatever else is not said to be up
 			e.State = balancer.Draining
 		}
-		b := t.backend(s.ID)
-		e.Server = b.name
+		b := t.findOrAdd(s.ID)
+		e.Server = b.policyAddr
 		if s.Addr != "" && b.addr != s.Addr {
 			stale = append(stale, b.addr)
 			b.addr = s.Addr
 		}
-		if b.closed.Store(e.State != balancer.Ready); e.State != balancer.Ready {
+		if b.unavailable.Store(e.State != balancer.Ready); e.State != balancer.Ready {
 			stale = append(stale, b.addr)
 		}
-		if b.gone = e.State == balancer.Removed; b.gone {
+		if b.removed = e.State == balancer.Removed; b.removed {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
@@ -469,8 +469,8 @@
 	if full {
 		for id, b := range t.byID {
 			if !named[id] {
-				b.closed.Store(true)
-				b.gone = true
+				b.unavailable.Store(true)
+				b.removed = true
 				stale, gone = append(stale, b.addr), append(gone, b)
 			}
 		}
@@ -480,17 +480,17 @@
 
 // forget drops backends that are gone and have no attempt out; the module has
 // forgotten them by then.
-func (t *table) forget(b *backend) {
-	if b.gone && b.out == 0 && t.byID[b.id] == b {
+func (t *endpointList) forget(b *upstreamServer) {
+	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
 		delete(t.byID, b.id)
-		delete(t.byAddr, b.name)
+		delete(t.byAddr, b.policyAddr)
 	}
 }
 
 // usable tells whether any backend may be sent to.
-func (t *table) usable() bool {
+func (t *endpointList) hasReady() bool {
 	for _, b := range t.byID {
-		if !b.closed.Load() {
+		if !b.unavailable.Load() {
 			return true
 		}
 	}
