--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // toldWithin is by when what discovery has, and could be asked for, counts as told.
-const toldWithin = 6 * time.Second
+const notifiedWithin = 6 * time.Second
 
 // watchCall is a call that a scripted discovery got: its index, and on which connection.
 type watchCall struct {
@@ -56,7 +56,7 @@
 	select {
 	case c := <-calls:
 		return c
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 		return watchCall{}
 	}
@@ -64,7 +64,7 @@
 
 // A watch that has fallen silent is opened anew, on a connection of its own: one that idles
 // beside it may have fallen silent with it.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	addr, calls := scriptedDiscovery(t, func(_ int, c watchCall) string {
 		if c.index == "" {
@@ -72,10 +72,10 @@
 		}
 		return "" // all that is open now stays silent
 	})
-	d := newDiscovery(addr, 7, func(news) {})
+	d := newDiscoveryClient(addr, 7, func(listResponse) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.follow(ctx)
+	go d.keepWatch(ctx)
 	first := nextCall(t, calls)
 	silent := time.Now()
 	d.fetch(ctx) // on another connection, which idles from now on
@@ -87,14 +87,14 @@
 	if third.index != "7" || third.conn == first.conn || third.conn == second.conn {
 		t.Errorf("after the silence: call %+v, want index 7 on a new connection", third)
 	}
-	if took := time.Since(silent); took > toldWithin {
+	if took := time.Since(silent); took > notifiedWithin {
 		t.Errorf("the watch was opened anew after %v", took)
 	}
 }
 
 // What discovery has and can tell is known within 6 s, also where a call stood when it fell
 // silent, and where three hundred agents have to share it out.
-func TestChangesAreKnownInTimeAfterASilence(t *testing.T) {
+func TestChangesArriveInTimeAfterASilence(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -119,10 +119,10 @@
 			nextCall(t, calls)
 			nextCall(t, calls)
 			from := time.Now()
-			until(t, "the change is known", func() bool {
-				return inLoop(a, func(l *loop) bool { return l.table.byID["s-1"].closed.Load() })
+			waitUntil(t, "the change is known", func() bool {
+				return inLoop(a, func(l *eventLoop) bool { return l.endpoints.byID["s-1"].unavailable.Load() })
 			})
-			if took := time.Since(from); took > toldWithin {
+			if took := time.Since(from); took > notifiedWithin {
 				t.Errorf("the change was known after %v", took)
 			}
 		})
@@ -131,7 +131,7 @@
 
 // After a move the new address is asked for all it has, however often its first calls fail,
 // and is never asked from a version of the old one's count.
-func TestMovedDiscoveryIsAskedForAllItHas(t *testing.T) {
+func TestMovedDiscoveryIsPolledForTheFullList(t *testing.T) {
 	t.Parallel()
 	old, oldCalls := scriptedDiscovery(t, func(int, watchCall) string { return "" })
 	moved, calls := scriptedDiscovery(t, func(n int, _ watchCall) string {
@@ -140,15 +140,15 @@
 		}
 		return `{"version":3,"full":true,"servers":[]}`
 	})
-	told := make(chan news, 100)
-	d := newDiscovery(old, 41, func(n news) { told <- n })
+	told := make(chan listResponse, 100)
+	d := newDiscoveryClient(old, 41, func(n listResponse) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.follow(ctx)
+	go d.keepWatch(ctx)
 	if c := nextCall(t, oldCalls); c.index != "41" {
 		t.Errorf("the known version was not asked from: %+v", c)
 	}
-	d.move(moved)
+	d.moveTo(moved)
 	for i, want := range []string{"0", "0", "0", "3"} {
 		if c := nextCall(t, calls); c.index != want {
 			t.Errorf("call %d asks from %s, want %s", i, c.index, want)
@@ -156,7 +156,7 @@
 	}
 	for n := range told {
 		if n.err == nil {
-			if !n.anew || n.list.Version != 3 {
+			if !n.complete || n.list.Version != 3 {
 				t.Errorf("told %+v", n)
 			}
 			break
@@ -166,26 +166,26 @@
 
 // The list follows the address that is in force: what the old one still brings counts until
 // the new one has answered, and the new one's versions are of its own count.
-func TestAnswersThatCrossAMove(t *testing.T) {
+func TestResponsesThatCrossAMove(t *testing.T) {
 	up, drains := target("s-1", "127.0.0.1:1"), target("s-1", "127.0.0.1:1")
 	drains.State = "draining"
 	l := startAgent(t, newDiscoveryServer(t, up, target("s-2", "127.0.0.1:2")), nil).loop
 	done := make(chan bool)
 	l.post(func() {
 		defer close(done)
-		old := l.disc.at()
-		l.onList(news{from: old, watch: true, list: &List{Version: 50}})
-		l.disc.move("127.0.0.1:9")
-		l.onList(news{from: old, watch: true, list: &List{Version: 51, Servers: []Target{drains}}})
-		if !l.table.byID["s-1"].closed.Load() {
+		old := l.discovery.currentSource()
+		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 50}})
+		l.discovery.moveTo("127.0.0.1:9")
+		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 51, Servers: []Target{drains}}})
+		if !l.endpoints.byID["s-1"].unavailable.Load() {
 			t.Error("what the old address told before the new one answered was dropped")
 		}
-		l.onList(news{from: l.disc.at(), list: &List{Version: 3, Full: true, Servers: []Target{up}}})
-		if l.table.byID["s-1"].closed.Load() || l.version != 3 {
-			t.Errorf("the new address's list was not taken over (version %d)", l.version)
+		l.onListResponse(listResponse{source: l.discovery.currentSource(), list: &List{Version: 3, Full: true, Servers: []Target{up}}})
+		if l.endpoints.byID["s-1"].unavailable.Load() || l.listVersion != 3 {
+			t.Errorf("the new address's list was not taken over (version %d)", l.listVersion)
 		}
-		l.onList(news{from: old, watch: true, list: &List{Version: 52, Servers: []Target{drains}}})
-		if l.table.byID["s-1"].closed.Load() || l.version != 3 {
+		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 52, Servers: []Target{drains}}})
+		if l.endpoints.byID["s-1"].unavailable.Load() || l.listVersion != 3 {
 			t.Error("the old address turned the list back")
 		}
 	})
@@ -194,7 +194,7 @@
 
 // Answers that are no list, or are cut off, or come from the past, change nothing, are logged,
 // and are asked for again.
-func TestBadAnswersChangeNothing(t *testing.T) {
+func TestInvalidResponsesChangeNothing(t *testing.T) {
 	entry := `{"id":"s-1","addr":"127.0.0.1:1","state":"draining"}`
 	for name, text := range map[string]string{
 		"empty":           " ",
@@ -224,16 +224,16 @@
 			d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 			d.list.Version = 50
 			a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
-			lines := a.logged(t)
+			lines := a.logLines(t)
 			close(release)
 			waitLine(t, lines, "discovery call failed")
 			nextCall(t, calls)
 			if c, past := nextCall(t, calls), strings.Contains(name, "past"); c.index != map[bool]string{true: "0", false: "50"}[past] {
 				t.Errorf("asked again from %s", c.index)
 			}
-			if !inLoop(a, func(l *loop) bool {
-				b := l.table.byID["s-1"]
-				return b != nil && !b.closed.Load() && l.version == 50
+			if !inLoop(a, func(l *eventLoop) bool {
+				b := l.endpoints.byID["s-1"]
+				return b != nil && !b.unavailable.Load() && l.listVersion == 50
 			}) {
 				t.Error("the list has changed")
 			}
@@ -243,7 +243,7 @@
 
 // A discovery that starts again counts its versions from the beginning. Asked for all it has,
 // it is believed, and followed from there.
-func TestDiscoveryThatStartsAgainIsFollowed(t *testing.T) {
+func TestRestartedDiscoveryIsWatched(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	var asked []string
@@ -264,10 +264,10 @@
 	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 	d.list.Version = 50
 	a := startAgent(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
-	until(t, "the list of the discovery that started again is followed", func() bool {
-		return inLoop(a, func(l *loop) bool {
-			ids := l.table.byID
-			return len(ids) == 2 && ids["s-2"] != nil && ids["s-3"] != nil && l.version == 3
+	waitUntil(t, "the list of the discovery that started again is followed", func() bool {
+		return inLoop(a, func(l *eventLoop) bool {
+			ids := l.endpoints.byID
+			return len(ids) == 2 && ids["s-2"] != nil && ids["s-3"] != nil && l.listVersion == 3
 		})
 	})
 	mu.Lock()
@@ -278,25 +278,25 @@
 }
 
 // A discovery whose calls fail in other ways than by silence is asked again as well.
-func TestFailedCallsAreRepeatedInTime(t *testing.T) {
+func TestFailedCallsAreRetriedInTime(t *testing.T) {
 	t.Parallel()
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	refusing.Close()
-	told := make(chan news, 100)
-	d := newDiscovery(refusing.Addr().String(), 1, func(n news) { told <- n })
+	told := make(chan listResponse, 100)
+	d := newDiscoveryClient(refusing.Addr().String(), 1, func(n listResponse) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.follow(ctx)
+	go d.keepWatch(ctx)
 	last := time.Now()
 	for range 6 { // the wait has doubled to its bound by then
 		n := <-told
-		if n.err == nil || errors.Is(n.err, errMoved) {
+		if n.err == nil || errors.Is(n.err, errDiscoveryMoved) {
 			t.Fatalf("told %+v", n)
 		}
-		if wait := time.Since(last); wait > toldWithin-watchWait-callGrace {
+		if wait := time.Since(last); wait > notifiedWithin-watchWait-callGrace {
 			t.Errorf("a refused call was repeated after %v", wait)
 		}
 		last = time.Now()
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -20,7 +20,7 @@
 )
 
 // patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
@@ -34,7 +34,7 @@
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
 // fakeBackend reads requests off real sockets and lets a script answer them.
-type fakeBackend struct {
+type fakeServer struct {
 	t    testing.TB
 	ln   net.Listener
 	addr string
@@ -49,19 +49,19 @@
 	ended    chan struct{} // a value for each connection that the agent closed
 }
 
-func newBackend(t testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *fakeBackend {
+func newFakeServer(t testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *fakeServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fakeBackend{t: t, ln: ln, addr: ln.Addr().String(), answer: answer, ended: make(chan struct{}, 1000)}
+	b := &fakeServer{t: t, ln: ln, addr: ln.Addr().String(), answer: answer, ended: make(chan struct{}, 1000)}
 	t.Cleanup(func() { ln.Close() })
 	go b.accept()
 	return b
 }
 
 // accept serves connections until the listener is closed.
-func (b *fakeBackend) accept() {
+func (b *fakeServer) accept() {
 	for {
 		c, err := b.ln.Accept()
 		if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *fakeBackend) serve(c net.Conn) {
+func (b *fakeServer) serve(c net.Conn) {
 	defer c.Close()
 	b.mu.Lock()
 	b.conns++
@@ -107,33 +107,33 @@
 	}
 }
 
-func (b *fakeBackend) count() int {
+func (b *fakeServer) count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.arrivals
 }
 
 // begun counts the requests that have begun to arrive.
-func (b *fakeBackend) begun() int {
+func (b *fakeServer) startedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.heads
 }
 
 // send writes an answer as it is.
-func send(c net.Conn, status int, header, body string) bool {
+func sendResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
 // serving answers every request with its own path and body.
-func serving(c net.Conn, req *http.Request, _ int) bool {
+func respondOK(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return send(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
+	return sendResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
 
 // reset ends a connection with RST.
-func reset(c net.Conn) bool {
+func resetConn(c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
@@ -250,18 +250,18 @@
 // told changes an entry and returns once the agent has handed the change to its
 // loop: the watch calls again first and hands on then, so one more change is made
 // and the call after that is waited for.
-func (d *fakeDiscovery) told(t *testing.T, s Target) {
+func (d *fakeDiscovery) waitNotified(t *testing.T, s Target) {
 	t.Helper()
 	d.set(s)
-	d.wait(t, d.list.Version)
+	d.waitVersion(t, d.list.Version)
 	d.set(s)
-	d.wait(t, d.list.Version)
+	d.waitVersion(t, d.list.Version)
 }
 
 // wait waits for a watch call with an index of at least version.
-func (d *fakeDiscovery) wait(t *testing.T, version uint64) {
+func (d *fakeDiscovery) waitVersion(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		select {
 		case index := <-d.asked:
@@ -282,8 +282,8 @@
 type testAgent struct {
 	t     testing.TB
 	addr  string
-	front *front
-	loop  *loop
+	front *downstreamServer
+	loop  *eventLoop
 	stop  context.CancelFunc
 	done  chan error
 	door  string // where operators call
@@ -304,7 +304,7 @@
 // startAgentOn is startAgent with a listener of the test's.
 func startAgentOn(t testing.TB, d *fakeDiscovery, ln net.Listener, change func(*Config)) *testAgent {
 	t.Helper()
-	f := file{Listen: ln.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: "7",
+	f := configFile{Listen: ln.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: "7",
 		Known: d.list, Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
 	cfg, err := f.config()
@@ -323,7 +323,7 @@
 		reloads: make(chan *Config)}
 	started := make(chan struct{})
 	go func() {
-		a.done <- run(ctx, cfg, Listeners{Clients: ln, Operators: operators}, a.reloads, func(f *front, l *loop) {
+		a.done <- run(ctx, cfg, Listeners{Clients: ln, Operators: operators}, a.reloads, func(f *downstreamServer, l *eventLoop) {
 			a.front, a.loop = f, l
 			close(started)
 		})
@@ -333,7 +333,7 @@
 		stop()
 		select {
 		case <-a.done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -342,7 +342,7 @@
 }
 
 func (a *testAgent) waitReady() {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		resp, err := testClient.Get("http://" + a.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -355,25 +355,25 @@
 }
 
 // figures reads the loop's counts, in the loop.
-func (a *testAgent) figures() figures {
-	return inLoop(a, func(l *loop) figures {
-		f := l.figures
-		f.ends, f.probes = maps.Clone(f.ends), maps.Clone(f.probes)
+func (a *testAgent) metricsNow() metrics {
+	return inLoop(a, func(l *eventLoop) metrics {
+		f := l.metrics
+		f.attempts, f.healthChecks = maps.Clone(f.attempts), maps.Clone(f.healthChecks)
 		return f
 	})
 }
 
 // inLoop returns what f reads, in the loop.
-func inLoop[T any](a *testAgent, f func(l *loop) T) T {
+func inLoop[T any](a *testAgent, f func(l *eventLoop) T) T {
 	got := make(chan T, 1)
 	a.loop.post(func() { got <- f(a.loop) })
 	return <-got
 }
 
 // until waits for something that comes about by itself.
-func until(t *testing.T, what string, is func() bool) {
+func waitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never came about: ", what)
 		}
@@ -381,7 +381,7 @@
 }
 
 // logged makes the agent hand its log lines to the test, as text.
-func (a *testAgent) logged(t *testing.T) <-chan string {
+func (a *testAgent) logLines(t *testing.T) <-chan string {
 	t.Helper()
 	lines := make(chan string, 1000)
 	set := make(chan struct{})
@@ -407,7 +407,7 @@
 // waitLine waits for a line that contains text.
 func waitLine(t *testing.T, lines <-chan string, text string) string {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		select {
 		case line := <-lines:
@@ -421,7 +421,7 @@
 }
 
 // testClient opens a connection for each request, and so never sends one again.
-var testClient = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func newRequest(addr, class, body string) *http.Request {
 	method := http.MethodPost
@@ -442,7 +442,7 @@
 }
 
 // ask sends a request and returns the answer's status, header and body.
-func (a *testAgent) ask(req *http.Request) (int, http.Header, string) {
+func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	resp, err := testClient.Do(req)
 	if err != nil {
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -14,17 +14,17 @@
 )
 
 // crash is the fault of a backend whose process dies: it accepts nothing more.
-const crash = "crash"
+const crashFault = "crash"
 
 // backendFaults are ways in which a backend fails requests that it has taken.
-var backendFaults = map[string]func(c net.Conn, req *http.Request, n int) bool{
+var serverFaults = map[string]func(c net.Conn, req *http.Request, n int) bool{
 	"hang":                func(net.Conn, *http.Request, int) bool { return true },
-	crash:                 func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) },
-	"reset":               func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) },
+	crashFault:            func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) },
+	"reset":               func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) },
 	"close":               func(net.Conn, *http.Request, int) bool { return false },
-	"hang in the answer":  func(c net.Conn, _ *http.Request, _ int) bool { return halfAnswer(c, "200 OK") },
-	"hang in an error":    func(c net.Conn, _ *http.Request, _ int) bool { return halfAnswer(c, "500 X") },
-	"reset in the answer": func(c net.Conn, _ *http.Request, _ int) bool { halfAnswer(c, "200 OK"); return reset(c) },
+	"hang in the answer":  func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "200 OK") },
+	"hang in an error":    func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "500 X") },
+	"reset in the answer": func(c net.Conn, _ *http.Request, _ int) bool { halfResponse(c, "200 OK"); return resetConn(c) },
 	"bytes without an end": func(c net.Conn, _ *http.Request, _ int) bool {
 		for {
 			if _, err := c.Write(make([]byte, 100)); err != nil {
@@ -36,7 +36,7 @@
 }
 
 // halfAnswer writes an answer that does not come to its end.
-func halfAnswer(c net.Conn, status string) bool {
+func halfResponse(c net.Conn, status string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: 9\r\n\r\nhalf", status)
 	return err == nil
 }
@@ -45,11 +45,16 @@
 var badClients = []func(c *net.TCPConn){
 	func(c *net.TCPConn) { io.WriteString(c, "GET /api/a HT") },
 	func(c *net.TCPConn) { io.WriteString(c, "\x00\xff\r\n\r\n"+readRequest) },
-	func(c *net.TCPConn) { io.WriteString(c, timed(60_000, strings.Repeat("x", 8*maxBody))[:3*maxBody]) },
+	func(c *net.TCPConn) {
+		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 8*maxBufferedBody))[:3*maxBufferedBody])
+	},
 	func(c *net.TCPConn) { io.WriteString(c, readRequest); c.SetLinger(0); c.Close() },
 	func(c *net.TCPConn) { io.WriteString(c, readRequest+readRequest+"X"); c.Close() },
-	func(c *net.TCPConn) { io.WriteString(c, timed(60_000, strings.Repeat("x", 3*maxBody))); c.CloseWrite() },
-	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", maxBody)); c.Close() },
+	func(c *net.TCPConn) {
+		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 3*maxBufferedBody)))
+		c.CloseWrite()
+	},
+	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", maxBufferedBody)); c.Close() },
 }
 
 // misbehave has bad clients come one after another until ctx ends; some stay to the end. They
@@ -62,7 +67,7 @@
 		}
 		c := nc.(*net.TCPConn)
 		context.AfterFunc(ctx, func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		badClients[i%len(badClients)](c)
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -70,17 +75,17 @@
 
 // Faults of a backend and of other clients free no request of its final answer: it comes
 // within half a second after its time, and is a backend's or an error.
-func TestFaultsElsewhereFreeNoRequestOfItsAnswer(t *testing.T) {
+func TestUnrelatedFaultsCostNoRequestItsResponse(t *testing.T) {
 	const (
 		timeout  = 1500 * time.Millisecond
 		requests = 12 // of each class
 	)
-	for name, fault := range backendFaults {
+	for name, fault := range serverFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := newBackend(t, fault), newBackend(t, serving)
+			bad, good := newFakeServer(t, fault), newFakeServer(t, respondOK)
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", bad.addr), target("s-2", good.addr)), nil)
-			if name == crash {
+			if name == crashFault {
 				time.AfterFunc(100*time.Millisecond, func() { bad.ln.Close() })
 			}
 			ctx, stop := context.WithCancel(t.Context())
@@ -96,7 +101,7 @@
 				honest.Add(1)
 				time.AfterFunc(time.Duration(i)*20*time.Millisecond, func() {
 					defer honest.Done()
-					if wantAnswer(t, a.addr, class, timeout) == http.StatusOK {
+					if wantResponse(t, a.addr, class, timeout) == http.StatusOK {
 						served.Add(1)
 					}
 				})
@@ -112,7 +117,7 @@
 }
 
 // wantAnswer asks, and checks that the answer is final and not too late to count.
-func wantAnswer(t *testing.T, addr, class string, timeout time.Duration) int {
+func wantResponse(t *testing.T, addr, class string, timeout time.Duration) int {
 	req := newRequest(addr, class, "x")
 	req.Header.Set("Request-Timeout-Ms", fmt.Sprint(timeout.Milliseconds()))
 	from := time.Now()
--- a/internal/agent/faulty_conn_test.go
+++ b/internal/agent/faulty_conn_test.go
@@ -20,13 +20,13 @@
 )
 
 // fault makes a connection's call fail once so many bytes have passed it, and every call after that.
-type fault struct {
+type callFault struct {
 	Call  systemCall
 	After int64
 	Errno syscall.Errno
 }
 
-func (f *fault) err() error {
+func (f *callFault) err() error {
 	return &net.OpError{Op: string(f.Call), Net: "tcp", Err: os.NewSyscallError(string(f.Call), f.Errno)}
 }
 
@@ -48,7 +48,7 @@
 // faultyConn reads and writes a few bytes a call, the first ones one by one, until its fault.
 type faultyConn struct {
 	*net.TCPConn
-	fault         *fault // nil: none
+	fault         *callFault // nil: none
 	read, written atomic.Int64
 	broken        atomic.Bool
 }
@@ -89,15 +89,15 @@
 // faultPlan has the faults of the connections to come, in order; those after them have none.
 type faultPlan struct {
 	mu     sync.Mutex
-	faults []fault
+	faults []callFault
 	made   map[string]*faultyConn // by the peer's address
 }
 
-func newFaultPlan(faults []fault) *faultPlan {
+func newFaultPlan(faults []callFault) *faultPlan {
 	return &faultPlan{faults: faults, made: map[string]*faultyConn{}}
 }
 
-func (p *faultPlan) next() *fault {
+func (p *faultPlan) next() *callFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.faults) == 0 {
@@ -108,7 +108,7 @@
 	return &f
 }
 
-func (p *faultPlan) wrap(nc net.Conn, f *fault) net.Conn {
+func (p *faultPlan) wrap(nc net.Conn, f *callFault) net.Conn {
 	c := &faultyConn{TCPConn: nc.(*net.TCPConn), fault: f}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/faulty_test.go
+++ b/internal/agent/faulty_test.go
@@ -26,8 +26,8 @@
 }
 
 // faultyDay is what one agent meets: faults of its connections, and requests one after another.
-type faultyDay struct {
-	Clients, Servers []fault // of the connections in the order in which they are made
+type faultScenario struct {
+	Clients, Servers []callFault // of the connections in the order in which they are made
 	Requests         []faultyRequest
 }
 
@@ -39,7 +39,7 @@
 }
 
 // faultyWorld is what all days have in common: backends that answer with the request's id.
-type faultyWorld struct {
+type faultEnvironment struct {
 	discovery *fakeDiscovery
 	lastID    atomic.Int64
 	mu        sync.Mutex
@@ -48,23 +48,23 @@
 	cut       int            // requests whose client's connection broke
 }
 
-func newFaultyWorld(t *testing.T, backends int) *faultyWorld {
-	w := &faultyWorld{arrivals: map[string]int{}, answers: map[int]int{}}
+func newFaultEnvironment(t *testing.T, backends int) *faultEnvironment {
+	w := &faultEnvironment{arrivals: map[string]int{}, answers: map[int]int{}}
 	var list []Target
 	for i := range backends {
-		list = append(list, target(fmt.Sprint("s-", i), newBackend(t, w.answer).addr))
+		list = append(list, target(fmt.Sprint("s-", i), newFakeServer(t, w.answer).addr))
 	}
 	w.discovery = newDiscoveryServer(t, list...)
 	return w
 }
 
-func (w *faultyWorld) answer(c net.Conn, req *http.Request, _ int) bool {
+func (w *faultEnvironment) answer(c net.Conn, req *http.Request, _ int) bool {
 	id := req.Header.Get("Request-Id")
 	w.mu.Lock()
 	w.arrivals[id]++
 	w.mu.Unlock()
 	if req.Header.Get("X-Chunked") != "1" {
-		return send(c, 200, "", id)
+		return sendResponse(c, 200, "", id)
 	}
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 	return err == nil
@@ -72,7 +72,7 @@
 
 // play runs an agent through a day, and returns what broke the rule: one answer a request, none lost,
 // none twice.
-func (w *faultyWorld) play(day faultyDay) error {
+func (w *faultEnvironment) run(day faultScenario) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -89,17 +89,17 @@
 		<-ended
 	}()
 	client := &faultyClient{world: w, plan: clients, addr: ln.Addr().String()}
-	defer client.hangUp()
+	defer client.close()
 	for i, r := range day.Requests {
-		if err := client.ask(r); err != nil {
+		if err := client.do(r); err != nil {
 			return fmt.Errorf("request %d: %w", i, err)
 		}
 	}
 	return client.nothingFollows()
 }
 
-func (w *faultyWorld) agent(ln net.Listener, servers *faultPlan) (*Agent, error) {
-	f := file{Listen: ln.Addr().String(), Discovery: w.discovery.Listener.Addr().String(), Seed: "7",
+func (w *faultEnvironment) agent(ln net.Listener, servers *faultPlan) (*Agent, error) {
+	f := configFile{Listen: ln.Addr().String(), Discovery: w.discovery.Listener.Addr().String(), Seed: "7",
 		Known: w.discovery.list, Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
 	cfg, err := f.config()
@@ -111,20 +111,20 @@
 	if err != nil {
 		return nil, err
 	}
-	a.loop.pool.dial = servers.dial
+	a.eventLoop.pool.dial = servers.dial
 	return a, nil
 }
 
 // faultyClient sends one request after another on one connection, and on a new one after its end.
 type faultyClient struct {
-	world *faultyWorld
+	world *faultEnvironment
 	plan  *faultPlan
 	addr  string
 	nc    net.Conn
 	br    *bufio.Reader
 }
 
-func (c *faultyClient) hangUp() {
+func (c *faultyClient) close() {
 	if c.nc != nil {
 		c.nc.Close()
 	}
@@ -135,7 +135,7 @@
 	if c.nc != nil {
 		return nil
 	}
-	if c.nc, err = net.DialTimeout("tcp", c.addr, patience); err != nil {
+	if c.nc, err = net.DialTimeout("tcp", c.addr, testTimeout); err != nil {
 		return err
 	}
 	c.br = bufio.NewReader(c.nc)
@@ -143,7 +143,7 @@
 }
 
 // ask sends a request, and returns an error unless it has its one answer, or its connection broke.
-func (c *faultyClient) ask(r faultyRequest) error {
+func (c *faultyClient) do(r faultyRequest) error {
 	if err := c.connect(); err != nil {
 		return err
 	}
@@ -162,11 +162,11 @@
 	if err == nil {
 		err = c.world.check(r.Class, id, resp.StatusCode, body)
 		if resp.Close {
-			c.hangUp()
+			c.close()
 		}
 		return err
 	}
-	c.hangUp()
+	c.close()
 	if !broke {
 		return fmt.Errorf("%s has no answer: %w", id, err)
 	}
@@ -200,7 +200,7 @@
 }
 
 // check judges a whole answer.
-func (w *faultyWorld) check(class, id string, status int, body string) error {
+func (w *faultEnvironment) check(class, id string, status int, body string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.answers[status]++
@@ -216,19 +216,19 @@
 		status != http.StatusBadGateway && status != http.StatusGatewayTimeout:
 		return fmt.Errorf("%s was answered %d", id, status)
 	}
-	return w.ranOnce(class, id)
+	return w.executedOnce(class, id)
 }
 
 // checkCut judges a request whose client's connection broke.
-func (w *faultyWorld) checkCut(class, id string) error {
+func (w *faultEnvironment) checkCut(class, id string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut++
-	return w.ranOnce(class, id)
+	return w.executedOnce(class, id)
 }
 
 // ranOnce tells of an unsafe request that ran twice. The lock is held.
-func (w *faultyWorld) ranOnce(class, id string) error {
+func (w *faultEnvironment) executedOnce(class, id string) error {
 	if ran := w.arrivals[id]; class == "order" && ran > 1 {
 		return fmt.Errorf("%s ran %d times", id, ran)
 	}
@@ -239,7 +239,7 @@
 // used again, with one byte a call: one answer a request.
 func TestEachErrnoAtEachCall(t *testing.T) {
 	t.Parallel()
-	w := newFaultyWorld(t, 1)
+	w := newFaultEnvironment(t, 1)
 	requests := []faultyRequest{{Class: "order", Body: 20}, {Class: "order", Body: 20, Rested: true}, {Class: "read", Chunked: true}}
 	for _, errno := range faultErrnos {
 		for _, call := range []systemCall{callConnect, callRead, callWrite} {
@@ -248,44 +248,44 @@
 				afters = afters[:1]
 			}
 			for _, after := range afters {
-				f := []fault{{call, after, errno}}
-				for _, day := range []faultyDay{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.play(day); err != nil {
+				f := []callFault{{call, after, errno}}
+				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
+					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
 					}
 				}
 			}
 		}
 	}
-	w.reached(t, http.StatusOK, http.StatusBadGateway)
+	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
 // The same for bodies that are too long to be kept, and go to their server as they come.
-func TestErrnosInLongBodies(t *testing.T) {
+func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
-	w := newFaultyWorld(t, 3)
-	requests := []faultyRequest{{Class: "order", Body: maxBody + 3000}, {Class: "read"}}
+	w := newFaultEnvironment(t, 3)
+	requests := []faultyRequest{{Class: "order", Body: maxBufferedBody + 3000}, {Class: "read"}}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOBUFS} {
 		for _, call := range []systemCall{callRead, callWrite} {
-			for _, after := range []int64{0, 10, maxBody + 1000} {
-				f := []fault{{call, after, errno}}
-				for _, day := range []faultyDay{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.play(day); err != nil {
+			for _, after := range []int64{0, 10, maxBufferedBody + 1000} {
+				f := []callFault{{call, after, errno}}
+				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
+					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
 					}
 				}
 			}
 		}
 	}
-	w.reached(t, http.StatusOK, http.StatusBadGateway)
+	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
 // Any faults of the connections of both sides, with one byte a call: one answer a request.
-func TestOneAnswerWhateverCallsFail(t *testing.T) {
+func TestOneResponseWhateverCallsFail(t *testing.T) {
 	t.Parallel()
-	worlds := []*faultyWorld{newFaultyWorld(t, 1), newFaultyWorld(t, 3)}
-	faults := rapid.Custom(func(t *rapid.T) fault {
-		return fault{
+	worlds := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
+	faults := rapid.Custom(func(t *rapid.T) callFault {
+		return callFault{
 			Call:  rapid.SampledFrom([]systemCall{callConnect, callRead, callWrite}).Draw(t, "call"),
 			After: rapid.Int64Range(0, 300).Draw(t, "after"),
 			Errno: rapid.SampledFrom(faultErrnos).Draw(t, "errno"),
@@ -300,23 +300,23 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		day := faultyDay{
+		day := faultScenario{
 			Clients:  rapid.SliceOfN(faults, 0, 2).Draw(t, "clients"),
 			Servers:  rapid.SliceOfN(faults, 0, 4).Draw(t, "servers"),
 			Requests: rapid.SliceOfN(requests, 1, 4).Draw(t, "requests"),
 		}
-		if err := rapid.SampledFrom(worlds).Draw(t, "world").play(day); err != nil {
+		if err := rapid.SampledFrom(worlds).Draw(t, "world").run(day); err != nil {
 			t.Fatal(err)
 		}
 	})
 	for _, w := range worlds {
-		w.reached(t, http.StatusOK) // what is drawn need not bring the rarer ones
+		w.wantStatuses(t, http.StatusOK) // what is drawn need not bring the rarer ones
 	}
 }
 
 // reached fails where the days have missed what they are there for: answers of these statuses, and
 // requests that were cut off.
-func (w *faultyWorld) reached(t *testing.T, statuses ...int) {
+func (w *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -10,14 +10,14 @@
 )
 
 // smallAgent has the fewest descriptors that may be set.
-func smallAgent(t *testing.T) (a *testAgent, most int) {
-	b := newBackend(t, serving)
+func startSmallAgent(t *testing.T) (a *testAgent, most int) {
+	b := newFakeServer(t, respondOK)
 	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
 	return a, a.loop.cfg.clientConns()
 }
 
 // askReady asks on a connection whether the agent is ready, so that it rests afterwards.
-func (k *kept) askReady(t *testing.T) {
+func (k *keptConn) requestReady(t *testing.T) {
 	t.Helper()
 	fmt.Fprint(k, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	wantStatus(t, finalStatus(t, k), 200)
@@ -29,36 +29,36 @@
 	for name, fill := range map[string]func(t *testing.T, a *testAgent, most int){
 		"room is made of resting connections": func(t *testing.T, a *testAgent, most int) {
 			for range most {
-				a.dial().askReady(t)
+				a.dialKept().requestReady(t)
 			}
 		},
 		"silent connections hold all": func(t *testing.T, a *testAgent, most int) {
 			for range most {
-				a.dial()
+				a.dialKept()
 			}
 		},
 		"halves of requests hold all": func(t *testing.T, a *testAgent, most int) {
 			for range most {
-				fmt.Fprint(a.dial(), "GET /api/a HTTP/1.1\r\n")
+				fmt.Fprint(a.dialKept(), "GET /api/a HTTP/1.1\r\n")
 			}
 		},
 		"halves of bodies hold all": func(t *testing.T, a *testAgent, most int) {
 			for range most {
-				fmt.Fprint(a.dial(), strings.TrimSuffix(timed(60_000, "xy"), "y"))
+				fmt.Fprint(a.dialKept(), strings.TrimSuffix(timedRequest(60_000, "xy"), "y"))
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, most := smallAgent(t)
+			a, most := startSmallAgent(t)
 			fill(t, a, most)
 			var asking sync.WaitGroup
 			for range 8 {
 				asking.Add(1)
 				go func() {
 					defer asking.Done()
-					c := a.dial()
-					fmt.Fprint(c, timed(30_000, "x"))
+					c := a.dialKept()
+					fmt.Fprint(c, timedRequest(30_000, "x"))
 					if status := c.status(); status != 200 && status != 503 {
 						t.Errorf("answered %d", status)
 					}
@@ -71,8 +71,8 @@
 
 // Bytes that are no request, ahead of one on a new connection, are answered with an error or
 // served as if they were not there; the connection never ends with nothing said.
-func TestBadBytesBeforeTheFirstRequest(t *testing.T) {
-	a, b := one(t, serving)
+func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
+	a, b := startWithServer(t, respondOK)
 	for name, bytes := range map[string]string{
 		"an empty line":        "\r\n",
 		"nonsense":             "nonsense\r\n\r\n",
@@ -84,8 +84,8 @@
 		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := a.dial()
-			fmt.Fprint(c, bytes+timed(timeoutMs, "x"))
+			c := a.dialKept()
+			fmt.Fprint(c, bytes+timedRequest(timeoutMs, "x"))
 			resp, err := http.ReadResponse(c.br, nil)
 			if err != nil {
 				t.Fatalf("no answer: %v", err)
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -25,55 +25,55 @@
 const (
 	// linger is how long connections still come after SIGTERM or a drain's start: 0.4 s at
 	// most, and what stands in the accept queue by then. Those that idle after it are closed.
-	linger = 500 * time.Millisecond
+	drainAcceptTime = 500 * time.Millisecond
 	// takenFor is how long after SIGTERM requests are still taken: what comes later is lost
 	// if the kill finds it unanswered, and can go to another process.
-	takenFor = 600 * time.Millisecond
+	shutdownAdmitTime = 600 * time.Millisecond
 	// sweepIdle is how often idle connections are looked for while the front empties.
-	sweepIdle = 50 * time.Millisecond
+	drainSweepInterval = 50 * time.Millisecond
 	// headTime bounds how long a request's head may take to come: clients may take 2 s, and
 	// peers that bring none are owed an error or a close 3 s after connecting.
-	headTime = 2600 * time.Millisecond
+	requestHeadTimeout = 2600 * time.Millisecond
 	// rejectTime bounds how long what follows on a rejected request is read, so that its
 	// peer can read the answer.
-	rejectTime = 300 * time.Millisecond
+	badRequestReadTime = 300 * time.Millisecond
 	// queueLook is how often the accept queue is looked at while slots are lacking: the time
 	// that a request has waited there is known that well.
-	queueLook = 25 * time.Millisecond
+	queuePollInterval = 25 * time.Millisecond
 	// maxTimeout bounds the time that a client may give.
-	maxTimeout = 60_000
+	maxRequestTimeoutMs = 60_000
 )
 
 // front serves the clients.
-type front struct {
-	loop    *loop
-	server  *http.Server
-	log     *slog.Logger
-	classes atomic.Pointer[classTable]
-	budget  quota // of requests' bodies
-	conns   *clientConns
-
-	takes   atomic.Bool // clients are to come: a backend may be sent to, or was waited for
-	serving atomic.Bool // a backend may be sent to, clients are accepted, and the end has not begun
-
-	mu       sync.Mutex
-	emptying atomic.Bool        // clients are sent away; set under mu
-	refill   context.CancelFunc // ends the emptying
-	ending   bool               // the front empties for good
-	onDrain  func(bool)         // told when emptying begins and ends; nil: nobody
-	closed   atomic.Bool        // nor are requests taken that are still coming
+type downstreamServer struct {
+	loop       *eventLoop
+	server     *http.Server
+	log        *slog.Logger
+	classes    atomic.Pointer[requestClasses]
+	bodyBudget quota // of requests' bodies
+	conns      *clientConns
+
+	acceptsClients atomic.Bool // clients are to come: a backend may be sent to, or was waited for
+	serving        atomic.Bool // a backend may be sent to, clients are accepted, and the end has not begun
+
+	mu           sync.Mutex
+	draining     atomic.Bool        // clients are sent away; set under mu
+	cancelDrain  context.CancelFunc // ends the emptying
+	shuttingDown bool               // the front empties for good
+	onDrain      func(bool)         // told when emptying begins and ends; nil: nobody
+	rejectsAll   atomic.Bool        // nor are requests taken that are still coming
 
 	accepting sync.WaitGroup // serve, until it accepts no more
 }
 
-func newFront(cfg *Config) *front {
-	f := &front{budget: newBudget(cfg), log: cfg.logger()}
-	f.retune(cfg)
+func newDownstreamServer(cfg *Config) *downstreamServer {
+	f := &downstreamServer{bodyBudget: newBodyBudget(cfg), log: cfg.logger()}
+	f.applySettings(cfg)
 	f.conns = newClientConns(cfg.clientConns())
 	f.server = &http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: headTime,
-		WriteTimeout:      maxTimeout*time.Millisecond + 10*time.Second, // counts from the request's head
+		ReadHeaderTimeout: requestHeadTimeout,
+		WriteTimeout:      maxRequestTimeoutMs*time.Millisecond + 10*time.Second, // counts from the request's head
 		IdleTimeout:       2 * time.Minute,
 		MaxHeaderBytes:    16 << 10,
 		ConnState:         f.conns.track,
@@ -89,15 +89,15 @@
 
 // classTable has the rules of each class by its name, and what else settings say of requests.
 // It is never changed, but replaced.
-type classTable struct {
+type requestClasses struct {
 	rules        map[string]*balancer.RequestRules
 	marksRetry   bool
 	retryAfterMs float64
 }
 
 // retune puts the settings in force for requests that come from now on.
-func (f *front) retune(cfg *Config) {
-	t := &classTable{rules: map[string]*balancer.RequestRules{}, marksRetry: cfg.Settings.Clients.MarksRetry,
+func (f *downstreamServer) applySettings(cfg *Config) {
+	t := &requestClasses{rules: map[string]*balancer.RequestRules{}, marksRetry: cfg.Settings.Clients.MarksRetry,
 		retryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs}
 	for _, c := range cfg.Settings.Classes {
 		t.rules[c.Name] = &balancer.RequestRules{Class: c, MaxAttempts: cfg.Settings.Limits.MaxAttempts}
@@ -106,71 +106,71 @@
 }
 
 // serve accepts clients until the listener is closed.
-func (f *front) serve(ln net.Listener) error {
+func (f *downstreamServer) serve(ln net.Listener) error {
 	f.accepting.Add(1)
 	defer f.accepting.Done()
 	err := f.server.Serve(ln)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ending || errors.Is(err, http.ErrServerClosed) {
+	if f.shuttingDown || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return fmt.Errorf("front: %w", err)
 }
 
 // acceptFailed counts and logs an accept that failed for a moment.
-func (f *front) acceptFailed(err error, _ uint64) {
+func (f *downstreamServer) acceptFailed(err error, _ uint64) {
 	f.loop.post(func() {
-		f.loop.figures.acceptFailures++
+		f.loop.metrics.acceptFailures++
 		f.loop.log(slog.LevelWarn, "accept failed", "err", err)
 	})
 }
 
 // ready tells the front once a backend may be sent to.
-func (f *front) ready() {
-	f.takes.Store(true)
+func (f *downstreamServer) setServing() {
+	f.acceptsClients.Store(true)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.serving.Store(!f.ending)
+	f.serving.Store(!f.shuttingDown)
 }
 
 // errEnding answers operators who would have a process that ends take clients.
-var errEnding = errors.New("the process is ending")
+var errShuttingDown = errors.New("the process is ending")
 
 // startDrain begins to empty the front: /-/ready says no, every answer closes its
 // connection, and what idles is closed once no more connections come.
-func (f *front) startDrain() error {
+func (f *downstreamServer) startDrain() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refill != nil {
+	if f.cancelDrain != nil {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	f.refill = cancel
-	f.emptying.Store(true)
-	f.tellDrain(true)
-	go f.conns.empty(ctx)
+	f.cancelDrain = cancel
+	f.draining.Store(true)
+	f.notifyDrain(true)
+	go f.conns.closeIdleUntil(ctx)
 	return nil
 }
 
 // stopDrain takes clients again.
-func (f *front) stopDrain() error {
+func (f *downstreamServer) stopDrain() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ending {
-		return errEnding
+	if f.shuttingDown {
+		return errShuttingDown
 	}
-	if f.refill != nil {
-		f.refill()
-		f.refill = nil
-		f.emptying.Store(false)
-		f.tellDrain(false)
+	if f.cancelDrain != nil {
+		f.cancelDrain()
+		f.cancelDrain = nil
+		f.draining.Store(false)
+		f.notifyDrain(false)
 	}
 	return nil
 }
 
 // tellDrain tells who wants to know whether the front empties.
-func (f *front) tellDrain(on bool) {
+func (f *downstreamServer) notifyDrain(on bool) {
 	if f.onDrain != nil {
 		f.onDrain(on)
 	}
@@ -178,47 +178,47 @@
 
 // streamsFor is how long answers that are being passed on may take after the last request
 // has its answer. The platform kills long before; it is for those that do not.
-const streamsFor = time.Minute
+const shutdownStreamingTime = time.Minute
 
 // shutdown ends service without losing a request: what is held has its answer within held,
 // and what is being passed on then goes on, for streamsFor at the most. An accept queue that is
 // closed resets what it holds, so while connections still come after the signal they are
 // accepted. A queue that is shared is not closed with this process's listener: what it
 // holds is for the other process, at once.
-func (f *front) shutdown(ln *clientListener, shared bool, held time.Duration) error {
+func (f *downstreamServer) shutdown(ln *clientListener, shared bool, held time.Duration) error {
 	over := time.NewTimer(held)
 	defer over.Stop()
-	defer time.AfterFunc(takenFor, func() {
-		f.closed.Store(true)
-		f.loop.post(f.loop.breakOff)
+	defer time.AfterFunc(shutdownAdmitTime, func() {
+		f.rejectsAll.Store(true)
+		f.loop.post(f.loop.cancelStreaming)
 	}).Stop()
 	f.mu.Lock()
-	f.ending = true
+	f.shuttingDown = true
 	f.serving.Store(false)
 	f.mu.Unlock()
 	if err := f.startDrain(); err != nil {
 		return err
 	}
 	if !shared {
-		time.Sleep(linger)
+		time.Sleep(drainAcceptTime)
 		f.acceptQueued(ln, over)
 	}
 	ln.Close()
 	f.accepting.Wait() // what was accepted last is counted by then
 	defer f.server.Close()
-	defer f.refill()
+	defer f.cancelDrain()
 	end := func() {
-		f.loop.post(f.loop.giveUp)
-		f.conns.leaveSilent()
+		f.loop.post(f.loop.endAll)
+		f.conns.closeAllIdle()
 	}
 	for _, then := range []func(){end, func() {}} {
 		select {
-		case <-f.conns.none():
+		case <-f.conns.noneOpen():
 			return nil
 		case <-over.C:
 			f.log.Warn("connections of clients still open", "count", f.conns.size(), "after", held)
 			then()
-			over.Reset(streamsFor)
+			over.Reset(shutdownStreamingTime)
 		}
 	}
 	return fmt.Errorf("%d connections of clients still open", f.conns.size())
@@ -226,8 +226,8 @@
 
 // acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
 // listener would reset them. When the time is over they are left, and over fires again.
-func (f *front) acceptQueued(ln *clientListener, over *time.Timer) {
-	if !ln.finish() {
+func (f *downstreamServer) acceptQueued(ln *clientListener, over *time.Timer) {
+	if !ln.finishQueue() {
 		return
 	}
 	accepted := make(chan struct{})
@@ -242,7 +242,7 @@
 	}
 }
 
-func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (f *downstreamServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	// A connection that is being closed as idle may just have brought a request. Its
 	// client can't have an answer and sends the request once more on another
 	// connection: passed on as well, this copy would run beside that one.
@@ -252,16 +252,16 @@
 	control := http.NewResponseController(w)
 	if req.ContentLength != 0 {
 		// Also a body that no one wants is read to its end, or for that long.
-		_ = control.SetReadDeadline(time.Now().Add(bodyGrace))
+		_ = control.SetReadDeadline(time.Now().Add(bodyGracePeriod))
 	}
 	// The server reads a chunked body by its chunks and drops a length that was given
 	// with it. By that length what follows would be body still: it must not be read as
 	// a request, so nothing more is read.
-	if len(req.TransferEncoding) > 0 || f.emptying.Load() {
+	if len(req.TransferEncoding) > 0 || f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	if req.URL.Path == "/-/ready" {
-		if f.takes.Load() && !f.emptying.Load() {
+		if f.acceptsClients.Load() && !f.draining.Load() {
 			w.WriteHeader(http.StatusOK)
 		} else {
 			// Not a request of the protocol's, so no refusal either.
@@ -269,40 +269,40 @@
 		}
 		return
 	}
-	c, held, status, err := f.read(w, req)
-	defer f.budget.Release(held)
+	c, held, status, err := f.readRequest(w, req)
+	defer f.bodyBudget.Release(held)
 	if err != nil {
-		_ = control.SetReadDeadline(time.Now().Add(rejectTime))
+		_ = control.SetReadDeadline(time.Now().Add(badRequestReadTime))
 		id, from := req.Header.Get("Request-Id"), req.RemoteAddr
-		f.loop.post(func() { f.loop.rejected(id, from, status, err) })
+		f.loop.post(func() { f.loop.invalidRequest(id, from, status, err) })
 		// Who sends what is no request has no claim on what comes behind it.
 		w.Header().Set("Connection", "close")
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if f.closed.Load() {
-		f.write(w, c, answer{verdict: refused, afterMs: f.classes.Load().retryAfterMs})
+	if f.rejectsAll.Load() {
+		f.writeResponse(w, c, finalResponse{kind: responseRejected, retryAfterMs: f.classes.Load().retryAfterMs})
 		return
 	}
 	took := make(chan *request, 1)
-	f.loop.post(func() { took <- f.loop.take(c) })
+	f.loop.post(func() { took <- f.loop.startRequest(c) })
 	select {
-	case a := <-c.answer:
-		f.write(w, c, a)
+	case a := <-c.response:
+		f.writeResponse(w, c, a)
 	case <-req.Context().Done():
-		f.loop.post(func() { f.loop.discard(<-took) })
+		f.loop.post(func() { f.loop.discardResponse(<-took) })
 		// The client may have ended only its sending, and still read. With nothing
 		// written here the server would write an empty 200.
-		f.write(w, c, answer{verdict: failed})
+		f.writeResponse(w, c, finalResponse{kind: responseFailed})
 	}
 }
 
 // read turns a client's request into a call, its body read as far as it is kept, or says
 // what is wrong with it. What can't be used is never refused: a refusal would tell the
 // client to send the same again. The call holds some of the budget.
-func (f *front) read(w http.ResponseWriter, req *http.Request) (c *call, held int64, status int, err error) {
+func (f *downstreamServer) readRequest(w http.ResponseWriter, req *http.Request) (c *clientRequest, held int64, status int, err error) {
 	h := req.Header
-	bad := func(format string, args ...any) (*call, int64, int, error) {
+	bad := func(format string, args ...any) (*clientRequest, int64, int, error) {
 		return nil, held, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
 	if !req.ProtoAtLeast(1, 1) {
@@ -312,13 +312,13 @@
 	if req.Method != http.MethodGet && req.Method != http.MethodPost {
 		return nil, 0, http.StatusMethodNotAllowed, fmt.Errorf("method %s is not allowed", req.Method)
 	}
-	if req.ContentLength > maxLong {
-		return nil, 0, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxLong)
+	if req.ContentLength > maxRequestBody {
+		return nil, 0, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxRequestBody)
 	}
-	c = &call{ctx: req.Context(), id: h.Get("Request-Id"), method: req.Method, host: req.Host, url: req.URL, header: h, answer: make(chan answer, 1)}
+	c = &clientRequest{ctx: req.Context(), id: h.Get("Request-Id"), method: req.Method, host: req.Host, url: req.URL, header: h, response: make(chan finalResponse, 1)}
 	client, known := req.Context().Value(connKey{}).(*clientConn)
 	if known {
-		c.gone = client.gone
+		c.clientGone = client.peerClosed
 	}
 	classes := f.classes.Load()
 	if c.rules = classes.rules[h.Get("Request-Class")]; c.rules == nil {
@@ -331,8 +331,8 @@
 		return bad("no Idempotency-Key, which this class needs")
 	}
 	left, err := strconv.Atoi(h.Get("Request-Timeout-Ms"))
-	if err != nil || left <= 0 || left > maxTimeout {
-		return bad("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeout)
+	if err != nil || left <= 0 || left > maxRequestTimeoutMs {
+		return bad("Request-Timeout-Ms is no whole number from 1 to %d", maxRequestTimeoutMs)
 	}
 	c.timeout = time.Duration(left) * time.Millisecond
 	c.retry = classes.marksRetry && h.Get("Client-Retry") == "1"
@@ -340,13 +340,13 @@
 		c.key = hashString(last)
 	}
 	if req.ContentLength != 0 {
-		body := &clientBody{control: http.NewResponseController(w), from: http.MaxBytesReader(w, req.Body, maxLong)}
+		body := &clientBody{control: http.NewResponseController(w), from: http.MaxBytesReader(w, req.Body, maxRequestBody)}
 		var whole bool
-		if c.body, whole, held, err = f.budget.gather(body, req.ContentLength); err != nil {
+		if c.body, whole, held, err = f.bodyBudget.readBody(body, req.ContentLength); err != nil {
 			return bad("body can't be read: %v", err)
 		}
 		if !whole {
-			c.long = &longBody{clientBody: body, length: req.ContentLength}
+			c.streamed = &streamedBody{clientBody: body, length: req.ContentLength}
 			// It goes on coming while it is answered.
 			if err := body.control.EnableFullDuplex(); err != nil {
 				return bad("body can't be streamed: %v", err)
@@ -354,53 +354,53 @@
 		}
 	}
 	// A request's time counts from its last byte; of a long one it begins again with that.
-	c.came = time.Now()
+	c.arrivedAt = time.Now()
 	if known && !client.queuedAt.IsZero() {
-		c.came = client.queuedAt
+		c.arrivedAt = client.queuedAt
 	}
-	c.deadline = c.came.Add(c.timeout)
+	c.deadline = c.arrivedAt.Add(c.timeout)
 	return c, held, 0, nil
 }
 
 // write sends the final answer.
-func (f *front) write(w http.ResponseWriter, c *call, a answer) {
-	defer a.body.end()
-	if c.long != nil && !c.long.whole() {
+func (f *downstreamServer) writeResponse(w http.ResponseWriter, c *clientRequest, a finalResponse) {
+	defer a.body.release()
+	if c.streamed != nil && !c.streamed.complete() {
 		// Answered at once, the client may yet be sending, and reads the answer only if
 		// what it sends is read. Nothing behind it is a request.
 		w.Header().Set("Connection", "close")
 		defer func() {
 			_ = http.NewResponseController(w).Flush()
-			_, _ = io.Copy(io.Discard, c.long.clientBody)
+			_, _ = io.Copy(io.Discard, c.streamed.clientBody)
 		}()
 	}
-	if f.emptying.Load() { // it may have begun since the request came
+	if f.draining.Load() { // it may have begun since the request came
 		w.Header().Set("Connection", "close")
 	}
 	switch {
-	case a.verdict == served:
-		for name, values := range endToEnd(a.header) {
+	case a.kind == responseServed:
+		for name, values := range endToEndHeaders(a.header) {
 			w.Header()[name] = values
 		}
 		if a.body.length >= 0 {
 			w.Header().Set("Content-Length", strconv.FormatInt(a.body.length, 10))
 		}
 		w.WriteHeader(http.StatusOK)
-		fromServer, toClient := a.body.passOn(w)
+		fromServer, toClient := a.body.copyTo(w)
 		if fromServer != nil || toClient != nil {
-			f.loop.post(func() { f.loop.brokenOff(c, fromServer, toClient) })
+			f.loop.post(func() { f.loop.responseAborted(c, fromServer, toClient) })
 			// Only a connection that ends before the answer does tells that it is not whole.
 			panic(http.ErrAbortHandler)
 		}
 		return
-	case a.verdict == refused:
-		if a.afterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.afterMs/1000, 'f', 3, 64))
+	case a.kind == responseRejected:
+		if a.retryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.retryAfterMs/1000, 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case a.unfit:
+	case a.badRequest:
 		w.WriteHeader(http.StatusBadRequest)
-	case a.late:
+	case a.timedOut:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
@@ -414,25 +414,25 @@
 // between two requests without crossing one.
 type clientConn struct {
 	net.Conn
-	release func() // gives its slot back
-	closed  atomic.Bool
-	begun   atomic.Bool // bytes have come since it idled last
+	release      func() // gives its slot back
+	closed       atomic.Bool
+	requestBegun atomic.Bool // bytes have come since it idled last
 	// queuedAt is when its first request may have come, where that waited to be accepted.
 	// It belongs to the goroutine that serves the connection.
 	queuedAt time.Time
 
-	mu      sync.Mutex
-	leaving bool      // to be closed if nothing has come: its reader is woken to look
-	until   time.Time // the reader's own deadline
-	mayLook bool      // one look at what has come is left once that is over
+	mu           sync.Mutex
+	closeIfIdle  bool      // to be closed if nothing has come: its reader is woken to look
+	readDeadline time.Time // the reader's own deadline
+	mayReadLate  bool      // one look at what has come is left once that is over
 }
 
 // leave has the connection closed by whoever reads it, unless a request has come.
-func (c *clientConn) leave() {
+func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.begun.Load() {
-		c.leaving = true
+	if !c.requestBegun.Load() {
+		c.closeIfIdle = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
@@ -441,9 +441,9 @@
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
-	c.mayLook = t.After(time.Now())
-	if c.leaving {
+	c.readDeadline = t
+	c.mayReadLate = t.After(time.Now())
+	if c.closeIfIdle {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -451,14 +451,14 @@
 
 // woken tells whether the reader was woken to leave, and gives it its own deadline back:
 // nothing can be looked at under one that is past.
-func (c *clientConn) woken() bool {
+func (c *clientConn) wokenToClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.leaving {
+	if !c.closeIfIdle {
 		return false
 	}
-	c.leaving = false
-	c.Conn.SetReadDeadline(c.until)
+	c.closeIfIdle = false
+	c.Conn.SetReadDeadline(c.readDeadline)
 	return true
 }
 
@@ -468,17 +468,17 @@
 	for {
 		n, err := c.Conn.Read(p)
 		expired := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
-		if expired && c.woken() {
-			if !c.begun.Load() && alive(c.Conn) {
+		if expired && c.wokenToClose() {
+			if !c.requestBegun.Load() && isIdleConnAlive(c.Conn) {
 				return 0, err
 			}
 			continue
 		}
 		if expired {
-			n = c.lastLook(p)
+			n = c.readLate(p)
 		}
 		if n > 0 {
-			c.begun.Store(true)
+			c.requestBegun.Store(true)
 			return n, nil
 		}
 		return n, err
@@ -487,14 +487,14 @@
 
 // lastLook reads what came before the deadline and was not read in time, as the process was
 // held up. It does so once for each deadline: who goes on sending gains no time by it.
-func (c *clientConn) lastLook(p []byte) int {
+func (c *clientConn) readLate(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sc, ok := c.Conn.(syscall.Conn)
-	if !ok || !c.mayLook {
+	if !ok || !c.mayReadLate {
 		return 0
 	}
-	c.mayLook = false
+	c.mayReadLate = false
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return 0
@@ -508,8 +508,8 @@
 
 // gone tells whether the client has closed its side, also behind bytes that nobody has read:
 // a server that has read ahead of a request, or leaves its body unread, does not notice.
-func (c *clientConn) gone() bool {
-	return polled(c.Conn, unix.POLLRDHUP, hangupEvents)
+func (c *clientConn) peerClosed() bool {
+	return pollSocket(c.Conn, unix.POLLRDHUP, peerClosedEvents)
 }
 
 func (c *clientConn) Close() error {
@@ -539,27 +539,27 @@
 }
 
 // noClients is a listener to which nobody comes.
-type noClients struct {
+type unusedListener struct {
 	closed context.Context
 	close  context.CancelFunc
 }
 
-func newNoClients() noClients {
+func newUnusedListener() unusedListener {
 	closed, stop := context.WithCancel(context.Background())
-	return noClients{closed, stop}
+	return unusedListener{closed, stop}
 }
 
-func (l noClients) Accept() (net.Conn, error) {
+func (l unusedListener) Accept() (net.Conn, error) {
 	<-l.closed.Done()
 	return nil, net.ErrClosed
 }
 
-func (l noClients) Close() error {
+func (l unusedListener) Close() error {
 	l.close()
 	return nil
 }
 
-func (l noClients) Addr() net.Addr { return &net.TCPAddr{} }
+func (l unusedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (l *clientListener) Accept() (net.Conn, error) {
 	if l.finishing.Load() && !l.queued() {
@@ -577,7 +577,7 @@
 	}
 	c := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
 	if !l.queuedAt.IsZero() {
-		l.noteQueued(c)
+		l.setQueuedAt(c)
 	}
 	return c, nil
 }
@@ -587,9 +587,9 @@
 	for {
 		looked := time.Now()
 		if l.queuedAt.IsZero() && l.queued() {
-			l.queuedAt = looked.Add(-queueLook)
+			l.queuedAt = looked.Add(-queuePollInterval)
 		}
-		ctx, cancel := context.WithTimeout(l.open, queueLook)
+		ctx, cancel := context.WithTimeout(l.open, queuePollInterval)
 		err := l.slots.Acquire(ctx, 1)
 		cancel()
 		if err == nil || l.open.Err() != nil {
@@ -599,8 +599,8 @@
 }
 
 // noteQueued tells a connection since when it may have waited with a request on it.
-func (l *clientListener) noteQueued(c *clientConn) {
-	if !alive(c.Conn) { // its bytes were there before it was accepted
+func (l *clientListener) setQueuedAt(c *clientConn) {
+	if !isIdleConnAlive(c.Conn) { // its bytes were there before it was accepted
 		c.queuedAt = l.queuedAt
 	}
 	if !l.queued() {
@@ -609,14 +609,14 @@
 }
 
 // finish has Accept end once it has taken the connections that wait, and tells whether any do.
-func (l *clientListener) finish() bool {
+func (l *clientListener) finishQueue() bool {
 	l.finishing.Store(true)
 	return l.queued()
 }
 
 // queued tells whether connections wait to be accepted.
 func (l *clientListener) queued() bool {
-	return polled(l.Listener, unix.POLLIN, unix.POLLIN)
+	return pollSocket(l.Listener, unix.POLLIN, unix.POLLIN)
 }
 
 func (l *clientListener) Close() error {
@@ -633,30 +633,30 @@
 // that is being ended no longer counts and is not chosen again, unless a request
 // proves to have come on it: then another makes room.
 type clientConns struct {
-	slots   quota
-	mu      sync.Mutex
-	max     int
-	open    map[net.Conn]bool // true: being ended
-	closing int
-	order   list.List // idle connections, the longest idle first
-	idle    map[net.Conn]*list.Element
-	left    chan struct{} // if anyone waits for it: closed once none is open
+	slots     quota
+	mu        sync.Mutex
+	maxConns  int
+	open      map[net.Conn]bool // true: being ended
+	closing   int
+	order     list.List // idle connections, the longest idle first
+	idle      map[net.Conn]*list.Element
+	allClosed chan struct{} // if anyone waits for it: closed once none is open
 }
 
 func newClientConns(most int) *clientConns {
-	return &clientConns{max: most, slots: newQuota(int64(most)), open: map[net.Conn]bool{}, idle: map[net.Conn]*list.Element{}}
+	return &clientConns{maxConns: most, slots: newQuota(int64(most)), open: map[net.Conn]bool{}, idle: map[net.Conn]*list.Element{}}
 }
 
 func (c *clientConns) track(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy(nc)
+	c.removeIdle(nc)
 	switch state {
 	case http.StateNew:
 		c.open[nc] = false
 	case http.StateActive:
 		if cc, ok := nc.(*clientConn); ok {
-			cc.begun.Store(true) // also where its bytes were read with those of the last
+			cc.requestBegun.Store(true) // also where its bytes were read with those of the last
 		}
 		if c.open[nc] {
 			c.open[nc] = false
@@ -664,7 +664,7 @@
 		}
 	case http.StateIdle:
 		if cc, ok := nc.(*clientConn); ok {
-			cc.begun.Store(false)
+			cc.requestBegun.Store(false)
 			cc.queuedAt = time.Time{}
 		}
 		if !c.open[nc] {
@@ -675,37 +675,37 @@
 			c.closing--
 		}
 		delete(c.open, nc)
-		if len(c.open) == 0 && c.left != nil {
-			close(c.left)
-			c.left = nil
+		if len(c.open) == 0 && c.allClosed != nil {
+			close(c.allClosed)
+			c.allClosed = nil
 		}
 	}
-	c.makeRoom()
+	c.closeLongestIdle()
 }
 
 // limit bounds the connections from now on; the slots bound what is accepted.
-func (c *clientConns) limit(most int) {
+func (c *clientConns) setLimit(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.max = most
-	c.makeRoom()
+	c.maxConns = most
+	c.closeLongestIdle()
 }
 
 // makeRoom ends those that have idled longest while there are nearly too many. The lock is held.
-func (c *clientConns) makeRoom() {
-	for len(c.open)-c.closing > c.max*7/8 && c.order.Len() > 0 {
+func (c *clientConns) closeLongestIdle() {
+	for len(c.open)-c.closing > c.maxConns*7/8 && c.order.Len() > 0 {
 		oldest := c.order.Front().Value.(net.Conn)
-		c.busy(oldest)
+		c.removeIdle(oldest)
 		c.open[oldest] = true
 		c.closing++
 		if cc, ok := oldest.(*clientConn); ok {
-			cc.leave() // the server's read then fails, and it reports the close
+			cc.closeWhenIdle() // the server's read then fails, and it reports the close
 		}
 	}
 }
 
 // busy takes a connection off the idle ones.
-func (c *clientConns) busy(nc net.Conn) {
+func (c *clientConns) removeIdle(nc net.Conn) {
 	if e := c.idle[nc]; e != nil {
 		c.order.Remove(e)
 		delete(c.idle, nc)
@@ -714,8 +714,8 @@
 
 // empty closes idle connections until ctx ends: not at once, as connections still come
 // and clients still choose among those they have.
-func (c *clientConns) empty(ctx context.Context) {
-	sweep := time.NewTimer(linger)
+func (c *clientConns) closeIdleUntil(ctx context.Context) {
+	sweep := time.NewTimer(drainAcceptTime)
 	defer sweep.Stop()
 	for {
 		select {
@@ -726,40 +726,40 @@
 		c.mu.Lock()
 		for nc := range c.idle {
 			if cc, ok := nc.(*clientConn); ok {
-				cc.leave()
+				cc.closeWhenIdle()
 			}
 		}
 		c.mu.Unlock()
-		sweep.Reset(sweepIdle)
+		sweep.Reset(drainSweepInterval)
 	}
 }
 
 // leaveSilent ends all connections on which no request has begun, also those that never
 // brought one.
-func (c *clientConns) leaveSilent() {
+func (c *clientConns) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.open {
 		if cc, ok := nc.(*clientConn); ok {
-			cc.leave()
+			cc.closeWhenIdle()
 		}
 	}
 }
 
 // none returns a channel that is closed once no connection is open.
-func (c *clientConns) none() <-chan struct{} {
+func (c *clientConns) noneOpen() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left == nil {
-		c.left = make(chan struct{})
+	if c.allClosed == nil {
+		c.allClosed = make(chan struct{})
 		if len(c.open) == 0 {
-			left := c.left
-			c.left = nil
+			left := c.allClosed
+			c.allClosed = nil
 			close(left)
 			return left
 		}
 	}
-	return c.left
+	return c.allClosed
 }
 
 func (c *clientConns) size() int {
--- a/internal/agent/hangup.go
+++ b/internal/agent/hangup.go
@@ -10,11 +10,11 @@
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
 // hangupEvents are the events that say that a socket's peer has closed its side, or the connection broke.
-const hangupEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
 // polled asks the system for poll events of a socket, without waiting, and tells whether one of
 // those that count has come. Of what is no socket nothing is known.
-func polled(socket any, ask, count int16) bool {
+func pollSocket(socket any, ask, count int16) bool {
 	sc, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
@@ -24,12 +24,12 @@
 		return false
 	}
 	come := false
-	err = raw.Control(func(fd uintptr) { come = pollNow(int32(fd), ask, count, unix.Poll) })
+	err = raw.Control(func(fd uintptr) { come = pollDescriptor(int32(fd), ask, count, unix.Poll) })
 	return err == nil && come
 }
 
 // pollNow is polled for a descriptor. It looks again where poll(2) was interrupted.
-func pollNow(fd int32, ask, count int16, poll pollFunc) bool {
+func pollDescriptor(fd int32, ask, count int16, poll pollFunc) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: ask}}
 	n, err := poll(fds, 0)
 	for err == unix.EINTR {
--- a/internal/agent/hangup_test.go
+++ b/internal/agent/hangup_test.go
@@ -7,7 +7,7 @@
 )
 
 // An interrupted look at a connection is made again: the client may have left.
-func TestHangupIsSeenAfterAnInterruptedPoll(t *testing.T) {
+func TestPeerCloseIsSeenAfterAnInterruptedPoll(t *testing.T) {
 	calls := 0
 	poll := func(fds []unix.PollFd, _ int) (int, error) {
 		if calls++; calls < 3 {
@@ -16,11 +16,11 @@
 		fds[0].Revents = unix.POLLRDHUP
 		return 1, nil
 	}
-	if !pollNow(0, unix.POLLRDHUP, hangupEvents, poll) {
+	if !pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, poll) {
 		t.Errorf("no hangup seen after %d polls", calls)
 	}
 	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
-	if pollNow(0, unix.POLLRDHUP, hangupEvents, failing) {
+	if pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, failing) {
 		t.Error("a poll that failed was taken for a hangup")
 	}
 }
--- a/internal/agent/hollow_test.go
+++ b/internal/agent/hollow_test.go
@@ -52,7 +52,7 @@
 
 // An agent without clients follows its list and its settings, shows its operators what it is, and
 // tells its hooks, all under its own logger and from its own address.
-func TestHollowAgent(t *testing.T) {
+func TestAgentWithoutClients(t *testing.T) {
 	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 	from := make(chan string, 1000)
 	serve := d.Config.Handler
@@ -90,12 +90,12 @@
 			if v != want {
 				t.Fatalf("%s %d in force, want %d", what, v, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%s %d never in force", what, want)
 		}
 	}
 	next("list", lists, 1)
-	until(t, "it is ready", func() bool {
+	waitUntil(t, "it is ready", func() bool {
 		resp, err := testClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
 		if err == nil {
 			resp.Body.Close()
@@ -140,7 +140,7 @@
 
 // A killed agent answers nobody at once, with or without clients, also one that ends already.
 func TestKill(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newFakeServer(t, respondOK)
 	for name, stopped := range map[string]bool{"in service": false, "while it ends": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -168,7 +168,7 @@
 				t.Fatal(err)
 			}
 			defer idle.Close()
-			until(t, "it serves", func() bool {
+			waitUntil(t, "it serves", func() bool {
 				resp, err := testClient.Do(newRequest(ln.Clients.Addr().String(), "read", ""))
 				if err == nil {
 					resp.Body.Close()
@@ -177,17 +177,17 @@
 			})
 			if stopped {
 				end()
-				until(t, "it ends", func() bool {
-					a.front.mu.Lock()
-					defer a.front.mu.Unlock()
-					return a.front.ending
+				waitUntil(t, "it ends", func() bool {
+					a.downstream.mu.Lock()
+					defer a.downstream.mu.Unlock()
+					return a.downstream.shuttingDown
 				})
 			}
 			a.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
 				t.Errorf("Run returned %v", err)
 			}
-			idle.SetReadDeadline(time.Now().Add(patience))
+			idle.SetReadDeadline(time.Now().Add(testTimeout))
 			if n, err := idle.Read(make([]byte, 100)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("a client's connection brought %d bytes, %v", n, err)
 			}
@@ -201,7 +201,7 @@
 }
 
 // What New can't use, it says, and leaves the listeners to its caller.
-func TestNewSaysWhatItCannotUse(t *testing.T) {
+func TestNewRejectsUnusableSettings(t *testing.T) {
 	cfg, err := ParseConfig(hollowConfig(t, newDiscoveryServer(t), nil))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/idle.go
+++ b/internal/agent/idle.go
@@ -16,21 +16,21 @@
 	idleExcess = 0.15
 	// idleFade lets uses count less with age, over about 5,000: what closed idle
 	// connections early may be gone, and longer ones are tried again.
-	idleFade = 0.9998
+	idleDecay = 0.9998
 )
 
 // idleTimes learns for how long a kept connection may idle before it is often lost.
 // Backends, and what stands before them, may close one sooner than the settings say
 // and without a sign: then the next request on it ends as a reset, which may have run.
-type idleTimes struct {
+type idleTimeModel struct {
 	used, lost [idleBins]float64
 }
 
 // note takes the use of a kept connection, lost or not, after it had idled.
-func (t *idleTimes) note(idled time.Duration, lost bool) {
+func (t *idleTimeModel) record(idled time.Duration, lost bool) {
 	for i := range t.used {
-		t.used[i] *= idleFade
-		t.lost[i] *= idleFade
+		t.used[i] *= idleDecay
+		t.lost[i] *= idleDecay
 	}
 	i := idleBin(idled)
 	t.used[i]++
@@ -41,7 +41,7 @@
 
 // limit is the shortest idle time from which on connections are lost well more often
 // than those that idled for less; most if there is none.
-func (t *idleTimes) limit(most time.Duration) time.Duration {
+func (t *idleTimeModel) limit(most time.Duration) time.Duration {
 	var used, lost, shortUsed, shortLost float64
 	from := 0
 	for i := range t.used {
--- a/internal/agent/idle_test.go
+++ b/internal/agent/idle_test.go
@@ -6,15 +6,15 @@
 )
 
 // feed notes uses after the given idle time, of which each lostOf-th is lost; 0: none.
-func (t *idleTimes) feed(uses int, idled time.Duration, lostOf int) {
+func (t *idleTimeModel) feed(uses int, idled time.Duration, lostOf int) {
 	for i := range uses {
-		t.note(idled, lostOf > 0 && i%lostOf == 0)
+		t.record(idled, lostOf > 0 && i%lostOf == 0)
 	}
 }
 
 func TestIdleLimitIsLearned(t *testing.T) {
 	const most = 30 * time.Second
-	var x idleTimes
+	var x idleTimeModel
 	if got := x.limit(most); got != most {
 		t.Errorf("nothing known: %v", got)
 	}
--- a/internal/agent/late_write_news_test.go
+++ b/internal/agent/late_write_news_test.go
@@ -52,18 +52,18 @@
 
 // TestLongBodyWrittenBeforeTheResetMayHaveRun resets a connection behind the last byte of a long body, before
 // the news that it was written: the request is unsafe to repeat, may have run, and must not be refused.
-func TestLongBodyWrittenBeforeTheResetMayHaveRun(t *testing.T) {
+func TestStreamedBodySentBeforeTheResetMayHaveExecuted(t *testing.T) {
 	t.Parallel()
 	const lastByte = 'Z'
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := newFaultyWorld(t, 1).agent(ln, newFaultPlan(nil))
+	a, err := newFaultEnvironment(t, 1).agent(ln, newFaultPlan(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
+	a.eventLoop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
 		return newLateWriteConn(lastByte), nil
 	}
 	ended := make(chan error, 1)
@@ -72,7 +72,7 @@
 		a.Kill()
 		<-ended
 	}()
-	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBody)+string(lastByte))
+	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBufferedBody)+string(lastByte))
 	req.Header.Set("Request-Timeout-Ms", "2000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
--- a/internal/agent/leave_test.go
+++ b/internal/agent/leave_test.go
@@ -15,7 +15,7 @@
 )
 
 // hold stops the loop until the returned function is called.
-func (a *testAgent) hold() (release func()) {
+func (a *testAgent) blockLoop() (release func()) {
 	blocked, held := make(chan struct{}), make(chan struct{})
 	a.loop.post(func() { close(held); <-blocked })
 	<-held
@@ -23,28 +23,28 @@
 }
 
 // noneOpen waits until the server knows that all clients' connections have ended.
-func (a *testAgent) noneOpen(t *testing.T) {
+func (a *testAgent) wantNoneOpen(t *testing.T) {
 	t.Helper()
-	until(t, "all clients' connections are closed", func() bool { return a.front.conns.size() == 0 })
+	waitUntil(t, "all clients' connections are closed", func() bool { return a.front.conns.size() == 0 })
 }
 
 // A client's leaving and what would have its request sent again cross on the way to the loop.
 // The client went first, so nothing is sent, whatever the loop takes first.
-func TestNoFurtherAttemptOnceTheClientHasLeft(t *testing.T) {
+func TestNoRetryOnceTheClientHasClosed(t *testing.T) {
 	arrived, answer := make(chan struct{}, 10), make(chan struct{})
 	turnsAway := func(c net.Conn, req *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		<-answer
-		return send(c, 503, "Not-Started: 1\r\n", "")
+		return sendResponse(c, 503, "Not-Started: 1\r\n", "")
 	}
-	first, second := newBackend(t, turnsAway), newBackend(t, turnsAway)
+	first, second := newFakeServer(t, turnsAway), newFakeServer(t, turnsAway)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
-	c := a.dial()
+	c := a.dialKept()
 	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
 	<-arrived
-	release := a.hold()
+	release := a.blockLoop()
 	close(answer)
-	until(t, "the loop is to take the attempt's end", func() bool { return len(a.loop.inbox) > 0 })
+	waitUntil(t, "the loop is to take the attempt's end", func() bool { return len(a.loop.inbox) > 0 })
 	a.loop.post(func() { // time for an attempt to begin before the loop takes the leaving
 		select {
 		case <-arrived:
@@ -52,11 +52,11 @@
 		}
 	})
 	c.Close()
-	until(t, "the loop is to take the client's leaving", func() bool { return len(a.loop.inbox) > 2 })
+	waitUntil(t, "the loop is to take the client's leaving", func() bool { return len(a.loop.inbox) > 2 })
 	release()
-	a.noneOpen(t)
-	f := a.figures()
-	if n := first.count() + second.count(); n != 1 || f.gone != 1 || f.guarded > 0 {
+	a.wantNoneOpen(t)
+	f := a.metricsNow()
+	if n := first.count() + second.count(); n != 1 || f.clientsGone != 1 || f.violations > 0 {
 		t.Errorf("%d attempts, want 1; figures %+v", n, f)
 	}
 }
@@ -89,19 +89,19 @@
 
 // A connection that comes up after its client has left carries nothing, also while the loop
 // has not heard of it.
-func TestLateConnectionCarriesNothingOnceTheClientHasLeft(t *testing.T) {
+func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	ln := fullListener(t)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
 		c.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
-	c := a.dial()
+	c := a.dialKept()
 	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 20000\r\n\r\n")
-	until(t, "the connect is under way", func() bool { return a.loop.pool.connects() == 1 })
-	release := a.hold()
+	waitUntil(t, "the connect is under way", func() bool { return a.loop.pool.connectCount() == 1 })
+	release := a.blockLoop()
 	defer release()
 	c.Close()
-	a.noneOpen(t)
+	a.wantNoneOpen(t)
 	// Room in the queue: a connect that goes on comes up with its next try, in a second.
 	over := time.AfterFunc(2500*time.Millisecond, func() { ln.Close() })
 	defer over.Stop()
@@ -113,7 +113,7 @@
 		go func() {
 			defer nc.Close()
 			head := make([]byte, 1000)
-			_ = nc.SetReadDeadline(time.Now().Add(patience))
+			_ = nc.SetReadDeadline(time.Now().Add(testTimeout))
 			if n, _ := nc.Read(head); n > 0 {
 				t.Errorf("sent on: %q", head[:n])
 			}
@@ -124,35 +124,35 @@
 // A client may have sent more before it leaves: a byte behind its request, or a body that is
 // not read while the request waits. It has left all the same. (All of it fits what the system
 // takes unread: the end of a connection can't be seen before what comes ahead of it.)
-func TestWaitingRequestIsNotSentOnceItsClientHasLeft(t *testing.T) {
+func TestQueuedRequestIsNotSentOnceItsClientHasClosed(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing more":   "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n",
 		"a further byte": "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n",
 		"many more bytes": "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n" +
 			strings.Repeat("X", 30_000),
 		"half a long body": "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 30000\r\n" +
-			"Content-Length: 400000\r\n\r\n" + strings.Repeat("X", maxBody+20_000),
+			"Content-Length: 400000\r\n\r\n" + strings.Repeat("X", maxBufferedBody+20_000),
 		"a whole long body": "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 30000\r\n" +
-			fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBody+20_000) + strings.Repeat("X", maxBody+20_000),
+			fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBufferedBody+20_000) + strings.Repeat("X", maxBufferedBody+20_000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			answer := make(chan struct{})
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 				if n < 8 {
 					<-answer
 				}
-				return serving(c, req, n)
+				return respondOK(c, req, n)
 			})
 			for range 8 { // all that a lone agent has out at an unmeasured server
-				c := a.dial()
+				c := a.dialKept()
 				fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n")
 			}
-			until(t, "eight are at work", func() bool { return b.count() == 8 })
-			c := a.dial()
+			waitUntil(t, "eight are at work", func() bool { return b.count() == 8 })
+			c := a.dialKept()
 			fmt.Fprint(c, text)
-			until(t, "the ninth waits", func() bool {
-				return inLoop(a, func(l *loop) int { return l.balancer.Stats().Queued }) == 1
+			waitUntil(t, "the ninth waits", func() bool {
+				return inLoop(a, func(l *eventLoop) int { return l.balancer.Stats().Queued }) == 1
 			})
 			if name == "a further byte" {
 				fmt.Fprint(c, "X")
@@ -161,8 +161,8 @@
 			c.Close()
 			time.Sleep(50 * time.Millisecond) // its FIN or reset is there long before
 			close(answer)
-			until(t, "it is over", func() bool { f := a.figures(); return f.failed+f.gone == 1 && f.served == 8 })
-			if b.begun() != 8 {
+			waitUntil(t, "it is over", func() bool { f := a.metricsNow(); return f.failed+f.clientsGone == 1 && f.served == 8 })
+			if b.startedCount() != 8 {
 				t.Error("a request was sent on whose client had left")
 			}
 		})
@@ -191,7 +191,7 @@
 
 // Where connections make room for others, a request that has come on the one chosen is not
 // crossed: it is read, and another connection makes the room.
-func TestMakingRoomCrossesNoRequest(t *testing.T) {
+func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
 	conns := newClientConns(4) // three are room enough
 	var clients []net.Conn
 	var servers []*clientConn
@@ -200,7 +200,7 @@
 		clients, servers = append(clients, client), append(servers, c)
 	}
 	fmt.Fprint(clients[0], "GET") // to the one that will have idled longest
-	until(t, "it has arrived", func() bool { return !alive(servers[0].Conn) })
+	waitUntil(t, "it has arrived", func() bool { return !isIdleConnAlive(servers[0].Conn) })
 	for _, c := range servers[:3] {
 		conns.track(c, http.StateNew)
 		conns.track(c, http.StateActive)
@@ -224,13 +224,13 @@
 // What wakes a connection's reader to look leaves the reader's own deadline as it was, whichever
 // of the two is set first, and however often it is woken: a request that has begun has the time
 // it had, no less and no more.
-func TestLeavingKeepsTheReadersDeadline(t *testing.T) {
+func TestCloseWhenIdleKeepsTheReadersDeadline(t *testing.T) {
 	t.Run("a request under way is not cut short", func(t *testing.T) {
 		client, c := clientPair(t)
 		c.SetReadDeadline(time.Time{})
-		c.leave()
-		c.begun.Store(true) // the head came as it was woken
-		time.AfterFunc(headTime+200*time.Millisecond, func() { client.Write([]byte("x")) })
+		c.closeWhenIdle()
+		c.requestBegun.Store(true) // the head came as it was woken
+		time.AfterFunc(requestHeadTimeout+200*time.Millisecond, func() { client.Write([]byte("x")) })
 		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 			t.Errorf("read %d, %v", n, err)
 		}
@@ -248,7 +248,7 @@
 			_, err := c.Read(buf)
 			ended <- err
 		}()
-		over := time.After(patience)
+		over := time.After(testTimeout)
 		for {
 			select {
 			case err := <-ended:
@@ -257,7 +257,7 @@
 				}
 				return
 			case <-time.After(20 * time.Millisecond): // as the sweep of an emptying front does
-				c.leave()
+				c.closeWhenIdle()
 			case <-over:
 				t.Fatal("a peer that brings half a head stays while the front empties")
 			}
@@ -265,7 +265,7 @@
 	})
 	t.Run("a deadline set on one that is to leave does not keep it", func(t *testing.T) {
 		_, c := clientPair(t)
-		c.leave()
+		c.closeWhenIdle()
 		c.SetReadDeadline(time.Now().Add(time.Hour)) // as the server does where one falls idle
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("read %v", err)
@@ -275,14 +275,14 @@
 
 // Requests that a client has sent ahead are in the server's buffer where it falls idle: the
 // sweep of an emptying front does not take them for a client that has left.
-func TestEmptyingLeavesARequestThatWasReadAhead(t *testing.T) {
+func TestDrainingKeepsARequestThatWasReadAhead(t *testing.T) {
 	client, c := clientPair(t)
 	conns := newClientConns(8)
 	conns.track(c, http.StateNew)
 	conns.track(c, http.StateActive)
 	conns.track(c, http.StateIdle)
 	c.SetReadDeadline(time.Time{})
-	c.leave()                        // the sweep
+	c.closeWhenIdle()                // the sweep
 	conns.track(c, http.StateActive) // by what was read ahead
 	time.AfterFunc(50*time.Millisecond, func() { client.Write([]byte("x")) })
 	if _, err := c.Read(make([]byte, 1)); err != nil {
@@ -292,14 +292,14 @@
 
 // What came before the reader's deadline is read, also where the process was held up and looks
 // only after it: closing would cross a request that came in time.
-func TestWhatCameBeforeTheDeadlineIsRead(t *testing.T) {
+func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
 	const deadline = 50 * time.Millisecond
 	pair := func(t *testing.T) (net.Conn, *clientConn, []byte) {
 		client, c := clientPair(t)
 		return client, c, make([]byte, 10)
 	}
 	arrived := func(t *testing.T, c *clientConn) {
-		until(t, "the bytes have arrived", func() bool { return polled(c.Conn, unix.POLLIN, unix.POLLIN) })
+		waitUntil(t, "the bytes have arrived", func() bool { return pollSocket(c.Conn, unix.POLLIN, unix.POLLIN) })
 	}
 	t.Run("a first request", func(t *testing.T) {
 		client, c, buf := pair(t)
--- a/internal/agent/management_test.go
+++ b/internal/agent/management_test.go
@@ -16,7 +16,7 @@
 )
 
 // call makes an operators' call and returns its status.
-func (a *testAgent) call(method, path string) int {
+func (a *testAgent) adminCall(method, path string) int {
 	a.t.Helper()
 	req, err := http.NewRequest(method, "http://"+a.door+path, nil)
 	if err != nil {
@@ -34,23 +34,23 @@
 }
 
 // kept is a client's connection that stays open.
-type kept struct {
+type keptConn struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-func (a *testAgent) dial() *kept {
+func (a *testAgent) dialKept() *keptConn {
 	a.t.Helper()
 	c, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &kept{c, bufio.NewReader(c)}
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &keptConn{c, bufio.NewReader(c)}
 }
 
-func (k *kept) ask(t *testing.T) *http.Response {
+func (k *keptConn) request(t *testing.T) *http.Response {
 	t.Helper()
 	fmt.Fprint(k, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
 	resp, err := http.ReadResponse(k.br, nil)
@@ -62,14 +62,14 @@
 }
 
 // ends waits for the connection's orderly end.
-func (k *kept) ends(t *testing.T) {
+func (k *keptConn) wantClosed(t *testing.T) {
 	t.Helper()
 	if _, err := k.br.ReadByte(); err != io.EOF {
 		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 }
 
-func (a *testAgent) asksReady() int {
+func (a *testAgent) readyStatus() int {
 	a.t.Helper()
 	resp, err := testClient.Get("http://" + a.addr + "/-/ready")
 	if err != nil {
@@ -79,33 +79,33 @@
 	return resp.StatusCode
 }
 
-func TestOperatorsDrainAndRefill(t *testing.T) {
-	a, b := one(t, serving)
-	wantStatus(t, a.call("GET", "/ops/readiness"), 200)
-	wantStatus(t, a.call("PUT", "/ops/nonsense"), 404)
-	wantStatus(t, a.call("GET", "/ops/drain/start"), 405)
-	used, idle := a.dial(), a.dial()
-	if used.ask(t).Close || idle.ask(t).Close {
+func TestAdminDrainStartAndStop(t *testing.T) {
+	a, b := startWithServer(t, respondOK)
+	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
+	wantStatus(t, a.adminCall("PUT", "/ops/nonsense"), 404)
+	wantStatus(t, a.adminCall("GET", "/ops/drain/start"), 405)
+	used, idle := a.dialKept(), a.dialKept()
+	if used.request(t).Close || idle.request(t).Close {
 		t.Error("a connection is closed without need")
 	}
-	wantStatus(t, a.call("PUT", "/ops/drain/start"), 200)
-	wantStatus(t, a.call("PUT", "/ops/drain/start"), 200) // says what is so already
-	wantStatus(t, a.asksReady(), 503)
-	wantStatus(t, a.call("GET", "/ops/readiness"), 200) // it still serves whom it has
-	if resp := used.ask(t); resp.StatusCode != 200 || !resp.Close {
+	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
+	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200) // says what is so already
+	wantStatus(t, a.readyStatus(), 503)
+	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200) // it still serves whom it has
+	if resp := used.request(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("while emptied: answered %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	used.ends(t)
-	idle.ends(t)
-	late := a.dial() // who does not know yet is served
-	if resp := late.ask(t); resp.StatusCode != 200 || !resp.Close {
+	used.wantClosed(t)
+	idle.wantClosed(t)
+	late := a.dialKept() // who does not know yet is served
+	if resp := late.request(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late client: answered %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	wantStatus(t, a.call("PUT", "/ops/drain/stop"), 200)
-	wantStatus(t, a.asksReady(), 200)
-	again := a.dial()
+	wantStatus(t, a.adminCall("PUT", "/ops/drain/stop"), 200)
+	wantStatus(t, a.readyStatus(), 200)
+	again := a.dialKept()
 	for range 3 {
-		if resp := again.ask(t); resp.StatusCode != 200 || resp.Close {
+		if resp := again.request(t); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("after the drain: answered %d, closes %v", resp.StatusCode, resp.Close)
 		}
 	}
@@ -116,21 +116,21 @@
 
 // Callers that bring nothing, or half a call, neither keep others out nor stay, and half
 // a call does nothing.
-func TestOperatorsAreAnsweredBesideSilentCallers(t *testing.T) {
-	a, _ := one(t, serving)
+func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
+	a, _ := startWithServer(t, respondOK)
 	var silent []net.Conn
-	for i := range 3 * maxCalls {
+	for i := range 3 * maxAdminConns {
 		c, err := net.Dial("tcp", a.door)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, []string{"", "PUT /ops/dra", "PUT /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf"}[i%3])
 		silent = append(silent, c)
 	}
 	for range 5 {
-		wantStatus(t, a.call("GET", "/ops/readiness"), 200)
+		wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
 	}
 	for _, c := range silent {
 		text, err := io.ReadAll(c)
@@ -141,37 +141,37 @@
 			t.Errorf("half a call was answered %q", text)
 		}
 	}
-	wantStatus(t, a.asksReady(), 200)
+	wantStatus(t, a.readyStatus(), 200)
 }
 
-func TestOperatorsDoNotWaitForTheLoop(t *testing.T) {
-	a, _ := one(t, serving)
-	defer a.hold()()
-	wantStatus(t, a.call("GET", "/ops/readiness"), 200)
-	wantStatus(t, a.call("PUT", "/ops/drain/start"), 200)
-	wantStatus(t, a.asksReady(), 503)
+func TestAdminCallsDoNotWaitForTheEventLoop(t *testing.T) {
+	a, _ := startWithServer(t, respondOK)
+	defer a.blockLoop()()
+	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
+	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
+	wantStatus(t, a.readyStatus(), 503)
 }
 
 // A connection that is to leave ends only if no request has come on it.
-func TestLeavingCrossesNoRequest(t *testing.T) {
+func TestDrainingCrossesNoRequest(t *testing.T) {
 	buf := make([]byte, 10)
 
 	_, c := clientPair(t)
-	c.leave()
+	c.closeWhenIdle()
 	if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("nothing has come: %v", err)
 	}
 
 	client, c := clientPair(t)
 	client.Write([]byte("GET"))
-	for alive(c.Conn) { // until it has arrived
+	for isIdleConnAlive(c.Conn) { // until it has arrived
 		time.Sleep(time.Millisecond)
 	}
-	c.leave()
+	c.closeWhenIdle()
 	if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
 		t.Errorf("a request has come: read %q, %v", buf[:n], err)
 	}
-	c.leave() // its rest has not come yet
+	c.closeWhenIdle() // its rest has not come yet
 	time.AfterFunc(50*time.Millisecond, func() { client.Write([]byte(" /")) })
 	if n, err := c.Read(buf); string(buf[:n]) != " /" || err != nil {
 		t.Errorf("half a request has come: read %q, %v", buf[:n], err)
@@ -180,23 +180,23 @@
 
 // New settings in service: classes come and go, another effect and fewer attempts hold for
 // what comes from then on, and what is open keeps the rules that it came under.
-func TestRetune(t *testing.T) {
+func TestReloadAppliesSettings(t *testing.T) {
 	hold, answer := make(chan struct{}, 10), make(chan struct{})
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		switch {
 		case req.URL.Query().Has("held") && n == 0:
 			hold <- struct{}{}
 			<-answer
-			return send(c, 500, "", "")
+			return sendResponse(c, 500, "", "")
 		case req.URL.Query().Has("fails"):
-			return send(c, 500, "", "")
+			return sendResponse(c, 500, "", "")
 		}
-		return serving(c, req, n)
+		return respondOK(c, req, n)
 	})
 	ask := func(class, query string) int {
 		req := newRequest(a.addr, class, "x")
 		req.URL.RawQuery = query
-		status, _, _ := a.ask(req)
+		status, _, _ := a.do(req)
 		return status
 	}
 	open := make(chan int, 1)
@@ -208,7 +208,7 @@
 		{Name: "read", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
 		{Name: "fresh", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
 	}
-	lines := a.logged(t)
+	lines := a.logLines(t)
 	a.reloads <- &cfg
 	waitLine(t, lines, "settings taken over")
 	close(answer)
@@ -224,22 +224,22 @@
 	if b.count() != before+1 {
 		t.Errorf("%d attempts of a request that may run once", b.count()-before)
 	}
-	if f := a.figures(); f.guarded+f.backstops > 0 {
+	if f := a.metricsNow(); f.violations+f.backstops > 0 {
 		t.Errorf("a guard had to act: %+v", f)
 	}
 }
 
 // Before the process may be killed, what it holds has its final answer, and an answer that
 // is being passed on goes on.
-func TestWhatIsHeldAtTheEndIsAnswered(t *testing.T) {
+func TestQueuedRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	held, more := make(chan struct{}, 2), make(chan struct{})
-	a, _ := one(t, func(c net.Conn, req *http.Request, _ int) bool {
+	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		if req.URL.Query().Has("streams") {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*maxBody)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*maxBufferedBody)
 			held <- struct{}{}
 			<-more
-			_, err := c.Write(noise(2*maxBody - 5))
+			_, err := c.Write(randomBytes(2*maxBufferedBody - 5))
 			return err == nil
 		}
 		held <- struct{}{}
@@ -270,7 +270,7 @@
 		t.Errorf("what is held: %s", got)
 	}
 	close(more)
-	if got, want := <-streams, fmt.Sprint(200, 2*maxBody, nil); got != want {
+	if got, want := <-streams, fmt.Sprint(200, 2*maxBufferedBody, nil); got != want {
 		t.Errorf("what is passed on: %s, want %s", got, want)
 	}
 	if err := <-a.done; err != nil {
--- a/internal/agent/path_test.go
+++ b/internal/agent/path_test.go
@@ -45,11 +45,11 @@
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // or it would be among the results
 	for _, servers := range []int{10, 100, 1500} {
-		var p *twoWays
+		var p *pathComparison
 		b.Run(fmt.Sprintf("servers=%d", servers), func(sub *testing.B) {
 			if p == nil { // once for all sizes of b.N and all of -count: repeats share their agent
-				p = newTwoWays(b, servers)
-				p.play(b, min(240+5*servers, 1800)) // 15 s at the most: then as many connections end as begin
+				p = newPathComparison(b, servers)
+				p.run(b, min(240+5*servers, 1800)) // 15 s at the most: then as many connections end as begin
 			}
 			p.measure(sub)
 		})
@@ -60,13 +60,13 @@
 }
 
 // twoWays is a client that calls the same servers through an agent and straight.
-type twoWays struct {
+type pathComparison struct {
 	agent           *testAgent
-	through, direct *way
+	through, direct *requestPath
 }
 
 // way is one of them: an open loop and what it saw.
-type way struct {
+type requestPath struct {
 	client   *http.Client
 	rng      *rand.Rand
 	to       func() string // the next call's address
@@ -77,26 +77,26 @@
 	failed     int
 }
 
-func newTwoWays(b *testing.B, servers int) *twoWays {
+func newPathComparison(b *testing.B, servers int) *pathComparison {
 	list := make([]Target, servers)
 	for i := range list {
-		list[i] = target(fmt.Sprintf("s-%d", i), newBackend(b, serving).addr)
+		list[i] = target(fmt.Sprintf("s-%d", i), newFakeServer(b, respondOK).addr)
 	}
 	a := startAgent(b, newDiscoveryServer(b, list...), func(c *Config) {
 		c.Sockets, c.Settings.FleetSize = 4096, servers
 	})
 	idle := a.loop.pool.idleLimit()
-	direct := newWay(2, idle)
+	direct := newRequestPath(2, idle)
 	direct.to = func() string { return list[direct.rng.IntN(servers)].Addr }
-	through := newWay(1, idle)
+	through := newRequestPath(1, idle)
 	through.to = func() string { return a.addr }
-	return &twoWays{a, through, direct}
+	return &pathComparison{a, through, direct}
 }
 
-func newWay(seed uint64, idle time.Duration) *way {
-	w := &way{rng: rand.New(rand.NewPCG(seed, 7))}
+func newRequestPath(seed uint64, idle time.Duration) *requestPath {
+	w := &requestPath{rng: rand.New(rand.NewPCG(seed, 7))}
 	dialer := net.Dialer{KeepAlive: -1}
-	w.client = &http.Client{Timeout: patience, Transport: &http.Transport{
+	w.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: idle, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			w.connects.Add(1)
@@ -106,30 +106,30 @@
 }
 
 // newTimes takes ns, up to what the client waits.
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(2*patience), 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(2*testTimeout), 3) }
 
 // play makes so many calls each way and returns what the agent and the direct way connected.
-func (p *twoWays) play(b *testing.B, calls int) (agent, direct float64) {
+func (p *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
 	runtime.GC() // what was before is not the measure's
-	tried, dialed := p.agent.loop.pool.connects(), p.direct.connects.Load()
+	tried, dialed := p.agent.loop.pool.connectCount(), p.direct.connects.Load()
 	var both sync.WaitGroup
-	for _, w := range []*way{p.through, p.direct} {
-		w.took, w.late, w.failed = newTimes(), newTimes(), 0
+	for _, w := range []*requestPath{p.through, p.direct} {
+		w.took, w.late, w.failed = newHistogram(), newHistogram(), 0
 		both.Add(1)
 		go func() {
 			defer both.Done()
-			w.play(calls)
+			w.run(calls)
 		}()
 	}
 	both.Wait()
 	if n := p.through.failed + p.direct.failed; n > 0 {
 		b.Errorf("%d of %d calls failed", n, 2*calls)
 	}
-	return float64(p.agent.loop.pool.connects() - tried), float64(p.direct.connects.Load() - dialed)
+	return float64(p.agent.loop.pool.connectCount() - tried), float64(p.direct.connects.Load() - dialed)
 }
 
-func (p *twoWays) measure(b *testing.B) {
-	agent, direct := p.play(b, b.N)
+func (p *pathComparison) measure(b *testing.B) {
+	agent, direct := p.run(b, b.N)
 	late := hdrhistogram.Import(p.through.late.Export())
 	late.Merge(p.direct.late)
 	us := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
@@ -146,7 +146,7 @@
 }
 
 // play begins calls when they are due, whatever became of those before.
-func (w *way) play(calls int) {
+func (w *requestPath) run(calls int) {
 	var open sync.WaitGroup
 	due := time.Now()
 	for range calls {
@@ -163,7 +163,7 @@
 	open.Wait()
 }
 
-func (w *way) call(req *http.Request, due time.Time) {
+func (w *requestPath) call(req *http.Request, due time.Time) {
 	begun := time.Now()
 	resp, err := w.client.Do(req)
 	good := err == nil && resp.StatusCode == http.StatusOK
--- a/internal/agent/share.go
+++ b/internal/agent/share.go
@@ -12,7 +12,7 @@
 )
 
 // lockEvery is how often a process that began beside another looks whether that has ended.
-const lockEvery = 100 * time.Millisecond
+const lockPollInterval = 100 * time.Millisecond
 
 // quota bounds something that the process may have so much of.
 type quota struct {
@@ -24,62 +24,62 @@
 
 // shares are the limits that two processes of one agent share out while both are there, a
 // new version beside the old one: each has half of the bytes and of the descriptors.
-type shares struct {
+type sharedLimits struct {
 	cfg    *Config
-	door   *management
+	admin  *adminServer
 	conns  *clientConns
-	pool   *pool
+	pool   *connectionPool
 	quotas []quota
 
-	mu   sync.Mutex
-	half bool
+	mu     sync.Mutex
+	halved bool
 }
 
 // halve leaves this process half of the limits. What it has beyond that it gives back as
 // it comes to an end; until then nothing more is taken. Clients' connections that are there
 // are left to the emptying, which closes none under a request.
-func (s *shares) halve(ctx context.Context) {
+func (s *sharedLimits) halve(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.half {
+	if s.halved {
 		return
 	}
-	s.half = true
+	s.halved = true
 	for _, q := range s.quotas {
 		if !q.TryAcquire(q.size / 2) {
 			go func() { _ = q.Acquire(ctx, q.size/2) }() // a process that ends takes no whole again
 		}
 	}
-	s.set(2)
+	s.applyFraction(2)
 }
 
 // whole gives this process all of the limits again.
-func (s *shares) whole() {
+func (s *sharedLimits) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.half {
+	if !s.halved {
 		return
 	}
-	s.half = false
-	s.conns.limit(s.cfg.clientConns())
+	s.halved = false
+	s.conns.setLimit(s.cfg.clientConns())
 	for _, q := range s.quotas {
 		q.Release(q.size / 2)
 	}
-	s.set(1)
+	s.applyFraction(1)
 }
 
 // set puts the limits that are no quotas to a part of what the agent has.
-func (s *shares) set(part int) {
+func (s *sharedLimits) applyFraction(part int) {
 	if told := s.cfg.Hooks.OnMemoryLimit; told != nil {
 		told(s.cfg.MemoryLimit() / int64(part))
 	}
-	s.pool.limit(s.cfg.backendConns() / part)
-	s.door.limit(s.cfg.operatorConns(part))
+	s.pool.setLimit(s.cfg.serverConns() / part)
+	s.admin.setLimit(s.cfg.adminConns(part))
 }
 
 // takeTurn holds the lock file until ctx is done. While another process has it this one has
 // half of the limits. However a holder ends, the kernel gives its lock back.
-func (s *shares) takeTurn(ctx context.Context, path string) error {
+func (s *sharedLimits) holdLock(ctx context.Context, path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("lock: %w", err)
@@ -89,17 +89,17 @@
 	if !alone {
 		s.cfg.logger().Info("another process of this agent is there", "limits", "half")
 		s.halve(ctx)
-		s.conns.limit(s.cfg.clientConns() / 2)
+		s.conns.setLimit(s.cfg.clientConns() / 2)
 	}
 	go func() {
 		defer f.Close()
-		look := time.NewTicker(lockEvery)
+		look := time.NewTicker(lockPollInterval)
 		defer look.Stop()
 		for !alone {
 			select {
 			case <-look.C:
 				if alone = locked(); alone {
-					s.whole()
+					s.restore()
 					s.cfg.logger().Info("this process is the agent's only one", "limits", "whole")
 				}
 			case <-ctx.Done():
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -11,19 +11,19 @@
 
 // A client that stops in the middle of its body and stays is answered with an error and its
 // connection closed within the time that improper peers are owed, however much it has sent.
-func TestClientThatStopsInItsBodyIsEndedInTime(t *testing.T) {
+func TestStalledRequestBodyIsClosedInTime(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ sent, length int }{
-		"kept body":                   {maxBody / 2, maxBody},
-		"start of a long body":        {2 * maxBody, 40 * maxBody},
-		"middle of a long body":       {20 * maxBody, 40 * maxBody},
-		"shortly before the long end": {2 * maxBody, 3 * maxBody},
+		"kept body":                   {maxBufferedBody / 2, maxBufferedBody},
+		"start of a long body":        {2 * maxBufferedBody, 40 * maxBufferedBody},
+		"middle of a long body":       {20 * maxBufferedBody, 40 * maxBufferedBody},
+		"shortly before the long end": {2 * maxBufferedBody, 3 * maxBufferedBody},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := one(t, hashing)
-			c := a.dial()
-			text := timed(60_000, strings.Repeat("x", test.length))
+			a, b := startWithServer(t, hashResponder)
+			c := a.dialKept()
+			text := timedRequest(60_000, strings.Repeat("x", test.length))
 			if _, err := io.WriteString(c, text[:len(text)-(test.length-test.sent)]); err != nil {
 				t.Fatal(err)
 			}
@@ -46,7 +46,7 @@
 }
 
 // stuckBackend takes connections and reads no more than the first byte of each.
-func stuckBackend(t *testing.T) net.Listener {
+func unacceptingServer(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,14 +68,14 @@
 
 // A backend that stops reading in the middle of a long body frees nobody of the answer: the
 // client may have sent its last byte, and its time runs.
-func TestBackendThatStopsReadingALongBody(t *testing.T) {
+func TestServerThatStopsReadingAStreamedBody(t *testing.T) {
 	t.Parallel()
 	const timeout = 800 * time.Millisecond
-	ln := stuckBackend(t)
+	ln := unacceptingServer(t)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
-	c := a.dial()
-	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * maxBody)
-	fmt.Fprint(c, timed(int(timeout.Milliseconds()), strings.Repeat("x", 100*maxBody)))
+	c := a.dialKept()
+	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * maxBufferedBody)
+	fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*maxBufferedBody)))
 	sent := time.Now()
 	wantStatus(t, finalStatus(t, c), 503)
 	// What is lost is what is answered half a second after its time or later.
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -10,39 +10,39 @@
 const (
 	// listingDelay is how long after the start of a process a change of the list may be told that
 	// names it, where discovery could be reached all the time.
-	listingDelay = 10 * time.Second
+	maxListingDelay = 10 * time.Second
 	// maxUnlistedStarts bounds the starts that are remembered of backends that are listed no more.
 	maxUnlistedStarts = 4096
 )
 
 // loopClock is the time of the module's events, in ms: Unix time as it was at the start, advanced by
 // the monotonic clock.
-type loopClock struct {
+type eventClock struct {
 	clock.Clock
 	baseMs float64
 	origin time.Duration
 }
 
-func newLoopClock(c clock.Clock) *loopClock {
-	return &loopClock{Clock: c, baseMs: unixMs(c.Wall()), origin: c.Monotonic()}
+func newEventClock(c clock.Clock) *eventClock {
+	return &eventClock{Clock: c, baseMs: unixMilliseconds(c.Wall()), origin: c.Monotonic()}
 }
 
 // at is the time of a moment of the monotonic clock.
-func (c *loopClock) at(monotonic time.Duration) float64 {
+func (c *eventClock) fromMonotonic(monotonic time.Duration) float64 {
 	return c.baseMs + float64((monotonic-c.origin).Microseconds())/1000
 }
 
-func (c *loopClock) now() float64 { return c.at(c.Monotonic()) }
+func (c *eventClock) nowMs() float64 { return c.fromMonotonic(c.Monotonic()) }
 
-func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
+func unixMilliseconds(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
 
 // listing is what is known of a list that discovery told, beside what it says.
-type listing struct {
+type listContext struct {
 	// older tells that its version is lower than that of the list in force.
 	older bool
 	// after is when discovery last answered before: what the list tells anew was not listed by then.
 	// 0: it had not answered before, or all that it has was asked for.
-	after time.Duration
+	lastAnswer time.Duration
 }
 
 // startTimes turns the starts of backends, which lists tell by a wall clock, into times of the
@@ -56,32 +56,32 @@
 // wrong, and so is one older than the process that it follows: then the process counts as started now,
 // as a backend that gets too little for a time costs less than a cold one that gets too much. An
 // error of less than listingDelay, in a clock that was wrong from the agent's start on, isn't seen.
-type startTimes struct {
-	clock *loopClock
+type startTimeTable struct {
+	clock *eventClock
 	known map[string]processStart // by the backend's id
 }
 
 // processStart is the start of a backend's latest process, as told and as a time of the loop's clock.
-type processStart struct{ startedMs, at float64 }
+type processStart struct{ startedMs, atMs float64 }
 
-func newStartTimes(c *loopClock) *startTimes {
-	return &startTimes{clock: c, known: map[string]processStart{}}
+func newStartTimeTable(c *eventClock) *startTimeTable {
+	return &startTimeTable{clock: c, known: map[string]processStart{}}
 }
 
 // resolve returns the start of a backend's process; 0 if it was long ago.
-func (s *startTimes) resolve(t *Target, told listing) float64 {
+func (s *startTimeTable) resolve(t *Target, told listContext) float64 {
 	startedMs := balancer.Finite(t.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
 	last, known := s.known[t.ID]
 	if known && (startedMs == last.startedMs || told.older && startedMs < last.startedMs) {
-		return last.at
+		return last.atMs
 	}
-	now := s.clock.now()
+	now := s.clock.nowMs()
 	at := startedMs
 	switch age := s.age(startedMs, now); {
-	case told.after != 0 && now-age < s.clock.at(told.after-listingDelay), known && now-age <= last.at:
+	case told.lastAnswer != 0 && now-age < s.clock.fromMonotonic(told.lastAnswer-maxListingDelay), known && now-age <= last.atMs:
 		at = now
 	case age != now-startedMs:
 		at = now - age
@@ -91,8 +91,8 @@
 }
 
 // age is the least age that the two clocks give a process. A clock by which it is yet to start is wrong.
-func (s *startTimes) age(startedMs, now float64) float64 {
-	byLoop, byWall := now-startedMs, unixMs(s.clock.Wall())-startedMs
+func (s *startTimeTable) age(startedMs, now float64) float64 {
+	byLoop, byWall := now-startedMs, unixMilliseconds(s.clock.Wall())-startedMs
 	switch {
 	case byLoop < 0:
 		return max(byWall, 0)
@@ -104,7 +104,7 @@
 
 // prune forgets the starts of backends that are listed no more, where those are too many. Some are
 // kept, as a backend may be listed again with the same process.
-func (s *startTimes) prune(listed map[string]*backend) {
+func (s *startTimeTable) prune(listed map[string]*upstreamServer) {
 	if len(s.known) <= len(listed)+maxUnlistedStarts {
 		return
 	}
