--- a/internal/agent/management.go
+++ b/internal/agent/admin_server.go
@@ -45,13 +45,6 @@
 	maxConns     int
 }
 
-// limit bounds the operators' connections from now on.
-func (m *adminServer) setLimit(most int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.maxConns = most
-}
-
 func newAdminServer(f *downstreamServer, fl *membership.Fleet, most int) *adminServer {
 	m := &adminServer{downstream: f, membership: fl, maxConns: most, log: slog.Default()}
 	mux := http.NewServeMux()
@@ -73,6 +66,13 @@
 	return m
 }
 
+// limit bounds the operators' connections from now on.
+func (m *adminServer) setLimit(most int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.maxConns = most
+}
+
 // logTo sets where lines go; it is called before serve.
 func (m *adminServer) setLogger(log *slog.Logger) {
 	m.log, m.server.ErrorLog = log, slog.NewLogLogger(log.Handler(), slog.LevelWarn)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,11 +1,12 @@
+// Package agent runs the decision module as a real agent: clients on one side,
+// backends and discovery on the other, and a loop that turns what happens into
+// the module's events and carries out its actions.
 package agent
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"math"
-	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,18 +16,9 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// Listeners are what one agent listens on.
-type Listeners struct {
-	// Clients is where clients come; nil: nowhere, and all else of the agent runs (it is hollow).
-	Clients net.Listener
-	// Shared tells that other processes accept from the clients' queue too: it
-	// outlives this process.
-	Shared bool
-	// Lock is the file that tells such processes of each other.
-	Lock string
-	// Operators is their door; nil: there is none.
-	Operators net.Listener
-}
+// firstListWait is how long clients are kept waiting for a first server: restarts are ready within
+// 10 s, also where nothing is known and discovery is silent. Requests are then refused in time.
+const firstListTimeout = 5 * time.Second
 
 // Agent is one agent. Many may run in one process.
 type Agent struct {
@@ -230,81 +222,3 @@
 	}
 	<-a.loopDone
 }
-
-// Status is what an agent has counted and knows.
-type Status struct {
-	// Fleet is the view; nil: there is none.
-	Fleet *membership.Status
-	// ListVersion is the list's that is in force, and Servers what it lists.
-	ListVersion uint64
-	Servers     int
-	// SettingsVersion is the settings' that are in force; 0: they came from a file.
-	SettingsVersion uint64
-	// ListIn and ListOut are bytes of calls to discovery, their heads counted, and ListCalls the
-	// calls, since the start.
-	ListIn, ListOut, ListCalls uint64
-}
-
-// Status tells the agent's counts; it never waits for its work.
-func (a *Agent) Status() Status {
-	n, l := &a.eventLoop.discovery.counters, &a.eventLoop.published
-	s := Status{ListVersion: l.listVersion.Load(), Servers: int(l.servers.Load()),
-		SettingsVersion: l.settingsVersion.Load(),
-		ListIn:          n.bytesIn.Load(), ListOut: n.bytesOut.Load(), ListCalls: n.calls.Load()}
-	if view := a.membership.Load(); view != nil {
-		status := view.Status(math.MaxUint64)
-		s.Fleet = &status
-	}
-	return s
-}
-
-// joinFleet begins to take part in the fleet view, where the configuration has one. The loop
-// gets each view as a posted event; nothing in the loop waits for it.
-func startMembership(cfg *Config, f *downstreamServer, l *eventLoop) (*membership.Fleet, error) {
-	if cfg.Fleet == nil {
-		return nil, nil
-	}
-	c := *cfg.Fleet
-	c.Log = cfg.logger()
-	c.OnView = func(v *membership.View) { l.post(func() { l.onMembershipView(v) }) }
-	view, err := membership.Start(c)
-	if err == nil {
-		f.onDrain = view.SetDraining
-	}
-	return view, err
-}
-
-// leaveFleet tells the others that this process ends, beside its last requests; what it gives
-// is closed once they are told.
-func leaveMembership(view *membership.Fleet) <-chan struct{} {
-	left := make(chan struct{})
-	go func() {
-		defer close(left)
-		if view != nil {
-			view.Leave()
-		}
-	}()
-	return left
-}
-
-// firstListWait is how long clients are kept waiting for a first server: restarts are ready within
-// 10 s, also where nothing is known and discovery is silent. Requests are then refused in time.
-const firstListTimeout = 5 * time.Second
-
-// MemoryLimit is the memory that the runtime is to keep within, long before the limit over
-// which the agent would be killed.
-func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
-
-// longestWait is how long a deadline counts for the platform at the most.
-const maxCountedTimeout = 3 * time.Second
-
-// heldFor is how long requests are held after SIGTERM at the most. SIGKILL comes no sooner
-// than the longest deadline (but longestWait) and 0.7 s after it: what came while connections
-// still did has its whole time up to that, and its final answer well before the kill.
-func (c *Config) drainTime() time.Duration {
-	held := 100 * time.Millisecond
-	for _, class := range c.Settings.Classes {
-		held = max(held, min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)+50*time.Millisecond)
-	}
-	return drainAcceptTime + held
-}
--- a/internal/agent/idle.go
+++ b/internal/agent/idle_times.go
@@ -10,10 +10,10 @@
 	// to a minute and more.
 	idleBins = 34
 	// idleSamples is the number of uses by which a stretch of idle times is judged.
-	idleSamples = 24
+	idleMinSamples = 24
 	// idleExcess is how much more often than shorter ones the connections of a stretch
 	// must be lost. A new connection costs a handshake; a lost one costs its request.
-	idleExcess = 0.15
+	idleLossExcess = 0.15
 	// idleFade lets uses count less with age, over about 5,000: what closed idle
 	// connections early may be gone, and longer ones are tried again.
 	idleDecay = 0.9998
@@ -45,12 +45,12 @@
 	var used, lost, shortUsed, shortLost float64
 	from := 0
 	for i := range t.used {
-		if used += t.used[i]; used < idleSamples {
+		if used += t.used[i]; used < idleMinSamples {
 			lost += t.lost[i]
 			continue
 		}
 		lost += t.lost[i]
-		if shortUsed >= idleSamples && lost/used > shortLost/shortUsed+idleExcess {
+		if shortUsed >= idleMinSamples && lost/used > shortLost/shortUsed+idleLossExcess {
 			return min(most, time.Duration(math.Exp2(float64(from)/2)*float64(time.Millisecond)))
 		}
 		shortUsed, shortLost = shortUsed+used, shortLost+lost
--- a/internal/agent/hangup.go
+++ b/internal/agent/poll.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollFunc is poll(2).
-type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
-
 // hangupEvents are the events that say that a socket's peer has closed its side, or the connection broke.
 const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
+// pollFunc is poll(2).
+type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
+
 // polled asks the system for poll events of a socket, without waiting, and tells whether one of
 // those that count has come. Of what is no socket nothing is known.
 func pollSocket(socket any, ask, count int16) bool {
