--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -52,8 +52,8 @@
 		operators = ln.Operators.Addr().String()
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
-		"management", operators, "membership", cfg.Settings.DiscoveryMode,
-		"agents", cfg.Settings.FleetSize, "known", len(cfg.Known.Servers), "prices", fmt.Sprintf("%+v", cfg.Settings.Costs))
+		"admin", operators, "discovery_mode", cfg.Settings.DiscoveryMode,
+		"agents", cfg.Settings.FleetSize, "known_servers", len(cfg.Known.Servers), "costs", fmt.Sprintf("%+v", cfg.Settings.Costs))
 	reloads := make(chan *agent.Config)
 	go reload(stop, cfg, hangups, reloads)
 	return agent.Run(stop, cfg, ln, reloads)
@@ -101,7 +101,7 @@
 		}
 		cfg, err := agent.ReloadConfig(os.Getenv, inForce)
 		if err != nil {
-			slog.Error("reload failed, the old configuration stays", "err", err)
+			slog.Error("reload failed, the previous configuration stays in force", "err", err)
 			continue
 		}
 		select {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -267,7 +267,7 @@
 	}
 	wait("first")
 	hangUp("nonsense", "reload failed")
-	hangUp(config(second), "discovery moves")
+	hangUp(config(second), "discovery moved")
 	wait("second")
 	wait("second") // after its silence
 	select {
--- a/internal/agent/admin_server.go
+++ b/internal/agent/admin_server.go
@@ -80,7 +80,7 @@
 
 // serve answers operators until close.
 func (m *adminServer) serve(ln net.Listener) error {
-	ln = listener.New(ln, listener.LogFailures(m.log, "management"))
+	ln = listener.New(ln, listener.LogFailures(m.log, "admin"))
 	if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("management: %w", err)
 	}
@@ -115,7 +115,7 @@
 		status = status.Brief()
 	}
 	if err := json.NewEncoder(w).Encode(status); err != nil {
-		m.log.Warn("fleet view not told", "to", req.RemoteAddr, "err", err)
+		m.log.Warn("membership status not sent", "to", req.RemoteAddr, "err", err)
 	}
 }
 
@@ -126,7 +126,7 @@
 			http.Error(w, "the body can't be read", http.StatusBadRequest)
 			return
 		}
-		m.log.Info("operators' call", "path", req.URL.Path, "from", req.RemoteAddr)
+		m.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
 		if err := do(); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -210,7 +210,7 @@
 	}
 	lines := a.logLines(t)
 	a.reloads <- &cfg
-	waitLine(t, lines, "settings taken over")
+	waitLine(t, lines, "settings applied")
 	close(answer)
 	wantStatus(t, <-open, 200) // its second attempt, though now there is only one
 	if b.count() != 2 {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -124,7 +124,7 @@
 	<-left
 	a.stopLoop() // only after the front: requests held need the loop to the end
 	<-a.loopDone
-	a.cfg.logger().Info("stopped", "figures", fmt.Sprintf("%+v", *a.eventLoop.currentMetrics()))
+	a.cfg.logger().Info("stopped", "metrics", fmt.Sprintf("%+v", *a.eventLoop.currentMetrics()))
 	return nil
 }
 
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -21,7 +21,7 @@
 	r := l.requests[a.Request]
 	if r == nil {
 		// The request is over and forgotten: nothing can be sent, or counted.
-		l.logViolation("attempt for a request that is over")
+		l.logViolation("attempt for a finished request")
 		return
 	}
 	index := len(r.attempts)
@@ -78,21 +78,21 @@
 	c := r.client.rules
 	switch {
 	case r.answered:
-		return "attempt for a request that is over"
+		return "attempt for a finished request"
 	case b == nil || b.addr == "":
-		return "attempt to a backend that is not listed"
+		return "attempt to a server that is not listed"
 	case b.unavailable.Load():
-		return "attempt to a backend that drains or is gone"
+		return "attempt to a draining or removed server"
 	case r.inFlight > 0:
-		return "second attempt while one is out"
+		return "second attempt while one is in flight"
 	case len(r.attempts) > c.MaxAttempts:
 		return "more attempts than allowed"
 	case r.client.streamed.isConsumed():
-		return "repeat of a body that was not kept"
+		return "retry of a body that was not buffered"
 	case r.mayHaveRun > 0 && c.Idempotency == balancer.NonIdempotent:
-		return "repeat of an unsafe request that may have run"
+		return "retry of a non-idempotent request that may have executed"
 	case !until.After(now):
-		return "attempt without time"
+		return "attempt without time left"
 	}
 	return ""
 }
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -255,7 +255,7 @@
 		if !errors.Is(err, io.ErrUnexpectedEOF) || len(got) > len(long) {
 			t.Errorf("%s: %d bytes, %v", form, len(got), err)
 		}
-		waitLine(t, lines, "answer broken off")
+		waitLine(t, lines, "response aborted")
 		if b.count() != i+1 {
 			t.Errorf("%s: %d arrivals, want %d", form, b.count(), i+1)
 		}
--- a/internal/agent/broken_conn_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -19,10 +19,10 @@
 // connection broke, it was reset.
 func TestBrokenConnectionsAreResets(t *testing.T) {
 	want := map[error]balancer.Status{
-		readError(os.ErrDeadlineExceeded): balancer.StatusTimeout,
-		io.EOF:                            balancer.StatusReset,
-		io.ErrUnexpectedEOF:               balancer.StatusReset,
-		errors.New("answer is not HTTP"):  balancer.StatusError,
+		readError(os.ErrDeadlineExceeded):  balancer.StatusTimeout,
+		io.EOF:                             balancer.StatusReset,
+		io.ErrUnexpectedEOF:                balancer.StatusReset,
+		errors.New("response is not HTTP"): balancer.StatusError,
 	}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM} {
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -49,7 +49,7 @@
 
 // story tells what broke a connection, and whether it was a kept one.
 func (c *serverConn) describeFailure(err error) string {
-	return fmt.Sprintf("%v on request %d of a connection of %d ms that had idled %d ms", err, c.uses,
+	return fmt.Sprintf("%v on request %d of a connection opened %d ms ago and idle for %d ms before", err, c.uses,
 		time.Since(c.createdAt).Milliseconds(), c.idledFor.Milliseconds())
 }
 
--- a/internal/agent/discovery_client.go
+++ b/internal/agent/discovery_client.go
@@ -79,7 +79,7 @@
 // than what was asked from.
 var errDiscoveryMoved = errors.New("discovery has moved")
 
-var errOlderVersion = errors.New("discovery: answered with a version from the past")
+var errOlderVersion = errors.New("discovery: response with an older version")
 
 // newDiscovery makes the calls to addr, where version is known already.
 func newDiscoveryClient(addr string, version uint64, told func(listResponse)) *discoveryClient {
@@ -201,7 +201,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: answered %d", resp.StatusCode)
+		return nil, fmt.Errorf("discovery: status %d", resp.StatusCode)
 	}
 	// What is no list must not pass for one that names no servers.
 	var l struct {
@@ -215,7 +215,7 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if l.Version == nil || l.Full && l.Servers == nil {
-		return nil, errors.New("discovery: answered with no list")
+		return nil, errors.New("discovery: response is not a list")
 	}
 	list := &List{Version: *l.Version, Full: l.Full, Servers: l.Servers}
 	if d.settingsWatch != nil && len(l.Settings) > 0 {
@@ -223,7 +223,7 @@
 			return nil, fmt.Errorf("discovery: settings: %w", err)
 		}
 		if s := list.Settings; s != nil && s.Service != d.settingsWatch.service {
-			return nil, fmt.Errorf("discovery: answered with the settings of %.40q", s.Service)
+			return nil, fmt.Errorf("discovery: response with the settings of %.40q", s.Service)
 		}
 	}
 	return list, nil
--- a/internal/agent/downstream_drain.go
+++ b/internal/agent/downstream_drain.go
@@ -97,12 +97,12 @@
 		case <-f.conns.noneOpen():
 			return nil
 		case <-over.C:
-			f.log.Warn("connections of clients still open", "count", f.conns.size(), "after", held)
+			f.log.Warn("client connections still open", "count", f.conns.size(), "after", held)
 			then()
 			over.Reset(shutdownStreamingTime)
 		}
 	}
-	return fmt.Errorf("%d connections of clients still open", f.conns.size())
+	return fmt.Errorf("%d client connections still open", f.conns.size())
 }
 
 // acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -141,8 +141,8 @@
 	list := n.list
 	l.metrics.lists++
 	l.metrics.endpoints += len(list.Servers)
-	l.log(slog.LevelInfo, "list", "watch", n.watch, "full", list.Full, "from", l.listVersion, "to", list.Version,
-		"lines", len(list.Servers))
+	l.log(slog.LevelInfo, "endpoint list", "watch", n.watch, "full", list.Full, "from", l.listVersion, "to", list.Version,
+		"endpoints", len(list.Servers))
 	if n.source != l.listSource {
 		if n.source != l.discovery.currentSource() {
 			return // the new address has answered already
--- a/internal/agent/event_loop.go
+++ b/internal/agent/event_loop.go
@@ -182,7 +182,7 @@
 				l.pool.closeIdle(b.addr)
 			}
 		case balancer.ActionLog:
-			l.log(slog.LevelInfo, "module", "text", a.Text)
+			l.log(slog.LevelInfo, "policy", "text", a.Text)
 		case balancer.ActionHealthCheck:
 			l.startHealthCheck(a.Server)
 		}
--- a/internal/agent/health_check.go
+++ b/internal/agent/health_check.go
@@ -27,7 +27,7 @@
 	b.inFlight--
 	l.metrics.healthChecks[res.status]++
 	if res.status != balancer.StatusOK {
-		l.log(slog.LevelInfo, "probe failed", "backend", b.id, "ended", res.status, "why", res.reason)
+		l.log(slog.LevelInfo, "health check failed", "server", b.id, "status", res.status, "reason", res.reason)
 	}
 	l.handle(&balancer.Event{Kind: balancer.EventHealthCheckDone, Server: b.policyAddr, Status: res.status,
 		LatencyMs: res.latencyMs})
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -9,7 +9,7 @@
 
 func (l *eventLoop) logViolation(what string, args ...any) {
 	l.metrics.violations++
-	l.log(slog.LevelError, "guard: "+what, args...)
+	l.log(slog.LevelError, "contract violation: "+what, args...)
 }
 
 // course logs what became of a request that did not end well, from its arrival
@@ -29,7 +29,7 @@
 		fmt.Fprintf(&steps, "[%s at %d", id, sinceMs(t.startedAt))
 		switch {
 		case !t.done:
-			steps.WriteString(" is out]")
+			steps.WriteString(" in flight]")
 		case t.reason == "":
 			fmt.Fprintf(&steps, " ended %d after %.0f]", t.status, t.latencyMs)
 		default:
@@ -37,21 +37,21 @@
 		}
 	}
 	l.logAlways(slog.LevelInfo, "request "+how, "id", c.id, "class", c.rules.Name,
-		"retry", c.retry, "after_ms", sinceMs(time.Now()), "of_ms", sinceMs(c.deadline),
+		"retry", c.retry, "after_ms", sinceMs(time.Now()), "timeout_ms", sinceMs(c.deadline),
 		"open", l.unanswered, "attempts", steps.String())
 }
 
 // brokenOff counts and logs an answer that was begun and not passed on whole.
 func (l *eventLoop) responseAborted(c *clientRequest, fromServer, toClient error) {
 	l.metrics.aborted++
-	l.log(slog.LevelWarn, "answer broken off", "id", c.id, "after_ms", time.Since(c.arrivedAt).Milliseconds(),
-		"from_server", fromServer, "to_client", toClient)
+	l.log(slog.LevelWarn, "response aborted", "id", c.id, "after_ms", time.Since(c.arrivedAt).Milliseconds(),
+		"server_err", fromServer, "client_err", toClient)
 }
 
 // rejected counts and logs what came in that is no request of the protocol's.
 func (l *eventLoop) invalidRequest(id, from string, status int, err error) {
 	l.metrics.invalid++
-	l.log(slog.LevelWarn, "request rejected", "id", id, "from", from, "status", status, "err", err)
+	l.log(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", status, "err", err)
 }
 
 // mayLog bounds the lines a second, and counts what the bound left out.
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -38,5 +38,5 @@
 // onFleet takes a new view of the fleet. Nothing rests on it yet but the log.
 func (l *eventLoop) onMembershipView(v *membership.View) {
 	l.membershipView = v
-	l.log(slog.LevelInfo, "fleet view", "number", v.Number, "present", v.Present, "of", v.Size, "digest", v.Digest)
+	l.log(slog.LevelInfo, "membership view", "number", v.Number, "present", v.Present, "of", v.Size, "digest", v.Digest)
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -43,7 +43,7 @@
 }
 
 func (l *eventLoop) logMetrics() {
-	l.logAlways(slog.LevelInfo, "figures", "open", l.unanswered, "backend_conns", l.pool.size(), "connects", l.pool.connectCount(), "idle_limit", l.pool.idleLimit(),
-		"module", fmt.Sprintf("%+v", l.balancer.Stats()),
+	l.logAlways(slog.LevelInfo, "metrics", "open", l.unanswered, "server_conns", l.pool.size(), "connects", l.pool.connectCount(), "idle_limit", l.pool.idleLimit(),
+		"policy", fmt.Sprintf("%+v", l.balancer.Stats()),
 		"counts", fmt.Sprintf("%+v", *l.currentMetrics()))
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -28,12 +28,12 @@
 func (f *activeConfig) reload(file *Config) {
 	c, err := file.keepServiceSettings(f.cfg)
 	if err != nil { // they were checked when they came
-		f.loop.post(func() { f.loop.logAlways(slog.LevelError, "settings not taken over", "err", err) })
+		f.loop.post(func() { f.loop.logAlways(slog.LevelError, "settings not applied", "err", err) })
 		return
 	}
 	if c.serviceSettings != nil {
 		f.loop.post(func() {
-			f.loop.logAlways(slog.LevelInfo, "settings of the file wait behind the service's", "version", c.serviceSettings.Version)
+			f.loop.logAlways(slog.LevelInfo, "settings of the file superseded by the service's", "version", c.serviceSettings.Version)
 		})
 	}
 	f.activate(c, func(error) {})
@@ -71,7 +71,7 @@
 func (l *eventLoop) applyConfig(cfg *Config) error {
 	if err := l.balancer.Retune(cfg.Settings); err != nil {
 		// The file was checked as a whole: nothing of it may be in force without the rest.
-		l.logAlways(slog.LevelError, "settings not taken over", "err", err)
+		l.logAlways(slog.LevelError, "settings not applied", "err", err)
 		return err
 	}
 	l.cfg.Settings = cfg.Settings
@@ -84,7 +84,7 @@
 	if l.published.settingsVersion.Swap(version) != version {
 		l.metrics.settings++
 	}
-	l.logAlways(slog.LevelInfo, "settings taken over", args...)
+	l.logAlways(slog.LevelInfo, "settings applied", args...)
 	if told := l.cfg.Hooks.OnSettings; told != nil {
 		told(version)
 	}
@@ -103,7 +103,7 @@
 	if slices.Equal(from, to) {
 		return
 	}
-	l.logAlways(slog.LevelInfo, "discovery moves", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
+	l.logAlways(slog.LevelInfo, "discovery moved", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
 	l.cfg.Discovery, l.cfg.Control = own.Discovery, own.Control
 	l.discovery.moveTo(to...)
 }
@@ -111,5 +111,5 @@
 // refuseSettings counts and logs settings of the list service that can't be used.
 func (l *eventLoop) rejectSettings(version uint64, err error) {
 	l.metrics.settingsRejected++
-	l.logAlways(slog.LevelError, "settings refused, the old stay", "version", version, "err", err)
+	l.logAlways(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -115,7 +115,7 @@
 		return
 	}
 	l.metrics.backstops++
-	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts), "out", r.inFlight,
+	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts), "in_flight", r.inFlight,
 		"late_ms", float64(time.Since(r.client.respondBy()).Microseconds())/1000)
 	l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
 	l.cancelRequest(r)
@@ -169,7 +169,7 @@
 // depart ends a request whose client has left.
 func (l *eventLoop) closeAsGone(r *request) {
 	l.metrics.clientsGone++
-	l.logRequest(r, "client left")
+	l.logRequest(r, "abandoned by its client")
 	l.closeRequest(r)
 }
 
@@ -188,7 +188,7 @@
 func (l *eventLoop) reject(r *request, afterMs float64) {
 	c := r.client.rules
 	if r.mayHaveRun > 0 && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
-		l.logViolation("refusal after an attempt that may have run", "id", r.client.id)
+		l.logViolation("rejection after an attempt that may have executed", "id", r.client.id)
 		l.finish(r, finalResponse{kind: responseFailed})
 		return
 	}
@@ -209,7 +209,7 @@
 		l.logRequest(r, "served late")
 	case a.kind == responseRejected:
 		l.metrics.rejected++
-		l.logRequest(r, "refused")
+		l.logRequest(r, "rejected")
 	case a.kind == responseFailed:
 		l.metrics.failed++
 		l.logRequest(r, "failed")
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -420,7 +420,7 @@
 	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
-	if line := waitLine(t, lines, "settings taken over"); !strings.Contains(line, "version=50") {
+	if line := waitLine(t, lines, "settings applied"); !strings.Contains(line, "version=50") {
 		t.Errorf("logged %q", line)
 	}
 	for _, index := range []string{`"Index":9,`, `"zone":0,"index":9,`} { // who writes them is refused; an older service may not refuse
@@ -471,7 +471,7 @@
 		if why := q.Get("why"); !strings.HasPrefix(why, bad.want) || len(why) > 200 || strings.Contains(why, "\n") || q.Get("in_force") != "50" {
 			t.Errorf("%s: told %v, want %q", bad.to, q, bad.want)
 		}
-		if line := waitLine(t, lines, "settings refused"); !strings.Contains(line, strings.Split(bad.want, ` "`)[0]) || !strings.Contains(line, "version="+version) {
+		if line := waitLine(t, lines, "settings rejected"); !strings.Contains(line, strings.Split(bad.want, ` "`)[0]) || !strings.Contains(line, "version="+version) {
 			t.Errorf("logged %q", line)
 		}
 	}
@@ -495,7 +495,7 @@
 		c := *file
 		c.Settings.Limits.MaxAttempts = attempts
 		a.reloads <- &c
-		if line := waitLine(t, lines, "settings taken over"); strings.Contains(line, "version") {
+		if line := waitLine(t, lines, "settings applied"); strings.Contains(line, "version") {
 			t.Errorf("reload %d logged %q", i, line)
 		}
 	}
@@ -511,8 +511,8 @@
 	c.Discovery, c.Control = moved.addr(), &Control{Service: "other", Addresses: []string{d.addr()}}
 	moved.change(func() { moved.settings, moved.stubborn = d.settings, true })
 	a.reloads <- &c
-	waitLine(t, lines, "settings of the file wait behind the service's")
-	if line := waitLine(t, lines, "discovery moves"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.addr(), d.addr())) {
+	waitLine(t, lines, "settings of the file superseded by the service's")
+	if line := waitLine(t, lines, "discovery moved"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.addr(), d.addr())) {
 		t.Errorf("logged %q", line)
 	}
 	if got := settingsInForce(a); got != [4]int{2, 5, 4, 0} {
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -87,7 +87,7 @@
 	locked := func() bool { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil }
 	alone := locked()
 	if !alone {
-		s.cfg.logger().Info("another process of this agent is there", "limits", "half")
+		s.cfg.logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
 		s.conns.setLimit(s.cfg.clientConns() / 2)
 	}
@@ -100,7 +100,7 @@
 			case <-look.C:
 				if alone = locked(); alone {
 					s.restore()
-					s.cfg.logger().Info("this process is the agent's only one", "limits", "whole")
+					s.cfg.logger().Info("no other process of this agent is running", "limits", "full")
 				}
 			case <-ctx.Done():
 				return
--- a/internal/agent/upstream_attempt.go
+++ b/internal/agent/upstream_attempt.go
@@ -55,16 +55,16 @@
 func (m *upstreamMessage) unsendable(b *upstreamServer) (r attemptResult, yes bool) {
 	switch {
 	case b.unavailable.Load():
-		return attemptResult{status: balancer.StatusConnectFailed, reason: "drains or gone"}, true
+		return attemptResult{status: balancer.StatusConnectFailed, reason: "draining or removed"}, true
 	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
-		return attemptResult{status: balancer.StatusUnsent, reason: "the time for repeats is over"}, true
+		return attemptResult{status: balancer.StatusUnsent, reason: "the deduplication window is over"}, true
 	case m.clientGone != nil && m.clientGone():
 		return attemptResult{status: balancer.StatusUnsent, reason: errClientGone.Error(), clientErr: errClientGone}, true
 	}
 	return attemptResult{}, false
 }
 
-var errClientGone = errors.New("client left")
+var errClientGone = errors.New("client closed the connection")
 
 // do makes one attempt and returns how it ended, exactly once. It never sends
 // anything twice. Cancelling ctx withdraws the attempt and closes its connection.
--- a/internal/agent/upstream_response.go
+++ b/internal/agent/upstream_response.go
@@ -110,7 +110,7 @@
 			return resp, nil
 		}
 	}
-	return nil, errors.New("too many interim answers")
+	return nil, errors.New("too many interim responses")
 }
 
 // checkHead waits for a whole head without taking it from br, whose size bounds it, and
@@ -125,14 +125,14 @@
 		}
 		head, _ := br.Peek(br.Buffered())
 		if k := min(len(start), len(head)); string(head[:k]) != start[:k] {
-			return errors.New("answer is not HTTP")
+			return errors.New("response is not HTTP")
 		}
 		end := endOfHead.FindIndex(head)
 		if end == nil {
 			continue
 		}
 		if head = head[:end[0]]; lengthField.Match(head) && codingField.Match(head) {
-			return errors.New("answer has two framings")
+			return errors.New("response has two framings")
 		}
 		return nil
 	}
--- a/internal/agent/upstream_streamed.go
+++ b/internal/agent/upstream_streamed.go
@@ -15,7 +15,7 @@
 // long request, and the news that all is written once its answer is there.
 const earlyResponseWait = 50 * time.Millisecond
 
-var errEarlyResponse = errors.New("answered before the end of the request")
+var errEarlyResponse = errors.New("response before the end of the request")
 
 // long makes the exchange of a long message: it is written as it comes from the client, and
 // an answer that is there before its end ends it.
--- a/internal/configtest/lab.go
+++ b/internal/configtest/lab.go
@@ -337,9 +337,9 @@
 		}
 		own := out[len(out)-1]
 		switch version, ok := e.nums["version"]; {
-		case ok && e.msg == "settings taken over":
+		case ok && e.msg == "settings applied":
 			own.Seen = append(own.Seen, Seen{At: e.at, Version: version, Mark: int(e.nums["max_attempts"])})
-		case ok && strings.HasPrefix(e.msg, "settings refused"):
+		case ok && strings.HasPrefix(e.msg, "settings rejected"):
 			own.Seen = append(own.Seen, Seen{At: e.at, Version: version, Refused: true, Why: e.err})
 		}
 	}
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -231,8 +231,8 @@
 			t.Fatal(err)
 		}
 	}
-	write("time=2026-12-02T04:23:10.125Z level=INFO msg=list watch=true full=false from=0 to=36 lines=33\n" +
-		`time=2026-12-02T04:23:11.000Z level=INFO msg=figures open=0 module="{States:[1 30 2 0] Held:0 InFlight:0}" counts="{taken:0 unlisted:1 unlogged:0 listIn:700 listOut:90 listCalls:3}"` + "\n" +
+	write("time=2026-12-02T04:23:10.125Z level=INFO msg=\"endpoint list\" watch=true full=false from=0 to=36 endpoints=33\n" +
+		`time=2026-12-02T04:23:11.000Z level=INFO msg=metrics open=0 policy="{States:[1 30 2 0] Queued:0 InFlight:0}" counts="{requests:0 listFailures:1 unlogged:0 listIn:700 listOut:90 listCalls:3}"` + "\n" +
 		"time=2026-12-02T04:23:12.5")
 	if err := r.read("a"); err != nil {
 		t.Fatal(err)
@@ -240,10 +240,10 @@
 	if l := r.knows("a"); l.version != 36 || l.servers != 33 || l.listIn != 700 || l.listOut != 90 || l.listCalls != 3 || tr.now["a"].blind {
 		t.Errorf("%+v, blind %v", l, tr.now["a"].blind)
 	}
-	write("00Z level=INFO msg=list watch=true full=false from=36 to=38 lines=1\n" +
-		`time=2026-12-02T04:23:12.750Z level=INFO msg="settings taken over" classes=3 max_attempts=5 version=41` + "\n" +
-		`time=2026-12-02T04:23:12.800Z level=INFO msg="settings taken over" classes=3 max_attempts=5` + "\n" +
-		`time=2026-12-02T04:23:13.000Z level=INFO msg=figures module="{States:[1 30 2 0] Held:0}" counts="{taken:0 unlogged:2 listIn:800 listOut:120 listCalls:4}"` + "\n")
+	write("00Z level=INFO msg=\"endpoint list\" watch=true full=false from=36 to=38 endpoints=1\n" +
+		`time=2026-12-02T04:23:12.750Z level=INFO msg="settings applied" classes=3 max_attempts=5 version=41` + "\n" +
+		`time=2026-12-02T04:23:12.800Z level=INFO msg="settings applied" classes=3 max_attempts=5` + "\n" +
+		`time=2026-12-02T04:23:13.000Z level=INFO msg=metrics policy="{States:[1 30 2 0] Queued:0}" counts="{requests:0 unlogged:2 listIn:800 listOut:120 listCalls:4}"` + "\n")
 	if err := r.read("a"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scaletest/reals.go
+++ b/internal/scaletest/reals.go
@@ -36,7 +36,7 @@
 	settings uint64 // their version, 0 while they are the file's
 	servers  int    // entries of the list, by the module's view
 	unlogged int    // lines that the process left out
-	// What calls to discovery had taken at the last "figures" line, and that line's time.
+	// What calls to discovery had taken at the last "metrics" line, and that line's time.
 	listIn, listOut, listCalls float64
 	counted                    time.Time
 }
@@ -110,13 +110,13 @@
 	return membership.Ask(ctx, door, "members=none&since=4611686018427387904")
 }
 
-// The lines of an agent's log that are read (README, "Reading the log"): "list", an answer of
-// discovery as it is taken over, "settings taken over", and "figures".
+// The lines of an agent's log that are read (README, "Reading the log"): "endpoint list", an answer of
+// discovery as it is taken over, "settings applied", and "metrics".
 var (
 	timeOf       = regexp.MustCompile(`^time=(\S+) `)
-	listLine     = regexp.MustCompile(` msg=list .*\bto=(\d+)\b`)
-	settingsLine = regexp.MustCompile(` msg="settings taken over" .*\bversion=(\d+)`)
-	figureLine   = regexp.MustCompile(` msg=figures .*module="\{States:\[(\d+) (\d+) (\d+) (\d+)\].*\bunlogged:(\d+)\b.*\blistIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
+	listLine     = regexp.MustCompile(` msg="endpoint list" .*\bto=(\d+)\b`)
+	settingsLine = regexp.MustCompile(` msg="settings applied" .*\bversion=(\d+)`)
+	figureLine   = regexp.MustCompile(` msg=metrics .*policy="\{States:\[(\d+) (\d+) (\d+) (\d+)\].*\bunlogged:(\d+)\b.*\blistIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
 )
 
 // read reads what an agent's log has beyond what was read of it.
