--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -353,7 +353,7 @@
 		{"no time", request{}, up(), now, false},
 	} {
 		test.r.client = &clientRequest{ctx: t.Context(), rules: orderRules}
-		if why := l.violation(&test.r, test.b, now, test.until); (why == "") != test.want {
+		if why := violation(&test.r, test.b, now, test.until); (why == "") != test.want {
 			t.Errorf("%s: %q", test.name, why)
 		}
 	}
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -7,123 +7,201 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// attempt is one forwarding of a request to a server.
 type attempt struct {
 	server    *upstreamServer
-	cancel    context.CancelFunc
-	done      bool
+	cancel    context.CancelFunc // nil: it was never started
 	startedAt time.Time
+
+	done      bool
 	status    balancer.Status // once it is done
-	reason    string
+	reason    string          // why it failed, for the log
 	latencyMs float64
 }
 
-func (l *eventLoop) forward(a *balancer.Action) {
-	r := l.requests[a.Request]
+// forward starts an attempt at the action's server, after a check against the rules of the request. An attempt
+// that the check forbids ends at once with StatusUnsent.
+func (l *eventLoop) forward(action *balancer.Action) {
+	r := l.requests[action.Request]
 	if r == nil {
-		// The request is over and forgotten: nothing can be sent, or counted.
+		// The request is forgotten: nothing can be sent or counted for it.
 		l.logViolation("attempt for a finished request")
 		return
 	}
-	index := len(r.attempts)
-	b := l.endpoints.byAddr[a.Server]
 	now := time.Now()
-	t := &attempt{server: b, startedAt: now}
-	r.attempts = append(r.attempts, t)
-	// Also the last byte of a long body may have come by now, which nobody has read yet.
-	until := r.client.respondBy()
-	long := r.client.streamed != nil
-	if a.Ms != 0 {
-		until = earliest(until, now.Add(milliseconds(a.Ms)))
-	}
-	why := ""
-	if !r.answered && r.client.ctx.Err() != nil {
-		why = errClientGone.Error() // the front's word of it is on its way
-		l.closeAsGone(r)
-	} else if why = l.violation(r, b, now, until); why != "" {
-		l.logViolation(why, "id", r.client.id)
+	index := len(r.attempts)
+	server := l.endpoints.byAddr[action.Server]
+	started := &attempt{server: server, startedAt: now}
+	r.attempts = append(r.attempts, started)
+	deadline := r.client.respondBy()
+	if action.Ms != 0 {
+		deadline = earliest(deadline, now.Add(milliseconds(action.Ms)))
 	}
-	if why != "" {
-		t.done, t.status, t.reason = true, balancer.StatusUnsent, why
-		l.pendingEvents = append(l.pendingEvents, balancer.Event{Kind: balancer.EventAttemptDone, Request: r.id, Attempt: index,
-			Server: a.Server, Status: balancer.StatusUnsent, RequestDone: r.answered})
+	if reason := l.unsendableReason(r, server, now, deadline); reason != "" {
+		l.endUnsent(r, index, action.Server, reason)
 		return
 	}
-	var sendBy time.Time
+	sendBy := l.retryDeadline(r)
 	if r.mayHaveRun == 0 {
 		r.firstSentAt = now
-	} else if c := r.client.rules; c.Idempotency == balancer.IdempotentByKey {
-		// Backends drop repeats for so long. The connect may take its time, so the module's
-		// look at the clock is not enough; what is written has a round to arrive.
-		sendBy = r.firstSentAt.Add(milliseconds(c.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
 	}
-	r.sendingBody = long
+	r.sendingBody = r.client.streamed != nil
 	r.inFlight++
 	r.mayHaveRun++
-	b.inFlight++
-	// Withdrawn by the client's leaving as well, and not only by the loop once it knows.
-	ctx, cancel := context.WithCancel(r.client.ctx)
-	t.cancel = cancel
-	addr := b.addr
-	m := &upstreamMessage{newRequest: r.client.upstreamRequest, streamed: r.client.streamed, clientGone: r.client.clientGone, sendBy: sendBy, responseTime: r.client.timeout - r.client.backstopMargin(),
-		onSent: func() { l.post(func() { l.streamedBodySent(r, index) }) }}
+	server.inFlight++
+	l.runAttempt(r, index, sendBy, deadline)
+}
+
+// unsendableReason says why an attempt must not be started; "" allows it.
+func (l *eventLoop) unsendableReason(r *request, server *upstreamServer, now, deadline time.Time) string {
+	if !r.answered && r.client.ctx.Err() != nil {
+		// The downstream server's notification of it is on its way.
+		l.closeAsGone(r)
+		return errClientGone.Error()
+	}
+	reason := violation(r, server, now, deadline)
+	if reason != "" {
+		l.logViolation(reason, "id", r.client.id)
+	}
+	return reason
+}
+
+// endUnsent ends an attempt that was never started.
+func (l *eventLoop) endUnsent(r *request, index int, policyAddr balancer.Addr, reason string) {
+	ended := r.attempts[index]
+	ended.done = true
+	ended.status = balancer.StatusUnsent
+	ended.reason = reason
+	l.pendingEvents = append(l.pendingEvents, balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     r.id,
+		Attempt:     index,
+		Server:      policyAddr,
+		Status:      balancer.StatusUnsent,
+		RequestDone: r.answered,
+	})
+}
+
+// retryDeadline is the time until which a retry of a request that is idempotent by key may be sent, as servers
+// drop duplicates only within a window. The connect may take long, so the policy's own check is not enough, and
+// what is written needs a round trip to arrive. Zero: there is no limit.
+func (l *eventLoop) retryDeadline(r *request) time.Time {
+	rules := r.client.rules
+	if r.mayHaveRun == 0 || rules.Idempotency != balancer.IdempotentByKey {
+		return time.Time{}
+	}
+	return r.firstSentAt.Add(milliseconds(rules.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
+}
+
+// runAttempt runs an attempt in a goroutine of its own, which posts its end. The attempt is cancelled both by
+// the loop and by the end of the client's connection.
+func (l *eventLoop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
+	client := r.client
+	current := r.attempts[index]
+	server := current.server
+	addr := server.addr
+	ctx, cancel := context.WithCancel(client.ctx)
+	current.cancel = cancel
+	message := &upstreamMessage{
+		newRequest:   client.upstreamRequest,
+		streamed:     client.streamed,
+		clientGone:   client.clientGone,
+		sendBy:       sendBy,
+		responseTime: client.timeout - client.backstopMargin(),
+		onSent:       func() { l.post(func() { l.streamedBodySent(r, index) }) },
+	}
 	go func() {
-		res := l.pool.attempt(ctx, b, addr, m, now, until)
+		result := l.pool.attempt(ctx, server, addr, message, current.startedAt, deadline)
 		cancel()
-		l.post(func() { l.attemptDone(r, index, &res) })
+		l.post(func() { l.attemptDone(r, index, &result) })
 	}()
 }
 
-// forbidden guards the contract whatever the module says; "" allows the attempt.
-func (l *eventLoop) violation(r *request, b *upstreamServer, now, until time.Time) string {
-	c := r.client.rules
+// cancelAttempt cancels the action's attempt if it is in flight.
+func (l *eventLoop) cancelAttempt(action *balancer.Action) {
+	r := l.requests[action.Request]
+	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
+		return
+	}
+	r.attempts[action.Attempt].cancelInFlight()
+}
+
+// cancelInFlight cancels the attempt unless it has ended or was never started.
+func (a *attempt) cancelInFlight() {
+	if !a.done && a.cancel != nil {
+		a.cancel()
+	}
+}
+
+// violation says which rule an attempt would break, whatever the policy decided; "" allows the attempt.
+func violation(r *request, server *upstreamServer, now, deadline time.Time) string {
+	rules := r.client.rules
 	switch {
 	case r.answered:
 		return "attempt for a finished request"
-	case b == nil || b.addr == "":
+	case server == nil || server.addr == "":
 		return "attempt to a server that is not listed"
-	case b.unavailable.Load():
+	case server.unavailable.Load():
 		return "attempt to a draining or removed server"
 	case r.inFlight > 0:
 		return "second attempt while one is in flight"
-	case len(r.attempts) > c.MaxAttempts:
+	case len(r.attempts) > rules.MaxAttempts:
 		return "more attempts than allowed"
 	case r.client.streamed.isConsumed():
 		return "retry of a body that was not buffered"
-	case r.mayHaveRun > 0 && c.Idempotency == balancer.NonIdempotent:
+	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
 		return "retry of a non-idempotent request that may have executed"
-	case !until.After(now):
+	case !deadline.After(now):
 		return "attempt without time left"
 	}
 	return ""
 }
 
-// ended takes the end of an attempt.
-func (l *eventLoop) attemptDone(r *request, index int, res *attemptResult) {
-	t := r.attempts[index]
-	t.done, t.status, t.reason, t.latencyMs = true, res.status, res.reason, res.latencyMs
-	l.metrics.attempts[res.status]++
-	t.server.inFlight--
+// attemptDone takes the end of an attempt.
+func (l *eventLoop) attemptDone(r *request, index int, result *attemptResult) {
+	ended := r.attempts[index]
+	ended.done = true
+	ended.status = result.status
+	ended.reason = result.reason
+	ended.latencyMs = result.latencyMs
+	ended.server.inFlight--
+	l.metrics.attempts[result.status]++
 	r.inFlight--
-	if res.status.NotExecuted() {
+	if result.status.NotExecuted() {
 		r.mayHaveRun--
 	}
-	r.badRequest = res.status == balancer.StatusBadRequest
+	r.badRequest = result.status == balancer.StatusBadRequest
 	r.sendingBody = false
+	l.respondTo(r, result)
+	l.handle(&balancer.Event{
+		Kind:         balancer.EventAttemptDone,
+		Request:      r.id,
+		Attempt:      index,
+		Server:       ended.server.policyAddr,
+		Status:       result.status,
+		LatencyMs:    result.latencyMs,
+		RequestDone:  r.answered,
+		BodyConsumed: r.client.streamed.isConsumed(),
+	})
+	if r.answered && r.inFlight == 0 {
+		delete(l.requests, r.id)
+	}
+	l.endpoints.forget(ended.server)
+}
+
+// respondTo gives the request the final response that an attempt's end decides by itself; all others are left
+// to the policy.
+func (l *eventLoop) respondTo(r *request, result *attemptResult) {
 	switch {
 	case r.answered:
-		res.body.release()
-	case res.status != balancer.StatusOK && r.client.ctx.Err() != nil:
-		l.clientLeft(r) // the front's word of it is on its way
-	case res.status == balancer.StatusOK:
-		l.finish(r, finalResponse{kind: responseServed, header: res.header, body: res.body})
-	case res.clientErr != nil:
-		// No more of the request comes, so it is none, and no backend has it whole.
+		result.body.release()
+	case result.status != balancer.StatusOK && r.client.ctx.Err() != nil:
+		// The downstream server's notification of it is on its way.
+		l.clientLeft(r)
+	case result.status == balancer.StatusOK:
+		l.finish(r, finalResponse{kind: responseServed, header: result.header, body: result.body})
+	case result.clientErr != nil:
+		// No more of the request will come, and no server has all of it.
 		l.finish(r, finalResponse{kind: responseFailed, badRequest: true})
 	}
-	l.handle(&balancer.Event{Kind: balancer.EventAttemptDone, Request: r.id, Attempt: index, Server: t.server.policyAddr,
-		Status: res.status, LatencyMs: res.latencyMs, RequestDone: r.answered, BodyConsumed: r.client.streamed.isConsumed()})
-	if r.answered && r.inFlight == 0 {
-		delete(l.requests, r.id)
-	}
-	l.endpoints.forget(t.server)
 }
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -6,187 +6,259 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// table holds the backends that discovery listed, by id and by the module's
-// name for them. It belongs to the loop.
+// Values of Target.State; a state that is none of them counts as draining.
+const (
+	targetUp      = "up"
+	targetRemoved = "removed"
+)
+
+// endpointList holds the servers that discovery lists, by their id and by the policy's address for them. It
+// belongs to the event loop.
 type endpointList struct {
-	zones, kinds map[string]int
+	zones, kinds map[string]int // the policy's numbers of the names
 	byID         map[string]*upstreamServer
 	byAddr       map[balancer.Addr]*upstreamServer
 }
 
 func newEndpointList(zones, kinds []string) *endpointList {
-	index := func(names []string) map[string]int {
-		m := map[string]int{}
-		for i, n := range names {
-			m[n] = i
-		}
-		return m
+	return &endpointList{
+		zones:  indexNames(zones),
+		kinds:  indexNames(kinds),
+		byID:   map[string]*upstreamServer{},
+		byAddr: map[balancer.Addr]*upstreamServer{},
+	}
+}
+
+func indexNames(names []string) map[string]int {
+	index := map[string]int{}
+	for i, name := range names {
+		index[name] = i
 	}
-	return &endpointList{zones: index(zones), kinds: index(kinds),
-		byID: map[string]*upstreamServer{}, byAddr: map[balancer.Addr]*upstreamServer{}}
+	return index
 }
 
-// backend finds or makes the entry of an id. The module's name comes from the
-// id, not from the address: addresses differ from one agent to the next, and the
-// agents must agree on the order of servers for a key without talking.
+// findOrAdd finds or makes the entry of an id. The policy's address comes from the id and not from the network
+// address: network addresses differ from one agent to the next, and the agents must agree on the order of
+// servers for a key without communicating.
 func (t *endpointList) findOrAdd(id string) *upstreamServer {
-	if b := t.byID[id]; b != nil {
-		return b
+	if server := t.byID[id]; server != nil {
+		return server
 	}
-	b := &upstreamServer{id: id}
-	h := hashString(id)
+	server := &upstreamServer{id: id, policyAddr: t.freePolicyAddr(id)}
+	t.byID[id] = server
+	t.byAddr[server.policyAddr] = server
+	return server
+}
+
+// freePolicyAddr is the hash of an id, or the next free address where another id has the same hash.
+func (t *endpointList) freePolicyAddr(id string) balancer.Addr {
+	hash := hashString(id)
 	for {
-		for i := range b.policyAddr {
-			b.policyAddr[i] = byte(h >> (8 * i))
+		var addr balancer.Addr
+		for i := range addr {
+			addr[i] = byte(hash >> (8 * i))
 		}
-		if t.byAddr[b.policyAddr] == nil {
-			break
+		if t.byAddr[addr] == nil {
+			return addr
 		}
-		h++ // two ids of one hash: the later takes the next free name
+		hash++
 	}
-	t.byID[id], t.byAddr[b.policyAddr] = b, b
-	return b
 }
 
-// apply takes a list into the table and returns the module's entries, the
-// addresses whose idle connections are of no more use, and the backends gone.
-// started tells when a backend's process started, on the module's clock.
-func (t *endpointList) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Endpoint, stale []string, gone []*upstreamServer) {
-	named := make(map[string]bool, len(l.Servers))
-	for i := range l.Servers {
-		s := &l.Servers[i]
-		if s.ID == "" {
+// listChanges is what a list changed, for the policy and for the connection pool.
+type listChanges struct {
+	endpoints  []balancer.Endpoint
+	staleAddrs []string // network addresses whose idle connections are of no more use
+	removed    []*upstreamServer
+}
+
+// apply takes a list over and returns what it changed. started gives the start time of a server's process on
+// the clock of the policy's events.
+func (t *endpointList) apply(list *List, full bool, started func(*Target) float64) listChanges {
+	var changes listChanges
+	listed := make(map[string]bool, len(list.Servers))
+	for i := range list.Servers {
+		target := &list.Servers[i]
+		if target.ID == "" {
 			continue
 		}
-		named[s.ID] = true
-		e := balancer.Endpoint{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, StartedMs: started(s), Weight: s.Weight}
-		if z, ok := t.zones[s.Zone]; ok {
-			e.Zone = z
-		}
-		if k, ok := t.kinds[s.Kind]; ok {
-			e.Kind = k
-		}
-		switch s.State {
-		case "up":
-			e.State = balancer.Ready
-		case "removed":
-			e.State = balancer.Removed
-		default: // draining, and whatever else is not said to be up
-			e.State = balancer.Draining
-		}
-		b := t.findOrAdd(s.ID)
-		e.Server = b.policyAddr
-		if s.Addr != "" && b.addr != s.Addr {
-			stale = append(stale, b.addr)
-			b.addr = s.Addr
-		}
-		if b.unavailable.Store(e.State != balancer.Ready); e.State != balancer.Ready {
-			stale = append(stale, b.addr)
-		}
-		if b.removed = e.State == balancer.Removed; b.removed {
-			gone = append(gone, b)
-		}
-		entries = append(entries, e)
+		listed[target.ID] = true
+		t.applyTarget(target, started(target), &changes)
 	}
 	if full {
-		for id, b := range t.byID {
-			if !named[id] {
-				b.unavailable.Store(true)
-				b.removed = true
-				stale, gone = append(stale, b.addr), append(gone, b)
-			}
+		t.removeUnlisted(listed, &changes)
+	}
+	return changes
+}
+
+func (t *endpointList) applyTarget(target *Target, startedMs float64, changes *listChanges) {
+	server := t.findOrAdd(target.ID)
+	state := endpointState(target.State)
+	if target.Addr != "" && server.addr != target.Addr {
+		changes.staleAddrs = append(changes.staleAddrs, server.addr)
+		server.addr = target.Addr
+	}
+	server.unavailable.Store(state != balancer.Ready)
+	if state != balancer.Ready {
+		changes.staleAddrs = append(changes.staleAddrs, server.addr)
+	}
+	server.removed = state == balancer.Removed
+	if server.removed {
+		changes.removed = append(changes.removed, server)
+	}
+	changes.endpoints = append(changes.endpoints, balancer.Endpoint{
+		Server:    server.policyAddr,
+		Zone:      numberOf(t.zones, target.Zone),
+		Kind:      numberOf(t.kinds, target.Kind),
+		Cell:      target.Cell,
+		StartedMs: startedMs,
+		Weight:    target.Weight,
+		State:     state,
+	})
+}
+
+// removeUnlisted removes the servers that a full list lacks. The policy sees that by itself.
+func (t *endpointList) removeUnlisted(listed map[string]bool, changes *listChanges) {
+	for id, server := range t.byID {
+		if listed[id] {
+			continue
 		}
+		server.unavailable.Store(true)
+		server.removed = true
+		changes.staleAddrs = append(changes.staleAddrs, server.addr)
+		changes.removed = append(changes.removed, server)
+	}
+}
+
+func endpointState(state string) balancer.EndpointState {
+	switch state {
+	case targetUp:
+		return balancer.Ready
+	case targetRemoved:
+		return balancer.Removed
 	}
-	return entries, stale, gone
+	return balancer.Draining
 }
 
-// forget drops backends that are gone and have no attempt out; the module has
-// forgotten them by then.
-func (t *endpointList) forget(b *upstreamServer) {
-	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
-		delete(t.byID, b.id)
-		delete(t.byAddr, b.policyAddr)
+// numberOf is the number of a name; one past the last for a name that the settings do not have.
+func numberOf(index map[string]int, name string) int {
+	if number, ok := index[name]; ok {
+		return number
 	}
+	return len(index)
 }
 
-// usable tells whether any backend may be sent to.
+// forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
+func (t *endpointList) forget(server *upstreamServer) {
+	if server.removed && server.inFlight == 0 && t.byID[server.id] == server {
+		delete(t.byID, server.id)
+		delete(t.byAddr, server.policyAddr)
+	}
+}
+
+// hasReady tells whether any server may be sent requests.
 func (t *endpointList) hasReady() bool {
-	for _, b := range t.byID {
-		if !b.unavailable.Load() {
+	for _, server := range t.byID {
+		if !server.unavailable.Load() {
 			return true
 		}
 	}
 	return false
 }
 
-// onList takes an answer of discovery. A watch and a fetch may cross: what is older than
-// the list at hand is dropped, unless all there is was asked for, as after a move. The address
-// that was left counts until the new one has answered.
-func (l *eventLoop) onListResponse(n listResponse) {
-	if !n.watch {
+// openWatch opens a watch unless one is open: a second would bring the same.
+func (l *eventLoop) openWatch() {
+	if !l.watching {
+		l.watching = true
+		go l.discovery.watch(l.ctx)
+	}
+}
+
+// fetchList polls for the full list unless that is in flight.
+func (l *eventLoop) fetchList() {
+	if !l.fetching {
+		l.fetching = true
+		go l.discovery.fetch(l.ctx)
+	}
+}
+
+// onListResponse takes the end of a call to discovery. A watch and a fetch may cross: a list that is older than
+// the one in force is dropped, unless the call asked for the full list, as after a move of discovery. The
+// source that discovery left counts until the new one has responded.
+func (l *eventLoop) onListResponse(response listResponse) {
+	if !response.watch {
 		l.fetching = false
 	}
-	if n.err != nil {
-		l.metrics.listFailures++
-		l.log(slog.LevelWarn, "discovery call failed", "watch", n.watch, "err", n.err)
-		if n.watch && l.ownsWatch() {
-			return // the module did not ask for the watch, which goes on by itself
-		}
-		if n.watch {
-			l.watching = false
-		}
-		l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
+	if response.err != nil {
+		l.onListFailure(response)
 		return
 	}
-	list := n.list
+	list := response.list
 	l.metrics.lists++
 	l.metrics.endpoints += len(list.Servers)
-	l.log(slog.LevelInfo, "endpoint list", "watch", n.watch, "full", list.Full, "from", l.listVersion, "to", list.Version,
-		"endpoints", len(list.Servers))
-	if n.source != l.listSource {
-		if n.source != l.discovery.currentSource() {
-			return // the new address has answered already
+	l.log(slog.LevelInfo, "endpoint list", "watch", response.watch, "full", list.Full, "from", l.listVersion,
+		"to", list.Version, "endpoints", len(list.Servers))
+	if response.source != l.listSource {
+		if response.source != l.discovery.currentSource() {
+			return // the new source has responded already
 		}
-		l.listSource, n.complete = n.source, true
+		l.listSource = response.source
+		response.complete = true
 	}
-	if list.Version < l.listVersion && !n.complete {
+	older := list.Version < l.listVersion
+	if older && !response.complete {
 		return
 	}
-	kind := balancer.ListDelta
+	update := balancer.ListDelta
 	if list.Full {
-		kind = balancer.ListFull
+		update = balancer.ListFull
 	}
-	told := listContext{older: list.Version < l.listVersion, lastAnswer: n.lastAnswer}
-	if n.complete {
-		told.lastAnswer = 0
+	context := listContext{older: older, lastAnswer: response.lastAnswer}
+	if response.complete {
+		context.lastAnswer = 0
 	}
-	l.applyList(list, kind, list.Full, told)
+	l.applyList(list, update, list.Full, context)
 	if l.endpoints.hasReady() {
 		l.onUsable()
 	}
 }
 
-// keepsWatch tells whether the agent keeps a watch by itself, and not as the module asks.
+// onListFailure counts and logs a failed call. The policy decides when to call again, unless the failed call
+// belongs to a watch that the agent keeps by itself.
+func (l *eventLoop) onListFailure(response listResponse) {
+	l.metrics.listFailures++
+	l.log(slog.LevelWarn, "discovery call failed", "watch", response.watch, "err", response.err)
+	if response.watch && l.ownsWatch() {
+		return
+	}
+	if response.watch {
+		l.watching = false
+	}
+	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
+}
+
+// ownsWatch tells whether the agent keeps a watch by itself, and not as the policy asks.
 func (l *eventLoop) ownsWatch() bool { return l.discovery.backoff != nil || l.changesArePushed() }
 
-// pushed tells whether changes of the list come without the module's asking.
+// changesArePushed tells whether changes of the list arrive without the policy asking for them.
 func (l *eventLoop) changesArePushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
 
-func (l *eventLoop) applyList(list *List, kind balancer.ListUpdate, full bool, told listContext) {
+// applyList puts a list in force.
+func (l *eventLoop) applyList(list *List, update balancer.ListUpdate, full bool, context listContext) {
 	l.listVersion = list.Version
-	entries, stale, gone := l.endpoints.apply(list, full, func(t *Target) float64 { return l.startTimes.resolve(t, told) })
-	for _, addr := range stale {
+	changes := l.endpoints.apply(list, full, func(t *Target) float64 { return l.startTimes.resolve(t, context) })
+	for _, addr := range changes.staleAddrs {
 		l.pool.closeIdle(addr)
 	}
-	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
-	for _, b := range gone {
-		l.endpoints.forget(b)
+	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: changes.endpoints})
+	for _, server := range changes.removed {
+		l.endpoints.forget(server)
 	}
 	l.startTimes.prune(l.endpoints.byID)
 	l.published.listVersion.Store(list.Version)
 	l.published.servers.Store(uint64(len(l.endpoints.byID)))
-	if told := l.cfg.Hooks.OnList; told != nil && list.Version != l.notifiedVersion {
-		told(list.Version)
+	if onList := l.cfg.Hooks.OnList; onList != nil && list.Version != l.notifiedVersion {
+		onList(list.Version)
 	}
 	l.notifiedVersion = list.Version
 }
--- a/internal/agent/event_clock.go
+++ b/internal/agent/event_clock.go
@@ -6,23 +6,24 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// loopClock is the time of the module's events, in ms: Unix time as it was at the start, advanced by
-// the monotonic clock.
+// eventClock is the time of the policy's events, in ms: Unix time as it was at the start of the agent, advanced
+// by the monotonic clock, so that a step of the wall clock does not change it.
 type eventClock struct {
 	clock.Clock
 	baseMs float64
-	origin time.Duration
+	origin time.Duration // the monotonic time of baseMs
 }
 
 func newEventClock(c clock.Clock) *eventClock {
 	return &eventClock{Clock: c, baseMs: unixMilliseconds(c.Wall()), origin: c.Monotonic()}
 }
 
-// at is the time of a moment of the monotonic clock.
+// fromMonotonic is the event time of a moment of the monotonic clock, in ms.
 func (c *eventClock) fromMonotonic(monotonic time.Duration) float64 {
 	return c.baseMs + float64((monotonic-c.origin).Microseconds())/1000
 }
 
+// nowMs is the event time of now, in ms.
 func (c *eventClock) nowMs() float64 { return c.fromMonotonic(c.Monotonic()) }
 
 func unixMilliseconds(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
--- a/internal/agent/event_loop.go
+++ b/internal/agent/event_loop.go
@@ -9,24 +9,21 @@
 	"golang.org/x/time/rate"
 
 	"fernbeam.example/fernbeam/internal/balancer"
-	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/policy"
 )
 
 const (
-	// moduleMargin is taken off the time that the module is told a request has: what
-	// its last attempt's end takes to become an answer at the client.
+	// policyMargin is subtracted from the time left that the policy is given for a request: the end of the
+	// last attempt needs it to become a response at the client.
 	policyMargin = 8 * time.Millisecond
-	// backstopMargin is how long before the client's deadline the backstop answers,
-	// well after the module should have.
-	backstopMargin = 4 * time.Millisecond
-	// sweepEvery is how often connections that idle too long are closed.
+	// idleSweepInterval is how often connections that have been idle for too long are closed.
 	idleSweepInterval = time.Second
+	// inboxSize is the number of functions that may wait for the event loop before post blocks.
+	inboxSize = 4096
 )
 
-// loop owns the module and all state of requests. One goroutine runs it; all
-// else reaches it through post. It never blocks: what may wait runs in
-// goroutines of its own.
+// eventLoop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
+// reaches it through post. It never blocks: whatever may wait runs in a goroutine of its own.
 type eventLoop struct {
 	cfg       *Config
 	ctx       context.Context
@@ -34,50 +31,70 @@
 	endpoints *endpointList
 	pool      *connectionPool
 	discovery *discoveryClient
-	logger    *slog.Logger
-	logLimit  *rate.Limiter // the log is bounded work on one core
-	logLines  chan func()   // log lines on their way to whoever reads the log
+	clock     *eventClock
+	inbox     chan func()
+
+	// The requests in flight.
+	nextID     balancer.RequestID
+	requests   map[balancer.RequestID]*request
+	unanswered int // requests without a final response
+
+	// Events that were raised while actions were carried out, and the buffer of the actions.
+	pendingEvents []balancer.Event
+	actions       []balancer.Action
 
-	inbox           chan func()
-	clock           *eventClock
+	// The endpoint list in force.
 	startTimes      *startTimeTable
-	nextID          balancer.RequestID
-	requests        map[balancer.RequestID]*request
-	unanswered      int // requests that have no answer yet
-	pendingEvents   []balancer.Event
-	actions         []balancer.Action
-	listVersion     uint64           // of the list
-	listSource      *discoverySource // whose count that is
-	watching        bool
-	fetching        bool
-	onUsable        func()
-	notifiedVersion uint64 // the version that was last told as in force
-	published       publishedState
-	metrics         metrics
-	membershipView  *membership.View // nil: there is none
+	listVersion     uint64
+	listSource      *discoverySource // the source whose versions listVersion counts
+	watching        bool             // a watch is open
+	fetching        bool             // a fetch is in flight
+	onUsable        func()           // called when the list has a ready server
+	notifiedVersion uint64           // the version that Hooks.OnList was called with last
+
+	logger    *slog.Logger
+	logLimit  *rate.Limiter // bounds the work of logging, which shares one core with the requests
+	logLines  chan func()   // lines on their way to writeLogLines
+	metrics   metrics
+	published publishedState
 }
 
-// shown is what may be read of the loop from outside.
+// publishedState is the part of the loop's state that other goroutines may read.
 type publishedState struct {
-	listVersion, servers atomic.Uint64 // of the list
-	settingsVersion      atomic.Uint64 // the version of those in force
+	listVersion, servers atomic.Uint64
+	settingsVersion      atomic.Uint64
 }
 
-func newEventLoop(ctx context.Context, cfg *Config, ready func()) (*eventLoop, error) {
+// newEventLoop makes the loop of an agent; run starts it. It calls onUsable each time that a list with a ready
+// server is in force. An error says which setting the policy can't use.
+func newEventLoop(ctx context.Context, cfg *Config, onUsable func()) (*eventLoop, error) {
 	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	log := cfg.logger()
-	now := newEventClock(cfg.systemClock())
-	own := *cfg // its settings change as the loop says
-	l := &eventLoop{cfg: &own, ctx: ctx, balancer: decisions, endpoints: newEndpointList(cfg.Zones, cfg.Kinds),
-		pool: newConnectionPool(cfg), logger: log, logLimit: rate.NewLimiter(5, 50), logLines: make(chan func(), 64), inbox: make(chan func(), 4096),
-		clock: now, startTimes: newStartTimeTable(now),
-		requests: map[balancer.RequestID]*request{}, onUsable: ready,
-		metrics: metrics{attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}}
-	l.discovery = newDiscoveryClient(cfg.Discovery, cfg.Known.Version, func(n listResponse) { l.post(func() { l.onListResponse(n) }) })
-	l.discovery.localAddr, l.discovery.clock = cfg.CallFrom, now
+	ownConfig := *cfg // the loop changes the settings in it
+	eventTime := newEventClock(cfg.systemClock())
+	l := &eventLoop{
+		cfg:        &ownConfig,
+		ctx:        ctx,
+		balancer:   decisions,
+		endpoints:  newEndpointList(cfg.Zones, cfg.Kinds),
+		pool:       newConnectionPool(cfg),
+		clock:      eventTime,
+		inbox:      make(chan func(), inboxSize),
+		requests:   map[balancer.RequestID]*request{},
+		startTimes: newStartTimeTable(eventTime),
+		onUsable:   onUsable,
+		logger:     cfg.logger(),
+		logLimit:   rate.NewLimiter(logLinesPerSecond, logBurst),
+		logLines:   make(chan func(), logBufferSize),
+		metrics:    newMetrics(),
+	}
+	l.discovery = newDiscoveryClient(cfg.Discovery, cfg.Known.Version, func(response listResponse) {
+		l.post(func() { l.onListResponse(response) })
+	})
+	l.discovery.localAddr = cfg.CallFrom
+	l.discovery.clock = eventTime
 	if cfg.Control != nil {
 		l.discovery.configure(cfg, cfg.Known.Version)
 	}
@@ -85,7 +102,7 @@
 	return l, nil
 }
 
-// post hands the loop something to do; it may wait, so the loop itself never calls it.
+// post hands the loop a function to run. It may wait, so the loop itself never calls it.
 func (l *eventLoop) post(f func()) {
 	select {
 	case l.inbox <- f:
@@ -93,32 +110,22 @@
 	}
 }
 
-// run is the loop; it ends with the context.
+// run runs the loop until its context ends.
 func (l *eventLoop) run() {
 	go l.writeLogLines()
-	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
-	// The list as last had comes with the start, however old, as at the simulator.
-	l.applyList(&l.cfg.Known, balancer.ListCached, true, listContext{})
-	l.handlePending()
-	if l.endpoints.hasReady() {
-		l.onUsable()
-	}
-	if l.ownsWatch() {
-		l.watching = true
-		go l.discovery.keepWatch(l.ctx)
-	}
-	sweep := time.NewTicker(idleSweepInterval)
-	defer sweep.Stop()
-	count := time.NewTicker(metricsInterval)
-	defer count.Stop()
+	l.start()
+	sweepTicker := time.NewTicker(idleSweepInterval)
+	defer sweepTicker.Stop()
+	metricsTicker := time.NewTicker(metricsInterval)
+	defer metricsTicker.Stop()
 	for {
 		select {
 		case f := <-l.inbox:
 			f()
 			l.handlePending()
-		case <-sweep.C:
+		case <-sweepTicker.C:
 			l.pool.closeExpired()
-		case <-count.C:
+		case <-metricsTicker.C:
 			l.logMetrics()
 		case <-l.ctx.Done():
 			return
@@ -126,65 +133,79 @@
 	}
 }
 
-// handle gives the module one event and carries out what it answers.
-func (l *eventLoop) handle(ev *balancer.Event) {
-	l.performActions(l.balancer.Handle(l.clock.nowMs(), ev, l.actions[:0]))
+// start starts the policy with the list that the configuration knows, however old that is, and opens the
+// watch where the agent keeps one of its own.
+func (l *eventLoop) start() {
+	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
+	l.applyList(&l.cfg.Known, balancer.ListCached, true, listContext{})
+	l.handlePending()
+	if l.endpoints.hasReady() {
+		l.onUsable()
+	}
+	if l.ownsWatch() {
+		l.watching = true
+		go l.discovery.keepWatch(l.ctx)
+	}
 }
 
-// drain handles the events that carrying out actions has raised.
+// handle gives the policy one event and carries out the actions that it returns.
+func (l *eventLoop) handle(event *balancer.Event) {
+	l.performActions(l.balancer.Handle(l.clock.nowMs(), event, l.actions[:0]))
+}
+
+// handlePending handles the events that were raised while actions were carried out.
 func (l *eventLoop) handlePending() {
 	for len(l.pendingEvents) > 0 {
-		ev := l.pendingEvents[0]
+		event := l.pendingEvents[0]
 		l.pendingEvents = l.pendingEvents[1:]
-		l.handle(&ev)
+		l.handle(&event)
 	}
 	l.pendingEvents = nil
 }
 
+// performActions carries out the policy's actions in their order.
 func (l *eventLoop) performActions(actions []balancer.Action) {
 	l.actions = actions
 	for i := range actions {
-		a := &actions[i]
-		switch a.Kind {
-		case balancer.ActionForward:
-			l.forward(a)
-		case balancer.ActionCancelAttempt:
-			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
-					t.cancel()
-				}
-			}
-		case balancer.ActionReject:
-			if r := l.requests[a.Request]; r != nil {
-				l.reject(r, a.Ms)
-			}
-		case balancer.ActionFail:
-			if r := l.requests[a.Request]; r != nil {
-				l.finish(r, finalResponse{kind: responseFailed, badRequest: r.badRequest})
-			}
-		case balancer.ActionSetTimer:
-			token := a.Token
-			time.AfterFunc(milliseconds(a.Ms), func() {
-				l.post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
-			})
-		case balancer.ActionWatchList:
-			if !l.watching { // one watch is enough; it tells what another would
-				l.watching = true
-				go l.discovery.watch(l.ctx)
-			}
-		case balancer.ActionFetchList:
-			if !l.fetching {
-				l.fetching = true
-				go l.discovery.fetch(l.ctx)
-			}
-		case balancer.ActionCloseIdle:
-			if b := l.endpoints.byAddr[a.Server]; b != nil {
-				l.pool.closeIdle(b.addr)
-			}
-		case balancer.ActionLog:
-			l.log(slog.LevelInfo, "policy", "text", a.Text)
-		case balancer.ActionHealthCheck:
-			l.startHealthCheck(a.Server)
+		l.perform(&actions[i])
+	}
+}
+
+func (l *eventLoop) perform(action *balancer.Action) {
+	switch action.Kind {
+	case balancer.ActionForward:
+		l.forward(action)
+	case balancer.ActionCancelAttempt:
+		l.cancelAttempt(action)
+	case balancer.ActionReject:
+		if r := l.requests[action.Request]; r != nil {
+			l.reject(r, action.Ms)
 		}
+	case balancer.ActionFail:
+		if r := l.requests[action.Request]; r != nil {
+			l.finish(r, finalResponse{kind: responseFailed, badRequest: r.badRequest})
+		}
+	case balancer.ActionSetTimer:
+		l.setTimer(action)
+	case balancer.ActionWatchList:
+		l.openWatch()
+	case balancer.ActionFetchList:
+		l.fetchList()
+	case balancer.ActionCloseIdle:
+		if server := l.endpoints.byAddr[action.Server]; server != nil {
+			l.pool.closeIdle(server.addr)
+		}
+	case balancer.ActionLog:
+		l.log(slog.LevelInfo, "policy", "text", action.Text)
+	case balancer.ActionHealthCheck:
+		l.startHealthCheck(action.Server)
 	}
 }
+
+// setTimer raises a timer event with the action's token once its time has passed.
+func (l *eventLoop) setTimer(action *balancer.Action) {
+	token := action.Token
+	time.AfterFunc(milliseconds(action.Ms), func() {
+		l.post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
+	})
+}
--- a/internal/agent/hash.go
+++ b/internal/agent/hash.go
@@ -1,20 +1,18 @@
 package agent
 
-import (
-	"hash/fnv"
-)
+import "hash/fnv"
 
-// hashString is FNV-1a, never 0: the same at every agent, which maphash is not.
+// hashString is FNV-1a, never 0. It is the same at every agent, which maphash is not.
 func hashString(s string) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(s))
-	if v := h.Sum64(); v != 0 {
-		return v
+	_, _ = h.Write([]byte(s)) // a hash.Hash never returns an error
+	if sum := h.Sum64(); sum != 0 {
+		return sum
 	}
 	return 1
 }
 
-// mix spreads what differs in a hash's low bits over all of it (the finalizer of MurmurHash3).
+// mixHash spreads what differs in a hash's low bits over all of it (the finalizer of MurmurHash3).
 func mixHash(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/agent/health_check.go
+++ b/internal/agent/health_check.go
@@ -6,30 +6,39 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// probe validates a backend in the background. The module waits for one end of each
-// probe, so one that can't be sent has ended too.
-func (l *eventLoop) startHealthCheck(name balancer.Addr) {
-	b := l.endpoints.byAddr[name]
-	if b == nil || b.addr == "" || b.unavailable.Load() || !l.cfg.Settings.Limits.HealthChecks {
-		l.pendingEvents = append(l.pendingEvents, balancer.Event{Kind: balancer.EventHealthCheckDone, Server: name, Status: balancer.StatusUnsent})
+// startHealthCheck checks a server in the background. The policy waits for one end of each health check, so
+// one that can't be sent ends at once with StatusUnsent.
+func (l *eventLoop) startHealthCheck(policyAddr balancer.Addr) {
+	server := l.endpoints.byAddr[policyAddr]
+	if server == nil || server.addr == "" || server.unavailable.Load() || !l.cfg.Settings.Limits.HealthChecks {
+		l.pendingEvents = append(l.pendingEvents, balancer.Event{
+			Kind:   balancer.EventHealthCheckDone,
+			Server: policyAddr,
+			Status: balancer.StatusUnsent,
+		})
 		return
 	}
-	b.inFlight++
-	addr := b.addr
+	server.inFlight++
+	addr := server.addr
 	go func() {
-		res := l.pool.healthCheck(l.ctx, b, addr, l.cfg.Listen)
-		l.post(func() { l.healthCheckDone(b, &res) })
+		result := l.pool.healthCheck(l.ctx, server, addr, l.cfg.Listen)
+		l.post(func() { l.healthCheckDone(server, &result) })
 	}()
 }
 
-// probed takes the end of a probe.
-func (l *eventLoop) healthCheckDone(b *upstreamServer, res *attemptResult) {
-	b.inFlight--
-	l.metrics.healthChecks[res.status]++
-	if res.status != balancer.StatusOK {
-		l.log(slog.LevelInfo, "health check failed", "server", b.id, "status", res.status, "reason", res.reason)
+// healthCheckDone takes the end of a health check.
+func (l *eventLoop) healthCheckDone(server *upstreamServer, result *attemptResult) {
+	server.inFlight--
+	l.metrics.healthChecks[result.status]++
+	if result.status != balancer.StatusOK {
+		l.log(slog.LevelInfo, "health check failed", "server", server.id, "status", result.status,
+			"reason", result.reason)
 	}
-	l.handle(&balancer.Event{Kind: balancer.EventHealthCheckDone, Server: b.policyAddr, Status: res.status,
-		LatencyMs: res.latencyMs})
-	l.endpoints.forget(b)
+	l.handle(&balancer.Event{
+		Kind:      balancer.EventHealthCheckDone,
+		Server:    server.policyAddr,
+		Status:    result.status,
+		LatencyMs: result.latencyMs,
+	})
+	l.endpoints.forget(server)
 }
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -7,54 +7,65 @@
 	"time"
 )
 
+const (
+	// logLinesPerSecond and logBurst bound the lines that log writes.
+	logLinesPerSecond, logBurst = 5, 50
+	// logBufferSize is the number of lines that may wait for their writer.
+	logBufferSize = 64
+)
+
+// logViolation counts and logs an action of the policy that the rules of the request forbid.
 func (l *eventLoop) logViolation(what string, args ...any) {
 	l.metrics.violations++
 	l.log(slog.LevelError, "contract violation: "+what, args...)
 }
 
-// course logs what became of a request that did not end well, from its arrival
-// through each attempt: one line tells where its time went.
-func (l *eventLoop) logRequest(r *request, how string) {
+// logRequest logs a request that was not served in time, from its arrival through each attempt, so that one
+// line tells where its time went.
+func (l *eventLoop) logRequest(r *request, outcome string) {
 	if !l.allowLog() {
 		return
 	}
 	c := r.client
-	sinceMs := func(t time.Time) int64 { return t.Sub(c.arrivedAt).Milliseconds() }
-	var steps strings.Builder
-	for _, t := range r.attempts {
-		id := "unlisted"
-		if t.server != nil {
-			id = t.server.id
-		}
-		fmt.Fprintf(&steps, "[%s at %d", id, sinceMs(t.startedAt))
-		switch {
-		case !t.done:
-			steps.WriteString(" in flight]")
-		case t.reason == "":
-			fmt.Fprintf(&steps, " ended %d after %.0f]", t.status, t.latencyMs)
-		default:
-			fmt.Fprintf(&steps, " ended %d after %.0f: %s]", t.status, t.latencyMs, t.reason)
-		}
+	var attempts strings.Builder
+	for _, a := range r.attempts {
+		attempts.WriteString(a.describe(c.arrivedAt))
+	}
+	l.logAlways(slog.LevelInfo, "request "+outcome, "id", c.id, "class", c.rules.Name, "retry", c.retry,
+		"after_ms", time.Since(c.arrivedAt).Milliseconds(), "timeout_ms", c.deadline.Sub(c.arrivedAt).Milliseconds(),
+		"open", l.unanswered, "attempts", attempts.String())
+}
+
+// describe tells the log when an attempt began after the request's arrival, and how it ended; all in ms.
+func (a *attempt) describe(arrivedAt time.Time) string {
+	server := "unlisted"
+	if a.server != nil {
+		server = a.server.id
+	}
+	began := fmt.Sprintf("[%s at %d", server, a.startedAt.Sub(arrivedAt).Milliseconds())
+	switch {
+	case !a.done:
+		return began + " in flight]"
+	case a.reason == "":
+		return began + fmt.Sprintf(" ended %d after %.0f]", a.status, a.latencyMs)
 	}
-	l.logAlways(slog.LevelInfo, "request "+how, "id", c.id, "class", c.rules.Name,
-		"retry", c.retry, "after_ms", sinceMs(time.Now()), "timeout_ms", sinceMs(c.deadline),
-		"open", l.unanswered, "attempts", steps.String())
+	return began + fmt.Sprintf(" ended %d after %.0f: %s]", a.status, a.latencyMs, a.reason)
 }
 
-// brokenOff counts and logs an answer that was begun and not passed on whole.
+// responseAborted counts and logs a response that was begun and not passed on completely.
 func (l *eventLoop) responseAborted(c *clientRequest, fromServer, toClient error) {
 	l.metrics.aborted++
 	l.log(slog.LevelWarn, "response aborted", "id", c.id, "after_ms", time.Since(c.arrivedAt).Milliseconds(),
 		"server_err", fromServer, "client_err", toClient)
 }
 
-// rejected counts and logs what came in that is no request of the protocol's.
+// invalidRequest counts and logs what came in that is not a request of the protocol.
 func (l *eventLoop) invalidRequest(id, from string, status int, err error) {
 	l.metrics.invalid++
 	l.log(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", status, "err", err)
 }
 
-// mayLog bounds the lines a second, and counts what the bound left out.
+// allowLog bounds the lines per second and counts those that the bound drops.
 func (l *eventLoop) allowLog() bool {
 	if l.logLimit.Allow() {
 		return true
@@ -63,13 +74,14 @@
 	return false
 }
 
+// log writes a line unless the bound of lines per second drops it.
 func (l *eventLoop) log(level slog.Level, text string, args ...any) {
 	if l.allowLog() {
 		l.logAlways(level, text, args...)
 	}
 }
 
-// write hands a line to writeLog; one too many for its reader is left out.
+// logAlways hands a line to writeLogLines without the bound of log. The line is dropped where the buffer is full.
 func (l *eventLoop) logAlways(level slog.Level, text string, args ...any) {
 	logger := l.logger
 	select {
@@ -79,8 +91,8 @@
 	}
 }
 
-// writeLog writes the loop's log lines. The loop does not write itself: a log that
-// nobody reads blocks its writer, and every request with it.
+// writeLogLines writes the loop's log lines until its context ends. The loop does not write them itself: a log
+// that nobody reads blocks its writer, and with it every request.
 func (l *eventLoop) writeLogLines() {
 	for {
 		select {
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -6,37 +6,40 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// joinFleet begins to take part in the fleet view, where the configuration has one. The loop
-// gets each view as a posted event; nothing in the loop waits for it.
-func startMembership(cfg *Config, f *downstreamServer, l *eventLoop) (*membership.Fleet, error) {
+// startMembership begins to take part in the membership view, where the configuration has one; nil: it has
+// none. The event loop gets each view as a posted function; nothing in the loop waits for it.
+func startMembership(cfg *Config, downstream *downstreamServer, loop *eventLoop) (*membership.Fleet, error) {
 	if cfg.Fleet == nil {
 		return nil, nil
 	}
-	c := *cfg.Fleet
-	c.Log = cfg.logger()
-	c.OnView = func(v *membership.View) { l.post(func() { l.onMembershipView(v) }) }
-	view, err := membership.Start(c)
-	if err == nil {
-		f.onDrain = view.SetDraining
+	own := *cfg.Fleet
+	own.Log = cfg.logger()
+	own.OnView = func(view *membership.View) {
+		loop.post(func() { loop.onMembershipView(view) })
 	}
-	return view, err
+	member, err := membership.Start(own)
+	if err != nil {
+		return member, err
+	}
+	downstream.onDrain = member.SetDraining
+	return member, nil
 }
 
-// leaveFleet tells the others that this process ends, beside its last requests; what it gives
-// is closed once they are told.
-func leaveMembership(view *membership.Fleet) <-chan struct{} {
+// leaveMembership notifies the other agents that this process ends, beside its last requests. The returned
+// channel is closed once they are notified.
+func leaveMembership(member *membership.Fleet) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		if view != nil {
-			view.Leave()
+		if member != nil {
+			member.Leave()
 		}
 	}()
 	return left
 }
 
-// onFleet takes a new view of the fleet. Nothing rests on it yet but the log.
-func (l *eventLoop) onMembershipView(v *membership.View) {
-	l.membershipView = v
-	l.log(slog.LevelInfo, "membership view", "number", v.Number, "present", v.Present, "of", v.Size, "digest", v.Digest)
+// onMembershipView logs a new membership view. No decision rests on it.
+func (l *eventLoop) onMembershipView(view *membership.View) {
+	l.log(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
+		"digest", view.Digest)
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -8,42 +8,60 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// figuresEvery is how often the counts go to the log.
+// metricsInterval is how often the metrics are logged.
 const metricsInterval = time.Second
 
-// figures are counted for the log: every few seconds, and at the end.
+// metrics are counts since the start. They are logged at intervals and at the end; the log's "counts" show the
+// fields under their names here.
 type metrics struct {
-	requests, served, servedLate, rejected, failed, clientsGone, invalid, backstops, violations int
-	// broken counts answers that were begun and not passed on whole.
+	// requests counts the requests that reached the event loop.
+	requests int
+	// served and servedLate count the requests that were served within their latency objective and after it;
+	// rejected and failed those that were not served; clientsGone those that their client abandoned.
+	served, servedLate, rejected, failed, clientsGone int
+	// invalid counts what came in that is not a request of the protocol.
+	invalid int
+	// backstops counts the requests that the policy left without a response until just before their deadline.
+	backstops int
+	// violations counts the actions of the policy that the rules of the request forbade.
+	violations int
+	// aborted counts the responses that were begun and not passed on completely.
 	aborted int
-	// ends counts the attempts by how they ended.
-	attempts map[balancer.Status]int
-	// probes counts the probes by how they ended.
-	healthChecks map[balancer.Status]int
-	// lists counts the answers of discovery, lines what they listed, and unlisted the
-	// calls that failed: over all agents, the load that discovery bears.
+	// attempts and healthChecks count these by their status.
+	attempts, healthChecks map[balancer.Status]int
+	// lists counts the responses of discovery, endpoints the entries in them, and listFailures the calls that
+	// failed. Over all agents they are the load that discovery bears.
 	lists, endpoints, listFailures int
-	// settings counts settings of the list service that were taken over, and settingsRefused those
+	// settings counts the settings of the discovery service that were applied, and settingsRejected those
 	// that could not be.
 	settings, settingsRejected int
-	// acceptFailures counts the accepts of clients that failed for a moment.
+	// acceptFailures counts the accepts of clients that failed temporarily.
 	acceptFailures int
-	// unlogged counts the lines that the log's bound left out.
+	// unlogged counts the log lines that were dropped.
 	unlogged int
-	// listIn and listOut count the bytes of calls to discovery, heads and all, and listCalls
-	// the calls.
+	// listIn and listOut count the bytes of calls to discovery, their heads included, and listCalls the calls.
 	listIn, listOut, listCalls uint64
 }
 
-// counts are the figures as they are now.
+func newMetrics() metrics {
+	return metrics{attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}
+}
+
+// currentMetrics brings the counts of the discovery client up to date and returns all counts.
 func (l *eventLoop) currentMetrics() *metrics {
-	n := &l.discovery.counters
-	l.metrics.listIn, l.metrics.listOut, l.metrics.listCalls = n.bytesIn.Load(), n.bytesOut.Load(), n.calls.Load()
+	counters := &l.discovery.counters
+	l.metrics.listIn = counters.bytesIn.Load()
+	l.metrics.listOut = counters.bytesOut.Load()
+	l.metrics.listCalls = counters.calls.Load()
 	return &l.metrics
 }
 
 func (l *eventLoop) logMetrics() {
-	l.logAlways(slog.LevelInfo, "metrics", "open", l.unanswered, "server_conns", l.pool.size(), "connects", l.pool.connectCount(), "idle_limit", l.pool.idleLimit(),
+	l.logAlways(slog.LevelInfo, "metrics",
+		"open", l.unanswered,
+		"server_conns", l.pool.size(),
+		"connects", l.pool.connectCount(),
+		"idle_limit", l.pool.idleLimit(),
 		"policy", fmt.Sprintf("%+v", l.balancer.Stats()),
 		"counts", fmt.Sprintf("%+v", *l.currentMetrics()))
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -10,32 +10,47 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// call is a client's request as the front took it, and where its answer goes.
+// backstopMargin is how long before the client's deadline the backstop responds, well after the policy should
+// have done so.
+const backstopMargin = 4 * time.Millisecond
+
+// clientRequest is a client's request as the downstream server read it, with the channel for its response.
 type clientRequest struct {
-	ctx          context.Context // ends with its client
-	clientGone   func() bool     // looks whether the client has left unnoticed; nil: it can't be looked
-	id           string          // the client's
+	ctx          context.Context // ends with the client's connection
+	clientGone   func() bool     // checks whether the client has closed without notice; nil: it can't be checked
+	id           string          // the client's Request-Id
 	arrivedAt    time.Time
 	method, host string
 	url          *url.URL
 	header       http.Header
-	body         []byte        // as far as it is kept
-	streamed     *streamedBody // its rest, if there is more
+	body         []byte        // the buffered part of the body
+	streamed     *streamedBody // the rest of the body; nil: all of it is buffered
 	timeout      time.Duration
-	rules        *balancer.RequestRules // as they were when it came
-	key          uint64
-	retry        bool
+	rules        *balancer.RequestRules // as they were when it arrived
+	key          uint64                 // hash of the affinity key; 0: none
+	retry        bool                   // the client marked it as a retry
 	deadline     time.Time
 	response     chan finalResponse // of capacity one: the loop never waits for a client
 }
 
-// margin is how long before the client's deadline the backstop answers: less than
-// backstopMargin where the client gives little time.
-func (c *clientRequest) backstopMargin() time.Duration { return min(backstopMargin, c.timeout/16) }
+// backstopMargin is the margin of the backstop: less than the constant where the client gives little time.
+func (c *clientRequest) backstopMargin() time.Duration {
+	return min(backstopMargin, c.timeout/16)
+}
 
-// answerBy is when the backstop answers and no attempt goes on any more.
-func (c *clientRequest) respondBy() time.Time { return c.deadline.Add(-c.backstopMargin()) }
+// respondBy is when the backstop responds; no attempt continues after it.
+func (c *clientRequest) respondBy() time.Time {
+	return c.deadline.Add(-c.backstopMargin())
+}
 
+// policyTimeLeftMs is the time left that the policy is given, in ms.
+func (c *clientRequest) policyTimeLeftMs() float64 {
+	left := time.Until(c.deadline)
+	left -= min(policyMargin, left/8)
+	return float64(left.Microseconds()) / 1000
+}
+
+// responseKind says what became of a request.
 type responseKind uint8
 
 const (
@@ -44,40 +59,40 @@
 	responseFailed
 )
 
-// answer is the one final answer to a call.
+// finalResponse is the one final response to a clientRequest.
 type finalResponse struct {
 	kind         responseKind
-	retryAfterMs float64 // refused: when the client may come back
-	timedOut     bool    // failed: because the time was up
-	badRequest   bool    // failed: because a backend called the request wrong
+	retryAfterMs float64 // rejected: when the client may retry
+	timedOut     bool    // failed: because its time was over
+	badRequest   bool    // failed: because a server called the request invalid
 	header       http.Header
 	body         *responseBody
 }
 
-// request is a call in the loop, kept until it is answered and no attempt is out.
+// request is a clientRequest in the event loop, until it has a final response and no attempt is in flight.
 type request struct {
 	id          balancer.RequestID
 	client      *clientRequest
 	answered    bool
 	attempts    []*attempt
-	sendingBody bool      // a long body is on its way to a backend: its time has not begun
-	inFlight    int       // attempts out
-	mayHaveRun  int       // attempts that are out or may have run
+	sendingBody bool      // a streamed body is on its way to a server: the request's time has not begun
+	inFlight    int       // attempts in flight
+	mayHaveRun  int       // attempts that are in flight or may have executed
 	firstSentAt time.Time // when the first of those began
-	badRequest  bool      // by a backend's word
+	badRequest  bool      // the last attempt's server called the request invalid
 	backstop    *time.Timer
 }
 
-// take gives a call to the module. Beyond openCap nothing is taken on, as at the
-// simulator, where such requests never reach the instance.
+// startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
+// the simulator, where such requests never reach the instance.
 func (l *eventLoop) startRequest(c *clientRequest) *request {
 	l.metrics.requests++
 	l.nextID++
 	r := &request{id: l.nextID, client: c}
 	l.unanswered++
-	left := time.Until(c.deadline)
-	most := l.cfg.Settings.Limits.MaxOpenRequests
-	if time.Until(c.respondBy()) <= 0 || most > 0 && l.unanswered > most {
+	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
+	tooMany := maxOpen > 0 && l.unanswered > maxOpen
+	if time.Until(c.respondBy()) <= 0 || tooMany {
 		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
 	}
@@ -85,14 +100,20 @@
 	r.backstop = time.AfterFunc(time.Until(c.respondBy()), func() {
 		l.post(func() { l.backstopExpired(r) })
 	})
-	left -= min(policyMargin, left/8)
-	l.handle(&balancer.Event{Kind: balancer.EventRequest, Request: r.id, Rules: c.rules,
-		Key: c.key, RemainingMs: float64(left.Microseconds()) / 1000, Retry: c.retry, StreamedBody: c.streamed != nil})
+	l.handle(&balancer.Event{
+		Kind:         balancer.EventRequest,
+		Request:      r.id,
+		Rules:        c.rules,
+		Key:          c.key,
+		RemainingMs:  c.policyTimeLeftMs(),
+		Retry:        c.retry,
+		StreamedBody: c.streamed != nil,
+	})
 	return r
 }
 
-// written is told when the last byte of a long request is with its backend: from now on its
-// time counts, and the backend works on it.
+// streamedBodySent takes the write of the last byte of a streamed request. The request's time counts from that
+// byte on, and the server can execute the request.
 func (l *eventLoop) streamedBodySent(r *request, index int) {
 	r.sendingBody = false
 	if r.answered {
@@ -102,62 +123,64 @@
 	c.deadline = c.streamed.respondBy(c.timeout)
 	c.arrivedAt = c.deadline.Add(-c.timeout)
 	r.backstop.Reset(time.Until(c.respondBy()))
-	left := max(time.Until(c.deadline), 0)
-	left -= min(policyMargin, left/8)
-	l.handle(&balancer.Event{Kind: balancer.EventRequestSent, Request: r.id, Attempt: index,
-		RemainingMs: float64(left.Microseconds()) / 1000})
+	l.handle(&balancer.Event{
+		Kind:        balancer.EventRequestSent,
+		Request:     r.id,
+		Attempt:     index,
+		RemainingMs: max(c.policyTimeLeftMs(), 0),
+	})
 }
 
-// late is the backstop: the module should have ended the request before. That it
-// did not is a bug or a stall, so it is logged and counted.
+// backstopExpired ends a request that the policy should have ended before. That it did not is a fault or a
+// stall, so it is logged and counted.
 func (l *eventLoop) backstopExpired(r *request) {
 	if r.answered || r.sendingBody {
 		return
 	}
 	l.metrics.backstops++
-	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts), "in_flight", r.inFlight,
-		"late_ms", float64(time.Since(r.client.respondBy()).Microseconds())/1000)
+	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts),
+		"in_flight", r.inFlight, "late_ms", float64(time.Since(r.client.respondBy()).Microseconds())/1000)
 	l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
 	l.cancelRequest(r)
 }
 
-// discard is called when nobody waits for the answer any more.
+// discardResponse ends a request whose client no longer waits for the response.
 func (l *eventLoop) discardResponse(r *request) {
 	l.clientLeft(r)
 	select {
-	case a := <-r.client.response:
-		a.body.release()
+	case response := <-r.client.response:
+		response.body.release()
 	default:
 	}
 }
 
-// breakOff withdraws the long requests that are still on their way to a backend: none has it
-// whole, so they can come again, to another process.
+// cancelStreaming cancels the attempts whose streamed body is still on its way to a server: no server has all
+// of it, so the client can safely send it again, to another process.
 func (l *eventLoop) cancelStreaming() {
 	for _, r := range l.requests {
-		if t := len(r.attempts) - 1; r.sendingBody && t >= 0 && r.attempts[t].cancel != nil {
-			r.attempts[t].cancel()
+		if len(r.attempts) > 0 && r.sendingBody {
+			r.attempts[len(r.attempts)-1].cancelInFlight()
 		}
 	}
 }
 
-// giveUp ends what is held: the process is about to be killed, and whatever has no final
-// answer by then is lost. What can't have run may come again, to another process.
+// endAll gives every open request its final response: the process is about to be killed, and a request that has
+// none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
 func (l *eventLoop) endAll() {
 	for _, r := range l.requests {
-		switch {
-		case r.answered:
+		if r.answered {
 			continue
-		case r.mayHaveRun == 0:
+		}
+		if r.mayHaveRun == 0 {
 			l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
-		default:
+		} else {
 			l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
 		}
 		l.cancelRequest(r)
 	}
 }
 
-// left is called when a client has gone away.
+// clientLeft ends a request whose client has closed its connection, and cancels its attempts.
 func (l *eventLoop) clientLeft(r *request) {
 	if r.answered {
 		return
@@ -166,59 +189,73 @@
 	l.cancelRequest(r)
 }
 
-// depart ends a request whose client has left.
+// closeAsGone counts, logs and closes a request whose client has closed its connection.
 func (l *eventLoop) closeAsGone(r *request) {
 	l.metrics.clientsGone++
 	l.logRequest(r, "abandoned by its client")
 	l.closeRequest(r)
 }
 
-// abandon tells the module that a request is over, and withdraws its attempts.
+// cancelRequest tells the policy that a request is over, and cancels its attempts.
 func (l *eventLoop) cancelRequest(r *request) {
-	for _, t := range r.attempts {
-		if !t.done && t.cancel != nil {
-			t.cancel()
-		}
+	for _, a := range r.attempts {
+		a.cancelInFlight()
 	}
 	l.handle(&balancer.Event{Kind: balancer.EventClientGone, Request: r.id})
 }
 
-// refuse answers that a retry is harmless, unless an attempt may have run that
-// makes it harmful: then the request has failed.
-func (l *eventLoop) reject(r *request, afterMs float64) {
-	c := r.client.rules
-	if r.mayHaveRun > 0 && (c.Idempotency == balancer.NonIdempotent || c.Idempotency == balancer.IdempotentByKey && c.DedupScope != balancer.DedupFleet) {
+// reject responds that a retry is harmless. Where an attempt may have executed that makes a retry harmful, the
+// request fails instead.
+func (l *eventLoop) reject(r *request, retryAfterMs float64) {
+	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.client.rules) {
 		l.logViolation("rejection after an attempt that may have executed", "id", r.client.id)
 		l.finish(r, finalResponse{kind: responseFailed})
 		return
 	}
-	l.finish(r, finalResponse{kind: responseRejected, retryAfterMs: afterMs})
+	l.finish(r, finalResponse{kind: responseRejected, retryAfterMs: retryAfterMs})
+}
+
+// safeToRepeatAnywhere tells whether a request that has executed may be sent again through any agent.
+func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
+	switch rules.Idempotency {
+	case balancer.NonIdempotent:
+		return false
+	case balancer.IdempotentByKey:
+		return rules.DedupScope == balancer.DedupFleet
+	}
+	return true
 }
 
-// finish gives the final answer; only the first counts.
-func (l *eventLoop) finish(r *request, a finalResponse) {
+// finish gives a request its final response; only the first one counts.
+func (l *eventLoop) finish(r *request, response finalResponse) {
 	if r.answered {
 		return
 	}
-	aim := milliseconds(r.client.rules.LatencyObjectiveMs)
-	switch {
-	case a.kind == responseServed && time.Since(r.client.arrivedAt) <= aim:
-		l.metrics.served++
-	case a.kind == responseServed:
+	l.countResponse(r, response.kind)
+	r.client.response <- response
+	l.closeRequest(r)
+}
+
+// countResponse counts a final response, and logs one that is not a success in time.
+func (l *eventLoop) countResponse(r *request, kind responseKind) {
+	switch kind {
+	case responseServed:
+		if time.Since(r.client.arrivedAt) <= milliseconds(r.client.rules.LatencyObjectiveMs) {
+			l.metrics.served++
+			return
+		}
 		l.metrics.servedLate++
 		l.logRequest(r, "served late")
-	case a.kind == responseRejected:
+	case responseRejected:
 		l.metrics.rejected++
 		l.logRequest(r, "rejected")
-	case a.kind == responseFailed:
+	case responseFailed:
 		l.metrics.failed++
 		l.logRequest(r, "failed")
 	}
-	r.client.response <- a
-	l.closeRequest(r)
 }
 
-// close marks a request as over and forgets it as soon as no attempt is out.
+// closeRequest marks a request as over, and forgets it once no attempt is in flight.
 func (l *eventLoop) closeRequest(r *request) {
 	if !r.answered {
 		r.answered = true
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -7,81 +7,87 @@
 )
 
 const (
-	// listingDelay is how long after the start of a process a change of the list may be told that
-	// names it, where discovery could be reached all the time.
+	// maxListingDelay is how long after the start of a process the list may first name it, where discovery
+	// could be reached all the time.
 	maxListingDelay = 10 * time.Second
-	// maxUnlistedStarts bounds the starts that are remembered of backends that are listed no more.
+	// maxUnlistedStarts bounds the start times that are remembered of servers that are no longer listed.
 	maxUnlistedStarts = 4096
 )
 
-// listing is what is known of a list that discovery told, beside what it says.
+// listContext is what is known of a list from discovery besides its content.
 type listContext struct {
 	// older tells that its version is lower than that of the list in force.
 	older bool
-	// after is when discovery last answered before: what the list tells anew was not listed by then.
-	// 0: it had not answered before, or all that it has was asked for.
+	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
+	// listed by then. 0: it had not responded before, or the full list was asked for.
 	lastAnswer time.Duration
 }
 
-// startTimes turns the starts of backends, which lists tell by a wall clock, into times of the
-// loop's clock. Each process keeps the time that it was given when it was first told, so that a step
-// of a wall clock changes nothing of what is known.
+// startTimeTable converts the start times of servers, which lists give by a wall clock, to event time. A
+// process keeps the time that it was given when it was first listed, so a later step of a wall clock changes
+// nothing that is known.
 //
-// What is assumed: at its first list an agent has nothing but its own wall clock, and believes it; a
-// start ahead of it is one of now. Later a start may have been told by a clock that was stepped
-// along with the agent's, or apart from it. The younger of the ages that the wall clock now and the
-// loop's clock give is taken. One that is too old for a process that was not listed at the last answer is
-// wrong, and so is one older than the process that it follows: then the process counts as started now,
-// as a backend that gets too little for a time costs less than a cold one that gets too much. An
-// error of less than listingDelay, in a clock that was wrong from the agent's start on, isn't seen.
+// Assumptions: at its first list an agent has only its own wall clock and believes it; a start in the future
+// counts as now. Later a start may come from a clock that was stepped together with the agent's, or apart from
+// it. Of the ages by the wall clock and by the event clock the lower one is used. An age is wrong if the
+// process would have been listed at the last response, or if it is older than the process that it follows;
+// then the process counts as started now, as a server that gets too little traffic for a time costs less than
+// a server in slow start that gets too much. An error below maxListingDelay, in a clock that was wrong from
+// the agent's start on, is not detected.
 type startTimeTable struct {
 	clock *eventClock
-	known map[string]processStart // by the backend's id
+	known map[string]processStart // by the server's id
 }
 
-// processStart is the start of a backend's latest process, as told and as a time of the loop's clock.
+// processStart is the start of a server's latest process, as listed and as event time; both in ms.
 type processStart struct{ startedMs, atMs float64 }
 
 func newStartTimeTable(c *eventClock) *startTimeTable {
 	return &startTimeTable{clock: c, known: map[string]processStart{}}
 }
 
-// resolve returns the start of a backend's process; 0 if it was long ago.
-func (s *startTimeTable) resolve(t *Target, told listContext) float64 {
-	startedMs := balancer.Finite(t.StartedMs)
+// resolve returns the event time at which a server's process started; 0 if that was long ago.
+func (s *startTimeTable) resolve(target *Target, list listContext) float64 {
+	startedMs := balancer.Finite(target.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
-	last, known := s.known[t.ID]
-	if known && (startedMs == last.startedMs || told.older && startedMs < last.startedMs) {
+	last, known := s.known[target.ID]
+	sameProcess := startedMs == last.startedMs || list.older && startedMs < last.startedMs
+	if known && sameProcess {
 		return last.atMs
 	}
 	now := s.clock.nowMs()
-	at := startedMs
-	switch age := s.age(startedMs, now); {
-	case told.lastAnswer != 0 && now-age < s.clock.fromMonotonic(told.lastAnswer-maxListingDelay), known && now-age <= last.atMs:
-		at = now
+	age := s.age(startedMs, now)
+	unlistedBefore := list.lastAnswer != 0 && now-age < s.clock.fromMonotonic(list.lastAnswer-maxListingDelay)
+	olderThanLast := known && now-age <= last.atMs
+	atMs := startedMs
+	switch {
+	case unlistedBefore || olderThanLast:
+		atMs = now
 	case age != now-startedMs:
-		at = now - age
+		atMs = now - age
 	}
-	s.known[t.ID] = processStart{startedMs, at}
-	return at
+	s.known[target.ID] = processStart{startedMs, atMs}
+	return atMs
 }
 
-// age is the least age that the two clocks give a process. A clock by which it is yet to start is wrong.
+// age is the lower of the ages that the two clocks give a process, in ms. A clock by which the process has yet
+// to start is wrong.
 func (s *startTimeTable) age(startedMs, now float64) float64 {
-	byLoop, byWall := now-startedMs, unixMilliseconds(s.clock.Wall())-startedMs
+	byEventClock := now - startedMs
+	byWallClock := unixMilliseconds(s.clock.Wall()) - startedMs
 	switch {
-	case byLoop < 0:
-		return max(byWall, 0)
-	case byWall < 0:
-		return byLoop
+	case byEventClock < 0:
+		return max(byWallClock, 0)
+	case byWallClock < 0:
+		return byEventClock
 	}
-	return min(byLoop, byWall)
+	return min(byEventClock, byWallClock)
 }
 
-// prune forgets the starts of backends that are listed no more, where those are too many. Some are
-// kept, as a backend may be listed again with the same process.
+// prune forgets the start times of servers that are no longer listed once there are too many of them. Up to
+// then they are remembered, as a server may be listed again with the same process.
 func (s *startTimeTable) prune(listed map[string]*upstreamServer) {
 	if len(s.known) <= len(listed)+maxUnlistedStarts {
 		return
