--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,10 @@
-// Package agent runs the decision module as a real agent: clients on one side,
-// backends and discovery on the other, and a loop that turns what happens into
-// the module's events and carries out its actions.
+// Package agent runs the balancing policy as a real load balancer: client connections on one side, servers and
+// discovery on the other, and an event loop between them that turns what happens into the policy's events and
+// carries out its actions.
+//
+// Files are grouped by prefix: downstream_* and client_* serve the clients, upstream_* and connection_pool the
+// servers, discovery_* and settings_watch the discovery service, config* the configuration, admin_server the
+// operators; event_loop, request, attempt, endpoint_list and reload connect them.
 package agent
 
 import (
@@ -16,52 +20,52 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// firstListWait is how long clients are kept waiting for a first server: restarts are ready within
-// 10 s, also where nothing is known and discovery is silent. Requests are then refused in time.
+// firstListTimeout is how long clients wait for a first server. Restarts have to be ready within 10 s, also
+// where no list is known and discovery is silent; requests are then rejected in time.
 const firstListTimeout = 5 * time.Second
 
+// ErrKilled is what Run returns after Kill.
+var ErrKilled = errors.New("agent: killed")
+
 // Agent is one agent. Many may run in one process.
 type Agent struct {
 	cfg        *Config
 	ln         Listeners
 	clients    *clientListener
 	downstream *downstreamServer
-	eventLoop  *eventLoop
-	stopLoop   context.CancelFunc // of the loop, and of all that has its context
-	loopDone   chan struct{}      // closed once the loop has
-	usable     chan struct{}      // closed once a backend may be sent to
-	// told takes settings that the list service told, until unserved is closed.
+	loop       *eventLoop
+	admin      *adminServer
+	membership atomic.Pointer[membership.Fleet]
+
+	stopLoop context.CancelFunc // ends the loop, and everything that has its context
+	loopDone chan struct{}      // closed once the loop has ended
+	usable   chan struct{}      // closed once a server may be sent requests
+	// settingsUpdates takes settings of the discovery service until servingDone is closed.
 	settingsUpdates chan settingsUpdate
 	servingDone     chan struct{}
-	membership      atomic.Pointer[membership.Fleet]
-	admin           *adminServer
 	killed          context.Context
 	kill            context.CancelFunc
 }
 
-// ErrKilled is what Run returns after Kill.
-var ErrKilled = errors.New("agent: killed")
-
-// Run serves until stop is done, then ends in order. It returns nil when every
-// request that was held has been answered. Each configuration that comes on reloads
-// replaces the settings, unless the list service has told others, and the addresses of discovery; the
-// rest takes effect at a start only.
+// Run makes an agent and runs it as Agent.Run does.
 func Run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config) error {
 	return run(stop, cfg, ln, reloads, func(*downstreamServer, *eventLoop) {})
 }
 
-// run is Run, which also hands out the parts before they start.
-func run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config, made func(*downstreamServer, *eventLoop)) error {
-	a, err := New(cfg, ln)
+// run is Run, which also passes the parts of the agent to made before they start.
+func run(
+	stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config, made func(*downstreamServer, *eventLoop),
+) error {
+	a, err := New(cfg, ln) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
 	if err != nil {
 		return err
 	}
-	made(a.downstream, a.eventLoop)
+	made(a.downstream, a.loop)
 	return a.Run(stop, reloads)
 }
 
-// New makes an agent, whose listeners it takes over unless there is an error: a setting that the
-// module can't use, or a shared listener that is none.
+// New makes an agent, which owns its listeners unless there is an error: a setting that the policy can't use,
+// or a listener that is shared and missing.
 func New(cfg *Config, ln Listeners) (*Agent, error) {
 	if ln.Clients == nil {
 		if ln.Shared {
@@ -69,52 +73,80 @@
 		}
 		ln.Clients = newUnusedListener()
 	}
-	a := &Agent{cfg: cfg, ln: ln, downstream: newDownstreamServer(cfg), loopDone: make(chan struct{}), usable: make(chan struct{}),
-		settingsUpdates: make(chan settingsUpdate), servingDone: make(chan struct{})}
-	ctx, stop := context.WithCancel(context.Background())
-	a.stopLoop = stop
-	var err error
-	if a.eventLoop, err = newEventLoop(ctx, cfg, sync.OnceFunc(func() { close(a.usable) })); err != nil {
-		stop()
+	a := &Agent{
+		cfg:             cfg,
+		ln:              ln,
+		downstream:      newDownstreamServer(cfg),
+		loopDone:        make(chan struct{}),
+		usable:          make(chan struct{}),
+		settingsUpdates: make(chan settingsUpdate),
+		servingDone:     make(chan struct{}),
+	}
+	loopContext, stopLoop := context.WithCancel(context.Background())
+	loop, err := newEventLoop(loopContext, cfg, sync.OnceFunc(func() { close(a.usable) }))
+	if err != nil {
+		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	if w := a.eventLoop.discovery.settingsWatch; w != nil {
-		w.apply = a.applySettings
+	a.loop = loop
+	a.stopLoop = stopLoop
+	if watch := loop.discovery.settingsWatch; watch != nil {
+		watch.apply = a.applySettings
 	}
-	a.downstream.loop = a.eventLoop
-	a.clients = newClientListener(listener.New(ln.Clients, a.downstream.acceptFailed), a.downstream.conns.slots)
+	a.downstream.loop = loop
+	accepting := listener.New(ln.Clients, a.downstream.acceptFailed)
+	a.clients = newClientListener(accepting, a.downstream.conns.slots)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
 
-// Run is the agent's life, of which it has one: it serves until stop is done, then ends in order,
-// as the function Run says. At its return all sockets are closed. After Kill it returns ErrKilled.
+// Run runs the agent, once. It serves until stop is done, then shuts down gracefully, and returns nil when every
+// request that was open has been answered; after Kill it returns ErrKilled. At its return all sockets are
+// closed. Each configuration from reloads replaces the settings, unless the discovery service has set others,
+// and the addresses of discovery; the rest of it takes effect at a start only.
+//
+//nolint:contextcheck // the loop, the membership and the drain outlive stop: they finish the open requests
 func (a *Agent) Run(stop context.Context, reloads <-chan *Config) error {
 	go func() {
 		defer close(a.loopDone)
-		a.eventLoop.run()
+		a.loop.run()
 	}()
-	view, err := startMembership(a.cfg, a.downstream, a.eventLoop)
-	a.membership.Store(view)
-	a.admin = newAdminServer(a.downstream, view, a.cfg.adminConns(1))
+	member, err := startMembership(a.cfg, a.downstream, a.loop)
+	a.membership.Store(member)
+	a.admin = newAdminServer(a.downstream, member, a.cfg.adminConns(1))
 	a.admin.setLogger(a.cfg.logger())
-	end := sync.OnceFunc(a.closeAll)
-	defer end()
-	defer context.AfterFunc(a.killed, end)()
+	closeAll := sync.OnceFunc(a.closeAll)
+	defer closeAll()
+	defer context.AfterFunc(a.killed, closeAll)()
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	share := &sharedLimits{cfg: a.cfg, admin: a.admin, conns: a.downstream.conns, pool: a.eventLoop.pool,
-		quotas: []quota{a.downstream.conns.slots, a.downstream.bodyBudget, a.eventLoop.pool.budget}}
-	held, err := a.serve(stop, reloads, share)
+	limits := a.newSharedLimits()
+	drainTime, err := a.serve(stop, reloads, limits)
 	if err != nil {
 		return err
 	}
 	if a.ln.Shared {
-		share.halve(a.eventLoop.ctx) // the other process is there, or comes
+		limits.halve(a.loop.ctx) // the other process is running or about to start
 	}
-	left := leaveMembership(view)
-	err = a.downstream.shutdown(a.clients, a.ln.Shared, held)
+	return a.shutdown(member, drainTime)
+}
+
+func (a *Agent) newSharedLimits() *sharedLimits {
+	return &sharedLimits{
+		cfg:    a.cfg,
+		admin:  a.admin,
+		conns:  a.downstream.conns,
+		pool:   a.loop.pool,
+		quotas: []quota{a.downstream.conns.slots, a.downstream.bodyBudget, a.loop.pool.budget},
+	}
+}
+
+// shutdown ends the agent gracefully: it answers the open requests within drainTime while it leaves the
+// membership, and stops the loop last, which the open requests need until their end.
+func (a *Agent) shutdown(member *membership.Fleet, drainTime time.Duration) error {
+	left := leaveMembership(member)
+	err := a.downstream.shutdown(a.clients, a.ln.Shared, drainTime)
 	if a.killed.Err() != nil {
 		return ErrKilled
 	}
@@ -122,103 +154,106 @@
 		a.cfg.logger().Warn("shutdown", "err", err)
 	}
 	<-left
-	a.stopLoop() // only after the front: requests held need the loop to the end
+	a.stopLoop()
 	<-a.loopDone
-	a.cfg.logger().Info("stopped", "metrics", fmt.Sprintf("%+v", *a.eventLoop.currentMetrics()))
+	a.cfg.logger().Info("stopped", "metrics", fmt.Sprintf("%+v", *a.loop.currentMetrics()))
 	return nil
 }
 
-// serve serves until stop is done, and tells how long requests are held from then on.
-func (a *Agent) serve(stop context.Context, reloads <-chan *Config, share *sharedLimits) (held time.Duration, err error) {
+// serve serves until stop is done, and returns how long open requests may be finished from then on.
+func (a *Agent) serve(
+	stop context.Context, reloads <-chan *Config, limits *sharedLimits,
+) (drainTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
 	if a.ln.Operators != nil {
 		go func() { failed <- a.admin.serve(a.ln.Operators) }()
 	}
+	var firstListTimer <-chan time.Time
 	if a.ln.Shared {
-		// Before the first client, so that what the other process has is left to it.
-		if err := share.holdLock(a.eventLoop.ctx, a.ln.Lock); err != nil {
+		// Before the first client, so that the limits that the other process uses are left to it. There is
+		// no timer: the process that still serves knows more.
+		if err := limits.holdLock(a.loop.ctx, a.ln.Lock); err != nil {
 			return 0, fmt.Errorf("agent: %w", err)
 		}
-	}
-	serve := func() { failed <- a.downstream.serve(a.clients) }
-	if !a.ln.Shared {
-		// Until a backend is known clients are answered that it is not.
-		go serve()
-		serve = nil
-	}
-	var waited <-chan time.Time
-	if !a.ln.Shared { // there the process that still serves knows more
-		waited = time.After(firstListTimeout)
+	} else {
+		// Until a server is known clients are answered that there is none.
+		go a.serveClients(failed)
+		firstListTimer = time.After(firstListTimeout)
 	}
 	usable := a.usable
-	force := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.eventLoop, drainTime: a.cfg.drainTime()}
+	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: a.cfg.drainTime()}
 	for {
 		select {
 		case <-usable:
-			// From a shared queue nothing is taken before it can be served: the process
-			// that still serves takes it.
-			if serve != nil {
-				go serve()
+			// From a shared queue nothing is accepted before it can be served: the process that still serves
+			// accepts it.
+			if a.ln.Shared {
+				go a.serveClients(failed)
 			}
 			a.downstream.setServing()
 			usable = nil
-		case <-waited:
+		case <-firstListTimer:
 			a.downstream.acceptsClients.Store(true)
 		case err := <-failed:
 			if a.killed.Err() != nil {
 				err = ErrKilled
 			}
 			return 0, err
-		case c := <-reloads:
-			force.reload(c)
-		case h := <-a.settingsUpdates:
-			force.applyUpdate(h)
+		case cfg := <-reloads:
+			active.reload(cfg)
+		case update := <-a.settingsUpdates:
+			active.applyUpdate(update)
 		case <-a.killed.Done():
 			return 0, ErrKilled
 		case <-stop.Done():
-			return force.drainTime, nil
+			return active.drainTime, nil
 		}
 	}
 }
 
-// take hands settings that the list service told to serve, and returns once they are in force. An
-// error is why they are not: errNotServing once nothing is taken over any more.
-func (a *Agent) applySettings(ctx context.Context, s *endpoint.Settings) error {
-	h := settingsUpdate{settings: s, done: make(chan error, 1)}
+// serveClients accepts clients until their listener is closed, and sends how that ended.
+func (a *Agent) serveClients(ended chan<- error) {
+	ended <- a.downstream.serve(a.clients)
+}
+
+// applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
+// says why they are not: errAgentStopping once nothing is applied any more.
+func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
+	update := settingsUpdate{settings: settings, done: make(chan error, 1)}
 	select {
-	case a.settingsUpdates <- h:
+	case a.settingsUpdates <- update:
 	case <-a.servingDone:
 		return errAgentStopping
 	case <-ctx.Done():
 		return errAgentStopping
 	}
 	select {
-	case err := <-h.done:
+	case err := <-update.done:
 		return err
 	case <-ctx.Done():
 		return errAgentStopping
 	}
 }
 
-// Kill ends the agent as SIGKILL would: its sockets are closed at once, and nothing is told to
-// anybody. It does not wait; Run returns once all has ended. It may be called at any time.
+// Kill ends the agent as SIGKILL would: its sockets are closed at once, and nobody is notified. It does not
+// wait; Run returns once everything has ended. Kill may be called at any time.
 func (a *Agent) Kill() { a.kill() }
 
-// end closes whatever is open, clients first: a request that the loop's end cut off must not
-// look answered.
+// closeAll closes whatever is open and waits for the loop. Clients come first: a request that the loop's end
+// cut off must not look answered. Errors of closing sockets that are given up say nothing of use.
 func (a *Agent) closeAll() {
-	a.clients.Close()
-	a.downstream.server.Close()
+	_ = a.clients.Close()
+	_ = a.downstream.server.Close()
 	if a.ln.Operators != nil {
-		a.ln.Operators.Close() // where it has not been served yet
+		_ = a.ln.Operators.Close() // where it has not been served yet
 	}
 	a.admin.close()
 	a.stopLoop()
-	a.eventLoop.discovery.close()
-	a.eventLoop.pool.shutdown()
-	if view := a.membership.Load(); view != nil {
-		view.Kill()
+	a.loop.discovery.close()
+	a.loop.pool.shutdown()
+	if member := a.membership.Load(); member != nil {
+		member.Kill()
 	}
 	<-a.loopDone
 }
--- a/internal/agent/discovery_conn.go
+++ b/internal/agent/discovery_conn.go
@@ -8,13 +8,16 @@
 	"sync/atomic"
 )
 
-// callCount counts what passes on the sockets of calls to discovery, since the start.
+// errConnectionLost ends a call whose connection was lost.
+var errConnectionLost = errors.New("the connection was lost")
+
+// callCounters count the traffic of calls to discovery since the start.
 type callCounters struct {
-	bytesIn, bytesOut atomic.Uint64 // bytes, the heads of calls and answers with them
+	bytesIn, bytesOut atomic.Uint64 // the heads of requests and responses included
 	calls             atomic.Uint64
 }
 
-// countedConn counts its bytes.
+// countedConn is a connection of the client that counts its bytes.
 type countedConn struct {
 	net.Conn
 	client *discoveryClient
@@ -40,7 +43,7 @@
 }
 
 func (d *discoveryClient) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if had, ok := ctx.Value(hadConnKey{}).(*atomic.Bool); ok && had.Load() {
+	if hadConn, ok := ctx.Value(hadConnKey{}).(*atomic.Bool); ok && hadConn.Load() {
 		return nil, errConnectionLost
 	}
 	dialer := net.Dialer{Timeout: callGrace}
@@ -51,27 +54,25 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &countedConn{nc, d}
+	conn := &countedConn{nc, d}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.conns == nil {
-		nc.Close()
+		_ = nc.Close() // unused: the client is closed
 		return nil, net.ErrClosed
 	}
-	d.conns[c] = true
-	return c, nil
+	d.conns[conn] = true
+	return conn, nil
 }
 
-// errLost ends a call whose connection was lost.
-var errConnectionLost = errors.New("the connection was lost")
-
-// hadConn is the key of whether a call has had a connection.
+// hadConnKey is the context key of whether a call has had a connection.
 type hadConnKey struct{}
 
-// onOneConn is the context of a call that is not made again by itself. The client of net/http makes a call
-// whose kept connection is lost again at once, on a new one: at an instance's fall all its agents would.
+// withSingleConn is the context of a call that is not retried by the HTTP client. net/http retries a call whose
+// kept connection is lost at once, on a new one: at the failure of an instance all its agents would.
 func withSingleConn(ctx context.Context) context.Context {
-	had := new(atomic.Bool)
-	ctx = context.WithValue(ctx, hadConnKey{}, had)
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { had.Store(true) }})
+	hadConn := new(atomic.Bool)
+	ctx = context.WithValue(ctx, hadConnKey{}, hadConn)
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { hadConn.Store(true) }}
+	return httptrace.WithClientTrace(ctx, trace)
 }
--- a/internal/agent/discovery_source.go
+++ b/internal/agent/discovery_source.go
@@ -2,62 +2,76 @@
 
 import (
 	"context"
+	"slices"
 	"sync/atomic"
 	"time"
 )
 
-// place is where discovery is, at one address or at several that tell one list; left is done once
-// it is elsewhere.
+// discoverySource is where discovery is: at one address, or at several that return the same list.
 type discoverySource struct {
 	addressRing
-	moved     context.Context
+	moved     context.Context // done once discovery is elsewhere
 	markMoved context.CancelFunc
-	// version is what its watch has reached, by its own count; 0: all is still to be asked for.
-	// It belongs to the watch, of which there is one at a time.
+	// version is what the watch has reached, by the source's own count; 0: the full list is still to be asked
+	// for. It belongs to the watch, of which there is one at a time.
 	version uint64
-	// answered is when it last answered a call, on the monotonic clock in ns; 0: never.
+	// answered is when the source last answered a call, on the monotonic clock in ns; 0: never.
 	answered atomic.Int64
-	// past counts answers from the past, one after the other, of the watch.
+	// olderAnswers counts consecutive answers to the watch with an older version.
 	olderAnswers int
 }
 
 func newDiscoverySource(version uint64, addrs ...string) *discoverySource {
-	left, leave := context.WithCancel(context.Background())
-	return &discoverySource{addressRing: addressRing{addrs: addrs}, moved: left, markMoved: leave, version: version}
+	moved, markMoved := context.WithCancel(context.Background())
+	return &discoverySource{
+		addressRing: addressRing{addrs: addrs},
+		moved:       moved,
+		markMoved:   markMoved,
+		version:     version,
+	}
 }
 
-// lastAnswer is when it last answered a call; 0: never.
-func (p *discoverySource) lastAnswer() time.Duration { return time.Duration(p.answered.Load()) }
+// lastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
+func (s *discoverySource) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
+
+// countOlderAnswer counts an answer with an older version. Once all addresses have given one, discovery has
+// perhaps been restored from less, and the next watch asks for the full list; one of several addresses may lag
+// behind for a time.
+func (s *discoverySource) countOlderAnswer() {
+	s.olderAnswers++
+	if s.olderAnswers >= len(s.addrs) {
+		s.version = 0
+		s.olderAnswers = 0
+	}
+}
 
-// ring is the addresses of a place, of which one is asked until a call there fails.
+// addressRing is the addresses of a source, of which one is called until a call to it fails.
 type addressRing struct {
 	addrs   []string
 	current atomic.Uint32
 }
 
-// now is the address to ask, and which that is.
-func (r *addressRing) address() (addr string, at uint32) {
-	at = r.current.Load()
-	return r.addrs[int(at)%len(r.addrs)], at
+// address is the address to call, and its index for advance.
+func (r *addressRing) address() (addr string, index uint32) {
+	index = r.current.Load()
+	return r.addrs[int(index)%len(r.addrs)], index
 }
 
-// failed goes on to the next address, unless another call has done so already.
-func (r *addressRing) advance(at uint32) { r.current.CompareAndSwap(at, at+1) }
+// advance moves on to the next address after a failure, unless another call has done so already.
+func (r *addressRing) advance(index uint32) { r.current.CompareAndSwap(index, index+1) }
 
-// order is all addresses in an agent's own order, by a hash of its name: the agents begin spread over
-// the addresses, and those of one that fails go on to different ones. An address is in the place that
-// its own hash with the name gives it, so that another that comes or goes moves few agents.
+// orderAddresses returns all addresses in an agent's own order, by rendezvous hashing with its name: the agents
+// begin spread over the addresses, and those of an address that fails move on to different ones. An address
+// that is added or removed moves few agents.
 func orderAddresses(addrs []string, name string) []string {
-	out := make([]string, 0, len(addrs))
+	rank := func(addr string) uint64 { return mixHash(hashString(name + "\x00" + addr)) }
+	ordered := make([]string, 0, len(addrs))
 	for _, addr := range addrs {
-		at := len(out)
-		for i, o := range out {
-			if mixHash(hashString(name+"\x00"+addr)) < mixHash(hashString(name+"\x00"+o)) {
-				at = i
-				break
-			}
+		position := slices.IndexFunc(ordered, func(other string) bool { return rank(addr) < rank(other) })
+		if position < 0 {
+			position = len(ordered)
 		}
-		out = append(out[:at:at], append([]string{addr}, out[at:]...)...)
+		ordered = slices.Insert(ordered, position, addr)
 	}
-	return out
+	return ordered
 }
--- a/internal/agent/discovery_watch.go
+++ b/internal/agent/discovery_watch.go
@@ -8,77 +8,86 @@
 	"time"
 )
 
-// followFirst and followMost bound the wait, doubled at each failure and jittered,
-// before a watch that the agent keeps by itself is opened anew.
+// minWatchBackoff and maxWatchBackoff bound the wait, doubled at each failure and jittered, before a watch that
+// the agent keeps by itself is reopened.
 const minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
 
-// follow keeps a watch until ctx ends.
+// keepWatch keeps a watch until ctx ends.
 func (d *discoveryClient) keepWatch(ctx context.Context) {
 	for wait := minWatchBackoff; ctx.Err() == nil; wait = min(2*wait, maxWatchBackoff) {
 		answered := d.watch(ctx)
 		if answered {
 			wait = minWatchBackoff
 		}
-		pause := wait/2 + rand.N(wait/2)
-		if d.backoff != nil {
-			if answered {
-				d.backoff.reset()
-			}
-			pause = d.backoff.nextDelay(len(d.currentSource().addrs))
-		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(d.reopenDelay(wait, answered)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// watch follows the changes, until a call fails or ctx ends, and tells whether any call
-// was answered. The next call goes out before the last answer is even handed on: a
-// watch lives for 200 ms without one, and a new watch loads discovery.
-func (d *discoveryClient) watch(ctx context.Context) (answered bool) {
-	call := func() chan listResponse {
-		at, done := d.currentSource(), make(chan listResponse, 1)
-		from, after := at.version, at.lastAnswer()
-		go func() {
-			l, err := d.get(ctx, at, fmt.Sprintf("?index=%d&wait=%d%s", from, watchWait.Milliseconds(), d.settingsWatch.query()),
-				watchWait+callGrace, from)
-			done <- listResponse{source: at, list: l, watch: true, complete: from == 0, lastAnswer: after, err: err}
-		}()
-		return done
+// reopenDelay is the wait before the watch is reopened: by the backoff over all addresses, or where there is
+// only one, the given wait with jitter.
+func (d *discoveryClient) reopenDelay(wait time.Duration, answered bool) time.Duration {
+	if d.backoff == nil {
+		return wait/2 + rand.N(wait/2)
 	}
-	for next := call(); ; {
-		n := <-next
-		switch {
-		case errors.Is(n.err, errDiscoveryMoved):
-			next = call()
+	if answered {
+		d.backoff.reset()
+	}
+	return d.backoff.nextDelay(len(d.currentSource().addrs))
+}
+
+// watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
+// call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
+// a new watch is a load on it.
+func (d *discoveryClient) watch(ctx context.Context) (answered bool) {
+	next := d.startWatchCall(ctx)
+	for {
+		response := <-next
+		if errors.Is(response.err, errDiscoveryMoved) {
+			next = d.startWatchCall(ctx)
 			continue
-		case ctx.Err() != nil:
+		}
+		if ctx.Err() != nil {
 			return answered
-		case errors.Is(n.err, errOlderVersion):
-			// Started again from less, perhaps: the next watch asks for all it has. Of several
-			// addresses one may have less for a time.
-			if n.source.olderAnswers++; n.source.olderAnswers >= len(n.source.addrs) {
-				n.source.version, n.source.olderAnswers = 0, 0
-			}
 		}
-		if n.err != nil {
-			d.onResponse(n)
+		if response.err != nil {
+			if errors.Is(response.err, errOlderVersion) {
+				response.source.countOlderAnswer()
+			}
+			d.onResponse(response)
 			return answered
 		}
-		n.source.version, n.source.olderAnswers = n.list.Version, 0
-		settings := n.list.Settings
+		response.source.version = response.list.Version
+		response.source.olderAnswers = 0
+		settings := response.list.Settings
 		if settings == nil {
-			next = call()
+			next = d.startWatchCall(ctx)
 		}
-		// An empty answer says nothing, but the first is the answer to the call.
-		if !answered || n.complete || n.list.Full || len(n.list.Servers) > 0 {
-			d.onResponse(n)
+		// An empty response brings nothing, but the first one shows that the watch is open.
+		if !answered || response.complete || response.list.Full || len(response.list.Servers) > 0 {
+			d.onResponse(response)
 		}
 		answered = true
-		if settings != nil { // the next call tells what has become of them
+		if settings != nil {
+			// The next call reports whether these settings are in force.
 			d.settingsWatch.receive(ctx, settings)
-			next = call()
+			next = d.startWatchCall(ctx)
 		}
 	}
 }
+
+// startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
+func (d *discoveryClient) startWatchCall(ctx context.Context) <-chan listResponse {
+	source := d.currentSource()
+	done := make(chan listResponse, 1)
+	version := source.version
+	response := listResponse{source: source, watch: true, complete: version == 0, lastAnswer: source.lastAnswer()}
+	go func() {
+		query := fmt.Sprintf("?index=%d&wait=%d%s", version, watchWait.Milliseconds(), d.settingsWatch.query())
+		response.list, response.err = d.get(ctx, source, query, watchWait+callGrace, version)
+		done <- response
+	}()
+	return done
+}
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.eventLoop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
+	a.loop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
 		return newLateWriteConn(lastByte), nil
 	}
 	ended := make(chan error, 1)
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -5,20 +5,19 @@
 	"net"
 )
 
-// Listeners are what one agent listens on.
+// Listeners are the sockets that one agent listens on.
 type Listeners struct {
-	// Clients is where clients come; nil: nowhere, and all else of the agent runs (it is hollow).
+	// Clients is where clients connect; nil: nowhere, while everything else of the agent runs.
 	Clients net.Listener
-	// Shared tells that other processes accept from the clients' queue too: it
-	// outlives this process.
+	// Shared tells that other processes accept from the clients' queue too: it outlives this process.
 	Shared bool
-	// Lock is the file that tells such processes of each other.
+	// Lock is the path of the file by which such processes find each other.
 	Lock string
-	// Operators is their door; nil: there is none.
+	// Operators is where the admin endpoint listens; nil: there is none.
 	Operators net.Listener
 }
 
-// noClients is a listener to which nobody comes.
+// unusedListener is a listener that accepts nobody.
 type unusedListener struct {
 	closed context.Context
 	close  context.CancelFunc
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -6,29 +6,35 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// Status is what an agent has counted and knows.
+// Status is a snapshot of what an agent knows and has counted.
 type Status struct {
-	// Fleet is the view; nil: there is none.
+	// Fleet is the membership view; nil: there is none.
 	Fleet *membership.Status
-	// ListVersion is the list's that is in force, and Servers what it lists.
+	// ListVersion is the version of the endpoint list in force, and Servers the number of servers in it.
 	ListVersion uint64
 	Servers     int
-	// SettingsVersion is the settings' that are in force; 0: they came from a file.
+	// SettingsVersion is the version of the settings in force; 0: they came from a file.
 	SettingsVersion uint64
-	// ListIn and ListOut are bytes of calls to discovery, their heads counted, and ListCalls the
-	// calls, since the start.
+	// ListIn and ListOut are the bytes of calls to discovery, their heads included, and ListCalls the calls,
+	// since the start.
 	ListIn, ListOut, ListCalls uint64
 }
 
-// Status tells the agent's counts; it never waits for its work.
+// Status returns the agent's status; it never waits for the agent's work.
 func (a *Agent) Status() Status {
-	n, l := &a.eventLoop.discovery.counters, &a.eventLoop.published
-	s := Status{ListVersion: l.listVersion.Load(), Servers: int(l.servers.Load()),
-		SettingsVersion: l.settingsVersion.Load(),
-		ListIn:          n.bytesIn.Load(), ListOut: n.bytesOut.Load(), ListCalls: n.calls.Load()}
-	if view := a.membership.Load(); view != nil {
-		status := view.Status(math.MaxUint64)
-		s.Fleet = &status
+	counters := &a.loop.discovery.counters
+	published := &a.loop.published
+	status := Status{
+		ListVersion:     published.listVersion.Load(),
+		Servers:         int(published.servers.Load()),
+		SettingsVersion: published.settingsVersion.Load(),
+		ListIn:          counters.bytesIn.Load(),
+		ListOut:         counters.bytesOut.Load(),
+		ListCalls:       counters.calls.Load(),
 	}
-	return s
+	if member := a.membership.Load(); member != nil {
+		fleet := member.Status(math.MaxUint64)
+		status.Fleet = &fleet
+	}
+	return status
 }
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.eventLoop.pool.dial = servers.dial
+	a.loop.pool.dial = servers.dial
 	return a, nil
 }
 
