--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,55 +12,58 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// longestWait is how long a deadline counts for the platform at the most.
+// maxCountedTimeout is the longest request timeout that the platform's delay before SIGKILL allows for.
 const maxCountedTimeout = 3 * time.Second
 
-// Config is what the platform tells one agent, validated.
+// Config is the validated configuration of one agent.
 type Config struct {
-	Name      string
+	Name string
+	// Listen is where clients connect, and Discovery the first address of the discovery service.
 	Listen    string
 	Discovery string
-	// Management is where operators call; empty: nowhere.
+	// Management is the address of the admin endpoint; empty: there is none.
 	Management string
 	Seed       uint64
 	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	Known      List
-	Settings   balancer.Settings
-	Zones      []string // names of zones and of machine kinds, by the number the module knows
-	Kinds      []string
-	// Fleet is how this agent and the others keep a view of each other; nil: they do not.
+	MemoryMB   int // MiB
+	Sockets    int // descriptors that the process may have
+	// Known is the endpoint list that is in force until discovery has responded.
+	Known    List
+	Settings balancer.Settings
+	// Zones and Kinds are the names of zones and of machine kinds, by the number that the policy knows.
+	Zones []string
+	Kinds []string
+	// Fleet is how this agent and the others keep a membership view; nil: they do not.
 	Fleet *membership.Config
-	// Control is what the list service tells beside the list, and where; nil: nothing.
+	// Control is what the discovery service sends beside the list, and where; nil: nothing.
 	Control *Control
 
-	// What follows is no part of the file: who runs the agent sets it, before the start.
+	// The fields below are not in the file: the host of the agent sets them before the start.
 
 	// Log takes the agent's lines; nil: slog.Default().
 	Log *slog.Logger
-	// Hooks are told what happens.
+	// Hooks are called when something has happened.
 	Hooks Hooks
-	// Clock is the machine's; nil: the system's.
+	// Clock is the machine's clock; nil: the system's.
 	Clock clock.Clock
 	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
 	CallFrom net.IP
 
-	text            map[string]any     // the file, to compare the next with
-	serviceSettings *endpoint.Settings // those in force, where the list service told them
+	text            map[string]any     // the file as JSON, to compare the next one with
+	serviceSettings *endpoint.Settings // those in force where they came from the discovery service
 }
 
-// Hooks are called when something has happened, each where it is not nil, from goroutines of the
-// agent's own: one that waits holds up the agent.
+// Hooks are called when something has happened, each where it is not nil, from goroutines of the agent: a hook
+// that waits blocks the agent.
 type Hooks struct {
-	// OnList is told each version of the list once the module has it: the one known at the start
-	// too, if it has one, and of two answers of one version the first.
+	// OnList is called with each version of the endpoint list once the policy has it: also with the one known
+	// at the start, if there is one, and only with the first of two responses of one version.
 	OnList func(version uint64)
-	// OnSettings is told when other settings are in force, and their version: 0 for those that a
-	// file brought, as it has none.
+	// OnSettings is called when other settings are in force, with their version: 0 for those of a file, which
+	// has none.
 	OnSettings func(version uint64)
-	// OnMemoryLimit is told the bytes that the process should keep within from now on, where it
-	// shares its limits with another.
+	// OnMemoryLimit is called with the bytes that the process should keep within from now on, where it shares
+	// its limits with another process.
 	OnMemoryLimit func(bytes int64)
 }
 
@@ -78,31 +81,33 @@
 	return c.Log
 }
 
-// addresses are those of discovery, each once, "discovery" first.
+// addresses are the addresses of discovery without duplicates, "discovery" first.
 func (c *Config) addresses() []string {
 	all := []string{c.Discovery}
-	if c.Control != nil {
-		for _, addr := range c.Control.Addresses {
-			if !slices.Contains(all, addr) {
-				all = append(all, addr)
-			}
+	if c.Control == nil {
+		return all
+	}
+	for _, addr := range c.Control.Addresses {
+		if !slices.Contains(all, addr) {
+			all = append(all, addr)
 		}
 	}
 	return all
 }
 
-// heldFor is how long requests are held after SIGTERM at the most. SIGKILL comes no sooner
-// than the longest deadline (but longestWait) and 0.7 s after it: what came while connections
-// still did has its whole time up to that, and its final answer well before the kill.
+// drainTime is how long open requests are finished after SIGTERM at the most. SIGKILL comes no sooner than the
+// longest timeout (but maxCountedTimeout) and 0.7 s after SIGTERM: a request that came while connections were
+// still accepted has its whole timeout up to that, and its final response well before the kill.
 func (c *Config) drainTime() time.Duration {
-	held := 100 * time.Millisecond
+	longest := 100 * time.Millisecond
 	for _, class := range c.Settings.Classes {
-		held = max(held, min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)+50*time.Millisecond)
+		timeout := min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)
+		longest = max(longest, timeout+50*time.Millisecond)
 	}
-	return drainAcceptTime + held
+	return drainAcceptTime + longest
 }
 
-// settingsVersion is that of the settings in force, 0 where they are the file's.
+// settingsVersion is the version of the settings, 0 where they are the file's.
 func (c *Config) settingsVersion() uint64 {
 	if c.serviceSettings == nil {
 		return 0
--- a/internal/agent/config_control.go
+++ b/internal/agent/config_control.go
@@ -16,59 +16,72 @@
 // maxServiceName bounds the name of a service, in bytes, as the discovery service does.
 const maxServiceName = 128
 
-// Control is the section "control" of the configuration: how the agent is reached by what the
-// list service tells beside the list.
+// Control is the section "control" of the configuration: which settings the agent takes from the discovery
+// service, and at which addresses.
 type Control struct {
-	// Service is whose settings the agent takes; empty: those of its file alone.
+	// Service is the service whose settings the agent takes; empty: only those of its file.
 	Service string `json:"service"`
-	// Addresses are further addresses of discovery, host:port, of instances that tell one list.
+	// Addresses are further addresses of discovery, host:port, of instances that return the same list.
 	Addresses []string `json:"addresses"`
 }
 
-// parseControl reads the section; an error names the key that is unknown or makes no sense.
+// parseControl reads the section; an error names the key that is unknown or has an invalid value.
 func parseControl(text []byte) (*Control, error) {
-	c := new(Control)
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.DisallowUnknownFields()
-	err := dec.Decode(c)
-	var bad *json.UnmarshalTypeError
-	switch {
-	case errors.As(err, &bad) && bad.Field != "":
-		return nil, fmt.Errorf("control: %s: cannot be a %s", bad.Field, bad.Value)
-	case err != nil:
-		return nil, fmt.Errorf("control: %s", strings.TrimPrefix(err.Error(), "json: "))
-	}
-	if _, err := dec.Token(); err != io.EOF {
-		return nil, errors.New("control: more than one value")
+	control, err := decodeControl(text)
+	if err != nil {
+		return nil, err
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(text, &keys); err != nil || len(keys) == 0 {
 		return nil, errors.New("control: must have service, addresses or both")
 	}
 	for key, value := range keys {
-		if strings.EqualFold(key, "service") && !isServiceName(c.Service) {
-			return nil, fmt.Errorf("control: service: %.40q is no name: want 1 to %d bytes, no / and no control characters", c.Service, maxServiceName)
+		if strings.EqualFold(key, "service") && !isServiceName(control.Service) {
+			return nil, fmt.Errorf("control: service: %.40q is no name: want 1 to %d bytes, no / and no control characters",
+				control.Service, maxServiceName)
 		}
-		if strings.EqualFold(key, "addresses") && len(c.Addresses) == 0 {
+		if strings.EqualFold(key, "addresses") && len(control.Addresses) == 0 {
 			return nil, fmt.Errorf("control: addresses: must name one at least, is %.40s", value)
 		}
 	}
-	for i, addr := range c.Addresses {
+	for i, addr := range control.Addresses {
 		if !isHostPort(addr) {
 			return nil, fmt.Errorf("control: addresses[%d]: %q is no host:port", i, addr)
 		}
 	}
-	return c, nil
+	return control, nil
+}
+
+// decodeControl decodes the section's JSON, which must be one object with known keys.
+func decodeControl(text []byte) (*Control, error) {
+	control := new(Control)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(control)
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Field != "" {
+		return nil, fmt.Errorf("control: %s: cannot be a %s", typeError.Field, typeError.Value)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("control: %s", strings.TrimPrefix(err.Error(), "json: "))
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, errors.New("control: more than one value")
+	}
+	return control, nil
 }
 
 // isHostPort tells whether calls may be made to an address.
 func isHostPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
-	n, err2 := strconv.ParseUint(port, 10, 16)
-	return err == nil && err2 == nil && n > 0 && host != "" && !strings.ContainsAny(host, "/?#@ ")
+	if err != nil || host == "" || strings.ContainsAny(host, "/?#@ ") {
+		return false
+	}
+	number, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && number > 0
 }
 
-// isName tells whether the list service takes a text as a service's name.
+// isServiceName tells whether the discovery service accepts a text as a service's name.
 func isServiceName(s string) bool {
 	return s != "" && s != "." && s != ".." && len(s) <= maxServiceName && utf8.ValidString(s) &&
 		!strings.Contains(s, "/") && !strings.ContainsFunc(s, unicode.IsControl)
--- a/internal/agent/config_file.go
+++ b/internal/agent/config_file.go
@@ -14,7 +14,14 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// file is the form of $PROXY_CONFIG.
+const (
+	// minMemoryMB is the smallest memory limit, in MiB.
+	minMemoryMB = 16
+	// revisionLength is the length of a commit's short name.
+	revisionLength = 12
+)
+
+// configFile is the form of $PROXY_CONFIG.
 type configFile struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -31,38 +38,39 @@
 	Control  json.RawMessage `json:"control"`
 	Settings json.RawMessage `json:"settings"`
 
-	text map[string]any // all of it
+	text map[string]any // all of the file
 }
 
-// LoadConfig reads the configuration from the environment and from the file it
-// names. Where both tell a thing the environment wins: it is what the platform
-// set for this very start.
+// LoadConfig reads the configuration from the environment and from the file that it names. Where both set a
+// value the environment has precedence: the platform set it for this start.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
 	}
-	for _, over := range []struct {
-		name string
-		to   *string
-	}{{"PROXY_NAME", &f.Name}, {"PROXY_LISTEN", &f.Listen}, {"PROXY_DISCOVERY", &f.Discovery},
-		{"PROXY_MANAGEMENT", &f.Management}} {
-		if v := getenv(over.name); v != "" {
-			*over.to = v
+	overrides := map[string]*string{
+		"PROXY_NAME":       &f.Name,
+		"PROXY_LISTEN":     &f.Listen,
+		"PROXY_DISCOVERY":  &f.Discovery,
+		"PROXY_MANAGEMENT": &f.Management,
+	}
+	for name, field := range overrides {
+		if value := getenv(name); value != "" {
+			*field = value
 		}
 	}
 	return f.config()
 }
 
-// ReloadConfig reads the file again, in service. What the file says now is later than
-// what the environment said at the start, so the file wins. A key that was there in the file
-// in force and is not now is an error: read as a zero it would be a setting nobody made.
-func ReloadConfig(getenv func(string) string, now *Config) (*Config, error) {
+// ReloadConfig reads the file again, in service. The file is later than the environment of the start, so the
+// file has precedence. A key that the file in force has and the new one lacks is an error: read as a zero it
+// would be a setting that nobody made.
+func ReloadConfig(getenv func(string) string, inForce *Config) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
 	}
-	return f.reloaded(now)
+	return f.reloaded(inForce)
 }
 
 // ParseConfig reads a configuration of the form of $PROXY_CONFIG's file; an error names the key.
@@ -75,52 +83,33 @@
 }
 
 // ParseReload reads such a configuration as ReloadConfig does, in place of the one in force.
-func ParseReload(text []byte, now *Config) (*Config, error) {
+func ParseReload(text []byte, inForce *Config) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	return f.reloaded(now)
+	return f.reloaded(inForce)
 }
 
-// after is the configuration that takes the place of now.
-func (f *configFile) reloaded(now *Config) (*Config, error) {
-	if key := missingKey(now.text, f.text); key != "" {
+// reloaded is the configuration that replaces the one in force.
+func (f *configFile) reloaded(inForce *Config) (*Config, error) {
+	if key := missingKey(inForce.text, f.text); key != "" {
 		return nil, fmt.Errorf("config: %s: missing, though it was there before", key)
 	}
 	return f.config()
 }
 
-// missing names a key that an object has and its successor has not; "" if there is none.
-// Of a list of objects only the keys count that all of them have.
-func missingKey(now, then map[string]any) string {
-	for key, old := range now {
-		value := then[key]
+// missingKey names a key that an object has and its successor lacks; "" if there is none. In a list of objects
+// only the keys count that all of them have.
+func missingKey(before, after map[string]any) string {
+	for key, old := range before {
+		value := after[key]
 		if value == nil && old != nil {
 			return key
 		}
-		within := ""
-		switch old := old.(type) {
-		case map[string]any:
-			value, ok := value.(map[string]any)
-			if !ok {
-				return key
-			}
-			within = missingKey(old, value)
-		case []any:
-			value, ok := value.([]any)
-			if !ok {
-				return key
-			}
-			if key == "known" || key == "servers" {
-				continue // the list is another at any time
-			}
-			common := commonKeys(old)
-			for i := range value {
-				if item, ok := value[i].(map[string]any); ok && within == "" {
-					within = missingKey(common, item)
-				}
-			}
+		within, ok := missingWithin(key, old, value)
+		if !ok {
+			return key
 		}
 		if within != "" {
 			return key + "." + within
@@ -129,8 +118,45 @@
 	return ""
 }
 
-// commonKeys is an object of the keys that all objects of a list have, but for those that
-// only some effects of a class call for.
+// missingWithin names a key that a value has and its successor lacks; ok is false where the successor is of
+// another type.
+func missingWithin(key string, before, after any) (within string, ok bool) {
+	switch before := before.(type) {
+	case map[string]any:
+		object, ok := after.(map[string]any)
+		if !ok {
+			return "", false
+		}
+		return missingKey(before, object), true
+	case []any:
+		list, ok := after.([]any)
+		if !ok {
+			return "", false
+		}
+		if key == "known" || key == "servers" {
+			return "", true // the endpoint list changes at any time
+		}
+		return missingInList(before, list), true
+	}
+	return "", true
+}
+
+func missingInList(before, after []any) string {
+	common := commonKeys(before)
+	for _, item := range after {
+		object, ok := item.(map[string]any)
+		if !ok {
+			continue
+		}
+		if key := missingKey(common, object); key != "" {
+			return key
+		}
+	}
+	return ""
+}
+
+// commonKeys is an object of the keys that all objects of a list have, without those that only classes that
+// are idempotent by key need.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, item := range list {
@@ -151,7 +177,7 @@
 func readFile(getenv func(string) string) (*configFile, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("config: PROXY_CONFIG is not set")
+		return nil, errors.New("config: PROXY_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -166,71 +192,127 @@
 
 func parseFile(text []byte) (*configFile, error) {
 	f := new(configFile)
-	for _, to := range []any{f, &f.text} {
-		if err := json.Unmarshal(text, to); err != nil {
-			return nil, err
-		}
+	if err := json.Unmarshal(text, f); err != nil {
+		return nil, err
+	}
+	if err := json.Unmarshal(text, &f.text); err != nil {
+		return nil, err
 	}
 	return f, nil
 }
 
+// config checks the file and makes the configuration of it; an error names the key.
 func (f *configFile) config() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known, text: f.text,
-		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery},
-		{"management", c.Management}} {
-		if a.key == "management" && a.value == "" {
-			continue
-		}
-		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return nil, fmt.Errorf("config: %s: %q is no host:port", a.key, a.value)
-		}
+	c := &Config{
+		Name:       f.Name,
+		Listen:     f.Listen,
+		Discovery:  f.Discovery,
+		Management: f.Management,
+		Cores:      f.Limits.Cores,
+		MemoryMB:   f.Limits.MemoryMB,
+		Sockets:    f.Limits.Sockets,
+		Known:      f.Known,
+		text:       f.text,
 	}
-	switch {
-	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
-		return nil, fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
-	case c.MemoryMB < 16:
-		return nil, fmt.Errorf("config: limits.memory_mb: must be 16 at least, is %d", c.MemoryMB)
-	case c.Sockets < minSockets:
-		return nil, fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
 	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if err := c.checkLimits(); err != nil {
+		return nil, err
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
 		return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
+	c.Seed = seed
 	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("config: settings: none given")
+		return nil, errors.New("config: settings: none given")
 	}
 	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if len(f.Control) > 0 {
-		if c.Control, err = parseControl(f.Control); err != nil {
-			return nil, fmt.Errorf("config: %w", err)
-		}
-		if c.Name == "" {
-			return nil, errors.New("config: name: none given, which control needs")
-		}
+	if err := c.parseControlSection(f.Control); err != nil {
+		return nil, err
+	}
+	if err := c.parseFleetSection(f.Fleet); err != nil {
+		return nil, err
 	}
-	if len(f.Fleet) > 0 {
-		if c.Fleet, err = membership.Parse(f.Fleet); err != nil {
-			return nil, fmt.Errorf("config: %w", err)
+	return c, nil
+}
+
+func (c *Config) checkAddresses() error {
+	addresses := []struct{ key, value string }{
+		{"listen", c.Listen},
+		{"discovery", c.Discovery},
+		{"management", c.Management},
+	}
+	for _, address := range addresses {
+		if address.key == "management" && address.value == "" {
+			continue
 		}
-		c.Fleet.Name, c.Fleet.Size = c.Name, c.Settings.FleetSize
-		if c.Fleet.Version = buildRevision(); c.Sockets < minSockets+membership.Sockets {
-			return nil, fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", minSockets+membership.Sockets, c.Sockets)
+		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
+			return fmt.Errorf("config: %s: %q is no host:port", address.key, address.value)
 		}
 	}
-	return c, nil
+	return nil
 }
 
-// version is the commit that the program was built from, as far as the build tells.
+func (c *Config) checkLimits() error {
+	switch {
+	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
+		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
+	case c.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	}
+	return nil
+}
+
+// parseControlSection reads the section "control" where there is one.
+func (c *Config) parseControlSection(text json.RawMessage) error {
+	if len(text) == 0 {
+		return nil
+	}
+	control, err := parseControl(text)
+	if err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	if c.Name == "" {
+		return errors.New("config: name: none given, which control needs")
+	}
+	c.Control = control
+	return nil
+}
+
+// parseFleetSection reads the section "fleet" where there is one.
+func (c *Config) parseFleetSection(text json.RawMessage) error {
+	if len(text) == 0 {
+		return nil
+	}
+	fleet, err := membership.Parse(text)
+	if err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	if least := minSockets + membership.Sockets; c.Sockets < least {
+		return fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", least, c.Sockets)
+	}
+	fleet.Name = c.Name
+	fleet.Size = c.Settings.FleetSize
+	fleet.Version = buildRevision()
+	c.Fleet = fleet
+	return nil
+}
+
+// buildRevision is the commit that the program was built from, "unknown" where the build does not tell.
 func buildRevision() string {
-	if info, ok := debug.ReadBuildInfo(); ok {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value[:min(len(s.Value), 12)]
-			}
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(len(setting.Value), revisionLength)]
 		}
 	}
 	return "unknown"
--- a/internal/agent/config_limits.go
+++ b/internal/agent/config_limits.go
@@ -1,33 +1,35 @@
 package agent
 
-import (
-	"fernbeam.example/fernbeam/internal/membership"
-)
+import "fernbeam.example/fernbeam/internal/membership"
 
 const (
 	// minSockets leaves a few connections to each side beside the reserve.
 	minSockets = 64
-	// fixedSockets are what a process takes whatever comes: three streams, the poller's two,
-	// its two listeners, the lock, four calls to discovery, the file that is read at a reload,
-	// and one connection that is accepted before another is closed.
+	// fixedSockets are the descriptors that a process always needs: three standard streams, two of the poller,
+	// its two listeners, the lock, four calls to discovery, the file that is read at a reload, and one
+	// connection that is accepted before another is closed.
 	fixedSockets = 14
-	// leastReserve lets two processes stand side by side with two operators each.
+	// minReserve lets two processes run side by side with two admin connections each.
 	minReserve = 2 * (fixedSockets + 2)
 )
 
-// clientConns and backendConns divide the descriptors: neither side can take the other's, nor
-// the reserve, which is for operators and what a process takes whatever comes.
-func (c *Config) clientConns() int { return (c.ownSockets() - max(c.ownSockets()/8, minReserve)) / 2 }
+// clientConns and serverConns divide the descriptors: neither side can use the other's, nor the reserve, which
+// is for admin connections and for fixedSockets.
+func (c *Config) clientConns() int {
+	sockets := c.ownSockets()
+	reserve := max(sockets/8, minReserve)
+	return (sockets - reserve) / 2
+}
 
 func (c *Config) serverConns() int { return c.clientConns() }
 
-// operatorConns are the operators' connections where the reserve is shared by so many processes.
+// adminConns is the number of admin connections of a process where the reserve is shared by so many processes.
 func (c *Config) adminConns(processes int) int {
 	reserve := c.ownSockets() - c.clientConns() - c.serverConns()
 	return min(reserve/processes-fixedSockets, maxAdminConns)
 }
 
-// ownSockets are the descriptors but those that the fleet view takes, where there is one.
+// ownSockets are the descriptors without those of the membership view, where there is one.
 func (c *Config) ownSockets() int {
 	if c.Fleet == nil {
 		return c.Sockets
@@ -35,6 +37,6 @@
 	return c.Sockets - membership.Sockets
 }
 
-// MemoryLimit is the memory that the runtime is to keep within, long before the limit over
-// which the agent would be killed.
+// MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
+// agent would be killed.
 func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
--- a/internal/agent/config_settings.go
+++ b/internal/agent/config_settings.go
@@ -12,13 +12,20 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// takeSettings reads and checks the settings of a configuration; an error names the key.
+// settingsKey is the key of the settings in the configuration's file.
+const settingsKey = "settings"
+
+// agentOnlyKeys are the keys of the settings that belong to one agent: they come from its file, also where the
+// discovery service sets the others.
+var agentOnlyKeys = []string{"index", "zone"}
+
+// parseSettings reads and checks the settings of a configuration; an error names the key.
 func (c *Config) parseSettings(text []byte) error {
 	settings, err := wire.ParseSettings(text)
 	if err != nil {
 		return err
 	}
-	// The module knows zones and kinds by number only; discovery names them.
+	// The policy knows zones and kinds by number only; discovery names them.
 	var names struct {
 		Zones []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
@@ -26,60 +33,74 @@
 	if err := json.Unmarshal(text, &names); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Settings, c.Zones, c.Kinds = settings, names.Zones, names.Kinds
+	c.Settings = settings
+	c.Zones = names.Zones
+	c.Kinds = names.Kinds
 	_, err = policy.New(c.Settings, c.Seed)
 	return err
 }
 
-// withTold is the configuration with settings that the list service told in place of its own, but
-// for index and zone. The rules are ReloadConfig's: an error names the key that can't be used, or
-// that the settings in force have and these lack.
-func (c *Config) withServiceSettings(s *endpoint.Settings) (*Config, error) {
-	var text map[string]any
-	if err := json.Unmarshal(s.Value, &text); err != nil || text == nil {
+// withServiceSettings is the configuration with settings of the discovery service in place of its own, except
+// for agentOnlyKeys. The rules are those of ReloadConfig: an error names the key that can't be used, or that
+// the settings in force have and the new ones lack.
+func (c *Config) withServiceSettings(settings *endpoint.Settings) (*Config, error) {
+	var object map[string]any
+	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
 		return nil, errors.New("settings: not a JSON object")
 	}
-	// encoding/json takes a key in any case for a field's.
-	maps.DeleteFunc(text, func(key string, _ any) bool { return strings.EqualFold(key, "index") || strings.EqualFold(key, "zone") })
-	own, _ := c.text["settings"].(map[string]any)
-	for _, key := range []string{"index", "zone"} {
-		if value, ok := own[key]; ok {
-			text[key] = value
-		}
-	}
-	if key := missingKey(own, text); key != "" {
+	maps.DeleteFunc(object, func(key string, _ any) bool { return isAgentOnlyKey(key) })
+	ownObject, _ := c.text[settingsKey].(map[string]any)
+	maps.Copy(object, agentOnly(ownObject))
+	if key := missingKey(ownObject, object); key != "" {
 		return nil, fmt.Errorf("settings: %s: missing, though it was there before", key)
 	}
-	n := *c
-	if err := n.parseSettings(s.Value); err != nil {
+	next := *c
+	if err := next.parseSettings(settings.Value); err != nil {
 		return nil, err
 	}
-	n.Settings.Index, n.Settings.Zone = c.Settings.Index, c.Settings.Zone
-	n.text = maps.Clone(c.text)
-	if n.text == nil {
-		n.text = map[string]any{}
+	next.Settings.Index = c.Settings.Index
+	next.Settings.Zone = c.Settings.Zone
+	next.text = maps.Clone(c.text)
+	if next.text == nil {
+		next.text = map[string]any{}
 	}
-	n.text["settings"], n.serviceSettings = text, s
-	return &n, nil
+	next.text[settingsKey] = object
+	next.serviceSettings = settings
+	return &next, nil
 }
 
-// withForced is the configuration, which a file brought, with the settings of the one in force where
-// those came from the list service: they win over a file's.
-func (c *Config) keepServiceSettings(now *Config) (*Config, error) {
-	if now.serviceSettings == nil {
+// keepServiceSettings is the configuration, which a file brought, with the settings of the one in force where
+// those came from the discovery service: they have precedence over a file's.
+func (c *Config) keepServiceSettings(inForce *Config) (*Config, error) {
+	if inForce.serviceSettings == nil {
 		return c, nil
 	}
-	n := *c
-	n.text = maps.Clone(c.text)
-	if own, ok := c.text["settings"].(map[string]any); ok {
-		// The file's other keys count no more, and so can't be missed.
-		kept := map[string]any{}
-		for _, key := range []string{"index", "zone"} {
-			if value, ok := own[key]; ok {
-				kept[key] = value
-			}
+	next := *c
+	next.text = maps.Clone(c.text)
+	if ownObject, ok := c.text[settingsKey].(map[string]any); ok {
+		// The file's other keys no longer count, and so can't be missing.
+		next.text[settingsKey] = agentOnly(ownObject)
+	}
+	return next.withServiceSettings(inForce.serviceSettings)
+}
+
+// agentOnly is the part of a settings object that belongs to one agent.
+func agentOnly(object map[string]any) map[string]any {
+	part := map[string]any{}
+	for _, key := range agentOnlyKeys {
+		if value, ok := object[key]; ok {
+			part[key] = value
+		}
+	}
+	return part
+}
+
+// isAgentOnlyKey compares as encoding/json does, which takes a key in any case for a field's.
+func isAgentOnlyKey(key string) bool {
+	for _, own := range agentOnlyKeys {
+		if strings.EqualFold(key, own) {
+			return true
 		}
-		n.text["settings"] = kept
 	}
-	return n.withServiceSettings(now.serviceSettings)
+	return false
 }
--- a/internal/agent/settings_watch.go
+++ b/internal/agent/settings_watch.go
@@ -15,24 +15,25 @@
 // maxRejectionReason bounds the reason of a rejection that is reported to discovery, in bytes.
 const maxRejectionReason = 200
 
-// settingsWatch is what a watch tells the list service of the settings that the agent has, and
-// asks of it. The watch's goroutine changes what was refused, and whoever reloads forgets it.
+// errAgentStopping ends the application of settings by an agent that stops.
+var errAgentStopping = errors.New("the agent ends")
+
+// settingsWatch is what the watch of discovery asks for and reports of the settings of a service. The watch's
+// goroutine changes what was rejected, and the goroutine that applies reloads forgets it.
 type settingsWatch struct {
 	service, agent string
-	// take takes settings over and returns once they are in force; an error is why they are not:
-	// errNotServing where nothing is taken over any more.
+	// apply applies settings and returns once they are in force. An error says why they are not:
+	// errAgentStopping where nothing is applied any more.
 	apply func(context.Context, *endpoint.Settings) error
 
-	mu                              sync.Mutex
-	appliedVersion, rejectedVersion uint64
-	rejectionReason                 string
-	ended                           bool
+	mu              sync.Mutex
+	appliedVersion  uint64
+	rejectedVersion uint64 // 0: none since the last settings that were applied
+	rejectionReason string
+	ended           bool // nothing is applied any more
 }
 
-// errNotServing ends the taking over of settings by an agent that ends.
-var errAgentStopping = errors.New("the agent ends")
-
-// query is what a call of the watch has beside its index; "" once nothing is taken over any more.
+// query is what a call of the watch has beside its index; "" once nothing is applied any more.
 func (w *settingsWatch) query() string {
 	if w == nil {
 		return ""
@@ -42,47 +43,55 @@
 	if w.ended {
 		return ""
 	}
-	q := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
+	query := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
 		endpoint.QueryAgent, url.QueryEscape(w.agent), endpoint.QueryInForce, w.appliedVersion)
 	if w.rejectedVersion > 0 {
-		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.rejectedVersion, endpoint.QueryWhy, url.QueryEscape(w.rejectionReason))
+		query += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.rejectedVersion,
+			endpoint.QueryWhy, url.QueryEscape(w.rejectionReason))
 	}
-	return q
+	return query
 }
 
-// come takes settings that an answer brought, unless they are no newer than what was taken or
-// refused: a version never goes back.
-func (w *settingsWatch) receive(ctx context.Context, s *endpoint.Settings) {
-	w.mu.Lock()
-	old := s.Version <= max(w.appliedVersion, w.rejectedVersion)
-	w.mu.Unlock()
-	if old {
+// receive applies settings that a response brought, unless they are no newer than those that were applied or
+// rejected: a version never goes back.
+func (w *settingsWatch) receive(ctx context.Context, settings *endpoint.Settings) {
+	if !w.isNewer(settings.Version) {
 		return
 	}
-	err := w.apply(ctx, s)
+	err := w.apply(ctx, settings)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case errors.Is(err, errAgentStopping):
 		w.ended = true
 	case err != nil:
-		w.rejectedVersion, w.rejectionReason = s.Version, shortLine(err.Error(), maxRejectionReason)
+		w.rejectedVersion = settings.Version
+		w.rejectionReason = shortLine(err.Error(), maxRejectionReason)
 	default:
-		w.appliedVersion, w.rejectedVersion, w.rejectionReason = s.Version, 0, ""
+		w.appliedVersion = settings.Version
+		w.rejectedVersion = 0
+		w.rejectionReason = ""
 	}
 }
 
-// retry forgets what was refused, so that it is told and judged again: what it was refused for may
-// have changed.
+func (w *settingsWatch) isNewer(version uint64) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return version > max(w.appliedVersion, w.rejectedVersion)
+}
+
+// forgetRejection forgets what was rejected, so that it is sent and checked again: the reason may be gone.
 func (w *settingsWatch) forgetRejection() {
-	if w != nil {
-		w.mu.Lock()
-		w.rejectedVersion, w.rejectionReason = 0, ""
-		w.mu.Unlock()
+	if w == nil {
+		return
 	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.rejectedVersion = 0
+	w.rejectionReason = ""
 }
 
-// shortLine is a text without control characters, cut to so many bytes.
+// shortLine is a text without control characters, cut to a number of bytes.
 func shortLine(text string, limit int) string {
 	text = strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
