--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -4,116 +4,118 @@
 	"bufio"
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"slices"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// settleTime is how long a connection rests before it carries another message. A backend may
-// bring a second answer some milliseconds late; one that comes later than this would be
-// taken for the next message's.
-const settleTime = 20 * time.Millisecond
+const (
+	// settleTime is how long a connection rests before it carries another message. A server may send a second
+	// response some milliseconds late; one that came later than this would be taken for the next message's.
+	settleTime = 20 * time.Millisecond
+	// defaultConnectTimeout and defaultKeepalive apply where the settings give none.
+	defaultConnectTimeout, defaultKeepalive = time.Second, time.Second
+)
 
-// pool makes attempts and keeps idle connections. http.Transport is not used on
-// purpose: it sends again by itself on a broken kept connection, and does not
-// tell whether the last byte was written, on which hangs whether an attempt may
-// have run.
-type connectionPool struct {
-	maxConns int
-	budget   quota
-	dial     dialFunc // nil: dialTCP
+// errNoDescriptor ends a connect for which no descriptor is left.
+var errNoDescriptor = errors.New("no descriptor left for a connection")
+
+// dialFunc opens a connection to a server until a time.
+type dialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
 
-	mu             sync.Mutex
-	connectTimeout time.Duration
-	keepalive      time.Duration // idle connections older than this are not used again
+// connectionPool makes attempts and keeps idle connections. http.Transport is not used, as it retries by itself
+// on a broken kept connection, and does not tell whether the last byte was written, on which it depends whether
+// an attempt may have executed.
+type connectionPool struct {
+	budget quota    // of bytes of buffered response bodies
+	dial   dialFunc // nil: dialTCP
 
+	mu              sync.Mutex
+	maxConns        int
+	connectTimeout  time.Duration
+	keepalive       time.Duration            // connections that have been idle for longer are not used
 	idle            map[string][]*serverConn // by address, the most recently used last
 	closed          bool                     // nothing is kept any more
-	openConns       int
-	connectAttempts int // connects since the start
+	openConns       int                      // open or being opened
+	connectAttempts int                      // since the start
 	idleTimes       idleTimeModel
 }
 
-type serverConn struct {
-	net.Conn
-	reader    *bufio.Reader
-	addr      string
-	createdAt time.Time
-	idleSince time.Time     // idle since
-	uses      int           // requests carried
-	idledFor  time.Duration // before the one it carries now
-}
-
-// story tells what broke a connection, and whether it was a kept one.
-func (c *serverConn) describeFailure(err error) string {
-	return fmt.Sprintf("%v on request %d of a connection opened %d ms ago and idle for %d ms before", err, c.uses,
-		time.Since(c.createdAt).Milliseconds(), c.idledFor.Milliseconds())
-}
-
-var errNoDescriptor = errors.New("no descriptor left for a connection")
-
-func newConnectionPool(c *Config) *connectionPool {
-	p := &connectionPool{maxConns: c.serverConns(), budget: newBodyBudget(c), idle: map[string][]*serverConn{}}
-	p.applySettings(c)
+func newConnectionPool(cfg *Config) *connectionPool {
+	p := &connectionPool{
+		maxConns: cfg.serverConns(),
+		budget:   newBodyBudget(cfg),
+		idle:     map[string][]*serverConn{},
+	}
+	p.applySettings(cfg)
 	return p
 }
 
-// limit bounds the connections from now on.
-func (p *connectionPool) setLimit(most int) {
+// setLimit bounds the connections from now on.
+func (p *connectionPool) setLimit(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.maxConns = most; p.openConns > p.maxConns && p.evict(); {
+	p.maxConns = maxConns
+	for p.openConns > p.maxConns {
+		if !p.evict() {
+			return
+		}
 	}
 }
 
-// retune puts the settings in force for connections from now on.
-func (p *connectionPool) applySettings(c *Config) {
+// applySettings puts the settings in force for connections from now on.
+func (p *connectionPool) applySettings(cfg *Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connectTimeout = milliseconds(c.Settings.Limits.ConnectTimeoutMs)
-	// The backend closes at keepalive at the latest; half of it is well before.
-	p.keepalive = milliseconds(c.Settings.Limits.KeepaliveMs / 2)
+	p.connectTimeout = milliseconds(cfg.Settings.Limits.ConnectTimeoutMs)
 	if p.connectTimeout <= 0 {
-		p.connectTimeout = time.Second
+		p.connectTimeout = defaultConnectTimeout
 	}
+	// The server closes at its keepalive time at the latest; half of it is well before.
+	p.keepalive = milliseconds(cfg.Settings.Limits.KeepaliveMs / 2)
 	if p.keepalive <= 0 {
-		p.keepalive = time.Second
+		p.keepalive = defaultKeepalive
 	}
 }
 
-// get returns an idle connection that is still good and has rested, the most recently used
-// first, or opens one.
+// acquire returns an idle connection that is alive and has rested, the most recently used first, or opens one.
 func (p *connectionPool) acquire(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	for {
-		p.mu.Lock()
-		list := p.idle[addr]
-		i := len(list) - 1
-		for i >= 0 && time.Since(list[i].idleSince) < settleTime {
-			i--
+		conn, idleLimit := p.takeRested(addr)
+		if conn == nil {
+			return p.open(ctx, addr, deadline)
 		}
-		if i < 0 {
-			break
+		conn.idledFor = time.Since(conn.idleSince)
+		if conn.idledFor < idleLimit && isIdleConnAlive(conn.Conn) {
+			return conn, nil
 		}
-		cn := list[i]
-		p.idle[addr] = slices.Delete(list, i, i+1)
-		limit := p.idleTimes.limit(p.keepalive)
-		p.mu.Unlock()
-		if cn.idledFor = time.Since(cn.idleSince); cn.idledFor < limit && isIdleConnAlive(cn.Conn) {
-			return cn, nil
+		p.discard(conn)
+	}
+}
+
+// takeRested takes an idle connection that has rested out of the pool, with the idle time that it may have
+// had; nil: there is none.
+func (p *connectionPool) takeRested(addr string) (conn *serverConn, idleLimit time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	list := p.idle[addr]
+	for i := len(list) - 1; i >= 0; i-- {
+		if time.Since(list[i].idleSince) >= settleTime {
+			conn := list[i]
+			p.idle[addr] = slices.Delete(list, i, i+1)
+			return conn, p.idleTimes.limit(p.keepalive)
 		}
-		p.discard(cn)
 	}
-	if p.openConns >= p.maxConns && !p.evict() {
-		p.mu.Unlock()
-		return nil, errNoDescriptor
+	return nil, 0
+}
+
+// open opens a connection, for which it closes an idle one at the limit.
+func (p *connectionPool) open(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
+	until, err := p.reserve(deadline)
+	if err != nil {
+		return nil, err
 	}
-	p.openConns++
-	p.connectAttempts++
-	until := earliest(deadline, time.Now().Add(p.connectTimeout))
-	p.mu.Unlock()
 	nc, err := p.dialServer(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
@@ -121,7 +123,24 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &serverConn{Conn: nc, reader: bufio.NewReaderSize(nc, maxResponseHead), addr: addr, createdAt: time.Now()}, nil
+	return &serverConn{
+		Conn:      nc,
+		reader:    bufio.NewReaderSize(nc, maxResponseHead),
+		addr:      addr,
+		createdAt: time.Now(),
+	}, nil
+}
+
+// reserve counts a connection that is about to be opened, and returns until when that may take.
+func (p *connectionPool) reserve(deadline time.Time) (until time.Time, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.openConns >= p.maxConns && !p.evict() {
+		return time.Time{}, errNoDescriptor
+	}
+	p.openConns++
+	p.connectAttempts++
+	return earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
 func (p *connectionPool) dialServer(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
@@ -131,8 +150,13 @@
 	return dialTCP(ctx, addr, until)
 }
 
-// evict closes the connection that has been idle longest, to make room for
-// another backend's. The lock is held.
+func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
+
+// evict closes the connection that has been idle longest, so that one to another server can be opened, and
+// tells whether there was any. The caller has the lock.
 func (p *connectionPool) evict() bool {
 	var oldest *serverConn
 	for _, list := range p.idle {
@@ -144,46 +168,52 @@
 		return false
 	}
 	p.idle[oldest.addr] = p.idle[oldest.addr][1:]
-	p.openConns--
-	oldest.Close()
+	p.closeConn(oldest)
 	return true
 }
 
-func (p *connectionPool) release(cn *serverConn, b *upstreamServer) {
-	cn.SetDeadline(time.Time{})
-	cn.idleSince = time.Now()
+// closeConn closes a connection and no longer counts it. The caller has the lock.
+func (p *connectionPool) closeConn(conn *serverConn) {
+	p.openConns--
+	_ = conn.Close() // it is given up, whatever its state
+}
+
+// release keeps a connection for the next message to its server, unless that is not to have any.
+func (p *connectionPool) release(conn *serverConn, server *upstreamServer) {
+	conn.setDeadline(time.Time{})
+	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b.unavailable.Load() || p.closed {
-		p.openConns--
-		cn.Close()
+	if server.unavailable.Load() || p.closed {
+		p.closeConn(conn)
 		return
 	}
-	p.idle[cn.addr] = append(p.idle[cn.addr], cn)
+	p.idle[conn.addr] = append(p.idle[conn.addr], conn)
 }
 
-func (p *connectionPool) discard(cn *serverConn) {
-	cn.Close()
+// discard closes a connection that is not idle.
+func (p *connectionPool) discard(conn *serverConn) {
+	_ = conn.Close() // it is given up, whatever its state
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.openConns--
-	p.mu.Unlock()
 }
 
-// note takes the use of a kept connection for what is known of idle times.
+// recordIdleUse records the use of a kept connection for the model of idle times.
 func (p *connectionPool) recordIdleUse(idled time.Duration, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleTimes.record(idled, lost)
 }
 
-// idleLimit is how long a connection may idle by what is known now.
+// idleLimit is how long a connection may be idle by what is known now.
 func (p *connectionPool) idleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.idleTimes.limit(p.keepalive)
 }
 
-// patience is how long a connect may take.
+// connectTimeLimit is how long a connect may take.
 func (p *connectionPool) connectTimeLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,76 +227,47 @@
 	return p.openConns
 }
 
-// connects is the number of connections that were tried to open since the start.
+// connectCount is the number of connects since the start, whether they succeeded or not.
 func (p *connectionPool) connectCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectAttempts
 }
 
-// hangUp closes the idle connections to an address.
+// closeIdle closes the idle connections to an address.
 func (p *connectionPool) closeIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, cn := range p.idle[addr] {
-		p.openConns--
-		cn.Close()
+	for _, conn := range p.idle[addr] {
+		p.closeConn(conn)
 	}
 	delete(p.idle, addr)
 }
 
-// end closes what idles, and what falls idle from now on.
+// shutdown closes the idle connections, and those that become idle from now on.
 func (p *connectionPool) shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.closed = true; p.evict(); {
+	p.closed = true
+	for evicted := true; evicted; {
+		evicted = p.evict()
 	}
 }
 
-// sweep closes connections that have idled too long.
+// closeExpired closes the connections that have been idle for too long.
 func (p *connectionPool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := p.idleTimes.limit(p.keepalive)
 	for addr, list := range p.idle {
-		n := 0
-		for n < len(list) && time.Since(list[n].idleSince) >= limit {
-			p.openConns--
-			list[n].Close()
-			n++
+		expiredCount := 0
+		for expiredCount < len(list) && time.Since(list[expiredCount].idleSince) >= limit {
+			p.closeConn(list[expiredCount])
+			expiredCount++
 		}
-		if p.idle[addr] = list[n:]; n == len(list) {
+		p.idle[addr] = list[expiredCount:]
+		if len(p.idle[addr]) == 0 {
 			delete(p.idle, addr)
 		}
 	}
 }
-
-// dialFunc opens a connection to a backend until a time.
-type dialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
-
-func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	return dialer.DialContext(ctx, "tcp", addr)
-}
-
-// alive tells whether an idle connection is still open and silent. One that the
-// peer closed, or that brings bytes nobody asked for, must not carry a request:
-// it would end as a reset, which may have run.
-func isIdleConnAlive(nc net.Conn) bool {
-	sc, ok := nc.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	good := false
-	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		good = errors.Is(err, syscall.EAGAIN)
-		return true
-	})
-	return err == nil && good
-}
--- /dev/null
+++ b/internal/agent/server_conn.go
@@ -0,0 +1,88 @@
+package agent
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"syscall"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// expired is a deadline that makes whatever reads or writes end at once.
+var expired = time.Unix(1, 0)
+
+// serverConn is a connection to a server.
+type serverConn struct {
+	net.Conn
+	reader    *bufio.Reader
+	addr      string
+	createdAt time.Time
+	idleSince time.Time
+	uses      int           // requests carried
+	idledFor  time.Duration // before the request that it carries now
+}
+
+// Setting a deadline fails only on a connection that is closed, where the next read or write fails too.
+
+func (c *serverConn) setDeadline(t time.Time)      { _ = c.SetDeadline(t) }
+func (c *serverConn) setReadDeadline(t time.Time)  { _ = c.SetReadDeadline(t) }
+func (c *serverConn) setWriteDeadline(t time.Time) { _ = c.SetWriteDeadline(t) }
+
+// expire ends the reads and writes of the connection at once; expireReads and expireWrites end one of them.
+func (c *serverConn) expire()       { c.setDeadline(expired) }
+func (c *serverConn) expireReads()  { c.setReadDeadline(expired) }
+func (c *serverConn) expireWrites() { c.setWriteDeadline(expired) }
+
+// reusableAfter tells whether the connection may carry another message after a response was read completely.
+// Bytes that the server sent beyond it must not be taken for the next response.
+func (c *serverConn) reusableAfter(resp *http.Response) bool {
+	return !resp.Close && c.reader.Buffered() == 0
+}
+
+// describeFailure tells the log what broke the connection, and whether it was a kept one.
+func (c *serverConn) describeFailure(err error) string {
+	return fmt.Sprintf("%v on request %d of a connection opened %d ms ago and idle for %d ms before", err, c.uses,
+		time.Since(c.createdAt).Milliseconds(), c.idledFor.Milliseconds())
+}
+
+// brokenResult is the end of an attempt that may have executed, by an error before any response.
+func (c *serverConn) brokenResult(err error) exchangeResult {
+	status := brokenStatus(err)
+	return exchangeResult{attemptResult: attemptResult{
+		status:         status,
+		reason:         c.describeFailure(err),
+		connectionLost: status == balancer.StatusReset,
+	}}
+}
+
+// unsentResult is the end of an attempt whose last byte was not written.
+func (c *serverConn) unsentResult(err error) exchangeResult {
+	failed := attemptResult{status: writeFailureStatus(err), reason: c.describeFailure(err)}
+	return exchangeResult{attemptResult: failed, unsent: true}
+}
+
+// isIdleConnAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
+// brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
+// executed.
+func isIdleConnAlive(nc net.Conn) bool {
+	socket, ok := nc.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return false
+	}
+	silent := false
+	err = raw.Read(func(fd uintptr) bool {
+		var one [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		silent = errors.Is(err, syscall.EAGAIN)
+		return true
+	})
+	return err == nil && silent
+}
--- a/internal/agent/upstream_attempt.go
+++ b/internal/agent/upstream_attempt.go
@@ -12,163 +12,201 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// backend is one listed server. Its fields belong to the loop, but for closed.
+// healthCheckPath is the path of a server's health check.
+const healthCheckPath = "/-/healthy"
+
+// errClientGone ends an attempt whose client has closed its connection.
+var errClientGone = errors.New("client closed the connection")
+
+// upstreamServer is one listed server. Its fields belong to the event loop, except for unavailable.
 type upstreamServer struct {
 	id          string
-	policyAddr  balancer.Addr // what the module calls it
-	addr        string        // where it listens, as told to this agent last
-	removed     bool
-	inFlight    int         // attempts out
-	unavailable atomic.Bool // told to drain or gone: read by attempts just before they write
+	policyAddr  balancer.Addr // what the policy calls it
+	addr        string        // its network address, as this agent's list gave it last
+	removed     bool          // the list no longer has it
+	inFlight    int           // attempts and health checks in flight
+	unavailable atomic.Bool   // draining or removed: read by attempts just before they write
 }
 
-// result is how one attempt ended.
-type attemptResult struct {
-	status         balancer.Status
-	reason         string // what ended a failed attempt, for the log
-	connectionLost bool   // the connection broke before any answer
-	latencyMs      float64
-	header         http.Header
-	body           *responseBody
-	clientErr      error // what the client broke off in the middle of its body
-}
-
-// message is what goes to a backend.
+// upstreamMessage is what an attempt sends to a server.
 type upstreamMessage struct {
-	// request is made for the time that is left.
+	// newRequest makes the request for the time that is left.
 	newRequest func(left time.Duration) *http.Request
-	// sendBy is when a repeat's time is over: nothing is begun later. Zero: it is none.
+	// sendBy is until when a retry may be sent. Zero: there is no limit.
 	sendBy time.Time
-	// gone tells whether who sent it has left; nil: it can't be told.
+	// clientGone checks whether the client has closed its connection; nil: that can't be checked.
 	clientGone func() bool
-	// long is the part of its body that is not kept; nil: there is none.
+	// streamed is the part of the body that is not buffered; nil: all of it is.
 	streamed *streamedBody
-	// within is the time that the answer to a long one has from its last byte on.
+	// responseTime is the time for the response to a streamed request, from its last byte on.
 	responseTime time.Duration
-	// written is told when the last byte of a long one is written.
+	// onSent is called when the last byte of a streamed request is written.
 	onSent func()
 }
 
-// barred tells whether the message must not be begun at b any more, and how its attempt ends. The
-// connect may have taken long: the drain grace runs from the telling, backends drop repeats for a
-// time only, and the client may have left meanwhile.
-func (m *upstreamMessage) unsendable(b *upstreamServer) (r attemptResult, yes bool) {
-	switch {
-	case b.unavailable.Load():
-		return attemptResult{status: balancer.StatusConnectFailed, reason: "draining or removed"}, true
-	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
-		return attemptResult{status: balancer.StatusUnsent, reason: "the deduplication window is over"}, true
-	case m.clientGone != nil && m.clientGone():
-		return attemptResult{status: balancer.StatusUnsent, reason: errClientGone.Error(), clientErr: errClientGone}, true
-	}
-	return attemptResult{}, false
+// attemptResult is how one attempt ended.
+type attemptResult struct {
+	status         balancer.Status
+	reason         string // why the attempt failed, for the log
+	connectionLost bool   // the connection broke before any response
+	latencyMs      float64
+	header         http.Header
+	body           *responseBody
+	clientErr      error // the client's error that broke off the request in the middle of its body
 }
 
-var errClientGone = errors.New("client closed the connection")
+// exchangeResult is how an exchange on one connection ended.
+type exchangeResult struct {
+	attemptResult
+	reusable bool // the connection may carry another message
+	unsent   bool // the connection broke before the last byte was written
+}
 
-// do makes one attempt and returns how it ended, exactly once. It never sends
-// anything twice. Cancelling ctx withdraws the attempt and closes its connection.
-func (p *connectionPool) attempt(ctx context.Context, b *upstreamServer, addr string, m *upstreamMessage, sent, deadline time.Time) attemptResult {
-	whole := m.streamed == nil
-	if written := m.onSent; m.streamed != nil {
-		m.onSent = func() {
-			sent, whole = time.Now(), true
-			written()
+// attempt makes one attempt and returns how it ended. It never sends anything twice. Cancelling ctx cancels the
+// attempt and closes its connection.
+func (p *connectionPool) attempt(
+	ctx context.Context, server *upstreamServer, addr string, message *upstreamMessage, startedAt, deadline time.Time,
+) attemptResult {
+	sent := message.streamed == nil
+	if message.streamed != nil {
+		notify := message.onSent
+		message.onSent = func() {
+			startedAt = time.Now()
+			sent = true
+			notify()
 		}
 	}
-	r := p.exchange(ctx, b, addr, m, deadline)
-	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
-	// off a connect; an answer that was already there stands.
-	if ctx.Err() != nil && r.status != balancer.StatusOK && r.status != balancer.StatusOverloaded {
-		if r.status = balancer.StatusCancelled; !whole && !m.streamed.complete() && r.clientErr == nil {
-			r.status = balancer.StatusUnsent // its last byte was never sent
+	result := p.exchange(ctx, server, addr, message, deadline)
+	// A cancelled attempt says nothing of its server, also where the cancellation cut off a connect; a response
+	// that was already there stands.
+	if ctx.Err() != nil && result.status != balancer.StatusOK && result.status != balancer.StatusOverloaded {
+		result.status = balancer.StatusCancelled
+		if !sent && !message.streamed.complete() && result.clientErr == nil {
+			result.status = balancer.StatusUnsent // its last byte was never sent
 		}
 	}
-	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
-	return r
+	result.latencyMs = millisecondsSince(startedAt)
+	return result
 }
 
-// probe asks a backend whether it is healthy, over the connections that attempts use.
-// It is given up after twice the time that a connect may take: a backend that lets a
-// cheap answer wait for so long is not validated.
-func (p *connectionPool) healthCheck(ctx context.Context, b *upstreamServer, addr, host string) attemptResult {
-	m := &upstreamMessage{newRequest: func(time.Duration) *http.Request {
-		return &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/-/healthy"}, Host: host,
-			Header: http.Header{"User-Agent": {""}}}
+// healthCheck asks a server whether it is healthy, over the connections that attempts use. It is given up after
+// twice the time that a connect may take: a server that delays a cheap response for so long is not healthy.
+func (p *connectionPool) healthCheck(ctx context.Context, server *upstreamServer, addr, host string) attemptResult {
+	message := &upstreamMessage{newRequest: func(time.Duration) *http.Request {
+		return &http.Request{
+			Method: http.MethodGet,
+			URL:    &url.URL{Path: healthCheckPath},
+			Host:   host,
+			Header: http.Header{"User-Agent": {""}},
+		}
 	}}
-	sent := time.Now()
-	r := p.exchange(ctx, b, addr, m, sent.Add(2*p.connectTimeLimit()))
-	r.body.release() // only its status counts
-	r.latencyMs = float64(time.Since(sent).Microseconds()) / 1000
-	return r
+	startedAt := time.Now()
+	result := p.exchange(ctx, server, addr, message, startedAt.Add(2*p.connectTimeLimit()))
+	result.body.release() // only the status counts
+	result.latencyMs = millisecondsSince(startedAt)
+	return result
 }
 
-// exchange writes one message and reads its answer. A kept connection that turns out
-// broken before the last byte is written has brought nothing to the backend and says
-// nothing of it: the message goes out on the next one, and on a new one at the last.
-func (p *connectionPool) exchange(ctx context.Context, b *upstreamServer, addr string, m *upstreamMessage, deadline time.Time) attemptResult {
+// exchange writes one message and reads its response. A kept connection that turns out broken before the last
+// byte is written has brought nothing to the server and says nothing of it: the message goes out on the next
+// kept connection, and finally on a new one.
+func (p *connectionPool) exchange(
+	ctx context.Context, server *upstreamServer, addr string, message *upstreamMessage, deadline time.Time,
+) attemptResult {
 	for {
-		cn, err := p.acquire(ctx, addr, deadline)
+		conn, err := p.acquire(ctx, addr, deadline)
 		if err != nil { // not a byte was sent
 			return connectFailureResult(err)
 		}
-		kept := cn.uses > 0
-		r, unsent := p.exchangeOn(ctx, cn, b, m, deadline)
+		kept := conn.uses > 0
+		result := p.exchangeOn(ctx, conn, server, message, deadline)
 		if kept {
-			p.recordIdleUse(cn.idledFor, unsent || r.connectionLost)
+			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
 		}
-		if !unsent || !kept || ctx.Err() != nil || !time.Now().Before(deadline) || m.streamed.isConsumed() {
-			return r
+		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(deadline)
+		if !mayRetry || message.streamed.isConsumed() {
+			return result.attemptResult
 		}
 	}
 }
 
-// over makes the exchange on one connection; unsent tells that the connection broke
-// before the last byte was written.
-func (p *connectionPool) exchangeOn(ctx context.Context, cn *serverConn, b *upstreamServer, m *upstreamMessage, deadline time.Time) (r attemptResult, unsent bool) {
-	reusable := false
-	// Withdrawing makes whatever reads or writes end at once.
-	stop := context.AfterFunc(ctx, func() { cn.SetDeadline(time.Unix(1, 0)) })
-	cn.uses++
-	defer func() {
-		withdrawn := !stop()
-		switch {
-		case r.body != nil && r.body.stream != nil && !withdrawn:
-			// The connection is the stream's until that ends.
-			r.body.stream.extendDeadline(true)
-		case r.body != nil && r.body.stream != nil:
-			r.body.release()
-			r = attemptResult{status: balancer.StatusCancelled}
-		case reusable && !withdrawn:
-			p.release(cn, b)
-		default:
-			// If the withdrawal has begun its deadline would hit the next user.
-			p.discard(cn)
-		}
-	}()
-	cn.SetDeadline(deadline)
+// exchangeOn makes the exchange on one connection, and gives the connection back or closes it.
+func (p *connectionPool) exchangeOn(
+	ctx context.Context, conn *serverConn, server *upstreamServer, message *upstreamMessage, deadline time.Time,
+) exchangeResult {
+	// Cancelling makes whatever reads or writes end at once.
+	stopCancelling := context.AfterFunc(ctx, conn.expire)
+	conn.uses++
+	result := p.transfer(ctx, conn, server, message, deadline)
+	cancelled := !stopCancelling()
+	streaming := result.body != nil && result.body.stream != nil
+	switch {
+	case streaming && !cancelled:
+		// The connection is the stream's until that ends.
+		result.body.stream.extendDeadline(true)
+	case streaming:
+		result.body.release()
+		result.attemptResult = attemptResult{status: balancer.StatusCancelled}
+	case result.reusable && !cancelled:
+		p.release(conn, server)
+	default:
+		// If the cancellation has begun its deadline would hit the connection's next user.
+		p.discard(conn)
+	}
+	return result
+}
+
+// transfer writes the message on a connection and reads the response.
+func (p *connectionPool) transfer(
+	ctx context.Context, conn *serverConn, server *upstreamServer, message *upstreamMessage, deadline time.Time,
+) exchangeResult {
+	conn.setDeadline(deadline)
 	if ctx.Err() != nil {
-		return attemptResult{status: balancer.StatusConnectFailed}, false
+		return exchangeResult{attemptResult: attemptResult{status: balancer.StatusConnectFailed}}
 	}
-	if r, reusable = m.unsendable(b); reusable {
-		return r, false
+	if result, unsendable := message.unsendable(server); unsendable {
+		return exchangeResult{attemptResult: result, reusable: true}
 	}
-	req := m.newRequest(time.Until(deadline))
-	if m.streamed != nil {
-		return p.exchangeStreamed(ctx, cn, b, m, req, &reusable)
+	req := message.newRequest(time.Until(deadline))
+	if message.streamed != nil {
+		return p.exchangeStreamed(ctx, conn, server, message, req)
 	}
+	return p.exchangeBuffered(conn, server, req)
+}
+
+// exchangeBuffered makes the exchange of a message that is buffered as a whole.
+func (p *connectionPool) exchangeBuffered(
+	conn *serverConn, server *upstreamServer, req *http.Request,
+) exchangeResult {
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
-		return attemptResult{status: balancer.StatusConnectFailed, reason: err.Error()}, false
+		failed := attemptResult{status: balancer.StatusConnectFailed, reason: err.Error()}
+		return exchangeResult{attemptResult: failed}
 	}
-	if n, err := cn.Write(out.Bytes()); err != nil {
-		if n < out.Len() {
-			// The last byte never left, and the connection is closed: it cannot run.
-			return attemptResult{status: writeFailureStatus(err), reason: cn.describeFailure(err)}, true
+	if written, err := conn.Write(out.Bytes()); err != nil {
+		if written < out.Len() {
+			// The last byte was never sent, and the connection is closed: the request can't execute.
+			return conn.unsentResult(err)
 		}
-		return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
+		return exchangeResult{attemptResult: attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}}
+	}
+	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
+	resp, err := readResponseHead(conn.reader, req.Method)
+	return p.readResponse(conn, server, resp, err)
+}
+
+// unsendable tells whether the message must no longer be sent to a server, and how its attempt ends. The
+// connect may have taken long: a draining server allows requests only for a grace time, servers drop duplicates
+// only within a window, and the client may have closed its connection meanwhile.
+func (m *upstreamMessage) unsendable(server *upstreamServer) (result attemptResult, unsendable bool) {
+	switch {
+	case server.unavailable.Load():
+		return attemptResult{status: balancer.StatusConnectFailed, reason: "draining or removed"}, true
+	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
+		return attemptResult{status: balancer.StatusUnsent, reason: "the deduplication window is over"}, true
+	case m.clientGone != nil && m.clientGone():
+		reason := errClientGone.Error()
+		return attemptResult{status: balancer.StatusUnsent, reason: reason, clientErr: errClientGone}, true
 	}
-	resp, err := readResponseHead(cn.reader, req.Method)
-	r, reusable = p.readResponse(cn, b, resp, err)
-	return r, false
+	return attemptResult{}, false
 }
--- a/internal/agent/upstream_response.go
+++ b/internal/agent/upstream_response.go
@@ -12,134 +12,176 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxHead is the largest head of an answer.
-const maxResponseHead = 16 << 10
+const (
+	// maxResponseHead is the largest head of a response.
+	maxResponseHead = 16 << 10
+	// maxInterimResponses bounds the interim responses (1xx) before a final one.
+	maxInterimResponses = 8
+	// protocolPrefix is how the head of a response begins.
+	protocolPrefix = "HTTP/1."
+)
+
+var (
+	endOfHead   = regexp.MustCompile(`\n\r?\n`)
+	lengthField = regexp.MustCompile(`(?i)\ncontent-length[ \t]*:`)
+	codingField = regexp.MustCompile(`(?i)\ntransfer-encoding[ \t]*:`)
+)
 
-// read reads the answer behind its head, and tells whether the connection may carry another
-// message. An answer that is long or takes long comes back with its rest as a stream.
-func (p *connectionPool) readResponse(cn *serverConn, b *upstreamServer, resp *http.Response, err error) (r attemptResult, reusable bool) {
+// readResponse reads the response behind its head, where err is nil. A response that is long, or takes long,
+// is returned with its rest as a stream.
+func (p *connectionPool) readResponse(
+	conn *serverConn, server *upstreamServer, resp *http.Response, err error,
+) exchangeResult {
 	if resp == nil {
-		s := brokenStatus(err)
-		return attemptResult{status: s, reason: cn.describeFailure(err), connectionLost: s == balancer.StatusReset}, false
+		return conn.brokenResult(err)
 	}
-	if r.status = responseStatus(resp); r.status != balancer.StatusOK {
-		r.reason = resp.Status
-		// What it says is no one's, but it has to have come whole.
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBody))
-		if err != nil {
-			r.status, r.reason = brokenStatus(err), cn.describeFailure(err)
-		}
-		return r, err == nil && n < maxBufferedBody && !resp.Close && cn.reader.Buffered() == 0
+	status := responseStatus(resp)
+	switch {
+	case status != balancer.StatusOK:
+		return discardResponseBody(conn, resp, status)
+	case resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody && p.budget.TryAcquire(resp.ContentLength):
+		return p.readBufferedBody(conn, resp)
 	}
-	r.header = resp.Header
-	body := &responseBody{length: resp.ContentLength, budget: p.budget}
-	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody && p.budget.TryAcquire(resp.ContentLength) {
-		body.reserved, body.buffered = resp.ContentLength, make([]byte, resp.ContentLength)
-		if _, err := io.ReadFull(resp.Body, body.buffered); err != nil {
-			body.release()
-			return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
-		}
-		r.body = body
-		return r, !resp.Close && cn.reader.Buffered() == 0
+	return p.readStreamedBody(conn, server, resp)
+}
+
+// discardResponseBody reads the body of a response that is not passed on: it must be complete for the
+// connection to be used again.
+func discardResponseBody(conn *serverConn, resp *http.Response, status balancer.Status) exchangeResult {
+	read, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBody))
+	if err != nil {
+		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
+		return exchangeResult{attemptResult: failed}
+	}
+	return exchangeResult{
+		attemptResult: attemptResult{status: status, reason: resp.Status},
+		reusable:      read < maxBufferedBody && conn.reusableAfter(resp),
+	}
+}
+
+// readBufferedBody reads a body whose length the budget has reserved.
+func (p *connectionPool) readBufferedBody(conn *serverConn, resp *http.Response) exchangeResult {
+	body := &responseBody{
+		length:   resp.ContentLength,
+		budget:   p.budget,
+		reserved: resp.ContentLength,
+		buffered: make([]byte, resp.ContentLength),
+	}
+	if _, err := io.ReadFull(resp.Body, body.buffered); err != nil {
+		body.release()
+		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
+		return exchangeResult{attemptResult: failed}
 	}
-	body.stream = newStream(cn, resp.Body)
-	body.stream.close = func(whole bool) {
-		if whole && !resp.Close && cn.reader.Buffered() == 0 {
-			p.release(cn, b)
+	return servedResult(resp, body, conn.reusableAfter(resp))
+}
+
+// readStreamedBody begins the stream of a body. Where its length is not given, it first buffers what comes
+// within bufferingTime, and needs no stream if that is all.
+func (p *connectionPool) readStreamedBody(
+	conn *serverConn, server *upstreamServer, resp *http.Response,
+) exchangeResult {
+	body := &responseBody{length: resp.ContentLength, budget: p.budget, stream: newStream(conn, resp.Body)}
+	body.stream.close = func(complete bool) {
+		if complete && conn.reusableAfter(resp) {
+			p.release(conn, server)
 		} else {
-			p.discard(cn)
+			p.discard(conn)
 		}
 	}
-	r.body = body
-	if resp.ContentLength < 0 && p.budget.TryAcquire(maxBufferedBody) {
-		body.reserved = maxBufferedBody
-		var whole bool
-		if body.buffered, whole, err = body.stream.buffer(maxBufferedBody, bufferingTime); err != nil {
-			body.stream.detach()
-			body.stream = nil
-			body.release()
-			return attemptResult{status: brokenStatus(err), reason: cn.describeFailure(err)}, false
-		}
-		if whole {
-			body.length, body.stream = int64(len(body.buffered)), nil
-			return r, !resp.Close && cn.reader.Buffered() == 0
-		}
+	if resp.ContentLength >= 0 || !p.budget.TryAcquire(maxBufferedBody) {
+		return servedResult(resp, body, false)
 	}
-	return r, false
+	body.reserved = maxBufferedBody
+	buffered, complete, err := body.stream.buffer(maxBufferedBody, bufferingTime)
+	body.buffered = buffered
+	if err != nil {
+		body.stream.detach()
+		body.stream = nil
+		body.release()
+		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
+		return exchangeResult{attemptResult: failed}
+	}
+	if !complete {
+		return servedResult(resp, body, false)
+	}
+	body.length = int64(len(buffered))
+	body.stream = nil
+	return servedResult(resp, body, conn.reusableAfter(resp))
 }
 
-// broken maps what ended an attempt whose last byte was written: it may have run. The kernel's
-// ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
+func servedResult(resp *http.Response, body *responseBody, reusable bool) exchangeResult {
+	served := attemptResult{status: balancer.StatusOK, header: resp.Header, body: body}
+	return exchangeResult{attemptResult: served, reusable: reusable}
+}
+
+// brokenStatus maps the error that ended an attempt whose last byte was written: it may have executed. The
+// kernel's ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
 func brokenStatus(err error) balancer.Status {
-	var op *net.OpError
+	var opError *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balancer.StatusTimeout
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &op):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &opError):
 		return balancer.StatusReset
 	}
-	return balancer.StatusError // an answer that can't be read
+	return balancer.StatusError // a response that can't be read
 }
 
-// outcome maps a whole answer. Only the backend's own word proves that a request
-// did not run: a bare 503 or 504 may come from half-way through.
+// responseStatus maps a complete response. Only the header Not-Started of the server itself proves that a
+// request did not execute: a bare 503 or 504 may come from half-way through.
 func responseStatus(resp *http.Response) balancer.Status {
-	switch {
-	case resp.StatusCode == http.StatusOK:
+	switch resp.StatusCode {
+	case http.StatusOK:
 		return balancer.StatusOK
-	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("Not-Started") == "1":
-		return balancer.StatusOverloaded
-	case resp.StatusCode == http.StatusBadRequest:
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if resp.Header.Get("Not-Started") == "1" {
+			return balancer.StatusOverloaded
+		}
+	case http.StatusBadRequest:
 		return balancer.StatusBadRequest
 	}
 	return balancer.StatusError
 }
 
-// readHead reads the head of one final answer, passing over interim ones.
-func readResponseHead(br *bufio.Reader, method string) (*http.Response, error) {
-	for range 8 { // interim answers that may come ahead
-		if err := checkResponseHead(br); err != nil {
+// readResponseHead reads the head of a final response, skipping interim ones.
+func readResponseHead(reader *bufio.Reader, method string) (*http.Response, error) {
+	for range maxInterimResponses {
+		if err := checkResponseHead(reader); err != nil {
 			return nil, err
 		}
-		resp, err := http.ReadResponse(br, &http.Request{Method: method})
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
+		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, nil
 		}
 	}
 	return nil, errors.New("too many interim responses")
 }
 
-// checkHead waits for a whole head without taking it from br, whose size bounds it, and
-// refuses what the library would read in its own way: it holds a line of any length, and
-// reads an answer with two framings by its chunks, though the other might be meant and
-// its rest be taken for the next answer.
-func checkResponseHead(br *bufio.Reader) error {
-	const start = "HTTP/1."
-	for n := 1; ; n = br.Buffered() + 1 {
-		if _, err := br.Peek(n); err != nil {
+// checkResponseHead waits for a complete head without taking it from the reader, whose size bounds it, and
+// rejects what net/http would read in its own way: net/http buffers a line of any length, and reads a response
+// with both Content-Length and Transfer-Encoding by its chunks, though the other framing might be meant and its
+// rest be taken for the next response.
+func checkResponseHead(reader *bufio.Reader) error {
+	for needed := 1; ; needed = reader.Buffered() + 1 {
+		if _, err := reader.Peek(needed); err != nil {
 			return err
 		}
-		head, _ := br.Peek(br.Buffered())
-		if k := min(len(start), len(head)); string(head[:k]) != start[:k] {
+		head, _ := reader.Peek(reader.Buffered()) // what is buffered can always be peeked
+		compared := min(len(protocolPrefix), len(head))
+		if string(head[:compared]) != protocolPrefix[:compared] {
 			return errors.New("response is not HTTP")
 		}
 		end := endOfHead.FindIndex(head)
 		if end == nil {
 			continue
 		}
-		if head = head[:end[0]]; lengthField.Match(head) && codingField.Match(head) {
+		head = head[:end[0]]
+		if lengthField.Match(head) && codingField.Match(head) {
 			return errors.New("response has two framings")
 		}
 		return nil
 	}
 }
-
-var endOfHead = regexp.MustCompile(`\n\r?\n`)
-
-var lengthField = regexp.MustCompile(`(?i)\ncontent-length[ \t]*:`)
-
-var codingField = regexp.MustCompile(`(?i)\ntransfer-encoding[ \t]*:`)
--- a/internal/agent/upstream_streamed.go
+++ b/internal/agent/upstream_streamed.go
@@ -11,95 +11,147 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// earlyAnswer is how long the answer of a backend is waited for that takes no more of a
-// long request, and the news that all is written once its answer is there.
+// earlyResponseWait is how long a response is waited for after the write of a request failed, and the end of
+// the write after an early response.
 const earlyResponseWait = 50 * time.Millisecond
 
+// errEarlyResponse ends the write of a request whose response came before its end.
 var errEarlyResponse = errors.New("response before the end of the request")
 
-// long makes the exchange of a long message: it is written as it comes from the client, and
-// an answer that is there before its end ends it.
-func (p *connectionPool) exchangeStreamed(ctx context.Context, cn *serverConn, b *upstreamServer, m *upstreamMessage, req *http.Request, reusable *bool) (r attemptResult, unsent bool) {
-	type head struct {
-		resp *http.Response
-		err  error
+// responseHead is the end of the read of a response's head.
+type responseHead struct {
+	resp *http.Response
+	err  error
+}
+
+// streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
+// that comes before the body's end ends it.
+type streamedExchange struct {
+	conn    *serverConn
+	message *upstreamMessage
+	heads   chan responseHead
+	written chan error
+}
+
+// exchangeStreamed makes a streamedExchange on a connection.
+func (p *connectionPool) exchangeStreamed(
+	ctx context.Context, conn *serverConn, server *upstreamServer, message *upstreamMessage, req *http.Request,
+) exchangeResult {
+	x := &streamedExchange{
+		conn:    conn,
+		message: message,
+		heads:   make(chan responseHead, 1),
+		written: make(chan error, 1),
 	}
-	// Until all is written the backend has no time to keep, but for each piece.
-	cn.SetReadDeadline(time.Time{})
-	heads, written := make(chan head, 1), make(chan error, 1)
-	go func() {
-		resp, err := readResponseHead(cn.reader, req.Method)
-		heads <- head{resp, err}
-	}()
-	go func() {
-		w := bufio.NewWriterSize(serverWriter{ctx, cn, m.streamed, m.responseTime}, chunkSize)
-		err := req.Write(w)
-		if err == nil {
-			err = w.Flush()
-		}
-		written <- err
-	}()
-	var h head
+	// Until all is written the server has no deadline, except for each chunk.
+	conn.setReadDeadline(time.Time{})
+	go x.readHead(req.Method)
+	go x.write(ctx, req)
+	var head responseHead
 	var err error
 	select {
-	case err = <-written:
-		switch client := m.streamed.failure(); {
-		case err == nil:
-			m.onSent()
-			cn.SetReadDeadline(m.streamed.respondBy(m.responseTime))
-		case client != nil:
-			cn.SetReadDeadline(time.Unix(1, 0))
-			<-heads
-			return attemptResult{status: balancer.StatusCancelled, reason: "client: " + client.Error(), clientErr: client}, false
-		default: // an answer may be there, or on its way behind what was not read
-			cn.SetReadDeadline(time.Now().Add(earlyResponseWait))
-		}
-		if ctx.Err() != nil { // the deadlines just set may have undone the withdrawal's
-			cn.SetReadDeadline(time.Unix(1, 0))
-		}
-		h = <-heads
-	case h = <-heads:
-		err = errEarlyResponse
-		select {
-		case err = <-written: // only the news of it was later
-		case <-time.After(earlyResponseWait):
-		}
-		if err == nil {
-			m.onSent()
-		} else {
-			// Who writes may yet wait for the client. What that brings is gone.
-			m.streamed.consumed.Store(true)
-			cn.SetWriteDeadline(time.Unix(1, 0))
+	case err = <-x.written:
+		if clientErr := message.streamed.failure(); err != nil && clientErr != nil {
+			return x.clientFailed(clientErr)
 		}
+		head = x.awaitHead(ctx, err)
+	case head = <-x.heads:
+		err = x.stopWriting()
+	}
+	return x.finish(p, server, head, err)
+}
+
+func (x *streamedExchange) readHead(method string) {
+	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
+	resp, err := readResponseHead(x.conn.reader, method)
+	x.heads <- responseHead{resp, err}
+}
+
+func (x *streamedExchange) write(ctx context.Context, req *http.Request) {
+	to := serverWriter{ctx, x.conn, x.message.streamed, x.message.responseTime}
+	buffered := bufio.NewWriterSize(to, chunkSize)
+	err := req.Write(buffered)
+	if err == nil {
+		err = buffered.Flush()
 	}
-	if errors.Is(err, errEarlyResponse) && h.resp == nil && bodyMayHaveLeft(cn, m.streamed) {
-		status := brokenStatus(h.err)
-		return attemptResult{status: status, reason: cn.describeFailure(h.err), connectionLost: status == balancer.StatusReset}, false
+	x.written <- err
+}
+
+// clientFailed ends an exchange whose client broke off the body.
+func (x *streamedExchange) clientFailed(clientErr error) exchangeResult {
+	x.conn.expireReads()
+	<-x.heads
+	return exchangeResult{attemptResult: attemptResult{
+		status:    balancer.StatusCancelled,
+		reason:    "client: " + clientErr.Error(),
+		clientErr: clientErr,
+	}}
+}
+
+// awaitHead waits for the response's head after the write ended with err.
+func (x *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
+	if err == nil {
+		x.message.onSent()
+		x.conn.setReadDeadline(x.message.streamed.respondBy(x.message.responseTime))
+	} else {
+		// A response may be there, or on its way behind what the server did not read.
+		x.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
+	}
+	if ctx.Err() != nil { // the deadline just set may have undone the cancellation's
+		x.conn.expireReads()
+	}
+	return <-x.heads
+}
+
+// stopWriting ends the write after an early response; its error is nil if the write had ended before.
+func (x *streamedExchange) stopWriting() error {
+	err := errEarlyResponse
+	select {
+	case err = <-x.written: // only the notification of its end was later
+	case <-time.After(earlyResponseWait):
+	}
+	if err == nil {
+		x.message.onSent()
+		return nil
+	}
+	// The writer may still wait for the client. What the client sends now is lost.
+	x.message.streamed.consumed.Store(true)
+	x.conn.expireWrites()
+	return err
+}
+
+// finish reads the response behind its head, after the write ended with err.
+func (x *streamedExchange) finish(
+	p *connectionPool, server *upstreamServer, head responseHead, err error,
+) exchangeResult {
+	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(x.conn, x.message.streamed) {
+		return x.conn.brokenResult(head.err)
 	}
-	if err != nil && h.resp == nil {
-		// The last byte never left, and the connection is closed: it cannot run.
-		err = cmp.Or(h.err, err)
-		return attemptResult{status: writeFailureStatus(err), reason: cn.describeFailure(err)}, true
+	if err != nil && head.resp == nil {
+		// The last byte was never sent, and the connection is closed: the request can't execute.
+		return x.conn.unsentResult(cmp.Or(head.err, err))
 	}
-	if r, *reusable = p.readResponse(cn, b, h.resp, h.err); err != nil && r.body != nil {
-		r.body.release()
-		return attemptResult{status: balancer.StatusError, reason: err.Error()}, false
+	result := p.readResponse(x.conn, server, head.resp, head.err)
+	if err != nil && result.body != nil {
+		result.body.release()
+		return exchangeResult{attemptResult: attemptResult{status: balancer.StatusError, reason: err.Error()}}
 	}
-	*reusable = *reusable && err == nil
-	return r, false
+	result.reusable = result.reusable && err == nil
+	return result
 }
 
-// mayHaveLeft closes a connection whose writer has not told how far it came, as it may be held up, and returns
-// whether the last byte of the request may have been written: only if the body was read to its end by then.
-func bodyMayHaveLeft(cn *serverConn, body *streamedBody) bool {
-	_ = cn.Close() // whoever writes from now on fails; the pool counts the connection when it closes it
+// bodyMayHaveLeft closes a connection whose writer has not reported how far it came, as it may be blocked, and
+// returns whether the last byte of the request may have been written: only if the body was read to its end by
+// then.
+func bodyMayHaveLeft(conn *serverConn, body *streamedBody) bool {
+	_ = conn.Close() // later writes fail; the pool counts the connection when it discards it
 	return body.complete()
 }
 
-// serverWriter writes a long body to a server, which has a time for each piece, not for the
-// whole: no more than the client has if its last byte has come.
+// serverWriter writes a streamed body to a server, with a deadline for each chunk and not for the whole: no
+// later than the client's if its last byte has come.
 type serverWriter struct {
-	ctx          context.Context // withdraws the attempt
+	ctx          context.Context // cancels the attempt
 	conn         *serverConn
 	body         *streamedBody
 	responseTime time.Duration // the client's time from its last byte on
@@ -109,6 +161,6 @@
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
-	w.conn.SetWriteDeadline(earliest(time.Now().Add(stallTimeout), w.body.respondBy(w.responseTime)))
+	w.conn.setWriteDeadline(earliest(time.Now().Add(stallTimeout), w.body.respondBy(w.responseTime)))
 	return w.conn.Write(p)
 }
