--- a/internal/agent/downstream_drain.go
+++ b/internal/agent/downstream_drain.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// linger is how long connections still come after SIGTERM or a drain's start: 0.4 s at
-	// most, and what stands in the accept queue by then. Those that idle after it are closed.
+	// drainAcceptTime is how long connections still arrive after SIGTERM or the start of a drain: 0.4 s at
+	// most, and what stands in the accept queue by then. Idle connections are closed after it.
 	drainAcceptTime = 500 * time.Millisecond
-	// takenFor is how long after SIGTERM requests are still taken: what comes later is lost
-	// if the kill finds it unanswered, and can go to another process.
+	// shutdownAdmitTime is how long after SIGTERM requests are admitted: a later one is lost if the kill finds
+	// it unanswered, and can go to another process.
 	shutdownAdmitTime = 600 * time.Millisecond
-	// streamsFor is how long answers that are being passed on may take after the last request
-	// has its answer. The platform kills long before; it is for those that do not.
+	// shutdownStreamingTime is how long responses may be streamed on after the last request has its response.
+	// The platform kills long before; it is for those that do not.
 	shutdownStreamingTime = time.Minute
 )
 
-// errEnding answers operators who would have a process that ends take clients.
+// errShuttingDown answers operators who would stop the drain of a process that shuts down.
 var errShuttingDown = errors.New("the process is ending")
 
-// startDrain begins to empty the front: /-/ready says no, every answer closes its
-// connection, and what idles is closed once no more connections come.
+// startDrain begins to drain: the readiness path says no, every response closes its connection, and idle
+// connections are closed once no more connections arrive.
 func (f *downstreamServer) startDrain() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// stopDrain takes clients again.
+// stopDrain serves clients again.
 func (f *downstreamServer) stopDrain() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,25 +54,20 @@
 	return nil
 }
 
-// tellDrain tells who wants to know whether the front empties.
-func (f *downstreamServer) notifyDrain(on bool) {
+func (f *downstreamServer) notifyDrain(draining bool) {
 	if f.onDrain != nil {
-		f.onDrain(on)
+		f.onDrain(draining)
 	}
 }
 
-// shutdown ends service without losing a request: what is held has its answer within held,
-// and what is being passed on then goes on, for streamsFor at the most. An accept queue that is
-// closed resets what it holds, so while connections still come after the signal they are
-// accepted. A queue that is shared is not closed with this process's listener: what it
-// holds is for the other process, at once.
-func (f *downstreamServer) shutdown(ln *clientListener, shared bool, held time.Duration) error {
-	over := time.NewTimer(held)
+// shutdown ends service without losing a request: open requests have their response within drainTime, and
+// responses that are being streamed then go on, for shutdownStreamingTime at the most. Closing an accept queue
+// resets the connections in it, so while connections still arrive after the signal they are accepted. A shared
+// queue is not closed with this process's listener: what it holds is left to the other process, at once.
+func (f *downstreamServer) shutdown(ln *clientListener, shared bool, drainTime time.Duration) error {
+	over := time.NewTimer(drainTime)
 	defer over.Stop()
-	defer time.AfterFunc(shutdownAdmitTime, func() {
-		f.rejectsAll.Store(true)
-		f.loop.post(f.loop.cancelStreaming)
-	}).Stop()
+	defer time.AfterFunc(shutdownAdmitTime, f.rejectNew).Stop()
 	f.mu.Lock()
 	f.shuttingDown = true
 	f.serving.Store(false)
@@ -84,29 +79,47 @@
 		time.Sleep(drainAcceptTime)
 		f.acceptQueued(ln, over)
 	}
-	ln.Close()
-	f.accepting.Wait() // what was accepted last is counted by then
-	defer f.server.Close()
+	_ = ln.Close()     // its queue is empty or the other process's
+	f.accepting.Wait() // the connection accepted last is counted by then
+	defer func() { _ = f.server.Close() }()
 	defer f.cancelDrain()
-	end := func() {
-		f.loop.post(f.loop.endAll)
-		f.conns.closeAllIdle()
+	return f.awaitClients(over, drainTime)
+}
+
+// rejectNew rejects requests that are still arriving, or whose streamed body is.
+func (f *downstreamServer) rejectNew() {
+	f.rejectsAll.Store(true)
+	f.loop.post(f.loop.cancelStreaming)
+}
+
+// awaitClients waits until all client connections are closed. When over fires it ends the open requests, and
+// waits for shutdownStreamingTime more.
+func (f *downstreamServer) awaitClients(over *time.Timer, drainTime time.Duration) error {
+	if f.awaitNoneOpen(over, drainTime) {
+		return nil
 	}
-	for _, then := range []func(){end, func() {}} {
-		select {
-		case <-f.conns.noneOpen():
-			return nil
-		case <-over.C:
-			f.log.Warn("client connections still open", "count", f.conns.size(), "after", held)
-			then()
-			over.Reset(shutdownStreamingTime)
-		}
+	f.loop.post(f.loop.endAll)
+	f.conns.closeAllIdle()
+	over.Reset(shutdownStreamingTime)
+	if f.awaitNoneOpen(over, drainTime) {
+		return nil
 	}
 	return fmt.Errorf("%d client connections still open", f.conns.size())
 }
 
-// acceptQueued has the connections accepted that still wait, for a slot perhaps: closing the
-// listener would reset them. When the time is over they are left, and over fires again.
+// awaitNoneOpen waits until no client connection is open, and tells whether that was before over fired.
+func (f *downstreamServer) awaitNoneOpen(over *time.Timer, drainTime time.Duration) bool {
+	select {
+	case <-f.conns.noneOpen():
+		return true
+	case <-over.C:
+		f.log.Warn("client connections still open", "count", f.conns.size(), "after", drainTime)
+		return false
+	}
+}
+
+// acceptQueued accepts the connections that still wait, perhaps for a slot: closing the listener would reset
+// them. When over fires they are left, and over fires again.
 func (f *downstreamServer) acceptQueued(ln *clientListener, over *time.Timer) {
 	if !ln.finishQueue() {
 		return
--- a/internal/agent/downstream_request.go
+++ b/internal/agent/downstream_request.go
@@ -10,71 +10,127 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// rejectTime bounds how long what follows on a rejected request is read, so that its
-// peer can read the answer.
+// badRequestReadTime bounds how long what follows a request that was not accepted is read, so that its sender
+// can read the response.
 const badRequestReadTime = 300 * time.Millisecond
 
-// read turns a client's request into a call, its body read as far as it is kept, or says
-// what is wrong with it. What can't be used is never refused: a refusal would tell the
-// client to send the same again. The call holds some of the budget.
-func (f *downstreamServer) readRequest(w http.ResponseWriter, req *http.Request) (c *clientRequest, held int64, status int, err error) {
-	h := req.Header
-	bad := func(format string, args ...any) (*clientRequest, int64, int, error) {
-		return nil, held, http.StatusBadRequest, fmt.Errorf(format, args...)
-	}
-	if !req.ProtoAtLeast(1, 1) {
-		// Before 1.1 chunks don't count, and a body framed by them would be read as requests.
-		return nil, 0, http.StatusHTTPVersionNotSupported, fmt.Errorf("%s is not spoken here", req.Proto)
-	}
-	if req.Method != http.MethodGet && req.Method != http.MethodPost {
-		return nil, 0, http.StatusMethodNotAllowed, fmt.Errorf("method %s is not allowed", req.Method)
+// requestError says why a client's request is not one of the protocol, and the status of the response. It is
+// never a rejection, which would tell the client to send the same again.
+type requestError struct {
+	status  int
+	message string
+}
+
+func (e *requestError) Error() string { return e.message }
+
+func badRequest(format string, args ...any) *requestError {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+}
+
+// readRequest reads a client's request, with its body as far as that is buffered. The caller releases reserved
+// bytes of the body budget, also after an error.
+func (f *downstreamServer) readRequest(
+	w http.ResponseWriter, req *http.Request,
+) (c *clientRequest, reserved int64, invalid *requestError) {
+	if invalid := checkProtocol(req); invalid != nil {
+		return nil, 0, invalid
 	}
-	if req.ContentLength > maxRequestBody {
-		return nil, 0, http.StatusRequestEntityTooLarge, fmt.Errorf("body over %d bytes", maxRequestBody)
+	c = &clientRequest{
+		ctx:      req.Context(),
+		id:       req.Header.Get("Request-Id"),
+		method:   req.Method,
+		host:     req.Host,
+		url:      req.URL,
+		header:   req.Header,
+		response: make(chan finalResponse, 1),
 	}
-	c = &clientRequest{ctx: req.Context(), id: h.Get("Request-Id"), method: req.Method, host: req.Host, url: req.URL, header: h, response: make(chan finalResponse, 1)}
-	client, known := req.Context().Value(connKey{}).(*clientConn)
+	conn, known := req.Context().Value(connKey{}).(*clientConn)
 	if known {
-		c.clientGone = client.peerClosed
+		c.clientGone = conn.peerClosed
+	}
+	if invalid := c.readHeader(f.classes.Load()); invalid != nil {
+		return nil, 0, invalid
 	}
-	classes := f.classes.Load()
-	if c.rules = classes.rules[h.Get("Request-Class")]; c.rules == nil {
-		return bad("unknown Request-Class")
+	if req.ContentLength != 0 {
+		if reserved, invalid = f.readRequestBody(c, w, req); invalid != nil {
+			return nil, reserved, invalid
+		}
+	}
+	// A request's time counts from its last byte; that of a streamed one starts again with that.
+	c.arrivedAt = time.Now()
+	if known && !conn.queuedAt.IsZero() {
+		c.arrivedAt = conn.queuedAt
+	}
+	c.deadline = c.arrivedAt.Add(c.timeout)
+	return c, reserved, nil
+}
+
+// checkProtocol checks what does not depend on the request's class.
+func checkProtocol(req *http.Request) *requestError {
+	switch {
+	case !req.ProtoAtLeast(1, 1):
+		// Before 1.1 chunks don't count, and a body framed by them would be read as requests.
+		return &requestError{http.StatusHTTPVersionNotSupported, req.Proto + " is not spoken here"}
+	case req.Method != http.MethodGet && req.Method != http.MethodPost:
+		return &requestError{http.StatusMethodNotAllowed, fmt.Sprintf("method %s is not allowed", req.Method)}
+	case req.ContentLength > maxRequestBody:
+		message := fmt.Sprintf("body over %d bytes", maxRequestBody)
+		return &requestError{http.StatusRequestEntityTooLarge, message}
+	}
+	return nil
+}
+
+// readHeader reads the request's header fields, by the rules of its class.
+func (c *clientRequest) readHeader(classes *requestClasses) *requestError {
+	c.rules = classes.rules[c.header.Get("Request-Class")]
+	if c.rules == nil {
+		return badRequest("unknown Request-Class")
 	}
 	if c.id == "" {
-		return bad("no Request-Id")
+		return badRequest("no Request-Id")
 	}
-	if c.rules.Idempotency == balancer.IdempotentByKey && h.Get("Idempotency-Key") == "" {
-		return bad("no Idempotency-Key, which this class needs")
+	if c.rules.Idempotency == balancer.IdempotentByKey && c.header.Get("Idempotency-Key") == "" {
+		return badRequest("no Idempotency-Key, which this class needs")
 	}
-	left, err := strconv.Atoi(h.Get("Request-Timeout-Ms"))
-	if err != nil || left <= 0 || left > maxRequestTimeoutMs {
-		return bad("Request-Timeout-Ms is no whole number from 1 to %d", maxRequestTimeoutMs)
+	timeoutMs, err := strconv.Atoi(c.header.Get("Request-Timeout-Ms"))
+	if err != nil || timeoutMs <= 0 || timeoutMs > maxRequestTimeoutMs {
+		return badRequest("Request-Timeout-Ms is no whole number from 1 to %d", maxRequestTimeoutMs)
 	}
-	c.timeout = time.Duration(left) * time.Millisecond
-	c.retry = classes.marksRetry && h.Get("Client-Retry") == "1"
-	if dir, last := path.Split(req.URL.EscapedPath()); len(dir) > 1 && last != "" {
-		c.key = hashString(last)
+	c.timeout = time.Duration(timeoutMs) * time.Millisecond
+	c.retry = classes.marksRetry && c.header.Get("Client-Retry") == "1"
+	c.key = affinityKey(c.url.EscapedPath())
+	return nil
+}
+
+// affinityKey is the hash of a path's last element, where the path has more than one; 0: there is no key.
+func affinityKey(escapedPath string) uint64 {
+	directory, last := path.Split(escapedPath)
+	if len(directory) <= 1 || last == "" {
+		return 0
 	}
-	if req.ContentLength != 0 {
-		body := &clientBody{control: http.NewResponseController(w), from: http.MaxBytesReader(w, req.Body, maxRequestBody)}
-		var whole bool
-		if c.body, whole, held, err = f.bodyBudget.readBody(body, req.ContentLength); err != nil {
-			return bad("body can't be read: %v", err)
-		}
-		if !whole {
-			c.streamed = &streamedBody{clientBody: body, length: req.ContentLength}
-			// It goes on coming while it is answered.
-			if err := body.control.EnableFullDuplex(); err != nil {
-				return bad("body can't be streamed: %v", err)
-			}
-		}
+	return hashString(last)
+}
+
+// readRequestBody reads the part of the body that is buffered, and leaves the rest as a stream.
+func (f *downstreamServer) readRequestBody(
+	c *clientRequest, w http.ResponseWriter, req *http.Request,
+) (reserved int64, invalid *requestError) {
+	body := &clientBody{
+		control: http.NewResponseController(w),
+		from:    http.MaxBytesReader(w, req.Body, maxRequestBody),
 	}
-	// A request's time counts from its last byte; of a long one it begins again with that.
-	c.arrivedAt = time.Now()
-	if known && !client.queuedAt.IsZero() {
-		c.arrivedAt = client.queuedAt
+	buffered, complete, reserved, err := f.bodyBudget.readBody(body, req.ContentLength)
+	c.body = buffered
+	if err != nil {
+		return reserved, badRequest("body can't be read: %v", err)
 	}
-	c.deadline = c.arrivedAt.Add(c.timeout)
-	return c, held, 0, nil
+	if complete {
+		return reserved, nil
+	}
+	c.streamed = &streamedBody{clientBody: body, length: req.ContentLength}
+	// The body continues to arrive while the response is written.
+	if err := body.control.EnableFullDuplex(); err != nil {
+		return reserved, badRequest("body can't be streamed: %v", err)
+	}
+	return reserved, nil
 }
--- a/internal/agent/downstream_server.go
+++ b/internal/agent/downstream_server.go
@@ -15,31 +15,41 @@
 )
 
 const (
-	// headTime bounds how long a request's head may take to come: clients may take 2 s, and
-	// peers that bring none are owed an error or a close 3 s after connecting.
+	// requestHeadTimeout bounds how long a request's head may take to arrive: clients may take 2 s, and peers
+	// that send none must get an error or a close 3 s after connecting.
 	requestHeadTimeout = 2600 * time.Millisecond
-	// maxTimeout bounds the time that a client may give.
+	// maxRequestTimeoutMs bounds the timeout that a client may give, in ms.
 	maxRequestTimeoutMs = 60_000
+	// writeTimeout bounds the write of a response, from the request's head on.
+	writeTimeout = maxRequestTimeoutMs*time.Millisecond + 10*time.Second
+	// keepAliveTimeout is how long a client's connection may be idle.
+	keepAliveTimeout = 2 * time.Minute
+	// maxRequestHead is the largest head of a request.
+	maxRequestHead = 16 << 10
+	// readyPath is the path by which the platform asks whether clients are to connect.
+	readyPath = "/-/ready"
 )
 
-// front serves the clients.
+// downstreamServer serves the clients.
 type downstreamServer struct {
 	loop       *eventLoop
 	server     *http.Server
 	log        *slog.Logger
 	classes    atomic.Pointer[requestClasses]
-	bodyBudget quota // of requests' bodies
+	bodyBudget quota // of bytes of buffered request bodies
 	conns      *clientConns
 
-	acceptsClients atomic.Bool // clients are to come: a backend may be sent to, or was waited for
-	serving        atomic.Bool // a backend may be sent to, clients are accepted, and the end has not begun
+	// acceptsClients tells that clients should connect: a server may be sent requests, or one was waited for.
+	acceptsClients atomic.Bool
+	// serving tells that a server may be sent requests, and that the shutdown has not begun.
+	serving atomic.Bool
 
 	mu           sync.Mutex
-	draining     atomic.Bool        // clients are sent away; set under mu
-	cancelDrain  context.CancelFunc // ends the emptying
-	shuttingDown bool               // the front empties for good
-	onDrain      func(bool)         // told when emptying begins and ends; nil: nobody
-	rejectsAll   atomic.Bool        // nor are requests taken that are still coming
+	draining     atomic.Bool        // clients are to go elsewhere; set under mu
+	cancelDrain  context.CancelFunc // ends the draining; nil: there is none
+	shuttingDown bool               // the draining is for good
+	onDrain      func(bool)         // called when draining begins and ends; may be nil
+	rejectsAll   atomic.Bool        // requests that are still arriving are rejected
 
 	accepting sync.WaitGroup // serve, until it accepts no more
 }
@@ -51,9 +61,9 @@
 	f.server = &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: requestHeadTimeout,
-		WriteTimeout:      maxRequestTimeoutMs*time.Millisecond + 10*time.Second, // counts from the request's head
-		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    16 << 10,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       keepAliveTimeout,
+		MaxHeaderBytes:    maxRequestHead,
 		ConnState:         f.conns.track,
 		// A request's context ends with its client, or with the loop.
 		BaseContext: func(net.Listener) context.Context { return f.loop.ctx },
@@ -65,22 +75,25 @@
 	return f
 }
 
-// classTable has the rules of each class by its name, and what else settings say of requests.
-// It is never changed, but replaced.
+// requestClasses has the rules of each class by its name, and what else the settings say of requests. It is
+// never changed, but replaced.
 type requestClasses struct {
 	rules        map[string]*balancer.RequestRules
-	marksRetry   bool
+	marksRetry   bool // clients mark their retries
 	retryAfterMs float64
 }
 
-// retune puts the settings in force for requests that come from now on.
+// applySettings puts the settings in force for requests that arrive from now on.
 func (f *downstreamServer) applySettings(cfg *Config) {
-	t := &requestClasses{rules: map[string]*balancer.RequestRules{}, marksRetry: cfg.Settings.Clients.MarksRetry,
-		retryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs}
-	for _, c := range cfg.Settings.Classes {
-		t.rules[c.Name] = &balancer.RequestRules{Class: c, MaxAttempts: cfg.Settings.Limits.MaxAttempts}
+	classes := &requestClasses{
+		rules:        map[string]*balancer.RequestRules{},
+		marksRetry:   cfg.Settings.Clients.MarksRetry,
+		retryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs,
 	}
-	f.classes.Store(t)
+	for _, class := range cfg.Settings.Classes {
+		classes.rules[class.Name] = &balancer.RequestRules{Class: class, MaxAttempts: cfg.Settings.Limits.MaxAttempts}
+	}
+	f.classes.Store(classes)
 }
 
 // serve accepts clients until the listener is closed.
@@ -96,7 +109,7 @@
 	return fmt.Errorf("front: %w", err)
 }
 
-// acceptFailed counts and logs an accept that failed for a moment.
+// acceptFailed counts and logs an accept that failed temporarily.
 func (f *downstreamServer) acceptFailed(err error, _ uint64) {
 	f.loop.post(func() {
 		f.loop.metrics.acceptFailures++
@@ -104,7 +117,7 @@
 	})
 }
 
-// ready tells the front once a backend may be sent to.
+// setServing is called once a server may be sent requests.
 func (f *downstreamServer) setServing() {
 	f.acceptsClients.Store(true)
 	f.mu.Lock()
@@ -112,57 +125,74 @@
 	f.serving.Store(!f.shuttingDown)
 }
 
+// ServeHTTP answers one request of a client, or of the platform for readiness.
 func (f *downstreamServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	// A connection that is being closed as idle may just have brought a request. Its
-	// client can't have an answer and sends the request once more on another
-	// connection: passed on as well, this copy would run beside that one.
-	if c, ok := req.Context().Value(connKey{}).(*clientConn); ok && c.closed.Load() {
+	// A connection that is being closed as idle may just have brought a request. Its client can't get a
+	// response and sends the request again on another connection: forwarded as well, this copy would run beside
+	// that one.
+	if conn, ok := req.Context().Value(connKey{}).(*clientConn); ok && conn.closed.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	control := http.NewResponseController(w)
 	if req.ContentLength != 0 {
-		// Also a body that no one wants is read to its end, or for that long.
-		_ = control.SetReadDeadline(time.Now().Add(bodyGracePeriod))
+		// A body that is not wanted is read too: to its end, or for that long.
+		_ = control.SetReadDeadline(time.Now().Add(bodyGracePeriod)) // without deadlines it is not a client's
 	}
-	// The server reads a chunked body by its chunks and drops a length that was given
-	// with it. By that length what follows would be body still: it must not be read as
-	// a request, so nothing more is read.
+	// The server reads a chunked body by its chunks and drops a length that was given with it. By that length
+	// what follows would still be body and must not be read as a request, so nothing more is read.
 	if len(req.TransferEncoding) > 0 || f.draining.Load() {
-		w.Header().Set("Connection", "close")
+		closeAfterResponse(w)
 	}
-	if req.URL.Path == "/-/ready" {
-		if f.acceptsClients.Load() && !f.draining.Load() {
-			w.WriteHeader(http.StatusOK)
-		} else {
-			// Not a request of the protocol's, so no refusal either.
-			http.Error(w, "takes no clients", http.StatusServiceUnavailable)
-		}
+	if req.URL.Path == readyPath {
+		f.writeReadiness(w)
 		return
 	}
-	c, held, status, err := f.readRequest(w, req)
-	defer f.bodyBudget.Release(held)
-	if err != nil {
-		_ = control.SetReadDeadline(time.Now().Add(badRequestReadTime))
-		id, from := req.Header.Get("Request-Id"), req.RemoteAddr
-		f.loop.post(func() { f.loop.invalidRequest(id, from, status, err) })
-		// Who sends what is no request has no claim on what comes behind it.
-		w.Header().Set("Connection", "close")
-		http.Error(w, err.Error(), status)
+	c, reserved, invalid := f.readRequest(w, req)
+	defer f.bodyBudget.Release(reserved)
+	if invalid != nil {
+		f.writeInvalid(w, req, control, invalid)
 		return
 	}
 	if f.rejectsAll.Load() {
 		f.writeResponse(w, c, finalResponse{kind: responseRejected, retryAfterMs: f.classes.Load().retryAfterMs})
 		return
 	}
-	took := make(chan *request, 1)
-	f.loop.post(func() { took <- f.loop.startRequest(c) })
+	f.forward(w, c)
+}
+
+// forward gives a request to the event loop and writes the final response.
+func (f *downstreamServer) forward(w http.ResponseWriter, c *clientRequest) {
+	started := make(chan *request, 1)
+	f.loop.post(func() { started <- f.loop.startRequest(c) })
 	select {
-	case a := <-c.response:
-		f.writeResponse(w, c, a)
-	case <-req.Context().Done():
-		f.loop.post(func() { f.loop.discardResponse(<-took) })
-		// The client may have ended only its sending, and still read. With nothing
-		// written here the server would write an empty 200.
+	case response := <-c.response:
+		f.writeResponse(w, c, response)
+	case <-c.ctx.Done():
+		f.loop.post(func() { f.loop.discardResponse(<-started) })
+		// The client may have ended only its sending, and still read. With nothing written here the server
+		// would write an empty 200.
 		f.writeResponse(w, c, finalResponse{kind: responseFailed})
 	}
 }
+
+// writeReadiness answers the platform. The answer is not one to a request of the protocol, so no rejection.
+func (f *downstreamServer) writeReadiness(w http.ResponseWriter) {
+	if f.acceptsClients.Load() && !f.draining.Load() {
+		w.WriteHeader(http.StatusOK)
+		return
+	}
+	http.Error(w, "takes no clients", http.StatusServiceUnavailable)
+}
+
+// writeInvalid answers what is not a request of the protocol, and has its connection closed: what follows it
+// may not be a request either.
+func (f *downstreamServer) writeInvalid(
+	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *requestError,
+) {
+	_ = control.SetReadDeadline(time.Now().Add(badRequestReadTime)) // without deadlines it is not a client's
+	id := req.Header.Get("Request-Id")
+	from := req.RemoteAddr
+	f.loop.post(func() { f.loop.invalidRequest(id, from, invalid.status, invalid) })
+	closeAfterResponse(w)
+	http.Error(w, invalid.Error(), invalid.status)
+}
