--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Command agent is one agent: it takes requests from the application beside
-// it and places them on backends, as the decision module says.
+// Command agent runs one agent: it takes HTTP requests from the application beside it and forwards each to a
+// server, as the balancing policy decides.
 package main
 
 import (
@@ -19,6 +19,15 @@
 	"fernbeam.example/fernbeam/internal/agent"
 )
 
+const (
+	// listenFDVariable names the environment variable with the descriptor of an inherited client listener.
+	listenFDVariable = "PROXY_LISTEN_FD"
+	// lockFile is where processes that share a listener find each other, also those of earlier versions.
+	lockFile = "ringtrack.lock"
+	// gcPercent makes garbage collections rare, as the heap is small and the core is shared.
+	gcPercent = 400
+)
+
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "agent:", err)
@@ -27,7 +36,7 @@
 }
 
 func run() error {
-	// Before all else: without a handler the signal would end the program.
+	// Before anything else: without a handler the signal would end the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
@@ -35,64 +44,77 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	// Collect seldom, as the heap is small and the core is shared, but long
-	// before the memory limit, over which the agent would be killed.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(cfg.MemoryLimit())
-	cfg.Hooks.OnMemoryLimit = func(bytes int64) { debug.SetMemoryLimit(bytes) }
+	limitRuntime(cfg)
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	ln, err := listen(cfg, os.Getenv("PROXY_LISTEN_FD"))
+	ln, err := listen(cfg, os.Getenv(listenFDVariable))
 	if err != nil {
 		return err
 	}
-	operators := ""
+	logStart(cfg, ln)
+	reloads := make(chan *agent.Config)
+	go forwardReloads(stop, cfg, hangups, reloads)
+	return agent.Run(stop, cfg, ln, reloads)
+}
+
+// limitRuntime keeps the runtime within the agent's cores and memory: well below the memory limit over which
+// the agent would be killed.
+func limitRuntime(cfg *agent.Config) {
+	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(cfg.MemoryLimit())
+	cfg.Hooks.OnMemoryLimit = func(bytes int64) { debug.SetMemoryLimit(bytes) }
+}
+
+func logStart(cfg *agent.Config, ln agent.Listeners) {
+	admin := ""
 	if ln.Operators != nil {
-		operators = ln.Operators.Addr().String()
+		admin = ln.Operators.Addr().String()
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
-		"admin", operators, "discovery_mode", cfg.Settings.DiscoveryMode,
-		"agents", cfg.Settings.FleetSize, "known_servers", len(cfg.Known.Servers), "costs", fmt.Sprintf("%+v", cfg.Settings.Costs))
-	reloads := make(chan *agent.Config)
-	go reload(stop, cfg, hangups, reloads)
-	return agent.Run(stop, cfg, ln, reloads)
+		"admin", admin, "discovery_mode", cfg.Settings.DiscoveryMode, "agents", cfg.Settings.FleetSize,
+		"known_servers", len(cfg.Known.Servers), "costs", fmt.Sprintf("%+v", cfg.Settings.Costs))
 }
 
-// listen opens what the configuration names. The clients' listener is inherited where fd
-// names its descriptor: the platform holds it, and other processes accept from it too.
+// listen opens the listeners that the configuration names. The clients' listener is inherited where fd gives
+// its descriptor: the platform holds it, and other processes accept from it too.
 func listen(cfg *agent.Config, fd string) (ln agent.Listeners, err error) {
 	if fd != "" {
-		ln.Shared, ln.Lock = true, filepath.Join(os.TempDir(), "ringtrack.lock")
-		ln.Clients, err = inherited(fd)
+		ln.Shared = true
+		ln.Lock = filepath.Join(os.TempDir(), lockFile)
+		ln.Clients, err = inheritListener(fd)
 	} else {
 		ln.Clients, err = net.Listen("tcp", cfg.Listen)
 	}
 	if err != nil {
 		return ln, fmt.Errorf("listen: %w", err)
 	}
-	if cfg.Management != "" {
-		if ln.Operators, err = net.Listen("tcp", cfg.Management); err != nil {
-			return ln, fmt.Errorf("management: %w", err)
-		}
+	if cfg.Management == "" {
+		return ln, nil
+	}
+	ln.Operators, err = net.Listen("tcp", cfg.Management)
+	if err != nil {
+		return ln, fmt.Errorf("management: %w", err)
 	}
 	return ln, nil
 }
 
-// inherited makes a listener of a descriptor, which is the listener's own from then on.
-func inherited(fd string) (net.Listener, error) {
-	n, err := strconv.ParseUint(fd, 10, 16)
+// inheritListener makes a listener of an inherited descriptor, which it closes: the listener has a copy.
+func inheritListener(fd string) (net.Listener, error) {
+	number, err := strconv.ParseUint(fd, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("PROXY_LISTEN_FD: %q is no descriptor", fd)
+		return nil, fmt.Errorf("%s: %q is no descriptor", listenFDVariable, fd)
 	}
-	f := os.NewFile(uintptr(n), "clients")
-	defer f.Close() // the listener has a copy
-	return net.FileListener(f)
+	file := os.NewFile(uintptr(number), "clients")
+	defer func() { _ = file.Close() }() // where it is no descriptor FileListener fails
+	return net.FileListener(file)
 }
 
-// reload hands on the configuration at each hangup until stop is done. A file that
-// can't be used changes nothing.
-func reload(stop context.Context, inForce *agent.Config, hangups <-chan os.Signal, reloads chan<- *agent.Config) {
+// forwardReloads reads the configuration again at each hangup and sends it on reloads, until stop is done. A
+// file that can't be used changes nothing.
+func forwardReloads(
+	stop context.Context, inForce *agent.Config, hangups <-chan os.Signal, reloads chan<- *agent.Config,
+) {
 	for {
 		select {
 		case <-hangups:
--- a/internal/agent/admin_server.go
+++ b/internal/agent/admin_server.go
@@ -9,6 +9,7 @@
 	"math"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -18,21 +19,21 @@
 )
 
 const (
-	// callTime bounds how long a call of an operator's may take to come: its answer is
-	// due within a second.
+	// adminReadTimeout bounds how long a call may take to arrive: its response is due within a second.
 	adminReadTimeout = 800 * time.Millisecond
-	// answerTime bounds how long an operator may take to read an answer, from the call's
-	// head on.
+	// adminWriteTimeout bounds how long the response may take to be read, from the call's head on.
 	adminWriteTimeout = 2 * time.Second
-	// maxCalls bounds the operators' connections, whatever the reserve has room for.
+	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
 	maxAdminConns = 24
-	// maxCallBody bounds the body of a call, which says nothing.
+	// maxAdminBody bounds the body of a call, which is ignored.
 	maxAdminBody = 4 << 10
+	// maxAdminHead is the largest head of a call.
+	maxAdminHead = 8 << 10
 )
 
-// management is the operators' door: one call to a connection, on a listener of its own. It
-// reads and sets what the front shows in atomics and never waits for the loop, so that
-// it answers whatever the load.
+// adminServer is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It reads and
+// sets what the downstream server has in atomics and never waits for the event loop, so that it responds
+// whatever the load.
 type adminServer struct {
 	downstream *downstreamServer
 	membership *membership.Fleet // nil: there is none
@@ -40,74 +41,76 @@
 	server     *http.Server
 
 	mu           sync.Mutex
-	awaitingHead []net.Conn // connections that have not brought a whole head, the oldest first
+	awaitingHead []net.Conn // connections that have not sent a complete head, the oldest first
 	openConns    int
 	maxConns     int
 }
 
-func newAdminServer(f *downstreamServer, fl *membership.Fleet, most int) *adminServer {
-	m := &adminServer{downstream: f, membership: fl, maxConns: most, log: slog.Default()}
+func newAdminServer(downstream *downstreamServer, member *membership.Fleet, maxConns int) *adminServer {
+	m := &adminServer{downstream: downstream, membership: member, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", m.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(f.startDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(f.stopDrain))
-	if fl != nil {
+	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(downstream.startDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(downstream.stopDrain))
+	if member != nil {
 		mux.HandleFunc("GET /ops/fleet", m.membershipStatus)
 	}
 	m.server = &http.Server{
 		Handler:        mux,
 		ReadTimeout:    adminReadTimeout,
 		WriteTimeout:   adminWriteTimeout,
-		MaxHeaderBytes: 8 << 10,
+		MaxHeaderBytes: maxAdminHead,
 		ConnState:      m.track,
 	}
 	m.server.SetKeepAlivesEnabled(false)
-	m.setLogger(m.log)
+	m.setLogger(slog.Default())
 	return m
 }
 
-// limit bounds the operators' connections from now on.
-func (m *adminServer) setLimit(most int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.maxConns = most
+// setLogger sets where lines go; it is called before serve.
+func (m *adminServer) setLogger(log *slog.Logger) {
+	m.log = log
+	m.server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelWarn)
 }
 
-// logTo sets where lines go; it is called before serve.
-func (m *adminServer) setLogger(log *slog.Logger) {
-	m.log, m.server.ErrorLog = log, slog.NewLogLogger(log.Handler(), slog.LevelWarn)
+// setLimit bounds the admin connections from now on.
+func (m *adminServer) setLimit(maxConns int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.maxConns = maxConns
 }
 
 // serve answers operators until close.
 func (m *adminServer) serve(ln net.Listener) error {
 	ln = listener.New(ln, listener.LogFailures(m.log, "admin"))
 	if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("management: %w", err)
+		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
 }
 
-func (m *adminServer) close() { m.server.Close() }
+// close closes the listener and all connections; their errors say nothing of use.
+func (m *adminServer) close() { _ = m.server.Close() }
 
 func (m *adminServer) readiness(w http.ResponseWriter, _ *http.Request) {
 	if !m.downstream.serving.Load() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
-	fmt.Fprintln(w, "serving")
+	writeLine(w, "serving")
 }
 
-// members answers with the fleet view, without its members if "members" is "none", and with
-// its changes after the number that "since" gives, if it gives one.
+// membershipStatus responds with the membership view: without its members if "members" is "none", and with its
+// changes after the number that "since" gives, if it gives one.
 func (m *adminServer) membershipStatus(w http.ResponseWriter, req *http.Request) {
 	since := uint64(math.MaxUint64)
-	if s := req.FormValue("since"); s != "" {
-		n, err := strconv.ParseUint(s, 10, 64)
+	if text := req.FormValue("since"); text != "" {
+		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
 			http.Error(w, "since: no number", http.StatusBadRequest)
 			return
 		}
-		since = n
+		since = number
 	}
 	w.Header().Set("Content-Type", "application/json")
 	status := m.membership.Status(since)
@@ -119,23 +122,26 @@
 	}
 }
 
-// whole makes a call that does something once it has come whole: one cut off does nothing.
-func (m *adminServer) afterBody(do func() error) http.HandlerFunc {
+// afterBody handles a call by an action once all of its body has arrived: a call that is cut off does nothing.
+func (m *adminServer) afterBody(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxAdminBody)); err != nil {
 			http.Error(w, "the body can't be read", http.StatusBadRequest)
 			return
 		}
 		m.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
-		if err := do(); err != nil {
+		if err := action(); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
-		fmt.Fprintln(w, "done")
+		writeLine(w, "done")
 	}
 }
 
-// track closes the connection that has been silent for longest when there are too many:
+// writeLine writes a line to an operator. A failed write means that the operator has gone.
+func writeLine(w io.Writer, line string) { _, _ = fmt.Fprintln(w, line) }
+
+// track closes the connection that has sent no complete head for longest when there are too many connections:
 // callers that send nothing must not keep out those that do.
 func (m *adminServer) track(nc net.Conn, state http.ConnState) {
 	m.mu.Lock()
@@ -151,17 +157,14 @@
 		m.headArrived(nc)
 	}
 	if m.openConns > m.maxConns && len(m.awaitingHead) > 1 {
-		m.awaitingHead[0].Close() // the server's read then fails, and it reports the close
+		_ = m.awaitingHead[0].Close() // the server's read then fails, and it reports the close
 		m.awaitingHead = m.awaitingHead[1:]
 	}
 }
 
-// speaks takes a connection off the silent ones.
+// headArrived takes a connection out of those that await a head. The caller has the lock.
 func (m *adminServer) headArrived(nc net.Conn) {
-	for i, c := range m.awaitingHead {
-		if c == nc {
-			m.awaitingHead = append(m.awaitingHead[:i:i], m.awaitingHead[i+1:]...)
-			return
-		}
+	if i := slices.Index(m.awaitingHead, nc); i >= 0 {
+		m.awaitingHead = slices.Delete(m.awaitingHead, i, i+1)
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -173,6 +173,7 @@
 	if a.ln.Shared {
 		// Before the first client, so that the limits that the other process uses are left to it. There is
 		// no timer: the process that still serves knows more.
+		//nolint:contextcheck // the lock is held until the loop ends, after stop
 		if err := limits.holdLock(a.loop.ctx, a.ln.Lock); err != nil {
 			return 0, fmt.Errorf("agent: %w", err)
 		}
--- a/internal/agent/body_stream.go
+++ b/internal/agent/body_stream.go
@@ -2,49 +2,51 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"sync"
 	"time"
 )
 
-// pieceSize is what a stream holds of a body at a time; there are two.
+// chunkSize is how much of a body a stream holds at a time; there are two such chunks.
 const chunkSize = 16 << 10
 
-// piece is what one read of a body brought.
+// bodyChunk is what one read of a body returned.
 type bodyChunk struct {
 	bytes []byte
 	err   error
 }
 
-// stream is a body that is read from a server's connection while it is passed on. A
-// goroutine of its own reads one piece ahead, until the body's end or the stream's.
+// bodyStream is a body that is read from a server's connection while it is passed on. A goroutine of its own
+// reads one chunk ahead, until the end of the body or of the stream.
 type bodyStream struct {
 	chunks    chan bodyChunk
 	done      chan struct{}
 	closeOnce sync.Once
 	complete  bool // its reader has seen the end
-	// close ends the connection's use; it may carry another message if the body is whole.
-	close func(whole bool)
+	// close ends the use of the connection, which may carry another message if the body is complete.
+	close func(complete bool)
 
 	mu          sync.Mutex
 	conn        *serverConn
-	ownDeadline bool // it goes by progress, no longer by the attempt's deadline
+	ownDeadline bool // each read has its own deadline, and no longer the attempt's
 }
 
 // newStream begins to read a body, under the deadline that its connection has.
-func newStream(cn *serverConn, body io.Reader) *bodyStream {
-	s := &bodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: cn}
+func newStream(conn *serverConn, body io.Reader) *bodyStream {
+	s := &bodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: conn}
 	go s.read(body)
 	return s
 }
 
+// read reads into two buffers in turn: whoever takes a chunk is done with it before the next one.
 func (s *bodyStream) read(body io.Reader) {
-	var halves [2][chunkSize]byte
-	for i := 0; ; i = 1 - i { // whoever takes a piece is done with it before the next
+	var buffers [2][chunkSize]byte
+	for i := 0; ; i = 1 - i {
 		s.extendDeadline(false)
-		n, err := body.Read(halves[i][:])
+		n, err := body.Read(buffers[i][:])
 		select {
-		case s.chunks <- bodyChunk{halves[i][:n], err}:
+		case s.chunks <- bodyChunk{buffers[i][:n], err}:
 		case <-s.done:
 			return
 		}
@@ -54,16 +56,18 @@
 	}
 }
 
-// pace sets the deadline of a read where the stream goes by progress: from now on, if free.
-func (s *bodyStream) extendDeadline(free bool) {
+// extendDeadline sets the deadline of a read where the stream has its own ones; it has them from the first call
+// with detach on.
+func (s *bodyStream) extendDeadline(detach bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ownDeadline = s.ownDeadline || free; s.ownDeadline {
-		s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
+	s.ownDeadline = s.ownDeadline || detach
+	if s.ownDeadline {
+		s.conn.setReadDeadline(time.Now().Add(stallTimeout))
 	}
 }
 
-// end ends the stream, whole or not, and its connection's use.
+// finish ends the stream, complete or not, and its connection's use.
 func (s *bodyStream) finish() {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -71,35 +75,38 @@
 	})
 }
 
-// leave ends the stream before anyone has it; its connection is not its own then.
-func (s *bodyStream) detach() { s.closeOnce.Do(func() { close(s.done) }) }
+// detach ends the stream before anyone has it, without its connection, which is then still the attempt's.
+func (s *bodyStream) detach() {
+	s.closeOnce.Do(func() { close(s.done) })
+}
 
-// next waits for the next piece.
+// next waits for the next chunk.
 func (s *bodyStream) next() ([]byte, error) {
-	p := <-s.chunks
-	s.complete = p.err == io.EOF
-	return p.bytes, p.err
+	chunk := <-s.chunks
+	s.complete = errors.Is(chunk.err, io.EOF)
+	return chunk.bytes, chunk.err
 }
 
-// ahead gathers pieces until the body ends, has more than is kept or takes longer than is
-// waited for, and tells which.
-func (s *bodyStream) buffer(most int64, patience time.Duration) (kept []byte, whole bool, err error) {
-	over := time.NewTimer(patience)
+// buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout, and tells
+// whether it ended.
+func (s *bodyStream) buffer(limit int64, timeout time.Duration) (buffered []byte, complete bool, err error) {
+	over := time.NewTimer(timeout)
 	defer over.Stop()
-	var all bytes.Buffer
-	for int64(all.Len()) <= most {
+	var collected bytes.Buffer
+	for int64(collected.Len()) <= limit {
 		select {
-		case p := <-s.chunks:
-			all.Write(p.bytes)
-			if s.complete = p.err == io.EOF; p.err != nil {
-				if s.complete {
-					p.err = nil
-				}
-				return all.Bytes(), s.complete, p.err
+		case chunk := <-s.chunks:
+			collected.Write(chunk.bytes)
+			s.complete = errors.Is(chunk.err, io.EOF)
+			if s.complete {
+				return collected.Bytes(), true, nil
+			}
+			if chunk.err != nil {
+				return collected.Bytes(), false, chunk.err
 			}
 		case <-over.C:
-			return all.Bytes(), false, nil
+			return collected.Bytes(), false, nil
 		}
 	}
-	return all.Bytes(), false, nil
+	return collected.Bytes(), false, nil
 }
--- a/internal/agent/client_conn.go
+++ b/internal/agent/client_conn.go
@@ -12,37 +12,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// connKey is the key of a request's *clientConn in its context.
+// connKey is the context key of a request's *clientConn.
 type connKey struct{}
 
-// clientConn is a client's connection that tells whether this agent has closed it, and ends
-// between two requests without crossing one.
+// clientConn is a client's connection that tells whether this agent has closed it, and that can be closed
+// between two requests without losing one that has just arrived.
 type clientConn struct {
 	net.Conn
 	release      func() // gives its slot back
 	closed       atomic.Bool
-	requestBegun atomic.Bool // bytes have come since it idled last
-	// queuedAt is when its first request may have come, where that waited to be accepted.
-	// It belongs to the goroutine that serves the connection.
+	requestBegun atomic.Bool // bytes have arrived since it was idle last
+	// queuedAt is when its first request may have arrived, where that waited to be accepted. It belongs to the
+	// goroutine that serves the connection.
 	queuedAt time.Time
 
 	mu           sync.Mutex
-	closeIfIdle  bool      // to be closed if nothing has come: its reader is woken to look
+	closeIfIdle  bool      // its reader was woken to close it if no bytes have arrived
 	readDeadline time.Time // the reader's own deadline
-	mayReadLate  bool      // one look at what has come is left once that is over
+	mayReadLate  bool      // readLate may be called once that deadline has passed
 }
 
-// leave has the connection closed by whoever reads it, unless a request has come.
+// closeWhenIdle has the connection closed by its reader, unless a request has begun.
 func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.requestBegun.Load() {
 		c.closeIfIdle = true
-		c.Conn.SetReadDeadline(time.Unix(1, 0))
+		_ = c.Conn.SetReadDeadline(expired) // fails only once it is closed
 	}
 }
 
-// SetReadDeadline sets the reader's deadline; one that is woken keeps it for later.
+// SetReadDeadline sets the reader's deadline; for a reader that was woken to close it is set later.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,8 +54,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// woken tells whether the reader was woken to leave, and gives it its own deadline back:
-// nothing can be looked at under one that is past.
+// wokenToClose tells whether the reader was woken to close the connection, and restores its own deadline:
+// nothing can be read under one that has passed.
 func (c *clientConn) wokenToClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,23 +63,23 @@
 		return false
 	}
 	c.closeIfIdle = false
-	c.Conn.SetReadDeadline(c.readDeadline)
+	_ = c.Conn.SetReadDeadline(c.readDeadline) // fails only once it is closed
 	return true
 }
 
-// Read is where a connection that is to leave ends, or whose time is over. Its reader looks
-// once more at what has come, so that no request is crossed that was there before.
+// Read is where a connection that is to be closed ends, or whose deadline has passed. It checks once more for
+// bytes that have arrived, so that no request is lost that was there before.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		expired := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
-		if expired && c.wokenToClose() {
+		timedOut := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
+		if timedOut && c.wokenToClose() {
 			if !c.requestBegun.Load() && isIdleConnAlive(c.Conn) {
 				return 0, err
 			}
 			continue
 		}
-		if expired {
+		if timedOut {
 			n = c.readLate(p)
 		}
 		if n > 0 {
@@ -90,33 +90,35 @@
 	}
 }
 
-// lastLook reads what came before the deadline and was not read in time, as the process was
-// held up. It does so once for each deadline: who goes on sending gains no time by it.
+// readLate reads bytes that arrived before the deadline and were not read in time, as the process was delayed.
+// It does so once for each deadline: a client that keeps sending gains no time by it.
 func (c *clientConn) readLate(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	sc, ok := c.Conn.(syscall.Conn)
+	socket, ok := c.Conn.(syscall.Conn)
 	if !ok || !c.mayReadLate {
 		return 0
 	}
 	c.mayReadLate = false
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0
 	}
 	n := 0
-	if err := raw.Control(func(fd uintptr) { n = readNow(int(fd), p) }); err != nil { // unlike Read past the deadline
+	// Control works past the deadline, unlike Read.
+	if err := raw.Control(func(fd uintptr) { n = readNow(int(fd), p) }); err != nil {
 		return 0
 	}
 	return n
 }
 
-// gone tells whether the client has closed its side, also behind bytes that nobody has read:
-// a server that has read ahead of a request, or leaves its body unread, does not notice.
+// peerClosed tells whether the client has closed its side, also behind bytes that nobody has read: a server
+// that has read ahead of a request, or leaves its body unread, does not notice.
 func (c *clientConn) peerClosed() bool {
 	return pollSocket(c.Conn, unix.POLLRDHUP, peerClosedEvents)
 }
 
+// Close closes the connection and gives its slot back, once.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	if !c.closed.Swap(true) {
--- a/internal/agent/client_conns.go
+++ b/internal/agent/client_conns.go
@@ -9,32 +9,37 @@
 	"time"
 )
 
-// sweepIdle is how often idle connections are looked for while the front empties.
+// drainSweepInterval is how often idle connections are closed while the downstream server drains.
 const drainSweepInterval = 50 * time.Millisecond
 
-// clientConns ends the client connections that have idled longest when there
-// are nearly as many as may be: clients keep connections for good, and those that
-// wait for a descriptor would wait as long.
+// clientConns closes the client connections that have been idle longest when there are nearly as many as are
+// allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
 //
-// It looks both when a connection comes and when one falls idle. At the limit none
-// comes any more, and if all fell idle only then nobody would ever make room. One
-// that is being ended no longer counts and is not chosen again, unless a request
-// proves to have come on it: then another makes room.
+// It checks both when a connection is accepted and when one becomes idle. At the limit none is accepted any
+// more, and if all became idle only then no descriptor would ever become free. A connection that is being
+// closed no longer counts and is not chosen again, unless a request turns out to have arrived on it: then
+// another one is closed.
 type clientConns struct {
 	slots     quota
 	mu        sync.Mutex
 	maxConns  int
-	open      map[net.Conn]bool // true: being ended
-	closing   int
-	order     list.List // idle connections, the longest idle first
+	open      map[net.Conn]bool // true: being closed
+	closing   int               // the number of those
+	order     list.List         // idle connections, the longest idle first
 	idle      map[net.Conn]*list.Element
-	allClosed chan struct{} // if anyone waits for it: closed once none is open
+	allClosed chan struct{} // closed once no connection is open; nil: nobody waits for it
 }
 
-func newClientConns(most int) *clientConns {
-	return &clientConns{maxConns: most, slots: newQuota(int64(most)), open: map[net.Conn]bool{}, idle: map[net.Conn]*list.Element{}}
+func newClientConns(maxConns int) *clientConns {
+	return &clientConns{
+		maxConns: maxConns,
+		slots:    newQuota(int64(maxConns)),
+		open:     map[net.Conn]bool{},
+		idle:     map[net.Conn]*list.Element{},
+	}
 }
 
+// track takes a connection's change of state; it is the server's ConnState.
 func (c *clientConns) track(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,65 +48,84 @@
 	case http.StateNew:
 		c.open[nc] = false
 	case http.StateActive:
-		if cc, ok := nc.(*clientConn); ok {
-			cc.requestBegun.Store(true) // also where its bytes were read with those of the last
-		}
-		if c.open[nc] {
-			c.open[nc] = false
-			c.closing--
-		}
+		c.setActive(nc)
 	case http.StateIdle:
-		if cc, ok := nc.(*clientConn); ok {
-			cc.requestBegun.Store(false)
-			cc.queuedAt = time.Time{}
-		}
-		if !c.open[nc] {
-			c.idle[nc] = c.order.PushBack(nc)
-		}
+		c.setIdle(nc)
 	case http.StateClosed, http.StateHijacked:
-		if c.open[nc] {
-			c.closing--
-		}
-		delete(c.open, nc)
-		if len(c.open) == 0 && c.allClosed != nil {
-			close(c.allClosed)
-			c.allClosed = nil
-		}
+		c.setClosed(nc)
 	}
 	c.closeLongestIdle()
 }
 
-// limit bounds the connections from now on; the slots bound what is accepted.
-func (c *clientConns) setLimit(most int) {
+func (c *clientConns) setActive(nc net.Conn) {
+	if conn, ok := nc.(*clientConn); ok {
+		conn.requestBegun.Store(true) // also where its bytes were read with those of the last request
+	}
+	if c.open[nc] {
+		c.open[nc] = false
+		c.closing--
+	}
+}
+
+func (c *clientConns) setIdle(nc net.Conn) {
+	if conn, ok := nc.(*clientConn); ok {
+		conn.requestBegun.Store(false)
+		conn.queuedAt = time.Time{}
+	}
+	if !c.open[nc] {
+		c.idle[nc] = c.order.PushBack(nc)
+	}
+}
+
+func (c *clientConns) setClosed(nc net.Conn) {
+	if c.open[nc] {
+		c.closing--
+	}
+	delete(c.open, nc)
+	if len(c.open) == 0 && c.allClosed != nil {
+		close(c.allClosed)
+		c.allClosed = nil
+	}
+}
+
+// setLimit bounds the connections from now on; the slots bound what is accepted.
+func (c *clientConns) setLimit(maxConns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maxConns = most
+	c.maxConns = maxConns
 	c.closeLongestIdle()
 }
 
-// makeRoom ends those that have idled longest while there are nearly too many. The lock is held.
+// closeLongestIdle closes the connections that have been idle longest while more than seven eighths of the
+// limit are open. The caller has the lock.
 func (c *clientConns) closeLongestIdle() {
 	for len(c.open)-c.closing > c.maxConns*7/8 && c.order.Len() > 0 {
 		oldest := c.order.Front().Value.(net.Conn)
 		c.removeIdle(oldest)
 		c.open[oldest] = true
 		c.closing++
-		if cc, ok := oldest.(*clientConn); ok {
-			cc.closeWhenIdle() // the server's read then fails, and it reports the close
-		}
+		closeWhenIdle(oldest)
 	}
 }
 
-// busy takes a connection off the idle ones.
+// closeWhenIdle closes a connection on which no request has begun: the server's read fails, and the server
+// reports the close.
+func closeWhenIdle(nc net.Conn) {
+	if conn, ok := nc.(*clientConn); ok {
+		conn.closeWhenIdle()
+	}
+}
+
+// removeIdle takes a connection out of the idle ones. The caller has the lock.
 func (c *clientConns) removeIdle(nc net.Conn) {
-	if e := c.idle[nc]; e != nil {
-		c.order.Remove(e)
+	if element := c.idle[nc]; element != nil {
+		c.order.Remove(element)
 		delete(c.idle, nc)
 	}
 }
 
-// empty closes idle connections until ctx ends: not at once, as connections still come
-// and clients still choose among those they have.
+// closeIdleUntil closes idle connections until ctx ends: not at once, as connections still arrive and clients
+// still choose among those that they have.
 func (c *clientConns) closeIdleUntil(ctx context.Context) {
 	sweep := time.NewTimer(drainAcceptTime)
 	defer sweep.Stop()
@@ -113,43 +137,39 @@
 		}
 		c.mu.Lock()
 		for nc := range c.idle {
-			if cc, ok := nc.(*clientConn); ok {
-				cc.closeWhenIdle()
-			}
+			closeWhenIdle(nc)
 		}
 		c.mu.Unlock()
 		sweep.Reset(drainSweepInterval)
 	}
 }
 
-// leaveSilent ends all connections on which no request has begun, also those that never
-// brought one.
+// closeAllIdle closes all connections on which no request has begun, also those that never brought one.
 func (c *clientConns) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.open {
-		if cc, ok := nc.(*clientConn); ok {
-			cc.closeWhenIdle()
-		}
+		closeWhenIdle(nc)
 	}
 }
 
-// none returns a channel that is closed once no connection is open.
+// noneOpen returns a channel that is closed once no connection is open.
 func (c *clientConns) noneOpen() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.allClosed == nil {
-		c.allClosed = make(chan struct{})
-		if len(c.open) == 0 {
-			left := c.allClosed
-			c.allClosed = nil
-			close(left)
-			return left
-		}
+	if c.allClosed != nil {
+		return c.allClosed
+	}
+	allClosed := make(chan struct{})
+	if len(c.open) == 0 {
+		close(allClosed)
+	} else {
+		c.allClosed = allClosed
 	}
-	return c.allClosed
+	return allClosed
 }
 
+// size is the number of open connections.
 func (c *clientConns) size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/client_listener.go
+++ b/internal/agent/client_listener.go
@@ -9,20 +9,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// queueLook is how often the accept queue is looked at while slots are lacking: the time
-// that a request has waited there is known that well.
+// queuePollInterval is how often the accept queue is polled while no slot is free: the time that a request has
+// waited there is known that exactly.
 const queuePollInterval = 25 * time.Millisecond
 
-// clientListener accepts as many connections as there are slots: clients beyond them wait
-// in the accept queue, not as descriptors.
+// clientListener accepts as many connections as there are slots: clients beyond them wait in the accept queue,
+// without a descriptor.
 type clientListener struct {
 	net.Listener
 	slots     quota
 	open      context.Context
 	stop      context.CancelFunc
 	finishing atomic.Bool // Accept ends once no connection waits
-	// queuedAt is since when connections have waited to be accepted, where slots were
-	// lacking: those that wait now came after it. Zero: none has waited. It is Accept's.
+	// queuedAt is since when connections have waited to be accepted because no slot was free: those that wait
+	// now came after it. Zero: none has waited. It belongs to Accept.
 	queuedAt time.Time
 }
 
@@ -31,6 +31,7 @@
 	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
 }
 
+// Accept accepts a connection once a slot is free.
 func (l *clientListener) Accept() (net.Conn, error) {
 	if l.finishing.Load() && !l.queued() {
 		return nil, net.ErrClosed
@@ -45,19 +46,19 @@
 		l.slots.Release(1)
 		return nil, err
 	}
-	c := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
+	conn := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
 	if !l.queuedAt.IsZero() {
-		l.setQueuedAt(c)
+		l.setQueuedAt(conn)
 	}
-	return c, nil
+	return conn, nil
 }
 
 // awaitSlot waits for a slot, and notes since when connections wait for it too.
 func (l *clientListener) awaitSlot() error {
 	for {
-		looked := time.Now()
+		polledAt := time.Now()
 		if l.queuedAt.IsZero() && l.queued() {
-			l.queuedAt = looked.Add(-queuePollInterval)
+			l.queuedAt = polledAt.Add(-queuePollInterval)
 		}
 		ctx, cancel := context.WithTimeout(l.open, queuePollInterval)
 		err := l.slots.Acquire(ctx, 1)
@@ -68,17 +69,17 @@
 	}
 }
 
-// noteQueued tells a connection since when it may have waited with a request on it.
-func (l *clientListener) setQueuedAt(c *clientConn) {
-	if !isIdleConnAlive(c.Conn) { // its bytes were there before it was accepted
-		c.queuedAt = l.queuedAt
+// setQueuedAt tells a connection since when it may have waited with a request on it.
+func (l *clientListener) setQueuedAt(conn *clientConn) {
+	if !isIdleConnAlive(conn.Conn) { // its bytes were there before it was accepted
+		conn.queuedAt = l.queuedAt
 	}
 	if !l.queued() {
 		l.queuedAt = time.Time{}
 	}
 }
 
-// finish has Accept end once it has taken the connections that wait, and tells whether any do.
+// finishQueue has Accept end once it has accepted the connections that wait, and tells whether any do.
 func (l *clientListener) finishQueue() bool {
 	l.finishing.Store(true)
 	return l.queued()
@@ -89,6 +90,7 @@
 	return pollSocket(l.Listener, unix.POLLIN, unix.POLLIN)
 }
 
+// Close closes the listener, also for an Accept that waits for a slot.
 func (l *clientListener) Close() error {
 	l.stop()
 	return l.Listener.Close()
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/connect_errors.go
@@ -8,8 +8,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// localErrors are the errors of socket, bind and connect that say that this machine lacks something.
-// Any backend would have met them, and nothing was sent:
+// localErrors are the errors of socket, bind and connect that say that this machine lacks a resource. A connect
+// to any server would have failed, and nothing was sent:
 //   - EMFILE, ENFILE: no descriptor is left in the process or the system (socket(2));
 //   - ENOBUFS, ENOMEM: not enough memory for the socket (socket(2), ip(7));
 //   - EADDRNOTAVAIL: all ephemeral ports are in use, or the source address is not local (connect(2), ip(7));
@@ -18,16 +18,16 @@
 //   - ENETUNREACH: this machine has no route (connect(2));
 //   - ENETDOWN: the interface is down (accept(2) names it among the network errors of TCP/IP).
 //
-// All other errors count against the backend: ECONNREFUSED and ETIMEDOUT (connect(2)), EHOSTUNREACH, which a
-// router may have sent (ip(7)), and EACCES and EPERM, a firewall's rule that may bar this address alone
-// (connect(2)). EINTR, EINPROGRESS and EALREADY never come out of package net.
+// All other errors count against the server: ECONNREFUSED and ETIMEDOUT (connect(2)), EHOSTUNREACH, which a
+// router may have sent (ip(7)), and EACCES and EPERM, a firewall's rule that may block this address alone
+// (connect(2)). Package net never returns EINTR, EINPROGRESS and EALREADY.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// connectFailure is how an attempt ends that got no connection. The backend is not demoted for what
-// this agent or its machine lacks.
+// connectFailureResult is the end of an attempt that got no connection. The server is not demoted for what this
+// agent or its machine lacks.
 func connectFailureResult(err error) attemptResult {
 	status := balancer.StatusConnectFailed
 	if errors.Is(err, errNoDescriptor) || isOneOf(err, localErrors) {
@@ -36,11 +36,11 @@
 	return attemptResult{status: status, reason: err.Error()}
 }
 
-// localWriteErrors say that this machine had no memory for a write (send(2)). What else ends a write shows
-// that the connection broke: ENETUNREACH too, as it has been up.
+// localWriteErrors say that this machine had no memory for a write (send(2)). Any other error of a write shows
+// that the connection broke: ENETUNREACH too, as the connection was up before.
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
-// writeFailure is the status of an attempt whose last byte was not written.
+// writeFailureStatus is the status of an attempt whose last byte was not written.
 func writeFailureStatus(err error) balancer.Status {
 	if isOneOf(err, localWriteErrors) {
 		return balancer.StatusOverloaded
--- a/internal/agent/downstream_server.go
+++ b/internal/agent/downstream_server.go
@@ -106,7 +106,7 @@
 	if f.shuttingDown || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return fmt.Errorf("front: %w", err)
+	return fmt.Errorf("downstream: %w", err)
 }
 
 // acceptFailed counts and logs an accept that failed temporarily.
--- a/internal/agent/idle_times.go
+++ b/internal/agent/idle_times.go
@@ -6,63 +6,69 @@
 )
 
 const (
-	// idleBins is the number of bins of idle time, two for each doubling from 1 ms: up
-	// to a minute and more.
+	// idleBins is the number of bins of idle time, two for each doubling from 1 ms: up to more than a minute.
 	idleBins = 34
-	// idleSamples is the number of uses by which a stretch of idle times is judged.
+	// idleMinSamples is the number of uses by which a range of idle times is judged.
 	idleMinSamples = 24
-	// idleExcess is how much more often than shorter ones the connections of a stretch
-	// must be lost. A new connection costs a handshake; a lost one costs its request.
+	// idleLossExcess is how much more often than shorter ones the connections of a range must be lost, as a
+	// fraction of their uses. A new connection costs a handshake; a lost one costs its request.
 	idleLossExcess = 0.15
-	// idleFade lets uses count less with age, over about 5,000: what closed idle
-	// connections early may be gone, and longer ones are tried again.
+	// idleDecay lowers the weight of older uses, over about 5,000: what closed idle connections early may be
+	// gone, and longer idle times are then used again.
 	idleDecay = 0.9998
 )
 
-// idleTimes learns for how long a kept connection may idle before it is often lost.
-// Backends, and what stands before them, may close one sooner than the settings say
-// and without a sign: then the next request on it ends as a reset, which may have run.
+// idleTimeModel learns for how long a kept connection may be idle before it is often lost. Servers, and devices
+// before them, may close one sooner than the settings say and without a sign: then the next request on it ends
+// as a reset, which may have executed.
 type idleTimeModel struct {
 	used, lost [idleBins]float64
 }
 
-// note takes the use of a kept connection, lost or not, after it had idled.
-func (t *idleTimeModel) record(idled time.Duration, lost bool) {
-	for i := range t.used {
-		t.used[i] *= idleDecay
-		t.lost[i] *= idleDecay
+// record records the use of a kept connection, lost or not, after its idle time.
+func (m *idleTimeModel) record(idled time.Duration, lost bool) {
+	for i := range m.used {
+		m.used[i] *= idleDecay
+		m.lost[i] *= idleDecay
 	}
-	i := idleBin(idled)
-	t.used[i]++
+	bin := idleBin(idled)
+	m.used[bin]++
 	if lost {
-		t.lost[i]++
+		m.lost[bin]++
 	}
 }
 
-// limit is the shortest idle time from which on connections are lost well more often
-// than those that idled for less; most if there is none.
-func (t *idleTimeModel) limit(most time.Duration) time.Duration {
-	var used, lost, shortUsed, shortLost float64
-	from := 0
-	for i := range t.used {
-		if used += t.used[i]; used < idleMinSamples {
-			lost += t.lost[i]
+// limit is the shortest idle time from which on connections are lost clearly more often than those that were
+// idle for less; longest if there is none. Neighbouring bins are joined until they have enough samples.
+func (m *idleTimeModel) limit(longest time.Duration) time.Duration {
+	var used, lost, shorterUsed, shorterLost float64
+	firstBin := 0
+	for i := range m.used {
+		used += m.used[i]
+		lost += m.lost[i]
+		if used < idleMinSamples {
 			continue
 		}
-		lost += t.lost[i]
-		if shortUsed >= idleMinSamples && lost/used > shortLost/shortUsed+idleLossExcess {
-			return min(most, time.Duration(math.Exp2(float64(from)/2)*float64(time.Millisecond)))
+		if shorterUsed >= idleMinSamples && lost/used > shorterLost/shorterUsed+idleLossExcess {
+			return min(longest, binStart(firstBin))
 		}
-		shortUsed, shortLost = shortUsed+used, shortLost+lost
-		used, lost, from = 0, 0, i+1
+		shorterUsed += used
+		shorterLost += lost
+		used, lost = 0, 0
+		firstBin = i + 1
 	}
-	return most
+	return longest
+}
+
+// binStart is the shortest idle time of a bin.
+func binStart(bin int) time.Duration {
+	return time.Duration(math.Exp2(float64(bin)/2) * float64(time.Millisecond))
 }
 
 func idleBin(idled time.Duration) int {
-	ms := idled.Seconds() * 1000
-	if ms < 1 {
+	idleMs := idled.Seconds() * 1000
+	if idleMs < 1 {
 		return 0
 	}
-	return min(int(2*math.Log2(ms)), idleBins-1)
+	return min(int(2*math.Log2(idleMs)), idleBins-1)
 }
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -1,47 +1,48 @@
 package agent
 
 import (
+	"errors"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// hangupEvents are the events that say that a socket's peer has closed its side, or the connection broke.
-const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
-
 // pollFunc is poll(2).
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
-// polled asks the system for poll events of a socket, without waiting, and tells whether one of
-// those that count has come. Of what is no socket nothing is known.
-func pollSocket(socket any, ask, count int16) bool {
-	sc, ok := socket.(syscall.Conn)
+// peerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
+const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+
+// pollSocket polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
+// Of what is not a socket nothing is known.
+func pollSocket(socket any, events, wanted int16) bool {
+	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	come := false
-	err = raw.Control(func(fd uintptr) { come = pollDescriptor(int32(fd), ask, count, unix.Poll) })
-	return err == nil && come
+	occurred := false
+	err = raw.Control(func(fd uintptr) { occurred = pollDescriptor(int32(fd), events, wanted, unix.Poll) })
+	return err == nil && occurred
 }
 
-// pollNow is polled for a descriptor. It looks again where poll(2) was interrupted.
-func pollDescriptor(fd int32, ask, count int16, poll pollFunc) bool {
-	fds := []unix.PollFd{{Fd: fd, Events: ask}}
+// pollDescriptor is pollSocket for a descriptor. It polls again where poll(2) was interrupted.
+func pollDescriptor(fd int32, events, wanted int16, poll pollFunc) bool {
+	fds := []unix.PollFd{{Fd: fd, Events: events}}
 	n, err := poll(fds, 0)
-	for err == unix.EINTR {
+	for errors.Is(err, unix.EINTR) {
 		n, err = poll(fds, 0)
 	}
-	return err == nil && n > 0 && fds[0].Revents&count != 0
+	return err == nil && n > 0 && fds[0].Revents&wanted != 0
 }
 
-// readNow reads what a socket, which does not block, has by now; 0 bytes where that is nothing or it ended.
+// readNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
 func readNow(fd int, p []byte) int {
 	n, err := unix.Read(fd, p)
-	for err == unix.EINTR {
+	for errors.Is(err, unix.EINTR) {
 		n, err = unix.Read(fd, p)
 	}
 	return max(n, 0)
--- a/internal/agent/request_body.go
+++ b/internal/agent/request_body.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"sync"
@@ -9,37 +10,41 @@
 )
 
 const (
-	// maxBody is the longest body that is kept whole; what is longer is streamed.
+	// maxBufferedBody is the longest body that is buffered as a whole; a longer one is streamed.
 	maxBufferedBody = 64 << 10
-	// maxLong is the longest body of a request: half as long again as any that clients send.
+	// maxRequestBody is the longest body of a request: half as long again as any that clients send.
 	maxRequestBody = 48 << 20
-	// bodyGrace and bodyPace bound the time that a client may take for a body: it has the
-	// grace, and more by the bytes that it brought, at half of the pace that is owed to
-	// honest ones. It may never bring nothing for longer than the grace: peers that stop
-	// are owed an end within 3 s.
+	// bodyGracePeriod and minBodyRate (bytes per second) bound the time that a client may take for a body: it
+	// has the grace period, and more by the bytes that it sent, at half of the rate that is promised to honest
+	// clients. It may never send nothing for longer than the grace period: connections that stall have to be
+	// closed within 3 s.
 	bodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
-	// stall is how long a server may bring or take nothing of a long body, and a client take
-	// nothing of one.
+	// stallTimeout is how long a server may send or take nothing of a long body, and a client take nothing of
+	// one.
 	stallTimeout = 10 * time.Second
+	// bodyBudgetPart is the part of the memory, as a divisor, that buffered bodies may use. What streams and
+	// the rest of the process need grows with the connections, which the descriptors bound.
+	bodyBudgetPart = 6
 )
 
-// newBudget counts the bytes of bodies that are kept: a sixth of the memory. What streams and
-// the rest of the process need grows with the connections, which the descriptors bound.
-func newBodyBudget(c *Config) quota { return newQuota(int64(c.MemoryMB) << 20 / 6) }
+// newBodyBudget bounds the bytes of buffered bodies.
+func newBodyBudget(cfg *Config) quota {
+	return newQuota(int64(cfg.MemoryMB) << 20 / bodyBudgetPart)
+}
 
-// clientBody reads a client's body and ends one that comes too slowly. Only the time that
-// is spent waiting for the client counts, not the time that a server takes to read.
+// clientBody reads a client's body and ends one that arrives too slowly. Only the time that is spent waiting
+// for the client counts, not the time that a server takes to read.
 type clientBody struct {
 	control *http.ResponseController
 
-	mu       sync.Mutex // one reads at a time
+	mu       sync.Mutex // one goroutine reads at a time
 	from     io.Reader
 	received int64
 	waitTime time.Duration
-	end      atomic.Pointer[bodyEnd] // nil: it is still coming
+	end      atomic.Pointer[bodyEnd] // nil: the body is still arriving
 }
 
-// bodyEnd tells what ended a body, and when; io.EOF: it has come whole.
+// bodyEnd says what ended a body, and when; io.EOF: it is complete.
 type bodyEnd struct {
 	err error
 	at  time.Time
@@ -53,92 +58,88 @@
 	}
 	now := time.Now()
 	left := bodyGracePeriod + time.Duration(b.received)*time.Second/minBodyRate - b.waitTime
-	// A connection that has no deadlines can't be a client's.
+	// A connection without deadlines is not a client's.
 	_ = b.control.SetReadDeadline(now.Add(min(left, bodyGracePeriod)))
 	n, err := b.from.Read(p)
 	b.waitTime += time.Since(now)
 	b.received += int64(n)
 	if err != nil {
 		b.end.Store(&bodyEnd{err, time.Now()})
-		_ = b.control.SetReadDeadline(readDeadlineAfter(err))
+		_ = b.control.SetReadDeadline(readDeadlineAfter(err)) // as above
 	}
 	return n, err
 }
 
-// whole tells whether all of the body has come.
+// readDeadlineAfter is until when the server may read on a connection behind a body that ended with err: with
+// no limit behind a complete one, to see the client close, or for the rest of a broken one.
+func readDeadlineAfter(err error) time.Time {
+	if errors.Is(err, io.EOF) {
+		return time.Time{}
+	}
+	return time.Now().Add(badRequestReadTime)
+}
+
+// complete tells whether all of the body has arrived.
 func (b *clientBody) complete() bool {
 	end := b.end.Load()
-	return end != nil && end.err == io.EOF
+	return end != nil && errors.Is(end.err, io.EOF)
 }
 
-// broken is what ended the body before its end, if anything did.
+// failure is the error that ended the body before it was complete; nil: there is none.
 func (b *clientBody) failure() error {
-	if end := b.end.Load(); end != nil && end.err != io.EOF {
-		return end.err
+	end := b.end.Load()
+	if end == nil || errors.Is(end.err, io.EOF) {
+		return nil
 	}
-	return nil
+	return end.err
 }
 
-// answerBy is when the answer is due at the latest to a request that gives so much time
-// from its last byte on. That may have come, unread, while a server takes nothing more.
-func (b *clientBody) respondBy(within time.Duration) time.Time {
+// respondBy is when the response is due at the latest to a request that gives so much time from its last byte
+// on. That byte may have arrived, unread, while a server takes nothing more.
+func (b *clientBody) respondBy(timeout time.Duration) time.Time {
 	if end := b.end.Load(); end != nil {
-		return end.at.Add(within)
+		return end.at.Add(timeout)
 	}
-	return time.Now().Add(within)
+	return time.Now().Add(timeout)
 }
 
-// readDeadlineAfter is until when the server may read on a connection behind a body that
-// ended with err: with no bound, to see the client leave, or for the rest of a broken one.
-func readDeadlineAfter(err error) time.Time {
-	if err == io.EOF {
-		return time.Time{}
-	}
-	return time.Now().Add(badRequestReadTime)
-}
-
-// longBody is the part of a request's body that is not kept: it is read from the client
-// while it goes to a server, so that it goes out once at most.
+// streamedBody is the part of a request's body that is not buffered: it is read from the client while it is
+// written to a server, so it can be sent once at most.
 type streamedBody struct {
 	*clientBody
-	length   int64 // of the whole body; -1: not told
+	length   int64 // of the whole body; -1: not given
 	consumed atomic.Bool
 }
 
-func (l *streamedBody) Read(p []byte) (int, error) {
-	n, err := l.clientBody.Read(p)
+func (s *streamedBody) Read(p []byte) (int, error) {
+	n, err := s.clientBody.Read(p)
 	if n > 0 {
-		l.consumed.Store(true)
+		s.consumed.Store(true)
 	}
 	return n, err
 }
 
-// spent tells whether bytes of the body are gone, so that it can't be sent again.
-func (l *streamedBody) isConsumed() bool {
-	if l == nil {
-		return false
-	}
-	return l.consumed.Load()
+// isConsumed tells whether bytes of the body have been read, so that it can't be sent again.
+func (s *streamedBody) isConsumed() bool {
+	return s != nil && s.consumed.Load()
 }
 
-// gather reads what is to be kept of a body of a length (-1: not told), as far as the budget
-// has room, and tells whether that is all of it, and what of the budget it holds.
-func (q quota) readBody(from io.Reader, length int64) (kept []byte, whole bool, held int64, err error) {
-	most := int64(maxBufferedBody)
+// readBody buffers a body of a length (-1: not given) as far as the budget and maxBufferedBody allow. It tells
+// whether that is all of the body, and how many bytes of the budget are reserved, also after an error.
+func (q quota) readBody(from io.Reader, length int64) (buffered []byte, complete bool, reserved int64, err error) {
+	limit := int64(maxBufferedBody)
 	if length >= 0 {
-		most = min(most, length)
+		limit = min(limit, length)
 	}
-	if !q.TryAcquire(most) {
+	if !q.TryAcquire(limit) {
 		return nil, length == 0, 0, nil
 	}
-	if length >= 0 {
-		kept = make([]byte, most)
-		n, err := io.ReadFull(from, kept)
-		if most < length || err == nil {
-			return kept[:n], most == length, most, err
-		}
-		return kept[:n], false, most, err
+	if length < 0 {
+		buffered, err = io.ReadAll(io.LimitReader(from, limit))
+		return buffered, int64(len(buffered)) < limit, limit, err
 	}
-	kept, err = io.ReadAll(io.LimitReader(from, most))
-	return kept, int64(len(kept)) < most, most, err
+	buffered = make([]byte, limit)
+	n, err := io.ReadFull(from, buffered)
+	complete = limit == length && err == nil
+	return buffered[:n], complete, limit, err
 }
--- a/internal/agent/response_body.go
+++ b/internal/agent/response_body.go
@@ -7,50 +7,46 @@
 	"time"
 )
 
-// gatherTime is how long the bytes of an answer that does not tell its length are
-// gathered before they are passed on: first bytes count where it proves long.
+// bufferingTime is how long the bytes of a response without a length are buffered before they are passed on:
+// where the response turns out long its first bytes should not wait.
 const bufferingTime = 250 * time.Millisecond
 
-// payload is the body of an answer on its way to the client. Whoever has it last ends it.
+// responseBody is the body of a response on its way to the client. Its last owner releases it.
 type responseBody struct {
 	buffered []byte
-	stream   *bodyStream // nil: kept is all
-	length   int64       // -1: not told
+	stream   *bodyStream // the rest; nil: all of the body is buffered
+	length   int64       // -1: not given
 	budget   quota
-	reserved int64
+	reserved int64 // bytes of the budget
 }
 
-// end gives back what the payload holds; a stream that has not come to its end is cut off.
-func (p *responseBody) release() {
-	if p == nil {
+// release gives back what the body holds; a stream that has not come to its end is cut off.
+func (b *responseBody) release() {
+	if b == nil {
 		return
 	}
-	if p.reserved > 0 {
-		p.budget.Release(p.reserved)
+	if b.reserved > 0 {
+		b.budget.Release(b.reserved)
 	}
-	p.reserved = 0
-	if p.stream != nil {
-		p.stream.finish()
+	b.reserved = 0
+	if b.stream != nil {
+		b.stream.finish()
 	}
 }
 
-// passOn writes an answer's body to the client as it comes, and tells which side broke it off.
-func (p *responseBody) copyTo(w http.ResponseWriter) (fromServer, toClient error) {
-	control := http.NewResponseController(w)
-	put := func(b []byte) error {
-		_ = control.SetWriteDeadline(time.Now().Add(stallTimeout))
-		if _, err := w.Write(b); err != nil {
-			return err
-		}
-		return control.Flush()
-	}
-	if err := put(p.buffered); err != nil {
+// copyTo writes the body to the client as it arrives, and returns the error of the side that broke it off.
+func (b *responseBody) copyTo(w http.ResponseWriter) (fromServer, toClient error) {
+	out := flushingWriter{w, http.NewResponseController(w)}
+	if err := out.write(b.buffered); err != nil {
 		return nil, err
 	}
-	for p.stream != nil {
-		b, err := p.stream.next()
-		if len(b) > 0 {
-			if err := put(b); err != nil {
+	if b.stream == nil {
+		return nil, nil
+	}
+	for {
+		chunk, err := b.stream.next()
+		if len(chunk) > 0 {
+			if err := out.write(chunk); err != nil {
 				return nil, err
 			}
 		}
@@ -61,5 +57,18 @@
 			return err, nil
 		}
 	}
-	return nil, nil
+}
+
+// flushingWriter writes to a client without delay, with a deadline for each write.
+type flushingWriter struct {
+	w       http.ResponseWriter
+	control *http.ResponseController
+}
+
+func (f flushingWriter) write(p []byte) error {
+	_ = f.control.SetWriteDeadline(time.Now().Add(stallTimeout)) // a closed connection fails in the write too
+	if _, err := f.w.Write(p); err != nil {
+		return err
+	}
+	return f.control.Flush()
 }
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// lockEvery is how often a process that began beside another looks whether that has ended.
+// lockPollInterval is how often a process that began beside another checks whether that has ended.
 const lockPollInterval = 100 * time.Millisecond
 
-// quota bounds something that the process may have so much of.
+// quota bounds how much of something the process may have.
 type quota struct {
 	*semaphore.Weighted
 	size int64
@@ -22,8 +22,8 @@
 
 func newQuota(size int64) quota { return quota{semaphore.NewWeighted(size), size} }
 
-// shares are the limits that two processes of one agent share out while both are there, a
-// new version beside the old one: each has half of the bytes and of the descriptors.
+// sharedLimits are the limits that two processes of one agent share while both are running, a new version
+// beside the old one: each has half of the bytes and of the descriptors.
 type sharedLimits struct {
 	cfg    *Config
 	admin  *adminServer
@@ -35,9 +35,9 @@
 	halved bool
 }
 
-// halve leaves this process half of the limits. What it has beyond that it gives back as
-// it comes to an end; until then nothing more is taken. Clients' connections that are there
-// are left to the emptying, which closes none under a request.
+// halve leaves this process half of the limits. What it has beyond that it gives back as it comes to an end;
+// until then nothing more is acquired. Client connections that are open are left to the draining, which closes
+// none under a request.
 func (s *sharedLimits) halve(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,13 +47,14 @@
 	s.halved = true
 	for _, q := range s.quotas {
 		if !q.TryAcquire(q.size / 2) {
-			go func() { _ = q.Acquire(ctx, q.size/2) }() // a process that ends takes no whole again
+			// An error is the end of the process, which needs no full limits.
+			go func() { _ = q.Acquire(ctx, q.size/2) }()
 		}
 	}
 	s.applyFraction(2)
 }
 
-// whole gives this process all of the limits again.
+// restore gives this process all of the limits again.
 func (s *sharedLimits) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,46 +69,57 @@
 	s.applyFraction(1)
 }
 
-// set puts the limits that are no quotas to a part of what the agent has.
-func (s *sharedLimits) applyFraction(part int) {
-	if told := s.cfg.Hooks.OnMemoryLimit; told != nil {
-		told(s.cfg.MemoryLimit() / int64(part))
+// applyFraction divides the limits that are no quotas among so many processes.
+func (s *sharedLimits) applyFraction(processes int) {
+	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
+		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
 	}
-	s.pool.setLimit(s.cfg.serverConns() / part)
-	s.admin.setLimit(s.cfg.adminConns(part))
+	s.pool.setLimit(s.cfg.serverConns() / processes)
+	s.admin.setLimit(s.cfg.adminConns(processes))
 }
 
-// takeTurn holds the lock file until ctx is done. While another process has it this one has
-// half of the limits. However a holder ends, the kernel gives its lock back.
+// holdLock holds the lock file until ctx is done. While another process has it this one has half of the limits.
+// However a holder ends, the kernel releases its lock.
 func (s *sharedLimits) holdLock(ctx context.Context, path string) error {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("lock: %w", err)
 	}
-	locked := func() bool { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil }
-	alone := locked()
+	alone := tryLock(file)
 	if !alone {
 		s.cfg.logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
 		s.conns.setLimit(s.cfg.clientConns() / 2)
 	}
 	go func() {
-		defer f.Close()
-		look := time.NewTicker(lockPollInterval)
-		defer look.Stop()
-		for !alone {
-			select {
-			case <-look.C:
-				if alone = locked(); alone {
-					s.restore()
-					s.cfg.logger().Info("no other process of this agent is running", "limits", "full")
-				}
-			case <-ctx.Done():
-				return
-			}
+		defer func() { _ = file.Close() }() // nothing was written to it
+		if !alone && !s.awaitLock(ctx, file) {
+			return
 		}
-		look.Stop()
 		<-ctx.Done()
 	}()
 	return nil
 }
+
+// awaitLock waits for the end of the other process and restores the limits; false: ctx ended before.
+func (s *sharedLimits) awaitLock(ctx context.Context, file *os.File) bool {
+	poll := time.NewTicker(lockPollInterval)
+	defer poll.Stop()
+	for {
+		select {
+		case <-poll.C:
+			if tryLock(file) {
+				s.restore()
+				s.cfg.logger().Info("no other process of this agent is running", "limits", "full")
+				return true
+			}
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// tryLock locks a file unless another process has it locked.
+func tryLock(file *os.File) bool {
+	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
+}
--- a/internal/agent/upstream_request.go
+++ b/internal/agent/upstream_request.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// hop names the header fields that are for one connection only.
+// hopByHopHeaders are the header fields that are for one connection only (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// identity names the fields that make a request the client's own at its backend: they
-// are passed on whatever its Connection field lists.
+// identityHeaders are the header fields by which a server recognizes a request: they are passed on even if the
+// client's Connection field lists them.
 var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
+// endToEndHeaders are the header fields that are passed on.
 func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
@@ -33,25 +34,37 @@
 	return out
 }
 
-// request is the request as it goes to a backend, told how long the agent waits.
+// upstreamRequest is the request that is sent to a server, with the time left as its timeout.
 func (c *clientRequest) upstreamRequest(left time.Duration) *http.Request {
-	h := endToEndHeaders(c.header)
+	header := endToEndHeaders(c.header)
 	for _, name := range identityHeaders {
 		if values := c.header.Values(name); len(values) > 0 {
-			h[name] = values
+			header[name] = values
 		}
 	}
-	h.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	if h.Get("User-Agent") == "" {
-		h.Set("User-Agent", "") // none rather than the library's
+	header.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	if header.Get("User-Agent") == "" {
+		header.Set("User-Agent", "") // net/http adds its own where there is none
 	}
-	req := &http.Request{Method: c.method, URL: &url.URL{Path: c.url.Path, RawPath: c.url.RawPath,
-		RawQuery: c.url.RawQuery, ForceQuery: c.url.ForceQuery}, Host: c.host, Header: h}
+	req := &http.Request{
+		Method: c.method,
+		URL: &url.URL{
+			Path:       c.url.Path,
+			RawPath:    c.url.RawPath,
+			RawQuery:   c.url.RawQuery,
+			ForceQuery: c.url.ForceQuery,
+		},
+		Host:   c.host,
+		Header: header,
+	}
+	buffered := bytes.NewReader(c.body)
 	switch {
 	case c.streamed != nil:
-		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(c.body), c.streamed)), c.streamed.length
+		req.Body = io.NopCloser(io.MultiReader(buffered, c.streamed))
+		req.ContentLength = c.streamed.length
 	case len(c.body) > 0:
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(c.body)), int64(len(c.body))
+		req.Body = io.NopCloser(buffered)
+		req.ContentLength = int64(len(c.body))
 	}
 	return req
 }
