--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addrs := regexp.MustCompile(` addr=(\S+) .* management=(\S+) `).FindStringSubmatch(line)
+	addrs := regexp.MustCompile(` addr=(\S+) .* admin=(\S+) `).FindStringSubmatch(line)
 	if addrs == nil {
 		t.Fatalf("the program says %q", line)
 	}
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -326,9 +326,9 @@
 		t.Cleanup(func() { cmd.Process.Kill() })
 		log := bufio.NewReader(stderr)
 		line, err := log.ReadString('\n')
-		found := regexp.MustCompile(`management=(\S+)`).FindStringSubmatch(line)
+		found := regexp.MustCompile(`admin=(\S+)`).FindStringSubmatch(line)
 		if err != nil || found == nil {
-			t.Fatalf("no operators' door in %q: %v", line, err)
+			t.Fatalf("no admin address in %q: %v", line, err)
 		}
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 			resp, err := http.Get("http://" + found[1] + "/ops/readiness")
--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// acceptErrnos are errors that accept(2) may return for a moment and net/http takes for the end.
+// acceptErrnos are errors that accept(2) may return temporarily and that net/http takes for the listener's
+// end.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED,
@@ -76,7 +77,7 @@
 	}
 }
 
-// A listener that is closed under the operators' server still ends it, with its reason.
+// A listener that is closed under the admin server still ends it, with its reason.
 func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
 	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -15,7 +15,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// call makes an operators' call and returns its status.
+// adminCall makes an admin call and returns its status.
 func (a *testAgent) adminCall(method, path string) int {
 	a.t.Helper()
 	req, err := http.NewRequest(method, "http://"+a.door+path, nil)
@@ -33,7 +33,7 @@
 	return resp.StatusCode
 }
 
-// kept is a client's connection that stays open.
+// keptConn is a client's connection that stays open.
 type keptConn struct {
 	net.Conn
 	br *bufio.Reader
@@ -52,7 +52,7 @@
 
 func (k *keptConn) request(t *testing.T) *http.Response {
 	t.Helper()
-	fmt.Fprint(k, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
+	fmt.Fprint(k, readRequestText(1, 4000))
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	return resp
 }
 
-// ends waits for the connection's orderly end.
+// wantClosed waits for the connection's orderly end.
 func (k *keptConn) wantClosed(t *testing.T) {
 	t.Helper()
 	if _, err := k.br.ReadByte(); err != io.EOF {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Callers that bring nothing, or half a call, neither keep others out nor stay, and half
-// a call does nothing.
+// Callers that send nothing, or half a call, neither keep others out nor stay connected, and half a call does
+// nothing.
 func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
 	a, _ := startWithServer(t, respondOK)
 	var silent []net.Conn
@@ -152,7 +152,7 @@
 	wantStatus(t, a.readyStatus(), 503)
 }
 
-// A connection that is to leave ends only if no request has come on it.
+// A connection that is closed by a drain ends only if no request has arrived on it.
 func TestDrainingCrossesNoRequest(t *testing.T) {
 	buf := make([]byte, 10)
 
@@ -178,8 +178,8 @@
 	}
 }
 
-// New settings in service: classes come and go, another effect and fewer attempts hold for
-// what comes from then on, and what is open keeps the rules that it came under.
+// New settings in service: classes are added and removed, another idempotency and fewer attempts apply to
+// requests that arrive from then on, and open requests keep the rules under which they arrived.
 func TestReloadAppliesSettings(t *testing.T) {
 	hold, answer := make(chan struct{}, 10), make(chan struct{})
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Before the process may be killed, what it holds has its final answer, and an answer that
-// is being passed on goes on.
+// Before the process may be killed, open requests have their final response, and a response that is being
+// streamed goes on.
 func TestQueuedRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	held, more := make(chan struct{}, 2), make(chan struct{})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,7 +21,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// one starts an agent in front of one backend with the given script.
+// startWithServer starts an agent in front of one server with the given script.
 func startWithServer(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeServer) {
 	t.Helper()
 	b := newFakeServer(t, answer)
@@ -64,7 +64,7 @@
 	}
 }
 
-// The ends of an attempt: what the client is told and how often the backend saw it.
+// The ends of an attempt: the client's response, and how often the server saw the request.
 func TestOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, status, header, body) }
@@ -161,8 +161,8 @@
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the
-// attempt never ran; only the count of bytes written tells it from a reset.
+// A connection that breaks before the last byte is written proves that the attempt did not execute; only the
+// count of bytes written distinguishes it from a reset.
 func TestBreakBeforeLastByteDidNotExecute(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -191,8 +191,7 @@
 		addr: {{Conn: nc, reader: bufio.NewReader(nc), addr: addr, idleSince: time.Now().Add(-time.Second)}}}}
 	req := newRequest(addr, "order", "")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBufferedBody)}
-	now := time.Now()
-	if res := p.attempt(context.Background(), &upstreamServer{}, addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusConnectFailed {
+	if res := attemptNow(context.Background(), p, &upstreamServer{}, addr, c); res.status != balancer.StatusConnectFailed {
 		t.Errorf("ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
 	if p.openConns != 0 {
@@ -200,26 +199,25 @@
 	}
 }
 
-// A backend told to drain while the attempt was connecting gets nothing new, and an
-// attempt withdrawn meanwhile says nothing against its backend.
+// A server that began to drain while the attempt was connecting gets no request, and an attempt that was
+// cancelled meanwhile does not count against its server.
 func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
 	b := newFakeServer(t, respondOK)
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 8)
 	req := newRequest(b.addr, "order", "")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-	now := time.Now()
 	drained := &upstreamServer{}
 	drained.unavailable.Store(true)
-	if res := p.attempt(t.Context(), drained, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusConnectFailed {
+	if res := attemptNow(t.Context(), p, drained, b.addr, c); res.status != balancer.StatusConnectFailed {
 		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := p.attempt(ctx, &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusCancelled {
+	if res := attemptNow(ctx, p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusCancelled {
 		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.StatusCancelled)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
-	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
+	if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOK {
 		t.Errorf("ended as %d, want %d", res.status, balancer.StatusOK)
 	}
 	if b.count() != 1 {
@@ -241,8 +239,8 @@
 	}
 }
 
-// A kept connection that the backend has closed must be noticed before it carries
-// a request: an unsafe one would end as a reset and fail.
+// A kept connection that the server has closed must be noticed before it carries a request: a non-idempotent
+// one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		respondOK(c, req, n)
@@ -265,9 +263,9 @@
 	}
 }
 
-// A kept connection that breaks on a request whose last byte was written: the
-// request may have run and is never sent again behind the module's back, not even
-// with the key or without the body that make http.Transport do so.
+// A kept connection breaks on a request whose last byte was written: the request may have executed and is
+// never sent again without the policy, not even with the key or without the body that make http.Transport do
+// so.
 func TestNoSilentResend(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		return n == 0 && respondOK(c, req, n)
@@ -282,8 +280,8 @@
 	}
 }
 
-// A backend that says nothing: the request fails within its time, and the
-// connection is closed, as the late answer would be taken for the next one's.
+// A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
+// late response would be taken for the next one's.
 func TestSilentServer(t *testing.T) {
 	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(a.addr, "order", "x")
@@ -306,10 +304,10 @@
 	}
 }
 
-// orderRules are those of a class that must never run twice.
+// orderRules are those of a class that must never execute twice.
 var orderRules = &balancer.RequestRules{Class: balancer.Class{Name: "order", LatencyObjectiveMs: 2000, TotalTimeoutMs: 4000, Idempotency: balancer.NonIdempotent}, MaxAttempts: 3}
 
-// The backstop answers before the deadline when the module does not.
+// The backstop responds before the deadline where the policy does not.
 func TestBackstop(t *testing.T) {
 	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.cfg, func() {})
 	if err != nil {
@@ -329,7 +327,7 @@
 	}
 }
 
-// The guards hold whatever the module says.
+// The rules of a request apply whatever the policy decides.
 func TestViolationsArePrevented(t *testing.T) {
 	up := func() *upstreamServer { return &upstreamServer{addr: "127.0.0.1:1"} }
 	drained := up()
@@ -406,8 +404,8 @@
 	}
 }
 
-// While discovery is down the list at hand serves on and the calls are few; when
-// it is back the agent hears of what has changed.
+// While discovery is down the known list stays in force and the calls are few; when it is back the agent gets
+// what has changed.
 func TestDiscoveryOutage(t *testing.T) {
 	first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
@@ -435,7 +433,7 @@
 	}
 }
 
-// A discovery that answers every watch at once is not asked in a tight loop.
+// A discovery that answers every watch at once is not called in a tight loop.
 func TestDiscoveryCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -454,7 +452,7 @@
 	}
 }
 
-// What crosses on the way from discovery does not turn the list back.
+// Responses of discovery that cross do not take the list back to an older version.
 func TestOldListIsDropped(t *testing.T) {
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
 	done := make(chan bool)
@@ -490,7 +488,7 @@
 	}
 }
 
-// A client that goes away has its attempt withdrawn.
+// A client that closes its connection has its attempt cancelled.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool {
@@ -518,7 +516,7 @@
 	}
 }
 
-// A log that nobody reads does not hold up the loop.
+// A log that nobody reads does not block the event loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	a, _ := startWithServer(t, respondOK)
 	blocked, held := make(chan struct{}), make(chan struct{})
@@ -607,9 +605,8 @@
 	}
 }
 
-// Connections that all come before any is idle reach the limit with nobody to make
-// room; those that fall idle then must. None is chosen twice while its close is
-// under way.
+// Connections that are all accepted before any is idle reach the limit with none to close; those that become
+// idle then have to be closed. None is chosen twice while it is being closed.
 func TestIdleClientsAreClosedAtTheLimit(t *testing.T) {
 	const most = 16
 	c := newClientConns(most)
@@ -649,8 +646,8 @@
 	}
 }
 
-// Idle clients give way to new ones, and attempts beyond the limit don't open
-// connections: neither side can use up the descriptors.
+// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
+// can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
 	b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -675,7 +672,7 @@
 	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 2, idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 2)
 	end := time.Now().Add(testTimeout)
 	x, err := p.acquire(t.Context(), b.addr, end)
 	if err != nil {
@@ -700,7 +697,7 @@
 	}
 }
 
-// The log tells the whole course of a request that ended badly, by its id.
+// The log has all attempts of a request that failed, by its id.
 func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
 	lines := a.logLines(t)
@@ -730,8 +727,8 @@
 	}
 }
 
-// Chunked framing may hide a request in what the sender meant as a body of the
-// length it also gave: nothing after the last chunk is read as a request.
+// Chunked framing may hide a request in what the sender meant as a body of the length that it also gave:
+// nothing after the last chunk is read as a request.
 func TestNothingInsideABodyIsTakenForARequest(t *testing.T) {
 	inner := "POST /api/b2 HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n"
@@ -785,8 +782,8 @@
 	}
 }
 
-// Where the settings allow probes a demoted backend is validated by one, on the
-// health path and with nothing of a client's; where it drains it gets none.
+// Where the settings allow health checks a demoted server is restored by one, on the health path and with no
+// header of a client's; a draining server gets none.
 func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	probes := make(chan *http.Request, 100)
 	var healthy atomic.Bool // until a probe says so everything fails
@@ -827,7 +824,7 @@
 	wantStatus(t, status, 200)
 }
 
-// How a probe ends, as the module is told.
+// How a health check ends, as the policy sees it.
 func TestHealthCheckOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer func(net.Conn, *http.Request, int) bool
@@ -842,7 +839,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFakeServer(t, test.answer)
-			p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: 200 * time.Millisecond, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+			p := newTestPool(200*time.Millisecond, 8)
 			if res := p.healthCheck(t.Context(), &upstreamServer{}, b.addr, "x"); res.status != test.want {
 				t.Errorf("ended as %d, want %d", res.status, test.want)
 			}
@@ -858,8 +855,8 @@
 	}
 }
 
-// lateCloses makes connections that the agent closes go on being read: a request that
-// crosses the close is what they bring then.
+// lateCloseListener makes connections that the agent closes stay readable, so that they bring a request that
+// crosses the close.
 type lateCloseListener struct{ net.Listener }
 
 type lateClose struct {
@@ -886,8 +883,8 @@
 	return c.Conn.Close()
 }
 
-// A request that crosses the close of its idle connection is sent once more by its
-// client, on another: if the agent passes it on as well, two copies run.
+// A request that crosses the close of its idle connection is sent again by its client, on another: if the
+// agent forwarded it as well, two copies would execute.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
 	b := newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", b.addr))
@@ -929,8 +926,8 @@
 	}
 }
 
-// Where changes of the list are pushed the module asks for nothing: the agent watches
-// by itself from its start, and again after failures.
+// Where changes of the list are pushed the policy asks for nothing: the agent keeps a watch by itself from
+// its start, and reopens it after failures.
 func TestPushedChangesAreWatchedFor(t *testing.T) {
 	first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 	d := newDiscoveryServer(t, target("s-1", first.addr))
@@ -953,8 +950,8 @@
 	}
 }
 
-// After a reload the list is followed at the new address, whichever side asks for
-// the watch, and the old one gets nothing more.
+// After a reload the list is watched at the new address, whichever side asks for the watch, and the old one
+// gets no more calls.
 func TestReloadMovesDiscovery(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
@@ -986,8 +983,8 @@
 	}
 }
 
-// Whoever connects and brings no whole request is owed an error or a close in 3 s from
-// connecting, also one that sends a byte now and then.
+// A peer that connects and sends no complete request gets an error or a close within 3 s from connecting,
+// also one that sends a byte now and then.
 func TestImproperPeersAreEndedInTime(t *testing.T) {
 	t.Parallel()
 	a, b := startWithServer(t, respondOK)
@@ -1039,7 +1036,7 @@
 	}
 }
 
-// A request may wait for longer than it may take to come.
+// A request may wait for longer than it may take to arrive.
 func TestRequestOutlivesItsReadTimeout(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -1057,11 +1054,11 @@
 
 func (brokenConn) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// A kept connection that breaks before the last byte is written says nothing of its
-// backend, and the request goes out on another; lack of descriptors neither.
+// A kept connection that breaks before the last byte is written does not count against its server, and the
+// request goes out on another connection; nor does a lack of descriptors.
 func TestBrokenKeptConnectionAndLocalShortageDemoteNoServer(t *testing.T) {
 	b := newFakeServer(t, respondOK)
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 2, idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 2)
 	for range 2 {
 		x, y := net.Pipe()
 		defer y.Close()
@@ -1071,8 +1068,7 @@
 	}
 	req := newRequest(b.addr, "order", "x")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-	now := time.Now()
-	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
+	if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOK {
 		t.Errorf("ended as %d (%s), want %d", res.status, res.reason, balancer.StatusOK)
 	}
 	if b.count() != 1 || p.size() != 1 {
@@ -1080,29 +1076,27 @@
 	}
 	p.closeIdle(b.addr)
 	p.maxConns = 0
-	if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOverloaded {
+	if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOverloaded {
 		t.Errorf("no descriptor: ended as %d, want %d", res.status, balancer.StatusOverloaded)
 	}
 }
 
-// A backend that drops idle connections without a sign costs a request now and then,
-// not each one that comes after a pause.
+// A server that drops idle connections without a sign costs a request now and then, not each one that follows
+// a pause.
 func TestConnectionsThatIdleTooLongAreNotUsed(t *testing.T) {
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 8)
 	b := newFakeServer(t, respondOK)
 	req := newRequest(b.addr, "order", "x")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 	p.idleTimes.feed(100, 0, 0)
 	p.idleTimes.feed(100, 200*time.Millisecond, 2)
 	for _, idled := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond} {
-		now := time.Now()
-		if res := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); res.status != balancer.StatusOK {
+		if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOK {
 			t.Fatalf("ended as %d (%s)", res.status, res.reason)
 		}
 		p.idle[b.addr][0].idleSince = time.Now().Add(-idled)
 	}
-	now := time.Now()
-	p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout))
+	attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.arrivals != 3 {
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// noise is n bytes that are not alike.
+// randomBytes is n bytes that differ.
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -31,7 +31,7 @@
 	return sendResponse(c, 200, "", digest(body))
 }
 
-// slowly brings a body in pieces, with a call before each.
+// slowReader returns a body in pieces, with a call before each.
 type slowReader struct {
 	body   []byte
 	piece  int
@@ -77,8 +77,8 @@
 	}
 }
 
-// The time of a request counts from its last byte, and its server is not to blame for a
-// client that brings it slowly.
+// The time of a request counts from its last byte, and its server is not to blame for a client that sends
+// slowly.
 func TestSlowStreamedBodyHasItsFullTime(t *testing.T) {
 	t.Parallel()
 	a, b := startWithServer(t, hashResponder)
@@ -101,8 +101,8 @@
 	}
 }
 
-// A server that takes no more of a long body ends the attempt with its answer. What is
-// gone is not sent again, and what never ran is refused.
+// A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
+// sent again, and what did not execute is rejected.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
 	b := newFakeServer(t, nil)
 	b.ln.Close()
@@ -178,8 +178,7 @@
 	}
 }
 
-// The first bytes of a long answer, and of one that takes long, are passed on while the
-// rest is yet to come.
+// The first bytes of a long response, and of one that takes long, are passed on before the rest has arrived.
 func TestLongResponseIsStreamed(t *testing.T) {
 	more := make(chan struct{})
 	long := randomBytes(3 * maxBufferedBody)
@@ -229,7 +228,7 @@
 	}
 }
 
-// An answer that breaks halfway can't be taken for whole, and is sent once.
+// A response that breaks halfway can't be taken for complete, and its request is sent once.
 func TestLongResponseAborted(t *testing.T) {
 	long := randomBytes(3 * maxBufferedBody)
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
@@ -262,7 +261,7 @@
 	}
 }
 
-// A client that goes away in the middle of a long answer gives its server's connection up.
+// A client that closes in the middle of a long response frees its server's connection.
 func TestClientClosesDuringALongResponse(t *testing.T) {
 	gone := make(chan error, 1)
 	a, _ := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
@@ -275,7 +274,7 @@
 		return false
 	})
 	c := a.dialKept()
-	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
+	fmt.Fprint(c, readRequestText(1, 4000))
 	if _, err := c.br.Peek(4096); err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +286,7 @@
 	}
 }
 
-// What the budget has no room for is not kept, but it goes through.
+// A body that exceeds the budget is not buffered, but it is forwarded.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
 	b := newBodyBudget(&Config{MemoryMB: 1})
 	if !b.TryAcquire(1 << 20 / 6) {
@@ -316,7 +315,7 @@
 	}
 }
 
-// What bodies held of the budget is there again once they are through.
+// Bytes of the budget that bodies reserved are free again once they are through.
 func TestBodyBudgetIsReleased(t *testing.T) {
 	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n%2 == 0 {
@@ -341,8 +340,8 @@
 	}
 }
 
-// A long request that is still coming when the process ends is refused and can go to
-// another one; its server has none of it that counts.
+// A streamed request that is still arriving when the process shuts down is rejected and can go to another
+// one; no server has all of it.
 func TestStreamedBodyIsRejectedAtShutdown(t *testing.T) {
 	t.Parallel()
 	a, b := startWithServer(t, hashResponder)
--- a/internal/agent/broken_conn_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -15,8 +15,8 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: cause}
 }
 
-// Only the deadline that this agent set is a time-out; whatever error of the kernel's shows that a
-// connection broke, it was reset.
+// Only the deadline that this agent set is a timeout; whatever error of the kernel shows that a connection
+// broke, it was reset.
 func TestBrokenConnectionsAreResets(t *testing.T) {
 	want := map[error]balancer.Status{
 		readError(os.ErrDeadlineExceeded):  balancer.StatusTimeout,
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -41,7 +41,7 @@
 	answers  int         // final answers that a client which still reads is owed
 }
 
-// heldBackend holds each request until release is called.
+// blockedServer blocks each request until release is called.
 func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeServer, release func()) {
 	held := make(chan struct{})
 	b = newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -57,7 +57,7 @@
 	return sendResponse(c, 503, "Not-Started: 1\r\n", "")
 }
 
-// closeAtBackend closes while a backend works on the request.
+// closeAtServer closes while a server works on the request.
 func closeAtServer(t *testing.T) closeMoment {
 	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
@@ -65,7 +65,7 @@
 		proceed: release, begun: b.startedCount, allowed: 1, answers: 1}
 }
 
-// closeBeforeRetry closes while the attempt is out whose end leads to a retry.
+// closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
@@ -75,10 +75,10 @@
 		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
 }
 
-// closeWhileQueued closes while the request waits in the agent for room at its only backend.
+// closeWhileQueued closes while the request is queued in the agent for its only server.
 func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, respondOK) }
 
-// queuedBehind has all room taken at the only backend, which answers once it is let go on.
+// queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
 	b, release := blockedServer(t, answer)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
@@ -92,7 +92,7 @@
 		begun: b.startedCount, allowed: room, answers: 1}
 }
 
-// closeWhileConnecting closes while the connection to the backend has not come up.
+// closeWhileConnecting closes while the connection to the server is not established.
 func closeWhileConnecting(t *testing.T) closeMoment {
 	ln := fullListener(t)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
@@ -128,8 +128,8 @@
 		}}
 }
 
-// blockedConn is a kept connection that looks open and is found broken at its first write,
-// which takes until it is let go on.
+// blockedConn is a kept connection that looks open and is found broken at its first write, which blocks until
+// it is released.
 type blockedConn struct {
 	net.Conn
 	writing, proceed chan struct{}
@@ -154,9 +154,9 @@
 	return broken
 }
 
-// closeOnBrokenKeptConnection closes while the request is written to a kept connection that
-// breaks, after which the agent would open another. The byte behind the request hides the
-// close from the server's own look.
+// closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
+// which the agent would open another. The byte behind the request hides the close from the server's own
+// check.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
 	b := newFakeServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
@@ -173,8 +173,7 @@
 		proceed: func() { close(broken.proceed) }, begun: b.startedCount, answers: 1}
 }
 
-// closeBehindEarlierResponse closes while the earlier of two requests of the connection is
-// still at a backend.
+// closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
 	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
@@ -193,9 +192,8 @@
 		reached: func() bool { return b.startedCount() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
 }
 
-// A client that ends its connection gets no further attempt, whatever the moment. One that
-// ends only its own side may still read: it is owed a final answer, which is a backend's or
-// an error.
+// A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
+// side may still read: it must get a final response, a server's or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
 	moments := map[string]func(*testing.T) closeMoment{
 		"at a backend":                      closeAtServer,
@@ -236,7 +234,7 @@
 	}
 }
 
-// wantFinalAnswers reads one final answer for each request: what a backend said, or an error.
+// wantFinalAnswers reads one final response for each request: a server's, or an error.
 func wantFinalAnswers(t *testing.T, br *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// hold stops the loop until the returned function is called.
+// blockLoop stops the loop until the returned function is called.
 func (a *testAgent) blockLoop() (release func()) {
 	blocked, held := make(chan struct{}), make(chan struct{})
 	a.loop.post(func() { close(held); <-blocked })
@@ -22,14 +22,14 @@
 	return func() { close(blocked) }
 }
 
-// noneOpen waits until the server knows that all clients' connections have ended.
+// wantNoneOpen waits until the server knows that all clients' connections have ended.
 func (a *testAgent) wantNoneOpen(t *testing.T) {
 	t.Helper()
 	waitUntil(t, "all clients' connections are closed", func() bool { return a.front.conns.size() == 0 })
 }
 
-// A client's leaving and what would have its request sent again cross on the way to the loop.
-// The client went first, so nothing is sent, whatever the loop takes first.
+// A client's close and an event that would have its request sent again cross on the way to the loop. The
+// client closed first, so nothing is sent, whichever the loop takes first.
 func TestNoRetryOnceTheClientHasClosed(t *testing.T) {
 	arrived, answer := make(chan struct{}, 10), make(chan struct{})
 	turnsAway := func(c net.Conn, req *http.Request, _ int) bool {
@@ -40,7 +40,7 @@
 	first, second := newFakeServer(t, turnsAway), newFakeServer(t, turnsAway)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
 	c := a.dialKept()
-	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n")
+	fmt.Fprint(c, readRequestText(1, 4000))
 	<-arrived
 	release := a.blockLoop()
 	close(answer)
@@ -61,8 +61,7 @@
 	}
 }
 
-// fullListener listens with a queue that is full, so that connections come up only once
-// there is room.
+// fullListener listens with a queue that is full, so that connections are established only once it has space.
 func fullListener(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,8 +86,8 @@
 	return nil
 }
 
-// A connection that comes up after its client has left carries nothing, also while the loop
-// has not heard of it.
+// A connection that is established after its client has closed carries nothing, also while the loop does not
+// know of the close.
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	ln := fullListener(t)
@@ -96,7 +95,7 @@
 		c.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
 	c := a.dialKept()
-	fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 20000\r\n\r\n")
+	fmt.Fprint(c, readRequestText(1, 20000))
 	waitUntil(t, "the connect is under way", func() bool { return a.loop.pool.connectCount() == 1 })
 	release := a.blockLoop()
 	defer release()
@@ -121,14 +120,14 @@
 	}
 }
 
-// A client may have sent more before it leaves: a byte behind its request, or a body that is
-// not read while the request waits. It has left all the same. (All of it fits what the system
-// takes unread: the end of a connection can't be seen before what comes ahead of it.)
+// A client may have sent more before it closes: a byte behind its request, or a body that is not read while
+// the request is queued. It has closed all the same. (All of it fits into what the system buffers unread: the
+// end of a connection can't be seen before what precedes it.)
 func TestQueuedRequestIsNotSentOnceItsClientHasClosed(t *testing.T) {
 	for name, text := range map[string]string{
-		"nothing more":   "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n",
-		"a further byte": "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n",
-		"many more bytes": "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n" +
+		"nothing more":   readRequestText(9, 30000),
+		"a further byte": readRequestText(9, 30000),
+		"many more bytes": readRequestText(9, 30000) +
 			strings.Repeat("X", 30_000),
 		"half a long body": "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 30000\r\n" +
 			"Content-Length: 400000\r\n\r\n" + strings.Repeat("X", maxBufferedBody+20_000),
@@ -146,7 +145,7 @@
 			})
 			for range 8 { // all that a lone agent has out at an unmeasured server
 				c := a.dialKept()
-				fmt.Fprint(c, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n")
+				fmt.Fprint(c, readRequestText(1, 30000))
 			}
 			waitUntil(t, "eight are at work", func() bool { return b.count() == 8 })
 			c := a.dialKept()
@@ -189,8 +188,8 @@
 	return client, accepted.(*clientConn)
 }
 
-// Where connections make room for others, a request that has come on the one chosen is not
-// crossed: it is read, and another connection makes the room.
+// Where connections are closed for others, a request that has arrived on the one chosen is not lost: it is
+// read, and another connection is closed.
 func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
 	conns := newClientConns(4) // three are room enough
 	var clients []net.Conn
@@ -221,9 +220,8 @@
 	}
 }
 
-// What wakes a connection's reader to look leaves the reader's own deadline as it was, whichever
-// of the two is set first, and however often it is woken: a request that has begun has the time
-// it had, no less and no more.
+// What wakes a connection's reader to check leaves the reader's own deadline as it was, whichever of the two
+// is set first, and however often it is woken: a request that has begun has the time that it had.
 func TestCloseWhenIdleKeepsTheReadersDeadline(t *testing.T) {
 	t.Run("a request under way is not cut short", func(t *testing.T) {
 		client, c := clientPair(t)
@@ -273,8 +271,8 @@
 	})
 }
 
-// Requests that a client has sent ahead are in the server's buffer where it falls idle: the
-// sweep of an emptying front does not take them for a client that has left.
+// Requests that a client has sent ahead are in the server's buffer when its connection becomes idle: the
+// sweep of a drain does not take them for a client that is idle.
 func TestDrainingKeepsARequestThatWasReadAhead(t *testing.T) {
 	client, c := clientPair(t)
 	conns := newClientConns(8)
@@ -290,8 +288,8 @@
 	}
 }
 
-// What came before the reader's deadline is read, also where the process was held up and looks
-// only after it: closing would cross a request that came in time.
+// What arrived before the reader's deadline is read, also where the process was delayed and checks only after
+// it: closing would lose a request that came in time.
 func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
 	const deadline = 50 * time.Millisecond
 	pair := func(t *testing.T) (net.Conn, *clientConn, []byte) {
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// After SIGTERM what came last has its whole time, and the program has ended before it may
-// be killed: the longest deadline, 3 s at the most, and 0.7 s later.
+// After SIGTERM the request that came last has its whole timeout, and the program has ended before it may be
+// killed: the longest timeout, 3 s at the most, and 0.7 s later.
 func TestDrainTimeIsWithinTheKillDelay(t *testing.T) {
 	for _, longest := range []float64{300, 3000, 20000} {
 		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
@@ -68,7 +68,7 @@
 	}
 }
 
-// What a file lacks or gets wrong leaves the settings in force as they are, whole.
+// Whatever a file lacks or gets wrong, the settings in force stay as they are, all of them.
 func TestReloadRejectsInvalidFiles(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:9"}]},"settings":` + testSettings + `}`
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -32,8 +32,7 @@
 // connectWith makes an attempt whose connect fails.
 func connectWith(t *testing.T, errno syscall.Errno) attemptResult {
 	t.Helper()
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 1,
-		idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 1)
 	p.dial = func(context.Context, string, time.Time) (net.Conn, error) { return nil, connectError(errno) }
 	now := time.Now()
 	r := p.attempt(t.Context(), &upstreamServer{}, "127.0.0.1:1", &upstreamMessage{}, now, now.Add(testTimeout))
@@ -56,7 +55,7 @@
 	}
 }
 
-// While connects fail for what this machine lacks, requests are refused or served by further attempts, and
+// While connects fail because this machine lacks a resource, requests are rejected or served by retries, and
 // no server is demoted.
 func TestLocalShortageDemotesNoServer(t *testing.T) {
 	b, c, d := newFakeServer(t, respondOK), newFakeServer(t, respondOK), newFakeServer(t, respondOK)
@@ -85,7 +84,7 @@
 	}
 }
 
-// A request that could not be written for lack of memory accuses nobody either.
+// A request that could not be written for lack of memory does not count against a server either.
 func TestWriteErrorsSeparateLocalShortageFromServerFault(t *testing.T) {
 	b := newFakeServer(t, respondOK)
 	want := map[syscall.Errno]balancer.Status{
@@ -93,13 +92,11 @@
 		syscall.EPIPE: balancer.StatusConnectFailed, syscall.ETIMEDOUT: balancer.StatusConnectFailed, syscall.ENETUNREACH: balancer.StatusConnectFailed,
 	}
 	for errno, status := range want {
-		p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 1,
-			idle: map[string][]*serverConn{}}
+		p := newTestPool(testTimeout, 1)
 		p.dial = newFaultPlan([]callFault{{callWrite, 30, errno}}).dial
 		req := newRequest(b.addr, "order", "x")
 		c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-		now := time.Now()
-		if r := p.attempt(t.Context(), &upstreamServer{}, b.addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout)); r.status != status {
+		if r := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); r.status != status {
 			t.Errorf("%v: ended as %d, want %d", errno, r.status, status)
 		}
 	}
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -17,13 +17,13 @@
 	timeoutMs = 4000
 )
 
-// deadlineRecorder keeps what each attempt tells its backend.
+// deadlineRecorder records the timeout that each attempt gives its server.
 type deadlineRecorder struct {
 	mu   sync.Mutex
 	told []int
 }
 
-// recording is answer, with the attempt's Request-Timeout-Ms kept.
+// recording is answer, with the attempt's Request-Timeout-Ms recorded.
 func (d *deadlineRecorder) recording(answer func(net.Conn, *http.Request, int) bool) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, req *http.Request, n int) bool {
 		told, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
@@ -52,7 +52,7 @@
 	}
 }
 
-// timed is a request with a time-out and a body.
+// timedRequest is a request with a timeout and a body.
 func timedRequest(timeoutMs int, body string) string {
 	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", timeoutMs, len(body), body)
@@ -68,7 +68,7 @@
 	return resp.StatusCode
 }
 
-// finalStatus is status where there has to be an answer.
+// finalStatus is status where there has to be a response.
 func finalStatus(t *testing.T, k *keptConn) int {
 	t.Helper()
 	status := k.status()
@@ -78,8 +78,8 @@
 	return status
 }
 
-// An attempt tells its backend no more time than the client has left. The times that have
-// passed before an attempt are the least that they can be, so a slow machine fails no case.
+// An attempt gives its server no more time than the client has left. The times that have passed before an
+// attempt are the least that they can be, so a slow machine fails no case.
 func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
 	const left = timeoutMs - int(testDelay/time.Millisecond)
 	for name, test := range map[string]func(t *testing.T, d *deadlineRecorder){
@@ -193,8 +193,7 @@
 	}
 }
 
-// askDuringStall sends a request while the loop does not run, for testDelay after the
-// request was read.
+// requestDuringStall sends a request while the loop does not run, for testDelay after the request was read.
 func requestDuringStall(t *testing.T, a *testAgent, text string) {
 	t.Helper()
 	release := a.blockLoop()
@@ -206,7 +205,7 @@
 	wantStatus(t, finalStatus(t, c), 200)
 }
 
-// With hardly any time left a request has its answer, and tells no backend more than that.
+// With hardly any time left a request has its response, and gives no server more time than that.
 func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
 	d := &deadlineRecorder{}
 	a, _ := startWithServer(t, d.recording(respondOK))
@@ -230,8 +229,8 @@
 	}
 }
 
-// A connection may have waited for a slot in the accept queue with its request: that time is
-// the client's too.
+// A connection may have waited for a slot in the accept queue with its request: that time is part of the
+// client's timeout.
 func TestTimeInTheAcceptQueueCounts(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -258,8 +257,8 @@
 	}
 }
 
-// A request that comes only once its connection has been accepted has its whole time, however
-// long the connection waited.
+// A request that arrives only once its connection has been accepted has its whole time, however long the
+// connection waited.
 func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
 	t.Parallel()
 	a, _ := startWithServer(t, respondOK)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// toldWithin is by when what discovery has, and could be asked for, counts as told.
+// notifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
 const notifiedWithin = 6 * time.Second
 
 // watchCall is a call that a scripted discovery got: its index, and on which connection.
@@ -129,8 +129,8 @@
 	}
 }
 
-// After a move the new address is asked for all it has, however often its first calls fail,
-// and is never asked from a version of the old one's count.
+// After a move the new address is polled for the full list, however often its first calls fail, and never from
+// a version of the old one.
 func TestMovedDiscoveryIsPolledForTheFullList(t *testing.T) {
 	t.Parallel()
 	old, oldCalls := scriptedDiscovery(t, func(int, watchCall) string { return "" })
@@ -192,8 +192,8 @@
 	<-done
 }
 
-// Answers that are no list, or are cut off, or come from the past, change nothing, are logged,
-// and are asked for again.
+// Responses that are no list, are cut off or have an older version change nothing, are logged, and are
+// followed by another call.
 func TestInvalidResponsesChangeNothing(t *testing.T) {
 	entry := `{"id":"s-1","addr":"127.0.0.1:1","state":"draining"}`
 	for name, text := range map[string]string{
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -113,32 +113,32 @@
 	return b.arrivals
 }
 
-// begun counts the requests that have begun to arrive.
+// startedCount counts the requests that have begun to arrive.
 func (b *fakeServer) startedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.heads
 }
 
-// send writes an answer as it is.
+// sendResponse writes a response as it is.
 func sendResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
-// serving answers every request with its own path and body.
+// respondOK answers every request with its own path and body.
 func respondOK(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
 	return sendResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
 
-// reset ends a connection with RST.
+// resetConn ends a connection with RST.
 func resetConn(c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// fakeDiscovery holds a list and answers fetches and watches.
+// fakeDiscovery has a list and answers fetches and watches.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -247,9 +247,8 @@
 	return d.calls
 }
 
-// told changes an entry and returns once the agent has handed the change to its
-// loop: the watch calls again first and hands on then, so one more change is made
-// and the call after that is waited for.
+// waitNotified changes an entry and returns once the agent has passed the change to its loop: the watch calls
+// again first and passes on then, so one more change is made and the call after that is waited for.
 func (d *fakeDiscovery) waitNotified(t *testing.T, s Target) {
 	t.Helper()
 	d.set(s)
@@ -258,7 +257,7 @@
 	d.waitVersion(t, d.list.Version)
 }
 
-// wait waits for a watch call with an index of at least version.
+// waitVersion waits for a watch call with an index of at least version.
 func (d *fakeDiscovery) waitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	over := time.After(testTimeout)
@@ -278,7 +277,7 @@
 	return Target{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
 }
 
-// testAgent is an agent on a port of the kernel's choice.
+// testAgent is an agent on a port that the kernel chooses.
 type testAgent struct {
 	t     testing.TB
 	addr  string
@@ -354,7 +353,7 @@
 	a.t.Fatal("the agent is not ready")
 }
 
-// figures reads the loop's counts, in the loop.
+// metricsNow reads the loop's metrics, in the loop.
 func (a *testAgent) metricsNow() metrics {
 	return inLoop(a, func(l *eventLoop) metrics {
 		f := l.metrics
@@ -370,7 +369,7 @@
 	return <-got
 }
 
-// until waits for something that comes about by itself.
+// waitUntil waits for a condition.
 func waitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
@@ -380,7 +379,7 @@
 	}
 }
 
-// logged makes the agent hand its log lines to the test, as text.
+// logLines makes the agent pass its log lines to the test, as text.
 func (a *testAgent) logLines(t *testing.T) <-chan string {
 	t.Helper()
 	lines := make(chan string, 1000)
@@ -393,7 +392,7 @@
 	return lines
 }
 
-// lineWriter sends each line that is written; one too many is left out.
+// lineWriter sends each line that is written; it drops those for which there is no space.
 type lineWriter chan string
 
 func (w lineWriter) Write(line []byte) (int, error) {
@@ -462,3 +461,28 @@
 		t.Errorf("answered %d, want %d", got, want)
 	}
 }
+
+// newTestPool is a connection pool without an agent.
+func newTestPool(connectTimeout time.Duration, maxConns int) *connectionPool {
+	return &connectionPool{
+		budget:         newBodyBudget(&Config{MemoryMB: 64}),
+		connectTimeout: connectTimeout,
+		keepalive:      time.Minute,
+		maxConns:       maxConns,
+		idle:           map[string][]*serverConn{},
+	}
+}
+
+// attemptNow makes an attempt for a client's request, with testTimeout as its deadline.
+func attemptNow(
+	ctx context.Context, p *connectionPool, server *upstreamServer, addr string, c *clientRequest,
+) attemptResult {
+	now := time.Now()
+	return p.attempt(ctx, server, addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout))
+}
+
+// readRequestText is a request of the class read as a client writes it.
+func readRequestText(id, timeoutMs int) string {
+	return fmt.Sprintf("GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
+		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
+}
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// crash is the fault of a backend whose process dies: it accepts nothing more.
+// crashFault is the fault of a server whose process dies: it accepts nothing more.
 const crashFault = "crash"
 
-// backendFaults are ways in which a backend fails requests that it has taken.
+// serverFaults are ways in which a server fails requests that it has accepted.
 var serverFaults = map[string]func(c net.Conn, req *http.Request, n int) bool{
 	"hang":                func(net.Conn, *http.Request, int) bool { return true },
 	crashFault:            func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) },
@@ -35,7 +35,7 @@
 	},
 }
 
-// halfAnswer writes an answer that does not come to its end.
+// halfResponse writes a response that does not come to its end.
 func halfResponse(c net.Conn, status string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: 9\r\n\r\nhalf", status)
 	return err == nil
@@ -57,8 +57,8 @@
 	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", maxBufferedBody)); c.Close() },
 }
 
-// misbehave has bad clients come one after another until ctx ends; some stay to the end. They
-// come seldom enough to leave slots for others.
+// misbehave has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
+// enough to leave slots for others.
 func misbehave(ctx context.Context, addr string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		nc, err := net.Dial("tcp", addr)
@@ -73,8 +73,8 @@
 	}
 }
 
-// Faults of a backend and of other clients free no request of its final answer: it comes
-// within half a second after its time, and is a backend's or an error.
+// Whatever a server and other clients do, each request has its final response, a server's or an error, within
+// half a second after its timeout.
 func TestUnrelatedFaultsCostNoRequestItsResponse(t *testing.T) {
 	const (
 		timeout  = 1500 * time.Millisecond
@@ -116,7 +116,7 @@
 	}
 }
 
-// wantAnswer asks, and checks that the answer is final and not too late to count.
+// wantResponse sends a request, and checks that the response is final and not too late.
 func wantResponse(t *testing.T, addr, class string, timeout time.Duration) int {
 	req := newRequest(addr, class, "x")
 	req.Header.Set("Request-Timeout-Ms", fmt.Sprint(timeout.Milliseconds()))
--- a/internal/agent/faulty_conn_test.go
+++ b/internal/agent/faulty_conn_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// systemCall is one that a fault makes fail.
+// systemCall is a system call that a fault makes fail.
 type systemCall string
 
 const (
@@ -19,7 +19,7 @@
 	callWrite   systemCall = "write"
 )
 
-// fault makes a connection's call fail once so many bytes have passed it, and every call after that.
+// callFault makes a connection's call fail once so many bytes have passed it, and every call after that.
 type callFault struct {
 	Call  systemCall
 	After int64
@@ -37,7 +37,7 @@
 	shortPiece  = 61
 )
 
-// shortCall is how many of the bytes at hand a call moves.
+// shortCall is how many of the available bytes a call moves.
 func shortCall(passed int64, atHand int) int {
 	if passed < singleBytes {
 		return min(1, atHand)
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -9,22 +9,22 @@
 	"testing"
 )
 
-// smallAgent has the fewest descriptors that may be set.
+// startSmallAgent has the fewest descriptors that may be configured.
 func startSmallAgent(t *testing.T) (a *testAgent, most int) {
 	b := newFakeServer(t, respondOK)
 	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
 	return a, a.loop.cfg.clientConns()
 }
 
-// askReady asks on a connection whether the agent is ready, so that it rests afterwards.
+// requestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
 func (k *keptConn) requestReady(t *testing.T) {
 	t.Helper()
 	fmt.Fprint(k, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	wantStatus(t, finalStatus(t, k), 200)
 }
 
-// The first request on a new connection is answered, whatever the agent does with others just
-// then to keep within its descriptors.
+// The first request on a new connection is answered, whatever the agent does with others just then to keep
+// within its descriptors.
 func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
 	for name, fill := range map[string]func(t *testing.T, a *testAgent, most int){
 		"room is made of resting connections": func(t *testing.T, a *testAgent, most int) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Bytes that are no request, ahead of one on a new connection, are answered with an error or
-// served as if they were not there; the connection never ends with nothing said.
+// Bytes that are no request, ahead of one on a new connection, are answered with an error or served as if
+// they were not there; the connection never ends without a response.
 func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
 	a, b := startWithServer(t, respondOK)
 	for name, bytes := range map[string]string{
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -13,7 +13,7 @@
 )
 
 // lateWriteConn is a connection whose server gets a whole request and then resets the connection, while the
-// goroutine that wrote the last byte is held up until the connection is closed.
+// goroutine that wrote the last byte is blocked until the connection is closed.
 type lateWriteConn struct {
 	net.Conn // nil: what is not overridden isn't called
 	lastByte byte
@@ -50,8 +50,8 @@
 func (c *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestLongBodyWrittenBeforeTheResetMayHaveRun resets a connection behind the last byte of a long body, before
-// the news that it was written: the request is unsafe to repeat, may have run, and must not be refused.
+// A connection is reset behind the last byte of a streamed body, before the write of that byte returns: the
+// request is non-idempotent, may have executed, and must not be rejected.
 func TestStreamedBodySentBeforeTheResetMayHaveExecuted(t *testing.T) {
 	t.Parallel()
 	const lastByte = 'Z'
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -12,8 +12,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A second answer that comes some milliseconds late on a kept connection is nobody's: the next
-// request there has its own.
+// A second response that comes some milliseconds late on a kept connection is dropped: the next request there
+// has its own.
 func TestSecondResponseIsNotTheNextRequests(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if !respondOK(c, req, n) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A repeat is begun only while backends still drop repeats, also where its connection comes up
-// after the module's look at the clock.
+// A retry is sent only while servers still drop duplicates, also where its connection is established after
+// the policy's check of the time.
 func TestRetryIsNotSentPastItsWindow(t *testing.T) {
 	t.Parallel()
 	fails := newFakeServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
@@ -107,9 +107,9 @@
 	t.Error("no request came to the failing backend first")
 }
 
-// A process that knows no server, of a discovery that is silent, is ready in time all the same:
-// its requests are refused in theirs, and served once there is a list. Operators are told that it
-// serves only then.
+// A process that knows no server, of a discovery that is silent, is ready in time all the same: its requests
+// are rejected within their timeouts, and served once there is a list. The admin endpoint says that it serves
+// only then.
 func TestReadyWithoutAnEndpointList(t *testing.T) {
 	t.Parallel()
 	b := newFakeServer(t, respondOK)
@@ -138,7 +138,7 @@
 	waitUntil(t, "operators are told", func() bool { return a.adminCall("GET", "/ops/readiness") == 200 })
 }
 
-// Half a line that a server sends on an idle connection spoils it: the next request takes another.
+// Half a line that a server sends on an idle connection makes it unusable: the next request takes another.
 func TestPartialLineOnAnIdleConnectionIsDropped(t *testing.T) {
 	more := make(chan struct{})
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -161,7 +161,7 @@
 	}
 }
 
-// A client that leaves in the middle of a body that is kept has sent no request: nothing is sent on.
+// A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
 func TestClientThatClosesInItsBodyIsNotForwarded(t *testing.T) {
 	a, b := startWithServer(t, respondOK)
 	c := a.dialKept()
@@ -174,8 +174,8 @@
 	}
 }
 
-// A request that is read once the process takes none any more is refused, on its connection, and
-// not sent on.
+// A request that is read once the process admits none any more is rejected, on its connection, and not
+// forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
 	a, b := startWithServer(t, respondOK)
 	c := a.dialKept()
@@ -191,8 +191,8 @@
 	}
 }
 
-// What is written last goes out with its connection's end: the system holds back no small writes,
-// neither of clients' connections nor of servers'.
+// Bytes that are written last are sent with the connection's end: the system delays no small writes, neither
+// on clients' connections nor on servers'.
 func TestSmallWritesAreNotDelayed(t *testing.T) {
 	noDelay := func(nc net.Conn) (set bool) {
 		raw, err := nc.(*net.TCPConn).SyscallConn()
@@ -210,7 +210,7 @@
 	if _, c := clientPair(t); !noDelay(c.Conn) {
 		t.Error("small writes to clients are held back")
 	}
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), connectTimeout: testTimeout, keepalive: time.Minute, maxConns: 8, idle: map[string][]*serverConn{}}
+	p := newTestPool(testTimeout, 8)
 	b := newFakeServer(t, respondOK)
 	cn, err := p.acquire(t.Context(), b.addr, time.Now().Add(testTimeout))
 	if err != nil {
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -59,13 +59,13 @@
 	}
 }
 
-// twoWays is a client that calls the same servers through an agent and straight.
+// pathComparison is a client that calls the same servers through an agent and directly.
 type pathComparison struct {
 	agent           *testAgent
 	through, direct *requestPath
 }
 
-// way is one of them: an open loop and what it saw.
+// requestPath is one of the two ways: an open loop and what it measured.
 type requestPath struct {
 	client   *http.Client
 	rng      *rand.Rand
@@ -105,7 +105,7 @@
 	return w
 }
 
-// newTimes takes ns, up to what the client waits.
+// newHistogram takes ns, up to what the client waits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(2*testTimeout), 3) }
 
 // play makes so many calls each way and returns what the agent and the direct way connected.
--- a/internal/agent/poll_test.go
+++ b/internal/agent/poll_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// An interrupted look at a connection is made again: the client may have left.
+// An interrupted poll of a connection is repeated: the client may have closed it.
 func TestPeerCloseIsSeenAfterAnInterruptedPoll(t *testing.T) {
 	calls := 0
 	poll := func(fds []unix.PollFd, _ int) (int, error) {
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -20,7 +20,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// teller is an instance of a list service that tells settings.
+// fakeSettingsDiscovery is an instance of a discovery service that sends settings.
 type fakeSettingsDiscovery struct {
 	*httptest.Server
 	calls chan url.Values // of each call
@@ -89,7 +89,7 @@
 	})
 }
 
-// called waits for a call that is so.
+// waitCall waits for a call that satisfies a condition.
 func (d *fakeSettingsDiscovery) waitCall(t *testing.T, what string, is func(url.Values) bool) url.Values {
 	t.Helper()
 	for over := time.After(testTimeout); ; {
@@ -116,14 +116,15 @@
 	}
 }
 
-// toldSettings are the tests' settings without what is each agent's own, one text replaced by another.
+// settingsWith are the tests' settings without the keys that belong to one agent, one text replaced by
+// another.
 func settingsWith(from, to string) string {
 	text := strings.NewReplacer(`"index":0,`, ``, `,"zone":0`, ``).Replace(testSettings)
 	return strings.Replace(text, from, to, 1)
 }
 
-// startTold starts an agent that takes the settings of service pay, at index 3 in zone 1; its
-// configuration's file is the one that is given, so that it may come again.
+// startWithSettingsService starts an agent that takes the settings of service pay, at index 3 in zone 1; its
+// configuration's file is the one that is returned, so that a test can reload it.
 func startWithSettingsService(t *testing.T, addrs ...string) (*testAgent, *Config) {
 	t.Helper()
 	text := strings.NewReplacer(`"index":0`, `"index":3`, `"zone":0`, `"zone":1`).Replace(testSettings)
@@ -140,8 +141,8 @@
 	}), cfg
 }
 
-// inForceNow is the largest number of attempts and the round of the settings in force, with what is
-// the agent's own.
+// settingsInForce is the largest number of attempts and the round trip of the settings in force, with the
+// values that belong to the agent.
 func settingsInForce(a *testAgent) [4]int {
 	return inLoop(a, func(l *eventLoop) [4]int {
 		s := &l.cfg.Settings
@@ -194,7 +195,7 @@
 	}
 }
 
-// Agents begin spread over the addresses, and those of one that fails go on to different ones.
+// Agents begin spread over the addresses, and those of one that fails move on to different ones.
 func TestAgentsAreSpreadOverAddresses(t *testing.T) {
 	addrs := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	pairs := map[[2]string]int{}
@@ -216,7 +217,7 @@
 	}
 }
 
-// The waits are drawn evenly from nothing up to their bound: of a move, and of a turn, which doubles.
+// The waits are drawn evenly from zero up to their bound: of a failover, and of a round, which doubles.
 func TestWaitsHaveFullJitter(t *testing.T) {
 	most, low := map[int]time.Duration{}, map[int]time.Duration{}
 	for range 300 {
@@ -238,7 +239,7 @@
 	}
 }
 
-// Without the section a call is what it was, to the byte, and what an answer says of settings is nothing.
+// Without the section a call is the same as before, to the byte, and settings in a response are ignored.
 func TestWithoutControlTheCallFormIsUnchanged(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -321,8 +322,8 @@
 	third.waitCallWith(t, "index", "41")
 }
 
-// A call whose connection is lost is not made again until the wait after a failure is over: the agents of
-// an instance that falls would all come at once.
+// A call whose connection is lost is not retried until the wait after a failure is over: the agents of an
+// instance that fails would all call at once.
 func TestLostCallIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -367,7 +368,8 @@
 	}
 }
 
-// An instance that has less than the others is passed over; only once all have less is all asked for.
+// An instance that has an older version than the others is skipped; only once all have one the full list is
+// asked for.
 func TestOlderVersionIsAcceptedOnlyFromAllAddresses(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Name: "pay-1", Control: &Control{}}
@@ -399,8 +401,8 @@
 	}
 }
 
-// Settings that the service tells are taken over whole, but for what is the agent's own; a version
-// never goes back.
+// Settings that the service sends are applied as a whole, except for those that belong to the agent; a
+// version never goes back.
 func TestServiceSettingsAreApplied(t *testing.T) {
 	t.Parallel()
 	d := newFakeSettingsDiscovery(t, 41)
@@ -449,7 +451,8 @@
 	}
 }
 
-// Settings that the agent can't take are counted, logged and told with the key, and the old stay.
+// Settings that the agent can't apply are counted, logged and reported with the key, and the previous ones
+// stay in force.
 func TestInvalidServiceSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 	d := newFakeSettingsDiscovery(t, 41)
@@ -484,8 +487,8 @@
 	}
 }
 
-// At a reload the service's settings stay, the file's addresses and what is the agent's own are
-// taken, and what was refused is judged again.
+// At a reload the service's settings stay in force, the file's addresses and the agent's own values are
+// applied, and rejected settings are checked again.
 func TestReloadWithControl(t *testing.T) {
 	t.Parallel()
 	d, moved := newFakeSettingsDiscovery(t, 41), newFakeSettingsDiscovery(t, 3)
@@ -529,7 +532,7 @@
 	waitUntil(t, "the next settings are taken", func() bool { return settingsInForce(a) == [4]int{1, 5, 4, 0} })
 }
 
-// An agent that ends takes no more settings over, and does not ask again and again for them.
+// An agent that stops applies no more settings, and does not ask for them repeatedly.
 func TestStoppingAgentRequestsNoSettings(t *testing.T) {
 	t.Parallel()
 	w := &settingsWatch{service: "pay", agent: "pay-1", apply: func(context.Context, *endpoint.Settings) error { return errAgentStopping }}
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-// room is what is left of each quota and limit, in their order.
+// available is what is left of each quota and limit, in their order.
 func (s *sharedLimits) available() []int64 {
 	var room []int64
 	for _, q := range s.quotas {
@@ -34,8 +34,8 @@
 	return append(room, int64(s.conns.maxConns), int64(s.pool.maxConns))
 }
 
-// Two processes of one agent have its limits once: the second has half until the first has
-// ended, and the first gives up half when it is told to end.
+// Two processes of one agent have its limits once: the second has half until the first has ended, and the
+// first gives back half when it is told to end.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	lock := filepath.Join(t.TempDir(), "lock")
 	first, second := newSharedLimits(256), newSharedLimits(256)
@@ -79,8 +79,8 @@
 	want("the second, alone", second, 1)
 }
 
-// Whatever a configuration allows, one process and two side by side stay within its descriptors
-// with every slot taken, and each side has some.
+// Whatever a configuration allows, one process and two side by side stay within its descriptors with every
+// slot used, and each side has some.
 func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := minSockets; sockets <= 1024; sockets++ {
 		c := &Config{Sockets: sockets}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// takeAllSlots leaves clients no slot for a connection until release is called, but for the
-// one that Accept holds already.
+// takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
+// Accept has already.
 func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
 	t.Helper()
 	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
@@ -20,8 +20,8 @@
 	return func() { slots.Release(taken) }
 }
 
-// A connection that waits to be accepted when the shutdown closes the listener has come: its
-// request is owed an answer, also where there was no slot for it until then.
+// A connection that waits to be accepted when the shutdown closes the listener has arrived: its request must
+// be answered, also where there was no slot for it until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
 	a, _ := startWithServer(t, respondOK)
@@ -38,8 +38,8 @@
 	accepted.Close()
 }
 
-// First requests of new connections have their answer at each moment of the shutdown, and
-// those that were connected before it too.
+// First requests of new connections have their response at each moment of the shutdown, and those of earlier
+// connections too.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
 	a, b := startWithServer(t, respondOK)
@@ -82,8 +82,8 @@
 	}
 }
 
-// A connection that never brought a request ends before the process may be killed: a request
-// on it could come too late to be answered.
+// A connection that never brought a request is closed before the process may be killed: a request on it could
+// come too late to be answered.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", newFakeServer(t, respondOK).addr)), func(c *Config) {
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client that stops in the middle of its body and stays is answered with an error and its
-// connection closed within the time that improper peers are owed, however much it has sent.
+// A client that stops in the middle of its body and stays connected gets an error and its connection is
+// closed within the time for improper peers, however much it has sent.
 func TestStalledRequestBodyIsClosedInTime(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ sent, length int }{
@@ -45,7 +45,7 @@
 	}
 }
 
-// stuckBackend takes connections and reads no more than the first byte of each.
+// unacceptingServer accepts connections and reads no more than the first byte of each.
 func unacceptingServer(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,8 +66,8 @@
 	return ln
 }
 
-// A backend that stops reading in the middle of a long body frees nobody of the answer: the
-// client may have sent its last byte, and its time runs.
+// A server that stops reading in the middle of a streamed body costs no client its response: the client may
+// have sent its last byte, and its time runs.
 func TestServerThatStopsReadingAStreamedBody(t *testing.T) {
 	t.Parallel()
 	const timeout = 800 * time.Millisecond
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
 )
 
-// startsRig is a machine whose wall clock may be wrong, and the starts that an agent on it is told.
+// startTimesFixture is a machine whose wall clock may be wrong, and the start times that an agent on it gets.
 type startTimesFixture struct {
 	t      *testing.T
 	clock  *clocktest.Manual
@@ -18,7 +18,7 @@
 	asOf   time.Duration // of the last answer of discovery
 }
 
-// trueMs is the time of day in a world whose clocks run true, at the start of a rig.
+// trueMs is the time of day by accurate clocks, at the start of a fixture.
 const trueMs = 1_800_000_000_000.0
 
 func newStartTimesFixture(t *testing.T, ahead time.Duration) *startTimesFixture {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A backend that restarts after a step of the wall clock is as cold as it is, whether the step was of
-// all machines or of the agent's alone; what is told again keeps its age.
+// A server that restarts after a step of the wall clock has its true age, whether the step was of all
+// machines or of the agent's alone; a process that is listed again keeps its age.
 func TestRestartAfterAClockStepIsInSlowStart(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		for _, listStep := range []time.Duration{step, 0} {
@@ -67,7 +67,7 @@
 	}
 }
 
-// New backends are cold at an agent whose clock was an hour wrong when it started, from its first
+// New servers are in slow start at an agent whose clock was an hour wrong when it started, from its first
 // list on where the clock was behind, and from then on where it was ahead.
 func TestNewServerIsInSlowStartAtAnAgentWithAWrongClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Where clocks run true a start is what the list says, however late the list.
+// Where clocks are accurate a start time is what the list says, however late the list.
 func TestAccurateClocksKeepListedStartTimes(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second, time.Minute} {
 		r := newStartTimesFixture(t, 0)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A list of a lower version, from a discovery that was moved or restored, brings back no earlier
-// process; one that tells a later one is believed.
+// A list of a lower version, from a discovery that was moved or restored, restores no earlier process; one
+// that lists a later process is believed.
 func TestOlderListRestoresNoProcess(t *testing.T) {
 	r := newStartTimesFixture(t, 0)
 	r.want(r.resolve(trueMs-5000, listContext{}), 5*time.Second)
