--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// While discovery is down idle clients and silent operators fill every slot there is for them.
+// While discovery is down idle clients and silent operators use every slot there is for them.
 // The program keeps within its descriptors, which the system enforces here, and at discovery's
-// return the call to it, an attempt to a new server and the operators' door have theirs.
+// return the call to it, an attempt to a new server and the admin endpoint have theirs.
 func TestFullDescriptorsLeaveRoomForWhatMatters(t *testing.T) {
 	serve := func(name string) *httptest.Server {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
--- a/cmd/agent/kill_test.go
+++ b/cmd/agent/kill_test.go
@@ -26,7 +26,7 @@
 	lastDial = 400 * time.Millisecond
 )
 
-// killedClient sends requests on one connection after another, and counts what became of them.
+// killedClient sends requests on one connection after another, and counts their outcomes.
 type killedClient struct {
 	addr string
 	rest time.Duration // before each request
@@ -87,7 +87,7 @@
 }
 
 // SIGKILL at the earliest moment that the protocol allows finds nothing unanswered, while the
-// backend hangs from SIGTERM on and clients go on sending on each connection that stays open.
+// server blocks from SIGTERM on and clients keep sending on each connection that stays open.
 func TestEarliestSIGKILLFindsNothingUnanswered(t *testing.T) {
 	term := time.Now().Add(2 * time.Second)
 	release := make(chan struct{})
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// SIGTERM under traffic: connections go on coming for a while and those there are
-// go on being used; each request on an accepted connection has its answer, and
+// SIGTERM under traffic: connections still arrive for a while and the open ones
+// are still used; each request on an accepted connection has its response, and
 // the program ends by itself, without error.
 func TestSIGTERMUnderTraffic(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// SIGHUP: the program goes on, asks discovery at the address that the file names now,
-// whatever the environment said at the start, and a file of nonsense changes nothing.
+// SIGHUP: the program runs on, calls discovery at the address that the file names now,
+// whatever the environment said at the start, and an invalid file changes nothing.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	asked := make(chan string, 100)
 	discovery := func(name string) string {
@@ -284,7 +284,7 @@
 	}
 }
 
-// A new version under load: the platform holds the clients' queue, a second process
+// A new version under load: the platform owns the clients' queue, a second process
 // takes over from it, and no client meets a connection that is refused, reset or unread.
 func TestUpgradeOnAnInheritedListener(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done") }))
@@ -419,7 +419,7 @@
 	}
 }
 
-// silentDiscovery is a discovery that answers no call while the test's patience lasts; it
+// silentDiscovery is a discovery that answers no call during the test; it
 // gives its address and is closed, its connections first, when the test ends.
 func silentDiscovery(t *testing.T) string {
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -18,7 +18,7 @@
 // adminCall makes an admin call and returns its status.
 func (a *testAgent) adminCall(method, path string) int {
 	a.t.Helper()
-	req, err := http.NewRequest(method, "http://"+a.door+path, nil)
+	req, err := http.NewRequest(method, "http://"+a.adminAddr+path, nil)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	a, _ := startWithServer(t, respondOK)
 	var silent []net.Conn
 	for i := range 3 * maxAdminConns {
-		c, err := net.Dial("tcp", a.door)
+		c, err := net.Dial("tcp", a.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,7 +171,7 @@
 	if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
 		t.Errorf("a request has come: read %q, %v", buf[:n], err)
 	}
-	c.closeWhenIdle() // its rest has not come yet
+	c.closeWhenIdle() // its rest has not arrived yet
 	time.AfterFunc(50*time.Millisecond, func() { client.Write([]byte(" /")) })
 	if n, err := c.Read(buf); string(buf[:n]) != " /" || err != nil {
 		t.Errorf("half a request has come: read %q, %v", buf[:n], err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -313,7 +313,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A request that the module was never told of stands for one that it forgot.
+	// A request that the policy never got stands for one that it forgot.
 	c := &clientRequest{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), response: make(chan finalResponse, 1)}
 	r := &request{id: 1, client: c}
 	l.requests[1], l.unanswered = r, 1
@@ -413,7 +413,7 @@
 	d.waitVersion(t, 1)
 	d.setDown(true)
 	before := d.callCount()
-	for d.callCount() == before { // the module asks again, after a time of its choice
+	for d.callCount() == before { // the policy asks for the list again, after a time of its choice
 		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
@@ -621,7 +621,7 @@
 	}
 	closed := func() (n int) {
 		for _, x := range conns {
-			if x.closeIfIdle { // nothing has come, so its reader ends it
+			if x.closeIfIdle { // nothing has arrived, so its reader closes it
 				n++
 			}
 		}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -171,7 +171,7 @@
 	wantStatus(t, status, 200)
 	f := a.metricsNow()
 	for end := time.Now().Add(testTimeout); f.attempts[306]+f.attempts[307] == 0 && time.Now().Before(end); f = a.metricsNow() {
-		time.Sleep(time.Millisecond) // the attempt's end comes to the loop by itself
+		time.Sleep(time.Millisecond) // the loop gets the attempt's end by itself
 	}
 	if f.attempts[306]+f.attempts[307] != 1 || f.violations+f.backstops > 0 {
 		t.Errorf("figures %+v", f)
@@ -356,7 +356,7 @@
 			break
 		}
 	}
-	late := a.dialKept() // its head comes in two parts, the second of them after the end has begun
+	late := a.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
 	fmt.Fprint(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	a.stop()
 	refused := func(name string, k *keptConn) {
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -34,7 +34,7 @@
 type closeMoment struct {
 	agent    *testAgent
 	requests string      // what the client has sent by then
-	reached  func() bool // tells whether the moment has come
+	reached  func() bool // tells whether the moment is there
 	proceed  func()      // lets go on whatever waited for the close
 	begun    func() int  // requests that have begun to arrive at backends
 	allowed  int         // how many of those began before the close
@@ -82,7 +82,7 @@
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
 	b, release := blockedServer(t, answer)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	const room = 8 // at a backend that has not been measured yet
+	const room = 8 // the concurrency limit of a server without measurements
 	for range room {
 		fmt.Fprint(a.dialKept(), readRequest)
 	}
@@ -218,7 +218,7 @@
 				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
 				m.proceed()
 				if way == "half-close" {
-					wantFinalAnswers(t, client.br, m.answers)
+					wantFinalResponses(t, client.br, m.answers)
 				}
 				waitUntil(t, "the connection has ended", func() bool {
 					return inLoop(m.agent, func(l *eventLoop) int { return l.unanswered }) == 0
@@ -235,7 +235,7 @@
 }
 
 // wantFinalAnswers reads one final response for each request: a server's, or an error.
-func wantFinalAnswers(t *testing.T, br *bufio.Reader, want int) {
+func wantFinalResponses(t *testing.T, br *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
 		resp, err := http.ReadResponse(br, nil)
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -101,7 +101,7 @@
 	defer release()
 	c.Close()
 	a.wantNoneOpen(t)
-	// Room in the queue: a connect that goes on comes up with its next try, in a second.
+	// Space in the queue: a connect that continues is established with its next SYN, in a second.
 	over := time.AfterFunc(2500*time.Millisecond, func() { ln.Close() })
 	defer over.Stop()
 	for {
@@ -191,7 +191,7 @@
 // Where connections are closed for others, a request that has arrived on the one chosen is not lost: it is
 // read, and another connection is closed.
 func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
-	conns := newClientConns(4) // three are room enough
+	conns := newClientConns(4) // seven eighths, three, may be open
 	var clients []net.Conn
 	var servers []*clientConn
 	for range 4 {
@@ -205,7 +205,7 @@
 		conns.track(c, http.StateActive)
 		conns.track(c, http.StateIdle)
 	}
-	conns.track(servers[3], http.StateNew) // the fourth asks for room
+	conns.track(servers[3], http.StateNew) // with the fourth there are too many
 	buf := make([]byte, 10)
 	if n, err := servers[0].Read(buf); string(buf[:n]) != "GET" || err != nil {
 		t.Fatalf("a request was crossed: read %q, %v", buf[:n], err)
@@ -254,7 +254,7 @@
 					t.Errorf("ended with %v", err)
 				}
 				return
-			case <-time.After(20 * time.Millisecond): // as the sweep of an emptying front does
+			case <-time.After(20 * time.Millisecond): // as the sweep of a draining server does
 				c.closeWhenIdle()
 			case <-over:
 				t.Fatal("a peer that brings half a head stays while the front empties")
@@ -304,7 +304,7 @@
 		c.SetReadDeadline(time.Now().Add(deadline))
 		fmt.Fprint(client, "GET")
 		arrived(t, c)
-		time.Sleep(2 * deadline) // held up
+		time.Sleep(2 * deadline) // delayed
 		if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
 			t.Errorf("read %q, %v", buf[:n], err)
 		}
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// localErrnos say at connect that this machine lacks something, serverErrnos something of the server.
+// localErrnos say at connect that this machine lacks a resource, serverErrnos that the server fails.
 var (
 	localErrnos = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// want checks that the attempts told no more than what the client had left.
+// want checks that the attempts gave no more time than the client had left.
 func (d *deadlineRecorder) want(t *testing.T, left ...int) {
 	t.Helper()
 	d.mu.Lock()
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -38,11 +38,11 @@
 	t    testing.TB
 	ln   net.Listener
 	addr string
-	// answer handles the n-th request (from 0) to this backend; false closes the connection.
+	// answer handles the n-th request (from 0) to this server; false closes the connection.
 	answer func(c net.Conn, req *http.Request, n int) bool
 
 	mu       sync.Mutex
-	heads    int // of requests, which may not come whole
+	heads    int // of requests, which may be incomplete
 	arrivals int
 	conns    int // open now
 	most     int
@@ -279,13 +279,13 @@
 
 // testAgent is an agent on a port that the kernel chooses.
 type testAgent struct {
-	t     testing.TB
-	addr  string
-	front *downstreamServer
-	loop  *eventLoop
-	stop  context.CancelFunc
-	done  chan error
-	door  string // where operators call
+	t         testing.TB
+	addr      string
+	front     *downstreamServer
+	loop      *eventLoop
+	stop      context.CancelFunc
+	done      chan error
+	adminAddr string // of the admin endpoint
 	// reloads takes what a SIGHUP would bring.
 	reloads chan *Config
 }
@@ -318,7 +318,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	a := &testAgent{t: t, addr: ln.Addr().String(), door: operators.Addr().String(), stop: stop, done: make(chan error, 1),
+	a := &testAgent{t: t, addr: ln.Addr().String(), adminAddr: operators.Addr().String(), stop: stop, done: make(chan error, 1),
 		reloads: make(chan *Config)}
 	started := make(chan struct{})
 	go func() {
--- a/internal/agent/faulty_conn_test.go
+++ b/internal/agent/faulty_conn_test.go
@@ -124,7 +124,7 @@
 	return c != nil && c.broken.Load()
 }
 
-// dial opens a connection to a backend (dialFunc).
+// dial opens a connection to a server (dialFunc).
 func (p *faultPlan) dial(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	f := p.next()
 	if f != nil && f.Call == callConnect {
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -49,7 +49,7 @@
 func TestRetryIsNotSentPastItsWindow(t *testing.T) {
 	t.Parallel()
 	fails := newFakeServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
-	// Where the module tries first is by its hash: one of two ids leads to the failing one.
+	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
 		ln := fullListener(t)
 		a := startAgent(t, newDiscoveryServer(t, target(ids[0], fails.addr), target(ids[1], ln.Addr().String())), func(c *Config) {
@@ -79,7 +79,7 @@
 			a.stop()
 			continue
 		}
-		// The repeat's connect hangs until there is room, past the window by then.
+		// The retry's connect blocks until the queue has space, past the window by then.
 		time.AfterFunc(600*time.Millisecond, func() {
 			for {
 				nc, err := ln.Accept()
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -494,7 +494,7 @@
 	d, moved := newFakeSettingsDiscovery(t, 41), newFakeSettingsDiscovery(t, 3)
 	a, file := startWithSettingsService(t, d.addr())
 	lines := a.logLines(t)
-	for i, attempts := range []int{4, 7} { // without told settings the file's are taken, as ever
+	for i, attempts := range []int{4, 7} { // without settings of the service the file's are applied
 		c := *file
 		c.Settings.Limits.MaxAttempts = attempts
 		a.reloads <- &c
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -105,7 +105,7 @@
 	r.want(r.resolve(trueMs-1000, listContext{older: true}), time.Second)
 }
 
-// steppedAgent is an agent of one backend, with a clock that a test steps.
+// steppedAgent is an agent of one server, with a clock that a test steps.
 func steppedAgent(t *testing.T, d *fakeDiscovery, ahead time.Duration) (*testAgent, *clocktest.Stepped) {
 	stepped := clocktest.NewStepped(ahead)
 	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.DiscoveryMode = stepped, "pushed" }), stepped
@@ -115,7 +115,7 @@
 func unixNowMs() float64 { return float64(time.Now().UnixMilli()) }
 
 // Each hard moment of an agent's life is lived through with a step of its wall clock in it: the start,
-// a watch that is open, a backend's restart and drain, a request in flight, and the shutdown.
+// a watch that is open, a server's restart and drain, a request in flight, and the shutdown.
 func TestWallClockSteps(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
@@ -172,7 +172,7 @@
 }
 
 // An agent whose clock is ahead from its start on has nothing but the time of discovery's last answer to
-// know a new backend by, from its second answer on.
+// know a new server by, from its second response on.
 func TestNewServerIsBoundedByTheLastResponse(t *testing.T) {
 	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 	a, _ := steppedAgent(t, d, time.Hour)
@@ -183,7 +183,7 @@
 	wantSlowStart(t, a, "s-2")
 }
 
-// wantCold holds a backend that has just started to an age of no more than the test has taken.
+// wantSlowStart checks that a server that has just started is no older than the test.
 func wantSlowStart(t *testing.T, a *testAgent, id string) {
 	t.Helper()
 	age := inLoop(a, func(l *eventLoop) time.Duration { return milliseconds(l.clock.nowMs() - l.startTimes.known[id].atMs) })
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -34,8 +34,8 @@
 type faultyRequest struct {
 	Class   string
 	Body    int  // bytes
-	Chunked bool // the backend's answer
-	Rested  bool // it comes when kept connections to backends may be used again
+	Chunked bool // the server's response
+	Rested  bool // it is sent when kept connections to servers may be used again
 }
 
 // faultyWorld is what all days have in common: backends that answer with the request's id.
@@ -43,7 +43,7 @@
 	discovery *fakeDiscovery
 	lastID    atomic.Int64
 	mu        sync.Mutex
-	arrivals  map[string]int // by Request-Id, of whole requests
+	arrivals  map[string]int // by Request-Id, of complete requests
 	answers   map[int]int    // by status
 	cut       int            // requests whose client's connection broke
 }
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// check judges a whole answer.
+// check checks a complete response.
 func (w *faultEnvironment) check(class, id string, status int, body string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -227,7 +227,7 @@
 	return w.executedOnce(class, id)
 }
 
-// ranOnce tells of an unsafe request that ran twice. The lock is held.
+// executedOnce reports a non-idempotent request that executed twice. The caller has the lock.
 func (w *faultEnvironment) executedOnce(class, id string) error {
 	if ran := w.arrivals[id]; class == "order" && ran > 1 {
 		return fmt.Errorf("%s ran %d times", id, ran)
@@ -260,7 +260,7 @@
 	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
-// The same for bodies that are too long to be kept, and go to their server as they come.
+// The same for bodies that are too long to be buffered, and are streamed to their server.
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
 	w := newFaultEnvironment(t, 3)
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -35,7 +35,7 @@
 }
 
 // hollowConfig is a configuration with a list known at version 1, as bytes.
-func hollowConfig(t *testing.T, d *fakeDiscovery, change func(map[string]any)) []byte {
+func configWithoutClients(t *testing.T, d *fakeDiscovery, change func(map[string]any)) []byte {
 	t.Helper()
 	c := map[string]any{"name": "a1", "listen": "127.0.0.1:1", "discovery": d.Listener.Addr().String(), "seed": "7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.list,
@@ -61,7 +61,7 @@
 		from <- host
 		serve.ServeHTTP(w, req)
 	})
-	cfg, err := ParseConfig(hollowConfig(t, d, nil))
+	cfg, err := ParseConfig(configWithoutClients(t, d, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 		d.set(target(fmt.Sprint("s-", version), "127.0.0.1:2"))
 		next("list", lists, version)
 	}
-	changed, err := ParseReload(hollowConfig(t, d, nil), cfg)
+	changed, err := ParseReload(configWithoutClients(t, d, nil), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDiscoveryServer(t, target("s-1", b.addr))
-			cfg, err := ParseConfig(hollowConfig(t, d, nil))
+			cfg, err := ParseConfig(configWithoutClients(t, d, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -200,9 +200,9 @@
 	}
 }
 
-// What New can't use, it says, and leaves the listeners to its caller.
+// New returns an error for what it can't use, and leaves the listeners to its caller.
 func TestNewRejectsUnusableSettings(t *testing.T) {
-	cfg, err := ParseConfig(hollowConfig(t, newDiscoveryServer(t), nil))
+	cfg, err := ParseConfig(configWithoutClients(t, newDiscoveryServer(t), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,14 +211,14 @@
 	}
 }
 
-// Configurations read from bytes are held to what those of the file are.
+// Configurations read from bytes are checked as those of the file are.
 func TestParseConfig(t *testing.T) {
 	d := newDiscoveryServer(t)
-	now, err := ParseConfig(hollowConfig(t, d, func(c map[string]any) { c["management"] = "127.0.0.1:2" }))
+	now, err := ParseConfig(configWithoutClients(t, d, func(c map[string]any) { c["management"] = "127.0.0.1:2" }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := hollowConfig(t, d, func(c map[string]any) { c["seed"] = "none" })
+	bad := configWithoutClients(t, d, func(c map[string]any) { c["seed"] = "none" })
 	for text, want := range map[string]string{
 		"{":         "config: unexpected end of JSON input",
 		"{}":        "config: listen:",
@@ -228,7 +228,7 @@
 			t.Errorf("%.40s: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := ParseReload(hollowConfig(t, d, nil), now); err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
+	if _, err := ParseReload(configWithoutClients(t, d, nil), now); err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
 		t.Errorf("a key that went: %v", err)
 	}
 	if _, err := ParseReload(bad, now); err == nil {
