--- /dev/null
+++ b/internal/agent/admin_server.go
@@ -0,0 +1,170 @@
+package agent
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/listener"
+	"fernbeam.example/fernbeam/internal/membership"
+)
+
+const (
+	// adminReadTimeout bounds how long a call may take to arrive: its response is due within a second.
+	adminReadTimeout = 800 * time.Millisecond
+	// adminWriteTimeout bounds how long the response may take to be read, from the call's head on.
+	adminWriteTimeout = 2 * time.Second
+	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
+	maxAdminConns = 24
+	// maxAdminBody bounds the body of a call, which is ignored.
+	maxAdminBody = 4 << 10
+	// maxAdminHead is the largest head of a call.
+	maxAdminHead = 8 << 10
+)
+
+// adminServer is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It reads and
+// sets what the downstream server has in atomics and never waits for the event loop, so that it responds
+// whatever the load.
+type adminServer struct {
+	downstream *downstreamServer
+	membership *membership.Membership // nil: there is none
+	log        *slog.Logger
+	server     *http.Server
+
+	mu           sync.Mutex
+	awaitingHead []net.Conn // connections that have not sent a complete head, the oldest first
+	openConns    int
+	maxConns     int
+}
+
+func newAdminServer(downstream *downstreamServer, member *membership.Membership, maxConns int) *adminServer {
+	m := &adminServer{downstream: downstream, membership: member, maxConns: maxConns}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /ops/readiness", m.readiness)
+	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(downstream.startDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(downstream.stopDrain))
+	if member != nil {
+		mux.HandleFunc("GET /ops/fleet", m.membershipStatus)
+	}
+	m.server = &http.Server{
+		Handler:        mux,
+		ReadTimeout:    adminReadTimeout,
+		WriteTimeout:   adminWriteTimeout,
+		MaxHeaderBytes: maxAdminHead,
+		ConnState:      m.track,
+	}
+	m.server.SetKeepAlivesEnabled(false)
+	m.setLogger(slog.Default())
+	return m
+}
+
+// setLogger sets where lines go; it is called before serve.
+func (m *adminServer) setLogger(log *slog.Logger) {
+	m.log = log
+	m.server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelWarn)
+}
+
+// setLimit bounds the admin connections from now on.
+func (m *adminServer) setLimit(maxConns int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.maxConns = maxConns
+}
+
+// serve answers operators until close.
+func (m *adminServer) serve(ln net.Listener) error {
+	ln = listener.New(ln, listener.LogFailures(m.log, "admin"))
+	if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("admin: %w", err)
+	}
+	return nil
+}
+
+// close closes the listener and all connections; their errors say nothing of use.
+func (m *adminServer) close() { _ = m.server.Close() }
+
+func (m *adminServer) readiness(w http.ResponseWriter, _ *http.Request) {
+	if !m.downstream.serving.Load() {
+		http.Error(w, "not serving", http.StatusServiceUnavailable)
+		return
+	}
+	writeLine(w, "serving")
+}
+
+// membershipStatus responds with the membership view: without its members if "members" is "none", and with its
+// changes after the number that "since" gives, if it gives one.
+func (m *adminServer) membershipStatus(w http.ResponseWriter, req *http.Request) {
+	since := uint64(math.MaxUint64)
+	if text := req.FormValue("since"); text != "" {
+		number, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			http.Error(w, "since: no number", http.StatusBadRequest)
+			return
+		}
+		since = number
+	}
+	w.Header().Set("Content-Type", "application/json")
+	status := m.membership.Status(since)
+	if req.FormValue("members") == "none" {
+		status = status.WithoutMembers()
+	}
+	if err := json.NewEncoder(w).Encode(status); err != nil {
+		m.log.Warn("membership status not sent", "to", req.RemoteAddr, "err", err)
+	}
+}
+
+// afterBody handles a call by an action once all of its body has arrived: a call that is cut off does nothing.
+func (m *adminServer) afterBody(action func() error) http.HandlerFunc {
+	return func(w http.ResponseWriter, req *http.Request) {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxAdminBody)); err != nil {
+			http.Error(w, "the body can't be read", http.StatusBadRequest)
+			return
+		}
+		m.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
+		if err := action(); err != nil {
+			http.Error(w, err.Error(), http.StatusConflict)
+			return
+		}
+		writeLine(w, "done")
+	}
+}
+
+// writeLine writes a line to an operator. A failed write means that the operator has gone.
+func writeLine(w io.Writer, line string) { _, _ = fmt.Fprintln(w, line) }
+
+// track closes the connection that has sent no complete head for longest when there are too many connections:
+// callers that send nothing must not keep out those that do.
+func (m *adminServer) track(nc net.Conn, state http.ConnState) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		m.openConns++
+		m.awaitingHead = append(m.awaitingHead, nc)
+	case http.StateClosed:
+		m.openConns--
+		m.headArrived(nc)
+	default:
+		m.headArrived(nc)
+	}
+	if m.openConns > m.maxConns && len(m.awaitingHead) > 1 {
+		_ = m.awaitingHead[0].Close() // the server's read then fails, and it reports the close
+		m.awaitingHead = m.awaitingHead[1:]
+	}
+}
+
+// headArrived takes a connection out of those that await a head. The caller has the lock.
+func (m *adminServer) headArrived(nc net.Conn) {
+	if i := slices.Index(m.awaitingHead, nc); i >= 0 {
+		m.awaitingHead = slices.Delete(m.awaitingHead, i, i+1)
+	}
+}
--- a/internal/agent/broken_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -15,21 +15,21 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: cause}
 }
 
-// Only the deadline that this agent set is a time-out; whatever error of the kernel's shows that a
-// connection broke, it was reset.
+// Only the deadline that this agent set is a timeout; whatever error of the kernel shows that a connection
+// broke, it was reset.
 func TestBrokenConnectionsAreResets(t *testing.T) {
 	want := map[error]balancer.Status{
-		readError(os.ErrDeadlineExceeded): balancer.StatusTimeout,
-		io.EOF:                            balancer.StatusReset,
-		io.ErrUnexpectedEOF:               balancer.StatusReset,
-		errors.New("answer is not HTTP"):  balancer.StatusError,
+		readError(os.ErrDeadlineExceeded):  balancer.StatusTimeout,
+		io.EOF:                             balancer.StatusReset,
+		io.ErrUnexpectedEOF:                balancer.StatusReset,
+		errors.New("response is not HTTP"): balancer.StatusError,
 	}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM} {
 		want[readError(os.NewSyscallError("read", errno))] = balancer.StatusReset
 	}
 	for err, status := range want {
-		if got := broken(err); got != status {
+		if got := brokenStatus(err); got != status {
 			t.Errorf("%v: ended as %d, want %d", err, got, status)
 		}
 	}
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -34,17 +34,17 @@
 type closeMoment struct {
 	agent    *testAgent
 	requests string      // what the client has sent by then
-	reached  func() bool // tells whether the moment has come
+	reached  func() bool // tells whether the moment is there
 	proceed  func()      // lets go on whatever waited for the close
 	begun    func() int  // requests that have begun to arrive at backends
 	allowed  int         // how many of those began before the close
 	answers  int         // final answers that a client which still reads is owed
 }
 
-// heldBackend holds each request until release is called.
-func heldBackend(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeBackend, release func()) {
+// blockedServer blocks each request until release is called.
+func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeServer, release func()) {
 	held := make(chan struct{})
-	b = newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+	b = newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-held
 		return answer(c, req, n)
 	})
@@ -53,46 +53,46 @@
 	return b, release
 }
 
-func turnAway(c net.Conn, _ *http.Request, _ int) bool {
-	return send(c, 503, "Not-Started: 1\r\n", "")
+func respondOverloaded(c net.Conn, _ *http.Request, _ int) bool {
+	return sendResponse(c, 503, "Not-Started: 1\r\n", "")
 }
 
-// closeAtBackend closes while a backend works on the request.
-func closeAtBackend(t *testing.T) closeMoment {
-	b, release := heldBackend(t, serving)
+// closeAtServer closes while a server works on the request.
+func closeAtServer(t *testing.T) closeMoment {
+	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.begun, allowed: 1, answers: 1}
+		proceed: release, begun: b.startedCount, allowed: 1, answers: 1}
 }
 
-// closeBeforeRetry closes while the attempt is out whose end leads to a retry.
+// closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
-	first, release := heldBackend(t, turnAway)
-	second, releaseSecond := heldBackend(t, turnAway)
+	first, release := blockedServer(t, respondOverloaded)
+	second, releaseSecond := blockedServer(t, respondOverloaded)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
-	begun := func() int { return first.begun() + second.begun() }
+	begun := func() int { return first.startedCount() + second.startedCount() }
 	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
 		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
 }
 
-// closeWhileQueued closes while the request waits in the agent for room at its only backend.
-func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, serving) }
+// closeWhileQueued closes while the request is queued in the agent for its only server.
+func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, respondOK) }
 
-// queuedBehind has all room taken at the only backend, which answers once it is let go on.
+// queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
-	b, release := heldBackend(t, answer)
+	b, release := blockedServer(t, answer)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	const room = 8 // at a backend that has not been measured yet
+	const room = 8 // the concurrency limit of a server without measurements
 	for range room {
-		fmt.Fprint(a.dial(), readRequest)
+		fmt.Fprint(a.dialKept(), readRequest)
 	}
-	until(t, "all room is taken", func() bool { return b.count() == room })
-	queued := func() bool { return inLoop(a, func(l *loop) int { return l.balancer.Stats().Queued }) == 1 }
+	waitUntil(t, "all room is taken", func() bool { return b.count() == room })
+	queued := func() bool { return inLoop(a, func(l *eventLoop) int { return l.balancer.Stats().Queued }) == 1 }
 	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
-		begun: b.begun, allowed: room, answers: 1}
+		begun: b.startedCount, allowed: room, answers: 1}
 }
 
-// closeWhileConnecting closes while the connection to the backend has not come up.
+// closeWhileConnecting closes while the connection to the server is not established.
 func closeWhileConnecting(t *testing.T) closeMoment {
 	ln := fullListener(t)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
@@ -120,7 +120,7 @@
 		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
 	}
 	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.loop.pool.connects() == 1 },
+		reached: func() bool { return a.loop.pool.connectCount() == 1 },
 		begun: func() int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -128,8 +128,8 @@
 		}}
 }
 
-// blockedConn is a kept connection that looks open and is found broken at its first write,
-// which takes until it is let go on.
+// blockedConn is a kept connection that looks open and is found broken at its first write, which blocks until
+// it is released.
 type blockedConn struct {
 	net.Conn
 	writing, proceed chan struct{}
@@ -142,23 +142,23 @@
 }
 
 // keepBlockedConn has the pool keep a blockedConn to an address.
-func keepBlockedConn(t *testing.T, p *pool, addr string) blockedConn {
+func keepBlockedConn(t *testing.T, p *connectionPool, addr string) blockedConn {
 	inner, peer := net.Pipe()
 	t.Cleanup(func() { peer.Close() })
 	broken := blockedConn{inner, make(chan struct{}), make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle[addr] = []*conn{{Conn: broken, br: bufio.NewReader(inner), addr: addr, uses: 1,
-		made: time.Now(), since: time.Now().Add(-5 * settleTime)}}
-	p.open++
+	p.idle[addr] = []*serverConn{{Conn: broken, reader: bufio.NewReader(inner), addr: addr, uses: 1,
+		createdAt: time.Now(), idleSince: time.Now().Add(-5 * settleTime)}}
+	p.openConns++
 	return broken
 }
 
-// closeOnBrokenKeptConnection closes while the request is written to a kept connection that
-// breaks, after which the agent would open another. The byte behind the request hides the
-// close from the server's own look.
+// closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
+// which the agent would open another. The byte behind the request hides the close from the server's own
+// check.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := newBackend(t, serving)
+	b := newFakeServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	broken := keepBlockedConn(t, a.loop.pool, b.addr)
 	reached := func() bool {
@@ -170,35 +170,33 @@
 		}
 	}
 	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
-		proceed: func() { close(broken.proceed) }, begun: b.begun, answers: 1}
+		proceed: func() { close(broken.proceed) }, begun: b.startedCount, answers: 1}
 }
 
-// closeBehindEarlierResponse closes while the earlier of two requests of the connection is
-// still at a backend.
+// closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
-	b, release := heldBackend(t, serving)
+	b, release := blockedServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.begun, allowed: 1, answers: 2}
+		proceed: release, begun: b.startedCount, allowed: 1, answers: 2}
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
 func closeInLongBody(t *testing.T) closeMoment {
-	b := newBackend(t, hashing)
+	b := newFakeServer(t, hashResponder)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
 	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBody)
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBufferedBody)
 	// Its head may have begun to arrive, its end can't: none counts as a request.
-	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBody),
-		reached: func() bool { return b.begun() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
+	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBufferedBody),
+		reached: func() bool { return b.startedCount() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
 }
 
-// A client that ends its connection gets no further attempt, whatever the moment. One that
-// ends only its own side may still read: it is owed a final answer, which is a backend's or
-// an error.
+// A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
+// side may still read: it must get a final response, a server's or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
 	moments := map[string]func(*testing.T) closeMoment{
-		"at a backend":                      closeAtBackend,
+		"at a backend":                      closeAtServer,
 		"before a retry":                    closeBeforeRetry,
 		"queued":                            closeWhileQueued,
 		"connecting":                        closeWhileConnecting,
@@ -211,24 +209,24 @@
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
 				m := arrange(t)
-				client := m.agent.dial()
+				client := m.agent.dialKept()
 				fmt.Fprint(client, m.requests)
-				until(t, "the moment has come", m.reached)
+				waitUntil(t, "the moment has come", m.reached)
 				if err := end(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
 				m.proceed()
 				if way == "half-close" {
-					wantFinalAnswers(t, client.br, m.answers)
+					wantFinalResponses(t, client.br, m.answers)
 				}
-				until(t, "the connection has ended", func() bool {
-					return inLoop(m.agent, func(l *loop) int { return l.open }) == 0
+				waitUntil(t, "the connection has ended", func() bool {
+					return inLoop(m.agent, func(l *eventLoop) int { return l.unanswered }) == 0
 				})
 				if begun := m.begun(); begun != m.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
 				}
-				if f := m.agent.figures(); f.guarded+f.backstops > 0 {
+				if f := m.agent.metricsNow(); f.violations+f.backstops > 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
@@ -236,8 +234,8 @@
 	}
 }
 
-// wantFinalAnswers reads one final answer for each request: what a backend said, or an error.
-func wantFinalAnswers(t *testing.T, br *bufio.Reader, want int) {
+// wantFinalAnswers reads one final response for each request: a server's, or an error.
+func wantFinalResponses(t *testing.T, br *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
 		resp, err := http.ReadResponse(br, nil)
--- /dev/null
+++ b/internal/agent/config_settings.go
@@ -0,0 +1,106 @@
+package agent
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"strings"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/wire"
+	"fernbeam.example/fernbeam/policy"
+)
+
+// settingsKey is the key of the settings in the configuration's file.
+const settingsKey = "settings"
+
+// agentOnlyKeys are the keys of the settings that belong to one agent: they come from its file, also where the
+// discovery service sets the others.
+var agentOnlyKeys = []string{"index", "zone"}
+
+// parseSettings reads and checks the settings of a configuration; an error names the key.
+func (c *Config) parseSettings(text []byte) error {
+	settings, err := wire.ParseSettings(text)
+	if err != nil {
+		return err
+	}
+	// The policy knows zones and kinds by number only; discovery names them.
+	var names struct {
+		Zones []string `json:"failureDomains"`
+		Kinds []string `json:"shapes"`
+	}
+	if err := json.Unmarshal(text, &names); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.Settings = settings
+	c.Zones = names.Zones
+	c.Kinds = names.Kinds
+	_, err = policy.New(c.Settings, c.Seed)
+	return err
+}
+
+// withServiceSettings is the configuration with settings of the discovery service in place of its own, except
+// for agentOnlyKeys. The rules are those of ReloadConfig: an error names the key that can't be used, or that
+// the settings in force have and the new ones lack.
+func (c *Config) withServiceSettings(settings *endpoint.Settings) (*Config, error) {
+	var object map[string]any
+	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
+		return nil, errors.New("settings: not a JSON object")
+	}
+	maps.DeleteFunc(object, func(key string, _ any) bool { return isAgentOnlyKey(key) })
+	ownObject, _ := c.text[settingsKey].(map[string]any)
+	maps.Copy(object, agentOnly(ownObject))
+	if key := missingKey(ownObject, object); key != "" {
+		return nil, fmt.Errorf("settings: %s: missing, though it was there before", key)
+	}
+	next := *c
+	if err := next.parseSettings(settings.Value); err != nil {
+		return nil, err
+	}
+	next.Settings.Index = c.Settings.Index
+	next.Settings.Zone = c.Settings.Zone
+	next.text = maps.Clone(c.text)
+	if next.text == nil {
+		next.text = map[string]any{}
+	}
+	next.text[settingsKey] = object
+	next.serviceSettings = settings
+	return &next, nil
+}
+
+// keepServiceSettings is the configuration, which a file brought, with the settings of the one in force where
+// those came from the discovery service: they have precedence over a file's.
+func (c *Config) keepServiceSettings(inForce *Config) (*Config, error) {
+	if inForce.serviceSettings == nil {
+		return c, nil
+	}
+	next := *c
+	next.text = maps.Clone(c.text)
+	if ownObject, ok := c.text[settingsKey].(map[string]any); ok {
+		// The file's other keys no longer count, and so can't be missing.
+		next.text[settingsKey] = agentOnly(ownObject)
+	}
+	return next.withServiceSettings(inForce.serviceSettings)
+}
+
+// agentOnly is the part of a settings object that belongs to one agent.
+func agentOnly(object map[string]any) map[string]any {
+	part := map[string]any{}
+	for _, key := range agentOnlyKeys {
+		if value, ok := object[key]; ok {
+			part[key] = value
+		}
+	}
+	return part
+}
+
+// isAgentOnlyKey compares as encoding/json does, which takes a key in any case for a field's.
+func isAgentOnlyKey(key string) bool {
+	for _, own := range agentOnlyKeys {
+		if strings.EqualFold(key, own) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/agent/discovery_client.go
@@ -0,0 +1,247 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+const (
+	// watchWait is how long one call of a watch may wait for a change. A change has to reach the agent within
+	// 6 s after discovery had it and could be reached, whatever failed. A call that is open when discovery
+	// falls silent is given up after watchWait + callGrace, 2.25 s; the next one follows within
+	// maxWatchBackoff, or 2.5 s where the policy asks for it, and has the rest of the 6 s.
+	watchWait = time.Second
+	// callGrace is what a call may take beyond its wait: discovery gives up calls that stood in its queue for
+	// a second.
+	callGrace = 1250 * time.Millisecond
+	// maxCallsPerSecond and maxCallBurst bound the calls: a discovery that answers watches at once must not
+	// be called in a tight loop. A watch outlives the gap.
+	maxCallsPerSecond, maxCallBurst = 10, 10
+	// maxListBytes bounds a response of discovery.
+	maxListBytes = 8 << 20
+	// targetsPath is the path of the endpoint list at discovery.
+	targetsPath = "/api/targets"
+)
+
+// List is the endpoint list in the protocol's form, shared with the discovery service.
+type List = endpoint.List
+
+// Target is one server in a List.
+type Target = endpoint.Endpoint
+
+// errDiscoveryMoved ends a call to an address that discovery has left.
+var errDiscoveryMoved = errors.New("discovery has moved")
+
+// errOlderVersion ends a call whose response has an older version than the one that was asked for.
+var errOlderVersion = errors.New("discovery: response with an older version")
+
+// discoveryClient makes the calls that the policy asks for and hands on what they return. The policy decides
+// when to call again after a failure: a failed call ends the watch and is passed on as ListFailed, and the
+// policy sets a timer with exponential backoff and jitter. Where changes are pushed the policy does not ask,
+// and keepWatch keeps a watch.
+type discoveryClient struct {
+	client     *http.Client
+	limit      *rate.Limiter
+	onResponse func(listResponse)
+	// name is the agent's, and backoff the wait of the watch after a failure; nil: as with one address.
+	name    string
+	backoff *addressBackoff
+	// settingsWatch is what the watch asks for and reports of settings; nil: nothing.
+	settingsWatch *settingsWatch
+	// localAddr is the address that calls come from; nil: the system's choice.
+	localAddr net.IP
+	clock     clock.Clock
+	counters  callCounters
+
+	mu     sync.Mutex
+	source *discoverySource
+	conns  map[*countedConn]bool // open connections; nil once the client is closed
+}
+
+// listResponse is the end of one call; err says why it has no list.
+type listResponse struct {
+	source *discoverySource
+	list   *List
+	watch  bool
+	// complete tells that the full list was asked for, and not what has changed: the version of the list
+	// counts whatever was known before.
+	complete bool
+	// lastAnswer is when discovery last responded before the call was made; 0: it had not.
+	lastAnswer time.Duration
+	err        error
+}
+
+// newDiscoveryClient makes the client of an address where version is known already. Each end of a call is
+// passed to onResponse.
+func newDiscoveryClient(addr string, version uint64, onResponse func(listResponse)) *discoveryClient {
+	d := &discoveryClient{
+		source:     newDiscoverySource(version, addr),
+		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
+		clock:      clock.System(),
+		onResponse: onResponse,
+		conns:      map[*countedConn]bool{},
+	}
+	d.client = &http.Client{Transport: &http.Transport{
+		DialContext:         d.dial,
+		MaxIdleConnsPerHost: 2,
+		MaxConnsPerHost:     4,
+		IdleConnTimeout:     time.Minute,
+		DisableCompression:  true,
+	}}
+	return d
+}
+
+// close closes all connections; no call is answered any more.
+func (d *discoveryClient) close() {
+	d.mu.Lock()
+	open := d.conns
+	d.conns = nil
+	d.mu.Unlock()
+	for conn := range open {
+		_ = conn.Close() // given up, whatever its state
+	}
+}
+
+// configure has the watch go round all addresses that a configuration's section "control" names, where version
+// is known already, and ask for the settings of its service.
+func (d *discoveryClient) configure(cfg *Config, version uint64) {
+	d.name = cfg.Name
+	d.backoff = newAddressBackoff()
+	d.source = newDiscoverySource(version, orderAddresses(cfg.addresses(), d.name)...)
+	if cfg.Control.Service != "" {
+		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name}
+	}
+}
+
+// moveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
+// new source may count versions of its own. Connections to the old source are not kept. Which of several
+// addresses is called first depends on the agent's name.
+func (d *discoveryClient) moveTo(addrs ...string) {
+	d.mu.Lock()
+	old := d.source
+	d.source = newDiscoverySource(0, orderAddresses(addrs, d.name)...)
+	d.mu.Unlock()
+	old.markMoved()
+	d.client.CloseIdleConnections()
+}
+
+func (d *discoveryClient) currentSource() *discoverySource {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.source
+}
+
+// fetch polls for the full list once.
+func (d *discoveryClient) fetch(ctx context.Context) {
+	response := d.fetchOnce(ctx)
+	if errors.Is(response.err, errDiscoveryMoved) {
+		response = d.fetchOnce(ctx)
+	}
+	if ctx.Err() == nil {
+		d.onResponse(response)
+	}
+}
+
+func (d *discoveryClient) fetchOnce(ctx context.Context) listResponse {
+	source := d.currentSource()
+	response := listResponse{source: source, lastAnswer: source.lastAnswer()}
+	response.list, response.err = d.get(ctx, source, "", 2*callGrace, 0)
+	return response
+}
+
+// get makes one call within a timeout, and accepts no list older than minVersion.
+func (d *discoveryClient) get(
+	ctx context.Context, source *discoverySource, query string, timeout time.Duration, minVersion uint64,
+) (*List, error) {
+	if err := d.limit.Wait(ctx); err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	callContext, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	defer context.AfterFunc(source.moved, cancel)() //nolint:contextcheck // the source's context ends this call too
+	addr, index := source.address()
+	list, err := d.call(callContext, "http://"+addr+targetsPath+query)
+	if err == nil && list.Version < minVersion {
+		source.advance(index)
+		return nil, errOlderVersion
+	}
+	if err == nil {
+		source.answered.Store(int64(d.clock.Monotonic()))
+		return list, nil
+	}
+	// Another idle connection may have fallen silent with this one: the next call opens its own.
+	d.client.CloseIdleConnections()
+	if source.moved.Err() != nil {
+		return nil, errDiscoveryMoved
+	}
+	source.advance(index)
+	if len(source.addrs) > 1 {
+		err = fmt.Errorf("%s: %w", addr, err)
+	}
+	return nil, err
+}
+
+// call makes one call and reads the list of its response.
+func (d *discoveryClient) call(ctx context.Context, url string) (*List, error) {
+	if d.backoff != nil {
+		ctx = withSingleConn(ctx)
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	d.counters.calls.Add(1)
+	resp, err := d.client.Do(req)
+	if err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	defer func() { _ = resp.Body.Close() }() // it has been read, or is of no use
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
+	if err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	if resp.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("discovery: status %d", resp.StatusCode)
+	}
+	return d.parseList(text)
+}
+
+// parseList reads a list. What is not a list must not pass for one that names no servers.
+func (d *discoveryClient) parseList(text []byte) (*List, error) {
+	var parsed struct {
+		Version *uint64
+		Full    bool
+		Servers []Target
+		// Settings are read only where they were asked for.
+		Settings json.RawMessage
+	}
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	if parsed.Version == nil || parsed.Full && parsed.Servers == nil {
+		return nil, errors.New("discovery: response is not a list")
+	}
+	list := &List{Version: *parsed.Version, Full: parsed.Full, Servers: parsed.Servers}
+	if d.settingsWatch == nil || len(parsed.Settings) == 0 {
+		return list, nil
+	}
+	if err := json.Unmarshal(parsed.Settings, &list.Settings); err != nil {
+		return nil, fmt.Errorf("discovery: settings: %w", err)
+	}
+	if settings := list.Settings; settings != nil && settings.Service != d.settingsWatch.service {
+		return nil, fmt.Errorf("discovery: response with the settings of %.40q", settings.Service)
+	}
+	return list, nil
+}
--- /dev/null
+++ b/internal/agent/event_loop.go
@@ -0,0 +1,211 @@
+package agent
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
+)
+
+const (
+	// policyMargin is subtracted from the time left that the policy is given for a request: the end of the
+	// last attempt needs it to become a response at the client.
+	policyMargin = 8 * time.Millisecond
+	// idleSweepInterval is how often connections that have been idle for too long are closed.
+	idleSweepInterval = time.Second
+	// inboxSize is the number of functions that may wait for the event loop before post blocks.
+	inboxSize = 4096
+)
+
+// eventLoop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
+// reaches it through post. It never blocks: whatever may wait runs in a goroutine of its own.
+type eventLoop struct {
+	cfg       *Config
+	ctx       context.Context
+	balancer  *policy.Balancer
+	endpoints *endpointList
+	pool      *connectionPool
+	discovery *discoveryClient
+	clock     *eventClock
+	inbox     chan func()
+
+	// The requests in flight.
+	nextID     balancer.RequestID
+	requests   map[balancer.RequestID]*request
+	unanswered int // requests without a final response
+
+	// Events that were raised while actions were carried out, and the buffer of the actions.
+	pendingEvents []balancer.Event
+	actions       []balancer.Action
+
+	// The endpoint list in force.
+	startTimes      *startTimeTable
+	listVersion     uint64
+	listSource      *discoverySource // the source whose versions listVersion counts
+	watching        bool             // a watch is open
+	fetching        bool             // a fetch is in flight
+	onUsable        func()           // called when the list has a ready server
+	notifiedVersion uint64           // the version that Hooks.OnList was called with last
+
+	logger    *slog.Logger
+	logLimit  *rate.Limiter // bounds the work of logging, which shares one core with the requests
+	logLines  chan func()   // lines on their way to writeLogLines
+	metrics   metrics
+	published publishedState
+}
+
+// publishedState is the part of the loop's state that other goroutines may read.
+type publishedState struct {
+	listVersion, servers atomic.Uint64
+	settingsVersion      atomic.Uint64
+}
+
+// newEventLoop makes the loop of an agent; run starts it. It calls onUsable each time that a list with a ready
+// server is in force. An error says which setting the policy can't use.
+func newEventLoop(ctx context.Context, cfg *Config, onUsable func()) (*eventLoop, error) {
+	decisions, err := policy.New(cfg.Settings, cfg.Seed)
+	if err != nil {
+		return nil, err
+	}
+	ownConfig := *cfg // the loop changes the settings in it
+	eventTime := newEventClock(cfg.systemClock())
+	l := &eventLoop{
+		cfg:        &ownConfig,
+		ctx:        ctx,
+		balancer:   decisions,
+		endpoints:  newEndpointList(cfg.Zones, cfg.Kinds),
+		pool:       newConnectionPool(cfg),
+		clock:      eventTime,
+		inbox:      make(chan func(), inboxSize),
+		requests:   map[balancer.RequestID]*request{},
+		startTimes: newStartTimeTable(eventTime),
+		onUsable:   onUsable,
+		logger:     cfg.logger(),
+		logLimit:   rate.NewLimiter(logLinesPerSecond, logBurst),
+		logLines:   make(chan func(), logBufferSize),
+		metrics:    newMetrics(),
+	}
+	l.discovery = newDiscoveryClient(cfg.Discovery, cfg.Known.Version, func(response listResponse) {
+		l.post(func() { l.onListResponse(response) })
+	})
+	l.discovery.localAddr = cfg.CallFrom
+	l.discovery.clock = eventTime
+	if cfg.Control != nil {
+		l.discovery.configure(cfg, cfg.Known.Version)
+	}
+	l.listSource = l.discovery.currentSource()
+	return l, nil
+}
+
+// post hands the loop a function to run. It may wait, so the loop itself never calls it.
+func (l *eventLoop) post(f func()) {
+	select {
+	case l.inbox <- f:
+	case <-l.ctx.Done():
+	}
+}
+
+// run runs the loop until its context ends.
+func (l *eventLoop) run() {
+	go l.writeLogLines()
+	l.start()
+	sweepTicker := time.NewTicker(idleSweepInterval)
+	defer sweepTicker.Stop()
+	metricsTicker := time.NewTicker(metricsInterval)
+	defer metricsTicker.Stop()
+	for {
+		select {
+		case f := <-l.inbox:
+			f()
+			l.handlePending()
+		case <-sweepTicker.C:
+			l.pool.closeExpired()
+		case <-metricsTicker.C:
+			l.logMetrics()
+		case <-l.ctx.Done():
+			return
+		}
+	}
+}
+
+// start starts the policy with the list that the configuration knows, however old that is, and opens the
+// watch where the agent keeps one of its own.
+func (l *eventLoop) start() {
+	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
+	l.applyList(&l.cfg.Known, balancer.ListCached, true, listContext{})
+	l.handlePending()
+	if l.endpoints.hasReady() {
+		l.onUsable()
+	}
+	if l.ownsWatch() {
+		l.watching = true
+		go l.discovery.keepWatch(l.ctx)
+	}
+}
+
+// handle gives the policy one event and carries out the actions that it returns.
+func (l *eventLoop) handle(event *balancer.Event) {
+	l.performActions(l.balancer.Handle(l.clock.nowMs(), event, l.actions[:0]))
+}
+
+// handlePending handles the events that were raised while actions were carried out.
+func (l *eventLoop) handlePending() {
+	for len(l.pendingEvents) > 0 {
+		event := l.pendingEvents[0]
+		l.pendingEvents = l.pendingEvents[1:]
+		l.handle(&event)
+	}
+	l.pendingEvents = nil
+}
+
+// performActions carries out the policy's actions in their order.
+func (l *eventLoop) performActions(actions []balancer.Action) {
+	l.actions = actions
+	for i := range actions {
+		l.perform(&actions[i])
+	}
+}
+
+func (l *eventLoop) perform(action *balancer.Action) {
+	switch action.Kind {
+	case balancer.ActionForward:
+		l.forward(action)
+	case balancer.ActionCancelAttempt:
+		l.cancelAttempt(action)
+	case balancer.ActionReject:
+		if r := l.requests[action.Request]; r != nil {
+			l.reject(r, action.Ms)
+		}
+	case balancer.ActionFail:
+		if r := l.requests[action.Request]; r != nil {
+			l.finish(r, finalResponse{kind: responseFailed, badRequest: r.badRequest})
+		}
+	case balancer.ActionSetTimer:
+		l.setTimer(action)
+	case balancer.ActionWatchList:
+		l.openWatch()
+	case balancer.ActionFetchList:
+		l.fetchList()
+	case balancer.ActionCloseIdle:
+		if server := l.endpoints.byAddr[action.Server]; server != nil {
+			l.pool.closeIdle(server.addr)
+		}
+	case balancer.ActionLog:
+		l.log(slog.LevelInfo, "policy", "text", action.Text)
+	case balancer.ActionHealthCheck:
+		l.startHealthCheck(action.Server)
+	}
+}
+
+// setTimer raises a timer event with the action's token once its time has passed.
+func (l *eventLoop) setTimer(action *balancer.Action) {
+	token := action.Token
+	time.AfterFunc(milliseconds(action.Ms), func() {
+		l.post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
+	})
+}
--- a/internal/agent/late_write_news_test.go
+++ b/internal/agent/late_write_test.go
@@ -13,7 +13,7 @@
 )
 
 // lateWriteConn is a connection whose server gets a whole request and then resets the connection, while the
-// goroutine that wrote the last byte is held up until the connection is closed.
+// goroutine that wrote the last byte is blocked until the connection is closed.
 type lateWriteConn struct {
 	net.Conn // nil: what is not overridden isn't called
 	lastByte byte
@@ -50,16 +50,16 @@
 func (c *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestLongBodyWrittenBeforeTheResetMayHaveRun resets a connection behind the last byte of a long body, before
-// the news that it was written: the request is unsafe to repeat, may have run, and must not be refused.
-func TestLongBodyWrittenBeforeTheResetMayHaveRun(t *testing.T) {
+// A connection is reset behind the last byte of a streamed body, before the write of that byte returns: the
+// request is non-idempotent, may have executed, and must not be rejected.
+func TestStreamedBodySentBeforeTheResetMayHaveExecuted(t *testing.T) {
 	t.Parallel()
 	const lastByte = 'Z'
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := newFaultyWorld(t, 1).agent(ln, newFaultPlan(nil))
+	a, err := newFaultEnvironment(t, 1).agent(ln, newFaultPlan(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 		a.Kill()
 		<-ended
 	}()
-	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBody)+string(lastByte))
+	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBufferedBody)+string(lastByte))
 	req.Header.Set("Request-Timeout-Ms", "2000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
--- /dev/null
+++ b/internal/agent/listeners.go
@@ -0,0 +1,41 @@
+package agent
+
+import (
+	"context"
+	"net"
+)
+
+// Listeners are the sockets that one agent listens on.
+type Listeners struct {
+	// Clients is where clients connect; nil: nowhere, while everything else of the agent runs.
+	Clients net.Listener
+	// Shared tells that other processes accept from the clients' queue too: it outlives this process.
+	Shared bool
+	// Lock is the path of the file by which such processes find each other.
+	Lock string
+	// Operators is where the admin endpoint listens; nil: there is none.
+	Operators net.Listener
+}
+
+// unusedListener is a listener that accepts nobody.
+type unusedListener struct {
+	closed context.Context
+	close  context.CancelFunc
+}
+
+func newUnusedListener() unusedListener {
+	closed, stop := context.WithCancel(context.Background())
+	return unusedListener{closed, stop}
+}
+
+func (l unusedListener) Accept() (net.Conn, error) {
+	<-l.closed.Done()
+	return nil, net.ErrClosed
+}
+
+func (l unusedListener) Close() error {
+	l.close()
+	return nil
+}
+
+func (l unusedListener) Addr() net.Addr { return &net.TCPAddr{} }
--- /dev/null
+++ b/internal/agent/poll.go
@@ -0,0 +1,49 @@
+package agent
+
+import (
+	"errors"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// pollFunc is poll(2).
+type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
+
+// peerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
+const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+
+// pollSocket polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
+// Of what is not a socket nothing is known.
+func pollSocket(socket any, events, wanted int16) bool {
+	conn, ok := socket.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	occurred := false
+	err = raw.Control(func(fd uintptr) { occurred = pollDescriptor(int32(fd), events, wanted, unix.Poll) })
+	return err == nil && occurred
+}
+
+// pollDescriptor is pollSocket for a descriptor. It polls again where poll(2) was interrupted.
+func pollDescriptor(fd int32, events, wanted int16, poll pollFunc) bool {
+	fds := []unix.PollFd{{Fd: fd, Events: events}}
+	n, err := poll(fds, 0)
+	for errors.Is(err, unix.EINTR) {
+		n, err = poll(fds, 0)
+	}
+	return err == nil && n > 0 && fds[0].Revents&wanted != 0
+}
+
+// readNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
+func readNow(fd int, p []byte) int {
+	n, err := unix.Read(fd, p)
+	for errors.Is(err, unix.EINTR) {
+		n, err = unix.Read(fd, p)
+	}
+	return max(n, 0)
+}
--- /dev/null
+++ b/internal/agent/shared_limits.go
@@ -0,0 +1,125 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"golang.org/x/sync/semaphore"
+)
+
+// lockPollInterval is how often a process that began beside another checks whether that has ended.
+const lockPollInterval = 100 * time.Millisecond
+
+// quota bounds how much of something the process may have.
+type quota struct {
+	*semaphore.Weighted
+	size int64
+}
+
+func newQuota(size int64) quota { return quota{semaphore.NewWeighted(size), size} }
+
+// sharedLimits are the limits that two processes of one agent share while both are running, a new version
+// beside the old one: each has half of the bytes and of the descriptors.
+type sharedLimits struct {
+	cfg    *Config
+	admin  *adminServer
+	conns  *clientConns
+	pool   *connectionPool
+	quotas []quota
+
+	mu     sync.Mutex
+	halved bool
+}
+
+// halve leaves this process half of the limits. What it has beyond that it gives back as it comes to an end;
+// until then nothing more is acquired. Client connections that are open are left to the draining, which closes
+// none under a request.
+func (s *sharedLimits) halve(ctx context.Context) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.halved {
+		return
+	}
+	s.halved = true
+	for _, q := range s.quotas {
+		if !q.TryAcquire(q.size / 2) {
+			// An error is the end of the process, which needs no full limits.
+			go func() { _ = q.Acquire(ctx, q.size/2) }()
+		}
+	}
+	s.applyFraction(2)
+}
+
+// restore gives this process all of the limits again.
+func (s *sharedLimits) restore() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.halved {
+		return
+	}
+	s.halved = false
+	s.conns.setLimit(s.cfg.clientConns())
+	for _, q := range s.quotas {
+		q.Release(q.size / 2)
+	}
+	s.applyFraction(1)
+}
+
+// applyFraction divides the limits that are no quotas among so many processes.
+func (s *sharedLimits) applyFraction(processes int) {
+	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
+		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
+	}
+	s.pool.setLimit(s.cfg.serverConns() / processes)
+	s.admin.setLimit(s.cfg.adminConns(processes))
+}
+
+// holdLock holds the lock file until ctx is done. While another process has it this one has half of the limits.
+// However a holder ends, the kernel releases its lock.
+func (s *sharedLimits) holdLock(ctx context.Context, path string) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return fmt.Errorf("lock: %w", err)
+	}
+	alone := tryLock(file)
+	if !alone {
+		s.cfg.logger().Info("another process of this agent is running", "limits", "half")
+		s.halve(ctx)
+		s.conns.setLimit(s.cfg.clientConns() / 2)
+	}
+	go func() {
+		defer func() { _ = file.Close() }() // nothing was written to it
+		if !alone && !s.awaitLock(ctx, file) {
+			return
+		}
+		<-ctx.Done()
+	}()
+	return nil
+}
+
+// awaitLock waits for the end of the other process and restores the limits; false: ctx ended before.
+func (s *sharedLimits) awaitLock(ctx context.Context, file *os.File) bool {
+	poll := time.NewTicker(lockPollInterval)
+	defer poll.Stop()
+	for {
+		select {
+		case <-poll.C:
+			if tryLock(file) {
+				s.restore()
+				s.cfg.logger().Info("no other process of this agent is running", "limits", "full")
+				return true
+			}
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// tryLock locks a file unless another process has it locked.
+func tryLock(file *os.File) bool {
+	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
+}
--- a/internal/agent/hollow_test.go
+++ b/internal/agent/without_clients_test.go
@@ -35,7 +35,7 @@
 }
 
 // hollowConfig is a configuration with a list known at version 1, as bytes.
-func hollowConfig(t *testing.T, d *fakeDiscovery, change func(map[string]any)) []byte {
+func configWithoutClients(t *testing.T, d *fakeDiscovery, change func(map[string]any)) []byte {
 	t.Helper()
 	c := map[string]any{"name": "a1", "listen": "127.0.0.1:1", "discovery": d.Listener.Addr().String(), "seed": "7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.list,
@@ -52,7 +52,7 @@
 
 // An agent without clients follows its list and its settings, shows its operators what it is, and
 // tells its hooks, all under its own logger and from its own address.
-func TestHollowAgent(t *testing.T) {
+func TestAgentWithoutClients(t *testing.T) {
 	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
 	from := make(chan string, 1000)
 	serve := d.Config.Handler
@@ -61,7 +61,7 @@
 		from <- host
 		serve.ServeHTTP(w, req)
 	})
-	cfg, err := ParseConfig(hollowConfig(t, d, nil))
+	cfg, err := ParseConfig(configWithoutClients(t, d, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,12 +90,12 @@
 			if v != want {
 				t.Fatalf("%s %d in force, want %d", what, v, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("%s %d never in force", what, want)
 		}
 	}
 	next("list", lists, 1)
-	until(t, "it is ready", func() bool {
+	waitUntil(t, "it is ready", func() bool {
 		resp, err := testClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
 		if err == nil {
 			resp.Body.Close()
@@ -106,7 +106,7 @@
 		d.set(target(fmt.Sprint("s-", version), "127.0.0.1:2"))
 		next("list", lists, version)
 	}
-	changed, err := ParseReload(hollowConfig(t, d, nil), cfg)
+	changed, err := ParseReload(configWithoutClients(t, d, nil), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,12 +140,12 @@
 
 // A killed agent answers nobody at once, with or without clients, also one that ends already.
 func TestKill(t *testing.T) {
-	b := newBackend(t, serving)
+	b := newFakeServer(t, respondOK)
 	for name, stopped := range map[string]bool{"in service": false, "while it ends": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDiscoveryServer(t, target("s-1", b.addr))
-			cfg, err := ParseConfig(hollowConfig(t, d, nil))
+			cfg, err := ParseConfig(configWithoutClients(t, d, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -168,7 +168,7 @@
 				t.Fatal(err)
 			}
 			defer idle.Close()
-			until(t, "it serves", func() bool {
+			waitUntil(t, "it serves", func() bool {
 				resp, err := testClient.Do(newRequest(ln.Clients.Addr().String(), "read", ""))
 				if err == nil {
 					resp.Body.Close()
@@ -177,17 +177,17 @@
 			})
 			if stopped {
 				end()
-				until(t, "it ends", func() bool {
-					a.front.mu.Lock()
-					defer a.front.mu.Unlock()
-					return a.front.ending
+				waitUntil(t, "it ends", func() bool {
+					a.downstream.mu.Lock()
+					defer a.downstream.mu.Unlock()
+					return a.downstream.shuttingDown
 				})
 			}
 			a.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
 				t.Errorf("Run returned %v", err)
 			}
-			idle.SetReadDeadline(time.Now().Add(patience))
+			idle.SetReadDeadline(time.Now().Add(testTimeout))
 			if n, err := idle.Read(make([]byte, 100)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("a client's connection brought %d bytes, %v", n, err)
 			}
@@ -200,9 +200,9 @@
 	}
 }
 
-// What New can't use, it says, and leaves the listeners to its caller.
-func TestNewSaysWhatItCannotUse(t *testing.T) {
-	cfg, err := ParseConfig(hollowConfig(t, newDiscoveryServer(t), nil))
+// New returns an error for what it can't use, and leaves the listeners to its caller.
+func TestNewRejectsUnusableSettings(t *testing.T) {
+	cfg, err := ParseConfig(configWithoutClients(t, newDiscoveryServer(t), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,14 +211,14 @@
 	}
 }
 
-// Configurations read from bytes are held to what those of the file are.
+// Configurations read from bytes are checked as those of the file are.
 func TestParseConfig(t *testing.T) {
 	d := newDiscoveryServer(t)
-	now, err := ParseConfig(hollowConfig(t, d, func(c map[string]any) { c["management"] = "127.0.0.1:2" }))
+	now, err := ParseConfig(configWithoutClients(t, d, func(c map[string]any) { c["management"] = "127.0.0.1:2" }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := hollowConfig(t, d, func(c map[string]any) { c["seed"] = "none" })
+	bad := configWithoutClients(t, d, func(c map[string]any) { c["seed"] = "none" })
 	for text, want := range map[string]string{
 		"{":         "config: unexpected end of JSON input",
 		"{}":        "config: listen:",
@@ -228,7 +228,7 @@
 			t.Errorf("%.40s: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := ParseReload(hollowConfig(t, d, nil), now); err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
+	if _, err := ParseReload(configWithoutClients(t, d, nil), now); err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
 		t.Errorf("a key that went: %v", err)
 	}
 	if _, err := ParseReload(bad, now); err == nil {
