--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -200,11 +200,14 @@
 // NodeFigures are a node's counts over a run. Cold is the most of its cold bound that came
 // within the contract's time: above one it fell.
 type NodeFigures struct {
-	Node                                 string
-	Requests, Turned, Handshakes, Probes uint64
-	Work                                 float64 // seconds of a standard core that came
-	Busy                                 float64 // core seconds given
-	Cold                                 float64
+	Node       string  `json:"Node"`
+	Requests   uint64  `json:"Requests"`
+	Turned     uint64  `json:"Turned"`
+	Handshakes uint64  `json:"Handshakes"`
+	Probes     uint64  `json:"Probes"`
+	Work       float64 `json:"Work"` // seconds of a standard core that came
+	Busy       float64 `json:"Busy"` // core seconds given
+	Cold       float64 `json:"Cold"`
 }
 
 func (b *backend) figures() NodeFigures {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -34,7 +34,13 @@
 }
 
 // Second is what became of the requests that were due in one second, in worth (by work).
-type Second struct{ Asked, InTime, Late, Refused, Failed float64 }
+type Second struct {
+	Asked   float64 `json:"Asked"`
+	InTime  float64 `json:"InTime"`
+	Late    float64 `json:"Late"`
+	Refused float64 `json:"Refused"`
+	Failed  float64 `json:"Failed"`
+}
 
 type app struct {
 	c     *clients
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -19,13 +19,13 @@
 
 // Attempt is one arrival of a request at a node; times count from the world's start.
 type Attempt struct {
-	Node    string
-	Zone    int
-	Cell    int
-	Began   time.Duration // its head was read
-	Arrived time.Duration // its last byte was
-	Ended   time.Duration
-	How     string
+	Node    string        `json:"Node"`
+	Zone    int           `json:"Zone"`
+	Cell    int           `json:"Cell"`
+	Began   time.Duration `json:"Began"`   // its head was read
+	Arrived time.Duration `json:"Arrived"` // its last byte was
+	Ended   time.Duration `json:"Ended"`
+	How     string        `json:"How"`
 }
 
 // mayHaveRun tells whether the node may have done its work.
@@ -43,17 +43,17 @@
 
 // Try is one request of a client to its agent: its first, or a retry with an id of its own.
 type Try struct {
-	ID         string
-	Agent      string
-	Class      int
-	Key        uint64
-	Nth        int           // 0: the first
-	Sent       time.Duration // its first byte
-	Within     time.Duration // how long the client waits from then on
-	Ended      time.Duration
-	How        string
-	AgentEnded bool // the agent's process was ended by the lab meanwhile
-	Attempts   []Attempt
+	ID         string        `json:"ID"`
+	Agent      string        `json:"Agent"`
+	Class      int           `json:"Class"`
+	Key        uint64        `json:"Key"`
+	Nth        int           `json:"Nth"`    // 0: the first
+	Sent       time.Duration `json:"Sent"`   // its first byte
+	Within     time.Duration `json:"Within"` // how long the client waits from then on
+	Ended      time.Duration `json:"Ended"`
+	How        string        `json:"How"`
+	AgentEnded bool          `json:"AgentEnded"` // the agent's process was ended by the lab meanwhile
+	Attempts   []Attempt     `json:"Attempts"`
 }
 
 // Told is when an agent had been told of a node's state.
@@ -79,9 +79,9 @@
 
 // Violation is a rule that a history breaks, with the course of the request where there is one.
 type Violation struct {
-	Rule string // "lost", "duplicate", "drain" or "cold", as in WIRE's operating rules
-	What string
-	Try  *Try
+	Rule string `json:"Rule"` // "lost", "duplicate", "drain" or "cold", as in WIRE's operating rules
+	What string `json:"What"`
+	Try  *Try   `json:"Try"`
 }
 
 func (v Violation) String() string {
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -154,12 +154,12 @@
 
 // Result is what came of a run.
 type Result struct {
-	Seconds  []Second
-	Figures  map[string]float64 // by name, with their unit in it
-	Nodes    []NodeFigures
-	Broken   []Violation
-	Faults   []string // of the lab itself: the run does not count
-	Attempts int
+	Seconds  []Second           `json:"Seconds"`
+	Figures  map[string]float64 `json:"Figures"` // by name, with their unit in it
+	Nodes    []NodeFigures      `json:"Nodes"`
+	Broken   []Violation        `json:"Broken"`
+	Faults   []string           `json:"Faults"` // of the lab itself: the run does not count
+	Attempts int                `json:"Attempts"`
 }
 
 // LateLimit is how late the lab may be at the 99th percentile for a run to count.
