--- a/internal/emulator/world_test.go
+++ b/internal/emulator/emulator_test.go
@@ -39,7 +39,7 @@
 			e.advance(at)
 			// First come, first served: what is before it, and on how many cores, is its wait.
 			waits += clearTime(e)
-			if !e.take(&work{left: c.draw(draw), done: make(chan struct{})}) {
+			if !e.submit(&job{remaining: c.draw(draw), done: make(chan struct{})}) {
 				t.Fatal("an endless queue is full")
 			}
 		}
@@ -51,16 +51,16 @@
 
 // clearTime is when a core comes free for one who comes now.
 func clearTime(e *engine) float64 {
-	if len(e.held[running]) < e.m.Cores {
+	if len(e.jobs[jobRunning]) < e.model.Cores {
 		return 0
 	}
 	var free []float64
-	for _, w := range e.held[running] {
-		free = append(free, w.left)
+	for _, w := range e.jobs[jobRunning] {
+		free = append(free, w.remaining)
 	}
-	for _, w := range e.held[queued] {
+	for _, w := range e.jobs[jobQueued] {
 		i := slices.Index(free, slices.Min(free))
-		free[i] += w.left
+		free[i] += w.remaining
 	}
 	return slices.Min(free)
 }
@@ -70,11 +70,11 @@
 	const s = time.Second
 	serve := func(m Model, started time.Duration, slow float64, n int) time.Duration {
 		e := newEngine(m, 0, started)
-		e.slow = slow
-		var last *work
+		e.slowFactor = slow
+		var last *job
 		for range n {
-			last = &work{left: 1, wait: s, done: make(chan struct{})}
-			if !e.take(last) {
+			last = &job{remaining: 1, dependencyWait: s, done: make(chan struct{})}
+			if !e.submit(last) {
 				return -1
 			}
 		}
@@ -89,9 +89,9 @@
 	}
 	base := Model{Cores: 2, Speed: 1, Slots: 8, Queue: 2}
 	cold, thrash, choke := base, base, base
-	cold.ColdFrom, cold.ColdFor = 0.5, time.Hour
-	thrash.Thrash, thrash.ThrashAt = 0.5, 2
-	choke.Choke = Choke{At: 3, Below: 0.4, Over: 0, Rest: s, Most: 10 * s, Slower: 4}
+	cold.SlowStartFrom, cold.SlowStartFor = 0.5, time.Hour
+	thrash.ThrashLoss, thrash.ThrashAt = 0.5, 2
+	choke.Congestion = Congestion{OnsetLoad: 3, RecoveryLoad: 0.4, OnsetTime: 0, RecoveryTime: s, MaxTime: 10 * s, Factor: 4}
 	for name, c := range map[string]struct {
 		got, want time.Duration
 	}{
@@ -114,21 +114,21 @@
 // TestJudgeFindsEachBrokenRule seeds one bug a rule in a history that keeps them all.
 func TestJudgeFindsEachBrokenRule(t *testing.T) {
 	const ms = time.Millisecond
-	classes := []Class{{Name: "once", Effect: "single_shot"}, {Name: "keyed", Effect: "guarded", Group: "cell", KeyFor: time.Second}, {Name: "free", Effect: "free"}}
+	classes := []Class{{Name: "once", Idempotency: "single_shot"}, {Name: "keyed", Idempotency: "guarded", DedupScope: "cell", DedupWindow: time.Second}, {Name: "free", Idempotency: "free"}}
 	c := &Contract{DrainGrace: 300 * ms, Slack: 50 * ms}
 	kept := func() *History {
 		return &History{
-			Tries: []*Try{
-				{Agent: "a", Class: 0, How: Served, Attempts: []Attempt{
-					{Node: "x", Arrived: 10 * ms, Ended: 12 * ms, How: TurnedAway}, {Node: "y", Arrived: 20 * ms, Ended: 90 * ms, How: Served}}},
-				{Agent: "a", Class: 1, How: Served, Attempts: []Attempt{
-					{Node: "x", Cell: 1, Began: 10 * ms, Arrived: 10 * ms, Ended: 200 * ms, How: Error}, {Node: "y", Cell: 1, Arrived: 220 * ms, Ended: 400 * ms, How: Served}}},
-				{Agent: "b", Class: 0, How: Lost, AgentEnded: true, Attempts: []Attempt{{Node: "x", Arrived: 10 * ms, How: Open}}},
-				{Agent: "a", Class: 0, How: Refused, Attempts: []Attempt{{Node: "z", Began: 1340 * ms, Arrived: 1340 * ms, Ended: 1345 * ms, How: TurnedAway}}},
-				{Agent: "a", Class: 2, How: Refused, Attempts: []Attempt{{Node: "x", Arrived: 10 * ms, Ended: 20 * ms, How: Error}}},
+			Requests: []*Request{
+				{Agent: "a", Class: 0, Outcome: Served, Attempts: []Attempt{
+					{Server: "x", Received: 10 * ms, Ended: 12 * ms, Outcome: AttemptRejected}, {Server: "y", Received: 20 * ms, Ended: 90 * ms, Outcome: Served}}},
+				{Agent: "a", Class: 1, Outcome: Served, Attempts: []Attempt{
+					{Server: "x", Cell: 1, Started: 10 * ms, Received: 10 * ms, Ended: 200 * ms, Outcome: AttemptFailed}, {Server: "y", Cell: 1, Received: 220 * ms, Ended: 400 * ms, Outcome: Served}}},
+				{Agent: "b", Class: 0, Outcome: RequestLost, AgentStopped: true, Attempts: []Attempt{{Server: "x", Received: 10 * ms, Outcome: AttemptOpen}}},
+				{Agent: "a", Class: 0, Outcome: RequestRejected, Attempts: []Attempt{{Server: "z", Started: 1340 * ms, Received: 1340 * ms, Ended: 1345 * ms, Outcome: AttemptRejected}}},
+				{Agent: "a", Class: 2, Outcome: RequestRejected, Attempts: []Attempt{{Server: "x", Received: 10 * ms, Ended: 20 * ms, Outcome: AttemptFailed}}},
 			},
-			Leaving: []Told{{"a", "z", time.Second}, {"b", "x", 0}},
-			Falls:   []Fall{{Node: "x"}},
+			Removals:  []Notification{{"a", "z", time.Second}, {"b", "x", 0}},
+			Overloads: []SlowStartOverload{{Server: "x"}},
 		}
 	}
 	if got := Judge(kept(), classes, c); len(got) > 0 {
@@ -138,15 +138,15 @@
 		rule string
 		seed func(h *History)
 	}{
-		"lost":                    {"lost", func(h *History) { h.Tries[2].AgentEnded = false }},
-		"forged":                  {"lost", func(h *History) { h.Tries[0].How = Forged }},
-		"runs twice":              {"duplicate", func(h *History) { h.Tries[0].Attempts[0].How = Broken }},
-		"two at once":             {"duplicate", func(h *History) { h.Tries[0].Attempts[0].Ended = 80 * ms }},
-		"other pod":               {"duplicate", func(h *History) { h.Tries[1].Attempts[1].Cell = 2 }},
-		"too late":                {"duplicate", func(h *History) { h.Tries[1].Attempts[1].Arrived = 1070 * ms }},
-		"refused when it ran":     {"duplicate", func(h *History) { h.Tries[3].Attempts[0].How = CalledOff }},
-		"sent to a draining node": {"drain", func(h *History) { h.Tries[3].Attempts[0].Began = 1351 * ms }},
-		"pushed over":             {"cold", func(h *History) { h.Falls[0].Guilty = true }},
+		"lost":                    {"lost", func(h *History) { h.Requests[2].AgentStopped = false }},
+		"forged":                  {"lost", func(h *History) { h.Requests[0].Outcome = ResponseForged }},
+		"runs twice":              {"duplicate", func(h *History) { h.Requests[0].Attempts[0].Outcome = AttemptBroken }},
+		"two at once":             {"duplicate", func(h *History) { h.Requests[0].Attempts[0].Ended = 80 * ms }},
+		"other pod":               {"duplicate", func(h *History) { h.Requests[1].Attempts[1].Cell = 2 }},
+		"too late":                {"duplicate", func(h *History) { h.Requests[1].Attempts[1].Received = 1070 * ms }},
+		"refused when it ran":     {"duplicate", func(h *History) { h.Requests[3].Attempts[0].Outcome = AttemptCancelled }},
+		"sent to a draining node": {"drain", func(h *History) { h.Requests[3].Attempts[0].Started = 1351 * ms }},
+		"pushed over":             {"cold", func(h *History) { h.Overloads[0].ByNotifiedAgents = true }},
 	} {
 		h := kept()
 		bug.seed(h)
@@ -158,10 +158,10 @@
 
 // TestOutOfDescriptors: a world that can't open a connection says so.
 func TestOutOfDescriptors(t *testing.T) {
-	w, err := New(Config{Seed: 1, Zones: []string{"z"}, Agents: []Agent{{Name: "a", Share: 1}}, Nodes: 1, CellSize: 1,
-		Models: []Model{{Cores: 1, Speed: 1, Slots: 1, Queue: 100}}, Shares: []float64{1},
-		Classes: []Class{{Share: 1, Work: time.Millisecond, Aim: time.Second, GiveUp: time.Second, Worth: 1, Effect: "free"}},
-		Rate:    100, Keys: 1, TryShare: 1, KeepAlive: time.Minute, Direct: true})
+	w, err := New(Config{Seed: 1, Zones: []string{"z"}, Agents: []Agent{{Name: "a", Share: 1}}, Servers: 1, CellSize: 1,
+		Models: []Model{{Cores: 1, Speed: 1, Slots: 1, Queue: 100}}, ModelShares: []float64{1},
+		Classes: []Class{{Share: 1, Work: time.Millisecond, LatencyObjective: time.Second, TotalTimeout: time.Second, PriorityWeight: 1, Idempotency: "free"}},
+		Rate:    100, Keys: 1, RequestTimeoutShare: 1, KeepAlive: time.Minute, Direct: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Faults) == 0 || !strings.Contains(res.Faults[0], "too many open files") {
-		t.Errorf("faults: %v", res.Faults)
+	if len(res.Errors) == 0 || !strings.Contains(res.Errors[0], "too many open files") {
+		t.Errorf("faults: %v", res.Errors)
 	}
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -100,12 +100,12 @@
 	for _, r := range recs {
 		if !r.Counts {
 			lost++
-			fmt.Fprintf(out, "does not count: arm %q, seed %d: %s\n", r.Arm, r.Seed, strings.Join(r.Result.Faults, "; "))
+			fmt.Fprintf(out, "does not count: arm %q, seed %d: %s\n", r.Arm, r.Seed, strings.Join(r.Result.Errors, "; "))
 		}
 		if r.AgentFault != "" {
 			fmt.Fprintf(out, "agent: arm %q, seed %d: %s\n", r.Arm, r.Seed, r.AgentFault)
 		}
-		for _, v := range r.Result.Broken {
+		for _, v := range r.Result.Violations {
 			if broken++; broken <= 20 {
 				fmt.Fprintf(out, "rule broken: arm %q, seed %d: %v\n", r.Arm, r.Seed, v)
 			}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -95,11 +95,11 @@
 				t.Fatal(err)
 			}
 			for _, r := range recs {
-				for _, v := range r.Result.Broken {
+				for _, v := range r.Result.Violations {
 					t.Errorf("arm %q: %v", r.Arm, v)
 				}
-				if r.AgentFault != "" || r.Result.Figures["in time"]+r.Result.Figures["late"] < 0.2 || r.Result.Attempts == 0 {
-					t.Errorf("arm %q: %q, figures %v", r.Arm, r.AgentFault, r.Result.Figures)
+				if r.AgentFault != "" || r.Result.Metrics["in time"]+r.Result.Metrics["late"] < 0.2 || r.Result.Attempts == 0 {
+					t.Errorf("arm %q: %q, figures %v", r.Arm, r.AgentFault, r.Result.Metrics)
 				}
 			}
 			for _, r := range recs {
@@ -111,7 +111,7 @@
 			if paths, err := Plot(recs, t.TempDir(), "svg"); err != nil || len(paths) != 3 {
 				t.Errorf("plots: %v, %v", paths, err)
 			}
-			if a, b := recs[0].Result.Figures["requests"], recs[1].Result.Figures["requests"]; a != b {
+			if a, b := recs[0].Result.Metrics["requests"], recs[1].Result.Metrics["requests"]; a != b {
 				t.Errorf("one arm was asked %v, the other %v", a, b)
 			}
 		})
@@ -144,7 +144,7 @@
 		}
 	}
 	own, err := Parse("s.toml", "[[model]]\nshare = 1\nkind = \"k\"\ncores = 4\n[model.choke]\nover = \"2s\"\n[[class]]\nname = \"c\"\ngive_up = \"3s\"")
-	if err != nil || own.Models[0].Share != 1 || own.Models[0].Cores != 4 || own.Models[0].Choke.Over != 2*time.Second || own.Classes[0].GiveUp != 3*time.Second {
+	if err != nil || own.Models[0].Share != 1 || own.Models[0].Cores != 4 || own.Models[0].Congestion.OnsetTime != 2*time.Second || own.Classes[0].TotalTimeout != 3*time.Second {
 		t.Errorf("own models and classes: %+v, %v", own, err)
 	}
 	s, _ := Parse("s.toml", "[fleet]\nagents = 50000\nnodes = 3000")
@@ -158,7 +158,7 @@
 func TestCompareIsPaired(t *testing.T) {
 	var recs []*Record
 	add := func(arm string, seed uint64, x float64, counts bool) {
-		recs = append(recs, &Record{Arm: arm, Seed: seed, Counts: counts, Result: &emulator.Result{Figures: map[string]float64{"x": x}}})
+		recs = append(recs, &Record{Arm: arm, Seed: seed, Counts: counts, Result: &emulator.Result{Metrics: map[string]float64{"x": x}}})
 	}
 	for seed, x := range []float64{1, 5, 9, 40} {
 		add("a", uint64(seed), x, true)
--- a/internal/experiment/trouble.go
+++ b/internal/experiment/fault.go
@@ -18,7 +18,7 @@
 type kind struct {
 	does    string
 	zone    bool
-	traffic func(t Trouble) emulator.Change
+	traffic func(t Trouble) emulator.TrafficChange
 	play    func(r *run, t Trouble, draw *rand.Rand) error
 }
 
@@ -47,32 +47,32 @@
 		"failing nodes":  {does: "a share fails a part (size) of its requests at once for a time", play: func(r *run, t Trouble, draw *rand.Rand) error { return r.ill(t, draw, 1, t.Size) }},
 		"standing nodes": {does: "a share stands still for a time", play: func(r *run, t Trouble, draw *rand.Rand) error { return r.ill(t, draw, math.Inf(1), 0) }},
 		"silent nodes": {does: "a share is cut off from all agents for a time", play: func(r *run, t Trouble, draw *rand.Rand) error {
-			return r.silent(t, -1, some(draw, r.w.Nodes(-1), t.Share))
+			return r.silent(t, -1, some(draw, r.w.ServerIDs(-1), t.Share))
 		}},
 		"kill nodes": {does: "a share ends at one moment; cold successors start after back", play: func(r *run, t Trouble, draw *rand.Rand) error {
-			r.w.Kill(t.Back, some(draw, r.w.Nodes(-1), t.Share)...)
+			r.w.KillServers(t.Back, some(draw, r.w.ServerIDs(-1), t.Share)...)
 			return nil
 		}},
 		"release": {does: "a share is drained (for drain) and replaced by cold nodes, a batch of it at a time, spread over for", play: (*run).release},
 		"zone lost": {zone: true, does: "a zone's nodes fall silent for a time, then come back as cold ones", play: func(r *run, t Trouble, draw *rand.Rand) error {
-			ids := r.w.Nodes(r.zone(t.Zone))
+			ids := r.w.ServerIDs(r.zone(t.Zone))
 			err := r.silent(t, -1, ids)
-			r.w.Kill(0, ids...)
+			r.w.KillServers(0, ids...)
 			return err
 		}},
 		"zone cut": {zone: true, does: "a zone's nodes are cut off from the agents of other zones for a time", play: func(r *run, t Trouble, draw *rand.Rand) error {
-			return r.silent(t, r.zone(t.Zone), r.w.Nodes(r.zone(t.Zone)))
+			return r.silent(t, r.zone(t.Zone), r.w.ServerIDs(r.zone(t.Zone)))
 		}},
-		"burst": {does: "traffic is size times as much for a time", traffic: func(t Trouble) emulator.Change {
-			return emulator.Change{From: t.At, To: t.At + t.For, Rate: t.Size}
+		"burst": {does: "traffic is size times as much for a time", traffic: func(t Trouble) emulator.TrafficChange {
+			return emulator.TrafficChange{From: t.At, To: t.At + t.For, RateFactor: t.Size}
 		}},
-		"hot key": {does: "a share of the requests has one key for a time", traffic: func(t Trouble) emulator.Change {
-			return emulator.Change{From: t.At, To: t.At + t.For, Rate: 1, Hot: t.Share}
+		"hot key": {does: "a share of the requests has one key for a time", traffic: func(t Trouble) emulator.TrafficChange {
+			return emulator.TrafficChange{From: t.At, To: t.At + t.For, RateFactor: 1, HotKeyShare: t.Share}
 		}},
 		"list down": {does: "discovery is silent for a time", play: func(r *run, t Trouble, draw *rand.Rand) error {
-			r.w.ListDown(true)
+			r.w.SetDiscoveryUnavailable(true)
 			r.hold(t.For)
-			r.w.ListDown(false)
+			r.w.SetDiscoveryUnavailable(false)
 			return nil
 		}},
 	}
@@ -89,26 +89,26 @@
 func (r *run) zone(name string) int { return slices.Index(r.s.Fleet.Zones, name) }
 
 func (r *run) ill(t Trouble, draw *rand.Rand, slow, fails float64) error {
-	ids := some(draw, r.w.Nodes(-1), t.Share)
-	r.w.Trouble(max(1, slow), fails, ids...)
+	ids := some(draw, r.w.ServerIDs(-1), t.Share)
+	r.w.SetServerFault(max(1, slow), fails, ids...)
 	r.hold(t.For)
-	r.w.Trouble(1, 0, ids...)
+	r.w.SetServerFault(1, 0, ids...)
 	return nil
 }
 
 func (r *run) silent(t Trouble, but int, ids []string) error {
-	r.w.Silence(true, but, ids...)
+	r.w.PartitionServers(true, but, ids...)
 	r.hold(t.For)
-	r.w.Silence(false, but, ids...)
+	r.w.PartitionServers(false, but, ids...)
 	return nil
 }
 
 func (r *run) release(t Trouble, draw *rand.Rand) error {
-	ids := some(draw, r.w.Nodes(-1), t.Share)
+	ids := some(draw, r.w.ServerIDs(-1), t.Share)
 	size := max(1, int(t.Batch*float64(len(ids))+0.5))
 	pause := t.For / time.Duration((len(ids)+size-1)/size)
 	for part := range slices.Chunk(ids, size) {
-		if err := r.w.Replace(t.Drain, part...); err != nil {
+		if err := r.w.ReplaceServers(t.Drain, part...); err != nil {
 			return err
 		}
 		r.hold(pause)
@@ -126,7 +126,7 @@
 func (r *run) killAgents(t Trouble, draw *rand.Rand) error {
 	names := some(draw, r.names, t.Share)
 	for _, n := range names {
-		r.w.AgentEnded(n)
+		r.w.AgentStopped(n)
 	}
 	if err := processtest.Each(names, r.procs.Kill); err != nil {
 		return err
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 		var lines, points plotter.XYs
-		sums := map[int]emulator.Second{}
+		sums := map[int]emulator.SecondTotals{}
 		var colds []float64
 		for _, r := range recs {
 			if r.Arm != arm || !r.Counts {
@@ -43,19 +43,19 @@
 			}
 			for s, sec := range r.Result.Seconds {
 				sum := sums[s]
-				sum.Asked += sec.Asked
+				sum.Requested += sec.Requested
 				sum.InTime += sec.InTime
 				sums[s] = sum
 			}
-			for _, n := range r.Result.Nodes {
-				if n.Cold > 0 {
-					colds = append(colds, n.Cold)
+			for _, n := range r.Result.Servers {
+				if n.SlowStartLoad > 0 {
+					colds = append(colds, n.SlowStartLoad)
 				}
 			}
 		}
 		for s := range len(sums) {
-			if sums[s].Asked > 0 {
-				lines = append(lines, plotter.XY{X: float64(s), Y: sums[s].InTime / sums[s].Asked})
+			if sums[s].Requested > 0 {
+				lines = append(lines, plotter.XY{X: float64(s), Y: sums[s].InTime / sums[s].Requested})
 			}
 		}
 		for n, c := range slices.Sorted(slices.Values(colds)) {
--- a/internal/experiment/record_test.go
+++ b/internal/experiment/record_test.go
@@ -31,7 +31,7 @@
 	if out.String() != recordLine {
 		t.Errorf("written:\n%sread:\n%s", out.String(), recordLine)
 	}
-	want := emulator.Second{Asked: 1, InTime: 2, Late: 3, Refused: 4, Failed: 5}
+	want := emulator.SecondTotals{Requested: 1, InTime: 2, Late: 3, Rejected: 4, Failed: 5}
 	if got := records[0].Result.Seconds[0]; got != want {
 		t.Errorf("second: %+v, want %+v", got, want)
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -168,7 +168,7 @@
 // run is one arm on one seed.
 type run struct {
 	s     *Scenario
-	w     *emulator.World
+	w     *emulator.Emulator
 	wcfg  emulator.Config
 	arm   Arm
 	board *faultproxy.Board // nil: the agents do not talk
@@ -207,7 +207,7 @@
 	}
 	var troubles sync.WaitGroup
 	faults := make(chan error, len(s.Troubles))
-	var changes []emulator.Change
+	var changes []emulator.TrafficChange
 	for i, t := range s.Troubles {
 		if k := kinds[t.Kind]; k.traffic != nil {
 			changes = append(changes, k.traffic(t))
@@ -224,7 +224,7 @@
 			}
 		}()
 	}
-	r.w.Changes(changes...)
+	r.w.SetTrafficChanges(changes...)
 	stop := context.AfterFunc(ctx, func() {
 		r.w.Stop()
 		r.procs.Close()
@@ -247,7 +247,7 @@
 		return nil, errors.New("interrupted")
 	}
 	for err := range faults {
-		res.Faults = append(res.Faults, err.Error())
+		res.Errors = append(res.Errors, err.Error())
 	}
 	for _, n := range r.names {
 		if !r.procs.Running(n) {
@@ -256,7 +256,7 @@
 	}
 	r.procs.Close()
 	rec.LabCPU, rec.AgentsCPU = cpu(syscall.RUSAGE_SELF)-self, cpu(syscall.RUSAGE_CHILDREN)-children
-	rec.Counts = len(res.Faults) == 0
+	rec.Counts = len(res.Errors) == 0
 	return rec, nil
 }
 
@@ -315,7 +315,7 @@
 func (r *run) sees(name string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	s, err := membership.Ask(ctx, r.w.Address(r.index[name], emulator.ManagementPort), "members=none&since=4611686018427387904")
+	s, err := membership.Ask(ctx, r.w.Address(r.index[name], emulator.AdminPort), "members=none&since=4611686018427387904")
 	if err != nil {
 		return 0
 	}
@@ -401,9 +401,9 @@
 
 // config is an agent's configuration (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
 func (r *run) config(i int, a emulator.Agent, seed uint64) map[string]any {
-	return map[string]any{"name": a.Name, "listen": r.w.Address(i, emulator.ListenPort), "management": r.w.Address(i, emulator.ManagementPort),
+	return map[string]any{"name": a.Name, "listen": r.w.Address(i, emulator.ListenPort), "management": r.w.Address(i, emulator.AdminPort),
 		"discovery": r.w.Address(i, emulator.DiscoveryPort), "seed": strconv.FormatUint(seed*1000+uint64(i), 16),
-		"limits": r.s.Limits(), "known": r.w.Known(a.Name), "settings": r.s.Settings(i, a.Zone, len(r.wcfg.Agents))}
+		"limits": r.s.Limits(), "known": r.w.InitialList(a.Name), "settings": r.s.Settings(i, a.Zone, len(r.wcfg.Agents))}
 }
 
 // Limits are what an agent may take, as its configuration tells it.
@@ -416,17 +416,17 @@
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	var classes, shapes []any
 	for _, k := range s.Classes {
-		group, key := k.Group, ms(k.KeyFor)
+		group, key := k.DedupScope, ms(k.DedupWindow)
 		if group == "" {
 			group, key = "all", 5000
 		}
-		classes = append(classes, map[string]any{"name": k.Name, "aimMs": ms(k.Aim), "giveUpMs": ms(k.GiveUp), "credit": k.Worth, "effect": k.Effect,
-			"group": group, "keyTtlMs": key, "lateShare": k.LateWorth, "streamed": false})
+		classes = append(classes, map[string]any{"name": k.Name, "aimMs": ms(k.LatencyObjective), "giveUpMs": ms(k.TotalTimeout), "credit": k.PriorityWeight, "effect": k.Idempotency,
+			"group": group, "keyTtlMs": key, "lateShare": k.LateFraction, "streamed": false})
 	}
 	warm := false
 	for _, m := range s.Models {
 		shapes = append(shapes, m.Kind)
-		warm = warm || m.KeyGain > 0
+		warm = warm || m.CacheSaving > 0
 	}
 	return map[string]any{"classes": classes, "clients": map[string]any{"marksRetry": true},
 		"contract": map[string]any{"answerSlackMs": 20, "askWithinMs": 10000, "coldFrom": s.Rules.ColdFrom, "coldMs": ms(s.Rules.ColdFor),
@@ -465,8 +465,8 @@
 
 // Figures are a record's figures with what the processes took.
 func (rec *Record) Figures() map[string]float64 {
-	out := maps.Clone(rec.Result.Figures)
+	out := maps.Clone(rec.Result.Metrics)
 	out["agents' CPU s"], out["lab's CPU s"] = rec.AgentsCPU, rec.LabCPU
-	out["rules broken"] = float64(len(rec.Result.Broken))
+	out["rules broken"] = float64(len(rec.Result.Violations))
 	return out
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -134,20 +134,20 @@
 
 func siteClasses() []emulator.Class {
 	return []emulator.Class{
-		{Name: "cierre-valor", Share: 0.63, Work: 58 * time.Millisecond, WorkCV: 0.55, Wait: 120 * time.Millisecond, Aim: 750 * time.Millisecond,
-			GiveUp: 3 * time.Second, Worth: 10, LateWorth: 0.25, Effect: "single_shot"},
-		{Name: "registro-precio", Share: 0.37, Work: 57 * time.Millisecond, WorkCV: 0.45, Wait: 120 * time.Millisecond, Aim: 500 * time.Millisecond,
-			GiveUp: 2 * time.Second, Worth: 8, LateWorth: 0.25, Effect: "guarded", Group: "cell", KeyFor: 10 * time.Second},
+		{Name: "cierre-valor", Share: 0.63, Work: 58 * time.Millisecond, WorkCV: 0.55, DependencyWait: 120 * time.Millisecond, LatencyObjective: 750 * time.Millisecond,
+			TotalTimeout: 3 * time.Second, PriorityWeight: 10, LateFraction: 0.25, Idempotency: "single_shot"},
+		{Name: "registro-precio", Share: 0.37, Work: 57 * time.Millisecond, WorkCV: 0.45, DependencyWait: 120 * time.Millisecond, LatencyObjective: 500 * time.Millisecond,
+			TotalTimeout: 2 * time.Second, PriorityWeight: 8, LateFraction: 0.25, Idempotency: "guarded", DedupScope: "cell", DedupWindow: 10 * time.Second},
 	}
 }
 
 func siteModels() []Model {
-	m := Model{Model: emulator.Model{Cores: 2, Slots: 22, Queue: 5, Thrash: 0.18, ThrashAt: 18, KeyGain: 0.45, KeyFor: 6 * time.Second, Keys: 60, Conns: 1500,
-		Handshake: 4 * time.Millisecond, Probe: 42 * time.Microsecond,
-		Choke: emulator.Choke{At: 6, Below: 0.3, Over: 2 * time.Second, Rest: 3 * time.Second, Most: 25 * time.Second, Slower: 2.7}}}
+	m := Model{Model: emulator.Model{Cores: 2, Slots: 22, Queue: 5, ThrashLoss: 0.18, ThrashAt: 18, CacheSaving: 0.45, CacheTTL: 6 * time.Second, CacheSize: 60, MaxConnections: 1500,
+		HandshakeWork: 4 * time.Millisecond, HealthCheckWork: 42 * time.Microsecond,
+		Congestion: emulator.Congestion{OnsetLoad: 6, RecoveryLoad: 0.3, OnsetTime: 2 * time.Second, RecoveryTime: 3 * time.Second, MaxTime: 25 * time.Second, Factor: 2.7}}}
 	normal, slow := m, m
-	normal.Kind, normal.Share, normal.Speed, normal.ColdFrom, normal.ColdFor, normal.ErrorRate = "normal-2c", 0.59, 0.97, 0.25, 16*time.Second, 0.0015
-	slow.Kind, slow.Share, slow.Speed, slow.ColdFrom, slow.ColdFor = "lento-2c", 0.41, 0.6, 0.2, 17*time.Second
+	normal.Kind, normal.Share, normal.Speed, normal.SlowStartFrom, normal.SlowStartFor, normal.ErrorRate = "normal-2c", 0.59, 0.97, 0.25, 16*time.Second, 0.0015
+	slow.Kind, slow.Share, slow.Speed, slow.SlowStartFrom, slow.SlowStartFor = "lento-2c", 0.41, 0.6, 0.2, 17*time.Second
 	return []Model{normal, slow}
 }
 
@@ -279,11 +279,11 @@
 
 // world is the scenario's world on a seed.
 func (s *Scenario) world(seed uint64) emulator.Config {
-	c := emulator.Config{Seed: seed, Zones: s.Fleet.Zones, Cross: s.Fleet.Cross, Nodes: s.Fleet.Nodes, CellSize: s.Fleet.Pod,
-		Contract: emulator.Contract{DrainGrace: s.Rules.DrainGrace, ColdFrom: s.Rules.ColdFrom, ColdFor: s.Rules.ColdFor,
-			FallMultiple: s.Rules.FallMultiple, FallIn: s.Rules.FallIn, Slack: 50 * time.Millisecond},
-		Rate: s.rate(), Keys: s.Traffic.Keys, Zipf: s.Traffic.Zipf, Retries: s.Traffic.Retries, TryShare: s.Traffic.TryShare,
-		RetryWait: s.Traffic.RetryWait, ListDelay: s.Fleet.ListDelay, KeepAlive: keepAlive}
+	c := emulator.Config{Seed: seed, Zones: s.Fleet.Zones, ZoneDelay: s.Fleet.Cross, Servers: s.Fleet.Nodes, CellSize: s.Fleet.Pod,
+		Contract: emulator.Contract{DrainGrace: s.Rules.DrainGrace, SlowStartFrom: s.Rules.ColdFrom, SlowStartFor: s.Rules.ColdFor,
+			OverloadMultiple: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallIn, Slack: 50 * time.Millisecond},
+		Rate: s.rate(), Keys: s.Traffic.Keys, Zipf: s.Traffic.Zipf, Retries: s.Traffic.Retries, RequestTimeoutShare: s.Traffic.TryShare,
+		RetryDelay: s.Traffic.RetryWait, ListDelay: s.Fleet.ListDelay, KeepAlive: keepAlive}
 	shares, sum := make([]float64, s.Fleet.Agents), 0.0
 	for i := range shares {
 		// Spread evenly between the least and the most, in an order that mixes the zones.
@@ -299,7 +299,7 @@
 	}
 	c.Classes = s.Classes
 	for _, m := range s.Models {
-		c.Shares, c.Models = append(c.Shares, m.Share), append(c.Models, m.Model)
+		c.ModelShares, c.Models = append(c.ModelShares, m.Share), append(c.Models, m.Model)
 	}
 	return c
 }
--- a/internal/experiment/trust.go
+++ b/internal/experiment/validation.go
@@ -64,19 +64,19 @@
 	var group errgroup.Group
 	for i, cores := range []int{q.K, 1000} {
 		group.Go(func() error {
-			w, err := emulator.New(emulator.Config{Seed: seed, Zones: []string{"z"}, Agents: []emulator.Agent{{Name: "a", Share: 1}}, Nodes: 1, CellSize: 1,
-				Models: []emulator.Model{{Kind: "k", Cores: cores, Speed: 1, Slots: cores, Queue: math.MaxInt}}, Shares: []float64{1},
-				Classes: []emulator.Class{{Name: "c", Share: 1, Work: q.Mean, WorkCV: q.CV, Aim: time.Minute, GiveUp: time.Minute, Worth: 1, Effect: "free"}},
-				Rate:    q.Load * float64(q.K) / q.Mean.Seconds(), Keys: 1, TryShare: 1, KeepAlive: time.Minute, Direct: true})
+			w, err := emulator.New(emulator.Config{Seed: seed, Zones: []string{"z"}, Agents: []emulator.Agent{{Name: "a", Share: 1}}, Servers: 1, CellSize: 1,
+				Models: []emulator.Model{{Kind: "k", Cores: cores, Speed: 1, Slots: cores, Queue: math.MaxInt}}, ModelShares: []float64{1},
+				Classes: []emulator.Class{{Name: "c", Share: 1, Work: q.Mean, WorkCV: q.CV, LatencyObjective: time.Minute, TotalTimeout: time.Minute, PriorityWeight: 1, Idempotency: "free"}},
+				Rate:    q.Load * float64(q.K) / q.Mean.Seconds(), Keys: 1, RequestTimeoutShare: 1, KeepAlive: time.Minute, Direct: true})
 			if err != nil {
 				return err
 			}
 			defer w.Close()
 			res := w.Run(length)
-			if len(res.Faults) > 0 {
-				return fmt.Errorf("the lab failed: %v", res.Faults)
+			if len(res.Errors) > 0 {
+				return fmt.Errorf("the lab failed: %v", res.Errors)
 			}
-			means[i] = res.Figures["sojourn mean ms"]
+			means[i] = res.Metrics["sojourn mean ms"]
 			return nil
 		})
 	}
