--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -68,7 +68,7 @@
 				defer os.RemoveAll(dir)
 			}
 			var recs []*experiment.Record
-			err = experiment.Play(cmd.Context(), experiment.Config{Scenario: s, Binary: binary, Repo: checkout(), Dir: dir, Progress: progress(),
+			err = experiment.Run(cmd.Context(), experiment.Config{Scenario: s, Binary: binary, Repository: checkout(), Dir: dir, Progress: progress(),
 				Done: func(r *experiment.Record) error {
 					recs = append(recs, r)
 					return r.Write(to)
@@ -94,8 +94,8 @@
 
 func troubles() string {
 	var b strings.Builder
-	does := experiment.Kinds()
-	for _, k := range experiment.KindNames() {
+	does := experiment.FaultDescriptions()
+	for _, k := range experiment.FaultKinds() {
 		fmt.Fprintf(&b, "  %-16s %s\n", k, does[k])
 	}
 	return b.String()
@@ -152,7 +152,7 @@
 				return err
 			}
 			for _, d := range diffs {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-28s %10.4g %10.4g  %+.4g ± %.4g over %d pairs\n", d.Figure, d.Base, d.Arm, d.Mean, d.Half, d.Pairs)
+				fmt.Fprintf(cmd.OutOrStdout(), "%-28s %10.4g %10.4g  %+.4g ± %.4g over %d pairs\n", d.Metric, d.Base, d.Arm, d.Mean, d.HalfWidth, d.Pairs)
 			}
 			return nil
 		}}
@@ -162,9 +162,9 @@
 	var seed uint64
 	var agents, nodes int
 	var length time.Duration
-	cmd := &cobra.Command{Use: "draw KIND", Short: "print a scenario of a kind: " + strings.Join(experiment.Days(), ", "), Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "draw KIND", Short: "print a scenario of a kind: " + strings.Join(experiment.ScenarioKinds(), ", "), Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return experiment.Draw(cmd.OutOrStdout(), args[0], seed, agents, nodes, length)
+			return experiment.Generate(cmd.OutOrStdout(), args[0], seed, agents, nodes, length)
 		}}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "what its sizes are drawn from")
 	cmd.Flags().IntVar(&agents, "agents", 12, "agents")
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			return experiment.Rank(cmd.OutOrStdout(), recs, figure, args[1:])
+			return experiment.CheckRanking(cmd.OutOrStdout(), recs, figure, args[1:])
 		}}
 	rank.Flags().StringVar(&figure, "figure", "in time", "the figure to rank by, more being better")
 	cmd.AddCommand(queues, rank)
@@ -202,8 +202,8 @@
 }
 
 func waits(out io.Writer, first uint64, seeds int, length time.Duration) (err error) {
-	for _, q := range experiment.Queues {
-		if werr := q.Waits(out, first, seeds, length); err == nil {
+	for _, q := range experiment.QueueChecks {
+		if werr := q.Run(out, first, seeds, length); err == nil {
 			err = werr
 		}
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -36,22 +36,22 @@
 // Difference is how an arm's figure lies against another's: the mean over pairs of one seed, and
 // half the width of its 95 % interval (Student's t).
 type Difference struct {
-	Figure     string
-	Base, Arm  float64 // means
-	Mean, Half float64
-	Pairs      int
+	Metric          string
+	Base, Arm       float64 // means
+	Mean, HalfWidth float64
+	Pairs           int
 }
 
 // HoldsZero tells whether the interval holds no difference.
-func (d Difference) HoldsZero() bool { return math.Abs(d.Mean) <= d.Half }
+func (d Difference) IncludesZero() bool { return math.Abs(d.Mean) <= d.HalfWidth }
 
 // Compare gives the differences of all figures between two arms, over the seeds on which both
 // have a run that counts; the last run of each counts. Two pairs are needed.
 func Compare(recs []*Record, base, arm string) ([]Difference, error) {
 	runs := map[string]map[uint64]map[string]float64{base: {}, arm: {}}
 	for _, r := range recs {
-		if runs[r.Arm] != nil && r.Counts {
-			runs[r.Arm][r.Seed] = r.Figures()
+		if runs[r.Arm] != nil && r.Valid {
+			runs[r.Arm][r.Seed] = r.Metrics()
 		}
 	}
 	var seeds []uint64
@@ -74,7 +74,7 @@
 		mean, sd := stat.MeanStdDev(diff, nil)
 		n := float64(len(diff))
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
-		out = append(out, Difference{Figure: f, Base: stat.Mean(x, nil), Arm: stat.Mean(y, nil), Mean: mean, Half: t * sd / math.Sqrt(n), Pairs: len(diff)})
+		out = append(out, Difference{Metric: f, Base: stat.Mean(x, nil), Arm: stat.Mean(y, nil), Mean: mean, HalfWidth: t * sd / math.Sqrt(n), Pairs: len(diff)})
 	}
 	return out, nil
 }
@@ -98,12 +98,12 @@
 	}
 	broken, lost := 0, 0
 	for _, r := range recs {
-		if !r.Counts {
+		if !r.Valid {
 			lost++
 			fmt.Fprintf(out, "does not count: arm %q, seed %d: %s\n", r.Arm, r.Seed, strings.Join(r.Result.Errors, "; "))
 		}
-		if r.AgentFault != "" {
-			fmt.Fprintf(out, "agent: arm %q, seed %d: %s\n", r.Arm, r.Seed, r.AgentFault)
+		if r.AgentError != "" {
+			fmt.Fprintf(out, "agent: arm %q, seed %d: %s\n", r.Arm, r.Seed, r.AgentError)
 		}
 		for _, v := range r.Result.Violations {
 			if broken++; broken <= 20 {
@@ -116,34 +116,34 @@
 		diffs, err := Compare(recs, arms[0], arm)
 		if err != nil {
 			fmt.Fprintf(out, "\nno intervals: %v\n", err)
-			single(out, recs, arms[0])
-			single(out, recs, arm)
+			writeSummary(out, recs, arms[0])
+			writeSummary(out, recs, arm)
 			continue
 		}
 		fmt.Fprintf(out, "\n| figure | %s | %s | difference, 95 %% over %d seeds | |\n| --- | --- | --- | --- | --- |\n", arms[0], arm, diffs[0].Pairs)
 		held := 0
 		for _, d := range diffs {
 			verdict := "differs"
-			if d.HoldsZero() {
+			if d.IncludesZero() {
 				verdict = ""
 				held++
 			}
-			fmt.Fprintf(out, "| %s | %.4g | %.4g | %+.4g ± %.4g | %s |\n", d.Figure, d.Base, d.Arm, d.Mean, d.Half, verdict)
+			fmt.Fprintf(out, "| %s | %.4g | %.4g | %+.4g ± %.4g | %s |\n", d.Metric, d.Base, d.Arm, d.Mean, d.HalfWidth, verdict)
 		}
 		fmt.Fprintf(out, "\nthe interval holds 0 for %d of %d figures\n", held, len(diffs))
 	}
 	if len(arms) == 1 {
-		single(out, recs, arms[0])
+		writeSummary(out, recs, arms[0])
 	}
 	return nil
 }
 
 // single prints the figures of one arm over its runs that count.
-func single(out io.Writer, recs []*Record, arm string) {
+func writeSummary(out io.Writer, recs []*Record, arm string) {
 	by := map[string][]float64{}
 	for _, r := range recs {
-		if r.Counts && r.Arm == arm {
-			for f, v := range r.Figures() {
+		if r.Valid && r.Arm == arm {
+			for f, v := range r.Metrics() {
 				by[f] = append(by[f], v)
 			}
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -90,7 +90,7 @@
 			}
 			s.Seed = uint64(lab + 1)
 			var recs []*Record
-			if err := Play(context.Background(), Config{Scenario: s, Binary: bin, Dir: t.TempDir(),
+			if err := Run(context.Background(), Config{Scenario: s, Binary: bin, Dir: t.TempDir(),
 				Done: func(r *Record) error { recs = append(recs, r); return nil }}); err != nil {
 				t.Fatal(err)
 			}
@@ -98,8 +98,8 @@
 				for _, v := range r.Result.Violations {
 					t.Errorf("arm %q: %v", r.Arm, v)
 				}
-				if r.AgentFault != "" || r.Result.Metrics["in time"]+r.Result.Metrics["late"] < 0.2 || r.Result.Attempts == 0 {
-					t.Errorf("arm %q: %q, figures %v", r.Arm, r.AgentFault, r.Result.Metrics)
+				if r.AgentError != "" || r.Result.Metrics["in time"]+r.Result.Metrics["late"] < 0.2 || r.Result.Attempts == 0 {
+					t.Errorf("arm %q: %q, figures %v", r.Arm, r.AgentError, r.Result.Metrics)
 				}
 			}
 			for _, r := range recs {
@@ -134,9 +134,9 @@
 			t.Errorf("%q: %v, should name %s", text, err, want)
 		}
 	}
-	for _, day := range Days() { // what is drawn can be read
+	for _, day := range ScenarioKinds() { // what is drawn can be read
 		var b bytes.Buffer
-		if err := Draw(&b, day, 3, 8, 6, 10*time.Second); err != nil {
+		if err := Generate(&b, day, 3, 8, 6, 10*time.Second); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Parse(day, b.String()); err != nil {
@@ -148,7 +148,7 @@
 		t.Errorf("own models and classes: %+v, %v", own, err)
 	}
 	s, _ := Parse("s.toml", "[fleet]\nagents = 50000\nnodes = 3000")
-	if err := s.fits(); err == nil || !strings.Contains(err.Error(), "take some") {
+	if err := s.checkMachine(); err == nil || !strings.Contains(err.Error(), "take some") {
 		t.Errorf("a scenario for a larger machine: %v", err)
 	}
 }
@@ -158,7 +158,7 @@
 func TestCompareIsPaired(t *testing.T) {
 	var recs []*Record
 	add := func(arm string, seed uint64, x float64, counts bool) {
-		recs = append(recs, &Record{Arm: arm, Seed: seed, Counts: counts, Result: &emulator.Result{Metrics: map[string]float64{"x": x}}})
+		recs = append(recs, &Record{Arm: arm, Seed: seed, Valid: counts, Result: &emulator.Result{Metrics: map[string]float64{"x": x}}})
 	}
 	for seed, x := range []float64{1, 5, 9, 40} {
 		add("a", uint64(seed), x, true)
@@ -172,7 +172,7 @@
 	}
 	for _, d := range diffs {
 		// By hand: differences 1, 1.1, 1, 1.1; t of 3 degrees 3.182; sd 0.0577.
-		if d.Figure == "x" && (math.Abs(d.Mean-1.05) > 1e-9 || math.Abs(d.Half-0.0919) > 1e-3 || d.HoldsZero() || d.Pairs != 4) {
+		if d.Metric == "x" && (math.Abs(d.Mean-1.05) > 1e-9 || math.Abs(d.HalfWidth-0.0919) > 1e-3 || d.IncludesZero() || d.Pairs != 4) {
 			t.Errorf("%+v", d)
 		}
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -38,7 +38,7 @@
 		sums := map[int]emulator.SecondTotals{}
 		var colds []float64
 		for _, r := range recs {
-			if r.Arm != arm || !r.Counts {
+			if r.Arm != arm || !r.Valid {
 				continue
 			}
 			for s, sec := range r.Result.Seconds {
@@ -86,7 +86,7 @@
 func addViews(p *plot.Plot, i int, arm string, recs []*Record) error {
 	sums := map[int][2]float64{}
 	for _, r := range recs {
-		if r.Arm != arm || !r.Counts {
+		if r.Arm != arm || !r.Valid {
 			continue
 		}
 		for s, v := range r.Views {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -30,10 +30,10 @@
 
 // Config is how a lab plays a scenario.
 type Config struct {
-	Scenario *Scenario
-	Binary   string // the built agent, for arms without a commit
-	Repo     string // the checkout from which commits are built; empty: none can be
-	Dir      string // for configurations, logs and builds
+	Scenario   *Scenario
+	Binary     string // the built agent, for arms without a commit
+	Repository string // the checkout from which commits are built; empty: none can be
+	Dir        string // for configurations, logs and builds
 	// Progress is told what happens; nil: nobody.
 	Progress func(format string, args ...any)
 	// Done is called with each run as it ends.
@@ -48,29 +48,29 @@
 	Commit     string           `json:"commit"` // of the agents' program, as far as it is known
 	Machine    string           `json:"machine"`
 	Length     time.Duration    `json:"length_ns"`
-	Counts     bool             `json:"counts"` // false: the lab failed or was late, see Result.Faults
+	Valid      bool             `json:"counts"` // false: the lab failed or was late, see Result.Faults
 	Result     *emulator.Result `json:"result"`
 	AgentsCPU  float64          `json:"agents_cpu_s"`
-	LabCPU     float64          `json:"lab_cpu_s"`
-	AgentFault string           `json:"agent_fault,omitempty"` // an agent that ended by itself
+	HarnessCPU float64          `json:"lab_cpu_s"`
+	AgentError string           `json:"agent_fault,omitempty"` // an agent that ended by itself
 	// Views are, for each second, how many agents the asked ones saw, at least and at most; empty
 	// without a fleet.
 	Views [][2]int `json:"views,omitempty"`
 }
 
 // Play plays all arms on all seeds, the arms of a seed in turn, another first on each seed.
-func Play(ctx context.Context, cfg Config) error {
+func Run(ctx context.Context, cfg Config) error {
 	if cfg.Progress == nil {
 		cfg.Progress = func(string, ...any) {}
 	}
-	if err := cfg.Scenario.fits(); err != nil {
+	if err := cfg.Scenario.checkMachine(); err != nil {
 		return err
 	}
 	s := cfg.Scenario
 	programs := map[string]string{}
 	for _, a := range s.Arms {
 		if programs[a.Commit] == "" {
-			program, err := cfg.program(a.Commit)
+			program, err := cfg.agentProgram(a.Commit)
 			if err != nil {
 				return err
 			}
@@ -82,7 +82,7 @@
 			a := s.Arms[(i+n)%len(s.Arms)]
 			seed := s.Seed + uint64(n)
 			cfg.Progress("seed %d (%d of %d), arm %q", seed, n+1, s.Seeds, a.Name)
-			rec, err := cfg.one(ctx, a, programs[a.Commit], seed)
+			rec, err := cfg.runArm(ctx, a, programs[a.Commit], seed)
 			if err != nil {
 				return fmt.Errorf("arm %q, seed %d: %w", a.Name, seed, err)
 			}
@@ -95,24 +95,24 @@
 }
 
 // fits refuses a scenario that this machine is too small for, and says what it takes.
-func (s *Scenario) fits() error {
+func (s *Scenario) checkMachine() error {
 	cpus := float64(runtime.NumCPU())
 	// By docs/LAB.md: an agent takes some 12 MB and, idle, 0.1 % of a processor; a request 1 ms in all.
-	need := s.rate()*1.0/1000 + float64(s.Fleet.Agents)*0.001 + 0.5
+	need := s.requestRate()*1.0/1000 + float64(s.Fleet.Agents)*0.001 + 0.5
 	if need > cpus {
-		return fmt.Errorf("%d agents and %.0f requests a second take some %.1f processors, and %.0f are here", s.Fleet.Agents, s.rate(), need, cpus)
+		return fmt.Errorf("%d agents and %.0f requests a second take some %.1f processors, and %.0f are here", s.Fleet.Agents, s.requestRate(), need, cpus)
 	}
-	if mb, free := s.Fleet.Agents*14+s.Fleet.Nodes*4+200, processtest.FreeMB(); mb > free {
-		return fmt.Errorf("%d agents and %d nodes take some %d MB, and %d MB are free", s.Fleet.Agents, s.Fleet.Nodes, mb, free)
+	if mb, free := s.Fleet.Agents*14+s.Fleet.Servers*4+200, processtest.FreeMB(); mb > free {
+		return fmt.Errorf("%d agents and %d nodes take some %d MB, and %d MB are free", s.Fleet.Agents, s.Fleet.Servers, mb, free)
 	}
 	var lim syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
 		return err
 	}
 	// At most agents keep one connection to each node, and few more to their list and clients.
-	fds := uint64(200 + s.Fleet.Nodes*len(s.Fleet.Zones)*2 + s.Fleet.Agents*(8+s.Fleet.Nodes))
+	fds := uint64(200 + s.Fleet.Servers*len(s.Fleet.Zones)*2 + s.Fleet.Agents*(8+s.Fleet.Servers))
 	if fds > lim.Max {
-		return fmt.Errorf("%d agents and %d nodes take some %d descriptors, and %d are allowed", s.Fleet.Agents, s.Fleet.Nodes, fds, lim.Max)
+		return fmt.Errorf("%d agents and %d nodes take some %d descriptors, and %d are allowed", s.Fleet.Agents, s.Fleet.Servers, fds, lim.Max)
 	}
 	if lim.Cur < fds {
 		lim.Cur = fds
@@ -122,11 +122,11 @@
 }
 
 // program is the agent that a commit builds, or the one given.
-func (cfg *Config) program(commit string) (string, error) {
+func (cfg *Config) agentProgram(commit string) (string, error) {
 	if commit == "" {
 		return filepath.Abs(cfg.Binary)
 	}
-	if cfg.Repo == "" {
+	if cfg.Repository == "" {
 		return "", errors.New("no checkout is known from which a commit could be built")
 	}
 	cfg.Progress("building %s", commit)
@@ -134,7 +134,7 @@
 	if err := os.MkdirAll(src, 0o755); err != nil {
 		return "", err
 	}
-	pack := exec.Command("git", "-C", cfg.Repo, "archive", commit)
+	pack := exec.Command("git", "-C", cfg.Repository, "archive", commit)
 	unpack := exec.Command("tar", "-x", "-C", src)
 	pipe, err := pack.StdoutPipe()
 	if err != nil {
@@ -166,51 +166,51 @@
 }
 
 // run is one arm on one seed.
-type run struct {
-	s     *Scenario
-	w     *emulator.Emulator
-	wcfg  emulator.Config
-	arm   Arm
-	board *faultproxy.Board // nil: the agents do not talk
-	procs *processtest.Cluster
-	names []string
-	index map[string]int
-	over  chan struct{} // closed when the traffic is over
+type armRun struct {
+	scenario       *Scenario
+	emulator       *emulator.Emulator
+	emulatorConfig emulator.Config
+	arm            Arm
+	network        *faultproxy.Board // nil: the agents do not talk
+	processes      *processtest.Cluster
+	agentNames     []string
+	agentIndex     map[string]int
+	finished       chan struct{} // closed when the traffic is over
 }
 
-func (cfg *Config) one(ctx context.Context, a Arm, program string, seed uint64) (*Record, error) {
+func (cfg *Config) runArm(ctx context.Context, a Arm, program string, seed uint64) (*Record, error) {
 	s := cfg.Scenario
 	dir, err := os.MkdirTemp(cfg.Dir, "run")
 	if err != nil {
 		return nil, err
 	}
-	r := &run{s: s, wcfg: s.world(seed), arm: a, index: map[string]int{}, over: make(chan struct{})}
-	if r.w, err = emulator.New(r.wcfg); err != nil {
+	r := &armRun{scenario: s, emulatorConfig: s.emulatorConfig(seed), arm: a, agentIndex: map[string]int{}, finished: make(chan struct{})}
+	if r.emulator, err = emulator.New(r.emulatorConfig); err != nil {
 		return nil, err
 	}
-	defer r.w.Close()
-	self, children := cpu(syscall.RUSAGE_SELF), cpu(syscall.RUSAGE_CHILDREN)
-	if err := r.prepare(dir, program, seed); err != nil {
+	defer r.emulator.Close()
+	self, children := processorSeconds(syscall.RUSAGE_SELF), processorSeconds(syscall.RUSAGE_CHILDREN)
+	if err := r.prepareAgents(dir, program, seed); err != nil {
 		return nil, err
 	}
-	if r.board != nil {
-		defer r.board.Close()
+	if r.network != nil {
+		defer r.network.Close()
 	}
-	defer r.procs.Close()
-	if err := processtest.Each(r.names, r.start); err != nil {
+	defer r.processes.Close()
+	if err := processtest.Each(r.agentNames, r.startAgent); err != nil {
 		return nil, err
 	}
-	if r.board != nil { // joining is no part of the traffic's time
-		if err := processtest.Await(time.Minute, "all agents see each other", r.settled); err != nil {
+	if r.network != nil { // joining is no part of the traffic's time
+		if err := processtest.Await(time.Minute, "all agents see each other", r.membershipComplete); err != nil {
 			return nil, err
 		}
 	}
 	var troubles sync.WaitGroup
-	faults := make(chan error, len(s.Troubles))
+	faults := make(chan error, len(s.Faults))
 	var changes []emulator.TrafficChange
-	for i, t := range s.Troubles {
-		if k := kinds[t.Kind]; k.traffic != nil {
-			changes = append(changes, k.traffic(t))
+	for i, t := range s.Faults {
+		if k := faultKinds[t.Kind]; k.trafficChange != nil {
+			changes = append(changes, k.trafficChange(t))
 			continue
 		}
 		// Each has draws of its own, so that what it meets does not hang on the others' times.
@@ -218,29 +218,29 @@
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
-			r.hold(t.At)
-			if err := kinds[t.Kind].play(r, t, draw); err != nil {
+			r.wait(t.At)
+			if err := faultKinds[t.Kind].inject(r, t, draw); err != nil {
 				faults <- fmt.Errorf("%s: %w", t.Kind, err)
 			}
 		}()
 	}
-	r.w.SetTrafficChanges(changes...)
+	r.emulator.SetTrafficChanges(changes...)
 	stop := context.AfterFunc(ctx, func() {
-		r.w.Stop()
-		r.procs.Close()
+		r.emulator.Stop()
+		r.processes.Close()
 	})
-	rec := &Record{Scenario: s.Name, Arm: a.Name, Seed: seed, Commit: Revision(a.Commit, program, cfg.Repo), Machine: machine(), Length: s.Length}
-	if r.board != nil {
+	rec := &Record{Scenario: s.Name, Arm: a.Name, Seed: seed, Commit: Revision(a.Commit, program, cfg.Repository), Machine: machineDescription(), Length: s.Length}
+	if r.network != nil {
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
-			rec.Views = r.views()
+			rec.Views = r.sampleViews()
 		}()
 	}
-	res := r.w.Run(s.Length)
+	res := r.emulator.Run(s.Length)
 	rec.Result = res
 	stop()
-	close(r.over)
+	close(r.finished)
 	troubles.Wait()
 	close(faults)
 	if ctx.Err() != nil {
@@ -249,14 +249,14 @@
 	for err := range faults {
 		res.Errors = append(res.Errors, err.Error())
 	}
-	for _, n := range r.names {
-		if !r.procs.Running(n) {
-			rec.AgentFault = n + " ended by itself"
+	for _, n := range r.agentNames {
+		if !r.processes.Running(n) {
+			rec.AgentError = n + " ended by itself"
 		}
 	}
-	r.procs.Close()
-	rec.LabCPU, rec.AgentsCPU = cpu(syscall.RUSAGE_SELF)-self, cpu(syscall.RUSAGE_CHILDREN)-children
-	rec.Counts = len(res.Errors) == 0
+	r.processes.Close()
+	rec.HarnessCPU, rec.AgentsCPU = processorSeconds(syscall.RUSAGE_SELF)-self, processorSeconds(syscall.RUSAGE_CHILDREN)-children
+	rec.Valid = len(res.Errors) == 0
 	return rec, nil
 }
 
@@ -284,21 +284,21 @@
 }
 
 // asked is how many agents are asked for their views each second.
-const asked = 8
+const viewSampleSize = 8
 
 // views asks some agents each second how many they see, until the run is over.
-func (r *run) views() (out [][2]int) {
+func (r *armRun) sampleViews() (out [][2]int) {
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
 		select {
 		case <-every.C:
-		case <-r.over:
+		case <-r.finished:
 			return out
 		}
 		seen := [2]int{}
-		for i := range min(asked, len(r.names)) {
-			n := r.sees(r.names[i*len(r.names)/asked%len(r.names)])
+		for i := range min(viewSampleSize, len(r.agentNames)) {
+			n := r.agentsSeen(r.agentNames[i*len(r.agentNames)/viewSampleSize%len(r.agentNames)])
 			if n == 0 {
 				continue // it is down, or stands still
 			}
@@ -312,10 +312,10 @@
 }
 
 // sees is how many agents an agent sees now; 0: it does not say.
-func (r *run) sees(name string) int {
+func (r *armRun) agentsSeen(name string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	s, err := membership.Ask(ctx, r.w.Address(r.index[name], emulator.AdminPort), "members=none&since=4611686018427387904")
+	s, err := membership.Ask(ctx, r.emulator.Address(r.agentIndex[name], emulator.AdminPort), "members=none&since=4611686018427387904")
 	if err != nil {
 		return 0
 	}
@@ -323,13 +323,13 @@
 }
 
 // settled tells whether all agents see all.
-func (r *run) settled() bool {
+func (r *armRun) membershipComplete() bool {
 	time.Sleep(100 * time.Millisecond)
-	return !slices.ContainsFunc(r.names, func(n string) bool { return r.sees(n) != len(r.names) })
+	return !slices.ContainsFunc(r.agentNames, func(n string) bool { return r.agentsSeen(n) != len(r.agentNames) })
 }
 
 // cpu is the processor time of this process, or of its children that have ended, in seconds.
-func cpu(who int) float64 {
+func processorSeconds(who int) float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(who, &u) != nil {
 		return 0
@@ -337,24 +337,24 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-func machine() string {
+func machineDescription() string {
 	return fmt.Sprintf("%d processors, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 }
 
 // prepare writes the agents' configurations.
-func (r *run) prepare(dir, program string, seed uint64) (err error) {
+func (r *armRun) prepareAgents(dir, program string, seed uint64) (err error) {
 	var seeds []string
 	places := map[string][2]string{}
 	if r.arm.Fleet {
-		if r.board, err = faultproxy.New(seed); err != nil {
+		if r.network, err = faultproxy.New(seed); err != nil {
 			return err
 		}
 	}
-	for i, a := range r.wcfg.Agents {
-		r.names = append(r.names, a.Name)
-		r.index[a.Name] = i
-		if r.board != nil {
-			bind, advertise, err := r.board.Add(a.Name)
+	for i, a := range r.emulatorConfig.Agents {
+		r.agentNames = append(r.agentNames, a.Name)
+		r.agentIndex[a.Name] = i
+		if r.network != nil {
+			bind, advertise, err := r.network.Add(a.Name)
 			if err != nil {
 				return err
 			}
@@ -364,11 +364,11 @@
 			}
 		}
 	}
-	for i, a := range r.wcfg.Agents {
-		c := r.config(i, a, seed)
+	for i, a := range r.emulatorConfig.Agents {
+		c := r.agentConfig(i, a, seed)
 		if p, ok := places[a.Name]; ok {
 			c["fleet"] = map[string]any{"bind": p[0], "advertise": p[1], "seeds": seeds, "site": "lab",
-				"zone": r.s.Fleet.Zones[a.Zone], "networks": []string{"127.0.0.0/8"}}
+				"zone": r.scenario.Fleet.Zones[a.Zone], "networks": []string{"127.0.0.0/8"}}
 		}
 		overlay(c, r.arm.Config)
 		text, err := json.Marshal(c)
@@ -379,7 +379,7 @@
 			return err
 		}
 	}
-	r.procs, err = processtest.New(processtest.Config{Binary: program, Dir: dir, Names: r.names, Env: func(name string) []string {
+	r.processes, err = processtest.New(processtest.Config{Binary: program, Dir: dir, Names: r.agentNames, Env: func(name string) []string {
 		return []string{"PROXY_CONFIG=" + filepath.Join(dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
 			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + dir}
 	}})
@@ -400,10 +400,10 @@
 }
 
 // config is an agent's configuration (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
-func (r *run) config(i int, a emulator.Agent, seed uint64) map[string]any {
-	return map[string]any{"name": a.Name, "listen": r.w.Address(i, emulator.ListenPort), "management": r.w.Address(i, emulator.AdminPort),
-		"discovery": r.w.Address(i, emulator.DiscoveryPort), "seed": strconv.FormatUint(seed*1000+uint64(i), 16),
-		"limits": r.s.Limits(), "known": r.w.InitialList(a.Name), "settings": r.s.Settings(i, a.Zone, len(r.wcfg.Agents))}
+func (r *armRun) agentConfig(i int, a emulator.Agent, seed uint64) map[string]any {
+	return map[string]any{"name": a.Name, "listen": r.emulator.Address(i, emulator.ListenPort), "management": r.emulator.Address(i, emulator.AdminPort),
+		"discovery": r.emulator.Address(i, emulator.DiscoveryPort), "seed": strconv.FormatUint(seed*1000+uint64(i), 16),
+		"limits": r.scenario.Limits(), "known": r.emulator.InitialList(a.Name), "settings": r.scenario.Settings(i, a.Zone, len(r.emulatorConfig.Agents))}
 }
 
 // Limits are what an agent may take, as its configuration tells it.
@@ -429,8 +429,8 @@
 		warm = warm || m.CacheSaving > 0
 	}
 	return map[string]any{"classes": classes, "clients": map[string]any{"marksRetry": true},
-		"contract": map[string]any{"answerSlackMs": 20, "askWithinMs": 10000, "coldFrom": s.Rules.ColdFrom, "coldMs": ms(s.Rules.ColdFor),
-			"drainGraceMs": ms(s.Rules.DrainGrace), "fallMultiple": s.Rules.FallMultiple, "tipAfterMs": ms(s.Rules.FallIn)},
+		"contract": map[string]any{"answerSlackMs": 20, "askWithinMs": 10000, "coldFrom": s.Contract.SlowStartFrom, "coldMs": ms(s.Contract.SlowStartFor),
+			"drainGraceMs": ms(s.Contract.DrainGrace), "fallMultiple": s.Contract.OverloadMultiple, "tipAfterMs": ms(s.Contract.OverloadWindow)},
 		"failureDomains": s.Fleet.Zones, "family": "mesh", "familyInfo": map[string]any{"warmKeys": warm}, "index": index,
 		"limits": map[string]any{"cancelling": true, "connectTimeoutMs": 250, "keepaliveMs": ms(keepAlive), "maxAttempts": 5,
 			"maxRetryAfterMs": 1500, "openCap": 20000, "parallelTries": false, "probing": true, "retryAfter": false},
@@ -440,19 +440,19 @@
 }
 
 // start starts an agent and waits until it is ready.
-func (r *run) start(name string) error {
-	if err := r.procs.Start(name); err != nil {
+func (r *armRun) startAgent(name string) error {
+	if err := r.processes.Start(name); err != nil {
 		return err
 	}
-	r.w.AgentStarted(name)
-	url := "http://" + r.w.Address(r.index[name], emulator.ListenPort) + "/-/ready"
+	r.emulator.AgentStarted(name)
+	url := "http://" + r.emulator.Address(r.agentIndex[name], emulator.ListenPort) + "/-/ready"
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
 	return processtest.Await(30*time.Second, name+" is ready", func() bool {
 		resp, err := client.Get(url)
 		if err != nil {
 			select {
-			case <-r.over:
+			case <-r.finished:
 				return true // nobody waits for it any more
 			default:
 				return false
@@ -464,9 +464,9 @@
 }
 
 // Figures are a record's figures with what the processes took.
-func (rec *Record) Figures() map[string]float64 {
+func (rec *Record) Metrics() map[string]float64 {
 	out := maps.Clone(rec.Result.Metrics)
-	out["agents' CPU s"], out["lab's CPU s"] = rec.AgentsCPU, rec.LabCPU
+	out["agents' CPU s"], out["lab's CPU s"] = rec.AgentsCPU, rec.HarnessCPU
 	out["rules broken"] = float64(len(rec.Result.Violations))
 	return out
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -31,20 +31,20 @@
 	Seeds    int              `toml:"seeds"`  // how many, one after the other
 	Fleet    Fleet            `toml:"fleet"`
 	Traffic  Traffic          `toml:"traffic"`
-	Rules    Rules            `toml:"rules"`
+	Contract Contract         `toml:"rules"`
 	Classes  []emulator.Class `toml:"class"`
 	Models   []Model          `toml:"model"`
-	Troubles []Trouble        `toml:"trouble"`
+	Faults   []Fault          `toml:"trouble"`
 	Arms     []Arm            `toml:"arm"`
 }
 
 // Fleet is the agents and the nodes, spread evenly over the zones.
 type Fleet struct {
 	Agents    int              `toml:"agents"`
-	Nodes     int              `toml:"nodes"`
-	Pod       int              `toml:"pod"` // nodes of one
+	Servers   int              `toml:"nodes"`
+	CellSize  int              `toml:"pod"` // nodes of one
 	Zones     []string         `toml:"zones"`
-	Cross     time.Duration    `toml:"cross"`      // one way between zones
+	ZoneDelay time.Duration    `toml:"cross"`      // one way between zones
 	Cores     float64          `toml:"cores"`      // of an agent
 	MemoryMB  int              `toml:"memory_mb"`  // of an agent
 	Sockets   int              `toml:"sockets"`    // of an agent
@@ -54,23 +54,23 @@
 // Traffic is what the applications ask. Rate is in requests a second; if it is 0, Load says which
 // part of what the nodes can do is asked.
 type Traffic struct {
-	Rate      float64       `toml:"rate"`
-	Load      float64       `toml:"load"`
-	Uneven    float64       `toml:"uneven"` // an agent has up to 1 + this times the mean, down to 1 - this
-	Keys      int           `toml:"keys"`
-	Zipf      float64       `toml:"zipf"`
-	Retries   int           `toml:"retries"`
-	TryShare  float64       `toml:"try_share"`
-	RetryWait time.Duration `toml:"retry_wait"`
+	Rate                float64       `toml:"rate"`
+	Load                float64       `toml:"load"`
+	Imbalance           float64       `toml:"uneven"` // an agent has up to 1 + this times the mean, down to 1 - this
+	Keys                int           `toml:"keys"`
+	Zipf                float64       `toml:"zipf"`
+	Retries             int           `toml:"retries"`
+	RequestTimeoutShare float64       `toml:"try_share"`
+	RetryDelay          time.Duration `toml:"retry_wait"`
 }
 
 // Rules are the figures of the four rules.
-type Rules struct {
-	DrainGrace   time.Duration `toml:"drain_grace"`
-	ColdFrom     float64       `toml:"cold_from"`
-	ColdFor      time.Duration `toml:"cold_for"`
-	FallMultiple float64       `toml:"fall_multiple"`
-	FallIn       time.Duration `toml:"fall_in"`
+type Contract struct {
+	DrainGrace       time.Duration `toml:"drain_grace"`
+	SlowStartFrom    float64       `toml:"cold_from"`
+	SlowStartFor     time.Duration `toml:"cold_for"`
+	OverloadMultiple float64       `toml:"fall_multiple"`
+	OverloadWindow   time.Duration `toml:"fall_in"`
 }
 
 // Model is a kind of node and the share of the nodes that are of it.
@@ -80,16 +80,16 @@
 }
 
 // Trouble is what happens at a time. What Kinds[Kind] says is how it uses the other keys.
-type Trouble struct {
-	At    time.Duration `toml:"at"`
-	Kind  string        `toml:"kind"`
-	For   time.Duration `toml:"for"`
-	Share float64       `toml:"share"`
-	Size  float64       `toml:"size"`
-	Zone  string        `toml:"zone"`
-	Batch float64       `toml:"batch"`
-	Drain time.Duration `toml:"drain"`
-	Back  time.Duration `toml:"back"`
+type Fault struct {
+	At           time.Duration `toml:"at"`
+	Kind         string        `toml:"kind"`
+	Duration     time.Duration `toml:"for"`
+	Share        float64       `toml:"share"`
+	Magnitude    float64       `toml:"size"`
+	Zone         string        `toml:"zone"`
+	Batch        float64       `toml:"batch"`
+	DrainTime    time.Duration `toml:"drain"`
+	RestartDelay time.Duration `toml:"back"`
 }
 
 // Arm is one way to run the agents: a configuration laid over the usual one, of this checkout's
@@ -105,10 +105,10 @@
 // moderate size. Classes and models are those that a scenario has if it names none.
 func Default() *Scenario {
 	return &Scenario{Name: "scenario", Length: 30 * time.Second, Seed: 1, Seeds: 1,
-		Fleet: Fleet{Agents: 12, Nodes: 12, Pod: 6, Zones: []string{"quito-norte", "quito-sur"}, Cross: 1200 * time.Microsecond,
+		Fleet: Fleet{Agents: 12, Servers: 12, CellSize: 6, Zones: []string{"quito-norte", "quito-sur"}, ZoneDelay: 1200 * time.Microsecond,
 			Cores: 0.2, MemoryMB: 64, Sockets: 256, ListDelay: [2]time.Duration{500 * time.Millisecond, 3 * time.Second}},
-		Traffic: Traffic{Load: 0.6, Uneven: 0.5, Keys: 1000, Zipf: 0.7, Retries: 3, TryShare: 0.5, RetryWait: 20 * time.Millisecond},
-		Rules:   Rules{DrainGrace: 300 * time.Millisecond, ColdFrom: 0.14, ColdFor: 24 * time.Second, FallMultiple: 3, FallIn: 2 * time.Second},
+		Traffic:  Traffic{Load: 0.6, Imbalance: 0.5, Keys: 1000, Zipf: 0.7, Retries: 3, RequestTimeoutShare: 0.5, RetryDelay: 20 * time.Millisecond},
+		Contract: Contract{DrainGrace: 300 * time.Millisecond, SlowStartFrom: 0.14, SlowStartFor: 24 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second},
 	}
 }
 
@@ -173,14 +173,14 @@
 		}
 	}
 	s.complete()
-	if key, err := s.check(); err != nil {
+	if key, err := s.validate(); err != nil {
 		return nil, fmt.Errorf("%s:%d: %s: %w", path, LineOf(text, strings.Split(key, ".")), key, err)
 	}
 	return s, nil
 }
 
 // badType is how a value of a wrong type is told by the library, which has no type for that.
-var badType = regexp.MustCompile(`^toml: line (\d+) \(last key "(.*?)"\): `)
+var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "(.*?)"\): `)
 
 // TOMLError names the file and the line, and the key where a value is of a wrong type, of an
 // error of toml.Decode.
@@ -189,7 +189,7 @@
 		return fmt.Errorf("%s:%d: %s", path, perr.Position.Line, perr.Message)
 	}
 	text := err.Error()
-	if m := badType.FindStringSubmatch(text); m != nil {
+	if m := typeErrorPattern.FindStringSubmatch(text); m != nil {
 		return fmt.Errorf("%s:%s: %s: %s", path, m[1], m[2], text[len(m[0]):])
 	}
 	return fmt.Errorf("%s: %w", path, err)
@@ -209,7 +209,7 @@
 }
 
 // check names the first key whose value makes no sense.
-func (s *Scenario) check() (string, error) {
+func (s *Scenario) validate() (string, error) {
 	above := errors.New("must be above 0")
 	part := errors.New("must be from 0 to 1")
 	switch {
@@ -219,9 +219,9 @@
 		return "seeds", above
 	case s.Fleet.Agents < 1:
 		return "fleet.agents", above
-	case s.Fleet.Nodes < 1:
+	case s.Fleet.Servers < 1:
 		return "fleet.nodes", above
-	case s.Fleet.Pod < 1:
+	case s.Fleet.CellSize < 1:
 		return "fleet.pod", above
 	case len(s.Fleet.Zones) == 0:
 		return "fleet.zones", errors.New("one at least is needed")
@@ -229,22 +229,22 @@
 		return "fleet.list_delay", errors.New("the second is below the first")
 	case s.Traffic.Rate <= 0 && s.Traffic.Load <= 0:
 		return "traffic.rate", errors.New("rate or load must be above 0")
-	case s.Traffic.Uneven < 0 || s.Traffic.Uneven >= 1:
+	case s.Traffic.Imbalance < 0 || s.Traffic.Imbalance >= 1:
 		return "traffic.uneven", errors.New("must be from 0 to below 1")
-	case s.Traffic.TryShare <= 0 || s.Traffic.TryShare > 1:
+	case s.Traffic.RequestTimeoutShare <= 0 || s.Traffic.RequestTimeoutShare > 1:
 		return "traffic.try_share", part
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		switch {
-		case kinds[t.Kind].does == "":
+		case faultKinds[t.Kind].description == "":
 			return "trouble.kind", fmt.Errorf("there is no trouble %q", t.Kind)
 		case t.At < 0 || t.At > s.Length:
 			return "trouble.at", errors.New("is outside the length")
-		case t.Kind == "burst" && t.Size <= 0:
+		case t.Kind == "burst" && t.Magnitude <= 0:
 			return "trouble.size", above
 		case t.Share < 0 || t.Share > 1:
 			return "trouble.share", part
-		case kinds[t.Kind].zone && !slices.Contains(s.Fleet.Zones, t.Zone):
+		case faultKinds[t.Kind].needsZone && !slices.Contains(s.Fleet.Zones, t.Zone):
 			return "trouble.zone", fmt.Errorf("there is no zone %q", t.Zone)
 		}
 	}
@@ -262,7 +262,7 @@
 }
 
 // rate is how many requests a second are asked.
-func (s *Scenario) rate() float64 {
+func (s *Scenario) requestRate() float64 {
 	if s.Traffic.Rate > 0 {
 		return s.Traffic.Rate
 	}
@@ -274,16 +274,16 @@
 		cores += m.Share * float64(m.Cores) * m.Speed
 		shares += m.Share
 	}
-	return s.Traffic.Load * float64(s.Fleet.Nodes) * cores / shares / work
+	return s.Traffic.Load * float64(s.Fleet.Servers) * cores / shares / work
 }
 
 // world is the scenario's world on a seed.
-func (s *Scenario) world(seed uint64) emulator.Config {
-	c := emulator.Config{Seed: seed, Zones: s.Fleet.Zones, ZoneDelay: s.Fleet.Cross, Servers: s.Fleet.Nodes, CellSize: s.Fleet.Pod,
-		Contract: emulator.Contract{DrainGrace: s.Rules.DrainGrace, SlowStartFrom: s.Rules.ColdFrom, SlowStartFor: s.Rules.ColdFor,
-			OverloadMultiple: s.Rules.FallMultiple, OverloadWindow: s.Rules.FallIn, Slack: 50 * time.Millisecond},
-		Rate: s.rate(), Keys: s.Traffic.Keys, Zipf: s.Traffic.Zipf, Retries: s.Traffic.Retries, RequestTimeoutShare: s.Traffic.TryShare,
-		RetryDelay: s.Traffic.RetryWait, ListDelay: s.Fleet.ListDelay, KeepAlive: keepAlive}
+func (s *Scenario) emulatorConfig(seed uint64) emulator.Config {
+	c := emulator.Config{Seed: seed, Zones: s.Fleet.Zones, ZoneDelay: s.Fleet.ZoneDelay, Servers: s.Fleet.Servers, CellSize: s.Fleet.CellSize,
+		Contract: emulator.Contract{DrainGrace: s.Contract.DrainGrace, SlowStartFrom: s.Contract.SlowStartFrom, SlowStartFor: s.Contract.SlowStartFor,
+			OverloadMultiple: s.Contract.OverloadMultiple, OverloadWindow: s.Contract.OverloadWindow, Slack: 50 * time.Millisecond},
+		Rate: s.requestRate(), Keys: s.Traffic.Keys, Zipf: s.Traffic.Zipf, Retries: s.Traffic.Retries, RequestTimeoutShare: s.Traffic.RequestTimeoutShare,
+		RetryDelay: s.Traffic.RetryDelay, ListDelay: s.Fleet.ListDelay, KeepAlive: keepAlive}
 	shares, sum := make([]float64, s.Fleet.Agents), 0.0
 	for i := range shares {
 		// Spread evenly between the least and the most, in an order that mixes the zones.
@@ -291,7 +291,7 @@
 		if n := len(shares); n > 1 {
 			x = float64(i*7%n) / float64(n-1)
 		}
-		shares[i] = 1 + s.Traffic.Uneven*(2*math.Min(1, x)-1)
+		shares[i] = 1 + s.Traffic.Imbalance*(2*math.Min(1, x)-1)
 		sum += shares[i]
 	}
 	for i, share := range shares {
--- a/internal/experiment/validation.go
+++ b/internal/experiment/validation.go
@@ -16,27 +16,27 @@
 
 // Queue is one comparison of the emulator with queueing theory: one node with K cores and an
 // endless queue, called by its clients without an agent.
-type Queue struct {
-	K    int
-	Load float64       // of each core
-	Mean time.Duration // service
-	CV   float64       // of the service
+type QueueCheck struct {
+	Cores       int
+	Load        float64       // of each core
+	MeanService time.Duration // service
+	ServiceCV   float64       // of the service
 }
 
 // Queues are the comparisons that the lab's page gives.
-var Queues = []Queue{{1, 0.5, 20 * time.Millisecond, 0}, {1, 0.7, 20 * time.Millisecond, 1}, {2, 0.6, 30 * time.Millisecond, 0.5}, {4, 0.7, 30 * time.Millisecond, 1}}
+var QueueChecks = []QueueCheck{{1, 0.5, 20 * time.Millisecond, 0}, {1, 0.7, 20 * time.Millisecond, 1}, {2, 0.6, 30 * time.Millisecond, 0.5}, {4, 0.7, 30 * time.Millisecond, 1}}
 
 // Waits plays a comparison over some seeds, from the first on, in real time, on sockets, and writes the mean wait
 // that theory gives and the 95 % interval of what was measured; the error is a theory outside of
 // the interval.
-func (q Queue) Waits(out io.Writer, first uint64, seeds int, length time.Duration) error {
-	theory := emulator.MeanWait(q.K, q.Load, q.Mean.Seconds(), q.CV) * 1000
+func (q QueueCheck) Run(out io.Writer, first uint64, seeds int, length time.Duration) error {
+	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * 1000
 	waits := make([]float64, seeds)
 	var group errgroup.Group
 	group.SetLimit(6) // none takes more than a part of a processor
 	for seed := range seeds {
 		group.Go(func() (err error) {
-			waits[seed], err = q.wait(first+uint64(seed), length)
+			waits[seed], err = q.measureWait(first+uint64(seed), length)
 			return err
 		})
 	}
@@ -50,24 +50,24 @@
 	if math.Abs(mean-theory) > half {
 		verdict = "DIFFERS"
 	}
-	fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n", q.K, q.Load, q.Mean, q.CV, theory, mean, half, verdict)
+	fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n", q.Cores, q.Load, q.MeanService, q.ServiceCV, theory, mean, half, verdict)
 	if verdict != "agrees" {
-		return fmt.Errorf("M/G/%d at load %g: a mean wait of %.2f ms, where theory has %.2f ms", q.K, q.Load, mean, theory)
+		return fmt.Errorf("M/G/%d at load %g: a mean wait of %.2f ms, where theory has %.2f ms", q.Cores, q.Load, mean, theory)
 	}
 	return nil
 }
 
 // wait is the mean wait that one seed measures, in ms: against a node with a core for everyone,
 // asked the same, so that what the sockets and timers take is in both.
-func (q Queue) wait(seed uint64, length time.Duration) (float64, error) {
+func (q QueueCheck) measureWait(seed uint64, length time.Duration) (float64, error) {
 	var means [2]float64
 	var group errgroup.Group
-	for i, cores := range []int{q.K, 1000} {
+	for i, cores := range []int{q.Cores, 1000} {
 		group.Go(func() error {
 			w, err := emulator.New(emulator.Config{Seed: seed, Zones: []string{"z"}, Agents: []emulator.Agent{{Name: "a", Share: 1}}, Servers: 1, CellSize: 1,
 				Models: []emulator.Model{{Kind: "k", Cores: cores, Speed: 1, Slots: cores, Queue: math.MaxInt}}, ModelShares: []float64{1},
-				Classes: []emulator.Class{{Name: "c", Share: 1, Work: q.Mean, WorkCV: q.CV, LatencyObjective: time.Minute, TotalTimeout: time.Minute, PriorityWeight: 1, Idempotency: "free"}},
-				Rate:    q.Load * float64(q.K) / q.Mean.Seconds(), Keys: 1, RequestTimeoutShare: 1, KeepAlive: time.Minute, Direct: true})
+				Classes: []emulator.Class{{Name: "c", Share: 1, Work: q.MeanService, WorkCV: q.ServiceCV, LatencyObjective: time.Minute, TotalTimeout: time.Minute, PriorityWeight: 1, Idempotency: "free"}},
+				Rate:    q.Load * float64(q.Cores) / q.MeanService.Seconds(), Keys: 1, RequestTimeoutShare: 1, KeepAlive: time.Minute, Direct: true})
 			if err != nil {
 				return err
 			}
@@ -87,13 +87,13 @@
 // Rank compares arms by the mean of a figure over the seeds that all have in common, the best
 // first, and tells whether the order is the one that is expected; each step has to differ by
 // its paired interval.
-func Rank(out io.Writer, recs []*Record, figure string, want []string) error {
+func CheckRanking(out io.Writer, recs []*Record, figure string, want []string) error {
 	means := map[string]float64{}
 	for i, arm := range want {
 		var v []float64
 		for _, r := range recs {
-			if r.Arm == arm && r.Counts {
-				v = append(v, r.Figures()[figure])
+			if r.Arm == arm && r.Valid {
+				v = append(v, r.Metrics()[figure])
 			}
 		}
 		if len(v) == 0 {
@@ -110,8 +110,8 @@
 			return err
 		}
 		for _, d := range diffs {
-			if d.Figure == figure {
-				fmt.Fprintf(out, " %+.4f ± %.4f against %s\n", d.Mean, d.Half, want[i-1])
+			if d.Metric == figure {
+				fmt.Fprintf(out, " %+.4f ± %.4f against %s\n", d.Mean, d.HalfWidth, want[i-1])
 			}
 		}
 	}
