--- a/internal/emulator/contract.go
+++ b/internal/emulator/contract.go
@@ -2,22 +2,27 @@
 
 import "time"
 
-// Contract are the figures of the four rules (WIRE, "Operating rules"), and what a judge
-// allows beyond them for the sockets (PROTOCOL, "The rules on sockets").
+// Contract has the parameters of the four operating rules (WIRE, "Operating rules") and the tolerance for sockets
+// (PROTOCOL, "The rules on sockets").
 type Contract struct {
-	DrainGrace       time.Duration
-	SlowStartFrom    float64
-	SlowStartFor     time.Duration
+	// DrainGrace is how long after the notification of a removal an agent may still forward to the server.
+	DrainGrace time.Duration
+	// SlowStartFrom and SlowStartFor describe the slowest slow start that agents have to expect: the fraction of
+	// the capacity right after a start, and the time until it is complete.
+	SlowStartFrom float64
+	SlowStartFor  time.Duration
+	// A server in slow start is overloaded by more than OverloadMultiple times its capacity within OverloadWindow.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	Slack            time.Duration
+	// Slack is added to every time limit, for the delays of sockets and timers.
+	Slack time.Duration
 }
 
-// Cold is how many requests of mean work (in seconds of a standard core) a node of a model may
-// be sent between two ages: FallMultiple times its capacity on the slowest climb.
+// SlowStartLimit returns how many requests of mean work (in seconds of a standard core) a server of a model may
+// receive between two ages: OverloadMultiple times its capacity in the slowest slow start.
 func (c *Contract) SlowStartLimit(m Model, from, to time.Duration, mean float64) float64 {
 	slowest := Model{SlowStartFrom: c.SlowStartFrom, SlowStartFor: c.SlowStartFor}
-	// The climb is even, so the middle's capacity is the mean of both ends'.
-	part := (slowest.capacityFraction(from) + slowest.capacityFraction(to)) / 2
-	return c.OverloadMultiple * part * (to - from).Seconds() * float64(m.Cores) * m.Speed / mean
+	// Capacity grows linearly, so the mean over the time is the mean of both ends.
+	fraction := (slowest.capacityFraction(from) + slowest.capacityFraction(to)) / 2
+	return c.OverloadMultiple * fraction * (to - from).Seconds() * float64(m.Cores) * m.Speed / mean
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -16,205 +16,260 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// list is the list of nodes as each agent's machine has it: changes come to each in their order,
-// late by a time drawn for each (PROTOCOL, "Discovery"). What an agent has counts as told.
+const (
+	// discoveryStream is the first of the streams of random numbers for the agents' delays.
+	discoveryStream = 2000
+	// maxWatchMs bounds the time, in ms, that a watch waits for a change.
+	maxWatchMs = 60_000
+)
+
+// The states of an endpoint (PROTOCOL, "Discovery").
+const (
+	stateUp       = "up"
+	stateDraining = "draining"
+	stateRemoved  = "removed"
+)
+
+// endpointList is the emulated discovery. Each agent has a view of its own: changes reach it in their order, each
+// with a random delay (PROTOCOL, "Discovery"). An agent counts as notified once a change has reached its view.
 type endpointList struct {
-	emulator   *Emulator
+	emulator *Emulator
+
 	mu         sync.Mutex
 	version    uint64
 	agentViews map[string]*agentView
-	viewOrder  []*agentView
-	restored   chan struct{} // not nil while discovery is down; closed when it is up again
+	viewOrder  []*agentView  // in the agents' order, so that delays follow from the seed
+	restored   chan struct{} // not nil while discovery is unavailable; closed when it is available again
 	removals   []Notification
 
 	calls, entriesSent atomic.Uint64
 }
 
+// agentView is the endpoint list as one agent can see it.
 type agentView struct {
 	agent   string
 	zone    int
 	random  *rand.Rand
 	version uint64
 	entries map[string]listEntry
-	ids     []string // in the order in which they came
+	ids     []string // in the order in which they were added
 	pending []pendingChange
-	changed chan struct{} // closed and made anew at a change
+	changed chan struct{} // closed and replaced at a change
 }
 
+// listEntry is an endpoint and the version of its last change.
 type listEntry struct {
 	endpoint.Target
-	version    uint64
-	notifiedAt time.Duration
+	version uint64
 }
 
+// pendingChange is a change that has not reached a view yet.
 type pendingChange struct {
 	at      time.Duration
 	version uint64
 	entry   endpoint.Target
 }
 
-func newEndpointList(w *Emulator) *endpointList {
-	l := &endpointList{emulator: w, agentViews: map[string]*agentView{}}
-	for i, a := range w.config.Agents {
-		v := &agentView{agent: a.Name, zone: a.Zone, random: rand.New(rand.NewPCG(w.config.Seed, 2000+uint64(i))),
-			entries: map[string]listEntry{}, changed: make(chan struct{})}
-		l.agentViews[a.Name], l.viewOrder = v, append(l.viewOrder, v)
+func newEndpointList(e *Emulator) *endpointList {
+	l := &endpointList{emulator: e, agentViews: map[string]*agentView{}}
+	for i, agent := range e.config.Agents {
+		view := &agentView{
+			agent:   agent.Name,
+			zone:    agent.Zone,
+			random:  rand.New(rand.NewPCG(e.config.Seed, discoveryStream+uint64(i))),
+			entries: map[string]listEntry{},
+			changed: make(chan struct{}),
+		}
+		l.agentViews[agent.Name] = view
+		l.viewOrder = append(l.viewOrder, view)
 	}
 	return l
 }
 
-// publish tells all agents of a node as it is now, at once or late.
-func (l *endpointList) publish(b *server, atOnce bool) {
+// publish sends a server's present state to all views, immediately or with a random delay for each.
+func (l *endpointList) publish(s *server, immediately bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
-	for _, v := range l.viewOrder {
-		delay := l.emulator.config.ListDelay[0] + time.Duration(v.random.Float64()*float64(l.emulator.config.ListDelay[1]-l.emulator.config.ListDelay[0]))
-		entry := b.endpoint
-		entry.Addr = b.addresses[v.zone]
-		if atOnce {
+	for _, view := range l.viewOrder {
+		// The delay is drawn also where it is not used, so that later ones do not depend on it.
+		delay := l.randomDelay(view)
+		if immediately {
 			delay = 0
 		}
-		at := l.emulator.Now() + delay
-		if n := len(v.pending); n > 0 {
-			at = max(at, v.pending[n-1].at) // changes keep their order
-		}
-		v.pending = append(v.pending, pendingChange{at, l.version, entry})
-		if delay == 0 {
-			l.deliverDue(v)
-		} else {
-			time.AfterFunc(at-l.emulator.Now(), func() {
-				l.mu.Lock()
-				defer l.mu.Unlock()
-				l.deliverDue(v)
-			})
-		}
+		entry := s.endpoint
+		entry.Addr = s.addresses[view.zone]
+		l.schedule(view, entry, delay)
 	}
 }
 
-// flush gives an agent what is due. The caller holds mu.
-func (l *endpointList) deliverDue(v *agentView) {
-	now, some := l.emulator.Now(), false
-	for ; l.restored == nil && len(v.pending) > 0 && v.pending[0].at <= now; v.pending = v.pending[1:] {
-		p := v.pending[0]
-		if _, ok := v.entries[p.entry.ID]; !ok {
-			v.ids = append(v.ids, p.entry.ID)
+// randomDelay draws the delay of a change for a view.
+func (l *endpointList) randomDelay(view *agentView) time.Duration {
+	bounds := l.emulator.config.ListDelay
+	return bounds[0] + time.Duration(view.random.Float64()*float64(bounds[1]-bounds[0]))
+}
+
+// schedule adds a change to a view after a delay, but not before earlier changes. The caller holds mu.
+func (l *endpointList) schedule(view *agentView, entry endpoint.Target, delay time.Duration) {
+	at := l.emulator.Now() + delay
+	if n := len(view.pending); n > 0 {
+		at = max(at, view.pending[n-1].at)
+	}
+	view.pending = append(view.pending, pendingChange{at, l.version, entry})
+	if delay == 0 {
+		l.deliverDue(view)
+		return
+	}
+	time.AfterFunc(at-l.emulator.Now(), func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.deliverDue(view)
+	})
+}
+
+// deliverDue applies the changes that are due to a view. The caller holds mu.
+func (l *endpointList) deliverDue(view *agentView) {
+	now := l.emulator.Now()
+	delivered := false
+	for l.restored == nil && len(view.pending) > 0 && view.pending[0].at <= now {
+		change := view.pending[0]
+		view.pending = view.pending[1:]
+		id := change.entry.ID
+		if _, ok := view.entries[id]; !ok {
+			view.ids = append(view.ids, id)
 		}
-		v.entries[p.entry.ID], v.version, some = listEntry{p.entry, p.version, now}, p.version, true
-		if p.entry.State != "up" {
-			l.removals = append(l.removals, Notification{v.agent, p.entry.ID, now})
+		view.entries[id] = listEntry{change.entry, change.version}
+		view.version = change.version
+		delivered = true
+		if change.entry.State != stateUp {
+			l.removals = append(l.removals, Notification{view.agent, id, now})
 		}
 	}
-	if some {
-		close(v.changed)
-		v.changed = make(chan struct{})
+	if delivered {
+		close(view.changed)
+		view.changed = make(chan struct{})
 	}
 }
 
-// setDown makes discovery silent, or ends that.
-func (l *endpointList) setUnavailable(down bool) {
+// setUnavailable makes discovery unavailable, or available again.
+func (l *endpointList) setUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch {
-	case down == (l.restored != nil):
-	case down:
+	if unavailable == (l.restored != nil) {
+		return
+	}
+	if unavailable {
 		l.restored = make(chan struct{})
-	default:
-		close(l.restored)
-		l.restored = nil
-		for _, v := range l.viewOrder {
-			l.deliverDue(v)
-		}
+		return
 	}
+	close(l.restored)
+	l.restored = nil
+	for _, view := range l.viewOrder {
+		l.deliverDue(view)
+	}
+}
+
+// outage returns a channel that is closed when discovery is available again; nil: it is available.
+func (l *endpointList) outage() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.restored
 }
 
-func (l *endpointList) notifiedOfStart(agent, node string) bool {
+// notifiedOfStart tells whether an agent's view has the start time of a server.
+func (l *endpointList) notifiedOfStart(agent, serverID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := l.agentViews[agent]
-	if v == nil {
+	view := l.agentViews[agent]
+	if view == nil {
 		return false
 	}
-	s, ok := v.entries[node]
-	return ok && s.StartedMs > 0
+	entry, ok := view.entries[serverID]
+	return ok && entry.StartedMs > 0
 }
 
-// since are an agent's entries changed after a version, and the channel that ends at a change.
-func (l *endpointList) changesSince(v *agentView, index uint64, full bool) (endpoint.List, <-chan struct{}) {
+// changesSince returns a view's entries that changed after a version, or the full list, and the channel that is
+// closed at the next change.
+func (l *endpointList) changesSince(view *agentView, version uint64, full bool) (endpoint.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	full = full || index > v.version
-	out := endpoint.List{Version: v.version, Full: full, Servers: []endpoint.Target{}}
-	for _, id := range v.ids {
-		if s := v.entries[id]; full && s.State != "removed" || !full && s.version > index {
-			out.Servers = append(out.Servers, s.Target)
+	full = full || version > view.version
+	list := endpoint.List{Version: view.version, Full: full, Servers: []endpoint.Target{}}
+	for _, id := range view.ids {
+		entry := view.entries[id]
+		if full && entry.State != stateRemoved || !full && entry.version > version {
+			list.Servers = append(list.Servers, entry.Target)
 		}
 	}
-	return out, v.changed
+	return list, view.changed
 }
 
+// fullList returns the full list of an agent's view.
 func (l *endpointList) fullList(agent string) endpoint.List {
-	out, _ := l.changesSince(l.agentViews[agent], 0, true)
-	return out
+	list, _ := l.changesSince(l.agentViews[agent], 0, true)
+	return list
 }
 
-// serveList opens an agent's discovery.
-func (w *Emulator) serveDiscovery(agent, addr string) error {
-	ln, err := net.Listen("tcp", addr)
+// serveDiscovery opens an agent's discovery address.
+func (e *Emulator) serveDiscovery(agent, address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
-	v := w.endpoints.agentViews[agent]
+	view := e.endpoints.agentViews[agent]
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", func(rw http.ResponseWriter, r *http.Request) { w.endpoints.handleList(v, rw, r) })
+	mux.HandleFunc("GET /api/targets", func(rw http.ResponseWriter, r *http.Request) {
+		e.endpoints.handleList(view, rw, r)
+	})
 	s := &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0)}
-	w.discoveryServers = append(w.discoveryServers, s)
-	w.background.Add(1)
+	e.discoveryServers = append(e.discoveryServers, s)
+	e.background.Add(1)
 	go func() {
-		defer w.background.Done()
-		if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			w.recordError(err)
+		defer e.background.Done()
+		if err := s.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			e.recordError(err)
 		}
 	}()
 	return nil
 }
 
-func (l *endpointList) handleList(v *agentView, rw http.ResponseWriter, r *http.Request) {
+// handleList answers a poll with the full list, and a watch (one that names a version as "index") with the changes
+// after that version, once there are any or its time ("wait", in ms) is over.
+func (l *endpointList) handleList(view *agentView, rw http.ResponseWriter, r *http.Request) {
 	l.calls.Add(1)
-	index, watch := uint64(0), r.FormValue("index") != ""
-	wait, _ := strconv.Atoi(r.FormValue("wait"))
+	version := uint64(0)
+	watch := r.FormValue("index") != ""
 	if watch {
 		var err error
-		if index, err = strconv.ParseUint(r.FormValue("index"), 10, 64); err != nil {
+		if version, err = strconv.ParseUint(r.FormValue("index"), 10, 64); err != nil {
 			http.Error(rw, "index: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	over := time.NewTimer(time.Duration(min(max(wait, 0), 60_000)) * time.Millisecond)
-	defer over.Stop()
-	for late := false; ; {
-		l.mu.Lock()
-		up := l.restored
-		l.mu.Unlock()
-		if up != nil { // silent, whatever it has
+	waitMs, _ := strconv.Atoi(r.FormValue("wait")) // without a number the answer is immediate
+	timeout := time.NewTimer(time.Duration(min(max(waitMs, 0), maxWatchMs)) * time.Millisecond)
+	defer timeout.Stop()
+	timedOut := false
+	for {
+		if restored := l.outage(); restored != nil {
 			select {
-			case <-up:
+			case <-restored:
 				continue
 			case <-r.Context().Done():
 				return
 			}
 		}
-		out, wake := l.changesSince(v, index, !watch)
-		if !watch || late || out.Full || len(out.Servers) > 0 {
-			l.entriesSent.Add(uint64(len(out.Servers)))
+		list, changed := l.changesSince(view, version, !watch)
+		if !watch || timedOut || list.Full || len(list.Servers) > 0 {
+			l.entriesSent.Add(uint64(len(list.Servers)))
 			rw.Header().Set("Content-Type", "application/json")
-			json.NewEncoder(rw).Encode(out)
+			_ = json.NewEncoder(rw).Encode(list) // an error: the agent has closed the connection
 			return
 		}
 		select {
-		case <-wake:
-		case <-over.C:
-			late = true
+		case <-changed:
+		case <-timeout.C:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,11 +1,11 @@
-// Package emulator is what a fleet of agents meets, on loopback sockets in real time: price nodes
-// with their machines, the applications that call the agents, and the list of nodes, which
-// comes late. It is written from the operators' pages (BRIEF, PROTOCOL, TERMS, DEPLOY; WIRE for
-// the rules); docs/LAB.md says what it leaves out.
+// Package emulator runs the surroundings of a fleet of agents on loopback sockets in real time: servers with a
+// simulated machine, the client applications that call the agents, and discovery, whose changes reach each agent
+// with a delay. Its model follows the operators' pages (BRIEF, PROTOCOL, TERMS, DEPLOY, and WIRE for the operating
+// rules); docs/LAB.md says what it leaves out.
 //
-// Its invariants: what the applications ask (times, classes, keys, work) follows from the seed
-// alone, whatever the agents do; every try and every attempt is noted and judged by the four
-// rules; and a world that was late, or out of descriptors, says so (Result.Faults, Late).
+// Its invariants: what the clients call (times, classes, keys, work) follows from the seed alone, whatever the agents
+// do; every request and every attempt is recorded and judged by the operating rules; and a run in which the emulator
+// was late or out of descriptors says so (Result.Errors, MetricTimerDelayP99).
 package emulator
 
 import (
@@ -23,304 +23,351 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// Agent is one agent's place.
+// The ports of an agent at its address.
+const (
+	ListenPort    = 8000
+	AdminPort     = 8001
+	DiscoveryPort = 8500
+)
+
+const (
+	serverPort = 8000
+	// serverStream is the first of the streams of random numbers for the servers' models.
+	serverStream = 1000
+	// hostsPerSubnet is how many addresses of a /24 are used, subnetsPerZone how many /24 the servers of a zone have.
+	hostsPerSubnet = 250
+	subnetsPerZone = 12
+
+	maxAgents = 60_000
+	maxZones  = 20
+	// maxErrors bounds how many errors of the harness are kept.
+	maxErrors = 20
+	// timerProbeInterval is how often the machine's timers are measured.
+	timerProbeInterval = 2 * time.Millisecond
+)
+
+// longAgo is the start time of a server that has no slow start.
+const longAgo time.Duration = -1
+
+// Agent is where an agent stands.
 type Agent struct {
 	Name  string
 	Zone  int
-	Share float64 // of the requests
+	Share float64 // of the calls
 }
 
-// Config is a world.
+// Config describes what is emulated.
 type Config struct {
 	Seed        uint64
 	Zones       []string
-	ZoneDelay   time.Duration // one way between zones
+	ZoneDelay   time.Duration // one way between two zones
 	Agents      []Agent
-	Models      []Model   // of the nodes
-	ModelShares []float64 // of the nodes that each model has
+	Models      []Model   // of the servers
+	ModelShares []float64 // the share of the servers that each model has
 	Servers     int
-	CellSize    int // nodes of a pod
+	CellSize    int // servers of a cell
 	Classes     []Class
 	Contract    Contract
-	Rate        float64 // requests a second from all applications, at the calmest
-	Keys        int     // distinct, of a Zipf distribution with exponent Zipf
+	Rate        float64 // calls per second of all clients, without a TrafficChange
+	Keys        int     // distinct keys, of a Zipf distribution with the exponent Zipf
 	Zipf        float64
-	// Clients give a try up after TryShare of the class's time and come again up to Retries
-	// times, RetryWait after the answer.
+	// Clients give a request up after RequestTimeoutShare of the class's total timeout, and retry up to Retries
+	// times, RetryDelay after the response.
 	Retries             int
 	RequestTimeoutShare float64
 	RetryDelay          time.Duration
-	// ListDelay bounds how late a change of the list comes to an agent, drawn for each.
+	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
 	ListDelay [2]time.Duration
-	KeepAlive time.Duration // for how long a node keeps an idle connection
-	// Direct has the applications call the nodes themselves, each that of its number: no agent
-	// is there. It is for the comparison with queueing theory.
+	KeepAlive time.Duration // how long a server keeps an idle connection
+	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
+	// is for the comparison with queueing theory.
 	Direct bool
 }
 
-// World is a running world. Its methods are safe for concurrent use.
+// Emulator is a running emulation. Its methods are safe for concurrent use.
 type Emulator struct {
 	config             Config
-	network            byte // second byte of the agents' addresses; the nodes have the next
+	network            byte // second byte of the agents' addresses; the servers have the next
 	networkReservation net.Listener
 	startTime          time.Time
-	meanWorkSeconds    float64 // seconds of a standard core
+	meanWorkSeconds    float64 // of a standard core
 	endpoints          *endpointList
 	discoveryServers   []*http.Server
-	background         sync.WaitGroup
+	clients            *clients
+	trafficChanges     []TrafficChange
+	requests           sync.Map       // *liveRequest by id
+	background         sync.WaitGroup // all goroutines that end with Close
 
 	mu              sync.Mutex
-	servers         map[string]*server // those that are there
+	servers         map[string]*server // the running ones
 	stoppedServers  []ServerMetrics
 	serversCreated  int
 	overloads       []SlowStartOverload
 	errors          []string
 	unknownRequests int
-	dedupKeys       map[int]map[string]time.Duration // by pod: when a keyed request first came
-	stoppedAgents   map[string]bool                  // agents whose process the lab has ended
-	requests        sync.Map                         // by id
-	clients         *clients
-	trafficChanges  []TrafficChange
-	timerMu         sync.Mutex
-	timerDelays     *hdrhistogram.Histogram // of timers, in microseconds
-	closed          chan struct{}
-	stopped         chan struct{} // closed when the traffic ends before its time
-	stopOnce        sync.Once
+	dedupKeys       map[int]map[string]time.Duration // by cell: when each idempotency key first arrived
+	stoppedAgents   map[string]bool                  // agents whose process the experiment has ended
+
+	timerMu     sync.Mutex
+	timerDelays *hdrhistogram.Histogram // in microseconds
+
+	closed   chan struct{}
+	stopped  chan struct{} // closed when the traffic ends before its time
+	stopOnce sync.Once
 }
 
-// New opens the nodes and the lists; no application calls before Run.
-func New(cfg Config) (*Emulator, error) {
-	if err := cfg.check(); err != nil {
+// New starts the servers and the agents' discovery addresses; no client calls before Run.
+func New(config Config) (*Emulator, error) {
+	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	w := &Emulator{config: cfg, startTime: time.Now(), servers: map[string]*server{},
-		dedupKeys: map[int]map[string]time.Duration{}, stoppedAgents: map[string]bool{}, timerDelays: hdrhistogram.New(1, 60_000_000, 3), closed: make(chan struct{}), stopped: make(chan struct{})}
+	e := &Emulator{
+		config:        config,
+		startTime:     time.Now(),
+		servers:       map[string]*server{},
+		dedupKeys:     map[int]map[string]time.Duration{},
+		stoppedAgents: map[string]bool{},
+		timerDelays:   newDelayHistogram(),
+		closed:        make(chan struct{}),
+		stopped:       make(chan struct{}),
+	}
 	var err error
-	if w.networkReservation, w.network, err = faultproxy.Network(); err != nil {
+	if e.networkReservation, e.network, err = faultproxy.Network(); err != nil {
 		return nil, err
 	}
-	for _, c := range cfg.Classes {
-		w.meanWorkSeconds += c.Share * c.Work.Seconds()
+	for _, class := range config.Classes {
+		e.meanWorkSeconds += class.Share * class.Work.Seconds()
 	}
-	w.clients = newClients(w)
-	w.endpoints = newEndpointList(w)
-	for range cfg.Servers {
-		if _, err = w.addServer(-1); err != nil {
-			break
-		}
+	e.clients = newClients(e)
+	e.endpoints = newEndpointList(e)
+	if err := e.startServers(); err != nil {
+		e.Close()
+		return nil, err
 	}
-	for i, a := range cfg.Agents {
-		if err == nil {
-			err = w.serveDiscovery(a.Name, w.Address(i, DiscoveryPort))
+	e.background.Add(1)
+	go func() {
+		defer e.background.Done()
+		e.measureTimerDelay()
+	}()
+	return e, nil
+}
+
+// startServers starts the servers and the discovery addresses of the configuration.
+func (e *Emulator) startServers() error {
+	for range e.config.Servers {
+		if _, err := e.addServer(longAgo); err != nil {
+			return err
 		}
 	}
-	if err != nil {
-		w.Close()
-		return nil, err
+	for i, agent := range e.config.Agents {
+		if err := e.serveDiscovery(agent.Name, e.Address(i, DiscoveryPort)); err != nil {
+			return err
+		}
 	}
-	w.background.Add(1)
-	go w.measureTimerDelay()
-	return w, nil
+	return nil
 }
 
-func (c *Config) check() error {
+// validate checks the configuration.
+func (c *Config) validate() error {
 	shares := 0.0
-	for _, k := range c.Classes {
-		shares += k.Share
+	for _, class := range c.Classes {
+		shares += class.Share
 	}
 	switch {
 	case len(c.Zones) == 0 || len(c.Agents) == 0 || c.Servers < 1 || c.CellSize < 1:
-		return errors.New("world: zones, agents, nodes and a pod's size are needed")
+		return errors.New("emulator: zones, agents, servers and a cell size are needed")
 	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
-		return errors.New("world: a share for each model is needed")
+		return errors.New("emulator: a share for each model is needed")
 	case shares < 0.999 || shares > 1.001:
-		return fmt.Errorf("world: the shares of the classes add up to %g", shares)
+		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
 	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
-		return errors.New("world: rate, keys and the share of a try must be above 0")
-	case len(c.Agents) > 60_000 || len(c.Zones) > 20:
-		return errors.New("world: more agents or zones than there are addresses")
+		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
+	case len(c.Agents) > maxAgents || len(c.Zones) > maxZones:
+		return errors.New("emulator: more agents or zones than addresses")
 	}
 	return nil
 }
 
-// The ports of an agent at its address.
-const (
-	ListenPort    = 8000
-	AdminPort     = 8001
-	DiscoveryPort = 8500
-)
+// Run lets the clients call for a time and returns the result once the last call has ended.
+func (e *Emulator) Run(length time.Duration) *Result {
+	e.clients.run(length)
+	return e.result()
+}
 
-// Address is where agent number i listens, or its list is, by the port.
-func (w *Emulator) Address(i, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.network, i/250, i%250+1, port)
+// Stop ends the traffic before its time; open calls are not retried.
+func (e *Emulator) Stop() { e.stopOnce.Do(func() { close(e.stopped) }) }
+
+func (e *Emulator) isStopped() bool {
+	select {
+	case <-e.stopped:
+		return true
+	default:
+		return false
+	}
 }
 
-// Now is the time since the world's start, on its monotonic clock.
-func (w *Emulator) Now() time.Duration { return time.Since(w.startTime) }
+// Close ends everything and waits for it.
+func (e *Emulator) Close() {
+	e.Stop()
+	close(e.closed)
+	e.endpoints.setUnavailable(false)
+	for _, s := range e.discoveryServers {
+		_ = s.Close() // an error of the listener, which is gone either way
+	}
+	e.mu.Lock()
+	servers := e.servers
+	e.servers = map[string]*server{}
+	e.mu.Unlock()
+	for _, s := range servers {
+		s.stop()
+	}
+	e.clients.close()
+	e.background.Wait()
+	_ = e.networkReservation.Close() // fails only on a closed listener
+}
 
-// Known is the whole list as it is at first, for the agents' configurations.
-func (w *Emulator) InitialList(agent string) endpoint.List { return w.endpoints.fullList(agent) }
+// Address returns the address of a port of the agent with an index.
+func (e *Emulator) Address(agentIndex, port int) string {
+	subnet := agentIndex / hostsPerSubnet
+	host := agentIndex%hostsPerSubnet + 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", e.network, subnet, host, port)
+}
 
-// between is the one-way delay from a zone to another.
-func (w *Emulator) zoneDelay(a, b int) time.Duration {
+// serverAddress returns the address at which a server listens for the agents of a zone.
+func (e *Emulator) serverAddress(serverIndex, clientZone int) string {
+	subnet := subnetsPerZone*clientZone + serverIndex/hostsPerSubnet%subnetsPerZone
+	host := serverIndex%hostsPerSubnet + 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", e.network+1, subnet, host, serverPort)
+}
+
+// Now returns the time since the emulator's start, by the monotonic clock.
+func (e *Emulator) Now() time.Duration { return time.Since(e.startTime) }
+
+// InitialList returns the full endpoint list of an agent, for its configuration.
+func (e *Emulator) InitialList(agent string) endpoint.List { return e.endpoints.fullList(agent) }
+
+// zoneDelay returns the one-way network delay between two zones.
+func (e *Emulator) zoneDelay(a, b int) time.Duration {
 	if a == b {
 		return 0
 	}
-	return w.config.ZoneDelay
+	return e.config.ZoneDelay
 }
 
-// add starts one more node; started below zero: long ago. It is listed at once, which comes to
-// the agents late unless the world begins.
-func (w *Emulator) addServer(started time.Duration) (*server, error) {
-	w.mu.Lock()
-	i := w.serversCreated
-	w.serversCreated++
-	w.mu.Unlock()
-	draw := rand.New(rand.NewPCG(w.config.Seed, 1000+uint64(i%w.config.Servers))) // a successor's machine is like its predecessor's
-	m := w.config.Models[pickShare(draw.Float64(), w.config.ModelShares)]
-	zone := i % w.config.Servers % len(w.config.Zones)
-	var addrs []string
-	for z := range w.config.Zones {
-		addrs = append(addrs, fmt.Sprintf("127.%d.%d.%d:8000", w.network+1, 12*z+i/250%12, i%250+1))
+// addServer starts one more server. Discovery lists it at once, which reaches the agents with a delay unless the
+// server was started long ago.
+func (e *Emulator) addServer(started time.Duration) (*server, error) {
+	e.mu.Lock()
+	index := e.serversCreated
+	e.serversCreated++
+	e.mu.Unlock()
+
+	position := index % e.config.Servers // a successor has its predecessor's model, zone and cell
+	random := rand.New(rand.NewPCG(e.config.Seed, serverStream+uint64(position)))
+	model := e.config.Models[pickShare(random.Float64(), e.config.ModelShares)]
+	zone := position % len(e.config.Zones)
+	var addresses []string
+	for clientZone := range e.config.Zones {
+		addresses = append(addresses, e.serverAddress(index, clientZone))
+	}
+	entry := endpoint.Target{
+		ID:     serverID(index),
+		Zone:   e.config.Zones[zone],
+		Kind:   model.Kind,
+		Cell:   position / e.config.CellSize,
+		State:  stateUp,
+		Weight: 1,
 	}
-	entry := endpoint.Target{ID: fmt.Sprintf("s-%04x", (i*2654435761)&0xffff), Zone: w.config.Zones[zone], Kind: m.Kind,
-		Cell: i % w.config.Servers / w.config.CellSize, State: "up", Weight: 1}
 	if started >= 0 {
-		entry.StartedMs = float64(w.startTime.Add(started).UnixMilli())
+		entry.StartedMs = float64(e.startTime.Add(started).UnixMilli())
 	}
-	b, err := newServer(w, entry, zone, m, started, addrs, w.config.Seed+uint64(i))
+	s, err := newServer(e, serverConfig{
+		endpoint:  entry,
+		zone:      zone,
+		model:     model,
+		started:   started,
+		addresses: addresses,
+		seed:      e.config.Seed + uint64(index),
+	})
 	if err != nil {
-		return nil, fmt.Errorf("world: node %d: %w", i, err)
+		return nil, fmt.Errorf("emulator: server %d: %w", index, err)
 	}
-	w.mu.Lock()
-	w.servers[entry.ID] = b
-	w.mu.Unlock()
-	w.endpoints.publish(b, started < 0)
-	return b, nil
+	e.mu.Lock()
+	e.servers[entry.ID] = s
+	e.mu.Unlock()
+	e.endpoints.publish(s, started < 0)
+	return s, nil
 }
 
-// pickShare is which of several shares a number from 0 to 1 falls into.
-func pickShare(x float64, shares []float64) int {
-	sum := 0.0
-	for _, s := range shares {
-		sum += s
-	}
-	for i, s := range shares {
-		if x -= s / sum; x < 0 {
-			return i
-		}
-	}
-	return len(shares) - 1
-}
+// serverID returns the id of a server; ids in a row look unrelated (multiplicative hashing with 2^32 divided by the
+// golden ratio).
+func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*2654435761)&0xffff) }
 
-// fault notes that the lab itself failed: the run does not count.
-func (w *Emulator) recordError(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.errors) < 20 {
-		w.errors = append(w.errors, err.Error())
+// recordError notes an error of the harness itself, which makes the run invalid.
+func (e *Emulator) recordError(err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.errors) < maxErrors {
+		e.errors = append(e.errors, err.Error())
 	}
 }
 
-// stray is a request at a node that no client sent.
-func (w *Emulator) recordUnknownRequest() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.unknownRequests++
-}
-
-func (w *Emulator) serverOverloaded(b *server, guilty bool) {
-	w.mu.Lock()
-	there := w.servers[b.endpoint.ID] == b
-	if there {
-		w.overloads = append(w.overloads, SlowStartOverload{b.endpoint.ID, w.Now(), guilty})
-	}
-	w.mu.Unlock()
-	if there {
-		go w.removeServer(b, false) // it stays down, and the list does not tell
-	}
+// recordUnknownRequest notes a request at a server that no client has sent.
+func (e *Emulator) recordUnknownRequest() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.unknownRequests++
 }
 
-// repeated tells whether a pod has met a keyed request before, in the class's time.
-func (w *Emulator) isDuplicate(cell int, r *liveRequest) bool {
-	if r.idempotencyKey == "" {
+// isDuplicate tells whether a cell has received a request with the same idempotency key within the class's window.
+func (e *Emulator) isDuplicate(cell int, request *liveRequest) bool {
+	if request.idempotencyKey == "" {
 		return false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.dedupKeys[cell] == nil {
-		w.dedupKeys[cell] = map[string]time.Duration{}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	keys := e.dedupKeys[cell]
+	if keys == nil {
+		keys = map[string]time.Duration{}
+		e.dedupKeys[cell] = keys
 	}
-	at, ok := w.dedupKeys[cell][r.idempotencyKey]
-	if ok && w.Now()-at < r.class.DedupWindow {
+	now := e.Now()
+	if at, ok := keys[request.idempotencyKey]; ok && now-at < request.class.DedupWindow {
 		return true
 	}
-	w.dedupKeys[cell][r.idempotencyKey] = w.Now()
+	keys[request.idempotencyKey] = now
 	return false
 }
 
-// aware tells whether an agent has been told of a node's start.
-func (w *Emulator) notifiedOfStart(agent, node string) bool {
-	return w.endpoints.notifiedOfStart(agent, node)
+// notifiedOfStart tells whether an agent has been notified of a server's start.
+func (e *Emulator) notifiedOfStart(agent, serverID string) bool {
+	return e.endpoints.notifiedOfStart(agent, serverID)
 }
 
-// AgentEnded and AgentStarted tell the world what the lab does to an agent's process.
-func (w *Emulator) AgentStopped(name string) {
-	w.mu.Lock()
-	w.stoppedAgents[name] = true
-	w.mu.Unlock()
-	w.clients.markAgentStopped(name)
-}
-
-func (w *Emulator) AgentStarted(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.stoppedAgents, name)
-}
-
-func (w *Emulator) isAgentStopped(agent string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.stoppedAgents[agent]
-}
-
-// watchTime measures how late the machine wakes a timer.
-func (w *Emulator) measureTimerDelay() {
-	defer w.background.Done()
-	const every = 2 * time.Millisecond
+// measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
+func (e *Emulator) measureTimerDelay() {
 	for {
 		before := time.Now()
 		select {
-		case <-time.After(every):
-			w.recordTimerDelay(time.Since(before) - every)
-		case <-w.closed:
+		case <-time.After(timerProbeInterval):
+			e.recordTimerDelay(time.Since(before) - timerProbeInterval)
+		case <-e.closed:
 			return
 		}
 	}
 }
 
-func (w *Emulator) recordTimerDelay(d time.Duration) {
-	w.timerMu.Lock()
-	defer w.timerMu.Unlock()
-	w.timerDelays.RecordValue(max(0, d.Microseconds()))
+func (e *Emulator) recordTimerDelay(d time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	recordDelay(e.timerDelays, d)
 }
 
-// Close ends all.
-func (w *Emulator) Close() {
-	w.Stop()
-	close(w.closed)
-	w.endpoints.setUnavailable(false)
-	for _, s := range w.discoveryServers {
-		s.Close()
-	}
-	w.mu.Lock()
-	nodes := w.servers
-	w.servers = map[string]*server{}
-	w.mu.Unlock()
-	for _, b := range nodes {
-		b.stop()
-	}
-	w.clients.close()
-	w.background.Wait()
-	w.networkReservation.Close()
+// timerDelayQuantiles returns the 99th percentile of the timer delays and the longest one.
+func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	p99 = time.Duration(e.timerDelays.ValueAtQuantile(99)) * time.Microsecond
+	worst = time.Duration(e.timerDelays.Max()) * time.Microsecond
+	return p99, worst
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -2,86 +2,68 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-// Model is what a price node's machine is; a zero field is a thing that it does not have.
-type Model struct {
-	Kind            string        `toml:"kind"`
-	Cores           int           `toml:"cores"`
-	Speed           float64       `toml:"speed"`     // of a core, in standard cores
-	Slots           int           `toml:"slots"`     // requests served at a time, those that wait on others included
-	Queue           int           `toml:"queue"`     // requests that wait for a slot; more are turned away
-	SlowStartFrom   float64       `toml:"cold_from"` // part of its capacity right after a start
-	SlowStartFor    time.Duration `toml:"cold_for"`  // until it has all, evenly
-	ThrashLoss      float64       `toml:"thrash"`    // part of its capacity lost at twice ThrashAt requests a core
-	ThrashAt        float64       `toml:"thrash_at"` // requests held a core from which on it loses any
-	Congestion      Congestion    `toml:"choke"`
-	CacheSaving     float64       `toml:"key_gain"`   // part of the work that a key met lately spares
-	CacheTTL        time.Duration `toml:"key_for"`    // how long a key is remembered
-	CacheSize       int           `toml:"keys"`       // how many keys are, at the most
-	MaxConnections  int           `toml:"conns"`      // connections; requests on more are turned away
-	HandshakeWork   time.Duration `toml:"handshake"`  // work of a new connection, on a standard core
-	HealthCheckWork time.Duration `toml:"probe"`      // work of a probe
-	ErrorRate       float64       `toml:"error_rate"` // part of the requests that fail at once
-}
-
-// Choke is how a node slows down that has held too much for too long: with more than At
-// requests a core for Over, it is Slower times slower until it has held less than Below a core
-// for Rest, or for Most.
-type Congestion struct {
-	OnsetLoad    float64       `toml:"at"`
-	RecoveryLoad float64       `toml:"below"`
-	OnsetTime    time.Duration `toml:"over"`
-	RecoveryTime time.Duration `toml:"rest"`
-	MaxTime      time.Duration `toml:"most"`
-	Factor       float64       `toml:"slower"`
-}
-
-// work is one request in a node: processor time first, then a wait on others.
+// job is one request inside a machine: first it needs processor time, then it waits on a dependency.
 type job struct {
 	remaining      float64       // seconds of a standard core
-	dependencyWait time.Duration // on others, after that
-	waitEnds       time.Duration // the end of the wait, once it has begun
-	done           chan struct{} // closed when it is served
+	dependencyWait time.Duration // after the processor time
+	waitEnds       time.Duration // set once the wait has begun
+	done           chan struct{} // closed when the job is complete
 	state          jobState
 }
 
+// jobState says where in the machine a job is.
 type jobState int
 
 const (
-	jobInactive jobState = iota // served, called off or turned away
+	jobInactive jobState = iota // not submitted yet, complete, cancelled or rejected
 	jobQueued
 	jobRunning
 	jobWaiting
+	jobStates
 )
 
-// engine is a node's machine in a time that it is told: cores shared evenly by the requests
-// that compute (processor sharing, one core for each at the most), a first-come queue for the
-// slots. It has no clock and no goroutine. Times count from the world's start.
+const (
+	// unset marks a time that has not been set.
+	unset time.Duration = -1
+	// rateStep bounds for how long a rate that changes continuously is taken as constant.
+	rateStep = 50 * time.Millisecond
+	// completeBelow is the remaining work, in seconds, below which a job counts as computed.
+	completeBelow = 1e-9
+)
+
+// engine simulates a server's machine: the running jobs share the cores evenly (processor sharing, at most one core
+// for each), and a first-come queue stands before the slots. It has no clock and no goroutine: the caller passes the
+// time, which counts from the emulator's start.
 type engine struct {
 	model      Model
 	now        time.Duration
-	started    time.Duration // of the process; below zero: long ago
-	slowFactor float64       // a trouble's factor, from 1 on; infinite: it stands still
-	jobs       [4][]*job     // by place
+	started    time.Duration // start of the process; unset: long ago
+	slowFactor float64       // of an injected fault, at least 1; infinite: nothing is computed
+	jobs       [jobStates][]*job
 
-	overloadedSince, recoveringSince, congestedSince time.Duration // below zero: not
-	busyCoreSeconds                                  float64       // core seconds given so far
+	overloadedSince time.Duration
+	recoveringSince time.Duration
+	congestedSince  time.Duration
+	busyCoreSeconds float64
 }
 
 func newEngine(m Model, now, started time.Duration) *engine {
-	return &engine{model: m, now: now, started: started, slowFactor: 1, overloadedSince: -1, recoveringSince: -1, congestedSince: -1}
-}
-
-// capacity is the part of the machine that is there at a time, by its age.
-func (m *Model) capacityFraction(age time.Duration) float64 {
-	if m.SlowStartFor <= 0 || age >= m.SlowStartFor {
-		return 1
+	return &engine{
+		model:           m,
+		now:             now,
+		started:         started,
+		slowFactor:      1,
+		overloadedSince: unset,
+		recoveringSince: unset,
+		congestedSince:  unset,
 	}
-	return m.SlowStartFrom + (1-m.SlowStartFrom)*float64(max(0, age))/float64(m.SlowStartFor)
 }
 
+// age returns how long ago the process was started.
 func (e *engine) age(now time.Duration) time.Duration {
 	if e.started < 0 {
 		return math.MaxInt64
@@ -89,42 +71,47 @@
 	return now - e.started
 }
 
+// jobCount returns the number of jobs in the machine.
 func (e *engine) jobCount() int {
 	return len(e.jobs[jobQueued]) + len(e.jobs[jobRunning]) + len(e.jobs[jobWaiting])
 }
 
-// rate is how fast each running request computes now, in standard cores.
+// usedSlots returns the number of jobs that occupy a slot.
+func (e *engine) usedSlots() int { return len(e.jobs[jobRunning]) + len(e.jobs[jobWaiting]) }
+
+// load returns the number of jobs per core.
+func (e *engine) load() float64 { return float64(e.jobCount()) / float64(e.model.Cores) }
+
+// rate returns how fast each running job computes now, in standard cores.
 func (e *engine) rate() float64 {
 	n := len(e.jobs[jobRunning])
 	if n == 0 || math.IsInf(e.slowFactor, 1) {
 		return 0
 	}
-	r := e.model.Speed * e.model.capacityFraction(e.age(e.now)) / e.slowFactor * math.Min(1, float64(e.model.Cores)/float64(n))
-	if load := float64(e.jobCount()) / float64(e.model.Cores); e.model.ThrashAt > 0 && load > e.model.ThrashAt {
-		r *= 1 - e.model.ThrashLoss*math.Min(1, load/e.model.ThrashAt-1)
+	capacity := e.model.Speed * e.model.capacityFraction(e.age(e.now)) / e.slowFactor
+	rate := capacity * math.Min(1, float64(e.model.Cores)/float64(n))
+	if load := e.load(); e.model.ThrashAt > 0 && load > e.model.ThrashAt {
+		rate *= 1 - e.model.ThrashLoss*math.Min(1, load/e.model.ThrashAt-1)
 	}
 	if e.congestedSince >= 0 {
-		r /= e.model.Congestion.Factor
+		rate /= e.model.Congestion.Factor
 	}
-	return r
+	return rate
 }
 
-// step bounds how long a rate that moves by itself is taken for constant.
-const rateStep = 50 * time.Millisecond
-
-// next is when something happens by itself.
+// nextEvent returns when the state changes without a call from outside; false: never.
 func (e *engine) nextEvent() (at time.Duration, ok bool) {
 	at = math.MaxInt64
-	if r := e.rate(); r > 0 {
-		for _, w := range e.jobs[jobRunning] {
-			at = min(at, e.now+time.Duration(math.Ceil(w.remaining/r*1e9)))
+	if rate := e.rate(); rate > 0 {
+		for _, j := range e.jobs[jobRunning] {
+			at = min(at, e.now+time.Duration(math.Ceil(j.remaining/rate*1e9)))
 		}
 		if e.model.SlowStartFor > 0 && e.age(e.now) < e.model.SlowStartFor {
 			at = min(at, e.now+rateStep)
 		}
 	}
-	for _, w := range e.jobs[jobWaiting] {
-		at = min(at, w.waitEnds)
+	for _, j := range e.jobs[jobWaiting] {
+		at = min(at, j.waitEnds)
 	}
 	if e.model.Congestion.Factor > 0 && (e.jobCount() > 0 || e.congestedSince >= 0) {
 		at = min(at, e.now+rateStep)
@@ -132,7 +119,7 @@
 	return at, at < math.MaxInt64
 }
 
-// advance lets time pass up to now.
+// advance simulates the machine up to a time.
 func (e *engine) advance(now time.Duration) {
 	for {
 		at, ok := e.nextEvent()
@@ -145,99 +132,105 @@
 	e.computeUntil(now)
 }
 
-// run computes up to a time at which nothing else happens.
+// computeUntil lets the running jobs compute up to a time before which no event is due.
 func (e *engine) computeUntil(to time.Duration) {
-	r, d := e.rate(), (to - e.now).Seconds()
-	for _, w := range e.jobs[jobRunning] {
-		w.remaining -= r * d
+	rate := e.rate()
+	seconds := (to - e.now).Seconds()
+	for _, j := range e.jobs[jobRunning] {
+		j.remaining -= rate * seconds
 	}
-	if r > 0 && e.model.Speed > 0 {
-		e.busyCoreSeconds += d * math.Min(float64(e.model.Cores), float64(len(e.jobs[jobRunning])))
+	if rate > 0 && e.model.Speed > 0 {
+		e.busyCoreSeconds += seconds * math.Min(float64(e.model.Cores), float64(len(e.jobs[jobRunning])))
 	}
 	e.now = to
 }
 
-// settle moves on what is at the end of something.
+// completeDue moves the jobs on whose computation or wait has ended.
 func (e *engine) completeDue() {
-	const done = 1e-9
-	for _, w := range append([]*job(nil), e.jobs[jobRunning]...) {
-		if w.remaining <= done {
-			e.setState(w, jobWaiting)
-			w.waitEnds = e.now + w.dependencyWait
+	for _, j := range slices.Clone(e.jobs[jobRunning]) {
+		if j.remaining <= completeBelow {
+			e.setState(j, jobWaiting)
+			j.waitEnds = e.now + j.dependencyWait
 		}
 	}
-	for _, w := range append([]*job(nil), e.jobs[jobWaiting]...) {
-		if w.waitEnds <= e.now {
-			e.setState(w, jobInactive)
-			close(w.done)
+	for _, j := range slices.Clone(e.jobs[jobWaiting]) {
+		if j.waitEnds <= e.now {
+			e.setState(j, jobInactive)
+			close(j.done)
 		}
 	}
 	e.startQueued()
 	e.updateCongestion()
 }
 
-// fill gives free slots to the queue.
+// startQueued gives free slots to the queue.
 func (e *engine) startQueued() {
-	for len(e.jobs[jobQueued]) > 0 && len(e.jobs[jobRunning])+len(e.jobs[jobWaiting]) < e.model.Slots {
+	for len(e.jobs[jobQueued]) > 0 && e.usedSlots() < e.model.Slots {
 		e.setState(e.jobs[jobQueued][0], jobRunning)
 	}
 }
 
+// updateCongestion begins and ends the congestion that the model describes.
 func (e *engine) updateCongestion() {
-	c := &e.model.Congestion
-	if c.Factor <= 0 {
+	congestion := &e.model.Congestion
+	if congestion.Factor <= 0 {
 		return
 	}
-	load := float64(e.jobCount()) / float64(e.model.Cores)
-	since := func(t *time.Duration, on bool) time.Duration {
-		if !on {
-			*t = -1
-			return -1
-		}
-		if *t < 0 {
-			*t = e.now
-		}
-		return e.now - *t
-	}
-	if over := since(&e.overloadedSince, load > c.OnsetLoad); e.congestedSince < 0 && over >= c.OnsetTime {
+	load := e.load()
+	overloaded := e.durationOf(&e.overloadedSince, load > congestion.OnsetLoad)
+	if e.congestedSince < 0 && overloaded >= congestion.OnsetTime {
 		e.congestedSince = e.now
 	}
-	rest := since(&e.recoveringSince, load < c.RecoveryLoad)
-	if e.congestedSince >= 0 && (rest >= c.RecoveryTime || e.now-e.congestedSince >= c.MaxTime) {
-		e.congestedSince, e.overloadedSince = -1, -1
+	recovering := e.durationOf(&e.recoveringSince, load < congestion.RecoveryLoad)
+	if e.congestedSince < 0 {
+		return
+	}
+	if recovering >= congestion.RecoveryTime || e.now-e.congestedSince >= congestion.MaxTime {
+		e.congestedSince = unset
+		e.overloadedSince = unset
 	}
 }
 
-// move takes a request from its place to another.
-func (e *engine) setState(w *job, to jobState) {
-	from := e.jobs[w.state]
-	for i, o := range from {
-		if o == w {
-			e.jobs[w.state] = append(from[:i], from[i+1:]...)
-			break
-		}
+// durationOf returns for how long a condition has held without a break, whose begin it keeps in since; below zero:
+// the condition does not hold.
+func (e *engine) durationOf(since *time.Duration, holds bool) time.Duration {
+	if !holds {
+		*since = unset
+		return unset
+	}
+	if *since < 0 {
+		*since = e.now
+	}
+	return e.now - *since
+}
+
+// setState moves a job to another state's list.
+func (e *engine) setState(j *job, to jobState) {
+	from := e.jobs[j.state]
+	if i := slices.Index(from, j); i >= 0 {
+		e.jobs[j.state] = slices.Delete(from, i, i+1)
 	}
-	w.state = to
+	j.state = to
 	if to != jobInactive {
-		e.jobs[to] = append(e.jobs[to], w)
+		e.jobs[to] = append(e.jobs[to], j)
 	}
 }
 
-// take gives the machine one more request at its time; false: it is full.
-func (e *engine) submit(w *job) bool {
-	if len(e.jobs[jobRunning])+len(e.jobs[jobWaiting]) >= e.model.Slots && len(e.jobs[jobQueued]) >= e.model.Queue {
+// submit gives the machine one more job; false: slots and queue are full.
+func (e *engine) submit(j *job) bool {
+	if e.usedSlots() >= e.model.Slots && len(e.jobs[jobQueued]) >= e.model.Queue {
 		return false
 	}
-	e.setState(w, jobQueued)
+	e.setState(j, jobQueued)
 	e.startQueued()
 	e.updateCongestion()
 	return true
 }
 
-// drop calls a request off; its work stops.
-func (e *engine) cancel(w *job) {
-	if w.state != jobInactive {
-		e.setState(w, jobInactive)
+// cancel removes a job; its work stops.
+func (e *engine) cancel(j *job) {
+	if j.state != jobInactive {
+		e.setState(j, jobInactive)
 		e.startQueued()
 	}
 }
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -2,185 +2,155 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"time"
 )
 
-// How an attempt ended, as the node saw it.
+// Outcome is how an attempt ended for the server, or a request for the client. The texts stand in records.
+type Outcome string
+
+// Served is the outcome of an attempt or a request that was answered successfully.
+const Served Outcome = "served"
+
+// The other outcomes of an attempt.
+const (
+	AttemptFailed    Outcome = "error"
+	AttemptRejected  Outcome = "turned away" // not executed
+	AttemptCancelled Outcome = "called off"  // the agent closed the connection
+	AttemptBroken    Outcome = "broken"      // the server closed the connection, or was partitioned
+	AttemptOpen      Outcome = "open"
+)
+
+// The other outcomes of a request.
 const (
-	Served           = "served"
-	AttemptFailed    = "error"
-	AttemptRejected  = "turned away"
-	AttemptCancelled = "called off" // the agent closed the connection
-	AttemptBroken    = "broken"     // the node ended the connection, or was silent
-	AttemptOpen      = "open"
+	RequestRejected  Outcome = "refused"
+	RequestFailed    Outcome = "failed"
+	RequestTimedOut  Outcome = "gave up"     // the client gave up
+	AgentUnreachable Outcome = "unreachable" // no process took the request
+	RequestLost      Outcome = "lost"        // the agent closed the connection before a complete response
+	ResponseForged   Outcome = "forged"      // a response that no server made for the request
 )
 
-// Attempt is one arrival of a request at a node; times count from the world's start.
+// Attempt is one arrival of a request at a server; times count from the emulator's start.
 type Attempt struct {
 	Server   string        `json:"Node"`
 	Zone     int           `json:"Zone"`
 	Cell     int           `json:"Cell"`
-	Started  time.Duration `json:"Began"`   // its head was read
-	Received time.Duration `json:"Arrived"` // its last byte was
+	Started  time.Duration `json:"Began"`   // its header was read
+	Received time.Duration `json:"Arrived"` // its last byte was read
 	Ended    time.Duration `json:"Ended"`
-	Outcome  string        `json:"How"`
+	Outcome  Outcome       `json:"How"`
 }
 
-// mayHaveRun tells whether the node may have done its work.
+// mayHaveExecuted tells whether the server may have executed the request.
 func (a *Attempt) mayHaveExecuted() bool { return a.Outcome != AttemptRejected }
 
-// How a try of a client ended.
-const (
-	RequestRejected  = "refused" // or served, as an attempt
-	RequestFailed    = "failed"
-	RequestTimedOut  = "gave up"     // the client, as its time was over
-	AgentUnreachable = "unreachable" // nobody took the request
-	RequestLost      = "lost"        // the agent ended the connection without a whole answer
-	ResponseForged   = "forged"      // an answer that no node made for it
-)
-
-// Try is one request of a client to its agent: its first, or a retry with an id of its own.
+// Request is one request of a client to its agent: the first one of a call, or a retry, which has an id of its own.
 type Request struct {
 	ID           string        `json:"ID"`
 	Agent        string        `json:"Agent"`
 	Class        int           `json:"Class"`
 	Key          uint64        `json:"Key"`
-	Retry        int           `json:"Nth"`    // 0: the first
-	Sent         time.Duration `json:"Sent"`   // its first byte
+	Retry        int           `json:"Nth"`    // 0: the first request of the call
+	Sent         time.Duration `json:"Sent"`   // its first byte was written
 	Timeout      time.Duration `json:"Within"` // how long the client waits from then on
 	Ended        time.Duration `json:"Ended"`
-	Outcome      string        `json:"How"`
-	AgentStopped bool          `json:"AgentEnded"` // the agent's process was ended by the lab meanwhile
+	Outcome      Outcome       `json:"How"`
+	AgentStopped bool          `json:"AgentEnded"` // the experiment ended the agent's process meanwhile
 	Attempts     []Attempt     `json:"Attempts"`
 }
 
-// Told is when an agent had been told of a node's state.
+// String describes the request and its attempts on one line.
+func (r *Request) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "request %s (class %d, retry %d) sent to %s at %s ms for %s ms, ended %q at %s ms",
+		r.ID, r.Class, r.Retry, r.Agent, milliseconds(r.Sent), milliseconds(r.Timeout), r.Outcome,
+		milliseconds(r.Ended))
+	for _, a := range r.Attempts {
+		fmt.Fprintf(&b, "; at %s (zone %d, cell %d) from %s, received at %s, %q at %s",
+			a.Server, a.Zone, a.Cell, milliseconds(a.Started), milliseconds(a.Received), a.Outcome,
+			milliseconds(a.Ended))
+	}
+	return b.String()
+}
+
+// milliseconds formats a time in milliseconds with one decimal.
+func milliseconds(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d.Microseconds())/1000) }
+
+// Notification is when an agent was notified of a change of a server's state.
 type Notification struct {
 	Agent, Server string
 	At            time.Duration
 }
 
-// Fall is a cold node that fell over.
+// SlowStartOverload is a server in slow start that was overloaded and failed.
 type SlowStartOverload struct {
-	Server           string
-	At               time.Duration
-	ByNotifiedAgents bool // over two thirds of what came was from agents that had been told of the start
+	Server string
+	At     time.Duration
+	// ByNotifiedAgents tells that over two thirds of the load came from agents that were notified of the start.
+	ByNotifiedAgents bool
 }
 
-// History is what a world saw, for the judge.
+// History is what the emulator observed in a run, for Judge.
 type History struct {
 	Requests []*Request
-	// Leaving are, for each agent and node, when it was told that the node drains or is gone.
+	// Removals are the notifications of agents that a server is draining or removed.
 	Removals  []Notification
 	Overloads []SlowStartOverload
 }
 
-// Violation is a rule that a history breaks, with the course of the request where there is one.
-type Violation struct {
-	Rule        string   `json:"Rule"` // "lost", "duplicate", "drain" or "cold", as in WIRE's operating rules
-	Description string   `json:"What"`
-	Request     *Request `json:"Try"`
-}
+// Idempotency tells whether a request may execute twice. The texts are those of scenarios and settings.
+type Idempotency string
 
-func (v Violation) String() string {
-	if v.Request == nil {
-		return v.Rule + ": " + v.Description
-	}
-	return fmt.Sprintf("%s: %s: %v", v.Rule, v.Description, v.Request)
-}
+// The kinds of idempotency.
+const (
+	Idempotent      Idempotency = "free"
+	IdempotentByKey Idempotency = "guarded" // duplicates are dropped within the DedupScope and the DedupWindow
+	NonIdempotent   Idempotency = "single_shot"
+)
 
-func (t *Request) String() string {
-	var b strings.Builder
-	ms := func(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d.Microseconds())/1000) }
-	fmt.Fprintf(&b, "request %s (class %d, try %d) sent to %s at %s ms for %s ms, ended %q at %s ms", t.ID, t.Class, t.Retry, t.Agent,
-		ms(t.Sent), ms(t.Timeout), t.Outcome, ms(t.Ended))
-	for _, a := range t.Attempts {
-		fmt.Fprintf(&b, "; at %s (zone %d, cell %d) from %s, whole at %s, %q at %s", a.Server, a.Zone, a.Cell, ms(a.Started), ms(a.Received), a.Outcome, ms(a.Ended))
-	}
-	return b.String()
-}
+// DedupScope says among which servers duplicates of a request are dropped. The texts are those of scenarios and
+// settings.
+type DedupScope string
 
-// Class is a class of requests as the rules know it.
+// The scopes of deduplication.
+const (
+	DedupFleet DedupScope = "all"
+	DedupZone  DedupScope = "zone"
+	DedupCell  DedupScope = "cell"
+)
+
+// Class is a class of requests.
 type Class struct {
-	Name             string        `toml:"name"`
-	Share            float64       `toml:"share"` // of the requests
-	Work             time.Duration `toml:"work"`
-	WorkCV           float64       `toml:"work_cv"` // coefficient of variation of the work; 0: fixed
+	Name  string  `toml:"name"`
+	Share float64 `toml:"share"` // of the calls
+	// Work is the mean work on a standard core, WorkCV its coefficient of variation (0: it is fixed).
+	Work   time.Duration `toml:"work"`
+	WorkCV float64       `toml:"work_cv"`
+	// DependencyWait is how long a server waits on others after the work.
 	DependencyWait   time.Duration `toml:"wait"`
 	LatencyObjective time.Duration `toml:"aim"`
 	TotalTimeout     time.Duration `toml:"give_up"`
-	PriorityWeight   float64       `toml:"worth"`
-	LateFraction     float64       `toml:"late_worth"`
-	Idempotency      string        `toml:"effect"`  // "free", "guarded" or "single_shot"
-	DedupScope       string        `toml:"group"`   // of guarded: "all", "zone" or "cell"
-	DedupWindow      time.Duration `toml:"key_for"` // of guarded
+	// PriorityWeight is what a response within the objective earns, LateFraction the part that a later one earns.
+	PriorityWeight float64       `toml:"worth"`
+	LateFraction   float64       `toml:"late_worth"`
+	Idempotency    Idempotency   `toml:"effect"`
+	DedupScope     DedupScope    `toml:"group"`   // of IdempotentByKey
+	DedupWindow    time.Duration `toml:"key_for"` // of IdempotentByKey
 }
 
-// Judge decides from a whole history which of the four rules were broken.
-func Judge(h *History, classes []Class, c *Contract) (found []Violation) {
-	left := map[[2]string]time.Duration{}
-	for _, t := range h.Removals {
-		k := [2]string{t.Agent, t.Server}
-		if at, ok := left[k]; !ok || t.At < at {
-			left[k] = t.At
-		}
-	}
-	for _, t := range h.Requests {
-		broken := func(rule, what string, args ...any) {
-			found = append(found, Violation{rule, fmt.Sprintf(what, args...), t})
-		}
-		switch {
-		case t.Outcome == RequestLost && !t.AgentStopped:
-			broken("lost", "no whole answer")
-		case t.Outcome == ResponseForged:
-			broken("lost", "an answer that no node made")
-		}
-		slices.SortFunc(t.Attempts, func(a, b Attempt) int { return int(a.Received - b.Received) })
-		checkDuplicates(t, &classes[t.Class], c, broken)
-		for _, a := range t.Attempts {
-			if at, ok := left[[2]string{t.Agent, a.Server}]; ok && a.Started > at+c.DrainGrace+c.Slack {
-				broken("drain", "sent to %s %v after it was told to leave it", a.Server, a.Started-at)
-			}
-		}
-	}
-	for _, f := range h.Overloads {
-		if f.ByNotifiedAgents {
-			found = append(found, Violation{"cold", fmt.Sprintf("%s pushed over at %v", f.Server, f.At), nil})
-		}
-	}
-	return found
+// idempotentEverywhere tells whether any server may execute a request of the class after another one.
+func (c *Class) idempotentEverywhere() bool {
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupFleet
 }
 
-// duplicates judges one try's attempts: never two at once, and after one that may have run only
-// what the class allows; the same holds for a refusal, after which clients come again.
-func checkDuplicates(t *Request, class *Class, c *Contract, broken func(rule, what string, args ...any)) {
-	for i := range t.Attempts {
-		b := &t.Attempts[i]
-		for j := range t.Attempts[:i] {
-			a := &t.Attempts[j]
-			if a.Outcome == AttemptOpen || a.Ended > b.Received+c.Slack {
-				broken("duplicate", "at %s while it is out at %s", b.Server, a.Server)
-			}
-			if !a.mayHaveExecuted() {
-				continue
-			}
-			switch {
-			case class.Idempotency == "single_shot":
-				broken("duplicate", "at %s after it may have run at %s", b.Server, a.Server)
-			case class.Idempotency == "guarded" && (class.DedupScope == "cell" && a.Cell != b.Cell || class.DedupScope == "zone" && a.Zone != b.Zone):
-				broken("duplicate", "at %s after it may have run at %s, in another %s", b.Server, a.Server, class.DedupScope)
-			case class.Idempotency == "guarded" && b.Received > a.Started+class.DedupWindow+c.Slack:
-				broken("duplicate", "at %s %v after it was sent to %s", b.Server, b.Received-a.Started, a.Server)
-			}
-		}
-	}
-	if t.Outcome == RequestRejected && class.Idempotency != "free" && !(class.Idempotency == "guarded" && class.DedupScope == "all") {
-		for _, a := range t.Attempts {
-			if a.mayHaveExecuted() {
-				broken("duplicate", "refused after it may have run at %s", a.Server)
-			}
-		}
+// outsideScope tells whether two attempts reached servers that do not drop each other's duplicates.
+func (c *Class) outsideScope(a, b *Attempt) bool {
+	switch c.DedupScope {
+	case DedupCell:
+		return a.Cell != b.Cell
+	case DedupZone:
+		return a.Zone != b.Zone
 	}
+	return false
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -7,139 +7,150 @@
 	"time"
 )
 
-// node drives an engine in real time, with what a price node has beside its cores: the keys
-// that it remembers, the requests that its pod has seen, and its cold bound.
+// machineStream selects a machine's random numbers from its seed.
+const machineStream = 7
+
+// machine drives an engine in real time. It adds what a server has besides its cores: the cache of keys and the
+// overload of a server in slow start. Its methods are safe for concurrent use.
 type machine struct {
+	emulator *Emulator
+
 	mu                sync.Mutex
-	emulator          *Emulator
 	engine            *engine
 	timer             *time.Timer
 	random            *rand.Rand
-	cachedKeys        map[uint64]time.Duration // when each key was last met
-	failureRate       float64                  // a trouble: part of the requests that fail at once
-	slowStartArrivals []arrival                // while it is cold
-	workReceived      float64                  // work of what came, in seconds of a standard core
-	peakSlowStartLoad float64                  // the most of its cold bound that ever came
+	cachedKeys        map[uint64]time.Duration // when each key was last requested
+	failureRate       float64                  // of an injected fault: the fraction of requests that fail at once
+	slowStartArrivals []arrival                // within the contract's overload window
+	workReceived      float64                  // seconds of a standard core
+	peakSlowStartLoad float64                  // highest load in slow start, as a fraction of the overload limit
 }
 
-// arrival is one request that came to a cold node, in requests of mean work, and whether its
-// agent had been told of the start.
+// arrival is one request that reached a server in slow start.
 type arrival struct {
 	at       time.Duration
-	requests float64
-	notified bool
+	requests float64 // its work, in requests of mean work
+	notified bool    // its agent had been notified of the server's start
 }
 
-func newMachine(w *Emulator, m Model, started time.Duration, seed uint64) *machine {
-	n := &machine{emulator: w, engine: newEngine(m, w.Now(), started), random: rand.New(rand.NewPCG(seed, 7)), cachedKeys: map[uint64]time.Duration{}}
-	n.timer = time.AfterFunc(time.Hour, n.tick)
-	return n
+func newMachine(e *Emulator, model Model, started time.Duration, seed uint64) *machine {
+	m := &machine{
+		emulator:   e,
+		engine:     newEngine(model, e.Now(), started),
+		random:     rand.New(rand.NewPCG(seed, machineStream)),
+		cachedKeys: map[uint64]time.Duration{},
+	}
+	m.timer = time.AfterFunc(time.Hour, m.tick)
+	return m
 }
 
-func (n *machine) tick() { n.do(func(*engine) {}) }
+func (m *machine) tick() { m.do(func(*engine) {}) }
 
-// do advances the engine to now, does something to it, and sets the timer anew.
-func (n *machine) do(what func(*engine)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.engine.advance(n.emulator.Now())
-	what(n.engine)
-	if at, ok := n.engine.nextEvent(); ok {
-		n.timer.Reset(max(0, at-n.emulator.Now()))
+// do advances the engine to now, calls a function with it, and sets the timer to the next event.
+func (m *machine) do(action func(*engine)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.engine.advance(m.emulator.Now())
+	action(m.engine)
+	if at, ok := m.engine.nextEvent(); ok {
+		m.timer.Reset(max(0, at-m.emulator.Now()))
 	} else {
-		n.timer.Stop()
+		m.timer.Stop()
 	}
 }
 
-func (n *machine) stop() { n.timer.Stop() }
+func (m *machine) stop() { m.timer.Stop() }
 
-// outcome is what a node does with a request at its arrival.
+// admission is what a machine does with a request on arrival.
 type admission int
 
 const (
 	admitted admission = iota
 	rejectedFull
-	failedAtOnce // an error answer at once
+	failedAtOnce // answered with an error at once
 )
 
-// accept takes a request of a key and of work (seconds of a standard core) and a wait on others.
-func (n *machine) submit(key uint64, seconds float64, wait time.Duration) (w *job, how admission) {
-	n.do(func(e *engine) {
-		n.workReceived += seconds
-		if n.random.Float64() < math.Max(n.failureRate, e.model.ErrorRate) {
-			how = failedAtOnce
+// submit gives the machine a request with a key, its work (seconds of a standard core) and its wait on a dependency.
+// The job is nil unless the request was admitted.
+func (m *machine) submit(key uint64, seconds float64, dependencyWait time.Duration) (j *job, result admission) {
+	m.do(func(e *engine) {
+		m.workReceived += seconds
+		if m.random.Float64() < math.Max(m.failureRate, e.model.ErrorRate) {
+			result = failedAtOnce
 			return
 		}
 		if e.model.CacheSaving > 0 {
-			if at, ok := n.cachedKeys[key]; ok && e.now-at < e.model.CacheTTL {
+			if at, ok := m.cachedKeys[key]; ok && e.now-at < e.model.CacheTTL {
 				seconds *= 1 - e.model.CacheSaving
 			}
-			n.cacheKey(key, e.now)
+			m.cacheKey(key, e.now)
 		}
-		w = &job{remaining: seconds, dependencyWait: wait, done: make(chan struct{})}
-		if !e.submit(w) {
-			w, how = nil, rejectedFull
+		j = &job{remaining: seconds, dependencyWait: dependencyWait, done: make(chan struct{})}
+		if !e.submit(j) {
+			j = nil
+			result = rejectedFull
 		}
 	})
-	return w, how
+	return j, result
 }
 
-// remember notes that a key was met; the one met longest ago makes room.
-func (n *machine) cacheKey(key uint64, now time.Duration) {
-	if _, ok := n.cachedKeys[key]; !ok && len(n.cachedKeys) >= n.engine.model.CacheSize {
-		oldest, at := key, now
-		for k, t := range n.cachedKeys {
-			if t < at {
-				oldest, at = k, t
+// cacheKey notes the use of a key; the least recently used one is evicted from a full cache. The caller holds mu.
+func (m *machine) cacheKey(key uint64, now time.Duration) {
+	if _, ok := m.cachedKeys[key]; !ok && len(m.cachedKeys) >= m.engine.model.CacheSize {
+		oldest, oldestUse := key, now
+		for k, used := range m.cachedKeys {
+			if used < oldestUse {
+				oldest, oldestUse = k, used
 			}
 		}
-		delete(n.cachedKeys, oldest)
+		delete(m.cachedKeys, oldest)
 	}
-	n.cachedKeys[key] = now
+	m.cachedKeys[key] = now
 }
 
-// extra is work that no request waits for: handshakes and probes.
-func (n *machine) addBackgroundWork(seconds float64) {
-	n.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
+// addBackgroundWork adds work that no request waits for, such as handshakes and health checks.
+func (m *machine) addBackgroundWork(seconds float64) {
+	m.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
 }
 
-func (n *machine) cancel(w *job) { n.do(func(e *engine) { e.cancel(w) }) }
+func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
 
-// trouble sets how much slower the node is, from 1 on (infinite: it stands still), and which
-// part of its requests fails.
-func (n *machine) setFault(slow, fails float64) {
-	n.do(func(e *engine) { e.slowFactor = slow })
-	n.mu.Lock()
-	n.failureRate = fails
-	n.mu.Unlock()
+// setFault makes the machine slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
+// its requests fail.
+func (m *machine) setFault(slowFactor, failureRate float64) {
+	m.do(func(e *engine) { e.slowFactor = slowFactor })
+	m.mu.Lock()
+	m.failureRate = failureRate
+	m.mu.Unlock()
 }
 
-// pushed notes an arrival at a cold node and tells whether it falls over: more came within the
-// contract's time than N + 3 root of N + 3 requests of mean work, N being the multiple of what
-// its cold share and the slowest climb make of its capacity (the standing test's page). Guilty
-// are the agents that had been told of the start, if over two thirds came from them.
-func (n *machine) recordArrival(seconds float64, aware bool) (falls, guilty bool) {
-	c, mean := &n.emulator.config.Contract, n.emulator.meanWorkSeconds
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.emulator.Now()
-	age := n.engine.age(now)
-	if n.engine.started < 0 || age > c.SlowStartFor {
+// recordArrival notes a request that reaches a server in slow start. The server is overloaded once more than
+// N + 3 sqrt(N) + 3 requests of mean work arrive within the contract's window, where N is Contract.SlowStartLimit
+// (the definition of the operators' acceptance test). byNotified tells whether more than two thirds of
+// them came from agents that had been notified of the start: only then the overload counts as theirs.
+func (m *machine) recordArrival(seconds float64, notified bool) (overloaded, byNotified bool) {
+	contract := &m.emulator.config.Contract
+	mean := m.emulator.meanWorkSeconds
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.emulator.Now()
+	age := m.engine.age(now)
+	if m.engine.started < 0 || age > contract.SlowStartFor {
 		return false, false
 	}
-	n.slowStartArrivals = append(n.slowStartArrivals, arrival{now, seconds / mean, aware})
-	for now-n.slowStartArrivals[0].at > c.OverloadWindow {
-		n.slowStartArrivals = n.slowStartArrivals[1:]
+	m.slowStartArrivals = append(m.slowStartArrivals, arrival{now, seconds / mean, notified})
+	for now-m.slowStartArrivals[0].at > contract.OverloadWindow {
+		m.slowStartArrivals = m.slowStartArrivals[1:]
 	}
-	bound := c.SlowStartLimit(n.engine.model, max(0, age-c.OverloadWindow), age, mean)
-	sum, told := 0.0, 0.0
-	for _, a := range n.slowStartArrivals {
-		sum += a.requests
+	total, fromNotified := 0.0, 0.0
+	for _, a := range m.slowStartArrivals {
+		total += a.requests
 		if a.notified {
-			told += a.requests
+			fromNotified += a.requests
 		}
 	}
-	most := bound + 3*math.Sqrt(bound) + 3
-	n.peakSlowStartLoad = math.Max(n.peakSlowStartLoad, sum/most)
-	return sum > most, told > sum*2/3
+	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
+	limit := expected + 3*math.Sqrt(expected) + 3
+	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
+	return total > limit, fromNotified > total*2/3
 }
--- /dev/null
+++ b/internal/emulator/model.go
@@ -0,0 +1,59 @@
+package emulator
+
+import "time"
+
+// Model describes the machine of a server. A zero field switches the property off.
+type Model struct {
+	// Kind is the name under which discovery lists the model.
+	Kind  string `toml:"kind"`
+	Cores int    `toml:"cores"`
+	// Speed is that of a core, in standard cores.
+	Speed float64 `toml:"speed"`
+	// Slots bounds the requests served at the same time, those that wait on a dependency included.
+	Slots int `toml:"slots"`
+	// Queue bounds the requests that wait for a slot; more are rejected.
+	Queue int `toml:"queue"`
+	// SlowStartFrom is the fraction of its capacity that a server has right after a start; it grows linearly and is
+	// complete after SlowStartFor.
+	SlowStartFrom float64       `toml:"cold_from"`
+	SlowStartFor  time.Duration `toml:"cold_for"`
+	// ThrashLoss is the fraction of the capacity that is lost at twice ThrashAt requests per core; the loss begins
+	// at ThrashAt and grows linearly.
+	ThrashLoss float64    `toml:"thrash"`
+	ThrashAt   float64    `toml:"thrash_at"`
+	Congestion Congestion `toml:"choke"`
+	// CacheSaving is the fraction of the work that a request with a cached key saves. A key stays cached for
+	// CacheTTL; at most CacheSize keys are cached.
+	CacheSaving float64       `toml:"key_gain"`
+	CacheTTL    time.Duration `toml:"key_for"`
+	CacheSize   int           `toml:"keys"`
+	// MaxConnections bounds the open connections; requests on further ones are rejected.
+	MaxConnections int `toml:"conns"`
+	// HandshakeWork is the work of a new connection, on a standard core.
+	HandshakeWork time.Duration `toml:"handshake"`
+	// HealthCheckWork is the work of a health check, on a standard core.
+	HealthCheckWork time.Duration `toml:"probe"`
+	// ErrorRate is the fraction of the requests that fail at once.
+	ErrorRate float64 `toml:"error_rate"`
+}
+
+// Congestion describes how a server slows down after a long overload. Once it has had more than OnsetLoad requests
+// per core for OnsetTime, it is slower by Factor, until it has had less than RecoveryLoad requests per core for
+// RecoveryTime, or until MaxTime has passed.
+type Congestion struct {
+	OnsetLoad    float64       `toml:"at"`
+	RecoveryLoad float64       `toml:"below"`
+	OnsetTime    time.Duration `toml:"over"`
+	RecoveryTime time.Duration `toml:"rest"`
+	MaxTime      time.Duration `toml:"most"`
+	Factor       float64       `toml:"slower"`
+}
+
+// capacityFraction returns the fraction of its capacity that a server has at an age.
+func (m *Model) capacityFraction(age time.Duration) float64 {
+	if m.SlowStartFor <= 0 || age >= m.SlowStartFor {
+		return 1
+	}
+	progress := float64(max(0, age)) / float64(m.SlowStartFor)
+	return m.SlowStartFrom + (1-m.SlowStartFrom)*progress
+}
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -6,140 +6,159 @@
 	"syscall"
 )
 
-// gate is a listener of a node for the agents of one zone, which a cut can make silent: what is
-// open stays open and brings nothing, new connections never come up, and when the cut heals what
-// was open is reset (PROTOCOL, "The network").
+// partitionListener is a server's listener for the agents of one zone. It can emulate a network partition: open
+// connections stay open but transfer nothing, new ones are never established, and when the partition ends, the open
+// ones are reset (PROTOCOL, "The network").
 type partitionListener struct {
 	*net.TCPListener
+
 	mu            sync.Mutex
-	healed        chan struct{} // not nil while it is silent; closed when it heals
+	healed        chan struct{} // not nil during a partition; closed when it ends
 	connections   map[*partitionConn]bool
-	backlogFiller net.Conn // fills the queue of connections that are not accepted
+	backlogFiller net.Conn // occupies the backlog during a partition
 	closed        bool
 }
 
-func newPartitionListener(addr string) (*partitionListener, error) {
-	ln, err := net.Listen("tcp", addr)
+func newPartitionListener(address string) (*partitionListener, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &partitionListener{TCPListener: ln.(*net.TCPListener), connections: map[*partitionConn]bool{}}, nil
+	return &partitionListener{
+		TCPListener: listener.(*net.TCPListener),
+		connections: map[*partitionConn]bool{},
+	}, nil
 }
 
-func (g *partitionListener) setBacklog(n int) {
-	if raw, err := g.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+// setBacklog changes how many connections the system accepts ahead of Accept.
+func (l *partitionListener) setBacklog(n int) {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return // the listener is closed
 	}
+	// Both errors mean that the listener was closed meanwhile: then there is no backlog to change.
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// silence begins or ends a cut.
-func (g *partitionListener) setPartitioned(on bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	switch {
-	case on == (g.healed != nil) || g.closed:
-	case on:
-		g.healed = make(chan struct{})
-		// The system accepts for a listener; with no queue it takes one connection, then none.
-		g.setBacklog(0)
-		g.backlogFiller, _ = net.Dial("tcp", g.Addr().String())
-	default:
-		close(g.healed)
-		g.healed = nil
-		g.setBacklog(syscall.SOMAXCONN)
-		if g.backlogFiller != nil {
-			g.backlogFiller.Close()
-		}
-		g.resetConnections()
+// setPartitioned begins or ends a partition.
+func (l *partitionListener) setPartitioned(partitioned bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || partitioned == (l.healed != nil) {
+		return
+	}
+	if partitioned {
+		l.healed = make(chan struct{})
+		// Even with a backlog of 0 the system accepts one connection. After this one it accepts none.
+		l.setBacklog(0)
+		l.backlogFiller, _ = net.Dial("tcp", l.Addr().String()) // an error: the backlog is full already
+		return
+	}
+	l.endPartition()
+	l.setBacklog(syscall.SOMAXCONN)
+	l.resetConnections()
+}
+
+// endPartition releases what waits for the end of a partition, if there is one. The caller holds mu.
+func (l *partitionListener) endPartition() {
+	if l.healed != nil {
+		close(l.healed)
+		l.healed = nil
+	}
+	if l.backlogFiller != nil {
+		_ = l.backlogFiller.Close() // nothing was written on it
 	}
 }
 
-// reset ends all connections with a reset. The caller holds mu.
-func (g *partitionListener) resetConnections() {
-	for c := range g.connections {
-		c.TCPConn.SetLinger(0)
-		c.TCPConn.Close()
+// resetConnections closes all connections with a TCP reset. The caller holds mu.
+func (l *partitionListener) resetConnections() {
+	for c := range l.connections {
+		resetConnection(c.TCPConn)
 	}
 }
 
-// end closes the gate as the end of its process does: connections are reset, calls refused.
-func (g *partitionListener) stop() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+// resetConnection closes a connection with a TCP reset. Both calls fail only on a connection that is closed already.
+func resetConnection(c *net.TCPConn) {
+	_ = c.SetLinger(0)
+	_ = c.Close()
+}
+
+// stop closes the listener as the end of its process does: connections are reset, new ones refused.
+func (l *partitionListener) stop() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return
 	}
-	g.closed = true
-	if g.healed != nil {
-		close(g.healed)
-		g.healed = nil
-	}
-	if g.backlogFiller != nil {
-		g.backlogFiller.Close()
-	}
-	g.TCPListener.Close()
-	g.resetConnections()
+	l.closed = true
+	l.endPartition()
+	_ = l.Close() // fails only on a closed listener
+	l.resetConnections()
 }
 
-// quiet is closed once the gate is not silent; nil: it is not.
-func (g *partitionListener) partition() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.healed
+// partition returns a channel that is closed at the end of the present partition; nil: there is none.
+func (l *partitionListener) partition() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.healed
 }
 
-func (g *partitionListener) Accept() (net.Conn, error) {
+// Accept returns the next connection that is established outside of a partition.
+func (l *partitionListener) Accept() (net.Conn, error) {
 	for {
-		if q := g.partition(); q != nil {
-			<-q
+		if healed := l.partition(); healed != nil {
+			<-healed
 		}
-		c, err := g.AcceptTCP()
+		c, err := l.AcceptTCP()
 		if err != nil {
 			return nil, err
 		}
-		if q := g.partition(); q != nil { // it came in the middle of becoming silent
-			<-q
-			c.SetLinger(0)
-			c.Close()
+		if healed := l.partition(); healed != nil { // it was established while the partition began
+			<-healed
+			resetConnection(c)
 			continue
 		}
-		gc := &partitionConn{TCPConn: c, listener: g}
-		g.mu.Lock()
-		g.connections[gc] = true
-		g.mu.Unlock()
-		return gc, nil
+		conn := &partitionConn{TCPConn: c, listener: l}
+		l.mu.Lock()
+		l.connections[conn] = true
+		l.mu.Unlock()
+		return conn, nil
 	}
 }
 
-func (g *partitionListener) openConnections() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.connections)
+// openConnections returns the number of accepted connections that are open.
+func (l *partitionListener) openConnections() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.connections)
 }
 
-// gated is a connection that came through a gate.
+// partitionConn is a connection of a partitionListener.
 type partitionConn struct {
 	*net.TCPConn
 	listener *partitionListener
 }
 
+// Read returns what arrived outside of a partition; one that has begun by then is waited for and ends in a reset.
 func (c *partitionConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if q := c.listener.partition(); q != nil {
-		<-q
+	if healed := c.listener.partition(); healed != nil {
+		<-healed
 		return 0, syscall.ECONNRESET
 	}
 	return n, err
 }
 
+// Write waits for the end of a partition, which resets the connection.
 func (c *partitionConn) Write(p []byte) (int, error) {
-	if q := c.listener.partition(); q != nil {
-		<-q
+	if healed := c.listener.partition(); healed != nil {
+		<-healed
 		return 0, syscall.ECONNRESET
 	}
 	return c.TCPConn.Write(p)
 }
 
+// Close closes the connection and forgets it.
 func (c *partitionConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.connections, c)
--- /dev/null
+++ b/internal/emulator/request.go
@@ -0,0 +1,88 @@
+package emulator
+
+import (
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// liveRequest is a request to an agent with what the servers have to know of it.
+type liveRequest struct {
+	class          *Class
+	agent          string
+	key            uint64
+	work           time.Duration // on a standard core
+	dependencyWait time.Duration
+	idempotencyKey string // empty: the class has none
+
+	mu     sync.Mutex // guards record while the request is open
+	record *Request
+}
+
+// findRequest returns the request with an id, or nil.
+func (e *Emulator) findRequest(id string) *liveRequest {
+	request, ok := e.requests.Load(id)
+	if !ok {
+		return nil
+	}
+	return request.(*liveRequest)
+}
+
+// keyText is the request's affinity key as it stands in the path.
+func (r *liveRequest) keyText() string { return fmt.Sprintf("%016x", r.key) }
+
+// method is the request's HTTP method.
+func (r *liveRequest) method() string {
+	if r.class.Idempotency == Idempotent {
+		return http.MethodGet
+	}
+	return http.MethodPost
+}
+
+// remaining returns the time until the client gives up.
+func (r *liveRequest) remaining(now time.Duration) time.Duration {
+	return r.record.Sent + r.record.Timeout - now
+}
+
+// addAttempt records the arrival of an attempt at a server and returns its index.
+func (r *liveRequest) addAttempt(a Attempt) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record.Attempts = append(r.record.Attempts, a)
+	return len(r.record.Attempts) - 1
+}
+
+// endAttempt records the end of an attempt.
+func (r *liveRequest) endAttempt(index int, outcome Outcome, at time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	attempt := &r.record.Attempts[index]
+	attempt.Outcome = outcome
+	attempt.Ended = at
+}
+
+// hasAttempts tells whether a server has received the request.
+func (r *liveRequest) hasAttempts() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.record.Attempts) > 0
+}
+
+// end records how the request ended for the client.
+func (r *liveRequest) end(outcome Outcome, at time.Duration, agentStopped bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record.Ended = at
+	r.record.Outcome = outcome
+	if agentStopped {
+		r.record.AgentStopped = true
+	}
+}
+
+// markAgentStopped records that the experiment ended the agent's process while the request was open.
+func (r *liveRequest) markAgentStopped() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record.AgentStopped = true
+}
--- /dev/null
+++ b/internal/emulator/result.go
@@ -0,0 +1,175 @@
+package emulator
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
+const MaxTimerDelay = 5 * time.Millisecond
+
+// maxDelayMicroseconds bounds the delays that a histogram can hold.
+const maxDelayMicroseconds = 60_000_000
+
+// Names of metrics; records and their readers know them by these texts. A fraction is one of the requested value.
+const (
+	MetricInTime         = "in time"
+	MetricLate           = "late"
+	MetricRejected       = "refused"
+	MetricFailed         = "failed"
+	MetricLatencyP50     = "latency p50 ms"
+	MetricLatencyP99     = "latency p99 ms"
+	MetricMeanSojourn    = "sojourn mean ms"
+	MetricMeanWork       = "work mean ms"
+	MetricTimerDelayP99  = "lab late p99 ms"
+	MetricCalls          = "requests"
+	MetricSlowStartLoad  = "cold load of its bound"
+	MetricSlowStartFails = "cold nodes fallen"
+
+	metricRequests       = "tries a request"
+	metricAttempts       = "attempts a request"
+	metricDiscoveryCalls = "list calls a request"
+	metricEntriesSent    = "list lines a request"
+	metricHandshakes     = "handshakes a request"
+	metricHealthChecks   = "probes a request"
+	perCall              = " a request" // after an attempt's outcome
+)
+
+// Result is what a run measured.
+type Result struct {
+	Seconds    []SecondTotals     `json:"Seconds"`
+	Metrics    map[string]float64 `json:"Figures"` // by name, which includes the unit
+	Servers    []ServerMetrics    `json:"Nodes"`
+	Violations []Violation        `json:"Broken"`
+	Errors     []string           `json:"Faults"` // of the harness itself: the run is not valid
+	Attempts   int                `json:"Attempts"`
+}
+
+// newDelayHistogram returns a histogram of delays in microseconds, with three significant digits.
+func newDelayHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxDelayMicroseconds, 3)
+}
+
+// recordDelay adds a delay to a histogram; below zero it counts as none.
+func recordDelay(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(max(0, d.Microseconds())) // a delay beyond the histogram's range is left out
+}
+
+// result collects the result of a run whose last call has ended.
+func (e *Emulator) result() *Result {
+	r := &Result{Metrics: map[string]float64{}}
+	history := &History{}
+	e.collectCalls(r, history)
+	e.collectServers(r, history)
+	e.endpoints.mu.Lock()
+	history.Removals = slices.Clone(e.endpoints.removals)
+	e.endpoints.mu.Unlock()
+
+	delayP99, worstDelay := e.timerDelayQuantiles()
+	// No time is judged more precisely than this machine kept it.
+	contract := e.config.Contract
+	contract.Slack += worstDelay
+	r.Violations = append(r.Violations, Judge(history, e.config.Classes, &contract)...)
+	if delayP99 > MaxTimerDelay {
+		r.Errors = append(r.Errors, fmt.Sprintf("the harness was late by %v at the 99th percentile", delayP99))
+	}
+	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * 1000
+	r.addFractions()
+	r.addPerCall(history, e.endpoints)
+	return r
+}
+
+// collectCalls adds what the clients measured.
+func (e *Emulator) collectCalls(r *Result, history *History) {
+	c := e.clients
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, request := range c.finished {
+		request.mu.Lock()
+		record := *request.record
+		record.Attempts = slices.Clone(record.Attempts)
+		request.mu.Unlock()
+		history.Requests = append(history.Requests, &record)
+	}
+	r.Seconds = slices.Clone(c.seconds)
+	r.Metrics[MetricLatencyP50] = float64(c.latencies.ValueAtQuantile(50)) / 1000
+	r.Metrics[MetricLatencyP99] = float64(c.latencies.ValueAtQuantile(99)) / 1000
+	if served := float64(c.latencies.TotalCount()); served > 0 {
+		r.Metrics[MetricMeanSojourn] = 1000 * c.sojournSeconds / served
+		r.Metrics[MetricMeanWork] = 1000 * c.workSeconds / served
+	}
+}
+
+// collectServers adds what the servers counted.
+func (e *Emulator) collectServers(r *Result, history *History) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	history.Overloads = slices.Clone(e.overloads)
+	r.Errors = slices.Clone(e.errors)
+	r.Servers = slices.Clone(e.stoppedServers)
+	for _, s := range e.servers {
+		r.Servers = append(r.Servers, s.metrics())
+	}
+	slices.SortFunc(r.Servers, func(a, b ServerMetrics) int { return strings.Compare(a.Server, b.Server) })
+	if e.unknownRequests > 0 {
+		description := fmt.Sprintf("%d requests at servers that no client sent", e.unknownRequests)
+		r.Violations = append(r.Violations, Violation{RuleDuplicate, description, nil})
+	}
+}
+
+// addFractions adds the fractions of the requested value that the calls of the run earned.
+func (r *Result) addFractions() {
+	var total SecondTotals
+	for _, second := range r.Seconds {
+		total.add(second)
+	}
+	if total.Requested <= 0 {
+		return
+	}
+	r.Metrics[MetricInTime] = total.InTime / total.Requested
+	r.Metrics[MetricLate] = total.Late / total.Requested
+	r.Metrics[MetricRejected] = total.Rejected / total.Requested
+	r.Metrics[MetricFailed] = total.Failed / total.Requested
+}
+
+// addPerCall adds the counts of the run, each divided by the number of calls.
+func (r *Result) addPerCall(history *History, endpoints *endpointList) {
+	calls := 0
+	outcomes := map[Outcome]int{}
+	for _, request := range history.Requests {
+		if request.Retry == 0 {
+			calls++
+		}
+		r.Attempts += len(request.Attempts)
+		for _, a := range request.Attempts {
+			outcomes[a.Outcome]++
+		}
+	}
+	var handshakes, healthChecks, slowStartLoad float64
+	for _, s := range r.Servers {
+		handshakes += float64(s.Handshakes)
+		healthChecks += float64(s.HealthChecks)
+		slowStartLoad = max(slowStartLoad, s.SlowStartLoad)
+	}
+	r.Metrics[MetricCalls] = float64(calls)
+	r.Metrics[MetricSlowStartLoad] = slowStartLoad
+	r.Metrics[MetricSlowStartFails] = float64(len(history.Overloads))
+	counts := map[string]float64{
+		metricRequests:       float64(len(history.Requests)),
+		metricAttempts:       float64(r.Attempts),
+		metricDiscoveryCalls: float64(endpoints.calls.Load()),
+		metricEntriesSent:    float64(endpoints.entriesSent.Load()),
+		metricHandshakes:     handshakes,
+		metricHealthChecks:   healthChecks,
+	}
+	for _, outcome := range []Outcome{AttemptFailed, AttemptRejected, AttemptCancelled, AttemptBroken} {
+		counts[string(outcome)+perCall] = float64(outcomes[outcome])
+	}
+	for name, count := range counts {
+		r.Metrics[name] = count / max(1, float64(calls))
+	}
+}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -15,13 +15,29 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// backend is a price node's process on sockets: a listener for the agents of each zone, at an
-// address of its own, in front of one machine.
+// maxBodyBytes bounds how much of a request's body is read.
+const maxBodyBytes = 1 << 20
+
+// handshakeRoundTrips is how many round trips a new connection takes before its first request is served.
+const handshakeRoundTrips = 2
+
+// serverConfig describes a server to be started.
+type serverConfig struct {
+	endpoint  endpoint.Target // as listed, without the address
+	zone      int
+	model     Model
+	started   time.Duration // below zero: long ago
+	addresses []string      // by the zone of the agents that use it
+	seed      uint64
+}
+
+// server is a server process on sockets: a listener for the agents of each zone, each at an address of its own, in
+// front of one machine.
 type server struct {
 	emulator    *Emulator
-	endpoint    endpoint.Target // as listed, but for the address
+	endpoint    endpoint.Target // as listed, without the address
 	zone        int
-	addresses   []string // by the agents' zone
+	addresses   []string // by the zone of the agents that use it
 	listeners   []*partitionListener
 	httpServers []*http.Server
 	machine     *machine
@@ -31,188 +47,243 @@
 	handshakes, healthChecks, requests, rejected atomic.Uint64
 }
 
-// connKey is the place of a connection's state in its requests' contexts.
+// connStateKey is the context key of a connection's connState.
 type connStateKey struct{}
 
-// conn is what a node knows of a connection: over, that it is one too many; met, whether its
-// first request has paid for the handshake.
+// connState is what a server knows of a connection.
 type connState struct {
-	excess        bool
+	excess        bool // the connection exceeds the model's bound
 	handshakePaid atomic.Bool
 }
 
-// maxBody bounds what is read of a body, in bytes.
-const maxBodyBytes = 1 << 20
+// connStateOf returns the state of the connection that a request came on, or nil.
+func connStateOf(r *http.Request) *connState {
+	state, _ := r.Context().Value(connStateKey{}).(*connState)
+	return state
+}
 
-func newServer(w *Emulator, entry endpoint.Target, zone int, m Model, started time.Duration, addrs []string, seed uint64) (*server, error) {
-	b := &server{emulator: w, endpoint: entry, zone: zone, addresses: addrs}
-	for from, addr := range addrs {
-		g, err := newPartitionListener(addr)
+// newServer starts a server process; the emulator's background group waits for its goroutines.
+func newServer(e *Emulator, config serverConfig) (*server, error) {
+	s := &server{emulator: e, endpoint: config.endpoint, zone: config.zone, addresses: config.addresses}
+	for clientZone, address := range config.addresses {
+		listener, err := newPartitionListener(address)
 		if err != nil {
-			b.stop()
+			s.stop()
 			return nil, err
 		}
-		b.listeners = append(b.listeners, g)
-		mux := http.NewServeMux()
-		mux.HandleFunc("GET /-/healthy", b.handleHealthCheck)
-		mux.HandleFunc("/api/", func(rw http.ResponseWriter, r *http.Request) { b.handleRequest(rw, r, from) })
-		b.httpServers = append(b.httpServers, &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0),
-			IdleTimeout: w.config.KeepAlive, ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-				c := &connState{excess: m.MaxConnections > 0 && b.openConnections() > m.MaxConnections}
-				return context.WithValue(ctx, connStateKey{}, c)
-			}})
-	}
-	b.machine = newMachine(w, m, started, seed)
-	for i, s := range b.httpServers {
-		w.background.Add(1)
+		s.listeners = append(s.listeners, listener)
+		s.httpServers = append(s.httpServers, s.newHTTPServer(clientZone, config.model.MaxConnections))
+	}
+	s.machine = newMachine(e, config.model, config.started, config.seed)
+	for i := range s.httpServers {
+		e.background.Add(1)
 		go func() {
-			defer w.background.Done()
-			if err := s.Serve(b.listeners[i]); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-				w.recordError(err)
-			}
+			defer e.background.Done()
+			s.listen(i)
 		}()
 	}
-	return b, nil
+	return s, nil
+}
+
+// newHTTPServer returns the HTTP server for the agents of a zone.
+func (s *server) newHTTPServer(clientZone, maxConnections int) *http.Server {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /-/healthy", s.handleHealthCheck)
+	mux.HandleFunc("/api/", func(rw http.ResponseWriter, r *http.Request) { s.handleRequest(rw, r, clientZone) })
+	return &http.Server{
+		Handler:     mux,
+		ErrorLog:    log.New(io.Discard, "", 0),
+		IdleTimeout: s.emulator.config.KeepAlive,
+		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+			state := &connState{excess: maxConnections > 0 && s.openConnections() > maxConnections}
+			return context.WithValue(ctx, connStateKey{}, state)
+		},
+	}
+}
+
+// listen serves one listener until it is closed.
+func (s *server) listen(i int) {
+	err := s.httpServers[i].Serve(s.listeners[i])
+	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		s.emulator.recordError(err)
+	}
 }
 
-func (b *server) openConnections() (n int) {
-	for _, g := range b.listeners {
-		n += g.openConnections()
+// openConnections returns the number of open connections from all zones.
+func (s *server) openConnections() (n int) {
+	for _, l := range s.listeners {
+		n += l.openConnections()
 	}
 	return n
 }
 
-// end is the end of the process: connections are reset, calls refused, work stops.
-func (b *server) stop() {
-	b.stopped.Store(true)
-	for _, g := range b.listeners {
-		g.stop()
+// stop ends the process: connections are reset, new ones refused, work stops.
+func (s *server) stop() {
+	s.stopped.Store(true)
+	for _, l := range s.listeners {
+		l.stop()
 	}
-	for _, s := range b.httpServers {
-		s.Close()
+	for _, h := range s.httpServers {
+		_ = h.Close() // its listener is closed already
 	}
-	if b.machine != nil {
-		b.machine.stop()
+	if s.machine != nil {
+		s.machine.stop()
 	}
 }
 
-// silence cuts the node off from the agents of some zones, or ends that.
-func (b *server) setPartitioned(on bool, zones ...int) {
-	for _, z := range zones {
-		b.listeners[z].setPartitioned(on)
+// setPartitioned begins or ends a partition from the agents of some zones.
+func (s *server) setPartitioned(partitioned bool, zones ...int) {
+	for _, zone := range zones {
+		s.listeners[zone].setPartitioned(partitioned)
 	}
 }
 
-// pay has the first request on a connection pay for its handshake, in time and work.
-func (b *server) chargeHandshake(r *http.Request, from int) {
-	c, _ := r.Context().Value(connStateKey{}).(*connState)
-	if c == nil || c.handshakePaid.Swap(true) {
+// chargeHandshake lets the first request on a connection take the time and the work of the handshake.
+func (s *server) chargeHandshake(r *http.Request, clientZone int) {
+	state := connStateOf(r)
+	if state == nil || state.handshakePaid.Swap(true) {
 		return
 	}
-	b.handshakes.Add(1)
-	if m := &b.machine.engine.model; m.HandshakeWork > 0 {
-		b.machine.addBackgroundWork(m.HandshakeWork.Seconds())
-		time.Sleep(2 * 2 * b.emulator.zoneDelay(from, b.zone)) // two round trips
+	s.handshakes.Add(1)
+	if work := s.machine.engine.model.HandshakeWork; work > 0 {
+		s.machine.addBackgroundWork(work.Seconds())
+		time.Sleep(handshakeRoundTrips * s.roundTrip(clientZone))
 	}
 }
 
-func (b *server) handleHealthCheck(rw http.ResponseWriter, r *http.Request) {
-	b.healthChecks.Add(1)
-	b.chargeHandshake(r, 0)
-	if m := &b.machine.engine.model; m.HealthCheckWork > 0 {
-		b.machine.addBackgroundWork(m.HealthCheckWork.Seconds())
+// roundTrip returns the network delay of a round trip between a zone and the server.
+func (s *server) roundTrip(clientZone int) time.Duration {
+	return 2 * s.emulator.zoneDelay(clientZone, s.zone)
+}
+
+// handleHealthCheck answers a health check, with 503 once the server is draining.
+func (s *server) handleHealthCheck(rw http.ResponseWriter, r *http.Request) {
+	s.healthChecks.Add(1)
+	s.chargeHandshake(r, 0)
+	if work := s.machine.engine.model.HealthCheckWork; work > 0 {
+		s.machine.addBackgroundWork(work.Seconds())
 	}
-	if b.draining.Load() {
+	if s.draining.Load() {
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// turnAway answers that the request never ran.
-func (b *server) reject(rw http.ResponseWriter, why string) {
-	b.rejected.Add(1)
+// reject answers that the request was not executed.
+func (s *server) reject(rw http.ResponseWriter, reason string) {
+	s.rejected.Add(1)
 	rw.Header().Set("Not-Started", "1")
-	http.Error(rw, why, http.StatusServiceUnavailable)
+	http.Error(rw, reason, http.StatusServiceUnavailable)
 }
 
-// serve is one attempt: its course is noted on the try that a client made, and judged later.
-func (b *server) handleRequest(rw http.ResponseWriter, r *http.Request, from int) {
-	began := b.emulator.Now()
+// handleRequest serves one attempt and records it with the client's request, to be judged later.
+func (s *server) handleRequest(rw http.ResponseWriter, r *http.Request, clientZone int) {
+	started := s.emulator.Now()
 	id := r.Header.Get("Request-Id")
 	if id == "" {
 		http.NotFound(rw, r)
 		return
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
-		return
+		return // the request did not arrive completely
 	}
-	req := b.emulator.findRequest(id)
-	if req == nil || path.Base(r.URL.Path) != req.keyText() || r.Method != req.method() {
-		b.emulator.recordUnknownRequest()
+	request := s.emulator.findRequest(id)
+	if request == nil || path.Base(r.URL.Path) != request.keyText() || r.Method != request.method() {
+		s.emulator.recordUnknownRequest()
 		http.Error(rw, "no client sent this", http.StatusBadRequest)
 		return
 	}
-	b.requests.Add(1)
-	a := req.addAttempt(Attempt{Server: b.endpoint.ID, Zone: b.zone, Cell: b.endpoint.Cell, Started: began, Received: b.emulator.Now(), Outcome: AttemptOpen})
-	b.chargeHandshake(r, from)
-	time.Sleep(2 * b.emulator.zoneDelay(from, b.zone)) // there and back
-	how := b.execute(rw, r, req)
-	req.endAttempt(a, how, b.emulator.Now())
+	s.requests.Add(1)
+	attempt := request.addAttempt(Attempt{
+		Server:   s.endpoint.ID,
+		Zone:     s.zone,
+		Cell:     s.endpoint.Cell,
+		Started:  started,
+		Received: s.emulator.Now(),
+		Outcome:  AttemptOpen,
+	})
+	s.chargeHandshake(r, clientZone)
+	time.Sleep(s.roundTrip(clientZone))
+	outcome := s.execute(rw, r, request)
+	request.endAttempt(attempt, outcome, s.emulator.Now())
 }
 
-// work serves one request that has come whole, and tells how that ended.
-func (b *server) execute(rw http.ResponseWriter, r *http.Request, req *liveRequest) string {
-	if falls, guilty := b.machine.recordArrival(req.work.Seconds(), b.emulator.notifiedOfStart(req.agent, b.endpoint.ID)); falls {
-		b.emulator.serverOverloaded(b, guilty)
-	}
-	c, _ := r.Context().Value(connStateKey{}).(*connState)
-	if b.draining.Load() || c != nil && c.excess {
-		b.reject(rw, "draining, or too many connections")
+// execute serves a request that has arrived completely, and returns how the attempt ended.
+func (s *server) execute(rw http.ResponseWriter, r *http.Request, request *liveRequest) Outcome {
+	s.checkSlowStart(request)
+	if state := connStateOf(r); s.draining.Load() || state != nil && state.excess {
+		s.reject(rw, "draining, or too many connections")
 		return AttemptRejected
 	}
-	if b.emulator.isDuplicate(b.endpoint.Cell, req) {
-		fmt.Fprintf(rw, "%s repeated", req.record.ID)
+	if s.emulator.isDuplicate(s.endpoint.Cell, request) {
+		_, _ = io.WriteString(rw, duplicateResponse(request.record.ID)) // it counts as served once the server drops it
 		return Served
 	}
-	w, how := b.machine.submit(req.key, req.work.Seconds(), req.dependencyWait)
-	switch how {
+	j, result := s.machine.submit(request.key, request.work.Seconds(), request.dependencyWait)
+	switch result {
 	case rejectedFull:
-		b.reject(rw, "full")
+		s.reject(rw, "full")
 		return AttemptRejected
 	case failedAtOnce:
 		http.Error(rw, "failed", http.StatusInternalServerError)
 		return AttemptFailed
 	}
 	select {
-	case <-w.done:
+	case <-j.done:
 	case <-r.Context().Done():
-		b.machine.cancel(w)
-		if b.stopped.Load() {
+		s.machine.cancel(j)
+		if s.stopped.Load() {
 			return AttemptBroken
 		}
 		return AttemptCancelled
 	}
-	if _, err := fmt.Fprintf(rw, "%s done", req.record.ID); err != nil {
+	if _, err := io.WriteString(rw, servedResponse(request.record.ID)); err != nil {
 		return AttemptBroken
 	}
 	return Served
 }
 
-// NodeFigures are a node's counts over a run. Cold is the most of its cold bound that came
-// within the contract's time: above one it fell.
+// checkSlowStart counts a request against the limit of a server in slow start, which an overload ends.
+func (s *server) checkSlowStart(request *liveRequest) {
+	notified := s.emulator.notifiedOfStart(request.agent, s.endpoint.ID)
+	if overloaded, byNotified := s.machine.recordArrival(request.work.Seconds(), notified); overloaded {
+		s.emulator.serverOverloaded(s, byNotified)
+	}
+}
+
+// servedResponse is the body of the response to an executed request.
+func servedResponse(id string) string { return fmt.Sprintf("%s done", id) }
+
+// duplicateResponse is the body of the response to a dropped duplicate.
+func duplicateResponse(id string) string { return fmt.Sprintf("%s repeated", id) }
+
+// ServerMetrics are a server's counts over a run.
 type ServerMetrics struct {
-	Server          string  `json:"Node"`
-	Requests        uint64  `json:"Requests"`
-	Rejected        uint64  `json:"Turned"`
-	Handshakes      uint64  `json:"Handshakes"`
-	HealthChecks    uint64  `json:"Probes"`
-	WorkReceived    float64 `json:"Work"` // seconds of a standard core that came
-	BusyCoreSeconds float64 `json:"Busy"` // core seconds given
-	SlowStartLoad   float64 `json:"Cold"`
-}
-
-func (b *server) metrics() ServerMetrics {
-	b.machine.mu.Lock()
-	defer b.machine.mu.Unlock()
-	return ServerMetrics{Server: b.endpoint.ID, Requests: b.requests.Load(), Rejected: b.rejected.Load(), Handshakes: b.handshakes.Load(),
-		HealthChecks: b.healthChecks.Load(), WorkReceived: b.machine.workReceived, BusyCoreSeconds: b.machine.engine.busyCoreSeconds, SlowStartLoad: b.machine.peakSlowStartLoad}
+	Server       string `json:"Node"`
+	Requests     uint64 `json:"Requests"`
+	Rejected     uint64 `json:"Turned"`
+	Handshakes   uint64 `json:"Handshakes"`
+	HealthChecks uint64 `json:"Probes"`
+	// WorkReceived is the work of all requests, in seconds of a standard core.
+	WorkReceived float64 `json:"Work"`
+	// BusyCoreSeconds is the time that the cores computed, in seconds of one core.
+	BusyCoreSeconds float64 `json:"Busy"`
+	// SlowStartLoad is the highest load in slow start, as a fraction of the overload limit: above 1 the server
+	// failed.
+	SlowStartLoad float64 `json:"Cold"`
+}
+
+// metrics returns the server's counts so far.
+func (s *server) metrics() ServerMetrics {
+	s.machine.mu.Lock()
+	defer s.machine.mu.Unlock()
+	return ServerMetrics{
+		Server:          s.endpoint.ID,
+		Requests:        s.requests.Load(),
+		Rejected:        s.rejected.Load(),
+		Handshakes:      s.handshakes.Load(),
+		HealthChecks:    s.healthChecks.Load(),
+		WorkReceived:    s.machine.workReceived,
+		BusyCoreSeconds: s.machine.engine.busyCoreSeconds,
+		SlowStartLoad:   s.machine.peakSlowStartLoad,
+	}
 }
--- /dev/null
+++ b/internal/emulator/workload.go
@@ -0,0 +1,109 @@
+package emulator
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// workloadStream is the first of the streams of random numbers for the clients' calls.
+const workloadStream = 3000
+
+// hottestKey is the key that a TrafficChange with a HotKeyShare prefers.
+const hottestKey = 1
+
+// call is one call of an application, as drawn from the seed. It is answered by a request or by its retries.
+type call struct {
+	due            time.Duration
+	class          int
+	key            uint64
+	work           time.Duration // on a standard core
+	dependencyWait time.Duration
+}
+
+// workload draws the calls of one client from the seed alone.
+type workload struct {
+	emulator    *Emulator
+	clientShare float64 // of all calls
+	source      rand.Source
+	random      *rand.Rand
+	keys        distuv.Categorical // Zipf's distribution over the ranks of the keys
+	classShares []float64
+	due         time.Duration // of the last call, from the begin of the traffic
+}
+
+func newWorkload(e *Emulator, clientIndex int, clientShare float64) *workload {
+	config := &e.config
+	source := rand.NewPCG(config.Seed, workloadStream+uint64(clientIndex))
+	weights := make([]float64, config.Keys)
+	for i := range weights {
+		weights[i] = math.Pow(float64(i+1), -config.Zipf)
+	}
+	classShares := make([]float64, len(config.Classes))
+	for i := range config.Classes {
+		classShares[i] = config.Classes[i].Share
+	}
+	return &workload{
+		emulator:    e,
+		clientShare: clientShare,
+		source:      source,
+		random:      rand.New(source),
+		keys:        distuv.NewCategorical(weights, source),
+		classShares: classShares,
+	}
+}
+
+// next draws the next call, due from the begin of the traffic on, as a Poisson process; false: it is due after the
+// length of the traffic. The order of the draws is part of what a seed means.
+func (w *workload) next(length time.Duration) (call, bool) {
+	config := &w.emulator.config
+	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
+	w.due += time.Duration(w.random.ExpFloat64() / (config.Rate * w.clientShare * rateFactor) * 1e9)
+	if w.due >= length {
+		return call{}, false
+	}
+	class := pickShare(w.random.Float64(), w.classShares)
+	key := 1 + uint64(w.keys.Rand())
+	work := sampleWork(&config.Classes[class], w.source)
+	if w.random.Float64() < hotKeyShare {
+		key = hottestKey
+	}
+	return call{
+		due:            w.due,
+		class:          class,
+		key:            key,
+		work:           work,
+		dependencyWait: config.Classes[class].DependencyWait,
+	}, true
+}
+
+// sampleWork draws a call's work: fixed, or from a log-normal distribution with the class's mean.
+func sampleWork(class *Class, source rand.Source) time.Duration {
+	if class.WorkCV == 0 {
+		return class.Work
+	}
+	variance := math.Log(1 + class.WorkCV*class.WorkCV) // of the logarithm
+	distribution := distuv.LogNormal{
+		Mu:    math.Log(class.Work.Seconds()) - variance/2,
+		Sigma: math.Sqrt(variance),
+		Src:   source,
+	}
+	return time.Duration(distribution.Rand() * 1e9)
+}
+
+// pickShare returns which of several shares a number from 0 to 1 falls into.
+func pickShare(x float64, shares []float64) int {
+	sum := 0.0
+	for _, share := range shares {
+		sum += share
+	}
+	for i, share := range shares {
+		x -= share / sum
+		if x < 0 {
+			return i
+		}
+	}
+	return len(shares) - 1
+}
