--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -13,173 +13,266 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// kind is one trouble: what it does with its keys, whether it needs a zone, and how it is played
-// or, where it is one of the traffic, how that changes.
-type faultKind struct {
-	description   string
-	needsZone     bool
-	trafficChange func(t Fault) emulator.TrafficChange
-	inject        func(r *armRun, t Fault, draw *rand.Rand) error
-}
+// The kinds of faults, as scenarios name them.
+const (
+	faultKillAgents       = "kill agents"
+	faultRestartAgents    = "restart agents"
+	faultPauseAgents      = "pause agents"
+	faultPartitionAgents  = "deaf agents"
+	faultMessageLoss      = "lossy agents"
+	faultSlowServers      = "slow nodes"
+	faultFailingServers   = "failing nodes"
+	faultHungServers      = "standing nodes"
+	faultPartitionServers = "silent nodes"
+	faultKillServers      = "kill nodes"
+	faultReplaceServers   = "release"
+	faultZoneFailure      = "zone lost"
+	faultZonePartition    = "zone cut"
+	faultBurst            = "burst"
+	faultHotKey           = "hot key"
+	faultDiscoveryOutage  = "list down"
+)
 
-// Kinds tells, for each trouble, what it does with its keys.
-func FaultDescriptions() map[string]string {
-	out := map[string]string{}
-	for name, k := range faultKinds {
-		out[name] = k.description
-	}
-	return out
-}
+// allZones selects the servers of every zone, or the agents of every zone.
+const allZones = -1
 
-// KindNames are the troubles in their order.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
+// agentPartition is the name of the partition that partitionAgents makes.
+const agentPartition = "deaf"
+
+// faultKind describes a kind of fault. Either trafficChange or inject is set.
+type faultKind struct {
+	description string // how it uses the keys of a scenario
+	needsZone   bool
+	// trafficChange returns how a fault changes the traffic.
+	trafficChange func(Fault) emulator.TrafficChange
+	// inject injects a fault and returns when it is over.
+	inject func(*armRun, Fault, *rand.Rand) error
+}
 
-var faultKinds map[string]faultKind
-
-func init() {
-	faultKinds = map[string]faultKind{
-		"kill agents":    {description: "SIGKILL to a share at one moment; they start again after back", inject: (*armRun).killAgents},
-		"restart agents": {description: "SIGTERM and a start, a batch of a share at a time, spread over for", inject: (*armRun).restartAgents},
-		"pause agents":   {description: "SIGSTOP for a share, SIGCONT after for", inject: (*armRun).pauseAgents},
-		"deaf agents":    {description: "a share of the agents hears no other for a time; needs arms with a fleet", inject: (*armRun).partitionAgents},
-		"lossy agents":   {description: "a part (size) of what agents tell each other is lost for a time", inject: (*armRun).loseMessages},
-		"slow nodes":     {description: "a share is size times slower for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error { return r.degradeServers(t, draw, t.Magnitude, 0) }},
-		"failing nodes":  {description: "a share fails a part (size) of its requests at once for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error { return r.degradeServers(t, draw, 1, t.Magnitude) }},
-		"standing nodes": {description: "a share stands still for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error { return r.degradeServers(t, draw, math.Inf(1), 0) }},
-		"silent nodes": {description: "a share is cut off from all agents for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error {
-			return r.partitionServers(t, -1, sampleShare(draw, r.emulator.ServerIDs(-1), t.Share))
-		}},
-		"kill nodes": {description: "a share ends at one moment; cold successors start after back", inject: func(r *armRun, t Fault, draw *rand.Rand) error {
-			r.emulator.KillServers(t.RestartDelay, sampleShare(draw, r.emulator.ServerIDs(-1), t.Share)...)
+var faultKinds = map[string]faultKind{
+	faultKillAgents: {
+		description: "SIGKILL to a share at the same moment; they start again after back",
+		inject:      (*armRun).killAgents,
+	},
+	faultRestartAgents: {
+		description: "SIGTERM and a start, a batch of a share at a time, spread over for",
+		inject:      (*armRun).restartAgents,
+	},
+	faultPauseAgents: {
+		description: "SIGSTOP for a share, SIGCONT after for",
+		inject:      (*armRun).pauseAgents,
+	},
+	faultPartitionAgents: {
+		description: "a share is partitioned from all other agents for a time; needs arms with a fleet",
+		inject:      (*armRun).partitionAgents,
+	},
+	faultMessageLoss: {
+		description: "a part (size) of the messages between agents is lost for a time",
+		inject:      (*armRun).loseMessages,
+	},
+	faultSlowServers: {
+		description: "a share is size times slower for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, fault.Magnitude, 0)
+		},
+	},
+	faultFailingServers: {
+		description: "a share fails a part (size) of its requests at once for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, 1, fault.Magnitude)
+		},
+	},
+	faultHungServers: {
+		description: "a share computes nothing for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, math.Inf(1), 0)
+		},
+	},
+	faultPartitionServers: {
+		description: "a share is partitioned from all agents for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.partitionServers(fault, allZones, sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share))
+		},
+	},
+	faultKillServers: {
+		description: "a share ends at the same moment; successors start after back, with slow start",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+			r.emulator.KillServers(fault.RestartAfter, ids...)
 			return nil
-		}},
-		"release": {description: "a share is drained (for drain) and replaced by cold nodes, a batch of it at a time, spread over for", inject: (*armRun).replaceServers},
-		"zone lost": {needsZone: true, description: "a zone's nodes fall silent for a time, then come back as cold ones", inject: func(r *armRun, t Fault, draw *rand.Rand) error {
-			ids := r.emulator.ServerIDs(r.zoneIndex(t.Zone))
-			err := r.partitionServers(t, -1, ids)
+		},
+	},
+	faultReplaceServers: {
+		description: "a share is drained (for drain) and replaced by servers in slow start, a batch of it at a time," +
+			" spread over for",
+		inject: (*armRun).replaceServers,
+	},
+	faultZoneFailure: {
+		description: "a zone's servers are partitioned for a time, then replaced by servers in slow start",
+		needsZone:   true,
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
+			ids := r.emulator.ServerIDs(r.zoneIndex(fault.Zone))
+			err := r.partitionServers(fault, allZones, ids)
 			r.emulator.KillServers(0, ids...)
 			return err
-		}},
-		"zone cut": {needsZone: true, description: "a zone's nodes are cut off from the agents of other zones for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error {
-			return r.partitionServers(t, r.zoneIndex(t.Zone), r.emulator.ServerIDs(r.zoneIndex(t.Zone)))
-		}},
-		"burst": {description: "traffic is size times as much for a time", trafficChange: func(t Fault) emulator.TrafficChange {
-			return emulator.TrafficChange{From: t.At, To: t.At + t.Duration, RateFactor: t.Magnitude}
-		}},
-		"hot key": {description: "a share of the requests has one key for a time", trafficChange: func(t Fault) emulator.TrafficChange {
-			return emulator.TrafficChange{From: t.At, To: t.At + t.Duration, RateFactor: 1, HotKeyShare: t.Share}
-		}},
-		"list down": {description: "discovery is silent for a time", inject: func(r *armRun, t Fault, draw *rand.Rand) error {
+		},
+	},
+	faultZonePartition: {
+		description: "a zone's servers are partitioned from the agents of other zones for a time",
+		needsZone:   true,
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
+			zone := r.zoneIndex(fault.Zone)
+			return r.partitionServers(fault, zone, r.emulator.ServerIDs(zone))
+		},
+	},
+	faultBurst: {
+		description: "traffic is size times as much for a time",
+		trafficChange: func(fault Fault) emulator.TrafficChange {
+			return emulator.TrafficChange{From: fault.At, To: fault.At + fault.Duration, RateFactor: fault.Magnitude}
+		},
+	},
+	faultHotKey: {
+		description: "a share of the requests has the same key for a time",
+		trafficChange: func(fault Fault) emulator.TrafficChange {
+			return emulator.TrafficChange{
+				From:        fault.At,
+				To:          fault.At + fault.Duration,
+				RateFactor:  1,
+				HotKeyShare: fault.Share,
+			}
+		},
+	},
+	faultDiscoveryOutage: {
+		description: "discovery does not answer for a time",
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
 			r.emulator.SetDiscoveryUnavailable(true)
-			r.wait(t.Duration)
+			r.wait(fault.Duration)
 			r.emulator.SetDiscoveryUnavailable(false)
 			return nil
-		}},
-	}
+		},
+	},
 }
 
-// hold waits, at the most until the run ends.
-func (r *armRun) wait(d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-r.finished:
+// FaultDescriptions returns, for each kind of fault, how it uses the keys of a scenario.
+func FaultDescriptions() map[string]string {
+	descriptions := map[string]string{}
+	for name, kind := range faultKinds {
+		descriptions[name] = kind.description
 	}
+	return descriptions
 }
 
+// FaultKinds returns the kinds of faults in alphabetical order.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
+
+// zoneIndex returns the index of a zone.
 func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
 
-func (r *armRun) degradeServers(t Fault, draw *rand.Rand, slow, fails float64) error {
-	ids := sampleShare(draw, r.emulator.ServerIDs(-1), t.Share)
-	r.emulator.SetServerFault(max(1, slow), fails, ids...)
-	r.wait(t.Duration)
+// degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
+func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
+	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	r.emulator.SetServerFault(max(1, slowFactor), failureRate, ids...)
+	r.wait(fault.Duration)
 	r.emulator.SetServerFault(1, 0, ids...)
 	return nil
 }
 
-func (r *armRun) partitionServers(t Fault, but int, ids []string) error {
-	r.emulator.PartitionServers(true, but, ids...)
-	r.wait(t.Duration)
-	r.emulator.PartitionServers(false, but, ids...)
+// partitionServers partitions servers from the agents of all zones except one.
+func (r *armRun) partitionServers(fault Fault, exceptZone int, ids []string) error {
+	r.emulator.PartitionServers(true, exceptZone, ids...)
+	r.wait(fault.Duration)
+	r.emulator.PartitionServers(false, exceptZone, ids...)
 	return nil
 }
 
-func (r *armRun) replaceServers(t Fault, draw *rand.Rand) error {
-	ids := sampleShare(draw, r.emulator.ServerIDs(-1), t.Share)
-	size := max(1, int(t.Batch*float64(len(ids))+0.5))
-	pause := t.Duration / time.Duration((len(ids)+size-1)/size)
-	for part := range slices.Chunk(ids, size) {
-		if err := r.emulator.ReplaceServers(t.DrainTime, part...); err != nil {
+// replaceServers replaces a share of the servers, a batch at a time.
+func (r *armRun) replaceServers(fault Fault, random *rand.Rand) error {
+	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	size, interval := batches(fault, len(ids))
+	for batch := range slices.Chunk(ids, size) {
+		if err := r.emulator.ReplaceServers(fault.DrainTime, batch...); err != nil {
 			return err
 		}
-		r.wait(pause)
+		r.wait(interval)
 	}
 	return nil
 }
 
-// some draws a share of what is there, one at least.
-func sampleShare(draw *rand.Rand, names []string, share float64) []string {
+// batches returns the size of a fault's batches and the time from one to the next.
+func batches(fault Fault, count int) (size int, interval time.Duration) {
+	size = max(1, int(fault.Batch*float64(count)+0.5))
+	number := (count + size - 1) / size
+	return size, fault.Duration / time.Duration(number)
+}
+
+// sampleShare draws a share of names, at least one.
+func sampleShare(random *rand.Rand, names []string, share float64) []string {
 	names = slices.Clone(names)
-	draw.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names[:min(len(names), max(1, int(share*float64(len(names))+0.5)))]
 }
 
-func (r *armRun) killAgents(t Fault, draw *rand.Rand) error {
-	names := sampleShare(draw, r.agentNames, t.Share)
-	for _, n := range names {
-		r.emulator.AgentStopped(n)
+// killAgents kills a share of the agents and starts them again after a time.
+func (r *armRun) killAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	for _, name := range names {
+		r.emulator.AgentStopped(name)
 	}
-	if err := processtest.Each(names, r.processes.Kill); err != nil {
+	if err := processtest.Each(names, r.procs.Kill); err != nil {
 		return err
 	}
-	r.wait(t.RestartDelay)
-	return processtest.Each(names, r.startAgent)
+	r.wait(fault.RestartAfter)
+	return processtest.Each(names, r.start)
 }
 
-func (r *armRun) restartAgents(t Fault, draw *rand.Rand) error {
-	names := sampleShare(draw, r.agentNames, t.Share)
-	size := max(1, int(t.Batch*float64(len(names))+0.5))
-	pause := t.Duration / time.Duration((len(names)+size-1)/size)
+// restartAgents terminates and starts a share of the agents, a batch at a time.
+func (r *armRun) restartAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	size, interval := batches(fault, len(names))
 	for part := range slices.Chunk(names, size) {
 		began := time.Now()
-		if err := processtest.Each(part, func(n string) error { return errors.Join(r.processes.Term(n), r.startAgent(n)) }); err != nil {
+		if err := processtest.Each(part, func(n string) error { return errors.Join(r.procs.Term(n), r.start(n)) }); err != nil {
 			return err
 		}
-		r.wait(pause - time.Since(began))
+		r.wait(interval - time.Since(began))
 	}
 	return nil
 }
 
-func (r *armRun) pauseAgents(t Fault, draw *rand.Rand) error {
-	names := sampleShare(draw, r.agentNames, t.Share)
-	if err := processtest.Each(names, r.processes.Pause); err != nil {
+// pauseAgents stops the processes of a share of the agents for a time.
+func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	if err := processtest.Each(names, r.procs.Pause); err != nil {
 		return err
 	}
-	r.wait(t.Duration)
-	return processtest.Each(names, r.processes.Resume)
+	r.wait(fault.Duration)
+	return processtest.Each(names, r.procs.Resume)
 }
 
-func (r *armRun) partitionAgents(t Fault, draw *rand.Rand) error {
-	if r.network == nil {
-		return nil // agents that do not talk are deaf anyway
+// partitionAgents partitions each of a share of the agents from all others for a time.
+func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
+	if r.board == nil {
+		return nil // the agents have no connections anyway
 	}
+	isolated := sampleShare(random, r.names, fault.Share)
 	var groups [][]string
-	deaf := sampleShare(draw, r.agentNames, t.Share)
-	for _, n := range deaf {
-		groups = append(groups, []string{n})
+	for _, name := range isolated {
+		groups = append(groups, []string{name})
 	}
-	rest := slices.DeleteFunc(slices.Clone(r.agentNames), func(n string) bool { return slices.Contains(deaf, n) })
-	r.network.Partition("deaf", append(groups, rest)...)
-	r.wait(t.Duration)
-	r.network.Heal("deaf")
+	rest := slices.DeleteFunc(slices.Clone(r.names), func(n string) bool { return slices.Contains(isolated, n) })
+	r.board.Partition(agentPartition, append(groups, rest)...)
+	r.wait(fault.Duration)
+	r.board.Heal(agentPartition)
 	return nil
 }
 
-func (r *armRun) loseMessages(t Fault, _ *rand.Rand) error {
-	if r.network == nil {
+// loseMessages drops a part of the messages between agents for a time.
+func (r *armRun) loseMessages(fault Fault, _ *rand.Rand) error {
+	if r.board == nil {
 		return nil
 	}
-	r.network.SetAll(faultproxy.Rule{Loss: t.Magnitude})
-	r.wait(t.Duration)
-	r.network.SetAll(faultproxy.Rule{})
+	r.board.SetAll(faultproxy.Rule{Loss: fault.Magnitude})
+	r.wait(fault.Duration)
+	r.board.SetAll(faultproxy.Rule{})
 	return nil
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -13,68 +13,36 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// Plot draws the records that count into a directory and gives the files' paths: service by
-// second (the part of the worth asked for that is served in time, mean over the seeds of each
-// arm), for each arm the share of its cold bound that each node started in the run met, and the
-// least view of those agents that were asked, by second.
-// Format is a file ending that gonum/plot knows, such as "svg" or "png".
-func Plot(recs []*Record, dir, format string) (files []string, err error) {
-	arms := Arms(recs)
-	service := plot.New()
-	service.Title.Text = "service by second"
-	service.X.Label.Text, service.Y.Label.Text = "second", "worth served in time, of what was asked"
-	service.Y.Min, service.Y.Max = 0, 1
-	cold := plot.New()
-	cold.Title.Text = "most load of cold nodes against their bound (1: falls over)"
-	cold.X.Label.Text, cold.Y.Label.Text = "node, by its load", "of its bound"
-	views := plot.New()
-	views.Title.Text = "least view of the agents that were asked"
-	views.X.Label.Text, views.Y.Label.Text = "second", "agents seen"
-	for i, arm := range arms {
-		if err := addViews(views, i, arm, recs); err != nil {
-			return nil, err
-		}
-		var lines, points plotter.XYs
-		sums := map[int]emulator.SecondTotals{}
-		var colds []float64
-		for _, r := range recs {
-			if r.Arm != arm || !r.Valid {
-				continue
-			}
-			for s, sec := range r.Result.Seconds {
-				sum := sums[s]
-				sum.Requested += sec.Requested
-				sum.InTime += sec.InTime
-				sums[s] = sum
-			}
-			for _, n := range r.Result.Servers {
-				if n.SlowStartLoad > 0 {
-					colds = append(colds, n.SlowStartLoad)
-				}
-			}
-		}
-		for s := range len(sums) {
-			if sums[s].Requested > 0 {
-				lines = append(lines, plotter.XY{X: float64(s), Y: sums[s].InTime / sums[s].Requested})
-			}
-		}
-		for n, c := range slices.Sorted(slices.Values(colds)) {
-			points = append(points, plotter.XY{X: float64(n), Y: c})
-		}
-		if len(lines) > 0 {
-			if err := addLine(service, i, arm, lines); err != nil {
-				return nil, err
-			}
-		}
-		if len(points) > 0 {
-			if err := addLine(cold, i, arm, points); err != nil {
+// The size of a plot.
+const (
+	plotWidth  = 18 * vg.Centimeter
+	plotHeight = 9 * vg.Centimeter
+)
+
+// chart is one of the plots: a line for each arm.
+type chart struct {
+	name   string // of the file, without its ending
+	plot   *plot.Plot
+	points func(runs []*Record) plotter.XYs
+}
+
+// Plot draws the valid records into a directory and returns the paths of its files: service by second (the part of
+// the requested value that was served in time, mean over the seeds of each arm); for each arm the highest load in
+// slow start of each server, as a fraction of the overload limit; and the least view of the sampled agents by second.
+// The format is a file ending that gonum/plot knows, such as "svg" or "png".
+func Plot(records []*Record, directory, format string) (files []string, err error) {
+	charts := []chart{serviceChart(), slowStartChart(), viewsChart()}
+	for i, arm := range Arms(records) {
+		runs := validOf(records, arm)
+		for _, c := range charts {
+			if err := addLine(c.plot, i, arm, c.points(runs)); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for name, p := range map[string]*plot.Plot{"service": service, "cold": cold, "views": views} {
-		path := filepath.Join(dir, name+"."+format)
-		if err := p.Save(18*vg.Centimeter, 9*vg.Centimeter, path); err != nil {
+	for _, c := range charts {
+		path := filepath.Join(directory, c.name+"."+format)
+		if err := c.plot.Save(plotWidth, plotHeight, path); err != nil {
 			return files, fmt.Errorf("%s: %w", path, err)
 		}
 		files = append(files, path)
@@ -82,33 +50,99 @@
 	return files, nil
 }
 
-// addViews draws, for each second, the mean over an arm's runs of the least view.
-func addViews(p *plot.Plot, i int, arm string, recs []*Record) error {
-	sums := map[int][2]float64{}
-	for _, r := range recs {
-		if r.Arm != arm || !r.Valid {
-			continue
+func serviceChart() chart {
+	p := plot.New()
+	p.Title.Text = "service by second"
+	p.X.Label.Text = "second"
+	p.Y.Label.Text = "value served in time, of the requested"
+	p.Y.Min = 0
+	p.Y.Max = 1
+	return chart{name: "service", plot: p, points: servicePoints}
+}
+
+func slowStartChart() chart {
+	p := plot.New()
+	p.Title.Text = "highest load in slow start, of the overload limit (1: fails)"
+	p.X.Label.Text = "server, by its load"
+	p.Y.Label.Text = "of the limit"
+	return chart{name: "cold", plot: p, points: slowStartPoints}
+}
+
+func viewsChart() chart {
+	p := plot.New()
+	p.Title.Text = "least view of the sampled agents"
+	p.X.Label.Text = "second"
+	p.Y.Label.Text = "agents seen"
+	return chart{name: "views", plot: p, points: viewPoints}
+}
+
+// servicePoints returns, for each second, the part of the requested value that was served in time in all runs.
+func servicePoints(runs []*Record) (points plotter.XYs) {
+	var totals []emulator.SecondTotals
+	for _, run := range runs {
+		for i, second := range run.Result.Seconds {
+			if i == len(totals) {
+				totals = append(totals, emulator.SecondTotals{})
+			}
+			totals[i].Requested += second.Requested
+			totals[i].InTime += second.InTime
 		}
-		for s, v := range r.Views {
-			sums[s] = [2]float64{sums[s][0] + float64(v[0]), sums[s][1] + 1}
+	}
+	for i, total := range totals {
+		if total.Requested > 0 {
+			points = append(points, plotter.XY{X: float64(i), Y: total.InTime / total.Requested})
+		}
+	}
+	return points
+}
+
+// slowStartPoints returns the loads of the servers in slow start in ascending order.
+func slowStartPoints(runs []*Record) (points plotter.XYs) {
+	var loads []float64
+	for _, run := range runs {
+		for _, server := range run.Result.Servers {
+			if server.SlowStartLoad > 0 {
+				loads = append(loads, server.SlowStartLoad)
+			}
 		}
 	}
-	var xys plotter.XYs
-	for s := range len(sums) {
-		xys = append(xys, plotter.XY{X: float64(s), Y: sums[s][0] / sums[s][1]})
+	slices.Sort(loads)
+	for i, load := range loads {
+		points = append(points, plotter.XY{X: float64(i), Y: load})
 	}
-	if len(xys) == 0 {
-		return nil
+	return points
+}
+
+// viewPoints returns, for each second, the mean over the runs of the least view.
+func viewPoints(runs []*Record) (points plotter.XYs) {
+	var sums, counts []float64
+	for _, run := range runs {
+		for i, view := range run.Views {
+			if i == len(sums) {
+				sums = append(sums, 0)
+				counts = append(counts, 0)
+			}
+			sums[i] += float64(view[0])
+			counts[i]++
+		}
+	}
+	for i := range sums {
+		points = append(points, plotter.XY{X: float64(i), Y: sums[i] / counts[i]})
 	}
-	return addLine(p, i, arm, xys)
+	return points
 }
 
-func addLine(p *plot.Plot, i int, name string, xys plotter.XYs) error {
-	line, err := plotter.NewLine(xys)
+// addLine adds a line with a color and a pattern of its own; without points there is none.
+func addLine(p *plot.Plot, index int, name string, points plotter.XYs) error {
+	if len(points) == 0 {
+		return nil
+	}
+	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
+	line.Color = plotutil.Color(index)
+	line.Dashes = plotutil.Dashes(index)
 	p.Add(line)
 	p.Legend.Add(name, line)
 	return nil
--- /dev/null
+++ b/internal/experiment/queue_check.go
@@ -0,0 +1,125 @@
+package experiment
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"fernbeam.example/fernbeam/internal/emulator"
+)
+
+// queueCheckParallelism bounds how many seeds are measured at the same time; none takes more than a part of a
+// processor.
+const queueCheckParallelism = 6
+
+// unlimitedCores is the number of cores of a server in which no request waits.
+const unlimitedCores = 1000
+
+// QueueCheck compares the emulator with queueing theory: an M/G/k queue, made of one server with k cores and an
+// unbounded queue, which the clients call without an agent.
+type QueueCheck struct {
+	Cores       int
+	Load        float64 // of each core
+	MeanService time.Duration
+	ServiceCV   float64 // coefficient of variation of the service time
+}
+
+// QueueChecks are the comparisons in docs/LAB.md.
+var QueueChecks = []QueueCheck{
+	{Cores: 1, Load: 0.5, MeanService: 20 * time.Millisecond, ServiceCV: 0},
+	{Cores: 1, Load: 0.7, MeanService: 20 * time.Millisecond, ServiceCV: 1},
+	{Cores: 2, Load: 0.6, MeanService: 30 * time.Millisecond, ServiceCV: 0.5},
+	{Cores: 4, Load: 0.7, MeanService: 30 * time.Millisecond, ServiceCV: 1},
+}
+
+// Run measures on some seeds, from the first one on, in real time on sockets. It writes, as a row of a Markdown
+// table, the mean wait by theory and the 95 % interval of the measured one, both in ms. The error is a theoretical
+// value outside of the interval.
+func (q QueueCheck) Run(out io.Writer, first uint64, seeds int, length time.Duration) error {
+	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * 1000
+	waits := make([]float64, seeds)
+	var group errgroup.Group
+	group.SetLimit(queueCheckParallelism)
+	for seed := range seeds {
+		group.Go(func() (err error) {
+			waits[seed], err = q.measureWait(first+uint64(seed), length)
+			return err
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return err
+	}
+	mean, halfWidth := confidenceInterval(waits)
+	agrees := math.Abs(mean-theory) <= halfWidth
+	verdict := "agrees"
+	if !agrees {
+		verdict = "DIFFERS"
+	}
+	_, err := fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n",
+		q.Cores, q.Load, q.MeanService, q.ServiceCV, theory, mean, halfWidth, verdict)
+	if err != nil {
+		return err
+	}
+	if !agrees {
+		return fmt.Errorf("M/G/%d at load %g: a mean wait of %.2f ms, where theory has %.2f ms",
+			q.Cores, q.Load, mean, theory)
+	}
+	return nil
+}
+
+// measureWait returns the mean wait on a seed, in ms: the difference in sojourn time to a server with a core for each
+// request and the same calls, so that the cost of sockets and timers cancels out.
+func (q QueueCheck) measureWait(seed uint64, length time.Duration) (float64, error) {
+	var queued, unqueued float64
+	var group errgroup.Group
+	group.Go(func() (err error) {
+		queued, err = q.measureSojourn(seed, q.Cores, length)
+		return err
+	})
+	group.Go(func() (err error) {
+		unqueued, err = q.measureSojourn(seed, unlimitedCores, length)
+		return err
+	})
+	err := group.Wait()
+	return queued - unqueued, err
+}
+
+// measureSojourn returns the mean sojourn time, in ms, in a server with so many cores.
+func (q QueueCheck) measureSojourn(seed uint64, cores int, length time.Duration) (float64, error) {
+	e, err := emulator.New(emulator.Config{
+		Seed:        seed,
+		Zones:       []string{"z"},
+		Agents:      []emulator.Agent{{Name: "a", Share: 1}},
+		Servers:     1,
+		CellSize:    1,
+		Models:      []emulator.Model{{Kind: "k", Cores: cores, Speed: 1, Slots: cores, Queue: math.MaxInt}},
+		ModelShares: []float64{1},
+		Classes: []emulator.Class{{
+			Name:             "c",
+			Share:            1,
+			Work:             q.MeanService,
+			WorkCV:           q.ServiceCV,
+			LatencyObjective: time.Minute,
+			TotalTimeout:     time.Minute,
+			PriorityWeight:   1,
+			Idempotency:      emulator.Idempotent,
+		}},
+		Rate:                q.Load * float64(q.Cores) / q.MeanService.Seconds(),
+		Keys:                1,
+		RequestTimeoutShare: 1,
+		KeepAlive:           time.Minute,
+		Direct:              true,
+	})
+	if err != nil {
+		return 0, err
+	}
+	defer e.Close()
+	result := e.Run(length)
+	if len(result.Errors) > 0 {
+		return 0, fmt.Errorf("the harness failed: %v", result.Errors)
+	}
+	return result.Metrics[emulator.MetricMeanSojourn], nil
+}
--- /dev/null
+++ b/internal/experiment/views.go
@@ -0,0 +1,69 @@
+package experiment
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/emulator"
+	"fernbeam.example/fernbeam/internal/membership"
+)
+
+const (
+	// sampledAgents is how many agents are asked for their views each second.
+	sampledAgents = 8
+	// viewTimeout bounds a call for an agent's view.
+	viewTimeout = 200 * time.Millisecond
+	// viewQuery asks for the numbers alone: no members, and no changes, as none has a number so high.
+	viewQuery = "members=none&since=4611686018427387904"
+)
+
+// sampleViews asks some agents each second how many agents they see, until the traffic has ended, and returns the
+// least and the greatest number of each second.
+func (r *armRun) sampleViews(ctx context.Context) (views [][2]int) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			views = append(views, r.sampleView(ctx))
+		case <-r.finished:
+			return views
+		}
+	}
+}
+
+// sampleView returns the least and the greatest number of agents that the sampled agents see; agents that are down or
+// paused do not count.
+func (r *armRun) sampleView(ctx context.Context) (view [2]int) {
+	for i := range min(sampledAgents, len(r.names)) {
+		name := r.names[i*len(r.names)/sampledAgents%len(r.names)]
+		seen := r.agentsSeen(ctx, name)
+		if seen == 0 {
+			continue
+		}
+		if view[0] == 0 || seen < view[0] {
+			view[0] = seen
+		}
+		view[1] = max(view[1], seen)
+	}
+	return view
+}
+
+// agentsSeen returns how many agents an agent sees; 0: it does not answer.
+func (r *armRun) agentsSeen(ctx context.Context, name string) int {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
+	defer cancel()
+	status, err := membership.Ask(ctx, r.emulator.Address(r.agentIndex[name], emulator.AdminPort), viewQuery)
+	if err != nil {
+		return 0
+	}
+	return status.Present
+}
+
+// membershipComplete tells, after a pause, whether every agent sees all agents.
+func (r *armRun) membershipComplete(ctx context.Context) bool {
+	time.Sleep(100 * time.Millisecond)
+	incomplete := func(name string) bool { return r.agentsSeen(ctx, name) != len(r.names) }
+	return !slices.ContainsFunc(r.names, incomplete)
+}
