--- /dev/null
+++ b/internal/experiment/run_test.go
@@ -0,0 +1,146 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// faultScenario is a small scenario with the faults that are hardest on the harness: agents that are killed with
+// requests in flight, terminated, and paused; servers that are replaced, partitioned, and partitioned from one zone;
+// and discovery that is unavailable. It ends while requests are open.
+const faultScenario = `
+name = "hard"
+length = "6s"
+[fleet]
+agents = 8
+nodes = 6
+pod = 3
+list_delay = ["100ms", "400ms"]
+[traffic]
+load = 0.4
+[[trouble]]
+at = "1s"
+kind = "kill agents"
+share = 0.25
+back = "300ms"
+[[trouble]]
+at = "1500ms"
+kind = "release"
+share = 0.4
+batch = 0.5
+drain = "1s"
+for = "2s"
+[[trouble]]
+at = "2s"
+kind = "list down"
+for = "1s"
+[[trouble]]
+at = "3s"
+kind = "pause agents"
+share = 0.25
+for = "900ms"
+[[trouble]]
+at = "4s"
+kind = "zone cut"
+zone = "quito-sur"
+for = "800ms"
+[[trouble]]
+at = "4500ms"
+kind = "restart agents"
+share = 0.25
+batch = 0.5
+for = "1s"
+[[trouble]]
+at = "5800ms"
+kind = "silent nodes"
+share = 0.2
+for = "500ms"
+[[arm]]
+name = "off"
+[[arm]]
+name = "fleet"
+fleet = true
+`
+
+// TestFaultScenarioBreaksNoRule runs the scenario with both arms twice at the same time: no operating rule is broken,
+// every restarted agent serves, and both arms got the same calls. It judges no times: on a busy machine a run may be
+// not valid.
+func TestFaultScenarioBreaksNoRule(t *testing.T) {
+	binary := buildAgent(t)
+	for seed := uint64(1); seed <= 2; seed++ {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			records := runFaultScenario(t, binary, seed)
+			for _, record := range records {
+				checkServes(t, record)
+				checkViews(t, record)
+			}
+			if paths, err := Plot(records, t.TempDir(), "svg"); err != nil || len(paths) != 3 {
+				t.Errorf("plots: %v, %v", paths, err)
+			}
+			calls := func(r *Record) float64 { return r.Result.Metrics["requests"] }
+			if a, b := calls(records[0]), calls(records[1]); a != b {
+				t.Errorf("one arm got %v calls, the other %v", a, b)
+			}
+		})
+	}
+}
+
+// buildAgent builds the agent and returns its path.
+func buildAgent(t *testing.T) string {
+	t.Helper()
+	binary := filepath.Join(t.TempDir(), "agent")
+	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/agent").CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	return binary
+}
+
+// runFaultScenario runs faultScenario on a seed and returns the records of its arms.
+func runFaultScenario(t *testing.T, binary string, seed uint64) (records []*Record) {
+	t.Helper()
+	scenario, err := Parse("hard.toml", faultScenario)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scenario.Seed = seed
+	err = Run(context.Background(), Config{
+		Scenario: scenario,
+		Binary:   binary,
+		Dir:      t.TempDir(),
+		Done: func(r *Record) error {
+			records = append(records, r)
+			return nil
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return records
+}
+
+// checkServes checks that a run has no violations, and that its agents ran and served.
+func checkServes(t *testing.T, record *Record) {
+	t.Helper()
+	for _, violation := range record.Result.Violations {
+		t.Errorf("arm %q: %v", record.Arm, violation)
+	}
+	metrics := record.Result.Metrics
+	served := metrics["in time"] + metrics["late"]
+	if record.AgentError != "" || served < 0.2 || record.Result.Attempts == 0 {
+		t.Errorf("arm %q: %q, metrics %v", record.Arm, record.AgentError, metrics)
+	}
+}
+
+// checkViews checks that all agents saw all others at some time in the arm with a membership section, and only there.
+func checkViews(t *testing.T, record *Record) {
+	t.Helper()
+	complete := func(view [2]int) bool { return view == [2]int{8, 8} }
+	if slices.ContainsFunc(record.Views, complete) != (record.Arm == "fleet") {
+		t.Errorf("arm %q: views %v", record.Arm, record.Views)
+	}
+}
--- /dev/null
+++ b/internal/experiment/scenario_test.go
@@ -0,0 +1,80 @@
+package experiment
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestInvalidScenariosNameTheirLine(t *testing.T) {
+	for _, test := range []struct{ name, text, want string }{
+		{"unknown key", "length = \"1s\"\nlenght = 3", "s.toml:2: unknown key \"lenght\""},
+		{"no duration", "length = \"long\"", "s.toml:1"},
+		{"no agents", "[fleet]\n\nagents = 0", "s.toml:3: fleet.agents"},
+		{"unknown fault", "[[trouble]]\nat = \"1s\"\nkind = \"flood\"", "s.toml:3: trouble.kind"},
+		{"unknown zone", "[[trouble]]\nkind = \"zone cut\"\nzone = \"z\"", "s.toml:3: trouble.zone"},
+		{"arms of the same name", "[[arm]]\nname = \"a\"\n[[arm]]\nname = \"a\"", "s.toml:2: arm.name"},
+		{"wrong type", "[fleet]\nagents = \"x\"", "s.toml:2: fleet.agents: "},
+		{"out of range", "[traffic]\nload = 0.5\nuneven = 1.5", "s.toml:3: traffic.uneven"},
+		{
+			"unknown key of an arm",
+			"[[arm]]\nname = \"a\"\nflet = true\n[arm.config.limits]\ncores = 1",
+			"s.toml:3: unknown key \"arm.flet\"",
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := Parse("s.toml", test.text); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%q: %v, should name %s", test.text, err, test.want)
+			}
+		})
+	}
+}
+
+func TestGeneratedScenariosCanBeRead(t *testing.T) {
+	for _, kind := range ScenarioKinds() {
+		t.Run(kind, func(t *testing.T) {
+			var text bytes.Buffer
+			if err := Generate(&text, kind, 3, 8, 6, 10*time.Second); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := Parse(kind, text.String()); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+func TestScenarioWithModelsAndClasses(t *testing.T) {
+	s, err := Parse("s.toml", `
+[[model]]
+share = 1
+kind = "k"
+cores = 4
+[model.choke]
+over = "2s"
+[[class]]
+name = "c"
+give_up = "3s"
+`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	model := s.Models[0]
+	if model.Share != 1 || model.Cores != 4 || model.Congestion.OnsetTime != 2*time.Second {
+		t.Errorf("model: %+v", model)
+	}
+	if s.Classes[0].TotalTimeout != 3*time.Second {
+		t.Errorf("class: %+v", s.Classes[0])
+	}
+}
+
+func TestScenarioForALargerMachineIsRefused(t *testing.T) {
+	s, err := Parse("s.toml", "[fleet]\nagents = 50000\nnodes = 3000")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.checkMachine(); err == nil || !strings.Contains(err.Error(), "take some") {
+		t.Errorf("error: %v", err)
+	}
+}
