--- /dev/null
+++ b/cmd/experiment/run.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"fernbeam.example/fernbeam/internal/experiment"
+)
+
+// runOptions are the flags of the command run.
+type runOptions struct {
+	binary string
+	record string
+	logs   string
+}
+
+func runCmd() *cobra.Command {
+	var options runOptions
+	cmd := &cobra.Command{
+		Use:   "run FILE.toml",
+		Short: "run a scenario: each arm on each seed, in turn",
+		Long: "Runs a scenario, adds each run to the record, and prints the report. Times in a scenario are such as\n" +
+			"\"300ms\"; \"experiment draw\" prints complete scenarios. The faults:\n\n" + faultsHelp(),
+		Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return runScenario(cmd, args[0], options) },
+	}
+	cmd.Flags().StringVar(&options.binary, "binary", "bin/agent", "the built agent, for arms without a commit")
+	cmd.Flags().StringVar(&options.record, "record", "experiment.jsonl", "file to which each run is added")
+	cmd.Flags().StringVar(&options.logs, "logs", "", "directory in which the agents' logs are kept; default: none are")
+	return cmd
+}
+
+// faultsHelp lists the kinds of faults with their descriptions.
+func faultsHelp() string {
+	var text strings.Builder
+	descriptions := experiment.FaultDescriptions()
+	for _, kind := range experiment.FaultKinds() {
+		fmt.Fprintf(&text, "  %-16s %s\n", kind, descriptions[kind])
+	}
+	return text.String()
+}
+
+// runScenario runs a scenario from a file, records its runs and prints the report of those that ended.
+func runScenario(cmd *cobra.Command, path string, options runOptions) (err error) {
+	scenario, err := experiment.Load(path)
+	if err != nil {
+		return err
+	}
+	file, err := openAppend(options.record)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	dir, err := os.MkdirTemp(options.logs, "experiment")
+	if err != nil {
+		return err
+	}
+	if options.logs == "" {
+		defer func() { _ = os.RemoveAll(dir) }() // what stays in the temporary directory does no harm
+	}
+	var records []*experiment.Record
+	err = experiment.Run(cmd.Context(), experiment.Config{
+		Scenario:   scenario,
+		Binary:     options.binary,
+		Repository: checkout(),
+		Dir:        dir,
+		Progress:   progress(),
+		Done: func(record *experiment.Record) error {
+			records = append(records, record)
+			return record.Write(file)
+		},
+	})
+	if len(records) == 0 {
+		return err
+	}
+	return errors.Join(err, experiment.Report(cmd.OutOrStdout(), records))
+}
