--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -110,7 +110,7 @@
 		return RequestFailed, false // the response began, but is incomplete
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // the error of the read tells all
+	_ = response.Body.Close() // the read has the error that matters
 	if err != nil {
 		return RequestFailed, false
 	}
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -22,7 +22,7 @@
 	membershipSite = "lab"
 )
 
-// memberAddress is where an agent listens for other agents, and the address that it tells them.
+// memberAddress is where an agent listens for other agents, and the address that it advertises to them.
 type memberAddress struct{ bind, advertise string }
 
 // prepareAgents writes the agents' configurations.
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// sampledAgents is how many agents are asked for their views each second.
+	// sampledAgents is how many agents are queried for their views each second.
 	sampledAgents = 8
 	// viewTimeout bounds a call for an agent's view.
 	viewTimeout = 200 * time.Millisecond
@@ -18,8 +18,8 @@
 	viewQuery = "members=none&since=4611686018427387904"
 )
 
-// sampleViews asks some agents each second how many agents they see, until the traffic has ended, and returns the
-// least and the greatest number of each second.
+// sampleViews queries some agents each second for the number of agents they see, until the traffic has ended. It
+// returns the least and the greatest number of each second.
 func (r *armRun) sampleViews(ctx context.Context) (views [][2]int) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
