--- a/cmd/experiment/example_test.go
+++ b/cmd/experiment/example_test.go
@@ -25,7 +25,7 @@
 	}
 	scenario.Length = 2 * time.Second
 	recorded := 0
-	err = experiment.Play(t.Context(), experiment.Config{Scenario: scenario, Binary: agent, Dir: dir,
+	err = experiment.Run(t.Context(), experiment.Config{Scenario: scenario, Binary: agent, Dir: dir,
 		Done: func(*experiment.Record) error {
 			recorded++
 			return nil
--- /dev/null
+++ b/internal/emulator/emulator.go
@@ -0,0 +1,373 @@
+// Package emulator runs the surroundings of a fleet of agents on loopback sockets in real time: servers with a
+// simulated machine, the client applications that call the agents, and discovery, whose changes reach each agent
+// with a delay. Its model follows the operators' pages (BRIEF, PROTOCOL, TERMS, DEPLOY, and WIRE for the operating
+// rules); docs/LAB.md says what it leaves out.
+//
+// Its invariants: what the clients call (times, classes, keys, work) follows from the seed alone, whatever the agents
+// do; every request and every attempt is recorded and judged by the operating rules; and a run in which the emulator
+// was late or out of descriptors says so (Result.Errors, MetricTimerDelayP99).
+package emulator
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/faultproxy"
+)
+
+// The ports of an agent at its address.
+const (
+	ListenPort    = 8000
+	AdminPort     = 8001
+	DiscoveryPort = 8500
+)
+
+const (
+	serverPort = 8000
+	// serverStream is the first of the streams of random numbers for the servers' models.
+	serverStream = 1000
+	// hostsPerSubnet is how many addresses of a /24 are used, subnetsPerZone how many /24 the servers of a zone have.
+	hostsPerSubnet = 250
+	subnetsPerZone = 12
+
+	maxAgents = 60_000
+	maxZones  = 20
+	// maxErrors bounds how many errors of the harness are kept.
+	maxErrors = 20
+	// timerProbeInterval is how often the machine's timers are measured.
+	timerProbeInterval = 2 * time.Millisecond
+)
+
+// longAgo is the start time of a server that has no slow start.
+const longAgo time.Duration = -1
+
+// Agent is where an agent stands.
+type Agent struct {
+	Name  string
+	Zone  int
+	Share float64 // of the calls
+}
+
+// Config describes what is emulated.
+type Config struct {
+	Seed        uint64
+	Zones       []string
+	ZoneDelay   time.Duration // one way between two zones
+	Agents      []Agent
+	Models      []Model   // of the servers
+	ModelShares []float64 // the share of the servers that each model has
+	Servers     int
+	CellSize    int // servers of a cell
+	Classes     []Class
+	Contract    Contract
+	Rate        float64 // calls per second of all clients, without a TrafficChange
+	Keys        int     // distinct keys, of a Zipf distribution with the exponent Zipf
+	Zipf        float64
+	// Clients give a request up after RequestTimeoutShare of the class's total timeout, and retry up to Retries
+	// times, RetryDelay after the response.
+	Retries             int
+	RequestTimeoutShare float64
+	RetryDelay          time.Duration
+	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
+	ListDelay [2]time.Duration
+	KeepAlive time.Duration // how long a server keeps an idle connection
+	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
+	// is for the comparison with queueing theory.
+	Direct bool
+}
+
+// Emulator is a running emulation. Its methods are safe for concurrent use.
+type Emulator struct {
+	config             Config
+	network            byte // second byte of the agents' addresses; the servers have the next
+	networkReservation net.Listener
+	startTime          time.Time
+	meanWorkSeconds    float64 // of a standard core
+	endpoints          *endpointList
+	discoveryServers   []*http.Server
+	clients            *clients
+	trafficChanges     []TrafficChange
+	requests           sync.Map       // *liveRequest by id
+	background         sync.WaitGroup // all goroutines that end with Close
+
+	mu              sync.Mutex
+	servers         map[string]*server // the running ones
+	stoppedServers  []ServerMetrics
+	serversCreated  int
+	overloads       []SlowStartOverload
+	errors          []string
+	unknownRequests int
+	dedupKeys       map[int]map[string]time.Duration // by cell: when each idempotency key first arrived
+	stoppedAgents   map[string]bool                  // agents whose process the experiment has ended
+
+	timerMu     sync.Mutex
+	timerDelays *hdrhistogram.Histogram // in microseconds
+
+	closed   chan struct{}
+	stopped  chan struct{} // closed when the traffic ends before its time
+	stopOnce sync.Once
+}
+
+// New starts the servers and the agents' discovery addresses; no client calls before Run.
+func New(config Config) (*Emulator, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	e := &Emulator{
+		config:        config,
+		startTime:     time.Now(),
+		servers:       map[string]*server{},
+		dedupKeys:     map[int]map[string]time.Duration{},
+		stoppedAgents: map[string]bool{},
+		timerDelays:   newDelayHistogram(),
+		closed:        make(chan struct{}),
+		stopped:       make(chan struct{}),
+	}
+	var err error
+	if e.networkReservation, e.network, err = faultproxy.ReserveNetwork(); err != nil {
+		return nil, err
+	}
+	for _, class := range config.Classes {
+		e.meanWorkSeconds += class.Share * class.Work.Seconds()
+	}
+	e.clients = newClients(e)
+	e.endpoints = newEndpointList(e)
+	if err := e.startServers(); err != nil {
+		e.Close()
+		return nil, err
+	}
+	e.background.Add(1)
+	go func() {
+		defer e.background.Done()
+		e.measureTimerDelay()
+	}()
+	return e, nil
+}
+
+// startServers starts the servers and the discovery addresses of the configuration.
+func (e *Emulator) startServers() error {
+	for range e.config.Servers {
+		if _, err := e.addServer(longAgo); err != nil {
+			return err
+		}
+	}
+	for i, agent := range e.config.Agents {
+		if err := e.serveDiscovery(agent.Name, e.Address(i, DiscoveryPort)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// validate checks the configuration.
+func (c *Config) validate() error {
+	shares := 0.0
+	for _, class := range c.Classes {
+		shares += class.Share
+	}
+	switch {
+	case len(c.Zones) == 0 || len(c.Agents) == 0 || c.Servers < 1 || c.CellSize < 1:
+		return errors.New("emulator: zones, agents, servers and a cell size are needed")
+	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
+		return errors.New("emulator: a share for each model is needed")
+	case shares < 0.999 || shares > 1.001:
+		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
+	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
+		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
+	case len(c.Agents) > maxAgents || len(c.Zones) > maxZones:
+		return errors.New("emulator: more agents or zones than addresses")
+	}
+	return nil
+}
+
+// Run lets the clients call for a time and returns the result once the last call has ended.
+func (e *Emulator) Run(length time.Duration) *Result {
+	e.clients.run(length)
+	return e.result()
+}
+
+// Stop ends the traffic before its time; open calls are not retried.
+func (e *Emulator) Stop() { e.stopOnce.Do(func() { close(e.stopped) }) }
+
+func (e *Emulator) isStopped() bool {
+	select {
+	case <-e.stopped:
+		return true
+	default:
+		return false
+	}
+}
+
+// Close ends everything and waits for it.
+func (e *Emulator) Close() {
+	e.Stop()
+	close(e.closed)
+	e.endpoints.setUnavailable(false)
+	for _, s := range e.discoveryServers {
+		_ = s.Close() // an error of the listener, which is gone either way
+	}
+	e.mu.Lock()
+	servers := e.servers
+	e.servers = map[string]*server{}
+	e.mu.Unlock()
+	for _, s := range servers {
+		s.stop()
+	}
+	e.clients.close()
+	e.background.Wait()
+	_ = e.networkReservation.Close() // fails only on a closed listener
+}
+
+// Address returns the address of a port of the agent with an index.
+func (e *Emulator) Address(agentIndex, port int) string {
+	subnet := agentIndex / hostsPerSubnet
+	host := agentIndex%hostsPerSubnet + 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", e.network, subnet, host, port)
+}
+
+// serverAddress returns the address at which a server listens for the agents of a zone.
+func (e *Emulator) serverAddress(serverIndex, clientZone int) string {
+	subnet := subnetsPerZone*clientZone + serverIndex/hostsPerSubnet%subnetsPerZone
+	host := serverIndex%hostsPerSubnet + 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", e.network+1, subnet, host, serverPort)
+}
+
+// Now returns the time since the emulator's start, by the monotonic clock.
+func (e *Emulator) Now() time.Duration { return time.Since(e.startTime) }
+
+// InitialList returns the full endpoint list of an agent, for its configuration.
+func (e *Emulator) InitialList(agent string) endpoint.List { return e.endpoints.fullList(agent) }
+
+// zoneDelay returns the one-way network delay between two zones.
+func (e *Emulator) zoneDelay(a, b int) time.Duration {
+	if a == b {
+		return 0
+	}
+	return e.config.ZoneDelay
+}
+
+// addServer starts one more server. Discovery lists it at once, which reaches the agents with a delay unless the
+// server was started long ago.
+func (e *Emulator) addServer(started time.Duration) (*server, error) {
+	e.mu.Lock()
+	index := e.serversCreated
+	e.serversCreated++
+	e.mu.Unlock()
+
+	position := index % e.config.Servers // a successor has its predecessor's model, zone and cell
+	random := rand.New(rand.NewPCG(e.config.Seed, serverStream+uint64(position)))
+	model := e.config.Models[pickShare(random.Float64(), e.config.ModelShares)]
+	zone := position % len(e.config.Zones)
+	var addresses []string
+	for clientZone := range e.config.Zones {
+		addresses = append(addresses, e.serverAddress(index, clientZone))
+	}
+	entry := endpoint.Endpoint{
+		ID:     serverID(index),
+		Zone:   e.config.Zones[zone],
+		Kind:   model.Kind,
+		Cell:   position / e.config.CellSize,
+		State:  stateUp,
+		Weight: 1,
+	}
+	if started >= 0 {
+		entry.StartedMs = float64(e.startTime.Add(started).UnixMilli())
+	}
+	s, err := newServer(e, serverConfig{
+		endpoint:  entry,
+		zone:      zone,
+		model:     model,
+		started:   started,
+		addresses: addresses,
+		seed:      e.config.Seed + uint64(index),
+	})
+	if err != nil {
+		return nil, fmt.Errorf("emulator: server %d: %w", index, err)
+	}
+	e.mu.Lock()
+	e.servers[entry.ID] = s
+	e.mu.Unlock()
+	e.endpoints.publish(s, started < 0)
+	return s, nil
+}
+
+// serverID returns the id of a server; ids in a row look unrelated (multiplicative hashing with 2^32 divided by the
+// golden ratio).
+func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*2654435761)&0xffff) }
+
+// recordError notes an error of the harness itself, which makes the run invalid.
+func (e *Emulator) recordError(err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.errors) < maxErrors {
+		e.errors = append(e.errors, err.Error())
+	}
+}
+
+// recordUnknownRequest notes a request at a server that no client has sent.
+func (e *Emulator) recordUnknownRequest() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.unknownRequests++
+}
+
+// isDuplicate tells whether a cell has received a request with the same idempotency key within the class's window.
+func (e *Emulator) isDuplicate(cell int, request *liveRequest) bool {
+	if request.idempotencyKey == "" {
+		return false
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	keys := e.dedupKeys[cell]
+	if keys == nil {
+		keys = map[string]time.Duration{}
+		e.dedupKeys[cell] = keys
+	}
+	now := e.Now()
+	if at, ok := keys[request.idempotencyKey]; ok && now-at < request.class.DedupWindow {
+		return true
+	}
+	keys[request.idempotencyKey] = now
+	return false
+}
+
+// notifiedOfStart tells whether an agent has been notified of a server's start.
+func (e *Emulator) notifiedOfStart(agent, serverID string) bool {
+	return e.endpoints.notifiedOfStart(agent, serverID)
+}
+
+// measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
+func (e *Emulator) measureTimerDelay() {
+	for {
+		before := time.Now()
+		select {
+		case <-time.After(timerProbeInterval):
+			e.recordTimerDelay(time.Since(before) - timerProbeInterval)
+		case <-e.closed:
+			return
+		}
+	}
+}
+
+func (e *Emulator) recordTimerDelay(d time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	recordDelay(e.timerDelays, d)
+}
+
+// timerDelayQuantiles returns the 99th percentile of the timer delays and the longest one.
+func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	p99 = time.Duration(e.timerDelays.ValueAtQuantile(99)) * time.Microsecond
+	worst = time.Duration(e.timerDelays.Max()) * time.Microsecond
+	return p99, worst
+}
