--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -112,6 +112,8 @@
 	}
 	reloads <- changed
 	next("settings", settings, 0)
+	// The watch's fourth call begins after the hooks were called for the third change.
+	waitUntil(t, "the fourth call to discovery", func() bool { return a.Status().ListCalls >= 4 })
 	s := a.Status()
 	if s.ListVersion != 4 || s.Servers != 4 || s.ListCalls < 4 || s.ListIn < 4*100 || s.ListOut < 4*50 || s.Fleet != nil {
 		t.Errorf("status %+v", s)
