--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -69,9 +69,9 @@
 		}
 		recs = append(recs, capacity.Record{Path: path, Runs: runs})
 	}
-	var read []*capacity.Bench
+	var read []*capacity.BenchmarkFile
 	for _, path := range benches {
-		b, err := capacity.ReadBench(path)
+		b, err := capacity.ReadBenchmarkFile(path)
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := capacity.Replace(string(old), string(tables))
+	text, err := capacity.ReplaceTables(string(old), string(tables))
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
--- a/cmd/experiment/capacity_test.go
+++ b/cmd/experiment/capacity_test.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rest, found := strings.Cut(string(page), capacity.Begin+"\n")
-	part, _, ended := strings.Cut(rest, capacity.End+"\n")
+	_, rest, found := strings.Cut(string(page), capacity.BeginMarker+"\n")
+	part, _, ended := strings.Cut(rest, capacity.EndMarker+"\n")
 	if !found || !ended {
 		t.Fatal("the page has no markers")
 	}
@@ -66,7 +66,7 @@
 
 func TestCapacityRewritesOnlyTheTables(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "PAGE.md")
-	if err := os.WriteFile(page, []byte("before\n\n"+capacity.Begin+"\nold\n"+capacity.End+"\nafter\n"), 0o644); err != nil {
+	if err := os.WriteFile(page, []byte("before\n\n"+capacity.BeginMarker+"\nold\n"+capacity.EndMarker+"\nafter\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	printed, err := run(t, "capacity", madeUp)
@@ -81,7 +81,7 @@
 		t.Fatalf("%v, %q", err, &out)
 	}
 	got, err := os.ReadFile(page)
-	want := "before\n\n" + capacity.Begin + "\n" + strings.TrimRight(printed, "\n") + "\n" + capacity.End + "\nafter\n"
+	want := "before\n\n" + capacity.BeginMarker + "\n" + strings.TrimRight(printed, "\n") + "\n" + capacity.EndMarker + "\nafter\n"
 	if err != nil || string(got) != want {
 		t.Errorf("the page is not the printed tables between its text (%v)", err)
 	}
@@ -100,7 +100,7 @@
 		}
 		return path
 	}
-	const tables = capacity.Begin + "\nold\n" + capacity.End + "\n"
+	const tables = capacity.BeginMarker + "\nold\n" + capacity.EndMarker + "\n"
 	page := file("PAGE.md", tables)
 	for name, args := range map[string][]string{
 		"none.jsonl": {filepath.Join(dir, "none.jsonl")},
--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -15,7 +15,7 @@
 )
 
 // Bench is a file of Go's benchmark output: the samples by benchmark, key and unit.
-type Bench struct {
+type BenchmarkFile struct {
 	Path    string
 	Missing bool // there is no such file: nothing is measured
 	Config  map[string]string
@@ -24,8 +24,8 @@
 
 // ReadBench reads a file of benchmark output. One that is not there is Missing; a line that is
 // broken, or a failed benchmark, is an error of one line that names file and line.
-func ReadBench(path string) (*Bench, error) {
-	b := &Bench{Path: path, Config: map[string]string{}, samples: map[string]map[string][]float64{}}
+func ReadBenchmarkFile(path string) (*BenchmarkFile, error) {
+	b := &BenchmarkFile{Path: path, Config: map[string]string{}, samples: map[string]map[string][]float64{}}
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		b.Missing = true
@@ -53,7 +53,7 @@
 	return b, in.Err()
 }
 
-func (b *Bench) add(res *benchfmt.Result) error {
+func (b *BenchmarkFile) add(res *benchfmt.Result) error {
 	for _, c := range res.Config {
 		if c.File {
 			b.Config[c.Key] = string(c.Value)
@@ -80,28 +80,28 @@
 
 // Estimate is a mean with its 95 % interval, or without one if it rests on a single run.
 type Estimate struct {
-	Mean   float64
-	In     Interval
-	Single bool
-	Runs   int
+	Mean      float64
+	Interval  Interval
+	SingleRun bool
+	Runs      int
 }
 
 // Get is a benchmark's figure; the unit as benchfmt tidies it ("sec/op" for ns/op).
-func (b *Bench) Get(name, unit string) (Estimate, bool) {
+func (b *BenchmarkFile) Estimate(name, unit string) (Estimate, bool) {
 	values := b.samples[name][unit]
 	if len(values) == 0 {
 		return Estimate{}, false
 	}
 	s := benchmath.AssumeNormal.Summary(benchmath.NewSample(values, &benchmath.DefaultThresholds), 0.95)
-	e := Estimate{Mean: s.Center, In: Interval{s.Lo, s.Hi}, Runs: len(values)}
+	e := Estimate{Mean: s.Center, Interval: Interval{s.Lo, s.Hi}, Runs: len(values)}
 	if len(values) == 1 || math.IsNaN(s.Lo) || math.IsInf(s.Lo, 0) || math.IsNaN(s.Hi) || math.IsInf(s.Hi, 0) {
-		e.In, e.Single = Interval{s.Center, s.Center}, true
+		e.Interval, e.SingleRun = Interval{s.Center, s.Center}, true
 	}
 	return e, true
 }
 
 // Servers are the numbers of servers that the benchmarks of a name were run with.
-func (b *Bench) Servers(name string) map[int]bool {
+func (b *BenchmarkFile) ServerCounts(name string) map[int]bool {
 	out := map[int]bool{}
 	for full := range b.samples {
 		parts := strings.Split(full, "/")
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -16,23 +16,23 @@
 
 // The shapes, from the plainest; Square is an alarm and never chosen for being as good as another.
 const (
-	Flat     Shape = "flat"
-	Log      Shape = "log n"
-	Linear   Shape = "n"
-	ByChange Shape = "n × changes" // acknowledged a second
-	Square   Shape = "n²"
+	ShapeFlat      Shape = "flat"
+	ShapeLog       Shape = "log n"
+	ShapeLinear    Shape = "n"
+	ShapePerChange Shape = "n × changes" // acknowledged a second
+	ShapeQuadratic Shape = "n²"
 )
 
 // x is what a shape's slope is by.
-func (s Shape) x(n, changes float64) float64 {
+func (s Shape) regressor(n, changes float64) float64 {
 	switch s {
-	case Log:
+	case ShapeLog:
 		return math.Log(n)
-	case Linear:
+	case ShapeLinear:
 		return n
-	case ByChange:
+	case ShapePerChange:
 		return n * changes
-	case Square:
+	case ShapeQuadratic:
 		return n * n
 	}
 	return 0
@@ -49,7 +49,7 @@
 type Interval struct{ Lo, Hi float64 }
 
 // Holds tells whether a value lies in it.
-func (i Interval) Holds(v float64) bool { return v >= i.Lo && v <= i.Hi }
+func (i Interval) Contains(v float64) bool { return v >= i.Lo && v <= i.Hi }
 
 func (i Interval) union(o Interval) Interval {
 	return Interval{math.Min(i.Lo, o.Lo), math.Max(i.Hi, o.Hi)}
@@ -60,27 +60,27 @@
 // but flat have as many parameters it decides among these by the residuals alone; the error of
 // leaving out a size would rest on the two or three that then are left.
 type Fit struct {
-	Shape     Shape
-	Alike     []Shape // others that are not told apart at these sizes (see apart)
-	Slope     float64 // by what the shape names; 0 for flat
-	SlopeIn   Interval
-	Sizes     []int // fitted
-	Runs      int   // fitted
-	Alarm     bool  // n² and told apart from all others
-	LeftOut   int   // the largest size, which was not fitted; 0 with three sizes, where none is left out
-	Measured  float64
-	Predicted float64 // of the mean there
-	In        Interval
+	Shape              Shape
+	Indistinguishable  []Shape // others that are not told apart at these sizes (see apart)
+	Slope              float64 // by what the shape names; 0 for flat
+	SlopeInterval      Interval
+	Sizes              []int // fitted
+	Runs               int   // fitted
+	GrowsQuadratically bool  // n² and told apart from all others
+	HeldOutSize        int   // the largest size, which was not fitted; 0 with three sizes, where none is left out
+	Measured           float64
+	Predicted          float64 // of the mean there
+	PredictedInterval  Interval
 
-	best  line
-	union []line
+	best         regression
+	alternatives []regression
 }
 
 // NewFit fits points; the error says why there is no fit.
 func NewFit(points []Point) (*Fit, error) {
 	var sizes []int
 	for _, p := range points {
-		if bad(p.Value) || bad(p.Changes) {
+		if invalidValue(p.Value) || invalidValue(p.Changes) {
 			return nil, fmt.Errorf("a run's figure is %v", p.Value)
 		}
 		sizes = append(sizes, p.Size)
@@ -102,10 +102,10 @@
 	if f.Runs = len(in); f.Runs < 5 {
 		return nil, fmt.Errorf("%d of 5 runs", f.Runs)
 	}
-	f.choose(in)
+	f.selectShape(in)
 	if len(out) > 0 {
-		f.Sizes, f.LeftOut = sizes[:len(sizes)-1], out[0].Size
-		f.predict(out)
+		f.Sizes, f.HeldOutSize = sizes[:len(sizes)-1], out[0].Size
+		f.validate(out)
 	}
 	return f, nil
 }
@@ -114,56 +114,56 @@
 // which is above it. A shape that can't be told from a plainer one by its x, such as n² where
 // the changes grow with n, is left out. Flat is, too, where the interval of n's slope lies above
 // zero: with few points AICc asks for much more before it grants a slope.
-func (f *Fit) choose(in []Point) {
-	var lines []line
-	for _, s := range []Shape{Flat, Log, Linear, ByChange, Square} {
-		l, ok := fitLine(s, in)
-		if ok && (l.slope >= 0 || s == Flat) && !slices.ContainsFunc(lines, l.like) {
+func (f *Fit) selectShape(in []Point) {
+	var lines []regression
+	for _, s := range []Shape{ShapeFlat, ShapeLog, ShapeLinear, ShapePerChange, ShapeQuadratic} {
+		l, ok := fitRegression(s, in)
+		if ok && (l.slope >= 0 || s == ShapeFlat) && !slices.ContainsFunc(lines, l.collinearWith) {
 			lines = append(lines, l)
 		}
 	}
-	n, grows := fitLine(Linear, in)
-	if grows = grows && n.slopeIn().Lo > 0; grows {
+	n, grows := fitRegression(ShapeLinear, in)
+	if grows = grows && n.slopeInterval().Lo > 0; grows {
 		lines = lines[1:]
 	}
-	least := func(square bool) (line, bool) {
-		best, found := line{aicc: math.Inf(1)}, false
+	least := func(square bool) (regression, bool) {
+		best, found := regression{aicc: math.Inf(1)}, false
 		for _, l := range lines {
-			if (l.shape != Square || square) && l.aicc < best.aicc-1e-9 {
+			if (l.shape != ShapeQuadratic || square) && l.aicc < best.aicc-1e-9 {
 				best, found = l, true
 			}
 		}
 		return best, found
 	}
 	best, _ := least(false)
-	if any, _ := least(true); any.shape == Square && best.aicc > any.aicc+any.apart() {
-		best, f.Alarm = any, true
+	if any, _ := least(true); any.shape == ShapeQuadratic && best.aicc > any.aicc+any.distinctionThreshold() {
+		best, f.GrowsQuadratically = any, true
 	}
-	f.best, f.Shape, f.Slope, f.SlopeIn = best, best.shape, best.slope, best.slopeIn()
+	f.best, f.Shape, f.Slope, f.SlopeInterval = best, best.shape, best.slope, best.slopeInterval()
 	for _, l := range lines {
-		if l.shape != best.shape && math.Abs(l.aicc-best.aicc) < best.apart() {
-			f.Alike, f.union = append(f.Alike, l.shape), append(f.union, l)
+		if l.shape != best.shape && math.Abs(l.aicc-best.aicc) < best.distinctionThreshold() {
+			f.Indistinguishable, f.alternatives = append(f.Indistinguishable, l.shape), append(f.alternatives, l)
 		}
 	}
 	// That no slope was seen does not say that there is none: flat's interval is that of n, too.
-	if best.shape == Flat && n.sxx > 0 && !slices.Contains(f.Alike, Linear) {
-		f.union = append(f.union, n)
+	if best.shape == ShapeFlat && n.sumSquaresX > 0 && !slices.Contains(f.Indistinguishable, ShapeLinear) {
+		f.alternatives = append(f.alternatives, n)
 	}
 }
 
 // predict holds the fit to the runs of the largest size.
-func (f *Fit) predict(out []Point) {
+func (f *Fit) validate(out []Point) {
 	var values, changes []float64
 	for _, p := range out {
 		values, changes = append(values, p.Value), append(changes, p.Changes)
 	}
 	f.Measured = stat.Mean(values, nil)
-	f.Predicted, f.In = f.at(float64(f.LeftOut), stat.Mean(changes, nil), len(out))
+	f.Predicted, f.PredictedInterval = f.predictMean(float64(f.HeldOutSize), stat.Mean(changes, nil), len(out))
 }
 
 // Miss is what was measured at the largest size over what was predicted, less one.
-func (f *Fit) Miss() (float64, bool) {
-	if f.LeftOut == 0 || f.Predicted <= 0 {
+func (f *Fit) RelativeError() (float64, bool) {
+	if f.HeldOutSize == 0 || f.Predicted <= 0 {
 		return 0, false
 	}
 	return f.Measured/f.Predicted - 1, true
@@ -171,43 +171,43 @@
 
 // At predicts one run's figure at a size and rate of changes. The interval is the prediction's, by
 // Student's t, and holds those of the shapes that are not told apart; none of it is below zero.
-func (f *Fit) At(n, changes float64) (float64, Interval) { return f.at(n, changes, 1) }
+func (f *Fit) Predict(n, changes float64) (float64, Interval) { return f.predictMean(n, changes, 1) }
 
-func (f *Fit) at(n, changes float64, runs int) (float64, Interval) {
-	v, in := f.best.at(n, changes, runs)
-	for _, l := range f.union {
-		_, other := l.at(n, changes, runs)
+func (f *Fit) predictMean(n, changes float64, runs int) (float64, Interval) {
+	v, in := f.best.predictMean(n, changes, runs)
+	for _, l := range f.alternatives {
+		_, other := l.predictMean(n, changes, runs)
 		in = in.union(other)
 	}
 	return math.Max(v, 0), Interval{math.Max(in.Lo, 0), math.Max(in.Hi, 0)}
 }
 
 // line is a least-squares line over one shape's x.
-type line struct {
-	shape            Shape
-	intercept, slope float64
-	xs               []float64
-	mean, sxx        float64 // of xs, and the sum of squares about it
-	sd               float64 // of the residuals
-	free             float64 // degrees of freedom
-	aicc             float64
+type regression struct {
+	shape              Shape
+	intercept, slope   float64
+	xs                 []float64
+	meanX, sumSquaresX float64 // of xs, and the sum of squares about it
+	residualDeviation  float64 // of the residuals
+	degreesOfFreedom   float64 // degrees of freedom
+	aicc               float64
 }
 
 // fitLine is not ok where the shape's x does not differ between points.
-func fitLine(s Shape, in []Point) (line, bool) {
-	l := line{shape: s}
+func fitRegression(s Shape, in []Point) (regression, bool) {
+	l := regression{shape: s}
 	var ys []float64
 	for _, p := range in {
-		l.xs, ys = append(l.xs, s.x(float64(p.Size), p.Changes)), append(ys, p.Value)
+		l.xs, ys = append(l.xs, s.regressor(float64(p.Size), p.Changes)), append(ys, p.Value)
 	}
 	n, params := float64(len(ys)), 3.0 // intercept, slope, variance
-	l.mean = stat.Mean(l.xs, nil)
+	l.meanX = stat.Mean(l.xs, nil)
 	for _, x := range l.xs {
-		l.sxx += (x - l.mean) * (x - l.mean)
+		l.sumSquaresX += (x - l.meanX) * (x - l.meanX)
 	}
-	if s == Flat {
+	if s == ShapeFlat {
 		params, l.intercept = 2, stat.Mean(ys, nil)
-	} else if l.sxx <= 1e-9*l.mean*l.mean {
+	} else if l.sumSquaresX <= 1e-9*l.meanX*l.meanX {
 		return l, false
 	} else {
 		l.intercept, l.slope = stat.LinearRegression(l.xs, ys, nil, false)
@@ -219,10 +219,10 @@
 	}
 	// What rounding leaves of exact figures decides nothing.
 	if floor := 1e-18 * floats.Dot(ys, ys); rss <= floor {
-		rss, l.slope = floor, tiny(l.slope, l.xs, ys)
+		rss, l.slope = floor, dropRoundingSlope(l.slope, l.xs, ys)
 	}
-	l.free = n - params + 1
-	l.sd = math.Sqrt(rss / l.free)
+	l.degreesOfFreedom = n - params + 1
+	l.residualDeviation = math.Sqrt(rss / l.degreesOfFreedom)
 	l.aicc = 2*params + 2*params*(params+1)/(n-params-1)
 	if rss > 0 {
 		l.aicc += n * math.Log(rss/n)
@@ -231,7 +231,7 @@
 }
 
 // tiny is a slope without what rounding makes of none.
-func tiny(slope float64, xs, ys []float64) float64 {
+func dropRoundingSlope(slope float64, xs, ys []float64) float64 {
 	if math.Abs(slope)*(floats.Max(xs)-floats.Min(xs)) < 1e-9*floats.Norm(ys, math.Inf(1)) {
 		return 0
 	}
@@ -241,29 +241,29 @@
 // like tells whether another's x is in effect a multiple of this one's, so that the points can't
 // tell them apart: n × changes and n where the changes are as many at each size, or n² where they
 // grow with it; there the changes are drawn, and what they vary by is no ground for an alarm.
-func (l line) like(o line) bool {
-	if l.shape == Flat || o.shape == Flat || (l.shape != ByChange && o.shape != ByChange) {
+func (l regression) collinearWith(o regression) bool {
+	if l.shape == ShapeFlat || o.shape == ShapeFlat || (l.shape != ShapePerChange && o.shape != ShapePerChange) {
 		return false
 	}
 	alike := 0.999
-	if l.shape == Square || o.shape == Square {
+	if l.shape == ShapeQuadratic || o.shape == ShapeQuadratic {
 		alike = 0.98
 	}
 	return math.Abs(stat.Correlation(l.xs, o.xs, nil)) > alike
 }
 
-func (l line) t() float64 { return student(l.free) }
+func (l regression) tQuantile() float64 { return studentQuantile(l.degreesOfFreedom) }
 
 // quantiles are those already asked for: gonum searches for each anew.
-var quantiles sync.Map
+var quantileCache sync.Map
 
 // student is the 97.5 % quantile of Student's t.
-func student(free float64) float64 {
-	if q, ok := quantiles.Load(free); ok {
+func studentQuantile(free float64) float64 {
+	if q, ok := quantileCache.Load(free); ok {
 		return q.(float64)
 	}
 	q := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: free}.Quantile(0.975)
-	quantiles.Store(free, q)
+	quantileCache.Store(free, q)
 	return q
 }
 
@@ -271,27 +271,27 @@
 // by the profile of the likelihood, with F in place of chi-squared as the points are few. It is 3.84
 // with many points, 4.8 with 12, 6.4 with 6; with Burnham and Anderson's 2 and 4 predictions of laws that
 // noise hides held 0.90 (TestSlopesOfKnownLaws, 12 and 6 runs).
-func (l line) apart() float64 {
+func (l regression) distinctionThreshold() float64 {
 	n := float64(len(l.xs))
-	t := student(n - 2)
+	t := studentQuantile(n - 2)
 	return n * math.Log1p(t*t/(n-2))
 }
 
-func (l line) slopeIn() Interval {
-	if l.shape == Flat {
+func (l regression) slopeInterval() Interval {
+	if l.shape == ShapeFlat {
 		return Interval{}
 	}
-	half := l.t() * l.sd / math.Sqrt(l.sxx)
+	half := l.tQuantile() * l.residualDeviation / math.Sqrt(l.sumSquaresX)
 	return Interval{l.slope - half, l.slope + half}
 }
 
 // at predicts the mean of some runs.
-func (l line) at(n, changes float64, runs int) (float64, Interval) {
-	x := l.shape.x(n, changes)
+func (l regression) predictMean(n, changes float64, runs int) (float64, Interval) {
+	x := l.shape.regressor(n, changes)
 	v, spread := l.intercept+l.slope*x, 1/float64(runs)+1/float64(len(l.xs))
-	if l.shape != Flat {
-		spread += (x - l.mean) * (x - l.mean) / l.sxx
+	if l.shape != ShapeFlat {
+		spread += (x - l.meanX) * (x - l.meanX) / l.sumSquaresX
 	}
-	half := l.t() * l.sd * math.Sqrt(spread)
+	half := l.tQuantile() * l.residualDeviation * math.Sqrt(spread)
 	return v, Interval{v - half, v + half}
 }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -12,15 +12,15 @@
 )
 
 // drawn gives points of a known law: intercept and slope by a shape's x, with normal noise.
-func drawn(rng *rand.Rand, s Shape, intercept, slope, noise float64, repeats int, sizes ...int) (points []Point) {
+func samplePoints(rng *rand.Rand, s Shape, intercept, slope, noise float64, repeats int, sizes ...int) (points []Point) {
 	for _, n := range sizes {
 		for range repeats {
 			// A plan's changes grow with the size; some runs come to a few more than others.
 			p := Point{Size: n, Changes: float64(n) * (0.9 + 0.2*rng.Float64())}
-			if s != ByChange {
+			if s != ShapePerChange {
 				p.Changes = 0
 			}
-			p.Value = math.Max(intercept+slope*s.x(float64(n), p.Changes)+noise*rng.NormFloat64(), 0)
+			p.Value = math.Max(intercept+slope*s.regressor(float64(n), p.Changes)+noise*rng.NormFloat64(), 0)
 			points = append(points, p)
 		}
 	}
@@ -37,45 +37,45 @@
 		intercept, slope, noise  float64
 		found, inSlope, atTarget float64 // least rates
 	}{
-		{Flat, 4, 5, 0, 0.2, 0.75, 0, 0.93},
-		{Log, 4, 1, 3, 0.1, 0.95, 0.92, 0.93},
-		{Linear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
-		{ByChange, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
-		{Square, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
+		{ShapeFlat, 4, 5, 0, 0.2, 0.75, 0, 0.93},
+		{ShapeLog, 4, 1, 3, 0.1, 0.95, 0.92, 0.93},
+		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
+		{ShapePerChange, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
+		{ShapeQuadratic, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
 		// Shapes that the noise hides: the predictions have to own up to it.
-		{Linear, 4, 100, 0.5, 40, 0, 0, 0.93},
-		{Log, 4, 10, 3, 2, 0, 0, 0.93},
-		{Linear, 4, 100, 0.1, 20, 0, 0, 0.93},
+		{ShapeLinear, 4, 100, 0.5, 40, 0, 0, 0.93},
+		{ShapeLog, 4, 10, 3, 2, 0, 0, 0.93},
+		{ShapeLinear, 4, 100, 0.1, 20, 0, 0, 0.93},
 		// Two runs of a size.
-		{Flat, 2, 5, 0, 0.2, 0.75, 0, 0.93},
-		{Linear, 2, 10, 0.5, 2, 0.95, 0.92, 0.93},
-		{Linear, 2, 100, 0.5, 20, 0, 0, 0.93},
-		{Square, 2, 10, 0.01, 5, 0.95, 0.92, 0.93},
+		{ShapeFlat, 2, 5, 0, 0.2, 0.75, 0, 0.93},
+		{ShapeLinear, 2, 10, 0.5, 2, 0.95, 0.92, 0.93},
+		{ShapeLinear, 2, 100, 0.5, 20, 0, 0, 0.93},
+		{ShapeQuadratic, 2, 10, 0.01, 5, 0.95, 0.92, 0.93},
 	} {
 		t.Run(fmt.Sprintf("%s noise %v runs %d", c.shape, c.noise, c.repeats), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(32, 1))
 			found, slope, target, largest, alarms := 0.0, 0.0, 0.0, 0.0, 0.0
 			for range draws {
-				f, err := NewFit(drawn(rng, c.shape, c.intercept, c.slope, c.noise, c.repeats, 50, 100, 200, 400))
+				f, err := NewFit(samplePoints(rng, c.shape, c.intercept, c.slope, c.noise, c.repeats, 50, 100, 200, 400))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if f.LeftOut != 400 || len(f.Sizes) != 3 || f.Runs != 3*c.repeats {
-					t.Fatalf("left out %d, fitted %d runs at %v", f.LeftOut, f.Runs, f.Sizes)
+				if f.HeldOutSize != 400 || len(f.Sizes) != 3 || f.Runs != 3*c.repeats {
+					t.Fatalf("left out %d, fitted %d runs at %v", f.HeldOutSize, f.Runs, f.Sizes)
 				}
-				if f.Alarm {
+				if f.GrowsQuadratically {
 					alarms++
 				}
-				next := drawn(rng, c.shape, c.intercept, c.slope, c.noise, 1, 1500)[0]
-				if _, in := f.At(1500, next.Changes); in.Holds(next.Value) {
+				next := samplePoints(rng, c.shape, c.intercept, c.slope, c.noise, 1, 1500)[0]
+				if _, in := f.Predict(1500, next.Changes); in.Contains(next.Value) {
 					target++
 				}
-				if f.In.Holds(f.Measured) {
+				if f.PredictedInterval.Contains(f.Measured) {
 					largest++
 				}
 				if f.Shape == c.shape {
 					found++
-					if f.SlopeIn.Holds(c.slope) {
+					if f.SlopeInterval.Contains(c.slope) {
 						slope++
 					}
 				}
@@ -91,7 +91,7 @@
 			if target/draws < c.atTarget || largest/draws < c.atTarget {
 				t.Errorf("predictions hold %.3f at the target and %.3f at the size left out, want %.3f", target/draws, largest/draws, c.atTarget)
 			}
-			if rate := alarms / draws; c.shape == Square && rate < 0.95 || c.shape != Square && rate > 0.05 {
+			if rate := alarms / draws; c.shape == ShapeQuadratic && rate < 0.95 || c.shape != ShapeQuadratic && rate > 0.05 {
 				t.Errorf("alarm in %.3f of the draws", rate)
 			}
 		})
@@ -99,29 +99,29 @@
 }
 
 func TestExactLaws(t *testing.T) {
-	for _, s := range []Shape{Flat, Log, Linear, Square} {
+	for _, s := range []Shape{ShapeFlat, ShapeLog, ShapeLinear, ShapeQuadratic} {
 		rng := rand.New(rand.NewPCG(1, 1))
-		f, err := NewFit(drawn(rng, s, 3, 0.25, 0, 3, 50, 100, 200, 400))
+		f, err := NewFit(samplePoints(rng, s, 3, 0.25, 0, 3, 50, 100, 200, 400))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Shape != s || f.Alarm != (s == Square) {
-			t.Errorf("exact %s: found %s, alarm %v", s, f.Shape, f.Alarm)
+		if f.Shape != s || f.GrowsQuadratically != (s == ShapeQuadratic) {
+			t.Errorf("exact %s: found %s, alarm %v", s, f.Shape, f.GrowsQuadratically)
 		}
-		if miss, ok := f.Miss(); !ok || math.Abs(miss) > 1e-6 {
+		if miss, ok := f.RelativeError(); !ok || math.Abs(miss) > 1e-6 {
 			t.Errorf("exact %s: misses by %v (%v)", s, miss, ok)
 		}
-		if want := 3 + 0.25*s.x(1500, 0); s != Flat {
-			if v, _ := f.At(1500, 0); math.Abs(v/want-1) > 1e-6 {
+		if want := 3 + 0.25*s.regressor(1500, 0); s != ShapeFlat {
+			if v, _ := f.Predict(1500, 0); math.Abs(v/want-1) > 1e-6 {
 				t.Errorf("exact %s: %v at 1500, want %v", s, v, want)
 			}
 		}
 	}
-	none, err := NewFit(drawn(rand.New(rand.NewPCG(1, 1)), Flat, 0, 0, 0, 3, 50, 100, 200, 400))
-	if err != nil || none.Shape != Flat {
+	none, err := NewFit(samplePoints(rand.New(rand.NewPCG(1, 1)), ShapeFlat, 0, 0, 0, 3, 50, 100, 200, 400))
+	if err != nil || none.Shape != ShapeFlat {
 		t.Errorf("nothing at all: %+v, %v", none, err)
 	}
-	if _, in := none.At(1500, 0); in != (Interval{}) {
+	if _, in := none.Predict(1500, 0); in != (Interval{}) {
 		t.Errorf("nothing at all: %v at 1500", in)
 	}
 }
@@ -136,18 +136,18 @@
 		}
 	}
 	f, err := NewFit(points)
-	if err != nil || f.Shape != ByChange || f.Alarm || slices.Contains(f.Alike, Square) {
+	if err != nil || f.Shape != ShapePerChange || f.GrowsQuadratically || slices.Contains(f.Indistinguishable, ShapeQuadratic) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
 // What falls is not predicted to go on falling.
 func TestFallingFigureIsFlat(t *testing.T) {
-	f, err := NewFit(drawn(rand.New(rand.NewPCG(2, 2)), Linear, 100, -0.2, 1, 3, 50, 100, 200, 400))
-	if err != nil || f.Shape != Flat {
+	f, err := NewFit(samplePoints(rand.New(rand.NewPCG(2, 2)), ShapeLinear, 100, -0.2, 1, 3, 50, 100, 200, 400))
+	if err != nil || f.Shape != ShapeFlat {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if v, in := f.At(1500, 0); v < 60 || in.Lo < 0 || !in.Holds(v) {
+	if v, in := f.Predict(1500, 0); v < 60 || in.Lo < 0 || !in.Contains(v) {
 		t.Errorf("%v (%v) at 1500", v, in)
 	}
 }
@@ -159,16 +159,16 @@
 		says   string
 	}{
 		{nil, "0 of 3 sizes"},
-		{drawn(rng, Flat, 1, 0, 1, 5, 50, 100), "2 of 3 sizes"},
-		{drawn(rng, Flat, 1, 0, 1, 1, 50, 100, 200, 400), "3 of 5 runs"},
+		{samplePoints(rng, ShapeFlat, 1, 0, 1, 5, 50, 100), "2 of 3 sizes"},
+		{samplePoints(rng, ShapeFlat, 1, 0, 1, 1, 50, 100, 200, 400), "3 of 5 runs"},
 		{[]Point{{50, 0, math.NaN()}}, "NaN"},
 	} {
 		if f, err := NewFit(c.points); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%d points: %v, %v; want %q", len(c.points), f, err, c.says)
 		}
 	}
-	f, err := NewFit(drawn(rng, Linear, 1, 1, 0.1, 2, 50, 100, 200))
-	if err != nil || f.LeftOut != 0 || len(f.Sizes) != 3 {
+	f, err := NewFit(samplePoints(rng, ShapeLinear, 1, 1, 0.1, 2, 50, 100, 200))
+	if err != nil || f.HeldOutSize != 0 || len(f.Sizes) != 3 {
 		t.Errorf("three sizes: %+v, %v; want none left out", f, err)
 	}
 }
@@ -184,14 +184,14 @@
 		if err != nil {
 			return
 		}
-		v, in := f.At(1500, 0.06)
-		miss, _ := f.Miss()
-		for _, x := range []float64{f.Slope, f.SlopeIn.Lo, f.SlopeIn.Hi, v, in.Lo, in.Hi, f.Measured, f.Predicted, f.In.Lo, f.In.Hi, miss} {
+		v, in := f.Predict(1500, 0.06)
+		miss, _ := f.RelativeError()
+		for _, x := range []float64{f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, v, in.Lo, in.Hi, f.Measured, f.Predicted, f.PredictedInterval.Lo, f.PredictedInterval.Hi, miss} {
 			if math.IsNaN(x) || math.IsInf(x, 0) {
 				t.Fatalf("%+v, %v %v at 1500", f, v, in)
 			}
 		}
-		if !in.Holds(v) || v < 0 || in.Lo < 0 {
+		if !in.Contains(v) || v < 0 || in.Lo < 0 {
 			t.Fatalf("%v outside of %v", v, in)
 		}
 	})
@@ -202,14 +202,14 @@
 	rng := rand.New(rand.NewPCG(4, 4))
 	grown := 0
 	for range 500 {
-		points := drawn(rng, Linear, 100, 0.5, 30, 2, 50, 100, 200)
-		l, _ := fitLine(Linear, points)
-		if l.slopeIn().Lo <= 0 {
+		points := samplePoints(rng, ShapeLinear, 100, 0.5, 30, 2, 50, 100, 200)
+		l, _ := fitRegression(ShapeLinear, points)
+		if l.slopeInterval().Lo <= 0 {
 			continue
 		}
 		grown++
-		if f, err := NewFit(points); err != nil || f.Shape == Flat || slices.Contains(f.Alike, Flat) {
-			t.Fatalf("%v, slope %v: %+v, %v", points, l.slopeIn(), f, err)
+		if f, err := NewFit(points); err != nil || f.Shape == ShapeFlat || slices.Contains(f.Indistinguishable, ShapeFlat) {
+			t.Fatalf("%v, slope %v: %+v, %v", points, l.slopeInterval(), f, err)
 		}
 	}
 	if grown < 50 {
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -58,35 +58,35 @@
 }
 
 // none is what a row says that nothing carries.
-const none = "**none**"
+const noMechanism = "**none**"
 
-func (m Mechanism) by() string {
+func (m Mechanism) label() string {
 	if m.By == "none" {
-		return none
+		return noMechanism
 	}
 	return m.By
 }
 
-func match(pattern, row string) bool {
+func matchRow(pattern, row string) bool {
 	ok, _ := path.Match(pattern, row)
 	return ok
 }
 
 // of is what carries a row, by its name.
-func (m *Mechanisms) of(row string) string {
+func (m *Mechanisms) forRow(row string) string {
 	for _, one := range m.All {
-		if slices.ContainsFunc(one.Rows, func(pattern string) bool { return match(pattern, row) }) {
-			return one.by()
+		if slices.ContainsFunc(one.Rows, func(pattern string) bool { return matchRow(pattern, row) }) {
+			return one.label()
 		}
 	}
-	return none
+	return noMechanism
 }
 
 // check is an error if a pattern names no row: it would say nothing, unseen.
-func (m *Mechanisms) check(rows []*Row) error {
+func (m *Mechanisms) checkPatterns(rows []*Row) error {
 	for i, one := range m.All {
 		for _, pattern := range one.Rows {
-			if !slices.ContainsFunc(rows, func(r *Row) bool { return match(pattern, r.Name()) }) {
+			if !slices.ContainsFunc(rows, func(r *Row) bool { return matchRow(pattern, r.Name()) }) {
 				return fmt.Errorf("%s: mechanism %d: rows: %q names no row", m.Path, i+1, pattern)
 			}
 		}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -18,7 +18,7 @@
 const mechanismsFile = "testdata/mechanisms.toml"
 
 // tables are a page's tables from runs and benchmark files.
-func tables(t interface {
+func renderTables(t interface {
 	Fatal(...any)
 	Helper()
 }, runs []*Run, benches ...string) (string, *Page) {
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read []*Bench
+	var read []*BenchmarkFile
 	for _, path := range benches {
-		b, err := ReadBench(path)
+		b, err := ReadBenchmarkFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 	return b.String(), p
 }
 
-func madeUp(t *testing.T) []*Run {
+func syntheticRuns(t *testing.T) []*Run {
 	t.Helper()
 	runs, err := ReadRuns("testdata/made-up.jsonl")
 	if err != nil {
@@ -66,7 +66,7 @@
 
 // flawed says what no page may have: a figure that is none, an empty cell, a line of a table with
 // more or fewer cells than its head.
-func flawed(text string) string {
+func tableDefect(text string) string {
 	if found := regexp.MustCompile(`NaN|\bInf|%!`).FindString(text); found != "" {
 		return found
 	}
@@ -92,7 +92,7 @@
 	return ""
 }
 
-func (p *Page) row(t *testing.T, name string) *Row {
+func (p *Page) rowNamed(t *testing.T, name string) *Row {
 	t.Helper()
 	for _, r := range p.rows {
 		if r.Name() == name {
@@ -104,7 +104,7 @@
 }
 
 // theLine is the one line of a text that holds all the words.
-func theLine(t *testing.T, text string, words ...string) string {
+func requireLine(t *testing.T, text string, words ...string) string {
 	t.Helper()
 	var found []string
 	for _, l := range strings.Split(text, "\n") {
@@ -119,26 +119,26 @@
 }
 
 func TestPageOfNothing(t *testing.T) {
-	text, p := tables(t, nil, "testdata/none.txt")
-	if f := flawed(text); f != "" {
+	text, p := renderTables(t, nil, "testdata/none.txt")
+	if f := tableDefect(text); f != "" {
 		t.Error(f)
 	}
 	for _, r := range p.rows {
-		if r.Known || r.atTarget() != "not measured" || r.Budget > 0 && r.use() != "not measured" {
-			t.Errorf("%s: %q, use %q", r.Name(), r.atTarget(), r.use())
+		if r.Known || r.targetCell() != "not measured" || r.Budget > 0 && r.usageCell() != "not measured" {
+			t.Errorf("%s: %q, use %q", r.Name(), r.targetCell(), r.usageCell())
 		}
 	}
 	ranked, _ := p.Ranked()
 	for _, r := range ranked {
-		if !r.Daily || r.Carried() {
+		if !r.RequiredDaily || r.HasMechanism() {
 			t.Errorf("%s is ranked with nothing measured", r.Name())
 		}
 	}
 }
 
 func TestPageOfMadeUpRuns(t *testing.T) {
-	text, p := tables(t, madeUp(t), "testdata/made-up-path.txt", "testdata/made-up-decision.txt")
-	if f := flawed(text); f != "" {
+	text, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt", "testdata/made-up-decision.txt")
+	if f := tableDefect(text); f != "" {
 		t.Error(f)
 	}
 	// The laws that the runs were made up by, at 1,500.
@@ -152,9 +152,9 @@
 		"list leader/quiet/live heap": 8 + 0.03*1500,
 		"data path/calm/added":        410,
 	} {
-		r := p.row(t, name)
-		if !r.Known || math.Abs(r.Value/want-1) > 0.15 || r.Extrapolated == (r.Subject == subjectPath) {
-			t.Errorf("%s: %s (known %v, extrapolated %v), want some %s", name, r.atTarget(), r.Known, r.Extrapolated, num(want))
+		r := p.rowNamed(t, name)
+		if !r.Known || math.Abs(r.Value/want-1) > 0.15 || r.Extrapolated == (r.Subject == subjectDataPath) {
+			t.Errorf("%s: %s (known %v, extrapolated %v), want some %s", name, r.targetCell(), r.Known, r.Extrapolated, formatNumber(want))
 		}
 	}
 	for name, want := range map[string]string{
@@ -166,25 +166,25 @@
 		"agent/region/processor":         "hollow ÷ 0.501",
 		"list follower/control/messages": "",
 	} {
-		if got := p.row(t, name).Source; got != want {
+		if got := p.rowNamed(t, name).Source; got != want {
 			t.Errorf("%s is from %q, want %q", name, got, want)
 		}
 	}
-	if r := p.row(t, "agent/region/bytes"); r.Known || !strings.Contains(r.atTarget(), "no fit: 2 of 3 sizes") {
-		t.Errorf("two sizes: %q", r.atTarget())
+	if r := p.rowNamed(t, "agent/region/bytes"); r.Known || !strings.Contains(r.targetCell(), "no fit: 2 of 3 sizes") {
+		t.Errorf("two sizes: %q", r.targetCell())
 	}
-	if r := p.row(t, "list leader/ordinary/messages"); r.Fit == nil || r.Fit.Shape != ByChange {
-		t.Errorf("the leader's messages: %s", r.Fit.slope())
+	if r := p.rowNamed(t, "list leader/ordinary/messages"); r.Fit == nil || r.Fit.Shape != ShapePerChange {
+		t.Errorf("the leader's messages: %s", r.Fit.slopeCell())
 	}
-	theLine(t, text, "made-up, none | quiet | 70 × 3, 120 × 3, 220 × 2, 420 × 3 |", "| 1: made up as late |")
-	theLine(t, text, "made-up, none | rollout |", "420 × 1", "| 3 | 0 | nothing |")
-	theLine(t, text, "made-up, none | zone |", "list follower: made up as missing")
-	theLine(t, text, "| 1500 | demoted | not measured |")
-	theLine(t, text, "| list | zone | 420 (3) |", "| 21 |")
+	requireLine(t, text, "made-up, none | quiet | 70 × 3, 120 × 3, 220 × 2, 420 × 3 |", "| 1: made up as late |")
+	requireLine(t, text, "made-up, none | rollout |", "420 × 1", "| 3 | 0 | nothing |")
+	requireLine(t, text, "made-up, none | zone |", "list follower: made up as missing")
+	requireLine(t, text, "| 1500 | demoted | not measured |")
+	requireLine(t, text, "| list | zone | 420 (3) |", "| 21 |")
 }
 
 func TestRanking(t *testing.T) {
-	_, p := tables(t, madeUp(t), "testdata/made-up-path.txt")
+	_, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt")
 	ranked, rest := p.Ranked()
 	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
 		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
@@ -206,18 +206,18 @@
 	for _, r := range p.rows {
 		r.Mechanism = "watch"
 	}
-	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, p.row(t, "in force/ordinary/settings")) {
+	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, p.rowNamed(t, "in force/ordinary/settings")) {
 		t.Errorf("carried: %s is first", ranked[0].Name())
 	}
 }
 
 // What is over its budget at a size that was run needs no fit.
 func TestOverBudgetAtASizeThatWasRun(t *testing.T) {
-	runs := []*Run{someRun()}
+	runs := []*Run{validRun()}
 	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
-	_, p := tables(t, runs)
-	if r := p.row(t, "agent/quiet/memory"); r.Known || r.use() != "2 at 50 already" {
-		t.Errorf("%q, use %q", r.atTarget(), r.use())
+	_, p := renderTables(t, runs)
+	if r := p.rowNamed(t, "agent/quiet/memory"); r.Known || r.usageCell() != "2 at 50 already" {
+		t.Errorf("%q, use %q", r.targetCell(), r.usageCell())
 	}
 	if ranked, _ := p.Ranked(); ranked[1].Name() != "agent/quiet/memory" {
 		t.Errorf("%s is second", ranked[1].Name())
@@ -226,43 +226,43 @@
 
 // A second plan tells its changes in force, and nothing of what roles take.
 func TestRolesAreOfTheFirstPlan(t *testing.T) {
-	first, second := someRun(), someRun()
+	first, second := validRun(), validRun()
 	second.Plan, second.Day, second.Size = "second", first.Day, first.Size+1
 	first.Roles[RoleReal].Mean[ResidentMB], second.Roles[RoleReal].Mean[ResidentMB] = 10, 30
-	second.InForce = map[string]Times{"settings": {N: 5, P50: 1, P99: 2, Worst: 3}}
-	_, alone := tables(t, []*Run{first})
-	_, both := tables(t, []*Run{first, second})
-	if a, b := alone.row(t, "agent/quiet/memory"), both.row(t, "agent/quiet/memory"); a.atTarget() != b.atTarget() {
-		t.Errorf("memory %q with a second plan, %q without", b.atTarget(), a.atTarget())
+	second.InForce = map[string]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
+	_, alone := renderTables(t, []*Run{first})
+	_, both := renderTables(t, []*Run{first, second})
+	if a, b := alone.rowNamed(t, "agent/quiet/memory"), both.rowNamed(t, "agent/quiet/memory"); a.targetCell() != b.targetCell() {
+		t.Errorf("memory %q with a second plan, %q without", b.targetCell(), a.targetCell())
 	}
-	if both.tells(second, both.row(t, "agent/quiet/memory")) {
+	if both.usesRun(second, both.rowNamed(t, "agent/quiet/memory")) {
 		t.Error("memory is said to come from the second plan")
 	}
 	second.Day = "ordinary"
-	if _, both = tables(t, []*Run{first, second}); both.row(t, "in force/ordinary/settings").atTarget() == "not measured" {
+	if _, both = renderTables(t, []*Run{first, second}); both.rowNamed(t, "in force/ordinary/settings").targetCell() == "not measured" {
 		t.Error("the second plan's settings in force are not told")
 	}
 }
 
 func TestLastPlayOfARunCounts(t *testing.T) {
-	first, again, other, late := someRun(), someRun(), someRun(), someRun()
+	first, again, other, late := validRun(), validRun(), validRun(), validRun()
 	other.Repeat, late.Repeat, late.Invalid = 2, 3, []string{"late"}
-	if got := Counted([]*Run{first, other, again, late}); !slices.Equal(got, []*Run{other, again}) {
+	if got := ValidRuns([]*Run{first, other, again, late}); !slices.Equal(got, []*Run{other, again}) {
 		t.Errorf("%d count", len(got))
 	}
 }
 
 func TestHollowAgainstReal(t *testing.T) {
-	cpu := Figures[slices.IndexFunc(Figures, func(f Figure) bool { return f.Name == "processor" })]
+	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
 	run := func(size int, hollow, real float64) *Run {
-		r := someRun()
+		r := validRun()
 		r.Size, r.Hollow = size, size-r.Real
-		r.Roles = map[string]Role{}
+		r.Roles = map[string]RoleMetrics{}
 		if hollow >= 0 {
-			r.Roles[RoleHollow] = Role{Count: r.Hollow, Mean: map[string]float64{CPU: hollow}}
+			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollow}}
 		}
 		if real >= 0 {
-			r.Roles[RoleReal] = Role{Count: r.Real, Mean: map[string]float64{CPU: real}}
+			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: real}}
 		}
 		return r
 	}
@@ -279,8 +279,8 @@
 		{[]*Run{run(50, 1, 2), run(50, 1, 2.01), run(100, 2, 4)}, "hollow ÷ 0.499", RoleHollow},
 		{[]*Run{run(50, 1, 2), run(50, 1, 2), run(100, 1, 4), run(100, 1, 4)}, "real; hollow not used", RoleReal},
 	} {
-		if s := source(c.runs, cpu); s.Why != c.why || s.Role != c.role {
-			t.Errorf("%q of %s, want %q of %s", s.Why, s.Role, c.why, c.role)
+		if s := selectSource(c.runs, cpu); s.Description != c.why || s.Role != c.role {
+			t.Errorf("%q of %s, want %q of %s", s.Description, s.Role, c.why, c.role)
 		}
 	}
 }
@@ -291,35 +291,35 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var runs []*Run
 		for range rapid.IntRange(0, 30).Draw(t, "runs") {
-			r := someRun()
+			r := validRun()
 			r.Size = rapid.SampledFrom([]int{30, 50, 100, 200, 400, 1500}).Draw(t, "size")
 			r.Hollow = r.Size - r.Real
 			r.Day, r.Repeat = rapid.SampledFrom(Days).Draw(t, "day"), rapid.IntRange(1, 3).Draw(t, "repeat")
-			r.Hurry = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
-			r.Changes, r.Roles, r.InForce = rapid.IntRange(0, 50).Draw(t, "changes"), map[string]Role{}, map[string]Times{}
+			r.RateFactor = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
+			r.Changes, r.Roles, r.InForce = rapid.IntRange(0, 50).Draw(t, "changes"), map[string]RoleMetrics{}, map[string]Latencies{}
 			if rapid.IntRange(0, 5).Draw(t, "valid") == 0 {
 				r.Invalid, r.Seconds = []string{"late | by\na lot"}, 0
 			}
-			for _, role := range roles {
+			for _, role := range knownRoles {
 				mean := map[string]float64{}
 				for _, f := range names {
 					if rapid.IntRange(0, 4).Draw(t, "there") > 0 {
 						mean[f] = rapid.OneOf(rapid.Just(0.0), rapid.Just(3.0), rapid.Float64Range(0, 1e15)).Draw(t, f)
 					}
 				}
-				r.Roles[role] = Role{Count: rapid.IntRange(0, 2).Draw(t, "count"), Mean: mean}
+				r.Roles[role] = RoleMetrics{Count: rapid.IntRange(0, 2).Draw(t, "count"), Mean: mean}
 			}
-			for _, kind := range kinds {
-				r.InForce[kind] = Times{N: int64(rapid.IntRange(0, 3).Draw(t, "n")), P50: 1, P99: 2, Worst: rapid.Float64Range(0, 1e6).Draw(t, "worst"),
-					Absent: int64(rapid.IntRange(0, 1).Draw(t, "absent"))}
+			for _, kind := range changeKinds {
+				r.InForce[kind] = Latencies{Count: int64(rapid.IntRange(0, 3).Draw(t, "n")), P50: 1, P99: 2, Max: rapid.Float64Range(0, 1e6).Draw(t, "worst"),
+					NeverInForce: int64(rapid.IntRange(0, 1).Draw(t, "absent"))}
 			}
 			if err := r.check(); err != nil {
 				t.Fatal(err)
 			}
 			runs = append(runs, r)
 		}
-		text, _ := tables(t, runs)
-		if f := flawed(text); f != "" {
+		text, _ := renderTables(t, runs)
+		if f := tableDefect(text); f != "" {
 			t.Fatal(f)
 		}
 	})
@@ -332,21 +332,21 @@
 		"FAIL\tsome/package\n":                                 ":1: a benchmark failed",
 		"BenchmarkPath/servers=10 100 NaN added-p99-us\n":      ":1: added-p99-us: NaN",
 	} {
-		path := write(t, "b.txt", text)
-		b, err := ReadBench(path)
-		oneLine(t, err, path+says)
+		path := writeFile(t, "b.txt", text)
+		b, err := ReadBenchmarkFile(path)
+		requireOneLineError(t, err, path+says)
 		if b != nil {
 			t.Errorf("%q: half read", text)
 		}
 	}
-	one, err := ReadBench(write(t, "b.txt", "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"))
+	one, err := ReadBenchmarkFile(writeFile(t, "b.txt", "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, ok := one.Get("Decision/servers=10/state=calm", "sec/op"); !ok || !e.Single || math.Abs(e.Mean-2.5e-6) > 1e-12 || one.Config["commit"] != "abc" {
+	if e, ok := one.Estimate("Decision/servers=10/state=calm", "sec/op"); !ok || !e.SingleRun || math.Abs(e.Mean-2.5e-6) > 1e-12 || one.Config["commit"] != "abc" {
 		t.Errorf("%+v, %v, %v", e, ok, one.Config)
 	}
-	if got := slices.Sorted(maps.Keys(one.Servers(benchDecision))); !slices.Equal(got, []int{10}) {
+	if got := slices.Sorted(maps.Keys(one.ServerCounts(decisionBenchmark))); !slices.Equal(got, []int{10}) {
 		t.Errorf("servers %v", got)
 	}
 }
@@ -362,7 +362,7 @@
 		head + "rows = [\"agent/*/bytes\", \"agent/*/byts\"]\nby = \"a\"\n": "names no row",
 		head + "rows = 3\n":                                                 "rows",
 	} {
-		path := write(t, "m.toml", text)
+		path := writeFile(t, "m.toml", text)
 		m, err := LoadMechanisms(path)
 		if err == nil {
 			target, terr := LoadTarget(targetFile)
@@ -371,28 +371,28 @@
 			}
 			_, err = NewPage(target, m, nil, nil)
 		}
-		oneLine(t, err, path, says)
+		requireOneLineError(t, err, path, says)
 	}
-	if m := (&Mechanisms{}); m.of("agent/quiet/bytes") != none {
-		t.Errorf("a row that nothing names is carried by %q", m.of("agent/quiet/bytes"))
+	if m := (&Mechanisms{}); m.forRow("agent/quiet/bytes") != noMechanism {
+		t.Errorf("a row that nothing names is carried by %q", m.forRow("agent/quiet/bytes"))
 	}
 }
 
 func TestReplaceTables(t *testing.T) {
-	page := "# Page\n\n" + Begin + "\nold\n" + End + "\nafter\n"
-	got, err := Replace(page, "new\n\n")
-	if want := "# Page\n\n" + Begin + "\nnew\n" + End + "\nafter\n"; err != nil || got != want {
+	page := "# Page\n\n" + BeginMarker + "\nold\n" + EndMarker + "\nafter\n"
+	got, err := ReplaceTables(page, "new\n\n")
+	if want := "# Page\n\n" + BeginMarker + "\nnew\n" + EndMarker + "\nafter\n"; err != nil || got != want {
 		t.Errorf("%q, %v", got, err)
 	}
-	for _, wrong := range []string{"", Begin + "\n", End + "\n" + Begin + "\n", page + page, "x" + page[len("# Page\n\n"):]} {
-		if got, err := Replace(wrong, "new"); err == nil {
+	for _, wrong := range []string{"", BeginMarker + "\n", EndMarker + "\n" + BeginMarker + "\n", page + page, "x" + page[len("# Page\n\n"):]} {
+		if got, err := ReplaceTables(wrong, "new"); err == nil {
 			t.Errorf("%q made %q", wrong, got)
 		}
 	}
 }
 
 func TestMadeUpIsMarked(t *testing.T) {
-	for _, r := range madeUp(t) {
+	for _, r := range syntheticRuns(t) {
 		if r.Plan != "made-up" || r.Commit != "none" {
 			t.Errorf("a run of plan %q, commit %q", r.Plan, r.Commit)
 		}
@@ -404,33 +404,33 @@
 
 // What is not known of the ratio that hollow figures are divided by is in the interval.
 func TestCorrectedFiguresAreLessSure(t *testing.T) {
-	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, In: Interval{0.4, 0.625}}}
+	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
 	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
 		t.Errorf("%v (%v)", v, in)
 	}
-	_, p := tables(t, madeUp(t))
-	r := p.row(t, "agent/rollout/processor")
-	runs, _ := p.played(subjectAgent, "rollout")
-	if _, plain := r.Fit.At(1500, perAgent(runs)*1500*200); r.In.Lo >= plain.Lo || r.In.Hi <= plain.Hi {
-		t.Errorf("%v, no wider than %v", r.In, plain)
+	_, p := renderTables(t, syntheticRuns(t))
+	r := p.rowNamed(t, "agent/rollout/processor")
+	runs, _ := p.comparableRuns(subjectAgent, "rollout")
+	if _, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200); r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
+		t.Errorf("%v, no wider than %v", r.Interval, plain)
 	}
 }
 
 func TestScaledFromAHurriedDay(t *testing.T) {
-	v, in := calmer(100, Interval{90, 120}, 500, Interval{400, 700}, 4)
+	v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, 4)
 	if want := 100*0.75 + 500*0.25; v != want || math.Abs(in.Lo-(want-math.Hypot(7.5, 25))) > 1e-9 || math.Abs(in.Hi-(want+math.Hypot(15, 50))) > 1e-9 {
 		t.Errorf("%v (%v)", v, in)
 	}
-	if v, in := calmer(100, Interval{90, 120}, 500, Interval{400, 700}, 1); v != 500 || math.Abs(in.Lo-400) > 1e-9 || math.Abs(in.Hi-700) > 1e-9 {
+	if v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, 1); v != 500 || math.Abs(in.Lo-400) > 1e-9 || math.Abs(in.Hi-700) > 1e-9 {
 		t.Errorf("with no hurry: %v (%v)", v, in)
 	}
 }
 
 func TestPlanIsNamedByItsFile(t *testing.T) {
-	file := write(t, "plan.toml", "name = \"two\"\nsizes = [1]\n")
+	file := writeFile(t, "plan.toml", "name = \"two\"\nsizes = [1]\n")
 	record := filepath.Join(filepath.Dir(file), "r.jsonl")
 	for plan, want := range map[string]string{"two": file, "small": "--small", "three": "three.toml"} {
-		if got := planFile(record, plan); got != want {
+		if got := planArgument(record, plan); got != want {
 			t.Errorf("%q is %q, want %q", plan, got, want)
 		}
 	}
--- a/internal/capacity/read_test.go
+++ b/internal/capacity/read_test.go
@@ -12,7 +12,7 @@
 
 const targetFile = "../../deploy/target.toml"
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -22,7 +22,7 @@
 }
 
 // oneLine fails unless an error is one line that holds all the words.
-func oneLine(t *testing.T, err error, words ...string) {
+func requireOneLineError(t *testing.T, err error, words ...string) {
 	t.Helper()
 	if err == nil {
 		t.Errorf("no error; want one that names %q", words)
@@ -72,33 +72,33 @@
 		if !strings.Contains(string(whole), c.old) {
 			t.Fatalf("the target has no %q", c.old)
 		}
-		path := write(t, "target.toml", strings.Replace(string(whole), c.old, c.new, 1))
+		path := writeFile(t, "target.toml", strings.Replace(string(whole), c.old, c.new, 1))
 		got, err := LoadTarget(path)
-		oneLine(t, err, path, c.names)
+		requireOneLineError(t, err, path, c.names)
 		if got != nil {
 			t.Errorf("%q for %q: half a target", c.new, c.old)
 		}
 	}
 	_, err = LoadTarget(filepath.Join(t.TempDir(), "none.toml"))
-	oneLine(t, err, "none.toml")
+	requireOneLineError(t, err, "none.toml")
 }
 
-func someRun() *Run {
-	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, Lists: 3, Listed: 50, Hurry: 1, Seconds: 20, Settled: true,
-		Roles:   map[string]Role{RoleReal: {Count: 20, Mean: map[string]float64{CPU: 0.002}, Most: map[string]float64{CPU: 0.003}}},
-		InForce: map[string]Times{"list": {N: 9, P50: 1, P99: 2, Worst: 3}}}
+func validRun() *Run {
+	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
+		Roles:   map[string]RoleMetrics{RoleReal: {Count: 20, Mean: map[string]float64{CPU: 0.002}, Max: map[string]float64{CPU: 0.003}}},
+		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
 func TestRunsAreReadAsWritten(t *testing.T) {
 	var b bytes.Buffer
-	one, two := someRun(), someRun()
-	two.Seed, two.Missing, two.Invalid, two.Hurry, two.Seconds = math.MaxUint64, []string{"alloc"}, []string{"late"}, 0, 0
+	one, two := validRun(), validRun()
+	two.Seed, two.Missing, two.Invalid, two.RateFactor, two.Seconds = math.MaxUint64, []string{"alloc"}, []string{"late"}, 0, 0
 	for _, r := range []*Run{one, two} {
 		if err := WriteRun(&b, r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := ReadRuns(write(t, "r.jsonl", b.String()))
+	got, err := ReadRuns(writeFile(t, "r.jsonl", b.String()))
 	if err != nil || !reflect.DeepEqual(got, []*Run{one, two}) {
 		t.Errorf("read %v, %v", got, err)
 	}
@@ -110,16 +110,16 @@
 		"day":                 func(r *Run) { r.Day = "holiday" },
 		"repeat":              func(r *Run) { r.Repeat = 0 },
 		"size":                func(r *Run) { r.Size = 51 },
-		"hurry":               func(r *Run) { r.Hurry = 0 },
+		"hurry":               func(r *Run) { r.RateFactor = 0 },
 		"seconds":             func(r *Run) { r.Seconds = math.NaN() },
-		"roles":               func(r *Run) { r.Roles["boss"] = Role{} },
+		"roles":               func(r *Run) { r.Roles["boss"] = RoleMetrics{} },
 		"roles.real.mean.cpu": func(r *Run) { r.Roles[RoleReal].Mean[CPU] = math.Inf(1) },
-		"roles.real.most.cpu": func(r *Run) { r.Roles[RoleReal].Most[CPU] = -1 },
-		"in_force.list":       func(r *Run) { r.InForce["list"] = Times{P99: math.NaN()} },
+		"roles.real.most.cpu": func(r *Run) { r.Roles[RoleReal].Max[CPU] = -1 },
+		"in_force.list":       func(r *Run) { r.InForce["list"] = Latencies{P99: math.NaN()} },
 	} {
-		r, b := someRun(), new(bytes.Buffer)
+		r, b := validRun(), new(bytes.Buffer)
 		spoil(r)
-		oneLine(t, WriteRun(b, r), names)
+		requireOneLineError(t, WriteRun(b, r), names)
 		if b.Len() > 0 {
 			t.Errorf("%s: written all the same", names)
 		}
@@ -128,7 +128,7 @@
 
 func TestLinesThatAreNoRuns(t *testing.T) {
 	var b bytes.Buffer
-	if err := WriteRun(&b, someRun()); err != nil {
+	if err := WriteRun(&b, validRun()); err != nil {
 		t.Fatal(err)
 	}
 	good := b.String()
@@ -146,9 +146,9 @@
 		if !strings.Contains(good, c.old) {
 			t.Fatalf("no %q in %s", c.old, good)
 		}
-		path := write(t, "r.jsonl", good+"\n"+strings.Replace(good, c.old, c.new, 1))
+		path := writeFile(t, "r.jsonl", good+"\n"+strings.Replace(good, c.old, c.new, 1))
 		runs, err := ReadRuns(path)
-		oneLine(t, err, path+":3:", c.names)
+		requireOneLineError(t, err, path+":3:", c.names)
 		if runs != nil {
 			t.Errorf("%q for %q: half read", c.new, c.old)
 		}
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -20,10 +20,10 @@
 // RoleHost is the machine that a run was played on, all of its processes together.
 const RoleHost = "host"
 
-var roles = []string{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
+var knownRoles = []string{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
 
 // required are the keys without which a line is no run.
-var required = []string{"plan", "commit", "day", "repeat", "seed", "size", "hollow", "real", "lists", "listed", "hurry", "seconds", "changes", "settled", "roles", "in_force"}
+var requiredKeys = []string{"plan", "commit", "day", "repeat", "seed", "size", "hollow", "real", "lists", "listed", "hurry", "seconds", "changes", "settled", "roles", "in_force"}
 
 // WriteRun adds a run to a record, as one line in one write; a run that ReadRuns would refuse is
 // not written.
@@ -83,7 +83,7 @@
 	if err := json.Unmarshal(line, &keys); err != nil {
 		return nil, err
 	}
-	for _, key := range required {
+	for _, key := range requiredKeys {
 		if _, there := keys[key]; !there {
 			return nil, fmt.Errorf("key %q is missing", key)
 		}
@@ -107,34 +107,34 @@
 		return fmt.Errorf("size: must be above 0, is %d", r.Size)
 	case r.Hollow < 0 || r.Real < 0 || r.Hollow+r.Real != r.Size:
 		return fmt.Errorf("size: %d is not the sum of %d hollow and %d real", r.Size, r.Hollow, r.Real)
-	case r.Lists < 0:
-		return fmt.Errorf("lists: can't be %d", r.Lists)
-	case r.Listed < 0:
-		return fmt.Errorf("listed: can't be %d", r.Listed)
-	case bad(r.Hurry) || r.Hurry == 0 && len(r.Invalid) == 0:
-		return fmt.Errorf("hurry: must be above 0, is %v", r.Hurry)
-	case bad(r.Seconds) || r.Seconds == 0 && len(r.Invalid) == 0:
+	case r.DiscoveryInstances < 0:
+		return fmt.Errorf("lists: can't be %d", r.DiscoveryInstances)
+	case r.ListedServers < 0:
+		return fmt.Errorf("listed: can't be %d", r.ListedServers)
+	case invalidValue(r.RateFactor) || r.RateFactor == 0 && len(r.Invalid) == 0:
+		return fmt.Errorf("hurry: must be above 0, is %v", r.RateFactor)
+	case invalidValue(r.Seconds) || r.Seconds == 0 && len(r.Invalid) == 0:
 		return fmt.Errorf("seconds: must be above 0, is %v", r.Seconds)
 	case r.Changes < 0:
 		return fmt.Errorf("changes: can't be %d", r.Changes)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Roles)) {
-		if !slices.Contains(roles, name) {
-			return fmt.Errorf("roles: %q is none of %s", name, strings.Join(roles, ", "))
+		if !slices.Contains(knownRoles, name) {
+			return fmt.Errorf("roles: %q is none of %s", name, strings.Join(knownRoles, ", "))
 		}
 		if role := r.Roles[name]; role.Count < 0 {
 			return fmt.Errorf("roles.%s.count: can't be %d", name, role.Count)
 		}
-		for part, figures := range map[string]map[string]float64{"mean": r.Roles[name].Mean, "most": r.Roles[name].Most} {
+		for part, figures := range map[string]map[string]float64{"mean": r.Roles[name].Mean, "most": r.Roles[name].Max} {
 			for _, f := range slices.Sorted(maps.Keys(figures)) {
-				if bad(figures[f]) {
+				if invalidValue(figures[f]) {
 					return fmt.Errorf("roles.%s.%s.%s: can't be %v", name, part, f, figures[f])
 				}
 			}
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.InForce)) {
-		if t := r.InForce[kind]; t.N < 0 || t.Absent < 0 || bad(t.P50) || bad(t.P99) || bad(t.Worst) {
+		if t := r.InForce[kind]; t.Count < 0 || t.NeverInForce < 0 || invalidValue(t.P50) || invalidValue(t.P99) || invalidValue(t.Max) {
 			return fmt.Errorf("in_force.%s: counts and times can't be below 0", kind)
 		}
 	}
@@ -142,4 +142,4 @@
 }
 
 // bad tells of a figure that nothing can have: all are counts, rates, sizes or times.
-func bad(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
+func invalidValue(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -10,45 +10,45 @@
 )
 
 // Figure is a line of the page: what of a role is measured, and what an agent may take of it.
-type Figure struct {
+type Metric struct {
 	Name, Unit string
 	// Rate tells that it comes with what happens, so that a hurried day's is more of it. What is
 	// kept isn't: a hurried day's is taken as it is.
-	Rate   bool
-	agents bool     // list instances have none of it
-	of     []string // the figures of a role, summed
-	times  float64
-	budget func(*Target) float64 // of an agent; nil: none was told
+	Rate       bool
+	agentsOnly bool     // list instances have none of it
+	parts      []string // the figures of a role, summed
+	factor     float64
+	budget     func(*Target) float64 // of an agent; nil: none was told
 }
 
 // Figures are those of each role, in the page's order.
-var Figures = []Figure{
-	{Name: "state", Unit: "entries", of: []string{Members, Servers}, times: 1},
-	{Name: "messages", Unit: "a second", Rate: true, of: []string{MessagesIn, MessagesOut}, times: 1},
-	{Name: "bytes", Unit: "a second", Rate: true, of: []string{BytesIn, BytesOut}, times: 1, budget: func(t *Target) float64 { return t.Agent.BytesPerS }},
-	{Name: "of these the fleet view's", Unit: "bytes a second", Rate: true, agents: true, of: []string{ViewBytes}, times: 1},
-	{Name: "of these discovery's", Unit: "bytes a second", Rate: true, agents: true, of: []string{ListBytes}, times: 1},
-	{Name: "processor", Unit: "% of a core", Rate: true, of: []string{CPU}, times: 100, budget: func(t *Target) float64 { return 100 * t.Agent.ControlCPU }},
-	{Name: "memory", Unit: "MB resident", of: []string{ResidentMB}, times: 1, budget: func(t *Target) float64 { return t.Agent.MemoryMB }},
-	{Name: "live heap", Unit: "MB", of: []string{HeapMB}, times: 1},
+var Metrics = []Metric{
+	{Name: "state", Unit: "entries", parts: []string{Members, Servers}, factor: 1},
+	{Name: "messages", Unit: "a second", Rate: true, parts: []string{MessagesIn, MessagesOut}, factor: 1},
+	{Name: "bytes", Unit: "a second", Rate: true, parts: []string{BytesIn, BytesOut}, factor: 1, budget: func(t *Target) float64 { return t.Agent.BytesPerS }},
+	{Name: "of these the fleet view's", Unit: "bytes a second", Rate: true, agentsOnly: true, parts: []string{ViewBytes}, factor: 1},
+	{Name: "of these discovery's", Unit: "bytes a second", Rate: true, agentsOnly: true, parts: []string{ListBytes}, factor: 1},
+	{Name: "processor", Unit: "% of a core", Rate: true, parts: []string{CPU}, factor: 100, budget: func(t *Target) float64 { return 100 * t.Agent.ControlCPU }},
+	{Name: "memory", Unit: "MB resident", parts: []string{ResidentMB}, factor: 1, budget: func(t *Target) float64 { return t.Agent.MemoryMB }},
+	{Name: "live heap", Unit: "MB", parts: []string{HeapMB}, factor: 1},
 }
 
 // value is the figure of one run's role, its mean over the members.
-func (f Figure) value(r *Run, role string) (float64, bool) {
+func (f Metric) value(r *Run, role string) (float64, bool) {
 	sum := 0.0
-	for _, part := range f.of {
+	for _, part := range f.parts {
 		v, there := r.Roles[role].Mean[part]
 		if !there {
 			return 0, false
 		}
-		sum += v * f.times
+		sum += v * f.factor
 	}
 	return sum, r.Roles[role].Count > 0
 }
 
 // Counted leaves out the runs that do not count, and of the plays of one plan, commit, day, size,
 // hurry, repeat and seed all but the last.
-func Counted(runs []*Run) []*Run {
+func ValidRuns(runs []*Run) []*Run {
 	type play struct {
 		plan, commit, day string
 		size, repeat      int
@@ -56,7 +56,7 @@
 		seed              uint64
 	}
 	last := map[play]int{}
-	key := func(r *Run) play { return play{r.Plan, r.Commit, r.Day, r.Size, r.Repeat, r.Hurry, r.Seed} }
+	key := func(r *Run) play { return play{r.Plan, r.Commit, r.Day, r.Size, r.Repeat, r.RateFactor, r.Seed} }
 	for i, r := range runs {
 		last[key(r)] = i
 	}
@@ -70,7 +70,7 @@
 }
 
 // of are the runs of a day.
-func ofDay(runs []*Run, day string) (out []*Run) {
+func runsOnDay(runs []*Run, day string) (out []*Run) {
 	for _, r := range runs {
 		if r.Day == day {
 			out = append(out, r)
@@ -79,7 +79,7 @@
 	return out
 }
 
-func points(runs []*Run, value func(*Run) (float64, bool)) (out []Point) {
+func collectPoints(runs []*Run, value func(*Run) (float64, bool)) (out []Point) {
 	for _, r := range runs {
 		if v, there := value(r); there {
 			out = append(out, Point{Size: r.Size, Changes: float64(r.Changes) / r.Seconds, Value: v})
@@ -91,17 +91,17 @@
 // Ratio is hollow agents' figure over the real ones' of the same runs: the geometric mean and its
 // 95 % interval (Student's t on the logarithms).
 type Ratio struct {
-	Mean   float64
-	In     Interval
-	Runs   int
-	Steady bool // the mean of no size is over 1.25 times another's, so that it may be told at other sizes
+	Mean     float64
+	Interval Interval
+	Runs     int
+	Stable   bool // the mean of no size is over 1.25 times another's, so that it may be told at other sizes
 }
 
 // The hollow figure stands for the real one where their ratio is between these.
-const ratioLo, ratioHi = 0.8, 1.25
+const minUsableRatio, maxUsableRatio = 0.8, 1.25
 
 // ratioOf is not ok without two runs in which both were measured and above zero.
-func ratioOf(runs []*Run, f Figure) (Ratio, bool) {
+func hollowRatio(runs []*Run, f Metric) (Ratio, bool) {
 	var logs []float64
 	bySize := map[int][]float64{}
 	for _, r := range runs {
@@ -117,60 +117,60 @@
 	}
 	mean, sd := stat.MeanStdDev(logs, nil)
 	n := float64(len(logs))
-	half := student(n-1) * sd / math.Sqrt(n)
+	half := studentQuantile(n-1) * sd / math.Sqrt(n)
 	least, most := math.Inf(1), math.Inf(-1)
 	for _, ls := range bySize {
 		least, most = math.Min(least, stat.Mean(ls, nil)), math.Max(most, stat.Mean(ls, nil))
 	}
-	return Ratio{math.Exp(mean), Interval{math.Exp(mean - half), math.Exp(mean + half)}, len(logs), most-least <= math.Log(ratioHi)}, true
+	return Ratio{math.Exp(mean), Interval{math.Exp(mean - half), math.Exp(mean + half)}, len(logs), most-least <= math.Log(maxUsableRatio)}, true
 }
 
 // Source says which agents a figure was taken from.
 type Source struct {
-	Role      string
-	Corrected bool // hollow, divided by the ratio
-	Why       string
-	Ratio     Ratio
-	HasRatio  bool
+	Role        string
+	Corrected   bool // hollow, divided by the ratio
+	Description string
+	Ratio       Ratio
+	HasRatio    bool
 }
 
 // source chooses between hollow and real agents for a day's figure: hollow where their ratio is
 // near one, hollow divided by the ratio where that is steady over the sizes and known to a quarter,
 // else real.
-func source(runs []*Run, f Figure) Source {
+func selectSource(runs []*Run, f Metric) Source {
 	s := Source{Role: RoleHollow}
-	s.Ratio, s.HasRatio = ratioOf(runs, f)
-	real := points(runs, func(r *Run) (float64, bool) { return f.value(r, RoleReal) })
-	hollow := points(runs, func(r *Run) (float64, bool) { return f.value(r, RoleHollow) })
+	s.Ratio, s.HasRatio = hollowRatio(runs, f)
+	real := collectPoints(runs, func(r *Run) (float64, bool) { return f.value(r, RoleReal) })
+	hollow := collectPoints(runs, func(r *Run) (float64, bool) { return f.value(r, RoleHollow) })
 	r := s.Ratio
 	switch {
 	case len(hollow) == 0 && len(real) == 0:
-		s.Why = "not measured"
+		s.Description = "not measured"
 	case len(hollow) == 0:
-		s.Role, s.Why = RoleReal, "real; hollow not measured"
-	case !s.HasRatio && zero(hollow) && zero(real) && len(real) > 0:
-		s.Why = "hollow; both 0"
+		s.Role, s.Description = RoleReal, "real; hollow not measured"
+	case !s.HasRatio && allZero(hollow) && allZero(real) && len(real) > 0:
+		s.Description = "hollow; both 0"
 	case !s.HasRatio && len(real) > 0:
-		s.Role, s.Why = RoleReal, "real; no ratio to hollow"
+		s.Role, s.Description = RoleReal, "real; no ratio to hollow"
 	case !s.HasRatio:
-		s.Why = "hollow, not held to real"
-	case r.Mean >= ratioLo && r.Mean <= ratioHi:
-		s.Why = "hollow"
-	case r.Steady && r.In.Hi/r.In.Lo <= ratioHi:
-		s.Corrected, s.Why = true, fmt.Sprintf("hollow ÷ %s", num(r.Mean))
+		s.Description = "hollow, not held to real"
+	case r.Mean >= minUsableRatio && r.Mean <= maxUsableRatio:
+		s.Description = "hollow"
+	case r.Stable && r.Interval.Hi/r.Interval.Lo <= maxUsableRatio:
+		s.Corrected, s.Description = true, fmt.Sprintf("hollow ÷ %s", formatNumber(r.Mean))
 	default:
-		s.Role, s.Why = RoleReal, "real; hollow not used"
+		s.Role, s.Description = RoleReal, "real; hollow not used"
 	}
 	return s
 }
 
-func zero(points []Point) bool {
+func allZero(points []Point) bool {
 	return !slices.ContainsFunc(points, func(p Point) bool { return p.Value != 0 })
 }
 
 // points of the source's agents.
-func (s Source) points(runs []*Run, f Figure) []Point {
-	return points(runs, func(r *Run) (float64, bool) {
+func (s Source) collectPoints(runs []*Run, f Metric) []Point {
+	return collectPoints(runs, func(r *Run) (float64, bool) {
 		v, there := f.value(r, s.Role)
 		if s.Corrected {
 			v /= s.Ratio.Mean
@@ -180,10 +180,10 @@
 }
 
 // perAgent is the rate of changes of the runs for one agent, without the hurry.
-func perAgent(runs []*Run) float64 {
+func changesPerAgent(runs []*Run) float64 {
 	var rates []float64
 	for _, r := range runs {
-		rates = append(rates, float64(r.Changes)/r.Seconds/float64(r.Size)/r.Hurry)
+		rates = append(rates, float64(r.Changes)/r.Seconds/float64(r.Size)/r.RateFactor)
 	}
 	if len(rates) == 0 {
 		return 0
@@ -192,10 +192,10 @@
 }
 
 // hurries are by how much the days were hurried, each once.
-func hurries(runs []*Run) []float64 {
+func rateFactors(runs []*Run) []float64 {
 	set := map[float64]bool{}
 	for _, r := range runs {
-		set[r.Hurry] = true
+		set[r.RateFactor] = true
 	}
 	return slices.Sorted(maps.Keys(set))
 }
--- a/internal/scaletest/force.go
+++ b/internal/scaletest/force.go
@@ -164,7 +164,7 @@
 // times are the times from each change's acknowledgement until it was in force, over all agents
 // that it was for and that were there then, or one of those and gone before its time was up; missing is how many pairs
 // of change and agent can't be told, as the agent left lines out.
-func (t *tracker) times() (out capacity.Times, missing int, err error) {
+func (t *tracker) times() (out capacity.Latencies, missing int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := hdrhistogram.New(1, allowed.Microseconds(), 3)
@@ -186,15 +186,15 @@
 			case !l.end.IsZero() && l.end.Sub(c.acked) < allowed || now.Sub(c.acked) < allowed:
 				// It was gone, or the run is over, before the time was up.
 			default:
-				out.Absent++
+				out.NeverInForce++
 			}
 		}
 	}
-	out.N = h.TotalCount()
-	if out.N == 0 {
+	out.Count = h.TotalCount()
+	if out.Count == 0 {
 		return out, missing, nil
 	}
-	out.P50, out.P99, out.Worst = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000
+	out.P50, out.P99, out.Max = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000
 	text, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	out.Histogram = string(text)
 	return out, missing, err
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -215,7 +215,7 @@
 }
 
 // roles are the figures of all roles between two samples.
-func (f *running) roles(before, after *sample) map[string]capacity.Role {
+func (f *running) roles(before, after *sample) map[string]capacity.RoleMetrics {
 	members := map[string][]figures{}
 	shares := map[string]figures{} // of each host's process, for one of its agents
 	for name, r := range after.hosts {
@@ -251,7 +251,7 @@
 			members[role] = append(members[role], r.over(from))
 		}
 	}
-	out := map[string]capacity.Role{}
+	out := map[string]capacity.RoleMetrics{}
 	for role, all := range members {
 		out[role] = summed(all)
 	}
@@ -259,13 +259,13 @@
 }
 
 // summed is the mean and the most of each figure over the members of a role.
-func summed(all []figures) capacity.Role {
-	r := capacity.Role{Count: len(all), Mean: map[string]float64{}, Most: map[string]float64{}}
+func summed(all []figures) capacity.RoleMetrics {
+	r := capacity.RoleMetrics{Count: len(all), Mean: map[string]float64{}, Max: map[string]float64{}}
 	for i, one := range all {
 		for k, v := range one {
 			r.Mean[k] += v / float64(len(all))
-			if most, ok := r.Most[k]; i == 0 || !ok || v > most {
-				r.Most[k] = v
+			if most, ok := r.Max[k]; i == 0 || !ok || v > most {
+				r.Max[k] = v
 			}
 		}
 	}
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -188,11 +188,11 @@
 		t.Fatal(err)
 	}
 	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
-	if times.N != 7 || times.Absent != 4 || missing != 2 || math.Abs(times.Worst-12_000) > 12 || math.Abs(times.P50-500) > 1 {
+	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 || math.Abs(times.P50-500) > 1 {
 		t.Errorf("%+v, missing %d", times, missing)
 	}
 	tr.day()
-	if times, missing, err := tr.times(); err != nil || times.N != 0 || times.Absent != 0 || missing != 0 || tr.last("all") != 0 {
+	if times, missing, err := tr.times(); err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.last("all") != 0 {
 		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
 	}
 }
@@ -209,7 +209,7 @@
 	tr.force("a", 5, acked.Add(time.Second))
 	tr.force("b", 9, acked.Add(3*time.Second))
 	times, _, err := tr.times()
-	if err != nil || times.N != 2 || math.Abs(times.Worst-3000) > 3 || tr.last("a") != 5 || tr.last("b") != 9 || tr.last("c") != 0 {
+	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.last("a") != 5 || tr.last("b") != 9 || tr.last("c") != 0 {
 		t.Errorf("%+v, %v; last %d and %d", times, err, tr.last("a"), tr.last("b"))
 	}
 }
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -21,7 +21,7 @@
 func Print(out io.Writer, runs []*capacity.Run) error {
 	for _, r := range runs {
 		fmt.Fprintf(out, "%s: %d hollow and %d real agents, %d list instances, %d servers, repeat %d: %.0f s hurried %g times, %d changes\n",
-			r.Day, r.Hollow, r.Real, r.Lists, r.Listed, r.Repeat, r.Seconds, r.Hurry, r.Changes)
+			r.Day, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
 		if len(r.Roles) > 0 {
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			head := "\t"
@@ -46,7 +46,7 @@
 		}
 		for _, kind := range []string{kindList, kindSettings} {
 			if t, ok := r.InForce[kind]; ok {
-				fmt.Fprintf(out, "  %s in force after, ms: p50 %.1f, p99 %.1f, worst %.1f of %d; never %d; settled at the end: %v\n", kind, t.P50, t.P99, t.Worst, t.N, t.Absent, r.Settled)
+				fmt.Fprintf(out, "  %s in force after, ms: p50 %.1f, p99 %.1f, worst %.1f of %d; never %d; settled at the end: %v\n", kind, t.P50, t.P99, t.Max, t.Count, t.NeverInForce, r.Converged)
 			}
 		}
 		if len(r.Missing) > 0 {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -108,7 +108,7 @@
 	}
 	for _, name := range names {
 		run := &capacity.Run{Plan: p.Name, Commit: cfg.Commit, Day: name, Repeat: repeat, Seed: seed, Size: f.size, Hollow: hollow, Real: p.Real,
-			Lists: p.Lists, Listed: f.listed, Hurry: p.Hurry}
+			DiscoveryInstances: p.Lists, ListedServers: f.listed, RateFactor: p.Hurry}
 		ok, err := f.day(ctx, cfg, run)
 		if err != nil {
 			return played, err
@@ -180,7 +180,7 @@
 	if apart, err = f.settled(ctx, false); err != nil {
 		return false, err
 	}
-	run.Settled = apart == ""
+	run.Converged = apart == ""
 	if apart != "" {
 		cfg.Progress("%s: at its end, after %v, %s", run.Day, settleTime, apart)
 	}
@@ -212,7 +212,7 @@
 			return err
 		}
 		if run.InForce == nil {
-			run.InForce = map[string]capacity.Times{}
+			run.InForce = map[string]capacity.Latencies{}
 		}
 		run.Changes += changes
 		run.InForce[kind] = times
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -77,21 +77,21 @@
 // reached judges that a run's changes reached all, and that all came to one view.
 func reached(t *testing.T, r *capacity.Run) {
 	t.Helper()
-	if !r.Settled {
+	if !r.Converged {
 		t.Errorf("%d hollow, %s: not all came to one view and the last list", r.Hollow, r.Day)
 	}
 	if _, ok := r.InForce["settings"]; ok {
 		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Day)
 	}
 	times := r.InForce["list"]
-	if times.Absent > 0 {
-		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Day, times.Absent)
+	if times.NeverInForce > 0 {
+		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Day, times.NeverInForce)
 	}
-	if r.Day != "quiet" && (r.Changes == 0 || times.N < int64(r.Changes*r.Size/2) || times.Histogram == "") {
-		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Day, r.Changes, times.N)
+	if r.Day != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
+		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Day, r.Changes, times.Count)
 	}
 	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 || r.Roles[capacity.RoleLeader].Count != 1 ||
-		r.Roles[capacity.RoleFollower].Count != r.Lists-1 {
+		r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
 		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Day, r.Roles)
 	}
 }
@@ -159,13 +159,13 @@
 	p.Sizes, p.Days, p.Seconds, p.Hurry, p.Settings = []int{12}, []string{"control"}, leastSeconds, 6000, 1
 	r := playedPlan(t, p)[0]
 	times := r.InForce["settings"]
-	if _, ok := r.InForce["list"]; ok || !r.Settled || times.Absent > 0 || r.Changes == 0 || times.Histogram == "" {
-		t.Errorf("settled %v, %d changes, in force %+v", r.Settled, r.Changes, r.InForce)
+	if _, ok := r.InForce["list"]; ok || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
+		t.Errorf("settled %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
 	}
 	// Two services share 15 agents, 3 of them real: a change has 7 or 8 pairs, 4 at least of hollow
 	// agents, which leave nothing out.
-	if times.N < int64(4*r.Changes) || times.N > int64(8*r.Changes) {
-		t.Errorf("%d changes, %d times", r.Changes, times.N)
+	if times.Count < int64(4*r.Changes) || times.Count > int64(8*r.Changes) {
+		t.Errorf("%d changes, %d times", r.Changes, times.Count)
 	}
 }
 
