--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -29,7 +29,7 @@
 
 // The true slope has to lie in the interval at its rate, the shape has to be found, the largest
 // size and the target's have to lie in the predictions' intervals at their rate or more.
-func TestSlopesOfKnownLaws(t *testing.T) {
+func TestFitCoverageOfKnownLaws(t *testing.T) {
 	const draws = 1000
 	for _, c := range []struct {
 		shape                    Shape
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestExactLaws(t *testing.T) {
+func TestFitOfExactLaws(t *testing.T) {
 	for _, s := range []Shape{ShapeFlat, ShapeLog, ShapeLinear, ShapeQuadratic} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		f, err := NewFit(samplePoints(rng, s, 3, 0.25, 0, 3, 50, 100, 200, 400))
@@ -127,7 +127,7 @@
 }
 
 // Where a plan's changes grow with the size, n × changes and n² are one line; it is no alarm.
-func TestChangesThatGrowWithTheSize(t *testing.T) {
+func TestCollinearShapesRaiseNoAlarm(t *testing.T) {
 	var points []Point
 	for _, n := range []int{50, 100, 200, 400} {
 		for r := range 3 {
@@ -142,7 +142,7 @@
 }
 
 // What falls is not predicted to go on falling.
-func TestFallingFigureIsFlat(t *testing.T) {
+func TestFallingMetricIsFlat(t *testing.T) {
 	f, err := NewFit(samplePoints(rand.New(rand.NewPCG(2, 2)), ShapeLinear, 100, -0.2, 1, 3, 50, 100, 200, 400))
 	if err != nil || f.Shape != ShapeFlat {
 		t.Fatalf("%+v, %v", f, err)
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestTooLittleIsNoFit(t *testing.T) {
+func TestNewFitErrors(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for _, c := range []struct {
 		points []Point
@@ -174,7 +174,7 @@
 }
 
 // Whatever the points are, the fit's figures are numbers, and no interval misses its own value.
-func TestFitsAreNumbers(t *testing.T) {
+func TestFitIsFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		points := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Point {
 			return Point{rapid.SampledFrom([]int{1, 2, 50, 100, 200, 400}).Draw(t, "size"), rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(t, "changes"),
@@ -198,7 +198,7 @@
 }
 
 // A slope by n that is surely above zero is never told as flat, however few the points are.
-func TestGrowthIsNotFlat(t *testing.T) {
+func TestSignificantGrowthIsNotFlat(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	grown := 0
 	for range 500 {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -11,7 +11,7 @@
 	Mechanisms *Mechanisms
 	Records    []Record
 	Runs       []*Run // the valid runs of all records
-	Benches    []*BenchmarkFile
+	Benchmarks    []*BenchmarkFile
 	Command    string // that prints the page
 
 	// firstPlanRuns are those of Runs that belong to the first one's plan: the metrics of roles are
@@ -45,7 +45,7 @@
 // NewPage makes the rows from records, benchmarks and mechanisms. A row without data says that
 // nothing was measured. A mechanism whose pattern matches no row is an error.
 func NewPage(t *Target, m *Mechanisms, records []Record, benches []*BenchmarkFile) (*Page, error) {
-	p := &Page{Target: t, Mechanisms: m, Benches: benches}
+	p := &Page{Target: t, Mechanisms: m, Benchmarks: benches}
 	for _, record := range records {
 		record.valid = ValidRuns(record.Runs)
 		p.Runs = append(p.Runs, record.valid...)
@@ -155,7 +155,7 @@
 
 // estimate is a benchmark's from the first file that has it.
 func (p *Page) estimate(name, unit string) (Estimate, bool) {
-	for _, b := range p.Benches {
+	for _, b := range p.Benchmarks {
 		if e, ok := b.Estimate(name, unit); ok {
 			return e, true
 		}
@@ -168,7 +168,7 @@
 
 // dataPathRows are the rows of the data path with the target's servers. Nothing is extrapolated.
 func (p *Page) dataPathRows() []*Row {
-	servers := p.Target.Fleet.Backends
+	servers := p.Target.Fleet.Servers
 	added := &Row{Day: "calm", Metric: "added", Unit: "µs at p99"}
 	p.setEstimate(added, pathName(servers), "added-p99-us", 1)
 	rows := []*Row{added}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -118,7 +118,7 @@
 	return found[0]
 }
 
-func TestPageOfNothing(t *testing.T) {
+func TestPageWithoutRuns(t *testing.T) {
 	text, p := renderTables(t, nil, "testdata/none.txt")
 	if f := tableDefect(text); f != "" {
 		t.Error(f)
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestPageOfMadeUpRuns(t *testing.T) {
+func TestPageOfSyntheticRuns(t *testing.T) {
 	text, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt", "testdata/made-up-decision.txt")
 	if f := tableDefect(text); f != "" {
 		t.Error(f)
@@ -212,7 +212,7 @@
 }
 
 // What is over its budget at a size that was run needs no fit.
-func TestOverBudgetAtASizeThatWasRun(t *testing.T) {
+func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
 	runs := []*Run{validRun()}
 	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
 	_, p := renderTables(t, runs)
@@ -225,7 +225,7 @@
 }
 
 // A second plan tells its changes in force, and nothing of what roles take.
-func TestRolesAreOfTheFirstPlan(t *testing.T) {
+func TestRolesUseFirstPlanOnly(t *testing.T) {
 	first, second := validRun(), validRun()
 	second.Plan, second.Day, second.Size = "second", first.Day, first.Size+1
 	first.Roles[RoleReal].Mean[ResidentMB], second.Roles[RoleReal].Mean[ResidentMB] = 10, 30
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestLastPlayOfARunCounts(t *testing.T) {
+func TestValidRunsKeepsLastRepeat(t *testing.T) {
 	first, again, other, late := validRun(), validRun(), validRun(), validRun()
 	other.Repeat, late.Repeat, late.Invalid = 2, 3, []string{"late"}
 	if got := ValidRuns([]*Run{first, other, again, late}); !slices.Equal(got, []*Run{other, again}) {
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestHollowAgainstReal(t *testing.T) {
+func TestSelectSource(t *testing.T) {
 	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
 	run := func(size int, hollow, real float64) *Run {
 		r := validRun()
@@ -286,7 +286,7 @@
 }
 
 // However little a record has, and whatever its figures are, the page has no cell without words.
-func TestPagesOfAnyRuns(t *testing.T) {
+func TestPageOfArbitraryRuns(t *testing.T) {
 	names := []string{Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB, ViewBytes, ListBytes}
 	rapid.Check(t, func(t *rapid.T) {
 		var runs []*Run
@@ -325,7 +325,7 @@
 	})
 }
 
-func TestBenchFilesThatAreBroken(t *testing.T) {
+func TestReadBenchmarkFileErrors(t *testing.T) {
 	for text, says := range map[string]string{
 		"BenchmarkPath/servers=10 100 nonsense added-p99-us\n": ":1: ",
 		"goos: linux\n--- FAIL: BenchmarkPath\n":               ":2: a benchmark failed",
@@ -351,7 +351,7 @@
 	}
 }
 
-func TestMechanismsThatSayNothing(t *testing.T) {
+func TestMechanismErrors(t *testing.T) {
 	const head = "[[mechanism]]\n"
 	for text, says := range map[string]string{
 		head + "rows = [\"agent/*/bytes\"]\n":                               "by: is empty",
@@ -391,7 +391,7 @@
 	}
 }
 
-func TestMadeUpIsMarked(t *testing.T) {
+func TestSyntheticRunsAreMarked(t *testing.T) {
 	for _, r := range syntheticRuns(t) {
 		if r.Plan != "made-up" || r.Commit != "none" {
 			t.Errorf("a run of plan %q, commit %q", r.Plan, r.Commit)
@@ -403,7 +403,7 @@
 }
 
 // What is not known of the ratio that hollow figures are divided by is in the interval.
-func TestCorrectedFiguresAreLessSure(t *testing.T) {
+func TestCorrectionWidensInterval(t *testing.T) {
 	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
 	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
 		t.Errorf("%v (%v)", v, in)
@@ -416,7 +416,7 @@
 	}
 }
 
-func TestScaledFromAHurriedDay(t *testing.T) {
+func TestRescaleToTarget(t *testing.T) {
 	v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, 4)
 	if want := 100*0.75 + 500*0.25; v != want || math.Abs(in.Lo-(want-math.Hypot(7.5, 25))) > 1e-9 || math.Abs(in.Hi-(want+math.Hypot(15, 50))) > 1e-9 {
 		t.Errorf("%v (%v)", v, in)
@@ -426,7 +426,7 @@
 	}
 }
 
-func TestPlanIsNamedByItsFile(t *testing.T) {
+func TestPlanArgument(t *testing.T) {
 	file := writeFile(t, "plan.toml", "name = \"two\"\nsizes = [1]\n")
 	record := filepath.Join(filepath.Dir(file), "r.jsonl")
 	for plan, want := range map[string]string{"two": file, "small": "--small", "three": "three.toml"} {
--- a/internal/capacity/read_test.go
+++ b/internal/capacity/read_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTargetIsTheOperators(t *testing.T) {
+func TestLoadTargetOfDeployment(t *testing.T) {
 	got, err := LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestTargetsThatMakeNoSense(t *testing.T) {
+func TestLoadTargetErrors(t *testing.T) {
 	whole, err := os.ReadFile(targetFile)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
-func TestRunsAreReadAsWritten(t *testing.T) {
+func TestRunRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	one, two := validRun(), validRun()
 	two.Seed, two.Missing, two.Invalid, two.RateFactor, two.Seconds = math.MaxUint64, []string{"alloc"}, []string{"late"}, 0, 0
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestRunsThatCanNotBe(t *testing.T) {
+func TestWriteRunRefusesInvalidRun(t *testing.T) {
 	for names, spoil := range map[string]func(*Run){
 		"plan":                func(r *Run) { r.Plan = "" },
 		"day":                 func(r *Run) { r.Day = "holiday" },
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestLinesThatAreNoRuns(t *testing.T) {
+func TestReadRunsErrors(t *testing.T) {
 	var b bytes.Buffer
 	if err := WriteRun(&b, validRun()); err != nil {
 		t.Fatal(err)
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -107,7 +107,7 @@
 // distinctionThreshold is the difference of AICc from which two shapes are distinguished: that of a
 // 95 % interval by the profile likelihood, with F in place of chi-squared as there are few points.
 // It is 3.84 with many points, 4.8 with 12 and 6.4 with 6. With the 2 and 4 of Burnham and Anderson
-// the intervals of predictions for laws hidden by noise covered 0.90 only (TestSlopesOfKnownLaws, 12
+// the intervals of predictions for laws hidden by noise covered 0.90 only (TestFitCoverageOfKnownLaws, 12
 // and 6 runs).
 func (l regression) distinctionThreshold() float64 {
 	n := float64(len(l.xs))
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -37,7 +37,7 @@
 		}
 	}
 	b.WriteString("\n")
-	for _, benchmark := range p.Benches {
+	for _, benchmark := range p.Benchmarks {
 		fmt.Fprintf(b, "- `%s`: %s\n", filepath.ToSlash(benchmark.Path), benchmark.describe())
 	}
 }
@@ -59,8 +59,8 @@
 // serverCounts are the numbers of servers that a benchmark was run with, and those that it should be
 // run with.
 func (p *Page) serverCounts(name string) []int {
-	counts := map[int]bool{10: true, 100: true, p.Target.Fleet.Backends: true}
-	for _, b := range p.Benches {
+	counts := map[int]bool{10: true, 100: true, p.Target.Fleet.Servers: true}
+	for _, b := range p.Benchmarks {
 		maps.Copy(counts, b.ServerCounts(name))
 	}
 	return slices.Sorted(maps.Keys(counts))
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -11,7 +11,7 @@
 type Target struct {
 	Fleet struct {
 		Agents          int     `toml:"agents"`
-		Backends        int     `toml:"backends"`
+		Servers         int     `toml:"backends"`
 		Services        int     `toml:"services"`
 		CallsPerS       float64 `toml:"calls_per_s"` // over the whole fleet
 		CallDepth       int     `toml:"call_depth"`  // the deepest chain
@@ -82,8 +82,8 @@
 // checkRelations checks the sizes of the fleet against each other.
 func (t *Target) checkRelations() error {
 	switch f := t.Fleet; {
-	case f.Services > f.Backends:
-		return fmt.Errorf("fleet.services: %d are more than the %d backends", f.Services, f.Backends)
+	case f.Services > f.Servers:
+		return fmt.Errorf("fleet.services: %d are more than the %d backends", f.Services, f.Servers)
 	case f.Regions > f.Zones:
 		return fmt.Errorf("fleet.regions: %d are more than the %d zones", f.Regions, f.Zones)
 	case f.Zones > f.Agents:
