--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// drawn gives points of a known law: intercept and slope by a shape's x, with normal noise.
-func samplePoints(rng *rand.Rand, s Shape, intercept, slope, noise float64, repeats int, sizes ...int) (points []Point) {
+// samplePoints gives points of a known law: intercept and slope by a shape's x, with normal noise.
+func samplePoints(rng *rand.Rand, s Shape, intercept, slope, noise float64, repeats int, sizes ...int) []Point {
+	var points []Point
 	for _, n := range sizes {
 		for range repeats {
 			// A plan's changes grow with the size; some runs come to a few more than others.
@@ -27,8 +28,8 @@
 	return points
 }
 
-// The true slope has to lie in the interval at its rate, the shape has to be found, the largest
-// size and the target's have to lie in the predictions' intervals at their rate or more.
+// TestFitCoverageOfKnownLaws draws points from known laws. At the given rates or more the shape has to
+// be found, and the intervals have to contain the true slope, the largest size and the target's value.
 func TestFitCoverageOfKnownLaws(t *testing.T) {
 	const draws = 1000
 	for _, c := range []struct {
@@ -42,7 +43,7 @@
 		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
 		{ShapePerChange, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
 		{ShapeQuadratic, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
-		// Shapes that the noise hides: the predictions have to own up to it.
+		// Shapes that the noise hides: the predictions' intervals have to include it.
 		{ShapeLinear, 4, 100, 0.5, 40, 0, 0, 0.93},
 		{ShapeLog, 4, 10, 3, 2, 0, 0, 0.93},
 		{ShapeLinear, 4, 100, 0.1, 20, 0, 0, 0.93},
@@ -61,7 +62,7 @@
 					t.Fatal(err)
 				}
 				if f.HeldOutSize != 400 || len(f.Sizes) != 3 || f.Runs != 3*c.repeats {
-					t.Fatalf("left out %d, fitted %d runs at %v", f.HeldOutSize, f.Runs, f.Sizes)
+					t.Fatalf("held out %d, fitted %d runs at %v", f.HeldOutSize, f.Runs, f.Sizes)
 				}
 				if f.GrowsQuadratically {
 					alarms++
@@ -80,7 +81,8 @@
 					}
 				}
 			}
-			t.Logf("shape found in %.3f, slope in its interval in %.3f of these, target in %.3f, left out in %.3f, alarm in %.3f",
+			t.Logf("shape found in %.3f, slope in its interval in %.3f of these, target in %.3f,"+
+				" held out in %.3f, alarm in %.3f",
 				found/draws, slope/found, target/draws, largest/draws, alarms/draws)
 			if found/draws < c.found {
 				t.Errorf("shape found in %.3f of the draws, want %.3f", found/draws, c.found)
@@ -89,9 +91,11 @@
 				t.Errorf("slope in its interval in %.3f of the draws, want 0.95", rate)
 			}
 			if target/draws < c.atTarget || largest/draws < c.atTarget {
-				t.Errorf("predictions hold %.3f at the target and %.3f at the size left out, want %.3f", target/draws, largest/draws, c.atTarget)
+				t.Errorf("predictions cover %.3f at the target and %.3f at the size held out, want %.3f",
+					target/draws, largest/draws, c.atTarget)
 			}
-			if rate := alarms / draws; c.shape == ShapeQuadratic && rate < 0.95 || c.shape != ShapeQuadratic && rate > 0.05 {
+			quadratic := c.shape == ShapeQuadratic
+			if rate := alarms / draws; quadratic && rate < 0.95 || !quadratic && rate > 0.05 {
 				t.Errorf("alarm in %.3f of the draws", rate)
 			}
 		})
@@ -126,7 +130,8 @@
 	}
 }
 
-// Where a plan's changes grow with the size, n × changes and n² are one line; it is no alarm.
+// TestCollinearShapesRaiseNoAlarm: where a plan's changes grow with the size, n × changes and n² are
+// collinear, and the simpler one is selected.
 func TestCollinearShapesRaiseNoAlarm(t *testing.T) {
 	var points []Point
 	for _, n := range []int{50, 100, 200, 400} {
@@ -136,12 +141,13 @@
 		}
 	}
 	f, err := NewFit(points)
-	if err != nil || f.Shape != ShapePerChange || f.GrowsQuadratically || slices.Contains(f.Indistinguishable, ShapeQuadratic) {
+	if err != nil || f.Shape != ShapePerChange || f.GrowsQuadratically ||
+		slices.Contains(f.Indistinguishable, ShapeQuadratic) {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
 
-// What falls is not predicted to go on falling.
+// TestFallingMetricIsFlat: a metric that falls with the size is not predicted to keep falling.
 func TestFallingMetricIsFlat(t *testing.T) {
 	f, err := NewFit(samplePoints(rand.New(rand.NewPCG(2, 2)), ShapeLinear, 100, -0.2, 1, 3, 50, 100, 200, 400))
 	if err != nil || f.Shape != ShapeFlat {
@@ -156,29 +162,34 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	for _, c := range []struct {
 		points []Point
-		says   string
+		want   string
 	}{
 		{nil, "0 of 3 sizes"},
 		{samplePoints(rng, ShapeFlat, 1, 0, 1, 5, 50, 100), "2 of 3 sizes"},
 		{samplePoints(rng, ShapeFlat, 1, 0, 1, 1, 50, 100, 200, 400), "3 of 5 runs"},
 		{[]Point{{50, 0, math.NaN()}}, "NaN"},
 	} {
-		if f, err := NewFit(c.points); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%d points: %v, %v; want %q", len(c.points), f, err, c.says)
+		if f, err := NewFit(c.points); err == nil || f != nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%d points: %v, %v; want %q", len(c.points), f, err, c.want)
 		}
 	}
 	f, err := NewFit(samplePoints(rng, ShapeLinear, 1, 1, 0.1, 2, 50, 100, 200))
 	if err != nil || f.HeldOutSize != 0 || len(f.Sizes) != 3 {
-		t.Errorf("three sizes: %+v, %v; want none left out", f, err)
+		t.Errorf("three sizes: %+v, %v; want none held out", f, err)
 	}
 }
 
-// Whatever the points are, the fit's figures are numbers, and no interval misses its own value.
+// TestFitIsFinite: for arbitrary points all results of the fit are finite, and each interval contains its
+// own value.
 func TestFitIsFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		points := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Point {
-			return Point{rapid.SampledFrom([]int{1, 2, 50, 100, 200, 400}).Draw(t, "size"), rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(t, "changes"),
-				rapid.OneOf(rapid.Just(0.0), rapid.Just(7.0), rapid.Float64Range(0, 1e12)).Draw(t, "value")}
+			value := rapid.OneOf(rapid.Just(0.0), rapid.Just(7.0), rapid.Float64Range(0, 1e12))
+			return Point{
+				Size:    rapid.SampledFrom([]int{1, 2, 50, 100, 200, 400}).Draw(t, "size"),
+				Changes: rapid.SampledFrom([]float64{0, 0.1, 5}).Draw(t, "changes"),
+				Value:   value.Draw(t, "value"),
+			}
 		}), 0, 20).Draw(t, "points")
 		f, err := NewFit(points)
 		if err != nil {
@@ -186,7 +197,10 @@
 		}
 		v, in := f.Predict(1500, 0.06)
 		miss, _ := f.RelativeError()
-		for _, x := range []float64{f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, v, in.Lo, in.Hi, f.Measured, f.Predicted, f.PredictedInterval.Lo, f.PredictedInterval.Hi, miss} {
+		for _, x := range []float64{
+			f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, v, in.Lo, in.Hi, f.Measured, f.Predicted,
+			f.PredictedInterval.Lo, f.PredictedInterval.Hi, miss,
+		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) {
 				t.Fatalf("%+v, %v %v at 1500", f, v, in)
 			}
@@ -197,7 +211,8 @@
 	})
 }
 
-// A slope by n that is surely above zero is never told as flat, however few the points are.
+// TestSignificantGrowthIsNotFlat: a slope by n whose interval lies above zero is never fitted as flat,
+// however few the points are.
 func TestSignificantGrowthIsNotFlat(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	grown := 0
@@ -213,6 +228,6 @@
 		}
 	}
 	if grown < 50 {
-		t.Errorf("%d draws have a sure slope", grown)
+		t.Errorf("%d draws have a significant slope", grown)
 	}
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -11,7 +11,7 @@
 	Mechanisms *Mechanisms
 	Records    []Record
 	Runs       []*Run // the valid runs of all records
-	Benchmarks    []*BenchmarkFile
+	Benchmarks []*BenchmarkFile
 	Command    string // that prints the page
 
 	// firstPlanRuns are those of Runs that belong to the first one's plan: the metrics of roles are
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -17,7 +17,7 @@
 
 const mechanismsFile = "testdata/mechanisms.toml"
 
-// tables are a page's tables from runs and benchmark files.
+// renderTables makes a page from runs and benchmark files, and returns its tables.
 func renderTables(t interface {
 	Fatal(...any)
 	Helper()
@@ -64,8 +64,8 @@
 	return runs
 }
 
-// flawed says what no page may have: a figure that is none, an empty cell, a line of a table with
-// more or fewer cells than its head.
+// tableDefect describes the first defect of a page: a number that is not finite, an empty cell, or a line
+// of a table with more or fewer cells than its head. It is empty if there is none.
 func tableDefect(text string) string {
 	if found := regexp.MustCompile(`NaN|\bInf|%!`).FindString(text); found != "" {
 		return found
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// theLine is the one line of a text that holds all the words.
+// requireLine returns the one line of a text that contains all the words.
 func requireLine(t *testing.T, text string, words ...string) string {
 	t.Helper()
 	var found []string
@@ -154,7 +154,8 @@
 	} {
 		r := p.rowNamed(t, name)
 		if !r.Known || math.Abs(r.Value/want-1) > 0.15 || r.Extrapolated == (r.Subject == subjectDataPath) {
-			t.Errorf("%s: %s (known %v, extrapolated %v), want some %s", name, r.targetCell(), r.Known, r.Extrapolated, formatNumber(want))
+			t.Errorf("%s: %s (known %v, extrapolated %v), want some %s",
+				name, r.targetCell(), r.Known, r.Extrapolated, formatNumber(want))
 		}
 	}
 	for name, want := range map[string]string{
@@ -206,12 +207,13 @@
 	for _, r := range p.rows {
 		r.Mechanism = "watch"
 	}
-	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, p.rowNamed(t, "in force/ordinary/settings")) {
+	settings := p.rowNamed(t, "in force/ordinary/settings")
+	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
 		t.Errorf("carried: %s is first", ranked[0].Name())
 	}
 }
 
-// What is over its budget at a size that was run needs no fit.
+// TestUseOverBudgetAtMeasuredSize: a metric that is over its budget at a measured size needs no fit.
 func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
 	runs := []*Run{validRun()}
 	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
@@ -224,7 +226,7 @@
 	}
 }
 
-// A second plan tells its changes in force, and nothing of what roles take.
+// TestRolesUseFirstPlanOnly: a second plan adds its changes in force, and nothing to the metrics of roles.
 func TestRolesUseFirstPlanOnly(t *testing.T) {
 	first, second := validRun(), validRun()
 	second.Plan, second.Day, second.Size = "second", first.Day, first.Size+1
@@ -232,14 +234,16 @@
 	second.InForce = map[string]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
 	_, alone := renderTables(t, []*Run{first})
 	_, both := renderTables(t, []*Run{first, second})
-	if a, b := alone.rowNamed(t, "agent/quiet/memory"), both.rowNamed(t, "agent/quiet/memory"); a.targetCell() != b.targetCell() {
-		t.Errorf("memory %q with a second plan, %q without", b.targetCell(), a.targetCell())
+	const memory = "agent/quiet/memory"
+	if a, b := alone.rowNamed(t, memory).targetCell(), both.rowNamed(t, memory).targetCell(); a != b {
+		t.Errorf("memory %q with a second plan, %q without", b, a)
 	}
-	if both.usesRun(second, both.rowNamed(t, "agent/quiet/memory")) {
+	if both.usesRun(second, both.rowNamed(t, memory)) {
 		t.Error("memory is said to come from the second plan")
 	}
 	second.Day = "ordinary"
-	if _, both = renderTables(t, []*Run{first, second}); both.rowNamed(t, "in force/ordinary/settings").targetCell() == "not measured" {
+	_, both = renderTables(t, []*Run{first, second})
+	if both.rowNamed(t, "in force/ordinary/settings").targetCell() == notMeasured {
 		t.Error("the second plan's settings in force are not told")
 	}
 }
@@ -285,9 +289,11 @@
 	}
 }
 
-// However little a record has, and whatever its figures are, the page has no cell without words.
+// TestPageOfArbitraryRuns: for arbitrary runs, with any of the metrics missing, the page has no defect.
 func TestPageOfArbitraryRuns(t *testing.T) {
-	names := []string{Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB, ViewBytes, ListBytes}
+	names := []string{
+		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB, ViewBytes, ListBytes,
+	}
 	rapid.Check(t, func(t *rapid.T) {
 		var runs []*Run
 		for range rapid.IntRange(0, 30).Draw(t, "runs") {
@@ -296,7 +302,9 @@
 			r.Hollow = r.Size - r.Real
 			r.Day, r.Repeat = rapid.SampledFrom(Days).Draw(t, "day"), rapid.IntRange(1, 3).Draw(t, "repeat")
 			r.RateFactor = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
-			r.Changes, r.Roles, r.InForce = rapid.IntRange(0, 50).Draw(t, "changes"), map[string]RoleMetrics{}, map[string]Latencies{}
+			r.Changes = rapid.IntRange(0, 50).Draw(t, "changes")
+			r.Roles = map[string]RoleMetrics{}
+			r.InForce = map[string]Latencies{}
 			if rapid.IntRange(0, 5).Draw(t, "valid") == 0 {
 				r.Invalid, r.Seconds = []string{"late | by\na lot"}, 0
 			}
@@ -310,7 +318,8 @@
 				r.Roles[role] = RoleMetrics{Count: rapid.IntRange(0, 2).Draw(t, "count"), Mean: mean}
 			}
 			for _, kind := range changeKinds {
-				r.InForce[kind] = Latencies{Count: int64(rapid.IntRange(0, 3).Draw(t, "n")), P50: 1, P99: 2, Max: rapid.Float64Range(0, 1e6).Draw(t, "worst"),
+				r.InForce[kind] = Latencies{Count: int64(rapid.IntRange(0, 3).Draw(t, "n")), P50: 1, P99: 2,
+					Max:          rapid.Float64Range(0, 1e6).Draw(t, "worst"),
 					NeverInForce: int64(rapid.IntRange(0, 1).Draw(t, "absent"))}
 			}
 			if err := r.check(); err != nil {
@@ -339,11 +348,13 @@
 			t.Errorf("%q: half read", text)
 		}
 	}
-	one, err := ReadBenchmarkFile(writeFile(t, "b.txt", "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"))
+	const good = "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"
+	one, err := ReadBenchmarkFile(writeFile(t, "b.txt", good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, ok := one.Estimate("Decision/servers=10/state=calm", "sec/op"); !ok || !e.SingleRun || math.Abs(e.Mean-2.5e-6) > 1e-12 || one.Config["commit"] != "abc" {
+	e, ok := one.Estimate("Decision/servers=10/state=calm", "sec/op")
+	if !ok || !e.SingleRun || math.Abs(e.Mean-2.5e-6) > 1e-12 || one.Config["commit"] != "abc" {
 		t.Errorf("%+v, %v, %v", e, ok, one.Config)
 	}
 	if got := slices.Sorted(maps.Keys(one.ServerCounts(decisionBenchmark))); !slices.Equal(got, []int{10}) {
@@ -384,7 +395,13 @@
 	if want := "# Page\n\n" + BeginMarker + "\nnew\n" + EndMarker + "\nafter\n"; err != nil || got != want {
 		t.Errorf("%q, %v", got, err)
 	}
-	for _, wrong := range []string{"", BeginMarker + "\n", EndMarker + "\n" + BeginMarker + "\n", page + page, "x" + page[len("# Page\n\n"):]} {
+	for _, wrong := range []string{
+		"",
+		BeginMarker + "\n",
+		EndMarker + "\n" + BeginMarker + "\n",
+		page + page,
+		"x" + page[len("# Page\n\n"):],
+	} {
 		if got, err := ReplaceTables(wrong, "new"); err == nil {
 			t.Errorf("%q made %q", wrong, got)
 		}
@@ -397,12 +414,14 @@
 			t.Errorf("a run of plan %q, commit %q", r.Plan, r.Commit)
 		}
 	}
-	if text, err := os.ReadFile("testdata/README.md"); err != nil || !strings.Contains(string(text), "nothing here was measured") {
+	text, err := os.ReadFile("testdata/README.md")
+	if err != nil || !strings.Contains(string(text), "nothing here was measured") {
 		t.Errorf("%s, %v", text, err)
 	}
 }
 
-// What is not known of the ratio that hollow figures are divided by is in the interval.
+// TestCorrectionWidensInterval: the uncertainty of the ratio that hollow agents' metrics are divided by is
+// part of the interval.
 func TestCorrectionWidensInterval(t *testing.T) {
 	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
 	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
@@ -411,18 +430,30 @@
 	_, p := renderTables(t, syntheticRuns(t))
 	r := p.rowNamed(t, "agent/rollout/processor")
 	runs, _ := p.comparableRuns(subjectAgent, "rollout")
-	if _, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200); r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
+	_, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200)
+	if r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
 		t.Errorf("%v, no wider than %v", r.Interval, plain)
 	}
 }
 
 func TestRescaleToTarget(t *testing.T) {
-	v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, 4)
-	if want := 100*0.75 + 500*0.25; v != want || math.Abs(in.Lo-(want-math.Hypot(7.5, 25))) > 1e-9 || math.Abs(in.Hi-(want+math.Hypot(15, 50))) > 1e-9 {
-		t.Errorf("%v (%v)", v, in)
-	}
-	if v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, 1); v != 500 || math.Abs(in.Lo-400) > 1e-9 || math.Abs(in.Hi-700) > 1e-9 {
-		t.Errorf("with no hurry: %v (%v)", v, in)
+	near := func(got, want float64) bool { return math.Abs(got-want) <= 1e-9 }
+	const scaled = 100*0.75 + 500*0.25
+	for _, c := range []struct {
+		name       string
+		rateFactor float64
+		value      float64
+		interval   Interval
+	}{
+		{"four times the rate", 4, scaled, Interval{scaled - math.Hypot(7.5, 25), scaled + math.Hypot(15, 50)}},
+		{"the target's rate", 1, 500, Interval{400, 700}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, c.rateFactor)
+			if v != c.value || !near(in.Lo, c.interval.Lo) || !near(in.Hi, c.interval.Hi) {
+				t.Errorf("%v (%v), want %v (%v)", v, in, c.value, c.interval)
+			}
+		})
 	}
 }
 
--- a/internal/capacity/read_test.go
+++ b/internal/capacity/read_test.go
@@ -21,7 +21,7 @@
 	return path
 }
 
-// oneLine fails unless an error is one line that holds all the words.
+// requireOneLineError fails unless an error is one line that holds all the words.
 func requireOneLineError(t *testing.T, err error, words ...string) {
 	t.Helper()
 	if err == nil {
@@ -43,7 +43,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Fleet.Agents != 1500 || got.Agent.ControlCPU != 0.012 || got.Agent.BytesPerS != 11000 || got.Changes.InForceS != 11 || got.Day.AgentsReplaced != 340 {
+	if got.Fleet.Agents != 1500 || got.Agent.ControlCPU != 0.012 || got.Agent.BytesPerS != 11000 ||
+		got.Changes.InForceS != 11 || got.Day.AgentsReplaced != 340 {
 		t.Errorf("read %+v", got)
 	}
 }
@@ -84,15 +85,24 @@
 }
 
 func validRun() *Run {
-	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
-		Roles:   map[string]RoleMetrics{RoleReal: {Count: 20, Mean: map[string]float64{CPU: 0.002}, Max: map[string]float64{CPU: 0.003}}},
+	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
+		ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
+		Roles: map[string]RoleMetrics{RoleReal: {
+			Count: 20,
+			Mean:  map[string]float64{CPU: 0.002},
+			Max:   map[string]float64{CPU: 0.003},
+		}},
 		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
 func TestRunRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	one, two := validRun(), validRun()
-	two.Seed, two.Missing, two.Invalid, two.RateFactor, two.Seconds = math.MaxUint64, []string{"alloc"}, []string{"late"}, 0, 0
+	two.Seed = math.MaxUint64
+	two.Missing = []string{"alloc"}
+	two.Invalid = []string{"late"}
+	two.RateFactor = 0
+	two.Seconds = 0
 	for _, r := range []*Run{one, two} {
 		if err := WriteRun(&b, r); err != nil {
 			t.Fatal(err)
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -38,8 +38,9 @@
 	fleet := p.Target.Fleet
 	fmt.Fprintf(b, "Printed by `%s`.\n\n", p.Command)
 	fmt.Fprintf(b, "The target: %s agents, %s services, %s regions, %s zones, %s changes a day.\n"+
-		"~ marks what is extrapolated to it, ~? what the largest size measured speaks against (outside of its interval and off\n"+
-		"by over a tenth); in brackets is the 95 %% interval. \"×200 the rates\" is a hurried day's: \"scaled\" to the target's,\n"+
+		"~ marks what is extrapolated to it, ~? what the largest size measured speaks against (outside of its interval"+
+		" and off\nby over a tenth); in brackets is the 95 %% interval. \"×200 the rates\" is a hurried day's: \"scaled\" to"+
+		" the target's,\n"+
 		"or \"at\" the hurried rates, which is above it.\n",
 		formatCount(fleet.Agents), formatCount(fleet.Services), formatCount(fleet.Regions), formatCount(fleet.Zones),
 		formatNumber(p.Target.Changes.PerDay))
@@ -61,8 +62,8 @@
 
 func (p *Page) writeRanking(b *bytes.Buffer) {
 	ranked, rest := p.Ranked()
-	b.WriteString("\n### Ranking\n\nFirst what every ordinary day needs and nothing carries, then changes that some agent never" +
-		" had, then by use\nover budget.\n\n")
+	b.WriteString("\n### Ranking\n\nFirst what every ordinary day needs and nothing carries, then changes that some" +
+		" agent never had, then by use\nover budget.\n\n")
 	b.WriteString(tableHead("rank", "row", "at the target", "budget", "use", "carried by"))
 	for i, r := range ranked {
 		fmt.Fprintf(b, "| %d | %s | %s | %s | %s | %s |\n",
@@ -216,8 +217,8 @@
 // writeRatios writes the ratios of hollow agents to real ones in the same runs.
 func (p *Page) writeRatios(b *bytes.Buffer) {
 	fmt.Fprintf(b, "\n### Hollow agents over real ones\n\n"+
-		"In the same runs. From %s to %s the hollow figure is taken as it is; outside it is divided by the ratio, if that is\n"+
-		"steady over the sizes and known to a quarter; else the real agents' is taken.\n\n",
+		"In the same runs. From %s to %s the hollow figure is taken as it is; outside it is divided by the ratio, if"+
+		" that is\nsteady over the sizes and known to a quarter; else the real agents' is taken.\n\n",
 		formatNumber(minUsableRatio), formatNumber(maxUsableRatio))
 	b.WriteString(tableHead(slices.Concat([]string{"figure"}, agentDays)...))
 	for _, metric := range Metrics {
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -18,14 +18,14 @@
 
 // writeRuns writes what was read, and which runs were left out.
 func (p *Page) writeRuns(b *bytes.Buffer) {
-	b.WriteString("\n### Runs\n\nWhat a role takes is told of the first plan alone; changes in force are of all plans that" +
-		" made such.\n\n")
+	b.WriteString("\n### Runs\n\nWhat a role takes is told of the first plan alone; changes in force are of all" +
+		" plans that made such.\n\n")
 	if len(p.Records) == 0 {
 		b.WriteString("No record was given: nothing of the fleet was measured.\n")
 		return
 	}
-	b.WriteString(tableHead("record", "plan, commit", "day", "agents × runs", "hurry", "instances", "seconds", "not settled",
-		"left out", "missing"))
+	b.WriteString(tableHead("record", "plan, commit", "day", "agents × runs", "hurry", "instances", "seconds",
+		"not settled", "left out", "missing"))
 	var commands []string
 	for i, record := range p.Records {
 		order, groups := groupRuns(record.Runs)
