--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -32,12 +32,12 @@
 				return err
 			}
 			cfg := scaletest.Config{Plan: plan, Progress: progress(),
-				Agent: filepath.Join(programs, "agent"), List: filepath.Join(programs, "discovery")}
+				Agent: filepath.Join(programs, "agent"), Discovery: filepath.Join(programs, "discovery")}
 			cfg.Commit = experiment.Revision("", cfg.Agent, checkout())
 			if cfg.Target, err = scaletest.LoadTarget(target); err != nil {
 				return err
 			}
-			if err := cfg.Plan.Fits(); err != nil { // before anything is made
+			if err := cfg.Plan.CheckMachine(); err != nil { // before anything is made
 				return err
 			}
 			return playScale(cmd, cfg, record, logs)
@@ -94,17 +94,17 @@
 	if err != nil {
 		return err
 	}
-	cfg.Host = []string{self, "scale-host"}
-	for _, program := range []string{cfg.Agent, cfg.List} {
+	cfg.HostCommand = []string{self, "scale-host"}
+	for _, program := range []string{cfg.Agent, cfg.Discovery} {
 		if _, err := os.Stat(program); err != nil {
 			return fmt.Errorf("a program that is played is not built: %w", err)
 		}
 	}
-	if cfg.Dir, err = os.MkdirTemp(logs, "fernscale"); err != nil {
+	if cfg.Directory, err = os.MkdirTemp(logs, "fernscale"); err != nil {
 		return err
 	}
 	if logs == "" {
-		defer os.RemoveAll(cfg.Dir)
+		defer os.RemoveAll(cfg.Directory)
 	}
 	var to *os.File
 	if record != "" {
@@ -114,13 +114,13 @@
 		defer to.Close()
 	}
 	var runs []*capacity.Run
-	cfg.Done = func(r *capacity.Run) error {
+	cfg.OnRun = func(r *capacity.Run) error {
 		runs = append(runs, r)
 		if to == nil {
 			return nil
 		}
 		return json.NewEncoder(to).Encode(r)
 	}
-	err = scaletest.Play(cmd.Context(), cfg)
-	return errors.Join(err, scaletest.Print(cmd.OutOrStdout(), runs))
+	err = scaletest.Run(cmd.Context(), cfg)
+	return errors.Join(err, scaletest.PrintRuns(cmd.OutOrStdout(), runs))
 }
--- a/internal/scaletest/days.go
+++ b/internal/scaletest/days.go
@@ -18,7 +18,7 @@
 }
 
 // day makes a day's steps, and says what of it this run can't play.
-type day func(f *running, t *Target) (steps []step, missing []string)
+type day func(f *fleet, t *Target) (steps []step, missing []string)
 
 // days are all that can be played. All but the quiet one have changes, of the list and of settings,
 // at the target's rate, scaled to the size and hurried.
@@ -35,7 +35,7 @@
 func DayNames() []string { return slices.Sorted(maps.Keys(days)) }
 
 // play carries out steps at their times and waits until all are done and the day is over.
-func (f *running) play(ctx context.Context, steps []step) error {
+func (f *fleet) runSteps(ctx context.Context, steps []step) error {
 	slices.SortFunc(steps, func(a, b step) int {
 		if a.at < b.at {
 			return -1
@@ -70,33 +70,33 @@
 }
 
 // drawn is a whole number whose mean is x.
-func (f *running) drawn(x float64) int {
+func (f *fleet) randomRound(x float64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return int(math.Floor(x + f.draw.Float64()))
+	return int(math.Floor(x + f.random.Float64()))
 }
 
 // moments are so many drawn parts of a day, from lo to hi.
-func (f *running) moments(n int, lo, hi float64) (at []float64) {
+func (f *fleet) randomMoments(n int, lo, hi float64) (at []float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range n {
-		at = append(at, lo+(hi-lo)*f.draw.Float64())
+		at = append(at, lo+(hi-lo)*f.random.Float64())
 	}
 	return at
 }
 
 // changes are a day's changes, each of settings with the plan's share for it; missing says of which
 // kind there can be none.
-func (f *running) changes(t *Target) (steps []step, missing []string) {
-	for _, at := range f.moments(f.drawn(t.hurried(t.ChangesPerDay, f.size, f.plan)), 0, 1) {
-		if f.drawsSettings() {
+func (f *fleet) changeSteps(t *Target) (steps []step, missing []string) {
+	for _, at := range f.randomMoments(f.randomRound(t.hurried(t.ChangesPerDay, f.size, f.plan)), 0, 1) {
+		if f.nextChangeIsSettings() {
 			steps = append(steps, step{at, f.changeSettings})
 		} else {
-			steps = append(steps, step{at, f.change})
+			steps = append(steps, step{at, f.changeServer})
 		}
 	}
-	switch f.plan.Settings {
+	switch f.plan.SettingsFraction {
 	case 0:
 		missing = []string{"changes of settings: the plan has none"}
 	case 1:
@@ -105,24 +105,24 @@
 	return steps, missing
 }
 
-func quiet(*running, *Target) ([]step, []string) { return nil, nil }
+func quiet(*fleet, *Target) ([]step, []string) { return nil, nil }
 
 // ordinary restarts agents in order and kills those whose machine fails, which stay away to the end.
-func ordinary(f *running, t *Target) ([]step, []string) {
-	steps, missing := f.changes(t)
-	restarts, failures := f.drawn(t.hurried(t.AgentsReplaced, f.size, f.plan)), f.drawn(t.hurried(t.MachinesFailed, f.size, f.plan))
-	for _, at := range f.moments(restarts, 0, 0.9) {
+func ordinary(f *fleet, t *Target) ([]step, []string) {
+	steps, missing := f.changeSteps(t)
+	restarts, failures := f.randomRound(t.hurried(t.AgentsReplaced, f.size, f.plan)), f.randomRound(t.hurried(t.MachinesFailed, f.size, f.plan))
+	for _, at := range f.randomMoments(restarts, 0, 0.9) {
 		steps = append(steps, step{at, func(ctx context.Context) error {
-			if m := f.take(); m != nil {
+			if m := f.takeIdleMember(); m != nil {
 				return f.restart(ctx, m)
 			}
 			return nil
 		}})
 	}
-	for _, at := range f.moments(failures, 0, 0.9) {
+	for _, at := range f.randomMoments(failures, 0, 0.9) {
 		steps = append(steps, step{at, func(ctx context.Context) error {
-			if m := f.take(); m != nil {
-				return f.down(ctx, m, false)
+			if m := f.takeIdleMember(); m != nil {
+				return f.stopMember(ctx, m, false)
 			}
 			return nil
 		}})
@@ -137,68 +137,68 @@
 }
 
 // parts is how many parts a rollout has.
-const parts = 10
+const rolloutParts = 10
 
 // rollout restarts all agents, a tenth at a time, each once the one before has started again.
-func rollout(f *running, t *Target) ([]step, []string) {
-	all := f.which(true)
+func rollout(f *fleet, t *Target) ([]step, []string) {
+	all := f.membersRunning(true)
 	f.mu.Lock()
-	f.draw.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	f.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	f.mu.Unlock()
-	steps, missing := f.changes(t)
+	steps, missing := f.changeSteps(t)
 	missing = append(missing, "traffic of agents that end, from up to 0.2 s before the order on")
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
-	for i := range parts {
-		part := all[i*len(all)/parts : (i+1)*len(all)/parts]
-		steps = append(steps, step{float64(i) / parts, func(ctx context.Context) error {
+	for i := range rolloutParts {
+		part := all[i*len(all)/rolloutParts : (i+1)*len(all)/rolloutParts]
+		steps = append(steps, step{float64(i) / rolloutParts, func(ctx context.Context) error {
 			select {
 			case <-turn:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 			defer func() { turn <- struct{}{} }()
-			return f.each(ctx, part, f.restart)
+			return f.forEach(ctx, part, f.restart)
 		}})
 	}
 	return steps, missing
 }
 
 // zone kills the agents of one zone, and starts them again.
-func zone(f *running, t *Target) ([]step, []string) {
+func zone(f *fleet, t *Target) ([]step, []string) {
 	f.mu.Lock()
-	lost := f.draw.IntN(len(zoneNames))
+	lost := f.random.IntN(len(zoneNames))
 	f.mu.Unlock()
 	gone := make(chan []*member, 1)
-	steps, missing := f.changes(t)
+	steps, missing := f.changeSteps(t)
 	steps = append(steps, step{0.2, func(ctx context.Context) error {
-		some := f.zoneOf(lost)
-		err := f.each(ctx, some, func(ctx context.Context, m *member) error { return f.down(ctx, m, false) })
+		some := f.takeZone(lost)
+		err := f.forEach(ctx, some, func(ctx context.Context, m *member) error { return f.stopMember(ctx, m, false) })
 		gone <- some
 		return err
-	}}, step{0.6, func(ctx context.Context) error { return f.each(ctx, <-gone, f.up) }})
+	}}, step{0.6, func(ctx context.Context) error { return f.forEach(ctx, <-gone, f.startMember) }})
 	return steps, append(missing, "the zone's instance of the list service, and its servers, stay: only its agents are lost")
 }
 
 // control kills the instance of the list service that leads, and starts it again.
-func control(f *running, t *Target) ([]step, []string) {
+func control(f *fleet, t *Target) ([]step, []string) {
 	gone := make(chan string, 1)
-	steps, missing := f.changes(t)
+	steps, missing := f.changeSteps(t)
 	steps = append(steps, step{0.2, func(context.Context) error {
-		lost, err := f.lists.awaitLeader()
+		lost, err := f.discovery.awaitLeader()
 		gone <- lost
 		if err != nil {
 			return err
 		}
-		counted, _, err := f.listNow(lost)
+		counted, _, err := f.instanceCounters(lost)
 		if err != nil {
 			return err
 		}
 		f.meters[lost].add(counted)
-		return f.lists.Kill(lost)
+		return f.discovery.Kill(lost)
 	}}, step{0.6, func(context.Context) error {
 		if lost := <-gone; lost != "" {
-			return f.lists.Start(lost)
+			return f.discovery.Start(lost)
 		}
 		return nil
 	}})
@@ -207,23 +207,23 @@
 
 // region cuts the regions from each other, in the fleet view and between the instances of the
 // list service, and heals that. No call to it is cut.
-func region(f *running, t *Target) ([]step, []string) {
+func region(f *fleet, t *Target) ([]step, []string) {
 	sides := make([][]string, len(regionNames))
 	for _, m := range f.members {
 		sides[m.region()] = append(sides[m.region()], m.name)
 	}
 	instances := make([][]string, len(regionNames))
-	for i, n := range f.lists.Names() {
+	for i, n := range f.discovery.Names() {
 		instances[i%len(regionNames)] = append(instances[i%len(regionNames)], n)
 	}
-	steps, missing := f.changes(t)
+	steps, missing := f.changeSteps(t)
 	steps = append(steps, step{0.2, func(context.Context) error {
-		f.board.Partition("region", sides...)
-		f.lists.Partition(instances...)
+		f.packetRelay.Partition("region", sides...)
+		f.discovery.Partition(instances...)
 		return nil
 	}}, step{0.7, func(context.Context) error {
-		f.board.Heal("region")
-		f.lists.Heal()
+		f.packetRelay.Heal("region")
+		f.discovery.Heal()
 		return nil
 	}})
 	return steps, append(missing, "the fleet view's packets pass a relay of the runner's all day, which takes processor time that is no agent's")
--- a/internal/scaletest/fits.go
+++ b/internal/scaletest/fits.go
@@ -13,22 +13,22 @@
 // process over the agents in it, 1.7 to 2.1 at 70 agents, 2.4 to 3.8 at 220, 4.1 to 5.7 at 420; a real
 // one 17.6, 27.7 and 29.6; an instance of the list service 18.1, 20.7 and 24.6.
 const (
-	hollowMB       = 1.5
-	hollowMemberMB = 0.01 // for each member of its fleet
-	realMB         = 15.0
-	realMemberMB   = 0.06
-	listMB         = 40.0
+	hollowMB          = 1.5
+	hollowMBPerMember = 0.01 // for each member of its fleet
+	realMB            = 15.0
+	realMBPerMember   = 0.06
+	discoveryMB       = 40.0
 	// hollowSockets are the descriptors of a hollow agent: 10.2 on all days, and 26 that its view may
 	// take while it joins (fleet.Sockets); hostSockets those of its process.
-	hollowSockets, hostSockets = 40, 32
+	hollowDescriptors, hostDescriptors = 40, 32
 	// mostProcesses is what this project allows itself on a machine.
-	mostProcesses = 300
+	maxProcesses = 300
 )
 
 // Fits refuses a plan of which this machine can't hold a size: within half of its memory, what is
 // free of it, 300 processes and the descriptors of a process.
-func (p *Plan) Fits() error {
-	total, err := totalMB()
+func (p *Plan) CheckMachine() error {
+	total, err := totalMemoryMB()
 	if err != nil {
 		return err
 	}
@@ -37,23 +37,23 @@
 		return err
 	}
 	for _, hollow := range p.Sizes {
-		if err := p.fits(hollow, total/2, processtest.FreeMB(), lim.Cur); err != nil {
+		if err := p.checkSize(hollow, total/2, processtest.FreeMB(), lim.Cur); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Plan) fits(hollow, halfMB, freeMB int, files uint64) error {
+func (p *Plan) checkSize(hollow, halfMB, freeMB int, files uint64) error {
 	n := float64(hollow + p.Real)
-	hosts := (hollow + p.AgentsAHost - 1) / p.AgentsAHost
-	mb := int(float64(hollow)*(hollowMB+hollowMemberMB*n) + float64(p.Real)*(realMB+realMemberMB*n) + float64(p.Lists)*listMB)
-	processes := hosts + p.Real + p.Lists + 1
-	sockets := uint64(min(p.AgentsAHost, hollow)*hollowSockets + hostSockets)
-	what := fmt.Sprintf("sizes: %d hollow agents in %d processes, %d real ones and %d instances of the list service", hollow, hosts, p.Real, p.Lists)
+	hosts := (hollow + p.AgentsPerHost - 1) / p.AgentsPerHost
+	mb := int(float64(hollow)*(hollowMB+hollowMBPerMember*n) + float64(p.Real)*(realMB+realMBPerMember*n) + float64(p.DiscoveryInstances)*discoveryMB)
+	processes := hosts + p.Real + p.DiscoveryInstances + 1
+	sockets := uint64(min(p.AgentsPerHost, hollow)*hollowDescriptors + hostDescriptors)
+	what := fmt.Sprintf("sizes: %d hollow agents in %d processes, %d real ones and %d instances of the list service", hollow, hosts, p.Real, p.DiscoveryInstances)
 	switch {
-	case processes > mostProcesses:
-		return fmt.Errorf("%s are %d processes with the runner, and %d are allowed", what, processes, mostProcesses)
+	case processes > maxProcesses:
+		return fmt.Errorf("%s are %d processes with the runner, and %d are allowed", what, processes, maxProcesses)
 	case mb > halfMB:
 		return fmt.Errorf("%s take some %d MB, and half of this machine's memory is %d MB", what, mb, halfMB)
 	case mb > freeMB:
@@ -65,7 +65,7 @@
 }
 
 // totalMB is this machine's memory in MB (proc(5), meminfo).
-func totalMB() (int, error) {
+func totalMemoryMB() (int, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
--- a/internal/scaletest/force.go
+++ b/internal/scaletest/force.go
@@ -11,7 +11,7 @@
 )
 
 // allowed is how long a change may take to be in force at an agent before it counts as absent there.
-const allowed = 20 * time.Second
+const inForceTimeout = 20 * time.Second
 
 // The kinds of changes, by which a host tells them and a run records them.
 const kindList, kindSettings = "list", "settings"
@@ -21,12 +21,12 @@
 
 func newTrackers() trackers {
 	t := trackers{kindList: newTracker(), kindSettings: newTracker()}
-	t[kindSettings].of = map[string]string{}
+	t[kindSettings].serviceOf = map[string]string{}
 	return t
 }
 
 // each does something with all of them.
-func (ts trackers) each(do func(*tracker)) {
+func (ts trackers) forEach(do func(*tracker)) {
 	for _, t := range ts {
 		do(t)
 	}
@@ -35,99 +35,103 @@
 // tracker holds what was acknowledged of one kind and what came into force where. A version may be passed
 // over: a change is in force at an agent once that has the change's version or a later one.
 type tracker struct {
-	mu      sync.Mutex
-	changes []change
-	lives   []*life
-	now     map[string]*life  // the lives that go on
-	early   map[string]forced // the last word of agents of which it is not known yet that they run
-	of      map[string]string // each agent's service, where changes are of one; made before agents run
+	mu           sync.Mutex
+	changes      []acknowledgedChange
+	incarnations []*incarnation
+	current      map[string]*incarnation   // the lives that go on
+	pending      map[string]versionInForce // the last word of agents of which it is not known yet that they run
+	serviceOf    map[string]string         // each agent's service, where changes are of one; made before agents run
 }
 
 // change is one that was acknowledged.
-type change struct {
-	service string // whose agents it is for; "": all agents'
-	version uint64
-	acked   time.Time
+type acknowledgedChange struct {
+	service        string // whose agents it is for; "": all agents'
+	version        uint64
+	acknowledgedAt time.Time
 }
 
 // life is one start of an agent up to its end.
-type life struct {
+type incarnation struct {
 	agent      string
-	start, end time.Time // end is zero while it goes on
-	forced     []forced  // in their order
+	start, end time.Time        // end is zero while it goes on
+	versions   []versionInForce // in their order
 	// blind tells that some of its tellings were left out: that a change is not among them says nothing.
-	blind bool
+	incomplete bool
 }
 
-type forced struct {
+type versionInForce struct {
 	version uint64
 	at      time.Time
 }
 
-func newTracker() *tracker { return &tracker{now: map[string]*life{}, early: map[string]forced{}} }
+func newTracker() *tracker {
+	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
+}
 
 // begin notes that an agent runs.
-func (t *tracker) begin(agent string) {
+func (t *tracker) started(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := &life{agent: agent, start: time.Now()}
-	if f, ok := t.early[agent]; ok {
-		l.forced = []forced{f}
-		delete(t.early, agent)
+	l := &incarnation{agent: agent, start: time.Now()}
+	if f, ok := t.pending[agent]; ok {
+		l.versions = []versionInForce{f}
+		delete(t.pending, agent)
 	}
-	t.now[agent] = l
-	t.lives = append(t.lives, l)
+	t.current[agent] = l
+	t.incarnations = append(t.incarnations, l)
 }
 
 // end notes that an agent ends, and counts from now on no more.
-func (t *tracker) end(agent string) {
+func (t *tracker) stopping(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l := t.now[agent]; l != nil {
+	if l := t.current[agent]; l != nil {
 		l.end = time.Now()
-		delete(t.now, agent)
+		delete(t.current, agent)
 	}
 }
 
 // gone notes that an agent has ended, and that all it said is told.
-func (t *tracker) gone(agent string) {
+func (t *tracker) ended(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.early, agent)
+	delete(t.pending, agent)
 }
 
 // force notes that a version is in force at an agent.
-func (t *tracker) force(agent string, version uint64, at time.Time) {
+func (t *tracker) inForce(agent string, version uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.now[agent]
+	l := t.current[agent]
 	if l == nil {
-		t.early[agent] = forced{version, at}
+		t.pending[agent] = versionInForce{version, at}
 		return
 	}
-	if len(l.forced) > 0 && version <= l.forced[len(l.forced)-1].version {
+	if len(l.versions) > 0 && version <= l.versions[len(l.versions)-1].version {
 		return
 	}
-	l.forced = append(l.forced, forced{version, at})
+	l.versions = append(l.versions, versionInForce{version, at})
 }
 
 // blinded notes that an agent left some of its tellings out.
-func (t *tracker) blinded(agent string) {
+func (t *tracker) markIncomplete(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l := t.now[agent]; l != nil {
-		l.blind = true
+	if l := t.current[agent]; l != nil {
+		l.incomplete = true
 	}
 }
 
 // changed notes an acknowledged change for all agents.
-func (t *tracker) changed(version uint64, acked time.Time) { t.changedOf("", version, acked) }
+func (t *tracker) acknowledged(version uint64, acked time.Time) {
+	t.acknowledgedFor("", version, acked)
+}
 
 // changedOf notes an acknowledged change for a service's agents.
-func (t *tracker) changedOf(service string, version uint64, acked time.Time) {
+func (t *tracker) acknowledgedFor(service string, version uint64, acked time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changes = append(t.changes, change{service, version, acked})
+	t.changes = append(t.changes, acknowledgedChange{service, version, acked})
 }
 
 // count is how many changes were acknowledged.
@@ -138,11 +142,11 @@
 }
 
 // last is the newest acknowledged version that is for an agent.
-func (t *tracker) last(agent string) (v uint64) {
+func (t *tracker) latestVersion(agent string) (v uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.changes {
-		if c.service == t.of[agent] {
+		if c.service == t.serviceOf[agent] {
 			v = max(v, c.version)
 		}
 	}
@@ -150,40 +154,40 @@
 }
 
 // day forgets all but the agents that run and what is in force at them.
-func (t *tracker) day() {
+func (t *tracker) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changes, t.lives = nil, nil
-	for _, l := range t.now {
-		l.forced = l.forced[max(0, len(l.forced)-1):]
-		l.blind = false
-		t.lives = append(t.lives, l)
+	t.changes, t.incarnations = nil, nil
+	for _, l := range t.current {
+		l.versions = l.versions[max(0, len(l.versions)-1):]
+		l.incomplete = false
+		t.incarnations = append(t.incarnations, l)
 	}
 }
 
 // times are the times from each change's acknowledgement until it was in force, over all agents
 // that it was for and that were there then, or one of those and gone before its time was up; missing is how many pairs
 // of change and agent can't be told, as the agent left lines out.
-func (t *tracker) times() (out capacity.Latencies, missing int, err error) {
+func (t *tracker) latencies() (out capacity.Latencies, missing int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := hdrhistogram.New(1, allowed.Microseconds(), 3)
+	h := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
 	now := time.Now()
-	for _, l := range t.lives {
+	for _, l := range t.incarnations {
 		for _, c := range t.changes {
-			if c.service != t.of[l.agent] || l.start.After(c.acked) || !l.end.IsZero() && l.end.Before(c.acked) {
+			if c.service != t.serviceOf[l.agent] || l.start.After(c.acknowledgedAt) || !l.end.IsZero() && l.end.Before(c.acknowledgedAt) {
 				continue
 			}
-			at, ok := l.reached(c.version)
-			took := max(0, at.Sub(c.acked))
+			at, ok := l.inForceAt(c.version)
+			took := max(0, at.Sub(c.acknowledgedAt))
 			switch {
-			case l.blind:
+			case l.incomplete:
 				missing++
-			case ok && took <= allowed:
+			case ok && took <= inForceTimeout:
 				if err := h.RecordValue(max(1, took.Microseconds())); err != nil {
 					return out, missing, fmt.Errorf("in force after %v: %w", took, err)
 				}
-			case !l.end.IsZero() && l.end.Sub(c.acked) < allowed || now.Sub(c.acked) < allowed:
+			case !l.end.IsZero() && l.end.Sub(c.acknowledgedAt) < inForceTimeout || now.Sub(c.acknowledgedAt) < inForceTimeout:
 				// It was gone, or the run is over, before the time was up.
 			default:
 				out.NeverInForce++
@@ -201,8 +205,8 @@
 }
 
 // reached is when a version or a later one came into force.
-func (l *life) reached(version uint64) (time.Time, bool) {
-	for _, f := range l.forced {
+func (l *incarnation) inForceAt(version uint64) (time.Time, bool) {
+	for _, f := range l.versions {
 		if f.version >= version {
 			return f.at, true
 		}
--- a/internal/scaletest/host.go
+++ b/internal/scaletest/host.go
@@ -21,23 +21,23 @@
 )
 
 // host is the process of many hollow agents.
-type host struct {
-	told *teller
-	log  *slog.Logger
+type hostServer struct {
+	events *eventWriter
+	log    *slog.Logger
 
-	mu     sync.Mutex
-	agents map[string]*hollow
-	runs   sync.WaitGroup
-	own    time.Duration // processor time that reports took
+	mu         sync.Mutex
+	agents     map[string]*hollowAgent
+	runs       sync.WaitGroup
+	reportTime time.Duration // processor time that reports took
 }
 
 // hollow is one agent in a host.
-type hollow struct {
+type hollowAgent struct {
 	agent   *agent.Agent
-	stop    context.CancelFunc
-	stopped context.Context
+	cancel  context.CancelFunc
+	ctx     context.Context
 	reloads chan *agent.Config
-	inForce *agent.Config
+	config  *agent.Config
 }
 
 // ServeHost runs hollow agents as the orders on in say (see Order), and writes tellings to out, each
@@ -47,7 +47,7 @@
 func ServeHost(ctx context.Context, in io.Reader, out, log io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	h := &host{told: newTeller(out, cancel), log: slog.New(slog.NewTextHandler(log, nil)), agents: map[string]*hollow{}}
+	h := &hostServer{events: newEventWriter(out, cancel), log: slog.New(slog.NewTextHandler(log, nil)), agents: map[string]*hollowAgent{}}
 	lines := make(chan []byte)
 	go func() {
 		defer close(lines)
@@ -73,8 +73,8 @@
 		select {
 		case line, ok := <-lines:
 			if open = ok; ok {
-				if err := h.do(line); err != nil {
-					h.told.tell(Telling{Err: err.Error()})
+				if err := h.execute(line); err != nil {
+					h.events.write(HostEvent{Err: err.Error()})
 				}
 			}
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 	}
 	h.mu.Unlock()
 	h.runs.Wait()
-	h.told.end()
+	h.events.close()
 	if err := context.Cause(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
@@ -95,23 +95,23 @@
 }
 
 // do carries out one order; the error is one of the order.
-func (h *host) do(line []byte) error {
-	var o Order
+func (h *hostServer) execute(line []byte) error {
+	var o HostCommand
 	dec := json.NewDecoder(bytes.NewReader(line))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&o); err != nil {
 		return fmt.Errorf("order: %w", err)
 	}
-	if o.Do == "report" {
+	if o.Command == "report" {
 		report, err := h.report()
 		if err == nil {
-			h.told.tell(Telling{Report: report})
+			h.events.write(HostEvent{Report: report})
 		}
 		return err
 	}
-	do, ok := map[string]func(*Order, *hollow) error{"start": h.start, "stop": h.stop, "kill": h.kill, "reload": h.reload}[o.Do]
+	do, ok := map[string]func(*HostCommand, *hollowAgent) error{"start": h.start, "stop": h.stop, "kill": h.kill, "reload": h.reload}[o.Command]
 	if !ok {
-		return fmt.Errorf("order: do: %q is none", o.Do)
+		return fmt.Errorf("order: do: %q is none", o.Command)
 	}
 	h.mu.Lock()
 	a := h.agents[o.Agent]
@@ -120,20 +120,20 @@
 	switch {
 	case o.Agent == "":
 		err = errors.New("no agent named")
-	case o.Do != "start" && a == nil:
+	case o.Command != "start" && a == nil:
 		err = errors.New("does not run")
 	default:
 		err = do(&o, a)
 	}
 	if err != nil {
-		return fmt.Errorf("%s %s: %w", o.Do, o.Agent, err)
+		return fmt.Errorf("%s %s: %w", o.Command, o.Agent, err)
 	}
 	return nil
 }
 
 // start runs an agent. Its calls to discovery come from the address that it has in the fleet, or
 // else from the one where its clients would come.
-func (h *host) start(o *Order, running *hollow) error {
+func (h *hostServer) start(o *HostCommand, running *hollowAgent) error {
 	if running != nil {
 		return errors.New("runs already")
 	}
@@ -150,87 +150,87 @@
 	}
 	name := o.Agent
 	cfg.Log = h.log.With("agent", name)
-	cfg.Hooks.OnList = func(version uint64) { h.force(name, kindList, version) }
-	cfg.Hooks.OnSettings = func(version uint64) { h.force(name, kindSettings, version) }
+	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
+	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
 	var ln agent.Listeners
 	if cfg.Management != "" {
 		if ln.Operators, err = net.Listen("tcp", cfg.Management); err != nil {
-			h.told.tell(Telling{Ended: name, Err: fmt.Sprintf("management: %v", err)})
+			h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
 			return nil
 		}
 	}
-	a := &hollow{reloads: make(chan *agent.Config), inForce: cfg}
+	a := &hollowAgent{reloads: make(chan *agent.Config), config: cfg}
 	if a.agent, err = agent.New(cfg, ln); err != nil {
 		if ln.Operators != nil {
 			ln.Operators.Close()
 		}
 		return err
 	}
-	a.stopped, a.stop = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	h.mu.Lock()
 	h.agents[name] = a
 	h.mu.Unlock()
-	h.told.tell(Telling{Started: name})
+	h.events.write(HostEvent{Started: name})
 	h.runs.Add(1)
 	go func() {
 		defer h.runs.Done()
-		defer a.stop()
-		ended := Telling{Ended: name}
-		if err := a.agent.Run(a.stopped, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
+		defer a.cancel()
+		ended := HostEvent{Ended: name}
+		if err := a.agent.Run(a.ctx, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
 			ended.Err = err.Error()
 		}
 		h.mu.Lock()
 		delete(h.agents, name)
 		h.mu.Unlock()
-		h.told.tell(ended)
+		h.events.write(ended)
 	}()
 	return nil
 }
 
-func (h *host) stop(_ *Order, a *hollow) error {
-	if a.stopped.Err() != nil {
+func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
+	if a.ctx.Err() != nil {
 		return errors.New("ends already")
 	}
-	a.stop()
+	a.cancel()
 	return nil
 }
 
-func (h *host) kill(_ *Order, a *hollow) error {
+func (h *hostServer) kill(_ *HostCommand, a *hollowAgent) error {
 	a.agent.Kill()
-	a.stop()
+	a.cancel()
 	return nil
 }
 
-func (h *host) reload(o *Order, a *hollow) error {
-	cfg, err := agent.ParseReload(o.Config, a.inForce)
+func (h *hostServer) reload(o *HostCommand, a *hollowAgent) error {
+	cfg, err := agent.ParseReload(o.Config, a.config)
 	if err != nil {
 		return err
 	}
 	select {
 	case a.reloads <- cfg:
-		a.inForce = cfg
+		a.config = cfg
 		return nil
-	case <-a.stopped.Done():
+	case <-a.ctx.Done():
 		return errors.New("ends already")
 	}
 }
 
-func (h *host) force(name, kind string, version uint64) {
-	h.told.tell(Telling{Force: &Force{Agent: name, Kind: kind, Version: version, AtUs: time.Now().UnixMicro()}})
+func (h *hostServer) reportInForce(name, kind string, version uint64) {
+	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: time.Now().UnixMicro()}})
 }
 
 // report says what the process has taken. What it takes itself, a collection above all, is left out
 // of the processor time (with what the agents did meanwhile, which is little if reports are few).
-func (h *host) report() (*Report, error) {
+func (h *hostServer) report() (*HostReport, error) {
 	before, err := processorTime()
 	if err != nil {
 		return nil, err
 	}
 	runtime.GC()
-	r := &Report{Goroutines: runtime.NumGoroutine(), Agents: map[string]Agent{}}
+	r := &HostReport{Goroutines: runtime.NumGoroutine(), Agents: map[string]AgentReport{}}
 	h.mu.Lock()
 	for name, a := range h.agents {
-		r.Agents[name] = counted(a.agent.Status())
+		r.Agents[name] = agentCounters(a.agent.Status())
 	}
 	h.mu.Unlock()
 	figures := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/gc/heap/allocs:bytes"}}
@@ -248,14 +248,14 @@
 	if err != nil {
 		return nil, err
 	}
-	h.own += after - before
-	r.CPUSeconds, r.AtUs = (after - h.own).Seconds(), time.Now().UnixMicro()
+	h.reportTime += after - before
+	r.CPUSeconds, r.AtUs = (after - h.reportTime).Seconds(), time.Now().UnixMicro()
 	return r, nil
 }
 
 // counted is an agent's status as a report has it.
-func counted(s agent.Status) Agent {
-	a := Agent{ListIn: s.ListIn, ListOut: s.ListOut, ListCalls: s.ListCalls, Servers: s.Servers, ListVersion: s.ListVersion,
+func agentCounters(s agent.Status) AgentReport {
+	a := AgentReport{ListIn: s.ListIn, ListOut: s.ListOut, ListCalls: s.ListCalls, Servers: s.Servers, ListVersion: s.ListVersion,
 		SettingsVersion: s.SettingsVersion}
 	if v := s.Fleet; v != nil {
 		n := v.Traffic
@@ -290,22 +290,22 @@
 
 // teller writes tellings in their order. Who tells never waits for the reader; what is told at one
 // moment goes out together.
-type teller struct {
-	wake chan struct{} // of one: there is something
-	over chan struct{} // closed once all is written
+type eventWriter struct {
+	pendingSignal chan struct{} // of one: there is something
+	written       chan struct{} // closed once all is written
 
 	mu    sync.Mutex
-	queue []Telling
+	queue []HostEvent
 	ended bool
 }
 
-func newTeller(to io.Writer, failed func(error)) *teller {
-	t := &teller{wake: make(chan struct{}, 1), over: make(chan struct{})}
+func newEventWriter(to io.Writer, failed func(error)) *eventWriter {
+	t := &eventWriter{pendingSignal: make(chan struct{}, 1), written: make(chan struct{})}
 	go func() {
-		defer close(t.over)
+		defer close(t.written)
 		w := bufio.NewWriter(to)
 		enc := json.NewEncoder(w)
-		for range t.wake {
+		for range t.pendingSignal {
 			t.mu.Lock()
 			queue, ended := t.queue, t.ended
 			t.queue = nil
@@ -326,25 +326,25 @@
 	return t
 }
 
-func (t *teller) tell(x Telling) {
+func (t *eventWriter) write(x HostEvent) {
 	t.mu.Lock()
 	t.queue = append(t.queue, x)
 	t.mu.Unlock()
-	t.awake()
+	t.signal()
 }
 
-func (t *teller) awake() {
+func (t *eventWriter) signal() {
 	select {
-	case t.wake <- struct{}{}:
+	case t.pendingSignal <- struct{}{}:
 	default:
 	}
 }
 
 // end writes what is left.
-func (t *teller) end() {
+func (t *eventWriter) close() {
 	t.mu.Lock()
 	t.ended = true
 	t.mu.Unlock()
-	t.awake()
-	<-t.over
+	t.signal()
+	<-t.written
 }
--- a/internal/scaletest/host_test.go
+++ b/internal/scaletest/host_test.go
@@ -142,7 +142,7 @@
 	over chan error
 
 	mu       sync.Mutex
-	tellings []Telling
+	tellings []HostEvent
 	came     chan struct{}
 }
 
@@ -153,7 +153,7 @@
 	go func() { d.over <- ServeHost(context.Background(), orders, told, io.Discard) }()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			var x Telling
+			var x HostEvent
 			if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 				t.Error(err)
 			}
@@ -183,7 +183,7 @@
 }
 
 func (d *driver) order(do, name string, config any) {
-	o := Order{Do: do, Agent: name}
+	o := HostCommand{Command: do, Agent: name}
 	if config != nil {
 		o.Config, _ = json.Marshal(config)
 	}
@@ -198,7 +198,7 @@
 }
 
 // await waits for a telling that fits, among those since the n-th, and gives it and the number after it.
-func (d *driver) await(since int, what string, fits func(*Telling) bool) (Telling, int) {
+func (d *driver) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
 	d.t.Helper()
 	over := time.After(patience)
 	for n := since; ; {
@@ -224,22 +224,22 @@
 	return len(d.tellings)
 }
 
-func (d *driver) ended(name string) Telling {
+func (d *driver) ended(name string) HostEvent {
 	d.t.Helper()
-	x, _ := d.await(0, name+" ended", func(x *Telling) bool { return x.Ended == name })
+	x, _ := d.await(0, name+" ended", func(x *HostEvent) bool { return x.Ended == name })
 	return x
 }
 
-func (d *driver) report() *Report {
+func (d *driver) report() *HostReport {
 	d.t.Helper()
 	since := d.count()
 	d.order("report", "", nil)
-	x, _ := d.await(since, "report", func(x *Telling) bool { return x.Report != nil })
+	x, _ := d.await(since, "report", func(x *HostEvent) bool { return x.Report != nil })
 	return x.Report
 }
 
 // reported asks for reports until one is as wanted.
-func (d *driver) reported(what string, is func(*Report) bool) *Report {
+func (d *driver) reported(what string, is func(*HostReport) bool) *HostReport {
 	d.t.Helper()
 	wait := 100 * time.Millisecond
 	for end := time.Now().Add(patience); ; time.Sleep(wait) {
@@ -268,12 +268,12 @@
 		t.Helper()
 		have, latest := map[string]bool{}, int64(0)
 		for since := 0; len(have) < n; {
-			var x Telling
-			x, since = d.await(since, fmt.Sprintf("%s %d in force everywhere", kind, version), func(x *Telling) bool {
-				return x.Force != nil && x.Force.Kind == kind && x.Force.Version >= version
+			var x HostEvent
+			x, since = d.await(since, fmt.Sprintf("%s %d in force everywhere", kind, version), func(x *HostEvent) bool {
+				return x.InForce != nil && x.InForce.Kind == kind && x.InForce.Version >= version
 			})
-			have[x.Force.Agent] = true
-			latest = max(latest, x.Force.AtUs)
+			have[x.InForce.Agent] = true
+			latest = max(latest, x.InForce.AtUs)
 		}
 		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > patience {
 			t.Errorf("in force %v ago", late)
@@ -281,7 +281,7 @@
 	}
 	inForce("list", 1)
 	inForce("list", l.change())
-	r := d.reported("one view", func(r *Report) bool {
+	r := d.reported("one view", func(r *HostReport) bool {
 		digests := map[string]bool{}
 		for _, a := range r.Agents {
 			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
@@ -320,7 +320,7 @@
 	for i := range 4 {
 		d.order("start", fmt.Sprintf("a%d", i), s.config(i))
 	}
-	d.reported("four members", func(r *Report) bool {
+	d.reported("four members", func(r *HostReport) bool {
 		for _, a := range r.Agents {
 			if a.Members != 4 || !a.Settled {
 				return false
@@ -379,7 +379,7 @@
 	d := newDriver(t)
 	// What a first agent opens for the whole process counts as there before.
 	d.order("start", "a0", s.config(0))
-	d.await(0, "list in force", func(x *Telling) bool { return x.Force != nil })
+	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
 	before := level(t)
 	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has begun once nothing is added any more
 		if now := level(t); now[0] > before[0] || now[1] > before[1] {
@@ -392,7 +392,7 @@
 		name := fmt.Sprintf("b%d", round)
 		d.order("start", name, s.config(1))
 		if round%4 > 0 {
-			d.await(since, "list in force", func(x *Telling) bool { return x.Force != nil && x.Force.Agent == name })
+			d.await(since, "list in force", func(x *HostEvent) bool { return x.InForce != nil && x.InForce.Agent == name })
 		}
 		switch round % 4 {
 		case 1:
@@ -425,7 +425,7 @@
 	s := newSite(t, l.addr, 2)
 	d := newDriver(t)
 	d.order("start", "a0", s.config(0))
-	d.await(0, "list in force", func(x *Telling) bool { return x.Force != nil })
+	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
 	bad := s.config(1)
 	bad["seed"] = "none"
 	bare := s.config(0)
@@ -449,7 +449,7 @@
 	} {
 		since := d.count()
 		d.line(order)
-		x, n := d.await(since, "the error of "+order, func(x *Telling) bool { return x.Err != "" })
+		x, n := d.await(since, "the error of "+order, func(x *HostEvent) bool { return x.Err != "" })
 		if !strings.Contains(x.Err, want) || x.Ended != "" || strings.Contains(x.Err, "\n") {
 			t.Errorf("%s: told %+v, want %q", order, x, want)
 		}
@@ -545,7 +545,7 @@
 	d := newDriver(t)
 	d.order("start", "a1", config)
 	hollow := map[uint64]bytes{}
-	d.reported("23 calls", func(r *Report) bool {
+	d.reported("23 calls", func(r *HostReport) bool {
 		a := r.Agents["a1"]
 		hollow[a.ListCalls] = bytes{a.ListIn, a.ListOut}
 		return a.ListCalls >= 23
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -20,25 +20,25 @@
 	cmd  *exec.Cmd
 	done chan struct{} // closed at its end
 	// heard is told what the host says of its agents.
-	heard trackers
+	trackers trackers
 
 	mu      sync.Mutex
-	in      io.WriteCloser
-	waits   map[string]chan error // by what is waited for, such as "started a017"
-	reports chan *Report
-	failed  error // what the host said was wrong, or how its words ended
+	stdin   io.WriteCloser
+	waiters map[string]chan error // by what is waited for, such as "started a017"
+	reports chan *HostReport
+	err     error // what the host said was wrong, or how its words ended
 
-	reporting sync.Mutex // held while a report is waited for
-	last      *Report
+	reporting  sync.Mutex // held while a report is waited for
+	lastReport *HostReport
 }
 
 // The longest times that a host may take: to start or end an agent, and to report on all. The
 // machine is full, and an end in order takes its 3 s (agent.Run).
 const (
-	agentTime  = 30 * time.Second
-	reportTime = 60 * time.Second
+	agentTimeout  = 30 * time.Second
+	reportTimeout = 60 * time.Second
 	// endTime is how long a host may take to end once its orders have.
-	endTime = 3 * time.Second
+	hostStopTimeout = 3 * time.Second
 )
 
 // startHost starts a host process by its command line, with its log in a directory.
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	defer log.Close()
-	h := &hostProcess{name: name, done: make(chan struct{}), heard: heard, waits: map[string]chan error{}, reports: make(chan *Report, 1)}
+	h := &hostProcess{name: name, done: make(chan struct{}), trackers: heard, waiters: map[string]chan error{}, reports: make(chan *HostReport, 1)}
 	h.cmd = exec.Command(command[0], command[1:]...)
 	h.cmd.Stderr = log
 	// However the runner ends, no host stays: at its end their orders end, and the kernel kills them.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if h.in, err = h.cmd.StdinPipe(); err != nil {
+	if h.stdin, err = h.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, err := h.cmd.StdoutPipe()
@@ -64,7 +64,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	go func() {
-		h.listen(out)
+		h.readEvents(out)
 		h.cmd.Wait()
 		close(h.done)
 	}()
@@ -72,35 +72,35 @@
 }
 
 // listen takes the host's words until they end, and then ends all that waits for more.
-func (h *hostProcess) listen(out io.Reader) {
+func (h *hostProcess) readEvents(out io.Reader) {
 	words := json.NewDecoder(out)
 	for {
-		var t Telling
+		var t HostEvent
 		if err := words.Decode(&t); err != nil {
 			h.fail(fmt.Errorf("%s says no more: %w", h.name, err))
 			return
 		}
-		h.take(&t)
+		h.handleEvent(&t)
 	}
 }
 
-func (h *hostProcess) take(t *Telling) {
+func (h *hostProcess) handleEvent(t *HostEvent) {
 	var err error
 	if t.Err != "" {
 		err = fmt.Errorf("%s: %s", h.name, t.Err)
 	}
 	switch {
 	case t.Started != "":
-		h.heard.each(func(tr *tracker) { tr.begin(t.Started) })
+		h.trackers.forEach(func(tr *tracker) { tr.started(t.Started) })
 		h.resolve("started "+t.Started, nil)
 	case t.Ended != "":
-		h.heard.each(func(tr *tracker) { tr.gone(t.Ended) })
+		h.trackers.forEach(func(tr *tracker) { tr.ended(t.Ended) })
 		if !h.resolve("ended "+t.Ended, err) { // nobody ended it: it could not start
 			h.resolve("started "+t.Ended, errors.Join(err, fmt.Errorf("%s: %s has ended", h.name, t.Ended)))
 		}
-	case t.Force != nil:
-		if kind := h.heard[t.Force.Kind]; kind != nil {
-			kind.force(t.Force.Agent, t.Force.Version, time.UnixMicro(t.Force.AtUs))
+	case t.InForce != nil:
+		if kind := h.trackers[t.InForce.Kind]; kind != nil {
+			kind.inForce(t.InForce.Agent, t.InForce.Version, time.UnixMicro(t.InForce.AtUs))
 		}
 	case t.Report != nil:
 		select {
@@ -116,12 +116,12 @@
 func (h *hostProcess) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.failed == nil {
-		h.failed = err
+	if h.err == nil {
+		h.err = err
 	}
-	for what, wait := range h.waits {
+	for what, wait := range h.waiters {
 		wait <- err
-		delete(h.waits, what)
+		delete(h.waiters, what)
 	}
 }
 
@@ -129,85 +129,85 @@
 func (h *hostProcess) resolve(what string, err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	wait := h.waits[what]
+	wait := h.waiters[what]
 	if wait == nil {
 		return false
 	}
 	wait <- err
-	delete(h.waits, what)
+	delete(h.waiters, what)
 	return true
 }
 
 // do gives an order and waits until the host has said what is waited for.
-func (h *hostProcess) do(ctx context.Context, o Order, until string) error {
+func (h *hostProcess) command(ctx context.Context, o HostCommand, until string) error {
 	wait := make(chan error, 1)
 	h.mu.Lock()
-	h.waits[until] = wait
+	h.waiters[until] = wait
 	h.mu.Unlock()
-	if err := h.order(o); err != nil {
+	if err := h.send(o); err != nil {
 		return err
 	}
 	select {
 	case err := <-wait:
 		return err
-	case <-time.After(agentTime):
-		return fmt.Errorf("%s: %q not within %v", h.name, until, agentTime)
+	case <-time.After(agentTimeout):
+		return fmt.Errorf("%s: %q not within %v", h.name, until, agentTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (h *hostProcess) order(o Order) error {
+func (h *hostProcess) send(o HostCommand) error {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.failed != nil {
-		return h.failed
+	if h.err != nil {
+		return h.err
 	}
-	_, err = h.in.Write(append(text, '\n'))
+	_, err = h.stdin.Write(append(text, '\n'))
 	return err
 }
 
 // recentTime is how old a report may be that tells what agents had counted before their ends: where
 // many end at once, one report is for all of them.
-const recentTime = 200 * time.Millisecond
+const maxReportAge = 200 * time.Millisecond
 
 // recent is a report that is not older than recentTime.
-func (h *hostProcess) recent(ctx context.Context) (*Report, error) {
+func (h *hostProcess) recentReport(ctx context.Context) (*HostReport, error) {
 	h.reporting.Lock()
 	defer h.reporting.Unlock()
-	if h.last != nil && time.Since(time.UnixMicro(h.last.AtUs)) < recentTime {
-		return h.last, nil
+	if h.lastReport != nil && time.Since(time.UnixMicro(h.lastReport.AtUs)) < maxReportAge {
+		return h.lastReport, nil
 	}
-	return h.ask(ctx)
+	return h.requestReport(ctx)
 }
 
 // report asks for what the host has taken.
-func (h *hostProcess) report(ctx context.Context) (*Report, error) {
+func (h *hostProcess) report(ctx context.Context) (*HostReport, error) {
 	h.reporting.Lock()
 	defer h.reporting.Unlock()
-	return h.ask(ctx)
+	return h.requestReport(ctx)
 }
 
 // ask asks for a report; the caller holds reporting.
-func (h *hostProcess) ask(ctx context.Context) (*Report, error) {
+func (h *hostProcess) requestReport(ctx context.Context) (*HostReport, error) {
 	select {
 	case <-h.reports: // one that came too late
 	default:
 	}
-	if err := h.order(Order{Do: "report"}); err != nil {
+	if err := h.send(HostCommand{Command: "report"}); err != nil {
 		return nil, err
 	}
 	select {
-	case h.last = <-h.reports:
-		return h.last, nil
+	case h.lastReport = <-h.reports:
+		return h.lastReport, nil
 	case <-h.done:
 		return nil, fmt.Errorf("%s has ended", h.name)
-	case <-time.After(reportTime):
-		return nil, fmt.Errorf("%s: no report within %v", h.name, reportTime)
+	case <-time.After(reportTimeout):
+		return nil, fmt.Errorf("%s: no report within %v", h.name, reportTimeout)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -215,10 +215,10 @@
 
 // close ends the host and all its agents.
 func (h *hostProcess) close() {
-	h.in.Close()
+	h.stdin.Close()
 	select {
 	case <-h.done:
-	case <-time.After(endTime):
+	case <-time.After(hostStopTimeout):
 		h.cmd.Process.Kill()
 		<-h.done
 	}
--- a/internal/scaletest/hostwire.go
+++ b/internal/scaletest/hostwire.go
@@ -10,26 +10,26 @@
 // the host and all its agents.
 
 // Order is what a host is to do.
-type Order struct {
+type HostCommand struct {
 	// Do is "start" (Config: an agent in the form of $PROXY_CONFIG), "stop" (in order, as SIGTERM
 	// does), "kill" (its sockets are closed and nothing is told), "reload" (Config, as SIGHUP does)
 	// or "report" (all agents; collects garbage first, so it is asked for seldom).
-	Do     string          `json:"do"`
-	Agent  string          `json:"agent,omitempty"`
-	Config json.RawMessage `json:"config,omitempty"`
+	Command string          `json:"do"`
+	Agent   string          `json:"agent,omitempty"`
+	Config  json.RawMessage `json:"config,omitempty"`
 }
 
 // Telling is what a host says; one of its parts is there.
-type Telling struct {
-	Started string  `json:"started,omitempty"` // an agent runs
-	Ended   string  `json:"ended,omitempty"`   // an agent has ended
-	Err     string  `json:"err,omitempty"`     // with Ended, or alone: an order that made no sense
-	Force   *Force  `json:"force,omitempty"`
-	Report  *Report `json:"report,omitempty"`
+type HostEvent struct {
+	Started string          `json:"started,omitempty"` // an agent runs
+	Ended   string          `json:"ended,omitempty"`   // an agent has ended
+	Err     string          `json:"err,omitempty"`     // with Ended, or alone: an order that made no sense
+	InForce *VersionInForce `json:"force,omitempty"`
+	Report  *HostReport     `json:"report,omitempty"`
 }
 
 // Force says that a version is in force at an agent.
-type Force struct {
+type VersionInForce struct {
 	Agent   string `json:"agent"`
 	Kind    string `json:"kind"` // "list" or "settings"
 	Version uint64 `json:"version"`
@@ -37,19 +37,19 @@
 }
 
 // Report is what a host process has taken since its start; the difference of two gives rates.
-type Report struct {
-	AtUs        int64            `json:"at_us"`
-	CPUSeconds  float64          `json:"cpu_s"` // user and system, without the report's own collection
-	ResidentMB  float64          `json:"resident_mb"`
-	HeapMB      float64          `json:"heap_mb"` // live, after a collection
-	AllocBytes  uint64           `json:"alloc_bytes"`
-	Goroutines  int              `json:"goroutines"`
-	Descriptors int              `json:"descriptors"`
-	Agents      map[string]Agent `json:"agents"`
+type HostReport struct {
+	AtUs        int64                  `json:"at_us"`
+	CPUSeconds  float64                `json:"cpu_s"` // user and system, without the report's own collection
+	ResidentMB  float64                `json:"resident_mb"`
+	HeapMB      float64                `json:"heap_mb"` // live, after a collection
+	AllocBytes  uint64                 `json:"alloc_bytes"`
+	Goroutines  int                    `json:"goroutines"`
+	Descriptors int                    `json:"descriptors"`
+	Agents      map[string]AgentReport `json:"agents"`
 }
 
 // Agent is what one agent has counted since its start.
-type Agent struct {
+type AgentReport struct {
 	ViewIn, ViewOut       uint64 // bytes of the fleet view
 	ViewMsgIn, ViewMsgOut uint64 // its packets, and streams
 	ListIn, ListOut       uint64 // bytes of calls to discovery, HTTP headers counted
--- a/internal/scaletest/lists.go
+++ b/internal/scaletest/lists.go
@@ -21,23 +21,23 @@
 )
 
 // lists is the real list service: instances whose Raft links pass through proxies that can be cut.
-type lists struct {
+type discoveryCluster struct {
 	*processtest.Cluster
-	client *http.Client
-	turn   atomic.Uint32 // the instance that is written to
+	client       *http.Client
+	nextInstance atomic.Uint32 // the instance that is written to
 }
 
 const (
 	// writeTime is how long one write may take: longer than the service waits for a commit.
-	writeTime = 6 * time.Second
+	writeTimeout = 6 * time.Second
 	// leaderTime is how long an election may take on a full machine.
-	leaderTime = 30 * time.Second
+	leaderTimeout = 30 * time.Second
 	// retryEvery is how often a write that failed is tried again.
-	retryEvery = 20 * time.Millisecond
+	writeRetryInterval = 20 * time.Millisecond
 )
 
 // startLists starts so many instances, each on an address of its own, and waits until one leads.
-func startLists(program, dir string, count int, ip func(i int) string) (*lists, error) {
+func startDiscovery(program, dir string, count int, ip func(i int) string) (*discoveryCluster, error) {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprintf("list-%d", i+1))
@@ -46,7 +46,7 @@
 		IP: func(name string) string { return ip(slices.Index(names, name)) },
 		Args: func(c *processtest.Cluster, name string) []string {
 			path := filepath.Join(dir, name+".toml")
-			if err := writeListConfig(c, name, dir, path); err != nil {
+			if err := writeDiscoveryConfig(c, name, dir, path); err != nil {
 				return []string{"serve", "--config", filepath.Join(dir, "none")} // it then says that it can't
 			}
 			return []string{"serve", "--config", path}
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &lists{Cluster: c, client: &http.Client{Timeout: writeTime, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	l := &discoveryCluster{Cluster: c, client: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	for _, n := range names {
 		if err := c.Start(n); err != nil {
 			c.Close()
@@ -69,8 +69,8 @@
 }
 
 // awaitLeader waits until an instance leads.
-func (l *lists) awaitLeader() (lead string, err error) {
-	err = processtest.Await(leaderTime, "the list service has a leader", func() bool {
+func (l *discoveryCluster) awaitLeader() (lead string, err error) {
+	err = processtest.Await(leaderTimeout, "the list service has a leader", func() bool {
 		lead = l.leader()
 		return lead != ""
 	})
@@ -78,7 +78,7 @@
 }
 
 // writeListConfig writes an instance's configuration: it reaches the others by links of its own.
-func writeListConfig(c *processtest.Cluster, name, dir, path string) error {
+func writeDiscoveryConfig(c *processtest.Cluster, name, dir, path string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\nbootstrap = %v\n",
 		name, filepath.Join(dir, name), name == c.Names()[0])
@@ -96,7 +96,7 @@
 }
 
 // status is what an instance tells of itself.
-func (l *lists) status(name string) (st server.Status, err error) {
+func (l *discoveryCluster) status(name string) (st server.Status, err error) {
 	resp, err := l.client.Get("http://" + l.Addr(name, "admin") + "/v1/status")
 	if err != nil {
 		return st, err
@@ -106,7 +106,7 @@
 }
 
 // leader is the instance that leads, or "" while none is known to.
-func (l *lists) leader() string {
+func (l *discoveryCluster) leader() string {
 	for _, n := range l.Names() {
 		if !l.Running(n) {
 			continue
@@ -119,41 +119,41 @@
 }
 
 // errRefused ends a write that no other try can make good.
-var errRefused = errors.New("refused")
+var errRejected = errors.New("refused")
 
 // put sets a server's entry; it gives the change's version.
-func (l *lists) put(ctx context.Context, t endpoint.Target) (version uint64, err error) {
-	return l.persist(ctx, "/v1/servers/"+t.ID, t)
+func (l *discoveryCluster) putServer(ctx context.Context, t endpoint.Target) (version uint64, err error) {
+	return l.putAcknowledged(ctx, "/v1/servers/"+t.ID, t)
 }
 
 // putSettings sets a service's settings whole; it gives the change's version.
-func (l *lists) putSettings(ctx context.Context, service string, settings map[string]any) (version uint64, err error) {
-	return l.persist(ctx, "/v1/settings/"+service, settings)
+func (l *discoveryCluster) putSettings(ctx context.Context, service string, settings map[string]any) (version uint64, err error) {
+	return l.putAcknowledged(ctx, "/v1/settings/"+service, settings)
 }
 
 // persist puts a value as JSON through any instance's admin door, again at the next one where it
 // fails, until it is acknowledged or refused as wrong, or ctx ends.
-func (l *lists) persist(ctx context.Context, path string, value any) (version uint64, err error) {
+func (l *discoveryCluster) putAcknowledged(ctx context.Context, path string, value any) (version uint64, err error) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return 0, err
 	}
 	for {
-		name := l.Names()[int(l.turn.Load())%len(l.Names())]
-		version, err := l.write(ctx, "http://"+l.Addr(name, "admin")+path, body)
-		if err == nil || errors.Is(err, errRefused) {
+		name := l.Names()[int(l.nextInstance.Load())%len(l.Names())]
+		version, err := l.put(ctx, "http://"+l.Addr(name, "admin")+path, body)
+		if err == nil || errors.Is(err, errRejected) {
 			return version, err
 		}
-		l.turn.Add(1)
+		l.nextInstance.Add(1)
 		select {
 		case <-ctx.Done():
 			return 0, errors.Join(ctx.Err(), err)
-		case <-time.After(retryEvery):
+		case <-time.After(writeRetryInterval):
 		}
 	}
 }
 
-func (l *lists) write(ctx context.Context, url string, body []byte) (uint64, error) {
+func (l *discoveryCluster) put(ctx context.Context, url string, body []byte) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
@@ -168,7 +168,7 @@
 		return 0, err
 	}
 	if resp.StatusCode == http.StatusBadRequest {
-		return 0, fmt.Errorf("put: %w: %s", errRefused, bytes.TrimSpace(text))
+		return 0, fmt.Errorf("put: %w: %s", errRejected, bytes.TrimSpace(text))
 	}
 	if resp.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("put: %s: %s", resp.Status, bytes.TrimSpace(text))
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/measure.go
@@ -18,28 +18,28 @@
 )
 
 // figures are by the names of package capacity.
-type figures map[string]float64
+type metricValues map[string]float64
 
 // reading is what a process or an agent had taken at a time: counters since its first start, from
 // which rates are made, and what it has now.
 type reading struct {
-	at            time.Time
-	counted, held figures
+	at               time.Time
+	counters, gauges metricValues
 }
 
 // meter carries the counters of a process that ended on to the next one of its name.
-type meter struct {
+type counterCarry struct {
 	mu      sync.Mutex
-	carried figures
+	carried metricValues
 }
 
 // add carries what a process had counted when it was ended.
-func (m *meter) add(counted figures) {
+func (m *counterCarry) add(counted metricValues) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := maps.Clone(m.carried)
 	if sum == nil {
-		sum = figures{}
+		sum = metricValues{}
 	}
 	for k, v := range counted {
 		sum[k] += v
@@ -48,7 +48,7 @@
 }
 
 // sum is what the process and those before it counted.
-func (m *meter) sum(counted figures) figures {
+func (m *counterCarry) sum(counted metricValues) metricValues {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sum := maps.Clone(counted)
@@ -60,22 +60,22 @@
 
 // sample is a reading of all that runs.
 type sample struct {
-	hosts, hollow, real, lists map[string]reading
-	agents                     map[string]int // hollow agents in each host
+	hosts, hollow, real, discovery map[string]reading
+	agents                         map[string]int // hollow agents in each host
 }
 
 // sample reads all that runs, at once.
-func (f *running) sample(ctx context.Context) (*sample, error) {
-	s := &sample{hosts: map[string]reading{}, hollow: map[string]reading{}, real: map[string]reading{}, lists: map[string]reading{}, agents: map[string]int{}}
+func (f *fleet) sample(ctx context.Context) (*sample, error) {
+	s := &sample{hosts: map[string]reading{}, hollow: map[string]reading{}, real: map[string]reading{}, discovery: map[string]reading{}, agents: map[string]int{}}
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	f.reports(ctx, group, &mu, func(host string, r *Report) { s.takeReport(host, r, f.meters) })
-	for _, m := range f.which(true) {
+	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.meters) })
+	for _, m := range f.membersRunning(true) {
 		if m.host != nil {
 			continue
 		}
 		group.Go(func() error {
-			r, err := f.readReal(ctx, m)
+			r, err := f.readRealAgent(ctx, m)
 			if err != nil {
 				return nil // it has no part in the figures
 			}
@@ -85,18 +85,18 @@
 			return nil
 		})
 	}
-	for _, n := range f.lists.Names() {
-		if !f.lists.Running(n) {
+	for _, n := range f.discovery.Names() {
+		if !f.discovery.Running(n) {
 			continue
 		}
 		group.Go(func() error {
-			r, err := f.readList(n)
+			r, err := f.readInstance(n)
 			if err != nil {
 				return nil
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.lists[n] = r
+			s.discovery[n] = r
 			return nil
 		})
 	}
@@ -104,71 +104,71 @@
 }
 
 // takeReport takes what a host and its agents had taken, those that ended of the agents with it.
-func (s *sample) takeReport(host string, r *Report, meters map[string]*meter) {
+func (s *sample) addHostReport(host string, r *HostReport, meters map[string]*counterCarry) {
 	at := time.UnixMicro(r.AtUs)
 	s.hosts[host] = reading{at,
-		figures{capacity.CPU: r.CPUSeconds, capacity.AllocKBps: float64(r.AllocBytes) / 1024},
-		figures{capacity.ResidentMB: r.ResidentMB, capacity.HeapMB: r.HeapMB, capacity.Goroutines: float64(r.Goroutines), capacity.Descriptors: float64(r.Descriptors)}}
+		metricValues{capacity.CPU: r.CPUSeconds, capacity.AllocKBps: float64(r.AllocBytes) / 1024},
+		metricValues{capacity.ResidentMB: r.ResidentMB, capacity.HeapMB: r.HeapMB, capacity.Goroutines: float64(r.Goroutines), capacity.Descriptors: float64(r.Descriptors)}}
 	s.agents[host] = len(r.Agents)
 	for name, a := range r.Agents {
-		s.hollow[name] = reading{at, meters[name].sum(hollowCounts(a)), figures{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}}
+		s.hollow[name] = reading{at, meters[name].sum(hollowCounters(a)), metricValues{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}}
 	}
 }
 
 // hollowCounts is what a hollow agent has counted. Each call to discovery is a message out, and its
 // answer one in.
-func hollowCounts(a Agent) figures {
-	return figures{capacity.BytesIn: float64(a.ViewIn + a.ListIn), capacity.BytesOut: float64(a.ViewOut + a.ListOut),
+func hollowCounters(a AgentReport) metricValues {
+	return metricValues{capacity.BytesIn: float64(a.ViewIn + a.ListIn), capacity.BytesOut: float64(a.ViewOut + a.ListOut),
 		capacity.MessagesIn: float64(a.ViewMsgIn + a.ListCalls), capacity.MessagesOut: float64(a.ViewMsgOut + a.ListCalls),
 		capacity.ViewBytes: float64(a.ViewIn + a.ViewOut), capacity.ListBytes: float64(a.ListIn + a.ListOut)}
 }
 
-const mb = 1 << 20
+const bytesPerMB = 1 << 20
 
 // readReal reads what a real agent has taken, its ended processes with it, once it has written its
 // counts anew.
-func (f *running) readReal(ctx context.Context, m *member) (reading, error) {
-	if err := f.reals.counted(ctx, m.name, time.Now()); err != nil {
+func (f *fleet) readRealAgent(ctx context.Context, m *member) (reading, error) {
+	if err := f.realAgents.awaitCounters(ctx, m.name, time.Now()); err != nil {
 		return reading{}, err
 	}
-	counted, held, err := f.realNow(ctx, m)
+	counted, held, err := f.realAgentCounters(ctx, m)
 	return reading{time.Now(), f.meters[m.name].sum(counted), held}, err
 }
 
 // realNow reads what a real agent's present process has taken: from /proc, its door and its log.
-func (f *running) realNow(ctx context.Context, m *member) (counted, held figures, err error) {
-	u, err := processtest.ProcessUsage(f.reals.Pid(m.name))
+func (f *fleet) realAgentCounters(ctx context.Context, m *member) (counted, held metricValues, err error) {
+	u, err := processtest.ProcessUsage(f.realAgents.Pid(m.name))
 	if err != nil {
 		return nil, nil, err
 	}
-	st, err := f.reals.status(ctx, m.at(operatorPort))
+	st, err := f.realAgents.status(ctx, m.address(adminPort))
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.reals.read(m.name); err != nil {
+	if err := f.realAgents.readLog(m.name); err != nil {
 		return nil, nil, err
 	}
-	l, t := f.reals.knows(m.name), st.Traffic
+	l, t := f.realAgents.state(m.name), st.Traffic
 	in, out := float64(t["bytes_in"]+t["stream_bytes_in"]), float64(t["bytes_out"]+t["stream_bytes_out"])
-	counted = figures{capacity.CPU: u.CPU.Seconds(), capacity.BytesIn: in + l.listIn, capacity.BytesOut: out + l.listOut,
+	counted = metricValues{capacity.CPU: u.CPU.Seconds(), capacity.BytesIn: in + l.listIn, capacity.BytesOut: out + l.listOut,
 		capacity.MessagesIn: float64(t["packets_in"]+t["streams"]) + l.listCalls, capacity.MessagesOut: float64(t["packets_out"]+t["streams_out"]) + l.listCalls,
 		capacity.ViewBytes: in + out, capacity.ListBytes: l.listIn + l.listOut}
-	held = figures{capacity.ResidentMB: float64(u.RSS) / mb, capacity.Descriptors: float64(u.Descriptors),
+	held = metricValues{capacity.ResidentMB: float64(u.RSS) / bytesPerMB, capacity.Descriptors: float64(u.Descriptors),
 		capacity.Members: float64(st.Present), capacity.Servers: float64(l.servers)}
 	return counted, held, nil
 }
 
 // carry carries on what an agent has counted, which is about to be ended.
-func (f *running) carry(ctx context.Context, m *member) error {
+func (f *fleet) carryOver(ctx context.Context, m *member) error {
 	if m.host != nil {
-		r, err := m.host.recent(ctx)
+		r, err := m.host.recentReport(ctx)
 		if err != nil {
 			return err
 		}
-		f.meters[m.name].add(hollowCounts(r.Agents[m.name]))
+		f.meters[m.name].add(hollowCounters(r.Agents[m.name]))
 		return nil
 	}
-	counted, _, err := f.realNow(ctx, m)
+	counted, _, err := f.realAgentCounters(ctx, m)
 	if err != nil {
 		return fmt.Errorf("%s, before its end: %w", m.name, err)
 	}
@@ -177,19 +177,19 @@
 }
 
 // readList reads what an instance of the list service has taken, its ended processes with it.
-func (f *running) readList(name string) (reading, error) {
-	counted, held, err := f.listNow(name)
+func (f *fleet) readInstance(name string) (reading, error) {
+	counted, held, err := f.instanceCounters(name)
 	return reading{time.Now(), f.meters[name].sum(counted), held}, err
 }
 
 // listNow reads what an instance's present process has taken. Its admin door is left out: what
 // this runner asks there is no part of the service's day.
-func (f *running) listNow(name string) (counted, held figures, err error) {
-	u, err := processtest.ProcessUsage(f.lists.Pid(name))
+func (f *fleet) instanceCounters(name string) (counted, held metricValues, err error) {
+	u, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
 		return nil, nil, err
 	}
-	st, err := f.lists.status(name)
+	st, err := f.discovery.status(name)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -197,29 +197,29 @@
 	// A call is a message in and one out. Of Raft's the writes are counted, which are its calls and
 	// its answers to others' calls: as many come in, as each call has one answer.
 	messages := float64(reads.Messages + raft.Messages)
-	return figures{capacity.CPU: u.CPU.Seconds(), capacity.AllocKBps: float64(st.Usage.AllocBytes) / 1024,
+	return metricValues{capacity.CPU: u.CPU.Seconds(), capacity.AllocKBps: float64(st.Usage.AllocBytes) / 1024,
 			capacity.BytesIn: float64(reads.In + raft.In), capacity.BytesOut: float64(reads.Out + raft.Out),
 			capacity.MessagesIn: messages, capacity.MessagesOut: messages, capacity.ListBytes: float64(reads.In + reads.Out)},
-		figures{capacity.ResidentMB: float64(u.RSS) / mb, capacity.HeapMB: float64(st.Usage.HeapBytes) / mb, capacity.Descriptors: float64(u.Descriptors),
+		metricValues{capacity.ResidentMB: float64(u.RSS) / bytesPerMB, capacity.HeapMB: float64(st.Usage.HeapBytes) / bytesPerMB, capacity.Descriptors: float64(u.Descriptors),
 			capacity.Goroutines: float64(st.Usage.Goroutines)}, nil
 }
 
 // over is what a reading's holder took from another reading on: rates, and what it has at the end.
-func (r reading) over(before reading) figures {
-	out := maps.Clone(r.held)
+func (r reading) since(before reading) metricValues {
+	out := maps.Clone(r.gauges)
 	seconds := r.at.Sub(before.at).Seconds()
-	for k, v := range r.counted {
-		out[k] = (v - before.counted[k]) / seconds
+	for k, v := range r.counters {
+		out[k] = (v - before.counters[k]) / seconds
 	}
 	return out
 }
 
 // roles are the figures of all roles between two samples.
-func (f *running) roles(before, after *sample) map[string]capacity.RoleMetrics {
-	members := map[string][]figures{}
-	shares := map[string]figures{} // of each host's process, for one of its agents
+func (f *fleet) roleMetrics(before, after *sample) map[string]capacity.RoleMetrics {
+	members := map[string][]metricValues{}
+	shares := map[string]metricValues{} // of each host's process, for one of its agents
 	for name, r := range after.hosts {
-		share := r.over(before.hosts[name])
+		share := r.since(before.hosts[name])
 		for k := range share {
 			share[k] /= float64(max(1, after.agents[name]))
 		}
@@ -232,34 +232,34 @@
 		if m.host != nil {
 			from, role, r = before.hollow[m.name], capacity.RoleHollow, after.hollow[m.name]
 		}
-		if !m.up || r.at.IsZero() || from.at.IsZero() {
+		if !m.running || r.at.IsZero() || from.at.IsZero() {
 			continue
 		}
-		one := r.over(from)
+		one := r.since(from)
 		if m.host != nil {
 			maps.Copy(one, shares[m.host.name])
 		}
 		members[role] = append(members[role], one)
 	}
-	leader := f.lists.leader()
-	for name, r := range after.lists {
+	leader := f.discovery.leader()
+	for name, r := range after.discovery {
 		role := capacity.RoleFollower
 		if name == leader {
 			role = capacity.RoleLeader
 		}
-		if from, ok := before.lists[name]; ok {
-			members[role] = append(members[role], r.over(from))
+		if from, ok := before.discovery[name]; ok {
+			members[role] = append(members[role], r.since(from))
 		}
 	}
 	out := map[string]capacity.RoleMetrics{}
 	for role, all := range members {
-		out[role] = summed(all)
+		out[role] = summarize(all)
 	}
 	return out
 }
 
 // summed is the mean and the most of each figure over the members of a role.
-func summed(all []figures) capacity.RoleMetrics {
+func summarize(all []metricValues) capacity.RoleMetrics {
 	r := capacity.RoleMetrics{Count: len(all), Mean: map[string]float64{}, Max: map[string]float64{}}
 	for i, one := range all {
 		for k, v := range one {
@@ -274,33 +274,33 @@
 
 // watch tells whether this machine kept up: its idle processor time, and how late this process's
 // own timers were.
-type watch struct {
-	idle, all float64 // at the start
-	late      *hdrhistogram.Histogram
-	stop      chan struct{}
-	stopped   chan struct{}
+type machineMonitor struct {
+	idleTicks, totalTicks float64 // at the start
+	timerDelays           *hdrhistogram.Histogram
+	stop                  chan struct{}
+	stopped               chan struct{}
 }
 
 // The bounds of a run that counts: the machine's idle share, and the lateness of timers at p99.
 const (
-	leastIdle  = 0.10
-	mostLate   = 20 * time.Millisecond
-	watchEvery = 10 * time.Millisecond
+	minIdleFraction = 0.10
+	maxTimerDelay   = 20 * time.Millisecond
+	timerInterval   = 10 * time.Millisecond
 )
 
-func startWatch() (*watch, error) {
-	w := &watch{late: hdrhistogram.New(1, 60_000_000, 3), stop: make(chan struct{}), stopped: make(chan struct{})}
+func startMachineMonitor() (*machineMonitor, error) {
+	w := &machineMonitor{timerDelays: hdrhistogram.New(1, 60_000_000, 3), stop: make(chan struct{}), stopped: make(chan struct{})}
 	var err error
-	if w.idle, w.all, err = machineTime(); err != nil {
+	if w.idleTicks, w.totalTicks, err = machineTicks(); err != nil {
 		return nil, err
 	}
 	go func() {
 		defer close(w.stopped)
 		for {
-			due := time.Now().Add(watchEvery)
+			due := time.Now().Add(timerInterval)
 			select {
-			case <-time.After(watchEvery):
-				w.late.RecordValue(min(60_000_000, max(1, time.Since(due).Microseconds())))
+			case <-time.After(timerInterval):
+				w.timerDelays.RecordValue(min(60_000_000, max(1, time.Since(due).Microseconds())))
 			case <-w.stop:
 				return
 			}
@@ -310,24 +310,24 @@
 }
 
 // end says why what was watched does not count, if it does not.
-func (w *watch) end() (faults []string, err error) {
+func (w *machineMonitor) finish() (faults []string, err error) {
 	close(w.stop)
 	<-w.stopped
-	idle, all, err := machineTime()
+	idle, all, err := machineTicks()
 	if err != nil {
 		return nil, err
 	}
-	if share := (idle - w.idle) / (all - w.all); share < leastIdle {
-		faults = append(faults, fmt.Sprintf("the machine was idle for %.1f %% of its time, under %.0f %%", 100*share, 100*leastIdle))
+	if share := (idle - w.idleTicks) / (all - w.totalTicks); share < minIdleFraction {
+		faults = append(faults, fmt.Sprintf("the machine was idle for %.1f %% of its time, under %.0f %%", 100*share, 100*minIdleFraction))
 	}
-	if late := time.Duration(w.late.ValueAtQuantile(99)) * time.Microsecond; late > mostLate {
-		faults = append(faults, fmt.Sprintf("this program's timers were late by %v at p99, over %v", late, mostLate))
+	if late := time.Duration(w.timerDelays.ValueAtQuantile(99)) * time.Microsecond; late > maxTimerDelay {
+		faults = append(faults, fmt.Sprintf("this program's timers were late by %v at p99, over %v", late, maxTimerDelay))
 	}
 	return faults, nil
 }
 
 // machineTime is this machine's idle and whole processor time so far, in ticks (proc(5), stat).
-func machineTime() (idle, all float64, err error) {
+func machineTicks() (idle, all float64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, 0, err
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -16,33 +16,33 @@
 // Plan is what is played: fleets of some sizes, and days on each. The TOML keys are its fields'
 // tags; what is left out is as DefaultPlan has it.
 type Plan struct {
-	Name   string `toml:"name"`
-	Sizes  []int  `toml:"sizes"`  // hollow agents of each fleet
-	Real   int    `toml:"real"`   // processes of the agent beside them
-	Lists  int    `toml:"lists"`  // instances of the list service, 3 or 4
-	Listed int    `toml:"listed"` // servers on the list; 0: as many as agents
+	Name               string `toml:"name"`
+	Sizes              []int  `toml:"sizes"`  // hollow agents of each fleet
+	Real               int    `toml:"real"`   // processes of the agent beside them
+	DiscoveryInstances int    `toml:"lists"`  // instances of the list service, 3 or 4
+	ListedServers      int    `toml:"listed"` // servers on the list; 0: as many as agents
 	// AgentsAHost is how many hollow agents share a process.
-	AgentsAHost int      `toml:"agents_a_host"`
-	Repeats     int      `toml:"repeats"` // fleets of each size, one after the other
-	Seed        uint64   `toml:"seed"`    // the first repeat's
-	Days        []string `toml:"days"`    // played in their order on one fleet
-	Seconds     float64  `toml:"seconds"` // measured, of a day
+	AgentsPerHost int      `toml:"agents_a_host"`
+	Repeats       int      `toml:"repeats"` // fleets of each size, one after the other
+	Seed          uint64   `toml:"seed"`    // the first repeat's
+	Days          []string `toml:"days"`    // played in their order on one fleet
+	Seconds       float64  `toml:"seconds"` // measured, of a day
 	// Hurry is by how much changes and restarts come faster than the target has them at the size.
-	Hurry float64 `toml:"hurry"`
+	RateFactor float64 `toml:"hurry"`
 	// Settings is the share of the changes, 0 to 1, that are of a service's settings, not of the list.
 	// Above 0 the agents have the section "control", each with a service and all list instances.
-	Settings float64 `toml:"settings"`
+	SettingsFraction float64 `toml:"settings"`
 }
 
 // DefaultPlan is what a plan has where it says nothing.
 func DefaultPlan() *Plan {
-	return &Plan{Name: "plan", Real: 20, Lists: 3, AgentsAHost: 50, Repeats: 1, Seed: 1, Days: []string{"quiet", "ordinary"}, Seconds: 20, Hurry: 200}
+	return &Plan{Name: "plan", Real: 20, DiscoveryInstances: 3, AgentsPerHost: 50, Repeats: 1, Seed: 1, Days: []string{"quiet", "ordinary"}, Seconds: 20, RateFactor: 200}
 }
 
 // SmallPlan is the built-in one, for a look within 45 s.
 func SmallPlan() *Plan {
 	p := DefaultPlan()
-	p.Name, p.Sizes, p.Real, p.AgentsAHost, p.Seconds, p.Hurry = "small", []int{30}, 3, 15, 8, 2000
+	p.Name, p.Sizes, p.Real, p.AgentsPerHost, p.Seconds, p.RateFactor = "small", []int{30}, 3, 15, 8, 2000
 	return p
 }
 
@@ -74,8 +74,8 @@
 // check names the first key whose value makes no sense.
 func (p *Plan) check() (string, error) {
 	for _, n := range p.Sizes {
-		if n < leastHollow {
-			return "sizes", fmt.Errorf("%d hollow agents: %d at least are needed, the fleet's seeds", n, leastHollow)
+		if n < minHollowAgents {
+			return "sizes", fmt.Errorf("%d hollow agents: %d at least are needed, the fleet's seeds", n, minHollowAgents)
 		}
 	}
 	for i, d := range p.Days {
@@ -93,29 +93,29 @@
 		return "sizes", errors.New("one at least is needed")
 	case p.Real < 0:
 		return "real", fmt.Errorf("must be 0 or more, is %d", p.Real)
-	case p.Lists != 3 && p.Lists != 4:
-		return "lists", fmt.Errorf("must be 3 or 4, is %d", p.Lists)
-	case p.Listed < 0:
-		return "listed", fmt.Errorf("must be 0 or more, is %d", p.Listed)
-	case p.AgentsAHost < 1:
-		return "agents_a_host", fmt.Errorf("must be above 0, is %d", p.AgentsAHost)
+	case p.DiscoveryInstances != 3 && p.DiscoveryInstances != 4:
+		return "lists", fmt.Errorf("must be 3 or 4, is %d", p.DiscoveryInstances)
+	case p.ListedServers < 0:
+		return "listed", fmt.Errorf("must be 0 or more, is %d", p.ListedServers)
+	case p.AgentsPerHost < 1:
+		return "agents_a_host", fmt.Errorf("must be above 0, is %d", p.AgentsPerHost)
 	case p.Repeats < 1:
 		return "repeats", fmt.Errorf("must be above 0, is %d", p.Repeats)
 	case len(p.Days) == 0:
 		return "days", errors.New("one at least is needed")
-	case !(p.Seconds >= leastSeconds && p.Seconds <= 3600):
-		return "seconds", fmt.Errorf("must be from %d to 3600, is %v", leastSeconds, p.Seconds)
-	case !(p.Hurry > 0) || math.IsInf(p.Hurry, 0):
-		return "hurry", fmt.Errorf("must be above 0, is %v", p.Hurry)
-	case !(p.Settings >= 0 && p.Settings <= 1):
-		return "settings", fmt.Errorf("must be from 0 to 1, is %v", p.Settings)
+	case !(p.Seconds >= minDaySeconds && p.Seconds <= 3600):
+		return "seconds", fmt.Errorf("must be from %d to 3600, is %v", minDaySeconds, p.Seconds)
+	case !(p.RateFactor > 0) || math.IsInf(p.RateFactor, 0):
+		return "hurry", fmt.Errorf("must be above 0, is %v", p.RateFactor)
+	case !(p.SettingsFraction >= 0 && p.SettingsFraction <= 1):
+		return "settings", fmt.Errorf("must be from 0 to 1, is %v", p.SettingsFraction)
 	}
 	return "", nil
 }
 
 const (
 	// leastHollow is the number of the fleet's seeds, which are hollow agents.
-	leastHollow = 3
+	minHollowAgents = 3
 	// leastSeconds leaves a day room for what happens on it.
-	leastSeconds = 5
+	minDaySeconds = 5
 )
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("no file: %v", err)
 	}
 	p, err := ParsePlan("p.toml", "sizes = [50, 100]\nseconds = 30.0")
-	if err != nil || !slices.Equal(p.Sizes, []int{50, 100}) || p.Seconds != 30 || p.Real != 20 || p.Lists != 3 {
+	if err != nil || !slices.Equal(p.Sizes, []int{50, 100}) || p.Seconds != 30 || p.Real != 20 || p.DiscoveryInstances != 3 {
 		t.Errorf("a plan of two keys: %+v, %v", p, err)
 	}
 }
@@ -57,7 +57,7 @@
 // TestCommittedPlan: what is committed is a plan, and so is the built-in one.
 func TestCommittedPlan(t *testing.T) {
 	for file, settings := range map[string]float64{"plan.toml": 0, "plan-settings.toml": 1} {
-		if p, err := LoadPlan("../../docs/capacity/" + file); err != nil || p.Settings != settings {
+		if p, err := LoadPlan("../../docs/capacity/" + file); err != nil || p.SettingsFraction != settings {
 			t.Errorf("%s: %+v, %v", file, p, err)
 		}
 	}
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	// 4,800 changes a day of 1,500 agents: at a size of 150, hurried 100 times, 5.6 in 10 s.
-	if got := target.hurried(4800, 150, &Plan{Seconds: 10, Hurry: 100}); math.Abs(got-5.5556) > 0.001 {
+	if got := target.hurried(4800, 150, &Plan{Seconds: 10, RateFactor: 100}); math.Abs(got-5.5556) > 0.001 {
 		t.Errorf("%v changes, want 5.5556", got)
 	}
 	for size, want := range map[int]int{1500: 150, 70: 7, 3: 1} {
@@ -102,23 +102,23 @@
 // TestSettingsShare: a plan without changes of settings draws as it did before there were any, and
 // one with a share draws that.
 func TestSettingsShare(t *testing.T) {
-	f := &running{plan: DefaultPlan(), draw: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
 	for _, c := range []struct {
 		share float64
 		least int
 		most  int
 	}{{0, 0, 0}, {0.3, 2700, 3300}, {1, 10_000, 10_000}} {
-		f.plan.Settings = c.share
+		f.plan.SettingsFraction = c.share
 		n := 0
 		for range 10_000 {
-			if f.drawsSettings() {
+			if f.nextChangeIsSettings() {
 				n++
 			}
 		}
 		if n < c.least || n > c.most {
 			t.Errorf("%v of 10,000 changes: %d", c.share, n)
 		}
-		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.share == 0 && f.draw.Uint64() != first {
+		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.share == 0 && f.random.Uint64() != first {
 			t.Error("a plan without changes of settings draws for them")
 		}
 	}
@@ -136,22 +136,22 @@
 		{600, 20, 600, "descriptors a process, and 20000 are allowed"},
 	} {
 		p := DefaultPlan()
-		p.Real, p.AgentsAHost = c.real, c.host
-		if err := p.fits(c.hollow, 12_000, 12_000, 20_000); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		p.Real, p.AgentsPerHost = c.real, c.host
+		if err := p.checkSize(c.hollow, 12_000, 12_000, 20_000); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%+v: %v, want %s", c, err, c.want)
 		}
 	}
 	p := DefaultPlan()
-	if err := p.fits(400, 12_000, 12_000, 20_000); err != nil {
+	if err := p.checkSize(400, 12_000, 12_000, 20_000); err != nil {
 		t.Errorf("400 hollow agents within 12,000 MB: %v", err)
 	}
-	if err := p.fits(400, 12_000, 500, 20_000); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
+	if err := p.checkSize(400, 12_000, 500, 20_000); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
 		t.Errorf("with 500 MB free: %v", err)
 	}
 	dir := t.TempDir()
 	p.Sizes = []int{50, 1_000_000}
-	err := Play(context.Background(), Config{Plan: p, Target: &Target{Agents: 1500}, Dir: dir, Agent: "none", List: "none", Host: []string{"none"},
-		Done: func(*capacity.Run) error { t.Error("a run was played"); return nil }})
+	err := Run(context.Background(), Config{Plan: p, Target: &Target{Agents: 1500}, Directory: dir, Agent: "none", Discovery: "none", HostCommand: []string{"none"},
+		OnRun: func(*capacity.Run) error { t.Error("a run was played"); return nil }})
 	if err == nil || !strings.Contains(err.Error(), "1000000 hollow agents") {
 		t.Errorf("a million agents: %v", err)
 	}
@@ -166,24 +166,24 @@
 	tr := newTracker()
 	now := time.Now()
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	tr.force("early", 7, at(-100)) // before it is known to run
+	tr.inForce("early", 7, at(-100)) // before it is known to run
 	for _, n := range []string{"early", "all", "over", "late", "never", "short", "blind", "new"} {
-		tr.begin(n)
-		tr.now[n].start = at(-100)
+		tr.started(n)
+		tr.current[n].start = at(-100)
 	}
-	tr.changed(5, at(-60))
-	tr.changed(7, at(-50))
-	tr.force("all", 5, at(-59))
-	tr.force("all", 7, at(-49.5))
-	tr.force("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
-	tr.force("late", 7, at(-29)) // 31 s and 21 s: both absent
-	tr.force("blind", 5, at(-59))
-	tr.blinded("blind")
-	tr.now["new"].start = at(-55) // the change of version 5 was before it
-	tr.force("new", 7, at(-50.2)) // before the acknowledgement: at once
-	tr.end("short")
-	tr.lives[slices.IndexFunc(tr.lives, func(l *life) bool { return l.agent == "short" })].end = at(-45)
-	times, missing, err := tr.times()
+	tr.acknowledged(5, at(-60))
+	tr.acknowledged(7, at(-50))
+	tr.inForce("all", 5, at(-59))
+	tr.inForce("all", 7, at(-49.5))
+	tr.inForce("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
+	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: both absent
+	tr.inForce("blind", 5, at(-59))
+	tr.markIncomplete("blind")
+	tr.current["new"].start = at(-55) // the change of version 5 was before it
+	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: at once
+	tr.stopping("short")
+	tr.incarnations[slices.IndexFunc(tr.incarnations, func(l *incarnation) bool { return l.agent == "short" })].end = at(-45)
+	times, missing, err := tr.latencies()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,8 +191,8 @@
 	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 || math.Abs(times.P50-500) > 1 {
 		t.Errorf("%+v, missing %d", times, missing)
 	}
-	tr.day()
-	if times, missing, err := tr.times(); err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.last("all") != 0 {
+	tr.reset()
+	if times, missing, err := tr.latencies(); err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
 		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
 	}
 }
@@ -200,17 +200,17 @@
 // TestInForceOfService: a change of a service's settings is for its agents alone, and so is its version.
 func TestInForceOfService(t *testing.T) {
 	tr := newTrackers()[kindSettings]
-	tr.of["a"], tr.of["b"] = "one", "two"
-	tr.begin("a")
-	tr.begin("b")
+	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
+	tr.started("a")
+	tr.started("b")
 	acked := time.Now()
-	tr.changedOf("one", 5, acked)
-	tr.changedOf("two", 9, acked)
-	tr.force("a", 5, acked.Add(time.Second))
-	tr.force("b", 9, acked.Add(3*time.Second))
-	times, _, err := tr.times()
-	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.last("a") != 5 || tr.last("b") != 9 || tr.last("c") != 0 {
-		t.Errorf("%+v, %v; last %d and %d", times, err, tr.last("a"), tr.last("b"))
+	tr.acknowledgedFor("one", 5, acked)
+	tr.acknowledgedFor("two", 9, acked)
+	tr.inForce("a", 5, acked.Add(time.Second))
+	tr.inForce("b", 9, acked.Add(3*time.Second))
+	times, _, err := tr.latencies()
+	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 || tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
+		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
 	}
 }
 
@@ -219,8 +219,8 @@
 	dir := t.TempDir()
 	heard := newTrackers()
 	tr, settings := heard[kindList], heard[kindSettings]
-	r := &reals{dir: dir, heard: heard, logs: map[string]*agentLog{"a": {}}}
-	heard.each(func(t *tracker) { t.begin("a") })
+	r := &realAgents{dir: dir, trackers: heard, logs: map[string]*agentLogState{"a": {}}}
+	heard.forEach(func(t *tracker) { t.started("a") })
 	write := func(text string) {
 		f, err := os.OpenFile(filepath.Join(dir, "a.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
@@ -234,24 +234,24 @@
 	write("time=2026-12-02T04:23:10.125Z level=INFO msg=list watch=true full=false from=0 to=36 lines=33\n" +
 		`time=2026-12-02T04:23:11.000Z level=INFO msg=figures open=0 module="{States:[1 30 2 0] Held:0 InFlight:0}" counts="{taken:0 unlisted:1 unlogged:0 listIn:700 listOut:90 listCalls:3}"` + "\n" +
 		"time=2026-12-02T04:23:12.5")
-	if err := r.read("a"); err != nil {
+	if err := r.readLog("a"); err != nil {
 		t.Fatal(err)
 	}
-	if l := r.knows("a"); l.version != 36 || l.servers != 33 || l.listIn != 700 || l.listOut != 90 || l.listCalls != 3 || tr.now["a"].blind {
-		t.Errorf("%+v, blind %v", l, tr.now["a"].blind)
+	if l := r.state("a"); l.listVersion != 36 || l.servers != 33 || l.listIn != 700 || l.listOut != 90 || l.listCalls != 3 || tr.current["a"].incomplete {
+		t.Errorf("%+v, blind %v", l, tr.current["a"].incomplete)
 	}
 	write("00Z level=INFO msg=list watch=true full=false from=36 to=38 lines=1\n" +
 		`time=2026-12-02T04:23:12.750Z level=INFO msg="settings taken over" classes=3 max_attempts=5 version=41` + "\n" +
 		`time=2026-12-02T04:23:12.800Z level=INFO msg="settings taken over" classes=3 max_attempts=5` + "\n" +
 		`time=2026-12-02T04:23:13.000Z level=INFO msg=figures module="{States:[1 30 2 0] Held:0}" counts="{taken:0 unlogged:2 listIn:800 listOut:120 listCalls:4}"` + "\n")
-	if err := r.read("a"); err != nil {
+	if err := r.readLog("a"); err != nil {
 		t.Fatal(err)
 	}
 	want := time.Date(2026, 12, 2, 4, 23, 12, 500e6, time.UTC)
-	if f := tr.now["a"].forced; len(f) != 2 || f[1].version != 38 || !f[1].at.Equal(want) || !tr.now["a"].blind {
-		t.Errorf("%+v, blind %v", f, tr.now["a"].blind)
+	if f := tr.current["a"].versions; len(f) != 2 || f[1].version != 38 || !f[1].at.Equal(want) || !tr.current["a"].incomplete {
+		t.Errorf("%+v, blind %v", f, tr.current["a"].incomplete)
 	}
-	if f := settings.now["a"].forced; len(f) != 1 || f[0].version != 41 || !f[0].at.Equal(want.Add(250*time.Millisecond)) || r.knows("a").settings != 41 {
-		t.Errorf("settings: %+v, %+v", f, r.knows("a"))
+	if f := settings.current["a"].versions; len(f) != 1 || f[0].version != 41 || !f[0].at.Equal(want.Add(250*time.Millisecond)) || r.state("a").settingsVersion != 41 {
+		t.Errorf("settings: %+v, %+v", f, r.state("a"))
 	}
 }
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -11,27 +11,27 @@
 
 // shown are the figures that are printed, and roles their order.
 var (
-	shown = []string{capacity.CPU, capacity.ResidentMB, capacity.HeapMB, capacity.AllocKBps, capacity.BytesIn, capacity.BytesOut, capacity.MessagesIn,
+	printedMetrics = []string{capacity.CPU, capacity.ResidentMB, capacity.HeapMB, capacity.AllocKBps, capacity.BytesIn, capacity.BytesOut, capacity.MessagesIn,
 		capacity.MessagesOut, capacity.ViewBytes, capacity.ListBytes, capacity.Descriptors, capacity.Goroutines, capacity.Members, capacity.Servers}
-	shownRoles = []string{capacity.RoleHollow, capacity.RoleReal, capacity.RoleLeader, capacity.RoleFollower}
+	printedRoles = []string{capacity.RoleHollow, capacity.RoleReal, capacity.RoleLeader, capacity.RoleFollower}
 )
 
 // Print prints runs as tables: of each run its figures, a row for each and a column for each role,
 // means over the role's members; "-" is what was not measured.
-func Print(out io.Writer, runs []*capacity.Run) error {
+func PrintRuns(out io.Writer, runs []*capacity.Run) error {
 	for _, r := range runs {
 		fmt.Fprintf(out, "%s: %d hollow and %d real agents, %d list instances, %d servers, repeat %d: %.0f s hurried %g times, %d changes\n",
 			r.Day, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
 		if len(r.Roles) > 0 {
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 			head := "\t"
-			for _, role := range shownRoles {
+			for _, role := range printedRoles {
 				head += fmt.Sprintf("%s (%d)\t", role, r.Roles[role].Count)
 			}
 			fmt.Fprintln(w, head)
-			for _, name := range shown {
+			for _, name := range printedMetrics {
 				line := name + "\t"
-				for _, role := range shownRoles {
+				for _, role := range printedRoles {
 					if v, ok := r.Roles[role].Mean[name]; ok {
 						line += fmt.Sprintf("%.4g\t", v)
 					} else {
--- a/internal/scaletest/reals.go
+++ b/internal/scaletest/reals.go
@@ -19,34 +19,34 @@
 )
 
 // reals are the processes of the real agent, with what their logs say.
-type reals struct {
+type realAgents struct {
 	*processtest.Cluster
-	dir    string
-	heard  trackers
-	client *http.Client
+	dir      string
+	trackers trackers
+	client   *http.Client
 
 	mu   sync.Mutex
-	logs map[string]*agentLog
+	logs map[string]*agentLogState
 }
 
 // agentLog is how far an agent's log was read, and what its present process said last.
-type agentLog struct {
-	offset   int64
-	version  uint64 // of the list
-	settings uint64 // their version, 0 while they are the file's
-	servers  int    // entries of the list, by the module's view
-	unlogged int    // lines that the process left out
+type agentLogState struct {
+	offset          int64
+	listVersion     uint64 // of the list
+	settingsVersion uint64 // their version, 0 while they are the file's
+	servers         int    // entries of the list, by the module's view
+	droppedLines    int    // lines that the process left out
 	// What calls to discovery had taken at the last "figures" line, and that line's time.
 	listIn, listOut, listCalls float64
-	counted                    time.Time
+	countersAt                 time.Time
 }
 
 // newReals makes the processes, whose configurations NAME.json are in dir; none runs yet.
-func newReals(program, dir string, names []string, heard trackers) (*reals, error) {
-	r := &reals{dir: dir, heard: heard, logs: map[string]*agentLog{}, client: &http.Client{Timeout: time.Second,
+func newRealAgents(program, dir string, names []string, heard trackers) (*realAgents, error) {
+	r := &realAgents{dir: dir, trackers: heard, logs: map[string]*agentLogState{}, client: &http.Client{Timeout: time.Second,
 		Transport: &http.Transport{DisableKeepAlives: true}}}
 	for _, n := range names {
-		r.logs[n] = &agentLog{}
+		r.logs[n] = &agentLogState{}
 	}
 	if len(names) == 0 {
 		return r, nil
@@ -60,11 +60,11 @@
 }
 
 // start starts an agent and waits until it takes clients at an address.
-func (r *reals) start(ctx context.Context, name, listen string) error {
+func (r *realAgents) start(ctx context.Context, name, listen string) error {
 	if err := r.Start(name); err != nil {
 		return err
 	}
-	err := processtest.Await(agentTime, name+" is ready", func() bool {
+	err := processtest.Await(agentTimeout, name+" is ready", func() bool {
 		if ctx.Err() != nil {
 			return true
 		}
@@ -75,12 +75,12 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	r.heard.each(func(t *tracker) { t.begin(name) })
+	r.trackers.forEach(func(t *tracker) { t.started(name) })
 	return err
 }
 
 // running is how many of the processes run.
-func (r *reals) running() (n int) {
+func (r *realAgents) runningCount() (n int) {
 	if r.Cluster == nil {
 		return 0
 	}
@@ -93,18 +93,18 @@
 }
 
 // ended reads what a process that has ended said last.
-func (r *reals) ended(name string) error {
-	err := r.read(name)
-	r.heard.each(func(t *tracker) { t.gone(name) })
+func (r *realAgents) finishLog(name string) error {
+	err := r.readLog(name)
+	r.trackers.forEach(func(t *tracker) { t.ended(name) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.logs[name]
-	*l = agentLog{offset: l.offset}
+	*l = agentLogState{offset: l.offset}
 	return err
 }
 
 // status is an agent's fleet view by its door.
-func (r *reals) status(ctx context.Context, door string) (*membership.Status, error) {
+func (r *realAgents) status(ctx context.Context, door string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	return membership.Ask(ctx, door, "members=none&since=4611686018427387904")
@@ -113,14 +113,14 @@
 // The lines of an agent's log that are read (README, "Reading the log"): "list", an answer of
 // discovery as it is taken over, "settings taken over", and "figures".
 var (
-	timeOf       = regexp.MustCompile(`^time=(\S+) `)
-	listLine     = regexp.MustCompile(` msg=list .*\bto=(\d+)\b`)
-	settingsLine = regexp.MustCompile(` msg="settings taken over" .*\bversion=(\d+)`)
-	figureLine   = regexp.MustCompile(` msg=figures .*module="\{States:\[(\d+) (\d+) (\d+) (\d+)\].*\bunlogged:(\d+)\b.*\blistIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
+	timePattern     = regexp.MustCompile(`^time=(\S+) `)
+	listPattern     = regexp.MustCompile(` msg=list .*\bto=(\d+)\b`)
+	settingsPattern = regexp.MustCompile(` msg="settings taken over" .*\bversion=(\d+)`)
+	metricsPattern  = regexp.MustCompile(` msg=figures .*module="\{States:\[(\d+) (\d+) (\d+) (\d+)\].*\bunlogged:(\d+)\b.*\blistIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
 )
 
 // read reads what an agent's log has beyond what was read of it.
-func (r *reals) read(name string) error {
+func (r *realAgents) readLog(name string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.logs[name]
@@ -141,19 +141,19 @@
 			return err
 		}
 		l.offset += int64(len(line))
-		if err := r.take(name, l, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
+		if err := r.handleLine(name, l, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
 			return fmt.Errorf("%s's log: %w", name, err)
 		}
 	}
 }
 
 // take takes one line; the caller holds mu.
-func (r *reals) take(name string, l *agentLog, line []byte) error {
-	list, settings, counts := listLine.FindSubmatch(line), settingsLine.FindSubmatch(line), figureLine.FindSubmatch(line)
+func (r *realAgents) handleLine(name string, l *agentLogState, line []byte) error {
+	list, settings, counts := listPattern.FindSubmatch(line), settingsPattern.FindSubmatch(line), metricsPattern.FindSubmatch(line)
 	if list == nil && settings == nil && counts == nil {
 		return nil
 	}
-	stamp := timeOf.FindSubmatch(line)
+	stamp := timePattern.FindSubmatch(line)
 	if stamp == nil {
 		return fmt.Errorf("a line without a time: %s", line)
 	}
@@ -165,7 +165,7 @@
 		kind string
 		line [][]byte
 		last *uint64
-	}{{kindList, list, &l.version}, {kindSettings, settings, &l.settings}} {
+	}{{kindList, list, &l.listVersion}, {kindSettings, settings, &l.settingsVersion}} {
 		if of.line == nil {
 			continue
 		}
@@ -174,7 +174,7 @@
 			return err
 		}
 		*of.last = max(*of.last, version)
-		r.heard[of.kind].force(name, version, at)
+		r.trackers[of.kind].inForce(name, version, at)
 		return nil
 	}
 	var n [8]int
@@ -184,32 +184,32 @@
 		}
 	}
 	l.servers = n[0] + n[1] + n[2] + n[3] // by the module's states
-	if n[4] > l.unlogged {
-		r.heard.each(func(t *tracker) { t.blinded(name) })
+	if n[4] > l.droppedLines {
+		r.trackers.forEach(func(t *tracker) { t.markIncomplete(name) })
 	}
-	l.unlogged = n[4]
-	l.listIn, l.listOut, l.listCalls, l.counted = float64(n[5]), float64(n[6]), float64(n[7]), at
+	l.droppedLines = n[4]
+	l.listIn, l.listOut, l.listCalls, l.countersAt = float64(n[5]), float64(n[6]), float64(n[7]), at
 	return nil
 }
 
 // knows is what an agent's log has told.
-func (r *reals) knows(name string) agentLog {
+func (r *realAgents) state(name string) agentLogState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return *r.logs[name]
 }
 
 // counted waits until an agent has written its counts after a time: it does so each second.
-func (r *reals) counted(ctx context.Context, name string, after time.Time) error {
-	for end := time.Now().Add(countTime); ; {
-		if err := r.read(name); err != nil || r.knows(name).counted.After(after) {
+func (r *realAgents) awaitCounters(ctx context.Context, name string, after time.Time) error {
+	for end := time.Now().Add(countersTimeout); ; {
+		if err := r.readLog(name); err != nil || r.state(name).countersAt.After(after) {
 			return err
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s has not written its counts for %v", name, countTime)
+			return fmt.Errorf("%s has not written its counts for %v", name, countersTimeout)
 		}
 		select {
-		case <-time.After(readEvery):
+		case <-time.After(logPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -217,4 +217,4 @@
 }
 
 // An agent writes its counts each second (README, "Reading the log"), on a full machine later.
-const countTime, readEvery = 5 * time.Second, 20 * time.Millisecond
+const countersTimeout, logPollInterval = 5 * time.Second, 20 * time.Millisecond
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -15,32 +15,32 @@
 
 // Config is how a plan is played.
 type Config struct {
-	Plan   *Plan
-	Target *Target
-	Agent  string   // the built agent (bin/agent)
-	List   string   // the built list service (bin/discovery)
-	Host   []string // the command line of a host process
-	Dir    string   // for configurations, logs and the list service's data
-	Commit string   // of the programs
+	Plan        *Plan
+	Target      *Target
+	Agent       string   // the built agent (bin/agent)
+	Discovery   string   // the built list service (bin/discovery)
+	HostCommand []string // the command line of a host process
+	Directory   string   // for configurations, logs and the list service's data
+	Commit      string   // of the programs
 	// Progress is told what happens; nil: nobody.
 	Progress func(format string, args ...any)
 	// Done is called with each run as it ends.
-	Done func(*capacity.Run) error
+	OnRun func(*capacity.Run) error
 }
 
 // startTries is how many fleets are started where one does not come to one view at its start. Each
 // that does not is a run that does not count, and is recorded.
-const startTries = 3
+const maxFleetStarts = 3
 
 // Play plays a plan: each repeat of each size on a fleet of its own, on which its days follow
 // each other. A day in which regions lose each other has another fleet, whose packets pass a
 // relay. A size that this machine can't hold is an error that says what it takes, before anything
 // is started; where ctx ends all that was started is ended, and what was done was given to Done.
-func Play(ctx context.Context, cfg Config) error {
+func Run(ctx context.Context, cfg Config) error {
 	if cfg.Progress == nil {
 		cfg.Progress = func(string, ...any) {}
 	}
-	if err := cfg.Plan.Fits(); err != nil {
+	if err := cfg.Plan.CheckMachine(); err != nil {
 		return err
 	}
 	var straight, relayed []string
@@ -54,7 +54,7 @@
 	for repeat := 1; repeat <= cfg.Plan.Repeats; repeat++ {
 		for _, hollow := range cfg.Plan.Sizes {
 			for _, names := range [][]string{straight, relayed} {
-				if err := cfg.fleet(ctx, hollow, repeat, names); err != nil {
+				if err := cfg.runDays(ctx, hollow, repeat, names); err != nil {
 					return err
 				}
 			}
@@ -64,9 +64,9 @@
 }
 
 // fleet plays days on fleets of one size: on one, unless that does not settle before a day.
-func (cfg *Config) fleet(ctx context.Context, hollow, repeat int, names []string) error {
+func (cfg *Config) runDays(ctx context.Context, hollow, repeat int, names []string) error {
 	for tries := 0; len(names) > 0; {
-		played, err := cfg.one(ctx, hollow, repeat, names)
+		played, err := cfg.runOnFleet(ctx, hollow, repeat, names)
 		if ctx.Err() != nil {
 			return errors.New("interrupted")
 		}
@@ -75,7 +75,7 @@
 		}
 		if names = names[played:]; played > 0 {
 			tries = 0
-		} else if tries++; tries == startTries {
+		} else if tries++; tries == maxFleetStarts {
 			cfg.Progress("%d hollow agents: %d fleets did not settle, %v is not played", hollow, tries, names)
 			return nil
 		}
@@ -84,21 +84,21 @@
 }
 
 // one starts a fleet and plays days on it, as far as it settles before each.
-func (cfg *Config) one(ctx context.Context, hollow, repeat int, names []string) (played int, err error) {
-	dir, err := os.MkdirTemp(cfg.Dir, "fleet")
+func (cfg *Config) runOnFleet(ctx context.Context, hollow, repeat int, names []string) (played int, err error) {
+	dir, err := os.MkdirTemp(cfg.Directory, "fleet")
 	if err != nil {
 		return 0, err
 	}
 	p := cfg.Plan
 	seed := p.Seed + uint64(repeat) - 1
-	f := &running{plan: p, size: hollow + p.Real, listed: p.Listed, dir: dir, draw: rand.New(rand.NewPCG(seed, uint64(hollow))),
-		heard: newTrackers(), meters: map[string]*meter{}}
-	if f.listed == 0 {
-		f.listed = f.size
+	f := &fleet{plan: p, size: hollow + p.Real, listedServers: p.ListedServers, directory: dir, random: rand.New(rand.NewPCG(seed, uint64(hollow))),
+		trackers: newTrackers(), meters: map[string]*counterCarry{}}
+	if f.listedServers == 0 {
+		f.listedServers = f.size
 	}
 	defer f.close()
 	if slices.Contains(names, "region") {
-		if f.board, err = faultproxy.New(seed); err != nil {
+		if f.packetRelay, err = faultproxy.New(seed); err != nil {
 			return 0, err
 		}
 	}
@@ -108,12 +108,12 @@
 	}
 	for _, name := range names {
 		run := &capacity.Run{Plan: p.Name, Commit: cfg.Commit, Day: name, Repeat: repeat, Seed: seed, Size: f.size, Hollow: hollow, Real: p.Real,
-			DiscoveryInstances: p.Lists, ListedServers: f.listed, RateFactor: p.Hurry}
-		ok, err := f.day(ctx, cfg, run)
+			DiscoveryInstances: p.DiscoveryInstances, ListedServers: f.listedServers, RateFactor: p.RateFactor}
+		ok, err := f.playDay(ctx, cfg, run)
 		if err != nil {
 			return played, err
 		}
-		if err := cfg.Done(run); err != nil {
+		if err := cfg.OnRun(run); err != nil {
 			return played, err
 		}
 		if !ok {
@@ -126,40 +126,40 @@
 
 // day plays one day on a fleet and fills its record. It is not played (false) where the fleet does
 // not settle before it.
-func (f *running) day(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
+func (f *fleet) playDay(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
 	// Those whose machine failed on the day before are there again.
-	if err := f.each(ctx, f.which(false), f.up); err != nil {
+	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
 		return false, err
 	}
-	apart, err := f.settled(ctx, true)
+	apart, err := f.awaitConvergence(ctx, true)
 	if err != nil {
 		return false, err
 	}
 	if apart != "" {
-		run.Invalid = append(run.Invalid, fmt.Sprintf("not played: before the day, after %v, %s", settleTime, apart))
+		run.Invalid = append(run.Invalid, fmt.Sprintf("not played: before the day, after %v, %s", convergenceTimeout, apart))
 		cfg.Progress("%s: %s", run.Day, run.Invalid[0])
 		return false, nil
 	}
 	select {
-	case <-time.After(restTime):
+	case <-time.After(settleDelay):
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
 	cfg.Progress("%d hollow agents, repeat %d: %s", run.Hollow, run.Repeat, run.Day)
-	f.heard.each((*tracker).day)
+	f.trackers.forEach((*tracker).reset)
 	steps, missing := days[run.Day](f, cfg.Target)
 	before, err := f.sample(ctx)
 	if err != nil {
 		return false, err
 	}
-	w, err := startWatch()
+	w, err := startMachineMonitor()
 	if err != nil {
 		return false, err
 	}
 	began := time.Now()
-	err = f.play(ctx, steps)
+	err = f.runSteps(ctx, steps)
 	run.Seconds = time.Since(began).Seconds()
-	faults, werr := w.end()
+	faults, werr := w.finish()
 	if err = errors.Join(err, werr); err != nil {
 		return false, err
 	}
@@ -167,47 +167,47 @@
 	if err != nil {
 		return false, err
 	}
-	run.Roles = f.roles(before, after)
-	run.Missing, run.Invalid = append(missing, notMeasured...), faults
+	run.Roles = f.roleMetrics(before, after)
+	run.Missing, run.Invalid = append(missing, neverMeasured...), faults
 	for _, role := range []struct {
 		name string
 		runs int
-	}{{capacity.RoleHollow, len(after.hollow)}, {capacity.RoleReal, f.reals.running()}} {
+	}{{capacity.RoleHollow, len(after.hollow)}, {capacity.RoleReal, f.realAgents.runningCount()}} {
 		if told := run.Roles[role.name].Count; told < role.runs {
 			run.Missing = append(run.Missing, fmt.Sprintf("the figures of %d of %d %s agents: they did not tell them at its beginning or its end", role.runs-told, role.runs, role.name))
 		}
 	}
-	if apart, err = f.settled(ctx, false); err != nil {
+	if apart, err = f.awaitConvergence(ctx, false); err != nil {
 		return false, err
 	}
 	run.Converged = apart == ""
 	if apart != "" {
-		cfg.Progress("%s: at its end, after %v, %s", run.Day, settleTime, apart)
+		cfg.Progress("%s: at its end, after %v, %s", run.Day, convergenceTimeout, apart)
 	}
-	return true, f.tellTimes(run)
+	return true, f.recordInForceTimes(run)
 }
 
 // notMeasured is what no run can tell.
-var notMeasured = []string{
+var neverMeasured = []string{
 	"heap_mb, alloc_kb_s and goroutines of real agents: their process does not tell them",
 	"servers of real agents are those that are not draining: their process tells no others",
 }
 
 // tellTimes fills the times from acknowledged to in force.
-func (f *running) tellTimes(run *capacity.Run) error {
-	for _, m := range f.which(true) {
+func (f *fleet) recordInForceTimes(run *capacity.Run) error {
+	for _, m := range f.membersRunning(true) {
 		if m.host == nil {
-			if err := f.reals.read(m.name); err != nil {
+			if err := f.realAgents.readLog(m.name); err != nil {
 				return err
 			}
 		}
 	}
 	for _, kind := range []string{kindList, kindSettings} {
-		changes := f.heard[kind].count()
+		changes := f.trackers[kind].count()
 		if changes == 0 {
 			continue
 		}
-		times, missing, err := f.heard[kind].times()
+		times, missing, err := f.trackers[kind].latencies()
 		if err != nil {
 			return err
 		}
--- a/internal/scaletest/scale_test.go
+++ b/internal/scaletest/scale_test.go
@@ -46,7 +46,7 @@
 func played(t *testing.T, hollow int, days ...string) []*capacity.Run {
 	t.Helper()
 	p := SmallPlan()
-	p.Sizes, p.Days, p.Seconds = []int{hollow}, days, leastSeconds
+	p.Sizes, p.Days, p.Seconds = []int{hollow}, days, minDaySeconds
 	return playedPlan(t, p)
 }
 
@@ -62,9 +62,9 @@
 		t.Fatal(err)
 	}
 	var runs []*capacity.Run
-	err = Play(context.Background(), Config{Plan: p, Target: target, Dir: t.TempDir(), Commit: "test", Agent: filepath.Join(bin, "agent"),
-		List: filepath.Join(bin, "discovery"), Host: []string{filepath.Join(bin, "experiment"), "scale-host"},
-		Progress: t.Logf, Done: func(r *capacity.Run) error { runs = append(runs, r); return nil }})
+	err = Run(context.Background(), Config{Plan: p, Target: target, Directory: t.TempDir(), Commit: "test", Agent: filepath.Join(bin, "agent"),
+		Discovery: filepath.Join(bin, "discovery"), HostCommand: []string{filepath.Join(bin, "experiment"), "scale-host"},
+		Progress: t.Logf, OnRun: func(r *capacity.Run) error { runs = append(runs, r); return nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 func TestSettingsReachAll(t *testing.T) {
 	t.Parallel()
 	p := SmallPlan()
-	p.Sizes, p.Days, p.Seconds, p.Hurry, p.Settings = []int{12}, []string{"control"}, leastSeconds, 6000, 1
+	p.Sizes, p.Days, p.Seconds, p.RateFactor, p.SettingsFraction = []int{12}, []string{"control"}, minDaySeconds, 6000, 1
 	r := playedPlan(t, p)[0]
 	times := r.InForce["settings"]
 	if _, ok := r.InForce["list"]; ok || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
--- a/internal/scaletest/settings.go
+++ b/internal/scaletest/settings.go
@@ -8,16 +8,16 @@
 
 // share gives each member a service whose settings it takes, where settings change: as many members
 // to each, drawn.
-func (f *running) share() {
-	if f.services == 0 {
+func (f *fleet) assignServices() {
+	if f.settingsServices == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, at := range f.draw.Perm(len(f.members)) {
+	for i, at := range f.random.Perm(len(f.members)) {
 		m := f.members[at]
-		m.service = serviceName(i % f.services)
-		f.heard[kindSettings].of[m.name] = m.service
+		m.service = serviceName(i % f.settingsServices)
+		f.trackers[kindSettings].serviceOf[m.name] = m.service
 	}
 }
 
@@ -25,26 +25,26 @@
 func serviceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
 // addresses are those of all list instances, host:port.
-func (f *running) addresses() (all []string) {
-	for _, n := range f.lists.Names() {
-		all = append(all, f.lists.Addr(n, "http"))
+func (f *fleet) discoveryAddresses() (all []string) {
+	for _, n := range f.discovery.Names() {
+		all = append(all, f.discovery.Addr(n, "http"))
 	}
 	return all
 }
 
 // drawsSettings tells whether the next change is one of settings. A plan without such draws nothing.
-func (f *running) drawsSettings() bool {
-	if f.plan.Settings == 0 {
+func (f *fleet) nextChangeIsSettings() bool {
+	if f.plan.SettingsFraction == 0 {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.draw.Float64() < f.plan.Settings
+	return f.random.Float64() < f.plan.SettingsFraction
 }
 
 // fillSettings puts all services' settings.
-func (f *running) fillSettings(ctx context.Context) error {
-	for i := range f.services {
+func (f *fleet) fillSettings(ctx context.Context) error {
+	for i := range f.settingsServices {
 		if err := f.putSettings(ctx, serviceName(i)); err != nil {
 			return err
 		}
@@ -53,28 +53,28 @@
 }
 
 // changeSettings puts other settings of a drawn service, and notes when that was acknowledged.
-func (f *running) changeSettings(ctx context.Context) error {
+func (f *fleet) changeSettings(ctx context.Context) error {
 	f.mu.Lock()
-	service := serviceName(f.draw.IntN(f.services))
+	service := serviceName(f.random.IntN(f.settingsServices))
 	f.mu.Unlock()
 	return f.putSettings(ctx, service)
 }
 
 // putSettings writes a service's settings whole: the deployment's, with a limit that no agent comes
 // near without requests and that is another at each write, as the same text again makes no version.
-func (f *running) putSettings(ctx context.Context, service string) error {
+func (f *fleet) putSettings(ctx context.Context, service string) error {
 	f.mu.Lock()
-	f.settings++
-	wait := 1000 + f.settings%1000
+	f.settingsWrites++
+	wait := 1000 + f.settingsWrites%1000
 	f.mu.Unlock()
 	settings := deployment().Settings(0, 0, f.size)
 	delete(settings, "index") // these two are each agent's own
 	delete(settings, "zone")
 	settings["limits"].(map[string]any)["maxRetryAfterMs"] = wait
-	version, err := f.lists.putSettings(ctx, service, settings)
+	version, err := f.discovery.putSettings(ctx, service, settings)
 	if err != nil {
 		return fmt.Errorf("settings of %s: %w", service, err)
 	}
-	f.heard[kindSettings].changedOf(service, version, time.Now())
+	f.trackers[kindSettings].acknowledgedFor(service, version, time.Now())
 	return nil
 }
--- a/internal/scaletest/target.go
+++ b/internal/scaletest/target.go
@@ -63,5 +63,5 @@
 
 // hurried is how many of what the target has so often a day come within some seconds at a size.
 func (t *Target) hurried(aDay float64, size int, p *Plan) float64 {
-	return aDay * float64(size) / float64(t.Agents) / secondsADay * p.Seconds * p.Hurry
+	return aDay * float64(size) / float64(t.Agents) / secondsADay * p.Seconds * p.RateFactor
 }
