--- /dev/null
+++ b/internal/scaletest/hostreport.go
@@ -0,0 +1,119 @@
+package scaletest
+
+import (
+	"fmt"
+	"os"
+	"runtime"
+	"runtime/metrics"
+	"syscall"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent"
+)
+
+const bytesPerMB = 1 << 20
+
+// writeReport writes what the process and its agents have taken.
+func (h *hostServer) writeReport() error {
+	report, err := h.report()
+	if err != nil {
+		return err
+	}
+	h.events.write(HostEvent{Report: report})
+	return nil
+}
+
+// report makes a report. What the report itself takes, above all its garbage collection, is left out of
+// the processor time, with what the agents do meanwhile; that is little if reports are rare.
+func (h *hostServer) report() (*HostReport, error) {
+	before, err := processorTime()
+	if err != nil {
+		return nil, err
+	}
+	runtime.GC()
+	r := &HostReport{Goroutines: runtime.NumGoroutine(), Agents: h.agentReports()}
+	heap := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/gc/heap/allocs:bytes"}}
+	metrics.Read(heap)
+	r.HeapMB = float64(heap[0].Value.Uint64()) / bytesPerMB
+	r.AllocBytes = heap[1].Value.Uint64()
+	if r.ResidentMB, err = residentMB(); err != nil {
+		return nil, err
+	}
+	if r.Descriptors, err = openDescriptors(); err != nil {
+		return nil, err
+	}
+	after, err := processorTime()
+	if err != nil {
+		return nil, err
+	}
+	h.reportTime += after - before
+	r.CPUSeconds = (after - h.reportTime).Seconds()
+	r.AtUs = time.Now().UnixMicro()
+	return r, nil
+}
+
+func (h *hostServer) agentReports() map[string]AgentReport {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	reports := map[string]AgentReport{}
+	for name, a := range h.agents {
+		reports[name] = agentReport(a.agent.Status())
+	}
+	return reports
+}
+
+func agentReport(s agent.Status) AgentReport {
+	r := AgentReport{
+		ListIn:          s.ListIn,
+		ListOut:         s.ListOut,
+		ListCalls:       s.ListCalls,
+		Servers:         s.Servers,
+		ListVersion:     s.ListVersion,
+		SettingsVersion: s.SettingsVersion,
+	}
+	view := s.Fleet
+	if view == nil {
+		return r
+	}
+	traffic := view.Traffic
+	r.ViewIn = traffic["bytes_in"] + traffic["stream_bytes_in"]
+	r.ViewOut = traffic["bytes_out"] + traffic["stream_bytes_out"]
+	r.ViewMsgIn = traffic["packets_in"] + traffic["streams"] - traffic["streams_out"]
+	r.ViewMsgOut = traffic["packets_out"] + traffic["streams_out"]
+	r.Members = len(view.Members)
+	r.Digest = view.Digest
+	r.Settled = view.Settled
+	return r
+}
+
+// processorTime is the user and system time of this process.
+func processorTime() (time.Duration, error) {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		return 0, fmt.Errorf("report: processor time: %w", err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
+}
+
+// residentMB is the resident memory of this process (proc(5), statm).
+func residentMB() (float64, error) {
+	text, err := os.ReadFile("/proc/self/statm")
+	if err != nil {
+		return 0, fmt.Errorf("report: resident memory: %w", err)
+	}
+	var sizePages, residentPages float64
+	if _, err := fmt.Sscan(string(text), &sizePages, &residentPages); err != nil {
+		return 0, fmt.Errorf("report: resident memory: %w", err)
+	}
+	return residentPages * float64(os.Getpagesize()) / bytesPerMB, nil
+}
+
+// openDescriptors is the number of open file descriptors of this process, without the one by which
+// they are read.
+func openDescriptors() (int, error) {
+	entries, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		return 0, fmt.Errorf("report: %w", err)
+	}
+	return len(entries) - 1, nil
+}
--- /dev/null
+++ b/internal/scaletest/hostserver.go
@@ -0,0 +1,266 @@
+package scaletest
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent"
+)
+
+var (
+	errAlreadyRuns  = errors.New("runs already")
+	errNotRunning   = errors.New("does not run")
+	errAlreadyEnds  = errors.New("ends already")
+	errNoAgentNamed = errors.New("no agent named")
+)
+
+// hostServer runs the hollow agents of a host process.
+type hostServer struct {
+	events *eventWriter
+	log    *slog.Logger
+	runs   sync.WaitGroup // of the agents
+
+	mu         sync.Mutex
+	agents     map[string]*hollowAgent
+	reportTime time.Duration // processor time that reports took; used by the command loop alone
+}
+
+// hollowAgent is one agent of a host process.
+type hollowAgent struct {
+	agent   *agent.Agent
+	cancel  context.CancelFunc // stops it gracefully
+	ctx     context.Context    // ends once it is stopped, or has ended
+	reloads chan *agent.Config
+	config  *agent.Config // in force
+}
+
+// ServeHost runs hollow agents as the commands on in say, and writes events to out. At the end of in
+// or of ctx all agents are killed. What the agents log goes to log, with the agent's name on each
+// line. The error is one of reading commands or writing events; an invalid command is reported by an
+// event and has no effect.
+func ServeHost(ctx context.Context, in io.Reader, out, log io.Writer) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	h := &hostServer{
+		events: newEventWriter(out, cancel),
+		log:    slog.New(slog.NewTextHandler(log, nil)),
+		agents: map[string]*hollowAgent{},
+	}
+	h.serve(ctx, readLines(ctx, in, cancel))
+	h.killAll()
+	h.runs.Wait()
+	h.events.close()
+	if err := context.Cause(ctx); err != nil && !errors.Is(err, context.Canceled) {
+		return err
+	}
+	return nil
+}
+
+// readLines sends the lines of in that are not empty, and closes the channel at its end. It does not
+// wait for the goroutine: a read of standard input can't be interrupted.
+func readLines(ctx context.Context, in io.Reader, failed func(error)) <-chan []byte {
+	lines := make(chan []byte)
+	go func() {
+		defer close(lines)
+		reader := bufio.NewReader(in)
+		for {
+			line, err := reader.ReadBytes('\n')
+			if line = bytes.TrimSpace(line); len(line) > 0 {
+				select {
+				case lines <- line:
+				case <-ctx.Done():
+					return
+				}
+			}
+			if errors.Is(err, io.EOF) {
+				return
+			}
+			if err != nil {
+				failed(fmt.Errorf("scale: commands: %w", err))
+				return
+			}
+		}
+	}()
+	return lines
+}
+
+// serve executes commands until they or ctx end.
+func (h *hostServer) serve(ctx context.Context, lines <-chan []byte) {
+	for {
+		select {
+		case line, ok := <-lines:
+			if !ok {
+				return
+			}
+			if err := h.execute(line); err != nil {
+				h.events.write(HostEvent{Err: err.Error()})
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (h *hostServer) killAll() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, a := range h.agents {
+		a.agent.Kill()
+	}
+}
+
+// execute executes one command; the error says why it is invalid.
+func (h *hostServer) execute(line []byte) error {
+	var c HostCommand
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&c); err != nil {
+		return fmt.Errorf("order: %w", err)
+	}
+	var handler func(*HostCommand, *hollowAgent) error
+	switch c.Command {
+	case commandReport:
+		return h.writeReport()
+	case commandStart:
+		handler = h.start
+	case commandStop:
+		handler = h.stop
+	case commandKill:
+		handler = h.kill
+	case commandReload:
+		handler = h.reload
+	default:
+		return fmt.Errorf("order: do: %q is none", c.Command)
+	}
+	if err := h.executeOn(&c, handler); err != nil {
+		return fmt.Errorf("%s %s: %w", c.Command, c.Agent, err)
+	}
+	return nil
+}
+
+// executeOn calls the handler with the command's agent, which is nil for commandStart.
+func (h *hostServer) executeOn(c *HostCommand, handler func(*HostCommand, *hollowAgent) error) error {
+	if c.Agent == "" {
+		return errNoAgentNamed
+	}
+	h.mu.Lock()
+	a := h.agents[c.Agent]
+	h.mu.Unlock()
+	starts := c.Command == commandStart
+	if starts && a != nil {
+		return errAlreadyRuns
+	}
+	if !starts && a == nil {
+		return errNotRunning
+	}
+	return handler(c, a)
+}
+
+// start runs an agent. Its calls to discovery come from the address of its membership, or else from the
+// one where it would take clients.
+func (h *hostServer) start(c *HostCommand, _ *hollowAgent) error {
+	cfg, err := agent.ParseConfig(c.Config)
+	if err != nil {
+		return err
+	}
+	name := c.Agent
+	cfg.CallFrom = callAddress(cfg)
+	cfg.Log = h.log.With("agent", name)
+	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
+	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
+	var listeners agent.Listeners
+	if cfg.Management != "" {
+		listeners.Operators, err = net.Listen("tcp", cfg.Management)
+		if err != nil {
+			h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
+			return nil
+		}
+	}
+	a := &hollowAgent{reloads: make(chan *agent.Config), config: cfg}
+	a.agent, err = agent.New(cfg, listeners)
+	if err != nil {
+		if listeners.Operators != nil {
+			_ = listeners.Operators.Close() // the agent's error is the one to report
+		}
+		return err
+	}
+	a.ctx, a.cancel = context.WithCancel(context.Background())
+	h.mu.Lock()
+	h.agents[name] = a
+	h.mu.Unlock()
+	h.events.write(HostEvent{Started: name})
+	h.runs.Add(1)
+	go func() {
+		defer h.runs.Done()
+		h.run(name, a)
+	}()
+	return nil
+}
+
+// callAddress is the address that an agent's calls to discovery come from; nil: the system selects it.
+func callAddress(cfg *agent.Config) net.IP {
+	address := cfg.Listen
+	if cfg.Fleet != nil {
+		address = cfg.Fleet.Bind
+	}
+	ip, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return cfg.CallFrom
+	}
+	return net.ParseIP(ip)
+}
+
+// run runs an agent until it ends.
+func (h *hostServer) run(name string, a *hollowAgent) {
+	defer a.cancel()
+	event := HostEvent{Ended: name}
+	if err := a.agent.Run(a.ctx, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
+		event.Err = err.Error()
+	}
+	h.mu.Lock()
+	delete(h.agents, name)
+	h.mu.Unlock()
+	h.events.write(event)
+}
+
+func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
+	if a.ctx.Err() != nil {
+		return errAlreadyEnds
+	}
+	a.cancel()
+	return nil
+}
+
+func (h *hostServer) kill(_ *HostCommand, a *hollowAgent) error {
+	a.agent.Kill()
+	a.cancel()
+	return nil
+}
+
+func (h *hostServer) reload(c *HostCommand, a *hollowAgent) error {
+	cfg, err := agent.ParseReload(c.Config, a.config)
+	if err != nil {
+		return err
+	}
+	select {
+	case a.reloads <- cfg:
+		a.config = cfg
+		return nil
+	case <-a.ctx.Done():
+		return errAlreadyEnds
+	}
+}
+
+func (h *hostServer) reportInForce(name, kind string, version uint64) {
+	now := time.Now().UnixMicro()
+	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: now}})
+}
--- a/internal/scaletest/measure.go
+++ b/internal/scaletest/sample.go
@@ -123,8 +123,6 @@
 		capacity.ViewBytes: float64(a.ViewIn + a.ViewOut), capacity.ListBytes: float64(a.ListIn + a.ListOut)}
 }
 
-const bytesPerMB = 1 << 20
-
 // readReal reads what a real agent has taken, its ended processes with it, once it has written its
 // counts anew.
 func (f *fleet) readRealAgent(ctx context.Context, m *member) (reading, error) {
