--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -34,7 +34,7 @@
 			cfg := scaletest.Config{Plan: plan, Progress: progress(),
 				Agent: filepath.Join(programs, "agent"), Discovery: filepath.Join(programs, "discovery")}
 			cfg.Commit = experiment.Revision("", cfg.Agent, checkout())
-			if cfg.Target, err = scaletest.LoadTarget(target); err != nil {
+			if cfg.Target, err = capacity.LoadTarget(target); err != nil {
 				return err
 			}
 			if err := cfg.Plan.CheckMachine(); err != nil { // before anything is made
--- a/internal/scaletest/days.go
+++ b/internal/scaletest/days.go
@@ -9,32 +9,69 @@
 	"slices"
 	"sync"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// step is something that happens on a day, at a part of its length.
+// step is an action at a fraction of a day's length.
 type step struct {
 	at float64
 	do func(context.Context) error
 }
 
-// day makes a day's steps, and says what of it this run can't play.
-type day func(f *fleet, t *Target) (steps []step, missing []string)
+// script is what happens on a day, and what of the day this run can't play.
+type script struct {
+	steps   []step
+	missing []string
+}
+
+// add adds an action at each of some fractions of the day.
+func (s *script) add(do func(context.Context) error, at ...float64) {
+	for _, fraction := range at {
+		s.steps = append(s.steps, step{fraction, do})
+	}
+}
+
+// day makes a day's script for a fleet.
+type day func(f *fleet, t *capacity.Target) script
+
+// regionDay is the day that needs a relay for membership packets.
+const regionDay = "region"
 
-// days are all that can be played. All but the quiet one have changes, of the list and of settings,
-// at the target's rate, scaled to the size and hurried.
+// days are all that can be played. All but the quiet one have changes of the list and of settings at the
+// target's rate, scaled to the size and multiplied by the plan's rate factor.
 var days = map[string]day{
-	"quiet":    quiet,
-	"ordinary": ordinary,
-	"rollout":  rollout,
-	"zone":     zone,
-	"control":  control,
-	"region":   region,
+	"quiet":    quietDay,
+	"ordinary": ordinaryDay,
+	"rollout":  rolloutDay,
+	"zone":     zoneFailureDay,
+	"control":  leaderFailureDay,
+	regionDay:  regionPartitionDay,
 }
 
-// DayNames are the days, in order of their names.
+// DayNames are the names of the days, sorted.
 func DayNames() []string { return slices.Sorted(maps.Keys(days)) }
 
-// play carries out steps at their times and waits until all are done and the day is over.
+// The fractions of a day at which faults begin and end.
+const (
+	faultBegins    = 0.2
+	faultEnds      = 0.6
+	partitionHeals = 0.7
+	lastRestart    = 0.9 // of an ordinary day
+)
+
+// rolloutParts is the number of parts of a fleet that a rollout restarts one after the other.
+const rolloutParts = 10
+
+// What runs of some days don't measure.
+const (
+	missingInRollout = "traffic of agents that end, from up to 0.2 s before the order on"
+	missingInZone    = "the zone's instance of the list service, and its servers, stay: only its agents are lost"
+	missingInRegion  = "the fleet view's packets pass a relay of the runner's all day, which takes processor time" +
+		" that is no agent's"
+)
+
+// runSteps carries out steps at their times, and returns when all are done and the day is over.
 func (f *fleet) runSteps(ctx context.Context, steps []step) error {
 	slices.SortFunc(steps, func(a, b step) int {
 		if a.at < b.at {
@@ -43,19 +80,20 @@
 		return 1
 	})
 	length := time.Duration(f.plan.Seconds * float64(time.Second))
-	began := time.Now()
-	var group sync.WaitGroup
-	errs := make([]error, len(steps))
-	until := func(at float64) bool {
+	start := time.Now()
+	waitUntil := func(at float64) bool {
+		due := start.Add(time.Duration(at * float64(length)))
 		select {
-		case <-time.After(time.Until(began.Add(time.Duration(at * float64(length))))):
+		case <-time.After(time.Until(due)):
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
+	var group sync.WaitGroup
+	errs := make([]error, len(steps))
 	for i, s := range steps {
-		if !until(s.at) {
+		if !waitUntil(s.at) {
 			break
 		}
 		group.Add(1)
@@ -64,167 +102,168 @@
 			errs[i] = s.do(ctx)
 		}()
 	}
-	until(1)
+	waitUntil(1)
 	group.Wait()
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// drawn is a whole number whose mean is x.
+// randomRound rounds x up or down at random, so that the mean is x.
 func (f *fleet) randomRound(x float64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return int(math.Floor(x + f.random.Float64()))
 }
 
-// moments are so many drawn parts of a day, from lo to hi.
-func (f *fleet) randomMoments(n int, lo, hi float64) (at []float64) {
+// randomMoments are n random fractions of a day, from lo to hi.
+func (f *fleet) randomMoments(n int, lo, hi float64) []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	var moments []float64
 	for range n {
-		at = append(at, lo+(hi-lo)*f.random.Float64())
+		moments = append(moments, lo+(hi-lo)*f.random.Float64())
 	}
-	return at
+	return moments
 }
 
-// changes are a day's changes, each of settings with the plan's share for it; missing says of which
-// kind there can be none.
-func (f *fleet) changeSteps(t *Target) (steps []step, missing []string) {
-	for _, at := range f.randomMoments(f.randomRound(t.hurried(t.ChangesPerDay, f.size, f.plan)), 0, 1) {
+// changeScript is a day's changes, of which the plan's fraction are of settings.
+func (f *fleet) changeScript(t *capacity.Target) script {
+	var s script
+	changes := f.randomRound(expectedEvents(t, t.Changes.PerDay, f.size, f.plan))
+	for _, at := range f.randomMoments(changes, 0, 1) {
 		if f.nextChangeIsSettings() {
-			steps = append(steps, step{at, f.changeSettings})
+			s.add(f.changeSettings, at)
 		} else {
-			steps = append(steps, step{at, f.changeServer})
+			s.add(f.changeServer, at)
 		}
 	}
 	switch f.plan.SettingsFraction {
 	case 0:
-		missing = []string{"changes of settings: the plan has none"}
+		s.missing = []string{"changes of settings: the plan has none"}
 	case 1:
-		missing = []string{"changes of the list: the plan has none"}
+		s.missing = []string{"changes of the list: the plan has none"}
 	}
-	return steps, missing
+	return s
 }
 
-func quiet(*fleet, *Target) ([]step, []string) { return nil, nil }
+func quietDay(*fleet, *capacity.Target) script { return script{} }
 
-// ordinary restarts agents in order and kills those whose machine fails, which stay away to the end.
-func ordinary(f *fleet, t *Target) ([]step, []string) {
-	steps, missing := f.changeSteps(t)
-	restarts, failures := f.randomRound(t.hurried(t.AgentsReplaced, f.size, f.plan)), f.randomRound(t.hurried(t.MachinesFailed, f.size, f.plan))
-	for _, at := range f.randomMoments(restarts, 0, 0.9) {
-		steps = append(steps, step{at, func(ctx context.Context) error {
-			if m := f.takeIdleMember(); m != nil {
-				return f.restart(ctx, m)
-			}
-			return nil
-		}})
-	}
-	for _, at := range f.randomMoments(failures, 0, 0.9) {
-		steps = append(steps, step{at, func(ctx context.Context) error {
-			if m := f.takeIdleMember(); m != nil {
-				return f.stopMember(ctx, m, false)
-			}
-			return nil
-		}})
-	}
+// ordinaryDay restarts agents, and kills those whose machine fails, which are not started again.
+func ordinaryDay(f *fleet, t *capacity.Target) script {
+	s := f.changeScript(t)
+	expectedRestarts := expectedEvents(t, t.Day.AgentsReplaced, f.size, f.plan)
+	expectedFailures := expectedEvents(t, t.Day.MachinesFailed, f.size, f.plan)
+	restarts := f.randomRound(expectedRestarts)
+	failures := f.randomRound(expectedFailures)
+	s.add(f.onIdleMember(f.restartMember), f.randomMoments(restarts, 0, lastRestart)...)
+	s.add(f.onIdleMember(f.killMember), f.randomMoments(failures, 0, lastRestart)...)
 	if restarts == 0 {
-		missing = append(missing, fmt.Sprintf("restarts: none was drawn, %.2f are due", t.hurried(t.AgentsReplaced, f.size, f.plan)))
+		s.missing = append(s.missing, fmt.Sprintf("restarts: none was drawn, %.2f are due", expectedRestarts))
 	}
 	if failures == 0 {
-		missing = append(missing, fmt.Sprintf("failed machines: none was drawn, %.2f are due", t.hurried(t.MachinesFailed, f.size, f.plan)))
+		s.missing = append(s.missing, fmt.Sprintf("failed machines: none was drawn, %.2f are due", expectedFailures))
 	}
-	return steps, missing
+	return s
 }
 
-// parts is how many parts a rollout has.
-const rolloutParts = 10
+// onIdleMember is an action on a random member that runs and is not busy, if there is one.
+func (f *fleet) onIdleMember(do func(context.Context, *member) error) func(context.Context) error {
+	return func(ctx context.Context) error {
+		if m := f.takeIdleMember(); m != nil {
+			return do(ctx, m)
+		}
+		return nil
+	}
+}
 
-// rollout restarts all agents, a tenth at a time, each once the one before has started again.
-func rollout(f *fleet, t *Target) ([]step, []string) {
-	all := f.membersRunning(true)
+// rolloutDay restarts all agents, a tenth at a time, each part once the one before has started again.
+func rolloutDay(f *fleet, t *capacity.Target) script {
+	members := f.membersRunning(true)
 	f.mu.Lock()
-	f.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	f.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	f.mu.Unlock()
-	steps, missing := f.changeSteps(t)
-	missing = append(missing, "traffic of agents that end, from up to 0.2 s before the order on")
+	s := f.changeScript(t)
+	s.missing = append(s.missing, missingInRollout)
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
 	for i := range rolloutParts {
-		part := all[i*len(all)/rolloutParts : (i+1)*len(all)/rolloutParts]
-		steps = append(steps, step{float64(i) / rolloutParts, func(ctx context.Context) error {
+		part := members[i*len(members)/rolloutParts : (i+1)*len(members)/rolloutParts]
+		s.add(func(ctx context.Context) error {
 			select {
 			case <-turn:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 			defer func() { turn <- struct{}{} }()
-			return f.forEach(ctx, part, f.restart)
-		}})
+			return f.forEach(ctx, part, f.restartMember)
+		}, float64(i)/rolloutParts)
 	}
-	return steps, missing
+	return s
 }
 
-// zone kills the agents of one zone, and starts them again.
-func zone(f *fleet, t *Target) ([]step, []string) {
+// zoneFailureDay kills the agents of one zone, and starts them again.
+func zoneFailureDay(f *fleet, t *capacity.Target) script {
 	f.mu.Lock()
-	lost := f.random.IntN(len(zoneNames))
+	zone := f.random.IntN(len(zoneNames))
 	f.mu.Unlock()
-	gone := make(chan []*member, 1)
-	steps, missing := f.changeSteps(t)
-	steps = append(steps, step{0.2, func(ctx context.Context) error {
-		some := f.takeZone(lost)
-		err := f.forEach(ctx, some, func(ctx context.Context, m *member) error { return f.stopMember(ctx, m, false) })
-		gone <- some
+	killed := make(chan []*member, 1)
+	s := f.changeScript(t)
+	s.add(func(ctx context.Context) error {
+		members := f.takeZone(zone)
+		err := f.forEach(ctx, members, f.killMember)
+		killed <- members
 		return err
-	}}, step{0.6, func(ctx context.Context) error { return f.forEach(ctx, <-gone, f.startMember) }})
-	return steps, append(missing, "the zone's instance of the list service, and its servers, stay: only its agents are lost")
+	}, faultBegins)
+	s.add(func(ctx context.Context) error { return f.forEach(ctx, <-killed, f.startMember) }, faultEnds)
+	s.missing = append(s.missing, missingInZone)
+	return s
 }
 
-// control kills the instance of the list service that leads, and starts it again.
-func control(f *fleet, t *Target) ([]step, []string) {
-	gone := make(chan string, 1)
-	steps, missing := f.changeSteps(t)
-	steps = append(steps, step{0.2, func(context.Context) error {
-		lost, err := f.discovery.awaitLeader()
-		gone <- lost
+// leaderFailureDay kills the discovery instance that is the leader, and starts it again.
+func leaderFailureDay(f *fleet, t *capacity.Target) script {
+	killed := make(chan string, 1)
+	s := f.changeScript(t)
+	s.add(func(context.Context) error {
+		leader, err := f.discovery.awaitLeader()
+		killed <- leader
 		if err != nil {
 			return err
 		}
-		counted, _, err := f.instanceCounters(lost)
+		usage, err := f.instanceUsage(leader)
 		if err != nil {
 			return err
 		}
-		f.meters[lost].add(counted)
-		return f.discovery.Kill(lost)
-	}}, step{0.6, func(context.Context) error {
-		if lost := <-gone; lost != "" {
-			return f.discovery.Start(lost)
+		f.carries[leader].add(usage.counters)
+		return f.discovery.Kill(leader)
+	}, faultBegins)
+	s.add(func(context.Context) error {
+		if leader := <-killed; leader != "" {
+			return f.discovery.Start(leader)
 		}
 		return nil
-	}})
-	return steps, missing
+	}, faultEnds)
+	return s
 }
 
-// region cuts the regions from each other, in the fleet view and between the instances of the
-// list service, and heals that. No call to it is cut.
-func region(f *fleet, t *Target) ([]step, []string) {
-	sides := make([][]string, len(regionNames))
+// regionPartitionDay cuts the regions from each other, for membership and between the discovery
+// instances, and heals that. Calls to discovery are not cut.
+func regionPartitionDay(f *fleet, t *capacity.Target) script {
+	members := make([][]string, len(regionNames))
 	for _, m := range f.members {
-		sides[m.region()] = append(sides[m.region()], m.name)
-	}
-	instances := make([][]string, len(regionNames))
-	for i, n := range f.discovery.Names() {
-		instances[i%len(regionNames)] = append(instances[i%len(regionNames)], n)
+		region := regionOf(m.zone)
+		members[region] = append(members[region], m.name)
 	}
-	steps, missing := f.changeSteps(t)
-	steps = append(steps, step{0.2, func(context.Context) error {
-		f.packetRelay.Partition("region", sides...)
+	instances := f.instancesByRegion()
+	s := f.changeScript(t)
+	s.add(func(context.Context) error {
+		f.packetRelay.Partition("region", members...)
 		f.discovery.Partition(instances...)
 		return nil
-	}}, step{0.7, func(context.Context) error {
+	}, faultBegins)
+	s.add(func(context.Context) error {
 		f.packetRelay.Heal("region")
 		f.discovery.Heal()
 		return nil
-	}})
-	return steps, append(missing, "the fleet view's packets pass a relay of the runner's all day, which takes processor time that is no agent's")
+	}, partitionHeals)
+	s.missing = append(s.missing, missingInRegion)
+	return s
 }
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -20,131 +20,151 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// lists is the real list service: instances whose Raft links pass through proxies that can be cut.
+// discoveryCluster is a real discovery service: instances whose Raft links pass through proxies that
+// can be cut.
 type discoveryCluster struct {
 	*processtest.Cluster
 	client       *http.Client
-	nextInstance atomic.Uint32 // the instance that is written to
+	nextInstance atomic.Uint32 // index of the instance to write to
 }
 
 const (
-	// writeTime is how long one write may take: longer than the service waits for a commit.
+	// writeTimeout of one write is longer than the service waits for a commit.
 	writeTimeout = 6 * time.Second
-	// leaderTime is how long an election may take on a full machine.
+	// leaderTimeout is how long an election may take on a loaded machine.
 	leaderTimeout = 30 * time.Second
-	// retryEvery is how often a write that failed is tried again.
+	// writeRetryInterval is the pause before a write that failed is sent to the next instance.
 	writeRetryInterval = 20 * time.Millisecond
+	// maxIdleConnections are kept to each instance.
+	maxIdleConnections = 64
+	// maxWriteResponse is the part of a response to a write that is read.
+	maxWriteResponse = 1 << 16
 )
 
-// startLists starts so many instances, each on an address of its own, and waits until one leads.
-func startDiscovery(program, dir string, count int, ip func(i int) string) (*discoveryCluster, error) {
+// startDiscovery starts a number of instances, each on an address of its own, and waits for a leader.
+func startDiscovery(program, directory string, count int, ip func(i int) string) (*discoveryCluster, error) {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprintf("list-%d", i+1))
 	}
-	c, err := processtest.New(processtest.Config{Binary: program, Dir: dir, Names: names, Ports: []string{"raft", "http", "admin"},
-		IP: func(name string) string { return ip(slices.Index(names, name)) },
+	cluster, err := processtest.New(processtest.Config{
+		Binary: program,
+		Dir:    directory,
+		Names:  names,
+		Ports:  []string{"raft", "http", "admin"},
+		IP:     func(name string) string { return ip(slices.Index(names, name)) },
 		Args: func(c *processtest.Cluster, name string) []string {
-			path := filepath.Join(dir, name+".toml")
-			if err := writeDiscoveryConfig(c, name, dir, path); err != nil {
-				return []string{"serve", "--config", filepath.Join(dir, "none")} // it then says that it can't
-			}
-			return []string{"serve", "--config", path}
-		}})
+			return discoveryArguments(c, name, directory)
+		},
+	})
 	if err != nil {
 		return nil, err
 	}
-	l := &discoveryCluster{Cluster: c, client: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	for _, n := range names {
-		if err := c.Start(n); err != nil {
-			c.Close()
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
+	d := &discoveryCluster{Cluster: cluster, client: &http.Client{Timeout: writeTimeout, Transport: transport}}
+	for _, name := range names {
+		if err := cluster.Start(name); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
-	if _, err := l.awaitLeader(); err != nil {
-		c.Close()
+	if _, err := d.awaitLeader(); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	return l, nil
+	return d, nil
 }
 
-// awaitLeader waits until an instance leads.
-func (l *discoveryCluster) awaitLeader() (lead string, err error) {
-	err = processtest.Await(leaderTimeout, "the list service has a leader", func() bool {
-		lead = l.leader()
-		return lead != ""
-	})
-	return lead, err
+// discoveryArguments writes an instance's configuration and returns its command line. Where the file
+// can't be written the program names the missing file.
+func discoveryArguments(c *processtest.Cluster, name, directory string) []string {
+	path := filepath.Join(directory, name+".toml")
+	if err := writeDiscoveryConfig(c, name, directory, path); err != nil {
+		path = filepath.Join(directory, "none")
+	}
+	return []string{"serve", "--config", path}
 }
 
-// writeListConfig writes an instance's configuration: it reaches the others by links of its own.
-func writeDiscoveryConfig(c *processtest.Cluster, name, dir, path string) error {
+// writeDiscoveryConfig writes an instance's configuration. It reaches each other instance by a link of
+// its own.
+func writeDiscoveryConfig(c *processtest.Cluster, name, directory, path string) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\nbootstrap = %v\n",
-		name, filepath.Join(dir, name), name == c.Names()[0])
-	for _, p := range c.Names() {
-		if p == name {
+	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n"+
+		"bootstrap = %v\n", name, filepath.Join(directory, name), name == c.Names()[0])
+	for _, peer := range c.Names() {
+		if peer == name {
 			continue
 		}
-		l, err := c.Link(name, p, "raft")
+		link, err := c.Link(name, peer, "raft")
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", p, l.Addr(), c.Addr(p, "admin"))
+		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), c.Addr(peer, "admin"))
 	}
 	return os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// status is what an instance tells of itself.
-func (l *discoveryCluster) status(name string) (st server.Status, err error) {
-	resp, err := l.client.Get("http://" + l.Addr(name, "admin") + "/v1/status")
-	if err != nil {
-		return st, err
-	}
-	defer resp.Body.Close()
-	return st, json.NewDecoder(resp.Body).Decode(&st)
+// awaitLeader waits until an instance is the leader.
+func (d *discoveryCluster) awaitLeader() (leader string, err error) {
+	err = processtest.Await(leaderTimeout, "discovery has a leader", func() bool {
+		leader = d.leader()
+		return leader != ""
+	})
+	return leader, err
 }
 
-// leader is the instance that leads, or "" while none is known to.
-func (l *discoveryCluster) leader() string {
-	for _, n := range l.Names() {
-		if !l.Running(n) {
+// leader is the instance that reports to be the leader, or "".
+func (d *discoveryCluster) leader() string {
+	for _, name := range d.Names() {
+		if !d.Running(name) {
 			continue
 		}
-		if st, err := l.status(n); err == nil && st.State == "Leader" {
-			return n
+		if status, err := d.status(name); err == nil && status.State == "Leader" {
+			return name
 		}
 	}
 	return ""
 }
 
-// errRefused ends a write that no other try can make good.
+// status is the status of an instance by its admin endpoint.
+func (d *discoveryCluster) status(name string) (server.Status, error) {
+	var status server.Status
+	response, err := d.client.Get("http://" + d.Addr(name, "admin") + "/v1/status")
+	if err != nil {
+		return status, err
+	}
+	defer func() { _ = response.Body.Close() }() // it was only read
+	err = json.NewDecoder(response.Body).Decode(&status)
+	return status, err
+}
+
+// errRejected is returned for a write that no retry can make succeed.
 var errRejected = errors.New("refused")
 
-// put sets a server's entry; it gives the change's version.
-func (l *discoveryCluster) putServer(ctx context.Context, t endpoint.Target) (version uint64, err error) {
-	return l.putAcknowledged(ctx, "/v1/servers/"+t.ID, t)
+// putServer sets a server's entry and returns the version of the change.
+func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Target) (uint64, error) {
+	return d.putAcknowledged(ctx, "/v1/servers/"+t.ID, t)
 }
 
-// putSettings sets a service's settings whole; it gives the change's version.
-func (l *discoveryCluster) putSettings(ctx context.Context, service string, settings map[string]any) (version uint64, err error) {
-	return l.putAcknowledged(ctx, "/v1/settings/"+service, settings)
+// putSettings sets all settings of a service and returns the version of the change.
+func (d *discoveryCluster) putSettings(ctx context.Context, service string, settings map[string]any) (uint64, error) {
+	return d.putAcknowledged(ctx, "/v1/settings/"+service, settings)
 }
 
-// persist puts a value as JSON through any instance's admin door, again at the next one where it
-// fails, until it is acknowledged or refused as wrong, or ctx ends.
-func (l *discoveryCluster) putAcknowledged(ctx context.Context, path string, value any) (version uint64, err error) {
+// putAcknowledged puts a value as JSON by the admin endpoint of any instance. It retries with the next
+// instance until the write is acknowledged or rejected as invalid, or ctx ends.
+func (d *discoveryCluster) putAcknowledged(ctx context.Context, path string, value any) (uint64, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return 0, err
 	}
 	for {
-		name := l.Names()[int(l.nextInstance.Load())%len(l.Names())]
-		version, err := l.put(ctx, "http://"+l.Addr(name, "admin")+path, body)
+		name := d.Names()[int(d.nextInstance.Load())%len(d.Names())]
+		version, err := d.put(ctx, "http://"+d.Addr(name, "admin")+path, body)
 		if err == nil || errors.Is(err, errRejected) {
 			return version, err
 		}
-		l.nextInstance.Add(1)
+		d.nextInstance.Add(1)
 		select {
 		case <-ctx.Done():
 			return 0, errors.Join(ctx.Err(), err)
@@ -153,26 +173,29 @@
 	}
 }
 
-func (l *discoveryCluster) put(ctx context.Context, url string, body []byte) (uint64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
+// put sends one write and returns its version.
+func (d *discoveryCluster) put(ctx context.Context, url string, body []byte) (uint64, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	resp, err := l.client.Do(req)
+	response, err := d.client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<16))
+	defer func() { _ = response.Body.Close() }() // it was only read
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxWriteResponse))
 	if err != nil {
 		return 0, err
 	}
-	if resp.StatusCode == http.StatusBadRequest {
+	switch response.StatusCode {
+	case http.StatusOK:
+	case http.StatusBadRequest:
 		return 0, fmt.Errorf("put: %w: %s", errRejected, bytes.TrimSpace(text))
+	default:
+		return 0, fmt.Errorf("put: %s: %s", response.Status, bytes.TrimSpace(text))
 	}
-	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("put: %s: %s", resp.Status, bytes.TrimSpace(text))
-	}
-	var v struct{ Version uint64 }
-	return v.Version, json.Unmarshal(text, &v)
+	var change struct{ Version uint64 }
+	err = json.Unmarshal(text, &change)
+	return change.Version, err
 }
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -14,151 +14,172 @@
 	"time"
 )
 
-// hostProcess is one process of hollow agents, as the runner holds it.
+// hostProcess is the runner's side of a host process.
 type hostProcess struct {
-	name string
-	cmd  *exec.Cmd
-	done chan struct{} // closed at its end
-	// heard is told what the host says of its agents.
+	name     string
+	cmd      *exec.Cmd
+	done     chan struct{} // closed once the process has ended
 	trackers trackers
 
 	mu      sync.Mutex
 	stdin   io.WriteCloser
-	waiters map[string]chan error // by what is waited for, such as "started a017"
+	waiters map[string]chan error // by the event waited for (see startedEvent, endedEvent)
 	reports chan *HostReport
-	err     error // what the host said was wrong, or how its words ended
+	err     error // the first error that the host reported, or how its events ended
 
-	reporting  sync.Mutex // held while a report is waited for
+	reporting  sync.Mutex // locked while a report is waited for
 	lastReport *HostReport
 }
 
-// The longest times that a host may take: to start or end an agent, and to report on all. The
-// machine is full, and an end in order takes its 3 s (agent.Run).
 const (
-	agentTimeout  = 30 * time.Second
+	// agentTimeout is how long a host may take to start or end an agent. The machine is loaded, and a
+	// graceful shutdown takes its 3 s (agent.Run).
+	agentTimeout = 30 * time.Second
+	// reportTimeout is how long a host may take to report on all of its agents.
 	reportTimeout = 60 * time.Second
-	// endTime is how long a host may take to end once its orders have.
+	// hostStopTimeout is how long a host may take to end once its input has.
 	hostStopTimeout = 3 * time.Second
+	// maxReportAge is how old a report may be that has the counters of an agent before it ends: where many
+	// agents end at once, they share one report.
+	maxReportAge = 200 * time.Millisecond
 )
 
-// startHost starts a host process by its command line, with its log in a directory.
-func startHost(command []string, name, dir string, heard trackers) (*hostProcess, error) {
-	log, err := os.Create(filepath.Join(dir, name+".log"))
+// startedEvent and endedEvent identify the events that commands wait for.
+func startedEvent(agent string) string { return "started " + agent }
+func endedEvent(agent string) string   { return "ended " + agent }
+
+// startHost starts a host process, with its log in a directory.
+func startHost(command []string, name, directory string, trackers trackers) (*hostProcess, error) {
+	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	h := &hostProcess{name: name, done: make(chan struct{}), trackers: heard, waiters: map[string]chan error{}, reports: make(chan *HostReport, 1)}
-	h.cmd = exec.Command(command[0], command[1:]...)
+	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	h := &hostProcess{
+		name:     name,
+		cmd:      exec.Command(command[0], command[1:]...),
+		done:     make(chan struct{}),
+		trackers: trackers,
+		waiters:  map[string]chan error{},
+		reports:  make(chan *HostReport, 1),
+	}
 	h.cmd.Stderr = log
-	// However the runner ends, no host stays: at its end their orders end, and the kernel kills them.
+	// However the runner ends, its hosts do too: their input ends, and the kernel kills them.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if h.stdin, err = h.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := h.cmd.StdoutPipe()
+	stdout, err := h.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := h.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	go func() {
-		h.readEvents(out)
-		h.cmd.Wait()
-		close(h.done)
+	go func() { // close waits for it
+		defer close(h.done)
+		h.readEvents(stdout)
+		_ = h.cmd.Wait() // the end of its events was reported as an error already
 	}()
 	return h, nil
 }
 
-// listen takes the host's words until they end, and then ends all that waits for more.
-func (h *hostProcess) readEvents(out io.Reader) {
-	words := json.NewDecoder(out)
+// readEvents handles the host's events until they end, which fails all waiters.
+func (h *hostProcess) readEvents(stdout io.Reader) {
+	decoder := json.NewDecoder(stdout)
 	for {
-		var t HostEvent
-		if err := words.Decode(&t); err != nil {
-			h.fail(fmt.Errorf("%s says no more: %w", h.name, err))
+		var event HostEvent
+		if err := decoder.Decode(&event); err != nil {
+			h.fail(fmt.Errorf("%s: no more events: %w", h.name, err))
 			return
 		}
-		h.handleEvent(&t)
+		h.handleEvent(&event)
 	}
 }
 
-func (h *hostProcess) handleEvent(t *HostEvent) {
+func (h *hostProcess) handleEvent(event *HostEvent) {
 	var err error
-	if t.Err != "" {
-		err = fmt.Errorf("%s: %s", h.name, t.Err)
+	if event.Err != "" {
+		err = fmt.Errorf("%s: %s", h.name, event.Err)
 	}
 	switch {
-	case t.Started != "":
-		h.trackers.forEach(func(tr *tracker) { tr.started(t.Started) })
-		h.resolve("started "+t.Started, nil)
-	case t.Ended != "":
-		h.trackers.forEach(func(tr *tracker) { tr.ended(t.Ended) })
-		if !h.resolve("ended "+t.Ended, err) { // nobody ended it: it could not start
-			h.resolve("started "+t.Ended, errors.Join(err, fmt.Errorf("%s: %s has ended", h.name, t.Ended)))
+	case event.Started != "":
+		h.trackers.forEach(func(t *tracker) { t.started(event.Started) })
+		h.resolve(startedEvent(event.Started), nil)
+	case event.Ended != "":
+		h.handleEnded(event.Ended, err)
+	case event.InForce != nil:
+		v := event.InForce
+		if t := h.trackers[v.Kind]; t != nil {
+			t.inForce(v.Agent, v.Version, time.UnixMicro(v.AtUs))
 		}
-	case t.InForce != nil:
-		if kind := h.trackers[t.InForce.Kind]; kind != nil {
-			kind.inForce(t.InForce.Agent, t.InForce.Version, time.UnixMicro(t.InForce.AtUs))
-		}
-	case t.Report != nil:
+	case event.Report != nil:
 		select {
-		case h.reports <- t.Report:
-		default: // nobody waited for it any more
+		case h.reports <- event.Report:
+		default: // the wait for it timed out
 		}
 	case err != nil:
 		h.fail(err)
 	}
 }
 
-// fail ends all that waits.
+// handleEnded ends the wait for an agent's end, or, as the agent ended without a command, for its
+// start.
+func (h *hostProcess) handleEnded(agent string, err error) {
+	h.trackers.forEach(func(t *tracker) { t.ended(agent) })
+	if h.resolve(endedEvent(agent), err) {
+		return
+	}
+	h.resolve(startedEvent(agent), errors.Join(err, fmt.Errorf("%s: %s has ended", h.name, agent)))
+}
+
+// fail fails all waiters.
 func (h *hostProcess) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.err == nil {
 		h.err = err
 	}
-	for what, wait := range h.waiters {
-		wait <- err
-		delete(h.waiters, what)
+	for event, waiter := range h.waiters {
+		waiter <- err
+		delete(h.waiters, event)
 	}
 }
 
-// resolve ends a wait and tells whether there was one.
-func (h *hostProcess) resolve(what string, err error) bool {
+// resolve ends the wait for an event, and reports whether there was one.
+func (h *hostProcess) resolve(event string, err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	wait := h.waiters[what]
-	if wait == nil {
+	waiter := h.waiters[event]
+	if waiter == nil {
 		return false
 	}
-	wait <- err
-	delete(h.waiters, what)
+	waiter <- err
+	delete(h.waiters, event)
 	return true
 }
 
-// do gives an order and waits until the host has said what is waited for.
-func (h *hostProcess) command(ctx context.Context, o HostCommand, until string) error {
-	wait := make(chan error, 1)
+// command sends a command and waits for an event.
+func (h *hostProcess) command(ctx context.Context, c HostCommand, event string) error {
+	waiter := make(chan error, 1)
 	h.mu.Lock()
-	h.waiters[until] = wait
+	h.waiters[event] = waiter
 	h.mu.Unlock()
-	if err := h.send(o); err != nil {
+	if err := h.send(c); err != nil {
 		return err
 	}
 	select {
-	case err := <-wait:
+	case err := <-waiter:
 		return err
 	case <-time.After(agentTimeout):
-		return fmt.Errorf("%s: %q not within %v", h.name, until, agentTimeout)
+		return fmt.Errorf("%s: %q not within %v", h.name, event, agentTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (h *hostProcess) send(o HostCommand) error {
-	text, err := json.Marshal(o)
+func (h *hostProcess) send(c HostCommand) error {
+	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
@@ -171,11 +192,7 @@
 	return err
 }
 
-// recentTime is how old a report may be that tells what agents had counted before their ends: where
-// many end at once, one report is for all of them.
-const maxReportAge = 200 * time.Millisecond
-
-// recent is a report that is not older than recentTime.
+// recentReport is a report that is not older than maxReportAge.
 func (h *hostProcess) recentReport(ctx context.Context) (*HostReport, error) {
 	h.reporting.Lock()
 	defer h.reporting.Unlock()
@@ -185,20 +202,20 @@
 	return h.requestReport(ctx)
 }
 
-// report asks for what the host has taken.
+// report is a new report.
 func (h *hostProcess) report(ctx context.Context) (*HostReport, error) {
 	h.reporting.Lock()
 	defer h.reporting.Unlock()
 	return h.requestReport(ctx)
 }
 
-// ask asks for a report; the caller holds reporting.
+// requestReport requests a report; the caller has locked reporting.
 func (h *hostProcess) requestReport(ctx context.Context) (*HostReport, error) {
 	select {
-	case <-h.reports: // one that came too late
+	case <-h.reports: // one whose wait timed out
 	default:
 	}
-	if err := h.send(HostCommand{Command: "report"}); err != nil {
+	if err := h.send(HostCommand{Command: commandReport}); err != nil {
 		return nil, err
 	}
 	select {
@@ -213,13 +230,13 @@
 	}
 }
 
-// close ends the host and all its agents.
+// close ends the host and all of its agents.
 func (h *hostProcess) close() {
-	h.stdin.Close()
+	_ = h.stdin.Close() // it fails only where the process has ended
 	select {
 	case <-h.done:
 	case <-time.After(hostStopTimeout):
-		h.cmd.Process.Kill()
+		_ = h.cmd.Process.Kill() // it fails only where the process has ended
 		<-h.done
 	}
 }
--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -1,6 +1,7 @@
 package scaletest
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strings"
@@ -9,70 +10,99 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What one of each takes at the most, by docs/capacity/scale.jsonl: resident MB a hollow agent, its
-// process over the agents in it, 1.7 to 2.1 at 70 agents, 2.4 to 3.8 at 220, 4.1 to 5.7 at 420; a real
-// one 17.6, 27.7 and 29.6; an instance of the list service 18.1, 20.7 and 24.6.
+// What a process takes at most, from docs/capacity/scale.jsonl: the resident memory of a hollow agent, its
+// process divided by the agents in it, is 1.7 to 2.1 MB at 70 agents, 2.4 to 3.8 at 220 and 4.1 to 5.7 at
+// 420; of a real one 17.6, 27.7 and 29.6 MB; of a discovery instance 18.1, 20.7 and 24.6 MB.
 const (
 	hollowMB          = 1.5
 	hollowMBPerMember = 0.01 // for each member of its fleet
 	realMB            = 15.0
 	realMBPerMember   = 0.06
 	discoveryMB       = 40.0
-	// hollowSockets are the descriptors of a hollow agent: 10.2 on all days, and 26 that its view may
-	// take while it joins (fleet.Sockets); hostSockets those of its process.
-	hollowDescriptors, hostDescriptors = 40, 32
-	// mostProcesses is what this project allows itself on a machine.
+	// hollowDescriptors are the descriptors of a hollow agent: 10.2 on all days, and 26 that its membership
+	// may open while it joins (fleet.Sockets). hostDescriptors are those of its process.
+	hollowDescriptors = 40
+	hostDescriptors   = 32
+	// maxProcesses is the number of processes that the project may run on a machine.
 	maxProcesses = 300
 )
 
-// Fits refuses a plan of which this machine can't hold a size: within half of its memory, what is
-// free of it, 300 processes and the descriptors of a process.
-func (p *Plan) CheckMachine() error {
+// machineLimits is what a fleet may take of this machine.
+type machineLimits struct {
+	memoryMB     int // half of the machine's memory
+	freeMemoryMB int
+	descriptors  uint64 // of a process
+}
+
+func readMachineLimits() (machineLimits, error) {
 	total, err := totalMemoryMB()
 	if err != nil {
-		return err
+		return machineLimits{}, err
+	}
+	var files syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
+		return machineLimits{}, err
 	}
-	var lim syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &lim); err != nil {
+	return machineLimits{memoryMB: total / 2, freeMemoryMB: processtest.FreeMB(), descriptors: files.Cur}, nil
+}
+
+// CheckMachine returns an error if this machine can't run one of the plan's sizes: within half of its
+// memory, its free memory, 300 processes and the descriptors of a process.
+func (p *Plan) CheckMachine() error {
+	limits, err := readMachineLimits()
+	if err != nil {
 		return err
 	}
 	for _, hollow := range p.Sizes {
-		if err := p.checkSize(hollow, total/2, processtest.FreeMB(), lim.Cur); err != nil {
+		if err := p.checkSize(hollow, limits); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Plan) checkSize(hollow, halfMB, freeMB int, files uint64) error {
-	n := float64(hollow + p.Real)
-	hosts := (hollow + p.AgentsPerHost - 1) / p.AgentsPerHost
-	mb := int(float64(hollow)*(hollowMB+hollowMBPerMember*n) + float64(p.Real)*(realMB+realMBPerMember*n) + float64(p.DiscoveryInstances)*discoveryMB)
+// checkSize compares what a size takes with limits.
+func (p *Plan) checkSize(hollow int, limits machineLimits) error {
+	hosts := hostCount(hollow, p.AgentsPerHost)
+	memoryMB := p.memoryMB(hollow)
 	processes := hosts + p.Real + p.DiscoveryInstances + 1
-	sockets := uint64(min(p.AgentsPerHost, hollow)*hollowDescriptors + hostDescriptors)
-	what := fmt.Sprintf("sizes: %d hollow agents in %d processes, %d real ones and %d instances of the list service", hollow, hosts, p.Real, p.DiscoveryInstances)
+	descriptors := uint64(min(p.AgentsPerHost, hollow)*hollowDescriptors + hostDescriptors)
+	fleet := fmt.Sprintf("sizes: %d hollow agents in %d processes, %d real ones and %d discovery instances",
+		hollow, hosts, p.Real, p.DiscoveryInstances)
 	switch {
 	case processes > maxProcesses:
-		return fmt.Errorf("%s are %d processes with the runner, and %d are allowed", what, processes, maxProcesses)
-	case mb > halfMB:
-		return fmt.Errorf("%s take some %d MB, and half of this machine's memory is %d MB", what, mb, halfMB)
-	case mb > freeMB:
-		return fmt.Errorf("%s take some %d MB, and %d MB are free", what, mb, freeMB)
-	case sockets > files:
-		return fmt.Errorf("%s take some %d descriptors a process, and %d are allowed", what, sockets, files)
+		return fmt.Errorf("%s are %d processes with the runner, and %d are allowed", fleet, processes, maxProcesses)
+	case memoryMB > limits.memoryMB:
+		return fmt.Errorf("%s take some %d MB, and half of this machine's memory is %d MB",
+			fleet, memoryMB, limits.memoryMB)
+	case memoryMB > limits.freeMemoryMB:
+		return fmt.Errorf("%s take some %d MB, and %d MB are free", fleet, memoryMB, limits.freeMemoryMB)
+	case descriptors > limits.descriptors:
+		return fmt.Errorf("%s take some %d descriptors a process, and %d are allowed",
+			fleet, descriptors, limits.descriptors)
 	}
 	return nil
 }
 
-// totalMB is this machine's memory in MB (proc(5), meminfo).
+// memoryMB is the memory that a fleet with a number of hollow agents takes.
+func (p *Plan) memoryMB(hollow int) int {
+	size := float64(hollow + p.Real)
+	hollowAgents := float64(hollow) * (hollowMB + hollowMBPerMember*size)
+	realAgents := float64(p.Real) * (realMB + realMBPerMember*size)
+	return int(hollowAgents + realAgents + float64(p.DiscoveryInstances)*discoveryMB)
+}
+
+// totalMemoryMB is this machine's memory (proc(5), meminfo).
 func totalMemoryMB() (int, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
 	}
-	kb := 0
 	for line := range strings.Lines(string(text)) {
-		fmt.Sscanf(line, "MemTotal: %d kB", &kb)
+		var kb int
+		if _, err := fmt.Sscanf(line, "MemTotal: %d kB", &kb); err == nil {
+			return kb / 1024, nil
+		}
 	}
-	return kb >> 10, nil
+	return 0, errors.New("/proc/meminfo: no MemTotal")
 }
--- /dev/null
+++ b/internal/scaletest/machinemonitor.go
@@ -0,0 +1,120 @@
+package scaletest
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	// minIdleFraction is the part of the processor time that the machine has to be idle in a valid run.
+	minIdleFraction = 0.10
+	// maxTimerDelay is how late this process's timers may be at p99 in a valid run.
+	maxTimerDelay = 20 * time.Millisecond
+	// timerInterval is the interval of the timers that are observed.
+	timerInterval = 10 * time.Millisecond
+	// maxRecordedDelayUs is the largest delay that is recorded, in µs.
+	maxRecordedDelayUs = 60_000_000
+)
+
+// machineMonitor observes whether this machine has enough processor time for a run: its idle time,
+// and how late this process's timers are.
+type machineMonitor struct {
+	start       processorTicks
+	timerDelays *hdrhistogram.Histogram // µs; used by the goroutine until stopped is closed
+	stop        chan struct{}
+	stopped     chan struct{}
+}
+
+// startMachineMonitor starts the goroutine that observes timers, which finish waits for.
+func startMachineMonitor() (*machineMonitor, error) {
+	ticks, err := machineTicks()
+	if err != nil {
+		return nil, err
+	}
+	m := &machineMonitor{
+		start:       ticks,
+		timerDelays: hdrhistogram.New(1, maxRecordedDelayUs, 3),
+		stop:        make(chan struct{}),
+		stopped:     make(chan struct{}),
+	}
+	go func() {
+		defer close(m.stopped)
+		m.observeTimers()
+	}()
+	return m, nil
+}
+
+func (m *machineMonitor) observeTimers() {
+	for {
+		due := time.Now().Add(timerInterval)
+		select {
+		case <-time.After(timerInterval):
+			delay := min(maxRecordedDelayUs, max(1, time.Since(due).Microseconds()))
+			_ = m.timerDelays.RecordValue(delay) // it is within the histogram's range
+		case <-m.stop:
+			return
+		}
+	}
+}
+
+// finish ends the observation. problems say why the run is invalid, if it is.
+func (m *machineMonitor) finish() (problems []string, err error) {
+	close(m.stop)
+	<-m.stopped
+	end, err := machineTicks()
+	if err != nil {
+		return nil, err
+	}
+	idle := (end.idle - m.start.idle) / (end.total - m.start.total)
+	if idle < minIdleFraction {
+		problems = append(problems, fmt.Sprintf("the machine was idle for %.1f %% of its time, under %.0f %%",
+			100*idle, 100*minIdleFraction))
+	}
+	delay := time.Duration(m.timerDelays.ValueAtQuantile(99)) * time.Microsecond
+	if delay > maxTimerDelay {
+		problems = append(problems, fmt.Sprintf("this program's timers were late by %v at p99, over %v",
+			delay, maxTimerDelay))
+	}
+	return problems, nil
+}
+
+// processorTicks is this machine's processor time since its start, in clock ticks.
+type processorTicks struct{ idle, total float64 }
+
+// The columns of the first line of /proc/stat (proc(5)). Those from guestColumn on are part of user and
+// nice already.
+const (
+	idleColumn   = 3
+	ioWaitColumn = 4
+	guestColumn  = 8
+)
+
+func machineTicks() (processorTicks, error) {
+	var ticks processorTicks
+	text, err := os.ReadFile("/proc/stat")
+	if err != nil {
+		return ticks, err
+	}
+	line, _, _ := strings.Cut(string(text), "\n")
+	for column, field := range strings.Fields(line)[1:] {
+		var v float64
+		if _, err := fmt.Sscan(field, &v); err != nil {
+			return ticks, fmt.Errorf("/proc/stat: %q: %w", line, err)
+		}
+		if column < guestColumn {
+			ticks.total += v
+		}
+		if column == idleColumn || column == ioWaitColumn {
+			ticks.idle += v
+		}
+	}
+	if ticks.total == 0 {
+		return ticks, errors.New("/proc/stat: no times")
+	}
+	return ticks, nil
+}
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -61,39 +61,24 @@
 			t.Errorf("%s: %+v, %v", file, p, err)
 		}
 	}
-	if key, err := SmallPlan().check(); err != nil {
-		t.Errorf("%s: %v", key, err)
+	if err := SmallPlan().check(); err != nil {
+		t.Error(err)
 	}
 }
 
-// TestTargetErrors: a target without what rates come from names the key.
-func TestTargetErrors(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "target.toml")
-	for _, c := range []struct{ text, want string }{
-		{"[fleet]\nagents = 0", "fleet.agents"},
-		{"[fleet]\nagents = 10\n[changes]\nper_day = -1", "changes.per_day"},
-		{"[fleet]\nagents = 10\n[day]\nmachines_failed = -1", "day.machines_failed"},
-		{"[fleet]\nagents = 10\n[day]\nagents_replaced = -1", "day.agents_replaced"},
-		{"[fleet]\nagents = 10", "fleet.services"},
-		{"[fleet\n", "target.toml"},
-	} {
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := LoadTarget(path); err == nil || !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v, want %s", c.text, err, c.want)
-		}
-	}
-	target, err := LoadTarget("../../deploy/target.toml")
+// TestTargetRates checks the rates and services of a size against the deployment's target.
+func TestTargetRates(t *testing.T) {
+	target, err := capacity.LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// 4,800 changes a day of 1,500 agents: at a size of 150, hurried 100 times, 5.6 in 10 s.
-	if got := target.hurried(4800, 150, &Plan{Seconds: 10, RateFactor: 100}); math.Abs(got-5.5556) > 0.001 {
+	// 4,800 changes a day of 1,500 agents: at a size of 150 and 100 times the rate, 5.6 in 10 s.
+	got := expectedEvents(target, target.Changes.PerDay, 150, &Plan{Seconds: 10, RateFactor: 100})
+	if math.Abs(got-5.5556) > 0.001 {
 		t.Errorf("%v changes, want 5.5556", got)
 	}
 	for size, want := range map[int]int{1500: 150, 70: 7, 3: 1} {
-		if got := target.servicesAt(size); got != want {
+		if got := servicesAt(target, size); got != want {
 			t.Errorf("%d services of %d agents, want %d", got, size, want)
 		}
 	}
@@ -127,6 +112,7 @@
 // TestRefused: a size that the machine can't hold is refused in one line that says what it would
 // take, before anything is started.
 func TestRefused(t *testing.T) {
+	limits := machineLimits{memoryMB: 12_000, freeMemoryMB: 12_000, descriptors: 20_000}
 	for _, c := range []struct {
 		hollow, real, host int
 		want               string
@@ -137,20 +123,21 @@
 	} {
 		p := DefaultPlan()
 		p.Real, p.AgentsPerHost = c.real, c.host
-		if err := p.checkSize(c.hollow, 12_000, 12_000, 20_000); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if err := p.checkSize(c.hollow, limits); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%+v: %v, want %s", c, err, c.want)
 		}
 	}
 	p := DefaultPlan()
-	if err := p.checkSize(400, 12_000, 12_000, 20_000); err != nil {
+	if err := p.checkSize(400, limits); err != nil {
 		t.Errorf("400 hollow agents within 12,000 MB: %v", err)
 	}
-	if err := p.checkSize(400, 12_000, 500, 20_000); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
+	limits.freeMemoryMB = 500
+	if err := p.checkSize(400, limits); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
 		t.Errorf("with 500 MB free: %v", err)
 	}
 	dir := t.TempDir()
 	p.Sizes = []int{50, 1_000_000}
-	err := Run(context.Background(), Config{Plan: p, Target: &Target{Agents: 1500}, Directory: dir, Agent: "none", Discovery: "none", HostCommand: []string{"none"},
+	err := Run(context.Background(), Config{Plan: p, Target: &capacity.Target{}, Directory: dir, Agent: "none", Discovery: "none", HostCommand: []string{"none"},
 		OnRun: func(*capacity.Run) error { t.Error("a run was played"); return nil }})
 	if err == nil || !strings.Contains(err.Error(), "1000000 hollow agents") {
 		t.Errorf("a million agents: %v", err)
@@ -219,7 +206,7 @@
 	dir := t.TempDir()
 	heard := newTrackers()
 	tr, settings := heard[kindList], heard[kindSettings]
-	r := &realAgents{dir: dir, trackers: heard, logs: map[string]*agentLogState{"a": {}}}
+	r := &realAgents{directory: dir, trackers: heard, logs: map[string]*agentLogState{"a": {}}}
 	heard.forEach(func(t *tracker) { t.started("a") })
 	write := func(text string) {
 		f, err := os.OpenFile(filepath.Join(dir, "a.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -1,6 +1,7 @@
 package scaletest
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"strings"
@@ -9,53 +10,76 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// shown are the figures that are printed, and roles their order.
+// The rows and columns of a printed table, in order.
 var (
-	printedMetrics = []string{capacity.CPU, capacity.ResidentMB, capacity.HeapMB, capacity.AllocKBps, capacity.BytesIn, capacity.BytesOut, capacity.MessagesIn,
-		capacity.MessagesOut, capacity.ViewBytes, capacity.ListBytes, capacity.Descriptors, capacity.Goroutines, capacity.Members, capacity.Servers}
+	printedMetrics = []string{
+		capacity.CPU, capacity.ResidentMB, capacity.HeapMB, capacity.AllocKBps, capacity.BytesIn, capacity.BytesOut,
+		capacity.MessagesIn, capacity.MessagesOut, capacity.ViewBytes, capacity.ListBytes, capacity.Descriptors,
+		capacity.Goroutines, capacity.Members, capacity.Servers,
+	}
 	printedRoles = []string{capacity.RoleHollow, capacity.RoleReal, capacity.RoleLeader, capacity.RoleFollower}
 )
 
-// Print prints runs as tables: of each run its figures, a row for each and a column for each role,
-// means over the role's members; "-" is what was not measured.
+// PrintRuns prints the metrics of runs as tables: a row for each metric and a column for each role, means
+// over the role's members; "-" is what was not measured.
 func PrintRuns(out io.Writer, runs []*capacity.Run) error {
+	var b bytes.Buffer
 	for _, r := range runs {
-		fmt.Fprintf(out, "%s: %d hollow and %d real agents, %d list instances, %d servers, repeat %d: %.0f s hurried %g times, %d changes\n",
-			r.Day, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
-		if len(r.Roles) > 0 {
-			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-			head := "\t"
-			for _, role := range printedRoles {
-				head += fmt.Sprintf("%s (%d)\t", role, r.Roles[role].Count)
-			}
-			fmt.Fprintln(w, head)
-			for _, name := range printedMetrics {
-				line := name + "\t"
-				for _, role := range printedRoles {
-					if v, ok := r.Roles[role].Mean[name]; ok {
-						line += fmt.Sprintf("%.4g\t", v)
-					} else {
-						line += "-\t"
-					}
-				}
-				fmt.Fprintln(w, line)
-			}
-			if err := w.Flush(); err != nil {
-				return err
-			}
-		}
-		for _, kind := range []string{kindList, kindSettings} {
-			if t, ok := r.InForce[kind]; ok {
-				fmt.Fprintf(out, "  %s in force after, ms: p50 %.1f, p99 %.1f, worst %.1f of %d; never %d; settled at the end: %v\n", kind, t.P50, t.P99, t.Max, t.Count, t.NeverInForce, r.Converged)
-			}
+		if err := printRun(&b, r); err != nil {
+			return err
 		}
-		if len(r.Missing) > 0 {
-			fmt.Fprintf(out, "  not measured: %s\n", strings.Join(r.Missing, "; "))
+	}
+	_, err := out.Write(b.Bytes())
+	return err
+}
+
+func printRun(b *bytes.Buffer, r *capacity.Run) error {
+	fmt.Fprintf(b, "%s: %d hollow and %d real agents, %d discovery instances, %d servers, repeat %d:"+
+		" %.0f s at %g times the target's rates, %d changes\n",
+		r.Day, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
+	if len(r.Roles) > 0 {
+		if err := printRoles(b, r.Roles); err != nil {
+			return err
 		}
-		if len(r.Invalid) > 0 {
-			fmt.Fprintf(out, "  does not count: %s\n", strings.Join(r.Invalid, "; "))
+	}
+	for _, kind := range changeKinds {
+		if l, ok := r.InForce[kind]; ok {
+			fmt.Fprintf(b, "  %s in force after, ms: p50 %.1f, p99 %.1f, max %.1f of %d; never %d;"+
+				" converged at the end: %v\n", kind, l.P50, l.P99, l.Max, l.Count, l.NeverInForce, r.Converged)
 		}
-		fmt.Fprintln(out)
 	}
+	if len(r.Missing) > 0 {
+		fmt.Fprintf(b, "  not measured: %s\n", strings.Join(r.Missing, "; "))
+	}
+	if len(r.Invalid) > 0 {
+		fmt.Fprintf(b, "  does not count: %s\n", strings.Join(r.Invalid, "; "))
+	}
+	b.WriteString("\n")
 	return nil
 }
+
+// printRoles prints the table of one run.
+func printRoles(b *bytes.Buffer, roles map[string]capacity.RoleMetrics) error {
+	var table strings.Builder
+	table.WriteString("\t")
+	for _, role := range printedRoles {
+		fmt.Fprintf(&table, "%s (%d)\t", role, roles[role].Count)
+	}
+	table.WriteString("\n")
+	for _, metric := range printedMetrics {
+		table.WriteString(metric + "\t")
+		for _, role := range printedRoles {
+			if v, ok := roles[role].Mean[metric]; ok {
+				fmt.Fprintf(&table, "%.4g\t", v)
+			} else {
+				table.WriteString("-\t")
+			}
+		}
+		table.WriteString("\n")
+	}
+	writer := tabwriter.NewWriter(b, 0, 0, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(writer, table.String()); err != nil {
+		return err
+	}
+	return writer.Flush()
+}
--- /dev/null
+++ b/internal/scaletest/rolemetrics.go
@@ -0,0 +1,82 @@
+package scaletest
+
+import (
+	"maps"
+
+	"fernbeam.example/fernbeam/internal/capacity"
+)
+
+// roleMetrics are the metrics of all roles between two samples.
+func (f *fleet) roleMetrics(before, after *sample) map[string]capacity.RoleMetrics {
+	members := f.agentMetrics(before, after)
+	leader := f.discovery.leader()
+	for name, end := range after.discovery {
+		start, ok := before.discovery[name]
+		if !ok {
+			continue
+		}
+		role := capacity.RoleFollower
+		if name == leader {
+			role = capacity.RoleLeader
+		}
+		members[role] = append(members[role], end.since(start))
+	}
+	roles := map[string]capacity.RoleMetrics{}
+	for role, values := range members {
+		roles[role] = summarize(values)
+	}
+	return roles
+}
+
+// agentMetrics are the metrics, by role, of the agents that run and are in both samples. A hollow agent
+// has its part of its host's process.
+func (f *fleet) agentMetrics(before, after *sample) map[string][]metricValues {
+	perAgent := hostMetricsPerAgent(before, after)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	members := map[string][]metricValues{}
+	for _, m := range f.members {
+		role := capacity.RoleReal
+		start, end := before.real[m.name], after.real[m.name]
+		if m.hollow() {
+			role = capacity.RoleHollow
+			start, end = before.hollow[m.name], after.hollow[m.name]
+		}
+		if !m.running || start.at.IsZero() || end.at.IsZero() {
+			continue
+		}
+		values := end.since(start)
+		if m.hollow() {
+			maps.Copy(values, perAgent[m.host.name])
+		}
+		members[role] = append(members[role], values)
+	}
+	return members
+}
+
+// hostMetricsPerAgent are the metrics of each host's process divided by its agents.
+func hostMetricsPerAgent(before, after *sample) map[string]metricValues {
+	perAgent := map[string]metricValues{}
+	for name, end := range after.hosts {
+		values := end.since(before.hosts[name])
+		for metric := range values {
+			values[metric] /= float64(max(1, after.agentsPerHost[name]))
+		}
+		perAgent[name] = values
+	}
+	return perAgent
+}
+
+// summarize is the mean and the maximum of each metric over the members of a role.
+func summarize(members []metricValues) capacity.RoleMetrics {
+	r := capacity.RoleMetrics{Count: len(members), Mean: map[string]float64{}, Max: map[string]float64{}}
+	for _, values := range members {
+		for metric, value := range values {
+			r.Mean[metric] += value / float64(len(members))
+			if largest, ok := r.Max[metric]; !ok || value > largest {
+				r.Max[metric] = value
+			}
+		}
+	}
+	return r
+}
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -13,29 +13,33 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// Config is how a plan is played.
+// Config is what Run plays, and with what.
 type Config struct {
 	Plan        *Plan
-	Target      *Target
-	Agent       string   // the built agent (bin/agent)
-	Discovery   string   // the built list service (bin/discovery)
-	HostCommand []string // the command line of a host process
-	Directory   string   // for configurations, logs and the list service's data
-	Commit      string   // of the programs
-	// Progress is told what happens; nil: nobody.
-	Progress func(format string, args ...any)
-	// Done is called with each run as it ends.
-	OnRun func(*capacity.Run) error
+	Target      *capacity.Target
+	Agent       string                           // path of the built agent (bin/agent)
+	Discovery   string                           // path of the built discovery service (bin/discovery)
+	HostCommand []string                         // command line of a host process
+	Directory   string                           // for configurations, logs and discovery's data
+	Commit      string                           // of the programs
+	Progress    func(format string, args ...any) // reports what happens; may be nil
+	OnRun       func(*capacity.Run) error        // called with each run as it ends
 }
 
-// startTries is how many fleets are started where one does not come to one view at its start. Each
-// that does not is a run that does not count, and is recorded.
+// maxFleetStarts is the number of fleets that are started where each fails to converge before its first
+// day. Each such failure is recorded as an invalid run.
 const maxFleetStarts = 3
 
-// Play plays a plan: each repeat of each size on a fleet of its own, on which its days follow
-// each other. A day in which regions lose each other has another fleet, whose packets pass a
-// relay. A size that this machine can't hold is an error that says what it takes, before anything
-// is started; where ctx ends all that was started is ended, and what was done was given to Done.
+// startDelay is the time from a fleet's convergence until the measured day begins.
+const startDelay = 2 * time.Second
+
+// errInterrupted is returned when the context ends.
+var errInterrupted = errors.New("interrupted")
+
+// Run plays a plan: each repeat of each size on a fleet of its own, on which its days follow each
+// other. The day with a partition of regions has another fleet, whose membership packets pass a relay. A size that this
+// machine can't run is an error before anything is started. When ctx ends, everything that was started
+// is ended; the runs done by then were given to OnRun.
 func Run(ctx context.Context, cfg Config) error {
 	if cfg.Progress == nil {
 		cfg.Progress = func(string, ...any) {}
@@ -43,17 +47,17 @@
 	if err := cfg.Plan.CheckMachine(); err != nil {
 		return err
 	}
-	var straight, relayed []string
-	for _, d := range cfg.Plan.Days {
-		if d == "region" {
-			relayed = append(relayed, d)
+	var direct, relayed []string
+	for _, name := range cfg.Plan.Days {
+		if name == regionDay {
+			relayed = append(relayed, name)
 		} else {
-			straight = append(straight, d)
+			direct = append(direct, name)
 		}
 	}
 	for repeat := 1; repeat <= cfg.Plan.Repeats; repeat++ {
 		for _, hollow := range cfg.Plan.Sizes {
-			for _, names := range [][]string{straight, relayed} {
+			for _, names := range [][]string{direct, relayed} {
 				if err := cfg.runDays(ctx, hollow, repeat, names); err != nil {
 					return err
 				}
@@ -63,52 +67,65 @@
 	return nil
 }
 
-// fleet plays days on fleets of one size: on one, unless that does not settle before a day.
+// runDays plays days on one fleet, and on a new one after each failure to converge before a day.
 func (cfg *Config) runDays(ctx context.Context, hollow, repeat int, names []string) error {
-	for tries := 0; len(names) > 0; {
+	failures := 0
+	for len(names) > 0 {
 		played, err := cfg.runOnFleet(ctx, hollow, repeat, names)
 		if ctx.Err() != nil {
-			return errors.New("interrupted")
+			return errInterrupted
 		}
 		if err != nil {
-			return fmt.Errorf("%d hollow agents, repeat %d, %s: %w", hollow, repeat, names[min(played, len(names)-1)], err)
+			failed := names[min(played, len(names)-1)]
+			return fmt.Errorf("%d hollow agents, repeat %d, %s: %w", hollow, repeat, failed, err)
+		}
+		names = names[played:]
+		if played > 0 {
+			failures = 0
+			continue
 		}
-		if names = names[played:]; played > 0 {
-			tries = 0
-		} else if tries++; tries == maxFleetStarts {
-			cfg.Progress("%d hollow agents: %d fleets did not settle, %v is not played", hollow, tries, names)
+		failures++
+		if failures == maxFleetStarts {
+			cfg.Progress("%d hollow agents: %d fleets did not converge, %v is not played", hollow, failures, names)
 			return nil
 		}
 	}
 	return nil
 }
 
-// one starts a fleet and plays days on it, as far as it settles before each.
+// runOnFleet starts a fleet and plays days on it until it fails to converge before one. played is the
+// number of days played.
 func (cfg *Config) runOnFleet(ctx context.Context, hollow, repeat int, names []string) (played int, err error) {
-	dir, err := os.MkdirTemp(cfg.Directory, "fleet")
+	plan := cfg.Plan
+	seed := plan.Seed + uint64(repeat) - 1
+	f, err := cfg.newFleet(hollow, seed)
 	if err != nil {
 		return 0, err
 	}
-	p := cfg.Plan
-	seed := p.Seed + uint64(repeat) - 1
-	f := &fleet{plan: p, size: hollow + p.Real, listedServers: p.ListedServers, directory: dir, random: rand.New(rand.NewPCG(seed, uint64(hollow))),
-		trackers: newTrackers(), meters: map[string]*counterCarry{}}
-	if f.listedServers == 0 {
-		f.listedServers = f.size
-	}
 	defer f.close()
-	if slices.Contains(names, "region") {
+	if slices.Contains(names, regionDay) {
 		if f.packetRelay, err = faultproxy.New(seed); err != nil {
 			return 0, err
 		}
 	}
-	cfg.Progress("%d hollow and %d real agents, repeat %d: starting", hollow, p.Real, repeat)
+	cfg.Progress("%d hollow and %d real agents, repeat %d: starting", hollow, plan.Real, repeat)
 	if err := f.start(ctx, cfg, hollow); err != nil {
 		return 0, fmt.Errorf("start: %w", err)
 	}
 	for _, name := range names {
-		run := &capacity.Run{Plan: p.Name, Commit: cfg.Commit, Day: name, Repeat: repeat, Seed: seed, Size: f.size, Hollow: hollow, Real: p.Real,
-			DiscoveryInstances: p.DiscoveryInstances, ListedServers: f.listedServers, RateFactor: p.RateFactor}
+		run := &capacity.Run{
+			Plan:               plan.Name,
+			Commit:             cfg.Commit,
+			Day:                name,
+			Repeat:             repeat,
+			Seed:               seed,
+			Size:               f.size,
+			Hollow:             hollow,
+			Real:               plan.Real,
+			DiscoveryInstances: plan.DiscoveryInstances,
+			ListedServers:      f.listedServers,
+			RateFactor:         plan.RateFactor,
+		}
 		ok, err := f.playDay(ctx, cfg, run)
 		if err != nil {
 			return played, err
@@ -124,90 +141,133 @@
 	return played, nil
 }
 
-// day plays one day on a fleet and fills its record. It is not played (false) where the fleet does
-// not settle before it.
-func (f *fleet) playDay(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
-	// Those whose machine failed on the day before are there again.
-	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
-		return false, err
+func (cfg *Config) newFleet(hollow int, seed uint64) (*fleet, error) {
+	directory, err := os.MkdirTemp(cfg.Directory, "fleet")
+	if err != nil {
+		return nil, err
 	}
-	apart, err := f.awaitConvergence(ctx, true)
+	f := &fleet{
+		plan:          cfg.Plan,
+		size:          hollow + cfg.Plan.Real,
+		listedServers: cfg.Plan.ListedServers,
+		directory:     directory,
+		random:        rand.New(rand.NewPCG(seed, uint64(hollow))),
+		trackers:      newTrackers(),
+		carries:       map[string]*counterCarry{},
+	}
+	if f.listedServers == 0 {
+		f.listedServers = f.size
+	}
+	return f, nil
+}
+
+// playDay plays one day on a fleet and fills its record. It returns false, and marks the run invalid, if
+// the fleet does not converge before the day.
+func (f *fleet) playDay(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
+	problem, err := f.prepareDay(ctx)
 	if err != nil {
 		return false, err
 	}
-	if apart != "" {
-		run.Invalid = append(run.Invalid, fmt.Sprintf("not played: before the day, after %v, %s", convergenceTimeout, apart))
+	if problem != "" {
+		run.Invalid = append(run.Invalid,
+			fmt.Sprintf("not played: before the day, after %v, %s", convergenceTimeout, problem))
 		cfg.Progress("%s: %s", run.Day, run.Invalid[0])
 		return false, nil
 	}
+	cfg.Progress("%d hollow agents, repeat %d: %s", run.Hollow, run.Repeat, run.Day)
+	f.trackers.forEach((*tracker).reset)
+	if err := f.measureDay(ctx, days[run.Day](f, cfg.Target), run); err != nil {
+		return false, err
+	}
+	problem, err = f.awaitConvergence(ctx, false)
+	if err != nil {
+		return false, err
+	}
+	run.Converged = problem == ""
+	if problem != "" {
+		cfg.Progress("%s: at its end, after %v, %s", run.Day, convergenceTimeout, problem)
+	}
+	return true, f.recordInForceTimes(run)
+}
+
+// prepareDay starts the members whose machine failed on the day before, and waits until the fleet has
+// converged; problem says why it has not.
+func (f *fleet) prepareDay(ctx context.Context) (problem string, err error) {
+	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
+		return "", err
+	}
+	problem, err = f.awaitConvergence(ctx, true)
+	if err != nil || problem != "" {
+		return problem, err
+	}
 	select {
-	case <-time.After(settleDelay):
+	case <-time.After(startDelay):
+		return "", nil
 	case <-ctx.Done():
-		return false, ctx.Err()
+		return "", ctx.Err()
 	}
-	cfg.Progress("%d hollow agents, repeat %d: %s", run.Hollow, run.Repeat, run.Day)
-	f.trackers.forEach((*tracker).reset)
-	steps, missing := days[run.Day](f, cfg.Target)
+}
+
+// measureDay carries out a day's script and records what each role took.
+func (f *fleet) measureDay(ctx context.Context, s script, run *capacity.Run) error {
 	before, err := f.sample(ctx)
 	if err != nil {
-		return false, err
+		return err
 	}
-	w, err := startMachineMonitor()
+	monitor, err := startMachineMonitor()
 	if err != nil {
-		return false, err
+		return err
 	}
-	began := time.Now()
-	err = f.runSteps(ctx, steps)
-	run.Seconds = time.Since(began).Seconds()
-	faults, werr := w.finish()
-	if err = errors.Join(err, werr); err != nil {
-		return false, err
+	start := time.Now()
+	err = f.runSteps(ctx, s.steps)
+	run.Seconds = time.Since(start).Seconds()
+	problems, monitorErr := monitor.finish()
+	if err = errors.Join(err, monitorErr); err != nil {
+		return err
 	}
 	after, err := f.sample(ctx)
 	if err != nil {
-		return false, err
+		return err
 	}
 	run.Roles = f.roleMetrics(before, after)
-	run.Missing, run.Invalid = append(missing, neverMeasured...), faults
-	for _, role := range []struct {
-		name string
-		runs int
-	}{{capacity.RoleHollow, len(after.hollow)}, {capacity.RoleReal, f.realAgents.runningCount()}} {
-		if told := run.Roles[role.name].Count; told < role.runs {
-			run.Missing = append(run.Missing, fmt.Sprintf("the figures of %d of %d %s agents: they did not tell them at its beginning or its end", role.runs-told, role.runs, role.name))
-		}
-	}
-	if apart, err = f.awaitConvergence(ctx, false); err != nil {
-		return false, err
-	}
-	run.Converged = apart == ""
-	if apart != "" {
-		cfg.Progress("%s: at its end, after %v, %s", run.Day, convergenceTimeout, apart)
+	run.Invalid = problems
+	run.Missing = slices.Concat(s.missing, neverMeasured)
+	f.recordUnsampled(run, capacity.RoleHollow, len(after.hollow))
+	f.recordUnsampled(run, capacity.RoleReal, f.realAgents.runningCount())
+	return nil
+}
+
+// recordUnsampled records how many of the running agents of a role have no metrics.
+func (f *fleet) recordUnsampled(run *capacity.Run, role string, running int) {
+	if sampled := run.Roles[role].Count; sampled < running {
+		run.Missing = append(run.Missing, fmt.Sprintf(
+			"the figures of %d of %d %s agents: they did not tell them at its beginning or its end",
+			running-sampled, running, role))
 	}
-	return true, f.recordInForceTimes(run)
 }
 
-// notMeasured is what no run can tell.
+// neverMeasured is what no run can measure.
 var neverMeasured = []string{
 	"heap_mb, alloc_kb_s and goroutines of real agents: their process does not tell them",
 	"servers of real agents are those that are not draining: their process tells no others",
 }
 
-// tellTimes fills the times from acknowledged to in force.
+// recordInForceTimes records the times from acknowledgement to in force.
 func (f *fleet) recordInForceTimes(run *capacity.Run) error {
 	for _, m := range f.membersRunning(true) {
-		if m.host == nil {
-			if err := f.realAgents.readLog(m.name); err != nil {
-				return err
-			}
+		if m.hollow() {
+			continue
+		}
+		if err := f.realAgents.readLog(m.name); err != nil {
+			return err
 		}
 	}
-	for _, kind := range []string{kindList, kindSettings} {
+	for _, kind := range changeKinds {
 		changes := f.trackers[kind].count()
 		if changes == 0 {
 			continue
 		}
-		times, missing, err := f.trackers[kind].latencies()
+		latencies, unknown, err := f.trackers[kind].latencies()
 		if err != nil {
 			return err
 		}
@@ -215,9 +275,10 @@
 			run.InForce = map[string]capacity.Latencies{}
 		}
 		run.Changes += changes
-		run.InForce[kind] = times
-		if missing > 0 {
-			run.Missing = append(run.Missing, fmt.Sprintf("%s in force: %d pairs of change and real agent, whose log left lines out", kind, missing))
+		run.InForce[kind] = latencies
+		if unknown > 0 {
+			run.Missing = append(run.Missing, fmt.Sprintf(
+				"%s in force: %d pairs of change and real agent, whose log left lines out", kind, unknown))
 		}
 	}
 	return nil
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -20,6 +20,9 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
+// targetFile is the deployment's target.
+const targetFile = "../../deploy/target.toml"
+
 // programs builds what a run starts, once for all tests.
 var programs = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale")
@@ -57,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	target, err := LoadTarget("../../deploy/target.toml")
+	target, err := capacity.LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,7 +215,7 @@
 			if err := os.WriteFile(plan, []byte("sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\nhurry = 5000.0\nrepeats = 9"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin, "--logs", dir, "--target", "../../deploy/target.toml")
+			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin, "--logs", dir, "--target", targetFile)
 			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 			var said bytes.Buffer
 			cmd.Stdout, cmd.Stderr = &said, &said
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -2,82 +2,98 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"maps"
-	"os"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
 	"fernbeam.example/fernbeam/internal/capacity"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// figures are by the names of package capacity.
+// metricValues are values by the names of metrics in package capacity.
 type metricValues map[string]float64
 
-// reading is what a process or an agent had taken at a time: counters since its first start, from
-// which rates are made, and what it has now.
-type reading struct {
-	at               time.Time
+// usage is what a process or an agent has taken: counters since its start, from which rates are made,
+// and gauges.
+type usage struct {
 	counters, gauges metricValues
 }
 
-// meter carries the counters of a process that ended on to the next one of its name.
+// reading is a usage at a time.
+type reading struct {
+	at time.Time
+	usage
+}
+
+// since is the rates from an earlier reading to this one, and this one's gauges.
+func (r reading) since(before reading) metricValues {
+	values := maps.Clone(r.gauges)
+	seconds := r.at.Sub(before.at).Seconds()
+	for name, counter := range r.counters {
+		values[name] = (counter - before.counters[name]) / seconds
+	}
+	return values
+}
+
+// counterCarry has the counters of the processes of a name that have ended.
 type counterCarry struct {
 	mu      sync.Mutex
 	carried metricValues
 }
 
-// add carries what a process had counted when it was ended.
-func (m *counterCarry) add(counted metricValues) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	sum := maps.Clone(m.carried)
-	if sum == nil {
-		sum = metricValues{}
-	}
-	for k, v := range counted {
-		sum[k] += v
-	}
-	m.carried = sum
+// add adds the counters of a process that is about to end.
+func (c *counterCarry) add(counters metricValues) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.carried = addValues(c.carried, counters)
+}
+
+// sum is the counters of the present process and of those before it.
+func (c *counterCarry) sum(counters metricValues) metricValues {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return addValues(counters, c.carried)
 }
 
-// sum is what the process and those before it counted.
-func (m *counterCarry) sum(counted metricValues) metricValues {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	sum := maps.Clone(counted)
-	for k, v := range m.carried {
-		sum[k] += v
+func addValues(a, b metricValues) metricValues {
+	sum := metricValues{}
+	maps.Copy(sum, a)
+	for name, value := range b {
+		sum[name] += value
 	}
 	return sum
 }
 
-// sample is a reading of all that runs.
+// sample has the readings of everything that runs.
 type sample struct {
 	hosts, hollow, real, discovery map[string]reading
-	agents                         map[string]int // hollow agents in each host
+	agentsPerHost                  map[string]int
 }
 
-// sample reads all that runs, at once.
+// sample reads everything that runs, concurrently. A real agent or discovery instance that can't be read
+// is left out.
 func (f *fleet) sample(ctx context.Context) (*sample, error) {
-	s := &sample{hosts: map[string]reading{}, hollow: map[string]reading{}, real: map[string]reading{}, discovery: map[string]reading{}, agents: map[string]int{}}
+	s := &sample{
+		hosts:         map[string]reading{},
+		hollow:        map[string]reading{},
+		real:          map[string]reading{},
+		discovery:     map[string]reading{},
+		agentsPerHost: map[string]int{},
+	}
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.meters) })
+	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.carries) })
 	for _, m := range f.membersRunning(true) {
-		if m.host != nil {
+		if m.hollow() {
 			continue
 		}
 		group.Go(func() error {
 			r, err := f.readRealAgent(ctx, m)
 			if err != nil {
-				return nil // it has no part in the figures
+				return nil // the agent is missing from the sample then
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -85,266 +101,165 @@
 			return nil
 		})
 	}
-	for _, n := range f.discovery.Names() {
-		if !f.discovery.Running(n) {
+	for _, name := range f.discovery.Names() {
+		if !f.discovery.Running(name) {
 			continue
 		}
 		group.Go(func() error {
-			r, err := f.readInstance(n)
+			r, err := f.readInstance(name)
 			if err != nil {
-				return nil
+				return nil // the instance is missing from the sample then
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.discovery[n] = r
+			s.discovery[name] = r
 			return nil
 		})
 	}
 	return s, group.Wait()
 }
 
-// takeReport takes what a host and its agents had taken, those that ended of the agents with it.
-func (s *sample) addHostReport(host string, r *HostReport, meters map[string]*counterCarry) {
+// addHostReport adds the readings of a host and of its agents.
+func (s *sample) addHostReport(host string, r *HostReport, carries map[string]*counterCarry) {
 	at := time.UnixMicro(r.AtUs)
-	s.hosts[host] = reading{at,
-		metricValues{capacity.CPU: r.CPUSeconds, capacity.AllocKBps: float64(r.AllocBytes) / 1024},
-		metricValues{capacity.ResidentMB: r.ResidentMB, capacity.HeapMB: r.HeapMB, capacity.Goroutines: float64(r.Goroutines), capacity.Descriptors: float64(r.Descriptors)}}
-	s.agents[host] = len(r.Agents)
+	s.hosts[host] = reading{at, usage{
+		counters: metricValues{
+			capacity.CPU:       r.CPUSeconds,
+			capacity.AllocKBps: float64(r.AllocBytes) / bytesPerKB,
+		},
+		gauges: metricValues{
+			capacity.ResidentMB:  r.ResidentMB,
+			capacity.HeapMB:      r.HeapMB,
+			capacity.Goroutines:  float64(r.Goroutines),
+			capacity.Descriptors: float64(r.Descriptors),
+		},
+	}}
+	s.agentsPerHost[host] = len(r.Agents)
 	for name, a := range r.Agents {
-		s.hollow[name] = reading{at, meters[name].sum(hollowCounters(a)), metricValues{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}}
+		gauges := metricValues{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}
+		s.hollow[name] = reading{at, usage{carries[name].sum(hollowCounters(a)), gauges}}
 	}
 }
 
-// hollowCounts is what a hollow agent has counted. Each call to discovery is a message out, and its
-// answer one in.
+// hollowCounters are the counters of a hollow agent. Each call to discovery is a message out, and its
+// response one in.
 func hollowCounters(a AgentReport) metricValues {
-	return metricValues{capacity.BytesIn: float64(a.ViewIn + a.ListIn), capacity.BytesOut: float64(a.ViewOut + a.ListOut),
-		capacity.MessagesIn: float64(a.ViewMsgIn + a.ListCalls), capacity.MessagesOut: float64(a.ViewMsgOut + a.ListCalls),
-		capacity.ViewBytes: float64(a.ViewIn + a.ViewOut), capacity.ListBytes: float64(a.ListIn + a.ListOut)}
+	return metricValues{
+		capacity.BytesIn:     float64(a.ViewIn + a.ListIn),
+		capacity.BytesOut:    float64(a.ViewOut + a.ListOut),
+		capacity.MessagesIn:  float64(a.ViewMsgIn + a.ListCalls),
+		capacity.MessagesOut: float64(a.ViewMsgOut + a.ListCalls),
+		capacity.ViewBytes:   float64(a.ViewIn + a.ViewOut),
+		capacity.ListBytes:   float64(a.ListIn + a.ListOut),
+	}
 }
 
-// readReal reads what a real agent has taken, its ended processes with it, once it has written its
-// counts anew.
+const bytesPerKB = 1024
+
+// readRealAgent reads a real agent, with its processes that have ended, once it has logged its counters
+// again.
 func (f *fleet) readRealAgent(ctx context.Context, m *member) (reading, error) {
 	if err := f.realAgents.awaitCounters(ctx, m.name, time.Now()); err != nil {
 		return reading{}, err
 	}
-	counted, held, err := f.realAgentCounters(ctx, m)
-	return reading{time.Now(), f.meters[m.name].sum(counted), held}, err
+	u, err := f.realAgentUsage(ctx, m)
+	u.counters = f.carries[m.name].sum(u.counters)
+	return reading{time.Now(), u}, err
 }
 
-// realNow reads what a real agent's present process has taken: from /proc, its door and its log.
-func (f *fleet) realAgentCounters(ctx context.Context, m *member) (counted, held metricValues, err error) {
-	u, err := processtest.ProcessUsage(f.realAgents.Pid(m.name))
+// realAgentUsage is the usage of a real agent's present process, from /proc, its admin endpoint and its
+// log.
+func (f *fleet) realAgentUsage(ctx context.Context, m *member) (usage, error) {
+	process, err := processtest.ProcessUsage(f.realAgents.Pid(m.name))
 	if err != nil {
-		return nil, nil, err
+		return usage{}, err
 	}
-	st, err := f.realAgents.status(ctx, m.address(adminPort))
+	status, err := f.realAgents.status(ctx, m.address(adminPort))
 	if err != nil {
-		return nil, nil, err
+		return usage{}, err
 	}
 	if err := f.realAgents.readLog(m.name); err != nil {
-		return nil, nil, err
+		return usage{}, err
 	}
-	l, t := f.realAgents.state(m.name), st.Traffic
-	in, out := float64(t["bytes_in"]+t["stream_bytes_in"]), float64(t["bytes_out"]+t["stream_bytes_out"])
-	counted = metricValues{capacity.CPU: u.CPU.Seconds(), capacity.BytesIn: in + l.listIn, capacity.BytesOut: out + l.listOut,
-		capacity.MessagesIn: float64(t["packets_in"]+t["streams"]) + l.listCalls, capacity.MessagesOut: float64(t["packets_out"]+t["streams_out"]) + l.listCalls,
-		capacity.ViewBytes: in + out, capacity.ListBytes: l.listIn + l.listOut}
-	held = metricValues{capacity.ResidentMB: float64(u.RSS) / bytesPerMB, capacity.Descriptors: float64(u.Descriptors),
-		capacity.Members: float64(st.Present), capacity.Servers: float64(l.servers)}
-	return counted, held, nil
+	log := f.realAgents.state(m.name)
+	traffic := status.Traffic
+	viewIn := float64(traffic["bytes_in"] + traffic["stream_bytes_in"])
+	viewOut := float64(traffic["bytes_out"] + traffic["stream_bytes_out"])
+	return usage{
+		counters: metricValues{
+			capacity.CPU:         process.CPU.Seconds(),
+			capacity.BytesIn:     viewIn + log.listIn,
+			capacity.BytesOut:    viewOut + log.listOut,
+			capacity.MessagesIn:  float64(traffic["packets_in"]+traffic["streams"]) + log.listCalls,
+			capacity.MessagesOut: float64(traffic["packets_out"]+traffic["streams_out"]) + log.listCalls,
+			capacity.ViewBytes:   viewIn + viewOut,
+			capacity.ListBytes:   log.listIn + log.listOut,
+		},
+		gauges: metricValues{
+			capacity.ResidentMB:  float64(process.RSS) / bytesPerMB,
+			capacity.Descriptors: float64(process.Descriptors),
+			capacity.Members:     float64(status.Present),
+			capacity.Servers:     float64(log.servers),
+		},
+	}, nil
 }
 
-// carry carries on what an agent has counted, which is about to be ended.
+// carryOver carries over the counters of an agent that is about to be ended.
 func (f *fleet) carryOver(ctx context.Context, m *member) error {
-	if m.host != nil {
+	if m.hollow() {
 		r, err := m.host.recentReport(ctx)
 		if err != nil {
 			return err
 		}
-		f.meters[m.name].add(hollowCounters(r.Agents[m.name]))
+		f.carries[m.name].add(hollowCounters(r.Agents[m.name]))
 		return nil
 	}
-	counted, _, err := f.realAgentCounters(ctx, m)
+	u, err := f.realAgentUsage(ctx, m)
 	if err != nil {
 		return fmt.Errorf("%s, before its end: %w", m.name, err)
 	}
-	f.meters[m.name].add(counted)
+	f.carries[m.name].add(u.counters)
 	return nil
 }
 
-// readList reads what an instance of the list service has taken, its ended processes with it.
+// readInstance reads a discovery instance, with its processes that have ended.
 func (f *fleet) readInstance(name string) (reading, error) {
-	counted, held, err := f.instanceCounters(name)
-	return reading{time.Now(), f.meters[name].sum(counted), held}, err
+	u, err := f.instanceUsage(name)
+	u.counters = f.carries[name].sum(u.counters)
+	return reading{time.Now(), u}, err
 }
 
-// listNow reads what an instance's present process has taken. Its admin door is left out: what
-// this runner asks there is no part of the service's day.
-func (f *fleet) instanceCounters(name string) (counted, held metricValues, err error) {
-	u, err := processtest.ProcessUsage(f.discovery.Pid(name))
+// instanceUsage is the usage of a discovery instance's present process. Its admin endpoint is left out:
+// the runner's own requests are not part of the day.
+func (f *fleet) instanceUsage(name string) (usage, error) {
+	process, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
-		return nil, nil, err
+		return usage{}, err
 	}
-	st, err := f.discovery.status(name)
+	status, err := f.discovery.status(name)
 	if err != nil {
-		return nil, nil, err
+		return usage{}, err
 	}
-	reads, raft := st.Usage.Reads, st.Usage.Raft
-	// A call is a message in and one out. Of Raft's the writes are counted, which are its calls and
-	// its answers to others' calls: as many come in, as each call has one answer.
+	reads := status.Usage.Reads
+	raft := status.Usage.Raft
+	// A call is a message in and one out. Of Raft the writes are counted: its calls, and its responses to
+	// others' calls. As many come in, as each call has one response.
 	messages := float64(reads.Messages + raft.Messages)
-	return metricValues{capacity.CPU: u.CPU.Seconds(), capacity.AllocKBps: float64(st.Usage.AllocBytes) / 1024,
-			capacity.BytesIn: float64(reads.In + raft.In), capacity.BytesOut: float64(reads.Out + raft.Out),
-			capacity.MessagesIn: messages, capacity.MessagesOut: messages, capacity.ListBytes: float64(reads.In + reads.Out)},
-		metricValues{capacity.ResidentMB: float64(u.RSS) / bytesPerMB, capacity.HeapMB: float64(st.Usage.HeapBytes) / bytesPerMB, capacity.Descriptors: float64(u.Descriptors),
-			capacity.Goroutines: float64(st.Usage.Goroutines)}, nil
-}
-
-// over is what a reading's holder took from another reading on: rates, and what it has at the end.
-func (r reading) since(before reading) metricValues {
-	out := maps.Clone(r.gauges)
-	seconds := r.at.Sub(before.at).Seconds()
-	for k, v := range r.counters {
-		out[k] = (v - before.counters[k]) / seconds
-	}
-	return out
-}
-
-// roles are the figures of all roles between two samples.
-func (f *fleet) roleMetrics(before, after *sample) map[string]capacity.RoleMetrics {
-	members := map[string][]metricValues{}
-	shares := map[string]metricValues{} // of each host's process, for one of its agents
-	for name, r := range after.hosts {
-		share := r.since(before.hosts[name])
-		for k := range share {
-			share[k] /= float64(max(1, after.agents[name]))
-		}
-		shares[name] = share
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, m := range f.members {
-		from, role, r := before.real[m.name], capacity.RoleReal, after.real[m.name]
-		if m.host != nil {
-			from, role, r = before.hollow[m.name], capacity.RoleHollow, after.hollow[m.name]
-		}
-		if !m.running || r.at.IsZero() || from.at.IsZero() {
-			continue
-		}
-		one := r.since(from)
-		if m.host != nil {
-			maps.Copy(one, shares[m.host.name])
-		}
-		members[role] = append(members[role], one)
-	}
-	leader := f.discovery.leader()
-	for name, r := range after.discovery {
-		role := capacity.RoleFollower
-		if name == leader {
-			role = capacity.RoleLeader
-		}
-		if from, ok := before.discovery[name]; ok {
-			members[role] = append(members[role], r.since(from))
-		}
-	}
-	out := map[string]capacity.RoleMetrics{}
-	for role, all := range members {
-		out[role] = summarize(all)
-	}
-	return out
-}
-
-// summed is the mean and the most of each figure over the members of a role.
-func summarize(all []metricValues) capacity.RoleMetrics {
-	r := capacity.RoleMetrics{Count: len(all), Mean: map[string]float64{}, Max: map[string]float64{}}
-	for i, one := range all {
-		for k, v := range one {
-			r.Mean[k] += v / float64(len(all))
-			if most, ok := r.Max[k]; i == 0 || !ok || v > most {
-				r.Max[k] = v
-			}
-		}
-	}
-	return r
-}
-
-// watch tells whether this machine kept up: its idle processor time, and how late this process's
-// own timers were.
-type machineMonitor struct {
-	idleTicks, totalTicks float64 // at the start
-	timerDelays           *hdrhistogram.Histogram
-	stop                  chan struct{}
-	stopped               chan struct{}
-}
-
-// The bounds of a run that counts: the machine's idle share, and the lateness of timers at p99.
-const (
-	minIdleFraction = 0.10
-	maxTimerDelay   = 20 * time.Millisecond
-	timerInterval   = 10 * time.Millisecond
-)
-
-func startMachineMonitor() (*machineMonitor, error) {
-	w := &machineMonitor{timerDelays: hdrhistogram.New(1, 60_000_000, 3), stop: make(chan struct{}), stopped: make(chan struct{})}
-	var err error
-	if w.idleTicks, w.totalTicks, err = machineTicks(); err != nil {
-		return nil, err
-	}
-	go func() {
-		defer close(w.stopped)
-		for {
-			due := time.Now().Add(timerInterval)
-			select {
-			case <-time.After(timerInterval):
-				w.timerDelays.RecordValue(min(60_000_000, max(1, time.Since(due).Microseconds())))
-			case <-w.stop:
-				return
-			}
-		}
-	}()
-	return w, nil
-}
-
-// end says why what was watched does not count, if it does not.
-func (w *machineMonitor) finish() (faults []string, err error) {
-	close(w.stop)
-	<-w.stopped
-	idle, all, err := machineTicks()
-	if err != nil {
-		return nil, err
-	}
-	if share := (idle - w.idleTicks) / (all - w.totalTicks); share < minIdleFraction {
-		faults = append(faults, fmt.Sprintf("the machine was idle for %.1f %% of its time, under %.0f %%", 100*share, 100*minIdleFraction))
-	}
-	if late := time.Duration(w.timerDelays.ValueAtQuantile(99)) * time.Microsecond; late > maxTimerDelay {
-		faults = append(faults, fmt.Sprintf("this program's timers were late by %v at p99, over %v", late, maxTimerDelay))
-	}
-	return faults, nil
-}
-
-// machineTime is this machine's idle and whole processor time so far, in ticks (proc(5), stat).
-func machineTicks() (idle, all float64, err error) {
-	text, err := os.ReadFile("/proc/stat")
-	if err != nil {
-		return 0, 0, err
-	}
-	line, _, _ := strings.Cut(string(text), "\n")
-	for i, field := range strings.Fields(line)[1:] {
-		var v float64
-		if _, err := fmt.Sscan(field, &v); err != nil {
-			return 0, 0, fmt.Errorf("/proc/stat: %q: %w", line, err)
-		}
-		if i < 8 { // what follows is in user and nice already
-			all += v
-		}
-		if i == 3 || i == 4 { // idle, iowait
-			idle += v
-		}
-	}
-	if all == 0 {
-		return 0, 0, errors.New("/proc/stat: no times")
-	}
-	return idle, all, nil
+	return usage{
+		counters: metricValues{
+			capacity.CPU:         process.CPU.Seconds(),
+			capacity.AllocKBps:   float64(status.Usage.AllocBytes) / bytesPerKB,
+			capacity.BytesIn:     float64(reads.In + raft.In),
+			capacity.BytesOut:    float64(reads.Out + raft.Out),
+			capacity.MessagesIn:  messages,
+			capacity.MessagesOut: messages,
+			capacity.ListBytes:   float64(reads.In + reads.Out),
+		},
+		gauges: metricValues{
+			capacity.ResidentMB:  float64(process.RSS) / bytesPerMB,
+			capacity.HeapMB:      float64(status.Usage.HeapBytes) / bytesPerMB,
+			capacity.Descriptors: float64(process.Descriptors),
+			capacity.Goroutines:  float64(status.Usage.Goroutines),
+		},
+	}, nil
 }
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -10,52 +10,60 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// allowed is how long a change may take to be in force at an agent before it counts as absent there.
+// inForceTimeout is how long a change may take to come into force at an agent; after that it counts as
+// never in force there.
 const inForceTimeout = 20 * time.Second
 
-// The kinds of changes, by which a host tells them and a run records them.
-const kindList, kindSettings = "list", "settings"
+// The kinds of changes, in events of hosts and in records of runs.
+const (
+	kindList     = "list"
+	kindSettings = "settings"
+)
+
+// changeKinds are both kinds.
+var changeKinds = []string{kindList, kindSettings}
 
-// trackers are the trackers of both kinds of changes.
+// trackers has a tracker for each kind of change.
 type trackers map[string]*tracker
 
 func newTrackers() trackers {
-	t := trackers{kindList: newTracker(), kindSettings: newTracker()}
-	t[kindSettings].serviceOf = map[string]string{}
-	return t
+	ts := trackers{kindList: newTracker(), kindSettings: newTracker()}
+	ts[kindSettings].serviceOf = map[string]string{}
+	return ts
 }
 
-// each does something with all of them.
 func (ts trackers) forEach(do func(*tracker)) {
 	for _, t := range ts {
 		do(t)
 	}
 }
 
-// tracker holds what was acknowledged of one kind and what came into force where. A version may be passed
-// over: a change is in force at an agent once that has the change's version or a later one.
+// tracker records which changes of one kind were acknowledged, and which versions came into force
+// where. An agent may skip versions: a change is in force once the agent has its version or a later one.
 type tracker struct {
+	// serviceOf is each agent's service, where changes are of one; it is set before agents run.
+	serviceOf map[string]string
+
 	mu           sync.Mutex
 	changes      []acknowledgedChange
 	incarnations []*incarnation
-	current      map[string]*incarnation   // the lives that go on
-	pending      map[string]versionInForce // the last word of agents of which it is not known yet that they run
-	serviceOf    map[string]string         // each agent's service, where changes are of one; made before agents run
+	current      map[string]*incarnation   // by agent, those that have not ended
+	pending      map[string]versionInForce // the last version of agents that are not known to run yet
 }
 
-// change is one that was acknowledged.
 type acknowledgedChange struct {
-	service        string // whose agents it is for; "": all agents'
+	service        string // the change is for its agents; "": for all
 	version        uint64
 	acknowledgedAt time.Time
 }
 
-// life is one start of an agent up to its end.
+// incarnation is one run of an agent.
 type incarnation struct {
 	agent      string
-	start, end time.Time        // end is zero while it goes on
-	versions   []versionInForce // in their order
-	// blind tells that some of its tellings were left out: that a change is not among them says nothing.
+	start, end time.Time        // end is zero until it ends
+	versions   []versionInForce // in order
+	// incomplete says that the agent dropped log lines, so that a version that is not in versions may
+	// have been in force.
 	incomplete bool
 }
 
@@ -68,147 +76,169 @@
 	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
 }
 
-// begin notes that an agent runs.
+// started records that an agent runs.
 func (t *tracker) started(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := &incarnation{agent: agent, start: time.Now()}
-	if f, ok := t.pending[agent]; ok {
-		l.versions = []versionInForce{f}
+	i := &incarnation{agent: agent, start: time.Now()}
+	if v, ok := t.pending[agent]; ok {
+		i.versions = []versionInForce{v}
 		delete(t.pending, agent)
 	}
-	t.current[agent] = l
-	t.incarnations = append(t.incarnations, l)
+	t.current[agent] = i
+	t.incarnations = append(t.incarnations, i)
 }
 
-// end notes that an agent ends, and counts from now on no more.
+// stopping records that an agent is about to end; what comes into force there afterwards does not
+// count.
 func (t *tracker) stopping(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l := t.current[agent]; l != nil {
-		l.end = time.Now()
+	if i := t.current[agent]; i != nil {
+		i.end = time.Now()
 		delete(t.current, agent)
 	}
 }
 
-// gone notes that an agent has ended, and that all it said is told.
+// ended records that an agent has ended, and that everything it reported was recorded.
 func (t *tracker) ended(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pending, agent)
 }
 
-// force notes that a version is in force at an agent.
+// inForce records that a version is in force at an agent.
 func (t *tracker) inForce(agent string, version uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.current[agent]
-	if l == nil {
+	i := t.current[agent]
+	if i == nil {
 		t.pending[agent] = versionInForce{version, at}
 		return
 	}
-	if len(l.versions) > 0 && version <= l.versions[len(l.versions)-1].version {
+	if n := len(i.versions); n > 0 && version <= i.versions[n-1].version {
 		return
 	}
-	l.versions = append(l.versions, versionInForce{version, at})
+	i.versions = append(i.versions, versionInForce{version, at})
 }
 
-// blinded notes that an agent left some of its tellings out.
+// markIncomplete records that an agent dropped log lines.
 func (t *tracker) markIncomplete(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l := t.current[agent]; l != nil {
-		l.incomplete = true
+	if i := t.current[agent]; i != nil {
+		i.incomplete = true
 	}
 }
 
-// changed notes an acknowledged change for all agents.
-func (t *tracker) acknowledged(version uint64, acked time.Time) {
-	t.acknowledgedFor("", version, acked)
-}
+// acknowledged records an acknowledged change for all agents.
+func (t *tracker) acknowledged(version uint64, at time.Time) { t.acknowledgedFor("", version, at) }
 
-// changedOf notes an acknowledged change for a service's agents.
-func (t *tracker) acknowledgedFor(service string, version uint64, acked time.Time) {
+// acknowledgedFor records an acknowledged change for a service's agents.
+func (t *tracker) acknowledgedFor(service string, version uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changes = append(t.changes, acknowledgedChange{service, version, acked})
+	t.changes = append(t.changes, acknowledgedChange{service, version, at})
 }
 
-// count is how many changes were acknowledged.
+// count is the number of acknowledged changes.
 func (t *tracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.changes)
 }
 
-// last is the newest acknowledged version that is for an agent.
-func (t *tracker) latestVersion(agent string) (v uint64) {
+// latestVersion is the newest acknowledged version that is for an agent.
+func (t *tracker) latestVersion(agent string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
+	latest := uint64(0)
 	for _, c := range t.changes {
 		if c.service == t.serviceOf[agent] {
-			v = max(v, c.version)
+			latest = max(latest, c.version)
 		}
 	}
-	return v
+	return latest
 }
 
-// day forgets all but the agents that run and what is in force at them.
+// reset forgets everything but the agents that run and the versions in force at them.
 func (t *tracker) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changes, t.incarnations = nil, nil
-	for _, l := range t.current {
-		l.versions = l.versions[max(0, len(l.versions)-1):]
-		l.incomplete = false
-		t.incarnations = append(t.incarnations, l)
+	t.changes = nil
+	t.incarnations = nil
+	for _, i := range t.current {
+		i.versions = i.versions[max(0, len(i.versions)-1):]
+		i.incomplete = false
+		t.incarnations = append(t.incarnations, i)
 	}
 }
 
-// times are the times from each change's acknowledgement until it was in force, over all agents
-// that it was for and that were there then, or one of those and gone before its time was up; missing is how many pairs
-// of change and agent can't be told, as the agent left lines out.
-func (t *tracker) latencies() (out capacity.Latencies, missing int, err error) {
+// latencies are the times from the acknowledgement of each change until it was in force, over all
+// agents that it was for and that ran then. An agent that ended before inForceTimeout without the change is
+// not counted. unknown is the number of pairs of change and agent without a result, as the agent dropped
+// log lines.
+func (t *tracker) latencies() (result capacity.Latencies, unknown int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
+	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
 	now := time.Now()
-	for _, l := range t.incarnations {
+	for _, i := range t.incarnations {
 		for _, c := range t.changes {
-			if c.service != t.serviceOf[l.agent] || l.start.After(c.acknowledgedAt) || !l.end.IsZero() && l.end.Before(c.acknowledgedAt) {
+			if c.service != t.serviceOf[i.agent] || !i.ranAt(c.acknowledgedAt) {
 				continue
 			}
-			at, ok := l.inForceAt(c.version)
-			took := max(0, at.Sub(c.acknowledgedAt))
+			at, ok := i.inForceAt(c.version)
+			latency := max(0, at.Sub(c.acknowledgedAt))
 			switch {
-			case l.incomplete:
-				missing++
-			case ok && took <= inForceTimeout:
-				if err := h.RecordValue(max(1, took.Microseconds())); err != nil {
-					return out, missing, fmt.Errorf("in force after %v: %w", took, err)
+			case i.incomplete:
+				unknown++
+			case ok && latency <= inForceTimeout:
+				if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
+					return result, unknown, fmt.Errorf("in force after %v: %w", latency, err)
 				}
-			case !l.end.IsZero() && l.end.Sub(c.acknowledgedAt) < inForceTimeout || now.Sub(c.acknowledgedAt) < inForceTimeout:
-				// It was gone, or the run is over, before the time was up.
-			default:
-				out.NeverInForce++
+			case i.observedFor(c.acknowledgedAt, now):
+				result.NeverInForce++
 			}
 		}
 	}
-	out.Count = h.TotalCount()
-	if out.Count == 0 {
-		return out, missing, nil
+	err = summarizeLatencies(&result, histogram)
+	return result, unknown, err
+}
+
+// summarizeLatencies sets the durations, in ms, from a histogram of µs.
+func summarizeLatencies(l *capacity.Latencies, histogram *hdrhistogram.Histogram) error {
+	l.Count = histogram.TotalCount()
+	if l.Count == 0 {
+		return nil
+	}
+	const usPerMs = 1000
+	l.P50 = float64(histogram.ValueAtQuantile(50)) / usPerMs
+	l.P99 = float64(histogram.ValueAtQuantile(99)) / usPerMs
+	l.Max = float64(histogram.Max()) / usPerMs
+	text, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	l.Histogram = string(text)
+	return err
+}
+
+// ranAt reports whether the agent ran at a time.
+func (i *incarnation) ranAt(at time.Time) bool {
+	return !i.start.After(at) && (i.end.IsZero() || !i.end.Before(at))
+}
+
+// observedFor reports whether the agent ran for the whole inForceTimeout after a time.
+func (i *incarnation) observedFor(since, now time.Time) bool {
+	if !i.end.IsZero() && i.end.Sub(since) < inForceTimeout {
+		return false
 	}
-	out.P50, out.P99, out.Max = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000
-	text, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-	out.Histogram = string(text)
-	return out, missing, err
+	return now.Sub(since) >= inForceTimeout
 }
 
-// reached is when a version or a later one came into force.
-func (l *incarnation) inForceAt(version uint64) (time.Time, bool) {
-	for _, f := range l.versions {
-		if f.version >= version {
-			return f.at, true
+// inForceAt is when a version or a later one came into force.
+func (i *incarnation) inForceAt(version uint64) (time.Time, bool) {
+	for _, v := range i.versions {
+		if v.version >= version {
+			return v.at, true
 		}
 	}
 	return time.Time{}, false
