--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -12,30 +12,36 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// The files that `experiment capacity` reads if it is told no others, from the checkout's root.
-const (
-	targetFile     = "deploy/target.toml"
-	mechanismsFile = "docs/capacity/mechanisms.toml"
-)
+// capacityInput names the files that the tables of docs/CAPACITY.md are computed from.
+type capacityInput struct {
+	target     string
+	mechanisms string
+	benchmarks []string
+	records    []string
+}
 
-var benchFiles = []string{"docs/capacity/path.txt", "docs/capacity/decision.txt"}
+// defaultCapacityInput is what `experiment capacity` reads without flags, from the checkout's root.
+func defaultCapacityInput() capacityInput {
+	return capacityInput{
+		target:     "deploy/target.toml",
+		mechanisms: "docs/capacity/mechanisms.toml",
+		benchmarks: []string{"docs/capacity/path.txt", "docs/capacity/decision.txt"},
+	}
+}
 
+// capacityCmd is `experiment capacity`.
 func capacityCmd() *cobra.Command {
-	target, mechanisms, benches, page := targetFile, mechanismsFile, benchFiles, ""
-	cmd := &cobra.Command{Use: "capacity [RECORD...]", Short: "hold what was measured to the operators' size: the tables of docs/CAPACITY.md",
+	input := defaultCapacityInput()
+	page := ""
+	cmd := &cobra.Command{
+		Use:   "capacity [RECORD...]",
+		Short: "compare what was measured with the target size: the tables of docs/CAPACITY.md",
 		Long: "Prints the tables of docs/CAPACITY.md in Markdown: what each role takes at the target's size by the runs\n" +
-			"of the records that `experiment scale` wrote, the budget, the fit it comes from, and what carries it. Without\n" +
-			"records, or with benchmark files that aren't there, the rows say that nothing was measured.",
+			"of the records that `experiment scale` wrote, the budget, the fit, and the mechanism that keeps it within\n" +
+			"the budget. Without records, or with benchmark files that don't exist, the rows say that nothing was measured.",
 		RunE: func(cmd *cobra.Command, records []string) error {
-			// The target's and mechanisms' defaults aren't repeated in the page's command.
-			command := strings.Join(append([]string{"experiment capacity"}, records...), " ")
-			for _, f := range []struct{ name, value, normal string }{{"target", target, targetFile}, {"bench", strings.Join(benches, ","), strings.Join(benchFiles, ",")},
-				{"mechanisms", mechanisms, mechanismsFile}} {
-				if f.value != f.normal {
-					command += fmt.Sprintf(" --%s %s", f.name, f.value)
-				}
-			}
-			tables, err := capacityTables(command, target, mechanisms, records, benches)
+			input.records = records
+			tables, err := capacityTables(input)
 			if err != nil {
 				return err
 			}
@@ -43,66 +49,86 @@
 				_, err = cmd.OutOrStdout().Write(tables)
 				return err
 			}
-			return rewrite(page, tables)
+			return rewriteTables(page, tables)
 		}}
-	cmd.Flags().StringVar(&target, "target", target, "the operators' size")
-	cmd.Flags().StringSliceVar(&benches, "bench", benches, "files of Go's benchmark output; one that isn't there says so in its rows")
-	cmd.Flags().StringVar(&mechanisms, "mechanisms", mechanisms, "what carries each row")
-	cmd.Flags().StringVar(&page, "page", "", "file whose tables, between the markers, are written anew; nothing is printed")
+	flags := cmd.Flags()
+	flags.StringVar(&input.target, "target", input.target, "the size that the system is designed for")
+	flags.StringSliceVar(&input.benchmarks, "bench", input.benchmarks,
+		"files of Go benchmark output; the rows of one that doesn't exist say so")
+	flags.StringVar(&input.mechanisms, "mechanisms", input.mechanisms, "the mechanism of each row")
+	flags.StringVar(&page, "page", page,
+		"file whose tables, between the markers, are replaced; nothing is printed")
 	return cmd
 }
 
-func capacityTables(command, target, mechanisms string, records, benches []string) ([]byte, error) {
-	t, err := capacity.LoadTarget(target)
+// command is the command line that prints the tables, without flags that have their default.
+func (in capacityInput) command() string {
+	words := append([]string{"experiment capacity"}, in.records...)
+	defaults := defaultCapacityInput()
+	for _, flag := range []struct{ name, value, defaultValue string }{
+		{"target", in.target, defaults.target},
+		{"bench", strings.Join(in.benchmarks, ","), strings.Join(defaults.benchmarks, ",")},
+		{"mechanisms", in.mechanisms, defaults.mechanisms},
+	} {
+		if flag.value != flag.defaultValue {
+			words = append(words, "--"+flag.name, flag.value)
+		}
+	}
+	return strings.Join(words, " ")
+}
+
+// capacityTables computes the tables.
+func capacityTables(in capacityInput) ([]byte, error) {
+	target, err := capacity.LoadTarget(in.target)
 	if err != nil {
 		return nil, err
 	}
-	m, err := capacity.LoadMechanisms(mechanisms)
+	mechanisms, err := capacity.LoadMechanisms(in.mechanisms)
 	if err != nil {
 		return nil, err
 	}
-	var recs []capacity.Record
-	for _, path := range records {
+	var records []capacity.Record
+	for _, path := range in.records {
 		runs, err := capacity.ReadRuns(path)
 		if err != nil {
 			return nil, err
 		}
-		recs = append(recs, capacity.Record{Path: path, Runs: runs})
+		records = append(records, capacity.Record{Path: path, Runs: runs})
 	}
-	var read []*capacity.BenchmarkFile
-	for _, path := range benches {
+	var benchmarks []*capacity.BenchmarkFile
+	for _, path := range in.benchmarks {
 		b, err := capacity.ReadBenchmarkFile(path)
 		if err != nil {
 			return nil, err
 		}
-		read = append(read, b)
+		benchmarks = append(benchmarks, b)
 	}
-	p, err := capacity.NewPage(t, m, recs, read)
+	page, err := capacity.NewPage(target, mechanisms, records, benchmarks)
 	if err != nil {
 		return nil, err
 	}
-	p.Command = command
+	page.Command = in.command()
 	var out bytes.Buffer
-	err = p.Write(&out)
+	err = page.Write(&out)
 	return out.Bytes(), err
 }
 
-// rewrite puts the tables into a page, in one step: it has the old ones or the new ones.
-func rewrite(page string, tables []byte) error {
-	old, err := os.ReadFile(page)
+// rewriteTables replaces the tables of a page atomically.
+func rewriteTables(page string, tables []byte) error {
+	before, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
-	text, err := capacity.ReplaceTables(string(old), string(tables))
+	after, err := capacity.ReplaceTables(string(before), string(tables))
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
 	next := filepath.Join(filepath.Dir(page), "."+filepath.Base(page)+".new")
-	if err := os.WriteFile(next, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(next, []byte(after), 0o644); err != nil {
 		return err
 	}
 	if err := os.Rename(next, page); err != nil {
-		os.Remove(next)
+		_ = os.Remove(next) // the error to report is that of the rename
 		return err
 	}
 	return nil
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -1,9 +1,11 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"slices"
@@ -16,111 +18,151 @@
 	"fernbeam.example/fernbeam/internal/scaletest"
 )
 
+// scaleFlags are the flags of `experiment scale`.
+type scaleFlags struct {
+	small    bool
+	record   string
+	target   string
+	programs string
+	logs     string
+	sizes    []int
+	days     []string
+}
+
+// scaleCmd is `experiment scale`.
 func scaleCmd() *cobra.Command {
-	var programs, record, target, logs string
-	var small bool
-	var sizes []int
-	var days []string
-	cmd := &cobra.Command{Use: "scale [PLAN.toml]", Short: "play days on fleets of hollow and real agents and record what each role takes",
-		Long: "Plays a plan: on fleets of each size, with the real list service, each day (" + strings.Join(scaletest.DayNames(), ", ") + ")\n" +
-			"at the target's rates for the size, hurried. Adds each run to the record as it ends, and prints the figures\n" +
-			"of each role. A size that this machine can't hold in half of its memory and 300 processes is refused.",
+	var flags scaleFlags
+	cmd := &cobra.Command{
+		Use:   "scale [PLAN.toml]",
+		Short: "play days on fleets of hollow and real agents and record what each role takes",
+		Long: "Plays a plan: on fleets of each size, with real discovery instances, each day\n" +
+			"(" + strings.Join(scaletest.DayNames(), ", ") + ")\n" +
+			"at the target's rates for the size times the plan's factor. Adds each run to the record as it ends, and\n" +
+			"prints the metrics of each role. A size that needs more than half of this machine's memory, or more than\n" +
+			"300 processes, is refused.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			plan, err := scalePlan(args, small, sizes, days)
+			cfg, err := flags.config(args)
 			if err != nil {
 				return err
 			}
-			cfg := scaletest.Config{Plan: plan, Progress: progress(),
-				Agent: filepath.Join(programs, "agent"), Discovery: filepath.Join(programs, "discovery")}
-			cfg.Commit = experiment.Revision("", cfg.Agent, checkout())
-			if cfg.Target, err = capacity.LoadTarget(target); err != nil {
-				return err
-			}
-			if err := cfg.Plan.CheckMachine(); err != nil { // before anything is made
-				return err
-			}
-			return playScale(cmd, cfg, record, logs)
+			return runScale(cmd.Context(), cmd.OutOrStdout(), cfg, flags.record, flags.logs)
 		}}
 	f := cmd.Flags()
-	f.BoolVar(&small, "small", false, "play the built-in plan: 30 hollow and 3 real agents, within 45 s")
-	f.StringVar(&record, "record", "", "file to which each run is added as a line of JSON; empty: none")
-	f.StringVar(&target, "target", "deploy/target.toml", "the size and the rates that the operators told")
-	f.StringVar(&programs, "programs", "bin", "directory of the built agent and discovery")
-	f.StringVar(&logs, "logs", "", "directory in which logs and configurations stay; default: none does")
-	f.IntSliceVar(&sizes, "sizes", nil, "play only these of the plan's sizes")
-	f.StringSliceVar(&days, "days", nil, "play only these of the plan's days")
+	f.BoolVar(&flags.small, "small", false, "play the built-in plan: 30 hollow and 3 real agents, within 45 s")
+	f.StringVar(&flags.record, "record", "", "file to which each run is appended as a line of JSON; empty: none")
+	f.StringVar(&flags.target, "target", defaultCapacityInput().target,
+		"the size that the system is designed for, with its rates")
+	f.StringVar(&flags.programs, "programs", "bin", "directory of the built agent and discovery")
+	f.StringVar(&flags.logs, "logs", "", "directory in which logs and configurations are left; default: they are removed")
+	f.IntSliceVar(&flags.sizes, "sizes", nil, "play only these of the plan's sizes")
+	f.StringSliceVar(&flags.days, "days", nil, "play only these of the plan's days")
 	return cmd
 }
 
-// scalePlan is the plan that the command line names, or a part of it.
-func scalePlan(args []string, small bool, sizes []int, days []string) (*scaletest.Plan, error) {
-	var plan *scaletest.Plan
-	switch {
-	case small && len(args) > 0:
-		return nil, errors.New("--small has a plan of its own: no other can be named")
-	case small:
-		plan = scaletest.SmallPlan()
-	case len(args) == 0:
-		return nil, errors.New("a plan is needed, or --small")
-	default:
-		var err error
-		if plan, err = scaletest.LoadPlan(args[0]); err != nil {
-			return nil, err
-		}
+// config is what the command line says to play.
+func (flags *scaleFlags) config(args []string) (scaletest.Config, error) {
+	plan, err := flags.plan(args)
+	if err != nil {
+		return scaletest.Config{}, err
 	}
-	for _, s := range sizes {
-		if !slices.Contains(plan.Sizes, s) {
-			return nil, fmt.Errorf("--sizes: %d is no size of the plan, which has %v", s, plan.Sizes)
-		}
+	target, err := capacity.LoadTarget(flags.target)
+	if err != nil {
+		return scaletest.Config{}, err
 	}
-	for _, d := range days {
-		if !slices.Contains(plan.Days, d) {
-			return nil, fmt.Errorf("--days: %q is no day of the plan, which has %v", d, plan.Days)
-		}
+	if err := plan.CheckMachine(); err != nil { // before any file is created
+		return scaletest.Config{}, err
 	}
-	if len(sizes) > 0 {
-		plan.Sizes = slices.DeleteFunc(plan.Sizes, func(s int) bool { return !slices.Contains(sizes, s) })
+	self, err := os.Executable()
+	if err != nil {
+		return scaletest.Config{}, err
 	}
-	if len(days) > 0 {
-		plan.Days = slices.DeleteFunc(plan.Days, func(d string) bool { return !slices.Contains(days, d) })
+	agent := filepath.Join(flags.programs, "agent")
+	return scaletest.Config{
+		Plan:        plan,
+		Target:      target,
+		Agent:       agent,
+		Discovery:   filepath.Join(flags.programs, "discovery"),
+		HostCommand: []string{self, "scale-host"},
+		Commit:      experiment.Revision("", agent, checkout()),
+		Progress:    progress(),
+	}, nil
+}
+
+// plan is the plan that the command line names, restricted to its sizes and days.
+func (flags *scaleFlags) plan(args []string) (*scaletest.Plan, error) {
+	plan, err := flags.wholePlan(args)
+	if err != nil {
+		return nil, err
+	}
+	for _, size := range flags.sizes {
+		if !slices.Contains(plan.Sizes, size) {
+			return nil, fmt.Errorf("--sizes: %d is no size of the plan, which has %v", size, plan.Sizes)
+		}
+	}
+	for _, day := range flags.days {
+		if !slices.Contains(plan.Days, day) {
+			return nil, fmt.Errorf("--days: %q is no day of the plan, which has %v", day, plan.Days)
+		}
 	}
+	plan.Sizes = restrict(plan.Sizes, flags.sizes)
+	plan.Days = restrict(plan.Days, flags.days)
 	return plan, nil
 }
 
-// playScale plays a plan, records each run as it ends and prints the figures of all.
-func playScale(cmd *cobra.Command, cfg scaletest.Config, record, logs string) error {
-	self, err := os.Executable()
-	if err != nil {
-		return err
+// wholePlan is the plan that the command line names.
+func (flags *scaleFlags) wholePlan(args []string) (*scaletest.Plan, error) {
+	switch {
+	case flags.small && len(args) > 0:
+		return nil, errors.New("--small has a plan of its own: no other can be named")
+	case flags.small:
+		return scaletest.SmallPlan(), nil
+	case len(args) == 0:
+		return nil, errors.New("a plan is needed, or --small")
 	}
-	cfg.HostCommand = []string{self, "scale-host"}
+	return scaletest.LoadPlan(args[0])
+}
+
+// restrict are the values that are selected; all if the selection is empty.
+func restrict[T comparable](values, selected []T) []T {
+	if len(selected) == 0 {
+		return values
+	}
+	return slices.DeleteFunc(values, func(v T) bool { return !slices.Contains(selected, v) })
+}
+
+// runScale plays a plan, appends each run to the record as it ends, and prints the metrics of all. Logs
+// and configurations are created below logs, or, if it is empty, in a temporary directory that is
+// removed.
+func runScale(ctx context.Context, out io.Writer, cfg scaletest.Config, record, logs string) (err error) {
 	for _, program := range []string{cfg.Agent, cfg.Discovery} {
 		if _, err := os.Stat(program); err != nil {
 			return fmt.Errorf("a program that is played is not built: %w", err)
 		}
 	}
-	if cfg.Directory, err = os.MkdirTemp(logs, "fernscale"); err != nil {
+	cfg.Directory, err = os.MkdirTemp(logs, "fernscale")
+	if err != nil {
 		return err
 	}
 	if logs == "" {
-		defer os.RemoveAll(cfg.Directory)
+		defer func() { _ = os.RemoveAll(cfg.Directory) }() // a temporary directory: the system cleans up the rest
 	}
-	var to *os.File
+	var recordFile *os.File
 	if record != "" {
-		if to, err = os.OpenFile(record, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644); err != nil {
+		recordFile, err = os.OpenFile(record, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		if err != nil {
 			return err
 		}
-		defer to.Close()
+		defer func() { err = errors.Join(err, recordFile.Close()) }()
 	}
 	var runs []*capacity.Run
 	cfg.OnRun = func(r *capacity.Run) error {
 		runs = append(runs, r)
-		if to == nil {
+		if recordFile == nil {
 			return nil
 		}
-		return json.NewEncoder(to).Encode(r)
+		return json.NewEncoder(recordFile).Encode(r)
 	}
-	err = scaletest.Run(cmd.Context(), cfg)
-	return errors.Join(err, scaletest.PrintRuns(cmd.OutOrStdout(), runs))
+	err = scaletest.Run(ctx, cfg)
+	return errors.Join(err, scaletest.PrintRuns(out, runs))
 }
--- a/cmd/experiment/scalehost.go
+++ b/cmd/experiment/scalehost.go
@@ -10,26 +10,34 @@
 	"fernbeam.example/fernbeam/internal/scaletest"
 )
 
-// scaleHostCmd is a process of hollow agents, which "experiment scale" starts and orders about.
+// agentGCPercent is the garbage collector's setting in cmd/agent.
+const agentGCPercent = 400
+
+// scaleHostCmd is `experiment scale-host`, a process of hollow agents that `experiment scale` starts and
+// controls.
 func scaleHostCmd() *cobra.Command {
-	var log string
-	cmd := &cobra.Command{Use: "scale-host", Short: "run hollow agents as orders on standard input say", Hidden: true, Args: cobra.NoArgs,
-		Long: "Runs agents without client traffic, many in this process. Orders come as JSON, one a line, on\n" +
-			"standard input, and what happens is told so on standard output: internal/scaletest/hostwire.go has\n" +
-			"their forms. The end of the input ends all.",
+	logPath := ""
+	cmd := &cobra.Command{
+		Use:    "scale-host",
+		Short:  "run hollow agents as commands on standard input say",
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		Long: "Runs agents without client traffic, many in this process. Commands are read as JSON, one a line, from\n" +
+			"standard input, and events are written to standard output: internal/scaletest/protocol.go has their\n" +
+			"forms. The end of the input ends all agents.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			debug.SetGCPercent(400) // as agent has it
-			to := io.Discard
-			if log != "" {
-				f, err := os.OpenFile(log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				to = f
+			debug.SetGCPercent(agentGCPercent)
+			if logPath == "" {
+				return scaletest.ServeHost(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), io.Discard)
+			}
+			log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+			if err != nil {
+				return err
 			}
-			return scaletest.ServeHost(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), to)
+			defer func() { _ = log.Close() }() // a lost log line is no error of the run
+			return scaletest.ServeHost(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log)
 		}}
-	cmd.Flags().StringVar(&log, "log", "", "file to which the agents' lines are added; default: they are made and dropped")
+	cmd.Flags().StringVar(&logPath, "log", "",
+		"file to which the agents' log lines are appended; default: they are formatted and dropped")
 	return cmd
 }
