--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -31,7 +31,7 @@
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-func ask(who, id uint32) []byte {
+func requestRecord(who, id uint32) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{17}, who)
 	r = be.AppendUint32(r, id)
@@ -39,11 +39,11 @@
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-func killed(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+func killedRecord(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
 
-func TestKillAndBootInOneBatch(t *testing.T) {
-	in := batch(1000, settings, bootRecord(3, len(settings)), ask(3, 9))
-	in = append(in, batch(1005, settings, killed(3), ask(3, 10), bootRecord(3, len(settings)), ask(3, 11))...)
+func TestKillAndBootWithinBatch(t *testing.T) {
+	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
+	in = append(in, batch(1005, settings, killedRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestBadSettingsAreReportedAsACrash(t *testing.T) {
+func TestInvalidSettingsCrash(t *testing.T) {
 	bad := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
@@ -72,7 +72,7 @@
 }
 
 func TestTruncatedInputIsAnError(t *testing.T) {
-	in := batch(1000, "", killed(1))
+	in := batch(1000, "", killedRecord(1))
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in[:len(in)-1]), &out); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line", err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,40 +15,40 @@
 
 // Record sizes of the wire.
 const (
-	EventSize  = 48
-	ActionSize = 24
-	entrySize  = 24
-	maxFrame   = 1 << 30 // no legal batch comes near it
+	EventSize    = 48
+	ActionSize   = 24
+	endpointSize = 24
+	maxFrame     = 1 << 30 // no legal batch comes near it
 )
 
 // Event codes.
 const (
-	codeDropped  = 16
-	codeAsk      = 17
-	codeVerdict  = 18
-	codePool     = 19
-	codeFlowing  = 20
-	codeKilled   = 21
-	codeTargets  = 22
-	codePeerData = 23
-	codeHealth   = 24
-	codeBoot     = 25
-	codeFired    = 26
+	codeClientGone      = 16
+	codeRequest         = 17
+	codeAttemptDone     = 18
+	codeEndpointTable   = 19
+	codeResponseStarted = 20
+	codeKilled          = 21
+	codeList            = 22
+	codePeerMessage     = 23
+	codeHealthCheckDone = 24
+	codeBoot            = 25
+	codeTimer           = 26
 )
 
 // Action codes.
 const (
-	codeHangUp      = 80
-	codeNotNow      = 81
-	codeTouch       = 82
-	codeFollow      = 83
-	codeCallOut     = 84
-	codeReadList    = 85
-	codeCrash       = 87
-	codeNotifyMe    = 88
-	codeRetract     = 89
-	codeFinishError = 90
-	codeTrace       = 91
+	codeCloseIdle     = 80
+	codeReject        = 81
+	codeHealthCheck   = 82
+	codeWatchList     = 83
+	codeForward       = 84
+	codeFetchList     = 85
+	codeCrash         = 87
+	codeSetTimer      = 88
+	codeCancelAttempt = 89
+	codeFail          = 90
+	codeLog           = 91
 )
 
 // Kind tells what a record of a batch is about.
@@ -73,9 +73,9 @@
 // Decoder reads batches from a stream. It keeps the numbered lists, which
 // belong to the process and are shared, read-only, by all instances.
 type Decoder struct {
-	r     io.Reader
-	buf   []byte
-	pools [16][]balancer.Endpoint
+	r      io.Reader
+	buf    []byte
+	tables [16][]balancer.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -98,10 +98,10 @@
 	if uint64(count)*EventSize > uint64(size)-8 {
 		return fmt.Errorf("batch header: number of records: %d do not fit into %d bytes", count, size)
 	}
-	if err := d.fill(int(size)); err != nil {
+	if err := d.readBody(int(size)); err != nil {
 		return err
 	}
-	now := getF64(d.buf)
+	now := getFloat64(d.buf)
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return fmt.Errorf("batch header: clock: not a number")
 	}
@@ -126,7 +126,7 @@
 
 // fill reads size bytes in steps, so that a false length allocates no more
 // than about twice what really arrives.
-func (d *Decoder) fill(size int) error {
+func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -144,7 +144,7 @@
 }
 
 // span resolves an (offset, length) field, the length in units of the given size.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+func tailSpan(field string, raw, tail []byte, unit int) ([]byte, error) {
 	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
 	if off+n*uint64(unit) > uint64(len(tail)) {
 		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, off, n, len(tail))
@@ -160,74 +160,74 @@
 	switch raw[0] {
 	case codeBoot:
 		rec.Kind, rec.Seed = Boot, be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
+		rec.Settings, err = tailSpan("boot: settings", raw[13:], tail, 1)
 		return err
 	case codeKilled:
 		rec.Kind = Killed
-	case codePool:
+	case codeEndpointTable:
 		rec.Kind = 0
-		return d.pool(raw, tail)
-	case codeTargets:
+		return d.decodeTable(raw, tail)
+	case codeList:
 		ev.Kind, ev.ListUpdate = balancer.EventList, balancer.ListUpdate(raw[5])
 		if raw[5] > uint8(balancer.ListFailed) {
 			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
 		}
 		if ev.ListUpdate != balancer.ListFailed {
 			table := be.Uint32(raw[10:])
-			if int64(table) >= int64(len(d.pools)) {
+			if int64(table) >= int64(len(d.tables)) {
 				return fmt.Errorf("targets: table: %d is out of range", table)
 			}
-			ev.Endpoints = d.pools[table]
+			ev.Endpoints = d.tables[table]
 		}
-	case codeAsk:
+	case codeRequest:
 		ev.Kind, ev.Request = balancer.EventRequest, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Class = int(be.Uint16(raw[9:]))
-		ev.Key, ev.RemainingMs, ev.Retry = be.Uint64(raw[15:]), getF64(raw[23:]), raw[39]&2 != 0
-	case codeVerdict:
+		ev.Key, ev.RemainingMs, ev.Retry = be.Uint64(raw[15:]), getFloat64(raw[23:]), raw[39]&2 != 0
+	case codeAttemptDone:
 		ev.Kind, ev.Request = balancer.EventAttemptDone, balancer.RequestID(be.Uint32(raw[5:]))
 		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), balancer.Addr(raw[11:17])
-		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[17:])), getF64(raw[19:])
+		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[17:])), getFloat64(raw[19:])
 		ev.RequestDone = raw[27] != 0
 		if ev.Status != balancer.StatusOK && (ev.Status < balancer.StatusError || ev.Status > balancer.StatusUnsent) {
 			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
 		}
-	case codeFlowing:
+	case codeResponseStarted:
 		ev.Kind, ev.Request = balancer.EventResponseStarted, balancer.RequestID(be.Uint32(raw[5:]))
-		ev.Server, ev.LatencyMs, ev.Attempt = balancer.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
-	case codeDropped:
+		ev.Server, ev.LatencyMs, ev.Attempt = balancer.Addr(raw[9:15]), getFloat64(raw[15:]), int(be.Uint16(raw[23:]))
+	case codeClientGone:
 		ev.Kind, ev.Request = balancer.EventClientGone, balancer.RequestID(be.Uint32(raw[5:]))
-	case codeHealth:
+	case codeHealthCheckDone:
 		ev.Kind, ev.Server = balancer.EventHealthCheckDone, balancer.Addr(raw[5:11])
-		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[11:])), getF64(raw[13:])
-	case codeFired:
+		ev.Status, ev.LatencyMs = balancer.Status(be.Uint16(raw[11:])), getFloat64(raw[13:])
+	case codeTimer:
 		ev.Kind, ev.Token = balancer.EventTimer, be.Uint32(raw[5:])
-	case codePeerData:
+	case codePeerMessage:
 		ev.Kind = balancer.EventPeerMessage
-		_, err = span("peer_data: msg", raw[9:], tail, 1)
+		_, err = tailSpan("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
 	}
 	return err
 }
 
-func (d *Decoder) pool(raw, tail []byte) error {
+func (d *Decoder) decodeTable(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
-	if int64(table) >= int64(len(d.pools)) {
+	if int64(table) >= int64(len(d.tables)) {
 		return fmt.Errorf("pool: table: %d is out of range", table)
 	}
-	lines, err := span("pool: hosts", raw[5:], tail, entrySize)
+	lines, err := tailSpan("pool: hosts", raw[5:], tail, endpointSize)
 	if err != nil {
 		return err
 	}
-	entries := make([]balancer.Endpoint, 0, len(lines)/entrySize)
-	for ; len(lines) > 0; lines = lines[entrySize:] {
+	entries := make([]balancer.Endpoint, 0, len(lines)/endpointSize)
+	for ; len(lines) > 0; lines = lines[endpointSize:] {
 		if lines[10] > uint8(balancer.Removed) {
 			return fmt.Errorf("pool: health: unknown value %d", lines[10])
 		}
 		entries = append(entries, balancer.Endpoint{
 			Zone:      int(be.Uint16(lines)),
-			StartedMs: getF64(lines[2:]),
+			StartedMs: getFloat64(lines[2:]),
 			State:     balancer.EndpointState(lines[10]),
 			Server:    balancer.Addr(lines[11:17]),
 			Weight:    float64(math.Float32frombits(be.Uint32(lines[17:]))),
@@ -235,7 +235,7 @@
 			Kind:      int(lines[23]),
 		})
 	}
-	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
+	d.tables[table] = entries // a fresh slice: events of the old list keep theirs
 	return nil
 }
 
@@ -262,7 +262,7 @@
 // Reset forgets the reply built so far.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-func (e *Encoder) record(code byte, instance uint32) []byte {
+func (e *Encoder) appendRecord(code byte, instance uint32) []byte {
 	at := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
@@ -272,49 +272,49 @@
 	return raw
 }
 
-func (e *Encoder) text(code byte, instance uint32, text string) {
-	raw := e.record(code, instance)
+func (e *Encoder) appendText(code byte, instance uint32, text string) {
+	raw := e.appendRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
 	binary.BigEndian.PutUint32(raw[9:], uint32(len(text)))
 	e.tail = append(e.tail, text...)
 }
 
 // Crash adds the statement that an instance's decision code failed.
-func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
+func (e *Encoder) Crash(instance uint32, text string) { e.appendText(codeCrash, instance, text) }
 
 // Add appends one action of an instance.
 func (e *Encoder) Add(instance uint32, a *balancer.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
 	case balancer.ActionForward:
-		raw := e.record(codeCallOut, instance)
+		raw := e.appendRecord(codeForward, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		copy(raw[9:15], a.Server[:])
-		putF64(raw[15:], a.Ms)
+		putFloat64(raw[15:], a.Ms)
 	case balancer.ActionCancelAttempt:
-		raw := e.record(codeRetract, instance)
+		raw := e.appendRecord(codeCancelAttempt, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
 		be.PutUint16(raw[9:], uint16(a.Attempt))
 	case balancer.ActionReject:
-		raw := e.record(codeNotNow, instance)
+		raw := e.appendRecord(codeReject, instance)
 		be.PutUint32(raw[5:], uint32(a.Request))
-		putF64(raw[9:], a.Ms)
+		putFloat64(raw[9:], a.Ms)
 	case balancer.ActionFail:
-		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
+		be.PutUint32(e.appendRecord(codeFail, instance)[5:], uint32(a.Request))
 	case balancer.ActionHealthCheck:
-		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
+		copy(e.appendRecord(codeHealthCheck, instance)[5:11], a.Server[:])
 	case balancer.ActionSetTimer:
-		raw := e.record(codeNotifyMe, instance)
-		putF64(raw[5:], a.Ms)
+		raw := e.appendRecord(codeSetTimer, instance)
+		putFloat64(raw[5:], a.Ms)
 		be.PutUint32(raw[13:], a.Token)
 	case balancer.ActionWatchList:
-		e.record(codeFollow, instance)[5] = 1
+		e.appendRecord(codeWatchList, instance)[5] = 1
 	case balancer.ActionFetchList:
-		e.record(codeReadList, instance)
+		e.appendRecord(codeFetchList, instance)
 	case balancer.ActionCloseIdle:
-		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
+		copy(e.appendRecord(codeCloseIdle, instance)[5:11], a.Server[:])
 	case balancer.ActionLog:
-		e.text(codeTrace, instance, a.Text)
+		e.appendText(codeLog, instance, a.Text)
 	}
 }
 
@@ -334,6 +334,6 @@
 	return total, nil
 }
 
-func getF64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
+func getFloat64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
 
-func putF64(raw []byte, v float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(v)) }
+func putFloat64(raw []byte, v float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(v)) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestEventsAgainstWorkedOutBytes(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestOutcomeAndProbe(t *testing.T) {
+func TestDecodeAttemptAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
 		18 00000003 0a9011f2 13b4 0064 3ff6666666666666 00`+zeros(16)+zeros(10))
@@ -82,7 +82,7 @@
 }
 
 // A list number may be used again within a batch: each event means the list of its moment.
-func TestPoolNumbersAreReusedInOrder(t *testing.T) {
+func TestEndpointTableIsReplacedWithinBatch(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestBootAndKilled(t *testing.T) {
+func TestDecodeBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
 		19 00000003 0000000000000007 00000000 00000002`+zeros(27)+`7b7d`)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestReplyAgainstWorkedOutBytes(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	s := balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []balancer.Action{
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestMalformedFramesNameTheField(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
 		"short length":   {"00000000 00000004 00000000", "length"},
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestStreamFailedListAndPeerRecords(t *testing.T) {
+func TestDecodeStreamFailedListAndPeerMessage(t *testing.T) {
 	data := frame(t, `00000003 0000009a 40c06e2000000000
 		14 00000003 5d3a91c4 0a124a07 138b 4032800000000000 0001`+zeros(23)+`
 		16 00000003 03 00000029 ffffffff`+zeros(34)+`
