--- a/cmd/simulatoradapter/main.go
+++ b/cmd/simulatoradapter/main.go
@@ -1,9 +1,10 @@
-// Command adapter runs many independent balancers on the simulator's wire:
-// batches on standard input, one reply a batch on standard output.
+// Command simulatoradapter runs many independent balancers in the operators' simulator: it reads batches
+// of events from standard input and writes one reply with actions for each to standard output.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,65 +14,73 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
+const bufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simulatoradapter:", err)
 		os.Exit(1)
 	}
 }
 
-// run serves batches until the input ends. Instances share nothing but the
-// process; each is reached through its number only.
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
-	instances := map[uint32]*policy.Balancer{}
-	var enc wire.Encoder
-	var actions []balancer.Action
-	handle := func(now float64, rec *wire.Record) error {
-		switch rec.Kind {
-		case wire.Boot:
-			b, err := boot(rec)
-			if err != nil {
-				enc.Crash(rec.Instance, err.Error())
-				delete(instances, rec.Instance)
-				return nil
-			}
-			instances[rec.Instance] = b
-			actions = b.Start(now, actions[:0])
-		case wire.Killed:
-			delete(instances, rec.Instance)
+	decoder := wire.NewDecoder(bufio.NewReaderSize(in, bufferSize))
+	writer := bufio.NewWriterSize(out, bufferSize)
+	s := simulation{balancers: map[uint32]*policy.Balancer{}}
+	for {
+		s.reply.Reset()
+		err := decoder.Next(s.handle)
+		if errors.Is(err, io.EOF) {
 			return nil
-		default:
-			b := instances[rec.Instance]
-			if b == nil {
-				return nil // dead or never started: nothing more is owed
-			}
-			actions = b.Handle(now, &rec.Event, actions[:0])
 		}
-		for i := range actions {
-			enc.Add(rec.Instance, &actions[i])
-		}
-		return nil
-	}
-	for {
-		enc.Reset()
-		if err := dec.Next(handle); err != nil {
-			if err == io.EOF {
-				return nil
-			}
+		if err != nil {
 			return err
 		}
-		if _, err := enc.WriteTo(w); err != nil {
+		if _, err := s.reply.WriteTo(writer); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
-func boot(rec *wire.Record) (*policy.Balancer, error) {
+// simulation has the balancers by their instance numbers. They share nothing but the process.
+type simulation struct {
+	balancers map[uint32]*policy.Balancer
+	reply     wire.Encoder
+	actions   []balancer.Action // reused between events
+}
+
+// handle handles one record and appends the balancer's actions to the reply. A balancer that can't be
+// created is reported as crashed. Events for an instance that does not run are ignored.
+func (s *simulation) handle(now float64, rec *wire.Record) error {
+	s.actions = s.actions[:0]
+	switch rec.Kind {
+	case wire.Boot:
+		b, err := newBalancer(rec)
+		if err != nil {
+			s.reply.Crash(rec.Instance, err.Error())
+			delete(s.balancers, rec.Instance)
+			return nil
+		}
+		s.balancers[rec.Instance] = b
+		s.actions = b.Start(now, s.actions)
+	case wire.Killed:
+		delete(s.balancers, rec.Instance)
+	case wire.Event:
+		if b := s.balancers[rec.Instance]; b != nil {
+			s.actions = b.Handle(now, &rec.Event, s.actions)
+		}
+	}
+	for i := range s.actions {
+		s.reply.Add(rec.Instance, &s.actions[i])
+	}
+	return nil
+}
+
+func newBalancer(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
 		return nil, err
--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -11,7 +11,7 @@
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch frames records of 48 bytes, given by their first bytes, with a tail.
+// batch makes a batch of records of 48 bytes, given by their first bytes, with a tail.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
@@ -23,23 +23,23 @@
 	return append(out, tail...)
 }
 
-func bootRecord(who uint32, textLen int) []byte {
+func bootRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{25}, who)
+	r := be.AppendUint32([]byte{25}, instance)
 	r = be.AppendUint64(r, 7)
 	r = be.AppendUint32(r, 0)
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-func requestRecord(who, id uint32) []byte {
+func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{17}, who)
+	r := be.AppendUint32([]byte{17}, instance)
 	r = be.AppendUint32(r, id)
 	r = append(r, make([]byte, 14)...)
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-func killedRecord(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+func killedRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
 
 func TestKillAndBootWithinBatch(t *testing.T) {
 	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
@@ -48,8 +48,8 @@
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each life holds its one request (there is no list) and sets one timer; the
-	// request between the two lives is nobody's.
+	// Each incarnation queues its one request (there is no list) and sets one timer; the request between the
+	// two has no instance.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
@@ -67,17 +67,29 @@
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
-		t.Errorf("reply %q is no crash that names the key", reply)
+		t.Errorf("reply %q does not report a crash that names the key", reply)
 	}
 }
 
-func TestTruncatedInputIsAnError(t *testing.T) {
+func TestTruncatedInput(t *testing.T) {
 	in := batch(1000, "", killedRecord(1))
-	var out bytes.Buffer
-	if err := run(bytes.NewReader(in[:len(in)-1]), &out); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("error %v, want one line", err)
+	for _, c := range []struct {
+		name   string
+		length int
+	}{
+		{"within the header", 3},
+		{"after the header", 8},
+		{"within the records", len(in) - 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := run(bytes.NewReader(in[:c.length]), &out); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line", err)
+			}
+		})
 	}
+	var out bytes.Buffer
 	if err := run(bytes.NewReader(nil), &out); err != nil {
-		t.Errorf("a clean end of input: %v", err)
+		t.Errorf("the end of input before a batch: %v", err)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -10,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
+// frame decodes hex text, in which white space is ignored.
 func frame(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -29,7 +30,7 @@
 			clocks, recs = append(clocks, now), append(recs, *r)
 			return nil
 		})
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return clocks, recs, nil
 		}
 		if err != nil {
@@ -50,16 +51,16 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
-	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != balancer.EventRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
-		ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
-		t.Errorf("ask: %+v", recs[0])
+	request := recs[0].Event
+	if recs[0].Instance != 3 || request.Kind != balancer.EventRequest || request.Request != 0x5d3a91c4 || request.RemainingMs != 240 ||
+		request.Retry || request.Key != 0x91f03b7c55d20a64 {
+		t.Errorf("request: %+v", recs[0])
 	}
 	if e := recs[1].Event; e.Kind != balancer.EventTimer || e.Token != 0x4d {
-		t.Errorf("fired: %+v", e)
+		t.Errorf("timer: %+v", e)
 	}
 	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != balancer.EventClientGone || e.Request != 0x0e6f2b19 {
-		t.Errorf("dropped: %+v", recs[2])
+		t.Errorf("client gone: %+v", recs[2])
 	}
 }
 
@@ -74,14 +75,15 @@
 	v := recs[0].Event
 	if v.Kind != balancer.EventAttemptDone || v.Attempt != 2 || v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
 		v.Status != balancer.StatusOK || v.LatencyMs != 18.5 || !v.RequestDone {
-		t.Errorf("verdict: %+v", v)
+		t.Errorf("attempt done: %+v", v)
 	}
 	if p := recs[1].Event; p.Kind != balancer.EventHealthCheckDone || p.Status != balancer.StatusOK || p.LatencyMs != 1.4 {
-		t.Errorf("health: %+v", p)
+		t.Errorf("health check done: %+v", p)
 	}
 }
 
-// A list number may be used again within a batch: each event means the list of its moment.
+// TestEndpointTableIsReplacedWithinBatch: a table may be replaced within a batch; each event has the table of
+// its position.
 func TestEndpointTableIsReplacedWithinBatch(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
@@ -96,7 +98,8 @@
 		t.Fatal(err)
 	}
 	a, b := recs[0].Event, recs[1].Event
-	if a.ListUpdate != balancer.ListCached || b.ListUpdate != balancer.ListFull || a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
+	if a.ListUpdate != balancer.ListCached || b.ListUpdate != balancer.ListFull ||
+		a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
 	e := a.Endpoints[0]
@@ -164,6 +167,7 @@
 		"short length":   {"00000000 00000004 00000000", "length"},
 		"huge length":    {"00000000 ffffffff", "length"},
 		"too many":       {"ffffffff 00000008 40c06e2000000000", "number of records"},
+		"no body":        {"00000001 00000038", "truncated"},
 		"truncated":      {"00000001 00000038 40c06e20", "truncated"},
 		"unknown code":   {"00000001 00000038 40c06e2000000000 63" + zeros(47), "code"},
 		"bad pool":       {"00000001 00000038 40c06e2000000000 13 00000010" + zeros(43), "pool: table"},
@@ -172,15 +176,18 @@
 		"bad settings":   {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27), "boot: settings"},
 		"bad ending":     {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29), "verdict: ending"},
 	} {
-		_, _, err := decodeAll(frame(t, c.text))
-		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: error %v does not name %q", name, err, c.field)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, _, err := decodeAll(frame(t, c.text))
+			if err == nil || !strings.Contains(err.Error(), c.field) {
+				t.Errorf("error %v does not name %q", err, c.field)
+			}
+		})
 	}
 }
 
 func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
+	s, err := ParseSettings([]byte(
+		`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
 	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyObjectiveMs != 5 || s.RoundTripMs != 5 {
 		t.Errorf("%+v, %v", s, err)
 	}
@@ -203,8 +210,8 @@
 				break
 			}
 		}
-		if cap(d.buf) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buf))
+		if cap(d.body) > 2*len(data)+4<<20 {
+			t.Errorf("%d bytes of input made it allocate %d", len(data), cap(d.body))
 		}
 	})
 }
@@ -220,12 +227,12 @@
 	}
 	if e := recs[0].Event; e.Kind != balancer.EventResponseStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
 		e.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
-		t.Errorf("flowing: %+v", e)
+		t.Errorf("response started: %+v", e)
 	}
 	if e := recs[1].Event; e.Kind != balancer.EventList || e.ListUpdate != balancer.ListFailed || e.Endpoints != nil {
-		t.Errorf("targets of a failed call: %+v", e)
+		t.Errorf("failed list: %+v", e)
 	}
 	if e := recs[2].Event; e.Kind != balancer.EventPeerMessage {
-		t.Errorf("peer_data: %+v", e)
+		t.Errorf("peer message: %+v", e)
 	}
 }
