--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -26,7 +26,7 @@
 )
 
 // patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 3 * time.Minute
+const waitTimeout = 3 * time.Minute
 
 const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
 "contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":%d,
@@ -34,17 +34,17 @@
 "membershipMode":"pushed","objectiveMix":{"whole":1},"roundMs":5}`
 
 // list is a discovery whose list grows by a server at each change. Watches stand until then.
-type list struct {
+type discoveryServer struct {
 	addr string
 
 	mu      sync.Mutex
 	version uint64
-	wake    chan struct{}
-	from    map[string]bool // addresses that called
+	changed chan struct{}
+	callers map[string]bool // addresses that called
 }
 
-func newList(t *testing.T) *list {
-	l := &list{version: 1, wake: make(chan struct{}), from: map[string]bool{}}
+func newDiscoveryServer(t *testing.T) *discoveryServer {
+	l := &discoveryServer{version: 1, changed: make(chan struct{}), callers: map[string]bool{}}
 	s := httptest.NewServer(l)
 	l.addr = s.Listener.Addr().String()
 	t.Cleanup(func() {
@@ -54,15 +54,15 @@
 	return l
 }
 
-func (l *list) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (l *discoveryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	from, _, _ := net.SplitHostPort(req.RemoteAddr)
 	index, _ := strconv.ParseUint(req.FormValue("index"), 10, 64)
 	wait, _ := strconv.Atoi(req.FormValue("wait"))
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		l.mu.Lock()
-		l.from[from] = true
-		version, wake := l.version, l.wake
+		l.callers[from] = true
+		version, wake := l.version, l.changed
 		l.mu.Unlock()
 		answer := endpoint.List{Version: version, Servers: []endpoint.Target{}}
 		for v := index + 1; v <= version; v++ {
@@ -85,32 +85,32 @@
 }
 
 // change makes the next version.
-func (l *list) change() uint64 {
+func (l *discoveryServer) addServer() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
-	close(l.wake)
-	l.wake = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 	return l.version
 }
 
 // site makes configurations of a fleet.
-type site struct {
-	net  [2]byte
-	port int
-	size int
-	list string
+type configurations struct {
+	network   [2]byte
+	port      int
+	size      int
+	discovery string
 }
 
-func newSite(t *testing.T, l string, size int) *site {
-	s := &site{net: [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}, size: size, list: l}
+func newConfigurations(t *testing.T, l string, size int) *configurations {
+	s := &configurations{network: [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}, size: size, discovery: l}
 	for range 100 { // a port that is free for both protocols
 		ln, err := net.Listen("tcp", s.ip(0)+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.port = ln.Addr().(*net.TCPAddr).Port
-		udp, err := net.ListenPacket("udp", s.addr(0, s.port))
+		udp, err := net.ListenPacket("udp", s.address(0, s.port))
 		ln.Close()
 		if err == nil {
 			udp.Close()
@@ -121,36 +121,40 @@
 	return nil
 }
 
-func (s *site) ip(i int) string             { return fmt.Sprintf("127.%d.%d.%d", s.net[0], s.net[1], i+1) }
-func (s *site) addr(i, port int) string     { return net.JoinHostPort(s.ip(i), strconv.Itoa(port)) }
-func (s *site) door(i int) string           { return s.addr(i, s.port-1) }
-func (s *site) config(i int) map[string]any { return s.configWith(i, 3) }
+func (s *configurations) ip(i int) string {
+	return fmt.Sprintf("127.%d.%d.%d", s.network[0], s.network[1], i+1)
+}
+func (s *configurations) address(i, port int) string {
+	return net.JoinHostPort(s.ip(i), strconv.Itoa(port))
+}
+func (s *configurations) adminAddress(i int) string   { return s.address(i, s.port-1) }
+func (s *configurations) config(i int) map[string]any { return s.configWith(i, 3) }
 
-func (s *site) configWith(i, maxAttempts int) map[string]any {
-	return map[string]any{"name": fmt.Sprintf("a%d", i), "listen": s.addr(i, 8000), "management": s.door(i), "discovery": s.list, "seed": "1",
+func (s *configurations) configWith(i, maxAttempts int) map[string]any {
+	return map[string]any{"name": fmt.Sprintf("a%d", i), "listen": s.address(i, 8000), "management": s.adminAddress(i), "discovery": s.discovery, "seed": "1",
 		"limits": map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
 		"known":  map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"fleet": map[string]any{"bind": s.addr(i, s.port), "seeds": []string{s.addr(0, s.port), s.addr(1, s.port)}, "site": "test",
+		"fleet": map[string]any{"bind": s.address(i, s.port), "seeds": []string{s.address(0, s.port), s.address(1, s.port)}, "site": "test",
 			"probe_interval_ms": 500, "suspect_timeout_ms": 10_000, "settle_ms": 500, "reconnect_ms": 1000},
 		"settings": json.RawMessage(fmt.Sprintf(settings, s.size, maxAttempts))}
 }
 
 // driver gives a host orders and takes its tellings.
-type driver struct {
-	t    *testing.T
-	in   io.WriteCloser
-	over chan error
+type hostClient struct {
+	t     *testing.T
+	stdin io.WriteCloser
+	done  chan error
 
-	mu       sync.Mutex
-	tellings []HostEvent
-	came     chan struct{}
+	mu      sync.Mutex
+	events  []HostEvent
+	arrived chan struct{}
 }
 
-func newDriver(t *testing.T) *driver {
+func startHostClient(t *testing.T) *hostClient {
 	orders, in := io.Pipe()
 	out, told := io.Pipe()
-	d := &driver{t: t, in: in, over: make(chan error, 1), came: make(chan struct{})}
-	go func() { d.over <- ServeHost(context.Background(), orders, told, io.Discard) }()
+	d := &hostClient{t: t, stdin: in, done: make(chan error, 1), arrived: make(chan struct{})}
+	go func() { d.done <- ServeHost(context.Background(), orders, told, io.Discard) }()
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			var x HostEvent
@@ -158,52 +162,52 @@
 				t.Error(err)
 			}
 			d.mu.Lock()
-			d.tellings = append(d.tellings, x)
-			close(d.came)
-			d.came = make(chan struct{})
+			d.events = append(d.events, x)
+			close(d.arrived)
+			d.arrived = make(chan struct{})
 			d.mu.Unlock()
 		}
 	}()
-	t.Cleanup(d.end)
+	t.Cleanup(d.close)
 	return d
 }
 
 // end ends the host; once it has ended no agent of it is there.
-func (d *driver) end() {
-	d.in.Close()
+func (d *hostClient) close() {
+	d.stdin.Close()
 	select {
-	case err := <-d.over:
+	case err := <-d.done:
 		if err != nil {
 			d.t.Error(err)
 		}
-		d.over <- nil
-	case <-time.After(patience):
+		d.done <- nil
+	case <-time.After(waitTimeout):
 		d.t.Error("the host does not end")
 	}
 }
 
-func (d *driver) order(do, name string, config any) {
+func (d *hostClient) command(do, name string, config any) {
 	o := HostCommand{Command: do, Agent: name}
 	if config != nil {
 		o.Config, _ = json.Marshal(config)
 	}
 	line, _ := json.Marshal(o)
-	d.line(string(line))
+	d.writeLine(string(line))
 }
 
-func (d *driver) line(text string) {
-	if _, err := io.WriteString(d.in, text+"\n"); err != nil {
+func (d *hostClient) writeLine(text string) {
+	if _, err := io.WriteString(d.stdin, text+"\n"); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
 // await waits for a telling that fits, among those since the n-th, and gives it and the number after it.
-func (d *driver) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
+func (d *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
 	d.t.Helper()
-	over := time.After(patience)
+	over := time.After(waitTimeout)
 	for n := since; ; {
 		d.mu.Lock()
-		tellings, came := d.tellings, d.came
+		tellings, came := d.events, d.arrived
 		d.mu.Unlock()
 		for ; n < len(tellings); n++ {
 			if fits(&tellings[n]) {
@@ -218,31 +222,31 @@
 	}
 }
 
-func (d *driver) count() int {
+func (d *hostClient) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.tellings)
+	return len(d.events)
 }
 
-func (d *driver) ended(name string) HostEvent {
+func (d *hostClient) ended(name string) HostEvent {
 	d.t.Helper()
 	x, _ := d.await(0, name+" ended", func(x *HostEvent) bool { return x.Ended == name })
 	return x
 }
 
-func (d *driver) report() *HostReport {
+func (d *hostClient) report() *HostReport {
 	d.t.Helper()
 	since := d.count()
-	d.order("report", "", nil)
+	d.command("report", "", nil)
 	x, _ := d.await(since, "report", func(x *HostEvent) bool { return x.Report != nil })
 	return x.Report
 }
 
 // reported asks for reports until one is as wanted.
-func (d *driver) reported(what string, is func(*HostReport) bool) *HostReport {
+func (d *hostClient) awaitReport(what string, is func(*HostReport) bool) *HostReport {
 	d.t.Helper()
 	wait := 100 * time.Millisecond
-	for end := time.Now().Add(patience); ; time.Sleep(wait) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(wait) {
 		wait = min(2*wait, 2*time.Second) // a report is no small thing
 		r := d.report()
 		if is(r) {
@@ -256,13 +260,13 @@
 
 // Thirty agents in one process see each other and take a change of the list, each from an address
 // of its own.
-func TestHollowFleetAgreesAndTakesChanges(t *testing.T) {
+func TestHollowFleetConverges(t *testing.T) {
 	const n = 30
-	l := newList(t)
-	s := newSite(t, l.addr, n)
-	d := newDriver(t)
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, n)
+	d := startHostClient(t)
 	for i := range n {
-		d.order("start", fmt.Sprintf("a%d", i), s.config(i))
+		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
 	}
 	inForce := func(kind string, version uint64) {
 		t.Helper()
@@ -275,13 +279,13 @@
 			have[x.InForce.Agent] = true
 			latest = max(latest, x.InForce.AtUs)
 		}
-		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > patience {
+		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > waitTimeout {
 			t.Errorf("in force %v ago", late)
 		}
 	}
 	inForce("list", 1)
-	inForce("list", l.change())
-	r := d.reported("one view", func(r *HostReport) bool {
+	inForce("list", l.addServer())
+	r := d.awaitReport("one view", func(r *HostReport) bool {
 		digests := map[string]bool{}
 		for _, a := range r.Agents {
 			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
@@ -300,27 +304,27 @@
 	}
 	l.mu.Lock()
 	for i := range n {
-		if !l.from[s.ip(i)] {
+		if !l.callers[s.ip(i)] {
 			t.Errorf("no call came from %s", s.ip(i))
 		}
 	}
 	l.mu.Unlock()
 	for i := range n {
-		d.order("reload", fmt.Sprintf("a%d", i), s.configWith(i, 2))
+		d.command("reload", fmt.Sprintf("a%d", i), s.configWith(i, 2))
 	}
 	inForce("settings", 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors", n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
 }
 
 // To the others a kill looks as one of a process does, and a stop as SIGTERM.
-func TestKilledIsDeadAndStoppedHasLeft(t *testing.T) {
-	l := newList(t)
-	s := newSite(t, l.addr, 4)
-	d := newDriver(t)
+func TestKillAndStopInMembership(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 4)
+	d := startHostClient(t)
 	for i := range 4 {
-		d.order("start", fmt.Sprintf("a%d", i), s.config(i))
+		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
 	}
-	d.reported("four members", func(r *HostReport) bool {
+	d.awaitReport("four members", func(r *HostReport) bool {
 		for _, a := range r.Agents {
 			if a.Members != 4 || !a.Settled {
 				return false
@@ -328,8 +332,8 @@
 		}
 		return len(r.Agents) == 4
 	})
-	d.order("kill", "a2", nil)
-	d.order("stop", "a3", nil)
+	d.command("kill", "a2", nil)
+	d.command("stop", "a3", nil)
 	for _, name := range []string{"a2", "a3"} {
 		if x := d.ended(name); x.Err != "" {
 			t.Errorf("%s ended: %s", name, x.Err)
@@ -337,9 +341,9 @@
 	}
 	want := map[string]membership.State{"a0": membership.Alive, "a1": membership.Alive, "a2": membership.Dead, "a3": membership.Left}
 	var seen *membership.Status
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var err error
-		if seen, err = membership.Ask(t.Context(), s.door(0), "since=0"); err != nil {
+		if seen, err = membership.Ask(t.Context(), s.adminAddress(0), "since=0"); err != nil {
 			t.Fatal(err)
 		}
 		right := 0
@@ -363,7 +367,7 @@
 }
 
 // level is the number of goroutines and descriptors of this process.
-func level(t *testing.T) [2]int {
+func processResources(t *testing.T) [2]int {
 	fds, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
@@ -373,16 +377,16 @@
 
 // Whatever ends an agent, nothing of it stays: neither while it is well, nor just as it begins or
 // ends.
-func TestEndedAgentsLeaveNothing(t *testing.T) {
-	l := newList(t)
-	s := newSite(t, l.addr, 8)
-	d := newDriver(t)
+func TestEndedAgentsReleaseResources(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 8)
+	d := startHostClient(t)
 	// What a first agent opens for the whole process counts as there before.
-	d.order("start", "a0", s.config(0))
+	d.command("start", "a0", s.config(0))
 	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
-	before := level(t)
+	before := processResources(t)
 	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has begun once nothing is added any more
-		if now := level(t); now[0] > before[0] || now[1] > before[1] {
+		if now := processResources(t); now[0] > before[0] || now[1] > before[1] {
 			before, same = [2]int{max(before[0], now[0]), max(before[1], now[1])}, 0
 		}
 		same++
@@ -390,26 +394,26 @@
 	for round := range 20 {
 		since := d.count()
 		name := fmt.Sprintf("b%d", round)
-		d.order("start", name, s.config(1))
+		d.command("start", name, s.config(1))
 		if round%4 > 0 {
 			d.await(since, "list in force", func(x *HostEvent) bool { return x.InForce != nil && x.InForce.Agent == name })
 		}
 		switch round % 4 {
 		case 1:
-			d.order("stop", name, nil)
+			d.command("stop", name, nil)
 		case 2:
-			d.order("stop", name, nil)
+			d.command("stop", name, nil)
 			fallthrough
 		default:
-			d.order("kill", name, nil)
+			d.command("kill", name, nil)
 		}
 		if x := d.ended(name); x.Err != "" {
 			t.Fatalf("%s ended: %s", name, x.Err)
 		}
 	}
 	var after [2]int
-	for end := time.Now().Add(patience); ; time.Sleep(100 * time.Millisecond) {
-		if after = level(t); after[0] <= before[0] && after[1] <= before[1] {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+		if after = processResources(t); after[0] <= before[0] && after[1] <= before[1] {
 			return
 		}
 		if time.Now().After(end) {
@@ -420,11 +424,11 @@
 }
 
 // A bad order is told once, changes nothing, and the host goes on.
-func TestBadOrders(t *testing.T) {
-	l := newList(t)
-	s := newSite(t, l.addr, 2)
-	d := newDriver(t)
-	d.order("start", "a0", s.config(0))
+func TestInvalidCommands(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 2)
+	d := startHostClient(t)
+	d.command("start", "a0", s.config(0))
 	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
 	bad := s.config(1)
 	bad["seed"] = "none"
@@ -448,7 +452,7 @@
 		`{"do":"reload","agent":"a0","config":` + config(bare) + `}`:       "reload a0: config: management: missing",
 	} {
 		since := d.count()
-		d.line(order)
+		d.writeLine(order)
 		x, n := d.await(since, "the error of "+order, func(x *HostEvent) bool { return x.Err != "" })
 		if !strings.Contains(x.Err, want) || x.Ended != "" || strings.Contains(x.Err, "\n") {
 			t.Errorf("%s: told %+v, want %q", order, x, want)
@@ -457,7 +461,7 @@
 			t.Errorf("after %s: agents %v", order, r.Agents)
 		}
 		d.mu.Lock()
-		for _, x := range d.tellings[n:] {
+		for _, x := range d.events[n:] {
 			if x.Err != "" {
 				t.Errorf("%s: told again: %s", order, x.Err)
 			}
@@ -466,15 +470,15 @@
 	}
 	// An address that is taken is no nonsense: the agent ends.
 	taken := s.config(1)
-	taken["management"] = s.door(0)
-	d.order("start", "a1", taken)
+	taken["management"] = s.adminAddress(0)
+	d.command("start", "a1", taken)
 	if x := d.ended("a1"); !strings.Contains(x.Err, "address already in use") {
 		t.Errorf("told %+v", x)
 	}
 }
 
 // A hollow agent's calls to discovery are those of the program: the same bytes for the same list.
-func TestDiscoveryBytesAreTheProgramsOwn(t *testing.T) {
+func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "agent")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/agent").CombinedOutput(); err != nil {
@@ -494,7 +498,7 @@
 		silent.CloseClientConnections()
 		silent.Close()
 	})
-	s := newSite(t, silent.Listener.Addr().String(), 2)
+	s := newConfigurations(t, silent.Listener.Addr().String(), 2)
 	config := s.config(1)
 	delete(config, "fleet")
 	text, _ := json.Marshal(config)
@@ -538,14 +542,14 @@
 	var program map[uint64]bytes
 	select {
 	case program = <-real:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the program does not make 23 calls")
 	}
-	config["management"], config["listen"] = s.door(0), s.addr(0, 8000)
-	d := newDriver(t)
-	d.order("start", "a1", config)
+	config["management"], config["listen"] = s.adminAddress(0), s.address(0, 8000)
+	d := startHostClient(t)
+	d.command("start", "a1", config)
 	hollow := map[uint64]bytes{}
-	d.reported("23 calls", func(r *HostReport) bool {
+	d.awaitReport("23 calls", func(r *HostReport) bool {
 		a := r.Agents["a1"]
 		hollow[a.ListCalls] = bytes{a.ListIn, a.ListOut}
 		return a.ListCalls >= 23
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestCommittedPlan: what is committed is a plan, and so is the built-in one.
-func TestCommittedPlan(t *testing.T) {
+func TestCommittedPlans(t *testing.T) {
 	for file, settings := range map[string]float64{"plan.toml": 0, "plan-settings.toml": 1} {
 		if p, err := LoadPlan("../../docs/capacity/" + file); err != nil || p.SettingsFraction != settings {
 			t.Errorf("%s: %+v, %v", file, p, err)
@@ -86,7 +86,7 @@
 
 // TestSettingsShare: a plan without changes of settings draws as it did before there were any, and
 // one with a share draws that.
-func TestSettingsShare(t *testing.T) {
+func TestNextChangeIsSettings(t *testing.T) {
 	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
 	for _, c := range []struct {
 		share float64
@@ -111,7 +111,7 @@
 
 // TestRefused: a size that the machine can't hold is refused in one line that says what it would
 // take, before anything is started.
-func TestRefused(t *testing.T) {
+func TestCheckMachine(t *testing.T) {
 	limits := machineLimits{memoryMB: 12_000, freeMemoryMB: 12_000, descriptors: 20_000}
 	for _, c := range []struct {
 		hollow, real, host int
@@ -149,7 +149,7 @@
 
 // TestInForce: a change is in force with its version or a later one; who ended before its time was
 // up is not counted as without it, who was there all the time is, and who left lines out is neither.
-func TestInForce(t *testing.T) {
+func TestTrackerLatencies(t *testing.T) {
 	tr := newTracker()
 	now := time.Now()
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
@@ -185,7 +185,7 @@
 }
 
 // TestInForceOfService: a change of a service's settings is for its agents alone, and so is its version.
-func TestInForceOfService(t *testing.T) {
+func TestTrackerOfService(t *testing.T) {
 	tr := newTrackers()[kindSettings]
 	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
 	tr.started("a")
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -46,15 +46,15 @@
 }
 
 // played plays days at one size and gives their records.
-func played(t *testing.T, hollow int, days ...string) []*capacity.Run {
+func runDaysOfSize(t *testing.T, hollow int, days ...string) []*capacity.Run {
 	t.Helper()
 	p := SmallPlan()
 	p.Sizes, p.Days, p.Seconds = []int{hollow}, days, minDaySeconds
-	return playedPlan(t, p)
+	return runPlan(t, p)
 }
 
 // playedPlan plays a plan of one size and gives its records.
-func playedPlan(t *testing.T, p *Plan) []*capacity.Run {
+func runPlan(t *testing.T, p *Plan) []*capacity.Run {
 	t.Helper()
 	bin, err := programs()
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 // reached judges that a run's changes reached all, and that all came to one view.
-func reached(t *testing.T, r *capacity.Run) {
+func requireConverged(t *testing.T, r *capacity.Run) {
 	t.Helper()
 	if !r.Converged {
 		t.Errorf("%d hollow, %s: not all came to one view and the last list", r.Hollow, r.Day)
@@ -101,7 +101,7 @@
 
 // TestShapes plays two small sizes: messages a member do not grow with the fleet, no figure of a
 // member grows with its square, and changes reach all.
-func TestShapes(t *testing.T) {
+func TestGrowthWithSize(t *testing.T) {
 	t.Parallel()
 	sizes := []int{12, 30}
 	runs := make([][]*capacity.Run, len(sizes))
@@ -109,22 +109,22 @@
 		for i, n := range sizes {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
-				runs[i] = played(t, n, "quiet", "ordinary")
+				runs[i] = runDaysOfSize(t, n, "quiet", "ordinary")
 				for _, r := range runs[i] {
-					reached(t, r)
+					requireConverged(t, r)
 				}
 			})
 		}
 		t.Run("troubles", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range played(t, 12, "rollout", "control") {
-				reached(t, r)
+			for _, r := range runDaysOfSize(t, 12, "rollout", "control") {
+				requireConverged(t, r)
 			}
 		})
 		t.Run("regions", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range played(t, 12, "region") {
-				reached(t, r)
+			for _, r := range runDaysOfSize(t, 12, "region") {
+				requireConverged(t, r)
 			}
 		})
 	})
@@ -160,7 +160,7 @@
 	t.Parallel()
 	p := SmallPlan()
 	p.Sizes, p.Days, p.Seconds, p.RateFactor, p.SettingsFraction = []int{12}, []string{"control"}, minDaySeconds, 6000, 1
-	r := playedPlan(t, p)[0]
+	r := runPlan(t, p)[0]
 	times := r.InForce["settings"]
 	if _, ok := r.InForce["list"]; ok || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
 		t.Errorf("settled %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
@@ -192,7 +192,7 @@
 }
 
 // gone tells whether none of some processes runs any more.
-func gone(pids []int) bool {
+func haveEnded(pids []int) bool {
 	return !slices.ContainsFunc(pids, func(pid int) bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		return err == nil && !strings.HasPrefix(string(text[bytes.LastIndexByte(text, ')')+1:]), " Z")
@@ -243,7 +243,7 @@
 			if err == nil || sig == syscall.SIGINT && !strings.Contains(said.String(), "interrupted") {
 				t.Errorf("it ended with %v and said:\n%s", err, &said)
 			}
-			if err := processtest.Await(10*time.Second, "all its processes have ended", func() bool { return gone(started) }); err != nil {
+			if err := processtest.Await(10*time.Second, "all its processes have ended", func() bool { return haveEnded(started) }); err != nil {
 				t.Error(err)
 			}
 			f, err := os.Open(record)
