--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -43,7 +43,9 @@
 
 func TestKillAndBootWithinBatch(t *testing.T) {
 	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
-	in = append(in, batch(1005, settings, killedRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))...)
+	restart := batch(1005, settings,
+		killedRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))
+	in = append(in, restart...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -25,7 +25,7 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
+// waitTimeout bounds every wait of the tests; each needs a fraction of it.
 const waitTimeout = 3 * time.Minute
 
 const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
@@ -33,7 +33,8 @@
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":%d,"maxRetryAfterMs":600},
 "membershipMode":"pushed","objectiveMix":{"whole":1},"roundMs":5}`
 
-// list is a discovery whose list grows by a server at each change. Watches stand until then.
+// discoveryServer is a fake discovery whose endpoint list grows by one server at each change. A watch
+// waits for a change.
 type discoveryServer struct {
 	addr string
 
@@ -66,7 +67,9 @@
 		l.mu.Unlock()
 		answer := endpoint.List{Version: version, Servers: []endpoint.Target{}}
 		for v := index + 1; v <= version; v++ {
-			answer.Servers = append(answer.Servers, endpoint.Target{ID: fmt.Sprintf("s-%d", v), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1})
+			answer.Servers = append(answer.Servers, endpoint.Target{
+				ID: fmt.Sprintf("s-%d", v), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1,
+			})
 		}
 		answer.Full = index == 0
 		if version > index {
@@ -84,7 +87,7 @@
 	}
 }
 
-// change makes the next version.
+// addServer makes the next version of the list.
 func (l *discoveryServer) addServer() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +97,7 @@
 	return l.version
 }
 
-// site makes configurations of a fleet.
+// configurations makes the configurations of a fleet.
 type configurations struct {
 	network   [2]byte
 	port      int
@@ -131,15 +134,28 @@
 func (s *configurations) config(i int) map[string]any { return s.configWith(i, 3) }
 
 func (s *configurations) configWith(i, maxAttempts int) map[string]any {
-	return map[string]any{"name": fmt.Sprintf("a%d", i), "listen": s.address(i, 8000), "management": s.adminAddress(i), "discovery": s.discovery, "seed": "1",
-		"limits": map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
-		"known":  map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"fleet": map[string]any{"bind": s.address(i, s.port), "seeds": []string{s.address(0, s.port), s.address(1, s.port)}, "site": "test",
-			"probe_interval_ms": 500, "suspect_timeout_ms": 10_000, "settle_ms": 500, "reconnect_ms": 1000},
-		"settings": json.RawMessage(fmt.Sprintf(settings, s.size, maxAttempts))}
+	return map[string]any{
+		"name":       fmt.Sprintf("a%d", i),
+		"listen":     s.address(i, 8000),
+		"management": s.adminAddress(i),
+		"discovery":  s.discovery,
+		"seed":       "1",
+		"limits":     map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
+		"known":      map[string]any{"version": 0, "full": true, "servers": []any{}},
+		"fleet": map[string]any{
+			"bind":               s.address(i, s.port),
+			"seeds":              []string{s.address(0, s.port), s.address(1, s.port)},
+			"site":               "test",
+			"probe_interval_ms":  500,
+			"suspect_timeout_ms": 10_000,
+			"settle_ms":          500,
+			"reconnect_ms":       1000,
+		},
+		"settings": json.RawMessage(fmt.Sprintf(settings, s.size, maxAttempts)),
+	}
 }
 
-// driver gives a host orders and takes its tellings.
+// hostClient sends commands to a host and receives its events.
 type hostClient struct {
 	t     *testing.T
 	stdin io.WriteCloser
@@ -151,12 +167,12 @@
 }
 
 func startHostClient(t *testing.T) *hostClient {
-	orders, in := io.Pipe()
-	out, told := io.Pipe()
-	d := &hostClient{t: t, stdin: in, done: make(chan error, 1), arrived: make(chan struct{})}
-	go func() { d.done <- ServeHost(context.Background(), orders, told, io.Discard) }()
+	commands, stdin := io.Pipe()
+	events, stdout := io.Pipe()
+	d := &hostClient{t: t, stdin: stdin, done: make(chan error, 1), arrived: make(chan struct{})}
+	go func() { d.done <- ServeHost(context.Background(), commands, stdout, io.Discard) }()
 	go func() {
-		for lines := bufio.NewScanner(out); lines.Scan(); {
+		for lines := bufio.NewScanner(events); lines.Scan(); {
 			var x HostEvent
 			if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 				t.Error(err)
@@ -172,7 +188,7 @@
 	return d
 }
 
-// end ends the host; once it has ended no agent of it is there.
+// close ends the host with its agents.
 func (d *hostClient) close() {
 	d.stdin.Close()
 	select {
@@ -187,37 +203,49 @@
 }
 
 func (d *hostClient) command(do, name string, config any) {
-	o := HostCommand{Command: do, Agent: name}
+	d.t.Helper()
+	c := HostCommand{Command: do, Agent: name}
 	if config != nil {
-		o.Config, _ = json.Marshal(config)
+		c.Config = marshal(d.t, config)
+	}
+	d.writeLine(string(marshal(d.t, c)))
+}
+
+// marshal is a value as JSON.
+func marshal(t *testing.T, value any) []byte {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
 	}
-	line, _ := json.Marshal(o)
-	d.writeLine(string(line))
+	return text
 }
 
 func (d *hostClient) writeLine(text string) {
+	d.t.Helper()
 	if _, err := io.WriteString(d.stdin, text+"\n"); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// await waits for a telling that fits, among those since the n-th, and gives it and the number after it.
+// await waits for an event that fits, among those from index since on, and returns it and the index after
+// it.
 func (d *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
 	d.t.Helper()
 	over := time.After(waitTimeout)
 	for n := since; ; {
 		d.mu.Lock()
-		tellings, came := d.events, d.arrived
+		events, arrived := d.events, d.arrived
 		d.mu.Unlock()
-		for ; n < len(tellings); n++ {
-			if fits(&tellings[n]) {
-				return tellings[n], n + 1
+		for ; n < len(events); n++ {
+			if fits(&events[n]) {
+				return events[n], n + 1
 			}
 		}
 		select {
-		case <-came:
+		case <-arrived:
 		case <-over:
-			d.t.Fatalf("never told: %s", what)
+			d.t.Fatalf("no such event: %s", what)
 		}
 	}
 }
@@ -242,24 +270,24 @@
 	return x.Report
 }
 
-// reported asks for reports until one is as wanted.
+// awaitReport requests reports until one is as wanted.
 func (d *hostClient) awaitReport(what string, is func(*HostReport) bool) *HostReport {
 	d.t.Helper()
 	wait := 100 * time.Millisecond
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(wait) {
-		wait = min(2*wait, 2*time.Second) // a report is no small thing
+		wait = min(2*wait, 2*time.Second) // a report collects garbage
 		r := d.report()
 		if is(r) {
 			return r
 		}
 		if time.Now().After(end) {
-			d.t.Fatalf("never came about: %s: %+v", what, r)
+			d.t.Fatalf("no such report: %s: %+v", what, r)
 		}
 	}
 }
 
-// Thirty agents in one process see each other and take a change of the list, each from an address
-// of its own.
+// TestHollowFleetConverges: thirty agents in one process see each other and put a change of the list in
+// force, each from an address of its own.
 func TestHollowFleetConverges(t *testing.T) {
 	const n = 30
 	l := newDiscoveryServer(t)
@@ -295,11 +323,13 @@
 		return len(r.Agents) == n && len(digests) == 1
 	})
 	for name, a := range r.Agents {
-		if a.ViewIn == 0 || a.ViewOut == 0 || a.ViewMsgIn == 0 || a.ViewMsgOut == 0 || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
+		noView := a.ViewIn == 0 || a.ViewOut == 0 || a.ViewMsgIn == 0 || a.ViewMsgOut == 0
+		if noView || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
 			t.Errorf("%s counted %+v", name, a)
 		}
 	}
-	if r.CPUSeconds <= 0 || r.ResidentMB <= 0 || r.HeapMB <= 0 || r.AllocBytes == 0 || r.Descriptors < n || r.Goroutines < n {
+	if r.CPUSeconds <= 0 || r.ResidentMB <= 0 || r.HeapMB <= 0 || r.AllocBytes == 0 ||
+		r.Descriptors < n || r.Goroutines < n {
 		t.Errorf("%+v", r)
 	}
 	l.mu.Lock()
@@ -313,10 +343,11 @@
 		d.command("reload", fmt.Sprintf("a%d", i), s.configWith(i, 2))
 	}
 	inForce("settings", 0)
-	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors", n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
+	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
+		n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
 }
 
-// To the others a kill looks as one of a process does, and a stop as SIGTERM.
+// TestKillAndStopInMembership: to the other agents a kill looks like SIGKILL, and a stop like SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
 	l := newDiscoveryServer(t)
 	s := newConfigurations(t, l.addr, 4)
@@ -339,7 +370,12 @@
 			t.Errorf("%s ended: %s", name, x.Err)
 		}
 	}
-	want := map[string]membership.State{"a0": membership.Alive, "a1": membership.Alive, "a2": membership.Dead, "a3": membership.Left}
+	want := map[string]membership.State{
+		"a0": membership.Alive,
+		"a1": membership.Alive,
+		"a2": membership.Dead,
+		"a3": membership.Left,
+	}
 	var seen *membership.Status
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var err error
@@ -361,12 +397,12 @@
 	}
 	for _, c := range seen.Changes {
 		if c.Name == "a2" && c.To == membership.Left {
-			t.Error("the killed one told that it leaves")
+			t.Error("the killed agent left gracefully")
 		}
 	}
 }
 
-// level is the number of goroutines and descriptors of this process.
+// processResources is the number of goroutines and descriptors of this process.
 func processResources(t *testing.T) [2]int {
 	fds, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -375,17 +411,17 @@
 	return [2]int{runtime.NumGoroutine(), len(fds)}
 }
 
-// Whatever ends an agent, nothing of it stays: neither while it is well, nor just as it begins or
-// ends.
+// TestEndedAgentsReleaseResources: an agent that has ended leaves no goroutine and no descriptor,
+// whether it ended while it ran, just after its start or during its shutdown.
 func TestEndedAgentsReleaseResources(t *testing.T) {
 	l := newDiscoveryServer(t)
 	s := newConfigurations(t, l.addr, 8)
 	d := startHostClient(t)
-	// What a first agent opens for the whole process counts as there before.
+	// What the first agent opens for the whole process is part of the level before.
 	d.command("start", "a0", s.config(0))
 	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
 	before := processResources(t)
-	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has begun once nothing is added any more
+	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has started once nothing is added
 		if now := processResources(t); now[0] > before[0] || now[1] > before[1] {
 			before, same = [2]int{max(before[0], now[0]), max(before[1], now[1])}, 0
 		}
@@ -396,7 +432,9 @@
 		name := fmt.Sprintf("b%d", round)
 		d.command("start", name, s.config(1))
 		if round%4 > 0 {
-			d.await(since, "list in force", func(x *HostEvent) bool { return x.InForce != nil && x.InForce.Agent == name })
+			d.await(since, "list in force", func(x *HostEvent) bool {
+				return x.InForce != nil && x.InForce.Agent == name
+			})
 		}
 		switch round % 4 {
 		case 1:
@@ -423,7 +461,7 @@
 	}
 }
 
-// A bad order is told once, changes nothing, and the host goes on.
+// TestInvalidCommands: an invalid command is reported once and has no effect, and the host goes on.
 func TestInvalidCommands(t *testing.T) {
 	l := newDiscoveryServer(t)
 	s := newConfigurations(t, l.addr, 2)
@@ -434,10 +472,7 @@
 	bad["seed"] = "none"
 	bare := s.config(0)
 	delete(bare, "management")
-	config := func(c map[string]any) string {
-		text, _ := json.Marshal(c)
-		return string(text)
-	}
+	config := func(c map[string]any) string { return string(marshal(t, c)) }
 	for order, want := range map[string]string{
 		`{"do":`:                       "order: unexpected EOF",
 		`{"do":"dance","agent":"a0"}`:  `order: do: "dance" is none`,
@@ -455,7 +490,7 @@
 		d.writeLine(order)
 		x, n := d.await(since, "the error of "+order, func(x *HostEvent) bool { return x.Err != "" })
 		if !strings.Contains(x.Err, want) || x.Ended != "" || strings.Contains(x.Err, "\n") {
-			t.Errorf("%s: told %+v, want %q", order, x, want)
+			t.Errorf("%s: event %+v, want %q", order, x, want)
 		}
 		if r := d.report(); len(r.Agents) != 1 {
 			t.Errorf("after %s: agents %v", order, r.Agents)
@@ -463,36 +498,37 @@
 		d.mu.Lock()
 		for _, x := range d.events[n:] {
 			if x.Err != "" {
-				t.Errorf("%s: told again: %s", order, x.Err)
+				t.Errorf("%s: reported twice: %s", order, x.Err)
 			}
 		}
 		d.mu.Unlock()
 	}
-	// An address that is taken is no nonsense: the agent ends.
+	// An address in use is no invalid command: the agent ends.
 	taken := s.config(1)
 	taken["management"] = s.adminAddress(0)
 	d.command("start", "a1", taken)
 	if x := d.ended("a1"); !strings.Contains(x.Err, "address already in use") {
-		t.Errorf("told %+v", x)
+		t.Errorf("event %+v", x)
 	}
 }
 
-// A hollow agent's calls to discovery are those of the program: the same bytes for the same list.
+// TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
+// same bytes for the same list.
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "agent")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/agent").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	// Twenty versions at once, one a call, and then silence: calls that stand are given up and
-	// made again, and bring nothing.
+	// Twenty versions at once, one a call, and then no response: watches time out and are made again.
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		index, _ := strconv.Atoi(req.FormValue("index"))
 		if index >= 20 {
 			<-req.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east","kind":"big","state":"up","weight":1}]}`, index+1, index == 0)
+		fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
+			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0)
 	}))
 	t.Cleanup(func() {
 		silent.CloseClientConnections()
@@ -501,13 +537,14 @@
 	s := newConfigurations(t, silent.Listener.Addr().String(), 2)
 	config := s.config(1)
 	delete(config, "fleet")
-	text, _ := json.Marshal(config)
+	text := marshal(t, config)
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(bin)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
+		"PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -520,7 +557,7 @@
 		cmd.Wait()
 	})
 	type bytes struct{ in, out uint64 }
-	real := make(chan map[uint64]bytes, 1) // by calls
+	realBytes := make(chan map[uint64]bytes, 1) // by calls
 	counts := regexp.MustCompile(`listIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
 	go func() {
 		at := map[uint64]bytes{}
@@ -536,12 +573,12 @@
 				break
 			}
 		}
-		real <- at
+		realBytes <- at
 		io.Copy(io.Discard, log)
 	}()
 	var program map[uint64]bytes
 	select {
-	case program = <-real:
+	case program = <-realBytes:
 	case <-time.After(waitTimeout):
 		t.Fatal("the program does not make 23 calls")
 	}
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -45,16 +45,18 @@
 			t.Errorf("%q: %v, want one line that begins with %s", c.text, err, c.want)
 		}
 	}
-	if _, err := LoadPlan(filepath.Join(t.TempDir(), "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
+	_, err := LoadPlan(filepath.Join(t.TempDir(), "none.toml"))
+	if err == nil || !strings.Contains(err.Error(), "none.toml") {
 		t.Errorf("no file: %v", err)
 	}
 	p, err := ParsePlan("p.toml", "sizes = [50, 100]\nseconds = 30.0")
-	if err != nil || !slices.Equal(p.Sizes, []int{50, 100}) || p.Seconds != 30 || p.Real != 20 || p.DiscoveryInstances != 3 {
+	if err != nil || !slices.Equal(p.Sizes, []int{50, 100}) || p.Seconds != 30 || p.Real != 20 ||
+		p.DiscoveryInstances != 3 {
 		t.Errorf("a plan of two keys: %+v, %v", p, err)
 	}
 }
 
-// TestCommittedPlan: what is committed is a plan, and so is the built-in one.
+// TestCommittedPlans: the committed plans and the built-in one are valid.
 func TestCommittedPlans(t *testing.T) {
 	for file, settings := range map[string]float64{"plan.toml": 0, "plan-settings.toml": 1} {
 		if p, err := LoadPlan("../../docs/capacity/" + file); err != nil || p.SettingsFraction != settings {
@@ -84,8 +86,8 @@
 	}
 }
 
-// TestSettingsShare: a plan without changes of settings draws as it did before there were any, and
-// one with a share draws that.
+// TestNextChangeIsSettings: a plan without changes of settings draws no random number for them, and one
+// with a fraction draws that.
 func TestNextChangeIsSettings(t *testing.T) {
 	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
 	for _, c := range []struct {
@@ -109,8 +111,8 @@
 	}
 }
 
-// TestRefused: a size that the machine can't hold is refused in one line that says what it would
-// take, before anything is started.
+// TestCheckMachine: a size that the machine can't run is refused in one line that says what it would take,
+// before anything is started.
 func TestCheckMachine(t *testing.T) {
 	limits := machineLimits{memoryMB: 12_000, freeMemoryMB: 12_000, descriptors: 20_000}
 	for _, c := range []struct {
@@ -123,7 +125,8 @@
 	} {
 		p := DefaultPlan()
 		p.Real, p.AgentsPerHost = c.real, c.host
-		if err := p.checkSize(c.hollow, limits); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		err := p.checkSize(c.hollow, limits)
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%+v: %v, want %s", c, err, c.want)
 		}
 	}
@@ -137,8 +140,15 @@
 	}
 	dir := t.TempDir()
 	p.Sizes = []int{50, 1_000_000}
-	err := Run(context.Background(), Config{Plan: p, Target: &capacity.Target{}, Directory: dir, Agent: "none", Discovery: "none", HostCommand: []string{"none"},
-		OnRun: func(*capacity.Run) error { t.Error("a run was played"); return nil }})
+	err := Run(context.Background(), Config{
+		Plan:        p,
+		Target:      &capacity.Target{},
+		Directory:   dir,
+		Agent:       "none",
+		Discovery:   "none",
+		HostCommand: []string{"none"},
+		OnRun:       func(*capacity.Run) error { t.Error("a run was played"); return nil },
+	})
 	if err == nil || !strings.Contains(err.Error(), "1000000 hollow agents") {
 		t.Errorf("a million agents: %v", err)
 	}
@@ -147,8 +157,9 @@
 	}
 }
 
-// TestInForce: a change is in force with its version or a later one; who ended before its time was
-// up is not counted as without it, who was there all the time is, and who left lines out is neither.
+// TestTrackerLatencies: a change is in force with its version or a later one. An agent without it that ended
+// before the timeout is not counted, one that ran for the whole time is counted as never in force, and
+// one that dropped log lines as unknown.
 func TestTrackerLatencies(t *testing.T) {
 	tr := newTracker()
 	now := time.Now()
@@ -169,22 +180,25 @@
 	tr.current["new"].start = at(-55) // the change of version 5 was before it
 	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: at once
 	tr.stopping("short")
-	tr.incarnations[slices.IndexFunc(tr.incarnations, func(l *incarnation) bool { return l.agent == "short" })].end = at(-45)
+	short := slices.IndexFunc(tr.incarnations, func(i *incarnation) bool { return i.agent == "short" })
+	tr.incarnations[short].end = at(-45)
 	times, missing, err := tr.latencies()
 	if err != nil {
 		t.Fatal(err)
 	}
 	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
-	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 || math.Abs(times.P50-500) > 1 {
+	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 ||
+		math.Abs(times.P50-500) > 1 {
 		t.Errorf("%+v, missing %d", times, missing)
 	}
 	tr.reset()
-	if times, missing, err := tr.latencies(); err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
+	times, missing, err = tr.latencies()
+	if err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
 		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
 	}
 }
 
-// TestInForceOfService: a change of a service's settings is for its agents alone, and so is its version.
+// TestTrackerOfService: a change of a service's settings is for its agents alone, and so is its version.
 func TestTrackerOfService(t *testing.T) {
 	tr := newTrackers()[kindSettings]
 	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
@@ -196,7 +210,8 @@
 	tr.inForce("a", 5, acked.Add(time.Second))
 	tr.inForce("b", 9, acked.Add(3*time.Second))
 	times, _, err := tr.latencies()
-	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 || tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
+	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 ||
+		tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
 		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
 	}
 }
@@ -204,10 +219,10 @@
 // TestAgentLog: versions and counts are read from the agent's own lines.
 func TestAgentLog(t *testing.T) {
 	dir := t.TempDir()
-	heard := newTrackers()
-	tr, settings := heard[kindList], heard[kindSettings]
-	r := &realAgents{directory: dir, trackers: heard, logs: map[string]*agentLogState{"a": {}}}
-	heard.forEach(func(t *tracker) { t.started("a") })
+	byKind := newTrackers()
+	tr, settings := byKind[kindList], byKind[kindSettings]
+	r := &realAgents{directory: dir, trackers: byKind, logs: map[string]*agentLogState{"a": {}}}
+	byKind.forEach(func(t *tracker) { t.started("a") })
 	write := func(text string) {
 		f, err := os.OpenFile(filepath.Join(dir, "a.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -23,14 +23,15 @@
 // targetFile is the deployment's target.
 const targetFile = "../../deploy/target.toml"
 
-// programs builds what a run starts, once for all tests.
+// programs builds the programs that a run starts, once for all tests, and returns their directory.
 var programs = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale")
 	if err != nil {
 		return "", err
 	}
 	for _, program := range []string{"agent", "discovery", "experiment"} {
-		if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, program), "../../cmd/"+program).CombinedOutput(); err != nil {
+		build := exec.Command("go", "build", "-o", filepath.Join(dir, program), "../../cmd/"+program)
+		if out, err := build.CombinedOutput(); err != nil {
 			return dir, fmt.Errorf("build %s: %w\n%s", program, err, out)
 		}
 	}
@@ -45,7 +46,7 @@
 	os.Exit(code)
 }
 
-// played plays days at one size and gives their records.
+// runDaysOfSize plays days at one size and returns their records.
 func runDaysOfSize(t *testing.T, hollow int, days ...string) []*capacity.Run {
 	t.Helper()
 	p := SmallPlan()
@@ -53,7 +54,7 @@
 	return runPlan(t, p)
 }
 
-// playedPlan plays a plan of one size and gives its records.
+// runPlan plays a plan of one size and returns its records.
 func runPlan(t *testing.T, p *Plan) []*capacity.Run {
 	t.Helper()
 	bin, err := programs()
@@ -65,9 +66,20 @@
 		t.Fatal(err)
 	}
 	var runs []*capacity.Run
-	err = Run(context.Background(), Config{Plan: p, Target: target, Directory: t.TempDir(), Commit: "test", Agent: filepath.Join(bin, "agent"),
-		Discovery: filepath.Join(bin, "discovery"), HostCommand: []string{filepath.Join(bin, "experiment"), "scale-host"},
-		Progress: t.Logf, OnRun: func(r *capacity.Run) error { runs = append(runs, r); return nil }})
+	err = Run(context.Background(), Config{
+		Plan:        p,
+		Target:      target,
+		Directory:   t.TempDir(),
+		Commit:      "test",
+		Agent:       filepath.Join(bin, "agent"),
+		Discovery:   filepath.Join(bin, "discovery"),
+		HostCommand: []string{filepath.Join(bin, "experiment"), "scale-host"},
+		Progress:    t.Logf,
+		OnRun: func(r *capacity.Run) error {
+			runs = append(runs, r)
+			return nil
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,11 +89,11 @@
 	return runs
 }
 
-// reached judges that a run's changes reached all, and that all came to one view.
+// requireConverged checks that a run's changes came into force at all agents, and that the fleet converged.
 func requireConverged(t *testing.T, r *capacity.Run) {
 	t.Helper()
 	if !r.Converged {
-		t.Errorf("%d hollow, %s: not all came to one view and the last list", r.Hollow, r.Day)
+		t.Errorf("%d hollow, %s: the agents do not have one view and the last list", r.Hollow, r.Day)
 	}
 	if _, ok := r.InForce["settings"]; ok {
 		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Day)
@@ -93,14 +105,14 @@
 	if r.Day != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
 		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Day, r.Changes, times.Count)
 	}
-	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 || r.Roles[capacity.RoleLeader].Count != 1 ||
-		r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
+	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 ||
+		r.Roles[capacity.RoleLeader].Count != 1 || r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
 		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Day, r.Roles)
 	}
 }
 
-// TestShapes plays two small sizes: messages a member do not grow with the fleet, no figure of a
-// member grows with its square, and changes reach all.
+// TestGrowthWithSize plays two small sizes: the messages of a member do not grow with the fleet, none of its
+// metrics grows with the square of the size, and changes come into force everywhere.
 func TestGrowthWithSize(t *testing.T) {
 	t.Parallel()
 	sizes := []int{12, 30}
@@ -115,7 +127,7 @@
 				}
 			})
 		}
-		t.Run("troubles", func(t *testing.T) {
+		t.Run("faults", func(t *testing.T) {
 			t.Parallel()
 			for _, r := range runDaysOfSize(t, 12, "rollout", "control") {
 				requireConverged(t, r)
@@ -153,16 +165,20 @@
 	}
 }
 
-// TestSettingsReachAll plays changes of settings under the loss of the list instance that leads: each
-// pair of a change and an agent of its service is timed, and all that run have their last settings at
-// the end.
+// TestSettingsReachAll plays changes of settings while the leader of discovery is killed: each pair of a
+// change and an agent of its service is timed, and all agents that run have their last settings at the end.
 func TestSettingsReachAll(t *testing.T) {
 	t.Parallel()
 	p := SmallPlan()
-	p.Sizes, p.Days, p.Seconds, p.RateFactor, p.SettingsFraction = []int{12}, []string{"control"}, minDaySeconds, 6000, 1
+	p.Sizes = []int{12}
+	p.Days = []string{"control"}
+	p.Seconds = minDaySeconds
+	p.RateFactor = 6000
+	p.SettingsFraction = 1
 	r := runPlan(t, p)[0]
 	times := r.InForce["settings"]
-	if _, ok := r.InForce["list"]; ok || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
+	_, hasList := r.InForce["list"]
+	if hasList || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
 		t.Errorf("settled %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
 	}
 	// Two services share 15 agents, 3 of them real: a change has 7 or 8 pairs, 4 at least of hollow
@@ -172,7 +188,7 @@
 	}
 }
 
-// descendants are the processes that a process started, and those that these did.
+// descendants are the child processes of a process, and theirs.
 func descendants(pid int) (all []int) {
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range stats {
@@ -191,7 +207,7 @@
 	return all
 }
 
-// gone tells whether none of some processes runs any more.
+// haveEnded reports whether none of some processes runs.
 func haveEnded(pids []int) bool {
 	return !slices.ContainsFunc(pids, func(pid int) bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -212,13 +228,16 @@
 			}
 			dir := t.TempDir()
 			record, plan := filepath.Join(dir, "record.jsonl"), filepath.Join(dir, "plan.toml")
-			if err := os.WriteFile(plan, []byte("sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\nhurry = 5000.0\nrepeats = 9"), 0o600); err != nil {
+			const planText = "sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\n" +
+				"hurry = 5000.0\nrepeats = 9"
+			if err := os.WriteFile(plan, []byte(planText), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin, "--logs", dir, "--target", targetFile)
+			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin,
+				"--logs", dir, "--target", targetFile)
 			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-			var said bytes.Buffer
-			cmd.Stdout, cmd.Stderr = &said, &said
+			var output bytes.Buffer
+			cmd.Stdout, cmd.Stderr = &output, &output
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -227,8 +246,9 @@
 				text, _ := os.ReadFile(record)
 				return bytes.Count(text, []byte("\n"))
 			}
-			if err := processtest.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 }); err != nil {
-				t.Fatalf("%v\n%s", err, &said)
+			err = processtest.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 })
+			if err != nil {
+				t.Fatalf("%v\n%s", err, &output)
 			}
 			// On the ordinary day an agent may be between its end and its next start.
 			var started []int
@@ -240,10 +260,11 @@
 			}
 			cmd.Process.Signal(sig)
 			err = cmd.Wait()
-			if err == nil || sig == syscall.SIGINT && !strings.Contains(said.String(), "interrupted") {
-				t.Errorf("it ended with %v and said:\n%s", err, &said)
+			if err == nil || sig == syscall.SIGINT && !strings.Contains(output.String(), "interrupted") {
+				t.Errorf("it ended with %v and printed:\n%s", err, &output)
 			}
-			if err := processtest.Await(10*time.Second, "all its processes have ended", func() bool { return haveEnded(started) }); err != nil {
+			err = processtest.Await(10*time.Second, "all its processes have ended", func() bool { return haveEnded(started) })
+			if err != nil {
 				t.Error(err)
 			}
 			f, err := os.Open(record)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,7 +52,8 @@
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
 	request := recs[0].Event
-	if recs[0].Instance != 3 || request.Kind != balancer.EventRequest || request.Request != 0x5d3a91c4 || request.RemainingMs != 240 ||
+	if recs[0].Instance != 3 || request.Kind != balancer.EventRequest ||
+		request.Request != 0x5d3a91c4 || request.RemainingMs != 240 ||
 		request.Retry || request.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("request: %+v", recs[0])
 	}
@@ -73,7 +74,8 @@
 		t.Fatal(err)
 	}
 	v := recs[0].Event
-	if v.Kind != balancer.EventAttemptDone || v.Attempt != 2 || v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+	if v.Kind != balancer.EventAttemptDone || v.Attempt != 2 ||
+		v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
 		v.Status != balancer.StatusOK || v.LatencyMs != 18.5 || !v.RequestDone {
 		t.Errorf("attempt done: %+v", v)
 	}
@@ -173,8 +175,10 @@
 		"bad pool":       {"00000001 00000038 40c06e2000000000 13 00000010" + zeros(43), "pool: table"},
 		"pool past tail": {"00000001 00000038 40c06e2000000000 13 00000000 00000000 ffffffff" + zeros(35), "pool: hosts"},
 		"bad mode":       {"00000001 00000038 40c06e2000000000 16 00000003 09" + zeros(42), "targets: mode"},
-		"bad settings":   {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27), "boot: settings"},
-		"bad ending":     {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29), "verdict: ending"},
+		"bad settings": {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27),
+			"boot: settings"},
+		"bad ending": {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29),
+			"verdict: ending"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := decodeAll(frame(t, c.text))
@@ -225,7 +229,8 @@
 	if err != nil || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if e := recs[0].Event; e.Kind != balancer.EventResponseStarted || e.Request != 0x5d3a91c4 || e.LatencyMs != 18.5 || e.Attempt != 1 ||
+	if e := recs[0].Event; e.Kind != balancer.EventResponseStarted || e.Request != 0x5d3a91c4 ||
+		e.LatencyMs != 18.5 || e.Attempt != 1 ||
 		e.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) {
 		t.Errorf("response started: %+v", e)
 	}
