--- a/cmd/experiment/capacity_test.go
+++ b/cmd/experiment/capacity_test.go
@@ -28,7 +28,7 @@
 	return out.String(), err
 }
 
-// The page's tables are, byte for byte, what the command in the page prints from the committed
+// TestPageIsWhatItsCommandPrints: the page's tables are, byte for byte, what the command in the page prints from the committed
 // records; `experiment capacity RECORD... --page docs/CAPACITY.md` writes them anew.
 func TestPageIsWhatItsCommandPrints(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("../..", pageFile))
@@ -66,7 +66,8 @@
 
 func TestCapacityRewritesOnlyTheTables(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "PAGE.md")
-	if err := os.WriteFile(page, []byte("before\n\n"+capacity.BeginMarker+"\nold\n"+capacity.EndMarker+"\nafter\n"), 0o644); err != nil {
+	text := "before\n\n" + capacity.BeginMarker + "\nold\n" + capacity.EndMarker + "\nafter\n"
+	if err := os.WriteFile(page, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	printed, err := run(t, "capacity", madeUp)
@@ -81,7 +82,8 @@
 		t.Fatalf("%v, %q", err, &out)
 	}
 	got, err := os.ReadFile(page)
-	want := "before\n\n" + capacity.BeginMarker + "\n" + strings.TrimRight(printed, "\n") + "\n" + capacity.EndMarker + "\nafter\n"
+	want := "before\n\n" + capacity.BeginMarker + "\n" + strings.TrimRight(printed, "\n") + "\n" + capacity.EndMarker +
+		"\nafter\n"
 	if err != nil || string(got) != want {
 		t.Errorf("the page is not the printed tables between its text (%v)", err)
 	}
@@ -90,7 +92,8 @@
 	}
 }
 
-// A wrong file is one line that names it, and the page stays as it was.
+// TestCapacityRefusesBadInput: a malformed file is an error of one line that names it, and the page is not
+// changed.
 func TestCapacityRefusesBadInput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
--- /dev/null
+++ b/internal/capacity/mechanism_test.go
@@ -0,0 +1,34 @@
+package capacity
+
+import (
+	"testing"
+)
+
+const mechanismsFile = "testdata/mechanisms.toml"
+
+func TestMechanismErrors(t *testing.T) {
+	const head = "[[mechanism]]\n"
+	for text, says := range map[string]string{
+		head + "rows = [\"agent/*/bytes\"]\n":                               "by: is empty",
+		head + "by = \"gossip\"\n":                                          "rows: names none",
+		head + "rows = [\"[\"]\nby = \"gossip\"\n":                          "is no pattern",
+		head + "rows = [\"agent/*/bytes\"]\nby = \"a\"\nhow = 1\n":          "mechanism.how",
+		head + "rows = [\"agent/*/bytes\"]\nby = \"a | b\"\n":               "breaks a table",
+		head + "rows = [\"agent/*/bytes\", \"agent/*/byts\"]\nby = \"a\"\n": "names no row",
+		head + "rows = 3\n":                                                 "rows",
+	} {
+		path := writeFile(t, "m.toml", text)
+		m, err := LoadMechanisms(path)
+		if err == nil {
+			target, terr := LoadTarget(targetFile)
+			if terr != nil {
+				t.Fatal(terr)
+			}
+			_, err = NewPage(target, m, nil, nil)
+		}
+		requireOneLineError(t, err, path, says)
+	}
+	if m := (&Mechanisms{}); m.forRow("agent/quiet/bytes") != noMechanism {
+		t.Errorf("a row that nothing names is carried by %q", m.forRow("agent/quiet/bytes"))
+	}
+}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"fmt"
-	"maps"
 	"math"
 	"os"
-	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -15,8 +13,6 @@
 	"pgregory.net/rapid"
 )
 
-const mechanismsFile = "testdata/mechanisms.toml"
-
 // renderTables makes a page from runs and benchmark files, and returns its tables.
 func renderTables(t interface {
 	Fatal(...any)
@@ -184,48 +180,6 @@
 	requireLine(t, text, "| list | zone | 420 (3) |", "| 21 |")
 }
 
-func TestRanking(t *testing.T) {
-	_, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt")
-	ranked, rest := p.Ranked()
-	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
-		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
-	}
-	last := math.Inf(1)
-	for _, r := range ranked[2:] {
-		use, _, ok := r.Use()
-		if !ok || use > last {
-			t.Errorf("%s has use %v (%v), below %v", r.Name(), use, ok, last)
-		}
-		last = use
-	}
-	for _, r := range rest {
-		if r.Known {
-			t.Errorf("%s is known and not ranked", r.Name())
-		}
-	}
-	// With something that carries them, settings are ranked as all else is.
-	for _, r := range p.rows {
-		r.Mechanism = "watch"
-	}
-	settings := p.rowNamed(t, "in force/ordinary/settings")
-	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
-		t.Errorf("carried: %s is first", ranked[0].Name())
-	}
-}
-
-// TestUseOverBudgetAtMeasuredSize: a metric that is over its budget at a measured size needs no fit.
-func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
-	runs := []*Run{validRun()}
-	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
-	_, p := renderTables(t, runs)
-	if r := p.rowNamed(t, "agent/quiet/memory"); r.Known || r.usageCell() != "2 at 50 already" {
-		t.Errorf("%q, use %q", r.targetCell(), r.usageCell())
-	}
-	if ranked, _ := p.Ranked(); ranked[1].Name() != "agent/quiet/memory" {
-		t.Errorf("%s is second", ranked[1].Name())
-	}
-}
-
 // TestRolesUseFirstPlanOnly: a second plan adds its changes in force, and nothing to the metrics of roles.
 func TestRolesUseFirstPlanOnly(t *testing.T) {
 	first, second := validRun(), validRun()
@@ -248,47 +202,6 @@
 	}
 }
 
-func TestValidRunsKeepsLastRepeat(t *testing.T) {
-	first, again, other, late := validRun(), validRun(), validRun(), validRun()
-	other.Repeat, late.Repeat, late.Invalid = 2, 3, []string{"late"}
-	if got := ValidRuns([]*Run{first, other, again, late}); !slices.Equal(got, []*Run{other, again}) {
-		t.Errorf("%d count", len(got))
-	}
-}
-
-func TestSelectSource(t *testing.T) {
-	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
-	run := func(size int, hollow, real float64) *Run {
-		r := validRun()
-		r.Size, r.Hollow = size, size-r.Real
-		r.Roles = map[string]RoleMetrics{}
-		if hollow >= 0 {
-			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollow}}
-		}
-		if real >= 0 {
-			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: real}}
-		}
-		return r
-	}
-	for _, c := range []struct {
-		runs      []*Run
-		why, role string
-	}{
-		{nil, "not measured", RoleHollow},
-		{[]*Run{run(50, -1, 1), run(50, -1, 1)}, "real; hollow not measured", RoleReal},
-		{[]*Run{run(50, 1, -1)}, "hollow, not held to real", RoleHollow},
-		{[]*Run{run(50, 1, 1)}, "real; no ratio to hollow", RoleReal},
-		{[]*Run{run(50, 0, 0), run(100, 0, 0)}, "hollow; both 0", RoleHollow},
-		{[]*Run{run(50, 1, 1.1), run(100, 2, 1.9)}, "hollow", RoleHollow},
-		{[]*Run{run(50, 1, 2), run(50, 1, 2.01), run(100, 2, 4)}, "hollow ÷ 0.499", RoleHollow},
-		{[]*Run{run(50, 1, 2), run(50, 1, 2), run(100, 1, 4), run(100, 1, 4)}, "real; hollow not used", RoleReal},
-	} {
-		if s := selectSource(c.runs, cpu); s.Description != c.why || s.Role != c.role {
-			t.Errorf("%q of %s, want %q of %s", s.Description, s.Role, c.why, c.role)
-		}
-	}
-}
-
 // TestPageOfArbitraryRuns: for arbitrary runs, with any of the metrics missing, the page has no defect.
 func TestPageOfArbitraryRuns(t *testing.T) {
 	names := []string{
@@ -334,80 +247,6 @@
 	})
 }
 
-func TestReadBenchmarkFileErrors(t *testing.T) {
-	for text, says := range map[string]string{
-		"BenchmarkPath/servers=10 100 nonsense added-p99-us\n": ":1: ",
-		"goos: linux\n--- FAIL: BenchmarkPath\n":               ":2: a benchmark failed",
-		"FAIL\tsome/package\n":                                 ":1: a benchmark failed",
-		"BenchmarkPath/servers=10 100 NaN added-p99-us\n":      ":1: added-p99-us: NaN",
-	} {
-		path := writeFile(t, "b.txt", text)
-		b, err := ReadBenchmarkFile(path)
-		requireOneLineError(t, err, path+says)
-		if b != nil {
-			t.Errorf("%q: half read", text)
-		}
-	}
-	const good = "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"
-	one, err := ReadBenchmarkFile(writeFile(t, "b.txt", good))
-	if err != nil {
-		t.Fatal(err)
-	}
-	e, ok := one.Estimate("Decision/servers=10/state=calm", "sec/op")
-	if !ok || !e.SingleRun || math.Abs(e.Mean-2.5e-6) > 1e-12 || one.Config["commit"] != "abc" {
-		t.Errorf("%+v, %v, %v", e, ok, one.Config)
-	}
-	if got := slices.Sorted(maps.Keys(one.ServerCounts(decisionBenchmark))); !slices.Equal(got, []int{10}) {
-		t.Errorf("servers %v", got)
-	}
-}
-
-func TestMechanismErrors(t *testing.T) {
-	const head = "[[mechanism]]\n"
-	for text, says := range map[string]string{
-		head + "rows = [\"agent/*/bytes\"]\n":                               "by: is empty",
-		head + "by = \"gossip\"\n":                                          "rows: names none",
-		head + "rows = [\"[\"]\nby = \"gossip\"\n":                          "is no pattern",
-		head + "rows = [\"agent/*/bytes\"]\nby = \"a\"\nhow = 1\n":          "mechanism.how",
-		head + "rows = [\"agent/*/bytes\"]\nby = \"a | b\"\n":               "breaks a table",
-		head + "rows = [\"agent/*/bytes\", \"agent/*/byts\"]\nby = \"a\"\n": "names no row",
-		head + "rows = 3\n":                                                 "rows",
-	} {
-		path := writeFile(t, "m.toml", text)
-		m, err := LoadMechanisms(path)
-		if err == nil {
-			target, terr := LoadTarget(targetFile)
-			if terr != nil {
-				t.Fatal(terr)
-			}
-			_, err = NewPage(target, m, nil, nil)
-		}
-		requireOneLineError(t, err, path, says)
-	}
-	if m := (&Mechanisms{}); m.forRow("agent/quiet/bytes") != noMechanism {
-		t.Errorf("a row that nothing names is carried by %q", m.forRow("agent/quiet/bytes"))
-	}
-}
-
-func TestReplaceTables(t *testing.T) {
-	page := "# Page\n\n" + BeginMarker + "\nold\n" + EndMarker + "\nafter\n"
-	got, err := ReplaceTables(page, "new\n\n")
-	if want := "# Page\n\n" + BeginMarker + "\nnew\n" + EndMarker + "\nafter\n"; err != nil || got != want {
-		t.Errorf("%q, %v", got, err)
-	}
-	for _, wrong := range []string{
-		"",
-		BeginMarker + "\n",
-		EndMarker + "\n" + BeginMarker + "\n",
-		page + page,
-		"x" + page[len("# Page\n\n"):],
-	} {
-		if got, err := ReplaceTables(wrong, "new"); err == nil {
-			t.Errorf("%q made %q", wrong, got)
-		}
-	}
-}
-
 func TestSyntheticRunsAreMarked(t *testing.T) {
 	for _, r := range syntheticRuns(t) {
 		if r.Plan != "made-up" || r.Commit != "none" {
@@ -419,50 +258,3 @@
 		t.Errorf("%s, %v", text, err)
 	}
 }
-
-// TestCorrectionWidensInterval: the uncertainty of the ratio that hollow agents' metrics are divided by is
-// part of the interval.
-func TestCorrectionWidensInterval(t *testing.T) {
-	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
-	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
-		t.Errorf("%v (%v)", v, in)
-	}
-	_, p := renderTables(t, syntheticRuns(t))
-	r := p.rowNamed(t, "agent/rollout/processor")
-	runs, _ := p.comparableRuns(subjectAgent, "rollout")
-	_, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200)
-	if r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
-		t.Errorf("%v, no wider than %v", r.Interval, plain)
-	}
-}
-
-func TestRescaleToTarget(t *testing.T) {
-	near := func(got, want float64) bool { return math.Abs(got-want) <= 1e-9 }
-	const scaled = 100*0.75 + 500*0.25
-	for _, c := range []struct {
-		name       string
-		rateFactor float64
-		value      float64
-		interval   Interval
-	}{
-		{"four times the rate", 4, scaled, Interval{scaled - math.Hypot(7.5, 25), scaled + math.Hypot(15, 50)}},
-		{"the target's rate", 1, 500, Interval{400, 700}},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, c.rateFactor)
-			if v != c.value || !near(in.Lo, c.interval.Lo) || !near(in.Hi, c.interval.Hi) {
-				t.Errorf("%v (%v), want %v (%v)", v, in, c.value, c.interval)
-			}
-		})
-	}
-}
-
-func TestPlanArgument(t *testing.T) {
-	file := writeFile(t, "plan.toml", "name = \"two\"\nsizes = [1]\n")
-	record := filepath.Join(filepath.Dir(file), "r.jsonl")
-	for plan, want := range map[string]string{"two": file, "small": "--small", "three": "three.toml"} {
-		if got := planArgument(record, plan); got != want {
-			t.Errorf("%q is %q, want %q", plan, got, want)
-		}
-	}
-}
--- /dev/null
+++ b/internal/capacity/ranking_test.go
@@ -0,0 +1,49 @@
+package capacity
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func TestRanking(t *testing.T) {
+	_, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt")
+	ranked, rest := p.Ranked()
+	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
+		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
+	}
+	last := math.Inf(1)
+	for _, r := range ranked[2:] {
+		use, _, ok := r.Use()
+		if !ok || use > last {
+			t.Errorf("%s has use %v (%v), below %v", r.Name(), use, ok, last)
+		}
+		last = use
+	}
+	for _, r := range rest {
+		if r.Known {
+			t.Errorf("%s is known and not ranked", r.Name())
+		}
+	}
+	// With something that carries them, settings are ranked as all else is.
+	for _, r := range p.rows {
+		r.Mechanism = "watch"
+	}
+	settings := p.rowNamed(t, "in force/ordinary/settings")
+	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
+		t.Errorf("carried: %s is first", ranked[0].Name())
+	}
+}
+
+// TestUseOverBudgetAtMeasuredSize: a metric that is over its budget at a measured size needs no fit.
+func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
+	runs := []*Run{validRun()}
+	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
+	_, p := renderTables(t, runs)
+	if r := p.rowNamed(t, "agent/quiet/memory"); r.Known || r.usageCell() != "2 at 50 already" {
+		t.Errorf("%q, use %q", r.targetCell(), r.usageCell())
+	}
+	if ranked, _ := p.Ranked(); ranked[1].Name() != "agent/quiet/memory" {
+		t.Errorf("%s is second", ranked[1].Name())
+	}
+}
--- a/internal/capacity/read_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -3,90 +3,11 @@
 import (
 	"bytes"
 	"math"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 )
 
-const targetFile = "../../deploy/target.toml"
-
-func writeFile(t *testing.T, name, text string) string {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
-// requireOneLineError fails unless an error is one line that holds all the words.
-func requireOneLineError(t *testing.T, err error, words ...string) {
-	t.Helper()
-	if err == nil {
-		t.Errorf("no error; want one that names %q", words)
-		return
-	}
-	if strings.Contains(err.Error(), "\n") {
-		t.Errorf("more than one line: %q", err)
-	}
-	for _, w := range words {
-		if !strings.Contains(err.Error(), w) {
-			t.Errorf("%q does not name %q", err, w)
-		}
-	}
-}
-
-func TestLoadTargetOfDeployment(t *testing.T) {
-	got, err := LoadTarget(targetFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.Fleet.Agents != 1500 || got.Agent.ControlCPU != 0.012 || got.Agent.BytesPerS != 11000 ||
-		got.Changes.InForceS != 11 || got.Day.AgentsReplaced != 340 {
-		t.Errorf("read %+v", got)
-	}
-}
-
-func TestLoadTargetErrors(t *testing.T) {
-	whole, err := os.ReadFile(targetFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range []struct{ old, new, names string }{
-		{"agents = 1500", "agents = 0", "fleet.agents"},
-		{"agents = 1500", "agents = -1", "fleet.agents"},
-		{"agents = 1500 ", "agents = 1500\nagenst = 1", "fleet.agenst"},
-		{"agents = 1500", "agents = \"many\"", "agents"},
-		{"agents = 1500", "", "fleet.agents"},
-		{"memory_mb = 64", "memory_mb = nan", "agent.memory_mb"},
-		{"memory_mb = 64", "memory_mb = inf", "agent.memory_mb"},
-		{"memory_mb = 64", "", "agent.memory_mb"},
-		{"in_force_s = 11", "in_force_s = 0", "changes.in_force_s"},
-		{"per_day = 4800", "per_day = -1", "changes.per_day"},
-		{"agents_replaced = 340", "agents_replaced = -1", "day.agents_replaced"},
-		{"services = 150", "", "fleet.services"},
-		{"services = 150", "services = 1501", "fleet.services"},
-		{"regions = 2", "regions = 7", "fleet.regions"},
-		{"machines_failed = 4", "machines_failed = -4", "day.machines_failed"},
-		{"[day] ", "[days] ", "days"},
-		{"[day] ", "[day", ""},
-	} {
-		if !strings.Contains(string(whole), c.old) {
-			t.Fatalf("the target has no %q", c.old)
-		}
-		path := writeFile(t, "target.toml", strings.Replace(string(whole), c.old, c.new, 1))
-		got, err := LoadTarget(path)
-		requireOneLineError(t, err, path, c.names)
-		if got != nil {
-			t.Errorf("%q for %q: half a target", c.new, c.old)
-		}
-	}
-	_, err = LoadTarget(filepath.Join(t.TempDir(), "none.toml"))
-	requireOneLineError(t, err, "none.toml")
-}
-
 func validRun() *Run {
 	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
 		ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
--- /dev/null
+++ b/internal/capacity/source_test.go
@@ -0,0 +1,56 @@
+package capacity
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func TestSelectSource(t *testing.T) {
+	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
+	run := func(size int, hollow, real float64) *Run {
+		r := validRun()
+		r.Size, r.Hollow = size, size-r.Real
+		r.Roles = map[string]RoleMetrics{}
+		if hollow >= 0 {
+			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollow}}
+		}
+		if real >= 0 {
+			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: real}}
+		}
+		return r
+	}
+	for _, c := range []struct {
+		runs      []*Run
+		why, role string
+	}{
+		{nil, "not measured", RoleHollow},
+		{[]*Run{run(50, -1, 1), run(50, -1, 1)}, "real; hollow not measured", RoleReal},
+		{[]*Run{run(50, 1, -1)}, "hollow, not held to real", RoleHollow},
+		{[]*Run{run(50, 1, 1)}, "real; no ratio to hollow", RoleReal},
+		{[]*Run{run(50, 0, 0), run(100, 0, 0)}, "hollow; both 0", RoleHollow},
+		{[]*Run{run(50, 1, 1.1), run(100, 2, 1.9)}, "hollow", RoleHollow},
+		{[]*Run{run(50, 1, 2), run(50, 1, 2.01), run(100, 2, 4)}, "hollow ÷ 0.499", RoleHollow},
+		{[]*Run{run(50, 1, 2), run(50, 1, 2), run(100, 1, 4), run(100, 1, 4)}, "real; hollow not used", RoleReal},
+	} {
+		if s := selectSource(c.runs, cpu); s.Description != c.why || s.Role != c.role {
+			t.Errorf("%q of %s, want %q of %s", s.Description, s.Role, c.why, c.role)
+		}
+	}
+}
+
+// TestCorrectionWidensInterval: the uncertainty of the ratio that hollow agents' metrics are divided by is
+// part of the interval.
+func TestCorrectionWidensInterval(t *testing.T) {
+	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
+	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
+		t.Errorf("%v (%v)", v, in)
+	}
+	_, p := renderTables(t, syntheticRuns(t))
+	r := p.rowNamed(t, "agent/rollout/processor")
+	runs, _ := p.comparableRuns(subjectAgent, "rollout")
+	_, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200)
+	if r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
+		t.Errorf("%v, no wider than %v", r.Interval, plain)
+	}
+}
--- /dev/null
+++ b/internal/scaletest/days_test.go
@@ -0,0 +1,52 @@
+package scaletest
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/capacity"
+)
+
+// TestTargetRates checks the rates and services of a size against the deployment's target.
+func TestTargetRates(t *testing.T) {
+	target, err := capacity.LoadTarget(targetFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	// 4,800 changes a day of 1,500 agents: at a size of 150 and 100 times the rate, 5.6 in 10 s.
+	got := expectedEvents(target, target.Changes.PerDay, 150, &Plan{Seconds: 10, RateFactor: 100})
+	if math.Abs(got-5.5556) > 0.001 {
+		t.Errorf("%v changes, want 5.5556", got)
+	}
+	for size, want := range map[int]int{1500: 150, 70: 7, 3: 1} {
+		if got := servicesAt(target, size); got != want {
+			t.Errorf("%d services of %d agents, want %d", got, size, want)
+		}
+	}
+}
+
+// TestNextChangeIsSettings: a plan without changes of settings draws no random number for them, and one
+// with a fraction draws that.
+func TestNextChangeIsSettings(t *testing.T) {
+	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
+	for _, c := range []struct {
+		share float64
+		least int
+		most  int
+	}{{0, 0, 0}, {0.3, 2700, 3300}, {1, 10_000, 10_000}} {
+		f.plan.SettingsFraction = c.share
+		n := 0
+		for range 10_000 {
+			if f.nextChangeIsSettings() {
+				n++
+			}
+		}
+		if n < c.least || n > c.most {
+			t.Errorf("%v of 10,000 changes: %d", c.share, n)
+		}
+		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.share == 0 && f.random.Uint64() != first {
+			t.Error("a plan without changes of settings draws for them")
+		}
+	}
+}
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -1,17 +1,12 @@
 package scaletest
 
 import (
-	"context"
-	"math"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // TestPlanErrors: a wrong key or value is an error of one line that names the file, the line and it.
@@ -68,154 +63,6 @@
 	}
 }
 
-// TestTargetRates checks the rates and services of a size against the deployment's target.
-func TestTargetRates(t *testing.T) {
-	target, err := capacity.LoadTarget(targetFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	// 4,800 changes a day of 1,500 agents: at a size of 150 and 100 times the rate, 5.6 in 10 s.
-	got := expectedEvents(target, target.Changes.PerDay, 150, &Plan{Seconds: 10, RateFactor: 100})
-	if math.Abs(got-5.5556) > 0.001 {
-		t.Errorf("%v changes, want 5.5556", got)
-	}
-	for size, want := range map[int]int{1500: 150, 70: 7, 3: 1} {
-		if got := servicesAt(target, size); got != want {
-			t.Errorf("%d services of %d agents, want %d", got, size, want)
-		}
-	}
-}
-
-// TestNextChangeIsSettings: a plan without changes of settings draws no random number for them, and one
-// with a fraction draws that.
-func TestNextChangeIsSettings(t *testing.T) {
-	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
-	for _, c := range []struct {
-		share float64
-		least int
-		most  int
-	}{{0, 0, 0}, {0.3, 2700, 3300}, {1, 10_000, 10_000}} {
-		f.plan.SettingsFraction = c.share
-		n := 0
-		for range 10_000 {
-			if f.nextChangeIsSettings() {
-				n++
-			}
-		}
-		if n < c.least || n > c.most {
-			t.Errorf("%v of 10,000 changes: %d", c.share, n)
-		}
-		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.share == 0 && f.random.Uint64() != first {
-			t.Error("a plan without changes of settings draws for them")
-		}
-	}
-}
-
-// TestCheckMachine: a size that the machine can't run is refused in one line that says what it would take,
-// before anything is started.
-func TestCheckMachine(t *testing.T) {
-	limits := machineLimits{memoryMB: 12_000, freeMemoryMB: 12_000, descriptors: 20_000}
-	for _, c := range []struct {
-		hollow, real, host int
-		want               string
-	}{
-		{20_000, 20, 500, "MB, and half of this machine's memory is 12000 MB"},
-		{100, 400, 50, "are 406 processes with the runner, and 300 are allowed"},
-		{600, 20, 600, "descriptors a process, and 20000 are allowed"},
-	} {
-		p := DefaultPlan()
-		p.Real, p.AgentsPerHost = c.real, c.host
-		err := p.checkSize(c.hollow, limits)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%+v: %v, want %s", c, err, c.want)
-		}
-	}
-	p := DefaultPlan()
-	if err := p.checkSize(400, limits); err != nil {
-		t.Errorf("400 hollow agents within 12,000 MB: %v", err)
-	}
-	limits.freeMemoryMB = 500
-	if err := p.checkSize(400, limits); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
-		t.Errorf("with 500 MB free: %v", err)
-	}
-	dir := t.TempDir()
-	p.Sizes = []int{50, 1_000_000}
-	err := Run(context.Background(), Config{
-		Plan:        p,
-		Target:      &capacity.Target{},
-		Directory:   dir,
-		Agent:       "none",
-		Discovery:   "none",
-		HostCommand: []string{"none"},
-		OnRun:       func(*capacity.Run) error { t.Error("a run was played"); return nil },
-	})
-	if err == nil || !strings.Contains(err.Error(), "1000000 hollow agents") {
-		t.Errorf("a million agents: %v", err)
-	}
-	if left, _ := os.ReadDir(dir); len(left) > 0 {
-		t.Errorf("a refused plan left %v", left)
-	}
-}
-
-// TestTrackerLatencies: a change is in force with its version or a later one. An agent without it that ended
-// before the timeout is not counted, one that ran for the whole time is counted as never in force, and
-// one that dropped log lines as unknown.
-func TestTrackerLatencies(t *testing.T) {
-	tr := newTracker()
-	now := time.Now()
-	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	tr.inForce("early", 7, at(-100)) // before it is known to run
-	for _, n := range []string{"early", "all", "over", "late", "never", "short", "blind", "new"} {
-		tr.started(n)
-		tr.current[n].start = at(-100)
-	}
-	tr.acknowledged(5, at(-60))
-	tr.acknowledged(7, at(-50))
-	tr.inForce("all", 5, at(-59))
-	tr.inForce("all", 7, at(-49.5))
-	tr.inForce("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
-	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: both absent
-	tr.inForce("blind", 5, at(-59))
-	tr.markIncomplete("blind")
-	tr.current["new"].start = at(-55) // the change of version 5 was before it
-	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: at once
-	tr.stopping("short")
-	short := slices.IndexFunc(tr.incarnations, func(i *incarnation) bool { return i.agent == "short" })
-	tr.incarnations[short].end = at(-45)
-	times, missing, err := tr.latencies()
-	if err != nil {
-		t.Fatal(err)
-	}
-	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
-	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 ||
-		math.Abs(times.P50-500) > 1 {
-		t.Errorf("%+v, missing %d", times, missing)
-	}
-	tr.reset()
-	times, missing, err = tr.latencies()
-	if err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
-		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
-	}
-}
-
-// TestTrackerOfService: a change of a service's settings is for its agents alone, and so is its version.
-func TestTrackerOfService(t *testing.T) {
-	tr := newTrackers()[kindSettings]
-	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
-	tr.started("a")
-	tr.started("b")
-	acked := time.Now()
-	tr.acknowledgedFor("one", 5, acked)
-	tr.acknowledgedFor("two", 9, acked)
-	tr.inForce("a", 5, acked.Add(time.Second))
-	tr.inForce("b", 9, acked.Add(3*time.Second))
-	times, _, err := tr.latencies()
-	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 ||
-		tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
-		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
-	}
-}
-
 // TestAgentLog: versions and counts are read from the agent's own lines.
 func TestAgentLog(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -156,7 +156,7 @@
 				case small.Day == "quiet" && (name == capacity.MessagesIn || name == capacity.MessagesOut) && v > 1.6*a[name]+1:
 					t.Errorf("%s, %s: %s grow with the fleet: %.3g at %d agents, %.3g at %d", small.Day, role, name, a[name], small.Size, v, large.Size)
 				case v > 0.9*square*a[name]+1 && !slices.Contains([]string{capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut}, name),
-					// Whole lists are exchanged seldom: one in a short day is much of its bytes.
+					// Full lists are exchanged rarely: one is a large part of a short day's bytes.
 					v > 0.9*square*a[name]+2000:
 					t.Errorf("%s, %s: %s grows with the fleet's square: %.3g at %d agents, %.3g at %d", small.Day, role, name, a[name], small.Size, v, large.Size)
 				}
--- /dev/null
+++ b/internal/scaletest/tracker_test.go
@@ -0,0 +1,67 @@
+package scaletest
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestTrackerLatencies: a change is in force with its version or a later one. An agent without it that ended
+// before the timeout is not counted, one that ran for the whole time is counted as never in force, and
+// one that dropped log lines as unknown.
+func TestTrackerLatencies(t *testing.T) {
+	tr := newTracker()
+	now := time.Now()
+	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
+	tr.inForce("early", 7, at(-100)) // before it is known to run
+	for _, n := range []string{"early", "all", "over", "late", "never", "short", "blind", "new"} {
+		tr.started(n)
+		tr.current[n].start = at(-100)
+	}
+	tr.acknowledged(5, at(-60))
+	tr.acknowledged(7, at(-50))
+	tr.inForce("all", 5, at(-59))
+	tr.inForce("all", 7, at(-49.5))
+	tr.inForce("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
+	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: both absent
+	tr.inForce("blind", 5, at(-59))
+	tr.markIncomplete("blind")
+	tr.current["new"].start = at(-55) // the change of version 5 was before it
+	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: at once
+	tr.stopping("short")
+	short := slices.IndexFunc(tr.incarnations, func(i *incarnation) bool { return i.agent == "short" })
+	tr.incarnations[short].end = at(-45)
+	times, missing, err := tr.latencies()
+	if err != nil {
+		t.Fatal(err)
+	}
+	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
+	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 ||
+		math.Abs(times.P50-500) > 1 {
+		t.Errorf("%+v, missing %d", times, missing)
+	}
+	tr.reset()
+	times, missing, err = tr.latencies()
+	if err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
+		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
+	}
+}
+
+// TestTrackerOfService: a change of a service's settings is for its agents alone, and so is its version.
+func TestTrackerOfService(t *testing.T) {
+	tr := newTrackers()[kindSettings]
+	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
+	tr.started("a")
+	tr.started("b")
+	acked := time.Now()
+	tr.acknowledgedFor("one", 5, acked)
+	tr.acknowledgedFor("two", 9, acked)
+	tr.inForce("a", 5, acked.Add(time.Second))
+	tr.inForce("b", 9, acked.Add(3*time.Second))
+	times, _, err := tr.latencies()
+	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 ||
+		tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
+		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
+	}
+}
