--- /dev/null
+++ b/internal/capacity/recordfile_test.go
@@ -0,0 +1,90 @@
+package capacity
+
+import (
+	"bytes"
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+func validRun() *Run {
+	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
+		ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
+		Roles: map[string]RoleMetrics{RoleReal: {
+			Count: 20,
+			Mean:  map[string]float64{CPU: 0.002},
+			Max:   map[string]float64{CPU: 0.003},
+		}},
+		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
+}
+
+func TestRunRoundTrip(t *testing.T) {
+	var b bytes.Buffer
+	one, two := validRun(), validRun()
+	two.Seed = math.MaxUint64
+	two.Missing = []string{"alloc"}
+	two.Invalid = []string{"late"}
+	two.RateFactor = 0
+	two.Seconds = 0
+	for _, r := range []*Run{one, two} {
+		if err := WriteRun(&b, r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got, err := ReadRuns(writeFile(t, "r.jsonl", b.String()))
+	if err != nil || !reflect.DeepEqual(got, []*Run{one, two}) {
+		t.Errorf("read %v, %v", got, err)
+	}
+}
+
+func TestWriteRunRefusesInvalidRun(t *testing.T) {
+	for names, spoil := range map[string]func(*Run){
+		"plan":                func(r *Run) { r.Plan = "" },
+		"day":                 func(r *Run) { r.Day = "holiday" },
+		"repeat":              func(r *Run) { r.Repeat = 0 },
+		"size":                func(r *Run) { r.Size = 51 },
+		"hurry":               func(r *Run) { r.RateFactor = 0 },
+		"seconds":             func(r *Run) { r.Seconds = math.NaN() },
+		"roles":               func(r *Run) { r.Roles["boss"] = RoleMetrics{} },
+		"roles.real.mean.cpu": func(r *Run) { r.Roles[RoleReal].Mean[CPU] = math.Inf(1) },
+		"roles.real.most.cpu": func(r *Run) { r.Roles[RoleReal].Max[CPU] = -1 },
+		"in_force.list":       func(r *Run) { r.InForce["list"] = Latencies{P99: math.NaN()} },
+	} {
+		r, b := validRun(), new(bytes.Buffer)
+		spoil(r)
+		requireOneLineError(t, WriteRun(b, r), names)
+		if b.Len() > 0 {
+			t.Errorf("%s: written all the same", names)
+		}
+	}
+}
+
+func TestReadRunsErrors(t *testing.T) {
+	var b bytes.Buffer
+	if err := WriteRun(&b, validRun()); err != nil {
+		t.Fatal(err)
+	}
+	good := b.String()
+	for _, c := range []struct{ old, new, names string }{
+		{`"size":50`, `"siez":50`, "siez"},
+		{`"size":50,`, ``, "size"},
+		{`"size":50`, `"size":"50"`, "size"},
+		{`"size":50`, `"size":50.5`, "size"},
+		{`"cpu":0.002`, `"cpu":NaN`, ""},
+		{`"cpu":0.002`, `"cpu":-1`, "roles.real.mean.cpu"},
+		{`"in_force"`, `"in_farce"`, "in_farce"},
+		{"}\n", "} {}\n", "follows"},
+		{"}\n", "", ""},
+	} {
+		if !strings.Contains(good, c.old) {
+			t.Fatalf("no %q in %s", c.old, good)
+		}
+		path := writeFile(t, "r.jsonl", good+"\n"+strings.Replace(good, c.old, c.new, 1))
+		runs, err := ReadRuns(path)
+		requireOneLineError(t, err, path+":3:", c.names)
+		if runs != nil {
+			t.Errorf("%q for %q: half read", c.new, c.old)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scaletest/run_test.go
@@ -0,0 +1,299 @@
+package scaletest
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+// targetFile is the deployment's target.
+const targetFile = "../../deploy/target.toml"
+
+// programs builds the programs that a run starts, once for all tests, and returns their directory.
+var programs = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "scale")
+	if err != nil {
+		return "", err
+	}
+	for _, program := range []string{"agent", "discovery", "experiment"} {
+		build := exec.Command("go", "build", "-o", filepath.Join(dir, program), "../../cmd/"+program)
+		if out, err := build.CombinedOutput(); err != nil {
+			return dir, fmt.Errorf("build %s: %w\n%s", program, err, out)
+		}
+	}
+	return dir, nil
+})
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if dir, _ := programs(); dir != "" {
+		os.RemoveAll(dir)
+	}
+	os.Exit(code)
+}
+
+// runDaysOfSize plays days at one size and returns their records.
+func runDaysOfSize(t *testing.T, hollow int, days ...string) []*capacity.Run {
+	t.Helper()
+	p := SmallPlan()
+	p.Sizes, p.Days, p.Seconds = []int{hollow}, days, minDaySeconds
+	return runPlan(t, p)
+}
+
+// runPlan plays a plan of one size and returns its records.
+func runPlan(t *testing.T, p *Plan) []*capacity.Run {
+	t.Helper()
+	bin, err := programs()
+	if err != nil {
+		t.Fatal(err)
+	}
+	target, err := capacity.LoadTarget(targetFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var runs []*capacity.Run
+	err = Run(context.Background(), Config{
+		Plan:        p,
+		Target:      target,
+		Directory:   t.TempDir(),
+		Commit:      "test",
+		Agent:       filepath.Join(bin, "agent"),
+		Discovery:   filepath.Join(bin, "discovery"),
+		HostCommand: []string{filepath.Join(bin, "experiment"), "scale-host"},
+		Progress:    t.Logf,
+		OnRun: func(r *capacity.Run) error {
+			runs = append(runs, r)
+			return nil
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(runs) != len(p.Days) {
+		t.Fatalf("%d runs of %d days", len(runs), len(p.Days))
+	}
+	return runs
+}
+
+// requireConverged checks that a run's changes came into force at all agents, and that the fleet converged.
+func requireConverged(t *testing.T, r *capacity.Run) {
+	t.Helper()
+	if !r.Converged {
+		t.Errorf("%d hollow, %s: the agents do not have one view and the last list", r.Hollow, r.Day)
+	}
+	if _, ok := r.InForce["settings"]; ok {
+		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Day)
+	}
+	times := r.InForce["list"]
+	if times.NeverInForce > 0 {
+		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Day, times.NeverInForce)
+	}
+	if r.Day != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
+		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Day, r.Changes, times.Count)
+	}
+	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 ||
+		r.Roles[capacity.RoleLeader].Count != 1 || r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
+		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Day, r.Roles)
+	}
+}
+
+// TestGrowthWithSize plays two small sizes: the messages of a member do not grow with the fleet, none of its
+// metrics grows with the square of the size, and changes come into force everywhere.
+func TestGrowthWithSize(t *testing.T) {
+	t.Parallel()
+	sizes := []int{12, 30}
+	runs := make([][]*capacity.Run, len(sizes))
+	t.Run("sizes", func(t *testing.T) {
+		for i, n := range sizes {
+			t.Run(fmt.Sprint(n), func(t *testing.T) {
+				t.Parallel()
+				runs[i] = runDaysOfSize(t, n, "quiet", "ordinary")
+				for _, r := range runs[i] {
+					requireConverged(t, r)
+				}
+			})
+		}
+		t.Run("faults", func(t *testing.T) {
+			t.Parallel()
+			for _, r := range runDaysOfSize(t, 12, "rollout", "control") {
+				requireConverged(t, r)
+			}
+		})
+		t.Run("regions", func(t *testing.T) {
+			t.Parallel()
+			for _, r := range runDaysOfSize(t, 12, "region") {
+				requireConverged(t, r)
+			}
+		})
+	})
+	if t.Failed() {
+		return
+	}
+	for day := range runs[0] {
+		small, large := runs[0][day], runs[1][day]
+		square := float64(large.Size) / float64(small.Size)
+		square *= square
+		for _, role := range []string{capacity.RoleHollow, capacity.RoleReal} {
+			for metric := range large.Roles[role].Mean {
+				if growth := excessiveGrowth(small, large, role, metric, square); growth != "" {
+					t.Errorf("%s, %s: %s grows with %s: %.3g at %d agents, %.3g at %d", small.Day, role, metric, growth,
+						small.Roles[role].Mean[metric], small.Size, large.Roles[role].Mean[metric], large.Size)
+				}
+			}
+		}
+	}
+}
+
+// excessiveGrowth says what a metric grows with from a small to a large fleet, if it grows too much: messages
+// on a quiet day may not grow with the fleet, and nothing with its square.
+func excessiveGrowth(small, large *capacity.Run, role, metric string, square float64) string {
+	before := small.Roles[role].Mean[metric]
+	after := large.Roles[role].Mean[metric]
+	tolerance := 1.0
+	switch metric {
+	case capacity.CPU:
+		return "" // a time: on a loaded machine it means nothing
+	case capacity.MessagesIn, capacity.MessagesOut:
+		if small.Day == "quiet" && after > 1.6*before+tolerance {
+			return "the fleet"
+		}
+	case capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut:
+		// Full lists are exchanged rarely: one is a large part of a short day's bytes.
+		tolerance = 2000
+	}
+	if after > 0.9*square*before+tolerance {
+		return "the fleet's square"
+	}
+	return ""
+}
+
+// TestSettingsReachAll plays changes of settings while the leader of discovery is killed: each pair of a
+// change and an agent of its service is timed, and all agents that run have their last settings at the end.
+func TestSettingsReachAll(t *testing.T) {
+	t.Parallel()
+	p := SmallPlan()
+	p.Sizes = []int{12}
+	p.Days = []string{"control"}
+	p.Seconds = minDaySeconds
+	p.RateFactor = 6000
+	p.SettingsFraction = 1
+	r := runPlan(t, p)[0]
+	times := r.InForce["settings"]
+	_, hasList := r.InForce["list"]
+	if hasList || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
+		t.Errorf("settled %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
+	}
+	// Two services share 15 agents, 3 of them real: a change has 7 or 8 pairs, 4 at least of hollow
+	// agents, which leave nothing out.
+	if times.Count < int64(4*r.Changes) || times.Count > int64(8*r.Changes) {
+		t.Errorf("%d changes, %d times", r.Changes, times.Count)
+	}
+}
+
+// descendants are the child processes of a process, and theirs.
+func descendants(pid int) (all []int) {
+	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
+	for _, path := range stats {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			continue // it has ended
+		}
+		var child, parent int
+		var state string
+		fmt.Sscan(string(text), &child)
+		fmt.Sscan(string(text[bytes.LastIndexByte(text, ')')+1:]), &state, &parent)
+		if parent == pid {
+			all = append(append(all, child), descendants(child)...)
+		}
+	}
+	return all
+}
+
+// haveEnded reports whether none of some processes runs.
+func haveEnded(pids []int) bool {
+	return !slices.ContainsFunc(pids, func(pid int) bool {
+		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+		return err == nil && !strings.HasPrefix(string(text[bytes.LastIndexByte(text, ')')+1:]), " Z")
+	})
+}
+
+// TestInterrupted: a run that is interrupted, or killed, ends all its processes and keeps what it
+// has recorded.
+func TestInterrupted(t *testing.T) {
+	t.Parallel()
+	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
+		t.Run(sig.String(), func(t *testing.T) {
+			t.Parallel()
+			bin, err := programs()
+			if err != nil {
+				t.Fatal(err)
+			}
+			dir := t.TempDir()
+			record, plan := filepath.Join(dir, "record.jsonl"), filepath.Join(dir, "plan.toml")
+			const planText = "sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\n" +
+				"hurry = 5000.0\nrepeats = 9"
+			if err := os.WriteFile(plan, []byte(planText), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin,
+				"--logs", dir, "--target", targetFile)
+			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+			var output bytes.Buffer
+			cmd.Stdout, cmd.Stderr = &output, &output
+			if err := cmd.Start(); err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { cmd.Process.Kill() })
+			lines := func() (n int) {
+				text, _ := os.ReadFile(record)
+				return bytes.Count(text, []byte("\n"))
+			}
+			err = processtest.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 })
+			if err != nil {
+				t.Fatalf("%v\n%s", err, &output)
+			}
+			// On the ordinary day an agent may be between its end and its next start.
+			var started []int
+			if err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 list instances run", func() bool {
+				started = descendants(cmd.Process.Pid)
+				return len(started) == 2+2+3
+			}); err != nil {
+				t.Fatalf("%v: %d processes run", err, len(started))
+			}
+			cmd.Process.Signal(sig)
+			err = cmd.Wait()
+			if err == nil || sig == syscall.SIGINT && !strings.Contains(output.String(), "interrupted") {
+				t.Errorf("it ended with %v and printed:\n%s", err, &output)
+			}
+			err = processtest.Await(10*time.Second, "all its processes have ended", func() bool { return haveEnded(started) })
+			if err != nil {
+				t.Error(err)
+			}
+			f, err := os.Open(record)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer f.Close()
+			for in := bufio.NewScanner(f); in.Scan(); {
+				var r capacity.Run
+				if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Day == "" || len(r.Roles) != 4 {
+					t.Errorf("a record that can't be used (%v): %s", err, in.Text())
+				}
+			}
+		})
+	}
+}
