--- /dev/null
+++ b/internal/agent/config_limits.go
@@ -0,0 +1,42 @@
+package agent
+
+import "fernbeam.example/fernbeam/internal/membership"
+
+const (
+	// minSockets leaves a few connections to each side beside the reserve.
+	minSockets = 64
+	// fixedSockets are the descriptors that a process always needs: three standard streams, two of the poller,
+	// its two listeners, the lock, four calls to discovery, the file that is read at a reload, and one
+	// connection that is accepted before another is closed.
+	fixedSockets = 14
+	// minReserve lets two processes run side by side with two admin connections each.
+	minReserve = 2 * (fixedSockets + 2)
+)
+
+// clientConns and serverConns divide the descriptors: neither side can use the other's, nor the reserve, which
+// is for admin connections and for fixedSockets.
+func (c *Config) clientConns() int {
+	sockets := c.ownSockets()
+	reserve := max(sockets/8, minReserve)
+	return (sockets - reserve) / 2
+}
+
+func (c *Config) serverConns() int { return c.clientConns() }
+
+// adminConns is the number of admin connections of a process where the reserve is shared by so many processes.
+func (c *Config) adminConns(processes int) int {
+	reserve := c.ownSockets() - c.clientConns() - c.serverConns()
+	return min(reserve/processes-fixedSockets, maxAdminConns)
+}
+
+// ownSockets are the descriptors without those of the membership view, where there is one.
+func (c *Config) ownSockets() int {
+	if c.Fleet == nil {
+		return c.Sockets
+	}
+	return c.Sockets - membership.MaxDescriptors
+}
+
+// MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
+// agent would be killed.
+func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
--- /dev/null
+++ b/internal/agent/upstream_streamed.go
@@ -0,0 +1,166 @@
+package agent
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// earlyResponseWait is how long a response is waited for after the write of a request failed, and the end of
+// the write after an early response.
+const earlyResponseWait = 50 * time.Millisecond
+
+// errEarlyResponse ends the write of a request whose response came before its end.
+var errEarlyResponse = errors.New("response before the end of the request")
+
+// responseHead is the end of the read of a response's head.
+type responseHead struct {
+	resp *http.Response
+	err  error
+}
+
+// streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
+// that comes before the body's end ends it.
+type streamedExchange struct {
+	conn    *serverConn
+	message *upstreamMessage
+	heads   chan responseHead
+	written chan error
+}
+
+// exchangeStreamed makes a streamedExchange on a connection.
+func (p *connectionPool) exchangeStreamed(
+	ctx context.Context, conn *serverConn, server *upstreamServer, message *upstreamMessage, req *http.Request,
+) exchangeResult {
+	x := &streamedExchange{
+		conn:    conn,
+		message: message,
+		heads:   make(chan responseHead, 1),
+		written: make(chan error, 1),
+	}
+	// Until all is written the server has no deadline, except for each chunk.
+	conn.setReadDeadline(time.Time{})
+	go x.readHead(req.Method)
+	go x.write(ctx, req)
+	var head responseHead
+	var err error
+	select {
+	case err = <-x.written:
+		if clientErr := message.streamed.failure(); err != nil && clientErr != nil {
+			return x.clientFailed(clientErr)
+		}
+		head = x.awaitHead(ctx, err)
+	case head = <-x.heads:
+		err = x.stopWriting()
+	}
+	return x.finish(p, server, head, err)
+}
+
+func (x *streamedExchange) readHead(method string) {
+	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
+	resp, err := readResponseHead(x.conn.reader, method)
+	x.heads <- responseHead{resp, err}
+}
+
+func (x *streamedExchange) write(ctx context.Context, req *http.Request) {
+	to := serverWriter{ctx, x.conn, x.message.streamed, x.message.responseTime}
+	buffered := bufio.NewWriterSize(to, chunkSize)
+	err := req.Write(buffered)
+	if err == nil {
+		err = buffered.Flush()
+	}
+	x.written <- err
+}
+
+// clientFailed ends an exchange whose client broke off the body.
+func (x *streamedExchange) clientFailed(clientErr error) exchangeResult {
+	x.conn.expireReads()
+	<-x.heads
+	return exchangeResult{attemptResult: attemptResult{
+		status:    balancer.StatusCancelled,
+		reason:    "client: " + clientErr.Error(),
+		clientErr: clientErr,
+	}}
+}
+
+// awaitHead waits for the response's head after the write ended with err.
+func (x *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
+	if err == nil {
+		x.message.onSent()
+		x.conn.setReadDeadline(x.message.streamed.respondBy(x.message.responseTime))
+	} else {
+		// A response may be there, or on its way behind what the server did not read.
+		x.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
+	}
+	if ctx.Err() != nil { // the deadline just set may have undone the cancellation's
+		x.conn.expireReads()
+	}
+	return <-x.heads
+}
+
+// stopWriting ends the write after an early response; its error is nil if the write had ended before.
+func (x *streamedExchange) stopWriting() error {
+	err := errEarlyResponse
+	select {
+	case err = <-x.written: // only the notification of its end was later
+	case <-time.After(earlyResponseWait):
+	}
+	if err == nil {
+		x.message.onSent()
+		return nil
+	}
+	// The writer may still wait for the client. What the client sends now is lost.
+	x.message.streamed.consumed.Store(true)
+	x.conn.expireWrites()
+	return err
+}
+
+// finish reads the response behind its head, after the write ended with err.
+func (x *streamedExchange) finish(
+	p *connectionPool, server *upstreamServer, head responseHead, err error,
+) exchangeResult {
+	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(x.conn, x.message.streamed) {
+		return x.conn.brokenResult(head.err)
+	}
+	if err != nil && head.resp == nil {
+		// The last byte was never sent, and the connection is closed: the request can't execute.
+		return x.conn.unsentResult(cmp.Or(head.err, err))
+	}
+	result := p.readResponse(x.conn, server, head.resp, head.err)
+	if err != nil && result.body != nil {
+		result.body.release()
+		return exchangeResult{attemptResult: attemptResult{status: balancer.StatusError, reason: err.Error()}}
+	}
+	result.reusable = result.reusable && err == nil
+	return result
+}
+
+// bodyMayHaveLeft closes a connection whose writer has not reported how far it came, as it may be blocked, and
+// returns whether the last byte of the request may have been written: only if the body was read to its end by
+// then.
+func bodyMayHaveLeft(conn *serverConn, body *streamedBody) bool {
+	_ = conn.Close() // later writes fail; the pool counts the connection when it discards it
+	return body.complete()
+}
+
+// serverWriter writes a streamed body to a server, with a deadline for each chunk and not for the whole: no
+// later than the client's if its last byte has come.
+type serverWriter struct {
+	ctx          context.Context // cancels the attempt
+	conn         *serverConn
+	body         *streamedBody
+	responseTime time.Duration // the client's time from its last byte on
+}
+
+func (w serverWriter) Write(p []byte) (int, error) {
+	if err := w.ctx.Err(); err != nil {
+		return 0, err
+	}
+	w.conn.setWriteDeadline(earliest(time.Now().Add(stallTimeout), w.body.respondBy(w.responseTime)))
+	return w.conn.Write(p)
+}
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -15,8 +15,8 @@
 // The agent's log messages that are read, and their attributes.
 const (
 	messageStarted = "listening"
-	messageInForce = "settings taken over"
-	messageRefused = "settings refused" // the message begins with it
+	messageInForce = "settings applied"
+	messageRefused = "settings rejected" // the message begins with it
 	numberVersion  = "version"
 	numberMarker   = "max_attempts"
 )
--- /dev/null
+++ b/internal/experiment/fault.go
@@ -0,0 +1,278 @@
+package experiment
+
+import (
+	"errors"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/emulator"
+	"fernbeam.example/fernbeam/internal/faultproxy"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+// The kinds of faults, as scenarios name them.
+const (
+	faultKillAgents       = "kill agents"
+	faultRestartAgents    = "restart agents"
+	faultPauseAgents      = "pause agents"
+	faultPartitionAgents  = "deaf agents"
+	faultMessageLoss      = "lossy agents"
+	faultSlowServers      = "slow nodes"
+	faultFailingServers   = "failing nodes"
+	faultHungServers      = "standing nodes"
+	faultPartitionServers = "silent nodes"
+	faultKillServers      = "kill nodes"
+	faultReplaceServers   = "release"
+	faultZoneFailure      = "zone lost"
+	faultZonePartition    = "zone cut"
+	faultBurst            = "burst"
+	faultHotKey           = "hot key"
+	faultDiscoveryOutage  = "list down"
+)
+
+// allZones selects the servers of every zone, or the agents of every zone.
+const allZones = -1
+
+// agentPartition is the name of the partition that partitionAgents makes.
+const agentPartition = "deaf"
+
+// faultKind describes a kind of fault. Either trafficChange or inject is set.
+type faultKind struct {
+	description string // how it uses the keys of a scenario
+	needsZone   bool
+	// trafficChange returns how a fault changes the traffic.
+	trafficChange func(Fault) emulator.TrafficChange
+	// inject injects a fault and returns when it is over.
+	inject func(*armRun, Fault, *rand.Rand) error
+}
+
+var faultKinds = map[string]faultKind{
+	faultKillAgents: {
+		description: "SIGKILL to a share at the same moment; they start again after back",
+		inject:      (*armRun).killAgents,
+	},
+	faultRestartAgents: {
+		description: "SIGTERM and a start, a batch of a share at a time, spread over for",
+		inject:      (*armRun).restartAgents,
+	},
+	faultPauseAgents: {
+		description: "SIGSTOP for a share, SIGCONT after for",
+		inject:      (*armRun).pauseAgents,
+	},
+	faultPartitionAgents: {
+		description: "a share is partitioned from all other agents for a time; needs arms with a fleet",
+		inject:      (*armRun).partitionAgents,
+	},
+	faultMessageLoss: {
+		description: "a part (size) of the messages between agents is lost for a time",
+		inject:      (*armRun).loseMessages,
+	},
+	faultSlowServers: {
+		description: "a share is size times slower for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, fault.Magnitude, 0)
+		},
+	},
+	faultFailingServers: {
+		description: "a share fails a part (size) of its requests at once for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, 1, fault.Magnitude)
+		},
+	},
+	faultHungServers: {
+		description: "a share computes nothing for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.degradeServers(fault, random, math.Inf(1), 0)
+		},
+	},
+	faultPartitionServers: {
+		description: "a share is partitioned from all agents for a time",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			return r.partitionServers(fault, allZones, sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share))
+		},
+	},
+	faultKillServers: {
+		description: "a share ends at the same moment; successors start after back, with slow start",
+		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
+			ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+			r.emulator.KillServers(fault.RestartAfter, ids...)
+			return nil
+		},
+	},
+	faultReplaceServers: {
+		description: "a share is drained (for drain) and replaced by servers in slow start, a batch of it at a time," +
+			" spread over for",
+		inject: (*armRun).replaceServers,
+	},
+	faultZoneFailure: {
+		description: "a zone's servers are partitioned for a time, then replaced by servers in slow start",
+		needsZone:   true,
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
+			ids := r.emulator.ServerIDs(r.zoneIndex(fault.Zone))
+			err := r.partitionServers(fault, allZones, ids)
+			r.emulator.KillServers(0, ids...)
+			return err
+		},
+	},
+	faultZonePartition: {
+		description: "a zone's servers are partitioned from the agents of other zones for a time",
+		needsZone:   true,
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
+			zone := r.zoneIndex(fault.Zone)
+			return r.partitionServers(fault, zone, r.emulator.ServerIDs(zone))
+		},
+	},
+	faultBurst: {
+		description: "traffic is size times as much for a time",
+		trafficChange: func(fault Fault) emulator.TrafficChange {
+			return emulator.TrafficChange{From: fault.At, To: fault.At + fault.Duration, RateFactor: fault.Magnitude}
+		},
+	},
+	faultHotKey: {
+		description: "a share of the requests has the same key for a time",
+		trafficChange: func(fault Fault) emulator.TrafficChange {
+			return emulator.TrafficChange{
+				From:        fault.At,
+				To:          fault.At + fault.Duration,
+				RateFactor:  1,
+				HotKeyShare: fault.Share,
+			}
+		},
+	},
+	faultDiscoveryOutage: {
+		description: "discovery does not answer for a time",
+		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
+			r.emulator.SetDiscoveryUnavailable(true)
+			r.wait(fault.Duration)
+			r.emulator.SetDiscoveryUnavailable(false)
+			return nil
+		},
+	},
+}
+
+// FaultDescriptions returns, for each kind of fault, how it uses the keys of a scenario.
+func FaultDescriptions() map[string]string {
+	descriptions := map[string]string{}
+	for name, kind := range faultKinds {
+		descriptions[name] = kind.description
+	}
+	return descriptions
+}
+
+// FaultKinds returns the kinds of faults in alphabetical order.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
+
+// zoneIndex returns the index of a zone.
+func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
+
+// degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
+func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
+	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	r.emulator.SetServerFault(max(1, slowFactor), failureRate, ids...)
+	r.wait(fault.Duration)
+	r.emulator.SetServerFault(1, 0, ids...)
+	return nil
+}
+
+// partitionServers partitions servers from the agents of all zones except one.
+func (r *armRun) partitionServers(fault Fault, exceptZone int, ids []string) error {
+	r.emulator.PartitionServers(true, exceptZone, ids...)
+	r.wait(fault.Duration)
+	r.emulator.PartitionServers(false, exceptZone, ids...)
+	return nil
+}
+
+// replaceServers replaces a share of the servers, a batch at a time.
+func (r *armRun) replaceServers(fault Fault, random *rand.Rand) error {
+	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	size, interval := batches(fault, len(ids))
+	for batch := range slices.Chunk(ids, size) {
+		if err := r.emulator.ReplaceServers(fault.DrainTime, batch...); err != nil {
+			return err
+		}
+		r.wait(interval)
+	}
+	return nil
+}
+
+// batches returns the size of a fault's batches and the time from one to the next.
+func batches(fault Fault, count int) (size int, interval time.Duration) {
+	size = max(1, int(fault.Batch*float64(count)+0.5))
+	number := (count + size - 1) / size
+	return size, fault.Duration / time.Duration(number)
+}
+
+// sampleShare draws a share of names, at least one.
+func sampleShare(random *rand.Rand, names []string, share float64) []string {
+	names = slices.Clone(names)
+	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	return names[:min(len(names), max(1, int(share*float64(len(names))+0.5)))]
+}
+
+// killAgents kills a share of the agents and starts them again after a time.
+func (r *armRun) killAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	for _, name := range names {
+		r.emulator.AgentStopped(name)
+	}
+	if err := processtest.Each(names, r.procs.Kill); err != nil {
+		return err
+	}
+	r.wait(fault.RestartAfter)
+	return processtest.Each(names, r.start)
+}
+
+// restartAgents terminates and starts a share of the agents, a batch at a time.
+func (r *armRun) restartAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	size, interval := batches(fault, len(names))
+	for part := range slices.Chunk(names, size) {
+		began := time.Now()
+		if err := processtest.Each(part, func(n string) error { return errors.Join(r.procs.Term(n), r.start(n)) }); err != nil {
+			return err
+		}
+		r.wait(interval - time.Since(began))
+	}
+	return nil
+}
+
+// pauseAgents stops the processes of a share of the agents for a time.
+func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
+	names := sampleShare(random, r.names, fault.Share)
+	if err := processtest.Each(names, r.procs.Pause); err != nil {
+		return err
+	}
+	r.wait(fault.Duration)
+	return processtest.Each(names, r.procs.Resume)
+}
+
+// partitionAgents partitions each of a share of the agents from all others for a time.
+func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
+	if r.board == nil {
+		return nil // the agents have no connections anyway
+	}
+	isolated := sampleShare(random, r.names, fault.Share)
+	var groups [][]string
+	for _, name := range isolated {
+		groups = append(groups, []string{name})
+	}
+	rest := slices.DeleteFunc(slices.Clone(r.names), func(n string) bool { return slices.Contains(isolated, n) })
+	r.board.Partition(agentPartition, append(groups, rest)...)
+	r.wait(fault.Duration)
+	r.board.Heal(agentPartition)
+	return nil
+}
+
+// loseMessages drops a part of the messages between agents for a time.
+func (r *armRun) loseMessages(fault Fault, _ *rand.Rand) error {
+	if r.board == nil {
+		return nil
+	}
+	r.board.SetAll(faultproxy.Rule{Loss: fault.Magnitude})
+	r.wait(fault.Duration)
+	r.board.SetAll(faultproxy.Rule{})
+	return nil
+}
--- /dev/null
+++ b/internal/scaletest/discovery.go
@@ -0,0 +1,201 @@
+package scaletest
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+// discoveryCluster is a real discovery service: instances whose Raft links pass through proxies that
+// can be cut.
+type discoveryCluster struct {
+	*processtest.Cluster
+	client       *http.Client
+	nextInstance atomic.Uint32 // index of the instance to write to
+}
+
+const (
+	// writeTimeout of one write is longer than the service waits for a commit.
+	writeTimeout = 6 * time.Second
+	// leaderTimeout is how long an election may take on a loaded machine.
+	leaderTimeout = 30 * time.Second
+	// writeRetryInterval is the pause before a write that failed is sent to the next instance.
+	writeRetryInterval = 20 * time.Millisecond
+	// maxIdleConnections are kept to each instance.
+	maxIdleConnections = 64
+	// maxWriteResponse is the part of a response to a write that is read.
+	maxWriteResponse = 1 << 16
+)
+
+// startDiscovery starts a number of instances, each on an address of its own, and waits for a leader.
+func startDiscovery(program, directory string, count int, ip func(i int) string) (*discoveryCluster, error) {
+	var names []string
+	for i := range count {
+		names = append(names, fmt.Sprintf("list-%d", i+1))
+	}
+	cluster, err := processtest.New(processtest.Config{
+		Binary: program,
+		Dir:    directory,
+		Names:  names,
+		Ports:  []string{"raft", "http", "admin"},
+		IP:     func(name string) string { return ip(slices.Index(names, name)) },
+		Args: func(c *processtest.Cluster, name string) []string {
+			return discoveryArguments(c, name, directory)
+		},
+	})
+	if err != nil {
+		return nil, err
+	}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
+	d := &discoveryCluster{Cluster: cluster, client: &http.Client{Timeout: writeTimeout, Transport: transport}}
+	for _, name := range names {
+		if err := cluster.Start(name); err != nil {
+			cluster.Close()
+			return nil, err
+		}
+	}
+	if _, err := d.awaitLeader(); err != nil {
+		cluster.Close()
+		return nil, err
+	}
+	return d, nil
+}
+
+// discoveryArguments writes an instance's configuration and returns its command line. Where the file
+// can't be written the program names the missing file.
+func discoveryArguments(c *processtest.Cluster, name, directory string) []string {
+	path := filepath.Join(directory, name+".toml")
+	if err := writeDiscoveryConfig(c, name, directory, path); err != nil {
+		path = filepath.Join(directory, "none")
+	}
+	return []string{"serve", "--config", path}
+}
+
+// writeDiscoveryConfig writes an instance's configuration. It reaches each other instance by a link of
+// its own.
+func writeDiscoveryConfig(c *processtest.Cluster, name, directory, path string) error {
+	var b strings.Builder
+	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n"+
+		"bootstrap = %v\n", name, filepath.Join(directory, name), name == c.Names()[0])
+	for _, peer := range c.Names() {
+		if peer == name {
+			continue
+		}
+		link, err := c.Link(name, peer, "raft")
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), c.Addr(peer, "admin"))
+	}
+	return os.WriteFile(path, []byte(b.String()), 0o644)
+}
+
+// awaitLeader waits until an instance is the leader.
+func (d *discoveryCluster) awaitLeader() (leader string, err error) {
+	err = processtest.Await(leaderTimeout, "discovery has a leader", func() bool {
+		leader = d.leader()
+		return leader != ""
+	})
+	return leader, err
+}
+
+// leader is the instance that reports to be the leader, or "".
+func (d *discoveryCluster) leader() string {
+	for _, name := range d.Names() {
+		if !d.Running(name) {
+			continue
+		}
+		if status, err := d.status(name); err == nil && status.State == "Leader" {
+			return name
+		}
+	}
+	return ""
+}
+
+// status is the status of an instance by its admin endpoint.
+func (d *discoveryCluster) status(name string) (server.Status, error) {
+	var status server.Status
+	response, err := d.client.Get("http://" + d.Addr(name, "admin") + "/v1/status")
+	if err != nil {
+		return status, err
+	}
+	defer func() { _ = response.Body.Close() }() // it was only read
+	err = json.NewDecoder(response.Body).Decode(&status)
+	return status, err
+}
+
+// errRejected is returned for a write that no retry can make succeed.
+var errRejected = errors.New("refused")
+
+// putServer sets a server's entry and returns the version of the change.
+func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Endpoint) (uint64, error) {
+	return d.putAcknowledged(ctx, "/v1/servers/"+t.ID, t)
+}
+
+// putSettings sets all settings of a service and returns the version of the change.
+func (d *discoveryCluster) putSettings(ctx context.Context, service string, settings map[string]any) (uint64, error) {
+	return d.putAcknowledged(ctx, "/v1/settings/"+service, settings)
+}
+
+// putAcknowledged puts a value as JSON by the admin endpoint of any instance. It retries with the next
+// instance until the write is acknowledged or rejected as invalid, or ctx ends.
+func (d *discoveryCluster) putAcknowledged(ctx context.Context, path string, value any) (uint64, error) {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return 0, err
+	}
+	for {
+		name := d.Names()[int(d.nextInstance.Load())%len(d.Names())]
+		version, err := d.put(ctx, "http://"+d.Addr(name, "admin")+path, body)
+		if err == nil || errors.Is(err, errRejected) {
+			return version, err
+		}
+		d.nextInstance.Add(1)
+		select {
+		case <-ctx.Done():
+			return 0, errors.Join(ctx.Err(), err)
+		case <-time.After(writeRetryInterval):
+		}
+	}
+}
+
+// put sends one write and returns its version.
+func (d *discoveryCluster) put(ctx context.Context, url string, body []byte) (uint64, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
+	if err != nil {
+		return 0, err
+	}
+	response, err := d.client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = response.Body.Close() }() // it was only read
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxWriteResponse))
+	if err != nil {
+		return 0, err
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+	case http.StatusBadRequest:
+		return 0, fmt.Errorf("put: %w: %s", errRejected, bytes.TrimSpace(text))
+	default:
+		return 0, fmt.Errorf("put: %s: %s", response.Status, bytes.TrimSpace(text))
+	}
+	var change struct{ Version uint64 }
+	err = json.Unmarshal(text, &change)
+	return change.Version, err
+}
--- /dev/null
+++ b/internal/scaletest/hostserver_test.go
@@ -0,0 +1,340 @@
+package scaletest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"runtime"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/membership"
+)
+
+// TestHollowFleetConverges: thirty agents in one process see each other and put a change of the list in
+// force, each from an address of its own.
+func TestHollowFleetConverges(t *testing.T) {
+	const n = 30
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, n)
+	d := startHostClient(t)
+	for i := range n {
+		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
+	}
+	inForce := func(kind string, version uint64) {
+		t.Helper()
+		have, latest := map[string]bool{}, int64(0)
+		for since := 0; len(have) < n; {
+			var x HostEvent
+			x, since = d.await(since, fmt.Sprintf("%s %d in force everywhere", kind, version), func(x *HostEvent) bool {
+				return x.InForce != nil && x.InForce.Kind == kind && x.InForce.Version >= version
+			})
+			have[x.InForce.Agent] = true
+			latest = max(latest, x.InForce.AtUs)
+		}
+		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > waitTimeout {
+			t.Errorf("in force %v ago", late)
+		}
+	}
+	inForce("list", 1)
+	inForce("list", l.addServer())
+	r := d.awaitReport("one view", func(r *HostReport) bool {
+		digests := map[string]bool{}
+		for _, a := range r.Agents {
+			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
+				return false
+			}
+		}
+		return len(r.Agents) == n && len(digests) == 1
+	})
+	for name, a := range r.Agents {
+		noView := a.ViewIn == 0 || a.ViewOut == 0 || a.ViewMsgIn == 0 || a.ViewMsgOut == 0
+		if noView || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
+			t.Errorf("%s counted %+v", name, a)
+		}
+	}
+	if r.CPUSeconds <= 0 || r.ResidentMB <= 0 || r.HeapMB <= 0 || r.AllocBytes == 0 ||
+		r.Descriptors < n || r.Goroutines < n {
+		t.Errorf("%+v", r)
+	}
+	l.mu.Lock()
+	for i := range n {
+		if !l.callers[s.ip(i)] {
+			t.Errorf("no call came from %s", s.ip(i))
+		}
+	}
+	l.mu.Unlock()
+	for i := range n {
+		d.command("reload", fmt.Sprintf("a%d", i), s.configWith(i, 2))
+	}
+	inForce("settings", 0)
+	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
+		n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
+}
+
+// TestKillAndStopInMembership: to the other agents a kill looks like SIGKILL, and a stop like SIGTERM.
+func TestKillAndStopInMembership(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 4)
+	d := startHostClient(t)
+	for i := range 4 {
+		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
+	}
+	d.awaitReport("four members", func(r *HostReport) bool {
+		for _, a := range r.Agents {
+			if a.Members != 4 || !a.Settled {
+				return false
+			}
+		}
+		return len(r.Agents) == 4
+	})
+	d.command("kill", "a2", nil)
+	d.command("stop", "a3", nil)
+	for _, name := range []string{"a2", "a3"} {
+		if x := d.ended(name); x.Err != "" {
+			t.Errorf("%s ended: %s", name, x.Err)
+		}
+	}
+	want := map[string]membership.State{
+		"a0": membership.Alive,
+		"a1": membership.Alive,
+		"a2": membership.Dead,
+		"a3": membership.Left,
+	}
+	var seen *membership.Status
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
+		var err error
+		if seen, err = membership.FetchStatus(t.Context(), s.adminAddress(0), "since=0"); err != nil {
+			t.Fatal(err)
+		}
+		right := 0
+		for name, state := range want {
+			if m, ok := seen.Snapshot.Member(name); ok && m.State == state {
+				right++
+			}
+		}
+		if right == len(want) {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatalf("members %+v", seen.Members)
+		}
+	}
+	for _, c := range seen.Changes {
+		if c.Name == "a2" && c.To == membership.Left {
+			t.Error("the killed agent left gracefully")
+		}
+	}
+}
+
+// processResources is the number of goroutines and descriptors of this process.
+func processResources(t *testing.T) [2]int {
+	fds, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return [2]int{runtime.NumGoroutine(), len(fds)}
+}
+
+// TestEndedAgentsReleaseResources: an agent that has ended leaves no goroutine and no descriptor,
+// whether it ended while it ran, just after its start or during its shutdown.
+func TestEndedAgentsReleaseResources(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 8)
+	d := startHostClient(t)
+	// What the first agent opens for the whole process is part of the level before.
+	d.command("start", "a0", s.config(0))
+	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
+	before := processResources(t)
+	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has started once nothing is added
+		if now := processResources(t); now[0] > before[0] || now[1] > before[1] {
+			before, same = [2]int{max(before[0], now[0]), max(before[1], now[1])}, 0
+		}
+		same++
+	}
+	for round := range 20 {
+		since := d.count()
+		name := fmt.Sprintf("b%d", round)
+		d.command("start", name, s.config(1))
+		if round%4 > 0 {
+			d.await(since, "list in force", func(x *HostEvent) bool {
+				return x.InForce != nil && x.InForce.Agent == name
+			})
+		}
+		switch round % 4 {
+		case 1:
+			d.command("stop", name, nil)
+		case 2:
+			d.command("stop", name, nil)
+			fallthrough
+		default:
+			d.command("kill", name, nil)
+		}
+		if x := d.ended(name); x.Err != "" {
+			t.Fatalf("%s ended: %s", name, x.Err)
+		}
+	}
+	var after [2]int
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
+		if after = processResources(t); after[0] <= before[0] && after[1] <= before[1] {
+			return
+		}
+		if time.Now().After(end) {
+			buf := make([]byte, 1<<20)
+			t.Fatalf("goroutines and descriptors %v, before %v\n%s", after, before, buf[:runtime.Stack(buf, true)])
+		}
+	}
+}
+
+// TestInvalidCommands: an invalid command is reported once and has no effect, and the host goes on.
+func TestInvalidCommands(t *testing.T) {
+	l := newDiscoveryServer(t)
+	s := newConfigurations(t, l.addr, 2)
+	d := startHostClient(t)
+	d.command("start", "a0", s.config(0))
+	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
+	bad := s.config(1)
+	bad["seed"] = "none"
+	bare := s.config(0)
+	delete(bare, "management")
+	config := func(c map[string]any) string { return string(marshal(t, c)) }
+	for command, want := range map[string]string{
+		`{"do":`:                       "order: unexpected EOF",
+		`{"do":"dance","agent":"a0"}`:  `order: do: "dance" is none`,
+		`{"do":"stop","agnt":"a0"}`:    `unknown field "agnt"`,
+		`{"do":"stop"}`:                "stop : no agent named",
+		`{"do":"stop","agent":"a1"}`:   "stop a1: does not run",
+		`{"do":"kill","agent":"a1"}`:   "kill a1: does not run",
+		`{"do":"reload","agent":"a1"}`: "reload a1: does not run",
+		`{"do":"start","agent":"a1","config":` + config(bad) + `}`:         "start a1: config: seed",
+		`{"do":"start","agent":"a1","config":{"name":3}}`:                  "start a1: config: json",
+		`{"do":"start","agent":"a0","config":` + config(s.config(0)) + `}`: "start a0: runs already",
+		`{"do":"reload","agent":"a0","config":` + config(bare) + `}`:       "reload a0: config: management: missing",
+	} {
+		since := d.count()
+		d.writeLine(command)
+		x, n := d.await(since, "the error of "+command, func(x *HostEvent) bool { return x.Err != "" })
+		if !strings.Contains(x.Err, want) || x.Ended != "" || strings.Contains(x.Err, "\n") {
+			t.Errorf("%s: event %+v, want %q", command, x, want)
+		}
+		if r := d.report(); len(r.Agents) != 1 {
+			t.Errorf("after %s: agents %v", command, r.Agents)
+		}
+		d.mu.Lock()
+		for _, x := range d.events[n:] {
+			if x.Err != "" {
+				t.Errorf("%s: reported twice: %s", command, x.Err)
+			}
+		}
+		d.mu.Unlock()
+	}
+	// An address in use is no invalid command: the agent ends.
+	taken := s.config(1)
+	taken["management"] = s.adminAddress(0)
+	d.command("start", "a1", taken)
+	if x := d.ended("a1"); !strings.Contains(x.Err, "address already in use") {
+		t.Errorf("event %+v", x)
+	}
+}
+
+// TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
+// same bytes for the same list.
+func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
+	dir := t.TempDir()
+	bin := filepath.Join(dir, "agent")
+	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/agent").CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	// Twenty versions at once, one a call, and then no response: watches time out and are made again.
+	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		index, _ := strconv.Atoi(req.FormValue("index"))
+		if index >= 20 {
+			<-req.Context().Done()
+			return
+		}
+		fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
+			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0)
+	}))
+	t.Cleanup(func() {
+		silent.CloseClientConnections()
+		silent.Close()
+	})
+	s := newConfigurations(t, silent.Listener.Addr().String(), 2)
+	config := s.config(1)
+	delete(config, "fleet")
+	text := marshal(t, config)
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command(bin)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
+		"PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
+	log, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
+	type bytes struct{ in, out uint64 }
+	realBytes := make(chan map[uint64]bytes, 1) // by calls
+	counts := regexp.MustCompile(`listIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
+	go func() {
+		at := map[uint64]bytes{}
+		for lines := bufio.NewScanner(log); lines.Scan(); {
+			if found := counts.FindStringSubmatch(lines.Text()); found != nil {
+				var n [3]uint64
+				for i := range n {
+					n[i], _ = strconv.ParseUint(found[i+1], 10, 64)
+				}
+				at[n[2]] = bytes{n[0], n[1]}
+			}
+			if len(at) > 0 && at[23] != (bytes{}) {
+				break
+			}
+		}
+		realBytes <- at
+		io.Copy(io.Discard, log)
+	}()
+	var program map[uint64]bytes
+	select {
+	case program = <-realBytes:
+	case <-time.After(waitTimeout):
+		t.Fatal("the program does not make 23 calls")
+	}
+	config["management"], config["listen"] = s.adminAddress(0), s.address(0, 8000)
+	d := startHostClient(t)
+	d.command("start", "a1", config)
+	hollow := map[uint64]bytes{}
+	d.awaitReport("23 calls", func(r *HostReport) bool {
+		a := r.Agents["a1"]
+		hollow[a.ListCalls] = bytes{a.ListIn, a.ListOut}
+		return a.ListCalls >= 23
+	})
+	compared := 0
+	for calls, p := range program {
+		if h, ok := hollow[calls]; ok && calls > 21 {
+			compared++
+			t.Logf("%d calls: the program %d bytes in and %d out, hollow %d and %d", calls, p.in, p.out, h.in, h.out)
+			if p.in != h.in || p.out != h.out {
+				t.Errorf("%d calls: the program %+v, hollow %+v", calls, p, h)
+			}
+		}
+	}
+	if compared == 0 {
+		t.Errorf("nothing to compare: the program %v, hollow %v", program, hollow)
+	}
+}
--- /dev/null
+++ b/internal/scaletest/realagents.go
@@ -0,0 +1,109 @@
+package scaletest
+
+import (
+	"context"
+	"net/http"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+// realAgents are the processes of the real agent, with what their logs say.
+type realAgents struct {
+	*processtest.Cluster // nil without real agents
+	directory            string
+	trackers             trackers
+	client               *http.Client
+
+	mu   sync.Mutex
+	logs map[string]*agentLogState
+}
+
+const (
+	// readyRequestTimeout is that of one request whether an agent is ready.
+	readyRequestTimeout = time.Second
+	// statusTimeout is that of a request for an agent's membership view.
+	statusTimeout = 3 * time.Second
+	// statusQuery asks for neither members nor changes: no view comes to 2^62 changes.
+	statusQuery = "members=none&since=4611686018427387904"
+)
+
+// newRealAgents prepares the processes, whose configurations NAME.json are in directory. None runs yet.
+func newRealAgents(program, directory string, names []string, trackers trackers) (*realAgents, error) {
+	r := &realAgents{
+		directory: directory,
+		trackers:  trackers,
+		logs:      map[string]*agentLogState{},
+		client: &http.Client{
+			Timeout:   readyRequestTimeout,
+			Transport: &http.Transport{DisableKeepAlives: true},
+		},
+	}
+	for _, name := range names {
+		r.logs[name] = &agentLogState{}
+	}
+	if len(names) == 0 {
+		return r, nil
+	}
+	environment := func(name string) []string {
+		return []string{"PROXY_CONFIG=" + filepath.Join(directory, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
+			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + directory}
+	}
+	var err error
+	r.Cluster, err = processtest.New(processtest.Config{Binary: program, Dir: directory, Names: names, Env: environment})
+	return r, err
+}
+
+// start starts an agent and waits until it is ready for clients at an address.
+func (r *realAgents) start(ctx context.Context, name, listen string) error {
+	if err := r.Start(name); err != nil {
+		return err
+	}
+	err := processtest.Await(agentTimeout, name+" is ready", func() bool {
+		return ctx.Err() != nil || r.ready(listen)
+	})
+	r.trackers.forEach(func(t *tracker) { t.started(name) })
+	return err
+}
+
+func (r *realAgents) ready(listen string) bool {
+	response, err := r.client.Get("http://" + listen + "/-/ready")
+	if err != nil {
+		return false
+	}
+	_ = response.Body.Close() // the status is all that is read
+	return response.StatusCode == http.StatusOK
+}
+
+// runningCount is the number of processes that run.
+func (r *realAgents) runningCount() int {
+	if r.Cluster == nil {
+		return 0
+	}
+	count := 0
+	for _, name := range r.Names() {
+		if r.Running(name) {
+			count++
+		}
+	}
+	return count
+}
+
+// status is an agent's membership view by its admin endpoint.
+func (r *realAgents) status(ctx context.Context, adminAddress string) (*membership.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	return membership.FetchStatus(ctx, adminAddress, statusQuery)
+}
+
+// close kills all processes.
+func (r *realAgents) close() {
+	if r.Cluster == nil {
+		return
+	}
+	_ = processtest.Each(r.Names(), r.Kill) // Close ends those that could not be killed
+	r.Close()
+}
--- /dev/null
+++ b/internal/scaletest/tracker.go
@@ -0,0 +1,245 @@
+package scaletest
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"fernbeam.example/fernbeam/internal/capacity"
+)
+
+// inForceTimeout is how long a change may take to come into force at an agent; after that it counts as
+// never in force there.
+const inForceTimeout = 20 * time.Second
+
+// The kinds of changes, in events of hosts and in records of runs.
+const (
+	kindList     = "list"
+	kindSettings = "settings"
+)
+
+// changeKinds are both kinds.
+var changeKinds = []string{kindList, kindSettings}
+
+// trackers has a tracker for each kind of change.
+type trackers map[string]*tracker
+
+func newTrackers() trackers {
+	ts := trackers{kindList: newTracker(), kindSettings: newTracker()}
+	ts[kindSettings].serviceOf = map[string]string{}
+	return ts
+}
+
+func (ts trackers) forEach(do func(*tracker)) {
+	for _, t := range ts {
+		do(t)
+	}
+}
+
+// tracker records which changes of one kind were acknowledged, and which versions came into force
+// where. An agent may skip versions: a change is in force once the agent has its version or a later one.
+type tracker struct {
+	// serviceOf is each agent's service, where changes are of one; it is set before agents run.
+	serviceOf map[string]string
+
+	mu           sync.Mutex
+	changes      []acknowledgedChange
+	incarnations []*incarnation
+	current      map[string]*incarnation   // by agent, those that have not ended
+	pending      map[string]versionInForce // the last version of agents that are not known to run yet
+}
+
+type acknowledgedChange struct {
+	service        string // the change is for its agents; "": for all
+	version        uint64
+	acknowledgedAt time.Time
+}
+
+// incarnation is one run of an agent.
+type incarnation struct {
+	agent      string
+	start, end time.Time        // end is zero until it ends
+	versions   []versionInForce // in order
+	// incomplete says that the agent dropped log lines, so that a version that is not in versions may
+	// have been in force.
+	incomplete bool
+}
+
+type versionInForce struct {
+	version uint64
+	at      time.Time
+}
+
+func newTracker() *tracker {
+	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
+}
+
+// started records that an agent runs.
+func (t *tracker) started(agent string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	i := &incarnation{agent: agent, start: time.Now()}
+	if v, ok := t.pending[agent]; ok {
+		i.versions = []versionInForce{v}
+		delete(t.pending, agent)
+	}
+	t.current[agent] = i
+	t.incarnations = append(t.incarnations, i)
+}
+
+// stopping records that an agent is about to end; what comes into force there afterwards does not
+// count.
+func (t *tracker) stopping(agent string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if i := t.current[agent]; i != nil {
+		i.end = time.Now()
+		delete(t.current, agent)
+	}
+}
+
+// ended records that an agent has ended, and that everything it reported was recorded.
+func (t *tracker) ended(agent string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.pending, agent)
+}
+
+// inForce records that a version is in force at an agent.
+func (t *tracker) inForce(agent string, version uint64, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	i := t.current[agent]
+	if i == nil {
+		t.pending[agent] = versionInForce{version, at}
+		return
+	}
+	if n := len(i.versions); n > 0 && version <= i.versions[n-1].version {
+		return
+	}
+	i.versions = append(i.versions, versionInForce{version, at})
+}
+
+// markIncomplete records that an agent dropped log lines.
+func (t *tracker) markIncomplete(agent string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if i := t.current[agent]; i != nil {
+		i.incomplete = true
+	}
+}
+
+// acknowledged records an acknowledged change for all agents.
+func (t *tracker) acknowledged(version uint64, at time.Time) { t.acknowledgedFor("", version, at) }
+
+// acknowledgedFor records an acknowledged change for a service's agents.
+func (t *tracker) acknowledgedFor(service string, version uint64, at time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.changes = append(t.changes, acknowledgedChange{service, version, at})
+}
+
+// count is the number of acknowledged changes.
+func (t *tracker) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.changes)
+}
+
+// latestVersion is the newest acknowledged version that is for an agent.
+func (t *tracker) latestVersion(agent string) uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	latest := uint64(0)
+	for _, c := range t.changes {
+		if c.service == t.serviceOf[agent] {
+			latest = max(latest, c.version)
+		}
+	}
+	return latest
+}
+
+// reset forgets everything but the agents that run and the versions in force at them.
+func (t *tracker) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.changes = nil
+	t.incarnations = nil
+	for _, i := range t.current {
+		i.versions = i.versions[max(0, len(i.versions)-1):]
+		i.incomplete = false
+		t.incarnations = append(t.incarnations, i)
+	}
+}
+
+// latencies are the times from the acknowledgement of each change until it was in force, over all
+// agents that it was for and that ran then. An agent that ended before inForceTimeout without the change is
+// not counted. unknown is the number of pairs of change and agent without a result, as the agent dropped
+// log lines.
+func (t *tracker) latencies() (result capacity.Latencies, unknown int, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
+	now := time.Now()
+	for _, i := range t.incarnations {
+		for _, c := range t.changes {
+			if c.service != t.serviceOf[i.agent] || !i.ranAt(c.acknowledgedAt) {
+				continue
+			}
+			at, ok := i.inForceAt(c.version)
+			latency := max(0, at.Sub(c.acknowledgedAt))
+			switch {
+			case i.incomplete:
+				unknown++
+			case ok && latency <= inForceTimeout:
+				if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
+					return result, unknown, fmt.Errorf("in force after %v: %w", latency, err)
+				}
+			case i.observedFor(c.acknowledgedAt, now):
+				result.NeverInForce++
+			}
+		}
+	}
+	err = summarizeLatencies(&result, histogram)
+	return result, unknown, err
+}
+
+// summarizeLatencies sets the durations, in ms, from a histogram of µs.
+func summarizeLatencies(l *capacity.Latencies, histogram *hdrhistogram.Histogram) error {
+	l.Count = histogram.TotalCount()
+	if l.Count == 0 {
+		return nil
+	}
+	const usPerMs = 1000
+	l.P50 = float64(histogram.ValueAtQuantile(50)) / usPerMs
+	l.P99 = float64(histogram.ValueAtQuantile(99)) / usPerMs
+	l.Max = float64(histogram.Max()) / usPerMs
+	text, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	l.Histogram = string(text)
+	return err
+}
+
+// ranAt reports whether the agent ran at a time.
+func (i *incarnation) ranAt(at time.Time) bool {
+	return !i.start.After(at) && (i.end.IsZero() || !i.end.Before(at))
+}
+
+// observedFor reports whether the agent ran for the whole inForceTimeout after a time.
+func (i *incarnation) observedFor(since, now time.Time) bool {
+	if !i.end.IsZero() && i.end.Sub(since) < inForceTimeout {
+		return false
+	}
+	return now.Sub(since) >= inForceTimeout
+}
+
+// inForceAt is when a version or a later one came into force.
+func (i *incarnation) inForceAt(version uint64) (time.Time, bool) {
+	for _, v := range i.versions {
+		if v.version >= version {
+			return v.at, true
+		}
+	}
+	return time.Time{}, false
+}
