--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -188,7 +188,7 @@
 const (
 	StatusOK            Status = 100
 	StatusError         Status = 301
-	StatusOverloaded    Status = 302 // the server rejected it, as it is at its own limit
+	StatusOverloaded    Status = 302 // the server rejected it at its own limit, or this machine lacked a resource
 	StatusTimeout       Status = 303
 	StatusConnectFailed Status = 304
 	StatusReset         Status = 305 // the connection was lost
