--- /dev/null
+++ b/internal/processtest/addresses_test.go
@@ -0,0 +1,28 @@
+package processtest
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestAddressesOfAProcessAreDistinct draws many ports for one process, so that a port that the system gives out
+// again would show.
+func TestAddressesOfAProcessAreDistinct(t *testing.T) {
+	const ports = 500
+	var names []string
+	for i := range ports {
+		names = append(names, fmt.Sprint("port-", i))
+	}
+	cluster, err := New(Config{Binary: "unused", Names: []string{"a"}, Ports: names, Dir: t.TempDir()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	nameOf := map[string]string{}
+	for _, name := range names {
+		addr := cluster.Addr("a", name)
+		if other := nameOf[addr]; other != "" {
+			t.Errorf("%s and %s have one address %s", other, name, addr)
+		}
+		nameOf[addr] = name
+	}
+}
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -62,24 +62,29 @@
 	return c, nil
 }
 
-// reserveAddrs draws the addresses of a process's listeners, by port name. Each start listens on them anew.
+// reserveAddrs draws the addresses of a process's listeners, by port name. Each start listens on them anew. All are
+// open until the last is drawn: the system may give out a port again that was closed.
 func (c *Cluster) reserveAddrs(name string) (map[string]string, error) {
 	ip := drawIP()
 	if c.cfg.IP != nil {
 		ip = c.cfg.IP(name)
 	}
 	addrs := map[string]string{}
+	var listeners []net.Listener
+	var failure error
 	for _, port := range c.cfg.Ports {
 		ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 		if err != nil {
-			return nil, err
+			failure = err
+			break
 		}
+		listeners = append(listeners, ln)
 		addrs[port] = ln.Addr().String()
-		if err := ln.Close(); err != nil {
-			return nil, err
-		}
 	}
-	return addrs, nil
+	for _, ln := range listeners {
+		failure = errors.Join(failure, ln.Close())
+	}
+	return addrs, failure
 }
 
 // drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
