--- a/cmd/agent/kill_test.go
+++ b/cmd/agent/kill_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"regexp"
 	"strings"
 	"sync"
 	"syscall"
@@ -115,20 +114,8 @@
 		t.Fatal(err)
 	}
 	cmd := program(t, string(config))
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
+	log, addr := startProgram(t, cmd)
 	defer cmd.Process.Kill()
-	log := bufio.NewReader(stderr)
-	line, err := log.ReadString('\n')
-	found := regexp.MustCompile(`addr=(\S+)`).FindStringSubmatch(line)
-	if err != nil || found == nil {
-		t.Fatalf("no address in %q: %v", line, err)
-	}
 	logged := make(chan struct{})
 	go func() {
 		defer close(logged)
@@ -141,7 +128,7 @@
 	var clients []*killedClient
 	var running sync.WaitGroup
 	for i := range 24 {
-		k := &killedClient{addr: found[1], term: term, rest: time.Duration(i%8) * 120 * time.Millisecond}
+		k := &killedClient{addr: addr, term: term, rest: time.Duration(i%8) * 120 * time.Millisecond}
 		clients = append(clients, k)
 		running.Add(1)
 		go func() {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -42,6 +42,26 @@
 	return cmd
 }
 
+// startProgram starts the program and returns its log, behind the first line, and the address that this line names.
+func startProgram(t *testing.T, cmd *exec.Cmd) (log *bufio.Reader, addr string) {
+	t.Helper()
+	stderr, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = cmd.Process.Kill() })
+	log = bufio.NewReader(stderr)
+	line, err := log.ReadString('\n')
+	found := regexp.MustCompile(`addr=(\S+)`).FindStringSubmatch(line)
+	if err != nil || found == nil {
+		t.Fatalf("no address in %q: %v", line, err)
+	}
+	return log, found[1]
+}
+
 const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
 "contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":1,
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":3,"maxRetryAfterMs":600},
@@ -84,21 +104,8 @@
 		t.Fatal(err)
 	}
 	cmd := program(t, string(config))
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
+	log, addr := startProgram(t, cmd)
 	defer cmd.Process.Kill()
-	log := bufio.NewReader(stderr)
-	line, err := log.ReadString('\n')
-	found := regexp.MustCompile(`addr=(\S+)`).FindStringSubmatch(line)
-	if err != nil || found == nil {
-		t.Fatalf("no address in %q: %v", line, err)
-	}
-	addr := found[1]
 
 	var answered, lost, afterSignal atomic.Int64
 	var signalled atomic.Bool
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -59,10 +59,9 @@
 			return err
 		}
 	}
-	r.procs, err = processtest.New(processtest.Config{Binary: program, Dir: dir, Names: r.names, Env: func(name string) []string {
-		return []string{"PROXY_CONFIG=" + filepath.Join(dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
-			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + dir}
-	}})
+	r.procs, err = processtest.New(processtest.Config{
+		Binary: program, Dir: dir, Names: r.names, Env: processtest.AgentEnv(dir),
+	})
 	return err
 }
 
--- a/internal/policytest/main_test.go
+++ b/internal/policytest/main_test.go
@@ -1,19 +1,18 @@
 package policytest
 
 import (
-	"flag"
+	"fmt"
 	"os"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/rapidseed"
 )
 
-// TestMain fixes the scenarios that rapid draws, so that every run gives the same result;
-// -rapid.seed=N plays others, and -rapid.checks=N more of them.
+// TestMain fixes the scenarios that rapid draws (see rapidseed).
 func TestMain(m *testing.M) {
-	flag.Parse()
-	if seed := flag.Lookup("rapid.seed"); seed != nil && seed.Value.String() == "0" {
-		if err := seed.Value.Set("1"); err != nil {
-			panic(err)
-		}
+	if err := rapidseed.Fix(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
--- a/internal/scaletest/realagents.go
+++ b/internal/scaletest/realagents.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -48,12 +47,10 @@
 	if len(names) == 0 {
 		return r, nil
 	}
-	environment := func(name string) []string {
-		return []string{"PROXY_CONFIG=" + filepath.Join(directory, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
-			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + directory}
-	}
 	var err error
-	r.Cluster, err = processtest.New(processtest.Config{Binary: program, Dir: directory, Names: names, Env: environment})
+	r.Cluster, err = processtest.New(processtest.Config{
+		Binary: program, Dir: directory, Names: names, Env: processtest.AgentEnv(directory),
+	})
 	return r, err
 }
 
