--- a/cmd/ringtrack/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command ringtrack is one agent: it takes requests from the application beside
+// Command agent is one agent: it takes requests from the application beside
 // it and places them on backends, as the decision module says.
 package main
 
@@ -16,12 +16,12 @@
 	"strconv"
 	"syscall"
 
-	"clayproxy.example/clayproxy/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "ringtrack:", err)
+		fmt.Fprintln(os.Stderr, "agent:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/fernlist/main.go
+++ b/cmd/discovery/main.go
@@ -1,5 +1,5 @@
-// Command fernlist is the project's list service and its fleet tools: serve runs one
-// instance (internal/listsvc), put and remove write the list through any instance's admin
+// Command discovery is the project's list service and its fleet tools: serve runs one
+// instance (internal/discovery/server), put and remove write the list through any instance's admin
 // door, settings writes and reads those of a service's agents and tells who has them in
 // force, status tells an instance's state.
 package main
@@ -20,19 +20,19 @@
 
 	"github.com/spf13/cobra"
 
-	"clayproxy.example/clayproxy/internal/listsvc"
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 func main() {
 	if err := root().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "fernlist:", err)
+		fmt.Fprintln(os.Stderr, "discovery:", err)
 		os.Exit(1)
 	}
 }
 
 func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "fernlist", Short: "the replicated list service and its tools",
+	cmd := &cobra.Command{Use: "discovery", Short: "the replicated list service and its tools",
 		SilenceUsage: true, SilenceErrors: true}
 	cmd.AddCommand(serveCmd(), putCmd(), removeCmd(), statusCmd(), settingsCmd())
 	return cmd
@@ -42,12 +42,12 @@
 	var path, format string
 	cmd := &cobra.Command{Use: "serve", Short: "run one instance until SIGTERM or SIGINT",
 		RunE: func(*cobra.Command, []string) error {
-			cfg, err := listsvc.Load(path)
+			cfg, err := server.Load(path)
 			if err != nil {
 				return err
 			}
 			log := logger(format).With("node", cfg.ID)
-			node, err := listsvc.Start(cfg, log)
+			node, err := server.Start(cfg, log)
 			if err != nil {
 				return err
 			}
@@ -62,7 +62,7 @@
 				return errors.Join(err, node.Close())
 			}
 		}}
-	cmd.Flags().StringVar(&path, "config", "fernlist.toml", "TOML file of the instance (see internal/listsvc.Config)")
+	cmd.Flags().StringVar(&path, "config", "discovery.toml", "TOML file of the instance (see internal/discovery/server.Config)")
 	cmd.Flags().StringVar(&format, "log-format", "text", "log records as text or json, on standard error")
 	return cmd
 }
@@ -76,7 +76,7 @@
 
 func putCmd() *cobra.Command {
 	var admin string
-	var t targets.Target
+	var t endpoint.Target
 	cmd := &cobra.Command{Use: "put ID", Short: "set a server's entry whole", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			t.ID = args[0]
--- a/cmd/fernlist/settings.go
+++ b/cmd/discovery/settings.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"clayproxy.example/clayproxy/internal/listsvc"
+	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
 const (
@@ -77,7 +77,7 @@
 			if cmd.Flags().Changed("version") {
 				path += fmt.Sprint("?version=", version)
 			}
-			var s listsvc.SettingsVersion
+			var s server.SettingsVersion
 			if err := fetchJSON(admin, path, &s); err != nil {
 				return err
 			}
@@ -94,7 +94,7 @@
 	var admin string
 	cmd := &cobra.Command{Use: "history SERVICE", Short: "the last 20 versions of a service's settings, the newest first",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			var kept []listsvc.SettingsVersion
+			var kept []server.SettingsVersion
 			if err := fetchJSON(admin, settingsPath(args[0])+"/history", &kept); err != nil {
 				return err
 			}
@@ -109,7 +109,7 @@
 	return cmd
 }
 
-func written(s listsvc.SettingsVersion) string {
+func written(s server.SettingsVersion) string {
 	return time.UnixMilli(s.AtMs).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
@@ -130,7 +130,7 @@
 // gathered is what all instances that were reached have heard of a service's agents.
 type gathered struct {
 	version uint64 // of the newest settings that one of them has
-	agents  map[string]listsvc.HeardAgent
+	agents  map[string]server.HeardAgent
 	reached int
 	missed  map[string]error // by instance, with its address
 }
@@ -138,9 +138,9 @@
 // gather asks the instance at admin and, at once and for heardWithin each, its peers. Of an
 // agent that several heard the last word counts.
 func gather(admin, service string) (*gathered, error) {
-	g := &gathered{agents: map[string]listsvc.HeardAgent{}, missed: map[string]error{}}
+	g := &gathered{agents: map[string]server.HeardAgent{}, missed: map[string]error{}}
 	path := settingsPath(service) + "/heard"
-	var first listsvc.Heard
+	var first server.Heard
 	if err := fetchJSON(admin, path, &first); err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			var h listsvc.Heard
+			var h server.Heard
 			err := getJSON(&http.Client{Timeout: heardWithin}, peer, path, &h)
 			mu.Lock()
 			defer mu.Unlock()
@@ -169,7 +169,7 @@
 	return g, nil
 }
 
-func (g *gathered) add(h listsvc.Heard) {
+func (g *gathered) add(h server.Heard) {
 	g.reached++
 	g.version = max(g.version, h.Version)
 	for _, a := range h.Agents {
@@ -188,7 +188,7 @@
 		fmt.Fprintf(out, "not reached: %s: %v\n", id, g.missed[id])
 	}
 	count := map[uint64]int{}
-	var lacking, silent []listsvc.HeardAgent
+	var lacking, silent []server.HeardAgent
 	for _, name := range slices.Sorted(maps.Keys(g.agents)) {
 		a := g.agents[name]
 		count[a.InForce]++
@@ -211,7 +211,7 @@
 	return fmt.Errorf("%d of %d agents lack version %d", len(lacking), len(g.agents), g.version)
 }
 
-func table(out io.Writer, title string, agents []listsvc.HeardAgent) {
+func table(out io.Writer, title string, agents []server.HeardAgent) {
 	if len(agents) == 0 {
 		return
 	}
@@ -233,7 +233,7 @@
 	return fmt.Sprint(version)
 }
 
-func quiet(a listsvc.HeardAgent) time.Duration {
+func quiet(a server.HeardAgent) time.Duration {
 	return (time.Duration(a.SilentMs) * time.Millisecond).Round(100 * time.Millisecond)
 }
 
--- a/cmd/fernlab/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"clayproxy.example/clayproxy/internal/capacity"
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// The files that `fernlab capacity` reads if it is told no others, from the checkout's root.
+// The files that `experiment capacity` reads if it is told no others, from the checkout's root.
 const (
 	targetFile     = "deploy/target.toml"
 	mechanismsFile = "docs/capacity/mechanisms.toml"
@@ -24,11 +24,11 @@
 	target, mechanisms, benches, page := targetFile, mechanismsFile, benchFiles, ""
 	cmd := &cobra.Command{Use: "capacity [RECORD...]", Short: "hold what was measured to the operators' size: the tables of docs/CAPACITY.md",
 		Long: "Prints the tables of docs/CAPACITY.md in Markdown: what each role takes at the target's size by the runs\n" +
-			"of the records that `fernlab scale` wrote, the budget, the fit it comes from, and what carries it. Without\n" +
+			"of the records that `experiment scale` wrote, the budget, the fit it comes from, and what carries it. Without\n" +
 			"records, or with benchmark files that aren't there, the rows say that nothing was measured.",
 		RunE: func(cmd *cobra.Command, records []string) error {
 			// The target's and mechanisms' defaults aren't repeated in the page's command.
-			command := strings.Join(append([]string{"fernlab capacity"}, records...), " ")
+			command := strings.Join(append([]string{"experiment capacity"}, records...), " ")
 			for _, f := range []struct{ name, value, normal string }{{"target", target, targetFile}, {"bench", strings.Join(benches, ","), strings.Join(benchFiles, ",")},
 				{"mechanisms", mechanisms, mechanismsFile}} {
 				if f.value != f.normal {
--- a/cmd/fernfleet/main.go
+++ b/cmd/membership/main.go
@@ -1,4 +1,4 @@
-// Command fernfleet shows operators what the agents of a fleet see of each other, and runs
+// Command membership shows operators what the agents of a fleet see of each other, and runs
 // the fleet view's experiments: fleets of the real agent on this machine with faults put
 // between them.
 package main
@@ -18,20 +18,20 @@
 
 	"github.com/spf13/cobra"
 
-	"clayproxy.example/clayproxy/internal/fleet"
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	if err := root().ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "fernfleet:", err)
+		fmt.Fprintln(os.Stderr, "membership:", err)
 		os.Exit(1)
 	}
 }
 
 func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "fernfleet", Short: "the fleet view of the agents, and its experiments",
+	cmd := &cobra.Command{Use: "membership", Short: "the fleet view of the agents, and its experiments",
 		SilenceUsage: true, SilenceErrors: true}
 	cmd.AddCommand(viewCmd(), experimentCmd(), figuresCmd())
 	return cmd
@@ -58,9 +58,9 @@
 
 // answer is what one door said, or why it did not.
 type answer struct {
-	Addr   string        `json:"addr"`
-	Error  string        `json:"error,omitempty"`
-	Status *fleet.Status `json:"view,omitempty"`
+	Addr   string             `json:"addr"`
+	Error  string             `json:"error,omitempty"`
+	Status *membership.Status `json:"view,omitempty"`
 }
 
 // ask asks all doors at once.
@@ -74,7 +74,7 @@
 		go func() {
 			defer wg.Done()
 			views[i].Addr = addr
-			s, err := fleet.Ask(ctx, addr, "")
+			s, err := membership.Ask(ctx, addr, "")
 			if err != nil {
 				views[i].Error = err.Error()
 				return
--- a/cmd/adapter/main.go
+++ b/cmd/simulatoradapter/main.go
@@ -8,9 +8,9 @@
 	"io"
 	"os"
 
-	"clayproxy.example/clayproxy/internal/events"
-	"clayproxy.example/clayproxy/internal/wire"
-	"clayproxy.example/clayproxy/policy"
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/wire"
+	"fernbeam.example/fernbeam/policy"
 )
 
 func main() {
@@ -27,7 +27,7 @@
 	w := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*policy.Balancer{}
 	var enc wire.Encoder
-	var actions []events.Action
+	var actions []balancer.Action
 	handle := func(now float64, rec *wire.Record) error {
 		switch rec.Kind {
 		case wire.Boot:
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/fleet"
-	"clayproxy.example/clayproxy/internal/listener"
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/listener"
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
 // Listeners are what one agent listens on.
@@ -41,7 +41,7 @@
 	// told takes settings that the list service told, until unserved is closed.
 	told     chan handover
 	unserved chan struct{}
-	view     atomic.Pointer[fleet.Fleet]
+	view     atomic.Pointer[membership.Fleet]
 	door     *management
 	killed   context.Context
 	kill     context.CancelFunc
@@ -192,7 +192,7 @@
 
 // take hands settings that the list service told to serve, and returns once they are in force. An
 // error is why they are not: errNotServing once nothing is taken over any more.
-func (a *Agent) take(ctx context.Context, s *targets.Settings) error {
+func (a *Agent) take(ctx context.Context, s *endpoint.Settings) error {
 	h := handover{settings: s, done: make(chan error, 1)}
 	select {
 	case a.told <- h:
@@ -234,7 +234,7 @@
 // Status is what an agent has counted and knows.
 type Status struct {
 	// Fleet is the view; nil: there is none.
-	Fleet *fleet.Status
+	Fleet *membership.Status
 	// ListVersion is the list's that is in force, and Servers what it lists.
 	ListVersion uint64
 	Servers     int
@@ -260,14 +260,14 @@
 
 // joinFleet begins to take part in the fleet view, where the configuration has one. The loop
 // gets each view as a posted event; nothing in the loop waits for it.
-func joinFleet(cfg *Config, f *front, l *loop) (*fleet.Fleet, error) {
+func joinFleet(cfg *Config, f *front, l *loop) (*membership.Fleet, error) {
 	if cfg.Fleet == nil {
 		return nil, nil
 	}
 	c := *cfg.Fleet
 	c.Log = cfg.logger()
-	c.OnView = func(v *fleet.View) { l.post(func() { l.onFleet(v) }) }
-	view, err := fleet.Start(c)
+	c.OnView = func(v *membership.View) { l.post(func() { l.onFleet(v) }) }
+	view, err := membership.Start(c)
 	if err == nil {
 		f.onDrain = view.SetDraining
 	}
@@ -276,7 +276,7 @@
 
 // leaveFleet tells the others that this process ends, beside its last requests; what it gives
 // is closed once they are told.
-func leaveFleet(view *fleet.Fleet) <-chan struct{} {
+func leaveFleet(view *membership.Fleet) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/connect_errors.go
@@ -5,7 +5,7 @@
 	"slices"
 	"syscall"
 
-	"clayproxy.example/clayproxy/internal/events"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // localErrors are the errors of socket, bind and connect that say that this machine lacks something.
@@ -29,9 +29,9 @@
 // connectFailure is how an attempt ends that got no connection. The backend is not demoted for what
 // this agent or its machine lacks.
 func connectFailure(err error) result {
-	status := events.ConnectFailed
+	status := balancer.ConnectFailed
 	if errors.Is(err, errTooMany) || isOneOf(err, localErrors) {
-		status = events.Full
+		status = balancer.Full
 	}
 	return result{status: status, why: err.Error()}
 }
@@ -41,11 +41,11 @@
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
 // writeFailure is the status of an attempt whose last byte was not written.
-func writeFailure(err error) events.Status {
+func writeFailure(err error) balancer.Status {
 	if isOneOf(err, localWriteErrors) {
-		return events.Full
+		return balancer.Full
 	}
-	return events.ConnectFailed
+	return balancer.ConnectFailed
 }
 
 func isOneOf(err error, list []syscall.Errno) bool {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -19,9 +19,9 @@
 	"unicode"
 	"unicode/utf8"
 
-	"clayproxy.example/clayproxy/internal/targets"
-	"clayproxy.example/clayproxy/internal/wire"
-	"clayproxy.example/clayproxy/policy"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/wire"
+	"fernbeam.example/fernbeam/policy"
 )
 
 const (
@@ -123,7 +123,7 @@
 // withTold is the configuration with settings that the list service told in place of its own, but
 // for index and zone. The rules are ReloadConfig's: an error names the key that can't be used, or
 // that the settings in force have and these lack.
-func (c *Config) withTold(s *targets.Settings) (*Config, error) {
+func (c *Config) withTold(s *endpoint.Settings) (*Config, error) {
 	var text map[string]any
 	if err := json.Unmarshal(s.Value, &text); err != nil || text == nil {
 		return nil, errors.New("settings: not a JSON object")
@@ -179,7 +179,7 @@
 	service, agent string
 	// take takes settings over and returns once they are in force; an error is why they are not:
 	// errNotServing where nothing is taken over any more.
-	take func(context.Context, *targets.Settings) error
+	take func(context.Context, *endpoint.Settings) error
 
 	mu               sync.Mutex
 	inForce, refused uint64
@@ -200,17 +200,17 @@
 	if w.ended {
 		return ""
 	}
-	q := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", targets.QueryService, url.QueryEscape(w.service),
-		targets.QueryAgent, url.QueryEscape(w.agent), targets.QueryInForce, w.inForce)
+	q := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
+		endpoint.QueryAgent, url.QueryEscape(w.agent), endpoint.QueryInForce, w.inForce)
 	if w.refused > 0 {
-		q += fmt.Sprintf("&%s=%d&%s=%s", targets.QueryRefused, w.refused, targets.QueryWhy, url.QueryEscape(w.why))
+		q += fmt.Sprintf("&%s=%d&%s=%s", endpoint.QueryRefused, w.refused, endpoint.QueryWhy, url.QueryEscape(w.why))
 	}
 	return q
 }
 
 // come takes settings that an answer brought, unless they are no newer than what was taken or
 // refused: a version never goes back.
-func (w *settingsWatch) come(ctx context.Context, s *targets.Settings) {
+func (w *settingsWatch) come(ctx context.Context, s *endpoint.Settings) {
 	w.mu.Lock()
 	old := s.Version <= max(w.inForce, w.refused)
 	w.mu.Unlock()
@@ -256,7 +256,7 @@
 
 // handover is settings on their way from the watch to whoever reloads.
 type handover struct {
-	settings *targets.Settings
+	settings *endpoint.Settings
 	done     chan error // of capacity one: who takes them over waits for nobody
 }
 
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -15,15 +15,15 @@
 
 	"golang.org/x/time/rate"
 
-	"clayproxy.example/clayproxy/internal/clock"
-	"clayproxy.example/clayproxy/internal/events"
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // List and Target are the protocol's shapes, shared with the list service.
 type (
-	List   = targets.List
-	Target = targets.Target
+	List   = endpoint.List
+	Target = endpoint.Target
 )
 
 // What discovery has to tell counts as told 6 s after it had it and could be reached, whatever
@@ -389,7 +389,7 @@
 type table struct {
 	zones, kinds map[string]int
 	byID         map[string]*backend
-	byAddr       map[events.Addr]*backend
+	byAddr       map[balancer.Addr]*backend
 }
 
 func newTable(zones, kinds []string) *table {
@@ -401,7 +401,7 @@
 		return m
 	}
 	return &table{zones: index(zones), kinds: index(kinds),
-		byID: map[string]*backend{}, byAddr: map[events.Addr]*backend{}}
+		byID: map[string]*backend{}, byAddr: map[balancer.Addr]*backend{}}
 }
 
 // backend finds or makes the entry of an id. The module's name comes from the
@@ -429,7 +429,7 @@
 // apply takes a list into the table and returns the module's entries, the
 // addresses whose idle connections are of no more use, and the backends gone.
 // started tells when a backend's process started, on the module's clock.
-func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []events.Entry, stale []string, gone []*backend) {
+func (t *table) apply(l *List, full bool, started func(*Target) float64) (entries []balancer.Entry, stale []string, gone []*backend) {
 	named := make(map[string]bool, len(l.Servers))
 	for i := range l.Servers {
 		s := &l.Servers[i]
@@ -437,7 +437,7 @@
 			continue
 		}
 		named[s.ID] = true
-		e := events.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: started(s), Weight: s.Weight}
+		e := balancer.Entry{Zone: len(t.zones), Kind: len(t.kinds), Cell: s.Cell, SinceMs: started(s), Weight: s.Weight}
 		if z, ok := t.zones[s.Zone]; ok {
 			e.Zone = z
 		}
@@ -446,11 +446,11 @@
 		}
 		switch s.State {
 		case "up":
-			e.Health = events.Ready
+			e.Health = balancer.Ready
 		case "removed":
-			e.Health = events.Gone
+			e.Health = balancer.Gone
 		default: // draining, and whatever else is not said to be up
-			e.Health = events.Draining
+			e.Health = balancer.Draining
 		}
 		b := t.backend(s.ID)
 		e.Server = b.name
@@ -458,10 +458,10 @@
 			stale = append(stale, b.addr)
 			b.addr = s.Addr
 		}
-		if b.closed.Store(e.Health != events.Ready); e.Health != events.Ready {
+		if b.closed.Store(e.Health != balancer.Ready); e.Health != balancer.Ready {
 			stale = append(stale, b.addr)
 		}
-		if b.gone = e.Health == events.Gone; b.gone {
+		if b.gone = e.Health == balancer.Gone; b.gone {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -17,9 +17,9 @@
 
 	"golang.org/x/time/rate"
 
-	"clayproxy.example/clayproxy/internal/events"
-	"clayproxy.example/clayproxy/internal/fleet"
-	"clayproxy.example/clayproxy/policy"
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/policy"
 )
 
 const (
@@ -52,11 +52,11 @@
 	inbox    chan func()
 	clock    *loopClock
 	starts   *startTimes
-	nextID   events.RequestID
-	requests map[events.RequestID]*request
+	nextID   balancer.RequestID
+	requests map[balancer.RequestID]*request
 	open     int // requests that have no answer yet
-	pending  []events.Event
-	actions  []events.Action
+	pending  []balancer.Event
+	actions  []balancer.Action
 	version  uint64 // of the list
 	source   *place // whose count that is
 	watching bool
@@ -65,7 +65,7 @@
 	told     uint64 // the version that was last told as in force
 	shown    shown
 	figures  figures
-	fleet    *fleet.View // nil: there is none
+	fleet    *membership.View // nil: there is none
 }
 
 // figures are counted for the log: every few seconds, and at the end.
@@ -74,9 +74,9 @@
 	// broken counts answers that were begun and not passed on whole.
 	broken int
 	// ends counts the attempts by how they ended.
-	ends map[events.Status]int
+	ends map[balancer.Status]int
 	// probes counts the probes by how they ended.
-	probes map[events.Status]int
+	probes map[balancer.Status]int
 	// lists counts the answers of discovery, lines what they listed, and unlisted the
 	// calls that failed: over all agents, the load that discovery bears.
 	lists, lines, unlisted int
@@ -110,7 +110,7 @@
 	body         []byte    // as far as it is kept
 	long         *longBody // its rest, if there is more
 	timeout      time.Duration
-	rules        *events.Rules // as they were when it came
+	rules        *balancer.Rules // as they were when it came
 	key          uint64
 	retry        bool
 	deadline     time.Time
@@ -144,7 +144,7 @@
 
 // request is a call in the loop, kept until it is answered and no attempt is out.
 type request struct {
-	id       events.RequestID
+	id       balancer.RequestID
 	call     *call
 	answered bool
 	attempts []*attempt
@@ -161,24 +161,24 @@
 	cancel  context.CancelFunc
 	done    bool
 	sent    time.Time
-	end     events.Status // once it is done
+	end     balancer.Status // once it is done
 	why     string
 	tookMs  float64
 }
 
 func newLoop(ctx context.Context, cfg *Config, ready func()) (*loop, error) {
-	balancer, err := policy.New(cfg.Settings, cfg.Seed)
+	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	log := cfg.logger()
 	now := newLoopClock(cfg.clock())
 	own := *cfg // its settings change as the loop says
-	l := &loop{cfg: &own, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
+	l := &loop{cfg: &own, ctx: ctx, balancer: decisions, table: newTable(cfg.Zones, cfg.Kinds),
 		pool: newPool(cfg), logger: log, limit: rate.NewLimiter(5, 50), lines: make(chan func(), 64), inbox: make(chan func(), 4096),
 		clock: now, starts: newStartTimes(now),
-		requests: map[events.RequestID]*request{}, ready: ready,
-		figures: figures{ends: map[events.Status]int{}, probes: map[events.Status]int{}}}
+		requests: map[balancer.RequestID]*request{}, ready: ready,
+		figures: figures{ends: map[balancer.Status]int{}, probes: map[balancer.Status]int{}}}
 	l.disc = newDiscovery(cfg.Discovery, cfg.Known.Version, func(n news) { l.post(func() { l.onList(n) }) })
 	l.disc.from, l.disc.clock = cfg.CallFrom, now
 	if cfg.Control != nil {
@@ -201,7 +201,7 @@
 	go l.writeLog()
 	l.carryOut(l.balancer.Start(l.clock.now(), l.actions[:0]))
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(&l.cfg.Known, events.ListCached, true, listing{})
+	l.list(&l.cfg.Known, balancer.ListCached, true, listing{})
 	l.drain()
 	if l.table.usable() {
 		l.ready()
@@ -230,7 +230,7 @@
 }
 
 // handle gives the module one event and carries out what it answers.
-func (l *loop) handle(ev *events.Event) {
+func (l *loop) handle(ev *balancer.Event) {
 	l.carryOut(l.balancer.Handle(l.clock.now(), ev, l.actions[:0]))
 }
 
@@ -244,49 +244,49 @@
 	l.pending = nil
 }
 
-func (l *loop) carryOut(actions []events.Action) {
+func (l *loop) carryOut(actions []balancer.Action) {
 	l.actions = actions
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case events.ActSend:
+		case balancer.ActSend:
 			l.send(a)
-		case events.ActCancel:
+		case balancer.ActCancel:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
 					t.cancel()
 				}
 			}
-		case events.ActRefuse:
+		case balancer.ActRefuse:
 			if r := l.requests[a.Request]; r != nil {
 				l.refuse(r, a.Ms)
 			}
-		case events.ActFail:
+		case balancer.ActFail:
 			if r := l.requests[a.Request]; r != nil {
 				l.finish(r, answer{verdict: failed, unfit: r.unfit})
 			}
-		case events.ActTimer:
+		case balancer.ActTimer:
 			token := a.Token
 			time.AfterFunc(ms(a.Ms), func() {
-				l.post(func() { l.handle(&events.Event{Kind: events.EvTimer, Token: token}) })
+				l.post(func() { l.handle(&balancer.Event{Kind: balancer.EvTimer, Token: token}) })
 			})
-		case events.ActFollow:
+		case balancer.ActFollow:
 			if !l.watching { // one watch is enough; it tells what another would
 				l.watching = true
 				go l.disc.watch(l.ctx)
 			}
-		case events.ActFetch:
+		case balancer.ActFetch:
 			if !l.fetching {
 				l.fetching = true
 				go l.disc.fetch(l.ctx)
 			}
-		case events.ActClose:
+		case balancer.ActClose:
 			if b := l.table.byAddr[a.Server]; b != nil {
 				l.pool.hangUp(b.addr)
 			}
-		case events.ActLog:
+		case balancer.ActLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
-		case events.ActProbe:
+		case balancer.ActProbe:
 			l.probe(a.Server)
 		}
 	}
@@ -312,7 +312,7 @@
 		l.post(func() { l.late(r) })
 	})
 	left -= min(moduleMargin, left/8)
-	l.handle(&events.Event{Kind: events.EvRequest, Request: r.id, Rules: c.rules,
+	l.handle(&balancer.Event{Kind: balancer.EvRequest, Request: r.id, Rules: c.rules,
 		Key: c.key, LeftMs: float64(left.Microseconds()) / 1000, Retry: c.retry, Long: c.long != nil})
 	return r
 }
@@ -330,7 +330,7 @@
 	r.backstop.Reset(time.Until(c.answerBy()))
 	left := max(time.Until(c.deadline), 0)
 	left -= min(moduleMargin, left/8)
-	l.handle(&events.Event{Kind: events.EvWritten, Request: r.id, Attempt: index,
+	l.handle(&balancer.Event{Kind: balancer.EvWritten, Request: r.id, Attempt: index,
 		LeftMs: float64(left.Microseconds()) / 1000})
 }
 
@@ -406,14 +406,14 @@
 			t.cancel()
 		}
 	}
-	l.handle(&events.Event{Kind: events.EvDropped, Request: r.id})
+	l.handle(&balancer.Event{Kind: balancer.EvDropped, Request: r.id})
 }
 
 // refuse answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
 func (l *loop) refuse(r *request, afterMs float64) {
 	c := r.call.rules
-	if r.mayRun > 0 && (c.Effect == events.SingleShot || c.Effect == events.Guarded && c.Group != events.GroupAll) {
+	if r.mayRun > 0 && (c.Effect == balancer.SingleShot || c.Effect == balancer.Guarded && c.Group != balancer.GroupAll) {
 		l.guard("refusal after an attempt that may have run", "id", r.call.id)
 		l.finish(r, answer{verdict: failed})
 		return
@@ -460,7 +460,7 @@
 
 // ---- attempts ----
 
-func (l *loop) send(a *events.Action) {
+func (l *loop) send(a *balancer.Action) {
 	r := l.requests[a.Request]
 	if r == nil {
 		// The request is over and forgotten: nothing can be sent, or counted.
@@ -486,15 +486,15 @@
 		l.guard(why, "id", r.call.id)
 	}
 	if why != "" {
-		t.done, t.end, t.why = true, events.Moot, why
-		l.pending = append(l.pending, events.Event{Kind: events.EvOutcome, Request: r.id, Attempt: index,
-			Server: a.Server, Status: events.Moot, Final: r.answered})
+		t.done, t.end, t.why = true, balancer.Moot, why
+		l.pending = append(l.pending, balancer.Event{Kind: balancer.EvOutcome, Request: r.id, Attempt: index,
+			Server: a.Server, Status: balancer.Moot, Final: r.answered})
 		return
 	}
 	var sendBy time.Time
 	if r.mayRun == 0 {
 		r.ranAt = now
-	} else if c := r.call.rules; c.Effect == events.Guarded {
+	} else if c := r.call.rules; c.Effect == balancer.Guarded {
 		// Backends drop repeats for so long. The connect may take its time, so the module's
 		// look at the clock is not enough; what is written has a round to arrive.
 		sendBy = r.ranAt.Add(ms(c.KeyTTLMs - 2*l.cfg.Settings.RoundMs))
@@ -518,10 +518,10 @@
 
 // probe validates a backend in the background. The module waits for one end of each
 // probe, so one that can't be sent has ended too.
-func (l *loop) probe(name events.Addr) {
+func (l *loop) probe(name balancer.Addr) {
 	b := l.table.byAddr[name]
 	if b == nil || b.addr == "" || b.closed.Load() || !l.cfg.Settings.Limits.Probing {
-		l.pending = append(l.pending, events.Event{Kind: events.EvProbed, Server: name, Status: events.Moot})
+		l.pending = append(l.pending, balancer.Event{Kind: balancer.EvProbed, Server: name, Status: balancer.Moot})
 		return
 	}
 	b.out++
@@ -536,10 +536,10 @@
 func (l *loop) probed(b *backend, res *result) {
 	b.out--
 	l.figures.probes[res.status]++
-	if res.status != events.OK {
+	if res.status != balancer.OK {
 		l.log(slog.LevelInfo, "probe failed", "backend", b.id, "ended", res.status, "why", res.why)
 	}
-	l.handle(&events.Event{Kind: events.EvProbed, Server: b.name, Status: res.status,
+	l.handle(&balancer.Event{Kind: balancer.EvProbed, Server: b.name, Status: res.status,
 		LatencyMs: res.latencyMs})
 	l.table.forget(b)
 }
@@ -560,7 +560,7 @@
 		return "more attempts than allowed"
 	case r.call.long.spent():
 		return "repeat of a body that was not kept"
-	case r.mayRun > 0 && c.Effect == events.SingleShot:
+	case r.mayRun > 0 && c.Effect == balancer.SingleShot:
 		return "repeat of an unsafe request that may have run"
 	case !until.After(now):
 		return "attempt without time"
@@ -578,20 +578,20 @@
 	if res.status.NeverRan() {
 		r.mayRun--
 	}
-	r.unfit = res.status == events.Unfit
+	r.unfit = res.status == balancer.Unfit
 	r.writing = false
 	switch {
 	case r.answered:
 		res.body.end()
-	case res.status != events.OK && r.call.ctx.Err() != nil:
+	case res.status != balancer.OK && r.call.ctx.Err() != nil:
 		l.left(r) // the front's word of it is on its way
-	case res.status == events.OK:
+	case res.status == balancer.OK:
 		l.finish(r, answer{verdict: served, header: res.header, body: res.body})
 	case res.client != nil:
 		// No more of the request comes, so it is none, and no backend has it whole.
 		l.finish(r, answer{verdict: failed, unfit: true})
 	}
-	l.handle(&events.Event{Kind: events.EvOutcome, Request: r.id, Attempt: index, Server: t.backend.name,
+	l.handle(&balancer.Event{Kind: balancer.EvOutcome, Request: r.id, Attempt: index, Server: t.backend.name,
 		Status: res.status, LatencyMs: res.latencyMs, Final: r.answered, Spent: r.call.long.spent()})
 	if r.answered && r.out == 0 {
 		delete(l.requests, r.id)
@@ -659,7 +659,7 @@
 		if n.watch {
 			l.watching = false
 		}
-		l.handle(&events.Event{Kind: events.EvList, List: events.ListFailed})
+		l.handle(&balancer.Event{Kind: balancer.EvList, List: balancer.ListFailed})
 		return
 	}
 	list := n.list
@@ -676,9 +676,9 @@
 	if list.Version < l.version && !n.anew {
 		return
 	}
-	kind := events.ListDelta
+	kind := balancer.ListDelta
 	if list.Full {
-		kind = events.ListFull
+		kind = balancer.ListFull
 	}
 	told := listing{older: list.Version < l.version, after: n.after}
 	if n.anew {
@@ -696,13 +696,13 @@
 // pushed tells whether changes of the list come without the module's asking.
 func (l *loop) pushed() bool { return l.cfg.Settings.Membership == "pushed" }
 
-func (l *loop) list(list *List, kind events.ListKind, full bool, told listing) {
+func (l *loop) list(list *List, kind balancer.ListKind, full bool, told listing) {
 	l.version = list.Version
 	entries, stale, gone := l.table.apply(list, full, func(t *Target) float64 { return l.starts.resolve(t, told) })
 	for _, addr := range stale {
 		l.pool.hangUp(addr)
 	}
-	l.handle(&events.Event{Kind: events.EvList, List: kind, Entries: entries})
+	l.handle(&balancer.Event{Kind: balancer.EvList, List: kind, Entries: entries})
 	for _, b := range gone {
 		l.table.forget(b)
 	}
@@ -716,7 +716,7 @@
 }
 
 // onFleet takes a new view of the fleet. Nothing rests on it yet but the log.
-func (l *loop) onFleet(v *fleet.View) {
+func (l *loop) onFleet(v *membership.View) {
 	l.fleet = v
 	l.log(slog.LevelInfo, "fleet view", "number", v.Number, "present", v.Present, "of", v.Size, "digest", v.Digest)
 }
--- a/internal/agent/management.go
+++ b/internal/agent/management.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/fleet"
-	"clayproxy.example/clayproxy/internal/listener"
+	"fernbeam.example/fernbeam/internal/listener"
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
 const (
@@ -35,7 +35,7 @@
 // it answers whatever the load.
 type management struct {
 	front  *front
-	fleet  *fleet.Fleet // nil: there is none
+	fleet  *membership.Fleet // nil: there is none
 	log    *slog.Logger
 	server *http.Server
 
@@ -52,7 +52,7 @@
 	m.most = most
 }
 
-func newManagement(f *front, fl *fleet.Fleet, most int) *management {
+func newManagement(f *front, fl *membership.Fleet, most int) *management {
 	m := &management{front: f, fleet: fl, most: most, log: slog.Default()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", m.readiness)
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"clayproxy.example/clayproxy/internal/clock"
-	"clayproxy.example/clayproxy/internal/events"
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 const (
@@ -70,7 +70,7 @@
 
 // resolve returns the start of a backend's process; 0 if it was long ago.
 func (s *startTimes) resolve(t *Target, told listing) float64 {
-	startedMs := events.Finite(t.StartedMs)
+	startedMs := balancer.Finite(t.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
--- a/internal/events/events.go
+++ b/internal/balancer/events.go
@@ -1,8 +1,8 @@
-// Package events is the surface of the decision module, package policy: the settings it
+// Package balancer is the surface of the decision module, package policy: the settings it
 // reads and their checks, the events with a time that go in and the actions that come
 // out, in order. It decides nothing; every decision is policy's. The shapes are those
 // of the simulator's wire (WIRE-fernbeam) and of the agent's configuration (PROTOCOL).
-package events
+package balancer
 
 import (
 	"encoding/binary"
--- a/internal/events/settings.go
+++ b/internal/balancer/settings.go
@@ -1,4 +1,4 @@
-package events
+package balancer
 
 import (
 	"fmt"
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -17,8 +17,8 @@
 
 // The lines between which a page has the tables.
 const (
-	Begin = "<!-- fernlab capacity: begin -->"
-	End   = "<!-- fernlab capacity: end -->"
+	Begin = "<!-- experiment capacity: begin -->"
+	End   = "<!-- experiment capacity: end -->"
 )
 
 // Replace gives a page's text with the tables between its markers; each marker has to be there
@@ -446,7 +446,7 @@
 		slices.SortStableFunc(order, func(a, b group) int { return slices.Index(Days, a.day) - slices.Index(Days, b.day) })
 		for _, g := range order {
 			fmt.Fprintf(b, "| [%d] | %s, %s | %s | %s |\n", i+1, plain(g.plan), plain(g.commit), g.day, counted(by[g]))
-			command := fmt.Sprintf("- [%d] `%s`: `fernlab scale %s --record %s`", i+1, rec.Path, planFile(rec.Path, g.plan), rec.Path)
+			command := fmt.Sprintf("- [%d] `%s`: `experiment scale %s --record %s`", i+1, rec.Path, planFile(rec.Path, g.plan), rec.Path)
 			if !slices.Contains(commands, command) {
 				commands = append(commands, command)
 			}
@@ -458,7 +458,7 @@
 	fmt.Fprintf(b, "\n%s\n", strings.Join(commands, "\n"))
 }
 
-// planFile is what `fernlab scale` is told of a plan: the file beside the record that has its
+// planFile is what `experiment scale` is told of a plan: the file beside the record that has its
 // name, or its name, which the built-in one has as a flag.
 func planFile(record, plan string) string {
 	if plan == "small" {
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -2,7 +2,7 @@
 // operators told (deploy/target.toml): records, fits and the tables of docs/CAPACITY.md.
 package capacity
 
-// Run is one day played at one size by `fernlab scale`; a record file has one JSON object a line.
+// Run is one day played at one size by `experiment scale`; a record file has one JSON object a line.
 type Run struct {
 	Plan    string  `json:"plan"`   // the plan's name
 	Commit  string  `json:"commit"` // of the program that was measured, "-dirty" after it where the tree was changed
@@ -11,7 +11,7 @@
 	Seed    uint64  `json:"seed"`
 	Size    int     `json:"size"`    // agents, hollow and real together
 	Hollow  int     `json:"hollow"`  // agents without client traffic, many in one process
-	Real    int     `json:"real"`    // processes of bin/ringtrack
+	Real    int     `json:"real"`    // processes of bin/agent
 	Lists   int     `json:"lists"`   // instances of the list service
 	Listed  int     `json:"listed"`  // servers on the list
 	Hurry   float64 `json:"hurry"`   // rates of changes and restarts over the target's, scaled to Size
@@ -29,7 +29,7 @@
 // The roles of a run.
 const (
 	RoleHollow   = "hollow"        // one agent of those that share processes
-	RoleReal     = "real"          // one process of bin/ringtrack
+	RoleReal     = "real"          // one process of bin/agent
 	RoleLeader   = "list leader"   // the instance of the list service that leads at the end
 	RoleFollower = "list follower" // each other instance
 )
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/clock"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // Steps are the steps of a wall clock that everything has to bear: by seconds and by an hour.
--- a/internal/configlab/cases.go
+++ b/internal/configtest/cases.go
@@ -1,4 +1,4 @@
-package configlab
+package configtest
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/listsvc"
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Case is one hard case. Its run returns once the last change is acknowledged and all faults are over;
@@ -79,7 +79,7 @@
 		return "", err
 	}
 	refused := 0
-	err = cluster.Await(l.cfg.Within, "all agents named with what became of the change", func() bool {
+	err = processtest.Await(l.cfg.Within, "all agents named with what became of the change", func() bool {
 		refused = 0
 		told := l.heard()
 		for i, agent := range l.Agents {
@@ -104,7 +104,7 @@
 
 // heardAt is what was last heard of an agent, and where.
 type heardAt struct {
-	listsvc.HeardAgent
+	server.HeardAgent
 	instance string
 }
 
@@ -112,7 +112,7 @@
 func (l *Lab) heard() map[string]heardAt {
 	out := map[string]heardAt{}
 	for _, instance := range l.Instances {
-		var h listsvc.Heard
+		var h server.Heard
 		if err := l.ask(instance, "GET", "/v1/settings/"+service+"/heard", "", &h); err != nil {
 			continue
 		}
@@ -236,12 +236,12 @@
 // back, the agents come one by one. The change is made once they are.
 func (l *Lab) allDown() (string, error) {
 	fall := time.Now()
-	if err := cluster.Each(l.Instances, l.svc.Kill); err != nil {
+	if err := processtest.Each(l.Instances, l.svc.Kill); err != nil {
 		return "", err
 	}
 	time.Sleep(l.cfg.Outage / 2)
 	tenth := l.Agents[:max(1, len(l.Agents)/10)]
-	if err := cluster.Each(tenth, l.restart); err != nil {
+	if err := processtest.Each(tenth, l.restart); err != nil {
 		return "", err
 	}
 	time.Sleep(l.cfg.Outage / 2)
@@ -251,7 +251,7 @@
 		}
 	}
 	back := time.Now()
-	if err := cluster.Each(l.Instances, l.svc.Start); err != nil {
+	if err := processtest.Each(l.Instances, l.svc.Start); err != nil {
 		return "", err
 	}
 	_, err := l.Change(good, l.Instances...)
--- a/internal/configlab/check_test.go
+++ b/internal/configtest/check_test.go
@@ -1,4 +1,4 @@
-package configlab
+package configtest
 
 import (
 	"testing"
--- a/internal/configlab/lab.go
+++ b/internal/configtest/lab.go
@@ -1,7 +1,7 @@
-// Package configlab runs the real list service and real agents on one machine, with a proxy on every
+// Package configtest runs the real list service and real agents on one machine, with a proxy on every
 // link between them, puts faults between them while settings change, and judges the merged histories
 // of writers, agents and service. The program's tests play its cases at a small size.
-package configlab
+package configtest
 
 import (
 	"bufio"
@@ -21,14 +21,14 @@
 	"sync"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/listsvc"
+	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Config says what to run.
 type Config struct {
-	Agent   string // path of the built ringtrack
-	Service string // path of the built fernlist
+	Agent   string // path of the built agent
+	Service string // path of the built discovery
 	Dir     string // for configurations, logs and data
 	N       int    // agents, 4 at least; every second has a key in its file that the first change lacks
 	Seed    uint64 // of all that is drawn
@@ -60,8 +60,8 @@
 	cfg       Config
 	Instances []string
 	Agents    []string
-	svc       *cluster.Cluster // its links are those of the agents too
-	agents    *cluster.Cluster
+	svc       *processtest.Cluster // its links are those of the agents too
+	agents    *processtest.Cluster
 	draw      *rand.Rand
 	client    *http.Client
 
@@ -88,13 +88,13 @@
 		l.Agents = append(l.Agents, fmt.Sprintf("pay-%03d", i))
 	}
 	var err error
-	if l.svc, err = cluster.New(cluster.Config{Binary: cfg.Service, Dir: cfg.Dir, Names: l.Instances,
-		Ports: []string{"raft", "http", "admin"}, Args: func(c *cluster.Cluster, name string) []string {
+	if l.svc, err = processtest.New(processtest.Config{Binary: cfg.Service, Dir: cfg.Dir, Names: l.Instances,
+		Ports: []string{"raft", "http", "admin"}, Args: func(c *processtest.Cluster, name string) []string {
 			return []string{"serve", "--config", filepath.Join(cfg.Dir, name+".toml")}
 		}}); err != nil {
 		return nil, err
 	}
-	if l.agents, err = cluster.New(cluster.Config{Binary: cfg.Agent, Dir: cfg.Dir, Names: l.Agents, Env: func(name string) []string {
+	if l.agents, err = processtest.New(processtest.Config{Binary: cfg.Agent, Dir: cfg.Dir, Names: l.Agents, Env: func(name string) []string {
 		return []string{"PROXY_CONFIG=" + filepath.Join(cfg.Dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
 			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + cfg.Dir}
 	}}); err != nil {
@@ -111,10 +111,10 @@
 		}
 	}
 	if err == nil {
-		err = errors.Join(cluster.Each(l.Instances, l.svc.Start), cluster.Each(l.Agents, l.agents.Start))
+		err = errors.Join(processtest.Each(l.Instances, l.svc.Start), processtest.Each(l.Agents, l.agents.Start))
 	}
 	if err == nil {
-		err = cluster.Await(30*time.Second, "a leader", func() bool { return l.leader() != "" })
+		err = processtest.Await(30*time.Second, "a leader", func() bool { return l.leader() != "" })
 	}
 	if err != nil {
 		l.Close()
@@ -195,7 +195,7 @@
 		if name == paused {
 			continue
 		}
-		var st listsvc.Status
+		var st server.Status
 		if l.svc.Running(name) && l.ask(name, "GET", "/v1/status", "", &st) == nil && st.State == "Leader" {
 			return name
 		}
@@ -208,7 +208,7 @@
 // was paused hears what was sent to it meanwhile.) The error tells that not all have called within 20 s.
 func (l *Lab) hung() (instance string, agents int, err error) {
 	from, on := time.Now(), map[string]int{}
-	err = cluster.Await(20*time.Second, "calls of all agents", func() bool {
+	err = processtest.Await(20*time.Second, "calls of all agents", func() bool {
 		told := l.heard()
 		for _, a := range told {
 			if a.SilentMs >= time.Since(from).Milliseconds() {
@@ -231,7 +231,7 @@
 
 // follower is an instance that runs and does not lead, drawn.
 func (l *Lab) follower() (string, error) {
-	err := cluster.Await(20*time.Second, "a leader", func() bool { return l.leader() != "" })
+	err := processtest.Await(20*time.Second, "a leader", func() bool { return l.leader() != "" })
 	lead := l.leader()
 	others := slices.DeleteFunc(slices.Clone(l.Instances), func(n string) bool { return n == lead })
 	return others[l.draw.IntN(len(others))], err
@@ -367,11 +367,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var kept []listsvc.SettingsVersion
+	var kept []server.SettingsVersion
 	path := "/v1/settings/" + service
 	err = l.somewhere(func(instance string) error { return l.ask(instance, "GET", path+"/history", "", &kept) })
 	for _, k := range kept {
-		var whole listsvc.SettingsVersion
+		var whole server.SettingsVersion
 		if err == nil {
 			err = l.somewhere(func(instance string) error {
 				return l.ask(instance, "GET", fmt.Sprintf("%s?version=%d", path, k.Version), "", &whole)
--- a/internal/listsvc/history_test.go
+++ b/internal/discovery/server/history_test.go
@@ -1,4 +1,4 @@
-package listsvc_test
+package server_test
 
 import (
 	"errors"
--- a/internal/listsvc/list.go
+++ b/internal/discovery/server/list.go
@@ -1,4 +1,4 @@
-package listsvc
+package server
 
 import (
 	"bytes"
@@ -13,18 +13,18 @@
 
 	"github.com/hashicorp/raft"
 
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // command is one write, as it goes through the Raft log: Op "put" sets a server's entry
 // whole, Op "remove" takes it out (a change that says "removed"), Op "settings" sets the
 // whole settings of a service.
 type command struct {
-	Op      string         `json:"op"`
-	Server  targets.Target `json:"server"`
-	Service string         `json:"service,omitempty"`
-	Text    string         `json:"text,omitempty"`  // of the settings, byte for byte as it came
-	AtMs    int64          `json:"at_ms,omitempty"` // Unix time in ms at the leader that took it
+	Op      string          `json:"op"`
+	Server  endpoint.Target `json:"server"`
+	Service string          `json:"service,omitempty"`
+	Text    string          `json:"text,omitempty"`  // of the settings, byte for byte as it came
+	AtMs    int64           `json:"at_ms,omitempty"` // Unix time in ms at the leader that took it
 	// IfVersion is the version of the settings that the write replaces (0: none yet); nil:
 	// whichever is there.
 	IfVersion *uint64 `json:"if_version,omitempty"`
@@ -32,8 +32,8 @@
 
 // change is one entry as a write left it, with the Raft index of that write.
 type change struct {
-	Index  uint64         `json:"index"`
-	Server targets.Target `json:"server"`
+	Index  uint64          `json:"index"`
+	Server endpoint.Target `json:"server"`
 }
 
 // list is the replicated state machine (raft.FSM): the servers by id and the last
@@ -42,7 +42,7 @@
 // the same index and leave version alone, so a watch of servers does not see them.
 type list struct {
 	mu      sync.RWMutex
-	servers map[string]targets.Target
+	servers map[string]endpoint.Target
 	setAt   map[string]uint64 // the index of each server's last change
 	changes []change
 	version uint64
@@ -59,7 +59,7 @@
 }
 
 func newList(keep int) *list {
-	l := &list{servers: map[string]targets.Target{}, setAt: map[string]uint64{}, keep: keep, wake: make(chan struct{}),
+	l := &list{servers: map[string]endpoint.Target{}, setAt: map[string]uint64{}, keep: keep, wake: make(chan struct{}),
 		answers: map[answerKey][]byte{}, settings: map[string][]SettingsVersion{}}
 	for i := range l.settingsWakes {
 		l.settingsWakes[i] = make(chan struct{})
@@ -132,7 +132,7 @@
 // versions that most watches have.
 const keepAnswers = 64
 
-// reply is the answer to a query, encoded: a targets.List and a line feed.
+// reply is the answer to a query, encoded: a endpoint.List and a line feed.
 type reply struct {
 	news bool // a change or the whole list, or newer settings
 	body []byte
@@ -155,7 +155,7 @@
 	}
 	if newer := l.newerSettings(q.service, q.have); newer != nil {
 		text, _ := json.Marshal(newer)
-		// They are the last field of a targets.List.
+		// They are the last field of a endpoint.List.
 		servers := bytes.TrimSuffix(out.body, []byte("}\n"))
 		out = reply{news: true, body: slices.Concat(servers, []byte(`,"settings":`), text, []byte("}\n"))}
 	}
@@ -180,17 +180,17 @@
 	return body
 }
 
-func encode(out targets.List) []byte {
+func encode(out endpoint.List) []byte {
 	body, _ := json.Marshal(out) // a list of finite numbers: check lets no other in
 	return append(body, '\n')
 }
 
 // changesAfter is the part of since's answer that is the servers'; the caller holds mu.
-func (l *list) changesAfter(version uint64, full bool) targets.List {
+func (l *list) changesAfter(version uint64, full bool) endpoint.List {
 	if full {
-		return targets.List{Version: l.version, Full: true, Servers: l.all()}
+		return endpoint.List{Version: l.version, Full: true, Servers: l.all()}
 	}
-	out := targets.List{Version: max(l.version, version), Servers: []targets.Target{}}
+	out := endpoint.List{Version: max(l.version, version), Servers: []endpoint.Target{}}
 	first, _ := slices.BinarySearchFunc(l.changes, version+1, func(c change, v uint64) int { return cmp.Compare(c.Index, v) })
 	last := map[string]int{}
 	for _, c := range l.changes[first:] {
@@ -206,8 +206,8 @@
 }
 
 // all is every listed server by id; the caller holds mu.
-func (l *list) all() []targets.Target {
-	out := make([]targets.Target, 0, len(l.servers))
+func (l *list) all() []endpoint.Target {
+	out := make([]endpoint.Target, 0, len(l.servers))
 	for _, s := range l.servers {
 		out = append(out, s)
 	}
@@ -215,7 +215,7 @@
 	return out
 }
 
-func byID(a, b targets.Target) int { return strings.Compare(a.ID, b.ID) }
+func byID(a, b endpoint.Target) int { return strings.Compare(a.ID, b.ID) }
 
 // current is the version of the last change of a server applied here.
 func (l *list) current() uint64 {
@@ -235,7 +235,7 @@
 type image struct {
 	Version uint64            `json:"version"`
 	Floor   uint64            `json:"floor"`
-	Servers []targets.Target  `json:"servers"`
+	Servers []endpoint.Target `json:"servers"`
 	Changes []change          `json:"changes"`
 	SetAt   map[string]uint64 `json:"set_at"`
 	// Settings are not there in the snapshots of a program that did not keep any.
@@ -260,7 +260,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.servers = map[string]targets.Target{}
+	l.servers = map[string]endpoint.Target{}
 	for _, s := range im.Servers {
 		l.servers[s.ID] = s
 	}
--- a/internal/listsvc/node.go
+++ b/internal/discovery/server/node.go
@@ -1,9 +1,9 @@
-// Package listsvc is one instance of the project's list service: the discovery protocol of
+// Package server is one instance of the project's list service: the discovery protocol of
 // PROTOCOL-fernbeam.md ("Discovery": GET /api/targets, watches by ?index=N&wait=MS, whole
 // or partial answers) served from a list that three to five instances replicate with Raft
 // (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014;
 // github.com/hashicorp/raft). The version a watch sees is the Raft index of the last change.
-package listsvc
+package server
 
 import (
 	"errors"
@@ -22,7 +22,7 @@
 	"github.com/hashicorp/raft"
 	"golang.org/x/time/rate"
 
-	"clayproxy.example/clayproxy/internal/listener"
+	"fernbeam.example/fernbeam/internal/listener"
 )
 
 // dataFormat is the layout of a data directory that this program writes; it reads that and
--- a/internal/listsvc/serve.go
+++ b/internal/discovery/server/serve.go
@@ -1,4 +1,4 @@
-package listsvc
+package server
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"net"
 	"net/http"
 
-	"clayproxy.example/clayproxy/internal/listener"
+	"fernbeam.example/fernbeam/internal/listener"
 )
 
 // serve answers the calls that come to a listener until the server is closed. Where it ends for
--- a/internal/listsvc/settings.go
+++ b/internal/discovery/server/settings.go
@@ -1,4 +1,4 @@
-package listsvc
+package server
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"unicode"
 	"unicode/utf8"
 
-	"clayproxy.example/clayproxy/internal/targets"
-	"clayproxy.example/clayproxy/internal/wire"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/wire"
 )
 
 const (
@@ -109,13 +109,13 @@
 
 // newerSettings are the service's newest settings if they are newer than version have, or
 // nil. The caller holds mu.
-func (l *list) newerSettings(service string, have uint64) *targets.Settings {
+func (l *list) newerSettings(service string, have uint64) *endpoint.Settings {
 	kept := l.settings[service]
 	if len(kept) == 0 || kept[len(kept)-1].Version <= have {
 		return nil
 	}
 	s := kept[len(kept)-1]
-	return &targets.Settings{Service: service, Version: s.Version, Value: json.RawMessage(s.Text)}
+	return &endpoint.Settings{Service: service, Version: s.Version, Value: json.RawMessage(s.Text)}
 }
 
 // history is the kept versions of a service's settings, the oldest first.
--- a/internal/listsvc/traffic.go
+++ b/internal/discovery/server/traffic.go
@@ -1,4 +1,4 @@
-package listsvc
+package server
 
 import (
 	"net"
--- a/internal/world/backend.go
+++ b/internal/emulator/backend.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 	"sync/atomic"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // backend is a price node's process on sockets: a listener for the agents of each zone, at an
 // address of its own, in front of one machine.
 type backend struct {
 	w     *World
-	entry targets.Target // as listed, but for the address
+	entry endpoint.Target // as listed, but for the address
 	zone  int
 	addrs []string // by the agents' zone
 	gates []*gate
@@ -44,7 +44,7 @@
 // maxBody bounds what is read of a body, in bytes.
 const maxBody = 1 << 20
 
-func newBackend(w *World, entry targets.Target, zone int, m Model, started time.Duration, addrs []string, seed uint64) (*backend, error) {
+func newBackend(w *World, entry endpoint.Target, zone int, m Model, started time.Duration, addrs []string, seed uint64) (*backend, error) {
 	b := &backend{w: w, entry: entry, zone: zone, addrs: addrs}
 	for from, addr := range addrs {
 		g, err := newGate(addr)
--- a/internal/world/contract.go
+++ b/internal/emulator/contract.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import "time"
 
--- a/internal/world/list.go
+++ b/internal/emulator/list.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // list is the list of nodes as each agent's machine has it: changes come to each in their order,
@@ -42,7 +42,7 @@
 }
 
 type listed struct {
-	targets.Target
+	endpoint.Target
 	version uint64
 	told    time.Duration
 }
@@ -50,7 +50,7 @@
 type pending struct {
 	at      time.Duration
 	version uint64
-	entry   targets.Target
+	entry   endpoint.Target
 }
 
 func newList(w *World) *list {
@@ -140,11 +140,11 @@
 }
 
 // since are an agent's entries changed after a version, and the channel that ends at a change.
-func (l *list) since(v *listView, index uint64, full bool) (targets.List, <-chan struct{}) {
+func (l *list) since(v *listView, index uint64, full bool) (endpoint.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full = full || index > v.version
-	out := targets.List{Version: v.version, Full: full, Servers: []targets.Target{}}
+	out := endpoint.List{Version: v.version, Full: full, Servers: []endpoint.Target{}}
 	for _, id := range v.ids {
 		if s := v.servers[id]; full && s.State != "removed" || !full && s.version > index {
 			out.Servers = append(out.Servers, s.Target)
@@ -153,7 +153,7 @@
 	return out, v.wake
 }
 
-func (l *list) whole(agent string) targets.List {
+func (l *list) whole(agent string) endpoint.List {
 	out, _ := l.since(l.views[agent], 0, true)
 	return out
 }
--- a/internal/world/theory.go
+++ b/internal/emulator/theory.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 // ErlangC is the probability that a request of an M/M/k queue waits, for k servers and an
 // offered load of so many erlangs, below k (Erlang, 1917).
--- a/internal/targets/targets.go
+++ b/internal/endpoint/targets.go
@@ -1,7 +1,7 @@
-// Package targets holds the shapes of the discovery protocol (PROTOCOL-fernbeam.md,
+// Package endpoint holds the shapes of the discovery protocol (PROTOCOL-fernbeam.md,
 // "Discovery"): the answer of GET /api/targets and the entry of one backend. The agent
 // reads them and the list service writes them.
-package targets
+package endpoint
 
 import "encoding/json"
 
--- a/internal/lab/compare.go
+++ b/internal/experiment/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/json"
--- a/internal/lab/plot.go
+++ b/internal/experiment/plot.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"clayproxy.example/clayproxy/internal/world"
+	"fernbeam.example/fernbeam/internal/emulator"
 )
 
 // Plot draws the records that count into a directory and gives the files' paths: service by
@@ -35,7 +35,7 @@
 			return nil, err
 		}
 		var lines, points plotter.XYs
-		sums := map[int]world.Second{}
+		sums := map[int]emulator.Second{}
 		var colds []float64
 		for _, r := range recs {
 			if r.Arm != arm || !r.Counts {
--- a/internal/switchboard/switchboard.go
+++ b/internal/faultproxy/switchboard.go
@@ -1,4 +1,4 @@
-// Package switchboard relays UDP and TCP between processes on one machine, with a rule for
+// Package faultproxy relays UDP and TCP between processes on one machine, with a rule for
 // each ordered pair: pass, cut, delay with jitter, loss, duplication, reordering, replay. Every
 // process has a loopback address of its own, by which the board knows the sender, and is
 // told of under the address of its relay. A cut is silent, as one in a network is: packets
@@ -6,7 +6,7 @@
 // when it heals, what was held is reset. A process that is not there refuses, through the
 // relay too. What happens to a packet is drawn from the board's seed, one stream of draws
 // for each ordered pair.
-package switchboard
+package faultproxy
 
 import (
 	"errors"
--- a/internal/switchboard/switchboard_test.go
+++ b/internal/faultproxy/switchboard_test.go
@@ -1,4 +1,4 @@
-package switchboard
+package faultproxy
 
 import (
 	"errors"
--- a/internal/fleet/config.go
+++ b/internal/membership/config.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"net/netip"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/clock"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // Config says how an agent takes part in its fleet. The JSON keys are those of the agent's
--- a/internal/fleet/fleet.go
+++ b/internal/membership/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet is the view that the agents of a site keep of each other: who is there,
+// Package membership is the view that the agents of a site keep of each other: who is there,
 // under which process, in which zone, and whether it drains. There is no server to it:
 // it is SWIM with Lifeguard's extensions (hashicorp/memberlist), and what that leaves out.
 //
-// Its invariants, which internal/fleetlab checks over the histories of many processes:
+// Its invariants, which internal/membershiptest checks over the histories of many processes:
 // a process that runs is never declared dead by one that was not cut off from it; an identity
 // that was replaced never returns; a leaver is neither doubted nor sought; incarnations and
 // view numbers never go back; and once faults have ended all live processes come to the
@@ -15,7 +15,7 @@
 // calls shows at once that its process is gone; that another is dead is believed only of
 // members that are surely there themselves; and packets and streams are checked before
 // memberlist, which trusts lengths that it is told, reads them.
-package fleet
+package membership
 
 import (
 	"context"
--- a/internal/fleet/retired.go
+++ b/internal/membership/retired.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"errors"
--- a/internal/fleet/transport.go
+++ b/internal/membership/transport.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"clayproxy.example/clayproxy/internal/listener"
+	"fernbeam.example/fernbeam/internal/listener"
 )
 
 const (
--- a/internal/fleetlab/cases.go
+++ b/internal/membershiptest/cases.go
@@ -1,4 +1,4 @@
-package fleetlab
+package membershiptest
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/switchboard"
+	"fernbeam.example/fernbeam/internal/faultproxy"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Measures are a case's figures by name, with their unit in the name.
@@ -128,7 +128,7 @@
 	if err := l.Start(l.Names[l.cfg.Seeds:]...); err != nil {
 		return nil, err
 	}
-	if err := cluster.Await(s.Within, "each sees itself alone", func() bool {
+	if err := processtest.Await(s.Within, "each sees itself alone", func() bool {
 		got := l.collect(l.Live())
 		for _, st := range got {
 			if st.Present != 1 || st.Quorate {
@@ -251,7 +251,7 @@
 			if l.draw.IntN(2) == 0 {
 				x, y = y, x
 			}
-			l.Board.Set(x, y, switchboard.Rule{Cut: true})
+			l.Board.Set(x, y, faultproxy.Rule{Cut: true})
 		}
 	}
 	time.Sleep(s.Faulty)
@@ -281,7 +281,7 @@
 
 func (l *Lab) lossy(share float64, s Scale) (Measures, error) {
 	began := time.Now()
-	l.Board.SetAll(switchboard.Rule{Loss: share, Jitter: 2 * time.Millisecond, Duplicate: share / 5, Reorder: share / 5})
+	l.Board.SetAll(faultproxy.Rule{Loss: share, Jitter: 2 * time.Millisecond, Duplicate: share / 5, Reorder: share / 5})
 	time.Sleep(s.Loss)
 	l.Board.Clear()
 	m, err := l.settled(nil, time.Now(), s)
@@ -365,7 +365,7 @@
 		c.Close()
 	}
 	var bad uint64
-	if err := cluster.Await(s.Within, "the strangers are counted", func() bool {
+	if err := processtest.Await(s.Within, "the strangers are counted", func() bool {
 		st, err := l.Status(victim, 0)
 		if err != nil {
 			return false
@@ -438,14 +438,14 @@
 	if orderly {
 		end = func(n string) error { return l.Term(n) }
 	}
-	return cluster.Each(names, func(n string) error { return errors.Join(end(n), l.Start(n)) })
+	return processtest.Each(names, func(n string) error { return errors.Join(end(n), l.Start(n)) })
 }
 
 // replayed lets a part of all packets come once more, up to a time later, while processes
 // are killed, leave and start again: what was said by or of those that were replaced comes
 // to their successors and to all others.
 func replayed(l *Lab, s Scale) (Measures, error) {
-	l.Board.SetAll(switchboard.Rule{Replay: 0.3, ReplayIn: s.Faulty})
+	l.Board.SetAll(faultproxy.Rule{Replay: 0.3, ReplayIn: s.Faulty})
 	for i := range 4 {
 		if err := l.restart(i%2 == 1, l.Some(0.1)...); err != nil {
 			return nil, err
@@ -468,7 +468,7 @@
 func drawnFaults(l *Lab, s Scale) (Measures, error) {
 	var healed time.Time
 	for step := range 4 {
-		r := switchboard.Rule{Loss: 0.05 * l.draw.Float64(), Jitter: time.Duration(l.draw.IntN(10)) * time.Millisecond,
+		r := faultproxy.Rule{Loss: 0.05 * l.draw.Float64(), Jitter: time.Duration(l.draw.IntN(10)) * time.Millisecond,
 			Duplicate: 0.1 * l.draw.Float64(), Reorder: 0.1 * l.draw.Float64(), Replay: 0.1 * l.draw.Float64(), ReplayIn: s.Cut}
 		some, what := l.Some(0.02+0.13*l.draw.Float64()), l.draw.IntN(5)
 		act := func() error {
--- a/internal/fleetlab/check.go
+++ b/internal/membershiptest/check.go
@@ -1,4 +1,4 @@
-package fleetlab
+package membershiptest
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/fleet"
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
 // Life is one process's time: from its start to its end as the lab made them. All times of
@@ -21,7 +21,7 @@
 // Record is what one process saw, in its order.
 type Record struct {
 	Observer, Process string
-	Changes           []fleet.Change
+	Changes           []membership.Change
 }
 
 func (r *Record) last() uint64 {
@@ -32,7 +32,7 @@
 }
 
 // add appends what is newer than the last change known.
-func (r *Record) add(changes []fleet.Change) {
+func (r *Record) add(changes []membership.Change) {
 	last := r.last()
 	for _, c := range changes {
 		if c.Number > last {
@@ -64,7 +64,7 @@
 // place of its successor), "leaver" (one that left is doubted, dead or back).
 type Violation struct {
 	Rule, Observer string
-	Change         fleet.Change
+	Change         membership.Change
 }
 
 func (v Violation) String() string {
@@ -81,7 +81,7 @@
 	}
 	for _, r := range records {
 		// What this observer knows of each name: its process, incarnation and state.
-		seen := map[string]fleet.Change{}
+		seen := map[string]membership.Change{}
 		replaced := map[string]bool{}
 		number := uint64(0)
 		for _, c := range r.Changes {
@@ -103,11 +103,11 @@
 				if c.Incarnation < old.Incarnation {
 					broken("incarnation")
 				}
-				if old.To == fleet.Left && c.To != fleet.Left && c.To != "" {
+				if old.To == membership.Left && c.To != membership.Left && c.To != "" {
 					broken("leaver")
 				}
 			}
-			if c.To == fleet.Dead && falseDeath(byProcess[c.Process], r.Observer, c, excuses) {
+			if c.To == membership.Dead && falseDeath(byProcess[c.Process], r.Observer, c, excuses) {
 				broken("false death")
 			}
 			seen[c.Name] = c
@@ -121,7 +121,7 @@
 	return a != nil && b != nil && !a.End.IsZero() && a.End.Before(b.Start)
 }
 
-func falseDeath(life *Life, observer string, c fleet.Change, excuses []Excuse) bool {
+func falseDeath(life *Life, observer string, c membership.Change, excuses []Excuse) bool {
 	at := time.UnixMicro(c.UnixUs)
 	if life == nil || !life.End.IsZero() && at.After(life.End) {
 		return false
@@ -141,7 +141,7 @@
 	for _, r := range records {
 		pairs := map[string]int{}
 		for _, c := range r.Changes {
-			if c.To == fleet.Suspect && c.From == fleet.Alive && running[c.Process] && time.UnixMicro(c.UnixUs).After(since) {
+			if c.To == membership.Suspect && c.From == membership.Alive && running[c.Process] && time.UnixMicro(c.UnixUs).After(since) {
 				pairs[c.Process]++
 				sum++
 				most = max(most, pairs[c.Process])
@@ -166,8 +166,8 @@
 			if l.End.IsZero() || l.Left || l.End.Before(since) {
 				continue
 			}
-			i := slices.IndexFunc(r.Changes, func(c fleet.Change) bool {
-				return c.Process == l.Process && c.To == fleet.Dead && time.UnixMicro(c.UnixUs).After(l.End)
+			i := slices.IndexFunc(r.Changes, func(c membership.Change) bool {
+				return c.Process == l.Process && c.To == membership.Dead && time.UnixMicro(c.UnixUs).After(l.End)
 			})
 			if i < 0 {
 				missing++
--- a/internal/fleetlab/costs.go
+++ b/internal/membershiptest/costs.go
@@ -1,4 +1,4 @@
-package fleetlab
+package membershiptest
 
 import (
 	"bufio"
@@ -13,19 +13,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"clayproxy.example/clayproxy/internal/cluster"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Usage is what one process has taken, and what its fleet view sent.
 type Usage struct {
-	cluster.Usage
+	processtest.Usage
 	Packets uint64
 	Bytes   uint64 // in packets and on streams
 }
 
 // usage reads what a running process has taken from /proc and its door.
 func (l *Lab) usage(name string) (u Usage, err error) {
-	if u.Usage, err = cluster.ProcessUsage(l.procs.Pid(name)); err != nil {
+	if u.Usage, err = processtest.ProcessUsage(l.procs.Pid(name)); err != nil {
 		return u, err
 	}
 	if s, serr := l.Status(name, 1<<62); serr == nil {
--- a/internal/fleetlab/journal.go
+++ b/internal/membershiptest/journal.go
@@ -1,4 +1,4 @@
-package fleetlab
+package membershiptest
 
 import (
 	"encoding/json"
--- a/internal/fleetlab/lab.go
+++ b/internal/membershiptest/lab.go
@@ -1,9 +1,9 @@
-// Package fleetlab runs fleets of the real agent on one machine, through a switchboard that
+// Package membershiptest runs fleets of the real agent on one machine, through a switchboard that
 // puts faults between them, and judges their fleet views: a checker decides safety over the
 // merged histories of all processes, and the same histories give the times that a change
 // took to be seen by all. The program's tests run its cases at a small size; the command
-// fernfleet runs them at any.
-package fleetlab
+// membership runs them at any.
+package membershiptest
 
 import (
 	"context"
@@ -23,9 +23,9 @@
 	"syscall"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/fleet"
-	"clayproxy.example/clayproxy/internal/switchboard"
+	"fernbeam.example/fernbeam/internal/faultproxy"
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Config says what fleet to run.
@@ -35,8 +35,8 @@
 	N      int    // processes, in three zones
 	Seeds  int    // the first so many are everyone's seeds
 	Seed   uint64 // of all that is drawn
-	// Fleet are the timings of the agents' section "fleet" (see fleet.Config).
-	Fleet fleet.Config
+	// Fleet are the timings of the agents' section "fleet" (see membership.Config).
+	Fleet membership.Config
 	// Alone tells which processes have no fleet section; nil: none.
 	Alone func(i int) bool
 	// Log is told what happens; nil: nobody.
@@ -46,8 +46,8 @@
 // Lab is a running fleet with its board and its history.
 type Lab struct {
 	cfg   Config
-	Board *switchboard.Board
-	procs *cluster.Cluster
+	Board *faultproxy.Board
+	procs *processtest.Cluster
 	Names []string
 	addr  map[string][2]string // bind and advertise
 	disc  *http.Server
@@ -76,7 +76,7 @@
 	if cfg.Log == nil {
 		cfg.Log = func(string, ...any) {}
 	}
-	board, err := switchboard.New(cfg.Seed)
+	board, err := faultproxy.New(cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 		board.Close()
 		return nil, err
 	}
-	l.procs, err = cluster.New(cluster.Config{Binary: cfg.Binary, Dir: cfg.Dir, Names: all, Env: func(name string) []string {
+	l.procs, err = processtest.New(processtest.Config{Binary: cfg.Binary, Dir: cfg.Dir, Names: all, Env: func(name string) []string {
 		return []string{"PROXY_CONFIG=" + filepath.Join(cfg.Dir, name+".json"), "PROXY_NAME=", "PROXY_LISTEN=",
 			"PROXY_DISCOVERY=", "PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=", "TMPDIR=" + cfg.Dir}
 	}})
@@ -182,7 +182,7 @@
 // Close ends every process, the board and the list.
 func (l *Lab) Close() {
 	if l.procs != nil {
-		cluster.Each(l.procs.Names(), func(n string) error { return l.procs.Kill(n) })
+		processtest.Each(l.procs.Names(), func(n string) error { return l.procs.Kill(n) })
 	}
 	l.disc.Close()
 	l.Board.Close()
@@ -191,15 +191,15 @@
 // Start starts processes at once and waits until each has told its identity.
 func (l *Lab) Start(names ...string) error {
 	began := time.Now()
-	if err := cluster.Each(names, func(n string) error { return l.procs.Start(n) }); err != nil {
+	if err := processtest.Each(names, func(n string) error { return l.procs.Start(n) }); err != nil {
 		return err
 	}
-	return cluster.Each(names, func(n string) error {
+	return processtest.Each(names, func(n string) error {
 		if l.alone(n) {
 			return nil
 		}
-		var s *fleet.Status
-		if err := cluster.Await(time.Minute, n+" answers its operators", func() bool {
+		var s *membership.Status
+		if err := processtest.Await(time.Minute, n+" answers its operators", func() bool {
 			s, _ = l.Status(n, 1<<62)
 			return s != nil
 		}); err != nil {
@@ -235,7 +235,7 @@
 	for _, n := range names {
 		l.end(n, false)
 	}
-	return cluster.Each(names, func(n string) error { return l.procs.Kill(n) })
+	return processtest.Each(names, func(n string) error { return l.procs.Kill(n) })
 }
 
 // Term sends SIGTERM to processes and waits for their ends.
@@ -244,7 +244,7 @@
 	for _, n := range names {
 		l.end(n, true)
 	}
-	return cluster.Each(names, func(n string) error { return l.procs.Term(n) })
+	return processtest.Each(names, func(n string) error { return l.procs.Term(n) })
 }
 
 // Pause stands processes still for a time.
@@ -255,7 +255,7 @@
 		}
 	}
 	time.Sleep(d)
-	return cluster.Each(names, func(n string) error { return l.procs.Resume(n) })
+	return processtest.Each(names, func(n string) error { return l.procs.Resume(n) })
 }
 
 // Starve gives processes a tenth of the time, in slices of 10 ms, for a time.
@@ -304,10 +304,10 @@
 }
 
 // Status asks a process for its view and its changes after a number.
-func (l *Lab) Status(name string, since uint64) (*fleet.Status, error) {
+func (l *Lab) Status(name string, since uint64) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
 	defer cancel()
-	s, err := fleet.Ask(ctx, l.door(name, 8001), fmt.Sprintf("members=none&since=%d", since))
+	s, err := membership.Ask(ctx, l.door(name, 8001), fmt.Sprintf("members=none&since=%d", since))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -319,10 +319,10 @@
 
 // collect adds what processes saw since they were last asked to their records, and gives
 // their statuses; a process that does not answer has none.
-func (l *Lab) collect(names []string) map[string]*fleet.Status {
+func (l *Lab) collect(names []string) map[string]*membership.Status {
 	var mu sync.Mutex
-	got := map[string]*fleet.Status{}
-	cluster.Each(names, func(n string) error {
+	got := map[string]*membership.Status{}
+	processtest.Each(names, func(n string) error {
 		l.mu.Lock()
 		var since uint64
 		for _, life := range l.lives {
@@ -358,9 +358,9 @@
 // Settle waits until all running processes that take part see exactly each other, and gives
 // the time from since on that the last of them took to come to that for good.
 func (l *Lab) Settle(since time.Time, within time.Duration) (time.Duration, error) {
-	var last map[string]*fleet.Status
+	var last map[string]*membership.Status
 	apart := ""
-	err := cluster.Await(within, "all agree", func() bool {
+	err := processtest.Await(within, "all agree", func() bool {
 		time.Sleep(max(150, time.Duration(2*l.cfg.N)) * time.Millisecond)
 		live := slices.DeleteFunc(l.Live(), l.alone)
 		last = l.collect(live)
@@ -382,10 +382,10 @@
 }
 
 // present are those that take part among processes that answered, by their own word.
-func present(got map[string]*fleet.Status, live []string) (there []fleet.Member) {
+func present(got map[string]*membership.Status, live []string) (there []membership.Member) {
 	for _, n := range live {
 		if s := got[n]; s != nil && s.Member {
-			there = append(there, fleet.Member{Name: s.Self, Process: s.Process, State: fleet.Alive})
+			there = append(there, membership.Member{Name: s.Self, Process: s.Process, State: membership.Alive})
 		}
 	}
 	return there
@@ -393,24 +393,24 @@
 
 // differences says, for a few views that are not the fleet as it is, which members they
 // have otherwise, and what their processes counted.
-func (l *Lab) differences(got map[string]*fleet.Status) string {
+func (l *Lab) differences(got map[string]*membership.Status) string {
 	var b strings.Builder
 	there := present(got, slices.Sorted(maps.Keys(got)))
-	digest, told := fleet.DigestOf(there), 0
+	digest, told := membership.DigestOf(there), 0
 	for _, n := range slices.Sorted(maps.Keys(got)) {
 		if s := got[n]; !s.Member || s.Digest == digest && s.Suspects == 0 || told >= 3 {
 			continue
 		}
 		told++
 		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
-		s, err := fleet.Ask(ctx, l.door(n, 8001), "since=4611686018427387904")
+		s, err := membership.Ask(ctx, l.door(n, 8001), "since=4611686018427387904")
 		cancel()
 		if err != nil {
 			continue
 		}
 		fmt.Fprintf(&b, "\n%s, unchanged for %d ms, counts %v:", n, s.UnchangedMs, s.Traffic)
 		for _, m := range there {
-			if seen, ok := s.View.Member(m.Name); !ok || seen.Process != m.Process || seen.State != fleet.Alive {
+			if seen, ok := s.View.Member(m.Name); !ok || seen.Process != m.Process || seen.State != membership.Alive {
 				fmt.Fprintf(&b, " %s/%s seen as %q %s incarnation %d after", m.Name, m.Process, seen.State, seen.Process, seen.Incarnation)
 				l.mu.Lock()
 				for _, c := range l.records[s.Process].Changes {
@@ -426,14 +426,14 @@
 }
 
 // Apart says where views differ from each other or from who is there; empty: they agree.
-func Apart(got map[string]*fleet.Status, live []string) string {
+func Apart(got map[string]*membership.Status, live []string) string {
 	for _, n := range live {
 		if got[n] == nil {
 			return n + " does not answer"
 		}
 	}
 	there := present(got, live)
-	digest := fleet.DigestOf(there)
+	digest := membership.DigestOf(there)
 	apart := 0
 	first := ""
 	for _, n := range live {
--- a/internal/policytest/rig_test.go
+++ b/internal/policytest/rig_test.go
@@ -1,6 +1,6 @@
 package policytest
 
-import . "clayproxy.example/clayproxy/internal/events"
+import . "fernbeam.example/fernbeam/internal/balancer"
 
 func addr(i int) Addr { return Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
 
--- a/internal/cluster/cluster.go
+++ b/internal/processtest/cluster.go
@@ -1,9 +1,9 @@
-// Package cluster is the project's multi-process fault harness: it starts built processes
+// Package processtest is the project's multi-process fault harness: it starts built processes
 // of the program on loopback ports from the system and injects faults between them, as
 // the fleet issues' tests and the experiment command need: SIGKILL, SIGSTOP and SIGCONT,
 // restarts, and on every link a TCP proxy that can delay, drop or cut (a partition is a
 // set of cut links). It keeps a history of what was done and what was seen.
-package cluster
+package processtest
 
 import (
 	"errors"
--- a/internal/cluster/usage.go
+++ b/internal/processtest/usage.go
@@ -1,4 +1,4 @@
-package cluster
+package processtest
 
 import (
 	"fmt"
--- a/internal/shared/budget.go
+++ b/internal/quota/budget.go
@@ -1,11 +1,11 @@
-// Package shared is what the agents of a fleet share: at present budgets, rights to spend that
+// Package quota is what the agents of a fleet share: at present budgets, rights to spend that
 // are handed between agents as loans which lapse by themselves.
 //
 // Its invariant: what all processes of the configured fleet together spend of a budget in any
 // window of its length never exceeds the budget, whatever is cut off, lost, doubled, late or
 // forged, whoever stops, stands still or starts again with nothing remembered, as long as each
 // process's clock runs within Drift of true time and no two processes of one agent take part at
-// once (internal/fleet lets the second wait for the address). What each has seen and holds is
+// once (internal/membership lets the second wait for the address). What each has seen and holds is
 // bounded, whatever others say.
 //
 // It is the bounded counter of Balegas et al. ("Extending Eventually Consistent Cloud Databases
@@ -15,7 +15,7 @@
 // know by their own clocks, so that nothing has to be heard for a right to come home.
 // Way not taken: a keeper of the budget under a lease, to whom all ask (a majority's side alone
 // could spend then, and every spend would wait for an answer).
-package shared
+package quota
 
 import (
 	"errors"
--- a/internal/shared/budget_test.go
+++ b/internal/quota/budget_test.go
@@ -1,4 +1,4 @@
-package shared
+package quota
 
 import (
 	"fmt"
--- a/internal/scale/fits.go
+++ b/internal/scaletest/fits.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"syscall"
 
-	"clayproxy.example/clayproxy/internal/cluster"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // What one of each takes at the most, by docs/capacity/scale.jsonl: resident MB a hollow agent, its
@@ -37,7 +37,7 @@
 		return err
 	}
 	for _, hollow := range p.Sizes {
-		if err := p.fits(hollow, total/2, cluster.FreeMB(), lim.Cur); err != nil {
+		if err := p.fits(hollow, total/2, processtest.FreeMB(), lim.Cur); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"clayproxy.example/clayproxy/internal/agent"
-	"clayproxy.example/clayproxy/internal/cluster"
-	"clayproxy.example/clayproxy/internal/fleet"
-	"clayproxy.example/clayproxy/internal/lab"
-	"clayproxy.example/clayproxy/internal/switchboard"
-	"clayproxy.example/clayproxy/internal/targets"
+	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/experiment"
+	"fernbeam.example/fernbeam/internal/faultproxy"
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // The two regions and six zones that a fleet is split in, by name; a zone's first letters are its
@@ -77,7 +77,7 @@
 	draw    *rand.Rand // used under mu
 	hold    net.Listener
 	network byte
-	board   *switchboard.Board // nil: the fleet view's packets pass no relay
+	board   *faultproxy.Board // nil: the fleet view's packets pass no relay
 	lists   *lists
 	hosts   []*hostProcess
 	reals   *reals
@@ -89,14 +89,14 @@
 
 	mu       sync.Mutex
 	members  []*member
-	servers  []targets.Target
+	servers  []endpoint.Target
 	settings uint64 // how many times settings were written
 }
 
 // start starts a whole fleet; the caller closes it, also after an error.
 func (f *running) start(ctx context.Context, cfg *Config, hollow int) error {
 	var err error
-	if f.hold, f.network, err = switchboard.Network(); err != nil {
+	if f.hold, f.network, err = faultproxy.Network(); err != nil {
 		return err
 	}
 	if f.lists, err = startLists(cfg.List, f.dir, f.plan.Lists, func(i int) string { return f.address(2, i) }); err != nil {
@@ -141,8 +141,8 @@
 func (f *running) fill(ctx context.Context) error {
 	for i := range f.listed {
 		zone := i % len(zoneNames)
-		f.servers = append(f.servers, targets.Target{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
-			Zone: zoneNames[zone], Region: zoneNames[zone][:2], Kind: lab.Site().Models[i%2].Kind, Cell: i / 6, State: "up", Weight: 1})
+		f.servers = append(f.servers, endpoint.Target{ID: fmt.Sprintf("s%04d", i), Addr: net.JoinHostPort(f.address(1, i), strconv.Itoa(listedPort)),
+			Zone: zoneNames[zone], Region: zoneNames[zone][:2], Kind: experiment.Site().Models[i%2].Kind, Cell: i / 6, State: "up", Weight: 1})
 	}
 	var group errgroup.Group
 	group.SetLimit(writers)
@@ -169,14 +169,14 @@
 // change, goes round them all.
 func (f *running) name(hollow int) error {
 	var seeds []string
-	var views []fleet.Config
+	var views []membership.Config
 	for i := range f.size {
 		zone := i % len(zoneNames)
 		m := &member{name: fmt.Sprintf("%s-a%04d", zoneNames[zone], i), index: i, zone: zone, ip: f.address(0, i)}
 		if i < hollow {
 			m.host = f.hosts[i%len(f.hosts)]
 		}
-		view := fleet.Config{Bind: m.at(viewPort), Advertise: m.at(viewPort), Site: "scale", Zone: zoneNames[zone], Networks: []string{"127.0.0.0/8"}}
+		view := membership.Config{Bind: m.at(viewPort), Advertise: m.at(viewPort), Site: "scale", Zone: zoneNames[zone], Networks: []string{"127.0.0.0/8"}}
 		if f.board != nil {
 			var err error
 			if view.Bind, view.Advertise, err = f.board.Add(m.name); err != nil {
@@ -205,18 +205,18 @@
 }
 
 // deployment is the one whose settings the agents have.
-func deployment() *lab.Scenario {
-	s := lab.Site()
+func deployment() *experiment.Scenario {
+	s := experiment.Site()
 	s.Fleet.Zones = zoneNames
 	return s
 }
 
 // configure makes a member's configuration.
-func (f *running) configure(m *member, view fleet.Config) (err error) {
+func (f *running) configure(m *member, view membership.Config) (err error) {
 	s := deployment()
 	c := map[string]any{"name": m.name, "listen": m.at(clientPort), "management": m.at(operatorPort),
 		"discovery": f.lists.Addr(f.instance(m), "http"), "seed": strconv.FormatUint(f.plan.Seed*100_000+uint64(m.index), 16), "limits": s.Limits(),
-		"known": targets.List{Full: true, Servers: []targets.Target{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
+		"known": endpoint.List{Full: true, Servers: []endpoint.Target{}}, "fleet": view, "settings": s.Settings(m.index, m.zone, f.size)}
 	if m.service != "" {
 		c["control"] = agent.Control{Service: m.service, Addresses: f.addresses()}
 	}
@@ -479,7 +479,7 @@
 	}
 	group.Wait()
 	if f.reals != nil && f.reals.Cluster != nil {
-		cluster.Each(f.reals.Names(), f.reals.Kill)
+		processtest.Each(f.reals.Names(), f.reals.Kill)
 		f.reals.Close()
 	}
 	if f.lists != nil {
--- a/internal/scale/force.go
+++ b/internal/scaletest/force.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"clayproxy.example/clayproxy/internal/capacity"
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // allowed is how long a change may take to be in force at an agent before it counts as absent there.
--- a/internal/scale/host.go
+++ b/internal/scaletest/host.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"clayproxy.example/clayproxy/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent"
 )
 
 // host is the process of many hollow agents.
--- a/internal/scale/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
