--- a/internal/discovery/server/agent_reports.go
+++ b/internal/discovery/server/agent_reports.go
@@ -11,97 +11,114 @@
 )
 
 const (
-	// maxWhy bounds an agent's reason for a refusal, in bytes.
+	// maxReasonBytes bounds the reason that an agent gives for rejecting settings.
 	maxReasonBytes = 200
-	// maxHeard bounds the agents that an instance remembers: beyond it the one that has been
-	// silent for longest is forgotten.
+	// maxReports bounds the agents that an instance remembers. Beyond it the report that is the
+	// oldest is evicted.
 	maxReports = 8192
-	// heardFor is how long an agent is remembered after its last call: longer than regions
-	// lose each other for, so that who came without the newest settings is still named.
+	// reportRetention is how long a report is remembered. It is longer than regions lose contact
+	// with each other, so that an agent that left without the newest settings is still listed.
 	reportRetention = 2 * time.Hour
 )
 
-// AgentReport is what a call of a watch tells of its agent: the versions of its service's
-// settings that it has in force (0: those of its file) and that it last refused, if that is
-// newer, and why (one line, 200 bytes at most).
+// SettingsReport is what a watch request says about the settings of its agent.
 type SettingsReport struct {
-	InForce  uint64 `json:"in_force"`
+	// InForce is the version in force; 0: the settings of the agent's own configuration file.
+	InForce uint64 `json:"in_force"`
+	// Rejected is the last version that the agent rejected, if it is newer than InForce.
 	Rejected uint64 `json:"refused,omitempty"`
-	Reason   string `json:"why,omitempty"`
+	// Reason says why it was rejected, on one line of at most 200 bytes.
+	Reason string `json:"why,omitempty"`
 }
 
-// HeardAgent is what an instance last heard of an agent.
+// AgentReport is the last report of one agent to one instance.
 type AgentReport struct {
 	Agent    string `json:"agent"`
-	SilentMs int64  `json:"silent_ms"` // since its last call came to this instance
+	SilentMs int64  `json:"silent_ms"` // milliseconds since the agent's last call to this instance
 	SettingsReport
 }
 
-// Heard is what one instance has heard of a service's agents in the last two hours.
+// AgentReports lists the agents of one service that have called one instance within the last two
+// hours. It is the body of GET /v1/settings/{service}/heard.
 type AgentReports struct {
-	ID      string            `json:"id"`      // the instance
+	ID      string            `json:"id"`      // of the instance
 	Service string            `json:"service"` // of the agents
-	Version uint64            `json:"version"` // of the newest settings applied here; 0: none are kept
-	Agents  []AgentReport     `json:"agents"`  // by name
+	Version uint64            `json:"version"` // of the newest settings applied here; 0: there are none
+	Agents  []AgentReport     `json:"agents"`  // ordered by name
 	Peers   map[string]string `json:"peers"`   // the other instances' admin addresses by id
 }
 
-// heard remembers agents by name, in memory only: an instance that starts has heard nobody.
+// reportRegistry remembers the last report of each agent by the agent's name. It is in memory
+// only: an instance starts with an empty one. It is safe for concurrent use.
 type reportRegistry struct {
 	mu     sync.Mutex
 	agents map[string]receivedReport
 }
 
+// receivedReport is one agent's last report and the time at which it was received.
 type receivedReport struct {
 	service string
 	SettingsReport
 	receivedAt time.Time
 }
 
-func newReportRegistry() *reportRegistry { return &reportRegistry{agents: map[string]receivedReport{}} }
+func newReportRegistry() *reportRegistry {
+	return &reportRegistry{agents: map[string]receivedReport{}}
+}
 
-// note remembers a call of an agent.
-func (h *reportRegistry) record(service, agent string, report SettingsReport, now time.Time) {
+// record remembers a report, and evicts others if there are too many.
+func (r *reportRegistry) record(service, agent string, report SettingsReport, now time.Time) {
 	agent = oneLine(agent, maxNameBytes)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, known := h.agents[agent]; !known && len(h.agents) >= maxReports {
-		h.evict(now)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, known := r.agents[agent]
+	if !known && len(r.agents) >= maxReports {
+		r.evict(now)
 	}
-	h.agents[agent] = receivedReport{service: service, SettingsReport: report, receivedAt: now}
+	r.agents[agent] = receivedReport{service: service, SettingsReport: report, receivedAt: now}
 }
 
-// forget drops who has been silent for too long, or else who has been so for longest. The
-// caller holds mu.
-func (h *reportRegistry) evict(now time.Time) {
-	oldest, at := "", now
-	for agent, from := range h.agents {
-		if now.Sub(from.receivedAt) > reportRetention {
-			delete(h.agents, agent)
-		} else if !from.receivedAt.After(at) {
-			oldest, at = agent, from.receivedAt
+// evict drops the reports that have expired or, if there are none, the oldest report. The caller
+// holds mu.
+func (r *reportRegistry) evict(now time.Time) {
+	oldestAgent := ""
+	oldestTime := now
+	for agent, report := range r.agents {
+		switch {
+		case now.Sub(report.receivedAt) > reportRetention:
+			delete(r.agents, agent)
+		case !report.receivedAt.After(oldestTime):
+			oldestAgent = agent
+			oldestTime = report.receivedAt
 		}
 	}
-	if len(h.agents) >= maxReports {
-		delete(h.agents, oldest)
+	if len(r.agents) >= maxReports {
+		delete(r.agents, oldestAgent)
 	}
 }
 
-// of is what was heard of a service's agents, by name.
-func (h *reportRegistry) ofService(service string, now time.Time) []AgentReport {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := []AgentReport{}
-	for _, agent := range slices.Sorted(maps.Keys(h.agents)) {
-		from := h.agents[agent]
-		if silent := now.Sub(from.receivedAt); from.service == service && silent <= reportRetention {
-			out = append(out, AgentReport{Agent: agent, SilentMs: silent.Milliseconds(), SettingsReport: from.SettingsReport})
+// ofService returns the reports of a service's agents that have not expired, ordered by name.
+func (r *reportRegistry) ofService(service string, now time.Time) []AgentReport {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reports := []AgentReport{}
+	for _, agent := range slices.Sorted(maps.Keys(r.agents)) {
+		report := r.agents[agent]
+		age := now.Sub(report.receivedAt)
+		if report.service != service || age > reportRetention {
+			continue
 		}
+		reports = append(reports, AgentReport{
+			Agent:          agent,
+			SilentMs:       age.Milliseconds(),
+			SettingsReport: report.SettingsReport,
+		})
 	}
-	return out
+	return reports
 }
 
-// oneLine is text without control characters (a space for each) and cut to limit bytes.
+// oneLine replaces each control character of a text by a space and cuts the text to at most limit
+// bytes, between two characters.
 func oneLine(text string, limit int) string {
 	text = strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- /dev/null
+++ b/internal/discovery/server/state_snapshot.go
@@ -0,0 +1,88 @@
+package server
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+
+	"github.com/hashicorp/raft"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// snapshotImage is the content of a snapshot, in JSON. The changes are included, so that a watch
+// resumes after a restart from a snapshot.
+type snapshotImage struct {
+	Version          uint64              `json:"version"`
+	DiscardedVersion uint64              `json:"floor"`
+	Servers          []endpoint.Endpoint `json:"servers"`
+	Changes          []change            `json:"changes"`
+	ChangedAt        map[string]uint64   `json:"set_at"`
+	// Settings are absent from the snapshots of programs that did not store any.
+	Settings map[string][]SettingsVersion `json:"settings,omitempty"`
+}
+
+// Snapshot returns a copy of the state (raft.FSM).
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.RLock()
+	defer m.mu.RUnlock()
+	return snapshotImage{
+		Version:          m.version,
+		DiscardedVersion: m.discardedVersion,
+		Servers:          m.allEndpoints(),
+		Changes:          slices.Clone(m.changes),
+		ChangedAt:        maps.Clone(m.changedAt),
+		Settings:         maps.Clone(m.settings),
+	}, nil
+}
+
+// Restore replaces the state by that of a snapshot, and wakes all watches (raft.FSM).
+func (m *stateMachine) Restore(content io.ReadCloser) error {
+	defer func() { _ = content.Close() }() // it was only read
+	var image snapshotImage
+	if err := json.NewDecoder(content).Decode(&image); err != nil {
+		return fmt.Errorf("discovery: snapshot unreadable: %w", err)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.load(image)
+	for i := range m.settingsChanged {
+		close(m.settingsChanged[i])
+		m.settingsChanged[i] = make(chan struct{})
+	}
+	m.notifyWatches()
+	return nil
+}
+
+// load replaces the state by an image's. The caller holds mu.
+func (m *stateMachine) load(image snapshotImage) {
+	m.servers = map[string]endpoint.Endpoint{}
+	for _, server := range image.Servers {
+		m.servers[server.ID] = server
+	}
+	m.changes = image.Changes
+	m.version = image.Version
+	m.discardedVersion = image.DiscardedVersion
+	m.changedAt = image.ChangedAt
+	if m.changedAt == nil {
+		m.changedAt = map[string]uint64{}
+	}
+	m.settings = image.Settings
+	if m.settings == nil {
+		m.settings = map[string][]SettingsVersion{}
+	}
+}
+
+// Persist writes the image to a snapshot sink (raft.FSMSnapshot).
+func (image snapshotImage) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(image); err != nil {
+		return fmt.Errorf("discovery: snapshot not written: %w", errors.Join(err, sink.Cancel()))
+	}
+	return sink.Close()
+}
+
+// Release does nothing, as an image has no resources (raft.FSMSnapshot).
+func (image snapshotImage) Release() {}
--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -14,68 +14,80 @@
 	"github.com/hashicorp/raft"
 )
 
-// repairPause is the time between two attempts to bring a failing store back.
+// repairInterval is the time between two attempts to repair a store that fails.
 const repairInterval = 50 * time.Millisecond
 
-// keyCurrentTerm is hashicorp/raft's key of the current term, and keyProbe that of the value by
-// which a store that has failed is tried.
+// keyNotFound is the text of a stable store's error for a key that it does not have. hashicorp/raft
+// compares the text too, as its interface has no typed error.
+const keyNotFound = "not found"
+
+// Keys of the stable store.
 var (
+	// keyCurrentTerm is hashicorp/raft's key of the current term.
 	keyCurrentTerm = []byte("CurrentTerm")
-	keyProbe       = []byte("StoreProbe")
+	// keyProbe is the key of the value that the repair of a store writes to check it.
+	keyProbe = []byte("StoreProbe")
 )
 
-// errSlowStore is the cause of an outage in which the store neither succeeds nor fails.
+// errStoreTimeout is the cause of an outage in which a write neither succeeds nor fails.
 var errStoreTimeout = errors.New("no answer from the disk")
 
-// Store is what an instance keeps on disk for Raft: the log, and the term and the vote.
+// Store is what an instance stores on disk for Raft: the log, the term and the vote.
 type Store interface {
 	raft.LogStore
 	raft.StableStore
 	io.Closer
 }
 
-// StoreError is a write that the store did not carry out; nothing of it is acknowledged.
+// StoreError says that an operation of the store failed, or was not begun because an earlier one
+// had failed. A write that returns it is not acknowledged.
 type StoreError struct {
-	Operation string
-	Err       error
+	Operation string // such as "append entries"
+	Err       error  // the cause
 }
 
+// Error names the operation and the cause.
 func (e *StoreError) Error() string {
 	return fmt.Sprintf("store unavailable: %s: %v", e.Operation, e.Err)
 }
 
+// Unwrap returns the cause.
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// retryingStore lets an instance outlive a disk that fails for a while. hashicorp/raft v1.7.3
-// panics where the term can't be saved or a committed entry can't be read; it takes an error
-// everywhere else, but not always whole. So each operation that fails begins an outage, in which
-// no write reaches the disk before a repair has succeeded, and the operation itself
+// retryingStore keeps an instance running while its disk fails. hashicorp/raft v1.7.3 panics if it
+// can't save the term or read a committed entry; it accepts an error of any other operation, but
+// some of these errors leave its state inconsistent. So an operation that fails begins an outage,
+// in which no write reaches the disk until a repair has succeeded. The operation itself
 //
-//   - waits for the repair and runs again, for the term and for reads of entries (raft would
-//     panic), for the removal of entries, and for a follower's append: raft forgets that it has
-//     truncated the log where the append after it fails;
-//   - returns a StoreError at once, for a vote (it is not given) and for a leader's append (raft
-//     fails the writes and steps down, so that others elect a leader).
+//   - is retried after the repair, if it saves the term or reads an entry (raft would panic), removes
+//     entries, or is a follower's append: if such an append fails, raft forgets that it has truncated
+//     the log before it;
+//   - returns a StoreError at once, if it saves a vote (which is not granted) or is a leader's append
+//     (raft fails the writes and steps down, so that the others elect a leader).
 //
-// Close ends the waits for removals and appends, with an error; the other waits never return.
+// When the instance is closed, retries of removals and appends end with an error; those of the
+// other operations never return.
 //
-// While the store is unavailable gatedTransport keeps the instance out of the cluster: it
-// sends and answers nothing.
+// While the store is unavailable, gatedTransport keeps the instance out of the cluster.
 //
 // A commit that failed may still be in the file, since its last step is to sync a page that is
-// already written. The repair removes the entries of a failed append, so that none of them is
-// left behind shorter ones, and rewrites what the failed sync may have dropped (see rewriteMeta).
+// already written. The repair removes the entries of a failed append, so that none of them remains
+// after a shorter append, and rewrites what the failed sync may have dropped (see
+// rewriteMetaPages).
 type retryingStore struct {
 	Store
-	log               *slog.Logger
-	rewriteLastCommit func() error    // makes the file's last commit durable again; nil: nothing to do
-	outageLimit       time.Duration   // a write that lasts longer counts as an outage
-	closed            <-chan struct{} // closes when the instance stops
-	member            atomic.Pointer[storeMember]
-	savedTerm         atomic.Uint64 // the newest term saved
-	health            storeHealth
-	writeMu           sync.Mutex // held while Store is written
-	failedAppend      uint64     // first index of a failed append, 0: none; guarded by writing
+	log *slog.Logger
+	// rewriteLastCommit makes the file's last commit durable again; nil: nothing is to be done.
+	rewriteLastCommit func() error
+	// outageLimit is the duration from which on a write counts as an outage.
+	outageLimit time.Duration
+	closed      <-chan struct{} // closed when the instance is closed
+	member      atomic.Pointer[storeMember]
+	savedTerm   atomic.Uint64 // the newest term that was saved
+	health      storeHealth
+
+	writeMu      sync.Mutex // held while Store is written
+	failedAppend uint64     // first index of a failed append, 0: none; guarded by writeMu
 }
 
 // storeMember is the Raft member that a store belongs to.
@@ -84,54 +96,61 @@
 	recovered func(outages int) // called after each outage with the number of outages so far
 }
 
-// newRetryingStore wraps a store that works.
-func newRetryingStore(store Store, log *slog.Logger, outageLimit time.Duration, closed <-chan struct{}) (*retryingStore, error) {
+// newRetryingStore wraps a store that works. Its goroutines end when closed is closed.
+func newRetryingStore(
+	store Store, log *slog.Logger, outageLimit time.Duration, closed <-chan struct{},
+) (*retryingStore, error) {
 	s := &retryingStore{Store: store, log: log, outageLimit: outageLimit, closed: closed}
 	term, err := store.GetUint64(keyCurrentTerm)
-	if err != nil && err.Error() != "not found" { // raft's own test: the interface names no error
+	if err != nil && err.Error() != keyNotFound {
 		return nil, fmt.Errorf("read the term: %w", err)
 	}
 	s.savedTerm.Store(term)
 	return s, nil
 }
 
-// attach tells the store of its member, which starts after it.
+// attach sets the store's member, which is started after the store.
 func (s *retryingStore) attach(member *storeMember) {
 	s.member.Store(member)
-	if !s.health.behindSince(time.Now(), s.outageLimit).IsZero() {
-		s.recovered(s.health.outageCount())
+	if !s.behindSince().IsZero() {
+		s.notifyRecovered(s.health.outageCount())
 	}
 }
 
-// recovered lets the member catch up after an outage, once there is one.
-func (s *retryingStore) recovered(outages int) {
+// notifyRecovered starts the member's catch-up after an outage, if there is a member yet.
+func (s *retryingStore) notifyRecovered(outages int) {
 	if member := s.member.Load(); member != nil {
 		go member.recovered(outages)
 	}
 }
 
-// leading tells whether this instance leads.
-func (s *retryingStore) leading() bool {
+// isLeader reports whether this instance leads the cluster.
+func (s *retryingStore) isLeader() bool {
 	member := s.member.Load()
 	return member != nil && member.raft.State() == raft.Leader
 }
 
-// available returns a StoreError while the store fails, or while a write to it has lasted
-// longer than the limit.
+// available returns a StoreError in an outage, or while a write has lasted longer than outageLimit.
 func (s *retryingStore) available() error { return s.health.check(time.Now(), s.outageLimit) }
 
+// behindSince returns since when the list may lack entries because of the store; zero: it does not.
+func (s *retryingStore) behindSince() time.Time {
+	return s.health.behindSince(time.Now(), s.outageLimit)
+}
+
 // StoreLog appends one entry; see StoreLogs.
 func (s *retryingStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs appends entries: a leader learns of a failure at once, a follower waits.
+// StoreLogs appends entries. A leader's append fails at once, a follower's is retried.
 func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
-	if s.leading() {
+	if s.isLeader() {
 		return s.write("append entries", s.appendEntries(entries))
 	}
 	return s.writeUntilDone("append entries", s.appendEntries(entries))
 }
 
-// appendEntries is one append, for write; it notes what the repair has to remove.
+// appendEntries returns a function for write that appends entries. If it fails it records which
+// entries the repair has to remove.
 func (s *retryingStore) appendEntries(entries []*raft.Log) func() error {
 	return func() error {
 		err := s.Store.StoreLogs(entries)
@@ -142,62 +161,75 @@
 	}
 }
 
-// DeleteRange removes entries, however long it takes.
+// DeleteRange removes entries, with retries.
 func (s *retryingStore) DeleteRange(first, last uint64) error {
 	return s.writeUntilDone("remove entries", func() error { return s.Store.DeleteRange(first, last) })
 }
 
-// Set saves the candidate voted for, or fails at once.
+// Set saves the candidate that got the vote, or fails at once.
 func (s *retryingStore) Set(key, value []byte) error {
 	return s.write("save the vote", func() error { return s.Store.Set(key, value) })
 }
 
-// SetUint64 saves the term, however long it takes, or the term of the vote, or fails at once. A
-// term that is not newer than the saved one needs no write, and never replaces it: raft saves
-// terms from two goroutines.
+// SetUint64 saves the current term, with retries, or the term of the vote, which fails at once. A
+// term that is not newer than the saved one is not written: raft saves terms from two goroutines,
+// and an older one must not replace a newer one.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != string(keyCurrentTerm) {
 		return s.write("save the term of the vote", func() error { return s.Store.SetUint64(key, value) })
 	}
-	saveTerm := func() error {
-		if value <= s.savedTerm.Load() {
-			return nil
-		}
-		if err := s.Store.SetUint64(key, value); err != nil {
-			return err
-		}
-		s.savedTerm.Store(value)
+	if value <= s.savedTerm.Load() {
 		return nil
 	}
-	if value > s.savedTerm.Load() && s.writeUntilDone("save the term", saveTerm) != nil {
-		select {} // raft would panic; Node.Close does not wait for it
+	err := s.writeUntilDone("save the term", func() error { return s.saveTerm(value) })
+	if err != nil {
+		blockForever()
 	}
 	return nil
 }
 
-// GetLog reads an entry, however long it takes; raft.ErrLogNotFound is an answer.
+// saveTerm saves a term that is newer than the saved one. The caller holds writeMu.
+func (s *retryingStore) saveTerm(term uint64) error {
+	if term <= s.savedTerm.Load() {
+		return nil
+	}
+	if err := s.Store.SetUint64(keyCurrentTerm, term); err != nil {
+		return err
+	}
+	s.savedTerm.Store(term)
+	return nil
+}
+
+// blockForever stops a goroutine of raft that would panic on an error while the instance is being
+// closed. Node.Close does not wait for it.
+func blockForever() { select {} }
+
+// GetLog reads an entry, with retries. raft.ErrLogNotFound does not count as a failure.
 func (s *retryingStore) GetLog(index uint64, entry *raft.Log) error {
 	read := func() error {
-		err := catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
+		return catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
+	}
+	checkRead := func() error {
+		err := read()
 		if errors.Is(err, raft.ErrLogNotFound) {
 			return nil
 		}
 		return err
 	}
 	for {
-		err := catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
+		err := read()
 		if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 			return err
 		}
-		s.beginOutage(&StoreError{Operation: "read an entry", Err: err}, read)
+		s.beginOutage(&StoreError{Operation: "read an entry", Err: err}, checkRead)
 		if !s.awaitRecovery() {
-			select {} // as for the term
+			blockForever()
 		}
 	}
 }
 
-// withoutPageFaults runs a read of the mapped file and gives an error where a page can't be read
-// (SIGBUS), which would end the process.
+// catchPageFaults runs a read of the memory-mapped file, and returns an error if a page can't be
+// read (SIGBUS), which would otherwise end the process.
 func catchPageFaults(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -208,15 +240,16 @@
 	return read()
 }
 
-// write carries out one write, or returns a StoreError; the first that fails begins an outage.
+// write runs one write. A failure begins an outage and is returned as a StoreError; during an outage
+// the write is not run.
 func (s *retryingStore) write(operation string, do func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	if cause := s.health.failure(); cause != nil {
 		return &StoreError{Operation: operation, Err: cause.Err}
 	}
-	begun := time.Now()
-	s.health.beginWrite(operation, begun)
+	startedAt := time.Now()
+	s.health.beginWrite(operation, startedAt)
 	err := do()
 	s.health.endWrite()
 	if err != nil {
@@ -224,15 +257,15 @@
 		s.beginOutage(failure, nil)
 		return failure
 	}
-	if time.Since(begun) > s.outageLimit {
-		s.log.Warn("store was slow", "operation", operation, "took", time.Since(begun))
-		s.recovered(s.health.recordLag(begun))
+	if duration := time.Since(startedAt); duration > s.outageLimit {
+		s.log.Warn("store write was slow", "operation", operation, "duration", duration)
+		s.notifyRecovered(s.health.recordLag(startedAt))
 	}
 	return nil
 }
 
-// writeUntilDone carries out a write, waiting out every outage; it fails only once the instance
-// stops.
+// writeUntilDone runs a write and retries it after each outage. It fails only once the instance is
+// closed.
 func (s *retryingStore) writeUntilDone(operation string, do func() error) error {
 	for {
 		err := s.write(operation, do)
@@ -242,7 +275,7 @@
 	}
 }
 
-// awaitRecovery waits until the store works, and tells false if the instance stops before.
+// awaitRecovery waits until the outage has ended. It returns false if the instance is closed before.
 func (s *retryingStore) awaitRecovery() bool {
 	select {
 	case <-s.health.working():
@@ -252,18 +285,18 @@
 	}
 }
 
-// beginOutage makes every write fail until the store is repaired and check, if any, succeeds.
+// beginOutage makes every write fail until the store is repaired and check, if not nil, succeeds.
 func (s *retryingStore) beginOutage(cause *StoreError, check func() error) {
-	begun := time.Now()
-	if !s.health.beginOutage(cause, begun) {
-		return // one is under way
+	startedAt := time.Now()
+	if !s.health.beginOutage(cause, startedAt) {
+		return // there is one already
 	}
-	s.log.Error("store failing", "operation", cause.Operation, "err", cause.Err)
-	go s.endOutage(begun, check)
+	s.log.Error("store outage started", "operation", cause.Operation, "err", cause.Err)
+	go s.repairUntilDone(startedAt, check)
 }
 
-// endOutage repairs the store, trying until it works, and then ends the outage.
-func (s *retryingStore) endOutage(begun time.Time, check func() error) {
+// repairUntilDone retries the repair of the store until it succeeds, and then ends the outage.
+func (s *retryingStore) repairUntilDone(startedAt time.Time, check func() error) {
 	for attempts := 1; ; attempts++ {
 		select {
 		case <-time.After(repairInterval):
@@ -274,13 +307,13 @@
 			continue
 		}
 		outages := s.health.endOutage()
-		s.log.Info("store works again", "after", time.Since(begun), "attempts", attempts)
-		s.recovered(outages)
+		s.log.Info("store outage ended", "duration", time.Since(startedAt), "attempts", attempts)
+		s.notifyRecovered(outages)
 		return
 	}
 }
 
-// repair brings the store to the state that raft takes it to be in, and tries a write.
+// repair brings the store into the state that raft assumes, and checks it by a write.
 func (s *retryingStore) repair(check func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -5,43 +5,54 @@
 	"time"
 )
 
-// storeHealth is what is known of a store: whether it fails, whether a write hangs, and since
-// when the instance may lag for it. The zero value is a store that works.
+// storeHealth is the state of a store: whether it fails, whether a write hangs, and since when the
+// list may lack entries because of that. The zero value is a store that works. It is safe for
+// concurrent use.
 type storeHealth struct {
-	mu             sync.Mutex
-	outage         *storeOutage // nil while the store works
-	outages        int          // begun so far
-	laggingSince   time.Time    // since when the list may lack entries for an outage; zero: it does not
-	writeOperation string       // the write under way
-	writeStarted   time.Time    // its begin; zero: none is
+	mu      sync.Mutex
+	outage  *storeOutage // nil while the store works
+	outages int          // that have started so far, slow writes included
+	// laggingSince is since when the list may lack entries because of an outage; zero: it does not.
+	laggingSince time.Time
+	// writeOperation is the write that is running since writeStarted; zero: none is.
+	writeOperation string
+	writeStarted   time.Time
 }
 
-// storeOutage is one span in which the store fails.
+// storeOutage is a time in which the store fails.
 type storeOutage struct {
 	cause *StoreError
-	ended chan struct{}
+	ended chan struct{} // closed at its end
 }
 
-var closedChannel = func() chan struct{} {
-	over := make(chan struct{})
-	close(over)
-	return over
-}()
+// closedChannel is a channel that is closed.
+var closedChannel = newClosedChannel()
 
-// check returns a StoreError during an outage, or once a write has lasted longer than limit.
+func newClosedChannel() <-chan struct{} {
+	channel := make(chan struct{})
+	close(channel)
+	return channel
+}
+
+// check returns a StoreError in an outage, or while a write has lasted longer than limit.
 func (h *storeHealth) check(now time.Time, limit time.Duration) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.outage != nil {
 		return h.outage.cause
 	}
-	if !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit {
+	if h.writeHangs(now, limit) {
 		return &StoreError{Operation: h.writeOperation, Err: errStoreTimeout}
 	}
 	return nil
 }
 
-// failure is the cause of the present outage, or nil.
+// writeHangs reports whether a write has lasted longer than limit. The caller holds mu.
+func (h *storeHealth) writeHangs(now time.Time, limit time.Duration) bool {
+	return !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit
+}
+
+// failure returns the cause of the present outage, or nil.
 func (h *storeHealth) failure() *StoreError {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,7 +62,7 @@
 	return h.outage.cause
 }
 
-// working is a channel that is closed while no outage is under way.
+// working returns a channel that is closed while there is no outage.
 func (h *storeHealth) working() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,19 +72,22 @@
 	return h.outage.ended
 }
 
+// beginWrite records the start of a write.
 func (h *storeHealth) beginWrite(operation string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.writeOperation, h.writeStarted = operation, now
+	h.writeOperation = operation
+	h.writeStarted = now
 }
 
+// endWrite records the end of a write.
 func (h *storeHealth) endWrite() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.writeStarted = time.Time{}
 }
 
-// beginOutage tells whether it began one: false if one is under way.
+// beginOutage starts an outage, or returns false if there is one already.
 func (h *storeHealth) beginOutage(cause *StoreError, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +99,7 @@
 	return true
 }
 
-// endOutage gives the number of outages so far, for caughtUp.
+// endOutage ends the outage and returns the number of outages so far, for caughtUp.
 func (h *storeHealth) endOutage() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,22 +108,23 @@
 	return h.outages
 }
 
-// lagsSince notes a write that lasted too long, as an outage that is over.
-func (h *storeHealth) recordLag(begun time.Time) int {
+// recordLag records a time in which the store was slow, which has ended, as an outage. It returns
+// the number of outages so far, for caughtUp.
+func (h *storeHealth) recordLag(since time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.markLagging(begun)
+	h.markLagging(since)
 	return h.outages
 }
 
-// begun is the number of outages so far.
+// outageCount returns the number of outages so far.
 func (h *storeHealth) outageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.outages
 }
 
-// lag is called with mu held.
+// markLagging counts an outage. The caller holds mu.
 func (h *storeHealth) markLagging(since time.Time) {
 	h.outages++
 	if h.laggingSince.IsZero() {
@@ -117,27 +132,25 @@
 	}
 }
 
-// caughtUp says that the list has all that was committed by the end of that many outages; it
-// tells whether no other has begun since.
-func (h *storeHealth) caughtUp(outages int) bool {
+// caughtUp records that the list has all that was committed by the end of the numbered outage. It
+// does nothing if another outage has started since.
+func (h *storeHealth) caughtUp(outages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.outages != outages {
-		return false
+	if h.outages == outages {
+		h.laggingSince = time.Time{}
 	}
-	h.laggingSince = time.Time{}
-	return true
 }
 
-// behindSince is the time from which on the list may lack entries, zero where it does not for
-// the store.
+// behindSince returns since when the list may lack entries because of the store, or zero if it does
+// not.
 func (h *storeHealth) behindSince(now time.Time, limit time.Duration) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.laggingSince.IsZero() {
 		return h.laggingSince
 	}
-	if !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit {
+	if h.writeHangs(now, limit) {
 		return h.writeStarted
 	}
 	return time.Time{}
--- a/internal/discovery/server/usage.go
+++ b/internal/discovery/server/usage.go
@@ -8,71 +8,101 @@
 	"sync/atomic"
 )
 
-// Door is what has passed one of an instance's doors since its start: bytes of the streams (HTTP's
-// and Raft's own words, nothing below TCP), and messages. At an HTTP door a message is a call,
-// counted as it comes; at Raft's it is a write to a stream, of which Raft makes one for each of
-// its calls and each of its answers.
+// Names of runtime/metrics.
+const (
+	liveHeapMetric  = "/gc/heap/live:bytes"
+	allocatedMetric = "/gc/heap/allocs:bytes"
+)
+
+// Traffic is what has passed one of an instance's addresses since its start.
 type Traffic struct {
-	In       uint64 `json:"in"`
-	Out      uint64 `json:"out"`
+	In  uint64 `json:"in"`  // bytes received, above TCP
+	Out uint64 `json:"out"` // bytes sent, above TCP
+	// Messages counts the requests of an HTTP server, as they arrive. For Raft it counts the
+	// writes to streams: Raft makes one for each of its requests and each of its responses.
 	Messages uint64 `json:"messages"`
 }
 
-// Usage is what an instance has taken, as GET /v1/status tells it.
+// Usage is the traffic and the memory of an instance.
 type Usage struct {
 	Reads Traffic `json:"reads"` // GET /api/targets: reads and watches
-	Admin Traffic `json:"admin"` // writes and status
-	Raft  Traffic `json:"raft"`  // with the other instances, both ways of calling
-	// HeapBytes is live memory as of the last collection, AllocBytes all that was allocated since
-	// the start (runtime/metrics: /gc/heap/live:bytes, /gc/heap/allocs:bytes).
-	HeapBytes  uint64 `json:"heap_bytes"`
+	Admin Traffic `json:"admin"` // writes, settings and status
+	Raft  Traffic `json:"raft"`  // with the other instances, over connections of either side
+	// HeapBytes is the live memory as of the last garbage collection
+	// (runtime/metrics: /gc/heap/live:bytes).
+	HeapBytes uint64 `json:"heap_bytes"`
+	// AllocBytes is all memory that was allocated since the start
+	// (runtime/metrics: /gc/heap/allocs:bytes).
 	AllocBytes uint64 `json:"alloc_bytes"`
 	Goroutines int    `json:"goroutines"`
 }
 
-// counters counts what passes a door.
+// usage returns this instance's usage. It causes no garbage collection.
+func (n *Node) usage() Usage {
+	heap := []metrics.Sample{{Name: liveHeapMetric}, {Name: allocatedMetric}}
+	metrics.Read(heap)
+	return Usage{
+		Reads:      n.readTraffic.snapshot(),
+		Admin:      n.adminTraffic.snapshot(),
+		Raft:       n.raftTraffic.snapshot(),
+		HeapBytes:  heap[0].Value.Uint64(),
+		AllocBytes: heap[1].Value.Uint64(),
+		Goroutines: runtime.NumGoroutine(),
+	}
+}
+
+// trafficCounters counts the traffic of one address. The zero value is ready to use.
 type trafficCounters struct{ in, out, messages atomic.Uint64 }
 
+// snapshot returns the counts so far.
 func (c *trafficCounters) snapshot() Traffic {
 	return Traffic{In: c.in.Load(), Out: c.out.Load(), Messages: c.messages.Load()}
 }
 
-// calls counts the calls of an HTTP door.
-func (c *trafficCounters) countRequests(h http.Handler) http.Handler {
+// countRequests wraps a handler so that each request counts as a message.
+func (c *trafficCounters) countRequests(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.messages.Add(1)
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	})
 }
 
-// counted is a listener whose connections are counted.
+// countingListener counts the traffic of the connections that it accepts.
 type countingListener struct {
 	net.Listener
-	counters *trafficCounters
-	// writes tells that each write is a message.
-	countWrites bool
+	counters    *trafficCounters
+	countWrites bool // each write counts as a message
 }
 
+// Accept waits for the next connection and returns it with its traffic counted.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{conn, l.counters, l.countWrites}, nil
+	return l.wrap(conn), nil
+}
+
+// wrap returns a connection with its traffic counted.
+func (l countingListener) wrap(conn net.Conn) net.Conn {
+	return &countingConn{Conn: conn, counters: l.counters, countWrites: l.countWrites}
 }
 
+// countingConn is a connection whose traffic is counted.
 type countingConn struct {
 	net.Conn
 	counters    *trafficCounters
 	countWrites bool
 }
 
+// Read reads from the connection.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.counters.in.Add(uint64(n))
 	return n, err
 }
 
+// Write writes to the connection.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.counters.out.Add(uint64(n))
@@ -81,11 +111,3 @@
 	}
 	return n, err
 }
-
-// usage is what this instance has taken; it collects no garbage for it.
-func (n *Node) usage() Usage {
-	heap := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/gc/heap/allocs:bytes"}}
-	metrics.Read(heap)
-	return Usage{Reads: n.readTraffic.snapshot(), Admin: n.adminTraffic.snapshot(), Raft: n.raftTraffic.snapshot(),
-		HeapBytes: heap[0].Value.Uint64(), AllocBytes: heap[1].Value.Uint64(), Goroutines: runtime.NumGoroutine()}
-}
--- /dev/null
+++ b/internal/discovery/server/watch.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/url"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// maxWatchWait bounds the wait of a watch; it is the limit of the discovery protocol.
+const maxWatchWait = 60 * time.Second
+
+// watchRequest is one request of GET /api/targets.
+type watchRequest struct {
+	watchQuery
+	wait   time.Duration
+	agent  string
+	report SettingsReport
+}
+
+// parseWatchRequest parses the query parameters; those about settings only if one names a service.
+func parseWatchRequest(query url.Values) (watchRequest, error) {
+	var request watchRequest
+	version, versionErr := parseUint(query.Get("index"))
+	waitMs, waitErr := parseUint(query.Get("wait"))
+	if err := errors.Join(versionErr, waitErr); err != nil {
+		return request, err
+	}
+	request.version = version
+	request.full = !query.Has("index")
+	request.wait = time.Duration(min(waitMs, uint64(maxWatchWait.Milliseconds()))) * time.Millisecond
+	request.service = query.Get(endpoint.QueryService)
+	if request.service == "" {
+		return request, nil
+	}
+	report, err := parseSettingsReport(query)
+	if err != nil {
+		return request, err
+	}
+	request.agent = query.Get(endpoint.QueryAgent)
+	request.report = report
+	request.knownSettings = max(report.InForce, report.Rejected)
+	return request, validateName(request.service)
+}
+
+// parseSettingsReport parses what a request says about the settings of its agent.
+func parseSettingsReport(query url.Values) (SettingsReport, error) {
+	inForce, err := parseUint(query.Get(endpoint.QueryInForce))
+	if err != nil {
+		return SettingsReport{}, fmt.Errorf("%s: %w", endpoint.QueryInForce, err)
+	}
+	rejected, err := parseUint(query.Get(endpoint.QueryRejected))
+	if err != nil {
+		return SettingsReport{}, fmt.Errorf("%s: %w", endpoint.QueryRejected, err)
+	}
+	reason := oneLine(query.Get(endpoint.QueryReason), maxReasonBytes)
+	return SettingsReport{InForce: inForce, Rejected: rejected, Reason: reason}, nil
+}
+
+// serveEndpoints answers GET /api/targets: the full list without index, otherwise the changes since
+// the version index, after waiting for one for up to wait milliseconds (60,000 at most).
+//
+// A request that names a service is also answered once the service's settings are newer than those
+// that its agent has, and its report about the agent is recorded. A follower that has had no
+// contact with a leader within MaxStale answers 503, also to a watch that is open. For an index
+// that is newer than the list applied here see awaitVersion.
+func (n *Node) serveEndpoints(w http.ResponseWriter, r *http.Request) {
+	request, err := parseWatchRequest(r.URL.Query())
+	if err == nil && request.service != "" && request.agent != "" {
+		n.reports.record(request.service, request.agent, request.report, time.Now())
+	}
+	if _, stale := n.rejectStale(w); stale {
+		return
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	fullList, err := n.awaitVersion(r.Context(), request.version)
+	if err != nil {
+		writeUnavailable(w, n.instanceError("%w", err))
+		return
+	}
+	request.full = request.full || fullList
+	n.watch(r.Context(), w, request)
+}
+
+// watch answers a request once there is an update for it or its wait is over.
+func (n *Node) watch(ctx context.Context, w http.ResponseWriter, request watchRequest) {
+	timeout := time.NewTimer(request.wait)
+	defer timeout.Stop()
+	answerNow := request.wait == 0
+	for {
+		remaining, stale := n.rejectStale(w)
+		if stale {
+			return
+		}
+		response, changed, settingsChanged := n.state.changesSince(request.watchQuery)
+		if response.hasUpdate || answerNow {
+			writeList(w, response.body)
+			return
+		}
+		select {
+		case <-changed:
+			answerNow = true // also if it turns out to be no change for this watch
+		case <-settingsChanged: // possibly those of another service, so it checks again
+		case <-timeout.C:
+			answerNow = true
+		case <-time.After(remaining): // check again whether the list is fresh
+		case <-ctx.Done():
+			return
+		case <-n.closed:
+			return
+		}
+	}
+}
+
+// writeList answers with an encoded endpoint.List.
+func writeList(w http.ResponseWriter, body []byte) {
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(body) // the client is gone: nobody is left to report to
+}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,51 +1,67 @@
-// Package endpoint holds the shapes of the discovery protocol (PROTOCOL-fernbeam.md,
-// "Discovery"): the answer of GET /api/targets and the entry of one backend. The agent
-// reads them and the list service writes them.
+// Package endpoint defines the messages of the discovery protocol (PROTOCOL-fernbeam.md,
+// "Discovery"): the answer to GET /api/targets, a server's entry in it, and the query parameters
+// about settings. The discovery service writes the messages and the agent reads them.
 package endpoint
 
 import "encoding/json"
 
-// List is discovery's answer: the whole list (Full) or the entries changed since the
-// version the watch named. Version only grows.
+// States of an Endpoint.
+const (
+	// StateUp is the state of a server that takes requests.
+	StateUp = "up"
+	// StateDraining is the state of a server that takes no new requests.
+	StateDraining = "draining"
+	// StateRemoved marks the change by which a server was removed from the list. It appears only
+	// in a List that is not Full.
+	StateRemoved = "removed"
+)
+
+// List is discovery's answer to a poll or a watch: the full endpoint list (Full), or the entries
+// that have changed since the version that the watch named. Version never decreases.
 type List struct {
 	Version uint64     `json:"version"`
 	Full    bool       `json:"full"`
 	Servers []Endpoint `json:"servers"`
-	// Settings are those of the service that the call named, where they are newer than what
-	// the caller has in force or refused; nil: nothing newer, or none was named.
+	// Settings are those of the service that the request named, if they are newer than the ones
+	// that the agent has in force or has rejected. Otherwise, or if it named none, nil.
 	Settings *Settings `json:"settings,omitempty"`
 }
 
-// Settings are the whole settings of a service's agents, in the form of the agent's
-// configuration without what is each agent's own (index and zone). Version is that of the
-// write, by the same count as the list's.
+// Settings are all settings of a service's agents, in the form of the agent's configuration without
+// index and zone, which each agent has of its own.
 type Settings struct {
 	Service string          `json:"service"`
-	Version uint64          `json:"version"`
+	Version uint64          `json:"version"` // of the write, in the same sequence as a List's
 	Value   json.RawMessage `json:"value"`
 }
 
-// Query keys by which a call of a watch asks for settings and tells what the caller has. The
-// list service answers as without them where Service is not there.
+// Query parameters by which a watch asks for settings and reports those that its agent has. Without
+// QueryService the discovery service ignores the others.
 const (
-	QueryService  = "service"  // whose settings
-	QueryAgent    = "agent"    // the caller's name
-	QueryInForce  = "in_force" // the version that it has in force; 0 or none: those of its file
-	QueryRejected = "refused"  // the last version that it could not take, if that is newer
-	QueryReason   = "why"      // and why: one line, 200 bytes at most
+	// QueryService names the service whose settings are asked for.
+	QueryService = "service"
+	// QueryAgent is the agent's name.
+	QueryAgent = "agent"
+	// QueryInForce is the version in force; 0 or absent: the settings of the agent's own file.
+	QueryInForce = "in_force"
+	// QueryRejected is the last version that the agent rejected, if it is newer.
+	QueryRejected = "refused"
+	// QueryReason says why it was rejected, on one line of at most 200 bytes.
+	QueryReason = "why"
 )
 
-// Target is one backend as discovery lists it. State is "up", "draining" or, among
-// changes only, "removed". StartedMs is Unix time in ms of its last start; 0: long ago.
-// Region is optional; agents that do not know it ignore it.
+// Endpoint is the entry of one server in the endpoint list.
 type Endpoint struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Region    string  `json:"region,omitempty"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
+	ID   string `json:"id"`
+	Addr string `json:"addr"` // host:port
+	Zone string `json:"zone"`
+	// Region is optional. Agents that do not know the field ignore it.
+	Region string `json:"region,omitempty"`
+	Kind   string `json:"kind"` // the kind of machine
+	Cell   int    `json:"cell"`
+	State  string `json:"state"` // StateUp, StateDraining or StateRemoved
+	// Weight is the server's capacity relative to others of the list.
+	Weight float64 `json:"weight"`
+	// StartedMs is the Unix time in milliseconds of the server's last start; 0: long ago.
 	StartedMs float64 `json:"started_ms"`
 }
