--- a/cmd/discovery/endpoints.go
+++ b/cmd/discovery/endpoints.go
@@ -13,12 +13,14 @@
 func putCommand() *cobra.Command {
 	var admin string
 	var entry endpoint.Endpoint
+	var state string
 	cmd := &cobra.Command{
 		Use:   "put ID",
 		Short: "replace a server's entry",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			entry.ID = args[0]
+			entry.State = endpoint.State(state)
 			body, err := json.Marshal(entry)
 			if err != nil {
 				return err
@@ -33,7 +35,7 @@
 	flags.StringVar(&entry.Region, "region", "", "its region")
 	flags.StringVar(&entry.Kind, "kind", "", "its kind of machine")
 	flags.IntVar(&entry.Cell, "cell", 0, "its cell")
-	flags.StringVar(&entry.State, "state", endpoint.StateUp, "up or draining")
+	flags.StringVar(&state, "state", string(endpoint.StateUp), "up or draining")
 	flags.Float64Var(&entry.Weight, "weight", 1, "its weight, above zero")
 	flags.Float64Var(&entry.StartedMs, "started-ms", 0, "Unix time in ms of its last start; 0: long ago")
 	return cmd
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -13,6 +13,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // notifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
@@ -95,8 +97,8 @@
 // What discovery has and can tell is known within 6 s, also where a call stood when it fell
 // silent, and where three hundred agents have to share it out.
 func TestChangesArriveInTimeAfterASilence(t *testing.T) {
-	for _, mode := range []string{"pushed", "on_request"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
+		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
 			var silent atomic.Bool
 			addr, calls := scriptedDiscovery(t, func(n int, c watchCall) string {
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -4,12 +4,7 @@
 	"log/slog"
 
 	"fernbeam.example/fernbeam/internal/balancer"
-)
-
-// Values of Target.State; a state that is none of them counts as draining.
-const (
-	targetUp      = "up"
-	targetRemoved = "removed"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // endpointList holds the servers that discovery lists, by their id and by the policy's address for them. It
@@ -130,11 +125,12 @@
 	}
 }
 
-func endpointState(state string) balancer.EndpointState {
+// endpointState is the policy's name of a state; one that is not known counts as draining.
+func endpointState(state endpoint.State) balancer.EndpointState {
 	switch state {
-	case targetUp:
+	case endpoint.StateUp:
 		return balancer.Ready
-	case targetRemoved:
+	case endpoint.StateRemoved:
 		return balancer.Removed
 	}
 	return balancer.Draining
@@ -241,7 +237,9 @@
 func (l *eventLoop) ownsWatch() bool { return l.discovery.backoff != nil || l.changesArePushed() }
 
 // changesArePushed tells whether changes of the list arrive without the policy asking for them.
-func (l *eventLoop) changesArePushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
+func (l *eventLoop) changesArePushed() bool {
+	return l.cfg.Settings.DiscoveryMode == balancer.DiscoveryPushed
+}
 
 // applyList puts a list in force.
 func (l *eventLoop) applyList(list *List, update balancer.ListUpdate, full bool, context listContext) {
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 func TestDrain(t *testing.T) {
@@ -160,8 +162,8 @@
 // After a reload the list is watched at the new address, whichever side asks for the watch, and the old one
 // gets no more calls.
 func TestReloadMovesDiscovery(t *testing.T) {
-	for _, mode := range []string{"pushed", "on_request"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
+		t.Run(string(mode), func(t *testing.T) {
 			first, second := newFakeServer(t, respondOK), newFakeServer(t, respondOK)
 			old := newDiscoveryServer(t, target("s-1", first.addr))
 			a := startAgent(t, old, func(c *Config) { c.Settings.DiscoveryMode = mode })
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -127,26 +127,55 @@
 	WorstClass  float64 `json:"worstClass"`  // what those of the worst class earn
 }
 
+// DiscoveryMode says how changes of the endpoint list reach an agent.
+type DiscoveryMode string
+
+// The values of DiscoveryMode.
+const (
+	DiscoveryPushed    DiscoveryMode = "pushed"     // without the policy asking for them
+	DiscoveryOnRequest DiscoveryMode = "on_request" // when the policy polls or opens a watch
+)
+
+// WeightAccuracy says what the weights of the endpoint list tell of the servers' capacity.
+type WeightAccuracy string
+
+// The values of WeightAccuracy.
+const (
+	WeightsOff     WeightAccuracy = "off"     // nothing
+	WeightsNominal WeightAccuracy = "nominal" // the capacity that is planned for
+	WeightsRough   WeightAccuracy = "rough"   // about the present capacity
+	WeightsLive    WeightAccuracy = "live"    // the present capacity
+)
+
+// WeightBasis says what a served request counts by.
+type WeightBasis string
+
+// The values of WeightBasis.
+const (
+	WeightByRequest WeightBasis = "request" // each request alike
+	WeightByWork    WeightBasis = "work"    // by the work that it took
+)
+
 // Settings is the configuration of the policy, given at an agent's start and changed by Retune.
 type Settings struct {
-	Classes       []Class   `json:"classes"`
-	Limits        Limits    `json:"limits"`
-	Contract      Contract  `json:"contract"`
-	Costs         Costs     `json:"prices"`
-	Objective     Objective `json:"objectiveMix"`
-	DiscoveryMode string    `json:"membershipMode"` // "pushed" or "on_request"
+	Classes       []Class       `json:"classes"`
+	Limits        Limits        `json:"limits"`
+	Contract      Contract      `json:"contract"`
+	Costs         Costs         `json:"prices"`
+	Objective     Objective     `json:"objectiveMix"`
+	DiscoveryMode DiscoveryMode `json:"membershipMode"`
 	Clients       struct {
 		MarksRetry bool `json:"marksRetry"` // clients mark their retries as such
 	} `json:"clients"`
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"` // servers do less work for keys that they have served before
 	} `json:"familyInfo"`
-	Index       int     `json:"index"`        // of this agent
-	FleetSize   int     `json:"replicasOfMe"` // number of agents; 0: not known
-	RoundTripMs float64 `json:"roundMs"`      // between agent and client, and between agent and server
-	Weights     string  `json:"weights"`      // "off", "nominal", "rough" or "live"
-	WeightBy    string  `json:"worthBy"`      // whether each request earns alike ("request") or by its work ("work")
-	Zone        int     `json:"zone"`         // of this agent
+	Index       int            `json:"index"`        // of this agent
+	FleetSize   int            `json:"replicasOfMe"` // number of agents; 0: not known
+	RoundTripMs float64        `json:"roundMs"`      // between agent and client, and between agent and server
+	Weights     WeightAccuracy `json:"weights"`
+	WeightBy    WeightBasis    `json:"worthBy"`
+	Zone        int            `json:"zone"` // of this agent
 }
 
 // EndpointState is the state of a server in the endpoint list.
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -34,7 +34,7 @@
 	if s.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("settings: limits.maxAttempts: must be above 0, is %d", s.Limits.MaxAttempts)
 	}
-	if s.DiscoveryMode != "pushed" && s.DiscoveryMode != "on_request" {
+	if s.DiscoveryMode != DiscoveryPushed && s.DiscoveryMode != DiscoveryOnRequest {
 		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.DiscoveryMode)
 	}
 	for _, f := range []struct {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -23,13 +23,6 @@
 	maxWatchMs = 60_000
 )
 
-// The states of an endpoint (PROTOCOL, "Discovery").
-const (
-	stateUp       = "up"
-	stateDraining = "draining"
-	stateRemoved  = "removed"
-)
-
 // endpointList is the emulated discovery. Each agent has a view of its own: changes reach it in their order, each
 // with a random delay (PROTOCOL, "Discovery"). An agent counts as notified once a change has reached its view.
 type endpointList struct {
@@ -141,7 +134,7 @@
 		view.entries[id] = listEntry{change.entry, change.version}
 		view.version = change.version
 		delivered = true
-		if change.entry.State != stateUp {
+		if change.entry.State != endpoint.StateUp {
 			l.removals = append(l.removals, Notification{view.agent, id, now})
 		}
 	}
@@ -197,7 +190,7 @@
 	list := endpoint.List{Version: view.version, Full: full, Servers: []endpoint.Endpoint{}}
 	for _, id := range view.ids {
 		entry := view.entries[id]
-		if full && entry.State != stateRemoved || !full && entry.version > version {
+		if full && entry.State != endpoint.StateRemoved || !full && entry.version > version {
 			list.Servers = append(list.Servers, entry.Endpoint)
 		}
 	}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -275,7 +275,7 @@
 		Zone:   e.config.Zones[zone],
 		Kind:   model.Kind,
 		Cell:   position / e.config.CellSize,
-		State:  stateUp,
+		State:  endpoint.StateUp,
 		Weight: 1,
 	}
 	if started >= 0 {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -4,6 +4,8 @@
 	"iter"
 	"slices"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // allZones selects the servers of every zone.
@@ -56,7 +58,7 @@
 	e.stoppedServers = append(e.stoppedServers, s.metrics())
 	e.mu.Unlock()
 	if publish {
-		s.endpoint.State = stateRemoved
+		s.endpoint.State = endpoint.StateRemoved
 		e.endpoints.publish(s, false)
 	}
 }
@@ -103,7 +105,7 @@
 			return err
 		}
 		s.draining.Store(true)
-		s.endpoint.State = stateDraining
+		s.endpoint.State = endpoint.StateDraining
 		e.endpoints.publish(s, false)
 		time.AfterFunc(drain, func() { e.removeServer(s, true) })
 	}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -5,15 +5,18 @@
 
 import "encoding/json"
 
-// States of an Endpoint.
+// State is the state of a server in the endpoint list.
+type State string
+
+// The values of State.
 const (
 	// StateUp is the state of a server that takes requests.
-	StateUp = "up"
+	StateUp State = "up"
 	// StateDraining is the state of a server that takes no new requests.
-	StateDraining = "draining"
+	StateDraining State = "draining"
 	// StateRemoved marks the change by which a server was removed from the list. It appears only
 	// in a List that is not Full.
-	StateRemoved = "removed"
+	StateRemoved State = "removed"
 )
 
 // List is discovery's answer to a poll or a watch: the full endpoint list (Full), or the entries
@@ -59,7 +62,7 @@
 	Region string `json:"region,omitempty"`
 	Kind   string `json:"kind"` // the kind of machine
 	Cell   int    `json:"cell"`
-	State  string `json:"state"` // StateUp, StateDraining or StateRemoved
+	State  State  `json:"state"`
 	// Weight is the server's capacity relative to others of the list.
 	Weight float64 `json:"weight"`
 	// StartedMs is the Unix time in milliseconds of the server's last start; 0: long ago.
--- a/internal/policytest/random_rules_test.go
+++ b/internal/policytest/random_rules_test.go
@@ -6,8 +6,9 @@
 	"slices"
 	"testing"
 
-	"fernbeam.example/fernbeam/internal/balancer"
 	"pgregory.net/rapid"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // drawSettings draws a deployment's settings around testSettings, each by its key, so that
@@ -28,7 +29,7 @@
 		s.Classes[i].LateFraction = rapid.SampledFrom([]float64{0, 0.2}).Draw(t,
 			fmt.Sprintf("classes[%d].lateShare", i))
 	}
-	s.DiscoveryMode = rapid.SampledFrom([]string{"pushed", "on_request"}).Draw(t, "membershipMode")
+	s.DiscoveryMode = rapid.SampledFrom([]balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest}).Draw(t, "membershipMode")
 	s.Clients.MarksRetry = rapid.Bool().Draw(t, "clients.marksRetry")
 	return s
 }
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -4,12 +4,8 @@
 	"context"
 	"fmt"
 	"time"
-)
 
-// The states of a server on the endpoint list.
-const (
-	stateUp       = "up"
-	stateDraining = "draining"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
@@ -29,10 +25,10 @@
 	f.mu.Lock()
 	server := &f.servers[f.random.IntN(len(f.servers))]
 	switch {
-	case server.State == stateDraining:
-		server.State = stateUp
+	case server.State == endpoint.StateDraining:
+		server.State = endpoint.StateUp
 	case f.random.IntN(drainOneIn) == 0:
-		server.State = stateDraining
+		server.State = endpoint.StateDraining
 	default:
 		server.Weight = minWeight + float64(f.random.IntN(weightSteps))/weightSteps
 	}
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -161,7 +161,7 @@
 			Region: regionNames[regionOf(zone)],
 			Kind:   models[i%2].Kind,
 			Cell:   i / serversPerCell,
-			State:  stateUp,
+			State:  endpoint.StateUp,
 			Weight: 1,
 		})
 	}
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -6,9 +6,6 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// discoveryOnRequest is the discovery mode in which agents call discovery for changes.
-const discoveryOnRequest = "on_request"
-
 const (
 	// pollSpacingMs is how far apart in time the agents' calls for the endpoint list are spread, in
 	// milliseconds for each agent.
@@ -39,7 +36,7 @@
 // failure in a row. One call is under way at a time, whatever else fails meanwhile.
 func (p *listPoller) schedule() {
 	settings := &p.env.settings
-	if settings.DiscoveryMode != discoveryOnRequest || p.scheduled {
+	if settings.DiscoveryMode != balancer.DiscoveryOnRequest || p.scheduled {
 		return
 	}
 	p.scheduled = true
@@ -70,7 +67,7 @@
 func (p *listPoller) fetch() {
 	settings := &p.env.settings
 	interval := max(settings.Contract.PollWithinMs, minFetchIntervalMs)
-	if settings.DiscoveryMode == discoveryOnRequest || !(p.env.now-p.lastFetchAt >= interval) {
+	if settings.DiscoveryMode == balancer.DiscoveryOnRequest || !(p.env.now-p.lastFetchAt >= interval) {
 		return
 	}
 	p.lastFetchAt = p.env.now
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -3,13 +3,13 @@
 import (
 	"cmp"
 	"slices"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
 	// maxQueued bounds the queued requests, and so the work of a decision.
 	maxQueued = 512
-	// weightByWork is the setting by which requests earn by their work, not each alike.
-	weightByWork = "work"
 )
 
 // requestQueue holds the requests that wait for capacity.
@@ -62,7 +62,7 @@
 	if q.env.now+r.class.expectedMs > r.objectiveAt {
 		priority *= r.class.LateFraction + settings.Costs.LateFailure
 	}
-	if settings.WeightBy != weightByWork {
+	if settings.WeightBy != balancer.WeightByWork {
 		priority /= r.class.expectedMs
 	}
 	return priority
