--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -59,7 +60,7 @@
 
 // Operators are answered whatever accepts fail.
 func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
-	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns)
+	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns, slog.Default())
 	ln := newFlakyListener(t)
 	served := make(chan error, 1)
 	go func() { served <- m.serve(ln) }()
@@ -79,7 +80,7 @@
 
 // A listener that is closed under the admin server still ends it, with its reason.
 func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
-	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns)
+	m := newAdminServer(&downstreamServer{}, nil, maxAdminConns, slog.Default())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/admin_server.go
+++ b/internal/agent/admin_server.go
@@ -31,11 +31,19 @@
 	maxAdminHead = 8 << 10
 )
 
-// adminServer is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It reads and
-// sets what the downstream server has in atomics and never waits for the event loop, so that it responds
-// whatever the load.
+// drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
+type drainer interface {
+	// isServing tells whether a server may be sent requests, and the shutdown has not begun.
+	isServing() bool
+	// startDrain begins to drain, and stopDrain serves clients again.
+	startDrain() error
+	stopDrain() error
+}
+
+// adminServer is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It never waits
+// for the event loop, so that it responds whatever the load.
 type adminServer struct {
-	downstream *downstreamServer
+	clients    drainer
 	membership *membership.Membership // nil: there is none
 	log        *slog.Logger
 	server     *http.Server
@@ -46,12 +54,13 @@
 	maxConns     int
 }
 
-func newAdminServer(downstream *downstreamServer, member *membership.Membership, maxConns int) *adminServer {
-	m := &adminServer{downstream: downstream, membership: member, maxConns: maxConns}
+// newAdminServer makes the endpoint; member is nil where the agent keeps no membership view.
+func newAdminServer(clients drainer, member *membership.Membership, maxConns int, log *slog.Logger) *adminServer {
+	m := &adminServer{clients: clients, membership: member, log: log, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", m.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(downstream.startDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(downstream.stopDrain))
+	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(clients.startDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(clients.stopDrain))
 	if member != nil {
 		mux.HandleFunc("GET /ops/fleet", m.membershipStatus)
 	}
@@ -61,20 +70,14 @@
 		WriteTimeout:   adminWriteTimeout,
 		MaxHeaderBytes: maxAdminHead,
 		ConnState:      m.track,
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
 	m.server.SetKeepAlivesEnabled(false)
-	m.setLogger(slog.Default())
 	return m
 }
 
-// setLogger sets where lines go; it is called before serve.
-func (m *adminServer) setLogger(log *slog.Logger) {
-	m.log = log
-	m.server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelWarn)
-}
-
-// setLimit bounds the admin connections from now on.
-func (m *adminServer) setLimit(maxConns int) {
+// setConnLimit bounds the admin connections from now on.
+func (m *adminServer) setConnLimit(maxConns int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.maxConns = maxConns
@@ -93,7 +96,7 @@
 func (m *adminServer) close() { _ = m.server.Close() }
 
 func (m *adminServer) readiness(w http.ResponseWriter, _ *http.Request) {
-	if !m.downstream.serving.Load() {
+	if !m.clients.isServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -202,7 +202,7 @@
 	open := make(chan int, 1)
 	go func() { open <- ask("read", "held") }()
 	<-hold
-	cfg := *a.loop.cfg
+	cfg := *a.agent.loop.cfg
 	cfg.Settings.Limits.MaxAttempts = 1
 	cfg.Settings.Classes = []balancer.Class{
 		{Name: "read", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,7 +16,6 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/listener"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
@@ -31,10 +30,10 @@
 type Agent struct {
 	cfg        *Config
 	ln         Listeners
-	clients    *clientListener
 	downstream *downstreamServer
+	pool       *connectionPool
 	loop       *eventLoop
-	admin      *adminServer
+	admin      *adminServer // nil until Run
 	membership atomic.Pointer[membership.Membership]
 
 	stopLoop context.CancelFunc // ends the loop, and everything that has its context
@@ -49,18 +48,10 @@
 
 // Run makes an agent and runs it as Agent.Run does.
 func Run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config) error {
-	return run(stop, cfg, ln, reloads, func(*downstreamServer, *eventLoop) {})
-}
-
-// run is Run, which also passes the parts of the agent to made before they start.
-func run(
-	stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config, made func(*downstreamServer, *eventLoop),
-) error {
 	a, err := New(cfg, ln) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
 	if err != nil {
 		return err
 	}
-	made(a.downstream, a.loop)
 	return a.Run(stop, reloads)
 }
 
@@ -76,30 +67,33 @@
 	a := &Agent{
 		cfg:             cfg,
 		ln:              ln,
-		downstream:      newDownstreamServer(cfg),
+		pool:            newConnectionPool(cfg),
 		loopDone:        make(chan struct{}),
 		usable:          make(chan struct{}),
 		settingsUpdates: make(chan settingsUpdate),
 		servingDone:     make(chan struct{}),
 	}
 	loopContext, stopLoop := context.WithCancel(context.Background())
-	loop, err := newEventLoop(loopContext, cfg, sync.OnceFunc(func() { close(a.usable) }))
+	onUsable := sync.OnceFunc(func() { close(a.usable) })
+	loop, err := newEventLoop(loopContext, cfg, a.pool, onUsable, a.applySettings)
 	if err != nil {
 		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	a.loop = loop
 	a.stopLoop = stopLoop
-	if watch := loop.discovery.settingsWatch; watch != nil {
-		watch.apply = a.applySettings
-	}
-	a.downstream.loop = loop
-	accepting := listener.New(ln.Clients, a.downstream.acceptFailed)
-	a.clients = newClientListener(accepting, a.downstream.conns.slots)
+	a.downstream = newDownstreamServer(loopContext, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
 
+// announceDrain notifies the other agents that this one drains or no longer does.
+func (a *Agent) announceDrain(draining bool) {
+	if member := a.membership.Load(); member != nil {
+		member.SetDraining(draining)
+	}
+}
+
 // Run runs the agent, once. It serves until stop is done, then shuts down gracefully, and returns nil when every
 // request that was open has been answered; after Kill it returns ErrKilled. At its return all sockets are
 // closed. Each configuration from reloads replaces the settings, unless the discovery service has set others,
@@ -111,10 +105,9 @@
 		defer close(a.loopDone)
 		a.loop.run()
 	}()
-	member, err := startMembership(a.cfg, a.downstream, a.loop)
+	member, err := startMembership(a.cfg, a.loop)
 	a.membership.Store(member)
-	a.admin = newAdminServer(a.downstream, member, a.cfg.adminConns(1))
-	a.admin.setLogger(a.cfg.logger())
+	a.admin = newAdminServer(a.downstream, member, a.cfg.adminConns(1), a.cfg.logger())
 	closeAll := sync.OnceFunc(a.closeAll)
 	defer closeAll()
 	defer context.AfterFunc(a.killed, closeAll)()
@@ -136,9 +129,9 @@
 	return &sharedLimits{
 		cfg:    a.cfg,
 		admin:  a.admin,
-		conns:  a.downstream.conns,
-		pool:   a.loop.pool,
-		quotas: []quota{a.downstream.conns.slots, a.downstream.bodyBudget, a.loop.pool.budget},
+		conns:  a.downstream,
+		pool:   a.pool,
+		quotas: append(a.downstream.quotas(), a.pool.budget),
 	}
 }
 
@@ -146,7 +139,7 @@
 // membership, and stops the loop last, which the open requests need until their end.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
 	left := leaveMembership(member)
-	err := a.downstream.shutdown(a.clients, a.ln.Shared, drainTime)
+	err := a.downstream.shutdown(drainTime)
 	if a.killed.Err() != nil {
 		return ErrKilled
 	}
@@ -195,7 +188,7 @@
 			a.downstream.setServing()
 			usable = nil
 		case <-firstListTimer:
-			a.downstream.acceptsClients.Store(true)
+			a.downstream.acceptClients()
 		case err := <-failed:
 			if a.killed.Err() != nil {
 				err = ErrKilled
@@ -215,7 +208,7 @@
 
 // serveClients accepts clients until their listener is closed, and sends how that ended.
 func (a *Agent) serveClients(ended chan<- error) {
-	ended <- a.downstream.serve(a.clients)
+	ended <- a.downstream.serve()
 }
 
 // applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
@@ -244,15 +237,14 @@
 // closeAll closes whatever is open and waits for the loop. Clients come first: a request that the loop's end
 // cut off must not look answered. Errors of closing sockets that are given up say nothing of use.
 func (a *Agent) closeAll() {
-	_ = a.clients.Close()
-	_ = a.downstream.server.Close()
+	a.downstream.close()
 	if a.ln.Operators != nil {
 		_ = a.ln.Operators.Close() // where it has not been served yet
 	}
 	a.admin.close()
 	a.stopLoop()
-	a.loop.discovery.close()
-	a.loop.pool.shutdown()
+	a.loop.close()
+	a.pool.shutdown()
 	if member := a.membership.Load(); member != nil {
 		member.Kill()
 	}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -303,7 +303,7 @@
 	}
 
 	a, backend := startWithServer(t, hashResponder)
-	for _, bytes := range []quota{a.loop.pool.budget, a.front.bodyBudget} {
+	for _, bytes := range []quota{a.agent.pool.budget, a.agent.downstream.bodyBudget} {
 		for bytes.TryAcquire(1 << 10) {
 		}
 	}
@@ -331,7 +331,7 @@
 	all := int64(192) << 20 / 6
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		// The handler gives back behind the answer's last byte.
-		if a.front.bodyBudget.TryAcquire(all) && a.loop.pool.budget.TryAcquire(all) {
+		if a.agent.downstream.bodyBudget.TryAcquire(all) && a.agent.pool.budget.TryAcquire(all) {
 			break
 		}
 		if time.Now().After(end) {
@@ -351,7 +351,7 @@
 	c.Write(randomBytes(3 * maxBufferedBody))
 	for { // until it is on its way
 		writing := make(chan bool, 1)
-		a.loop.post(func() { writing <- len(a.loop.requests) == 1 && a.loop.requests[1].sendingBody })
+		a.agent.loop.post(func() { writing <- len(a.agent.loop.requests) == 1 && a.agent.loop.requests[1].sendingBody })
 		if <-writing {
 			break
 		}
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -120,7 +120,7 @@
 		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
 	}
 	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.loop.pool.connectCount() == 1 },
+		reached: func() bool { return a.agent.pool.connectCount() == 1 },
 		begun: func() int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -160,7 +160,7 @@
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
 	b := newFakeServer(t, respondOK)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	broken := keepBlockedConn(t, a.loop.pool, b.addr)
+	broken := keepBlockedConn(t, a.agent.pool, b.addr)
 	reached := func() bool {
 		select {
 		case <-broken.writing:
--- a/internal/agent/client_conns.go
+++ b/internal/agent/client_conns.go
@@ -96,6 +96,13 @@
 	c.closeLongestIdle()
 }
 
+// limit is the bound on the connections.
+func (c *clientConns) limit() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.maxConns
+}
+
 // closeLongestIdle closes the connections that have been idle longest while more than seven eighths of the
 // limit are open. The caller has the lock.
 func (c *clientConns) closeLongestIdle() {
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -17,7 +17,7 @@
 // blockLoop stops the loop until the returned function is called.
 func (a *testAgent) blockLoop() (release func()) {
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.loop.post(func() { close(held); <-blocked })
+	a.agent.loop.post(func() { close(held); <-blocked })
 	<-held
 	return func() { close(blocked) }
 }
@@ -25,7 +25,7 @@
 // wantNoneOpen waits until the server knows that all clients' connections have ended.
 func (a *testAgent) wantNoneOpen(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "all clients' connections are closed", func() bool { return a.front.conns.size() == 0 })
+	waitUntil(t, "all clients' connections are closed", func() bool { return a.agent.downstream.openConns() == 0 })
 }
 
 // A client's close and an event that would have its request sent again cross on the way to the loop. The
@@ -44,15 +44,15 @@
 	<-arrived
 	release := a.blockLoop()
 	close(answer)
-	waitUntil(t, "the loop is to take the attempt's end", func() bool { return len(a.loop.inbox) > 0 })
-	a.loop.post(func() { // time for an attempt to begin before the loop takes the leaving
+	waitUntil(t, "the loop is to take the attempt's end", func() bool { return len(a.agent.loop.inbox) > 0 })
+	a.agent.loop.post(func() { // time for an attempt to begin before the loop takes the leaving
 		select {
 		case <-arrived:
 		case <-time.After(200 * time.Millisecond):
 		}
 	})
 	c.Close()
-	waitUntil(t, "the loop is to take the client's leaving", func() bool { return len(a.loop.inbox) > 2 })
+	waitUntil(t, "the loop is to take the client's leaving", func() bool { return len(a.agent.loop.inbox) > 2 })
 	release()
 	a.wantNoneOpen(t)
 	f := a.metricsNow()
@@ -96,7 +96,7 @@
 	})
 	c := a.dialKept()
 	fmt.Fprint(c, readRequestText(1, 20000))
-	waitUntil(t, "the connect is under way", func() bool { return a.loop.pool.connectCount() == 1 })
+	waitUntil(t, "the connect is under way", func() bool { return a.agent.pool.connectCount() == 1 })
 	release := a.blockLoop()
 	defer release()
 	c.Close()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"log/slog"
 	"net"
 	"slices"
@@ -46,6 +47,8 @@
 	Hooks Hooks
 	// Clock is the machine's clock; nil: the system's.
 	Clock clock.Clock
+	// Dial opens connections to servers; nil: over TCP.
+	Dial DialFunc
 	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
 	CallFrom net.IP
 
@@ -53,6 +56,9 @@
 	serviceSettings *endpoint.Settings // those in force where they came from the discovery service
 }
 
+// DialFunc opens a connection to a server until a time.
+type DialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
+
 // Hooks are called when something has happened, each where it is not nil, from goroutines of the agent: a hook
 // that waits blocks the agent.
 type Hooks struct {
--- a/internal/agent/connect_errors_test.go
+++ b/internal/agent/connect_errors_test.go
@@ -59,18 +59,16 @@
 // no server is demoted.
 func TestLocalShortageDemotesNoServer(t *testing.T) {
 	b, c, d := newFakeServer(t, respondOK), newFakeServer(t, respondOK), newFakeServer(t, respondOK)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr), target("s-2", c.addr), target("s-3", d.addr)), nil)
 	var connects atomic.Int64
-	inLoop(a, func(l *eventLoop) struct{} {
-		l.pool.dial = func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-			n := int(connects.Add(1)) - 1
-			if n < 2*len(localErrnos) {
-				return nil, connectError(localErrnos[n%len(localErrnos)])
-			}
-			return dialTCP(ctx, addr, until)
+	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+		n := int(connects.Add(1)) - 1
+		if n < 2*len(localErrnos) {
+			return nil, connectError(localErrnos[n%len(localErrnos)])
 		}
-		return struct{}{}
-	})
+		return dialTCP(ctx, addr, until)
+	}
+	discovery := newDiscoveryServer(t, target("s-1", b.addr), target("s-2", c.addr), target("s-3", d.addr))
+	a := startAgent(t, discovery, func(cfg *Config) { cfg.Dial = dial })
 	waitUntil(t, "an answer once the lack is over", func() bool {
 		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -21,15 +21,12 @@
 // errNoDescriptor ends a connect for which no descriptor is left.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// dialFunc opens a connection to a server until a time.
-type dialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
-
 // connectionPool makes attempts and keeps idle connections. http.Transport is not used, as it retries by itself
 // on a broken kept connection, and does not tell whether the last byte was written, on which it depends whether
 // an attempt may have executed.
 type connectionPool struct {
-	budget quota    // of bytes of buffered response bodies
-	dial   dialFunc // nil: dialTCP
+	budget quota // of bytes of buffered response bodies
+	dial   DialFunc
 
 	mu              sync.Mutex
 	maxConns        int
@@ -46,14 +43,18 @@
 	p := &connectionPool{
 		maxConns: cfg.serverConns(),
 		budget:   newBodyBudget(cfg),
+		dial:     cfg.Dial,
 		idle:     map[string][]*serverConn{},
 	}
+	if p.dial == nil {
+		p.dial = dialTCP
+	}
 	p.applySettings(cfg)
 	return p
 }
 
-// setLimit bounds the connections from now on.
-func (p *connectionPool) setLimit(maxConns int) {
+// setConnLimit bounds the connections from now on.
+func (p *connectionPool) setConnLimit(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = maxConns
@@ -64,6 +65,13 @@
 	}
 }
 
+// connLimit is the bound on the connections.
+func (p *connectionPool) connLimit() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.maxConns
+}
+
 // applySettings puts the settings in force for connections from now on.
 func (p *connectionPool) applySettings(cfg *Config) {
 	p.mu.Lock()
@@ -116,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	nc, err := p.dialServer(ctx, addr, until)
+	nc, err := p.dial(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
 		p.openConns--
@@ -143,13 +151,6 @@
 	return earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
-func (p *connectionPool) dialServer(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	if p.dial != nil {
-		return p.dial(ctx, addr, until)
-	}
-	return dialTCP(ctx, addr, until)
-}
-
 func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
--- a/internal/agent/connection_pool_test.go
+++ b/internal/agent/connection_pool_test.go
@@ -76,7 +76,7 @@
 		return respondOK(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := a.loop.cfg.clientConns()
+	most := a.agent.loop.cfg.clientConns()
 	for range 2 * most { // clients that stay connected and idle
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -130,7 +130,7 @@
 			})
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			waitUntil(t, "the connect is under way", func() bool { return a.loop.pool.connectCount() == 1 })
+			waitUntil(t, "the connect is under way", func() bool { return a.agent.pool.connectCount() == 1 })
 			time.Sleep(testDelay)
 			go (&fakeServer{t: t, ln: ln, answer: d.recording(respondOK), ended: make(chan struct{}, 10)}).accept()
 			wantStatus(t, finalStatus(t, c), 200)
@@ -139,7 +139,7 @@
 		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
 			b := newFakeServer(t, d.recording(respondOK))
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-			broken := keepBlockedConn(t, a.loop.pool, b.addr)
+			broken := keepBlockedConn(t, a.agent.pool, b.addr)
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			<-broken.writing
@@ -199,7 +199,7 @@
 	release := a.blockLoop()
 	c := a.dialKept()
 	fmt.Fprint(c, text)
-	waitUntil(t, "the loop is to take the request", func() bool { return len(a.loop.inbox) > 0 })
+	waitUntil(t, "the loop is to take the request", func() bool { return len(a.agent.loop.inbox) > 0 })
 	time.Sleep(testDelay)
 	release()
 	wantStatus(t, finalStatus(t, c), 200)
@@ -246,7 +246,7 @@
 			a, _ := startWithServer(t, d.recording(respondOK))
 			release := takeAllSlots(t, a)
 			a.dialKept() // takes the slot that Accept holds already
-			waitUntil(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+			waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(test.timeoutMs, "x"))
 			time.Sleep(testDelay)
@@ -264,12 +264,12 @@
 	a, _ := startWithServer(t, respondOK)
 	release := takeAllSlots(t, a)
 	a.dialKept()
-	waitUntil(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+	waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
 	const timeout = 2 * time.Second
 	c := a.dialKept()
 	time.Sleep(timeout)
 	release()
-	waitUntil(t, "it is accepted", func() bool { return a.front.conns.size() > 1 })
+	waitUntil(t, "it is accepted", func() bool { return a.agent.downstream.openConns() > 1 })
 	for range 2 {
 		fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), "x"))
 		wantStatus(t, finalStatus(t, c), 200)
--- a/internal/agent/discovery_client.go
+++ b/internal/agent/discovery_client.go
@@ -83,13 +83,17 @@
 	err        error
 }
 
-// newDiscoveryClient makes the client of an address where version is known already. Each end of a call is
-// passed to onResponse.
-func newDiscoveryClient(addr string, version uint64, onResponse func(listResponse)) *discoveryClient {
+// newDiscoveryClient makes the client of a configuration's addresses, where the list that it knows is known already.
+// With the section "control" the watch goes round all addresses, and asks for the settings of the section's
+// service, which apply puts in force. Each end of a call is passed to onResponse.
+func newDiscoveryClient(
+	cfg *Config, timeSource clock.Clock, apply applySettings, onResponse func(listResponse),
+) *discoveryClient {
 	d := &discoveryClient{
-		source:     newDiscoverySource(version, addr),
+		source:     newDiscoverySource(cfg.Known.Version, cfg.Discovery),
 		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
-		clock:      clock.System(),
+		localAddr:  cfg.CallFrom,
+		clock:      timeSource,
 		onResponse: onResponse,
 		conns:      map[*countedConn]bool{},
 	}
@@ -100,6 +104,15 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
+	if cfg.Control == nil {
+		return d
+	}
+	d.name = cfg.Name
+	d.backoff = newAddressBackoff()
+	d.source = newDiscoverySource(cfg.Known.Version, orderAddresses(cfg.addresses(), d.name)...)
+	if cfg.Control.Service != "" {
+		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: apply}
+	}
 	return d
 }
 
@@ -114,17 +127,6 @@
 	}
 }
 
-// configure has the watch go round all addresses that a configuration's section "control" names, where version
-// is known already, and ask for the settings of its service.
-func (d *discoveryClient) configure(cfg *Config, version uint64) {
-	d.name = cfg.Name
-	d.backoff = newAddressBackoff()
-	d.source = newDiscoverySource(version, orderAddresses(cfg.addresses(), d.name)...)
-	if cfg.Control.Service != "" {
-		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name}
-	}
-}
-
 // moveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
 // new source may count versions of its own. Connections to the old source are not kept. Which of several
 // addresses is called first depends on the agent's name.
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -74,7 +74,7 @@
 		}
 		return "" // all that is open now stays silent
 	})
-	d := newDiscoveryClient(addr, 7, func(listResponse) {})
+	d := newTestDiscoveryClient(addr, 7, func(listResponse) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.keepWatch(ctx)
@@ -143,7 +143,7 @@
 		return `{"version":3,"full":true,"servers":[]}`
 	})
 	told := make(chan listResponse, 100)
-	d := newDiscoveryClient(old, 41, func(n listResponse) { told <- n })
+	d := newTestDiscoveryClient(old, 41, func(n listResponse) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.keepWatch(ctx)
@@ -171,7 +171,7 @@
 func TestResponsesThatCrossAMove(t *testing.T) {
 	up, drains := target("s-1", "127.0.0.1:1"), target("s-1", "127.0.0.1:1")
 	drains.State = "draining"
-	l := startAgent(t, newDiscoveryServer(t, up, target("s-2", "127.0.0.1:2")), nil).loop
+	l := startAgent(t, newDiscoveryServer(t, up, target("s-2", "127.0.0.1:2")), nil).agent.loop
 	done := make(chan bool)
 	l.post(func() {
 		defer close(done)
@@ -288,7 +288,7 @@
 	}
 	refusing.Close()
 	told := make(chan listResponse, 100)
-	d := newDiscoveryClient(refusing.Addr().String(), 1, func(n listResponse) { told <- n })
+	d := newTestDiscoveryClient(refusing.Addr().String(), 1, func(n listResponse) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.keepWatch(ctx)
--- a/internal/agent/downstream_drain.go
+++ b/internal/agent/downstream_drain.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancelDrain = cancel
 	f.draining.Store(true)
-	f.notifyDrain(true)
+	f.onDrain(true)
 	go f.conns.closeIdleUntil(ctx)
 	return nil
 }
@@ -49,22 +49,16 @@
 		f.cancelDrain()
 		f.cancelDrain = nil
 		f.draining.Store(false)
-		f.notifyDrain(false)
+		f.onDrain(false)
 	}
 	return nil
 }
 
-func (f *downstreamServer) notifyDrain(draining bool) {
-	if f.onDrain != nil {
-		f.onDrain(draining)
-	}
-}
-
 // shutdown ends service without losing a request: open requests have their response within drainTime, and
 // responses that are being streamed then go on, for shutdownStreamingTime at the most. Closing an accept queue
 // resets the connections in it, so while connections still arrive after the signal they are accepted. A shared
 // queue is not closed with this process's listener: what it holds is left to the other process, at once.
-func (f *downstreamServer) shutdown(ln *clientListener, shared bool, drainTime time.Duration) error {
+func (f *downstreamServer) shutdown(drainTime time.Duration) error {
 	over := time.NewTimer(drainTime)
 	defer over.Stop()
 	defer time.AfterFunc(shutdownAdmitTime, f.rejectNew).Stop()
@@ -75,12 +69,12 @@
 	if err := f.startDrain(); err != nil {
 		return err
 	}
-	if !shared {
+	if !f.shared {
 		time.Sleep(drainAcceptTime)
-		f.acceptQueued(ln, over)
+		f.acceptQueued(over)
 	}
-	_ = ln.Close()     // its queue is empty or the other process's
-	f.accepting.Wait() // the connection accepted last is counted by then
+	_ = f.listener.Close() // its queue is empty or the other process's
+	f.accepting.Wait()     // the connection accepted last is counted by then
 	defer func() { _ = f.server.Close() }()
 	defer f.cancelDrain()
 	return f.awaitClients(over, drainTime)
@@ -89,7 +83,7 @@
 // rejectNew rejects requests that are still arriving, or whose streamed body is.
 func (f *downstreamServer) rejectNew() {
 	f.rejectsAll.Store(true)
-	f.loop.post(f.loop.cancelStreaming)
+	f.dispatcher.cancelStreaming()
 }
 
 // awaitClients waits until all client connections are closed. When over fires it ends the open requests, and
@@ -98,7 +92,7 @@
 	if f.awaitNoneOpen(over, drainTime) {
 		return nil
 	}
-	f.loop.post(f.loop.endAll)
+	f.dispatcher.endAll()
 	f.conns.closeAllIdle()
 	over.Reset(shutdownStreamingTime)
 	if f.awaitNoneOpen(over, drainTime) {
@@ -120,8 +114,8 @@
 
 // acceptQueued accepts the connections that still wait, perhaps for a slot: closing the listener would reset
 // them. When over fires they are left, and over fires again.
-func (f *downstreamServer) acceptQueued(ln *clientListener, over *time.Timer) {
-	if !ln.finishQueue() {
+func (f *downstreamServer) acceptQueued(over *time.Timer) {
+	if !f.listener.finishQueue() {
 		return
 	}
 	accepted := make(chan struct{})
--- a/internal/agent/downstream_response.go
+++ b/internal/agent/downstream_response.go
@@ -49,7 +49,7 @@
 	w.WriteHeader(http.StatusOK)
 	fromServer, toClient := response.body.copyTo(w)
 	if fromServer != nil || toClient != nil {
-		f.loop.post(func() { f.loop.responseAborted(c, fromServer, toClient) })
+		f.dispatcher.responseAborted(c, fromServer, toClient)
 		// Only a connection that ends before the response does tells the client that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/agent/downstream_server.go
+++ b/internal/agent/downstream_server.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/listener"
 )
 
 const (
@@ -30,10 +31,31 @@
 	readyPath = "/-/ready"
 )
 
+// dispatcher takes the requests of clients and gives each its one final response. It also counts and logs what
+// happens to clients. Its methods may be called from any goroutine.
+type dispatcher interface {
+	// dispatch takes a request over; its response comes on the request's channel.
+	dispatch(c *clientRequest)
+	// abandon ends a request whose client no longer waits for the response.
+	abandon(c *clientRequest)
+	// cancelStreaming cancels the attempts whose streamed body is still on its way to a server.
+	cancelStreaming()
+	// endAll gives every open request its final response.
+	endAll()
+	// acceptFailed counts and logs an accept that failed temporarily.
+	acceptFailed(err error)
+	// invalidRequest counts and logs what came in that is not a request of the protocol.
+	invalidRequest(id, from string, invalid *requestError)
+	// responseAborted counts and logs a response that was begun and not passed on completely.
+	responseAborted(c *clientRequest, fromServer, toClient error)
+}
+
 // downstreamServer serves the clients.
 type downstreamServer struct {
-	loop       *eventLoop
+	dispatcher dispatcher
 	server     *http.Server
+	listener   *clientListener
+	shared     bool // other processes accept from the listener's queue too
 	log        *slog.Logger
 	classes    atomic.Pointer[requestClasses]
 	bodyBudget quota // of bytes of buffered request bodies
@@ -48,16 +70,29 @@
 	draining     atomic.Bool        // clients are to go elsewhere; set under mu
 	cancelDrain  context.CancelFunc // ends the draining; nil: there is none
 	shuttingDown bool               // the draining is for good
-	onDrain      func(bool)         // called when draining begins and ends; may be nil
+	onDrain      func(bool)         // called when draining begins and ends
 	rejectsAll   atomic.Bool        // requests that are still arriving are rejected
 
 	accepting sync.WaitGroup // serve, until it accepts no more
 }
 
-func newDownstreamServer(cfg *Config) *downstreamServer {
-	f := &downstreamServer{bodyBudget: newBodyBudget(cfg), log: cfg.logger()}
+// newDownstreamServer makes the server of the clients that connect to ln, which is the server's from now on.
+// Shared tells that other processes accept from its queue too. A request's context ends with its client, or with
+// ctx. onDrain is called when draining begins and ends.
+func newDownstreamServer(
+	ctx context.Context, cfg *Config, ln net.Listener, shared bool, requests dispatcher, onDrain func(bool),
+) *downstreamServer {
+	f := &downstreamServer{
+		dispatcher: requests,
+		shared:     shared,
+		log:        cfg.logger(),
+		bodyBudget: newBodyBudget(cfg),
+		conns:      newClientConns(cfg.clientConns()),
+		onDrain:    onDrain,
+	}
 	f.applySettings(cfg)
-	f.conns = newClientConns(cfg.clientConns())
+	accepting := listener.New(ln, func(err error, _ uint64) { requests.acceptFailed(err) })
+	f.listener = newClientListener(accepting, f.conns.slots)
 	f.server = &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: requestHeadTimeout,
@@ -65,8 +100,7 @@
 		IdleTimeout:       keepAliveTimeout,
 		MaxHeaderBytes:    maxRequestHead,
 		ConnState:         f.conns.track,
-		// A request's context ends with its client, or with the loop.
-		BaseContext: func(net.Listener) context.Context { return f.loop.ctx },
+		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
@@ -97,10 +131,10 @@
 }
 
 // serve accepts clients until the listener is closed.
-func (f *downstreamServer) serve(ln net.Listener) error {
+func (f *downstreamServer) serve() error {
 	f.accepting.Add(1)
 	defer f.accepting.Done()
-	err := f.server.Serve(ln)
+	err := f.server.Serve(f.listener)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.shuttingDown || errors.Is(err, http.ErrServerClosed) {
@@ -109,14 +143,31 @@
 	return fmt.Errorf("downstream: %w", err)
 }
 
-// acceptFailed counts and logs an accept that failed temporarily.
-func (f *downstreamServer) acceptFailed(err error, _ uint64) {
-	f.loop.post(func() {
-		f.loop.metrics.acceptFailures++
-		f.loop.log(slog.LevelWarn, "accept failed", "err", err)
-	})
+// close closes the listener and all connections at once. Errors of closing sockets that are given up say nothing
+// of use.
+func (f *downstreamServer) close() {
+	_ = f.listener.Close()
+	_ = f.server.Close()
 }
 
+// quotas are the limits that processes that run side by side divide among them.
+func (f *downstreamServer) quotas() []quota { return []quota{f.conns.slots, f.bodyBudget} }
+
+// setConnLimit bounds the client connections from now on.
+func (f *downstreamServer) setConnLimit(maxConns int) { f.conns.setLimit(maxConns) }
+
+// connLimit is the bound on the client connections.
+func (f *downstreamServer) connLimit() int { return f.conns.limit() }
+
+// openConns is the number of client connections.
+func (f *downstreamServer) openConns() int { return f.conns.size() }
+
+// acceptClients has the readiness path say yes before a server is known.
+func (f *downstreamServer) acceptClients() { f.acceptsClients.Store(true) }
+
+// isServing tells whether a server may be sent requests, and the shutdown has not begun.
+func (f *downstreamServer) isServing() bool { return f.serving.Load() }
+
 // setServing is called once a server may be sent requests.
 func (f *downstreamServer) setServing() {
 	f.acceptsClients.Store(true)
@@ -160,15 +211,14 @@
 	f.forward(w, c)
 }
 
-// forward gives a request to the event loop and writes the final response.
+// forward gives a request to the dispatcher and writes the final response.
 func (f *downstreamServer) forward(w http.ResponseWriter, c *clientRequest) {
-	started := make(chan *request, 1)
-	f.loop.post(func() { started <- f.loop.startRequest(c) })
+	f.dispatcher.dispatch(c)
 	select {
 	case response := <-c.response:
 		f.writeResponse(w, c, response)
 	case <-c.ctx.Done():
-		f.loop.post(func() { f.loop.discardResponse(<-started) })
+		f.dispatcher.abandon(c)
 		// The client may have ended only its sending, and still read. With nothing written here the server
 		// would write an empty 200.
 		f.writeResponse(w, c, finalResponse{kind: responseFailed})
@@ -190,9 +240,7 @@
 	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *requestError,
 ) {
 	_ = control.SetReadDeadline(time.Now().Add(badRequestReadTime)) // without deadlines it is not a client's
-	id := req.Header.Get("Request-Id")
-	from := req.RemoteAddr
-	f.loop.post(func() { f.loop.invalidRequest(id, from, invalid.status, invalid) })
+	f.dispatcher.invalidRequest(req.Header.Get("Request-Id"), req.RemoteAddr, invalid)
 	closeAfterResponse(w)
 	http.Error(w, invalid.Error(), invalid.status)
 }
--- a/internal/agent/downstream_server_test.go
+++ b/internal/agent/downstream_server_test.go
@@ -184,7 +184,7 @@
 	if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%v, %v", resp, err)
 	}
-	conns := a.front.conns
+	conns := a.agent.downstream.conns
 	waitUntil(t, "the connection idles", func() bool {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -88,7 +88,7 @@
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer busy.Close()
-	d := newDiscoveryClient(busy.Listener.Addr().String(), 1, func(listResponse) {})
+	d := newTestDiscoveryClient(busy.Listener.Addr().String(), 1, func(listResponse) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	from := time.Now()
@@ -101,7 +101,7 @@
 
 // Responses of discovery that cross do not take the list back to an older version.
 func TestOldListIsDropped(t *testing.T) {
-	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
+	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.loop
 	done := make(chan bool)
 	l.post(func() {
 		defer close(done)
@@ -170,7 +170,7 @@
 			old.waitVersion(t, 1)
 			moved := newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr))
 			moved.list.Version = 7
-			cfg := *a.loop.cfg
+			cfg := *a.agent.loop.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
 			a.reloads <- &cfg
 			moved.waitVersion(t, 7)
--- a/internal/agent/event_loop.go
+++ b/internal/agent/event_loop.go
@@ -65,9 +65,12 @@
 	settingsVersion      atomic.Uint64
 }
 
-// newEventLoop makes the loop of an agent; run starts it. It calls onUsable each time that a list with a ready
-// server is in force. An error says which setting the policy can't use.
-func newEventLoop(ctx context.Context, cfg *Config, onUsable func()) (*eventLoop, error) {
+// newEventLoop makes the loop of an agent; run starts it, and it ends with ctx. It calls onUsable each time that a
+// list with a ready server is in force, and apply with settings of the discovery service. An error says which
+// setting the policy can't use.
+func newEventLoop(
+	ctx context.Context, cfg *Config, pool *connectionPool, onUsable func(), apply applySettings,
+) (*eventLoop, error) {
 	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -79,7 +82,7 @@
 		ctx:        ctx,
 		balancer:   decisions,
 		endpoints:  newEndpointList(cfg.Zones, cfg.Kinds),
-		pool:       newConnectionPool(cfg),
+		pool:       pool,
 		clock:      eventTime,
 		inbox:      make(chan func(), inboxSize),
 		requests:   map[balancer.RequestID]*request{},
@@ -90,14 +93,9 @@
 		logLines:   make(chan func(), logBufferSize),
 		metrics:    newMetrics(),
 	}
-	l.discovery = newDiscoveryClient(cfg.Discovery, cfg.Known.Version, func(response listResponse) {
+	l.discovery = newDiscoveryClient(cfg, eventTime, apply, func(response listResponse) {
 		l.post(func() { l.onListResponse(response) })
 	})
-	l.discovery.localAddr = cfg.CallFrom
-	l.discovery.clock = eventTime
-	if cfg.Control != nil {
-		l.discovery.configure(cfg, cfg.Known.Version)
-	}
 	l.listSource = l.discovery.currentSource()
 	return l, nil
 }
@@ -110,6 +108,9 @@
 	}
 }
 
+// close ends the connections to discovery.
+func (l *eventLoop) close() { l.discovery.close() }
+
 // run runs the loop until its context ends.
 func (l *eventLoop) run() {
 	go l.writeLogLines()
--- a/internal/agent/event_loop_test.go
+++ b/internal/agent/event_loop_test.go
@@ -9,8 +9,9 @@
 	"testing"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/balancer"
 	"golang.org/x/time/rate"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // orderRules are those of a class that must never execute twice.
@@ -18,7 +19,8 @@
 
 // The backstop responds before the deadline where the policy does not.
 func TestBackstop(t *testing.T) {
-	l, err := newEventLoop(t.Context(), startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop.cfg, func() {})
+	cfg := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.cfg
+	l, err := newEventLoop(t.Context(), cfg, newConnectionPool(cfg), func() {}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +44,7 @@
 	drained := up()
 	drained.unavailable.Store(true)
 	now := time.Now()
-	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).loop
+	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.loop
 	for _, test := range []struct {
 		name  string
 		r     request
@@ -106,14 +108,14 @@
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	a, _ := startWithServer(t, respondOK)
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.loop.logLines <- func() { close(held); <-blocked }
+	a.agent.loop.logLines <- func() { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
-	a.loop.post(func() {
-		a.loop.logLimit.SetLimit(rate.Inf)
-		for range 2 * cap(a.loop.logLines) {
-			a.loop.log(slog.LevelDebug, "line")
+	a.agent.loop.post(func() {
+		a.agent.loop.logLimit.SetLimit(rate.Inf)
+		for range 2 * cap(a.agent.loop.logLines) {
+			a.agent.loop.log(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -17,9 +17,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
+// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
@@ -33,7 +35,7 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// fakeBackend reads requests off real sockets and lets a script answer them.
+// fakeServer reads requests off real sockets and lets a script answer them.
 type fakeServer struct {
 	t    testing.TB
 	ln   net.Listener
@@ -281,8 +283,7 @@
 type testAgent struct {
 	t         testing.TB
 	addr      string
-	front     *downstreamServer
-	loop      *eventLoop
+	agent     *Agent
 	stop      context.CancelFunc
 	done      chan error
 	adminAddr string // of the admin endpoint
@@ -320,14 +321,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	a := &testAgent{t: t, addr: ln.Addr().String(), adminAddr: operators.Addr().String(), stop: stop, done: make(chan error, 1),
 		reloads: make(chan *Config)}
-	started := make(chan struct{})
-	go func() {
-		a.done <- run(ctx, cfg, Listeners{Clients: ln, Operators: operators}, a.reloads, func(f *downstreamServer, l *eventLoop) {
-			a.front, a.loop = f, l
-			close(started)
-		})
-	}()
-	<-started
+	a.agent, err = New(cfg, Listeners{Clients: ln, Operators: operators})
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() { a.done <- a.agent.Run(ctx, a.reloads) }()
 	t.Cleanup(func() {
 		stop()
 		select {
@@ -365,7 +363,7 @@
 // inLoop returns what f reads, in the loop.
 func inLoop[T any](a *testAgent, f func(l *eventLoop) T) T {
 	got := make(chan T, 1)
-	a.loop.post(func() { got <- f(a.loop) })
+	a.agent.loop.post(func() { got <- f(a.agent.loop) })
 	return <-got
 }
 
@@ -384,8 +382,8 @@
 	t.Helper()
 	lines := make(chan string, 1000)
 	set := make(chan struct{})
-	a.loop.post(func() {
-		a.loop.logger = slog.New(slog.NewTextHandler(lineWriter(lines), nil))
+	a.agent.loop.post(func() {
+		a.agent.loop.logger = slog.New(slog.NewTextHandler(lineWriter(lines), nil))
 		close(set)
 	})
 	<-set
@@ -466,6 +464,7 @@
 func newTestPool(connectTimeout time.Duration, maxConns int) *connectionPool {
 	return &connectionPool{
 		budget:         newBodyBudget(&Config{MemoryMB: 64}),
+		dial:           dialTCP,
 		connectTimeout: connectTimeout,
 		keepalive:      time.Minute,
 		maxConns:       maxConns,
@@ -486,3 +485,9 @@
 	return fmt.Sprintf("GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
+
+// newTestDiscoveryClient is a discovery client without an agent, which knows version of the list at addr.
+func newTestDiscoveryClient(addr string, version uint64, onResponse func(listResponse)) *discoveryClient {
+	cfg := &Config{Discovery: addr, Known: List{Version: version}}
+	return newDiscoveryClient(cfg, clock.System(), nil, onResponse)
+}
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -13,7 +13,7 @@
 func startSmallAgent(t *testing.T) (a *testAgent, most int) {
 	b := newFakeServer(t, respondOK)
 	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	return a, a.loop.cfg.clientConns()
+	return a, a.agent.loop.cfg.clientConns()
 }
 
 // requestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -59,13 +59,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := newFaultEnvironment(t, 1).agent(ln, newFaultPlan(nil))
+	dial := func(context.Context, string, time.Time) (net.Conn, error) {
+		return newLateWriteConn(lastByte), nil
+	}
+	a, err := newFaultEnvironment(t, 1).agent(ln, dial)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.pool.dial = func(context.Context, string, time.Time) (net.Conn, error) {
-		return newLateWriteConn(lastByte), nil
-	}
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(context.Background(), nil) }()
 	defer func() {
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -52,19 +52,13 @@
 	return began + fmt.Sprintf(" ended %d after %.0f: %s]", a.status, a.latencyMs, a.reason)
 }
 
-// responseAborted counts and logs a response that was begun and not passed on completely.
-func (l *eventLoop) responseAborted(c *clientRequest, fromServer, toClient error) {
+// logAborted counts and logs a response that was begun and not passed on completely.
+func (l *eventLoop) logAborted(c *clientRequest, fromServer, toClient error) {
 	l.metrics.aborted++
 	l.log(slog.LevelWarn, "response aborted", "id", c.id, "after_ms", time.Since(c.arrivedAt).Milliseconds(),
 		"server_err", fromServer, "client_err", toClient)
 }
 
-// invalidRequest counts and logs what came in that is not a request of the protocol.
-func (l *eventLoop) invalidRequest(id, from string, status int, err error) {
-	l.metrics.invalid++
-	l.log(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", status, "err", err)
-}
-
 // allowLog bounds the lines per second and counts those that the bound drops.
 func (l *eventLoop) allowLog() bool {
 	if l.logLimit.Allow() {
@@ -81,6 +75,11 @@
 	}
 }
 
+// report writes a line from any goroutine, without the bound of log.
+func (l *eventLoop) report(level slog.Level, text string, args ...any) {
+	l.post(func() { l.logAlways(level, text, args...) })
+}
+
 // logAlways hands a line to writeLogLines without the bound of log. The line is dropped where the buffer is full.
 func (l *eventLoop) logAlways(level slog.Level, text string, args ...any) {
 	logger := l.logger
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -8,21 +8,14 @@
 
 // startMembership begins to take part in the membership view, where the configuration has one; nil: it has
 // none. The event loop gets each view as a posted function; nothing in the loop waits for it.
-func startMembership(cfg *Config, downstream *downstreamServer, loop *eventLoop) (*membership.Membership, error) {
+func startMembership(cfg *Config, loop *eventLoop) (*membership.Membership, error) {
 	if cfg.Fleet == nil {
 		return nil, nil
 	}
 	own := *cfg.Fleet
 	own.Log = cfg.logger()
-	own.OnSnapshot = func(view *membership.Snapshot) {
-		loop.post(func() { loop.onMembershipView(view) })
-	}
-	member, err := membership.Start(own)
-	if err != nil {
-		return member, err
-	}
-	downstream.onDrain = member.SetDraining
-	return member, nil
+	own.OnSnapshot = loop.membershipChanged
+	return membership.Start(own)
 }
 
 // leaveMembership notifies the other agents that this process ends, beside its last requests. The returned
@@ -38,8 +31,10 @@
 	return left
 }
 
-// onMembershipView logs a new membership view. No decision rests on it.
-func (l *eventLoop) onMembershipView(view *membership.Snapshot) {
-	l.log(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
-		"digest", view.Digest)
+// membershipChanged logs a new membership view. No decision rests on it.
+func (l *eventLoop) membershipChanged(view *membership.Snapshot) {
+	l.post(func() {
+		l.log(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
+			"digest", view.Digest)
+	})
 }
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -59,7 +59,7 @@
 			}
 		})
 		before := fails.count()
-		a.front.applySettings(a.loop.cfg)
+		a.agent.downstream.applySettings(a.agent.loop.cfg)
 		req := newRequest(a.addr, "send", "x")
 		req.Header.Set("Request-Timeout-Ms", "8000")
 		got := make(chan int, 1)
@@ -72,7 +72,7 @@
 			resp.Body.Close()
 			got <- resp.StatusCode
 		}()
-		waitUntil(t, "a connect is under way", func() bool { return a.loop.pool.connectCount() > 0 })
+		waitUntil(t, "a connect is under way", func() bool { return a.agent.pool.connectCount() > 0 })
 		time.Sleep(100 * time.Millisecond)
 		if fails.count() == before { // the slow one came first: no repeat is on its way
 			ln.Close()
@@ -182,7 +182,7 @@
 	if c.request(t).StatusCode != 200 {
 		t.Fatal("not served")
 	}
-	a.front.rejectsAll.Store(true)
+	a.agent.downstream.rejectsAll.Store(true)
 	if resp := c.request(t); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a refusal", resp.StatusCode)
 	}
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -85,7 +85,7 @@
 	a := startAgent(b, newDiscoveryServer(b, list...), func(c *Config) {
 		c.Sockets, c.Settings.FleetSize = 4096, servers
 	})
-	idle := a.loop.pool.idleLimit()
+	idle := a.agent.pool.idleLimit()
 	direct := newRequestPath(2, idle)
 	direct.to = func() string { return list[direct.rng.IntN(servers)].Addr }
 	through := newRequestPath(1, idle)
@@ -111,7 +111,7 @@
 // play makes so many calls each way and returns what the agent and the direct way connected.
 func (p *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
 	runtime.GC() // what was before is not the measure's
-	tried, dialed := p.agent.loop.pool.connectCount(), p.direct.connects.Load()
+	tried, dialed := p.agent.agent.pool.connectCount(), p.direct.connects.Load()
 	var both sync.WaitGroup
 	for _, w := range []*requestPath{p.through, p.direct} {
 		w.took, w.late, w.failed = newHistogram(), newHistogram(), 0
@@ -125,7 +125,7 @@
 	if n := p.through.failed + p.direct.failed; n > 0 {
 		b.Errorf("%d of %d calls failed", n, 2*calls)
 	}
-	return float64(p.agent.loop.pool.connectCount() - tried), float64(p.direct.connects.Load() - dialed)
+	return float64(p.agent.agent.pool.connectCount() - tried), float64(p.direct.connects.Load() - dialed)
 }
 
 func (p *pathComparison) measure(b *testing.B) {
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -30,7 +30,8 @@
 	key          uint64                 // hash of the affinity key; 0: none
 	retry        bool                   // the client marked it as a retry
 	deadline     time.Time
-	response     chan finalResponse // of capacity one: the loop never waits for a client
+	response     chan finalResponse // of capacity one: the dispatcher never waits for a client
+	dispatchID   balancer.RequestID // belongs to the dispatcher
 }
 
 // backstopMargin is the margin of the backstop: less than the constant where the client gives little time.
@@ -85,16 +86,17 @@
 
 // startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
 // the simulator, where such requests never reach the instance.
-func (l *eventLoop) startRequest(c *clientRequest) *request {
+func (l *eventLoop) startRequest(c *clientRequest) {
 	l.metrics.requests++
 	l.nextID++
+	c.dispatchID = l.nextID
 	r := &request{id: l.nextID, client: c}
 	l.unanswered++
 	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
 	tooMany := maxOpen > 0 && l.unanswered > maxOpen
 	if time.Until(c.respondBy()) <= 0 || tooMany {
 		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
-		return r
+		return
 	}
 	l.requests[r.id] = r
 	r.backstop = time.AfterFunc(time.Until(c.respondBy()), func() {
@@ -109,7 +111,6 @@
 		Retry:        c.retry,
 		StreamedBody: c.streamed != nil,
 	})
-	return r
 }
 
 // streamedBodySent takes the write of the last byte of a streamed request. The request's time counts from that
@@ -144,19 +145,22 @@
 	l.cancelRequest(r)
 }
 
-// discardResponse ends a request whose client no longer waits for the response.
-func (l *eventLoop) discardResponse(r *request) {
-	l.clientLeft(r)
+// discardResponse ends a request whose client no longer waits for the response. One that is not in flight any
+// more has its response.
+func (l *eventLoop) discardResponse(c *clientRequest) {
+	if r := l.requests[c.dispatchID]; r != nil {
+		l.clientLeft(r)
+	}
 	select {
-	case response := <-r.client.response:
+	case response := <-c.response:
 		response.body.release()
 	default:
 	}
 }
 
-// cancelStreaming cancels the attempts whose streamed body is still on its way to a server: no server has all
-// of it, so the client can safely send it again, to another process.
-func (l *eventLoop) cancelStreaming() {
+// cancelSending cancels the attempts whose streamed body is still on its way to a server: no server has all of
+// it, so the client can safely send it again, to another process.
+func (l *eventLoop) cancelSending() {
 	for _, r := range l.requests {
 		if len(r.attempts) > 0 && r.sendingBody {
 			r.attempts[len(r.attempts)-1].cancelInFlight()
@@ -164,9 +168,9 @@
 	}
 }
 
-// endAll gives every open request its final response: the process is about to be killed, and a request that has
-// none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
-func (l *eventLoop) endAll() {
+// endRequests gives every open request its final response: the process is about to be killed, and a request that
+// has none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
+func (l *eventLoop) endRequests() {
 	for _, r := range l.requests {
 		if r.answered {
 			continue
--- a/internal/agent/settings_watch.go
+++ b/internal/agent/settings_watch.go
@@ -18,13 +18,15 @@
 // errAgentStopping ends the application of settings by an agent that stops.
 var errAgentStopping = errors.New("the agent ends")
 
+// applySettings puts settings in force and returns once they are. An error says why they are not:
+// errAgentStopping where nothing is applied any more.
+type applySettings func(context.Context, *endpoint.Settings) error
+
 // settingsWatch is what the watch of discovery asks for and reports of the settings of a service. The watch's
 // goroutine changes what was rejected, and the goroutine that applies reloads forgets it.
 type settingsWatch struct {
 	service, agent string
-	// apply applies settings and returns once they are in force. An error says why they are not:
-	// errAgentStopping where nothing is applied any more.
-	apply func(context.Context, *endpoint.Settings) error
+	apply          applySettings
 
 	mu              sync.Mutex
 	appliedVersion  uint64
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -17,6 +17,7 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
@@ -280,7 +281,7 @@
 			t.Errorf("the call is %q, want %q", got, want)
 		}
 	}
-	if d := a.loop.discovery; d.backoff != nil || d.settingsWatch != nil || len(d.currentSource().addrs) != 1 {
+	if d := a.agent.loop.discovery; d.backoff != nil || d.settingsWatch != nil || len(d.currentSource().addrs) != 1 {
 		t.Error("the discovery client has parts that only the section calls for")
 	}
 }
@@ -296,8 +297,8 @@
 		cfg.Control.Addresses = append(cfg.Control.Addresses, d.addr())
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
-	d := newDiscoveryClient(cfg.Discovery, 7, func(listResponse) {})
-	d.configure(cfg, 7)
+	cfg.Known.Version = 7
+	d := newDiscoveryClient(cfg, clock.System(), nil, func(listResponse) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	asked := orderAddresses(cfg.addresses(), "pay-1")
@@ -352,12 +353,12 @@
 	}()
 	atFailure := make(chan int64, 100)
 	cfg := &Config{Name: "pay-1", Discovery: ln.Addr().String(), Control: &Control{Service: "pay"}}
-	d := newDiscoveryClient(cfg.Discovery, 1, func(n listResponse) {
+	cfg.Known.Version = 1
+	d := newDiscoveryClient(cfg, clock.System(), nil, func(n listResponse) {
 		if n.err != nil {
 			atFailure <- conns.Load()
 		}
 	})
-	d.configure(cfg, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.keepWatch(ctx)
@@ -388,8 +389,8 @@
 		cfg.Control.Addresses = append(cfg.Control.Addresses, addr)
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
-	d := newDiscoveryClient(cfg.Discovery, 7, func(listResponse) {})
-	d.configure(cfg, 7)
+	cfg.Known.Version = 7
+	d := newDiscoveryClient(cfg, clock.System(), nil, func(listResponse) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go d.keepWatch(ctx)
@@ -446,8 +447,8 @@
 	for len(told) > 0 {
 		hooked = append(hooked, <-told)
 	}
-	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.loop.published.settingsVersion.Load() != 52 {
-		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.loop.published.settingsVersion.Load())
+	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.agent.loop.published.settingsVersion.Load() != 52 {
+		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.agent.loop.published.settingsVersion.Load())
 	}
 }
 
@@ -522,7 +523,7 @@
 		t.Errorf("in force: %v", got)
 	}
 	waitUntil(t, "what was refused is judged again", func() bool { return a.metricsNow().settingsRejected == 2 })
-	if at := a.loop.discovery.currentSource(); len(at.addrs) != 2 {
+	if at := a.agent.loop.discovery.currentSource(); len(at.addrs) != 2 {
 		t.Errorf("the addresses are %v", at.addrs)
 	}
 	for _, to := range []*fakeSettingsDiscovery{d, moved} { // wherever it hangs now
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -22,13 +22,16 @@
 
 func newQuota(size int64) quota { return quota{semaphore.NewWeighted(size), size} }
 
+// connLimiter bounds the connections of one side of the agent.
+type connLimiter interface{ setConnLimit(maxConns int) }
+
 // sharedLimits are the limits that two processes of one agent share while both are running, a new version
 // beside the old one: each has half of the bytes and of the descriptors.
 type sharedLimits struct {
 	cfg    *Config
-	admin  *adminServer
-	conns  *clientConns
-	pool   *connectionPool
+	admin  connLimiter
+	conns  connLimiter
+	pool   connLimiter
 	quotas []quota
 
 	mu     sync.Mutex
@@ -62,7 +65,7 @@
 		return
 	}
 	s.halved = false
-	s.conns.setLimit(s.cfg.clientConns())
+	s.conns.setConnLimit(s.cfg.clientConns())
 	for _, q := range s.quotas {
 		q.Release(q.size / 2)
 	}
@@ -74,8 +77,8 @@
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
 	}
-	s.pool.setLimit(s.cfg.serverConns() / processes)
-	s.admin.setLimit(s.cfg.adminConns(processes))
+	s.pool.setConnLimit(s.cfg.serverConns() / processes)
+	s.admin.setConnLimit(s.cfg.adminConns(processes))
 }
 
 // holdLock holds the lock file until ctx is done. While another process has it this one has half of the limits.
@@ -89,7 +92,7 @@
 	if !alone {
 		s.cfg.logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
-		s.conns.setLimit(s.cfg.clientConns() / 2)
+		s.conns.setConnLimit(s.cfg.clientConns() / 2)
 	}
 	go func() {
 		defer func() { _ = file.Close() }() // nothing was written to it
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"path/filepath"
 	"testing"
 	"time"
@@ -9,15 +10,33 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-func newSharedLimits(sockets int) *sharedLimits {
+// limitedProcess is what one process of an agent limits.
+type limitedProcess struct {
+	*sharedLimits
+	clients *downstreamServer
+	pool    *connectionPool
+}
+
+func newLimitedProcess(t *testing.T, sockets int) limitedProcess {
+	t.Helper()
 	cfg := &Config{MemoryMB: 64, Sockets: sockets, Settings: balancer.Settings{}}
-	s := &sharedLimits{cfg: cfg, admin: newAdminServer(nil, nil, cfg.adminConns(1)), conns: newClientConns(cfg.clientConns()), pool: newConnectionPool(cfg)}
-	s.quotas = []quota{s.conns.slots, newBodyBudget(cfg), s.pool.budget}
-	return s
+	clients := newDownstreamServer(t.Context(), cfg, newUnusedListener(), true, nil, nil)
+	pool := newConnectionPool(cfg)
+	return limitedProcess{
+		sharedLimits: &sharedLimits{
+			cfg:    cfg,
+			admin:  newAdminServer(clients, nil, cfg.adminConns(1), slog.Default()),
+			conns:  clients,
+			pool:   pool,
+			quotas: append(clients.quotas(), pool.budget),
+		},
+		clients: clients,
+		pool:    pool,
+	}
 }
 
 // available is what is left of each quota and limit, in their order.
-func (s *sharedLimits) available() []int64 {
+func (s limitedProcess) available() []int64 {
 	var room []int64
 	for _, q := range s.quotas {
 		n := q.size
@@ -27,18 +46,14 @@
 		q.Release(n)
 		room = append(room, n)
 	}
-	s.conns.mu.Lock()
-	defer s.conns.mu.Unlock()
-	s.pool.mu.Lock()
-	defer s.pool.mu.Unlock()
-	return append(room, int64(s.conns.maxConns), int64(s.pool.maxConns))
+	return append(room, int64(s.clients.connLimit()), int64(s.pool.connLimit()))
 }
 
 // Two processes of one agent have its limits once: the second has half until the first has ended, and the
 // first gives back half when it is told to end.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	lock := filepath.Join(t.TempDir(), "lock")
-	first, second := newSharedLimits(256), newSharedLimits(256)
+	first, second := newLimitedProcess(t, 256), newLimitedProcess(t, 256)
 	all := first.available()
 	firstCtx, firstEnds := context.WithCancel(t.Context())
 	if err := first.holdLock(firstCtx, lock); err != nil {
@@ -47,7 +62,7 @@
 	if err := second.holdLock(t.Context(), lock); err != nil {
 		t.Fatal(err)
 	}
-	want := func(who string, s *sharedLimits, part int64) {
+	want := func(who string, s limitedProcess, part int64) {
 		t.Helper()
 		for i, n := range s.available() {
 			if n != all[i]-all[i]/2*(part-1) {
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -12,7 +12,7 @@
 func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
 	t.Helper()
 	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
-	slots := a.front.conns.slots
+	slots := a.agent.downstream.conns.slots
 	taken := int64(0)
 	for slots.TryAcquire(1) {
 		taken++
@@ -27,7 +27,7 @@
 	a, _ := startWithServer(t, respondOK)
 	release := takeAllSlots(t, a)
 	accepted := a.dialKept() // takes the slot that Accept holds already
-	waitUntil(t, "the last slot is taken", func() bool { return a.front.conns.size() > 0 })
+	waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
 	waiting := a.dialKept()
 	fmt.Fprint(waiting, timedRequest(timeoutMs, "x"))
 	a.stop()
@@ -65,7 +65,7 @@
 			time.AfterFunc(m.dial, dial)
 		}
 	}
-	waitUntil(t, "those that came before are accepted", func() bool { return a.front.conns.size() >= 4 })
+	waitUntil(t, "those that came before are accepted", func() bool { return a.agent.downstream.openConns() >= 4 })
 	a.stop()
 	served := 0
 	for i, status := range ended {
@@ -92,7 +92,7 @@
 		}
 	})
 	c := a.dialKept()
-	waitUntil(t, "it is accepted", func() bool { return a.front.conns.size() > 0 })
+	waitUntil(t, "it is accepted", func() bool { return a.agent.downstream.openConns() > 0 })
 	stopped := time.Now()
 	a.stop()
 	if n, err := io.Copy(io.Discard, c); n > 0 || err != nil {
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	clients := newFaultPlan(day.Clients)
-	a, err := w.agent(faultyListener{ln, clients}, newFaultPlan(day.Servers))
+	a, err := w.agent(faultyListener{ln, clients}, newFaultPlan(day.Servers).dial)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,8 @@
 	return client.nothingFollows()
 }
 
-func (w *faultEnvironment) agent(ln net.Listener, servers *faultPlan) (*Agent, error) {
+// agent makes an agent that dials its servers by dial.
+func (w *faultEnvironment) agent(ln net.Listener, dial DialFunc) (*Agent, error) {
 	f := configFile{Listen: ln.Addr().String(), Discovery: w.discovery.Listener.Addr().String(), Seed: "7",
 		Known: w.discovery.list, Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
@@ -106,13 +107,9 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
-	a, err := New(cfg, Listeners{Clients: ln})
-	if err != nil {
-		return nil, err
-	}
-	a.loop.pool.dial = servers.dial
-	return a, nil
+	cfg.Log = slog.New(slog.DiscardHandler)
+	cfg.Dial = dial
+	return New(cfg, Listeners{Clients: ln})
 }
 
 // faultyClient sends one request after another on one connection, and on a new one after its end.
