--- a/internal/agent/admin_server.go
+++ b/internal/agent/admin_server.go
@@ -23,8 +23,6 @@
 	adminReadTimeout = 800 * time.Millisecond
 	// adminWriteTimeout bounds how long the response may take to be read, from the call's head on.
 	adminWriteTimeout = 2 * time.Second
-	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
-	maxAdminConns = 24
 	// maxAdminBody bounds the body of a call, which is ignored.
 	maxAdminBody = 4 << 10
 	// maxAdminHead is the largest head of a call.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -156,7 +156,7 @@
 // serve serves until stop is done, and returns how long open requests may be finished from then on.
 func (a *Agent) serve(
 	stop context.Context, reloads <-chan *Config, limits *sharedLimits,
-) (drainTime time.Duration, err error) {
+) (openRequestTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
 	if a.ln.Operators != nil {
@@ -176,7 +176,7 @@
 		firstListTimer = time.After(firstListTimeout)
 	}
 	usable := a.usable
-	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: a.cfg.drainTime()}
+	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: drainTime(&a.cfg.Settings)}
 	for {
 		select {
 		case <-usable:
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
@@ -25,7 +26,7 @@
 	r := l.requests[action.Request]
 	if r == nil {
 		// The request is forgotten: nothing can be sent or counted for it.
-		l.logViolation("attempt for a finished request")
+		l.logViolation(errRequestFinished)
 		return
 	}
 	now := time.Now()
@@ -33,12 +34,12 @@
 	server := l.endpoints.byAddr[action.Server]
 	started := &attempt{server: server, startedAt: now}
 	r.attempts = append(r.attempts, started)
-	deadline := r.client.respondBy()
+	deadline := r.respondBy()
 	if action.Ms != 0 {
 		deadline = earliest(deadline, now.Add(milliseconds(action.Ms)))
 	}
-	if reason := l.unsendableReason(r, server, now, deadline); reason != "" {
-		l.endUnsent(r, index, action.Server, reason)
+	if err := l.mayForward(r, server, now, deadline); err != nil {
+		l.endUnsent(r, index, action.Server, err)
 		return
 	}
 	sendBy := l.retryDeadline(r)
@@ -52,26 +53,26 @@
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// unsendableReason says why an attempt must not be started; "" allows it.
-func (l *eventLoop) unsendableReason(r *request, server *upstreamServer, now, deadline time.Time) string {
+// mayForward says why an attempt must not be started; nil allows it.
+func (l *eventLoop) mayForward(r *request, server *upstreamServer, now, deadline time.Time) error {
 	if !r.answered && r.client.ctx.Err() != nil {
 		// The downstream server's notification of it is on its way.
 		l.closeAsGone(r)
-		return errClientGone.Error()
+		return errClientGone
 	}
-	reason := violation(r, server, now, deadline)
-	if reason != "" {
-		l.logViolation(reason, "id", r.client.id)
+	err := checkRules(r, server, now, deadline)
+	if err != nil {
+		l.logViolation(err, "id", r.client.id)
 	}
-	return reason
+	return err
 }
 
 // endUnsent ends an attempt that was never started.
-func (l *eventLoop) endUnsent(r *request, index int, policyAddr balancer.Addr, reason string) {
+func (l *eventLoop) endUnsent(r *request, index int, policyAddr balancer.Addr, reason error) {
 	ended := r.attempts[index]
 	ended.done = true
 	ended.status = balancer.StatusUnsent
-	ended.reason = reason
+	ended.reason = reason.Error()
 	l.pendingEvents = append(l.pendingEvents, balancer.Event{
 		Kind:        balancer.EventAttemptDone,
 		Request:     r.id,
@@ -103,11 +104,11 @@
 	ctx, cancel := context.WithCancel(client.ctx)
 	current.cancel = cancel
 	message := &upstreamMessage{
-		newRequest:   client.upstreamRequest,
+		newRequest:   func(left time.Duration) *http.Request { return newUpstreamRequest(client, left) },
 		streamed:     client.streamed,
 		clientGone:   client.clientGone,
 		sendBy:       sendBy,
-		responseTime: client.timeout - client.backstopMargin(),
+		responseTime: client.timeout - r.backstopMargin(),
 		onSent:       func() { l.post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
@@ -133,30 +134,6 @@
 	}
 }
 
-// violation says which rule an attempt would break, whatever the policy decided; "" allows the attempt.
-func violation(r *request, server *upstreamServer, now, deadline time.Time) string {
-	rules := r.client.rules
-	switch {
-	case r.answered:
-		return "attempt for a finished request"
-	case server == nil || server.addr == "":
-		return "attempt to a server that is not listed"
-	case server.unavailable.Load():
-		return "attempt to a draining or removed server"
-	case r.inFlight > 0:
-		return "second attempt while one is in flight"
-	case len(r.attempts) > rules.MaxAttempts:
-		return "more attempts than allowed"
-	case r.client.streamed.isConsumed():
-		return "retry of a body that was not buffered"
-	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
-		return "retry of a non-idempotent request that may have executed"
-	case !deadline.After(now):
-		return "attempt without time left"
-	}
-	return ""
-}
-
 // attemptDone takes the end of an attempt.
 func (l *eventLoop) attemptDone(r *request, index int, result *attemptResult) {
 	ended := r.attempts[index]
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -288,7 +288,7 @@
 
 // A body that exceeds the budget is not buffered, but it is forwarded.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
-	b := newBodyBudget(&Config{MemoryMB: 1})
+	b := newBodyBudget(1)
 	if !b.TryAcquire(1 << 20 / 6) {
 		t.Fatal("no budget")
 	}
--- a/internal/agent/body_stream.go
+++ b/internal/agent/body_stream.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"net"
 	"sync"
 	"time"
 )
@@ -28,12 +29,12 @@
 	close func(complete bool)
 
 	mu          sync.Mutex
-	conn        *serverConn
+	conn        net.Conn
 	ownDeadline bool // each read has its own deadline, and no longer the attempt's
 }
 
 // newStream begins to read a body, under the deadline that its connection has.
-func newStream(conn *serverConn, body io.Reader) *bodyStream {
+func newStream(conn net.Conn, body io.Reader) *bodyStream {
 	s := &bodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: conn}
 	go s.read(body)
 	return s
@@ -63,7 +64,7 @@
 	defer s.mu.Unlock()
 	s.ownDeadline = s.ownDeadline || detach
 	if s.ownDeadline {
-		s.conn.setReadDeadline(time.Now().Add(stallTimeout))
+		_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout)) // a closed connection fails in the read too
 	}
 }
 
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,9 +13,6 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// maxCountedTimeout is the longest request timeout that the platform's delay before SIGKILL allows for.
-const maxCountedTimeout = 3 * time.Second
-
 // Config is the validated configuration of one agent.
 type Config struct {
 	Name string
@@ -101,18 +98,6 @@
 	return all
 }
 
-// drainTime is how long open requests are finished after SIGTERM at the most. SIGKILL comes no sooner than the
-// longest timeout (but maxCountedTimeout) and 0.7 s after SIGTERM: a request that came while connections were
-// still accepted has its whole timeout up to that, and its final response well before the kill.
-func (c *Config) drainTime() time.Duration {
-	longest := 100 * time.Millisecond
-	for _, class := range c.Settings.Classes {
-		timeout := min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)
-		longest = max(longest, timeout+50*time.Millisecond)
-	}
-	return drainAcceptTime + longest
-}
-
 // settingsVersion is the version of the settings, 0 where they are the file's.
 func (c *Config) settingsVersion() uint64 {
 	if c.serviceSettings == nil {
--- a/internal/agent/config_limits.go
+++ b/internal/agent/config_limits.go
@@ -9,6 +9,12 @@
 	// its two listeners, the lock, four calls to discovery, the file that is read at a reload, and one
 	// connection that is accepted before another is closed.
 	fixedSockets = 14
+	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
+	maxAdminConns = 24
+	// reserveDivisor is the part of the descriptors, as a divisor, that neither side's connections may use.
+	reserveDivisor = 8
+	// bytesPerMiB converts the memory limit.
+	bytesPerMiB = 1 << 20
 	// minReserve lets two processes run side by side with two admin connections each.
 	minReserve = 2 * (fixedSockets + 2)
 )
@@ -17,7 +23,7 @@
 // is for admin connections and for fixedSockets.
 func (c *Config) clientConns() int {
 	sockets := c.ownSockets()
-	reserve := max(sockets/8, minReserve)
+	reserve := max(sockets/reserveDivisor, minReserve)
 	return (sockets - reserve) / 2
 }
 
@@ -39,4 +45,4 @@
 
 // MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
 // agent would be killed.
-func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
+func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) * bytesPerMiB * 3 / 4 }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -61,7 +61,7 @@
 func TestDrainTimeIsWithinTheKillDelay(t *testing.T) {
 	for _, longest := range []float64{300, 3000, 20000} {
 		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
-		end, kill := c.drainTime(), min(milliseconds(longest), 3*time.Second)+700*time.Millisecond
+		end, kill := drainTime(&c.Settings), min(milliseconds(longest), 3*time.Second)+700*time.Millisecond
 		if end <= drainAcceptTime+min(milliseconds(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
 			t.Errorf("longest deadline %v ms: the end is %v after SIGTERM, the kill %v", longest, end, kill)
 		}
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -42,7 +42,7 @@
 func newConnectionPool(cfg *Config) *connectionPool {
 	p := &connectionPool{
 		maxConns: cfg.serverConns(),
-		budget:   newBodyBudget(cfg),
+		budget:   newBodyBudget(cfg.MemoryMB),
 		dial:     cfg.Dial,
 		idle:     map[string][]*serverConn{},
 	}
--- a/internal/agent/downstream_drain.go
+++ b/internal/agent/downstream_drain.go
@@ -5,12 +5,19 @@
 	"errors"
 	"fmt"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
 	// drainAcceptTime is how long connections still arrive after SIGTERM or the start of a drain: 0.4 s at
 	// most, and what stands in the accept queue by then. Idle connections are closed after it.
 	drainAcceptTime = 500 * time.Millisecond
+	// maxCountedTimeout is the longest request timeout that the platform's delay before SIGKILL allows for.
+	maxCountedTimeout = 3 * time.Second
+	// minDrainTime and responseWriteTime are added to drainAcceptTime: the one where no class has a timeout, the
+	// other for the write of the last response.
+	minDrainTime, responseWriteTime = 100 * time.Millisecond, 50 * time.Millisecond
 	// shutdownAdmitTime is how long after SIGTERM requests are admitted: a later one is lost if the kill finds
 	// it unanswered, and can go to another process.
 	shutdownAdmitTime = 600 * time.Millisecond
@@ -22,6 +29,18 @@
 // errShuttingDown answers operators who would stop the drain of a process that shuts down.
 var errShuttingDown = errors.New("the process is ending")
 
+// drainTime is how long open requests are finished after SIGTERM at the most. SIGKILL comes no sooner than the
+// longest timeout (but maxCountedTimeout) and 0.7 s after SIGTERM: a request that came while connections were
+// still accepted has its whole timeout up to that, and its final response well before the kill.
+func drainTime(settings *balancer.Settings) time.Duration {
+	longest := minDrainTime
+	for _, class := range settings.Classes {
+		timeout := min(milliseconds(class.TotalTimeoutMs), maxCountedTimeout)
+		longest = max(longest, timeout+responseWriteTime)
+	}
+	return drainAcceptTime + longest
+}
+
 // startDrain begins to drain: the readiness path says no, every response closes its connection, and idle
 // connections are closed once no more connections arrive.
 func (f *downstreamServer) startDrain() error {
--- a/internal/agent/downstream_request.go
+++ b/internal/agent/downstream_request.go
@@ -10,10 +10,6 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// badRequestReadTime bounds how long what follows a request that was not accepted is read, so that its sender
-// can read the response.
-const badRequestReadTime = 300 * time.Millisecond
-
 // requestError says why a client's request is not one of the protocol, and the status of the response. It is
 // never a rejection, which would tell the client to send the same again.
 type requestError struct {
@@ -48,7 +44,7 @@
 	if known {
 		c.clientGone = conn.peerClosed
 	}
-	if invalid := c.readHeader(f.classes.Load()); invalid != nil {
+	if invalid := readHeader(c, f.classes.Load()); invalid != nil {
 		return nil, 0, invalid
 	}
 	if req.ContentLength != 0 {
@@ -81,7 +77,7 @@
 }
 
 // readHeader reads the request's header fields, by the rules of its class.
-func (c *clientRequest) readHeader(classes *requestClasses) *requestError {
+func readHeader(c *clientRequest, classes *requestClasses) *requestError {
 	c.rules = classes.rules[c.header.Get("Request-Class")]
 	if c.rules == nil {
 		return badRequest("unknown Request-Class")
--- a/internal/agent/downstream_server.go
+++ b/internal/agent/downstream_server.go
@@ -86,7 +86,7 @@
 		dispatcher: requests,
 		shared:     shared,
 		log:        cfg.logger(),
-		bodyBudget: newBodyBudget(cfg),
+		bodyBudget: newBodyBudget(cfg.MemoryMB),
 		conns:      newClientConns(cfg.clientConns()),
 		onDrain:    onDrain,
 	}
--- a/internal/agent/event_clock.go
+++ b/internal/agent/event_clock.go
@@ -20,10 +20,8 @@
 
 // fromMonotonic is the event time of a moment of the monotonic clock, in ms.
 func (c *eventClock) fromMonotonic(monotonic time.Duration) float64 {
-	return c.baseMs + float64((monotonic-c.origin).Microseconds())/1000
+	return c.baseMs + inMilliseconds(monotonic-c.origin)
 }
 
 // nowMs is the event time of now, in ms.
 func (c *eventClock) nowMs() float64 { return c.fromMonotonic(c.Monotonic()) }
-
-func unixMilliseconds(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
--- a/internal/agent/event_loop.go
+++ b/internal/agent/event_loop.go
@@ -13,9 +13,6 @@
 )
 
 const (
-	// policyMargin is subtracted from the time left that the policy is given for a request: the end of the
-	// last attempt needs it to become a response at the client.
-	policyMargin = 8 * time.Millisecond
 	// idleSweepInterval is how often connections that have been idle for too long are closed.
 	idleSweepInterval = time.Second
 	// inboxSize is the number of functions that may wait for the event loop before post blocks.
--- a/internal/agent/event_loop_test.go
+++ b/internal/agent/event_loop_test.go
@@ -62,8 +62,8 @@
 		{"no time", request{}, up(), now, false},
 	} {
 		test.r.client = &clientRequest{ctx: t.Context(), rules: orderRules}
-		if why := violation(&test.r, test.b, now, test.until); (why == "") != test.want {
-			t.Errorf("%s: %q", test.name, why)
+		if err := checkRules(&test.r, test.b, now, test.until); (err == nil) != test.want {
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -463,7 +463,7 @@
 // newTestPool is a connection pool without an agent.
 func newTestPool(connectTimeout time.Duration, maxConns int) *connectionPool {
 	return &connectionPool{
-		budget:         newBodyBudget(&Config{MemoryMB: 64}),
+		budget:         newBodyBudget(64),
 		dial:           dialTCP,
 		connectTimeout: connectTimeout,
 		keepalive:      time.Minute,
@@ -477,7 +477,8 @@
 	ctx context.Context, p *connectionPool, server *upstreamServer, addr string, c *clientRequest,
 ) attemptResult {
 	now := time.Now()
-	return p.attempt(ctx, server, addr, &upstreamMessage{newRequest: c.upstreamRequest}, now, now.Add(testTimeout))
+	message := &upstreamMessage{newRequest: func(left time.Duration) *http.Request { return newUpstreamRequest(c, left) }}
+	return p.attempt(ctx, server, addr, message, now, now.Add(testTimeout))
 }
 
 // readRequestText is a request of the class read as a client writes it.
--- a/internal/agent/log.go
+++ b/internal/agent/log.go
@@ -15,9 +15,9 @@
 )
 
 // logViolation counts and logs an action of the policy that the rules of the request forbid.
-func (l *eventLoop) logViolation(what string, args ...any) {
+func (l *eventLoop) logViolation(rule error, args ...any) {
 	l.metrics.violations++
-	l.log(slog.LevelError, "contract violation: "+what, args...)
+	l.log(slog.LevelError, "contract violation: "+rule.Error(), args...)
 }
 
 // logRequest logs a request that was not served in time, from its arrival through each attempt, so that one
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -12,7 +12,7 @@
 	cfg        *Config
 	downstream *downstreamServer
 	loop       *eventLoop
-	drainTime  time.Duration // how long requests are finished after the end begins; see Config.drainTime
+	drainTime  time.Duration // how long requests are finished after the end begins; see drainTime
 }
 
 // settingsUpdate is settings on their way from the watch of discovery to the goroutine that applies reloads.
@@ -28,9 +28,9 @@
 		f.loop.report(slog.LevelError, "settings not applied", "err", err)
 		return
 	}
-	if next.serviceSettings != nil {
+	if version := next.settingsVersion(); version != 0 {
 		f.loop.report(slog.LevelInfo, "settings of the file superseded by the service's",
-			"version", next.serviceSettings.Version)
+			"version", version)
 	}
 	f.replace(next)
 	f.loop.activate(next)
@@ -51,7 +51,7 @@
 
 // replace makes a configuration the one in force, first for requests that arrive from now on.
 func (f *activeConfig) replace(next *Config) {
-	f.drainTime = max(f.drainTime, next.drainTime()) // open requests keep their deadline
+	f.drainTime = max(f.drainTime, drainTime(&next.Settings)) // open requests keep their deadline
 	f.cfg = next
 	f.downstream.applySettings(next)
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -10,9 +10,15 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// backstopMargin is how long before the client's deadline the backstop responds, well after the policy should
-// have done so.
-const backstopMargin = 4 * time.Millisecond
+const (
+	// maxBackstopMargin is how long before the client's deadline the backstop responds, well after the policy
+	// should have done so, and backstopTimeoutPart the part of the request's timeout, as a divisor, that bounds it.
+	maxBackstopMargin, backstopTimeoutPart = 4 * time.Millisecond, 16
+	// maxPolicyMargin is subtracted from the time left that the policy is given for a request: the end of the
+	// last attempt needs it to become a response at the client. policyTimeLeftPart is the part of the time left,
+	// as a divisor, that bounds it.
+	maxPolicyMargin, policyTimeLeftPart = 8 * time.Millisecond, 8
+)
 
 // clientRequest is a client's request as the downstream server read it, with the channel for its response.
 type clientRequest struct {
@@ -34,23 +40,6 @@
 	dispatchID   balancer.RequestID // belongs to the dispatcher
 }
 
-// backstopMargin is the margin of the backstop: less than the constant where the client gives little time.
-func (c *clientRequest) backstopMargin() time.Duration {
-	return min(backstopMargin, c.timeout/16)
-}
-
-// respondBy is when the backstop responds; no attempt continues after it.
-func (c *clientRequest) respondBy() time.Time {
-	return c.deadline.Add(-c.backstopMargin())
-}
-
-// policyTimeLeftMs is the time left that the policy is given, in ms.
-func (c *clientRequest) policyTimeLeftMs() float64 {
-	left := time.Until(c.deadline)
-	left -= min(policyMargin, left/8)
-	return float64(left.Microseconds()) / 1000
-}
-
 // responseKind says what became of a request.
 type responseKind uint8
 
@@ -84,6 +73,23 @@
 	backstop    *time.Timer
 }
 
+// backstopMargin is the margin of the backstop: less than maxBackstopMargin where the client gives little time.
+func (r *request) backstopMargin() time.Duration {
+	return min(maxBackstopMargin, r.client.timeout/backstopTimeoutPart)
+}
+
+// respondBy is when the backstop responds; no attempt continues after it.
+func (r *request) respondBy() time.Time {
+	return r.client.deadline.Add(-r.backstopMargin())
+}
+
+// policyTimeLeftMs is the time left that the policy is given, in ms.
+func (r *request) policyTimeLeftMs() float64 {
+	left := time.Until(r.client.deadline)
+	left -= min(maxPolicyMargin, left/policyTimeLeftPart)
+	return inMilliseconds(left)
+}
+
 // startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
 // the simulator, where such requests never reach the instance.
 func (l *eventLoop) startRequest(c *clientRequest) {
@@ -94,12 +100,12 @@
 	l.unanswered++
 	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
 	tooMany := maxOpen > 0 && l.unanswered > maxOpen
-	if time.Until(c.respondBy()) <= 0 || tooMany {
+	if time.Until(r.respondBy()) <= 0 || tooMany {
 		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return
 	}
 	l.requests[r.id] = r
-	r.backstop = time.AfterFunc(time.Until(c.respondBy()), func() {
+	r.backstop = time.AfterFunc(time.Until(r.respondBy()), func() {
 		l.post(func() { l.backstopExpired(r) })
 	})
 	l.handle(&balancer.Event{
@@ -107,7 +113,7 @@
 		Request:      r.id,
 		Rules:        c.rules,
 		Key:          c.key,
-		RemainingMs:  c.policyTimeLeftMs(),
+		RemainingMs:  r.policyTimeLeftMs(),
 		Retry:        c.retry,
 		StreamedBody: c.streamed != nil,
 	})
@@ -123,12 +129,12 @@
 	c := r.client
 	c.deadline = c.streamed.respondBy(c.timeout)
 	c.arrivedAt = c.deadline.Add(-c.timeout)
-	r.backstop.Reset(time.Until(c.respondBy()))
+	r.backstop.Reset(time.Until(r.respondBy()))
 	l.handle(&balancer.Event{
 		Kind:        balancer.EventRequestSent,
 		Request:     r.id,
 		Attempt:     index,
-		RemainingMs: max(c.policyTimeLeftMs(), 0),
+		RemainingMs: max(r.policyTimeLeftMs(), 0),
 	})
 }
 
@@ -140,7 +146,7 @@
 	}
 	l.metrics.backstops++
 	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts),
-		"in_flight", r.inFlight, "late_ms", float64(time.Since(r.client.respondBy()).Microseconds())/1000)
+		"in_flight", r.inFlight, "late_ms", millisecondsSince(r.respondBy()))
 	l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
 	l.cancelRequest(r)
 }
@@ -212,24 +218,13 @@
 // request fails instead.
 func (l *eventLoop) reject(r *request, retryAfterMs float64) {
 	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.client.rules) {
-		l.logViolation("rejection after an attempt that may have executed", "id", r.client.id)
+		l.logViolation(errUnsafeRejection, "id", r.client.id)
 		l.finish(r, finalResponse{kind: responseFailed})
 		return
 	}
 	l.finish(r, finalResponse{kind: responseRejected, retryAfterMs: retryAfterMs})
 }
 
-// safeToRepeatAnywhere tells whether a request that has executed may be sent again through any agent.
-func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
-	switch rules.Idempotency {
-	case balancer.NonIdempotent:
-		return false
-	case balancer.IdempotentByKey:
-		return rules.DedupScope == balancer.DedupFleet
-	}
-	return true
-}
-
 // finish gives a request its final response; only the first one counts.
 func (l *eventLoop) finish(r *request, response finalResponse) {
 	if r.answered {
--- a/internal/agent/request_body.go
+++ b/internal/agent/request_body.go
@@ -19,19 +19,14 @@
 	// clients. It may never send nothing for longer than the grace period: connections that stall have to be
 	// closed within 3 s.
 	bodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
+	// badRequestReadTime bounds how long what follows a request that was not accepted is read, so that its sender
+	// can read the response.
+	badRequestReadTime = 300 * time.Millisecond
 	// stallTimeout is how long a server may send or take nothing of a long body, and a client take nothing of
 	// one.
 	stallTimeout = 10 * time.Second
-	// bodyBudgetPart is the part of the memory, as a divisor, that buffered bodies may use. What streams and
-	// the rest of the process need grows with the connections, which the descriptors bound.
-	bodyBudgetPart = 6
 )
 
-// newBodyBudget bounds the bytes of buffered bodies.
-func newBodyBudget(cfg *Config) quota {
-	return newQuota(int64(cfg.MemoryMB) << 20 / bodyBudgetPart)
-}
-
 // clientBody reads a client's body and ends one that arrives too slowly. Only the time that is spent waiting
 // for the client counts, not the time that a server takes to read.
 type clientBody struct {
@@ -123,23 +118,3 @@
 func (s *streamedBody) isConsumed() bool {
 	return s != nil && s.consumed.Load()
 }
-
-// readBody buffers a body of a length (-1: not given) as far as the budget and maxBufferedBody allow. It tells
-// whether that is all of the body, and how many bytes of the budget are reserved, also after an error.
-func (q quota) readBody(from io.Reader, length int64) (buffered []byte, complete bool, reserved int64, err error) {
-	limit := int64(maxBufferedBody)
-	if length >= 0 {
-		limit = min(limit, length)
-	}
-	if !q.TryAcquire(limit) {
-		return nil, length == 0, 0, nil
-	}
-	if length < 0 {
-		buffered, err = io.ReadAll(io.LimitReader(from, limit))
-		return buffered, int64(len(buffered)) < limit, limit, err
-	}
-	buffered = make([]byte, limit)
-	n, err := io.ReadFull(from, buffered)
-	complete = limit == length && err == nil
-	return buffered[:n], complete, limit, err
-}
--- /dev/null
+++ b/internal/agent/request_rules.go
@@ -0,0 +1,58 @@
+package agent
+
+import (
+	"errors"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// The rules of a request that an action of the policy would break.
+var (
+	errRequestFinished   = errors.New("attempt for a finished request")
+	errServerNotListed   = errors.New("attempt to a server that is not listed")
+	errServerUnavailable = errors.New("attempt to a draining or removed server")
+	errAttemptInFlight   = errors.New("second attempt while one is in flight")
+	errTooManyAttempts   = errors.New("more attempts than allowed")
+	errBodyConsumed      = errors.New("retry of a body that was not buffered")
+	errMayHaveExecuted   = errors.New("retry of a non-idempotent request that may have executed")
+	errNoTimeLeft        = errors.New("attempt without time left")
+	errUnsafeRejection   = errors.New("rejection after an attempt that may have executed")
+)
+
+// checkRules says which rule an attempt would break, whatever the policy decided; nil allows the attempt.
+func checkRules(r *request, server *upstreamServer, now, deadline time.Time) error {
+	rules := r.client.rules
+	switch {
+	case r.answered:
+		return errRequestFinished
+	case server == nil || server.addr == "":
+		return errServerNotListed
+	case server.unavailable.Load():
+		return errServerUnavailable
+	case r.inFlight > 0:
+		return errAttemptInFlight
+	case len(r.attempts) > rules.MaxAttempts:
+		return errTooManyAttempts
+	case r.client.streamed.isConsumed():
+		return errBodyConsumed
+	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
+		return errMayHaveExecuted
+	case !deadline.After(now):
+		return errNoTimeLeft
+	}
+	return nil
+}
+
+// safeToRepeatAnywhere tells whether a request that has executed may be sent again through any agent.
+func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
+	switch rules.Idempotency {
+	case balancer.NonIdempotent:
+		return false
+	case balancer.IdempotentByKey:
+		return rules.DedupScope == balancer.DedupFleet
+	case balancer.Idempotent:
+		return true
+	}
+	return true
+}
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -7,21 +7,11 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"golang.org/x/sync/semaphore"
 )
 
 // lockPollInterval is how often a process that began beside another checks whether that has ended.
 const lockPollInterval = 100 * time.Millisecond
 
-// quota bounds how much of something the process may have.
-type quota struct {
-	*semaphore.Weighted
-	size int64
-}
-
-func newQuota(size int64) quota { return quota{semaphore.NewWeighted(size), size} }
-
 // connLimiter bounds the connections of one side of the agent.
 type connLimiter interface{ setConnLimit(maxConns int) }
 
--- a/internal/agent/upstream_attempt_test.go
+++ b/internal/agent/upstream_attempt_test.go
@@ -63,7 +63,7 @@
 	}
 	nc.(*net.TCPConn).SetWriteBuffer(4096)
 	addr := ln.Addr().String()
-	p := &connectionPool{budget: newBodyBudget(&Config{MemoryMB: 64}), dial: dialTCP, connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
+	p := &connectionPool{budget: newBodyBudget(64), dial: dialTCP, connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
 		addr: {{Conn: nc, reader: bufio.NewReader(nc), addr: addr, idleSince: time.Now().Add(-time.Second)}}}}
 	req := newRequest(addr, "order", "")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBufferedBody)}
--- a/internal/agent/upstream_request.go
+++ b/internal/agent/upstream_request.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// upstreamRequest is the request that is sent to a server, with the time left as its timeout.
-func (c *clientRequest) upstreamRequest(left time.Duration) *http.Request {
+// newUpstreamRequest makes the request that is sent to a server, with the time left as its timeout.
+func newUpstreamRequest(c *clientRequest, left time.Duration) *http.Request {
 	header := endToEndHeaders(c.header)
 	for _, name := range identityHeaders {
 		if values := c.header.Values(name); len(values) > 0 {
