--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -10,7 +10,7 @@
 
 // attempt is one forwarding of a request to a server.
 type attempt struct {
-	server    *upstreamServer
+	server    *listedServer
 	cancel    context.CancelFunc // nil: it was never started
 	startedAt time.Time
 
@@ -54,7 +54,7 @@
 }
 
 // mayForward says why an attempt must not be started; nil allows it.
-func (l *eventLoop) mayForward(r *request, server *upstreamServer, now, deadline time.Time) error {
+func (l *eventLoop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.answered && r.client.ctx.Err() != nil {
 		// The downstream server's notification of it is on its way.
 		l.closeAsGone(r)
@@ -112,7 +112,7 @@
 		onSent:       func() { l.post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
-		result := l.pool.attempt(ctx, server, addr, message, current.startedAt, deadline)
+		result := l.pool.attempt(ctx, &server.upstreamServer, addr, message, current.startedAt, deadline)
 		cancel()
 		l.post(func() { l.attemptDone(r, index, &result) })
 	}()
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -185,7 +185,7 @@
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if server.unavailable.Load() || p.closed {
+	if !server.isAvailable() || p.closed {
 		p.closeConn(conn)
 		return
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -122,7 +122,7 @@
 			nextCall(t, calls)
 			from := time.Now()
 			waitUntil(t, "the change is known", func() bool {
-				return inLoop(a, func(l *eventLoop) bool { return l.endpoints.byID["s-1"].unavailable.Load() })
+				return inLoop(a, func(l *eventLoop) bool { return !l.endpoints.byID["s-1"].isAvailable() })
 			})
 			if took := time.Since(from); took > notifiedWithin {
 				t.Errorf("the change was known after %v", took)
@@ -179,15 +179,15 @@
 		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 50}})
 		l.discovery.moveTo("127.0.0.1:9")
 		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 51, Servers: []Target{drains}}})
-		if !l.endpoints.byID["s-1"].unavailable.Load() {
+		if l.endpoints.byID["s-1"].isAvailable() {
 			t.Error("what the old address told before the new one answered was dropped")
 		}
 		l.onListResponse(listResponse{source: l.discovery.currentSource(), list: &List{Version: 3, Full: true, Servers: []Target{up}}})
-		if l.endpoints.byID["s-1"].unavailable.Load() || l.listVersion != 3 {
+		if !l.endpoints.byID["s-1"].isAvailable() || l.listVersion != 3 {
 			t.Errorf("the new address's list was not taken over (version %d)", l.listVersion)
 		}
 		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 52, Servers: []Target{drains}}})
-		if l.endpoints.byID["s-1"].unavailable.Load() || l.listVersion != 3 {
+		if !l.endpoints.byID["s-1"].isAvailable() || l.listVersion != 3 {
 			t.Error("the old address turned the list back")
 		}
 	})
@@ -235,7 +235,7 @@
 			}
 			if !inLoop(a, func(l *eventLoop) bool {
 				b := l.endpoints.byID["s-1"]
-				return b != nil && !b.unavailable.Load() && l.listVersion == 50
+				return b != nil && b.isAvailable() && l.listVersion == 50
 			}) {
 				t.Error("the list has changed")
 			}
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -7,20 +7,30 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
+// listedServer is one server of the endpoint list.
+type listedServer struct {
+	upstreamServer
+	id         string
+	policyAddr balancer.Addr // what the policy calls it
+	addr       string        // its network address, as this agent's list gave it last
+	removed    bool          // the list no longer has it
+	inFlight   int           // attempts and health checks in flight
+}
+
 // endpointList holds the servers that discovery lists, by their id and by the policy's address for them. It
 // belongs to the event loop.
 type endpointList struct {
 	zones, kinds map[string]int // the policy's numbers of the names
-	byID         map[string]*upstreamServer
-	byAddr       map[balancer.Addr]*upstreamServer
+	byID         map[string]*listedServer
+	byAddr       map[balancer.Addr]*listedServer
 }
 
 func newEndpointList(zones, kinds []string) *endpointList {
 	return &endpointList{
 		zones:  indexNames(zones),
 		kinds:  indexNames(kinds),
-		byID:   map[string]*upstreamServer{},
-		byAddr: map[balancer.Addr]*upstreamServer{},
+		byID:   map[string]*listedServer{},
+		byAddr: map[balancer.Addr]*listedServer{},
 	}
 }
 
@@ -35,11 +45,11 @@
 // findOrAdd finds or makes the entry of an id. The policy's address comes from the id and not from the network
 // address: network addresses differ from one agent to the next, and the agents must agree on the order of
 // servers for a key without communicating.
-func (t *endpointList) findOrAdd(id string) *upstreamServer {
+func (t *endpointList) findOrAdd(id string) *listedServer {
 	if server := t.byID[id]; server != nil {
 		return server
 	}
-	server := &upstreamServer{id: id, policyAddr: t.freePolicyAddr(id)}
+	server := &listedServer{id: id, policyAddr: t.freePolicyAddr(id)}
 	t.byID[id] = server
 	t.byAddr[server.policyAddr] = server
 	return server
@@ -64,7 +74,7 @@
 type listChanges struct {
 	endpoints  []balancer.Endpoint
 	staleAddrs []string // network addresses whose idle connections are of no more use
-	removed    []*upstreamServer
+	removed    []*listedServer
 }
 
 // apply takes a list over and returns what it changed. started gives the start time of a server's process on
@@ -93,7 +103,7 @@
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 		server.addr = target.Addr
 	}
-	server.unavailable.Store(state != balancer.Ready)
+	server.setAvailable(state == balancer.Ready)
 	if state != balancer.Ready {
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 	}
@@ -118,7 +128,7 @@
 		if listed[id] {
 			continue
 		}
-		server.unavailable.Store(true)
+		server.setAvailable(false)
 		server.removed = true
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 		changes.removed = append(changes.removed, server)
@@ -145,7 +155,7 @@
 }
 
 // forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
-func (t *endpointList) forget(server *upstreamServer) {
+func (t *endpointList) forget(server *listedServer) {
 	if server.removed && server.inFlight == 0 && t.byID[server.id] == server {
 		delete(t.byID, server.id)
 		delete(t.byAddr, server.policyAddr)
@@ -155,7 +165,7 @@
 // hasReady tells whether any server may be sent requests.
 func (t *endpointList) hasReady() bool {
 	for _, server := range t.byID {
-		if !server.unavailable.Load() {
+		if server.isAvailable() {
 			return true
 		}
 	}
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -112,7 +112,7 @@
 		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 9, Servers: []Target{drains}}})
 		l.onListResponse(listResponse{source: at, list: &List{Version: 8, Full: true, Servers: up}})
 		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 8, Full: true, Servers: up}})
-		if !l.endpoints.byID["s-1"].unavailable.Load() {
+		if l.endpoints.byID["s-1"].isAvailable() {
 			t.Error("an older list took back a drain")
 		}
 		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 10, Full: true}})
--- a/internal/agent/event_loop_test.go
+++ b/internal/agent/event_loop_test.go
@@ -40,15 +40,15 @@
 
 // The rules of a request apply whatever the policy decides.
 func TestViolationsArePrevented(t *testing.T) {
-	up := func() *upstreamServer { return &upstreamServer{addr: "127.0.0.1:1"} }
+	up := func() *listedServer { return &listedServer{addr: "127.0.0.1:1"} }
 	drained := up()
-	drained.unavailable.Store(true)
+	drained.setAvailable(false)
 	now := time.Now()
 	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.loop
 	for _, test := range []struct {
 		name  string
 		r     request
-		b     *upstreamServer
+		b     *listedServer
 		until time.Time
 		want  bool
 	}{
--- a/internal/agent/health_check.go
+++ b/internal/agent/health_check.go
@@ -10,7 +10,7 @@
 // one that can't be sent ends at once with StatusUnsent.
 func (l *eventLoop) startHealthCheck(policyAddr balancer.Addr) {
 	server := l.endpoints.byAddr[policyAddr]
-	if server == nil || server.addr == "" || server.unavailable.Load() || !l.cfg.Settings.Limits.HealthChecks {
+	if server == nil || server.addr == "" || !server.isAvailable() || !l.cfg.Settings.Limits.HealthChecks {
 		l.pendingEvents = append(l.pendingEvents, balancer.Event{
 			Kind:   balancer.EventHealthCheckDone,
 			Server: policyAddr,
@@ -21,13 +21,13 @@
 	server.inFlight++
 	addr := server.addr
 	go func() {
-		result := l.pool.healthCheck(l.ctx, server, addr, l.cfg.Listen)
+		result := l.pool.healthCheck(l.ctx, &server.upstreamServer, addr, l.cfg.Listen)
 		l.post(func() { l.healthCheckDone(server, &result) })
 	}()
 }
 
 // healthCheckDone takes the end of a health check.
-func (l *eventLoop) healthCheckDone(server *upstreamServer, result *attemptResult) {
+func (l *eventLoop) healthCheckDone(server *listedServer, result *attemptResult) {
 	server.inFlight--
 	l.metrics.healthChecks[result.status]++
 	if result.status != balancer.StatusOK {
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -72,7 +72,7 @@
 				t.Errorf("ended as %d, want %d", res.status, test.want)
 			}
 			drained := &upstreamServer{}
-			drained.unavailable.Store(true)
+			drained.setAvailable(false)
 			if res := p.healthCheck(t.Context(), drained, b.addr, "x"); res.status != balancer.StatusConnectFailed {
 				t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 			}
--- a/internal/agent/request_rules.go
+++ b/internal/agent/request_rules.go
@@ -21,14 +21,14 @@
 )
 
 // checkRules says which rule an attempt would break, whatever the policy decided; nil allows the attempt.
-func checkRules(r *request, server *upstreamServer, now, deadline time.Time) error {
+func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.client.rules
 	switch {
 	case r.answered:
 		return errRequestFinished
 	case server == nil || server.addr == "":
 		return errServerNotListed
-	case server.unavailable.Load():
+	case !server.isAvailable():
 		return errServerUnavailable
 	case r.inFlight > 0:
 		return errAttemptInFlight
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -88,7 +88,7 @@
 
 // prune forgets the start times of servers that are no longer listed once there are too many of them. Up to
 // then they are remembered, as a server may be listed again with the same process.
-func (s *startTimeTable) prune(listed map[string]*upstreamServer) {
+func (s *startTimeTable) prune(listed map[string]*listedServer) {
 	if len(s.known) <= len(listed)+maxUnlistedStarts {
 		return
 	}
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -157,7 +157,7 @@
 			drains.State = "draining"
 			clk.Step(step)
 			d.waitNotified(t, drains)
-			if inLoop(a, func(l *eventLoop) bool { return !l.endpoints.byID["s-1"].unavailable.Load() }) {
+			if inLoop(a, func(l *eventLoop) bool { return l.endpoints.byID["s-1"].isAvailable() }) {
 				t.Error("a backend that drains is still sent to")
 			}
 
--- a/internal/agent/upstream_attempt.go
+++ b/internal/agent/upstream_attempt.go
@@ -18,16 +18,17 @@
 // errClientGone ends an attempt whose client has closed its connection.
 var errClientGone = errors.New("client closed the connection")
 
-// upstreamServer is one listed server. Its fields belong to the event loop, except for unavailable.
+// upstreamServer is what attempts know of a server besides its address. The zero value is available.
 type upstreamServer struct {
-	id          string
-	policyAddr  balancer.Addr // what the policy calls it
-	addr        string        // its network address, as this agent's list gave it last
-	removed     bool          // the list no longer has it
-	inFlight    int           // attempts and health checks in flight
-	unavailable atomic.Bool   // draining or removed: read by attempts just before they write
+	unavailable atomic.Bool
 }
 
+// setAvailable tells whether the server may be sent requests: it is neither draining nor removed.
+func (s *upstreamServer) setAvailable(available bool) { s.unavailable.Store(!available) }
+
+// isAvailable tells whether the server may be sent requests; attempts read it just before they write.
+func (s *upstreamServer) isAvailable() bool { return !s.unavailable.Load() }
+
 // upstreamMessage is what an attempt sends to a server.
 type upstreamMessage struct {
 	// newRequest makes the request for the time that is left.
@@ -200,7 +201,7 @@
 // only within a window, and the client may have closed its connection meanwhile.
 func (m *upstreamMessage) unsendable(server *upstreamServer) (result attemptResult, unsendable bool) {
 	switch {
-	case server.unavailable.Load():
+	case !server.isAvailable():
 		return attemptResult{status: balancer.StatusConnectFailed, reason: "draining or removed"}, true
 	case !m.sendBy.IsZero() && time.Now().After(m.sendBy):
 		return attemptResult{status: balancer.StatusUnsent, reason: "the deduplication window is over"}, true
--- a/internal/agent/upstream_attempt_test.go
+++ b/internal/agent/upstream_attempt_test.go
@@ -83,7 +83,7 @@
 	req := newRequest(b.addr, "order", "")
 	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 	drained := &upstreamServer{}
-	drained.unavailable.Store(true)
+	drained.setAvailable(false)
 	if res := attemptNow(t.Context(), p, drained, b.addr, c); res.status != balancer.StatusConnectFailed {
 		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
 	}
