--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -36,6 +36,7 @@
 	admin      *adminServer // nil until Run
 	membership atomic.Pointer[membership.Membership]
 
+	running  context.Context    // done once the loop is to end
 	stopLoop context.CancelFunc // ends the loop, and everything that has its context
 	loopDone chan struct{}      // closed once the loop has ended
 	usable   chan struct{}      // closed once a server may be sent requests
@@ -73,16 +74,17 @@
 		settingsUpdates: make(chan settingsUpdate),
 		servingDone:     make(chan struct{}),
 	}
-	loopContext, stopLoop := context.WithCancel(context.Background())
+	running, stopLoop := context.WithCancel(context.Background())
 	onUsable := sync.OnceFunc(func() { close(a.usable) })
-	loop, err := newEventLoop(loopContext, cfg, a.pool, onUsable, a.applySettings)
+	loop, err := newEventLoop(running, cfg, a.pool, onUsable, a.applySettings)
 	if err != nil {
 		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	a.loop = loop
+	a.running = running
 	a.stopLoop = stopLoop
-	a.downstream = newDownstreamServer(loopContext, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
+	a.downstream = newDownstreamServer(running, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
@@ -120,7 +122,7 @@
 		return err
 	}
 	if a.ln.Shared {
-		limits.halve(a.loop.ctx) // the other process is running or about to start
+		limits.halve(a.running) // the other process is running or about to start
 	}
 	return a.shutdown(member, drainTime)
 }
@@ -149,7 +151,7 @@
 	<-left
 	a.stopLoop()
 	<-a.loopDone
-	a.cfg.logger().Info("stopped", "metrics", fmt.Sprintf("%+v", *a.loop.currentMetrics()))
+	a.cfg.logger().Info("stopped", "metrics", a.loop.metricsText())
 	return nil
 }
 
@@ -167,7 +169,7 @@
 		// Before the first client, so that the limits that the other process uses are left to it. There is
 		// no timer: the process that still serves knows more.
 		//nolint:contextcheck // the lock is held until the loop ends, after stop
-		if err := limits.holdLock(a.loop.ctx, a.ln.Lock); err != nil {
+		if err := limits.holdLock(a.running, a.ln.Lock); err != nil {
 			return 0, fmt.Errorf("agent: %w", err)
 		}
 	} else {
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -23,7 +23,7 @@
 // forward starts an attempt at the action's server, after a check against the rules of the request. An attempt
 // that the check forbids ends at once with StatusUnsent.
 func (l *eventLoop) forward(action *balancer.Action) {
-	r := l.requests[action.Request]
+	r := l.requests.byID[action.Request]
 	if r == nil {
 		// The request is forgotten: nothing can be sent or counted for it.
 		l.logViolation(errRequestFinished)
@@ -120,7 +120,7 @@
 
 // cancelAttempt cancels the action's attempt if it is in flight.
 func (l *eventLoop) cancelAttempt(action *balancer.Action) {
-	r := l.requests[action.Request]
+	r := l.requests.byID[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
 		return
 	}
@@ -160,9 +160,7 @@
 		RequestDone:  r.answered,
 		BodyConsumed: r.client.streamed.isConsumed(),
 	})
-	if r.answered && r.inFlight == 0 {
-		delete(l.requests, r.id)
-	}
+	l.requests.forgetFinished(r)
 	l.endpoints.forget(ended.server)
 }
 
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -351,7 +351,7 @@
 	c.Write(randomBytes(3 * maxBufferedBody))
 	for { // until it is on its way
 		writing := make(chan bool, 1)
-		a.agent.loop.post(func() { writing <- len(a.agent.loop.requests) == 1 && a.agent.loop.requests[1].sendingBody })
+		a.agent.loop.post(func() { writing <- len(a.agent.loop.requests.byID) == 1 && a.agent.loop.requests.byID[1].sendingBody })
 		if <-writing {
 			break
 		}
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -221,7 +221,7 @@
 					wantFinalResponses(t, client.br, m.answers)
 				}
 				waitUntil(t, "the connection has ended", func() bool {
-					return inLoop(m.agent, func(l *eventLoop) int { return l.unanswered }) == 0
+					return inLoop(m.agent, func(l *eventLoop) int { return l.requests.unanswered }) == 0
 				})
 				if begun := m.begun(); begun != m.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
--- a/internal/agent/discovery_conn.go
+++ b/internal/agent/discovery_conn.go
@@ -13,10 +13,25 @@
 
 // callCounters count the traffic of calls to discovery since the start.
 type callCounters struct {
-	bytesIn, bytesOut atomic.Uint64 // the heads of requests and responses included
+	bytesIn, bytesOut atomic.Uint64
 	calls             atomic.Uint64
 }
 
+// callTraffic is the traffic of calls to discovery since the start.
+type callTraffic struct {
+	bytesIn, bytesOut uint64 // the heads of requests and responses included
+	calls             uint64
+}
+
+// traffic is the traffic of the client's calls since the start.
+func (d *discoveryClient) traffic() callTraffic {
+	return callTraffic{
+		bytesIn:  d.counters.bytesIn.Load(),
+		bytesOut: d.counters.bytesOut.Load(),
+		calls:    d.counters.calls.Load(),
+	}
+}
+
 // countedConn is a connection of the client that counts its bytes.
 type countedConn struct {
 	net.Conn
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -183,11 +183,11 @@
 			t.Error("what the old address told before the new one answered was dropped")
 		}
 		l.onListResponse(listResponse{source: l.discovery.currentSource(), list: &List{Version: 3, Full: true, Servers: []Target{up}}})
-		if !l.endpoints.byID["s-1"].isAvailable() || l.listVersion != 3 {
-			t.Errorf("the new address's list was not taken over (version %d)", l.listVersion)
+		if !l.endpoints.byID["s-1"].isAvailable() || l.list.version != 3 {
+			t.Errorf("the new address's list was not taken over (version %d)", l.list.version)
 		}
 		l.onListResponse(listResponse{source: old, watch: true, list: &List{Version: 52, Servers: []Target{drains}}})
-		if !l.endpoints.byID["s-1"].isAvailable() || l.listVersion != 3 {
+		if !l.endpoints.byID["s-1"].isAvailable() || l.list.version != 3 {
 			t.Error("the old address turned the list back")
 		}
 	})
@@ -235,7 +235,7 @@
 			}
 			if !inLoop(a, func(l *eventLoop) bool {
 				b := l.endpoints.byID["s-1"]
-				return b != nil && b.isAvailable() && l.listVersion == 50
+				return b != nil && b.isAvailable() && l.list.version == 50
 			}) {
 				t.Error("the list has changed")
 			}
@@ -269,7 +269,7 @@
 	waitUntil(t, "the list of the discovery that started again is followed", func() bool {
 		return inLoop(a, func(l *eventLoop) bool {
 			ids := l.endpoints.byID
-			return len(ids) == 2 && ids["s-2"] != nil && ids["s-3"] != nil && l.listVersion == 3
+			return len(ids) == 2 && ids["s-2"] != nil && ids["s-3"] != nil && l.list.version == 3
 		})
 	})
 	mu.Lock()
--- a/internal/agent/downstream_events.go
+++ b/internal/agent/downstream_events.go
@@ -15,14 +15,14 @@
 func (l *eventLoop) acceptFailed(err error) {
 	l.post(func() {
 		l.metrics.acceptFailures++
-		l.log(slog.LevelWarn, "accept failed", "err", err)
+		l.lines.limited(slog.LevelWarn, "accept failed", "err", err)
 	})
 }
 
 func (l *eventLoop) invalidRequest(id, from string, invalid *requestError) {
 	l.post(func() {
 		l.metrics.invalid++
-		l.log(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.status, "err", invalid)
+		l.lines.limited(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.status, "err", invalid)
 	})
 }
 
--- a/internal/agent/event_loop.go
+++ b/internal/agent/event_loop.go
@@ -6,8 +6,6 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 )
@@ -31,29 +29,26 @@
 	clock     *eventClock
 	inbox     chan func()
 
-	// The requests in flight.
-	nextID     balancer.RequestID
-	requests   map[balancer.RequestID]*request
-	unanswered int // requests without a final response
+	requests      *requestTable
+	pendingEvents []balancer.Event  // raised while actions were carried out
+	actions       []balancer.Action // the buffer of the actions
+
+	list       listState
+	startTimes *startTimeTable
+	onUsable   func() // called when the list has a ready server
 
-	// Events that were raised while actions were carried out, and the buffer of the actions.
-	pendingEvents []balancer.Event
-	actions       []balancer.Action
+	lines     *lineLogger
+	metrics   metrics
+	published publishedState
+}
 
-	// The endpoint list in force.
-	startTimes      *startTimeTable
-	listVersion     uint64
-	listSource      *discoverySource // the source whose versions listVersion counts
+// listState is what is known of the endpoint list in force and of the calls for it.
+type listState struct {
+	version         uint64
+	source          *discoverySource // whose versions version counts
 	watching        bool             // a watch is open
 	fetching        bool             // a fetch is in flight
-	onUsable        func()           // called when the list has a ready server
 	notifiedVersion uint64           // the version that Hooks.OnList was called with last
-
-	logger    *slog.Logger
-	logLimit  *rate.Limiter // bounds the work of logging, which shares one core with the requests
-	logLines  chan func()   // lines on their way to writeLogLines
-	metrics   metrics
-	published publishedState
 }
 
 // publishedState is the part of the loop's state that other goroutines may read.
@@ -82,18 +77,16 @@
 		pool:       pool,
 		clock:      eventTime,
 		inbox:      make(chan func(), inboxSize),
-		requests:   map[balancer.RequestID]*request{},
+		requests:   newRequestTable(),
 		startTimes: newStartTimeTable(eventTime),
 		onUsable:   onUsable,
-		logger:     cfg.logger(),
-		logLimit:   rate.NewLimiter(logLinesPerSecond, logBurst),
-		logLines:   make(chan func(), logBufferSize),
+		lines:      newLineLogger(cfg.logger()),
 		metrics:    newMetrics(),
 	}
 	l.discovery = newDiscoveryClient(cfg, eventTime, apply, func(response listResponse) {
 		l.post(func() { l.onListResponse(response) })
 	})
-	l.listSource = l.discovery.currentSource()
+	l.list.source = l.discovery.currentSource()
 	return l, nil
 }
 
@@ -110,7 +103,7 @@
 
 // run runs the loop until its context ends.
 func (l *eventLoop) run() {
-	go l.writeLogLines()
+	go l.lines.write(l.ctx)
 	l.start()
 	sweepTicker := time.NewTicker(idleSweepInterval)
 	defer sweepTicker.Stop()
@@ -141,7 +134,7 @@
 		l.onUsable()
 	}
 	if l.ownsWatch() {
-		l.watching = true
+		l.list.watching = true
 		go l.discovery.keepWatch(l.ctx)
 	}
 }
@@ -176,11 +169,11 @@
 	case balancer.ActionCancelAttempt:
 		l.cancelAttempt(action)
 	case balancer.ActionReject:
-		if r := l.requests[action.Request]; r != nil {
+		if r := l.requests.byID[action.Request]; r != nil {
 			l.reject(r, action.Ms)
 		}
 	case balancer.ActionFail:
-		if r := l.requests[action.Request]; r != nil {
+		if r := l.requests.byID[action.Request]; r != nil {
 			l.finish(r, finalResponse{kind: responseFailed, badRequest: r.badRequest})
 		}
 	case balancer.ActionSetTimer:
@@ -194,7 +187,7 @@
 			l.pool.closeIdle(server.addr)
 		}
 	case balancer.ActionLog:
-		l.log(slog.LevelInfo, "policy", "text", action.Text)
+		l.lines.limited(slog.LevelInfo, "policy", "text", action.Text)
 	case balancer.ActionHealthCheck:
 		l.startHealthCheck(action.Server)
 	}
--- a/internal/agent/event_loop_test.go
+++ b/internal/agent/event_loop_test.go
@@ -27,14 +27,14 @@
 	// A request that the policy never got stands for one that it forgot.
 	c := &clientRequest{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), response: make(chan finalResponse, 1)}
 	r := &request{id: 1, client: c}
-	l.requests[1], l.unanswered = r, 1
+	l.requests.byID[1], l.requests.unanswered = r, 1
 	l.backstopExpired(r)
 	if a := <-c.response; a.kind != responseFailed || !a.timedOut {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
 	l.finish(r, finalResponse{kind: responseServed})
-	if len(c.response) != 0 || l.metrics.backstops != 1 || l.unanswered != 0 || len(l.requests) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.metrics, l.unanswered)
+	if len(c.response) != 0 || l.metrics.backstops != 1 || l.requests.unanswered != 0 || len(l.requests.byID) != 0 {
+		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.metrics, l.requests.unanswered)
 	}
 }
 
@@ -108,14 +108,14 @@
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	a, _ := startWithServer(t, respondOK)
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.agent.loop.logLines <- func() { close(held); <-blocked }
+	a.agent.loop.lines.lines <- func(context.Context) { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
 	a.agent.loop.post(func() {
-		a.agent.loop.logLimit.SetLimit(rate.Inf)
-		for range 2 * cap(a.agent.loop.logLines) {
-			a.agent.loop.log(slog.LevelDebug, "line")
+		a.agent.loop.lines.limit.SetLimit(rate.Inf)
+		for range 2 * cap(a.agent.loop.lines.lines) {
+			a.agent.loop.lines.limited(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -383,7 +383,7 @@
 	lines := make(chan string, 1000)
 	set := make(chan struct{})
 	a.agent.loop.post(func() {
-		a.agent.loop.logger = slog.New(slog.NewTextHandler(lineWriter(lines), nil))
+		a.agent.loop.lines.logger = slog.New(slog.NewTextHandler(lineWriter(lines), nil))
 		close(set)
 	})
 	<-set
--- /dev/null
+++ b/internal/agent/headers.go
@@ -0,0 +1,26 @@
+package agent
+
+import (
+	"net/http"
+	"strings"
+)
+
+// hopByHopHeaders are the header fields that are for one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
+	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
+}
+
+// endToEndHeaders are the header fields that are passed on.
+func endToEndHeaders(h http.Header) http.Header {
+	out := h.Clone()
+	for _, list := range h.Values("Connection") {
+		for name := range strings.SplitSeq(list, ",") {
+			out.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopByHopHeaders {
+		out.Del(name)
+	}
+	return out
+}
--- a/internal/agent/health_check.go
+++ b/internal/agent/health_check.go
@@ -31,7 +31,7 @@
 	server.inFlight--
 	l.metrics.healthChecks[result.status]++
 	if result.status != balancer.StatusOK {
-		l.log(slog.LevelInfo, "health check failed", "server", server.id, "status", result.status,
+		l.lines.limited(slog.LevelInfo, "health check failed", "server", server.id, "status", result.status,
 			"reason", result.reason)
 	}
 	l.handle(&balancer.Event{
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -34,7 +34,7 @@
 // membershipChanged logs a new membership view. No decision rests on it.
 func (l *eventLoop) membershipChanged(view *membership.Snapshot) {
 	l.post(func() {
-		l.log(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
+		l.lines.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
 			"digest", view.Digest)
 	})
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -47,21 +47,25 @@
 	return metrics{attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}
 }
 
-// currentMetrics brings the counts of the discovery client up to date and returns all counts.
+// metricsText is all counts by their names. Only the loop calls it, or whoever has seen the loop end.
+func (l *eventLoop) metricsText() string { return fmt.Sprintf("%+v", *l.currentMetrics()) }
+
+// currentMetrics brings the counts of others up to date and returns all counts.
 func (l *eventLoop) currentMetrics() *metrics {
-	counters := &l.discovery.counters
-	l.metrics.listIn = counters.bytesIn.Load()
-	l.metrics.listOut = counters.bytesOut.Load()
-	l.metrics.listCalls = counters.calls.Load()
+	l.metrics.unlogged = l.lines.dropped
+	traffic := l.discovery.traffic()
+	l.metrics.listIn = traffic.bytesIn
+	l.metrics.listOut = traffic.bytesOut
+	l.metrics.listCalls = traffic.calls
 	return &l.metrics
 }
 
 func (l *eventLoop) logMetrics() {
-	l.logAlways(slog.LevelInfo, "metrics",
-		"open", l.unanswered,
+	l.lines.always(slog.LevelInfo, "metrics",
+		"open", l.requests.unanswered,
 		"server_conns", l.pool.size(),
 		"connects", l.pool.connectCount(),
 		"idle_limit", l.pool.idleLimit(),
 		"policy", fmt.Sprintf("%+v", l.balancer.Stats()),
-		"counts", fmt.Sprintf("%+v", *l.currentMetrics()))
+		"counts", l.metricsText())
 }
--- a/internal/agent/poll.go
+++ b/internal/agent/poll.go
@@ -2,11 +2,16 @@
 
 import (
 	"errors"
+	"net"
 	"syscall"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
+// expired is a deadline that makes whatever reads or writes end at once.
+var expired = time.Unix(1, 0)
+
 // pollFunc is poll(2).
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
@@ -47,3 +52,25 @@
 	}
 	return max(n, 0)
 }
+
+// isIdleConnAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
+// brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
+// executed.
+func isIdleConnAlive(nc net.Conn) bool {
+	socket, ok := nc.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return false
+	}
+	silent := false
+	err = raw.Read(func(fd uintptr) bool {
+		var one [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		silent = errors.Is(err, syscall.EAGAIN)
+		return true
+	})
+	return err == nil && silent
+}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -1,10 +1,7 @@
 package agent
 
 import (
-	"context"
 	"log/slog"
-	"net/http"
-	"net/url"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
@@ -20,45 +17,6 @@
 	maxPolicyMargin, policyTimeLeftPart = 8 * time.Millisecond, 8
 )
 
-// clientRequest is a client's request as the downstream server read it, with the channel for its response.
-type clientRequest struct {
-	ctx          context.Context // ends with the client's connection
-	clientGone   func() bool     // checks whether the client has closed without notice; nil: it can't be checked
-	id           string          // the client's Request-Id
-	arrivedAt    time.Time
-	method, host string
-	url          *url.URL
-	header       http.Header
-	body         []byte        // the buffered part of the body
-	streamed     *streamedBody // the rest of the body; nil: all of it is buffered
-	timeout      time.Duration
-	rules        *balancer.RequestRules // as they were when it arrived
-	key          uint64                 // hash of the affinity key; 0: none
-	retry        bool                   // the client marked it as a retry
-	deadline     time.Time
-	response     chan finalResponse // of capacity one: the dispatcher never waits for a client
-	dispatchID   balancer.RequestID // belongs to the dispatcher
-}
-
-// responseKind says what became of a request.
-type responseKind uint8
-
-const (
-	responseServed responseKind = iota
-	responseRejected
-	responseFailed
-)
-
-// finalResponse is the one final response to a clientRequest.
-type finalResponse struct {
-	kind         responseKind
-	retryAfterMs float64 // rejected: when the client may retry
-	timedOut     bool    // failed: because its time was over
-	badRequest   bool    // failed: because a server called the request invalid
-	header       http.Header
-	body         *responseBody
-}
-
 // request is a clientRequest in the event loop, until it has a final response and no attempt is in flight.
 type request struct {
 	id          balancer.RequestID
@@ -94,17 +52,14 @@
 // the simulator, where such requests never reach the instance.
 func (l *eventLoop) startRequest(c *clientRequest) {
 	l.metrics.requests++
-	l.nextID++
-	c.dispatchID = l.nextID
-	r := &request{id: l.nextID, client: c}
-	l.unanswered++
+	r := l.requests.open(c)
 	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
-	tooMany := maxOpen > 0 && l.unanswered > maxOpen
+	tooMany := maxOpen > 0 && l.requests.unanswered > maxOpen
 	if time.Until(r.respondBy()) <= 0 || tooMany {
 		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return
 	}
-	l.requests[r.id] = r
+	l.requests.byID[r.id] = r
 	r.backstop = time.AfterFunc(time.Until(r.respondBy()), func() {
 		l.post(func() { l.backstopExpired(r) })
 	})
@@ -145,7 +100,7 @@
 		return
 	}
 	l.metrics.backstops++
-	l.log(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts),
+	l.lines.limited(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts),
 		"in_flight", r.inFlight, "late_ms", millisecondsSince(r.respondBy()))
 	l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
 	l.cancelRequest(r)
@@ -154,7 +109,7 @@
 // discardResponse ends a request whose client no longer waits for the response. One that is not in flight any
 // more has its response.
 func (l *eventLoop) discardResponse(c *clientRequest) {
-	if r := l.requests[c.dispatchID]; r != nil {
+	if r := l.requests.byID[c.dispatchID]; r != nil {
 		l.clientLeft(r)
 	}
 	select {
@@ -167,7 +122,7 @@
 // cancelSending cancels the attempts whose streamed body is still on its way to a server: no server has all of
 // it, so the client can safely send it again, to another process.
 func (l *eventLoop) cancelSending() {
-	for _, r := range l.requests {
+	for _, r := range l.requests.byID {
 		if len(r.attempts) > 0 && r.sendingBody {
 			r.attempts[len(r.attempts)-1].cancelInFlight()
 		}
@@ -177,7 +132,7 @@
 // endRequests gives every open request its final response: the process is about to be killed, and a request that
 // has none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
 func (l *eventLoop) endRequests() {
-	for _, r := range l.requests {
+	for _, r := range l.requests.byID {
 		if r.answered {
 			continue
 		}
@@ -258,12 +213,10 @@
 func (l *eventLoop) closeRequest(r *request) {
 	if !r.answered {
 		r.answered = true
-		l.unanswered--
+		l.requests.unanswered--
 	}
 	if r.backstop != nil {
 		r.backstop.Stop()
 	}
-	if r.inFlight == 0 {
-		delete(l.requests, r.id)
-	}
+	l.requests.forgetFinished(r)
 }
--- /dev/null
+++ b/internal/agent/request_table.go
@@ -0,0 +1,29 @@
+package agent
+
+import "fernbeam.example/fernbeam/internal/balancer"
+
+// requestTable has the requests that have no final response, or an attempt in flight.
+type requestTable struct {
+	lastID     balancer.RequestID
+	byID       map[balancer.RequestID]*request
+	unanswered int // requests without a final response, also those that are not in byID yet
+}
+
+func newRequestTable() *requestTable {
+	return &requestTable{byID: map[balancer.RequestID]*request{}}
+}
+
+// open numbers and counts a client's request, which is not in the table yet.
+func (t *requestTable) open(c *clientRequest) *request {
+	t.lastID++
+	t.unanswered++
+	c.dispatchID = t.lastID
+	return &request{id: t.lastID, client: c}
+}
+
+// forgetFinished drops a request that has its final response once no attempt is in flight.
+func (t *requestTable) forgetFinished(r *request) {
+	if r.answered && r.inFlight == 0 {
+		delete(t.byID, r.id)
+	}
+}
--- a/internal/agent/server_conn.go
+++ b/internal/agent/server_conn.go
@@ -2,19 +2,14 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
-	"syscall"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// expired is a deadline that makes whatever reads or writes end at once.
-var expired = time.Unix(1, 0)
-
 // serverConn is a connection to a server.
 type serverConn struct {
 	net.Conn
@@ -64,25 +59,3 @@
 	failed := attemptResult{status: writeFailureStatus(err), reason: c.describeFailure(err)}
 	return exchangeResult{attemptResult: failed, unsent: true}
 }
-
-// isIdleConnAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
-// brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
-// executed.
-func isIdleConnAlive(nc net.Conn) bool {
-	socket, ok := nc.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := socket.SyscallConn()
-	if err != nil {
-		return false
-	}
-	silent := false
-	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = errors.Is(err, syscall.EAGAIN)
-		return true
-	})
-	return err == nil && silent
-}
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -39,7 +39,7 @@
 func (l *eventLoop) applyConfig(cfg *Config) error {
 	if err := l.balancer.Retune(cfg.Settings); err != nil {
 		// The file was checked as a whole: no part of it may be in force without the rest.
-		l.logAlways(slog.LevelError, "settings not applied", "err", err)
+		l.lines.always(slog.LevelError, "settings not applied", "err", err)
 		return err
 	}
 	l.cfg.Settings = cfg.Settings
@@ -62,7 +62,7 @@
 	if version != 0 {
 		args = append(args, "version", version)
 	}
-	l.logAlways(slog.LevelInfo, "settings applied", args...)
+	l.lines.always(slog.LevelInfo, "settings applied", args...)
 }
 
 // moveDiscovery moves the calls to the addresses of a configuration where those differ from the ones in force.
@@ -76,7 +76,7 @@
 	if slices.Equal(from, to) {
 		return
 	}
-	l.logAlways(slog.LevelInfo, "discovery moved", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
+	l.lines.always(slog.LevelInfo, "discovery moved", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
 	l.cfg.Discovery = next.Discovery
 	l.cfg.Control = next.Control
 	l.discovery.moveTo(to...)
@@ -85,5 +85,5 @@
 // countRejected counts and logs settings of the discovery service that can't be used.
 func (l *eventLoop) countRejected(version uint64, err error) {
 	l.metrics.settingsRejected++
-	l.logAlways(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
+	l.lines.always(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
 }
--- a/internal/agent/upstream_request.go
+++ b/internal/agent/upstream_request.go
@@ -6,34 +6,13 @@
 	"net/http"
 	"net/url"
 	"strconv"
-	"strings"
 	"time"
 )
 
-// hopByHopHeaders are the header fields that are for one connection only (RFC 9110, section 7.6.1).
-var hopByHopHeaders = []string{
-	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
-}
-
 // identityHeaders are the header fields by which a server recognizes a request: they are passed on even if the
 // client's Connection field lists them.
 var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
-// endToEndHeaders are the header fields that are passed on.
-func endToEndHeaders(h http.Header) http.Header {
-	out := h.Clone()
-	for _, list := range h.Values("Connection") {
-		for name := range strings.SplitSeq(list, ",") {
-			out.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range hopByHopHeaders {
-		out.Del(name)
-	}
-	return out
-}
-
 // newUpstreamRequest makes the request that is sent to a server, with the time left as its timeout.
 func newUpstreamRequest(c *clientRequest, left time.Duration) *http.Request {
 	header := endToEndHeaders(c.header)
