--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
@@ -33,40 +32,9 @@
 	return resp.StatusCode
 }
 
-// keptConn is a client's connection that stays open.
-type keptConn struct {
-	net.Conn
-	br *bufio.Reader
-}
-
 func (a *testAgent) dialKept() *keptConn {
 	a.t.Helper()
-	c, err := net.Dial("tcp", a.addr)
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	a.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
-	return &keptConn{c, bufio.NewReader(c)}
-}
-
-func (k *keptConn) request(t *testing.T) *http.Response {
-	t.Helper()
-	fmt.Fprint(k, readRequestText(1, 4000))
-	resp, err := http.ReadResponse(k.br, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	io.Copy(io.Discard, resp.Body)
-	return resp
-}
-
-// wantClosed waits for the connection's orderly end.
-func (k *keptConn) wantClosed(t *testing.T) {
-	t.Helper()
-	if _, err := k.br.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ended with %v, want EOF", err)
-	}
+	return dialKept(a.t, a.addr)
 }
 
 func (a *testAgent) readyStatus() int {
@@ -152,32 +120,6 @@
 	wantStatus(t, a.readyStatus(), 503)
 }
 
-// A connection that is closed by a drain ends only if no request has arrived on it.
-func TestDrainingCrossesNoRequest(t *testing.T) {
-	buf := make([]byte, 10)
-
-	_, c := clientPair(t)
-	c.closeWhenIdle()
-	if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("nothing has come: %v", err)
-	}
-
-	client, c := clientPair(t)
-	client.Write([]byte("GET"))
-	for isIdleConnAlive(c.Conn) { // until it has arrived
-		time.Sleep(time.Millisecond)
-	}
-	c.closeWhenIdle()
-	if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
-		t.Errorf("a request has come: read %q, %v", buf[:n], err)
-	}
-	c.closeWhenIdle() // its rest has not arrived yet
-	time.AfterFunc(50*time.Millisecond, func() { client.Write([]byte(" /")) })
-	if n, err := c.Read(buf); string(buf[:n]) != " /" || err != nil {
-		t.Errorf("half a request has come: read %q, %v", buf[:n], err)
-	}
-}
-
 // New settings in service: classes are added and removed, another idempotency and fewer attempts apply to
 // requests that arrive from then on, and open requests keep the rules under which they arrived.
 func TestReloadAppliesSettings(t *testing.T) {
@@ -202,13 +144,13 @@
 	open := make(chan int, 1)
 	go func() { open <- ask("read", "held") }()
 	<-hold
-	cfg := *a.agent.loop.cfg
+	cfg := *a.agent.cfg
 	cfg.Settings.Limits.MaxAttempts = 1
 	cfg.Settings.Classes = []balancer.Class{
 		{Name: "read", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
 		{Name: "fresh", LatencyObjectiveMs: 1000, TotalTimeoutMs: 3000, Idempotency: balancer.NonIdempotent, PriorityWeight: 1},
 	}
-	lines := a.logLines(t)
+	lines := a.logLines()
 	a.reloads <- &cfg
 	waitLine(t, lines, "settings applied")
 	close(answer)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -133,10 +133,15 @@
 		admin:  a.admin,
 		conns:  a.downstream,
 		pool:   a.pool,
-		quotas: append(a.downstream.quotas(), a.pool.budget),
+		quotas: append(a.bodyBudgets(), a.downstream.connSlots()),
 	}
 }
 
+// bodyBudgets bound the bytes of buffered bodies: of requests, and of responses.
+func (a *Agent) bodyBudgets() []quota {
+	return []quota{a.downstream.bodyBudget(), a.pool.bodyBudget()}
+}
+
 // shutdown ends the agent gracefully: it answers the open requests within drainTime while it leaves the
 // membership, and stops the loop last, which the open requests need until their end.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
@@ -151,7 +156,7 @@
 	<-left
 	a.stopLoop()
 	<-a.loopDone
-	a.cfg.logger().Info("stopped", "metrics", a.loop.metricsText())
+	a.cfg.logger().Info("stopped", "metrics", a.loop.stats().metrics.String())
 	return nil
 }
 
--- a/internal/agent/faulty_conn_test.go
+++ b/internal/agent/at_faults_test.go
@@ -154,3 +154,19 @@
 	}
 	return l.plan.wrap(nc, f), nil
 }
+
+// localErrnos say at connect that this machine lacks a resource, serverErrnos that the server fails.
+var (
+	localErrnos = []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
+	}
+	serverErrnos = []syscall.Errno{
+		syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
+		syscall.EPERM, syscall.EACCES,
+	}
+)
+
+func connectError(errno syscall.Errno) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
+}
--- /dev/null
+++ b/internal/agent/at_flaky_listener_test.go
@@ -0,0 +1,43 @@
+package agent
+
+import (
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"testing"
+)
+
+// acceptErrnos are errors that accept(2) may return temporarily and that net/http takes for the listener's
+// end.
+var acceptErrnos = []syscall.Errno{
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED,
+}
+
+// flakyListener fails each accept once with every one of acceptErrnos before it accepts.
+type flakyListener struct {
+	net.Listener
+	mu   sync.Mutex
+	next int
+}
+
+func newFlakyListener(t *testing.T) *flakyListener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &flakyListener{Listener: ln}
+}
+
+func (l *flakyListener) Accept() (net.Conn, error) {
+	l.mu.Lock()
+	i := l.next
+	l.next = (i + 1) % (len(acceptErrnos) + 1)
+	l.mu.Unlock()
+	if i < len(acceptErrnos) {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", acceptErrnos[i])}
+	}
+	return l.Listener.Accept()
+}
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -156,7 +156,7 @@
 // A client that breaks off its body leaves nothing at a server that counts as a request.
 func TestStreamedBodyAborted(t *testing.T) {
 	a, b := startWithServer(t, hashResponder)
-	lines := a.logLines(t)
+	lines := a.logLines()
 	c := a.dialKept()
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
@@ -242,7 +242,7 @@
 		return false
 	})
 	for i, form := range []string{"told", "chunks"} {
-		lines := a.logLines(t)
+		lines := a.logLines()
 		req := newRequest(a.addr, "read", "")
 		req.URL.RawQuery = form
 		resp, err := testClient.Do(req)
@@ -288,30 +288,16 @@
 
 // A body that exceeds the budget is not buffered, but it is forwarded.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
-	b := newBodyBudget(1)
-	if !b.TryAcquire(1 << 20 / 6) {
-		t.Fatal("no budget")
-	}
-	kept, whole, held, err := b.readBody(strings.NewReader("body"), 4)
-	if len(kept) > 0 || whole || held != 0 || err != nil {
-		t.Errorf("kept %q, whole %v, held %d, %v", kept, whole, held, err)
-	}
-	b.Release(4)
-	kept, whole, held, err = b.readBody(strings.NewReader("body"), 4)
-	if string(kept) != "body" || !whole || held != 4 || err != nil {
-		t.Errorf("kept %q, whole %v, held %d, %v", kept, whole, held, err)
-	}
-
-	a, backend := startWithServer(t, hashResponder)
-	for _, bytes := range []quota{a.agent.pool.budget, a.agent.downstream.bodyBudget} {
+	a, server := startWithServer(t, hashResponder)
+	for _, bytes := range a.agent.bodyBudgets() {
 		for bytes.TryAcquire(1 << 10) {
 		}
 	}
 	body := randomBytes(100)
 	status, _, got := a.do(newRequest(a.addr, "order", string(body)))
 	wantStatus(t, status, 200)
-	if got != digest(body) || backend.count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, backend.count())
+	if got != digest(body) || server.count() != 1 {
+		t.Errorf("arrived as %s, %d times", got, server.count())
 	}
 }
 
@@ -331,7 +317,7 @@
 	all := int64(192) << 20 / 6
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		// The handler gives back behind the answer's last byte.
-		if a.agent.downstream.bodyBudget.TryAcquire(all) && a.agent.pool.budget.TryAcquire(all) {
+		if requests, responses := a.agent.bodyBudgets()[0], a.agent.bodyBudgets()[1]; requests.TryAcquire(all) && responses.TryAcquire(all) {
 			break
 		}
 		if time.Now().After(end) {
@@ -349,13 +335,7 @@
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
 	c.Write(randomBytes(3 * maxBufferedBody))
-	for { // until it is on its way
-		writing := make(chan bool, 1)
-		a.agent.loop.post(func() { writing <- len(a.agent.loop.requests.byID) == 1 && a.agent.loop.requests.byID[1].sendingBody })
-		if <-writing {
-			break
-		}
-	}
+	waitUntil(t, "it is on its way", func() bool { return b.startedCount() == 1 })
 	late := a.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
 	fmt.Fprint(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	a.stop()
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -87,7 +89,7 @@
 		fmt.Fprint(a.dialKept(), readRequest)
 	}
 	waitUntil(t, "all room is taken", func() bool { return b.count() == room })
-	queued := func() bool { return inLoop(a, func(l *eventLoop) int { return l.balancer.Stats().Queued }) == 1 }
+	queued := func() bool { return a.statsNow().policy.Queued == 1 }
 	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
 		begun: b.startedCount, allowed: room, answers: 1}
 }
@@ -129,38 +131,54 @@
 }
 
 // blockedConn is a kept connection that looks open and is found broken at its first write, which blocks until
-// it is released.
+// blockedConn is a connection to a server. Once it is armed a write waits until the test lets it fail.
 type blockedConn struct {
 	net.Conn
+	armed            atomic.Bool
 	writing, proceed chan struct{}
 }
 
-func (c blockedConn) Write([]byte) (int, error) {
+func (c *blockedConn) Write(p []byte) (int, error) {
+	if !c.armed.Load() {
+		return c.Conn.Write(p)
+	}
 	close(c.writing)
 	<-c.proceed
 	return 0, syscall.EPIPE
 }
 
-// keepBlockedConn has the pool keep a blockedConn to an address.
-func keepBlockedConn(t *testing.T, p *connectionPool, addr string) blockedConn {
-	inner, peer := net.Pipe()
-	t.Cleanup(func() { peer.Close() })
-	broken := blockedConn{inner, make(chan struct{}), make(chan struct{})}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.idle[addr] = []*serverConn{{Conn: broken, reader: bufio.NewReader(inner), addr: addr, uses: 1,
-		createdAt: time.Now(), idleSince: time.Now().Add(-5 * settleTime)}}
-	p.openConns++
-	return broken
+// startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
+// blocks the next one. That request is not counted by the server's arrivals and heads.
+func startWithBlockedConn(t *testing.T, b *fakeServer) (*testAgent, *blockedConn) {
+	t.Helper()
+	blocked := &blockedConn{writing: make(chan struct{}), proceed: make(chan struct{})}
+	var dials atomic.Int64
+	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+		nc, err := dialTCP(ctx, addr, until)
+		if err != nil || dials.Add(1) > 1 {
+			return nc, err
+		}
+		blocked.Conn = nc
+		return blocked, nil
+	}
+	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(cfg *Config) { cfg.Dial = dial })
+	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
+	wantStatus(t, status, http.StatusOK)
+	time.Sleep(restTime)
+	blocked.armed.Store(true)
+	b.forget()
+	return a, blocked
 }
 
+// restTime is well over the time that a connection rests before it carries another message.
+const restTime = 100 * time.Millisecond
+
 // closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
 // which the agent would open another. The byte behind the request hides the close from the server's own
 // check.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
 	b := newFakeServer(t, respondOK)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	broken := keepBlockedConn(t, a.agent.pool, b.addr)
+	a, broken := startWithBlockedConn(t, b)
 	reached := func() bool {
 		select {
 		case <-broken.writing:
@@ -221,7 +239,7 @@
 					wantFinalResponses(t, client.br, m.answers)
 				}
 				waitUntil(t, "the connection has ended", func() bool {
-					return inLoop(m.agent, func(l *eventLoop) int { return l.requests.unanswered }) == 0
+					return m.agent.statsNow().open == 0
 				})
 				if begun := m.begun(); begun != m.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -1,17 +1,13 @@
 package agent
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 // blockLoop stops the loop until the returned function is called.
@@ -44,7 +40,7 @@
 	<-arrived
 	release := a.blockLoop()
 	close(answer)
-	waitUntil(t, "the loop is to take the attempt's end", func() bool { return len(a.agent.loop.inbox) > 0 })
+	waitUntil(t, "the loop is to take the attempt's end", func() bool { return a.agent.loop.backlog() > 0 })
 	a.agent.loop.post(func() { // time for an attempt to begin before the loop takes the leaving
 		select {
 		case <-arrived:
@@ -52,7 +48,7 @@
 		}
 	})
 	c.Close()
-	waitUntil(t, "the loop is to take the client's leaving", func() bool { return len(a.agent.loop.inbox) > 2 })
+	waitUntil(t, "the loop is to take the client's leaving", func() bool { return a.agent.loop.backlog() > 2 })
 	release()
 	a.wantNoneOpen(t)
 	f := a.metricsNow()
@@ -151,7 +147,7 @@
 			c := a.dialKept()
 			fmt.Fprint(c, text)
 			waitUntil(t, "the ninth waits", func() bool {
-				return inLoop(a, func(l *eventLoop) int { return l.balancer.Stats().Queued }) == 1
+				return a.statsNow().policy.Queued == 1
 			})
 			if name == "a further byte" {
 				fmt.Fprint(c, "X")
@@ -167,174 +163,3 @@
 		})
 	}
 }
-
-// clientPair is a client's end of a connection and the agent's.
-func clientPair(t *testing.T) (client net.Conn, c *clientConn) {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	if client, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close() })
-	accepted, err := newClientListener(ln, newQuota(8)).Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { accepted.Close() })
-	return client, accepted.(*clientConn)
-}
-
-// Where connections are closed for others, a request that has arrived on the one chosen is not lost: it is
-// read, and another connection is closed.
-func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
-	conns := newClientConns(4) // seven eighths, three, may be open
-	var clients []net.Conn
-	var servers []*clientConn
-	for range 4 {
-		client, c := clientPair(t)
-		clients, servers = append(clients, client), append(servers, c)
-	}
-	fmt.Fprint(clients[0], "GET") // to the one that will have idled longest
-	waitUntil(t, "it has arrived", func() bool { return !isIdleConnAlive(servers[0].Conn) })
-	for _, c := range servers[:3] {
-		conns.track(c, http.StateNew)
-		conns.track(c, http.StateActive)
-		conns.track(c, http.StateIdle)
-	}
-	conns.track(servers[3], http.StateNew) // with the fourth there are too many
-	buf := make([]byte, 10)
-	if n, err := servers[0].Read(buf); string(buf[:n]) != "GET" || err != nil {
-		t.Fatalf("a request was crossed: read %q, %v", buf[:n], err)
-	}
-	conns.track(servers[0], http.StateActive)
-	if _, err := servers[1].Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the next one did not make room: %v", err)
-	}
-	conns.track(servers[1], http.StateClosed)
-	if conns.size() != 3 || conns.closing != 0 {
-		t.Errorf("%d open, %d of them being ended", conns.size(), conns.closing)
-	}
-}
-
-// What wakes a connection's reader to check leaves the reader's own deadline as it was, whichever of the two
-// is set first, and however often it is woken: a request that has begun has the time that it had.
-func TestCloseWhenIdleKeepsTheReadersDeadline(t *testing.T) {
-	t.Run("a request under way is not cut short", func(t *testing.T) {
-		client, c := clientPair(t)
-		c.SetReadDeadline(time.Time{})
-		c.closeWhenIdle()
-		c.requestBegun.Store(true) // the head came as it was woken
-		time.AfterFunc(requestHeadTimeout+200*time.Millisecond, func() { client.Write([]byte("x")) })
-		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Errorf("read %d, %v", n, err)
-		}
-	})
-	t.Run("half a head is not kept open", func(t *testing.T) {
-		client, c := clientPair(t)
-		client.Write([]byte("GET"))
-		c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		buf := make([]byte, 10)
-		if _, err := c.Read(buf); err != nil {
-			t.Fatal(err)
-		}
-		ended := make(chan error, 1)
-		go func() {
-			_, err := c.Read(buf)
-			ended <- err
-		}()
-		over := time.After(testTimeout)
-		for {
-			select {
-			case err := <-ended:
-				if !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("ended with %v", err)
-				}
-				return
-			case <-time.After(20 * time.Millisecond): // as the sweep of a draining server does
-				c.closeWhenIdle()
-			case <-over:
-				t.Fatal("a peer that brings half a head stays while the front empties")
-			}
-		}
-	})
-	t.Run("a deadline set on one that is to leave does not keep it", func(t *testing.T) {
-		_, c := clientPair(t)
-		c.closeWhenIdle()
-		c.SetReadDeadline(time.Now().Add(time.Hour)) // as the server does where one falls idle
-		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
-	})
-}
-
-// Requests that a client has sent ahead are in the server's buffer when its connection becomes idle: the
-// sweep of a drain does not take them for a client that is idle.
-func TestDrainingKeepsARequestThatWasReadAhead(t *testing.T) {
-	client, c := clientPair(t)
-	conns := newClientConns(8)
-	conns.track(c, http.StateNew)
-	conns.track(c, http.StateActive)
-	conns.track(c, http.StateIdle)
-	c.SetReadDeadline(time.Time{})
-	c.closeWhenIdle()                // the sweep
-	conns.track(c, http.StateActive) // by what was read ahead
-	time.AfterFunc(50*time.Millisecond, func() { client.Write([]byte("x")) })
-	if _, err := c.Read(make([]byte, 1)); err != nil {
-		t.Errorf("the wait for the client's leaving ended with %v, and it has not left", err)
-	}
-}
-
-// What arrived before the reader's deadline is read, also where the process was delayed and checks only after
-// it: closing would lose a request that came in time.
-func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
-	const deadline = 50 * time.Millisecond
-	pair := func(t *testing.T) (net.Conn, *clientConn, []byte) {
-		client, c := clientPair(t)
-		return client, c, make([]byte, 10)
-	}
-	arrived := func(t *testing.T, c *clientConn) {
-		waitUntil(t, "the bytes have arrived", func() bool { return pollSocket(c.Conn, unix.POLLIN, unix.POLLIN) })
-	}
-	t.Run("a first request", func(t *testing.T) {
-		client, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		fmt.Fprint(client, "GET")
-		arrived(t, c)
-		time.Sleep(2 * deadline) // delayed
-		if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
-			t.Errorf("read %q, %v", buf[:n], err)
-		}
-	})
-	t.Run("once only", func(t *testing.T) {
-		client, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		time.Sleep(2 * deadline)
-		for i := range 2 {
-			fmt.Fprint(client, "x")
-			arrived(t, c)
-			if _, err := c.Read(buf); (err == nil) != (i == 0) {
-				t.Errorf("look %d after the deadline: %v", i+1, err)
-			}
-		}
-	})
-	t.Run("not under a deadline that was past", func(t *testing.T) {
-		client, c, buf := pair(t)
-		fmt.Fprint(client, "x")
-		arrived(t, c)
-		c.SetReadDeadline(time.Now().Add(-deadline))
-		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
-	})
-	t.Run("nothing came", func(t *testing.T) {
-		_, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
-	})
-}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -5,9 +5,6 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"time"
-
-	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 func TestConfig(t *testing.T) {
@@ -56,18 +53,6 @@
 	}
 }
 
-// After SIGTERM the request that came last has its whole timeout, and the program has ended before it may be
-// killed: the longest timeout, 3 s at the most, and 0.7 s later.
-func TestDrainTimeIsWithinTheKillDelay(t *testing.T) {
-	for _, longest := range []float64{300, 3000, 20000} {
-		c := &Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
-		end, kill := drainTime(&c.Settings), min(milliseconds(longest), 3*time.Second)+700*time.Millisecond
-		if end <= drainAcceptTime+min(milliseconds(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
-			t.Errorf("longest deadline %v ms: the end is %v after SIGTERM, the kill %v", longest, end, kill)
-		}
-	}
-}
-
 // Whatever a file lacks or gets wrong, the settings in force stay as they are, all of them.
 func TestReloadRejectsInvalidFiles(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/connection_pool.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// bodyBudget bounds the bytes of buffered response bodies.
+func (p *connectionPool) bodyBudget() quota { return p.budget }
+
 // connLimit is the bound on the connections.
 func (p *connectionPool) connLimit() int {
 	p.mu.Lock()
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -37,6 +37,13 @@
 	}
 }
 
+// forget forgets the attempts up to now.
+func (d *deadlineRecorder) forget() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.told = nil
+}
+
 // want checks that the attempts gave no more time than the client had left.
 func (d *deadlineRecorder) want(t *testing.T, left ...int) {
 	t.Helper()
@@ -58,26 +65,6 @@
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", timeoutMs, len(body), body)
 }
 
-// status reads the answer to the request on a connection; 0: there is none.
-func (k *keptConn) status() int {
-	resp, err := http.ReadResponse(k.br, nil)
-	if err != nil {
-		return 0
-	}
-	resp.Body.Close()
-	return resp.StatusCode
-}
-
-// finalStatus is status where there has to be a response.
-func finalStatus(t *testing.T, k *keptConn) int {
-	t.Helper()
-	status := k.status()
-	if status == 0 {
-		t.Fatal("the connection ended with no answer")
-	}
-	return status
-}
-
 // An attempt gives its server no more time than the client has left. The times that have passed before an
 // attempt are the least that they can be, so a slow machine fails no case.
 func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
@@ -138,8 +125,8 @@
 		},
 		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
 			b := newFakeServer(t, d.recording(respondOK))
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-			broken := keepBlockedConn(t, a.agent.pool, b.addr)
+			a, broken := startWithBlockedConn(t, b)
+			d.forget()
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			<-broken.writing
@@ -150,9 +137,7 @@
 		},
 		"queued": func(t *testing.T, d *deadlineRecorder) {
 			m := queuedBehind(t, d.recording(respondOK))
-			d.mu.Lock()
-			d.told = nil
-			d.mu.Unlock()
+			d.forget()
 			c := m.agent.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
 			waitUntil(t, "it waits", m.reached)
@@ -199,7 +184,7 @@
 	release := a.blockLoop()
 	c := a.dialKept()
 	fmt.Fprint(c, text)
-	waitUntil(t, "the loop is to take the request", func() bool { return len(a.agent.loop.inbox) > 0 })
+	waitUntil(t, "the loop is to take the request", func() bool { return a.agent.loop.backlog() > 0 })
 	time.Sleep(testDelay)
 	release()
 	wantStatus(t, finalStatus(t, c), 200)
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/dispatch_start_times_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"net"
-	"net/http"
 	"testing"
 	"time"
 
@@ -104,90 +102,3 @@
 	r.want(r.resolve(trueMs-60_000, listContext{older: true}), 5*time.Second)
 	r.want(r.resolve(trueMs-1000, listContext{older: true}), time.Second)
 }
-
-// steppedAgent is an agent of one server, with a clock that a test steps.
-func steppedAgent(t *testing.T, d *fakeDiscovery, ahead time.Duration) (*testAgent, *clocktest.Stepped) {
-	stepped := clocktest.NewStepped(ahead)
-	return startAgent(t, d, func(c *Config) { c.Clock, c.Settings.DiscoveryMode = stepped, "pushed" }), stepped
-}
-
-// unixNowMs is the time of day by a true clock, as lists tell it.
-func unixNowMs() float64 { return float64(time.Now().UnixMilli()) }
-
-// Each hard moment of an agent's life is lived through with a step of its wall clock in it: the start,
-// a watch that is open, a server's restart and drain, a request in flight, and the shutdown.
-func TestWallClockSteps(t *testing.T) {
-	for _, step := range clocktest.Steps {
-		t.Run(step.String(), func(t *testing.T) {
-			t.Parallel()
-			arrived, release := make(chan bool, 1), make(chan bool)
-			b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
-				arrived <- true
-				<-release
-				return respondOK(c, req, n)
-			})
-			up := target("s-1", b.addr)
-			up.StartedMs = unixNowMs() - 1_800_000
-			d := newDiscoveryServer(t, up)
-			a, clk := steppedAgent(t, d, step) // its clock is wrong at its start
-
-			clk.Step(-step) // and put right while a watch is open
-			restarted := up
-			restarted.StartedMs = unixNowMs()
-			d.waitNotified(t, restarted)
-			wantSlowStart(t, a, "s-1")
-
-			clk.Step(step)
-			answers := make(chan int, 1)
-			request := func() {
-				status, _, _ := a.do(newRequest(a.addr, "read", ""))
-				answers <- status
-			}
-			go request()
-			<-arrived
-			clk.Step(-step) // with the request in flight
-			release <- true
-			wantStatus(t, <-answers, 200)
-
-			other := target("s-2", b.addr)
-			other.StartedMs = unixNowMs()
-			d.waitNotified(t, other)
-			wantSlowStart(t, a, "s-2")
-			drains := up
-			drains.State = "draining"
-			clk.Step(step)
-			d.waitNotified(t, drains)
-			if inLoop(a, func(l *eventLoop) bool { return l.endpoints.byID["s-1"].isAvailable() }) {
-				t.Error("a backend that drains is still sent to")
-			}
-
-			go request()
-			<-arrived
-			a.stop()
-			clk.Step(-step) // while the shutdown holds a request
-			release <- true
-			wantStatus(t, <-answers, 200)
-		})
-	}
-}
-
-// An agent whose clock is ahead from its start on has nothing but the time of discovery's last answer to
-// know a new server by, from its second response on.
-func TestNewServerIsBoundedByTheLastResponse(t *testing.T) {
-	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
-	a, _ := steppedAgent(t, d, time.Hour)
-	d.waitNotified(t, target("s-1", "127.0.0.1:1"))
-	started := target("s-2", "127.0.0.1:2")
-	started.StartedMs = unixNowMs()
-	d.waitNotified(t, started)
-	wantSlowStart(t, a, "s-2")
-}
-
-// wantSlowStart checks that a server that has just started is no older than the test.
-func wantSlowStart(t *testing.T, a *testAgent, id string) {
-	t.Helper()
-	age := inLoop(a, func(l *eventLoop) time.Duration { return milliseconds(l.clock.nowMs() - l.startTimes.known[id].atMs) })
-	if age < 0 || age > testTimeout {
-		t.Errorf("backend %s is taken for %v old, which has just started", id, age)
-	}
-}
--- a/internal/agent/downstream_request.go
+++ b/internal/agent/downstream_request.go
@@ -115,7 +115,7 @@
 		control: http.NewResponseController(w),
 		from:    http.MaxBytesReader(w, req.Body, maxRequestBody),
 	}
-	buffered, complete, reserved, err := f.bodyBudget.readBody(body, req.ContentLength)
+	buffered, complete, reserved, err := f.bodies.readBody(body, req.ContentLength)
 	c.body = buffered
 	if err != nil {
 		return reserved, badRequest("body can't be read: %v", err)
--- a/internal/agent/downstream_server.go
+++ b/internal/agent/downstream_server.go
@@ -58,7 +58,7 @@
 	shared     bool // other processes accept from the listener's queue too
 	log        *slog.Logger
 	classes    atomic.Pointer[requestClasses]
-	bodyBudget quota // of bytes of buffered request bodies
+	bodies     quota // of bytes of buffered request bodies
 	conns      *clientConns
 
 	// acceptsClients tells that clients should connect: a server may be sent requests, or one was waited for.
@@ -86,7 +86,7 @@
 		dispatcher: requests,
 		shared:     shared,
 		log:        cfg.logger(),
-		bodyBudget: newBodyBudget(cfg.MemoryMB),
+		bodies:     newBodyBudget(cfg.MemoryMB),
 		conns:      newClientConns(cfg.clientConns()),
 		onDrain:    onDrain,
 	}
@@ -150,8 +150,11 @@
 	_ = f.server.Close()
 }
 
-// quotas are the limits that processes that run side by side divide among them.
-func (f *downstreamServer) quotas() []quota { return []quota{f.conns.slots, f.bodyBudget} }
+// connSlots bounds the accepted connections.
+func (f *downstreamServer) connSlots() quota { return f.conns.slots }
+
+// bodyBudget bounds the bytes of buffered request bodies.
+func (f *downstreamServer) bodyBudget() quota { return f.bodies }
 
 // setConnLimit bounds the client connections from now on.
 func (f *downstreamServer) setConnLimit(maxConns int) { f.conns.setLimit(maxConns) }
@@ -199,7 +202,7 @@
 		return
 	}
 	c, reserved, invalid := f.readRequest(w, req)
-	defer f.bodyBudget.Release(reserved)
+	defer f.bodies.Release(reserved)
 	if invalid != nil {
 		f.writeInvalid(w, req, control, invalid)
 		return
--- a/internal/agent/downstream_server_test.go
+++ b/internal/agent/downstream_server_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 )
@@ -132,77 +131,6 @@
 	}
 }
 
-// lateCloseListener makes connections that the agent closes stay readable, so that they bring a request that
-// crosses the close.
-type lateCloseListener struct{ net.Listener }
-
-type lateClose struct {
-	net.Conn
-	closed chan struct{}
-	once   sync.Once
-}
-
-func (l lateCloseListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return &lateClose{Conn: c, closed: make(chan struct{})}, nil
-}
-
-// Close takes effect at the second call, the one that ends the serving of a connection.
-func (c *lateClose) Close() error {
-	first := false
-	c.once.Do(func() { first = true; close(c.closed) })
-	if first {
-		return nil
-	}
-	return c.Conn.Close()
-}
-
-// A request that crosses the close of its idle connection is sent again by its client, on another: if the
-// agent forwarded it as well, two copies would execute.
-func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
-	b := newFakeServer(t, respondOK)
-	d := newDiscoveryServer(t, target("s-1", b.addr))
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	a := startAgentOn(t, d, lateCloseListener{ln}, nil)
-	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", a.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(testTimeout))
-		return c, bufio.NewReader(c)
-	}
-	first, br := dial()
-	fmt.Fprint(first, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
-	}
-	conns := a.agent.downstream.conns
-	waitUntil(t, "the connection idles", func() bool {
-		conns.mu.Lock()
-		defer conns.mu.Unlock()
-		return conns.order.Len() == 1
-	})
-	conns.mu.Lock()
-	conns.order.Front().Value.(net.Conn).Close()
-	conns.mu.Unlock()
-	fmt.Fprint(first, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
-	if resp, err := http.ReadResponse(br, nil); err == nil {
-		t.Errorf("answered %d on a connection that was closed", resp.StatusCode)
-	}
-	if f := a.metricsNow(); f.requests != 0 || b.count() != 0 {
-		t.Errorf("%d taken, %d arrivals, want none", f.requests, b.count())
-	}
-}
-
 // A peer that connects and sends no complete request gets an error or a close within 3 s from connecting,
 // also one that sends a byte now and then.
 func TestImproperPeersAreEndedInTime(t *testing.T) {
@@ -268,44 +196,3 @@
 	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
-
-// Connections that are all accepted before any is idle reach the limit with none to close; those that become
-// idle then have to be closed. None is chosen twice while it is being closed.
-func TestIdleClientsAreClosedAtTheLimit(t *testing.T) {
-	const most = 16
-	c := newClientConns(most)
-	var conns []*clientConn
-	for range most {
-		p, y := net.Pipe()
-		defer y.Close()
-		x := &clientConn{Conn: p, release: func() {}}
-		conns = append(conns, x)
-		c.track(x, http.StateNew)
-		c.track(x, http.StateActive)
-	}
-	closed := func() (n int) {
-		for _, x := range conns {
-			if x.closeIfIdle { // nothing has arrived, so its reader closes it
-				n++
-			}
-		}
-		return n
-	}
-	for _, x := range conns {
-		c.track(x, http.StateIdle)
-	}
-	if n := closed(); n != most/8 {
-		t.Errorf("%d of %d closed, want %d", n, most, most/8)
-	}
-	for _, x := range conns[:most/8] {
-		c.track(x, http.StateClosed)
-	}
-	for range most / 8 { // new ones, while the server has not noticed a close yet
-		x, y := net.Pipe()
-		defer y.Close()
-		c.track(x, http.StateNew)
-	}
-	if n := closed(); n != most/4 {
-		t.Errorf("%d closed, want %d", n, most/4)
-	}
-}
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -1,11 +1,6 @@
 package agent
 
 import (
-	"context"
-	"fmt"
-	"net/http"
-	"net/http/httptest"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -80,61 +75,6 @@
 	}
 }
 
-// A discovery that answers every watch at once is not called in a tight loop.
-func TestDiscoveryCallsAreRateLimited(t *testing.T) {
-	var calls atomic.Int64
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		calls.Add(1)
-		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
-	}))
-	defer busy.Close()
-	d := newTestDiscoveryClient(busy.Listener.Addr().String(), 1, func(listResponse) {})
-	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
-	defer cancel()
-	from := time.Now()
-	d.watch(ctx)
-	most := maxCallBurst + int64(maxCallsPerSecond*time.Since(from).Seconds()) + 1
-	if n := calls.Load(); n < 2 || n > most {
-		t.Errorf("%d calls, want 2 to %d", n, most)
-	}
-}
-
-// Responses of discovery that cross do not take the list back to an older version.
-func TestOldListIsDropped(t *testing.T) {
-	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.loop
-	done := make(chan bool)
-	l.post(func() {
-		defer close(done)
-		drains := target("s-1", "127.0.0.1:1")
-		drains.State = "draining"
-		at := l.discovery.currentSource()
-		up := []Target{target("s-1", "127.0.0.1:1")}
-		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 9, Servers: []Target{drains}}})
-		l.onListResponse(listResponse{source: at, list: &List{Version: 8, Full: true, Servers: up}})
-		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 8, Full: true, Servers: up}})
-		if l.endpoints.byID["s-1"].isAvailable() {
-			t.Error("an older list took back a drain")
-		}
-		l.onListResponse(listResponse{source: at, watch: true, list: &List{Version: 10, Full: true}})
-		if len(l.endpoints.byID) != 0 || len(l.endpoints.byAddr) != 0 {
-			t.Error("a backend that is gone is kept")
-		}
-	})
-	<-done
-}
-
-func TestPolicyAddressesAreStableAndUnique(t *testing.T) {
-	x, y := newEndpointList(nil, nil), newEndpointList(nil, nil)
-	a, b := x.findOrAdd("s-1"), y.findOrAdd("s-1")
-	if a.policyAddr != b.policyAddr {
-		t.Error("two agents name one backend differently")
-	}
-	delete(y.byID, "s-1") // now its name is taken by another id
-	if c := y.findOrAdd("s-1"); c.policyAddr == b.policyAddr {
-		t.Error("two backends have one name")
-	}
-}
-
 // Where changes of the list are pushed the policy asks for nothing: the agent keeps a watch by itself from
 // its start, and reopens it after failures.
 func TestPushedChangesAreWatchedFor(t *testing.T) {
@@ -170,7 +110,7 @@
 			old.waitVersion(t, 1)
 			moved := newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr))
 			moved.list.Version = 7
-			cfg := *a.agent.loop.cfg
+			cfg := *a.agent.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
 			a.reloads <- &cfg
 			moved.waitVersion(t, 7)
--- a/internal/agent/event_loop_test.go
+++ b/internal/agent/event_loop_test.go
@@ -2,80 +2,15 @@
 
 import (
 	"context"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// orderRules are those of a class that must never execute twice.
-var orderRules = &balancer.RequestRules{Class: balancer.Class{Name: "order", LatencyObjectiveMs: 2000, TotalTimeoutMs: 4000, Idempotency: balancer.NonIdempotent}, MaxAttempts: 3}
-
-// The backstop responds before the deadline where the policy does not.
-func TestBackstop(t *testing.T) {
-	cfg := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.cfg
-	l, err := newEventLoop(t.Context(), cfg, newConnectionPool(cfg), func() {}, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	// A request that the policy never got stands for one that it forgot.
-	c := &clientRequest{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), response: make(chan finalResponse, 1)}
-	r := &request{id: 1, client: c}
-	l.requests.byID[1], l.requests.unanswered = r, 1
-	l.backstopExpired(r)
-	if a := <-c.response; a.kind != responseFailed || !a.timedOut {
-		t.Errorf("answered %+v, want a late failure", a)
-	}
-	l.finish(r, finalResponse{kind: responseServed})
-	if len(c.response) != 0 || l.metrics.backstops != 1 || l.requests.unanswered != 0 || len(l.requests.byID) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.metrics, l.requests.unanswered)
-	}
-}
-
-// The rules of a request apply whatever the policy decides.
-func TestViolationsArePrevented(t *testing.T) {
-	up := func() *listedServer { return &listedServer{addr: "127.0.0.1:1"} }
-	drained := up()
-	drained.setAvailable(false)
-	now := time.Now()
-	l := startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil).agent.loop
-	for _, test := range []struct {
-		name  string
-		r     request
-		b     *listedServer
-		until time.Time
-		want  bool
-	}{
-		{"allowed", request{}, up(), now.Add(time.Second), true},
-		{"drained", request{}, drained, now.Add(time.Second), false},
-		{"unknown backend", request{}, nil, now.Add(time.Second), false},
-		{"one out", request{inFlight: 1}, up(), now.Add(time.Second), false},
-		{"answered", request{answered: true}, up(), now.Add(time.Second), false},
-		{"may have run", request{mayHaveRun: 1}, up(), now.Add(time.Second), false},
-		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
-		{"no time", request{}, up(), now, false},
-	} {
-		test.r.client = &clientRequest{ctx: t.Context(), rules: orderRules}
-		if err := checkRules(&test.r, test.b, now, test.until); (err == nil) != test.want {
-			t.Errorf("%s: %v", test.name, err)
-		}
-	}
-	// A refusal after an attempt that may have run is turned into a failure.
-	c := &clientRequest{ctx: t.Context(), rules: orderRules, response: make(chan finalResponse, 1)}
-	done := make(chan bool)
-	l.post(func() { l.reject(&request{id: 1 << 30, client: c, mayHaveRun: 1}, 1); close(done) })
-	<-done
-	if a := <-c.response; a.kind != responseFailed {
-		t.Errorf("answered %+v, want a failure", a)
-	}
-}
-
 // A client that closes its connection has its attempt cancelled.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
@@ -104,34 +39,10 @@
 	}
 }
 
-// A log that nobody reads does not block the event loop.
-func TestLogNeverBlocksTheLoop(t *testing.T) {
-	a, _ := startWithServer(t, respondOK)
-	blocked, held := make(chan struct{}), make(chan struct{})
-	a.agent.loop.lines.lines <- func(context.Context) { close(held); <-blocked }
-	defer close(blocked)
-	<-held
-	done := make(chan struct{})
-	a.agent.loop.post(func() {
-		a.agent.loop.lines.limit.SetLimit(rate.Inf)
-		for range 2 * cap(a.agent.loop.lines.lines) {
-			a.agent.loop.lines.limited(slog.LevelDebug, "line")
-		}
-		close(done)
-	})
-	select {
-	case <-done:
-	case <-time.After(testTimeout):
-		t.Fatal("the loop waits for the log")
-	}
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
-}
-
 // The log has all attempts of a request that failed, by its id.
 func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
-	lines := a.logLines(t)
+	lines := a.logLines()
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Id", "c0ffee")
 	status, _, _ := a.do(req)
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -13,14 +13,7 @@
 func startSmallAgent(t *testing.T) (a *testAgent, most int) {
 	b := newFakeServer(t, respondOK)
 	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	return a, a.agent.loop.cfg.clientConns()
-}
-
-// requestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
-func (k *keptConn) requestReady(t *testing.T) {
-	t.Helper()
-	fmt.Fprint(k, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	wantStatus(t, finalStatus(t, k), 200)
+	return a, a.agent.cfg.clientConns()
 }
 
 // The first request on a new connection is answered, whatever the agent does with others just then to keep
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -5,7 +5,6 @@
 	"net"
 	"net/http"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -59,7 +58,7 @@
 			}
 		})
 		before := fails.count()
-		a.agent.downstream.applySettings(a.agent.loop.cfg)
+		a.agent.downstream.applySettings(a.agent.cfg)
 		req := newRequest(a.addr, "send", "x")
 		req.Header.Set("Request-Timeout-Ms", "8000")
 		got := make(chan int, 1)
@@ -173,51 +172,3 @@
 		t.Errorf("%d arrivals, figures %+v", b.startedCount(), f)
 	}
 }
-
-// A request that is read once the process admits none any more is rejected, on its connection, and not
-// forwarded.
-func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
-	a, b := startWithServer(t, respondOK)
-	c := a.dialKept()
-	if c.request(t).StatusCode != 200 {
-		t.Fatal("not served")
-	}
-	a.agent.downstream.rejectsAll.Store(true)
-	if resp := c.request(t); resp.StatusCode != 503 {
-		t.Errorf("answered %d, want a refusal", resp.StatusCode)
-	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
-	}
-}
-
-// Bytes that are written last are sent with the connection's end: the system delays no small writes, neither
-// on clients' connections nor on servers'.
-func TestSmallWritesAreNotDelayed(t *testing.T) {
-	noDelay := func(nc net.Conn) (set bool) {
-		raw, err := nc.(*net.TCPConn).SyscallConn()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := raw.Control(func(fd uintptr) {
-			v, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
-			set = err == nil && v != 0
-		}); err != nil {
-			t.Fatal(err)
-		}
-		return set
-	}
-	if _, c := clientPair(t); !noDelay(c.Conn) {
-		t.Error("small writes to clients are held back")
-	}
-	p := newTestPool(testTimeout, 8)
-	b := newFakeServer(t, respondOK)
-	cn, err := p.acquire(t.Context(), b.addr, time.Now().Add(testTimeout))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer p.discard(cn)
-	if !noDelay(cn.Conn) {
-		t.Error("small writes to servers are held back")
-	}
-}
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"maps"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
@@ -43,29 +44,61 @@
 	listIn, listOut, listCalls uint64
 }
 
+// String has all counts by their keys in the log.
+func (m metrics) String() string {
+	return fmt.Sprintf("{requests:%d served:%d servedLate:%d rejected:%d failed:%d clientsGone:%d invalid:%d"+
+		" backstops:%d violations:%d aborted:%d attempts:%v healthChecks:%v lists:%d endpoints:%d listFailures:%d"+
+		" settings:%d settingsRejected:%d acceptFailures:%d unlogged:%d listIn:%d listOut:%d listCalls:%d}",
+		m.requests, m.served, m.servedLate, m.rejected, m.failed, m.clientsGone, m.invalid,
+		m.backstops, m.violations, m.aborted, m.attempts, m.healthChecks, m.lists, m.endpoints, m.listFailures,
+		m.settings, m.settingsRejected, m.acceptFailures, m.unlogged, m.listIn, m.listOut, m.listCalls)
+}
+
 func newMetrics() metrics {
 	return metrics{attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}
 }
 
-// metricsText is all counts by their names. Only the loop calls it, or whoever has seen the loop end.
-func (l *eventLoop) metricsText() string { return fmt.Sprintf("%+v", *l.currentMetrics()) }
+// loopStats is a snapshot of what the loop counts and holds.
+type loopStats struct {
+	metrics  metrics
+	policy   balancer.Stats
+	open     int // requests without a final response
+	settings balancer.Settings
+}
+
+// stats returns a snapshot. It is called in a function that is posted to the loop, or once the loop has ended.
+func (l *eventLoop) stats() loopStats {
+	return loopStats{
+		metrics:  l.currentMetrics(),
+		policy:   l.balancer.Stats(),
+		open:     l.requests.unanswered,
+		settings: l.cfg.Settings,
+	}
+}
+
+// backlog is the number of functions that wait for the loop.
+func (l *eventLoop) backlog() int { return len(l.inbox) }
 
-// currentMetrics brings the counts of others up to date and returns all counts.
-func (l *eventLoop) currentMetrics() *metrics {
+// currentMetrics brings the counts of others up to date and returns a copy of all counts.
+func (l *eventLoop) currentMetrics() metrics {
 	l.metrics.unlogged = l.lines.dropped
 	traffic := l.discovery.traffic()
 	l.metrics.listIn = traffic.bytesIn
 	l.metrics.listOut = traffic.bytesOut
 	l.metrics.listCalls = traffic.calls
-	return &l.metrics
+	current := l.metrics
+	current.attempts = maps.Clone(l.metrics.attempts)
+	current.healthChecks = maps.Clone(l.metrics.healthChecks)
+	return current
 }
 
 func (l *eventLoop) logMetrics() {
+	stats := l.stats()
 	l.lines.always(slog.LevelInfo, "metrics",
-		"open", l.requests.unanswered,
+		"open", stats.open,
 		"server_conns", l.pool.size(),
 		"connects", l.pool.connectCount(),
 		"idle_limit", l.pool.idleLimit(),
-		"policy", fmt.Sprintf("%+v", l.balancer.Stats()),
-		"counts", l.metricsText())
+		"policy", fmt.Sprintf("%+v", stats.policy),
+		"counts", stats.metrics.String())
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -12,7 +12,7 @@
 func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
 	t.Helper()
 	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
-	slots := a.agent.downstream.conns.slots
+	slots := a.agent.downstream.connSlots()
 	taken := int64(0)
 	for slots.TryAcquire(1) {
 		taken++
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
@@ -40,6 +39,7 @@
 
 // faultyWorld is what all days have in common: backends that answer with the request's id.
 type faultEnvironment struct {
+	t         *testing.T
 	discovery *fakeDiscovery
 	lastID    atomic.Int64
 	mu        sync.Mutex
@@ -48,10 +48,11 @@
 	cut       int            // requests whose client's connection broke
 }
 
-func newFaultEnvironment(t *testing.T, backends int) *faultEnvironment {
-	w := &faultEnvironment{arrivals: map[string]int{}, answers: map[int]int{}}
+func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
+	t.Helper()
+	w := &faultEnvironment{t: t, arrivals: map[string]int{}, answers: map[int]int{}}
 	var list []Target
-	for i := range backends {
+	for i := range servers {
 		list = append(list, target(fmt.Sprint("s-", i), newFakeServer(t, w.answer).addr))
 	}
 	w.discovery = newDiscoveryServer(t, list...)
@@ -100,13 +101,7 @@
 
 // agent makes an agent that dials its servers by dial.
 func (w *faultEnvironment) agent(ln net.Listener, dial DialFunc) (*Agent, error) {
-	f := configFile{Listen: ln.Addr().String(), Discovery: w.discovery.Listener.Addr().String(), Seed: "7",
-		Known: w.discovery.list, Settings: json.RawMessage(testSettings)}
-	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
-	cfg, err := f.config()
-	if err != nil {
-		return nil, err
-	}
+	cfg := newTestConfig(w.t, ln.Addr().String(), w.discovery)
 	cfg.Log = slog.New(slog.DiscardHandler)
 	cfg.Dial = dial
 	return New(cfg, Listeners{Clients: ln})
--- a/internal/agent/upstream_attempt_test.go
+++ b/internal/agent/upstream_attempt_test.go
@@ -1,16 +1,11 @@
 package agent
 
 import (
-	"bufio"
-	"context"
 	"fmt"
 	"net"
 	"net/http"
-	"syscall"
 	"testing"
 	"time"
-
-	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 func TestInterimResponseIsSkipped(t *testing.T) {
@@ -37,70 +32,6 @@
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the attempt did not execute; only the
-// count of bytes written distinguishes it from a reset.
-func TestBreakBeforeLastByteDidNotExecute(t *testing.T) {
-	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
-	}}
-	ln, err := small.Listen(context.Background(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	go func() {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		c.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
-		resetConn(c)
-		c.Close()
-	}()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	nc.(*net.TCPConn).SetWriteBuffer(4096)
-	addr := ln.Addr().String()
-	p := &connectionPool{budget: newBodyBudget(64), dial: dialTCP, connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
-		addr: {{Conn: nc, reader: bufio.NewReader(nc), addr: addr, idleSince: time.Now().Add(-time.Second)}}}}
-	req := newRequest(addr, "order", "")
-	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBufferedBody)}
-	if res := attemptNow(context.Background(), p, &upstreamServer{}, addr, c); res.status != balancer.StatusConnectFailed {
-		t.Errorf("ended as %d, want %d", res.status, balancer.StatusConnectFailed)
-	}
-	if p.openConns != 0 {
-		t.Errorf("%d connections counted as open", p.openConns)
-	}
-}
-
-// A server that began to drain while the attempt was connecting gets no request, and an attempt that was
-// cancelled meanwhile does not count against its server.
-func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
-	b := newFakeServer(t, respondOK)
-	p := newTestPool(testTimeout, 8)
-	req := newRequest(b.addr, "order", "")
-	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-	drained := &upstreamServer{}
-	drained.setAvailable(false)
-	if res := attemptNow(t.Context(), p, drained, b.addr, c); res.status != balancer.StatusConnectFailed {
-		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	cancel()
-	if res := attemptNow(ctx, p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusCancelled {
-		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.StatusCancelled)
-	}
-	// One more goes through, after which an earlier one would have arrived as well.
-	if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOK {
-		t.Errorf("ended as %d, want %d", res.status, balancer.StatusOK)
-	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
-	}
-}
-
 // A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
 // late response would be taken for the next one's.
 func TestSilentServer(t *testing.T) {
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -34,22 +33,6 @@
 	return b.b.String()
 }
 
-// hollowConfig is a configuration with a list known at version 1, as bytes.
-func configWithoutClients(t *testing.T, d *fakeDiscovery, change func(map[string]any)) []byte {
-	t.Helper()
-	c := map[string]any{"name": "a1", "listen": "127.0.0.1:1", "discovery": d.Listener.Addr().String(), "seed": "7",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.list,
-		"settings": json.RawMessage(strings.Replace(testSettings, "on_request", "pushed", 1))}
-	if change != nil {
-		change(c)
-	}
-	text, err := json.Marshal(c)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return text
-}
-
 // An agent without clients follows its list and its settings, shows its operators what it is, and
 // tells its hooks, all under its own logger and from its own address.
 func TestAgentWithoutClients(t *testing.T) {
@@ -61,7 +44,7 @@
 		from <- host
 		serve.ServeHTTP(w, req)
 	})
-	cfg, err := ParseConfig(configWithoutClients(t, d, nil))
+	cfg, err := ParseConfig(pushedConfigText(t, d, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +89,7 @@
 		d.set(target(fmt.Sprint("s-", version), "127.0.0.1:2"))
 		next("list", lists, version)
 	}
-	changed, err := ParseReload(configWithoutClients(t, d, nil), cfg)
+	changed, err := ParseReload(pushedConfigText(t, d, nil), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDiscoveryServer(t, target("s-1", b.addr))
-			cfg, err := ParseConfig(configWithoutClients(t, d, nil))
+			cfg, err := ParseConfig(pushedConfigText(t, d, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -179,11 +162,7 @@
 			})
 			if stopped {
 				end()
-				waitUntil(t, "it ends", func() bool {
-					a.downstream.mu.Lock()
-					defer a.downstream.mu.Unlock()
-					return a.downstream.shuttingDown
-				})
+				waitUntil(t, "it ends", func() bool { return !a.downstream.isServing() })
 			}
 			a.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
@@ -204,7 +183,7 @@
 
 // New returns an error for what it can't use, and leaves the listeners to its caller.
 func TestNewRejectsUnusableSettings(t *testing.T) {
-	cfg, err := ParseConfig(configWithoutClients(t, newDiscoveryServer(t), nil))
+	cfg, err := ParseConfig(pushedConfigText(t, newDiscoveryServer(t), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,28 +191,3 @@
 		t.Errorf("a shared listener that is none: %v", err)
 	}
 }
-
-// Configurations read from bytes are checked as those of the file are.
-func TestParseConfig(t *testing.T) {
-	d := newDiscoveryServer(t)
-	now, err := ParseConfig(configWithoutClients(t, d, func(c map[string]any) { c["management"] = "127.0.0.1:2" }))
-	if err != nil {
-		t.Fatal(err)
-	}
-	bad := configWithoutClients(t, d, func(c map[string]any) { c["seed"] = "none" })
-	for text, want := range map[string]string{
-		"{":         "config: unexpected end of JSON input",
-		"{}":        "config: listen:",
-		string(bad): "config: seed:",
-	} {
-		if _, err := ParseConfig([]byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%.40s: %v, want %q", text, err, want)
-		}
-	}
-	if _, err := ParseReload(configWithoutClients(t, d, nil), now); err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
-		t.Errorf("a key that went: %v", err)
-	}
-	if _, err := ParseReload(bad, now); err == nil {
-		t.Error("a bad seed is taken at a reload")
-	}
-}
