--- a/internal/agent/at_faults_test.go
+++ b/internal/agent/at_faults_test.go
@@ -130,7 +130,7 @@
 	if f != nil && f.Call == callConnect {
 		return nil, connectError(f.Errno)
 	}
-	nc, err := dialTCP(ctx, addr, until)
+	nc, err := dialUntil(ctx, addr, until)
 	if err != nil {
 		return nil, err
 	}
@@ -170,3 +170,9 @@
 func connectError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
+
+// dialUntil opens a TCP connection until a time.
+func dialUntil(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
--- a/internal/agent/discovery_client.go
+++ b/internal/agent/discovery_client.go
@@ -127,6 +127,12 @@
 	}
 }
 
+// keepsOwnWatch tells whether the client goes round several addresses, and so keeps a watch by itself.
+func (d *discoveryClient) keepsOwnWatch() bool { return d.backoff != nil }
+
+// forgetRejectedSettings has settings that were rejected sent and checked again.
+func (d *discoveryClient) forgetRejectedSettings() { d.settingsWatch.forgetRejection() }
+
 // moveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
 // new source may count versions of its own. Connections to the old source are not kept. Which of several
 // addresses is called first depends on the agent's name.
--- a/internal/agent/list_updates.go
+++ b/internal/agent/list_updates.go
@@ -78,7 +78,7 @@
 }
 
 // ownsWatch tells whether the agent keeps a watch by itself, and not as the policy asks.
-func (l *eventLoop) ownsWatch() bool { return l.discovery.backoff != nil || l.changesArePushed() }
+func (l *eventLoop) ownsWatch() bool { return l.discovery.keepsOwnWatch() || l.changesArePushed() }
 
 // changesArePushed tells whether changes of the list arrive without the policy asking for them.
 func (l *eventLoop) changesArePushed() bool {
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -32,7 +32,7 @@
 }
 
 // forgetRejectedSettings has settings that were rejected sent and checked again: the reason may be gone.
-func (l *eventLoop) forgetRejectedSettings() { l.discovery.settingsWatch.forgetRejection() }
+func (l *eventLoop) forgetRejectedSettings() { l.discovery.forgetRejectedSettings() }
 
 // applyConfig applies what may change in service: the settings and the addresses of discovery. After an error
 // nothing of the configuration is in force.
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -120,8 +120,8 @@
 	for len(told) > 0 {
 		hooked = append(hooked, <-told)
 	}
-	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.agent.loop.status().SettingsVersion != 52 {
-		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.agent.loop.status().SettingsVersion)
+	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.agent.Status().SettingsVersion != 52 {
+		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.agent.Status().SettingsVersion)
 	}
 }
 
