--- a/internal/agent/client_conn.go
+++ b/internal/agent/client_conn.go
@@ -95,12 +95,12 @@
 func (c *clientConn) readLate(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	socket, ok := c.Conn.(syscall.Conn)
+	sysConn, ok := c.Conn.(syscall.Conn)
 	if !ok || !c.mayReadLate {
 		return 0
 	}
 	c.mayReadLate = false
-	raw, err := socket.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return 0
 	}
--- a/internal/agent/downstream_events.go
+++ b/internal/agent/downstream_events.go
@@ -1,6 +1,10 @@
 package agent
 
-import "log/slog"
+import (
+	"log/slog"
+
+	"fernbeam.example/fernbeam/internal/membership"
+)
 
 // The event loop is the dispatcher of the downstream server: each method posts its work to the loop.
 
@@ -29,3 +33,11 @@
 func (l *eventLoop) responseAborted(c *clientRequest, fromServer, toClient error) {
 	l.post(func() { l.logAborted(c, fromServer, toClient) })
 }
+
+// membershipChanged logs a new membership view. No decision rests on it.
+func (l *eventLoop) membershipChanged(view *membership.Snapshot) {
+	l.post(func() {
+		l.lines.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
+			"digest", view.Digest)
+	})
+}
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -1,8 +1,6 @@
 package agent
 
 import (
-	"log/slog"
-
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
@@ -30,11 +28,3 @@
 	}()
 	return left
 }
-
-// membershipChanged logs a new membership view. No decision rests on it.
-func (l *eventLoop) membershipChanged(view *membership.Snapshot) {
-	l.post(func() {
-		l.lines.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
-			"digest", view.Digest)
-	})
-}
