--- a/internal/agent/at_wait_test.go
+++ b/internal/agent/at_wait_test.go
@@ -52,3 +52,9 @@
 		t.Errorf("answered %d, want %d", got, want)
 	}
 }
+
+// maxTestLines is how many log lines may wait for a test.
+const maxTestLines = 1000
+
+// notifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
+const notifiedWithin = 6 * time.Second
--- a/internal/agent/dispatch_fixture_test.go
+++ b/internal/agent/dispatch_fixture_test.go
@@ -16,9 +16,6 @@
 	stop context.CancelFunc
 }
 
-// maxTestLines is how many log lines may wait for a test.
-const maxTestLines = 1000
-
 // startLoop starts a loop that knows the list of the discovery as it is now.
 func startLoop(t *testing.T, d *fakeDiscovery, change func(*Config)) *testLoop {
 	t.Helper()
--- a/internal/agent/dispatch_list_updates_test.go
+++ b/internal/agent/dispatch_list_updates_test.go
@@ -11,9 +11,6 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// notifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
-const notifiedWithin = 6 * time.Second
-
 // What discovery has and can tell is known within 6 s, also where a call stood when it fell
 // silent, and where three hundred agents have to share it out.
 func TestChangesArriveInTimeAfterASilence(t *testing.T) {
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -240,7 +240,7 @@
 				afters = afters[:1]
 			}
 			for _, after := range afters {
-				f := []callFault{{call, after, errno}}
+				f := []callFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
 					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
@@ -260,7 +260,7 @@
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOBUFS} {
 		for _, call := range []systemCall{callRead, callWrite} {
 			for _, after := range []int64{0, 10, maxBufferedBody + 1000} {
-				f := []callFault{{call, after, errno}}
+				f := []callFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
 					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
--- a/internal/agent/upstream_connect_errors_test.go
+++ b/internal/agent/upstream_connect_errors_test.go
@@ -45,7 +45,7 @@
 	}
 	for errno, status := range want {
 		p := newTestPool(testTimeout, 1)
-		p.dial = newFaultPlan([]callFault{{callWrite, 30, errno}}).dial
+		p.dial = newFaultPlan([]callFault{{Call: callWrite, After: 30, Errno: errno}}).dial
 		req := newRequest(b.addr, "order", "x")
 		c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
 		if r := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); r.status != status {
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -113,7 +113,7 @@
 // configure makes a member's configuration, and for a real agent its file.
 func (f *fleet) configure(m *member, view membership.Config) error {
 	s := deployment()
-	config := map[string]any{
+	file := map[string]any{
 		"name":       m.name,
 		"listen":     m.address(clientPort),
 		"management": m.address(adminPort),
@@ -125,10 +125,10 @@
 		"settings":   s.Settings(m.index, m.zone, f.size),
 	}
 	if m.service != "" {
-		config["control"] = agent.Control{Service: m.service, Addresses: f.discoveryAddresses()}
+		file["control"] = agent.Control{Service: m.service, Addresses: f.discoveryAddresses()}
 	}
 	var err error
-	m.config, err = json.Marshal(config)
+	m.config, err = json.Marshal(file)
 	if err != nil || m.hollow() {
 		return err
 	}
