--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	clients := newFaultPlan(day.Clients)
-	a, err := w.agent(faultyListener{ln, clients}, newFaultPlan(day.Servers).dial)
+	a, err := w.agent(faultyListener{Listener: ln, plan: clients}, newFaultPlan(day.Servers).dial)
 	if err != nil {
 		return err
 	}
