--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"context"
 	"fmt"
 	"log/slog"
@@ -40,7 +41,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	cfg, err := agent.LoadConfig(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -52,24 +53,24 @@
 		return err
 	}
 	logStart(cfg, ln)
-	reloads := make(chan *agent.Config)
+	reloads := make(chan *config.Config)
 	go forwardReloads(stop, cfg, hangups, reloads)
 	return agent.Run(stop, cfg, ln, reloads)
 }
 
 // limitRuntime keeps the runtime within the agent's cores and memory: well below the memory limit over which
 // the agent would be killed.
-func limitRuntime(cfg *agent.Config) {
+func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(cfg.MemoryLimit())
 	cfg.Hooks.OnMemoryLimit = func(bytes int64) { debug.SetMemoryLimit(bytes) }
 }
 
-func logStart(cfg *agent.Config, ln agent.Listeners) {
+func logStart(cfg *config.Config, ln agent.Listeners) {
 	admin := ""
-	if ln.Operators != nil {
-		admin = ln.Operators.Addr().String()
+	if ln.Admin != nil {
+		admin = ln.Admin.Addr().String()
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
 		"admin", admin, "discovery_mode", cfg.Settings.DiscoveryMode, "agents", cfg.Settings.FleetSize,
@@ -78,7 +79,7 @@
 
 // listen opens the listeners that the configuration names. The clients' listener is inherited where fd gives
 // its descriptor: the platform holds it, and other processes accept from it too.
-func listen(cfg *agent.Config, fd string) (ln agent.Listeners, err error) {
+func listen(cfg *config.Config, fd string) (ln agent.Listeners, err error) {
 	if fd != "" {
 		ln.Shared = true
 		ln.Lock = filepath.Join(os.TempDir(), lockFile)
@@ -89,10 +90,10 @@
 	if err != nil {
 		return ln, fmt.Errorf("listen: %w", err)
 	}
-	if cfg.Management == "" {
+	if cfg.AdminAddr == "" {
 		return ln, nil
 	}
-	ln.Operators, err = net.Listen("tcp", cfg.Management)
+	ln.Admin, err = net.Listen("tcp", cfg.AdminAddr)
 	if err != nil {
 		return ln, fmt.Errorf("management: %w", err)
 	}
@@ -113,7 +114,7 @@
 // forwardReloads reads the configuration again at each hangup and sends it on reloads, until stop is done. A
 // file that can't be used changes nothing.
 func forwardReloads(
-	stop context.Context, inForce *agent.Config, hangups <-chan os.Signal, reloads chan<- *agent.Config,
+	stop context.Context, inForce *config.Config, hangups <-chan os.Signal, reloads chan<- *config.Config,
 ) {
 	for {
 		select {
@@ -121,7 +122,7 @@
 		case <-stop.Done():
 			return
 		}
-		cfg, err := agent.ReloadConfig(os.Getenv, inForce)
+		cfg, err := config.Reload(os.Getenv, inForce)
 		if err != nil {
 			slog.Error("reload failed, the previous configuration stays in force", "err", err)
 			continue
--- a/internal/agent/admin_server.go
+++ b/internal/agent/admin/server.go
@@ -1,4 +1,4 @@
-package agent
+package admin
 
 import (
 	"encoding/json"
@@ -29,19 +29,19 @@
 	maxAdminHead = 8 << 10
 )
 
-// drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
-type drainer interface {
-	// isServing tells whether a server may be sent requests, and the shutdown has not begun.
-	isServing() bool
-	// startDrain begins to drain, and stopDrain serves clients again.
-	startDrain() error
-	stopDrain() error
+// Drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
+type Drainer interface {
+	// IsServing tells whether a server may be sent requests, and the shutdown has not begun.
+	IsServing() bool
+	// StartDrain begins to drain, and StopDrain serves clients again.
+	StartDrain() error
+	StopDrain() error
 }
 
-// adminServer is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It never waits
+// Server is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It never waits
 // for the event loop, so that it responds whatever the load.
-type adminServer struct {
-	clients    drainer
+type Server struct {
+	clients    Drainer
 	membership *membership.Membership // nil: there is none
 	log        *slog.Logger
 	server     *http.Server
@@ -52,13 +52,13 @@
 	maxConns     int
 }
 
-// newAdminServer makes the endpoint; member is nil where the agent keeps no membership view.
-func newAdminServer(clients drainer, member *membership.Membership, maxConns int, log *slog.Logger) *adminServer {
-	m := &adminServer{clients: clients, membership: member, log: log, maxConns: maxConns}
+// New makes the endpoint; member is nil where the agent keeps no membership view.
+func New(clients Drainer, member *membership.Membership, maxConns int, log *slog.Logger) *Server {
+	m := &Server{clients: clients, membership: member, log: log, maxConns: maxConns}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", m.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(clients.startDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(clients.stopDrain))
+	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(clients.StartDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(clients.StopDrain))
 	if member != nil {
 		mux.HandleFunc("GET /ops/fleet", m.membershipStatus)
 	}
@@ -74,27 +74,27 @@
 	return m
 }
 
-// setConnLimit bounds the admin connections from now on.
-func (m *adminServer) setConnLimit(maxConns int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.maxConns = maxConns
+// SetConnLimit bounds the admin connections from now on.
+func (s *Server) SetConnLimit(maxConns int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxConns = maxConns
 }
 
-// serve answers operators until close.
-func (m *adminServer) serve(ln net.Listener) error {
-	ln = listener.New(ln, listener.LogFailures(m.log, "admin"))
-	if err := m.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+// Serve answers operators until close.
+func (s *Server) Serve(ln net.Listener) error {
+	ln = listener.New(ln, listener.LogFailures(s.log, "admin"))
+	if err := s.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("admin: %w", err)
 	}
 	return nil
 }
 
-// close closes the listener and all connections; their errors say nothing of use.
-func (m *adminServer) close() { _ = m.server.Close() }
+// Close closes the listener and all connections; their errors say nothing of use.
+func (s *Server) Close() { _ = s.server.Close() }
 
-func (m *adminServer) readiness(w http.ResponseWriter, _ *http.Request) {
-	if !m.clients.isServing() {
+func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
+	if !s.clients.IsServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
@@ -103,7 +103,7 @@
 
 // membershipStatus responds with the membership view: without its members if "members" is "none", and with its
 // changes after the number that "since" gives, if it gives one.
-func (m *adminServer) membershipStatus(w http.ResponseWriter, req *http.Request) {
+func (s *Server) membershipStatus(w http.ResponseWriter, req *http.Request) {
 	since := uint64(math.MaxUint64)
 	if text := req.FormValue("since"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
@@ -114,23 +114,23 @@
 		since = number
 	}
 	w.Header().Set("Content-Type", "application/json")
-	status := m.membership.Status(since)
+	status := s.membership.Status(since)
 	if req.FormValue("members") == "none" {
 		status = status.WithoutMembers()
 	}
 	if err := json.NewEncoder(w).Encode(status); err != nil {
-		m.log.Warn("membership status not sent", "to", req.RemoteAddr, "err", err)
+		s.log.Warn("membership status not sent", "to", req.RemoteAddr, "err", err)
 	}
 }
 
 // afterBody handles a call by an action once all of its body has arrived: a call that is cut off does nothing.
-func (m *adminServer) afterBody(action func() error) http.HandlerFunc {
+func (s *Server) afterBody(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxAdminBody)); err != nil {
 			http.Error(w, "the body can't be read", http.StatusBadRequest)
 			return
 		}
-		m.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
+		s.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
 		if err := action(); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
@@ -144,28 +144,28 @@
 
 // track closes the connection that has sent no complete head for longest when there are too many connections:
 // callers that send nothing must not keep out those that do.
-func (m *adminServer) track(nc net.Conn, state http.ConnState) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (s *Server) track(nc net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		m.openConns++
-		m.awaitingHead = append(m.awaitingHead, nc)
+		s.openConns++
+		s.awaitingHead = append(s.awaitingHead, nc)
 	case http.StateClosed:
-		m.openConns--
-		m.headArrived(nc)
+		s.openConns--
+		s.headArrived(nc)
 	default:
-		m.headArrived(nc)
+		s.headArrived(nc)
 	}
-	if m.openConns > m.maxConns && len(m.awaitingHead) > 1 {
-		_ = m.awaitingHead[0].Close() // the server's read then fails, and it reports the close
-		m.awaitingHead = m.awaitingHead[1:]
+	if s.openConns > s.maxConns && len(s.awaitingHead) > 1 {
+		_ = s.awaitingHead[0].Close() // the server's read then fails, and it reports the close
+		s.awaitingHead = s.awaitingHead[1:]
 	}
 }
 
 // headArrived takes a connection out of those that await a head. The caller has the lock.
-func (m *adminServer) headArrived(nc net.Conn) {
-	if i := slices.Index(m.awaitingHead, nc); i >= 0 {
-		m.awaitingHead = slices.Delete(m.awaitingHead, i, i+1)
+func (s *Server) headArrived(nc net.Conn) {
+	if i := slices.Index(s.awaitingHead, nc); i >= 0 {
+		s.awaitingHead = slices.Delete(s.awaitingHead, i, i+1)
 	}
 }
--- a/internal/agent/admin_server_test.go
+++ b/internal/agent/admin_server_test.go
@@ -11,6 +11,9 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -21,7 +24,7 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	resp, err := testClient.Do(req)
+	resp, err := agenttest.HTTPClient.Do(req)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -32,14 +35,14 @@
 	return resp.StatusCode
 }
 
-func (a *testAgent) dialKept() *keptConn {
+func (a *testAgent) dialKept() *agenttest.KeptConn {
 	a.t.Helper()
-	return dialKept(a.t, a.addr)
+	return agenttest.DialKept(a.t, a.addr)
 }
 
 func (a *testAgent) readyStatus() int {
 	a.t.Helper()
-	resp, err := testClient.Get("http://" + a.addr + "/-/ready")
+	resp, err := agenttest.HTTPClient.Get("http://" + a.addr + "/-/ready")
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -48,57 +51,57 @@
 }
 
 func TestAdminDrainStartAndStop(t *testing.T) {
-	a, b := startWithServer(t, respondOK)
-	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
-	wantStatus(t, a.adminCall("PUT", "/ops/nonsense"), 404)
-	wantStatus(t, a.adminCall("GET", "/ops/drain/start"), 405)
+	a, b := startWithServer(t, agenttest.RespondOK)
+	agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
+	agenttest.WantStatus(t, a.adminCall("PUT", "/ops/nonsense"), 404)
+	agenttest.WantStatus(t, a.adminCall("GET", "/ops/drain/start"), 405)
 	used, idle := a.dialKept(), a.dialKept()
-	if used.request(t).Close || idle.request(t).Close {
+	if used.Request(t).Close || idle.Request(t).Close {
 		t.Error("a connection is closed without need")
 	}
-	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
-	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200) // says what is so already
-	wantStatus(t, a.readyStatus(), 503)
-	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200) // it still serves whom it has
-	if resp := used.request(t); resp.StatusCode != 200 || !resp.Close {
+	agenttest.WantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
+	agenttest.WantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200) // says what is so already
+	agenttest.WantStatus(t, a.readyStatus(), 503)
+	agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 200) // it still serves whom it has
+	if resp := used.Request(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("while emptied: answered %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	used.wantClosed(t)
-	idle.wantClosed(t)
+	used.WantClosed(t)
+	idle.WantClosed(t)
 	late := a.dialKept() // who does not know yet is served
-	if resp := late.request(t); resp.StatusCode != 200 || !resp.Close {
+	if resp := late.Request(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("a late client: answered %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	wantStatus(t, a.adminCall("PUT", "/ops/drain/stop"), 200)
-	wantStatus(t, a.readyStatus(), 200)
+	agenttest.WantStatus(t, a.adminCall("PUT", "/ops/drain/stop"), 200)
+	agenttest.WantStatus(t, a.readyStatus(), 200)
 	again := a.dialKept()
 	for range 3 {
-		if resp := again.request(t); resp.StatusCode != 200 || resp.Close {
+		if resp := again.Request(t); resp.StatusCode != 200 || resp.Close {
 			t.Errorf("after the drain: answered %d, closes %v", resp.StatusCode, resp.Close)
 		}
 	}
-	if b.count() != 7 {
-		t.Errorf("%d arrivals, want 7", b.count())
+	if b.Count() != 7 {
+		t.Errorf("%d arrivals, want 7", b.Count())
 	}
 }
 
 // Callers that send nothing, or half a call, neither keep others out nor stay connected, and half a call does
 // nothing.
 func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
-	a, _ := startWithServer(t, respondOK)
+	a, _ := startWithServer(t, agenttest.RespondOK)
 	var silent []net.Conn
-	for i := range 3 * maxAdminConns {
+	for i := range 3 * config.MaxAdminConns {
 		c, err := net.Dial("tcp", a.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(testTimeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		fmt.Fprint(c, []string{"", "PUT /ops/dra", "PUT /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf"}[i%3])
 		silent = append(silent, c)
 	}
 	for range 5 {
-		wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
+		agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
 	}
 	for _, c := range silent {
 		text, err := io.ReadAll(c)
@@ -109,15 +112,15 @@
 			t.Errorf("half a call was answered %q", text)
 		}
 	}
-	wantStatus(t, a.readyStatus(), 200)
+	agenttest.WantStatus(t, a.readyStatus(), 200)
 }
 
 func TestAdminCallsDoNotWaitForTheEventLoop(t *testing.T) {
-	a, _ := startWithServer(t, respondOK)
+	a, _ := startWithServer(t, agenttest.RespondOK)
 	defer a.blockLoop()()
-	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
-	wantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
-	wantStatus(t, a.readyStatus(), 503)
+	agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 200)
+	agenttest.WantStatus(t, a.adminCall("PUT", "/ops/drain/start"), 200)
+	agenttest.WantStatus(t, a.readyStatus(), 503)
 }
 
 // New settings in service: classes are added and removed, another idempotency and fewer attempts apply to
@@ -129,14 +132,14 @@
 		case req.URL.Query().Has("held") && n == 0:
 			hold <- struct{}{}
 			<-answer
-			return sendResponse(c, 500, "", "")
+			return agenttest.SendResponse(c, 500, "", "")
 		case req.URL.Query().Has("fails"):
-			return sendResponse(c, 500, "", "")
+			return agenttest.SendResponse(c, 500, "", "")
 		}
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
 	ask := func(class, query string) int {
-		req := newRequest(a.addr, class, "x")
+		req := agenttest.NewRequest(a.addr, class, "x")
 		req.URL.RawQuery = query
 		status, _, _ := a.do(req)
 		return status
@@ -152,21 +155,21 @@
 	}
 	lines := a.logLines()
 	a.reloads <- &cfg
-	waitLine(t, lines, "settings applied")
+	agenttest.WaitLine(t, lines, "settings applied")
 	close(answer)
-	wantStatus(t, <-open, 200) // its second attempt, though now there is only one
-	if b.count() != 2 {
-		t.Errorf("%d arrivals of the open request, want 2", b.count())
-	}
-	wantStatus(t, ask("fresh", ""), 200)
-	wantStatus(t, ask("read", ""), 200)
-	wantStatus(t, ask("order", ""), 400)
-	before := b.count()
-	wantStatus(t, ask("read", "fails"), 502)
-	if b.count() != before+1 {
-		t.Errorf("%d attempts of a request that may run once", b.count()-before)
-	}
-	if f := a.metricsNow(); f.violations+f.backstops > 0 {
+	agenttest.WantStatus(t, <-open, 200) // its second attempt, though now there is only one
+	if b.Count() != 2 {
+		t.Errorf("%d arrivals of the open request, want 2", b.Count())
+	}
+	agenttest.WantStatus(t, ask("fresh", ""), 200)
+	agenttest.WantStatus(t, ask("read", ""), 200)
+	agenttest.WantStatus(t, ask("order", ""), 400)
+	before := b.Count()
+	agenttest.WantStatus(t, ask("read", "fails"), 502)
+	if b.Count() != before+1 {
+		t.Errorf("%d attempts of a request that may run once", b.Count()-before)
+	}
+	if f := a.metricsNow(); f.Violations+f.Backstops > 0 {
 		t.Errorf("a guard had to act: %+v", f)
 	}
 }
@@ -178,10 +181,10 @@
 	held, more := make(chan struct{}, 2), make(chan struct{})
 	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		if req.URL.Query().Has("streams") {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*maxBufferedBody)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*message.MaxBufferedBody)
 			held <- struct{}{}
 			<-more
-			_, err := c.Write(randomBytes(2*maxBufferedBody - 5))
+			_, err := c.Write(randomBytes(2*message.MaxBufferedBody - 5))
 			return err == nil
 		}
 		held <- struct{}{}
@@ -190,11 +193,11 @@
 	})
 	ask := func(query string) <-chan string {
 		got := make(chan string, 1)
-		req := newRequest(a.addr, "order", "x")
+		req := agenttest.NewRequest(a.addr, "order", "x")
 		req.Header.Set("Request-Timeout-Ms", "30000") // longer than the platform waits
 		req.URL.RawQuery = query
 		go func() {
-			resp, err := testClient.Do(req)
+			resp, err := agenttest.HTTPClient.Do(req)
 			if err != nil {
 				got <- err.Error()
 				return
@@ -212,7 +215,7 @@
 		t.Errorf("what is held: %s", got)
 	}
 	close(more)
-	if got, want := <-streams, fmt.Sprint(200, 2*maxBufferedBody, nil); got != want {
+	if got, want := <-streams, fmt.Sprint(200, 2*message.MaxBufferedBody, nil); got != want {
 		t.Errorf("what is passed on: %s, want %s", got, want)
 	}
 	if err := <-a.done; err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,6 +15,13 @@
 	"sync/atomic"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/admin"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/discovery"
+	"fernbeam.example/fernbeam/internal/agent/dispatch"
+	"fernbeam.example/fernbeam/internal/agent/downstream"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/membership"
 )
@@ -28,12 +35,12 @@
 
 // Agent is one agent. Many may run in one process.
 type Agent struct {
-	cfg        *Config
+	cfg        *config.Config
 	ln         Listeners
-	downstream *downstreamServer
-	pool       *connectionPool
-	loop       *eventLoop
-	admin      *adminServer // nil until Run
+	downstream *downstream.Server
+	pool       *upstream.Pool
+	loop       *dispatch.Loop
+	admin      *admin.Server // nil until Run
 	membership atomic.Pointer[membership.Membership]
 
 	running  context.Context    // done once the loop is to end
@@ -48,7 +55,7 @@
 }
 
 // Run makes an agent and runs it as Agent.Run does.
-func Run(stop context.Context, cfg *Config, ln Listeners, reloads <-chan *Config) error {
+func Run(stop context.Context, cfg *config.Config, ln Listeners, reloads <-chan *config.Config) error {
 	a, err := New(cfg, ln) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
 	if err != nil {
 		return err
@@ -58,7 +65,7 @@
 
 // New makes an agent, which owns its listeners unless there is an error: a setting that the policy can't use,
 // or a listener that is shared and missing.
-func New(cfg *Config, ln Listeners) (*Agent, error) {
+func New(cfg *config.Config, ln Listeners) (*Agent, error) {
 	if ln.Clients == nil {
 		if ln.Shared {
 			return nil, errors.New("agent: no listener to share")
@@ -68,7 +75,7 @@
 	a := &Agent{
 		cfg:             cfg,
 		ln:              ln,
-		pool:            newConnectionPool(cfg),
+		pool:            upstream.NewPool(cfg),
 		loopDone:        make(chan struct{}),
 		usable:          make(chan struct{}),
 		settingsUpdates: make(chan settingsUpdate),
@@ -76,7 +83,7 @@
 	}
 	running, stopLoop := context.WithCancel(context.Background())
 	onUsable := sync.OnceFunc(func() { close(a.usable) })
-	loop, err := newEventLoop(running, cfg, a.pool, onUsable, a.applySettings)
+	loop, err := dispatch.New(running, cfg, a.pool, onUsable, a.applySettings)
 	if err != nil {
 		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
@@ -84,7 +91,7 @@
 	a.loop = loop
 	a.running = running
 	a.stopLoop = stopLoop
-	a.downstream = newDownstreamServer(running, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
+	a.downstream = downstream.New(running, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
@@ -102,14 +109,14 @@
 // and the addresses of discovery; the rest of it takes effect at a start only.
 //
 //nolint:contextcheck // the loop, the membership and the drain outlive stop: they finish the open requests
-func (a *Agent) Run(stop context.Context, reloads <-chan *Config) error {
+func (a *Agent) Run(stop context.Context, reloads <-chan *config.Config) error {
 	go func() {
 		defer close(a.loopDone)
-		a.loop.run()
+		a.loop.Run()
 	}()
 	member, err := startMembership(a.cfg, a.loop)
 	a.membership.Store(member)
-	a.admin = newAdminServer(a.downstream, member, a.cfg.adminConns(1), a.cfg.logger())
+	a.admin = admin.New(a.downstream, member, a.cfg.AdminConns(1), a.cfg.Logger())
 	closeAll := sync.OnceFunc(a.closeAll)
 	defer closeAll()
 	defer context.AfterFunc(a.killed, closeAll)()
@@ -133,41 +140,41 @@
 		admin:  a.admin,
 		conns:  a.downstream,
 		pool:   a.pool,
-		quotas: append(a.bodyBudgets(), a.downstream.connSlots()),
+		quotas: append(a.bodyBudgets(), a.downstream.ConnSlots()),
 	}
 }
 
 // bodyBudgets bound the bytes of buffered bodies: of requests, and of responses.
-func (a *Agent) bodyBudgets() []quota {
-	return []quota{a.downstream.bodyBudget(), a.pool.bodyBudget()}
+func (a *Agent) bodyBudgets() []message.Quota {
+	return []message.Quota{a.downstream.BodyBudget(), a.pool.BodyBudget()}
 }
 
-// shutdown ends the agent gracefully: it answers the open requests within drainTime while it leaves the
+// Shutdown ends the agent gracefully: it answers the open requests within DrainTime while it leaves the
 // membership, and stops the loop last, which the open requests need until their end.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
 	left := leaveMembership(member)
-	err := a.downstream.shutdown(drainTime)
+	err := a.downstream.Shutdown(drainTime)
 	if a.killed.Err() != nil {
 		return ErrKilled
 	}
 	if err != nil {
-		a.cfg.logger().Warn("shutdown", "err", err)
+		a.cfg.Logger().Warn("shutdown", "err", err)
 	}
 	<-left
 	a.stopLoop()
 	<-a.loopDone
-	a.cfg.logger().Info("stopped", "metrics", a.loop.stats().metrics.String())
+	a.cfg.Logger().Info("stopped", "metrics", a.loop.Stats().Metrics.String())
 	return nil
 }
 
-// serve serves until stop is done, and returns how long open requests may be finished from then on.
+// Serve serves until stop is done, and returns how long open requests may be finished from then on.
 func (a *Agent) serve(
-	stop context.Context, reloads <-chan *Config, limits *sharedLimits,
+	stop context.Context, reloads <-chan *config.Config, limits *sharedLimits,
 ) (openRequestTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
-	if a.ln.Operators != nil {
-		go func() { failed <- a.admin.serve(a.ln.Operators) }()
+	if a.ln.Admin != nil {
+		go func() { failed <- a.admin.Serve(a.ln.Admin) }()
 	}
 	var firstListTimer <-chan time.Time
 	if a.ln.Shared {
@@ -183,7 +190,7 @@
 		firstListTimer = time.After(firstListTimeout)
 	}
 	usable := a.usable
-	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: drainTime(&a.cfg.Settings)}
+	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: downstream.DrainTime(&a.cfg.Settings)}
 	for {
 		select {
 		case <-usable:
@@ -192,10 +199,10 @@
 			if a.ln.Shared {
 				go a.serveClients(failed)
 			}
-			a.downstream.setServing()
+			a.downstream.SetServing()
 			usable = nil
 		case <-firstListTimer:
-			a.downstream.acceptClients()
+			a.downstream.AcceptClients()
 		case err := <-failed:
 			if a.killed.Err() != nil {
 				err = ErrKilled
@@ -215,25 +222,25 @@
 
 // serveClients accepts clients until their listener is closed, and sends how that ended.
 func (a *Agent) serveClients(ended chan<- error) {
-	ended <- a.downstream.serve()
+	ended <- a.downstream.Serve()
 }
 
-// applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
-// says why they are not: errAgentStopping once nothing is applied any more.
+// ApplySettings hands settings of the discovery service to serve, and returns once they are in force. An error
+// says why they are not: ErrAgentStopping once nothing is applied any more.
 func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
 	update := settingsUpdate{settings: settings, done: make(chan error, 1)}
 	select {
 	case a.settingsUpdates <- update:
 	case <-a.servingDone:
-		return errAgentStopping
+		return discovery.ErrAgentStopping
 	case <-ctx.Done():
-		return errAgentStopping
+		return discovery.ErrAgentStopping
 	}
 	select {
 	case err := <-update.done:
 		return err
 	case <-ctx.Done():
-		return errAgentStopping
+		return discovery.ErrAgentStopping
 	}
 }
 
@@ -244,14 +251,14 @@
 // closeAll closes whatever is open and waits for the loop. Clients come first: a request that the loop's end
 // cut off must not look answered. Errors of closing sockets that are given up say nothing of use.
 func (a *Agent) closeAll() {
-	a.downstream.close()
-	if a.ln.Operators != nil {
-		_ = a.ln.Operators.Close() // where it has not been served yet
+	a.downstream.Close()
+	if a.ln.Admin != nil {
+		_ = a.ln.Admin.Close() // where it has not been served yet
 	}
-	a.admin.close()
+	a.admin.Close()
 	a.stopLoop()
-	a.loop.close()
-	a.pool.shutdown()
+	a.loop.Close()
+	a.pool.Shutdown()
 	if member := a.membership.Load(); member != nil {
 		member.Kill()
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -7,13 +7,17 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 // startWithServer starts an agent in front of one server with the given script.
-func startWithServer(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeServer) {
+func startWithServer(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *agenttest.Server) {
 	t.Helper()
-	b := newFakeServer(t, answer)
-	return startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil), b
+	b := agenttest.NewServer(t, answer)
+	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil), b
 }
 
 func TestServed(t *testing.T) {
@@ -23,15 +27,15 @@
 		mu.Lock()
 		seen = req.Header.Clone()
 		mu.Unlock()
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	req := newRequest(a.addr, "send", "hello")
+	req := agenttest.NewRequest(a.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
 	// What a client says of its connection does not take away what names its request.
 	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
 	req.Header.Set("X-Hop", "1")
 	status, header, body := a.do(req)
-	wantStatus(t, status, 200)
+	agenttest.WantStatus(t, status, 200)
 	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
 		t.Errorf("body %q, want %q", body, want)
 	}
@@ -47,15 +51,15 @@
 	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &left); err != nil || left < 1 || left > 4000 {
 		t.Errorf("the backend was told %q ms", seen.Get("Request-Timeout-Ms"))
 	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
+	if b.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", b.Count())
 	}
 }
 
 // The ends of an attempt: the client's response, and how often the server saw the request.
 func TestOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, status, header, body) }
+		return func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, status, header, body) }
 	}
 	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool {
@@ -73,7 +77,7 @@
 		{"500 may have run", "order", always(500, "", ""), 502, 1},
 		{"503 without proof may have run", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have run", "order",
-			func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) }, 502, 1},
+			func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) }, 502, 1},
 		{"close after the last byte may have run", "order", raw("", false), 502, 1},
 		{"broken body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
 		{"broken chunk may have run", "order",
@@ -81,14 +85,14 @@
 		{"an answer may end with its connection", "order", raw("HTTP/1.1 200 OK\r\n\r\nwhole", false), 200, 1},
 		{"an answer cut off by a reset may have run", "order", func(c net.Conn, _ *http.Request, _ int) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-			return resetConn(c)
+			return agenttest.ResetConn(c)
 		}, 502, 1},
 		{"two framings at once may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", true), 502, 1},
-		{"an endless head may have run", "order", raw("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*maxResponseHead), true), 502, 1},
+		{"an endless head may have run", "order", raw("HTTP/1.1 200 OK\r\nX: "+strings.Repeat("x", 2*upstream.MaxResponseHead), true), 502, 1},
 		{"what is no HTTP is not waited for", "order", raw("\x00\x01 no end of line", true), 502, 1},
 		{"unreadable head may have run", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"a long answer is streamed", "order", always(200, "", strings.Repeat("x", 40*maxBufferedBody)), 200, 1},
+		{"a long answer is streamed", "order", always(200, "", strings.Repeat("x", 40*message.MaxBufferedBody)), 200, 1},
 		{"turned away never ran", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
 		{"504 with proof never ran", "order", always(504, "Not-Started: 1\r\n", ""), 503, 3},
 		{"what a server calls unfit fails, also where an error goes again", "send", always(400, "", ""), 400, 1},
@@ -96,15 +100,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a, b := startWithServer(t, test.answer)
-			status, header, _ := a.do(newRequest(a.addr, test.class, "x"))
-			wantStatus(t, status, test.status)
-			if b.count() != test.arrivals {
-				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
+			status, header, _ := a.do(agenttest.NewRequest(a.addr, test.class, "x"))
+			agenttest.WantStatus(t, status, test.status)
+			if b.Count() != test.arrivals {
+				t.Errorf("%d arrivals, want %d", b.Count(), test.arrivals)
 			}
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.metricsNow(); f.backstops+f.violations > 0 {
+			if f := a.metricsNow(); f.Backstops+f.Violations > 0 {
 				t.Errorf("a guard had to act: %+v", f)
 			}
 		})
@@ -114,13 +118,13 @@
 func TestOverloadedAttemptIsRetried(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
-			return sendResponse(c, 503, "Not-Started: 1\r\n", "")
+			return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
 		}
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
-	if b.count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.count())
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
+	if b.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", b.Count())
 	}
 }
--- a/internal/agent/at_request_test.go
+++ b/internal/agent/agenttest/client.go
@@ -1,4 +1,4 @@
-package agent
+package agenttest
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-const testSettings = `{"classes":[
+const Settings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
  {"name":"send","aimMs":2000,"giveUpMs":4000,"effect":"guarded","group":"all","keyTtlMs":8000,"credit":2,"lateShare":0.2},
  {"name":"order","aimMs":2000,"giveUpMs":4000,"effect":"single_shot","credit":5,"lateShare":0.2}],
@@ -22,10 +22,10 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// testClient opens a connection for each request, and so never sends one again.
-var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+// HTTPClient opens a connection for each request, and so never sends one again.
+var HTTPClient = &http.Client{Timeout: Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func newRequest(addr, class, body string) *http.Request {
+func NewRequest(addr, class, body string) *http.Request {
 	method := http.MethodPost
 	if class == "read" {
 		method, body = http.MethodGet, ""
@@ -43,22 +43,22 @@
 	return req
 }
 
-// readRequestText is a request of the class read as a client writes it.
-func readRequestText(id, timeoutMs int) string {
+// RequestText is a request of the class read as a client writes it.
+func RequestText(id, timeoutMs int) string {
 	return fmt.Sprintf("GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
 
-// keptConn is a client's connection that stays open.
-type keptConn struct {
+// KeptConn is a client's connection that stays open.
+type KeptConn struct {
 	net.Conn
-	br *bufio.Reader
+	Br *bufio.Reader
 }
 
-func (k *keptConn) request(t *testing.T) *http.Response {
+func (k *KeptConn) Request(t *testing.T) *http.Response {
 	t.Helper()
-	fmt.Fprint(k, readRequestText(1, 4000))
-	resp, err := http.ReadResponse(k.br, nil)
+	fmt.Fprint(k, RequestText(1, 4000))
+	resp, err := http.ReadResponse(k.Br, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,17 +66,17 @@
 	return resp
 }
 
-// wantClosed waits for the connection's orderly end.
-func (k *keptConn) wantClosed(t *testing.T) {
+// WantClosed waits for the connection's orderly end.
+func (k *KeptConn) WantClosed(t *testing.T) {
 	t.Helper()
-	if _, err := k.br.ReadByte(); err != io.EOF {
+	if _, err := k.Br.ReadByte(); err != io.EOF {
 		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 }
 
-// status reads the answer to the request on a connection; 0: there is none.
-func (k *keptConn) status() int {
-	resp, err := http.ReadResponse(k.br, nil)
+// Status reads the answer to the request on a connection; 0: there is none.
+func (k *KeptConn) Status() int {
+	resp, err := http.ReadResponse(k.Br, nil)
 	if err != nil {
 		return 0
 	}
@@ -84,31 +84,31 @@
 	return resp.StatusCode
 }
 
-// requestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
-func (k *keptConn) requestReady(t *testing.T) {
+// RequestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
+func (k *KeptConn) RequestReady(t *testing.T) {
 	t.Helper()
 	fmt.Fprint(k, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	wantStatus(t, finalStatus(t, k), 200)
+	WantStatus(t, FinalStatus(t, k), 200)
 }
 
-// dialKept opens a connection of a client that keeps it.
-func dialKept(t testing.TB, addr string) *keptConn {
+// DialKept opens a connection of a client that keeps it.
+func DialKept(t testing.TB, addr string) *KeptConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	return &keptConn{c, bufio.NewReader(c)}
+	return &KeptConn{c, bufio.NewReader(c)}
 }
 
-// do sends a request and returns the response's status, header and body.
-func do(t testing.TB, req *http.Request) (status int, header http.Header, body string) {
+// Do sends a request and returns the response's status, header and body.
+func Do(t testing.TB, req *http.Request) (status int, header http.Header, body string) {
 	t.Helper()
-	resp, err := testClient.Do(req)
+	resp, err := HTTPClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,10 +120,10 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// finalStatus is status where there has to be a response.
-func finalStatus(t *testing.T, k *keptConn) int {
+// FinalStatus is status where there has to be a response.
+func FinalStatus(t *testing.T, k *KeptConn) int {
 	t.Helper()
-	status := k.status()
+	status := k.Status()
 	if status == 0 {
 		t.Fatal("the connection ended with no answer")
 	}
--- a/internal/agent/at_discovery_test.go
+++ b/internal/agent/agenttest/discovery.go
@@ -1,4 +1,4 @@
-package agent
+package agenttest
 
 import (
 	"context"
@@ -13,24 +13,26 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // connNumberKey is the context key of the number of a call's connection.
 type connNumberKey struct{}
 
-// watchCall is a call that a scripted discovery got: its index, and on which connection.
-type watchCall struct {
-	index string
-	conn  int64
+// WatchCall is a call that a scripted discovery got: its index, and on which connection.
+type WatchCall struct {
+	Index string
+	Conn  int64
 }
 
-// scriptedDiscovery answers the n-th call (from 0) as the script says; what it returns is the
+// ScriptedDiscovery answers the n-th call (from 0) as the script says; what it returns is the
 // body, and "" is no answer until the caller gives up.
-func scriptedDiscovery(t *testing.T, script func(n int, c watchCall) string) (addr string, calls <-chan watchCall) {
+func ScriptedDiscovery(t *testing.T, script func(n int, c WatchCall) string) (addr string, calls <-chan WatchCall) {
 	var count, conns atomic.Int64
-	got := make(chan watchCall, 1000)
+	got := make(chan WatchCall, 1000)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		c := watchCall{req.URL.Query().Get("index"), req.Context().Value(connNumberKey{}).(int64)}
+		c := WatchCall{req.URL.Query().Get("index"), req.Context().Value(connNumberKey{}).(int64)}
 		n := count.Add(1) - 1
 		got <- c
 		text := script(int(n), c)
@@ -51,22 +53,22 @@
 	return s.Listener.Addr().String(), got
 }
 
-func nextCall(t *testing.T, calls <-chan watchCall) watchCall {
+func NextCall(t *testing.T, calls <-chan WatchCall) WatchCall {
 	t.Helper()
 	select {
 	case c := <-calls:
 		return c
-	case <-time.After(testTimeout):
+	case <-time.After(Timeout):
 		t.Fatal("no call")
-		return watchCall{}
+		return WatchCall{}
 	}
 }
 
-// fakeDiscovery has a list and answers fetches and watches.
-type fakeDiscovery struct {
+// Discovery has a list and answers fetches and watches.
+type Discovery struct {
 	*httptest.Server
 	mu      sync.Mutex
-	list    List
+	List    endpoint.List
 	changed map[string]uint64 // version of each entry's last change
 	down    bool
 	calls   int
@@ -74,8 +76,8 @@
 	asked   chan uint64 // the index of each watch call
 }
 
-func newDiscoveryServer(t testing.TB, servers ...Target) *fakeDiscovery {
-	d := &fakeDiscovery{list: List{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
+func NewDiscovery(t testing.TB, servers ...endpoint.Endpoint) *Discovery {
+	d := &Discovery{List: endpoint.List{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
 		wake: make(chan struct{}), asked: make(chan uint64, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
@@ -85,7 +87,7 @@
 	return d
 }
 
-func (d *fakeDiscovery) serve(w http.ResponseWriter, req *http.Request) {
+func (d *Discovery) serve(w http.ResponseWriter, req *http.Request) {
 	d.mu.Lock()
 	d.calls++
 	down := d.down
@@ -98,7 +100,7 @@
 	if !q.Has("index") {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		json.NewEncoder(w).Encode(d.list)
+		json.NewEncoder(w).Encode(d.List)
 		return
 	}
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
@@ -107,12 +109,12 @@
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		d.mu.Lock()
-		version, wake, down := d.list.Version, d.wake, d.down
-		delta := List{Version: version}
+		version, wake, down := d.List.Version, d.wake, d.down
+		delta := endpoint.List{Version: version}
 		if index == 0 { // all there is has changed since
-			delta = List{Version: version, Full: true, Servers: slices.Clone(d.list.Servers)}
+			delta = endpoint.List{Version: version, Full: true, Servers: slices.Clone(d.List.Servers)}
 		} else if version > index {
-			for _, s := range d.list.Servers {
+			for _, s := range d.List.Servers {
 				if d.changed[s.ID] > index {
 					delta.Servers = append(delta.Servers, s)
 				}
@@ -130,7 +132,7 @@
 		select {
 		case <-wake:
 		case <-over:
-			json.NewEncoder(w).Encode(List{Version: version})
+			json.NewEncoder(w).Encode(endpoint.List{Version: version})
 			return
 		case <-req.Context().Done():
 			return
@@ -138,26 +140,26 @@
 	}
 }
 
-// set changes or adds an entry.
-func (d *fakeDiscovery) set(s Target) {
+// Set changes or adds an entry.
+func (d *Discovery) Set(s endpoint.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.list.Version++
-	d.changed[s.ID] = d.list.Version
+	d.List.Version++
+	d.changed[s.ID] = d.List.Version
 	found := false
-	for i := range d.list.Servers {
-		if d.list.Servers[i].ID == s.ID {
-			d.list.Servers[i], found = s, true
+	for i := range d.List.Servers {
+		if d.List.Servers[i].ID == s.ID {
+			d.List.Servers[i], found = s, true
 		}
 	}
 	if !found {
-		d.list.Servers = append(d.list.Servers, s)
+		d.List.Servers = append(d.List.Servers, s)
 	}
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
-func (d *fakeDiscovery) setDown(down bool) {
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
@@ -165,26 +167,26 @@
 	d.wake = make(chan struct{})
 }
 
-func (d *fakeDiscovery) callCount() int {
+func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// waitNotified changes an entry and returns once the agent has passed the change to its loop: the watch calls
+// WaitNotified changes an entry and returns once the agent has passed the change to its loop: the watch calls
 // again first and passes on then, so one more change is made and the call after that is waited for.
-func (d *fakeDiscovery) waitNotified(t *testing.T, s Target) {
+func (d *Discovery) WaitNotified(t *testing.T, s endpoint.Endpoint) {
 	t.Helper()
-	d.set(s)
-	d.waitVersion(t, d.list.Version)
-	d.set(s)
-	d.waitVersion(t, d.list.Version)
+	d.Set(s)
+	d.WaitVersion(t, d.List.Version)
+	d.Set(s)
+	d.WaitVersion(t, d.List.Version)
 }
 
-// waitVersion waits for a watch call with an index of at least version.
-func (d *fakeDiscovery) waitVersion(t *testing.T, version uint64) {
+// WaitVersion waits for a watch call with an index of at least version.
+func (d *Discovery) WaitVersion(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(testTimeout)
+	over := time.After(Timeout)
 	for {
 		select {
 		case index := <-d.asked:
@@ -197,6 +199,6 @@
 	}
 }
 
-func target(id, addr string) Target {
-	return Target{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
+func Endpoint(id, addr string) endpoint.Endpoint {
+	return endpoint.Endpoint{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
 }
--- a/internal/agent/at_faults_test.go
+++ b/internal/agent/agenttest/faults.go
@@ -1,4 +1,4 @@
-package agent
+package agenttest
 
 import (
 	"context"
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// systemCall is a system call that a fault makes fail.
-type systemCall string
+// SystemCall is a system call that a fault makes fail.
+type SystemCall string
 
 const (
-	callConnect systemCall = "connect"
-	callRead    systemCall = "read"
-	callWrite   systemCall = "write"
+	CallConnect SystemCall = "connect"
+	CallRead    SystemCall = "read"
+	CallWrite   SystemCall = "write"
 )
 
-// callFault makes a connection's call fail once so many bytes have passed it, and every call after that.
-type callFault struct {
-	Call  systemCall
+// CallFault makes a connection's call fail once so many bytes have passed it, and every call after that.
+type CallFault struct {
+	Call  SystemCall
 	After int64
 	Errno syscall.Errno
 }
 
-func (f *callFault) err() error {
+func (f *CallFault) err() error {
 	return &net.OpError{Op: string(f.Call), Net: "tcp", Err: os.NewSyscallError(string(f.Call), f.Errno)}
 }
 
@@ -48,12 +48,12 @@
 // faultyConn reads and writes a few bytes a call, the first ones one by one, until its fault.
 type faultyConn struct {
 	*net.TCPConn
-	fault         *callFault // nil: none
+	fault         *CallFault // nil: none
 	read, written atomic.Int64
 	broken        atomic.Bool
 }
 
-func (c *faultyConn) fails(call systemCall, passed int64) bool {
+func (c *faultyConn) fails(call SystemCall, passed int64) bool {
 	if c.fault != nil && c.fault.Call == call && passed >= c.fault.After {
 		c.broken.Store(true)
 	}
@@ -61,7 +61,7 @@
 }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
-	if c.fails(callRead, c.read.Load()) {
+	if c.fails(CallRead, c.read.Load()) {
 		return 0, c.fault.err()
 	}
 	n, err := c.TCPConn.Read(p[:shortCall(c.read.Load(), len(p))])
@@ -73,7 +73,7 @@
 	done := 0
 	for done < len(p) {
 		passed := c.written.Load()
-		if c.fails(callWrite, passed) {
+		if c.fails(CallWrite, passed) {
 			return done, c.fault.err()
 		}
 		n, err := c.TCPConn.Write(p[done : done+shortCall(passed, len(p)-done)])
@@ -86,18 +86,18 @@
 	return len(p), nil
 }
 
-// faultPlan has the faults of the connections to come, in order; those after them have none.
-type faultPlan struct {
+// FaultPlan has the faults of the connections to come, in order; those after them have none.
+type FaultPlan struct {
 	mu     sync.Mutex
-	faults []callFault
+	faults []CallFault
 	made   map[string]*faultyConn // by the peer's address
 }
 
-func newFaultPlan(faults []callFault) *faultPlan {
-	return &faultPlan{faults: faults, made: map[string]*faultyConn{}}
+func NewFaultPlan(faults []CallFault) *FaultPlan {
+	return &FaultPlan{faults: faults, made: map[string]*faultyConn{}}
 }
 
-func (p *faultPlan) next() *callFault {
+func (p *FaultPlan) next() *CallFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.faults) == 0 {
@@ -108,7 +108,7 @@
 	return &f
 }
 
-func (p *faultPlan) wrap(nc net.Conn, f *callFault) net.Conn {
+func (p *FaultPlan) wrap(nc net.Conn, f *CallFault) net.Conn {
 	c := &faultyConn{TCPConn: nc.(*net.TCPConn), fault: f}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,19 +116,19 @@
 	return c
 }
 
-// broke tells whether the connection of a peer has met its fault.
-func (p *faultPlan) broke(peer net.Addr) bool {
+// Broke tells whether the connection of a peer has met its fault.
+func (p *FaultPlan) Broke(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.made[peer.String()]
 	return c != nil && c.broken.Load()
 }
 
-// dial opens a connection to a server (dialFunc).
-func (p *faultPlan) dial(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+// Dial opens a connection to a server (dialFunc).
+func (p *FaultPlan) Dial(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	f := p.next()
-	if f != nil && f.Call == callConnect {
-		return nil, connectError(f.Errno)
+	if f != nil && f.Call == CallConnect {
+		return nil, ConnectError(f.Errno)
 	}
 	nc, err := dialUntil(ctx, addr, until)
 	if err != nil {
@@ -137,37 +137,37 @@
 	return p.wrap(nc, f), nil
 }
 
-// faultyListener accepts clients by a plan.
-type faultyListener struct {
+// FaultyListener accepts clients by a plan.
+type FaultyListener struct {
 	net.Listener
-	plan *faultPlan
+	Plan *FaultPlan
 }
 
-func (l faultyListener) Accept() (net.Conn, error) {
-	f := l.plan.next()
-	if f != nil && f.Call == callConnect {
+func (l FaultyListener) Accept() (net.Conn, error) {
+	f := l.Plan.next()
+	if f != nil && f.Call == CallConnect {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", f.Errno)}
 	}
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.plan.wrap(nc, f), nil
+	return l.Plan.wrap(nc, f), nil
 }
 
-// localErrnos say at connect that this machine lacks a resource, serverErrnos that the server fails.
+// LocalErrnos say at connect that this machine lacks a resource, ServerErrnos that the server fails.
 var (
-	localErrnos = []syscall.Errno{
+	LocalErrnos = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
 	}
-	serverErrnos = []syscall.Errno{
+	ServerErrnos = []syscall.Errno{
 		syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ETIMEDOUT,
 		syscall.EPERM, syscall.EACCES,
 	}
 )
 
-func connectError(errno syscall.Errno) error {
+func ConnectError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
--- a/internal/agent/at_flaky_listener_test.go
+++ b/internal/agent/agenttest/flaky_listener.go
@@ -1,4 +1,4 @@
-package agent
+package agenttest
 
 import (
 	"net"
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// acceptErrnos are errors that accept(2) may return temporarily and that net/http takes for the listener's
+// AcceptErrnos are errors that accept(2) may return temporarily and that net/http takes for the listener's
 // end.
-var acceptErrnos = []syscall.Errno{
+var AcceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED,
 }
 
-// flakyListener fails each accept once with every one of acceptErrnos before it accepts.
+// flakyListener fails each accept once with every one of AcceptErrnos before it accepts.
 type flakyListener struct {
 	net.Listener
 	mu   sync.Mutex
 	next int
 }
 
-func newFlakyListener(t *testing.T) *flakyListener {
+func NewFlakyListener(t *testing.T) *flakyListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,10 +34,10 @@
 func (l *flakyListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	i := l.next
-	l.next = (i + 1) % (len(acceptErrnos) + 1)
+	l.next = (i + 1) % (len(AcceptErrnos) + 1)
 	l.mu.Unlock()
-	if i < len(acceptErrnos) {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", acceptErrnos[i])}
+	if i < len(AcceptErrnos) {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", AcceptErrnos[i])}
 	}
 	return l.Listener.Accept()
 }
--- a/internal/agent/at_nodelay_test.go
+++ b/internal/agent/agenttest/nodelay.go
@@ -1,4 +1,4 @@
-package agent
+package agenttest
 
 import (
 	"net"
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// hasNoDelay tells whether a connection sends small writes at once.
-func hasNoDelay(t testing.TB, nc net.Conn) bool {
+// HasNoDelay tells whether a connection sends small writes at once.
+func HasNoDelay(t testing.TB, nc net.Conn) bool {
 	t.Helper()
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -12,6 +12,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 // randomBytes is n bytes that differ.
@@ -28,7 +32,7 @@
 
 func hashResponder(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return sendResponse(c, 200, "", digest(body))
+	return agenttest.SendResponse(c, 200, "", digest(body))
 }
 
 // slowReader returns a body in pieces, with a call before each.
@@ -51,10 +55,10 @@
 
 func TestStreamedBodyIsForwardedOnce(t *testing.T) {
 	a, b := startWithServer(t, hashResponder)
-	for i, length := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
+	for i, length := range []int{message.MaxBufferedBody - 1, message.MaxBufferedBody, message.MaxBufferedBody + 1, 5 << 20} {
 		for _, told := range []bool{true, false} {
 			body := randomBytes(length)
-			req := newRequest(a.addr, "order", "")
+			req := agenttest.NewRequest(a.addr, "order", "")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
 			if told {
 				req.ContentLength = int64(length)
@@ -63,16 +67,16 @@
 				req.Header.Set("Expect", "100-continue")
 			}
 			status, _, got := a.do(req)
-			wantStatus(t, status, 200)
+			agenttest.WantStatus(t, status, 200)
 			if got != digest(body) {
 				t.Errorf("length %d, told %v: arrived as %s", length, told, got)
 			}
 		}
 	}
-	if b.count() != 8 {
-		t.Errorf("%d arrivals, want 8", b.count())
+	if b.Count() != 8 {
+		t.Errorf("%d arrivals, want 8", b.Count())
 	}
-	if f := a.metricsNow(); f.served != 8 || f.violations+f.backstops > 0 {
+	if f := a.metricsNow(); f.Served != 8 || f.Violations+f.Backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -82,21 +86,21 @@
 func TestSlowStreamedBodyHasItsFullTime(t *testing.T) {
 	t.Parallel()
 	a, b := startWithServer(t, hashResponder)
-	body := randomBytes(6 * maxBufferedBody)
-	req := newRequest(a.addr, "order", "")
+	body := randomBytes(6 * message.MaxBufferedBody)
+	req := agenttest.NewRequest(a.addr, "order", "")
 	req.Header.Set("Request-Timeout-Ms", "700")
 	req.ContentLength = int64(len(body))
-	req.Body = io.NopCloser(&slowReader{body: body, piece: maxBufferedBody / 2, before: func(at int) {
+	req.Body = io.NopCloser(&slowReader{body: body, piece: message.MaxBufferedBody / 2, before: func(at int) {
 		if at > 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}})
 	status, _, got := a.do(req)
-	wantStatus(t, status, 200)
-	if got != digest(body) || b.count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, b.count())
+	agenttest.WantStatus(t, status, 200)
+	if got != digest(body) || b.Count() != 1 {
+		t.Errorf("arrived as %s, %d times", got, b.Count())
 	}
-	if f := a.metricsNow(); f.attempts[100] != 1 || f.violations+f.backstops > 0 {
+	if f := a.metricsNow(); f.Attempts[100] != 1 || f.Violations+f.Backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -104,8 +108,8 @@
 // A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
 // sent again, and what did not execute is rejected.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
-	b := newFakeServer(t, nil)
-	b.ln.Close()
+	b := agenttest.NewServer(t, nil)
+	b.Ln.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,20 +129,20 @@
 					return
 				}
 				heads <- struct{}{}
-				io.CopyN(io.Discard, br, 2*maxBufferedBody)
-				sendResponse(c, 503, "Not-Started: 1\r\n", "")
+				io.CopyN(io.Discard, br, 2*message.MaxBufferedBody)
+				agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
 				io.Copy(io.Discard, br)
 			}()
 		}
 	}()
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
 	// A client that brings the rest only once it has its answer.
 	c := a.dialKept()
-	body := randomBytes(20 * maxBufferedBody)
+	body := randomBytes(20 * message.MaxBufferedBody)
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", len(body))
-	c.Write(body[:3*maxBufferedBody])
-	resp, err := http.ReadResponse(c.br, nil)
+	c.Write(body[:3*message.MaxBufferedBody])
+	resp, err := http.ReadResponse(c.Br, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +152,7 @@
 	if len(heads) != 1 {
 		t.Errorf("%d attempts, want 1", len(heads))
 	}
-	if f := a.metricsNow(); f.attempts[302] != 1 || f.violations > 0 {
+	if f := a.metricsNow(); f.Attempts[302] != 1 || f.Violations > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -159,21 +163,21 @@
 	lines := a.logLines()
 	c := a.dialKept()
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
-	c.Write(randomBytes(3 * maxBufferedBody))
+		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*message.MaxBufferedBody)
+	c.Write(randomBytes(3 * message.MaxBufferedBody))
 	c.Close()
-	waitLine(t, lines, " id=1 ") // as left or as failed, whichever is seen first
-	<-b.ended
-	if b.count() != 0 {
-		t.Errorf("%d arrivals, want none", b.count())
+	agenttest.WaitLine(t, lines, " id=1 ") // as left or as failed, whichever is seen first
+	<-b.Ended
+	if b.Count() != 0 {
+		t.Errorf("%d arrivals, want none", b.Count())
 	}
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 	f := a.metricsNow()
-	for end := time.Now().Add(testTimeout); f.attempts[306]+f.attempts[307] == 0 && time.Now().Before(end); f = a.metricsNow() {
+	for end := time.Now().Add(agenttest.Timeout); f.Attempts[306]+f.Attempts[307] == 0 && time.Now().Before(end); f = a.metricsNow() {
 		time.Sleep(time.Millisecond) // the loop gets the attempt's end by itself
 	}
-	if f.attempts[306]+f.attempts[307] != 1 || f.violations+f.backstops > 0 {
+	if f.Attempts[306]+f.Attempts[307] != 1 || f.Violations+f.Backstops > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -181,7 +185,7 @@
 // The first bytes of a long response, and of one that takes long, are passed on before the rest has arrived.
 func TestLongResponseIsStreamed(t *testing.T) {
 	more := make(chan struct{})
-	long := randomBytes(3 * maxBufferedBody)
+	long := randomBytes(3 * message.MaxBufferedBody)
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
@@ -203,9 +207,9 @@
 		return true
 	})
 	for _, form := range []string{"told", "chunks", "close"} {
-		req := newRequest(a.addr, "order", "x")
+		req := agenttest.NewRequest(a.addr, "order", "x")
 		req.URL.RawQuery = form
-		resp, err := testClient.Do(req)
+		resp, err := agenttest.HTTPClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -219,18 +223,18 @@
 		if err != nil || resp.StatusCode != 200 || !bytes.Equal(append(first, rest...), long) {
 			t.Errorf("%s: answered %d, %d bytes, %v", form, resp.StatusCode, 100+len(rest), err)
 		}
-		time.Sleep(2 * settleTime) // the connection has rested
+		time.Sleep(2 * upstream.SettleTime) // the connection has rested
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.arrivals != 3 || b.most > 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", b.arrivals, b.most)
+	b.Mu.Lock()
+	defer b.Mu.Unlock()
+	if b.Arrivals != 3 || b.Most > 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", b.Arrivals, b.Most)
 	}
 }
 
 // A response that breaks halfway can't be taken for complete, and its request is sent once.
 func TestLongResponseAborted(t *testing.T) {
-	long := randomBytes(3 * maxBufferedBody)
+	long := randomBytes(3 * message.MaxBufferedBody)
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
@@ -243,9 +247,9 @@
 	})
 	for i, form := range []string{"told", "chunks"} {
 		lines := a.logLines()
-		req := newRequest(a.addr, "read", "")
+		req := agenttest.NewRequest(a.addr, "read", "")
 		req.URL.RawQuery = form
-		resp, err := testClient.Do(req)
+		resp, err := agenttest.HTTPClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -254,9 +258,9 @@
 		if !errors.Is(err, io.ErrUnexpectedEOF) || len(got) > len(long) {
 			t.Errorf("%s: %d bytes, %v", form, len(got), err)
 		}
-		waitLine(t, lines, "response aborted")
-		if b.count() != i+1 {
-			t.Errorf("%s: %d arrivals, want %d", form, b.count(), i+1)
+		agenttest.WaitLine(t, lines, "response aborted")
+		if b.Count() != i+1 {
+			t.Errorf("%s: %d arrivals, want %d", form, b.Count(), i+1)
 		}
 	}
 }
@@ -267,21 +271,21 @@
 	a, _ := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
 		var err error
-		for piece := randomBytes(maxBufferedBody); err == nil; {
+		for piece := randomBytes(message.MaxBufferedBody); err == nil; {
 			_, err = c.Write(piece)
 		}
 		gone <- err
 		return false
 	})
 	c := a.dialKept()
-	fmt.Fprint(c, readRequestText(1, 4000))
-	if _, err := c.br.Peek(4096); err != nil {
+	fmt.Fprint(c, agenttest.RequestText(1, 4000))
+	if _, err := c.Br.Peek(4096); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	select {
 	case <-gone:
-	case <-time.After(testTimeout):
+	case <-time.After(agenttest.Timeout):
 		t.Error("the server's connection stays open")
 	}
 }
@@ -294,10 +298,10 @@
 		}
 	}
 	body := randomBytes(100)
-	status, _, got := a.do(newRequest(a.addr, "order", string(body)))
-	wantStatus(t, status, 200)
-	if got != digest(body) || server.count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, server.count())
+	status, _, got := a.do(agenttest.NewRequest(a.addr, "order", string(body)))
+	agenttest.WantStatus(t, status, 200)
+	if got != digest(body) || server.Count() != 1 {
+		t.Errorf("arrived as %s, %d times", got, server.Count())
 	}
 }
 
@@ -305,17 +309,17 @@
 func TestBodyBudgetIsReleased(t *testing.T) {
 	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n%2 == 0 {
-			return sendResponse(c, 200, "", strings.Repeat("x", 100*(n+1)))
+			return agenttest.SendResponse(c, 200, "", strings.Repeat("x", 100*(n+1)))
 		}
 		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 		return err == nil
 	})
 	for range 10 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "some body"))
-		wantStatus(t, status, 200)
+		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "some body"))
+		agenttest.WantStatus(t, status, 200)
 	}
 	all := int64(192) << 20 / 6
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(agenttest.Timeout); ; time.Sleep(time.Millisecond) {
 		// The handler gives back behind the answer's last byte.
 		if requests, responses := a.agent.bodyBudgets()[0], a.agent.bodyBudgets()[1]; requests.TryAcquire(all) && responses.TryAcquire(all) {
 			break
@@ -333,15 +337,15 @@
 	a, b := startWithServer(t, hashResponder)
 	c := a.dialKept()
 	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*maxBufferedBody)
-	c.Write(randomBytes(3 * maxBufferedBody))
-	waitUntil(t, "it is on its way", func() bool { return b.startedCount() == 1 })
+		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*message.MaxBufferedBody)
+	c.Write(randomBytes(3 * message.MaxBufferedBody))
+	agenttest.WaitUntil(t, "it is on its way", func() bool { return b.StartedCount() == 1 })
 	late := a.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
 	fmt.Fprint(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	a.stop()
-	refused := func(name string, k *keptConn) {
+	refused := func(name string, k *agenttest.KeptConn) {
 		t.Helper()
-		resp, err := http.ReadResponse(k.br, nil)
+		resp, err := http.ReadResponse(k.Br, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -353,8 +357,8 @@
 	refused("long", c)
 	fmt.Fprint(late, "Request-Timeout-Ms: 4000\r\n\r\n")
 	refused("late", late)
-	<-b.ended
-	if b.count() != 0 {
-		t.Errorf("%d arrivals, want none", b.count())
+	<-b.Ended
+	if b.Count() != 0 {
+		t.Errorf("%d arrivals, want none", b.Count())
 	}
 }
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -13,6 +13,11 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 const (
@@ -44,9 +49,9 @@
 }
 
 // blockedServer blocks each request until release is called.
-func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *fakeServer, release func()) {
+func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *agenttest.Server, release func()) {
 	held := make(chan struct{})
-	b = newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	b = agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-held
 		return answer(c, req, n)
 	})
@@ -56,48 +61,48 @@
 }
 
 func respondOverloaded(c net.Conn, _ *http.Request, _ int) bool {
-	return sendResponse(c, 503, "Not-Started: 1\r\n", "")
+	return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
 }
 
 // closeAtServer closes while a server works on the request.
 func closeAtServer(t *testing.T) closeMoment {
-	b, release := blockedServer(t, respondOK)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.startedCount, allowed: 1, answers: 1}
+	b, release := blockedServer(t, agenttest.RespondOK)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
+	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.Count() == 1 },
+		proceed: release, begun: b.StartedCount, allowed: 1, answers: 1}
 }
 
 // closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
-	begun := func() int { return first.startedCount() + second.startedCount() }
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
+	begun := func() int { return first.StartedCount() + second.StartedCount() }
 	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
 		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
 }
 
 // closeWhileQueued closes while the request is queued in the agent for its only server.
-func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, respondOK) }
+func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, agenttest.RespondOK) }
 
 // queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
 	b, release := blockedServer(t, answer)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
 	const room = 8 // the concurrency limit of a server without measurements
 	for range room {
 		fmt.Fprint(a.dialKept(), readRequest)
 	}
-	waitUntil(t, "all room is taken", func() bool { return b.count() == room })
-	queued := func() bool { return a.statsNow().policy.Queued == 1 }
+	agenttest.WaitUntil(t, "all room is taken", func() bool { return b.Count() == room })
+	queued := func() bool { return a.statsNow().Policy.Queued == 1 }
 	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
-		begun: b.startedCount, allowed: room, answers: 1}
+		begun: b.StartedCount, allowed: room, answers: 1}
 }
 
 // closeWhileConnecting closes while the connection to the server is not established.
 func closeWhileConnecting(t *testing.T) closeMoment {
 	ln := fullListener(t)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
 		c.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
 	var mu sync.Mutex
@@ -122,7 +127,7 @@
 		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
 	}
 	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.agent.pool.connectCount() == 1 },
+		reached: func() bool { return a.agent.pool.ConnectCount() == 1 },
 		begun: func() int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -149,24 +154,24 @@
 
 // startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
 // blocks the next one. That request is not counted by the server's arrivals and heads.
-func startWithBlockedConn(t *testing.T, b *fakeServer) (*testAgent, *blockedConn) {
+func startWithBlockedConn(t *testing.T, b *agenttest.Server) (*testAgent, *blockedConn) {
 	t.Helper()
 	blocked := &blockedConn{writing: make(chan struct{}), proceed: make(chan struct{})}
 	var dials atomic.Int64
 	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-		nc, err := dialTCP(ctx, addr, until)
+		nc, err := upstream.DialTCP(ctx, addr, until)
 		if err != nil || dials.Add(1) > 1 {
 			return nc, err
 		}
 		blocked.Conn = nc
 		return blocked, nil
 	}
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(cfg *Config) { cfg.Dial = dial })
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, http.StatusOK)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(cfg *config.Config) { cfg.Dial = dial })
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, http.StatusOK)
 	time.Sleep(restTime)
 	blocked.armed.Store(true)
-	b.forget()
+	b.Forget()
 	return a, blocked
 }
 
@@ -177,7 +182,7 @@
 // which the agent would open another. The byte behind the request hides the close from the server's own
 // check.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := newFakeServer(t, respondOK)
+	b := agenttest.NewServer(t, agenttest.RespondOK)
 	a, broken := startWithBlockedConn(t, b)
 	reached := func() bool {
 		select {
@@ -188,26 +193,26 @@
 		}
 	}
 	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
-		proceed: func() { close(broken.proceed) }, begun: b.startedCount, answers: 1}
+		proceed: func() { close(broken.proceed) }, begun: b.StartedCount, answers: 1}
 }
 
 // closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
-	b, release := blockedServer(t, respondOK)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
-	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.count() == 1 },
-		proceed: release, begun: b.startedCount, allowed: 1, answers: 2}
+	b, release := blockedServer(t, agenttest.RespondOK)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
+	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.Count() == 1 },
+		proceed: release, begun: b.StartedCount, allowed: 1, answers: 2}
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
 func closeInLongBody(t *testing.T) closeMoment {
-	b := newFakeServer(t, hashResponder)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	b := agenttest.NewServer(t, hashResponder)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
 	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*maxBufferedBody)
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*message.MaxBufferedBody)
 	// Its head may have begun to arrive, its end can't: none counts as a request.
-	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*maxBufferedBody),
-		reached: func() bool { return b.startedCount() == 1 }, proceed: func() {}, begun: b.count, answers: 1}
+	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*message.MaxBufferedBody),
+		reached: func() bool { return b.StartedCount() == 1 }, proceed: func() {}, begun: b.Count, answers: 1}
 }
 
 // A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
@@ -229,22 +234,22 @@
 				m := arrange(t)
 				client := m.agent.dialKept()
 				fmt.Fprint(client, m.requests)
-				waitUntil(t, "the moment has come", m.reached)
+				agenttest.WaitUntil(t, "the moment has come", m.reached)
 				if err := end(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
 				m.proceed()
 				if way == "half-close" {
-					wantFinalResponses(t, client.br, m.answers)
+					wantFinalResponses(t, client.Br, m.answers)
 				}
-				waitUntil(t, "the connection has ended", func() bool {
-					return m.agent.statsNow().open == 0
+				agenttest.WaitUntil(t, "the connection has ended", func() bool {
+					return m.agent.statsNow().Open == 0
 				})
 				if begun := m.begun(); begun != m.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
 				}
-				if f := m.agent.metricsNow(); f.violations+f.backstops > 0 {
+				if f := m.agent.metricsNow(); f.Violations+f.Backstops > 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -8,12 +8,16 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // blockLoop stops the loop until the returned function is called.
 func (a *testAgent) blockLoop() (release func()) {
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.agent.loop.post(func() { close(held); <-blocked })
+	a.agent.loop.Post(func() { close(held); <-blocked })
 	<-held
 	return func() { close(blocked) }
 }
@@ -21,7 +25,7 @@
 // wantNoneOpen waits until the server knows that all clients' connections have ended.
 func (a *testAgent) wantNoneOpen(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "all clients' connections are closed", func() bool { return a.agent.downstream.openConns() == 0 })
+	agenttest.WaitUntil(t, "all clients' connections are closed", func() bool { return a.agent.downstream.OpenConns() == 0 })
 }
 
 // A client's close and an event that would have its request sent again cross on the way to the loop. The
@@ -31,28 +35,28 @@
 	turnsAway := func(c net.Conn, req *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		<-answer
-		return sendResponse(c, 503, "Not-Started: 1\r\n", "")
+		return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
 	}
-	first, second := newFakeServer(t, turnsAway), newFakeServer(t, turnsAway)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
+	first, second := agenttest.NewServer(t, turnsAway), agenttest.NewServer(t, turnsAway)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
 	c := a.dialKept()
-	fmt.Fprint(c, readRequestText(1, 4000))
+	fmt.Fprint(c, agenttest.RequestText(1, 4000))
 	<-arrived
 	release := a.blockLoop()
 	close(answer)
-	waitUntil(t, "the loop is to take the attempt's end", func() bool { return a.agent.loop.backlog() > 0 })
-	a.agent.loop.post(func() { // time for an attempt to begin before the loop takes the leaving
+	agenttest.WaitUntil(t, "the loop is to take the attempt's end", func() bool { return a.agent.loop.Backlog() > 0 })
+	a.agent.loop.Post(func() { // time for an attempt to begin before the loop takes the leaving
 		select {
 		case <-arrived:
 		case <-time.After(200 * time.Millisecond):
 		}
 	})
 	c.Close()
-	waitUntil(t, "the loop is to take the client's leaving", func() bool { return a.agent.loop.backlog() > 2 })
+	agenttest.WaitUntil(t, "the loop is to take the client's leaving", func() bool { return a.agent.loop.Backlog() > 2 })
 	release()
 	a.wantNoneOpen(t)
 	f := a.metricsNow()
-	if n := first.count() + second.count(); n != 1 || f.clientsGone != 1 || f.violations > 0 {
+	if n := first.Count() + second.Count(); n != 1 || f.ClientsGone != 1 || f.Violations > 0 {
 		t.Errorf("%d attempts, want 1; figures %+v", n, f)
 	}
 }
@@ -87,12 +91,12 @@
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	ln := fullListener(t)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
 		c.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
 	c := a.dialKept()
-	fmt.Fprint(c, readRequestText(1, 20000))
-	waitUntil(t, "the connect is under way", func() bool { return a.agent.pool.connectCount() == 1 })
+	fmt.Fprint(c, agenttest.RequestText(1, 20000))
+	agenttest.WaitUntil(t, "the connect is under way", func() bool { return a.agent.pool.ConnectCount() == 1 })
 	release := a.blockLoop()
 	defer release()
 	c.Close()
@@ -108,7 +112,7 @@
 		go func() {
 			defer nc.Close()
 			head := make([]byte, 1000)
-			_ = nc.SetReadDeadline(time.Now().Add(testTimeout))
+			_ = nc.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 			if n, _ := nc.Read(head); n > 0 {
 				t.Errorf("sent on: %q", head[:n])
 			}
@@ -121,14 +125,14 @@
 // end of a connection can't be seen before what precedes it.)
 func TestQueuedRequestIsNotSentOnceItsClientHasClosed(t *testing.T) {
 	for name, text := range map[string]string{
-		"nothing more":   readRequestText(9, 30000),
-		"a further byte": readRequestText(9, 30000),
-		"many more bytes": readRequestText(9, 30000) +
+		"nothing more":   agenttest.RequestText(9, 30000),
+		"a further byte": agenttest.RequestText(9, 30000),
+		"many more bytes": agenttest.RequestText(9, 30000) +
 			strings.Repeat("X", 30_000),
 		"half a long body": "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 30000\r\n" +
-			"Content-Length: 400000\r\n\r\n" + strings.Repeat("X", maxBufferedBody+20_000),
+			"Content-Length: 400000\r\n\r\n" + strings.Repeat("X", message.MaxBufferedBody+20_000),
 		"a whole long body": "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 9\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 30000\r\n" +
-			fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBufferedBody+20_000) + strings.Repeat("X", maxBufferedBody+20_000),
+			fmt.Sprintf("Content-Length: %d\r\n\r\n", message.MaxBufferedBody+20_000) + strings.Repeat("X", message.MaxBufferedBody+20_000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -137,17 +141,17 @@
 				if n < 8 {
 					<-answer
 				}
-				return respondOK(c, req, n)
+				return agenttest.RespondOK(c, req, n)
 			})
 			for range 8 { // all that a lone agent has out at an unmeasured server
 				c := a.dialKept()
-				fmt.Fprint(c, readRequestText(1, 30000))
+				fmt.Fprint(c, agenttest.RequestText(1, 30000))
 			}
-			waitUntil(t, "eight are at work", func() bool { return b.count() == 8 })
+			agenttest.WaitUntil(t, "eight are at work", func() bool { return b.Count() == 8 })
 			c := a.dialKept()
 			fmt.Fprint(c, text)
-			waitUntil(t, "the ninth waits", func() bool {
-				return a.statsNow().policy.Queued == 1
+			agenttest.WaitUntil(t, "the ninth waits", func() bool {
+				return a.statsNow().Policy.Queued == 1
 			})
 			if name == "a further byte" {
 				fmt.Fprint(c, "X")
@@ -156,8 +160,8 @@
 			c.Close()
 			time.Sleep(50 * time.Millisecond) // its FIN or reset is there long before
 			close(answer)
-			waitUntil(t, "it is over", func() bool { f := a.metricsNow(); return f.failed+f.clientsGone == 1 && f.served == 8 })
-			if b.startedCount() != 8 {
+			agenttest.WaitUntil(t, "it is over", func() bool { f := a.metricsNow(); return f.Failed+f.ClientsGone == 1 && f.Served == 8 })
+			if b.StartedCount() != 8 {
 				t.Error("a request was sent on whose client had left")
 			}
 		})
--- a/internal/agent/config.go
+++ b/internal/agent/config/config.go
@@ -1,4 +1,4 @@
-package agent
+package config
 
 import (
 	"context"
@@ -19,20 +19,20 @@
 	// Listen is where clients connect, and Discovery the first address of the discovery service.
 	Listen    string
 	Discovery string
-	// Management is the address of the admin endpoint; empty: there is none.
-	Management string
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int // MiB
-	Sockets    int // descriptors that the process may have
+	// AdminAddr is the address of the admin endpoint; empty: there is none.
+	AdminAddr string
+	Seed      uint64
+	Cores     float64
+	MemoryMB  int // MiB
+	Sockets   int // descriptors that the process may have
 	// Known is the endpoint list that is in force until discovery has responded.
-	Known    List
+	Known    endpoint.List
 	Settings balancer.Settings
 	// Zones and Kinds are the names of zones and of machine kinds, by the number that the policy knows.
 	Zones []string
 	Kinds []string
-	// Fleet is how this agent and the others keep a membership view; nil: they do not.
-	Fleet *membership.Config
+	// Membership is how this agent and the others keep a membership view; nil: they do not.
+	Membership *membership.Config
 	// Control is what the discovery service sends beside the list, and where; nil: nothing.
 	Control *Control
 
@@ -70,22 +70,22 @@
 	OnMemoryLimit func(bytes int64)
 }
 
-func (c *Config) systemClock() clock.Clock {
+func (c *Config) SystemClock() clock.Clock {
 	if c.Clock == nil {
 		return clock.System()
 	}
 	return c.Clock
 }
 
-func (c *Config) logger() *slog.Logger {
+func (c *Config) Logger() *slog.Logger {
 	if c.Log == nil {
 		return slog.Default()
 	}
 	return c.Log
 }
 
-// addresses are the addresses of discovery without duplicates, "discovery" first.
-func (c *Config) addresses() []string {
+// Addresses are the addresses of discovery without duplicates, "discovery" first.
+func (c *Config) Addresses() []string {
 	all := []string{c.Discovery}
 	if c.Control == nil {
 		return all
@@ -98,8 +98,8 @@
 	return all
 }
 
-// settingsVersion is the version of the settings, 0 where they are the file's.
-func (c *Config) settingsVersion() uint64 {
+// SettingsVersion is the version of the settings, 0 where they are the file's.
+func (c *Config) SettingsVersion() uint64 {
 	if c.serviceSettings == nil {
 		return 0
 	}
--- a/internal/agent/config_control.go
+++ b/internal/agent/config/control.go
@@ -1,4 +1,4 @@
-package agent
+package config
 
 import (
 	"bytes"
--- a/internal/agent/config_control_test.go
+++ b/internal/agent/config/control_test.go
@@ -1,14 +1,17 @@
-package agent
+package config_test
 
 import (
 	"strings"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 func TestControlSection(t *testing.T) {
-	load := func(control string) (*Config, error) {
-		return ParseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
-"limits":{"cores":1,"memory_mb":64,"sockets":256},` + control + `"settings":` + testSettings + `}`))
+	load := func(control string) (*config.Config, error) {
+		return config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
+"limits":{"cores":1,"memory_mb":64,"sockets":256},` + control + `"settings":` + agenttest.Settings + `}`))
 	}
 	for control, want := range map[string]string{
 		``:                                     "127.0.0.1:2",
@@ -19,7 +22,7 @@
 		c, err := load(control)
 		if err != nil {
 			t.Errorf("%s: %v", control, err)
-		} else if got := strings.Join(c.addresses(), " "); got != want {
+		} else if got := strings.Join(c.Addresses(), " "); got != want {
 			t.Errorf("%s: addresses %s, want %s", control, got, want)
 		}
 	}
--- a/internal/agent/config_file.go
+++ b/internal/agent/config/file.go
@@ -1,4 +1,4 @@
-package agent
+package config
 
 import (
 	"encoding/json"
@@ -11,6 +11,7 @@
 	"runtime/debug"
 	"strconv"
 
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
@@ -23,27 +24,27 @@
 
 // configFile is the form of $PROXY_CONFIG.
 type configFile struct {
-	Name       string `json:"name"`
-	Listen     string `json:"listen"`
-	Discovery  string `json:"discovery"`
-	Management string `json:"management"`
-	Seed       string `json:"seed"`
-	Limits     struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Admin     string `json:"management"`
+	Seed      string `json:"seed"`
+	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    List            `json:"known"`
-	Fleet    json.RawMessage `json:"fleet"`
-	Control  json.RawMessage `json:"control"`
-	Settings json.RawMessage `json:"settings"`
+	Known      endpoint.List   `json:"known"`
+	Membership json.RawMessage `json:"fleet"`
+	Control    json.RawMessage `json:"control"`
+	Settings   json.RawMessage `json:"settings"`
 
 	text map[string]any // all of the file
 }
 
-// LoadConfig reads the configuration from the environment and from the file that it names. Where both set a
+// Load reads the configuration from the environment and from the file that it names. Where both set a
 // value the environment has precedence: the platform set it for this start.
-func LoadConfig(getenv func(string) string) (*Config, error) {
+func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
@@ -52,7 +53,7 @@
 		"PROXY_NAME":       &f.Name,
 		"PROXY_LISTEN":     &f.Listen,
 		"PROXY_DISCOVERY":  &f.Discovery,
-		"PROXY_MANAGEMENT": &f.Management,
+		"PROXY_MANAGEMENT": &f.Admin,
 	}
 	for name, field := range overrides {
 		if value := getenv(name); value != "" {
@@ -62,10 +63,10 @@
 	return f.config()
 }
 
-// ReloadConfig reads the file again, in service. The file is later than the environment of the start, so the
+// Reload reads the file again, in service. The file is later than the environment of the start, so the
 // file has precedence. A key that the file in force has and the new one lacks is an error: read as a zero it
 // would be a setting that nobody made.
-func ReloadConfig(getenv func(string) string, inForce *Config) (*Config, error) {
+func Reload(getenv func(string) string, inForce *Config) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
 		return nil, err
@@ -73,8 +74,8 @@
 	return f.reloaded(inForce)
 }
 
-// ParseConfig reads a configuration of the form of $PROXY_CONFIG's file; an error names the key.
-func ParseConfig(text []byte) (*Config, error) {
+// Parse reads a configuration of the form of $PROXY_CONFIG's file; an error names the key.
+func Parse(text []byte) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
@@ -82,7 +83,7 @@
 	return f.config()
 }
 
-// ParseReload reads such a configuration as ReloadConfig does, in place of the one in force.
+// ParseReload reads such a configuration as Reload does, in place of the one in force.
 func ParseReload(text []byte, inForce *Config) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
@@ -204,15 +205,15 @@
 // config checks the file and makes the configuration of it; an error names the key.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{
-		Name:       f.Name,
-		Listen:     f.Listen,
-		Discovery:  f.Discovery,
-		Management: f.Management,
-		Cores:      f.Limits.Cores,
-		MemoryMB:   f.Limits.MemoryMB,
-		Sockets:    f.Limits.Sockets,
-		Known:      f.Known,
-		text:       f.text,
+		Name:      f.Name,
+		Listen:    f.Listen,
+		Discovery: f.Discovery,
+		AdminAddr: f.Admin,
+		Cores:     f.Limits.Cores,
+		MemoryMB:  f.Limits.MemoryMB,
+		Sockets:   f.Limits.Sockets,
+		Known:     f.Known,
+		text:      f.text,
 	}
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
@@ -234,7 +235,7 @@
 	if err := c.parseControlSection(f.Control); err != nil {
 		return nil, err
 	}
-	if err := c.parseFleetSection(f.Fleet); err != nil {
+	if err := c.parseFleetSection(f.Membership); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -244,7 +245,7 @@
 	addresses := []struct{ key, value string }{
 		{"listen", c.Listen},
 		{"discovery", c.Discovery},
-		{"management", c.Management},
+		{"management", c.AdminAddr},
 	}
 	for _, address := range addresses {
 		if address.key == "management" && address.value == "" {
@@ -263,8 +264,8 @@
 		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
 	case c.MemoryMB < minMemoryMB:
 		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
-	case c.Sockets < minSockets:
-		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	case c.Sockets < MinSockets:
+		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", MinSockets, c.Sockets)
 	}
 	return nil
 }
@@ -294,13 +295,13 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if least := minSockets + membership.MaxDescriptors; c.Sockets < least {
+	if least := MinSockets + membership.MaxDescriptors; c.Sockets < least {
 		return fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", least, c.Sockets)
 	}
 	fleet.Name = c.Name
 	fleet.Size = c.Settings.FleetSize
 	fleet.Version = buildRevision()
-	c.Fleet = fleet
+	c.Membership = fleet
 	return nil
 }
 
--- a/internal/agent/config_test.go
+++ b/internal/agent/config/file_test.go
@@ -1,22 +1,25 @@
-package agent
+package config_test
 
 import (
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 func TestConfig(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"known":{"version":4,"full":true,"servers":[{"id":"s-1"}]},
-"settings":` + testSettings + `}`
-	load := func(text string, env map[string]string) (*Config, error) {
+"settings":` + agenttest.Settings + `}`
+	load := func(text string, env map[string]string) (*config.Config, error) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return LoadConfig(func(name string) string {
+		return config.Load(func(name string) string {
 			if name == "PROXY_CONFIG" {
 				return path
 			}
@@ -48,7 +51,7 @@
 			t.Errorf("%s: error %v, want one line with %q", bad.to, err, bad.want)
 		}
 	}
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
+	if _, err := config.Load(func(string) string { return "" }); err == nil {
 		t.Error("no configuration is accepted")
 	}
 }
@@ -56,7 +59,7 @@
 // Whatever a file lacks or gets wrong, the settings in force stay as they are, all of them.
 func TestReloadRejectsInvalidFiles(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
-"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:9"}]},"settings":` + testSettings + `}`
+"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:9"}]},"settings":` + agenttest.Settings + `}`
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string {
 		if name == "PROXY_CONFIG" {
@@ -71,7 +74,7 @@
 		}
 	}
 	write(good)
-	now, err := LoadConfig(getenv)
+	now, err := config.Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +86,7 @@
 		{`"servers":[{"id":"a","addr":"127.0.0.1:9"}]`, `"servers":[]`},
 	} {
 		write(strings.Replace(good, fine.from, fine.to, 1))
-		if _, err := ReloadConfig(getenv, now); err != nil {
+		if _, err := config.Reload(getenv, now); err != nil {
 			t.Errorf("%q for %q: %v", fine.to, fine.from, err)
 		}
 	}
@@ -111,7 +114,7 @@
 		{`"name":"send"`, `"name":""`, "name"},
 	} {
 		write(strings.Replace(good, bad.from, bad.to, 1))
-		_, err := ReloadConfig(getenv, now)
+		_, err := config.Reload(getenv, now)
 		if err == nil || !strings.Contains(err.Error(), bad.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.40q for %.40q: error %v, want one line with %q", bad.to, bad.from, err, bad.want)
 		}
--- a/internal/agent/config_limits.go
+++ b/internal/agent/config/limits.go
@@ -1,16 +1,16 @@
-package agent
+package config
 
 import "fernbeam.example/fernbeam/internal/membership"
 
 const (
-	// minSockets leaves a few connections to each side beside the reserve.
-	minSockets = 64
+	// MinSockets leaves a few connections to each side beside the reserve.
+	MinSockets = 64
 	// fixedSockets are the descriptors that a process always needs: three standard streams, two of the poller,
 	// its two listeners, the lock, four calls to discovery, the file that is read at a reload, and one
 	// connection that is accepted before another is closed.
 	fixedSockets = 14
-	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
-	maxAdminConns = 24
+	// MaxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
+	MaxAdminConns = 24
 	// reserveDivisor is the part of the descriptors, as a divisor, that neither side's connections may use.
 	reserveDivisor = 8
 	// bytesPerMiB converts the memory limit.
@@ -19,25 +19,25 @@
 	minReserve = 2 * (fixedSockets + 2)
 )
 
-// clientConns and serverConns divide the descriptors: neither side can use the other's, nor the reserve, which
+// ClientConns and ServerConns divide the descriptors: neither side can use the other's, nor the reserve, which
 // is for admin connections and for fixedSockets.
-func (c *Config) clientConns() int {
+func (c *Config) ClientConns() int {
 	sockets := c.ownSockets()
 	reserve := max(sockets/reserveDivisor, minReserve)
 	return (sockets - reserve) / 2
 }
 
-func (c *Config) serverConns() int { return c.clientConns() }
+func (c *Config) ServerConns() int { return c.ClientConns() }
 
-// adminConns is the number of admin connections of a process where the reserve is shared by so many processes.
-func (c *Config) adminConns(processes int) int {
-	reserve := c.ownSockets() - c.clientConns() - c.serverConns()
-	return min(reserve/processes-fixedSockets, maxAdminConns)
+// AdminConns is the number of admin connections of a process where the reserve is shared by so many processes.
+func (c *Config) AdminConns(processes int) int {
+	reserve := c.ownSockets() - c.ClientConns() - c.ServerConns()
+	return min(reserve/processes-fixedSockets, MaxAdminConns)
 }
 
 // ownSockets are the descriptors without those of the membership view, where there is one.
 func (c *Config) ownSockets() int {
-	if c.Fleet == nil {
+	if c.Membership == nil {
 		return c.Sockets
 	}
 	return c.Sockets - membership.MaxDescriptors
--- a/internal/agent/config_settings.go
+++ b/internal/agent/config/settings.go
@@ -1,4 +1,4 @@
-package agent
+package config
 
 import (
 	"encoding/json"
@@ -40,10 +40,10 @@
 	return err
 }
 
-// withServiceSettings is the configuration with settings of the discovery service in place of its own, except
-// for agentOnlyKeys. The rules are those of ReloadConfig: an error names the key that can't be used, or that
+// WithServiceSettings is the configuration with settings of the discovery service in place of its own, except
+// for agentOnlyKeys. The rules are those of Reload: an error names the key that can't be used, or that
 // the settings in force have and the new ones lack.
-func (c *Config) withServiceSettings(settings *endpoint.Settings) (*Config, error) {
+func (c *Config) WithServiceSettings(settings *endpoint.Settings) (*Config, error) {
 	var object map[string]any
 	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
 		return nil, errors.New("settings: not a JSON object")
@@ -69,9 +69,9 @@
 	return &next, nil
 }
 
-// keepServiceSettings is the configuration, which a file brought, with the settings of the one in force where
+// KeepServiceSettings is the configuration, which a file brought, with the settings of the one in force where
 // those came from the discovery service: they have precedence over a file's.
-func (c *Config) keepServiceSettings(inForce *Config) (*Config, error) {
+func (c *Config) KeepServiceSettings(inForce *Config) (*Config, error) {
 	if inForce.serviceSettings == nil {
 		return c, nil
 	}
@@ -81,7 +81,7 @@
 		// The file's other keys no longer count, and so can't be missing.
 		next.text[settingsKey] = agentOnly(ownObject)
 	}
-	return next.withServiceSettings(inForce.serviceSettings)
+	return next.WithServiceSettings(inForce.serviceSettings)
 }
 
 // agentOnly is the part of a settings object that belongs to one agent.
--- a/internal/agent/connection_pool_test.go
+++ b/internal/agent/connection_pool_test.go
@@ -7,19 +7,23 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 func TestConnectionIsReused(t *testing.T) {
-	a, b := startWithServer(t, respondOK)
+	a, b := startWithServer(t, agenttest.RespondOK)
 	for range 3 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-		wantStatus(t, status, 200)
-		time.Sleep(2 * settleTime)
+		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		agenttest.WantStatus(t, status, 200)
+		time.Sleep(2 * upstream.SettleTime)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.arrivals != 3 || b.most != 1 || len(b.ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.most, len(b.ended))
+	b.Mu.Lock()
+	defer b.Mu.Unlock()
+	if b.Arrivals != 3 || b.Most != 1 || len(b.Ended) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", b.Arrivals, b.Most, len(b.Ended))
 	}
 }
 
@@ -27,23 +31,23 @@
 // one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		respondOK(c, req, n)
+		agenttest.RespondOK(c, req, n)
 		return n > 0
 	})
 	wantServed := func() {
 		t.Helper()
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-		wantStatus(t, status, 200)
+		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		agenttest.WantStatus(t, status, 200)
 	}
 	wantServed()
 	select {
-	case <-b.ended:
-	case <-time.After(testTimeout):
+	case <-b.Ended:
+	case <-time.After(agenttest.Timeout):
 		t.Fatal("the backend did not close")
 	}
 	wantServed()
-	if b.count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.count())
+	if b.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", b.Count())
 	}
 }
 
@@ -52,15 +56,15 @@
 // so.
 func TestNoSilentResend(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		return n == 0 && respondOK(c, req, n)
+		return n == 0 && agenttest.RespondOK(c, req, n)
 	})
-	status, _, _ := a.do(newRequest(a.addr, "order", ""))
-	wantStatus(t, status, 200)
-	time.Sleep(2 * settleTime)
-	status, _, _ = a.do(newRequest(a.addr, "order", ""))
-	wantStatus(t, status, 502)
-	if b.count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.count())
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", ""))
+	agenttest.WantStatus(t, status, 200)
+	time.Sleep(2 * upstream.SettleTime)
+	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", ""))
+	agenttest.WantStatus(t, status, 502)
+	if b.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", b.Count())
 	}
 }
 
@@ -68,25 +72,25 @@
 // can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
-	b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	b := agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := a.agent.cfg.clientConns()
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) { c.Sockets = config.MinSockets })
+	most := a.agent.cfg.ClientConns()
 	for range 2 * most { // clients that stay connected and idle
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(testTimeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 	close(release)
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -9,6 +9,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 const (
@@ -37,7 +41,7 @@
 	}
 }
 
-// forget forgets the attempts up to now.
+// Forget forgets the attempts up to now.
 func (d *deadlineRecorder) forget() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,20 +75,20 @@
 	const left = timeoutMs - int(testDelay/time.Millisecond)
 	for name, test := range map[string]func(t *testing.T, d *deadlineRecorder){
 		"first attempt": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(respondOK))
+			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			wantStatus(t, finalStatus(t, c), 200)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.want(t, timeoutMs)
 		},
 		"after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(respondOK))
+			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
 			requestDuringStall(t, a, timedRequest(timeoutMs, "x"))
 			d.want(t, left)
 		},
 		"long body after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
 			a, _ := startWithServer(t, d.recording(hashResponder))
-			requestDuringStall(t, a, timedRequest(timeoutMs, strings.Repeat("x", 2*maxBufferedBody)))
+			requestDuringStall(t, a, timedRequest(timeoutMs, strings.Repeat("x", 2*message.MaxBufferedBody)))
 			d.want(t, left)
 		},
 		"retries": func(t *testing.T, d *deadlineRecorder) {
@@ -92,11 +96,11 @@
 				time.Sleep(testDelay)
 				return respondOverloaded(c, req, n)
 			})
-			first, second := newFakeServer(t, slow), newFakeServer(t, slow)
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", first.addr), target("s-2", second.addr)), nil)
+			first, second := agenttest.NewServer(t, slow), agenttest.NewServer(t, slow)
+			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			wantStatus(t, finalStatus(t, c), 503)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 503)
 			// The third attempt goes back to one of the two: there are no others.
 			d.mu.Lock()
 			attempts := len(d.told)
@@ -112,19 +116,19 @@
 		},
 		"late connect": func(t *testing.T, d *deadlineRecorder) {
 			ln := fullListener(t)
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), func(c *Config) {
+			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
 				c.Settings.Limits.ConnectTimeoutMs = 10_000
 			})
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			waitUntil(t, "the connect is under way", func() bool { return a.agent.pool.connectCount() == 1 })
+			agenttest.WaitUntil(t, "the connect is under way", func() bool { return a.agent.pool.ConnectCount() == 1 })
 			time.Sleep(testDelay)
-			go (&fakeServer{t: t, ln: ln, answer: d.recording(respondOK), ended: make(chan struct{}, 10)}).accept()
-			wantStatus(t, finalStatus(t, c), 200)
+			go (&agenttest.Server{T: t, Ln: ln, Answer: d.recording(agenttest.RespondOK), Ended: make(chan struct{}, 10)}).Accept()
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.want(t, left)
 		},
 		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
-			b := newFakeServer(t, d.recording(respondOK))
+			b := agenttest.NewServer(t, d.recording(agenttest.RespondOK))
 			a, broken := startWithBlockedConn(t, b)
 			d.forget()
 			c := a.dialKept()
@@ -132,42 +136,42 @@
 			<-broken.writing
 			time.Sleep(testDelay)
 			close(broken.proceed)
-			wantStatus(t, finalStatus(t, c), 200)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.want(t, left)
 		},
 		"queued": func(t *testing.T, d *deadlineRecorder) {
-			m := queuedBehind(t, d.recording(respondOK))
+			m := queuedBehind(t, d.recording(agenttest.RespondOK))
 			d.forget()
 			c := m.agent.dialKept()
 			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			waitUntil(t, "it waits", m.reached)
+			agenttest.WaitUntil(t, "it waits", m.reached)
 			time.Sleep(testDelay)
 			m.proceed()
-			wantStatus(t, finalStatus(t, c), 200)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.mu.Lock()
 			d.told = d.told[len(d.told)-1:]
 			d.mu.Unlock()
 			d.want(t, left)
 		},
 		"body that comes late": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(respondOK))
+			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
 			c := a.dialKept()
 			text := timedRequest(timeoutMs, "xy")
 			fmt.Fprint(c, text[:len(text)-1])
 			time.Sleep(testDelay)
 			fmt.Fprint(c, text[len(text)-1:])
-			wantStatus(t, finalStatus(t, c), 200)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.want(t, timeoutMs) // the time counts from the last byte
 		},
 		"long upload": func(t *testing.T, d *deadlineRecorder) {
 			a, _ := startWithServer(t, d.recording(hashResponder))
 			c := a.dialKept()
-			text := timedRequest(timeoutMs, strings.Repeat("x", 4*maxBufferedBody))
-			for _, part := range []string{text[:2*maxBufferedBody], text[2*maxBufferedBody : 3*maxBufferedBody], text[3*maxBufferedBody:]} {
+			text := timedRequest(timeoutMs, strings.Repeat("x", 4*message.MaxBufferedBody))
+			for _, part := range []string{text[:2*message.MaxBufferedBody], text[2*message.MaxBufferedBody : 3*message.MaxBufferedBody], text[3*message.MaxBufferedBody:]} {
 				fmt.Fprint(c, part)
 				time.Sleep(testDelay)
 			}
-			wantStatus(t, finalStatus(t, c), 200)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 			d.want(t, timeoutMs)
 		},
 	} {
@@ -184,20 +188,20 @@
 	release := a.blockLoop()
 	c := a.dialKept()
 	fmt.Fprint(c, text)
-	waitUntil(t, "the loop is to take the request", func() bool { return a.agent.loop.backlog() > 0 })
+	agenttest.WaitUntil(t, "the loop is to take the request", func() bool { return a.agent.loop.Backlog() > 0 })
 	time.Sleep(testDelay)
 	release()
-	wantStatus(t, finalStatus(t, c), 200)
+	agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 }
 
 // With hardly any time left a request has its response, and gives no server more time than that.
 func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
 	d := &deadlineRecorder{}
-	a, _ := startWithServer(t, d.recording(respondOK))
+	a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
 	for _, timeout := range []int{1, 2, 3, 4, 5, 8, 12} {
 		c := a.dialKept()
 		fmt.Fprint(c, timedRequest(timeout, "x"))
-		if status := finalStatus(t, c); status != 200 && status != 502 && status != 503 && status != 504 {
+		if status := agenttest.FinalStatus(t, c); status != 200 && status != 502 && status != 503 && status != 504 {
 			t.Errorf("%d ms: answered %d", timeout, status)
 		}
 		d.mu.Lock()
@@ -209,7 +213,7 @@
 		d.told = nil
 		d.mu.Unlock()
 	}
-	if f := a.metricsNow(); f.violations > 0 {
+	if f := a.metricsNow(); f.Violations > 0 {
 		t.Errorf("the module sent attempts that have no time: figures %+v", f)
 	}
 }
@@ -228,15 +232,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := &deadlineRecorder{}
-			a, _ := startWithServer(t, d.recording(respondOK))
+			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
 			release := takeAllSlots(t, a)
 			a.dialKept() // takes the slot that Accept holds already
-			waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
+			agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
 			c := a.dialKept()
 			fmt.Fprint(c, timedRequest(test.timeoutMs, "x"))
 			time.Sleep(testDelay)
 			release()
-			wantStatus(t, finalStatus(t, c), test.status)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), test.status)
 			d.want(t, test.told...)
 		})
 	}
@@ -246,17 +250,17 @@
 // connection waited.
 func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
 	t.Parallel()
-	a, _ := startWithServer(t, respondOK)
+	a, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, a)
 	a.dialKept()
-	waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
+	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
 	const timeout = 2 * time.Second
 	c := a.dialKept()
 	time.Sleep(timeout)
 	release()
-	waitUntil(t, "it is accepted", func() bool { return a.agent.downstream.openConns() > 1 })
+	agenttest.WaitUntil(t, "it is accepted", func() bool { return a.agent.downstream.OpenConns() > 1 })
 	for range 2 {
 		fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), "x"))
-		wantStatus(t, finalStatus(t, c), 200)
+		agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
 	}
 }
--- a/internal/agent/discovery_backoff.go
+++ b/internal/agent/discovery/backoff.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"math/rand/v2"
--- a/internal/agent/discovery_client.go
+++ b/internal/agent/discovery/client.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -13,6 +13,7 @@
 
 	"golang.org/x/time/rate"
 
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
@@ -41,20 +42,20 @@
 // Target is one server in a List.
 type Target = endpoint.Endpoint
 
-// errDiscoveryMoved ends a call to an address that discovery has left.
-var errDiscoveryMoved = errors.New("discovery has moved")
+// errMoved ends a call to an address that discovery has left.
+var errMoved = errors.New("discovery has moved")
 
 // errOlderVersion ends a call whose response has an older version than the one that was asked for.
 var errOlderVersion = errors.New("discovery: response with an older version")
 
-// discoveryClient makes the calls that the policy asks for and hands on what they return. The policy decides
+// Client makes the calls that the policy asks for and hands on what they return. The policy decides
 // when to call again after a failure: a failed call ends the watch and is passed on as ListFailed, and the
 // policy sets a timer with exponential backoff and jitter. Where changes are pushed the policy does not ask,
-// and keepWatch keeps a watch.
-type discoveryClient struct {
+// and KeepWatch keeps a watch.
+type Client struct {
 	client     *http.Client
 	limit      *rate.Limiter
-	onResponse func(listResponse)
+	onResponse func(Response)
 	// name is the agent's, and backoff the wait of the watch after a failure; nil: as with one address.
 	name    string
 	backoff *addressBackoff
@@ -66,31 +67,31 @@
 	counters  callCounters
 
 	mu     sync.Mutex
-	source *discoverySource
+	source *Source
 	conns  map[*countedConn]bool // open connections; nil once the client is closed
 }
 
-// listResponse is the end of one call; err says why it has no list.
-type listResponse struct {
-	source *discoverySource
-	list   *List
-	watch  bool
-	// complete tells that the full list was asked for, and not what has changed: the version of the list
+// Response is the end of one call; err says why it has no list.
+type Response struct {
+	Source *Source
+	List   *endpoint.List
+	Watch  bool
+	// Complete tells that the full list was asked for, and not what has changed: the version of the list
 	// counts whatever was known before.
-	complete bool
-	// lastAnswer is when discovery last responded before the call was made; 0: it had not.
-	lastAnswer time.Duration
-	err        error
+	Complete bool
+	// LastAnswer is when discovery last responded before the call was made; 0: it had not.
+	LastAnswer time.Duration
+	Err        error
 }
 
-// newDiscoveryClient makes the client of a configuration's addresses, where the list that it knows is known already.
+// New makes the client of a configuration's addresses, where the list that it knows is known already.
 // With the section "control" the watch goes round all addresses, and asks for the settings of the section's
 // service, which apply puts in force. Each end of a call is passed to onResponse.
-func newDiscoveryClient(
-	cfg *Config, timeSource clock.Clock, apply applySettings, onResponse func(listResponse),
-) *discoveryClient {
-	d := &discoveryClient{
-		source:     newDiscoverySource(cfg.Known.Version, cfg.Discovery),
+func New(
+	cfg *config.Config, timeSource clock.Clock, apply ApplySettings, onResponse func(Response),
+) *Client {
+	d := &Client{
+		source:     newSource(cfg.Known.Version, cfg.Discovery),
 		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
 		localAddr:  cfg.CallFrom,
 		clock:      timeSource,
@@ -109,15 +110,15 @@
 	}
 	d.name = cfg.Name
 	d.backoff = newAddressBackoff()
-	d.source = newDiscoverySource(cfg.Known.Version, orderAddresses(cfg.addresses(), d.name)...)
+	d.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), d.name)...)
 	if cfg.Control.Service != "" {
 		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: apply}
 	}
 	return d
 }
 
-// close closes all connections; no call is answered any more.
-func (d *discoveryClient) close() {
+// Close closes all connections; no call is answered any more.
+func (d *Client) Close() {
 	d.mu.Lock()
 	open := d.conns
 	d.conns = nil
@@ -127,34 +128,34 @@
 	}
 }
 
-// keepsOwnWatch tells whether the client goes round several addresses, and so keeps a watch by itself.
-func (d *discoveryClient) keepsOwnWatch() bool { return d.backoff != nil }
+// KeepsOwnWatch tells whether the client goes round several addresses, and so keeps a watch by itself.
+func (d *Client) KeepsOwnWatch() bool { return d.backoff != nil }
 
-// forgetRejectedSettings has settings that were rejected sent and checked again.
-func (d *discoveryClient) forgetRejectedSettings() { d.settingsWatch.forgetRejection() }
+// ForgetRejectedSettings has settings that were rejected sent and checked again.
+func (d *Client) ForgetRejectedSettings() { d.settingsWatch.forgetRejection() }
 
-// moveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
+// MoveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
 // new source may count versions of its own. Connections to the old source are not kept. Which of several
 // addresses is called first depends on the agent's name.
-func (d *discoveryClient) moveTo(addrs ...string) {
+func (d *Client) MoveTo(addrs ...string) {
 	d.mu.Lock()
 	old := d.source
-	d.source = newDiscoverySource(0, orderAddresses(addrs, d.name)...)
+	d.source = newSource(0, orderAddresses(addrs, d.name)...)
 	d.mu.Unlock()
 	old.markMoved()
 	d.client.CloseIdleConnections()
 }
 
-func (d *discoveryClient) currentSource() *discoverySource {
+func (d *Client) CurrentSource() *Source {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source
 }
 
-// fetch polls for the full list once.
-func (d *discoveryClient) fetch(ctx context.Context) {
+// Fetch polls for the full list once.
+func (d *Client) Fetch(ctx context.Context) {
 	response := d.fetchOnce(ctx)
-	if errors.Is(response.err, errDiscoveryMoved) {
+	if errors.Is(response.Err, errMoved) {
 		response = d.fetchOnce(ctx)
 	}
 	if ctx.Err() == nil {
@@ -162,17 +163,17 @@
 	}
 }
 
-func (d *discoveryClient) fetchOnce(ctx context.Context) listResponse {
-	source := d.currentSource()
-	response := listResponse{source: source, lastAnswer: source.lastAnswer()}
-	response.list, response.err = d.get(ctx, source, "", 2*callGrace, 0)
+func (d *Client) fetchOnce(ctx context.Context) Response {
+	source := d.CurrentSource()
+	response := Response{Source: source, LastAnswer: source.lastAnswer()}
+	response.List, response.Err = d.get(ctx, source, "", 2*callGrace, 0)
 	return response
 }
 
 // get makes one call within a timeout, and accepts no list older than minVersion.
-func (d *discoveryClient) get(
-	ctx context.Context, source *discoverySource, query string, timeout time.Duration, minVersion uint64,
-) (*List, error) {
+func (d *Client) get(
+	ctx context.Context, source *Source, query string, timeout time.Duration, minVersion uint64,
+) (*endpoint.List, error) {
 	if err := d.limit.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
@@ -192,7 +193,7 @@
 	// Another idle connection may have fallen silent with this one: the next call opens its own.
 	d.client.CloseIdleConnections()
 	if source.moved.Err() != nil {
-		return nil, errDiscoveryMoved
+		return nil, errMoved
 	}
 	source.advance(index)
 	if len(source.addrs) > 1 {
@@ -202,7 +203,7 @@
 }
 
 // call makes one call and reads the list of its response.
-func (d *discoveryClient) call(ctx context.Context, url string) (*List, error) {
+func (d *Client) call(ctx context.Context, url string) (*endpoint.List, error) {
 	if d.backoff != nil {
 		ctx = withSingleConn(ctx)
 	}
@@ -227,11 +228,11 @@
 }
 
 // parseList reads a list. What is not a list must not pass for one that names no servers.
-func (d *discoveryClient) parseList(text []byte) (*List, error) {
+func (d *Client) parseList(text []byte) (*endpoint.List, error) {
 	var parsed struct {
 		Version *uint64
 		Full    bool
-		Servers []Target
+		Servers []endpoint.Endpoint
 		// Settings are read only where they were asked for.
 		Settings json.RawMessage
 	}
@@ -241,7 +242,7 @@
 	if parsed.Version == nil || parsed.Full && parsed.Servers == nil {
 		return nil, errors.New("discovery: response is not a list")
 	}
-	list := &List{Version: *parsed.Version, Full: parsed.Full, Servers: parsed.Servers}
+	list := &endpoint.List{Version: *parsed.Version, Full: parsed.Full, Servers: parsed.Servers}
 	if d.settingsWatch == nil || len(parsed.Settings) == 0 {
 		return list, nil
 	}
--- a/internal/agent/discovery_unit_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -11,35 +11,38 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // A watch that has fallen silent is opened anew, on a connection of its own: one that idles
 // beside it may have fallen silent with it.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
-	addr, calls := scriptedDiscovery(t, func(_ int, c watchCall) string {
-		if c.index == "" {
+	addr, calls := agenttest.ScriptedDiscovery(t, func(_ int, c agenttest.WatchCall) string {
+		if c.Index == "" {
 			return `{"version":7,"full":true,"servers":[]}`
 		}
 		return "" // all that is open now stays silent
 	})
-	d := newTestDiscoveryClient(addr, 7, func(listResponse) {})
+	d := newTestClient(addr, 7, func(Response) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.keepWatch(ctx)
-	first := nextCall(t, calls)
+	go d.KeepWatch(ctx)
+	first := agenttest.NextCall(t, calls)
 	silent := time.Now()
-	d.fetch(ctx) // on another connection, which idles from now on
-	second := nextCall(t, calls)
-	if first.conn == second.conn {
+	d.Fetch(ctx) // on another connection, which idles from now on
+	second := agenttest.NextCall(t, calls)
+	if first.Conn == second.Conn {
 		t.Fatal("the fetch came on the watch's connection")
 	}
-	third := nextCall(t, calls)
-	if third.index != "7" || third.conn == first.conn || third.conn == second.conn {
+	third := agenttest.NextCall(t, calls)
+	if third.Index != "7" || third.Conn == first.Conn || third.Conn == second.Conn {
 		t.Errorf("after the silence: call %+v, want index 7 on a new connection", third)
 	}
-	if took := time.Since(silent); took > notifiedWithin {
+	if took := time.Since(silent); took > agenttest.NotifiedWithin {
 		t.Errorf("the watch was opened anew after %v", took)
 	}
 }
@@ -48,30 +51,30 @@
 // a version of the old one.
 func TestMovedDiscoveryIsPolledForTheFullList(t *testing.T) {
 	t.Parallel()
-	old, oldCalls := scriptedDiscovery(t, func(int, watchCall) string { return "" })
-	moved, calls := scriptedDiscovery(t, func(n int, _ watchCall) string {
+	old, oldCalls := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string { return "" })
+	moved, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 		if n < 2 {
 			return "no list"
 		}
 		return `{"version":3,"full":true,"servers":[]}`
 	})
-	told := make(chan listResponse, 100)
-	d := newTestDiscoveryClient(old, 41, func(n listResponse) { told <- n })
+	told := make(chan Response, 100)
+	d := newTestClient(old, 41, func(n Response) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.keepWatch(ctx)
-	if c := nextCall(t, oldCalls); c.index != "41" {
+	go d.KeepWatch(ctx)
+	if c := agenttest.NextCall(t, oldCalls); c.Index != "41" {
 		t.Errorf("the known version was not asked from: %+v", c)
 	}
-	d.moveTo(moved)
+	d.MoveTo(moved)
 	for i, want := range []string{"0", "0", "0", "3"} {
-		if c := nextCall(t, calls); c.index != want {
-			t.Errorf("call %d asks from %s, want %s", i, c.index, want)
+		if c := agenttest.NextCall(t, calls); c.Index != want {
+			t.Errorf("call %d asks from %s, want %s", i, c.Index, want)
 		}
 	}
 	for n := range told {
-		if n.err == nil {
-			if !n.complete || n.list.Version != 3 {
+		if n.Err == nil {
+			if !n.Complete || n.List.Version != 3 {
 				t.Errorf("told %+v", n)
 			}
 			break
@@ -87,18 +90,18 @@
 		t.Fatal(err)
 	}
 	refusing.Close()
-	told := make(chan listResponse, 100)
-	d := newTestDiscoveryClient(refusing.Addr().String(), 1, func(n listResponse) { told <- n })
+	told := make(chan Response, 100)
+	d := newTestClient(refusing.Addr().String(), 1, func(n Response) { told <- n })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.keepWatch(ctx)
+	go d.KeepWatch(ctx)
 	last := time.Now()
 	for range 6 { // the wait has doubled to its bound by then
 		n := <-told
-		if n.err == nil || errors.Is(n.err, errDiscoveryMoved) {
+		if n.Err == nil || errors.Is(n.Err, errMoved) {
 			t.Fatalf("told %+v", n)
 		}
-		if wait := time.Since(last); wait > notifiedWithin-watchWait-callGrace {
+		if wait := time.Since(last); wait > agenttest.NotifiedWithin-watchWait-callGrace {
 			t.Errorf("a refused call was repeated after %v", wait)
 		}
 		last = time.Now()
@@ -113,19 +116,19 @@
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer busy.Close()
-	d := newTestDiscoveryClient(busy.Listener.Addr().String(), 1, func(listResponse) {})
+	d := newTestClient(busy.Listener.Addr().String(), 1, func(Response) {})
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
 	from := time.Now()
-	d.watch(ctx)
+	d.Watch(ctx)
 	most := maxCallBurst + int64(maxCallsPerSecond*time.Since(from).Seconds()) + 1
 	if n := calls.Load(); n < 2 || n > most {
 		t.Errorf("%d calls, want 2 to %d", n, most)
 	}
 }
 
-// newTestDiscoveryClient is a discovery client without an agent, which knows version of the list at addr.
-func newTestDiscoveryClient(addr string, version uint64, onResponse func(listResponse)) *discoveryClient {
-	cfg := &Config{Discovery: addr, Known: List{Version: version}}
-	return newDiscoveryClient(cfg, clock.System(), nil, onResponse)
+// newTestClient is a discovery client without an agent, which knows version of the list at addr.
+func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
+	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
+	return New(cfg, clock.System(), nil, onResponse)
 }
--- a/internal/agent/discovery_conn.go
+++ b/internal/agent/discovery/conn.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -17,25 +17,25 @@
 	calls             atomic.Uint64
 }
 
-// callTraffic is the traffic of calls to discovery since the start.
-type callTraffic struct {
-	bytesIn, bytesOut uint64 // the heads of requests and responses included
-	calls             uint64
+// Traffic is the traffic of calls to discovery since the start.
+type Traffic struct {
+	BytesIn, BytesOut uint64 // the heads of requests and responses included
+	Calls             uint64
 }
 
-// traffic is the traffic of the client's calls since the start.
-func (d *discoveryClient) traffic() callTraffic {
-	return callTraffic{
-		bytesIn:  d.counters.bytesIn.Load(),
-		bytesOut: d.counters.bytesOut.Load(),
-		calls:    d.counters.calls.Load(),
+// Traffic is the traffic of the client's calls since the start.
+func (d *Client) Traffic() Traffic {
+	return Traffic{
+		BytesIn:  d.counters.bytesIn.Load(),
+		BytesOut: d.counters.bytesOut.Load(),
+		Calls:    d.counters.calls.Load(),
 	}
 }
 
 // countedConn is a connection of the client that counts its bytes.
 type countedConn struct {
 	net.Conn
-	client *discoveryClient
+	client *Client
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
@@ -57,7 +57,7 @@
 	return c.Conn.Close()
 }
 
-func (d *discoveryClient) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if hadConn, ok := ctx.Value(hadConnKey{}).(*atomic.Bool); ok && hadConn.Load() {
 		return nil, errConnectionLost
 	}
--- a/internal/agent/settings_watch.go
+++ b/internal/agent/discovery/settings_watch.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 // maxRejectionReason bounds the reason of a rejection that is reported to discovery, in bytes.
 const maxRejectionReason = 200
 
-// errAgentStopping ends the application of settings by an agent that stops.
-var errAgentStopping = errors.New("the agent ends")
+// ErrAgentStopping ends the application of settings by an agent that stops.
+var ErrAgentStopping = errors.New("the agent ends")
 
-// applySettings puts settings in force and returns once they are. An error says why they are not:
-// errAgentStopping where nothing is applied any more.
-type applySettings func(context.Context, *endpoint.Settings) error
+// ApplySettings puts settings in force and returns once they are. An error says why they are not:
+// ErrAgentStopping where nothing is applied any more.
+type ApplySettings func(context.Context, *endpoint.Settings) error
 
 // settingsWatch is what the watch of discovery asks for and reports of the settings of a service. The watch's
 // goroutine changes what was rejected, and the goroutine that applies reloads forgets it.
 type settingsWatch struct {
 	service, agent string
-	apply          applySettings
+	apply          ApplySettings
 
 	mu              sync.Mutex
 	appliedVersion  uint64
@@ -64,7 +64,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case errors.Is(err, errAgentStopping):
+	case errors.Is(err, ErrAgentStopping):
 		w.ended = true
 	case err != nil:
 		w.rejectedVersion = settings.Version
--- a/internal/agent/discovery_settings_unit_test.go
+++ b/internal/agent/discovery/settings_watch_test.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 // An agent that stops applies no more settings, and does not ask for them repeatedly.
 func TestStoppingAgentRequestsNoSettings(t *testing.T) {
 	t.Parallel()
-	w := &settingsWatch{service: "pay", agent: "pay-1", apply: func(context.Context, *endpoint.Settings) error { return errAgentStopping }}
+	w := &settingsWatch{service: "pay", agent: "pay-1", apply: func(context.Context, *endpoint.Settings) error { return ErrAgentStopping }}
 	if want := "&service=pay&agent=pay-1&in_force=0"; w.query() != want {
 		t.Errorf("asks %q, want %q", w.query(), want)
 	}
--- a/internal/agent/discovery_source.go
+++ b/internal/agent/discovery/source.go
@@ -1,14 +1,16 @@
-package agent
+package discovery
 
 import (
 	"context"
 	"slices"
 	"sync/atomic"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/keyhash"
 )
 
-// discoverySource is where discovery is: at one address, or at several that return the same list.
-type discoverySource struct {
+// Source is where discovery is: at one address, or at several that return the same list.
+type Source struct {
 	addressRing
 	moved     context.Context // done once discovery is elsewhere
 	markMoved context.CancelFunc
@@ -21,9 +23,9 @@
 	olderAnswers int
 }
 
-func newDiscoverySource(version uint64, addrs ...string) *discoverySource {
+func newSource(version uint64, addrs ...string) *Source {
 	moved, markMoved := context.WithCancel(context.Background())
-	return &discoverySource{
+	return &Source{
 		addressRing: addressRing{addrs: addrs},
 		moved:       moved,
 		markMoved:   markMoved,
@@ -31,13 +33,13 @@
 	}
 }
 
-// lastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
-func (s *discoverySource) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
+// LastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
+func (s *Source) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
 
 // countOlderAnswer counts an answer with an older version. Once all addresses have given one, discovery has
 // perhaps been restored from less, and the next watch asks for the full list; one of several addresses may lag
 // behind for a time.
-func (s *discoverySource) countOlderAnswer() {
+func (s *Source) countOlderAnswer() {
 	s.olderAnswers++
 	if s.olderAnswers >= len(s.addrs) {
 		s.version = 0
@@ -64,7 +66,7 @@
 // begin spread over the addresses, and those of an address that fails move on to different ones. An address
 // that is added or removed moves few agents.
 func orderAddresses(addrs []string, name string) []string {
-	rank := func(addr string) uint64 { return mixHash(hashString(name + "\x00" + addr)) }
+	rank := func(addr string) uint64 { return keyhash.Mix(keyhash.Sum(name + "\x00" + addr)) }
 	ordered := make([]string, 0, len(addrs))
 	for _, addr := range addrs {
 		position := slices.IndexFunc(ordered, func(other string) bool { return rank(addr) < rank(other) })
--- a/internal/agent/discovery_source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"bufio"
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
@@ -62,38 +64,38 @@
 // A watch moves where a call fails, keeps its version and stays where it is answered.
 func TestWatchMovesOnFailureAndStays(t *testing.T) {
 	t.Parallel()
-	by := map[string]*fakeSettingsDiscovery{}
-	cfg := &Config{Name: "pay-1", Control: &Control{}}
+	by := map[string]*agenttest.SettingsDiscovery{}
+	cfg := &config.Config{Name: "pay-1", Control: &config.Control{}}
 	for range 3 {
-		d := newFakeSettingsDiscovery(t, 41)
-		by[d.addr()] = d
-		cfg.Control.Addresses = append(cfg.Control.Addresses, d.addr())
+		d := agenttest.NewSettingsDiscovery(t, 41)
+		by[d.Addr()] = d
+		cfg.Control.Addresses = append(cfg.Control.Addresses, d.Addr())
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
 	cfg.Known.Version = 7
-	d := newDiscoveryClient(cfg, clock.System(), nil, func(listResponse) {})
+	d := New(cfg, clock.System(), nil, func(Response) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	asked := orderAddresses(cfg.addresses(), "pay-1")
+	asked := orderAddresses(cfg.Addresses(), "pay-1")
 	first, second, third := by[asked[0]], by[asked[1]], by[asked[2]]
-	go d.keepWatch(ctx)
-	first.waitCallWith(t, "index", "7")
-	first.waitCallWith(t, "index", "41")
-	first.change(func() { first.down = true })
-	second.waitCallWith(t, "index", "41")
-	first.change(func() { first.down = false })
-	first.drain()
+	go d.KeepWatch(ctx)
+	first.WaitCallWith(t, "index", "7")
+	first.WaitCallWith(t, "index", "41")
+	first.Change(func() { first.Down = true })
+	second.WaitCallWith(t, "index", "41")
+	first.Change(func() { first.Down = false })
+	first.Drain()
 	for range 3 {
-		if q := second.waitCallWith(t, "index", "41"); len(q) != 2 {
+		if q := second.WaitCallWith(t, "index", "41"); len(q) != 2 {
 			t.Errorf("the call has %v", q)
 		}
 	}
-	if n := len(first.calls) + len(third.calls); n != 0 {
+	if n := len(first.Calls) + len(third.Calls); n != 0 {
 		t.Errorf("%d calls went elsewhere though the second address answered", n)
 	}
 	second.Listener.Close()
 	second.CloseClientConnections()
-	third.waitCallWith(t, "index", "41")
+	third.WaitCallWith(t, "index", "41")
 }
 
 // A call whose connection is lost is not retried until the wait after a failure is over: the agents of an
@@ -125,16 +127,16 @@
 		}
 	}()
 	atFailure := make(chan int64, 100)
-	cfg := &Config{Name: "pay-1", Discovery: ln.Addr().String(), Control: &Control{Service: "pay"}}
+	cfg := &config.Config{Name: "pay-1", Discovery: ln.Addr().String(), Control: &config.Control{Service: "pay"}}
 	cfg.Known.Version = 1
-	d := newDiscoveryClient(cfg, clock.System(), nil, func(n listResponse) {
-		if n.err != nil {
+	d := New(cfg, clock.System(), nil, func(n Response) {
+		if n.Err != nil {
 			atFailure <- conns.Load()
 		}
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.keepWatch(ctx)
+	go d.KeepWatch(ctx)
 	for want := range int64(3) {
 		if got := <-atFailure; got != want+1 {
 			t.Errorf("%d connections came before failure %d was told", got, want+1)
@@ -146,14 +148,14 @@
 // asked for.
 func TestOlderVersionIsAcceptedOnlyFromAllAddresses(t *testing.T) {
 	t.Parallel()
-	cfg := &Config{Name: "pay-1", Control: &Control{}}
+	cfg := &config.Config{Name: "pay-1", Control: &config.Control{}}
 	var mu sync.Mutex
 	var asked []string
 	for range 3 {
-		addr, _ := scriptedDiscovery(t, func(_ int, c watchCall) string {
+		addr, _ := agenttest.ScriptedDiscovery(t, func(_ int, c agenttest.WatchCall) string {
 			mu.Lock()
 			defer mu.Unlock()
-			asked = append(asked, c.index)
+			asked = append(asked, c.Index)
 			if len(asked) > 4 {
 				return ""
 			}
@@ -163,11 +165,11 @@
 	}
 	cfg.Discovery = cfg.Control.Addresses[0]
 	cfg.Known.Version = 7
-	d := newDiscoveryClient(cfg, clock.System(), nil, func(listResponse) {})
+	d := New(cfg, clock.System(), nil, func(Response) {})
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go d.keepWatch(ctx)
-	waitUntil(t, "five calls", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 5 })
+	go d.KeepWatch(ctx)
+	agenttest.WaitUntil(t, "five calls", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 5 })
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"7", "7", "7", "0", "2"}; !slices.Equal(asked[:5], want) {
@@ -177,17 +179,17 @@
 
 // Without the section "control" the client has one address, no backoff of several and no settings to ask for.
 func TestClientWithoutControlSection(t *testing.T) {
-	client := newTestDiscoveryClient("127.0.0.1:1", 1, func(listResponse) {})
-	if client.backoff != nil || client.settingsWatch != nil || len(client.currentSource().addrs) != 1 {
+	client := newTestClient("127.0.0.1:1", 1, func(Response) {})
+	if client.backoff != nil || client.settingsWatch != nil || len(client.CurrentSource().addrs) != 1 {
 		t.Error("the discovery client has parts that only the section calls for")
 	}
 }
 
 // A move to several addresses leaves the client with all of them.
 func TestMoveToSeveralAddresses(t *testing.T) {
-	client := newTestDiscoveryClient("127.0.0.1:1", 1, func(listResponse) {})
-	client.moveTo("127.0.0.1:2", "127.0.0.1:3")
-	if addrs := client.currentSource().addrs; len(addrs) != 2 {
+	client := newTestClient("127.0.0.1:1", 1, func(Response) {})
+	client.MoveTo("127.0.0.1:2", "127.0.0.1:3")
+	if addrs := client.CurrentSource().addrs; len(addrs) != 2 {
 		t.Errorf("the addresses are %v", addrs)
 	}
 }
--- a/internal/agent/discovery_watch.go
+++ b/internal/agent/discovery/watch.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 // the agent keeps by itself is reopened.
 const minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
 
-// keepWatch keeps a watch until ctx ends.
-func (d *discoveryClient) keepWatch(ctx context.Context) {
+// KeepWatch keeps a watch until ctx ends.
+func (d *Client) KeepWatch(ctx context.Context) {
 	for wait := minWatchBackoff; ctx.Err() == nil; wait = min(2*wait, maxWatchBackoff) {
-		answered := d.watch(ctx)
+		answered := d.Watch(ctx)
 		if answered {
 			wait = minWatchBackoff
 		}
@@ -28,45 +28,45 @@
 
 // reopenDelay is the wait before the watch is reopened: by the backoff over all addresses, or where there is
 // only one, the given wait with jitter.
-func (d *discoveryClient) reopenDelay(wait time.Duration, answered bool) time.Duration {
+func (d *Client) reopenDelay(wait time.Duration, answered bool) time.Duration {
 	if d.backoff == nil {
 		return wait/2 + rand.N(wait/2)
 	}
 	if answered {
 		d.backoff.reset()
 	}
-	return d.backoff.nextDelay(len(d.currentSource().addrs))
+	return d.backoff.nextDelay(len(d.CurrentSource().addrs))
 }
 
-// watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
+// Watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
 // call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
 // a new watch is a load on it.
-func (d *discoveryClient) watch(ctx context.Context) (answered bool) {
+func (d *Client) Watch(ctx context.Context) (answered bool) {
 	next := d.startWatchCall(ctx)
 	for {
 		response := <-next
-		if errors.Is(response.err, errDiscoveryMoved) {
+		if errors.Is(response.Err, errMoved) {
 			next = d.startWatchCall(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
 			return answered
 		}
-		if response.err != nil {
-			if errors.Is(response.err, errOlderVersion) {
-				response.source.countOlderAnswer()
+		if response.Err != nil {
+			if errors.Is(response.Err, errOlderVersion) {
+				response.Source.countOlderAnswer()
 			}
 			d.onResponse(response)
 			return answered
 		}
-		response.source.version = response.list.Version
-		response.source.olderAnswers = 0
-		settings := response.list.Settings
+		response.Source.version = response.List.Version
+		response.Source.olderAnswers = 0
+		settings := response.List.Settings
 		if settings == nil {
 			next = d.startWatchCall(ctx)
 		}
 		// An empty response brings nothing, but the first one shows that the watch is open.
-		if !answered || response.complete || response.list.Full || len(response.list.Servers) > 0 {
+		if !answered || response.Complete || response.List.Full || len(response.List.Servers) > 0 {
 			d.onResponse(response)
 		}
 		answered = true
@@ -79,14 +79,14 @@
 }
 
 // startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
-func (d *discoveryClient) startWatchCall(ctx context.Context) <-chan listResponse {
-	source := d.currentSource()
-	done := make(chan listResponse, 1)
+func (d *Client) startWatchCall(ctx context.Context) <-chan Response {
+	source := d.CurrentSource()
+	done := make(chan Response, 1)
 	version := source.version
-	response := listResponse{source: source, watch: true, complete: version == 0, lastAnswer: source.lastAnswer()}
+	response := Response{Source: source, Watch: true, Complete: version == 0, LastAnswer: source.lastAnswer()}
 	go func() {
 		query := fmt.Sprintf("?index=%d&wait=%d%s", version, watchWait.Milliseconds(), d.settingsWatch.query())
-		response.list, response.err = d.get(ctx, source, query, watchWait+callGrace, version)
+		response.List, response.Err = d.get(ctx, source, query, watchWait+callGrace, version)
 		done <- response
 	}()
 	return done
--- a/internal/agent/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -1,14 +1,17 @@
-package agent
+package dispatch
 
 import (
 	"context"
 	"net/http"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// attempt is one forwarding of a request to a server.
+// Attempt is one forwarding of a request to a server.
 type attempt struct {
 	server    *listedServer
 	cancel    context.CancelFunc // nil: it was never started
@@ -22,7 +25,7 @@
 
 // forward starts an attempt at the action's server, after a check against the rules of the request. An attempt
 // that the check forbids ends at once with StatusUnsent.
-func (l *eventLoop) forward(action *balancer.Action) {
+func (l *Loop) forward(action *balancer.Action) {
 	r := l.requests.byID[action.Request]
 	if r == nil {
 		// The request is forgotten: nothing can be sent or counted for it.
@@ -36,7 +39,7 @@
 	r.attempts = append(r.attempts, started)
 	deadline := r.respondBy()
 	if action.Ms != 0 {
-		deadline = earliest(deadline, now.Add(milliseconds(action.Ms)))
+		deadline = clock.Earliest(deadline, now.Add(clock.FromMilliseconds(action.Ms)))
 	}
 	if err := l.mayForward(r, server, now, deadline); err != nil {
 		l.endUnsent(r, index, action.Server, err)
@@ -46,7 +49,7 @@
 	if r.mayHaveRun == 0 {
 		r.firstSentAt = now
 	}
-	r.sendingBody = r.client.streamed != nil
+	r.sendingBody = r.client.Streamed != nil
 	r.inFlight++
 	r.mayHaveRun++
 	server.inFlight++
@@ -54,21 +57,21 @@
 }
 
 // mayForward says why an attempt must not be started; nil allows it.
-func (l *eventLoop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
-	if !r.answered && r.client.ctx.Err() != nil {
+func (l *Loop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
+	if !r.answered && r.client.Context.Err() != nil {
 		// The downstream server's notification of it is on its way.
 		l.closeAsGone(r)
-		return errClientGone
+		return upstream.ErrClientGone
 	}
 	err := checkRules(r, server, now, deadline)
 	if err != nil {
-		l.logViolation(err, "id", r.client.id)
+		l.logViolation(err, "id", r.client.ID)
 	}
 	return err
 }
 
 // endUnsent ends an attempt that was never started.
-func (l *eventLoop) endUnsent(r *request, index int, policyAddr balancer.Addr, reason error) {
+func (l *Loop) endUnsent(r *request, index int, policyAddr balancer.Addr, reason error) {
 	ended := r.attempts[index]
 	ended.done = true
 	ended.status = balancer.StatusUnsent
@@ -86,40 +89,40 @@
 // retryDeadline is the time until which a retry of a request that is idempotent by key may be sent, as servers
 // drop duplicates only within a window. The connect may take long, so the policy's own check is not enough, and
 // what is written needs a round trip to arrive. Zero: there is no limit.
-func (l *eventLoop) retryDeadline(r *request) time.Time {
-	rules := r.client.rules
+func (l *Loop) retryDeadline(r *request) time.Time {
+	rules := r.client.Rules
 	if r.mayHaveRun == 0 || rules.Idempotency != balancer.IdempotentByKey {
 		return time.Time{}
 	}
-	return r.firstSentAt.Add(milliseconds(rules.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
+	return r.firstSentAt.Add(clock.FromMilliseconds(rules.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
 }
 
 // runAttempt runs an attempt in a goroutine of its own, which posts its end. The attempt is cancelled both by
 // the loop and by the end of the client's connection.
-func (l *eventLoop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
+func (l *Loop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
 	client := r.client
 	current := r.attempts[index]
 	server := current.server
 	addr := server.addr
-	ctx, cancel := context.WithCancel(client.ctx)
+	ctx, cancel := context.WithCancel(client.Context)
 	current.cancel = cancel
-	message := &upstreamMessage{
-		newRequest:   func(left time.Duration) *http.Request { return newUpstreamRequest(client, left) },
-		streamed:     client.streamed,
-		clientGone:   client.clientGone,
-		sendBy:       sendBy,
-		responseTime: client.timeout - r.backstopMargin(),
-		onSent:       func() { l.post(func() { l.streamedBodySent(r, index) }) },
+	message := &upstream.Message{
+		NewRequest:   func(left time.Duration) *http.Request { return upstream.NewRequest(client, left) },
+		Streamed:     client.Streamed,
+		ClientGone:   client.ClientGone,
+		SendBy:       sendBy,
+		ResponseTime: client.Timeout - r.backstopMargin(),
+		OnSent:       func() { l.Post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
-		result := l.pool.attempt(ctx, &server.upstreamServer, addr, message, current.startedAt, deadline)
+		result := l.pool.Attempt(ctx, &server.Server, addr, message, current.startedAt, deadline)
 		cancel()
-		l.post(func() { l.attemptDone(r, index, &result) })
+		l.Post(func() { l.attemptDone(r, index, &result) })
 	}()
 }
 
 // cancelAttempt cancels the action's attempt if it is in flight.
-func (l *eventLoop) cancelAttempt(action *balancer.Action) {
+func (l *Loop) cancelAttempt(action *balancer.Action) {
 	r := l.requests.byID[action.Request]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
 		return
@@ -135,19 +138,19 @@
 }
 
 // attemptDone takes the end of an attempt.
-func (l *eventLoop) attemptDone(r *request, index int, result *attemptResult) {
+func (l *Loop) attemptDone(r *request, index int, result *upstream.Result) {
 	ended := r.attempts[index]
 	ended.done = true
-	ended.status = result.status
-	ended.reason = result.reason
-	ended.latencyMs = result.latencyMs
+	ended.status = result.Status
+	ended.reason = result.Reason
+	ended.latencyMs = result.LatencyMs
 	ended.server.inFlight--
-	l.metrics.attempts[result.status]++
+	l.metrics.Attempts[result.Status]++
 	r.inFlight--
-	if result.status.NotExecuted() {
+	if result.Status.NotExecuted() {
 		r.mayHaveRun--
 	}
-	r.badRequest = result.status == balancer.StatusBadRequest
+	r.badRequest = result.Status == balancer.StatusBadRequest
 	r.sendingBody = false
 	l.respondTo(r, result)
 	l.handle(&balancer.Event{
@@ -155,10 +158,10 @@
 		Request:      r.id,
 		Attempt:      index,
 		Server:       ended.server.policyAddr,
-		Status:       result.status,
-		LatencyMs:    result.latencyMs,
+		Status:       result.Status,
+		LatencyMs:    result.LatencyMs,
 		RequestDone:  r.answered,
-		BodyConsumed: r.client.streamed.isConsumed(),
+		BodyConsumed: r.client.Streamed.IsConsumed(),
 	})
 	l.requests.forgetFinished(r)
 	l.endpoints.forget(ended.server)
@@ -166,17 +169,17 @@
 
 // respondTo gives the request the final response that an attempt's end decides by itself; all others are left
 // to the policy.
-func (l *eventLoop) respondTo(r *request, result *attemptResult) {
+func (l *Loop) respondTo(r *request, result *upstream.Result) {
 	switch {
 	case r.answered:
-		result.body.release()
-	case result.status != balancer.StatusOK && r.client.ctx.Err() != nil:
+		result.Body.Release()
+	case result.Status != balancer.StatusOK && r.client.Context.Err() != nil:
 		// The downstream server's notification of it is on its way.
 		l.clientLeft(r)
-	case result.status == balancer.StatusOK:
-		l.finish(r, finalResponse{kind: responseServed, header: result.header, body: result.body})
-	case result.clientErr != nil:
+	case result.Status == balancer.StatusOK:
+		l.finish(r, message.Response{Kind: message.Served, Header: result.Header, Body: result.Body})
+	case result.ClientErr != nil:
 		// No more of the request will come, and no server has all of it.
-		l.finish(r, finalResponse{kind: responseFailed, badRequest: true})
+		l.finish(r, message.Response{Kind: message.Failed, BadRequest: true})
 	}
 }
--- a/internal/agent/dispatch_clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"net"
@@ -6,15 +6,18 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
 )
 
 // startSteppedLoop starts a loop with a clock that the test steps.
-func startSteppedLoop(t *testing.T, d *fakeDiscovery, ahead time.Duration) (*testLoop, *clocktest.Stepped) {
+func startSteppedLoop(t *testing.T, d *agenttest.Discovery, ahead time.Duration) (*testLoop, *clocktest.Stepped) {
 	t.Helper()
 	stepped := clocktest.NewStepped(ahead)
-	loop := startLoop(t, d, func(cfg *Config) {
+	loop := startLoop(t, d, func(cfg *config.Config) {
 		cfg.Clock = stepped
 		cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed
 	})
@@ -31,43 +34,43 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			arrived, release := make(chan bool, 1), make(chan bool)
-			b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
+			b := agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
 				arrived <- true
 				<-release
-				return respondOK(c, req, n)
+				return agenttest.RespondOK(c, req, n)
 			})
-			up := target("s-1", b.addr)
+			up := agenttest.Endpoint("s-1", b.Addr)
 			up.StartedMs = unixNowMs() - 1_800_000
-			d := newDiscoveryServer(t, up)
+			d := agenttest.NewDiscovery(t, up)
 			l, clk := startSteppedLoop(t, d, step) // its clock is wrong at its start
 
 			clk.Step(-step) // and put right while a watch is open
 			restarted := up
 			restarted.StartedMs = unixNowMs()
-			d.waitNotified(t, restarted)
+			d.WaitNotified(t, restarted)
 			wantSlowStart(t, l, "s-1")
 
 			clk.Step(step)
 			answers := make(chan int, 1)
 			request := func() {
-				status, _, _ := do(t, newRequest(l.addr, "read", ""))
+				status, _, _ := agenttest.Do(t, agenttest.NewRequest(l.addr, "read", ""))
 				answers <- status
 			}
 			go request()
 			<-arrived
 			clk.Step(-step) // with the request in flight
 			release <- true
-			wantStatus(t, <-answers, 200)
+			agenttest.WantStatus(t, <-answers, 200)
 
-			other := target("s-2", b.addr)
+			other := agenttest.Endpoint("s-2", b.Addr)
 			other.StartedMs = unixNowMs()
-			d.waitNotified(t, other)
+			d.WaitNotified(t, other)
 			wantSlowStart(t, l, "s-2")
 			drains := up
 			drains.State = "draining"
 			clk.Step(step)
-			d.waitNotified(t, drains)
-			if inLoop(l, func() bool { return l.endpoints.byID["s-1"].isAvailable() }) {
+			d.WaitNotified(t, drains)
+			if inLoop(l, func() bool { return l.endpoints.byID["s-1"].IsAvailable() }) {
 				t.Error("a backend that drains is still sent to")
 			}
 
@@ -76,7 +79,7 @@
 			l.stop()
 			clk.Step(-step) // while the shutdown holds a request
 			release <- true
-			wantStatus(t, <-answers, 200)
+			agenttest.WantStatus(t, <-answers, 200)
 		})
 	}
 }
@@ -84,20 +87,20 @@
 // An agent whose clock is ahead from its start on has nothing but the time of discovery's last answer to
 // know a new server by, from its second response on.
 func TestNewServerIsBoundedByTheLastResponse(t *testing.T) {
-	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
+	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
 	l, _ := startSteppedLoop(t, d, time.Hour)
-	d.waitNotified(t, target("s-1", "127.0.0.1:1"))
-	started := target("s-2", "127.0.0.1:2")
+	d.WaitNotified(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
+	started := agenttest.Endpoint("s-2", "127.0.0.1:2")
 	started.StartedMs = unixNowMs()
-	d.waitNotified(t, started)
+	d.WaitNotified(t, started)
 	wantSlowStart(t, l, "s-2")
 }
 
 // wantSlowStart checks that a server that has just started is no older than the test.
 func wantSlowStart(t *testing.T, l *testLoop, id string) {
 	t.Helper()
-	age := inLoop(l, func() time.Duration { return milliseconds(l.clock.nowMs() - l.startTimes.known[id].atMs) })
-	if age < 0 || age > testTimeout {
+	age := inLoop(l, func() time.Duration { return clock.FromMilliseconds(l.clock.nowMs() - l.startTimes.known[id].atMs) })
+	if age < 0 || age > agenttest.Timeout {
 		t.Errorf("backend %s is taken for %v old, which has just started", id, age)
 	}
 }
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -1,13 +1,15 @@
-package agent
+package dispatch
 
 import (
+	"fernbeam.example/fernbeam/internal/agent/keyhash"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // listedServer is one server of the endpoint list.
 type listedServer struct {
-	upstreamServer
+	upstream.Server
 	id         string
 	policyAddr balancer.Addr // what the policy calls it
 	addr       string        // its network address, as this agent's list gave it last
@@ -55,7 +57,7 @@
 
 // freePolicyAddr is the hash of an id, or the next free address where another id has the same hash.
 func (t *endpointList) freePolicyAddr(id string) balancer.Addr {
-	hash := hashString(id)
+	hash := keyhash.Sum(id)
 	for {
 		var addr balancer.Addr
 		for i := range addr {
@@ -77,7 +79,7 @@
 
 // apply takes a list over and returns what it changed. started gives the start time of a server's process on
 // the clock of the policy's events.
-func (t *endpointList) apply(list *List, full bool, started func(*Target) float64) listChanges {
+func (t *endpointList) apply(list *endpoint.List, full bool, started func(*endpoint.Endpoint) float64) listChanges {
 	var changes listChanges
 	listed := make(map[string]bool, len(list.Servers))
 	for i := range list.Servers {
@@ -94,14 +96,14 @@
 	return changes
 }
 
-func (t *endpointList) applyTarget(target *Target, startedMs float64, changes *listChanges) {
+func (t *endpointList) applyTarget(target *endpoint.Endpoint, startedMs float64, changes *listChanges) {
 	server := t.findOrAdd(target.ID)
 	state := endpointState(target.State)
 	if target.Addr != "" && server.addr != target.Addr {
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 		server.addr = target.Addr
 	}
-	server.setAvailable(state == balancer.Ready)
+	server.SetAvailable(state == balancer.Ready)
 	if state != balancer.Ready {
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 	}
@@ -126,7 +128,7 @@
 		if listed[id] {
 			continue
 		}
-		server.setAvailable(false)
+		server.SetAvailable(false)
 		server.removed = true
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
 		changes.removed = append(changes.removed, server)
@@ -152,7 +154,7 @@
 	return len(index)
 }
 
-// forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
+// Forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
 func (t *endpointList) forget(server *listedServer) {
 	if server.removed && server.inFlight == 0 && t.byID[server.id] == server {
 		delete(t.byID, server.id)
@@ -163,7 +165,7 @@
 // hasReady tells whether any server may be sent requests.
 func (t *endpointList) hasReady() bool {
 	for _, server := range t.byID {
-		if server.isAvailable() {
+		if server.IsAvailable() {
 			return true
 		}
 	}
--- a/internal/agent/event_clock.go
+++ b/internal/agent/dispatch/event_clock.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"time"
@@ -15,12 +15,12 @@
 }
 
 func newEventClock(c clock.Clock) *eventClock {
-	return &eventClock{Clock: c, baseMs: unixMilliseconds(c.Wall()), origin: c.Monotonic()}
+	return &eventClock{Clock: c, baseMs: clock.UnixMilliseconds(c.Wall()), origin: c.Monotonic()}
 }
 
 // fromMonotonic is the event time of a moment of the monotonic clock, in ms.
 func (c *eventClock) fromMonotonic(monotonic time.Duration) float64 {
-	return c.baseMs + inMilliseconds(monotonic-c.origin)
+	return c.baseMs + clock.Milliseconds(monotonic-c.origin)
 }
 
 // nowMs is the event time of now, in ms.
--- a/internal/agent/dispatch_fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -1,49 +1,54 @@
-package agent
+package dispatch
 
 import (
 	"context"
 	"log/slog"
 	"net"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/downstream"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 // testLoop is a running event loop with clients' requests, and without the rest of an agent.
 type testLoop struct {
-	*eventLoop
+	*Loop
 	addr string // where clients connect
-	log  lineWriter
+	log  agenttest.LineWriter
 	// stop ends it gracefully.
 	stop context.CancelFunc
 }
 
 // startLoop starts a loop that knows the list of the discovery as it is now.
-func startLoop(t *testing.T, d *fakeDiscovery, change func(*Config)) *testLoop {
+func startLoop(t *testing.T, d *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := newTestConfig(t, ln.Addr().String(), d)
-	lines := make(lineWriter, maxTestLines)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), d)
+	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	cfg.Log = slog.New(slog.NewTextHandler(lines, nil))
 	if change != nil {
 		change(cfg)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	loop, err := newEventLoop(ctx, cfg, newConnectionPool(cfg), func() {}, nil)
+	loop, err := New(ctx, cfg, upstream.NewPool(cfg), func() {}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		loop.run()
+		loop.Run()
 	}()
-	clients := newDownstreamServer(ctx, cfg, ln, false, loop, func(bool) {})
-	go func() { _ = clients.serve() }()
+	clients := downstream.New(ctx, cfg, ln, false, loop, func(bool) {})
+	go func() { _ = clients.Serve() }()
 	stopping, stop := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
-	context.AfterFunc(stopping, func() { stopped <- clients.shutdown(drainTime(&cfg.Settings)) })
+	context.AfterFunc(stopping, func() { stopped <- clients.Shutdown(downstream.DrainTime(&cfg.Settings)) })
 	t.Cleanup(func() {
 		stop()
 		if err := <-stopped; err != nil {
@@ -52,12 +57,12 @@
 		cancel()
 		<-ended
 	})
-	return &testLoop{eventLoop: loop, addr: ln.Addr().String(), log: lines, stop: stop}
+	return &testLoop{Loop: loop, addr: ln.Addr().String(), log: lines, stop: stop}
 }
 
 // inLoop returns what read returns in the loop.
 func inLoop[T any](l *testLoop, read func() T) T {
 	result := make(chan T, 1)
-	l.post(func() { result <- read() })
+	l.Post(func() { result <- read() })
 	return <-result
 }
--- a/internal/agent/line_logger.go
+++ b/internal/agent/dispatch/line_logger.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"context"
--- a/internal/agent/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -1,60 +1,62 @@
-package agent
+package dispatch
 
 import (
 	"log/slog"
 
+	"fernbeam.example/fernbeam/internal/agent/discovery"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // openWatch opens a watch unless one is open: a second would bring the same.
-func (l *eventLoop) openWatch() {
+func (l *Loop) openWatch() {
 	if !l.list.watching {
 		l.list.watching = true
-		go l.discovery.watch(l.ctx)
+		go l.discovery.Watch(l.ctx)
 	}
 }
 
 // fetchList polls for the full list unless that is in flight.
-func (l *eventLoop) fetchList() {
+func (l *Loop) fetchList() {
 	if !l.list.fetching {
 		l.list.fetching = true
-		go l.discovery.fetch(l.ctx)
+		go l.discovery.Fetch(l.ctx)
 	}
 }
 
 // onListResponse takes the end of a call to discovery. A watch and a fetch may cross: a list that is older than
 // the one in force is dropped, unless the call asked for the full list, as after a move of discovery. The
 // source that discovery left counts until the new one has responded.
-func (l *eventLoop) onListResponse(response listResponse) {
-	if !response.watch {
+func (l *Loop) onListResponse(response discovery.Response) {
+	if !response.Watch {
 		l.list.fetching = false
 	}
-	if response.err != nil {
+	if response.Err != nil {
 		l.onListFailure(response)
 		return
 	}
-	list := response.list
+	list := response.List
 	l.metrics.lists++
 	l.metrics.endpoints += len(list.Servers)
-	l.lines.limited(slog.LevelInfo, "endpoint list", "watch", response.watch, "full", list.Full, "from", l.list.version,
+	l.lines.limited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full, "from", l.list.version,
 		"to", list.Version, "endpoints", len(list.Servers))
-	if response.source != l.list.source {
-		if response.source != l.discovery.currentSource() {
+	if response.Source != l.list.source {
+		if response.Source != l.discovery.CurrentSource() {
 			return // the new source has responded already
 		}
-		l.list.source = response.source
-		response.complete = true
+		l.list.source = response.Source
+		response.Complete = true
 	}
 	older := list.Version < l.list.version
-	if older && !response.complete {
+	if older && !response.Complete {
 		return
 	}
 	update := balancer.ListDelta
 	if list.Full {
 		update = balancer.ListFull
 	}
-	context := listContext{older: older, lastAnswer: response.lastAnswer}
-	if response.complete {
+	context := listContext{older: older, lastAnswer: response.LastAnswer}
+	if response.Complete {
 		context.lastAnswer = 0
 	}
 	l.applyList(list, update, list.Full, context)
@@ -65,32 +67,32 @@
 
 // onListFailure counts and logs a failed call. The policy decides when to call again, unless the failed call
 // belongs to a watch that the agent keeps by itself.
-func (l *eventLoop) onListFailure(response listResponse) {
+func (l *Loop) onListFailure(response discovery.Response) {
 	l.metrics.listFailures++
-	l.lines.limited(slog.LevelWarn, "discovery call failed", "watch", response.watch, "err", response.err)
-	if response.watch && l.ownsWatch() {
+	l.lines.limited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
+	if response.Watch && l.ownsWatch() {
 		return
 	}
-	if response.watch {
+	if response.Watch {
 		l.list.watching = false
 	}
 	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 }
 
 // ownsWatch tells whether the agent keeps a watch by itself, and not as the policy asks.
-func (l *eventLoop) ownsWatch() bool { return l.discovery.keepsOwnWatch() || l.changesArePushed() }
+func (l *Loop) ownsWatch() bool { return l.discovery.KeepsOwnWatch() || l.changesArePushed() }
 
 // changesArePushed tells whether changes of the list arrive without the policy asking for them.
-func (l *eventLoop) changesArePushed() bool {
+func (l *Loop) changesArePushed() bool {
 	return l.cfg.Settings.DiscoveryMode == balancer.DiscoveryPushed
 }
 
 // applyList puts a list in force.
-func (l *eventLoop) applyList(list *List, update balancer.ListUpdate, full bool, context listContext) {
+func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, full bool, context listContext) {
 	l.list.version = list.Version
-	changes := l.endpoints.apply(list, full, func(t *Target) float64 { return l.startTimes.resolve(t, context) })
+	changes := l.endpoints.apply(list, full, func(t *endpoint.Endpoint) float64 { return l.startTimes.resolve(t, context) })
 	for _, addr := range changes.staleAddrs {
-		l.pool.closeIdle(addr)
+		l.pool.CloseIdle(addr)
 	}
 	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: changes.endpoints})
 	for _, server := range changes.removed {
--- a/internal/agent/dispatch_list_updates_test.go
+++ b/internal/agent/dispatch/list_updates_test.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"slices"
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -18,7 +20,7 @@
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
 			var silent atomic.Bool
-			addr, calls := scriptedDiscovery(t, func(n int, c watchCall) string {
+			addr, calls := agenttest.ScriptedDiscovery(t, func(n int, c agenttest.WatchCall) string {
 				switch {
 				case !silent.Load() && n > 0: // the second watch call stands when it falls silent
 					silent.Store(true)
@@ -28,20 +30,20 @@
 				}
 				return `{"version":8,"full":false,"servers":[]}`
 			})
-			d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
-			l := startLoop(t, d, func(c *Config) {
+			d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
+			l := startLoop(t, d, func(c *config.Config) {
 				c.Discovery = addr
 				c.Settings.DiscoveryMode = mode
 				c.Settings.FleetSize = 300
 				c.Settings.Contract.PollWithinMs = 10000
 			})
-			nextCall(t, calls)
-			nextCall(t, calls)
+			agenttest.NextCall(t, calls)
+			agenttest.NextCall(t, calls)
 			from := time.Now()
-			waitUntil(t, "the change is known", func() bool {
-				return inLoop(l, func() bool { return !l.endpoints.byID["s-1"].isAvailable() })
+			agenttest.WaitUntil(t, "the change is known", func() bool {
+				return inLoop(l, func() bool { return !l.endpoints.byID["s-1"].IsAvailable() })
 			})
-			if took := time.Since(from); took > notifiedWithin {
+			if took := time.Since(from); took > agenttest.NotifiedWithin {
 				t.Errorf("the change was known after %v", took)
 			}
 		})
@@ -70,25 +72,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			addr, calls := scriptedDiscovery(t, func(n int, _ watchCall) string {
+			addr, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 				if n == 0 {
 					<-release
 					return text
 				}
 				return ""
 			})
-			d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
-			d.list.Version = 50
-			l := startLoop(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
+			d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
+			d.List.Version = 50
+			l := startLoop(t, d, func(c *config.Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
 			close(release)
-			waitLine(t, l.log, "discovery call failed")
-			nextCall(t, calls)
-			if c, past := nextCall(t, calls), strings.Contains(name, "past"); c.index != map[bool]string{true: "0", false: "50"}[past] {
-				t.Errorf("asked again from %s", c.index)
+			agenttest.WaitLine(t, l.log, "discovery call failed")
+			agenttest.NextCall(t, calls)
+			if c, past := agenttest.NextCall(t, calls), strings.Contains(name, "past"); c.Index != map[bool]string{true: "0", false: "50"}[past] {
+				t.Errorf("asked again from %s", c.Index)
 			}
 			if !inLoop(l, func() bool {
 				b := l.endpoints.byID["s-1"]
-				return b != nil && b.isAvailable() && l.list.version == 50
+				return b != nil && b.IsAvailable() && l.list.version == 50
 			}) {
 				t.Error("the list has changed")
 			}
@@ -102,9 +104,9 @@
 	t.Parallel()
 	var mu sync.Mutex
 	var asked []string
-	addr, _ := scriptedDiscovery(t, func(n int, c watchCall) string {
+	addr, _ := agenttest.ScriptedDiscovery(t, func(n int, c agenttest.WatchCall) string {
 		mu.Lock()
-		asked = append(asked, c.index)
+		asked = append(asked, c.Index)
 		mu.Unlock()
 		switch n {
 		case 0:
@@ -116,10 +118,10 @@
 		}
 		return ""
 	})
-	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
-	d.list.Version = 50
-	l := startLoop(t, d, func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
-	waitUntil(t, "the list of the discovery that started again is followed", func() bool {
+	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
+	d.List.Version = 50
+	l := startLoop(t, d, func(c *config.Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
+	agenttest.WaitUntil(t, "the list of the discovery that started again is followed", func() bool {
 		return inLoop(l, func() bool {
 			ids := l.endpoints.byID
 			return len(ids) == 2 && ids["s-2"] != nil && ids["s-3"] != nil && l.list.version == 3
--- a/internal/agent/log.go
+++ b/internal/agent/dispatch/log.go
@@ -1,31 +1,33 @@
-package agent
+package dispatch
 
 import (
 	"fmt"
 	"log/slog"
 	"strings"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // logViolation counts and logs an action of the policy that the rules of the request forbid.
-func (l *eventLoop) logViolation(rule error, args ...any) {
-	l.metrics.violations++
+func (l *Loop) logViolation(rule error, args ...any) {
+	l.metrics.Violations++
 	l.lines.limited(slog.LevelError, "contract violation: "+rule.Error(), args...)
 }
 
 // logRequest logs a request that was not served in time, from its arrival through each attempt, so that one
 // line tells where its time went.
-func (l *eventLoop) logRequest(r *request, outcome string) {
+func (l *Loop) logRequest(r *request, outcome string) {
 	if !l.lines.allow() {
 		return
 	}
 	c := r.client
 	var attempts strings.Builder
 	for _, a := range r.attempts {
-		attempts.WriteString(a.describe(c.arrivedAt))
+		attempts.WriteString(a.describe(c.ArrivedAt))
 	}
-	l.lines.always(slog.LevelInfo, "request "+outcome, "id", c.id, "class", c.rules.Name, "retry", c.retry,
-		"after_ms", time.Since(c.arrivedAt).Milliseconds(), "timeout_ms", c.deadline.Sub(c.arrivedAt).Milliseconds(),
+	l.lines.always(slog.LevelInfo, "request "+outcome, "id", c.ID, "class", c.Rules.Name, "retry", c.Retry,
+		"after_ms", time.Since(c.ArrivedAt).Milliseconds(), "timeout_ms", c.Deadline.Sub(c.ArrivedAt).Milliseconds(),
 		"open", l.requests.unanswered, "attempts", attempts.String())
 }
 
@@ -46,13 +48,13 @@
 }
 
 // logAborted counts and logs a response that was begun and not passed on completely.
-func (l *eventLoop) logAborted(c *clientRequest, fromServer, toClient error) {
+func (l *Loop) logAborted(c *message.Request, fromServer, toClient error) {
 	l.metrics.aborted++
-	l.lines.limited(slog.LevelWarn, "response aborted", "id", c.id, "after_ms", time.Since(c.arrivedAt).Milliseconds(),
+	l.lines.limited(slog.LevelWarn, "response aborted", "id", c.ID, "after_ms", time.Since(c.ArrivedAt).Milliseconds(),
 		"server_err", fromServer, "client_err", toClient)
 }
 
-// report writes a line from any goroutine, whatever the bound of lines per second.
-func (l *eventLoop) report(level slog.Level, text string, args ...any) {
-	l.post(func() { l.lines.always(level, text, args...) })
+// Log writes a line from any goroutine, whatever the bound of lines per second.
+func (l *Loop) Log(level slog.Level, text string, args ...any) {
+	l.Post(func() { l.lines.always(level, text, args...) })
 }
--- a/internal/agent/event_loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"context"
@@ -6,7 +6,12 @@
 	"sync/atomic"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/discovery"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/policy"
 )
 
@@ -17,15 +22,15 @@
 	inboxSize = 4096
 )
 
-// eventLoop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
+// Loop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
 // reaches it through post. It never blocks: whatever may wait runs in a goroutine of its own.
-type eventLoop struct {
-	cfg       *Config
+type Loop struct {
+	cfg       *config.Config
 	ctx       context.Context
 	balancer  *policy.Balancer
 	endpoints *endpointList
-	pool      *connectionPool
-	discovery *discoveryClient
+	pool      *upstream.Pool
+	discovery *discovery.Client
 	clock     *eventClock
 	inbox     chan func()
 
@@ -38,17 +43,17 @@
 	onUsable   func() // called when the list has a ready server
 
 	lines     *lineLogger
-	metrics   metrics
+	metrics   Metrics
 	published publishedState
 }
 
 // listState is what is known of the endpoint list in force and of the calls for it.
 type listState struct {
 	version         uint64
-	source          *discoverySource // whose versions version counts
-	watching        bool             // a watch is open
-	fetching        bool             // a fetch is in flight
-	notifiedVersion uint64           // the version that Hooks.OnList was called with last
+	source          *discovery.Source // whose versions version counts
+	watching        bool              // a watch is open
+	fetching        bool              // a fetch is in flight
+	notifiedVersion uint64            // the version that Hooks.OnList was called with last
 }
 
 // publishedState is the part of the loop's state that other goroutines may read.
@@ -57,19 +62,19 @@
 	settingsVersion      atomic.Uint64
 }
 
-// newEventLoop makes the loop of an agent; run starts it, and it ends with ctx. It calls onUsable each time that a
+// New makes the loop of an agent; run starts it, and it ends with ctx. It calls onUsable each time that a
 // list with a ready server is in force, and apply with settings of the discovery service. An error says which
 // setting the policy can't use.
-func newEventLoop(
-	ctx context.Context, cfg *Config, pool *connectionPool, onUsable func(), apply applySettings,
-) (*eventLoop, error) {
+func New(
+	ctx context.Context, cfg *config.Config, pool *upstream.Pool, onUsable func(), apply discovery.ApplySettings,
+) (*Loop, error) {
 	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	ownConfig := *cfg // the loop changes the settings in it
-	eventTime := newEventClock(cfg.systemClock())
-	l := &eventLoop{
+	eventTime := newEventClock(cfg.SystemClock())
+	l := &Loop{
 		cfg:        &ownConfig,
 		ctx:        ctx,
 		balancer:   decisions,
@@ -80,29 +85,29 @@
 		requests:   newRequestTable(),
 		startTimes: newStartTimeTable(eventTime),
 		onUsable:   onUsable,
-		lines:      newLineLogger(cfg.logger()),
+		lines:      newLineLogger(cfg.Logger()),
 		metrics:    newMetrics(),
 	}
-	l.discovery = newDiscoveryClient(cfg, eventTime, apply, func(response listResponse) {
-		l.post(func() { l.onListResponse(response) })
+	l.discovery = discovery.New(cfg, eventTime, apply, func(response discovery.Response) {
+		l.Post(func() { l.onListResponse(response) })
 	})
-	l.list.source = l.discovery.currentSource()
+	l.list.source = l.discovery.CurrentSource()
 	return l, nil
 }
 
-// post hands the loop a function to run. It may wait, so the loop itself never calls it.
-func (l *eventLoop) post(f func()) {
+// Post hands the loop a function to run. It may wait, so the loop itself never calls it.
+func (l *Loop) Post(f func()) {
 	select {
 	case l.inbox <- f:
 	case <-l.ctx.Done():
 	}
 }
 
-// close ends the connections to discovery.
-func (l *eventLoop) close() { l.discovery.close() }
+// Close ends the connections to discovery.
+func (l *Loop) Close() { l.discovery.Close() }
 
-// run runs the loop until its context ends.
-func (l *eventLoop) run() {
+// Run runs the loop until its context ends.
+func (l *Loop) Run() {
 	go l.lines.write(l.ctx)
 	l.start()
 	sweepTicker := time.NewTicker(idleSweepInterval)
@@ -115,7 +120,7 @@
 			f()
 			l.handlePending()
 		case <-sweepTicker.C:
-			l.pool.closeExpired()
+			l.pool.CloseExpired()
 		case <-metricsTicker.C:
 			l.logMetrics()
 		case <-l.ctx.Done():
@@ -126,7 +131,7 @@
 
 // start starts the policy with the list that the configuration knows, however old that is, and opens the
 // watch where the agent keeps one of its own.
-func (l *eventLoop) start() {
+func (l *Loop) start() {
 	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
 	l.applyList(&l.cfg.Known, balancer.ListCached, true, listContext{})
 	l.handlePending()
@@ -135,17 +140,17 @@
 	}
 	if l.ownsWatch() {
 		l.list.watching = true
-		go l.discovery.keepWatch(l.ctx)
+		go l.discovery.KeepWatch(l.ctx)
 	}
 }
 
 // handle gives the policy one event and carries out the actions that it returns.
-func (l *eventLoop) handle(event *balancer.Event) {
+func (l *Loop) handle(event *balancer.Event) {
 	l.performActions(l.balancer.Handle(l.clock.nowMs(), event, l.actions[:0]))
 }
 
 // handlePending handles the events that were raised while actions were carried out.
-func (l *eventLoop) handlePending() {
+func (l *Loop) handlePending() {
 	for len(l.pendingEvents) > 0 {
 		event := l.pendingEvents[0]
 		l.pendingEvents = l.pendingEvents[1:]
@@ -155,14 +160,14 @@
 }
 
 // performActions carries out the policy's actions in their order.
-func (l *eventLoop) performActions(actions []balancer.Action) {
+func (l *Loop) performActions(actions []balancer.Action) {
 	l.actions = actions
 	for i := range actions {
 		l.perform(&actions[i])
 	}
 }
 
-func (l *eventLoop) perform(action *balancer.Action) {
+func (l *Loop) perform(action *balancer.Action) {
 	switch action.Kind {
 	case balancer.ActionForward:
 		l.forward(action)
@@ -174,7 +179,7 @@
 		}
 	case balancer.ActionFail:
 		if r := l.requests.byID[action.Request]; r != nil {
-			l.finish(r, finalResponse{kind: responseFailed, badRequest: r.badRequest})
+			l.finish(r, message.Response{Kind: message.Failed, BadRequest: r.badRequest})
 		}
 	case balancer.ActionSetTimer:
 		l.setTimer(action)
@@ -184,7 +189,7 @@
 		l.fetchList()
 	case balancer.ActionCloseIdle:
 		if server := l.endpoints.byAddr[action.Server]; server != nil {
-			l.pool.closeIdle(server.addr)
+			l.pool.CloseIdle(server.addr)
 		}
 	case balancer.ActionLog:
 		l.lines.limited(slog.LevelInfo, "policy", "text", action.Text)
@@ -194,9 +199,9 @@
 }
 
 // setTimer raises a timer event with the action's token once its time has passed.
-func (l *eventLoop) setTimer(action *balancer.Action) {
+func (l *Loop) setTimer(action *balancer.Action) {
 	token := action.Token
-	time.AfterFunc(milliseconds(action.Ms), func() {
-		l.post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
+	time.AfterFunc(clock.FromMilliseconds(action.Ms), func() {
+		l.Post(func() { l.handle(&balancer.Event{Kind: balancer.EventTimer, Token: token}) })
 	})
 }
--- /dev/null
+++ b/internal/agent/dispatch/metrics.go
@@ -0,0 +1,104 @@
+package dispatch
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// metricsInterval is how often the metrics are logged.
+const metricsInterval = time.Second
+
+// Metrics are counts since the start. They are logged at intervals and at the end; the log's "counts" show the
+// fields under their names here.
+type Metrics struct {
+	// Requests counts the requests that reached the event loop.
+	Requests int
+	// Served and servedLate count the requests that were served within their latency objective and after it;
+	// rejected and failed those that were not served; ClientsGone those that their client abandoned.
+	Served, servedLate, rejected, Failed, ClientsGone int
+	// Invalid counts what came in that is not a request of the protocol.
+	Invalid int
+	// Backstops counts the requests that the policy left without a response until just before their deadline.
+	Backstops int
+	// Violations counts the actions of the policy that the rules of the request forbade.
+	Violations int
+	// aborted counts the responses that were begun and not passed on completely.
+	aborted int
+	// Attempts and healthChecks count these by their status.
+	Attempts, healthChecks map[balancer.Status]int
+	// lists counts the responses of discovery, endpoints the entries in them, and listFailures the calls that
+	// failed. Over all agents they are the load that discovery bears.
+	lists, endpoints, listFailures int
+	// Settings counts the settings of the discovery service that were applied, and SettingsRejected those
+	// that could not be.
+	Settings, SettingsRejected int
+	// AcceptFailures counts the accepts of clients that failed temporarily.
+	AcceptFailures int
+	// unlogged counts the log lines that were dropped.
+	unlogged int
+	// listIn and listOut count the bytes of calls to discovery, their heads included, and listCalls the calls.
+	listIn, listOut, listCalls uint64
+}
+
+// String has all counts by their keys in the log.
+func (m Metrics) String() string {
+	return fmt.Sprintf("{requests:%d served:%d servedLate:%d rejected:%d failed:%d clientsGone:%d invalid:%d"+
+		" backstops:%d violations:%d aborted:%d attempts:%v healthChecks:%v lists:%d endpoints:%d listFailures:%d"+
+		" settings:%d settingsRejected:%d acceptFailures:%d unlogged:%d listIn:%d listOut:%d listCalls:%d}",
+		m.Requests, m.Served, m.servedLate, m.rejected, m.Failed, m.ClientsGone, m.Invalid,
+		m.Backstops, m.Violations, m.aborted, m.Attempts, m.healthChecks, m.lists, m.endpoints, m.listFailures,
+		m.Settings, m.SettingsRejected, m.AcceptFailures, m.unlogged, m.listIn, m.listOut, m.listCalls)
+}
+
+func newMetrics() Metrics {
+	return Metrics{Attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}
+}
+
+// Stats is a snapshot of what the loop counts and holds.
+type Stats struct {
+	Metrics  Metrics
+	Policy   balancer.Stats
+	Open     int // requests without a final response
+	Settings balancer.Settings
+}
+
+// Stats returns a snapshot. It is called in a function that is posted to the loop, or once the loop has ended.
+func (l *Loop) Stats() Stats {
+	return Stats{
+		Metrics:  l.currentMetrics(),
+		Policy:   l.balancer.Stats(),
+		Open:     l.requests.unanswered,
+		Settings: l.cfg.Settings,
+	}
+}
+
+// Backlog is the number of functions that wait for the loop.
+func (l *Loop) Backlog() int { return len(l.inbox) }
+
+// currentMetrics brings the counts of others up to date and returns a copy of all counts.
+func (l *Loop) currentMetrics() Metrics {
+	l.metrics.unlogged = l.lines.dropped
+	traffic := l.discovery.Traffic()
+	l.metrics.listIn = traffic.BytesIn
+	l.metrics.listOut = traffic.BytesOut
+	l.metrics.listCalls = traffic.Calls
+	current := l.metrics
+	current.Attempts = maps.Clone(l.metrics.Attempts)
+	current.healthChecks = maps.Clone(l.metrics.healthChecks)
+	return current
+}
+
+func (l *Loop) logMetrics() {
+	stats := l.Stats()
+	l.lines.always(slog.LevelInfo, "metrics",
+		"open", stats.Open,
+		"server_conns", l.pool.Size(),
+		"connects", l.pool.ConnectCount(),
+		"idle_limit", l.pool.IdleLimit(),
+		"policy", fmt.Sprintf("%+v", stats.Policy),
+		"counts", stats.Metrics.String())
+}
--- a/internal/agent/request.go
+++ b/internal/agent/dispatch/request.go
@@ -1,10 +1,12 @@
-package agent
+package dispatch
 
 import (
 	"log/slog"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 const (
@@ -17,10 +19,10 @@
 	maxPolicyMargin, policyTimeLeftPart = 8 * time.Millisecond, 8
 )
 
-// request is a clientRequest in the event loop, until it has a final response and no attempt is in flight.
+// Request is a Request in the event loop, until it has a final response and no attempt is in flight.
 type request struct {
 	id          balancer.RequestID
-	client      *clientRequest
+	client      *message.Request
 	answered    bool
 	attempts    []*attempt
 	sendingBody bool      // a streamed body is on its way to a server: the request's time has not begun
@@ -33,25 +35,25 @@
 
 // backstopMargin is the margin of the backstop: less than maxBackstopMargin where the client gives little time.
 func (r *request) backstopMargin() time.Duration {
-	return min(maxBackstopMargin, r.client.timeout/backstopTimeoutPart)
+	return min(maxBackstopMargin, r.client.Timeout/backstopTimeoutPart)
 }
 
-// respondBy is when the backstop responds; no attempt continues after it.
+// RespondBy is when the backstop responds; no attempt continues after it.
 func (r *request) respondBy() time.Time {
-	return r.client.deadline.Add(-r.backstopMargin())
+	return r.client.Deadline.Add(-r.backstopMargin())
 }
 
 // policyTimeLeftMs is the time left that the policy is given, in ms.
 func (r *request) policyTimeLeftMs() float64 {
-	left := time.Until(r.client.deadline)
+	left := time.Until(r.client.Deadline)
 	left -= min(maxPolicyMargin, left/policyTimeLeftPart)
-	return inMilliseconds(left)
+	return clock.Milliseconds(left)
 }
 
 // startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
 // the simulator, where such requests never reach the instance.
-func (l *eventLoop) startRequest(c *clientRequest) {
-	l.metrics.requests++
+func (l *Loop) startRequest(c *message.Request) {
+	l.metrics.Requests++
 	r := l.requests.open(c)
 	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
 	tooMany := maxOpen > 0 && l.requests.unanswered > maxOpen
@@ -61,29 +63,29 @@
 	}
 	l.requests.byID[r.id] = r
 	r.backstop = time.AfterFunc(time.Until(r.respondBy()), func() {
-		l.post(func() { l.backstopExpired(r) })
+		l.Post(func() { l.backstopExpired(r) })
 	})
 	l.handle(&balancer.Event{
 		Kind:         balancer.EventRequest,
 		Request:      r.id,
-		Rules:        c.rules,
-		Key:          c.key,
+		Rules:        c.Rules,
+		Key:          c.Key,
 		RemainingMs:  r.policyTimeLeftMs(),
-		Retry:        c.retry,
-		StreamedBody: c.streamed != nil,
+		Retry:        c.Retry,
+		StreamedBody: c.Streamed != nil,
 	})
 }
 
 // streamedBodySent takes the write of the last byte of a streamed request. The request's time counts from that
 // byte on, and the server can execute the request.
-func (l *eventLoop) streamedBodySent(r *request, index int) {
+func (l *Loop) streamedBodySent(r *request, index int) {
 	r.sendingBody = false
 	if r.answered {
 		return
 	}
 	c := r.client
-	c.deadline = c.streamed.respondBy(c.timeout)
-	c.arrivedAt = c.deadline.Add(-c.timeout)
+	c.Deadline = c.Streamed.RespondBy(c.Timeout)
+	c.ArrivedAt = c.Deadline.Add(-c.Timeout)
 	r.backstop.Reset(time.Until(r.respondBy()))
 	l.handle(&balancer.Event{
 		Kind:        balancer.EventRequestSent,
@@ -95,33 +97,33 @@
 
 // backstopExpired ends a request that the policy should have ended before. That it did not is a fault or a
 // stall, so it is logged and counted.
-func (l *eventLoop) backstopExpired(r *request) {
+func (l *Loop) backstopExpired(r *request) {
 	if r.answered || r.sendingBody {
 		return
 	}
-	l.metrics.backstops++
-	l.lines.limited(slog.LevelWarn, "backstop ended a request", "id", r.client.id, "attempts", len(r.attempts),
-		"in_flight", r.inFlight, "late_ms", millisecondsSince(r.respondBy()))
-	l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
+	l.metrics.Backstops++
+	l.lines.limited(slog.LevelWarn, "backstop ended a request", "id", r.client.ID, "attempts", len(r.attempts),
+		"in_flight", r.inFlight, "late_ms", clock.MillisecondsSince(r.respondBy()))
+	l.finish(r, message.Response{Kind: message.Failed, TimedOut: true})
 	l.cancelRequest(r)
 }
 
 // discardResponse ends a request whose client no longer waits for the response. One that is not in flight any
 // more has its response.
-func (l *eventLoop) discardResponse(c *clientRequest) {
-	if r := l.requests.byID[c.dispatchID]; r != nil {
+func (l *Loop) discardResponse(c *message.Request) {
+	if r := l.requests.byID[c.DispatchID]; r != nil {
 		l.clientLeft(r)
 	}
 	select {
-	case response := <-c.response:
-		response.body.release()
+	case response := <-c.Response:
+		response.Body.Release()
 	default:
 	}
 }
 
 // cancelSending cancels the attempts whose streamed body is still on its way to a server: no server has all of
 // it, so the client can safely send it again, to another process.
-func (l *eventLoop) cancelSending() {
+func (l *Loop) cancelSending() {
 	for _, r := range l.requests.byID {
 		if len(r.attempts) > 0 && r.sendingBody {
 			r.attempts[len(r.attempts)-1].cancelInFlight()
@@ -131,7 +133,7 @@
 
 // endRequests gives every open request its final response: the process is about to be killed, and a request that
 // has none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
-func (l *eventLoop) endRequests() {
+func (l *Loop) endRequests() {
 	for _, r := range l.requests.byID {
 		if r.answered {
 			continue
@@ -139,14 +141,14 @@
 		if r.mayHaveRun == 0 {
 			l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		} else {
-			l.finish(r, finalResponse{kind: responseFailed, timedOut: true})
+			l.finish(r, message.Response{Kind: message.Failed, TimedOut: true})
 		}
 		l.cancelRequest(r)
 	}
 }
 
 // clientLeft ends a request whose client has closed its connection, and cancels its attempts.
-func (l *eventLoop) clientLeft(r *request) {
+func (l *Loop) clientLeft(r *request) {
 	if r.answered {
 		return
 	}
@@ -155,14 +157,14 @@
 }
 
 // closeAsGone counts, logs and closes a request whose client has closed its connection.
-func (l *eventLoop) closeAsGone(r *request) {
-	l.metrics.clientsGone++
+func (l *Loop) closeAsGone(r *request) {
+	l.metrics.ClientsGone++
 	l.logRequest(r, "abandoned by its client")
 	l.closeRequest(r)
 }
 
 // cancelRequest tells the policy that a request is over, and cancels its attempts.
-func (l *eventLoop) cancelRequest(r *request) {
+func (l *Loop) cancelRequest(r *request) {
 	for _, a := range r.attempts {
 		a.cancelInFlight()
 	}
@@ -171,46 +173,46 @@
 
 // reject responds that a retry is harmless. Where an attempt may have executed that makes a retry harmful, the
 // request fails instead.
-func (l *eventLoop) reject(r *request, retryAfterMs float64) {
-	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.client.rules) {
-		l.logViolation(errUnsafeRejection, "id", r.client.id)
-		l.finish(r, finalResponse{kind: responseFailed})
+func (l *Loop) reject(r *request, retryAfterMs float64) {
+	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.client.Rules) {
+		l.logViolation(errUnsafeRejection, "id", r.client.ID)
+		l.finish(r, message.Response{Kind: message.Failed})
 		return
 	}
-	l.finish(r, finalResponse{kind: responseRejected, retryAfterMs: retryAfterMs})
+	l.finish(r, message.Response{Kind: message.Rejected, RetryAfterMs: retryAfterMs})
 }
 
 // finish gives a request its final response; only the first one counts.
-func (l *eventLoop) finish(r *request, response finalResponse) {
+func (l *Loop) finish(r *request, response message.Response) {
 	if r.answered {
 		return
 	}
-	l.countResponse(r, response.kind)
-	r.client.response <- response
+	l.countResponse(r, response.Kind)
+	r.client.Response <- response
 	l.closeRequest(r)
 }
 
 // countResponse counts a final response, and logs one that is not a success in time.
-func (l *eventLoop) countResponse(r *request, kind responseKind) {
+func (l *Loop) countResponse(r *request, kind message.ResponseKind) {
 	switch kind {
-	case responseServed:
-		if time.Since(r.client.arrivedAt) <= milliseconds(r.client.rules.LatencyObjectiveMs) {
-			l.metrics.served++
+	case message.Served:
+		if time.Since(r.client.ArrivedAt) <= clock.FromMilliseconds(r.client.Rules.LatencyObjectiveMs) {
+			l.metrics.Served++
 			return
 		}
 		l.metrics.servedLate++
 		l.logRequest(r, "served late")
-	case responseRejected:
+	case message.Rejected:
 		l.metrics.rejected++
 		l.logRequest(r, "rejected")
-	case responseFailed:
-		l.metrics.failed++
+	case message.Failed:
+		l.metrics.Failed++
 		l.logRequest(r, "failed")
 	}
 }
 
 // closeRequest marks a request as over, and forgets it once no attempt is in flight.
-func (l *eventLoop) closeRequest(r *request) {
+func (l *Loop) closeRequest(r *request) {
 	if !r.answered {
 		r.answered = true
 		l.requests.unanswered--
--- a/internal/agent/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"errors"
@@ -22,19 +22,19 @@
 
 // checkRules says which rule an attempt would break, whatever the policy decided; nil allows the attempt.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
-	rules := r.client.rules
+	rules := r.client.Rules
 	switch {
 	case r.answered:
 		return errRequestFinished
 	case server == nil || server.addr == "":
 		return errServerNotListed
-	case !server.isAvailable():
+	case !server.IsAvailable():
 		return errServerUnavailable
 	case r.inFlight > 0:
 		return errAttemptInFlight
 	case len(r.attempts) > rules.MaxAttempts:
 		return errTooManyAttempts
-	case r.client.streamed.isConsumed():
+	case r.client.Streamed.IsConsumed():
 		return errBodyConsumed
 	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
 		return errMayHaveExecuted
--- a/internal/agent/request_table.go
+++ b/internal/agent/dispatch/request_table.go
@@ -1,6 +1,9 @@
-package agent
+package dispatch
 
-import "fernbeam.example/fernbeam/internal/balancer"
+import (
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/balancer"
+)
 
 // requestTable has the requests that have no final response, or an attempt in flight.
 type requestTable struct {
@@ -13,11 +16,11 @@
 	return &requestTable{byID: map[balancer.RequestID]*request{}}
 }
 
-// open numbers and counts a client's request, which is not in the table yet.
-func (t *requestTable) open(c *clientRequest) *request {
+// Open numbers and counts a client's request, which is not in the table yet.
+func (t *requestTable) open(c *message.Request) *request {
 	t.lastID++
 	t.unanswered++
-	c.dispatchID = t.lastID
+	c.DispatchID = t.lastID
 	return &request{id: t.lastID, client: c}
 }
 
