--- a/internal/agent/dispatch_request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 import (
 	"context"
@@ -8,6 +8,9 @@
 
 	"golang.org/x/time/rate"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -16,22 +19,22 @@
 
 // The backstop responds before the deadline where the policy does not.
 func TestBackstop(t *testing.T) {
-	cfg := newTestConfig(t, "127.0.0.1:1", newDiscoveryServer(t, target("s-1", "127.0.0.1:1")))
-	l, err := newEventLoop(t.Context(), cfg, newConnectionPool(cfg), func() {}, nil)
+	cfg := agenttest.NewConfig(t, "127.0.0.1:1", agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")))
+	l, err := New(t.Context(), cfg, upstream.NewPool(cfg), func() {}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// A request that the policy never got stands for one that it forgot.
-	c := &clientRequest{ctx: t.Context(), rules: orderRules, deadline: time.Now().Add(time.Second), response: make(chan finalResponse, 1)}
+	c := &message.Request{Context: t.Context(), Rules: orderRules, Deadline: time.Now().Add(time.Second), Response: make(chan message.Response, 1)}
 	r := &request{id: 1, client: c}
 	l.requests.byID[1], l.requests.unanswered = r, 1
 	l.backstopExpired(r)
-	if a := <-c.response; a.kind != responseFailed || !a.timedOut {
+	if a := <-c.Response; a.Kind != message.Failed || !a.TimedOut {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
-	l.finish(r, finalResponse{kind: responseServed})
-	if len(c.response) != 0 || l.metrics.backstops != 1 || l.requests.unanswered != 0 || len(l.requests.byID) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.response), l.metrics, l.requests.unanswered)
+	l.finish(r, message.Response{Kind: message.Served})
+	if len(c.Response) != 0 || l.metrics.Backstops != 1 || l.requests.unanswered != 0 || len(l.requests.byID) != 0 {
+		t.Errorf("%d further answers, figures %+v, %d open", len(c.Response), l.metrics, l.requests.unanswered)
 	}
 }
 
@@ -39,9 +42,9 @@
 func TestViolationsArePrevented(t *testing.T) {
 	up := func() *listedServer { return &listedServer{addr: "127.0.0.1:1"} }
 	drained := up()
-	drained.setAvailable(false)
+	drained.SetAvailable(false)
 	now := time.Now()
-	l := startLoop(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), nil)
+	l := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), nil)
 	for _, test := range []struct {
 		name  string
 		r     request
@@ -58,30 +61,30 @@
 		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
 		{"no time", request{}, up(), now, false},
 	} {
-		test.r.client = &clientRequest{ctx: t.Context(), rules: orderRules}
+		test.r.client = &message.Request{Context: t.Context(), Rules: orderRules}
 		if err := checkRules(&test.r, test.b, now, test.until); (err == nil) != test.want {
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
-	c := &clientRequest{ctx: t.Context(), rules: orderRules, response: make(chan finalResponse, 1)}
+	c := &message.Request{Context: t.Context(), Rules: orderRules, Response: make(chan message.Response, 1)}
 	done := make(chan bool)
-	l.post(func() { l.reject(&request{id: 1 << 30, client: c, mayHaveRun: 1}, 1); close(done) })
+	l.Post(func() { l.reject(&request{id: 1 << 30, client: c, mayHaveRun: 1}, 1); close(done) })
 	<-done
-	if a := <-c.response; a.kind != responseFailed {
+	if a := <-c.Response; a.Kind != message.Failed {
 		t.Errorf("answered %+v, want a failure", a)
 	}
 }
 
 // A log that nobody reads does not block the event loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
-	l := startLoop(t, newDiscoveryServer(t, target("s-1", newFakeServer(t, respondOK).addr)), nil)
+	l := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), nil)
 	blocked, held := make(chan struct{}), make(chan struct{})
 	l.lines.lines <- func(context.Context) { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
-	l.post(func() {
+	l.Post(func() {
 		l.lines.limit.SetLimit(rate.Inf)
 		for range 2 * cap(l.lines.lines) {
 			l.lines.limited(slog.LevelDebug, "line")
@@ -90,9 +93,9 @@
 	})
 	select {
 	case <-done:
-	case <-time.After(testTimeout):
+	case <-time.After(agenttest.Timeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := do(t, newRequest(l.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	status, _, _ := agenttest.Do(t, agenttest.NewRequest(l.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -1,9 +1,11 @@
-package agent
+package dispatch
 
 import (
 	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
@@ -18,7 +20,7 @@
 type listContext struct {
 	// older tells that its version is lower than that of the list in force.
 	older bool
-	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
+	// LastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
 	// listed by then. 0: it had not responded before, or the full list was asked for.
 	lastAnswer time.Duration
 }
@@ -47,7 +49,7 @@
 }
 
 // resolve returns the event time at which a server's process started; 0 if that was long ago.
-func (s *startTimeTable) resolve(target *Target, list listContext) float64 {
+func (s *startTimeTable) resolve(target *endpoint.Endpoint, list listContext) float64 {
 	startedMs := balancer.Finite(target.StartedMs)
 	if startedMs == 0 {
 		return 0
@@ -76,7 +78,7 @@
 // to start is wrong.
 func (s *startTimeTable) age(startedMs, now float64) float64 {
 	byEventClock := now - startedMs
-	byWallClock := unixMilliseconds(s.clock.Wall()) - startedMs
+	byWallClock := clock.UnixMilliseconds(s.clock.Wall()) - startedMs
 	switch {
 	case byEventClock < 0:
 		return max(byWallClock, 0)
--- a/internal/agent/dispatch_start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -1,11 +1,13 @@
-package agent
+package dispatch
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // startTimesFixture is a machine whose wall clock may be wrong, and the start times that an agent on it gets.
@@ -26,9 +28,9 @@
 
 // tell has discovery tell a start, and returns the age that the process is taken for.
 func (r *startTimesFixture) resolve(startedMs float64, told listContext) time.Duration {
-	at := r.starts.resolve(&Target{ID: "s-1", StartedMs: startedMs}, told)
+	at := r.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, told)
 	r.asOf = r.clock.Monotonic()
-	return milliseconds(r.starts.clock.nowMs() - at).Round(time.Millisecond)
+	return clock.FromMilliseconds(r.starts.clock.nowMs() - at).Round(time.Millisecond)
 }
 
 func (r *startTimesFixture) want(got, want time.Duration) {
--- a/internal/agent/loop_status.go
+++ b/internal/agent/dispatch/status.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 // LoopStatus is a snapshot of what the event loop has in force, and of its calls to discovery.
 type LoopStatus struct {
@@ -12,15 +12,15 @@
 	ListIn, ListOut, ListCalls uint64
 }
 
-// status returns the loop's status; it never waits for the loop.
-func (l *eventLoop) status() LoopStatus {
-	traffic := l.discovery.traffic()
+// Status returns the loop's status; it never waits for the loop.
+func (l *Loop) Status() LoopStatus {
+	traffic := l.discovery.Traffic()
 	return LoopStatus{
 		ListVersion:     l.published.listVersion.Load(),
 		Servers:         int(l.published.servers.Load()),
 		SettingsVersion: l.published.settingsVersion.Load(),
-		ListIn:          traffic.bytesIn,
-		ListOut:         traffic.bytesOut,
-		ListCalls:       traffic.calls,
+		ListIn:          traffic.BytesIn,
+		ListOut:         traffic.BytesOut,
+		ListCalls:       traffic.Calls,
 	}
 }
--- a/internal/agent/client_conn.go
+++ b/internal/agent/downstream/conn.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"errors"
@@ -10,6 +10,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
 // connKey is the context key of a request's *clientConn.
@@ -38,7 +40,7 @@
 	defer c.mu.Unlock()
 	if !c.requestBegun.Load() {
 		c.closeIfIdle = true
-		_ = c.Conn.SetReadDeadline(expired) // fails only once it is closed
+		_ = c.Conn.SetReadDeadline(socket.Expired) // fails only once it is closed
 	}
 }
 
@@ -74,7 +76,7 @@
 		n, err := c.Conn.Read(p)
 		timedOut := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		if timedOut && c.wokenToClose() {
-			if !c.requestBegun.Load() && isIdleConnAlive(c.Conn) {
+			if !c.requestBegun.Load() && socket.IsIdleAlive(c.Conn) {
 				return 0, err
 			}
 			continue
@@ -106,7 +108,7 @@
 	}
 	n := 0
 	// Control works past the deadline, unlike Read.
-	if err := raw.Control(func(fd uintptr) { n = readNow(int(fd), p) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { n = socket.ReadNow(int(fd), p) }); err != nil {
 		return 0
 	}
 	return n
@@ -115,7 +117,7 @@
 // peerClosed tells whether the client has closed its side, also behind bytes that nobody has read: a server
 // that has read ahead of a request, or leaves its body unread, does not notice.
 func (c *clientConn) peerClosed() bool {
-	return pollSocket(c.Conn, unix.POLLRDHUP, peerClosedEvents)
+	return socket.Poll(c.Conn, unix.POLLRDHUP, socket.PeerClosedEvents)
 }
 
 // Close closes the connection and gives its slot back, once.
--- a/internal/agent/downstream_conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"errors"
@@ -9,6 +9,10 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
 // clientPair is a client's end of a connection and the agent's.
@@ -23,7 +27,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	accepted, err := newClientListener(ln, newQuota(8)).Accept()
+	accepted, err := newClientListener(ln, message.NewQuota(8)).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +43,7 @@
 		c.SetReadDeadline(time.Time{})
 		c.closeWhenIdle()
 		c.requestBegun.Store(true) // the head came as it was woken
-		time.AfterFunc(requestHeadTimeout+200*time.Millisecond, func() { client.Write([]byte("x")) })
+		time.AfterFunc(RequestHeadTimeout+200*time.Millisecond, func() { client.Write([]byte("x")) })
 		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 			t.Errorf("read %d, %v", n, err)
 		}
@@ -57,7 +61,7 @@
 			_, err := c.Read(buf)
 			ended <- err
 		}()
-		over := time.After(testTimeout)
+		over := time.After(agenttest.Timeout)
 		for {
 			select {
 			case err := <-ended:
@@ -91,7 +95,7 @@
 		return client, c, make([]byte, 10)
 	}
 	arrived := func(t *testing.T, c *clientConn) {
-		waitUntil(t, "the bytes have arrived", func() bool { return pollSocket(c.Conn, unix.POLLIN, unix.POLLIN) })
+		agenttest.WaitUntil(t, "the bytes have arrived", func() bool { return socket.Poll(c.Conn, unix.POLLIN, unix.POLLIN) })
 	}
 	t.Run("a first request", func(t *testing.T) {
 		client, c, buf := pair(t)
@@ -134,7 +138,7 @@
 }
 
 func TestSmallWritesToClientsAreNotDelayed(t *testing.T) {
-	if _, conn := clientPair(t); !hasNoDelay(t, conn.Conn) {
+	if _, conn := clientPair(t); !agenttest.HasNoDelay(t, conn.Conn) {
 		t.Error("small writes to clients are held back")
 	}
 }
--- a/internal/agent/client_conns.go
+++ b/internal/agent/downstream/conns.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"container/list"
@@ -7,12 +7,14 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // drainSweepInterval is how often idle connections are closed while the downstream server drains.
 const drainSweepInterval = 50 * time.Millisecond
 
-// clientConns closes the client connections that have been idle longest when there are nearly as many as are
+// ClientConns closes the client connections that have been idle longest when there are nearly as many as are
 // allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
 //
 // It checks both when a connection is accepted and when one becomes idle. At the limit none is accepted any
@@ -20,7 +22,7 @@
 // closed no longer counts and is not chosen again, unless a request turns out to have arrived on it: then
 // another one is closed.
 type clientConns struct {
-	slots     quota
+	slots     message.Quota
 	mu        sync.Mutex
 	maxConns  int
 	open      map[net.Conn]bool // true: being closed
@@ -33,7 +35,7 @@
 func newClientConns(maxConns int) *clientConns {
 	return &clientConns{
 		maxConns: maxConns,
-		slots:    newQuota(int64(maxConns)),
+		slots:    message.NewQuota(int64(maxConns)),
 		open:     map[net.Conn]bool{},
 		idle:     map[net.Conn]*list.Element{},
 	}
@@ -134,7 +136,7 @@
 // closeIdleUntil closes idle connections until ctx ends: not at once, as connections still arrive and clients
 // still choose among those that they have.
 func (c *clientConns) closeIdleUntil(ctx context.Context) {
-	sweep := time.NewTimer(drainAcceptTime)
+	sweep := time.NewTimer(DrainAcceptTime)
 	defer sweep.Stop()
 	for {
 		select {
@@ -176,7 +178,7 @@
 	return allClosed
 }
 
-// size is the number of open connections.
+// Size is the number of open connections.
 func (c *clientConns) size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/downstream_conns_test.go
+++ b/internal/agent/downstream/conns_test.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"errors"
@@ -8,6 +8,9 @@
 	"os"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
 // A connection that is closed by a drain ends only if no request has arrived on it.
@@ -22,7 +25,7 @@
 
 	client, c := clientPair(t)
 	client.Write([]byte("GET"))
-	for isIdleConnAlive(c.Conn) { // until it has arrived
+	for socket.IsIdleAlive(c.Conn) { // until it has arrived
 		time.Sleep(time.Millisecond)
 	}
 	c.closeWhenIdle()
@@ -47,7 +50,7 @@
 		clients, servers = append(clients, client), append(servers, c)
 	}
 	fmt.Fprint(clients[0], "GET") // to the one that will have idled longest
-	waitUntil(t, "it has arrived", func() bool { return !isIdleConnAlive(servers[0].Conn) })
+	agenttest.WaitUntil(t, "it has arrived", func() bool { return !socket.IsIdleAlive(servers[0].Conn) })
 	for _, c := range servers[:3] {
 		conns.track(c, http.StateNew)
 		conns.track(c, http.StateActive)
--- /dev/null
+++ b/internal/agent/downstream/fixture_test.go
@@ -0,0 +1,54 @@
+package downstream
+
+import (
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+)
+
+// testDispatcher serves each request with an empty response, and counts the requests.
+type testDispatcher struct {
+	requests atomic.Int64
+}
+
+func (d *testDispatcher) Dispatch(c *message.Request) {
+	d.requests.Add(1)
+	c.Response <- message.Response{Kind: message.Served, Header: http.Header{}, Body: &message.ResponseBody{}}
+}
+
+func (*testDispatcher) Abandon(*message.Request)                       {}
+func (*testDispatcher) CancelStreaming()                               {}
+func (*testDispatcher) EndAll()                                        {}
+func (*testDispatcher) AcceptFailed(error)                             {}
+func (*testDispatcher) InvalidRequest(string, string, *RequestError)   {}
+func (*testDispatcher) ResponseAborted(*message.Request, error, error) {}
+
+// startServer serves the clients that connect to a listener by a testDispatcher.
+func startServer(t *testing.T, ln net.Listener) (*Server, *testDispatcher) {
+	t.Helper()
+	requests := new(testDispatcher)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), agenttest.NewDiscovery(t))
+	server := New(t.Context(), cfg, ln, false, requests, func(bool) {})
+	server.SetServing()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve() }()
+	t.Cleanup(func() {
+		server.Close()
+		<-served
+	})
+	return server, requests
+}
+
+// listen is a listener on a port that the system chooses.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ln
+}
--- a/internal/agent/client_listener.go
+++ b/internal/agent/downstream/listener.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"context"
@@ -7,6 +7,9 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
 // queuePollInterval is how often the accept queue is polled while no slot is free: the time that a request has
@@ -17,7 +20,7 @@
 // without a descriptor.
 type clientListener struct {
 	net.Listener
-	slots     quota
+	slots     message.Quota
 	open      context.Context
 	stop      context.CancelFunc
 	finishing atomic.Bool // Accept ends once no connection waits
@@ -26,7 +29,7 @@
 	queuedAt time.Time
 }
 
-func newClientListener(ln net.Listener, slots quota) *clientListener {
+func newClientListener(ln net.Listener, slots message.Quota) *clientListener {
 	open, stop := context.WithCancel(context.Background())
 	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
 }
@@ -71,7 +74,7 @@
 
 // setQueuedAt tells a connection since when it may have waited with a request on it.
 func (l *clientListener) setQueuedAt(conn *clientConn) {
-	if !isIdleConnAlive(conn.Conn) { // its bytes were there before it was accepted
+	if !socket.IsIdleAlive(conn.Conn) { // its bytes were there before it was accepted
 		conn.queuedAt = l.queuedAt
 	}
 	if !l.queued() {
@@ -87,7 +90,7 @@
 
 // queued tells whether connections wait to be accepted.
 func (l *clientListener) queued() bool {
-	return pollSocket(l.Listener, unix.POLLIN, unix.POLLIN)
+	return socket.Poll(l.Listener, unix.POLLIN, unix.POLLIN)
 }
 
 // Close closes the listener, also for an Accept that waits for a slot.
--- a/internal/agent/downstream_response.go
+++ b/internal/agent/downstream/response.go
@@ -1,37 +1,39 @@
-package agent
+package downstream
 
 import (
 	"io"
 	"net/http"
 	"strconv"
+
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // writeResponse writes the final response to the client.
-func (f *downstreamServer) writeResponse(w http.ResponseWriter, c *clientRequest, response finalResponse) {
-	defer response.body.release()
-	if c.streamed != nil && !c.streamed.complete() {
+func (s *Server) writeResponse(w http.ResponseWriter, c *message.Request, response message.Response) {
+	defer response.Body.Release()
+	if c.Streamed != nil && !c.Streamed.Complete() {
 		// The client may still be sending, and reads the response only if its body is read. What follows the
 		// body is not read as a request.
 		closeAfterResponse(w)
 		defer func() {
 			_ = http.NewResponseController(w).Flush()         // the client may have gone
-			_, _ = io.Copy(io.Discard, c.streamed.clientBody) // read only for the client's sake
+			_, _ = io.Copy(io.Discard, c.Streamed.ClientBody) // read only for the client's sake
 		}()
 	}
-	if f.draining.Load() { // it may have begun since the request came
+	if s.draining.Load() { // it may have begun since the request came
 		closeAfterResponse(w)
 	}
 	switch {
-	case response.kind == responseServed:
-		f.writeServed(w, c, response)
-	case response.kind == responseRejected:
-		if response.retryAfterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(response.retryAfterMs/1000, 'f', 3, 64))
+	case response.Kind == message.Served:
+		s.writeServed(w, c, response)
+	case response.Kind == message.Rejected:
+		if response.RetryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfterMs/1000, 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case response.badRequest:
+	case response.BadRequest:
 		w.WriteHeader(http.StatusBadRequest)
-	case response.timedOut:
+	case response.TimedOut:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
@@ -39,17 +41,17 @@
 }
 
 // writeServed passes a server's response on.
-func (f *downstreamServer) writeServed(w http.ResponseWriter, c *clientRequest, response finalResponse) {
-	for name, values := range endToEndHeaders(response.header) {
+func (s *Server) writeServed(w http.ResponseWriter, c *message.Request, response message.Response) {
+	for name, values := range message.EndToEndHeaders(response.Header) {
 		w.Header()[name] = values
 	}
-	if response.body.length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(response.body.length, 10))
+	if response.Body.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(response.Body.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	fromServer, toClient := response.body.copyTo(w)
+	fromServer, toClient := response.Body.CopyTo(w)
 	if fromServer != nil || toClient != nil {
-		f.dispatcher.responseAborted(c, fromServer, toClient)
+		s.dispatcher.ResponseAborted(c, fromServer, toClient)
 		// Only a connection that ends before the response does tells the client that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/agent/downstream_requests_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -1,4 +1,4 @@
-package agent
+package downstream
 
 import (
 	"fmt"
@@ -6,6 +6,8 @@
 	"net/http"
 	"sync"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
 // lateCloseListener makes connections that the agent closes stay readable, so that they bring a request that
@@ -40,13 +42,13 @@
 // agent forwarded it as well, two copies would execute.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
 	server, requests := startServer(t, lateCloseListener{listen(t)})
-	client := dialKept(t, server.listener.Addr().String())
+	client := agenttest.DialKept(t, server.listener.Addr().String())
 	fmt.Fprint(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	if resp, err := http.ReadResponse(client.br, nil); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, err := http.ReadResponse(client.Br, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", resp, err)
 	}
 	conns := server.conns
-	waitUntil(t, "the connection idles", func() bool {
+	agenttest.WaitUntil(t, "the connection idles", func() bool {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
 		return conns.order.Len() == 1
@@ -56,7 +58,7 @@
 	conns.mu.Unlock()
 	fmt.Fprint(client, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
-	if resp, err := http.ReadResponse(client.br, nil); err == nil {
+	if resp, err := http.ReadResponse(client.Br, nil); err == nil {
 		t.Errorf("answered %d on a connection that was closed", resp.StatusCode)
 	}
 	if got := requests.requests.Load(); got != 0 {
@@ -68,12 +70,12 @@
 // forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
 	server, requests := startServer(t, listen(t))
-	c := dialKept(t, server.listener.Addr().String())
-	if c.request(t).StatusCode != 200 {
+	c := agenttest.DialKept(t, server.listener.Addr().String())
+	if c.Request(t).StatusCode != 200 {
 		t.Fatal("not served")
 	}
 	server.rejectNew()
-	if resp := c.request(t); resp.StatusCode != 503 {
+	if resp := c.Request(t); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want a rejection", resp.StatusCode)
 	}
 	if got := requests.requests.Load(); got != 1 {
--- a/internal/agent/downstream_server_test.go
+++ b/internal/agent/downstream_server_test.go
@@ -9,12 +9,15 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 func TestMalformedInput(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool { // no echo: it would be too large
 		body, _ := io.ReadAll(req.Body)
-		return sendResponse(c, 200, "", fmt.Sprint(len(body)))
+		return agenttest.SendResponse(c, 200, "", fmt.Sprint(len(body)))
 	})
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -35,17 +38,17 @@
 		{"time-out zero", "order", set("Request-Timeout-Ms", "0"), "x", 400},
 		{"time-out huge", "order", set("Request-Timeout-Ms", "99999999999999999999"), "x", 400},
 		{"method", "order", func(r *http.Request) { r.Method = "DELETE" }, "x", 405},
-		{"oversize", "order", func(r *http.Request) { r.ContentLength = maxRequestBody + 1 }, "x", 413},
+		{"oversize", "order", func(r *http.Request) { r.ContentLength = message.MaxRequestBody + 1 }, "x", 413},
 	} {
-		req := newRequest(a.addr, test.class, test.body)
+		req := agenttest.NewRequest(a.addr, test.class, test.body)
 		if test.change != nil {
 			test.change(req)
 		}
 		if test.status == 413 { // it has no end that the client could send
 			c := a.dialKept()
 			fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-				"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\nx", maxRequestBody+1)
-			if resp, err := http.ReadResponse(c.br, nil); err != nil || resp.StatusCode != 413 {
+				"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\nx", message.MaxRequestBody+1)
+			if resp, err := http.ReadResponse(c.Br, nil); err != nil || resp.StatusCode != 413 {
 				t.Errorf("%s: %v, %v", test.name, resp, err)
 			}
 			continue
@@ -60,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testTimeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		fmt.Fprint(c, text)
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 400 {
@@ -68,11 +71,11 @@
 		}
 		c.Close()
 	}
-	if status, _, got := a.do(newRequest(a.addr, "order", strings.Repeat("x", maxBufferedBody))); status != 200 || got != fmt.Sprint(maxBufferedBody) {
+	if status, _, got := a.do(agenttest.NewRequest(a.addr, "order", strings.Repeat("x", message.MaxBufferedBody))); status != 200 || got != fmt.Sprint(message.MaxBufferedBody) {
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
+	if b.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", b.Count())
 	}
 }
 
@@ -100,20 +103,20 @@
 		{"rejected, plain", head("nobody's", "Content-Length: 0"), 400, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := startWithServer(t, respondOK)
+			a, b := startWithServer(t, agenttest.RespondOK)
 			c, err := net.Dial("tcp", a.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(testTimeout))
+			c.SetDeadline(time.Now().Add(agenttest.Timeout))
 			fmt.Fprint(c, test.head+body)
 			br := bufio.NewReader(c)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			wantStatus(t, resp.StatusCode, test.status)
+			agenttest.WantStatus(t, resp.StatusCode, test.status)
 			if _, err := io.ReadAll(resp.Body); err != nil {
 				t.Fatal(err)
 			}
@@ -124,8 +127,8 @@
 			if resp, err := http.ReadResponse(br, nil); err == nil {
 				t.Errorf("a second answer, %d", resp.StatusCode)
 			}
-			if b.count() != test.arrivals {
-				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
+			if b.Count() != test.arrivals {
+				t.Errorf("%d arrivals, want %d", b.Count(), test.arrivals)
 			}
 		})
 	}
@@ -135,7 +138,7 @@
 // also one that sends a byte now and then.
 func TestImproperPeersAreEndedInTime(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, respondOK)
+	a, b := startWithServer(t, agenttest.RespondOK)
 	head := "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\n"
 	for name, peer := range map[string]struct{ at, drip string }{
 		"silent":       {"", ""},
@@ -156,7 +159,7 @@
 			}
 			defer c.Close()
 			from := time.Now()
-			c.SetDeadline(from.Add(testTimeout))
+			c.SetDeadline(from.Add(agenttest.Timeout))
 			fmt.Fprint(c, peer.at)
 			over := make(chan struct{})
 			go func() {
@@ -177,8 +180,8 @@
 			if took := time.Since(from); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
 			}
-			if b.count() != 0 {
-				t.Errorf("%d arrivals", b.count())
+			if b.Count() != 0 {
+				t.Errorf("%d arrivals", b.Count())
 			}
 		})
 	}
@@ -190,9 +193,9 @@
 	release := make(chan struct{})
 	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	time.AfterFunc(bodyGracePeriod+500*time.Millisecond, func() { close(release) })
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	time.AfterFunc(message.BodyGracePeriod+500*time.Millisecond, func() { close(release) })
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -11,6 +11,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // crashFault is the fault of a server whose process dies: it accepts nothing more.
@@ -18,13 +21,16 @@
 
 // serverFaults are ways in which a server fails requests that it has accepted.
 var serverFaults = map[string]func(c net.Conn, req *http.Request, n int) bool{
-	"hang":                func(net.Conn, *http.Request, int) bool { return true },
-	crashFault:            func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) },
-	"reset":               func(c net.Conn, _ *http.Request, _ int) bool { return resetConn(c) },
-	"close":               func(net.Conn, *http.Request, int) bool { return false },
-	"hang in the answer":  func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "200 OK") },
-	"hang in an error":    func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "500 X") },
-	"reset in the answer": func(c net.Conn, _ *http.Request, _ int) bool { halfResponse(c, "200 OK"); return resetConn(c) },
+	"hang":               func(net.Conn, *http.Request, int) bool { return true },
+	crashFault:           func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) },
+	"reset":              func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) },
+	"close":              func(net.Conn, *http.Request, int) bool { return false },
+	"hang in the answer": func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "200 OK") },
+	"hang in an error":   func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "500 X") },
+	"reset in the answer": func(c net.Conn, _ *http.Request, _ int) bool {
+		halfResponse(c, "200 OK")
+		return agenttest.ResetConn(c)
+	},
 	"bytes without an end": func(c net.Conn, _ *http.Request, _ int) bool {
 		for {
 			if _, err := c.Write(make([]byte, 100)); err != nil {
@@ -46,15 +52,15 @@
 	func(c *net.TCPConn) { io.WriteString(c, "GET /api/a HT") },
 	func(c *net.TCPConn) { io.WriteString(c, "\x00\xff\r\n\r\n"+readRequest) },
 	func(c *net.TCPConn) {
-		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 8*maxBufferedBody))[:3*maxBufferedBody])
+		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 8*message.MaxBufferedBody))[:3*message.MaxBufferedBody])
 	},
 	func(c *net.TCPConn) { io.WriteString(c, readRequest); c.SetLinger(0); c.Close() },
 	func(c *net.TCPConn) { io.WriteString(c, readRequest+readRequest+"X"); c.Close() },
 	func(c *net.TCPConn) {
-		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 3*maxBufferedBody)))
+		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 3*message.MaxBufferedBody)))
 		c.CloseWrite()
 	},
-	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", maxBufferedBody)); c.Close() },
+	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", message.MaxBufferedBody)); c.Close() },
 }
 
 // misbehave has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
@@ -67,7 +73,7 @@
 		}
 		c := nc.(*net.TCPConn)
 		context.AfterFunc(ctx, func() { c.Close() })
-		c.SetDeadline(time.Now().Add(testTimeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		badClients[i%len(badClients)](c)
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -83,10 +89,10 @@
 	for name, fault := range serverFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad, good := newFakeServer(t, fault), newFakeServer(t, respondOK)
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", bad.addr), target("s-2", good.addr)), nil)
+			bad, good := agenttest.NewServer(t, fault), agenttest.NewServer(t, agenttest.RespondOK)
+			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", bad.Addr), agenttest.Endpoint("s-2", good.Addr)), nil)
 			if name == crashFault {
-				time.AfterFunc(100*time.Millisecond, func() { bad.ln.Close() })
+				time.AfterFunc(100*time.Millisecond, func() { bad.Ln.Close() })
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var others, honest sync.WaitGroup
@@ -118,10 +124,10 @@
 
 // wantResponse sends a request, and checks that the response is final and not too late.
 func wantResponse(t *testing.T, addr, class string, timeout time.Duration) int {
-	req := newRequest(addr, class, "x")
+	req := agenttest.NewRequest(addr, class, "x")
 	req.Header.Set("Request-Timeout-Ms", fmt.Sprint(timeout.Milliseconds()))
 	from := time.Now()
-	resp, err := testClient.Do(req)
+	resp, err := agenttest.HTTPClient.Do(req)
 	if err != nil {
 		t.Errorf("%s: no answer: %v", class, err)
 		return 0
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -7,13 +7,16 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 // startSmallAgent has the fewest descriptors that may be configured.
 func startSmallAgent(t *testing.T) (a *testAgent, most int) {
-	b := newFakeServer(t, respondOK)
-	a = startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	return a, a.agent.cfg.clientConns()
+	b := agenttest.NewServer(t, agenttest.RespondOK)
+	a = startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) { c.Sockets = config.MinSockets })
+	return a, a.agent.cfg.ClientConns()
 }
 
 // The first request on a new connection is answered, whatever the agent does with others just then to keep
@@ -22,7 +25,7 @@
 	for name, fill := range map[string]func(t *testing.T, a *testAgent, most int){
 		"room is made of resting connections": func(t *testing.T, a *testAgent, most int) {
 			for range most {
-				a.dialKept().requestReady(t)
+				a.dialKept().RequestReady(t)
 			}
 		},
 		"silent connections hold all": func(t *testing.T, a *testAgent, most int) {
@@ -52,7 +55,7 @@
 					defer asking.Done()
 					c := a.dialKept()
 					fmt.Fprint(c, timedRequest(30_000, "x"))
-					if status := c.status(); status != 200 && status != 503 {
+					if status := c.Status(); status != 200 && status != 503 {
 						t.Errorf("answered %d", status)
 					}
 				}()
@@ -65,7 +68,7 @@
 // Bytes that are no request, ahead of one on a new connection, are answered with an error or served as if
 // they were not there; the connection never ends without a response.
 func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
-	a, b := startWithServer(t, respondOK)
+	a, b := startWithServer(t, agenttest.RespondOK)
 	for name, bytes := range map[string]string{
 		"an empty line":        "\r\n",
 		"nonsense":             "nonsense\r\n\r\n",
@@ -79,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := a.dialKept()
 			fmt.Fprint(c, bytes+timedRequest(timeoutMs, "x"))
-			resp, err := http.ReadResponse(c.br, nil)
+			resp, err := http.ReadResponse(c.Br, nil)
 			if err != nil {
 				t.Fatalf("no answer: %v", err)
 			}
@@ -90,7 +93,7 @@
 			}
 		})
 	}
-	if n := b.count(); n > 1 {
+	if n := b.Count(); n > 1 {
 		t.Errorf("%d arrivals", n)
 	}
 }
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fixture_test.go
@@ -9,6 +9,10 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/dispatch"
 )
 
 // testAgent is an agent on a port that the kernel chooses.
@@ -21,11 +25,11 @@
 	adminAddr string // of the admin endpoint
 	log       *testLog
 	// reloads takes what a SIGHUP would bring.
-	reloads chan *Config
+	reloads chan *config.Config
 }
 
 // startAgent starts an agent that knows the list of the discovery as it is now.
-func startAgent(t testing.TB, d *fakeDiscovery, change func(*Config)) *testAgent {
+func startAgent(t testing.TB, d *agenttest.Discovery, change func(*config.Config)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,9 +39,9 @@
 }
 
 // startAgentOn is startAgent with a listener of the test's.
-func startAgentOn(t testing.TB, d *fakeDiscovery, ln net.Listener, change func(*Config)) *testAgent {
+func startAgentOn(t testing.TB, d *agenttest.Discovery, ln net.Listener, change func(*config.Config)) *testAgent {
 	t.Helper()
-	cfg := newTestConfig(t, ln.Addr().String(), d)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), d)
 	log := &testLog{}
 	cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 	if change != nil {
@@ -55,9 +59,9 @@
 		log:       log,
 		stop:      stop,
 		done:      make(chan error, 1),
-		reloads:   make(chan *Config),
+		reloads:   make(chan *config.Config),
 	}
-	a.agent, err = New(cfg, Listeners{Clients: ln, Operators: operators})
+	a.agent, err = New(cfg, Listeners{Clients: ln, Admin: operators})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +70,7 @@
 		stop()
 		select {
 		case <-a.done:
-		case <-time.After(testTimeout):
+		case <-time.After(agenttest.Timeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -75,8 +79,8 @@
 }
 
 func (a *testAgent) waitReady() {
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		resp, err := testClient.Get("http://" + a.addr + "/-/ready")
+	for end := time.Now().Add(agenttest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		resp, err := agenttest.HTTPClient.Get("http://" + a.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -88,18 +92,18 @@
 }
 
 // statsNow reads the loop's statistics, in the loop.
-func (a *testAgent) statsNow() loopStats {
-	stats := make(chan loopStats, 1)
-	a.agent.loop.post(func() { stats <- a.agent.loop.stats() })
+func (a *testAgent) statsNow() dispatch.Stats {
+	stats := make(chan dispatch.Stats, 1)
+	a.agent.loop.Post(func() { stats <- a.agent.loop.Stats() })
 	return <-stats
 }
 
 // metricsNow reads the loop's metrics, in the loop.
-func (a *testAgent) metricsNow() metrics { return a.statsNow().metrics }
+func (a *testAgent) metricsNow() dispatch.Metrics { return a.statsNow().Metrics }
 
 // testLog writes an agent's lines to the test that asks for them, and else to standard error.
 type testLog struct {
-	lines atomic.Pointer[lineWriter]
+	lines atomic.Pointer[agenttest.LineWriter]
 }
 
 func (l *testLog) Write(line []byte) (int, error) {
@@ -111,13 +115,13 @@
 
 // logLines makes the agent pass its log lines to the test, as text.
 func (a *testAgent) logLines() <-chan string {
-	lines := make(lineWriter, maxTestLines)
+	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	a.log.lines.Store(&lines)
 	return lines
 }
 
-// do sends a request and returns the response's status, header and body.
+// Do sends a request and returns the response's status, header and body.
 func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
-	return do(a.t, req)
+	return agenttest.Do(a.t, req)
 }
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -6,6 +6,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 // Where the settings allow health checks a demoted server is restored by one, on the health path and with no
@@ -13,28 +16,28 @@
 func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	probes := make(chan *http.Request, 100)
 	var healthy atomic.Bool // until a probe says so everything fails
-	b := newFakeServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	b := agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		if req.URL.Path == "/-/healthy" {
 			healthy.Store(true)
 			probes <- req
-			return sendResponse(c, 200, "", "")
+			return agenttest.SendResponse(c, 200, "", "")
 		}
 		if !healthy.Load() {
-			return sendResponse(c, 500, "", "")
+			return agenttest.SendResponse(c, 500, "", "")
 		}
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) {
 		c.Settings.Limits.HealthChecks = true
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].LatencyObjectiveMs = 20 // how long a first failure holds
 		}
 	})
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 502)
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 502)
 	var probe *http.Request
-	for end := time.Now().Add(testTimeout); probe == nil && time.Now().Before(end); {
-		a.do(newRequest(a.addr, "order", "x"))
+	for end := time.Now().Add(agenttest.Timeout); probe == nil && time.Now().Before(end); {
+		a.do(agenttest.NewRequest(a.addr, "order", "x"))
 		select {
 		case probe = <-probes:
 		default:
@@ -46,6 +49,6 @@
 	if probe.Method != http.MethodGet || probe.Header.Get("Request-Id") != "" || probe.ContentLength != 0 {
 		t.Errorf("the probe was %s %s with %v", probe.Method, probe.URL, probe.Header)
 	}
-	status, _, _ = a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 }
--- /dev/null
+++ b/internal/agent/keyhash/keyhash.go
@@ -0,0 +1,20 @@
+package keyhash
+
+import "hash/fnv"
+
+// Sum is FNV-1a, never 0. It is the same at every agent, which maphash is not.
+func Sum(s string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(s)) // a hash.Hash never returns an error
+	if sum := h.Sum64(); sum != 0 {
+		return sum
+	}
+	return 1
+}
+
+// Mix spreads what differs in a hash's low bits over all of it (the finalizer of MurmurHash3).
+func Mix(h uint64) uint64 {
+	h = (h ^ h>>33) * 0xff51afd7ed558ccd
+	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
+	return h ^ h>>33
+}
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -10,6 +10,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // lateWriteConn is a connection whose server gets a whole request and then resets the connection, while the
@@ -72,7 +75,7 @@
 		a.Kill()
 		<-ended
 	}()
-	req := newRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*maxBufferedBody)+string(lastByte))
+	req := agenttest.NewRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*message.MaxBufferedBody)+string(lastByte))
 	req.Header.Set("Request-Timeout-Ms", "2000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -13,8 +13,8 @@
 	Shared bool
 	// Lock is the path of the file by which such processes find each other.
 	Lock string
-	// Operators is where the admin endpoint listens; nil: there is none.
-	Operators net.Listener
+	// Admin is where the admin endpoint listens; nil: there is none.
+	Admin net.Listener
 }
 
 // unusedListener is a listener that accepts nobody.
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -1,18 +1,20 @@
 package agent
 
 import (
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/dispatch"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
 // startMembership begins to take part in the membership view, where the configuration has one; nil: it has
 // none. The event loop gets each view as a posted function; nothing in the loop waits for it.
-func startMembership(cfg *Config, loop *eventLoop) (*membership.Membership, error) {
-	if cfg.Fleet == nil {
+func startMembership(cfg *config.Config, loop *dispatch.Loop) (*membership.Membership, error) {
+	if cfg.Membership == nil {
 		return nil, nil
 	}
-	own := *cfg.Fleet
-	own.Log = cfg.logger()
-	own.OnSnapshot = loop.membershipChanged
+	own := *cfg.Membership
+	own.Log = cfg.Logger()
+	own.OnSnapshot = loop.MembershipChanged
 	return membership.Start(own)
 }
 
--- a/internal/agent/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -1,4 +1,4 @@
-package agent
+package message
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// chunkSize is how much of a body a stream holds at a time; there are two such chunks.
-const chunkSize = 16 << 10
+// ChunkSize is how much of a body a stream holds at a time; there are two such chunks.
+const ChunkSize = 16 << 10
 
 // bodyChunk is what one read of a body returned.
 type bodyChunk struct {
@@ -18,33 +18,33 @@
 	err   error
 }
 
-// bodyStream is a body that is read from a server's connection while it is passed on. A goroutine of its own
+// BodyStream is a body that is read from a server's connection while it is passed on. A goroutine of its own
 // reads one chunk ahead, until the end of the body or of the stream.
-type bodyStream struct {
+type BodyStream struct {
 	chunks    chan bodyChunk
 	done      chan struct{}
 	closeOnce sync.Once
 	complete  bool // its reader has seen the end
-	// close ends the use of the connection, which may carry another message if the body is complete.
-	close func(complete bool)
+	// Close ends the use of the connection, which may carry another message if the body is complete.
+	Close func(complete bool)
 
 	mu          sync.Mutex
 	conn        net.Conn
 	ownDeadline bool // each read has its own deadline, and no longer the attempt's
 }
 
-// newStream begins to read a body, under the deadline that its connection has.
-func newStream(conn net.Conn, body io.Reader) *bodyStream {
-	s := &bodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: conn}
+// NewBodyStream begins to read a body, under the deadline that its connection has.
+func NewBodyStream(conn net.Conn, body io.Reader) *BodyStream {
+	s := &BodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: conn}
 	go s.read(body)
 	return s
 }
 
 // read reads into two buffers in turn: whoever takes a chunk is done with it before the next one.
-func (s *bodyStream) read(body io.Reader) {
-	var buffers [2][chunkSize]byte
+func (s *BodyStream) read(body io.Reader) {
+	var buffers [2][ChunkSize]byte
 	for i := 0; ; i = 1 - i {
-		s.extendDeadline(false)
+		s.ExtendDeadline(false)
 		n, err := body.Read(buffers[i][:])
 		select {
 		case s.chunks <- bodyChunk{buffers[i][:n], err}:
@@ -57,40 +57,40 @@
 	}
 }
 
-// extendDeadline sets the deadline of a read where the stream has its own ones; it has them from the first call
+// ExtendDeadline sets the deadline of a read where the stream has its own ones; it has them from the first call
 // with detach on.
-func (s *bodyStream) extendDeadline(detach bool) {
+func (s *BodyStream) ExtendDeadline(detach bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ownDeadline = s.ownDeadline || detach
 	if s.ownDeadline {
-		_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout)) // a closed connection fails in the read too
+		_ = s.conn.SetReadDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the read too
 	}
 }
 
 // finish ends the stream, complete or not, and its connection's use.
-func (s *bodyStream) finish() {
+func (s *BodyStream) finish() {
 	s.closeOnce.Do(func() {
 		close(s.done)
-		s.close(s.complete)
+		s.Close(s.complete)
 	})
 }
 
-// detach ends the stream before anyone has it, without its connection, which is then still the attempt's.
-func (s *bodyStream) detach() {
+// Detach ends the stream before anyone has it, without its connection, which is then still the attempt's.
+func (s *BodyStream) Detach() {
 	s.closeOnce.Do(func() { close(s.done) })
 }
 
 // next waits for the next chunk.
-func (s *bodyStream) next() ([]byte, error) {
+func (s *BodyStream) next() ([]byte, error) {
 	chunk := <-s.chunks
 	s.complete = errors.Is(chunk.err, io.EOF)
 	return chunk.bytes, chunk.err
 }
 
-// buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout, and tells
+// Buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout, and tells
 // whether it ended.
-func (s *bodyStream) buffer(limit int64, timeout time.Duration) (buffered []byte, complete bool, err error) {
+func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (buffered []byte, complete bool, err error) {
 	over := time.NewTimer(timeout)
 	defer over.Stop()
 	var collected bytes.Buffer
--- a/internal/agent/headers.go
+++ b/internal/agent/message/headers.go
@@ -1,4 +1,4 @@
-package agent
+package message
 
 import (
 	"net/http"
@@ -11,8 +11,8 @@
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEndHeaders are the header fields that are passed on.
-func endToEndHeaders(h http.Header) http.Header {
+// EndToEndHeaders are the header fields that are passed on.
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/agent/quota.go
+++ b/internal/agent/message/quota.go
@@ -1,4 +1,4 @@
-package agent
+package message
 
 import (
 	"io"
@@ -10,21 +10,21 @@
 // of the process need grows with the connections, which the descriptors bound.
 const bodyBudgetPart = 6
 
-// quota bounds how much of something the process may have.
-type quota struct {
+// Quota bounds how much of something the process may have.
+type Quota struct {
 	*semaphore.Weighted
-	size int64
+	Size int64
 }
 
-func newQuota(size int64) quota { return quota{semaphore.NewWeighted(size), size} }
+func NewQuota(size int64) Quota { return Quota{semaphore.NewWeighted(size), size} }
 
-// newBodyBudget bounds the bytes of buffered bodies, where the process may have so many MiB of memory.
-func newBodyBudget(memoryMB int) quota { return newQuota(int64(memoryMB) << 20 / bodyBudgetPart) }
+// NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many MiB of memory.
+func NewBodyBudget(memoryMB int) Quota { return NewQuota(int64(memoryMB) << 20 / bodyBudgetPart) }
 
-// readBody buffers a body of a length (-1: not given) as far as the budget and maxBufferedBody allow. It tells
+// ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. It tells
 // whether that is all of the body, and how many bytes of the budget are reserved, also after an error.
-func (q quota) readBody(from io.Reader, length int64) (buffered []byte, complete bool, reserved int64, err error) {
-	limit := int64(maxBufferedBody)
+func (q Quota) ReadBody(from io.Reader, length int64) (buffered []byte, complete bool, reserved int64, err error) {
+	limit := int64(MaxBufferedBody)
 	if length >= 0 {
 		limit = min(limit, length)
 	}
--- a/internal/agent/response_body.go
+++ b/internal/agent/message/response_body.go
@@ -1,4 +1,4 @@
-package agent
+package message
 
 import (
 	"errors"
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// bufferingTime is how long the bytes of a response without a length are buffered before they are passed on:
+// BufferingTime is how long the bytes of a response without a length are buffered before they are passed on:
 // where the response turns out long its first bytes should not wait.
-const bufferingTime = 250 * time.Millisecond
+const BufferingTime = 250 * time.Millisecond
 
-// responseBody is the body of a response on its way to the client. Its last owner releases it.
-type responseBody struct {
-	buffered []byte
-	stream   *bodyStream // the rest; nil: all of the body is buffered
-	length   int64       // -1: not given
-	budget   quota
-	reserved int64 // bytes of the budget
+// ResponseBody is the body of a response on its way to the client. Its last owner releases it.
+type ResponseBody struct {
+	Buffered []byte
+	Stream   *BodyStream // the rest; nil: all of the body is buffered
+	Length   int64       // -1: not given
+	Budget   Quota
+	Reserved int64 // bytes of the budget
 }
 
-// release gives back what the body holds; a stream that has not come to its end is cut off.
-func (b *responseBody) release() {
+// Release gives back what the body holds; a stream that has not come to its end is cut off.
+func (b *ResponseBody) Release() {
 	if b == nil {
 		return
 	}
-	if b.reserved > 0 {
-		b.budget.Release(b.reserved)
+	if b.Reserved > 0 {
+		b.Budget.Release(b.Reserved)
 	}
-	b.reserved = 0
-	if b.stream != nil {
-		b.stream.finish()
+	b.Reserved = 0
+	if b.Stream != nil {
+		b.Stream.finish()
 	}
 }
 
-// copyTo writes the body to the client as it arrives, and returns the error of the side that broke it off.
-func (b *responseBody) copyTo(w http.ResponseWriter) (fromServer, toClient error) {
+// CopyTo writes the body to the client as it arrives, and returns the error of the side that broke it off.
+func (b *ResponseBody) CopyTo(w http.ResponseWriter) (fromServer, toClient error) {
 	out := flushingWriter{w, http.NewResponseController(w)}
-	if err := out.write(b.buffered); err != nil {
+	if err := out.write(b.Buffered); err != nil {
 		return nil, err
 	}
-	if b.stream == nil {
+	if b.Stream == nil {
 		return nil, nil
 	}
 	for {
-		chunk, err := b.stream.next()
+		chunk, err := b.Stream.next()
 		if len(chunk) > 0 {
 			if err := out.write(chunk); err != nil {
 				return nil, err
@@ -66,7 +66,7 @@
 }
 
 func (f flushingWriter) write(p []byte) error {
-	_ = f.control.SetWriteDeadline(time.Now().Add(stallTimeout)) // a closed connection fails in the write too
+	_ = f.control.SetWriteDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the write too
 	if _, err := f.w.Write(p); err != nil {
 		return err
 	}
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -8,6 +8,9 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -15,19 +18,19 @@
 // has its own.
 func TestSecondResponseIsNotTheNextRequests(t *testing.T) {
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		if !respondOK(c, req, n) {
+		if !agenttest.RespondOK(c, req, n) {
 			return false
 		}
 		if n == 0 {
 			time.Sleep(5 * time.Millisecond)
-			_ = sendResponse(c, 200, "", "a second answer")
+			_ = agenttest.SendResponse(c, 200, "", "a second answer")
 		}
 		return true
 	})
 	client := a.dialKept()
 	for i := range 3 {
 		fmt.Fprintf(client, "GET /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n", i, i)
-		resp, err := http.ReadResponse(client.br, nil)
+		resp, err := http.ReadResponse(client.Br, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,8 +41,8 @@
 			t.Errorf("request %d was answered %q, want %q", i, body[:n], want)
 		}
 	}
-	if b.count() != 3 {
-		t.Errorf("%d arrivals, want 3", b.count())
+	if b.Count() != 3 {
+		t.Errorf("%d arrivals, want 3", b.Count())
 	}
 }
 
@@ -47,23 +50,23 @@
 // the policy's check of the time.
 func TestRetryIsNotSentPastItsWindow(t *testing.T) {
 	t.Parallel()
-	fails := newFakeServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return sendResponse(c, 500, "", "") })
+	fails := agenttest.NewServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, 500, "", "") })
 	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
 		ln := fullListener(t)
-		a := startAgent(t, newDiscoveryServer(t, target(ids[0], fails.addr), target(ids[1], ln.Addr().String())), func(c *Config) {
+		a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint(ids[0], fails.Addr), agenttest.Endpoint(ids[1], ln.Addr().String())), func(c *config.Config) {
 			c.Settings.Limits.ConnectTimeoutMs = 10_000
 			for i := range c.Settings.Classes {
 				c.Settings.Classes[i].DedupWindowMs = 400
 			}
 		})
-		before := fails.count()
-		a.agent.downstream.applySettings(a.agent.cfg)
-		req := newRequest(a.addr, "send", "x")
+		before := fails.Count()
+		a.agent.downstream.ApplySettings(a.agent.cfg)
+		req := agenttest.NewRequest(a.addr, "send", "x")
 		req.Header.Set("Request-Timeout-Ms", "8000")
 		got := make(chan int, 1)
 		go func() {
-			resp, err := testClient.Do(req)
+			resp, err := agenttest.HTTPClient.Do(req)
 			if err != nil {
 				got <- 0
 				return
@@ -71,9 +74,9 @@
 			resp.Body.Close()
 			got <- resp.StatusCode
 		}()
-		waitUntil(t, "a connect is under way", func() bool { return a.agent.pool.connectCount() > 0 })
+		agenttest.WaitUntil(t, "a connect is under way", func() bool { return a.agent.pool.ConnectCount() > 0 })
 		time.Sleep(100 * time.Millisecond)
-		if fails.count() == before { // the slow one came first: no repeat is on its way
+		if fails.Count() == before { // the slow one came first: no repeat is on its way
 			ln.Close()
 			a.stop()
 			continue
@@ -90,7 +93,7 @@
 					head := make([]byte, 1000)
 					if n, _ := nc.Read(head); n > 0 {
 						t.Errorf("repeated after its window: %q", head[:n])
-						_ = sendResponse(nc, 200, "", "")
+						_ = agenttest.SendResponse(nc, 200, "", "")
 					}
 				}()
 			}
@@ -98,7 +101,7 @@
 		if status := <-got; status != 502 {
 			t.Errorf("answered %d, want 502", status)
 		}
-		if f := a.metricsNow(); f.attempts[balancer.StatusUnsent] != 1 {
+		if f := a.metricsNow(); f.Attempts[balancer.StatusUnsent] != 1 {
 			t.Errorf("figures %+v", f)
 		}
 		return
@@ -111,64 +114,64 @@
 // only then.
 func TestReadyWithoutAnEndpointList(t *testing.T) {
 	t.Parallel()
-	b := newFakeServer(t, respondOK)
+	b := agenttest.NewServer(t, agenttest.RespondOK)
 	var up atomic.Bool
-	addr, _ := scriptedDiscovery(t, func(int, watchCall) string {
+	addr, _ := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
 		if !up.Load() {
 			return ""
 		}
-		return fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, b.addr)
+		return fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, b.Addr)
 	})
 	from := time.Now()
-	a := startAgent(t, newDiscoveryServer(t), func(c *Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
+	a := startAgent(t, agenttest.NewDiscovery(t), func(c *config.Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
 	if took := time.Since(from); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
-	wantStatus(t, a.adminCall("GET", "/ops/readiness"), 503)
-	req := newRequest(a.addr, "order", "x")
+	agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 503)
+	req := agenttest.NewRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "500")
 	status, _, _ := a.do(req)
-	wantStatus(t, status, 503)
+	agenttest.WantStatus(t, status, 503)
 	up.Store(true)
-	waitUntil(t, "a request is served", func() bool {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
+	agenttest.WaitUntil(t, "a request is served", func() bool {
+		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
 		return status == 200
 	})
-	waitUntil(t, "operators are told", func() bool { return a.adminCall("GET", "/ops/readiness") == 200 })
+	agenttest.WaitUntil(t, "operators are told", func() bool { return a.adminCall("GET", "/ops/readiness") == 200 })
 }
 
 // Half a line that a server sends on an idle connection makes it unusable: the next request takes another.
 func TestPartialLineOnAnIdleConnectionIsDropped(t *testing.T) {
 	more := make(chan struct{})
 	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		if respondOK(c, req, n); n == 0 {
+		if agenttest.RespondOK(c, req, n); n == 0 {
 			fmt.Fprint(c, "HTTP/1.1 2")
 			close(more)
 		}
 		return true
 	})
 	for i := range 2 {
-		status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-		wantStatus(t, status, 200)
+		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		agenttest.WantStatus(t, status, 200)
 		if i == 0 {
 			<-more
-			time.Sleep(2 * settleTime)
+			time.Sleep(2 * upstream.SettleTime)
 		}
 	}
-	if b.count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.count())
+	if b.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", b.Count())
 	}
 }
 
 // A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
 func TestClientThatClosesInItsBodyIsNotForwarded(t *testing.T) {
-	a, b := startWithServer(t, respondOK)
+	a, b := startWithServer(t, agenttest.RespondOK)
 	c := a.dialKept()
 	fmt.Fprint(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\nContent-Length: 9\r\n\r\nhalf")
 	c.Close()
 	a.wantNoneOpen(t)
-	waitUntil(t, "it is counted", func() bool { return a.metricsNow().invalid == 1 })
-	if f := a.metricsNow(); b.startedCount() != 0 || f.requests != 0 {
-		t.Errorf("%d arrivals, figures %+v", b.startedCount(), f)
+	agenttest.WaitUntil(t, "it is counted", func() bool { return a.metricsNow().Invalid == 1 })
+	if f := a.metricsNow(); b.StartedCount() != 0 || f.Requests != 0 {
+		t.Errorf("%d arrivals, figures %+v", b.StartedCount(), f)
 	}
 }
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -15,6 +15,10 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // pathRate is the calls a second that an agent has on average in two years (deploy/target.toml).
@@ -31,7 +35,7 @@
 //     is called every 12.5 s, and a kept connection idles 15 s at most (half of keepaliveMs): a part
 //     e^-1.2, about 0.3, of calls opens one. The direct way draws servers alike, keeps connections as
 //     long, and so opens as many: both counts are reported. A connection that carried a call in the
-//     last 20 ms (settleTime) is not used again by the agent; the direct way has no such rule.
+//     last 20 ms (SettleTime) is not used again by the agent; the direct way has no such rule.
 //   - Descriptors are not what bounds kept connections here: the agent may have 4,096.
 //   - Replicas is the number of servers, as each has its agent: rooms and windows are that size's.
 //   - Client, agent and servers are one process on all of GOMAXPROCS (the names' suffix). They share
@@ -78,14 +82,14 @@
 }
 
 func newPathComparison(b *testing.B, servers int) *pathComparison {
-	list := make([]Target, servers)
+	list := make([]endpoint.Endpoint, servers)
 	for i := range list {
-		list[i] = target(fmt.Sprintf("s-%d", i), newFakeServer(b, respondOK).addr)
+		list[i] = agenttest.Endpoint(fmt.Sprintf("s-%d", i), agenttest.NewServer(b, agenttest.RespondOK).Addr)
 	}
-	a := startAgent(b, newDiscoveryServer(b, list...), func(c *Config) {
+	a := startAgent(b, agenttest.NewDiscovery(b, list...), func(c *config.Config) {
 		c.Sockets, c.Settings.FleetSize = 4096, servers
 	})
-	idle := a.agent.pool.idleLimit()
+	idle := a.agent.pool.IdleLimit()
 	direct := newRequestPath(2, idle)
 	direct.to = func() string { return list[direct.rng.IntN(servers)].Addr }
 	through := newRequestPath(1, idle)
@@ -96,7 +100,7 @@
 func newRequestPath(seed uint64, idle time.Duration) *requestPath {
 	w := &requestPath{rng: rand.New(rand.NewPCG(seed, 7))}
 	dialer := net.Dialer{KeepAlive: -1}
-	w.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{
+	w.client = &http.Client{Timeout: agenttest.Timeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: idle, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			w.connects.Add(1)
@@ -106,12 +110,14 @@
 }
 
 // newHistogram takes ns, up to what the client waits.
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(2*testTimeout), 3) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, int64(2*agenttest.Timeout), 3)
+}
 
 // play makes so many calls each way and returns what the agent and the direct way connected.
 func (p *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
 	runtime.GC() // what was before is not the measure's
-	tried, dialed := p.agent.agent.pool.connectCount(), p.direct.connects.Load()
+	tried, dialed := p.agent.agent.pool.ConnectCount(), p.direct.connects.Load()
 	var both sync.WaitGroup
 	for _, w := range []*requestPath{p.through, p.direct} {
 		w.took, w.late, w.failed = newHistogram(), newHistogram(), 0
@@ -125,7 +131,7 @@
 	if n := p.through.failed + p.direct.failed; n > 0 {
 		b.Errorf("%d of %d calls failed", n, 2*calls)
 	}
-	return float64(p.agent.agent.pool.connectCount() - tried), float64(p.direct.connects.Load() - dialed)
+	return float64(p.agent.agent.pool.ConnectCount() - tried), float64(p.direct.connects.Load() - dialed)
 }
 
 func (p *pathComparison) measure(b *testing.B) {
@@ -151,7 +157,7 @@
 	due := time.Now()
 	for range calls {
 		due = due.Add(time.Duration(w.rng.ExpFloat64() * float64(time.Second) / pathRate))
-		req := newRequest(w.to(), "read", "")
+		req := agenttest.NewRequest(w.to(), "read", "")
 		req.URL.Path = fmt.Sprintf("/api/%016x", w.rng.Uint64())
 		time.Sleep(time.Until(due))
 		open.Add(1)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -4,15 +4,18 @@
 	"log/slog"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/dispatch"
+	"fernbeam.example/fernbeam/internal/agent/downstream"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // activeConfig is the configuration in force. It belongs to the goroutine that applies reloads.
 type activeConfig struct {
-	cfg        *Config
-	downstream *downstreamServer
-	loop       *eventLoop
-	drainTime  time.Duration // how long requests are finished after the end begins; see drainTime
+	cfg        *config.Config
+	downstream *downstream.Server
+	loop       *dispatch.Loop
+	drainTime  time.Duration // how long requests are finished after the end begins; see DrainTime
 }
 
 // settingsUpdate is settings on their way from the watch of discovery to the goroutine that applies reloads.
@@ -22,36 +25,36 @@
 }
 
 // reload applies the configuration of a file, except for settings that the discovery service has set.
-func (f *activeConfig) reload(file *Config) {
-	next, err := file.keepServiceSettings(f.cfg)
+func (a *activeConfig) reload(file *config.Config) {
+	next, err := file.KeepServiceSettings(a.cfg)
 	if err != nil { // unexpected: the service's settings were checked when they arrived
-		f.loop.report(slog.LevelError, "settings not applied", "err", err)
+		a.loop.Log(slog.LevelError, "settings not applied", "err", err)
 		return
 	}
-	if version := next.settingsVersion(); version != 0 {
-		f.loop.report(slog.LevelInfo, "settings of the file superseded by the service's",
+	if version := next.SettingsVersion(); version != 0 {
+		a.loop.Log(slog.LevelInfo, "settings of the file superseded by the service's",
 			"version", version)
 	}
-	f.replace(next)
-	f.loop.activate(next)
-	f.loop.forgetRejectedSettings()
+	a.replace(next)
+	a.loop.Activate(next)
+	a.loop.ForgetRejectedSettings()
 }
 
 // applyUpdate applies settings of the discovery service, and sends on update.done when that has ended.
-func (f *activeConfig) applyUpdate(update settingsUpdate) {
+func (a *activeConfig) applyUpdate(update settingsUpdate) {
 	finished := func(err error) { update.done <- err }
-	next, err := f.cfg.withServiceSettings(update.settings)
+	next, err := a.cfg.WithServiceSettings(update.settings)
 	if err != nil {
-		f.loop.rejectSettings(update.settings.Version, err, finished)
+		a.loop.RejectSettings(update.settings.Version, err, finished)
 		return
 	}
-	f.replace(next)
-	f.loop.activateServiceSettings(next, finished)
+	a.replace(next)
+	a.loop.ActivateServiceSettings(next, finished)
 }
 
 // replace makes a configuration the one in force, first for requests that arrive from now on.
-func (f *activeConfig) replace(next *Config) {
-	f.drainTime = max(f.drainTime, drainTime(&next.Settings)) // open requests keep their deadline
-	f.cfg = next
-	f.downstream.applySettings(next)
+func (a *activeConfig) replace(next *config.Config) {
+	a.drainTime = max(a.drainTime, downstream.DrainTime(&next.Settings)) // open requests keep their deadline
+	a.cfg = next
+	a.downstream.ApplySettings(next)
 }
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -8,20 +8,23 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 // startWithSettingsService starts an agent that takes the settings of service pay, at index 3 in zone 1; its
 // configuration's file is the one that is returned, so that a test can reload it.
-func startWithSettingsService(t *testing.T, hooks Hooks, addrs ...string) (*testAgent, *Config) {
+func startWithSettingsService(t *testing.T, hooks config.Hooks, addrs ...string) (*testAgent, *config.Config) {
 	t.Helper()
-	text := strings.NewReplacer(`"index":0`, `"index":3`, `"zone":0`, `"zone":1`).Replace(testSettings)
+	text := strings.NewReplacer(`"index":0`, `"index":3`, `"zone":0`, `"zone":1`).Replace(agenttest.Settings)
 	more, _ := json.Marshal(addrs)
-	cfg, err := ParseConfig([]byte(fmt.Sprintf(`{"name":"pay-1","listen":"127.0.0.1:1","discovery":%q,"seed":"7",
+	cfg, err := config.Parse([]byte(fmt.Sprintf(`{"name":"pay-1","listen":"127.0.0.1:1","discovery":%q,"seed":"7",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"control":{"service":"pay","addresses":%s},"settings":%s}`, addrs[0], more, text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), func(c *Config) {
+	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(c *config.Config) {
 		known, listen, log := c.Known, c.Listen, c.Log
 		*c = *cfg
 		c.Known, c.Listen, c.Log, c.Hooks = known, listen, log, hooks
@@ -31,7 +34,7 @@
 // settingsInForce is the largest number of attempts and the round trip of the settings in force, with the
 // values that belong to the agent.
 func settingsInForce(a *testAgent) [4]int {
-	settings := a.statsNow().settings
+	settings := a.statsNow().Settings
 	return [4]int{settings.Limits.MaxAttempts, int(settings.RoundTripMs), settings.Index, settings.Zone}
 }
 
@@ -67,7 +70,7 @@
 			}()
 		}
 	}()
-	startAgent(t, newDiscoveryServer(t, target("s-1", "127.0.0.1:1")), func(c *Config) {
+	startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(c *config.Config) {
 		c.Name, c.Discovery, c.Settings.DiscoveryMode = "pay-1", ln.Addr().String(), "pushed"
 	})
 	for _, index := range []int{1, 5, 5} {
@@ -82,39 +85,39 @@
 // version never goes back.
 func TestServiceSettingsAreApplied(t *testing.T) {
 	t.Parallel()
-	d := newFakeSettingsDiscovery(t, 41)
+	d := agenttest.NewSettingsDiscovery(t, 41)
 	told := make(chan uint64, 100)
-	hooks := Hooks{OnSettings: func(version uint64) { told <- version }}
-	a, _ := startWithSettingsService(t, hooks, d.addr())
+	hooks := config.Hooks{OnSettings: func(version uint64) { told <- version }}
+	a, _ := startWithSettingsService(t, hooks, d.Addr())
 	lines := a.logLines()
-	q := d.waitCallWith(t, "in_force", "0")
+	q := d.WaitCallWith(t, "in_force", "0")
 	if q.Get("service") != "pay" || q.Get("agent") != "pay-1" || q.Has("refused") || q.Has("why") {
 		t.Errorf("the first call has %v", q)
 	}
-	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.waitCallWith(t, "in_force", "50")
+	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.WaitCallWith(t, "in_force", "50")
 	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
-	if line := waitLine(t, lines, "settings applied"); !strings.Contains(line, "version=50") {
+	if line := agenttest.WaitLine(t, lines, "settings applied"); !strings.Contains(line, "version=50") {
 		t.Errorf("logged %q", line)
 	}
 	for _, index := range []string{`"Index":9,`, `"zone":0,"index":9,`} { // who writes them is refused; an older service may not refuse
-		d.publish(d.settings.Version+1, `{`+index+settingsWith(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
-		d.waitCallWith(t, "in_force", fmt.Sprint(d.settings.Version))
+		d.Publish(d.Settings.Version+1, `{`+index+agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
+		d.WaitCallWith(t, "in_force", fmt.Sprint(d.Settings.Version))
 		if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
 			t.Errorf("in force: %v", got)
 		}
 	}
 	// An instance that lags, or lies, turns nothing back.
-	d.change(func() { d.stubborn = true })
-	d.publish(51, settingsWith(`"roundMs":5`, `"roundMs":6`))
-	d.drain()
+	d.Change(func() { d.Stubborn = true })
+	d.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
+	d.Drain()
 	for range 5 {
-		d.waitCallWith(t, "in_force", "52")
+		d.WaitCallWith(t, "in_force", "52")
 	}
-	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().settings != 3 {
-		t.Errorf("in force: %v, after %d changes", got, a.metricsNow().settings)
+	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().Settings != 3 {
+		t.Errorf("in force: %v, after %d changes", got, a.metricsNow().Settings)
 	}
 	var hooked []uint64
 	for len(told) > 0 {
@@ -129,12 +132,12 @@
 // stay in force.
 func TestInvalidServiceSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	d := newFakeSettingsDiscovery(t, 41)
-	a, _ := startWithSettingsService(t, Hooks{}, d.addr())
+	d := agenttest.NewSettingsDiscovery(t, 41)
+	a, _ := startWithSettingsService(t, config.Hooks{}, d.Addr())
 	lines := a.logLines()
-	d.waitCallWith(t, "in_force", "0")
-	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.waitCallWith(t, "in_force", "50")
+	d.WaitCallWith(t, "in_force", "0")
+	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.WaitCallWith(t, "in_force", "50")
 	for i, bad := range []struct{ from, to, want string }{
 		{`"coldMs":8000,`, ``, "settings: contract.coldMs: missing, though it was there before"},
 		{`"maxAttempts":3`, `"maxAttempts":0`, "settings: limits.maxAttempts: must be above 0, is 0"},
@@ -143,20 +146,20 @@
 		{`"effect":"free"`, `"effect":"` + strings.Repeat("x", 300) + `\n"`, `settings: classes[0].effect: unknown effect "xxx`},
 	} {
 		version := fmt.Sprint(60 + i)
-		d.publish(uint64(60+i), settingsWith(bad.from, bad.to))
-		q := d.waitCallWith(t, "refused", version)
+		d.Publish(uint64(60+i), agenttest.SettingsWith(bad.from, bad.to))
+		q := d.WaitCallWith(t, "refused", version)
 		if why := q.Get("why"); !strings.HasPrefix(why, bad.want) || len(why) > 200 || strings.Contains(why, "\n") || q.Get("in_force") != "50" {
 			t.Errorf("%s: told %v, want %q", bad.to, q, bad.want)
 		}
-		if line := waitLine(t, lines, "settings rejected"); !strings.Contains(line, strings.Split(bad.want, ` "`)[0]) || !strings.Contains(line, "version="+version) {
+		if line := agenttest.WaitLine(t, lines, "settings rejected"); !strings.Contains(line, strings.Split(bad.want, ` "`)[0]) || !strings.Contains(line, "version="+version) {
 			t.Errorf("logged %q", line)
 		}
 	}
-	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().settingsRejected != 5 {
-		t.Errorf("in force: %v, after %d refusals", got, a.metricsNow().settingsRejected)
+	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().SettingsRejected != 5 {
+		t.Errorf("in force: %v, after %d refusals", got, a.metricsNow().SettingsRejected)
 	}
-	d.publish(70, settingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
-	if q := d.waitCallWith(t, "in_force", "70"); q.Has("refused") || q.Has("why") || settingsInForce(a)[0] != 1 {
+	d.Publish(70, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
+	if q := d.WaitCallWith(t, "in_force", "70"); q.Has("refused") || q.Has("why") || settingsInForce(a)[0] != 1 {
 		t.Errorf("after a good change the call has %v", q)
 	}
 }
@@ -165,40 +168,40 @@
 // applied, and rejected settings are checked again.
 func TestReloadWithControl(t *testing.T) {
 	t.Parallel()
-	d, moved := newFakeSettingsDiscovery(t, 41), newFakeSettingsDiscovery(t, 3)
-	a, file := startWithSettingsService(t, Hooks{}, d.addr())
+	d, moved := agenttest.NewSettingsDiscovery(t, 41), agenttest.NewSettingsDiscovery(t, 3)
+	a, file := startWithSettingsService(t, config.Hooks{}, d.Addr())
 	lines := a.logLines()
 	for i, attempts := range []int{4, 7} { // without settings of the service the file's are applied
 		c := *file
 		c.Settings.Limits.MaxAttempts = attempts
 		a.reloads <- &c
-		if line := waitLine(t, lines, "settings applied"); strings.Contains(line, "version") {
+		if line := agenttest.WaitLine(t, lines, "settings applied"); strings.Contains(line, "version") {
 			t.Errorf("reload %d logged %q", i, line)
 		}
 	}
 	if got := settingsInForce(a); got != [4]int{7, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
-	d.publish(50, settingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.waitCallWith(t, "in_force", "50")
-	d.publish(51, settingsWith(`"coldMs":8000,`, ``))
-	d.waitCallWith(t, "refused", "51")
+	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	d.WaitCallWith(t, "in_force", "50")
+	d.Publish(51, agenttest.SettingsWith(`"coldMs":8000,`, ``))
+	d.WaitCallWith(t, "refused", "51")
 	c := *file
 	c.Settings.Index, c.Settings.Zone, c.Settings.Limits.MaxAttempts = 4, 0, 9
-	c.Discovery, c.Control = moved.addr(), &Control{Service: "other", Addresses: []string{d.addr()}}
-	moved.change(func() { moved.settings, moved.stubborn = d.settings, true })
+	c.Discovery, c.Control = moved.Addr(), &config.Control{Service: "other", Addresses: []string{d.Addr()}}
+	moved.Change(func() { moved.Settings, moved.Stubborn = d.Settings, true })
 	a.reloads <- &c
-	waitLine(t, lines, "settings of the file superseded by the service's")
-	if line := waitLine(t, lines, "discovery moved"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.addr(), d.addr())) {
+	agenttest.WaitLine(t, lines, "settings of the file superseded by the service's")
+	if line := agenttest.WaitLine(t, lines, "discovery moved"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.Addr(), d.Addr())) {
 		t.Errorf("logged %q", line)
 	}
 	if got := settingsInForce(a); got != [4]int{2, 5, 4, 0} {
 		t.Errorf("in force: %v", got)
 	}
-	waitUntil(t, "what was refused is judged again", func() bool { return a.metricsNow().settingsRejected == 2 })
-	for _, to := range []*fakeSettingsDiscovery{d, moved} { // wherever it hangs now
-		to.change(func() { to.stubborn = false })
-		to.publish(60, settingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
+	agenttest.WaitUntil(t, "what was refused is judged again", func() bool { return a.metricsNow().SettingsRejected == 2 })
+	for _, to := range []*agenttest.SettingsDiscovery{d, moved} { // wherever it hangs now
+		to.Change(func() { to.Stubborn = false })
+		to.Publish(60, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
 	}
-	waitUntil(t, "the next settings are taken", func() bool { return settingsInForce(a) == [4]int{1, 5, 4, 0} })
+	agenttest.WaitUntil(t, "the next settings are taken", func() bool { return settingsInForce(a) == [4]int{1, 5, 4, 0} })
 }
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -7,22 +7,25 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // lockPollInterval is how often a process that began beside another checks whether that has ended.
 const lockPollInterval = 100 * time.Millisecond
 
 // connLimiter bounds the connections of one side of the agent.
-type connLimiter interface{ setConnLimit(maxConns int) }
+type connLimiter interface{ SetConnLimit(maxConns int) }
 
 // sharedLimits are the limits that two processes of one agent share while both are running, a new version
 // beside the old one: each has half of the bytes and of the descriptors.
 type sharedLimits struct {
-	cfg    *Config
+	cfg    *config.Config
 	admin  connLimiter
 	conns  connLimiter
 	pool   connLimiter
-	quotas []quota
+	quotas []message.Quota
 
 	mu     sync.Mutex
 	halved bool
@@ -39,9 +42,9 @@
 	}
 	s.halved = true
 	for _, q := range s.quotas {
-		if !q.TryAcquire(q.size / 2) {
+		if !q.TryAcquire(q.Size / 2) {
 			// An error is the end of the process, which needs no full limits.
-			go func() { _ = q.Acquire(ctx, q.size/2) }()
+			go func() { _ = q.Acquire(ctx, q.Size/2) }()
 		}
 	}
 	s.applyFraction(2)
@@ -55,9 +58,9 @@
 		return
 	}
 	s.halved = false
-	s.conns.setConnLimit(s.cfg.clientConns())
+	s.conns.SetConnLimit(s.cfg.ClientConns())
 	for _, q := range s.quotas {
-		q.Release(q.size / 2)
+		q.Release(q.Size / 2)
 	}
 	s.applyFraction(1)
 }
@@ -67,8 +70,8 @@
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
 	}
-	s.pool.setConnLimit(s.cfg.serverConns() / processes)
-	s.admin.setConnLimit(s.cfg.adminConns(processes))
+	s.pool.SetConnLimit(s.cfg.ServerConns() / processes)
+	s.admin.SetConnLimit(s.cfg.AdminConns(processes))
 }
 
 // holdLock holds the lock file until ctx is done. While another process has it this one has half of the limits.
@@ -80,9 +83,9 @@
 	}
 	alone := tryLock(file)
 	if !alone {
-		s.cfg.logger().Info("another process of this agent is running", "limits", "half")
+		s.cfg.Logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
-		s.conns.setConnLimit(s.cfg.clientConns() / 2)
+		s.conns.SetConnLimit(s.cfg.ClientConns() / 2)
 	}
 	go func() {
 		defer func() { _ = file.Close() }() // nothing was written to it
@@ -103,7 +106,7 @@
 		case <-poll.C:
 			if tryLock(file) {
 				s.restore()
-				s.cfg.logger().Info("no other process of this agent is running", "limits", "full")
+				s.cfg.Logger().Info("no other process of this agent is running", "limits", "full")
 				return true
 			}
 		case <-ctx.Done():
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -7,28 +7,34 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/admin"
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/downstream"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // limitedProcess is what one process of an agent limits.
 type limitedProcess struct {
 	*sharedLimits
-	clients *downstreamServer
-	pool    *connectionPool
+	clients *downstream.Server
+	pool    *upstream.Pool
 }
 
 func newLimitedProcess(t *testing.T, sockets int) limitedProcess {
 	t.Helper()
-	cfg := &Config{MemoryMB: 64, Sockets: sockets, Settings: balancer.Settings{}}
-	clients := newDownstreamServer(t.Context(), cfg, newUnusedListener(), true, nil, nil)
-	pool := newConnectionPool(cfg)
+	cfg := &config.Config{MemoryMB: 64, Sockets: sockets, Settings: balancer.Settings{}}
+	clients := downstream.New(t.Context(), cfg, newUnusedListener(), true, nil, nil)
+	pool := upstream.NewPool(cfg)
 	return limitedProcess{
 		sharedLimits: &sharedLimits{
 			cfg:    cfg,
-			admin:  newAdminServer(clients, nil, cfg.adminConns(1), slog.Default()),
+			admin:  admin.New(clients, nil, cfg.AdminConns(1), slog.Default()),
 			conns:  clients,
 			pool:   pool,
-			quotas: []quota{clients.connSlots(), clients.bodyBudget(), pool.bodyBudget()},
+			quotas: []message.Quota{clients.ConnSlots(), clients.BodyBudget(), pool.BodyBudget()},
 		},
 		clients: clients,
 		pool:    pool,
@@ -39,14 +45,14 @@
 func (s limitedProcess) available() []int64 {
 	var room []int64
 	for _, q := range s.quotas {
-		n := q.size
+		n := q.Size
 		for n > 0 && !q.TryAcquire(n) {
 			n--
 		}
 		q.Release(n)
 		room = append(room, n)
 	}
-	return append(room, int64(s.clients.connLimit()), int64(s.pool.connLimit()))
+	return append(room, int64(s.clients.ConnLimit()), int64(s.pool.ConnLimit()))
 }
 
 // Two processes of one agent have its limits once: the second has half until the first has ended, and the
@@ -80,7 +86,7 @@
 		}
 	}
 	firstEnds()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(agenttest.Timeout); ; time.Sleep(time.Millisecond) {
 		second.mu.Lock()
 		half := second.halved
 		second.mu.Unlock()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -5,6 +5,10 @@
 	"io"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/downstream"
 )
 
 // takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
@@ -12,7 +16,7 @@
 func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
 	t.Helper()
 	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
-	slots := a.agent.downstream.connSlots()
+	slots := a.agent.downstream.ConnSlots()
 	taken := int64(0)
 	for slots.TryAcquire(1) {
 		taken++
@@ -24,15 +28,15 @@
 // be answered, also where there was no slot for it until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
-	a, _ := startWithServer(t, respondOK)
+	a, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, a)
 	accepted := a.dialKept() // takes the slot that Accept holds already
-	waitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.openConns() > 0 })
+	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
 	waiting := a.dialKept()
 	fmt.Fprint(waiting, timedRequest(timeoutMs, "x"))
 	a.stop()
-	time.AfterFunc(drainAcceptTime+testDelay, release)
-	if status := finalStatus(t, waiting); status != 200 && status != 503 {
+	time.AfterFunc(downstream.DrainAcceptTime+testDelay, release)
+	if status := agenttest.FinalStatus(t, waiting); status != 200 && status != 503 {
 		t.Errorf("answered %d", status)
 	}
 	accepted.Close()
@@ -42,21 +46,21 @@
 // connections too.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, respondOK)
+	a, b := startWithServer(t, agenttest.RespondOK)
 	type moment struct{ dial, send time.Duration } // after the signal; 0: before it
 	var ended []chan int
 	begin := time.Now()
-	for _, m := range []moment{{0, 50 * time.Millisecond}, {0, drainAcceptTime + 20*time.Millisecond},
-		{0, shutdownAdmitTime + 100*time.Millisecond}, {0, 1500 * time.Millisecond},
-		{200 * time.Millisecond, 200 * time.Millisecond}, {300 * time.Millisecond, drainAcceptTime},
-		{300 * time.Millisecond, shutdownAdmitTime}, {300 * time.Millisecond, time.Second}} {
+	for _, m := range []moment{{0, 50 * time.Millisecond}, {0, downstream.DrainAcceptTime + 20*time.Millisecond},
+		{0, downstream.ShutdownAdmitTime + 100*time.Millisecond}, {0, 1500 * time.Millisecond},
+		{200 * time.Millisecond, 200 * time.Millisecond}, {300 * time.Millisecond, downstream.DrainAcceptTime},
+		{300 * time.Millisecond, downstream.ShutdownAdmitTime}, {300 * time.Millisecond, time.Second}} {
 		status := make(chan int, 1)
 		ended = append(ended, status)
 		dial := func() {
 			c := a.dialKept()
 			time.AfterFunc(time.Until(begin.Add(m.send)), func() {
 				fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-				status <- c.status()
+				status <- c.Status()
 			})
 		}
 		if m.dial == 0 {
@@ -65,7 +69,7 @@
 			time.AfterFunc(m.dial, dial)
 		}
 	}
-	waitUntil(t, "those that came before are accepted", func() bool { return a.agent.downstream.openConns() >= 4 })
+	agenttest.WaitUntil(t, "those that came before are accepted", func() bool { return a.agent.downstream.OpenConns() >= 4 })
 	a.stop()
 	served := 0
 	for i, status := range ended {
@@ -77,8 +81,8 @@
 			t.Errorf("connection %d: answered %d", i, got)
 		}
 	}
-	if b.count() != served {
-		t.Errorf("%d arrivals, %d served", b.count(), served)
+	if b.Count() != served {
+		t.Errorf("%d arrivals, %d served", b.Count(), served)
 	}
 }
 
@@ -86,20 +90,20 @@
 // come too late to be answered.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", newFakeServer(t, respondOK).addr)), func(c *Config) {
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), func(c *config.Config) {
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].TotalTimeoutMs = 300
 		}
 	})
 	c := a.dialKept()
-	waitUntil(t, "it is accepted", func() bool { return a.agent.downstream.openConns() > 0 })
+	agenttest.WaitUntil(t, "it is accepted", func() bool { return a.agent.downstream.OpenConns() > 0 })
 	stopped := time.Now()
 	a.stop()
 	if n, err := io.Copy(io.Discard, c); n > 0 || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 	// 0.85 s after the signal; without a request it has headTime otherwise.
-	if took := time.Since(stopped); took > requestHeadTimeout-time.Second/2 {
+	if took := time.Since(stopped); took > downstream.RequestHeadTimeout-time.Second/2 {
 		t.Errorf("ended %v after the signal", took)
 	}
 }
--- a/internal/agent/poll.go
+++ b/internal/agent/socket/socket.go
@@ -1,4 +1,4 @@
-package agent
+package socket
 
 import (
 	"errors"
@@ -9,18 +9,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// expired is a deadline that makes whatever reads or writes end at once.
-var expired = time.Unix(1, 0)
+// Expired is a deadline that makes whatever reads or writes end at once.
+var Expired = time.Unix(1, 0)
 
 // pollFunc is poll(2).
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
-// peerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
-const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+// PeerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
+const PeerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// pollSocket polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
+// Poll polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
 // Of what is not a socket nothing is known.
-func pollSocket(socket any, events, wanted int16) bool {
+func Poll(socket any, events, wanted int16) bool {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
@@ -34,7 +34,7 @@
 	return err == nil && occurred
 }
 
-// pollDescriptor is pollSocket for a descriptor. It polls again where poll(2) was interrupted.
+// pollDescriptor is Poll for a descriptor. It polls again where poll(2) was interrupted.
 func pollDescriptor(fd int32, events, wanted int16, poll pollFunc) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: events}}
 	n, err := poll(fds, 0)
@@ -44,8 +44,8 @@
 	return err == nil && n > 0 && fds[0].Revents&wanted != 0
 }
 
-// readNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
-func readNow(fd int, p []byte) int {
+// ReadNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
+func ReadNow(fd int, p []byte) int {
 	n, err := unix.Read(fd, p)
 	for errors.Is(err, unix.EINTR) {
 		n, err = unix.Read(fd, p)
@@ -53,10 +53,10 @@
 	return max(n, 0)
 }
 
-// isIdleConnAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
+// IsIdleAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
 // brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
 // executed.
-func isIdleConnAlive(nc net.Conn) bool {
+func IsIdleAlive(nc net.Conn) bool {
 	socket, ok := nc.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/agent/poll_test.go
+++ b/internal/agent/socket/socket_test.go
@@ -1,4 +1,4 @@
-package agent
+package socket
 
 import (
 	"testing"
@@ -16,11 +16,11 @@
 		fds[0].Revents = unix.POLLRDHUP
 		return 1, nil
 	}
-	if !pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, poll) {
+	if !pollDescriptor(0, unix.POLLRDHUP, PeerClosedEvents, poll) {
 		t.Errorf("no hangup seen after %d polls", calls)
 	}
 	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
-	if pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, failing) {
+	if pollDescriptor(0, unix.POLLRDHUP, PeerClosedEvents, failing) {
 		t.Error("a poll that failed was taken for a hangup")
 	}
 }
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -7,6 +7,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // A client that stops in the middle of its body and stays connected gets an error and its connection is
@@ -14,10 +17,10 @@
 func TestStalledRequestBodyIsClosedInTime(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct{ sent, length int }{
-		"kept body":                   {maxBufferedBody / 2, maxBufferedBody},
-		"start of a long body":        {2 * maxBufferedBody, 40 * maxBufferedBody},
-		"middle of a long body":       {20 * maxBufferedBody, 40 * maxBufferedBody},
-		"shortly before the long end": {2 * maxBufferedBody, 3 * maxBufferedBody},
+		"kept body":                   {message.MaxBufferedBody / 2, message.MaxBufferedBody},
+		"start of a long body":        {2 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
+		"middle of a long body":       {20 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
+		"shortly before the long end": {2 * message.MaxBufferedBody, 3 * message.MaxBufferedBody},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -28,18 +31,18 @@
 				t.Fatal(err)
 			}
 			stopped := time.Now()
-			if status := finalStatus(t, c); status < 400 {
+			if status := agenttest.FinalStatus(t, c); status < 400 {
 				t.Errorf("answered %d, want an error", status)
 			}
-			if _, err := io.Copy(io.Discard, c.br); err != nil {
+			if _, err := io.Copy(io.Discard, c.Br); err != nil {
 				t.Errorf("after the answer: %v", err)
 			}
 			// A second more than what is owed: a busy machine is not what is tested.
 			if took := time.Since(stopped); took > 4*time.Second {
 				t.Errorf("ended %v after it stopped", took)
 			}
-			if b.count() != 0 {
-				t.Errorf("%d arrivals of a request that never came whole", b.count())
+			if b.Count() != 0 {
+				t.Errorf("%d arrivals of a request that never came whole", b.Count())
 			}
 		})
 	}
@@ -72,12 +75,12 @@
 	t.Parallel()
 	const timeout = 800 * time.Millisecond
 	ln := unacceptingServer(t)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
 	c := a.dialKept()
-	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * maxBufferedBody)
-	fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*maxBufferedBody)))
+	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * message.MaxBufferedBody)
+	fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*message.MaxBufferedBody)))
 	sent := time.Now()
-	wantStatus(t, finalStatus(t, c), 503)
+	agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 503)
 	// What is lost is what is answered half a second after its time or later.
 	if took := time.Since(sent); took > 2*timeout+time.Second {
 		t.Errorf("answered %v after its last byte, of %v", took, timeout)
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -3,22 +3,23 @@
 import (
 	"math"
 
+	"fernbeam.example/fernbeam/internal/agent/dispatch"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
 // Status is a snapshot of what an agent knows and has counted.
 type Status struct {
-	// Fleet is the membership view; nil: there is none.
-	Fleet *membership.Status
-	LoopStatus
+	// Membership is the membership view; nil: there is none.
+	Membership *membership.Status
+	dispatch.LoopStatus
 }
 
 // Status returns the agent's status; it never waits for the agent's work.
 func (a *Agent) Status() Status {
-	status := Status{LoopStatus: a.loop.status()}
+	status := Status{LoopStatus: a.loop.Status()}
 	if member := a.membership.Load(); member != nil {
 		fleet := member.Status(math.MaxUint64)
-		status.Fleet = &fleet
+		status.Membership = &fleet
 	}
 	return status
 }
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -16,6 +16,12 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // faultErrnos are the errors that a connection's calls fail with.
@@ -26,7 +32,7 @@
 
 // faultyDay is what one agent meets: faults of its connections, and requests one after another.
 type faultScenario struct {
-	Clients, Servers []callFault // of the connections in the order in which they are made
+	Clients, Servers []agenttest.CallFault // of the connections in the order in which they are made
 	Requests         []faultyRequest
 }
 
@@ -40,7 +46,7 @@
 // faultyWorld is what all days have in common: backends that answer with the request's id.
 type faultEnvironment struct {
 	t         *testing.T
-	discovery *fakeDiscovery
+	discovery *agenttest.Discovery
 	lastID    atomic.Int64
 	mu        sync.Mutex
 	arrivals  map[string]int // by Request-Id, of complete requests
@@ -51,11 +57,11 @@
 func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
 	t.Helper()
 	w := &faultEnvironment{t: t, arrivals: map[string]int{}, answers: map[int]int{}}
-	var list []Target
+	var list []endpoint.Endpoint
 	for i := range servers {
-		list = append(list, target(fmt.Sprint("s-", i), newFakeServer(t, w.answer).addr))
+		list = append(list, agenttest.Endpoint(fmt.Sprint("s-", i), agenttest.NewServer(t, w.answer).Addr))
 	}
-	w.discovery = newDiscoveryServer(t, list...)
+	w.discovery = agenttest.NewDiscovery(t, list...)
 	return w
 }
 
@@ -65,7 +71,7 @@
 	w.arrivals[id]++
 	w.mu.Unlock()
 	if req.Header.Get("X-Chunked") != "1" {
-		return sendResponse(c, 200, "", id)
+		return agenttest.SendResponse(c, 200, "", id)
 	}
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 	return err == nil
@@ -78,8 +84,8 @@
 	if err != nil {
 		return err
 	}
-	clients := newFaultPlan(day.Clients)
-	a, err := w.agent(faultyListener{Listener: ln, plan: clients}, newFaultPlan(day.Servers).dial)
+	clients := agenttest.NewFaultPlan(day.Clients)
+	a, err := w.agent(agenttest.FaultyListener{Listener: ln, Plan: clients}, agenttest.NewFaultPlan(day.Servers).Dial)
 	if err != nil {
 		return err
 	}
@@ -100,8 +106,8 @@
 }
 
 // agent makes an agent that dials its servers by dial.
-func (w *faultEnvironment) agent(ln net.Listener, dial DialFunc) (*Agent, error) {
-	cfg := newTestConfig(w.t, ln.Addr().String(), w.discovery)
+func (w *faultEnvironment) agent(ln net.Listener, dial config.DialFunc) (*Agent, error) {
+	cfg := agenttest.NewConfig(w.t, ln.Addr().String(), w.discovery)
 	cfg.Log = slog.New(slog.DiscardHandler)
 	cfg.Dial = dial
 	return New(cfg, Listeners{Clients: ln})
@@ -110,7 +116,7 @@
 // faultyClient sends one request after another on one connection, and on a new one after its end.
 type faultyClient struct {
 	world *faultEnvironment
-	plan  *faultPlan
+	plan  *agenttest.FaultPlan
 	addr  string
 	nc    net.Conn
 	br    *bufio.Reader
@@ -127,7 +133,7 @@
 	if c.nc != nil {
 		return nil
 	}
-	if c.nc, err = net.DialTimeout("tcp", c.addr, testTimeout); err != nil {
+	if c.nc, err = net.DialTimeout("tcp", c.addr, agenttest.Timeout); err != nil {
 		return err
 	}
 	c.br = bufio.NewReader(c.nc)
@@ -140,17 +146,17 @@
 		return err
 	}
 	if r.Rested {
-		time.Sleep(2 * settleTime)
+		time.Sleep(2 * upstream.SettleTime)
 	}
 	id := fmt.Sprint(c.world.lastID.Add(1))
-	req := newRequest(c.addr, r.Class, strings.Repeat("x", r.Body))
+	req := agenttest.NewRequest(c.addr, r.Class, strings.Repeat("x", r.Body))
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Request-Timeout-Ms", "2000")
 	if r.Chunked {
 		req.Header.Set("X-Chunked", "1")
 	}
 	resp, body, err := c.exchange(req)
-	broke := c.plan.broke(c.nc.LocalAddr())
+	broke := c.plan.Broke(c.nc.LocalAddr())
 	if err == nil {
 		err = c.world.check(r.Class, id, resp.StatusCode, body)
 		if resp.Close {
@@ -234,13 +240,13 @@
 	w := newFaultEnvironment(t, 1)
 	requests := []faultyRequest{{Class: "order", Body: 20}, {Class: "order", Body: 20, Rested: true}, {Class: "read", Chunked: true}}
 	for _, errno := range faultErrnos {
-		for _, call := range []systemCall{callConnect, callRead, callWrite} {
+		for _, call := range []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite} {
 			afters := []int64{0, 30, 60, 350}
-			if call == callConnect {
+			if call == agenttest.CallConnect {
 				afters = afters[:1]
 			}
 			for _, after := range afters {
-				f := []callFault{{Call: call, After: after, Errno: errno}}
+				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
 					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
@@ -256,11 +262,11 @@
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
 	w := newFaultEnvironment(t, 3)
-	requests := []faultyRequest{{Class: "order", Body: maxBufferedBody + 3000}, {Class: "read"}}
+	requests := []faultyRequest{{Class: "order", Body: message.MaxBufferedBody + 3000}, {Class: "read"}}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOBUFS} {
-		for _, call := range []systemCall{callRead, callWrite} {
-			for _, after := range []int64{0, 10, maxBufferedBody + 1000} {
-				f := []callFault{{Call: call, After: after, Errno: errno}}
+		for _, call := range []agenttest.SystemCall{agenttest.CallRead, agenttest.CallWrite} {
+			for _, after := range []int64{0, 10, message.MaxBufferedBody + 1000} {
+				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
 					if err := w.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
@@ -276,9 +282,9 @@
 func TestOneResponseWhateverCallsFail(t *testing.T) {
 	t.Parallel()
 	worlds := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
-	faults := rapid.Custom(func(t *rapid.T) callFault {
-		return callFault{
-			Call:  rapid.SampledFrom([]systemCall{callConnect, callRead, callWrite}).Draw(t, "call"),
+	faults := rapid.Custom(func(t *rapid.T) agenttest.CallFault {
+		return agenttest.CallFault{
+			Call:  rapid.SampledFrom([]agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}).Draw(t, "call"),
 			After: rapid.Int64Range(0, 300).Draw(t, "after"),
 			Errno: rapid.SampledFrom(faultErrnos).Draw(t, "errno"),
 		}
--- /dev/null
+++ b/internal/agent/upstream/attempt.go
@@ -0,0 +1,215 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"net/http"
+	"net/url"
+	"sync/atomic"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
+)
+
+// healthCheckPath is the path of a server's health check.
+const healthCheckPath = "/-/healthy"
+
+// ErrClientGone ends an attempt whose client has closed its connection.
+var ErrClientGone = errors.New("client closed the connection")
+
+// Server is what attempts know of a server besides its address. The zero value is available.
+type Server struct {
+	unavailable atomic.Bool
+}
+
+// SetAvailable tells whether the server may be sent requests: it is neither draining nor removed.
+func (s *Server) SetAvailable(available bool) { s.unavailable.Store(!available) }
+
+// IsAvailable tells whether the server may be sent requests; attempts read it just before they write.
+func (s *Server) IsAvailable() bool { return !s.unavailable.Load() }
+
+// Message is what an attempt sends to a server.
+type Message struct {
+	// NewRequest makes the request for the time that is left.
+	NewRequest func(left time.Duration) *http.Request
+	// SendBy is until when a retry may be sent. Zero: there is no limit.
+	SendBy time.Time
+	// ClientGone checks whether the client has closed its connection; nil: that can't be checked.
+	ClientGone func() bool
+	// Streamed is the part of the body that is not buffered; nil: all of it is.
+	Streamed *message.StreamedBody
+	// ResponseTime is the time for the response to a streamed request, from its last byte on.
+	ResponseTime time.Duration
+	// OnSent is called when the last byte of a streamed request is written.
+	OnSent func()
+}
+
+// Result is how one attempt ended.
+type Result struct {
+	Status         balancer.Status
+	Reason         string // why the attempt failed, for the log
+	connectionLost bool   // the connection broke before any response
+	LatencyMs      float64
+	Header         http.Header
+	Body           *message.ResponseBody
+	ClientErr      error // the client's error that broke off the request in the middle of its body
+}
+
+// exchangeResult is how an exchange on one connection ended.
+type exchangeResult struct {
+	Result
+	reusable bool // the connection may carry another message
+	unsent   bool // the connection broke before the last byte was written
+}
+
+// Attempt makes one attempt and returns how it ended. It never sends anything twice. Cancelling ctx cancels the
+// attempt and closes its connection.
+func (p *Pool) Attempt(
+	ctx context.Context, server *Server, addr string, message *Message, startedAt, deadline time.Time,
+) Result {
+	sent := message.Streamed == nil
+	if message.Streamed != nil {
+		notify := message.OnSent
+		message.OnSent = func() {
+			startedAt = time.Now()
+			sent = true
+			notify()
+		}
+	}
+	result := p.exchange(ctx, server, addr, message, deadline)
+	// A cancelled attempt says nothing of its server, also where the cancellation cut off a connect; a response
+	// that was already there stands.
+	if ctx.Err() != nil && result.Status != balancer.StatusOK && result.Status != balancer.StatusOverloaded {
+		result.Status = balancer.StatusCancelled
+		if !sent && !message.Streamed.Complete() && result.ClientErr == nil {
+			result.Status = balancer.StatusUnsent // its last byte was never sent
+		}
+	}
+	result.LatencyMs = clock.MillisecondsSince(startedAt)
+	return result
+}
+
+// HealthCheck asks a server whether it is healthy, over the connections that attempts use. It is given up after
+// twice the time that a connect may take: a server that delays a cheap response for so long is not healthy.
+func (p *Pool) HealthCheck(ctx context.Context, server *Server, addr, host string) Result {
+	message := &Message{NewRequest: func(time.Duration) *http.Request {
+		return &http.Request{
+			Method: http.MethodGet,
+			URL:    &url.URL{Path: healthCheckPath},
+			Host:   host,
+			Header: http.Header{"User-Agent": {""}},
+		}
+	}}
+	startedAt := time.Now()
+	result := p.exchange(ctx, server, addr, message, startedAt.Add(2*p.connectTimeLimit()))
+	result.Body.Release() // only the status counts
+	result.LatencyMs = clock.MillisecondsSince(startedAt)
+	return result
+}
+
+// exchange writes one message and reads its response. A kept connection that turns out broken before the last
+// byte is written has brought nothing to the server and says nothing of it: the message goes out on the next
+// kept connection, and finally on a new one.
+func (p *Pool) exchange(
+	ctx context.Context, server *Server, addr string, message *Message, deadline time.Time,
+) Result {
+	for {
+		conn, err := p.acquire(ctx, addr, deadline)
+		if err != nil { // not a byte was sent
+			return connectFailureResult(err)
+		}
+		kept := conn.uses > 0
+		result := p.exchangeOn(ctx, conn, server, message, deadline)
+		if kept {
+			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
+		}
+		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(deadline)
+		if !mayRetry || message.Streamed.IsConsumed() {
+			return result.Result
+		}
+	}
+}
+
+// exchangeOn makes the exchange on one connection, and gives the connection back or closes it.
+func (p *Pool) exchangeOn(
+	ctx context.Context, conn *serverConn, server *Server, message *Message, deadline time.Time,
+) exchangeResult {
+	// Cancelling makes whatever reads or writes end at once.
+	stopCancelling := context.AfterFunc(ctx, conn.expire)
+	conn.uses++
+	result := p.transfer(ctx, conn, server, message, deadline)
+	cancelled := !stopCancelling()
+	streaming := result.Body != nil && result.Body.Stream != nil
+	switch {
+	case streaming && !cancelled:
+		// The connection is the stream's until that ends.
+		result.Body.Stream.ExtendDeadline(true)
+	case streaming:
+		result.Body.Release()
+		result.Result = Result{Status: balancer.StatusCancelled}
+	case result.reusable && !cancelled:
+		p.release(conn, server)
+	default:
+		// If the cancellation has begun its deadline would hit the connection's next user.
+		p.discard(conn)
+	}
+	return result
+}
+
+// transfer writes the message on a connection and reads the response.
+func (p *Pool) transfer(
+	ctx context.Context, conn *serverConn, server *Server, message *Message, deadline time.Time,
+) exchangeResult {
+	conn.setDeadline(deadline)
+	if ctx.Err() != nil {
+		return exchangeResult{Result: Result{Status: balancer.StatusConnectFailed}}
+	}
+	if result, unsendable := message.unsendable(server); unsendable {
+		return exchangeResult{Result: result, reusable: true}
+	}
+	req := message.NewRequest(time.Until(deadline))
+	if message.Streamed != nil {
+		return p.exchangeStreamed(ctx, conn, server, message, req)
+	}
+	return p.exchangeBuffered(conn, server, req)
+}
+
+// exchangeBuffered makes the exchange of a message that is buffered as a whole.
+func (p *Pool) exchangeBuffered(
+	conn *serverConn, server *Server, req *http.Request,
+) exchangeResult {
+	var out bytes.Buffer
+	if err := req.Write(&out); err != nil {
+		failed := Result{Status: balancer.StatusConnectFailed, Reason: err.Error()}
+		return exchangeResult{Result: failed}
+	}
+	if written, err := conn.Write(out.Bytes()); err != nil {
+		if written < out.Len() {
+			// The last byte was never sent, and the connection is closed: the request can't execute.
+			return conn.unsentResult(err)
+		}
+		return exchangeResult{Result: Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}}
+	}
+	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
+	resp, err := readResponseHead(conn.reader, req.Method)
+	return p.readResponse(conn, server, resp, err)
+}
+
+// unsendable tells whether the message must no longer be sent to a server, and how its attempt ends. The
+// connect may have taken long: a draining server allows requests only for a grace time, servers drop duplicates
+// only within a window, and the client may have closed its connection meanwhile.
+func (m *Message) unsendable(server *Server) (result Result, unsendable bool) {
+	switch {
+	case !server.IsAvailable():
+		return Result{Status: balancer.StatusConnectFailed, Reason: "draining or removed"}, true
+	case !m.SendBy.IsZero() && time.Now().After(m.SendBy):
+		return Result{Status: balancer.StatusUnsent, Reason: "the deduplication window is over"}, true
+	case m.ClientGone != nil && m.ClientGone():
+		reason := ErrClientGone.Error()
+		return Result{Status: balancer.StatusUnsent, Reason: reason, ClientErr: ErrClientGone}, true
+	}
+	return Result{}, false
+}
--- a/internal/agent/upstream_unit_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -28,7 +30,7 @@
 			return
 		}
 		c.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
-		resetConn(c)
+		agenttest.ResetConn(c)
 		c.Close()
 	}()
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -37,12 +39,12 @@
 	}
 	nc.(*net.TCPConn).SetWriteBuffer(4096)
 	addr := ln.Addr().String()
-	p := &connectionPool{budget: newBodyBudget(64), dial: dialTCP, connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
+	p := &Pool{budget: message.NewBodyBudget(64), dial: DialTCP, connectTimeout: time.Second, keepalive: time.Minute, maxConns: 8, openConns: 1, idle: map[string][]*serverConn{
 		addr: {{Conn: nc, reader: bufio.NewReader(nc), addr: addr, idleSince: time.Now().Add(-time.Second)}}}}
-	req := newRequest(addr, "order", "")
-	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: make([]byte, maxBufferedBody)}
-	if res := attemptNow(context.Background(), p, &upstreamServer{}, addr, c); res.status != balancer.StatusConnectFailed {
-		t.Errorf("ended as %d, want %d", res.status, balancer.StatusConnectFailed)
+	req := agenttest.NewRequest(addr, "order", "")
+	c := &message.Request{Method: req.Method, URL: req.URL, Header: req.Header, Body: make([]byte, message.MaxBufferedBody)}
+	if res := attemptNow(context.Background(), p, &Server{}, addr, c); res.Status != balancer.StatusConnectFailed {
+		t.Errorf("ended as %d, want %d", res.Status, balancer.StatusConnectFailed)
 	}
 	if p.openConns != 0 {
 		t.Errorf("%d connections counted as open", p.openConns)
@@ -52,25 +54,25 @@
 // A server that began to drain while the attempt was connecting gets no request, and an attempt that was
 // cancelled meanwhile does not count against its server.
 func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
-	b := newFakeServer(t, respondOK)
-	p := newTestPool(testTimeout, 8)
-	req := newRequest(b.addr, "order", "")
-	c := &clientRequest{method: req.Method, url: req.URL, header: req.Header, body: []byte("x")}
-	drained := &upstreamServer{}
-	drained.setAvailable(false)
-	if res := attemptNow(t.Context(), p, drained, b.addr, c); res.status != balancer.StatusConnectFailed {
-		t.Errorf("drained: ended as %d, want %d", res.status, balancer.StatusConnectFailed)
+	b := agenttest.NewServer(t, agenttest.RespondOK)
+	p := newTestPool(agenttest.Timeout, 8)
+	req := agenttest.NewRequest(b.Addr, "order", "")
+	c := &message.Request{Method: req.Method, URL: req.URL, Header: req.Header, Body: []byte("x")}
+	drained := &Server{}
+	drained.SetAvailable(false)
+	if res := attemptNow(t.Context(), p, drained, b.Addr, c); res.Status != balancer.StatusConnectFailed {
+		t.Errorf("drained: ended as %d, want %d", res.Status, balancer.StatusConnectFailed)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := attemptNow(ctx, p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusCancelled {
-		t.Errorf("withdrawn: ended as %d, want %d", res.status, balancer.StatusCancelled)
+	if res := attemptNow(ctx, p, &Server{}, b.Addr, c); res.Status != balancer.StatusCancelled {
+		t.Errorf("withdrawn: ended as %d, want %d", res.Status, balancer.StatusCancelled)
 	}
 	// One more goes through, after which an earlier one would have arrived as well.
-	if res := attemptNow(t.Context(), p, &upstreamServer{}, b.addr, c); res.status != balancer.StatusOK {
-		t.Errorf("ended as %d, want %d", res.status, balancer.StatusOK)
+	if res := attemptNow(t.Context(), p, &Server{}, b.Addr, c); res.Status != balancer.StatusOK {
+		t.Errorf("ended as %d, want %d", res.Status, balancer.StatusOK)
 	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
+	if b.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", b.Count())
 	}
 }
--- a/internal/agent/server_conn.go
+++ b/internal/agent/upstream/conn.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -7,6 +7,7 @@
 	"net/http"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/socket"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -28,9 +29,9 @@
 func (c *serverConn) setWriteDeadline(t time.Time) { _ = c.SetWriteDeadline(t) }
 
 // expire ends the reads and writes of the connection at once; expireReads and expireWrites end one of them.
-func (c *serverConn) expire()       { c.setDeadline(expired) }
-func (c *serverConn) expireReads()  { c.setReadDeadline(expired) }
-func (c *serverConn) expireWrites() { c.setWriteDeadline(expired) }
+func (c *serverConn) expire()       { c.setDeadline(socket.Expired) }
+func (c *serverConn) expireReads()  { c.setReadDeadline(socket.Expired) }
+func (c *serverConn) expireWrites() { c.setWriteDeadline(socket.Expired) }
 
 // reusableAfter tells whether the connection may carry another message after a response was read completely.
 // Bytes that the server sent beyond it must not be taken for the next response.
@@ -47,15 +48,15 @@
 // brokenResult is the end of an attempt that may have executed, by an error before any response.
 func (c *serverConn) brokenResult(err error) exchangeResult {
 	status := brokenStatus(err)
-	return exchangeResult{attemptResult: attemptResult{
-		status:         status,
-		reason:         c.describeFailure(err),
+	return exchangeResult{Result: Result{
+		Status:         status,
+		Reason:         c.describeFailure(err),
 		connectionLost: status == balancer.StatusReset,
 	}}
 }
 
 // unsentResult is the end of an attempt whose last byte was not written.
 func (c *serverConn) unsentResult(err error) exchangeResult {
-	failed := attemptResult{status: writeFailureStatus(err), reason: c.describeFailure(err)}
-	return exchangeResult{attemptResult: failed, unsent: true}
+	failed := Result{Status: writeFailureStatus(err), Reason: c.describeFailure(err)}
+	return exchangeResult{Result: failed, unsent: true}
 }
--- a/internal/agent/connect_errors.go
+++ b/internal/agent/upstream/connect_errors.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"errors"
@@ -28,12 +28,12 @@
 
 // connectFailureResult is the end of an attempt that got no connection. The server is not demoted for what this
 // agent or its machine lacks.
-func connectFailureResult(err error) attemptResult {
+func connectFailureResult(err error) Result {
 	status := balancer.StatusConnectFailed
 	if errors.Is(err, errNoDescriptor) || isOneOf(err, localErrors) {
 		status = balancer.StatusOverloaded
 	}
-	return attemptResult{status: status, reason: err.Error()}
+	return Result{Status: status, Reason: err.Error()}
 }
 
 // localWriteErrors say that this machine had no memory for a write (send(2)). Any other error of a write shows
--- a/internal/agent/connection_pool.go
+++ b/internal/agent/upstream/pool.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -8,12 +8,17 @@
 	"slices"
 	"sync"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/socket"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 const (
-	// settleTime is how long a connection rests before it carries another message. A server may send a second
+	// SettleTime is how long a connection rests before it carries another message. A server may send a second
 	// response some milliseconds late; one that came later than this would be taken for the next message's.
-	settleTime = 20 * time.Millisecond
+	SettleTime = 20 * time.Millisecond
 	// defaultConnectTimeout and defaultKeepalive apply where the settings give none.
 	defaultConnectTimeout, defaultKeepalive = time.Second, time.Second
 )
@@ -21,12 +26,12 @@
 // errNoDescriptor ends a connect for which no descriptor is left.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// connectionPool makes attempts and keeps idle connections. http.Transport is not used, as it retries by itself
+// Pool makes attempts and keeps idle connections. http.Transport is not used, as it retries by itself
 // on a broken kept connection, and does not tell whether the last byte was written, on which it depends whether
 // an attempt may have executed.
-type connectionPool struct {
-	budget quota // of bytes of buffered response bodies
-	dial   DialFunc
+type Pool struct {
+	budget message.Quota // of bytes of buffered response bodies
+	dial   config.DialFunc
 
 	mu              sync.Mutex
 	maxConns        int
@@ -39,22 +44,22 @@
 	idleTimes       idleTimeModel
 }
 
-func newConnectionPool(cfg *Config) *connectionPool {
-	p := &connectionPool{
-		maxConns: cfg.serverConns(),
-		budget:   newBodyBudget(cfg.MemoryMB),
+func NewPool(cfg *config.Config) *Pool {
+	p := &Pool{
+		maxConns: cfg.ServerConns(),
+		budget:   message.NewBodyBudget(cfg.MemoryMB),
 		dial:     cfg.Dial,
 		idle:     map[string][]*serverConn{},
 	}
 	if p.dial == nil {
-		p.dial = dialTCP
+		p.dial = DialTCP
 	}
-	p.applySettings(cfg)
+	p.ApplySettings(cfg)
 	return p
 }
 
-// setConnLimit bounds the connections from now on.
-func (p *connectionPool) setConnLimit(maxConns int) {
+// SetConnLimit bounds the connections from now on.
+func (p *Pool) SetConnLimit(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = maxConns
@@ -65,40 +70,40 @@
 	}
 }
 
-// bodyBudget bounds the bytes of buffered response bodies.
-func (p *connectionPool) bodyBudget() quota { return p.budget }
+// BodyBudget bounds the bytes of buffered response bodies.
+func (p *Pool) BodyBudget() message.Quota { return p.budget }
 
-// connLimit is the bound on the connections.
-func (p *connectionPool) connLimit() int {
+// ConnLimit is the bound on the connections.
+func (p *Pool) ConnLimit() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.maxConns
 }
 
-// applySettings puts the settings in force for connections from now on.
-func (p *connectionPool) applySettings(cfg *Config) {
+// ApplySettings puts the settings in force for connections from now on.
+func (p *Pool) ApplySettings(cfg *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connectTimeout = milliseconds(cfg.Settings.Limits.ConnectTimeoutMs)
+	p.connectTimeout = clock.FromMilliseconds(cfg.Settings.Limits.ConnectTimeoutMs)
 	if p.connectTimeout <= 0 {
 		p.connectTimeout = defaultConnectTimeout
 	}
 	// The server closes at its keepalive time at the latest; half of it is well before.
-	p.keepalive = milliseconds(cfg.Settings.Limits.KeepaliveMs / 2)
+	p.keepalive = clock.FromMilliseconds(cfg.Settings.Limits.KeepaliveMs / 2)
 	if p.keepalive <= 0 {
 		p.keepalive = defaultKeepalive
 	}
 }
 
 // acquire returns an idle connection that is alive and has rested, the most recently used first, or opens one.
-func (p *connectionPool) acquire(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
+func (p *Pool) acquire(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	for {
 		conn, idleLimit := p.takeRested(addr)
 		if conn == nil {
 			return p.open(ctx, addr, deadline)
 		}
 		conn.idledFor = time.Since(conn.idleSince)
-		if conn.idledFor < idleLimit && isIdleConnAlive(conn.Conn) {
+		if conn.idledFor < idleLimit && socket.IsIdleAlive(conn.Conn) {
 			return conn, nil
 		}
 		p.discard(conn)
@@ -107,12 +112,12 @@
 
 // takeRested takes an idle connection that has rested out of the pool, with the idle time that it may have
 // had; nil: there is none.
-func (p *connectionPool) takeRested(addr string) (conn *serverConn, idleLimit time.Duration) {
+func (p *Pool) takeRested(addr string) (conn *serverConn, idleLimit time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
 	for i := len(list) - 1; i >= 0; i-- {
-		if time.Since(list[i].idleSince) >= settleTime {
+		if time.Since(list[i].idleSince) >= SettleTime {
 			conn := list[i]
 			p.idle[addr] = slices.Delete(list, i, i+1)
 			return conn, p.idleTimes.limit(p.keepalive)
@@ -121,8 +126,8 @@
 	return nil, 0
 }
 
-// open opens a connection, for which it closes an idle one at the limit.
-func (p *connectionPool) open(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
+// Open opens a connection, for which it closes an idle one at the limit.
+func (p *Pool) open(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	until, err := p.reserve(deadline)
 	if err != nil {
 		return nil, err
@@ -136,14 +141,14 @@
 	}
 	return &serverConn{
 		Conn:      nc,
-		reader:    bufio.NewReaderSize(nc, maxResponseHead),
+		reader:    bufio.NewReaderSize(nc, MaxResponseHead),
 		addr:      addr,
 		createdAt: time.Now(),
 	}, nil
 }
 
 // reserve counts a connection that is about to be opened, and returns until when that may take.
-func (p *connectionPool) reserve(deadline time.Time) (until time.Time, err error) {
+func (p *Pool) reserve(deadline time.Time) (until time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.openConns >= p.maxConns && !p.evict() {
@@ -151,17 +156,17 @@
 	}
 	p.openConns++
 	p.connectAttempts++
-	return earliest(deadline, time.Now().Add(p.connectTimeout)), nil
+	return clock.Earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
-func dialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
 // evict closes the connection that has been idle longest, so that one to another server can be opened, and
 // tells whether there was any. The caller has the lock.
-func (p *connectionPool) evict() bool {
+func (p *Pool) evict() bool {
 	var oldest *serverConn
 	for _, list := range p.idle {
 		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
@@ -177,18 +182,18 @@
 }
 
 // closeConn closes a connection and no longer counts it. The caller has the lock.
-func (p *connectionPool) closeConn(conn *serverConn) {
+func (p *Pool) closeConn(conn *serverConn) {
 	p.openConns--
 	_ = conn.Close() // it is given up, whatever its state
 }
 
-// release keeps a connection for the next message to its server, unless that is not to have any.
-func (p *connectionPool) release(conn *serverConn, server *upstreamServer) {
+// Release keeps a connection for the next message to its server, unless that is not to have any.
+func (p *Pool) release(conn *serverConn, server *Server) {
 	conn.setDeadline(time.Time{})
 	conn.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !server.isAvailable() || p.closed {
+	if !server.IsAvailable() || p.closed {
 		p.closeConn(conn)
 		return
 	}
@@ -196,7 +201,7 @@
 }
 
 // discard closes a connection that is not idle.
-func (p *connectionPool) discard(conn *serverConn) {
+func (p *Pool) discard(conn *serverConn) {
 	_ = conn.Close() // it is given up, whatever its state
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,42 +209,42 @@
 }
 
 // recordIdleUse records the use of a kept connection for the model of idle times.
-func (p *connectionPool) recordIdleUse(idled time.Duration, lost bool) {
+func (p *Pool) recordIdleUse(idled time.Duration, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleTimes.record(idled, lost)
 }
 
-// idleLimit is how long a connection may be idle by what is known now.
-func (p *connectionPool) idleLimit() time.Duration {
+// IdleLimit is how long a connection may be idle by what is known now.
+func (p *Pool) IdleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.idleTimes.limit(p.keepalive)
 }
 
 // connectTimeLimit is how long a connect may take.
-func (p *connectionPool) connectTimeLimit() time.Duration {
+func (p *Pool) connectTimeLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectTimeout
 }
 
-// size is the number of connections that are open or being opened.
-func (p *connectionPool) size() int {
+// Size is the number of connections that are open or being opened.
+func (p *Pool) Size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns
 }
 
-// connectCount is the number of connects since the start, whether they succeeded or not.
-func (p *connectionPool) connectCount() int {
+// ConnectCount is the number of connects since the start, whether they succeeded or not.
+func (p *Pool) ConnectCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectAttempts
 }
 
-// closeIdle closes the idle connections to an address.
-func (p *connectionPool) closeIdle(addr string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range p.idle[addr] {
@@ -248,8 +253,8 @@
 	delete(p.idle, addr)
 }
 
-// shutdown closes the idle connections, and those that become idle from now on.
-func (p *connectionPool) shutdown() {
+// Shutdown closes the idle connections, and those that become idle from now on.
+func (p *Pool) Shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
@@ -258,8 +263,8 @@
 	}
 }
 
-// closeExpired closes the connections that have been idle for too long.
-func (p *connectionPool) closeExpired() {
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := p.idleTimes.limit(p.keepalive)
--- a/internal/agent/upstream_response.go
+++ b/internal/agent/upstream/response.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -9,12 +9,13 @@
 	"os"
 	"regexp"
 
+	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
-	// maxResponseHead is the largest head of a response.
-	maxResponseHead = 16 << 10
+	// MaxResponseHead is the largest head of a response.
+	MaxResponseHead = 16 << 10
 	// maxInterimResponses bounds the interim responses (1xx) before a final one.
 	maxInterimResponses = 8
 	// protocolPrefix is how the head of a response begins.
@@ -29,8 +30,8 @@
 
 // readResponse reads the response behind its head, where err is nil. A response that is long, or takes long,
 // is returned with its rest as a stream.
-func (p *connectionPool) readResponse(
-	conn *serverConn, server *upstreamServer, resp *http.Response, err error,
+func (p *Pool) readResponse(
+	conn *serverConn, server *Server, resp *http.Response, err error,
 ) exchangeResult {
 	if resp == nil {
 		return conn.brokenResult(err)
@@ -39,7 +40,7 @@
 	switch {
 	case status != balancer.StatusOK:
 		return discardResponseBody(conn, resp, status)
-	case resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody && p.budget.TryAcquire(resp.ContentLength):
+	case resp.ContentLength >= 0 && resp.ContentLength <= message.MaxBufferedBody && p.budget.TryAcquire(resp.ContentLength):
 		return p.readBufferedBody(conn, resp)
 	}
 	return p.readStreamedBody(conn, server, resp)
@@ -48,70 +49,70 @@
 // discardResponseBody reads the body of a response that is not passed on: it must be complete for the
 // connection to be used again.
 func discardResponseBody(conn *serverConn, resp *http.Response, status balancer.Status) exchangeResult {
-	read, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBody))
+	read, err := io.Copy(io.Discard, io.LimitReader(resp.Body, message.MaxBufferedBody))
 	if err != nil {
-		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
-		return exchangeResult{attemptResult: failed}
+		failed := Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}
+		return exchangeResult{Result: failed}
 	}
 	return exchangeResult{
-		attemptResult: attemptResult{status: status, reason: resp.Status},
-		reusable:      read < maxBufferedBody && conn.reusableAfter(resp),
+		Result:   Result{Status: status, Reason: resp.Status},
+		reusable: read < message.MaxBufferedBody && conn.reusableAfter(resp),
 	}
 }
 
 // readBufferedBody reads a body whose length the budget has reserved.
-func (p *connectionPool) readBufferedBody(conn *serverConn, resp *http.Response) exchangeResult {
-	body := &responseBody{
-		length:   resp.ContentLength,
-		budget:   p.budget,
-		reserved: resp.ContentLength,
-		buffered: make([]byte, resp.ContentLength),
+func (p *Pool) readBufferedBody(conn *serverConn, resp *http.Response) exchangeResult {
+	body := &message.ResponseBody{
+		Length:   resp.ContentLength,
+		Budget:   p.budget,
+		Reserved: resp.ContentLength,
+		Buffered: make([]byte, resp.ContentLength),
 	}
-	if _, err := io.ReadFull(resp.Body, body.buffered); err != nil {
-		body.release()
-		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
-		return exchangeResult{attemptResult: failed}
+	if _, err := io.ReadFull(resp.Body, body.Buffered); err != nil {
+		body.Release()
+		failed := Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}
+		return exchangeResult{Result: failed}
 	}
 	return servedResult(resp, body, conn.reusableAfter(resp))
 }
 
 // readStreamedBody begins the stream of a body. Where its length is not given, it first buffers what comes
-// within bufferingTime, and needs no stream if that is all.
-func (p *connectionPool) readStreamedBody(
-	conn *serverConn, server *upstreamServer, resp *http.Response,
+// within BufferingTime, and needs no stream if that is all.
+func (p *Pool) readStreamedBody(
+	conn *serverConn, server *Server, resp *http.Response,
 ) exchangeResult {
-	body := &responseBody{length: resp.ContentLength, budget: p.budget, stream: newStream(conn, resp.Body)}
-	body.stream.close = func(complete bool) {
+	body := &message.ResponseBody{Length: resp.ContentLength, Budget: p.budget, Stream: message.NewBodyStream(conn, resp.Body)}
+	body.Stream.Close = func(complete bool) {
 		if complete && conn.reusableAfter(resp) {
 			p.release(conn, server)
 		} else {
 			p.discard(conn)
 		}
 	}
-	if resp.ContentLength >= 0 || !p.budget.TryAcquire(maxBufferedBody) {
+	if resp.ContentLength >= 0 || !p.budget.TryAcquire(message.MaxBufferedBody) {
 		return servedResult(resp, body, false)
 	}
-	body.reserved = maxBufferedBody
-	buffered, complete, err := body.stream.buffer(maxBufferedBody, bufferingTime)
-	body.buffered = buffered
+	body.Reserved = message.MaxBufferedBody
+	buffered, complete, err := body.Stream.Buffer(message.MaxBufferedBody, message.BufferingTime)
+	body.Buffered = buffered
 	if err != nil {
-		body.stream.detach()
-		body.stream = nil
-		body.release()
-		failed := attemptResult{status: brokenStatus(err), reason: conn.describeFailure(err)}
-		return exchangeResult{attemptResult: failed}
+		body.Stream.Detach()
+		body.Stream = nil
+		body.Release()
+		failed := Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}
+		return exchangeResult{Result: failed}
 	}
 	if !complete {
 		return servedResult(resp, body, false)
 	}
-	body.length = int64(len(buffered))
-	body.stream = nil
+	body.Length = int64(len(buffered))
+	body.Stream = nil
 	return servedResult(resp, body, conn.reusableAfter(resp))
 }
 
-func servedResult(resp *http.Response, body *responseBody, reusable bool) exchangeResult {
-	served := attemptResult{status: balancer.StatusOK, header: resp.Header, body: body}
-	return exchangeResult{attemptResult: served, reusable: reusable}
+func servedResult(resp *http.Response, body *message.ResponseBody, reusable bool) exchangeResult {
+	served := Result{Status: balancer.StatusOK, Header: resp.Header, Body: body}
+	return exchangeResult{Result: served, reusable: reusable}
 }
 
 // brokenStatus maps the error that ended an attempt whose last byte was written: it may have executed. The
--- a/internal/agent/upstream_status_test.go
+++ b/internal/agent/upstream/response_test.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"errors"
--- a/internal/agent/upstream_streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"bufio"
@@ -8,7 +8,9 @@
 	"net/http"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // earlyResponseWait is how long a response is waited for after the write of a request failed, and the end of
@@ -28,14 +30,14 @@
 // that comes before the body's end ends it.
 type streamedExchange struct {
 	conn    *serverConn
-	message *upstreamMessage
+	message *Message
 	heads   chan responseHead
 	written chan error
 }
 
 // exchangeStreamed makes a streamedExchange on a connection.
-func (p *connectionPool) exchangeStreamed(
-	ctx context.Context, conn *serverConn, server *upstreamServer, message *upstreamMessage, req *http.Request,
+func (p *Pool) exchangeStreamed(
+	ctx context.Context, conn *serverConn, server *Server, message *Message, req *http.Request,
 ) exchangeResult {
 	x := &streamedExchange{
 		conn:    conn,
@@ -51,7 +53,7 @@
 	var err error
 	select {
 	case err = <-x.written:
-		if clientErr := message.streamed.failure(); err != nil && clientErr != nil {
+		if clientErr := message.Streamed.Failure(); err != nil && clientErr != nil {
 			return x.clientFailed(clientErr)
 		}
 		head = x.awaitHead(ctx, err)
@@ -68,8 +70,8 @@
 }
 
 func (x *streamedExchange) write(ctx context.Context, req *http.Request) {
-	to := serverWriter{ctx, x.conn, x.message.streamed, x.message.responseTime}
-	buffered := bufio.NewWriterSize(to, chunkSize)
+	to := serverWriter{ctx, x.conn, x.message.Streamed, x.message.ResponseTime}
+	buffered := bufio.NewWriterSize(to, message.ChunkSize)
 	err := req.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
@@ -81,18 +83,18 @@
 func (x *streamedExchange) clientFailed(clientErr error) exchangeResult {
 	x.conn.expireReads()
 	<-x.heads
-	return exchangeResult{attemptResult: attemptResult{
-		status:    balancer.StatusCancelled,
-		reason:    "client: " + clientErr.Error(),
-		clientErr: clientErr,
+	return exchangeResult{Result: Result{
+		Status:    balancer.StatusCancelled,
+		Reason:    "client: " + clientErr.Error(),
+		ClientErr: clientErr,
 	}}
 }
 
 // awaitHead waits for the response's head after the write ended with err.
 func (x *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
 	if err == nil {
-		x.message.onSent()
-		x.conn.setReadDeadline(x.message.streamed.respondBy(x.message.responseTime))
+		x.message.OnSent()
+		x.conn.setReadDeadline(x.message.Streamed.RespondBy(x.message.ResponseTime))
 	} else {
 		// A response may be there, or on its way behind what the server did not read.
 		x.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
@@ -111,20 +113,20 @@
 	case <-time.After(earlyResponseWait):
 	}
 	if err == nil {
-		x.message.onSent()
+		x.message.OnSent()
 		return nil
 	}
 	// The writer may still wait for the client. What the client sends now is lost.
-	x.message.streamed.consumed.Store(true)
+	x.message.Streamed.Consumed.Store(true)
 	x.conn.expireWrites()
 	return err
 }
 
 // finish reads the response behind its head, after the write ended with err.
 func (x *streamedExchange) finish(
-	p *connectionPool, server *upstreamServer, head responseHead, err error,
+	p *Pool, server *Server, head responseHead, err error,
 ) exchangeResult {
-	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(x.conn, x.message.streamed) {
+	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(x.conn, x.message.Streamed) {
 		return x.conn.brokenResult(head.err)
 	}
 	if err != nil && head.resp == nil {
@@ -132,9 +134,9 @@
 		return x.conn.unsentResult(cmp.Or(head.err, err))
 	}
 	result := p.readResponse(x.conn, server, head.resp, head.err)
-	if err != nil && result.body != nil {
-		result.body.release()
-		return exchangeResult{attemptResult: attemptResult{status: balancer.StatusError, reason: err.Error()}}
+	if err != nil && result.Body != nil {
+		result.Body.Release()
+		return exchangeResult{Result: Result{Status: balancer.StatusError, Reason: err.Error()}}
 	}
 	result.reusable = result.reusable && err == nil
 	return result
@@ -143,9 +145,9 @@
 // bodyMayHaveLeft closes a connection whose writer has not reported how far it came, as it may be blocked, and
 // returns whether the last byte of the request may have been written: only if the body was read to its end by
 // then.
-func bodyMayHaveLeft(conn *serverConn, body *streamedBody) bool {
+func bodyMayHaveLeft(conn *serverConn, body *message.StreamedBody) bool {
 	_ = conn.Close() // later writes fail; the pool counts the connection when it discards it
-	return body.complete()
+	return body.Complete()
 }
 
 // serverWriter writes a streamed body to a server, with a deadline for each chunk and not for the whole: no
@@ -153,7 +155,7 @@
 type serverWriter struct {
 	ctx          context.Context // cancels the attempt
 	conn         *serverConn
-	body         *streamedBody
+	body         *message.StreamedBody
 	responseTime time.Duration // the client's time from its last byte on
 }
 
@@ -161,6 +163,6 @@
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
-	w.conn.setWriteDeadline(earliest(time.Now().Add(stallTimeout), w.body.respondBy(w.responseTime)))
+	w.conn.setWriteDeadline(clock.Earliest(time.Now().Add(message.StallTimeout), w.body.RespondBy(w.responseTime)))
 	return w.conn.Write(p)
 }
--- a/internal/agent/upstream_attempt_test.go
+++ b/internal/agent/upstream_attempt_test.go
@@ -6,15 +6,17 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
 func TestInterimResponseIsSkipped(t *testing.T) {
 	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return respondOK(c, req, n)
+		return agenttest.RespondOK(c, req, n)
 	})
-	status, _, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 200)
+	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 200)
 }
 
 func TestRefusedConnectDidNotExecute(t *testing.T) {
@@ -24,9 +26,9 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", addr)), nil)
-	status, header, _ := a.do(newRequest(a.addr, "order", "x"))
-	wantStatus(t, status, 503)
+	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", addr)), nil)
+	status, header, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agenttest.WantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
 		t.Error("refused without Retry-After")
 	}
@@ -36,7 +38,7 @@
 // late response would be taken for the next one's.
 func TestSilentServer(t *testing.T) {
 	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
-	req := newRequest(a.addr, "order", "x")
+	req := agenttest.NewRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	from := time.Now()
 	status, _, _ := a.do(req)
@@ -47,11 +49,11 @@
 		t.Errorf("gave up after %v", took)
 	}
 	select {
-	case <-b.ended:
-	case <-time.After(testTimeout):
+	case <-b.Ended:
+	case <-time.After(agenttest.Timeout):
 		t.Error("the connection stays open")
 	}
-	if b.count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.count())
+	if b.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", b.Count())
 	}
 }
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -13,6 +13,9 @@
 	"sync"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 // lockedBuffer may be written to by many.
@@ -36,7 +39,7 @@
 // An agent without clients follows its list and its settings, shows its operators what it is, and
 // tells its hooks, all under its own logger and from its own address.
 func TestAgentWithoutClients(t *testing.T) {
-	d := newDiscoveryServer(t, target("s-1", "127.0.0.1:1"))
+	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
 	from := make(chan string, 1000)
 	serve := d.Config.Handler
 	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -44,7 +47,7 @@
 		from <- host
 		serve.ServeHTTP(w, req)
 	})
-	cfg, err := ParseConfig(pushedConfigText(t, d, nil))
+	cfg, err := config.Parse(agenttest.PushedConfigText(t, d, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,13 +61,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := New(cfg, Listeners{Operators: ln})
+	a, err := New(cfg, Listeners{Admin: ln})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, end := context.WithCancel(context.Background())
 	defer end()
-	reloads, done := make(chan *Config), make(chan error, 1)
+	reloads, done := make(chan *config.Config), make(chan error, 1)
 	go func() { done <- a.Run(stop, reloads) }()
 	next := func(what string, from <-chan uint64, want uint64) {
 		t.Helper()
@@ -73,32 +76,32 @@
 			if v != want {
 				t.Fatalf("%s %d in force, want %d", what, v, want)
 			}
-		case <-time.After(testTimeout):
+		case <-time.After(agenttest.Timeout):
 			t.Fatalf("%s %d never in force", what, want)
 		}
 	}
 	next("list", lists, 1)
-	waitUntil(t, "it is ready", func() bool {
-		resp, err := testClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
+	agenttest.WaitUntil(t, "it is ready", func() bool {
+		resp, err := agenttest.HTTPClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
 		if err == nil {
 			resp.Body.Close()
 		}
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 	for version := uint64(2); version < 5; version++ {
-		d.set(target(fmt.Sprint("s-", version), "127.0.0.1:2"))
+		d.Set(agenttest.Endpoint(fmt.Sprint("s-", version), "127.0.0.1:2"))
 		next("list", lists, version)
 	}
-	changed, err := ParseReload(pushedConfigText(t, d, nil), cfg)
+	changed, err := config.ParseReload(agenttest.PushedConfigText(t, d, nil), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reloads <- changed
 	next("settings", settings, 0)
 	// The watch's fourth call begins after the hooks were called for the third change.
-	waitUntil(t, "the fourth call to discovery", func() bool { return a.Status().ListCalls >= 4 })
+	agenttest.WaitUntil(t, "the fourth call to discovery", func() bool { return a.Status().ListCalls >= 4 })
 	s := a.Status()
-	if s.ListVersion != 4 || s.Servers != 4 || s.ListCalls < 4 || s.ListIn < 4*100 || s.ListOut < 4*50 || s.Fleet != nil {
+	if s.ListVersion != 4 || s.Servers != 4 || s.ListCalls < 4 || s.ListIn < 4*100 || s.ListOut < 4*50 || s.Membership != nil {
 		t.Errorf("status %+v", s)
 	}
 	if host := <-from; host != "127.0.0.77" {
@@ -125,17 +128,17 @@
 
 // A killed agent answers nobody at once, with or without clients, also one that ends already.
 func TestKill(t *testing.T) {
-	b := newFakeServer(t, respondOK)
+	b := agenttest.NewServer(t, agenttest.RespondOK)
 	for name, stopped := range map[string]bool{"in service": false, "while it ends": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDiscoveryServer(t, target("s-1", b.addr))
-			cfg, err := ParseConfig(pushedConfigText(t, d, nil))
+			d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr))
+			cfg, err := config.Parse(agenttest.PushedConfigText(t, d, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
 			var ln Listeners
-			for _, l := range []*net.Listener{&ln.Clients, &ln.Operators} {
+			for _, l := range []*net.Listener{&ln.Clients, &ln.Admin} {
 				if *l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 					t.Fatal(err)
 				}
@@ -153,8 +156,8 @@
 				t.Fatal(err)
 			}
 			defer idle.Close()
-			waitUntil(t, "it serves", func() bool {
-				resp, err := testClient.Do(newRequest(ln.Clients.Addr().String(), "read", ""))
+			agenttest.WaitUntil(t, "it serves", func() bool {
+				resp, err := agenttest.HTTPClient.Do(agenttest.NewRequest(ln.Clients.Addr().String(), "read", ""))
 				if err == nil {
 					resp.Body.Close()
 				}
@@ -162,17 +165,17 @@
 			})
 			if stopped {
 				end()
-				waitUntil(t, "it ends", func() bool { return !a.downstream.isServing() })
+				agenttest.WaitUntil(t, "it ends", func() bool { return !a.downstream.IsServing() })
 			}
 			a.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
 				t.Errorf("Run returned %v", err)
 			}
-			idle.SetReadDeadline(time.Now().Add(testTimeout))
+			idle.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 			if n, err := idle.Read(make([]byte, 100)); n > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("a client's connection brought %d bytes, %v", n, err)
 			}
-			for _, l := range []net.Listener{ln.Clients, ln.Operators} {
+			for _, l := range []net.Listener{ln.Clients, ln.Admin} {
 				if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 					t.Errorf("a listener is still open: %v", err)
 				}
@@ -183,7 +186,7 @@
 
 // New returns an error for what it can't use, and leaves the listeners to its caller.
 func TestNewRejectsUnusableSettings(t *testing.T) {
-	cfg, err := ParseConfig(pushedConfigText(t, newDiscoveryServer(t), nil))
+	cfg, err := config.Parse(agenttest.PushedConfigText(t, agenttest.NewDiscovery(t), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scaletest/hostreport.go
+++ b/internal/scaletest/hostreport.go
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// report makes a report. What the report itself takes, above all its garbage collection, is left out of
+// Log makes a report. What the report itself takes, above all its garbage collection, is left out of
 // the processor time, with what the agents do meanwhile; that is little if reports are rare.
 func (h *hostServer) report() (*HostReport, error) {
 	before, err := processorTime()
@@ -71,7 +71,7 @@
 		ListVersion:     s.ListVersion,
 		SettingsVersion: s.SettingsVersion,
 	}
-	view := s.Fleet
+	view := s.Membership
 	if view == nil {
 		return r
 	}
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 var (
@@ -39,8 +40,8 @@
 	agent   *agent.Agent
 	cancel  context.CancelFunc // stops it gracefully
 	ctx     context.Context    // ends once it is stopped, or has ended
-	reloads chan *agent.Config
-	config  *agent.Config // in force
+	reloads chan *config.Config
+	config  *config.Config // in force
 }
 
 // ServeHost runs hollow agents as the commands on in say, and writes events to out. At the end of in
@@ -93,7 +94,7 @@
 	return lines
 }
 
-// serve executes commands until they or ctx end.
+// Serve executes commands until they or ctx end.
 func (h *hostServer) serve(ctx context.Context, lines <-chan []byte) {
 	for {
 		select {
@@ -168,7 +169,7 @@
 // start runs an agent. Its calls to discovery come from the address of its membership, or else from the
 // one where it would take clients.
 func (h *hostServer) start(c *HostCommand, _ *hollowAgent) error {
-	cfg, err := agent.ParseConfig(c.Config)
+	cfg, err := config.Parse(c.Config)
 	if err != nil {
 		return err
 	}
@@ -178,18 +179,18 @@
 	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
 	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
 	var listeners agent.Listeners
-	if cfg.Management != "" {
-		listeners.Operators, err = net.Listen("tcp", cfg.Management)
+	if cfg.AdminAddr != "" {
+		listeners.Admin, err = net.Listen("tcp", cfg.AdminAddr)
 		if err != nil {
 			h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
 			return nil
 		}
 	}
-	a := &hollowAgent{reloads: make(chan *agent.Config), config: cfg}
+	a := &hollowAgent{reloads: make(chan *config.Config), config: cfg}
 	a.agent, err = agent.New(cfg, listeners)
 	if err != nil {
-		if listeners.Operators != nil {
-			_ = listeners.Operators.Close() // the agent's error is the one to report
+		if listeners.Admin != nil {
+			_ = listeners.Admin.Close() // the agent's error is the one to report
 		}
 		return err
 	}
@@ -207,10 +208,10 @@
 }
 
 // callAddress is the address that an agent's calls to discovery come from; nil: the system selects it.
-func callAddress(cfg *agent.Config) net.IP {
+func callAddress(cfg *config.Config) net.IP {
 	address := cfg.Listen
-	if cfg.Fleet != nil {
-		address = cfg.Fleet.Bind
+	if cfg.Membership != nil {
+		address = cfg.Membership.Bind
 	}
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -219,7 +220,7 @@
 	return net.ParseIP(ip)
 }
 
-// run runs an agent until it ends.
+// Run runs an agent until it ends.
 func (h *hostServer) run(name string, a *hollowAgent) {
 	defer a.cancel()
 	event := HostEvent{Ended: name}
@@ -247,7 +248,7 @@
 }
 
 func (h *hostServer) reload(c *HostCommand, a *hollowAgent) error {
-	cfg, err := agent.ParseReload(c.Config, a.config)
+	cfg, err := config.ParseReload(c.Config, a.config)
 	if err != nil {
 		return err
 	}
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"strconv"
 
-	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/experiment"
 	"fernbeam.example/fernbeam/internal/membership"
@@ -125,7 +125,7 @@
 		"settings":   s.Settings(m.index, m.zone, f.size),
 	}
 	if m.service != "" {
-		file["control"] = agent.Control{Service: m.service, Addresses: f.discoveryAddresses()}
+		file["control"] = config.Control{Service: m.service, Addresses: f.discoveryAddresses()}
 	}
 	var err error
 	m.config, err = json.Marshal(file)
