--- a/internal/discovery/server/data_dir.go
+++ b/internal/discovery/server/data_dir.go
@@ -16,12 +16,15 @@
 	dataFormat = 2
 	// formatFile is the file of the data directory that has the number of its format.
 	formatFile = "FORMAT"
+	// dataDirMode and dataFileMode are the permissions of the data directory and of the files in it.
+	dataDirMode  = 0o755
+	dataFileMode = 0o644
 )
 
 // claimDataDir creates the data directory, or checks that this program can read its format, and
 // marks it as being of this program's format.
 func claimDataDir(dir string) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(dir, dataDirMode); err != nil {
 		return fmt.Errorf("data_dir: %w", err)
 	}
 	path := filepath.Join(dir, formatFile)
@@ -46,7 +49,7 @@
 // writeFormat replaces the file atomically, as an empty one would be rejected at the next start.
 func writeFormat(path string) error {
 	temporary := path + ".new"
-	if err := os.WriteFile(temporary, []byte(strconv.Itoa(dataFormat)+"\n"), 0o644); err != nil {
+	if err := os.WriteFile(temporary, []byte(strconv.Itoa(dataFormat)+"\n"), dataFileMode); err != nil {
 		return fmt.Errorf("data_dir: %w", err)
 	}
 	return os.Rename(temporary, path)
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -56,5 +56,8 @@
 // isLeader reports whether this instance leads the cluster as far as it knows.
 func (n *Node) isLeader() bool { return n.raft.State() == raft.Leader }
 
+// leasesPerElectionTimeout is the ratio of the election timeout to the leader lease.
+const leasesPerElectionTimeout = 2
+
 // leaderLease is how long a leader that has no contact with a majority remains leader.
-func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / 2 }
+func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / leasesPerElectionTimeout }
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -39,10 +39,9 @@
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
 
-// writeJSON answers with a value as JSON.
-func writeJSON(w http.ResponseWriter, code int, value any) {
+// writeJSON answers 200 with a value as JSON.
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(value) // the client is gone: nobody is left to report to
 }
 
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -156,9 +157,10 @@
 // streamLayer is the stream layer of Raft's transport on a counting listener (raft.StreamLayer).
 type streamLayer struct{ countingListener }
 
-// Dial connects to a peer.
+// Dial connects to a peer. hashicorp/raft bounds it by a timeout and passes no context.
 func (s streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", string(address), timeout)
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", string(address))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/server/serve.go
+++ b/internal/discovery/server/serve.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -55,7 +56,8 @@
 func listen(address string) (net.Listener, error) {
 	number, inherited := strings.CutPrefix(address, inheritedPrefix)
 	if !inherited {
-		return net.Listen("tcp", address)
+		var config net.ListenConfig
+		return config.Listen(context.Background(), "tcp", address)
 	}
 	descriptor, err := strconv.Atoi(number)
 	if err != nil {
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -97,7 +97,7 @@
 		found = versions[index]
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(found.Version, 10)))
-	writeJSON(w, http.StatusOK, found)
+	writeJSON(w, found)
 }
 
 // serveSettingsHistory answers the stored versions of a service's settings, the newest first and
@@ -112,7 +112,7 @@
 	for i := range history {
 		history[i].Text = ""
 	}
-	writeJSON(w, http.StatusOK, history)
+	writeJSON(w, history)
 }
 
 // storedSettings returns the stored versions of the settings of the path's service, the oldest
@@ -146,5 +146,5 @@
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.Admin
 	}
-	writeJSON(w, http.StatusOK, reports)
+	writeJSON(w, reports)
 }
--- a/internal/discovery/server/status.go
+++ b/internal/discovery/server/status.go
@@ -25,7 +25,7 @@
 		}
 	}
 	_, leader := n.raft.LeaderWithID()
-	writeJSON(w, http.StatusOK, Status{
+	writeJSON(w, Status{
 		ID:      n.cfg.ID,
 		State:   n.raft.State().String(),
 		Leader:  string(leader),
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -4,8 +4,11 @@
 	"os"
 )
 
-// metaPagesSize is the length of the two meta pages at the head of a bbolt file (one page each).
-func metaPagesSize() int { return 2 * os.Getpagesize() }
+// metaPages is the number of meta pages at the head of a bbolt file.
+const metaPages = 2
+
+// metaPagesSize is the length of the meta pages in bytes.
+func metaPagesSize() int { return metaPages * os.Getpagesize() }
 
 // rewriteMetaPages writes the two meta pages of a bbolt file again as they are, and syncs them.
 //
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -21,6 +21,8 @@
 	// createdFile marks that a store was created in the data directory. From then on a missing or
 	// empty store counts as damaged.
 	createdFile = "raft.db.created"
+	// storeFileMode is the permissions of the store.
+	storeFileMode = 0o600
 	// termBytes is the length of a saved term.
 	termBytes = 8
 )
@@ -77,7 +79,7 @@
 
 // markCreated marks that the directory has a store.
 func markCreated(dir string) error {
-	file, err := os.OpenFile(filepath.Join(dir, createdFile), os.O_CREATE|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(filepath.Join(dir, createdFile), os.O_CREATE|os.O_WRONLY, dataFileMode)
 	if err != nil {
 		return err
 	}
@@ -97,7 +99,7 @@
 // viewDatabase opens the database and runs one read transaction. If it is opened read-only, bbolt
 // does not load the list of free pages, which may be missing from a truncated file.
 func viewDatabase(path string, readOnly bool, view func(*bbolt.Tx) error) error {
-	database, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: readOnly})
+	database, err := bbolt.Open(path, storeFileMode, &bbolt.Options{ReadOnly: readOnly})
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -71,7 +71,7 @@
 	}
 	switch result := applied.Response().(type) {
 	case uint64:
-		writeJSON(w, http.StatusOK, writeResult{Version: result})
+		writeJSON(w, writeResult{Version: result})
 	case error:
 		http.Error(w, result.Error(), applyErrorStatus(result))
 	}
