--- a/cmd/discovery/admin_client.go
+++ b/cmd/discovery/admin_client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -27,32 +28,40 @@
 	cmd.Flags().StringVar(address, "admin", defaultAdminAddress, "admin address of any instance (host:port)")
 }
 
+// adminCall is one request to an admin address.
+type adminCall struct {
+	method string
+	path   string
+	body   []byte      // nil: none
+	header http.Header // beside those that net/http sets; nil: none
+}
+
 // statusError is an answer with another status than 200.
 type statusError struct {
-	method, path string
-	status       string // such as "404 Not Found"
-	message      string // the body
+	call    adminCall
+	status  string // such as "404 Not Found"
+	message string // the body
 }
 
 // Error names the call, the status and the body.
 func (e *statusError) Error() string {
-	return fmt.Sprintf("%s %s: %s: %s", e.method, e.path, e.status, e.message)
+	return fmt.Sprintf("%s %s: %s: %s", e.call.method, e.call.path, e.status, e.message)
 }
 
 // adminClient makes calls to the admin address of one instance. It follows redirects to the leader.
 type adminClient struct {
 	address string // host:port
-	http    *http.Client
+	client  *http.Client
 }
 
 // newAdminClient returns a client whose calls end after a timeout.
 func newAdminClient(address string, timeout time.Duration) adminClient {
-	return adminClient{address: address, http: &http.Client{Timeout: timeout}}
+	return adminClient{address: address, client: &http.Client{Timeout: timeout}}
 }
 
 // text makes a call and returns the answer's body, or a statusError.
-func (c adminClient) text(method, path string, body []byte, header http.Header) ([]byte, error) {
-	response, err := c.do(method, path, body, header)
+func (c adminClient) text(ctx context.Context, call adminCall) ([]byte, error) {
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -61,8 +70,8 @@
 }
 
 // getJSON makes a GET call and decodes the answer into a value.
-func (c adminClient) getJSON(path string, value any) error {
-	response, err := c.do(http.MethodGet, path, nil, nil)
+func (c adminClient) getJSON(ctx context.Context, path string, value any) error {
+	response, err := c.do(ctx, adminCall{method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
@@ -75,13 +84,14 @@
 
 // do makes a call and returns the response if its status is 200, otherwise a statusError. The caller
 // closes the response's body.
-func (c adminClient) do(method, path string, body []byte, header http.Header) (*http.Response, error) {
-	request, err := http.NewRequest(method, "http://"+c.address+path, bytes.NewReader(body))
+func (c adminClient) do(ctx context.Context, call adminCall) (*http.Response, error) {
+	url := "http://" + c.address + call.path
+	request, err := http.NewRequestWithContext(ctx, call.method, url, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
-	maps.Copy(request.Header, header)
-	response, err := c.http.Do(request)
+	maps.Copy(request.Header, call.header)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -90,12 +100,7 @@
 	}
 	defer closeBody(response)
 	message, _ := readText(response) // the status is reported without it too
-	return nil, &statusError{
-		method:  method,
-		path:    path,
-		status:  response.Status,
-		message: string(bytes.TrimSpace(message)),
-	}
+	return nil, &statusError{call: call, status: response.Status, message: string(bytes.TrimSpace(message))}
 }
 
 // readText reads the body of a response, at most maxAnswerBytes.
--- a/cmd/discovery/endpoints.go
+++ b/cmd/discovery/endpoints.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			return callAndPrint(cmd, admin, http.MethodPut, serverPath(entry.ID), body)
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodPut, path: serverPath(entry.ID), body: body})
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -49,7 +49,7 @@
 		Short: "remove a server from the list",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return callAndPrint(cmd, admin, http.MethodDelete, serverPath(args[0]), nil)
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodDelete, path: serverPath(args[0])})
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -63,7 +63,7 @@
 		Use:   "status",
 		Short: "an instance's Raft state, leader and version",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return callAndPrint(cmd, admin, http.MethodGet, "/v1/status", nil)
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodGet, path: "/v1/status"})
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -74,8 +74,8 @@
 func serverPath(id string) string { return "/v1/servers/" + id }
 
 // callAndPrint makes a call to an admin address and prints the answer.
-func callAndPrint(cmd *cobra.Command, admin, method, path string, body []byte) error {
-	answer, err := newAdminClient(admin, callTimeout).text(method, path, body, nil)
+func callAndPrint(cmd *cobra.Command, admin string, call adminCall) error {
+	answer, err := newAdminClient(admin, callTimeout).text(cmd.Context(), call)
 	if err != nil {
 		return err
 	}
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -16,6 +16,8 @@
 )
 
 const (
+	// putArguments is the number of arguments of put: SERVICE and FILE.
+	putArguments = 2
 	// stdinName is the file name that stands for standard input.
 	stdinName = "-"
 	// maxInputBytes bounds what is read of a settings file. The service accepts 64 KiB.
@@ -43,22 +45,17 @@
 	cmd := &cobra.Command{
 		Use:   "put SERVICE FILE|-",
 		Short: "replace a service's settings from a file or standard input",
-		Args:  cobra.ExactArgs(2),
+		Args:  cobra.ExactArgs(putArguments),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := readInput(cmd, args[1])
 			if err != nil {
 				return err
 			}
-			header := http.Header{}
+			put := adminCall{method: http.MethodPut, path: settingsPath(args[0]), body: text, header: http.Header{}}
 			if cmd.Flags().Changed("if-version") {
-				header.Set("If-Match", fmt.Sprint(ifVersion))
+				put.header.Set("If-Match", fmt.Sprint(ifVersion))
 			}
-			answer, err := newAdminClient(admin, callTimeout).text(http.MethodPut, settingsPath(args[0]), text, header)
-			if err != nil {
-				return err
-			}
-			_, err = cmd.OutOrStdout().Write(answer)
-			return err
+			return callAndPrint(cmd, admin, put)
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -102,7 +99,7 @@
 				path += fmt.Sprint("?version=", version)
 			}
 			var settings server.SettingsVersion
-			if err := newAdminClient(admin, callTimeout).getJSON(path, &settings); err != nil {
+			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &settings); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", settings.Version, writeTime(settings))
@@ -128,7 +125,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var versions []server.SettingsVersion
 			path := settingsPath(args[0]) + "/history"
-			if err := newAdminClient(admin, callTimeout).getJSON(path, &versions); err != nil {
+			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &versions); err != nil {
 				return err
 			}
 			var table strings.Builder
--- a/cmd/discovery/settings_status.go
+++ b/cmd/discovery/settings_status.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"maps"
 	"slices"
@@ -31,7 +32,7 @@
 		Short: "which agents have which version in force; exit 1 while one lacks the newest",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			status, err := collectStatus(admin, args[0])
+			status, err := collectStatus(cmd.Context(), admin, args[0])
 			if err != nil {
 				return err
 			}
@@ -62,24 +63,26 @@
 	version     uint64                        // of the newest settings at any instance
 	agents      map[string]server.AgentReport // the last report of each agent, by name
 	reached     int                           // instances
-	unreachable map[string]error              // by the instance's id and address
+	unreachable []unreachableInstance
+}
+
+// unreachableInstance is an instance whose agent reports could not be read.
+type unreachableInstance struct {
+	id, address string
+	err         error
 }
 
 // collectStatus requests the agent reports of the instance at an admin address, and then those of
 // its peers at once, for at most peerTimeout.
-func collectStatus(admin, service string) (*settingsStatus, error) {
-	status := &settingsStatus{
-		service:     service,
-		agents:      map[string]server.AgentReport{},
-		unreachable: map[string]error{},
-	}
+func collectStatus(ctx context.Context, admin, service string) (*settingsStatus, error) {
+	status := &settingsStatus{service: service, agents: map[string]server.AgentReport{}}
 	path := settingsPath(service) + "/heard"
 	var first server.AgentReports
-	if err := newAdminClient(admin, callTimeout).getJSON(path, &first); err != nil {
+	if err := newAdminClient(admin, callTimeout).getJSON(ctx, path, &first); err != nil {
 		return nil, err
 	}
 	status.add(first)
-	status.collectPeers(first.Peers, path)
+	status.collectPeers(ctx, first.Peers, path)
 	if status.version == 0 {
 		return nil, fmt.Errorf("no settings of %q are kept", service)
 	}
@@ -87,7 +90,7 @@
 }
 
 // collectPeers requests the agent reports of the peers, given as addresses by id.
-func (s *settingsStatus) collectPeers(peers map[string]string, path string) {
+func (s *settingsStatus) collectPeers(ctx context.Context, peers map[string]string, path string) {
 	var mu sync.Mutex
 	var requests sync.WaitGroup
 	for id, address := range peers {
@@ -95,17 +98,19 @@
 		go func() {
 			defer requests.Done()
 			var reports server.AgentReports
-			err := newAdminClient(address, peerTimeout).getJSON(path, &reports)
+			err := newAdminClient(address, peerTimeout).getJSON(ctx, path, &reports)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				s.unreachable[id+" at "+address] = err
+				s.unreachable = append(s.unreachable, unreachableInstance{id: id, address: address, err: err})
 				return
 			}
 			s.add(reports)
 		}()
 	}
 	requests.Wait()
+	byID := func(a, b unreachableInstance) int { return strings.Compare(a.id, b.id) }
+	slices.SortFunc(s.unreachable, byID)
 }
 
 // add adds the reports of one instance. Of two reports of an agent the later one remains.
@@ -155,8 +160,8 @@
 	var table strings.Builder
 	fmt.Fprintf(&table, "settings of %s: newest version %d; %d agents heard by %d of %d instances\n",
 		s.service, s.version, len(s.agents), s.reached, s.reached+len(s.unreachable))
-	for _, instance := range slices.Sorted(maps.Keys(s.unreachable)) {
-		fmt.Fprintf(&table, "not reached: %s: %v\n", instance, s.unreachable[instance])
+	for _, instance := range s.unreachable {
+		fmt.Fprintf(&table, "not reached: %s at %s: %v\n", instance.id, instance.address, instance.err)
 	}
 	s.addVersions(&table)
 	addAgents(&table, fmt.Sprint("LACKS ", s.version), s.lacking())
