--- /dev/null
+++ b/cmd/discovery/input.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+)
+
+const (
+	// stdinName is the file name that stands for standard input.
+	stdinName = "-"
+	// maxInputBytes bounds what is read of a settings file. The service accepts 64 KiB.
+	maxInputBytes = 1 << 20
+)
+
+// readInput reads a file, or standard input for stdinName.
+func readInput(cmd *cobra.Command, name string) ([]byte, error) {
+	if name == stdinName {
+		return readLimited(cmd.InOrStdin(), name)
+	}
+	file, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	return readLimited(file, name)
+}
+
+// readLimited reads at most maxInputBytes.
+func readLimited(input io.Reader, name string) ([]byte, error) {
+	text, err := io.ReadAll(io.LimitReader(input, maxInputBytes))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	return text, nil
+}
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -5,9 +5,7 @@
 	"io"
 	"net/http"
 	"net/url"
-	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -18,12 +16,6 @@
 const (
 	// putArguments is the number of arguments of put: SERVICE and FILE.
 	putArguments = 2
-	// stdinName is the file name that stands for standard input.
-	stdinName = "-"
-	// maxInputBytes bounds what is read of a settings file. The service accepts 64 KiB.
-	maxInputBytes = 1 << 20
-	// columnPadding is the number of spaces between the columns of a table.
-	columnPadding = 2
 	// writeTimeFormat shows the time of a write, in UTC.
 	writeTimeFormat = "2006-01-02T15:04:05.000Z"
 )
@@ -63,28 +55,6 @@
 	return cmd
 }
 
-// readInput reads a file, or standard input for stdinName.
-func readInput(cmd *cobra.Command, name string) ([]byte, error) {
-	if name == stdinName {
-		return readLimited(cmd.InOrStdin(), name)
-	}
-	file, err := os.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = file.Close() }() // it was only read
-	return readLimited(file, name)
-}
-
-// readLimited reads at most maxInputBytes.
-func readLimited(input io.Reader, name string) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(input, maxInputBytes))
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	return text, nil
-}
-
 // settingsGetCommand returns the command that prints a version of a service's settings.
 func settingsGetCommand() *cobra.Command {
 	var admin string
@@ -144,12 +114,3 @@
 func writeTime(settings server.SettingsVersion) string {
 	return time.UnixMilli(settings.WrittenAtMs).UTC().Format(writeTimeFormat)
 }
-
-// writeTable writes lines whose cells end with tabs, with aligned columns.
-func writeTable(out io.Writer, lines string) error {
-	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
-	if _, err := io.WriteString(table, lines); err != nil {
-		return err
-	}
-	return table.Flush()
-}
