--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -12,15 +12,12 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
 // repairInterval is the time between two attempts to repair a store that fails.
 const repairInterval = 50 * time.Millisecond
 
-// keyNotFound is the text of a stable store's error for a key that it does not have. hashicorp/raft
-// compares the text too, as its interface has no typed error.
-const keyNotFound = "not found"
-
 // Keys of the stable store.
 var (
 	// keyCurrentTerm is hashicorp/raft's key of the current term.
@@ -32,7 +29,8 @@
 // errStoreTimeout is the cause of an outage in which a write neither succeeds nor fails.
 var errStoreTimeout = errors.New("no answer from the disk")
 
-// Store is what an instance stores on disk for Raft: the log, the term and the vote.
+// Store is what an instance stores on disk for Raft: the log, the term and the vote. The error for a
+// key that it does not have is raftboltdb.ErrKeyNotFound.
 type Store interface {
 	raft.LogStore
 	raft.StableStore
@@ -121,7 +119,7 @@
 ) (*retryingStore, error) {
 	s := &retryingStore{Store: store, log: log, outageLimit: outageLimit, closed: closed}
 	term, err := store.GetUint64(keyCurrentTerm)
-	if err != nil && err.Error() != keyNotFound {
+	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return nil, fmt.Errorf("read the term: %w", err)
 	}
 	s.savedTerm.Store(term)
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -203,7 +203,7 @@
 // checkTerm returns an error if the saved term is invalid, or older than the term of the last entry.
 func checkTerm(store Store, lastTerm uint64) error {
 	saved, err := store.Get(keyCurrentTerm)
-	if err != nil && err.Error() != keyNotFound {
+	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
 		return err
 	}
 	if len(saved) != 0 && len(saved) != termBytes {
