--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -94,7 +94,7 @@
 
 // applySettings applies a committed write of settings and returns its version, or the newest
 // version if the text is the same, or a versionConflict. The caller holds mu.
-func (m *stateMachine) applySettings(c command, index uint64) any {
+func (m *stateMachine) applySettings(c command, index uint64) (uint64, error) {
 	versions := m.settings[c.Service]
 	var newest SettingsVersion
 	if len(versions) > 0 {
@@ -102,9 +102,9 @@
 	}
 	switch {
 	case len(versions) > 0 && newest.Text == c.Text:
-		return newest.Version // possibly a retry of a write whose answer was lost
+		return newest.Version, nil // possibly a retry of a write whose answer was lost
 	case c.IfVersion != nil && *c.IfVersion != newest.Version:
-		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		return 0, versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
 	versions = append(versions, written)
@@ -113,7 +113,7 @@
 	changed := m.settingsChannel(c.Service)
 	close(*changed)
 	*changed = make(chan struct{})
-	return index
+	return index, nil
 }
 
 // settingsChannel is the channel that is closed at the next write of the service's settings. There
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -48,30 +48,31 @@
 }
 
 // applyCommand applies a command as the log entry at an index.
-func applyCommand(t interface{ Fatal(...any) }, state *stateMachine, index uint64, c command) any {
+func applyCommand(t interface{ Fatal(...any) }, state *stateMachine, index uint64, c command) applyResult {
 	data, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return state.Apply(&raft.Log{Index: index, Data: data})
+	return state.Apply(&raft.Log{Index: index, Data: data}).(applyResult)
 }
 
 // settingsModel is a simple model of the settings' versions by service.
 type settingsModel map[string][]SettingsVersion
 
 // apply applies a write of settings and returns its expected result.
-func (m settingsModel) apply(c command, index uint64) any {
+func (m settingsModel) apply(c command, index uint64) applyResult {
 	newest := m.newest(c.Service)
 	switch {
 	case newest.Text == c.Text:
-		return newest.Version
+		return applyResult{version: newest.Version}
 	case c.IfVersion != nil && *c.IfVersion != newest.Version:
-		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		conflict := versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		return applyResult{err: conflict}
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
 	m[c.Service] = append(m[c.Service], written)
 	m[c.Service] = m[c.Service][max(0, len(m[c.Service])-20):]
-	return index
+	return applyResult{version: index}
 }
 
 // newest returns the newest version of a service's settings.
@@ -99,7 +100,11 @@
 			}
 			if rapid.IntRange(0, 4).Draw(t, "server") == 0 {
 				entry := endpoint.Endpoint{ID: "s", Weight: float64(index)}
-				listVersion = applyCommand(t, state, index, command{Op: operationPut, Server: entry}).(uint64)
+				result := applyCommand(t, state, index, command{Op: operationPut, Server: entry})
+				if result.err != nil {
+					t.Fatal(result.err)
+				}
+				listVersion = result.version
 				continue
 			}
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
@@ -149,7 +154,7 @@
 	}
 	got := applyCommand(t, state, 8, command{Op: operationSettings, Service: "a", Text: SettingsText(1)})
 	version, servers := state.currentVersion(), len(state.allEndpoints())
-	if got != uint64(8) || version != 7 || servers != 1 {
+	if got != (applyResult{version: 8}) || version != 7 || servers != 1 {
 		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, version, servers)
 	}
 }
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -88,19 +88,27 @@
 	return m
 }
 
-// Apply applies one committed write and returns its version as a uint64 (raft.FSM); for one of
-// settings see applySettings. A command that can't be decoded changes nothing and returns an error.
+// applyResult is the result of a committed command: the version of the write, or why it changed
+// nothing.
+type applyResult struct {
+	version uint64
+	err     error
+}
+
+// Apply applies one committed write and returns its applyResult (raft.FSM). A command that can't be
+// decoded changes nothing.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		return fmt.Errorf("discovery: log entry %d is not a command: %w", entry.Index, err)
+		return applyResult{err: fmt.Errorf("discovery: log entry %d is not a command: %w", entry.Index, err)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c.Op == operationSettings {
-		return m.applySettings(c, entry.Index)
+		version, err := m.applySettings(c, entry.Index)
+		return applyResult{version: version, err: err}
 	}
-	return m.applyServer(c, entry.Index)
+	return applyResult{version: m.applyServer(c, entry.Index)}
 }
 
 // applyServer applies a write of a server's entry and returns its version: its own index; for a put
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -69,12 +69,12 @@
 		http.Error(w, "not committed: "+err.Error(), commitErrorStatus(err))
 		return
 	}
-	switch result := applied.Response().(type) {
-	case uint64:
-		writeJSON(w, writeResult{Version: result})
-	case error:
-		http.Error(w, result.Error(), applyErrorStatus(result))
+	result, _ := applied.Response().(applyResult) // what stateMachine.Apply returns
+	if result.err != nil {
+		http.Error(w, result.err.Error(), applyErrorStatus(result.err))
+		return
 	}
+	writeJSON(w, writeResult{Version: result.version})
 }
 
 // commitErrorStatus is the HTTP status for a write that Raft did not commit: 503 where it may
