--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -19,13 +19,14 @@
 // the leader has committed; from then on the list no longer counts as stale because of the outage.
 // A heartbeat of the leader does not suffice, as it arrives before the entries that were missed.
 func (n *Node) catchUp(outages int) {
-	for !n.isClosed() {
-		if n.appliedAllCommitted() {
-			n.store.health.caughtUp(outages)
+	for !n.appliedAllCommitted() {
+		select {
+		case <-time.After(catchUpInterval):
+		case <-n.closed:
 			return
 		}
-		time.Sleep(catchUpInterval)
 	}
+	n.store.health.caughtUp(outages)
 }
 
 // appliedAllCommitted requests the leader's progress, and reports whether this instance has applied
@@ -37,30 +38,38 @@
 	if err != nil {
 		return false
 	}
-	deadline := time.Now().Add(catchUpTimeout)
-	for time.Now().Before(deadline) && !n.isClosed() {
-		if n.raft.AppliedIndex() >= committed.applied && n.state.currentVersion() >= committed.version {
-			return true
-		}
-		time.Sleep(catchUpInterval)
+	hasApplied := func() bool {
+		return n.raft.AppliedIndex() >= committed.applied && n.state.currentVersion() >= committed.version
 	}
-	return false
+	return n.poll(context.Background(), catchUpTimeout, catchUpInterval, hasApplied)
 }
 
 // awaitCaughtUp gives an instance whose store works up to readIndexTimeout to catch up, as after a
-// start, and reports whether it has.
-func (n *Node) awaitCaughtUp() bool {
-	deadline := time.Now().Add(readIndexTimeout)
-	for n.store.available() == nil && !n.isClosed() {
-		if n.store.behindSince().IsZero() {
-			return true
-		}
-		if time.Now().After(deadline) {
+// start, and reports whether it has. It ends early with ctx.
+func (n *Node) awaitCaughtUp(ctx context.Context) bool {
+	caughtUp := func() bool { return n.store.behindSince().IsZero() }
+	caughtUpOrOutage := func() bool { return caughtUp() || n.store.available() != nil }
+	return n.poll(ctx, readIndexTimeout, readWaitInterval, caughtUpOrOutage) && caughtUp()
+}
+
+// poll checks a condition at once and then at an interval, and reports whether it was met before the
+// timeout, the end of ctx and the close of the instance. It serves where what is waited for has no
+// event: hashicorp/raft signals no applied index, and a hanging write counts as an outage by its age.
+func (n *Node) poll(ctx context.Context, timeout, interval time.Duration, met func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for !met() {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return false
+		case <-n.closed:
 			return false
 		}
-		time.Sleep(readWaitInterval)
 	}
-	return false
+	return true
 }
 
 // isClosed reports whether Close was called.
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"net/http"
 	"time"
 
@@ -8,10 +9,10 @@
 )
 
 // rejectStale answers 503 where this instance may not serve reads, and reports whether it did. If
-// it did not, it also returns for how long this instance may serve them.
-func (n *Node) rejectStale(w http.ResponseWriter) (time.Duration, bool) {
+// it did not, it also returns for how long this instance may serve them. ctx is that of the request.
+func (n *Node) rejectStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
 	remaining, err := n.freshness()
-	if err != nil && n.awaitCaughtUp() {
+	if err != nil && n.awaitCaughtUp(ctx) {
 		remaining, err = n.freshness()
 	}
 	if err != nil {
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -118,7 +118,7 @@
 // storedSettings returns the stored versions of the settings of the path's service, the oldest
 // first. If there are none, or this instance may not serve reads, it answers and returns false.
 func (n *Node) storedSettings(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
-	if _, stale := n.rejectStale(w); stale {
+	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return nil, false
 	}
 	service := r.PathValue("service")
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -73,7 +73,7 @@
 	if err == nil && request.service != "" && request.agent != "" {
 		n.reports.record(request.service, request.agent, request.report, time.Now())
 	}
-	if _, stale := n.rejectStale(w); stale {
+	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return
 	}
 	if err != nil {
@@ -95,7 +95,7 @@
 	defer timeout.Stop()
 	answerNow := request.wait == 0
 	for {
-		remaining, stale := n.rejectStale(w)
+		remaining, stale := n.rejectStale(ctx, w)
 		if stale {
 			return
 		}
