--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -59,6 +58,15 @@
 	WrapStore func(Store) Store `toml:"-"`
 }
 
+// KeyError says that a key of the configuration is missing or invalid.
+type KeyError struct {
+	Key     string // such as "peers[0].raft"
+	Problem string
+}
+
+// Error names the key and what is wrong with it.
+func (e *KeyError) Error() string { return fmt.Sprintf("key %s: %s", e.Key, e.Problem) }
+
 // Load reads a Config from a TOML file, sets its defaults and validates it. The error names the key
 // that is unknown, missing or invalid.
 func Load(path string) (Config, error) {
@@ -96,19 +104,19 @@
 	}
 }
 
-// Validate returns an error that names the first key that is missing or invalid.
+// Validate returns a KeyError for the first key that is missing or invalid.
 func (c *Config) Validate() error {
 	switch {
 	case c.ID == "":
-		return errors.New("key id: missing")
+		return &KeyError{Key: "id", Problem: "missing"}
 	case c.DataDir == "":
-		return errors.New("key data_dir: missing")
+		return &KeyError{Key: "data_dir", Problem: "missing"}
 	case c.MaxStale < 0:
-		return errors.New("key max_stale: below zero")
+		return &KeyError{Key: "max_stale", Problem: "below zero"}
 	case c.ElectionTimeout < minElectionTimeout:
-		return errors.New("key election_timeout: under 10 ms")
+		return &KeyError{Key: "election_timeout", Problem: "under 10 ms"}
 	case c.KeepChanges < 1:
-		return errors.New("key keep_changes: below one")
+		return &KeyError{Key: "keep_changes", Problem: "below one"}
 	}
 	if err := validateAddress("raft_addr", c.RaftAddr); err != nil {
 		return err
@@ -127,7 +135,7 @@
 	ids := map[string]bool{c.ID: true}
 	for i, peer := range c.Peers {
 		if peer.ID == "" || ids[peer.ID] {
-			return fmt.Errorf("key peers[%d].id: missing or named twice", i)
+			return &KeyError{Key: fmt.Sprintf("peers[%d].id", i), Problem: "missing or named twice"}
 		}
 		ids[peer.ID] = true
 		if err := validateAddress(fmt.Sprintf("peers[%d].raft", i), peer.Raft); err != nil {
@@ -146,7 +154,7 @@
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("key %s: %q is not host:port or fd:N", key, address)
+		return &KeyError{Key: key, Problem: fmt.Sprintf("%q is not host:port or fd:N", address)}
 	}
 	return nil
 }
