--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -119,7 +119,7 @@
 // leader returns the name of a running instance that leads, or "".
 func leader(cluster *processtest.Cluster) string {
 	for _, name := range cluster.Names() {
-		if cluster.Running(name) && statusAt(cluster.Addr(name, adminPort)).State == "Leader" {
+		if cluster.Running(name) && statusAt(cluster.Addr(name, adminPort)).State == server.StateLeader {
 			return name
 		}
 	}
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -203,7 +203,7 @@
 	t.Helper()
 	config := singleNodeConfig(t, dir)
 	startNode(t, config)
-	isLeader := func() bool { return statusAt(config.AdminAddr).State == "Leader" }
+	isLeader := func() bool { return statusAt(config.AdminAddr).State == server.StateLeader }
 	if err := processtest.Await(startTimeout, "a leader", isLeader); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/server/status.go
+++ b/internal/discovery/server/status.go
@@ -4,14 +4,25 @@
 	"net/http"
 )
 
+// MemberState is the state of an instance's Raft member, as raft.RaftState names it.
+type MemberState string
+
+// The values of MemberState.
+const (
+	StateLeader    MemberState = "Leader"
+	StateFollower  MemberState = "Follower"
+	StateCandidate MemberState = "Candidate"
+	StateShutdown  MemberState = "Shutdown"
+)
+
 // Status is the body of GET /v1/status: the state of one instance.
 type Status struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`   // of Raft: Leader, Follower, Candidate or Shutdown
-	Leader  string `json:"leader"`  // the leader's id; empty while none is known
-	Version uint64 `json:"version"` // of the last change of the list applied here
-	Applied uint64 `json:"applied"` // Raft index applied here
-	Usage   Usage  `json:"usage"`
+	ID      string      `json:"id"`
+	State   MemberState `json:"state"`
+	Leader  string      `json:"leader"`  // the leader's id; empty while none is known
+	Version uint64      `json:"version"` // of the last change of the list applied here
+	Applied uint64      `json:"applied"` // Raft index applied here
+	Usage   Usage       `json:"usage"`
 }
 
 // serveStatus answers this instance's Status. With ?consistent=true it answers the leader's Status
@@ -27,7 +38,7 @@
 	_, leader := n.raft.LeaderWithID()
 	writeJSON(w, Status{
 		ID:      n.cfg.ID,
-		State:   n.raft.State().String(),
+		State:   MemberState(n.raft.State().String()),
 		Leader:  string(leader),
 		Version: n.state.currentVersion(),
 		Applied: n.raft.AppliedIndex(),
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -15,8 +15,8 @@
 // as a new read would, once the instance is alone: a follower that lost its leader, and a leader that
 // lost its followers.
 func TestOpenWatchEndsWithItsLeader(t *testing.T) {
-	for _, state := range []string{"Follower", "Leader"} {
-		t.Run(state, func(t *testing.T) {
+	for _, state := range []server.MemberState{server.StateFollower, server.StateLeader} {
+		t.Run(string(state), func(t *testing.T) {
 			t.Parallel()
 			configs, nodes := startThreeNodes(t, 300*time.Millisecond)
 			remaining, version := awaitState(t, configs, state)
@@ -39,7 +39,7 @@
 
 // awaitState writes an entry, and waits for an instance in a Raft state that has applied it. It returns
 // the number of the instance and the version of the write.
-func awaitState(t *testing.T, configs []server.Config, state string) (instance int, version uint64) {
+func awaitState(t *testing.T, configs []server.Config, state server.MemberState) (instance int, version uint64) {
 	t.Helper()
 	instance = -1
 	found := func() bool {
@@ -52,7 +52,7 @@
 		}
 		return instance >= 0
 	}
-	if err := processtest.Await(startTimeout, "an instance in state "+state, found); err != nil {
+	if err := processtest.Await(startTimeout, "an instance in state "+string(state), found); err != nil {
 		t.Fatal(err)
 	}
 	return instance, version
