--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -23,8 +23,9 @@
 const (
 	// minDelay is the backoff after a first failure, and after each failure of a single connection.
 	minDelay = time.Millisecond
-	// maxDelay bounds the backoff, which doubles while a resource is exhausted.
-	maxDelay = 32 * time.Millisecond
+	// maxDelay bounds the backoff, which grows by backoffFactor while a resource is exhausted.
+	maxDelay      = 32 * time.Millisecond
+	backoffFactor = 2
 	// logInterval is the minimum time between two lines of LogFailures.
 	logInterval = time.Second
 )
@@ -99,13 +100,13 @@
 	}
 }
 
-// nextDelay doubles the backoff while a resource of this machine is exhausted. Any other error took
+// nextDelay increases the backoff while a resource of this machine is exhausted. Any other error took
 // one connection out of the queue, and the next connection may be good.
 func nextDelay(err error, previous time.Duration) time.Duration {
 	if !isOneOf(err, exhaustionErrors) {
 		return minDelay
 	}
-	return min(max(2*previous, minDelay), maxDelay)
+	return min(max(backoffFactor*previous, minDelay), maxDelay)
 }
 
 // exhaustionErrors are the errors of accept(2) by which the process or the system has no descriptor,
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -55,6 +55,8 @@
 	syscall.ETIMEDOUT,
 }
 
+// TestAcceptContinuesAfterTemporaryErrors: each temporary error is counted and reported, and the connection
+// after them is accepted.
 func TestAcceptContinuesAfterTemporaryErrors(t *testing.T) {
 	var reported []error
 	l := New(newFailingListener(temporaryErrors...), func(err error, _ uint64) { reported = append(reported, err) })
@@ -62,12 +64,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.Close()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
 	if got := l.Failures(); got != uint64(len(temporaryErrors)) || len(reported) != len(temporaryErrors) {
 		t.Errorf("%d failures counted, %d reported, want %d", got, len(reported), len(temporaryErrors))
 	}
 }
 
+// TestPermanentErrorsAreReturned: an error of the listener itself ends Accept.
 func TestPermanentErrorsAreReturned(t *testing.T) {
 	for _, want := range []error{net.ErrClosed, io.EOF, acceptError(syscall.EBADF), acceptError(syscall.EINVAL)} {
 		l := failingListener{errs: make(chan error, 1)}
@@ -78,7 +83,7 @@
 	}
 }
 
-// The backoff grows up to maxDelay while a resource is exhausted; errors of single connections do not
+// TestBackoff: the backoff grows up to maxDelay while a resource is exhausted; errors of single connections do not
 // add up.
 func TestBackoff(t *testing.T) {
 	var delay time.Duration
@@ -93,15 +98,18 @@
 	}
 }
 
+// TestCloseEndsBackoff: a closed listener does not wait.
 func TestCloseEndsBackoff(t *testing.T) {
 	l := New(failingListener{}, nil)
-	l.Close()
+	if err := l.Close(); err != nil {
+		t.Error(err)
+	}
 	if l.wait(time.Hour) {
 		t.Error("a closed listener waited")
 	}
 }
 
-// A listener that fails at each call logs one line a second, not one for each failure.
+// TestLogFailuresIsRateLimited: a listener that fails at each call logs one line a second, not one for each failure.
 func TestLogFailuresIsRateLimited(t *testing.T) {
 	var out bytes.Buffer
 	report := LogFailures(slog.New(slog.NewTextHandler(&out, nil)), "clients")
