--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -9,6 +9,7 @@
 package faultproxy
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -29,6 +30,8 @@
 	// firstNetwork and endNetwork bound the second byte of the addresses.
 	firstNetwork = 10
 	endNetwork   = 250
+	// networksPerProxy is the number of networks that a proxy takes: one for the processes, one for their relays.
+	networksPerProxy = 2
 	// receiveBufferBytes is the size of a relay's receive buffer.
 	receiveBufferBytes = 4 << 20
 )
@@ -97,9 +100,10 @@
 // ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n
 // and 127.n+1. It is the caller's until the reservation is closed.
 func ReserveNetwork() (reservation net.Listener, n byte, err error) {
-	for n := byte(firstNetwork); n < endNetwork; n += 2 {
-		reservation, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", n, reservationPort))
-		if err == nil {
+	var config net.ListenConfig
+	for n := byte(firstNetwork); n < endNetwork; n += networksPerProxy {
+		address := fmt.Sprintf("127.%d.255.254:%d", n, reservationPort)
+		if reservation, err := config.Listen(context.Background(), "tcp", address); err == nil {
 			return reservation, n, nil
 		}
 	}
@@ -120,8 +124,9 @@
 	}
 	p.relays[name] = r
 	p.byProcessIP[r.processAddr.Addr()] = r
-	p.wg.Add(2)
+	p.wg.Add(1)
 	go p.relayPackets(r)
+	p.wg.Add(1)
 	go p.relayStreams(r)
 	return r.processAddr.String(), r.relayAddr.String(), nil
 }
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -1,6 +1,7 @@
 package faultproxy
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -43,7 +44,8 @@
 		p.stallUntilHealed(in, from, to.name)
 		return
 	}
-	conn, err := net.DialTimeout("tcp", to.processAddr.String(), dialTimeout)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", to.processAddr.String())
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		resetOnClose(in)
 		return
@@ -62,11 +64,12 @@
 	ended := make(chan struct{})
 	end := sync.OnceFunc(func() { close(ended) })
 	var pipes sync.WaitGroup
-	pipes.Add(2)
+	pipes.Add(1)
 	go func() {
 		defer pipes.Done()
 		p.pipe(out, in, from, to, end)
 	}()
+	pipes.Add(1)
 	go func() {
 		defer pipes.Done()
 		p.pipe(in, out, to, from, end)
