--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"net/netip"
 	"slices"
@@ -11,55 +12,81 @@
 	"time"
 )
 
-const testTimeout = 20 * time.Second
+const (
+	// testTimeout bounds each wait of these tests.
+	testTimeout = 20 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = time.Millisecond
+	// silentTime is how long a connection has to be silent to count as cut.
+	silentTime = 50 * time.Millisecond
+	// packetsEachWay is the number of packets that TestPacketsFollowRuleAndSeed sends each way.
+	packetsEachWay = 200
+)
 
 // testProcess is a process that listens where a proxy tells it to.
 type testProcess struct {
+	t               *testing.T
 	bind, advertise string
 	udp             *net.UDPConn
 	tcp             net.Listener
 }
 
+// startProcess adds a process to a proxy. It ends with the test.
 func startProcess(t *testing.T, p *Proxy, name string) *testProcess {
 	t.Helper()
 	bind, advertise, err := p.Add(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	process := &testProcess{bind: bind, advertise: advertise}
+	process := &testProcess{t: t, bind: bind, advertise: advertise}
 	if process.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind))); err != nil {
 		t.Fatal(err)
 	}
-	if process.tcp, err = net.Listen("tcp4", bind); err != nil {
+	var config net.ListenConfig
+	if process.tcp, err = config.Listen(t.Context(), "tcp4", bind); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(process.close)
 	return process
 }
 
+// close closes the process's sockets, which may be closed already.
 func (process *testProcess) close() {
-	process.udp.Close()
-	process.tcp.Close()
+	process.t.Helper()
+	for _, err := range []error{process.udp.Close(), process.tcp.Close()} {
+		if err != nil && !errors.Is(err, net.ErrClosed) {
+			process.t.Error(err)
+		}
+	}
 }
 
+// send sends a packet to another process.
 func (process *testProcess) send(to *testProcess, text string) {
-	process.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to.advertise))
+	process.t.Helper()
+	if _, err := process.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to.advertise)); err != nil {
+		process.t.Error(err)
+	}
 }
 
+// dial connects to another process.
 func (process *testProcess) dial(to *testProcess) (net.Conn, error) {
-	host, _, _ := net.SplitHostPort(process.bind)
-	return (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}, Timeout: testTimeout}).Dial("tcp4", to.advertise)
+	process.t.Helper()
+	local := netip.AddrPortFrom(netip.MustParseAddrPort(process.bind).Addr(), 0)
+	dialer := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(local), Timeout: testTimeout}
+	return dialer.DialContext(process.t.Context(), "tcp4", to.advertise)
 }
 
 // receiveUntilEnd reads packets up to one with the text "end", which has to come.
-func (process *testProcess) receiveUntilEnd(t *testing.T) (got []string) {
-	t.Helper()
+func (process *testProcess) receiveUntilEnd() (got []string) {
+	process.t.Helper()
+	if err := process.udp.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		process.t.Fatal(err)
+	}
 	buf := make([]byte, 100)
-	process.udp.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
 		n, err := process.udp.Read(buf)
 		if err != nil {
-			t.Fatal(err)
+			process.t.Fatal(err)
 		}
 		if string(buf[:n]) == "end" {
 			return got
@@ -68,35 +95,84 @@
 	}
 }
 
-// The same seed loses, duplicates and replays the same packets; a one-way cut is one way.
-func TestPacketsFollowRuleAndSeed(t *testing.T) {
-	run := func(seed uint64) []string {
-		p, err := New(seed)
+// serveEcho accepts connections until the process is closed, and sends back what each receives.
+func (process *testProcess) serveEcho() {
+	for {
+		conn, err := process.tcp.Accept()
 		if err != nil {
-			t.Fatal(err)
+			return
 		}
-		defer p.Close()
-		x, y := startProcess(t, p, "x"), startProcess(t, p, "y")
-		defer x.close()
-		defer y.close()
-		p.Set("x", "y", Rule{Loss: 0.3, Duplicate: 0.1, Replay: 0.1})
-		p.Set("y", "x", Rule{Cut: true})
-		for i := range 200 {
-			x.send(y, fmt.Sprint(i))
-			y.send(x, "cut off")
-		}
-		for p.Counts().Packets < 400 {
-			time.Sleep(time.Millisecond)
-		}
-		p.Clear()
-		x.send(y, "end")
-		y.send(x, "end")
-		if got := x.receiveUntilEnd(t); len(got) > 0 {
-			t.Errorf("%d packets passed a cut", len(got))
+		go func() {
+			defer func() { _ = conn.Close() }() // the other side sees the end
+			_, _ = io.Copy(conn, conn)          // until the other side or a cut ends the connection
+		}()
+	}
+}
+
+// echo sends a byte on a connection and reads the one that is sent back.
+func echo(conn net.Conn) error {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		return err
+	}
+	if _, err := conn.Write([]byte("x")); err != nil {
+		return err
+	}
+	_, err := conn.Read(make([]byte, 1))
+	return err
+}
+
+// readWithin reads a byte from a connection, and returns the error of the read.
+func readWithin(t *testing.T, conn net.Conn, timeout time.Duration) error {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Error(err)
+	}
+	_, err := conn.Read(make([]byte, 1))
+	return err
+}
+
+// receiveWithSeed sends packets both ways under rules, one of them a cut, and returns those that arrived. No
+// packet may pass the cut.
+func receiveWithSeed(t *testing.T, seed uint64) []string {
+	t.Helper()
+	p, err := New(seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer p.Close()
+	x, y := startProcess(t, p, "x"), startProcess(t, p, "y")
+	defer x.close()
+	defer y.close()
+	p.Set("x", "y", Rule{Loss: 0.3, Duplicate: 0.1, Replay: 0.1})
+	p.Set("y", "x", Rule{Cut: true})
+	for i := range packetsEachWay {
+		x.send(y, fmt.Sprint(i))
+		y.send(x, "cut off")
+	}
+	awaitPackets(t, p, 2*packetsEachWay)
+	p.Clear()
+	x.send(y, "end")
+	y.send(x, "end")
+	if got := x.receiveUntilEnd(); len(got) > 0 {
+		t.Errorf("%d packets passed a cut", len(got))
+	}
+	return y.receiveUntilEnd()
+}
+
+// awaitPackets waits until a proxy has received a number of packets.
+func awaitPackets(t *testing.T, p *Proxy, packets uint64) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); p.Counts().Packets < packets; time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%d of %d packets received within %v", p.Counts().Packets, packets, testTimeout)
 		}
-		return y.receiveUntilEnd(t)
 	}
-	first, second, other := run(7), run(7), run(8)
+}
+
+// TestPacketsFollowRuleAndSeed: the same seed loses, duplicates and replays the same packets; a one-way cut is one
+// way.
+func TestPacketsFollowRuleAndSeed(t *testing.T) {
+	first, second, other := receiveWithSeed(t, 7), receiveWithSeed(t, 7), receiveWithSeed(t, 8)
 	if !slices.Equal(first, second) {
 		t.Error("the same seed gave other packets")
 	}
@@ -104,13 +180,14 @@
 		t.Error("another seed gave the same packets")
 	}
 	once := slices.Compact(slices.Clone(first))
-	if lost, twice := 200-len(once), len(first)-len(once); lost < 30 || lost > 90 || twice < 10 || twice > 60 {
-		t.Errorf("%d of 200 lost and %d duplicated or replayed, with fractions of 0.3 and 0.2", lost, twice)
+	lost, twice := packetsEachWay-len(once), len(first)-len(once)
+	if lost < 30 || lost > 90 || twice < 10 || twice > 60 {
+		t.Errorf("%d of %d lost and %d duplicated or replayed, with fractions of 0.3 and 0.2", lost, packetsEachWay, twice)
 	}
 }
 
-// A cut interrupts connections silently and resets them when it heals; a process that does not run refuses
-// connections; after the cut connections work.
+// TestStreamsDuringAndAfterCut: a cut interrupts connections silently and resets them when it heals; a process that
+// does not run refuses connections; after the cut connections work.
 func TestStreamsDuringAndAfterCut(t *testing.T) {
 	p, err := New(1)
 	if err != nil {
@@ -118,33 +195,7 @@
 	}
 	defer p.Close()
 	x, y := startProcess(t, p, "x"), startProcess(t, p, "y")
-	go func() {
-		for {
-			c, err := y.tcp.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				buf := make([]byte, 10)
-				for {
-					n, err := c.Read(buf)
-					if err != nil {
-						return
-					}
-					c.Write(buf[:n])
-				}
-			}()
-		}
-	}()
-	echo := func(c net.Conn) error {
-		c.SetDeadline(time.Now().Add(testTimeout))
-		if _, err := c.Write([]byte("x")); err != nil {
-			return err
-		}
-		_, err := c.Read(make([]byte, 1))
-		return err
-	}
+	go y.serveEcho()
 	before, err := x.dial(y)
 	if err != nil || echo(before) != nil {
 		t.Fatalf("a connection without rules fails: %v", err)
@@ -154,26 +205,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]net.Conn{"open before": before, "opened during": during} {
-		c.Write([]byte("x"))
-		c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		var timeout net.Error
-		if _, err := c.Read(make([]byte, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
-			t.Errorf("a connection %s the cut is not silent: %v", name, err)
-		}
-	}
-	p.Heal("p")
-	for name, c := range map[string]net.Conn{"open before": before, "opened during": during} {
-		c.SetReadDeadline(time.Now().Add(testTimeout))
-		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("a connection %s the cut ends with %v after it", name, err)
-		}
-	}
+	checkCutConnections(t, p, map[string]net.Conn{"open before": before, "opened during": during})
 	after, err := x.dial(y)
 	if err != nil || echo(after) != nil {
 		t.Fatalf("a connection after the cut fails: %v", err)
 	}
-	y.tcp.Close()
+	if err := y.tcp.Close(); err != nil {
+		t.Error(err)
+	}
 	gone, err := x.dial(y)
 	if err == nil {
 		err = echo(gone)
@@ -182,3 +221,24 @@
 		t.Errorf("a connection to a process that does not run gives %v", err)
 	}
 }
+
+// checkCutConnections checks that connections are silent during the partition "p", and reset once it is healed. They
+// are given by their relation to the cut.
+func checkCutConnections(t *testing.T, p *Proxy, conns map[string]net.Conn) {
+	t.Helper()
+	for name, conn := range conns {
+		if _, err := conn.Write([]byte("x")); err != nil {
+			t.Errorf("a connection %s the cut can't be written: %v", name, err)
+		}
+		var timeout net.Error
+		if err := readWithin(t, conn, silentTime); !errors.As(err, &timeout) || !timeout.Timeout() {
+			t.Errorf("a connection %s the cut is not silent: %v", name, err)
+		}
+	}
+	p.Heal("p")
+	for name, conn := range conns {
+		if err := readWithin(t, conn, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("a connection %s the cut ends with %v after it", name, err)
+		}
+	}
+}
