--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -57,7 +57,7 @@
 	rules       map[pair]Rule
 	partitions  map[string]Partition // by name
 	random      map[pair]*rand.Rand
-	healed      chan struct{} // closed and replaced at each change of the rules
+	changed     chan struct{} // closed and replaced at each change of the rules
 	closed      chan struct{}
 	wg          sync.WaitGroup
 
@@ -92,7 +92,7 @@
 		rules:       map[pair]Rule{},
 		partitions:  map[string]Partition{},
 		random:      map[pair]*rand.Rand{},
-		healed:      make(chan struct{}),
+		changed:     make(chan struct{}),
 		closed:      make(chan struct{}),
 	}, nil
 }
--- a/internal/faultproxy/rules.go
+++ b/internal/faultproxy/rules.go
@@ -65,8 +65,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	apply()
-	close(p.healed)
-	p.healed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // rule is the rule of an ordered pair now. An unknown sender ("") has the rule of all.
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -170,12 +170,12 @@
 func (p *Proxy) stallUntilHealed(conn *net.TCPConn, from, to string) {
 	gone := discardInput(conn)
 	for {
-		healed := p.nextChange() // taken before the check, so that no change is missed
+		changed := p.nextChange() // taken before the check, so that no change is missed
 		if p.passesBothWays(from, to) {
 			break
 		}
 		select {
-		case <-healed:
+		case <-changed:
 		case <-gone:
 			return
 		case <-p.closed:
@@ -193,7 +193,7 @@
 func (p *Proxy) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.healed
+	return p.changed
 }
 
 // resetOnClose makes the close of a connection a reset.
