--- a/internal/faultproxy/partition.go
+++ b/internal/faultproxy/partition.go
@@ -1,11 +1,11 @@
 package faultproxy
 
-// Partition separates groups of processes from each other; processes of no group are separated from none.
+// Partition separates groups of processes from each other. A process of no group is separated from none.
 type Partition struct {
-	groupOf map[string]int // by process, from 1 on
+	groupOf map[string]int // number of the group by process, from 1; 0: none
 }
 
-// NewPartition is the partition between the groups.
+// NewPartition returns the partition between groups of processes.
 func NewPartition(groups ...[]string) Partition {
 	groupOf := map[string]int{}
 	for i, group := range groups {
@@ -16,7 +16,7 @@
 	return Partition{groupOf: groupOf}
 }
 
-// Separates tells whether two processes are in different groups.
+// Separates reports whether two processes are in different groups.
 func (p Partition) Separates(a, b string) bool {
 	groupA, groupB := p.groupOf[a], p.groupOf[b]
 	return groupA != 0 && groupB != 0 && groupA != groupB
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -24,7 +24,7 @@
 	processPort = 19998
 	// reservationPort is the port by which a network of addresses is reserved.
 	reservationPort = 19999
-	// maxProcesses bounds the processes, addressesPerNet those with the same third byte.
+	// maxProcesses bounds the number of processes, addressesPerNet that of processes with the same third byte.
 	maxProcesses    = 50_000
 	addressesPerNet = 250
 	// firstNetwork and endNetwork bound the second byte of the addresses.
@@ -41,10 +41,16 @@
 	errTooManyProcesses = errors.New("faultproxy: too many processes")
 )
 
-// Counts are what a proxy has relayed and dropped, in packets; Streams are connections.
-type Counts struct{ Packets, Bytes, Lost, Cut, Streams uint64 }
+// Counts counts what a proxy has relayed and dropped.
+type Counts struct {
+	Packets uint64 // received
+	Bytes   uint64 // of these packets
+	Lost    uint64 // packets dropped by Rule.Loss
+	Cut     uint64 // packets, and chunks of connections, dropped by a cut
+	Streams uint64 // connections accepted
+}
 
-// Proxy is a set of relays. Its methods are safe for concurrent use.
+// Proxy is a relay for each of its processes. Its methods are safe for concurrent use.
 type Proxy struct {
 	seed        uint64
 	network     byte // second byte of the addresses, so that two proxies share none
@@ -67,17 +73,17 @@
 // pair is an ordered pair of processes.
 type pair struct{ from, to string }
 
-// relay has the sockets that the others use for a process.
+// relay has the sockets by which the other processes reach one process.
 type relay struct {
 	name        string
-	processAddr netip.AddrPort // where the process listens, and its connections come from
+	processAddr netip.AddrPort // at which the process listens, and from which it connects
 	relayAddr   netip.AddrPort
 	udp         *net.UDPConn
 	tcp         *net.TCPListener
 }
 
-// New makes a proxy without processes. It takes a free network of addresses, so proxies of several programs can exist
-// at once.
+// New returns a proxy without processes. It reserves a network of addresses, so that proxies of several programs can
+// exist at once.
 func New(seed uint64) (*Proxy, error) {
 	reservation, network, err := ReserveNetwork()
 	if err != nil {
@@ -110,8 +116,8 @@
 	return nil, 0, errNoNetwork
 }
 
-// Add makes the relay of one more process: bind is where the process has to listen and connect from (UDP and TCP),
-// advertise what the others have to use.
+// Add starts the relay of one more process. bind is the address at which the process has to listen, and from which it
+// has to connect (UDP and TCP); advertise is the address by which the others reach it.
 func (p *Proxy) Add(name string) (bind, advertise string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,7 +137,7 @@
 	return r.processAddr.String(), r.relayAddr.String(), nil
 }
 
-// newRelay opens the sockets of the relay of a number, counted from one.
+// newRelay opens the sockets of the relay of a process. number counts the processes from 1.
 func (p *Proxy) newRelay(name string, number int) (*relay, error) {
 	if number > maxProcesses {
 		return nil, errTooManyProcesses
@@ -155,7 +161,7 @@
 	return r, nil
 }
 
-// Counts are what the proxy has relayed and dropped so far.
+// Counts returns what the proxy has relayed and dropped so far.
 func (p *Proxy) Counts() Counts {
 	return Counts{
 		Packets: p.packets.Load(),
@@ -171,16 +177,15 @@
 	p.mu.Lock()
 	close(p.closed)
 	for _, r := range p.relays {
-		// Nothing is left that an error could be about.
-		_ = r.udp.Close()
-		_ = r.tcp.Close()
+		_ = r.udp.Close() // nothing is left to send
+		_ = r.tcp.Close() // nothing is left to accept
 	}
 	p.mu.Unlock()
 	p.wg.Wait()
-	_ = p.reservation.Close() // as above
+	_ = p.reservation.Close() // it accepts nothing
 }
 
-// senderOf is the process with an address; empty: none.
+// senderOf returns the name of the process with an address, or "".
 func (p *Proxy) senderOf(addr netip.Addr) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
