--- a/internal/faultproxy/packets.go
+++ b/internal/faultproxy/packets.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxPacketBytes bounds a packet.
+// maxPacketBytes is the size of the largest packet.
 const maxPacketBytes = 64 << 10
 
 // relayPackets relays the packets to a process until Close.
@@ -20,11 +20,11 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the refusal of an earlier packet shows here
+			continue // reports that an earlier packet was rejected (ICMP)
 		}
 		p.packets.Add(1)
 		p.bytes.Add(uint64(n))
-		p.relayPacket(to, p.drawVerdict(p.senderOf(addr.Addr()), to.name), buf[:n])
+		p.relayPacket(to, p.drawVerdict(pair{from: p.senderOf(addr.Addr()), to: to.name}), buf[:n])
 	}
 }
 
@@ -53,10 +53,10 @@
 
 // deliver sends a packet to the relay's process.
 func (r *relay) deliver(packet []byte) {
-	_, _ = r.udp.WriteToUDPAddrPort(packet, r.processAddr) // a network loses packets too
+	_, _ = r.udp.WriteToUDPAddrPort(packet, r.processAddr) // a packet that is not sent counts as lost by the network
 }
 
-// deliverAfter sends a packet, which is not changed any more, after a delay.
+// deliverAfter sends a packet after a delay. The caller does not change the packet any more.
 func (r *relay) deliverAfter(delay time.Duration, packet []byte) {
 	if delay == 0 {
 		r.deliver(packet)
--- a/internal/faultproxy/rules.go
+++ b/internal/faultproxy/rules.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Rule says what happens to what goes from one process to another. Fractions are from 0 to 1 and count for each packet;
-// on a connection, where nothing is lost, a lost or reordered chunk comes later by a retransmission's time.
+// Rule says what happens to the packets and connections from one process to another. Fractions are from 0 to 1 and
+// apply to each packet. On a connection nothing is lost: a lost or reordered chunk arrives later, by retransmitDelay.
 type Rule struct {
 	Cut            bool
 	Delay          time.Duration // of each packet or chunk
-	Jitter         time.Duration // added to it, drawn evenly from 0 to Jitter
+	Jitter         time.Duration // bounds what is added to Delay, uniformly distributed
 	Loss           float64
 	Duplicate      float64
-	Reorder        float64 // delayed behind those that come within reorderDelay
-	Replay         float64 // of packets: comes once more, drawn evenly from 0 to MaxReplayDelay later
-	MaxReplayDelay time.Duration
+	Reorder        float64       // of the packets that are delayed by reorderDelay, behind later ones
+	Replay         float64       // of the packets that are sent once more after a delay
+	MaxReplayDelay time.Duration // bounds that delay, uniformly distributed
 }
 
 const (
+	// reorderDelay is the additional delay of a packet that is reordered.
 	reorderDelay = 30 * time.Millisecond
 	// retransmitDelay is the delay of a chunk that was lost, as TCP's first timeout.
 	retransmitDelay = 200 * time.Millisecond
@@ -36,7 +37,7 @@
 	p.change(func() { p.rules[pair{from, to}] = rule })
 }
 
-// Unset gives an ordered pair the rule that all have.
+// Unset removes the rule of an ordered pair, which then has that of SetAll.
 func (p *Proxy) Unset(from, to string) {
 	p.change(func() { delete(p.rules, pair{from, to}) })
 }
@@ -69,37 +70,39 @@
 	p.changed = make(chan struct{})
 }
 
-// rule is the rule of an ordered pair now. An unknown sender ("") has the rule of all.
-func (p *Proxy) rule(from, to string) Rule {
+// rule returns the present rule of an ordered pair. An unknown sender ("") has the rule of all.
+func (p *Proxy) rule(of pair) Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	rule, ok := p.rules[pair{from, to}]
+	rule, ok := p.rules[of]
 	if !ok {
 		rule = p.defaultRule
 	}
 	for _, partition := range p.partitions {
-		if partition.Separates(from, to) {
+		if partition.Separates(of.from, of.to) {
 			rule.Cut = true
 		}
 	}
 	return rule
 }
 
-// Passes tells whether anything goes from one process to another now.
-func (p *Proxy) Passes(from, to string) bool { return !p.rule(from, to).Cut }
+// Passes reports whether anything is relayed from one process to another now.
+func (p *Proxy) Passes(from, to string) bool { return !p.rule(pair{from, to}).Cut }
 
-// passesBothWays tells whether two processes reach each other now.
-func (p *Proxy) passesBothWays(a, b string) bool { return p.Passes(a, b) && p.Passes(b, a) }
+// passesBothWays reports whether two processes reach each other now.
+func (p *Proxy) passesBothWays(of pair) bool {
+	return p.Passes(of.from, of.to) && p.Passes(of.to, of.from)
+}
 
-// verdict is what happens to one packet or chunk.
+// verdict is what happens to one packet or chunk. The zero value relays it at once.
 type verdict struct {
 	cut, lost, duplicate, reorder, replay bool
 	delay, replayDelay                    time.Duration
 }
 
 // drawVerdict draws what happens to one packet or chunk.
-func (p *Proxy) drawVerdict(from, to string) verdict {
-	rule := p.rule(from, to)
+func (p *Proxy) drawVerdict(of pair) verdict {
+	rule := p.rule(of)
 	if rule.Cut {
 		return verdict{cut: true}
 	}
@@ -108,7 +111,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	random := p.randomOf(pair{from, to})
+	random := p.randomOf(of)
 	// All are drawn for each packet, so that one fraction does not change the others.
 	lost := random.Float64()
 	duplicate := random.Float64()
@@ -130,12 +133,12 @@
 	return v
 }
 
-// randomOf is the generator of an ordered pair. The caller holds mu.
+// randomOf returns the random number generator of an ordered pair. The caller holds mu.
 func (p *Proxy) randomOf(of pair) *rand.Rand {
 	random := p.random[of]
 	if random == nil {
 		hash := fnv.New64a()
-		_, _ = fmt.Fprintf(hash, "%s\x00%s", of.from, of.to) // a hash takes every write
+		_, _ = fmt.Fprintf(hash, "%s\x00%s", of.from, of.to) // a hash.Hash never returns an error
 		random = rand.New(rand.NewPCG(p.seed, hash.Sum64()))
 		p.random[of] = random
 	}
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -35,13 +35,20 @@
 	}
 }
 
+// direction is one direction of a relayed connection.
+type direction struct {
+	pair // of the processes: the sender and the receiver
+	src  *net.TCPConn
+	dst  *net.TCPConn
+}
+
 // relayStream relays one connection until it ends or a cut has dropped something of it.
 func (p *Proxy) relayStream(in *net.TCPConn, to *relay) {
 	defer closeConn(in)
 	addr, _ := netip.ParseAddrPort(in.RemoteAddr().String()) // the address of a TCP connection can be parsed
-	from := p.senderOf(addr.Addr())
-	if !p.passesBothWays(from, to.name) {
-		p.stallUntilHealed(in, from, to.name)
+	processes := pair{from: p.senderOf(addr.Addr()), to: to.name}
+	if !p.passesBothWays(processes) {
+		p.stallUntilHealed(in, processes)
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -51,29 +58,27 @@
 		return
 	}
 	if err != nil {
-		p.blackhole(in) // the process exists and does not answer: neither does the relay
+		p.blackhole(in) // the process exists but does not respond, so the relay does not either
 		return
 	}
 	out := conn.(*net.TCPConn)
 	defer closeConn(out)
-	p.pipeBothWays(in, out, from, to.name)
+	p.pipeBothWays(direction{pair: processes, src: in, dst: out})
 }
 
-// pipeBothWays relays both directions of a connection until one ends it, or until Close.
-func (p *Proxy) pipeBothWays(in, out *net.TCPConn, from, to string) {
+// pipeBothWays relays a direction of a connection and the opposite one until one ends it, or until Close.
+func (p *Proxy) pipeBothWays(forward direction) {
+	back := direction{pair: pair{from: forward.to, to: forward.from}, src: forward.dst, dst: forward.src}
 	ended := make(chan struct{})
 	end := sync.OnceFunc(func() { close(ended) })
 	var pipes sync.WaitGroup
-	pipes.Add(1)
-	go func() {
-		defer pipes.Done()
-		p.pipe(out, in, from, to, end)
-	}()
-	pipes.Add(1)
-	go func() {
-		defer pipes.Done()
-		p.pipe(in, out, to, from, end)
-	}()
+	for _, d := range []direction{forward, back} {
+		pipes.Add(1)
+		go func() {
+			defer pipes.Done()
+			p.pipe(d, end)
+		}()
+	}
 	go func() {
 		pipes.Wait()
 		end()
@@ -82,35 +87,35 @@
 	case <-ended:
 	case <-p.closed:
 	}
-	closeConn(in)
-	closeConn(out)
+	closeConn(forward.src)
+	closeConn(forward.dst)
 	pipes.Wait()
 }
 
 // pipe relays one direction. The orderly end of one side is passed on; a reset, or a cut that has healed, ends both
-// sides with a reset.
-func (p *Proxy) pipe(dst, src *net.TCPConn, from, to string, end func()) {
+// sides with a reset. end ends the connection.
+func (p *Proxy) pipe(d direction, end func()) {
 	buf := make([]byte, chunkBytes)
 	for {
-		n, err := src.Read(buf)
-		if n > 0 && !p.relayChunk(dst, src, from, to, buf[:n]) {
+		n, err := d.src.Read(buf)
+		if n > 0 && !p.relayChunk(d, buf[:n]) {
 			end()
 			return
 		}
 		if err != nil {
-			p.passEnd(dst, from, to, err, end)
+			p.passEnd(d, err, end)
 			return
 		}
 	}
 }
 
 // relayChunk relays one chunk as its verdict says. If it returns false, the connection has to end.
-func (p *Proxy) relayChunk(dst, src *net.TCPConn, from, to string, chunk []byte) bool {
-	v := p.drawVerdict(from, to)
+func (p *Proxy) relayChunk(d direction, chunk []byte) bool {
+	v := p.drawVerdict(d.pair)
 	if v.cut {
 		p.cut.Add(1)
-		p.stallUntilHealed(src, from, to)
-		resetOnClose(dst)
+		p.stallUntilHealed(d.src, d.pair)
+		resetOnClose(d.dst)
 		return false
 	}
 	if v.lost || v.reorder {
@@ -122,39 +127,39 @@
 		case <-p.closed:
 		}
 	}
-	if _, err := dst.Write(chunk); err != nil {
-		resetOnClose(src)
+	if _, err := d.dst.Write(chunk); err != nil {
+		resetOnClose(d.src)
 		return false
 	}
 	return true
 }
 
 // passEnd passes the end of one direction on, unless a cut hides it.
-func (p *Proxy) passEnd(dst *net.TCPConn, from, to string, err error, end func()) {
-	if !p.Passes(from, to) {
+func (p *Proxy) passEnd(d direction, err error, end func()) {
+	if !p.Passes(d.from, d.to) {
 		return
 	}
 	if !errors.Is(err, io.EOF) {
-		resetOnClose(dst)
+		resetOnClose(d.dst)
 		end()
 		return
 	}
-	if dst.CloseWrite() != nil {
+	if d.dst.CloseWrite() != nil {
 		end()
 	}
 }
 
-// discardInput throws away what a connection's peer sends; the channel is closed once the peer has gone.
+// discardInput discards what a connection's peer sends. The channel that it returns is closed once the peer has gone.
 func discardInput(conn *net.TCPConn) <-chan struct{} {
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		_, _ = io.Copy(io.Discard, conn) // whatever ends it, the peer has gone
+		_, _ = io.Copy(io.Discard, conn) // any error means that the peer has gone
 	}()
 	return gone
 }
 
-// blackhole keeps a connection, silent, until its peer goes.
+// blackhole keeps a connection open and sends nothing on it until its peer has gone.
 func (p *Proxy) blackhole(conn *net.TCPConn) {
 	gone := discardInput(conn)
 	select {
@@ -165,13 +170,13 @@
 	}
 }
 
-// stallUntilHealed keeps a connection that a cut has interrupted, silent, until its peer goes or the pair passes again;
-// then it is reset.
-func (p *Proxy) stallUntilHealed(conn *net.TCPConn, from, to string) {
+// stallUntilHealed keeps a connection that a cut has interrupted open, and sends nothing on it until its peer has
+// gone or the pair passes again; then the connection is reset.
+func (p *Proxy) stallUntilHealed(conn *net.TCPConn, processes pair) {
 	gone := discardInput(conn)
 	for {
 		changed := p.nextChange() // taken before the check, so that no change is missed
-		if p.passesBothWays(from, to) {
+		if p.passesBothWays(processes) {
 			break
 		}
 		select {
@@ -189,7 +194,7 @@
 	<-gone
 }
 
-// nextChange is closed at the next change of the rules.
+// nextChange returns a channel that is closed at the next change of the rules.
 func (p *Proxy) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,5 +206,5 @@
 	_ = conn.SetLinger(0) // a connection that has ended needs no reset
 }
 
-// closeConn closes a relayed connection: its two ends see the result, the relay has no use for the error.
+// closeConn closes a relayed connection. Its two ends see the result, so the relay ignores the error.
 func closeConn(conn *net.TCPConn) { _ = conn.Close() }
