--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -5,7 +5,7 @@
 // github.com/hashicorp/raft). The version of the list is the Raft index of its last change.
 //
 // A Node is made of a Raft member (raft_member.go) over a store that survives outages of its disk
-// (store.go), the replicated state (state_machine.go), and two HTTP servers: one for reads and
+// (store_retry.go), the replicated state (state_machine.go), and two HTTP servers: one for reads and
 // watches (watch.go), one for writes, settings and status (writes.go, settings_http.go, status.go).
 package server
 
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -1,9 +1,66 @@
 package server
 
 import (
+	"math"
 	"os"
+	"time"
 )
 
+// repairInterval is the time between two attempts to repair a store that fails.
+const repairInterval = 50 * time.Millisecond
+
+// beginOutage makes every write fail until the store is repaired and check, if not nil, succeeds.
+func (s *retryingStore) beginOutage(cause *StoreError, check func() error) {
+	startedAt := time.Now()
+	if !s.health.beginOutage(cause, startedAt) {
+		return // there is one already
+	}
+	s.log.Error("store outage started", "operation", cause.Operation, "err", cause.Err)
+	go s.repairUntilDone(startedAt, check)
+}
+
+// repairUntilDone retries the repair of the store until it succeeds, and then ends the outage.
+func (s *retryingStore) repairUntilDone(startedAt time.Time, check func() error) {
+	for attempts := 1; ; attempts++ {
+		select {
+		case <-time.After(repairInterval):
+		case <-s.closed:
+			return
+		}
+		if s.repair(check) != nil {
+			continue
+		}
+		outages := s.health.endOutage()
+		s.log.Info("store outage ended", "duration", time.Since(startedAt), "attempts", attempts)
+		s.notifyRecovered(outages)
+		return
+	}
+}
+
+// repair brings the store into the state that raft assumes, and checks it by a write.
+func (s *retryingStore) repair(check func() error) error {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if s.rewriteLastCommit != nil {
+		if err := s.rewriteLastCommit(); err != nil {
+			return err
+		}
+	}
+	if s.failedAppend != 0 {
+		if err := s.Store.DeleteRange(s.failedAppend, math.MaxUint64); err != nil {
+			return err
+		}
+		s.failedAppend = 0
+	}
+	if err := s.Store.SetUint64(keyProbe, uint64(time.Now().UnixNano())); err != nil {
+		return err
+	}
+	if check == nil {
+		return nil
+	}
+	return check()
+}
+
 // metaPages is the number of meta pages at the head of a bbolt file.
 const metaPages = 2
 
--- /dev/null
+++ b/internal/discovery/server/store_retry.go
@@ -0,0 +1,245 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// retryingStore keeps an instance running while its disk fails. hashicorp/raft v1.7.3 panics if it
+// can't save the term or read a committed entry; it accepts an error of any other operation, but
+// some of these errors leave its state inconsistent. So an operation that fails begins an outage,
+// in which no write reaches the disk until a repair has succeeded. The operation itself
+//
+//   - is retried after the repair, if it saves the term or reads an entry (raft would panic), removes
+//     entries, or is a follower's append: if such an append fails, raft forgets that it has truncated
+//     the log before it;
+//   - returns a StoreError at once, if it saves a vote (which is not granted) or is a leader's append
+//     (raft fails the writes and steps down, so that the others elect a leader).
+//
+// When the instance is closed, retries of removals and appends end with an error; those of the
+// other operations never return.
+//
+// While the store is unavailable, gatedTransport keeps the instance out of the cluster.
+//
+// A commit that failed may still be in the file, since its last step is to sync a page that is
+// already written. The repair removes the entries of a failed append, so that none of them remains
+// after a shorter append, and rewrites what the failed sync may have dropped (see
+// rewriteMetaPages).
+type retryingStore struct {
+	Store
+	log *slog.Logger
+	// rewriteLastCommit makes the file's last commit durable again; nil: nothing is to be done.
+	rewriteLastCommit func() error
+	// outageLimit is the duration from which on a write counts as an outage.
+	outageLimit time.Duration
+	closed      <-chan struct{} // closed when the instance is closed
+	member      atomic.Pointer[storeMember]
+	savedTerm   atomic.Uint64 // the newest term that was saved
+	health      storeHealth
+
+	writeMu      sync.Mutex // held while Store is written
+	failedAppend uint64     // first index of a failed append, 0: none; guarded by writeMu
+}
+
+// storeMember is the Raft member that a store belongs to.
+type storeMember struct {
+	raft      *raft.Raft
+	recovered func(outages int) // called after each outage with the number of outages so far
+}
+
+// newRetryingStore wraps a store that works. Its goroutines end when closed is closed.
+func newRetryingStore(
+	store Store, log *slog.Logger, outageLimit time.Duration, closed <-chan struct{},
+) (*retryingStore, error) {
+	s := &retryingStore{Store: store, log: log, outageLimit: outageLimit, closed: closed}
+	term, err := store.GetUint64(keyCurrentTerm)
+	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
+		return nil, fmt.Errorf("read the term: %w", err)
+	}
+	s.savedTerm.Store(term)
+	return s, nil
+}
+
+// attach sets the store's member, which is started after the store.
+func (s *retryingStore) attach(member *storeMember) {
+	s.member.Store(member)
+	if !s.behindSince().IsZero() {
+		s.notifyRecovered(s.health.outageCount())
+	}
+}
+
+// notifyRecovered starts the member's catch-up after an outage, if there is a member yet.
+func (s *retryingStore) notifyRecovered(outages int) {
+	if member := s.member.Load(); member != nil {
+		go member.recovered(outages)
+	}
+}
+
+// isLeader reports whether this instance leads the cluster.
+func (s *retryingStore) isLeader() bool {
+	member := s.member.Load()
+	return member != nil && member.raft.State() == raft.Leader
+}
+
+// available returns a StoreError in an outage, or while a write has lasted longer than outageLimit.
+func (s *retryingStore) available() error { return s.health.check(time.Now(), s.outageLimit) }
+
+// behindSince returns since when the list may lack entries because of the store; zero: it does not.
+func (s *retryingStore) behindSince() time.Time {
+	return s.health.behindSince(time.Now(), s.outageLimit)
+}
+
+// StoreLog appends one entry; see StoreLogs.
+func (s *retryingStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
+
+// StoreLogs appends entries. A leader's append fails at once, a follower's is retried.
+func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
+	if s.isLeader() {
+		return s.write(AppendEntries, s.appendEntries(entries))
+	}
+	return s.writeUntilDone(AppendEntries, s.appendEntries(entries))
+}
+
+// appendEntries returns a function for write that appends entries. If it fails it records which
+// entries the repair has to remove.
+func (s *retryingStore) appendEntries(entries []*raft.Log) func() error {
+	return func() error {
+		err := s.Store.StoreLogs(entries)
+		if err != nil && len(entries) > 0 {
+			s.failedAppend = entries[0].Index
+		}
+		return err
+	}
+}
+
+// DeleteRange removes entries, with retries.
+func (s *retryingStore) DeleteRange(first, last uint64) error {
+	return s.writeUntilDone(RemoveEntries, func() error { return s.Store.DeleteRange(first, last) })
+}
+
+// Set saves the candidate that got the vote, or fails at once.
+func (s *retryingStore) Set(key, value []byte) error {
+	return s.write(SaveVote, func() error { return s.Store.Set(key, value) })
+}
+
+// SetUint64 saves the current term, with retries, or the term of the vote, which fails at once. A
+// term that is not newer than the saved one is not written: raft saves terms from two goroutines,
+// and an older one must not replace a newer one.
+func (s *retryingStore) SetUint64(key []byte, value uint64) error {
+	if string(key) != string(keyCurrentTerm) {
+		return s.write(SaveVoteTerm, func() error { return s.Store.SetUint64(key, value) })
+	}
+	if value <= s.savedTerm.Load() {
+		return nil
+	}
+	err := s.writeUntilDone(SaveTerm, func() error { return s.saveTerm(value) })
+	if err != nil {
+		blockForever()
+	}
+	return nil
+}
+
+// saveTerm saves a term that is newer than the saved one. The caller holds writeMu.
+func (s *retryingStore) saveTerm(term uint64) error {
+	if term <= s.savedTerm.Load() {
+		return nil
+	}
+	if err := s.Store.SetUint64(keyCurrentTerm, term); err != nil {
+		return err
+	}
+	s.savedTerm.Store(term)
+	return nil
+}
+
+// blockForever stops a goroutine of raft that would panic on an error while the instance is being
+// closed. Node.Close does not wait for it.
+func blockForever() { select {} }
+
+// GetLog reads an entry, with retries. raft.ErrLogNotFound does not count as a failure.
+func (s *retryingStore) GetLog(index uint64, entry *raft.Log) error {
+	read := func() error {
+		return catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
+	}
+	checkRead := func() error {
+		err := read()
+		if errors.Is(err, raft.ErrLogNotFound) {
+			return nil
+		}
+		return err
+	}
+	for {
+		err := read()
+		if err == nil || errors.Is(err, raft.ErrLogNotFound) {
+			return err
+		}
+		s.beginOutage(&StoreError{Operation: ReadEntry, Err: err}, checkRead)
+		if !s.awaitRecovery() {
+			blockForever()
+		}
+	}
+}
+
+// catchPageFaults runs a read of the memory-mapped file, and returns an error if a page can't be
+// read (SIGBUS), which would otherwise end the process.
+func catchPageFaults(read func() error) (err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if fault := recover(); fault != nil {
+			err = fmt.Errorf("page fault: %v", fault)
+		}
+	}()
+	return read()
+}
+
+// write runs one write. A failure begins an outage and is returned as a StoreError; during an outage
+// the write is not run.
+func (s *retryingStore) write(operation StoreOperation, do func() error) error {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if cause := s.health.failure(); cause != nil {
+		return &StoreError{Operation: operation, Err: cause.Err}
+	}
+	startedAt := time.Now()
+	s.health.beginWrite(operation, startedAt)
+	err := do()
+	s.health.endWrite()
+	if err != nil {
+		failure := &StoreError{Operation: operation, Err: err}
+		s.beginOutage(failure, nil)
+		return failure
+	}
+	if duration := time.Since(startedAt); duration > s.outageLimit {
+		s.log.Warn("store write was slow", "operation", operation, "duration", duration)
+		s.notifyRecovered(s.health.recordLag(startedAt))
+	}
+	return nil
+}
+
+// writeUntilDone runs a write and retries it after each outage. It fails only once the instance is
+// closed.
+func (s *retryingStore) writeUntilDone(operation StoreOperation, do func() error) error {
+	for {
+		err := s.write(operation, do)
+		if err == nil || !s.awaitRecovery() {
+			return err
+		}
+	}
+}
+
+// awaitRecovery waits until the outage has ended. It returns false if the instance is closed before.
+func (s *retryingStore) awaitRecovery() bool {
+	select {
+	case <-s.health.working():
+		return true
+	case <-s.closed:
+		return false
+	}
+}
