--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -8,6 +8,10 @@
 	"github.com/hashicorp/raft"
 )
 
+// freshnessMargin is added to the time until the list becomes stale, so that it is stale if it is
+// checked again after that time.
+const freshnessMargin = time.Millisecond
+
 // rejectStale answers 503 where this instance may not serve reads, and reports whether it did. If
 // it did not, it also returns for how long this instance may serve them. ctx is that of the request.
 func (n *Node) rejectStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
@@ -43,7 +47,7 @@
 	if freshAt.IsZero() || remaining < 0 {
 		return 0, n.staleError(behindSince)
 	}
-	return remaining + time.Millisecond, nil
+	return remaining + freshnessMargin, nil
 }
 
 // staleError says why this instance may not serve reads.
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -27,8 +27,8 @@
 	return mux
 }
 
-// instanceError prefixes a text with the instance's id. The prefix is part of response bodies and
-// keeps its first form.
+// instanceError returns an error whose text begins with the instance's id. The text is part of
+// response bodies, so its prefix is that of the first version.
 func (n *Node) instanceError(format string, args ...any) error {
 	return fmt.Errorf("listsvc %s: %w", n.cfg.ID, fmt.Errorf(format, args...))
 }
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -23,8 +23,8 @@
 	raftIOTimeout = 2 * time.Second
 )
 
-// beforeAnyStart is since when the list counts as stale after a start, until it has caught up for
-// the first time.
+// beforeAnyStart is recorded as the time of an outage at each start of an instance, so that its list
+// counts as older than MaxStale until the instance has caught up.
 var beforeAnyStart = time.Unix(0, 0)
 
 // startRaft starts the Raft member, and founds the cluster if the configuration says so.
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	// errVersionUnknown says that an instance can't tell whether the version that a watch names
-	// was ever given, as it has not applied as much itself.
+	// errVersionUnknown says that an instance can't tell whether any instance returned the version
+	// that a watch names, as it has not applied as much itself. Its text is part of response bodies.
 	errVersionUnknown = errors.New("whether the version named was ever given can't be known here now")
 	// errNoLeader says that an instance knows no leader of the cluster.
 	errNoLeader = errors.New("no leader known")
@@ -46,8 +46,8 @@
 
 // committedVersion returns a version of the list that is not older than any that an instance
 // returned before the call. It is the read index of Ongaro's thesis ("Consensus: Bridging Theory
-// and Practice", 2014, section 6.4). Calls that wait for one another share a result that was
-// requested after they began.
+// and Practice", 2014, section 6.4). A call that waits for another one uses the result of that one
+// if it was requested after the call began.
 func (n *Node) committedVersion(ctx context.Context) (uint64, error) {
 	startedAt := time.Now()
 	cache := &n.readIndex
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -110,13 +110,11 @@
 	versions = append(versions, written)
 	// A clone, as history returns the slice to readers.
 	m.settings[c.Service] = slices.Clone(versions[max(0, len(versions)-maxSettingsVersions):])
-	changed := m.settingsChannel(c.Service)
-	close(*changed)
-	*changed = make(chan struct{})
+	closeAndReplace(m.settingsChannel(c.Service))
 	return index, nil
 }
 
-// settingsChannel is the channel that is closed at the next write of the service's settings. There
+// settingsChannel returns the channel that is closed at the next write of the service's settings. There
 // is a fixed number of channels, which the names hash to, so that names without settings cost no
 // memory; a waiter checks whether the write was one of its own service. The caller holds mu.
 func (m *stateMachine) settingsChannel(service string) *chan struct{} {
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// operation says what a command does. Its values are part of the stored log.
+// operation is the kind of a command. Its values are part of the stored log.
 type operation string
 
 const (
@@ -23,7 +23,7 @@
 	operationSettings operation = "settings"
 )
 
-// command is one write as it is stored in the Raft log.
+// command is one write in the form in which the Raft log stores it.
 type command struct {
 	Op      operation         `json:"op"`
 	Server  endpoint.Endpoint `json:"server"`
@@ -37,6 +37,14 @@
 	IfVersion *uint64 `json:"if_version,omitempty"`
 }
 
+// target returns the id of the server or the name of the service that the command is about.
+func (c command) target() string {
+	if c.Op == operationSettings {
+		return c.Service
+	}
+	return c.Server.ID
+}
+
 // change is an entry as a write left it, with the Raft index of the write.
 type change struct {
 	Index  uint64            `json:"index"`
@@ -62,7 +70,7 @@
 	maxChanges       int
 	changed          chan struct{} // closed and replaced at each change of a server
 
-	// responses are encoded answers at the present version, for requests that ask the same.
+	// responses are encoded responses at the present version, for requests with the same key.
 	// responsesMu is locked while mu is locked for reading; a change, which replaces responses,
 	// locks mu for writing, which is sufficient.
 	responsesMu sync.Mutex
@@ -152,6 +160,12 @@
 // that were encoded before. The caller holds mu.
 func (m *stateMachine) notifyWatches() {
 	m.responses = map[responseKey][]byte{}
-	close(m.changed)
-	m.changed = make(chan struct{})
+	closeAndReplace(&m.changed)
+}
+
+// closeAndReplace wakes every goroutine that waits for a channel, and opens another one for the next
+// change.
+func closeAndReplace(changed *chan struct{}) {
+	close(*changed)
+	*changed = make(chan struct{})
 }
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -14,8 +14,8 @@
 // since the versions that most watches have.
 const maxCachedResponses = 64
 
-// watchQuery is what a watch asks for: the changes since a version, or the full list; and the
-// settings of a service, if it names one and they are newer than those that it knows.
+// watchQuery is what a watch requests: the changes since a version, or the full list; and the
+// settings of a service, if it names one and they are newer than those that its agent has.
 type watchQuery struct {
 	version       uint64
 	full          bool
@@ -73,7 +73,7 @@
 }
 
 // encodedResponse returns the servers' part of a response, which is encoded once for all watches
-// that ask the same before the next change. The caller holds mu.
+// with the same key until the next change. The caller holds mu.
 func (m *stateMachine) encodedResponse(key responseKey) []byte {
 	if !key.full && key.version >= m.version {
 		return encodeList(m.endpointsSince(key)) // without servers, so it is cheap
--- a/internal/discovery/server/state_snapshot.go
+++ b/internal/discovery/server/state_snapshot.go
@@ -50,8 +50,7 @@
 	defer m.mu.Unlock()
 	m.load(image)
 	for i := range m.settingsChanged {
-		close(m.settingsChanged[i])
-		m.settingsChanged[i] = make(chan struct{})
+		closeAndReplace(&m.settingsChanged[i])
 	}
 	m.notifyWatches()
 	return nil
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -65,7 +65,7 @@
 	}
 	applied := n.raft.Apply(data, commitTimeout)
 	if err := applied.Error(); err != nil {
-		n.log.Warn("write not committed", "operation", c.Op, "id", c.Server.ID+c.Service, "err", err)
+		n.log.Warn("write not committed", "operation", c.Op, "id", c.target(), "err", err)
 		http.Error(w, "not committed: "+err.Error(), commitErrorStatus(err))
 		return
 	}
