--- a/internal/discovery/server/history_checker_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -68,18 +68,18 @@
 // write of its version or an earlier one, or has a later one; a read is older than maxStale; the final
 // lists differ.
 func (h *history) check(maxStale time.Duration) error {
-	acked := h.acknowledged()
-	errs := []error{checkOrder(acked)}
+	acknowledged := h.acknowledged()
+	errs := []error{checkOrder(acknowledged)}
 	for _, read := range slices.Concat(h.reads, h.final) {
-		errs = append(errs, checkRead(acked, read))
+		errs = append(errs, checkRead(acknowledged, read))
 	}
 	for _, read := range h.reads {
-		errs = append(errs, checkFresh(acked, read, maxStale))
+		errs = append(errs, checkFresh(acknowledged, read, maxStale))
 	}
 	for _, read := range h.final {
-		if len(acked) > 0 && read.version < acked[len(acked)-1].version {
+		if len(acknowledged) > 0 && read.version < acknowledged[len(acknowledged)-1].version {
 			err := fmt.Errorf("%s ends at version %d, acknowledged was %d",
-				read.instance, read.version, acked[len(acked)-1].version)
+				read.instance, read.version, acknowledged[len(acknowledged)-1].version)
 			errs = append(errs, err)
 		}
 		if first := h.final[0]; !slices.Equal(first.ids, read.ids) || first.version != read.version {
@@ -91,11 +91,11 @@
 
 // checkOrder returns an error if two writes have the same version, or if a write that started after
 // another one was acknowledged has an earlier version. The writes are ordered by version.
-func checkOrder(acked []writeRecord) error {
+func checkOrder(acknowledged []writeRecord) error {
 	var latestStart writeRecord
-	for i, write := range acked {
-		if i > 0 && acked[i-1].version == write.version {
-			return fmt.Errorf("%s and %s are both version %d", acked[i-1].id, write.id, write.version)
+	for i, write := range acknowledged {
+		if i > 0 && acknowledged[i-1].version == write.version {
+			return fmt.Errorf("%s and %s are both version %d", acknowledged[i-1].id, write.id, write.version)
 		}
 		if write.ended < latestStart.started {
 			return fmt.Errorf("%s (version %d) was acknowledged before %s (version %d) began",
@@ -109,12 +109,12 @@
 }
 
 // checkRead returns an error if a list does not have exactly the acknowledged writes up to its version.
-func checkRead(acked []writeRecord, read readRecord) error {
+func checkRead(acknowledged []writeRecord, read readRecord) error {
 	listed := map[string]bool{}
 	for _, id := range read.ids {
 		listed[id] = true
 	}
-	for _, write := range acked {
+	for _, write := range acknowledged {
 		if listed[write.id] != (write.version <= read.version) {
 			return fmt.Errorf("%s at version %d: holds %s of version %d: %v",
 				read.instance, read.version, write.id, write.version, listed[write.id])
@@ -124,8 +124,8 @@
 }
 
 // checkFresh returns an error if a list lacks a write that was acknowledged longer ago than maxStale.
-func checkFresh(acked []writeRecord, read readRecord, maxStale time.Duration) error {
-	for _, write := range acked {
+func checkFresh(acknowledged []writeRecord, read readRecord, maxStale time.Duration) error {
+	for _, write := range acknowledged {
 		if write.version > read.version && read.started-write.ended > maxStale {
 			return fmt.Errorf("%s at version %d: read %v after %s (version %d) was acknowledged",
 				read.instance, read.version, read.started-write.ended, write.id, write.version)
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -68,7 +68,7 @@
 	for i := range 20 {
 		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
-	acked := cluster.history.acknowledged()
+	acknowledged := cluster.history.acknowledged()
 	for range 10 {
 		if err := cluster.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
@@ -79,7 +79,7 @@
 			time.Sleep(time.Millisecond)
 			read, served = cluster.read(instanceNames[0])
 		}
-		for _, write := range acked {
+		for _, write := range acknowledged {
 			if err := checkContains(read, write); err != nil {
 				t.Fatalf("first read, version %d: %v", read.version, err)
 			}
@@ -142,7 +142,7 @@
 	for i := range 60 {
 		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
 	}
-	acked := cluster.history.acknowledged()
+	acknowledged := cluster.history.acknowledged()
 	kill(t, cluster.Cluster, instanceNames[0])
 	dir := cluster.dataDir(instanceNames[0])
 	saved := filepath.Join(cluster.dir, "saved")
@@ -152,12 +152,12 @@
 		if err := d.apply(dir); err != nil {
 			t.Fatal(d.name, err)
 		}
-		cluster.checkDamaged(d.name, acked)
+		cluster.checkDamaged(d.name, acknowledged)
 	}
 }
 
 // checkDamaged starts the instance over a damaged directory.
-func (c *faultCluster) checkDamaged(name string, acked []writeRecord) {
+func (c *faultCluster) checkDamaged(name string, acknowledged []writeRecord) {
 	c.t.Helper()
 	logPath := c.path(instanceNames[0], "log")
 	if err := os.Truncate(logPath, 0); err != nil {
@@ -174,7 +174,7 @@
 		return served || !c.Running(instanceNames[0])
 	})
 	if served {
-		for _, write := range acked {
+		for _, write := range acknowledged {
 			if err := checkContains(read, write); err != nil {
 				c.t.Errorf("%s: %v", name, err)
 				return
