--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -156,7 +156,7 @@
 // putSettingsAnywhere writes the settings of a service as writeAnywhere does.
 func putSettingsAnywhere(cluster *processtest.Cluster, service, text string) uint64 {
 	return writeAnywhere(cluster, func(admin string) uint64 {
-		return request(http.MethodPut, admin+"/v1/settings/"+service, text).version()
+		return putSettings(admin+"/v1/settings/"+service, text, "").version()
 	})
 }
 
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -36,15 +36,27 @@
 	body string
 }
 
-// request makes one request, following a redirect to the leader. A header is a name and a value.
-func request(method, url, body string, header ...string) response {
+// request makes one request, following a redirect to the leader.
+func request(method, url, body string) response {
+	return requestWithHeader(method, url, body, http.Header{})
+}
+
+// putSettings writes the settings at a URL. An ifMatch that is not "" is sent as the header If-Match.
+func putSettings(url, text, ifMatch string) response {
+	header := http.Header{}
+	if ifMatch != "" {
+		header.Set("If-Match", ifMatch)
+	}
+	return requestWithHeader(http.MethodPut, url, text, header)
+}
+
+// requestWithHeader makes one request as request does, with a header.
+func requestWithHeader(method, url, body string, header http.Header) response {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+url, strings.NewReader(body))
 	if err != nil {
 		return response{}
 	}
-	if len(header) == 2 {
-		req.Header.Set(header[0], header[1])
-	}
+	req.Header = header
 	resp, err := writeClient.Do(req)
 	if err != nil {
 		return response{}
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -28,8 +28,8 @@
 	cluster, _ := startClusterWithLeader(t)
 	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
 	oneConflict := []int{http.StatusOK, http.StatusPreconditionFailed}
-	checkConcurrentWrites(t, cluster, 10, oneConflict, "If-Match", fmt.Sprint(base))
-	checkConcurrentWrites(t, cluster, 12, []int{http.StatusOK, http.StatusOK})
+	checkConcurrentWrites(t, cluster, 10, fmt.Sprint(base), oneConflict)
+	checkConcurrentWrites(t, cluster, 12, "", []int{http.StatusOK, http.StatusOK})
 
 	acknowledged := changeSettings(t, cluster)
 	killed := slices.DeleteFunc(slices.Clone(instanceNames), cluster.Running)
@@ -51,8 +51,8 @@
 }
 
 // checkConcurrentWrites writes two settings at two instances at the same time, and checks the sorted
-// status codes.
-func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, want []int, header ...string) {
+// status codes. The settings have the marks firstMark and the next one.
+func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, ifMatch string, want []int) {
 	t.Helper()
 	var got [2]response
 	var writers sync.WaitGroup
@@ -61,14 +61,14 @@
 		go func() {
 			defer writers.Done()
 			url := cluster.Addr(instanceNames[i+1], adminPort) + "/v1/settings/" + concurrentService
-			got[i] = request(http.MethodPut, url, server.SettingsText(firstMark+i), header...)
+			got[i] = putSettings(url, server.SettingsText(firstMark+i), ifMatch)
 		}()
 	}
 	writers.Wait()
 	codes := []int{got[0].code, got[1].code}
 	slices.Sort(codes)
 	if !slices.Equal(codes, want) || got[0].version() == got[1].version() {
-		t.Errorf("two concurrent writers, header %v: %v, want %v", header, got, want)
+		t.Errorf("two concurrent writers, If-Match %q: %v, want %v", ifMatch, got, want)
 	}
 }
 
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -19,14 +19,14 @@
 	if got := request(http.MethodGet, url, ""); got.code != http.StatusNotFound {
 		t.Errorf("before any write: %v", got)
 	}
-	first := request(http.MethodPut, url, server.SettingsText(1), "If-Match", "0").version()
-	retried := request(http.MethodPut, url, server.SettingsText(1)).version()
+	first := putSettings(url, server.SettingsText(1), "0").version()
+	retried := putSettings(url, server.SettingsText(1), "").version()
 	if first == 0 || retried != first {
 		t.Errorf("a write got version %d, its retry %d", first, retried)
 	}
 	checkRejectedSettings(t, url, first)
 	quoted := fmt.Sprintf("%q", fmt.Sprint(first))
-	second := request(http.MethodPut, url, server.SettingsText(2), "If-Match", quoted).version()
+	second := putSettings(url, server.SettingsText(2), quoted).version()
 	newest := decodeSettings(t, request(http.MethodGet, url, ""))
 	age := time.Since(time.UnixMilli(newest.WrittenAtMs))
 	if second <= first || newest.Version != second || newest.Text != server.SettingsText(2) || age > time.Hour {
@@ -60,8 +60,10 @@
 func checkRejectedSettings(t *testing.T, url string, newest uint64) {
 	t.Helper()
 	text := server.SettingsText(2)
-	conflict := func(expected uint64) string {
-		return fmt.Sprintf("settings of pay: version %d is in place, not %d\n", newest, expected)
+	badRequest := func(message string) response { return response{http.StatusBadRequest, message + "\n"} }
+	conflict := func(expected uint64) response {
+		body := fmt.Sprintf("settings of pay: version %d is in place, not %d\n", newest, expected)
+		return response{http.StatusPreconditionFailed, body}
 	}
 	for name, c := range map[string]struct {
 		url, body string
@@ -70,34 +72,30 @@
 	}{
 		"invalid value": {
 			body: strings.Replace(text, `"maxAttempts":3`, `"maxAttempts":0`, 1),
-			want: response{400, "settings: limits.maxAttempts: must be above 0, is 0\n"},
+			want: badRequest("settings: limits.maxAttempts: must be above 0, is 0"),
 		},
 		"key of the agent": {
 			body: strings.Replace(text, `"roundMs"`, `"zone":1,"roundMs"`, 1),
-			want: response{400, "settings: zone: is each agent's own, leave it out\n"},
+			want: badRequest("settings: zone: is each agent's own, leave it out"),
 		},
 		"too long": {
 			body: text + strings.Repeat(" ", 64<<10),
-			want: response{400, "settings: longer than 65536 bytes\n"},
+			want: badRequest("settings: longer than 65536 bytes"),
 		},
 		"invalid name": {
 			url:  strings.Replace(url, "/pay", "/a%2Fb", 1),
 			body: text,
-			want: response{400, "service: \"a/b\" is no name: want 1 to 128 bytes, no / and no control characters\n"},
+			want: badRequest(`service: "a/b" is no name: want 1 to 128 bytes, no / and no control characters`),
 		},
-		"invalid version": {body: text, ifMatch: "x", want: response{400, "If-Match: \"x\" is no version\n"}},
-		"another version": {body: text, ifMatch: fmt.Sprint(newest + 9), want: response{412, conflict(newest + 9)}},
-		"no version yet":  {body: text, ifMatch: "0", want: response{412, conflict(0)}},
+		"invalid version": {body: text, ifMatch: "x", want: badRequest(`If-Match: "x" is no version`)},
+		"another version": {body: text, ifMatch: fmt.Sprint(newest + 9), want: conflict(newest + 9)},
+		"no version yet":  {body: text, ifMatch: "0", want: conflict(0)},
 	} {
 		target := c.url
 		if target == "" {
 			target = url
 		}
-		var header []string
-		if c.ifMatch != "" {
-			header = []string{"If-Match", c.ifMatch}
-		}
-		if got := request(http.MethodPut, target, c.body, header...); got != c.want {
+		if got := putSettings(target, c.body, c.ifMatch); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
@@ -123,13 +121,13 @@
 	if err := processtest.Await(startTimeout, "the watches", areOpen); err != nil {
 		t.Fatal(err)
 	}
-	version := request(http.MethodPut, admin+"/v1/settings/pay", server.SettingsText(1)).version()
+	version := putSettings(admin+"/v1/settings/pay", server.SettingsText(1), "").version()
 	if got := (<-ownService).list(t); got.Settings == nil || got.Settings.Version != version ||
 		got.Settings.Service != "pay" || string(got.Settings.Value) != server.SettingsText(1) ||
 		got.Version != listVersion || got.Full || len(got.Servers) != 0 {
 		t.Errorf("the service's own watch got %+v, want settings %d", got, version)
 	}
-	unchanged := response{200, fmt.Sprintf("{\"version\":%d,\"full\":false,\"servers\":[]}\n", listVersion)}
+	unchanged := response{http.StatusOK, fmt.Sprintf("{\"version\":%d,\"full\":false,\"servers\":[]}\n", listVersion)}
 	for _, result := range []<-chan response{withoutService, otherService} {
 		if got := <-result; got != unchanged {
 			t.Errorf("a watch without this service got %v, want %v at its timeout", got, unchanged)
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -189,7 +189,7 @@
 	namesFile := strings.HasPrefix(last, "instance: ") && strings.Contains(last, "raft.db")
 	panicked := strings.Contains(string(text), "goroutine ")
 	if !namesFile || panicked {
-		c.t.Errorf("%s: refused with %q", name, text[:min(len(text), 400)])
+		c.t.Errorf("%s: the instance ended with %q", name, text[:min(len(text), 400)])
 		return
 	}
 	c.t.Logf("%s: %s", name, last)
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -29,17 +29,21 @@
 	}
 	reads, admin := startSingleNode(t, dir)
 	wantList := endpoint.List{Version: 11, Full: true, Servers: []endpoint.Endpoint{
-		{ID: "pod-a", Addr: "10.0.0.1:8080", Zone: "z1", Region: "r1", Kind: "small", Cell: 1, State: "up", Weight: 1,
-			StartedMs: 1764600000000},
-		{ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2, State: "draining",
-			Weight: 2.5},
-		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: "up", Weight: 0.5},
+		{
+			ID: "pod-a", Addr: "10.0.0.1:8080", Zone: "z1", Region: "r1", Kind: "small", Cell: 1,
+			State: endpoint.StateUp, Weight: 1, StartedMs: 1764600000000,
+		},
+		{
+			ID: "pod-b", Addr: "10.0.0.2:8080", Zone: "z2", Region: "r1", Kind: "large", Cell: 2,
+			State: endpoint.StateDraining, Weight: 2.5,
+		},
+		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: endpoint.StateUp, Weight: 0.5},
 	}}
-	caughtUp := func() bool { return request("GET", reads+"/api/targets", "").code == http.StatusOK }
+	caughtUp := func() bool { return request(http.MethodGet, reads+"/api/targets", "").code == http.StatusOK }
 	if err := processtest.Await(5*time.Second, "the log applied", caughtUp); err != nil {
 		t.Fatal(err)
 	}
-	if got := request("GET", reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
+	if got := request(http.MethodGet, reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
 		t.Errorf("list %+v, want %+v", got, wantList)
 	}
 	for service, want := range map[string]server.SettingsVersion{
@@ -47,13 +51,13 @@
 		"orders": {Version: 10, WrittenAtMs: 1796206591154, Bytes: 136, Text: server.SettingsText(3) + "\n"},
 	} {
 		var got server.SettingsVersion
-		body := request("GET", admin+"/v1/settings/"+service, "").body
+		body := request(http.MethodGet, admin+"/v1/settings/"+service, "").body
 		if err := json.Unmarshal([]byte(body), &got); err != nil || got != want {
 			t.Errorf("settings of %s: %+v (%v), want %+v", service, got, err, want)
 		}
 	}
 	var history []server.SettingsVersion
-	body := request("GET", admin+"/v1/settings/quotes/history", "").body
+	body := request(http.MethodGet, admin+"/v1/settings/quotes/history", "").body
 	if err := json.Unmarshal([]byte(body), &history); err != nil || len(history) != 3 {
 		t.Errorf("history of quotes: %q (%v), want three versions", body, err)
 	}
@@ -72,6 +76,6 @@
 	_, err := server.Start(singleNodeConfig(t, dir), slog.New(slog.DiscardHandler))
 	var damage *server.StoreDamageError
 	if !errors.As(err, &damage) {
-		t.Errorf("start returned %v, want a StoreDamage", err)
+		t.Errorf("start returned %v, want a StoreDamageError", err)
 	}
 }
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"testing"
 
+	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -32,14 +33,14 @@
 	if out := after.Reads.Out - before.Reads.Out; out < bodyBytes || out > bodyBytes+reads*maxHeaderBytes {
 		t.Errorf("%d bytes sent were counted, bodies had %d", out, bodyBytes)
 	}
-	for name, counts := range map[string][2]uint64{
-		"bytes received by reads": {before.Reads.In, after.Reads.In},
-		"bytes sent by Raft":      {before.Raft.Out, after.Raft.Out},
-		"bytes received by Raft":  {before.Raft.In, after.Raft.In},
-		"messages of Raft":        {before.Raft.Messages, after.Raft.Messages},
-		"admin requests":          {before.Admin.Messages, after.Admin.Messages},
+	for name, count := range map[string]func(server.Usage) uint64{
+		"bytes received by reads": func(usage server.Usage) uint64 { return usage.Reads.In },
+		"bytes sent by Raft":      func(usage server.Usage) uint64 { return usage.Raft.Out },
+		"bytes received by Raft":  func(usage server.Usage) uint64 { return usage.Raft.In },
+		"messages of Raft":        func(usage server.Usage) uint64 { return usage.Raft.Messages },
+		"admin requests":          func(usage server.Usage) uint64 { return usage.Admin.Messages },
 	} {
-		if counts[0] == counts[1] {
+		if count(before) == count(after) {
 			t.Errorf("no %s were counted: %+v, before %+v", name, after, before)
 		}
 	}
