--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -29,6 +29,10 @@
 	longTestsVariable = "DISCOVERY_LONG_TESTS"
 	// convergenceTimeout bounds the time until instances have the same state after a fault.
 	convergenceTimeout = 60 * time.Second
+	// maxWritePause bounds the random pause between two writes of a client.
+	maxWritePause = 40 * time.Millisecond
+	// readPause is the pause between two reads of a client.
+	readPause = 250 * time.Millisecond
 	// maxLogShown is the number of bytes of an instance's log that a failed test shows.
 	maxLogShown = 6000
 )
@@ -198,7 +202,7 @@
 		c.repeat(func(i int) {
 			name := c.Names()[(writer+i)%len(c.Names())]
 			c.write(name, fmt.Sprintf("s-%d-%d", writer, i))
-			time.Sleep(time.Duration(rand.IntN(40)) * time.Millisecond)
+			time.Sleep(randomBelow(maxWritePause))
 		})
 	}
 	for _, name := range c.Names() {
@@ -206,11 +210,16 @@
 			if read, ok := c.read(name); ok {
 				c.history.recordRead(read)
 			}
-			time.Sleep(250 * time.Millisecond)
+			time.Sleep(readPause)
 		})
 	}
 }
 
+// randomBelow returns a random whole number of milliseconds below a limit.
+func randomBelow(limit time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(limit.Milliseconds())) * time.Millisecond
+}
+
 // repeat repeats a call in a goroutine until stopClients.
 func (c *faultCluster) repeat(call func(i int)) {
 	c.clients.Add(1)
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -25,13 +25,20 @@
 	return old.Cur
 }
 
-// putStatus is the status code of a write at an admin address; 0: there was no response.
+const (
+	// limitTime is how long TestFileSizeLimit keeps the instances from writing files.
+	limitTime = 3 * time.Second
+	// limitedWriteInterval is the time between two of its writes meanwhile.
+	limitedWriteInterval = 50 * time.Millisecond
+)
+
+// putStatus returns the status code of a write at an admin address; 0: there was no response.
 func putStatus(admin string) int {
 	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
 	return request(http.MethodPut, admin+"/v1/servers/limited", body).code
 }
 
-// TestFileSizeLimit: all writes of cmd/discovery to files fail for 3 s, on all instances. No instance
+// TestFileSizeLimit: all writes of cmd/discovery to files fail for limitTime, on all instances. No instance
 // ends, writes are answered with 503 meanwhile, and are acknowledged afterwards.
 func TestFileSizeLimit(t *testing.T) {
 	cluster := startCluster(t)
@@ -42,7 +49,7 @@
 	for _, name := range instanceNames {
 		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(limitTime); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
 		if code := putStatus(cluster.Addr(instanceNames[0], adminPort)); code != http.StatusServiceUnavailable {
 			t.Fatalf("a write was answered with %d while no file can be written", code)
 		}
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -22,13 +22,16 @@
 const (
 	// startTimeout bounds how long a test waits for a leader or a first write.
 	startTimeout = 20 * time.Second
+	// singleNodeElectionTimeout makes an instance that is a cluster by itself lead soon.
+	singleNodeElectionTimeout = 100 * time.Millisecond
 	// retryInterval is the time between two attempts of a write.
 	retryInterval = 20 * time.Millisecond
+	// writeTimeout bounds a request. It is longer than a write may wait for its commit.
+	writeTimeout = 6 * time.Second
 )
 
-// writeClient is the client of the tests' writes. Its timeout is longer than a write may wait for
-// its commit.
-var writeClient = &http.Client{Timeout: 6 * time.Second}
+// writeClient is the client of the tests' writes.
+var writeClient = &http.Client{Timeout: writeTimeout}
 
 // response is the status and the body of an HTTP response; code 0: there was no response.
 type response struct {
@@ -185,7 +188,7 @@
 // singleNodeConfig returns the configuration of an instance that is a cluster by itself.
 func singleNodeConfig(t *testing.T, dir string) server.Config {
 	t.Helper()
-	config := nodeConfig(t, "n1", dir, 100*time.Millisecond)
+	config := nodeConfig(t, "n1", dir, singleNodeElectionTimeout)
 	config.KeepChanges = 64
 	return config
 }
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -12,11 +12,17 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Load of TestLeaderKilledDuringWrites.
+// Load and timeouts of TestLeaderKilledDuringWrites.
 const (
 	loadWriters      = 8
 	loadWrites       = 1000
 	writesBeforeKill = 300
+	// watcherWait is how long a watch waits for a change, watcherTimeout how long a watcher waits for the
+	// response.
+	watcherWait    = 500 * time.Millisecond
+	watcherTimeout = 3 * time.Second
+	// watcherCatchUpTimeout bounds the time until all watchers have the last write.
+	watcherCatchUpTimeout = 30 * time.Second
 )
 
 // watcher watches the list as an agent does: after a failure it continues at the next instance from
@@ -37,7 +43,7 @@
 // run watches until stop is closed, at first at the numbered instance.
 func (w *watcher) run(t *testing.T, cluster *processtest.Cluster, first int, stop <-chan struct{}) {
 	t.Helper()
-	client := &http.Client{Timeout: 3 * time.Second}
+	client := &http.Client{Timeout: watcherTimeout}
 	for instance := first; ; {
 		select {
 		case <-stop:
@@ -54,7 +60,7 @@
 // watchOnce makes one watch at an instance, and reports whether the instance served it.
 func (w *watcher) watchOnce(t *testing.T, client *http.Client, address string) bool {
 	t.Helper()
-	url := fmt.Sprintf("%s/api/targets?index=%d&wait=500", address, w.currentVersion())
+	url := fmt.Sprintf("%s/api/targets?index=%d&wait=%d", address, w.currentVersion(), watcherWait.Milliseconds())
 	resp, err := get(t.Context(), client, url)
 	if err != nil {
 		time.Sleep(retryInterval)
@@ -110,7 +116,7 @@
 	if err := cluster.Start(killed); err != nil {
 		t.Fatal(err)
 	}
-	err := processtest.Await(30*time.Second, "the last write at every watcher", func() bool {
+	err := processtest.Await(watcherCatchUpTimeout, "the last write at every watcher", func() bool {
 		return haveVersion(watchers, lastVersion(acknowledged))
 	})
 	close(stop)
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -13,12 +13,16 @@
 const (
 	// partitionTime is how long TestPartitionedLeader cuts off the leader.
 	partitionTime = 10 * time.Second
+	// partitionedWriteInterval is the time between two of its writes meanwhile.
+	partitionedWriteInterval = 50 * time.Millisecond
+	// healTimeout bounds the time until all instances have the same writes after the partition.
+	healTimeout = 20 * time.Second
 	// maxReadsAfterCut is how long a leader that is cut off may serve reads: max_stale (1 s), the
 	// leader's lease (0.5 s) and a margin.
 	maxReadsAfterCut = 2500 * time.Millisecond
 )
 
-// TestPartitionedLeader: the leader is cut off from both followers for 10 s. Its reads end within
+// TestPartitionedLeader: the leader is cut off from both followers for partitionTime. Its reads end within
 // maxReadsAfterCut and it acknowledges no write; the other two elect a leader and acknowledge writes.
 // After the partition every instance has every acknowledged write.
 func TestPartitionedLeader(t *testing.T) {
@@ -43,7 +47,7 @@
 		if putServer(cluster.Addr(majority[i%len(majority)], adminPort), majorityID) != 0 {
 			acknowledged = append(acknowledged, majorityID)
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(partitionedWriteInterval)
 	}
 	if readsAfterCut := lastRead.Sub(cutAt); readsAfterCut > maxReadsAfterCut {
 		t.Errorf("the leader served reads until %v after it was cut off", readsAfterCut)
@@ -53,7 +57,7 @@
 	}
 	cluster.Heal()
 	allHaveWrites := func() bool { return allList(cluster, acknowledged) }
-	if err := processtest.Await(20*time.Second, "the majority's writes at every instance", allHaveWrites); err != nil {
+	if err := processtest.Await(healTimeout, "the majority's writes at every instance", allHaveWrites); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("reads of the leader ended %v after it was cut off; the majority acknowledged %d writes",
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -18,6 +18,8 @@
 	concurrentService = "two"
 	// concurrentVersions is the number of its settings versions afterwards.
 	concurrentVersions = 4
+	// historyTimeout bounds the time until all instances have the same history.
+	historyTimeout = 30 * time.Second
 )
 
 // TestSettingsUnderFaults: of two concurrent writers that name the version they replace, one
@@ -120,7 +122,7 @@
 		history = commonHistory(cluster, service)
 		return len(history) > 0 && history[0].Version >= version
 	}
-	if err := processtest.Await(30*time.Second, "one history at all instances", agree); err != nil {
+	if err := processtest.Await(historyTimeout, "one history at all instances", agree); err != nil {
 		t.Fatal(err)
 	}
 	var versions []uint64
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,7 +15,15 @@
 // fastElection makes an instance that is a cluster by itself lead soon after its start.
 const fastElection = `election_timeout = "100ms"`
 
-// killCount is how often TestKilledDuringWrites kills an instance.
+const (
+	// maxTimeToKill bounds the random time from the start of an instance until it is killed.
+	maxTimeToKill = 300 * time.Millisecond
+	// firstReadInterval is the time between two attempts of the first read of an instance. It is short, so
+	// that the read that succeeds comes soon after the instance serves reads.
+	firstReadInterval = time.Millisecond
+)
+
+// killCount returns how often TestKilledDuringWrites kills an instance.
 func killCount() int {
 	if os.Getenv(longTestsVariable) != "" {
 		return 200
@@ -30,7 +37,7 @@
 	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
 	cluster.startClients(8)
 	for range killCount() {
-		time.Sleep(time.Duration(rand.IntN(300)) * time.Millisecond)
+		time.Sleep(randomBelow(maxTimeToKill))
 		before := len(cluster.history.acknowledged())
 		if err := cluster.Restart(instanceNames[0]); err != nil {
 			t.Fatal(err)
@@ -76,7 +83,7 @@
 		read, served := cluster.read(instanceNames[0])
 		deadline := time.Now().Add(convergenceTimeout)
 		for !served && time.Now().Before(deadline) {
-			time.Sleep(time.Millisecond)
+			time.Sleep(firstReadInterval)
 			read, served = cluster.read(instanceNames[0])
 		}
 		for _, write := range acknowledged {
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -15,6 +15,9 @@
 // busy machine.
 const staleBound = 4500 * time.Millisecond
 
+// timeBeforeOutage is how long clients write before an outage.
+const timeBeforeOutage = time.Second
+
 // failoverTime is the length of an outage in which the other instances have elected a leader and
 // acknowledged writes.
 const failoverTime = 5 * time.Second
@@ -89,7 +92,7 @@
 	t.Helper()
 	cluster := startFaultCluster(t, instanceNames, "")
 	cluster.startClients(4)
-	time.Sleep(time.Second)
+	time.Sleep(timeBeforeOutage)
 	failing := c.failing(cluster)
 	leader := cluster.leader()
 	for _, name := range failing {
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -20,6 +20,9 @@
 // servers and the settings of two services, and one more server and one more settings version in the log.
 const storedData = "testdata/data-format-2"
 
+// replayTimeout bounds the time in which an instance applies its stored log.
+const replayTimeout = 5 * time.Second
+
 // TestReadsStoredDataOfEarlierVersion starts an instance on a copy of storedData and compares what it serves
 // with what the earlier version served from it.
 func TestReadsStoredDataOfEarlierVersion(t *testing.T) {
@@ -40,7 +43,7 @@
 		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: endpoint.StateUp, Weight: 0.5},
 	}}
 	caughtUp := func() bool { return request(http.MethodGet, reads+"/api/targets", "").code == http.StatusOK }
-	if err := processtest.Await(5*time.Second, "the log applied", caughtUp); err != nil {
+	if err := processtest.Await(replayTimeout, "the log applied", caughtUp); err != nil {
 		t.Fatal(err)
 	}
 	if got := request(http.MethodGet, reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -11,6 +11,13 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
+const (
+	// openWatchElectionTimeout is the election timeout of the instances of TestOpenWatchEndsWithItsLeader.
+	openWatchElectionTimeout = 300 * time.Millisecond
+	// slowLinkDelay is the delay from the leader to a follower in TestWatchFromUnknownVersion.
+	slowLinkDelay = 150 * time.Millisecond
+)
+
 // TestOpenWatchEndsWithItsLeader: a watch that is open at an instance ends with 503 within max_stale,
 // as a new read would, once the instance is alone: a follower that lost its leader, and a leader that
 // lost its followers.
@@ -18,7 +25,7 @@
 	for _, state := range []server.MemberState{server.StateFollower, server.StateLeader} {
 		t.Run(string(state), func(t *testing.T) {
 			t.Parallel()
-			configs, nodes := startThreeNodes(t, 300*time.Millisecond)
+			configs, nodes := startThreeNodes(t, openWatchElectionTimeout)
 			remaining, version := awaitState(t, configs, state)
 			result := make(chan response, 1)
 			startedAt := time.Now()
@@ -29,7 +36,7 @@
 					closeNode(t, node)
 				}
 			}
-			// The client of request has a timeout of 6 s.
+			// The wait for the response is bounded by writeTimeout.
 			if got := <-result; got.code != http.StatusServiceUnavailable {
 				t.Errorf("after %v: %v, want 503", time.Since(startedAt), got)
 			}
@@ -83,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slowLink.SetDelay(150 * time.Millisecond)
+	slowLink.SetDelay(slowLinkDelay)
 	for i := range 5 {
 		version := putServer(cluster.Addr(leaderName, adminPort), fmt.Sprint("new-", i))
 		url := fmt.Sprintf("%s/api/targets?wait=0&index=%d", cluster.Addr(follower, httpPort), version)
