--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -68,9 +68,7 @@
 		elected = leader(cluster)
 		return elected != ""
 	}
-	if err := processtest.Await(startTimeout, "a leader", hasLeader); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "a leader", hasLeader)
 	return cluster, elected
 }
 
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -39,6 +39,14 @@
 	body string
 }
 
+// mustAwait waits for a condition, and fails the test if it is not met within startTimeout.
+func mustAwait(tb testing.TB, what string, met func() bool) {
+	tb.Helper()
+	if err := processtest.Await(startTimeout, what, met); err != nil {
+		tb.Fatal(err)
+	}
+}
+
 // request makes one request, following a redirect to the leader.
 func request(method, url, body string) response {
 	return requestWithHeader(method, url, body, http.Header{})
@@ -219,9 +227,7 @@
 	config := singleNodeConfig(t, dir)
 	startNode(t, config)
 	isLeader := func() bool { return statusAt(config.AdminAddr).State == server.StateLeader }
-	if err := processtest.Await(startTimeout, "a leader", isLeader); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "a leader", isLeader)
 	return config.HTTPAddr, config.AdminAddr
 }
 
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
-	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // TestSettingsAdminEndpoint: the responses of the admin address to writes and reads of settings.
@@ -118,9 +117,7 @@
 	areOpen := func() bool {
 		return len(reportsAt(admin, "pay").Agents)+len(reportsAt(admin, "ship").Agents) == 2
 	}
-	if err := processtest.Await(startTimeout, "the watches", areOpen); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "the watches", areOpen)
 	version := putSettings(admin+"/v1/settings/pay", server.SettingsText(1), "").version()
 	if got := (<-ownService).list(t); got.Settings == nil || got.Settings.Version != version ||
 		got.Settings.Service != "pay" || string(got.Settings.Value) != server.SettingsText(1) ||
--- a/internal/discovery/server/start_time_test.go
+++ b/internal/discovery/server/start_time_test.go
@@ -7,7 +7,6 @@
 
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
 	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // TestWatchReturnsStartTimesAsWrittenAfterWallClockStep: the list is ordered by its versions and never
@@ -59,8 +58,6 @@
 	url := fmt.Sprintf("%s/api/targets?index=%d&wait=20000&service=pay&agent=a%d", reads, from, from)
 	go func() { watch <- request(http.MethodGet, url, "") }()
 	isOpen := func() bool { return watchIsOpen(admin, from) }
-	if err := processtest.Await(startTimeout, "the watch", isOpen); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "the watch", isOpen)
 	return watch
 }
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -7,17 +7,23 @@
 	"net/http"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
 	// fanoutWatchers is the number of watches of BenchmarkWatchFanout.
 	fanoutWatchers = 1000
+	// fanoutWait is how long each of them waits for a change.
+	fanoutWait = 2 * time.Second
 	// writeBeforeStart is the id of the entry by whose write benchmarks wait for a leader.
 	writeBeforeStart = "warm"
+	// failoverWriteInterval is the time between two attempts of the write that ends a failover.
+	failoverWriteInterval = 5 * time.Millisecond
 )
 
 // BenchmarkWatchFanout has 1,000 watchers at three instances. Each iteration writes one change and waits
@@ -27,9 +33,8 @@
 func BenchmarkWatchFanout(b *testing.B) {
 	configs, _ := startThreeNodes(b, time.Second)
 	admin := configs[0].AdminAddr
-	for putServer(admin, writeBeforeStart) == 0 {
-		time.Sleep(50 * time.Millisecond)
-	}
+	isWritten := func() bool { return putServer(admin, writeBeforeStart) != 0 }
+	mustAwait(b, "a first write", isWritten)
 	fanout := newFanout()
 	for i := range fanoutWatchers {
 		fanout.watching.Add(1)
@@ -38,7 +43,8 @@
 			fanout.watch(b.Context(), configs[i%len(configs)].HTTPAddr)
 		}()
 	}
-	time.Sleep(time.Second) // until every watcher has its first version
+	haveFirstVersion := func() bool { return fanout.started.Load() == fanoutWatchers }
+	mustAwait(b, "the first version at every watcher", haveFirstVersion)
 	var sentAt, acknowledgedAt []time.Time
 	b.ResetTimer()
 	for i := range b.N {
@@ -51,17 +57,7 @@
 	}
 	b.StopTimer()
 	close(fanout.stop)
-	var fromAcknowledged, fromSent []float64
-	for i, receivedAt := range fanout.receivedAt {
-		write := i / fanoutWatchers
-		fromAcknowledged = append(fromAcknowledged, max(milliseconds(receivedAt.Sub(acknowledgedAt[write])), 0))
-		fromSent = append(fromSent, milliseconds(receivedAt.Sub(sentAt[write])))
-	}
-	slices.Sort(fromAcknowledged)
-	slices.Sort(fromSent)
-	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)/2], "p50-ms")
-	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)*99/100], "p99-ms")
-	b.ReportMetric(fromSent[len(fromSent)*99/100], "p99-sent-ms")
+	fanout.report(b, sentAt, acknowledgedAt)
 	fanout.watching.Wait()
 }
 
@@ -73,6 +69,7 @@
 	client   *http.Client
 	received chan struct{} // gets a value for each change at each watcher
 	stop     chan struct{}
+	started  atomic.Int64 // watchers that have their first version
 	watching sync.WaitGroup
 
 	mu         sync.Mutex
@@ -92,7 +89,7 @@
 func (f *fanout) watch(ctx context.Context, address string) {
 	var version uint64
 	for {
-		url := fmt.Sprintf("%s/api/targets?index=%d&wait=2000", address, version)
+		url := fmt.Sprintf("%s/api/targets?index=%d&wait=%d", address, version, fanoutWait.Milliseconds())
 		resp, err := get(ctx, f.client, url)
 		select {
 		case <-f.stop:
@@ -111,16 +108,41 @@
 		if err != nil {
 			continue
 		}
-		if version != 0 && list.Version > version {
-			f.mu.Lock()
-			f.receivedAt = append(f.receivedAt, time.Now())
-			f.mu.Unlock()
-			f.received <- struct{}{}
+		switch {
+		case list.Version <= version:
+		case version == 0:
+			f.started.Add(1)
+		default:
+			f.record(time.Now())
 		}
 		version = max(version, list.Version)
 	}
 }
 
+// record records that a change was received.
+func (f *fanout) record(receivedAt time.Time) {
+	f.mu.Lock()
+	f.receivedAt = append(f.receivedAt, receivedAt)
+	f.mu.Unlock()
+	f.received <- struct{}{}
+}
+
+// report reports the times from the writes to the watchers' responses. They are given by write.
+func (f *fanout) report(b *testing.B, sentAt, acknowledgedAt []time.Time) {
+	b.Helper()
+	var fromAcknowledged, fromSent []float64
+	for i, receivedAt := range f.receivedAt {
+		write := i / fanoutWatchers
+		fromAcknowledged = append(fromAcknowledged, max(milliseconds(receivedAt.Sub(acknowledgedAt[write])), 0))
+		fromSent = append(fromSent, milliseconds(receivedAt.Sub(sentAt[write])))
+	}
+	slices.Sort(fromAcknowledged)
+	slices.Sort(fromSent)
+	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)/2], "p50-ms")
+	b.ReportMetric(fromAcknowledged[len(fromAcknowledged)*99/100], "p99-ms")
+	b.ReportMetric(fromSent[len(fromSent)*99/100], "p99-sent-ms")
+}
+
 // BenchmarkFailover has three instances. Each iteration closes the leader and measures the time until a
 // write at another instance is acknowledged. It reports ms per failover, with Raft's timeouts at their
 // default of 1 s and at 500 ms.
@@ -130,6 +152,22 @@
 	}
 }
 
+// awaitLeader waits for an instance that leads and acknowledges a write, and returns its number.
+func awaitLeader(b *testing.B, configs []server.Config) int {
+	b.Helper()
+	leader := -1
+	isElected := func() bool {
+		for instance, config := range configs {
+			if putServer(config.AdminAddr, writeBeforeStart) != 0 && statusAt(config.AdminAddr).Leader == config.ID {
+				leader = instance
+			}
+		}
+		return leader >= 0
+	}
+	mustAwait(b, "a leader", isElected)
+	return leader
+}
+
 // benchmarkFailover measures failovers with an election timeout.
 func benchmarkFailover(b *testing.B, electionTimeout time.Duration) {
 	b.Helper()
@@ -137,20 +175,13 @@
 	for i := range b.N {
 		b.StopTimer()
 		configs, nodes := startThreeNodes(b, electionTimeout)
-		leader := -1
-		for leader < 0 {
-			for instance, config := range configs {
-				if putServer(config.AdminAddr, writeBeforeStart) != 0 && statusAt(config.AdminAddr).Leader == config.ID {
-					leader = instance
-				}
-			}
-		}
+		leader := awaitLeader(b, configs)
 		b.StartTimer()
 		startedAt := time.Now()
 		closeNode(b, nodes[leader])
 		other := configs[(leader+1)%len(configs)].AdminAddr
 		for putServer(other, fmt.Sprint("after-", i)) == 0 {
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(failoverWriteInterval)
 		}
 		total += time.Since(startedAt)
 	}
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
-	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
@@ -59,9 +58,7 @@
 		}
 		return instance >= 0
 	}
-	if err := processtest.Await(startTimeout, "an instance in state "+string(state), found); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "an instance in state "+string(state), found)
 	return instance, version
 }
 
@@ -75,9 +72,7 @@
 		leaderName = leader(cluster)
 		return leaderName != "" && putServerAnywhere(cluster, "s-1") != 0 && allList(cluster, []string{"s-1"})
 	}
-	if err := processtest.Await(startTimeout, "a leader and a write at every instance", allHaveWrite); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "a leader and a write at every instance", allHaveWrite)
 	for _, name := range instanceNames {
 		url := cluster.Addr(name, httpPort) + "/api/targets?wait=500&index=99999"
 		list := request(http.MethodGet, url, "").list(t)
