--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -37,6 +37,16 @@
 	maxLogShown = 6000
 )
 
+// Extensions of an instance's files in the directory of its cluster.
+const (
+	configExtension = "toml"
+	faultExtension  = "fault" // the control file of the FaultyStore
+	logExtension    = "log"   // written by processtest
+)
+
+// soleInstance is the name of an instance that is a cluster by itself.
+const soleInstance = "n1"
+
 // TestMain runs the tests, or one instance if configVariable is set.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(configVariable); path != "" {
@@ -97,8 +107,8 @@
 	cluster := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
 	environment := func(name string) []string {
 		return []string{
-			configVariable + "=" + cluster.path(name, "toml"),
-			faultVariable + "=" + cluster.path(name, "fault"),
+			configVariable + "=" + cluster.path(name, configExtension),
+			faultVariable + "=" + cluster.path(name, faultExtension),
 		}
 	}
 	cluster.Cluster, err = processtest.New(processtest.Config{
@@ -123,12 +133,12 @@
 	return cluster
 }
 
-// path is that of a file of an instance.
+// path returns the path of a file of an instance.
 func (c *faultCluster) path(name, extension string) string {
 	return filepath.Join(c.dir, name+"."+extension)
 }
 
-// dataDir is the data directory of an instance.
+// dataDir returns the data directory of an instance.
 func (c *faultCluster) dataDir(name string) string { return filepath.Join(c.dir, name) }
 
 // writeConfig writes the configuration of an instance, which reaches its peers directly.
@@ -136,7 +146,7 @@
 	c.t.Helper()
 	raftAddress := func(peer string) string { return c.Addr(peer, raftPort) }
 	text := configText(c.Cluster, c.dataDir(name), name, raftAddress, extra)
-	if err := os.WriteFile(c.path(name, "toml"), []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(c.path(name, configExtension), []byte(text), 0o644); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -154,7 +164,7 @@
 func (c *faultCluster) showLogs() {
 	c.t.Helper()
 	for _, name := range c.Names() {
-		text, _ := os.ReadFile(c.path(name, "log")) // a missing log is shown as empty
+		text, _ := os.ReadFile(c.path(name, logExtension)) // a missing log is shown as empty
 		end := text[max(0, len(text)-maxLogShown):]
 		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, adminPort)), end)
 	}
@@ -186,7 +196,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	path := c.path(name, "fault")
+	path := c.path(name, faultExtension)
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -72,22 +72,22 @@
 // TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
 // is written compacts it. A kill after either loses nothing.
 func TestSnapshotOutage(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection+"\ntrailing_logs = 10")
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection+"\ntrailing_logs = 10")
 	for i := range 150 {
-		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
 	for _, wantErr := range []bool{true, false} {
 		limit := uint64(unix.RLIM_INFINITY)
 		if wantErr {
-			limit = limitFileSize(t, cluster.Pid(instanceNames[0]), snapshotLimit)
+			limit = limitFileSize(t, cluster.Pid(soleInstance), snapshotLimit)
 		}
-		if line := cluster.snapshot(instanceNames[0]); strings.Contains(line, "err=<nil>") == wantErr {
+		if line := cluster.snapshot(soleInstance); strings.Contains(line, "err=<nil>") == wantErr {
 			t.Errorf("snapshot: %s", line)
 		}
 		if wantErr {
-			limitFileSize(t, cluster.Pid(instanceNames[0]), limit)
+			limitFileSize(t, cluster.Pid(soleInstance), limit)
 		}
-		if err := cluster.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -107,12 +107,12 @@
 		c.t.Fatal(err)
 	}
 	c.await("the snapshot's line", func() bool {
-		text, _ := os.ReadFile(c.path(name, "log"))
+		text, _ := os.ReadFile(c.path(name, logExtension))
 		_, after, found := strings.Cut(string(text), "msg=snapshot ")
 		line, _, _ = strings.Cut(after, "\n")
 		return found
 	})
-	if err := os.Truncate(c.path(name, "log"), 0); err != nil {
+	if err := os.Truncate(c.path(name, logExtension), 0); err != nil {
 		c.t.Fatal(err)
 	}
 	return line
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -12,6 +13,9 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
+// storeFileName is the file of a data directory that has Raft's log, term and vote.
+const storeFileName = "raft.db"
+
 // fastElection makes an instance that is a cluster by itself lead soon after its start.
 const fastElection = `election_timeout = "100ms"`
 
@@ -34,12 +38,12 @@
 // TestKilledDuringWrites: an instance that is a cluster by itself, so that what it acknowledged is on
 // its disk or lost, is killed at random times during writes and started again.
 func TestKilledDuringWrites(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	cluster.startClients(8)
 	for range killCount() {
 		time.Sleep(randomBelow(maxTimeToKill))
 		before := len(cluster.history.acknowledged())
-		if err := cluster.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
 		cluster.await("writes after the kill", func() bool { return len(cluster.history.acknowledged()) > before+8 })
@@ -53,13 +57,13 @@
 // TestHistoryFindsUnsyncedWrites: after a kill the checker finds that an instance has acknowledged
 // what it has not written.
 func TestHistoryFindsUnsyncedWrites(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
-	cluster.setFault(instanceNames[0], server.StoreFault{Unsynced: true})
-	if !cluster.write(instanceNames[0], "unsynced") {
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
+	cluster.setFault(soleInstance, server.StoreFault{Unsynced: true})
+	if !cluster.write(soleInstance, "unsynced") {
 		t.Fatal("not acknowledged")
 	}
-	cluster.setFault(instanceNames[0], server.StoreFault{})
-	if err := cluster.Restart(instanceNames[0]); err != nil {
+	cluster.setFault(soleInstance, server.StoreFault{})
+	if err := cluster.Restart(soleInstance); err != nil {
 		t.Fatal(err)
 	}
 	cluster.await("a leader", func() bool { return cluster.leader() != "" })
@@ -71,25 +75,23 @@
 // TestRestartServesAcknowledgedWrites: the first read that a restarted instance serves has all writes
 // that it acknowledged before.
 func TestRestartServesAcknowledgedWrites(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	for i := range 20 {
-		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
 	acknowledged := cluster.history.acknowledged()
 	for range 10 {
-		if err := cluster.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
-		read, served := cluster.read(instanceNames[0])
+		read, served := cluster.read(soleInstance)
 		deadline := time.Now().Add(convergenceTimeout)
 		for !served && time.Now().Before(deadline) {
 			time.Sleep(firstReadInterval)
-			read, served = cluster.read(instanceNames[0])
+			read, served = cluster.read(soleInstance)
 		}
-		for _, write := range acknowledged {
-			if err := checkContains(read, write); err != nil {
-				t.Fatalf("first read, version %d: %v", read.version, err)
-			}
+		if err := checkContainsAll(read, acknowledged); err != nil {
+			t.Fatalf("first read, version %d: %v", read.version, err)
 		}
 	}
 }
@@ -103,7 +105,7 @@
 // truncateTo truncates the store to a size that depends on its size.
 func truncateTo(size func(int64) int64) func(string) error {
 	return func(dir string) error {
-		path := filepath.Join(dir, "raft.db")
+		path := filepath.Join(dir, storeFileName)
 		info, err := os.Stat(path)
 		if err != nil {
 			return err
@@ -115,7 +117,7 @@
 // tearPage overwrites the second half of one page with zeros.
 func tearPage(page int64) func(string) error {
 	return func(dir string) error {
-		file, err := os.OpenFile(filepath.Join(dir, "raft.db"), os.O_WRONLY, 0)
+		file, err := os.OpenFile(filepath.Join(dir, storeFileName), os.O_WRONLY, 0)
 		if err != nil {
 			return err
 		}
@@ -129,7 +131,7 @@
 func damageCases() []damageCase {
 	page := int64(os.Getpagesize())
 	out := []damageCase{
-		{"missing", func(dir string) error { return os.Remove(filepath.Join(dir, "raft.db")) }},
+		{"missing", func(dir string) error { return os.Remove(filepath.Join(dir, storeFileName)) }},
 		{"empty", truncateTo(func(int64) int64 { return 0 })},
 		{"a byte short", truncateTo(func(size int64) int64 { return size - 1 })},
 		{"half", truncateTo(func(size int64) int64 { return size / 2 })},
@@ -145,13 +147,13 @@
 // TestDamagedStore: on a truncated store, or one with a torn page, an instance either serves all that
 // it acknowledged or does not start, with one line that names the file.
 func TestDamagedStore(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection)
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	for i := range 60 {
-		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
 	acknowledged := cluster.history.acknowledged()
-	kill(t, cluster.Cluster, instanceNames[0])
-	dir := cluster.dataDir(instanceNames[0])
+	kill(t, cluster.Cluster, soleInstance)
+	dir := cluster.dataDir(soleInstance)
 	saved := filepath.Join(cluster.dir, "saved")
 	copyDir(t, dir, saved)
 	for _, d := range damageCases() {
@@ -166,26 +168,24 @@
 // checkDamaged starts the instance over a damaged directory.
 func (c *faultCluster) checkDamaged(name string, acknowledged []writeRecord) {
 	c.t.Helper()
-	logPath := c.path(instanceNames[0], "log")
+	logPath := c.path(soleInstance, logExtension)
 	if err := os.Truncate(logPath, 0); err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.Start(instanceNames[0]); err != nil {
+	if err := c.Start(soleInstance); err != nil {
 		c.t.Fatal(err)
 	}
-	defer kill(c.t, c.Cluster, instanceNames[0])
+	defer kill(c.t, c.Cluster, soleInstance)
 	var read readRecord
 	served := false
 	c.await("reads or an end", func() bool {
-		read, served = c.read(instanceNames[0])
-		return served || !c.Running(instanceNames[0])
+		read, served = c.read(soleInstance)
+		return served || !c.Running(soleInstance)
 	})
 	if served {
-		for _, write := range acknowledged {
-			if err := checkContains(read, write); err != nil {
-				c.t.Errorf("%s: %v", name, err)
-				return
-			}
+		if err := checkContainsAll(read, acknowledged); err != nil {
+			c.t.Errorf("%s: %v", name, err)
+			return
 		}
 		c.t.Logf("%s: recovered", name)
 		return
@@ -193,7 +193,7 @@
 	text, _ := os.ReadFile(logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	last := lines[len(lines)-1]
-	namesFile := strings.HasPrefix(last, "instance: ") && strings.Contains(last, "raft.db")
+	namesFile := strings.HasPrefix(last, "instance: ") && strings.Contains(last, storeFileName)
 	panicked := strings.Contains(string(text), "goroutine ")
 	if !namesFile || panicked {
 		c.t.Errorf("%s: the instance ended with %q", name, text[:min(len(text), 400)])
@@ -202,14 +202,14 @@
 	c.t.Logf("%s: %s", name, last)
 }
 
-// checkContains returns an error if a read lacks a write.
-func checkContains(read readRecord, write writeRecord) error {
-	for _, id := range read.ids {
-		if id == write.id {
-			return nil
+// checkContainsAll returns an error if a read lacks one of several writes.
+func checkContainsAll(read readRecord, writes []writeRecord) error {
+	for _, write := range writes {
+		if !slices.Contains(read.ids, write.id) {
+			return fmt.Errorf("%s, acknowledged as version %d, is not served", write.id, write.version)
 		}
 	}
-	return fmt.Errorf("%s, acknowledged as version %d, is not served", write.id, write.version)
+	return nil
 }
 
 // copyDir replaces a directory by a copy of another.
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -73,7 +73,7 @@
 	if err := os.CopyFS(dir, os.DirFS(storedData)); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Remove(filepath.Join(dir, "raft.db")); err != nil {
+	if err := os.Remove(filepath.Join(dir, storeFileName)); err != nil {
 		t.Fatal(err)
 	}
 	_, err := server.Start(singleNodeConfig(t, dir), slog.New(slog.DiscardHandler))
