--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -132,6 +132,23 @@
 	}
 }
 
+// killLeader kills the leader, once there is one, and returns its name. It fails the test if there is
+// none within startTimeout.
+func killLeader(t *testing.T, cluster *processtest.Cluster) string {
+	t.Helper()
+	name := ""
+	isElected := func() bool {
+		name = leader(cluster)
+		return name != ""
+	}
+	if err := processtest.Await(startTimeout, "a leader", isElected); err != nil {
+		t.Error(err) // not Fatal, as this may be a goroutine of the test
+		return ""
+	}
+	kill(t, cluster, name)
+	return name
+}
+
 // writeAnywhere tries a write at each instance in turn until one acknowledges it. It returns the
 // version of the write, or 0 if none was acknowledged within startTimeout.
 func writeAnywhere(cluster *processtest.Cluster, write func(admin string) uint64) uint64 {
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -156,9 +156,7 @@
 			for i := writer; i < loadWrites; i += loadWriters {
 				id := fmt.Sprintf("s-%04d", i)
 				if record(putServerAnywhere(cluster, id), id) == writesBeforeKill {
-					name := leader(cluster)
-					kill(t, cluster, name)
-					killedNames <- name
+					killedNames <- killLeader(t, cluster)
 				}
 			}
 		}()
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -103,16 +103,6 @@
 	return acknowledged
 }
 
-// killLeader kills the leader, once there is one.
-func killLeader(t *testing.T, cluster *processtest.Cluster) {
-	t.Helper()
-	name := ""
-	for name == "" {
-		name = leader(cluster)
-	}
-	kill(t, cluster, name)
-}
-
 // awaitHistory waits until all instances have the same history of a service, up to a version at
 // least, and returns its versions, the newest first.
 func awaitHistory(t *testing.T, cluster *processtest.Cluster, service string, version uint64) []uint64 {
