--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return
 	}
-	found := versions[len(versions)-1]
+	found := newestSettings(versions)
 	if text := r.URL.Query().Get("version"); text != "" {
 		version, err := parseUint(text)
 		if err != nil {
@@ -137,12 +137,10 @@
 	reports := AgentReports{
 		ID:      n.cfg.ID,
 		Service: service,
+		Version: newestSettings(n.state.history(service)).Version,
 		Agents:  n.reports.ofService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
-	if versions := n.state.history(service); len(versions) > 0 {
-		reports.Version = versions[len(versions)-1].Version
-	}
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.Admin
 	}
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -92,14 +92,20 @@
 	return nil
 }
 
-// applySettings applies a committed write of settings and returns its version, or the newest
+// newestSettings returns the last of the stored versions of a service's settings, or the zero
+// SettingsVersion if there are none.
+func newestSettings(versions []SettingsVersion) SettingsVersion {
+	if len(versions) == 0 {
+		return SettingsVersion{}
+	}
+	return versions[len(versions)-1]
+}
+
+// applySettings applies a committed write of settings. It returns the version of the write, the newest
 // version if the text is the same, or a versionConflict. The caller holds mu.
 func (m *stateMachine) applySettings(c command, index uint64) (uint64, error) {
 	versions := m.settings[c.Service]
-	var newest SettingsVersion
-	if len(versions) > 0 {
-		newest = versions[len(versions)-1]
-	}
+	newest := newestSettings(versions)
 	switch {
 	case len(versions) > 0 && newest.Text == c.Text:
 		return newest.Version, nil // possibly a retry of a write whose answer was lost
@@ -126,11 +132,10 @@
 // settingsNewerThan returns the service's newest settings if they are newer than a version, or
 // nil. The caller holds mu.
 func (m *stateMachine) settingsNewerThan(service string, version uint64) *endpoint.Settings {
-	versions := m.settings[service]
-	if len(versions) == 0 || versions[len(versions)-1].Version <= version {
+	newest := newestSettings(m.settings[service])
+	if newest.Version <= version {
 		return nil
 	}
-	newest := versions[len(versions)-1]
 	return &endpoint.Settings{Service: service, Version: newest.Version, Value: json.RawMessage(newest.Text)}
 }
 
