--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -137,10 +137,11 @@
 	reports := AgentReports{
 		ID:      n.cfg.ID,
 		Service: service,
-		Version: newestSettings(n.state.history(service)).Version,
 		Agents:  n.reports.ofService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
+	// Read after the reports, so that no agent has newer settings than the newest.
+	reports.Version = newestSettings(n.state.history(service)).Version
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.Admin
 	}
