--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -132,7 +132,7 @@
 func checkServerWatches(t *rapid.T, state *stateMachine, version uint64) {
 	t.Helper()
 	for _, query := range []watchQuery{{full: true}, {version: version}, {version: version / 2}} {
-		response, _, _ := state.changesSince(query)
+		response := state.changesSince(query)
 		var list endpoint.List
 		err := json.Unmarshal(response.body, &list)
 		wantUpdate := query.full || query.version < version
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -29,38 +29,43 @@
 	full    bool
 }
 
-// watchResponse is the answer to a watchQuery.
+// watchResponse is the present answer to a watchQuery, and by what the watch waits for a later one.
 type watchResponse struct {
 	// hasUpdate says that the body has changes, the full list, or newer settings.
 	hasUpdate bool
 	// body is an endpoint.List in JSON and a line feed.
 	body []byte
+	// changed is closed at the next change of a server.
+	changed <-chan struct{}
+	// settingsChanged is closed at the next write of the service's settings, and may be at one of
+	// another service's (see settingsChannel); nil: the query names no service.
+	settingsChanged <-chan struct{}
 }
 
 // changesSince returns the answer to a query: the changes since its version, each server once and
 // in its last form, or the full list where some of the changes have been discarded; and newer
-// settings. It also returns the channels that are closed at the next change of a server, and of the
-// service's settings (nil without a service; see settingsChannel).
-func (m *stateMachine) changesSince(
-	query watchQuery,
-) (response watchResponse, changed, settingsChanged <-chan struct{}) {
+// settings.
+func (m *stateMachine) changesSince(query watchQuery) watchResponse {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	key := responseKey{version: query.version}
 	if query.full || query.version < m.discardedVersion {
 		key = responseKey{full: true}
 	}
-	response = watchResponse{
+	response := watchResponse{
 		hasUpdate: key.full || key.version < m.version,
 		body:      m.encodedResponse(key),
+		changed:   m.changed,
 	}
 	if query.service == "" {
-		return response, m.changed, nil
+		return response
 	}
+	response.settingsChanged = *m.settingsChannel(query.service)
 	if newer := m.settingsNewerThan(query.service, query.knownSettings); newer != nil {
-		response = watchResponse{hasUpdate: true, body: withSettings(response.body, newer)}
+		response.hasUpdate = true
+		response.body = withSettings(response.body, newer)
 	}
-	return response, m.changed, *m.settingsChannel(query.service)
+	return response
 }
 
 // withSettings returns a copy of an encoded endpoint.List without settings that has them: they are
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -99,15 +99,15 @@
 		if stale {
 			return
 		}
-		response, changed, settingsChanged := n.state.changesSince(request.watchQuery)
+		response := n.state.changesSince(request.watchQuery)
 		if response.hasUpdate || answerNow {
 			writeList(w, response.body)
 			return
 		}
 		select {
-		case <-changed:
+		case <-response.changed:
 			answerNow = true // also if it turns out to be no change for this watch
-		case <-settingsChanged: // possibly those of another service, so it checks again
+		case <-response.settingsChanged: // possibly those of another service, so it checks again
 		case <-timeout.C:
 			answerNow = true
 		case <-time.After(remaining): // check again whether the list is fresh
