--- a/cmd/discovery/serve.go
+++ b/cmd/discovery/serve.go
@@ -12,6 +12,12 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
+// Values of --log-format.
+const (
+	logFormatText = "text"
+	logFormatJSON = "json"
+)
+
 // serveCommand returns the command that runs one instance.
 func serveCommand() *cobra.Command {
 	var configPath, logFormat string
@@ -23,7 +29,7 @@
 	flags := cmd.Flags()
 	flags.StringVar(&configPath, "config", "discovery.toml",
 		"TOML file of the instance (see internal/discovery/server.Config)")
-	flags.StringVar(&logFormat, "log-format", "text", "log records as text or json, on standard error")
+	flags.StringVar(&logFormat, "log-format", logFormatText, "log records as text or json, on standard error")
 	return cmd
 }
 
@@ -50,9 +56,9 @@
 	}
 }
 
-// newLogger returns a logger to standard error, in JSON or else in text.
+// newLogger returns a logger to standard error, in JSON for logFormatJSON and otherwise in text.
 func newLogger(format string) *slog.Logger {
-	if format == "json" {
+	if format == logFormatJSON {
 		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, nil))
