--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -42,7 +42,7 @@
 // writeJSON answers 200 with a value as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the client is gone: nobody is left to report to
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
 // parseUint parses a query parameter; an absent one is 0.
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -56,7 +56,7 @@
 	if cache.requestedAt.After(startedAt) {
 		return cache.version, cache.err
 	}
-	// The result is shared, so it must not depend on whether this one caller goes on waiting.
+	// The result is shared, so the end of this caller's context does not cancel the request.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readIndexTimeout)
 	defer cancel()
 	if err := cache.limiter.Wait(ctx); err != nil {
@@ -129,7 +129,7 @@
 //
 // It returns errVersionUnknown where that can't be decided within readIndexTimeout, as no leader
 // answers or this instance does not catch up. A version that no instance returned and that the log
-// has since passed can't be told from one that was returned.
+// has since passed can't be distinguished from one that was returned.
 func (n *Node) awaitVersion(ctx context.Context, version uint64) (fullList bool, err error) {
 	if version <= n.state.currentVersion() {
 		return false, nil
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -122,6 +122,7 @@
 	if now := cluster.pids(); !maps.Equal(pids, now) {
 		t.Errorf("processes were %v, are %v", pids, now)
 	}
-	t.Logf("%v failed for %v: %d writes acknowledged before and %d in it, the next after %v, all instances alike after %v",
-		failing, outage, before, during-before, resumed, time.Since(healed))
+	t.Logf("%v failed for %v: %d writes acknowledged before and %d during the outage",
+		failing, outage, before, during-before)
+	t.Logf("writes again %v and the same list everywhere %v after the outage", resumed, time.Since(healed))
 }
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -73,7 +73,7 @@
 // that a later sync succeeds without having written them (fsync(2), "EIO"). bbolt writes data pages
 // that no meta page refers to yet, syncs, writes one meta page, and syncs again. If the first sync
 // failed, the data pages are free again and will be written anew. If the second one failed, the
-// meta page is in the page cache only; bbolt goes on from it and may overwrite pages that the older
+// meta page is in the page cache only; bbolt continues from it and may overwrite pages that the older
 // meta page on disk refers to. So the newer one has to be on disk before the next commit begins.
 func rewriteMetaPages(path string) error {
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -122,5 +122,5 @@
 // writeList answers with an encoded endpoint.List.
 func writeList(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // the client is gone: nobody is left to report to
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -91,7 +91,7 @@
 		url := fmt.Sprintf("%s/api/targets?wait=0&index=%d", cluster.Addr(follower, httpPort), version)
 		got := request(http.MethodGet, url, "")
 		if got.code == http.StatusServiceUnavailable {
-			continue // it can't tell: the client would go on to another instance
+			continue // it does not know the version yet; a client would continue at another instance
 		}
 		if list := got.list(t); list.Version < version || list.Full {
 			t.Errorf("the watch from version %d got %+v from a slow follower", version, list)
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -38,10 +38,10 @@
 	Value   json.RawMessage `json:"value"`
 }
 
-// Query parameters by which a watch asks for settings and reports those that its agent has. Without
+// Query parameters by which a watch requests settings and reports those that its agent has. Without
 // QueryService the discovery service ignores the others.
 const (
-	// QueryService names the service whose settings are asked for.
+	// QueryService names the service whose settings are requested.
 	QueryService = "service"
 	// QueryAgent is the agent's name.
 	QueryAgent = "agent"
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -4,8 +4,8 @@
 // Every process has a loopback address of its own, by which the proxy identifies the sender; the others use the address
 // of its relay. A cut is silent, as a network partition is: packets vanish, open connections stay open and deliver
 // nothing, new ones never get a response; when the cut heals, these connections are reset. A process that does not run
-// refuses connections through the relay too. What happens to a packet is drawn from the proxy's seed, by one generator
-// for each ordered pair.
+// refuses connections through the relay too. What happens to a packet is drawn at random, by a generator for each
+// ordered pair that is seeded with the proxy's seed.
 package faultproxy
 
 import (
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -23,7 +23,7 @@
 	packetsEachWay = 200
 )
 
-// testProcess is a process that listens where a proxy tells it to.
+// testProcess is a process that listens at the address that a proxy assigns to it.
 type testProcess struct {
 	t               *testing.T
 	bind, advertise string
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -114,7 +114,7 @@
 var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // permanentErrors are the errors of accept(2) by which the descriptor can't accept, so that a retry
-// would fail alike. EOPNOTSUPP is not among them, as it may be the pending error of a connection.
+// would fail too. EOPNOTSUPP is not among them, as it may be the pending error of a connection.
 var permanentErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
 
 // Temporary reports whether an error of accept may not occur on a retry. That is so for all of the
