--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -9,7 +9,6 @@
 package faultproxy
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -106,10 +105,9 @@
 // ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n
 // and 127.n+1. It is the caller's until the reservation is closed.
 func ReserveNetwork() (reservation net.Listener, n byte, err error) {
-	var config net.ListenConfig
 	for n := byte(firstNetwork); n < endNetwork; n += networksPerProxy {
-		address := fmt.Sprintf("127.%d.255.254:%d", n, reservationPort)
-		if reservation, err := config.Listen(context.Background(), "tcp", address); err == nil {
+		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 254}), reservationPort)
+		if reservation, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address)); err == nil {
 			return reservation, n, nil
 		}
 	}
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -1,7 +1,6 @@
 package faultproxy
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -52,7 +51,7 @@
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.DialContext(context.Background(), "tcp", to.processAddr.String())
+	conn, err := dialer.Dial("tcp", to.processAddr.String())
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		resetOnClose(in)
 		return
