--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -5,9 +5,7 @@
 	"io"
 	"net/http"
 	"net/url"
-	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -16,12 +14,8 @@
 )
 
 const (
-	// stdinName is the file name that stands for standard input.
-	stdinName = "-"
-	// maxInputBytes bounds what is read of a settings file. The service accepts 64 KiB.
-	maxInputBytes = 1 << 20
-	// columnPadding is the number of spaces between the columns of a table.
-	columnPadding = 2
+	// putArguments is the number of arguments of put: SERVICE and FILE.
+	putArguments = 2
 	// writeTimeFormat shows the time of a write, in UTC.
 	writeTimeFormat = "2006-01-02T15:04:05.000Z"
 )
@@ -43,22 +37,17 @@
 	cmd := &cobra.Command{
 		Use:   "put SERVICE FILE|-",
 		Short: "replace a service's settings from a file or standard input",
-		Args:  cobra.ExactArgs(2),
+		Args:  cobra.ExactArgs(putArguments),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := readInput(cmd, args[1])
 			if err != nil {
 				return err
 			}
-			header := http.Header{}
+			put := adminCall{method: http.MethodPut, path: settingsPath(args[0]), body: text, header: http.Header{}}
 			if cmd.Flags().Changed("if-version") {
-				header.Set("If-Match", fmt.Sprint(ifVersion))
+				put.header.Set("If-Match", fmt.Sprint(ifVersion))
 			}
-			answer, err := newAdminClient(admin, callTimeout).text(http.MethodPut, settingsPath(args[0]), text, header)
-			if err != nil {
-				return err
-			}
-			_, err = cmd.OutOrStdout().Write(answer)
-			return err
+			return callAndPrint(cmd, admin, put)
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -66,28 +55,6 @@
 	return cmd
 }
 
-// readInput reads a file, or standard input for stdinName.
-func readInput(cmd *cobra.Command, name string) ([]byte, error) {
-	if name == stdinName {
-		return readLimited(cmd.InOrStdin(), name)
-	}
-	file, err := os.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = file.Close() }() // it was only read
-	return readLimited(file, name)
-}
-
-// readLimited reads at most maxInputBytes.
-func readLimited(input io.Reader, name string) ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(input, maxInputBytes))
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
-	}
-	return text, nil
-}
-
 // settingsGetCommand returns the command that prints a version of a service's settings.
 func settingsGetCommand() *cobra.Command {
 	var admin string
@@ -102,7 +69,7 @@
 				path += fmt.Sprint("?version=", version)
 			}
 			var settings server.SettingsVersion
-			if err := newAdminClient(admin, callTimeout).getJSON(path, &settings); err != nil {
+			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &settings); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", settings.Version, writeTime(settings))
@@ -128,7 +95,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var versions []server.SettingsVersion
 			path := settingsPath(args[0]) + "/history"
-			if err := newAdminClient(admin, callTimeout).getJSON(path, &versions); err != nil {
+			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &versions); err != nil {
 				return err
 			}
 			var table strings.Builder
@@ -147,12 +114,3 @@
 func writeTime(settings server.SettingsVersion) string {
 	return time.UnixMilli(settings.WrittenAtMs).UTC().Format(writeTimeFormat)
 }
-
-// writeTable writes lines whose cells end with tabs, with aligned columns.
-func writeTable(out io.Writer, lines string) error {
-	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
-	if _, err := io.WriteString(table, lines); err != nil {
-		return err
-	}
-	return table.Flush()
-}
--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "discovery")
-	build := exec.Command("go", "build", "-o", binary, "../../../cmd/discovery")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "../../../cmd/discovery")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -68,15 +68,14 @@
 		elected = leader(cluster)
 		return elected != ""
 	}
-	if err := processtest.Await(startTimeout, "a leader", hasLeader); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "a leader", hasLeader)
 	return cluster, elected
 }
 
 // serveArguments returns a function that writes an instance's configuration and returns the
 // arguments by which cmd/discovery runs it.
 func serveArguments(t *testing.T, dir string) func(*processtest.Cluster, string) []string {
+	t.Helper()
 	return func(cluster *processtest.Cluster, name string) []string {
 		path := filepath.Join(dir, name+".toml")
 		linkTo := func(peer string) string {
@@ -118,13 +117,38 @@
 // leader returns the name of a running instance that leads, or "".
 func leader(cluster *processtest.Cluster) string {
 	for _, name := range cluster.Names() {
-		if cluster.Running(name) && statusAt(cluster.Addr(name, adminPort)).State == "Leader" {
+		if cluster.Running(name) && statusAt(cluster.Addr(name, adminPort)).State == server.StateLeader {
 			return name
 		}
 	}
 	return ""
 }
 
+// kill kills an instance.
+func kill(t *testing.T, cluster *processtest.Cluster, name string) {
+	t.Helper()
+	if err := cluster.Kill(name); err != nil {
+		t.Error(err)
+	}
+}
+
+// killLeader kills the leader, once there is one, and returns its name. It fails the test if there is
+// none within startTimeout.
+func killLeader(t *testing.T, cluster *processtest.Cluster) string {
+	t.Helper()
+	name := ""
+	isElected := func() bool {
+		name = leader(cluster)
+		return name != ""
+	}
+	if err := processtest.Await(startTimeout, "a leader", isElected); err != nil {
+		t.Error(err) // not Fatal, as this may be a goroutine of the test
+		return ""
+	}
+	kill(t, cluster, name)
+	return name
+}
+
 // writeAnywhere tries a write at each instance in turn until one acknowledges it. It returns the
 // version of the write, or 0 if none was acknowledged within startTimeout.
 func writeAnywhere(cluster *processtest.Cluster, write func(admin string) uint64) uint64 {
@@ -147,7 +171,7 @@
 // putSettingsAnywhere writes the settings of a service as writeAnywhere does.
 func putSettingsAnywhere(cluster *processtest.Cluster, service, text string) uint64 {
 	return writeAnywhere(cluster, func(admin string) uint64 {
-		return request(http.MethodPut, admin+"/v1/settings/"+service, text).version()
+		return putSettings(admin+"/v1/settings/"+service, text, "").version()
 	})
 }
 
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -25,13 +25,20 @@
 	return old.Cur
 }
 
-// putStatus is the status code of a write at an admin address; 0: there was no response.
+const (
+	// limitTime is how long TestFileSizeLimit keeps the instances from writing files.
+	limitTime = 3 * time.Second
+	// limitedWriteInterval is the time between two of its writes meanwhile.
+	limitedWriteInterval = 50 * time.Millisecond
+)
+
+// putStatus returns the status code of a write at an admin address; 0: there was no response.
 func putStatus(admin string) int {
 	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
 	return request(http.MethodPut, admin+"/v1/servers/limited", body).code
 }
 
-// TestFileSizeLimit: all writes of cmd/discovery to files fail for 3 s, on all instances. No instance
+// TestFileSizeLimit: all writes of cmd/discovery to files fail for limitTime, on all instances. No instance
 // ends, writes are answered with 503 meanwhile, and are acknowledged afterwards.
 func TestFileSizeLimit(t *testing.T) {
 	cluster := startCluster(t)
@@ -42,7 +49,7 @@
 	for _, name := range instanceNames {
 		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(limitTime); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
 		if code := putStatus(cluster.Addr(instanceNames[0], adminPort)); code != http.StatusServiceUnavailable {
 			t.Fatalf("a write was answered with %d while no file can be written", code)
 		}
@@ -65,26 +72,26 @@
 // TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
 // is written compacts it. A kill after either loses nothing.
 func TestSnapshotOutage(t *testing.T) {
-	cluster := startFaultCluster(t, instanceNames[:1], fastElection+"\ntrailing_logs = 10")
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection+"\ntrailing_logs = 10")
 	for i := range 150 {
-		cluster.write(instanceNames[0], fmt.Sprint("s-", i))
+		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
 	for _, wantErr := range []bool{true, false} {
 		limit := uint64(unix.RLIM_INFINITY)
 		if wantErr {
-			limit = limitFileSize(t, cluster.Pid(instanceNames[0]), snapshotLimit)
+			limit = limitFileSize(t, cluster.Pid(soleInstance), snapshotLimit)
 		}
-		if line := cluster.snapshot(instanceNames[0]); strings.Contains(line, "err=<nil>") == wantErr {
+		if line := cluster.snapshot(soleInstance); strings.Contains(line, "err=<nil>") == wantErr {
 			t.Errorf("snapshot: %s", line)
 		}
 		if wantErr {
-			limitFileSize(t, cluster.Pid(instanceNames[0]), limit)
+			limitFileSize(t, cluster.Pid(soleInstance), limit)
 		}
-		if err := cluster.Restart(instanceNames[0]); err != nil {
+		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := cluster.stopAndCheck(staleBound); err != nil {
+	if err := cluster.stopAndCheck(); err != nil {
 		t.Error(err)
 	}
 }
@@ -100,12 +107,12 @@
 		c.t.Fatal(err)
 	}
 	c.await("the snapshot's line", func() bool {
-		text, _ := os.ReadFile(c.path(name, "log"))
+		text, _ := os.ReadFile(c.path(name, logExtension))
 		_, after, found := strings.Cut(string(text), "msg=snapshot ")
 		line, _, _ = strings.Cut(after, "\n")
 		return found
 	})
-	if err := os.Truncate(c.path(name, "log"), 0); err != nil {
+	if err := os.Truncate(c.path(name, logExtension), 0); err != nil {
 		c.t.Fatal(err)
 	}
 	return line
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -1,17 +1,22 @@
 package server
 
 import (
+	"context"
 	"net/http"
 	"time"
 
 	"github.com/hashicorp/raft"
 )
 
+// freshnessMargin is added to the time until the list becomes stale, so that it is stale if it is
+// checked again after that time.
+const freshnessMargin = time.Millisecond
+
 // rejectStale answers 503 where this instance may not serve reads, and reports whether it did. If
-// it did not, it also returns for how long this instance may serve them.
-func (n *Node) rejectStale(w http.ResponseWriter) (time.Duration, bool) {
+// it did not, it also returns for how long this instance may serve them. ctx is that of the request.
+func (n *Node) rejectStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
 	remaining, err := n.freshness()
-	if err != nil && n.awaitCaughtUp() {
+	if err != nil && n.awaitCaughtUp(ctx) {
 		remaining, err = n.freshness()
 	}
 	if err != nil {
@@ -42,7 +47,7 @@
 	if freshAt.IsZero() || remaining < 0 {
 		return 0, n.staleError(behindSince)
 	}
-	return remaining + time.Millisecond, nil
+	return remaining + freshnessMargin, nil
 }
 
 // staleError says why this instance may not serve reads.
@@ -56,5 +61,8 @@
 // isLeader reports whether this instance leads the cluster as far as it knows.
 func (n *Node) isLeader() bool { return n.raft.State() == raft.Leader }
 
+// leasesPerElectionTimeout is the ratio of the election timeout to the leader lease.
+const leasesPerElectionTimeout = 2
+
 // leaderLease is how long a leader that has no contact with a majority remains leader.
-func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / 2 }
+func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / leasesPerElectionTimeout }
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -27,8 +27,8 @@
 	return mux
 }
 
-// instanceError prefixes a text with the instance's id. The prefix is part of response bodies and
-// keeps its first form.
+// instanceError returns an error whose text begins with the instance's id. The text is part of
+// response bodies, so its prefix is that of the first version.
 func (n *Node) instanceError(format string, args ...any) error {
 	return fmt.Errorf("listsvc %s: %w", n.cfg.ID, fmt.Errorf(format, args...))
 }
@@ -39,11 +39,10 @@
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
 
-// writeJSON answers with a value as JSON.
-func writeJSON(w http.ResponseWriter, code int, value any) {
+// writeJSON answers 200 with a value as JSON.
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(value) // the client is gone: nobody is left to report to
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
 // parseUint parses a query parameter; an absent one is 0.
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os"
@@ -22,8 +23,8 @@
 	raftIOTimeout = 2 * time.Second
 )
 
-// beforeAnyStart is since when the list counts as stale after a start, until it has caught up for
-// the first time.
+// beforeAnyStart is recorded as the time of an outage at each start of an instance, so that its list
+// counts as older than MaxStale until the instance has caught up.
 var beforeAnyStart = time.Unix(0, 0)
 
 // startRaft starts the Raft member, and founds the cluster if the configuration says so.
@@ -156,9 +157,10 @@
 // streamLayer is the stream layer of Raft's transport on a counting listener (raft.StreamLayer).
 type streamLayer struct{ countingListener }
 
-// Dial connects to a peer.
+// Dial connects to a peer. hashicorp/raft bounds it by a timeout and passes no context.
 func (s streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", string(address), timeout)
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp", string(address))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	// errVersionUnknown says that an instance can't tell whether the version that a watch names
-	// was ever given, as it has not applied as much itself.
+	// errVersionUnknown says that an instance can't tell whether any instance returned the version
+	// that a watch names, as it has not applied as much itself. Its text is part of response bodies.
 	errVersionUnknown = errors.New("whether the version named was ever given can't be known here now")
 	// errNoLeader says that an instance knows no leader of the cluster.
 	errNoLeader = errors.New("no leader known")
@@ -46,8 +46,8 @@
 
 // committedVersion returns a version of the list that is not older than any that an instance
 // returned before the call. It is the read index of Ongaro's thesis ("Consensus: Bridging Theory
-// and Practice", 2014, section 6.4). Calls that wait for one another share a result that was
-// requested after they began.
+// and Practice", 2014, section 6.4). A call that waits for another one uses the result of that one
+// if it was requested after the call began.
 func (n *Node) committedVersion(ctx context.Context) (uint64, error) {
 	startedAt := time.Now()
 	cache := &n.readIndex
@@ -56,7 +56,7 @@
 	if cache.requestedAt.After(startedAt) {
 		return cache.version, cache.err
 	}
-	// The result is shared, so it must not depend on whether this one caller goes on waiting.
+	// The result is shared, so the end of this caller's context does not cancel the request.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readIndexTimeout)
 	defer cancel()
 	if err := cache.limiter.Wait(ctx); err != nil {
@@ -129,7 +129,7 @@
 //
 // It returns errVersionUnknown where that can't be decided within readIndexTimeout, as no leader
 // answers or this instance does not catch up. A version that no instance returned and that the log
-// has since passed can't be told from one that was returned.
+// has since passed can't be distinguished from one that was returned.
 func (n *Node) awaitVersion(ctx context.Context, version uint64) (fullList bool, err error) {
 	if version <= n.state.currentVersion() {
 		return false, nil
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -18,6 +18,8 @@
 	concurrentService = "two"
 	// concurrentVersions is the number of its settings versions afterwards.
 	concurrentVersions = 4
+	// historyTimeout bounds the time until all instances have the same history.
+	historyTimeout = 30 * time.Second
 )
 
 // TestSettingsUnderFaults: of two concurrent writers that name the version they replace, one
@@ -28,10 +30,10 @@
 	cluster, _ := startClusterWithLeader(t)
 	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
 	oneConflict := []int{http.StatusOK, http.StatusPreconditionFailed}
-	checkConcurrentWrites(t, cluster, 10, oneConflict, "If-Match", fmt.Sprint(base))
-	checkConcurrentWrites(t, cluster, 12, []int{http.StatusOK, http.StatusOK})
+	checkConcurrentWrites(t, cluster, 10, fmt.Sprint(base), oneConflict)
+	checkConcurrentWrites(t, cluster, 12, "", []int{http.StatusOK, http.StatusOK})
 
-	acknowledged := changeSettings(cluster)
+	acknowledged := changeSettings(t, cluster)
 	killed := slices.DeleteFunc(slices.Clone(instanceNames), cluster.Running)
 	if len(killed) != 1 {
 		t.Fatalf("%d instances were killed, want the leader", len(killed))
@@ -51,8 +53,8 @@
 }
 
 // checkConcurrentWrites writes two settings at two instances at the same time, and checks the sorted
-// status codes.
-func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, want []int, header ...string) {
+// status codes. The settings have the marks firstMark and the next one.
+func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, ifMatch string, want []int) {
 	t.Helper()
 	var got [2]response
 	var writers sync.WaitGroup
@@ -61,20 +63,21 @@
 		go func() {
 			defer writers.Done()
 			url := cluster.Addr(instanceNames[i+1], adminPort) + "/v1/settings/" + concurrentService
-			got[i] = request(http.MethodPut, url, server.SettingsText(firstMark+i), header...)
+			got[i] = putSettings(url, server.SettingsText(firstMark+i), ifMatch)
 		}()
 	}
 	writers.Wait()
 	codes := []int{got[0].code, got[1].code}
 	slices.Sort(codes)
 	if !slices.Equal(codes, want) || got[0].version() == got[1].version() {
-		t.Errorf("two concurrent writers, header %v: %v, want %v", header, got, want)
+		t.Errorf("two concurrent writers, If-Match %q: %v, want %v", ifMatch, got, want)
 	}
 }
 
 // changeSettings makes ten changes of ten services each and kills the leader after 30 of them. It
 // returns the acknowledged versions by service, the newest first.
-func changeSettings(cluster *processtest.Cluster) map[string][]uint64 {
+func changeSettings(t *testing.T, cluster *processtest.Cluster) map[string][]uint64 {
+	t.Helper()
 	const services, changes, changesBeforeKill = 10, 10, 30
 	acknowledged := map[string][]uint64{}
 	var mu sync.Mutex
@@ -88,7 +91,7 @@
 			for change := range changes {
 				version := putSettingsAnywhere(cluster, service, server.SettingsText(change))
 				if done.Add(1) == changesBeforeKill {
-					killLeader(cluster)
+					killLeader(t, cluster)
 				}
 				mu.Lock()
 				acknowledged[service] = slices.Insert(acknowledged[service], 0, version)
@@ -100,16 +103,6 @@
 	return acknowledged
 }
 
-// killLeader kills the leader, once there is one, and returns its name.
-func killLeader(cluster *processtest.Cluster) string {
-	name := ""
-	for name == "" {
-		name = leader(cluster)
-	}
-	cluster.Kill(name)
-	return name
-}
-
 // awaitHistory waits until all instances have the same history of a service, up to a version at
 // least, and returns its versions, the newest first.
 func awaitHistory(t *testing.T, cluster *processtest.Cluster, service string, version uint64) []uint64 {
@@ -119,7 +112,7 @@
 		history = commonHistory(cluster, service)
 		return len(history) > 0 && history[0].Version >= version
 	}
-	if err := processtest.Await(30*time.Second, "one history at all instances", agree); err != nil {
+	if err := processtest.Await(historyTimeout, "one history at all instances", agree); err != nil {
 		t.Fatal(err)
 	}
 	var versions []uint64
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return
 	}
-	found := versions[len(versions)-1]
+	found := newestSettings(versions)
 	if text := r.URL.Query().Get("version"); text != "" {
 		version, err := parseUint(text)
 		if err != nil {
@@ -97,7 +97,7 @@
 		found = versions[index]
 	}
 	w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(found.Version, 10)))
-	writeJSON(w, http.StatusOK, found)
+	writeJSON(w, found)
 }
 
 // serveSettingsHistory answers the stored versions of a service's settings, the newest first and
@@ -112,13 +112,13 @@
 	for i := range history {
 		history[i].Text = ""
 	}
-	writeJSON(w, http.StatusOK, history)
+	writeJSON(w, history)
 }
 
 // storedSettings returns the stored versions of the settings of the path's service, the oldest
 // first. If there are none, or this instance may not serve reads, it answers and returns false.
 func (n *Node) storedSettings(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
-	if _, stale := n.rejectStale(w); stale {
+	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return nil, false
 	}
 	service := r.PathValue("service")
@@ -140,11 +140,10 @@
 		Agents:  n.reports.ofService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
-	if versions := n.state.history(service); len(versions) > 0 {
-		reports.Version = versions[len(versions)-1].Version
-	}
+	// Read after the reports, so that no agent has newer settings than the newest.
+	reports.Version = newestSettings(n.state.history(service)).Version
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.Admin
 	}
-	writeJSON(w, http.StatusOK, reports)
+	writeJSON(w, reports)
 }
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -92,31 +92,35 @@
 	return nil
 }
 
-// applySettings applies a committed write of settings and returns its version, or the newest
+// newestSettings returns the last of the stored versions of a service's settings, or the zero
+// SettingsVersion if there are none.
+func newestSettings(versions []SettingsVersion) SettingsVersion {
+	if len(versions) == 0 {
+		return SettingsVersion{}
+	}
+	return versions[len(versions)-1]
+}
+
+// applySettings applies a committed write of settings. It returns the version of the write, the newest
 // version if the text is the same, or a versionConflict. The caller holds mu.
-func (m *stateMachine) applySettings(c command, index uint64) any {
+func (m *stateMachine) applySettings(c command, index uint64) (uint64, error) {
 	versions := m.settings[c.Service]
-	var newest SettingsVersion
-	if len(versions) > 0 {
-		newest = versions[len(versions)-1]
-	}
+	newest := newestSettings(versions)
 	switch {
 	case len(versions) > 0 && newest.Text == c.Text:
-		return newest.Version // possibly a retry of a write whose answer was lost
+		return newest.Version, nil // possibly a retry of a write whose answer was lost
 	case c.IfVersion != nil && *c.IfVersion != newest.Version:
-		return versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		return 0, versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
 	versions = append(versions, written)
 	// A clone, as history returns the slice to readers.
 	m.settings[c.Service] = slices.Clone(versions[max(0, len(versions)-maxSettingsVersions):])
-	changed := m.settingsChannel(c.Service)
-	close(*changed)
-	*changed = make(chan struct{})
-	return index
+	closeAndReplace(m.settingsChannel(c.Service))
+	return index, nil
 }
 
-// settingsChannel is the channel that is closed at the next write of the service's settings. There
+// settingsChannel returns the channel that is closed at the next write of the service's settings. There
 // is a fixed number of channels, which the names hash to, so that names without settings cost no
 // memory; a waiter checks whether the write was one of its own service. The caller holds mu.
 func (m *stateMachine) settingsChannel(service string) *chan struct{} {
@@ -128,11 +132,10 @@
 // settingsNewerThan returns the service's newest settings if they are newer than a version, or
 // nil. The caller holds mu.
 func (m *stateMachine) settingsNewerThan(service string, version uint64) *endpoint.Settings {
-	versions := m.settings[service]
-	if len(versions) == 0 || versions[len(versions)-1].Version <= version {
+	newest := newestSettings(m.settings[service])
+	if newest.Version <= version {
 		return nil
 	}
-	newest := versions[len(versions)-1]
 	return &endpoint.Settings{Service: service, Version: newest.Version, Value: json.RawMessage(newest.Text)}
 }
 
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// operation says what a command does. Its values are part of the stored log.
+// operation is the kind of a command. Its values are part of the stored log.
 type operation string
 
 const (
@@ -23,7 +23,7 @@
 	operationSettings operation = "settings"
 )
 
-// command is one write as it is stored in the Raft log.
+// command is one write in the form in which the Raft log stores it.
 type command struct {
 	Op      operation         `json:"op"`
 	Server  endpoint.Endpoint `json:"server"`
@@ -37,6 +37,14 @@
 	IfVersion *uint64 `json:"if_version,omitempty"`
 }
 
+// target returns the id of the server or the name of the service that the command is about.
+func (c command) target() string {
+	if c.Op == operationSettings {
+		return c.Service
+	}
+	return c.Server.ID
+}
+
 // change is an entry as a write left it, with the Raft index of the write.
 type change struct {
 	Index  uint64            `json:"index"`
@@ -62,7 +70,7 @@
 	maxChanges       int
 	changed          chan struct{} // closed and replaced at each change of a server
 
-	// responses are encoded answers at the present version, for requests that ask the same.
+	// responses are encoded responses at the present version, for requests with the same key.
 	// responsesMu is locked while mu is locked for reading; a change, which replaces responses,
 	// locks mu for writing, which is sufficient.
 	responsesMu sync.Mutex
@@ -88,19 +96,27 @@
 	return m
 }
 
-// Apply applies one committed write and returns its version as a uint64 (raft.FSM); for one of
-// settings see applySettings. A command that can't be decoded changes nothing and returns an error.
+// applyResult is the result of a committed command: the version of the write, or why it changed
+// nothing.
+type applyResult struct {
+	version uint64
+	err     error
+}
+
+// Apply applies one committed write and returns its applyResult (raft.FSM). A command that can't be
+// decoded changes nothing.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
-		return fmt.Errorf("discovery: log entry %d is not a command: %w", entry.Index, err)
+		return applyResult{err: fmt.Errorf("discovery: log entry %d is not a command: %w", entry.Index, err)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c.Op == operationSettings {
-		return m.applySettings(c, entry.Index)
+		version, err := m.applySettings(c, entry.Index)
+		return applyResult{version: version, err: err}
 	}
-	return m.applyServer(c, entry.Index)
+	return applyResult{version: m.applyServer(c, entry.Index)}
 }
 
 // applyServer applies a write of a server's entry and returns its version: its own index; for a put
@@ -144,6 +160,12 @@
 // that were encoded before. The caller holds mu.
 func (m *stateMachine) notifyWatches() {
 	m.responses = map[responseKey][]byte{}
-	close(m.changed)
-	m.changed = make(chan struct{})
+	closeAndReplace(&m.changed)
+}
+
+// closeAndReplace wakes every goroutine that waits for a channel, and opens another one for the next
+// change.
+func closeAndReplace(changed *chan struct{}) {
+	close(*changed)
+	*changed = make(chan struct{})
 }
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -15,6 +15,9 @@
 // busy machine.
 const staleBound = 4500 * time.Millisecond
 
+// timeBeforeOutage is how long clients write before an outage.
+const timeBeforeOutage = time.Second
+
 // failoverTime is the length of an outage in which the other instances have elected a leader and
 // acknowledged writes.
 const failoverTime = 5 * time.Second
@@ -86,9 +89,10 @@
 
 // runOutage runs one outage and checks the history.
 func runOutage(t *testing.T, c outageCase, outage time.Duration) {
+	t.Helper()
 	cluster := startFaultCluster(t, instanceNames, "")
 	cluster.startClients(4)
-	time.Sleep(time.Second)
+	time.Sleep(timeBeforeOutage)
 	failing := c.failing(cluster)
 	leader := cluster.leader()
 	for _, name := range failing {
@@ -109,7 +113,7 @@
 	healed := time.Now()
 	cluster.await("a write after the outage", func() bool { return len(cluster.history.acknowledged()) > during+10 })
 	resumed := time.Since(healed)
-	if err := cluster.stopAndCheck(staleBound); err != nil {
+	if err := cluster.stopAndCheck(); err != nil {
 		t.Error(err)
 	}
 	if minority := len(failing) == 1; minority && outage >= failoverTime && during == before {
@@ -118,6 +122,7 @@
 	if now := cluster.pids(); !maps.Equal(pids, now) {
 		t.Errorf("processes were %v, are %v", pids, now)
 	}
-	t.Logf("%v failed for %v: %d writes acknowledged before and %d in it, the next after %v, all instances alike after %v",
-		failing, outage, before, during-before, resumed, time.Since(healed))
+	t.Logf("%v failed for %v: %d writes acknowledged before and %d during the outage",
+		failing, outage, before, during-before)
+	t.Logf("writes again %v and the same list everywhere %v after the outage", resumed, time.Since(healed))
 }
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"testing"
 
+	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -32,14 +33,14 @@
 	if out := after.Reads.Out - before.Reads.Out; out < bodyBytes || out > bodyBytes+reads*maxHeaderBytes {
 		t.Errorf("%d bytes sent were counted, bodies had %d", out, bodyBytes)
 	}
-	for name, counts := range map[string][2]uint64{
-		"bytes received by reads": {before.Reads.In, after.Reads.In},
-		"bytes sent by Raft":      {before.Raft.Out, after.Raft.Out},
-		"bytes received by Raft":  {before.Raft.In, after.Raft.In},
-		"messages of Raft":        {before.Raft.Messages, after.Raft.Messages},
-		"admin requests":          {before.Admin.Messages, after.Admin.Messages},
+	for name, count := range map[string]func(server.Usage) uint64{
+		"bytes received by reads": func(usage server.Usage) uint64 { return usage.Reads.In },
+		"bytes sent by Raft":      func(usage server.Usage) uint64 { return usage.Raft.Out },
+		"bytes received by Raft":  func(usage server.Usage) uint64 { return usage.Raft.In },
+		"messages of Raft":        func(usage server.Usage) uint64 { return usage.Raft.Messages },
+		"admin requests":          func(usage server.Usage) uint64 { return usage.Admin.Messages },
 	} {
-		if counts[0] == counts[1] {
+		if count(before) == count(after) {
 			t.Errorf("no %s were counted: %+v, before %+v", name, after, before)
 		}
 	}
@@ -59,11 +60,11 @@
 // readListBytes reads the full list on a connection of the default client, and returns its length.
 func readListBytes(t *testing.T, address string) uint64 {
 	t.Helper()
-	resp, err := http.Get("http://" + address + "/api/targets")
+	resp, err := get(t.Context(), http.DefaultClient, address+"/api/targets")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer closeBody(resp)
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%s: %v", resp.Status, err)
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -73,7 +73,7 @@
 	if err == nil && request.service != "" && request.agent != "" {
 		n.reports.record(request.service, request.agent, request.report, time.Now())
 	}
-	if _, stale := n.rejectStale(w); stale {
+	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return
 	}
 	if err != nil {
@@ -95,19 +95,19 @@
 	defer timeout.Stop()
 	answerNow := request.wait == 0
 	for {
-		remaining, stale := n.rejectStale(w)
+		remaining, stale := n.rejectStale(ctx, w)
 		if stale {
 			return
 		}
-		response, changed, settingsChanged := n.state.changesSince(request.watchQuery)
+		response := n.state.changesSince(request.watchQuery)
 		if response.hasUpdate || answerNow {
 			writeList(w, response.body)
 			return
 		}
 		select {
-		case <-changed:
+		case <-response.changed:
 			answerNow = true // also if it turns out to be no change for this watch
-		case <-settingsChanged: // possibly those of another service, so it checks again
+		case <-response.settingsChanged: // possibly those of another service, so it checks again
 		case <-timeout.C:
 			answerNow = true
 		case <-time.After(remaining): // check again whether the list is fresh
@@ -122,5 +122,5 @@
 // writeList answers with an encoded endpoint.List.
 func writeList(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // the client is gone: nobody is left to report to
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -8,17 +8,23 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
-	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// openWatchElectionTimeout is the election timeout of the instances of TestOpenWatchEndsWithItsLeader.
+	openWatchElectionTimeout = 300 * time.Millisecond
+	// slowLinkDelay is the delay from the leader to a follower in TestWatchFromUnknownVersion.
+	slowLinkDelay = 150 * time.Millisecond
 )
 
 // TestOpenWatchEndsWithItsLeader: a watch that is open at an instance ends with 503 within max_stale,
 // as a new read would, once the instance is alone: a follower that lost its leader, and a leader that
 // lost its followers.
 func TestOpenWatchEndsWithItsLeader(t *testing.T) {
-	for _, state := range []string{"Follower", "Leader"} {
-		t.Run(state, func(t *testing.T) {
+	for _, state := range []server.MemberState{server.StateFollower, server.StateLeader} {
+		t.Run(string(state), func(t *testing.T) {
 			t.Parallel()
-			configs, nodes := startThreeNodes(t, 300*time.Millisecond)
+			configs, nodes := startThreeNodes(t, openWatchElectionTimeout)
 			remaining, version := awaitState(t, configs, state)
 			result := make(chan response, 1)
 			startedAt := time.Now()
@@ -26,10 +32,10 @@
 			go func() { result <- request(http.MethodGet, url, "") }()
 			for i, node := range nodes {
 				if i != remaining {
-					node.Close()
+					closeNode(t, node)
 				}
 			}
-			// The client of request has a timeout of 6 s.
+			// The wait for the response is bounded by writeTimeout.
 			if got := <-result; got.code != http.StatusServiceUnavailable {
 				t.Errorf("after %v: %v, want 503", time.Since(startedAt), got)
 			}
@@ -39,7 +45,7 @@
 
 // awaitState writes an entry, and waits for an instance in a Raft state that has applied it. It returns
 // the number of the instance and the version of the write.
-func awaitState(t *testing.T, configs []server.Config, state string) (instance int, version uint64) {
+func awaitState(t *testing.T, configs []server.Config, state server.MemberState) (instance int, version uint64) {
 	t.Helper()
 	instance = -1
 	found := func() bool {
@@ -52,9 +58,7 @@
 		}
 		return instance >= 0
 	}
-	if err := processtest.Await(startTimeout, "an instance in state "+state, found); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "an instance in state "+string(state), found)
 	return instance, version
 }
 
@@ -68,9 +72,7 @@
 		leaderName = leader(cluster)
 		return leaderName != "" && putServerAnywhere(cluster, "s-1") != 0 && allList(cluster, []string{"s-1"})
 	}
-	if err := processtest.Await(startTimeout, "a leader and a write at every instance", allHaveWrite); err != nil {
-		t.Fatal(err)
-	}
+	mustAwait(t, "a leader and a write at every instance", allHaveWrite)
 	for _, name := range instanceNames {
 		url := cluster.Addr(name, httpPort) + "/api/targets?wait=500&index=99999"
 		list := request(http.MethodGet, url, "").list(t)
@@ -83,13 +85,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slowLink.SetDelay(150 * time.Millisecond)
+	slowLink.SetDelay(slowLinkDelay)
 	for i := range 5 {
 		version := putServer(cluster.Addr(leaderName, adminPort), fmt.Sprint("new-", i))
 		url := fmt.Sprintf("%s/api/targets?wait=0&index=%d", cluster.Addr(follower, httpPort), version)
 		got := request(http.MethodGet, url, "")
 		if got.code == http.StatusServiceUnavailable {
-			continue // it can't tell: the client would go on to another instance
+			continue // it does not know the version yet; a client would continue at another instance
 		}
 		if list := got.list(t); list.Version < version || list.Full {
 			t.Errorf("the watch from version %d got %+v from a slow follower", version, list)
