--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -1,3 +1,5 @@
+// Package admin is the operators' HTTP endpoint: readiness, drain and the membership view. Its server runs a goroutine
+// for each call, which never waits for the event loop.
 package admin
 
 import (
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,10 +1,17 @@
-// Package agent runs the balancing policy as a real load balancer: client connections on one side, servers and
-// discovery on the other, and an event loop between them that turns what happens into the policy's events and
-// carries out its actions.
+// Package agent runs the balancing policy as a real load balancer. It makes the parts of an agent, which are packages
+// below it, joins them, and owns the order of their start and of their shutdown:
 //
-// Files are grouped by prefix: downstream_* and client_* serve the clients, upstream_* and connection_pool the
-// servers, discovery_* and settings_watch the discovery service, config* the configuration, admin_server the
-// operators; event_loop, request, attempt, endpoint_list and reload connect them.
+//   - downstream serves the clients, and knows the event loop only as its Dispatcher;
+//   - dispatch is the event loop, which owns the policy, the requests in flight and the endpoint list;
+//   - upstream has the connections to servers and makes attempts;
+//   - discovery makes the calls for the endpoint list and for settings;
+//   - admin answers the operators;
+//   - config reads and checks the configuration;
+//   - message has what downstream, dispatch and upstream pass to each other; socket and keyhash are helpers;
+//   - agenttest has servers, discoveries and clients for tests.
+//
+// The goroutine of Agent.Run applies reloads and settings of the discovery service; it decides nothing about
+// requests.
 package agent
 
 import (
@@ -43,6 +50,7 @@
 	admin      *admin.Server // nil until Run
 	membership atomic.Pointer[membership.Membership]
 
+	//nolint:containedctx // the loop outlives the context of Run
 	running  context.Context    // done once the loop is to end
 	stopLoop context.CancelFunc // ends the loop, and everything that has its context
 	loopDone chan struct{}      // closed once the loop has ended
@@ -50,8 +58,9 @@
 	// settingsUpdates takes settings of the discovery service until servingDone is closed.
 	settingsUpdates chan settingsUpdate
 	servingDone     chan struct{}
-	killed          context.Context
-	kill            context.CancelFunc
+	//nolint:containedctx // Kill may be called at any time, also before Run
+	killed context.Context
+	kill   context.CancelFunc
 }
 
 // Run makes an agent and runs it as Agent.Run does.
@@ -149,7 +158,7 @@
 	return []message.Quota{a.downstream.BodyBudget(), a.pool.BodyBudget()}
 }
 
-// Shutdown ends the agent gracefully: it answers the open requests within DrainTime while it leaves the
+// shutdown ends the agent gracefully: it answers the open requests within DrainTime while it leaves the
 // membership, and stops the loop last, which the open requests need until their end.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
 	left := leaveMembership(member)
@@ -167,7 +176,7 @@
 	return nil
 }
 
-// Serve serves until stop is done, and returns how long open requests may be finished from then on.
+// serve serves until stop is done, and returns how long open requests may be finished from then on.
 func (a *Agent) serve(
 	stop context.Context, reloads <-chan *config.Config, limits *sharedLimits,
 ) (openRequestTime time.Duration, err error) {
@@ -190,7 +199,12 @@
 		firstListTimer = time.After(firstListTimeout)
 	}
 	usable := a.usable
-	active := &activeConfig{cfg: a.cfg, downstream: a.downstream, loop: a.loop, drainTime: downstream.DrainTime(&a.cfg.Settings)}
+	active := &activeConfig{
+		cfg:        a.cfg,
+		downstream: a.downstream,
+		loop:       a.loop,
+		drainTime:  downstream.DrainTime(&a.cfg.Settings),
+	}
 	for {
 		select {
 		case <-usable:
@@ -225,7 +239,7 @@
 	ended <- a.downstream.Serve()
 }
 
-// ApplySettings hands settings of the discovery service to serve, and returns once they are in force. An error
+// applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
 // says why they are not: ErrAgentStopping once nothing is applied any more.
 func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
 	update := settingsUpdate{settings: settings, done: make(chan error, 1)}
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -1,3 +1,4 @@
+// Package agenttest has servers, discoveries, clients and faults for the tests of an agent's packages.
 package agenttest
 
 import (
--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -1,3 +1,5 @@
+// Package config reads and checks the configuration of an agent: its file, the environment, and settings of the
+// discovery service. A Config is not changed once it is in use, but replaced.
 package config
 
 import (
@@ -70,6 +72,7 @@
 	OnMemoryLimit func(bytes int64)
 }
 
+// SystemClock is the machine's clock.
 func (c *Config) SystemClock() clock.Clock {
 	if c.Clock == nil {
 		return clock.System()
@@ -77,6 +80,7 @@
 	return c.Clock
 }
 
+// Logger takes the agent's lines.
 func (c *Config) Logger() *slog.Logger {
 	if c.Log == nil {
 		return slog.Default()
--- a/internal/agent/config/limits.go
+++ b/internal/agent/config/limits.go
@@ -15,18 +15,21 @@
 	reserveDivisor = 8
 	// bytesPerMiB converts the memory limit.
 	bytesPerMiB = 1 << 20
+	// memoryLimitNumerator and memoryLimitDenominator make the part of the memory that MemoryLimit returns.
+	memoryLimitNumerator, memoryLimitDenominator = 3, 4
 	// minReserve lets two processes run side by side with two admin connections each.
 	minReserve = 2 * (fixedSockets + 2)
 )
 
-// ClientConns and ServerConns divide the descriptors: neither side can use the other's, nor the reserve, which
-// is for admin connections and for fixedSockets.
+// ClientConns is the number of client connections: half of the descriptors beside the reserve, which is for admin
+// connections and for fixedSockets.
 func (c *Config) ClientConns() int {
 	sockets := c.ownSockets()
 	reserve := max(sockets/reserveDivisor, minReserve)
 	return (sockets - reserve) / 2
 }
 
+// ServerConns is the number of connections to servers: the other half.
 func (c *Config) ServerConns() int { return c.ClientConns() }
 
 // AdminConns is the number of admin connections of a process where the reserve is shared by so many processes.
@@ -45,4 +48,6 @@
 
 // MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
 // agent would be killed.
-func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) * bytesPerMiB * 3 / 4 }
+func (c *Config) MemoryLimit() int64 {
+	return int64(c.MemoryMB) * bytesPerMiB * memoryLimitNumerator / memoryLimitDenominator
+}
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Forget forgets the attempts up to now.
+// forget forgets the attempts up to now.
 func (d *deadlineRecorder) forget() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -1,3 +1,6 @@
+// Package discovery calls the discovery service for the endpoint list and for settings: one call at a time for the
+// list, and a watch that goes round several addresses. Each call runs in a goroutine of its own. The package does
+// not decide when to call again after a failure, unless the client keeps its own watch.
 package discovery
 
 import (
@@ -32,6 +35,8 @@
 	maxCallsPerSecond, maxCallBurst = 10, 10
 	// maxListBytes bounds a response of discovery.
 	maxListBytes = 8 << 20
+	// maxConns and maxIdleConns bound the connections to an address.
+	maxConns, maxIdleConns = 4, 2
 	// targetsPath is the path of the endpoint list at discovery.
 	targetsPath = "/api/targets"
 )
@@ -100,8 +105,8 @@
 	}
 	d.client = &http.Client{Transport: &http.Transport{
 		DialContext:         d.dial,
-		MaxIdleConnsPerHost: 2,
-		MaxConnsPerHost:     4,
+		MaxIdleConnsPerHost: maxIdleConns,
+		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
@@ -146,6 +151,7 @@
 	d.client.CloseIdleConnections()
 }
 
+// CurrentSource is where discovery is now.
 func (d *Client) CurrentSource() *Source {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/discovery/source.go
+++ b/internal/agent/discovery/source.go
@@ -12,6 +12,7 @@
 // Source is where discovery is: at one address, or at several that return the same list.
 type Source struct {
 	addressRing
+	//nolint:containedctx // a move ends the calls to the source, whoever made them
 	moved     context.Context // done once discovery is elsewhere
 	markMoved context.CancelFunc
 	// version is what the watch has reached, by the source's own count; 0: the full list is still to be asked
@@ -33,7 +34,7 @@
 	}
 }
 
-// LastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
+// lastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
 func (s *Source) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
 
 // countOlderAnswer counts an answer with an older version. Once all addresses have given one, discovery has
--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// Attempt is one forwarding of a request to a server.
+// attempt is one forwarding of a request to a server.
 type attempt struct {
 	server    *listedServer
 	cancel    context.CancelFunc // nil: it was never started
--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -3,21 +3,25 @@
 import (
 	"log/slog"
 
-	"fernbeam.example/fernbeam/internal/agent/downstream"
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// The event loop is the dispatcher of the downstream server: each method posts its work to the loop.
+// Loop is the Dispatcher of the downstream server: each method posts its work to the loop.
 
+// Dispatch gives a client's request to the policy.
 func (l *Loop) Dispatch(c *message.Request) { l.Post(func() { l.startRequest(c) }) }
 
+// Abandon ends a request whose client no longer waits for the response.
 func (l *Loop) Abandon(c *message.Request) { l.Post(func() { l.discardResponse(c) }) }
 
+// CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
 func (l *Loop) CancelStreaming() { l.Post(l.cancelSending) }
 
+// EndAll gives every open request its final response.
 func (l *Loop) EndAll() { l.Post(l.endRequests) }
 
+// AcceptFailed counts and logs an accept that failed temporarily.
 func (l *Loop) AcceptFailed(err error) {
 	l.Post(func() {
 		l.metrics.AcceptFailures++
@@ -25,13 +29,15 @@
 	})
 }
 
-func (l *Loop) InvalidRequest(id, from string, invalid *downstream.RequestError) {
+// InvalidRequest counts and logs what came in that is not a request of the protocol.
+func (l *Loop) InvalidRequest(id, from string, invalid *message.RequestError) {
 	l.Post(func() {
 		l.metrics.Invalid++
 		l.lines.limited(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.Status, "err", invalid)
 	})
 }
 
+// ResponseAborted counts and logs a response that was begun and not passed on completely.
 func (l *Loop) ResponseAborted(c *message.Request, fromServer, toClient error) {
 	l.Post(func() { l.logAborted(c, fromServer, toClient) })
 }
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -17,6 +17,8 @@
 	inFlight   int           // attempts and health checks in flight
 }
 
+const bitsPerByte = 8
+
 // endpointList holds the servers that discovery lists, by their id and by the policy's address for them. It
 // belongs to the event loop.
 type endpointList struct {
@@ -61,7 +63,7 @@
 	for {
 		var addr balancer.Addr
 		for i := range addr {
-			addr[i] = byte(hash >> (8 * i))
+			addr[i] = byte(hash >> (bitsPerByte * i))
 		}
 		if t.byAddr[addr] == nil {
 			return addr
@@ -142,6 +144,8 @@
 		return balancer.Ready
 	case endpoint.StateRemoved:
 		return balancer.Removed
+	case endpoint.StateDraining:
+		return balancer.Draining
 	}
 	return balancer.Draining
 }
@@ -154,7 +158,7 @@
 	return len(index)
 }
 
-// Forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
+// forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
 func (t *endpointList) forget(server *listedServer) {
 	if server.removed && server.inFlight == 0 && t.byID[server.id] == server {
 		delete(t.byID, server.id)
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -90,7 +90,8 @@
 // applyList puts a list in force.
 func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, full bool, context listContext) {
 	l.list.version = list.Version
-	changes := l.endpoints.apply(list, full, func(t *endpoint.Endpoint) float64 { return l.startTimes.resolve(t, context) })
+	started := func(entry *endpoint.Endpoint) float64 { return l.startTimes.resolve(entry, context) }
+	changes := l.endpoints.apply(list, full, started)
 	for _, addr := range changes.staleAddrs {
 		l.pool.CloseIdle(addr)
 	}
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -1,3 +1,7 @@
+// Package dispatch is the event loop of an agent. One goroutine, Loop.Run, owns the policy, the requests in flight and
+// the endpoint list: it turns what happens into the policy's events and carries out the policy's actions, after a
+// check against the rules of the request. It never blocks; whatever may wait runs in a goroutine of its own and
+// posts its end.
 package dispatch
 
 import (
@@ -25,7 +29,8 @@
 // Loop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
 // reaches it through post. It never blocks: whatever may wait runs in a goroutine of its own.
 type Loop struct {
-	cfg       *config.Config
+	cfg *config.Config
+	//nolint:containedctx // whoever posts must not wait for a loop that has ended
 	ctx       context.Context
 	balancer  *policy.Balancer
 	endpoints *endpointList
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -19,7 +19,7 @@
 	maxPolicyMargin, policyTimeLeftPart = 8 * time.Millisecond, 8
 )
 
-// Request is a Request in the event loop, until it has a final response and no attempt is in flight.
+// request is a Request in the event loop, until it has a final response and no attempt is in flight.
 type request struct {
 	id          balancer.RequestID
 	client      *message.Request
@@ -38,7 +38,7 @@
 	return min(maxBackstopMargin, r.client.Timeout/backstopTimeoutPart)
 }
 
-// RespondBy is when the backstop responds; no attempt continues after it.
+// respondBy is when the backstop responds; no attempt continues after it.
 func (r *request) respondBy() time.Time {
 	return r.client.Deadline.Add(-r.backstopMargin())
 }
--- a/internal/agent/dispatch/request_table.go
+++ b/internal/agent/dispatch/request_table.go
@@ -16,7 +16,7 @@
 	return &requestTable{byID: map[balancer.RequestID]*request{}}
 }
 
-// Open numbers and counts a client's request, which is not in the table yet.
+// open numbers and counts a client's request, which is not in the table yet.
 func (t *requestTable) open(c *message.Request) *request {
 	t.lastID++
 	t.unanswered++
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -20,7 +20,7 @@
 type listContext struct {
 	// older tells that its version is lower than that of the list in force.
 	older bool
-	// LastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
+	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
 	// listed by then. 0: it had not responded before, or the full list was asked for.
 	lastAnswer time.Duration
 }
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -14,7 +14,7 @@
 // drainSweepInterval is how often idle connections are closed while the downstream server drains.
 const drainSweepInterval = 50 * time.Millisecond
 
-// ClientConns closes the client connections that have been idle longest when there are nearly as many as are
+// clientConns closes the client connections that have been idle longest when there are nearly as many as are
 // allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
 //
 // It checks both when a connection is accepted and when one becomes idle. At the limit none is accepted any
@@ -178,7 +178,7 @@
 	return allClosed
 }
 
-// Size is the number of open connections.
+// size is the number of open connections.
 func (c *clientConns) size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -20,12 +20,12 @@
 	c.Response <- message.Response{Kind: message.Served, Header: http.Header{}, Body: &message.ResponseBody{}}
 }
 
-func (*testDispatcher) Abandon(*message.Request)                       {}
-func (*testDispatcher) CancelStreaming()                               {}
-func (*testDispatcher) EndAll()                                        {}
-func (*testDispatcher) AcceptFailed(error)                             {}
-func (*testDispatcher) InvalidRequest(string, string, *RequestError)   {}
-func (*testDispatcher) ResponseAborted(*message.Request, error, error) {}
+func (*testDispatcher) Abandon(*message.Request)                             {}
+func (*testDispatcher) CancelStreaming()                                     {}
+func (*testDispatcher) EndAll()                                              {}
+func (*testDispatcher) AcceptFailed(error)                                   {}
+func (*testDispatcher) InvalidRequest(string, string, *message.RequestError) {}
+func (*testDispatcher) ResponseAborted(*message.Request, error, error)       {}
 
 // startServer serves the clients that connect to a listener by a testDispatcher.
 func startServer(t *testing.T, ln net.Listener) (*Server, *testDispatcher) {
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -20,7 +20,8 @@
 // without a descriptor.
 type clientListener struct {
 	net.Listener
-	slots     message.Quota
+	slots message.Quota
+	//nolint:containedctx // Close ends an Accept that waits for a slot
 	open      context.Context
 	stop      context.CancelFunc
 	finishing atomic.Bool // Accept ends once no connection waits
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -12,24 +12,16 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// RequestError says why a client's request is not one of the protocol, and the status of the response. It is
-// never a rejection, which would tell the client to send the same again.
-type RequestError struct {
-	Status  int
-	message string
-}
-
-func (e *RequestError) Error() string { return e.message }
-
-func badRequest(format string, args ...any) *RequestError {
-	return &RequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// badRequest is the error of a request that breaks the protocol.
+func badRequest(format string, args ...any) *message.RequestError {
+	return &message.RequestError{Status: http.StatusBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
 // readRequest reads a client's request, with its body as far as that is buffered. The caller releases reserved
 // bytes of the body budget, also after an error.
 func (s *Server) readRequest(
 	w http.ResponseWriter, req *http.Request,
-) (c *message.Request, reserved int64, invalid *RequestError) {
+) (c *message.Request, reserved int64, invalid *message.RequestError) {
 	if invalid := checkProtocol(req); invalid != nil {
 		return nil, 0, invalid
 	}
@@ -64,22 +56,30 @@
 }
 
 // checkProtocol checks what does not depend on the request's class.
-func checkProtocol(req *http.Request) *RequestError {
+func checkProtocol(req *http.Request) *message.RequestError {
 	switch {
 	case !req.ProtoAtLeast(1, 1):
 		// Before 1.1 chunks don't count, and a body framed by them would be read as requests.
-		return &RequestError{http.StatusHTTPVersionNotSupported, req.Proto + " is not spoken here"}
+		return &message.RequestError{
+			Status:  http.StatusHTTPVersionNotSupported,
+			Message: req.Proto + " is not spoken here",
+		}
 	case req.Method != http.MethodGet && req.Method != http.MethodPost:
-		return &RequestError{http.StatusMethodNotAllowed, fmt.Sprintf("method %s is not allowed", req.Method)}
+		return &message.RequestError{
+			Status:  http.StatusMethodNotAllowed,
+			Message: fmt.Sprintf("method %s is not allowed", req.Method),
+		}
 	case req.ContentLength > message.MaxRequestBody:
-		message := fmt.Sprintf("body over %d bytes", message.MaxRequestBody)
-		return &RequestError{http.StatusRequestEntityTooLarge, message}
+		return &message.RequestError{
+			Status:  http.StatusRequestEntityTooLarge,
+			Message: fmt.Sprintf("body over %d bytes", message.MaxRequestBody),
+		}
 	}
 	return nil
 }
 
 // readHeader reads the request's header fields, by the rules of its class.
-func readHeader(c *message.Request, classes *requestClasses) *RequestError {
+func readHeader(c *message.Request, classes *requestClasses) *message.RequestError {
 	c.Rules = classes.rules[c.Header.Get("Request-Class")]
 	if c.Rules == nil {
 		return badRequest("unknown Request-Class")
@@ -112,7 +112,7 @@
 // readRequestBody reads the part of the body that is buffered, and leaves the rest as a stream.
 func (s *Server) readRequestBody(
 	c *message.Request, w http.ResponseWriter, req *http.Request,
-) (reserved int64, invalid *RequestError) {
+) (reserved int64, invalid *message.RequestError) {
 	body := &message.ClientBody{
 		Control: http.NewResponseController(w),
 		From:    http.MaxBytesReader(w, req.Body, message.MaxRequestBody),
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -1,3 +1,6 @@
+// Package downstream serves the clients: it accepts their connections, reads requests, hands them to a Dispatcher and
+// writes the final responses, and it drains the connections at a shutdown. Each connection has a goroutine of
+// net/http's. The package decides nothing about where a request goes.
 package downstream
 
 import (
@@ -47,7 +50,7 @@
 	// AcceptFailed counts and logs an accept that failed temporarily.
 	AcceptFailed(err error)
 	// InvalidRequest counts and logs what came in that is not a request of the protocol.
-	InvalidRequest(id, from string, invalid *RequestError)
+	InvalidRequest(id, from string, invalid *message.RequestError)
 	// ResponseAborted counts and logs a response that was begun and not passed on completely.
 	ResponseAborted(c *message.Request, fromServer, toClient error)
 }
@@ -84,7 +87,7 @@
 func New(
 	ctx context.Context, cfg *config.Config, ln net.Listener, shared bool, requests Dispatcher, onDrain func(bool),
 ) *Server {
-	f := &Server{
+	s := &Server{
 		dispatcher: requests,
 		shared:     shared,
 		log:        cfg.Logger(),
@@ -92,23 +95,23 @@
 		conns:      newClientConns(cfg.ClientConns()),
 		onDrain:    onDrain,
 	}
-	f.ApplySettings(cfg)
+	s.ApplySettings(cfg)
 	accepting := listener.New(ln, func(err error, _ uint64) { requests.AcceptFailed(err) })
-	f.listener = newClientListener(accepting, f.conns.slots)
-	f.server = &http.Server{
-		Handler:           f,
+	s.listener = newClientListener(accepting, s.conns.slots)
+	s.server = &http.Server{
+		Handler:           s,
 		ReadHeaderTimeout: RequestHeadTimeout,
 		WriteTimeout:      writeTimeout,
 		IdleTimeout:       keepAliveTimeout,
 		MaxHeaderBytes:    maxRequestHead,
-		ConnState:         f.conns.track,
+		ConnState:         s.conns.track,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
-		ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelWarn),
+		ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 	}
-	return f
+	return s
 }
 
 // requestClasses has the rules of each class by its name, and what else the settings say of requests. It is
@@ -242,7 +245,7 @@
 // writeInvalid answers what is not a request of the protocol, and has its connection closed: what follows it
 // may not be a request either.
 func (s *Server) writeInvalid(
-	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *RequestError,
+	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *message.RequestError,
 ) {
 	_ = control.SetReadDeadline(time.Now().Add(message.BadRequestReadTime)) // without deadlines it is not a client's
 	s.dispatcher.InvalidRequest(req.Header.Get("Request-Id"), req.RemoteAddr, invalid)
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -120,7 +120,7 @@
 	return lines
 }
 
-// Do sends a request and returns the response's status, header and body.
+// do sends a request and returns the response's status, header and body.
 func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	return agenttest.Do(a.t, req)
--- a/internal/agent/keyhash/keyhash.go
+++ b/internal/agent/keyhash/keyhash.go
@@ -1,3 +1,4 @@
+// Package keyhash hashes keys, ids and addresses in the same way at every agent.
 package keyhash
 
 import "hash/fnv"
@@ -12,9 +13,16 @@
 	return 1
 }
 
+// The constants of MurmurHash3's finalizer.
+const (
+	mixShift   = 33
+	mixFactor1 = 0xff51afd7ed558ccd
+	mixFactor2 = 0xc4ceb9fe1a85ec53
+)
+
 // Mix spreads what differs in a hash's low bits over all of it (the finalizer of MurmurHash3).
 func Mix(h uint64) uint64 {
-	h = (h ^ h>>33) * 0xff51afd7ed558ccd
-	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
-	return h ^ h>>33
+	h = (h ^ h>>mixShift) * mixFactor1
+	h = (h ^ h>>mixShift) * mixFactor2
+	return h ^ h>>mixShift
 }
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -1,8 +1,8 @@
 package agent
 
 import (
-	"context"
 	"net"
+	"sync"
 )
 
 // Listeners are the sockets that one agent listens on.
@@ -19,17 +19,17 @@
 
 // unusedListener is a listener that accepts nobody.
 type unusedListener struct {
-	closed context.Context
-	close  context.CancelFunc
+	closed chan struct{}
+	close  func() // closes closed, once
 }
 
 func newUnusedListener() unusedListener {
-	closed, stop := context.WithCancel(context.Background())
-	return unusedListener{closed, stop}
+	closed := make(chan struct{})
+	return unusedListener{closed, sync.OnceFunc(func() { close(closed) })}
 }
 
 func (l unusedListener) Accept() (net.Conn, error) {
-	<-l.closed.Done()
+	<-l.closed
 	return nil, net.ErrClosed
 }
 
--- a/internal/agent/message/message.go
+++ b/internal/agent/message/message.go
@@ -1,3 +1,6 @@
+// Package message has what the two sides of an agent pass to each other through the event loop: a client's request, its
+// one final response, their bodies, and the quotas that bound buffered bytes. It starts a goroutine only for a body
+// that is streamed from a server.
 package message
 
 import (
@@ -9,8 +12,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Request is a client's request as the downstream server read it, with the channel for its response.
+// Request is a client's request as the downstream server read it, with the channel for its response. The dispatcher
+// owns it from Dispatch on.
 type Request struct {
+	//nolint:containedctx // a request lives as long as its client waits, across goroutines
 	Context      context.Context // ends with the client's connection
 	ClientGone   func() bool     // checks whether the client has closed without notice; nil: it can't be checked
 	ID           string          // the client's Request-Id
@@ -32,10 +37,11 @@
 // ResponseKind says what became of a request.
 type ResponseKind uint8
 
+// The values of ResponseKind.
 const (
-	Served ResponseKind = iota
-	Rejected
-	Failed
+	Served   ResponseKind = iota // a server's response, whose status was 200
+	Rejected                     // no server has executed the request: a retry is harmless
+	Failed                       // any other end
 )
 
 // Response is the one final response to a Request.
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -10,16 +10,21 @@
 // of the process need grows with the connections, which the descriptors bound.
 const bodyBudgetPart = 6
 
+const bytesPerMiB = 1 << 20
+
 // Quota bounds how much of something the process may have.
 type Quota struct {
 	*semaphore.Weighted
 	Size int64
 }
 
+// NewQuota makes a quota of a size.
 func NewQuota(size int64) Quota { return Quota{semaphore.NewWeighted(size), size} }
 
 // NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many MiB of memory.
-func NewBodyBudget(memoryMB int) Quota { return NewQuota(int64(memoryMB) << 20 / bodyBudgetPart) }
+func NewBodyBudget(memoryMB int) Quota {
+	return NewQuota(int64(memoryMB) * bytesPerMiB / bodyBudgetPart)
+}
 
 // ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. It tells
 // whether that is all of the body, and how many bytes of the budget are reserved, also after an error.
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -1,3 +1,5 @@
+// Package socket looks at sockets without waiting: whether the peer has closed, whether an idle connection is still
+// usable, and what has arrived.
 package socket
 
 import (
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -1,3 +1,6 @@
+// Package upstream makes attempts at servers: it keeps a pool of connections, writes one message on a connection, reads
+// its response, and says how the attempt ended and whether it may have executed. An attempt runs in the goroutine of
+// its caller. The package never sends a message that may have executed again.
 package upstream
 
 import (
@@ -44,6 +47,7 @@
 	idleTimes       idleTimeModel
 }
 
+// NewPool makes the pool of an agent with a configuration.
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
 		maxConns: cfg.ServerConns(),
@@ -126,7 +130,7 @@
 	return nil, 0
 }
 
-// Open opens a connection, for which it closes an idle one at the limit.
+// open opens a connection, for which it closes an idle one at the limit.
 func (p *Pool) open(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	until, err := p.reserve(deadline)
 	if err != nil {
@@ -159,6 +163,7 @@
 	return clock.Earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
+// DialTCP opens a TCP connection to a server until a time.
 func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
@@ -187,7 +192,7 @@
 	_ = conn.Close() // it is given up, whatever its state
 }
 
-// Release keeps a connection for the next message to its server, unless that is not to have any.
+// release keeps a connection for the next message to its server, unless that is not to have any.
 func (p *Pool) release(conn *serverConn, server *Server) {
 	conn.setDeadline(time.Time{})
 	conn.idleSince = time.Now()
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -40,12 +40,17 @@
 	switch {
 	case status != balancer.StatusOK:
 		return discardResponseBody(conn, resp, status)
-	case resp.ContentLength >= 0 && resp.ContentLength <= message.MaxBufferedBody && p.budget.TryAcquire(resp.ContentLength):
+	case mayBuffer(resp) && p.budget.TryAcquire(resp.ContentLength):
 		return p.readBufferedBody(conn, resp)
 	}
 	return p.readStreamedBody(conn, server, resp)
 }
 
+// mayBuffer tells whether a response's body has a given length that may be buffered.
+func mayBuffer(resp *http.Response) bool {
+	return resp.ContentLength >= 0 && resp.ContentLength <= message.MaxBufferedBody
+}
+
 // discardResponseBody reads the body of a response that is not passed on: it must be complete for the
 // connection to be used again.
 func discardResponseBody(conn *serverConn, resp *http.Response, status balancer.Status) exchangeResult {
@@ -81,7 +86,11 @@
 func (p *Pool) readStreamedBody(
 	conn *serverConn, server *Server, resp *http.Response,
 ) exchangeResult {
-	body := &message.ResponseBody{Length: resp.ContentLength, Budget: p.budget, Stream: message.NewBodyStream(conn, resp.Body)}
+	body := &message.ResponseBody{
+		Length: resp.ContentLength,
+		Budget: p.budget,
+		Stream: message.NewBodyStream(conn, resp.Body),
+	}
 	body.Stream.Close = func(complete bool) {
 		if complete && conn.reusableAfter(resp) {
 			p.release(conn, server)
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -153,6 +153,7 @@
 // serverWriter writes a streamed body to a server, with a deadline for each chunk and not for the whole: no
 // later than the client's if its last byte has come.
 type serverWriter struct {
+	//nolint:containedctx // io.Writer has no context
 	ctx          context.Context // cancels the attempt
 	conn         *serverConn
 	body         *message.StreamedBody
