--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -7,11 +7,17 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const (
+	// runMainVariable names the environment variable with which the test binary runs the program instead of tests.
+	runMainVariable = "FERNBEAM_TEST_RUN_MAIN"
+	// runMainValue is its value then.
+	runMainValue = "1"
+	// patience bounds every wait of the tests; none of them needs more than a part of it.
+	patience = 20 * time.Second
+)
 
-// The test binary is the program itself when it is started with this variable.
 func TestMain(m *testing.M) {
-	if os.Getenv("RINGTRACK_AS_PROGRAM") == "1" {
+	if os.Getenv(runMainVariable) == runMainValue {
 		main()
 		os.Exit(0)
 	}
--- a/cmd/agent/program_test.go
+++ b/cmd/agent/program_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "RINGTRACK_AS_PROGRAM=1", "PROXY_CONFIG="+path,
+	cmd.Env = append(os.Environ(), runMainVariable+"="+runMainValue, "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
 	return cmd
 }
