--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -36,7 +36,7 @@
 }
 
 func run() error {
-	// Before anything else: without a handler the signal would end the program.
+	// Before anything else: without a handler SIGHUP would end the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
@@ -84,7 +84,7 @@
 		ln.Lock = filepath.Join(os.TempDir(), lockFile)
 		ln.Clients, err = inheritListener(fd)
 	} else {
-		ln.Clients, err = net.Listen("tcp", cfg.Listen)
+		ln.Clients, err = listenTCP(cfg.Listen)
 	}
 	if err != nil {
 		return ln, fmt.Errorf("listen: %w", err)
@@ -92,13 +92,19 @@
 	if cfg.Management == "" {
 		return ln, nil
 	}
-	ln.Operators, err = net.Listen("tcp", cfg.Management)
+	ln.Operators, err = listenTCP(cfg.Management)
 	if err != nil {
 		return ln, fmt.Errorf("management: %w", err)
 	}
 	return ln, nil
 }
 
+// listenTCP opens a TCP listener. It takes no context, as nothing cancels the start.
+func listenTCP(addr string) (net.Listener, error) {
+	var config net.ListenConfig
+	return config.Listen(context.Background(), "tcp", addr)
+}
+
 // inheritListener makes a listener of an inherited descriptor, which it closes: the listener has a copy.
 func inheritListener(fd string) (net.Listener, error) {
 	number, err := strconv.ParseUint(fd, 10, 16)
@@ -106,11 +112,11 @@
 		return nil, fmt.Errorf("%s: %q is no descriptor", listenFDVariable, fd)
 	}
 	file := os.NewFile(uintptr(number), "clients")
-	defer func() { _ = file.Close() }() // where it is no descriptor FileListener fails
+	defer func() { _ = file.Close() }() // of a number that is no open descriptor FileListener returns the error
 	return net.FileListener(file)
 }
 
-// forwardReloads reads the configuration again at each hangup and sends it on reloads, until stop is done. A
+// forwardReloads reads the configuration again at each SIGHUP and sends it on reloads, until stop is done. A
 // file that can't be used changes nothing.
 func forwardReloads(
 	stop context.Context, inForce *agent.Config, hangups <-chan os.Signal, reloads chan<- *agent.Config,
