--- /dev/null
+++ b/cmd/agent/client_test.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	// orderClass is the class of the tests' requests, which must not execute twice.
+	orderClass = "order"
+	// orderPath is where they go.
+	orderPath = "/api/a1"
+	// readinessPath is where the admin endpoint tells whether the agent is ready.
+	readinessPath = "/ops/readiness"
+)
+
+// adminClient is the client of calls to the admin endpoint.
+var adminClient = &http.Client{Timeout: patience}
+
+// order is a request of orderClass.
+type order struct {
+	path    string
+	timeout time.Duration // the request timeout that it names
+	close   bool          // the client wants the connection closed after the response
+}
+
+// request is the order as a request to the agent at an address.
+func (o order) request(ctx context.Context, addr string) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+o.path, strings.NewReader("x"))
+	if err != nil {
+		return nil, err
+	}
+	request.Close = o.close
+	request.Header.Set("Request-Id", "1")
+	request.Header.Set("Request-Class", orderClass)
+	request.Header.Set("Request-Timeout-Ms", strconv.FormatInt(o.timeout.Milliseconds(), 10))
+	return request, nil
+}
+
+// response is a complete response.
+type response struct {
+	status int
+	body   string
+	close  bool // the connection ends with it
+}
+
+// readAll reads the body of a received response, and closes it.
+func readAll(received *http.Response) (response, error) {
+	body, err := io.ReadAll(received.Body)
+	err = errors.Join(err, received.Body.Close())
+	return response{received.StatusCode, string(body), received.Close}, err
+}
+
+// do sends a request with a client that keeps connections, and returns the complete response.
+func do(client *http.Client, request *http.Request) (response, error) {
+	received, err := client.Do(request)
+	if err != nil {
+		return response{}, err
+	}
+	return readAll(received)
+}
+
+// getReadiness asks the admin endpoint at an address whether the agent is ready.
+func getReadiness(ctx context.Context, admin string) (response, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+readinessPath, nil)
+	if err != nil {
+		return response{}, err
+	}
+	return do(adminClient, request)
+}
+
+// clientConn is a client's connection to the agent, on which it sends one request at a time.
+type clientConn struct {
+	net.Conn
+
+	reader *bufio.Reader
+}
+
+// dialAgent connects to the agent at an address; reads and writes end after patience.
+func dialAgent(ctx context.Context, addr string) (*clientConn, error) {
+	dialer := net.Dialer{Timeout: patience}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		return nil, errors.Join(err, conn.Close())
+	}
+	return &clientConn{conn, bufio.NewReader(conn)}, nil
+}
+
+// write sends an order.
+func (c *clientConn) write(ctx context.Context, o order) error {
+	request, err := o.request(ctx, c.RemoteAddr().String())
+	if err != nil {
+		return err
+	}
+	return request.Write(c)
+}
+
+// read receives a complete response.
+func (c *clientConn) read() (response, error) {
+	received, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return response{}, err
+	}
+	return readAll(received)
+}
+
+// roundTrip sends an order and receives its complete response.
+func (c *clientConn) roundTrip(ctx context.Context, o order) (response, error) {
+	if err := c.write(ctx, o); err != nil {
+		return response{}, err
+	}
+	return c.read()
+}
+
+// close ends the connection; the agent may have closed it before.
+func (c *clientConn) close() { _ = c.Close() }
+
+// startParallel runs several clients at once and returns the group that waits for their ends.
+func startParallel(clients int, run func(client int)) *sync.WaitGroup {
+	group := new(sync.WaitGroup)
+	for client := range clients {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			run(client)
+		}()
+	}
+	return group
+}
--- a/cmd/agent/config_test.go
+++ b/cmd/agent/config_test.go
@@ -1,6 +1,102 @@
 package main
 
-const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
-"contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":1,
-"limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":3,"maxRetryAfterMs":600},
-"membershipMode":"on_request","objectiveMix":{"whole":1},"roundMs":5}`
+import (
+	"encoding/json"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+const (
+	// anyAddress is a loopback address with a port from the system.
+	anyAddress = "127.0.0.1:0"
+	// zone and kind are those of every server in the tests' configuration.
+	zone = "east"
+	kind = "big"
+)
+
+// agentConfig is the form of the program's configuration file.
+type agentConfig struct {
+	Name       string        `json:"name"`
+	Listen     string        `json:"listen"`
+	Discovery  string        `json:"discovery"`
+	Management string        `json:"management,omitempty"`
+	Seed       string        `json:"seed"`
+	Limits     agentLimits   `json:"limits"`
+	Known      endpoint.List `json:"known"`
+	Settings   agentSettings `json:"settings"`
+}
+
+// agentLimits are the limits of the agent's process.
+type agentLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// agentSettings are the policy's settings, with the names of zones and kinds, which it knows by number.
+type agentSettings struct {
+	balancer.Settings
+
+	Zones []string `json:"failureDomains"`
+	Kinds []string `json:"shapes"`
+}
+
+// newConfig is the configuration of an agent that calls discovery at an address and knows some servers at its start.
+func newConfig(discovery string, servers ...endpoint.Endpoint) agentConfig {
+	return agentConfig{
+		Name:      "n1",
+		Listen:    anyAddress,
+		Discovery: discovery,
+		Seed:      "1",
+		Limits:    agentLimits{Cores: 1, MemoryMB: 64, Sockets: 256},
+		Known:     endpoint.List{Version: 1, Full: true, Servers: servers},
+		Settings:  newSettings(),
+	}
+}
+
+// newSettings are settings with the one class orderClass.
+func newSettings() agentSettings {
+	return agentSettings{
+		Settings: balancer.Settings{
+			Classes: []balancer.Class{{
+				Name:               orderClass,
+				LatencyObjectiveMs: 2000,
+				TotalTimeoutMs:     3000,
+				Idempotency:        balancer.NonIdempotent,
+				PriorityWeight:     5,
+				LateFraction:       0.2,
+			}},
+			Limits: balancer.Limits{
+				AttemptCancellation: true,
+				ConnectTimeoutMs:    1000,
+				KeepaliveMs:         30000,
+				MaxAttempts:         3,
+				MaxRetryAfterMs:     600,
+			},
+			Contract:      balancer.Contract{PollWithinMs: 1600, DrainGraceMs: 250},
+			Objective:     balancer.Objective{Total: 1},
+			DiscoveryMode: balancer.DiscoveryOnRequest,
+			FleetSize:     1,
+			RoundTripMs:   5,
+		},
+		Zones: []string{zone},
+		Kinds: []string{kind},
+	}
+}
+
+// listedServer is the entry of a server that takes requests.
+func listedServer(id, addr string) endpoint.Endpoint {
+	return endpoint.Endpoint{ID: id, Addr: addr, Zone: zone, Kind: kind, State: endpoint.StateUp, Weight: 1}
+}
+
+// text is the configuration as the file has it.
+func (c agentConfig) text(t *testing.T) []byte {
+	t.Helper()
+	text, err := json.Marshal(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -1,145 +1,153 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
-	"fmt"
-	"io"
-	"net"
+	"context"
 	"net/http"
-	"net/http/httptest"
-	"os/exec"
-	"regexp"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// While discovery is down idle clients and silent operators use every slot there is for them.
-// The program keeps within its descriptors, which the system enforces here, and at discovery's
-// return the call to it, an attempt to a new server and the admin endpoint have theirs.
-func TestFullDescriptorsLeaveRoomForWhatMatters(t *testing.T) {
-	serve := func(name string) *httptest.Server {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
-		t.Cleanup(s.Close)
-		return s
-	}
-	first, second := serve("first"), serve("second")
-	var up atomic.Bool
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !up.Load() {
-			<-r.Context().Done()
-			return
-		}
-		fmt.Fprintf(w, `{"version":9,"full":true,"servers":[{"id":"s-2","addr":%q,"zone":"east","kind":"big","state":"up","weight":1}]}`,
-			second.Listener.Addr().String())
-	}))
-	t.Cleanup(discovery.Close)
-	t.Cleanup(discovery.CloseClientConnections)
-	const sockets = 256
-	config, err := json.Marshal(map[string]any{"name": "n1", "listen": "127.0.0.1:0", "management": "127.0.0.1:0",
-		"discovery": discovery.Listener.Addr().String(), "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
-		"known": map[string]any{"version": 1, "full": true, "servers": []any{map[string]any{"id": "s-1",
-			"addr": first.Listener.Addr().String(), "zone": "east", "kind": "big", "state": "up", "weight": 1}}},
-		"settings": json.RawMessage(strings.Replace(settings, "on_request", "pushed", 1))})
+const (
+	// descriptorLimit is how many descriptors the program may have.
+	descriptorLimit = 256
+	// silentOperators is how many operators connect and send nothing, one each operatorInterval.
+	silentOperators  = 300
+	operatorInterval = 10 * time.Millisecond
+	// fillTime is the time in which clients and operators take all descriptors that there are for them.
+	fillTime = time.Second
+)
+
+// openConns are connections that stay open until they are all closed. Its methods are safe for concurrent use.
+type openConns struct {
+	mu    sync.Mutex
+	conns []*clientConn
+}
+
+// dial opens a connection more.
+func (o *openConns) dial(ctx context.Context, addr string) (*clientConn, error) {
+	conn, err := dialAgent(ctx, addr)
 	if err != nil {
-		t.Fatal(err)
+		return nil, err
 	}
-	cmd := program(t, string(config))
-	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, cmd.Path))
-	limited.Env = cmd.Env
-	stderr, err := limited.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.conns = append(o.conns, conn)
+	return conn, nil
+}
+
+// close closes all connections.
+func (o *openConns) close() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, conn := range o.conns {
+		conn.close()
 	}
-	if err := limited.Start(); err != nil {
-		t.Fatal(err)
+}
+
+// dialIdleClients opens more connections of clients than there are descriptors. They idle once they are answered.
+func (o *openConns) dialIdleClients(t *testing.T, addr string) {
+	t.Helper()
+	for range descriptorLimit {
+		conn, err := o.dial(t.Context(), addr)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		// The agent may have closed the connection for lack of descriptors.
+		writeBody(conn, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	}
+}
+
+// dialSilentOperators opens connections to the admin endpoint, on which nothing is sent.
+func (o *openConns) dialSilentOperators(t *testing.T, admin string) {
+	t.Helper()
+	for range silentOperators {
+		if _, err := o.dial(t.Context(), admin); err != nil {
+			t.Error(err)
+		}
+		time.Sleep(operatorInterval)
 	}
-	log := bufio.NewReader(stderr)
-	line, err := log.ReadString('\n')
+}
+
+// sendOnce sends a request on a connection of its own, and returns the body of its response; "" if there is none.
+func sendOnce(t *testing.T, addr string) string {
+	t.Helper()
+	conn, err := dialAgent(t.Context(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addrs := regexp.MustCompile(` addr=(\S+) .* admin=(\S+) `).FindStringSubmatch(line)
-	if addrs == nil {
-		t.Fatalf("the program says %q", line)
+	defer conn.close()
+	got, err := conn.roundTrip(t.Context(), order{path: orderPath, timeout: trafficTimeout, close: true})
+	if err != nil {
+		return ""
 	}
-	rest := make(chan string, 1)
-	go func() {
-		text, _ := io.ReadAll(log)
-		rest <- string(text)
-	}()
-	defer func() {
-		limited.Process.Kill()
-		limited.Wait()
-		if text := <-rest; strings.Contains(text, "too many open files") {
-			t.Error("the program ran out of descriptors")
-		}
-	}()
+	return got.body
+}
 
-	var mu sync.Mutex
-	var open []net.Conn
-	defer func() {
-		mu.Lock()
-		defer mu.Unlock()
-		for _, c := range open {
-			c.Close()
-		}
-	}()
-	dial := func(addr string) net.Conn {
-		c, err := net.DialTimeout("tcp", addr, patience)
-		if err != nil {
-			t.Error(err)
-			return nil
+// awaitBody sends requests until a response has the body. They come without a pause, so that they compete for
+// descriptors.
+func awaitBody(t *testing.T, addr, body string) {
+	t.Helper()
+	start := time.Now()
+	for sendOnce(t, addr) != body {
+		if time.Since(start) > patience {
+			t.Fatalf("no response with body %q within %v", body, patience)
 		}
-		mu.Lock()
-		defer mu.Unlock()
-		open = append(open, c)
-		c.SetDeadline(time.Now().Add(2 * patience))
-		return c
 	}
-	for range sockets { // more than there are slots; they rest once they have been answered
-		if c := dial(addrs[1]); c != nil {
-			fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		}
+}
+
+// endWithoutLackOfDescriptors ends a program whose log is collected; no descriptor may have been missing.
+func (p *program) endWithoutLackOfDescriptors(t *testing.T) {
+	t.Helper()
+	_ = p.cmd.Process.Kill() // it may have ended by itself
+	if end := p.awaitEnd(t); strings.Contains(end.log, "too many open files") {
+		t.Error("the program ran out of descriptors")
 	}
-	silent := make(chan struct{})
-	go func() { // operators that send nothing come and come, in a bounded number
-		defer close(silent)
-		for range 300 {
-			dial(addrs[2])
-			time.Sleep(10 * time.Millisecond)
-		}
-	}()
-	time.Sleep(time.Second) // all slots are taken by then
-	up.Store(true)
-	from := time.Now()
-	for body := ""; body != "second"; {
-		c, err := net.DialTimeout("tcp", addrs[1], patience)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.SetDeadline(time.Now().Add(patience))
-		fmt.Fprint(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 3000\r\nContent-Length: 0\r\n\r\n")
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
-			text, _ := io.ReadAll(resp.Body)
-			body = string(text)
-		}
-		c.Close()
-		if time.Since(from) > patience {
-			t.Fatal("discovery's return is not noticed")
+}
+
+// While discovery is down idle clients and silent operators use every descriptor that there is for them. The program
+// keeps within its descriptors, which the system enforces here, and when discovery returns, the call to it, an attempt
+// to a new server and the admin endpoint have theirs.
+func TestFullDescriptorsLeaveRoomForWhatMatters(t *testing.T) {
+	first := listedServer("s-1", serve(t, respond("first")))
+	second := listedServer("s-2", serve(t, respond("second")))
+	var isUp atomic.Bool
+	discovery := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		if !isUp.Load() {
+			stayUnanswered(w, r)
+			return
 		}
-	}
-	resp, err := (&http.Client{Timeout: patience}).Get("http://" + addrs[2] + "/ops/readiness")
+		writeList(w, endpoint.List{Version: 9, Full: true, Servers: []endpoint.Endpoint{second}})
+	})
+	config := newConfig(discovery, first)
+	config.Management = anyAddress
+	config.Limits.Sockets = descriptorLimit
+	config.Settings.DiscoveryMode = balancer.DiscoveryPushed
+	p := newProgram(t, config.text(t))
+	p.limitDescriptors(descriptorLimit)
+	addr, admin := p.startListening(t)
+	p.collectLog()
+	defer p.endWithoutLackOfDescriptors(t)
+
+	var open openConns
+	defer open.close()
+	open.dialIdleClients(t, addr)
+	operators := startParallel(1, func(int) { open.dialSilentOperators(t, admin) })
+	defer operators.Wait()
+	time.Sleep(fillTime)
+	isUp.Store(true)
+	awaitBody(t, addr, "second")
+	got, err := getReadiness(t.Context(), admin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	if resp.StatusCode != 200 {
-		t.Errorf("operators were answered %d", resp.StatusCode)
+	if got.status != http.StatusOK {
+		t.Errorf("the admin endpoint's status is %d, want 200", got.status)
 	}
-	<-silent
 }
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -25,12 +25,13 @@
 }
 
 func TestBadConfigEndsTheProgramWithOneLine(t *testing.T) {
-	cmd := program(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
-"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":`+settings+`}`, "single_shot", "twice", 1))
+	config := newConfig("127.0.0.1:1")
+	config.Settings.Classes[0].Idempotency = "twice"
+	p := newProgram(t, config.text(t))
 	var stderr strings.Builder
-	cmd.Stderr = &stderr
-	err := cmd.Run()
-	if code := cmd.ProcessState.ExitCode(); err == nil || code != 1 {
+	p.cmd.Stderr = &stderr
+	err := p.cmd.Run()
+	if code := p.cmd.ProcessState.ExitCode(); err == nil || code != 1 {
 		t.Errorf("exit code %d, want 1", code)
 	}
 	if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "classes[0].effect") {
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -1,106 +1,88 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
-	"io"
 	"net/http"
-	"net/http/httptest"
-	"os"
-	"strings"
+	"regexp"
 	"syscall"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// SIGHUP: the program runs on, calls discovery at the address that the file names now,
-// whatever the environment said at the start, and an invalid file changes nothing.
-func TestSIGHUPMovesDiscovery(t *testing.T) {
-	asked := make(chan string, 100)
-	discovery := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name
-			<-r.Context().Done()
-		}))
-		t.Cleanup(func() {
-			s.CloseClientConnections()
-			s.Close()
-		})
-		return s.Listener.Addr().String()
-	}
-	first, second := discovery("first"), discovery("second")
-	config := func(addr string) string {
-		text, err := json.Marshal(map[string]any{"name": "n1", "listen": "127.0.0.1:0", "discovery": addr, "seed": "1",
-			"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-			"known":    map[string]any{"version": 1, "full": true, "servers": []any{}},
-			"settings": json.RawMessage(strings.Replace(settings, "on_request", "pushed", 1))})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(text)
-	}
-	cmd := program(t, config(first))
-	path := ""
-	for i, v := range cmd.Env {
-		if v == "PROXY_DISCOVERY=" {
-			cmd.Env[i] += first
-		}
-		if p, ok := strings.CutPrefix(v, "PROXY_CONFIG="); ok {
-			path = p
-		}
-	}
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer cmd.Process.Kill()
-	log := bufio.NewReader(stderr)
-	wait := func(name string) { // the first is asked again and again, as it stays silent
-		t.Helper()
-		over := time.After(patience)
-		for {
-			select {
-			case got := <-asked:
-				if got == name {
-					return
-				}
-			case <-over:
-				t.Fatalf("the %s discovery was not asked", name)
-			}
-		}
-	}
-	hangUp := func(text, logged string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-		for line := ""; !strings.Contains(line, logged); {
-			if line, err = log.ReadString('\n'); err != nil {
-				t.Fatalf("no line with %q: %v", logged, err)
+// maxDiscoveryCalls is how many calls discoveryCalls keeps until a test reads them.
+const maxDiscoveryCalls = 100
+
+// The lines that the agent logs after a reload.
+var (
+	reloadFailed   = regexp.MustCompile("reload failed")
+	discoveryMoved = regexp.MustCompile("discovery moved")
+)
+
+// discoveryCalls has, for each call to a discovery service, the name of the service.
+type discoveryCalls chan string
+
+// serve starts a discovery service that answers no call, and returns its address.
+func (c discoveryCalls) serve(t *testing.T, name string) (addr string) {
+	t.Helper()
+	return serve(t, func(w http.ResponseWriter, r *http.Request) {
+		c <- name
+		stayUnanswered(w, r)
+	})
+}
+
+// await waits for a call to one of the services; the agent repeats its calls, as they are not answered.
+func (c discoveryCalls) await(t *testing.T, name string) {
+	t.Helper()
+	timeout := time.After(patience)
+	for {
+		select {
+		case called := <-c:
+			if called == name {
+				return
 			}
+		case <-timeout:
+			t.Fatalf("the %s discovery was not called", name)
 		}
 	}
-	wait("first")
-	hangUp("nonsense", "reload failed")
-	hangUp(config(second), "discovery moved")
-	wait("second")
-	wait("second") // after its silence
+}
+
+// pushedConfig is the configuration of an agent that keeps a watch at a discovery service.
+func pushedConfig(t *testing.T, discovery string) []byte {
+	t.Helper()
+	config := newConfig(discovery)
+	config.Settings.DiscoveryMode = balancer.DiscoveryPushed
+	return config.text(t)
+}
+
+// reload has the program read a new file, and waits for the line that it logs then.
+func (p *program) reload(t *testing.T, config []byte, logged *regexp.Regexp) {
+	t.Helper()
+	p.writeConfig(t, config)
+	p.signal(t, syscall.SIGHUP)
+	p.awaitLine(t, logged)
+}
+
+// SIGHUP: the program runs on, calls discovery at the address that the file names now, whatever the environment had
+// at the start, and an invalid file changes nothing.
+func TestSIGHUPMovesDiscovery(t *testing.T) {
+	calls := make(discoveryCalls, maxDiscoveryCalls)
+	first := calls.serve(t, "first")
+	second := calls.serve(t, "second")
+	p := newProgram(t, pushedConfig(t, first))
+	p.setenv("PROXY_DISCOVERY", first)
+	p.start(t)
+	calls.await(t, "first")
+	p.reload(t, []byte("nonsense"), reloadFailed)
+	p.reload(t, pushedConfig(t, second), discoveryMoved)
+	calls.await(t, "second")
+	calls.await(t, "second") // the call after the one that was not answered
 	select {
-	case got := <-asked:
-		t.Errorf("the %s discovery was asked beside", got)
+	case called := <-calls:
+		t.Errorf("the %s discovery was called as well", called)
 	default:
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	io.Copy(io.Discard, log)
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
-	}
+	p.signal(t, syscall.SIGTERM)
+	p.collectLog()
+	p.expectCleanEnd(t)
 }
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -1,134 +1,127 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
+	"context"
 	"fmt"
-	"net"
 	"net/http"
-	"net/http/httptest"
-	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// SIGTERM under traffic: connections still arrive for a while and the open ones
-// are still used; each request on an accepted connection has its response, and
-// the program ends by itself, without error.
-func TestSIGTERMUnderTraffic(t *testing.T) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == "/api/long" {
-			time.Sleep(time.Second) // held beyond the time in which connections still come
+const (
+	// serviceTime is how long a server takes, so that requests are in flight at a signal.
+	serviceTime = 20 * time.Millisecond
+	// longPath is that of a request that takes longServiceTime more: beyond the time in which connections still come.
+	longPath        = "/api/long"
+	longServiceTime = time.Second
+	// connectAfterTerm is how long after SIGTERM clients still connect, which the protocol bounds at 0.4 s.
+	connectAfterTerm = 300 * time.Millisecond
+	// trafficClients is how many clients send at a time.
+	trafficClients = 8
+	// trafficTimeout is the request timeout of their requests.
+	trafficTimeout = 3000 * time.Millisecond
+	// requestsBeforeTerm is how many responses there are before SIGTERM.
+	requestsBeforeTerm = 50
+)
+
+// shutdownTraffic is the clients of an agent that shuts down, and what became of their requests.
+type shutdownTraffic struct {
+	addr       string
+	terminated atomic.Bool // SIGTERM is about to be sent
+	stopped    atomic.Bool // clients no longer connect
+
+	answered, answeredAfterTerm, lost atomic.Int64
+}
+
+// run sends requests on one connection after another.
+func (s *shutdownTraffic) run(ctx context.Context) {
+	for !s.stopped.Load() {
+		conn, err := dialAgent(ctx, s.addr)
+		if err != nil {
+			return // no longer accepted: no request is taken
 		}
-		time.Sleep(20 * time.Millisecond) // work, so that requests are held at the signal
-		fmt.Fprint(w, "done")
-	}))
-	defer backend.Close()
-	discovery := silentDiscovery(t)
-	config, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known": map[string]any{"version": 1, "full": true, "servers": []any{map[string]any{"id": "s-1",
-			"addr": backend.Listener.Addr().String(), "zone": "east", "kind": "big", "state": "up", "weight": 1}}},
-		"settings": json.RawMessage(settings)})
-	if err != nil {
-		t.Fatal(err)
+		s.use(ctx, conn)
+		conn.close()
 	}
-	cmd := program(t, string(config))
-	log, addr := startProgram(t, cmd)
-	defer cmd.Process.Kill()
+}
 
-	var answered, lost, afterSignal atomic.Int64
-	var signalled atomic.Bool
-	request := "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n" +
-		"Request-Timeout-Ms: 3000\r\nContent-Length: 1\r\n\r\nx"
-	stop := make(chan struct{})
-	worker := func() {
-		for {
-			select {
-			case <-stop:
-				return
-			default:
-			}
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
-				return // no longer accepted: nothing is taken
-			}
-			c.SetDeadline(time.Now().Add(patience))
-			br := bufio.NewReader(c)
-			for first := true; ; first = false {
-				late := signalled.Load()
-				_, err := c.Write([]byte(request))
-				var resp *http.Response
-				if err == nil {
-					resp, err = http.ReadResponse(br, nil)
-				}
-				if err != nil {
-					// A kept connection may be closed between requests; the first
-					// request on a new one is owed an answer.
-					if first {
-						lost.Add(1)
-					}
-					break
-				}
-				resp.Body.Close()
-				answered.Add(1)
-				if late {
-					afterSignal.Add(1)
-				}
-				if resp.Close {
-					break
-				}
+// use sends requests on one connection until it ends. A connection may be closed between two requests; the first
+// request on a new one has to be answered.
+func (s *shutdownTraffic) use(ctx context.Context, conn *clientConn) {
+	for first := true; ; first = false {
+		afterTerm := s.terminated.Load()
+		got, err := conn.roundTrip(ctx, order{path: orderPath, timeout: trafficTimeout})
+		if err != nil {
+			if first {
+				s.lost.Add(1)
 			}
-			c.Close()
+			return
+		}
+		s.answered.Add(1)
+		if afterTerm {
+			s.answeredAfterTerm.Add(1)
+		}
+		if got.close {
+			return
 		}
 	}
-	var workers sync.WaitGroup
-	for range 8 {
-		workers.Add(1)
-		go func() {
-			defer workers.Done()
-			worker()
-		}()
-	}
-	for end := time.Now().Add(patience); answered.Load() < 50 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
+}
+
+// sendLongRequest sends the request that takes longServiceTime on a connection of its own.
+func sendLongRequest(ctx context.Context, addr string) error {
+	conn, err := dialAgent(ctx, addr)
+	if err != nil {
+		return err
 	}
-	signalled.Store(true)
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	defer conn.close()
+	got, err := conn.roundTrip(ctx, order{path: longPath, timeout: trafficTimeout})
+	if err == nil && got.status != http.StatusOK {
+		err = fmt.Errorf("status %d, want 200", got.status)
 	}
-	long := make(chan error, 1)
-	go func() {
-		c, err := net.Dial("tcp", addr)
-		if err == nil {
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			_, err = fmt.Fprint(c, strings.Replace(request, "/api/a1", "/api/long", 1))
-		}
-		if err == nil {
-			var resp *http.Response
-			if resp, err = http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode != 200 {
-				err = fmt.Errorf("answered %d", resp.StatusCode)
-			}
+	return err
+}
+
+// SIGTERM under traffic: connections still arrive for a while and the open ones are still used; each request on an
+// accepted connection has its response, and the program ends by itself, without error.
+func TestSIGTERMUnderTraffic(t *testing.T) {
+	server := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == longPath {
+			time.Sleep(longServiceTime)
 		}
-		long <- err
-	}()
-	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections cease before 0.4 s
-	for err == nil {
-		_, err = log.ReadString('\n')
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
+		time.Sleep(serviceTime)
+		writeBody(w, "done")
+	})
+	config := newConfig(silentDiscovery(t), listedServer("s-1", server))
+	p := newProgram(t, config.text(t))
+	addr, _ := p.startListening(t)
+	p.collectLog()
+
+	traffic := &shutdownTraffic{addr: addr}
+	clients := startParallel(trafficClients, func(int) { traffic.run(t.Context()) })
+	isUnderway := func() bool { return traffic.answered.Load() >= requestsBeforeTerm }
+	if err := processtest.Await(patience, "traffic", isUnderway); err != nil {
+		t.Error(err)
 	}
-	workers.Wait()
+	traffic.terminated.Store(true)
+	p.signal(t, syscall.SIGTERM)
+	long := make(chan error, 1)
+	go func() { long <- sendLongRequest(t.Context(), addr) }()
+	time.Sleep(connectAfterTerm)
+	traffic.stopped.Store(true)
+
+	p.expectCleanEnd(t)
+	clients.Wait()
 	if err := <-long; err != nil {
-		t.Errorf("a request held at the end: %v", err)
+		t.Errorf("a request in flight at the end: %v", err)
+	}
+	if lost := traffic.lost.Load(); lost > 0 {
+		t.Errorf("%d requests lost, of %d", lost, lost+traffic.answered.Load())
 	}
-	if lost.Load() > 0 || afterSignal.Load() == 0 {
-		t.Errorf("%d requests lost; %d answered, %d of them asked after the signal", lost.Load(), answered.Load(), afterSignal.Load())
+	if traffic.answeredAfterTerm.Load() == 0 {
+		t.Errorf("none of %d answered requests was sent after SIGTERM", traffic.answered.Load())
 	}
 }
--- a/cmd/agent/upgrade_test.go
+++ b/cmd/agent/upgrade_test.go
@@ -1,155 +1,130 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
-	"fmt"
-	"io"
+	"context"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
-	"os/exec"
-	"regexp"
-	"strings"
-	"sync"
+	"strconv"
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// A new version under load: the platform owns the clients' queue, a second process
-// takes over from it, and no client meets a connection that is refused, reset or unread.
-func TestUpgradeOnAnInheritedListener(t *testing.T) {
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "done") }))
-	defer backend.Close()
-	discovery := silentDiscovery(t)
-	clients, err := net.Listen("tcp", "127.0.0.1:0")
+const (
+	// inheritedFD is the descriptor under which a process inherits the clients' listener.
+	inheritedFD = 5
+	// requestsPerProcess is how many requests are served before the upgrade, and after it.
+	requestsPerProcess = 100
+)
+
+// sharedListener is the clients' listener, which the platform holds and processes inherit.
+type sharedListener struct {
+	addr string
+	file *os.File
+	// tempDir is the directory in which processes that share the listener find each other.
+	tempDir string
+}
+
+// newSharedListener opens a listener that is closed at the test's end.
+func newSharedListener(t *testing.T) sharedListener {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer clients.Close()
-	queue, err := clients.(*net.TCPListener).File()
+	t.Cleanup(func() { _ = listener.Close() })
+	file, err := listener.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer queue.Close()
-	config, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": clients.Addr().String(), "discovery": discovery, "seed": "1",
-		"management": "127.0.0.1:0",
-		"limits":     map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known": map[string]any{"version": 1, "full": true, "servers": []any{map[string]any{"id": "s-1",
-			"addr": backend.Listener.Addr().String(), "zone": "east", "kind": "big", "state": "up", "weight": 1}}},
-		"settings": json.RawMessage(settings)})
-	if err != nil {
+	t.Cleanup(func() { _ = file.Close() })
+	return sharedListener{addr: listener.Addr().String(), file: file, tempDir: t.TempDir()}
+}
+
+// startProgram starts a process that inherits the listener, and waits until it is ready.
+func (l sharedListener) startProgram(t *testing.T, config agentConfig) *program {
+	t.Helper()
+	p := newProgram(t, config.text(t))
+	p.cmd.ExtraFiles = []*os.File{nil, nil, l.file} // descriptors 3, 4 and inheritedFD
+	p.setenv(listenFDVariable, strconv.Itoa(inheritedFD))
+	p.setenv("TMPDIR", l.tempDir)
+	_, admin := p.startListening(t)
+	p.collectLog()
+	isReady := func() bool {
+		got, err := getReadiness(t.Context(), admin)
+		return err == nil && got.status == http.StatusOK
+	}
+	if err := processtest.Await(patience, "a ready process", isReady); err != nil {
 		t.Fatal(err)
 	}
-	shared := t.TempDir()
-	start := func() (*exec.Cmd, func() error) {
-		cmd := program(t, string(config))
-		// Descriptor 5, as the platform does.
-		cmd.ExtraFiles = []*os.File{nil, nil, queue}
-		cmd.Env = append(cmd.Env, "PROXY_LISTEN_FD=5", "TMPDIR="+shared)
-		stderr, err := cmd.StderrPipe()
+	return p
+}
+
+// upgradeTraffic is the clients of an agent that is upgraded, and what became of their requests.
+type upgradeTraffic struct {
+	addr    string
+	stopped atomic.Bool // clients send nothing more
+
+	served, failed atomic.Int64
+}
+
+// run sends requests with one client until the traffic is stopped or a request fails. The client's library sends a
+// request again by itself only if it takes it for repeatable, which an order is not.
+func (u *upgradeTraffic) run(ctx context.Context) error {
+	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for !u.stopped.Load() {
+		request, err := order{path: orderPath, timeout: trafficTimeout}.request(ctx, u.addr)
 		if err != nil {
-			t.Fatal(err)
+			return err
 		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { cmd.Process.Kill() })
-		log := bufio.NewReader(stderr)
-		line, err := log.ReadString('\n')
-		found := regexp.MustCompile(`admin=(\S+)`).FindStringSubmatch(line)
-		if err != nil || found == nil {
-			t.Fatalf("no admin address in %q: %v", line, err)
-		}
-		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			resp, err := http.Get("http://" + found[1] + "/ops/readiness")
-			if err == nil {
-				resp.Body.Close()
-				if resp.StatusCode == http.StatusOK {
-					break
-				}
-			}
-			if time.Now().After(end) {
-				t.Fatal("the process does not become ready")
-			}
+		got, err := do(client, request)
+		if err != nil {
+			return err
 		}
-		ended := make(chan error, 1)
-		go func() {
-			io.Copy(io.Discard, log)
-			ended <- cmd.Wait()
-		}()
-		return cmd, func() error {
-			select {
-			case err := <-ended:
-				return err
-			case <-time.After(patience):
-				return fmt.Errorf("it does not end")
-			}
+		if got.status == http.StatusOK {
+			u.served.Add(1)
 		}
 	}
+	return nil
+}
 
-	old, oldEnds := start()
-	stop := make(chan struct{})
-	var answered, failed atomic.Int64
-	var workers sync.WaitGroup
-	for range 8 {
-		workers.Add(1)
-		go func() {
-			defer workers.Done()
-			client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
-			defer client.CloseIdleConnections()
-			for {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				req, _ := http.NewRequest("POST", "http://"+clients.Addr().String()+"/api/a1", strings.NewReader("x"))
-				// The library sends again by itself only what it holds for repeatable.
-				req.Header.Set("Request-Id", "1")
-				req.Header.Set("Request-Class", "order")
-				req.Header.Set("Request-Timeout-Ms", "3000")
-				resp, err := client.Do(req)
-				if err != nil {
-					failed.Add(1)
-					t.Errorf("a request was lost: %v", err)
-					return
-				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				if resp.StatusCode == http.StatusOK {
-					answered.Add(1)
-				}
-			}
-		}()
+// awaitServed waits until a number of further requests is served, or one has failed.
+func (u *upgradeTraffic) awaitServed(t *testing.T, further int64) {
+	t.Helper()
+	want := u.served.Load() + further
+	isDone := func() bool { return u.served.Load() >= want || u.failed.Load() > 0 }
+	if err := processtest.Await(patience, "served requests", isDone); err != nil {
+		t.Fatalf("%d requests served, want %d: %v", u.served.Load(), want, err)
 	}
-	waitAnswered := func(n int64) {
-		t.Helper()
-		for end := time.Now().Add(patience); answered.Load() < n && failed.Load() == 0; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%d answered, want %d", answered.Load(), n)
-			}
+}
+
+// A new version under load: the platform owns the clients' accept queue, a second process takes over from it, and no
+// client meets a connection that is refused, reset or unread.
+func TestUpgradeOnAnInheritedListener(t *testing.T) {
+	listener := newSharedListener(t)
+	config := newConfig(silentDiscovery(t), listedServer("s-1", serve(t, respond("done"))))
+	config.Listen = listener.addr
+	config.Management = anyAddress
+	before := listener.startProgram(t, config)
+
+	traffic := &upgradeTraffic{addr: listener.addr}
+	clients := startParallel(trafficClients, func(int) {
+		if err := traffic.run(t.Context()); err != nil {
+			traffic.failed.Add(1)
+			t.Errorf("a request was lost: %v", err)
 		}
-	}
-	waitAnswered(100)
-	next, nextEnds := start()
-	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := oldEnds(); err != nil {
-		t.Errorf("the old process ended with %v", err)
-	}
-	waitAnswered(answered.Load() + 100)
-	close(stop)
-	workers.Wait()
-	if err := next.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := nextEnds(); err != nil {
-		t.Errorf("the new process ended with %v", err)
-	}
+	})
+	traffic.awaitServed(t, requestsPerProcess)
+	after := listener.startProgram(t, config)
+	before.signal(t, syscall.SIGTERM)
+	before.expectCleanEnd(t)
+	traffic.awaitServed(t, requestsPerProcess)
+	traffic.stopped.Store(true)
+	clients.Wait()
+	after.signal(t, syscall.SIGTERM)
+	after.expectCleanEnd(t)
 }
