--- a/cmd/agent/client_test.go
+++ b/cmd/agent/client_test.go
@@ -23,7 +23,7 @@
 )
 
 // adminClient is the client of calls to the admin endpoint.
-var adminClient = &http.Client{Timeout: patience}
+var adminClient = &http.Client{Timeout: testTimeout}
 
 // order is a request of orderClass.
 type order struct {
@@ -84,14 +84,14 @@
 	reader *bufio.Reader
 }
 
-// dialAgent connects to the agent at an address; reads and writes end after patience.
+// dialAgent connects to the agent at an address; reads and writes end after testTimeout.
 func dialAgent(ctx context.Context, addr string) (*clientConn, error) {
-	dialer := net.Dialer{Timeout: patience}
+	dialer := net.Dialer{Timeout: testTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
 	return &clientConn{conn, bufio.NewReader(conn)}, nil
--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -96,8 +96,8 @@
 	t.Helper()
 	start := time.Now()
 	for sendOnce(t, addr) != body {
-		if time.Since(start) > patience {
-			t.Fatalf("no response with body %q within %v", body, patience)
+		if time.Since(start) > testTimeout {
+			t.Fatalf("no response with body %q within %v", body, testTimeout)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // While discovery is down idle clients and silent operators use every descriptor that there is for them. The program
 // keeps within its descriptors, which the system enforces here, and when discovery returns, the call to it, an attempt
 // to a new server and the admin endpoint have theirs.
-func TestFullDescriptorsLeaveRoomForWhatMatters(t *testing.T) {
+func TestFullDescriptorsLeaveRoomForDiscoveryServersAndAdmin(t *testing.T) {
 	first := listedServer("s-1", serve(t, respond("first")))
 	second := listedServer("s-2", serve(t, respond("second")))
 	var isUp atomic.Bool
--- a/cmd/agent/kill_test.go
+++ b/cmd/agent/kill_test.go
@@ -20,10 +20,11 @@
 	// trafficBeforeTerm is how long clients send before SIGTERM.
 	trafficBeforeTerm = 2 * time.Second
 
-	// killedClients is how many clients there are. Their rests are 0 to 7 times restStep, beyond the shutdown's start.
+	// killedClients is how many clients there are. Before each request they idle for 0 to idleSteps-1 times idleStep,
+	// some of them past the shutdown's start.
 	killedClients = 24
-	restSteps     = 8
-	restStep      = 120 * time.Millisecond
+	idleSteps     = 8
+	idleStep      = 120 * time.Millisecond
 	// closeCheckTime is how long a client reads to find whether its connection is closed.
 	closeCheckTime = time.Millisecond
 )
@@ -31,7 +32,7 @@
 // killedClient sends requests on one connection after another, and counts their outcomes.
 type killedClient struct {
 	addr string
-	rest time.Duration // before each request
+	idle time.Duration // before each request
 	term time.Time     // when SIGTERM is sent
 
 	answered, lost int
@@ -53,8 +54,8 @@
 // the request anew; on a first request the close is a loss.
 func (k *killedClient) use(ctx context.Context, conn *clientConn) {
 	for first := true; ; first = false {
-		time.Sleep(k.rest)
-		if k.rest > 0 && conn.closedByPeer() {
+		time.Sleep(k.idle)
+		if k.idle > 0 && conn.closedByPeer() {
 			return // closed between requests: what is sent now was never read
 		}
 		if err := conn.write(ctx, order{path: orderPath, timeout: shortDeadline}); err != nil {
@@ -62,9 +63,9 @@
 		}
 		got, err := conn.read()
 		if err != nil {
-			// A client that rests longer may find a silent connection closed before it sends.
+			// A client that idles longer may find a silent connection closed before it sends.
 			killed := time.Since(k.term) >= earliestKill
-			if killed || first && k.rest < shortDeadline {
+			if killed || first && k.idle < shortDeadline {
 				k.lost++
 			}
 			return
@@ -80,7 +81,7 @@
 func (c *clientConn) closedByPeer() bool {
 	_ = c.SetReadDeadline(time.Now().Add(closeCheckTime))
 	_, err := c.reader.Peek(1)
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -114,7 +115,7 @@
 
 	clients := make([]killedClient, killedClients)
 	running := startParallel(len(clients), func(i int) {
-		clients[i] = killedClient{addr: addr, term: term, rest: time.Duration(i%restSteps) * restStep}
+		clients[i] = killedClient{addr: addr, term: term, idle: time.Duration(i%idleSteps) * idleStep}
 		clients[i].run(t.Context())
 	})
 	time.Sleep(time.Until(term))
@@ -127,7 +128,7 @@
 	for _, client := range clients {
 		answered += client.answered
 		if client.lost > 0 {
-			t.Errorf("a client that rests for %v lost %d requests", client.rest, client.lost)
+			t.Errorf("a client that idles for %v lost %d requests", client.idle, client.lost)
 		}
 	}
 	if answered < len(clients) {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -12,8 +12,8 @@
 	runMainVariable = "FERNBEAM_TEST_RUN_MAIN"
 	// runMainValue is its value then.
 	runMainValue = "1"
-	// patience bounds every wait of the tests; none of them needs more than a part of it.
-	patience = 20 * time.Second
+	// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+	testTimeout = 20 * time.Second
 )
 
 func TestMain(m *testing.M) {
--- a/cmd/agent/program_test.go
+++ b/cmd/agent/program_test.go
@@ -130,7 +130,7 @@
 	select {
 	case end := <-p.ended:
 		return end
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the program does not end")
 		return programEnd{}
 	}
--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -34,7 +34,7 @@
 // await waits for a call to one of the services; the agent repeats its calls, as they are not answered.
 func (c discoveryCalls) await(t *testing.T, name string) {
 	t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case called := <-c:
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -103,7 +103,7 @@
 	traffic := &shutdownTraffic{addr: addr}
 	clients := startParallel(trafficClients, func(int) { traffic.run(t.Context()) })
 	isUnderway := func() bool { return traffic.answered.Load() >= requestsBeforeTerm }
-	if err := processtest.Await(patience, "traffic", isUnderway); err != nil {
+	if err := processtest.Await(testTimeout, "traffic", isUnderway); err != nil {
 		t.Error(err)
 	}
 	traffic.terminated.Store(true)
--- a/cmd/agent/upgrade_test.go
+++ b/cmd/agent/upgrade_test.go
@@ -57,7 +57,7 @@
 		got, err := getReadiness(t.Context(), admin)
 		return err == nil && got.status == http.StatusOK
 	}
-	if err := processtest.Await(patience, "a ready process", isReady); err != nil {
+	if err := processtest.Await(testTimeout, "a ready process", isReady); err != nil {
 		t.Fatal(err)
 	}
 	return p
@@ -74,7 +74,7 @@
 // run sends requests with one client until the traffic is stopped or a request fails. The client's library sends a
 // request again by itself only if it takes it for repeatable, which an order is not.
 func (u *upgradeTraffic) run(ctx context.Context) error {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for !u.stopped.Load() {
 		request, err := order{path: orderPath, timeout: trafficTimeout}.request(ctx, u.addr)
@@ -97,7 +97,7 @@
 	t.Helper()
 	want := u.served.Load() + further
 	isDone := func() bool { return u.served.Load() >= want || u.failed.Load() > 0 }
-	if err := processtest.Await(patience, "served requests", isDone); err != nil {
+	if err := processtest.Await(testTimeout, "served requests", isDone); err != nil {
 		t.Fatalf("%d requests served, want %d: %v", u.served.Load(), want, err)
 	}
 }
