--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -22,7 +22,8 @@
 const (
 	// listenFDVariable names the environment variable with the descriptor of an inherited client listener.
 	listenFDVariable = "PROXY_LISTEN_FD"
-	// lockFile is where processes that share a listener find each other, also those of earlier versions.
+	// lockFile is where processes that share a listener find each other. Its name never changes, as they may be of
+	// different versions.
 	lockFile = "ringtrack.lock"
 	// gcPercent makes garbage collections rare, as the heap is small and the core is shared.
 	gcPercent = 400
@@ -35,6 +36,7 @@
 	}
 }
 
+// run runs the agent until SIGTERM or an interrupt has ended it.
 func run() error {
 	// Before anything else: without a handler SIGHUP would end the program.
 	hangups := make(chan os.Signal, 1)
