--- /dev/null
+++ b/cmd/agent/shutdown_test.go
@@ -0,0 +1,127 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// serviceTime is how long a server takes, so that requests are in flight at a signal.
+	serviceTime = 20 * time.Millisecond
+	// longPath is that of a request that takes longServiceTime more: beyond the time in which connections still come.
+	longPath        = "/api/long"
+	longServiceTime = time.Second
+	// connectAfterTerm is how long after SIGTERM clients still connect, which the protocol bounds at 0.4 s.
+	connectAfterTerm = 300 * time.Millisecond
+	// trafficClients is how many clients send at a time.
+	trafficClients = 8
+	// trafficTimeout is the request timeout of their requests.
+	trafficTimeout = 3000 * time.Millisecond
+	// requestsBeforeTerm is how many responses there are before SIGTERM.
+	requestsBeforeTerm = 50
+)
+
+// shutdownTraffic is the clients of an agent that shuts down, and what became of their requests.
+type shutdownTraffic struct {
+	addr       string
+	terminated atomic.Bool // SIGTERM is about to be sent
+	stopped    atomic.Bool // clients no longer connect
+
+	answered, answeredAfterTerm, lost atomic.Int64
+}
+
+// run sends requests on one connection after another.
+func (s *shutdownTraffic) run(ctx context.Context) {
+	for !s.stopped.Load() {
+		conn, err := dialAgent(ctx, s.addr)
+		if err != nil {
+			return // no longer accepted: no request is taken
+		}
+		s.use(ctx, conn)
+		conn.close()
+	}
+}
+
+// use sends requests on one connection until it ends. A connection may be closed between two requests; the first
+// request on a new one has to be answered.
+func (s *shutdownTraffic) use(ctx context.Context, conn *clientConn) {
+	for first := true; ; first = false {
+		afterTerm := s.terminated.Load()
+		got, err := conn.roundTrip(ctx, order{path: orderPath, timeout: trafficTimeout})
+		if err != nil {
+			if first {
+				s.lost.Add(1)
+			}
+			return
+		}
+		s.answered.Add(1)
+		if afterTerm {
+			s.answeredAfterTerm.Add(1)
+		}
+		if got.close {
+			return
+		}
+	}
+}
+
+// sendLongRequest sends the request that takes longServiceTime on a connection of its own.
+func sendLongRequest(ctx context.Context, addr string) error {
+	conn, err := dialAgent(ctx, addr)
+	if err != nil {
+		return err
+	}
+	defer conn.close()
+	got, err := conn.roundTrip(ctx, order{path: longPath, timeout: trafficTimeout})
+	if err == nil && got.status != http.StatusOK {
+		err = fmt.Errorf("status %d, want 200", got.status)
+	}
+	return err
+}
+
+// SIGTERM under traffic: connections still arrive for a while and the open ones are still used; each request on an
+// accepted connection has its response, and the program ends by itself, without error.
+func TestSIGTERMUnderTraffic(t *testing.T) {
+	server := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path == longPath {
+			time.Sleep(longServiceTime)
+		}
+		time.Sleep(serviceTime)
+		writeBody(w, "done")
+	})
+	config := newConfig(silentDiscovery(t), listedServer("s-1", server))
+	p := newProgram(t, config.text(t))
+	addr, _ := p.startListening(t)
+	p.collectLog()
+
+	traffic := &shutdownTraffic{addr: addr}
+	clients := startParallel(trafficClients, func(int) { traffic.run(t.Context()) })
+	isUnderway := func() bool { return traffic.answered.Load() >= requestsBeforeTerm }
+	if err := processtest.Await(testTimeout, "traffic", isUnderway); err != nil {
+		t.Error(err)
+	}
+	traffic.terminated.Store(true)
+	p.signal(t, syscall.SIGTERM)
+	long := make(chan error, 1)
+	go func() { long <- sendLongRequest(t.Context(), addr) }()
+	time.Sleep(connectAfterTerm)
+	traffic.stopped.Store(true)
+
+	p.expectCleanEnd(t)
+	clients.Wait()
+	if err := <-long; err != nil {
+		t.Errorf("a request in flight at the end: %v", err)
+	}
+	if lost := traffic.lost.Load(); lost > 0 {
+		t.Errorf("%d requests lost, of %d", lost, lost+traffic.answered.Load())
+	}
+	if traffic.answeredAfterTerm.Load() == 0 {
+		t.Errorf("none of %d answered requests was sent after SIGTERM", traffic.answered.Load())
+	}
+}
--- /dev/null
+++ b/cmd/agent/upgrade_test.go
@@ -0,0 +1,130 @@
+package main
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"sync/atomic"
+	"syscall"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// inheritedFD is the descriptor under which a process inherits the clients' listener.
+	inheritedFD = 5
+	// requestsPerProcess is how many requests are served before the upgrade, and after it.
+	requestsPerProcess = 100
+)
+
+// sharedListener is the clients' listener, which the platform holds and processes inherit.
+type sharedListener struct {
+	addr string
+	file *os.File
+	// tempDir is the directory in which processes that share the listener find each other.
+	tempDir string
+}
+
+// newSharedListener opens a listener that is closed at the test's end.
+func newSharedListener(t *testing.T) sharedListener {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	file, err := listener.File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = file.Close() })
+	return sharedListener{addr: listener.Addr().String(), file: file, tempDir: t.TempDir()}
+}
+
+// startProgram starts a process that inherits the listener, and waits until it is ready.
+func (l sharedListener) startProgram(t *testing.T, config agentConfig) *program {
+	t.Helper()
+	p := newProgram(t, config.text(t))
+	p.cmd.ExtraFiles = []*os.File{nil, nil, l.file} // descriptors 3, 4 and inheritedFD
+	p.setenv(listenFDVariable, strconv.Itoa(inheritedFD))
+	p.setenv("TMPDIR", l.tempDir)
+	_, admin := p.startListening(t)
+	p.collectLog()
+	isReady := func() bool {
+		got, err := getReadiness(t.Context(), admin)
+		return err == nil && got.status == http.StatusOK
+	}
+	if err := processtest.Await(testTimeout, "a ready process", isReady); err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// upgradeTraffic is the clients of an agent that is upgraded, and what became of their requests.
+type upgradeTraffic struct {
+	addr    string
+	stopped atomic.Bool // clients send nothing more
+
+	served, failed atomic.Int64
+}
+
+// run sends requests with one client until the traffic is stopped or a request fails. The client's library sends a
+// request again by itself only if it takes it for repeatable, which an order is not.
+func (u *upgradeTraffic) run(ctx context.Context) error {
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for !u.stopped.Load() {
+		request, err := order{path: orderPath, timeout: trafficTimeout}.request(ctx, u.addr)
+		if err != nil {
+			return err
+		}
+		got, err := do(client, request)
+		if err != nil {
+			return err
+		}
+		if got.status == http.StatusOK {
+			u.served.Add(1)
+		}
+	}
+	return nil
+}
+
+// awaitServed waits until a number of further requests is served, or one has failed.
+func (u *upgradeTraffic) awaitServed(t *testing.T, further int64) {
+	t.Helper()
+	want := u.served.Load() + further
+	isDone := func() bool { return u.served.Load() >= want || u.failed.Load() > 0 }
+	if err := processtest.Await(testTimeout, "served requests", isDone); err != nil {
+		t.Fatalf("%d requests served, want %d: %v", u.served.Load(), want, err)
+	}
+}
+
+// A new version under load: the platform owns the clients' accept queue, a second process takes over from it, and no
+// client meets a connection that is refused, reset or unread.
+func TestUpgradeOnAnInheritedListener(t *testing.T) {
+	listener := newSharedListener(t)
+	config := newConfig(silentDiscovery(t), listedServer("s-1", serve(t, respond("done"))))
+	config.Listen = listener.addr
+	config.Management = anyAddress
+	before := listener.startProgram(t, config)
+
+	traffic := &upgradeTraffic{addr: listener.addr}
+	clients := startParallel(trafficClients, func(int) {
+		if err := traffic.run(t.Context()); err != nil {
+			traffic.failed.Add(1)
+			t.Errorf("a request was lost: %v", err)
+		}
+	})
+	traffic.awaitServed(t, requestsPerProcess)
+	after := listener.startProgram(t, config)
+	before.signal(t, syscall.SIGTERM)
+	before.expectCleanEnd(t)
+	traffic.awaitServed(t, requestsPerProcess)
+	traffic.stopped.Store(true)
+	clients.Wait()
+	after.signal(t, syscall.SIGTERM)
+	after.expectCleanEnd(t)
+}
