--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -35,7 +35,6 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		m.cancel()
 		if err := list.Shutdown(); err != nil {
 			b.Error(err)
 		}
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"log"
 	"log/slog"
 	"sync/atomic"
@@ -30,17 +29,26 @@
 }
 
 // Info writes a line if the bound allows it.
-func (l *logger) Info(text string, args ...any) { l.write(slog.LevelInfo, text, args...) }
+func (l *logger) Info(text string, args ...any) {
+	if l.allow() {
+		l.out.Info(text, args...)
+	}
+}
 
 // Warn writes a line if the bound allows it.
-func (l *logger) Warn(text string, args ...any) { l.write(slog.LevelWarn, text, args...) }
+func (l *logger) Warn(text string, args ...any) {
+	if l.allow() {
+		l.out.Warn(text, args...)
+	}
+}
 
-func (l *logger) write(level slog.Level, text string, args ...any) {
-	if !l.limit.Allow() {
-		l.dropped.Add(1)
-		return
+// allow tells whether the bound allows one more line, and counts the line as dropped if not.
+func (l *logger) allow() bool {
+	if l.limit.Allow() {
+		return true
 	}
-	l.out.Log(context.Background(), level, text, args...)
+	l.dropped.Add(1)
+	return false
 }
 
 // std is the logger for memberlist, which writes its level in brackets before the text.
@@ -49,8 +57,12 @@
 // Write takes one of memberlist's lines. Its debug lines are dropped.
 func (l *logger) Write(line []byte) (int, error) {
 	level, text := splitLevel(bytes.TrimSpace(line))
-	if level > slog.LevelDebug {
-		l.write(level, "membership", "text", string(text[:min(len(text), maxLogTextBytes)]))
+	excerpt := string(text[:min(len(text), maxLogTextBytes)])
+	switch {
+	case level >= slog.LevelWarn:
+		l.Warn("membership", "text", excerpt)
+	case level >= slog.LevelInfo:
+		l.Info("membership", "text", excerpt)
 	}
 	return len(line), nil
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -69,9 +69,8 @@
 	killed        bool
 	shutdownMutex sync.Mutex // held while memberlist leaves or shuts down: it must not do both at once
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	stop  context.CancelFunc // ends the context of the tasks
+	tasks sync.WaitGroup
 }
 
 // Start joins the other agents in the background: it returns before any of them has answered, and an agent that
@@ -82,13 +81,15 @@
 	if err != nil {
 		return nil, err
 	}
-	err = m.bind()
+	ctx, stop := context.WithCancel(context.Background())
+	m.stop = stop
+	err = m.bind(ctx)
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
 		m.log.Info("membership: address in use by another process, waiting until it ends", "bind", cfg.Bind)
-		m.spawn(m.waitForAddress)
+		m.spawn(func() { m.waitForAddress(ctx) })
 	case err != nil:
-		m.cancel()
+		stop()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	return m, nil
@@ -113,7 +114,6 @@
 		announced:   make(chan struct{}),
 		admitted:    map[string]bool{},
 	}
-	m.ctx, m.cancel = context.WithCancel(context.Background())
 	m.table = newMemberTable(&m.cfg, m.process, time.Now())
 	m.snapshot.Store(m.table.snapshot)
 	return m, nil
@@ -142,16 +142,16 @@
 }
 
 // waitForAddress binds as soon as the address is free.
-func (m *Membership) waitForAddress() {
+func (m *Membership) waitForAddress(ctx context.Context) {
 	ticker := time.NewTicker(bindRetryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
-		err := m.bind()
+		err := m.bind(ctx)
 		if err == nil {
 			m.log.Info("membership: address bound", "bind", m.cfg.Bind)
 			return
@@ -162,20 +162,20 @@
 	}
 }
 
-// bind opens the sockets and starts to take part.
-func (m *Membership) bind() error {
+// bind opens the sockets and starts to take part until the context ends.
+func (m *Membership) bind(ctx context.Context) error {
 	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
 	if err != nil {
 		return err
 	}
-	if err := m.run(sockets, sockets); err != nil {
+	if err := m.run(ctx, sockets, sockets); err != nil {
 		return errors.Join(err, sockets.Shutdown())
 	}
 	return nil
 }
 
 // run takes part over a transport; below is what memberlist uses of it, which differs only in a test.
-func (m *Membership) run(sockets *transport, below memberlist.NodeAwareTransport) error {
+func (m *Membership) run(ctx context.Context, sockets *transport, below memberlist.NodeAwareTransport) error {
 	m.transport = sockets
 	sockets.onAlive = m.liftRetirements
 	list, err := memberlist.Create(m.listConfig(below))
@@ -188,10 +188,10 @@
 		return errors.Join(err, list.Shutdown())
 	}
 	m.notifyListChanged()
-	m.spawn(m.publishSnapshots)
-	m.spawn(m.runReconnects)
-	m.spawn(m.confirmSuspects)
-	m.spawn(m.watchSuccessors)
+	m.spawn(func() { m.publishSnapshots(ctx) })
+	m.spawn(func() { m.runReconnects(ctx) })
+	m.spawn(func() { m.confirmSuspects(ctx) })
+	m.spawn(func() { m.watchSuccessors(ctx) })
 	return nil
 }
 
@@ -230,7 +230,7 @@
 	m.leaving = true
 	killed := m.killed
 	m.mu.Unlock()
-	m.cancel()
+	m.stop()
 	if killed {
 		return
 	}
@@ -259,7 +259,7 @@
 	m.leaving = true
 	m.killed = true
 	m.mu.Unlock()
-	m.cancel()
+	m.stop()
 	if m.list.Load() != nil {
 		m.transport.kill()
 	}
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"net"
 	"strconv"
 	"time"
@@ -33,7 +34,7 @@
 }
 
 // publishSnapshots reads the list when it may have changed, and publishes a snapshot where it did change.
-func (m *Membership) publishSnapshots() {
+func (m *Membership) publishSnapshots(ctx context.Context) {
 	ticker := time.NewTicker(minSnapshotInterval)
 	defer ticker.Stop()
 	lastTick := time.Now()
@@ -42,7 +43,7 @@
 	for {
 		select {
 		case <-ticker.C:
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
 		now := time.Now()
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"math/rand/v2"
 	"time"
 
@@ -12,10 +13,10 @@
 // jitter), and exchanges lists with members whose digest stays different. The work of one agent is bounded
 // however many members are missing; over all agents it adds up, so that the first pair meets within milliseconds
 // after a partition.
-func (m *Membership) runReconnects() {
+func (m *Membership) runReconnects(ctx context.Context) {
 	select {
 	case <-m.announced: // nobody may learn of this process before it is above all earlier ones
-	case <-m.ctx.Done():
+	case <-ctx.Done():
 		return
 	}
 	bound := m.newBackoff()
@@ -26,7 +27,7 @@
 	missing := 0
 	for {
 		select {
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			m.firstExchange()
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -110,6 +111,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	ctx, stop := context.WithCancel(t.Context())
+	m.stop = stop
 	l := &delayedTransport{
 		packets:  make(chan *memberlist.Packet),
 		notified: make(chan struct{}),
@@ -126,7 +129,7 @@
 	}
 	l.transport = sockets
 	go l.pass()
-	if err := m.run(sockets, l); err != nil {
+	if err := m.run(ctx, sockets, l); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Leave)
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"errors"
 	"io"
 	"math/rand/v2"
@@ -28,17 +29,17 @@
 // dead without waiting for the rest of the suspicion. A suspect that answers receives this process's list, with
 // its suspicion, so that it refutes. One that is stalled or partitioned gives no result, and the suspicion takes
 // its time; once that is half over, another member's list is fetched.
-func (m *Membership) confirmSuspects() {
+func (m *Membership) confirmSuspects(ctx context.Context) {
 	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / 2)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		if suspect := m.drawSuspect(); suspect != nil {
-			m.confirmSuspect(suspect)
+			m.confirmSuspect(ctx, suspect)
 		}
 	}
 }
@@ -61,8 +62,8 @@
 }
 
 // confirmSuspect checks a suspect once.
-func (m *Membership) confirmSuspect(suspect *Member) {
-	switch m.checkAddress(suspect) {
+func (m *Membership) confirmSuspect(ctx context.Context, suspect *Member) {
+	switch m.checkAddress(ctx, suspect) {
 	case addressRefuses:
 		m.declareDead(suspect)
 	case addressAnswers:
@@ -98,7 +99,7 @@
 )
 
 // checkAddress connects to a member until it answers, is silent, or has refused so often that it is gone.
-func (m *Membership) checkAddress(member *Member) addressState {
+func (m *Membership) checkAddress(ctx context.Context, member *Member) addressState {
 	for range refusalsToDeclareDead {
 		conn, err := m.dialWatch(member)
 		if err == nil {
@@ -110,7 +111,7 @@
 		}
 		select {
 		case <-time.After(milliseconds(m.cfg.ProbeIntervalMs) / refusalPauses):
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return addressSilent
 		}
 	}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -59,11 +59,11 @@
 	streams  chan net.Conn
 	slots    chan struct{}
 	watchers chan struct{}
-	// ctx ends at Shutdown.
-	ctx    context.Context
-	cancel context.CancelFunc
-	// killContext ends at kill, which closes the streams that Shutdown lets finish.
-	killContext  context.Context
+	// ctx ends at Shutdown, killContext at kill, which also closes the streams that Shutdown lets finish. They are
+	// fields as memberlist calls a transport's methods without a context.
+	ctx          context.Context //nolint:containedctx // memberlist calls a transport without a context
+	cancel       context.CancelFunc
+	killContext  context.Context //nolint:containedctx // memberlist calls a transport without a context
 	cancelKill   context.CancelFunc
 	closeSockets func() error // once
 	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"net"
 	"slices"
 	"sync"
@@ -32,7 +33,7 @@
 }
 
 // watchSuccessors keeps the connections to this member's successors.
-func (m *Membership) watchSuccessors() {
+func (m *Membership) watchSuccessors(ctx context.Context) {
 	w := &watcher{m: m, conns: map[string]net.Conn{}}
 	defer w.close()
 	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / watchRoundsPerProbe)
@@ -40,13 +41,13 @@
 	wanted := make([]Member, 0, watchedSuccessors)
 	for {
 		select {
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		wanted = m.successors(wanted[:0])
 		for _, member := range w.replaceUnwanted(wanted) {
-			w.open(member)
+			w.open(ctx, member)
 		}
 	}
 }
@@ -84,7 +85,7 @@
 
 // open connects to a member and watches the connection. A failure is left to the next round, and to
 // confirmSuspects.
-func (w *watcher) open(member Member) {
+func (w *watcher) open(ctx context.Context, member Member) {
 	conn, err := w.m.dialWatch(&member)
 	if err != nil {
 		return
@@ -95,12 +96,12 @@
 	w.ended.Add(1)
 	go func() {
 		defer w.ended.Done()
-		w.watch(&member, conn)
+		w.watch(ctx, &member, conn)
 	}()
 }
 
 // watch waits for the end of a connection, and checks the member if the member ended it.
-func (w *watcher) watch(member *Member, conn net.Conn) {
+func (w *watcher) watch(ctx context.Context, member *Member, conn net.Conn) {
 	_, _ = conn.Read(make([]byte, 1)) // the member sends nothing: this returns at the end of the connection
 	_ = conn.Close()                  // it has ended
 	w.mu.Lock()
@@ -109,19 +110,19 @@
 		delete(w.conns, member.Process)
 	}
 	w.mu.Unlock()
-	if endedByPeer && w.m.ctx.Err() == nil {
-		w.m.watchEnded(member)
+	if endedByPeer && ctx.Err() == nil {
+		w.m.watchEnded(ctx, member)
 	}
 }
 
 // watchEnded is called when a watched member's connection has ended: if its address refuses connections its
 // process is gone.
-func (m *Membership) watchEnded(watched *Member) {
+func (m *Membership) watchEnded(ctx context.Context, watched *Member) {
 	current, ok := m.snapshot.Load().Member(watched.Name)
 	if !ok || current.Process != watched.Process || !current.State.isPresent() {
 		return
 	}
-	if m.checkAddress(watched) == addressRefuses {
+	if m.checkAddress(ctx, watched) == addressRefuses {
 		m.declareDead(&current)
 	}
 }
