--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -65,7 +65,7 @@
 			Incarnation: uint32(1000 + i),
 			Vsn:         []uint8{1, 5, 2, 0, 0, 0},
 		}
-		message = append(message, encodeMessage(0, node)[1:]...)
+		message = append(message, encodeBody(node)...)
 	}
 	return message
 }
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -35,7 +35,7 @@
 		"push/pull": func(process string, incarnation uint32) []byte {
 			node := pushNode{Name: "b", Addr: []byte{127, 0, 0, 1}, Port: 7, Vsn: []uint8{1, 5, 2, 0, 0, 0},
 				Meta: meta{Process: process}.bytes(), Incarnation: incarnation}
-			return append(encodeMessage(msgPushPull, pushPullHeader{Nodes: 1}), encodeMessage(0, node)[1:]...)
+			return append(encodeMessage(msgPushPull, pushPullHeader{Nodes: 1}), encodeBody(node)...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/membership/guard.go
+++ b/internal/membership/guard.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
+	"net"
 
 	"github.com/hashicorp/go-msgpack/v2/codec"
 	"github.com/hashicorp/memberlist"
@@ -32,9 +33,9 @@
 )
 
 // messageTypeError is a message of a type that no member sends at that place.
-type messageTypeError byte
+type messageTypeError messageType
 
-func (e messageTypeError) Error() string { return fmt.Sprintf("message of type %d", byte(e)) }
+func (e messageTypeError) Error() string { return fmt.Sprintf("message of type %d", messageType(e)) }
 
 // checkPacket tells why a packet, its label removed, is one that no member sends; nil: it may go to memberlist. Each
 // of its messages is given to onMessage, which may change its bytes in place (not their number); checksums are then
@@ -44,7 +45,7 @@
 	if len(b) == 0 {
 		return errEmptyMessage
 	}
-	switch b[0] {
+	switch typeOf(b) {
 	case msgPing, msgIndirectPing, msgAck, msgNack, msgUser, msgSuspect, msgAlive, msgDead:
 		onMessage(b)
 		return nil
@@ -54,9 +55,10 @@
 		if depth > maxCompoundDepth {
 			return errNested
 		}
-		return checkCompound(b[1:], depth, onMessage)
+		return checkCompound(bodyOf(b), depth, onMessage)
+	default:
+		return messageTypeError(typeOf(b))
 	}
-	return messageTypeError(b[0])
 }
 
 // checkChecksum checks a message with a checksum, which only a whole packet may have, and what it covers.
@@ -132,7 +134,7 @@
 }
 
 // isValidIP tells whether an address in a message has the length of an IPv4 or IPv6 address.
-func isValidIP(addr []byte) bool { return len(addr) == 4 || len(addr) == 16 }
+func isValidIP(addr []byte) bool { return len(addr) == net.IPv4len || len(addr) == net.IPv6len }
 
 // checkStream tells why a message of a stream is one that no member sends.
 func checkStream(b []byte, maxNodes int) (err error) {
@@ -145,12 +147,13 @@
 	if len(b) == 0 {
 		return errEmptyMessage
 	}
-	switch b[0] {
+	switch typeOf(b) {
 	case msgPushPull:
-		_, err = readPushPull(b[1:], maxNodes)
+		_, err = readPushPull(bodyOf(b), maxNodes)
 		return err
 	case msgPing, msgAck, msgError, msgWatch:
 		return nil
+	default:
+		return messageTypeError(typeOf(b))
 	}
-	return messageTypeError(b[0])
 }
--- a/internal/membership/localstream.go
+++ b/internal/membership/localstream.go
@@ -32,7 +32,7 @@
 
 // Write takes a message; of those that memberlist writes only the push/pull is recorded.
 func (s *localStream) Write(message []byte) (int, error) {
-	if len(message) > 0 && message[0] == msgPushPull {
+	if len(message) > 0 && typeOf(message) == msgPushPull {
 		s.onList(bytes.Clone(message))
 	}
 	return len(message), nil
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -88,7 +88,7 @@
 	message := func(h pushPullHeader, nodes ...pushNode) []byte {
 		b := encodeMessage(msgPushPull, h)
 		for _, n := range nodes {
-			b = append(b, encodeMessage(0, n)[1:]...)
+			b = append(b, encodeBody(n)...)
 		}
 		return b
 	}
@@ -107,21 +107,21 @@
 		"cut off":             message(pushPullHeader{Nodes: 2}, node),
 		"short versions":      message(pushPullHeader{Nodes: 1}, short),
 		"long name":           message(pushPullHeader{Nodes: 1}, long),
-		"compressed":          {msgCompress, 1, 2},
+		"compressed":          {byte(msgCompress), 1, 2},
 		"empty":               {},
 	} {
 		if checkStream(b, 8) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	nested := []byte{msgPing}
+	nested := []byte{byte(msgPing)}
 	for range 8 {
-		nested = append([]byte{msgCompound, 1, 0, byte(len(nested))}, nested...)
+		nested = append([]byte{byte(msgCompound), 1, 0, byte(len(nested))}, nested...)
 	}
 	for name, b := range map[string][]byte{
-		"compressed within": {msgCompound, 1, 0, 2, msgCompress, 1},
+		"compressed within": {byte(msgCompound), 1, 0, 2, byte(msgCompress), 1},
 		"nested":            nested,
-		"cut off":           {msgCompound, 9, 0},
+		"cut off":           {byte(msgCompound), 9, 0},
 		"unknown":           {99},
 	} {
 		if checkPacket(b, 0, func([]byte) {}) == nil {
@@ -131,13 +131,13 @@
 	// A death report is believed from a trusted member and from the member itself.
 	for _, from := range []string{"trusted", "untrusted", "b"} {
 		report := encodeMessage(msgDead, deadMessage{Incarnation: 3, Node: "b", From: from})
-		inner := append([]byte{msgCompound, 1, 0, 0}, report...)
+		inner := append([]byte{byte(msgCompound), 1, 0, 0}, report...)
 		inner[3] = byte(len(inner) - 4)
-		b := append(binary.BigEndian.AppendUint32([]byte{msgCRC}, crc32.ChecksumIEEE(inner)), inner...)
+		b := append(binary.BigEndian.AppendUint32([]byte{byte(msgCRC)}, crc32.ChecksumIEEE(inner)), inner...)
 		trusts := func(reporter, _ string) bool { return reporter == "trusted" }
 		err := checkPacket(b, 0, func(message []byte) { demoteDeathReport(message, trusts) })
 		recheckErr := checkPacket(b, 0, func([]byte) {})
-		if err != nil || recheckErr != nil || (b[9] == msgSuspect) != (from == "untrusted") {
+		if err != nil || recheckErr != nil || (messageType(b[9]) == msgSuspect) != (from == "untrusted") {
 			t.Errorf("the report of %q becomes a message of type %d (%v, %v)", from, b[9], err, recheckErr)
 		}
 	}
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,10 +5,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// The messages of memberlist's protocol (v0.5.4, version 2) as far as they are read here: the first byte is the
-// type, msgpack follows.
+// messageType is the first byte of a message of memberlist's protocol (v0.5.4, version 2); the body follows, mostly as
+// msgpack.
+type messageType byte
+
+// The types of messages.
 const (
-	msgPing = iota
+	msgPing messageType = iota
 	msgIndirectPing
 	msgAck
 	msgSuspect
@@ -23,9 +26,15 @@
 	msgCRC
 	msgError
 
-	msgLabel = 244
+	msgLabel messageType = 244
 )
 
+// typeOf is the type of a message, which is not empty.
+func typeOf(message []byte) messageType { return messageType(message[0]) }
+
+// bodyOf is what follows a message's type.
+func bodyOf(message []byte) []byte { return message[1:] }
+
 // maxNameBytes bounds a member's name.
 const maxNameBytes = 64
 
@@ -58,23 +67,28 @@
 type errorMessage struct{ Error string }
 
 // encodeMessage is a message as memberlist writes it.
-func encodeMessage(kind byte, body any) []byte {
+func encodeMessage(kind messageType, body any) []byte {
+	return append([]byte{byte(kind)}, encodeBody(body)...)
+}
+
+// encodeBody is a struct of plain fields as msgpack.
+func encodeBody(body any) []byte {
 	var encoded []byte
 	if err := codec.NewEncoderBytes(&encoded, &codec.MsgpackHandle{}).Encode(body); err != nil {
 		panic(err) // a struct of plain fields can be encoded
 	}
-	return append([]byte{kind}, encoded...)
+	return encoded
 }
 
 // encodePushPull is a push/pull with one member.
 func encodePushPull(node pushNode) []byte {
 	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: 1})
-	return append(message, encodeMessage(0, node)[1:]...)
+	return append(message, encodeBody(node)...)
 }
 
 // changesState tells whether a message is about a member's state.
 func changesState(message []byte) bool {
-	switch message[0] {
+	switch typeOf(message) {
 	case msgSuspect, msgAlive, msgDead:
 		return true
 	default:
@@ -85,19 +99,19 @@
 // demoteDeathReport turns a report that a member is dead into a suspicion, unless it is the member's own (it leaves)
 // or comes from a member that is trusted; the two messages differ in their first byte only.
 func demoteDeathReport(message []byte, trusts func(reporter, accused string) bool) (demoted bool) {
-	if message[0] != msgDead {
+	if typeOf(message) != msgDead {
 		return false
 	}
 	defer func() {
 		_ = recover() // the decoder panics at some input that is not msgpack: memberlist drops such a message
 	}()
 	var report deadMessage
-	if err := codec.NewDecoderBytes(message[1:], &codec.MsgpackHandle{}).Decode(&report); err != nil {
+	if err := codec.NewDecoderBytes(bodyOf(message), &codec.MsgpackHandle{}).Decode(&report); err != nil {
 		return false
 	}
 	if report.From == report.Node || trusts(report.From, report.Node) {
 		return false
 	}
-	message[0] = msgSuspect
+	message[0] = byte(msgSuspect)
 	return true
 }
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -106,7 +106,7 @@
 	if m.transport.recordedList == nil {
 		return nil
 	}
-	nodes, err := readPushPull(m.transport.recordedList[1:], maxLocalNodes)
+	nodes, err := readPushPull(bodyOf(m.transport.recordedList), maxLocalNodes)
 	if err != nil {
 		m.log.Warn("membership: list can't be read", "err", err)
 		return nil
--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -101,17 +101,17 @@
 			err = errInvalidAlive
 		}
 	}()
-	if message[0] == msgPushPull {
+	if typeOf(message) == msgPushPull {
 		return readAliveNodes(message, maxNodes)
 	}
 	var claim aliveMessage
-	err = codec.NewDecoderBytes(message[1:], &codec.MsgpackHandle{}).Decode(&claim)
+	err = codec.NewDecoderBytes(bodyOf(message), &codec.MsgpackHandle{}).Decode(&claim)
 	return []aliveMessage{claim}, err
 }
 
 // readAliveNodes reads the alive members of a push/pull.
 func readAliveNodes(message []byte, maxNodes int) ([]aliveMessage, error) {
-	nodes, err := readPushPull(message[1:], maxNodes)
+	nodes, err := readPushPull(bodyOf(message), maxNodes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -78,7 +78,7 @@
 		_ = s.Close() // the peer gets no answer
 		return
 	}
-	if s.unread[0] == msgWatch {
+	if typeOf(s.unread) == msgWatch {
 		t.serveWatcher(s)
 		return
 	}
@@ -93,7 +93,7 @@
 // serveWatcher acknowledges a watch and keeps the connection until either side ends. It does not count among the
 // streams; the watchers have a bound of their own. One over it is acknowledged and closed, and retries.
 func (t *transport) serveWatcher(s *framedStream) {
-	_, err := s.Write([]byte{msgWatch})
+	_, err := s.Write([]byte{byte(msgWatch)})
 	s.releaseSlot()
 	select {
 	case t.watchers <- struct{}{}:
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	label = s.unread
-	if label[0] == msgLabel {
+	if typeOf(label) == msgLabel {
 		err = s.readMessage()
 	}
 	return label, err
@@ -193,13 +193,13 @@
 		return err
 	}
 	s.unread = message
-	if message[0] == msgLabel {
+	if typeOf(message) == msgLabel {
 		return s.checkLabel(message)
 	}
 	if err := checkStream(message, s.transport.cfg.maxMembers()); err != nil {
 		return s.rejectMessage(err)
 	}
-	if message[0] == msgPushPull {
+	if typeOf(message) == msgPushPull {
 		s.transport.onAlive(message)
 	}
 	return nil
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -227,7 +227,7 @@
 	if demoteDeathReport(message, t.trustsDeathReport) {
 		t.traffic.demotedDeaths.Add(1)
 	}
-	if message[0] == msgAlive {
+	if typeOf(message) == msgAlive {
 		t.onAlive(message)
 	}
 }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -21,7 +21,7 @@
 	watchRoundsPerProbe = 4
 	// msgWatch begins a stream that stays open for as long as both processes run. It is not one of memberlist's
 	// messages.
-	msgWatch = 200
+	msgWatch messageType = 200
 )
 
 // watcher has the connections to the members that a process watches.
@@ -183,7 +183,7 @@
 	if err := memberlist.AddLabelHeaderToStream(conn, m.cfg.Site); err != nil {
 		return err
 	}
-	if _, err := conn.Write(append([]byte{msgWatch}, m.cfg.Name...)); err != nil {
+	if _, err := conn.Write(append([]byte{byte(msgWatch)}, m.cfg.Name...)); err != nil {
 		return err
 	}
 	if _, err := conn.Read(make([]byte, 1)); err != nil {
