--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -41,7 +41,7 @@
 	})
 	m.list.Store(list)
 	m.transport.suspicionOfSelf = pushPullOf(members)
-	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
+	if _, err := list.Join([]string{peerAddress{suspicionPeer, m.cfg.Advertise}.String()}); err != nil {
 		b.Fatal(err)
 	}
 	snapshot := m.readSnapshot(time.Now())
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -193,7 +193,7 @@
 	if changing && now.Sub(m.exchangedAt) < 2*settle {
 		return
 	}
-	m.differingPeer = node.Name + "/" + node.Address()
+	m.differingPeer = &peerAddress{name: node.Name, addr: node.Address()}
 	m.differedAt = now
 }
 
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -9,12 +9,26 @@
 // so at a time: what they bring changes the digests of the others.
 const exchangeOneIn = 2
 
-// joinAddress is a member's address as memberlist's Join takes it.
-func joinAddress(member *Member) string { return member.Name + "/" + member.Addr }
+// peerAddress is where lists can be exchanged: the address of a member, or that of a seed, whose name is not known.
+type peerAddress struct {
+	name string // empty: any member may answer
+	addr string
+}
+
+// peerOf is the address of a member.
+func peerOf(member *Member) peerAddress { return peerAddress{name: member.Name, addr: member.Addr} }
+
+// String is the address as memberlist's Join takes it.
+func (p peerAddress) String() string {
+	if p.name == "" {
+		return p.addr
+	}
+	return p.name + "/" + p.addr
+}
 
-// exchangeWith exchanges lists (a push/pull) with whoever is at an address, which may have a name before it.
-func (m *Membership) exchangeWith(addr string) error {
-	if _, err := m.list.Load().Join([]string{addr}); err != nil {
+// exchangeWith exchanges lists (a push/pull) with a peer.
+func (m *Membership) exchangeWith(peer peerAddress) error {
+	if _, err := m.list.Load().Join([]string{peer.String()}); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -23,11 +37,11 @@
 	return nil
 }
 
-// exchangeLists exchanges lists with a member, name/address, counts it and logs its failure.
-func (m *Membership) exchangeLists(peer string) {
+// exchangeLists exchanges lists with a member, counts it and logs its failure.
+func (m *Membership) exchangeLists(peer peerAddress) {
 	m.exchanges.Add(1)
 	if err := m.exchangeWith(peer); err != nil {
-		m.log.Info("membership: push/pull failed", "peer", peer, "err", err)
+		m.log.Info("membership: push/pull failed", "peer", peer.String(), "err", err)
 	}
 }
 
@@ -43,7 +57,7 @@
 	members := m.snapshot.Load().Members
 	for i := range members {
 		if m.isAlivePeer(&members[i]) {
-			m.exchangeLists(joinAddress(&members[i]))
+			m.exchangeLists(peerOf(&members[i]))
 			return
 		}
 	}
@@ -53,12 +67,12 @@
 func (m *Membership) syncWithDifferingPeer() {
 	m.mu.Lock()
 	peer := m.differingPeer
-	m.differingPeer = ""
+	m.differingPeer = nil
 	m.mu.Unlock()
-	if peer == "" || rand.IntN(exchangeOneIn) != 0 {
+	if peer == nil || rand.IntN(exchangeOneIn) != 0 {
 		return
 	}
-	m.exchangeLists(peer)
+	m.exchangeLists(*peer)
 }
 
 // exchangeAboutSuspect exchanges lists with some member about a suspect that does not answer this process: the
@@ -76,7 +90,7 @@
 	for i := range members {
 		member := &members[(first+i)%len(members)]
 		if m.isAlivePeer(member) {
-			m.exchangeLists(joinAddress(member))
+			m.exchangeLists(peerOf(member))
 			return
 		}
 	}
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -39,7 +39,7 @@
 		Vsn:         []uint8{node.PMin, node.PMax, node.PCur, node.DMin, node.DMax, node.DCur},
 	}
 	m.transport.suspicionOfSelf = encodePushPull(suspicion)
-	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
+	if _, err := list.Join([]string{peerAddress{suspicionPeer, m.cfg.Advertise}.String()}); err != nil {
 		return fmt.Errorf("starting above the incarnations of earlier processes: %w", err)
 	}
 	return nil
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -62,7 +62,7 @@
 	mu            sync.Mutex // guards the fields below, up to shutdownMutex
 	table         *memberTable
 	admitted      map[string]bool // names in the last reading of the list, and those admitted since
-	differingPeer string          // a member whose digest differed, name/address; empty: none
+	differingPeer *peerAddress    // a member whose digest differed; nil: none
 	differedAt    time.Time       // when a digest last differed
 	exchangedAt   time.Time       // when lists were last exchanged with a member; zero: never
 	leaving       bool
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -102,7 +102,7 @@
 func (m *Membership) readSnapshot(now time.Time) *Snapshot {
 	m.transport.recordedList = nil
 	// A push/pull with the local stream always fails; it has recorded the list by then.
-	_, _ = m.list.Load().Join([]string{listPeer + "/" + m.cfg.Advertise})
+	_, _ = m.list.Load().Join([]string{peerAddress{listPeer, m.cfg.Advertise}.String()})
 	if m.transport.recordedList == nil {
 		return nil
 	}
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -33,7 +33,7 @@
 			m.firstExchange()
 			m.syncWithDifferingPeer()
 			missingBefore := missing
-			missing = len(m.missingAddresses())
+			missing = len(m.missingPeers())
 			if missing > missingBefore {
 				// Earlier failures tell nothing about a member that is newly missing.
 				bound.Reset()
@@ -62,33 +62,32 @@
 // fullJitter draws a time from zero up to the backoff's next interval.
 func fullJitter(b *backoff.ExponentialBackOff) time.Duration { return rand.N(b.NextBackOff()) }
 
-// missingAddresses are the addresses of the dead members and of the seeds that are not members. Members that left
-// are not missing.
-func (m *Membership) missingAddresses() []string {
-	var missing []string
+// missingPeers are the dead members and the seeds that are not members. Members that left are not missing.
+func (m *Membership) missingPeers() []peerAddress {
+	var missing []peerAddress
 	memberAddrs := map[string]bool{m.cfg.Advertise: true}
 	members := m.snapshot.Load().Members
 	for i := range members {
 		member := &members[i]
 		if member.State == Dead {
-			missing = append(missing, joinAddress(member))
+			missing = append(missing, peerOf(member))
 		}
 		memberAddrs[member.Addr] = true
 	}
 	for _, seed := range m.cfg.Seeds {
 		if !memberAddrs[seed] {
-			missing = append(missing, seed)
+			missing = append(missing, peerAddress{addr: seed})
 		}
 	}
 	return missing
 }
 
-// reconnect tries one missing address and tells whether it answered.
+// reconnect tries one missing peer and tells whether it answered.
 func (m *Membership) reconnect() bool {
-	addrs := m.missingAddresses()
-	if len(addrs) == 0 {
+	peers := m.missingPeers()
+	if len(peers) == 0 {
 		return false
 	}
 	m.reconnects.Add(1)
-	return m.exchangeWith(addrs[rand.IntN(len(addrs))]) == nil
+	return m.exchangeWith(peers[rand.IntN(len(peers))]) == nil
 }
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -67,7 +67,7 @@
 	case addressRefuses:
 		m.declareDead(suspect)
 	case addressAnswers:
-		m.exchangeLists(joinAddress(suspect))
+		m.exchangeLists(peerOf(suspect))
 	case addressSilent:
 		m.exchangeAboutSuspect(suspect)
 	}
