--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -13,6 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
+	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -52,8 +53,8 @@
 	if err != nil {
 		return usage, err
 	}
-	usage.Packets = status.Traffic["packets_out"]
-	usage.Bytes = status.Traffic["bytes_out"] + status.Traffic["stream_bytes_out"]
+	usage.Packets = status.Traffic[membership.PacketsOut]
+	usage.Bytes = status.Traffic[membership.BytesOut] + status.Traffic[membership.StreamBytesOut]
 	return usage, nil
 }
 
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -7,6 +7,7 @@
 	"net"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -46,7 +47,9 @@
 		if err != nil {
 			return false
 		}
-		packets, streams, foreign := status.Traffic["bad_packets"], status.Traffic["bad_streams"], status.Traffic["foreign"]
+		packets := status.Traffic[membership.BadPackets]
+		streams := status.Traffic[membership.BadStreams]
+		foreign := status.Traffic[membership.ForeignSite]
 		dropped = packets + streams + foreign
 		return streams >= minBadStreams && foreign >= minForeignPackets && packets >= minBadPackets
 	})
