--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -19,7 +19,16 @@
 	// maxMembersFactor and minMaxMembers bound the known members: a flood of forged names ends there.
 	maxMembersFactor = 2
 	minMaxMembers    = 64
-	dayMs            = 24 * 60 * 60 * 1000
+
+	// Times in milliseconds, the unit of the configuration.
+	secondMs = 1000
+	minuteMs = 60 * secondMs
+	dayMs    = 24 * 60 * minuteMs
+
+	// The shortest suspicion, and the least default, in probe intervals.
+	minSuspectTimeoutProbes     = 4
+	defaultSuspectTimeoutProbes = 5
+	defaultSuspectTimeoutMs     = 5 * secondMs
 )
 
 // Config is the configuration of an agent's membership. The JSON keys are those of the agent's configuration file,
@@ -174,19 +183,26 @@
 
 // completeTimes sets the defaults of the times and checks them. Those of a suspicion depend on the probe interval.
 func (c *Config) completeTimes() error {
-	probe := timeKey{"probe_interval_ms", &c.ProbeIntervalMs, 1000, 50, 10_000}
+	probe := timeKey{"probe_interval_ms", &c.ProbeIntervalMs, secondMs, 50, 10 * secondMs}
 	if err := probe.complete(); err != nil {
 		return err
 	}
-	suspectDefault := max(5000, 5*c.ProbeIntervalMs)
+	suspect := timeKey{
+		key:      "suspect_timeout_ms",
+		value:    &c.SuspectTimeoutMs,
+		fallback: max(defaultSuspectTimeoutMs, defaultSuspectTimeoutProbes*c.ProbeIntervalMs),
+		min:      minSuspectTimeoutProbes * c.ProbeIntervalMs,
+		max:      minuteMs,
+	}
 	for _, key := range []timeKey{
-		{"suspect_timeout_ms", &c.SuspectTimeoutMs, suspectDefault, 4 * c.ProbeIntervalMs, 60_000},
-		{"settle_ms", &c.SettleMs, 2000, 1, 60_000},
-		{"forget_ms", &c.ForgetMs, 30_000, 1000, 600_000},
-		{"reclaim_ms", &c.ReclaimMs, 10_000, 1, 600_000},
-		{"reconnect_ms", &c.ReconnectMs, 5000, 100, 600_000},
+		suspect,
+		// key, value, default, minimum, maximum
+		{"settle_ms", &c.SettleMs, 2 * secondMs, 1, minuteMs},
+		{"forget_ms", &c.ForgetMs, 30 * secondMs, secondMs, 10 * minuteMs},
+		{"reclaim_ms", &c.ReclaimMs, 10 * secondMs, 1, 10 * minuteMs},
+		{"reconnect_ms", &c.ReconnectMs, 5 * secondMs, 100, 10 * minuteMs},
 		{"reconnect_for_ms", &c.ReconnectForMs, dayMs, 1, 30 * dayMs},
-		{"leave_ms", &c.LeaveMs, 1500, 1, 10_000},
+		{"leave_ms", &c.LeaveMs, 1500, 1, 10 * secondMs},
 	} {
 		if err := key.complete(); err != nil {
 			return err
@@ -204,6 +220,12 @@
 	return int(math.Ceil(float64(c.SuspectTimeoutMs) / float64(c.ProbeIntervalMs)))
 }
 
+// halfSuspicion is half of the time that a suspicion lasts at least: a member that refutes has mostly done so by then.
+func (c *Config) halfSuspicion() time.Duration {
+	const parts = 2
+	return milliseconds(c.SuspectTimeoutMs) / parts
+}
+
 // maxSuspicion is how long a suspicion lasts at the most with a number of members.
 func (c *Config) maxSuspicion(members int) time.Duration {
 	scale := math.Max(1, math.Log10(math.Max(1, float64(members))))
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -31,6 +31,10 @@
 	digestBytes = 8
 	// digestSettleRounds is digestSettleTime in probe intervals.
 	digestSettleRounds = 3
+	// unsettledFactor is after how many times digestSettleTime a digest that never settles is compared all the same.
+	unsettledFactor = 2
+	// probeTimeoutsPerInterval is how many timeouts of a direct probe a probe interval has.
+	probeTimeoutsPerInterval = 2
 
 	// Memberlist's gossip: how many rounds of it a probe interval has, their shortest interval, the members that
 	// each round reaches, and the factor for the retransmissions of a message.
@@ -56,7 +60,7 @@
 	c.EnableCompression = false
 	c.TCPTimeout = streamTimeout
 	c.ProbeInterval = milliseconds(m.cfg.ProbeIntervalMs)
-	c.ProbeTimeout = c.ProbeInterval / 2
+	c.ProbeTimeout = c.ProbeInterval / probeTimeoutsPerInterval
 	c.SuspicionMult = m.cfg.suspicionMultiplier()
 	c.SuspicionMaxTimeoutMult = suspicionMaxMultiplier
 	// A gossip round costs nothing when there are no messages. After a partition or a start there are messages
@@ -186,11 +190,10 @@
 		return
 	}
 	now := time.Now()
-	settle := m.digestSettleTime()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	changing := now.Sub(snapshot.digestSince) < settle
-	if changing && now.Sub(m.exchangedAt) < 2*settle {
+	changing := now.Sub(snapshot.digestSince) < m.digestSettleTime()
+	if changing && now.Sub(m.exchangedAt) < m.unsettledTime() {
 		return
 	}
 	m.differingPeer = &peerAddress{name: node.Name, addr: node.Address()}
@@ -198,12 +201,15 @@
 }
 
 // digestSettleTime is how long the digest has to be unchanged before a differing one matters: some rounds of
-// gossip. (Suspicions do not count in it: with many members there always are some.) Where the digest never
-// settles, as one member after the other is discovered, twice this time since the last exchange of lists counts.
+// gossip. (Suspicions do not count in it: with many members there always are some.)
 func (m *Membership) digestSettleTime() time.Duration {
 	return digestSettleRounds * milliseconds(m.cfg.ProbeIntervalMs)
 }
 
+// unsettledTime is how long after the last exchange of lists a differing digest matters even where this process's own
+// never settles, as one member after the other is discovered.
+func (m *Membership) unsettledTime() time.Duration { return unsettledFactor * m.digestSettleTime() }
+
 // NotifyMsg ignores user messages: agents send none.
 func (m *Membership) NotifyMsg([]byte) {}
 
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -78,7 +78,7 @@
 // exchangeAboutSuspect exchanges lists with some member about a suspect that does not answer this process: the
 // suspicion may be refuted to all others, and no digest shows it, as suspicions do not count there.
 func (m *Membership) exchangeAboutSuspect(suspect *Member) {
-	wait := milliseconds(m.cfg.SuspectTimeoutMs) / 2
+	wait := m.cfg.halfSuspicion()
 	m.mu.Lock()
 	exchangedLately := time.Since(m.exchangedAt) < wait
 	m.mu.Unlock()
@@ -106,5 +106,5 @@
 func (m *Membership) digestDifferedLately() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.differedAt.IsZero() && time.Since(m.differedAt) < 2*m.digestSettleTime()
+	return !m.differedAt.IsZero() && time.Since(m.differedAt) < m.unsettledTime()
 }
--- a/internal/membership/membertable.go
+++ b/internal/membership/membertable.go
@@ -157,8 +157,7 @@
 	if old.State == Dead {
 		return member.State.isPresent()
 	}
-	lasting := milliseconds(t.cfg.SuspectTimeoutMs) / 2
-	return old.State == Suspect && member.State == Alive && now.Sub(old.stateSince) >= lasting
+	return old.State == Suspect && member.State == Alive && now.Sub(old.stateSince) >= t.cfg.halfSuspicion()
 }
 
 // updateUnlisted decides about a member that memberlist has forgotten. A dead one stays for ReconnectForMs, so
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -108,7 +108,7 @@
 			assessment.AtLeast++
 		}
 	}
-	assessment.Quorate = 2*assessment.AtLeast > s.Size
+	assessment.Quorate = assessment.AtLeast > s.Size-assessment.AtLeast
 	return assessment
 }
 
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -12,8 +12,10 @@
 )
 
 const (
-	// checkersPerInterval is how many agents check a suspect in each probe interval, on average over all agents.
-	checkersPerInterval = 3
+	// confirmRoundsPerProbe is how often in a probe interval an agent may check a suspect.
+	confirmRoundsPerProbe = 2
+	// checkersPerRound is how many agents check a suspect in each round, on average over all agents.
+	checkersPerRound = 3
 	// refusalsToDeclareDead is how many refused connections, one after the other, declare a member dead.
 	refusalsToDeclareDead = 3
 	// refusalPauses is how many pauses between refused connections a probe interval has.
@@ -30,7 +32,7 @@
 // its suspicion, so that it refutes. One that is stalled or partitioned gives no result, and the suspicion takes
 // its time; once that is half over, another member's list is fetched.
 func (m *Membership) confirmSuspects(ctx context.Context) {
-	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / 2)
+	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / confirmRoundsPerProbe)
 	defer ticker.Stop()
 	for {
 		select {
@@ -54,7 +56,7 @@
 			continue
 		}
 		drawn := checkAll || m.overdueCheckDrawn(member)
-		if drawn || rand.IntN(max(1, snapshot.Present)) < checkersPerInterval {
+		if drawn || rand.IntN(max(1, snapshot.Present)) < checkersPerRound {
 			return member
 		}
 	}
@@ -76,7 +78,7 @@
 // overdueCheckDrawn draws whether to check a suspect whose suspicion is half over: the others may long have
 // received its refutation, which this process missed.
 func (m *Membership) overdueCheckDrawn(suspect *Member) bool {
-	overdue := time.Since(suspect.stateSince) > milliseconds(m.cfg.SuspectTimeoutMs)/2
+	overdue := time.Since(suspect.stateSince) > m.cfg.halfSuspicion()
 	return overdue && rand.IntN(overdueCheckOneIn) == 0
 }
 
