--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -123,7 +123,7 @@
 		"digestSince": snapshot.digestSince,
 		"stateSince":  snapshot.Members[0].stateSince,
 	} {
-		if at == at.Round(0) {
+		if at == at.Round(0) { //nolint:staticcheck // Equal would leave the monotonic reading out
 			t.Errorf("%s has no monotonic reading: %v", name, at)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -39,18 +39,19 @@
 func TestAssessment(t *testing.T) {
 	cfg := &Config{Name: "a", Size: 5, SettleMs: 1000}
 	t0 := time.Now()
-	tab := newMemberTable(cfg, "0000000000000001", t0)
-	list := func(states ...State) (l []Member) {
-		for i, s := range states {
-			l = append(l, Member{Name: string(rune('a' + i)), Process: strings.Repeat(string(rune('0'+i)), 16), State: s})
+	table := newMemberTable(cfg, "0000000000000001", t0)
+	list := func(states ...State) (members []Member) {
+		for i, state := range states {
+			process := strings.Repeat(string(rune('0'+i)), processIDLength)
+			members = append(members, Member{Name: string(rune('a' + i)), Process: process, State: state})
 		}
-		return l
+		return members
 	}
 	for i, step := range []struct {
-		at            time.Duration
-		list          []Member
-		atLeast, most int
-		quorate       bool
+		at              time.Duration
+		list            []Member
+		atLeast, atMost int
+		quorate         bool
 	}{
 		{0, list(Alive, Alive, Alive), 1, 5, false},
 		{999 * time.Millisecond, list(Alive, Alive, Alive), 1, 5, false},
@@ -61,95 +62,120 @@
 		{5 * time.Second, list(Alive, Dead, Left), 1, 5, false},
 		{6 * time.Second, list(Alive, Alive, Alive, Alive, Alive, Alive), 1, 6, false},
 	} {
-		tab.update(step.list, t0.Add(step.at))
-		c := tab.snapshot.Assess(t0.Add(step.at))
-		if c.AtLeast != step.atLeast || c.AtMost != step.most || c.Quorate != step.quorate {
-			t.Errorf("step %d: %+v", i, c)
+		table.update(step.list, t0.Add(step.at))
+		got := table.snapshot.Assess(t0.Add(step.at))
+		if got.AtLeast != step.atLeast || got.AtMost != step.atMost || got.Quorate != step.quorate {
+			t.Errorf("step %d: %+v", i, got)
 		}
 	}
-	if member, _ := tab.snapshot.Member("b"); member.State != Alive {
+	if member, _ := table.snapshot.Member("b"); member.State != Alive {
 		t.Errorf("b is %v", member)
 	}
 	// A dead member that memberlist forgets is kept for reconnects; one that left is not.
 	cfg.ReconnectForMs = 60_000
-	tab.update(list(Alive, Dead, Left), t0.Add(7*time.Second))
-	tab.update(list(Alive), t0.Add(8*time.Second))
-	if _, ok := tab.snapshot.Member("b"); !ok {
+	table.update(list(Alive, Dead, Left), t0.Add(7*time.Second))
+	table.update(list(Alive), t0.Add(8*time.Second))
+	if _, ok := table.snapshot.Member("b"); !ok {
 		t.Error("the dead member is forgotten with memberlist's list")
 	}
-	if _, ok := tab.snapshot.Member("c"); ok {
+	if _, ok := table.snapshot.Member("c"); ok {
 		t.Error("the member that left is kept")
 	}
 }
 
+// validNode is a member in a push/pull that a member may send.
+func validNode() pushNode {
+	return pushNode{Name: "b", Addr: []byte{127, 0, 0, 1}, Port: 1, Vsn: []uint8{1, 5, 2, 0, 0, 0}}
+}
+
+// pushPullMessage is a push/pull with a header that need not fit its members.
+func pushPullMessage(header pushPullHeader, nodes ...pushNode) []byte {
+	message := encodeMessage(msgPushPull, header)
+	for _, node := range nodes {
+		message = append(message, encodeBody(node)...)
+	}
+	return message
+}
+
 // Messages with lengths beyond their end, or at which memberlist would panic, are rejected.
 func TestForgedMessagesAreRejected(t *testing.T) {
-	node := pushNode{Name: "b", Addr: []byte{127, 0, 0, 1}, Port: 1, Vsn: []uint8{1, 5, 2, 0, 0, 0}}
-	message := func(h pushPullHeader, nodes ...pushNode) []byte {
-		b := encodeMessage(msgPushPull, h)
-		for _, n := range nodes {
-			b = append(b, encodeBody(n)...)
-		}
-		return b
-	}
-	if err := checkStream(message(pushPullHeader{Nodes: 1}, node), 8); err != nil {
+	t.Run("streams", checkForgedStreams)
+	t.Run("packets", checkForgedPackets)
+	t.Run("death reports", checkDeathReports)
+	t.Run("changed bytes", checkChangedBytes)
+}
+
+func checkForgedStreams(t *testing.T) {
+	node := validNode()
+	if err := checkStream(pushPullMessage(pushPullHeader{Nodes: 1}, node), 8); err != nil {
 		t.Fatalf("a valid list: %v", err)
 	}
 	short := node
 	short.Vsn = []uint8{1, 5}
 	long := node
 	long.Name = strings.Repeat("x", maxNameBytes+1)
-	for name, b := range map[string][]byte{
-		"too many members":    message(pushPullHeader{Nodes: 1 << 60}, node),
-		"negative members":    message(pushPullHeader{Nodes: -1}),
-		"too much user state": message(pushPullHeader{Nodes: 1, UserStateLen: 1 << 40}, node),
-		"unannounced state":   append(message(pushPullHeader{Nodes: 1}, node), 1, 2, 3),
-		"cut off":             message(pushPullHeader{Nodes: 2}, node),
-		"short versions":      message(pushPullHeader{Nodes: 1}, short),
-		"long name":           message(pushPullHeader{Nodes: 1}, long),
+	for name, message := range map[string][]byte{
+		"too many members":    pushPullMessage(pushPullHeader{Nodes: 1 << 60}, node),
+		"negative members":    pushPullMessage(pushPullHeader{Nodes: -1}),
+		"too much user state": pushPullMessage(pushPullHeader{Nodes: 1, UserStateLen: 1 << 40}, node),
+		"unannounced state":   append(pushPullMessage(pushPullHeader{Nodes: 1}, node), 1, 2, 3),
+		"cut off":             pushPullMessage(pushPullHeader{Nodes: 2}, node),
+		"short versions":      pushPullMessage(pushPullHeader{Nodes: 1}, short),
+		"long name":           pushPullMessage(pushPullHeader{Nodes: 1}, long),
 		"compressed":          {byte(msgCompress), 1, 2},
 		"empty":               {},
 	} {
-		if checkStream(b, 8) == nil {
+		if checkStream(message, 8) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
+}
+
+func checkForgedPackets(t *testing.T) {
 	nested := []byte{byte(msgPing)}
 	for range 8 {
 		nested = append([]byte{byte(msgCompound), 1, 0, byte(len(nested))}, nested...)
 	}
-	for name, b := range map[string][]byte{
+	for name, packet := range map[string][]byte{
 		"compressed within": {byte(msgCompound), 1, 0, 2, byte(msgCompress), 1},
 		"nested":            nested,
 		"cut off":           {byte(msgCompound), 9, 0},
 		"unknown":           {99},
 	} {
-		if checkPacket(b, 0, func([]byte) {}) == nil {
-			t.Errorf("packet %s: accepted", name)
+		if checkPacket(packet, 0, func([]byte) {}) == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	// A death report is believed from a trusted member and from the member itself.
+}
+
+// A death report is believed from a trusted member and from the member itself.
+func checkDeathReports(t *testing.T) {
+	trusts := func(reporter, _ string) bool { return reporter == "trusted" }
 	for _, from := range []string{"trusted", "untrusted", "b"} {
 		report := encodeMessage(msgDead, deadMessage{Incarnation: 3, Node: "b", From: from})
-		inner := append([]byte{byte(msgCompound), 1, 0, 0}, report...)
-		inner[3] = byte(len(inner) - 4)
-		b := append(binary.BigEndian.AppendUint32([]byte{byte(msgCRC)}, crc32.ChecksumIEEE(inner)), inner...)
-		trusts := func(reporter, _ string) bool { return reporter == "trusted" }
-		err := checkPacket(b, 0, func(message []byte) { demoteDeathReport(message, trusts) })
-		recheckErr := checkPacket(b, 0, func([]byte) {})
-		if err != nil || recheckErr != nil || (messageType(b[9]) == msgSuspect) != (from == "untrusted") {
-			t.Errorf("the report of %q becomes a message of type %d (%v, %v)", from, b[9], err, recheckErr)
+		compound := append([]byte{byte(msgCompound), 1, 0, byte(len(report))}, report...)
+		packet := binary.BigEndian.AppendUint32([]byte{byte(msgCRC)}, crc32.ChecksumIEEE(compound))
+		packet = append(packet, compound...)
+		err := checkPacket(packet, 0, func(message []byte) { demoteDeathReport(message, trusts) })
+		recheckErr := checkPacket(packet, 0, func([]byte) {})
+		got := typeOf(packet[len(packet)-len(report):])
+		if err != nil || recheckErr != nil || (got == msgSuspect) != (from == "untrusted") {
+			t.Errorf("the report of %q becomes a message of type %d (%v, %v)", from, got, err, recheckErr)
 		}
 	}
+}
+
+// No changed or cut off message makes the check panic.
+func checkChangedBytes(*testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
-	valid := message(pushPullHeader{Nodes: 2}, node, node)
-	for range 20_000 { // none of them may panic
-		b := append([]byte(nil), valid[:draw.IntN(len(valid)+1)]...)
+	valid := pushPullMessage(pushPullHeader{Nodes: 2}, validNode(), validNode())
+	for range 20_000 {
+		message := append([]byte(nil), valid[:draw.IntN(len(valid)+1)]...)
 		for range draw.IntN(4) {
-			if len(b) > 1 {
-				b[1+draw.IntN(len(b)-1)] = byte(draw.Uint32())
+			if len(message) > 1 {
+				message[1+draw.IntN(len(message)-1)] = byte(draw.Uint32())
 			}
 		}
-		_ = checkStream(b, 8)
+		_ = checkStream(message, 8) // only a panic counts
 	}
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -12,14 +12,18 @@
 )
 
 // freeAddr is an address of this machine on which nothing listens.
-func freeAddr(t testing.TB) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func freeAddr(tb testing.TB) string {
+	tb.Helper()
+	var config net.ListenConfig
+	ln, err := config.Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	addr := ln.Addr().String()
+	if err := ln.Close(); err != nil {
+		tb.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	return addr
 }
 
 // testConfig is a configuration with short times.
@@ -48,57 +52,63 @@
 	began, ended atomic.Int64  // readings of the list
 }
 
-func (l *delayedTransport) PacketCh() <-chan *memberlist.Packet { return l.packets }
+func (d *delayedTransport) PacketCh() <-chan *memberlist.Packet { return d.packets }
 
-func (l *delayedTransport) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
-	c, err := l.transport.DialAddressTimeout(address, within)
+func (d *delayedTransport) DialAddressTimeout(address memberlist.Address, within time.Duration) (net.Conn, error) {
+	conn, err := d.transport.DialAddressTimeout(address, within)
 	if err != nil || address.Name != listPeer {
-		return c, err
+		return conn, err
 	}
-	l.began.Add(1)
-	return readingConn{c, l}, nil
+	d.began.Add(1)
+	return readingConn{conn, d}, nil
 }
 
+// readingConn is a local stream over which the list is read; the reading ends when it is closed.
 type readingConn struct {
 	net.Conn
-	l *delayedTransport
+	transport *delayedTransport
 }
 
 func (c readingConn) Close() error {
-	c.l.ended.Add(1)
+	c.transport.ended.Add(1)
 	return c.Conn.Close()
 }
 
-// pass delivers the packets in their order, until the transport ends.
-func (l *delayedTransport) pass() {
+// deliverPackets delivers the packets in their order, until the transport ends.
+func (d *delayedTransport) deliverPackets() {
 	for {
 		select {
-		case p := <-l.transport.packets:
-			if from, ok := p.From.(*net.UDPAddr); ok && from.Port == 0 { // no socket: injected
-				l.awaitReading()
+		case packet := <-d.transport.packets:
+			if from, ok := packet.From.(*net.UDPAddr); ok && from.Port == 0 { // no socket: injected
+				d.awaitReading()
 			}
 			select {
-			case l.packets <- p:
-			case <-l.ctx.Done():
+			case d.packets <- packet:
+			case <-d.ctx.Done():
 			}
-		case <-l.ctx.Done():
+		case <-d.ctx.Done():
 			return
 		}
 	}
 }
 
 // awaitReading waits until the list was read after the notification.
-func (l *delayedTransport) awaitReading() {
+func (d *delayedTransport) awaitReading() {
 	select {
-	case <-l.notified:
-	case <-l.ctx.Done():
+	case <-d.notified:
+	case <-d.ctx.Done():
 	}
-	before := l.began.Load()
-	for l.ctx.Err() == nil && !(l.isTaken() && l.ended.Load() > before && l.ended.Load() == l.began.Load()) {
+	before := d.began.Load()
+	for d.ctx.Err() == nil && !d.wasReadSince(before) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// wasReadSince tells whether no notification waits, and a reading has ended that began after so many others.
+func (d *delayedTransport) wasReadSince(readings int64) bool {
+	return d.isTaken() && d.ended.Load() > readings && d.ended.Load() == d.began.Load()
+}
+
 // A process that starts is announced, and sees others, also where its list is read between the injection of a packet
 // and memberlist's handling of it: a change is notified once it is made.
 func TestStartIsAnnouncedWhenListIsReadEarly(t *testing.T) {
@@ -113,12 +123,12 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	m.stop = stop
-	l := &delayedTransport{
+	delayed := &delayedTransport{
 		packets:  make(chan *memberlist.Packet),
 		notified: make(chan struct{}),
 		isTaken:  func() bool { return len(m.listChanged) == 0 },
 	}
-	closeNotified := sync.OnceFunc(func() { close(l.notified) })
+	closeNotified := sync.OnceFunc(func() { close(delayed.notified) })
 	onStateMessage := func() {
 		m.notifyListChanged()
 		closeNotified()
@@ -127,9 +137,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.transport = sockets
-	go l.pass()
-	if err := m.run(ctx, sockets, l); err != nil {
+	delayed.transport = sockets
+	go delayed.deliverPackets()
+	if err := m.run(ctx, sockets, delayed); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.Leave)
