--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -47,12 +47,12 @@
 
 // listConfig is memberlist's configuration: its timings mostly have the proportions of its defaults, with a
 // suspicion that lasts at least SuspectTimeoutMs.
-func (m *Membership) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
+func (m *Membership) listConfig(underlying memberlist.NodeAwareTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	advertised, _ := net.ResolveTCPAddr("tcp", m.cfg.Advertise) // complete has checked it
 	c.Name = m.cfg.Name
 	c.Label = m.cfg.Site
-	c.Transport = below
+	c.Transport = underlying
 	c.BindPort = advertised.Port
 	c.AdvertiseAddr = advertised.IP.String()
 	c.AdvertisePort = advertised.Port
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -48,8 +48,8 @@
 // announce lets this process send and receive messages about members, as it is above all earlier ones.
 //
 // Memberlist still has its message of the first incarnation, one, to broadcast beside the refutation. An update
-// replaces it: sent, it was believed by members that had just started themselves, which then took an earlier
-// process's message for that of a later one.
+// replaces it: a member that has just started itself would believe it, and then take a message of an earlier process
+// for one of a later process.
 func (m *Membership) announce() {
 	if err := m.list.Load().UpdateNode(updateTimeout); err != nil {
 		m.log.Warn("membership: announcing the start failed", "err", err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -59,7 +59,7 @@
 	declaredDead atomic.Uint64 // members declared dead as their address refused connections
 
 	metas         metaCache
-	mu            sync.Mutex // guards the fields below, up to shutdownMutex
+	mu            sync.Mutex // guards the fields from table to killed
 	table         *memberTable
 	admitted      map[string]bool // names in the last reading of the list, and those admitted since
 	differingPeer *peerAddress    // a member whose digest differed; nil: none
@@ -174,11 +174,12 @@
 	return nil
 }
 
-// run takes part over a transport; below is what memberlist uses of it, which differs only in a test.
-func (m *Membership) run(ctx context.Context, sockets *transport, below memberlist.NodeAwareTransport) error {
+// run takes part over a transport until the context ends. Memberlist gets it as underlying, which differs only in a
+// test.
+func (m *Membership) run(ctx context.Context, sockets *transport, underlying memberlist.NodeAwareTransport) error {
 	m.transport = sockets
 	sockets.onAlive = m.liftRetirements
-	list, err := memberlist.Create(m.listConfig(below))
+	list, err := memberlist.Create(m.listConfig(underlying))
 	if err != nil {
 		return err
 	}
