--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -10,7 +10,7 @@
 	amount      Amount
 }
 
-// Request asks another process for a loan. Number identifies it among the requests of its borrower.
+// Request is a request to another process for a loan. Number identifies it among the requests of its borrower.
 type Request struct {
 	Budget   string
 	Borrower string
@@ -35,7 +35,7 @@
 		return Request{}, false
 	}
 	q.lastNumber++
-	q.pending[q.lastNumber] = pendingRequest{now, budget, lender, amount}
+	q.pending[q.lastNumber] = pendingRequest{requestedAt: now, budget: budget, lender: lender, amount: amount}
 	return Request{
 		Budget:   budget,
 		Borrower: q.cfg.Process,
@@ -56,9 +56,9 @@
 
 // GrantLoan answers a request of another process: it lends what it can beside reserve, at the most what is requested.
 // The right is lent from now on, whether or not the grant arrives, until returnDelay has passed.
-func (q *Quotas) GrantLoan(r Request, reserve Amount, now time.Duration) (Grant, bool) {
-	account := q.accounts[r.Budget]
-	if account == nil || r.Lender != q.cfg.Process || r.Borrower == q.cfg.Process || r.Amount <= 0 {
+func (q *Quotas) GrantLoan(request Request, reserve Amount, now time.Duration) (Grant, bool) {
+	account := q.accounts[request.Budget]
+	if account == nil || request.Lender != q.cfg.Process || request.Borrower == q.cfg.Process || request.Amount <= 0 {
 		return Grant{}, false
 	}
 	if len(account.lent) >= q.cfg.MaxLoans {
@@ -68,16 +68,16 @@
 	if !q.mayLend(now) {
 		return Grant{}, false
 	}
-	amount := min(r.Amount, q.lendableNow(account, reserve, now))
+	amount := min(request.Amount, q.lendableNow(account, reserve, now))
 	if amount <= 0 {
 		return Grant{}, false
 	}
-	account.lent = append(account.lent, entry{amount, now + q.returnDelay()})
+	account.lent = append(account.lent, entry{amount: amount, expiresAt: now + q.returnDelay()})
 	return Grant{
-		Budget:   r.Budget,
-		Borrower: r.Borrower,
-		Lender:   r.Lender,
-		Number:   r.Number,
+		Budget:   request.Budget,
+		Borrower: request.Borrower,
+		Lender:   request.Lender,
+		Number:   request.Number,
 		Amount:   amount,
 	}, true
 }
@@ -95,28 +95,28 @@
 
 // AcceptGrant uses a grant, if it answers a pending request of this process, and tells whether it did. The loan
 // counts from the request, which was before the lender's count began.
-func (q *Quotas) AcceptGrant(g Grant, now time.Duration) bool {
-	request, ok := q.pending[g.Number]
-	if !ok || g.Borrower != q.cfg.Process || !request.isAnsweredBy(g) {
+func (q *Quotas) AcceptGrant(grant Grant, now time.Duration) bool {
+	request, ok := q.pending[grant.Number]
+	if !ok || grant.Borrower != q.cfg.Process || !request.isAnsweredBy(grant) {
 		return false
 	}
-	account := q.accounts[g.Budget]
+	account := q.accounts[grant.Budget]
 	q.dropExpired(account, now)
 	end := request.requestedAt + q.cfg.atMost(q.cfg.LoanDuration)
 	if q.omitted == loanFromRequest {
 		end = now + q.cfg.LoanDuration
 	}
 	if q.omitted != grantOnce {
-		delete(q.pending, g.Number)
+		delete(q.pending, grant.Number)
 	}
 	if now >= end || len(account.borrowed) >= q.cfg.MaxLoans {
 		return false
 	}
-	account.borrowed = append(account.borrowed, entry{g.Amount, end})
+	account.borrowed = append(account.borrowed, entry{amount: grant.Amount, expiresAt: end})
 	return true
 }
 
 // isAnsweredBy tells whether a grant has the request's budget and lender and not more than its amount.
-func (r pendingRequest) isAnsweredBy(g Grant) bool {
-	return g.Budget == r.budget && g.Lender == r.lender && g.Amount > 0 && g.Amount <= r.amount
+func (r pendingRequest) isAnsweredBy(grant Grant) bool {
+	return grant.Budget == r.budget && grant.Lender == r.lender && grant.Amount > 0 && grant.Amount <= r.amount
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -13,6 +13,19 @@
 // modelBudget is the one budget of the model.
 const modelBudget = "requests"
 
+// A step draws one of allActions numbers; each kind of step has those below its bound that are not below the one
+// before. The rest are spends.
+const (
+	startsUntil     = 1
+	pausesUntil     = 4
+	timePassesUntil = 30
+	messagesUntil   = 60
+	requestsUntil   = 80
+	allActions      = 100
+	// maxTimeStepMs is the most by which the time grows in a step.
+	maxTimeStepMs = 1500
+)
+
 // model is a fleet of processes on a network that loses, duplicates, delays and reorders messages, with clocks that
 // are offset and drift, and processes that stall and that restart without their state. Only the model knows the true
 // time.
@@ -22,11 +35,17 @@
 	cfg       Config
 	omission  omission
 	processes []*modelProcess
-	messages  []any // Request or Grant; any may be delivered, duplicated or dropped at any time
+	messages  []message // any may be delivered, duplicated or dropped at any time
 	spent     []spending
 	started   int
 }
 
+// message is a request or a grant; the other one is nil.
+type message struct {
+	request *Request
+	grant   *Grant
+}
+
 // omission is a rule that the model check leaves out. noDriftMargin is one of the configuration's, the others are
 // those of Quotas.
 type omission struct {
@@ -92,18 +111,18 @@
 // step does one thing, and gives an error if more than the budget was spent in a window.
 func (m *model) step() error {
 	p := m.processes[m.draw("process", len(m.processes))]
-	action := m.draw("action", 100)
+	action := m.draw("action", allActions)
 	switch {
-	case action == 0:
+	case action < startsUntil:
 		m.startProcess(p)
-	case action < 4:
+	case action < pausesUntil:
 		p.paused = !p.paused
-	case action < 30:
-		m.now += time.Duration(1+m.draw("ms", 1500)) * time.Millisecond
-	case action < 60 && len(m.messages) > 0:
+	case action < timePassesUntil:
+		m.now += time.Duration(1+m.draw("ms", maxTimeStepMs)) * time.Millisecond
+	case action < messagesUntil && len(m.messages) > 0:
 		m.passMessage()
 	case p.paused:
-	case action < 80:
+	case action < requestsUntil:
 		m.requestLoan(p)
 	default:
 		return m.spend(p)
@@ -114,27 +133,26 @@
 // passMessage delivers or drops a message; it may stay, to come again.
 func (m *model) passMessage() {
 	i := m.draw("message", len(m.messages))
-	message := m.messages[i]
+	drawn := m.messages[i]
 	if m.draw("keep", 3) > 0 {
 		m.messages = slices.Delete(m.messages, i, i+1)
 	}
 	if m.draw("lose", 5) > 0 {
-		m.deliver(message)
+		m.deliver(drawn)
 	}
 }
 
-func (m *model) deliver(message any) {
+func (m *model) deliver(received message) {
 	for _, p := range m.processes {
 		if p.paused {
 			continue
 		}
-		switch message := message.(type) {
-		case Request:
-			if grant, ok := p.quotas.GrantLoan(message, 0, p.clock(m.now)); ok {
-				m.messages = append(m.messages, grant)
-			}
-		case Grant:
-			p.quotas.AcceptGrant(message, p.clock(m.now))
+		if received.grant != nil {
+			p.quotas.AcceptGrant(*received.grant, p.clock(m.now))
+			continue
+		}
+		if grant, ok := p.quotas.GrantLoan(*received.request, 0, p.clock(m.now)); ok {
+			m.messages = append(m.messages, message{grant: &grant})
 		}
 	}
 }
@@ -143,7 +161,7 @@
 	lender := m.processes[m.draw("lender", len(m.processes))]
 	amount := Amount(1+m.draw("amount", 10)) * Unit
 	if request, ok := p.quotas.RequestLoan(modelBudget, lender.name, amount, p.clock(m.now)); ok {
-		m.messages = append(m.messages, request)
+		m.messages = append(m.messages, message{request: &request})
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -12,8 +12,8 @@
 // owner of a right can transfer it. There, rights that a crashed replica holds are lost until it returns; here each
 // loan has an end that both sides know by their own clocks, so that a right returns without a message.
 //
-// The alternative, one lease holder for the budget that all agents ask, was not taken: only the majority's side of a
-// partition could spend then, and each spend would wait for a response.
+// A lease holder that grants every spend of a budget was not taken: only the majority's side of a partition could spend
+// then, and each spend would wait for a response.
 package quota
 
 import (
@@ -159,7 +159,7 @@
 		window /= 2
 	}
 	account := q.accounts[budget]
-	account.spent = append(account.spent, entry{amount, now + window})
+	account.spent = append(account.spent, entry{amount: amount, expiresAt: now + window})
 	return true
 }
 
