--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -5,6 +5,20 @@
 	"path/filepath"
 )
 
+// The values of AgentSettings that no test varies, in the units of the agent's configuration.
+const (
+	pollWithinMs       = 1600
+	drainGraceMs       = 250
+	latencyObjectiveMs = 2000
+	totalTimeoutMs     = 3000
+	classPriority      = 5
+	classLateFraction  = 0.2
+	connectTimeoutMs   = 1000
+	keepAliveMs        = 30_000
+	maxRetryAfterMs    = 600
+	roundTripMs        = 5
+)
+
 // AgentEnv is the environment of agents whose configuration files are DIR/NAME.json. Without the other variables the
 // file alone counts; agents of one directory find their lock files in it.
 func AgentEnv(dir string) func(name string) []string {
@@ -35,25 +49,33 @@
 
 // MarshalJSON writes the settings with the keys of the agent's configuration.
 func (s AgentSettings) MarshalJSON() ([]byte, error) {
-	contract := map[string]any{"askWithinMs": 1600, "drainGraceMs": 250}
+	contract := map[string]any{"askWithinMs": pollWithinMs, "drainGraceMs": drainGraceMs}
 	if s.SlowStartMs != 0 {
 		contract["coldMs"] = s.SlowStartMs
 	}
 	settings := map[string]any{
 		"classes": []map[string]any{{
-			"name": "order", "aimMs": 2000, "giveUpMs": 3000, "effect": "single_shot", "credit": 5, "lateShare": 0.2,
+			"name":      "order",
+			"aimMs":     latencyObjectiveMs,
+			"giveUpMs":  totalTimeoutMs,
+			"effect":    "single_shot",
+			"credit":    classPriority,
+			"lateShare": classLateFraction,
 		}},
 		"contract":       contract,
 		"failureDomains": []string{"east"},
 		"shapes":         []string{"big"},
 		"replicasOfMe":   s.Agents,
 		"limits": map[string]any{
-			"cancelling": true, "connectTimeoutMs": 1000, "keepaliveMs": 30000, "maxAttempts": s.MaxAttempts,
-			"maxRetryAfterMs": 600,
+			"cancelling":       true,
+			"connectTimeoutMs": connectTimeoutMs,
+			"keepaliveMs":      keepAliveMs,
+			"maxAttempts":      s.MaxAttempts,
+			"maxRetryAfterMs":  maxRetryAfterMs,
 		},
 		"membershipMode": "on_request",
 		"objectiveMix":   map[string]any{"whole": 1},
-		"roundMs":        5,
+		"roundMs":        roundTripMs,
 	}
 	if s.Index != nil {
 		settings["index"] = *s.Index
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -67,13 +67,13 @@
 func (c *Cluster) reserveAddrs(name string) (map[string]string, error) {
 	ip := drawIP()
 	if c.cfg.IP != nil {
-		ip = c.cfg.IP(name)
+		ip = net.ParseIP(c.cfg.IP(name))
 	}
 	addrs := map[string]string{}
 	var listeners []net.Listener
 	var failure error
 	for _, port := range c.cfg.Ports {
-		ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
 		if err != nil {
 			failure = err
 			break
@@ -88,8 +88,14 @@
 }
 
 // drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
-func drawIP() string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
+func drawIP() net.IP {
+	const (
+		loopback    = 127
+		byteValues  = 256
+		innerValues = byteValues - 2 // without 0 and 255
+	)
+	innerByte := func() byte { return byte(1 + rand.IntN(innerValues)) }
+	return net.IPv4(loopback, innerByte(), byte(rand.IntN(byteValues)), innerByte())
 }
 
 // Names are the processes.
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -9,6 +9,8 @@
 )
 
 const (
+	// linkIP is the address of all links.
+	linkIP = "127.0.0.1"
 	// linkDialTimeout bounds a link's connection to its target.
 	linkDialTimeout = time.Second
 	// linkChunkBytes is the most that a link relays at a time.
@@ -31,7 +33,7 @@
 
 // newLink starts a proxy to a target.
 func newLink(target string) (*Link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(linkIP)})
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +103,7 @@
 
 // relay connects to the target and relays both directions until one ends.
 func (l *Link) relay(in net.Conn) {
-	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
+	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout) //nolint:noctx // the timeout bounds it
 	if err != nil {
 		closeConn(in)
 		return
@@ -111,17 +113,13 @@
 		closeConn(out)
 		return
 	}
-	var pipes sync.WaitGroup
-	pipes.Add(2)
+	requestsEnded := make(chan struct{})
 	go func() {
-		defer pipes.Done()
+		defer close(requestsEnded)
 		l.pipe(out, in)
 	}()
-	go func() {
-		defer pipes.Done()
-		l.pipe(in, out)
-	}()
-	pipes.Wait()
+	l.pipe(in, out)
+	<-requestsEnded
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, in)
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -17,6 +17,9 @@
 	starvedRun   = 10 * time.Millisecond
 )
 
+// logMode is the mode of a process's log.
+const logMode = 0o644
+
 // process is one process of a cluster, running or not.
 type process struct {
 	addrs map[string]string // of its listeners, by port name
@@ -41,7 +44,7 @@
 		return err
 	}
 	logPath := filepath.Join(c.cfg.Dir, name+".log")
-	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logMode)
 	if err != nil {
 		return err
 	}
@@ -68,7 +71,7 @@
 
 // command is the command of a process, without its files.
 func (c *Cluster) command(name string) *exec.Cmd {
-	cmd := exec.Command(c.cfg.Binary)
+	cmd := exec.Command(c.cfg.Binary) //nolint:noctx // the process outlives this call; Kill, Term and Close end it
 	if c.cfg.Args != nil {
 		cmd.Args = append(cmd.Args, c.cfg.Args(c, name)...)
 	}
@@ -84,20 +87,29 @@
 func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
 	var files []*os.File
 	for _, port := range c.cfg.Ports {
-		ln, err := net.Listen("tcp", p.addrs[port])
+		file, err := listenFile(p.addrs[port])
 		if err != nil {
 			return files, fmt.Errorf("processtest: %s: port %s: %w", name, port, err)
 		}
-		file, err := ln.(*net.TCPListener).File()
-		_ = ln.Close() // the file is a duplicate of it
-		if err != nil {
-			return files, err
-		}
 		files = append(files, file)
 	}
 	return files, nil
 }
 
+// listenFile opens a listener as a file.
+func listenFile(address string) (*os.File, error) {
+	addr, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	ln, err := net.ListenTCP("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = ln.Close() }() // the file is a duplicate of it
+	return ln.File()
+}
+
 // closeAll closes files that a process has inherited.
 func closeAll(files []*os.File) {
 	for _, file := range files {
--- a/internal/processtest/usage.go
+++ b/internal/processtest/usage.go
@@ -26,6 +26,8 @@
 	clockTick      = 10 * time.Millisecond
 )
 
+const kilobytesPerMB = 1 << 10
+
 // ProcessUsage reads the resources of a running process from /proc (proc(5)).
 func ProcessUsage(pid int) (Usage, error) {
 	path := fmt.Sprintf("/proc/%d/stat", pid)
@@ -74,7 +76,7 @@
 	for line := range strings.Lines(string(text)) {
 		var kilobytes int
 		if n, _ := fmt.Sscanf(line, "MemAvailable: %d kB", &kilobytes); n == 1 { // other lines do not match
-			return kilobytes >> 10
+			return kilobytes / kilobytesPerMB
 		}
 	}
 	return 0
