--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -4,7 +4,6 @@
 package configtest
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -211,18 +210,14 @@
 	zone := 0
 	own.Index = &number
 	own.Zone = &zone
-	text, err := json.Marshal(map[string]any{
-		"name":      name,
-		"listen":    "127.0.0.1:0",
-		"discovery": addrs[0],
-		"seed":      fmt.Sprintf("%x", number+1),
-		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":     map[string]any{"version": 0, "servers": []any{}},
-		"control":   map[string]any{"service": service, "addresses": addrs[1:]},
-		"settings":  own,
-	})
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".json"), text, 0o644)
+	file := processtest.AgentFile{
+		Name:      name,
+		Listen:    "127.0.0.1:0",
+		Discovery: addrs[0],
+		Seed:      fmt.Sprintf("%x", number+1),
+		Limits:    processtest.LimitsOf(1),
+		Control:   &processtest.AgentControl{Service: service, Addresses: addrs[1:]},
+		Settings:  own,
+	}
+	return file.Write(h.cfg.Dir, name)
 }
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -5,14 +5,11 @@
 package membershiptest
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -28,8 +25,11 @@
 	zones = 3
 	// testSite is the site of all agents.
 	testSite = "test"
-	// maxAttempts is the agents' number of attempts for a request.
+	// maxAttempts is the agents' number of attempts for a request, agentCores their share of the processor cores, and
+	// agentSeed their seed.
 	maxAttempts = 3
+	agentCores  = 0.2
+	agentSeed   = "1"
 	// clientPort and adminPort are the ports of an agent's clients and of its admin endpoint. Those of the second
 	// process of an agent are higher by upgradePortOffset.
 	clientPort        = 8000
@@ -161,24 +161,20 @@
 	for _, seed := range h.Names[:h.cfg.Seeds] {
 		fleet.Seeds = append(fleet.Seeds, h.relays[seed].advertise)
 	}
-	sections := map[string]any{
-		"name":       agent,
-		"listen":     h.address(process, clientPort),
-		"management": h.address(process, adminPort),
-		"discovery":  h.discovery.Addr,
-		"seed":       "1",
-		"limits":     map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
-		"known":      map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"settings":   processtest.AgentSettings{Agents: h.cfg.Agents, MaxAttempts: maxAttempts},
+	file := processtest.AgentFile{
+		Name:       agent,
+		Listen:     h.address(process, clientPort),
+		Management: h.address(process, adminPort),
+		Discovery:  h.discovery.Addr,
+		Seed:       agentSeed,
+		Limits:     processtest.LimitsOf(agentCores),
+		Known:      processtest.AgentList{Full: true},
+		Settings:   processtest.AgentSettings{Agents: h.cfg.Agents, MaxAttempts: maxAttempts},
 	}
 	if !h.isWithoutMembership(agent) {
-		sections["fleet"] = fleet
+		file.Fleet = &fleet
 	}
-	text, err := json.Marshal(sections)
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, process+".json"), text, 0o600)
+	return file.Write(h.cfg.Dir, process)
 }
 
 // address is an address of a process for those outside the membership.
--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -2,29 +2,37 @@
 
 import (
 	"encoding/json"
+	"os"
 	"path/filepath"
+
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// The values of AgentSettings that no test varies, in the units of the agent's configuration.
+// The values of an agent's configuration that no test varies, in the units of its keys.
 const (
 	pollWithinMs       = 1600
 	drainGraceMs       = 250
 	latencyObjectiveMs = 2000
 	totalTimeoutMs     = 3000
-	classPriority      = 5
-	classLateFraction  = 0.2
+	priorityWeight     = 5
+	lateFraction       = 0.2
 	connectTimeoutMs   = 1000
 	keepAliveMs        = 30_000
 	maxRetryAfterMs    = 600
 	roundTripMs        = 5
+	agentMemoryMB      = 64
+	agentSockets       = 256
 )
 
+// agentFileMode is the mode of an agent's configuration file.
+const agentFileMode = 0o600
+
 // AgentEnv is the environment of agents whose configuration files are DIR/NAME.json. Without the other variables the
 // file alone counts; agents of one directory find their lock files in it.
 func AgentEnv(dir string) func(name string) []string {
 	return func(name string) []string {
 		return []string{
-			"PROXY_CONFIG=" + filepath.Join(dir, name+".json"),
+			"PROXY_CONFIG=" + agentFilePath(dir, name),
 			"PROXY_NAME=",
 			"PROXY_LISTEN=",
 			"PROXY_DISCOVERY=",
@@ -35,6 +43,57 @@
 	}
 }
 
+// agentFilePath is the path of a process's configuration file.
+func agentFilePath(dir, process string) string { return filepath.Join(dir, process+".json") }
+
+// AgentFile is an agent's configuration file, as far as tests use it. The keys are those of the agent.
+type AgentFile struct {
+	Name       string             `json:"name"`
+	Listen     string             `json:"listen"`
+	Management string             `json:"management,omitempty"` // address of the admin endpoint; empty: none
+	Discovery  string             `json:"discovery"`
+	Seed       string             `json:"seed"` // hexadecimal
+	Limits     AgentLimits        `json:"limits"`
+	Known      AgentList          `json:"known"`
+	Control    *AgentControl      `json:"control,omitempty"` // nil: discovery has no settings for it
+	Fleet      *membership.Config `json:"fleet,omitempty"`   // nil: it takes no part in the membership
+	Settings   AgentSettings      `json:"settings"`
+}
+
+// AgentLimits are the resources of the machine that an agent may take.
+type AgentLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// LimitsOf are the limits of an agent under test that has so many processor cores.
+func LimitsOf(cores float64) AgentLimits {
+	return AgentLimits{Cores: cores, MemoryMB: agentMemoryMB, Sockets: agentSockets}
+}
+
+// AgentList is an empty endpoint list that an agent starts with.
+type AgentList struct {
+	Version int         `json:"version"`
+	Full    bool        `json:"full,omitempty"`
+	Servers [0]struct{} `json:"servers"` // an array, as a nil slice would be null
+}
+
+// AgentControl says where an agent watches its service's settings.
+type AgentControl struct {
+	Service   string   `json:"service"`
+	Addresses []string `json:"addresses"`
+}
+
+// Write writes the configuration file of a process, which AgentEnv names.
+func (f AgentFile) Write(dir, process string) error {
+	text, err := json.Marshal(f)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(agentFilePath(dir, process), text, agentFileMode)
+}
+
 // AgentSettings are the least settings that an agent takes, with one class "order".
 type AgentSettings struct {
 	// Index and Zone are an agent's own; nil: left out, as in settings for all agents of a service.
@@ -47,41 +106,76 @@
 	SlowStartMs int
 }
 
-// MarshalJSON writes the settings with the keys of the agent's configuration.
-func (s AgentSettings) MarshalJSON() ([]byte, error) {
-	contract := map[string]any{"askWithinMs": pollWithinMs, "drainGraceMs": drainGraceMs}
-	if s.SlowStartMs != 0 {
-		contract["coldMs"] = s.SlowStartMs
+// The JSON forms of the parts of AgentSettings, with the keys of the agent's configuration.
+type (
+	settingsJSON struct {
+		Classes        []classJSON   `json:"classes"`
+		Contract       contractJSON  `json:"contract"`
+		FailureDomains []string      `json:"failureDomains"`
+		Index          *int          `json:"index,omitempty"`
+		Limits         limitsJSON    `json:"limits"`
+		MembershipMode string        `json:"membershipMode"`
+		ObjectiveMix   objectiveJSON `json:"objectiveMix"`
+		ReplicasOfMe   int           `json:"replicasOfMe"`
+		RoundMs        int           `json:"roundMs"`
+		Shapes         []string      `json:"shapes"`
+		Zone           *int          `json:"zone,omitempty"`
 	}
-	settings := map[string]any{
-		"classes": []map[string]any{{
-			"name":      "order",
-			"aimMs":     latencyObjectiveMs,
-			"giveUpMs":  totalTimeoutMs,
-			"effect":    "single_shot",
-			"credit":    classPriority,
-			"lateShare": classLateFraction,
-		}},
-		"contract":       contract,
-		"failureDomains": []string{"east"},
-		"shapes":         []string{"big"},
-		"replicasOfMe":   s.Agents,
-		"limits": map[string]any{
-			"cancelling":       true,
-			"connectTimeoutMs": connectTimeoutMs,
-			"keepaliveMs":      keepAliveMs,
-			"maxAttempts":      s.MaxAttempts,
-			"maxRetryAfterMs":  maxRetryAfterMs,
-		},
-		"membershipMode": "on_request",
-		"objectiveMix":   map[string]any{"whole": 1},
-		"roundMs":        roundTripMs,
+	classJSON struct {
+		AimMs     int     `json:"aimMs"`
+		Credit    int     `json:"credit"`
+		Effect    string  `json:"effect"`
+		GiveUpMs  int     `json:"giveUpMs"`
+		LateShare float64 `json:"lateShare"`
+		Name      string  `json:"name"`
+	}
+	contractJSON struct {
+		AskWithinMs  int `json:"askWithinMs"`
+		ColdMs       int `json:"coldMs,omitempty"`
+		DrainGraceMs int `json:"drainGraceMs"`
 	}
-	if s.Index != nil {
-		settings["index"] = *s.Index
+	limitsJSON struct {
+		Cancelling       bool `json:"cancelling"`
+		ConnectTimeoutMs int  `json:"connectTimeoutMs"`
+		KeepaliveMs      int  `json:"keepaliveMs"`
+		MaxAttempts      int  `json:"maxAttempts"`
+		MaxRetryAfterMs  int  `json:"maxRetryAfterMs"`
 	}
-	if s.Zone != nil {
-		settings["zone"] = *s.Zone
+	objectiveJSON struct {
+		Whole int `json:"whole"`
 	}
-	return json.Marshal(settings)
+)
+
+// MarshalJSON writes the settings with the keys of the agent's configuration.
+func (s AgentSettings) MarshalJSON() ([]byte, error) {
+	return json.Marshal(settingsJSON{
+		Classes: []classJSON{{
+			AimMs:     latencyObjectiveMs,
+			Credit:    priorityWeight,
+			Effect:    "single_shot",
+			GiveUpMs:  totalTimeoutMs,
+			LateShare: lateFraction,
+			Name:      "order",
+		}},
+		Contract: contractJSON{
+			AskWithinMs:  pollWithinMs,
+			ColdMs:       s.SlowStartMs,
+			DrainGraceMs: drainGraceMs,
+		},
+		FailureDomains: []string{"east"},
+		Index:          s.Index,
+		Limits: limitsJSON{
+			Cancelling:       true,
+			ConnectTimeoutMs: connectTimeoutMs,
+			KeepaliveMs:      keepAliveMs,
+			MaxAttempts:      s.MaxAttempts,
+			MaxRetryAfterMs:  maxRetryAfterMs,
+		},
+		MembershipMode: "on_request",
+		ObjectiveMix:   objectiveJSON{Whole: 1},
+		ReplicasOfMe:   s.Agents,
+		RoundMs:        roundTripMs,
+		Shapes:         []string{"big"},
+		Zone:           s.Zone,
+	})
 }
