--- a/internal/configtest/cases_test.go
+++ b/internal/configtest/cases_test.go
@@ -2,20 +2,19 @@
 
 import (
 	"os"
-	"os/exec"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // TestFaultCases runs every case on one harness of three instances and 12 agents of the real programs. With
 // CONFIGTEST_LONG=1 instances and regions are gone for 30 s instead of 6.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
-	for _, name := range []string{"agent", "discovery"} {
-		if out, err := exec.Command("go", "build", "-o", dir+"/", "../../cmd/"+name).CombinedOutput(); err != nil {
-			t.Fatalf("build: %v\n%s", err, out)
-		}
+	if err := processtest.Build(t.Context(), dir, "agent", "discovery"); err != nil {
+		t.Fatal(err)
 	}
 	outage := 6 * time.Second
 	if os.Getenv("CONFIGTEST_LONG") != "" {
--- a/internal/membershiptest/cases_test.go
+++ b/internal/membershiptest/cases_test.go
@@ -1,24 +1,23 @@
 package membershiptest
 
 import (
-	"os/exec"
 	"path/filepath"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // TestFaultCases runs every case on one cluster of 24 agents of the real program, one after another; the checker checks
 // all that the processes saw.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
-	binary := filepath.Join(dir, "agent")
-	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/agent").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+	if err := processtest.Build(t.Context(), dir, "agent"); err != nil {
+		t.Fatal(err)
 	}
 	h, err := New(Config{
-		Binary: binary,
+		Binary: filepath.Join(dir, "agent"),
 		Dir:    dir,
 		Agents: 24,
 		Seeds:  3,
