--- a/internal/membershiptest/check_test.go
+++ b/internal/membershiptest/check_test.go
@@ -8,43 +8,60 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// TestCheckerFindsEachBrokenRule breaks one rule at a time in a history that keeps them all.
-func TestCheckerFindsEachBrokenRule(t *testing.T) {
-	t0 := time.UnixMicro(1_000_000_000)
-	at := func(s int) int64 { return t0.Add(time.Duration(s) * time.Second).UnixMicro() }
-	incarnations := []*ProcessIncarnation{
-		{Name: "b", Process: "b1", Start: t0, End: t0.Add(5 * time.Second)},
-		{Name: "b", Process: "b2", Start: t0.Add(7 * time.Second)},
-		{Name: "c", Process: "c1", Start: t0},
-		{Name: "d", Process: "d1", Start: t0, End: t0.Add(4 * time.Second), Left: true},
+// startTime is the start of the valid history.
+var startTime = time.UnixMicro(1_000_000_000)
+
+// at is a time of the valid history, in seconds.
+func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
+
+// unixUs is at in microseconds, as a Change has it.
+func unixUs(seconds int) int64 { return at(seconds).UnixMicro() }
+
+// testIncarnations are the processes of the valid history.
+func testIncarnations() []*ProcessIncarnation {
+	return []*ProcessIncarnation{
+		{Name: "b", Process: "b1", Start: at(0), End: at(5)},
+		{Name: "b", Process: "b2", Start: at(7)},
+		{Name: "c", Process: "c1", Start: at(0)},
+		{Name: "d", Process: "d1", Start: at(0), End: at(4), Left: true},
 	}
+}
+
+// validChanges keep all rules, with partition as an exemption.
+func validChanges() []membership.Change {
 	const alive, suspect, dead, left = membership.Alive, membership.Suspect, membership.Dead, membership.Left
-	valid := func() []membership.Change {
-		return []membership.Change{
-			{Number: 1, UnixUs: at(1), Name: "b", Process: "b1", To: alive, Incarnation: 3},
-			{Number: 1, UnixUs: at(1), Name: "c", Process: "c1", To: alive, Incarnation: 3},
-			{Number: 2, UnixUs: at(2), Name: "c", Process: "c1", From: alive, To: suspect, Incarnation: 3},
-			{Number: 3, UnixUs: at(3), Name: "c", Process: "c1", From: suspect, To: alive, Incarnation: 4},
-			{Number: 4, UnixUs: at(4), Name: "d", Process: "d1", From: alive, To: left, Incarnation: 2},
-			{Number: 5, UnixUs: at(6), Name: "b", Process: "b1", From: alive, To: dead, Incarnation: 3},
-			{Number: 6, UnixUs: at(8), Name: "b", Process: "b2", To: alive, Incarnation: 9},
-			{Number: 7, UnixUs: at(9), Name: "c", Process: "c1", From: alive, To: dead, Incarnation: 4},
-		}
-	}
-	partition := Exemption{
-		From: t0.Add(8 * time.Second),
-		To:   t0.Add(10 * time.Second),
-		Pair: func(observer, member string) bool { return observer == "a" && member == "c" },
+	return []membership.Change{
+		{Number: 1, UnixUs: unixUs(1), Name: "b", Process: "b1", To: alive, Incarnation: 3},
+		{Number: 1, UnixUs: unixUs(1), Name: "c", Process: "c1", To: alive, Incarnation: 3},
+		{Number: 2, UnixUs: unixUs(2), Name: "c", Process: "c1", From: alive, To: suspect, Incarnation: 3},
+		{Number: 3, UnixUs: unixUs(3), Name: "c", Process: "c1", From: suspect, To: alive, Incarnation: 4},
+		{Number: 4, UnixUs: unixUs(4), Name: "d", Process: "d1", From: alive, To: left, Incarnation: 2},
+		{Number: 5, UnixUs: unixUs(6), Name: "b", Process: "b1", From: alive, To: dead, Incarnation: 3},
+		{Number: 6, UnixUs: unixUs(8), Name: "b", Process: "b2", To: alive, Incarnation: 9},
+		{Number: 7, UnixUs: unixUs(9), Name: "c", Process: "c1", From: alive, To: dead, Incarnation: 4},
 	}
-	check := func(changes []membership.Change, exemptions ...Exemption) []Rule {
-		var rules []Rule
-		records := []*Record{{Observer: "a", Process: "a1", Changes: changes}}
-		for _, violation := range Check(incarnations, records, exemptions) {
-			rules = append(rules, violation.Rule)
-		}
-		return rules
+}
+
+// partition exempts the death of c for the observer a.
+var partition = Exemption{
+	From: at(8),
+	To:   at(10),
+	Pair: func(observer, member string) bool { return observer == "a" && member == "c" },
+}
+
+// brokenRules are the rules that the changes of the observer a break.
+func brokenRules(changes []membership.Change, exemptions ...Exemption) []Rule {
+	var rules []Rule
+	records := []*Record{{Observer: "a", Process: "a1", Changes: changes}}
+	for _, violation := range Check(testIncarnations(), records, exemptions) {
+		rules = append(rules, violation.Rule)
 	}
-	if got := check(valid(), partition); got != nil {
+	return rules
+}
+
+// TestCheckerFindsEachBrokenRule breaks one rule at a time in a history that keeps them all.
+func TestCheckerFindsEachBrokenRule(t *testing.T) {
+	if got := brokenRules(validChanges(), partition); got != nil {
 		t.Fatalf("a history that keeps the rules breaks %v", got)
 	}
 	for _, test := range []struct {
@@ -55,23 +72,23 @@
 		{"a number is skipped", RuleNumber, func(c []membership.Change) { c[7].Number = 9 }},
 		{"an incarnation decreases", RuleIncarnation, func(c []membership.Change) { c[3].Incarnation = 2 }},
 		{"a replaced process returns", RuleReturn, func(c []membership.Change) {
-			c[7].Name, c[7].Process, c[7].To = "b", "b1", suspect
+			c[7].Name, c[7].Process, c[7].To = "b", "b1", membership.Suspect
 		}},
 		{"an earlier process replaces a later one", RuleReturn, func(c []membership.Change) {
 			c[0].Process, c[6].Process = "b2", "b1"
 		}},
 		{"a leaver is suspected", RuleLeaver, func(c []membership.Change) {
-			c[5].Name, c[5].Process, c[5].To = "d", "d1", suspect
+			c[5].Name, c[5].Process, c[5].To = "d", "d1", membership.Suspect
 		}},
-		{"a running process is declared dead", RuleFalseDeath, func(c []membership.Change) { c[5].UnixUs = at(4) }},
+		{"a running process is declared dead", RuleFalseDeath, func(c []membership.Change) { c[5].UnixUs = unixUs(4) }},
 	} {
-		changes := valid()
+		changes := validChanges()
 		test.breakIt(changes)
-		if got := check(changes, partition); !slices.Contains(got, test.rule) {
+		if got := brokenRules(changes, partition); !slices.Contains(got, test.rule) {
 			t.Errorf("%s: the checker found %v, want %q", test.name, got, test.rule)
 		}
 	}
-	if got := check(valid()); !slices.Equal(got, []Rule{RuleFalseDeath}) {
+	if got := brokenRules(validChanges()); !slices.Equal(got, []Rule{RuleFalseDeath}) {
 		t.Errorf("without its exemption the death across the partition is %v", got)
 	}
 }
--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -11,7 +11,7 @@
 const (
 	// startTimeout bounds how long a process may take until it answers.
 	startTimeout = time.Minute
-	// noChanges asks for the changes after a number that no snapshot has.
+	// noChanges selects the changes after a number that no snapshot has.
 	noChanges = math.MaxInt64
 )
 
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"sync"
 	"time"
@@ -159,7 +158,7 @@
 // request was due, so that a late one counts.
 func (h *Harness) measureLatency(name string, rate int, during time.Duration) (*hdrhistogram.Histogram, error) {
 	histogram := hdrhistogram.New(minLatencyUs, maxLatencyUs, latencyDigits)
-	conn, err := net.Dial("tcp", h.address(name, clientPort))
+	conn, err := dial("tcp", h.address(name, clientPort))
 	if err != nil {
 		return histogram, err
 	}
--- a/internal/membershiptest/discovery.go
+++ b/internal/membershiptest/discovery.go
@@ -12,7 +12,7 @@
 
 // serveDiscovery serves an endpoint list with one server to all agents, and is that server.
 func (h *Harness) serveDiscovery() error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP("127.0.0.1")})
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// awaitWatch waits as long as a watch asks for: the list never changes.
+// awaitWatch waits as long as a watch may take: the list never changes.
 func awaitWatch(r *http.Request) {
 	waitMs, err := strconv.Atoi(r.FormValue("wait"))
 	if err != nil {
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -2,7 +2,9 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/binary"
+	"math"
 	"math/rand/v2"
 	"net"
 	"time"
@@ -11,18 +13,32 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
+// The first bytes of memberlist's messages that are forged.
 const (
-	// The first bytes of memberlist's messages that are forged.
 	labelType    = 244
 	pushPullType = 6
 	compressType = 9
+	messageTypes = 16 // the types below this number exist, or may exist
+)
+
+// The first bytes of msgpack's values that are forged, those of a fixed length with it in their low bits.
+const (
+	msgpackFixMap    = 0x80
+	msgpackFixString = 0xa0
+	msgpackInt64     = 0xd3
+	msgpackTrue      = 0xc3
+)
 
+const (
 	forgedPackets     = 400
 	forgedPacketBytes = 1400 // below this many
 	forgedStreams     = 40
 	forgedStreamBytes = 200
+	dialTimeout       = 5 * time.Second
 	forgedTimeout     = 5 * time.Second
 	foreignSite       = "other"
+	// forgedSequence is the sequence of the seed that forged messages are drawn from.
+	forgedSequence = 2
 
 	// The least counts that the forged messages lead to.
 	minBadStreams     = 20
@@ -34,7 +50,7 @@
 // counts them and continues.
 func forgedTraffic(h *Harness, scale Scale) (Metrics, error) {
 	victim := h.Names[0]
-	random := rand.New(rand.NewPCG(h.cfg.Seed, 2))
+	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedSequence))
 	if err := sendForgedPackets(h.relays[victim].bind, random); err != nil {
 		return nil, err
 	}
@@ -61,6 +77,14 @@
 	return metrics, err
 }
 
+// dial opens a connection within dialTimeout.
+func dial(network, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	var dialer net.Dialer
+	return dialer.DialContext(ctx, network, address)
+}
+
 // label is the header of memberlist's messages of a site.
 func label(site string) []byte {
 	return append([]byte{labelType, byte(len(site))}, site...)
@@ -68,22 +92,21 @@
 
 // sendForgedPackets sends packets of another site, of any type, compressed, and of garbage.
 func sendForgedPackets(to string, random *rand.Rand) error {
-	conn, err := net.Dial("udp", to)
+	conn, err := dial("udp", to)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }() // a UDP socket has nothing to flush
+	kinds := []func() []byte{
+		func() []byte { return append(label(foreignSite), 0) },
+		func() []byte { return append(label(testSite), byte(random.IntN(messageTypes))) },
+		func() []byte { return append(label(testSite), compressType) },
+		func() []byte { return nil },
+	}
 	for i := range forgedPackets {
-		packet := randomBytes(random, random.IntN(forgedPacketBytes))
-		switch i % 4 {
-		case 0:
-			packet = append(append(label(foreignSite), 0), packet...)
-		case 1:
-			packet = append(append(label(testSite), byte(random.IntN(16))), packet...)
-		case 2:
-			packet = append(append(label(testSite), compressType), packet...)
-		}
-		_, _ = conn.Write(packet) // the receiver's counts are checked
+		garbage := randomBytes(random, random.IntN(forgedPacketBytes))
+		start := kinds[i%len(kinds)]()
+		_, _ = conn.Write(append(start, garbage...)) // the receiver's counts are checked
 	}
 	return nil
 }
@@ -99,7 +122,7 @@
 // sendForgedStreams sends streams, each on a connection of its own.
 func sendForgedStreams(to string, random *rand.Rand) error {
 	for i := range forgedStreams {
-		conn, err := net.DialTimeout("tcp", to, forgedTimeout)
+		conn, err := dial("tcp", to)
 		if err != nil {
 			return err
 		}
@@ -118,27 +141,28 @@
 
 // forgedStream is a frame with an oversized length, a push/pull that claims members and state without end, or garbage.
 func forgedStream(i int, random *rand.Rand) []byte {
-	stream := frame(label(testSite))
-	switch i % 3 {
-	case 0:
-		return append(stream, 0xff, 0xff, 0xff, 0xff)
-	case 1:
-		return append(stream, frame(oversizedPushPull())...)
-	default:
-		return append(stream, frame(bytes.Repeat([]byte{byte(random.Uint32())}, forgedStreamBytes))...)
+	kinds := []func() []byte{
+		func() []byte { return binary.BigEndian.AppendUint32(nil, math.MaxUint32) },
+		func() []byte { return frame(oversizedPushPull()) },
+		func() []byte { return frame(bytes.Repeat([]byte{byte(random.Uint32())}, forgedStreamBytes)) },
 	}
+	return append(frame(label(testSite)), kinds[i%len(kinds)]()...)
 }
 
 // oversizedPushPull is the header of a push/pull, in msgpack, that claims 2^62 - 1 members and as many bytes.
 func oversizedPushPull() []byte {
-	huge := []byte{0xd3, 0x3f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}
-	message := []byte{pushPullType, 0x83, 0xa5}
-	message = append(message, "Nodes"...)
-	message = append(message, huge...)
-	message = append(message, 0xac)
-	message = append(message, "UserStateLen"...)
-	message = append(message, huge...)
-	message = append(message, 0xa4)
-	message = append(message, "Join"...)
-	return append(message, 0xc3)
+	const (
+		fields = 3
+		claim  = 1<<62 - 1
+	)
+	huge := binary.BigEndian.AppendUint64([]byte{msgpackInt64}, claim)
+	message := []byte{pushPullType, msgpackFixMap | fields}
+	message = append(appendString(message, "Nodes"), huge...)
+	message = append(appendString(message, "UserStateLen"), huge...)
+	return append(appendString(message, "Join"), msgpackTrue)
+}
+
+// appendString appends a short string in msgpack.
+func appendString(message []byte, text string) []byte {
+	return append(append(message, msgpackFixString|byte(len(text))), text...)
 }
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -10,6 +10,9 @@
 const (
 	// partitionName names the one partition of a case.
 	partitionName = "case"
+	// lightLoss and heavyLoss are the fractions of messages that the cases of loss lose.
+	lightLoss = 0.05
+	heavyLoss = 0.20
 	// lossJitter is the jitter of messages under loss, and their duplicated and reordered fractions are lossShare of
 	// the lost one.
 	lossJitter = 2 * time.Millisecond
@@ -17,14 +20,17 @@
 	// replayedFraction is the fraction of packets that come once more, replayRestarts the number of restarts meanwhile.
 	replayedFraction = 0.3
 	replayRestarts   = 4
+	// cutOnePairIn is of how many pairs one has a direction cut.
+	cutOnePairIn = 3
 	// churnPauses is the number of pauses between two restarts that a short partition has.
 	churnPauses = 4
 )
 
 // twoSides are the running processes in two parts, the first with two fifths of them.
 func (h *Harness) twoSides() (first, second []string) {
+	const firstFifths, allFifths = 2, 5
 	running := h.Running()
-	end := len(running) * 2 / 5
+	end := len(running) * firstFifths / allFifths
 	return running[:end], running[end:]
 }
 
@@ -64,8 +70,9 @@
 // overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
 // there is no exemption.
 func overlappingPartitions(h *Harness, scale Scale) (Metrics, error) {
+	const parts = 3
 	running := h.Running()
-	third := len(running) / 3
+	third := len(running) / parts
 	cutAt := time.Now()
 	h.Proxy.Partition(partitionName, running[:third], running[2*third:])
 	time.Sleep(scale.FaultTime)
@@ -79,10 +86,10 @@
 	running := h.Running()
 	for i, from := range running {
 		for _, to := range running[i+1:] {
-			if h.random.IntN(3) != 0 {
+			if h.random.IntN(cutOnePairIn) != 0 {
 				continue
 			}
-			if h.random.IntN(2) == 0 {
+			if h.drawBool() {
 				h.Proxy.Set(to, from, faultproxy.Rule{Cut: true})
 			} else {
 				h.Proxy.Set(from, to, faultproxy.Rule{Cut: true})
@@ -155,20 +162,48 @@
 	return metrics, err
 }
 
+// drawnAction is what is done to processes in a step of drawn faults.
+type drawnAction int
+
+// The actions to draw from.
 const (
-	// drawnSteps is the number of steps of drawn faults, drawnActions that of the actions to draw from.
-	drawnSteps   = 4
-	drawnActions = 5
+	actionKill drawnAction = iota
+	actionTerm
+	actionPause
+	actionStarve
+	actionWait // nothing is done to them
+
+	drawnActions // their number
 )
 
+// The numbers of drawn faults, which are fractions where no unit is named.
+const (
+	drawnSteps = 4
+	// The processes that a step is about are a fraction of all, from the least up.
+	minDrawnProcesses   = 0.02
+	drawnProcessesRange = 0.13
+	// The bounds of the bad links.
+	maxDrawnLoss      = 0.05
+	maxDrawnJitterMs  = 10
+	maxDrawnDuplicate = 0.1
+	maxDrawnReorder   = 0.1
+	maxDrawnReplay    = 0.1
+)
+
+// drawBool draws whether something is done that is done as often as not.
+func (h *Harness) drawBool() bool {
+	const outcomes = 2
+	return h.random.IntN(outcomes) == 0
+}
+
 // drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of
 // two, and meanwhile processes that are killed, leave, pause or starve.
 func drawnFaults(h *Harness, scale Scale) (Metrics, error) {
 	var healedAt time.Time
 	for step := range drawnSteps {
 		rule := h.drawRule(scale)
-		names := h.DrawRunning(0.02 + 0.13*h.random.Float64())
-		action := h.random.IntN(drawnActions)
+		names := h.DrawRunning(minDrawnProcesses + drawnProcessesRange*h.random.Float64())
+		action := drawnAction(h.random.IntN(int(drawnActions)))
 		groups := h.drawGroups()
 		h.cfg.Log("drawn step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
 		h.Proxy.SetAll(rule)
@@ -185,25 +220,25 @@
 // drawRule draws bad links.
 func (h *Harness) drawRule(scale Scale) faultproxy.Rule {
 	return faultproxy.Rule{
-		Loss:           0.05 * h.random.Float64(),
-		Jitter:         time.Duration(h.random.IntN(10)) * time.Millisecond,
-		Duplicate:      0.1 * h.random.Float64(),
-		Reorder:        0.1 * h.random.Float64(),
-		Replay:         0.1 * h.random.Float64(),
+		Loss:           maxDrawnLoss * h.random.Float64(),
+		Jitter:         time.Duration(h.random.IntN(maxDrawnJitterMs)) * time.Millisecond,
+		Duplicate:      maxDrawnDuplicate * h.random.Float64(),
+		Reorder:        maxDrawnReorder * h.random.Float64(),
+		Replay:         maxDrawnReplay * h.random.Float64(),
 		MaxReplayDelay: scale.ShortPartition,
 	}
 }
 
 // act does one of the drawn actions to processes.
-func (h *Harness) act(action int, names []string, scale Scale) error {
+func (h *Harness) act(action drawnAction, names []string, scale Scale) error {
 	switch action {
-	case 0:
+	case actionKill:
 		return h.restartKilled(names...)
-	case 1:
+	case actionTerm:
 		return h.restartGracefully(names...)
-	case 2:
+	case actionPause:
 		return h.processes.PauseFor(scale.Pause, names...)
-	case 3:
+	case actionStarve:
 		return h.processes.Starve(scale.ShortPartition, names...)
 	default:
 		time.Sleep(scale.ShortPartition)
@@ -213,11 +248,13 @@
 
 // drawGroups draws a partition in two or three groups, or none.
 func (h *Harness) drawGroups() [][]string {
-	if h.random.IntN(2) != 0 {
+	const minGroups, maxGroups = 2, 3
+	if !h.drawBool() {
 		return nil
 	}
 	running := h.Running()
 	h.random.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
-	size := len(running)/(2+h.random.IntN(2)) + 1
+	groups := minGroups + h.random.IntN(maxGroups-minGroups+1)
+	size := len(running)/groups + 1
 	return slices.Collect(slices.Chunk(running, size))
 }
--- a/internal/membershiptest/faults_process.go
+++ b/internal/membershiptest/faults_process.go
@@ -74,8 +74,8 @@
 		return metrics, err
 	}
 	times, missing := h.DetectionTimes(killedAt)
-	metrics["detect p50 ms"] = float64(processtest.Quantile(times, 0.5).Milliseconds())
-	metrics["detect p99 ms"] = float64(processtest.Quantile(times, 0.99).Milliseconds())
+	metrics["detect p50 ms"] = float64(processtest.Quantile(times, processtest.Median).Milliseconds())
+	metrics["detect p99 ms"] = float64(processtest.Quantile(times, processtest.Percentile99).Milliseconds())
 	if missing > 0 {
 		return metrics, fmt.Errorf("%d of %d deaths not seen", missing, missing+len(times))
 	}
--- a/internal/membershiptest/journal.go
+++ b/internal/membershiptest/journal.go
@@ -92,8 +92,11 @@
 	keys, values := j.valuesByKey()
 	for _, key := range keys {
 		sorted := slices.Sorted(slices.Values(values[key]))
-		fmt.Fprintf(&text, "| %d | %s | %s | %d | %.4g | %.4g | %.4g |\n", key.agents, key.name, key.metric, len(sorted),
-			processtest.Quantile(sorted, 0.5), processtest.Quantile(sorted, 0.99), sorted[len(sorted)-1])
+		median := processtest.Quantile(sorted, processtest.Median)
+		percentile99 := processtest.Quantile(sorted, processtest.Percentile99)
+		worst := processtest.Quantile(sorted, processtest.Maximum)
+		fmt.Fprintf(&text, "| %d | %s | %s | %d | %.4g | %.4g | %.4g |\n",
+			key.agents, key.name, key.metric, len(sorted), median, percentile99, worst)
 	}
 	failed := j.writeFailed(&text)
 	if _, err := io.WriteString(out, text.String()); err != nil {
