--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -51,8 +51,13 @@
 		return fmt.Errorf("%s: %w", c.Name, err)
 	}
 	delays := history.Delays(startedAt)
-	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s", c.Name, time.Since(startedAt).Seconds(),
-		processtest.Quantile(delays, 0.5), processtest.Quantile(delays, 0.99), processtest.Quantile(delays, 1), len(delays),
+	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s",
+		c.Name,
+		time.Since(startedAt).Seconds(),
+		processtest.Quantile(delays, processtest.Median),
+		processtest.Quantile(delays, processtest.Percentile99),
+		processtest.Quantile(delays, processtest.Maximum),
+		len(delays),
 		metrics)
 	if violations := Check(history, h.cfg.Within); len(violations) > 0 {
 		first := violations[:min(len(violations), maxReported)]
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -1,15 +1,17 @@
 package configtest
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
+	"github.com/hashicorp/raft"
+
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
@@ -31,7 +33,7 @@
 // callAdmin makes one call of an instance's admin endpoint, and reads its answer into out if it is 200.
 func (h *Harness) callAdmin(instance, method, path string, body []byte, out any) error {
 	url := "http://" + h.discovery.Addr(instance, "admin") + path
-	req, err := http.NewRequest(method, url, strings.NewReader(string(body)))
+	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -61,7 +63,7 @@
 			continue
 		}
 		var status server.Status
-		if h.get(name, "/v1/status", &status) == nil && status.State == "Leader" {
+		if h.get(name, "/v1/status", &status) == nil && status.State == raft.Leader.String() {
 			return name
 		}
 	}
@@ -75,17 +77,14 @@
 
 // atLeader does something at the leader, or, until there is one and for retryTimeout, retries.
 func (h *Harness) atLeader(do func(instance string) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), retryTimeout)
-	defer cancel()
-	for {
+	for end := time.Now().Add(retryTimeout); ; time.Sleep(leaderPause) {
 		err := errNoLeader
 		if leader := h.leader(); leader != "" {
 			err = do(leader)
 		}
-		if err == nil || ctx.Err() != nil {
+		if err == nil || time.Now().After(end) {
 			return err
 		}
-		time.Sleep(leaderPause)
 	}
 }
 
@@ -111,11 +110,11 @@
 func (h *Harness) agentReports() map[string]agentReport {
 	reports := map[string]agentReport{}
 	for _, instance := range h.Instances {
-		var heard server.AgentReports
-		if h.get(instance, settingsPath+"/heard", &heard) != nil {
+		var reported server.AgentReports
+		if h.get(instance, settingsPath+"/heard", &reported) != nil {
 			continue // an instance that is down has no reports
 		}
-		for _, agent := range heard.Agents {
+		for _, agent := range reported.Agents {
 			if old, ok := reports[agent.Agent]; !ok || agent.SilentMs < old.SilentMs {
 				reports[agent.Agent] = agentReport{agent, instance}
 			}
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -17,6 +17,10 @@
 	// writers and writesPerWriter are those of twoWriters.
 	writers         = 2
 	writesPerWriter = 10
+	// burstParts is the number of parts of a burst; the leader is killed after the first.
+	burstParts = 3
+	// regions is the number of regions, each with as many agents.
+	regions = 3
 	// regionChanges are the changes that are made while a region is cut off.
 	regionChanges = 3
 	// cutGrace is how long after a cut an agent may still put in force what was sent to it before.
@@ -38,7 +42,7 @@
 		refused = 0
 		for i, agent := range h.Agents {
 			report := reports[agent]
-			hasKey := i%2 == 1
+			hasKey := hasSlowStartInFile(i)
 			if hasKey && !report.refused(write.Version) || !hasKey && report.InForce != write.Version {
 				return false
 			}
@@ -62,7 +66,7 @@
 // leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
 func (h *Harness) leaderKilled() (_ string, err error) {
 	for i := range h.cfg.Burst {
-		if i == h.cfg.Burst/3 {
+		if i == h.cfg.Burst/burstParts {
 			leader := h.leader()
 			if err := h.discovery.Kill(leader); err != nil {
 				return "", err
@@ -151,8 +155,8 @@
 		return "", err
 	}
 	rest := h.others(region)
-	third := len(h.Agents) / 3
-	regionAgents, restAgents := h.Agents[:third], h.Agents[third:]
+	regionSize := len(h.Agents) / regions
+	regionAgents, restAgents := h.Agents[:regionSize], h.Agents[regionSize:]
 	cutAt := time.Now()
 	h.discovery.Partition(append([]string{region}, regionAgents...), append(slices.Clone(rest), restAgents...))
 	for range regionChanges {
@@ -229,12 +233,14 @@
 // restartTenthDuringOutage restarts a tenth of the agents in the middle of an outage, and checks that all agents run at
 // its end.
 func (h *Harness) restartTenthDuringOutage() error {
-	time.Sleep(h.cfg.Outage / 2)
-	tenth := h.Agents[:max(1, len(h.Agents)/10)]
-	if err := processtest.Each(tenth, h.restart); err != nil {
+	const tenths = 10
+	const halves = 2
+	time.Sleep(h.cfg.Outage / halves)
+	restarted := h.Agents[:max(1, len(h.Agents)/tenths)]
+	if err := processtest.Each(restarted, h.restart); err != nil {
 		return err
 	}
-	time.Sleep(h.cfg.Outage / 2)
+	time.Sleep(h.cfg.Outage / halves)
 	for _, agent := range h.Agents {
 		if !h.agents.Running(agent) {
 			return fmt.Errorf("%s does not run any more", agent)
@@ -251,7 +257,7 @@
 	return h.agents.Restart(agent)
 }
 
-// peakCalls is the number of calls of the instances in the 100 ms with the most of them. Each call counted is a
+// peakCalls is the number of calls of the instances in the peakWindow with the most of them. Each call counted is a
 // connection of its own: after a failure no connection is kept.
 func (h *Harness) peakCalls(from, to time.Time) (int, error) {
 	var calls []time.Time
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -30,6 +30,8 @@
 	slowStartMs = 8000
 	// leaderTimeout bounds how long the service may take until it has a leader.
 	leaderTimeout = 30 * time.Second
+	// configMode is the mode of an instance's configuration file.
+	configMode = 0o600
 	// adminTimeout bounds a call of an instance's admin endpoint.
 	adminTimeout = 7 * time.Second
 )
@@ -65,6 +67,13 @@
 	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
 }
 
+// hasSlowStartInFile tells whether the agent of a number has the key in its file that the first change leaves out:
+// every second one does.
+func hasSlowStartInFile(number int) bool {
+	const every = 2
+	return number%every == 1
+}
+
 // settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those refuse.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
@@ -190,7 +199,7 @@
 		}
 		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), h.discovery.Addr(peer, "admin"))
 	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".toml"), []byte(text.String()), 0o644)
+	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".toml"), []byte(text.String()), configMode)
 }
 
 // writeAgentConfig writes the configuration of the agent of a number.
@@ -204,7 +213,7 @@
 		addrs = append(addrs, link.Addr())
 	}
 	own := settingsWithoutSlowStart(fileMarker)
-	if number%2 == 1 {
+	if hasSlowStartInFile(number) {
 		own = settings(fileMarker)
 	}
 	zone := 0
