--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -27,7 +27,7 @@
 
 // Cases are run on one harness in this order: the first needs agents that have their files' settings.
 var Cases = []Case{
-	{"half refuse", (*Harness).halfRefuse},
+	{"half refuse", (*Harness).halfReject},
 	{"leader killed in a burst", (*Harness).leaderKilled},
 	{"instance paused", func(h *Harness) (string, error) { return h.instanceGone(h.pause) }},
 	{"instance cut off", func(h *Harness) (string, error) { return h.instanceGone(h.cutOff) }},
--- a/internal/configtest/check.go
+++ b/internal/configtest/check.go
@@ -20,7 +20,7 @@
 	RuleLost Rule = "lost"
 	// RuleOrder: one version is of one change.
 	RuleOrder Rule = "order"
-	// RuleLate: a process has put in force or refused a change, or a newer one, when it is due.
+	// RuleLate: a process has put in force or rejected a change, or a newer one, when it is due.
 	RuleLate Rule = "late"
 )
 
@@ -91,7 +91,7 @@
 func (c *checker) checkVersions(p *ProcessIncarnation) {
 	last := uint64(0)
 	for _, o := range p.Observations {
-		if o.Refused {
+		if o.Rejected {
 			continue
 		}
 		if o.Version <= last {
--- a/internal/configtest/check_test.go
+++ b/internal/configtest/check_test.go
@@ -36,7 +36,7 @@
 			}},
 			{Agent: "a2", From: at(35), Observations: []Observation{
 				{At: at(36), Version: 10, Marker: 101},
-				{At: at(41), Version: 12, Refused: true},
+				{At: at(41), Version: 12, Rejected: true},
 				{At: at(62), Version: 20, Marker: 104},
 			}},
 			{Agent: "a3", From: at(0), Observations: []Observation{
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// missingKey is what the reason of a refused change names.
+	// missingKey is what the reason of a rejected change names.
 	missingKey = "contract.coldMs: missing"
 	// writers and writesPerWriter are those of twoWriters.
 	writers         = 2
@@ -29,25 +29,25 @@
 	peakWindow = 100 * time.Millisecond
 )
 
-// halfRefuse: a change lacks a key that half of the agents have in force. They keep what they have and are reported
+// halfReject: a change lacks a key that half of the agents have in force. They keep what they have and are reported
 // with the reason; the next change reaches all.
-func (h *Harness) halfRefuse() (string, error) {
+func (h *Harness) halfReject() (string, error) {
 	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
 	if err != nil {
 		return "", err
 	}
-	refused := 0
+	rejected := 0
 	err = processtest.Await(h.cfg.Within, "all agents reported with the result of the change", func() bool {
 		reports := h.agentReports()
-		refused = 0
+		rejected = 0
 		for i, agent := range h.Agents {
 			report := reports[agent]
 			hasKey := hasSlowStartInFile(i)
-			if hasKey && !report.refused(write.Version) || !hasKey && report.InForce != write.Version {
+			if hasKey && !report.rejected(write.Version) || !hasKey && report.InForce != write.Version {
 				return false
 			}
 			if hasKey {
-				refused++
+				rejected++
 			}
 		}
 		return true
@@ -55,11 +55,11 @@
 	if err != nil {
 		return "", fmt.Errorf("%w: %v", err, h.agentReports())
 	}
-	return fmt.Sprintf("; %d refused", refused), h.change(h.Instances...)
+	return fmt.Sprintf("; %d rejected", rejected), h.change(h.Instances...)
 }
 
-// refused tells whether an agent reported that it refused a version for the missing key and has none in force.
-func (r agentReport) refused(version uint64) bool {
+// rejected tells whether an agent reported that it rejected a version for the missing key and has none in force.
+func (r agentReport) rejected(version uint64) bool {
 	return r.Rejected == version && r.InForce == 0 && strings.Contains(r.Reason, missingKey)
 }
 
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -74,7 +74,7 @@
 	return number%every == 1
 }
 
-// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those refuse.
+// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those reject.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
 	without.SlowStartMs = 0
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -23,13 +23,13 @@
 	Marker  int
 }
 
-// Observation is a line of an agent's log: settings of a version that it put in force or refused.
+// Observation is a line of an agent's log: settings of a version that it put in force or rejected.
 type Observation struct {
-	At      time.Time
-	Version uint64
-	Marker  int // of what it put in force
-	Refused bool
-	Reason  string // of the refusal
+	At       time.Time
+	Version  uint64
+	Marker   int // of what it put in force
+	Rejected bool
+	Reason   string // of the rejection
 }
 
 // ProcessIncarnation is one run of an agent, with what it observed in its order.
@@ -39,22 +39,22 @@
 	Observations []Observation
 }
 
-// knew tells whether the process had put in force or refused a version, or a newer one, at a time.
+// knew tells whether the process had put in force or rejected a version, or a newer one, at a time.
 func (p *ProcessIncarnation) knew(version uint64, at time.Time) bool {
 	return slices.ContainsFunc(p.Observations, func(o Observation) bool {
 		return o.Version >= version && !o.At.After(at)
 	})
 }
 
-// refused tells whether the process refused a version.
-func (p *ProcessIncarnation) refused(version uint64) bool {
-	return slices.ContainsFunc(p.Observations, func(o Observation) bool { return o.Refused && o.Version == version })
+// rejected tells whether the process rejected a version.
+func (p *ProcessIncarnation) rejected(version uint64) bool {
+	return slices.ContainsFunc(p.Observations, func(o Observation) bool { return o.Rejected && o.Version == version })
 }
 
 // inForceAt is when the process put a version or a newer one in force, and whether it did.
 func (p *ProcessIncarnation) inForceAt(version uint64) (time.Time, bool) {
 	for _, o := range p.Observations {
-		if !o.Refused && o.Version >= version {
+		if !o.Rejected && o.Version >= version {
 			return o.At, true
 		}
 	}
@@ -107,14 +107,14 @@
 }
 
 // Delays are the times from the acknowledgements since a time to in force, at each process that ran then, did not
-// refuse the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt
+// reject the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt
 // process the time counts from the end of its exemption.
 func (h *History) Delays(since time.Time) []time.Duration {
 	var delays []time.Duration
 	for _, w := range h.Writes {
 		for _, p := range h.Incarnations {
 			due, ok := h.dueAt(w, p, 0)
-			if !ok || p.refused(w.Version) || w.AckedAt.Before(since) || p.From.After(w.AckedAt) {
+			if !ok || p.rejected(w.Version) || w.AckedAt.Before(since) || p.From.After(w.AckedAt) {
 				continue
 			}
 			if at, ok := p.inForceAt(w.Version); ok {
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -14,11 +14,11 @@
 
 // The agent's log messages that are read, and their attributes.
 const (
-	messageStarted = "listening"
-	messageInForce = "settings applied"
-	messageRefused = "settings rejected" // the message begins with it
-	numberVersion  = "version"
-	numberMarker   = "max_attempts"
+	messageStarted  = "listening"
+	messageInForce  = "settings applied"
+	messageRejected = "settings rejected" // the message begins with it
+	numberVersion   = "version"
+	numberMarker    = "max_attempts"
 )
 
 var (
@@ -80,8 +80,8 @@
 	switch {
 	case ok && e.message == messageInForce:
 		return Observation{At: e.at, Version: version, Marker: int(e.numbers[numberMarker])}, true
-	case ok && strings.HasPrefix(e.message, messageRefused):
-		return Observation{At: e.at, Version: version, Refused: true, Reason: e.err}, true
+	case ok && strings.HasPrefix(e.message, messageRejected):
+		return Observation{At: e.at, Version: version, Rejected: true, Reason: e.err}, true
 	default:
 		return Observation{}, false
 	}
