--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"strings"
 	"time"
-)
 
-// maxReported is how many violations an error has.
-const maxReported = 5
+	"fernbeam.example/fernbeam/internal/processtest"
+)
 
 // startCasePrefix begins the names of the cases that start the cluster themselves.
 const startCasePrefix = "start"
@@ -70,7 +69,8 @@
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
 	if violations := h.Check(); len(violations) > 0 {
-		return metrics, fmt.Errorf("%s: %s", c.Name, h.describeViolations(violations))
+		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(violations[0].Subject)}
+		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
 	h.cfg.Log("%s: %v", c.Name, metrics)
 	return metrics, nil
@@ -90,17 +90,6 @@
 	return err
 }
 
-// describeViolations has the first violations, and what all processes saw of the first one's member.
-func (h *Harness) describeViolations(violations []Violation) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "%d violations, the first:", len(violations))
-	for _, violation := range violations[:min(len(violations), maxReported)] {
-		fmt.Fprintf(&text, "\n%v", violation)
-	}
-	fmt.Fprintf(&text, "\n%s", h.timeline(violations[0].Change.Process))
-	return text.String()
-}
-
 // StartConverged starts all processes and waits until they agree.
 func (h *Harness) StartConverged(within time.Duration) error {
 	if err := h.Start(h.Names...); err != nil {
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -6,45 +6,32 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Rule is a rule that every history keeps.
-type Rule string
-
 // The rules of a history.
 const (
 	// RuleFalseDeath: a running process is not declared dead, unless that is exempted.
-	RuleFalseDeath Rule = "false death"
+	RuleFalseDeath processtest.Rule = "false death"
 	// RuleIncarnation: an incarnation never decreases.
-	RuleIncarnation Rule = "incarnation"
+	RuleIncarnation processtest.Rule = "incarnation"
 	// RuleNumber: the number of a snapshot grows by one.
-	RuleNumber Rule = "number"
+	RuleNumber processtest.Rule = "number"
 	// RuleReturn: a process that was replaced does not return, and none replaces its successor.
-	RuleReturn Rule = "return"
+	RuleReturn processtest.Rule = "return"
 	// RuleLeaver: a process that left is neither suspected nor dead and does not return.
-	RuleLeaver Rule = "leaver"
+	RuleLeaver processtest.Rule = "leaver"
 )
 
-// Violation is a change by which a history breaks a rule.
-type Violation struct {
-	Rule     Rule
-	Observer string
-	Change   membership.Change
-}
-
-func (v Violation) String() string {
-	return fmt.Sprintf("%s: %s saw %s/%s go from %q to %q (incarnation %d, by %q) in snapshot %d at %s",
-		v.Rule, v.Observer, v.Change.Name, v.Change.Process, v.Change.From, v.Change.To, v.Change.Incarnation,
-		v.Change.ReportedBy, v.Change.Number, changeTime(v.Change).Format(timeOfMinute))
-}
-
 // Check checks the merged histories of all processes against the rules.
-func Check(incarnations []*ProcessIncarnation, records []*Record, exemptions []Exemption) []Violation {
+func Check(
+	incarnations []*ProcessIncarnation, records []*Record, exemptions []processtest.Exemption,
+) []processtest.Violation {
 	byProcess := map[string]*ProcessIncarnation{}
 	for _, incarnation := range incarnations {
 		byProcess[incarnation.Process] = incarnation
 	}
-	var violations []Violation
+	var violations []processtest.Violation
 	for _, record := range records {
 		checker := &recordChecker{
 			observer:   record.Observer,
@@ -65,11 +52,11 @@
 type recordChecker struct {
 	observer   string
 	byProcess  map[string]*ProcessIncarnation
-	exemptions []Exemption
+	exemptions []processtest.Exemption
 	seen       map[string]membership.Change // the last change of each name
 	replaced   map[string]bool              // processes that another one replaced
 	number     uint64
-	violations []Violation
+	violations []processtest.Violation
 }
 
 // check checks the next change.
@@ -109,31 +96,33 @@
 func (c *recordChecker) isFalseDeath(change membership.Change) bool {
 	at := changeTime(change)
 	incarnation := c.byProcess[change.Process]
-	if incarnation == nil || !incarnation.End.IsZero() && at.After(incarnation.End) {
+	if incarnation == nil || !incarnation.IsRunning() && at.After(incarnation.End) {
 		return false
 	}
-	return !slices.ContainsFunc(c.exemptions, func(e Exemption) bool {
-		return e.covers(at, c.observer, change.Name)
+	return !slices.ContainsFunc(c.exemptions, func(e processtest.Exemption) bool {
+		return e.Covers(at, c.observer, change.Name)
 	})
 }
 
-func (c *recordChecker) report(rule Rule, change membership.Change) {
-	c.violations = append(c.violations, Violation{rule, c.observer, change})
+// report adds the violation of a rule by a change.
+func (c *recordChecker) report(rule processtest.Rule, change membership.Change) {
+	text := fmt.Sprintf("%s saw %s/%s go from %q to %q (incarnation %d, by %q) in snapshot %d at %s",
+		c.observer, change.Name, change.Process, change.From, change.To, change.Incarnation,
+		change.ReportedBy, change.Number, processtest.FormatTime(changeTime(change)))
+	c.violations = append(c.violations, processtest.Violation{Rule: rule, Subject: change.Process, Text: text})
 }
 
 // Check checks all that the harness's processes saw so far.
-func (h *Harness) Check() []Violation {
+func (h *Harness) Check() []processtest.Violation {
 	h.collectChanges(h.Running())
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return Check(h.incarnations, h.sortedRecords(), h.exemptions)
+	return Check(h.incarnations(), h.sortedRecords(), h.exemptions.All())
 }
 
 // runningProcesses are the processes that have not ended.
 func runningProcesses(incarnations []*ProcessIncarnation) map[string]bool {
 	running := map[string]bool{}
 	for _, incarnation := range incarnations {
-		running[incarnation.Process] = incarnation.End.IsZero()
+		running[incarnation.Process] = incarnation.IsRunning()
 	}
 	return running
 }
@@ -159,9 +148,7 @@
 // Flaps are those of the harness's history since a time.
 func (h *Harness) Flaps(since time.Time) (most, sum int) {
 	h.collectChanges(h.Running())
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return Flaps(h.incarnations, h.sortedRecords(), since)
+	return Flaps(h.incarnations(), h.sortedRecords(), since)
 }
 
 // DetectionTimes are the times from the ends of processes that were killed since a time until each running process saw
@@ -175,7 +162,7 @@
 			continue
 		}
 		for _, incarnation := range incarnations {
-			if incarnation.End.IsZero() || incarnation.Left || incarnation.End.Before(since) {
+			if incarnation.IsRunning() || incarnation.Graceful || incarnation.End.Before(since) {
 				continue
 			}
 			i := slices.IndexFunc(record.Changes, func(change membership.Change) bool {
@@ -196,7 +183,5 @@
 // DetectionTimes are those of the harness's history since a time.
 func (h *Harness) DetectionTimes(since time.Time) (times []time.Duration, missing int) {
 	h.collectChanges(h.Running())
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return DetectionTimes(h.incarnations, h.sortedRecords(), since)
+	return DetectionTimes(h.incarnations(), h.sortedRecords(), since)
 }
--- a/internal/membershiptest/check_test.go
+++ b/internal/membershiptest/check_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // startTime is the start of the valid history.
@@ -20,10 +21,10 @@
 // testIncarnations are the processes of the valid history.
 func testIncarnations() []*ProcessIncarnation {
 	return []*ProcessIncarnation{
-		{Name: "b", Process: "b1", Start: at(0), End: at(5)},
-		{Name: "b", Process: "b2", Start: at(7)},
-		{Name: "c", Process: "c1", Start: at(0)},
-		{Name: "d", Process: "d1", Start: at(0), End: at(4), Left: true},
+		{Name: "b", Process: "b1", Incarnation: processtest.Incarnation{Start: at(0), End: at(5)}},
+		{Name: "b", Process: "b2", Incarnation: processtest.Incarnation{Start: at(7)}},
+		{Name: "c", Process: "c1", Incarnation: processtest.Incarnation{Start: at(0)}},
+		{Name: "d", Process: "d1", Incarnation: processtest.Incarnation{Start: at(0), End: at(4), Graceful: true}},
 	}
 }
 
@@ -43,15 +44,15 @@
 }
 
 // partition exempts the death of c for the observer a.
-var partition = Exemption{
-	From: at(8),
-	To:   at(10),
-	Pair: func(observer, member string) bool { return observer == "a" && member == "c" },
+var partition = processtest.Exemption{
+	From:    at(8),
+	To:      at(10),
+	Applies: func(observer, member string) bool { return observer == "a" && member == "c" },
 }
 
 // brokenRules are the rules that the changes of the observer a break.
-func brokenRules(changes []membership.Change, exemptions ...Exemption) []Rule {
-	var rules []Rule
+func brokenRules(changes []membership.Change, exemptions ...processtest.Exemption) []processtest.Rule {
+	var rules []processtest.Rule
 	records := []*Record{{Observer: "a", Process: "a1", Changes: changes}}
 	for _, violation := range Check(testIncarnations(), records, exemptions) {
 		rules = append(rules, violation.Rule)
@@ -66,7 +67,7 @@
 	}
 	for _, test := range []struct {
 		name    string
-		rule    Rule
+		rule    processtest.Rule
 		breakIt func(c []membership.Change)
 	}{
 		{"a number is skipped", RuleNumber, func(c []membership.Change) { c[7].Number = 9 }},
@@ -88,7 +89,7 @@
 			t.Errorf("%s: the checker found %v, want %q", test.name, got, test.rule)
 		}
 	}
-	if got := brokenRules(validChanges()); !slices.Equal(got, []Rule{RuleFalseDeath}) {
+	if got := brokenRules(validChanges()); !slices.Equal(got, []processtest.Rule{RuleFalseDeath}) {
 		t.Errorf("without its exemption the death across the partition is %v", got)
 	}
 }
--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -70,17 +70,15 @@
 	return status
 }
 
-// lastCollected is the number of the last change that was collected of a running process.
+// lastCollected is the number of the last change that was collected of a process's current incarnation; 0: none.
 func (h *Harness) lastCollected(name string) uint64 {
+	key := incarnationKey{processName: name, number: len(h.processes.Incarnations(name)) - 1}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var last uint64
-	for _, incarnation := range h.incarnations {
-		if incarnation.processName == name && incarnation.End.IsZero() {
-			last = h.records[incarnation.Process].last()
-		}
+	if record := h.records[h.identities[key].process]; record != nil {
+		return record.last()
 	}
-	return last
+	return 0
 }
 
 // AwaitConvergence waits until all running processes that take part see exactly each other, and returns the time from
--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -17,7 +17,6 @@
 
 // Start starts processes at once and waits until each has answered with its identity.
 func (h *Harness) Start(names ...string) error {
-	startedAt := time.Now()
 	if err := processtest.Each(names, h.processes.Start); err != nil {
 		return err
 	}
@@ -25,12 +24,12 @@
 		if h.isWithoutMembership(name) {
 			return nil
 		}
-		return h.recordStart(name, startedAt)
+		return h.recordStart(name)
 	})
 }
 
-// recordStart waits until a process answers, and adds it to the history.
-func (h *Harness) recordStart(name string, startedAt time.Time) error {
+// recordStart waits until a process answers, and adds its identity to the history.
+func (h *Harness) recordStart(name string) error {
 	var status *membership.Status
 	err := processtest.Await(startTimeout, name+" answers", func() bool {
 		status, _ = h.Status(name, noChanges) // until it answers
@@ -41,43 +40,21 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.incarnations = append(h.incarnations, &ProcessIncarnation{
-		Name:        status.Self,
-		Process:     status.Process,
-		Start:       startedAt,
-		processName: name,
-	})
+	key := incarnationKey{processName: name, number: len(h.processes.Incarnations(name)) - 1}
+	h.identities[key] = identity{agent: status.Self, process: status.Process}
 	h.records[status.Process] = &Record{Observer: status.Self, Process: status.Process}
 	return nil
 }
 
-// recordEnd adds the end of a process to the history.
-func (h *Harness) recordEnd(name string, left bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, incarnation := range h.incarnations {
-		if incarnation.processName == name && incarnation.End.IsZero() {
-			incarnation.End = time.Now()
-			incarnation.Left = left
-		}
-	}
-}
-
 // Kill sends SIGKILL to processes at once, after it has collected what they saw.
 func (h *Harness) Kill(names ...string) error {
 	h.collectChanges(names)
-	for _, name := range names {
-		h.recordEnd(name, false)
-	}
 	return processtest.Each(names, h.processes.Kill)
 }
 
 // Term sends SIGTERM to processes and waits for their ends.
 func (h *Harness) Term(names ...string) error {
 	h.collectChanges(names)
-	for _, name := range names {
-		h.recordEnd(name, true)
-	}
 	return processtest.Each(names, h.processes.Term)
 }
 
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/faultproxy"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
@@ -41,7 +42,11 @@
 	err = do()
 	h.Proxy.Heal(partitionName)
 	healedAt = time.Now()
-	h.Exempt(cutAt, healedAt.Add(scale.ConvergeWithin), faultproxy.NewPartition(groups...).Separates)
+	h.exemptions.Add(processtest.Exemption{
+		From:    cutAt,
+		To:      healedAt.Add(scale.ConvergeWithin),
+		Applies: faultproxy.NewPartition(groups...).Separates,
+	})
 	return healedAt, err
 }
 
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -64,10 +64,11 @@
 	discovery *http.Server
 	random    *rand.Rand
 
-	mu           sync.Mutex
-	incarnations []*ProcessIncarnation
-	records      map[string]*Record // by the observer's process
-	exemptions   []Exemption
+	exemptions processtest.Exemptions // from the rule that no running process is declared dead
+
+	mu         sync.Mutex
+	identities map[incarnationKey]identity
+	records    map[string]*Record // by the observer's process
 }
 
 // relayAddrs are an agent's own address and the one that the others use.
@@ -96,6 +97,8 @@
 		relays:  map[string]relayAddrs{},
 		random:  rand.New(rand.NewPCG(cfg.Seed, 1)),
 		records: map[string]*Record{},
+
+		identities: map[incarnationKey]identity{},
 	}
 	if err := h.prepare(); err != nil {
 		h.Close()
--- a/internal/membershiptest/history.go
+++ b/internal/membershiptest/history.go
@@ -1,36 +1,35 @@
 package membershiptest
 
 import (
-	"fmt"
+	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-const (
-	// maxTimelineEntries bounds the entries of a timeline.
-	maxTimelineEntries = 60
-	// timeOfMinute is the format of a time in a timeline.
-	timeOfMinute = "05.000000"
-)
-
-// ProcessIncarnation is one run of an agent, from its start to its end as the harness made them. All times of a harness
-// are of one machine's clock.
+// ProcessIncarnation is one run of an agent, with its identity in the membership.
 type ProcessIncarnation struct {
-	Name    string
-	Process string
-	Start   time.Time
-	End     time.Time // zero while it runs
-	Left    bool      // it ended by SIGTERM
-
-	processName string
+	processtest.Incarnation
+	Name    string // of the agent
+	Process string // the identity
 }
 
 // endedBefore tells whether a process is known to have ended before another began.
 func (p *ProcessIncarnation) endedBefore(other *ProcessIncarnation) bool {
-	return p != nil && other != nil && !p.End.IsZero() && p.End.Before(other.Start)
+	return p != nil && other != nil && p.EndedBefore(other.Incarnation)
+}
+
+// identity is what an incarnation of a process answered first: its agent's name and its identity in the membership.
+type identity struct {
+	agent, process string
+}
+
+// incarnationKey identifies an incarnation by the name of its process in the cluster and its number, from zero.
+type incarnationKey struct {
+	processName string
+	number      int
 }
 
 // Record is what one process saw, in its order.
@@ -73,74 +72,61 @@
 // changeTime is when a change was made.
 func changeTime(change membership.Change) time.Time { return time.UnixMicro(change.UnixUs) }
 
-// Exemption is a time in which an observer (by name) may rightly declare a member dead.
-type Exemption struct {
-	From, To time.Time
-	Pair     func(observer, member string) bool
-}
-
-// covers tells whether an observer may declare a member dead at a time.
-func (e Exemption) covers(at time.Time, observer, member string) bool {
-	return at.After(e.From) && at.Before(e.To) && e.Pair(observer, member)
-}
-
-// Exempt tells the checker that for a time members may rightly be declared dead by others.
-func (h *Harness) Exempt(from, to time.Time, pair func(observer, member string) bool) {
+// incarnations are the runs of all processes that answered, in the order of their starts.
+func (h *Harness) incarnations() []*ProcessIncarnation {
 	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.exemptions = append(h.exemptions, Exemption{From: from, To: to, Pair: pair})
+	identities := maps.Clone(h.identities)
+	h.mu.Unlock()
+	var incarnations []*ProcessIncarnation
+	for _, name := range h.processes.Names() {
+		for number, incarnation := range h.processes.Incarnations(name) {
+			if id, ok := identities[incarnationKey{name, number}]; ok {
+				incarnations = append(incarnations, &ProcessIncarnation{
+					Incarnation: incarnation,
+					Name:        id.agent,
+					Process:     id.process,
+				})
+			}
+		}
+	}
+	slices.SortFunc(incarnations, func(a, b *ProcessIncarnation) int { return a.Start.Compare(b.Start) })
+	return incarnations
 }
 
-// sortedRecords are the records, the longest first. The caller holds mu.
+// sortedRecords are copies of the records, the longest first.
 func (h *Harness) sortedRecords() []*Record {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var records []*Record
 	for _, record := range h.records {
-		records = append(records, record)
+		records = append(records, &Record{
+			Observer: record.Observer,
+			Process:  record.Process,
+			Changes:  slices.Clone(record.Changes),
+		})
 	}
 	slices.SortFunc(records, func(a, b *Record) int { return len(b.Changes) - len(a.Changes) })
 	return records
 }
 
-// timelineEntry is a line of a timeline.
-type timelineEntry struct {
-	at   time.Time
-	text string
-}
-
-// timeline is what all processes saw of one, in the order of time.
+// timeline is what all processes saw of one, and its start and end, in the order of time.
 func (h *Harness) timeline(process string) string {
-	entries := h.timelineEntries(process)
-	slices.SortFunc(entries, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
-	var text strings.Builder
-	for _, entry := range entries[max(0, len(entries)-maxTimelineEntries):] {
-		fmt.Fprintf(&text, "%s %s\n", entry.at.Format(timeOfMinute), entry.text)
+	timeline := new(processtest.Timeline)
+	for _, incarnation := range h.incarnations() {
+		if incarnation.Process == process {
+			timeline.AddIncarnation(incarnation.Name, incarnation.Incarnation)
+		}
 	}
-	return text.String()
-}
-
-// timelineEntries are what all processes saw of one, and its start and end.
-func (h *Harness) timelineEntries(process string) []timelineEntry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var entries []timelineEntry
-	for _, incarnation := range h.incarnations {
-		if incarnation.Process != process {
-			continue
-		}
-		entries = append(entries, timelineEntry{incarnation.Start, "started"})
-		if !incarnation.End.IsZero() {
-			text := fmt.Sprintf("ended, gracefully: %v", incarnation.Left)
-			entries = append(entries, timelineEntry{incarnation.End, text})
-		}
-	}
 	for _, record := range h.records {
 		for _, change := range record.Changes {
 			if change.Process == process {
-				text := fmt.Sprintf("%s/%s: %q to %q by %q, incarnation %d, draining %v, snapshot %d", record.Observer,
-					record.Process, change.From, change.To, change.ReportedBy, change.Incarnation, change.Draining, change.Number)
-				entries = append(entries, timelineEntry{changeTime(change), text})
+				timeline.Add(changeTime(change), "%s/%s: %q to %q by %q, incarnation %d, draining %v, snapshot %d",
+					record.Observer, record.Process, change.From, change.To, change.ReportedBy, change.Incarnation,
+					change.Draining, change.Number)
 			}
 		}
 	}
-	return entries
+	return timeline.String()
 }
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -22,9 +22,10 @@
 
 // process is one process of a cluster, running or not.
 type process struct {
-	addrs map[string]string // of its listeners, by port name
-	cmd   *exec.Cmd         // of the last start; nil: it was never started
-	ended chan struct{}     // closed at the end of cmd
+	addrs        map[string]string // of its listeners, by port name
+	incarnations []Incarnation
+	cmd          *exec.Cmd     // of the last start; nil: it was never started
+	ended        chan struct{} // closed at the end of cmd
 }
 
 // Start runs a process that is not running, with its listeners inherited.
@@ -53,6 +54,7 @@
 	cmd.Stdout = log
 	cmd.Stderr = log
 	cmd.ExtraFiles = listeners
+	startedAt := time.Now()
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("processtest: start %s: %w", name, err)
 	}
@@ -64,6 +66,7 @@
 	c.mu.Lock()
 	p.cmd = cmd
 	p.ended = ended
+	p.incarnations = append(p.incarnations, Incarnation{Start: startedAt})
 	c.mu.Unlock()
 	c.record(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
 	return nil
@@ -148,13 +151,15 @@
 }
 
 // Kill sends SIGKILL (and SIGCONT, so that a paused process ends too) and waits for the end; a process that is not
-// running is left alone.
+// running gets no signal.
 func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, "kill") }
 
 // Term sends SIGTERM and waits for the end.
 func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, "term") }
 
+// end records the end of a process, sends it a signal and waits until it has ended.
 func (c *Cluster) end(name string, signal syscall.Signal, action string) error {
+	c.recordEnd(name, signal == syscall.SIGTERM)
 	cmd, ended, ok := c.running(name)
 	if !ok {
 		return nil
@@ -167,6 +172,21 @@
 	return nil
 }
 
+// recordEnd records the end of a process's incarnation, unless it is recorded already.
+func (c *Cluster) recordEnd(name string, graceful bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.processes[name]
+	if p == nil || len(p.incarnations) == 0 {
+		return
+	}
+	current := &p.incarnations[len(p.incarnations)-1]
+	if current.IsRunning() {
+		current.End = time.Now()
+		current.Graceful = graceful
+	}
+}
+
 // Restart kills a process if it runs and starts it again on the same ports.
 func (c *Cluster) Restart(name string) error {
 	if err := c.Kill(name); err != nil {
