--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -1,7 +1,6 @@
 package configtest
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -10,8 +9,6 @@
 )
 
 const (
-	// maxReported is how many violations an error has.
-	maxReported = 5
 	// pollInterval is how often awaitLastChange reads the logs, and settleMargin how much longer it waits than a
 	// change may take.
 	pollInterval = 50 * time.Millisecond
@@ -41,14 +38,9 @@
 // far. The error tells what failed, or the rules that the history breaks.
 func (h *Harness) RunCase(c Case) error {
 	startedAt := time.Now()
-	metrics, err := c.run(h)
+	history, metrics, err := h.runCase(c)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
-	}
-	err = h.awaitLastChange()
-	history, historyErr := h.History()
-	if err := errors.Join(err, historyErr); err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
+		return fmt.Errorf("%s: %w\n%s", c.Name, err, h.timeline(startedAt))
 	}
 	delays := history.Delays(startedAt)
 	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s",
@@ -60,12 +52,33 @@
 		len(delays),
 		metrics)
 	if violations := Check(history, h.cfg.Within); len(violations) > 0 {
-		first := violations[:min(len(violations), maxReported)]
-		return fmt.Errorf("%s: %d violations, such as %v", c.Name, len(violations), first)
+		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(startedAt)}
+		return fmt.Errorf("%s: %w", c.Name, err)
 	}
 	return nil
 }
 
+// runCase runs a case, waits until all that was changed is in force, and returns all that was seen so far.
+func (h *Harness) runCase(c Case) (*History, string, error) {
+	metrics, err := c.run(h)
+	if err != nil {
+		return nil, metrics, err
+	}
+	if err := h.awaitLastChange(); err != nil {
+		return nil, metrics, err
+	}
+	history, err := h.History()
+	return history, metrics, err
+}
+
+// timeline is what was done to the processes since a time.
+func (h *Harness) timeline(since time.Time) string {
+	timeline := new(processtest.Timeline)
+	timeline.AddEvents(h.discovery, since)
+	timeline.AddEvents(h.agents, since)
+	return timeline.String()
+}
+
 // awaitLastChange returns once each running agent knows the last change, or this was due.
 func (h *Harness) awaitLastChange() error {
 	for end := time.Now().Add(h.cfg.Within + settleMargin); ; time.Sleep(pollInterval) {
@@ -75,7 +88,7 @@
 		}
 		last := history.lastWrite()
 		isMissing := slices.ContainsFunc(history.Incarnations, func(p *ProcessIncarnation) bool {
-			return p.To.IsZero() && !p.knew(last.Version, time.Now())
+			return p.IsRunning() && !p.knew(last.Version, time.Now())
 		})
 		if !isMissing || time.Now().After(end) {
 			return nil
--- a/internal/configtest/check.go
+++ b/internal/configtest/check.go
@@ -5,35 +5,26 @@
 	"fmt"
 	"slices"
 	"time"
-)
 
-// Rule is a rule that every history keeps.
-type Rule string
+	"fernbeam.example/fernbeam/internal/processtest"
+)
 
 // The rules of a history.
 const (
 	// RuleBack: a version of a process is above the one before.
-	RuleBack Rule = "back"
+	RuleBack processtest.Rule = "back"
 	// RuleUnaccepted: what is in force was acknowledged to a writer or is in the history, and is what was written.
-	RuleUnaccepted Rule = "unaccepted"
+	RuleUnaccepted processtest.Rule = "unaccepted"
 	// RuleLost: an acknowledged change is in the service's history.
-	RuleLost Rule = "lost"
+	RuleLost processtest.Rule = "lost"
 	// RuleOrder: one version is of one change.
-	RuleOrder Rule = "order"
+	RuleOrder processtest.Rule = "order"
 	// RuleLate: a process has put in force or rejected a change, or a newer one, when it is due.
-	RuleLate Rule = "late"
+	RuleLate processtest.Rule = "late"
 )
 
-// Violation is a rule that a history breaks, and how.
-type Violation struct {
-	Rule Rule
-	Text string
-}
-
-func (v Violation) String() string { return string(v.Rule) + ": " + v.Text }
-
 // Check checks a history; within is the time from a change's acknowledgement to in force at all agents.
-func Check(h *History, within time.Duration) []Violation {
+func Check(h *History, within time.Duration) []processtest.Violation {
 	c := &checker{history: h, accepted: map[uint64]int{}}
 	c.checkService()
 	for _, incarnation := range h.Incarnations {
@@ -47,17 +38,19 @@
 type checker struct {
 	history    *History
 	accepted   map[uint64]int // marker by version, of all that was acknowledged or stored
-	violations []Violation
+	violations []processtest.Violation
 }
 
-func (c *checker) report(rule Rule, format string, args ...any) {
-	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
+// report adds a violation by a process; "" is the service.
+func (c *checker) report(rule processtest.Rule, process, format string, args ...any) {
+	violation := processtest.Violation{Rule: rule, Subject: process, Text: fmt.Sprintf(format, args...)}
+	c.violations = append(c.violations, violation)
 }
 
 // accept records a version with its marker.
 func (c *checker) accept(version uint64, marker int) {
 	if old, ok := c.accepted[version]; ok && old != marker {
-		c.report(RuleOrder, "version %d is of the changes %d and %d", version, old, marker)
+		c.report(RuleOrder, "", "version %d is of the changes %d and %d", version, old, marker)
 	}
 	c.accepted[version] = marker
 }
@@ -76,7 +69,7 @@
 		c.accept(w.Version, w.Marker)
 		isKept := len(c.history.Stored) > 0 && w.Version >= oldestVersion(c.history.Stored)
 		if isKept && !stored[w.Version] {
-			c.report(RuleLost, "version %d, change %d, was acknowledged and is not in the history", w.Version, w.Marker)
+			c.report(RuleLost, "", "version %d, change %d, was acknowledged and is not in the history", w.Version, w.Marker)
 		}
 	}
 }
@@ -95,12 +88,13 @@
 			continue
 		}
 		if o.Version <= last {
-			c.report(RuleBack, "%s went from version %d to %d at %s", p.Agent, last, o.Version, formatTime(o.At))
+			c.report(RuleBack, p.Agent, "%s went from version %d to %d at %s",
+				p.Agent, last, o.Version, processtest.FormatTime(o.At))
 		}
 		last = o.Version
 		marker, ok := c.accepted[o.Version]
 		if !ok || marker != o.Marker {
-			c.report(RuleUnaccepted, "%s put change %d in force as version %d, which is change %d (0: none)",
+			c.report(RuleUnaccepted, p.Agent, "%s put change %d in force as version %d, which is change %d (0: none)",
 				p.Agent, o.Marker, o.Version, marker)
 		}
 	}
@@ -112,11 +106,8 @@
 		for _, p := range c.history.Incarnations {
 			due, ok := c.history.dueAt(w, p, within)
 			if ok && !p.knew(w.Version, due) {
-				c.report(RuleLate, "%s did not have version %d at %s", p.Agent, w.Version, formatTime(due))
+				c.report(RuleLate, p.Agent, "%s did not have version %d at %s", p.Agent, w.Version, processtest.FormatTime(due))
 			}
 		}
 	}
 }
-
-// formatTime is a time in a violation: seconds of the minute.
-func formatTime(t time.Time) string { return t.Format("05.000") }
--- a/internal/configtest/check_test.go
+++ b/internal/configtest/check_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // testWithin is the time that a change may take.
@@ -25,26 +27,28 @@
 		},
 		Stored: []StoredVersion{{10, 101}, {12, 102}, {15, 103}, {20, 104}},
 		Incarnations: []*ProcessIncarnation{
-			{Agent: "a1", From: at(0), Observations: []Observation{
+			{Agent: "a1", Incarnation: processtest.Incarnation{Start: at(0)}, Observations: []Observation{
 				{At: at(11), Version: 10, Marker: 101},
 				{At: at(41), Version: 12, Marker: 102},
 				{At: at(50), Version: 15, Marker: 103},
 				{At: at(61), Version: 20, Marker: 104},
 			}},
-			{Agent: "a2", From: at(0), To: at(30), Observations: []Observation{
+			{Agent: "a2", Incarnation: processtest.Incarnation{Start: at(0), End: at(30)}, Observations: []Observation{
 				{At: at(20.9), Version: 10, Marker: 101},
 			}},
-			{Agent: "a2", From: at(35), Observations: []Observation{
+			{Agent: "a2", Incarnation: processtest.Incarnation{Start: at(35)}, Observations: []Observation{
 				{At: at(36), Version: 10, Marker: 101},
 				{At: at(41), Version: 12, Rejected: true},
 				{At: at(62), Version: 20, Marker: 104},
 			}},
-			{Agent: "a3", From: at(0), Observations: []Observation{
+			{Agent: "a3", Incarnation: processtest.Incarnation{Start: at(0)}, Observations: []Observation{
 				{At: at(9.9), Version: 10, Marker: 101},
 				{At: at(79), Version: 20, Marker: 104},
 			}},
 		},
-		Exemptions: []Exemption{{From: at(39), To: at(70), Agents: []string{"a3"}}},
+		Exemptions: []processtest.Exemption{
+			{From: at(39), To: at(70), Applies: processtest.Observers("a3")},
+		},
 	}
 }
 
@@ -55,7 +59,7 @@
 	}
 	observations := func(h *History, incarnation int) []Observation { return h.Incarnations[incarnation].Observations }
 	for name, test := range map[string]struct {
-		rule    Rule
+		rule    processtest.Rule
 		breakIt func(h *History)
 	}{
 		"a version that goes back": {RuleBack, func(h *History) {
@@ -94,7 +98,7 @@
 	} {
 		history := validHistory()
 		test.breakIt(history)
-		rules := map[Rule]bool{}
+		rules := map[processtest.Rule]bool{}
 		for _, violation := range Check(history, testWithin) {
 			rules[violation.Rule] = true
 		}
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -172,14 +172,14 @@
 	firstChange := history.Writes[len(history.Writes)-regionChanges].Version
 	err = checkCutOff(history, regionAgents, firstChange, cutAt.Add(cutGrace))
 	h.discovery.Heal()
-	h.exempt(cutAt, regionAgents...)
+	h.exemptUntilNow(cutAt, regionAgents)
 	return "", err
 }
 
 // checkCutOff checks that no running process of the agents observed a version, or a newer one, after a time.
 func checkCutOff(history *History, agents []string, version uint64, after time.Time) error {
 	for _, p := range history.Incarnations {
-		if !slices.Contains(agents, p.Agent) || !p.To.IsZero() {
+		if !slices.Contains(agents, p.Agent) || !p.IsRunning() {
 			continue
 		}
 		crossed := slices.ContainsFunc(p.Observations, func(o Observation) bool {
@@ -207,7 +207,7 @@
 		return "", err
 	}
 	err := h.change(h.Instances...)
-	h.exempt(downAt)
+	h.exemptUntilNow(downAt, h.Agents)
 	if err != nil {
 		return "", err
 	}
@@ -237,7 +237,7 @@
 	const halves = 2
 	time.Sleep(h.cfg.Outage / halves)
 	restarted := h.Agents[:max(1, len(h.Agents)/tenths)]
-	if err := processtest.Each(restarted, h.restart); err != nil {
+	if err := processtest.Each(restarted, h.agents.Restart); err != nil {
 		return err
 	}
 	time.Sleep(h.cfg.Outage / halves)
@@ -249,14 +249,6 @@
 	return nil
 }
 
-// restart kills an agent and starts it again.
-func (h *Harness) restart(agent string) error {
-	h.mu.Lock()
-	h.kills[agent] = append(h.kills[agent], time.Now())
-	h.mu.Unlock()
-	return h.agents.Restart(agent)
-}
-
 // peakCalls is the number of calls of the instances in the peakWindow with the most of them. Each call counted is a
 // connection of its own: after a failure no connection is kept.
 func (h *Harness) peakCalls(from, to time.Time) (int, error) {
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -91,11 +91,11 @@
 	random    *rand.Rand
 	client    *http.Client
 
+	exemptions processtest.Exemptions // from the times at which agents must know a change
+
 	mu         sync.Mutex
 	lastMarker int
 	writes     []Write
-	exemptions []Exemption
-	kills      map[string][]time.Time // of each agent
 	// pausedInstance is the instance that is paused; "": none.
 	pausedInstance string
 }
@@ -115,7 +115,6 @@
 		random:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 		client:     &http.Client{Timeout: adminTimeout},
 		lastMarker: firstMarker,
-		kills:      map[string][]time.Time{},
 	}
 	for i := range cfg.Agents {
 		h.Agents = append(h.Agents, fmt.Sprintf("pay-%03d", i))
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // Write is one write of settings. Marker is what distinguishes its settings from others.
@@ -32,10 +33,10 @@
 	Reason   string // of the rejection
 }
 
-// ProcessIncarnation is one run of an agent, with what it observed in its order.
+// ProcessIncarnation is one run of an agent, from when it listens on, with what it observed in its order.
 type ProcessIncarnation struct {
+	processtest.Incarnation
 	Agent        string
-	From, To     time.Time // To is zero while it runs
 	Observations []Observation
 }
 
@@ -61,24 +62,14 @@
 	return time.Time{}, false
 }
 
-// Exemption is a time in which agents (all, where none is named) could reach no instance that knows more than they do:
-// what is due in it is due after it.
-type Exemption struct {
-	From, To time.Time
-	Agents   []string
-}
-
-// covers tells whether an agent is exempt.
-func (e Exemption) covers(agent string) bool {
-	return len(e.Agents) == 0 || slices.Contains(e.Agents, agent)
-}
-
 // History is all that the processes of a harness saw and did. All times are of one machine's clock.
 type History struct {
 	Writes       []Write
 	Stored       []StoredVersion // what the service has of its history, the last 20 versions
 	Incarnations []*ProcessIncarnation
-	Exemptions   []Exemption
+	// Exemptions are times in which agents, the observers, could reach no instance that knows more than they do: what is
+	// due in one is due after it.
+	Exemptions []processtest.Exemption
 }
 
 // lastWrite is the write of the newest version.
@@ -90,18 +81,18 @@
 func (h *History) dueAt(w Write, p *ProcessIncarnation, within time.Duration) (time.Time, bool) {
 	from := w.firstKnownAt(p)
 	for _, e := range h.Exemptions {
-		if e.covers(p.Agent) && !from.Add(within).Before(e.From) && from.Before(e.To) {
+		if e.AppliesTo(p.Agent, "") && e.Overlaps(from, from.Add(within)) {
 			from = e.To
 		}
 	}
 	due := from.Add(within)
-	return due, !w.AckedAt.IsZero() && (p.To.IsZero() || p.To.After(due))
+	return due, !w.AckedAt.IsZero() && (p.IsRunning() || p.End.After(due))
 }
 
 // firstKnownAt is when a process could first know of a change.
 func (w Write) firstKnownAt(p *ProcessIncarnation) time.Time {
-	if p.From.After(w.AckedAt) {
-		return p.From
+	if p.Start.After(w.AckedAt) {
+		return p.Start
 	}
 	return w.AckedAt
 }
@@ -114,7 +105,7 @@
 	for _, w := range h.Writes {
 		for _, p := range h.Incarnations {
 			due, ok := h.dueAt(w, p, 0)
-			if !ok || p.rejected(w.Version) || w.AckedAt.Before(since) || p.From.After(w.AckedAt) {
+			if !ok || p.rejected(w.Version) || w.AckedAt.Before(since) || p.Start.After(w.AckedAt) {
 				continue
 			}
 			if at, ok := p.inForceAt(w.Version); ok {
@@ -129,7 +120,7 @@
 // observed is all that was seen and done so far, but for the service's own history.
 func (h *Harness) observed() (*History, error) {
 	h.mu.Lock()
-	history := &History{Writes: slices.Clone(h.writes), Exemptions: slices.Clone(h.exemptions)}
+	history := &History{Writes: slices.Clone(h.writes), Exemptions: h.exemptions.All()}
 	h.mu.Unlock()
 	for _, agent := range h.Agents {
 		incarnations, err := h.incarnations(agent)
@@ -183,9 +174,7 @@
 	return settings.Limits.MaxAttempts, err
 }
 
-// exempt records that agents (none: all) could reach nobody who knows more, from a time until now.
-func (h *Harness) exempt(from time.Time, agents ...string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.exemptions = append(h.exemptions, Exemption{From: from, To: time.Now(), Agents: agents})
+// exemptUntilNow records that agents could reach nobody who knows more, from a time until now.
+func (h *Harness) exemptUntilNow(from time.Time, agents []string) {
+	h.exemptions.Add(processtest.Exemption{From: from, To: time.Now(), Applies: processtest.Observers(agents...)})
 }
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -6,10 +6,11 @@
 	"os"
 	"path/filepath"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // The agent's log messages that are read, and their attributes.
@@ -87,22 +88,22 @@
 	}
 }
 
-// incarnations are an agent's processes by its log, with the ends that the harness made.
+// incarnations are an agent's processes by its log, with the ends that the harness made. A process counts from when it
+// listens on, and until its successor listens: an agent that does not start again is due to know all changes.
 func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
 	entries, err := h.readLog(agent)
 	if err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
-	kills := slices.Clone(h.kills[agent])
-	h.mu.Unlock()
+	runs := h.agents.Incarnations(agent)
 	var incarnations []*ProcessIncarnation
 	for _, entry := range entries {
 		if entry.message == messageStarted {
-			if n := len(incarnations); n > 0 && n <= len(kills) {
-				incarnations[n-1].To = kills[n-1]
+			if n := len(incarnations); n > 0 && n <= len(runs) {
+				incarnations[n-1].End = runs[n-1].End
 			}
-			incarnations = append(incarnations, &ProcessIncarnation{Agent: agent, From: entry.at})
+			started := processtest.Incarnation{Start: entry.at}
+			incarnations = append(incarnations, &ProcessIncarnation{Agent: agent, Incarnation: started})
 		}
 		if len(incarnations) == 0 {
 			continue
