--- a/cmd/membership/main.go
+++ b/cmd/membership/main.go
@@ -1,5 +1,10 @@
-// Command membership shows operators what the agents of a site see of each other, and runs the membership's fault
-// experiments: clusters of the real agent on this machine with injected faults.
+// Command membership shows operators what the agents of a site see of each other ("view"), and runs the membership's
+// fault experiments: clusters of the real agent on this machine with injected faults ("experiment"; "figures" prints
+// the table of earlier ones).
+//
+// Tables go to standard output, errors to standard error. The exit status is 0 if the command did what it should, and
+// 1 otherwise: if the command line or a file can't be used; for "view" without --json also if an agent does not answer
+// or digests differ; and for "experiment" and "figures" also if a run failed or the experiment was interrupted.
 package main
 
 import (
@@ -12,6 +17,12 @@
 	"github.com/spf13/cobra"
 )
 
+// The exit statuses.
+const (
+	exitOK     = 0
+	exitFailed = 1
+)
+
 func main() { os.Exit(run()) }
 
 // run executes the command line and returns the exit status.
@@ -20,11 +31,12 @@
 	defer cancel()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "membership:", err) // there is nowhere else to report it
-		return 1
+		return exitFailed
 	}
-	return 0
+	return exitOK
 }
 
+// rootCommand is the command line with all its commands.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "membership",
--- a/cmd/membership/plan.go
+++ b/cmd/membership/plan.go
@@ -15,6 +15,22 @@
 // minAgents is the least number of agents that the fault cases need.
 const minAgents = 5
 
+// The defaults of a plan; --help names them too.
+const (
+	defaultBinary         = "bin/agent"
+	defaultAgents         = 24
+	defaultSeeds          = 3
+	defaultSeed           = 1
+	defaultRuns           = 1
+	defaultShortPartition = 5 * time.Second
+	defaultLongPartition  = 45 * time.Second
+	defaultPause          = 3 * time.Second
+	defaultFaultTime      = 20 * time.Second
+	defaultLossTime       = time.Minute
+	defaultConvergeWithin = 2 * time.Minute
+	defaultForget         = 10 * time.Second
+)
+
 // plan is the TOML file of an experiment. Times are such as "300ms"; what is left out has the value that --help names.
 type plan struct {
 	Binary string        `toml:"binary"` // the built agent
@@ -43,18 +59,18 @@
 // defaultPlan is the plan of an empty file.
 func defaultPlan() plan {
 	return plan{
-		Binary:         "bin/agent",
-		Agents:         24,
-		Seeds:          3,
-		Seed:           1,
-		Runs:           1,
-		ShortPartition: 5 * time.Second,
-		LongPartition:  45 * time.Second,
-		Pause:          3 * time.Second,
-		FaultTime:      20 * time.Second,
-		LossTime:       time.Minute,
-		ConvergeWithin: 2 * time.Minute,
-		Forget:         10 * time.Second,
+		Binary:         defaultBinary,
+		Agents:         defaultAgents,
+		Seeds:          defaultSeeds,
+		Seed:           defaultSeed,
+		Runs:           defaultRuns,
+		ShortPartition: defaultShortPartition,
+		LongPartition:  defaultLongPartition,
+		Pause:          defaultPause,
+		FaultTime:      defaultFaultTime,
+		LossTime:       defaultLossTime,
+		ConvergeWithin: defaultConvergeWithin,
+		Forget:         defaultForget,
 	}
 }
 
--- a/cmd/membership/view.go
+++ b/cmd/membership/view.go
@@ -22,8 +22,11 @@
 	defaultViewTimeout = 2 * time.Second
 	// maxNamedObservers is how many agents are named that see a member in the same way.
 	maxNamedObservers = 3
+	// columnGap is the number of spaces between two columns.
+	columnGap = 2
 )
 
+// viewCommand compares the snapshots of several agents.
 func viewCommand() *cobra.Command {
 	var asJSON bool
 	var timeout time.Duration
@@ -136,8 +139,8 @@
 	states := statesByMember(answers)
 	for _, name := range slices.Sorted(maps.Keys(states)) {
 		observers := observersByState(states[name], answers)
-		if len(observers) < 2 {
-			continue
+		if len(observers) <= 1 {
+			continue // all agents see it alike
 		}
 		differing++
 		printTo(table, "differs: %s", name)
@@ -183,8 +186,9 @@
 	return observers
 }
 
+// newTable is a table whose columns are as wide as their cells.
 func newTable(text *bytes.Buffer) *tabwriter.Writer {
-	return tabwriter.NewWriter(text, 0, 0, 2, ' ', 0)
+	return tabwriter.NewWriter(text, 0, 0, columnGap, ' ', 0)
 }
 
 // printTo prints to a table in memory, which takes every write.
