--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -164,7 +164,7 @@
 
 // bind opens the sockets and starts to take part until the context ends.
 func (m *Membership) bind(ctx context.Context) error {
-	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, m.messageHandlers())
 	if err != nil {
 		return err
 	}
@@ -174,11 +174,19 @@
 	return nil
 }
 
+// messageHandlers are what this process's transport calls.
+func (m *Membership) messageHandlers() messageHandlers {
+	return messageHandlers{
+		onStateMessage:    m.notifyListChanged,
+		trustsDeathReport: m.trustsDeathReport,
+		onAlive:           m.liftRetirements,
+	}
+}
+
 // run takes part over a transport until the context ends. Memberlist gets it as underlying, which differs only in a
 // test.
 func (m *Membership) run(ctx context.Context, sockets *transport, underlying memberlist.NodeAwareTransport) error {
 	m.transport = sockets
-	sockets.onAlive = m.liftRetirements
 	list, err := memberlist.Create(m.listConfig(underlying))
 	if err != nil {
 		return err
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -129,11 +129,12 @@
 		isTaken:  func() bool { return len(m.listChanged) == 0 },
 	}
 	closeNotified := sync.OnceFunc(func() { close(delayed.notified) })
-	onStateMessage := func() {
+	handlers := m.messageHandlers()
+	handlers.onStateMessage = func() {
 		m.notifyListChanged()
 		closeNotified()
 	}
-	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, onStateMessage, m.trustsDeathReport)
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, handlers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -200,7 +200,7 @@
 		return s.rejectMessage(err)
 	}
 	if typeOf(message) == msgPushPull {
-		s.transport.onAlive(message)
+		s.transport.handlers.onAlive(message)
 	}
 	return nil
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -66,12 +66,7 @@
 	killContext  context.Context //nolint:containedctx // memberlist calls a transport without a context
 	cancelKill   context.CancelFunc
 	closeSockets func() error // once
-	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
-	onStateMessage func()
-	// trustsDeathReport tells whether this process believes a member's report that another is dead.
-	trustsDeathReport func(reporter, accused string) bool
-	// onAlive is called with each message about members that are alive; it is set before announced is closed.
-	onAlive func(message []byte)
+	handlers     messageHandlers
 	// announced is closed once this process may take part: nothing is received before.
 	announced chan struct{}
 	// recordedList is the list that memberlist last wrote to listPeer; only the goroutine that reads it uses it.
@@ -80,26 +75,36 @@
 	suspicionOfSelf []byte
 }
 
+// messageHandlers are what a transport calls about messages, from its own goroutines and from memberlist's.
+type messageHandlers struct {
+	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
+	onStateMessage func()
+	// trustsDeathReport tells whether this process believes a member's report that another is dead.
+	trustsDeathReport func(reporter, accused string) bool
+	// onAlive is called with each received message about members that are alive.
+	onAlive func(message []byte)
+}
+
 // newTransport opens the sockets of cfg.Bind and starts to receive.
-func newTransport(cfg *Config, logger *log.Logger, counts *traffic, onStateMessage func(),
-	trustsDeathReport func(reporter, accused string) bool) (*transport, error) {
+func newTransport(
+	cfg *Config, logger *log.Logger, counts *traffic, handlers messageHandlers,
+) (*transport, error) {
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Bind)
 	if err != nil {
 		return nil, err
 	}
 	t := &transport{
-		cfg:               cfg,
-		localIP:           addr.IP,
-		networks:          cfg.networks(),
-		logger:            logger,
-		traffic:           counts,
-		packets:           make(chan *memberlist.Packet),
-		streams:           make(chan net.Conn),
-		slots:             make(chan struct{}, maxStreams),
-		watchers:          make(chan struct{}, maxWatchers),
-		announced:         make(chan struct{}),
-		onStateMessage:    onStateMessage,
-		trustsDeathReport: trustsDeathReport,
+		cfg:       cfg,
+		localIP:   addr.IP,
+		networks:  cfg.networks(),
+		logger:    logger,
+		traffic:   counts,
+		packets:   make(chan *memberlist.Packet),
+		streams:   make(chan net.Conn),
+		slots:     make(chan struct{}, maxStreams),
+		watchers:  make(chan struct{}, maxWatchers),
+		announced: make(chan struct{}),
+		handlers:  handlers,
 	}
 	if err := t.openSockets(addr); err != nil {
 		return nil, err
@@ -217,18 +222,18 @@
 		return false
 	}
 	if hasState {
-		t.onStateMessage()
+		t.handlers.onStateMessage()
 	}
 	return true
 }
 
 // acceptMessage handles one message of a packet before memberlist has it.
 func (t *transport) acceptMessage(message []byte) {
-	if demoteDeathReport(message, t.trustsDeathReport) {
+	if demoteDeathReport(message, t.handlers.trustsDeathReport) {
 		t.traffic.demotedDeaths.Add(1)
 	}
 	if typeOf(message) == msgAlive {
-		t.onAlive(message)
+		t.handlers.onAlive(message)
 	}
 }
 
@@ -240,7 +245,7 @@
 	}
 	from := &net.UDPAddr{IP: t.localIP}
 	if t.deliver(&memberlist.Packet{Buf: packet, From: from, Timestamp: time.Now()}) {
-		t.onStateMessage()
+		t.handlers.onStateMessage()
 	}
 }
 
@@ -278,7 +283,7 @@
 	t.traffic.packetsOut.Add(1)
 	t.traffic.bytesOut.Add(uint64(len(b)))
 	if hasStateMessage(b) {
-		t.onStateMessage()
+		t.handlers.onStateMessage()
 	}
 	to, err := net.ResolveUDPAddr("udp", address.Addr)
 	if err != nil {
