--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -79,11 +79,11 @@
 	return c
 }
 
-// trustsDeathReport tells whether a member's report that another is dead is believed. It is, while the reporter
-// itself is certainly present, as in an Assessment, and, where it returned from the dead or from a long suspicion,
-// once the suspicions have ended that it may have begun on the other side of a partition. Any other report makes
-// a suspicion, which the accused member receives and refutes.
-func (m *Membership) trustsDeathReport(reporter, accused string) bool {
+// acceptDeathReport tells whether a member's report that another is dead is believed, and then records the reporter. It
+// is believed while the reporter itself is certainly present, as in an Assessment, and, where it returned from the dead
+// or from a long suspicion, once the suspicions have ended that it may have begun on the other side of a partition. Any
+// other report makes a suspicion, which the accused member receives and refutes.
+func (m *Membership) acceptDeathReport(reporter, accused string) bool {
 	snapshot := m.snapshot.Load()
 	member, ok := snapshot.Member(reporter)
 	if !ok {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -178,7 +178,7 @@
 func (m *Membership) messageHandlers() messageHandlers {
 	return messageHandlers{
 		onStateMessage:    m.notifyListChanged,
-		trustsDeathReport: m.trustsDeathReport,
+		acceptDeathReport: m.acceptDeathReport,
 		onAlive:           m.liftRetirements,
 	}
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -79,8 +79,9 @@
 type messageHandlers struct {
 	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
 	onStateMessage func()
-	// trustsDeathReport tells whether this process believes a member's report that another is dead.
-	trustsDeathReport func(reporter, accused string) bool
+	// acceptDeathReport tells whether this process believes a member's report that another is dead; it is called once for
+	// each report.
+	acceptDeathReport func(reporter, accused string) bool
 	// onAlive is called with each received message about members that are alive.
 	onAlive func(message []byte)
 }
@@ -229,7 +230,7 @@
 
 // acceptMessage handles one message of a packet before memberlist has it.
 func (t *transport) acceptMessage(message []byte) {
-	if demoteDeathReport(message, t.handlers.trustsDeathReport) {
+	if demoteDeathReport(message, t.handlers.acceptDeathReport) {
 		t.traffic.demotedDeaths.Add(1)
 	}
 	if typeOf(message) == msgAlive {
