--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.messageHandlers())
+	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.counters, m.messageHandlers())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -120,7 +120,7 @@
 func (m *Membership) NotifyAlive(node *memberlist.Node) error {
 	err := m.checkMember(node)
 	if err != nil {
-		m.traffic.rejected.Add(1)
+		m.counters.rejected.Add(1)
 	}
 	return err
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -39,7 +39,7 @@
 
 // exchangeLists exchanges lists with a member, counts it and logs its failure.
 func (m *Membership) exchangeLists(peer peerAddress) {
-	m.exchanges.Add(1)
+	m.counters.exchanges.Add(1)
 	if err := m.exchangeWith(peer); err != nil {
 		m.log.Info("membership: push/pull failed", "peer", peer.String(), "err", err)
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -46,17 +46,13 @@
 	baseIncarnation uint32        // below this process's incarnations, above those of earlier ones
 	announced       chan struct{} // closed once this process is above baseIncarnation
 	log             *logger
-	traffic         traffic
+	counters        counters
 	listChanged     chan struct{} // of one: the list may have changed
 
-	snapshot     atomic.Pointer[Snapshot]
-	list         atomic.Pointer[memberlist.Memberlist]
-	transport    *transport
-	draining     atomic.Bool
-	stalls       atomic.Uint64
-	reconnects   atomic.Uint64 // attempts to reach a dead member or a seed
-	exchanges    atomic.Uint64 // exchanges of lists with members, mostly with another digest
-	declaredDead atomic.Uint64 // members declared dead as their address refused connections
+	snapshot  atomic.Pointer[Snapshot]
+	list      atomic.Pointer[memberlist.Memberlist]
+	transport *transport
+	draining  atomic.Bool
 
 	metas         metaCache
 	mu            sync.Mutex // guards the fields from table to killed
@@ -164,7 +160,7 @@
 
 // bind opens the sockets and starts to take part until the context ends.
 func (m *Membership) bind(ctx context.Context) error {
-	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, m.messageHandlers())
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.counters, m.messageHandlers())
 	if err != nil {
 		return err
 	}
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -48,7 +48,7 @@
 		}
 		now := time.Now()
 		if late := now.Sub(lastTick); late > stallThreshold {
-			m.stalls.Add(1)
+			m.counters.stalls.Add(1)
 			m.log.Warn("membership: process stalled", "for", late.Round(time.Millisecond))
 			quietUntil = now.Add(stallQuietTime)
 		}
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -88,6 +88,6 @@
 	if len(peers) == 0 {
 		return false
 	}
-	m.reconnects.Add(1)
+	m.counters.reconnects.Add(1)
 	return m.exchangeWith(peers[rand.IntN(len(peers))]) == nil
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -134,7 +134,7 @@
 		m.notifyListChanged()
 		closeNotified()
 	}
-	sockets, err := newTransport(&m.cfg, m.log.std(), &m.traffic, handlers)
+	sockets, err := newTransport(&m.cfg, m.log.std(), &m.counters, handlers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -19,34 +19,6 @@
 	Changes []Change `json:"changes,omitempty"`
 }
 
-// Traffic are counts by what they count.
-type Traffic map[Counter]uint64
-
-// Counter names one count of Traffic; the names are part of the admin endpoint's answer.
-type Counter string
-
-// The counters, all since the start.
-const (
-	PacketsIn       Counter = "packets_in"
-	BytesIn         Counter = "bytes_in" // in packets
-	PacketsOut      Counter = "packets_out"
-	BytesOut        Counter = "bytes_out" // in packets
-	Streams         Counter = "streams"   // opened and accepted
-	StreamsOut      Counter = "streams_out"
-	StreamBytesIn   Counter = "stream_bytes_in"
-	StreamBytesOut  Counter = "stream_bytes_out"
-	BadPackets      Counter = "bad_packets"   // dropped, as no member sends such a packet
-	BadStreams      Counter = "bad_streams"   // closed, as no member sends such a message
-	ForeignSite     Counter = "foreign"       // messages with the label of another site
-	RejectedMembers Counter = "rejected"      // claims of members that are not admitted
-	DemotedDeaths   Counter = "hearsay"       // death reports that became suspicions
-	Reconnects      Counter = "reconnects"    // attempts to reach a dead member or a seed
-	Exchanges       Counter = "syncs"         // exchanges of lists with members
-	DeclaredDead    Counter = "declared_gone" // members whose addresses refused connections
-	Stalls          Counter = "stalls"        // of this process
-	DroppedLogLines Counter = "unlogged"
-)
-
 // WithoutMembers is the status without the members.
 func (s Status) WithoutMembers() Status {
 	brief := *s.Snapshot
@@ -67,7 +39,7 @@
 		Snapshot:    snapshot,
 		Assessment:  snapshot.Assess(now),
 		UnchangedMs: now.Sub(snapshot.changedAt).Milliseconds(),
-		Traffic:     m.counts(),
+		Traffic:     m.counters.traffic(m.log.dropped.Load()),
 		Changes:     changes,
 	}
 	if list := m.list.Load(); list != nil {
@@ -76,27 +48,3 @@
 	}
 	return status
 }
-
-// counts are the counts of Status.Traffic.
-func (m *Membership) counts() Traffic {
-	return Traffic{
-		PacketsIn:       m.traffic.packetsIn.Load(),
-		BytesIn:         m.traffic.bytesIn.Load(),
-		PacketsOut:      m.traffic.packetsOut.Load(),
-		BytesOut:        m.traffic.bytesOut.Load(),
-		Streams:         m.traffic.streams.Load(),
-		StreamsOut:      m.traffic.streamsOut.Load(),
-		StreamBytesIn:   m.traffic.streamBytesIn.Load(),
-		StreamBytesOut:  m.traffic.streamBytesOut.Load(),
-		BadPackets:      m.traffic.badPackets.Load(),
-		BadStreams:      m.traffic.badStreams.Load(),
-		ForeignSite:     m.traffic.foreignSite.Load(),
-		RejectedMembers: m.traffic.rejected.Load(),
-		DemotedDeaths:   m.traffic.demotedDeaths.Load(),
-		Reconnects:      m.reconnects.Load(),
-		Exchanges:       m.exchanges.Load(),
-		DeclaredDead:    m.declaredDead.Load(),
-		Stalls:          m.stalls.Load(),
-		DroppedLogLines: m.log.dropped.Load(),
-	}
-}
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -65,7 +65,7 @@
 			}
 			return
 		}
-		t.traffic.streams.Add(1)
+		t.counters.streams.Add(1)
 		releaseSlot := sync.OnceFunc(func() { <-t.slots })
 		go t.routeStream(t.newFramedStream(conn, releaseSlot))
 	}
@@ -154,7 +154,7 @@
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(message)))
 	frame = append(frame, message...)
 	n, err := s.Conn.Write(frame)
-	s.transport.traffic.streamBytesOut.Add(uint64(n))
+	s.transport.counters.streamBytesOut.Add(uint64(n))
 	return max(0, n-frameHeaderBytes), err
 }
 
@@ -219,7 +219,7 @@
 	if _, err := io.CopyN(&message, s.Conn, int64(size)); err != nil {
 		return nil, err
 	}
-	s.transport.traffic.streamBytesIn.Add(frameHeaderBytes + uint64(size))
+	s.transport.counters.streamBytesIn.Add(frameHeaderBytes + uint64(size))
 	return message.Bytes(), nil
 }
 
@@ -227,7 +227,7 @@
 func (s *framedStream) checkLabel(message []byte) error {
 	label := message[min(labelHeaderBytes, len(message)):]
 	if string(label) != s.transport.cfg.Site {
-		s.transport.traffic.foreignSite.Add(1)
+		s.transport.counters.foreignSite.Add(1)
 		return errForeignSite
 	}
 	return nil
@@ -235,7 +235,7 @@
 
 // rejectMessage counts and drops a message, and returns the error that was found in it.
 func (s *framedStream) rejectMessage(err error) error {
-	s.transport.traffic.badStreams.Add(1)
+	s.transport.counters.badStreams.Add(1)
 	s.unread = nil
 	return err
 }
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -84,7 +84,7 @@
 
 // declareDead sends memberlist, and so all members, a message that a member is dead.
 func (m *Membership) declareDead(member *Member) {
-	m.declaredDead.Add(1)
+	m.counters.declaredDead.Add(1)
 	m.log.Info("membership: member declared dead, its address refuses connections",
 		"name", member.Name, "addr", member.Addr)
 	death := deadMessage{Incarnation: member.Incarnation, Node: member.Name, From: m.cfg.Name}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -8,7 +8,6 @@
 	"log"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/hashicorp/memberlist"
@@ -26,23 +25,6 @@
 // as many to them, and the connections of the watchers and to the watched members.
 const MaxDescriptors = 2 + 2*maxStreams + maxWatchers + watchedSuccessors
 
-// traffic counts messages and bytes since the start.
-type traffic struct {
-	packetsIn      atomic.Uint64
-	bytesIn        atomic.Uint64
-	packetsOut     atomic.Uint64
-	bytesOut       atomic.Uint64
-	streams        atomic.Uint64 // both ways
-	streamsOut     atomic.Uint64 // those of them that this process opened
-	streamBytesIn  atomic.Uint64
-	streamBytesOut atomic.Uint64
-	badPackets     atomic.Uint64 // dropped: no member sends such a packet
-	badStreams     atomic.Uint64 // closed: no member sends such a message
-	foreignSite    atomic.Uint64 // dropped: the label of another site
-	rejected       atomic.Uint64 // members that NotifyAlive rejected
-	demotedDeaths  atomic.Uint64 // death reports that became suspicions
-}
-
 // transport is the network below memberlist, with a guard: packets and stream messages that no member of this site
 // sends are dropped and counted before memberlist reads them; streams are bounded in number and each message on one
 // in size (a length of four bytes goes before each); and connections come from the bound address, so that it
@@ -52,7 +34,7 @@
 	localIP  net.IP
 	networks []net.IPNet
 	logger   *log.Logger
-	traffic  *traffic
+	counters *counters
 	udp      *net.UDPConn
 	tcp      *net.TCPListener
 	packets  chan *memberlist.Packet
@@ -88,7 +70,7 @@
 
 // newTransport opens the sockets of cfg.Bind and starts to receive.
 func newTransport(
-	cfg *Config, logger *log.Logger, counts *traffic, handlers messageHandlers,
+	cfg *Config, logger *log.Logger, counts *counters, handlers messageHandlers,
 ) (*transport, error) {
 	addr, err := net.ResolveTCPAddr("tcp", cfg.Bind)
 	if err != nil {
@@ -99,7 +81,7 @@
 		localIP:   addr.IP,
 		networks:  cfg.networks(),
 		logger:    logger,
-		traffic:   counts,
+		counters:  counts,
 		packets:   make(chan *memberlist.Packet),
 		streams:   make(chan net.Conn),
 		slots:     make(chan struct{}, maxStreams),
@@ -202,11 +184,11 @@
 // acceptPacket tells whether a packet may go to memberlist, and turns death reports into suspicions where they are
 // not believed.
 func (t *transport) acceptPacket(packet *memberlist.Packet) bool {
-	t.traffic.packetsIn.Add(1)
-	t.traffic.bytesIn.Add(uint64(len(packet.Buf)))
+	t.counters.packetsIn.Add(1)
+	t.counters.bytesIn.Add(uint64(len(packet.Buf)))
 	b, label, err := memberlist.RemoveLabelHeaderFromPacket(packet.Buf)
 	if err == nil && label != t.cfg.Site {
-		t.traffic.foreignSite.Add(1)
+		t.counters.foreignSite.Add(1)
 		t.logger.Printf("[WARN] packet of another site, %.64q, from %v", label, packet.From)
 		return false
 	}
@@ -218,7 +200,7 @@
 		})
 	}
 	if err != nil {
-		t.traffic.badPackets.Add(1)
+		t.counters.badPackets.Add(1)
 		t.logger.Printf("[WARN] packet of %d bytes from %v dropped: %v", len(packet.Buf), packet.From, err)
 		return false
 	}
@@ -231,7 +213,7 @@
 // acceptMessage handles one message of a packet before memberlist has it.
 func (t *transport) acceptMessage(message []byte) {
 	if demoteDeathReport(message, t.handlers.acceptDeathReport) {
-		t.traffic.demotedDeaths.Add(1)
+		t.counters.demotedDeaths.Add(1)
 	}
 	if typeOf(message) == msgAlive {
 		t.handlers.onAlive(message)
@@ -281,8 +263,8 @@
 	if err := t.checkNetworks(address.Addr); err != nil {
 		return time.Time{}, err
 	}
-	t.traffic.packetsOut.Add(1)
-	t.traffic.bytesOut.Add(uint64(len(b)))
+	t.counters.packetsOut.Add(1)
+	t.counters.bytesOut.Add(uint64(len(b)))
 	if hasStateMessage(b) {
 		t.handlers.onStateMessage()
 	}
@@ -328,7 +310,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t.traffic.streams.Add(1)
-	t.traffic.streamsOut.Add(1)
+	t.counters.streams.Add(1)
+	t.counters.streamsOut.Add(1)
 	return t.newFramedStream(conn, func() {}), nil
 }
