--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -32,7 +32,7 @@
 
 // callAdmin makes one call of an instance's admin endpoint, and reads its answer into out if it is 200.
 func (h *Harness) callAdmin(instance, method, path string, body []byte, out any) error {
-	url := "http://" + h.discovery.Addr(instance, "admin") + path
+	url := "http://" + h.discovery.Addr(instance, processtest.AdminPort) + path
 	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -255,7 +255,7 @@
 	var calls []time.Time
 	for _, agent := range h.Agents {
 		for _, instance := range h.Instances {
-			link, err := h.discovery.Link(agent, instance, "http")
+			link, err := h.discovery.Link(agent, instance, processtest.HTTPPort)
 			if err != nil {
 				return 0, err
 			}
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -7,9 +7,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 
@@ -30,8 +28,8 @@
 	slowStartMs = 8000
 	// leaderTimeout bounds how long the service may take until it has a leader.
 	leaderTimeout = 30 * time.Second
-	// configMode is the mode of an instance's configuration file.
-	configMode = 0o600
+	// maxStale is how old a read at a follower may be.
+	maxStale = time.Second
 	// adminTimeout bounds a call of an instance's admin endpoint.
 	adminTimeout = 7 * time.Second
 )
@@ -136,9 +134,9 @@
 		Binary: h.cfg.DiscoveryBinary,
 		Dir:    h.cfg.Dir,
 		Names:  h.Instances,
-		Ports:  []string{"raft", "http", "admin"},
+		Ports:  processtest.DiscoveryPorts(),
 		Args: func(_ *processtest.Cluster, name string) []string {
-			return []string{"serve", "--config", filepath.Join(h.cfg.Dir, name+".toml")}
+			return []string{"serve", "--config", h.instanceFile(name)}
 		},
 	})
 	if err != nil {
@@ -155,8 +153,8 @@
 
 // start writes all configurations, starts all processes and waits for a leader.
 func (h *Harness) start() error {
-	for i, name := range h.Instances {
-		if err := h.writeInstanceConfig(name, i == 0); err != nil {
+	for _, name := range h.Instances {
+		if err := h.writeInstanceConfig(name); err != nil {
 			return err
 		}
 	}
@@ -180,32 +178,24 @@
 	h.discovery.Close()
 }
 
+// instanceFile is the path of an instance's configuration file.
+func (h *Harness) instanceFile(name string) string { return filepath.Join(h.cfg.Dir, name+".toml") }
+
 // writeInstanceConfig writes the configuration of an instance of the service.
-func (h *Harness) writeInstanceConfig(name string, bootstrap bool) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "id = %q\n", name)
-	fmt.Fprintf(&text, "data_dir = %q\n", filepath.Join(h.cfg.Dir, name))
-	fmt.Fprintf(&text, "raft_addr = %q\nhttp_addr = %q\nadmin_addr = %q\n", "fd:3", "fd:4", "fd:5")
-	fmt.Fprintf(&text, "bootstrap = %v\n", bootstrap)
-	fmt.Fprintf(&text, "max_stale = %q\n", "1s")
-	for _, peer := range h.Instances {
-		if peer == name {
-			continue
-		}
-		link, err := h.discovery.Link(name, peer, "raft")
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), h.discovery.Addr(peer, "admin"))
+func (h *Harness) writeInstanceConfig(name string) error {
+	file, err := h.discovery.DiscoveryFile(name)
+	if err != nil {
+		return err
 	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".toml"), []byte(text.String()), configMode)
+	file.MaxStale = maxStale
+	return file.Write(h.instanceFile(name))
 }
 
 // writeAgentConfig writes the configuration of the agent of a number.
 func (h *Harness) writeAgentConfig(name string, number int) error {
 	var addrs []string
 	for _, instance := range h.Instances {
-		link, err := h.discovery.Link(name, instance, "http")
+		link, err := h.discovery.Link(name, instance, processtest.HTTPPort)
 		if err != nil {
 			return err
 		}
--- /dev/null
+++ b/internal/processtest/discovery.go
@@ -0,0 +1,76 @@
+package processtest
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/BurntSushi/toml"
+)
+
+// The listeners of a discovery instance, as Config.Ports names them in this order.
+const (
+	RaftPort  = "raft"
+	HTTPPort  = "http"
+	AdminPort = "admin"
+)
+
+// discoveryFileMode is the mode of an instance's configuration file.
+const discoveryFileMode = 0o600
+
+// DiscoveryPorts are the listeners of a discovery instance.
+func DiscoveryPorts() []string { return []string{RaftPort, HTTPPort, AdminPort} }
+
+// DiscoveryFile is the configuration file of a discovery instance that inherits its listeners, as far as tests use it.
+// The keys are those of the instance.
+type DiscoveryFile struct {
+	ID        string          `toml:"id"`
+	DataDir   string          `toml:"data_dir"`
+	RaftAddr  string          `toml:"raft_addr"`
+	HTTPAddr  string          `toml:"http_addr"`
+	AdminAddr string          `toml:"admin_addr"`
+	Bootstrap bool            `toml:"bootstrap"`
+	MaxStale  time.Duration   `toml:"max_stale,omitempty"` // 0: the instance's default
+	Peers     []DiscoveryPeer `toml:"peers"`
+}
+
+// DiscoveryPeer is another instance as one instance reaches it.
+type DiscoveryPeer struct {
+	ID    string `toml:"id"`
+	Raft  string `toml:"raft"`
+	Admin string `toml:"admin"`
+}
+
+// DiscoveryFile is the configuration of an instance of a cluster whose ports are DiscoveryPorts: the first instance
+// founds the service, and each reaches the others' Raft listeners by links. Its data is in DIR/NAME.
+func (c *Cluster) DiscoveryFile(name string) (DiscoveryFile, error) {
+	file := DiscoveryFile{
+		ID:        name,
+		DataDir:   filepath.Join(c.cfg.Dir, name),
+		RaftAddr:  "fd:3",
+		HTTPAddr:  "fd:4",
+		AdminAddr: "fd:5",
+		Bootstrap: name == c.cfg.Names[0],
+	}
+	for _, peer := range c.cfg.Names {
+		if peer == name {
+			continue
+		}
+		link, err := c.Link(name, peer, RaftPort)
+		if err != nil {
+			return file, err
+		}
+		file.Peers = append(file.Peers, DiscoveryPeer{ID: peer, Raft: link.Addr(), Admin: c.Addr(peer, AdminPort)})
+	}
+	return file, nil
+}
+
+// Write writes the file.
+func (f DiscoveryFile) Write(path string) error {
+	var text bytes.Buffer
+	if err := toml.NewEncoder(&text).Encode(f); err != nil {
+		return err
+	}
+	return os.WriteFile(path, text.Bytes(), discoveryFileMode)
+}
