--- a/cmd/membership/runner.go
+++ b/cmd/membership/runner.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if r.plan.Costs > 0 && ctx.Err() == nil {
-		return r.measureCosts() // to its end: an interrupt counts between runs
+		return r.measureCosts(context.WithoutCancel(ctx)) // to its end: an interrupt counts between runs
 	}
 	return nil
 }
@@ -109,7 +109,8 @@
 				return err
 			}
 		}
-		metrics, runErr := c.RunCase(faultCase, r.plan.scale()) // to its end: an interrupt counts between runs
+		// An interrupt counts between runs: a run goes to its end.
+		metrics, runErr := c.RunCase(context.WithoutCancel(ctx), faultCase, r.plan.scale())
 		if err := r.journal.Add(faultCase.Name, seed, metrics, runErr); err != nil {
 			return err
 		}
@@ -122,7 +123,7 @@
 }
 
 // measureCosts measures what the membership takes, beside agents that have none.
-func (r *runner) measureCosts() error {
+func (r *runner) measureCosts(ctx context.Context) error {
 	p := r.plan
 	firstWithout := p.Agents - agentsWithoutMembership
 	c, err := newCluster(p, p.Seed, r.logDir, func(i int) bool { return i >= firstWithout })
@@ -131,14 +132,14 @@
 	}
 	defer c.close()
 	var metrics membershiptest.Metrics
-	runErr := c.StartConverged(p.ConvergeWithin)
+	runErr := c.StartConverged(ctx, p.ConvergeWithin)
 	if runErr == nil {
-		metrics, runErr = c.Costs(p.Costs)
+		metrics, runErr = c.Costs(ctx, p.Costs)
 	}
 	if err := r.journal.Add(costsCase, p.Seed, metrics, runErr); err != nil || runErr != nil {
 		return err
 	}
 	with, without := c.Names[firstWithout-1], c.Names[p.Agents-1]
-	metrics, runErr = c.Latency(with, without, latencyRate, p.Costs)
+	metrics, runErr = c.Latency(ctx, with, without, latencyRate, p.Costs)
 	return r.journal.Add(costsCase, p.Seed, metrics, runErr)
 }
--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -1,6 +1,7 @@
 package membershiptest
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"time"
@@ -30,7 +31,7 @@
 	Name string
 	// EndsCluster tells that after a run the cluster is not complete for another case.
 	EndsCluster bool
-	Run         func(h *Harness, scale Scale) (Metrics, error)
+	Run         func(ctx context.Context, h *Harness, scale Scale) (Metrics, error)
 }
 
 // Cases are the fault cases of the membership. Their names are part of plans and records.
@@ -58,17 +59,17 @@
 }
 
 // RunCase runs one case and checks it: the histories keep the rules, and all agree at the end.
-func (h *Harness) RunCase(c Case, scale Scale) (Metrics, error) {
-	if err := h.prepareCase(c, scale); err != nil {
+func (h *Harness) RunCase(ctx context.Context, c Case, scale Scale) (Metrics, error) {
+	if err := h.prepareCase(ctx, c, scale); err != nil {
 		return nil, fmt.Errorf("before the case: %w", err)
 	}
 	h.cfg.Log("%s: begins", c.Name)
 	defer h.Proxy.Clear() // also where the case fails
-	metrics, err := c.Run(h, scale)
+	metrics, err := c.Run(ctx, h, scale)
 	if err != nil {
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
-	if violations := h.Check(); len(violations) > 0 {
+	if violations := h.Check(ctx); len(violations) > 0 {
 		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(violations[0].Subject)}
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
@@ -77,38 +78,38 @@
 }
 
 // prepareCase starts the cluster if the case does not, and waits until it agrees, whatever the case before left.
-func (h *Harness) prepareCase(c Case, scale Scale) error {
+func (h *Harness) prepareCase(ctx context.Context, c Case, scale Scale) error {
 	if len(h.Running()) == 0 {
 		if strings.HasPrefix(c.Name, startCasePrefix) {
 			return nil
 		}
-		if err := h.Start(h.Names...); err != nil {
+		if err := h.Start(ctx, h.Names...); err != nil {
 			return err
 		}
 	}
-	_, err := h.AwaitConvergence(time.Now(), scale.ConvergeWithin)
+	_, err := h.AwaitConvergence(ctx, time.Now(), scale.ConvergeWithin)
 	return err
 }
 
 // StartConverged starts all processes and waits until they agree.
-func (h *Harness) StartConverged(within time.Duration) error {
-	if err := h.Start(h.Names...); err != nil {
+func (h *Harness) StartConverged(ctx context.Context, within time.Duration) error {
+	if err := h.Start(ctx, h.Names...); err != nil {
 		return err
 	}
-	_, err := h.AwaitConvergence(time.Now(), within)
+	_, err := h.AwaitConvergence(ctx, time.Now(), within)
 	return err
 }
 
 // measureConvergence waits for agreement and returns the time it took as a metric.
-func (h *Harness) measureConvergence(since time.Time, scale Scale) (Metrics, error) {
-	took, err := h.AwaitConvergence(since, scale.ConvergeWithin)
+func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (Metrics, error) {
+	took, err := h.AwaitConvergence(ctx, since, scale.ConvergeWithin)
 	return Metrics{"settle ms": float64(took.Milliseconds())}, err
 }
 
 // measureFlaps waits for agreement and returns, beside the time it took, the suspicions since a time as metrics.
-func (h *Harness) measureFlaps(since time.Time, scale Scale) (Metrics, error) {
-	metrics, err := h.measureConvergence(time.Now(), scale)
-	most, sum := h.Flaps(since)
+func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (Metrics, error) {
+	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
+	most, sum := h.Flaps(ctx, since)
 	running := float64(len(h.Running()))
 	metrics["doubts, most of a pair"] = float64(most)
 	metrics["doubts a pair"] = float64(sum) / (running * (running - 1))
--- a/internal/membershiptest/cases_test.go
+++ b/internal/membershiptest/cases_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, c := range Cases {
 		passed := t.Run(c.Name, func(t *testing.T) {
-			if _, err := h.RunCase(c, scale); err != nil {
+			if _, err := h.RunCase(t.Context(), c, scale); err != nil {
 				t.Fatal(err)
 			}
 		})
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -1,6 +1,7 @@
 package membershiptest
 
 import (
+	"context"
 	"fmt"
 	"slices"
 	"time"
@@ -113,8 +114,8 @@
 }
 
 // Check checks all that the harness's processes saw so far.
-func (h *Harness) Check() []processtest.Violation {
-	h.collectChanges(h.Running())
+func (h *Harness) Check(ctx context.Context) []processtest.Violation {
+	h.collectChanges(ctx, h.Running())
 	return Check(h.incarnations(), h.sortedRecords(), h.exemptions.All())
 }
 
@@ -146,8 +147,8 @@
 }
 
 // Flaps are those of the harness's history since a time.
-func (h *Harness) Flaps(since time.Time) (most, sum int) {
-	h.collectChanges(h.Running())
+func (h *Harness) Flaps(ctx context.Context, since time.Time) (most, sum int) {
+	h.collectChanges(ctx, h.Running())
 	return Flaps(h.incarnations(), h.sortedRecords(), since)
 }
 
@@ -181,7 +182,7 @@
 }
 
 // DetectionTimes are those of the harness's history since a time.
-func (h *Harness) DetectionTimes(since time.Time) (times []time.Duration, missing int) {
-	h.collectChanges(h.Running())
+func (h *Harness) DetectionTimes(ctx context.Context, since time.Time) (times []time.Duration, missing int) {
+	h.collectChanges(ctx, h.Running())
 	return DetectionTimes(h.incarnations(), h.sortedRecords(), since)
 }
--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -27,12 +27,12 @@
 type statuses map[string]*membership.Status
 
 // Status fetches a process's status without the members, with its changes after a number.
-func (h *Harness) Status(name string, since uint64) (*membership.Status, error) {
-	return h.fetchStatus(name, fmt.Sprintf("members=none&since=%d", since))
+func (h *Harness) Status(ctx context.Context, name string, since uint64) (*membership.Status, error) {
+	return h.fetchStatus(ctx, name, fmt.Sprintf("members=none&since=%d", since))
 }
 
-func (h *Harness) fetchStatus(name, query string) (*membership.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+func (h *Harness) fetchStatus(ctx context.Context, name, query string) (*membership.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := membership.FetchStatus(ctx, h.address(name, adminPort), query)
 	if err != nil {
@@ -42,11 +42,11 @@
 }
 
 // collectChanges adds what processes saw since the last call to their records, and returns their statuses.
-func (h *Harness) collectChanges(names []string) statuses {
+func (h *Harness) collectChanges(ctx context.Context, names []string) statuses {
 	var mu sync.Mutex
 	collected := statuses{}
 	_ = processtest.Each(names, func(name string) error { // a process that does not answer is no error here
-		if status := h.collectFrom(name); status != nil {
+		if status := h.collectFrom(ctx, name); status != nil {
 			mu.Lock()
 			defer mu.Unlock()
 			collected[name] = status
@@ -57,8 +57,8 @@
 }
 
 // collectFrom adds what one process saw to its record; nil: it does not answer.
-func (h *Harness) collectFrom(name string) *membership.Status {
-	status, err := h.Status(name, h.lastCollected(name))
+func (h *Harness) collectFrom(ctx context.Context, name string) *membership.Status {
+	status, err := h.Status(ctx, name, h.lastCollected(name))
 	if err != nil {
 		return nil
 	}
@@ -83,18 +83,18 @@
 
 // AwaitConvergence waits until all running processes that take part see exactly each other, and returns the time from
 // since on that the last of them took to converge for good.
-func (h *Harness) AwaitConvergence(since time.Time, within time.Duration) (time.Duration, error) {
+func (h *Harness) AwaitConvergence(ctx context.Context, since time.Time, within time.Duration) (time.Duration, error) {
 	var last statuses
 	disagreement := ""
 	err := processtest.Await(within, "all agree", func() bool {
 		time.Sleep(max(minCollectInterval, time.Duration(h.cfg.Agents)*collectIntervalPerAgent))
 		running := slices.DeleteFunc(h.Running(), h.isWithoutMembership)
-		last = h.collectChanges(running)
+		last = h.collectChanges(ctx, running)
 		disagreement = Disagreement(last, running)
 		return disagreement == ""
 	})
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s%s", err, disagreement, h.describeDifferences(last))
+		return 0, fmt.Errorf("%w: %s%s", err, disagreement, h.describeDifferences(ctx, last))
 	}
 	return max(0, h.lastConvergence(last).Sub(since)), nil
 }
@@ -161,7 +161,7 @@
 
 // describeDifferences says, for a few processes that disagree with who is present, which members they see differently,
 // and their counts.
-func (h *Harness) describeDifferences(collected statuses) string {
+func (h *Harness) describeDifferences(ctx context.Context, collected statuses) string {
 	names := slices.Sorted(maps.Keys(collected))
 	present := presentMembers(collected, names)
 	digest := membership.DigestOf(present)
@@ -175,7 +175,7 @@
 		if described++; described > maxDescribed {
 			break
 		}
-		full, err := h.fetchStatus(name, fmt.Sprintf("since=%d", uint64(noChanges)))
+		full, err := h.fetchStatus(ctx, name, fmt.Sprintf("since=%d", uint64(noChanges)))
 		if err != nil {
 			fmt.Fprintf(&text, "\n%v", err)
 			continue
--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -1,6 +1,7 @@
 package membershiptest
 
 import (
+	"context"
 	"math"
 	"time"
 
@@ -16,7 +17,7 @@
 )
 
 // Start starts processes at once and waits until each has answered with its identity.
-func (h *Harness) Start(names ...string) error {
+func (h *Harness) Start(ctx context.Context, names ...string) error {
 	if err := processtest.Each(names, h.processes.Start); err != nil {
 		return err
 	}
@@ -24,15 +25,15 @@
 		if h.isWithoutMembership(name) {
 			return nil
 		}
-		return h.recordStart(name)
+		return h.recordStart(ctx, name)
 	})
 }
 
 // recordStart waits until a process answers, and adds its identity to the history.
-func (h *Harness) recordStart(name string) error {
+func (h *Harness) recordStart(ctx context.Context, name string) error {
 	var status *membership.Status
 	err := processtest.Await(startTimeout, name+" answers", func() bool {
-		status, _ = h.Status(name, noChanges) // until it answers
+		status, _ = h.Status(ctx, name, noChanges) // until it answers
 		return status != nil
 	})
 	if err != nil {
@@ -47,14 +48,14 @@
 }
 
 // Kill sends SIGKILL to processes at once, after it has collected what they saw.
-func (h *Harness) Kill(names ...string) error {
-	h.collectChanges(names)
+func (h *Harness) Kill(ctx context.Context, names ...string) error {
+	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Kill)
 }
 
 // Term sends SIGTERM to processes and waits for their ends.
-func (h *Harness) Term(names ...string) error {
-	h.collectChanges(names)
+func (h *Harness) Term(ctx context.Context, names ...string) error {
+	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Term)
 }
 
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -42,13 +43,13 @@
 
 // usage reads the resources of a running process from /proc and what its membership sent from its status; a process
 // without a membership sent nothing.
-func (h *Harness) usage(name string) (Usage, error) {
+func (h *Harness) usage(ctx context.Context, name string) (Usage, error) {
 	resources, err := processtest.ProcessUsage(h.processes.Pid(name))
 	usage := Usage{Usage: resources}
 	if err != nil || h.isWithoutMembership(name) {
 		return usage, err
 	}
-	status, err := h.Status(name, noChanges)
+	status, err := h.Status(ctx, name, noChanges)
 	if err != nil {
 		return usage, err
 	}
@@ -58,10 +59,10 @@
 }
 
 // usages are the resources of some processes by name.
-func (h *Harness) usages(names []string) (map[string]Usage, error) {
+func (h *Harness) usages(ctx context.Context, names []string) (map[string]Usage, error) {
 	usages := map[string]Usage{}
 	for _, name := range names {
-		usage, err := h.usage(name)
+		usage, err := h.usage(ctx, name)
 		if err != nil {
 			return nil, err
 		}
@@ -94,15 +95,15 @@
 
 // Costs measures, over a time without faults, what a member's membership takes: means over the members, and over the
 // agents without a membership where there are any.
-func (h *Harness) Costs(during time.Duration) (Metrics, error) {
-	before, err := h.usages(h.Names)
+func (h *Harness) Costs(ctx context.Context, during time.Duration) (Metrics, error) {
+	before, err := h.usages(ctx, h.Names)
 	if err != nil {
 		return nil, err
 	}
 	startedAt := time.Now()
 	time.Sleep(during)
 	seconds := time.Since(startedAt).Seconds()
-	after, err := h.usages(h.Names)
+	after, err := h.usages(ctx, h.Names)
 	if err != nil {
 		return nil, err
 	}
@@ -128,13 +129,13 @@
 
 // Latency sends requests at a steady rate to two agents, one with a membership and one without, and returns the
 // percentiles of the times from sending to the end of the response.
-func (h *Harness) Latency(with, without string, rate int, during time.Duration) (Metrics, error) {
+func (h *Harness) Latency(ctx context.Context, with, without string, rate int, during time.Duration) (Metrics, error) {
 	histograms := map[string]*hdrhistogram.Histogram{}
 	var group errgroup.Group
 	var mu sync.Mutex
 	for label, name := range map[string]string{labelWith: with, labelWithout: without} {
 		group.Go(func() error {
-			histogram, err := h.measureLatency(name, rate, during)
+			histogram, err := h.measureLatency(ctx, name, rate, during)
 			mu.Lock()
 			defer mu.Unlock()
 			histograms[label] = histogram
@@ -156,9 +157,11 @@
 
 // measureLatency sends requests to one agent, each on the same connection and at its time; a time runs from when its
 // request was due, so that a late one counts.
-func (h *Harness) measureLatency(name string, rate int, during time.Duration) (*hdrhistogram.Histogram, error) {
+func (h *Harness) measureLatency(
+	ctx context.Context, name string, rate int, during time.Duration,
+) (*hdrhistogram.Histogram, error) {
 	histogram := hdrhistogram.New(minLatencyUs, maxLatencyUs, latencyDigits)
-	conn, err := dial("tcp", h.address(name, clientPort))
+	conn, err := dial(ctx, "tcp", h.address(name, clientPort))
 	if err != nil {
 		return histogram, err
 	}
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -48,18 +48,18 @@
 
 // forgedTraffic sends a member garbage, messages of another site and forged lengths, over UDP and TCP; it drops and
 // counts them and continues.
-func forgedTraffic(h *Harness, scale Scale) (Metrics, error) {
+func forgedTraffic(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	victim := h.Names[0]
 	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedSequence))
-	if err := sendForgedPackets(h.relays[victim].bind, random); err != nil {
+	if err := sendForgedPackets(ctx, h.relays[victim].bind, random); err != nil {
 		return nil, err
 	}
-	if err := sendForgedStreams(h.relays[victim].bind, random); err != nil {
+	if err := sendForgedStreams(ctx, h.relays[victim].bind, random); err != nil {
 		return nil, err
 	}
 	var dropped uint64
 	err := processtest.Await(scale.ConvergeWithin, "the forged messages are counted", func() bool {
-		status, err := h.Status(victim, 0)
+		status, err := h.Status(ctx, victim, 0)
 		if err != nil {
 			return false
 		}
@@ -72,14 +72,14 @@
 	if err != nil {
 		return nil, err
 	}
-	metrics, err := h.measureConvergence(time.Now(), scale)
+	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
 	metrics["dropped"] = float64(dropped)
 	return metrics, err
 }
 
 // dial opens a connection within dialTimeout.
-func dial(network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+func dial(ctx context.Context, network, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, network, address)
@@ -91,8 +91,8 @@
 }
 
 // sendForgedPackets sends packets of another site, of any type, compressed, and of garbage.
-func sendForgedPackets(to string, random *rand.Rand) error {
-	conn, err := dial("udp", to)
+func sendForgedPackets(ctx context.Context, to string, random *rand.Rand) error {
+	conn, err := dial(ctx, "udp", to)
 	if err != nil {
 		return err
 	}
@@ -120,9 +120,9 @@
 }
 
 // sendForgedStreams sends streams, each on a connection of its own.
-func sendForgedStreams(to string, random *rand.Rand) error {
+func sendForgedStreams(ctx context.Context, to string, random *rand.Rand) error {
 	for i := range forgedStreams {
-		conn, err := dial("tcp", to)
+		conn, err := dial(ctx, "tcp", to)
 		if err != nil {
 			return err
 		}
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -1,6 +1,7 @@
 package membershiptest
 
 import (
+	"context"
 	"slices"
 	"time"
 
@@ -50,16 +51,16 @@
 	return healedAt, err
 }
 
-func shortPartition(h *Harness, scale Scale) (Metrics, error) {
-	return h.partition(scale.ShortPartition, scale)
+func shortPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+	return h.partition(ctx, scale.ShortPartition, scale)
 }
 
-func longPartition(h *Harness, scale Scale) (Metrics, error) {
-	return h.partition(scale.LongPartition, scale)
+func longPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+	return h.partition(ctx, scale.LongPartition, scale)
 }
 
 // partition partitions two sides for a time.
-func (h *Harness) partition(d time.Duration, scale Scale) (Metrics, error) {
+func (h *Harness) partition(ctx context.Context, d time.Duration, scale Scale) (Metrics, error) {
 	first, second := h.twoSides()
 	wait := func() error {
 		time.Sleep(d)
@@ -69,12 +70,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.measureConvergence(healedAt, scale)
+	return h.measureConvergence(ctx, healedAt, scale)
 }
 
 // overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
 // there is no exemption.
-func overlappingPartitions(h *Harness, scale Scale) (Metrics, error) {
+func overlappingPartitions(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	const parts = 3
 	running := h.Running()
 	third := len(running) / parts
@@ -82,11 +83,11 @@
 	h.Proxy.Partition(partitionName, running[:third], running[2*third:])
 	time.Sleep(scale.FaultTime)
 	h.Proxy.Heal(partitionName)
-	return h.measureFlaps(cutAt, scale)
+	return h.measureFlaps(ctx, cutAt, scale)
 }
 
 // oneWayCuts cuts one direction of a third of all pairs.
-func oneWayCuts(h *Harness, scale Scale) (Metrics, error) {
+func oneWayCuts(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	cutAt := time.Now()
 	running := h.Running()
 	for i, from := range running {
@@ -103,12 +104,12 @@
 	}
 	time.Sleep(scale.FaultTime)
 	h.Proxy.Clear()
-	return h.measureFlaps(cutAt, scale)
+	return h.measureFlaps(ctx, cutAt, scale)
 }
 
 // lossOf is the case of a fraction of messages lost on all links.
-func lossOf(fraction float64) func(h *Harness, scale Scale) (Metrics, error) {
-	return func(h *Harness, scale Scale) (Metrics, error) {
+func lossOf(fraction float64) func(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+	return func(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 		lossAt := time.Now()
 		h.Proxy.SetAll(faultproxy.Rule{
 			Loss:      fraction,
@@ -118,17 +119,17 @@
 		})
 		time.Sleep(scale.LossTime)
 		h.Proxy.Clear()
-		return h.measureFlaps(lossAt, scale)
+		return h.measureFlaps(ctx, lossAt, scale)
 	}
 }
 
 // churnDuringPartition kills and starts processes on both sides of a partition.
-func churnDuringPartition(h *Harness, scale Scale) (Metrics, error) {
+func churnDuringPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	first, second := h.twoSides()
 	churn := func() error {
 		for end := time.Now().Add(scale.LongPartition); time.Now().Before(end); {
 			for _, side := range [][]string{first, second} {
-				if err := h.restartKilled(side[h.random.IntN(len(side))]); err != nil {
+				if err := h.restartKilled(ctx, side[h.random.IntN(len(side))]); err != nil {
 					return err
 				}
 			}
@@ -140,30 +141,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.measureConvergence(healedAt, scale)
+	return h.measureConvergence(ctx, healedAt, scale)
 }
 
 // replayedPackets replays a fraction of all packets later, while processes are killed, leave and restart: messages by
 // and about replaced processes reach their successors and all others.
-func replayedPackets(h *Harness, scale Scale) (Metrics, error) {
+func replayedPackets(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	h.Proxy.SetAll(faultproxy.Rule{Replay: replayedFraction, MaxReplayDelay: scale.FaultTime})
 	for i := range replayRestarts {
 		restart := h.restartKilled
 		if i%2 == 1 {
 			restart = h.restartGracefully
 		}
-		if err := restart(h.DrawRunning(killedFraction)...); err != nil {
+		if err := restart(ctx, h.DrawRunning(killedFraction)...); err != nil {
 			return nil, err
 		}
 		time.Sleep(scale.FaultTime / replayRestarts)
 	}
-	metrics, err := h.measureConvergence(time.Now(), scale) // while old packets still come
+	metrics, err := h.measureConvergence(ctx, time.Now(), scale) // while old packets still come
 	if err != nil {
 		return metrics, err
 	}
 	time.Sleep(scale.FaultTime)
 	h.Proxy.Clear()
-	_, err = h.AwaitConvergence(time.Now(), scale.ConvergeWithin)
+	_, err = h.AwaitConvergence(ctx, time.Now(), scale.ConvergeWithin)
 	return metrics, err
 }
 
@@ -203,7 +204,7 @@
 
 // drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of
 // two, and meanwhile processes that are killed, leave, pause or starve.
-func drawnFaults(h *Harness, scale Scale) (Metrics, error) {
+func drawnFaults(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
 	var healedAt time.Time
 	for step := range drawnSteps {
 		rule := h.drawRule(scale)
@@ -213,13 +214,13 @@
 		h.cfg.Log("drawn step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
 		h.Proxy.SetAll(rule)
 		var err error
-		act := func() error { return h.act(action, names, scale) }
+		act := func() error { return h.act(ctx, action, names, scale) }
 		if healedAt, err = h.duringPartition(scale, act, groups...); err != nil {
 			return nil, err
 		}
 	}
 	h.Proxy.Clear()
-	return h.measureConvergence(healedAt, scale)
+	return h.measureConvergence(ctx, healedAt, scale)
 }
 
 // drawRule draws bad links.
@@ -235,12 +236,12 @@
 }
 
 // act does one of the drawn actions to processes.
-func (h *Harness) act(action drawnAction, names []string, scale Scale) error {
+func (h *Harness) act(ctx context.Context, action drawnAction, names []string, scale Scale) error {
 	switch action {
 	case actionKill:
-		return h.restartKilled(names...)
+		return h.restartKilled(ctx, names...)
 	case actionTerm:
-		return h.restartGracefully(names...)
+		return h.restartGracefully(ctx, names...)
 	case actionPause:
 		return h.processes.PauseFor(scale.Pause, names...)
 	case actionStarve:
