--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -85,16 +85,16 @@
 // since on that the last of them took to converge for good.
 func (h *Harness) AwaitConvergence(ctx context.Context, since time.Time, within time.Duration) (time.Duration, error) {
 	var last statuses
-	disagreement := ""
+	var disagreement error
 	err := processtest.Await(within, "all agree", func() bool {
 		time.Sleep(max(minCollectInterval, time.Duration(h.cfg.Agents)*collectIntervalPerAgent))
 		running := slices.DeleteFunc(h.Running(), h.isWithoutMembership)
 		last = h.collectChanges(ctx, running)
-		disagreement = Disagreement(last, running)
-		return disagreement == ""
+		disagreement = checkAgreement(last, running)
+		return disagreement == nil
 	})
 	if err != nil {
-		return 0, fmt.Errorf("%w: %s%s", err, disagreement, h.describeDifferences(ctx, last))
+		return 0, fmt.Errorf("%w: %w%s", err, disagreement, h.describeDifferences(ctx, last))
 	}
 	return max(0, h.lastConvergence(last).Sub(since)), nil
 }
@@ -132,31 +132,45 @@
 	return status.Digest == digest && status.Suspects == 0
 }
 
-// Disagreement says where processes disagree with each other or with who is present; empty: they agree.
-func Disagreement(collected map[string]*membership.Status, running []string) string {
+// disagreementError tells how processes disagree with each other or with who is present.
+type disagreementError struct {
+	silent               string // a process that does not answer; empty: all do
+	disagreeing, present int
+	example              string // one that disagrees
+}
+
+func (e *disagreementError) Error() string {
+	if e.silent != "" {
+		return e.silent + " does not answer"
+	}
+	return fmt.Sprintf("%d of %d do not see exactly the present members, such as: %s",
+		e.disagreeing, e.present, e.example)
+}
+
+// checkAgreement checks that all running processes answer, and see exactly those of them that take part.
+func checkAgreement(collected statuses, running []string) error {
 	for _, name := range running {
 		if collected[name] == nil {
-			return name + " does not answer"
+			return &disagreementError{silent: name}
 		}
 	}
 	present := presentMembers(collected, running)
 	digest := membership.DigestOf(present)
-	disagreeing := 0
-	example := ""
+	disagreement := &disagreementError{present: len(present)}
 	for _, name := range running {
 		status := collected[name]
 		if !status.Member || agrees(status, digest) {
 			continue
 		}
-		disagreeing++
-		if example == "" {
-			example = fmt.Sprintf("%s sees %d, suspects %d", name, status.Present, status.Suspects)
+		if disagreement.disagreeing == 0 {
+			disagreement.example = fmt.Sprintf("%s sees %d, suspects %d", name, status.Present, status.Suspects)
 		}
+		disagreement.disagreeing++
 	}
-	if disagreeing == 0 {
-		return ""
+	if disagreement.disagreeing == 0 {
+		return nil
 	}
-	return fmt.Sprintf("%d of %d do not see exactly the present members, such as: %s", disagreeing, len(present), example)
+	return disagreement
 }
 
 // describeDifferences says, for a few processes that disagree with who is present, which members they see differently,
