--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -20,24 +20,62 @@
 // logMode is the mode of a process's log.
 const logMode = 0o644
 
+// Why nothing can be done to a process.
+var (
+	ErrUnknownProcess = errors.New("no process of the cluster")
+	ErrRunning        = errors.New("it is running")
+	ErrNotRunning     = errors.New("it is not running")
+)
+
 // process is one process of a cluster, running or not.
 type process struct {
 	addrs        map[string]string // of its listeners, by port name
 	incarnations []Incarnation
-	cmd          *exec.Cmd     // of the last start; nil: it was never started
-	ended        chan struct{} // closed at the end of cmd
+	last         *execution // of the last start; nil: it was never started
+}
+
+// execution is one execution of a process's command.
+type execution struct {
+	cmd   *exec.Cmd
+	ended chan struct{} // closed once the process has ended
+}
+
+// start starts a command.
+func start(cmd *exec.Cmd) (*execution, error) {
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	e := &execution{cmd: cmd, ended: make(chan struct{})}
+	go func() {
+		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
+		close(e.ended)
+	}()
+	return e, nil
+}
+
+// isRunning tells whether the process has not ended; a paused one has not.
+func (e *execution) isRunning() bool {
+	select {
+	case <-e.ended:
+		return false
+	default:
+		return true
+	}
 }
 
+// signal sends a signal.
+func (e *execution) signal(signal syscall.Signal) error { return e.cmd.Process.Signal(signal) }
+
 // Start runs a process that is not running, with its listeners inherited.
 func (c *Cluster) Start(name string) error {
 	c.mu.Lock()
 	p := c.processes[name]
 	c.mu.Unlock()
 	if p == nil {
-		return fmt.Errorf("processtest: no process %q", name)
+		return fmt.Errorf("processtest: %q: %w", name, ErrUnknownProcess)
 	}
 	if c.Running(name) {
-		return fmt.Errorf("processtest: %s is running", name)
+		return fmt.Errorf("processtest: %s: %w", name, ErrRunning)
 	}
 	listeners, err := c.listen(name, p)
 	defer closeAll(listeners)
@@ -55,17 +93,12 @@
 	cmd.Stderr = log
 	cmd.ExtraFiles = listeners
 	startedAt := time.Now()
-	if err := cmd.Start(); err != nil {
+	started, err := start(cmd)
+	if err != nil {
 		return fmt.Errorf("processtest: start %s: %w", name, err)
 	}
-	ended := make(chan struct{})
-	go func() {
-		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
-		close(ended)
-	}()
 	c.mu.Lock()
-	p.cmd = cmd
-	p.ended = ended
+	p.last = started
 	p.incarnations = append(p.incarnations, Incarnation{Start: startedAt})
 	c.mu.Unlock()
 	c.record(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
@@ -120,32 +153,24 @@
 	}
 }
 
-// running is a process's command and the channel that closes at its end, if it runs.
-func (c *Cluster) running(name string) (*exec.Cmd, <-chan struct{}, bool) {
+// running is a process's execution; nil: it does not run.
+func (c *Cluster) running(name string) *execution {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.processes[name]
-	if p == nil || p.ended == nil {
-		return nil, nil, false
-	}
-	select {
-	case <-p.ended:
-		return nil, nil, false
-	default:
-		return p.cmd, p.ended, true
+	if p == nil || p.last == nil || !p.last.isRunning() {
+		return nil
 	}
+	return p.last
 }
 
 // Running tells whether a process runs (a paused one does).
-func (c *Cluster) Running(name string) bool {
-	_, _, ok := c.running(name)
-	return ok
-}
+func (c *Cluster) Running(name string) bool { return c.running(name) != nil }
 
 // Pid is a running process's id, or 0.
 func (c *Cluster) Pid(name string) int {
-	if cmd, _, ok := c.running(name); ok {
-		return cmd.Process.Pid
+	if current := c.running(name); current != nil {
+		return current.cmd.Process.Pid
 	}
 	return 0
 }
@@ -160,15 +185,15 @@
 // end records the end of a process, sends it a signal and waits until it has ended.
 func (c *Cluster) end(name string, signal syscall.Signal, action string) error {
 	c.recordEnd(name, signal == syscall.SIGTERM)
-	cmd, ended, ok := c.running(name)
-	if !ok {
+	current := c.running(name)
+	if current == nil {
 		return nil
 	}
 	c.record(name, action, "")
 	// A process that has ended by itself meanwhile takes no signal.
-	_ = cmd.Process.Signal(signal)
-	_ = cmd.Process.Signal(syscall.SIGCONT)
-	<-ended
+	_ = current.signal(signal)
+	_ = current.signal(syscall.SIGCONT)
+	<-current.ended
 	return nil
 }
 
@@ -202,12 +227,12 @@
 func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
 
 func (c *Cluster) signal(name string, signal syscall.Signal, action string) error {
-	cmd, _, ok := c.running(name)
-	if !ok {
-		return fmt.Errorf("processtest: %s is not running", name)
+	current := c.running(name)
+	if current == nil {
+		return fmt.Errorf("processtest: %s: %w", name, ErrNotRunning)
 	}
 	c.record(name, action, "")
-	return cmd.Process.Signal(signal)
+	return current.signal(signal)
 }
 
 // PauseFor pauses processes for a time.
@@ -239,11 +264,11 @@
 // signalRunning sends a signal to those of some processes that run; the history does not have it.
 func (c *Cluster) signalRunning(signal syscall.Signal, names []string) error {
 	for _, name := range names {
-		cmd, _, ok := c.running(name)
-		if !ok {
+		current := c.running(name)
+		if current == nil {
 			continue
 		}
-		if err := cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		if err := current.signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return err
 		}
 	}
--- a/internal/processtest/violation.go
+++ b/internal/processtest/violation.go
@@ -23,7 +23,7 @@
 // ViolationsError tells that the history of a case breaks rules.
 type ViolationsError struct {
 	Violations []Violation
-	Timeline   string // what was seen and done about the first violation's subject
+	Timeline   string // what led to the first of them
 }
 
 func (e *ViolationsError) Error() string {
