--- a/cmd/membership/runner.go
+++ b/cmd/membership/runner.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	defer c.close()
-	var metrics membershiptest.Metrics
+	var metrics processtest.Metrics
 	runErr := c.StartConverged(ctx, p.ConvergeWithin)
 	if runErr == nil {
 		metrics, runErr = c.Costs(ctx, p.Costs)
--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -19,16 +19,16 @@
 // that it returns are for the log.
 type Case struct {
 	Name string
-	run  func(h *Harness) (metrics string, err error)
+	run  func(h *Harness) (processtest.Metrics, error)
 }
 
 // Cases are run on one harness in this order: the first needs agents that have their files' settings.
 var Cases = []Case{
 	{"half refuse", (*Harness).halfReject},
 	{"leader killed in a burst", (*Harness).leaderKilled},
-	{"instance paused", func(h *Harness) (string, error) { return h.instanceGone(h.pause) }},
-	{"instance cut off", func(h *Harness) (string, error) { return h.instanceGone(h.cutOff) }},
-	{"instance killed", func(h *Harness) (string, error) { return h.instanceGone(h.kill) }},
+	{"instance paused", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.pause) }},
+	{"instance cut off", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.cutOff) }},
+	{"instance killed", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.kill) }},
 	{"two writers", (*Harness).twoWriters},
 	{"region cut", (*Harness).regionCut},
 	{"all down", (*Harness).allDown},
@@ -43,7 +43,7 @@
 		return fmt.Errorf("%s: %w\n%s", c.Name, err, h.timeline(startedAt))
 	}
 	delays := history.Delays(startedAt)
-	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s",
+	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d; %v",
 		c.Name,
 		time.Since(startedAt).Seconds(),
 		processtest.Quantile(delays, processtest.Median),
@@ -59,7 +59,7 @@
 }
 
 // runCase runs a case, waits until all that was changed is in force, and returns all that was seen so far.
-func (h *Harness) runCase(c Case) (*History, string, error) {
+func (h *Harness) runCase(c Case) (*History, processtest.Metrics, error) {
 	metrics, err := c.run(h)
 	if err != nil {
 		return nil, metrics, err
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -31,10 +31,10 @@
 
 // halfReject: a change lacks a key that half of the agents have in force. They keep what they have and are reported
 // with the reason; the next change reaches all.
-func (h *Harness) halfReject() (string, error) {
+func (h *Harness) halfReject() (processtest.Metrics, error) {
 	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	rejected := 0
 	err = processtest.Await(h.cfg.Within, "all agents reported with the result of the change", func() bool {
@@ -53,9 +53,9 @@
 		return true
 	})
 	if err != nil {
-		return "", fmt.Errorf("%w: %v", err, h.agentReports())
+		return nil, fmt.Errorf("%w: %v", err, h.agentReports())
 	}
-	return fmt.Sprintf("; %d rejected", rejected), h.change(h.Instances...)
+	return processtest.Metrics{"agents that rejected": float64(rejected)}, h.change(h.Instances...)
 }
 
 // rejected tells whether an agent reported that it rejected a version for the missing key and has none in force.
@@ -64,20 +64,20 @@
 }
 
 // leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
-func (h *Harness) leaderKilled() (_ string, err error) {
+func (h *Harness) leaderKilled() (_ processtest.Metrics, err error) {
 	for i := range h.cfg.Burst {
 		if i == h.cfg.Burst/burstParts {
 			leader := h.leader()
 			if err := h.discovery.Kill(leader); err != nil {
-				return "", err
+				return nil, err
 			}
 			defer func() { err = errors.Join(err, h.discovery.Start(leader)) }()
 		}
 		if err := h.change(h.Instances...); err != nil {
-			return "", err
+			return nil, err
 		}
 	}
-	return "", nil
+	return nil, nil
 }
 
 // fault injects a fault into an instance; end ends it.
@@ -113,25 +113,29 @@
 }
 
 // instanceGone: an instance that agents use is gone, and settings change as soon as the others take a write.
-func (h *Harness) instanceGone(inject fault) (string, error) {
+func (h *Harness) instanceGone(inject fault) (processtest.Metrics, error) {
 	instance, agents, err := h.busiestInstance()
 	if err != nil {
-		return "", err
+		return nil, err
+	}
+	wasLeader := 0.0
+	if h.leader() == instance {
+		wasLeader = 1
 	}
-	wasLeader := h.leader() == instance
 	end, err := inject(instance)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	err = h.change(h.others(instance)...)
 	if err == nil {
 		err = h.awaitLastChange()
 	}
-	return fmt.Sprintf("; %d agents used it, it led: %v", agents, wasLeader), errors.Join(err, end())
+	metrics := processtest.Metrics{"agents that used it": float64(agents), "was the leader": wasLeader}
+	return metrics, errors.Join(err, end())
 }
 
 // twoWriters: two writers write at once, at different instances, ten times.
-func (h *Harness) twoWriters() (string, error) {
+func (h *Harness) twoWriters() (processtest.Metrics, error) {
 	var group sync.WaitGroup
 	errs := make([]error, writers)
 	for writer := range errs {
@@ -144,15 +148,15 @@
 		}()
 	}
 	group.Wait()
-	return "", errors.Join(errs...)
+	return nil, errors.Join(errs...)
 }
 
 // regionCut: an instance and a third of the agents are cut off from the rest while settings change: the others have the
 // changes in time, these keep the last they had and have the newest in time after the heal.
-func (h *Harness) regionCut() (string, error) {
+func (h *Harness) regionCut() (processtest.Metrics, error) {
 	region, err := h.drawFollower()
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	rest := h.others(region)
 	regionSize := len(h.Agents) / regions
@@ -162,18 +166,18 @@
 	for range regionChanges {
 		time.Sleep(h.cfg.Outage / regionChanges)
 		if err := h.change(rest...); err != nil {
-			return "", err
+			return nil, err
 		}
 	}
 	history, err := h.observed()
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	firstChange := history.Writes[len(history.Writes)-regionChanges].Version
 	err = checkCutOff(history, regionAgents, firstChange, cutAt.Add(cutGrace))
 	h.discovery.Heal()
 	h.exemptUntilNow(cutAt, regionAgents)
-	return "", err
+	return nil, err
 }
 
 // checkCutOff checks that no running process of the agents observed a version, or a newer one, after a time.
@@ -194,38 +198,40 @@
 
 // allDown: all instances are killed, and a tenth of the agents restarts meanwhile; once they run again, the agents call
 // one by one. The change is made then.
-func (h *Harness) allDown() (string, error) {
+func (h *Harness) allDown() (processtest.Metrics, error) {
 	downAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
-		return "", err
+		return nil, err
 	}
 	if err := h.restartTenthDuringOutage(); err != nil {
-		return "", err
+		return nil, err
 	}
 	backAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Start); err != nil {
-		return "", err
+		return nil, err
 	}
 	err := h.change(h.Instances...)
 	h.exemptUntilNow(downAt, h.Agents)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	if err := h.awaitLastChange(); err != nil {
-		return "", err
+		return nil, err
 	}
 	whileDown, err := h.peakCalls(downAt, backAt)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	afterReturn, err := h.peakCalls(backAt, backAt.Add(h.cfg.Within))
 	if err != nil {
-		return "", err
+		return nil, err
+	}
+	metrics := processtest.Metrics{
+		"most calls at once while down":       float64(whileDown),
+		"most calls at once after the return": float64(afterReturn),
 	}
-	metrics := fmt.Sprintf("; most calls in %v of %d agents: %d while down, %d after the return",
-		peakWindow, len(h.Agents), whileDown, afterReturn)
 	if max(whileDown, afterReturn) >= len(h.Agents) {
-		return metrics, fmt.Errorf("too many calls at once%s", metrics)
+		return metrics, fmt.Errorf("too many calls within %v of %d agents: %v", peakWindow, len(h.Agents), metrics)
 	}
 	return metrics, nil
 }
--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -12,9 +12,6 @@
 // startCasePrefix begins the names of the cases that start the cluster themselves.
 const startCasePrefix = "start"
 
-// Metrics are a case's measurements by name, with their unit in the name.
-type Metrics map[string]float64
-
 // Scale says how long a case's faults last and how much time the cluster may take to converge.
 type Scale struct {
 	ShortPartition time.Duration
@@ -31,7 +28,7 @@
 	Name string
 	// EndsCluster tells that after a run the cluster is not complete for another case.
 	EndsCluster bool
-	Run         func(ctx context.Context, h *Harness, scale Scale) (Metrics, error)
+	Run         func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error)
 }
 
 // Cases are the fault cases of the membership. Their names are part of plans and records.
@@ -59,7 +56,7 @@
 }
 
 // RunCase runs one case and checks it: the histories keep the rules, and all agree at the end.
-func (h *Harness) RunCase(ctx context.Context, c Case, scale Scale) (Metrics, error) {
+func (h *Harness) RunCase(ctx context.Context, c Case, scale Scale) (processtest.Metrics, error) {
 	if err := h.prepareCase(ctx, c, scale); err != nil {
 		return nil, fmt.Errorf("before the case: %w", err)
 	}
@@ -101,13 +98,13 @@
 }
 
 // measureConvergence waits for agreement and returns the time it took as a metric.
-func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (Metrics, error) {
+func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	took, err := h.AwaitConvergence(ctx, since, scale.ConvergeWithin)
-	return Metrics{"settle ms": float64(took.Milliseconds())}, err
+	return processtest.Metrics{"settle ms": float64(took.Milliseconds())}, err
 }
 
 // measureFlaps waits for agreement and returns, beside the time it took, the suspicions since a time as metrics.
-func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (Metrics, error) {
+func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
 	most, sum := h.Flaps(ctx, since)
 	running := float64(len(h.Running()))
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -87,7 +87,7 @@
 }
 
 // addTo adds the means over the agents to the metrics.
-func (s *usageSum) addTo(metrics Metrics, label string, seconds float64) {
+func (s *usageSum) addTo(metrics processtest.Metrics, label string, seconds float64) {
 	metrics["CPU share "+label] = s.CPU.Seconds() / s.agents / seconds
 	metrics["memory MB "+label] = float64(s.RSS) / s.agents / bytesPerMB
 	metrics["descriptors "+label] = float64(s.Descriptors) / s.agents
@@ -95,7 +95,7 @@
 
 // Costs measures, over a time without faults, what a member's membership takes: means over the members, and over the
 // agents without a membership where there are any.
-func (h *Harness) Costs(ctx context.Context, during time.Duration) (Metrics, error) {
+func (h *Harness) Costs(ctx context.Context, during time.Duration) (processtest.Metrics, error) {
 	before, err := h.usages(ctx, h.Names)
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 			with.add(before[name], after[name])
 		}
 	}
-	metrics := Metrics{}
+	metrics := processtest.Metrics{}
 	if with.agents > 0 {
 		with.addTo(metrics, labelWith, seconds)
 		metrics["packets a member and second"] = float64(with.Packets) / with.agents / seconds
@@ -129,7 +129,9 @@
 
 // Latency sends requests at a steady rate to two agents, one with a membership and one without, and returns the
 // percentiles of the times from sending to the end of the response.
-func (h *Harness) Latency(ctx context.Context, with, without string, rate int, during time.Duration) (Metrics, error) {
+func (h *Harness) Latency(
+	ctx context.Context, with, without string, rate int, during time.Duration,
+) (processtest.Metrics, error) {
 	histograms := map[string]*hdrhistogram.Histogram{}
 	var group errgroup.Group
 	var mu sync.Mutex
@@ -145,7 +147,7 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	metrics := Metrics{}
+	metrics := processtest.Metrics{}
 	for label, histogram := range histograms {
 		for _, percentile := range latencyPercentiles {
 			name := fmt.Sprintf("latency p%g us %s", percentile, label)
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -48,7 +48,7 @@
 
 // forgedTraffic sends a member garbage, messages of another site and forged lengths, over UDP and TCP; it drops and
 // counts them and continues.
-func forgedTraffic(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func forgedTraffic(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	victim := h.Names[0]
 	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedSequence))
 	if err := sendForgedPackets(ctx, h.relays[victim].bind, random); err != nil {
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -51,16 +51,16 @@
 	return healedAt, err
 }
 
-func shortPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func shortPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	return h.partition(ctx, scale.ShortPartition, scale)
 }
 
-func longPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func longPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	return h.partition(ctx, scale.LongPartition, scale)
 }
 
 // partition partitions two sides for a time.
-func (h *Harness) partition(ctx context.Context, d time.Duration, scale Scale) (Metrics, error) {
+func (h *Harness) partition(ctx context.Context, d time.Duration, scale Scale) (processtest.Metrics, error) {
 	first, second := h.twoSides()
 	wait := func() error {
 		time.Sleep(d)
@@ -75,7 +75,7 @@
 
 // overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
 // there is no exemption.
-func overlappingPartitions(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func overlappingPartitions(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	const parts = 3
 	running := h.Running()
 	third := len(running) / parts
@@ -87,7 +87,7 @@
 }
 
 // oneWayCuts cuts one direction of a third of all pairs.
-func oneWayCuts(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func oneWayCuts(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	cutAt := time.Now()
 	running := h.Running()
 	for i, from := range running {
@@ -108,8 +108,8 @@
 }
 
 // lossOf is the case of a fraction of messages lost on all links.
-func lossOf(fraction float64) func(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
-	return func(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func lossOf(fraction float64) func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
+	return func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 		lossAt := time.Now()
 		h.Proxy.SetAll(faultproxy.Rule{
 			Loss:      fraction,
@@ -124,7 +124,7 @@
 }
 
 // churnDuringPartition kills and starts processes on both sides of a partition.
-func churnDuringPartition(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func churnDuringPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	first, second := h.twoSides()
 	churn := func() error {
 		for end := time.Now().Add(scale.LongPartition); time.Now().Before(end); {
@@ -146,7 +146,7 @@
 
 // replayedPackets replays a fraction of all packets later, while processes are killed, leave and restart: messages by
 // and about replaced processes reach their successors and all others.
-func replayedPackets(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func replayedPackets(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	h.Proxy.SetAll(faultproxy.Rule{Replay: replayedFraction, MaxReplayDelay: scale.FaultTime})
 	for i := range replayRestarts {
 		restart := h.restartKilled
@@ -204,7 +204,7 @@
 
 // drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of
 // two, and meanwhile processes that are killed, leave, pause or starve.
-func drawnFaults(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func drawnFaults(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	var healedAt time.Time
 	for step := range drawnSteps {
 		rule := h.drawRule(scale)
--- a/internal/membershiptest/faults_process.go
+++ b/internal/membershiptest/faults_process.go
@@ -24,7 +24,7 @@
 )
 
 // startTogether starts all processes at once.
-func startTogether(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func startTogether(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
 	}
@@ -36,7 +36,7 @@
 }
 
 // startWithoutSeeds starts the seeds last: the others serve alone and join when a seed comes.
-func startWithoutSeeds(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func startWithoutSeeds(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 }
 
 // killTenth kills a tenth of the processes and measures how soon the others detect that.
-func killTenth(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func killTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	killed := h.DrawRunning(killedFraction)
 	killedAt := time.Now()
 	if err := h.Kill(ctx, killed...); err != nil {
@@ -84,7 +84,7 @@
 }
 
 // restartTogether kills processes and starts them again under the same names and addresses.
-func restartTogether(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func restartTogether(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	drawn := h.DrawRunning(restartedFraction)
 	killedAt := time.Now()
 	if err := h.restartKilled(ctx, drawn...); err != nil {
@@ -104,7 +104,7 @@
 }
 
 // pauseFifth pauses a fifth of the processes for less than a suspicion lasts.
-func pauseFifth(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func pauseFifth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.processes.PauseFor(scale.Pause, h.DrawRunning(pausedFraction)...); err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 
 // starveTenth gives a tenth of the processes a tenth of the time: they stay alive in all snapshots, and suspect nobody
 // for long.
-func starveTenth(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func starveTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	starvedAt := time.Now()
 	if err := h.processes.Starve(scale.FaultTime, h.DrawRunning(starvedFraction)...); err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 }
 
 // rollingRestart restarts all processes by SIGTERM, a tenth at a time.
-func rollingRestart(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func rollingRestart(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	running := h.Running()
 	for part := range slices.Chunk(running, max(1, len(running)/rollingParts)) {
 		if err := h.restartGracefully(ctx, part...); err != nil {
@@ -134,7 +134,7 @@
 
 // upgradeSideBySide runs a second process of an agent beside the first: it is no member until the first has ended, and
 // then replaces it.
-func upgradeSideBySide(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func upgradeSideBySide(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	old := h.DrawRunning(oneProcess)[0]
 	upgrade := UpgradeName(old)
 	if err := h.Start(ctx, upgrade); err != nil {
@@ -176,7 +176,7 @@
 }
 
 // crashAll kills all processes at once and starts them in a random order.
-func crashAll(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func crashAll(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
 	}
@@ -191,7 +191,7 @@
 }
 
 // seedsGone kills every seed for good; the others continue, and find a process that restarts without any seed.
-func seedsGone(ctx context.Context, h *Harness, scale Scale) (Metrics, error) {
+func seedsGone(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	killedAt := time.Now()
 	if err := h.Kill(ctx, h.Names[:h.cfg.Seeds]...); err != nil {
 		return nil, err
--- a/internal/membershiptest/journal.go
+++ b/internal/membershiptest/journal.go
@@ -14,13 +14,13 @@
 
 // Run is one run of a case: its metrics, or why it failed. The JSON keys are those of records.
 type Run struct {
-	Case       string  `json:"case"`
-	Agents     int     `json:"agents"`
-	Seed       uint64  `json:"seed"` // of the harness that ran it
-	Commit     string  `json:"commit"`
-	Processors int     `json:"processors"`
-	Metrics    Metrics `json:"figures,omitempty"`
-	Failed     string  `json:"failed,omitempty"`
+	Case       string              `json:"case"`
+	Agents     int                 `json:"agents"`
+	Seed       uint64              `json:"seed"` // of the harness that ran it
+	Commit     string              `json:"commit"`
+	Processors int                 `json:"processors"`
+	Metrics    processtest.Metrics `json:"figures,omitempty"`
+	Failed     string              `json:"failed,omitempty"`
 }
 
 // Journal has the runs of cases, each written as soon as it has ended.
@@ -33,7 +33,7 @@
 }
 
 // Add adds a run; the error is that of writing it.
-func (j *Journal) Add(name string, seed uint64, metrics Metrics, failed error) error {
+func (j *Journal) Add(name string, seed uint64, metrics processtest.Metrics, failed error) error {
 	run := Run{
 		Case:       name,
 		Agents:     j.Agents,
