--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -92,13 +92,12 @@
 		return nil, err
 	}
 	h := &Harness{
-		cfg:     cfg,
-		Proxy:   proxy,
-		relays:  map[string]relayAddrs{},
-		random:  rand.New(rand.NewPCG(cfg.Seed, 1)),
-		records: map[string]*Record{},
-
+		cfg:        cfg,
+		Proxy:      proxy,
+		relays:     map[string]relayAddrs{},
+		random:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 		identities: map[incarnationKey]identity{},
+		records:    map[string]*Record{},
 	}
 	if err := h.prepare(); err != nil {
 		h.Close()
--- a/internal/processtest/await.go
+++ b/internal/processtest/await.go
@@ -14,7 +14,7 @@
 	maxParallel = 64
 )
 
-// Await checks a condition every 10 ms until it is met or the time has passed; the error says what was awaited.
+// Await checks a condition every awaitInterval until it is met or the time has passed; the error says what was awaited.
 func Await(within time.Duration, what string, met func() bool) error {
 	end := time.Now().Add(within)
 	for !met() {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Each does something for many processes at once, up to 64 at a time, and returns all errors.
+// Each does something for many processes at once, up to maxParallel at a time, and returns all errors.
 func Each(names []string, do func(string) error) error {
 	var group sync.WaitGroup
 	errs := make([]error, len(names))
