--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -123,13 +123,37 @@
 	return reports
 }
 
-// busiestInstance is the follower that most agents use, or the leader where all use that, and the number of those
-// agents: an agent uses the instance that received its last call. (An instance that was paused receives then what was
-// sent to it meanwhile.) The error tells that not all agents have called within retryTimeout.
-func (h *Harness) busiestInstance() (instance string, agents int, err error) {
+// instanceUse is an instance and the number of agents that use it.
+type instanceUse struct {
+	instance string
+	agents   int
+}
+
+// busiestInstance is the follower that most agents use, or the leader where all use that: an agent uses the instance
+// that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The error
+// tells that not all agents have called within retryTimeout.
+func (h *Harness) busiestInstance() (instanceUse, error) {
+	agentsOf, err := h.awaitCalls()
+	leader := h.leader()
+	var busiest instanceUse
+	for _, name := range h.Instances {
+		agents := agentsOf[name]
+		if agents == 0 {
+			continue
+		}
+		isBusierFollower := agents > busiest.agents && name != leader
+		if isBusierFollower || busiest.instance == leader || busiest.agents == 0 {
+			busiest = instanceUse{instance: name, agents: agents}
+		}
+	}
+	return busiest, err
+}
+
+// awaitCalls waits until all agents have called an instance, and counts them by the instance that each called last.
+func (h *Harness) awaitCalls() (map[string]int, error) {
 	startedAt := time.Now()
 	agentsOf := map[string]int{}
-	err = processtest.Await(retryTimeout, "calls of all agents", func() bool {
+	err := processtest.Await(retryTimeout, "calls of all agents", func() bool {
 		reports := h.agentReports()
 		for _, report := range reports {
 			if report.SilentMs >= time.Since(startedAt).Milliseconds() {
@@ -141,19 +165,7 @@
 		}
 		return true
 	})
-	leader := h.leader()
-	for _, name := range h.Instances {
-		n := agentsOf[name]
-		if n == 0 {
-			continue
-		}
-		isBusierFollower := n > agents && name != leader
-		if isBusierFollower || instance == leader || agents == 0 {
-			instance = name
-			agents = n
-		}
-	}
-	return instance, agents, err
+	return agentsOf, err
 }
 
 // Change writes settings with a marker of their own until they are acknowledged, at the given instances in turn, and
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -114,10 +114,11 @@
 
 // instanceGone: an instance that agents use is gone, and settings change as soon as the others take a write.
 func (h *Harness) instanceGone(inject fault) (processtest.Metrics, error) {
-	instance, agents, err := h.busiestInstance()
+	use, err := h.busiestInstance()
 	if err != nil {
 		return nil, err
 	}
+	instance := use.instance
 	wasLeader := 0.0
 	if h.leader() == instance {
 		wasLeader = 1
@@ -130,7 +131,7 @@
 	if err == nil {
 		err = h.awaitLastChange()
 	}
-	metrics := processtest.Metrics{"agents that used it": float64(agents), "was the leader": wasLeader}
+	metrics := processtest.Metrics{"agents that used it": float64(use.agents), "was the leader": wasLeader}
 	return metrics, errors.Join(err, end())
 }
 
