--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -10,8 +10,6 @@
 	"slices"
 	"time"
 
-	"github.com/hashicorp/raft"
-
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
@@ -19,6 +17,8 @@
 const (
 	// settingsPath is the path of the service's settings at the admin endpoint of an instance.
 	settingsPath = "/v1/settings/" + service
+	// stateLeader is the state of the instance that leads, by its status.
+	stateLeader = "Leader"
 	// retryTimeout bounds the retries of what needs a leader or all agents.
 	retryTimeout = 20 * time.Second
 	// changeTimeout bounds the retries of a change.
@@ -63,7 +63,7 @@
 			continue
 		}
 		var status server.Status
-		if h.get(name, "/v1/status", &status) == nil && status.State == raft.Leader.String() {
+		if h.get(name, "/v1/status", &status) == nil && status.State == stateLeader {
 			return name
 		}
 	}
