--- a/cmd/membership/plan.go
+++ b/cmd/membership/plan.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/BurntSushi/toml"
@@ -14,6 +15,22 @@
 // minAgents is the least number of agents that the fault cases need.
 const minAgents = 5
 
+// The defaults of a plan; --help names them too.
+const (
+	defaultBinary         = "bin/agent"
+	defaultAgents         = 24
+	defaultSeeds          = 3
+	defaultSeed           = 1
+	defaultRuns           = 1
+	defaultShortPartition = 5 * time.Second
+	defaultLongPartition  = 45 * time.Second
+	defaultPause          = 3 * time.Second
+	defaultFaultTime      = 20 * time.Second
+	defaultLossTime       = time.Minute
+	defaultConvergeWithin = 2 * time.Minute
+	defaultForget         = 10 * time.Second
+)
+
 // plan is the TOML file of an experiment. Times are such as "300ms"; what is left out has the value that --help names.
 type plan struct {
 	Binary string        `toml:"binary"` // the built agent
@@ -37,24 +54,23 @@
 	Forget         time.Duration `toml:"forget"`
 	Reclaim        time.Duration `toml:"reclaim"`
 	Reconnect      time.Duration `toml:"reconnect"`
-
-	logDir string // where the agents' logs are kept; empty: they are removed
 }
 
+// defaultPlan is the plan of an empty file.
 func defaultPlan() plan {
 	return plan{
-		Binary:         "bin/agent",
-		Agents:         24,
-		Seeds:          3,
-		Seed:           1,
-		Runs:           1,
-		ShortPartition: 5 * time.Second,
-		LongPartition:  45 * time.Second,
-		Pause:          3 * time.Second,
-		FaultTime:      20 * time.Second,
-		LossTime:       time.Minute,
-		ConvergeWithin: 2 * time.Minute,
-		Forget:         10 * time.Second,
+		Binary:         defaultBinary,
+		Agents:         defaultAgents,
+		Seeds:          defaultSeeds,
+		Seed:           defaultSeed,
+		Runs:           defaultRuns,
+		ShortPartition: defaultShortPartition,
+		LongPartition:  defaultLongPartition,
+		Pause:          defaultPause,
+		FaultTime:      defaultFaultTime,
+		LossTime:       defaultLossTime,
+		ConvergeWithin: defaultConvergeWithin,
+		Forget:         defaultForget,
 	}
 }
 
@@ -94,6 +110,9 @@
 	return nil
 }
 
+// hasCase tells whether the plan has a case.
+func (p plan) hasCase(name string) bool { return len(p.Cases) == 0 || slices.Contains(p.Cases, name) }
+
 // scale are the times of the plan's faults.
 func (p plan) scale() membershiptest.Scale {
 	return membershiptest.Scale{
@@ -118,4 +137,5 @@
 	}
 }
 
+// toMs is a time in whole milliseconds.
 func toMs(d time.Duration) int { return int(d.Milliseconds()) }
--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -1,7 +1,6 @@
 package configtest
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -10,8 +9,6 @@
 )
 
 const (
-	// maxReported is how many violations an error has.
-	maxReported = 5
 	// pollInterval is how often awaitLastChange reads the logs, and settleMargin how much longer it waits than a
 	// change may take.
 	pollInterval = 50 * time.Millisecond
@@ -22,16 +19,16 @@
 // that it returns are for the log.
 type Case struct {
 	Name string
-	run  func(h *Harness) (metrics string, err error)
+	run  func(h *Harness) (processtest.Metrics, error)
 }
 
 // Cases are run on one harness in this order: the first needs agents that have their files' settings.
 var Cases = []Case{
-	{"half refuse", (*Harness).halfRefuse},
+	{"half refuse", (*Harness).halfReject},
 	{"leader killed in a burst", (*Harness).leaderKilled},
-	{"instance paused", func(h *Harness) (string, error) { return h.instanceGone(h.pause) }},
-	{"instance cut off", func(h *Harness) (string, error) { return h.instanceGone(h.cutOff) }},
-	{"instance killed", func(h *Harness) (string, error) { return h.instanceGone(h.kill) }},
+	{"instance paused", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.pause) }},
+	{"instance cut off", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.cutOff) }},
+	{"instance killed", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.kill) }},
 	{"two writers", (*Harness).twoWriters},
 	{"region cut", (*Harness).regionCut},
 	{"all down", (*Harness).allDown},
@@ -41,26 +38,47 @@
 // far. The error tells what failed, or the rules that the history breaks.
 func (h *Harness) RunCase(c Case) error {
 	startedAt := time.Now()
-	metrics, err := c.run(h)
+	history, metrics, err := h.runCase(c)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
-	}
-	err = h.awaitLastChange()
-	history, historyErr := h.History()
-	if err := errors.Join(err, historyErr); err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
+		return fmt.Errorf("%s: %w\n%s", c.Name, err, h.timeline(startedAt))
 	}
 	delays := history.Delays(startedAt)
-	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d%s", c.Name, time.Since(startedAt).Seconds(),
-		processtest.Quantile(delays, 0.5), processtest.Quantile(delays, 0.99), processtest.Quantile(delays, 1), len(delays),
+	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d; %v",
+		c.Name,
+		time.Since(startedAt).Seconds(),
+		processtest.Quantile(delays, processtest.Median),
+		processtest.Quantile(delays, processtest.Percentile99),
+		processtest.Quantile(delays, processtest.Maximum),
+		len(delays),
 		metrics)
 	if violations := Check(history, h.cfg.Within); len(violations) > 0 {
-		first := violations[:min(len(violations), maxReported)]
-		return fmt.Errorf("%s: %d violations, such as %v", c.Name, len(violations), first)
+		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(startedAt)}
+		return fmt.Errorf("%s: %w", c.Name, err)
 	}
 	return nil
 }
 
+// runCase runs a case, waits until all that was changed is in force, and returns all that was seen so far.
+func (h *Harness) runCase(c Case) (*History, processtest.Metrics, error) {
+	metrics, err := c.run(h)
+	if err != nil {
+		return nil, metrics, err
+	}
+	if err := h.awaitLastChange(); err != nil {
+		return nil, metrics, err
+	}
+	history, err := h.History()
+	return history, metrics, err
+}
+
+// timeline is what was done to the processes since a time.
+func (h *Harness) timeline(since time.Time) string {
+	timeline := new(processtest.Timeline)
+	timeline.AddEvents(h.discovery, since)
+	timeline.AddEvents(h.agents, since)
+	return timeline.String()
+}
+
 // awaitLastChange returns once each running agent knows the last change, or this was due.
 func (h *Harness) awaitLastChange() error {
 	for end := time.Now().Add(h.cfg.Within + settleMargin); ; time.Sleep(pollInterval) {
@@ -70,7 +88,7 @@
 		}
 		last := history.lastWrite()
 		isMissing := slices.ContainsFunc(history.Incarnations, func(p *ProcessIncarnation) bool {
-			return p.To.IsZero() && !p.knew(last.Version, time.Now())
+			return p.IsRunning() && !p.knew(last.Version, time.Now())
 		})
 		if !isMissing || time.Now().After(end) {
 			return nil
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -1,13 +1,13 @@
 package configtest
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
@@ -17,6 +17,8 @@
 const (
 	// settingsPath is the path of the service's settings at the admin endpoint of an instance.
 	settingsPath = "/v1/settings/" + service
+	// stateLeader is the state of the instance that leads, by its status.
+	stateLeader = "Leader"
 	// retryTimeout bounds the retries of what needs a leader or all agents.
 	retryTimeout = 20 * time.Second
 	// changeTimeout bounds the retries of a change.
@@ -30,8 +32,8 @@
 
 // callAdmin makes one call of an instance's admin endpoint, and reads its answer into out if it is 200.
 func (h *Harness) callAdmin(instance, method, path string, body []byte, out any) error {
-	url := "http://" + h.discovery.Addr(instance, "admin") + path
-	req, err := http.NewRequest(method, url, strings.NewReader(string(body)))
+	url := "http://" + h.discovery.Addr(instance, processtest.AdminPort) + path
+	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -61,7 +63,7 @@
 			continue
 		}
 		var status server.Status
-		if h.get(name, "/v1/status", &status) == nil && status.State == "Leader" {
+		if h.get(name, "/v1/status", &status) == nil && status.State == stateLeader {
 			return name
 		}
 	}
@@ -75,17 +77,14 @@
 
 // atLeader does something at the leader, or, until there is one and for retryTimeout, retries.
 func (h *Harness) atLeader(do func(instance string) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), retryTimeout)
-	defer cancel()
-	for {
+	for end := time.Now().Add(retryTimeout); ; time.Sleep(leaderPause) {
 		err := errNoLeader
 		if leader := h.leader(); leader != "" {
 			err = do(leader)
 		}
-		if err == nil || ctx.Err() != nil {
+		if err == nil || time.Now().After(end) {
 			return err
 		}
-		time.Sleep(leaderPause)
 	}
 }
 
@@ -111,11 +110,11 @@
 func (h *Harness) agentReports() map[string]agentReport {
 	reports := map[string]agentReport{}
 	for _, instance := range h.Instances {
-		var heard server.AgentReports
-		if h.get(instance, settingsPath+"/heard", &heard) != nil {
+		var reported server.AgentReports
+		if h.get(instance, settingsPath+"/heard", &reported) != nil {
 			continue // an instance that is down has no reports
 		}
-		for _, agent := range heard.Agents {
+		for _, agent := range reported.Agents {
 			if old, ok := reports[agent.Agent]; !ok || agent.SilentMs < old.SilentMs {
 				reports[agent.Agent] = agentReport{agent, instance}
 			}
@@ -124,13 +123,37 @@
 	return reports
 }
 
-// busiestInstance is the follower that most agents use, or the leader where all use that, and the number of those
-// agents: an agent uses the instance that received its last call. (An instance that was paused receives then what was
-// sent to it meanwhile.) The error tells that not all agents have called within retryTimeout.
-func (h *Harness) busiestInstance() (instance string, agents int, err error) {
+// instanceUse is an instance and the number of agents that use it.
+type instanceUse struct {
+	instance string
+	agents   int
+}
+
+// busiestInstance is the follower that most agents use, or the leader where all use that: an agent uses the instance
+// that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The error
+// tells that not all agents have called within retryTimeout.
+func (h *Harness) busiestInstance() (instanceUse, error) {
+	agentsOf, err := h.awaitCalls()
+	leader := h.leader()
+	var busiest instanceUse
+	for _, name := range h.Instances {
+		agents := agentsOf[name]
+		if agents == 0 {
+			continue
+		}
+		isBusierFollower := agents > busiest.agents && name != leader
+		if isBusierFollower || busiest.instance == leader || busiest.agents == 0 {
+			busiest = instanceUse{instance: name, agents: agents}
+		}
+	}
+	return busiest, err
+}
+
+// awaitCalls waits until all agents have called an instance, and counts them by the instance that each called last.
+func (h *Harness) awaitCalls() (map[string]int, error) {
 	startedAt := time.Now()
 	agentsOf := map[string]int{}
-	err = processtest.Await(retryTimeout, "calls of all agents", func() bool {
+	err := processtest.Await(retryTimeout, "calls of all agents", func() bool {
 		reports := h.agentReports()
 		for _, report := range reports {
 			if report.SilentMs >= time.Since(startedAt).Milliseconds() {
@@ -142,19 +165,7 @@
 		}
 		return true
 	})
-	leader := h.leader()
-	for _, name := range h.Instances {
-		n := agentsOf[name]
-		if n == 0 {
-			continue
-		}
-		isBusierFollower := n > agents && name != leader
-		if isBusierFollower || instance == leader || agents == 0 {
-			instance = name
-			agents = n
-		}
-	}
-	return instance, agents, err
+	return agentsOf, err
 }
 
 // Change writes settings with a marker of their own until they are acknowledged, at the given instances in turn, and
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -12,11 +12,15 @@
 )
 
 const (
-	// missingKey is what the reason of a refused change names.
+	// missingKey is what the reason of a rejected change names.
 	missingKey = "contract.coldMs: missing"
 	// writers and writesPerWriter are those of twoWriters.
 	writers         = 2
 	writesPerWriter = 10
+	// burstParts is the number of parts of a burst; the leader is killed after the first.
+	burstParts = 3
+	// regions is the number of regions, each with as many agents.
+	regions = 3
 	// regionChanges are the changes that are made while a region is cut off.
 	regionChanges = 3
 	// cutGrace is how long after a cut an agent may still put in force what was sent to it before.
@@ -25,55 +29,55 @@
 	peakWindow = 100 * time.Millisecond
 )
 
-// halfRefuse: a change lacks a key that half of the agents have in force. They keep what they have and are reported
+// halfReject: a change lacks a key that half of the agents have in force. They keep what they have and are reported
 // with the reason; the next change reaches all.
-func (h *Harness) halfRefuse() (string, error) {
+func (h *Harness) halfReject() (processtest.Metrics, error) {
 	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
-	refused := 0
+	rejected := 0
 	err = processtest.Await(h.cfg.Within, "all agents reported with the result of the change", func() bool {
 		reports := h.agentReports()
-		refused = 0
+		rejected = 0
 		for i, agent := range h.Agents {
 			report := reports[agent]
-			hasKey := i%2 == 1
-			if hasKey && !report.refused(write.Version) || !hasKey && report.InForce != write.Version {
+			hasKey := hasSlowStartInFile(i)
+			if hasKey && !report.rejected(write.Version) || !hasKey && report.InForce != write.Version {
 				return false
 			}
 			if hasKey {
-				refused++
+				rejected++
 			}
 		}
 		return true
 	})
 	if err != nil {
-		return "", fmt.Errorf("%w: %v", err, h.agentReports())
+		return nil, fmt.Errorf("%w: %v", err, h.agentReports())
 	}
-	return fmt.Sprintf("; %d refused", refused), h.change(h.Instances...)
+	return processtest.Metrics{"agents that rejected": float64(rejected)}, h.change(h.Instances...)
 }
 
-// refused tells whether an agent reported that it refused a version for the missing key and has none in force.
-func (r agentReport) refused(version uint64) bool {
+// rejected tells whether an agent reported that it rejected a version for the missing key and has none in force.
+func (r agentReport) rejected(version uint64) bool {
 	return r.Rejected == version && r.InForce == 0 && strings.Contains(r.Reason, missingKey)
 }
 
 // leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
-func (h *Harness) leaderKilled() (_ string, err error) {
+func (h *Harness) leaderKilled() (_ processtest.Metrics, err error) {
 	for i := range h.cfg.Burst {
-		if i == h.cfg.Burst/3 {
+		if i == h.cfg.Burst/burstParts {
 			leader := h.leader()
 			if err := h.discovery.Kill(leader); err != nil {
-				return "", err
+				return nil, err
 			}
 			defer func() { err = errors.Join(err, h.discovery.Start(leader)) }()
 		}
 		if err := h.change(h.Instances...); err != nil {
-			return "", err
+			return nil, err
 		}
 	}
-	return "", nil
+	return nil, nil
 }
 
 // fault injects a fault into an instance; end ends it.
@@ -109,25 +113,30 @@
 }
 
 // instanceGone: an instance that agents use is gone, and settings change as soon as the others take a write.
-func (h *Harness) instanceGone(inject fault) (string, error) {
-	instance, agents, err := h.busiestInstance()
+func (h *Harness) instanceGone(inject fault) (processtest.Metrics, error) {
+	use, err := h.busiestInstance()
 	if err != nil {
-		return "", err
+		return nil, err
+	}
+	instance := use.instance
+	wasLeader := 0.0
+	if h.leader() == instance {
+		wasLeader = 1
 	}
-	wasLeader := h.leader() == instance
 	end, err := inject(instance)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	err = h.change(h.others(instance)...)
 	if err == nil {
 		err = h.awaitLastChange()
 	}
-	return fmt.Sprintf("; %d agents used it, it led: %v", agents, wasLeader), errors.Join(err, end())
+	metrics := processtest.Metrics{"agents that used it": float64(use.agents), "was the leader": wasLeader}
+	return metrics, errors.Join(err, end())
 }
 
 // twoWriters: two writers write at once, at different instances, ten times.
-func (h *Harness) twoWriters() (string, error) {
+func (h *Harness) twoWriters() (processtest.Metrics, error) {
 	var group sync.WaitGroup
 	errs := make([]error, writers)
 	for writer := range errs {
@@ -140,42 +149,42 @@
 		}()
 	}
 	group.Wait()
-	return "", errors.Join(errs...)
+	return nil, errors.Join(errs...)
 }
 
 // regionCut: an instance and a third of the agents are cut off from the rest while settings change: the others have the
 // changes in time, these keep the last they had and have the newest in time after the heal.
-func (h *Harness) regionCut() (string, error) {
+func (h *Harness) regionCut() (processtest.Metrics, error) {
 	region, err := h.drawFollower()
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	rest := h.others(region)
-	third := len(h.Agents) / 3
-	regionAgents, restAgents := h.Agents[:third], h.Agents[third:]
+	regionSize := len(h.Agents) / regions
+	regionAgents, restAgents := h.Agents[:regionSize], h.Agents[regionSize:]
 	cutAt := time.Now()
 	h.discovery.Partition(append([]string{region}, regionAgents...), append(slices.Clone(rest), restAgents...))
 	for range regionChanges {
 		time.Sleep(h.cfg.Outage / regionChanges)
 		if err := h.change(rest...); err != nil {
-			return "", err
+			return nil, err
 		}
 	}
 	history, err := h.observed()
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	firstChange := history.Writes[len(history.Writes)-regionChanges].Version
 	err = checkCutOff(history, regionAgents, firstChange, cutAt.Add(cutGrace))
 	h.discovery.Heal()
-	h.exempt(cutAt, regionAgents...)
-	return "", err
+	h.exemptUntilNow(cutAt, regionAgents)
+	return nil, err
 }
 
 // checkCutOff checks that no running process of the agents observed a version, or a newer one, after a time.
 func checkCutOff(history *History, agents []string, version uint64, after time.Time) error {
 	for _, p := range history.Incarnations {
-		if !slices.Contains(agents, p.Agent) || !p.To.IsZero() {
+		if !slices.Contains(agents, p.Agent) || !p.IsRunning() {
 			continue
 		}
 		crossed := slices.ContainsFunc(p.Observations, func(o Observation) bool {
@@ -190,38 +199,40 @@
 
 // allDown: all instances are killed, and a tenth of the agents restarts meanwhile; once they run again, the agents call
 // one by one. The change is made then.
-func (h *Harness) allDown() (string, error) {
+func (h *Harness) allDown() (processtest.Metrics, error) {
 	downAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
-		return "", err
+		return nil, err
 	}
 	if err := h.restartTenthDuringOutage(); err != nil {
-		return "", err
+		return nil, err
 	}
 	backAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Start); err != nil {
-		return "", err
+		return nil, err
 	}
 	err := h.change(h.Instances...)
-	h.exempt(downAt)
+	h.exemptUntilNow(downAt, h.Agents)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	if err := h.awaitLastChange(); err != nil {
-		return "", err
+		return nil, err
 	}
 	whileDown, err := h.peakCalls(downAt, backAt)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	afterReturn, err := h.peakCalls(backAt, backAt.Add(h.cfg.Within))
 	if err != nil {
-		return "", err
+		return nil, err
+	}
+	metrics := processtest.Metrics{
+		"most calls at once while down":       float64(whileDown),
+		"most calls at once after the return": float64(afterReturn),
 	}
-	metrics := fmt.Sprintf("; most calls in %v of %d agents: %d while down, %d after the return",
-		peakWindow, len(h.Agents), whileDown, afterReturn)
 	if max(whileDown, afterReturn) >= len(h.Agents) {
-		return metrics, fmt.Errorf("too many calls at once%s", metrics)
+		return metrics, fmt.Errorf("too many calls within %v of %d agents: %v", peakWindow, len(h.Agents), metrics)
 	}
 	return metrics, nil
 }
@@ -229,12 +240,14 @@
 // restartTenthDuringOutage restarts a tenth of the agents in the middle of an outage, and checks that all agents run at
 // its end.
 func (h *Harness) restartTenthDuringOutage() error {
-	time.Sleep(h.cfg.Outage / 2)
-	tenth := h.Agents[:max(1, len(h.Agents)/10)]
-	if err := processtest.Each(tenth, h.restart); err != nil {
+	const tenths = 10
+	const halves = 2
+	time.Sleep(h.cfg.Outage / halves)
+	restarted := h.Agents[:max(1, len(h.Agents)/tenths)]
+	if err := processtest.Each(restarted, h.agents.Restart); err != nil {
 		return err
 	}
-	time.Sleep(h.cfg.Outage / 2)
+	time.Sleep(h.cfg.Outage / halves)
 	for _, agent := range h.Agents {
 		if !h.agents.Running(agent) {
 			return fmt.Errorf("%s does not run any more", agent)
@@ -243,21 +256,13 @@
 	return nil
 }
 
-// restart kills an agent and starts it again.
-func (h *Harness) restart(agent string) error {
-	h.mu.Lock()
-	h.kills[agent] = append(h.kills[agent], time.Now())
-	h.mu.Unlock()
-	return h.agents.Restart(agent)
-}
-
-// peakCalls is the number of calls of the instances in the 100 ms with the most of them. Each call counted is a
+// peakCalls is the number of calls of the instances in the peakWindow with the most of them. Each call counted is a
 // connection of its own: after a failure no connection is kept.
 func (h *Harness) peakCalls(from, to time.Time) (int, error) {
 	var calls []time.Time
 	for _, agent := range h.Agents {
 		for _, instance := range h.Instances {
-			link, err := h.discovery.Link(agent, instance, "http")
+			link, err := h.discovery.Link(agent, instance, processtest.HTTPPort)
 			if err != nil {
 				return 0, err
 			}
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -4,13 +4,10 @@
 package configtest
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 
@@ -31,6 +28,8 @@
 	slowStartMs = 8000
 	// leaderTimeout bounds how long the service may take until it has a leader.
 	leaderTimeout = 30 * time.Second
+	// maxStale is how old a read at a follower may be.
+	maxStale = time.Second
 	// adminTimeout bounds a call of an instance's admin endpoint.
 	adminTimeout = 7 * time.Second
 )
@@ -66,7 +65,14 @@
 	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
 }
 
-// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those refuse.
+// hasSlowStartInFile tells whether the agent of a number has the key in its file that the first change leaves out:
+// every second one does.
+func hasSlowStartInFile(number int) bool {
+	const every = 2
+	return number%every == 1
+}
+
+// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those reject.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
 	without.SlowStartMs = 0
@@ -83,11 +89,11 @@
 	random    *rand.Rand
 	client    *http.Client
 
+	exemptions processtest.Exemptions // from the times at which agents must know a change
+
 	mu         sync.Mutex
 	lastMarker int
 	writes     []Write
-	exemptions []Exemption
-	kills      map[string][]time.Time // of each agent
 	// pausedInstance is the instance that is paused; "": none.
 	pausedInstance string
 }
@@ -107,7 +113,6 @@
 		random:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 		client:     &http.Client{Timeout: adminTimeout},
 		lastMarker: firstMarker,
-		kills:      map[string][]time.Time{},
 	}
 	for i := range cfg.Agents {
 		h.Agents = append(h.Agents, fmt.Sprintf("pay-%03d", i))
@@ -129,9 +134,9 @@
 		Binary: h.cfg.DiscoveryBinary,
 		Dir:    h.cfg.Dir,
 		Names:  h.Instances,
-		Ports:  []string{"raft", "http", "admin"},
+		Ports:  processtest.DiscoveryPorts(),
 		Args: func(_ *processtest.Cluster, name string) []string {
-			return []string{"serve", "--config", filepath.Join(h.cfg.Dir, name+".toml")}
+			return []string{"serve", "--config", h.instanceFile(name)}
 		},
 	})
 	if err != nil {
@@ -148,8 +153,8 @@
 
 // start writes all configurations, starts all processes and waits for a leader.
 func (h *Harness) start() error {
-	for i, name := range h.Instances {
-		if err := h.writeInstanceConfig(name, i == 0); err != nil {
+	for _, name := range h.Instances {
+		if err := h.writeInstanceConfig(name); err != nil {
 			return err
 		}
 	}
@@ -173,56 +178,44 @@
 	h.discovery.Close()
 }
 
+// instanceFile is the path of an instance's configuration file.
+func (h *Harness) instanceFile(name string) string { return filepath.Join(h.cfg.Dir, name+".toml") }
+
 // writeInstanceConfig writes the configuration of an instance of the service.
-func (h *Harness) writeInstanceConfig(name string, bootstrap bool) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "id = %q\n", name)
-	fmt.Fprintf(&text, "data_dir = %q\n", filepath.Join(h.cfg.Dir, name))
-	fmt.Fprintf(&text, "raft_addr = %q\nhttp_addr = %q\nadmin_addr = %q\n", "fd:3", "fd:4", "fd:5")
-	fmt.Fprintf(&text, "bootstrap = %v\n", bootstrap)
-	fmt.Fprintf(&text, "max_stale = %q\n", "1s")
-	for _, peer := range h.Instances {
-		if peer == name {
-			continue
-		}
-		link, err := h.discovery.Link(name, peer, "raft")
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), h.discovery.Addr(peer, "admin"))
+func (h *Harness) writeInstanceConfig(name string) error {
+	file, err := h.discovery.DiscoveryFile(name)
+	if err != nil {
+		return err
 	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".toml"), []byte(text.String()), 0o644)
+	file.MaxStale = maxStale
+	return file.Write(h.instanceFile(name))
 }
 
 // writeAgentConfig writes the configuration of the agent of a number.
 func (h *Harness) writeAgentConfig(name string, number int) error {
 	var addrs []string
 	for _, instance := range h.Instances {
-		link, err := h.discovery.Link(name, instance, "http")
+		link, err := h.discovery.Link(name, instance, processtest.HTTPPort)
 		if err != nil {
 			return err
 		}
 		addrs = append(addrs, link.Addr())
 	}
 	own := settingsWithoutSlowStart(fileMarker)
-	if number%2 == 1 {
+	if hasSlowStartInFile(number) {
 		own = settings(fileMarker)
 	}
 	zone := 0
 	own.Index = &number
 	own.Zone = &zone
-	text, err := json.Marshal(map[string]any{
-		"name":      name,
-		"listen":    "127.0.0.1:0",
-		"discovery": addrs[0],
-		"seed":      fmt.Sprintf("%x", number+1),
-		"limits":    map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256},
-		"known":     map[string]any{"version": 0, "servers": []any{}},
-		"control":   map[string]any{"service": service, "addresses": addrs[1:]},
-		"settings":  own,
-	})
-	if err != nil {
-		return err
-	}
-	return os.WriteFile(filepath.Join(h.cfg.Dir, name+".json"), text, 0o644)
+	file := processtest.AgentFile{
+		Name:      name,
+		Listen:    "127.0.0.1:0",
+		Discovery: addrs[0],
+		Seed:      fmt.Sprintf("%x", number+1),
+		Limits:    processtest.LimitsOf(1),
+		Control:   &processtest.AgentControl{Service: service, Addresses: addrs[1:]},
+		Settings:  own,
+	}
+	return file.Write(h.cfg.Dir, name)
 }
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -6,19 +6,20 @@
 	"os"
 	"path/filepath"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // The agent's log messages that are read, and their attributes.
 const (
-	messageStarted = "listening"
-	messageInForce = "settings applied"
-	messageRefused = "settings rejected" // the message begins with it
-	numberVersion  = "version"
-	numberMarker   = "max_attempts"
+	messageStarted  = "listening"
+	messageInForce  = "settings applied"
+	messageRejected = "settings rejected" // the message begins with it
+	numberVersion   = "version"
+	numberMarker    = "max_attempts"
 )
 
 var (
@@ -80,29 +81,29 @@
 	switch {
 	case ok && e.message == messageInForce:
 		return Observation{At: e.at, Version: version, Marker: int(e.numbers[numberMarker])}, true
-	case ok && strings.HasPrefix(e.message, messageRefused):
-		return Observation{At: e.at, Version: version, Refused: true, Reason: e.err}, true
+	case ok && strings.HasPrefix(e.message, messageRejected):
+		return Observation{At: e.at, Version: version, Rejected: true, Reason: e.err}, true
 	default:
 		return Observation{}, false
 	}
 }
 
-// incarnations are an agent's processes by its log, with the ends that the harness made.
+// incarnations are an agent's processes by its log, with the ends that the harness made. A process counts from when it
+// listens on, and until its successor listens: an agent that does not start again is due to know all changes.
 func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
 	entries, err := h.readLog(agent)
 	if err != nil {
 		return nil, err
 	}
-	h.mu.Lock()
-	kills := slices.Clone(h.kills[agent])
-	h.mu.Unlock()
+	runs := h.agents.Incarnations(agent)
 	var incarnations []*ProcessIncarnation
 	for _, entry := range entries {
 		if entry.message == messageStarted {
-			if n := len(incarnations); n > 0 && n <= len(kills) {
-				incarnations[n-1].To = kills[n-1]
+			if n := len(incarnations); n > 0 && n <= len(runs) {
+				incarnations[n-1].End = runs[n-1].End
 			}
-			incarnations = append(incarnations, &ProcessIncarnation{Agent: agent, From: entry.at})
+			started := processtest.Incarnation{Start: entry.at}
+			incarnations = append(incarnations, &ProcessIncarnation{Agent: agent, Incarnation: started})
 		}
 		if len(incarnations) == 0 {
 			continue
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.traffic, m.notifyListChanged, m.trustsDeathReport)
+	m.transport, err = newTransport(&m.cfg, m.log.std(), &m.counters, m.messageHandlers())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -35,14 +35,13 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		m.cancel()
 		if err := list.Shutdown(); err != nil {
 			b.Error(err)
 		}
 	})
 	m.list.Store(list)
 	m.transport.suspicionOfSelf = pushPullOf(members)
-	if _, err := list.Join([]string{suspicionPeer + "/" + m.cfg.Advertise}); err != nil {
+	if _, err := list.Join([]string{peerAddress{suspicionPeer, m.cfg.Advertise}.String()}); err != nil {
 		b.Fatal(err)
 	}
 	snapshot := m.readSnapshot(time.Now())
@@ -66,7 +65,7 @@
 			Incarnation: uint32(1000 + i),
 			Vsn:         []uint8{1, 5, 2, 0, 0, 0},
 		}
-		message = append(message, encodeMessage(0, node)[1:]...)
+		message = append(message, encodeBody(node)...)
 	}
 	return message
 }
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -31,6 +31,10 @@
 	digestBytes = 8
 	// digestSettleRounds is digestSettleTime in probe intervals.
 	digestSettleRounds = 3
+	// unsettledFactor is after how many times digestSettleTime a digest that never settles is compared all the same.
+	unsettledFactor = 2
+	// probeTimeoutsPerInterval is how many timeouts of a direct probe a probe interval has.
+	probeTimeoutsPerInterval = 2
 
 	// Memberlist's gossip: how many rounds of it a probe interval has, their shortest interval, the members that
 	// each round reaches, and the factor for the retransmissions of a message.
@@ -43,12 +47,12 @@
 
 // listConfig is memberlist's configuration: its timings mostly have the proportions of its defaults, with a
 // suspicion that lasts at least SuspectTimeoutMs.
-func (m *Membership) listConfig(below memberlist.NodeAwareTransport) *memberlist.Config {
+func (m *Membership) listConfig(underlying memberlist.NodeAwareTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	advertised, _ := net.ResolveTCPAddr("tcp", m.cfg.Advertise) // complete has checked it
 	c.Name = m.cfg.Name
 	c.Label = m.cfg.Site
-	c.Transport = below
+	c.Transport = underlying
 	c.BindPort = advertised.Port
 	c.AdvertiseAddr = advertised.IP.String()
 	c.AdvertisePort = advertised.Port
@@ -56,7 +60,7 @@
 	c.EnableCompression = false
 	c.TCPTimeout = streamTimeout
 	c.ProbeInterval = milliseconds(m.cfg.ProbeIntervalMs)
-	c.ProbeTimeout = c.ProbeInterval / 2
+	c.ProbeTimeout = c.ProbeInterval / probeTimeoutsPerInterval
 	c.SuspicionMult = m.cfg.suspicionMultiplier()
 	c.SuspicionMaxTimeoutMult = suspicionMaxMultiplier
 	// A gossip round costs nothing when there are no messages. After a partition or a start there are messages
@@ -75,11 +79,11 @@
 	return c
 }
 
-// trustsDeathReport tells whether a member's report that another is dead is believed. It is, while the reporter
-// itself is certainly present, as in an Assessment, and, where it returned from the dead or from a long suspicion,
-// once the suspicions have ended that it may have begun on the other side of a partition. Any other report makes
-// a suspicion, which the accused member receives and refutes.
-func (m *Membership) trustsDeathReport(reporter, accused string) bool {
+// acceptDeathReport tells whether a member's report that another is dead is believed, and then records the reporter. It
+// is believed while the reporter itself is certainly present, as in an Assessment, and, where it returned from the dead
+// or from a long suspicion, once the suspicions have ended that it may have begun on the other side of a partition. Any
+// other report makes a suspicion, which the accused member receives and refutes.
+func (m *Membership) acceptDeathReport(reporter, accused string) bool {
 	snapshot := m.snapshot.Load()
 	member, ok := snapshot.Member(reporter)
 	if !ok {
@@ -116,7 +120,7 @@
 func (m *Membership) NotifyAlive(node *memberlist.Node) error {
 	err := m.checkMember(node)
 	if err != nil {
-		m.traffic.rejected.Add(1)
+		m.counters.rejected.Add(1)
 	}
 	return err
 }
@@ -186,24 +190,26 @@
 		return
 	}
 	now := time.Now()
-	settle := m.digestSettleTime()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	changing := now.Sub(snapshot.digestSince) < settle
-	if changing && now.Sub(m.exchangedAt) < 2*settle {
+	changing := now.Sub(snapshot.digestSince) < m.digestSettleTime()
+	if changing && now.Sub(m.exchangedAt) < m.unsettledTime() {
 		return
 	}
-	m.differingPeer = node.Name + "/" + node.Address()
+	m.differingPeer = &peerAddress{name: node.Name, addr: node.Address()}
 	m.differedAt = now
 }
 
 // digestSettleTime is how long the digest has to be unchanged before a differing one matters: some rounds of
-// gossip. (Suspicions do not count in it: with many members there always are some.) Where the digest never
-// settles, as one member after the other is discovered, twice this time since the last exchange of lists counts.
+// gossip. (Suspicions do not count in it: with many members there always are some.)
 func (m *Membership) digestSettleTime() time.Duration {
 	return digestSettleRounds * milliseconds(m.cfg.ProbeIntervalMs)
 }
 
+// unsettledTime is how long after the last exchange of lists a differing digest matters even where this process's own
+// never settles, as one member after the other is discovered.
+func (m *Membership) unsettledTime() time.Duration { return unsettledFactor * m.digestSettleTime() }
+
 // NotifyMsg ignores user messages: agents send none.
 func (m *Membership) NotifyMsg([]byte) {}
 
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"net"
 	"strconv"
 	"time"
@@ -33,7 +34,7 @@
 }
 
 // publishSnapshots reads the list when it may have changed, and publishes a snapshot where it did change.
-func (m *Membership) publishSnapshots() {
+func (m *Membership) publishSnapshots(ctx context.Context) {
 	ticker := time.NewTicker(minSnapshotInterval)
 	defer ticker.Stop()
 	lastTick := time.Now()
@@ -42,12 +43,12 @@
 	for {
 		select {
 		case <-ticker.C:
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		}
 		now := time.Now()
 		if late := now.Sub(lastTick); late > stallThreshold {
-			m.stalls.Add(1)
+			m.counters.stalls.Add(1)
 			m.log.Warn("membership: process stalled", "for", late.Round(time.Millisecond))
 			quietUntil = now.Add(stallQuietTime)
 		}
@@ -101,11 +102,11 @@
 func (m *Membership) readSnapshot(now time.Time) *Snapshot {
 	m.transport.recordedList = nil
 	// A push/pull with the local stream always fails; it has recorded the list by then.
-	_, _ = m.list.Load().Join([]string{listPeer + "/" + m.cfg.Advertise})
+	_, _ = m.list.Load().Join([]string{peerAddress{listPeer, m.cfg.Advertise}.String()})
 	if m.transport.recordedList == nil {
 		return nil
 	}
-	nodes, err := readPushPull(m.transport.recordedList[1:], maxLocalNodes)
+	nodes, err := readPushPull(bodyOf(m.transport.recordedList), maxLocalNodes)
 	if err != nil {
 		m.log.Warn("membership: list can't be read", "err", err)
 		return nil
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -14,9 +14,9 @@
 	// Health is Lifeguard's local health score: 0 is healthy; the higher it is, the slower this process suspects
 	// others.
 	Health int `json:"health"`
-	// Traffic are counts since the start, by name.
-	Traffic map[string]uint64 `json:"traffic"`
-	Changes []Change          `json:"changes,omitempty"`
+	// Traffic counts messages, bytes and events since the start.
+	Traffic Traffic  `json:"traffic"`
+	Changes []Change `json:"changes,omitempty"`
 }
 
 // WithoutMembers is the status without the members.
@@ -39,7 +39,7 @@
 		Snapshot:    snapshot,
 		Assessment:  snapshot.Assess(now),
 		UnchangedMs: now.Sub(snapshot.changedAt).Milliseconds(),
-		Traffic:     m.counts(),
+		Traffic:     m.counters.traffic(m.log.dropped.Load()),
 		Changes:     changes,
 	}
 	if list := m.list.Load(); list != nil {
@@ -48,27 +48,3 @@
 	}
 	return status
 }
-
-// counts are the counts of Status.Traffic; their names are part of the admin endpoint's answer.
-func (m *Membership) counts() map[string]uint64 {
-	return map[string]uint64{
-		"packets_in":       m.traffic.packetsIn.Load(),
-		"bytes_in":         m.traffic.bytesIn.Load(),
-		"packets_out":      m.traffic.packetsOut.Load(),
-		"bytes_out":        m.traffic.bytesOut.Load(),
-		"streams":          m.traffic.streams.Load(),
-		"streams_out":      m.traffic.streamsOut.Load(),
-		"stream_bytes_in":  m.traffic.streamBytesIn.Load(),
-		"stream_bytes_out": m.traffic.streamBytesOut.Load(),
-		"bad_packets":      m.traffic.badPackets.Load(),
-		"bad_streams":      m.traffic.badStreams.Load(),
-		"foreign":          m.traffic.foreignSite.Load(),
-		"rejected":         m.traffic.rejected.Load(),
-		"hearsay":          m.traffic.demotedDeaths.Load(),
-		"reconnects":       m.reconnects.Load(),
-		"syncs":            m.exchanges.Load(),
-		"declared_gone":    m.declaredDead.Load(),
-		"stalls":           m.stalls.Load(),
-		"unlogged":         m.log.dropped.Load(),
-	}
-}
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"errors"
 	"io"
 	"math/rand/v2"
@@ -11,8 +12,10 @@
 )
 
 const (
-	// checkersPerInterval is how many agents check a suspect in each probe interval, on average over all agents.
-	checkersPerInterval = 3
+	// confirmRoundsPerProbe is how often in a probe interval an agent may check a suspect.
+	confirmRoundsPerProbe = 2
+	// checkersPerRound is how many agents check a suspect in each round, on average over all agents.
+	checkersPerRound = 3
 	// refusalsToDeclareDead is how many refused connections, one after the other, declare a member dead.
 	refusalsToDeclareDead = 3
 	// refusalPauses is how many pauses between refused connections a probe interval has.
@@ -28,17 +31,17 @@
 // dead without waiting for the rest of the suspicion. A suspect that answers receives this process's list, with
 // its suspicion, so that it refutes. One that is stalled or partitioned gives no result, and the suspicion takes
 // its time; once that is half over, another member's list is fetched.
-func (m *Membership) confirmSuspects() {
-	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / 2)
+func (m *Membership) confirmSuspects(ctx context.Context) {
+	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / confirmRoundsPerProbe)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		if suspect := m.drawSuspect(); suspect != nil {
-			m.confirmSuspect(suspect)
+			m.confirmSuspect(ctx, suspect)
 		}
 	}
 }
@@ -53,7 +56,7 @@
 			continue
 		}
 		drawn := checkAll || m.overdueCheckDrawn(member)
-		if drawn || rand.IntN(max(1, snapshot.Present)) < checkersPerInterval {
+		if drawn || rand.IntN(max(1, snapshot.Present)) < checkersPerRound {
 			return member
 		}
 	}
@@ -61,12 +64,12 @@
 }
 
 // confirmSuspect checks a suspect once.
-func (m *Membership) confirmSuspect(suspect *Member) {
-	switch m.checkAddress(suspect) {
+func (m *Membership) confirmSuspect(ctx context.Context, suspect *Member) {
+	switch m.checkAddress(ctx, suspect) {
 	case addressRefuses:
 		m.declareDead(suspect)
 	case addressAnswers:
-		m.exchangeLists(joinAddress(suspect))
+		m.exchangeLists(peerOf(suspect))
 	case addressSilent:
 		m.exchangeAboutSuspect(suspect)
 	}
@@ -75,13 +78,13 @@
 // overdueCheckDrawn draws whether to check a suspect whose suspicion is half over: the others may long have
 // received its refutation, which this process missed.
 func (m *Membership) overdueCheckDrawn(suspect *Member) bool {
-	overdue := time.Since(suspect.stateSince) > milliseconds(m.cfg.SuspectTimeoutMs)/2
+	overdue := time.Since(suspect.stateSince) > m.cfg.halfSuspicion()
 	return overdue && rand.IntN(overdueCheckOneIn) == 0
 }
 
 // declareDead sends memberlist, and so all members, a message that a member is dead.
 func (m *Membership) declareDead(member *Member) {
-	m.declaredDead.Add(1)
+	m.counters.declaredDead.Add(1)
 	m.log.Info("membership: member declared dead, its address refuses connections",
 		"name", member.Name, "addr", member.Addr)
 	death := deadMessage{Incarnation: member.Incarnation, Node: member.Name, From: m.cfg.Name}
@@ -98,7 +101,7 @@
 )
 
 // checkAddress connects to a member until it answers, is silent, or has refused so often that it is gone.
-func (m *Membership) checkAddress(member *Member) addressState {
+func (m *Membership) checkAddress(ctx context.Context, member *Member) addressState {
 	for range refusalsToDeclareDead {
 		conn, err := m.dialWatch(member)
 		if err == nil {
@@ -110,7 +113,7 @@
 		}
 		select {
 		case <-time.After(milliseconds(m.cfg.ProbeIntervalMs) / refusalPauses):
-		case <-m.ctx.Done():
+		case <-ctx.Done():
 			return addressSilent
 		}
 	}
--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -1,20 +1,17 @@
 package membershiptest
 
 import (
+	"context"
 	"fmt"
 	"strings"
 	"time"
-)
 
-// maxReported is how many violations an error has.
-const maxReported = 5
+	"fernbeam.example/fernbeam/internal/processtest"
+)
 
 // startCasePrefix begins the names of the cases that start the cluster themselves.
 const startCasePrefix = "start"
 
-// Metrics are a case's measurements by name, with their unit in the name.
-type Metrics map[string]float64
-
 // Scale says how long a case's faults last and how much time the cluster may take to converge.
 type Scale struct {
 	ShortPartition time.Duration
@@ -31,7 +28,7 @@
 	Name string
 	// EndsCluster tells that after a run the cluster is not complete for another case.
 	EndsCluster bool
-	Run         func(h *Harness, scale Scale) (Metrics, error)
+	Run         func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error)
 }
 
 // Cases are the fault cases of the membership. Their names are part of plans and records.
@@ -46,8 +43,8 @@
 	{Name: "one-way cuts", Run: oneWayCuts},
 	{Name: "pause a fifth", Run: pauseFifth},
 	{Name: "starve a tenth", Run: starveTenth},
-	{Name: "loss 5 %", Run: lossOf(0.05)},
-	{Name: "loss 20 %", Run: lossOf(0.20)},
+	{Name: "loss 5 %", Run: lossOf(lightLoss)},
+	{Name: "loss 20 %", Run: lossOf(heavyLoss)},
 	{Name: "rolling restart", Run: rollingRestart},
 	{Name: "upgrade side by side", Run: upgradeSideBySide},
 	{Name: "strangers on the port", Run: forgedTraffic},
@@ -59,67 +56,57 @@
 }
 
 // RunCase runs one case and checks it: the histories keep the rules, and all agree at the end.
-func (h *Harness) RunCase(c Case, scale Scale) (Metrics, error) {
-	if err := h.prepareCase(c, scale); err != nil {
+func (h *Harness) RunCase(ctx context.Context, c Case, scale Scale) (processtest.Metrics, error) {
+	if err := h.prepareCase(ctx, c, scale); err != nil {
 		return nil, fmt.Errorf("before the case: %w", err)
 	}
 	h.cfg.Log("%s: begins", c.Name)
 	defer h.Proxy.Clear() // also where the case fails
-	metrics, err := c.Run(h, scale)
+	metrics, err := c.Run(ctx, h, scale)
 	if err != nil {
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
-	if violations := h.Check(); len(violations) > 0 {
-		return metrics, fmt.Errorf("%s: %s", c.Name, h.describeViolations(violations))
+	if violations := h.Check(ctx); len(violations) > 0 {
+		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(violations[0].Subject)}
+		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
 	h.cfg.Log("%s: %v", c.Name, metrics)
 	return metrics, nil
 }
 
 // prepareCase starts the cluster if the case does not, and waits until it agrees, whatever the case before left.
-func (h *Harness) prepareCase(c Case, scale Scale) error {
+func (h *Harness) prepareCase(ctx context.Context, c Case, scale Scale) error {
 	if len(h.Running()) == 0 {
 		if strings.HasPrefix(c.Name, startCasePrefix) {
 			return nil
 		}
-		if err := h.Start(h.Names...); err != nil {
+		if err := h.Start(ctx, h.Names...); err != nil {
 			return err
 		}
 	}
-	_, err := h.AwaitConvergence(time.Now(), scale.ConvergeWithin)
+	_, err := h.AwaitConvergence(ctx, time.Now(), scale.ConvergeWithin)
 	return err
 }
 
-// describeViolations has the first violations, and what all processes saw of the first one's member.
-func (h *Harness) describeViolations(violations []Violation) string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "%d violations, the first:", len(violations))
-	for _, violation := range violations[:min(len(violations), maxReported)] {
-		fmt.Fprintf(&text, "\n%v", violation)
-	}
-	fmt.Fprintf(&text, "\n%s", h.timeline(violations[0].Change.Process))
-	return text.String()
-}
-
 // StartConverged starts all processes and waits until they agree.
-func (h *Harness) StartConverged(within time.Duration) error {
-	if err := h.Start(h.Names...); err != nil {
+func (h *Harness) StartConverged(ctx context.Context, within time.Duration) error {
+	if err := h.Start(ctx, h.Names...); err != nil {
 		return err
 	}
-	_, err := h.AwaitConvergence(time.Now(), within)
+	_, err := h.AwaitConvergence(ctx, time.Now(), within)
 	return err
 }
 
 // measureConvergence waits for agreement and returns the time it took as a metric.
-func (h *Harness) measureConvergence(since time.Time, scale Scale) (Metrics, error) {
-	took, err := h.AwaitConvergence(since, scale.ConvergeWithin)
-	return Metrics{"settle ms": float64(took.Milliseconds())}, err
+func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
+	took, err := h.AwaitConvergence(ctx, since, scale.ConvergeWithin)
+	return processtest.Metrics{"settle ms": float64(took.Milliseconds())}, err
 }
 
 // measureFlaps waits for agreement and returns, beside the time it took, the suspicions since a time as metrics.
-func (h *Harness) measureFlaps(since time.Time, scale Scale) (Metrics, error) {
-	metrics, err := h.measureConvergence(time.Now(), scale)
-	most, sum := h.Flaps(since)
+func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
+	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
+	most, sum := h.Flaps(ctx, since)
 	running := float64(len(h.Running()))
 	metrics["doubts, most of a pair"] = float64(most)
 	metrics["doubts a pair"] = float64(sum) / (running * (running - 1))
--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -1,6 +1,7 @@
 package membershiptest
 
 import (
+	"context"
 	"math"
 	"time"
 
@@ -11,13 +12,12 @@
 const (
 	// startTimeout bounds how long a process may take until it answers.
 	startTimeout = time.Minute
-	// noChanges asks for the changes after a number that no snapshot has.
+	// noChanges selects the changes after a number that no snapshot has.
 	noChanges = math.MaxInt64
 )
 
 // Start starts processes at once and waits until each has answered with its identity.
-func (h *Harness) Start(names ...string) error {
-	startedAt := time.Now()
+func (h *Harness) Start(ctx context.Context, names ...string) error {
 	if err := processtest.Each(names, h.processes.Start); err != nil {
 		return err
 	}
@@ -25,15 +25,15 @@
 		if h.isWithoutMembership(name) {
 			return nil
 		}
-		return h.recordStart(name, startedAt)
+		return h.recordStart(ctx, name)
 	})
 }
 
-// recordStart waits until a process answers, and adds it to the history.
-func (h *Harness) recordStart(name string, startedAt time.Time) error {
+// recordStart waits until a process answers, and adds its identity to the history.
+func (h *Harness) recordStart(ctx context.Context, name string) error {
 	var status *membership.Status
 	err := processtest.Await(startTimeout, name+" answers", func() bool {
-		status, _ = h.Status(name, noChanges) // until it answers
+		status, _ = h.Status(ctx, name, noChanges) // until it answers
 		return status != nil
 	})
 	if err != nil {
@@ -41,43 +41,21 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.incarnations = append(h.incarnations, &ProcessIncarnation{
-		Name:        status.Self,
-		Process:     status.Process,
-		Start:       startedAt,
-		processName: name,
-	})
+	key := incarnationKey{processName: name, number: len(h.processes.Incarnations(name)) - 1}
+	h.identities[key] = identity{agent: status.Self, process: status.Process}
 	h.records[status.Process] = &Record{Observer: status.Self, Process: status.Process}
 	return nil
 }
 
-// recordEnd adds the end of a process to the history.
-func (h *Harness) recordEnd(name string, left bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, incarnation := range h.incarnations {
-		if incarnation.processName == name && incarnation.End.IsZero() {
-			incarnation.End = time.Now()
-			incarnation.Left = left
-		}
-	}
-}
-
 // Kill sends SIGKILL to processes at once, after it has collected what they saw.
-func (h *Harness) Kill(names ...string) error {
-	h.collectChanges(names)
-	for _, name := range names {
-		h.recordEnd(name, false)
-	}
+func (h *Harness) Kill(ctx context.Context, names ...string) error {
+	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Kill)
 }
 
 // Term sends SIGTERM to processes and waits for their ends.
-func (h *Harness) Term(names ...string) error {
-	h.collectChanges(names)
-	for _, name := range names {
-		h.recordEnd(name, true)
-	}
+func (h *Harness) Term(ctx context.Context, names ...string) error {
+	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Term)
 }
 
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -17,23 +17,65 @@
 	starvedRun   = 10 * time.Millisecond
 )
 
+// logMode is the mode of a process's log.
+const logMode = 0o644
+
+// Why nothing can be done to a process.
+var (
+	ErrUnknownProcess = errors.New("no process of the cluster")
+	ErrRunning        = errors.New("it is running")
+	ErrNotRunning     = errors.New("it is not running")
+)
+
 // process is one process of a cluster, running or not.
 type process struct {
-	addrs map[string]string // of its listeners, by port name
-	cmd   *exec.Cmd         // of the last start; nil: it was never started
-	ended chan struct{}     // closed at the end of cmd
+	addrs        map[string]string // of its listeners, by port name
+	incarnations []Incarnation
+	last         *execution // of the last start; nil: it was never started
+}
+
+// execution is one execution of a process's command.
+type execution struct {
+	cmd   *exec.Cmd
+	ended chan struct{} // closed once the process has ended
+}
+
+// start starts a command.
+func start(cmd *exec.Cmd) (*execution, error) {
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	e := &execution{cmd: cmd, ended: make(chan struct{})}
+	go func() {
+		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
+		close(e.ended)
+	}()
+	return e, nil
+}
+
+// isRunning tells whether the process has not ended; a paused one has not.
+func (e *execution) isRunning() bool {
+	select {
+	case <-e.ended:
+		return false
+	default:
+		return true
+	}
 }
 
+// signal sends a signal.
+func (e *execution) signal(signal syscall.Signal) error { return e.cmd.Process.Signal(signal) }
+
 // Start runs a process that is not running, with its listeners inherited.
 func (c *Cluster) Start(name string) error {
 	c.mu.Lock()
 	p := c.processes[name]
 	c.mu.Unlock()
 	if p == nil {
-		return fmt.Errorf("processtest: no process %q", name)
+		return fmt.Errorf("processtest: %q: %w", name, ErrUnknownProcess)
 	}
 	if c.Running(name) {
-		return fmt.Errorf("processtest: %s is running", name)
+		return fmt.Errorf("processtest: %s: %w", name, ErrRunning)
 	}
 	listeners, err := c.listen(name, p)
 	defer closeAll(listeners)
@@ -41,7 +83,7 @@
 		return err
 	}
 	logPath := filepath.Join(c.cfg.Dir, name+".log")
-	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, logMode)
 	if err != nil {
 		return err
 	}
@@ -50,17 +92,14 @@
 	cmd.Stdout = log
 	cmd.Stderr = log
 	cmd.ExtraFiles = listeners
-	if err := cmd.Start(); err != nil {
+	startedAt := time.Now()
+	started, err := start(cmd)
+	if err != nil {
 		return fmt.Errorf("processtest: start %s: %w", name, err)
 	}
-	ended := make(chan struct{})
-	go func() {
-		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
-		close(ended)
-	}()
 	c.mu.Lock()
-	p.cmd = cmd
-	p.ended = ended
+	p.last = started
+	p.incarnations = append(p.incarnations, Incarnation{Start: startedAt})
 	c.mu.Unlock()
 	c.record(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
 	return nil
@@ -68,7 +107,7 @@
 
 // command is the command of a process, without its files.
 func (c *Cluster) command(name string) *exec.Cmd {
-	cmd := exec.Command(c.cfg.Binary)
+	cmd := exec.Command(c.cfg.Binary) //nolint:noctx // the process outlives this call; Kill, Term and Close end it
 	if c.cfg.Args != nil {
 		cmd.Args = append(cmd.Args, c.cfg.Args(c, name)...)
 	}
@@ -84,20 +123,29 @@
 func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
 	var files []*os.File
 	for _, port := range c.cfg.Ports {
-		ln, err := net.Listen("tcp", p.addrs[port])
+		file, err := listenFile(p.addrs[port])
 		if err != nil {
 			return files, fmt.Errorf("processtest: %s: port %s: %w", name, port, err)
 		}
-		file, err := ln.(*net.TCPListener).File()
-		_ = ln.Close() // the file is a duplicate of it
-		if err != nil {
-			return files, err
-		}
 		files = append(files, file)
 	}
 	return files, nil
 }
 
+// listenFile opens a listener as a file.
+func listenFile(address string) (*os.File, error) {
+	addr, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	ln, err := net.ListenTCP("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = ln.Close() }() // the file is a duplicate of it
+	return ln.File()
+}
+
 // closeAll closes files that a process has inherited.
 func closeAll(files []*os.File) {
 	for _, file := range files {
@@ -105,56 +153,65 @@
 	}
 }
 
-// running is a process's command and the channel that closes at its end, if it runs.
-func (c *Cluster) running(name string) (*exec.Cmd, <-chan struct{}, bool) {
+// running is a process's execution; nil: it does not run.
+func (c *Cluster) running(name string) *execution {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.processes[name]
-	if p == nil || p.ended == nil {
-		return nil, nil, false
-	}
-	select {
-	case <-p.ended:
-		return nil, nil, false
-	default:
-		return p.cmd, p.ended, true
+	if p == nil || p.last == nil || !p.last.isRunning() {
+		return nil
 	}
+	return p.last
 }
 
 // Running tells whether a process runs (a paused one does).
-func (c *Cluster) Running(name string) bool {
-	_, _, ok := c.running(name)
-	return ok
-}
+func (c *Cluster) Running(name string) bool { return c.running(name) != nil }
 
 // Pid is a running process's id, or 0.
 func (c *Cluster) Pid(name string) int {
-	if cmd, _, ok := c.running(name); ok {
-		return cmd.Process.Pid
+	if current := c.running(name); current != nil {
+		return current.cmd.Process.Pid
 	}
 	return 0
 }
 
 // Kill sends SIGKILL (and SIGCONT, so that a paused process ends too) and waits for the end; a process that is not
-// running is left alone.
+// running gets no signal.
 func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, "kill") }
 
 // Term sends SIGTERM and waits for the end.
 func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, "term") }
 
+// end records the end of a process, sends it a signal and waits until it has ended.
 func (c *Cluster) end(name string, signal syscall.Signal, action string) error {
-	cmd, ended, ok := c.running(name)
-	if !ok {
+	c.recordEnd(name, signal == syscall.SIGTERM)
+	current := c.running(name)
+	if current == nil {
 		return nil
 	}
 	c.record(name, action, "")
 	// A process that has ended by itself meanwhile takes no signal.
-	_ = cmd.Process.Signal(signal)
-	_ = cmd.Process.Signal(syscall.SIGCONT)
-	<-ended
+	_ = current.signal(signal)
+	_ = current.signal(syscall.SIGCONT)
+	<-current.ended
 	return nil
 }
 
+// recordEnd records the end of a process's incarnation, unless it is recorded already.
+func (c *Cluster) recordEnd(name string, graceful bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.processes[name]
+	if p == nil || len(p.incarnations) == 0 {
+		return
+	}
+	current := &p.incarnations[len(p.incarnations)-1]
+	if current.IsRunning() {
+		current.End = time.Now()
+		current.Graceful = graceful
+	}
+}
+
 // Restart kills a process if it runs and starts it again on the same ports.
 func (c *Cluster) Restart(name string) error {
 	if err := c.Kill(name); err != nil {
@@ -170,12 +227,12 @@
 func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
 
 func (c *Cluster) signal(name string, signal syscall.Signal, action string) error {
-	cmd, _, ok := c.running(name)
-	if !ok {
-		return fmt.Errorf("processtest: %s is not running", name)
+	current := c.running(name)
+	if current == nil {
+		return fmt.Errorf("processtest: %s: %w", name, ErrNotRunning)
 	}
 	c.record(name, action, "")
-	return cmd.Process.Signal(signal)
+	return current.signal(signal)
 }
 
 // PauseFor pauses processes for a time.
@@ -207,11 +264,11 @@
 // signalRunning sends a signal to those of some processes that run; the history does not have it.
 func (c *Cluster) signalRunning(signal syscall.Signal, names []string) error {
 	for _, name := range names {
-		cmd, _, ok := c.running(name)
-		if !ok {
+		current := c.running(name)
+		if current == nil {
 			continue
 		}
-		if err := cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		if err := current.signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 			return err
 		}
 	}
