--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -29,6 +29,7 @@
 func TestSettingsUnderFaults(t *testing.T) {
 	cluster, _ := startClusterWithLeader(t)
 	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
+	mustAwait(t, "a leader that all instances know", func() bool { return allKnowLeader(cluster) })
 	oneConflict := []int{http.StatusOK, http.StatusPreconditionFailed}
 	checkConcurrentWrites(t, cluster, 10, fmt.Sprint(base), oneConflict)
 	checkConcurrentWrites(t, cluster, 12, "", []int{http.StatusOK, http.StatusOK})
@@ -52,6 +53,12 @@
 	}
 }
 
+// allKnowLeader reports whether each instance knows a leader: one that does not answers a write with 503.
+func allKnowLeader(cluster *processtest.Cluster) bool {
+	knowsNone := func(name string) bool { return statusAt(cluster.Addr(name, adminPort)).Leader == "" }
+	return !slices.ContainsFunc(instanceNames, knowsNone)
+}
+
 // checkConcurrentWrites writes two settings at two instances at the same time, and checks the sorted
 // status codes. The settings have the marks firstMark and the next one.
 func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, ifMatch string, want []int) {
