--- a/internal/policytest/admission_test.go
+++ b/internal/policytest/admission_test.go
@@ -101,7 +101,13 @@
 	h := newHarness(t, settings, 4)
 	id, s := h.mustForward(0, 3)
 	h.now += 30
-	h.handle(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	h.handle(balancer.Event{
+		Kind:      balancer.EventResponseStarted,
+		Request:   id,
+		Attempt:   0,
+		Server:    s,
+		LatencyMs: 30,
+	})
 	for range 200 {
 		for _, a := range h.advance(10) {
 			if a.Request == id && a.Kind != balancer.ActionSetTimer {
@@ -109,18 +115,27 @@
 			}
 		}
 	}
-	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s,
-		Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	actions := h.handle(balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Attempt:     0,
+		Server:      s,
+		Status:      balancer.StatusReset,
+		LatencyMs:   2000,
+		RequestDone: true,
+	})
 	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil ||
 		findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d queued", actions, stats.InFlight, stats.Queued)
+		t.Errorf("a stream that broke: %+v, %d in flight and %d queued",
+			actions, stats.InFlight, stats.Queued)
 	}
 }
 
 // Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
 // busy for longer; the client is answered at once. Elsewhere it has all of the client's time.
 func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
-	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
+	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
+	for class, want := range wants {
 		settings := testSettings()
 		settings.Classes[class].LateFraction = 0
 		settings.Clients.MarksRetry = false
@@ -128,18 +143,19 @@
 		id, actions := h.request(class, 5)
 		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
-			t.Fatalf("class %d, objective 300 ms of 600: want an attempt that ends with the objective, got %+v",
-				class, actions)
+			t.Fatalf("class %d, objective 300 ms of 600: "+
+				"want an attempt that ends with the objective, got %+v", class, actions)
 		}
 		h.now += a.Ms
-		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
+		actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms)
+		if findAction(actions, want) == nil {
 			t.Errorf("class %d: not answered once the objective was over: %+v", class, actions)
 		}
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: want an attempt for all of the time, got %+v", class,
-				actions)
+			t.Errorf("class %d, late responses earn something: "+
+				"want an attempt for all of the time, got %+v", class, actions)
 		}
 	}
 }
@@ -149,7 +165,8 @@
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
+	h.updateList(balancer.ListFull,
+		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
 	out := map[balancer.Addr]balancer.RequestID{}
@@ -208,7 +225,8 @@
 		for class := range 2 {
 			queued[class], _ = h.request(class, 0)
 		}
-		a := findAction(h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5), balancer.ActionForward)
+		actions := h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5)
+		a := findAction(actions, balancer.ActionForward)
 		for class, id := range queued {
 			if a != nil && a.Request == id {
 				return class
@@ -232,7 +250,8 @@
 	}
 	const now = 1e6
 	b.Start(now, nil)
-	for _, a := range b.Handle(now, &balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+	arrival := balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}
+	for _, a := range b.Handle(now, &arrival, nil) {
 		if a.Kind != balancer.ActionSetTimer {
 			t.Errorf("action %+v, want the request queued", a)
 		}
--- a/internal/policytest/concurrency_test.go
+++ b/internal/policytest/concurrency_test.go
@@ -83,8 +83,8 @@
 			stats[0].InFlight, stats[1].InFlight)
 	}
 	if stats := runPhases(t, 80, unloaded, phase{95, 60}); stats[1].InFlight < stats[0].InFlight {
-		t.Errorf("%d attempts in flight without load, %d when responses take a fifth longer", stats[0].InFlight,
-			stats[1].InFlight)
+		t.Errorf("%d attempts in flight without load, %d when responses take a fifth longer",
+			stats[0].InFlight, stats[1].InFlight)
 	}
 }
 
@@ -154,7 +154,8 @@
 	if _, actions := h.request(1, 0); findAction(actions, balancer.ActionForward) != nil {
 		t.Fatalf("a third was sent to a limit of two: %+v", h.policy.Stats())
 	}
-	if a := findAction(h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600), balancer.ActionForward); a != nil {
+	actions := h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600)
+	if a := findAction(actions, balancer.ActionForward); a != nil {
 		t.Errorf("the end of the lost attempt freed capacity: %+v", a)
 	}
 }
@@ -166,8 +167,8 @@
 	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
 	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit ||
 		stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
-		t.Errorf("concurrency limit went from %.2f to %.2f in a second without load", stats[1].ConcurrencyLimit,
-			stats[2].ConcurrencyLimit)
+		t.Errorf("concurrency limit went from %.2f to %.2f in a second without load",
+			stats[1].ConcurrencyLimit, stats[2].ConcurrencyLimit)
 	}
 }
 
@@ -196,7 +197,8 @@
 		other = serverAddress(1)
 	}
 	alone := func(late func(id balancer.RequestID)) {
-		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+		h.updateList(balancer.ListDelta,
+			balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
 		id, to := h.mustForward(0, h.random.Uint64()|1)
 		if to != s {
 			t.Fatalf("sent to %v while the other drains", to)
@@ -246,13 +248,14 @@
 		h.updateList(balancer.ListCached, endpoints...)
 		sent := 0
 		for range 40 {
-			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
+			_, actions := h.request(0, h.random.Uint64()|1)
+			if findAction(actions, balancer.ActionForward) != nil {
 				sent++
 			}
 		}
 		if sent > c.most || sent < c.most/2 {
-			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, want %d at the most",
-				c.agents, c.restarted, sent, c.most)
+			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, "+
+				"want %d at the most", c.agents, c.restarted, sent, c.most)
 		}
 	}
 }
--- a/internal/policytest/decision_bench_test.go
+++ b/internal/policytest/decision_bench_test.go
@@ -80,7 +80,8 @@
 func newDecisionBenchmark(t testing.TB, agents, servers int) *decisionBenchmark {
 	t.Helper()
 	settings := testSettings()
-	settings.FleetSize, settings.Zone = agents, 1 // no server is of the agent's zone, as the zone preference changes
+	settings.FleetSize = agents
+	settings.Zone = 1 // no server is of the agent's zone, as the zone preference changes
 	b, err := policy.New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +91,12 @@
 	d.actions = b.Start(d.now, nil)
 	endpoints := make([]balancer.Endpoint, servers)
 	for i := range endpoints {
-		endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8}
+		endpoints[i] = balancer.Endpoint{
+			Server: serverAddress(i),
+			State:  balancer.Ready,
+			Weight: 1,
+			Cell:   i / 8,
+		}
 	}
 	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: endpoints})
 	for range 16 * servers {
@@ -130,15 +136,28 @@
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
-	d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.lastRequest, Class: class, Key: key,
-		RemainingMs: 600})
+	d.handle(balancer.Event{
+		Kind:        balancer.EventRequest,
+		Request:     d.lastRequest,
+		Class:       class,
+		Key:         key,
+		RemainingMs: 600,
+	})
 	return d.lastRequest
 }
 
 // endAttempt ends the first attempt of a request.
-func (d *decisionBenchmark) endAttempt(id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64) {
-	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms,
-		RequestDone: status == balancer.StatusOK})
+func (d *decisionBenchmark) endAttempt(
+	id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64,
+) {
+	d.handle(balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Server:      s,
+		Status:      status,
+		LatencyMs:   ms,
+		RequestDone: status == balancer.StatusOK,
+	})
 }
 
 // serve plays one request that is forwarded on arrival and served after ms.
--- a/internal/policytest/endpoints_test.go
+++ b/internal/policytest/endpoints_test.go
@@ -9,7 +9,8 @@
 // Servers that drain, or that a complete list does not name, get no attempts.
 func TestDrainingAndRemovedServersGetNoAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: serverAddress(0), State: balancer.Draining, Weight: 1})
+	h.updateList(balancer.ListDelta,
+		balancer.Endpoint{Server: serverAddress(0), State: balancer.Draining, Weight: 1})
 	for key := range uint64(20) {
 		id, s := h.mustForward(0, key+1)
 		if s == serverAddress(0) {
@@ -17,7 +18,8 @@
 		}
 		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
-	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1})
+	h.updateList(balancer.ListFull,
+		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1})
 	for key := range uint64(20) {
 		id, s := h.mustForward(0, key+1)
 		if s == serverAddress(1) {
--- a/internal/policytest/example_test.go
+++ b/internal/policytest/example_test.go
@@ -9,8 +9,13 @@
 
 func ExampleBalancer() {
 	settings := balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", LatencyObjectiveMs: 200, TotalTimeoutMs: 800,
-			Idempotency: balancer.Idempotent, PriorityWeight: 1}},
+		Classes: []balancer.Class{{
+			Name:               "read",
+			LatencyObjectiveMs: 200,
+			TotalTimeoutMs:     800,
+			Idempotency:        balancer.Idempotent,
+			PriorityWeight:     1,
+		}},
 		Limits:        balancer.Limits{MaxAttempts: 3},
 		DiscoveryMode: "pushed",
 		RoundTripMs:   5,
@@ -22,10 +27,15 @@
 	}
 	now := 1000.0
 	b.Start(now, nil)
-	list := []balancer.Endpoint{{Server: balancer.Addr{10, 0, 0, 1, 0x1f, 0x90}, State: balancer.Ready, Weight: 1}}
-	b.Handle(now, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFull, Endpoints: list}, nil)
-	for _, a := range b.Handle(now,
-		&balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+	address := balancer.Addr{10, 0, 0, 1, 0x1f, 0x90}
+	list := balancer.Event{
+		Kind:       balancer.EventList,
+		ListUpdate: balancer.ListFull,
+		Endpoints:  []balancer.Endpoint{{Server: address, State: balancer.Ready, Weight: 1}},
+	}
+	b.Handle(now, &list, nil)
+	request := balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}
+	for _, a := range b.Handle(now, &request, nil) {
 		if a.Kind == balancer.ActionForward {
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
--- a/internal/policytest/fixtures_test.go
+++ b/internal/policytest/fixtures_test.go
@@ -2,6 +2,7 @@
 
 import "fernbeam.example/fernbeam/internal/balancer"
 
+// serverAddress is the address of the server with this index.
 func serverAddress(i int) balancer.Addr {
 	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
 }
@@ -11,19 +12,51 @@
 func testSettings() balancer.Settings {
 	s := balancer.Settings{
 		Classes: []balancer.Class{
-			{Name: "free", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000, Idempotency: balancer.Idempotent,
-				PriorityWeight: 1},
-			{Name: "once", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000, Idempotency: balancer.NonIdempotent,
-				PriorityWeight: 4},
-			{Name: "keyed", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000, Idempotency: balancer.IdempotentByKey,
-				DedupScope: balancer.DedupCell, DedupWindowMs: 500, PriorityWeight: 2},
+			{
+				Name:               "free",
+				LatencyObjectiveMs: 300,
+				TotalTimeoutMs:     1000,
+				Idempotency:        balancer.Idempotent,
+				PriorityWeight:     1,
+			},
+			{
+				Name:               "once",
+				LatencyObjectiveMs: 300,
+				TotalTimeoutMs:     1000,
+				Idempotency:        balancer.NonIdempotent,
+				PriorityWeight:     4,
+			},
+			{
+				Name:               "keyed",
+				LatencyObjectiveMs: 300,
+				TotalTimeoutMs:     1000,
+				Idempotency:        balancer.IdempotentByKey,
+				DedupScope:         balancer.DedupCell,
+				DedupWindowMs:      500,
+				PriorityWeight:     2,
+			},
 		},
-		Limits: balancer.Limits{AttemptCancellation: true, MaxAttempts: 3, MaxRetryAfterMs: 500, HedgedRequests: true,
-			ConnectTimeoutMs: 100},
-		Contract: balancer.Contract{ResponseSlackMs: 20, PollWithinMs: 8000, SlowStartFrom: 0.2, SlowStartMs: 10000,
+		Limits: balancer.Limits{
+			AttemptCancellation: true,
+			MaxAttempts:         3,
+			MaxRetryAfterMs:     500,
+			HedgedRequests:      true,
+			ConnectTimeoutMs:    100,
+		},
+		Contract: balancer.Contract{
+			ResponseSlackMs:  20,
+			PollWithinMs:     8000,
+			SlowStartFrom:    0.2,
+			SlowStartMs:      10000,
 			DrainGraceMs:     500,
-			OverloadMultiple: 3, OverloadWindowMs: 1000},
-		DiscoveryMode: "pushed", FleetSize: 3, RoundTripMs: 5, WeightBy: "request", Weights: "nominal",
+			OverloadMultiple: 3,
+			OverloadWindowMs: 1000,
+		},
+		DiscoveryMode: "pushed",
+		FleetSize:     3,
+		RoundTripMs:   5,
+		WeightBy:      "request",
+		Weights:       "nominal",
 	}
 	s.Clients.MarksRetry = true
 	return s
--- a/internal/policytest/fleet_slowstart_test.go
+++ b/internal/policytest/fleet_slowstart_test.go
@@ -76,7 +76,8 @@
 func (s *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
 	if worst := s.worstOverload(); worst.ratio() > 1 || s.served == 0 {
-		t.Errorf("%.2f times what is allowed: %v; %d of %d served", worst.ratio(), worst, s.served, s.requests)
+		t.Errorf("%.2f times what is allowed: %v; %d of %d served",
+			worst.ratio(), worst, s.served, s.requests)
 	}
 }
 
@@ -262,7 +263,8 @@
 	}
 	for _, c := range slowStartCases {
 		for _, fleet := range fleets {
-			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
+			name := fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers)
+			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				s := newFleetSimulation(t, 1, fleet.agents, fleet.servers, c.load)
 				s.scheduleArrivals()
--- a/internal/policytest/healthcheck_test.go
+++ b/internal/policytest/healthcheck_test.go
@@ -6,6 +6,16 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// endHealthCheck hands the policy the end of a health check.
+func (h *harness) endHealthCheck(server balancer.Addr, status balancer.Status, tookMs float64) {
+	h.handle(balancer.Event{
+		Kind:      balancer.EventHealthCheckDone,
+		Server:    server,
+		Status:    status,
+		LatencyMs: tookMs,
+	})
+}
+
 // Where health checks are permitted, they decide whether a server is put back in service.
 func TestHealthCheckDecidesAboutAPendingServer(t *testing.T) {
 	settings := testSettings()
@@ -24,14 +34,13 @@
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its health check")
 	}
-	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout,
-		LatencyMs: 100})
+	h.endHealthCheck(s, balancer.StatusTimeout, 100)
 	if h.healthStates()[balancer.Unhealthy] != 1 {
 		t.Errorf("a failed health check did not eject: %v", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
 	h.request(0, 8)
-	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
+	h.endHealthCheck(s, balancer.StatusOK, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 ||
 		got[balancer.Connected] == 0 {
 		t.Errorf("a successful health check did not set Connected: %v", got)
@@ -66,8 +75,7 @@
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
 				checks++
-				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server,
-					Status: balancer.StatusOverloaded, LatencyMs: 1})
+				h.endHealthCheck(a.Server, balancer.StatusOverloaded, 1)
 			}
 		}
 		if sent != nil {
@@ -82,8 +90,12 @@
 // A health check with a response, even an error, does not make a server unresponsive; one that times out
 // or cannot connect does, and halves the server's limit (eight at first for a single agent).
 func TestHealthCheckWithAResponseIsNotUnresponsive(t *testing.T) {
-	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false,
-		balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
+	for status, unresponsive := range map[balancer.Status]bool{
+		balancer.StatusError:         false,
+		balancer.StatusReset:         false,
+		balancer.StatusTimeout:       true,
+		balancer.StatusConnectFailed: true,
+	} {
 		settings := testSettings()
 		settings.Limits.HealthChecks = true
 		settings.FleetSize = 1
@@ -94,7 +106,7 @@
 		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
 			t.Fatalf("no health check was sent: %+v", actions)
 		}
-		h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
+		h.endHealthCheck(s, status, 1)
 		want := 8.0
 		if unresponsive {
 			want = 4
--- a/internal/policytest/history_test.go
+++ b/internal/policytest/history_test.go
@@ -17,14 +17,21 @@
 		h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
-			if _, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) == nil {
+			_, actions := h.request(0, h.random.Uint64()|1)
+			if findAction(actions, balancer.ActionForward) == nil {
 				t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
 			}
 		}
 		h.lastRequest++
 		start := h.now
-		actions := h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0, Key: 5,
-			RemainingMs: 600, Retry: marked})
+		actions := h.handle(balancer.Event{
+			Kind:        balancer.EventRequest,
+			Request:     h.lastRequest,
+			Class:       0,
+			Key:         5,
+			RemainingMs: 600,
+			Retry:       marked,
+		})
 		for range 100 {
 			for _, a := range actions {
 				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
@@ -52,8 +59,13 @@
 		h := newHarness(t, settings, 1)
 		arrive := func(remainingMs float64) []balancer.Action {
 			h.lastRequest++
-			return h.handle(balancer.Event{Kind: balancer.EventRequest, Request: h.lastRequest, Class: 0,
-				Key: h.random.Uint64() | 1, RemainingMs: remainingMs})
+			return h.handle(balancer.Event{
+				Kind:        balancer.EventRequest,
+				Request:     h.lastRequest,
+				Class:       0,
+				Key:         h.random.Uint64() | 1,
+				RemainingMs: remainingMs,
+			})
 		}
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if findAction(arrive(given), balancer.ActionForward) == nil {
@@ -74,8 +86,8 @@
 	}
 	first, second, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
 	if math.Abs(first-second-200) > 10 || third > 10 {
-		t.Errorf("first requests were queued for %.0f ms, retries after 200 ms for %.0f, after 350 ms for %.0f",
-			first, second, third)
+		t.Errorf("first requests were queued for %.0f ms, "+
+			"retries after 200 ms for %.0f, after 350 ms for %.0f", first, second, third)
 	}
 	full, shorter := ended(500, 500), ended(500, 400)
 	if math.Abs(full-first) > 10 || math.Abs(shorter-first) > 10 {
--- a/internal/policytest/large_fleet_bench_test.go
+++ b/internal/policytest/large_fleet_bench_test.go
@@ -65,9 +65,15 @@
 			status, tookMs = balancer.StatusOverloaded, 1
 		}
 		d.advance(tookMs)
-		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server,
-			Status:    status,
-			LatencyMs: tookMs, RequestDone: status == balancer.StatusOK})
+		d.handle(balancer.Event{
+			Kind:        balancer.EventAttemptDone,
+			Request:     id,
+			Attempt:     attempt,
+			Server:      server,
+			Status:      status,
+			LatencyMs:   tookMs,
+			RequestDone: status == balancer.StatusOK,
+		})
 	}
 	// The request may still be queued.
 	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
@@ -92,7 +98,8 @@
 func BenchmarkLargeFleetDay(b *testing.B) {
 	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
 		for _, keys := range []string{"even", "skewed"} {
-			b.Run(fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys), func(b *testing.B) {
+			name := fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys)
+			b.Run(name, func(b *testing.B) {
 				for range b.N {
 					runLargeFleetDay(b, fleet.agents, fleet.servers, keys == "even")
 				}
--- a/internal/policytest/latency_test.go
+++ b/internal/policytest/latency_test.go
@@ -33,9 +33,10 @@
 	for range 40 {
 		requests, servers = requests[:0], servers[:0]
 		for range 3 {
-			if id, actions := h.request(0, h.random.Uint64()|1); findAction(actions, balancer.ActionForward) != nil {
-				requests, servers = append(requests, id),
-					append(servers, findAction(actions, balancer.ActionForward).Server)
+			id, actions := h.request(0, h.random.Uint64()|1)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
+				requests = append(requests, id)
+				servers = append(servers, a.Server)
 			}
 		}
 		h.now += 20
@@ -60,8 +61,8 @@
 		first := h.policy.Stats().ServerLimits
 		h.serve(200, 75)
 		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
-			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before", agents, w,
-				first)
+			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before",
+				agents, w, first)
 		}
 	}
 }
@@ -86,8 +87,8 @@
 	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
 	if w := h.policy.Stats().ServerLimits; w < first {
-		t.Errorf("at its own baseline latency, four times the other's, the slow server's limit was cut: %.1f of %.1f",
-			w, first)
+		t.Errorf("at its own baseline latency, four times the other's, "+
+			"the slow server's limit was cut: %.1f of %.1f", w, first)
 	}
 	serve(100, 240)
 	if w := h.policy.Stats().ServerLimits; w >= first {
@@ -108,8 +109,8 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
 	if w := h.policy.Stats().ServerLimits; w <= before {
-		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f", before,
-			w)
+		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f",
+			before, w)
 	}
 }
 
@@ -124,6 +125,7 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 3, 140)
 	if w := h.policy.Stats().ServerLimits; w > before {
-		t.Errorf("responses in 0.9 of the objective became the baseline: the limit grew from %.1f to %.1f", before, w)
+		t.Errorf("responses in 0.9 of the objective became the baseline: the limit grew from %.1f to %.1f",
+			before, w)
 	}
 }
--- a/internal/policytest/outliers_test.go
+++ b/internal/policytest/outliers_test.go
@@ -109,7 +109,8 @@
 func TestNonIdempotentRequestDoesNotCheckAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	id, failing := h.mustForward(0, 7)
-	if a := findAction(h.endAttempt(id, 0, failing, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+	actions := h.endAttempt(id, 0, failing, balancer.StatusError, 5)
+	if a := findAction(actions, balancer.ActionForward); a != nil {
 		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 	}
 	idempotent, nonIdempotent := 0, 0
@@ -122,22 +123,26 @@
 				continue
 			}
 			*n++
-			if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionForward); a != nil {
+			actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
+			if a := findAction(actions, balancer.ActionForward); a != nil {
 				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
 			}
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; want some and none",
-			idempotent, nonIdempotent)
+		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; "+
+			"want some and none", idempotent, nonIdempotent)
 	}
 }
 
 // A failure with a response is no sign of overload and keeps the server's limit; a failed connect halves
 // it.
 func TestFailureWithAResponseKeepsTheServerLimit(t *testing.T) {
-	for status, want := range map[balancer.Status]float64{balancer.StatusError: 8 + 8, balancer.StatusReset: 8 + 8,
-		balancer.StatusConnectFailed: 8 + 4} {
+	for status, want := range map[balancer.Status]float64{
+		balancer.StatusError:         8 + 8,
+		balancer.StatusReset:         8 + 8,
+		balancer.StatusConnectFailed: 8 + 4,
+	} {
 		settings := testSettings()
 		settings.FleetSize = 1 // a single agent begins with eight for each server
 		h := newHarness(t, settings, 2)
--- a/internal/policytest/polling_test.go
+++ b/internal/policytest/polling_test.go
@@ -7,6 +7,13 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
+// failPoll hands the policy the failure of a call for the endpoint list, and returns the timer that it sets;
+// nil if it sets none.
+func failPoll(b *policy.Balancer, now float64) *balancer.Action {
+	failed := balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}
+	return findAction(b.Handle(now, &failed, nil), balancer.ActionSetTimer)
+}
+
 // The call for the endpoint list is made within the contract's time after the start and after each
 // failure, one at a time.
 func TestFailedPollIsRepeated(t *testing.T) {
@@ -20,19 +27,16 @@
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil),
-		balancer.ActionWatchList) == nil {
+	fired := balancer.Event{Kind: balancer.EventTimer, Token: first.Token}
+	if findAction(b.Handle(first.Ms, &fired, nil), balancer.ActionWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		retryTimer := findAction(b.Handle(first.Ms,
-			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		retryTimer := failPoll(b, first.Ms)
 		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
 		}
-		if more := findAction(b.Handle(first.Ms,
-			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
-			balancer.ActionSetTimer); more != nil {
+		if more := failPoll(b, first.Ms); more != nil {
 			t.Fatalf("a second call was set beside the one that waits: %+v", more)
 		}
 		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
@@ -55,9 +59,7 @@
 			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
 				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-				call = findAction(b.Handle(0,
-					&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
-					balancer.ActionSetTimer)
+				call = failPoll(b, 0)
 			}
 			calls[int(call.Ms/1000)]++
 		}
@@ -93,8 +95,7 @@
 		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed},
-				nil), balancer.ActionSetTimer)
+			call = failPoll(b, 0)
 			most = max(most, call.Ms)
 		}
 	}
--- a/internal/policytest/restart_test.go
+++ b/internal/policytest/restart_test.go
@@ -31,12 +31,13 @@
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
-			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; want some, and at most %d",
-				trueShare, warm/2)
+			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; "+
+				"want some, and at most %d", trueShare, warm/2)
 		}
 		for _, step := range clockStepsMs {
 			if step == -5000 && beforeMs > 5000 {
-				continue // the start is later, and the policy takes it as listed: internal/agent bounds its age
+				// The start is later, and the policy takes it as listed: internal/agent bounds its age.
+				continue
 			}
 			if got := forwardsAfterRestart(t, beforeMs, step); got != trueShare {
 				t.Errorf("started %v ms before, clock stepped by %v ms: "+
@@ -67,7 +68,8 @@
 			return got
 		}
 		if got, want := forwards(true), forwards(false); got != want {
-			t.Errorf("start of %v ms: listed repeatedly the server got %d of 400 requests, want %d", since, got, want)
+			t.Errorf("start of %v ms: listed repeatedly the server got %d of 400 requests, want %d",
+				since, got, want)
 		}
 	}
 }
@@ -98,8 +100,8 @@
 		entry.State, entry.StartedMs = balancer.Ready, h.now+step
 		h.updateList(balancer.ListDelta, entry)
 		if got, most := h.serveAndCount(400, 2, serverAddress(0)), 400/5/2; got == 0 || got > most {
-			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, want some and at most %d",
-				step, got, most)
+			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, "+
+				"want some and at most %d", step, got, most)
 		}
 	}
 }
--- a/internal/policytest/retry_test.go
+++ b/internal/policytest/retry_test.go
@@ -8,12 +8,14 @@
 
 // A non-idempotent request is retried only after an attempt that did not execute.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
-	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset,
-		balancer.StatusCancelled} {
+	for _, status := range []balancer.Status{
+		balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled,
+	} {
 		h := newHarness(t, testSettings(), 3)
 		id, s := h.mustForward(1, 5)
 		actions := h.endAttempt(id, 0, s, status, 50)
-		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil ||
+		if findAction(actions, balancer.ActionForward) != nil ||
+			findAction(actions, balancer.ActionReject) != nil ||
 			findAction(actions, balancer.ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
@@ -39,8 +41,8 @@
 	}
 	h.now += 496 // just inside the 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
-	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil &&
-		h.policy.Stats().Queued == 0 {
+	if findAction(actions, balancer.ActionForward) != nil ||
+		findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
 		t.Errorf("a retry was forwarded after its window: %+v", actions)
 	}
 }
--- a/internal/policytest/settings_test.go
+++ b/internal/policytest/settings_test.go
@@ -46,8 +46,7 @@
 			balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
 			balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
 		id, s := h.mustForward(0, 7)
-		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: balancer.StatusOK,
-			LatencyMs: x, RequestDone: true})
+		h.endAttempt(id, 0, s, balancer.StatusOK, x)
 		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
 		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s,
 			Status: balancer.StatusOK})
--- a/internal/policytest/slowstart_test.go
+++ b/internal/policytest/slowstart_test.go
@@ -57,7 +57,8 @@
 		}
 	}
 	if even := all / 20; warming < even/20 || warming > even {
-		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", warming, all, even)
+		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d",
+			warming, all, even)
 	}
 }
 
@@ -124,9 +125,10 @@
 		}
 		return n
 	}
-	if full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK); full != 0 || served == 0 {
-		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, %d where all were served",
-			full, served)
+	full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK)
+	if full != 0 || served == 0 {
+		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, "+
+			"%d where all were served", full, served)
 	}
 }
 
@@ -148,6 +150,7 @@
 		return h.serveAndCount(90, 20, s)
 	}
 	if unresponsive, warm := share(true), share(false); unresponsive == 0 || 2*unresponsive >= warm {
-		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d", unresponsive, warm)
+		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d",
+			unresponsive, warm)
 	}
 }
--- a/internal/policytest/stats_test.go
+++ b/internal/policytest/stats_test.go
@@ -14,7 +14,8 @@
 	h.mustForward(1, 0)
 	stats := h.policy.Stats()
 	// two unmeasured servers of one of three agents, two attempts each
-	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 || stats.ServerLimits != 2*2 {
+	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 ||
+		stats.ServerLimits != 2*2 {
 		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/policytest/zone_test.go
+++ b/internal/policytest/zone_test.go
@@ -47,7 +47,8 @@
 	}
 	least := share(0, 20) // as in TestOwnZoneIsPreferred: about 0.6
 	if s := share(0.1, 20); s < least+0.15 {
-		t.Errorf("own zone in time: %.2f of the keys, against %.2f where cross-zone traffic is free", s, least)
+		t.Errorf("own zone in time: %.2f of the keys, against %.2f where cross-zone traffic is free",
+			s, least)
 	}
 	if s := share(0.1, 500); s > least+0.05 {
 		t.Errorf("own zone late: %.2f of the keys, against %.2f where cross-zone traffic is free", s, least)
