--- a/internal/policytest/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
--- a/internal/policytest/main_test.go
+++ b/policy/main_test.go
@@ -1,4 +1,6 @@
-package policytest
+// Package policy_test holds the black-box tests of the balancing policy (package policy): they hand it
+// events and check the actions that come back and its Stats, and use nothing else of it.
+package policy_test
 
 import (
 	"fmt"
--- a/internal/policytest/source_files_test.go
+++ b/policy/source_files_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"os"
@@ -13,7 +13,7 @@
 const maxLineWidth = 110
 
 // repositoryRoot is the path from this package to the root of the repository.
-const repositoryRoot = "../.."
+const repositoryRoot = ".."
 
 // policyFiles returns the source files of the module, relative to the repository's root.
 func policyFiles(t *testing.T) []string {
