--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -7,6 +7,13 @@
 	fleetSmoothing = 0.005
 )
 
+// The constants of SplitMix64.
+const (
+	splitmixIncrement        = 0x9e3779b97f4a7c15
+	splitmixFirstMultiplier  = 0xbf58476d1ce4e5b9
+	splitmixSecondMultiplier = 0x94d049bb133111eb
+)
+
 // movingMean moves an exponentially weighted mean towards value by weight (0 to 1). A mean of 0 has
 // no value yet and becomes the value.
 func movingMean(mean, value, weight float64) float64 {
@@ -19,9 +26,9 @@
 // splitmix64 is one step of the generator SplitMix64 (Steele, Lea and Flood 2014), used as a hash:
 // its increment and its finalizer.
 func splitmix64(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
+	x += splitmixIncrement
+	x = (x ^ x>>30) * splitmixFirstMultiplier
+	x = (x ^ x>>27) * splitmixSecondMultiplier
 	return x ^ x>>31
 }
 
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,6 +6,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// fullCostConnections is the number of open connections of a server at which Costs.Connection is due
+// in full.
+const fullCostConnections = 100.0
+
 // forward starts an attempt of the request at the server, if it is permitted.
 func (b *Balancer) forward(r *request, s *server) bool {
 	if !b.selector.mayForward(r, s) {
@@ -125,6 +129,7 @@
 		b.concurrency.recordOverload(a, true)
 		b.zone.record(s, true)
 		b.concurrency.rest(s, 1)
+	case balancer.StatusCancelled, balancer.StatusUnsent: // the agent's own doing
 	}
 }
 
@@ -194,7 +199,7 @@
 	intervalMs := b.concurrency.pace.intervalMs
 	serverIntervalMs := cmp.Or(s.pace.intervalMs, intervalMs*servers)
 	keepCost := costs.Connection * serverIntervalMs * float64(b.settings.FleetSize)
-	openCost := 100 * servers * intervalMs * costs.Handshake
+	openCost := fullCostConnections * servers * intervalMs * costs.Handshake
 	if len(s.inFlight) == 0 && keepCost > openCost {
 		b.emit(balancer.Action{Kind: balancer.ActionCloseIdle, Server: s.address})
 	}
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -12,6 +12,8 @@
 	shareDecay = 0.998
 	// expectedSmoothing is the weight of one response in the expected response time of its class.
 	expectedSmoothing = 4 * fleetSmoothing
+	// initialLatency is the mean latency that is expected of a class without responses.
+	initialLatency = maxMeanLatency / 2
 )
 
 // class is what is known of one class of requests. Requests that came under other rules than those
@@ -49,7 +51,7 @@
 func (t *classTable) find(rules balancer.Class) *class {
 	found := &class{
 		Class:        rules,
-		expectedMs:   rules.LatencyObjectiveMs * maxMeanLatency / 2,
+		expectedMs:   rules.LatencyObjectiveMs * initialLatency,
 		requestShare: 1,
 		inTimeShare:  1,
 	}
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -19,6 +19,9 @@
 	// in one response time a twentieth of the limit. One attempt more of each agent would be a
 	// fifth more of eighty.
 	limitStep = 0.05
+	// unusedAttempts is how far below its limit a server counts as using it, in attempts: the one
+	// that has just ended, and the next.
+	unusedAttempts = 2
 	// overloadSmoothing is the weight of one response in the overloaded fraction.
 	overloadSmoothing = 1.0 / 16
 	// overloadedMajority is the overloaded fraction from which all servers count as overloaded.
@@ -28,6 +31,9 @@
 	restFactor = 2.0
 	// maxRestTurns bounds the turns that a server misses for one slow response.
 	maxRestTurns = 4
+	// minRestFraction is the least part of its turns for which a server rests. The length varies at
+	// random by all of them, so that the agents do not return at once.
+	minRestFraction = 0.5
 	// lostAfterResponses is the number of response times after which an attempt is lost whose server
 	// has responded to later ones.
 	lostAfterResponses = 6.0
@@ -131,7 +137,8 @@
 			least = minLimit
 		}
 		c.cutServer(s, overloadDecrease, least)
-	case s.latency < limit && float64(len(s.inFlight)+2) > s.limit && c.latency.responses > baselineResponses:
+	case s.latency < limit && float64(len(s.inFlight)+unusedAttempts) > s.limit &&
+		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
 }
@@ -182,7 +189,7 @@
 func (c *concurrencyLimits) rest(s *server, turns float64) {
 	turnMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
 	restMs := min(turns*turnMs, c.env.settings.Contract.SlowStartMs)
-	s.restingUntil = c.env.now + restMs*(0.5+c.env.random.Float64())
+	s.restingUntil = c.env.now + restMs*(minRestFraction+c.env.random.Float64())
 }
 
 // restIfSlow makes a server rest after a response that was late, or much slower than without load.
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -9,6 +9,8 @@
 	// keyCountWindow is the number of requests, for each partition that there may be, over which
 	// the share of a key is measured.
 	keyCountWindow = 2.0
+	// minKeyCount is the count, in requests, below which a key is dropped.
+	minKeyCount = 0.5
 )
 
 // keyPartitions counts the requests of each affinity key and splits popular keys into partitions.
@@ -57,7 +59,7 @@
 	k.total /= 2
 	for key, count := range k.counts {
 		count /= 2
-		if count < 0.5 {
+		if count < minKeyCount {
 			delete(k.counts, key)
 			continue
 		}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -14,16 +14,26 @@
 	// baselineResponses is the number of responses of all servers after which their baseline is
 	// known; until then no concurrency limit grows.
 	baselineResponses = 50
-	// fleetOverloadFactor times the unloaded latency, and at most maxFleetLatency of the objective,
-	// is the latency that counts as an overload of all servers.
+	// maxInitialBaseline bounds the baseline of the first responses: neither one quick response nor an
+	// overload at the start may become the baseline.
+	maxInitialBaseline = maxMeanLatency / 2
+	// fleetOverloadFactor times the unloaded latency, but from minFleetLatency to maxFleetLatency, is
+	// the latency that counts as an overload of all servers.
 	fleetOverloadFactor = 1.25
+	minFleetLatency     = maxMeanLatency / 2
 	maxFleetLatency     = 0.6
+	// smallFleetAgents is the number of agents for which fleetFactor is 2, and a server's latency limit
+	// at least half of maxMeanLatency.
+	smallFleetAgents = 2
 	// maxLatency bounds one latency in all means, as a multiple of the objective.
 	maxLatency = 2
 	// unloadedSmoothing is the weight of one response in the unloaded latency as it rises.
 	unloadedSmoothing = fleetSmoothing / 10
-	// maxBaselineDelay bounds how many times slower than fleetSmoothing the baseline rises.
-	maxBaselineDelay = 250
+	// minBaselineDelay and maxBaselineDelay bound how many times slower than fleetSmoothing the
+	// baseline rises. In between the delay grows by baselineDelayExponent with the fleet size.
+	minBaselineDelay      = 2
+	maxBaselineDelay      = 250
+	baselineDelayExponent = 3
 )
 
 // latencyBaselines holds what response times are normal. Latencies are fractions of the latency
@@ -50,8 +60,7 @@
 	}
 	switch {
 	case l.responses <= baselineResponses:
-		// Neither one quick response nor an overload at the start may become the baseline.
-		l.baseline = min(l.mean, maxMeanLatency/2)
+		l.baseline = min(l.mean, maxInitialBaseline)
 	case l.mean < l.baseline:
 		l.baseline = movingMean(l.baseline, l.mean, fleetSmoothing)
 	default:
@@ -65,7 +74,8 @@
 // leave its servers idle for good.
 func (l *latencyBaselines) riseSmoothing(alone bool) float64 {
 	if alone {
-		return fleetSmoothing / min(2*math.Pow(l.env.fleetSize(), 3), maxBaselineDelay)
+		delay := minBaselineDelay * math.Pow(l.env.fleetSize(), baselineDelayExponent)
+		return fleetSmoothing / min(delay, maxBaselineDelay)
 	}
 	return fleetSmoothing / maxBaselineDelay
 }
@@ -75,7 +85,7 @@
 // too low a baseline would leave it idle. A server in slow start, with slowStartFraction of its
 // capacity, is slow before it is overloaded; without that only servers in slow start got load.
 func (l *latencyBaselines) serverLimit(s *server, slowStartFraction float64) float64 {
-	least := 2 * maxMeanLatency / (2 + float64(l.env.settings.FleetSize))
+	least := smallFleetAgents * maxMeanLatency / (smallFleetAgents + float64(l.env.settings.FleetSize))
 	limit := max(overloadFactor*max(l.baseline, s.baseline), least)
 	return min(maxMeanLatency, limit) / slowStartFraction
 }
@@ -84,9 +94,9 @@
 // usual spread of response times, at a mean of 1.5 times that without load. Of few agents each sees its
 // servers often, and the servers' own limits have to react to an overload first.
 func (l *latencyBaselines) fleetLimit() float64 {
-	limit := min(max(fleetOverloadFactor*l.unloaded, maxMeanLatency/2), maxFleetLatency)
+	limit := min(max(fleetOverloadFactor*l.unloaded, minFleetLatency), maxFleetLatency)
 	return limit * l.fleetFactor()
 }
 
 // fleetFactor is how much later one of few agents reacts to what it sees than one of very many.
-func (l *latencyBaselines) fleetFactor() float64 { return 1 + 2/l.env.fleetSize() }
+func (l *latencyBaselines) fleetFactor() float64 { return 1 + smallFleetAgents/l.env.fleetSize() }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -9,6 +9,9 @@
 	maxEjectionLevel = 5
 	// successesPerLevel is the number of responses, for each ejection level, that lower the level.
 	successesPerLevel = 16
+	// unresponsiveDecrease is the factor by which the concurrency limit of an unresponsive server is
+	// decreased.
+	unresponsiveDecrease = 0.5
 	// unresponsiveAfter is the number of expected response times, divided by the attempts in flight
 	// (at most unresponsiveAttempts of them), after which a server that does not respond is ejected.
 	unresponsiveAfter    = 8
@@ -47,8 +50,10 @@
 		if r.class.Idempotency == balancer.NonIdempotent || awaitsCheck {
 			return suspectTier
 		}
+		return healthyTier
+	default: // Connected or Unknown
+		return healthyTier
 	}
-	return healthyTier
 }
 
 // ejectionMs is how long a server stays ejected until it is checked: one latency objective for
@@ -77,7 +82,7 @@
 		s.successes = 0
 		s.forgetLatency()
 		if unresponsive { // a failure with a response is no sign of overload
-			s.limit = max(s.limit/2, 1)
+			s.limit = max(s.limit*unresponsiveDecrease, 1)
 		}
 	}
 	o.poller.fetch()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,8 +16,12 @@
 	pollTimer uint32 = 2 // the next call for the endpoint list
 )
 
-// minTickMs is the least interval of the tick timer, in milliseconds.
-const minTickMs = 5
+const (
+	// tickRoundTrips is the interval of the tick timer, in round trips.
+	tickRoundTrips = 2
+	// minTickMs is the least interval of the tick timer, in milliseconds.
+	minTickMs = 5
+)
 
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
@@ -148,6 +152,7 @@
 		b.healthChecks.finish(ev)
 	case balancer.EventTimer:
 		b.onTimer(ev.Token)
+	case balancer.EventPeerMessage: // not used
 	}
 }
 
@@ -176,7 +181,7 @@
 		return
 	}
 	b.tickRunning = true
-	intervalMs := max(2*b.settings.RoundTripMs, minTickMs)
+	intervalMs := max(tickRoundTrips*b.settings.RoundTripMs, minTickMs)
 	b.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: intervalMs, Token: tickTimer})
 }
 
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -13,6 +13,12 @@
 	// maxPollDelayMs bounds the spread, in milliseconds. A call without a response is given up after
 	// 2.25 s, so an agent has its change 6 s after the start of such a call.
 	maxPollDelayMs = 2500.0
+	// maxPollDelayFraction is the part of the time within which a call is due that its delay may take.
+	maxPollDelayFraction = 0.5
+	// minPollSpread is the least spread, in latency objectives.
+	minPollSpread = 2
+	// pollBackoffFactor is the factor by which each failed call in a row multiplies the spread.
+	pollBackoffFactor = 2
 	// minFetchIntervalMs is the least time between two fetches of the complete list.
 	minFetchIntervalMs = 1000
 )
@@ -40,10 +46,11 @@
 		return
 	}
 	p.scheduled = true
-	most := min(settings.Contract.PollWithinMs/2, maxPollDelayMs)
-	spread := pollSpacingMs * float64(settings.FleetSize) * math.Pow(2, float64(p.failures))
-	delay := p.env.random.Float64() * min(max(spread, 2*p.classes.minObjectiveMs), most)
-	p.env.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: delay, Token: pollTimer})
+	mostMs := min(settings.Contract.PollWithinMs*maxPollDelayFraction, maxPollDelayMs)
+	backoff := math.Pow(pollBackoffFactor, float64(p.failures))
+	spreadMs := pollSpacingMs * float64(settings.FleetSize) * backoff
+	delayMs := p.env.random.Float64() * min(max(spreadMs, minPollSpread*p.classes.minObjectiveMs), mostMs)
+	p.env.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: delayMs, Token: pollTimer})
 }
 
 // poll makes the scheduled call.
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -6,18 +6,22 @@
 type position uint64
 
 const (
+	// hashBits is the number of bits of a hash.
+	hashBits = 64
 	// positionBits is the number of bits of a position: those of a float64's mantissa.
 	positionBits = 53
 	// positionSteps is the number of positions.
 	positionSteps = 1 << positionBits
+	// logarithmBits is a number of bits to which a logarithm is surely exact.
+	logarithmBits = 40
 	// logarithmMargin is below 1 by more than the relative error of a logarithm.
-	logarithmMargin = 1 - 1.0/(1<<40)
+	logarithmMargin = 1 - 1.0/(1<<logarithmBits)
 	// minPosition keeps the logarithm of position 0 finite.
 	minPosition = 1e-18
 )
 
 // newPosition returns the position of a hash, from its upper bits.
-func newPosition(hash uint64) position { return position(hash >> (64 - positionBits)) }
+func newPosition(hash uint64) position { return position(hash >> (hashBits - positionBits)) }
 
 // score orders servers by weighted rendezvous hashing (Thaler and Ravishankar 1998; the weights by
 // the logarithm, as for exponentially distributed variables): the lowest score comes first, and a
--- a/policy/request.go
+++ b/policy/request.go
@@ -4,6 +4,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// maxRoundTripFraction is the most of a client's remaining time that is set aside for the round trip to
+// the client.
+const maxRoundTripFraction = 0.25
+
 // request is one request of the client, from its arrival until it is answered and none of its
 // attempts is in flight. Times are in milliseconds on the host's clock.
 type request struct {
@@ -44,7 +48,7 @@
 // setDeadlines sets until when a response meets the latency objective, which counts from start, and
 // until when any response is of use, with remainingMs left to the client.
 func (r *request) setDeadlines(env *environment, remainingMs, start float64) {
-	r.deadline = env.now + remainingMs - min(env.settings.RoundTripMs, remainingMs/4)
+	r.deadline = env.now + remainingMs - min(env.settings.RoundTripMs, remainingMs*maxRoundTripFraction)
 	r.objectiveAt = min(start+r.class.LatencyObjectiveMs, r.deadline)
 	if r.class.LateFraction == 0 {
 		r.deadline = r.objectiveAt // a late response earns nothing, so work for it would be wasted
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -3,6 +3,8 @@
 const (
 	// shedWindow is the number of finished requests over which the served fraction is measured.
 	shedWindow = 20.0
+	// initialFinished is the number of requests that a new shedder takes to have been served in time.
+	initialFinished = shedWindow / 2
 	// shedFactor is the inverse of the served fraction below which load is shed.
 	shedFactor = 1.5
 	// maxShedFraction is the most of the arriving requests that is rejected at once.
@@ -18,9 +20,9 @@
 	earned   float64 // what they earned: 1 for a response in time, a part for a late one
 }
 
-// newLoadShedder returns a shedder that has seen only requests that were served in time.
+// newLoadShedder returns a shedder that sheds nothing yet.
 func newLoadShedder() *loadShedder {
-	return &loadShedder{finished: shedWindow / 2, earned: shedWindow / 2}
+	return &loadShedder{finished: initialFinished, earned: initialFinished}
 }
 
 // fraction is the part of arriving requests to reject at once.
