--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -191,8 +191,7 @@
 }
 
 // closeIdle closes the idle connections to a server where, by the costs in the settings, keeping
-// them until the next attempt costs more than opening one. Without that each of a thousand agents
-// kept connections to a third of the servers, which cost 23 points of the result.
+// them until the next attempt costs more than opening one: of many agents each uses a server rarely.
 func (b *Balancer) closeIdle(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -16,8 +16,8 @@
 	overloadDecrease  = 0.85
 	rejectionDecrease = 0.7
 	// limitStep is the additive increase of the limit of all servers by a response without overload:
-	// in one response time a twentieth of the limit. One attempt more of each agent would be a
-	// fifth more of eighty.
+	// in one response time a twentieth of the limit. One attempt more of each of many agents would
+	// undo a decrease.
 	limitStep = 0.05
 	// unusedAttempts is how far below its limit a server counts as using it, in attempts: the one
 	// that has just ended, and the next.
@@ -183,9 +183,9 @@
 	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
 }
 
-// rest makes an overloaded server miss about so many turns of this agent. An agent that sees the
-// server twice a minute cannot follow its overload by a limit; but all agents together send it less
-// load, by those that met the overload.
+// rest makes an overloaded server miss about so many turns of this agent. An agent that rarely uses
+// the server cannot follow its overload by a limit; but all agents together send it less load, by
+// those that met the overload.
 func (c *concurrencyLimits) rest(s *server, turns float64) {
 	turnMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
 	restMs := min(turns*turnMs, c.env.settings.Contract.SlowStartMs)
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -77,7 +77,6 @@
 // follow an overload. An overload of all servers must show in the limit of all within a second or two.
 func TestOverloadOfAllServersReducesAttemptsInFlight(t *testing.T) {
 	unloaded := phase{80, 200}
-	// with no bound 6 or 7
 	if stats := runPhases(t, 80, unloaded, phase{250, 60}); stats[1].InFlight > stats[0].InFlight+2 {
 		t.Errorf("%d attempts in flight without load, %d when all responses take 0.8 of the objective",
 			stats[0].InFlight, stats[1].InFlight)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,8 +10,8 @@
 const (
 	// initialLimit is the least concurrency limit of a new server, in attempts.
 	initialLimit = 2
-	// initialFleetLimit is what all agents together may have in flight at a new server: one with two
-	// cores works on six requests at once, as some of them wait for others.
+	// initialFleetLimit is what all agents together may have in flight at a new server: more than its
+	// cores, as some requests wait for others.
 	initialFleetLimit = 8
 )
 
@@ -91,7 +91,7 @@
 	s.baseline = 0
 	s.limit = 1
 	// A random part of one attempt: of many agents that never earn a complete one, as many send
-	// one as they earned together. From a credit of 0 new servers were left idle.
+	// one as they earned together.
 	s.slowStartCredit = l.env.random.Float64()
 }
 
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -258,7 +258,7 @@
 func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
-		{1500, 15}, // a hundred at each, as 30 would take a minute under the race detector
+		{1500, 15}, // a hundred agents for each server
 		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
 	}
 	for _, c := range slowStartCases {
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -6,8 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Idle connections are closed where keeping them costs more than opening new ones. Once, each of a
-// thousand agents kept connections to a third of the servers, at a cost for each.
+// Idle connections are closed where keeping them costs more than opening new ones.
 func TestIdleConnectionsAreClosedWhereKeepingCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -15,7 +15,7 @@
 
 // keyPartitions counts the requests of each affinity key and splits popular keys into partitions.
 // The load cap alone does not spread a popular key: of many agents none has enough attempts in
-// flight to reach it, and one server was measured to get 18 times the mean load.
+// flight to reach it.
 type keyPartitions struct {
 	env       *environment
 	endpoints *endpointList
--- a/policy/keys_test.go
+++ b/policy/keys_test.go
@@ -6,9 +6,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A key with a large share of the requests is spread over many servers, a rare one keeps to few. Once, a
-// key with a tenth of the traffic went to one server only, as no agent had more than one of its requests
-// in flight.
+// A key with a large share of the requests is spread over many servers, a rare one keeps to few. The agent
+// has no more than one request in flight, so that no load cap spreads them.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	h := newHarness(t, testSettings(), 20)
 	popular, rare := map[balancer.Addr]bool{}, map[balancer.Addr]bool{}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -83,7 +83,7 @@
 // serverLimit is the mean latency above which the server counts as overloaded. Few agents each see
 // much of the load, and need not fear to overload a server that responds well within the objective;
 // too low a baseline would leave it idle. A server in slow start, with slowStartFraction of its
-// capacity, is slow before it is overloaded; without that only servers in slow start got load.
+// capacity, is slow before it is overloaded.
 func (l *latencyBaselines) serverLimit(s *server, slowStartFraction float64) float64 {
 	least := smallFleetAgents * maxMeanLatency / (smallFleetAgents + float64(l.env.settings.FleetSize))
 	limit := max(overloadFactor*max(l.baseline, s.baseline), least)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -96,10 +96,9 @@
 	}
 }
 
-// A single agent had quick first responses (a few popular keys), and counted all that followed as
-// overload, with one attempt in flight at a server, for good. A single agent's baseline has to follow
-// responses in 0.4 of the objective, above its least latency limit of a third: under load its limits grow
-// again.
+// A single agent whose first responses were quick (those of a few popular keys) must not take all that
+// follow for overload. Its baseline has to follow responses in 0.4 of the objective, above its least latency
+// limit of a third: under load its limits grow again.
 func TestSingleAgentRaisesItsBaseline(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 1
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,10 +7,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-const (
-	// maxQueued bounds the queued requests, and so the work of a decision.
-	maxQueued = 512
-)
+// maxQueued bounds the queued requests, and so the work of a decision.
+const maxQueued = 512
 
 // requestQueue holds the requests that wait for capacity.
 type requestQueue struct {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -8,8 +8,7 @@
 )
 
 // retryBudget limits retries to a part of the served requests, by a token bucket as in Finagle and
-// Linkerd. Without it retries multiply the load just when few requests are served: up to six
-// attempts for each request were measured.
+// Linkerd. Without it retries multiply the load just when few requests are served.
 type retryBudget struct {
 	tokens float64 // retries that may be made
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,7 +9,8 @@
 	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
 	// preferredServers nearest its key: to go on at once would lose the server's cache for the key
 	// just when servers are short of time.
-	keyWaitFraction  = 0.25
+	keyWaitFraction = 0.25
+	// preferredServers is the number of servers nearest its key for which a request waits.
 	preferredServers = 2
 )
 
@@ -32,8 +33,7 @@
 }
 
 // choose selects a server for the request; nil if none has capacity. Only servers that can win are
-// scored in full, and none are sorted: with hundreds of them that took more than the agent's part of
-// a CPU.
+// scored in full, and none are sorted, as there may be thousands of them.
 func (l *serverSelector) choose(r *request) *server {
 	r.tierWeight = 0
 	if !r.mayAttempt(l.env.now) {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -11,7 +11,7 @@
 	// maxSlowStartCredit bounds a server's slow-start credit, in attempts: all agents may spend
 	// theirs at once, and the server's budget counts over a short time.
 	maxSlowStartCredit = 1.0
-	// slowStartMargin is how much of its present capacity an even share of the load may cost a
+	// slowStartMargin is how many times its present capacity an even share of the load may cost a
 	// server in slow start: warm servers save up to three quarters of the work by their caches.
 	slowStartMargin = 4.0
 )
@@ -136,9 +136,8 @@
 // attempt, they spend that and a sum of rounded parts, whose variance is under N: by chance at most
 // 2 sqrt(N) + 2 more.
 //
-// Attempts that were only sent do not count: in a test with six attempts for each request most were
-// rejected. Nor do late responses of servers that drain or failed: the weight of the servers that
-// are left says nothing of them.
+// Attempts that were only sent do not count, as most of them may be rejected. Nor do late responses
+// of servers that drain or failed: the weight of the servers that are left says nothing of them.
 func (w *slowStart) earn(from *server) {
 	warm := w.warmWeight()
 	if warm == 0 || !w.isWarm(from) {
@@ -154,8 +153,8 @@
 	}
 }
 
-// accrued is the credit that accrues to a server in slow start with time where no warm server is left to
-// earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
+// accrued is the credit that accrues to a server in slow start with time where no warm server is left
+// to earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
 // an overload window. What the warm servers earned before they were lost does not count twice.
 func (w *slowStart) accrued(s *server) float64 {
 	if w.warmWeight() > 0 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -30,7 +30,7 @@
 }
 
 // Many agents with few requests each send a server in slow start its part together, though none of them
-// earns a complete attempt for it. Once, the new half of a fleet stood idle until it was warm.
+// earns a complete attempt for it.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
 	warming, all := 0, 0
 	for seed := range uint64(200) {
