--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -102,40 +102,40 @@
 }
 
 // compareChoice compares the choice for a request with the reference, and undoes the changes of both.
-func (d *randomScenario) compareChoice(r *request) {
-	b, was, draws := d.b, *r, *d.draws
+func (sc *referenceScenario) compareChoice(r *request) {
+	b, was, draws := sc.balancer, *r, *sc.draws
 	want := b.referenceChoose(r)
-	expected, wantDraws := *r, *d.draws
-	*r, *d.draws = was, draws
+	expected, wantDraws := *r, *sc.draws
+	*r, *sc.draws = was, draws
 	got := b.selector.choose(r)
-	if got != want || *d.draws != wantDraws || r.nearest != expected.nearest ||
+	if got != want || *sc.draws != wantDraws || r.nearest != expected.nearest ||
 		r.nearestEpoch != expected.nearestEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
-		d.Fatalf("request %d, key %d: chose %s, by the reference %s; tier weight %v and %v, draws equal: %t",
-			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *d.draws == wantDraws)
+		sc.Fatalf("request %d, key %d: chose %s, by the reference %s; tier weight %v and %v, draws equal: %t",
+			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *sc.draws == wantDraws)
 	}
 	if got != nil {
-		d.seen[fmt.Sprintf("tier %d", b.outliers.tierOf(got, r))]++
+		sc.choices[fmt.Sprintf("tier %d", b.outliers.tierOf(got, r))]++
 		if b.now < got.restingUntil {
-			d.seen["resting"]++
+			sc.choices["resting"]++
 		}
 		if b.slowStart.fraction(got) < 1 {
-			d.seen["slow start"]++
+			sc.choices["slow start"]++
 		}
 	} else {
-		d.seen["none"]++
+		sc.choices["none"]++
 	}
-	*r, *d.draws = was, draws
+	*r, *sc.draws = was, draws
 }
 
 // compare compares the state and the choices of the moment with the reference.
-func (d *randomScenario) compare() {
-	b := d.b
+func (sc *referenceScenario) compare() {
+	b := sc.balancer
 	b.now += 1e-3 // a new moment: the warm weight is computed once for all decisions of one
-	d.now = b.now
+	sc.now = b.now
 	if got, want := b.slowStart.warmWeight(),
 		b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
-		d.Fatalf("warm weight %v, by the reference %v", got, want)
+		sc.Fatalf("warm weight %v, by the reference %v", got, want)
 	}
 	sets := []struct {
 		name string
@@ -150,24 +150,25 @@
 	}
 	for _, set := range sets {
 		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
-			d.Fatalf("%s: %d servers, by the reference %d", set.name, len(set.got), len(want))
+			sc.Fatalf("%s: %d servers, by the reference %d", set.name, len(set.got), len(want))
 		}
 	}
 	for _, r := range b.queue.requests {
-		d.compareChoice(r)
+		sc.compareChoice(r)
 	}
-	class := b.classes.classes[d.rng.IntN(len(b.classes.classes))]
-	r := &request{id: 1 << 30, class: class, maxAttempts: 3, key: uint64(d.rng.IntN(12)), arrivedAt: b.now,
+	class := b.classes.classes[sc.random.IntN(len(b.classes.classes))]
+	r := &request{id: 1 << 30, class: class, maxAttempts: 3, key: uint64(sc.random.IntN(12)),
+		arrivedAt:   b.now,
 		objectiveAt: b.now + 300, deadline: b.now + 400}
-	if r.partitionKey = r.key; d.rng.IntN(2) == 0 {
+	if r.partitionKey = r.key; sc.random.IntN(2) == 0 {
 		r.arrivedAt -= 200 // it does not wait for its key's servers any more
 	}
-	d.compareChoice(r)
+	sc.compareChoice(r)
 	if n := len(b.endpoints.servers); n > 0 { // it had an attempt at one before, which may have executed
-		s := b.endpoints.servers[d.rng.IntN(n)]
+		s := b.endpoints.servers[sc.random.IntN(n)]
 		r.attempts = []*attempt{{request: r, server: s, ended: true}}
 		r.maybeExecuted, r.executedAt, r.executedOn = 1, b.now, s
-		d.compareChoice(r)
+		sc.compareChoice(r)
 	}
 }
 
@@ -176,12 +177,12 @@
 func TestDecisionsEqualTheReference(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(60) {
-		d := newRandomScenario(t, seed)
-		d.seen = seen
-		d.list(int(seed)%50, balancer.ListCached)
+		sc := newReferenceScenario(t, seed)
+		sc.choices = seen
+		sc.list(int(seed)%50, balancer.ListCached)
 		for range 600 {
-			d.step()
-			d.compare()
+			sc.step()
+			sc.compare()
 		}
 	}
 	for _, kind := range []string{"tier 0", "tier 1", "tier 2", "resting", "slow start", "none"} {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -28,19 +28,19 @@
 
 // mayForward tells whether an attempt of the request at the server is permitted. The limits of its
 // load are in concurrencyLimits.serverAllows.
-func (l *serverSelector) mayForward(r *request, s *server) bool {
-	return s.ready && r.mayAttempt(l.env.now) && r.mayAttemptAt(s, l.env, len(l.endpoints.servers))
+func (sel *serverSelector) mayForward(r *request, s *server) bool {
+	return s.ready && r.mayAttempt(sel.env.now) && r.mayAttemptAt(s, sel.env, len(sel.endpoints.servers))
 }
 
 // choose selects a server for the request; nil if none has capacity. Only servers that can win are
 // scored in full, and none are sorted, as there may be thousands of them.
-func (l *serverSelector) choose(r *request) *server {
+func (sel *serverSelector) choose(r *request) *server {
 	r.tierWeight = 0
-	if !r.mayAttempt(l.env.now) {
+	if !r.mayAttempt(sel.env.now) {
 		return nil
 	}
 	for t := range tierCount {
-		if s, found := l.chooseInTier(r, t); found {
+		if s, found := sel.chooseInTier(r, t); found {
 			return s
 		}
 	}
@@ -49,62 +49,62 @@
 
 // chooseInTier selects a server of one tier; found tells whether the tier has any to choose from.
 // Those that rest come last, unless most of them rest: then all are overloaded.
-func (l *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
-	restingWeight := l.fillCandidates(r, t)
+func (sel *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
+	restingWeight := sel.fillCandidates(r, t)
 	if r.tierWeight == 0 || restingWeight > r.tierWeight/2 {
-		l.skipDraws(r, true)
-	} else if s, found = l.nearest(r, true); found {
+		sel.skipDraws(r, true)
+	} else if s, found = sel.nearest(r, true); found {
 		return s, true
 	}
 	if r.tierWeight == 0 {
-		l.skipDraws(r, false)
+		sel.skipDraws(r, false)
 		return nil, false
 	}
-	s, _ = l.nearest(r, false)
+	s, _ = sel.nearest(r, false)
 	return s, true
 }
 
 // fillCandidates makes the servers of the tier to which the request may go the candidates, sets
 // r.tierWeight to their weight, and returns the weight of those that rest.
-func (l *serverSelector) fillCandidates(r *request, t tier) (restingWeight float64) {
-	servers := l.endpoints.servers
+func (sel *serverSelector) fillCandidates(r *request, t tier) (restingWeight float64) {
+	servers := sel.endpoints.servers
 	if t > healthyTier {
-		servers = l.endpoints.notHealthy()
+		servers = sel.endpoints.notHealthy()
 	}
-	candidates := l.candidates[:0]
+	candidates := sel.candidates[:0]
 	r.tierWeight = 0
 	for _, s := range servers {
-		if !s.ready || l.outliers.tierOf(s, r) != t {
+		if !s.ready || sel.outliers.tierOf(s, r) != t {
 			continue
 		}
-		if len(r.attempts) > 0 && !r.mayAttemptAt(s, l.env, len(l.endpoints.servers)) {
+		if len(r.attempts) > 0 && !r.mayAttemptAt(s, sel.env, len(sel.endpoints.servers)) {
 			continue
 		}
-		weight := s.weight * l.slowStart.fraction(s)
+		weight := s.weight * sel.slowStart.fraction(s)
 		r.tierWeight += weight
-		if s.isResting(l.env.now) {
+		if s.isResting(sel.env.now) {
 			restingWeight += weight
 		}
 		candidates = append(candidates, s)
 	}
-	l.candidates = candidates
+	sel.candidates = candidates
 	return restingWeight
 }
 
 // nearest is the first candidate in the request's order that accepts it; found tells whether there
 // was any to choose from. A request that waits for the servers of its key has no others.
-func (l *serverSelector) nearest(r *request, skipResting bool) (best *server, found bool) {
-	if r.waitsForKey(l.env.now) {
-		return l.nearestOfKey(r, skipResting)
+func (sel *serverSelector) nearest(r *request, skipResting bool) (best *server, found bool) {
+	if r.waitsForKey(sel.env.now) {
+		return sel.nearestOfKey(r, skipResting)
 	}
-	for _, s := range l.candidates {
-		if skipResting && s.isResting(l.env.now) || !l.concurrency.serverAllows(s) {
+	for _, s := range sel.candidates {
+		if skipResting && s.isResting(sel.env.now) || !sel.concurrency.serverAllows(s) {
 			continue
 		}
 		found = true
-		position := l.position(r, s)
-		weight := l.orderWeight(s)
-		if best != nil && position.minScore(weight) >= best.score || !l.underLoadCap(s, r) {
+		position := sel.position(r, s)
+		weight := sel.orderWeight(s)
+		if best != nil && position.minScore(weight) >= best.score || !sel.underLoadCap(s, r) {
 			continue
 		}
 		s.score = position.score(weight)
@@ -116,16 +116,16 @@
 }
 
 // nearestOfKey is the first of the preferredServers nearest the request's key that accepts it.
-func (l *serverSelector) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
+func (sel *serverSelector) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
 	var preferred [preferredServers]*server
 	count := 0
-	for _, s := range l.candidates {
-		if skipResting && s.isResting(l.env.now) {
+	for _, s := range sel.candidates {
+		if skipResting && s.isResting(sel.env.now) {
 			continue
 		}
 		count++
-		position := l.position(r, s)
-		weight := l.orderWeight(s)
+		position := sel.position(r, s)
+		weight := sel.orderWeight(s)
 		farthest := preferred[preferredServers-1]
 		if farthest != nil && position.minScore(weight) >= farthest.score {
 			continue
@@ -135,10 +135,10 @@
 	}
 	if count > preferredServers {
 		r.nearest = preferred
-		r.nearestEpoch = l.endpoints.epoch
+		r.nearestEpoch = sel.endpoints.epoch
 	}
 	for _, s := range preferred {
-		if s != nil && (best == nil || s.score < best.score) && l.accepts(s, r) {
+		if s != nil && (best == nil || s.score < best.score) && sel.accepts(s, r) {
 			best = s
 		}
 	}
@@ -161,40 +161,40 @@
 
 // skipDraws passes over the random positions of a choice among no candidates, so that later random
 // numbers do not depend on which servers rest.
-func (l *serverSelector) skipDraws(r *request, skipResting bool) {
+func (sel *serverSelector) skipDraws(r *request, skipResting bool) {
 	if r.key != 0 {
 		return
 	}
-	for _, s := range l.candidates {
-		if !(skipResting && s.isResting(l.env.now)) && l.concurrency.serverAllows(s) {
-			l.env.random.Uint64()
+	for _, s := range sel.candidates {
+		if !(skipResting && s.isResting(sel.env.now)) && sel.concurrency.serverAllows(s) {
+			sel.env.random.Uint64()
 		}
 	}
 }
 
 // position is the server's position for the request's key, the same for all agents of a zone, or a
 // random one if the request has no key.
-func (l *serverSelector) position(r *request, s *server) position {
+func (sel *serverSelector) position(r *request, s *server) position {
 	if r.key == 0 {
-		return newPosition(l.env.random.Uint64())
+		return newPosition(sel.env.random.Uint64())
 	}
 	return newPosition(splitmix64(r.partitionKey ^ s.hash))
 }
 
 // orderWeight is the server's weight in the order of a request.
-func (l *serverSelector) orderWeight(s *server) float64 {
-	return l.zone.weight(s, s.weight*l.slowStart.loadShare(s))
+func (sel *serverSelector) orderWeight(s *server) float64 {
+	return sel.zone.weight(s, s.weight*sel.slowStart.loadShare(s))
 }
 
 // nearestAreFull tells whether the request waits for the servers nearest its key, as they were last
 // determined, and none of them accepts it.
-func (l *serverSelector) nearestAreFull(r *request) bool {
-	determined := r.nearest[0] != nil && r.nearestEpoch == l.endpoints.epoch
-	if !determined || !r.waitsForKey(l.env.now) {
+func (sel *serverSelector) nearestAreFull(r *request) bool {
+	determined := r.nearest[0] != nil && r.nearestEpoch == sel.endpoints.epoch
+	if !determined || !r.waitsForKey(sel.env.now) {
 		return false
 	}
 	for _, s := range r.nearest {
-		if l.accepts(s, r) {
+		if sel.accepts(s, r) {
 			return false
 		}
 	}
@@ -202,14 +202,14 @@
 }
 
 // accepts tells whether the server is under its load cap and has capacity.
-func (l *serverSelector) accepts(s *server, r *request) bool {
-	return l.underLoadCap(s, r) && l.concurrency.serverAllows(s)
+func (sel *serverSelector) accepts(s *server, r *request) bool {
+	return sel.underLoadCap(s, r) && sel.concurrency.serverAllows(s)
 }
 
 // underLoadCap tells whether the server is under its load cap in the tier of the last selection for
 // the request.
-func (l *serverSelector) underLoadCap(s *server, r *request) bool {
-	share := s.weight * l.slowStart.fraction(s) / r.tierWeight
-	loadCap := math.Ceil(loadCapFactor * float64(l.concurrency.inFlight+1) * share)
-	return float64(l.concurrency.active(s)) < loadCap
+func (sel *serverSelector) underLoadCap(s *server, r *request) bool {
+	share := s.weight * sel.slowStart.fraction(s) / r.tierWeight
+	loadCap := math.Ceil(loadCapFactor * float64(sel.concurrency.inFlight+1) * share)
+	return float64(sel.concurrency.active(s)) < loadCap
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -56,13 +56,13 @@
 }
 
 // invalidate notes that the set of servers in slow start may have changed.
-func (w *slowStart) invalidate() { w.changes++ }
+func (ss *slowStart) invalidate() { ss.changes++ }
 
 // fraction is the part of its capacity that a server has by the contract: 1 where its start is long
 // past or not known, or was assumed and has not been confirmed by the endpoint list in time.
-func (w *slowStart) fraction(s *server) float64 {
-	contract := &w.env.settings.Contract
-	age := w.env.now - s.startedAt
+func (ss *slowStart) fraction(s *server) float64 {
+	contract := &ss.env.settings.Contract
+	age := ss.env.now - s.startedAt
 	if s.startedAt <= 0 || age >= contract.SlowStartMs || s.restartAssumed && age > contract.PollWithinMs {
 		return 1
 	}
@@ -72,58 +72,58 @@
 // loadShare is the part of an even share of the load that a server may be sent. For one in slow
 // start it is what keeps the contract, so that its keys move to it as it warms up, instead of
 // waiting for it.
-func (w *slowStart) loadShare(s *server) float64 {
-	if fraction := w.fraction(s); fraction < 1 {
-		return fraction * w.env.settings.Contract.OverloadMultiple / slowStartMargin
+func (ss *slowStart) loadShare(s *server) float64 {
+	if fraction := ss.fraction(s); fraction < 1 {
+		return fraction * ss.env.settings.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
 }
 
 // isWarm tells whether a server counts into the warm weight: healthy, and not in slow start.
-func (w *slowStart) isWarm(s *server) bool {
-	return s.ready && s.health <= balancer.Unknown && w.fraction(s) == 1
+func (ss *slowStart) isWarm(s *server) bool {
+	return s.ready && s.health <= balancer.Unknown && ss.fraction(s) == 1
 }
 
 // warmWeight is the weight of the warm servers. It is computed once for all decisions of a moment,
 // and summed up anew only where a server's health, listing or slow start has changed.
-func (w *slowStart) warmWeight() float64 {
-	cache := &w.warm
-	if cache.at == w.env.now && cache.epoch == w.endpoints.epoch {
+func (ss *slowStart) warmWeight() float64 {
+	cache := &ss.warm
+	if cache.at == ss.env.now && cache.epoch == ss.endpoints.epoch {
 		return cache.sum
 	}
-	warming := len(w.warmingServers())
-	unchanged := cache.epoch == w.endpoints.epoch && cache.changes == w.changes && cache.warming == warming
-	cache.at = w.env.now
-	cache.epoch = w.endpoints.epoch
-	cache.changes = w.changes
+	warming := len(ss.warmingServers())
+	unchanged := cache.epoch == ss.endpoints.epoch && cache.changes == ss.changes && cache.warming == warming
+	cache.at = ss.env.now
+	cache.epoch = ss.endpoints.epoch
+	cache.changes = ss.changes
 	cache.warming = warming
 	if unchanged {
 		return cache.sum
 	}
 	before := cache.sum
 	cache.sum = 0
-	for _, s := range w.endpoints.servers {
-		if w.isWarm(s) {
+	for _, s := range ss.endpoints.servers {
+		if ss.isWarm(s) {
 			cache.sum += s.weight
 		}
 	}
 	if before > 0 && cache.sum == 0 {
-		cache.goneAt = w.env.now
+		cache.goneAt = ss.env.now
 	}
 	return cache.sum
 }
 
 // warmingServers returns the listed servers in slow start, by address. Between changes of the list
 // and of starts, time can only make them fewer.
-func (w *slowStart) warmingServers() []*server {
-	cache := &w.warming
-	if cache.epoch != w.endpoints.epoch || cache.changes != w.changes || w.env.now < cache.at {
-		cache.servers = append(cache.servers[:0], w.endpoints.servers...)
-		cache.epoch = w.endpoints.epoch
-		cache.changes = w.changes
+func (ss *slowStart) warmingServers() []*server {
+	cache := &ss.warming
+	if cache.epoch != ss.endpoints.epoch || cache.changes != ss.changes || ss.env.now < cache.at {
+		cache.servers = append(cache.servers[:0], ss.endpoints.servers...)
+		cache.epoch = ss.endpoints.epoch
+		cache.changes = ss.changes
 	}
-	cache.servers = slices.DeleteFunc(cache.servers, func(s *server) bool { return w.fraction(s) == 1 })
-	cache.at = w.env.now
+	cache.servers = slices.DeleteFunc(cache.servers, func(s *server) bool { return ss.fraction(s) == 1 })
+	cache.at = ss.env.now
 	return cache.servers
 }
 
@@ -138,17 +138,17 @@
 //
 // Attempts that were only sent do not count, as most of them may be rejected. Nor do late responses
 // of servers that drain or failed: the weight of the servers that are left says nothing of them.
-func (w *slowStart) earn(from *server) {
-	warm := w.warmWeight()
-	if warm == 0 || !w.isWarm(from) {
+func (ss *slowStart) earn(from *server) {
+	warm := ss.warmWeight()
+	if warm == 0 || !ss.isWarm(from) {
 		return
 	}
-	decay := math.Exp((w.servedRateAt - w.env.now) / w.env.settings.Contract.SlowStartMs)
-	w.servedRate = w.servedRate*decay + 1/warm
-	w.servedRateAt = w.env.now
-	for _, s := range w.warmingServers() {
-		if w.fraction(s) < 1 {
-			s.slowStartCredit = min(s.slowStartCredit+w.loadShare(s)*s.weight/warm, maxSlowStartCredit)
+	decay := math.Exp((ss.servedRateAt - ss.env.now) / ss.env.settings.Contract.SlowStartMs)
+	ss.servedRate = ss.servedRate*decay + 1/warm
+	ss.servedRateAt = ss.env.now
+	for _, s := range ss.warmingServers() {
+		if ss.fraction(s) < 1 {
+			s.slowStartCredit = min(s.slowStartCredit+ss.loadShare(s)*s.weight/warm, maxSlowStartCredit)
 		}
 	}
 }
@@ -156,25 +156,25 @@
 // accrued is the credit that accrues to a server in slow start with time where no warm server is left
 // to earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
 // an overload window. What the warm servers earned before they were lost does not count twice.
-func (w *slowStart) accrued(s *server) float64 {
-	if w.warmWeight() > 0 {
+func (ss *slowStart) accrued(s *server) float64 {
+	if ss.warmWeight() > 0 {
 		return 0
 	}
-	contract := &w.env.settings.Contract
-	least := 1 / (max(contract.OverloadWindowMs, 1) * w.env.fleetSize())
-	perMs := max(w.servedRate*s.weight*w.loadShare(s)/contract.SlowStartMs, least)
-	return (w.env.now - max(s.pace.lastAt, s.healthSince, w.warm.goneAt)) * perMs
+	contract := &ss.env.settings.Contract
+	least := 1 / (max(contract.OverloadWindowMs, 1) * ss.env.fleetSize())
+	perMs := max(ss.servedRate*s.weight*ss.loadShare(s)/contract.SlowStartMs, least)
+	return (ss.env.now - max(s.pace.lastAt, s.healthSince, ss.warm.goneAt)) * perMs
 }
 
 // hasCredit tells whether a server may be sent an attempt; one that is not in slow start always may.
-func (w *slowStart) hasCredit(s *server) bool {
-	return w.fraction(s) == 1 || s.slowStartCredit+w.accrued(s) >= 1
+func (ss *slowStart) hasCredit(s *server) bool {
+	return ss.fraction(s) == 1 || s.slowStartCredit+ss.accrued(s) >= 1
 }
 
 // spend charges an attempt to the credit of a server in slow start.
-func (w *slowStart) spend(s *server) {
-	if w.fraction(s) < 1 {
-		s.slowStartCredit = min(s.slowStartCredit+w.accrued(s), maxSlowStartCredit) - 1
+func (ss *slowStart) spend(s *server) {
+	if ss.fraction(s) < 1 {
+		s.slowStartCredit = min(s.slowStartCredit+ss.accrued(s), maxSlowStartCredit) - 1
 	}
 }
 
@@ -182,15 +182,15 @@
 // reached for long may be a new process that is not listed as such yet: it is taken to have started
 // now. Timeouts alone are no sign of a restart, and quick responses are no sign against one: a
 // server in slow start is quick while it has little load.
-func (w *slowStart) recordContact(s *server) {
-	unreachableMs := w.env.now - s.unreachableSince
-	if s.unreachableSince > 0 && unreachableMs > w.env.settings.Contract.OverloadWindowMs {
-		s.startedAt = w.env.now
+func (ss *slowStart) recordContact(s *server) {
+	unreachableMs := ss.env.now - s.unreachableSince
+	if s.unreachableSince > 0 && unreachableMs > ss.env.settings.Contract.OverloadWindowMs {
+		s.startedAt = ss.env.now
 		s.restartAssumed = true
 		s.limit = 1
 		s.slowStartCredit = 0
-		w.invalidate()
+		ss.invalidate()
 	}
-	s.lastResponseAt = w.env.now
+	s.lastResponseAt = ss.env.now
 	s.unreachableSince = 0
 }
