--- a/policy/reference_scenario_test.go
+++ b/policy/reference_scenario_test.go
@@ -14,24 +14,30 @@
 	random      *rand.Rand
 	draws       *rand.PCG // the Balancer's own
 	balancer    *Balancer
-	now         float64
+	now         float64 // milliseconds
 	lastRequest balancer.RequestID
-	attempts    map[balancer.RequestID]int
-	inFlight    []balancer.Event // attempts in flight, as the events of their ends
-	choices     map[string]int
+	attempts    map[balancer.RequestID]int // number of attempts of each request
+	inFlight    []balancer.Event           // attempts in flight, as the events of their ends
+	choices     map[string]int             // number of compared choices, by what they chose
 }
 
 // newReferenceScenario returns a scenario whose settings and events are drawn from the seed.
 func newReferenceScenario(t *testing.T, seed uint64) *referenceScenario {
 	t.Helper()
-	sc := &referenceScenario{T: t, random: rand.New(rand.NewPCG(seed, 1)), draws: rand.NewPCG(seed, 2),
+	sc := &referenceScenario{
+		T:        t,
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		draws:    rand.NewPCG(seed, 2),
 		now:      1e5,
-		attempts: map[balancer.RequestID]int{}, choices: map[string]int{}}
+		attempts: map[balancer.RequestID]int{},
+		choices:  map[string]int{},
+	}
 	b, err := New(sc.settings(), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc.balancer, b.random = b, rand.New(sc.draws)
+	b.random = rand.New(sc.draws)
+	sc.balancer = b
 	b.Start(sc.now, nil)
 	return sc
 }
@@ -39,103 +45,134 @@
 // settings draws settings.
 func (sc *referenceScenario) settings() balancer.Settings {
 	return balancer.Settings{
-		Classes: []balancer.Class{
-			{Name: "idempotent", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
-				Idempotency: balancer.Idempotent, PriorityWeight: 1, LateFraction: 0.2},
-			{Name: "non-idempotent", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
-				Idempotency: balancer.NonIdempotent, PriorityWeight: 4},
-			{Name: "by key", LatencyObjectiveMs: 300, TotalTimeoutMs: 1000,
-				Idempotency: balancer.IdempotentByKey, DedupWindowMs: 900, PriorityWeight: 2,
-				DedupScope: []balancer.DedupScope{balancer.DedupFleet, balancer.DedupZone,
-					balancer.DedupCell}[sc.random.IntN(3)]},
+		Classes: sc.classes(),
+		Limits: balancer.Limits{
+			AttemptCancellation: true,
+			HealthChecks:        sc.random.IntN(2) == 0,
+			MaxAttempts:         1 + sc.random.IntN(4),
+			MaxRetryAfterMs:     500,
+		},
+		Contract: balancer.Contract{
+			PollWithinMs:     2000,
+			SlowStartFrom:    oneOf(sc.random, 0, 0.14, 1),
+			SlowStartMs:      4000 * sc.random.Float64(),
+			OverloadMultiple: float64(sc.random.IntN(4)),
+			OverloadWindowMs: 500,
+		},
+		DiscoveryMode: balancer.DiscoveryPushed,
+		FleetSize:     1 + sc.random.IntN(900),
+		RoundTripMs:   5,
+		WeightBy:      balancer.WeightByRequest,
+	}
+}
+
+// classes returns a class of each idempotency; the scope of duplicates is drawn.
+func (sc *referenceScenario) classes() []balancer.Class {
+	return []balancer.Class{
+		{
+			Name:               "idempotent",
+			LatencyObjectiveMs: 300,
+			TotalTimeoutMs:     1000,
+			Idempotency:        balancer.Idempotent,
+			PriorityWeight:     1,
+			LateFraction:       0.2,
+		},
+		{
+			Name:               "non-idempotent",
+			LatencyObjectiveMs: 300,
+			TotalTimeoutMs:     1000,
+			Idempotency:        balancer.NonIdempotent,
+			PriorityWeight:     4,
+		},
+		{
+			Name:               "by key",
+			LatencyObjectiveMs: 300,
+			TotalTimeoutMs:     1000,
+			Idempotency:        balancer.IdempotentByKey,
+			DedupWindowMs:      900,
+			PriorityWeight:     2,
+			DedupScope:         oneOf(sc.random, balancer.DedupFleet, balancer.DedupZone, balancer.DedupCell),
 		},
-		Limits: balancer.Limits{AttemptCancellation: true, HealthChecks: sc.random.IntN(2) == 0,
-			MaxAttempts:     1 + sc.random.IntN(4),
-			MaxRetryAfterMs: 500},
-		Contract: balancer.Contract{PollWithinMs: 2000,
-			SlowStartFrom: []float64{0, 0.14, 1}[sc.random.IntN(3)],
-			SlowStartMs:   4000 * sc.random.Float64(), OverloadMultiple: float64(sc.random.IntN(4)),
-			OverloadWindowMs: 500},
-		DiscoveryMode: "pushed", FleetSize: 1 + sc.random.IntN(900), RoundTripMs: 5, WeightBy: "request",
 	}
 }
 
+// oneOf draws one of the values, each with the same probability.
+func oneOf[T any](random *rand.Rand, values ...T) T { return values[random.IntN(len(values))] }
+
 // handle hands the Balancer an event and notes the attempts that it forwards.
 func (sc *referenceScenario) handle(ev balancer.Event) {
 	for _, a := range sc.balancer.Handle(sc.now, &ev, nil) {
 		if a.Kind == balancer.ActionForward {
-			sc.inFlight = append(sc.inFlight, balancer.Event{Kind: balancer.EventAttemptDone,
+			sc.inFlight = append(sc.inFlight, balancer.Event{
+				Kind:    balancer.EventAttemptDone,
 				Request: a.Request,
 				Attempt: sc.attempts[a.Request],
-				Server:  a.Server})
+				Server:  a.Server,
+			})
 			sc.attempts[a.Request]++
 		}
 	}
 }
 
-// list updates the entries of some random servers.
-func (sc *referenceScenario) list(count int, kind balancer.ListUpdate) {
-	var entries []balancer.Endpoint
+// updateList updates the entries of some random servers.
+func (sc *referenceScenario) updateList(count int, kind balancer.ListUpdate) {
+	var endpoints []balancer.Endpoint
 	for range count {
-		i := sc.random.IntN(60)
-		e := balancer.Endpoint{Server: balancer.Addr{10, 0, 0, byte(i), 1, 1}, Zone: i % 3, Cell: i % 4,
-			StartedMs: 1,
-			Weight:    float64(sc.random.IntN(3)),
-			State: []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Ready,
-				balancer.Ready, balancer.Draining, balancer.Removed}[sc.random.IntN(6)]}
-		if sc.random.IntN(3) == 0 {
-			e.StartedMs = sc.now - 100*sc.random.Float64()
-		}
-		entries = append(entries, e)
+		endpoints = append(endpoints, sc.endpoint())
 	}
-	sc.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: entries})
+	sc.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: endpoints})
+	servers := sc.balancer.endpoints.servers
 	for range sc.random.IntN(3) { // equal scores, which hashes of addresses hardly give
-		if n := len(sc.balancer.endpoints.servers); n > 0 {
-			sc.balancer.endpoints.servers[sc.random.IntN(n)].hash =
-				sc.balancer.endpoints.servers[sc.random.IntN(n)].hash
+		if len(servers) > 0 {
+			s := oneOf(sc.random, servers...)
+			s.hash = oneOf(sc.random, servers...).hash
 		}
 	}
 }
 
+// endpoint draws the entry of a random server.
+func (sc *referenceScenario) endpoint() balancer.Endpoint {
+	i := sc.random.IntN(60)
+	e := balancer.Endpoint{
+		Server:    balancer.Addr{10, 0, 0, byte(i), 1, 1},
+		Zone:      i % 3,
+		Cell:      i % 4,
+		StartedMs: 1,
+		Weight:    float64(sc.random.IntN(3)),
+		State: oneOf(sc.random, balancer.Ready, balancer.Ready, balancer.Ready, balancer.Ready,
+			balancer.Draining, balancer.Removed),
+	}
+	if sc.random.IntN(3) == 0 {
+		e.StartedMs = sc.now - 100*sc.random.Float64()
+	}
+	return e
+}
+
 // step plays one random event a random time later.
 func (sc *referenceScenario) step() {
 	sc.now += 20 * sc.random.ExpFloat64()
 	if sc.random.IntN(100) == 0 {
 		sc.now -= 300 // the host's clock may be set back
 	}
+	servers := sc.balancer.endpoints.servers
 	switch n := sc.random.IntN(40); {
 	case n < 18:
-		sc.lastRequest++
-		sc.handle(balancer.Event{Kind: balancer.EventRequest, Request: sc.lastRequest,
-			Class:       sc.random.IntN(3),
-			Key:         uint64(sc.random.IntN(12)),
-			RemainingMs: 100 + 900*sc.random.Float64(), StreamedBody: sc.random.IntN(8) == 0})
+		sc.request()
 	case n < 32 && len(sc.inFlight) > 0:
-		i := sc.random.IntN(len(sc.inFlight))
-		ev := sc.inFlight[i]
-		ev.Kind, ev.RemainingMs = balancer.EventRequestSent, 300
-		sc.handle(ev)
-		if sc.random.IntN(3) == 0 {
-			return // it ends later
-		}
-		sc.inFlight = slices.Delete(sc.inFlight, i, i+1)
-		ev.Kind, ev.LatencyMs = balancer.EventAttemptDone, 300*sc.random.Float64()
-		statuses := []balancer.Status{balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
-			balancer.StatusError, balancer.StatusOverloaded, balancer.StatusOverloaded,
-			balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset,
-			balancer.StatusBadRequest}
-		ev.Status = statuses[sc.random.IntN(len(statuses))]
-		sc.handle(ev)
+		sc.advanceAttempt()
 	case n < 34:
 		sc.handle(balancer.Event{Kind: balancer.EventTimer, Token: tickTimer})
-	case n < 35 && len(sc.balancer.endpoints.servers) > 0:
-		checked := sc.balancer.endpoints.servers[sc.random.IntN(len(sc.balancer.endpoints.servers))]
-		sc.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: checked.address,
-			Status: balancer.StatusOK})
+	case n < 35 && len(servers) > 0:
+		checked := oneOf(sc.random, servers...)
+		sc.handle(balancer.Event{
+			Kind:   balancer.EventHealthCheckDone,
+			Server: checked.address,
+			Status: balancer.StatusOK,
+		})
 	case n < 36:
-		sc.list(1+sc.random.IntN(5), balancer.ListDelta)
+		sc.updateList(1+sc.random.IntN(5), balancer.ListDelta)
 	case n < 37 && sc.random.IntN(10) == 0:
-		sc.list(30, balancer.ListCached)
+		sc.updateList(30, balancer.ListCached)
 	case n < 38:
 		if err := sc.balancer.Retune(sc.settings()); err != nil {
 			sc.Fatal(err)
@@ -144,3 +181,37 @@
 		sc.handle(balancer.Event{Kind: balancer.EventClientGone, Request: sc.inFlight[0].Request})
 	}
 }
+
+// request makes a random request.
+func (sc *referenceScenario) request() {
+	sc.lastRequest++
+	sc.handle(balancer.Event{
+		Kind:         balancer.EventRequest,
+		Request:      sc.lastRequest,
+		Class:        sc.random.IntN(3),
+		Key:          uint64(sc.random.IntN(12)),
+		RemainingMs:  100 + 900*sc.random.Float64(),
+		StreamedBody: sc.random.IntN(8) == 0,
+	})
+}
+
+// advanceAttempt lets the server of a random attempt have all of its request, and mostly ends the
+// attempt at once.
+func (sc *referenceScenario) advanceAttempt() {
+	i := sc.random.IntN(len(sc.inFlight))
+	ev := sc.inFlight[i]
+	ev.Kind = balancer.EventRequestSent
+	ev.RemainingMs = 300
+	sc.handle(ev)
+	if sc.random.IntN(3) == 0 {
+		return // it ends later
+	}
+	sc.inFlight = slices.Delete(sc.inFlight, i, i+1)
+	ev.Kind = balancer.EventAttemptDone
+	ev.LatencyMs = 300 * sc.random.Float64()
+	ev.Status = oneOf(sc.random, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
+		balancer.StatusError, balancer.StatusOverloaded, balancer.StatusOverloaded,
+		balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset,
+		balancer.StatusBadRequest)
+	sc.handle(ev)
+}
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -15,62 +15,77 @@
 
 // referenceChoose selects a server as serverSelector.choose does.
 func (b *Balancer) referenceChoose(r *request) *server {
-	waits := r.waitsForKey(b.now)
-	for pass := range 6 {
-		t, skipResting := tier(pass/2), pass%2 == 0
-		candidates, resting := []*server{}, 0.0
-		r.tierWeight = 0
-		var near [preferredServers]*server
-		for _, s := range b.endpoints.servers {
-			if b.outliers.tierOf(s, r) != t || !b.selector.mayForward(r, s) {
-				continue
-			}
-			r.tierWeight += s.weight * b.slowStart.fraction(s)
-			if skipResting && b.now < s.restingUntil {
-				resting += s.weight * b.slowStart.fraction(s)
-				continue
-			}
-			if !waits && !b.concurrency.serverAllows(s) {
-				continue
-			}
-			s.score = b.referenceScore(r, s)
-			candidates = append(candidates, s)
-			for i, at := 0, s; i < preferredServers && at != nil; i++ {
-				if near[i] == nil || at.score < near[i].score {
-					near[i], at = at, near[i]
-				}
+	for t := range tierCount {
+		for _, skipResting := range []bool{true, false} {
+			if s, found := b.referenceChooseInTier(r, t, skipResting); found {
+				return s
 			}
 		}
-		if r.tierWeight == 0 || skipResting && (len(candidates) == 0 || resting > r.tierWeight/2) {
+	}
+	return nil
+}
+
+// referenceChooseInTier selects a server of one tier, of those that do not rest or of all; found tells
+// whether there is any to choose from, and with skipResting also that most do not rest.
+func (b *Balancer) referenceChooseInTier(r *request, t tier, skipResting bool) (best *server, found bool) {
+	waits := r.waitsForKey(b.now)
+	var candidates []*server
+	var nearest [preferredServers]*server
+	restingWeight := 0.0
+	r.tierWeight = 0
+	for _, s := range b.endpoints.servers {
+		if b.outliers.tierOf(s, r) != t || !b.selector.mayForward(r, s) {
 			continue
 		}
-		if waits && len(candidates) > preferredServers {
-			r.nearest, r.nearestEpoch = near, b.endpoints.epoch
-			candidates = near[:]
+		r.tierWeight += s.weight * b.slowStart.fraction(s)
+		if skipResting && b.now < s.restingUntil {
+			restingWeight += s.weight * b.slowStart.fraction(s)
+			continue
 		}
-		var best *server
-		for _, s := range candidates {
-			if (best == nil || s.score < best.score) && b.selector.accepts(s, r) {
-				best = s
-			}
+		if !waits && !b.concurrency.serverAllows(s) {
+			continue
+		}
+		s.score = b.referenceScore(r, s)
+		candidates = append(candidates, s)
+		referenceInsert(&nearest, s)
+	}
+	if r.tierWeight == 0 || skipResting && (len(candidates) == 0 || restingWeight > r.tierWeight/2) {
+		return nil, false
+	}
+	if waits && len(candidates) > preferredServers {
+		r.nearest = nearest
+		r.nearestEpoch = b.endpoints.epoch
+		candidates = nearest[:]
+	}
+	for _, s := range candidates {
+		if (best == nil || s.score < best.score) && b.selector.accepts(s, r) {
+			best = s
+		}
+	}
+	return best, true
+}
+
+// referenceInsert puts a server among the nearest, if it is one of them.
+func referenceInsert(nearest *[preferredServers]*server, s *server) {
+	for i := 0; i < preferredServers && s != nil; i++ {
+		if nearest[i] == nil || s.score < nearest[i].score {
+			nearest[i], s = s, nearest[i]
 		}
-		return best
 	}
-	return nil
 }
 
 // referenceScore is the score of the server in the order of the request.
 func (b *Balancer) referenceScore(r *request, s *server) float64 {
-	x := splitmix64(r.partitionKey ^ s.hash)
+	hash := splitmix64(r.partitionKey ^ s.hash)
 	if r.key == 0 {
-		x = b.random.Uint64()
+		hash = b.random.Uint64()
 	}
-	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.slowStart.loadShare(s)
+	uniform := float64(hash>>11) / (1 << 53)
+	weight := s.weight * b.slowStart.loadShare(s)
 	if s.zone == b.settings.Zone {
-		w *= b.zone.factor
+		weight *= b.zone.factor
 	}
-	return -math.Log(u+1e-18) / w
+	return -math.Log(uniform+1e-18) / weight
 }
 
 // referenceWarmWeight sums up the weight of the warm servers.
@@ -103,7 +118,8 @@
 
 // compareChoice compares the choice for a request with the reference, and undoes the changes of both.
 func (sc *referenceScenario) compareChoice(r *request) {
-	b, was, draws := sc.balancer, *r, *sc.draws
+	b := sc.balancer
+	was, draws := *r, *sc.draws
 	want := b.referenceChoose(r)
 	expected, wantDraws := *r, *sc.draws
 	*r, *sc.draws = was, draws
@@ -114,18 +130,24 @@
 		sc.Fatalf("request %d, key %d: chose %s, by the reference %s; tier weight %v and %v, draws equal: %t",
 			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *sc.draws == wantDraws)
 	}
-	if got != nil {
-		sc.choices[fmt.Sprintf("tier %d", b.outliers.tierOf(got, r))]++
-		if b.now < got.restingUntil {
-			sc.choices["resting"]++
-		}
-		if b.slowStart.fraction(got) < 1 {
-			sc.choices["slow start"]++
-		}
-	} else {
+	sc.countChoice(r, got)
+	*r, *sc.draws = was, draws
+}
+
+// countChoice counts a choice by the kinds that the scenarios have to cover.
+func (sc *referenceScenario) countChoice(r *request, chosen *server) {
+	if chosen == nil {
 		sc.choices["none"]++
+		return
+	}
+	b := sc.balancer
+	sc.choices[fmt.Sprintf("tier %d", b.outliers.tierOf(chosen, r))]++
+	if b.now < chosen.restingUntil {
+		sc.choices["resting"]++
+	}
+	if b.slowStart.fraction(chosen) < 1 {
+		sc.choices["slow start"]++
 	}
-	*r, *sc.draws = was, draws
 }
 
 // compare compares the state and the choices of the moment with the reference.
@@ -133,10 +155,20 @@
 	b := sc.balancer
 	b.now += 1e-3 // a new moment: the warm weight is computed once for all decisions of one
 	sc.now = b.now
-	if got, want := b.slowStart.warmWeight(),
-		b.referenceWarmWeight(); math.Float64bits(got) != math.Float64bits(want) {
+	got, want := b.slowStart.warmWeight(), b.referenceWarmWeight()
+	if math.Float64bits(got) != math.Float64bits(want) {
 		sc.Fatalf("warm weight %v, by the reference %v", got, want)
 	}
+	sc.compareSets()
+	for _, r := range b.queue.requests {
+		sc.compareChoice(r)
+	}
+	sc.compareNewRequest()
+}
+
+// compareSets compares the cached sets of servers with the reference.
+func (sc *referenceScenario) compareSets() {
+	b := sc.balancer
 	sets := []struct {
 		name string
 		got  []*server
@@ -153,21 +185,31 @@
 			sc.Fatalf("%s: %d servers, by the reference %d", set.name, len(set.got), len(want))
 		}
 	}
-	for _, r := range b.queue.requests {
-		sc.compareChoice(r)
-	}
-	class := b.classes.classes[sc.random.IntN(len(b.classes.classes))]
-	r := &request{id: 1 << 30, class: class, maxAttempts: 3, key: uint64(sc.random.IntN(12)),
+}
+
+// compareNewRequest compares the choices for a random request: a new one, and one that had an attempt at
+// some server before.
+func (sc *referenceScenario) compareNewRequest() {
+	b := sc.balancer
+	r := &request{
+		id:          1 << 30,
+		class:       oneOf(sc.random, b.classes.classes...),
+		maxAttempts: 3,
+		key:         uint64(sc.random.IntN(12)),
 		arrivedAt:   b.now,
-		objectiveAt: b.now + 300, deadline: b.now + 400}
+		objectiveAt: b.now + 300,
+		deadline:    b.now + 400,
+	}
 	if r.partitionKey = r.key; sc.random.IntN(2) == 0 {
 		r.arrivedAt -= 200 // it does not wait for its key's servers any more
 	}
 	sc.compareChoice(r)
-	if n := len(b.endpoints.servers); n > 0 { // it had an attempt at one before, which may have executed
-		s := b.endpoints.servers[sc.random.IntN(n)]
+	if len(b.endpoints.servers) > 0 {
+		s := oneOf(sc.random, b.endpoints.servers...)
 		r.attempts = []*attempt{{request: r, server: s, ended: true}}
-		r.maybeExecuted, r.executedAt, r.executedOn = 1, b.now, s
+		r.maybeExecuted = 1
+		r.executedAt = b.now
+		r.executedOn = s
 		sc.compareChoice(r)
 	}
 }
@@ -175,22 +217,22 @@
 // What the policy caches from event to event, and the choice that scores only the servers that can win,
 // equal the reference in the states of random scenarios.
 func TestDecisionsEqualTheReference(t *testing.T) {
-	seen := map[string]int{}
+	choices := map[string]int{}
 	for seed := range uint64(60) {
 		sc := newReferenceScenario(t, seed)
-		sc.choices = seen
-		sc.list(int(seed)%50, balancer.ListCached)
+		sc.choices = choices
+		sc.updateList(int(seed)%50, balancer.ListCached)
 		for range 600 {
 			sc.step()
 			sc.compare()
 		}
 	}
 	for _, kind := range []string{"tier 0", "tier 1", "tier 2", "resting", "slow start", "none"} {
-		if seen[kind] < 100 {
-			t.Errorf("only %d choices of kind %q: the scenarios do not cover it", seen[kind], kind)
+		if choices[kind] < 100 {
+			t.Errorf("only %d choices of kind %q: the scenarios do not cover it", choices[kind], kind)
 		}
 	}
-	t.Log(seen)
+	t.Log(choices)
 }
 
 // The least score is no more than the score, for positions and weights of all sizes and the extremes.
