--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -119,6 +119,45 @@
 	return id, a.Server
 }
 
+// serveRetry serves the second attempt of a request at once, if the actions forward it.
+func (h *harness) serveRetry(id balancer.RequestID, actions []balancer.Action, responseMs float64) {
+	if a := findAction(actions, balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, responseMs)
+	}
+}
+
+// endEachAttempt makes a request of a class and ends each of its attempts at once, as outcome says for
+// the server; it returns their servers.
+func (h *harness) endEachAttempt(
+	class int, outcome func(server balancer.Addr) (status balancer.Status, tookMs float64),
+) (servers []balancer.Addr) {
+	id, actions := h.request(class, h.random.Uint64()|1)
+	for {
+		a := findAction(actions, balancer.ActionForward)
+		if a == nil || a.Request != id {
+			return servers
+		}
+		status, tookMs := outcome(a.Server)
+		actions = h.endAttempt(id, len(servers), a.Server, status, tookMs)
+		servers = append(servers, a.Server)
+	}
+}
+
+// waitForAnswer lets time pass until the policy forwards or answers the last request, of which actions
+// are the first, and returns how long that took; false after 500 ms.
+func (h *harness) waitForAnswer(actions []balancer.Action) (ms float64, answered bool) {
+	start := h.now
+	for range 100 {
+		for _, a := range actions {
+			if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
+				return h.now - start, true
+			}
+		}
+		actions = h.advance(5)
+	}
+	return h.now - start, false
+}
+
 // advance lets ms pass and fires the timers that are due by then, in the order of their times; it returns
 // all actions.
 func (h *harness) advance(ms float64) []balancer.Action {
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -22,12 +22,9 @@
 	settings.Limits.HealthChecks = true
 	h := newHarness(t, settings, 3)
 	id, s := h.mustForward(0, 7)
-	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
-	if a := findAction(actions, balancer.ActionForward); a != nil {
-		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-	}
+	h.serveRetry(id, h.endAttempt(id, 0, s, balancer.StatusError, 5), 5)
 	h.now += 2 * h.ejectionMs()
-	_, actions = h.request(0, 7)
+	_, actions := h.request(0, 7)
 	if check := findAction(actions, balancer.ActionHealthCheck); check == nil || check.Server != s {
 		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
@@ -56,30 +53,26 @@
 		if i > 50 {
 			t.Fatalf("four servers were not ejected: %v", h.healthStates())
 		}
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			to, status := findAction(actions, balancer.ActionForward).Server, balancer.StatusOK
-			if to[3] < 4 {
-				status = balancer.StatusConnectFailed
+		h.endEachAttempt(0, func(server balancer.Addr) (balancer.Status, float64) {
+			if server[3] < 4 {
+				return balancer.StatusConnectFailed, 5
 			}
-			if actions = h.endAttempt(id, attempt, to, status, 5); status == balancer.StatusOK {
-				break
-			}
-		}
+			return balancer.StatusOK, 5
+		})
 	}
 	checks := 0
 	for range 200 {
 		h.now += 50
 		id, actions := h.request(0, h.random.Uint64()|1)
-		sent := findAction(actions, balancer.ActionForward)
+		forwarded := findAction(actions, balancer.ActionForward)
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
 				checks++
 				h.endHealthCheck(a.Server, balancer.StatusOverloaded, 1)
 			}
 		}
-		if sent != nil {
-			h.endAttempt(id, 0, sent.Server, balancer.StatusOverloaded, 1)
+		if forwarded != nil {
+			h.endAttempt(id, 0, forwarded.Server, balancer.StatusOverloaded, 1)
 		}
 	}
 	if checks == 0 || checks > 30 {
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -10,7 +10,7 @@
 // A client's retry is judged by the time that has passed for the client: where it can only be queued, it
 // is rejected once the latency objective of the first request has passed, not one objective later.
 func TestMarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
-	ended := func(marked bool) float64 {
+	queuedMs := func(marked bool) float64 {
 		h := newHarness(t, testSettings(), 1)
 		id, s := h.mustForward(0, 5)
 		h.now += 200
@@ -23,7 +23,6 @@
 			}
 		}
 		h.lastRequest++
-		start := h.now
 		actions := h.handle(balancer.Event{
 			Kind:        balancer.EventRequest,
 			Request:     h.lastRequest,
@@ -32,19 +31,14 @@
 			RemainingMs: 600,
 			Retry:       marked,
 		})
-		for range 100 {
-			for _, a := range actions {
-				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
-					return h.now - start
-				}
-			}
-			actions = h.advance(5)
+		ms, answered := h.waitForAnswer(actions)
+		if !answered {
+			t.Fatalf("retry %v: queued for 500 ms", marked)
 		}
-		t.Fatalf("retry %v: queued for 500 ms", marked)
-		return 0
+		return ms
 	}
 	// The client had waited 200 ms for its first request: its retry ends that much sooner.
-	if retry, first := ended(true), ended(false); math.Abs(first-retry-200) > 10 {
+	if retry, first := queuedMs(true), queuedMs(false); math.Abs(first-retry-200) > 10 {
 		t.Errorf("a queued retry was rejected after %.0f ms, a first request after %.0f", retry, first)
 	}
 }
@@ -53,7 +47,7 @@
 // is taken for a retry, and the time that it lacks has passed since the first. Where each request has a
 // time of its own, shorter than the total timeout, a shorter time has no such meaning.
 func TestUnmarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
-	ended := func(given, remainingMs float64) float64 {
+	queuedMs := func(given, remainingMs float64) float64 {
 		settings := testSettings() // the objective is 300 ms, the total timeout 1,000 ms
 		settings.Clients.MarksRetry = false
 		h := newHarness(t, settings, 1)
@@ -72,24 +66,18 @@
 				t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
 			}
 		}
-		start, actions := h.now, arrive(remainingMs)
-		for range 100 {
-			for _, a := range actions {
-				if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
-					return h.now - start
-				}
-			}
-			actions = h.advance(5)
+		ms, answered := h.waitForAnswer(arrive(remainingMs))
+		if !answered {
+			t.Fatalf("queued for 500 ms, given %.0f of %.0f ms", remainingMs, given)
 		}
-		t.Fatalf("queued for 500 ms, given %.0f of %.0f ms", remainingMs, given)
-		return 0
+		return ms
 	}
-	first, second, third := ended(1000, 1000), ended(1000, 800), ended(1000, 650)
+	first, second, third := queuedMs(1000, 1000), queuedMs(1000, 800), queuedMs(1000, 650)
 	if math.Abs(first-second-200) > 10 || third > 10 {
 		t.Errorf("first requests were queued for %.0f ms, "+
 			"retries after 200 ms for %.0f, after 350 ms for %.0f", first, second, third)
 	}
-	full, shorter := ended(500, 500), ended(500, 400)
+	full, shorter := queuedMs(500, 500), queuedMs(500, 400)
 	if math.Abs(full-first) > 10 || math.Abs(shorter-first) > 10 {
 		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f",
 			full, shorter, first)
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -31,51 +31,67 @@
 	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
 		t.Fatalf("served: %v, want one Connected", got)
 	}
-	id, second := h.mustForward(0, 7)
+	h.ejectServerOf(7, s)
+	h.checkNoneGoTo(s)
+	h.now += h.ejectionMs() + 1
+	id = h.checkPending(s)
+	h.now += 50
+	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
+	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
+		t.Fatalf("checked: %v, want it Connected", got)
+	}
+}
+
+// ejectServerOf has the server of a key fail a request, which another server then serves, and checks
+// that the server is ejected.
+func (h *harness) ejectServerOf(key uint64, s balancer.Addr) {
+	h.t.Helper()
+	id, second := h.mustForward(0, key)
 	if second != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, second)
+		h.t.Fatalf("key moved from %v to %v without a cause", s, second)
 	}
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
-		t.Fatalf("error: %v, want the server Unhealthy", got)
+		h.t.Fatalf("error: %v, want the server Unhealthy", got)
 	}
 	if findAction(actions, balancer.ActionFetchList) == nil {
-		t.Error("an ejection did not fetch the list")
+		h.t.Error("an ejection did not fetch the list")
 	}
-	a := findAction(actions, balancer.ActionForward)
-	if a == nil || a.Server == s {
-		t.Fatalf("the idempotent request did not go on to another server: %+v", actions)
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
+		h.t.Fatalf("the idempotent request did not go on to another server: %+v", actions)
 	}
 	h.now += 5
-	h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-	// While it is Unhealthy nothing goes there; after its ejection time the next request makes it
-	// pending and checks it, and a response makes it Connected.
+	h.serveRetry(id, actions, 5)
+}
+
+// checkNoneGoTo checks that an ejected server gets none of 20 new keys.
+func (h *harness) checkNoneGoTo(s balancer.Addr) {
+	h.t.Helper()
 	for range 20 {
-		if id, to := h.mustForward(0, h.random.Uint64()|1); to == s {
-			t.Fatal("an Unhealthy server was chosen before the better tier")
-		} else {
-			h.endAttempt(id, 0, to, balancer.StatusOK, 1)
+		id, to := h.mustForward(0, h.random.Uint64()|1)
+		if to == s {
+			h.t.Fatal("an Unhealthy server was chosen before the better tier")
 		}
+		h.endAttempt(id, 0, to, balancer.StatusOK, 1)
 	}
-	h.now += h.ejectionMs() + 1
-	for i := 0; ; i++ {
-		var to balancer.Addr
-		id, to = h.mustForward(0, h.random.Uint64()|1)
+}
+
+// checkPending checks that a server whose ejection time has passed is pending until a request checks it,
+// and returns that request.
+func (h *harness) checkPending(s balancer.Addr) balancer.RequestID {
+	h.t.Helper()
+	for range 52 {
+		id, to := h.mustForward(0, h.random.Uint64()|1)
 		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
-			t.Fatalf("after the ejection time: %v, want it pending", got)
+			h.t.Fatalf("after the ejection time: %v, want it pending", got)
 		}
 		if to == s {
-			break
-		}
-		if h.endAttempt(id, 0, to, balancer.StatusOK, 1); i > 50 {
-			t.Fatal("a server pending after its ejection time is never checked by a request")
+			return id
 		}
+		h.endAttempt(id, 0, to, balancer.StatusOK, 1)
 	}
-	h.now += 50
-	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
-	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
-		t.Fatalf("checked: %v, want it Connected", got)
-	}
+	h.t.Fatal("a server pending after its ejection time is never checked by a request")
+	return 0
 }
 
 // A server that rejects an attempt as overloaded is not ejected, and the request goes to another.
@@ -109,24 +125,18 @@
 func TestNonIdempotentRequestDoesNotCheckAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	id, failing := h.mustForward(0, 7)
-	actions := h.endAttempt(id, 0, failing, balancer.StatusError, 5)
-	if a := findAction(actions, balancer.ActionForward); a != nil {
-		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-	}
+	h.serveRetry(id, h.endAttempt(id, 0, failing, balancer.StatusError, 5), 5)
 	idempotent, nonIdempotent := 0, 0
 	for range 200 {
 		h.now += 16*h.ejectionMs() + 1 // past the longest ejection time: the next request makes it pending
-		for class, n := range []*int{&idempotent, &nonIdempotent} {
+		for class, checks := range []*int{&idempotent, &nonIdempotent} {
 			id, s := h.mustForward(class, h.random.Uint64()|1)
 			if s != failing {
 				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 				continue
 			}
-			*n++
-			actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
-			if a := findAction(actions, balancer.ActionForward); a != nil {
-				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-			}
+			*checks++
+			h.serveRetry(id, h.endAttempt(id, 0, s, balancer.StatusError, 5), 5)
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
@@ -157,38 +167,48 @@
 // A server that failed three times in a row is ejected for four latency objectives. While the others have
 // no capacity it is checked after one: a server that fails some requests is better than rejecting all.
 func TestEjectionEndsEarlyWhileOthersAreSaturated(t *testing.T) {
-	for _, full := range []bool{false, true} {
+	for _, saturated := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
-		id, failing := h.mustForward(0, h.random.Uint64()|1)
-		for failures := 1; ; failures++ {
-			actions := h.endAttempt(id, 0, failing, balancer.StatusError, 5)
-			if a := findAction(actions, balancer.ActionForward); a != nil {
-				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-			}
-			if failures == 3 {
-				break
-			}
-			h.now += float64(int(1)<<(failures-1))*h.ejectionMs() + 1
-			for i := 0; ; i++ { // the next request to it checks it, and fails as well
-				var to balancer.Addr
-				if id, to = h.mustForward(0, h.random.Uint64()|1); to == failing {
-					break
-				}
-				if h.endAttempt(id, 0, to, balancer.StatusOK, 5); i > 100 {
-					t.Fatal("a pending server was never checked")
-				}
-			}
-		}
-		if full {
+		h.failThreeTimes()
+		if saturated {
 			for range 40 { // more than the other limits permit, without a key: they take any server
 				h.request(0, 0)
 			}
 		}
 		h.now += h.ejectionMs() + 1
 		h.request(0, 0)
-		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != full {
-			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)", full, checked,
-				h.healthStates())
+		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != saturated {
+			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)",
+				saturated, checked, h.healthStates())
+		}
+	}
+}
+
+// failThreeTimes has one server fail three requests in a row, each after its ejection time.
+func (h *harness) failThreeTimes() {
+	h.t.Helper()
+	id, failing := h.mustForward(0, h.random.Uint64()|1)
+	for failures := 1; ; failures++ {
+		h.serveRetry(id, h.endAttempt(id, 0, failing, balancer.StatusError, 5), 5)
+		if failures == 3 {
+			return
+		}
+		h.now += float64(int(1)<<(failures-1))*h.ejectionMs() + 1
+		id = h.forwardTo(failing)
+	}
+}
+
+// forwardTo makes requests of new keys until one is forwarded to the server, and returns that one; the
+// others are served.
+func (h *harness) forwardTo(s balancer.Addr) balancer.RequestID {
+	h.t.Helper()
+	for range 102 {
+		id, to := h.mustForward(0, h.random.Uint64()|1)
+		if to == s {
+			return id
 		}
+		h.endAttempt(id, 0, to, balancer.StatusOK, 5)
 	}
+	h.t.Fatal("a pending server was never checked")
+	return 0
 }
--- a/policy/resting_test.go
+++ b/policy/resting_test.go
@@ -9,7 +9,7 @@
 // A server whose response took twice as long as without load, or more, rests: the next new keys pass it
 // over. One that is a fifth slower does not, nor does one of few agents, whose limits follow it.
 func TestOverloadedServerRests(t *testing.T) {
-	after := func(agents int, responseMs float64) int {
+	forwardsAfter := func(agents int, responseMs float64) int {
 		settings := testSettings()
 		settings.FleetSize = agents
 		h := newHarness(t, settings, 6)
@@ -22,13 +22,13 @@
 		h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
 		return h.serveAndCount(60, 2, s)
 	}
-	if n := after(80, 200); n != 0 {
+	if n := forwardsAfter(80, 200); n != 0 {
 		t.Errorf("a server that took four times as long got %d of the next 60 new keys", n)
 	}
-	if n := after(80, 60); n == 0 {
+	if n := forwardsAfter(80, 60); n == 0 {
 		t.Error("a server that took a fifth longer got none of the next 60 new keys")
 	}
-	if n := after(3, 140); n == 0 {
+	if n := forwardsAfter(3, 140); n == 0 {
 		t.Error("of three agents, one left a server that took 2.8 times as long alone")
 	}
 }
@@ -57,10 +57,7 @@
 			h.makeLate(c.lateFirst)
 			id, s := h.mustForward(0, h.random.Uint64()|1)
 			h.now++
-			actions := h.endAttempt(id, 0, s, c.status, c.latencyMs)
-			if a := findAction(actions, balancer.ActionForward); a != nil {
-				h.endAttempt(id, 1, a.Server, balancer.StatusOK, 1)
-			}
+			h.serveRetry(id, h.endAttempt(id, 0, s, c.status, c.latencyMs), 1)
 			if n := h.serveAndCount(60, 1, s); (n == 0) != c.rests {
 				t.Errorf("the server got %d of the next 60 new keys", n)
 			}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -70,21 +70,14 @@
 		retries := 0
 		for i := range 100 {
 			h.now += 500
-			id, actions := h.request(0, h.random.Uint64()|1)
-			a := findAction(actions, balancer.ActionForward)
-			if a == nil {
-				continue // shed: the agent sees little served in time
-			}
-			if served && i%5 > 0 {
-				h.endAttempt(id, 0, a.Server, balancer.StatusOK, 10)
-				continue
-			}
-			for attempt := 0; a != nil; attempt++ {
-				actions := h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1)
-				if a = findAction(actions, balancer.ActionForward); a != nil {
-					retries++
+			servers := h.endEachAttempt(0, func(balancer.Addr) (balancer.Status, float64) {
+				if served && i%5 > 0 {
+					return balancer.StatusOK, 10
 				}
-			}
+				return balancer.StatusOverloaded, 1
+			})
+			// A request may have no attempt: load is shed while little is served in time.
+			retries += max(len(servers)-1, 0)
 		}
 		// The retry budget holds four tokens at the most.
 		if served && retries < 15 || !served && retries > 4 {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -66,41 +66,43 @@
 func TestServersInSlowStartServeWhenAllWarmOnesFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(200, 10)
-	// No connect reaches the warm ones any more. Then a server in slow start is listed.
-	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
-		if i > 20 {
-			t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
-		}
-		h.now += 10
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			actions = h.endAttempt(id, attempt, findAction(actions, balancer.ActionForward).Server,
-				balancer.StatusConnectFailed, 5)
-		}
-	}
+	h.disconnectAll()
 	h.now += 10
+	warming := serverAddress(2)
 	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 1, StartedMs: h.now})
+		balancer.Endpoint{Server: warming, State: balancer.Ready, Weight: 1, StartedMs: h.now})
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
-	var first, got float64
+	var firstMs, got float64
 	for i := range 200 {
 		h.now += 10
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			to := findAction(actions, balancer.ActionForward).Server
-			if to != serverAddress(2) {
-				actions = h.endAttempt(id, attempt, to, balancer.StatusConnectFailed, 5)
-				continue
+		h.endEachAttempt(0, func(server balancer.Addr) (balancer.Status, float64) {
+			if server != warming {
+				return balancer.StatusConnectFailed, 5
 			}
-			if got++; got == 1 {
-				first = float64(i+1) * 10
+			got++
+			if got == 1 {
+				firstMs = float64(i+1) * 10
 			}
-			actions = h.endAttempt(id, attempt, to, balancer.StatusOK, 20)
-		}
+			return balancer.StatusOK, 20
+		})
 	}
-	if got < 1 || first > 1000 || got > 2*50*0.28*0.75 {
-		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, first)
+	if got < 1 || firstMs > 1000 || got > 2*50*0.28*0.75 {
+		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, firstMs)
+	}
+}
+
+// disconnectAll makes connects to all servers fail until both servers of the harness are ejected.
+func (h *harness) disconnectAll() {
+	h.t.Helper()
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
+		if i > 20 {
+			h.t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
+		}
+		h.now += 10
+		h.endEachAttempt(0, func(balancer.Addr) (balancer.Status, float64) {
+			return balancer.StatusConnectFailed, 5
+		})
 	}
 }
 
@@ -111,24 +113,22 @@
 		h := newHarness(t, testSettings(), 4)
 		h.updateList(balancer.ListDelta,
 			balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
-		n := 0
+		got := 0
 		for range 200 {
 			h.now += 5
-			id, actions := h.request(1, h.random.Uint64()|1)
-			for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-				to := findAction(actions, balancer.ActionForward).Server
-				if to == serverAddress(4) {
-					n++
+			h.endEachAttempt(1, func(server balancer.Addr) (balancer.Status, float64) {
+				if server == serverAddress(4) {
+					got++
 				}
-				actions = h.endAttempt(id, attempt, to, status, 1)
-			}
+				return status, 1
+			})
 		}
-		return n
+		return got
 	}
-	full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK)
-	if full != 0 || served == 0 {
+	overloaded, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK)
+	if overloaded != 0 || served == 0 {
 		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, "+
-			"%d where all were served", full, served)
+			"%d where all were served", overloaded, served)
 	}
 }
 
@@ -143,9 +143,7 @@
 		if unresponsive {
 			status = balancer.StatusConnectFailed
 		}
-		if a := findAction(h.endAttempt(id, 0, s, status, 100), balancer.ActionForward); a != nil {
-			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 20)
-		}
+		h.serveRetry(id, h.endAttempt(id, 0, s, status, 100), 20)
 		h.now += h.settings.Contract.OverloadWindowMs + 500
 		return h.serveAndCount(90, 20, s)
 	}
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -9,8 +9,10 @@
 // Servers of the agent's own zone get more of the keys, and all servers get some.
 func TestOwnZoneIsPreferred(t *testing.T) {
 	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
-	ownZone, used, all := 0, map[balancer.Addr]bool{}, 600
-	for range all {
+	const requests = 600
+	ownZone := 0
+	used := map[balancer.Addr]bool{}
+	for range requests {
 		id, s := h.mustForward(0, h.random.Uint64()|1)
 		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		used[s] = true
@@ -18,7 +20,7 @@
 			ownZone++
 		}
 	}
-	if share := float64(ownZone) / float64(all); share < 0.53 || share > 0.68 || len(used) != 6 {
+	if share := float64(ownZone) / requests; share < 0.53 || share > 0.68 || len(used) != 6 {
 		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
 	}
 }
@@ -26,9 +28,9 @@
 // The zone preference grows while the zone serves in time and traffic to another zone has a cost. Where
 // the zone is late, or that traffic is free, it is the weakest. Server i is in zone i%2.
 func TestZonePreferenceGrowsWhileTheZoneServesInTime(t *testing.T) {
-	share := func(price, responseMs float64) float64 {
+	share := func(cost, responseMs float64) float64 {
 		settings := testSettings()
-		settings.Costs.CrossZone = price
+		settings.Costs.CrossZone = cost
 		h := newHarness(t, settings, 6)
 		ownZone, all := 0, 0
 		for i := range 600 {
