--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -169,17 +169,17 @@
 		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
-	out := map[balancer.Addr]balancer.RequestID{}
-	var idempotent balancer.RequestID
-	for i := 0; idempotent == 0; i++ { // of no key, until all three are full
+	inFlight := map[balancer.Addr]balancer.RequestID{} // the last request at each server
+	var queued balancer.RequestID
+	for i := 0; queued == 0; i++ { // of no key, until all three are full
 		if i > 20 {
 			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
 		}
 		id, actions := h.request(0, 0)
 		if a := findAction(actions, balancer.ActionForward); a != nil {
-			out[a.Server] = id
+			inFlight[a.Server] = id
 		} else {
-			idempotent = id
+			queued = id
 		}
 	}
 	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
@@ -188,11 +188,14 @@
 			t.Fatalf("a request with a key was not queued: %+v", actions)
 		}
 	}
-	if c, ok := out[serverAddress(2)]; !ok {
-		t.Fatalf("nothing went to the light server: %v", out)
-	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5),
-		balancer.ActionForward); a == nil || a.Request != idempotent {
-		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, idempotent)
+	light := serverAddress(2)
+	id, ok := inFlight[light]
+	if !ok {
+		t.Fatalf("nothing went to the light server: %v", inFlight)
+	}
+	actions := h.endAttempt(id, 0, light, balancer.StatusOK, 5)
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Request != queued {
+		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, queued)
 	}
 }
 
@@ -200,7 +203,7 @@
 // queued requests the one goes first whose class lost half of its clients before their responses,
 // whichever of the two classes that is.
 func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
-	first := func(starved int) int {
+	firstServed := func(starved int) int {
 		settings := testSettings()
 		settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
 		h := newHarness(t, settings, 1)
@@ -216,16 +219,16 @@
 				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 			}
 		}
-		var out []balancer.RequestID
+		var inFlight []balancer.RequestID
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			id, _ := h.mustForward(1-starved, 0)
-			out = append(out, id)
+			inFlight = append(inFlight, id)
 		}
 		queued := [2]balancer.RequestID{}
 		for class := range 2 {
 			queued[class], _ = h.request(class, 0)
 		}
-		actions := h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5)
+		actions := h.endAttempt(inFlight[0], 0, serverAddress(0), balancer.StatusOK, 5)
 		a := findAction(actions, balancer.ActionForward)
 		for class, id := range queued {
 			if a != nil && a.Request == id {
@@ -236,7 +239,7 @@
 		return -1
 	}
 	for starved := range 2 {
-		if got := first(starved); got != starved {
+		if got := firstServed(starved); got != starved {
 			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
 		}
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -117,22 +117,22 @@
 		}
 		h.now += 10
 	}
-	w := h.policy.Stats().ServerLimits
-	if w >= grown {
-		t.Errorf("responses took seven times as long and the limit went from %.2f to %.2f", grown, w)
+	limit := h.policy.Stats().ServerLimits
+	if limit >= grown {
+		t.Errorf("responses took seven times as long and the limit went from %.2f to %.2f", grown, limit)
 	}
-	if w >= 1 {
-		t.Errorf("an overloaded server does not recover: limit %.2f", w)
+	if limit >= 1 {
+		t.Errorf("an overloaded server does not recover: limit %.2f", limit)
 	}
 }
 
 // The first limit of a server is larger the fewer agents there are.
 func TestFewAgentsBeginWithLargerServerLimits(t *testing.T) {
-	for replicas, want := range map[int]float64{0: 8, 1: 8, 2: 4, 4: 2, 80: 2} {
+	for agents, want := range map[int]float64{0: 8, 1: 8, 2: 4, 4: 2, 80: 2} {
 		settings := testSettings()
-		settings.FleetSize = replicas
-		if w := newHarness(t, settings, 1).policy.Stats().ServerLimits; w != want {
-			t.Errorf("%d agents: limit %v, want %v", replicas, w, want)
+		settings.FleetSize = agents
+		if limit := newHarness(t, settings, 1).policy.Stats().ServerLimits; limit != want {
+			t.Errorf("%d agents: limit %v, want %v", agents, limit, want)
 		}
 	}
 }
@@ -174,66 +174,78 @@
 // An attempt that many others overtook, at a server that responds well since, lost its response: the
 // server keeps its limit, its health state and its turns. A few others are no evidence: of many agents
 // each sees a server too rarely to know how it responds now. Nor is a response lost where the others are
-// slow as well. Both times the server rests as a slow one. While the other server drains, all requests go
-// to the first.
+// slow as well. Both times the server rests as a slow one.
 func TestLostResponseIsNoSignOfOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(50, 20)
-	lost, s := h.mustForward(0, h.random.Uint64()|1)
-	h.serve(28, 20) // 560 ms of the 600 that the request has
-	before := h.policy.Stats()
-	h.now += 20
-	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
-	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits ||
-		stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
-		t.Errorf("a lost response: stats %+v, before %+v", stats, before)
-	}
+	s := h.loseResponse()
 	if n := h.serveAndCount(60, 1, s); n == 0 {
 		t.Error("after a lost response its server got none of the next 60 new keys")
 	}
-	other := serverAddress(0)
-	if s == other {
-		other = serverAddress(1)
-	}
-	alone := func(late func(id balancer.RequestID)) {
-		h.updateList(balancer.ListDelta,
-			balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
-		id, to := h.mustForward(0, h.random.Uint64()|1)
-		if to != s {
-			t.Fatalf("sent to %v while the other drains", to)
-		}
-		late(id)
-		h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
-	}
-	alone(func(rare balancer.RequestID) {
+	h.timeOutAmong(s, func() {
 		for range 3 {
 			h.now += 160
 			h.serve(1, 20)
 		}
 		h.now += 40
-		h.endAttempt(rare, 0, s, balancer.StatusTimeout, 580)
-	})
+	}, 580)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
 		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it to rest", n)
 	}
 	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
 	h.serve(20, 20)
-	alone(func(slow balancer.RequestID) {
+	h.timeOutAmong(s, func() {
 		h.serve(4, 145)
 		h.now += 20
-		h.endAttempt(slow, 0, s, balancer.StatusTimeout, 600)
-	})
+	}, 600)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
 		t.Errorf("an overload: its server got %d of the next 20 new keys, want it to rest", n)
 	}
 }
 
+// loseResponse has an attempt time out that many others have overtaken, checks that nothing is learned
+// of its server, and returns the server.
+func (h *harness) loseResponse() balancer.Addr {
+	h.t.Helper()
+	lost, s := h.mustForward(0, h.random.Uint64()|1)
+	h.serve(28, 20) // 560 ms of the 600 that the request has
+	before := h.policy.Stats()
+	h.now += 20
+	h.endAttempt(lost, 0, s, balancer.StatusTimeout, 580)
+	if stats := h.policy.Stats(); stats.ServerLimits < before.ServerLimits ||
+		stats.OverloadedFraction != before.OverloadedFraction || stats.States != [4]int{2, 0, 0, 0} {
+		h.t.Errorf("a lost response: stats %+v, before %+v", stats, before)
+	}
+	return s
+}
+
+// timeOutAmong has an attempt at a server time out, after others were served meanwhile. The other one of
+// the harness's two servers drains until then, so that all requests go to this one.
+func (h *harness) timeOutAmong(s balancer.Addr, meanwhile func(), tookMs float64) {
+	h.t.Helper()
+	other := serverAddress(0)
+	if s == other {
+		other = serverAddress(1)
+	}
+	h.updateList(balancer.ListDelta,
+		balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+	id, to := h.mustForward(0, h.random.Uint64()|1)
+	if to != s {
+		h.t.Fatalf("sent to %v while the other drains", to)
+	}
+	meanwhile()
+	h.endAttempt(id, 0, s, balancer.StatusTimeout, tookMs)
+	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
+}
+
 // Of very many agents that start at once each has no more in flight than its part of six attempts at each
 // server, less for servers in slow start; of eight agents the servers' limits are the bound.
 func TestManyNewAgentsShareTheInitialLimit(t *testing.T) {
-	for _, c := range []struct {
-		agents, restarted, most int
-	}{{8, 0, 40}, {108, 0, 13}, {108, 100, 8}} {
+	for _, c := range []struct{ agents, restarted, most int }{
+		{agents: 8, restarted: 0, most: 40},
+		{agents: 108, restarted: 0, most: 13},
+		{agents: 108, restarted: 100, most: 8},
+	} {
 		settings := testSettings()
 		settings.FleetSize = c.agents
 		h := newHarness(t, settings, 0)
@@ -245,16 +257,16 @@
 			}
 		}
 		h.updateList(balancer.ListCached, endpoints...)
-		sent := 0
+		inFlight := 0
 		for range 40 {
 			_, actions := h.request(0, h.random.Uint64()|1)
 			if findAction(actions, balancer.ActionForward) != nil {
-				sent++
+				inFlight++
 			}
 		}
-		if sent > c.most || sent < c.most/2 {
+		if inFlight > c.most || inFlight < c.most/2 {
 			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, "+
-				"want %d at the most", c.agents, c.restarted, sent, c.most)
+				"want %d at the most", c.agents, c.restarted, inFlight, c.most)
 		}
 	}
 }
--- a/policy/keys_test.go
+++ b/policy/keys_test.go
@@ -10,25 +10,24 @@
 // has no more than one request in flight, so that no load cap spreads them.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	h := newHarness(t, testSettings(), 20)
-	popular, rare := map[balancer.Addr]bool{}, map[balancer.Addr]bool{}
+	const popular, rare = 7, 8
+	servers := map[uint64]map[balancer.Addr]bool{popular: {}, rare: {}} // by key
 	for i := range 4000 {
 		h.now += 20
 		key := 1000 + h.random.Uint64N(1000)
 		if i%5 == 0 {
-			key = 7
+			key = popular
 		} else if i%100 == 1 {
-			key = 8
+			key = rare
 		}
 		id, s := h.mustForward(0, key)
 		h.endAttempt(id, 0, s, balancer.StatusOK, 10)
-		switch key {
-		case 7:
-			popular[s] = true
-		case 8:
-			rare[s] = true
+		if servers[key] != nil {
+			servers[key][s] = true
 		}
 	}
-	if len(popular) < 8 || len(rare) > 5 {
-		t.Errorf("a fifth of all requests went to %d servers, a hundredth to %d", len(popular), len(rare))
+	if len(servers[popular]) < 8 || len(servers[rare]) > 5 {
+		t.Errorf("a fifth of all requests went to %d servers, a hundredth to %d",
+			len(servers[popular]), len(servers[rare]))
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -24,28 +24,27 @@
 	h := newHarness(t, testSettings(), 2)
 	for i := range 49 { // the baseline is known from the 50th response on
 		h.serve(1, 20)
-		if w := h.policy.Stats().ServerLimits; w > 2*2 {
-			t.Fatalf("limits %.2f after %d responses", w, i+1)
+		if limits := h.policy.Stats().ServerLimits; limits > 2*2 {
+			t.Fatalf("limits %.2f after %d responses", limits, i+1)
 		}
 	}
-	var requests []balancer.RequestID
-	var servers []balancer.Addr
 	for range 40 {
-		requests, servers = requests[:0], servers[:0]
+		servers := map[balancer.RequestID]balancer.Addr{}
+		var forwarded []balancer.RequestID
 		for range 3 {
 			id, actions := h.request(0, h.random.Uint64()|1)
 			if a := findAction(actions, balancer.ActionForward); a != nil {
-				requests = append(requests, id)
-				servers = append(servers, a.Server)
+				forwarded = append(forwarded, id)
+				servers[id] = a.Server
 			}
 		}
 		h.now += 20
-		for i := range requests {
-			h.endAttempt(requests[i], 0, servers[i], balancer.StatusOK, 20)
+		for _, id := range forwarded {
+			h.endAttempt(id, 0, servers[id], balancer.StatusOK, 20)
 		}
 	}
-	if w := h.policy.Stats().ServerLimits; w <= 2*2 {
-		t.Errorf("no limit grew once the baseline was known: %.2f", w)
+	if limits := h.policy.Stats().ServerLimits; limits <= 2*2 {
+		t.Errorf("no limit grew once the baseline was known: %.2f", limits)
 	}
 }
 
@@ -60,9 +59,9 @@
 		h.serve(60, 20)
 		first := h.policy.Stats().ServerLimits
 		h.serve(200, 75)
-		if w := h.policy.Stats().ServerLimits; (w >= first) != (agents == 1) {
+		if limits := h.policy.Stats().ServerLimits; (limits >= first) != (agents == 1) {
 			t.Errorf("%d agents: limits %.1f after responses in a quarter of the objective, %.1f before",
-				agents, w, first)
+				agents, limits, first)
 		}
 	}
 }
@@ -72,13 +71,13 @@
 // it is decreased.
 func TestSlowServerIsJudgedByItsOwnBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	serve := func(n int, slow float64) {
-		for range n {
+	serve := func(requests int, slowMs float64) {
+		for range requests {
 			h.now += 200
 			id, s := h.mustForward(0, h.random.Uint64()|1)
 			responseMs := 30.0
 			if s == serverAddress(0) {
-				responseMs = slow
+				responseMs = slowMs
 			}
 			h.now += responseMs
 			h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
@@ -86,13 +85,14 @@
 	}
 	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
-	if w := h.policy.Stats().ServerLimits; w < first {
+	if limits := h.policy.Stats().ServerLimits; limits < first {
 		t.Errorf("at its own baseline latency, four times the other's, "+
-			"the slow server's limit was cut: %.1f of %.1f", w, first)
+			"the slow server's limit was cut: %.1f of %.1f", limits, first)
 	}
 	serve(100, 240)
-	if w := h.policy.Stats().ServerLimits; w >= first {
-		t.Errorf("at twice its own baseline latency the slow server's limit stays: %.1f of %.1f", w, first)
+	if limits := h.policy.Stats().ServerLimits; limits >= first {
+		t.Errorf("at twice its own baseline latency the slow server's limit stays: %.1f of %.1f",
+			limits, first)
 	}
 }
 
@@ -107,9 +107,9 @@
 	h.serve(2400, 120) // one at a time
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
-	if w := h.policy.Stats().ServerLimits; w <= before {
+	if limits := h.policy.Stats().ServerLimits; limits <= before {
 		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f",
-			before, w)
+			before, limits)
 	}
 }
 
@@ -123,8 +123,8 @@
 	h.serve(38, 270) // the rest of the 50 responses by which the baseline is first known
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 3, 140)
-	if w := h.policy.Stats().ServerLimits; w > before {
+	if limits := h.policy.Stats().ServerLimits; limits > before {
 		t.Errorf("responses in 0.9 of the objective became the baseline: the limit grew from %.1f to %.1f",
-			before, w)
+			before, limits)
 	}
 }
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -18,7 +18,7 @@
 // failure, one at a time.
 func TestFailedPollIsRepeated(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	b, err := policy.New(settings, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 // next calls to discovery over time; a few agents need no such time.
 func TestPollsAreSpreadByFleetSize(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
-	busiest := func(agents int, failures int) int {
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
+	busiestSecond := func(agents, failures int) int {
 		settings.FleetSize = agents
 		calls := map[int]int{}
 		for seed := range agents {
@@ -69,13 +69,13 @@
 		}
 		return most
 	}
-	if n := busiest(80, 0); n > 35 {
+	if n := busiestSecond(80, 0); n > 35 {
 		t.Errorf("%d of 80 agents call in one second after a start", n)
 	}
-	if n := busiest(80, 1); n > 35 {
+	if n := busiestSecond(80, 1); n > 35 {
 		t.Errorf("%d of 80 agents call in one second after a failure", n)
 	}
-	if n := busiest(3, 0); n != 3 {
+	if n := busiestSecond(3, 0); n != 3 {
 		t.Errorf("%d of 3 agents call in the first second", n)
 	}
 }
@@ -85,8 +85,10 @@
 // a second of what remains for its response.
 func TestFailedPollIsRepeatedInTimeForTheContract(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode, settings.FleetSize, settings.Contract.PollWithinMs = "on_request", 300, 10000
-	most := 0.0
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
+	settings.FleetSize = 300
+	settings.Contract.PollWithinMs = 10000
+	mostMs := 0.0
 	for seed := range uint64(50) {
 		b, err := policy.New(settings, seed)
 		if err != nil {
@@ -96,18 +98,18 @@
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
 			call = failPoll(b, 0)
-			most = max(most, call.Ms)
+			mostMs = max(mostMs, call.Ms)
 		}
 	}
-	if most > 6000-2250-1000 || most < 1000 {
-		t.Errorf("a failed call is repeated after %.0f ms at the most", most)
+	if mostMs > 6000-2250-1000 || mostMs < 1000 {
+		t.Errorf("a failed call is repeated after %.0f ms at the most", mostMs)
 	}
 }
 
 // Where agents call discovery for changes, an ejection does not fetch the complete list.
 func TestEjectionFetchesNoListInOnRequestMode(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	h := newHarness(t, settings, 4)
 	id, s := h.mustForward(0, 7)
 	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -15,12 +15,12 @@
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
 	h.now = 1e9
-	entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1,
+	endpoint := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1,
 		StartedMs: h.now - beforeMs}
-	h.updateList(balancer.ListDelta, entry)
+	h.updateList(balancer.ListDelta, endpoint)
 	h.serve(200, 2)
-	entry.StartedMs = h.now + stepMs
-	h.updateList(balancer.ListDelta, entry)
+	endpoint.StartedMs = h.now + stepMs
+	h.updateList(balancer.ListDelta, endpoint)
 	return h.serveAndCount(400, 2, serverAddress(4))
 }
 
@@ -34,15 +34,15 @@
 			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; "+
 				"want some, and at most %d", trueShare, warm/2)
 		}
-		for _, step := range clockStepsMs {
-			if step == -5000 && beforeMs > 5000 {
+		for _, stepMs := range clockStepsMs {
+			if stepMs == -5000 && beforeMs > 5000 {
 				// The start is later, and the policy takes it as listed: internal/agent bounds its age.
 				continue
 			}
-			if got := forwardsAfterRestart(t, beforeMs, step); got != trueShare {
+			if got := forwardsAfterRestart(t, beforeMs, stepMs); got != trueShare {
 				t.Errorf("started %v ms before, clock stepped by %v ms: "+
 					"a server in slow start got %d of 400 requests, want %d",
-					beforeMs, step, got, trueShare)
+					beforeMs, stepMs, got, trueShare)
 			}
 		}
 	}
@@ -50,26 +50,26 @@
 
 // A repeated entry of the same process changes no decision.
 func TestRepeatedEntryChangesNothing(t *testing.T) {
-	for _, since := range []float64{0, -100, 3_600_000} { // long ago, lately, ahead of the agent's clock
+	for _, startedMs := range []float64{0, -100, 3_600_000} { // long ago, lately, ahead of the agent's clock
 		forwards := func(repeat bool) int {
 			h := newHarness(t, testSettings(), 5)
-			entry := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1}
-			if since != 0 {
-				entry.StartedMs = h.now + since
+			endpoint := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1}
+			if startedMs != 0 {
+				endpoint.StartedMs = h.now + startedMs
 			}
-			h.updateList(balancer.ListDelta, entry)
+			h.updateList(balancer.ListDelta, endpoint)
 			got := 0
 			for range 20 {
 				got += h.serveAndCount(20, 2, serverAddress(4))
 				if repeat {
-					h.updateList(balancer.ListDelta, entry)
+					h.updateList(balancer.ListDelta, endpoint)
 				}
 			}
 			return got
 		}
 		if got, want := forwards(true), forwards(false); got != want {
 			t.Errorf("start of %v ms: listed repeatedly the server got %d of 400 requests, want %d",
-				since, got, want)
+				startedMs, got, want)
 		}
 	}
 }
@@ -77,31 +77,34 @@
 // A drain and then a restart that are listed while an attempt is in flight count as with true clocks: a
 // draining server gets no attempts, and the response of the old process does not make the new one warm.
 func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
-	for _, step := range append([]float64{0}, clockStepsMs...) {
-		if step == -5000 {
+	for _, stepMs := range append([]float64{0}, clockStepsMs...) {
+		if stepMs == -5000 {
 			continue // the start is later: as above
 		}
 		h := newHarness(t, testSettings(), 1)
 		h.now = 1e9
-		entry := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1,
+		endpoint := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1,
 			StartedMs: h.now - 1_800_000}
-		h.updateList(balancer.ListDelta, entry)
+		h.updateList(balancer.ListDelta, endpoint)
 		id, _ := h.mustForward(0, 7)
 		for i := 1; i < 5; i++ {
 			h.updateList(balancer.ListDelta,
 				balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
 		}
-		entry.State, entry.StartedMs = balancer.Draining, h.now+step
-		h.updateList(balancer.ListDelta, entry)
+		endpoint.State = balancer.Draining
+		endpoint.StartedMs = h.now + stepMs
+		h.updateList(balancer.ListDelta, endpoint)
 		if got := h.serveAndCount(100, 2, serverAddress(0)); got != 0 {
-			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", step, got)
+			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", stepMs, got)
 		}
 		h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 200)
-		entry.State, entry.StartedMs = balancer.Ready, h.now+step
-		h.updateList(balancer.ListDelta, entry)
-		if got, most := h.serveAndCount(400, 2, serverAddress(0)), 400/5/2; got == 0 || got > most {
+		endpoint.State = balancer.Ready
+		endpoint.StartedMs = h.now + stepMs
+		h.updateList(balancer.ListDelta, endpoint)
+		const most = 400 / 5 / 2
+		if got := h.serveAndCount(400, 2, serverAddress(0)); got == 0 || got > most {
 			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, "+
-				"want some and at most %d", step, got, most)
+				"want some and at most %d", stepMs, got, most)
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -14,8 +14,9 @@
 	h := newHarness(t, testSettings(), 5)
 	h.updateList(balancer.ListDelta,
 		balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
-	got, all := 0, 2000
-	for range all {
+	const requests = 2000
+	got := 0
+	for range requests {
 		h.now++
 		id, s := h.mustForward(0, uint64(h.random.Int64()))
 		if s == serverAddress(4) {
@@ -23,16 +24,17 @@
 		}
 		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
-	even := float64(all) / 4
+	const even = requests / 4.0
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f", got, all, limit)
+		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f",
+			got, requests, limit)
 	}
 }
 
 // Many agents with few requests each send a server in slow start its part together, though none of them
 // earns a complete attempt for it.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
-	warming, all := 0, 0
+	warming, requests := 0, 0
 	for seed := range uint64(200) {
 		h := newHarness(t, testSettings(), 19)
 		b, err := policy.New(testSettings(), seed)
@@ -43,22 +45,24 @@
 		for i := range endpoints {
 			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 		}
-		h.policy, h.random = b, rand.New(rand.NewPCG(seed, 2))
+		h.policy = b
+		h.random = rand.New(rand.NewPCG(seed, 2))
 		h.updateList(balancer.ListFull, endpoints...)
 		endpoints[19].StartedMs = h.now - 2000
 		h.updateList(balancer.ListFull, endpoints...)
 		for range 20 {
 			h.now += 100
 			id, s := h.mustForward(0, h.random.Uint64())
-			if all++; s == serverAddress(19) {
+			requests++
+			if s == serverAddress(19) {
 				warming++
 			}
 			h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		}
 	}
-	if even := all / 20; warming < even/20 || warming > even {
+	if even := requests / 20; warming < even/20 || warming > even {
 		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d",
-			warming, all, even)
+			warming, requests, even)
 	}
 }
 
