--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -54,13 +54,16 @@
 
 // Class holds the rules of one class of requests.
 type Class struct {
+	// Name is another one for each class.
 	Name string `json:"name"`
 	// LatencyObjectiveMs is the response time from which a response earns only LateFraction.
 	LatencyObjectiveMs float64 `json:"aimMs"`
 	// TotalTimeoutMs is the time after which a client gives up, its retries included.
-	TotalTimeoutMs float64     `json:"giveUpMs"`
-	Idempotency    Idempotency `json:"effect"`
-	DedupScope     DedupScope  `json:"group"`
+	TotalTimeoutMs float64 `json:"giveUpMs"`
+	// Idempotency tells whether a request may execute more than once.
+	Idempotency Idempotency `json:"effect"`
+	// DedupScope tells which servers drop duplicates, for IdempotentByKey.
+	DedupScope DedupScope `json:"group"`
 	// DedupWindowMs is how long after the first execution duplicates are dropped.
 	DedupWindowMs float64 `json:"keyTtlMs"`
 	// PriorityWeight is what a response in time earns.
@@ -80,15 +83,15 @@
 
 // Limits is what a deployment permits an agent to do.
 type Limits struct {
-	AttemptCancellation bool    `json:"cancelling"`
-	ConnectTimeoutMs    float64 `json:"connectTimeoutMs"`
-	KeepaliveMs         float64 `json:"keepaliveMs"`
-	MaxAttempts         int     `json:"maxAttempts"`     // for each request, the first included
-	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"` // of the advice in a rejection
-	HedgedRequests      bool    `json:"parallelTries"`
-	HealthChecks        bool    `json:"probing"`
-	RetryAfter          bool    `json:"retryAfter"`
-	MaxOpenRequests     int     `json:"openCap"`
+	AttemptCancellation bool    `json:"cancelling"`       // attempts in flight may be cancelled
+	ConnectTimeoutMs    float64 `json:"connectTimeoutMs"` // of a connect to a server
+	KeepaliveMs         float64 `json:"keepaliveMs"`      // idle time after which a connection closes
+	MaxAttempts         int     `json:"maxAttempts"`      // for each request, the first included
+	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"`  // of the advice in a rejection
+	HedgedRequests      bool    `json:"parallelTries"`    // an attempt may start beside one in flight
+	HealthChecks        bool    `json:"probing"`          // servers may be checked
+	RetryAfter          bool    `json:"retryAfter"`       // clients get the Retry-After of a rejection
+	MaxOpenRequests     int     `json:"openCap"`          // of one agent
 }
 
 // Contract holds what the agents promise about responses, the endpoint list, slow start and draining.
@@ -184,8 +187,8 @@
 // The values of EndpointState.
 const (
 	Draining EndpointState = iota // takes no new attempts; those in flight finish
-	Ready
-	Removed
+	Ready                         // takes attempts
+	Removed                       // is not listed any more
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -193,7 +196,7 @@
 	Server    Addr
 	Zone      int
 	Cell      int
-	Kind      int
+	Kind      int     // of its machine; the policy does not use it
 	StartedMs float64 // wall-clock time of the latest start; 0: not known or long past
 	State     EndpointState
 	Weight    float64
@@ -215,13 +218,13 @@
 
 // The values of Status.
 const (
-	StatusOK            Status = 100
-	StatusError         Status = 301
+	StatusOK            Status = 100 // a successful response
+	StatusError         Status = 301 // a response that says that the server failed
 	StatusOverloaded    Status = 302 // the server rejected it at its own limit, or this machine lacked a resource
-	StatusTimeout       Status = 303
-	StatusConnectFailed Status = 304
+	StatusTimeout       Status = 303 // no response by its timeout
+	StatusConnectFailed Status = 304 // no connection was made
 	StatusReset         Status = 305 // the connection was lost
-	StatusCancelled     Status = 306
+	StatusCancelled     Status = 306 // the agent cancelled it
 	StatusUnsent        Status = 307 // the agent did not send it
 	StatusBadRequest    Status = 400 // the request itself is wrong; only real servers answer so
 )
@@ -312,10 +315,10 @@
 	Kind    ActionKind
 	Request RequestID
 	Server  Addr
-	Attempt int
-	Ms      float64
-	Token   uint32
-	Text    string
+	Attempt int     // index of the attempt among those of its request
+	Ms      float64 // a timeout, a Retry-After or the time until a timer fires
+	Token   uint32  // of the timer; it comes back with EventTimer
+	Text    string  // for the log
 }
 
 // Stats sums up the state of the policy for metrics and the log: why requests wait or are rejected.
@@ -340,6 +343,7 @@
 // Finite returns a copy of the event with its times made Finite.
 func (ev *Event) Finite() *Event {
 	e := *ev
-	e.RemainingMs, e.LatencyMs = Finite(e.RemainingMs), Finite(e.LatencyMs)
+	e.RemainingMs = Finite(e.RemainingMs)
+	e.LatencyMs = Finite(e.LatencyMs)
 	return &e
 }
