--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,9 +4,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxPlacementFailures is the number of requests that may go to any server, and for which none has
+// maxForwardFailures is the number of requests that may go to any server, and for which none has
 // capacity, after which the rest of the queue is not considered.
-const maxPlacementFailures = 4
+const maxForwardFailures = 4
 
 // onRequest admits a request to the queue, or rejects it to shed load.
 func (b *Balancer) onRequest(ev *balancer.Event) {
@@ -74,7 +74,7 @@
 	b.queue.saturated = false
 	unresponsive := b.endpoints.unresponsiveInFlight()
 	failures := 0
-	for i := 0; i < len(b.queue.requests) && failures < maxPlacementFailures; {
+	for i := 0; i < len(b.queue.requests) && failures < maxForwardFailures; {
 		if !b.concurrency.allows(b.concurrency.inFlight - unresponsive) {
 			b.queue.saturated = true
 			return
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -35,9 +35,9 @@
 	if key == 0 {
 		return 0
 	}
-	most := float64(len(k.endpoints.servers)) / maxPartitionShare
-	k.count(key, keyCountWindow*most)
-	partitions := k.counts[key] * most / (k.total + most/2)
+	maxPartitions := float64(len(k.endpoints.servers)) / maxPartitionShare
+	k.count(key, keyCountWindow*maxPartitions)
+	partitions := k.counts[key] * maxPartitions / (k.total + maxPartitions/2)
 	index := uint64(k.env.random.Float64() * math.Ceil(partitions))
 	if index == 0 {
 		return key
