--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -17,6 +17,7 @@
 	env       *environment
 	endpoints *endpointList
 	outliers  *outlierDetector
+	poller    *listPoller
 	slowStart *slowStart
 	underWay  int
 	tokens    float64 // health checks that may be started
@@ -31,7 +32,7 @@
 	for _, s := range h.endpoints.notHealthy() {
 		if h.outliers.ejectionEnded(s) {
 			h.endpoints.setHealth(s, balancer.UnhealthyPending)
-			h.outliers.poller.fetch()
+			h.poller.fetch()
 		}
 		if h.mayCheck(s) {
 			s.checking = true
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -88,6 +88,7 @@
 		env:       env,
 		endpoints: b.endpoints,
 		outliers:  b.outliers,
+		poller:    b.poller,
 		slowStart: b.slowStart,
 		tokens:    maxHealthChecks,
 	}
