--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -55,10 +55,11 @@
 	pace               forwardPace
 }
 
-// addServer raises the limit of all servers for a new one.
+// addServer raises the limit of all servers for a new one. Of up to initialFleetLimit agents the
+// servers' own limits are the bound, and the limit of all servers becomes infinite.
 func (c *concurrencyLimits) addServer(s *server) {
-	otherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
-	c.limit += initialFleetAttempts * c.slowStart.fraction(s) / otherAgents
+	furtherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
+	c.limit += initialFleetAttempts * c.slowStart.fraction(s) / furtherAgents
 }
 
 // begin counts an attempt as work of its server.
@@ -103,7 +104,7 @@
 	if overloaded {
 		c.overloadedFraction += overloadSmoothing
 	}
-	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1)
+	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1) // with the one that ended
 	switch {
 	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitCutAt:
 		// One attempt of all agents together at each server is no overload.
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -21,11 +21,12 @@
 // tier is a server's health tier for a request: a server of a lower tier is used first.
 type tier int
 
+// The health tiers, best first.
 const (
-	healthyTier tier = iota
-	suspectTier      // waits for a health check
-	ejectedTier
-	tierCount
+	healthyTier tier = iota // in service
+	suspectTier             // waits for a health check
+	ejectedTier             // out of service
+	tierCount               // the number of tiers
 )
 
 // outlierDetector ejects servers that keep failing or do not respond.
--- a/policy/server.go
+++ b/policy/server.go
@@ -11,9 +11,9 @@
 // reads stand first, so that they share one or two lines of the processor's cache. Times are in
 // milliseconds on the host's clock; latencies are fractions of the latency objective.
 type server struct {
-	hash           uint64
+	hash           uint64 // of its address
 	zone           int
-	weight         float64
+	weight         float64 // as listed, relative to the other servers
 	startedAt      float64 // as listed, on the agent's clock, or later where a restart is assumed
 	listedStart    float64 // start of its process as the endpoint list has it
 	restartAssumed bool    // startedAt is of a restart that the endpoint list does not show (yet)
