--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -10,7 +10,7 @@
 // With an empty endpoint list a request is rejected in time.
 func TestRequestIsRejectedWhileNoServerIsListed(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	id, actions := h.request(1, 1)
+	id, actions := h.request(nonIdempotentClass, 1)
 	for range 130 {
 		if a := findAction(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
@@ -57,7 +57,7 @@
 	rejected := 0
 	for range 200 {
 		h.now += 500
-		id, actions := h.request(0, h.random.Uint64())
+		id, actions := h.request(idempotentClass, h.random.Uint64())
 		if a := findAction(actions, balancer.ActionForward); a != nil {
 			h.now += responseMs
 			h.endAttempt(id, 0, a.Server, status, responseMs)
@@ -81,10 +81,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Classes[2].DedupScope = balancer.DedupFleet
+			settings.Classes[byKeyClass].DedupScope = balancer.DedupFleet
 			settings.Limits.MaxAttempts = 1
 			h := newHarness(t, settings, 4)
-			id, s := h.mustForward(2, 5)
+			id, s := h.mustForward(byKeyClass, 5)
 			h.now += c.afterMs
 			actions := h.endAttempt(id, 0, s, balancer.StatusError, c.afterMs)
 			if findAction(actions, c.want) == nil {
@@ -97,9 +97,9 @@
 // Once a streamed response has begun the policy neither answers nor retries the request.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	settings := testSettings()
-	settings.Classes[0].Streaming = true
+	settings.Classes[idempotentClass].Streaming = true
 	h := newHarness(t, settings, 4)
-	id, s := h.mustForward(0, 3)
+	id, s := h.mustForward(idempotentClass, 3)
 	h.now += 30
 	h.handle(balancer.Event{
 		Kind:      balancer.EventResponseStarted,
@@ -175,7 +175,7 @@
 		if i > 20 {
 			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
 		}
-		id, actions := h.request(0, 0)
+		id, actions := h.request(idempotentClass, 0)
 		if a := findAction(actions, balancer.ActionForward); a != nil {
 			inFlight[a.Server] = id
 		} else {
@@ -184,7 +184,7 @@
 	}
 	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
 		h.now++
-		if _, actions := h.request(0, h.random.Uint64()|1); len(actions) != 0 {
+		if _, actions := h.request(idempotentClass, h.random.Uint64()|1); len(actions) != 0 {
 			t.Fatalf("a request with a key was not queued: %+v", actions)
 		}
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -39,7 +39,7 @@
 	for range phase.requests {
 		p.now += 40
 		p.endDue(phase.responseMs)
-		_, actions := p.request(1, p.random.Uint64())
+		_, actions := p.request(nonIdempotentClass, p.random.Uint64())
 		if a := findAction(actions, balancer.ActionForward); a != nil {
 			p.start(a, phase.responseMs)
 		}
@@ -111,7 +111,7 @@
 	h.serve(300, 20) // long enough for the baseline latency to be known
 	grown := h.policy.Stats().ServerLimits
 	for range 200 {
-		if id, actions := h.request(0, 1); findAction(actions, balancer.ActionForward) != nil {
+		if id, actions := h.request(idempotentClass, 1); findAction(actions, balancer.ActionForward) != nil {
 			h.now += 140
 			h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 140)
 		}
@@ -141,16 +141,16 @@
 // server (two, for one of three agents), and its end frees no place.
 func TestLostAttemptDoesNotCountAgainstTheServerLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
-	lost, s := h.mustForward(1, 0)
+	lost, s := h.mustForward(nonIdempotentClass, 0)
 	for range 12 { // 480 ms, and the lost one has 600
 		h.now += 5
-		id, _ := h.mustForward(1, 0)
+		id, _ := h.mustForward(nonIdempotentClass, 0)
 		h.now += 35
 		h.endAttempt(id, 0, s, balancer.StatusOK, 35)
 	}
-	h.mustForward(1, 0)
-	h.mustForward(1, 0) // the limit permits two beside the lost one
-	if _, actions := h.request(1, 0); findAction(actions, balancer.ActionForward) != nil {
+	h.mustForward(nonIdempotentClass, 0)
+	h.mustForward(nonIdempotentClass, 0) // the limit permits two beside the lost one
+	if _, actions := h.request(nonIdempotentClass, 0); findAction(actions, balancer.ActionForward) != nil {
 		t.Fatalf("a third was sent to a limit of two: %+v", h.policy.Stats())
 	}
 	actions := h.endAttempt(lost, 0, s, balancer.StatusTimeout, 600)
@@ -207,7 +207,7 @@
 // of its server, and returns the server.
 func (h *harness) loseResponse() balancer.Addr {
 	h.t.Helper()
-	lost, s := h.mustForward(0, h.random.Uint64()|1)
+	lost, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 	h.serve(28, 20) // 560 ms of the 600 that the request has
 	before := h.policy.Stats()
 	h.now += 20
@@ -229,7 +229,7 @@
 	}
 	h.updateList(balancer.ListDelta,
 		balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
-	id, to := h.mustForward(0, h.random.Uint64()|1)
+	id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 	if to != s {
 		h.t.Fatalf("sent to %v while the other drains", to)
 	}
@@ -259,7 +259,7 @@
 		h.updateList(balancer.ListCached, endpoints...)
 		inFlight := 0
 		for range 40 {
-			_, actions := h.request(0, h.random.Uint64()|1)
+			_, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			if findAction(actions, balancer.ActionForward) != nil {
 				inFlight++
 			}
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -109,7 +109,7 @@
 		d.keys = append(d.keys, d.random.Uint64()|1)
 	}
 	for range max(8*servers, 100) {
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 	}
 	return d
 }
@@ -186,13 +186,13 @@
 func (d *decisionBenchmark) serveUnloaded(b *testing.B) {
 	b.Helper()
 	for range b.N {
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 	}
 }
 
 // serverOf makes a request of the key, ends it without effect on its server, and returns the server.
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
-	id := d.request(0, key)
+	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
 	d.endUnjudged(id, s)
 	d.advance(1)
@@ -233,7 +233,7 @@
 		if key == except {
 			continue
 		}
-		id := d.request(0, key)
+		id := d.request(idempotentClass, key)
 		if d.forwardedTo == s {
 			return id
 		}
@@ -271,7 +271,7 @@
 
 // waitAndServe plays one request that is queued, as the servers that its key prefers are at their limits.
 func (d *decisionBenchmark) waitAndServe(key uint64) {
-	id, arrivedAt := d.request(0, key), d.now
+	id, arrivedAt := d.request(idempotentClass, key), d.now
 	if d.forwardedTo != (balancer.Addr{}) {
 		d.forwardedAtOnce++
 	}
@@ -297,7 +297,7 @@
 			d.failAll()
 		}
 		b.StartTimer()
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 		b.StopTimer()
 		d.fail() // the one that has served
 	}
@@ -317,6 +317,6 @@
 
 // fail has one server of the best tier fail a request that is not retried.
 func (d *decisionBenchmark) fail() {
-	id := d.request(1, d.anyKey())
+	id := d.request(nonIdempotentClass, d.anyKey())
 	d.endAttempt(id, d.forwardedTo, balancer.StatusError, 5)
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -12,7 +12,7 @@
 	h.updateList(balancer.ListDelta,
 		balancer.Endpoint{Server: serverAddress(0), State: balancer.Draining, Weight: 1})
 	for key := range uint64(20) {
-		id, s := h.mustForward(0, key+1)
+		id, s := h.mustForward(idempotentClass, key+1)
 		if s == serverAddress(0) {
 			t.Fatal("sent to a draining server")
 		}
@@ -21,7 +21,7 @@
 	h.updateList(balancer.ListFull,
 		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1})
 	for key := range uint64(20) {
-		id, s := h.mustForward(0, key+1)
+		id, s := h.mustForward(idempotentClass, key+1)
 		if s == serverAddress(1) {
 			t.Fatal("sent to a server that left the list")
 		}
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -7,27 +7,33 @@
 	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
-// testSettings returns settings with three classes: an idempotent one, a non-idempotent one, and one
-// whose duplicates are dropped within a cell for half a second.
+// The indices of the classes of testSettings.
+const (
+	idempotentClass = iota
+	nonIdempotentClass
+	byKeyClass // duplicates are dropped within a cell for half a second
+)
+
+// testSettings returns settings with a class of each idempotency.
 func testSettings() balancer.Settings {
 	s := balancer.Settings{
 		Classes: []balancer.Class{
 			{
-				Name:               "free",
+				Name:               "idempotent",
 				LatencyObjectiveMs: 300,
 				TotalTimeoutMs:     1000,
 				Idempotency:        balancer.Idempotent,
 				PriorityWeight:     1,
 			},
 			{
-				Name:               "once",
+				Name:               "non-idempotent",
 				LatencyObjectiveMs: 300,
 				TotalTimeoutMs:     1000,
 				Idempotency:        balancer.NonIdempotent,
 				PriorityWeight:     4,
 			},
 			{
-				Name:               "keyed",
+				Name:               "idempotent by key",
 				LatencyObjectiveMs: 300,
 				TotalTimeoutMs:     1000,
 				Idempotency:        balancer.IdempotentByKey,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -200,7 +200,7 @@
 	h.t.Helper()
 	got := 0
 	for range n {
-		id, to := h.mustForward(0, h.random.Uint64()|1)
+		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		h.now += ms
 		h.endAttempt(id, 0, to, balancer.StatusOK, ms)
 		if to == s {
@@ -232,7 +232,7 @@
 	}
 	for range n {
 		for range k {
-			_, actions := h.request(0, h.random.Uint64()|1)
+			_, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			collect(actions)
 		}
 		h.now += responseMs
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -21,10 +21,10 @@
 	settings := testSettings()
 	settings.Limits.HealthChecks = true
 	h := newHarness(t, settings, 3)
-	id, s := h.mustForward(0, 7)
+	id, s := h.mustForward(idempotentClass, 7)
 	h.serveRetry(id, h.endAttempt(id, 0, s, balancer.StatusError, 5), 5)
 	h.now += 2 * h.ejectionMs()
-	_, actions := h.request(0, 7)
+	_, actions := h.request(idempotentClass, 7)
 	if check := findAction(actions, balancer.ActionHealthCheck); check == nil || check.Server != s {
 		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
@@ -36,7 +36,7 @@
 		t.Errorf("a failed health check did not eject: %v", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
-	h.request(0, 8)
+	h.request(idempotentClass, 8)
 	h.endHealthCheck(s, balancer.StatusOK, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 ||
 		got[balancer.Connected] == 0 {
@@ -53,7 +53,7 @@
 		if i > 50 {
 			t.Fatalf("four servers were not ejected: %v", h.healthStates())
 		}
-		h.endEachAttempt(0, func(server balancer.Addr) (balancer.Status, float64) {
+		h.endEachAttempt(idempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
 			if server[3] < 4 {
 				return balancer.StatusConnectFailed, 5
 			}
@@ -63,7 +63,7 @@
 	checks := 0
 	for range 200 {
 		h.now += 50
-		id, actions := h.request(0, h.random.Uint64()|1)
+		id, actions := h.request(idempotentClass, h.random.Uint64()|1)
 		forwarded := findAction(actions, balancer.ActionForward)
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
@@ -93,10 +93,11 @@
 		settings.Limits.HealthChecks = true
 		settings.FleetSize = 1
 		h := newHarness(t, settings, 1)
-		id, s := h.mustForward(1, 0)
+		id, s := h.mustForward(nonIdempotentClass, 0)
 		h.endAttempt(id, 0, s, balancer.StatusError, 5)
-		h.now += 2 * settings.Classes[1].LatencyObjectiveMs
-		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
+		h.now += 2 * settings.Classes[nonIdempotentClass].LatencyObjectiveMs
+		_, actions := h.request(nonIdempotentClass, 0)
+		if findAction(actions, balancer.ActionHealthCheck) == nil {
 			t.Fatalf("no health check was sent: %+v", actions)
 		}
 		h.endHealthCheck(s, status, 1)
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -12,12 +12,12 @@
 func TestMarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	queuedMs := func(marked bool) float64 {
 		h := newHarness(t, testSettings(), 1)
-		id, s := h.mustForward(0, 5)
+		id, s := h.mustForward(idempotentClass, 5)
 		h.now += 200
 		h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
-			_, actions := h.request(0, h.random.Uint64()|1)
+			_, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			if findAction(actions, balancer.ActionForward) == nil {
 				t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
 			}
@@ -26,7 +26,7 @@
 		actions := h.handle(balancer.Event{
 			Kind:        balancer.EventRequest,
 			Request:     h.lastRequest,
-			Class:       0,
+			Class:       idempotentClass,
 			Key:         5,
 			RemainingMs: 600,
 			Retry:       marked,
@@ -56,7 +56,7 @@
 			return h.handle(balancer.Event{
 				Kind:        balancer.EventRequest,
 				Request:     h.lastRequest,
-				Class:       0,
+				Class:       idempotentClass,
 				Key:         h.random.Uint64() | 1,
 				RemainingMs: remainingMs,
 			})
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -40,7 +40,7 @@
 	closed := 0
 	for range 200 {
 		h.now += 50
-		id, s := h.mustForward(0, h.random.Uint64())
+		id, s := h.mustForward(idempotentClass, h.random.Uint64())
 		actions := h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		if a := findAction(actions, balancer.ActionCloseIdle); a != nil && a.Server == s {
 			closed++
--- a/policy/invalid_input_test.go
+++ b/policy/invalid_input_test.go
@@ -45,14 +45,14 @@
 		h.updateList(balancer.ListFull,
 			balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: x, StartedMs: x},
 			balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1, StartedMs: -x})
-		id, s := h.mustForward(0, 7)
+		id, s := h.mustForward(idempotentClass, 7)
 		h.endAttempt(id, 0, s, balancer.StatusOK, x)
 		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
 		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s,
 			Status: balancer.StatusOK})
 		for range 40 { // each is sent at once
 			h.now += 10
-			id, s := h.mustForward(0, h.random.Uint64()|1)
+			id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		}
 		if stats := h.policy.Stats(); math.IsNaN(stats.ServerLimits) || math.IsNaN(stats.ConcurrencyLimit) ||
--- a/policy/keys_test.go
+++ b/policy/keys_test.go
@@ -20,7 +20,7 @@
 		} else if i%100 == 1 {
 			key = rare
 		}
-		id, s := h.mustForward(0, key)
+		id, s := h.mustForward(idempotentClass, key)
 		h.endAttempt(id, 0, s, balancer.StatusOK, 10)
 		if servers[key] != nil {
 			servers[key][s] = true
--- a/policy/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -56,7 +56,7 @@
 // serveAmongOverloaded plays one request of which so many in four attempts find an overloaded server.
 func (d *decisionBenchmark) serveAmongOverloaded(key uint64, overloaded int) {
 	arrivedAt := d.now
-	id := d.request(0, key)
+	id := d.request(idempotentClass, key)
 	for attempt := 0; d.forwardedTo != (balancer.Addr{}); attempt++ {
 		server := d.forwardedTo
 		d.forwardedTo = balancer.Addr{}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -32,7 +32,7 @@
 		servers := map[balancer.RequestID]balancer.Addr{}
 		var forwarded []balancer.RequestID
 		for range 3 {
-			id, actions := h.request(0, h.random.Uint64()|1)
+			id, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			if a := findAction(actions, balancer.ActionForward); a != nil {
 				forwarded = append(forwarded, id)
 				servers[id] = a.Server
@@ -74,7 +74,7 @@
 	serve := func(requests int, slowMs float64) {
 		for range requests {
 			h.now += 200
-			id, s := h.mustForward(0, h.random.Uint64()|1)
+			id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 			responseMs := 30.0
 			if s == serverAddress(0) {
 				responseMs = slowMs
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -10,10 +10,10 @@
 func TestEjectedServersServeWhenNoOtherIsLeft(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 2 {
-		id, s := h.mustForward(1, 3)
+		id, s := h.mustForward(nonIdempotentClass, 3)
 		h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	}
-	if _, s := h.mustForward(0, 3); s == (balancer.Addr{}) {
+	if _, s := h.mustForward(idempotentClass, 3); s == (balancer.Addr{}) {
 		t.Error("nothing was sent though Unhealthy servers are the only ones")
 	}
 }
@@ -25,7 +25,7 @@
 	if got := h.healthStates(); got != [4]int{0, 4, 0, 0} {
 		t.Fatalf("listed servers start as %v, want all Unknown", got)
 	}
-	id, s := h.mustForward(0, 7)
+	id, s := h.mustForward(idempotentClass, 7)
 	h.now += 50
 	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
 	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
@@ -46,7 +46,7 @@
 // that the server is ejected.
 func (h *harness) ejectServerOf(key uint64, s balancer.Addr) {
 	h.t.Helper()
-	id, second := h.mustForward(0, key)
+	id, second := h.mustForward(idempotentClass, key)
 	if second != s {
 		h.t.Fatalf("key moved from %v to %v without a cause", s, second)
 	}
@@ -68,7 +68,7 @@
 func (h *harness) checkNoneGoTo(s balancer.Addr) {
 	h.t.Helper()
 	for range 20 {
-		id, to := h.mustForward(0, h.random.Uint64()|1)
+		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		if to == s {
 			h.t.Fatal("an Unhealthy server was chosen before the better tier")
 		}
@@ -81,7 +81,7 @@
 func (h *harness) checkPending(s balancer.Addr) balancer.RequestID {
 	h.t.Helper()
 	for range 52 {
-		id, to := h.mustForward(0, h.random.Uint64()|1)
+		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
 			h.t.Fatalf("after the ejection time: %v, want it pending", got)
 		}
@@ -97,7 +97,7 @@
 // A server that rejects an attempt as overloaded is not ejected, and the request goes to another.
 func TestOverloadedStatusDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
-	id, s := h.mustForward(1, 7)
+	id, s := h.mustForward(nonIdempotentClass, 7)
 	actions := h.endAttempt(id, 0, s, balancer.StatusOverloaded, 1)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
 		t.Errorf("an overloaded status ejected the server: %v", got)
@@ -111,7 +111,7 @@
 func TestUnresponsiveServerIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.serve(200, 10) // so that the response time is known
-	h.mustForward(0, 9)
+	h.mustForward(idempotentClass, 9)
 	for range 30 {
 		if h.advance(10); h.healthStates()[balancer.Unhealthy] == 1 {
 			return
@@ -124,7 +124,7 @@
 // does.
 func TestNonIdempotentRequestDoesNotCheckAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	id, failing := h.mustForward(0, 7)
+	id, failing := h.mustForward(idempotentClass, 7)
 	h.serveRetry(id, h.endAttempt(id, 0, failing, balancer.StatusError, 5), 5)
 	idempotent, nonIdempotent := 0, 0
 	for range 200 {
@@ -156,7 +156,7 @@
 		settings := testSettings()
 		settings.FleetSize = 1 // a single agent begins with eight for each server
 		h := newHarness(t, settings, 2)
-		id, s := h.mustForward(1, 0)
+		id, s := h.mustForward(nonIdempotentClass, 0)
 		h.endAttempt(id, 0, s, status, 5)
 		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
 			t.Errorf("ended %d: %+v, want one Unhealthy and limits of %v", status, stats, want)
@@ -172,11 +172,11 @@
 		h.failThreeTimes()
 		if saturated {
 			for range 40 { // more than the other limits permit, without a key: they take any server
-				h.request(0, 0)
+				h.request(idempotentClass, 0)
 			}
 		}
 		h.now += h.ejectionMs() + 1
-		h.request(0, 0)
+		h.request(idempotentClass, 0)
 		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != saturated {
 			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)",
 				saturated, checked, h.healthStates())
@@ -187,7 +187,7 @@
 // failThreeTimes has one server fail three requests in a row, each after its ejection time.
 func (h *harness) failThreeTimes() {
 	h.t.Helper()
-	id, failing := h.mustForward(0, h.random.Uint64()|1)
+	id, failing := h.mustForward(idempotentClass, h.random.Uint64()|1)
 	for failures := 1; ; failures++ {
 		h.serveRetry(id, h.endAttempt(id, 0, failing, balancer.StatusError, 5), 5)
 		if failures == 3 {
@@ -203,7 +203,7 @@
 func (h *harness) forwardTo(s balancer.Addr) balancer.RequestID {
 	h.t.Helper()
 	for range 102 {
-		id, to := h.mustForward(0, h.random.Uint64()|1)
+		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		if to == s {
 			return id
 		}
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -111,7 +111,7 @@
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	h := newHarness(t, settings, 4)
-	id, s := h.mustForward(0, 7)
+	id, s := h.mustForward(idempotentClass, 7)
 	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
 		t.Error("an ejection fetched the complete list")
 	}
--- a/policy/random_rules_test.go
+++ b/policy/random_rules_test.go
@@ -20,10 +20,10 @@
 	s.Limits.HealthChecks = rapid.Bool().Draw(t, "limits.probing")
 	s.Limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "limits.maxAttempts")
 	s.FleetSize = rapid.IntRange(1, 80).Draw(t, "replicasOfMe")
-	s.Classes[2].DedupScope = rapid.SampledFrom([]balancer.DedupScope{
+	s.Classes[byKeyClass].DedupScope = rapid.SampledFrom([]balancer.DedupScope{
 		balancer.DedupFleet, balancer.DedupZone, balancer.DedupCell,
 	}).Draw(t, "classes[2].group")
-	s.Classes[2].DedupWindowMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
+	s.Classes[byKeyClass].DedupWindowMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
 	for i := range s.Classes {
 		s.Classes[i].LatencyObjectiveMs = rapid.Float64Range(50, 450).Draw(t,
 			fmt.Sprintf("classes[%d].aimMs", i))
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -86,7 +86,7 @@
 		endpoint := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1,
 			StartedMs: h.now - 1_800_000}
 		h.updateList(balancer.ListDelta, endpoint)
-		id, _ := h.mustForward(0, 7)
+		id, _ := h.mustForward(idempotentClass, 7)
 		for i := 1; i < 5; i++ {
 			h.updateList(balancer.ListDelta,
 				balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
--- a/policy/resting_test.go
+++ b/policy/resting_test.go
@@ -17,7 +17,7 @@
 			h.now += 100
 			h.serve(1, 50)
 		}
-		id, s := h.mustForward(0, h.random.Uint64()|1)
+		id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		h.now += responseMs
 		h.endAttempt(id, 0, s, balancer.StatusOK, responseMs)
 		return h.serveAndCount(60, 2, s)
@@ -55,7 +55,7 @@
 				h.serve(1, 20)
 			}
 			h.makeLate(c.lateFirst)
-			id, s := h.mustForward(0, h.random.Uint64()|1)
+			id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 			h.now++
 			h.serveRetry(id, h.endAttempt(id, 0, s, c.status, c.latencyMs), 1)
 			if n := h.serveAndCount(60, 1, s); (n == 0) != c.rests {
@@ -70,7 +70,7 @@
 	h.t.Helper()
 	for late := map[balancer.Addr]bool{}; len(late) < servers; {
 		h.now++
-		id, s := h.mustForward(0, h.random.Uint64()|1)
+		id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		h.endAttempt(id, 0, s, balancer.StatusOK, 400)
 		late[s] = true
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -12,7 +12,7 @@
 		balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled,
 	} {
 		h := newHarness(t, testSettings(), 3)
-		id, s := h.mustForward(1, 5)
+		id, s := h.mustForward(nonIdempotentClass, 5)
 		actions := h.endAttempt(id, 0, s, status, 50)
 		if findAction(actions, balancer.ActionForward) != nil ||
 			findAction(actions, balancer.ActionReject) != nil ||
@@ -21,7 +21,7 @@
 		}
 	}
 	h := newHarness(t, testSettings(), 3)
-	id, s := h.mustForward(1, 5)
+	id, s := h.mustForward(nonIdempotentClass, 5)
 	actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50)
 	if findAction(actions, balancer.ActionForward) == nil {
 		t.Errorf("an attempt that was not executed was not retried: %+v", actions)
@@ -33,7 +33,7 @@
 func TestRetryStaysInItsDeduplicationScopeAndWindow(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
-	id, s := h.mustForward(2, 5)
+	id, s := h.mustForward(byKeyClass, 5)
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
@@ -70,7 +70,7 @@
 		retries := 0
 		for i := range 100 {
 			h.now += 500
-			servers := h.endEachAttempt(0, func(balancer.Addr) (balancer.Status, float64) {
+			servers := h.endEachAttempt(idempotentClass, func(balancer.Addr) (balancer.Status, float64) {
 				if served && i%5 > 0 {
 					return balancer.StatusOK, 10
 				}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -18,7 +18,7 @@
 	got := 0
 	for range requests {
 		h.now++
-		id, s := h.mustForward(0, uint64(h.random.Int64()))
+		id, s := h.mustForward(idempotentClass, uint64(h.random.Int64()))
 		if s == serverAddress(4) {
 			got++
 		}
@@ -52,7 +52,7 @@
 		h.updateList(balancer.ListFull, endpoints...)
 		for range 20 {
 			h.now += 100
-			id, s := h.mustForward(0, h.random.Uint64())
+			id, s := h.mustForward(idempotentClass, h.random.Uint64())
 			requests++
 			if s == serverAddress(19) {
 				warming++
@@ -80,7 +80,7 @@
 	var firstMs, got float64
 	for i := range 200 {
 		h.now += 10
-		h.endEachAttempt(0, func(server balancer.Addr) (balancer.Status, float64) {
+		h.endEachAttempt(idempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
 			if server != warming {
 				return balancer.StatusConnectFailed, 5
 			}
@@ -104,7 +104,7 @@
 			h.t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
 		}
 		h.now += 10
-		h.endEachAttempt(0, func(balancer.Addr) (balancer.Status, float64) {
+		h.endEachAttempt(idempotentClass, func(balancer.Addr) (balancer.Status, float64) {
 			return balancer.StatusConnectFailed, 5
 		})
 	}
@@ -120,7 +120,7 @@
 		got := 0
 		for range 200 {
 			h.now += 5
-			h.endEachAttempt(1, func(server balancer.Addr) (balancer.Status, float64) {
+			h.endEachAttempt(nonIdempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
 				if server == serverAddress(4) {
 					got++
 				}
@@ -142,7 +142,7 @@
 	share := func(unresponsive bool) int {
 		h := newHarness(t, testSettings(), 3)
 		h.serve(30, 20)
-		id, s := h.mustForward(0, 9)
+		id, s := h.mustForward(idempotentClass, 9)
 		status := balancer.StatusOK
 		if unresponsive {
 			status = balancer.StatusConnectFailed
--- a/policy/stats_test.go
+++ b/policy/stats_test.go
@@ -9,9 +9,9 @@
 // Stats shows the servers' states, the requests in flight and the limits.
 func TestStatsShowStatesAndLimits(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	id, s := h.mustForward(1, 0)
+	id, s := h.mustForward(nonIdempotentClass, 0)
 	h.endAttempt(id, 0, s, balancer.StatusError, 5)
-	h.mustForward(1, 0)
+	h.mustForward(nonIdempotentClass, 0)
 	stats := h.policy.Stats()
 	// two unmeasured servers of one of three agents, two attempts each
 	if stats.States != [4]int{0, 1, 0, 1} || stats.InFlight != 1 || stats.Queued != 0 ||
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -13,7 +13,7 @@
 	ownZone := 0
 	used := map[balancer.Addr]bool{}
 	for range requests {
-		id, s := h.mustForward(0, h.random.Uint64()|1)
+		id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		used[s] = true
 		if s[3]%2 == 0 {
@@ -35,7 +35,7 @@
 		ownZone, all := 0, 0
 		for i := range 600 {
 			h.now += 500
-			id, actions := h.request(0, h.random.Uint64()|1)
+			id, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			if a := findAction(actions, balancer.ActionForward); a != nil {
 				if i >= 400 {
 					all++
