--- a/cmd/simulatoradapter/main.go
+++ b/cmd/simulatoradapter/main.go
@@ -14,6 +14,7 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
+// bufferSize is the size of the buffers of input and output, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -80,6 +81,7 @@
 	return nil
 }
 
+// newBalancer returns the balancer that a boot record describes.
 func newBalancer(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// settings are valid settings.
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
@@ -23,6 +24,7 @@
 	return append(out, tail...)
 }
 
+// bootRecord makes a record that starts an instance, whose settings are the first textLen bytes of the tail.
 func bootRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{25}, instance)
@@ -31,6 +33,7 @@
 	return be.AppendUint32(r, uint32(textLen))
 }
 
+// requestRecord makes a record of a request with 400 ms left.
 func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{17}, instance)
@@ -39,6 +42,7 @@
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
+// killedRecord makes a record that ends an instance.
 func killedRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
 
 func TestKillAndBootWithinBatch(t *testing.T) {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,11 +11,13 @@
 )
 
 const (
-	headerSize = 8 // number of records and length of the body
-	clockSize  = 8 // at the beginning of the body
-	// maxBody is more than any valid batch has.
+	// headerSize is the size of the number of records and the length of the body, in bytes.
+	headerSize = 8
+	// clockSize is the size of the clock at the beginning of the body, in bytes.
+	clockSize = 8
+	// maxBody is more than any valid batch has, in bytes.
 	maxBody = 1 << 30
-	// readStep is how much of a body is read before more memory is allocated.
+	// readStep is how much of a body is read before more memory is allocated, in bytes.
 	readStep = 1 << 20
 	// maxTables is the number of endpoint tables.
 	maxTables = 16
@@ -248,6 +250,7 @@
 	return nil
 }
 
+// decodeEndpoint decodes the first row of an endpoint table.
 func decodeEndpoint(raw []byte) (balancer.Endpoint, error) {
 	be := binary.BigEndian
 	if raw[10] > uint8(balancer.Removed) {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -85,7 +85,7 @@
 
 // WriteTo writes the reply frame.
 func (e *Encoder) WriteTo(w io.Writer) (int64, error) {
-	var header [8]byte
+	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:], e.count)
 	binary.BigEndian.PutUint32(header[4:], uint32(len(e.records)+len(e.tail)))
 	var total int64
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,13 +21,16 @@
 	return b
 }
 
+// zeros is the hex text of n bytes of zeros.
 func zeros(n int) string { return strings.Repeat("00", n) }
 
+// decodeAll decodes all batches, and returns their records, each with its clock.
 func decodeAll(data []byte) (clocks []float64, recs []Record, err error) {
 	d := NewDecoder(bytes.NewReader(data))
 	for {
 		err := d.Next(func(now float64, r *Record) error {
-			clocks, recs = append(clocks, now), append(recs, *r)
+			clocks = append(clocks, now)
+			recs = append(recs, *r)
 			return nil
 		})
 		if errors.Is(err, io.EOF) {
@@ -73,14 +76,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := recs[0].Event
-	if v.Kind != balancer.EventAttemptDone || v.Attempt != 2 ||
-		v.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
-		v.Status != balancer.StatusOK || v.LatencyMs != 18.5 || !v.RequestDone {
-		t.Errorf("attempt done: %+v", v)
+	done := recs[0].Event
+	if done.Kind != balancer.EventAttemptDone || done.Attempt != 2 ||
+		done.Server != (balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+		done.Status != balancer.StatusOK || done.LatencyMs != 18.5 || !done.RequestDone {
+		t.Errorf("attempt done: %+v", done)
 	}
-	if p := recs[1].Event; p.Kind != balancer.EventHealthCheckDone || p.Status != balancer.StatusOK || p.LatencyMs != 1.4 {
-		t.Errorf("health check done: %+v", p)
+	check := recs[1].Event
+	if check.Kind != balancer.EventHealthCheckDone || check.Status != balancer.StatusOK || check.LatencyMs != 1.4 {
+		t.Errorf("health check done: %+v", check)
 	}
 }
 
