--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -38,7 +38,9 @@
 				if d == nil { // once for all sizes of b.N and all of -count
 					d = newDecisionBenchmark(b, servers, servers)
 				}
-				d.TB, d.ticks, d.forwardedAtOnce = b, 0, 0
+				d.TB = b
+				d.ticks = 0
+				d.forwardedAtOnce = 0
 				b.ReportAllocs()
 				b.ResetTimer()
 				switch state {
@@ -132,7 +134,8 @@
 func (d *decisionBenchmark) advance(ms float64) {
 	end := d.now + ms
 	for d.tickAt <= end {
-		d.now, d.tickAt = d.tickAt, math.Inf(1)
+		d.now = d.tickAt
+		d.tickAt = math.Inf(1)
 		d.ticks++
 		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: 1})
 	}
@@ -210,7 +213,8 @@
 
 // learnPreferred determines the two servers that keys prefer.
 func (d *decisionBenchmark) learnPreferred() {
-	d.keysByServer, d.preferred = map[balancer.Addr][]uint64{}, map[uint64][2]balancer.Addr{}
+	d.keysByServer = map[balancer.Addr][]uint64{}
+	d.preferred = map[uint64][2]balancer.Addr{}
 	for _, key := range d.keys {
 		s := d.serverOf(key)
 		d.keysByServer[s] = append(d.keysByServer[s], key)
@@ -250,28 +254,30 @@
 		d.learnPreferred()
 	}
 	keys := slices.Sorted(maps.Keys(d.preferred))
-	for n, rounds := 0, 0; n < b.N; rounds++ {
+	measured := 0
+	for rounds := 0; measured < b.N; rounds++ {
 		if rounds > 4*b.N+100 {
-			b.Fatalf("%d of %d times both were at their limits", n, rounds)
+			b.Fatalf("%d of %d times both were at their limits", measured, rounds)
 		}
 		key := keys[d.random.IntN(len(keys))]
-		s := d.preferred[key]
-		first, second := d.occupy(s[0], key), d.occupy(s[1], key)
+		servers := d.preferred[key]
+		first, second := d.occupy(servers[0], key), d.occupy(servers[1], key)
 		if first > 0 && second > 0 {
-			n++
+			measured++
 			b.StartTimer()
 			d.waitAndServe(key)
 			b.StopTimer()
 		}
-		d.endUnjudged(first, s[0])
-		d.endUnjudged(second, s[1])
+		d.endUnjudged(first, servers[0])
+		d.endUnjudged(second, servers[1])
 		d.advance(1)
 	}
 }
 
 // waitAndServe plays one request that is queued, as the servers that its key prefers are at their limits.
 func (d *decisionBenchmark) waitAndServe(key uint64) {
-	id, arrivedAt := d.request(idempotentClass, key), d.now
+	arrivedAt := d.now
+	id := d.request(idempotentClass, key)
 	if d.forwardedTo != (balancer.Addr{}) {
 		d.forwardedAtOnce++
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -17,7 +17,7 @@
 			PriorityWeight:     1,
 		}},
 		Limits:        balancer.Limits{MaxAttempts: 3},
-		DiscoveryMode: "pushed",
+		DiscoveryMode: balancer.DiscoveryPushed,
 		RoundTripMs:   5,
 	}
 	b, err := policy.New(settings, 42)
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -58,11 +58,11 @@
 			OverloadMultiple: 3,
 			OverloadWindowMs: 1000,
 		},
-		DiscoveryMode: "pushed",
+		DiscoveryMode: balancer.DiscoveryPushed,
 		FleetSize:     3,
 		RoundTripMs:   5,
-		WeightBy:      "request",
-		Weights:       "nominal",
+		WeightBy:      balancer.WeightByRequest,
+		Weights:       balancer.WeightsNominal,
 	}
 	s.Clients.MarksRetry = true
 	return s
