--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -19,9 +19,9 @@
 	// in one response time a twentieth of the limit. One attempt more of each of many agents would
 	// undo a decrease.
 	limitStep = 0.05
-	// unusedAttempts is how far below its limit a server counts as using it, in attempts: the one
-	// that has just ended, and the next.
-	unusedAttempts = 2
+	// usedWithin is how close to its limit, in attempts, a server has to be for the limit to count as
+	// used: the attempt that has just ended, and one more.
+	usedWithin = 2
 	// overloadSmoothing is the weight of one response in the overloaded fraction.
 	overloadSmoothing = 1.0 / 16
 	// overloadedMajority is the overloaded fraction from which all servers count as overloaded.
@@ -138,7 +138,7 @@
 			least = minLimit
 		}
 		c.cutServer(s, overloadDecrease, least)
-	case s.latency < limit && float64(len(s.inFlight)+unusedAttempts) > s.limit &&
+	case s.latency < limit && float64(len(s.inFlight)+usedWithin) > s.limit &&
 		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
