--- a/internal/policytest/admission_test.go
+++ b/policy/admission_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 // With an empty endpoint list a request is rejected in time.
 func TestRequestIsRejectedWhileNoServerIsListed(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	id, actions := h.request(1, 1)
+	id, actions := h.request(nonIdempotentClass, 1)
 	for range 130 {
 		if a := findAction(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
@@ -57,7 +57,7 @@
 	rejected := 0
 	for range 200 {
 		h.now += 500
-		id, actions := h.request(0, h.random.Uint64())
+		id, actions := h.request(idempotentClass, h.random.Uint64())
 		if a := findAction(actions, balancer.ActionForward); a != nil {
 			h.now += responseMs
 			h.endAttempt(id, 0, a.Server, status, responseMs)
@@ -81,10 +81,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Classes[2].DedupScope = balancer.DedupFleet
+			settings.Classes[byKeyClass].DedupScope = balancer.DedupFleet
 			settings.Limits.MaxAttempts = 1
 			h := newHarness(t, settings, 4)
-			id, s := h.mustForward(2, 5)
+			id, s := h.mustForward(byKeyClass, 5)
 			h.now += c.afterMs
 			actions := h.endAttempt(id, 0, s, balancer.StatusError, c.afterMs)
 			if findAction(actions, c.want) == nil {
@@ -97,11 +97,17 @@
 // Once a streamed response has begun the policy neither answers nor retries the request.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	settings := testSettings()
-	settings.Classes[0].Streaming = true
+	settings.Classes[idempotentClass].Streaming = true
 	h := newHarness(t, settings, 4)
-	id, s := h.mustForward(0, 3)
+	id, s := h.mustForward(idempotentClass, 3)
 	h.now += 30
-	h.handle(balancer.Event{Kind: balancer.EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	h.handle(balancer.Event{
+		Kind:      balancer.EventResponseStarted,
+		Request:   id,
+		Attempt:   0,
+		Server:    s,
+		LatencyMs: 30,
+	})
 	for range 200 {
 		for _, a := range h.advance(10) {
 			if a.Request == id && a.Kind != balancer.ActionSetTimer {
@@ -109,18 +115,27 @@
 			}
 		}
 	}
-	actions := h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: 0, Server: s,
-		Status: balancer.StatusReset, LatencyMs: 2000, RequestDone: true})
+	actions := h.handle(balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Attempt:     0,
+		Server:      s,
+		Status:      balancer.StatusReset,
+		LatencyMs:   2000,
+		RequestDone: true,
+	})
 	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil ||
 		findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d queued", actions, stats.InFlight, stats.Queued)
+		t.Errorf("a stream that broke: %+v, %d in flight and %d queued",
+			actions, stats.InFlight, stats.Queued)
 	}
 }
 
 // Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
 // busy for longer; the client is answered at once. Elsewhere it has all of the client's time.
 func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
-	for class, want := range []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail} {
+	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
+	for class, want := range wants {
 		settings := testSettings()
 		settings.Classes[class].LateFraction = 0
 		settings.Clients.MarksRetry = false
@@ -128,18 +143,19 @@
 		id, actions := h.request(class, 5)
 		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
-			t.Fatalf("class %d, objective 300 ms of 600: want an attempt that ends with the objective, got %+v",
-				class, actions)
+			t.Fatalf("class %d, objective 300 ms of 600: "+
+				"want an attempt that ends with the objective, got %+v", class, actions)
 		}
 		h.now += a.Ms
-		if actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms); findAction(actions, want) == nil {
+		actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms)
+		if findAction(actions, want) == nil {
 			t.Errorf("class %d: not answered once the objective was over: %+v", class, actions)
 		}
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: want an attempt for all of the time, got %+v", class,
-				actions)
+			t.Errorf("class %d, late responses earn something: "+
+				"want an attempt for all of the time, got %+v", class, actions)
 		}
 	}
 }
@@ -149,33 +165,37 @@
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.updateList(balancer.ListFull, balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
+	h.updateList(balancer.ListFull,
+		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
 		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
-	out := map[balancer.Addr]balancer.RequestID{}
-	var idempotent balancer.RequestID
-	for i := 0; idempotent == 0; i++ { // of no key, until all three are full
+	inFlight := map[balancer.Addr]balancer.RequestID{} // the last request at each server
+	var queued balancer.RequestID
+	for i := 0; queued == 0; i++ { // of no key, until all three are full
 		if i > 20 {
 			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
 		}
-		id, actions := h.request(0, 0)
+		id, actions := h.request(idempotentClass, 0)
 		if a := findAction(actions, balancer.ActionForward); a != nil {
-			out[a.Server] = id
+			inFlight[a.Server] = id
 		} else {
-			idempotent = id
+			queued = id
 		}
 	}
 	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
 		h.now++
-		if _, actions := h.request(0, h.random.Uint64()|1); len(actions) != 0 {
+		if _, actions := h.request(idempotentClass, h.random.Uint64()|1); len(actions) != 0 {
 			t.Fatalf("a request with a key was not queued: %+v", actions)
 		}
 	}
-	if c, ok := out[serverAddress(2)]; !ok {
-		t.Fatalf("nothing went to the light server: %v", out)
-	} else if a := findAction(h.endAttempt(c, 0, serverAddress(2), balancer.StatusOK, 5),
-		balancer.ActionForward); a == nil || a.Request != idempotent {
-		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, idempotent)
+	light := serverAddress(2)
+	id, ok := inFlight[light]
+	if !ok {
+		t.Fatalf("nothing went to the light server: %v", inFlight)
+	}
+	actions := h.endAttempt(id, 0, light, balancer.StatusOK, 5)
+	if a := findAction(actions, balancer.ActionForward); a == nil || a.Request != queued {
+		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, queued)
 	}
 }
 
@@ -183,7 +203,7 @@
 // queued requests the one goes first whose class lost half of its clients before their responses,
 // whichever of the two classes that is.
 func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
-	first := func(starved int) int {
+	firstServed := func(starved int) int {
 		settings := testSettings()
 		settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
 		h := newHarness(t, settings, 1)
@@ -199,16 +219,17 @@
 				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 			}
 		}
-		var out []balancer.RequestID
+		var inFlight []balancer.RequestID
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			id, _ := h.mustForward(1-starved, 0)
-			out = append(out, id)
+			inFlight = append(inFlight, id)
 		}
 		queued := [2]balancer.RequestID{}
 		for class := range 2 {
 			queued[class], _ = h.request(class, 0)
 		}
-		a := findAction(h.endAttempt(out[0], 0, serverAddress(0), balancer.StatusOK, 5), balancer.ActionForward)
+		actions := h.endAttempt(inFlight[0], 0, serverAddress(0), balancer.StatusOK, 5)
+		a := findAction(actions, balancer.ActionForward)
 		for class, id := range queued {
 			if a != nil && a.Request == id {
 				return class
@@ -218,7 +239,7 @@
 		return -1
 	}
 	for starved := range 2 {
-		if got := first(starved); got != starved {
+		if got := firstServed(starved); got != starved {
 			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
 		}
 	}
@@ -232,7 +253,8 @@
 	}
 	const now = 1e6
 	b.Start(now, nil)
-	for _, a := range b.Handle(now, &balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+	arrival := balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}
+	for _, a := range b.Handle(now, &arrival, nil) {
 		if a.Kind != balancer.ActionSetTimer {
 			t.Errorf("action %+v, want the request queued", a)
 		}
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -16,9 +16,12 @@
 	overloadDecrease  = 0.85
 	rejectionDecrease = 0.7
 	// limitStep is the additive increase of the limit of all servers by a response without overload:
-	// in one response time a twentieth of the limit. One attempt more of each agent would be a
-	// fifth more of eighty.
+	// in one response time a twentieth of the limit. One attempt more of each of many agents would
+	// undo a decrease.
 	limitStep = 0.05
+	// usedWithin is how close to its limit, in attempts, a server has to be for the limit to count as
+	// used: the attempt that has just ended, and one more.
+	usedWithin = 2
 	// overloadSmoothing is the weight of one response in the overloaded fraction.
 	overloadSmoothing = 1.0 / 16
 	// overloadedMajority is the overloaded fraction from which all servers count as overloaded.
@@ -28,6 +31,9 @@
 	restFactor = 2.0
 	// maxRestTurns bounds the turns that a server misses for one slow response.
 	maxRestTurns = 4
+	// minRestFraction is the least part of its turns for which a server rests. The length varies at
+	// random by all of them, so that the agents do not return at once.
+	minRestFraction = 0.5
 	// lostAfterResponses is the number of response times after which an attempt is lost whose server
 	// has responded to later ones.
 	lostAfterResponses = 6.0
@@ -49,10 +55,11 @@
 	pace               forwardPace
 }
 
-// addServer raises the limit of all servers for a new one.
+// addServer raises the limit of all servers for a new one. Of up to initialFleetLimit agents the
+// servers' own limits are the bound, and the limit of all servers becomes infinite.
 func (c *concurrencyLimits) addServer(s *server) {
-	otherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
-	c.limit += initialFleetAttempts * c.slowStart.fraction(s) / otherAgents
+	furtherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
+	c.limit += initialFleetAttempts * c.slowStart.fraction(s) / furtherAgents
 }
 
 // begin counts an attempt as work of its server.
@@ -97,7 +104,7 @@
 	if overloaded {
 		c.overloadedFraction += overloadSmoothing
 	}
-	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1)
+	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1) // with the one that ended
 	switch {
 	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitCutAt:
 		// One attempt of all agents together at each server is no overload.
@@ -131,7 +138,8 @@
 			least = minLimit
 		}
 		c.cutServer(s, overloadDecrease, least)
-	case s.latency < limit && float64(len(s.inFlight)+2) > s.limit && c.latency.responses > baselineResponses:
+	case s.latency < limit && float64(len(s.inFlight)+usedWithin) > s.limit &&
+		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
 }
@@ -176,13 +184,13 @@
 	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
 }
 
-// rest makes an overloaded server miss about so many turns of this agent. An agent that sees the
-// server twice a minute cannot follow its overload by a limit; but all agents together send it less
-// load, by those that met the overload.
+// rest makes an overloaded server miss about so many turns of this agent. An agent that rarely uses
+// the server cannot follow its overload by a limit; but all agents together send it less load, by
+// those that met the overload.
 func (c *concurrencyLimits) rest(s *server, turns float64) {
 	turnMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
 	restMs := min(turns*turnMs, c.env.settings.Contract.SlowStartMs)
-	s.restingUntil = c.env.now + restMs*(0.5+c.env.random.Float64())
+	s.restingUntil = c.env.now + restMs*(minRestFraction+c.env.random.Float64())
 }
 
 // restIfSlow makes a server rest after a response that was late, or much slower than without load.
--- a/internal/policytest/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"fmt"
@@ -38,7 +38,9 @@
 				if d == nil { // once for all sizes of b.N and all of -count
 					d = newDecisionBenchmark(b, servers, servers)
 				}
-				d.TB, d.ticks, d.forwardedAtOnce = b, 0, 0
+				d.TB = b
+				d.ticks = 0
+				d.forwardedAtOnce = 0
 				b.ReportAllocs()
 				b.ResetTimer()
 				switch state {
@@ -77,27 +79,39 @@
 
 // newDecisionBenchmark returns a benchmark of one of so many agents, which knows its servers' baseline
 // latency and the share of each key.
-func newDecisionBenchmark(t testing.TB, agents, servers int) *decisionBenchmark {
-	t.Helper()
+func newDecisionBenchmark(tb testing.TB, agents, servers int) *decisionBenchmark {
+	tb.Helper()
 	settings := testSettings()
-	settings.FleetSize, settings.Zone = agents, 1 // no server is of the agent's zone, as the zone preference changes
+	settings.FleetSize = agents
+	settings.Zone = 1 // no server is of the agent's zone, as the zone preference changes
 	b, err := policy.New(settings, 1)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	d := &decisionBenchmark{
+		TB:      tb,
+		policy:  b,
+		random:  rand.New(rand.NewPCG(1, 2)),
+		servers: servers,
+		now:     1e6,
+		tickAt:  math.Inf(1),
 	}
-	d := &decisionBenchmark{TB: t, policy: b, random: rand.New(rand.NewPCG(1, 2)), servers: servers, now: 1e6,
-		tickAt: math.Inf(1)}
 	d.actions = b.Start(d.now, nil)
 	endpoints := make([]balancer.Endpoint, servers)
 	for i := range endpoints {
-		endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1, Cell: i / 8}
+		endpoints[i] = balancer.Endpoint{
+			Server: serverAddress(i),
+			State:  balancer.Ready,
+			Weight: 1,
+			Cell:   i / 8,
+		}
 	}
 	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: endpoints})
 	for range 16 * servers {
 		d.keys = append(d.keys, d.random.Uint64()|1)
 	}
 	for range max(8*servers, 100) {
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 	}
 	return d
 }
@@ -111,6 +125,7 @@
 			d.tickAt = d.now + a.Ms
 		case balancer.ActionForward:
 			d.forwardedTo = a.Server
+		default: // changes nothing that the benchmark has to know
 		}
 	}
 }
@@ -119,7 +134,8 @@
 func (d *decisionBenchmark) advance(ms float64) {
 	end := d.now + ms
 	for d.tickAt <= end {
-		d.now, d.tickAt = d.tickAt, math.Inf(1)
+		d.now = d.tickAt
+		d.tickAt = math.Inf(1)
 		d.ticks++
 		d.handle(balancer.Event{Kind: balancer.EventTimer, Token: 1})
 	}
@@ -130,15 +146,28 @@
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
-	d.handle(balancer.Event{Kind: balancer.EventRequest, Request: d.lastRequest, Class: class, Key: key,
-		RemainingMs: 600})
+	d.handle(balancer.Event{
+		Kind:        balancer.EventRequest,
+		Request:     d.lastRequest,
+		Class:       class,
+		Key:         key,
+		RemainingMs: 600,
+	})
 	return d.lastRequest
 }
 
 // endAttempt ends the first attempt of a request.
-func (d *decisionBenchmark) endAttempt(id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64) {
-	d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Server: s, Status: status, LatencyMs: ms,
-		RequestDone: status == balancer.StatusOK})
+func (d *decisionBenchmark) endAttempt(
+	id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64,
+) {
+	d.handle(balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Server:      s,
+		Status:      status,
+		LatencyMs:   ms,
+		RequestDone: status == balancer.StatusOK,
+	})
 }
 
 // serve plays one request that is forwarded on arrival and served after ms.
@@ -158,14 +187,15 @@
 
 // serveUnloaded measures requests without load.
 func (d *decisionBenchmark) serveUnloaded(b *testing.B) {
+	b.Helper()
 	for range b.N {
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 	}
 }
 
 // serverOf makes a request of the key, ends it without effect on its server, and returns the server.
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
-	id := d.request(0, key)
+	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
 	d.endUnjudged(id, s)
 	d.advance(1)
@@ -183,7 +213,8 @@
 
 // learnPreferred determines the two servers that keys prefer.
 func (d *decisionBenchmark) learnPreferred() {
-	d.keysByServer, d.preferred = map[balancer.Addr][]uint64{}, map[uint64][2]balancer.Addr{}
+	d.keysByServer = map[balancer.Addr][]uint64{}
+	d.preferred = map[uint64][2]balancer.Addr{}
 	for _, key := range d.keys {
 		s := d.serverOf(key)
 		d.keysByServer[s] = append(d.keysByServer[s], key)
@@ -206,7 +237,7 @@
 		if key == except {
 			continue
 		}
-		id := d.request(0, key)
+		id := d.request(idempotentClass, key)
 		if d.forwardedTo == s {
 			return id
 		}
@@ -217,33 +248,36 @@
 
 // serveOverloaded measures requests whose preferred servers are at their limits.
 func (d *decisionBenchmark) serveOverloaded(b *testing.B) {
+	b.Helper()
 	b.StopTimer()
 	if d.keysByServer == nil {
 		d.learnPreferred()
 	}
 	keys := slices.Sorted(maps.Keys(d.preferred))
-	for n, rounds := 0, 0; n < b.N; rounds++ {
+	measured := 0
+	for rounds := 0; measured < b.N; rounds++ {
 		if rounds > 4*b.N+100 {
-			b.Fatalf("%d of %d times both were at their limits", n, rounds)
+			b.Fatalf("%d of %d times both were at their limits", measured, rounds)
 		}
 		key := keys[d.random.IntN(len(keys))]
-		s := d.preferred[key]
-		first, second := d.occupy(s[0], key), d.occupy(s[1], key)
+		servers := d.preferred[key]
+		first, second := d.occupy(servers[0], key), d.occupy(servers[1], key)
 		if first > 0 && second > 0 {
-			n++
+			measured++
 			b.StartTimer()
 			d.waitAndServe(key)
 			b.StopTimer()
 		}
-		d.endUnjudged(first, s[0])
-		d.endUnjudged(second, s[1])
+		d.endUnjudged(first, servers[0])
+		d.endUnjudged(second, servers[1])
 		d.advance(1)
 	}
 }
 
 // waitAndServe plays one request that is queued, as the servers that its key prefers are at their limits.
 func (d *decisionBenchmark) waitAndServe(key uint64) {
-	id, arrivedAt := d.request(0, key), d.now
+	arrivedAt := d.now
+	id := d.request(idempotentClass, key)
 	if d.forwardedTo != (balancer.Addr{}) {
 		d.forwardedAtOnce++
 	}
@@ -259,6 +293,7 @@
 
 // serveAfterEjections measures requests while all servers are ejected.
 func (d *decisionBenchmark) serveAfterEjections(b *testing.B) {
+	b.Helper()
 	b.StopTimer()
 	for range 5 { // by then the ejection time is 4.8 s
 		d.failAll()
@@ -268,7 +303,7 @@
 			d.failAll()
 		}
 		b.StartTimer()
-		d.serve(0, d.anyKey(), 5)
+		d.serve(idempotentClass, d.anyKey(), 5)
 		b.StopTimer()
 		d.fail() // the one that has served
 	}
@@ -288,6 +323,6 @@
 
 // fail has one server of the best tier fail a request that is not retried.
 func (d *decisionBenchmark) fail() {
-	id := d.request(1, d.anyKey())
+	id := d.request(nonIdempotentClass, d.anyKey())
 	d.endAttempt(id, d.forwardedTo, balancer.StatusError, 5)
 }
--- a/internal/policytest/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"fmt"
@@ -76,7 +76,8 @@
 func (s *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
 	if worst := s.worstOverload(); worst.ratio() > 1 || s.served == 0 {
-		t.Errorf("%.2f times what is allowed: %v; %d of %d served", worst.ratio(), worst, s.served, s.requests)
+		t.Errorf("%.2f times what is allowed: %v; %d of %d served",
+			worst.ratio(), worst, s.served, s.requests)
 	}
 }
 
@@ -257,14 +258,15 @@
 func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
-		{1500, 15}, // a hundred at each, as 30 would take a minute under the race detector
+		{1500, 15}, // a hundred agents for each server
 		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
 	}
 	for _, c := range slowStartCases {
 		for _, fleet := range fleets {
-			t.Run(fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers), func(t *testing.T) {
+			name := fmt.Sprintf("%s, %d agents, %d servers", c.name, fleet.agents, fleet.servers)
+			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				s := newFleetSimulation(t, 1, fleet.agents, fleet.servers, c.load)
+				s := newFleetSimulation(t, fleet.agents, fleet.servers, c.load)
 				s.scheduleArrivals()
 				s.run(5000)
 				c.run(s)
@@ -279,7 +281,7 @@
 	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
 		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
 			t.Parallel()
-			s := newFleetSimulation(t, 1, fleet.agents, fleet.servers, 1.8)
+			s := newFleetSimulation(t, fleet.agents, fleet.servers, 1.8)
 			s.scheduleArrivals()
 			s.run(5000)
 			s.restartServers(everyFifth(s)...)
@@ -297,7 +299,7 @@
 	for _, agents := range []int{12, 300} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
 			t.Parallel()
-			s := newFleetSimulation(t, 1, agents, 12, 0.9)
+			s := newFleetSimulation(t, agents, 12, 0.9)
 			s.scheduleArrivals()
 			s.run(45000)
 			s.restartServers(everyFifth(s)...)
--- a/internal/policytest/harness_test.go
+++ b/policy/harness_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"math"
@@ -28,13 +28,13 @@
 }
 
 // newHarness returns a harness of an agent with so many servers, all ready.
-func newHarness(t testing.TB, settings balancer.Settings, servers int) *harness {
-	t.Helper()
+func newHarness(tb testing.TB, settings balancer.Settings, servers int) *harness {
+	tb.Helper()
 	b, err := policy.New(settings, 1)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	h := &harness{t: t, policy: b, settings: settings, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
+	h := &harness{t: tb, policy: b, settings: settings, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
 	h.collectTimers(b.Start(h.now, nil))
 	endpoints := make([]balancer.Endpoint, servers)
 	for i := range endpoints {
@@ -66,8 +66,8 @@
 }
 
 // updateList hands the policy an update of the endpoint list.
-func (h *harness) updateList(update balancer.ListUpdate, endpoints ...balancer.Endpoint) []balancer.Action {
-	return h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: endpoints})
+func (h *harness) updateList(update balancer.ListUpdate, endpoints ...balancer.Endpoint) {
+	h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: endpoints})
 }
 
 // request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
@@ -114,10 +114,50 @@
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil {
 		h.t.Fatalf("request %d of class %d was not forwarded: %+v", id, class, actions)
+		return id, balancer.Addr{}
 	}
 	return id, a.Server
 }
 
+// serveRetry serves the second attempt of a request at once, if the actions forward it.
+func (h *harness) serveRetry(id balancer.RequestID, actions []balancer.Action, responseMs float64) {
+	if a := findAction(actions, balancer.ActionForward); a != nil {
+		h.endAttempt(id, 1, a.Server, balancer.StatusOK, responseMs)
+	}
+}
+
+// endEachAttempt makes a request of a class and ends each of its attempts at once, as outcome says for
+// the server; it returns their servers.
+func (h *harness) endEachAttempt(
+	class int, outcome func(server balancer.Addr) (status balancer.Status, tookMs float64),
+) (servers []balancer.Addr) {
+	id, actions := h.request(class, h.random.Uint64()|1)
+	for {
+		a := findAction(actions, balancer.ActionForward)
+		if a == nil || a.Request != id {
+			return servers
+		}
+		status, tookMs := outcome(a.Server)
+		actions = h.endAttempt(id, len(servers), a.Server, status, tookMs)
+		servers = append(servers, a.Server)
+	}
+}
+
+// waitForAnswer lets time pass until the policy forwards or answers the last request, of which actions
+// are the first, and returns how long that took; false after 500 ms.
+func (h *harness) waitForAnswer(actions []balancer.Action) (ms float64, answered bool) {
+	start := h.now
+	for range 100 {
+		for _, a := range actions {
+			if a.Request == h.lastRequest && a.Kind != balancer.ActionSetTimer {
+				return h.now - start, true
+			}
+		}
+		actions = h.advance(5)
+	}
+	return h.now - start, false
+}
+
 // advance lets ms pass and fires the timers that are due by then, in the order of their times; it returns
 // all actions.
 func (h *harness) advance(ms float64) []balancer.Action {
@@ -160,7 +200,7 @@
 	h.t.Helper()
 	got := 0
 	for range n {
-		id, to := h.mustForward(0, h.random.Uint64()|1)
+		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		h.now += ms
 		h.endAttempt(id, 0, to, balancer.StatusOK, ms)
 		if to == s {
@@ -192,7 +232,7 @@
 	}
 	for range n {
 		for range k {
-			_, actions := h.request(0, h.random.Uint64()|1)
+			_, actions := h.request(idempotentClass, h.random.Uint64()|1)
 			collect(actions)
 		}
 		h.now += responseMs
--- a/internal/policytest/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
@@ -6,32 +6,38 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// endHealthCheck hands the policy the end of a health check.
+func (h *harness) endHealthCheck(server balancer.Addr, status balancer.Status, tookMs float64) {
+	h.handle(balancer.Event{
+		Kind:      balancer.EventHealthCheckDone,
+		Server:    server,
+		Status:    status,
+		LatencyMs: tookMs,
+	})
+}
+
 // Where health checks are permitted, they decide whether a server is put back in service.
 func TestHealthCheckDecidesAboutAPendingServer(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.HealthChecks = true
 	h := newHarness(t, settings, 3)
-	id, s := h.mustForward(0, 7)
-	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
-	if a := findAction(actions, balancer.ActionForward); a != nil {
-		h.endAttempt(id, 1, a.Server, balancer.StatusOK, 5)
-	}
+	id, s := h.mustForward(idempotentClass, 7)
+	h.serveRetry(id, h.endAttempt(id, 0, s, balancer.StatusError, 5), 5)
 	h.now += 2 * h.ejectionMs()
-	_, actions = h.request(0, 7)
+	_, actions := h.request(idempotentClass, 7)
 	if check := findAction(actions, balancer.ActionHealthCheck); check == nil || check.Server != s {
 		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its health check")
 	}
-	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusTimeout,
-		LatencyMs: 100})
+	h.endHealthCheck(s, balancer.StatusTimeout, 100)
 	if h.healthStates()[balancer.Unhealthy] != 1 {
 		t.Errorf("a failed health check did not eject: %v", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
-	h.request(0, 8)
-	h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: balancer.StatusOK, LatencyMs: 5})
+	h.request(idempotentClass, 8)
+	h.endHealthCheck(s, balancer.StatusOK, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 ||
 		got[balancer.Connected] == 0 {
 		t.Errorf("a successful health check did not set Connected: %v", got)
@@ -47,31 +53,26 @@
 		if i > 50 {
 			t.Fatalf("four servers were not ejected: %v", h.healthStates())
 		}
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			to, status := findAction(actions, balancer.ActionForward).Server, balancer.StatusOK
-			if to[3] < 4 {
-				status = balancer.StatusConnectFailed
+		h.endEachAttempt(idempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
+			if server[3] < 4 {
+				return balancer.StatusConnectFailed, 5
 			}
-			if actions = h.endAttempt(id, attempt, to, status, 5); status == balancer.StatusOK {
-				break
-			}
-		}
+			return balancer.StatusOK, 5
+		})
 	}
 	checks := 0
 	for range 200 {
 		h.now += 50
-		id, actions := h.request(0, h.random.Uint64()|1)
-		sent := findAction(actions, balancer.ActionForward)
+		id, actions := h.request(idempotentClass, h.random.Uint64()|1)
+		forwarded := findAction(actions, balancer.ActionForward)
 		for _, a := range actions {
 			if a.Kind == balancer.ActionHealthCheck {
 				checks++
-				h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: a.Server,
-					Status: balancer.StatusOverloaded, LatencyMs: 1})
+				h.endHealthCheck(a.Server, balancer.StatusOverloaded, 1)
 			}
 		}
-		if sent != nil {
-			h.endAttempt(id, 0, sent.Server, balancer.StatusOverloaded, 1)
+		if forwarded != nil {
+			h.endAttempt(id, 0, forwarded.Server, balancer.StatusOverloaded, 1)
 		}
 	}
 	if checks == 0 || checks > 30 {
@@ -82,19 +83,24 @@
 // A health check with a response, even an error, does not make a server unresponsive; one that times out
 // or cannot connect does, and halves the server's limit (eight at first for a single agent).
 func TestHealthCheckWithAResponseIsNotUnresponsive(t *testing.T) {
-	for status, unresponsive := range map[balancer.Status]bool{balancer.StatusError: false,
-		balancer.StatusReset: false, balancer.StatusTimeout: true, balancer.StatusConnectFailed: true} {
+	for status, unresponsive := range map[balancer.Status]bool{
+		balancer.StatusError:         false,
+		balancer.StatusReset:         false,
+		balancer.StatusTimeout:       true,
+		balancer.StatusConnectFailed: true,
+	} {
 		settings := testSettings()
 		settings.Limits.HealthChecks = true
 		settings.FleetSize = 1
 		h := newHarness(t, settings, 1)
-		id, s := h.mustForward(1, 0)
+		id, s := h.mustForward(nonIdempotentClass, 0)
 		h.endAttempt(id, 0, s, balancer.StatusError, 5)
-		h.now += 2 * settings.Classes[1].LatencyObjectiveMs
-		if _, actions := h.request(1, 0); findAction(actions, balancer.ActionHealthCheck) == nil {
+		h.now += 2 * settings.Classes[nonIdempotentClass].LatencyObjectiveMs
+		_, actions := h.request(nonIdempotentClass, 0)
+		if findAction(actions, balancer.ActionHealthCheck) == nil {
 			t.Fatalf("no health check was sent: %+v", actions)
 		}
-		h.handle(balancer.Event{Kind: balancer.EventHealthCheckDone, Server: s, Status: status, LatencyMs: 1})
+		h.endHealthCheck(s, status, 1)
 		want := 8.0
 		if unresponsive {
 			want = 4
--- a/internal/policytest/connections_test.go
+++ b/policy/idle_connections_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
@@ -6,8 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Idle connections are closed where keeping them costs more than opening new ones. Once, each of a
-// thousand agents kept connections to a third of the servers, at a cost for each.
+// Idle connections are closed where keeping them costs more than opening new ones.
 func TestIdleConnectionsAreClosedWhereKeepingCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
@@ -41,7 +40,7 @@
 	closed := 0
 	for range 200 {
 		h.now += 50
-		id, s := h.mustForward(0, h.random.Uint64())
+		id, s := h.mustForward(idempotentClass, h.random.Uint64())
 		actions := h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		if a := findAction(actions, balancer.ActionCloseIdle); a != nil && a.Server == s {
 			closed++
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -9,11 +9,13 @@
 	// keyCountWindow is the number of requests, for each partition that there may be, over which
 	// the share of a key is measured.
 	keyCountWindow = 2.0
+	// minKeyCount is the count, in requests, below which a key is dropped.
+	minKeyCount = 0.5
 )
 
 // keyPartitions counts the requests of each affinity key and splits popular keys into partitions.
 // The load cap alone does not spread a popular key: of many agents none has enough attempts in
-// flight to reach it, and one server was measured to get 18 times the mean load.
+// flight to reach it.
 type keyPartitions struct {
 	env       *environment
 	endpoints *endpointList
@@ -33,9 +35,9 @@
 	if key == 0 {
 		return 0
 	}
-	most := float64(len(k.endpoints.servers)) / maxPartitionShare
-	k.count(key, keyCountWindow*most)
-	partitions := k.counts[key] * most / (k.total + most/2)
+	maxPartitions := float64(len(k.endpoints.servers)) / maxPartitionShare
+	k.count(key, keyCountWindow*maxPartitions)
+	partitions := k.counts[key] * maxPartitions / (k.total + maxPartitions/2)
 	index := uint64(k.env.random.Float64() * math.Ceil(partitions))
 	if index == 0 {
 		return key
@@ -57,7 +59,7 @@
 	k.total /= 2
 	for key, count := range k.counts {
 		count /= 2
-		if count < 0.5 {
+		if count < minKeyCount {
 			delete(k.counts, key)
 			continue
 		}
--- a/internal/policytest/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"fmt"
@@ -56,7 +56,7 @@
 // serveAmongOverloaded plays one request of which so many in four attempts find an overloaded server.
 func (d *decisionBenchmark) serveAmongOverloaded(key uint64, overloaded int) {
 	arrivedAt := d.now
-	id := d.request(0, key)
+	id := d.request(idempotentClass, key)
 	for attempt := 0; d.forwardedTo != (balancer.Addr{}); attempt++ {
 		server := d.forwardedTo
 		d.forwardedTo = balancer.Addr{}
@@ -65,9 +65,15 @@
 			status, tookMs = balancer.StatusOverloaded, 1
 		}
 		d.advance(tookMs)
-		d.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: id, Attempt: attempt, Server: server,
-			Status:    status,
-			LatencyMs: tookMs, RequestDone: status == balancer.StatusOK})
+		d.handle(balancer.Event{
+			Kind:        balancer.EventAttemptDone,
+			Request:     id,
+			Attempt:     attempt,
+			Server:      server,
+			Status:      status,
+			LatencyMs:   tookMs,
+			RequestDone: status == balancer.StatusOK,
+		})
 	}
 	// The request may still be queued.
 	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
@@ -76,11 +82,11 @@
 
 // processorTime is the processor time that the process has used so far. Unlike the wall clock it depends
 // little on what else the machine does.
-func processorTime(t testing.TB) time.Duration {
-	t.Helper()
+func processorTime(tb testing.TB) time.Duration {
+	tb.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
@@ -92,7 +98,8 @@
 func BenchmarkLargeFleetDay(b *testing.B) {
 	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
 		for _, keys := range []string{"even", "skewed"} {
-			b.Run(fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys), func(b *testing.B) {
+			name := fmt.Sprintf("agents=%d/servers=%d/keys=%s", fleet.agents, fleet.servers, keys)
+			b.Run(name, func(b *testing.B) {
 				for range b.N {
 					runLargeFleetDay(b, fleet.agents, fleet.servers, keys == "even")
 				}
@@ -103,8 +110,9 @@
 
 // runLargeFleetDay simulates one fleet and reports its metrics.
 func runLargeFleetDay(b *testing.B, agents, servers int, evenKeys bool) {
+	b.Helper()
 	before := heapInUse()
-	s := newFleetSimulation(b, 1, agents, servers, largeFleetLoad)
+	s := newFleetSimulation(b, agents, servers, largeFleetLoad)
 	s.requestsPerMs = float64(agents) / requestIntervalMs
 	s.evenKeys = evenKeys
 	for _, server := range s.servers {
--- a/internal/policytest/polling_test.go
+++ b/policy/polling_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
@@ -7,11 +7,18 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
+// failPoll hands the policy the failure of a call for the endpoint list, and returns the timer that it sets;
+// nil if it sets none.
+func failPoll(b *policy.Balancer, now float64) *balancer.Action {
+	failed := balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}
+	return findAction(b.Handle(now, &failed, nil), balancer.ActionSetTimer)
+}
+
 // The call for the endpoint list is made within the contract's time after the start and after each
 // failure, one at a time.
 func TestFailedPollIsRepeated(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	b, err := policy.New(settings, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -20,19 +27,16 @@
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if findAction(b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: first.Token}, nil),
-		balancer.ActionWatchList) == nil {
+	fired := balancer.Event{Kind: balancer.EventTimer, Token: first.Token}
+	if findAction(b.Handle(first.Ms, &fired, nil), balancer.ActionWatchList) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		retryTimer := findAction(b.Handle(first.Ms,
-			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil), balancer.ActionSetTimer)
+		retryTimer := failPoll(b, first.Ms)
 		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
 		}
-		if more := findAction(b.Handle(first.Ms,
-			&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
-			balancer.ActionSetTimer); more != nil {
+		if more := failPoll(b, first.Ms); more != nil {
 			t.Fatalf("a second call was set beside the one that waits: %+v", more)
 		}
 		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
@@ -43,8 +47,8 @@
 // next calls to discovery over time; a few agents need no such time.
 func TestPollsAreSpreadByFleetSize(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
-	busiest := func(agents int, failures int) int {
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
+	busiestSecond := func(agents, failures int) int {
 		settings.FleetSize = agents
 		calls := map[int]int{}
 		for seed := range agents {
@@ -55,9 +59,7 @@
 			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
 				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-				call = findAction(b.Handle(0,
-					&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}, nil),
-					balancer.ActionSetTimer)
+				call = failPoll(b, 0)
 			}
 			calls[int(call.Ms/1000)]++
 		}
@@ -67,13 +69,13 @@
 		}
 		return most
 	}
-	if n := busiest(80, 0); n > 35 {
+	if n := busiestSecond(80, 0); n > 35 {
 		t.Errorf("%d of 80 agents call in one second after a start", n)
 	}
-	if n := busiest(80, 1); n > 35 {
+	if n := busiestSecond(80, 1); n > 35 {
 		t.Errorf("%d of 80 agents call in one second after a failure", n)
 	}
-	if n := busiest(3, 0); n != 3 {
+	if n := busiestSecond(3, 0); n != 3 {
 		t.Errorf("%d of 3 agents call in the first second", n)
 	}
 }
@@ -83,8 +85,10 @@
 // a second of what remains for its response.
 func TestFailedPollIsRepeatedInTimeForTheContract(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode, settings.FleetSize, settings.Contract.PollWithinMs = "on_request", 300, 10000
-	most := 0.0
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
+	settings.FleetSize = 300
+	settings.Contract.PollWithinMs = 10000
+	mostMs := 0.0
 	for seed := range uint64(50) {
 		b, err := policy.New(settings, seed)
 		if err != nil {
@@ -93,22 +97,21 @@
 		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
-			call = findAction(b.Handle(0, &balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed},
-				nil), balancer.ActionSetTimer)
-			most = max(most, call.Ms)
+			call = failPoll(b, 0)
+			mostMs = max(mostMs, call.Ms)
 		}
 	}
-	if most > 6000-2250-1000 || most < 1000 {
-		t.Errorf("a failed call is repeated after %.0f ms at the most", most)
+	if mostMs > 6000-2250-1000 || mostMs < 1000 {
+		t.Errorf("a failed call is repeated after %.0f ms at the most", mostMs)
 	}
 }
 
 // Where agents call discovery for changes, an ejection does not fetch the complete list.
 func TestEjectionFetchesNoListInOnRequestMode(t *testing.T) {
 	settings := testSettings()
-	settings.DiscoveryMode = "on_request"
+	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	h := newHarness(t, settings, 4)
-	id, s := h.mustForward(0, 7)
+	id, s := h.mustForward(idempotentClass, 7)
 	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
 		t.Error("an ejection fetched the complete list")
 	}
--- a/internal/policytest/retry_test.go
+++ b/policy/retry_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"testing"
@@ -8,18 +8,20 @@
 
 // A non-idempotent request is retried only after an attempt that did not execute.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
-	for _, status := range []balancer.Status{balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset,
-		balancer.StatusCancelled} {
+	for _, status := range []balancer.Status{
+		balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled,
+	} {
 		h := newHarness(t, testSettings(), 3)
-		id, s := h.mustForward(1, 5)
+		id, s := h.mustForward(nonIdempotentClass, 5)
 		actions := h.endAttempt(id, 0, s, status, 50)
-		if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionReject) != nil ||
+		if findAction(actions, balancer.ActionForward) != nil ||
+			findAction(actions, balancer.ActionReject) != nil ||
 			findAction(actions, balancer.ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
 	}
 	h := newHarness(t, testSettings(), 3)
-	id, s := h.mustForward(1, 5)
+	id, s := h.mustForward(nonIdempotentClass, 5)
 	actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50)
 	if findAction(actions, balancer.ActionForward) == nil {
 		t.Errorf("an attempt that was not executed was not retried: %+v", actions)
@@ -31,7 +33,7 @@
 func TestRetryStaysInItsDeduplicationScopeAndWindow(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
-	id, s := h.mustForward(2, 5)
+	id, s := h.mustForward(byKeyClass, 5)
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
@@ -39,8 +41,8 @@
 	}
 	h.now += 496 // just inside the 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
-	if findAction(actions, balancer.ActionForward) != nil || findAction(actions, balancer.ActionFail) == nil &&
-		h.policy.Stats().Queued == 0 {
+	if findAction(actions, balancer.ActionForward) != nil ||
+		findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
 		t.Errorf("a retry was forwarded after its window: %+v", actions)
 	}
 }
@@ -68,21 +70,14 @@
 		retries := 0
 		for i := range 100 {
 			h.now += 500
-			id, actions := h.request(0, h.random.Uint64()|1)
-			a := findAction(actions, balancer.ActionForward)
-			if a == nil {
-				continue // shed: the agent sees little served in time
-			}
-			if served && i%5 > 0 {
-				h.endAttempt(id, 0, a.Server, balancer.StatusOK, 10)
-				continue
-			}
-			for attempt := 0; a != nil; attempt++ {
-				actions := h.endAttempt(id, attempt, a.Server, balancer.StatusOverloaded, 1)
-				if a = findAction(actions, balancer.ActionForward); a != nil {
-					retries++
+			servers := h.endEachAttempt(idempotentClass, func(balancer.Addr) (balancer.Status, float64) {
+				if served && i%5 > 0 {
+					return balancer.StatusOK, 10
 				}
-			}
+				return balancer.StatusOverloaded, 1
+			})
+			// A request may have no attempt: load is shed while little is served in time.
+			retries += max(len(servers)-1, 0)
 		}
 		// The retry budget holds four tokens at the most.
 		if served && retries < 15 || !served && retries > 4 {
--- a/internal/policytest/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -1,4 +1,4 @@
-package policytest
+package policy_test
 
 import (
 	"math/rand/v2"
@@ -14,25 +14,27 @@
 	h := newHarness(t, testSettings(), 5)
 	h.updateList(balancer.ListDelta,
 		balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
-	got, all := 0, 2000
-	for range all {
+	const requests = 2000
+	got := 0
+	for range requests {
 		h.now++
-		id, s := h.mustForward(0, uint64(h.random.Int64()))
+		id, s := h.mustForward(idempotentClass, uint64(h.random.Int64()))
 		if s == serverAddress(4) {
 			got++
 		}
 		h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 	}
-	even := float64(all) / 4
+	const even = requests / 4.0
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f", got, all, limit)
+		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f",
+			got, requests, limit)
 	}
 }
 
 // Many agents with few requests each send a server in slow start its part together, though none of them
-// earns a complete attempt for it. Once, the new half of a fleet stood idle until it was warm.
+// earns a complete attempt for it.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
-	warming, all := 0, 0
+	warming, requests := 0, 0
 	for seed := range uint64(200) {
 		h := newHarness(t, testSettings(), 19)
 		b, err := policy.New(testSettings(), seed)
@@ -43,21 +45,24 @@
 		for i := range endpoints {
 			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
 		}
-		h.policy, h.random = b, rand.New(rand.NewPCG(seed, 2))
+		h.policy = b
+		h.random = rand.New(rand.NewPCG(seed, 2))
 		h.updateList(balancer.ListFull, endpoints...)
 		endpoints[19].StartedMs = h.now - 2000
 		h.updateList(balancer.ListFull, endpoints...)
 		for range 20 {
 			h.now += 100
-			id, s := h.mustForward(0, h.random.Uint64())
-			if all++; s == serverAddress(19) {
+			id, s := h.mustForward(idempotentClass, h.random.Uint64())
+			requests++
+			if s == serverAddress(19) {
 				warming++
 			}
 			h.endAttempt(id, 0, s, balancer.StatusOK, 20)
 		}
 	}
-	if even := all / 20; warming < even/20 || warming > even {
-		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", warming, all, even)
+	if even := requests / 20; warming < even/20 || warming > even {
+		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d",
+			warming, requests, even)
 	}
 }
 
@@ -65,41 +70,43 @@
 func TestServersInSlowStartServeWhenAllWarmOnesFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(200, 10)
-	// No connect reaches the warm ones any more. Then a server in slow start is listed.
-	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
-		if i > 20 {
-			t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
-		}
-		h.now += 10
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			actions = h.endAttempt(id, attempt, findAction(actions, balancer.ActionForward).Server,
-				balancer.StatusConnectFailed, 5)
-		}
-	}
+	h.disconnectAll()
 	h.now += 10
+	warming := serverAddress(2)
 	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 1, StartedMs: h.now})
+		balancer.Endpoint{Server: warming, State: balancer.Ready, Weight: 1, StartedMs: h.now})
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
-	var first, got float64
+	var firstMs, got float64
 	for i := range 200 {
 		h.now += 10
-		id, actions := h.request(0, h.random.Uint64()|1)
-		for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-			to := findAction(actions, balancer.ActionForward).Server
-			if to != serverAddress(2) {
-				actions = h.endAttempt(id, attempt, to, balancer.StatusConnectFailed, 5)
-				continue
+		h.endEachAttempt(idempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
+			if server != warming {
+				return balancer.StatusConnectFailed, 5
 			}
-			if got++; got == 1 {
-				first = float64(i+1) * 10
+			got++
+			if got == 1 {
+				firstMs = float64(i+1) * 10
 			}
-			actions = h.endAttempt(id, attempt, to, balancer.StatusOK, 20)
-		}
+			return balancer.StatusOK, 20
+		})
 	}
-	if got < 1 || first > 1000 || got > 2*50*0.28*0.75 {
-		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, first)
+	if got < 1 || firstMs > 1000 || got > 2*50*0.28*0.75 {
+		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, firstMs)
+	}
+}
+
+// disconnectAll makes connects to all servers fail until both servers of the harness are ejected.
+func (h *harness) disconnectAll() {
+	h.t.Helper()
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
+		if i > 20 {
+			h.t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
+		}
+		h.now += 10
+		h.endEachAttempt(idempotentClass, func(balancer.Addr) (balancer.Status, float64) {
+			return balancer.StatusConnectFailed, 5
+		})
 	}
 }
 
@@ -110,23 +117,22 @@
 		h := newHarness(t, testSettings(), 4)
 		h.updateList(balancer.ListDelta,
 			balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
-		n := 0
+		got := 0
 		for range 200 {
 			h.now += 5
-			id, actions := h.request(1, h.random.Uint64()|1)
-			for attempt := 0; findAction(actions, balancer.ActionForward) != nil; attempt++ {
-				to := findAction(actions, balancer.ActionForward).Server
-				if to == serverAddress(4) {
-					n++
+			h.endEachAttempt(nonIdempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
+				if server == serverAddress(4) {
+					got++
 				}
-				actions = h.endAttempt(id, attempt, to, status, 1)
-			}
+				return status, 1
+			})
 		}
-		return n
+		return got
 	}
-	if full, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK); full != 0 || served == 0 {
-		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, %d where all were served",
-			full, served)
+	overloaded, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK)
+	if overloaded != 0 || served == 0 {
+		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, "+
+			"%d where all were served", overloaded, served)
 	}
 }
 
@@ -136,18 +142,17 @@
 	share := func(unresponsive bool) int {
 		h := newHarness(t, testSettings(), 3)
 		h.serve(30, 20)
-		id, s := h.mustForward(0, 9)
+		id, s := h.mustForward(idempotentClass, 9)
 		status := balancer.StatusOK
 		if unresponsive {
 			status = balancer.StatusConnectFailed
 		}
-		if a := findAction(h.endAttempt(id, 0, s, status, 100), balancer.ActionForward); a != nil {
-			h.endAttempt(id, 1, a.Server, balancer.StatusOK, 20)
-		}
+		h.serveRetry(id, h.endAttempt(id, 0, s, status, 100), 20)
 		h.now += h.settings.Contract.OverloadWindowMs + 500
 		return h.serveAndCount(90, 20, s)
 	}
 	if unresponsive, warm := share(true), share(false); unresponsive == 0 || 2*unresponsive >= warm {
-		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d", unresponsive, warm)
+		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d",
+			unresponsive, warm)
 	}
 }
