--- a/cmd/simulatoradapter/main.go
+++ b/cmd/simulatoradapter/main.go
@@ -83,7 +83,7 @@
 
 // newBalancer returns the balancer that a boot record describes.
 func newBalancer(rec *wire.Record) (*policy.Balancer, error) {
-	settings, err := wire.ParseSettings(rec.Settings)
+	settings, err := balancer.ParseSettings(rec.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/config/settings.go
+++ b/internal/agent/config/settings.go
@@ -7,8 +7,8 @@
 	"maps"
 	"strings"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/wire"
 	"fernbeam.example/fernbeam/policy"
 )
 
@@ -21,7 +21,7 @@
 
 // parseSettings reads and checks the settings of a configuration; an error names the key.
 func (c *Config) parseSettings(text []byte) error {
-	settings, err := wire.ParseSettings(text)
+	settings, err := balancer.ParseSettings(text)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/settings.go
+++ b/internal/balancer/parse_settings.go
@@ -1,17 +1,15 @@
-package wire
+package balancer
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-
-	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// ParseSettings reads the JSON text of a boot record. Unknown keys are ignored; a value of a wrong type
+// ParseSettings reads settings from their JSON text, without Validate's checks. Unknown keys are ignored; a value of a wrong type
 // is an error that names the key.
-func ParseSettings(text []byte) (balancer.Settings, error) {
-	var settings balancer.Settings
+func ParseSettings(text []byte) (Settings, error) {
+	var settings Settings
 	err := json.Unmarshal(text, &settings)
 	if err == nil {
 		return settings, nil
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -11,8 +11,8 @@
 	"unicode"
 	"unicode/utf8"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/wire"
 )
 
 const (
@@ -44,7 +44,7 @@
 }
 
 // validateSettings checks a text of settings as an agent would. Its error is one line that names
-// the key: wire.ParseSettings or Settings.Validate rejects the text, the names of zones or machine
+// the key: balancer.ParseSettings or Settings.Validate rejects the text, the names of zones or machine
 // kinds are not strings, or it sets index or zone, which each agent has of its own.
 func validateSettings(text []byte) error {
 	var keys map[string]json.RawMessage
@@ -60,7 +60,7 @@
 			return fmt.Errorf("settings: %s: must be a list of names", key)
 		}
 	}
-	settings, err := wire.ParseSettings(text)
+	settings, err := balancer.ParseSettings(text)
 	if err != nil {
 		return err
 	}
