--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -3,7 +3,6 @@
 package main
 
 import (
-	"fernbeam.example/fernbeam/internal/agent/config"
 	"context"
 	"fmt"
 	"log/slog"
@@ -18,6 +17,7 @@
 	"syscall"
 
 	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 const (
--- a/internal/balancer/parse_settings.go
+++ b/internal/balancer/parse_settings.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// ParseSettings reads settings from their JSON text, without Validate's checks. Unknown keys are ignored; a value of a wrong type
-// is an error that names the key.
+// ParseSettings reads settings from their JSON text, without Validate's checks. Unknown keys are ignored; a value of
+// a wrong type is an error that names the key.
 func ParseSettings(text []byte) (Settings, error) {
 	var settings Settings
 	err := json.Unmarshal(text, &settings)
