--- a/cmd/experiment/example_test.go
+++ b/cmd/experiment/example_test.go
@@ -1,36 +1,89 @@
 package main
 
 import (
+	"bytes"
+	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
+	"strings"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// exampleScenario is the scenario that README starts with.
-const exampleScenario = "../../deploy/example/one-agent.toml"
+const (
+	readmeFile = "../../README.md"
+	// exampleScenario is the scenario that README starts with, and exampleRoot the directory that README names it from.
+	exampleScenario = "deploy/example/one-agent.toml"
+	exampleRoot     = "../.."
+)
 
-// TestExampleScenarioRuns runs the example scenario, cut to two seconds, with a built agent.
+// TestExampleScenarioRuns runs the example scenario, cut to two seconds, with a built agent. Its report begins with the
+// rows that README shows.
 func TestExampleScenarioRuns(t *testing.T) {
 	dir := t.TempDir()
 	agent := filepath.Join(dir, "agent")
-	if text, err := exec.Command("go", "build", "-o", agent, "../agent").CombinedOutput(); err != nil {
+	if text, err := exec.CommandContext(t.Context(), "go", "build", "-o", agent, "../agent").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	scenario, err := experiment.Load(exampleScenario)
+	scenario, err := experiment.Load(filepath.Join(exampleRoot, exampleScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
 	scenario.Length = 2 * time.Second
-	recorded := 0
+	var records []*experiment.Record
 	err = experiment.Run(t.Context(), experiment.Config{Scenario: scenario, Binary: agent, Dir: dir,
-		Done: func(*experiment.Record) error {
-			recorded++
+		Done: func(record *experiment.Record) error {
+			records = append(records, record)
 			return nil
 		}})
-	if err != nil || recorded != 1 {
-		t.Errorf("%d runs recorded (%v), want 1", recorded, err)
+	if err != nil || len(records) != 1 {
+		t.Fatalf("%d runs recorded (%v), want 1", len(records), err)
+	}
+	records[0].Valid = true // the rows are checked, not how well this machine kept the time
+	var report bytes.Buffer
+	if err := experiment.Report(&report, records); err != nil {
+		t.Fatal(err)
+	}
+	shown, printed := tableRows(readme(t)), tableRows(report.String())
+	if len(shown) == 0 || len(printed) < len(shown) || !slices.Equal(printed[:len(shown)], shown) {
+		t.Errorf("README shows the rows\n%v\nand the report begins with\n%v", shown, printed)
+	}
+}
+
+// TestReadmeNamesTheExample checks that README has the commands that build the programs and run the example, in this
+// order and with the path that the other tests read.
+func TestReadmeNamesTheExample(t *testing.T) {
+	const commands = "\n\n    go build -o bin/ ./cmd/...\n    bin/experiment run " + exampleScenario + "\n\n"
+	if !strings.Contains(readme(t), commands) {
+		t.Errorf("README has no%s", commands)
+	}
+}
+
+// readme returns the text of README.
+func readme(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(readmeFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// tableRow is a row of a report without its value, which differs from run to run.
+type tableRow struct{ title, unit string }
+
+// tableRows returns the rows of the Markdown tables with three columns in a text, headers included.
+func tableRows(text string) (rows []tableRow) {
+	for line := range strings.Lines(text) {
+		cells := strings.Split(strings.TrimSpace(line), "|")
+		const columns = 3
+		if len(cells) != columns+2 || strings.Contains(line, "---") {
+			continue
+		}
+		rows = append(rows, tableRow{title: strings.TrimSpace(cells[1]), unit: strings.TrimSpace(cells[3])})
 	}
+	return rows
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -141,7 +141,7 @@
 				return err
 			}
 			for _, d := range differences {
-				_, err := fmt.Fprintf(cmd.OutOrStdout(), "%-28s %10.4g %10.4g  %+.4g ± %.4g over %d pairs\n",
+				_, err := fmt.Fprintf(cmd.OutOrStdout(), "%-62s %10.4g %10.4g  %+.4g ± %.4g over %d pairs\n",
 					d.Metric, d.Base, d.Arm, d.Mean, d.HalfWidth, d.Pairs)
 				if err != nil {
 					return err
@@ -218,7 +218,7 @@
 			if err != nil {
 				return err
 			}
-			return experiment.CheckRanking(cmd.OutOrStdout(), records, metric, arms)
+			return experiment.CheckRanking(cmd.OutOrStdout(), records, experiment.FindMetric(metric), arms)
 		},
 	}
 	cmd.Flags().StringVar(&metric, "figure", "in time", "metric to rank by, greater being better")
--- /dev/null
+++ b/internal/emulator/metric.go
@@ -0,0 +1,46 @@
+package emulator
+
+// Metric is the key of a metric in the record of a run. Records that were written earlier have the same keys, so they
+// do not change; package experiment has the titles and units that reports print.
+type Metric string
+
+// The part of the requested value that became of the calls. The value of a call is its class's priority weight times
+// its work, in units of the mean work.
+const (
+	MetricInTime   Metric = "in time"
+	MetricLate     Metric = "late"
+	MetricRejected Metric = "refused"
+	MetricFailed   Metric = "failed"
+)
+
+// The calls of a run, and the latencies and the work of those that were served, in ms.
+const (
+	MetricCalls       Metric = "requests"
+	MetricLatencyP50  Metric = "latency p50 ms"
+	MetricLatencyP99  Metric = "latency p99 ms"
+	MetricMeanSojourn Metric = "sojourn mean ms"
+	MetricMeanWork    Metric = "work mean ms"
+)
+
+// Counts of a run, each divided by the number of calls.
+const (
+	MetricRequests          Metric = "tries a request" // of clients, their retries included
+	MetricAttempts          Metric = "attempts a request"
+	MetricAttemptsFailed    Metric = "error a request"
+	MetricAttemptsRejected  Metric = "turned away a request"
+	MetricAttemptsCancelled Metric = "called off a request"
+	MetricAttemptsBroken    Metric = "broken a request"
+	MetricHandshakes        Metric = "handshakes a request"
+	MetricHealthChecks      Metric = "probes a request"
+	MetricDiscoveryCalls    Metric = "list calls a request"
+	MetricEndpointsSent     Metric = "list lines a request"
+)
+
+const (
+	// MetricSlowStartLoad is the highest load of a server in slow start, as a fraction of the overload limit.
+	MetricSlowStartLoad Metric = "cold load of its bound"
+	// MetricSlowStartFails counts the servers that failed because they were overloaded in slow start.
+	MetricSlowStartFails Metric = "cold nodes fallen"
+	// MetricTimerDelayP99 is how late the harness's timers fired at the 99th percentile, in ms.
+	MetricTimerDelayP99 Metric = "lab late p99 ms"
+)
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -15,34 +15,10 @@
 // maxDelayMicroseconds bounds the delays that a histogram can hold.
 const maxDelayMicroseconds = 60_000_000
 
-// Names of metrics; records and their readers know them by these texts. A fraction is one of the requested value.
-const (
-	MetricInTime         = "in time"
-	MetricLate           = "late"
-	MetricRejected       = "refused"
-	MetricFailed         = "failed"
-	MetricLatencyP50     = "latency p50 ms"
-	MetricLatencyP99     = "latency p99 ms"
-	MetricMeanSojourn    = "sojourn mean ms"
-	MetricMeanWork       = "work mean ms"
-	MetricTimerDelayP99  = "lab late p99 ms"
-	MetricCalls          = "requests"
-	MetricSlowStartLoad  = "cold load of its bound"
-	MetricSlowStartFails = "cold nodes fallen"
-
-	metricRequests       = "tries a request"
-	metricAttempts       = "attempts a request"
-	metricDiscoveryCalls = "list calls a request"
-	metricEntriesSent    = "list lines a request"
-	metricHandshakes     = "handshakes a request"
-	metricHealthChecks   = "probes a request"
-	perCall              = " a request" // after an attempt's outcome
-)
-
 // Result is what a run measured.
 type Result struct {
 	Seconds    []SecondTotals     `json:"Seconds"`
-	Metrics    map[string]float64 `json:"Figures"` // by name, which includes the unit
+	Metrics    map[Metric]float64 `json:"Figures"`
 	Servers    []ServerMetrics    `json:"Nodes"`
 	Violations []Violation        `json:"Broken"`
 	Errors     []string           `json:"Faults"` // of the harness itself: the run is not valid
@@ -61,7 +37,7 @@
 
 // result collects the result of a run whose last call has ended.
 func (e *Emulator) result() *Result {
-	r := &Result{Metrics: map[string]float64{}}
+	r := &Result{Metrics: map[Metric]float64{}}
 	history := &History{}
 	e.collectCalls(r, history)
 	e.collectServers(r, history)
@@ -158,18 +134,19 @@
 	r.Metrics[MetricCalls] = float64(calls)
 	r.Metrics[MetricSlowStartLoad] = slowStartLoad
 	r.Metrics[MetricSlowStartFails] = float64(len(history.Overloads))
-	counts := map[string]float64{
-		metricRequests:       float64(len(history.Requests)),
-		metricAttempts:       float64(r.Attempts),
-		metricDiscoveryCalls: float64(endpoints.calls.Load()),
-		metricEntriesSent:    float64(endpoints.entriesSent.Load()),
-		metricHandshakes:     handshakes,
-		metricHealthChecks:   healthChecks,
-	}
-	for _, outcome := range []Outcome{AttemptFailed, AttemptRejected, AttemptCancelled, AttemptBroken} {
-		counts[string(outcome)+perCall] = float64(outcomes[outcome])
+	counts := map[Metric]float64{
+		MetricRequests:          float64(len(history.Requests)),
+		MetricAttempts:          float64(r.Attempts),
+		MetricAttemptsFailed:    float64(outcomes[AttemptFailed]),
+		MetricAttemptsRejected:  float64(outcomes[AttemptRejected]),
+		MetricAttemptsCancelled: float64(outcomes[AttemptCancelled]),
+		MetricAttemptsBroken:    float64(outcomes[AttemptBroken]),
+		MetricHandshakes:        handshakes,
+		MetricHealthChecks:      healthChecks,
+		MetricDiscoveryCalls:    float64(endpoints.calls.Load()),
+		MetricEndpointsSent:     float64(endpoints.entriesSent.Load()),
 	}
-	for name, count := range counts {
-		r.Metrics[name] = count / max(1, float64(calls))
+	for metric, count := range counts {
+		r.Metrics[metric] = count / max(1, float64(calls))
 	}
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 
@@ -16,7 +15,7 @@
 // Difference is how a metric of an arm differs from that of a base arm: the mean over pairs of the same seed and the
 // half width of its 95 % confidence interval (Student's t).
 type Difference struct {
-	Metric          string
+	Metric          Metric
 	Base, Arm       float64 // means
 	Mean, HalfWidth float64
 	Pairs           int
@@ -28,8 +27,8 @@
 // Compare returns the differences of all metrics between two arms, over the seeds on which both have a valid run; the
 // last one of each is used.
 func Compare(records []*Record, base, arm string) ([]Difference, error) {
-	baseRuns := metricsBySeed(validOf(records, base))
-	armRuns := metricsBySeed(validOf(records, arm))
+	baseRuns := lastBySeed(validOf(records, base))
+	armRuns := lastBySeed(validOf(records, arm))
 	var seeds []uint64
 	for seed := range baseRuns {
 		if armRuns[seed] != nil {
@@ -42,35 +41,40 @@
 	}
 	slices.Sort(seeds)
 	var differences []Difference
-	for _, metric := range slices.Sorted(maps.Keys(baseRuns[seeds[0]])) {
-		var baseValues, armValues, pairDifferences []float64
-		for _, seed := range seeds {
-			baseValue := baseRuns[seed][metric]
-			armValue := armRuns[seed][metric]
-			baseValues = append(baseValues, baseValue)
-			armValues = append(armValues, armValue)
-			pairDifferences = append(pairDifferences, armValue-baseValue)
-		}
-		mean, halfWidth := confidenceInterval(pairDifferences)
-		differences = append(differences, Difference{
-			Metric:    metric,
-			Base:      stat.Mean(baseValues, nil),
-			Arm:       stat.Mean(armValues, nil),
-			Mean:      mean,
-			HalfWidth: halfWidth,
-			Pairs:     len(seeds),
-		})
+	for _, metric := range metricsIn([]*Record{baseRuns[seeds[0]]}) {
+		differences = append(differences, difference(metric, seeds, baseRuns, armRuns))
 	}
 	return differences, nil
 }
 
-// metricsBySeed returns the metrics of the last record of each seed.
-func metricsBySeed(records []*Record) map[uint64]map[string]float64 {
-	metrics := map[uint64]map[string]float64{}
+// difference returns the difference of a metric over the seeds.
+func difference(metric Metric, seeds []uint64, baseRuns, armRuns map[uint64]*Record) Difference {
+	var baseValues, armValues, pairDifferences []float64
+	for _, seed := range seeds {
+		baseValue := baseRuns[seed].Metrics()[metric.Key]
+		armValue := armRuns[seed].Metrics()[metric.Key]
+		baseValues = append(baseValues, baseValue)
+		armValues = append(armValues, armValue)
+		pairDifferences = append(pairDifferences, armValue-baseValue)
+	}
+	mean, halfWidth := confidenceInterval(pairDifferences)
+	return Difference{
+		Metric:    metric,
+		Base:      stat.Mean(baseValues, nil),
+		Arm:       stat.Mean(armValues, nil),
+		Mean:      mean,
+		HalfWidth: halfWidth,
+		Pairs:     len(seeds),
+	}
+}
+
+// lastBySeed returns the last record of each seed.
+func lastBySeed(records []*Record) map[uint64]*Record {
+	last := map[uint64]*Record{}
 	for _, record := range records {
-		metrics[record.Seed] = record.Metrics()
+		last[record.Seed] = record
 	}
-	return metrics
+	return last
 }
 
 // confidenceInterval returns the mean of samples and the half width of its 95 % confidence interval (Student's t).
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -10,7 +10,7 @@
 
 // recordOf returns a record with one metric, "x".
 func recordOf(arm string, seed uint64, x float64, valid bool) *Record {
-	result := &emulator.Result{Metrics: map[string]float64{"x": x}}
+	result := &emulator.Result{Metrics: map[emulator.Metric]float64{"x": x}}
 	return &Record{Arm: arm, Seed: seed, Valid: valid, Result: result}
 }
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	index := slices.IndexFunc(differences, func(d Difference) bool { return d.Metric == "x" })
+	index := slices.IndexFunc(differences, func(d Difference) bool { return d.Metric.Key == "x" })
 	if index < 0 {
 		t.Fatalf("no difference of the metric: %+v", differences)
 	}
--- a/internal/experiment/ranking.go
+++ b/internal/experiment/ranking.go
@@ -13,7 +13,7 @@
 // CheckRanking compares arms by the mean of a metric over their valid runs, greater being better, and writes each
 // with its paired difference from the one before. It returns an error if the order is not the expected one, best
 // first.
-func CheckRanking(out io.Writer, records []*Record, metric string, expected []string) error {
+func CheckRanking(out io.Writer, records []*Record, metric Metric, expected []string) error {
 	var text bytes.Buffer
 	means, err := writeRanking(&text, records, metric, expected)
 	if _, writeErr := text.WriteTo(out); writeErr != nil {
@@ -31,12 +31,12 @@
 }
 
 // writeRanking writes the rows of the arms and returns the mean of each.
-func writeRanking(out *bytes.Buffer, records []*Record, metric string, arms []string) (map[string]float64, error) {
+func writeRanking(out *bytes.Buffer, records []*Record, metric Metric, arms []string) (map[string]float64, error) {
 	means := map[string]float64{}
 	for i, arm := range arms {
 		var values []float64
 		for _, record := range validOf(records, arm) {
-			values = append(values, record.Metrics()[metric])
+			values = append(values, record.Metrics()[metric.Key])
 		}
 		if len(values) == 0 {
 			return nil, fmt.Errorf("arm %q has no valid run", arm)
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -30,12 +30,19 @@
 	Views [][2]int `json:"views,omitempty"`
 }
 
-// Metrics returns the run's metrics with those of its processes.
-func (r *Record) Metrics() map[string]float64 {
+// The metrics that a record has beside those of the emulator's result.
+const (
+	metricAgentsCPU   emulator.Metric = "agents' CPU s"
+	metricHarnessCPU  emulator.Metric = "lab's CPU s"
+	metricRulesBroken emulator.Metric = "rules broken"
+)
+
+// Metrics returns the metrics of the run: those of its result, of its processes, and the number of violations.
+func (r *Record) Metrics() map[emulator.Metric]float64 {
 	metrics := maps.Clone(r.Result.Metrics)
-	metrics["agents' CPU s"] = r.AgentsCPU
-	metrics["lab's CPU s"] = r.HarnessCPU
-	metrics["rules broken"] = float64(len(r.Result.Violations))
+	metrics[metricAgentsCPU] = r.AgentsCPU
+	metrics[metricHarnessCPU] = r.HarnessCPU
+	metrics[metricRulesBroken] = float64(len(r.Result.Violations))
 	return metrics
 }
 
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"slices"
+	"strconv"
 	"strings"
 
 	"gonum.org/v1/gonum/stat"
@@ -59,13 +59,13 @@
 			}
 		}
 	}
-	fmt.Fprintf(out, "%d runs, %d of them not valid, %d violations\n", len(records), invalid, violations)
+	fmt.Fprintf(out, "runs: %d, not valid: %d, violations of the operating rules: %d\n", len(records), invalid, violations)
 }
 
 // writeDifferences writes a table of the differences between two arms.
 func writeDifferences(out *bytes.Buffer, base, arm string, differences []Difference) {
-	fmt.Fprintf(out, "\n| metric | %s | %s | difference, 95 %% over %d seeds | |\n", base, arm, differences[0].Pairs)
-	fmt.Fprintf(out, "| --- | --- | --- | --- | --- |\n")
+	heading := fmt.Sprintf("difference, 95 %% over %d seeds", differences[0].Pairs)
+	table := newTable("metric", base, arm, heading, "", "unit")
 	equal := 0
 	for _, d := range differences {
 		verdict := "differs"
@@ -73,24 +73,52 @@
 			verdict = ""
 			equal++
 		}
-		fmt.Fprintf(out, "| %s | %.4g | %.4g | %+.4g ± %.4g | %s |\n",
-			d.Metric, d.Base, d.Arm, d.Mean, d.HalfWidth, verdict)
+		interval := fmt.Sprintf("%+.4g ± %.4g", d.Mean, d.HalfWidth)
+		table.addRow(d.Metric.Title, formatValue(d.Base), formatValue(d.Arm), interval, verdict, d.Metric.Unit)
 	}
+	fmt.Fprintln(out)
+	table.write(out)
 	fmt.Fprintf(out, "\nthe interval includes 0 for %d of %d metrics\n", equal, len(differences))
 }
 
 // writeSummary writes a table of an arm's metrics over its valid runs.
 func writeSummary(out *bytes.Buffer, records []*Record, arm string) {
-	values := map[string][]float64{}
-	for _, record := range validOf(records, arm) {
-		for metric, value := range record.Metrics() {
-			values[metric] = append(values[metric], value)
-		}
+	runs := validOf(records, arm)
+	switch len(runs) {
+	case 0:
+		fmt.Fprintf(out, "\n%s: no valid run\n", arm)
+	case 1:
+		writeRun(out, runs[0])
+	default:
+		writeRuns(out, arm, runs)
+	}
+}
+
+// writeRun writes a table of the metrics of one run.
+func writeRun(out *bytes.Buffer, run *Record) {
+	table := newTable(run.Arm, "value", "unit")
+	values := run.Metrics()
+	for _, metric := range metricsIn([]*Record{run}) {
+		table.addRow(metric.Title, formatValue(values[metric.Key]), metric.Unit)
 	}
-	fmt.Fprintf(out, "\n| %s | runs | least | mean | greatest |\n| --- | --- | --- | --- | --- |\n", arm)
-	for _, metric := range slices.Sorted(maps.Keys(values)) {
-		v := values[metric]
-		fmt.Fprintf(out, "| %s | %d | %.4g | %.4g | %.4g |\n",
-			metric, len(v), slices.Min(v), stat.Mean(v, nil), slices.Max(v))
+	fmt.Fprintln(out)
+	table.write(out)
+}
+
+// writeRuns writes a table of the metrics of several runs of an arm. A metric that not every run has, such as the
+// latency of served requests, is summed up over those that have it.
+func writeRuns(out *bytes.Buffer, arm string, runs []*Record) {
+	table := newTable(arm, "runs", "least", "mean", "greatest", "unit")
+	for _, metric := range metricsIn(runs) {
+		var values []float64
+		for _, run := range runs {
+			if value, ok := run.Metrics()[metric.Key]; ok {
+				values = append(values, value)
+			}
+		}
+		table.addRow(metric.Title, strconv.Itoa(len(values)), formatValue(slices.Min(values)),
+			formatValue(stat.Mean(values, nil)), formatValue(slices.Max(values)), metric.Unit)
 	}
+	fmt.Fprintln(out)
+	table.write(out)
 }
--- /dev/null
+++ b/internal/experiment/report_test.go
@@ -0,0 +1,89 @@
+package experiment
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/emulator"
+)
+
+// reportOf returns the report of some records.
+func reportOf(t *testing.T, records ...*Record) string {
+	t.Helper()
+	var out bytes.Buffer
+	if err := Report(&out, records); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// TestReportOfOneRun checks the whole report of one run: its rows in the table's order, with titles, one value and
+// units, and a metric of an older version at the end.
+func TestReportOfOneRun(t *testing.T) {
+	record := recordOf("agent", 1, 7, true)
+	record.Result.Metrics[emulator.MetricCalls] = 12345
+	record.Result.Metrics[emulator.MetricInTime] = 0.99705
+	record.Result.Metrics[emulator.MetricLatencyP99] = 438.783
+	record.Result.Metrics[emulator.MetricAttempts] = 1.002976
+	record.AgentsCPU = 0.5
+	const want = `runs: 1, not valid: 0, violations of the operating rules: 0
+
+| agent                    | value | unit                   |
+| ------------------------ | ----- | ---------------------- |
+| requests                 | 12345 | count                  |
+| served in time           | 0.997 | of the requested value |
+| rules broken             | 0     | count                  |
+| latency, 99th percentile | 438.8 | ms                     |
+| attempts                 | 1.003 | per request            |
+| agents' processor time   | 0.5   | s                      |
+| harness's processor time | 0     | s                      |
+| x                        | 7     |                        |
+`
+	if got := reportOf(t, record); got != want {
+		t.Errorf("printed:\n%s\nwant:\n%s", got, want)
+	}
+}
+
+// TestReportOfSeveralRuns checks that several runs of an arm have the least, mean and greatest value of each metric,
+// that a run that is not valid has no part in them, and that an arm without a valid run says so.
+func TestReportOfSeveralRuns(t *testing.T) {
+	got := reportOf(t, recordOf("agent", 1, 1, true), recordOf("agent", 2, 4, true), recordOf("agent", 3, 100, false))
+	for _, want := range []string{
+		"runs: 3, not valid: 1, violations of the operating rules: 0\n",
+		"| agent                    | runs | least | mean | greatest | unit  |\n",
+		"| x                        | 2    | 1     | 2.5  | 4        |       |\n",
+	} {
+		if !strings.Contains(got, want) {
+			t.Errorf("printed:\n%s\nwhich has no %q", got, want)
+		}
+	}
+	got = reportOf(t, recordOf("agent", 1, 1, false))
+	if want := "agent: no valid run\n"; !strings.HasSuffix(got, want) {
+		t.Errorf("printed:\n%s\nwhich does not end in %q", got, want)
+	}
+}
+
+// TestMetricTable checks that each row of the table is complete and unique, and is found by its title and by its key.
+func TestMetricTable(t *testing.T) {
+	var keys []emulator.Metric
+	var titles []string
+	for _, metric := range metricTable {
+		if metric.Title == "" || metric.Unit == "" {
+			t.Errorf("%+v is not complete", metric)
+		}
+		keys = append(keys, metric.Key)
+		titles = append(titles, metric.Title)
+	}
+	slices.Sort(keys)
+	slices.Sort(titles)
+	if len(slices.Compact(keys)) != len(metricTable) || len(slices.Compact(titles)) != len(metricTable) {
+		t.Error("a key or a title stands twice")
+	}
+	for _, metric := range metricTable {
+		if FindMetric(metric.Title) != metric || FindMetric(string(metric.Key)) != metric {
+			t.Errorf("%v is not found by its title and its key", metric)
+		}
+	}
+}
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -7,6 +7,8 @@
 	"path/filepath"
 	"slices"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/emulator"
 )
 
 // faultScenario is a small scenario with the faults that are hardest on the harness: agents that are killed with
@@ -78,11 +80,12 @@
 			for _, record := range records {
 				checkServes(t, record)
 				checkViews(t, record)
+				checkTitles(t, record)
 			}
 			if paths, err := Plot(records, t.TempDir(), "svg"); err != nil || len(paths) != 3 {
 				t.Errorf("plots: %v, %v", paths, err)
 			}
-			calls := func(r *Record) float64 { return r.Result.Metrics["requests"] }
+			calls := func(r *Record) float64 { return r.Result.Metrics[emulator.MetricCalls] }
 			if a, b := calls(records[0]), calls(records[1]); a != b {
 				t.Errorf("one arm got %v calls, the other %v", a, b)
 			}
@@ -130,7 +133,7 @@
 		t.Errorf("arm %q: %v", record.Arm, violation)
 	}
 	metrics := record.Result.Metrics
-	served := metrics["in time"] + metrics["late"]
+	served := metrics[emulator.MetricInTime] + metrics[emulator.MetricLate]
 	if record.AgentError != "" || served < 0.2 || record.Result.Attempts == 0 {
 		t.Errorf("arm %q: %q, metrics %v", record.Arm, record.AgentError, metrics)
 	}
@@ -144,3 +147,13 @@
 		t.Errorf("arm %q: views %v", record.Arm, record.Views)
 	}
 }
+
+// checkTitles checks that every metric of a run has a title and a unit.
+func checkTitles(t *testing.T, record *Record) {
+	t.Helper()
+	for key := range record.Metrics() {
+		if metric := FindMetric(string(key)); metric.Unit == "" {
+			t.Errorf("arm %q: %q is not in the table of metrics", record.Arm, key)
+		}
+	}
+}
