--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -1,12 +1,14 @@
 package experiment
 
 import (
+	_ "embed"
 	"fmt"
 	"io"
 	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
+	"sync"
 	"time"
 
 	"github.com/BurntSushi/toml"
@@ -17,155 +19,141 @@
 	generatorStream = 9
 	// generatedSeeds is how many seeds a generated scenario has.
 	generatedSeeds = 10
+	// drawnPerUnit is how many different values a draw can have within 1.
+	drawnPerUnit = 1000
+	// kindsFile is the name of the file that kindsText is read from.
+	kindsFile = "kinds.toml"
 )
 
-// uniform draws a number from a range.
-type uniform func(low, high float64) float64
-
-// scenarioKinds are the kinds of scenarios that can be generated. Each sets the faults, and what else differs from
-// Default, with magnitudes from the ranges that the operators state for the days of their acceptance test.
-var scenarioKinds = map[string]func(*Scenario, uniform){
-	"calm":    baselineScenario,
-	"herd":    restartScenario,
-	"join":    joinScenario,
-	"zone":    zoneFailureScenario,
-	"split":   partitionScenario,
-	"release": releaseScenario,
+// generatedLoad is the load of a generated scenario, unless its kind has another.
+var generatedLoad = valueRange{low: 0.5, high: 0.7}
+
+//go:embed kinds.toml
+var kindsText string
+
+// scenarioTemplate is a kind of generated scenario.
+type scenarioTemplate struct {
+	Load   valueRange      `toml:"load"`
+	Faults []faultTemplate `toml:"trouble"`
 }
 
-// baselineScenario has a low load with a burst.
-func baselineScenario(s *Scenario, draw uniform) {
-	s.Traffic.Load = draw(0.35, 0.5)
-	s.Faults = []Fault{
-		{At: s.fractionOfLength(0.4), Kind: faultBurst, Duration: s.fractionOfLength(0.2), Magnitude: 1.5},
-	}
+// faultTemplate is a fault of a generated scenario. The duration is Duration seconds, or DurationPart of the length.
+type faultTemplate struct {
+	At           float64    `toml:"at"` // part of the length
+	Kind         string     `toml:"kind"`
+	Duration     float64    `toml:"for"`
+	DurationPart float64    `toml:"for_part"`
+	Share        valueRange `toml:"share"`
+	Magnitude    valueRange `toml:"size"`
+	Batch        valueRange `toml:"batch"`
+	DrainTime    valueRange `toml:"drain"` // seconds
+	RestartAfter valueRange `toml:"back"`  // seconds
 }
 
-// restartScenario restarts most agents at the same moment, while servers are replaced and discovery is unavailable.
-func restartScenario(s *Scenario, draw uniform) {
-	outage := Fault{At: s.fractionOfLength(0.2), Kind: faultDiscoveryOutage, Duration: s.fractionOfLength(0.2)}
-	replacement := Fault{
-		At:        s.fractionOfLength(0.3),
-		Kind:      faultReplaceServers,
-		Share:     draw(0.6, 0.87),
-		Batch:     draw(0.1, 0.2),
-		DrainTime: seconds(draw(2, 4)),
-		Duration:  s.fractionOfLength(0.5),
-	}
-	kill := Fault{
-		At:           s.fractionOfLength(0.4),
-		Kind:         faultKillAgents,
-		Share:        0.7,
-		RestartAfter: seconds(draw(0.5, 1.5)),
+// valueRange is a range that a value is drawn from; a fixed value has low and high the same.
+type valueRange struct{ low, high float64 }
+
+// UnmarshalTOML reads a range, such as [0.6, 0.87], or a fixed value.
+func (r *valueRange) UnmarshalTOML(value any) error {
+	bounds, isRange := value.([]any)
+	if !isRange {
+		bounds = []any{value, value}
 	}
-	slow := Fault{
-		At:        s.fractionOfLength(0.1),
-		Kind:      faultSlowServers,
-		Share:     0.125,
-		Magnitude: draw(2.4, 7.8),
-		Duration:  s.fractionOfLength(0.6),
+	var numbers []float64
+	for _, bound := range bounds {
+		switch bound := bound.(type) {
+		case float64:
+			numbers = append(numbers, bound)
+		case int64:
+			numbers = append(numbers, float64(bound))
+		}
 	}
-	s.Faults = []Fault{outage, replacement, kill, slow}
-}
-
-// joinScenario replaces most servers within a short time.
-func joinScenario(s *Scenario, draw uniform) {
-	s.Faults = []Fault{
-		{
-			At:        s.fractionOfLength(0.2),
-			Kind:      faultReplaceServers,
-			Share:     0.6,
-			Batch:     0.2,
-			DrainTime: seconds(2),
-			Duration:  seconds(7),
-		},
-		{
-			At:        s.fractionOfLength(0.1),
-			Kind:      faultSlowServers,
-			Share:     0.1,
-			Magnitude: draw(2.4, 7.8),
-			Duration:  s.fractionOfLength(0.5),
-		},
+	const ends = 2
+	if len(numbers) != ends || len(bounds) != ends {
+		return fmt.Errorf("%v is no number and no range of two", value)
 	}
+	r.low, r.high = numbers[0], numbers[1]
+	return nil
 }
 
-// zoneFailureScenario loses the first zone while some servers fail requests.
-func zoneFailureScenario(s *Scenario, draw uniform) {
-	s.Faults = []Fault{
-		{At: s.fractionOfLength(0.25), Kind: faultZoneFailure, Zone: s.Fleet.Zones[0], Duration: seconds(5)},
-		{
-			At:        s.fractionOfLength(0.1),
-			Kind:      faultFailingServers,
-			Share:     0.125,
-			Magnitude: draw(0.3, 0.9),
-			Duration:  s.fractionOfLength(0.5),
-		},
+// draw draws a value, rounded. A fixed value takes no random number.
+func (r valueRange) draw(random *rand.Rand) float64 {
+	if r.low == r.high {
+		return r.low
 	}
+	return math.Round(drawnPerUnit*(r.low+(r.high-r.low)*random.Float64())) / drawnPerUnit
 }
 
-// partitionScenario partitions the first zone, a third of the agents and some servers.
-func partitionScenario(s *Scenario, _ uniform) {
-	s.Faults = []Fault{
-		{At: s.fractionOfLength(0.3), Kind: faultZonePartition, Zone: s.Fleet.Zones[0], Duration: seconds(6)},
-		{At: s.fractionOfLength(0.3), Kind: faultPartitionAgents, Share: 1.0 / 3, Duration: s.fractionOfLength(0.4)},
-		{At: s.fractionOfLength(0.6), Kind: faultPartitionServers, Share: 0.2, Duration: seconds(4)},
+// scenarioKinds decodes the kinds of scenarios once. It panics if the file, which is part of the program, has an error.
+var scenarioKinds = sync.OnceValue(func() map[string]scenarioTemplate {
+	kinds := map[string]scenarioTemplate{}
+	metadata, err := toml.Decode(kindsText, &kinds)
+	if err != nil {
+		panic(fmt.Sprintf("experiment: %v", TOMLError(kindsFile, err)))
 	}
-}
-
-// releaseScenario replaces servers and restarts all agents, in batches.
-func releaseScenario(s *Scenario, draw uniform) {
-	s.Faults = []Fault{
-		{
-			At:        s.fractionOfLength(0.15),
-			Kind:      faultReplaceServers,
-			Share:     draw(0.43, 0.87),
-			Batch:     draw(0.06, 0.2),
-			DrainTime: seconds(draw(2.5, 5)),
-			Duration:  s.fractionOfLength(0.7),
-		},
-		{
-			At:       s.fractionOfLength(0.5),
-			Kind:     faultRestartAgents,
-			Share:    1,
-			Batch:    0.1,
-			Duration: s.fractionOfLength(0.4),
-		},
+	if unknown := metadata.Undecoded(); len(unknown) > 0 {
+		panic(fmt.Sprintf("experiment: %s: unknown keys %v", kindsFile, unknown))
 	}
-}
-
-// fractionOfLength returns a fraction of the length of the traffic.
-func (s *Scenario) fractionOfLength(fraction float64) time.Duration {
-	return time.Duration(fraction * float64(s.Length))
-}
-
-// seconds returns a time, rounded to milliseconds.
-func seconds(s float64) time.Duration {
-	return time.Duration(math.Round(s*1000)) * time.Millisecond
-}
+	return kinds
+})
 
 // ScenarioKinds returns the kinds of scenarios that can be generated, in alphabetical order.
-func ScenarioKinds() []string { return slices.Sorted(maps.Keys(scenarioKinds)) }
+func ScenarioKinds() []string { return slices.Sorted(maps.Keys(scenarioKinds())) }
 
 // Generate writes a scenario of a kind as TOML, its magnitudes drawn from a seed.
 func Generate(out io.Writer, kind string, seed uint64, agents, servers int, length time.Duration) error {
-	fill := scenarioKinds[kind]
-	if fill == nil {
+	template, ok := scenarioKinds()[kind]
+	if !ok {
 		return fmt.Errorf("there is no kind %q; kinds: %v", kind, ScenarioKinds())
 	}
-	random := rand.New(rand.NewPCG(seed, generatorStream))
-	draw := func(low, high float64) float64 {
-		const precision = 1000
-		return math.Round(precision*(low+(high-low)*random.Float64())) / precision
-	}
-	s := Default()
+	s := defaultWithoutTables()
 	s.Name = kind
 	s.Seed = seed
 	s.Seeds = generatedSeeds
 	s.Length = length
 	s.Fleet.Agents = agents
 	s.Fleet.Servers = servers
-	s.Traffic.Load = draw(0.5, 0.7)
-	fill(s, draw)
 	s.Arms = []Arm{{Name: "off"}, {Name: "fleet", Fleet: true}}
+	template.fill(s, rand.New(rand.NewPCG(seed, generatorStream)))
 	return toml.NewEncoder(out).Encode(s)
 }
+
+// fill sets a scenario's load and faults. The order of the draws is part of what a seed means.
+func (t *scenarioTemplate) fill(s *Scenario, random *rand.Rand) {
+	s.Traffic.Load = generatedLoad.draw(random)
+	if t.Load != (valueRange{}) {
+		s.Traffic.Load = t.Load.draw(random)
+	}
+	for i := range t.Faults {
+		s.Faults = append(s.Faults, t.Faults[i].fault(s, random))
+	}
+}
+
+// fault returns the fault for a scenario; one that needs a zone has the first.
+func (t *faultTemplate) fault(s *Scenario, random *rand.Rand) Fault {
+	fault := Fault{
+		At:       s.partOfLength(t.At),
+		Kind:     t.Kind,
+		Duration: seconds(t.Duration),
+	}
+	if t.DurationPart > 0 {
+		fault.Duration = s.partOfLength(t.DurationPart)
+	}
+	if faultKinds[t.Kind].needsZone {
+		fault.Zone = s.Fleet.Zones[0]
+	}
+	fault.Share = t.Share.draw(random)
+	fault.Batch = t.Batch.draw(random)
+	fault.DrainTime = seconds(t.DrainTime.draw(random))
+	fault.RestartAfter = seconds(t.RestartAfter.draw(random))
+	fault.Magnitude = t.Magnitude.draw(random)
+	return fault
+}
+
+// partOfLength returns a part of the length of the traffic.
+func (s *Scenario) partOfLength(part float64) time.Duration { return time.Duration(part * float64(s.Length)) }
+
+// seconds returns a time, rounded to milliseconds.
+func seconds(s float64) time.Duration {
+	return time.Duration(s * float64(time.Second)).Round(time.Millisecond)
+}
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -24,7 +24,7 @@
 
 // Parse reads a scenario from a text; path is the name that errors give it.
 func Parse(path, text string) (*Scenario, error) {
-	s := Default()
+	s := defaultWithoutTables()
 	metadata, err := toml.Decode(text, s)
 	if err != nil {
 		return nil, TOMLError(path, err)
@@ -34,7 +34,7 @@
 			return nil, fmt.Errorf("%s:%d: unknown key %q", path, LineOf(text, key), key)
 		}
 	}
-	s.applyDefaults()
+	s.addDefaultTables()
 	if key, err := s.validate(); err != nil {
 		return nil, fmt.Errorf("%s:%d: %s: %w", path, LineOf(text, strings.Split(key, ".")), key, err)
 	}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -17,7 +17,7 @@
 )
 
 // Scenario describes an experiment: a fleet, its traffic, faults on a timeline, and the arms. In TOML its keys are the
-// tags, times are texts such as "300ms", and what is left out is as in Default.
+// tags, times are texts such as "300ms", and what is left out is as in default.toml.
 type Scenario struct {
 	Name     string           `toml:"name"`
 	Length   time.Duration    `toml:"length"` // of the traffic
--- a/internal/experiment/scenario_test.go
+++ b/internal/experiment/scenario_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -45,6 +46,35 @@
 	}
 }
 
+// TestDefaultScenario checks that the default scenario has no unknown keys and valid values, and that a scenario that
+// sets nothing is the default with one arm.
+func TestDefaultScenario(t *testing.T) {
+	if _, err := Parse(defaultFile, defaultText); err != nil {
+		t.Error(err)
+	}
+	empty, err := Parse("empty.toml", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Default()
+	want.Arms = []Arm{{Name: defaultArm}}
+	if !reflect.DeepEqual(empty, want) {
+		t.Errorf("a scenario that sets nothing is\n%+v\nwant\n%+v", empty, want)
+	}
+}
+
+// TestDefaultIsNotShared checks that a caller who changes the default scenario changes none of another caller.
+func TestDefaultIsNotShared(t *testing.T) {
+	changed := Default()
+	changed.Fleet.Zones[0] = "changed"
+	changed.Classes[0].Name = "changed"
+	changed.Models[0].Kind = "changed"
+	if other := Default(); other.Fleet.Zones[0] == "changed" || other.Classes[0].Name == "changed" ||
+		other.Models[0].Kind == "changed" {
+		t.Errorf("the default scenario became %+v", other)
+	}
+}
+
 func TestScenarioWithModelsAndClasses(t *testing.T) {
 	s, err := Parse("s.toml", `
 [[model]]
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -151,7 +151,7 @@
 
 // fillList puts all servers on the endpoint list.
 func (f *fleet) fillList(ctx context.Context) error {
-	models := experiment.Site().Models
+	models := experiment.Default().Models
 	for i := range f.listedServers {
 		zone := i % len(zoneNames)
 		f.servers = append(f.servers, endpoint.Endpoint{
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -105,7 +105,7 @@
 
 // deployment is the scenario whose settings the agents have.
 func deployment() *experiment.Scenario {
-	s := experiment.Site()
+	s := experiment.Default()
 	s.Fleet.Zones = zoneNames
 	return s
 }
