--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/emulator"
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/faultproxy"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
@@ -20,8 +21,42 @@
 	membershipSeeds = 3
 	// membershipSite is the site in the agents' membership sections.
 	membershipSite = "lab"
+	// loopbackNetwork has the addresses that members may have.
+	loopbackNetwork = "127.0.0.0/8"
+	// agentSeedFactor keeps the seeds of the agents of one run apart from those of the next seed's.
+	agentSeedFactor = 1000
+	// configFileMode is the mode of an agent's configuration file.
+	configFileMode = 0o600
+	// joinTimeout bounds the time until all agents see each other.
+	joinTimeout = time.Minute
+	// readyTimeout bounds the time from an agent's start until it is ready, readyCallTimeout a call that asks.
+	readyTimeout     = 30 * time.Second
+	readyCallTimeout = time.Second
 )
 
+// agentConfig is an agent's configuration file (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
+type agentConfig struct {
+	Name           string            `json:"name"`
+	Listen         string            `json:"listen"`
+	AdminAddress   string            `json:"management"`
+	Discovery      string            `json:"discovery"`
+	Seed           string            `json:"seed"` // hexadecimal
+	Limits         AgentLimits       `json:"limits"`
+	KnownEndpoints endpoint.List     `json:"known"`
+	Membership     *membershipConfig `json:"fleet,omitempty"`
+	Settings       AgentSettings     `json:"settings"`
+}
+
+// membershipConfig is the membership section of an agent's configuration.
+type membershipConfig struct {
+	Bind      string   `json:"bind"`
+	Advertise string   `json:"advertise"`
+	Seeds     []string `json:"seeds"`
+	Site      string   `json:"site"`
+	Zone      string   `json:"zone"`
+	Networks  []string `json:"networks"`
+}
+
 // memberAddress is where an agent listens for other agents, and the address that it advertises to them.
 type memberAddress struct{ bind, advertise string }
 
@@ -41,21 +76,20 @@
 	for i, agent := range r.emulatorConfig.Agents {
 		config := r.agentConfig(i, agent)
 		if member, ok := members[agent.Name]; ok {
-			config["fleet"] = map[string]any{
-				"bind":      member.bind,
-				"advertise": member.advertise,
-				"seeds":     seeds,
-				"site":      membershipSite,
-				"zone":      r.scenario.Fleet.Zones[agent.Zone],
-				"networks":  []string{"127.0.0.0/8"},
+			config.Membership = &membershipConfig{
+				Bind:      member.bind,
+				Advertise: member.advertise,
+				Seeds:     seeds,
+				Site:      membershipSite,
+				Zone:      r.scenario.Fleet.Zones[agent.Zone],
+				Networks:  []string{loopbackNetwork},
 			}
 		}
-		mergeConfig(config, r.arm.Config)
-		text, err := json.Marshal(config)
+		text, err := config.encode(r.arm.Config)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(dir, agent.Name+".json"), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, agent.Name+".json"), text, configFileMode); err != nil {
 			return err
 		}
 	}
@@ -67,12 +101,12 @@
 
 // connectMembers adds each agent to a fault proxy and returns the agents' addresses and the seeds.
 func (r *armRun) connectMembers() (members map[string]memberAddress, seeds []string, err error) {
-	if r.board, err = faultproxy.New(r.seed); err != nil {
+	if r.proxy, err = faultproxy.New(r.seed); err != nil {
 		return nil, nil, err
 	}
 	members = map[string]memberAddress{}
 	for _, name := range r.names {
-		bind, advertise, err := r.board.Add(name)
+		bind, advertise, err := r.proxy.Add(name)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -84,18 +118,32 @@
 	return members, seeds, nil
 }
 
-// agentConfig returns an agent's configuration (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
-func (r *armRun) agentConfig(index int, agent emulator.Agent) map[string]any {
-	return map[string]any{
-		"name":       agent.Name,
-		"listen":     r.emulator.Address(index, emulator.ListenPort),
-		"management": r.emulator.Address(index, emulator.AdminPort),
-		"discovery":  r.emulator.Address(index, emulator.DiscoveryPort),
-		"seed":       strconv.FormatUint(r.seed*1000+uint64(index), 16),
-		"limits":     r.scenario.Limits(),
-		"known":      r.emulator.InitialList(agent.Name),
-		"settings":   r.scenario.Settings(index, agent.Zone, len(r.emulatorConfig.Agents)),
+// agentConfig returns the configuration of the agent with an index, without a membership section.
+func (r *armRun) agentConfig(index int, agent emulator.Agent) *agentConfig {
+	return &agentConfig{
+		Name:           agent.Name,
+		Listen:         r.emulator.Address(index, emulator.ListenPort),
+		AdminAddress:   r.emulator.Address(index, emulator.AdminPort),
+		Discovery:      r.emulator.Address(index, emulator.DiscoveryPort),
+		Seed:           strconv.FormatUint(r.seed*agentSeedFactor+uint64(index), 16),
+		Limits:         r.scenario.Limits(),
+		KnownEndpoints: r.emulator.InitialList(agent.Name),
+		Settings:       r.scenario.Settings(index, agent.Zone, len(r.emulatorConfig.Agents)),
+	}
+}
+
+// encode returns the configuration as JSON with an arm's overrides, which may set any key, also unknown ones.
+func (c *agentConfig) encode(overrides map[string]any) ([]byte, error) {
+	text, err := json.Marshal(c)
+	if err != nil || len(overrides) == 0 {
+		return text, err
 	}
+	config := map[string]any{}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return nil, err
+	}
+	mergeConfig(config, overrides)
+	return json.Marshal(config)
 }
 
 // mergeConfig merges a configuration into another one, key by key.
@@ -116,12 +164,12 @@
 	if err := processtest.Each(r.names, r.start); err != nil {
 		return err
 	}
-	if r.board == nil {
+	if r.proxy == nil {
 		return nil
 	}
 	// Joining is no part of the traffic's time. An interruption is noticed once the traffic begins.
-	settled := func() bool { return ctx.Err() != nil || r.membershipComplete(ctx) }
-	return processtest.Await(time.Minute, "all agents see each other", settled)
+	joined := func() bool { return ctx.Err() != nil || r.membershipComplete(ctx) }
+	return processtest.Await(joinTimeout, "all agents see each other", joined)
 }
 
 // start starts an agent and waits until it is ready, or until the traffic has ended.
@@ -131,23 +179,33 @@
 	}
 	r.emulator.AgentStarted(name)
 	url := "http://" + r.emulator.Address(r.agentIndex[name], emulator.ListenPort) + "/-/ready"
-	client := http.Client{
-		Timeout: time.Second,
+	client := &http.Client{
+		Timeout: readyCallTimeout,
 		Transport: &http.Transport{
 			DisableKeepAlives: true,
-			DialContext:       (&net.Dialer{Timeout: time.Second}).DialContext,
+			DialContext:       (&net.Dialer{Timeout: readyCallTimeout}).DialContext,
 		},
 	}
-	return processtest.Await(30*time.Second, name+" is ready", func() bool {
-		response, err := client.Get(url)
-		if err != nil {
-			return r.isFinished()
-		}
-		_ = response.Body.Close() // the status says all
-		return response.StatusCode == http.StatusOK
+	return processtest.Await(readyTimeout, name+" is ready", func() bool {
+		ready, err := isReady(client, url)
+		return ready || err != nil && r.isFinished()
 	})
 }
 
+// isReady asks an agent at its readiness endpoint. The client bounds the call.
+func isReady(client *http.Client, url string) (bool, error) {
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return false, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return false, err
+	}
+	_ = response.Body.Close() // the status says all
+	return response.StatusCode == http.StatusOK, nil
+}
+
 // isFinished tells whether the traffic has ended.
 func (r *armRun) isFinished() bool {
 	select {
@@ -163,7 +221,7 @@
 	if r.procs != nil {
 		r.procs.Close()
 	}
-	if r.board != nil {
-		r.board.Close()
+	if r.proxy != nil {
+		r.proxy.Close()
 	}
 }
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -251,7 +251,7 @@
 
 // partitionAgents partitions each of a share of the agents from all others for a time.
 func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
-	if r.board == nil {
+	if r.proxy == nil {
 		return nil // the agents have no connections anyway
 	}
 	isolated := sampleShare(random, r.names, fault.Share)
@@ -260,19 +260,19 @@
 		groups = append(groups, []string{name})
 	}
 	rest := slices.DeleteFunc(slices.Clone(r.names), func(n string) bool { return slices.Contains(isolated, n) })
-	r.board.Partition(agentPartition, append(groups, rest)...)
+	r.proxy.Partition(agentPartition, append(groups, rest)...)
 	r.wait(fault.Duration)
-	r.board.Heal(agentPartition)
+	r.proxy.Heal(agentPartition)
 	return nil
 }
 
 // loseMessages drops a part of the messages between agents for a time.
 func (r *armRun) loseMessages(fault Fault, _ *rand.Rand) error {
-	if r.board == nil {
+	if r.proxy == nil {
 		return nil
 	}
-	r.board.SetAll(faultproxy.Rule{Loss: fault.Magnitude})
+	r.proxy.SetAll(faultproxy.Rule{Loss: fault.Magnitude})
 	r.wait(fault.Duration)
-	r.board.SetAll(faultproxy.Rule{})
+	r.proxy.SetAll(faultproxy.Rule{})
 	return nil
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -68,7 +68,7 @@
 	seed           uint64
 	emulator       *emulator.Emulator
 	emulatorConfig emulator.Config
-	board          *faultproxy.Proxy // between the agents; nil: they have no membership section
+	proxy          *faultproxy.Proxy // between the agents; nil: they have no membership section
 	procs          *processtest.Cluster
 	names          []string // of the agents
 	agentIndex     map[string]int
@@ -137,7 +137,7 @@
 		r.emulator.Stop()
 		r.procs.Close()
 	})
-	if r.board != nil {
+	if r.proxy != nil {
 		background.Add(1)
 		go func() {
 			defer background.Done()
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -1,94 +1,195 @@
 package experiment
 
 import (
+	"slices"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/emulator"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// unusedDedupWindowMs is the deduplication window, in ms, in the settings of a class that has no scope.
-const unusedDedupWindowMs = 5000
+// What the site's agents are told besides what a scenario sets.
+const (
+	responseSlackMs  = 20
+	pollWithinMs     = 10_000
+	connectTimeoutMs = 250
+	maxAttempts      = 5
+	maxRetryAfterMs  = 1500
+	maxOpenRequests  = 20_000
+	roundTripMs      = 5
 
-// Limits returns the "limits" of an agent's configuration.
-func (s *Scenario) Limits() map[string]any {
-	return map[string]any{
-		"cores":     s.Fleet.Cores,
-		"memory_mb": s.Fleet.MemoryMB,
-		"sockets":   s.Fleet.Sockets,
-	}
+	totalWeight       = 0.6
+	worstClassWeight  = 0.35
+	worstWindowWeight = 0.05
+
+	crossZoneCost   = 0.03
+	lateFailureCost = 0.05
+	healthCheckCost = 0.0082
+	wastedWorkCost  = 0.032
+
+	// unusedDedupWindowMs is the deduplication window in the settings of a class that has no scope.
+	unusedDedupWindowMs = 5000
+	// serviceFamily is the kind of the service, which the agent does not read.
+	serviceFamily = "mesh"
+)
+
+// AgentLimits is the section "limits" of an agent's configuration: the resources of its process.
+type AgentLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
 }
 
-// Settings returns the "settings" of the configuration of the agent with an index, in the zone with an index, of a
-// fleet of so many agents. They are maps, as an arm may override any key.
-func (s *Scenario) Settings(index, zone, agents int) map[string]any {
-	var classes, models []any
-	for i := range s.Classes {
-		classes = append(classes, classSettings(&s.Classes[i]))
-	}
-	cachesKeys := false
-	for _, model := range s.Models {
-		models = append(models, model.Kind)
-		cachesKeys = cachesKeys || model.CacheSaving > 0
-	}
-	return map[string]any{
-		"classes": classes,
-		"clients": map[string]any{"marksRetry": true},
-		"contract": map[string]any{
-			"answerSlackMs": 20,
-			"askWithinMs":   10000,
-			"coldFrom":      s.Contract.SlowStartFrom,
-			"coldMs":        inMilliseconds(s.Contract.SlowStartFor),
-			"drainGraceMs":  inMilliseconds(s.Contract.DrainGrace),
-			"fallMultiple":  s.Contract.OverloadMultiple,
-			"tipAfterMs":    inMilliseconds(s.Contract.OverloadWindow),
+// ServiceSettings are the settings that all agents of a service have in common; see balancer.Settings, whose keys they
+// have, with the names of the zones and the kinds of servers.
+type ServiceSettings struct {
+	Classes       []balancer.Class        `json:"classes"`
+	Clients       ClientSettings          `json:"clients"`
+	Contract      balancer.Contract       `json:"contract"`
+	Zones         []string                `json:"failureDomains"`
+	Family        string                  `json:"family"`
+	FamilyInfo    FamilyInfo              `json:"familyInfo"`
+	Limits        balancer.Limits         `json:"limits"`
+	DiscoveryMode balancer.DiscoveryMode  `json:"membershipMode"`
+	Objective     balancer.Objective      `json:"objectiveMix"`
+	Costs         CostSettings            `json:"prices"`
+	FleetSize     int                     `json:"replicasOfMe"`
+	RoundTripMs   float64                 `json:"roundMs"`
+	ServerKinds   []string                `json:"shapes"`
+	Weights       balancer.WeightAccuracy `json:"weights"`
+	WeightBy      balancer.WeightBasis    `json:"worthBy"`
+}
+
+// AgentSettings are the settings of one agent.
+type AgentSettings struct {
+	ServiceSettings
+	Index int `json:"index"`
+	Zone  int `json:"zone"`
+}
+
+// ClientSettings say what clients do.
+type ClientSettings struct {
+	MarksRetry bool `json:"marksRetry"`
+}
+
+// FamilyInfo says what servers do.
+type FamilyInfo struct {
+	WarmKeys bool `json:"warmKeys"`
+}
+
+// CostSettings are the costs that are not 0; see balancer.Costs.
+type CostSettings struct {
+	CrossZone   float64 `json:"crossZone"`
+	LateFailure float64 `json:"lateFail"`
+	HealthCheck float64 `json:"probe"`
+	WastedWork  float64 `json:"waste"`
+}
+
+// Limits returns the limits of each agent.
+func (s *Scenario) Limits() AgentLimits {
+	return AgentLimits{Cores: s.Fleet.Cores, MemoryMB: s.Fleet.MemoryMB, Sockets: s.Fleet.Sockets}
+}
+
+// Settings returns the settings of the agent with an index, in the zone with an index, of a fleet of so many agents.
+func (s *Scenario) Settings(index, zone, agents int) AgentSettings {
+	return AgentSettings{ServiceSettings: s.ServiceSettings(agents), Index: index, Zone: zone}
+}
+
+// ServiceSettings returns the settings that all agents of a fleet of so many have in common.
+func (s *Scenario) ServiceSettings(agents int) ServiceSettings {
+	return ServiceSettings{
+		Classes:       s.classSettings(),
+		Clients:       ClientSettings{MarksRetry: true},
+		Contract:      s.contractSettings(),
+		Zones:         s.Fleet.Zones,
+		Family:        serviceFamily,
+		FamilyInfo:    FamilyInfo{WarmKeys: s.cachesKeys()},
+		Limits:        policyLimits(),
+		DiscoveryMode: balancer.DiscoveryPushed,
+		Objective: balancer.Objective{
+			Total:       totalWeight,
+			WorstClass:  worstClassWeight,
+			WorstWindow: worstWindowWeight,
 		},
-		"failureDomains": s.Fleet.Zones,
-		"family":         "mesh",
-		"familyInfo":     map[string]any{"warmKeys": cachesKeys},
-		"index":          index,
-		"limits": map[string]any{
-			"cancelling":       true,
-			"connectTimeoutMs": 250,
-			"keepaliveMs":      inMilliseconds(keepAlive),
-			"maxAttempts":      5,
-			"maxRetryAfterMs":  1500,
-			"openCap":          20000,
-			"parallelTries":    false,
-			"probing":          true,
-			"retryAfter":       false,
+		Costs: CostSettings{
+			CrossZone:   crossZoneCost,
+			LateFailure: lateFailureCost,
+			HealthCheck: healthCheckCost,
+			WastedWork:  wastedWorkCost,
 		},
-		"membershipMode": "pushed",
-		"objectiveMix":   map[string]any{"whole": 0.6, "worstClass": 0.35, "worstWindow": 0.05},
-		"prices":         map[string]any{"crossZone": 0.03, "lateFail": 0.05, "probe": 0.0082, "waste": 0.032},
-		"replicasOfMe":   agents,
-		"roundMs":        5,
-		"shapes":         models,
-		"weights":        "nominal",
-		"worthBy":        "work",
-		"zone":           zone,
+		FleetSize:   agents,
+		RoundTripMs: roundTripMs,
+		ServerKinds: s.serverKinds(),
+		Weights:     balancer.WeightsNominal,
+		WeightBy:    balancer.WeightByWork,
+	}
+}
+
+// policyLimits returns what the site permits its agents to do.
+func policyLimits() balancer.Limits {
+	return balancer.Limits{
+		AttemptCancellation: true,
+		ConnectTimeoutMs:    connectTimeoutMs,
+		KeepaliveMs:         inMilliseconds(keepAlive),
+		MaxAttempts:         maxAttempts,
+		MaxRetryAfterMs:     maxRetryAfterMs,
+		HealthChecks:        true,
+		MaxOpenRequests:     maxOpenRequests,
+	}
+}
+
+// contractSettings returns the parameters of the operating rules.
+func (s *Scenario) contractSettings() balancer.Contract {
+	return balancer.Contract{
+		ResponseSlackMs:  responseSlackMs,
+		PollWithinMs:     pollWithinMs,
+		SlowStartFrom:    s.Contract.SlowStartFrom,
+		SlowStartMs:      inMilliseconds(s.Contract.SlowStartFor),
+		DrainGraceMs:     inMilliseconds(s.Contract.DrainGrace),
+		OverloadMultiple: s.Contract.OverloadMultiple,
+		OverloadWindowMs: inMilliseconds(s.Contract.OverloadWindow),
 	}
 }
 
-// classSettings returns the settings of a class.
-func classSettings(class *emulator.Class) map[string]any {
-	scope := class.DedupScope
-	window := inMilliseconds(class.DedupWindow)
-	if scope == "" {
-		scope = emulator.DedupFleet
-		window = unusedDedupWindowMs
+// cachesKeys tells whether any model of servers does less work for keys that it has served before.
+func (s *Scenario) cachesKeys() bool {
+	return slices.ContainsFunc(s.Models, func(model Model) bool { return model.CacheSaving > 0 })
+}
+
+// serverKinds returns the kinds under which discovery lists the models.
+func (s *Scenario) serverKinds() (kinds []string) {
+	for _, model := range s.Models {
+		kinds = append(kinds, model.Kind)
 	}
-	return map[string]any{
-		"name":      class.Name,
-		"aimMs":     inMilliseconds(class.LatencyObjective),
-		"giveUpMs":  inMilliseconds(class.TotalTimeout),
-		"credit":    class.PriorityWeight,
-		"effect":    class.Idempotency,
-		"group":     scope,
-		"keyTtlMs":  window,
-		"lateShare": class.LateFraction,
-		"streamed":  false,
+	return kinds
+}
+
+// classSettings returns the rules of the classes.
+func (s *Scenario) classSettings() (classes []balancer.Class) {
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		settings := balancer.Class{
+			Name:               class.Name,
+			LatencyObjectiveMs: inMilliseconds(class.LatencyObjective),
+			TotalTimeoutMs:     inMilliseconds(class.TotalTimeout),
+			Idempotency:        balancer.Idempotency(class.Idempotency),
+			DedupScope:         balancer.DedupScope(class.DedupScope),
+			DedupWindowMs:      inMilliseconds(class.DedupWindow),
+			PriorityWeight:     class.PriorityWeight,
+			LateFraction:       class.LateFraction,
+		}
+		if class.DedupScope == "" {
+			settings.DedupScope = balancer.DedupFleet
+			settings.DedupWindowMs = unusedDedupWindowMs
+		}
+		classes = append(classes, settings)
 	}
+	return classes
 }
 
-// inMilliseconds returns a time in ms.
-func inMilliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+// microsecondsPerMillisecond converts times.
+const microsecondsPerMillisecond = 1000
+
+// inMilliseconds returns a time in ms, to the microsecond.
+func inMilliseconds(d time.Duration) float64 {
+	return float64(d.Microseconds()) / microsecondsPerMillisecond
+}
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -96,11 +96,9 @@
 	f.settingsWrites++
 	retryAfterMs := minRetryAfterMs + f.settingsWrites%retryAfterSteps
 	f.mu.Unlock()
-	settings := deployment().Settings(0, 0, f.size)
-	delete(settings, "index") // each agent has its own index and zone
-	delete(settings, "zone")
-	settings["limits"].(map[string]any)["maxRetryAfterMs"] = retryAfterMs
-	version, err := f.discovery.putSettings(ctx, service, settings)
+	settings := deployment().ServiceSettings(f.size)
+	settings.Limits.MaxRetryAfterMs = float64(retryAfterMs)
+	version, err := f.discovery.putSettings(ctx, service, &settings)
 	if err != nil {
 		return fmt.Errorf("settings of %s: %w", service, err)
 	}
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -17,6 +17,7 @@
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/experiment"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -147,7 +148,9 @@
 }
 
 // putSettings sets all settings of a service and returns the version of the change.
-func (d *discoveryCluster) putSettings(ctx context.Context, service string, settings map[string]any) (uint64, error) {
+func (d *discoveryCluster) putSettings(
+	ctx context.Context, service string, settings *experiment.ServiceSettings,
+) (uint64, error) {
 	return d.putAcknowledged(ctx, "/v1/settings/"+service, settings)
 }
 
