--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -113,7 +112,7 @@
 	return out.Bytes(), err
 }
 
-// rewriteTables replaces the tables of a page atomically.
+// rewriteTables replaces the tables of a page.
 func rewriteTables(page string, tables []byte) error {
 	before, err := os.ReadFile(page)
 	if err != nil {
@@ -123,13 +122,5 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", page, err)
 	}
-	next := filepath.Join(filepath.Dir(page), "."+filepath.Base(page)+".new")
-	if err := os.WriteFile(next, []byte(after), 0o644); err != nil {
-		return err
-	}
-	if err := os.Rename(next, page); err != nil {
-		_ = os.Remove(next) // the error to report is that of the rename
-		return err
-	}
-	return nil
+	return replaceFile(page, after)
 }
--- a/cmd/experiment/capacity_test.go
+++ b/cmd/experiment/capacity_test.go
@@ -28,40 +28,56 @@
 	return out.String(), err
 }
 
-// TestPageIsWhatItsCommandPrints: the page's tables are, byte for byte, what the command in the page prints from the committed
-// records; `experiment capacity RECORD... --page docs/CAPACITY.md` writes them anew.
+// TestPageIsWhatItsCommandPrints: the page's tables are, byte for byte, what the command in the page prints from the
+// committed records; `experiment capacity RECORD... --page docs/CAPACITY.md` writes them anew.
 func TestPageIsWhatItsCommandPrints(t *testing.T) {
+	tables := pageTables(t)
+	match := regexp.MustCompile("^Printed by `experiment (capacity[^`]*)`").FindStringSubmatch(tables)
+	if match == nil {
+		t.Fatal("the page does not say what printed its tables")
+	}
+	command := match[1]
+	printed, err := run(t, strings.Fields(command)...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	requireSameTables(t, tables, strings.TrimRight(printed, "\n")+"\n", command)
+	// What scale runs were committed has to be on the page.
+	const scale = "docs/capacity/scale.jsonl"
+	if _, err := os.Stat(scale); err == nil && !strings.Contains(command, scale) {
+		t.Errorf("the page leaves out %s", scale)
+	}
+}
+
+// pageTables returns the part of the page between the markers.
+func pageTables(t *testing.T) string {
+	t.Helper()
 	page, err := os.ReadFile(filepath.Join("../..", pageFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, rest, found := strings.Cut(string(page), capacity.BeginMarker+"\n")
-	part, _, ended := strings.Cut(rest, capacity.EndMarker+"\n")
+	tables, _, ended := strings.Cut(rest, capacity.EndMarker+"\n")
 	if !found || !ended {
 		t.Fatal("the page has no markers")
 	}
-	command := regexp.MustCompile("^Printed by `experiment (capacity[^`]*)`").FindStringSubmatch(part)
-	if command == nil {
-		t.Fatal("the page does not say what printed its tables")
-	}
-	got, err := run(t, strings.Fields(command[1])...)
-	if err != nil {
-		t.Fatal(err)
+	return tables
+}
+
+// requireSameTables fails at the first line of the page's tables that differs from what the command printed.
+func requireSameTables(t *testing.T, tables, printed, command string) {
+	t.Helper()
+	if tables == printed {
+		return
 	}
-	if want := strings.TrimRight(got, "\n") + "\n"; part != want {
-		a, b := strings.Split(part, "\n"), strings.Split(want, "\n")
-		for i := range min(len(a), len(b)) {
-			if a[i] != b[i] {
-				t.Fatalf("the page has drifted from its records: its line %d is\n%s\nand `experiment %s` prints\n%s", i+1, a[i], command[1], b[i])
-			}
+	pageLines, printedLines := strings.Split(tables, "\n"), strings.Split(printed, "\n")
+	for i := range min(len(pageLines), len(printedLines)) {
+		if pageLines[i] != printedLines[i] {
+			t.Fatalf("the page has drifted from its records: its line %d is\n%s\nand `experiment %s` prints\n%s",
+				i+1, pageLines[i], command, printedLines[i])
 		}
-		t.Fatalf("the page has drifted from its records: %d lines for %d", len(a), len(b))
-	}
-	// What scale runs were committed has to be on the page.
-	const scale = "docs/capacity/scale.jsonl"
-	if _, err := os.Stat(scale); err == nil && !strings.Contains(command[1], scale) {
-		t.Errorf("the page leaves out %s", scale)
 	}
+	t.Fatalf("the page has drifted from its records: %d lines for %d", len(pageLines), len(printedLines))
 }
 
 func TestCapacityRewritesOnlyTheTables(t *testing.T) {
--- a/cmd/experiment/draw.go
+++ b/cmd/experiment/draw.go
@@ -9,6 +9,14 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
+// What `experiment draw` generates without flags.
+const (
+	drawnAgents  = 12
+	drawnServers = 12
+	drawnLength  = 30 * time.Second
+)
+
+// drawCmd is `experiment draw`.
 func drawCmd() *cobra.Command {
 	var seed uint64
 	var agents, servers int
@@ -22,8 +30,8 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the scenario's magnitudes")
-	cmd.Flags().IntVar(&agents, "agents", 12, "number of agents")
-	cmd.Flags().IntVar(&servers, "nodes", 12, "number of servers")
-	cmd.Flags().DurationVar(&length, "length", 30*time.Second, "length of the traffic")
+	cmd.Flags().IntVar(&agents, "agents", drawnAgents, "number of agents")
+	cmd.Flags().IntVar(&servers, "nodes", drawnServers, "number of servers")
+	cmd.Flags().DurationVar(&length, "length", drawnLength, "length of the traffic")
 	return cmd
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,6 +1,11 @@
 // Command experiment runs fleets of the real agent in an emulator with injected faults, compares ways to run them, and
 // shows how far the emulator can be trusted. It also runs the scale tests and prints the capacity model. See
 // docs/LAB.md and docs/CAPACITY.md.
+//
+// It ends with status 0 when it has done what it was told, and with 1 after an error, which it prints to standard error
+// on one line: a file that cannot be read or has an error, a scenario or plan that this machine is too small for, a
+// check of "trust" that fails, or an interruption. A run that is not valid, or in which an operating rule was broken,
+// is no error: the report says so.
 package main
 
 import (
@@ -51,13 +56,13 @@
 	}
 	return func(format string, args ...any) {
 		message := fmt.Sprintf(format, args...)
-		fmt.Fprintf(os.Stderr, "%s  %s\n", time.Now().Format("15:04:05"), message)
+		fmt.Fprintf(os.Stderr, "%s  %s\n", time.Now().Format(time.TimeOnly), message)
 	}
 }
 
 // checkout returns the top directory of the checkout that the command runs in; empty: it runs in none.
-func checkout() string {
-	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
+func checkout(ctx context.Context) string {
+	top, err := exec.CommandContext(ctx, "git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
 		return ""
 	}
--- a/cmd/experiment/report.go
+++ b/cmd/experiment/report.go
@@ -9,6 +9,7 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
+// reportCmd is `experiment report`.
 func reportCmd() *cobra.Command {
 	var plots, format string
 	cmd := &cobra.Command{
@@ -16,7 +17,7 @@
 		Short: "print a report of records, and draw their plots",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
-			records, err := readRecords(paths)
+			records, err := readRecords(paths...)
 			if err != nil {
 				return err
 			}
@@ -37,29 +38,20 @@
 	return cmd
 }
 
+// compareCmd is `experiment compare`.
 func compareCmd() *cobra.Command {
+	const minArgs = 3 // two arms and a file
 	return &cobra.Command{
 		Use:   "compare BASE ARM RECORD...",
 		Short: "print the paired differences of two arms",
-		Args:  cobra.MinimumNArgs(3),
+		Args:  cobra.MinimumNArgs(minArgs),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			base, arm, paths := args[0], args[1], args[2:]
-			records, err := readRecords(paths)
+			records, err := readRecords(paths...)
 			if err != nil {
 				return err
 			}
-			differences, err := experiment.Compare(records, base, arm)
-			if err != nil {
-				return err
-			}
-			for _, d := range differences {
-				_, err := fmt.Fprintf(cmd.OutOrStdout(), "%-62s %10.4g %10.4g  %+.4g ± %.4g over %d pairs\n",
-					d.Metric, d.Base, d.Arm, d.Mean, d.HalfWidth, d.Pairs)
-				if err != nil {
-					return err
-				}
-			}
-			return nil
+			return experiment.ReportDifferences(cmd.OutOrStdout(), records, base, arm)
 		},
 	}
 }
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"os"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -18,6 +17,7 @@
 	logs   string
 }
 
+// runCmd is `experiment run`.
 func runCmd() *cobra.Command {
 	var options runOptions
 	cmd := &cobra.Command{
@@ -37,9 +37,8 @@
 // faultsHelp lists the kinds of faults with their descriptions.
 func faultsHelp() string {
 	var text strings.Builder
-	descriptions := experiment.FaultDescriptions()
-	for _, kind := range experiment.FaultKinds() {
-		fmt.Fprintf(&text, "  %-16s %s\n", kind, descriptions[kind])
+	for _, fault := range experiment.FaultDescriptions() {
+		fmt.Fprintf(&text, "  %-16s %s\n", fault.Kind, fault.Description)
 	}
 	return text.String()
 }
@@ -55,18 +54,16 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	dir, err := os.MkdirTemp(options.logs, "experiment")
+	dir, removeDir, err := workDirectory(options.logs)
 	if err != nil {
 		return err
 	}
-	if options.logs == "" {
-		defer func() { _ = os.RemoveAll(dir) }() // what stays in the temporary directory does no harm
-	}
+	defer removeDir()
 	var records []*experiment.Record
 	err = experiment.Run(cmd.Context(), experiment.Config{
 		Scenario:   scenario,
 		Binary:     options.binary,
-		Repository: checkout(),
+		Repository: checkout(cmd.Context()),
 		Dir:        dir,
 		Progress:   progress(),
 		Done: func(record *experiment.Record) error {
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -42,7 +42,7 @@
 			"300 processes, is refused.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			cfg, err := flags.config(args)
+			cfg, err := flags.config(cmd.Context(), args)
 			if err != nil {
 				return err
 			}
@@ -61,7 +61,7 @@
 }
 
 // config is what the command line says to play.
-func (flags *scaleFlags) config(args []string) (scaletest.Config, error) {
+func (flags *scaleFlags) config(ctx context.Context, args []string) (scaletest.Config, error) {
 	plan, err := flags.plan(args)
 	if err != nil {
 		return scaletest.Config{}, err
@@ -84,7 +84,7 @@
 		Agent:       agent,
 		Discovery:   filepath.Join(flags.programs, "discovery"),
 		HostCommand: []string{self, "scale-host"},
-		Commit:      experiment.Revision("", agent, checkout()),
+		Commit:      experiment.Revision(ctx, "", agent, checkout(ctx)),
 		Progress:    progress(),
 	}, nil
 }
@@ -140,16 +140,15 @@
 			return fmt.Errorf("a program that is played is not built: %w", err)
 		}
 	}
-	cfg.Directory, err = os.MkdirTemp(logs, "fernscale")
+	directory, removeDirectory, err := workDirectory(logs)
 	if err != nil {
 		return err
 	}
-	if logs == "" {
-		defer func() { _ = os.RemoveAll(cfg.Directory) }() // a temporary directory: the system cleans up the rest
-	}
+	defer removeDirectory()
+	cfg.Directory = directory
 	var recordFile *os.File
 	if record != "" {
-		recordFile, err = os.OpenFile(record, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		recordFile, err = openAppend(record)
 		if err != nil {
 			return err
 		}
--- a/cmd/experiment/scalehost.go
+++ b/cmd/experiment/scalehost.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"os"
 	"runtime/debug"
 
 	"github.com/spf13/cobra"
@@ -30,7 +29,7 @@
 			if logPath == "" {
 				return scaletest.ServeHost(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), io.Discard)
 			}
-			log, err := os.OpenFile(logPath, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+			log, err := openAppend(logPath)
 			if err != nil {
 				return err
 			}
--- a/cmd/experiment/trust.go
+++ b/cmd/experiment/trust.go
@@ -1,20 +1,28 @@
 package main
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/spf13/cobra"
 
+	"fernbeam.example/fernbeam/internal/emulator"
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
+// What `experiment trust queues` runs without flags.
+const (
+	queueCheckSeeds  = 8
+	queueCheckLength = 15 * time.Second
+)
+
+// trustCmd is `experiment trust`, the checks of the emulator.
 func trustCmd() *cobra.Command {
 	cmd := &cobra.Command{Use: "trust", Short: "show how far the emulator can be trusted"}
 	cmd.AddCommand(trustQueuesCmd(), trustRankCmd())
 	return cmd
 }
 
+// trustQueuesCmd is `experiment trust queues`.
 func trustQueuesCmd() *cobra.Command {
 	var first uint64
 	var seeds int
@@ -24,41 +32,40 @@
 		Short: "compare the waits in one server with queueing theory",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			const header = "| queue | theory, ms | measured, ms | |\n| --- | --- | --- | --- |"
-			if _, err := fmt.Fprintln(cmd.OutOrStdout(), header); err != nil {
-				return err
-			}
-			// All are run, whether one of them fails or not; their rows show which ones did.
-			var firstError error
-			for _, check := range experiment.QueueChecks {
-				if err := check.Run(cmd.OutOrStdout(), first, seeds, length); firstError == nil {
-					firstError = err
-				}
-			}
-			return firstError
+			return experiment.CheckQueues(cmd.Context(), cmd.OutOrStdout(), first, seeds, length)
 		},
 	}
 	cmd.Flags().Uint64Var(&first, "seed", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", 8, "number of runs of each queue")
-	cmd.Flags().DurationVar(&length, "length", 15*time.Second, "length of a run")
+	cmd.Flags().IntVar(&seeds, "seeds", queueCheckSeeds, "number of runs of each queue")
+	cmd.Flags().DurationVar(&length, "length", queueCheckLength, "length of a run")
 	return cmd
 }
 
+// trustRankCmd is `experiment trust rank`.
 func trustRankCmd() *cobra.Command {
+	const (
+		minArgs   = 3 // a file and two arms
+		flagName  = "metric"
+		oldName   = "figure" // of the flag in earlier versions
+		usageText = "metric to rank by, greater being better: a row of the report, or its key in records"
+	)
 	var metric string
 	cmd := &cobra.Command{
 		Use:   "rank RECORD BEST NEXT...",
 		Short: "check that arms come out in a known order, such as the bench's order of older commits",
-		Args:  cobra.MinimumNArgs(3),
+		Args:  cobra.MinimumNArgs(minArgs),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			path, arms := args[0], args[1:]
-			records, err := readRecords([]string{path})
+			records, err := readRecords(path)
 			if err != nil {
 				return err
 			}
 			return experiment.CheckRanking(cmd.OutOrStdout(), records, experiment.FindMetric(metric), arms)
 		},
 	}
-	cmd.Flags().StringVar(&metric, "figure", "in time", "metric to rank by, greater being better")
+	defaultMetric := experiment.FindMetric(string(emulator.MetricInTime)).Title
+	cmd.Flags().StringVar(&metric, flagName, defaultMetric, usageText)
+	cmd.Flags().StringVar(&metric, oldName, defaultMetric, usageText)
+	_ = cmd.Flags().MarkHidden(oldName) // fails only for a flag that does not exist
 	return cmd
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"fmt"
 	"sync"
 	"time"
@@ -77,21 +78,21 @@
 }
 
 // run lets the clients call for a time; it returns when the last call has ended.
-func (c *clients) run(length time.Duration) {
+func (c *clients) run(ctx context.Context, length time.Duration) {
 	c.seconds = make([]SecondTotals, int(length/time.Second)+1)
 	trafficStart := c.emulator.Now()
 	for _, client := range c.byAgent {
 		c.background.Add(1)
 		go func() {
 			defer c.background.Done()
-			client.run(trafficStart, length)
+			client.run(ctx, trafficStart, length)
 		}()
 	}
 	c.background.Wait()
 }
 
 // run draws the client's calls and makes each at its time.
-func (c *client) run(trafficStart, length time.Duration) {
+func (c *client) run(ctx context.Context, trafficStart, length time.Duration) {
 	workload := newWorkload(c.emulator, c.index, c.agent.Share)
 	for number := 0; ; number++ {
 		next, ok := workload.next(length)
@@ -108,7 +109,7 @@
 		c.clients.background.Add(1)
 		go func() {
 			defer c.clients.background.Done()
-			outcome := c.makeCall(next, number)
+			outcome := c.makeCall(ctx, next, number)
 			c.clients.recordCall(next, outcome, trafficStart)
 		}()
 	}
@@ -116,7 +117,7 @@
 
 // makeCall sends a request and its retries until one is served, no retry is allowed, or the time is over. It returns
 // the outcome of the last one, or an empty one if there was no time for any.
-func (c *client) makeCall(call call, number int) (outcome Outcome) {
+func (c *client) makeCall(ctx context.Context, call call, number int) (outcome Outcome) {
 	config := &c.emulator.config
 	class := &config.Classes[call.class]
 	end := call.due + class.TotalTimeout
@@ -126,7 +127,7 @@
 		if timeout < minRequestTimeout {
 			break
 		}
-		outcome = c.sendRequest(c.newRequest(call, number, retry, timeout))
+		outcome = c.sendRequest(ctx, c.newRequest(call, number, retry, timeout))
 		if !mayRetry(class, outcome) {
 			break
 		}
@@ -165,18 +166,19 @@
 		return false
 	case RequestRejected, AgentUnreachable:
 		return true
+	default: // the request may have executed
+		return class.idempotentEverywhere()
 	}
-	return class.idempotentEverywhere()
 }
 
 // sendRequest sends one request, records how it ended and returns that.
-func (c *client) sendRequest(request *liveRequest) Outcome {
+func (c *client) sendRequest(ctx context.Context, request *liveRequest) Outcome {
 	request.record.Sent = c.emulator.Now()
 	c.emulator.requests.Store(request.record.ID, request)
 	c.mu.Lock()
 	c.open[request] = true
 	c.mu.Unlock()
-	outcome := c.roundTrip(request)
+	outcome := c.roundTrip(ctx, request)
 	c.mu.Lock()
 	delete(c.open, request)
 	c.mu.Unlock()
--- a/internal/emulator/contract.go
+++ b/internal/emulator/contract.go
@@ -23,6 +23,7 @@
 func (c *Contract) SlowStartLimit(m Model, from, to time.Duration, mean float64) float64 {
 	slowest := Model{SlowStartFrom: c.SlowStartFrom, SlowStartFor: c.SlowStartFor}
 	// Capacity grows linearly, so the mean over the time is the mean of both ends.
-	fraction := (slowest.capacityFraction(from) + slowest.capacityFraction(to)) / 2
+	const ends = 2
+	fraction := (slowest.capacityFraction(from) + slowest.capacityFraction(to)) / ends
 	return c.OverloadMultiple * fraction * (to - from).Seconds() * float64(m.Cores) * m.Speed / mean
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -6,7 +6,6 @@
 	"io"
 	"log"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -205,7 +204,7 @@
 
 // serveDiscovery opens an agent's discovery address.
 func (e *Emulator) serveDiscovery(agent, address string) error {
-	listener, err := net.Listen("tcp", address)
+	listener, err := listenTCP(address)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -9,6 +9,7 @@
 package emulator
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -38,6 +39,9 @@
 	hostsPerSubnet = 250
 	subnetsPerZone = 12
 
+	// shareTolerance is how far the sum of the classes' shares may be from 1.
+	shareTolerance = 0.001
+
 	maxAgents = 60_000
 	maxZones  = 20
 	// maxErrors bounds how many errors of the harness are kept.
@@ -178,7 +182,7 @@
 		return errors.New("emulator: zones, agents, servers and a cell size are needed")
 	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
 		return errors.New("emulator: a share for each model is needed")
-	case shares < 0.999 || shares > 1.001:
+	case shares < 1-shareTolerance || shares > 1+shareTolerance:
 		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
 	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
 		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
@@ -188,9 +192,10 @@
 	return nil
 }
 
-// Run lets the clients call for a time and returns the result once the last call has ended.
-func (e *Emulator) Run(length time.Duration) *Result {
-	e.clients.run(length)
+// Run lets the clients call for a time and returns the result once the last call has ended. After the end of the
+// context, which does not end the calls, the clients cannot connect to the agents any more.
+func (e *Emulator) Run(ctx context.Context, length time.Duration) *Result {
+	e.clients.run(ctx, length)
 	return e.result()
 }
 
@@ -299,9 +304,15 @@
 	return s, nil
 }
 
-// serverID returns the id of a server; ids in a row look unrelated (multiplicative hashing with 2^32 divided by the
-// golden ratio).
-func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*2654435761)&0xffff) }
+const (
+	// serverIDFactor spreads the ids of servers by multiplicative hashing: 2^32 divided by the golden ratio.
+	serverIDFactor = 2_654_435_761
+	// serverIDMask has the bits of an id.
+	serverIDMask = 0xffff
+)
+
+// serverID returns the id of a server; ids in a row look unrelated.
+func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*serverIDFactor)&serverIDMask) }
 
 // recordError notes an error of the harness itself, which makes the run invalid.
 func (e *Emulator) recordError(err error) {
@@ -367,7 +378,7 @@
 func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
 	e.timerMu.Lock()
 	defer e.timerMu.Unlock()
-	p99 = time.Duration(e.timerDelays.ValueAtQuantile(99)) * time.Microsecond
+	p99 = percentile(e.timerDelays, percentile99)
 	worst = time.Duration(e.timerDelays.Max()) * time.Microsecond
 	return p99, worst
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -42,7 +42,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 3, Max: limit.Max}); err != nil {
 		t.Fatal(err)
 	}
-	result := e.Run(200 * time.Millisecond)
+	result := e.Run(t.Context(), 200*time.Millisecond)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -104,7 +104,7 @@
 	at = math.MaxInt64
 	if rate := e.rate(); rate > 0 {
 		for _, j := range e.jobs[jobRunning] {
-			at = min(at, e.now+time.Duration(math.Ceil(j.remaining/rate*1e9)))
+			at = min(at, e.now+time.Duration(math.Ceil(j.remaining/rate*float64(time.Second))))
 		}
 		if e.model.SlowStartFor > 0 && e.age(e.now) < e.model.SlowStartFor {
 			at = min(at, e.now+rateStep)
--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -28,14 +29,14 @@
 
 // roundTrip sends a request on an idle connection, or on a new one. If the agent had closed the idle one before it
 // read the request, the request is sent once more on a new connection.
-func (c *client) roundTrip(request *liveRequest) Outcome {
+func (c *client) roundTrip(ctx context.Context, request *liveRequest) Outcome {
 	if conn := c.takeIdle(); conn != nil {
 		if outcome, unread := c.exchange(conn, request, false); !unread {
 			return outcome
 		}
 	}
 	timeout := max(time.Millisecond, request.remaining(c.emulator.Now()))
-	conn, err := net.DialTimeout("tcp", c.dialAddress(), timeout)
+	conn, err := dialTCP(ctx, c.dialAddress(), timeout)
 	if err != nil {
 		return c.dialOutcome(err)
 	}
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -75,7 +75,7 @@
 }
 
 // milliseconds formats a time in milliseconds with one decimal.
-func milliseconds(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d.Microseconds())/1000) }
+func milliseconds(d time.Duration) string { return fmt.Sprintf("%.1f", inMilliseconds(d)) }
 
 // Notification is when an agent was notified of a change of a server's state.
 type Notification struct {
@@ -151,6 +151,7 @@
 		return a.Cell != b.Cell
 	case DedupZone:
 		return a.Zone != b.Zone
+	default: // DedupFleet, or the class has no scope
+		return false
 	}
-	return false
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -7,8 +7,14 @@
 	"time"
 )
 
-// machineStream selects a machine's random numbers from its seed.
-const machineStream = 7
+const (
+	// machineStream selects a machine's random numbers from its seed.
+	machineStream = 7
+	// Arrivals vary, so a server in slow start bears overloadDeviations standard deviations of a Poisson count and
+	// overloadSpareRequests more than the contract's limit.
+	overloadDeviations    = 3
+	overloadSpareRequests = 3
+)
 
 // machine drives an engine in real time. It adds what a server has besides its cores: the cache of keys and the
 // overload of a server in slow start. Its methods are safe for concurrent use.
@@ -150,7 +156,7 @@
 		}
 	}
 	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
-	limit := expected + 3*math.Sqrt(expected) + 3
+	limit := expected + overloadDeviations*math.Sqrt(expected) + overloadSpareRequests
 	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
 	return total > limit, fromNotified > total*2/3
 }
--- /dev/null
+++ b/internal/emulator/network.go
@@ -0,0 +1,23 @@
+package emulator
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"time"
+)
+
+// listenTCP opens a listener at an IP address and port of this machine.
+func listenTCP(address string) (*net.TCPListener, error) {
+	addrPort, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return nil, err
+	}
+	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addrPort))
+}
+
+// dialTCP opens a connection within a time; 0: without a bound.
+func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	return dialer.DialContext(ctx, "tcp", address)
+}
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"context"
 	"net"
 	"sync"
 	"syscall"
@@ -20,12 +21,12 @@
 }
 
 func newPartitionListener(address string) (*partitionListener, error) {
-	listener, err := net.Listen("tcp", address)
+	listener, err := listenTCP(address)
 	if err != nil {
 		return nil, err
 	}
 	return &partitionListener{
-		TCPListener: listener.(*net.TCPListener),
+		TCPListener: listener,
 		connections: map[*partitionConn]bool{},
 	}, nil
 }
@@ -51,7 +52,7 @@
 		l.healed = make(chan struct{})
 		// Even with a backlog of 0 the system accepts one connection. After this one it accepts none.
 		l.setBacklog(0)
-		l.backlogFiller, _ = net.Dial("tcp", l.Addr().String()) // an error: the backlog is full already
+		l.backlogFiller, _ = dialTCP(context.Background(), l.Addr().String(), 0) // an error: it is full already
 		return
 	}
 	l.endPartition()
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -12,8 +12,12 @@
 // MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
 const MaxTimerDelay = 5 * time.Millisecond
 
-// maxDelayMicroseconds bounds the delays that a histogram can hold.
-const maxDelayMicroseconds = 60_000_000
+const (
+	// maxDelayMicroseconds bounds the delays that a histogram can hold.
+	maxDelayMicroseconds = 60_000_000
+	// delayDigits is how many significant digits of a delay a histogram keeps.
+	delayDigits = 3
+)
 
 // Result is what a run measured.
 type Result struct {
@@ -25,9 +29,9 @@
 	Attempts   int                `json:"Attempts"`
 }
 
-// newDelayHistogram returns a histogram of delays in microseconds, with three significant digits.
+// newDelayHistogram returns a histogram of delays in microseconds.
 func newDelayHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxDelayMicroseconds, 3)
+	return hdrhistogram.New(1, maxDelayMicroseconds, delayDigits)
 }
 
 // recordDelay adds a delay to a histogram; below zero it counts as none.
@@ -35,6 +39,11 @@
 	_ = h.RecordValue(max(0, d.Microseconds())) // a delay beyond the histogram's range is left out
 }
 
+// percentile returns a percentile of the delays of a histogram.
+func percentile(h *hdrhistogram.Histogram, percent float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
+}
+
 // result collects the result of a run whose last call has ended.
 func (e *Emulator) result() *Result {
 	r := &Result{Metrics: map[Metric]float64{}}
@@ -53,7 +62,7 @@
 	if delayP99 > MaxTimerDelay {
 		r.Errors = append(r.Errors, fmt.Sprintf("the harness was late by %v at the 99th percentile", delayP99))
 	}
-	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * 1000
+	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * millisecondsPerSecond
 	r.addFractions()
 	r.addPerCall(history, e.endpoints)
 	return r
@@ -72,11 +81,11 @@
 		history.Requests = append(history.Requests, &record)
 	}
 	r.Seconds = slices.Clone(c.seconds)
-	r.Metrics[MetricLatencyP50] = float64(c.latencies.ValueAtQuantile(50)) / 1000
-	r.Metrics[MetricLatencyP99] = float64(c.latencies.ValueAtQuantile(99)) / 1000
+	r.Metrics[MetricLatencyP50] = inMilliseconds(percentile(c.latencies, percentile50))
+	r.Metrics[MetricLatencyP99] = inMilliseconds(percentile(c.latencies, percentile99))
 	if served := float64(c.latencies.TotalCount()); served > 0 {
-		r.Metrics[MetricMeanSojourn] = 1000 * c.sojournSeconds / served
-		r.Metrics[MetricMeanWork] = 1000 * c.workSeconds / served
+		r.Metrics[MetricMeanSojourn] = millisecondsPerSecond * c.sojournSeconds / served
+		r.Metrics[MetricMeanWork] = millisecondsPerSecond * c.workSeconds / served
 	}
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -18,8 +18,12 @@
 // maxBodyBytes bounds how much of a request's body is read.
 const maxBodyBytes = 1 << 20
 
-// handshakeRoundTrips is how many round trips a new connection takes before its first request is served.
-const handshakeRoundTrips = 2
+const (
+	// handshakeRoundTrips is how many round trips a new connection takes before its first request is served.
+	handshakeRoundTrips = 2
+	// delaysPerRoundTrip is how many one-way delays a round trip has.
+	delaysPerRoundTrip = 2
+)
 
 // serverConfig describes a server to be started.
 type serverConfig struct {
@@ -153,7 +157,7 @@
 
 // roundTrip returns the network delay of a round trip between a zone and the server.
 func (s *server) roundTrip(clientZone int) time.Duration {
-	return 2 * s.emulator.zoneDelay(clientZone, s.zone)
+	return delaysPerRoundTrip * s.emulator.zoneDelay(clientZone, s.zone)
 }
 
 // handleHealthCheck answers a health check, with 503 once the server is draining.
@@ -226,6 +230,7 @@
 	case failedAtOnce:
 		http.Error(rw, "failed", http.StatusInternalServerError)
 		return AttemptFailed
+	case admitted:
 	}
 	select {
 	case <-j.done:
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -60,7 +60,7 @@
 func (w *workload) next(length time.Duration) (call, bool) {
 	config := &w.emulator.config
 	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
-	w.due += time.Duration(w.random.ExpFloat64() / (config.Rate * w.clientShare * rateFactor) * 1e9)
+	w.due += secondsToDuration(w.random.ExpFloat64() / (config.Rate * w.clientShare * rateFactor))
 	if w.due >= length {
 		return call{}, false
 	}
@@ -90,7 +90,7 @@
 		Sigma: math.Sqrt(variance),
 		Src:   source,
 	}
-	return time.Duration(distribution.Rand() * 1e9)
+	return secondsToDuration(distribution.Rand())
 }
 
 // pickShare returns which of several shares a number from 0 to 1 falls into.
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -15,6 +15,8 @@
 const (
 	// revisionLength is how many characters of a commit's hash a record has.
 	revisionLength = 12
+	// sourceMode is the mode of the directory that a commit's files are written into.
+	sourceMode = 0o755
 	// unknownRevision stands for a program of which no commit is known.
 	unknownRevision = "unknown"
 )
@@ -45,7 +47,7 @@
 	}
 	cfg.Progress("building %s", commit)
 	source := filepath.Join(cfg.Dir, "src-"+commit)
-	if err := os.MkdirAll(source, 0o755); err != nil {
+	if err := os.MkdirAll(source, sourceMode); err != nil {
 		return "", err
 	}
 	if err := extractCommit(ctx, cfg.Repository, commit, source); err != nil {
@@ -86,14 +88,14 @@
 
 // Revision returns the commit of a program: the given one if it was built from that, else the one that the program
 // names, else that of the checkout. "-dirty" follows if the tree had changes; "unknown" stands for no commit.
-func Revision(commit, program, repository string) string {
+func Revision(ctx context.Context, commit, program, repository string) string {
 	if commit != "" {
 		return commit
 	}
 	if revision := embeddedRevision(program); revision != "" {
 		return revision
 	}
-	description, err := exec.Command("git", "-C", repository, "describe", "--always", "--dirty").Output()
+	description, err := exec.CommandContext(ctx, "git", "-C", repository, "describe", "--always", "--dirty").Output()
 	if err == nil && repository != "" {
 		return strings.TrimSpace(string(description))
 	}
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -37,7 +37,7 @@
 const allZones = -1
 
 // agentPartition is the name of the partition that partitionAgents makes.
-const agentPartition = "deaf"
+const agentPartition = "agents"
 
 // faultKind describes a kind of fault. Either trafficChange or inject is set.
 type faultKind struct {
@@ -153,18 +153,17 @@
 	},
 }
 
-// FaultDescriptions returns, for each kind of fault, how it uses the keys of a scenario.
-func FaultDescriptions() map[string]string {
-	descriptions := map[string]string{}
-	for name, kind := range faultKinds {
-		descriptions[name] = kind.description
+// FaultDescription says how a kind of fault uses the keys of a scenario.
+type FaultDescription struct{ Kind, Description string }
+
+// FaultDescriptions returns the descriptions of all kinds, in alphabetical order of the kinds.
+func FaultDescriptions() (descriptions []FaultDescription) {
+	for _, kind := range slices.Sorted(maps.Keys(faultKinds)) {
+		descriptions = append(descriptions, FaultDescription{kind, faultKinds[kind].description})
 	}
 	return descriptions
 }
 
-// FaultKinds returns the kinds of faults in alphabetical order.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
-
 // zoneIndex returns the index of a zone.
 func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
 
@@ -200,7 +199,7 @@
 
 // batches returns the size of a fault's batches and the time from one to the next.
 func batches(fault Fault, count int) (size int, interval time.Duration) {
-	size = max(1, int(fault.Batch*float64(count)+0.5))
+	size = shareOf(fault.Batch, count)
 	number := (count + size - 1) / size
 	return size, fault.Duration / time.Duration(number)
 }
@@ -209,7 +208,13 @@
 func sampleShare(random *rand.Rand, names []string, share float64) []string {
 	names = slices.Clone(names)
 	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	return names[:min(len(names), max(1, int(share*float64(len(names))+0.5)))]
+	return names[:min(len(names), shareOf(share, len(names)))]
+}
+
+// shareOf returns how many of a number a share is, rounded half up and at least one.
+func shareOf(share float64, count int) int {
+	const half = 0.5
+	return max(1, int(share*float64(count)+half))
 }
 
 // killAgents kills a share of the agents and starts them again after a time.
@@ -231,7 +236,7 @@
 	size, interval := batches(fault, len(names))
 	for part := range slices.Chunk(names, size) {
 		began := time.Now()
-		if err := processtest.Each(part, func(n string) error { return errors.Join(r.procs.Term(n), r.start(n)) }); err != nil {
+		if err := processtest.Each(part, r.restartAgent); err != nil {
 			return err
 		}
 		r.wait(interval - time.Since(began))
@@ -239,6 +244,11 @@
 	return nil
 }
 
+// restartAgent terminates an agent and starts it again.
+func (r *armRun) restartAgent(name string) error {
+	return errors.Join(r.procs.Term(name), r.start(name))
+}
+
 // pauseAgents stops the processes of a share of the agents for a time.
 func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
 	names := sampleShare(random, r.names, fault.Share)
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -19,15 +19,15 @@
 	generatorStream = 9
 	// generatedSeeds is how many seeds a generated scenario has.
 	generatedSeeds = 10
+	// generatedLoadLow and generatedLoadHigh bound the load of a generated scenario, unless its kind has another.
+	generatedLoadLow  = 0.5
+	generatedLoadHigh = 0.7
 	// drawnPerUnit is how many different values a draw can have within 1.
 	drawnPerUnit = 1000
 	// kindsFile is the name of the file that kindsText is read from.
 	kindsFile = "kinds.toml"
 )
 
-// generatedLoad is the load of a generated scenario, unless its kind has another.
-var generatedLoad = valueRange{low: 0.5, high: 0.7}
-
 //go:embed kinds.toml
 var kindsText string
 
@@ -120,7 +120,7 @@
 
 // fill sets a scenario's load and faults. The order of the draws is part of what a seed means.
 func (t *scenarioTemplate) fill(s *Scenario, random *rand.Rand) {
-	s.Traffic.Load = generatedLoad.draw(random)
+	s.Traffic.Load = valueRange{low: generatedLoadLow, high: generatedLoadHigh}.draw(random)
 	if t.Load != (valueRange{}) {
 		s.Traffic.Load = t.Load.draw(random)
 	}
@@ -151,7 +151,9 @@
 }
 
 // partOfLength returns a part of the length of the traffic.
-func (s *Scenario) partOfLength(part float64) time.Duration { return time.Duration(part * float64(s.Length)) }
+func (s *Scenario) partOfLength(part float64) time.Duration {
+	return time.Duration(part * float64(s.Length))
+}
 
 // seconds returns a time, rounded to milliseconds.
 func seconds(s float64) time.Duration {
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"math"
@@ -15,8 +16,12 @@
 // processor.
 const queueCheckParallelism = 6
 
-// unlimitedCores is the number of cores of a server in which no request waits.
-const unlimitedCores = 1000
+const (
+	// unlimitedCores is the number of cores of a server in which no request waits.
+	unlimitedCores = 1000
+	// millisecondsPerSecond converts times.
+	millisecondsPerSecond = 1000
+)
 
 // QueueCheck compares the emulator with queueing theory: an M/G/k queue, made of one server with k cores and an
 // unbounded queue, which the clients call without an agent.
@@ -27,38 +32,47 @@
 	ServiceCV   float64 // coefficient of variation of the service time
 }
 
-// QueueChecks are the comparisons in docs/LAB.md.
-var QueueChecks = []QueueCheck{
+// queueChecks are the comparisons in docs/LAB.md.
+//
+//nolint:mnd // the fields name the numbers
+var queueChecks = []QueueCheck{
 	{Cores: 1, Load: 0.5, MeanService: 20 * time.Millisecond, ServiceCV: 0},
 	{Cores: 1, Load: 0.7, MeanService: 20 * time.Millisecond, ServiceCV: 1},
 	{Cores: 2, Load: 0.6, MeanService: 30 * time.Millisecond, ServiceCV: 0.5},
 	{Cores: 4, Load: 0.7, MeanService: 30 * time.Millisecond, ServiceCV: 1},
 }
 
-// Run measures on some seeds, from the first one on, in real time on sockets. It writes, as a row of a Markdown
+// CheckQueues makes all comparisons on some seeds, from the first one on, each run of the given length, and writes them
+// as a Markdown table, row by row as they end. The error is that of the first comparison that fails.
+func CheckQueues(ctx context.Context, out io.Writer, first uint64, seeds int, length time.Duration) error {
+	const header = "| queue | theory, ms | measured, ms | |\n| --- | --- | --- | --- |"
+	if _, err := fmt.Fprintln(out, header); err != nil {
+		return err
+	}
+	var firstError error
+	for _, check := range queueChecks {
+		if err := check.run(ctx, out, first, seeds, length); firstError == nil {
+			firstError = err
+		}
+	}
+	return firstError
+}
+
+// run measures on some seeds, from the first one on, in real time on sockets. It writes, as a row of a Markdown
 // table, the mean wait by theory and the 95 % interval of the measured one, both in ms. The error is a theoretical
 // value outside of the interval.
-func (q QueueCheck) Run(out io.Writer, first uint64, seeds int, length time.Duration) error {
-	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * 1000
-	waits := make([]float64, seeds)
-	var group errgroup.Group
-	group.SetLimit(queueCheckParallelism)
-	for seed := range seeds {
-		group.Go(func() (err error) {
-			waits[seed], err = q.measureWait(first+uint64(seed), length)
-			return err
-		})
-	}
-	if err := group.Wait(); err != nil {
+func (q QueueCheck) run(ctx context.Context, out io.Writer, first uint64, seeds int, length time.Duration) error {
+	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * millisecondsPerSecond
+	mean, halfWidth, err := q.measureWaits(ctx, first, seeds, length)
+	if err != nil {
 		return err
 	}
-	mean, halfWidth := confidenceInterval(waits)
 	agrees := math.Abs(mean-theory) <= halfWidth
 	verdict := "agrees"
 	if !agrees {
 		verdict = "DIFFERS"
 	}
-	_, err := fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n",
+	_, err = fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n",
 		q.Cores, q.Load, q.MeanService, q.ServiceCV, theory, mean, halfWidth, verdict)
 	if err != nil {
 		return err
@@ -70,17 +84,37 @@
 	return nil
 }
 
+// measureWaits returns the mean wait over some seeds and the half width of its 95 % confidence interval, in ms.
+func (q QueueCheck) measureWaits(
+	ctx context.Context, first uint64, seeds int, length time.Duration,
+) (mean, halfWidth float64, err error) {
+	waits := make([]float64, seeds)
+	var group errgroup.Group
+	group.SetLimit(queueCheckParallelism)
+	for seed := range seeds {
+		group.Go(func() (err error) {
+			waits[seed], err = q.measureWait(ctx, first+uint64(seed), length)
+			return err
+		})
+	}
+	if err := group.Wait(); err != nil {
+		return 0, 0, err
+	}
+	mean, halfWidth = confidenceInterval(waits)
+	return mean, halfWidth, nil
+}
+
 // measureWait returns the mean wait on a seed, in ms: the difference in sojourn time to a server with a core for each
 // request and the same calls, so that the cost of sockets and timers cancels out.
-func (q QueueCheck) measureWait(seed uint64, length time.Duration) (float64, error) {
+func (q QueueCheck) measureWait(ctx context.Context, seed uint64, length time.Duration) (float64, error) {
 	var queued, unqueued float64
 	var group errgroup.Group
 	group.Go(func() (err error) {
-		queued, err = q.measureSojourn(seed, q.Cores, length)
+		queued, err = q.measureSojourn(ctx, seed, q.Cores, length)
 		return err
 	})
 	group.Go(func() (err error) {
-		unqueued, err = q.measureSojourn(seed, unlimitedCores, length)
+		unqueued, err = q.measureSojourn(ctx, seed, unlimitedCores, length)
 		return err
 	})
 	err := group.Wait()
@@ -88,8 +122,24 @@
 }
 
 // measureSojourn returns the mean sojourn time, in ms, in a server with so many cores.
-func (q QueueCheck) measureSojourn(seed uint64, cores int, length time.Duration) (float64, error) {
-	e, err := emulator.New(emulator.Config{
+func (q QueueCheck) measureSojourn(
+	ctx context.Context, seed uint64, cores int, length time.Duration,
+) (float64, error) {
+	e, err := emulator.New(q.emulatorConfig(seed, cores))
+	if err != nil {
+		return 0, err
+	}
+	defer e.Close()
+	result := e.Run(ctx, length)
+	if len(result.Errors) > 0 {
+		return 0, fmt.Errorf("the harness failed: %v", result.Errors)
+	}
+	return result.Metrics[emulator.MetricMeanSojourn], nil
+}
+
+// emulatorConfig returns the configuration of one server with so many cores and an unbounded queue, and its client.
+func (q QueueCheck) emulatorConfig(seed uint64, cores int) emulator.Config {
+	return emulator.Config{
 		Seed:        seed,
 		Zones:       []string{"z"},
 		Agents:      []emulator.Agent{{Name: "a", Share: 1}},
@@ -112,14 +162,5 @@
 		RequestTimeoutShare: 1,
 		KeepAlive:           time.Minute,
 		Direct:              true,
-	})
-	if err != nil {
-		return 0, err
 	}
-	defer e.Close()
-	result := e.Run(length)
-	if len(result.Errors) > 0 {
-		return 0, fmt.Errorf("the harness failed: %v", result.Errors)
-	}
-	return result.Metrics[emulator.MetricMeanSojourn], nil
 }
--- a/internal/experiment/ranking.go
+++ b/internal/experiment/ranking.go
@@ -10,16 +10,29 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// CheckRanking compares arms by the mean of a metric over their valid runs, greater being better, and writes each
-// with its paired difference from the one before. It returns an error if the order is not the expected one, best
-// first.
+// CheckRanking compares arms by the mean of a metric over their valid runs, greater being better, and writes a table of
+// them, each with its paired difference from the one before. It returns an error if the order is not the expected one,
+// best first.
 func CheckRanking(out io.Writer, records []*Record, metric Metric, expected []string) error {
-	var text bytes.Buffer
-	means, err := writeRanking(&text, records, metric, expected)
-	if _, writeErr := text.WriteTo(out); writeErr != nil {
-		return writeErr
+	table := newTable("arm", metric.String(), "against the one above, 95 %")
+	means := map[string]float64{}
+	for i, arm := range expected {
+		mean, err := meanOf(records, arm, metric)
+		if err != nil {
+			return err
+		}
+		means[arm] = mean
+		difference := ""
+		if i > 0 {
+			if difference, err = formatDifference(records, metric, expected[i-1], arm); err != nil {
+				return err
+			}
+		}
+		table.addRow(arm, fmt.Sprintf("%.4f", mean), difference)
 	}
-	if err != nil {
+	var text bytes.Buffer
+	table.write(&text)
+	if _, err := text.WriteTo(out); err != nil {
 		return err
 	}
 	ranking := slices.Clone(expected)
@@ -30,32 +43,28 @@
 	return nil
 }
 
-// writeRanking writes the rows of the arms and returns the mean of each.
-func writeRanking(out *bytes.Buffer, records []*Record, metric Metric, arms []string) (map[string]float64, error) {
-	means := map[string]float64{}
-	for i, arm := range arms {
-		var values []float64
-		for _, record := range validOf(records, arm) {
-			values = append(values, record.Metrics()[metric.Key])
-		}
-		if len(values) == 0 {
-			return nil, fmt.Errorf("arm %q has no valid run", arm)
-		}
-		means[arm] = stat.Mean(values, nil)
-		fmt.Fprintf(out, "| %s | %.4f |", arm, means[arm])
-		if i == 0 {
-			fmt.Fprintln(out)
-			continue
-		}
-		differences, err := Compare(records, arms[i-1], arm)
-		if err != nil {
-			return nil, err
-		}
-		for _, d := range differences {
-			if d.Metric == metric {
-				fmt.Fprintf(out, " %+.4f ± %.4f against %s\n", d.Mean, d.HalfWidth, arms[i-1])
-			}
+// meanOf returns the mean of a metric over an arm's valid runs.
+func meanOf(records []*Record, arm string, metric Metric) (float64, error) {
+	var values []float64
+	for _, record := range validOf(records, arm) {
+		values = append(values, record.Metrics()[metric.Key])
+	}
+	if len(values) == 0 {
+		return 0, fmt.Errorf("arm %q has no valid run", arm)
+	}
+	return stat.Mean(values, nil), nil
+}
+
+// formatDifference returns the paired difference of an arm from a base arm in a metric; empty: no run has the metric.
+func formatDifference(records []*Record, metric Metric, base, arm string) (string, error) {
+	differences, err := Compare(records, base, arm)
+	if err != nil {
+		return "", err
+	}
+	for _, d := range differences {
+		if d.Metric == metric {
+			return fmt.Sprintf("%+.4f ± %.4f", d.Mean, d.HalfWidth), nil
 		}
 	}
-	return means, nil
+	return "", nil
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -31,6 +31,7 @@
 			writeSummary(&text, records, arm)
 			continue
 		}
+		fmt.Fprintln(&text)
 		writeDifferences(&text, arms[0], arm, differences)
 	}
 	if len(arms) == 1 {
@@ -40,6 +41,18 @@
 	return err
 }
 
+// ReportDifferences writes, as Markdown, how an arm differs from a base arm.
+func ReportDifferences(out io.Writer, records []*Record, base, arm string) error {
+	differences, err := Compare(records, base, arm)
+	if err != nil {
+		return err
+	}
+	var text bytes.Buffer
+	writeDifferences(&text, base, arm, differences)
+	_, err = text.WriteTo(out)
+	return err
+}
+
 // writeRunErrors writes the runs that are not valid, the agents that failed, and the violations.
 func writeRunErrors(out *bytes.Buffer, records []*Record) {
 	violations, invalid := 0, 0
@@ -76,7 +89,6 @@
 		interval := fmt.Sprintf("%+.4g ± %.4g", d.Mean, d.HalfWidth)
 		table.addRow(d.Metric.Title, formatValue(d.Base), formatValue(d.Arm), interval, verdict, d.Metric.Unit)
 	}
-	fmt.Fprintln(out)
 	table.write(out)
 	fmt.Fprintf(out, "\nthe interval includes 0 for %d of %d metrics\n", equal, len(differences))
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -107,7 +107,7 @@
 		Scenario: scenario.Name,
 		Arm:      arm.Name,
 		Seed:     seed,
-		Commit:   Revision(arm.Commit, program, cfg.Repository),
+		Commit:   Revision(ctx, arm.Commit, program, cfg.Repository),
 		Machine:  machineDescription(),
 		Length:   scenario.Length,
 	}
@@ -144,7 +144,7 @@
 			record.Views = r.sampleViews(ctx)
 		}()
 	}
-	record.Result = r.emulator.Run(r.scenario.Length)
+	record.Result = r.emulator.Run(ctx, r.scenario.Length)
 	stop()
 	close(r.finished)
 	background.Wait()
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -97,7 +97,8 @@
 func buildAgent(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "agent")
-	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/agent").CombinedOutput(); err != nil {
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "../../cmd/agent")
+	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	return binary
--- a/internal/experiment/scenario_test.go
+++ b/internal/experiment/scenario_test.go
@@ -10,7 +10,7 @@
 
 func TestInvalidScenariosNameTheirLine(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
-		{"unknown key", "length = \"1s\"\nlenght = 3", "s.toml:2: unknown key \"lenght\""},
+		{"unknown key", "length = \"1s\"\nwidth = 3", "s.toml:2: unknown key \"width\""},
 		{"no duration", "length = \"long\"", "s.toml:1"},
 		{"no agents", "[fleet]\n\nagents = 0", "s.toml:3: fleet.agents"},
 		{"unknown fault", "[[trouble]]\nat = \"1s\"\nkind = \"flood\"", "s.toml:3: trouble.kind"},
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -12,6 +12,8 @@
 const (
 	// sampledAgents is how many agents are queried for their views each second.
 	sampledAgents = 8
+	// joinPollInterval is the pause between two checks whether all agents see each other.
+	joinPollInterval = 100 * time.Millisecond
 	// viewTimeout bounds a call for an agent's view.
 	viewTimeout = 200 * time.Millisecond
 	// viewQuery asks for the numbers alone: no members, and no changes, as none has a number so high.
@@ -63,7 +65,7 @@
 
 // membershipComplete tells, after a pause, whether every agent sees all agents.
 func (r *armRun) membershipComplete(ctx context.Context) bool {
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(joinPollInterval)
 	incomplete := func(name string) bool { return r.agentsSeen(ctx, name) != len(r.names) }
 	return !slices.ContainsFunc(r.names, incomplete)
 }
