--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -26,7 +26,7 @@
 	programs string
 	logs     string
 	sizes    []int
-	days     []string
+	profiles []string
 }
 
 // scaleCmd is `experiment scale`.
@@ -36,7 +36,7 @@
 		Use:   "scale [PLAN.toml]",
 		Short: "play days on fleets of hollow and real agents and record what each role takes",
 		Long: "Plays a plan: on fleets of each size, with real discovery instances, each day\n" +
-			"(" + strings.Join(scaletest.DayNames(), ", ") + ")\n" +
+			"(" + strings.Join(scaletest.ProfileNames(), ", ") + ")\n" +
 			"at the target's rates for the size times the plan's factor. Adds each run to the record as it ends, and\n" +
 			"prints the metrics of each role. A size that needs more than half of this machine's memory, or more than\n" +
 			"300 processes, is refused.",
@@ -56,7 +56,7 @@
 	f.StringVar(&flags.programs, "programs", "bin", "directory of the built agent and discovery")
 	f.StringVar(&flags.logs, "logs", "", "directory in which logs and configurations are left; default: they are removed")
 	f.IntSliceVar(&flags.sizes, "sizes", nil, "play only these of the plan's sizes")
-	f.StringSliceVar(&flags.days, "days", nil, "play only these of the plan's days")
+	f.StringSliceVar(&flags.profiles, "days", nil, "play only these of the plan's days")
 	return cmd
 }
 
@@ -100,13 +100,13 @@
 			return nil, fmt.Errorf("--sizes: %d is no size of the plan, which has %v", size, plan.Sizes)
 		}
 	}
-	for _, day := range flags.days {
-		if !slices.Contains(plan.Days, day) {
-			return nil, fmt.Errorf("--days: %q is no day of the plan, which has %v", day, plan.Days)
+	for _, profile := range flags.profiles {
+		if !slices.Contains(plan.Profiles, profile) {
+			return nil, fmt.Errorf("--days: %q is no day of the plan, which has %v", profile, plan.Profiles)
 		}
 	}
 	plan.Sizes = restrict(plan.Sizes, flags.sizes)
-	plan.Days = restrict(plan.Days, flags.days)
+	plan.Profiles = restrict(plan.Profiles, flags.profiles)
 	return plan, nil
 }
 
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -57,13 +57,13 @@
 // plan, commit, day, size, rate factor, repeat and seed, all but the last.
 func ValidRuns(runs []*Run) []*Run {
 	type identity struct {
-		plan, commit, day string
-		size, repeat      int
-		rateFactor        float64
-		seed              uint64
+		plan, commit, profile string
+		size, repeat          int
+		rateFactor            float64
+		seed                  uint64
 	}
 	identityOf := func(r *Run) identity {
-		return identity{r.Plan, r.Commit, r.Day, r.Size, r.Repeat, r.RateFactor, r.Seed}
+		return identity{r.Plan, r.Commit, r.Profile, r.Size, r.Repeat, r.RateFactor, r.Seed}
 	}
 	last := map[identity]int{}
 	for i, r := range runs {
@@ -78,10 +78,10 @@
 	return valid
 }
 
-func runsOnDay(runs []*Run, day string) []*Run {
+func runsOfProfile(runs []*Run, profile string) []*Run {
 	var selected []*Run
 	for _, r := range runs {
-		if r.Day == day {
+		if r.Profile == profile {
 			selected = append(selected, r)
 		}
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -28,18 +28,18 @@
 	valid []*Run
 }
 
-// dayQuiet has no changes, and dayOrdinary those of the target; other days have a fault as well.
+// profileQuiet has no changes, and dayOrdinary those of the target; other days have a fault as well.
 const (
-	dayQuiet    = "quiet"
-	dayOrdinary = "ordinary"
+	profileQuiet    = "quiet"
+	profileOrdinary = "ordinary"
 )
 
 // The days and the kinds of change that the page has rows for.
 var (
-	agentDays     = []string{dayQuiet, dayOrdinary, "rollout", "zone", "region"}
-	discoveryDays = []string{dayQuiet, dayOrdinary, "rollout", "zone", "region", "control"}
-	inForceDays   = []string{dayOrdinary, "rollout", "zone", "region", "control"}
-	changeKinds   = []string{"settings", "list"}
+	agentProfiles     = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region"}
+	discoveryProfiles = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region", "control"}
+	inForceProfiles   = []string{profileOrdinary, "rollout", "zone", "region", "control"}
+	changeKinds       = []string{"settings", "list"}
 )
 
 // NewPage makes the rows from records, benchmarks and mechanisms. A row without data says that
@@ -65,31 +65,31 @@
 
 // addRows adds the rows in the page's order.
 func (p *Page) addRows() {
-	for _, day := range agentDays {
+	for _, profile := range agentProfiles {
 		for _, metric := range Metrics {
-			p.rows = append(p.rows, p.agentRow(day, metric))
+			p.rows = append(p.rows, p.agentRow(profile, metric))
 		}
 	}
 	for _, role := range []string{RoleLeader, RoleFollower} {
-		for _, day := range discoveryDays {
+		for _, profile := range discoveryProfiles {
 			for _, metric := range Metrics {
 				if !metric.agentsOnly {
-					p.rows = append(p.rows, p.discoveryRow(role, day, metric))
+					p.rows = append(p.rows, p.discoveryRow(role, profile, metric))
 				}
 			}
 		}
 	}
 	for _, kind := range changeKinds {
-		for _, day := range inForceDays {
-			p.rows = append(p.rows, p.inForceRow(kind, day))
+		for _, profile := range inForceProfiles {
+			p.rows = append(p.rows, p.inForceRow(kind, profile))
 		}
 	}
 	p.rows = append(p.rows, p.dataPathRows()...)
 }
 
 // agentRow is a metric of an agent, hollow or real (see selectSource).
-func (p *Page) agentRow(day string, metric Metric) *Row {
-	r := &Row{Subject: subjectAgent, Day: day, Metric: metric.Name, Unit: metric.Unit}
+func (p *Page) agentRow(profile string, metric Metric) *Row {
+	r := &Row{Subject: subjectAgent, Profile: profile, Metric: metric.Name, Unit: metric.Unit}
 	if metric.budget != nil {
 		r.Budget = metric.budget(p.Target)
 	}
@@ -101,8 +101,8 @@
 }
 
 // discoveryRow is a metric of a discovery instance.
-func (p *Page) discoveryRow(role, day string, metric Metric) *Row {
-	r := &Row{Subject: role, Day: day, Metric: metric.Name, Unit: metric.Unit}
+func (p *Page) discoveryRow(role, profile string, metric Metric) *Row {
+	r := &Row{Subject: role, Profile: profile, Metric: metric.Name, Unit: metric.Unit}
 	p.measure(r, metric, func(runs []*Run) ([]Point, Source) {
 		return collectPoints(runs, func(run *Run) (float64, bool) { return metric.value(run, role) }), Source{}
 	})
@@ -110,14 +110,14 @@
 }
 
 // inForceRow is the time from a change's acknowledgement until the last agent has it in force.
-func (p *Page) inForceRow(kind, day string) *Row {
+func (p *Page) inForceRow(kind, profile string) *Row {
 	r := &Row{
-		Subject:       subjectInForce,
-		Day:           day,
-		Metric:        kind,
-		Unit:          "s, the last agent",
-		Budget:        p.Target.Changes.InForceS,
-		RequiredDaily: day == dayOrdinary,
+		Subject:           subjectInForce,
+		Profile:           profile,
+		Metric:            kind,
+		Unit:              "s, the last agent",
+		Budget:            p.Target.Changes.InForceS,
+		MechanismRequired: profile == profileOrdinary,
 	}
 	p.measure(r, Metric{}, func(runs []*Run) ([]Point, Source) {
 		return collectPoints(runs, func(run *Run) (float64, bool) {
@@ -125,7 +125,7 @@
 			return latencies.Max / msPerSecond, latencies.Count > 0
 		}), Source{}
 	})
-	for _, run := range runsOnDay(p.Runs, day) {
+	for _, run := range runsOfProfile(p.Runs, profile) {
 		r.NeverInForce += run.InForce[kind].NeverInForce
 	}
 	return r
@@ -169,11 +169,11 @@
 // dataPathRows are the rows of the data path with the target's servers. Nothing is extrapolated.
 func (p *Page) dataPathRows() []*Row {
 	servers := p.Target.Fleet.Servers
-	added := &Row{Day: "calm", Metric: "added", Unit: "µs at p99"}
+	added := &Row{Profile: "calm", Metric: "added", Unit: "µs at p99"}
 	p.setEstimate(added, pathName(servers), "added-p99-us", 1)
 	rows := []*Row{added}
 	for _, state := range decisionStates {
-		decision := &Row{Day: state, Metric: "decision", Unit: "µs a request"}
+		decision := &Row{Profile: state, Metric: "decision", Unit: "µs a request"}
 		p.setEstimate(decision, decisionName(servers, state), "sec/op", usPerSecond)
 		rows = append(rows, decision)
 	}
@@ -198,7 +198,7 @@
 
 // usesRun reports whether a row is computed from a run, among others.
 func (p *Page) usesRun(run *Run, r *Row) bool {
-	if run.Day != r.Day {
+	if run.Profile != r.Profile {
 		return false
 	}
 	if r.Subject == subjectInForce {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -126,7 +126,7 @@
 	}
 	ranked, _ := p.Ranked()
 	for _, r := range ranked {
-		if !r.RequiredDaily || r.HasMechanism() {
+		if !r.MechanismRequired || r.HasMechanism() {
 			t.Errorf("%s is ranked with nothing measured", r.Name())
 		}
 	}
@@ -183,7 +183,7 @@
 // TestRolesUseFirstPlanOnly: a second plan adds its changes in force, and nothing to the metrics of roles.
 func TestRolesUseFirstPlanOnly(t *testing.T) {
 	first, second := validRun(), validRun()
-	second.Plan, second.Day, second.Size = "second", first.Day, first.Size+1
+	second.Plan, second.Profile, second.Size = "second", first.Profile, first.Size+1
 	first.Roles[RoleReal].Mean[ResidentMB], second.Roles[RoleReal].Mean[ResidentMB] = 10, 30
 	second.InForce = map[string]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
 	_, alone := renderTables(t, []*Run{first})
@@ -195,7 +195,7 @@
 	if both.usesRun(second, both.rowNamed(t, memory)) {
 		t.Error("memory is said to come from the second plan")
 	}
-	second.Day = "ordinary"
+	second.Profile = "ordinary"
 	_, both = renderTables(t, []*Run{first, second})
 	if both.rowNamed(t, "in force/ordinary/settings").targetCell() == notMeasured {
 		t.Error("the second plan's settings in force are not told")
@@ -213,7 +213,7 @@
 			r := validRun()
 			r.Size = rapid.SampledFrom([]int{30, 50, 100, 200, 400, 1500}).Draw(t, "size")
 			r.Hollow = r.Size - r.Real
-			r.Day, r.Repeat = rapid.SampledFrom(Days).Draw(t, "day"), rapid.IntRange(1, 3).Draw(t, "repeat")
+			r.Profile, r.Repeat = rapid.SampledFrom(Profiles).Draw(t, "day"), rapid.IntRange(1, 3).Draw(t, "repeat")
 			r.RateFactor = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
 			r.Changes = rapid.IntRange(0, 50).Draw(t, "changes")
 			r.Roles = map[string]RoleMetrics{}
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -13,7 +13,7 @@
 	for _, r := range p.rows {
 		_, _, known := r.Use()
 		switch {
-		case r.missesDailyMechanism(), r.NeverInForce > 0, known:
+		case r.lacksRequiredMechanism(), r.NeverInForce > 0, known:
 			ranked = append(ranked, r)
 		case r.Budget > 0:
 			rest = append(rest, r)
@@ -33,7 +33,7 @@
 // rankGroup is lower for rows that are ranked first.
 func (r *Row) rankGroup() int {
 	switch {
-	case r.missesDailyMechanism():
+	case r.lacksRequiredMechanism():
 		return 0
 	case r.NeverInForce > 0:
 		return 1
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -15,7 +15,7 @@
 )
 
 // Days are the days that a run may be of.
-var Days = []string{dayQuiet, dayOrdinary, "rollout", "zone", "region", "control"}
+var Profiles = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region", "control"}
 
 // RoleHost is the machine that a run was played on, with all of its processes.
 const RoleHost = "host"
@@ -123,8 +123,8 @@
 		return errors.New("plan: is empty")
 	case r.Commit == "":
 		return errors.New("commit: is empty")
-	case !slices.Contains(Days, r.Day):
-		return fmt.Errorf("day: %q is none of %s", r.Day, strings.Join(Days, ", "))
+	case !slices.Contains(Profiles, r.Profile):
+		return fmt.Errorf("day: %q is none of %s", r.Profile, strings.Join(Profiles, ", "))
 	case r.Repeat < 1:
 		return fmt.Errorf("repeat: must be above 0, is %d", r.Repeat)
 	case r.Size < 1:
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -9,7 +9,7 @@
 )
 
 func validRun() *Run {
-	return &Run{Plan: "p", Commit: "abc", Day: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
+	return &Run{Plan: "p", Commit: "abc", Profile: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
 		ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
 		Roles: map[string]RoleMetrics{RoleReal: {
 			Count: 20,
@@ -41,7 +41,7 @@
 func TestWriteRunRefusesInvalidRun(t *testing.T) {
 	for names, spoil := range map[string]func(*Run){
 		"plan":                func(r *Run) { r.Plan = "" },
-		"day":                 func(r *Run) { r.Day = "holiday" },
+		"day":                 func(r *Run) { r.Profile = "holiday" },
 		"repeat":              func(r *Run) { r.Repeat = 0 },
 		"size":                func(r *Run) { r.Size = 51 },
 		"hurry":               func(r *Run) { r.RateFactor = 0 },
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -85,11 +85,11 @@
 	var order []string
 	groups := map[string][]string{}
 	for _, r := range rows {
-		group := r.Subject + ", " + r.Day
+		group := r.Subject + ", " + r.Profile
 		item := r.Metric
 		if r.Subject == subjectInForce {
 			group = r.Metric + " in force everywhere"
-			item = r.Day
+			item = r.Profile
 		}
 		if groups[group] == nil {
 			order = append(order, group)
@@ -107,47 +107,47 @@
 	fmt.Fprintf(b, "\n### %s\n\n", title)
 	b.WriteString(tableHead("day", "figure", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
 		"largest left out: miss", "from", "carried by"))
-	unmeasured := p.unmeasuredDays(subject)
+	unmeasured := p.unmeasuredProfiles(subject)
 	for _, r := range p.rows {
 		if r.Subject != subject {
 			continue
 		}
 		metric := r.Metric + ", " + r.Unit
 		mechanism := r.Mechanism
-		if unmeasured[r.Day] {
+		if unmeasured[r.Profile] {
 			if r.Metric != Metrics[0].Name {
 				continue
 			}
 			metric = "all of them"
-			mechanism = p.mechanismsOf(subject, r.Day)
+			mechanism = p.mechanismsOf(subject, r.Profile)
 		}
 		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |\n",
-			r.Day, metric, r.targetCell(), r.budgetCell(), r.usageCell(),
+			r.Profile, metric, r.targetCell(), r.budgetCell(), r.usageCell(),
 			r.Fit.slopeCell(), r.Fit.sizesCell(), r.Fit.errorCell(), p.sourceCell(r), mechanism)
 	}
 }
 
 // mechanismsOf are the mechanisms of a day's rows, each once.
-func (p *Page) mechanismsOf(subject, day string) string {
+func (p *Page) mechanismsOf(subject, profile string) string {
 	var mechanisms []string
 	for _, r := range p.rows {
-		if r.Subject == subject && r.Day == day && !slices.Contains(mechanisms, r.Mechanism) {
+		if r.Subject == subject && r.Profile == profile && !slices.Contains(mechanisms, r.Mechanism) {
 			mechanisms = append(mechanisms, r.Mechanism)
 		}
 	}
 	return strings.Join(mechanisms, "; ")
 }
 
-// unmeasuredDays are the days on which nothing of a discovery instance was measured.
-func (p *Page) unmeasuredDays(subject string) map[string]bool {
+// unmeasuredProfiles are the days on which nothing of a discovery instance was measured.
+func (p *Page) unmeasuredProfiles(subject string) map[string]bool {
 	unmeasured := map[string]bool{}
 	if subject != RoleLeader && subject != RoleFollower {
 		return unmeasured
 	}
 	for _, r := range p.rows {
 		if r.Subject == subject {
-			before, seen := unmeasured[r.Day]
-			unmeasured[r.Day] = (before || !seen) && r.LargestSize == 0
+			before, seen := unmeasured[r.Profile]
+			unmeasured[r.Profile] = (before || !seen) && r.LargestSize == 0
 		}
 	}
 	return unmeasured
@@ -160,17 +160,17 @@
 		" agent's.\n\n")
 	b.WriteString(tableHead("change", "day", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents", "never"))
 	for _, kind := range changeKinds {
-		for _, day := range inForceDays {
-			fmt.Fprintf(b, "| %s | %s | %s |\n", kind, day, p.measuredTimesCells(kind, day))
+		for _, profile := range inForceProfiles {
+			fmt.Fprintf(b, "| %s | %s | %s |\n", kind, profile, p.measuredTimesCells(kind, profile))
 		}
 	}
 }
 
-func (p *Page) measuredTimesCells(kind, day string) string {
+func (p *Page) measuredTimesCells(kind, profile string) string {
 	largest := 0
 	runs := 0
 	var sum Latencies
-	for _, r := range runsOnDay(p.Runs, day) {
+	for _, r := range runsOfProfile(p.Runs, profile) {
 		latencies := r.InForce[kind]
 		if latencies.Count == 0 && latencies.NeverInForce == 0 || r.Size < largest {
 			continue
@@ -220,11 +220,11 @@
 		"In the same runs. From %s to %s the hollow figure is taken as it is; outside it is divided by the ratio, if"+
 		" that is\nsteady over the sizes and known to a quarter; else the real agents' is taken.\n\n",
 		formatNumber(minUsableRatio), formatNumber(maxUsableRatio))
-	b.WriteString(tableHead(slices.Concat([]string{"figure"}, agentDays)...))
+	b.WriteString(tableHead(slices.Concat([]string{"figure"}, agentProfiles)...))
 	for _, metric := range Metrics {
 		fmt.Fprintf(b, "| %s ", metric.Name)
-		for _, day := range agentDays {
-			runs, _ := p.comparableRuns(subjectAgent, day)
+		for _, profile := range agentProfiles {
+			runs, _ := p.comparableRuns(subjectAgent, profile)
 			fmt.Fprintf(b, "| %s ", selectSource(runs, metric).ratioCell())
 		}
 		b.WriteString("|\n")
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -14,7 +14,7 @@
 )
 
 // runGroup identifies the runs of a record that share a line.
-type runGroup struct{ plan, commit, day string }
+type runGroup struct{ plan, commit, profile string }
 
 // writeRuns writes what was read, and which runs were left out.
 func (p *Page) writeRuns(b *bytes.Buffer) {
@@ -31,7 +31,7 @@
 		order, groups := groupRuns(record.Runs)
 		for _, group := range order {
 			fmt.Fprintf(b, "| [%d] | %s, %s | %s | %s |\n",
-				i+1, escapeCell(group.plan), escapeCell(group.commit), group.day, runCells(groups[group]))
+				i+1, escapeCell(group.plan), escapeCell(group.commit), group.profile, runCells(groups[group]))
 			command := fmt.Sprintf("- [%d] `%s`: `experiment scale %s --record %s`",
 				i+1, record.Path, planArgument(record.Path, group.plan), record.Path)
 			if !slices.Contains(commands, command) {
@@ -49,14 +49,14 @@
 func groupRuns(runs []*Run) (order []runGroup, groups map[runGroup][]*Run) {
 	groups = map[runGroup][]*Run{}
 	for _, r := range runs {
-		group := runGroup{r.Plan, r.Commit, r.Day}
+		group := runGroup{r.Plan, r.Commit, r.Profile}
 		if groups[group] == nil {
 			order = append(order, group)
 		}
 		groups[group] = append(groups[group], r)
 	}
 	slices.SortStableFunc(order, func(a, b runGroup) int {
-		return cmp.Compare(slices.Index(Days, a.day), slices.Index(Days, b.day))
+		return cmp.Compare(slices.Index(Profiles, a.profile), slices.Index(Profiles, b.profile))
 	})
 	return order, groups
 }
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -3,10 +3,10 @@
 // Row is one requirement of the page: a metric of a subject on a day, its value at the target, its
 // budget, and the mechanism that keeps it within the budget.
 type Row struct {
-	Subject, Day, Metric, Unit string
-	Budget                     float64 // 0: there is none
-	Mechanism                  string
-	RequiredDaily              bool // a requirement of every ordinary day, which some mechanism has to meet
+	Subject, Profile, Metric, Unit string
+	Budget                         float64 // 0: there is none
+	Mechanism                      string
+	MechanismRequired              bool // a requirement of every ordinary day, which some mechanism has to meet
 
 	Known           bool // Value is the one at the target
 	Value           float64
@@ -29,7 +29,7 @@
 )
 
 // Name identifies the row in the patterns of mechanisms.
-func (r *Row) Name() string { return r.Subject + "/" + r.Day + "/" + r.Metric }
+func (r *Row) Name() string { return r.Subject + "/" + r.Profile + "/" + r.Metric }
 
 // HasMechanism reports whether a mechanism keeps the row within its budget.
 func (r *Row) HasMechanism() bool { return r.Mechanism != noMechanism }
@@ -49,8 +49,8 @@
 	return 0, 0, false
 }
 
-// missesDailyMechanism reports whether the row is required daily and no mechanism meets it.
-func (r *Row) missesDailyMechanism() bool { return r.RequiredDaily && !r.HasMechanism() }
+// lacksRequiredMechanism reports whether the row is required daily and no mechanism meets it.
+func (r *Row) lacksRequiredMechanism() bool { return r.MechanismRequired && !r.HasMechanism() }
 
 // appendSource adds a remark to the row's source.
 func (r *Row) appendSource(remark string) {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -29,7 +29,7 @@
 		PerDay   float64 `toml:"per_day"`    // of configuration
 		InForceS float64 `toml:"in_force_s"` // from the acknowledgement until in force everywhere, s
 	} `toml:"changes"`
-	Day struct {
+	Daily struct {
 		MachinesFailed float64 `toml:"machines_failed"`
 		AgentsReplaced float64 `toml:"agents_replaced"` // restarted or replaced
 	} `toml:"day"`
@@ -52,8 +52,8 @@
 	return t, nil
 }
 
-// dayTable is the table whose values may be zero.
-const dayTable = "day"
+// dailyTable is the table whose values may be zero.
+const dailyTable = "day"
 
 // checkNumbers checks all keys, which are numbers in tables: each has to be there and above zero, or
 // not below zero in dayTable.
@@ -71,7 +71,7 @@
 				return fmt.Errorf("key %q is missing", name)
 			case math.IsNaN(value) || math.IsInf(value, 0):
 				return fmt.Errorf("%s: %v is not a number to design for", name, value)
-			case value < 0 || value == 0 && tableName != dayTable:
+			case value < 0 || value == 0 && tableName != dailyTable:
 				return fmt.Errorf("%s: must be above 0, is %v", name, value)
 			}
 		}
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if got.Fleet.Agents != 1500 || got.Agent.ControlCPU != 0.012 || got.Agent.BytesPerS != 11000 ||
-		got.Changes.InForceS != 11 || got.Day.AgentsReplaced != 340 {
+		got.Changes.InForceS != 11 || got.Daily.AgentsReplaced != 340 {
 		t.Errorf("read %+v", got)
 	}
 }
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -24,7 +24,7 @@
 	AgentsPerHost      int      `toml:"agents_a_host"` // hollow agents that share a process
 	Repeats            int      `toml:"repeats"`       // fleets of each size, one after the other
 	Seed               uint64   `toml:"seed"`          // of the first repeat
-	Days               []string `toml:"days"`          // played in order on one fleet
+	Profiles           []string `toml:"days"`          // played in order on one fleet
 	Seconds            float64  `toml:"seconds"`       // measured, of a day
 	// RateFactor multiplies the rates of changes and restarts that the target has at the size.
 	RateFactor float64 `toml:"hurry"`
@@ -37,9 +37,9 @@
 const (
 	// minHollowAgents is the number of the fleet's membership seeds, which are hollow agents.
 	minHollowAgents = 3
-	// minDaySeconds leaves time for what happens on a day.
-	minDaySeconds = 5
-	maxDaySeconds = 3600
+	// minRunSeconds leaves time for what happens on a day.
+	minRunSeconds = 5
+	maxRunSeconds = 3600
 	// Raft needs three instances; more than four are not expected.
 	minDiscoveryInstances = 3
 	maxDiscoveryInstances = 4
@@ -54,7 +54,7 @@
 		AgentsPerHost:      50,
 		Repeats:            1,
 		Seed:               1,
-		Days:               []string{"quiet", "ordinary"},
+		Profiles:           []string{"quiet", "ordinary"},
 		Seconds:            20,
 		RateFactor:         200,
 	}
@@ -122,7 +122,7 @@
 			return invalid("sizes", "%d hollow agents: %d at least are needed, the fleet's seeds", n, minHollowAgents)
 		}
 	}
-	if err := p.checkDays(); err != nil {
+	if err := p.checkProfiles(); err != nil {
 		return err
 	}
 	switch {
@@ -141,18 +141,18 @@
 		return invalid("agents_a_host", "must be above 0, is %d", p.AgentsPerHost)
 	case p.Repeats < 1:
 		return invalid("repeats", "must be above 0, is %d", p.Repeats)
-	case len(p.Days) == 0:
+	case len(p.Profiles) == 0:
 		return invalid("days", "one at least is needed")
 	}
 	return p.checkRates()
 }
 
-func (p *Plan) checkDays() error {
-	for i, name := range p.Days {
-		if days[name] == nil {
-			return invalid("days", "there is no day %q, there are %s", name, strings.Join(DayNames(), ", "))
+func (p *Plan) checkProfiles() error {
+	for i, name := range p.Profiles {
+		if loadProfiles[name] == nil {
+			return invalid("days", "there is no day %q, there are %s", name, strings.Join(ProfileNames(), ", "))
 		}
-		if slices.Index(p.Days, name) < i {
+		if slices.Index(p.Profiles, name) < i {
 			return invalid("days", "%q is there twice", name)
 		}
 	}
@@ -162,8 +162,8 @@
 // checkRates checks the numbers that may be NaN, which no comparison is true for.
 func (p *Plan) checkRates() error {
 	switch {
-	case !(p.Seconds >= minDaySeconds && p.Seconds <= maxDaySeconds):
-		return invalid("seconds", "must be from %d to %d, is %v", minDaySeconds, maxDaySeconds, p.Seconds)
+	case !(p.Seconds >= minRunSeconds && p.Seconds <= maxRunSeconds):
+		return invalid("seconds", "must be from %d to %d, is %v", minRunSeconds, maxRunSeconds, p.Seconds)
 	case !(p.RateFactor > 0) || math.IsInf(p.RateFactor, 0):
 		return invalid("hurry", "must be above 0, is %v", p.RateFactor)
 	case !(p.SettingsFraction >= 0 && p.SettingsFraction <= 1):
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -36,7 +36,7 @@
 func printRun(b *bytes.Buffer, r *capacity.Run) error {
 	fmt.Fprintf(b, "%s: %d hollow and %d real agents, %d discovery instances, %d servers, repeat %d:"+
 		" %.0f s at %g times the target's rates, %d changes\n",
-		r.Day, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
+		r.Profile, r.Hollow, r.Real, r.DiscoveryInstances, r.ListedServers, r.Repeat, r.Seconds, r.RateFactor, r.Changes)
 	if len(r.Roles) > 0 {
 		if err := printRoles(b, r.Roles); err != nil {
 			return err
--- a/internal/scaletest/days.go
+++ b/internal/scaletest/profiles.go
@@ -32,25 +32,25 @@
 	}
 }
 
-// day makes a day's script for a fleet.
-type day func(f *fleet, t *capacity.Target) script
+// loadProfile makes a day's script for a fleet.
+type loadProfile func(f *fleet, t *capacity.Target) script
 
-// regionDay is the day that needs a relay for membership packets.
-const regionDay = "region"
+// regionProfile is the day that needs a relay for membership packets.
+const regionProfile = "region"
 
 // days are all that can be played. All but the quiet one have changes of the list and of settings at the
 // target's rate, scaled to the size and multiplied by the plan's rate factor.
-var days = map[string]day{
-	"quiet":    quietDay,
-	"ordinary": ordinaryDay,
-	"rollout":  rolloutDay,
-	"zone":     zoneFailureDay,
-	"control":  leaderFailureDay,
-	regionDay:  regionPartitionDay,
+var loadProfiles = map[string]loadProfile{
+	"quiet":       quietProfile,
+	"ordinary":    ordinaryProfile,
+	"rollout":     rolloutProfile,
+	"zone":        zoneFailureProfile,
+	"control":     leaderFailureProfile,
+	regionProfile: regionPartitionProfile,
 }
 
-// DayNames are the names of the days, sorted.
-func DayNames() []string { return slices.Sorted(maps.Keys(days)) }
+// ProfileNames are the names of the days, sorted.
+func ProfileNames() []string { return slices.Sorted(maps.Keys(loadProfiles)) }
 
 // The fractions of a day at which faults begin and end.
 const (
@@ -145,13 +145,13 @@
 	return s
 }
 
-func quietDay(*fleet, *capacity.Target) script { return script{} }
+func quietProfile(*fleet, *capacity.Target) script { return script{} }
 
-// ordinaryDay restarts agents, and kills those whose machine fails, which are not started again.
-func ordinaryDay(f *fleet, t *capacity.Target) script {
+// ordinaryProfile restarts agents, and kills those whose machine fails, which are not started again.
+func ordinaryProfile(f *fleet, t *capacity.Target) script {
 	s := f.changeScript(t)
-	expectedRestarts := expectedEvents(t, t.Day.AgentsReplaced, f.size, f.plan)
-	expectedFailures := expectedEvents(t, t.Day.MachinesFailed, f.size, f.plan)
+	expectedRestarts := expectedEvents(t, t.Daily.AgentsReplaced, f.size, f.plan)
+	expectedFailures := expectedEvents(t, t.Daily.MachinesFailed, f.size, f.plan)
 	restarts := f.randomRound(expectedRestarts)
 	failures := f.randomRound(expectedFailures)
 	s.add(f.onIdleMember(f.restartMember), f.randomMoments(restarts, 0, lastRestart)...)
@@ -175,8 +175,8 @@
 	}
 }
 
-// rolloutDay restarts all agents, a tenth at a time, each part once the one before has started again.
-func rolloutDay(f *fleet, t *capacity.Target) script {
+// rolloutProfile restarts all agents, a tenth at a time, each part once the one before has started again.
+func rolloutProfile(f *fleet, t *capacity.Target) script {
 	members := f.membersRunning(true)
 	f.mu.Lock()
 	f.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -200,8 +200,8 @@
 	return s
 }
 
-// zoneFailureDay kills the agents of one zone, and starts them again.
-func zoneFailureDay(f *fleet, t *capacity.Target) script {
+// zoneFailureProfile kills the agents of one zone, and starts them again.
+func zoneFailureProfile(f *fleet, t *capacity.Target) script {
 	f.mu.Lock()
 	zone := f.random.IntN(len(zoneNames))
 	f.mu.Unlock()
@@ -218,8 +218,8 @@
 	return s
 }
 
-// leaderFailureDay kills the discovery instance that is the leader, and starts it again.
-func leaderFailureDay(f *fleet, t *capacity.Target) script {
+// leaderFailureProfile kills the discovery instance that is the leader, and starts it again.
+func leaderFailureProfile(f *fleet, t *capacity.Target) script {
 	killed := make(chan string, 1)
 	s := f.changeScript(t)
 	s.add(func(context.Context) error {
@@ -244,9 +244,9 @@
 	return s
 }
 
-// regionPartitionDay cuts the regions from each other, for membership and between the discovery
+// regionPartitionProfile cuts the regions from each other, for membership and between the discovery
 // instances, and heals that. Calls to discovery are not cut.
-func regionPartitionDay(f *fleet, t *capacity.Target) script {
+func regionPartitionProfile(f *fleet, t *capacity.Target) script {
 	members := make([][]string, len(regionNames))
 	for _, m := range f.members {
 		region := regionOf(m.zone)
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -48,8 +48,8 @@
 		return err
 	}
 	var direct, relayed []string
-	for _, name := range cfg.Plan.Days {
-		if name == regionDay {
+	for _, name := range cfg.Plan.Profiles {
+		if name == regionProfile {
 			relayed = append(relayed, name)
 		} else {
 			direct = append(direct, name)
@@ -58,7 +58,7 @@
 	for repeat := 1; repeat <= cfg.Plan.Repeats; repeat++ {
 		for _, hollow := range cfg.Plan.Sizes {
 			for _, names := range [][]string{direct, relayed} {
-				if err := cfg.runDays(ctx, hollow, repeat, names); err != nil {
+				if err := cfg.runProfiles(ctx, hollow, repeat, names); err != nil {
 					return err
 				}
 			}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// runDays plays days on one fleet, and on a new one after each failure to converge before a day.
-func (cfg *Config) runDays(ctx context.Context, hollow, repeat int, names []string) error {
+// runProfiles plays days on one fleet, and on a new one after each failure to converge before a day.
+func (cfg *Config) runProfiles(ctx context.Context, hollow, repeat int, names []string) error {
 	failures := 0
 	for len(names) > 0 {
 		played, err := cfg.runOnFleet(ctx, hollow, repeat, names)
@@ -103,7 +103,7 @@
 		return 0, err
 	}
 	defer f.close()
-	if slices.Contains(names, regionDay) {
+	if slices.Contains(names, regionProfile) {
 		if f.packetRelay, err = faultproxy.New(seed); err != nil {
 			return 0, err
 		}
@@ -116,7 +116,7 @@
 		run := &capacity.Run{
 			Plan:               plan.Name,
 			Commit:             cfg.Commit,
-			Day:                name,
+			Profile:            name,
 			Repeat:             repeat,
 			Seed:               seed,
 			Size:               f.size,
@@ -126,7 +126,7 @@
 			ListedServers:      f.listedServers,
 			RateFactor:         plan.RateFactor,
 		}
-		ok, err := f.playDay(ctx, cfg, run)
+		ok, err := f.runProfile(ctx, cfg, run)
 		if err != nil {
 			return played, err
 		}
@@ -161,22 +161,22 @@
 	return f, nil
 }
 
-// playDay plays one day on a fleet and fills its record. It returns false, and marks the run invalid, if
+// runProfile plays one day on a fleet and fills its record. It returns false, and marks the run invalid, if
 // the fleet does not converge before the day.
-func (f *fleet) playDay(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
-	problem, err := f.prepareDay(ctx)
+func (f *fleet) runProfile(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
+	problem, err := f.prepareRun(ctx)
 	if err != nil {
 		return false, err
 	}
 	if problem != "" {
 		run.Invalid = append(run.Invalid,
 			fmt.Sprintf("not played: before the day, after %v, %s", convergenceTimeout, problem))
-		cfg.Progress("%s: %s", run.Day, run.Invalid[0])
+		cfg.Progress("%s: %s", run.Profile, run.Invalid[0])
 		return false, nil
 	}
-	cfg.Progress("%d hollow agents, repeat %d: %s", run.Hollow, run.Repeat, run.Day)
+	cfg.Progress("%d hollow agents, repeat %d: %s", run.Hollow, run.Repeat, run.Profile)
 	f.trackers.forEach((*tracker).reset)
-	if err := f.measureDay(ctx, days[run.Day](f, cfg.Target), run); err != nil {
+	if err := f.measureRun(ctx, loadProfiles[run.Profile](f, cfg.Target), run); err != nil {
 		return false, err
 	}
 	problem, err = f.awaitConvergence(ctx, false)
@@ -185,14 +185,14 @@
 	}
 	run.Converged = problem == ""
 	if problem != "" {
-		cfg.Progress("%s: at its end, after %v, %s", run.Day, convergenceTimeout, problem)
+		cfg.Progress("%s: at its end, after %v, %s", run.Profile, convergenceTimeout, problem)
 	}
 	return true, f.recordInForceTimes(run)
 }
 
-// prepareDay starts the members whose machine failed on the day before, and waits until the fleet has
+// prepareRun starts the members whose machine failed on the day before, and waits until the fleet has
 // converged; problem says why it has not.
-func (f *fleet) prepareDay(ctx context.Context) (problem string, err error) {
+func (f *fleet) prepareRun(ctx context.Context) (problem string, err error) {
 	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
 		return "", err
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-// measureDay carries out a day's script and records what each role took.
-func (f *fleet) measureDay(ctx context.Context, s script, run *capacity.Run) error {
+// measureRun carries out a day's script and records what each role took.
+func (f *fleet) measureRun(ctx context.Context, s script, run *capacity.Run) error {
 	before, err := f.sample(ctx)
 	if err != nil {
 		return err
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -46,11 +46,11 @@
 	os.Exit(code)
 }
 
-// runDaysOfSize plays days at one size and returns their records.
-func runDaysOfSize(t *testing.T, hollow int, days ...string) []*capacity.Run {
+// runProfilesOfSize plays days at one size and returns their records.
+func runProfilesOfSize(t *testing.T, hollow int, loadProfiles ...string) []*capacity.Run {
 	t.Helper()
 	p := SmallPlan()
-	p.Sizes, p.Days, p.Seconds = []int{hollow}, days, minDaySeconds
+	p.Sizes, p.Profiles, p.Seconds = []int{hollow}, loadProfiles, minRunSeconds
 	return runPlan(t, p)
 }
 
@@ -83,8 +83,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(runs) != len(p.Days) {
-		t.Fatalf("%d runs of %d days", len(runs), len(p.Days))
+	if len(runs) != len(p.Profiles) {
+		t.Fatalf("%d runs of %d days", len(runs), len(p.Profiles))
 	}
 	return runs
 }
@@ -93,21 +93,21 @@
 func requireConverged(t *testing.T, r *capacity.Run) {
 	t.Helper()
 	if !r.Converged {
-		t.Errorf("%d hollow, %s: the agents do not have one view and the last list", r.Hollow, r.Day)
+		t.Errorf("%d hollow, %s: the agents do not have one view and the last list", r.Hollow, r.Profile)
 	}
 	if _, ok := r.InForce["settings"]; ok {
-		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Day)
+		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Profile)
 	}
 	times := r.InForce["list"]
 	if times.NeverInForce > 0 {
-		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Day, times.NeverInForce)
+		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Profile, times.NeverInForce)
 	}
-	if r.Day != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
-		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Day, r.Changes, times.Count)
+	if r.Profile != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
+		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Profile, r.Changes, times.Count)
 	}
 	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 ||
 		r.Roles[capacity.RoleLeader].Count != 1 || r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
-		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Day, r.Roles)
+		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Profile, r.Roles)
 	}
 }
 
@@ -121,7 +121,7 @@
 		for i, n := range sizes {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
-				runs[i] = runDaysOfSize(t, n, "quiet", "ordinary")
+				runs[i] = runProfilesOfSize(t, n, "quiet", "ordinary")
 				for _, r := range runs[i] {
 					requireConverged(t, r)
 				}
@@ -129,13 +129,13 @@
 		}
 		t.Run("faults", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range runDaysOfSize(t, 12, "rollout", "control") {
+			for _, r := range runProfilesOfSize(t, 12, "rollout", "control") {
 				requireConverged(t, r)
 			}
 		})
 		t.Run("regions", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range runDaysOfSize(t, 12, "region") {
+			for _, r := range runProfilesOfSize(t, 12, "region") {
 				requireConverged(t, r)
 			}
 		})
@@ -143,14 +143,14 @@
 	if t.Failed() {
 		return
 	}
-	for day := range runs[0] {
-		small, large := runs[0][day], runs[1][day]
+	for profile := range runs[0] {
+		small, large := runs[0][profile], runs[1][profile]
 		square := float64(large.Size) / float64(small.Size)
 		square *= square
 		for _, role := range []string{capacity.RoleHollow, capacity.RoleReal} {
 			for metric := range large.Roles[role].Mean {
 				if growth := excessiveGrowth(small, large, role, metric, square); growth != "" {
-					t.Errorf("%s, %s: %s grows with %s: %.3g at %d agents, %.3g at %d", small.Day, role, metric, growth,
+					t.Errorf("%s, %s: %s grows with %s: %.3g at %d agents, %.3g at %d", small.Profile, role, metric, growth,
 						small.Roles[role].Mean[metric], small.Size, large.Roles[role].Mean[metric], large.Size)
 				}
 			}
@@ -168,7 +168,7 @@
 	case capacity.CPU:
 		return "" // a time: on a loaded machine it means nothing
 	case capacity.MessagesIn, capacity.MessagesOut:
-		if small.Day == "quiet" && after > 1.6*before+tolerance {
+		if small.Profile == "quiet" && after > 1.6*before+tolerance {
 			return "the fleet"
 		}
 	case capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut:
@@ -187,8 +187,8 @@
 	t.Parallel()
 	p := SmallPlan()
 	p.Sizes = []int{12}
-	p.Days = []string{"control"}
-	p.Seconds = minDaySeconds
+	p.Profiles = []string{"control"}
+	p.Seconds = minRunSeconds
 	p.RateFactor = 6000
 	p.SettingsFraction = 1
 	r := runPlan(t, p)[0]
@@ -290,7 +290,7 @@
 			defer f.Close()
 			for in := bufio.NewScanner(f); in.Scan(); {
 				var r capacity.Run
-				if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Day == "" || len(r.Roles) != 4 {
+				if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Profile == "" || len(r.Roles) != 4 {
 					t.Errorf("a record that can't be used (%v): %s", err, in.Text())
 				}
 			}
