--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -9,7 +9,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 
 	"github.com/spf13/cobra"
 
@@ -18,6 +17,9 @@
 	"fernbeam.example/fernbeam/internal/scaletest"
 )
 
+// earlierProfilesFlag is the name of the flag --profiles in earlier versions.
+const earlierProfilesFlag = "days"
+
 // scaleFlags are the flags of `experiment scale`.
 type scaleFlags struct {
 	small    bool
@@ -26,7 +28,7 @@
 	programs string
 	logs     string
 	sizes    []int
-	profiles []string
+	profiles []string // of capacity.Profile
 }
 
 // scaleCmd is `experiment scale`.
@@ -34,9 +36,9 @@
 	var flags scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale [PLAN.toml]",
-		Short: "play days on fleets of hollow and real agents and record what each role takes",
-		Long: "Plays a plan: on fleets of each size, with real discovery instances, each day\n" +
-			"(" + strings.Join(scaletest.ProfileNames(), ", ") + ")\n" +
+		Short: "run load profiles on fleets of hollow and real agents and record what each role takes",
+		Long: "Carries out a plan: on fleets of each size, with real discovery instances, each load profile\n" +
+			"(" + capacity.JoinProfiles(capacity.Profiles) + ")\n" +
 			"at the target's rates for the size times the plan's factor. Adds each run to the record as it ends, and\n" +
 			"prints the metrics of each role. A size that needs more than half of this machine's memory, or more than\n" +
 			"300 processes, is refused.",
@@ -49,18 +51,21 @@
 			return runScale(cmd.Context(), cmd.OutOrStdout(), cfg, flags.record, flags.logs)
 		}}
 	f := cmd.Flags()
-	f.BoolVar(&flags.small, "small", false, "play the built-in plan: 30 hollow and 3 real agents, within 45 s")
+	f.BoolVar(&flags.small, "small", false, "run the built-in plan: 30 hollow and 3 real agents, within 45 s")
 	f.StringVar(&flags.record, "record", "", "file to which each run is appended as a line of JSON; empty: none")
 	f.StringVar(&flags.target, "target", defaultCapacityInput().target,
 		"the size that the system is designed for, with its rates")
 	f.StringVar(&flags.programs, "programs", "bin", "directory of the built agent and discovery")
 	f.StringVar(&flags.logs, "logs", "", "directory in which logs and configurations are left; default: they are removed")
-	f.IntSliceVar(&flags.sizes, "sizes", nil, "play only these of the plan's sizes")
-	f.StringSliceVar(&flags.profiles, "days", nil, "play only these of the plan's days")
+	f.IntSliceVar(&flags.sizes, "sizes", nil, "run only these of the plan's sizes")
+	const profilesUsage = "run only these of the plan's load profiles"
+	f.StringSliceVar(&flags.profiles, "profiles", nil, profilesUsage)
+	f.StringSliceVar(&flags.profiles, earlierProfilesFlag, nil, profilesUsage)
+	_ = f.MarkHidden(earlierProfilesFlag) // fails only for a flag that does not exist
 	return cmd
 }
 
-// config is what the command line says to play.
+// config is what the command line says to run.
 func (flags *scaleFlags) config(ctx context.Context, args []string) (scaletest.Config, error) {
 	plan, err := flags.plan(args)
 	if err != nil {
@@ -89,7 +94,7 @@
 	}, nil
 }
 
-// plan is the plan that the command line names, restricted to its sizes and days.
+// plan is the plan that the command line names, restricted to its sizes and load profiles.
 func (flags *scaleFlags) plan(args []string) (*scaletest.Plan, error) {
 	plan, err := flags.wholePlan(args)
 	if err != nil {
@@ -100,13 +105,17 @@
 			return nil, fmt.Errorf("--sizes: %d is no size of the plan, which has %v", size, plan.Sizes)
 		}
 	}
-	for _, profile := range flags.profiles {
+	var profiles []capacity.Profile
+	for _, name := range flags.profiles {
+		profile := capacity.Profile(name)
 		if !slices.Contains(plan.Profiles, profile) {
-			return nil, fmt.Errorf("--days: %q is no day of the plan, which has %v", profile, plan.Profiles)
+			return nil, fmt.Errorf("--profiles: %q is no load profile of the plan, which has %s",
+				name, capacity.JoinProfiles(plan.Profiles))
 		}
+		profiles = append(profiles, profile)
 	}
 	plan.Sizes = restrict(plan.Sizes, flags.sizes)
-	plan.Profiles = restrict(plan.Profiles, flags.profiles)
+	plan.Profiles = restrict(plan.Profiles, profiles)
 	return plan, nil
 }
 
@@ -131,13 +140,13 @@
 	return slices.DeleteFunc(values, func(v T) bool { return !slices.Contains(selected, v) })
 }
 
-// runScale plays a plan, appends each run to the record as it ends, and prints the metrics of all. Logs
+// runScale carries out a plan, appends each run to the record as it ends, and prints the metrics of all. Logs
 // and configurations are created below logs, or, if it is empty, in a temporary directory that is
 // removed.
 func runScale(ctx context.Context, out io.Writer, cfg scaletest.Config, record, logs string) (err error) {
 	for _, program := range []string{cfg.Agent, cfg.Discovery} {
 		if _, err := os.Stat(program); err != nil {
-			return fmt.Errorf("a program that is played is not built: %w", err)
+			return fmt.Errorf("a program that is run is not built: %w", err)
 		}
 	}
 	directory, removeDirectory, err := workDirectory(logs)
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -12,9 +12,9 @@
 // title names the row in a sentence.
 func (r *Row) title() string {
 	if r.Subject == subjectInForce {
-		return r.Metric + " in force everywhere, " + r.Profile + ", s"
+		return r.Metric + " in force everywhere, " + r.Condition + ", s"
 	}
-	return r.Subject + ", " + r.Profile + ", " + r.Metric + ", " + r.Unit
+	return r.Subject + ", " + r.Condition + ", " + r.Metric + ", " + r.Unit
 }
 
 // targetCell is the row's value at the target, or why there is none.
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -8,13 +8,13 @@
 // comparableRuns are the runs of a day with one rate factor, and that factor: 1 on a quiet day, which
 // has nothing to accelerate. For metrics of roles they are the first plan's runs; changes in force
 // come from all plans.
-func (p *Page) comparableRuns(subject, profile string) ([]*Run, float64) {
+func (p *Page) comparableRuns(subject string, profile Profile) ([]*Run, float64) {
 	all := p.firstPlanRuns
 	if subject == subjectInForce {
 		all = p.Runs
 	}
 	runs := runsOfProfile(all, profile)
-	if profile == profileQuiet {
+	if profile == ProfileQuiet {
 		return runs, 1
 	}
 	return mostCommonRateFactor(runs)
@@ -27,7 +27,7 @@
 // target's rate of changes (see rescaleToTarget). On other days the traffic of the fault and that of
 // the accelerated changes can't be separated, and the metric is taken as it is.
 func (p *Page) measure(r *Row, metric Metric, selectPoints selector) {
-	runs, rateFactor := p.comparableRuns(r.Subject, r.Profile)
+	runs, rateFactor := p.comparableRuns(r.Subject, Profile(r.Condition))
 	points, source := selectPoints(runs)
 	r.Source = source.Description
 	r.Runs = len(points)
@@ -61,11 +61,11 @@
 // be done, and says in the row's source what was done.
 func (p *Page) rescale(r *Row, metric Metric, selectPoints selector, rateFactor float64) {
 	factor := formatNumber(rateFactor)
-	if !metric.Rate || r.Profile != profileOrdinary {
+	if !metric.Rate || r.Condition != string(ProfileOrdinary) {
 		r.appendSource(fmt.Sprintf("at ×%s the rates", factor))
 		return
 	}
-	quietRuns := runsOfProfile(p.firstPlanRuns, profileQuiet)
+	quietRuns := runsOfProfile(p.firstPlanRuns, ProfileQuiet)
 	points, source := selectPoints(quietRuns)
 	fit, err := NewFit(points)
 	if err != nil {
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -57,10 +57,11 @@
 // plan, commit, day, size, rate factor, repeat and seed, all but the last.
 func ValidRuns(runs []*Run) []*Run {
 	type identity struct {
-		plan, commit, profile string
-		size, repeat          int
-		rateFactor            float64
-		seed                  uint64
+		plan, commit string
+		profile      Profile
+		size, repeat int
+		rateFactor   float64
+		seed         uint64
 	}
 	identityOf := func(r *Run) identity {
 		return identity{r.Plan, r.Commit, r.Profile, r.Size, r.Repeat, r.RateFactor, r.Seed}
@@ -78,7 +79,7 @@
 	return valid
 }
 
-func runsOfProfile(runs []*Run, profile string) []*Run {
+func runsOfProfile(runs []*Run, profile Profile) []*Run {
 	var selected []*Run
 	for _, r := range runs {
 		if r.Profile == profile {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -28,18 +28,16 @@
 	valid []*Run
 }
 
-// profileQuiet has no changes, and dayOrdinary those of the target; other days have a fault as well.
-const (
-	profileQuiet    = "quiet"
-	profileOrdinary = "ordinary"
-)
-
-// The days and the kinds of change that the page has rows for.
+// The load profiles and the kinds of change that the page has rows for.
 var (
-	agentProfiles     = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region"}
-	discoveryProfiles = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region", "control"}
-	inForceProfiles   = []string{profileOrdinary, "rollout", "zone", "region", "control"}
-	changeKinds       = []string{"settings", "list"}
+	agentProfiles = []Profile{
+		ProfileQuiet, ProfileOrdinary, ProfileRollout, ProfileZone, ProfileRegion,
+	}
+	discoveryProfiles = Profiles
+	inForceProfiles   = []Profile{
+		ProfileOrdinary, ProfileRollout, ProfileZone, ProfileRegion, ProfileControl,
+	}
+	changeKinds = []string{"settings", "list"}
 )
 
 // NewPage makes the rows from records, benchmarks and mechanisms. A row without data says that
@@ -88,8 +86,8 @@
 }
 
 // agentRow is a metric of an agent, hollow or real (see selectSource).
-func (p *Page) agentRow(profile string, metric Metric) *Row {
-	r := &Row{Subject: subjectAgent, Profile: profile, Metric: metric.Name, Unit: metric.Unit}
+func (p *Page) agentRow(profile Profile, metric Metric) *Row {
+	r := &Row{Subject: subjectAgent, Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
 	if metric.budget != nil {
 		r.Budget = metric.budget(p.Target)
 	}
@@ -101,8 +99,8 @@
 }
 
 // discoveryRow is a metric of a discovery instance.
-func (p *Page) discoveryRow(role, profile string, metric Metric) *Row {
-	r := &Row{Subject: role, Profile: profile, Metric: metric.Name, Unit: metric.Unit}
+func (p *Page) discoveryRow(role string, profile Profile, metric Metric) *Row {
+	r := &Row{Subject: role, Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
 	p.measure(r, metric, func(runs []*Run) ([]Point, Source) {
 		return collectPoints(runs, func(run *Run) (float64, bool) { return metric.value(run, role) }), Source{}
 	})
@@ -110,14 +108,14 @@
 }
 
 // inForceRow is the time from a change's acknowledgement until the last agent has it in force.
-func (p *Page) inForceRow(kind, profile string) *Row {
+func (p *Page) inForceRow(kind string, profile Profile) *Row {
 	r := &Row{
 		Subject:           subjectInForce,
-		Profile:           profile,
+		Condition:         string(profile),
 		Metric:            kind,
 		Unit:              "s, the last agent",
 		Budget:            p.Target.Changes.InForceS,
-		MechanismRequired: profile == profileOrdinary,
+		MechanismRequired: profile == ProfileOrdinary,
 	}
 	p.measure(r, Metric{}, func(runs []*Run) ([]Point, Source) {
 		return collectPoints(runs, func(run *Run) (float64, bool) {
@@ -143,7 +141,10 @@
 	decisionBenchmark = "Decision"
 )
 
-var decisionStates = []string{"calm", "crowded", "demoted"}
+// calmState is the balancer's state without overload, in which the data path was measured.
+const calmState = "calm"
+
+var decisionStates = []string{calmState, "crowded", "demoted"}
 
 // pathName is the name of the data path's benchmark with a number of servers.
 func pathName(servers int) string { return fmt.Sprintf("%s/servers=%d", pathBenchmark, servers) }
@@ -169,11 +170,11 @@
 // dataPathRows are the rows of the data path with the target's servers. Nothing is extrapolated.
 func (p *Page) dataPathRows() []*Row {
 	servers := p.Target.Fleet.Servers
-	added := &Row{Profile: "calm", Metric: "added", Unit: "µs at p99"}
+	added := &Row{Condition: calmState, Metric: "added", Unit: "µs at p99"}
 	p.setEstimate(added, pathName(servers), "added-p99-us", 1)
 	rows := []*Row{added}
 	for _, state := range decisionStates {
-		decision := &Row{Profile: state, Metric: "decision", Unit: "µs a request"}
+		decision := &Row{Condition: state, Metric: "decision", Unit: "µs a request"}
 		p.setEstimate(decision, decisionName(servers, state), "sec/op", usPerSecond)
 		rows = append(rows, decision)
 	}
@@ -198,7 +199,7 @@
 
 // usesRun reports whether a row is computed from a run, among others.
 func (p *Page) usesRun(run *Run, r *Row) bool {
-	if run.Profile != r.Profile {
+	if string(run.Profile) != r.Condition {
 		return false
 	}
 	if r.Subject == subjectInForce {
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -14,9 +14,6 @@
 	"strings"
 )
 
-// Days are the days that a run may be of.
-var Profiles = []string{profileQuiet, profileOrdinary, "rollout", "zone", "region", "control"}
-
 // RoleHost is the machine that a run was played on, with all of its processes.
 const RoleHost = "host"
 
@@ -124,7 +121,7 @@
 	case r.Commit == "":
 		return errors.New("commit: is empty")
 	case !slices.Contains(Profiles, r.Profile):
-		return fmt.Errorf("day: %q is none of %s", r.Profile, strings.Join(Profiles, ", "))
+		return fmt.Errorf("day: %q is none of %s", r.Profile, JoinProfiles(Profiles))
 	case r.Repeat < 1:
 		return fmt.Errorf("repeat: must be above 0, is %d", r.Repeat)
 	case r.Size < 1:
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -85,11 +85,11 @@
 	var order []string
 	groups := map[string][]string{}
 	for _, r := range rows {
-		group := r.Subject + ", " + r.Profile
+		group := r.Subject + ", " + r.Condition
 		item := r.Metric
 		if r.Subject == subjectInForce {
 			group = r.Metric + " in force everywhere"
-			item = r.Profile
+			item = r.Condition
 		}
 		if groups[group] == nil {
 			order = append(order, group)
@@ -114,24 +114,24 @@
 		}
 		metric := r.Metric + ", " + r.Unit
 		mechanism := r.Mechanism
-		if unmeasured[r.Profile] {
+		if unmeasured[r.Condition] {
 			if r.Metric != Metrics[0].Name {
 				continue
 			}
 			metric = "all of them"
-			mechanism = p.mechanismsOf(subject, r.Profile)
+			mechanism = p.mechanismsOf(subject, r.Condition)
 		}
 		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |\n",
-			r.Profile, metric, r.targetCell(), r.budgetCell(), r.usageCell(),
+			r.Condition, metric, r.targetCell(), r.budgetCell(), r.usageCell(),
 			r.Fit.slopeCell(), r.Fit.sizesCell(), r.Fit.errorCell(), p.sourceCell(r), mechanism)
 	}
 }
 
 // mechanismsOf are the mechanisms of a day's rows, each once.
-func (p *Page) mechanismsOf(subject, profile string) string {
+func (p *Page) mechanismsOf(subject, condition string) string {
 	var mechanisms []string
 	for _, r := range p.rows {
-		if r.Subject == subject && r.Profile == profile && !slices.Contains(mechanisms, r.Mechanism) {
+		if r.Subject == subject && r.Condition == condition && !slices.Contains(mechanisms, r.Mechanism) {
 			mechanisms = append(mechanisms, r.Mechanism)
 		}
 	}
@@ -146,8 +146,8 @@
 	}
 	for _, r := range p.rows {
 		if r.Subject == subject {
-			before, seen := unmeasured[r.Profile]
-			unmeasured[r.Profile] = (before || !seen) && r.LargestSize == 0
+			before, seen := unmeasured[r.Condition]
+			unmeasured[r.Condition] = (before || !seen) && r.LargestSize == 0
 		}
 	}
 	return unmeasured
@@ -166,7 +166,7 @@
 	}
 }
 
-func (p *Page) measuredTimesCells(kind, profile string) string {
+func (p *Page) measuredTimesCells(kind string, profile Profile) string {
 	largest := 0
 	runs := 0
 	var sum Latencies
@@ -220,7 +220,11 @@
 		"In the same runs. From %s to %s the hollow figure is taken as it is; outside it is divided by the ratio, if"+
 		" that is\nsteady over the sizes and known to a quarter; else the real agents' is taken.\n\n",
 		formatNumber(minUsableRatio), formatNumber(maxUsableRatio))
-	b.WriteString(tableHead(slices.Concat([]string{"figure"}, agentProfiles)...))
+	columns := []string{"figure"}
+	for _, profile := range agentProfiles {
+		columns = append(columns, string(profile))
+	}
+	b.WriteString(tableHead(columns...))
 	for _, metric := range Metrics {
 		fmt.Fprintf(b, "| %s ", metric.Name)
 		for _, profile := range agentProfiles {
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -14,7 +14,10 @@
 )
 
 // runGroup identifies the runs of a record that share a line.
-type runGroup struct{ plan, commit, profile string }
+type runGroup struct {
+	plan, commit string
+	profile      Profile
+}
 
 // writeRuns writes what was read, and which runs were left out.
 func (p *Page) writeRuns(b *bytes.Buffer) {
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -3,10 +3,12 @@
 // Row is one requirement of the page: a metric of a subject on a day, its value at the target, its
 // budget, and the mechanism that keeps it within the budget.
 type Row struct {
-	Subject, Profile, Metric, Unit string
-	Budget                         float64 // 0: there is none
-	Mechanism                      string
-	MechanismRequired              bool // a requirement of every ordinary day, which some mechanism has to meet
+	Subject           string
+	Condition         string // the load profile, or the balancer's state for the data path
+	Metric, Unit      string
+	Budget            float64 // 0: there is none
+	Mechanism         string
+	MechanismRequired bool // a requirement of every ordinary day, which some mechanism has to meet
 
 	Known           bool // Value is the one at the target
 	Value           float64
@@ -29,7 +31,7 @@
 )
 
 // Name identifies the row in the patterns of mechanisms.
-func (r *Row) Name() string { return r.Subject + "/" + r.Profile + "/" + r.Metric }
+func (r *Row) Name() string { return r.Subject + "/" + r.Condition + "/" + r.Metric }
 
 // HasMechanism reports whether a mechanism keeps the row within its budget.
 func (r *Row) HasMechanism() bool { return r.Mechanism != noMechanism }
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -10,7 +10,7 @@
 type Run struct {
 	Plan               string  `json:"plan"`   // the plan's name
 	Commit             string  `json:"commit"` // of the program measured, with "-dirty" if the tree was modified
-	Profile            string  `json:"day"`    // one of Days
+	Profile            Profile `json:"day"`
 	Repeat             int     `json:"repeat"` // from 1
 	Seed               uint64  `json:"seed"`
 	Size               int     `json:"size"` // agents, hollow and real together
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -38,12 +38,18 @@
 	writeRetryInterval = 20 * time.Millisecond
 	// maxIdleConnections are kept to each instance.
 	maxIdleConnections = 64
+	// discoveryConfigMode is the mode of an instance's configuration file.
+	discoveryConfigMode = 0o644
+	// leaderState is the state that the leader reports.
+	leaderState = "Leader"
 	// maxWriteResponse is the part of a response to a write that is read.
 	maxWriteResponse = 1 << 16
 )
 
 // startDiscovery starts a number of instances, each on an address of its own, and waits for a leader.
-func startDiscovery(program, directory string, count int, ip func(i int) string) (*discoveryCluster, error) {
+func startDiscovery(
+	ctx context.Context, program, directory string, count int, ip func(i int) string,
+) (*discoveryCluster, error) {
 	var names []string
 	for i := range count {
 		names = append(names, fmt.Sprintf("list-%d", i+1))
@@ -69,7 +75,7 @@
 			return nil, err
 		}
 	}
-	if _, err := d.awaitLeader(); err != nil {
+	if _, err := d.awaitLeader(ctx); err != nil {
 		cluster.Close()
 		return nil, err
 	}
@@ -102,25 +108,25 @@
 		}
 		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), c.Addr(peer, "admin"))
 	}
-	return os.WriteFile(path, []byte(b.String()), 0o644)
+	return os.WriteFile(path, []byte(b.String()), discoveryConfigMode)
 }
 
-// awaitLeader waits until an instance is the leader.
-func (d *discoveryCluster) awaitLeader() (leader string, err error) {
+// awaitLeader waits until an instance is the leader, or the context ends.
+func (d *discoveryCluster) awaitLeader(ctx context.Context) (leader string, err error) {
 	err = processtest.Await(leaderTimeout, "discovery has a leader", func() bool {
-		leader = d.leader()
-		return leader != ""
+		leader = d.leader(ctx)
+		return leader != "" || ctx.Err() != nil
 	})
-	return leader, err
+	return leader, errors.Join(err, ctx.Err())
 }
 
 // leader is the instance that reports to be the leader, or "".
-func (d *discoveryCluster) leader() string {
+func (d *discoveryCluster) leader(ctx context.Context) string {
 	for _, name := range d.Names() {
 		if !d.Running(name) {
 			continue
 		}
-		if status, err := d.status(name); err == nil && status.State == "Leader" {
+		if status, err := d.status(ctx, name); err == nil && status.State == leaderState {
 			return name
 		}
 	}
@@ -128,9 +134,14 @@
 }
 
 // status is the status of an instance by its admin endpoint.
-func (d *discoveryCluster) status(name string) (server.Status, error) {
+func (d *discoveryCluster) status(ctx context.Context, name string) (server.Status, error) {
 	var status server.Status
-	response, err := d.client.Get("http://" + d.Addr(name, "admin") + "/v1/status")
+	url := "http://" + d.Addr(name, "admin") + "/v1/status"
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
+	if err != nil {
+		return status, err
+	}
+	response, err := d.client.Do(request)
 	if err != nil {
 		return status, err
 	}
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -84,13 +84,13 @@
 	if err != nil {
 		return err
 	}
-	if err := f.startDiscovery(cfg.Discovery); err != nil {
+	if err := f.startDiscovery(ctx, cfg.Discovery); err != nil {
 		return err
 	}
 	if err := f.fillList(ctx); err != nil {
 		return err
 	}
-	if err := f.startHosts(cfg.HostCommand, hollow); err != nil {
+	if err := f.startHosts(ctx, cfg.HostCommand, hollow); err != nil {
 		return err
 	}
 	if f.plan.SettingsFraction > 0 {
@@ -108,10 +108,11 @@
 	return f.forEach(ctx, f.members, f.startMember)
 }
 
-func (f *fleet) startDiscovery(program string) error {
+// startDiscovery starts the discovery service.
+func (f *fleet) startDiscovery(ctx context.Context, program string) error {
 	ip := func(i int) string { return f.address(discoveryAddress, i) }
 	var err error
-	f.discovery, err = startDiscovery(program, f.directory, f.plan.DiscoveryInstances, ip)
+	f.discovery, err = startDiscovery(ctx, program, f.directory, f.plan.DiscoveryInstances, ip)
 	if err != nil {
 		return err
 	}
@@ -121,10 +122,11 @@
 	return nil
 }
 
-func (f *fleet) startHosts(command []string, hollow int) error {
+// startHosts starts the host processes for a number of hollow agents.
+func (f *fleet) startHosts(ctx context.Context, command []string, hollow int) error {
 	for range hostCount(hollow, f.plan.AgentsPerHost) {
 		name := fmt.Sprintf("host-%02d", len(f.hosts)+1)
-		h, err := startHost(command, name, f.directory, f.trackers)
+		h, err := startHost(ctx, command, name, f.directory, f.trackers)
 		if err != nil {
 			return err
 		}
@@ -136,6 +138,7 @@
 // hostCount is the number of host processes for hollow agents.
 func hostCount(hollow, agentsPerHost int) int { return (hollow + agentsPerHost - 1) / agentsPerHost }
 
+// prepareRealAgents prepares the processes of the real agents, which startMember starts.
 func (f *fleet) prepareRealAgents(program string) error {
 	var names []string
 	for _, m := range f.members {
@@ -159,7 +162,7 @@
 			Addr:   net.JoinHostPort(f.address(serverAddress, i), strconv.Itoa(serverPort)),
 			Zone:   zoneNames[zone],
 			Region: regionNames[regionOf(zone)],
-			Kind:   models[i%2].Kind,
+			Kind:   models[i%len(models)].Kind,
 			Cell:   i / serversPerCell,
 			State:  endpoint.StateUp,
 			Weight: 1,
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -48,8 +48,8 @@
 func startedEvent(agent string) string { return "started " + agent }
 func endedEvent(agent string) string   { return "ended " + agent }
 
-// startHost starts a host process, with its log in a directory.
-func startHost(command []string, name, directory string, trackers trackers) (*hostProcess, error) {
+// startHost starts a host process, with its log in a directory. It runs until close, beyond the end of the context.
+func startHost(ctx context.Context, command []string, name, directory string, trackers trackers) (*hostProcess, error) {
 	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	h := &hostProcess{
 		name:     name,
-		cmd:      exec.Command(command[0], command[1:]...),
+		cmd:      exec.CommandContext(context.WithoutCancel(ctx), command[0], command[1:]...),
 		done:     make(chan struct{}),
 		trackers: trackers,
 		waiters:  map[string]chan error{},
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -38,7 +38,7 @@
 type hollowAgent struct {
 	agent   *agent.Agent
 	cancel  context.CancelFunc // stops it gracefully
-	ctx     context.Context    // ends once it is stopped, or has ended
+	ended   <-chan struct{}    // closed once it is stopped, or has ended
 	reloads chan *agent.Config
 	config  *agent.Config // in force
 }
@@ -178,8 +178,9 @@
 	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
 	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
 	var listeners agent.Listeners
+	var listenConfig net.ListenConfig
 	if cfg.Management != "" {
-		listeners.Operators, err = net.Listen("tcp", cfg.Management)
+		listeners.Operators, err = listenConfig.Listen(context.Background(), "tcp", cfg.Management)
 		if err != nil {
 			h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
 			return nil
@@ -193,7 +194,9 @@
 		}
 		return err
 	}
-	a.ctx, a.cancel = context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	a.ended = ctx.Done()
 	h.mu.Lock()
 	h.agents[name] = a
 	h.mu.Unlock()
@@ -201,7 +204,7 @@
 	h.runs.Add(1)
 	go func() {
 		defer h.runs.Done()
-		h.run(name, a)
+		h.run(ctx, name, a)
 	}()
 	return nil
 }
@@ -219,11 +222,11 @@
 	return net.ParseIP(ip)
 }
 
-// run runs an agent until it ends.
-func (h *hostServer) run(name string, a *hollowAgent) {
+// run runs an agent until it ends, or until the context does.
+func (h *hostServer) run(ctx context.Context, name string, a *hollowAgent) {
 	defer a.cancel()
 	event := HostEvent{Ended: name}
-	if err := a.agent.Run(a.ctx, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
+	if err := a.agent.Run(ctx, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
 		event.Err = err.Error()
 	}
 	h.mu.Lock()
@@ -233,8 +236,10 @@
 }
 
 func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
-	if a.ctx.Err() != nil {
+	select {
+	case <-a.ended:
 		return errAlreadyEnds
+	default:
 	}
 	a.cancel()
 	return nil
@@ -255,7 +260,7 @@
 	case a.reloads <- cfg:
 		a.config = cfg
 		return nil
-	case <-a.ctx.Done():
+	case <-a.ended:
 		return errAlreadyEnds
 	}
 }
--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -23,6 +23,9 @@
 	// may open while it joins (fleet.Sockets). hostDescriptors are those of its process.
 	hollowDescriptors = 40
 	hostDescriptors   = 32
+	// memoryDivisor is the number that the machine's memory is divided by: a fleet may take half.
+	memoryDivisor = 2
+	kbPerMB       = 1024
 	// maxProcesses is the number of processes that the project may run on a machine.
 	maxProcesses = 300
 )
@@ -43,7 +46,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return machineLimits{}, err
 	}
-	return machineLimits{memoryMB: total / 2, freeMemoryMB: processtest.FreeMB(), descriptors: files.Cur}, nil
+	return machineLimits{memoryMB: total / memoryDivisor, freeMemoryMB: processtest.FreeMB(), descriptors: files.Cur}, nil
 }
 
 // CheckMachine returns an error if this machine can't run one of the plan's sizes: within half of its
@@ -101,7 +104,7 @@
 	for line := range strings.Lines(string(text)) {
 		var kb int
 		if _, err := fmt.Sscanf(line, "MemTotal: %d kB", &kb); err == nil {
-			return kb / 1024, nil
+			return kb / kbPerMB, nil
 		}
 	}
 	return 0, errors.New("/proc/meminfo: no MemTotal")
--- a/internal/scaletest/machinemonitor.go
+++ b/internal/scaletest/machinemonitor.go
@@ -19,6 +19,15 @@
 	timerInterval = 10 * time.Millisecond
 	// maxRecordedDelayUs is the largest delay that is recorded, in µs.
 	maxRecordedDelayUs = 60_000_000
+	// percent converts a fraction.
+	percent = 100
+)
+
+// The histograms of delays and latencies.
+const (
+	histogramDigits = 3 // significant digits
+	percentile50    = 50
+	percentile99    = 99
 )
 
 // machineMonitor observes whether this machine has enough processor time for a run: its idle time,
@@ -38,7 +47,7 @@
 	}
 	m := &machineMonitor{
 		start:       ticks,
-		timerDelays: hdrhistogram.New(1, maxRecordedDelayUs, 3),
+		timerDelays: hdrhistogram.New(1, maxRecordedDelayUs, histogramDigits),
 		stop:        make(chan struct{}),
 		stopped:     make(chan struct{}),
 	}
@@ -73,9 +82,9 @@
 	idle := (end.idle - m.start.idle) / (end.total - m.start.total)
 	if idle < minIdleFraction {
 		problems = append(problems, fmt.Sprintf("the machine was idle for %.1f %% of its time, under %.0f %%",
-			100*idle, 100*minIdleFraction))
+			percent*idle, percent*minIdleFraction))
 	}
-	delay := time.Duration(m.timerDelays.ValueAtQuantile(99)) * time.Microsecond
+	delay := time.Duration(m.timerDelays.ValueAtQuantile(percentile99)) * time.Microsecond
 	if delay > maxTimerDelay {
 		problems = append(problems, fmt.Sprintf("this program's timers were late by %v at p99, over %v",
 			delay, maxTimerDelay))
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -24,8 +24,12 @@
 	membershipPort = 19998
 )
 
-// seedFactor keeps the agents' seeds of different plan seeds apart.
-const seedFactor = 100_000
+const (
+	// seedFactor keeps the agents' seeds of different plan seeds apart.
+	seedFactor = 100_000
+	// agentConfigMode is the mode of a real agent's configuration file.
+	agentConfigMode = 0o600
+)
 
 // member is one agent of a fleet.
 type member struct {
@@ -132,7 +136,7 @@
 	if err != nil || m.hollow() {
 		return err
 	}
-	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, 0o600)
+	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, agentConfigMode)
 }
 
 // discoveryInstance is the instance that a member's "discovery" names: those of its region in turn.
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -6,26 +6,26 @@
 	"math"
 	"os"
 	"slices"
-	"strings"
 
 	"github.com/BurntSushi/toml"
 
+	"fernbeam.example/fernbeam/internal/capacity"
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// Plan is what is played: fleets of some sizes, and days on each. A key that is left out has the value
-// of DefaultPlan.
+// Plan says what is run: fleets of some sizes, and load profiles on each. A key that is left out has the value of
+// DefaultPlan.
 type Plan struct {
-	Name               string   `toml:"name"`
-	Sizes              []int    `toml:"sizes"`         // hollow agents of each fleet
-	Real               int      `toml:"real"`          // processes of the agent beside them
-	DiscoveryInstances int      `toml:"lists"`         // 3 or 4
-	ListedServers      int      `toml:"listed"`        // servers on the endpoint list; 0: as many as agents
-	AgentsPerHost      int      `toml:"agents_a_host"` // hollow agents that share a process
-	Repeats            int      `toml:"repeats"`       // fleets of each size, one after the other
-	Seed               uint64   `toml:"seed"`          // of the first repeat
-	Profiles           []string `toml:"days"`          // played in order on one fleet
-	Seconds            float64  `toml:"seconds"`       // measured, of a day
+	Name               string             `toml:"name"`
+	Sizes              []int              `toml:"sizes"`         // hollow agents of each fleet
+	Real               int                `toml:"real"`          // processes of the agent beside them
+	DiscoveryInstances int                `toml:"lists"`         // 3 or 4
+	ListedServers      int                `toml:"listed"`        // servers on the endpoint list; 0: as many as agents
+	AgentsPerHost      int                `toml:"agents_a_host"` // hollow agents that share a process
+	Repeats            int                `toml:"repeats"`       // fleets of each size, one after the other
+	Seed               uint64             `toml:"seed"`          // of the first repeat
+	Profiles           []capacity.Profile `toml:"days"`          // run in order on one fleet
+	Seconds            float64            `toml:"seconds"`       // measured, of a run
 	// RateFactor multiplies the rates of changes and restarts that the target has at the size.
 	RateFactor float64 `toml:"hurry"`
 	// SettingsFraction is the fraction of the changes, from 0 to 1, that are of a service's settings and not
@@ -37,7 +37,7 @@
 const (
 	// minHollowAgents is the number of the fleet's membership seeds, which are hollow agents.
 	minHollowAgents = 3
-	// minRunSeconds leaves time for what happens on a day.
+	// minRunSeconds leaves time for the events of a load profile.
 	minRunSeconds = 5
 	maxRunSeconds = 3600
 	// Raft needs three instances; more than four are not expected.
@@ -45,18 +45,29 @@
 	maxDiscoveryInstances = 4
 )
 
+// The plan of the keys that a file leaves out.
+const (
+	defaultName          = "plan"
+	defaultRealAgents    = 20
+	defaultAgentsPerHost = 50
+	defaultRepeats       = 1
+	defaultSeed          = 1
+	defaultSeconds       = 20
+	defaultRateFactor    = 200
+)
+
 // DefaultPlan is a plan without sizes.
 func DefaultPlan() *Plan {
 	return &Plan{
-		Name:               "plan",
-		Real:               20,
-		DiscoveryInstances: 3,
-		AgentsPerHost:      50,
-		Repeats:            1,
-		Seed:               1,
-		Profiles:           []string{"quiet", "ordinary"},
-		Seconds:            20,
-		RateFactor:         200,
+		Name:               defaultName,
+		Real:               defaultRealAgents,
+		DiscoveryInstances: minDiscoveryInstances,
+		AgentsPerHost:      defaultAgentsPerHost,
+		Repeats:            defaultRepeats,
+		Seed:               defaultSeed,
+		Profiles:           []capacity.Profile{capacity.ProfileQuiet, capacity.ProfileOrdinary},
+		Seconds:            defaultSeconds,
+		RateFactor:         defaultRateFactor,
 	}
 }
 
@@ -150,7 +161,8 @@
 func (p *Plan) checkProfiles() error {
 	for i, name := range p.Profiles {
 		if loadProfiles[name] == nil {
-			return invalid("days", "there is no day %q, there are %s", name, strings.Join(ProfileNames(), ", "))
+			return invalid("days", "there is no load profile %q, there are %s",
+				name, capacity.JoinProfiles(capacity.Profiles))
 		}
 		if slices.Index(p.Profiles, name) < i {
 			return invalid("days", "%q is there twice", name)
--- a/internal/scaletest/plan_test.go
+++ b/internal/scaletest/plan_test.go
@@ -22,7 +22,7 @@
 		{"sizes = [50]\nlisted = -2", "p.toml:2: listed: must be 0 or more, is -2"},
 		{"sizes = [50]\nagents_a_host = 0", "p.toml:2: agents_a_host: must be above 0, is 0"},
 		{"sizes = [50]\nrepeats = 0", "p.toml:2: repeats: must be above 0, is 0"},
-		{"sizes = [50]\ndays = [\"quiet\", \"party\"]", `p.toml:2: days: there is no day "party"`},
+		{"sizes = [50]\ndays = [\"quiet\", \"party\"]", `p.toml:2: days: there is no load profile "party"`},
 		{"sizes = [50]\ndays = [\"quiet\", \"quiet\"]", `p.toml:2: days: "quiet" is there twice`},
 		{"sizes = [50]\ndays = []", "p.toml:2: days: one at least is needed"},
 		{"sizes = [50]\nseconds = 1", "p.toml:2: seconds: must be from 5 to 3600, is 1"},
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -10,6 +10,9 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
+// columnPadding is the number of spaces between two columns.
+const columnPadding = 2
+
 // The rows and columns of a printed table, in order.
 var (
 	printedMetrics = []string{
@@ -77,7 +80,7 @@
 		}
 		table.WriteString("\n")
 	}
-	writer := tabwriter.NewWriter(b, 0, 0, 2, ' ', tabwriter.AlignRight)
+	writer := tabwriter.NewWriter(b, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	if _, err := io.WriteString(writer, table.String()); err != nil {
 		return err
 	}
--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -1,10 +1,10 @@
 package scaletest
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"sync"
@@ -13,72 +13,64 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// step is an action at a fraction of a day's length.
-type step struct {
+// event is an action at a fraction of a run's length.
+type event struct {
 	at float64
 	do func(context.Context) error
 }
 
-// script is what happens on a day, and what of the day this run can't play.
+// script has the events of a run, and what of the load profile this run can't measure.
 type script struct {
-	steps   []step
+	events  []event
 	missing []string
 }
 
-// add adds an action at each of some fractions of the day.
+// add adds an action at each of some fractions of the run.
 func (s *script) add(do func(context.Context) error, at ...float64) {
 	for _, fraction := range at {
-		s.steps = append(s.steps, step{fraction, do})
+		s.events = append(s.events, event{fraction, do})
 	}
 }
 
-// loadProfile makes a day's script for a fleet.
+// loadProfile makes a load profile's script for a fleet.
 type loadProfile func(f *fleet, t *capacity.Target) script
 
-// regionProfile is the day that needs a relay for membership packets.
-const regionProfile = "region"
-
-// days are all that can be played. All but the quiet one have changes of the list and of settings at the
-// target's rate, scaled to the size and multiplied by the plan's rate factor.
-var loadProfiles = map[string]loadProfile{
-	"quiet":       quietProfile,
-	"ordinary":    ordinaryProfile,
-	"rollout":     rolloutProfile,
-	"zone":        zoneFailureProfile,
-	"control":     leaderFailureProfile,
-	regionProfile: regionPartitionProfile,
+// loadProfiles are all that can be run. All but the quiet one have changes of the list and of settings at the target's
+// rate, scaled to the size and multiplied by the plan's rate factor.
+var loadProfiles = map[capacity.Profile]loadProfile{
+	capacity.ProfileQuiet:    quietProfile,
+	capacity.ProfileOrdinary: ordinaryProfile,
+	capacity.ProfileRollout:  rolloutProfile,
+	capacity.ProfileZone:     zoneFailureProfile,
+	capacity.ProfileControl:  leaderFailureProfile,
+	capacity.ProfileRegion:   regionPartitionProfile,
 }
 
-// ProfileNames are the names of the days, sorted.
-func ProfileNames() []string { return slices.Sorted(maps.Keys(loadProfiles)) }
-
-// The fractions of a day at which faults begin and end.
+// The fractions of a run at which faults begin and end.
 const (
 	faultBegins    = 0.2
 	faultEnds      = 0.6
 	partitionHeals = 0.7
-	lastRestart    = 0.9 // of an ordinary day
+	lastRestart    = 0.9 // in an ordinary run
 )
 
+// regionPartition is the name of the partition between the regions.
+const regionPartition = "region"
+
 // rolloutParts is the number of parts of a fleet that a rollout restarts one after the other.
 const rolloutParts = 10
 
-// What runs of some days don't measure.
+// What runs of some load profiles don't measure.
 const (
-	missingInRollout = "traffic of agents that end, from up to 0.2 s before the order on"
-	missingInZone    = "the zone's instance of the list service, and its servers, stay: only its agents are lost"
-	missingInRegion  = "the fleet view's packets pass a relay of the runner's all day, which takes processor time" +
+	missingInRollout = "traffic of agents that end, from up to 0.2 s before the command on"
+	missingInZone    = "the zone's discovery instance and its servers stay: only its agents are lost"
+	missingInRegion  = "membership packets pass a relay of the runner's all the time, which takes processor time" +
 		" that is no agent's"
 )
 
-// runSteps carries out steps at their times, and returns when all are done and the day is over.
-func (f *fleet) runSteps(ctx context.Context, steps []step) error {
-	slices.SortFunc(steps, func(a, b step) int {
-		if a.at < b.at {
-			return -1
-		}
-		return 1
-	})
+// runEvents carries out events at their times, and returns when all are done and the run is over.
+func (f *fleet) runEvents(ctx context.Context, events []event) error {
+	slices.SortFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	length := time.Duration(f.plan.Seconds * float64(time.Second))
 	start := time.Now()
 	waitUntil := func(at float64) bool {
@@ -91,15 +83,15 @@
 		}
 	}
 	var group sync.WaitGroup
-	errs := make([]error, len(steps))
-	for i, s := range steps {
-		if !waitUntil(s.at) {
+	errs := make([]error, len(events))
+	for i, e := range events {
+		if !waitUntil(e.at) {
 			break
 		}
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			errs[i] = s.do(ctx)
+			errs[i] = e.do(ctx)
 		}()
 	}
 	waitUntil(1)
@@ -114,7 +106,7 @@
 	return int(math.Floor(x + f.random.Float64()))
 }
 
-// randomMoments are n random fractions of a day, from lo to hi.
+// randomMoments are n random fractions of a run, from lo to hi.
 func (f *fleet) randomMoments(n int, lo, hi float64) []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +117,7 @@
 	return moments
 }
 
-// changeScript is a day's changes, of which the plan's fraction are of settings.
+// changeScript has the changes of a run, of which the plan's fraction are of settings.
 func (f *fleet) changeScript(t *capacity.Target) script {
 	var s script
 	changes := f.randomRound(expectedEvents(t, t.Changes.PerDay, f.size, f.plan))
@@ -145,6 +137,7 @@
 	return s
 }
 
+// quietProfile has no events.
 func quietProfile(*fleet, *capacity.Target) script { return script{} }
 
 // ordinaryProfile restarts agents, and kills those whose machine fails, which are not started again.
@@ -222,13 +215,13 @@
 func leaderFailureProfile(f *fleet, t *capacity.Target) script {
 	killed := make(chan string, 1)
 	s := f.changeScript(t)
-	s.add(func(context.Context) error {
-		leader, err := f.discovery.awaitLeader()
+	s.add(func(ctx context.Context) error {
+		leader, err := f.discovery.awaitLeader(ctx)
 		killed <- leader
 		if err != nil {
 			return err
 		}
-		usage, err := f.instanceUsage(leader)
+		usage, err := f.instanceUsage(ctx, leader)
 		if err != nil {
 			return err
 		}
@@ -255,12 +248,12 @@
 	instances := f.instancesByRegion()
 	s := f.changeScript(t)
 	s.add(func(context.Context) error {
-		f.packetRelay.Partition("region", members...)
+		f.packetRelay.Partition(regionPartition, members...)
 		f.discovery.Partition(instances...)
 		return nil
 	}, faultBegins)
 	s.add(func(context.Context) error {
-		f.packetRelay.Heal("region")
+		f.packetRelay.Heal(regionPartition)
 		f.discovery.Heal()
 		return nil
 	}, partitionHeals)
--- a/internal/scaletest/realagents.go
+++ b/internal/scaletest/realagents.go
@@ -60,14 +60,19 @@
 		return err
 	}
 	err := processtest.Await(agentTimeout, name+" is ready", func() bool {
-		return ctx.Err() != nil || r.ready(listen)
+		return ctx.Err() != nil || r.ready(ctx, listen)
 	})
 	r.trackers.forEach(func(t *tracker) { t.started(name) })
 	return err
 }
 
-func (r *realAgents) ready(listen string) bool {
-	response, err := r.client.Get("http://" + listen + "/-/ready")
+// ready reports whether an agent takes clients at an address.
+func (r *realAgents) ready(ctx context.Context, listen string) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+listen+"/-/ready", http.NoBody)
+	if err != nil {
+		return false
+	}
+	response, err := r.client.Do(request)
 	if err != nil {
 		return false
 	}
--- a/internal/scaletest/rolemetrics.go
+++ b/internal/scaletest/rolemetrics.go
@@ -1,15 +1,16 @@
 package scaletest
 
 import (
+	"context"
 	"maps"
 
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // roleMetrics are the metrics of all roles between two samples.
-func (f *fleet) roleMetrics(before, after *sample) map[string]capacity.RoleMetrics {
+func (f *fleet) roleMetrics(ctx context.Context, before, after *sample) map[string]capacity.RoleMetrics {
 	members := f.agentMetrics(before, after)
-	leader := f.discovery.leader()
+	leader := f.discovery.leader(ctx)
 	for name, end := range after.discovery {
 		start, ok := before.discovery[name]
 		if !ok {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// Config is what Run plays, and with what.
+// Config says what Run runs, and with which programs.
 type Config struct {
 	Plan        *Plan
 	Target      *capacity.Target
@@ -27,17 +27,17 @@
 }
 
 // maxFleetStarts is the number of fleets that are started where each fails to converge before its first
-// day. Each such failure is recorded as an invalid run.
+// run. Each such failure is recorded as an invalid run.
 const maxFleetStarts = 3
 
-// startDelay is the time from a fleet's convergence until the measured day begins.
+// startDelay is the time from a fleet's convergence until the measured run begins.
 const startDelay = 2 * time.Second
 
 // errInterrupted is returned when the context ends.
 var errInterrupted = errors.New("interrupted")
 
-// Run plays a plan: each repeat of each size on a fleet of its own, on which its days follow each
-// other. The day with a partition of regions has another fleet, whose membership packets pass a relay. A size that this
+// Run carries out a plan: each repeat of each size on a fleet of its own, on which its load profiles follow each
+// other. The one with a partition of regions has another fleet, whose membership packets pass a relay. A size that this
 // machine can't run is an error before anything is started. When ctx ends, everything that was started
 // is ended; the runs done by then were given to OnRun.
 func Run(ctx context.Context, cfg Config) error {
@@ -47,18 +47,18 @@
 	if err := cfg.Plan.CheckMachine(); err != nil {
 		return err
 	}
-	var direct, relayed []string
-	for _, name := range cfg.Plan.Profiles {
-		if name == regionProfile {
-			relayed = append(relayed, name)
+	var direct, relayed []capacity.Profile
+	for _, profile := range cfg.Plan.Profiles {
+		if profile == capacity.ProfileRegion {
+			relayed = append(relayed, profile)
 		} else {
-			direct = append(direct, name)
+			direct = append(direct, profile)
 		}
 	}
 	for repeat := 1; repeat <= cfg.Plan.Repeats; repeat++ {
 		for _, hollow := range cfg.Plan.Sizes {
-			for _, names := range [][]string{direct, relayed} {
-				if err := cfg.runProfiles(ctx, hollow, repeat, names); err != nil {
+			for _, profiles := range [][]capacity.Profile{direct, relayed} {
+				if err := cfg.runProfiles(ctx, hollow, repeat, profiles); err != nil {
 					return err
 				}
 			}
@@ -67,35 +67,38 @@
 	return nil
 }
 
-// runProfiles plays days on one fleet, and on a new one after each failure to converge before a day.
-func (cfg *Config) runProfiles(ctx context.Context, hollow, repeat int, names []string) error {
+// runProfiles runs load profiles on one fleet, and on a new one after each failure to converge before a run.
+func (cfg *Config) runProfiles(ctx context.Context, hollow, repeat int, profiles []capacity.Profile) error {
 	failures := 0
-	for len(names) > 0 {
-		played, err := cfg.runOnFleet(ctx, hollow, repeat, names)
+	for len(profiles) > 0 {
+		done, err := cfg.runOnFleet(ctx, hollow, repeat, profiles)
 		if ctx.Err() != nil {
 			return errInterrupted
 		}
 		if err != nil {
-			failed := names[min(played, len(names)-1)]
+			failed := profiles[min(done, len(profiles)-1)]
 			return fmt.Errorf("%d hollow agents, repeat %d, %s: %w", hollow, repeat, failed, err)
 		}
-		names = names[played:]
-		if played > 0 {
+		profiles = profiles[done:]
+		if done > 0 {
 			failures = 0
 			continue
 		}
 		failures++
 		if failures == maxFleetStarts {
-			cfg.Progress("%d hollow agents: %d fleets did not converge, %v is not played", hollow, failures, names)
+			cfg.Progress("%d hollow agents: %d fleets did not converge, %s is not run",
+				hollow, failures, capacity.JoinProfiles(profiles))
 			return nil
 		}
 	}
 	return nil
 }
 
-// runOnFleet starts a fleet and plays days on it until it fails to converge before one. played is the
-// number of days played.
-func (cfg *Config) runOnFleet(ctx context.Context, hollow, repeat int, names []string) (played int, err error) {
+// runOnFleet starts a fleet and runs load profiles on it until it fails to converge before one. done is the number of
+// those that were run.
+func (cfg *Config) runOnFleet(
+	ctx context.Context, hollow, repeat int, profiles []capacity.Profile,
+) (done int, err error) {
 	plan := cfg.Plan
 	seed := plan.Seed + uint64(repeat) - 1
 	f, err := cfg.newFleet(hollow, seed)
@@ -103,7 +106,7 @@
 		return 0, err
 	}
 	defer f.close()
-	if slices.Contains(names, regionProfile) {
+	if slices.Contains(profiles, capacity.ProfileRegion) {
 		if f.packetRelay, err = faultproxy.New(seed); err != nil {
 			return 0, err
 		}
@@ -112,11 +115,11 @@
 	if err := f.start(ctx, cfg, hollow); err != nil {
 		return 0, fmt.Errorf("start: %w", err)
 	}
-	for _, name := range names {
+	for _, profile := range profiles {
 		run := &capacity.Run{
 			Plan:               plan.Name,
 			Commit:             cfg.Commit,
-			Profile:            name,
+			Profile:            profile,
 			Repeat:             repeat,
 			Seed:               seed,
 			Size:               f.size,
@@ -128,17 +131,17 @@
 		}
 		ok, err := f.runProfile(ctx, cfg, run)
 		if err != nil {
-			return played, err
+			return done, err
 		}
 		if err := cfg.OnRun(run); err != nil {
-			return played, err
+			return done, err
 		}
 		if !ok {
-			return played, nil
+			return done, nil
 		}
-		played++
+		done++
 	}
-	return played, nil
+	return done, nil
 }
 
 func (cfg *Config) newFleet(hollow int, seed uint64) (*fleet, error) {
@@ -161,8 +164,8 @@
 	return f, nil
 }
 
-// runProfile plays one day on a fleet and fills its record. It returns false, and marks the run invalid, if
-// the fleet does not converge before the day.
+// runProfile runs one load profile on a fleet and fills its record. It returns false, and marks the run invalid, if the
+// fleet does not converge before.
 func (f *fleet) runProfile(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
 	problem, err := f.prepareRun(ctx)
 	if err != nil {
@@ -170,7 +173,7 @@
 	}
 	if problem != "" {
 		run.Invalid = append(run.Invalid,
-			fmt.Sprintf("not played: before the day, after %v, %s", convergenceTimeout, problem))
+			fmt.Sprintf("not run: before its start, after %v, %s", convergenceTimeout, problem))
 		cfg.Progress("%s: %s", run.Profile, run.Invalid[0])
 		return false, nil
 	}
@@ -190,7 +193,7 @@
 	return true, f.recordInForceTimes(run)
 }
 
-// prepareRun starts the members whose machine failed on the day before, and waits until the fleet has
+// prepareRun starts the members whose machine failed in the run before, and waits until the fleet has
 // converged; problem says why it has not.
 func (f *fleet) prepareRun(ctx context.Context) (problem string, err error) {
 	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
@@ -208,7 +211,7 @@
 	}
 }
 
-// measureRun carries out a day's script and records what each role took.
+// measureRun carries out a load profile's events and records what each role took.
 func (f *fleet) measureRun(ctx context.Context, s script, run *capacity.Run) error {
 	before, err := f.sample(ctx)
 	if err != nil {
@@ -219,7 +222,7 @@
 		return err
 	}
 	start := time.Now()
-	err = f.runSteps(ctx, s.steps)
+	err = f.runEvents(ctx, s.events)
 	run.Seconds = time.Since(start).Seconds()
 	problems, monitorErr := monitor.finish()
 	if err = errors.Join(err, monitorErr); err != nil {
@@ -229,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	run.Roles = f.roleMetrics(before, after)
+	run.Roles = f.roleMetrics(ctx, before, after)
 	run.Invalid = problems
 	run.Missing = slices.Concat(s.missing, neverMeasured)
 	f.recordUnsampled(run, capacity.RoleHollow, len(after.hollow))
@@ -241,15 +244,15 @@
 func (f *fleet) recordUnsampled(run *capacity.Run, role string, running int) {
 	if sampled := run.Roles[role].Count; sampled < running {
 		run.Missing = append(run.Missing, fmt.Sprintf(
-			"the figures of %d of %d %s agents: they did not tell them at its beginning or its end",
+			"the metrics of %d of %d %s agents: they did not report them at the beginning or the end",
 			running-sampled, running, role))
 	}
 }
 
 // neverMeasured is what no run can measure.
 var neverMeasured = []string{
-	"heap_mb, alloc_kb_s and goroutines of real agents: their process does not tell them",
-	"servers of real agents are those that are not draining: their process tells no others",
+	"heap_mb, alloc_kb_s and goroutines of real agents: their process does not report them",
+	"servers of real agents are those that are not draining: their process reports no others",
 }
 
 // recordInForceTimes records the times from acknowledgement to in force.
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -46,11 +46,11 @@
 	os.Exit(code)
 }
 
-// runProfilesOfSize plays days at one size and returns their records.
-func runProfilesOfSize(t *testing.T, hollow int, loadProfiles ...string) []*capacity.Run {
+// runProfilesOfSize runs load profiles at one size and returns their records.
+func runProfilesOfSize(t *testing.T, hollow int, profiles ...capacity.Profile) []*capacity.Run {
 	t.Helper()
 	p := SmallPlan()
-	p.Sizes, p.Profiles, p.Seconds = []int{hollow}, loadProfiles, minRunSeconds
+	p.Sizes, p.Profiles, p.Seconds = []int{hollow}, profiles, minRunSeconds
 	return runPlan(t, p)
 }
 
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if len(runs) != len(p.Profiles) {
-		t.Fatalf("%d runs of %d days", len(runs), len(p.Profiles))
+		t.Fatalf("%d runs of %d load profiles", len(runs), len(p.Profiles))
 	}
 	return runs
 }
@@ -102,7 +102,8 @@
 	if times.NeverInForce > 0 {
 		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Profile, times.NeverInForce)
 	}
-	if r.Profile != "quiet" && (r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == "") {
+	tooFew := r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == ""
+	if r.Profile != capacity.ProfileQuiet && tooFew {
 		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Profile, r.Changes, times.Count)
 	}
 	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 ||
@@ -121,7 +122,7 @@
 		for i, n := range sizes {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
-				runs[i] = runProfilesOfSize(t, n, "quiet", "ordinary")
+				runs[i] = runProfilesOfSize(t, n, capacity.ProfileQuiet, capacity.ProfileOrdinary)
 				for _, r := range runs[i] {
 					requireConverged(t, r)
 				}
@@ -129,13 +130,13 @@
 		}
 		t.Run("faults", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range runProfilesOfSize(t, 12, "rollout", "control") {
+			for _, r := range runProfilesOfSize(t, 12, capacity.ProfileRollout, capacity.ProfileControl) {
 				requireConverged(t, r)
 			}
 		})
 		t.Run("regions", func(t *testing.T) {
 			t.Parallel()
-			for _, r := range runProfilesOfSize(t, 12, "region") {
+			for _, r := range runProfilesOfSize(t, 12, capacity.ProfileRegion) {
 				requireConverged(t, r)
 			}
 		})
@@ -159,7 +160,7 @@
 }
 
 // excessiveGrowth says what a metric grows with from a small to a large fleet, if it grows too much: messages
-// on a quiet day may not grow with the fleet, and nothing with its square.
+// in a quiet run may not grow with the fleet, and nothing with its square.
 func excessiveGrowth(small, large *capacity.Run, role, metric string, square float64) string {
 	before := small.Roles[role].Mean[metric]
 	after := large.Roles[role].Mean[metric]
@@ -168,11 +169,11 @@
 	case capacity.CPU:
 		return "" // a time: on a loaded machine it means nothing
 	case capacity.MessagesIn, capacity.MessagesOut:
-		if small.Profile == "quiet" && after > 1.6*before+tolerance {
+		if small.Profile == capacity.ProfileQuiet && after > 1.6*before+tolerance {
 			return "the fleet"
 		}
 	case capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut:
-		// Full lists are exchanged rarely: one is a large part of a short day's bytes.
+		// Full lists are exchanged rarely: one is a large part of a short run's bytes.
 		tolerance = 2000
 	}
 	if after > 0.9*square*before+tolerance {
@@ -187,7 +188,7 @@
 	t.Parallel()
 	p := SmallPlan()
 	p.Sizes = []int{12}
-	p.Profiles = []string{"control"}
+	p.Profiles = []capacity.Profile{capacity.ProfileControl}
 	p.Seconds = minRunSeconds
 	p.RateFactor = 6000
 	p.SettingsFraction = 1
@@ -266,7 +267,7 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, &output)
 			}
-			// On the ordinary day an agent may be between its end and its next start.
+			// In the ordinary run an agent may be between its end and its next start.
 			var started []int
 			if err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 list instances run", func() bool {
 				started = descendants(cmd.Process.Pid)
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		group.Go(func() error {
-			r, err := f.readInstance(name)
+			r, err := f.readInstance(ctx, name)
 			if err != nil {
 				return nil // the instance is missing from the sample then
 			}
@@ -223,20 +223,20 @@
 }
 
 // readInstance reads a discovery instance, with its processes that have ended.
-func (f *fleet) readInstance(name string) (reading, error) {
-	u, err := f.instanceUsage(name)
+func (f *fleet) readInstance(ctx context.Context, name string) (reading, error) {
+	u, err := f.instanceUsage(ctx, name)
 	u.counters = f.carries[name].sum(u.counters)
 	return reading{time.Now(), u}, err
 }
 
 // instanceUsage is the usage of a discovery instance's present process. Its admin endpoint is left out:
 // the runner's own requests are not part of the day.
-func (f *fleet) instanceUsage(name string) (usage, error) {
+func (f *fleet) instanceUsage(ctx context.Context, name string) (usage, error) {
 	process, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
 		return usage{}, err
 	}
-	status, err := f.discovery.status(name)
+	status, err := f.discovery.status(ctx, name)
 	if err != nil {
 		return usage{}, err
 	}
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -181,7 +181,7 @@
 func (t *tracker) latencies() (result capacity.Latencies, unknown int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
+	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), histogramDigits)
 	now := time.Now()
 	for _, i := range t.incarnations {
 		for _, c := range t.changes {
@@ -213,8 +213,8 @@
 		return nil
 	}
 	const usPerMs = 1000
-	l.P50 = float64(histogram.ValueAtQuantile(50)) / usPerMs
-	l.P99 = float64(histogram.ValueAtQuantile(99)) / usPerMs
+	l.P50 = float64(histogram.ValueAtQuantile(percentile50)) / usPerMs
+	l.P99 = float64(histogram.ValueAtQuantile(percentile99)) / usPerMs
 	l.Max = float64(histogram.Max()) / usPerMs
 	text, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	l.Histogram = string(text)
