--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -35,8 +35,9 @@
 		return n * changes
 	case ShapeQuadratic:
 		return n * n
+	default: // ShapeFlat has none
+		return 0
 	}
-	return 0
 }
 
 // Point is a metric of one run.
@@ -116,7 +117,7 @@
 	var sizes []int
 	for _, p := range points {
 		if invalidValue(p.Value) || invalidValue(p.Changes) {
-			return nil, fmt.Errorf("a run's figure is %v", p.Value)
+			return nil, fmt.Errorf("a run's value is %v", p.Value)
 		}
 		sizes = append(sizes, p.Size)
 	}
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -28,16 +28,30 @@
 	return points
 }
 
+// knownLaw is a law that points are drawn from, and the least rates at which a fit has to find it.
+type knownLaw struct {
+	shape                    Shape
+	repeats                  int
+	intercept, slope, noise  float64
+	found, inSlope, atTarget float64
+}
+
+// samplePoints gives points of the law at some sizes.
+func (law knownLaw) samplePoints(rng *rand.Rand, repeats int, sizes ...int) []Point {
+	return samplePoints(rng, law.shape, law.intercept, law.slope, law.noise, repeats, sizes...)
+}
+
+// coverage counts the draws in which the shape was found, in which an interval contained the true slope (of those
+// with the shape), the target's value and the largest size, and in which an alarm was raised.
+type coverage struct{ found, slope, target, largest, alarms float64 }
+
+// coverageDraws is how often points are drawn from each law.
+const coverageDraws = 1000
+
 // TestFitCoverageOfKnownLaws draws points from known laws. At the given rates or more the shape has to
 // be found, and the intervals have to contain the true slope, the largest size and the target's value.
 func TestFitCoverageOfKnownLaws(t *testing.T) {
-	const draws = 1000
-	for _, c := range []struct {
-		shape                    Shape
-		repeats                  int
-		intercept, slope, noise  float64
-		found, inSlope, atTarget float64 // least rates
-	}{
+	for _, law := range []knownLaw{
 		{ShapeFlat, 4, 5, 0, 0.2, 0.75, 0, 0.93},
 		{ShapeLog, 4, 1, 3, 0.1, 0.95, 0.92, 0.93},
 		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
@@ -53,55 +67,66 @@
 		{ShapeLinear, 2, 100, 0.5, 20, 0, 0, 0.93},
 		{ShapeQuadratic, 2, 10, 0.01, 5, 0.95, 0.92, 0.93},
 	} {
-		t.Run(fmt.Sprintf("%s noise %v runs %d", c.shape, c.noise, c.repeats), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(32, 1))
-			found, slope, target, largest, alarms := 0.0, 0.0, 0.0, 0.0, 0.0
-			for range draws {
-				f, err := NewFit(samplePoints(rng, c.shape, c.intercept, c.slope, c.noise, c.repeats, 50, 100, 200, 400))
-				if err != nil {
-					t.Fatal(err)
-				}
-				if f.HeldOutSize != 400 || len(f.Sizes) != 3 || f.Runs != 3*c.repeats {
-					t.Fatalf("held out %d, fitted %d runs at %v", f.HeldOutSize, f.Runs, f.Sizes)
-				}
-				if f.GrowsQuadratically {
-					alarms++
-				}
-				next := samplePoints(rng, c.shape, c.intercept, c.slope, c.noise, 1, 1500)[0]
-				if _, in := f.Predict(1500, next.Changes); in.Contains(next.Value) {
-					target++
-				}
-				if f.PredictedInterval.Contains(f.Measured) {
-					largest++
-				}
-				if f.Shape == c.shape {
-					found++
-					if f.SlopeInterval.Contains(c.slope) {
-						slope++
-					}
-				}
-			}
-			t.Logf("shape found in %.3f, slope in its interval in %.3f of these, target in %.3f,"+
-				" held out in %.3f, alarm in %.3f",
-				found/draws, slope/found, target/draws, largest/draws, alarms/draws)
-			if found/draws < c.found {
-				t.Errorf("shape found in %.3f of the draws, want %.3f", found/draws, c.found)
-			}
-			if rate := slope / found; c.inSlope > 0 && (rate < c.inSlope || rate > 0.98) {
-				t.Errorf("slope in its interval in %.3f of the draws, want 0.95", rate)
-			}
-			if target/draws < c.atTarget || largest/draws < c.atTarget {
-				t.Errorf("predictions cover %.3f at the target and %.3f at the size held out, want %.3f",
-					target/draws, largest/draws, c.atTarget)
-			}
-			quadratic := c.shape == ShapeQuadratic
-			if rate := alarms / draws; quadratic && rate < 0.95 || !quadratic && rate > 0.05 {
-				t.Errorf("alarm in %.3f of the draws", rate)
-			}
+		t.Run(fmt.Sprintf("%s noise %v runs %d", law.shape, law.noise, law.repeats), func(t *testing.T) {
+			checkCoverage(t, law, measureCoverage(t, law))
 		})
 	}
 }
 
+// measureCoverage fits coverageDraws draws from a law.
+func measureCoverage(t *testing.T, law knownLaw) (c coverage) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(32, 1))
+	for range coverageDraws {
+		f, err := NewFit(law.samplePoints(rng, law.repeats, 50, 100, 200, 400))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if f.HeldOutSize != 400 || len(f.Sizes) != 3 || f.Runs != 3*law.repeats {
+			t.Fatalf("held out %d, fitted %d runs at %v", f.HeldOutSize, f.Runs, f.Sizes)
+		}
+		if f.GrowsQuadratically {
+			c.alarms++
+		}
+		next := law.samplePoints(rng, 1, 1500)[0]
+		if _, in := f.Predict(1500, next.Changes); in.Contains(next.Value) {
+			c.target++
+		}
+		if f.PredictedInterval.Contains(f.Measured) {
+			c.largest++
+		}
+		if f.Shape == law.shape {
+			c.found++
+			if f.SlopeInterval.Contains(law.slope) {
+				c.slope++
+			}
+		}
+	}
+	return c
+}
+
+// checkCoverage compares the counts with the rates that the law asks for.
+func checkCoverage(t *testing.T, law knownLaw, c coverage) {
+	t.Helper()
+	t.Logf("shape found in %.3f, slope in its interval in %.3f of these, target in %.3f,"+
+		" held out in %.3f, alarm in %.3f",
+		c.found/coverageDraws, c.slope/c.found, c.target/coverageDraws, c.largest/coverageDraws, c.alarms/coverageDraws)
+	if c.found/coverageDraws < law.found {
+		t.Errorf("shape found in %.3f of the draws, want %.3f", c.found/coverageDraws, law.found)
+	}
+	if rate := c.slope / c.found; law.inSlope > 0 && (rate < law.inSlope || rate > 0.98) {
+		t.Errorf("slope in its interval in %.3f of the draws, want 0.95", rate)
+	}
+	if c.target/coverageDraws < law.atTarget || c.largest/coverageDraws < law.atTarget {
+		t.Errorf("predictions cover %.3f at the target and %.3f at the size held out, want %.3f",
+			c.target/coverageDraws, c.largest/coverageDraws, law.atTarget)
+	}
+	quadratic := law.shape == ShapeQuadratic
+	if rate := c.alarms / coverageDraws; quadratic && rate < 0.95 || !quadratic && rate > 0.05 {
+		t.Errorf("alarm in %.3f of the draws", rate)
+	}
+}
+
 func TestFitOfExactLaws(t *testing.T) {
 	for _, s := range []Shape{ShapeFlat, ShapeLog, ShapeLinear, ShapeQuadratic} {
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// requireLine returns the one line of a text that contains all the words.
-func requireLine(t *testing.T, text string, words ...string) string {
+// requireLine fails unless one line of a text, and only one, contains all the words.
+func requireLine(t *testing.T, text string, words ...string) {
 	t.Helper()
 	var found []string
 	for _, l := range strings.Split(text, "\n") {
@@ -111,7 +111,6 @@
 	if len(found) != 1 {
 		t.Fatalf("%d lines with %q: %q", len(found), words, found)
 	}
-	return found[0]
 }
 
 func TestPageWithoutRuns(t *testing.T) {
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -5,8 +5,15 @@
 	"slices"
 )
 
-// Ranked returns the rows with a budget or that every ordinary day requires, worst first:
-// requirements of every ordinary day without a mechanism, then changes that never came into force at
+// The groups of ranked rows, first ones first.
+const (
+	groupLacksMechanism = iota
+	groupNeverInForce
+	groupByUse
+)
+
+// Ranked returns the rows that have a budget or require a mechanism, worst first: those that lack the
+// required mechanism, then changes that never came into force at
 // some agents, then by use of the budget. rest are the rows that can't be ranked, as nothing was
 // measured.
 func (p *Page) Ranked() (ranked, rest []*Row) {
@@ -34,9 +41,9 @@
 func (r *Row) rankGroup() int {
 	switch {
 	case r.lacksRequiredMechanism():
-		return 0
+		return groupLacksMechanism
 	case r.NeverInForce > 0:
-		return 1
+		return groupNeverInForce
 	}
-	return 2
+	return groupByUse
 }
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -9,8 +9,8 @@
 )
 
 func validRun() *Run {
-	return &Run{Plan: "p", Commit: "abc", Profile: "quiet", Repeat: 1, Size: 50, Hollow: 30, Real: 20, DiscoveryInstances: 3,
-		ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
+	return &Run{Plan: "p", Commit: "abc", Profile: ProfileQuiet, Repeat: 1, Size: 50, Hollow: 30, Real: 20,
+		DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
 		Roles: map[string]RoleMetrics{RoleReal: {
 			Count: 20,
 			Mean:  map[string]float64{CPU: 0.002},
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -17,6 +17,10 @@
 	// quadraticCollinearCorrelation is the same where one of them is n²: the changes are drawn, and
 	// their scatter is no reason for an alarm.
 	quadraticCollinearCorrelation = 0.98
+	// lineParameters are the intercept and the slope.
+	lineParameters = 2
+	// aiccFactor is that of the number of parameters in Akaike's criterion.
+	aiccFactor = 2
 )
 
 // regression is a least-squares line over one shape's regressor.
@@ -73,7 +77,7 @@
 	n := float64(len(ys))
 	l.degreesOfFreedom = n - parameters + 1
 	l.residualDeviation = math.Sqrt(residuals / l.degreesOfFreedom)
-	l.aicc = 2*parameters + 2*parameters*(parameters+1)/(n-parameters-1)
+	l.aicc = aiccFactor * (parameters + parameters*(parameters+1)/(n-parameters-1))
 	if residuals > 0 {
 		l.aicc += n * math.Log(residuals/n)
 	}
@@ -111,8 +115,9 @@
 // and 6 runs).
 func (l regression) distinctionThreshold() float64 {
 	n := float64(len(l.xs))
-	t := studentQuantile(n - 2)
-	return n * math.Log1p(t*t/(n-2))
+	residualDegrees := n - lineParameters
+	t := studentQuantile(residualDegrees)
+	return n * math.Log1p(t*t/residualDegrees)
 }
 
 func (l regression) slopeInterval() Interval {
@@ -144,7 +149,8 @@
 		return q.(float64)
 	}
 	distribution := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}
-	q := distribution.Quantile((1 + confidence) / 2)
+	const tails = 2
+	q := distribution.Quantile((1 + confidence) / tails)
 	quantileCache.Store(degreesOfFreedom, q)
 	return q
 }
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -166,6 +166,10 @@
 	}
 }
 
+// measuredTimesColumns is the number of the cells of measuredTimesCells.
+const measuredTimesColumns = 6
+
+// measuredTimesCells are the cells of a kind of change in runs of a profile: largest size, times and counts.
 func (p *Page) measuredTimesCells(kind string, profile Profile) string {
 	largest := 0
 	runs := 0
@@ -184,7 +188,7 @@
 		sum.add(latencies)
 	}
 	if runs == 0 {
-		return strings.Repeat(notMeasured+" | ", 5) + notMeasured
+		return strings.Join(slices.Repeat([]string{notMeasured}, measuredTimesColumns), " | ")
 	}
 	if sum.Count == 0 {
 		return fmt.Sprintf("%d (%d) | never | never | never | 0 | %d", largest, runs, sum.NeverInForce)
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -8,15 +8,15 @@
 
 func TestSelectSource(t *testing.T) {
 	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
-	run := func(size int, hollow, real float64) *Run {
+	run := func(size int, hollowCPU, realCPU float64) *Run {
 		r := validRun()
 		r.Size, r.Hollow = size, size-r.Real
 		r.Roles = map[string]RoleMetrics{}
-		if hollow >= 0 {
-			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollow}}
+		if hollowCPU >= 0 {
+			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollowCPU}}
 		}
-		if real >= 0 {
-			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: real}}
+		if realCPU >= 0 {
+			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: realCPU}}
 		}
 		return r
 	}
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -21,7 +21,8 @@
 // waitTimeout bounds every wait of the tests; each needs a fraction of it.
 const waitTimeout = 3 * time.Minute
 
-const settings = `{"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
+const settings = `{
+"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
 "contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":%d,
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":%d,"maxRetryAfterMs":600},
 "membershipMode":"pushed","objectiveMix":{"whole":1},"roundMs":5}`
@@ -38,6 +39,7 @@
 }
 
 func newDiscoveryServer(t *testing.T) *discoveryServer {
+	t.Helper()
 	l := &discoveryServer{version: 1, changed: make(chan struct{}), callers: map[string]bool{}}
 	s := httptest.NewServer(l)
 	l.addr = s.Listener.Addr().String()
@@ -66,13 +68,13 @@
 		}
 		answer.Full = index == 0
 		if version > index {
-			json.NewEncoder(w).Encode(answer)
+			_ = json.NewEncoder(w).Encode(answer) // an error: the agent has ended
 			return
 		}
 		select {
 		case <-wake:
 		case <-over:
-			json.NewEncoder(w).Encode(answer)
+			_ = json.NewEncoder(w).Encode(answer) // an error: the agent has ended
 			return
 		case <-req.Context().Done():
 			return
@@ -98,18 +100,13 @@
 	discovery string
 }
 
-func newConfigurations(t *testing.T, l string, size int) *configurations {
-	s := &configurations{network: [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}, size: size, discovery: l}
-	for range 100 { // a port that is free for both protocols
-		ln, err := net.Listen("tcp", s.ip(0)+":0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.port = ln.Addr().(*net.TCPAddr).Port
-		udp, err := net.ListenPacket("udp", s.address(0, s.port))
-		ln.Close()
-		if err == nil {
-			udp.Close()
+func newConfigurations(t *testing.T, discovery string, size int) *configurations {
+	t.Helper()
+	network := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
+	s := &configurations{network: network, size: size, discovery: discovery}
+	const attempts = 100
+	for range attempts {
+		if s.selectPort(t) {
 			return s
 		}
 	}
@@ -117,6 +114,24 @@
 	return nil
 }
 
+// selectPort selects a port, and reports whether it is free for both protocols.
+func (s *configurations) selectPort(t *testing.T) bool {
+	t.Helper()
+	var config net.ListenConfig
+	tcp, err := config.Listen(t.Context(), "tcp", s.ip(0)+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = tcp.Close() }() // nothing was accepted
+	s.port = tcp.Addr().(*net.TCPAddr).Port
+	udp, err := config.ListenPacket(t.Context(), "udp", s.address(0, s.port))
+	if err != nil {
+		return false
+	}
+	_ = udp.Close() // nothing was sent
+	return true
+}
+
 func (s *configurations) ip(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", s.network[0], s.network[1], i+1)
 }
@@ -163,6 +178,7 @@
 }
 
 func startHostClient(t *testing.T) *hostClient {
+	t.Helper()
 	commands, stdin := io.Pipe()
 	events, stdout := io.Pipe()
 	d := &hostClient{t: t, stdin: stdin, done: make(chan error, 1), arrived: make(chan struct{})}
@@ -186,7 +202,7 @@
 
 // close ends the host with its agents.
 func (d *hostClient) close() {
-	d.stdin.Close()
+	_ = d.stdin.Close() // a pipe's Close never fails
 	select {
 	case err := <-d.done:
 		if err != nil {
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -137,6 +137,7 @@
 
 // processResources is the number of goroutines and descriptors of this process.
 func processResources(t *testing.T) [2]int {
+	t.Helper()
 	fds, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
@@ -245,37 +246,94 @@
 	}
 }
 
+// discoveryBytes are the bytes of an agent's calls to discovery, with HTTP headers.
+type discoveryBytes struct{ in, out uint64 }
+
+const (
+	// silentFrom is the version of the list from which the discovery of TestDiscoveryBytesMatchRealAgent is silent.
+	silentFrom = 20
+	// comparedCalls is the number of calls up to which the bytes are compared: those that get a version, and watches
+	// that time out.
+	comparedCalls = silentFrom + 3
+)
+
 // TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
 // same bytes for the same list.
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
-	dir := t.TempDir()
-	bin := filepath.Join(dir, "agent")
-	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/agent").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+	s := newConfigurations(t, newSilentDiscovery(t), 2)
+	config := s.config(1)
+	delete(config, "fleet")
+	program := programDiscoveryBytes(t, config)
+	config["management"], config["listen"] = s.adminAddress(0), s.address(0, 8000)
+	hollow := hollowDiscoveryBytes(t, config)
+	compared := 0
+	for calls, p := range program {
+		if h, ok := hollow[calls]; ok && calls > silentFrom+1 {
+			compared++
+			t.Logf("%d calls: the program %d bytes in and %d out, hollow %d and %d", calls, p.in, p.out, h.in, h.out)
+			if p.in != h.in || p.out != h.out {
+				t.Errorf("%d calls: the program %+v, hollow %+v", calls, p, h)
+			}
+		}
+	}
+	if compared == 0 {
+		t.Errorf("nothing to compare: the program %v, hollow %v", program, hollow)
 	}
-	// Twenty versions at once, one a call, and then no response: watches time out and are made again.
+}
+
+// newSilentDiscovery starts a discovery that has silentFrom versions at once, one a call, and then sends no response:
+// watches time out and are made again. It returns the address.
+func newSilentDiscovery(t *testing.T) string {
+	t.Helper()
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		index, _ := strconv.Atoi(req.FormValue("index"))
-		if index >= 20 {
+		if index >= silentFrom {
 			<-req.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
-			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0)
+		_, _ = fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
+			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0) // an error: the agent has ended
 	}))
 	t.Cleanup(func() {
 		silent.CloseClientConnections()
 		silent.Close()
 	})
-	s := newConfigurations(t, silent.Listener.Addr().String(), 2)
-	config := s.config(1)
-	delete(config, "fleet")
-	text := marshal(t, config)
+	return silent.Listener.Addr().String()
+}
+
+// programDiscoveryBytes runs the program with a configuration until it has made comparedCalls calls, and returns the
+// bytes that it logged, by the number of calls.
+func programDiscoveryBytes(t *testing.T, config map[string]any) map[uint64]discoveryBytes {
+	t.Helper()
+	log := startProgram(t, config)
+	read := make(chan map[uint64]discoveryBytes, 1)
+	go func() {
+		read <- readDiscoveryBytes(log)
+		_, _ = io.Copy(io.Discard, log) // so that the program does not wait
+	}()
+	select {
+	case bytes := <-read:
+		return bytes
+	case <-time.After(waitTimeout):
+		t.Fatalf("the program does not make %d calls", comparedCalls)
+		return nil
+	}
+}
+
+// startProgram builds and starts the program with a configuration and returns its log. The test's end kills it.
+func startProgram(t *testing.T, config map[string]any) io.Reader {
+	t.Helper()
+	dir := t.TempDir()
+	bin := filepath.Join(dir, "agent")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", bin, "../../cmd/agent")
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, marshal(t, config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(bin)
+	cmd := exec.CommandContext(t.Context(), bin)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
 		"PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
 	log, err := cmd.StderrPipe()
@@ -286,55 +344,42 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill() // it fails only where the process has ended
+		_ = cmd.Wait()         // it was killed
 	})
-	type bytes struct{ in, out uint64 }
-	realBytes := make(chan map[uint64]bytes, 1) // by calls
+	return log
+}
+
+// readDiscoveryBytes reads the counts of an agent's log until it has those of comparedCalls calls, or ends.
+func readDiscoveryBytes(log io.Reader) map[uint64]discoveryBytes {
 	counts := regexp.MustCompile(`listIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
-	go func() {
-		at := map[uint64]bytes{}
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			if found := counts.FindStringSubmatch(lines.Text()); found != nil {
-				var n [3]uint64
-				for i := range n {
-					n[i], _ = strconv.ParseUint(found[i+1], 10, 64)
-				}
-				at[n[2]] = bytes{n[0], n[1]}
-			}
-			if len(at) > 0 && at[23] != (bytes{}) {
-				break
+	byCalls := map[uint64]discoveryBytes{}
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		if found := counts.FindStringSubmatch(lines.Text()); found != nil {
+			var n [3]uint64
+			for i := range n {
+				n[i], _ = strconv.ParseUint(found[i+1], 10, 64)
 			}
+			byCalls[n[2]] = discoveryBytes{in: n[0], out: n[1]}
+		}
+		if byCalls[comparedCalls] != (discoveryBytes{}) {
+			break
 		}
-		realBytes <- at
-		io.Copy(io.Discard, log)
-	}()
-	var program map[uint64]bytes
-	select {
-	case program = <-realBytes:
-	case <-time.After(waitTimeout):
-		t.Fatal("the program does not make 23 calls")
 	}
-	config["management"], config["listen"] = s.adminAddress(0), s.address(0, 8000)
+	return byCalls
+}
+
+// hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls, and returns the
+// bytes that it reported, by the number of calls.
+func hollowDiscoveryBytes(t *testing.T, config map[string]any) map[uint64]discoveryBytes {
+	t.Helper()
 	d := startHostClient(t)
 	d.command("start", "a1", config)
-	hollow := map[uint64]bytes{}
-	d.awaitReport("23 calls", func(r *HostReport) bool {
+	byCalls := map[uint64]discoveryBytes{}
+	d.awaitReport(fmt.Sprintf("%d calls", comparedCalls), func(r *HostReport) bool {
 		a := r.Agents["a1"]
-		hollow[a.ListCalls] = bytes{a.ListIn, a.ListOut}
-		return a.ListCalls >= 23
+		byCalls[a.ListCalls] = discoveryBytes{in: a.ListIn, out: a.ListOut}
+		return a.ListCalls >= comparedCalls
 	})
-	compared := 0
-	for calls, p := range program {
-		if h, ok := hollow[calls]; ok && calls > 21 {
-			compared++
-			t.Logf("%d calls: the program %d bytes in and %d out, hollow %d and %d", calls, p.in, p.out, h.in, h.out)
-			if p.in != h.in || p.out != h.out {
-				t.Errorf("%d calls: the program %+v, hollow %+v", calls, p, h)
-			}
-		}
-	}
-	if compared == 0 {
-		t.Errorf("nothing to compare: the program %v, hollow %v", program, hollow)
-	}
+	return byCalls
 }
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -30,7 +30,8 @@
 		return "", err
 	}
 	for _, program := range []string{"agent", "discovery", "experiment"} {
-		build := exec.Command("go", "build", "-o", filepath.Join(dir, program), "../../cmd/"+program)
+		output := filepath.Join(dir, program)
+		build := exec.CommandContext(context.Background(), "go", "build", "-o", output, "../../cmd/"+program)
 		if out, err := build.CombinedOutput(); err != nil {
 			return dir, fmt.Errorf("build %s: %w\n%s", program, err, out)
 		}
@@ -41,7 +42,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if dir, _ := programs(); dir != "" {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir) // the system cleans up what stays
 	}
 	os.Exit(code)
 }
@@ -215,9 +216,9 @@
 		}
 		var child, parent int
 		var state string
-		fmt.Sscan(string(text), &child)
-		fmt.Sscan(string(text[bytes.LastIndexByte(text, ')')+1:]), &state, &parent)
-		if parent == pid {
+		_, childErr := fmt.Sscan(string(text), &child)
+		_, parentErr := fmt.Sscan(string(text[bytes.LastIndexByte(text, ')')+1:]), &state, &parent)
+		if childErr == nil && parentErr == nil && parent == pid {
 			all = append(append(all, child), descendants(child)...)
 		}
 	}
@@ -239,62 +240,90 @@
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
 			t.Parallel()
-			bin, err := programs()
-			if err != nil {
+			run := startScaleRun(t)
+			started := run.awaitProcesses(t)
+			if err := run.cmd.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
-			dir := t.TempDir()
-			record, plan := filepath.Join(dir, "record.jsonl"), filepath.Join(dir, "plan.toml")
-			const planText = "sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\n" +
-				"hurry = 5000.0\nrepeats = 9"
-			if err := os.WriteFile(plan, []byte(planText), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			cmd := exec.Command(filepath.Join(bin, "experiment"), "scale", plan, "--record", record, "--programs", bin,
-				"--logs", dir, "--target", targetFile)
-			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-			var output bytes.Buffer
-			cmd.Stdout, cmd.Stderr = &output, &output
-			if err := cmd.Start(); err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { cmd.Process.Kill() })
-			lines := func() (n int) {
-				text, _ := os.ReadFile(record)
-				return bytes.Count(text, []byte("\n"))
-			}
-			err = processtest.Await(50*time.Second, "the first run is recorded", func() bool { return lines() > 0 })
-			if err != nil {
-				t.Fatalf("%v\n%s", err, &output)
+			err := run.cmd.Wait()
+			if err == nil || sig == syscall.SIGINT && !strings.Contains(run.output.String(), "interrupted") {
+				t.Errorf("it ended with %v and printed:\n%s", err, &run.output)
 			}
-			// In the ordinary run an agent may be between its end and its next start.
-			var started []int
-			if err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 list instances run", func() bool {
-				started = descendants(cmd.Process.Pid)
-				return len(started) == 2+2+3
-			}); err != nil {
-				t.Fatalf("%v: %d processes run", err, len(started))
-			}
-			cmd.Process.Signal(sig)
-			err = cmd.Wait()
-			if err == nil || sig == syscall.SIGINT && !strings.Contains(output.String(), "interrupted") {
-				t.Errorf("it ended with %v and printed:\n%s", err, &output)
-			}
-			err = processtest.Await(10*time.Second, "all its processes have ended", func() bool { return haveEnded(started) })
-			if err != nil {
+			ended := func() bool { return haveEnded(started) }
+			if err := processtest.Await(10*time.Second, "all its processes have ended", ended); err != nil {
 				t.Error(err)
 			}
-			f, err := os.Open(record)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer f.Close()
-			for in := bufio.NewScanner(f); in.Scan(); {
-				var r capacity.Run
-				if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Profile == "" || len(r.Roles) != 4 {
-					t.Errorf("a record that can't be used (%v): %s", err, in.Text())
-				}
-			}
+			checkRecord(t, run.record)
 		})
 	}
 }
+
+// scaleRun is a process of `experiment scale`.
+type scaleRun struct {
+	cmd    *exec.Cmd
+	record string       // path
+	output bytes.Buffer // of the process; complete once it has ended
+}
+
+// startScaleRun starts a run of two profiles that is repeated several times. The test's end kills it.
+func startScaleRun(t *testing.T) *scaleRun {
+	t.Helper()
+	bin, err := programs()
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	run := &scaleRun{record: filepath.Join(dir, "record.jsonl")}
+	plan := filepath.Join(dir, "plan.toml")
+	const planText = "sizes = [6]\nreal = 2\nagents_a_host = 3\ndays = [\"quiet\", \"ordinary\"]\nseconds = 5\n" +
+		"hurry = 5000.0\nrepeats = 9"
+	if err := os.WriteFile(plan, []byte(planText), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	run.cmd = exec.CommandContext(t.Context(), filepath.Join(bin, "experiment"), "scale", plan,
+		"--record", run.record, "--programs", bin, "--logs", dir, "--target", targetFile)
+	run.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	run.cmd.Stdout, run.cmd.Stderr = &run.output, &run.output
+	if err := run.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = run.cmd.Process.Kill() }) // it fails only where the process has ended
+	return run
+}
+
+// awaitProcesses waits until the first run is recorded and all processes of a fleet run, and returns these.
+func (run *scaleRun) awaitProcesses(t *testing.T) (started []int) {
+	t.Helper()
+	recorded := func() bool {
+		text, _ := os.ReadFile(run.record)
+		return bytes.Contains(text, []byte("\n"))
+	}
+	if err := processtest.Await(50*time.Second, "the first run is recorded", recorded); err != nil {
+		t.Fatalf("%v\n%s", err, &run.output)
+	}
+	// In the ordinary run an agent may be between its end and its next start.
+	err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 discovery instances run", func() bool {
+		started = descendants(run.cmd.Process.Pid)
+		return len(started) == 2+2+3
+	})
+	if err != nil {
+		t.Fatalf("%v: %d processes run", err, len(started))
+	}
+	return started
+}
+
+// checkRecord checks that each line of a record is a complete run.
+func checkRecord(t *testing.T, path string) {
+	t.Helper()
+	f, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	for in := bufio.NewScanner(f); in.Scan(); {
+		var r capacity.Run
+		if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Profile == "" || len(r.Roles) != 4 {
+			t.Errorf("a record that can't be used (%v): %s", err, in.Text())
+		}
+	}
+}
