--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -216,17 +216,9 @@
 	killed := make(chan string, 1)
 	s := f.changeScript(t)
 	s.add(func(ctx context.Context) error {
-		leader, err := f.discovery.awaitLeader(ctx)
+		leader, err := f.killLeader(ctx)
 		killed <- leader
-		if err != nil {
-			return err
-		}
-		usage, err := f.instanceUsage(ctx, leader)
-		if err != nil {
-			return err
-		}
-		f.carries[leader].add(usage.counters)
-		return f.discovery.Kill(leader)
+		return err
 	}, faultBegins)
 	s.add(func(context.Context) error {
 		if leader := <-killed; leader != "" {
@@ -237,6 +229,24 @@
 	return s
 }
 
+// killLeader kills the discovery instance that is the leader, once its counters are carried over, and returns its name;
+// "": none was killed.
+func (f *fleet) killLeader(ctx context.Context) (string, error) {
+	leader, err := f.discovery.awaitLeader(ctx)
+	if err != nil {
+		return "", err
+	}
+	usage, err := f.instanceUsage(ctx, leader)
+	if err != nil {
+		return "", err
+	}
+	f.carries[leader].add(usage.counters)
+	if err := f.discovery.Kill(leader); err != nil {
+		return "", err
+	}
+	return leader, nil
+}
+
 // regionPartitionProfile cuts the regions from each other, for membership and between the discovery
 // instances, and heals that. Calls to discovery are not cut.
 func regionPartitionProfile(f *fleet, t *capacity.Target) script {
