--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -34,7 +34,7 @@
 
 func (r *Row) budgetCell() string {
 	if r.Budget == 0 {
-		return "none told"
+		return "none"
 	}
 	return formatNumber(r.Budget)
 }
@@ -53,7 +53,7 @@
 		text = notMeasured
 	}
 	if r.NeverInForce > 0 {
-		text += fmt.Sprintf("; never at %d agents in all runs together", r.NeverInForce)
+		text += fmt.Sprintf("; not in force at %d agents in all runs together", r.NeverInForce)
 	}
 	return text
 }
@@ -74,7 +74,7 @@
 		for _, s := range f.Indistinguishable {
 			names = append(names, string(s))
 		}
-		text += "; not told from " + strings.Join(names, ", ")
+		text += "; not distinguished from " + strings.Join(names, ", ")
 	}
 	return text
 }
@@ -92,7 +92,7 @@
 		return noFit
 	}
 	if f.HeldOutSize == 0 {
-		return "none left out of 3 sizes"
+		return "none held out of 3 sizes"
 	}
 	text := fmt.Sprintf("%d: both 0", f.HeldOutSize)
 	if relative, ok := f.RelativeError(); ok {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// comparableRuns are the runs of a day with one rate factor, and that factor: 1 on a quiet day, which
+// comparableRuns are the runs of a load profile with one rate factor, and that factor: 1 for the quiet one, which
 // has nothing to accelerate. For metrics of roles they are the first plan's runs; changes in force
 // come from all plans.
 func (p *Page) comparableRuns(subject string, profile Profile) ([]*Run, float64) {
@@ -23,8 +23,8 @@
 // selector selects the points of a row from runs, and says where they come from.
 type selector func([]*Run) ([]Point, Source)
 
-// measure fills a row from the runs of its day. A rate on an accelerated ordinary day is scaled to the
-// target's rate of changes (see rescaleToTarget). On other days the traffic of the fault and that of
+// measure fills a row from the runs of its load profile. A rate of the accelerated ordinary profile is scaled to the
+// target's rate of changes (see rescaleToTarget). In other profiles the traffic of the fault and that of
 // the accelerated changes can't be separated, and the metric is taken as it is.
 func (p *Page) measure(r *Row, metric Metric, selectPoints selector) {
 	runs, rateFactor := p.comparableRuns(r.Subject, Profile(r.Condition))
@@ -69,7 +69,7 @@
 	points, source := selectPoints(quietRuns)
 	fit, err := NewFit(points)
 	if err != nil {
-		r.appendSource(fmt.Sprintf("at ×%s the rates, as the quiet day has no fit", factor))
+		r.appendSource(fmt.Sprintf("at ×%s the rates, as the quiet profile has no fit", factor))
 		return
 	}
 	quiet, quietInterval := p.predictAtTarget(fit, source, quietRuns, 1)
@@ -77,7 +77,7 @@
 	r.appendSource(fmt.Sprintf("scaled from ×%s the rates", factor))
 }
 
-// rescaleToTarget is a day's rate at the target's rate of changes: the quiet day's, and of what the
+// rescaleToTarget is a profile's rate at the target's rate of changes: the quiet one's, and of what the
 // accelerated changes add to it, the part that is due without the acceleration.
 func rescaleToTarget(
 	quiet float64, quietInterval Interval, accelerated float64, acceleratedInterval Interval, rateFactor float64,
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -24,7 +24,7 @@
 	{Name: "state", Unit: "entries", parts: []string{Members, Servers}, factor: 1},
 	{Name: "messages", Unit: "a second", Rate: true, parts: []string{MessagesIn, MessagesOut}, factor: 1},
 	{Name: "bytes", Unit: "a second", Rate: true, parts: []string{BytesIn, BytesOut}, factor: 1, budget: bytesBudget},
-	{Name: "of these the fleet view's", Unit: "bytes a second", Rate: true, agentsOnly: true,
+	{Name: "of these membership's", Unit: "bytes a second", Rate: true, agentsOnly: true,
 		parts: []string{ViewBytes}, factor: 1},
 	{Name: "of these discovery's", Unit: "bytes a second", Rate: true, agentsOnly: true,
 		parts: []string{ListBytes}, factor: 1},
@@ -54,7 +54,7 @@
 }
 
 // ValidRuns leaves out the runs that are marked invalid, and where a run was repeated with the same
-// plan, commit, day, size, rate factor, repeat and seed, all but the last.
+// plan, commit, profile, size, rate factor, repeat and seed, all but the last.
 func ValidRuns(runs []*Run) []*Run {
 	type identity struct {
 		plan, commit string
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -143,7 +143,7 @@
 		"agent/quiet/processor":       0.2 + 0.0005*1500, // hollow takes half
 		"agent/quiet/memory":          14 + 0.02*1500,    // hollow has less by what does not grow
 		"agent/rollout/bytes":         200 + 4.5*1500,
-		"agent/ordinary/bytes":        200 + 1.5*1500*(1+1.0/200), // hurried by 200
+		"agent/ordinary/bytes":        200 + 1.5*1500*(1+1.0/200), // accelerated by 200
 		"list leader/quiet/live heap": 8 + 0.03*1500,
 		"data path/calm/added":        410,
 	} {
@@ -192,12 +192,12 @@
 		t.Errorf("memory %q with a second plan, %q without", b, a)
 	}
 	if both.usesRun(second, both.rowNamed(t, memory)) {
-		t.Error("memory is said to come from the second plan")
+		t.Error("memory is attributed to the second plan")
 	}
 	second.Profile = "ordinary"
 	_, both = renderTables(t, []*Run{first, second})
 	if both.rowNamed(t, "in force/ordinary/settings").targetCell() == notMeasured {
-		t.Error("the second plan's settings in force are not told")
+		t.Error("the second plan's settings in force are missing")
 	}
 }
 
--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -25,13 +25,13 @@
 			t.Errorf("%s is known and not ranked", r.Name())
 		}
 	}
-	// With something that carries them, settings are ranked as all else is.
+	// With a mechanism, settings are ranked as all else is.
 	for _, r := range p.rows {
 		r.Mechanism = "watch"
 	}
 	settings := p.rowNamed(t, "in force/ordinary/settings")
 	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
-		t.Errorf("carried: %s is first", ranked[0].Name())
+		t.Errorf("with a mechanism: %s is first", ranked[0].Name())
 	}
 }
 
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// RoleHost is the machine that a run was played on, with all of its processes.
+// RoleHost is the machine that a run was made on, with all of its processes.
 const RoleHost = "host"
 
 var knownRoles = []string{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -11,14 +11,52 @@
 // notMeasured stands in a cell without a value.
 const notMeasured = "not measured"
 
+// The texts between the tables.
+const (
+	legendText = `~ marks what is extrapolated to it, ~? what the largest size measured contradicts (outside of its
+interval and off by over a tenth); in brackets is the 95 % interval. "×200 the rates" marks accelerated runs: "scaled"
+to the target's rates, or "at" the accelerated ones, which are above these.
+`
+	rankingText = `
+### Ranking
+
+First requirements that lack a mechanism, then changes that did not come into force at some agent, then by the use
+of the budget.
+
+`
+	measuredTimesText = `
+As measured, at the largest size of each profile: means over its runs of the p50, the p99 and the last agent's.
+
+`
+	ratiosFormat = `
+### Hollow agents over real ones
+
+In the same runs. From %s to %s the hollow agents' value is taken as it is; outside it is divided by the ratio, if that
+is steady over the sizes and known to a quarter; else the real agents' value is taken.
+
+`
+	dataPathText = `
+### The data path
+
+Nothing is extrapolated: each row was run with that many servers listed. Times are in µs.
+
+`
+	runsText = `
+### Runs
+
+The metrics of roles are from the first plan alone, changes in force from all plans that have them.
+
+`
+)
+
 // Write writes the tables in Markdown.
 func (p *Page) Write(to io.Writer) error {
 	var b bytes.Buffer
 	p.writeHeader(&b)
 	p.writeRanking(&b)
 	p.writeTable(&b, "Agent", subjectAgent)
-	p.writeTable(&b, "List instance: leader", RoleLeader)
-	p.writeTable(&b, "List instance: follower", RoleFollower)
+	p.writeTable(&b, "Discovery instance: leader", RoleLeader)
+	p.writeTable(&b, "Discovery instance: follower", RoleFollower)
 	p.writeTable(&b, "Changes in force everywhere", subjectInForce)
 	p.writeMeasuredTimes(&b)
 	p.writeDataPath(&b)
@@ -37,13 +75,10 @@
 func (p *Page) writeHeader(b *bytes.Buffer) {
 	fleet := p.Target.Fleet
 	fmt.Fprintf(b, "Printed by `%s`.\n\n", p.Command)
-	fmt.Fprintf(b, "The target: %s agents, %s services, %s regions, %s zones, %s changes a day.\n"+
-		"~ marks what is extrapolated to it, ~? what the largest size measured speaks against (outside of its interval"+
-		" and off\nby over a tenth); in brackets is the 95 %% interval. \"×200 the rates\" is a hurried day's: \"scaled\" to"+
-		" the target's,\n"+
-		"or \"at\" the hurried rates, which is above it.\n",
+	fmt.Fprintf(b, "The target: %s agents, %s services, %s regions, %s zones, %s changes a day.\n",
 		formatCount(fleet.Agents), formatCount(fleet.Services), formatCount(fleet.Regions), formatCount(fleet.Zones),
 		formatNumber(p.Target.Changes.PerDay))
+	b.WriteString(legendText)
 	if alarms := p.quadraticRows(); len(alarms) > 0 {
 		fmt.Fprintf(b, "\n**Alarm, grows with n²:** %s.\n", strings.Join(alarms, "; "))
 	}
@@ -62,9 +97,8 @@
 
 func (p *Page) writeRanking(b *bytes.Buffer) {
 	ranked, rest := p.Ranked()
-	b.WriteString("\n### Ranking\n\nFirst what every ordinary day needs and nothing carries, then changes that some" +
-		" agent never had, then by use\nover budget.\n\n")
-	b.WriteString(tableHead("rank", "row", "at the target", "budget", "use", "carried by"))
+	b.WriteString(rankingText)
+	b.WriteString(tableHead("rank", "row", "at the target", "budget", "use", "mechanism"))
 	for i, r := range ranked {
 		fmt.Fprintf(b, "| %d | %s | %s | %s | %s | %s |\n",
 			i+1, r.title(), r.targetCell(), r.budgetCell(), r.usageCell(), r.Mechanism)
@@ -75,13 +109,13 @@
 	writeUnranked(b, rest)
 }
 
-// writeUnranked lists the rows that could not be ranked, grouped by subject and day, or by the kind
+// writeUnranked lists the rows that could not be ranked, grouped by subject and condition, or by the kind
 // of change.
 func writeUnranked(b *bytes.Buffer, rows []*Row) {
 	if len(rows) == 0 {
 		return
 	}
-	b.WriteString("\nNot ranked, as there is no figure at the target:\n\n")
+	b.WriteString("\nNot ranked, as there is no value at the target:\n\n")
 	var order []string
 	groups := map[string][]string{}
 	for _, r := range rows {
@@ -101,12 +135,12 @@
 	}
 }
 
-// writeTable writes the rows of a subject. A day on which nothing of a discovery instance was
+// writeTable writes the rows of a subject. A profile in which nothing of a discovery instance was
 // measured has one line for all of its metrics.
 func (p *Page) writeTable(b *bytes.Buffer, title, subject string) {
 	fmt.Fprintf(b, "\n### %s\n\n", title)
-	b.WriteString(tableHead("day", "figure", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
-		"largest left out: miss", "from", "carried by"))
+	b.WriteString(tableHead("profile", "metric", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
+		"largest held out: error", "source", "mechanism"))
 	unmeasured := p.unmeasuredProfiles(subject)
 	for _, r := range p.rows {
 		if r.Subject != subject {
@@ -127,7 +161,7 @@
 	}
 }
 
-// mechanismsOf are the mechanisms of a day's rows, each once.
+// mechanismsOf are the mechanisms of the rows of a condition, each once.
 func (p *Page) mechanismsOf(subject, condition string) string {
 	var mechanisms []string
 	for _, r := range p.rows {
@@ -138,7 +172,7 @@
 	return strings.Join(mechanisms, "; ")
 }
 
-// unmeasuredProfiles are the days on which nothing of a discovery instance was measured.
+// unmeasuredProfiles are the profiles in which nothing of a discovery instance was measured.
 func (p *Page) unmeasuredProfiles(subject string) map[string]bool {
 	unmeasured := map[string]bool{}
 	if subject != RoleLeader && subject != RoleFollower {
@@ -156,9 +190,9 @@
 // writeMeasuredTimes writes the times from a change's acknowledgement until it was in force, as they
 // were measured at the largest size.
 func (p *Page) writeMeasuredTimes(b *bytes.Buffer) {
-	b.WriteString("\nAs measured, at the largest size of each day: means over its runs of the p50, the p99 and the last" +
-		" agent's.\n\n")
-	b.WriteString(tableHead("change", "day", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents", "never"))
+	b.WriteString(measuredTimesText)
+	b.WriteString(tableHead("change", "profile", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents",
+		"not in force"))
 	for _, kind := range changeKinds {
 		for _, profile := range inForceProfiles {
 			fmt.Fprintf(b, "| %s | %s | %s |\n", kind, profile, p.measuredTimesCells(kind, profile))
@@ -209,22 +243,19 @@
 
 // writeMechanisms describes the mechanisms whose label in the tables is not enough.
 func (p *Page) writeMechanisms(b *bytes.Buffer) {
-	b.WriteString("\n### What carries them\n\n")
+	b.WriteString("\n### Mechanisms\n\n")
 	for _, m := range p.Mechanisms.All {
 		if m.Why != "" {
 			fmt.Fprintf(b, "- %s (%s): %s\n", m.label(), strings.Join(m.Rows, "; "), m.Why)
 		}
 	}
-	b.WriteString("- a row that no pattern names: " + noMechanism + "\n")
+	b.WriteString("- a row that no pattern matches: " + noMechanism + "\n")
 }
 
 // writeRatios writes the ratios of hollow agents to real ones in the same runs.
 func (p *Page) writeRatios(b *bytes.Buffer) {
-	fmt.Fprintf(b, "\n### Hollow agents over real ones\n\n"+
-		"In the same runs. From %s to %s the hollow figure is taken as it is; outside it is divided by the ratio, if"+
-		" that is\nsteady over the sizes and known to a quarter; else the real agents' is taken.\n\n",
-		formatNumber(minUsableRatio), formatNumber(maxUsableRatio))
-	columns := []string{"figure"}
+	fmt.Fprintf(b, ratiosFormat, formatNumber(minUsableRatio), formatNumber(maxUsableRatio))
+	columns := []string{"metric"}
 	for _, profile := range agentProfiles {
 		columns = append(columns, string(profile))
 	}
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -14,9 +14,9 @@
 	// The first row is that of the path, and one for each decision state follows.
 	rows := p.dataPathRows()
 	budget := formatNumber(p.dataPathBudget())
-	b.WriteString("\n### The data path\n\nNothing here is extrapolated: it was run with as many servers listed. µs.\n\n")
+	b.WriteString(dataPathText)
 	b.WriteString(tableHead("servers", "direct p99", "through the agent p99", "added p50", "added p99", "budget", "use",
-		"timer late p99", "connects a call", "runs", "carried by"))
+		"timer late p99", "connects a call", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(pathBenchmark) {
 		name := pathName(servers)
 		cell := func(unit string) string { return p.estimateCell(name, unit, 1) }
@@ -26,7 +26,7 @@
 			p.runCountCell(name, "added-p99-us"), p.Mechanisms.forRow(rows[0].Name()))
 	}
 	b.WriteString("\n")
-	b.WriteString(tableHead("servers", "state", "decisions for a request", "budget", "use", "runs", "carried by"))
+	b.WriteString(tableHead("servers", "state", "decisions for a request", "budget", "use", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(decisionBenchmark) {
 		for i, state := range decisionStates {
 			name := decisionName(servers, state)
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -21,14 +21,13 @@
 
 // writeRuns writes what was read, and which runs were left out.
 func (p *Page) writeRuns(b *bytes.Buffer) {
-	b.WriteString("\n### Runs\n\nWhat a role takes is told of the first plan alone; changes in force are of all" +
-		" plans that made such.\n\n")
+	b.WriteString(runsText)
 	if len(p.Records) == 0 {
 		b.WriteString("No record was given: nothing of the fleet was measured.\n")
 		return
 	}
-	b.WriteString(tableHead("record", "plan, commit", "day", "agents × runs", "hurry", "instances", "seconds",
-		"not settled", "left out", "missing"))
+	b.WriteString(tableHead("record", "plan, commit", "profile", "agents × runs", "rate factor", "instances", "seconds",
+		"not converged", "excluded", "missing"))
 	var commands []string
 	for i, record := range p.Records {
 		order, groups := groupRuns(record.Runs)
@@ -48,7 +47,7 @@
 	fmt.Fprintf(b, "\n%s\n", strings.Join(commands, "\n"))
 }
 
-// groupRuns groups runs; order has the groups by day, and within a day as they were first seen.
+// groupRuns groups runs; order has the groups by profile, and within one as they were first seen.
 func groupRuns(runs []*Run) (order []runGroup, groups map[runGroup][]*Run) {
 	groups = map[runGroup][]*Run{}
 	for _, r := range runs {
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Row is one requirement of the page: a metric of a subject on a day, its value at the target, its
+// Row is one requirement of the page: a metric of a subject under a condition, its value at the target, its
 // budget, and the mechanism that keeps it within the budget.
 type Row struct {
 	Subject           string
@@ -8,7 +8,7 @@
 	Metric, Unit      string
 	Budget            float64 // 0: there is none
 	Mechanism         string
-	MechanismRequired bool // a requirement of every ordinary day, which some mechanism has to meet
+	MechanismRequired bool // a mechanism has to meet the requirement
 
 	Known           bool // Value is the one at the target
 	Value           float64
@@ -20,7 +20,7 @@
 	NeverInForce    int64 // pairs of change and agent for which the change never came into force
 	Fit             *Fit
 	Runs            int
-	Source          string // agents and day that it was taken from
+	Source          string // the agents that it was taken from, and how
 }
 
 // The subjects of rows, beside RoleLeader and RoleFollower.
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -3,7 +3,7 @@
 // tables of docs/CAPACITY.md.
 package capacity
 
-// Run is one day played at one size by `experiment scale`. A record file has one JSON object a line.
+// Run is one run of a load profile at one size by `experiment scale`. A record file has one JSON object a line.
 //
 // Hollow agents are the agent's own code without client traffic, many in one process (the term is that
 // of Kubernetes' kubemark); real agents are processes of bin/agent.
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -75,7 +75,7 @@
 	HasRatio    bool
 }
 
-// selectSource selects hollow or real agents for a day's metric: hollow where their ratio is near one,
+// selectSource selects hollow or real agents for a metric of some runs: hollow where their ratio is near one,
 // hollow divided by the ratio where it is stable over the sizes and its interval is no wider than
 // maxUsableRatio, else real.
 func selectSource(runs []*Run, m Metric) Source {
@@ -95,7 +95,7 @@
 		s.Role = RoleReal
 		s.Description = "real; no ratio to hollow"
 	case !hasRatio:
-		s.Description = "hollow, not held to real"
+		s.Description = "hollow, not compared with real"
 	case ratio.Mean >= minUsableRatio && ratio.Mean <= maxUsableRatio:
 		s.Description = "hollow"
 	case ratio.Stable && ratio.Interval.Hi/ratio.Interval.Lo <= maxUsableRatio:
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -26,7 +26,7 @@
 	}{
 		{nil, "not measured", RoleHollow},
 		{[]*Run{run(50, -1, 1), run(50, -1, 1)}, "real; hollow not measured", RoleReal},
-		{[]*Run{run(50, 1, -1)}, "hollow, not held to real", RoleHollow},
+		{[]*Run{run(50, 1, -1)}, "hollow, not compared with real", RoleHollow},
 		{[]*Run{run(50, 1, 1)}, "real; no ratio to hollow", RoleReal},
 		{[]*Run{run(50, 0, 0), run(100, 0, 0)}, "hollow; both 0", RoleHollow},
 		{[]*Run{run(50, 1, 1.1), run(100, 2, 1.9)}, "hollow", RoleHollow},
--- a/internal/scaletest/tracker_test.go
+++ b/internal/scaletest/tracker_test.go
@@ -44,7 +44,7 @@
 	tr.reset()
 	times, missing, err = tr.latencies()
 	if err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
-		t.Errorf("on the next day: %+v, %d, %v", times, missing, err)
+		t.Errorf("after a reset: %+v, %d, %v", times, missing, err)
 	}
 }
 
