--- a/internal/capacity/benchmark.go
+++ b/internal/capacity/benchmark.go
@@ -69,6 +69,7 @@
 		strings.HasPrefix(line, "panic: ")
 }
 
+// add adds the values of one line of output.
 func (b *BenchmarkFile) add(result *benchfmt.Result) error {
 	for _, config := range result.Config {
 		if config.File {
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -32,6 +32,7 @@
 	return formatEstimate(r.Value, r.Interval)
 }
 
+// budgetCell is the row's budget.
 func (r *Row) budgetCell() string {
 	if r.Budget == 0 {
 		return "none"
@@ -39,6 +40,7 @@
 	return formatNumber(r.Budget)
 }
 
+// usageCell is the fraction of the budget that is used, or why it is not known.
 func (r *Row) usageCell() string {
 	use, at, ok := r.Use()
 	text := "not known"
@@ -58,6 +60,7 @@
 	return text
 }
 
+// slopeCell is the slope with its shape, and the shapes that fit about as well.
 func (f *Fit) slopeCell() string {
 	if f == nil {
 		return noFit
@@ -79,6 +82,7 @@
 	return text
 }
 
+// sizesCell has the sizes that were fitted and the number of runs.
 func (f *Fit) sizesCell() string {
 	if f == nil {
 		return noFit
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -208,6 +208,7 @@
 // and nothing of it is below zero.
 func (f *Fit) Predict(n, changes float64) (float64, Interval) { return f.predictMean(n, changes, 1) }
 
+// predictMean predicts the mean over a number of runs; see Predict.
 func (f *Fit) predictMean(n, changes float64, runs int) (float64, Interval) {
 	value, interval := f.best.predictMean(n, changes, runs)
 	for _, l := range f.alternatives {
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -26,6 +26,7 @@
 	return strings.NewReplacer("|", "/", "\n", " ", "`", "'").Replace(text)
 }
 
+// joinInts lists integers.
 func joinInts(values []int) string {
 	var texts []string
 	for _, v := range values {
@@ -34,6 +35,7 @@
 	return strings.Join(texts, ", ")
 }
 
+// joinIntsOrNone lists integers, or says that there are none.
 func joinIntsOrNone(values []int) string {
 	if len(values) == 0 {
 		return noValues
@@ -41,6 +43,7 @@
 	return joinInts(values)
 }
 
+// joinNumbersOrNone lists numbers, or says that there are none.
 func joinNumbersOrNone(values []float64) string {
 	if len(values) == 0 {
 		return noValues
@@ -76,6 +79,7 @@
 	return fmt.Sprintf("%s (%s to %s)", value, lo, hi)
 }
 
+// formatCount formats a count as formatNumber does.
 func formatCount(n int) string { return formatNumber(float64(n)) }
 
 const (
--- a/internal/capacity/interval.go
+++ b/internal/capacity/interval.go
@@ -18,6 +18,7 @@
 	return Interval{math.Max(i.Lo, 0), math.Max(i.Hi, 0)}
 }
 
+// finite reports whether both ends are finite.
 func (i Interval) finite() bool {
 	return !math.IsNaN(i.Lo) && !math.IsInf(i.Lo, 0) && !math.IsNaN(i.Hi) && !math.IsInf(i.Hi, 0)
 }
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -38,6 +38,7 @@
 	return &Mechanisms{Path: file, All: content.Mechanism}, nil
 }
 
+// check returns an error for the first key with an invalid value.
 func (m Mechanism) check() error {
 	for _, pattern := range m.Rows {
 		if _, err := path.Match(pattern, "x"); pattern == "" || err != nil {
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -36,6 +36,7 @@
 // percent converts a fraction.
 const percent = 100
 
+// The budgets of an agent, in the units of the metrics.
 func bytesBudget(t *Target) float64  { return t.Agent.BytesPerS }
 func cpuBudget(t *Target) float64    { return percent * t.Agent.ControlCPU }
 func memoryBudget(t *Target) float64 { return t.Agent.MemoryMB }
@@ -79,6 +80,7 @@
 	return valid
 }
 
+// runsOfProfile are the runs of a load profile.
 func runsOfProfile(runs []*Run, profile Profile) []*Run {
 	var selected []*Run
 	for _, r := range runs {
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -67,6 +67,7 @@
 	}
 }
 
+// parseRun reads one line of a record file.
 func parseRun(line []byte) (*Run, error) {
 	r := new(Run)
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -142,6 +143,7 @@
 	return nil
 }
 
+// checkRole checks the metrics of a role.
 func checkRole(name string, role RoleMetrics) error {
 	if !slices.Contains(knownRoles, name) {
 		return fmt.Errorf("roles: %q is none of %s", name, strings.Join(knownRoles, ", "))
@@ -155,6 +157,7 @@
 	return checkMetrics("roles."+name+".most", role.Max)
 }
 
+// checkMetrics checks the values of a map of metrics, whose key errors name.
 func checkMetrics(key string, metrics map[string]float64) error {
 	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
 		if invalidValue(metrics[metric]) {
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -110,9 +110,7 @@
 
 // distinctionThreshold is the difference of AICc from which two shapes are distinguished: that of a
 // 95 % interval by the profile likelihood, with F in place of chi-squared as there are few points.
-// It is 3.84 with many points, 4.8 with 12 and 6.4 with 6. With the 2 and 4 of Burnham and Anderson
-// the intervals of predictions for laws hidden by noise covered 0.90 only (TestFitCoverageOfKnownLaws, 12
-// and 6 runs).
+// It is 3.84 with many points, 4.8 with 12 and 6.4 with 6.
 func (l regression) distinctionThreshold() float64 {
 	n := float64(len(l.xs))
 	residualDegrees := n - lineParameters
@@ -120,6 +118,7 @@
 	return n * math.Log1p(t*t/residualDegrees)
 }
 
+// slopeInterval is the 95 % interval of the slope.
 func (l regression) slopeInterval() Interval {
 	if l.shape == ShapeFlat {
 		return Interval{}
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -72,6 +72,7 @@
 	return "| " + strings.Join(columns, " | ") + " |\n" + strings.Repeat("| --- ", len(columns)) + "|\n"
 }
 
+// writeHeader writes the target, the legend and the alarms.
 func (p *Page) writeHeader(b *bytes.Buffer) {
 	fleet := p.Target.Fleet
 	fmt.Fprintf(b, "Printed by `%s`.\n\n", p.Command)
@@ -95,6 +96,7 @@
 	return titles
 }
 
+// writeRanking writes the rows that can be ranked, and lists the others.
 func (p *Page) writeRanking(b *bytes.Buffer) {
 	ranked, rest := p.Ranked()
 	b.WriteString(rankingText)
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -87,6 +87,7 @@
 	return notMeasured
 }
 
+// runCountCell is the number of runs of a benchmark.
 func (p *Page) runCountCell(name, unit string) string {
 	e, _ := p.estimate(name, unit)
 	return strconv.Itoa(e.Runs)
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -97,7 +97,7 @@
 		}
 	}
 	return strings.Join([]string{
-		sizesPlayed(runsBySize),
+		formatSizes(runsBySize),
 		joinNumbersOrNone(rateFactors(valid)),
 		joinIntsOrNone(slices.Sorted(maps.Keys(instances))),
 		formatRange(seconds),
@@ -107,7 +107,8 @@
 	}, " | ")
 }
 
-func sizesPlayed(runsBySize map[int]int) string {
+// formatSizes lists sizes with the number of runs of each.
+func formatSizes(runsBySize map[int]int) string {
 	var sizes []string
 	for _, size := range slices.Sorted(maps.Keys(runsBySize)) {
 		sizes = append(sizes, fmt.Sprintf("%d × %d", size, runsBySize[size]))
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -108,6 +108,7 @@
 	return s
 }
 
+// allZero reports whether all values are 0.
 func allZero(points []Point) bool {
 	return !slices.ContainsFunc(points, func(p Point) bool { return p.Value != 0 })
 }
--- a/internal/capacity/tomlfile.go
+++ b/internal/capacity/tomlfile.go
@@ -25,4 +25,5 @@
 	return meta, nil
 }
 
+// oneLine is an error's text without line breaks.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -58,6 +58,7 @@
 	open map[*liveRequest]bool
 }
 
+// newClients returns a client beside each agent.
 func newClients(e *Emulator) *clients {
 	c := &clients{
 		emulator:  e,
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -62,6 +62,7 @@
 	entry   endpoint.Endpoint
 }
 
+// newEndpointList returns an empty list with a view for each agent.
 func newEndpointList(e *Emulator) *endpointList {
 	l := &endpointList{emulator: e, agentViews: map[string]*agentView{}}
 	for i, agent := range e.config.Agents {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -202,6 +202,7 @@
 // Stop ends the traffic before its time; open calls are not retried.
 func (e *Emulator) Stop() { e.stopOnce.Do(func() { close(e.stopped) }) }
 
+// isStopped tells whether the traffic was ended before its time.
 func (e *Emulator) isStopped() bool {
 	select {
 	case <-e.stopped:
@@ -368,6 +369,7 @@
 	}
 }
 
+// recordTimerDelay notes how late a timer fired.
 func (e *Emulator) recordTimerDelay(d time.Duration) {
 	e.timerMu.Lock()
 	defer e.timerMu.Unlock()
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -9,28 +9,10 @@
 
 // TestExhaustedDescriptorsAreReported checks that a run that cannot open connections has errors.
 func TestExhaustedDescriptorsAreReported(t *testing.T) {
-	e, err := New(Config{
-		Seed:        1,
-		Zones:       []string{"z"},
-		Agents:      []Agent{{Name: "a", Share: 1}},
-		Servers:     1,
-		CellSize:    1,
-		Models:      []Model{{Cores: 1, Speed: 1, Slots: 1, Queue: 100}},
-		ModelShares: []float64{1},
-		Classes: []Class{{
-			Share:            1,
-			Work:             time.Millisecond,
-			LatencyObjective: time.Second,
-			TotalTimeout:     time.Second,
-			PriorityWeight:   1,
-			Idempotency:      Idempotent,
-		}},
-		Rate:                100,
-		Keys:                1,
-		RequestTimeoutShare: 1,
-		KeepAlive:           time.Minute,
-		Direct:              true,
-	})
+	config := smallConfig()
+	config.Rate = 100
+	config.Direct = true
+	e, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -51,6 +51,7 @@
 	busyCoreSeconds float64
 }
 
+// newEngine returns an idle machine of a model.
 func newEngine(m Model, now, started time.Duration) *engine {
 	return &engine{
 		model:           m,
--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -20,6 +20,7 @@
 	reader *bufio.Reader
 }
 
+// newClientConn returns a connection without buffered data.
 func newClientConn(conn net.Conn) *clientConn {
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -197,6 +197,7 @@
 	delete(e.stoppedAgents, name)
 }
 
+// isAgentStopped tells whether the experiment has ended the agent's process.
 func (e *Emulator) isAgentStopped(agent string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -8,26 +8,14 @@
 // TestOverloadedServerStaysDown overloads a server in slow start: it fails, is not listed as removed, and Close
 // waits for its removal.
 func TestOverloadedServerStaysDown(t *testing.T) {
-	e, err := New(Config{
-		Seed:        1,
-		Zones:       []string{"z"},
-		Agents:      []Agent{{Name: "a", Share: 1}},
-		Servers:     1,
-		CellSize:    1,
-		Models:      []Model{{Cores: 1, Speed: 1, Slots: 1, Queue: 100}},
-		ModelShares: []float64{1},
-		Classes:     []Class{{Share: 1, Work: time.Millisecond, Idempotency: Idempotent}},
-		Contract: Contract{
-			SlowStartFrom:    0.1,
-			SlowStartFor:     time.Hour,
-			OverloadMultiple: 1,
-			OverloadWindow:   time.Second,
-		},
-		Rate:                1,
-		Keys:                1,
-		RequestTimeoutShare: 1,
-		KeepAlive:           time.Minute,
-	})
+	config := smallConfig()
+	config.Contract = Contract{
+		SlowStartFrom:    0.1,
+		SlowStartFor:     time.Hour,
+		OverloadMultiple: 1,
+		OverloadWindow:   time.Second,
+	}
+	e, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -39,6 +39,7 @@
 	notified bool    // its agent had been notified of the server's start
 }
 
+// newMachine returns a machine that runs until stop.
 func newMachine(e *Emulator, model Model, started time.Duration, seed uint64) *machine {
 	m := &machine{
 		emulator:   e,
@@ -50,6 +51,7 @@
 	return m
 }
 
+// tick handles the engine's next event.
 func (m *machine) tick() { m.do(func(*engine) {}) }
 
 // do advances the engine to now, calls a function with it, and sets the timer to the next event.
@@ -65,6 +67,7 @@
 	}
 }
 
+// stop ends the machine's timer.
 func (m *machine) stop() { m.timer.Stop() }
 
 // admission is what a machine does with a request on arrival.
@@ -119,6 +122,7 @@
 	m.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
 }
 
+// cancel removes a job; its work stops.
 func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
 
 // setFault makes the machine slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -20,6 +20,7 @@
 	closed        bool
 }
 
+// newPartitionListener listens at an address, without a partition.
 func newPartitionListener(address string) (*partitionListener, error) {
 	listener, err := listenTCP(address)
 	if err != nil {
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -34,6 +34,7 @@
 	due         time.Duration // of the last call, from the begin of the traffic
 }
 
+// newWorkload returns the workload of a client, whose share is that of all calls.
 func newWorkload(e *Emulator, clientIndex int, clientShare float64) *workload {
 	config := &e.config
 	source := rand.NewPCG(config.Seed, workloadStream+uint64(clientIndex))
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -50,6 +50,7 @@
 	return files, nil
 }
 
+// serviceChart returns the chart of the value served in time, by second.
 func serviceChart() chart {
 	p := plot.New()
 	p.Title.Text = "service by second"
@@ -60,6 +61,7 @@
 	return chart{name: "service", plot: p, points: servicePoints}
 }
 
+// slowStartChart returns the chart of the loads in slow start, by server.
 func slowStartChart() chart {
 	p := plot.New()
 	p.Title.Text = "highest load in slow start, of the overload limit (1: fails)"
@@ -68,6 +70,7 @@
 	return chart{name: "cold", plot: p, points: slowStartPoints}
 }
 
+// viewsChart returns the chart of the least membership view, by second.
 func viewsChart() chart {
 	p := plot.New()
 	p.Title.Text = "least view of the sampled agents"
--- a/internal/experiment/requirements.go
+++ b/internal/experiment/requirements.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What a run takes, as measured (docs/LAB.md).
+// What a run takes.
 const (
 	processorsPerRequestRate = 0.001 // for each request per second, in all processes
 	processorsPerAgent       = 0.001 // of an idle agent
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// What the site's agents are told besides what a scenario sets.
+// The settings of the site's agents that a scenario does not set.
 const (
 	responseSlackMs  = 20
 	pollWithinMs     = 10_000
--- a/internal/scaletest/convergence.go
+++ b/internal/scaletest/convergence.go
@@ -87,6 +87,7 @@
 	return "", nil
 }
 
+// largest is the largest of some counts.
 func largest(counts map[string]int) int {
 	most := 0
 	for _, n := range counts {
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -52,7 +52,7 @@
 ) (*discoveryCluster, error) {
 	var names []string
 	for i := range count {
-		names = append(names, fmt.Sprintf("list-%d", i+1))
+		names = append(names, fmt.Sprintf("discovery-%d", i+1))
 	}
 	cluster, err := processtest.New(processtest.Config{
 		Binary: program,
--- a/internal/scaletest/eventwriter.go
+++ b/internal/scaletest/eventwriter.go
@@ -33,6 +33,7 @@
 	return w
 }
 
+// writeUntilEnd writes queued events until the writer is closed or an error occurs.
 func (w *eventWriter) writeUntilEnd(to io.Writer) error {
 	buffer := bufio.NewWriter(to)
 	encoder := json.NewEncoder(buffer)
@@ -52,6 +53,7 @@
 	return nil
 }
 
+// takeQueue empties the queue; ended says that nothing more follows.
 func (w *eventWriter) takeQueue() (queue []HostEvent, ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,6 +70,7 @@
 	w.signal()
 }
 
+// signal wakes the goroutine that writes.
 func (w *eventWriter) signal() {
 	select {
 	case w.pendingSignal <- struct{}{}:
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -97,6 +97,7 @@
 	}
 }
 
+// handleEvent records an event and ends the wait for it.
 func (h *hostProcess) handleEvent(event *HostEvent) {
 	var err error
 	if event.Err != "" {
@@ -178,6 +179,7 @@
 	}
 }
 
+// send writes a command to the host's standard input.
 func (h *hostProcess) send(c HostCommand) error {
 	text, err := json.Marshal(c)
 	if err != nil {
--- a/internal/scaletest/hostreport.go
+++ b/internal/scaletest/hostreport.go
@@ -52,6 +52,7 @@
 	return r, nil
 }
 
+// agentReports are the reports of the agents that run, by name.
 func (h *hostServer) agentReports() map[string]AgentReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -110,6 +110,7 @@
 	}
 }
 
+// killAll kills all agents that run.
 func (h *hostServer) killAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,7 +125,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&c); err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("command: %w", err)
 	}
 	var handler func(*HostCommand, *hollowAgent) error
 	switch c.Command {
@@ -139,7 +140,7 @@
 	case commandReload:
 		handler = h.reload
 	default:
-		return fmt.Errorf("order: do: %q is none", c.Command)
+		return fmt.Errorf("command: do: %q is none", c.Command)
 	}
 	if err := h.executeOn(&c, handler); err != nil {
 		return fmt.Errorf("%s %s: %w", c.Command, c.Agent, err)
@@ -235,6 +236,7 @@
 	h.events.write(event)
 }
 
+// stop ends an agent gracefully.
 func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
 	select {
 	case <-a.ended:
@@ -245,12 +247,14 @@
 	return nil
 }
 
+// kill ends an agent at once.
 func (h *hostServer) kill(_ *HostCommand, a *hollowAgent) error {
 	a.agent.Kill()
 	a.cancel()
 	return nil
 }
 
+// reload puts another configuration in force at an agent.
 func (h *hostServer) reload(c *HostCommand, a *hollowAgent) error {
 	cfg, err := agent.ParseReload(c.Config, a.config)
 	if err != nil {
@@ -265,6 +269,7 @@
 	}
 }
 
+// reportInForce writes the event that a version is in force at an agent.
 func (h *hostServer) reportInForce(name, kind string, version uint64) {
 	now := time.Now().UnixMicro()
 	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: now}})
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -208,8 +208,8 @@
 	delete(bare, "management")
 	config := func(c map[string]any) string { return string(marshal(t, c)) }
 	for command, want := range map[string]string{
-		`{"do":`:                       "order: unexpected EOF",
-		`{"do":"dance","agent":"a0"}`:  `order: do: "dance" is none`,
+		`{"do":`:                       "command: unexpected EOF",
+		`{"do":"dance","agent":"a0"}`:  `command: do: "dance" is none`,
 		`{"do":"stop","agnt":"a0"}`:    `unknown field "agnt"`,
 		`{"do":"stop"}`:                "stop : no agent named",
 		`{"do":"stop","agent":"a1"}`:   "stop a1: does not run",
--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -10,17 +10,15 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What a process takes at most, from docs/capacity/scale.jsonl: the resident memory of a hollow agent, its
-// process divided by the agents in it, is 1.7 to 2.1 MB at 70 agents, 2.4 to 3.8 at 220 and 4.1 to 5.7 at
-// 420; of a real one 17.6, 27.7 and 29.6 MB; of a discovery instance 18.1, 20.7 and 24.6 MB.
+// What a process takes at most: its resident memory, by the size of its fleet, and its descriptors.
 const (
-	hollowMB          = 1.5
+	hollowMB          = 1.5  // a hollow agent's part of its process
 	hollowMBPerMember = 0.01 // for each member of its fleet
 	realMB            = 15.0
 	realMBPerMember   = 0.06
 	discoveryMB       = 40.0
-	// hollowDescriptors are the descriptors of a hollow agent: 10.2 on all days, and 26 that its membership
-	// may open while it joins (fleet.Sockets). hostDescriptors are those of its process.
+	// hollowDescriptors are the descriptors of a hollow agent, with those that its membership may open while it
+	// joins. hostDescriptors are those of its process.
 	hollowDescriptors = 40
 	hostDescriptors   = 32
 	// memoryDivisor is the number that the machine's memory is divided by: a fleet may take half.
@@ -37,6 +35,7 @@
 	descriptors  uint64 // of a process
 }
 
+// readMachineLimits reads what a fleet may take of this machine.
 func readMachineLimits() (machineLimits, error) {
 	total, err := totalMemoryMB()
 	if err != nil {
--- a/internal/scaletest/machinecheck_test.go
+++ b/internal/scaletest/machinecheck_test.go
@@ -45,7 +45,7 @@
 		Agent:       "none",
 		Discovery:   "none",
 		HostCommand: []string{"none"},
-		OnRun:       func(*capacity.Run) error { t.Error("a run was played"); return nil },
+		OnRun:       func(*capacity.Run) error { t.Error("a run was made"); return nil },
 	})
 	if err == nil || !strings.Contains(err.Error(), "1000000 hollow agents") {
 		t.Errorf("a million agents: %v", err)
--- a/internal/scaletest/machinemonitor.go
+++ b/internal/scaletest/machinemonitor.go
@@ -58,6 +58,7 @@
 	return m, nil
 }
 
+// observeTimers records the delays of timers until stop is closed.
 func (m *machineMonitor) observeTimers() {
 	for {
 		due := time.Now().Add(timerInterval)
@@ -103,6 +104,7 @@
 	guestColumn  = 8
 )
 
+// machineTicks reads the processor time (proc(5), stat).
 func machineTicks() (processorTicks, error) {
 	var ticks processorTicks
 	text, err := os.ReadFile("/proc/stat")
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -45,8 +45,10 @@
 	busy    bool // being started or ended; guarded by fleet.mu
 }
 
+// hollow reports whether the member shares a host process.
 func (m *member) hollow() bool { return m.host != nil }
 
+// address is the member's address with a port.
 func (m *member) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
 // createMembers creates the members with their configurations. The first are hollow, and the first
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -122,6 +122,7 @@
 
 func (e *keyError) Error() string { return e.key + ": " + e.problem }
 
+// invalid returns a *keyError.
 func invalid(key, format string, args ...any) error {
 	return &keyError{key: key, problem: fmt.Sprintf(format, args...)}
 }
@@ -158,6 +159,7 @@
 	return p.checkRates()
 }
 
+// checkProfiles checks that each load profile exists and is named once.
 func (p *Plan) checkProfiles() error {
 	for i, name := range p.Profiles {
 		if loadProfiles[name] == nil {
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -36,6 +36,7 @@
 	return err
 }
 
+// printRun prints one run.
 func printRun(b *bytes.Buffer, r *capacity.Run) error {
 	fmt.Fprintf(b, "%s: %d hollow and %d real agents, %d discovery instances, %d servers, repeat %d:"+
 		" %.0f s at %g times the target's rates, %d changes\n",
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -1,4 +1,4 @@
-// Package scaletest plays the days of docs/CAPACITY.md on one machine and records what each role
+// Package scaletest runs the load profiles of docs/CAPACITY.md on one machine and records what each role
 // takes. A fleet has hollow agents (the agent's own code for all but client traffic, many in one
 // process; the term is that of Kubernetes' kubemark), processes of the real agent beside them, and real
 // discovery instances.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -144,6 +144,7 @@
 	return done, nil
 }
 
+// newFleet returns a fleet that is not started, with a directory of its own.
 func (cfg *Config) newFleet(hollow int, seed uint64) (*fleet, error) {
 	directory, err := os.MkdirTemp(cfg.Directory, "fleet")
 	if err != nil {
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -55,7 +55,7 @@
 	return runPlan(t, p)
 }
 
-// runPlan plays a plan of one size and returns its records.
+// runPlan carries out a plan of one size and returns its records.
 func runPlan(t *testing.T, p *Plan) []*capacity.Run {
 	t.Helper()
 	bin, err := programs()
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestGrowthWithSize plays two small sizes: the messages of a member do not grow with the fleet, none of its
+// TestGrowthWithSize runs two small sizes: the messages of a member do not grow with the fleet, none of its
 // metrics grows with the square of the size, and changes come into force everywhere.
 func TestGrowthWithSize(t *testing.T) {
 	t.Parallel()
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// TestSettingsReachAll plays changes of settings while the leader of discovery is killed: each pair of a
+// TestSettingsReachAll makes changes of settings while the leader of discovery is killed: each pair of a
 // change and an agent of its service is timed, and all agents that run have their last settings at the end.
 func TestSettingsReachAll(t *testing.T) {
 	t.Parallel()
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -58,6 +58,7 @@
 	return addValues(counters, c.carried)
 }
 
+// addValues is the sum of two sets of values.
 func addValues(a, b metricValues) metricValues {
 	sum := metricValues{}
 	maps.Copy(sum, a)
@@ -230,7 +231,7 @@
 }
 
 // instanceUsage is the usage of a discovery instance's present process. Its admin endpoint is left out:
-// the runner's own requests are not part of the day.
+// the runner's own requests are not part of the load.
 func (f *fleet) instanceUsage(ctx context.Context, name string) (usage, error) {
 	process, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
--- a/internal/scaletest/target.go
+++ b/internal/scaletest/target.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// secondsPerDay is the day that the target's rates are of.
+// secondsPerDay is the length of the day that the target's rates count events in.
 const secondsPerDay = 86400
 
 // servicesAt is the number of services of a fleet of a size: the target's in proportion, at least one.
@@ -15,7 +15,7 @@
 	return max(1, int(math.Round(services)))
 }
 
-// expectedEvents is the mean number of events on a day of the plan, of which the target has perDay.
+// expectedEvents is the mean number of events in a run of the plan, of which the target has perDay in a day.
 func expectedEvents(t *capacity.Target, perDay float64, size int, p *Plan) float64 {
 	return perDay * float64(size) / float64(t.Fleet.Agents) / secondsPerDay * p.Seconds * p.RateFactor
 }
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -26,12 +26,14 @@
 // trackers has a tracker for each kind of change.
 type trackers map[string]*tracker
 
+// newTrackers returns a tracker for each kind of change.
 func newTrackers() trackers {
 	ts := trackers{kindList: newTracker(), kindSettings: newTracker()}
 	ts[kindSettings].serviceOf = map[string]string{}
 	return ts
 }
 
+// forEach calls do for each tracker.
 func (ts trackers) forEach(do func(*tracker)) {
 	for _, t := range ts {
 		do(t)
@@ -51,6 +53,7 @@
 	pending      map[string]versionInForce // the last version of agents that are not known to run yet
 }
 
+// acknowledgedChange is a change that discovery has acknowledged.
 type acknowledgedChange struct {
 	service        string // the change is for its agents; "": for all
 	version        uint64
@@ -67,11 +70,13 @@
 	incomplete bool
 }
 
+// versionInForce is a version and when it came into force at an agent.
 type versionInForce struct {
 	version uint64
 	at      time.Time
 }
 
+// newTracker returns a tracker without agents and changes.
 func newTracker() *tracker {
 	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
 }
