--- a/cmd/experiment/example_test.go
+++ b/cmd/experiment/example_test.go
@@ -42,7 +42,6 @@
 	if err != nil || len(records) != 1 {
 		t.Fatalf("%d runs recorded (%v), want 1", len(records), err)
 	}
-	records[0].Valid = true // the rows are checked, not how well this machine kept the time
 	var report bytes.Buffer
 	if err := experiment.Report(&report, records); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -93,19 +93,32 @@
 	fmt.Fprintf(out, "\nthe interval includes 0 for %d of %d metrics\n", equal, len(differences))
 }
 
-// writeSummary writes a table of an arm's metrics over its valid runs.
+// writeSummary writes a table of an arm's metrics over its valid runs, or of one that is not valid if it has no other.
 func writeSummary(out *bytes.Buffer, records []*Record, arm string) {
 	runs := validOf(records, arm)
 	switch len(runs) {
 	case 0:
-		fmt.Fprintf(out, "\n%s: no valid run\n", arm)
+		writeInvalidRun(out, records, arm)
 	case 1:
+		fmt.Fprintln(out)
 		writeRun(out, runs[0])
 	default:
+		fmt.Fprintln(out)
 		writeRuns(out, arm, runs)
 	}
 }
 
+// writeInvalidRun writes the last run of an arm that has no valid one, marked as such.
+func writeInvalidRun(out *bytes.Buffer, records []*Record, arm string) {
+	for _, record := range slices.Backward(records) {
+		if record.Arm == arm {
+			fmt.Fprintf(out, "\n%s has no valid run. Its last one, which is not valid:\n\n", arm)
+			writeRun(out, record)
+			return
+		}
+	}
+}
+
 // writeRun writes a table of the metrics of one run.
 func writeRun(out *bytes.Buffer, run *Record) {
 	table := newTable(run.Arm, "value", "unit")
@@ -113,7 +126,6 @@
 	for _, metric := range metricsIn([]*Record{run}) {
 		table.addRow(metric.Title, formatValue(values[metric.Key]), metric.Unit)
 	}
-	fmt.Fprintln(out)
 	table.write(out)
 }
 
@@ -131,6 +143,5 @@
 		table.addRow(metric.Title, strconv.Itoa(len(values)), formatValue(slices.Min(values)),
 			formatValue(stat.Mean(values, nil)), formatValue(slices.Max(values)), metric.Unit)
 	}
-	fmt.Fprintln(out)
 	table.write(out)
 }
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestReportOfSeveralRuns checks that several runs of an arm have the least, mean and greatest value of each metric,
-// that a run that is not valid has no part in them, and that an arm without a valid run says so.
+// and that a run that is not valid has no part in them.
 func TestReportOfSeveralRuns(t *testing.T) {
 	got := reportOf(t, recordOf("agent", 1, 1, true), recordOf("agent", 2, 4, true), recordOf("agent", 3, 100, false))
 	for _, want := range []string{
@@ -59,9 +59,23 @@
 			t.Errorf("printed:\n%s\nwhich has no %q", got, want)
 		}
 	}
-	got = reportOf(t, recordOf("agent", 1, 1, false))
-	if want := "agent: no valid run\n"; !strings.HasSuffix(got, want) {
-		t.Errorf("printed:\n%s\nwhich does not end in %q", got, want)
+}
+
+// TestReportOfInvalidRun checks that a run that is not valid is printed as such if its arm has no other, and not if it
+// has one.
+func TestReportOfInvalidRun(t *testing.T) {
+	invalid := recordOf("agent", 1, 7, false)
+	invalid.Result.Errors = []string{"late"}
+	const reason = "not valid: arm \"agent\", seed 1: late\n"
+	const heading = "agent has no valid run. Its last one, which is not valid:\n"
+	const row = "| x                        | 7     |       |\n"
+	got := reportOf(t, invalid)
+	if !strings.HasPrefix(got, reason) || !strings.Contains(got, heading) || !strings.Contains(got, row) {
+		t.Errorf("printed:\n%s\nwhich lacks one of\n%s%s%s", got, reason, heading, row)
+	}
+	got = reportOf(t, recordOf("agent", 2, 8, true), invalid)
+	if !strings.HasPrefix(got, reason) || strings.Contains(got, heading) || strings.Contains(got, row) {
+		t.Errorf("beside a valid run, printed:\n%s", got)
 	}
 }
 
