--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -102,3 +102,12 @@
 	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(v, 'e', significantDigits-1, 64), 64)
 	return strconv.FormatFloat(rounded, 'f', 0, 64)
 }
+
+// joinNames lists names for a message.
+func joinNames[T ~string](names []T) string {
+	texts := make([]string, len(names))
+	for i, name := range names {
+		texts[i] = string(name)
+	}
+	return strings.Join(texts, ", ")
+}
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -14,23 +14,23 @@
 	// changes has more of it than the target. What is not a rate is taken as it is.
 	Rate       bool
 	agentsOnly bool                  // discovery instances don't have it
-	parts      []string              // the metrics of a role that are summed
+	parts      []MetricKey           // the metrics of a role that are summed
 	factor     float64               // from the parts' unit to Unit
 	budget     func(*Target) float64 // of an agent; nil: there is none
 }
 
 // Metrics are those of each role, in the page's order.
 var Metrics = []Metric{
-	{Name: "state", Unit: "entries", parts: []string{Members, Servers}, factor: 1},
-	{Name: "messages", Unit: "a second", Rate: true, parts: []string{MessagesIn, MessagesOut}, factor: 1},
-	{Name: "bytes", Unit: "a second", Rate: true, parts: []string{BytesIn, BytesOut}, factor: 1, budget: bytesBudget},
+	{Name: "state", Unit: "entries", parts: []MetricKey{Members, Servers}, factor: 1},
+	{Name: "messages", Unit: "a second", Rate: true, parts: []MetricKey{MessagesIn, MessagesOut}, factor: 1},
+	{Name: "bytes", Unit: "a second", Rate: true, parts: []MetricKey{BytesIn, BytesOut}, factor: 1, budget: bytesBudget},
 	{Name: "of these membership's", Unit: "bytes a second", Rate: true, agentsOnly: true,
-		parts: []string{ViewBytes}, factor: 1},
+		parts: []MetricKey{ViewBytes}, factor: 1},
 	{Name: "of these discovery's", Unit: "bytes a second", Rate: true, agentsOnly: true,
-		parts: []string{ListBytes}, factor: 1},
-	{Name: "processor", Unit: "% of a core", Rate: true, parts: []string{CPU}, factor: percent, budget: cpuBudget},
-	{Name: "memory", Unit: "MB resident", parts: []string{ResidentMB}, factor: 1, budget: memoryBudget},
-	{Name: "live heap", Unit: "MB", parts: []string{HeapMB}, factor: 1},
+		parts: []MetricKey{ListBytes}, factor: 1},
+	{Name: "processor", Unit: "% of a core", Rate: true, parts: []MetricKey{CPU}, factor: percent, budget: cpuBudget},
+	{Name: "memory", Unit: "MB resident", parts: []MetricKey{ResidentMB}, factor: 1, budget: memoryBudget},
+	{Name: "live heap", Unit: "MB", parts: []MetricKey{HeapMB}, factor: 1},
 }
 
 // percent converts a fraction.
@@ -42,7 +42,7 @@
 func memoryBudget(t *Target) float64 { return t.Agent.MemoryMB }
 
 // value is the metric of a role in one run, the mean over the role's members.
-func (m Metric) value(r *Run, role string) (float64, bool) {
+func (m Metric) value(r *Run, role Role) (float64, bool) {
 	sum := 0.0
 	for _, part := range m.parts {
 		v, ok := r.Roles[role].Mean[part]
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -68,7 +68,7 @@
 			p.rows = append(p.rows, p.agentRow(profile, metric))
 		}
 	}
-	for _, role := range []string{RoleLeader, RoleFollower} {
+	for _, role := range []Role{RoleLeader, RoleFollower} {
 		for _, profile := range discoveryProfiles {
 			for _, metric := range Metrics {
 				if !metric.agentsOnly {
@@ -99,8 +99,8 @@
 }
 
 // discoveryRow is a metric of a discovery instance.
-func (p *Page) discoveryRow(role string, profile Profile, metric Metric) *Row {
-	r := &Row{Subject: role, Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
+func (p *Page) discoveryRow(role Role, profile Profile, metric Metric) *Row {
+	r := &Row{Subject: string(role), Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
 	p.measure(r, metric, func(runs []*Run) ([]Point, Source) {
 		return collectPoints(runs, func(run *Run) (float64, bool) { return metric.value(run, role) }), Source{}
 	})
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -203,7 +203,7 @@
 
 // TestPageOfArbitraryRuns: for arbitrary runs, with any of the metrics missing, the page has no defect.
 func TestPageOfArbitraryRuns(t *testing.T) {
-	names := []string{
+	names := []MetricKey{
 		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB, ViewBytes, ListBytes,
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -215,16 +215,16 @@
 			r.Profile, r.Repeat = rapid.SampledFrom(Profiles).Draw(t, "day"), rapid.IntRange(1, 3).Draw(t, "repeat")
 			r.RateFactor = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
 			r.Changes = rapid.IntRange(0, 50).Draw(t, "changes")
-			r.Roles = map[string]RoleMetrics{}
+			r.Roles = map[Role]RoleMetrics{}
 			r.InForce = map[string]Latencies{}
 			if rapid.IntRange(0, 5).Draw(t, "valid") == 0 {
 				r.Invalid, r.Seconds = []string{"late | by\na lot"}, 0
 			}
 			for _, role := range knownRoles {
-				mean := map[string]float64{}
+				mean := map[MetricKey]float64{}
 				for _, f := range names {
 					if rapid.IntRange(0, 4).Draw(t, "there") > 0 {
-						mean[f] = rapid.OneOf(rapid.Just(0.0), rapid.Just(3.0), rapid.Float64Range(0, 1e15)).Draw(t, f)
+						mean[f] = rapid.OneOf(rapid.Just(0.0), rapid.Just(3.0), rapid.Float64Range(0, 1e15)).Draw(t, string(f))
 					}
 				}
 				r.Roles[role] = RoleMetrics{Count: rapid.IntRange(0, 2).Draw(t, "count"), Mean: mean}
--- a/internal/capacity/profile.go
+++ b/internal/capacity/profile.go
@@ -1,7 +1,5 @@
 package capacity
 
-import "strings"
-
 // Profile is the load profile of a run: what changes and which faults happen in it. Records and plans know profiles by
 // these texts.
 type Profile string
@@ -23,10 +21,4 @@
 }
 
 // JoinProfiles lists profiles for a message.
-func JoinProfiles(profiles []Profile) string {
-	names := make([]string, len(profiles))
-	for i, profile := range profiles {
-		names[i] = string(profile)
-	}
-	return strings.Join(names, ", ")
-}
+func JoinProfiles(profiles []Profile) string { return joinNames(profiles) }
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -14,10 +14,8 @@
 	"strings"
 )
 
-// RoleHost is the machine that a run was made on, with all of its processes.
-const RoleHost = "host"
-
-var knownRoles = []string{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
+// knownRoles are the roles that a record may have.
+var knownRoles = []Role{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
 
 // requiredKeys are the JSON keys that each line of a record file has.
 var requiredKeys = []string{
@@ -144,21 +142,21 @@
 }
 
 // checkRole checks the metrics of a role.
-func checkRole(name string, role RoleMetrics) error {
+func checkRole(name Role, role RoleMetrics) error {
 	if !slices.Contains(knownRoles, name) {
-		return fmt.Errorf("roles: %q is none of %s", name, strings.Join(knownRoles, ", "))
+		return fmt.Errorf("roles: %q is none of %s", name, joinNames(knownRoles))
 	}
 	if role.Count < 0 {
 		return fmt.Errorf("roles.%s.count: can't be %d", name, role.Count)
 	}
-	if err := checkMetrics("roles."+name+".mean", role.Mean); err != nil {
+	if err := checkMetrics("roles."+string(name)+".mean", role.Mean); err != nil {
 		return err
 	}
-	return checkMetrics("roles."+name+".most", role.Max)
+	return checkMetrics("roles."+string(name)+".most", role.Max)
 }
 
 // checkMetrics checks the values of a map of metrics, whose key errors name.
-func checkMetrics(key string, metrics map[string]float64) error {
+func checkMetrics(key string, metrics map[MetricKey]float64) error {
 	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
 		if invalidValue(metrics[metric]) {
 			return fmt.Errorf("%s.%s: can't be %v", key, metric, metrics[metric])
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -11,10 +11,10 @@
 func validRun() *Run {
 	return &Run{Plan: "p", Commit: "abc", Profile: ProfileQuiet, Repeat: 1, Size: 50, Hollow: 30, Real: 20,
 		DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
-		Roles: map[string]RoleMetrics{RoleReal: {
+		Roles: map[Role]RoleMetrics{RoleReal: {
 			Count: 20,
-			Mean:  map[string]float64{CPU: 0.002},
-			Max:   map[string]float64{CPU: 0.003},
+			Mean:  map[MetricKey]float64{CPU: 0.002},
+			Max:   map[MetricKey]float64{CPU: 0.003},
 		}},
 		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -55,8 +55,8 @@
 	p.writeHeader(&b)
 	p.writeRanking(&b)
 	p.writeTable(&b, "Agent", subjectAgent)
-	p.writeTable(&b, "Discovery instance: leader", RoleLeader)
-	p.writeTable(&b, "Discovery instance: follower", RoleFollower)
+	p.writeTable(&b, "Discovery instance: leader", string(RoleLeader))
+	p.writeTable(&b, "Discovery instance: follower", string(RoleFollower))
 	p.writeTable(&b, "Changes in force everywhere", subjectInForce)
 	p.writeMeasuredTimes(&b)
 	p.writeDataPath(&b)
@@ -177,7 +177,7 @@
 // unmeasuredProfiles are the profiles in which nothing of a discovery instance was measured.
 func (p *Page) unmeasuredProfiles(subject string) map[string]bool {
 	unmeasured := map[string]bool{}
-	if subject != RoleLeader && subject != RoleFollower {
+	if subject != string(RoleLeader) && subject != string(RoleFollower) {
 		return unmeasured
 	}
 	for _, r := range p.rows {
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -22,8 +22,8 @@
 	Seconds            float64 `json:"seconds"` // measured
 	Changes            int     `json:"changes"` // acknowledged within Seconds
 	// Converged says that at the end all agents had the last change and the same membership view.
-	Converged bool                   `json:"settled"`
-	Roles     map[string]RoleMetrics `json:"roles"` // by RoleHollow and so on
+	Converged bool                 `json:"settled"`
+	Roles     map[Role]RoleMetrics `json:"roles"`
 	// InForce has, by kind of change ("list", "settings"), the time from the acknowledgement of a change
 	// until it was in force at an agent.
 	InForce map[string]Latencies `json:"in_force"`
@@ -31,39 +31,46 @@
 	Invalid []string             `json:"invalid,omitempty"` // why the run does not count
 }
 
+// Role is what a process of a run is. Records know roles by these texts.
+type Role string
+
 // The roles of a run.
 const (
-	RoleHollow   = "hollow"        // one of the agents that share processes
-	RoleReal     = "real"          // one process of bin/agent
-	RoleLeader   = "list leader"   // the discovery instance that is the Raft leader at the end
-	RoleFollower = "list follower" // each other discovery instance
+	RoleHollow   Role = "hollow"        // one of the agents that share processes
+	RoleReal     Role = "real"          // one process of bin/agent
+	RoleLeader   Role = "list leader"   // the discovery instance that is the Raft leader at the end
+	RoleFollower Role = "list follower" // each other discovery instance
+	RoleHost     Role = "host"          // the machine that a run was made on, with all of its processes
 )
 
 // RoleMetrics is what the members of a role took over the run, by the names below. What was not
 // measured has no entry.
 type RoleMetrics struct {
-	Count int                `json:"count"` // members
-	Mean  map[string]float64 `json:"mean"`  // over the members
-	Max   map[string]float64 `json:"most"`  // the largest of any member
+	Count int                   `json:"count"` // members
+	Mean  map[MetricKey]float64 `json:"mean"`  // over the members
+	Max   map[MetricKey]float64 `json:"most"`  // the largest of any member
 }
 
+// MetricKey is the key of a metric of a role in records.
+type MetricKey string
+
 // The metrics of a role. Traffic is bytes and messages of control on its sockets (membership packets
 // and streams, calls to discovery, Raft), without headers below TCP and UDP.
 const (
-	CPU         = "cpu"           // fraction of one core
-	ResidentMB  = "resident_mb"   // of the process, divided by the agents in it
-	HeapMB      = "heap_mb"       // live after a collection, divided by the agents in the process
-	AllocKBps   = "alloc_kb_s"    // KB allocated a second
-	BytesIn     = "bytes_in_s"    // a second
-	BytesOut    = "bytes_out_s"   // a second
-	MessagesIn  = "messages_in_s" // a second
-	MessagesOut = "messages_out_s"
-	ViewBytes   = "view_bytes_s"      // of these, membership's, in both directions
-	ListBytes   = "discovery_bytes_s" // of these, calls to discovery, in both directions
-	Descriptors = "descriptors"       // open file descriptors
-	Goroutines  = "goroutines"
-	Members     = "members" // entries of the membership view
-	Servers     = "servers" // entries of the endpoint list
+	CPU         MetricKey = "cpu"           // fraction of one core
+	ResidentMB  MetricKey = "resident_mb"   // of the process, divided by the agents in it
+	HeapMB      MetricKey = "heap_mb"       // live after a collection, divided by the agents in the process
+	AllocKBps   MetricKey = "alloc_kb_s"    // KB allocated a second
+	BytesIn     MetricKey = "bytes_in_s"    // a second
+	BytesOut    MetricKey = "bytes_out_s"   // a second
+	MessagesIn  MetricKey = "messages_in_s" // a second
+	MessagesOut MetricKey = "messages_out_s"
+	ViewBytes   MetricKey = "view_bytes_s"      // of these, membership's, in both directions
+	ListBytes   MetricKey = "discovery_bytes_s" // of these, calls to discovery, in both directions
+	Descriptors MetricKey = "descriptors"       // open file descriptors
+	Goroutines  MetricKey = "goroutines"
+	Members     MetricKey = "members" // entries of the membership view
+	Servers     MetricKey = "servers" // entries of the endpoint list
 )
 
 // Latencies summarizes durations in ms, from an HDR histogram.
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -68,7 +68,7 @@
 
 // Source says which agents a metric was taken from.
 type Source struct {
-	Role        string
+	Role        Role
 	Corrected   bool   // hollow, divided by the ratio
 	Description string // for the tables
 	Ratio       Ratio
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -11,18 +11,19 @@
 	run := func(size int, hollowCPU, realCPU float64) *Run {
 		r := validRun()
 		r.Size, r.Hollow = size, size-r.Real
-		r.Roles = map[string]RoleMetrics{}
+		r.Roles = map[Role]RoleMetrics{}
 		if hollowCPU >= 0 {
-			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[string]float64{CPU: hollowCPU}}
+			r.Roles[RoleHollow] = RoleMetrics{Count: r.Hollow, Mean: map[MetricKey]float64{CPU: hollowCPU}}
 		}
 		if realCPU >= 0 {
-			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[string]float64{CPU: realCPU}}
+			r.Roles[RoleReal] = RoleMetrics{Count: r.Real, Mean: map[MetricKey]float64{CPU: realCPU}}
 		}
 		return r
 	}
 	for _, c := range []struct {
-		runs      []*Run
-		why, role string
+		runs []*Run
+		why  string
+		role Role
 	}{
 		{nil, "not measured", RoleHollow},
 		{[]*Run{run(50, -1, 1), run(50, -1, 1)}, "real; hollow not measured", RoleReal},
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -13,15 +13,43 @@
 // columnPadding is the number of spaces between two columns.
 const columnPadding = 2
 
-// The rows and columns of a printed table, in order.
-var (
-	printedMetrics = []string{
-		capacity.CPU, capacity.ResidentMB, capacity.HeapMB, capacity.AllocKBps, capacity.BytesIn, capacity.BytesOut,
-		capacity.MessagesIn, capacity.MessagesOut, capacity.ViewBytes, capacity.ListBytes, capacity.Descriptors,
-		capacity.Goroutines, capacity.Members, capacity.Servers,
-	}
-	printedRoles = []string{capacity.RoleHollow, capacity.RoleReal, capacity.RoleLeader, capacity.RoleFollower}
-)
+// printedMetric is a row of a printed table.
+type printedMetric struct {
+	key   capacity.MetricKey
+	title string // with the unit
+}
+
+// printedMetrics are the rows of a table, in order.
+var printedMetrics = []printedMetric{
+	{capacity.CPU, "processor, cores"},
+	{capacity.ResidentMB, "resident memory, MB"},
+	{capacity.HeapMB, "live heap, MB"},
+	{capacity.AllocKBps, "allocated, KB/s"},
+	{capacity.BytesIn, "received, bytes/s"},
+	{capacity.BytesOut, "sent, bytes/s"},
+	{capacity.MessagesIn, "received, messages/s"},
+	{capacity.MessagesOut, "sent, messages/s"},
+	{capacity.ViewBytes, "membership, bytes/s"},
+	{capacity.ListBytes, "discovery, bytes/s"},
+	{capacity.Descriptors, "open descriptors"},
+	{capacity.Goroutines, "goroutines"},
+	{capacity.Members, "members known"},
+	{capacity.Servers, "servers known"},
+}
+
+// printedRole is a column of a printed table.
+type printedRole struct {
+	role  capacity.Role
+	title string
+}
+
+// printedRoles are the columns of a table, in order.
+var printedRoles = []printedRole{
+	{capacity.RoleHollow, "hollow agent"},
+	{capacity.RoleReal, "real agent"},
+	{capacity.RoleLeader, "discovery leader"},
+	{capacity.RoleFollower, "discovery follower"},
+}
 
 // PrintRuns prints the metrics of runs as tables: a row for each metric and a column for each role, means
 // over the role's members; "-" is what was not measured.
@@ -48,7 +76,7 @@
 	}
 	for _, kind := range changeKinds {
 		if l, ok := r.InForce[kind]; ok {
-			fmt.Fprintf(b, "  %s in force after, ms: p50 %.1f, p99 %.1f, max %.1f of %d; never %d;"+
+			fmt.Fprintf(b, "  %s in force after, ms: p50 %.1f, p99 %.1f, max %.1f of %d; not in force %d;"+
 				" converged at the end: %v\n", kind, l.P50, l.P99, l.Max, l.Count, l.NeverInForce, r.Converged)
 		}
 	}
@@ -56,24 +84,24 @@
 		fmt.Fprintf(b, "  not measured: %s\n", strings.Join(r.Missing, "; "))
 	}
 	if len(r.Invalid) > 0 {
-		fmt.Fprintf(b, "  does not count: %s\n", strings.Join(r.Invalid, "; "))
+		fmt.Fprintf(b, "  not valid: %s\n", strings.Join(r.Invalid, "; "))
 	}
 	b.WriteString("\n")
 	return nil
 }
 
 // printRoles prints the table of one run.
-func printRoles(b *bytes.Buffer, roles map[string]capacity.RoleMetrics) error {
+func printRoles(b *bytes.Buffer, roles map[capacity.Role]capacity.RoleMetrics) error {
 	var table strings.Builder
 	table.WriteString("\t")
-	for _, role := range printedRoles {
-		fmt.Fprintf(&table, "%s (%d)\t", role, roles[role].Count)
+	for _, column := range printedRoles {
+		fmt.Fprintf(&table, "%s (%d)\t", column.title, roles[column.role].Count)
 	}
 	table.WriteString("\n")
 	for _, metric := range printedMetrics {
-		table.WriteString(metric + "\t")
-		for _, role := range printedRoles {
-			if v, ok := roles[role].Mean[metric]; ok {
+		table.WriteString(metric.title + "\t")
+		for _, column := range printedRoles {
+			if v, ok := roles[column.role].Mean[metric.key]; ok {
 				fmt.Fprintf(&table, "%.4g\t", v)
 			} else {
 				table.WriteString("-\t")
--- a/internal/scaletest/rolemetrics.go
+++ b/internal/scaletest/rolemetrics.go
@@ -8,7 +8,7 @@
 )
 
 // roleMetrics are the metrics of all roles between two samples.
-func (f *fleet) roleMetrics(ctx context.Context, before, after *sample) map[string]capacity.RoleMetrics {
+func (f *fleet) roleMetrics(ctx context.Context, before, after *sample) map[capacity.Role]capacity.RoleMetrics {
 	members := f.agentMetrics(before, after)
 	leader := f.discovery.leader(ctx)
 	for name, end := range after.discovery {
@@ -22,7 +22,7 @@
 		}
 		members[role] = append(members[role], end.since(start))
 	}
-	roles := map[string]capacity.RoleMetrics{}
+	roles := map[capacity.Role]capacity.RoleMetrics{}
 	for role, values := range members {
 		roles[role] = summarize(values)
 	}
@@ -31,11 +31,11 @@
 
 // agentMetrics are the metrics, by role, of the agents that run and are in both samples. A hollow agent
 // has its part of its host's process.
-func (f *fleet) agentMetrics(before, after *sample) map[string][]metricValues {
+func (f *fleet) agentMetrics(before, after *sample) map[capacity.Role][]metricValues {
 	perAgent := hostMetricsPerAgent(before, after)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	members := map[string][]metricValues{}
+	members := map[capacity.Role][]metricValues{}
 	for _, m := range f.members {
 		role := capacity.RoleReal
 		start, end := before.real[m.name], after.real[m.name]
@@ -70,7 +70,7 @@
 
 // summarize is the mean and the maximum of each metric over the members of a role.
 func summarize(members []metricValues) capacity.RoleMetrics {
-	r := capacity.RoleMetrics{Count: len(members), Mean: map[string]float64{}, Max: map[string]float64{}}
+	r := capacity.RoleMetrics{Count: len(members), Mean: metricValues{}, Max: metricValues{}}
 	for _, values := range members {
 		for metric, value := range values {
 			r.Mean[metric] += value / float64(len(members))
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -242,7 +242,7 @@
 }
 
 // recordUnsampled records how many of the running agents of a role have no metrics.
-func (f *fleet) recordUnsampled(run *capacity.Run, role string, running int) {
+func (f *fleet) recordUnsampled(run *capacity.Run, role capacity.Role, running int) {
 	if sampled := run.Roles[role].Count; sampled < running {
 		run.Missing = append(run.Missing, fmt.Sprintf(
 			"the metrics of %d of %d %s agents: they did not report them at the beginning or the end",
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -149,7 +149,7 @@
 		small, large := runs[0][profile], runs[1][profile]
 		square := float64(large.Size) / float64(small.Size)
 		square *= square
-		for _, role := range []string{capacity.RoleHollow, capacity.RoleReal} {
+		for _, role := range []capacity.Role{capacity.RoleHollow, capacity.RoleReal} {
 			for metric := range large.Roles[role].Mean {
 				if growth := excessiveGrowth(small, large, role, metric, square); growth != "" {
 					t.Errorf("%s, %s: %s grows with %s: %.3g at %d agents, %.3g at %d", small.Profile, role, metric, growth,
@@ -162,7 +162,7 @@
 
 // excessiveGrowth says what a metric grows with from a small to a large fleet, if it grows too much: messages
 // in a quiet run may not grow with the fleet, and nothing with its square.
-func excessiveGrowth(small, large *capacity.Run, role, metric string, square float64) string {
+func excessiveGrowth(small, large *capacity.Run, role capacity.Role, metric capacity.MetricKey, square float64) string {
 	before := small.Roles[role].Mean[metric]
 	after := large.Roles[role].Mean[metric]
 	tolerance := 1.0
@@ -176,6 +176,7 @@
 	case capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut:
 		// Full lists are exchanged rarely: one is a large part of a short run's bytes.
 		tolerance = 2000
+	default: // the tolerance is that of a small value
 	}
 	if after > 0.9*square*before+tolerance {
 		return "the fleet's square"
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -14,7 +14,7 @@
 )
 
 // metricValues are values by the names of metrics in package capacity.
-type metricValues map[string]float64
+type metricValues map[capacity.MetricKey]float64
 
 // usage is what a process or an agent has taken: counters since its start, from which rates are made,
 // and gauges.
