--- /dev/null
+++ b/internal/emulator/config.go
@@ -0,0 +1,71 @@
+package emulator
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+const (
+	// shareTolerance is how far the sum of the classes' shares may be from 1.
+	shareTolerance = 0.001
+
+	maxAgents = 60_000
+	maxZones  = 20
+)
+
+// Agent is where an agent stands.
+type Agent struct {
+	Name  string
+	Zone  int
+	Share float64 // of the calls
+}
+
+// Config describes what is emulated.
+type Config struct {
+	Seed        uint64
+	Zones       []string
+	ZoneDelay   time.Duration // one way between two zones
+	Agents      []Agent
+	Models      []Model   // of the servers
+	ModelShares []float64 // the share of the servers that each model has
+	Servers     int
+	CellSize    int // servers of a cell
+	Classes     []Class
+	Contract    Contract
+	Rate        float64 // calls per second of all clients, without a TrafficChange
+	Keys        int     // distinct keys, of a Zipf distribution with the exponent Zipf
+	Zipf        float64
+	// Clients give a request up after RequestTimeoutShare of the class's total timeout, and retry up to Retries
+	// times, RetryDelay after the response.
+	Retries             int
+	RequestTimeoutShare float64
+	RetryDelay          time.Duration
+	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
+	ListDelay [2]time.Duration
+	KeepAlive time.Duration // how long a server keeps an idle connection
+	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
+	// is for the comparison with queueing theory.
+	Direct bool
+}
+
+// validate checks the configuration.
+func (c *Config) validate() error {
+	shares := 0.0
+	for _, class := range c.Classes {
+		shares += class.Share
+	}
+	switch {
+	case len(c.Zones) == 0 || len(c.Agents) == 0 || c.Servers < 1 || c.CellSize < 1:
+		return errors.New("emulator: zones, agents, servers and a cell size are needed")
+	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
+		return errors.New("emulator: a share for each model is needed")
+	case shares < 1-shareTolerance || shares > 1+shareTolerance:
+		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
+	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
+		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
+	case len(c.Agents) > maxAgents || len(c.Zones) > maxZones:
+		return errors.New("emulator: more agents or zones than addresses")
+	}
+	return nil
+}
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -10,7 +10,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -39,55 +38,13 @@
 	hostsPerSubnet = 250
 	subnetsPerZone = 12
 
-	// shareTolerance is how far the sum of the classes' shares may be from 1.
-	shareTolerance = 0.001
-
-	maxAgents = 60_000
-	maxZones  = 20
 	// maxErrors bounds how many errors of the harness are kept.
 	maxErrors = 20
-	// timerProbeInterval is how often the machine's timers are measured.
-	timerProbeInterval = 2 * time.Millisecond
 )
 
 // longAgo is the start time of a server that has no slow start.
 const longAgo time.Duration = -1
 
-// Agent is where an agent stands.
-type Agent struct {
-	Name  string
-	Zone  int
-	Share float64 // of the calls
-}
-
-// Config describes what is emulated.
-type Config struct {
-	Seed        uint64
-	Zones       []string
-	ZoneDelay   time.Duration // one way between two zones
-	Agents      []Agent
-	Models      []Model   // of the servers
-	ModelShares []float64 // the share of the servers that each model has
-	Servers     int
-	CellSize    int // servers of a cell
-	Classes     []Class
-	Contract    Contract
-	Rate        float64 // calls per second of all clients, without a TrafficChange
-	Keys        int     // distinct keys, of a Zipf distribution with the exponent Zipf
-	Zipf        float64
-	// Clients give a request up after RequestTimeoutShare of the class's total timeout, and retry up to Retries
-	// times, RetryDelay after the response.
-	Retries             int
-	RequestTimeoutShare float64
-	RetryDelay          time.Duration
-	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
-	ListDelay [2]time.Duration
-	KeepAlive time.Duration // how long a server keeps an idle connection
-	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
-	// is for the comparison with queueing theory.
-	Direct bool
-}
-
 // Emulator is a running emulation. Its methods are safe for concurrent use.
 type Emulator struct {
 	config             Config
@@ -171,27 +128,6 @@
 	return nil
 }
 
-// validate checks the configuration.
-func (c *Config) validate() error {
-	shares := 0.0
-	for _, class := range c.Classes {
-		shares += class.Share
-	}
-	switch {
-	case len(c.Zones) == 0 || len(c.Agents) == 0 || c.Servers < 1 || c.CellSize < 1:
-		return errors.New("emulator: zones, agents, servers and a cell size are needed")
-	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
-		return errors.New("emulator: a share for each model is needed")
-	case shares < 1-shareTolerance || shares > 1+shareTolerance:
-		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
-	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
-		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
-	case len(c.Agents) > maxAgents || len(c.Zones) > maxZones:
-		return errors.New("emulator: more agents or zones than addresses")
-	}
-	return nil
-}
-
 // Run lets the clients call for a time and returns the result once the last call has ended. After the end of the
 // context, which does not end the calls, the clients cannot connect to the agents any more.
 func (e *Emulator) Run(ctx context.Context, length time.Duration) *Result {
@@ -355,32 +291,3 @@
 func (e *Emulator) notifiedOfStart(agent, serverID string) bool {
 	return e.endpoints.notifiedOfStart(agent, serverID)
 }
-
-// measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
-func (e *Emulator) measureTimerDelay() {
-	for {
-		before := time.Now()
-		select {
-		case <-time.After(timerProbeInterval):
-			e.recordTimerDelay(time.Since(before) - timerProbeInterval)
-		case <-e.closed:
-			return
-		}
-	}
-}
-
-// recordTimerDelay notes how late a timer fired.
-func (e *Emulator) recordTimerDelay(d time.Duration) {
-	e.timerMu.Lock()
-	defer e.timerMu.Unlock()
-	recordDelay(e.timerDelays, d)
-}
-
-// timerDelayQuantiles returns the 99th percentile of the timer delays and the longest one.
-func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
-	e.timerMu.Lock()
-	defer e.timerMu.Unlock()
-	p99 = percentile(e.timerDelays, percentile99)
-	worst = time.Duration(e.timerDelays.Max()) * time.Microsecond
-	return p99, worst
-}
--- /dev/null
+++ b/internal/emulator/timerdelay.go
@@ -0,0 +1,35 @@
+package emulator
+
+import "time"
+
+// timerProbeInterval is how often the machine's timers are measured.
+const timerProbeInterval = 2 * time.Millisecond
+
+// measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
+func (e *Emulator) measureTimerDelay() {
+	for {
+		before := time.Now()
+		select {
+		case <-time.After(timerProbeInterval):
+			e.recordTimerDelay(time.Since(before) - timerProbeInterval)
+		case <-e.closed:
+			return
+		}
+	}
+}
+
+// recordTimerDelay notes how late a timer fired.
+func (e *Emulator) recordTimerDelay(d time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	recordDelay(e.timerDelays, d)
+}
+
+// timerDelayQuantiles returns the 99th percentile of the timer delays and the longest one.
+func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
+	e.timerMu.Lock()
+	defer e.timerMu.Unlock()
+	p99 = percentile(e.timerDelays, percentile99)
+	worst = time.Duration(e.timerDelays.Max()) * time.Microsecond
+	return p99, worst
+}
