--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -68,7 +68,7 @@
 	}
 	var members map[string]memberAddress
 	var seeds []string
-	if r.arm.Fleet {
+	if r.arm.Membership {
 		if members, seeds, err = r.connectMembers(); err != nil {
 			return err
 		}
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -113,7 +113,7 @@
 	s.Length = length
 	s.Fleet.Agents = agents
 	s.Fleet.Servers = servers
-	s.Arms = []Arm{{Name: "off"}, {Name: "fleet", Fleet: true}}
+	s.Arms = []Arm{{Name: "off"}, {Name: "fleet", Membership: true}}
 	template.fill(s, rand.New(rand.NewPCG(seed, generatorStream)))
 	return toml.NewEncoder(out).Encode(s)
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -92,8 +92,8 @@
 	Name string `toml:"name"`
 	// Commit is the commit whose agent is built and run; empty: the agent that Config names.
 	Commit string `toml:"commit"`
-	// Fleet gives the agents a membership section, with connections through a fault proxy.
-	Fleet bool `toml:"fleet"`
+	// Membership gives the agents a membership section, with connections through a fault proxy.
+	Membership bool `toml:"fleet"`
 	// Config is merged into the agents' configuration, key by key.
 	Config map[string]any `toml:"config"`
 }
