--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -13,24 +13,27 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The kinds of faults, as scenarios name them.
+// FaultKind is what a fault does. Scenarios name the kinds by these texts.
+type FaultKind string
+
+// The kinds of faults.
 const (
-	faultKillAgents       = "kill agents"
-	faultRestartAgents    = "restart agents"
-	faultPauseAgents      = "pause agents"
-	faultPartitionAgents  = "deaf agents"
-	faultMessageLoss      = "lossy agents"
-	faultSlowServers      = "slow nodes"
-	faultFailingServers   = "failing nodes"
-	faultHungServers      = "standing nodes"
-	faultPartitionServers = "silent nodes"
-	faultKillServers      = "kill nodes"
-	faultReplaceServers   = "release"
-	faultZoneFailure      = "zone lost"
-	faultZonePartition    = "zone cut"
-	faultBurst            = "burst"
-	faultHotKey           = "hot key"
-	faultDiscoveryOutage  = "list down"
+	faultKillAgents       FaultKind = "kill agents"
+	faultRestartAgents    FaultKind = "restart agents"
+	faultPauseAgents      FaultKind = "pause agents"
+	faultPartitionAgents  FaultKind = "deaf agents"
+	faultMessageLoss      FaultKind = "lossy agents"
+	faultSlowServers      FaultKind = "slow nodes"
+	faultFailingServers   FaultKind = "failing nodes"
+	faultHungServers      FaultKind = "standing nodes"
+	faultPartitionServers FaultKind = "silent nodes"
+	faultKillServers      FaultKind = "kill nodes"
+	faultReplaceServers   FaultKind = "release"
+	faultZoneFailure      FaultKind = "zone lost"
+	faultZonePartition    FaultKind = "zone cut"
+	faultBurst            FaultKind = "burst"
+	faultHotKey           FaultKind = "hot key"
+	faultDiscoveryOutage  FaultKind = "list down"
 )
 
 // allZones selects the servers of every zone, or the agents of every zone.
@@ -39,8 +42,8 @@
 // agentPartition is the name of the partition that partitionAgents makes.
 const agentPartition = "agents"
 
-// faultKind describes a kind of fault. Either trafficChange or inject is set.
-type faultKind struct {
+// faultEffect is what a kind of fault does. Either trafficChange or inject is set.
+type faultEffect struct {
 	description string // how it uses the keys of a scenario
 	needsZone   bool
 	// trafficChange returns how a fault changes the traffic.
@@ -49,7 +52,8 @@
 	inject func(*armRun, Fault, *rand.Rand) error
 }
 
-var faultKinds = map[string]faultKind{
+// faultEffects has the effect of each kind.
+var faultEffects = map[FaultKind]faultEffect{
 	faultKillAgents: {
 		description: "SIGKILL to a share at the same moment; they start again after back",
 		inject:      (*armRun).killAgents,
@@ -154,12 +158,15 @@
 }
 
 // FaultDescription says how a kind of fault uses the keys of a scenario.
-type FaultDescription struct{ Kind, Description string }
+type FaultDescription struct {
+	Kind        FaultKind
+	Description string
+}
 
 // FaultDescriptions returns the descriptions of all kinds, in alphabetical order of the kinds.
 func FaultDescriptions() (descriptions []FaultDescription) {
-	for _, kind := range slices.Sorted(maps.Keys(faultKinds)) {
-		descriptions = append(descriptions, FaultDescription{kind, faultKinds[kind].description})
+	for _, kind := range slices.Sorted(maps.Keys(faultEffects)) {
+		descriptions = append(descriptions, FaultDescription{kind, faultEffects[kind].description})
 	}
 	return descriptions
 }
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -40,7 +40,7 @@
 // faultTemplate is a fault of a generated scenario. The duration is Duration seconds, or DurationPart of the length.
 type faultTemplate struct {
 	At           float64    `toml:"at"` // part of the length
-	Kind         string     `toml:"kind"`
+	Kind         FaultKind  `toml:"kind"`
 	Duration     float64    `toml:"for"`
 	DurationPart float64    `toml:"for_part"`
 	Share        valueRange `toml:"share"`
@@ -139,7 +139,7 @@
 	if t.DurationPart > 0 {
 		fault.Duration = s.partOfLength(t.DurationPart)
 	}
-	if faultKinds[t.Kind].needsZone {
+	if faultEffects[t.Kind].needsZone {
 		fault.Zone = s.Fleet.Zones[0]
 	}
 	fault.Share = t.Share.draw(random)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -159,9 +159,9 @@
 func (r *armRun) injectFaults(group *sync.WaitGroup, faultErrors chan<- error) {
 	var changes []emulator.TrafficChange
 	for i, fault := range r.scenario.Faults {
-		kind := faultKinds[fault.Kind]
-		if kind.trafficChange != nil {
-			changes = append(changes, kind.trafficChange(fault))
+		effect := faultEffects[fault.Kind]
+		if effect.trafficChange != nil {
+			changes = append(changes, effect.trafficChange(fault))
 			continue
 		}
 		// Each has random numbers of its own, so that what it hits does not depend on the times of the others.
@@ -170,7 +170,7 @@
 		go func() {
 			defer group.Done()
 			r.wait(fault.At)
-			if err := kind.inject(r, fault, random); err != nil {
+			if err := effect.inject(r, fault, random); err != nil {
 				faultErrors <- fmt.Errorf("%s: %w", fault.Kind, err)
 			}
 		}()
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -77,7 +77,7 @@
 // Fault is a fault that is injected at a time. How it uses the other keys depends on its kind; see FaultDescriptions.
 type Fault struct {
 	At           time.Duration `toml:"at"` // from the begin of the traffic
-	Kind         string        `toml:"kind"`
+	Kind         FaultKind     `toml:"kind"`
 	Duration     time.Duration `toml:"for"`
 	Share        float64       `toml:"share"`
 	Magnitude    float64       `toml:"size"`
@@ -128,7 +128,7 @@
 		return "traffic.try_share", notFraction
 	}
 	for _, fault := range s.Faults {
-		kind, known := faultKinds[fault.Kind]
+		effect, known := faultEffects[fault.Kind]
 		switch {
 		case !known:
 			return "trouble.kind", fmt.Errorf("there is no fault %q", fault.Kind)
@@ -138,7 +138,7 @@
 			return "trouble.size", notPositive
 		case fault.Share < 0 || fault.Share > 1:
 			return "trouble.share", notFraction
-		case kind.needsZone && !slices.Contains(s.Fleet.Zones, fault.Zone):
+		case effect.needsZone && !slices.Contains(s.Fleet.Zones, fault.Zone):
 			return "trouble.zone", fmt.Errorf("there is no zone %q", fault.Zone)
 		}
 	}
