--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -38,58 +38,60 @@
 	callers map[string]bool // addresses that called
 }
 
+// newDiscoveryServer starts a discovery whose list has one server. The test's end stops it.
 func newDiscoveryServer(t *testing.T) *discoveryServer {
 	t.Helper()
-	l := &discoveryServer{version: 1, changed: make(chan struct{}), callers: map[string]bool{}}
-	s := httptest.NewServer(l)
-	l.addr = s.Listener.Addr().String()
+	d := &discoveryServer{version: 1, changed: make(chan struct{}), callers: map[string]bool{}}
+	server := httptest.NewServer(d)
+	d.addr = server.Listener.Addr().String()
 	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return l
+	return d
 }
 
-func (l *discoveryServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	from, _, _ := net.SplitHostPort(req.RemoteAddr)
-	index, _ := strconv.ParseUint(req.FormValue("index"), 10, 64)
-	wait, _ := strconv.Atoi(req.FormValue("wait"))
+// ServeHTTP answers a poll at once, and a watch once there is a newer version or its time is over.
+func (d *discoveryServer) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+	from, _, _ := net.SplitHostPort(request.RemoteAddr)
+	index, _ := strconv.ParseUint(request.FormValue("index"), 10, 64)
+	wait, _ := strconv.Atoi(request.FormValue("wait"))
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		l.mu.Lock()
-		l.callers[from] = true
-		version, wake := l.version, l.changed
-		l.mu.Unlock()
-		answer := endpoint.List{Version: version, Servers: []endpoint.Endpoint{}}
-		for v := index + 1; v <= version; v++ {
-			answer.Servers = append(answer.Servers, endpoint.Endpoint{
-				ID: fmt.Sprintf("s-%d", v), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1,
+		d.mu.Lock()
+		d.callers[from] = true
+		version, wake := d.version, d.changed
+		d.mu.Unlock()
+		list := endpoint.List{Version: version, Servers: []endpoint.Endpoint{}}
+		for added := index + 1; added <= version; added++ {
+			list.Servers = append(list.Servers, endpoint.Endpoint{
+				ID: fmt.Sprintf("s-%d", added), Addr: "127.0.0.1:1", Zone: "east", Kind: "big", State: "up", Weight: 1,
 			})
 		}
-		answer.Full = index == 0
+		list.Full = index == 0
 		if version > index {
-			_ = json.NewEncoder(w).Encode(answer) // an error: the agent has ended
+			_ = json.NewEncoder(response).Encode(list) // an error: the agent has ended
 			return
 		}
 		select {
 		case <-wake:
 		case <-over:
-			_ = json.NewEncoder(w).Encode(answer) // an error: the agent has ended
+			_ = json.NewEncoder(response).Encode(list) // an error: the agent has ended
 			return
-		case <-req.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
 
 // addServer makes the next version of the list.
-func (l *discoveryServer) addServer() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.version++
-	close(l.changed)
-	l.changed = make(chan struct{})
-	return l.version
+func (d *discoveryServer) addServer() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
+	close(d.changed)
+	d.changed = make(chan struct{})
+	return d.version
 }
 
 // configurations makes the configurations of a fleet.
@@ -100,14 +102,15 @@
 	discovery string
 }
 
+// newConfigurations returns configurations on a random loopback network, for agents that call one discovery.
 func newConfigurations(t *testing.T, discovery string, size int) *configurations {
 	t.Helper()
 	network := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
-	s := &configurations{network: network, size: size, discovery: discovery}
+	c := &configurations{network: network, size: size, discovery: discovery}
 	const attempts = 100
 	for range attempts {
-		if s.selectPort(t) {
-			return s
+		if c.selectPort(t) {
+			return c
 		}
 	}
 	t.Fatal("no free port")
@@ -115,16 +118,16 @@
 }
 
 // selectPort selects a port, and reports whether it is free for both protocols.
-func (s *configurations) selectPort(t *testing.T) bool {
+func (c *configurations) selectPort(t *testing.T) bool {
 	t.Helper()
 	var config net.ListenConfig
-	tcp, err := config.Listen(t.Context(), "tcp", s.ip(0)+":0")
+	tcp, err := config.Listen(t.Context(), "tcp", c.ip(0)+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = tcp.Close() }() // nothing was accepted
-	s.port = tcp.Addr().(*net.TCPAddr).Port
-	udp, err := config.ListenPacket(t.Context(), "udp", s.address(0, s.port))
+	c.port = tcp.Addr().(*net.TCPAddr).Port
+	udp, err := config.ListenPacket(t.Context(), "udp", c.address(0, c.port))
 	if err != nil {
 		return false
 	}
@@ -132,37 +135,42 @@
 	return true
 }
 
-func (s *configurations) ip(i int) string {
-	return fmt.Sprintf("127.%d.%d.%d", s.network[0], s.network[1], i+1)
+// ip is the address of an agent.
+func (c *configurations) ip(i int) string {
+	return fmt.Sprintf("127.%d.%d.%d", c.network[0], c.network[1], i+1)
 }
 
-func (s *configurations) address(i, port int) string {
-	return net.JoinHostPort(s.ip(i), strconv.Itoa(port))
+// address is the address of an agent with a port.
+func (c *configurations) address(i, port int) string {
+	return net.JoinHostPort(c.ip(i), strconv.Itoa(port))
 }
 
-func (s *configurations) adminAddress(i int) string { return s.address(i, s.port-1) }
+// adminAddress is the address of an agent's admin endpoint.
+func (c *configurations) adminAddress(i int) string { return c.address(i, c.port-1) }
 
-func (s *configurations) config(i int) map[string]any { return s.configWith(i, 3) }
+// config is the configuration of an agent.
+func (c *configurations) config(i int) map[string]any { return c.configWith(i, 3) }
 
-func (s *configurations) configWith(i, maxAttempts int) map[string]any {
+// configWith is the configuration of an agent with a bound on attempts.
+func (c *configurations) configWith(i, maxAttempts int) map[string]any {
 	return map[string]any{
 		"name":       fmt.Sprintf("a%d", i),
-		"listen":     s.address(i, 8000),
-		"management": s.adminAddress(i),
-		"discovery":  s.discovery,
+		"listen":     c.address(i, 8000),
+		"management": c.adminAddress(i),
+		"discovery":  c.discovery,
 		"seed":       "1",
 		"limits":     map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
 		"known":      map[string]any{"version": 0, "full": true, "servers": []any{}},
 		"fleet": map[string]any{
-			"bind":               s.address(i, s.port),
-			"seeds":              []string{s.address(0, s.port), s.address(1, s.port)},
+			"bind":               c.address(i, c.port),
+			"seeds":              []string{c.address(0, c.port), c.address(1, c.port)},
 			"site":               "test",
 			"probe_interval_ms":  500,
 			"suspect_timeout_ms": 10_000,
 			"settle_ms":          500,
 			"reconnect_ms":       1000,
 		},
-		"settings": json.RawMessage(fmt.Sprintf(settings, s.size, maxAttempts)),
+		"settings": json.RawMessage(fmt.Sprintf(settings, c.size, maxAttempts)),
 	}
 }
 
@@ -177,50 +185,52 @@
 	arrived chan struct{}
 }
 
+// startHostClient starts a host in this process. The test's end stops it.
 func startHostClient(t *testing.T) *hostClient {
 	t.Helper()
 	commands, stdin := io.Pipe()
 	events, stdout := io.Pipe()
-	d := &hostClient{t: t, stdin: stdin, done: make(chan error, 1), arrived: make(chan struct{})}
-	go func() { d.done <- ServeHost(context.Background(), commands, stdout, io.Discard) }()
+	h := &hostClient{t: t, stdin: stdin, done: make(chan error, 1), arrived: make(chan struct{})}
+	go func() { h.done <- ServeHost(context.Background(), commands, stdout, io.Discard) }()
 	go func() {
 		for lines := bufio.NewScanner(events); lines.Scan(); {
-			var x HostEvent
-			if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
+			var event HostEvent
+			if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
 				t.Error(err)
 			}
-			d.mu.Lock()
-			d.events = append(d.events, x)
-			close(d.arrived)
-			d.arrived = make(chan struct{})
-			d.mu.Unlock()
+			h.mu.Lock()
+			h.events = append(h.events, event)
+			close(h.arrived)
+			h.arrived = make(chan struct{})
+			h.mu.Unlock()
 		}
 	}()
-	t.Cleanup(d.close)
-	return d
+	t.Cleanup(h.close)
+	return h
 }
 
 // close ends the host with its agents.
-func (d *hostClient) close() {
-	_ = d.stdin.Close() // a pipe's Close never fails
+func (h *hostClient) close() {
+	_ = h.stdin.Close() // a pipe's Close never fails
 	select {
-	case err := <-d.done:
+	case err := <-h.done:
 		if err != nil {
-			d.t.Error(err)
+			h.t.Error(err)
 		}
-		d.done <- nil
+		h.done <- nil
 	case <-time.After(waitTimeout):
-		d.t.Error("the host does not end")
+		h.t.Error("the host does not end")
 	}
 }
 
-func (d *hostClient) command(do, name string, config any) {
-	d.t.Helper()
-	c := HostCommand{Command: do, Agent: name}
+// command sends a command; config may be nil.
+func (h *hostClient) command(do, name string, config any) {
+	h.t.Helper()
+	command := HostCommand{Command: do, Agent: name}
 	if config != nil {
-		c.Config = marshal(d.t, config)
+		command.Config = marshal(h.t, config)
 	}
-	d.writeLine(string(marshal(d.t, c)))
+	h.writeLine(string(marshal(h.t, command)))
 }
 
 // marshal is a value as JSON.
@@ -233,67 +243,71 @@
 	return text
 }
 
-func (d *hostClient) writeLine(text string) {
-	d.t.Helper()
-	if _, err := io.WriteString(d.stdin, text+"\n"); err != nil {
-		d.t.Fatal(err)
+// writeLine sends a line.
+func (h *hostClient) writeLine(text string) {
+	h.t.Helper()
+	if _, err := io.WriteString(h.stdin, text+"\n"); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
 // await waits for an event that fits, among those from index since on, and returns it and the index after
 // it.
-func (d *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
-	d.t.Helper()
+func (h *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
+	h.t.Helper()
 	over := time.After(waitTimeout)
-	for n := since; ; {
-		d.mu.Lock()
-		events, arrived := d.events, d.arrived
-		d.mu.Unlock()
-		for ; n < len(events); n++ {
-			if fits(&events[n]) {
-				return events[n], n + 1
+	for next := since; ; {
+		h.mu.Lock()
+		events, arrived := h.events, h.arrived
+		h.mu.Unlock()
+		for ; next < len(events); next++ {
+			if fits(&events[next]) {
+				return events[next], next + 1
 			}
 		}
 		select {
 		case <-arrived:
 		case <-over:
-			d.t.Fatalf("no such event: %s", what)
+			h.t.Fatalf("no such event: %s", what)
 		}
 	}
 }
 
-func (d *hostClient) count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.events)
+// count is the number of events so far.
+func (h *hostClient) count() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.events)
 }
 
-func (d *hostClient) ended(name string) HostEvent {
-	d.t.Helper()
-	x, _ := d.await(0, name+" ended", func(x *HostEvent) bool { return x.Ended == name })
-	return x
+// ended waits for an agent's end.
+func (h *hostClient) ended(name string) HostEvent {
+	h.t.Helper()
+	event, _ := h.await(0, name+" ended", func(event *HostEvent) bool { return event.Ended == name })
+	return event
 }
 
-func (d *hostClient) report() *HostReport {
-	d.t.Helper()
-	since := d.count()
-	d.command("report", "", nil)
-	x, _ := d.await(since, "report", func(x *HostEvent) bool { return x.Report != nil })
-	return x.Report
+// report requests a report and waits for it.
+func (h *hostClient) report() *HostReport {
+	h.t.Helper()
+	since := h.count()
+	h.command("report", "", nil)
+	event, _ := h.await(since, "report", func(event *HostEvent) bool { return event.Report != nil })
+	return event.Report
 }
 
 // awaitReport requests reports until one is as wanted.
-func (d *hostClient) awaitReport(what string, is func(*HostReport) bool) *HostReport {
-	d.t.Helper()
+func (h *hostClient) awaitReport(what string, is func(*HostReport) bool) *HostReport {
+	h.t.Helper()
 	wait := 100 * time.Millisecond
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(wait) {
 		wait = min(2*wait, 2*time.Second) // a report collects garbage
-		r := d.report()
-		if is(r) {
-			return r
+		report := h.report()
+		if is(report) {
+			return report
 		}
 		if time.Now().After(end) {
-			d.t.Fatalf("no such report: %s: %+v", what, r)
+			h.t.Fatalf("no such report: %s: %+v", what, report)
 		}
 	}
 }
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -23,30 +23,31 @@
 // force, each from an address of its own.
 func TestHollowFleetConverges(t *testing.T) {
 	const n = 30
-	l := newDiscoveryServer(t)
-	s := newConfigurations(t, l.addr, n)
-	d := startHostClient(t)
+	discovery := newDiscoveryServer(t)
+	configs := newConfigurations(t, discovery.addr, n)
+	host := startHostClient(t)
 	for i := range n {
-		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
+		host.command("start", fmt.Sprintf("a%d", i), configs.config(i))
 	}
 	inForce := func(kind string, version uint64) {
 		t.Helper()
 		have, latest := map[string]bool{}, int64(0)
+		what := fmt.Sprintf("%s %d in force everywhere", kind, version)
 		for since := 0; len(have) < n; {
-			var x HostEvent
-			x, since = d.await(since, fmt.Sprintf("%s %d in force everywhere", kind, version), func(x *HostEvent) bool {
-				return x.InForce != nil && x.InForce.Kind == kind && x.InForce.Version >= version
+			var event HostEvent
+			event, since = host.await(since, what, func(event *HostEvent) bool {
+				return event.InForce != nil && event.InForce.Kind == kind && event.InForce.Version >= version
 			})
-			have[x.InForce.Agent] = true
-			latest = max(latest, x.InForce.AtUs)
+			have[event.InForce.Agent] = true
+			latest = max(latest, event.InForce.AtUs)
 		}
 		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > waitTimeout {
 			t.Errorf("in force %v ago", late)
 		}
 	}
 	inForce("list", 1)
-	inForce("list", l.addServer())
-	r := d.awaitReport("one view", func(r *HostReport) bool {
+	inForce("list", discovery.addServer())
+	r := host.awaitReport("one view", func(r *HostReport) bool {
 		digests := map[string]bool{}
 		for _, a := range r.Agents {
 			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
@@ -65,15 +66,15 @@
 		r.Descriptors < n || r.Goroutines < n {
 		t.Errorf("%+v", r)
 	}
-	l.mu.Lock()
+	discovery.mu.Lock()
 	for i := range n {
-		if !l.callers[s.ip(i)] {
-			t.Errorf("no call came from %s", s.ip(i))
+		if !discovery.callers[configs.ip(i)] {
+			t.Errorf("no call came from %s", configs.ip(i))
 		}
 	}
-	l.mu.Unlock()
+	discovery.mu.Unlock()
 	for i := range n {
-		d.command("reload", fmt.Sprintf("a%d", i), s.configWith(i, 2))
+		host.command("reload", fmt.Sprintf("a%d", i), configs.configWith(i, 2))
 	}
 	inForce("settings", 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
@@ -82,13 +83,13 @@
 
 // TestKillAndStopInMembership: to the other agents a kill looks like SIGKILL, and a stop like SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
-	l := newDiscoveryServer(t)
-	s := newConfigurations(t, l.addr, 4)
-	d := startHostClient(t)
+	discovery := newDiscoveryServer(t)
+	configs := newConfigurations(t, discovery.addr, 4)
+	host := startHostClient(t)
 	for i := range 4 {
-		d.command("start", fmt.Sprintf("a%d", i), s.config(i))
+		host.command("start", fmt.Sprintf("a%d", i), configs.config(i))
 	}
-	d.awaitReport("four members", func(r *HostReport) bool {
+	host.awaitReport("four members", func(r *HostReport) bool {
 		for _, a := range r.Agents {
 			if a.Members != 4 || !a.Settled {
 				return false
@@ -96,11 +97,11 @@
 		}
 		return len(r.Agents) == 4
 	})
-	d.command("kill", "a2", nil)
-	d.command("stop", "a3", nil)
+	host.command("kill", "a2", nil)
+	host.command("stop", "a3", nil)
 	for _, name := range []string{"a2", "a3"} {
-		if x := d.ended(name); x.Err != "" {
-			t.Errorf("%s ended: %s", name, x.Err)
+		if event := host.ended(name); event.Err != "" {
+			t.Errorf("%s ended: %s", name, event.Err)
 		}
 	}
 	want := map[string]membership.State{
@@ -112,7 +113,7 @@
 	var seen *membership.Status
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
 		var err error
-		if seen, err = membership.FetchStatus(t.Context(), s.adminAddress(0), "since=0"); err != nil {
+		if seen, err = membership.FetchStatus(t.Context(), configs.adminAddress(0), "since=0"); err != nil {
 			t.Fatal(err)
 		}
 		right := 0
@@ -148,12 +149,12 @@
 // TestEndedAgentsReleaseResources: an agent that has ended leaves no goroutine and no descriptor,
 // whether it ended while it ran, just after its start or during its shutdown.
 func TestEndedAgentsReleaseResources(t *testing.T) {
-	l := newDiscoveryServer(t)
-	s := newConfigurations(t, l.addr, 8)
-	d := startHostClient(t)
+	discovery := newDiscoveryServer(t)
+	configs := newConfigurations(t, discovery.addr, 8)
+	host := startHostClient(t)
 	// What the first agent opens for the whole process is part of the level before.
-	d.command("start", "a0", s.config(0))
-	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
+	host.command("start", "a0", configs.config(0))
+	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
 	before := processResources(t)
 	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has started once nothing is added
 		if now := processResources(t); now[0] > before[0] || now[1] > before[1] {
@@ -162,25 +163,25 @@
 		same++
 	}
 	for round := range 20 {
-		since := d.count()
+		since := host.count()
 		name := fmt.Sprintf("b%d", round)
-		d.command("start", name, s.config(1))
+		host.command("start", name, configs.config(1))
 		if round%4 > 0 {
-			d.await(since, "list in force", func(x *HostEvent) bool {
-				return x.InForce != nil && x.InForce.Agent == name
+			host.await(since, "list in force", func(event *HostEvent) bool {
+				return event.InForce != nil && event.InForce.Agent == name
 			})
 		}
 		switch round % 4 {
 		case 1:
-			d.command("stop", name, nil)
+			host.command("stop", name, nil)
 		case 2:
-			d.command("stop", name, nil)
+			host.command("stop", name, nil)
 			fallthrough
 		default:
-			d.command("kill", name, nil)
+			host.command("kill", name, nil)
 		}
-		if x := d.ended(name); x.Err != "" {
-			t.Fatalf("%s ended: %s", name, x.Err)
+		if event := host.ended(name); event.Err != "" {
+			t.Fatalf("%s ended: %s", name, event.Err)
 		}
 	}
 	var after [2]int
@@ -197,14 +198,14 @@
 
 // TestInvalidCommands: an invalid command is reported once and has no effect, and the host goes on.
 func TestInvalidCommands(t *testing.T) {
-	l := newDiscoveryServer(t)
-	s := newConfigurations(t, l.addr, 2)
-	d := startHostClient(t)
-	d.command("start", "a0", s.config(0))
-	d.await(0, "list in force", func(x *HostEvent) bool { return x.InForce != nil })
-	bad := s.config(1)
+	discovery := newDiscoveryServer(t)
+	configs := newConfigurations(t, discovery.addr, 2)
+	host := startHostClient(t)
+	host.command("start", "a0", configs.config(0))
+	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
+	bad := configs.config(1)
 	bad["seed"] = "none"
-	bare := s.config(0)
+	bare := configs.config(0)
 	delete(bare, "management")
 	config := func(c map[string]any) string { return string(marshal(t, c)) }
 	for command, want := range map[string]string{
@@ -215,34 +216,34 @@
 		`{"do":"stop","agent":"a1"}`:   "stop a1: does not run",
 		`{"do":"kill","agent":"a1"}`:   "kill a1: does not run",
 		`{"do":"reload","agent":"a1"}`: "reload a1: does not run",
-		`{"do":"start","agent":"a1","config":` + config(bad) + `}`:         "start a1: config: seed",
-		`{"do":"start","agent":"a1","config":{"name":3}}`:                  "start a1: config: json",
-		`{"do":"start","agent":"a0","config":` + config(s.config(0)) + `}`: "start a0: runs already",
-		`{"do":"reload","agent":"a0","config":` + config(bare) + `}`:       "reload a0: config: management: missing",
+		`{"do":"start","agent":"a1","config":` + config(bad) + `}`:               "start a1: config: seed",
+		`{"do":"start","agent":"a1","config":{"name":3}}`:                        "start a1: config: json",
+		`{"do":"start","agent":"a0","config":` + config(configs.config(0)) + `}`: "start a0: runs already",
+		`{"do":"reload","agent":"a0","config":` + config(bare) + `}`:             "reload a0: config: management: missing",
 	} {
-		since := d.count()
-		d.writeLine(command)
-		x, n := d.await(since, "the error of "+command, func(x *HostEvent) bool { return x.Err != "" })
-		if !strings.Contains(x.Err, want) || x.Ended != "" || strings.Contains(x.Err, "\n") {
-			t.Errorf("%s: event %+v, want %q", command, x, want)
+		since := host.count()
+		host.writeLine(command)
+		event, n := host.await(since, "the error of "+command, func(event *HostEvent) bool { return event.Err != "" })
+		if !strings.Contains(event.Err, want) || event.Ended != "" || strings.Contains(event.Err, "\n") {
+			t.Errorf("%s: event %+v, want %q", command, event, want)
 		}
-		if r := d.report(); len(r.Agents) != 1 {
+		if r := host.report(); len(r.Agents) != 1 {
 			t.Errorf("after %s: agents %v", command, r.Agents)
 		}
-		d.mu.Lock()
-		for _, x := range d.events[n:] {
-			if x.Err != "" {
-				t.Errorf("%s: reported twice: %s", command, x.Err)
+		host.mu.Lock()
+		for _, event := range host.events[n:] {
+			if event.Err != "" {
+				t.Errorf("%s: reported twice: %s", command, event.Err)
 			}
 		}
-		d.mu.Unlock()
+		host.mu.Unlock()
 	}
 	// An address in use is no invalid command: the agent ends.
-	taken := s.config(1)
-	taken["management"] = s.adminAddress(0)
-	d.command("start", "a1", taken)
-	if x := d.ended("a1"); !strings.Contains(x.Err, "address already in use") {
-		t.Errorf("event %+v", x)
+	taken := configs.config(1)
+	taken["management"] = configs.adminAddress(0)
+	host.command("start", "a1", taken)
+	if event := host.ended("a1"); !strings.Contains(event.Err, "address already in use") {
+		t.Errorf("event %+v", event)
 	}
 }
 
@@ -260,11 +261,11 @@
 // TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
 // same bytes for the same list.
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
-	s := newConfigurations(t, newSilentDiscovery(t), 2)
-	config := s.config(1)
+	configs := newConfigurations(t, newSilentDiscovery(t), 2)
+	config := configs.config(1)
 	delete(config, "fleet")
 	program := programDiscoveryBytes(t, config)
-	config["management"], config["listen"] = s.adminAddress(0), s.address(0, 8000)
+	config["management"], config["listen"] = configs.adminAddress(0), configs.address(0, 8000)
 	hollow := hollowDiscoveryBytes(t, config)
 	compared := 0
 	for calls, p := range program {
@@ -373,10 +374,10 @@
 // bytes that it reported, by the number of calls.
 func hollowDiscoveryBytes(t *testing.T, config map[string]any) map[uint64]discoveryBytes {
 	t.Helper()
-	d := startHostClient(t)
-	d.command("start", "a1", config)
+	host := startHostClient(t)
+	host.command("start", "a1", config)
 	byCalls := map[uint64]discoveryBytes{}
-	d.awaitReport(fmt.Sprintf("%d calls", comparedCalls), func(r *HostReport) bool {
+	host.awaitReport(fmt.Sprintf("%d calls", comparedCalls), func(r *HostReport) bool {
 		a := r.Agents["a1"]
 		byCalls[a.ListCalls] = discoveryBytes{in: a.ListIn, out: a.ListOut}
 		return a.ListCalls >= comparedCalls
