--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -134,7 +134,7 @@
 		// The metric surely grows. With few points AICc asks for much more before it grants a slope.
 		candidates = candidates[1:]
 	}
-	best := leastAICc(candidates, func(l regression) bool { return l.shape != ShapeQuadratic })
+	best := leastAICc(candidates, func(line regression) bool { return line.shape != ShapeQuadratic })
 	if all := leastAICc(candidates, nil); all.shape == ShapeQuadratic && best.aicc > all.aicc+all.distinctionThreshold() {
 		best = all
 		f.GrowsQuadratically = true
@@ -143,10 +143,10 @@
 	f.Shape = best.shape
 	f.Slope = best.slope
 	f.SlopeInterval = best.slopeInterval()
-	for _, l := range candidates {
-		if l.shape != best.shape && math.Abs(l.aicc-best.aicc) < best.distinctionThreshold() {
-			f.Indistinguishable = append(f.Indistinguishable, l.shape)
-			f.alternatives = append(f.alternatives, l)
+	for _, line := range candidates {
+		if line.shape != best.shape && math.Abs(line.aicc-best.aicc) < best.distinctionThreshold() {
+			f.Indistinguishable = append(f.Indistinguishable, line.shape)
+			f.alternatives = append(f.alternatives, line)
 		}
 	}
 	// Without a significant slope there may still be one: the interval of flat includes that of n.
@@ -161,12 +161,12 @@
 func candidateRegressions(points []Point) []regression {
 	var candidates []regression
 	for _, s := range shapes {
-		l, ok := fitRegression(s, points)
-		if !ok || l.slope < 0 && s != ShapeFlat {
+		line, ok := fitRegression(s, points)
+		if !ok || line.slope < 0 && s != ShapeFlat {
 			continue
 		}
-		if !slices.ContainsFunc(candidates, l.collinearWith) {
-			candidates = append(candidates, l)
+		if !slices.ContainsFunc(candidates, line.collinearWith) {
+			candidates = append(candidates, line)
 		}
 	}
 	return candidates
@@ -175,9 +175,9 @@
 // leastAICc is the first regression with the least AICc, of those allowed; nil allows all.
 func leastAICc(candidates []regression, allowed func(regression) bool) regression {
 	best := regression{aicc: math.Inf(1)}
-	for _, l := range candidates {
-		if (allowed == nil || allowed(l)) && l.aicc < best.aicc-aiccTolerance {
-			best = l
+	for _, line := range candidates {
+		if (allowed == nil || allowed(line)) && line.aicc < best.aicc-aiccTolerance {
+			best = line
 		}
 	}
 	return best
@@ -211,8 +211,8 @@
 // predictMean predicts the mean over a number of runs; see Predict.
 func (f *Fit) predictMean(n, changes float64, runs int) (float64, Interval) {
 	value, interval := f.best.predictMean(n, changes, runs)
-	for _, l := range f.alternatives {
-		_, other := l.predictMean(n, changes, runs)
+	for _, line := range f.alternatives {
+		_, other := line.predictMean(n, changes, runs)
 		interval = interval.union(other)
 	}
 	return math.Max(value, 0), interval.nonNegative()
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -243,13 +243,13 @@
 	grown := 0
 	for range 500 {
 		points := samplePoints(rng, ShapeLinear, 100, 0.5, 30, 2, 50, 100, 200)
-		l, _ := fitRegression(ShapeLinear, points)
-		if l.slopeInterval().Lo <= 0 {
+		line, _ := fitRegression(ShapeLinear, points)
+		if line.slopeInterval().Lo <= 0 {
 			continue
 		}
 		grown++
 		if f, err := NewFit(points); err != nil || f.Shape == ShapeFlat || slices.Contains(f.Indistinguishable, ShapeFlat) {
-			t.Fatalf("%v, slope %v: %+v, %v", points, l.slopeInterval(), f, err)
+			t.Fatalf("%v, slope %v: %+v, %v", points, line.slopeInterval(), f, err)
 		}
 	}
 	if grown < 50 {
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -37,49 +37,49 @@
 
 // fitRegression returns false where the shape's regressor is the same at all points.
 func fitRegression(s Shape, points []Point) (regression, bool) {
-	l := regression{shape: s}
+	line := regression{shape: s}
 	var ys []float64
 	for _, p := range points {
-		l.xs = append(l.xs, s.regressor(float64(p.Size), p.Changes))
+		line.xs = append(line.xs, s.regressor(float64(p.Size), p.Changes))
 		ys = append(ys, p.Value)
 	}
-	l.meanX = stat.Mean(l.xs, nil)
-	for _, x := range l.xs {
-		l.sumSquaresX += (x - l.meanX) * (x - l.meanX)
+	line.meanX = stat.Mean(line.xs, nil)
+	for _, x := range line.xs {
+		line.sumSquaresX += (x - line.meanX) * (x - line.meanX)
 	}
 	parameters := 3.0 // intercept, slope, variance
 	switch {
 	case s == ShapeFlat:
 		parameters = 2
-		l.intercept = stat.Mean(ys, nil)
-	case l.sumSquaresX <= relativeRounding*l.meanX*l.meanX:
-		return l, false
+		line.intercept = stat.Mean(ys, nil)
+	case line.sumSquaresX <= relativeRounding*line.meanX*line.meanX:
+		return line, false
 	default:
-		l.intercept, l.slope = stat.LinearRegression(l.xs, ys, nil, false)
+		line.intercept, line.slope = stat.LinearRegression(line.xs, ys, nil, false)
 	}
-	l.setResiduals(ys, parameters)
-	return l, true
+	line.setResiduals(ys, parameters)
+	return line, true
 }
 
 // setResiduals sets what follows from the residuals: their deviation, and AICc.
-func (l *regression) setResiduals(ys []float64, parameters float64) {
+func (line *regression) setResiduals(ys []float64, parameters float64) {
 	residuals := 0.0 // sum of squares
 	for i, y := range ys {
-		r := y - l.intercept - l.slope*l.xs[i]
+		r := y - line.intercept - line.slope*line.xs[i]
 		residuals += r * r
 	}
 	// Rounding of exact values must not select a shape.
 	floor := relativeRounding * relativeRounding * floats.Dot(ys, ys)
 	if residuals <= floor {
 		residuals = floor
-		l.slope = dropRoundingSlope(l.slope, l.xs, ys)
+		line.slope = dropRoundingSlope(line.slope, line.xs, ys)
 	}
 	n := float64(len(ys))
-	l.degreesOfFreedom = n - parameters + 1
-	l.residualDeviation = math.Sqrt(residuals / l.degreesOfFreedom)
-	l.aicc = aiccFactor * (parameters + parameters*(parameters+1)/(n-parameters-1))
+	line.degreesOfFreedom = n - parameters + 1
+	line.residualDeviation = math.Sqrt(residuals / line.degreesOfFreedom)
+	line.aicc = aiccFactor * (parameters + parameters*(parameters+1)/(n-parameters-1))
 	if residuals > 0 {
-		l.aicc += n * math.Log(residuals/n)
+		line.aicc += n * math.Log(residuals/n)
 	}
 }
 
@@ -94,48 +94,48 @@
 // collinearWith reports whether the other's regressor is in effect a multiple of this one's, so
 // that the points can't distinguish them: n × changes and n where the rate of changes is the same at
 // each size, or n² where it grows with the size.
-func (l regression) collinearWith(other regression) bool {
-	if l.shape == ShapeFlat || other.shape == ShapeFlat {
+func (line regression) collinearWith(other regression) bool {
+	if line.shape == ShapeFlat || other.shape == ShapeFlat {
 		return false
 	}
-	if l.shape != ShapePerChange && other.shape != ShapePerChange {
+	if line.shape != ShapePerChange && other.shape != ShapePerChange {
 		return false
 	}
 	limit := collinearCorrelation
-	if l.shape == ShapeQuadratic || other.shape == ShapeQuadratic {
+	if line.shape == ShapeQuadratic || other.shape == ShapeQuadratic {
 		limit = quadraticCollinearCorrelation
 	}
-	return math.Abs(stat.Correlation(l.xs, other.xs, nil)) > limit
+	return math.Abs(stat.Correlation(line.xs, other.xs, nil)) > limit
 }
 
 // distinctionThreshold is the difference of AICc from which two shapes are distinguished: that of a
 // 95 % interval by the profile likelihood, with F in place of chi-squared as there are few points.
 // It is 3.84 with many points, 4.8 with 12 and 6.4 with 6.
-func (l regression) distinctionThreshold() float64 {
-	n := float64(len(l.xs))
+func (line regression) distinctionThreshold() float64 {
+	n := float64(len(line.xs))
 	residualDegrees := n - lineParameters
 	t := studentQuantile(residualDegrees)
 	return n * math.Log1p(t*t/residualDegrees)
 }
 
 // slopeInterval is the 95 % interval of the slope.
-func (l regression) slopeInterval() Interval {
-	if l.shape == ShapeFlat {
+func (line regression) slopeInterval() Interval {
+	if line.shape == ShapeFlat {
 		return Interval{}
 	}
-	half := studentQuantile(l.degreesOfFreedom) * l.residualDeviation / math.Sqrt(l.sumSquaresX)
-	return Interval{l.slope - half, l.slope + half}
+	half := studentQuantile(line.degreesOfFreedom) * line.residualDeviation / math.Sqrt(line.sumSquaresX)
+	return Interval{line.slope - half, line.slope + half}
 }
 
 // predictMean predicts the mean of a number of runs at n agents.
-func (l regression) predictMean(n, changes float64, runs int) (float64, Interval) {
-	x := l.shape.regressor(n, changes)
-	value := l.intercept + l.slope*x
-	spread := 1/float64(runs) + 1/float64(len(l.xs))
-	if l.shape != ShapeFlat {
-		spread += (x - l.meanX) * (x - l.meanX) / l.sumSquaresX
+func (line regression) predictMean(n, changes float64, runs int) (float64, Interval) {
+	x := line.shape.regressor(n, changes)
+	value := line.intercept + line.slope*x
+	spread := 1/float64(runs) + 1/float64(len(line.xs))
+	if line.shape != ShapeFlat {
+		spread += (x - line.meanX) * (x - line.meanX) / line.sumSquaresX
 	}
-	half := studentQuantile(l.degreesOfFreedom) * l.residualDeviation * math.Sqrt(spread)
+	half := studentQuantile(line.degreesOfFreedom) * line.residualDeviation * math.Sqrt(spread)
 	return value, Interval{value - half, value + half}
 }
 
