--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -37,7 +37,7 @@
 	inForceProfiles   = []Profile{
 		ProfileOrdinary, ProfileRollout, ProfileZone, ProfileRegion, ProfileControl,
 	}
-	changeKinds = []string{"settings", "list"}
+	changeKinds = []ChangeKind{ChangeSettings, ChangeList}
 )
 
 // NewPage makes the rows from records, benchmarks and mechanisms. A row without data says that
@@ -108,11 +108,11 @@
 }
 
 // inForceRow is the time from a change's acknowledgement until the last agent has it in force.
-func (p *Page) inForceRow(kind string, profile Profile) *Row {
+func (p *Page) inForceRow(kind ChangeKind, profile Profile) *Row {
 	r := &Row{
 		Subject:           subjectInForce,
 		Condition:         string(profile),
-		Metric:            kind,
+		Metric:            string(kind),
 		Unit:              "s, the last agent",
 		Budget:            p.Target.Changes.InForceS,
 		MechanismRequired: profile == ProfileOrdinary,
@@ -203,7 +203,7 @@
 		return false
 	}
 	if r.Subject == subjectInForce {
-		return run.InForce[r.Metric].Count > 0
+		return run.InForce[ChangeKind(r.Metric)].Count > 0
 	}
 	return slices.Contains(p.firstPlanRuns, run)
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -184,7 +184,7 @@
 	first, second := validRun(), validRun()
 	second.Plan, second.Profile, second.Size = "second", first.Profile, first.Size+1
 	first.Roles[RoleReal].Mean[ResidentMB], second.Roles[RoleReal].Mean[ResidentMB] = 10, 30
-	second.InForce = map[string]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
+	second.InForce = map[ChangeKind]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
 	_, alone := renderTables(t, []*Run{first})
 	_, both := renderTables(t, []*Run{first, second})
 	const memory = "agent/quiet/memory"
@@ -216,7 +216,7 @@
 			r.RateFactor = rapid.SampledFrom([]float64{1, 200}).Draw(t, "hurry")
 			r.Changes = rapid.IntRange(0, 50).Draw(t, "changes")
 			r.Roles = map[Role]RoleMetrics{}
-			r.InForce = map[string]Latencies{}
+			r.InForce = map[ChangeKind]Latencies{}
 			if rapid.IntRange(0, 5).Draw(t, "valid") == 0 {
 				r.Invalid, r.Seconds = []string{"late | by\na lot"}, 0
 			}
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -16,7 +16,7 @@
 			Mean:  map[MetricKey]float64{CPU: 0.002},
 			Max:   map[MetricKey]float64{CPU: 0.003},
 		}},
-		InForce: map[string]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
+		InForce: map[ChangeKind]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
 func TestRunRoundTrip(t *testing.T) {
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -206,7 +206,7 @@
 const measuredTimesColumns = 6
 
 // measuredTimesCells are the cells of a kind of change in runs of a profile: largest size, times and counts.
-func (p *Page) measuredTimesCells(kind string, profile Profile) string {
+func (p *Page) measuredTimesCells(kind ChangeKind, profile Profile) string {
 	largest := 0
 	runs := 0
 	var sum Latencies
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -24,11 +24,11 @@
 	// Converged says that at the end all agents had the last change and the same membership view.
 	Converged bool                 `json:"settled"`
 	Roles     map[Role]RoleMetrics `json:"roles"`
-	// InForce has, by kind of change ("list", "settings"), the time from the acknowledgement of a change
+	// InForce has, by kind of change, the time from the acknowledgement of a change
 	// until it was in force at an agent.
-	InForce map[string]Latencies `json:"in_force"`
-	Missing []string             `json:"missing,omitempty"` // what could not be measured, and why
-	Invalid []string             `json:"invalid,omitempty"` // why the run does not count
+	InForce map[ChangeKind]Latencies `json:"in_force"`
+	Missing []string                 `json:"missing,omitempty"` // what could not be measured, and why
+	Invalid []string                 `json:"invalid,omitempty"` // why the run does not count
 }
 
 // Role is what a process of a run is. Records know roles by these texts.
@@ -43,6 +43,15 @@
 	RoleHost     Role = "host"          // the machine that a run was made on, with all of its processes
 )
 
+// ChangeKind is what a change is of. Records know the kinds by these texts.
+type ChangeKind string
+
+// The kinds of changes.
+const (
+	ChangeSettings ChangeKind = "settings" // of a service's settings
+	ChangeList     ChangeKind = "list"     // of the endpoint list
+)
+
 // RoleMetrics is what the members of a role took over the run, by the names below. What was not
 // measured has no entry.
 type RoleMetrics struct {
--- a/internal/scaletest/agentlog.go
+++ b/internal/scaletest/agentlog.go
@@ -12,6 +12,8 @@
 	"regexp"
 	"strconv"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // agentLogState is how far an agent's log was read, and what its present process reported last.
@@ -137,7 +139,9 @@
 }
 
 // handleVersion records that a version came into force.
-func (r *realAgents) handleVersion(name, kind string, latest *uint64, line, text []byte) error {
+func (r *realAgents) handleVersion(
+	name string, kind capacity.ChangeKind, latest *uint64, line, text []byte,
+) error {
 	at, err := lineTime(line)
 	if err != nil {
 		return err
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 var (
@@ -270,7 +271,7 @@
 }
 
 // reportInForce writes the event that a version is in force at an agent.
-func (h *hostServer) reportInForce(name, kind string, version uint64) {
+func (h *hostServer) reportInForce(name string, kind capacity.ChangeKind, version uint64) {
 	now := time.Now().UnixMicro()
 	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: now}})
 }
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/capacity"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
@@ -29,7 +30,7 @@
 	for i := range n {
 		host.command("start", fmt.Sprintf("a%d", i), configs.config(i))
 	}
-	inForce := func(kind string, version uint64) {
+	inForce := func(kind capacity.ChangeKind, version uint64) {
 		t.Helper()
 		have, latest := map[string]bool{}, int64(0)
 		what := fmt.Sprintf("%s %d in force everywhere", kind, version)
@@ -45,8 +46,8 @@
 			t.Errorf("in force %v ago", late)
 		}
 	}
-	inForce("list", 1)
-	inForce("list", discovery.addServer())
+	inForce(kindList, 1)
+	inForce(kindList, discovery.addServer())
 	r := host.awaitReport("one view", func(r *HostReport) bool {
 		digests := map[string]bool{}
 		for _, a := range r.Agents {
@@ -76,7 +77,7 @@
 	for i := range n {
 		host.command("reload", fmt.Sprintf("a%d", i), configs.configWith(i, 2))
 	}
-	inForce("settings", 0)
+	inForce(kindSettings, 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
 		n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
 }
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -4,7 +4,11 @@
 // discovery instances.
 package scaletest
 
-import "encoding/json"
+import (
+	"encoding/json"
+
+	"fernbeam.example/fernbeam/internal/capacity"
+)
 
 // The protocol between `experiment scale` and its host processes (`experiment scale-host`) is one JSON
 // object a line: commands on the host's standard input, events on its standard output. The end of its
@@ -37,10 +41,10 @@
 
 // VersionInForce says that a version is in force at an agent.
 type VersionInForce struct {
-	Agent   string `json:"agent"`
-	Kind    string `json:"kind"` // kindList or kindSettings
-	Version uint64 `json:"version"`
-	AtUs    int64  `json:"at_us"` // Unix time, µs
+	Agent   string              `json:"agent"`
+	Kind    capacity.ChangeKind `json:"kind"`
+	Version uint64              `json:"version"`
+	AtUs    int64               `json:"at_us"` // Unix time, µs
 }
 
 // HostReport is what a host process has taken since its start; two of them give rates.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -276,7 +276,7 @@
 			return err
 		}
 		if run.InForce == nil {
-			run.InForce = map[string]capacity.Latencies{}
+			run.InForce = map[capacity.ChangeKind]capacity.Latencies{}
 		}
 		run.Changes += changes
 		run.InForce[kind] = latencies
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -16,15 +16,15 @@
 
 // The kinds of changes, in events of hosts and in records of runs.
 const (
-	kindList     = "list"
-	kindSettings = "settings"
+	kindList     = capacity.ChangeList
+	kindSettings = capacity.ChangeSettings
 )
 
 // changeKinds are both kinds.
-var changeKinds = []string{kindList, kindSettings}
+var changeKinds = []capacity.ChangeKind{kindList, kindSettings}
 
 // trackers has a tracker for each kind of change.
-type trackers map[string]*tracker
+type trackers map[capacity.ChangeKind]*tracker
 
 // newTrackers returns a tracker for each kind of change.
 func newTrackers() trackers {
