--- /dev/null
+++ b/cmd/experiment/report.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"fernbeam.example/fernbeam/internal/experiment"
+)
+
+// reportCmd is `experiment report`.
+func reportCmd() *cobra.Command {
+	var plots, format string
+	cmd := &cobra.Command{
+		Use:   "report RECORD...",
+		Short: "print a report of records, and draw their plots",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(cmd *cobra.Command, paths []string) error {
+			records, err := readRecords(paths...)
+			if err != nil {
+				return err
+			}
+			if plots != "" {
+				files, err := experiment.Plot(records, plots, format)
+				if err != nil {
+					return err
+				}
+				if _, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(files, "\n")); err != nil {
+					return err
+				}
+			}
+			return experiment.Report(cmd.OutOrStdout(), records)
+		},
+	}
+	cmd.Flags().StringVar(&plots, "plots", "", "directory to draw into; empty: nothing is drawn")
+	cmd.Flags().StringVar(&format, "format", "svg", "svg or png")
+	return cmd
+}
+
+// compareCmd is `experiment compare`.
+func compareCmd() *cobra.Command {
+	const minArgs = 3 // two arms and a file
+	return &cobra.Command{
+		Use:   "compare BASE ARM RECORD...",
+		Short: "print the paired differences of two arms",
+		Args:  cobra.MinimumNArgs(minArgs),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			base, arm, paths := args[0], args[1], args[2:]
+			records, err := readRecords(paths...)
+			if err != nil {
+				return err
+			}
+			return experiment.ReportDifferences(cmd.OutOrStdout(), records, base, arm)
+		},
+	}
+}
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -12,9 +12,9 @@
 // title names the row in a sentence.
 func (r *Row) title() string {
 	if r.Subject == subjectInForce {
-		return r.Metric + " in force everywhere, " + r.Day + ", s"
+		return r.Metric + " in force everywhere, " + r.Condition + ", s"
 	}
-	return r.Subject + ", " + r.Day + ", " + r.Metric + ", " + r.Unit
+	return r.Subject + ", " + r.Condition + ", " + r.Metric + ", " + r.Unit
 }
 
 // targetCell is the row's value at the target, or why there is none.
@@ -32,13 +32,15 @@
 	return formatEstimate(r.Value, r.Interval)
 }
 
+// budgetCell is the row's budget.
 func (r *Row) budgetCell() string {
 	if r.Budget == 0 {
-		return "none told"
+		return "none"
 	}
 	return formatNumber(r.Budget)
 }
 
+// usageCell is the fraction of the budget that is used, or why it is not known.
 func (r *Row) usageCell() string {
 	use, at, ok := r.Use()
 	text := "not known"
@@ -53,11 +55,12 @@
 		text = notMeasured
 	}
 	if r.NeverInForce > 0 {
-		text += fmt.Sprintf("; never at %d agents in all runs together", r.NeverInForce)
+		text += fmt.Sprintf("; not in force at %d agents in all runs together", r.NeverInForce)
 	}
 	return text
 }
 
+// slopeCell is the slope with its shape, and the shapes that fit about as well.
 func (f *Fit) slopeCell() string {
 	if f == nil {
 		return noFit
@@ -74,11 +77,12 @@
 		for _, s := range f.Indistinguishable {
 			names = append(names, string(s))
 		}
-		text += "; not told from " + strings.Join(names, ", ")
+		text += "; not distinguished from " + strings.Join(names, ", ")
 	}
 	return text
 }
 
+// sizesCell has the sizes that were fitted and the number of runs.
 func (f *Fit) sizesCell() string {
 	if f == nil {
 		return noFit
@@ -92,7 +96,7 @@
 		return noFit
 	}
 	if f.HeldOutSize == 0 {
-		return "none left out of 3 sizes"
+		return "none held out of 3 sizes"
 	}
 	text := fmt.Sprintf("%d: both 0", f.HeldOutSize)
 	if relative, ok := f.RelativeError(); ok {
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -5,15 +5,22 @@
 	"slices"
 )
 
-// Ranked returns the rows with a budget or that every ordinary day requires, worst first:
-// requirements of every ordinary day without a mechanism, then changes that never came into force at
+// The groups of ranked rows, first ones first.
+const (
+	groupLacksMechanism = iota
+	groupNeverInForce
+	groupByUse
+)
+
+// Ranked returns the rows that have a budget or require a mechanism, worst first: those that lack the
+// required mechanism, then changes that never came into force at
 // some agents, then by use of the budget. rest are the rows that can't be ranked, as nothing was
 // measured.
 func (p *Page) Ranked() (ranked, rest []*Row) {
 	for _, r := range p.rows {
 		_, _, known := r.Use()
 		switch {
-		case r.missesDailyMechanism(), r.NeverInForce > 0, known:
+		case r.lacksRequiredMechanism(), r.NeverInForce > 0, known:
 			ranked = append(ranked, r)
 		case r.Budget > 0:
 			rest = append(rest, r)
@@ -33,10 +40,10 @@
 // rankGroup is lower for rows that are ranked first.
 func (r *Row) rankGroup() int {
 	switch {
-	case r.missesDailyMechanism():
-		return 0
+	case r.lacksRequiredMechanism():
+		return groupLacksMechanism
 	case r.NeverInForce > 0:
-		return 1
+		return groupNeverInForce
 	}
-	return 2
+	return groupByUse
 }
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -14,24 +14,26 @@
 )
 
 // runGroup identifies the runs of a record that share a line.
-type runGroup struct{ plan, commit, day string }
+type runGroup struct {
+	plan, commit string
+	profile      Profile
+}
 
 // writeRuns writes what was read, and which runs were left out.
 func (p *Page) writeRuns(b *bytes.Buffer) {
-	b.WriteString("\n### Runs\n\nWhat a role takes is told of the first plan alone; changes in force are of all" +
-		" plans that made such.\n\n")
+	b.WriteString(runsText)
 	if len(p.Records) == 0 {
 		b.WriteString("No record was given: nothing of the fleet was measured.\n")
 		return
 	}
-	b.WriteString(tableHead("record", "plan, commit", "day", "agents × runs", "hurry", "instances", "seconds",
-		"not settled", "left out", "missing"))
+	b.WriteString(tableHead("record", "plan, commit", "profile", "agents × runs", "rate factor", "instances", "seconds",
+		"not converged", "excluded", "missing"))
 	var commands []string
 	for i, record := range p.Records {
 		order, groups := groupRuns(record.Runs)
 		for _, group := range order {
 			fmt.Fprintf(b, "| [%d] | %s, %s | %s | %s |\n",
-				i+1, escapeCell(group.plan), escapeCell(group.commit), group.day, runCells(groups[group]))
+				i+1, escapeCell(group.plan), escapeCell(group.commit), group.profile, runCells(groups[group]))
 			command := fmt.Sprintf("- [%d] `%s`: `experiment scale %s --record %s`",
 				i+1, record.Path, planArgument(record.Path, group.plan), record.Path)
 			if !slices.Contains(commands, command) {
@@ -45,18 +47,18 @@
 	fmt.Fprintf(b, "\n%s\n", strings.Join(commands, "\n"))
 }
 
-// groupRuns groups runs; order has the groups by day, and within a day as they were first seen.
+// groupRuns groups runs; order has the groups by profile, and within one as they were first seen.
 func groupRuns(runs []*Run) (order []runGroup, groups map[runGroup][]*Run) {
 	groups = map[runGroup][]*Run{}
 	for _, r := range runs {
-		group := runGroup{r.Plan, r.Commit, r.Day}
+		group := runGroup{r.Plan, r.Commit, r.Profile}
 		if groups[group] == nil {
 			order = append(order, group)
 		}
 		groups[group] = append(groups[group], r)
 	}
 	slices.SortStableFunc(order, func(a, b runGroup) int {
-		return cmp.Compare(slices.Index(Days, a.day), slices.Index(Days, b.day))
+		return cmp.Compare(slices.Index(Profiles, a.profile), slices.Index(Profiles, b.profile))
 	})
 	return order, groups
 }
@@ -95,7 +97,7 @@
 		}
 	}
 	return strings.Join([]string{
-		sizesPlayed(runsBySize),
+		formatSizes(runsBySize),
 		joinNumbersOrNone(rateFactors(valid)),
 		joinIntsOrNone(slices.Sorted(maps.Keys(instances))),
 		formatRange(seconds),
@@ -105,7 +107,8 @@
 	}, " | ")
 }
 
-func sizesPlayed(runsBySize map[int]int) string {
+// formatSizes lists sizes with the number of runs of each.
+func formatSizes(runsBySize map[int]int) string {
 	var sizes []string
 	for _, size := range slices.Sorted(maps.Keys(runsBySize)) {
 		sizes = append(sizes, fmt.Sprintf("%d × %d", size, runsBySize[size]))
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -1,12 +1,14 @@
 package capacity
 
-// Row is one requirement of the page: a metric of a subject on a day, its value at the target, its
+// Row is one requirement of the page: a metric of a subject under a condition, its value at the target, its
 // budget, and the mechanism that keeps it within the budget.
 type Row struct {
-	Subject, Day, Metric, Unit string
-	Budget                     float64 // 0: there is none
-	Mechanism                  string
-	RequiredDaily              bool // a requirement of every ordinary day, which some mechanism has to meet
+	Subject           string
+	Condition         string // the load profile, or the balancer's state for the data path
+	Metric, Unit      string
+	Budget            float64 // 0: there is none
+	Mechanism         string
+	MechanismRequired bool // a mechanism has to meet the requirement
 
 	Known           bool // Value is the one at the target
 	Value           float64
@@ -18,7 +20,7 @@
 	NeverInForce    int64 // pairs of change and agent for which the change never came into force
 	Fit             *Fit
 	Runs            int
-	Source          string // agents and day that it was taken from
+	Source          string // the agents that it was taken from, and how
 }
 
 // The subjects of rows, beside RoleLeader and RoleFollower.
@@ -29,7 +31,7 @@
 )
 
 // Name identifies the row in the patterns of mechanisms.
-func (r *Row) Name() string { return r.Subject + "/" + r.Day + "/" + r.Metric }
+func (r *Row) Name() string { return r.Subject + "/" + r.Condition + "/" + r.Metric }
 
 // HasMechanism reports whether a mechanism keeps the row within its budget.
 func (r *Row) HasMechanism() bool { return r.Mechanism != noMechanism }
@@ -49,8 +51,8 @@
 	return 0, 0, false
 }
 
-// missesDailyMechanism reports whether the row is required daily and no mechanism meets it.
-func (r *Row) missesDailyMechanism() bool { return r.RequiredDaily && !r.HasMechanism() }
+// lacksRequiredMechanism reports whether the row is required daily and no mechanism meets it.
+func (r *Row) lacksRequiredMechanism() bool { return r.MechanismRequired && !r.HasMechanism() }
 
 // appendSource adds a remark to the row's source.
 func (r *Row) appendSource(remark string) {
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -3,14 +3,14 @@
 // tables of docs/CAPACITY.md.
 package capacity
 
-// Run is one day played at one size by `experiment scale`. A record file has one JSON object a line.
+// Run is one run of a load profile at one size by `experiment scale`. A record file has one JSON object a line.
 //
 // Hollow agents are the agent's own code without client traffic, many in one process (the term is that
 // of Kubernetes' kubemark); real agents are processes of bin/agent.
 type Run struct {
 	Plan               string  `json:"plan"`   // the plan's name
 	Commit             string  `json:"commit"` // of the program measured, with "-dirty" if the tree was modified
-	Day                string  `json:"day"`    // one of Days
+	Profile            Profile `json:"day"`
 	Repeat             int     `json:"repeat"` // from 1
 	Seed               uint64  `json:"seed"`
 	Size               int     `json:"size"` // agents, hollow and real together
@@ -22,48 +22,64 @@
 	Seconds            float64 `json:"seconds"` // measured
 	Changes            int     `json:"changes"` // acknowledged within Seconds
 	// Converged says that at the end all agents had the last change and the same membership view.
-	Converged bool                   `json:"settled"`
-	Roles     map[string]RoleMetrics `json:"roles"` // by RoleHollow and so on
-	// InForce has, by kind of change ("list", "settings"), the time from the acknowledgement of a change
+	Converged bool                 `json:"settled"`
+	Roles     map[Role]RoleMetrics `json:"roles"`
+	// InForce has, by kind of change, the time from the acknowledgement of a change
 	// until it was in force at an agent.
-	InForce map[string]Latencies `json:"in_force"`
-	Missing []string             `json:"missing,omitempty"` // what could not be measured, and why
-	Invalid []string             `json:"invalid,omitempty"` // why the run does not count
+	InForce map[ChangeKind]Latencies `json:"in_force"`
+	Missing []string                 `json:"missing,omitempty"` // what could not be measured, and why
+	Invalid []string                 `json:"invalid,omitempty"` // why the run does not count
 }
 
+// Role is what a process of a run is. Records know roles by these texts.
+type Role string
+
 // The roles of a run.
 const (
-	RoleHollow   = "hollow"        // one of the agents that share processes
-	RoleReal     = "real"          // one process of bin/agent
-	RoleLeader   = "list leader"   // the discovery instance that is the Raft leader at the end
-	RoleFollower = "list follower" // each other discovery instance
+	RoleHollow   Role = "hollow"        // one of the agents that share processes
+	RoleReal     Role = "real"          // one process of bin/agent
+	RoleLeader   Role = "list leader"   // the discovery instance that is the Raft leader at the end
+	RoleFollower Role = "list follower" // each other discovery instance
+	RoleHost     Role = "host"          // the machine that a run was made on, with all of its processes
+)
+
+// ChangeKind is what a change is of. Records know the kinds by these texts.
+type ChangeKind string
+
+// The kinds of changes.
+const (
+	ChangeSettings ChangeKind = "settings" // of a service's settings
+	ChangeList     ChangeKind = "list"     // of the endpoint list
 )
 
 // RoleMetrics is what the members of a role took over the run, by the names below. What was not
 // measured has no entry.
 type RoleMetrics struct {
-	Count int                `json:"count"` // members
-	Mean  map[string]float64 `json:"mean"`  // over the members
-	Max   map[string]float64 `json:"most"`  // the largest of any member
+	Count int                   `json:"count"` // members
+	Mean  map[MetricKey]float64 `json:"mean"`  // over the members
+	Max   map[MetricKey]float64 `json:"most"`  // the largest of any member
 }
 
+// MetricKey is the key of a metric of a role in records.
+type MetricKey string
+
 // The metrics of a role. Traffic is bytes and messages of control on its sockets (membership packets
 // and streams, calls to discovery, Raft), without headers below TCP and UDP.
 const (
-	CPU         = "cpu"           // fraction of one core
-	ResidentMB  = "resident_mb"   // of the process, divided by the agents in it
-	HeapMB      = "heap_mb"       // live after a collection, divided by the agents in the process
-	AllocKBps   = "alloc_kb_s"    // KB allocated a second
-	BytesIn     = "bytes_in_s"    // a second
-	BytesOut    = "bytes_out_s"   // a second
-	MessagesIn  = "messages_in_s" // a second
-	MessagesOut = "messages_out_s"
-	ViewBytes   = "view_bytes_s"      // of these, membership's, in both directions
-	ListBytes   = "discovery_bytes_s" // of these, calls to discovery, in both directions
-	Descriptors = "descriptors"       // open file descriptors
-	Goroutines  = "goroutines"
-	Members     = "members" // entries of the membership view
-	Servers     = "servers" // entries of the endpoint list
+	CPU         MetricKey = "cpu"           // fraction of one core
+	ResidentMB  MetricKey = "resident_mb"   // of the process, divided by the agents in it
+	HeapMB      MetricKey = "heap_mb"       // live after a collection, divided by the agents in the process
+	AllocKBps   MetricKey = "alloc_kb_s"    // KB allocated a second
+	BytesIn     MetricKey = "bytes_in_s"    // a second
+	BytesOut    MetricKey = "bytes_out_s"   // a second
+	MessagesIn  MetricKey = "messages_in_s" // a second
+	MessagesOut MetricKey = "messages_out_s"
+	ViewBytes   MetricKey = "view_bytes_s"      // of these, membership's, in both directions
+	ListBytes   MetricKey = "discovery_bytes_s" // of these, calls to discovery, in both directions
+	Descriptors MetricKey = "descriptors"       // open file descriptors
+	Goroutines  MetricKey = "goroutines"
+	Members     MetricKey = "members" // entries of the membership view
+	Servers     MetricKey = "servers" // entries of the endpoint list
 )
 
 // Latencies summarizes durations in ms, from an HDR histogram.
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -68,14 +68,14 @@
 
 // Source says which agents a metric was taken from.
 type Source struct {
-	Role        string
+	Role        Role
 	Corrected   bool   // hollow, divided by the ratio
 	Description string // for the tables
 	Ratio       Ratio
 	HasRatio    bool
 }
 
-// selectSource selects hollow or real agents for a day's metric: hollow where their ratio is near one,
+// selectSource selects hollow or real agents for a metric of some runs: hollow where their ratio is near one,
 // hollow divided by the ratio where it is stable over the sizes and its interval is no wider than
 // maxUsableRatio, else real.
 func selectSource(runs []*Run, m Metric) Source {
@@ -95,7 +95,7 @@
 		s.Role = RoleReal
 		s.Description = "real; no ratio to hollow"
 	case !hasRatio:
-		s.Description = "hollow, not held to real"
+		s.Description = "hollow, not compared with real"
 	case ratio.Mean >= minUsableRatio && ratio.Mean <= maxUsableRatio:
 		s.Description = "hollow"
 	case ratio.Stable && ratio.Interval.Hi/ratio.Interval.Lo <= maxUsableRatio:
@@ -108,6 +108,7 @@
 	return s
 }
 
+// allZero reports whether all values are 0.
 func allZero(points []Point) bool {
 	return !slices.ContainsFunc(points, func(p Point) bool { return p.Value != 0 })
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -6,7 +6,6 @@
 	"io"
 	"log"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -63,6 +62,7 @@
 	entry   endpoint.Endpoint
 }
 
+// newEndpointList returns an empty list with a view for each agent.
 func newEndpointList(e *Emulator) *endpointList {
 	l := &endpointList{emulator: e, agentViews: map[string]*agentView{}}
 	for i, agent := range e.config.Agents {
@@ -205,7 +205,7 @@
 
 // serveDiscovery opens an agent's discovery address.
 func (e *Emulator) serveDiscovery(agent, address string) error {
-	listener, err := net.Listen("tcp", address)
+	listener, err := listenTCP(address)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -7,8 +7,14 @@
 	"time"
 )
 
-// machineStream selects a machine's random numbers from its seed.
-const machineStream = 7
+const (
+	// machineStream selects a machine's random numbers from its seed.
+	machineStream = 7
+	// Arrivals vary, so a server in slow start bears overloadDeviations standard deviations of a Poisson count and
+	// overloadSpareRequests more than the contract's limit.
+	overloadDeviations    = 3
+	overloadSpareRequests = 3
+)
 
 // machine drives an engine in real time. It adds what a server has besides its cores: the cache of keys and the
 // overload of a server in slow start. Its methods are safe for concurrent use.
@@ -33,6 +39,7 @@
 	notified bool    // its agent had been notified of the server's start
 }
 
+// newMachine returns a machine that runs until stop.
 func newMachine(e *Emulator, model Model, started time.Duration, seed uint64) *machine {
 	m := &machine{
 		emulator:   e,
@@ -44,6 +51,7 @@
 	return m
 }
 
+// tick handles the engine's next event.
 func (m *machine) tick() { m.do(func(*engine) {}) }
 
 // do advances the engine to now, calls a function with it, and sets the timer to the next event.
@@ -59,6 +67,7 @@
 	}
 }
 
+// stop ends the machine's timer.
 func (m *machine) stop() { m.timer.Stop() }
 
 // admission is what a machine does with a request on arrival.
@@ -113,6 +122,7 @@
 	m.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
 }
 
+// cancel removes a job; its work stops.
 func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
 
 // setFault makes the machine slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
@@ -150,7 +160,7 @@
 		}
 	}
 	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
-	limit := expected + 3*math.Sqrt(expected) + 3
+	limit := expected + overloadDeviations*math.Sqrt(expected) + overloadSpareRequests
 	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
 	return total > limit, fromNotified > total*2/3
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -12,46 +12,26 @@
 // MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
 const MaxTimerDelay = 5 * time.Millisecond
 
-// maxDelayMicroseconds bounds the delays that a histogram can hold.
-const maxDelayMicroseconds = 60_000_000
-
-// Names of metrics; records and their readers know them by these texts. A fraction is one of the requested value.
 const (
-	MetricInTime         = "in time"
-	MetricLate           = "late"
-	MetricRejected       = "refused"
-	MetricFailed         = "failed"
-	MetricLatencyP50     = "latency p50 ms"
-	MetricLatencyP99     = "latency p99 ms"
-	MetricMeanSojourn    = "sojourn mean ms"
-	MetricMeanWork       = "work mean ms"
-	MetricTimerDelayP99  = "lab late p99 ms"
-	MetricCalls          = "requests"
-	MetricSlowStartLoad  = "cold load of its bound"
-	MetricSlowStartFails = "cold nodes fallen"
-
-	metricRequests       = "tries a request"
-	metricAttempts       = "attempts a request"
-	metricDiscoveryCalls = "list calls a request"
-	metricEntriesSent    = "list lines a request"
-	metricHandshakes     = "handshakes a request"
-	metricHealthChecks   = "probes a request"
-	perCall              = " a request" // after an attempt's outcome
+	// maxDelayMicroseconds bounds the delays that a histogram can hold.
+	maxDelayMicroseconds = 60_000_000
+	// delayDigits is how many significant digits of a delay a histogram keeps.
+	delayDigits = 3
 )
 
 // Result is what a run measured.
 type Result struct {
 	Seconds    []SecondTotals     `json:"Seconds"`
-	Metrics    map[string]float64 `json:"Figures"` // by name, which includes the unit
+	Metrics    map[Metric]float64 `json:"Figures"`
 	Servers    []ServerMetrics    `json:"Nodes"`
 	Violations []Violation        `json:"Broken"`
 	Errors     []string           `json:"Faults"` // of the harness itself: the run is not valid
 	Attempts   int                `json:"Attempts"`
 }
 
-// newDelayHistogram returns a histogram of delays in microseconds, with three significant digits.
+// newDelayHistogram returns a histogram of delays in microseconds.
 func newDelayHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxDelayMicroseconds, 3)
+	return hdrhistogram.New(1, maxDelayMicroseconds, delayDigits)
 }
 
 // recordDelay adds a delay to a histogram; below zero it counts as none.
@@ -59,9 +39,14 @@
 	_ = h.RecordValue(max(0, d.Microseconds())) // a delay beyond the histogram's range is left out
 }
 
+// percentile returns a percentile of the delays of a histogram.
+func percentile(h *hdrhistogram.Histogram, percent float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
+}
+
 // result collects the result of a run whose last call has ended.
 func (e *Emulator) result() *Result {
-	r := &Result{Metrics: map[string]float64{}}
+	r := &Result{Metrics: map[Metric]float64{}}
 	history := &History{}
 	e.collectCalls(r, history)
 	e.collectServers(r, history)
@@ -77,7 +62,7 @@
 	if delayP99 > MaxTimerDelay {
 		r.Errors = append(r.Errors, fmt.Sprintf("the harness was late by %v at the 99th percentile", delayP99))
 	}
-	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * 1000
+	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * millisecondsPerSecond
 	r.addFractions()
 	r.addPerCall(history, e.endpoints)
 	return r
@@ -96,11 +81,11 @@
 		history.Requests = append(history.Requests, &record)
 	}
 	r.Seconds = slices.Clone(c.seconds)
-	r.Metrics[MetricLatencyP50] = float64(c.latencies.ValueAtQuantile(50)) / 1000
-	r.Metrics[MetricLatencyP99] = float64(c.latencies.ValueAtQuantile(99)) / 1000
+	r.Metrics[MetricLatencyP50] = inMilliseconds(percentile(c.latencies, percentile50))
+	r.Metrics[MetricLatencyP99] = inMilliseconds(percentile(c.latencies, percentile99))
 	if served := float64(c.latencies.TotalCount()); served > 0 {
-		r.Metrics[MetricMeanSojourn] = 1000 * c.sojournSeconds / served
-		r.Metrics[MetricMeanWork] = 1000 * c.workSeconds / served
+		r.Metrics[MetricMeanSojourn] = millisecondsPerSecond * c.sojournSeconds / served
+		r.Metrics[MetricMeanWork] = millisecondsPerSecond * c.workSeconds / served
 	}
 }
 
@@ -158,18 +143,19 @@
 	r.Metrics[MetricCalls] = float64(calls)
 	r.Metrics[MetricSlowStartLoad] = slowStartLoad
 	r.Metrics[MetricSlowStartFails] = float64(len(history.Overloads))
-	counts := map[string]float64{
-		metricRequests:       float64(len(history.Requests)),
-		metricAttempts:       float64(r.Attempts),
-		metricDiscoveryCalls: float64(endpoints.calls.Load()),
-		metricEntriesSent:    float64(endpoints.entriesSent.Load()),
-		metricHandshakes:     handshakes,
-		metricHealthChecks:   healthChecks,
-	}
-	for _, outcome := range []Outcome{AttemptFailed, AttemptRejected, AttemptCancelled, AttemptBroken} {
-		counts[string(outcome)+perCall] = float64(outcomes[outcome])
+	counts := map[Metric]float64{
+		MetricRequests:          float64(len(history.Requests)),
+		MetricAttempts:          float64(r.Attempts),
+		MetricAttemptsFailed:    float64(outcomes[AttemptFailed]),
+		MetricAttemptsRejected:  float64(outcomes[AttemptRejected]),
+		MetricAttemptsCancelled: float64(outcomes[AttemptCancelled]),
+		MetricAttemptsBroken:    float64(outcomes[AttemptBroken]),
+		MetricHandshakes:        handshakes,
+		MetricHealthChecks:      healthChecks,
+		MetricDiscoveryCalls:    float64(endpoints.calls.Load()),
+		MetricEndpointsSent:     float64(endpoints.entriesSent.Load()),
 	}
-	for name, count := range counts {
-		r.Metrics[name] = count / max(1, float64(calls))
+	for metric, count := range counts {
+		r.Metrics[metric] = count / max(1, float64(calls))
 	}
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -17,7 +17,7 @@
 )
 
 // Scenario describes an experiment: a fleet, its traffic, faults on a timeline, and the arms. In TOML its keys are the
-// tags, times are texts such as "300ms", and what is left out is as in Default.
+// tags, times are texts such as "300ms", and what is left out is as in default.toml.
 type Scenario struct {
 	Name     string           `toml:"name"`
 	Length   time.Duration    `toml:"length"` // of the traffic
@@ -77,7 +77,7 @@
 // Fault is a fault that is injected at a time. How it uses the other keys depends on its kind; see FaultDescriptions.
 type Fault struct {
 	At           time.Duration `toml:"at"` // from the begin of the traffic
-	Kind         string        `toml:"kind"`
+	Kind         FaultKind     `toml:"kind"`
 	Duration     time.Duration `toml:"for"`
 	Share        float64       `toml:"share"`
 	Magnitude    float64       `toml:"size"`
@@ -92,8 +92,8 @@
 	Name string `toml:"name"`
 	// Commit is the commit whose agent is built and run; empty: the agent that Config names.
 	Commit string `toml:"commit"`
-	// Fleet gives the agents a membership section, with connections through a fault proxy.
-	Fleet bool `toml:"fleet"`
+	// Membership gives the agents a membership section, with connections through a fault proxy.
+	Membership bool `toml:"fleet"`
 	// Config is merged into the agents' configuration, key by key.
 	Config map[string]any `toml:"config"`
 }
@@ -128,7 +128,7 @@
 		return "traffic.try_share", notFraction
 	}
 	for _, fault := range s.Faults {
-		kind, known := faultKinds[fault.Kind]
+		effect, known := faultEffects[fault.Kind]
 		switch {
 		case !known:
 			return "trouble.kind", fmt.Errorf("there is no fault %q", fault.Kind)
@@ -138,7 +138,7 @@
 			return "trouble.size", notPositive
 		case fault.Share < 0 || fault.Share > 1:
 			return "trouble.share", notFraction
-		case kind.needsZone && !slices.Contains(s.Fleet.Zones, fault.Zone):
+		case effect.needsZone && !slices.Contains(s.Fleet.Zones, fault.Zone):
 			return "trouble.zone", fmt.Errorf("there is no zone %q", fault.Zone)
 		}
 	}
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -48,8 +48,8 @@
 func startedEvent(agent string) string { return "started " + agent }
 func endedEvent(agent string) string   { return "ended " + agent }
 
-// startHost starts a host process, with its log in a directory.
-func startHost(command []string, name, directory string, trackers trackers) (*hostProcess, error) {
+// startHost starts a host process, with its log in a directory. It runs until close, beyond the end of the context.
+func startHost(ctx context.Context, command []string, name, directory string, trackers trackers) (*hostProcess, error) {
 	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	h := &hostProcess{
 		name:     name,
-		cmd:      exec.Command(command[0], command[1:]...),
+		cmd:      exec.CommandContext(context.WithoutCancel(ctx), command[0], command[1:]...),
 		done:     make(chan struct{}),
 		trackers: trackers,
 		waiters:  map[string]chan error{},
@@ -97,6 +97,7 @@
 	}
 }
 
+// handleEvent records an event and ends the wait for it.
 func (h *hostProcess) handleEvent(event *HostEvent) {
 	var err error
 	if event.Err != "" {
@@ -178,6 +179,7 @@
 	}
 }
 
+// send writes a command to the host's standard input.
 func (h *hostProcess) send(c HostCommand) error {
 	text, err := json.Marshal(c)
 	if err != nil {
--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -10,19 +10,20 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What a process takes at most, from docs/capacity/scale.jsonl: the resident memory of a hollow agent, its
-// process divided by the agents in it, is 1.7 to 2.1 MB at 70 agents, 2.4 to 3.8 at 220 and 4.1 to 5.7 at
-// 420; of a real one 17.6, 27.7 and 29.6 MB; of a discovery instance 18.1, 20.7 and 24.6 MB.
+// What a process takes at most: its resident memory, by the size of its fleet, and its descriptors.
 const (
-	hollowMB          = 1.5
+	hollowMB          = 1.5  // a hollow agent's part of its process
 	hollowMBPerMember = 0.01 // for each member of its fleet
 	realMB            = 15.0
 	realMBPerMember   = 0.06
 	discoveryMB       = 40.0
-	// hollowDescriptors are the descriptors of a hollow agent: 10.2 on all days, and 26 that its membership
-	// may open while it joins (fleet.Sockets). hostDescriptors are those of its process.
+	// hollowDescriptors are the descriptors of a hollow agent, with those that its membership may open while it
+	// joins. hostDescriptors are those of its process.
 	hollowDescriptors = 40
 	hostDescriptors   = 32
+	// memoryDivisor is the number that the machine's memory is divided by: a fleet may take half.
+	memoryDivisor = 2
+	kbPerMB       = 1024
 	// maxProcesses is the number of processes that the project may run on a machine.
 	maxProcesses = 300
 )
@@ -34,6 +35,7 @@
 	descriptors  uint64 // of a process
 }
 
+// readMachineLimits reads what a fleet may take of this machine.
 func readMachineLimits() (machineLimits, error) {
 	total, err := totalMemoryMB()
 	if err != nil {
@@ -43,7 +45,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return machineLimits{}, err
 	}
-	return machineLimits{memoryMB: total / 2, freeMemoryMB: processtest.FreeMB(), descriptors: files.Cur}, nil
+	return machineLimits{memoryMB: total / memoryDivisor, freeMemoryMB: processtest.FreeMB(), descriptors: files.Cur}, nil
 }
 
 // CheckMachine returns an error if this machine can't run one of the plan's sizes: within half of its
@@ -101,7 +103,7 @@
 	for line := range strings.Lines(string(text)) {
 		var kb int
 		if _, err := fmt.Sscanf(line, "MemTotal: %d kB", &kb); err == nil {
-			return kb / 1024, nil
+			return kb / kbPerMB, nil
 		}
 	}
 	return 0, errors.New("/proc/meminfo: no MemTotal")
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -24,8 +24,12 @@
 	membershipPort = 19998
 )
 
-// seedFactor keeps the agents' seeds of different plan seeds apart.
-const seedFactor = 100_000
+const (
+	// seedFactor keeps the agents' seeds of different plan seeds apart.
+	seedFactor = 100_000
+	// agentConfigMode is the mode of a real agent's configuration file.
+	agentConfigMode = 0o600
+)
 
 // member is one agent of a fleet.
 type member struct {
@@ -41,8 +45,10 @@
 	busy    bool // being started or ended; guarded by fleet.mu
 }
 
+// hollow reports whether the member shares a host process.
 func (m *member) hollow() bool { return m.host != nil }
 
+// address is the member's address with a port.
 func (m *member) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
 // createMembers creates the members with their configurations. The first are hollow, and the first
@@ -105,7 +111,7 @@
 
 // deployment is the scenario whose settings the agents have.
 func deployment() *experiment.Scenario {
-	s := experiment.Site()
+	s := experiment.Default()
 	s.Fleet.Zones = zoneNames
 	return s
 }
@@ -132,7 +138,7 @@
 	if err != nil || m.hollow() {
 		return err
 	}
-	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, 0o600)
+	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, agentConfigMode)
 }
 
 // discoveryInstance is the instance that a member's "discovery" names: those of its region in turn.
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -14,7 +14,7 @@
 )
 
 // metricValues are values by the names of metrics in package capacity.
-type metricValues map[string]float64
+type metricValues map[capacity.MetricKey]float64
 
 // usage is what a process or an agent has taken: counters since its start, from which rates are made,
 // and gauges.
@@ -58,6 +58,7 @@
 	return addValues(counters, c.carried)
 }
 
+// addValues is the sum of two sets of values.
 func addValues(a, b metricValues) metricValues {
 	sum := metricValues{}
 	maps.Copy(sum, a)
@@ -106,7 +107,7 @@
 			continue
 		}
 		group.Go(func() error {
-			r, err := f.readInstance(name)
+			r, err := f.readInstance(ctx, name)
 			if err != nil {
 				return nil // the instance is missing from the sample then
 			}
@@ -223,20 +224,20 @@
 }
 
 // readInstance reads a discovery instance, with its processes that have ended.
-func (f *fleet) readInstance(name string) (reading, error) {
-	u, err := f.instanceUsage(name)
+func (f *fleet) readInstance(ctx context.Context, name string) (reading, error) {
+	u, err := f.instanceUsage(ctx, name)
 	u.counters = f.carries[name].sum(u.counters)
 	return reading{time.Now(), u}, err
 }
 
 // instanceUsage is the usage of a discovery instance's present process. Its admin endpoint is left out:
-// the runner's own requests are not part of the day.
-func (f *fleet) instanceUsage(name string) (usage, error) {
+// the runner's own requests are not part of the load.
+func (f *fleet) instanceUsage(ctx context.Context, name string) (usage, error) {
 	process, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
 		return usage{}, err
 	}
-	status, err := f.discovery.status(name)
+	status, err := f.discovery.status(ctx, name)
 	if err != nil {
 		return usage{}, err
 	}
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -16,22 +16,24 @@
 
 // The kinds of changes, in events of hosts and in records of runs.
 const (
-	kindList     = "list"
-	kindSettings = "settings"
+	kindList     = capacity.ChangeList
+	kindSettings = capacity.ChangeSettings
 )
 
 // changeKinds are both kinds.
-var changeKinds = []string{kindList, kindSettings}
+var changeKinds = []capacity.ChangeKind{kindList, kindSettings}
 
 // trackers has a tracker for each kind of change.
-type trackers map[string]*tracker
+type trackers map[capacity.ChangeKind]*tracker
 
+// newTrackers returns a tracker for each kind of change.
 func newTrackers() trackers {
 	ts := trackers{kindList: newTracker(), kindSettings: newTracker()}
 	ts[kindSettings].serviceOf = map[string]string{}
 	return ts
 }
 
+// forEach calls do for each tracker.
 func (ts trackers) forEach(do func(*tracker)) {
 	for _, t := range ts {
 		do(t)
@@ -51,6 +53,7 @@
 	pending      map[string]versionInForce // the last version of agents that are not known to run yet
 }
 
+// acknowledgedChange is a change that discovery has acknowledged.
 type acknowledgedChange struct {
 	service        string // the change is for its agents; "": for all
 	version        uint64
@@ -67,11 +70,13 @@
 	incomplete bool
 }
 
+// versionInForce is a version and when it came into force at an agent.
 type versionInForce struct {
 	version uint64
 	at      time.Time
 }
 
+// newTracker returns a tracker without agents and changes.
 func newTracker() *tracker {
 	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
 }
@@ -181,7 +186,7 @@
 func (t *tracker) latencies() (result capacity.Latencies, unknown int, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), 3)
+	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), histogramDigits)
 	now := time.Now()
 	for _, i := range t.incarnations {
 		for _, c := range t.changes {
@@ -213,8 +218,8 @@
 		return nil
 	}
 	const usPerMs = 1000
-	l.P50 = float64(histogram.ValueAtQuantile(50)) / usPerMs
-	l.P99 = float64(histogram.ValueAtQuantile(99)) / usPerMs
+	l.P50 = float64(histogram.ValueAtQuantile(percentile50)) / usPerMs
+	l.P99 = float64(histogram.ValueAtQuantile(percentile99)) / usPerMs
 	l.Max = float64(histogram.Max()) / usPerMs
 	text, err := histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	l.Histogram = string(text)
