--- a/internal/processtest/addresses_test.go
+++ b/internal/processtest/addresses_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/netip"
 	"testing"
 )
 
@@ -24,5 +25,8 @@
 			t.Errorf("%s and %s have one address %s", other, name, addr)
 		}
 		nameOf[addr] = name
+		if port := netip.MustParseAddrPort(addr).Port(); port < firstPort || port >= endPort {
+			t.Errorf("%s has %s, which the system may give out again", name, addr)
+		}
 	}
 }
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"net"
 	"sync"
+	"syscall"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/faultproxy"
@@ -52,39 +53,59 @@
 		return nil, errors.New("processtest: Binary, Dir and Names are all needed")
 	}
 	c := &Cluster{cfg: cfg, start: time.Now(), processes: map[string]*process{}, links: map[linkKey]*Link{}}
+	var reserved []net.Listener
+	var failure error
 	for _, name := range cfg.Names {
-		addrs, err := c.reserveAddrs(name)
-		if err != nil {
-			return nil, err
-		}
+		addrs, listeners, err := c.reserveAddrs(name)
+		reserved = append(reserved, listeners...)
 		c.processes[name] = &process{addrs: addrs}
+		failure = errors.Join(failure, err)
+	}
+	for _, listener := range reserved { // all are open until the last is drawn, so that none is drawn twice
+		failure = errors.Join(failure, listener.Close())
+	}
+	if failure != nil {
+		return nil, failure
 	}
 	return c, nil
 }
 
-// reserveAddrs draws the addresses of a process's listeners, by port name. Each start listens on them anew. All are
-// open until the last is drawn: the system may give out a port again that was closed.
-func (c *Cluster) reserveAddrs(name string) (map[string]string, error) {
+// reserveAddrs draws the addresses of a process's listeners, by port name, and listens on them until the listeners
+// are closed. Each start listens on them anew.
+func (c *Cluster) reserveAddrs(name string) (addrs map[string]string, listeners []net.Listener, err error) {
 	ip := drawIP()
 	if c.cfg.IP != nil {
 		ip = net.ParseIP(c.cfg.IP(name))
 	}
-	addrs := map[string]string{}
-	var listeners []net.Listener
-	var failure error
+	addrs = map[string]string{}
 	for _, port := range c.cfg.Ports {
-		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
+		listener, err := listenOnFreePort(ip)
 		if err != nil {
-			failure = err
-			break
+			return addrs, listeners, err
 		}
-		listeners = append(listeners, ln)
-		addrs[port] = ln.Addr().String()
+		listeners = append(listeners, listener)
+		addrs[port] = listener.Addr().String()
 	}
-	for _, ln := range listeners {
-		failure = errors.Join(failure, ln.Close())
+	return addrs, listeners, nil
+}
+
+// firstPort and endPort bound the ports of processes, below those that the system gives out by itself (from 32768 on):
+// none of these is taken while a process is down.
+const firstPort, endPort = 20_000, 32_000
+
+// maxPortDraws bounds the draws until a port is free.
+const maxPortDraws = 1000
+
+// listenOnFreePort listens on a port drawn from those of processes.
+func listenOnFreePort(ip net.IP) (net.Listener, error) {
+	for range maxPortDraws {
+		port := firstPort + rand.IntN(endPort-firstPort)
+		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port})
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
+			return ln, err
+		}
 	}
-	return addrs, failure
+	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
 }
 
 // drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
