--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -195,7 +195,7 @@
 		}
 	} else {
 		// Until a server is known clients are answered that there is none.
-		go a.serveClients(failed)
+		a.downstream.Start(failed)
 		firstListTimer = time.After(firstListTimeout)
 	}
 	usable := a.usable
@@ -211,7 +211,7 @@
 			// From a shared queue nothing is accepted before it can be served: the process that still serves
 			// accepts it.
 			if a.ln.Shared {
-				go a.serveClients(failed)
+				a.downstream.Start(failed)
 			}
 			a.downstream.SetServing()
 			usable = nil
@@ -234,11 +234,6 @@
 	}
 }
 
-// serveClients accepts clients until their listener is closed, and sends how that ended.
-func (a *Agent) serveClients(ended chan<- error) {
-	ended <- a.downstream.Serve()
-}
-
 // applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
 // says why they are not: ErrAgentStopping once nothing is applied any more.
 func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -35,7 +35,7 @@
 	server := New(t.Context(), cfg, ln, false, requests, func(bool) {})
 	server.SetServing()
 	served := make(chan error, 1)
-	go func() { served <- server.Serve() }()
+	server.Start(served)
 	t.Cleanup(func() {
 		server.Close()
 		<-served
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -135,9 +135,15 @@
 	s.classes.Store(classes)
 }
 
-// Serve accepts clients until the listener is closed.
-func (s *Server) Serve() error {
-	s.accepting.Add(1)
+// Start accepts clients in a goroutine of its own until the listener is closed, and sends how that ended on ended,
+// whose receiver may come late.
+func (s *Server) Start(ended chan<- error) {
+	s.accepting.Add(1) // before a shutdown can wait for it
+	go func() { ended <- s.serve() }()
+}
+
+// serve accepts clients until the listener is closed.
+func (s *Server) serve() error {
 	defer s.accepting.Done()
 	err := s.server.Serve(s.listener)
 	s.mu.Lock()
