--- a/internal/agent/agenttest/discovery.go
+++ b/internal/agent/agenttest/discovery.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -20,44 +20,46 @@
 // connNumberKey is the context key of the number of a call's connection.
 type connNumberKey struct{}
 
-// WatchCall is a call that a scripted discovery got: its index, and on which connection.
+// WatchCall is a call that a scripted discovery received: its index, and the number of its connection.
 type WatchCall struct {
 	Index string
 	Conn  int64
 }
 
-// ScriptedDiscovery answers the n-th call (from 0) as the script says; what it returns is the
-// body, and "" is no answer until the caller gives up.
+// ScriptedDiscovery answers the n-th call (from 0) with the body that the script returns; after "" it does not respond,
+// and waits until the caller gives up.
 func ScriptedDiscovery(t *testing.T, script func(n int, c WatchCall) string) (addr string, calls <-chan WatchCall) {
+	t.Helper()
 	var count, conns atomic.Int64
-	got := make(chan WatchCall, 1000)
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		c := WatchCall{req.URL.Query().Get("index"), req.Context().Value(connNumberKey{}).(int64)}
+	received := make(chan WatchCall, eventBuffer)
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		call := WatchCall{Index: req.URL.Query().Get("index"), Conn: req.Context().Value(connNumberKey{}).(int64)}
 		n := count.Add(1) - 1
-		got <- c
-		text := script(int(n), c)
-		if text == "" {
+		received <- call
+		body := script(int(n), call)
+		if body == "" {
 			<-req.Context().Done()
 			return
 		}
-		fmt.Fprint(w, text)
+		_, _ = io.WriteString(w, body)
 	}))
-	s.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
+	server.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
 		return context.WithValue(ctx, connNumberKey{}, conns.Add(1))
 	}
-	s.Start()
+	server.Start()
 	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
-	return s.Listener.Addr().String(), got
+	return server.Listener.Addr().String(), received
 }
 
+// NextCall waits for the next call of a scripted discovery.
 func NextCall(t *testing.T, calls <-chan WatchCall) WatchCall {
 	t.Helper()
 	select {
-	case c := <-calls:
-		return c
+	case call := <-calls:
+		return call
 	case <-time.After(Timeout):
 		t.Fatal("no call")
 		return WatchCall{}
@@ -73,14 +75,20 @@
 	down    bool
 	calls   int
 	wake    chan struct{}
-	asked   chan uint64 // the index of each watch call
+	watched chan uint64 // the index of each watch call
 }
 
-func NewDiscovery(t testing.TB, servers ...endpoint.Endpoint) *Discovery {
-	d := &Discovery{List: endpoint.List{Version: 1, Full: true, Servers: servers}, changed: map[string]uint64{},
-		wake: make(chan struct{}), asked: make(chan uint64, 1000)}
+// NewDiscovery starts a discovery whose list has version 1.
+func NewDiscovery(tb testing.TB, servers ...endpoint.Endpoint) *Discovery {
+	tb.Helper()
+	d := &Discovery{
+		List:    endpoint.List{Version: 1, Full: true, Servers: servers},
+		changed: map[string]uint64{},
+		wake:    make(chan struct{}),
+		watched: make(chan uint64, eventBuffer),
+	}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		d.CloseClientConnections()
 		d.Close()
 	})
@@ -96,77 +104,92 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	q := req.URL.Query()
-	if !q.Has("index") {
+	query := req.URL.Query()
+	if !query.Has("index") {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		json.NewEncoder(w).Encode(d.List)
+		writeList(w, &d.List)
 		return
 	}
-	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
-	wait, _ := strconv.Atoi(q.Get("wait"))
-	d.asked <- index
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	index, _ := strconv.ParseUint(query.Get("index"), 10, 64)
+	wait, _ := strconv.Atoi(query.Get("wait"))
+	d.watched <- index
+	d.serveWatch(req.Context(), w, index, time.Duration(wait)*time.Millisecond)
+}
+
+// serveWatch answers a watch call once there is a version above its index, or with no change after its wait.
+func (d *Discovery) serveWatch(ctx context.Context, w http.ResponseWriter, index uint64, wait time.Duration) {
+	timeout := time.After(wait)
 	for {
 		d.mu.Lock()
-		version, wake, down := d.List.Version, d.wake, d.down
-		delta := endpoint.List{Version: version}
-		if index == 0 { // all there is has changed since
-			delta = endpoint.List{Version: version, Full: true, Servers: slices.Clone(d.List.Servers)}
-		} else if version > index {
-			for _, s := range d.List.Servers {
-				if d.changed[s.ID] > index {
-					delta.Servers = append(delta.Servers, s)
-				}
-			}
-		}
+		delta, wake, down := d.changesSince(index), d.wake, d.down
 		d.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if version > index {
-			json.NewEncoder(w).Encode(delta)
+		if delta.Version > index {
+			writeList(w, &delta)
 			return
 		}
 		select {
 		case <-wake:
-		case <-over:
-			json.NewEncoder(w).Encode(endpoint.List{Version: version})
+		case <-timeout:
+			writeList(w, &endpoint.List{Version: delta.Version})
 			return
-		case <-req.Context().Done():
+		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// changesSince are the entries that changed after a version; after version 0 all of them did. The caller has mu.
+func (d *Discovery) changesSince(version uint64) endpoint.List {
+	if version == 0 {
+		return endpoint.List{Version: d.List.Version, Full: true, Servers: slices.Clone(d.List.Servers)}
+	}
+	delta := endpoint.List{Version: d.List.Version}
+	for _, entry := range d.List.Servers {
+		if d.changed[entry.ID] > version {
+			delta.Servers = append(delta.Servers, entry)
+		}
+	}
+	return delta
+}
+
+// writeList writes a list as the response to a call. A caller that has gone needs none.
+func writeList(w http.ResponseWriter, list *endpoint.List) { _ = json.NewEncoder(w).Encode(list) }
+
 // Set changes or adds an entry.
-func (d *Discovery) Set(s endpoint.Endpoint) {
+func (d *Discovery) Set(entry endpoint.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.List.Version++
-	d.changed[s.ID] = d.List.Version
-	found := false
-	for i := range d.List.Servers {
-		if d.List.Servers[i].ID == s.ID {
-			d.List.Servers[i], found = s, true
-		}
-	}
-	if !found {
-		d.List.Servers = append(d.List.Servers, s)
+	d.changed[entry.ID] = d.List.Version
+	hasID := func(listed endpoint.Endpoint) bool { return listed.ID == entry.ID }
+	if i := slices.IndexFunc(d.List.Servers, hasID); i >= 0 {
+		d.List.Servers[i] = entry
+	} else {
+		d.List.Servers = append(d.List.Servers, entry)
 	}
-	close(d.wake)
-	d.wake = make(chan struct{})
+	d.wakeWatches()
 }
 
+// SetDown sets whether every call fails, with a status of 503.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
+	d.wakeWatches()
+}
+
+// wakeWatches has the open watch calls look again. The caller has mu.
+func (d *Discovery) wakeWatches() {
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
+// CallCount is the number of calls so far.
 func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,30 +198,31 @@
 
 // WaitNotified changes an entry and returns once the agent has passed the change to its loop: the watch calls
 // again first and passes on then, so one more change is made and the call after that is waited for.
-func (d *Discovery) WaitNotified(t *testing.T, s endpoint.Endpoint) {
+func (d *Discovery) WaitNotified(t *testing.T, entry endpoint.Endpoint) {
 	t.Helper()
-	d.Set(s)
+	d.Set(entry)
 	d.WaitVersion(t, d.List.Version)
-	d.Set(s)
+	d.Set(entry)
 	d.WaitVersion(t, d.List.Version)
 }
 
 // WaitVersion waits for a watch call with an index of at least version.
 func (d *Discovery) WaitVersion(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(Timeout)
+	timeout := time.After(Timeout)
 	for {
 		select {
-		case index := <-d.asked:
+		case index := <-d.watched:
 			if index >= version {
 				return
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatalf("no watch call with index %d", version)
 		}
 	}
 }
 
+// Endpoint is the entry of a server that is ready.
 func Endpoint(id, addr string) endpoint.Endpoint {
-	return endpoint.Endpoint{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
+	return endpoint.Endpoint{ID: id, Addr: addr, Zone: "east", Kind: "big", State: endpoint.StateUp, Weight: 1}
 }
--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -13,6 +13,7 @@
 // SystemCall is a system call that a fault makes fail.
 type SystemCall string
 
+// The system calls that may fail. On the side of a listener CallConnect is the accept.
 const (
 	CallConnect SystemCall = "connect"
 	CallRead    SystemCall = "read"
@@ -38,11 +39,11 @@
 )
 
 // shortCall is how many of the available bytes a call moves.
-func shortCall(passed int64, atHand int) int {
+func shortCall(passed int64, available int) int {
 	if passed < singleBytes {
-		return min(1, atHand)
+		return min(1, available)
 	}
-	return min(shortPiece, atHand)
+	return min(shortPiece, available)
 }
 
 // faultyConn reads and writes a few bytes a call, the first ones one by one, until its fault.
@@ -60,41 +61,42 @@
 	return c.broken.Load()
 }
 
-func (c *faultyConn) Read(p []byte) (int, error) {
+func (c *faultyConn) Read(b []byte) (int, error) {
 	if c.fails(CallRead, c.read.Load()) {
 		return 0, c.fault.err()
 	}
-	n, err := c.TCPConn.Read(p[:shortCall(c.read.Load(), len(p))])
+	n, err := c.TCPConn.Read(b[:shortCall(c.read.Load(), len(b))])
 	c.read.Add(int64(n))
 	return n, err
 }
 
-func (c *faultyConn) Write(p []byte) (int, error) {
+func (c *faultyConn) Write(b []byte) (int, error) {
 	done := 0
-	for done < len(p) {
+	for done < len(b) {
 		passed := c.written.Load()
 		if c.fails(CallWrite, passed) {
 			return done, c.fault.err()
 		}
-		n, err := c.TCPConn.Write(p[done : done+shortCall(passed, len(p)-done)])
+		n, err := c.TCPConn.Write(b[done : done+shortCall(passed, len(b)-done)])
 		c.written.Add(int64(n))
 		done += n
 		if err != nil {
 			return done, err
 		}
 	}
-	return len(p), nil
+	return len(b), nil
 }
 
 // FaultPlan has the faults of the connections to come, in order; those after them have none.
 type FaultPlan struct {
 	mu     sync.Mutex
 	faults []CallFault
-	made   map[string]*faultyConn // by the peer's address
+	conns  map[string]*faultyConn // by the peer's address
 }
 
+// NewFaultPlan returns a plan of faults, one for each connection.
 func NewFaultPlan(faults []CallFault) *FaultPlan {
-	return &FaultPlan{faults: faults, made: map[string]*faultyConn{}}
+	return &FaultPlan{faults: faults, conns: map[string]*faultyConn{}}
 }
 
 func (p *FaultPlan) next() *CallFault {
@@ -103,38 +105,38 @@
 	if len(p.faults) == 0 {
 		return nil
 	}
-	f := p.faults[0]
+	fault := p.faults[0]
 	p.faults = p.faults[1:]
-	return &f
+	return &fault
 }
 
-func (p *FaultPlan) wrap(nc net.Conn, f *CallFault) net.Conn {
-	c := &faultyConn{TCPConn: nc.(*net.TCPConn), fault: f}
+func (p *FaultPlan) wrap(conn net.Conn, fault *CallFault) net.Conn {
+	faulty := &faultyConn{TCPConn: conn.(*net.TCPConn), fault: fault}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.made[nc.RemoteAddr().String()] = c
-	return c
+	p.conns[conn.RemoteAddr().String()] = faulty
+	return faulty
 }
 
 // Broke tells whether the connection of a peer has met its fault.
 func (p *FaultPlan) Broke(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.made[peer.String()]
-	return c != nil && c.broken.Load()
+	conn := p.conns[peer.String()]
+	return conn != nil && conn.broken.Load()
 }
 
-// Dial opens a connection to a server (dialFunc).
+// Dial opens a connection to a server, as a pool of connections has it opened.
 func (p *FaultPlan) Dial(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	f := p.next()
-	if f != nil && f.Call == CallConnect {
-		return nil, ConnectError(f.Errno)
+	fault := p.next()
+	if fault != nil && fault.Call == CallConnect {
+		return nil, ConnectError(fault.Errno)
 	}
-	nc, err := dialUntil(ctx, addr, until)
+	conn, err := dialUntil(ctx, addr, until)
 	if err != nil {
 		return nil, err
 	}
-	return p.wrap(nc, f), nil
+	return p.wrap(conn, fault), nil
 }
 
 // FaultyListener accepts clients by a plan.
@@ -143,16 +145,17 @@
 	Plan *FaultPlan
 }
 
+// Accept accepts a connection, which has the next fault of the plan.
 func (l FaultyListener) Accept() (net.Conn, error) {
-	f := l.Plan.next()
-	if f != nil && f.Call == CallConnect {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", f.Errno)}
+	fault := l.Plan.next()
+	if fault != nil && fault.Call == CallConnect {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", fault.Errno)}
 	}
-	nc, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.Plan.wrap(nc, f), nil
+	return l.Plan.wrap(conn, fault), nil
 }
 
 // LocalErrnos say at connect that this machine lacks a resource, ServerErrnos that the server fails.
@@ -167,6 +170,7 @@
 	}
 )
 
+// ConnectError is the error of a dial whose connect failed.
 func ConnectError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
--- a/internal/agent/agenttest/flaky_listener.go
+++ b/internal/agent/agenttest/flaky_listener.go
@@ -22,15 +22,17 @@
 	next int
 }
 
-func NewFlakyListener(t *testing.T) *flakyListener {
+// NewFlakyListener returns a listener whose every accept fails once with each of AcceptErrnos before it accepts.
+func NewFlakyListener(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &flakyListener{Listener: ln}
 }
 
+// Accept fails, or accepts once each of AcceptErrnos has been returned.
 func (l *flakyListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	i := l.next
--- a/internal/agent/agenttest/nodelay.go
+++ b/internal/agent/agenttest/nodelay.go
@@ -7,11 +7,11 @@
 )
 
 // HasNoDelay tells whether a connection sends small writes at once.
-func HasNoDelay(t testing.TB, nc net.Conn) bool {
-	t.Helper()
-	raw, err := nc.(*net.TCPConn).SyscallConn()
+func HasNoDelay(tb testing.TB, conn net.Conn) bool {
+	tb.Helper()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	set := false
 	err = raw.Control(func(fd uintptr) {
@@ -19,7 +19,7 @@
 		set = err == nil && value != 0
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return set
 }
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -3,16 +3,16 @@
 
 import (
 	"bufio"
+	"bytes"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"testing"
 )
 
-// Server reads requests off real sockets and lets a script answer them.
+// Server is a server of requests, whose responses a test scripts.
 type Server struct {
 	T    testing.TB
 	Ln   net.Listener
@@ -21,37 +21,45 @@
 	Answer func(c net.Conn, req *http.Request, n int) bool
 
 	Mu       sync.Mutex
-	heads    int // of requests, which may be incomplete
-	Arrivals int
-	conns    int // open now
-	Most     int
+	started  int           // requests that have begun to arrive
+	Arrivals int           // complete requests
+	conns    int           // open now
+	Most     int           // the most connections that were open at a time
 	Ended    chan struct{} // a value for each connection that the agent closed
 }
 
-func NewServer(t testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *Server {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewServer starts a server.
+func NewServer(tb testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *Server {
+	tb.Helper()
+	ln, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	b := &Server{T: t, Ln: ln, Addr: ln.Addr().String(), Answer: answer, Ended: make(chan struct{}, 1000)}
-	t.Cleanup(func() { ln.Close() })
-	go b.Accept()
-	return b
+	s := &Server{
+		T:      tb,
+		Ln:     ln,
+		Addr:   ln.Addr().String(),
+		Answer: answer,
+		Ended:  make(chan struct{}, eventBuffer),
+	}
+	tb.Cleanup(func() { _ = ln.Close() })
+	go s.Accept()
+	return s
 }
 
 // Accept serves connections until the listener is closed.
 func (s *Server) Accept() {
 	for {
-		c, err := s.Ln.Accept()
+		conn, err := s.Ln.Accept()
 		if err != nil {
 			return
 		}
-		go s.serve(c)
+		go s.serve(conn)
 	}
 }
 
-func (s *Server) serve(c net.Conn) {
-	defer c.Close()
+func (s *Server) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
 	s.Mu.Lock()
 	s.conns++
 	s.Most = max(s.Most, s.conns)
@@ -62,41 +70,42 @@
 		s.Mu.Unlock()
 		s.Ended <- struct{}{}
 	}()
-	br := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(br)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		s.Mu.Lock()
-		s.heads++
+		s.started++
 		s.Mu.Unlock()
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		req.Body = io.NopCloser(strings.NewReader(string(body)))
+		req.Body = io.NopCloser(bytes.NewReader(body))
 		s.Mu.Lock()
 		n := s.Arrivals
 		s.Arrivals++
 		s.Mu.Unlock()
-		if !s.Answer(c, req, n) {
+		if !s.Answer(conn, req, n) {
 			return
 		}
 	}
 }
 
+// Count counts the complete requests.
 func (s *Server) Count() int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return s.Arrivals
 }
 
-// Forget sets the counts of requests back.
+// Forget resets the counts of requests.
 func (s *Server) Forget() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.heads = 0
+	s.started = 0
 	s.Arrivals = 0
 }
 
@@ -104,23 +113,24 @@
 func (s *Server) StartedCount() int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	return s.heads
+	return s.started
 }
 
-// SendResponse writes a response as it is.
+// SendResponse writes a response; header is lines, each with its end.
 func SendResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
-// RespondOK answers every request with its own path and body.
+// RespondOK answers a request with its method, path and body.
 func RespondOK(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return SendResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
+	text := req.Method + " " + req.URL.RequestURI() + " " + string(body)
+	return SendResponse(c, http.StatusOK, "Server-Load: qps=3,util=0.5,eps=0\r\n", text)
 }
 
-// ResetConn ends a connection with RST.
+// ResetConn makes the close of a connection a reset; it returns false, as the end of an Answer.
 func ResetConn(c net.Conn) bool {
-	c.(*net.TCPConn).SetLinger(0)
+	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -21,14 +21,16 @@
 
 	mu       sync.Mutex
 	version  uint64
-	Settings *endpoint.Settings
-	Stubborn bool // it tells its settings whatever the call has
-	Down     bool
+	Settings *endpoint.Settings // nil: it has none
+	Stubborn bool               // it sends its settings whatever version the call has
+	Down     bool               // every call fails
 	wake     chan struct{}
 }
 
+// NewSettingsDiscovery starts an instance whose list is empty and has a version.
 func NewSettingsDiscovery(t *testing.T, version uint64) *SettingsDiscovery {
-	d := &SettingsDiscovery{version: version, Calls: make(chan url.Values, 1000), wake: make(chan struct{})}
+	t.Helper()
+	d := &SettingsDiscovery{version: version, Calls: make(chan url.Values, eventBuffer), wake: make(chan struct{})}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -37,46 +39,69 @@
 	return d
 }
 
+// Addr is the address of the instance.
 func (d *SettingsDiscovery) Addr() string { return d.Listener.Addr().String() }
 
 func (d *SettingsDiscovery) serve(w http.ResponseWriter, req *http.Request) {
-	q := req.URL.Query()
-	d.Calls <- q
-	num := func(key string) uint64 { n, _ := strconv.ParseUint(q.Get(key), 10, 64); return n }
-	over := time.After(time.Duration(num("wait")) * time.Millisecond)
-	for last := false; ; {
+	query := req.URL.Query()
+	d.Calls <- query
+	wait := time.Duration(number(query, "wait")) * time.Millisecond
+	timeout := time.After(wait)
+	for timedOut := false; ; {
 		d.mu.Lock()
-		l, wake, down := endpoint.List{Version: d.version, Full: num("index") == 0, Servers: []endpoint.Endpoint{}}, d.wake, d.Down
-		if s := d.Settings; s != nil && q.Get("service") == s.Service && (d.Stubborn || s.Version > max(num("in_force"), num("refused"))) {
-			l.Settings = s
-		}
+		list, wake, down := d.response(query), d.wake, d.Down
 		d.mu.Unlock()
 		switch {
 		case down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case l.Settings != nil || l.Full || last:
-			json.NewEncoder(w).Encode(l)
+		case list.Settings != nil || list.Full || timedOut:
+			writeList(w, &list)
 			return
 		}
 		select {
 		case <-wake:
-		case <-over:
-			last = true
+		case <-timeout:
+			timedOut = true
 		case <-req.Context().Done():
 			return
 		}
 	}
 }
 
-func (d *SettingsDiscovery) Change(f func()) {
+// response is the list for a call, with the settings if the call needs them. The caller has mu.
+func (d *SettingsDiscovery) response(query url.Values) endpoint.List {
+	list := endpoint.List{
+		Version: d.version,
+		Full:    number(query, "index") == 0,
+		Servers: []endpoint.Endpoint{},
+	}
+	if d.Settings == nil || query.Get("service") != d.Settings.Service {
+		return list
+	}
+	known := max(number(query, "in_force"), number(query, "refused"))
+	if d.Stubborn || d.Settings.Version > known {
+		list.Settings = d.Settings
+	}
+	return list
+}
+
+// number is the number of a query's key; 0: it has none.
+func number(query url.Values, key string) uint64 {
+	value, _ := strconv.ParseUint(query.Get(key), 10, 64)
+	return value
+}
+
+// Change calls a function that changes the instance, and has the open calls look again.
+func (d *SettingsDiscovery) Change(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f()
+	change()
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
+// Publish has settings of a version sent.
 func (d *SettingsDiscovery) Publish(version uint64, value string) {
 	d.Change(func() {
 		d.Settings = &endpoint.Settings{Service: "pay", Version: version, Value: json.RawMessage(value)}
@@ -84,23 +109,25 @@
 }
 
 // waitCall waits for a call that satisfies a condition.
-func (d *SettingsDiscovery) waitCall(t *testing.T, what string, is func(url.Values) bool) url.Values {
+func (d *SettingsDiscovery) waitCall(t *testing.T, what string, matches func(url.Values) bool) url.Values {
 	t.Helper()
-	for over := time.After(Timeout); ; {
+	timeout := time.After(Timeout)
+	for {
 		select {
-		case q := <-d.Calls:
-			if is(q) {
-				return q
+		case query := <-d.Calls:
+			if matches(query) {
+				return query
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatal("no call with ", what)
 		}
 	}
 }
 
+// WaitCallWith waits for a call whose key has a value.
 func (d *SettingsDiscovery) WaitCallWith(t *testing.T, key, value string) url.Values {
 	t.Helper()
-	return d.waitCall(t, key+"="+value, func(q url.Values) bool { return q.Get(key) == value })
+	return d.waitCall(t, key+"="+value, func(query url.Values) bool { return query.Get(key) == value })
 }
 
 // Drain forgets the calls so far.
