--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -49,7 +49,7 @@
 	if r.mayHaveRun == 0 {
 		r.firstSentAt = now
 	}
-	r.sendingBody = r.client.Streamed != nil
+	r.sendingBody = r.incoming.Streamed != nil
 	r.inFlight++
 	r.mayHaveRun++
 	server.inFlight++
@@ -58,14 +58,14 @@
 
 // mayForward says why an attempt must not be started; nil allows it.
 func (l *Loop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
-	if !r.answered && r.client.Context.Err() != nil {
+	if !r.answered && r.incoming.Context.Err() != nil {
 		// The downstream server's notification of it is on its way.
 		l.closeAsGone(r)
 		return upstream.ErrClientGone
 	}
 	err := checkRules(r, server, now, deadline)
 	if err != nil {
-		l.logViolation(err, "id", r.client.ID)
+		l.logViolation(err, "id", r.incoming.ID)
 	}
 	return err
 }
@@ -90,7 +90,7 @@
 // drop duplicates only within a window. The connect may take long, so the policy's own check is not enough, and
 // what is written needs a round trip to arrive. Zero: there is no limit.
 func (l *Loop) retryDeadline(r *request) time.Time {
-	rules := r.client.Rules
+	rules := r.incoming.Rules
 	if r.mayHaveRun == 0 || rules.Idempotency != balancer.IdempotentByKey {
 		return time.Time{}
 	}
@@ -100,18 +100,18 @@
 // runAttempt runs an attempt in a goroutine of its own, which posts its end. The attempt is cancelled both by
 // the loop and by the end of the client's connection.
 func (l *Loop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
-	client := r.client
+	incoming := r.incoming
 	current := r.attempts[index]
 	server := current.server
 	addr := server.addr
-	ctx, cancel := context.WithCancel(client.Context)
+	ctx, cancel := context.WithCancel(incoming.Context)
 	current.cancel = cancel
 	message := &upstream.Message{
-		NewRequest:   func(left time.Duration) *http.Request { return upstream.NewRequest(client, left) },
-		Streamed:     client.Streamed,
-		ClientGone:   client.ClientGone,
+		NewRequest:   func(left time.Duration) *http.Request { return upstream.NewRequest(incoming, left) },
+		Streamed:     incoming.Streamed,
+		ClientGone:   incoming.ClientGone,
 		SendBy:       sendBy,
-		ResponseTime: client.Timeout - r.backstopMargin(),
+		ResponseTime: incoming.Timeout - r.backstopMargin(),
 		OnSent:       func() { l.Post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
@@ -161,7 +161,7 @@
 		Status:       result.Status,
 		LatencyMs:    result.LatencyMs,
 		RequestDone:  r.answered,
-		BodyConsumed: r.client.Streamed.IsConsumed(),
+		BodyConsumed: r.incoming.Streamed.IsConsumed(),
 	})
 	l.requests.forgetFinished(r)
 	l.endpoints.forget(ended.server)
@@ -173,7 +173,7 @@
 	switch {
 	case r.answered:
 		result.Body.Release()
-	case result.Status != balancer.StatusOK && r.client.Context.Err() != nil:
+	case result.Status != balancer.StatusOK && r.incoming.Context.Err() != nil:
 		// The downstream server's notification of it is on its way.
 		l.clientLeft(r)
 	case result.Status == balancer.StatusOK:
--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -10,10 +10,10 @@
 // Loop is the Dispatcher of the downstream server: each method posts its work to the loop.
 
 // Dispatch gives a client's request to the policy.
-func (l *Loop) Dispatch(c *message.Request) { l.Post(func() { l.startRequest(c) }) }
+func (l *Loop) Dispatch(incoming *message.Request) { l.Post(func() { l.startRequest(incoming) }) }
 
 // Abandon ends a request whose client no longer waits for the response.
-func (l *Loop) Abandon(c *message.Request) { l.Post(func() { l.discardResponse(c) }) }
+func (l *Loop) Abandon(incoming *message.Request) { l.Post(func() { l.discardResponse(incoming) }) }
 
 // CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
 func (l *Loop) CancelStreaming() { l.Post(l.cancelSending) }
@@ -38,8 +38,8 @@
 }
 
 // ResponseAborted counts and logs a response that was begun and not passed on completely.
-func (l *Loop) ResponseAborted(c *message.Request, fromServer, toClient error) {
-	l.Post(func() { l.logAborted(c, fromServer, toClient) })
+func (l *Loop) ResponseAborted(incoming *message.Request, fromServer, toClient error) {
+	l.Post(func() { l.logAborted(incoming, fromServer, toClient) })
 }
 
 // MembershipChanged logs a new membership view. No decision rests on it.
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -47,25 +47,25 @@
 // findOrAdd finds or makes the entry of an id. The policy's address comes from the id and not from the network
 // address: network addresses differ from one agent to the next, and the agents must agree on the order of
 // servers for a key without communicating.
-func (t *endpointList) findOrAdd(id string) *listedServer {
-	if server := t.byID[id]; server != nil {
+func (l *endpointList) findOrAdd(id string) *listedServer {
+	if server := l.byID[id]; server != nil {
 		return server
 	}
-	server := &listedServer{id: id, policyAddr: t.freePolicyAddr(id)}
-	t.byID[id] = server
-	t.byAddr[server.policyAddr] = server
+	server := &listedServer{id: id, policyAddr: l.freePolicyAddr(id)}
+	l.byID[id] = server
+	l.byAddr[server.policyAddr] = server
 	return server
 }
 
 // freePolicyAddr is the hash of an id, or the next free address where another id has the same hash.
-func (t *endpointList) freePolicyAddr(id string) balancer.Addr {
+func (l *endpointList) freePolicyAddr(id string) balancer.Addr {
 	hash := keyhash.Sum(id)
 	for {
 		var addr balancer.Addr
 		for i := range addr {
 			addr[i] = byte(hash >> (bitsPerByte * i))
 		}
-		if t.byAddr[addr] == nil {
+		if l.byAddr[addr] == nil {
 			return addr
 		}
 		hash++
@@ -81,29 +81,29 @@
 
 // apply takes a list over and returns what it changed. started gives the start time of a server's process on
 // the clock of the policy's events.
-func (t *endpointList) apply(list *endpoint.List, full bool, started func(*endpoint.Endpoint) float64) listChanges {
+func (l *endpointList) apply(list *endpoint.List, full bool, started func(*endpoint.Endpoint) float64) listChanges {
 	var changes listChanges
 	listed := make(map[string]bool, len(list.Servers))
 	for i := range list.Servers {
-		target := &list.Servers[i]
-		if target.ID == "" {
+		entry := &list.Servers[i]
+		if entry.ID == "" {
 			continue
 		}
-		listed[target.ID] = true
-		t.applyTarget(target, started(target), &changes)
+		listed[entry.ID] = true
+		l.applyEntry(entry, started(entry), &changes)
 	}
 	if full {
-		t.removeUnlisted(listed, &changes)
+		l.removeUnlisted(listed, &changes)
 	}
 	return changes
 }
 
-func (t *endpointList) applyTarget(target *endpoint.Endpoint, startedMs float64, changes *listChanges) {
-	server := t.findOrAdd(target.ID)
-	state := endpointState(target.State)
-	if target.Addr != "" && server.addr != target.Addr {
+func (l *endpointList) applyEntry(entry *endpoint.Endpoint, startedMs float64, changes *listChanges) {
+	server := l.findOrAdd(entry.ID)
+	state := endpointState(entry.State)
+	if entry.Addr != "" && server.addr != entry.Addr {
 		changes.staleAddrs = append(changes.staleAddrs, server.addr)
-		server.addr = target.Addr
+		server.addr = entry.Addr
 	}
 	server.SetAvailable(state == balancer.Ready)
 	if state != balancer.Ready {
@@ -115,18 +115,18 @@
 	}
 	changes.endpoints = append(changes.endpoints, balancer.Endpoint{
 		Server:    server.policyAddr,
-		Zone:      numberOf(t.zones, target.Zone),
-		Kind:      numberOf(t.kinds, target.Kind),
-		Cell:      target.Cell,
+		Zone:      numberOf(l.zones, entry.Zone),
+		Kind:      numberOf(l.kinds, entry.Kind),
+		Cell:      entry.Cell,
 		StartedMs: startedMs,
-		Weight:    target.Weight,
+		Weight:    entry.Weight,
 		State:     state,
 	})
 }
 
 // removeUnlisted removes the servers that a full list lacks. The policy sees that by itself.
-func (t *endpointList) removeUnlisted(listed map[string]bool, changes *listChanges) {
-	for id, server := range t.byID {
+func (l *endpointList) removeUnlisted(listed map[string]bool, changes *listChanges) {
+	for id, server := range l.byID {
 		if listed[id] {
 			continue
 		}
@@ -159,16 +159,16 @@
 }
 
 // forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
-func (t *endpointList) forget(server *listedServer) {
-	if server.removed && server.inFlight == 0 && t.byID[server.id] == server {
-		delete(t.byID, server.id)
-		delete(t.byAddr, server.policyAddr)
+func (l *endpointList) forget(server *listedServer) {
+	if server.removed && server.inFlight == 0 && l.byID[server.id] == server {
+		delete(l.byID, server.id)
+		delete(l.byAddr, server.policyAddr)
 	}
 }
 
 // hasReady tells whether any server may be sent requests.
-func (t *endpointList) hasReady() bool {
-	for _, server := range t.byID {
+func (l *endpointList) hasReady() bool {
+	for _, server := range l.byID {
 		if server.IsAvailable() {
 			return true
 		}
--- a/internal/agent/dispatch/event_clock.go
+++ b/internal/agent/dispatch/event_clock.go
@@ -14,8 +14,8 @@
 	origin time.Duration // the monotonic time of baseMs
 }
 
-func newEventClock(c clock.Clock) *eventClock {
-	return &eventClock{Clock: c, baseMs: clock.UnixMilliseconds(c.Wall()), origin: c.Monotonic()}
+func newEventClock(machine clock.Clock) *eventClock {
+	return &eventClock{Clock: machine, baseMs: clock.UnixMilliseconds(machine.Wall()), origin: machine.Monotonic()}
 }
 
 // fromMonotonic is the event time of a moment of the monotonic clock, in ms.
--- a/internal/agent/dispatch/line_logger.go
+++ b/internal/agent/dispatch/line_logger.go
@@ -32,35 +32,35 @@
 }
 
 // allow bounds the lines per second and counts those that the bound drops.
-func (g *lineLogger) allow() bool {
-	if g.limit.Allow() {
+func (l *lineLogger) allow() bool {
+	if l.limit.Allow() {
 		return true
 	}
-	g.dropped++
+	l.dropped++
 	return false
 }
 
 // limited writes a line unless the bound of lines per second drops it.
-func (g *lineLogger) limited(level slog.Level, text string, args ...any) {
-	if g.allow() {
-		g.always(level, text, args...)
+func (l *lineLogger) limited(level slog.Level, text string, args ...any) {
+	if l.allow() {
+		l.always(level, text, args...)
 	}
 }
 
 // always writes a line whatever the bound; it is dropped where the buffer is full.
-func (g *lineLogger) always(level slog.Level, text string, args ...any) {
+func (l *lineLogger) always(level slog.Level, text string, args ...any) {
 	select {
-	case g.lines <- func(ctx context.Context) { g.logger.Log(ctx, level, text, args...) }:
+	case l.lines <- func(ctx context.Context) { l.logger.Log(ctx, level, text, args...) }:
 	default:
-		g.dropped++
+		l.dropped++
 	}
 }
 
 // write writes the lines until ctx ends.
-func (g *lineLogger) write(ctx context.Context) {
+func (l *lineLogger) write(ctx context.Context) {
 	for {
 		select {
-		case line := <-g.lines:
+		case line := <-l.lines:
 			line(ctx)
 		case <-ctx.Done():
 			return
--- a/internal/agent/dispatch/log.go
+++ b/internal/agent/dispatch/log.go
@@ -21,13 +21,14 @@
 	if !l.lines.allow() {
 		return
 	}
-	c := r.client
+	incoming := r.incoming
 	var attempts strings.Builder
 	for _, a := range r.attempts {
-		attempts.WriteString(a.describe(c.ArrivedAt))
+		attempts.WriteString(a.describe(incoming.ArrivedAt))
 	}
-	l.lines.always(slog.LevelInfo, "request "+outcome, "id", c.ID, "class", c.Rules.Name, "retry", c.Retry,
-		"after_ms", time.Since(c.ArrivedAt).Milliseconds(), "timeout_ms", c.Deadline.Sub(c.ArrivedAt).Milliseconds(),
+	l.lines.always(slog.LevelInfo, "request "+outcome, "id", incoming.ID, "class", incoming.Rules.Name,
+		"retry", incoming.Retry, "after_ms", time.Since(incoming.ArrivedAt).Milliseconds(),
+		"timeout_ms", incoming.Deadline.Sub(incoming.ArrivedAt).Milliseconds(),
 		"open", l.requests.unanswered, "attempts", attempts.String())
 }
 
@@ -48,10 +49,10 @@
 }
 
 // logAborted counts and logs a response that was begun and not passed on completely.
-func (l *Loop) logAborted(c *message.Request, fromServer, toClient error) {
+func (l *Loop) logAborted(incoming *message.Request, fromServer, toClient error) {
 	l.metrics.aborted++
-	l.lines.limited(slog.LevelWarn, "response aborted", "id", c.ID, "after_ms", time.Since(c.ArrivedAt).Milliseconds(),
-		"server_err", fromServer, "client_err", toClient)
+	l.lines.limited(slog.LevelWarn, "response aborted", "id", incoming.ID,
+		"after_ms", time.Since(incoming.ArrivedAt).Milliseconds(), "server_err", fromServer, "client_err", toClient)
 }
 
 // Log writes a line from any goroutine, whatever the bound of lines per second.
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -22,12 +22,12 @@
 const (
 	// idleSweepInterval is how often connections that have been idle for too long are closed.
 	idleSweepInterval = time.Second
-	// inboxSize is the number of functions that may wait for the event loop before post blocks.
+	// inboxSize is the number of functions that may wait for the event loop before Post blocks.
 	inboxSize = 4096
 )
 
 // Loop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
-// reaches it through post. It never blocks: whatever may wait runs in a goroutine of its own.
+// reaches it through Post. It never blocks: whatever may wait runs in a goroutine of its own.
 type Loop struct {
 	cfg *config.Config
 	//nolint:containedctx // whoever posts must not wait for a loop that has ended
@@ -67,7 +67,7 @@
 	settingsVersion      atomic.Uint64
 }
 
-// New makes the loop of an agent; run starts it, and it ends with ctx. It calls onUsable each time that a
+// New makes the loop of an agent; Run starts it, and it ends with ctx. It calls onUsable each time that a
 // list with a ready server is in force, and apply with settings of the discovery service. An error says which
 // setting the policy can't use.
 func New(
@@ -101,9 +101,9 @@
 }
 
 // Post hands the loop a function to run. It may wait, so the loop itself never calls it.
-func (l *Loop) Post(f func()) {
+func (l *Loop) Post(task func()) {
 	select {
-	case l.inbox <- f:
+	case l.inbox <- task:
 	case <-l.ctx.Done():
 	}
 }
@@ -121,8 +121,8 @@
 	defer metricsTicker.Stop()
 	for {
 		select {
-		case f := <-l.inbox:
-			f()
+		case task := <-l.inbox:
+			task()
 			l.handlePending()
 		case <-sweepTicker.C:
 			l.pool.CloseExpired()
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -19,10 +19,10 @@
 	maxPolicyMargin, policyTimeLeftPart = 8 * time.Millisecond, 8
 )
 
-// request is a Request in the event loop, until it has a final response and no attempt is in flight.
+// request is a client's request in the event loop, until it has a final response and no attempt is in flight.
 type request struct {
 	id          balancer.RequestID
-	client      *message.Request
+	incoming    *message.Request
 	answered    bool
 	attempts    []*attempt
 	sendingBody bool      // a streamed body is on its way to a server: the request's time has not begun
@@ -35,26 +35,26 @@
 
 // backstopMargin is the margin of the backstop: less than maxBackstopMargin where the client gives little time.
 func (r *request) backstopMargin() time.Duration {
-	return min(maxBackstopMargin, r.client.Timeout/backstopTimeoutPart)
+	return min(maxBackstopMargin, r.incoming.Timeout/backstopTimeoutPart)
 }
 
 // respondBy is when the backstop responds; no attempt continues after it.
 func (r *request) respondBy() time.Time {
-	return r.client.Deadline.Add(-r.backstopMargin())
+	return r.incoming.Deadline.Add(-r.backstopMargin())
 }
 
 // policyTimeLeftMs is the time left that the policy is given, in ms.
 func (r *request) policyTimeLeftMs() float64 {
-	left := time.Until(r.client.Deadline)
+	left := time.Until(r.incoming.Deadline)
 	left -= min(maxPolicyMargin, left/policyTimeLeftPart)
 	return clock.Milliseconds(left)
 }
 
 // startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
 // the simulator, where such requests never reach the instance.
-func (l *Loop) startRequest(c *message.Request) {
+func (l *Loop) startRequest(incoming *message.Request) {
 	l.metrics.Requests++
-	r := l.requests.open(c)
+	r := l.requests.open(incoming)
 	maxOpen := l.cfg.Settings.Limits.MaxOpenRequests
 	tooMany := maxOpen > 0 && l.requests.unanswered > maxOpen
 	if time.Until(r.respondBy()) <= 0 || tooMany {
@@ -68,11 +68,11 @@
 	l.handle(&balancer.Event{
 		Kind:         balancer.EventRequest,
 		Request:      r.id,
-		Rules:        c.Rules,
-		Key:          c.Key,
+		Rules:        incoming.Rules,
+		Key:          incoming.Key,
 		RemainingMs:  r.policyTimeLeftMs(),
-		Retry:        c.Retry,
-		StreamedBody: c.Streamed != nil,
+		Retry:        incoming.Retry,
+		StreamedBody: incoming.Streamed != nil,
 	})
 }
 
@@ -83,9 +83,9 @@
 	if r.answered {
 		return
 	}
-	c := r.client
-	c.Deadline = c.Streamed.RespondBy(c.Timeout)
-	c.ArrivedAt = c.Deadline.Add(-c.Timeout)
+	incoming := r.incoming
+	incoming.Deadline = incoming.Streamed.RespondBy(incoming.Timeout)
+	incoming.ArrivedAt = incoming.Deadline.Add(-incoming.Timeout)
 	r.backstop.Reset(time.Until(r.respondBy()))
 	l.handle(&balancer.Event{
 		Kind:        balancer.EventRequestSent,
@@ -102,7 +102,7 @@
 		return
 	}
 	l.metrics.Backstops++
-	l.lines.limited(slog.LevelWarn, "backstop ended a request", "id", r.client.ID, "attempts", len(r.attempts),
+	l.lines.limited(slog.LevelWarn, "backstop ended a request", "id", r.incoming.ID, "attempts", len(r.attempts),
 		"in_flight", r.inFlight, "late_ms", clock.MillisecondsSince(r.respondBy()))
 	l.finish(r, message.Response{Kind: message.Failed, TimedOut: true})
 	l.cancelRequest(r)
@@ -110,12 +110,12 @@
 
 // discardResponse ends a request whose client no longer waits for the response. One that is not in flight any
 // more has its response.
-func (l *Loop) discardResponse(c *message.Request) {
-	if r := l.requests.byID[c.DispatchID]; r != nil {
+func (l *Loop) discardResponse(incoming *message.Request) {
+	if r := l.requests.byID[incoming.DispatchID]; r != nil {
 		l.clientLeft(r)
 	}
 	select {
-	case response := <-c.Response:
+	case response := <-incoming.Response:
 		response.Body.Release()
 	default:
 	}
@@ -174,8 +174,8 @@
 // reject responds that a retry is harmless. Where an attempt may have executed that makes a retry harmful, the
 // request fails instead.
 func (l *Loop) reject(r *request, retryAfterMs float64) {
-	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.client.Rules) {
-		l.logViolation(errUnsafeRejection, "id", r.client.ID)
+	if r.mayHaveRun > 0 && !safeToRepeatAnywhere(r.incoming.Rules) {
+		l.logViolation(errUnsafeRejection, "id", r.incoming.ID)
 		l.finish(r, message.Response{Kind: message.Failed})
 		return
 	}
@@ -188,7 +188,7 @@
 		return
 	}
 	l.countResponse(r, response.Kind)
-	r.client.Response <- response
+	r.incoming.Response <- response
 	l.closeRequest(r)
 }
 
@@ -196,7 +196,7 @@
 func (l *Loop) countResponse(r *request, kind message.ResponseKind) {
 	switch kind {
 	case message.Served:
-		if time.Since(r.client.ArrivedAt) <= clock.FromMilliseconds(r.client.Rules.LatencyObjectiveMs) {
+		if time.Since(r.incoming.ArrivedAt) <= clock.FromMilliseconds(r.incoming.Rules.LatencyObjectiveMs) {
 			l.metrics.Served++
 			return
 		}
--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -22,7 +22,7 @@
 
 // checkRules says which rule an attempt would break, whatever the policy decided; nil allows the attempt.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
-	rules := r.client.Rules
+	rules := r.incoming.Rules
 	switch {
 	case r.answered:
 		return errRequestFinished
@@ -34,7 +34,7 @@
 		return errAttemptInFlight
 	case len(r.attempts) > rules.MaxAttempts:
 		return errTooManyAttempts
-	case r.client.Streamed.IsConsumed():
+	case r.incoming.Streamed.IsConsumed():
 		return errBodyConsumed
 	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
 		return errMayHaveExecuted
--- a/internal/agent/dispatch/request_table.go
+++ b/internal/agent/dispatch/request_table.go
@@ -17,11 +17,11 @@
 }
 
 // open numbers and counts a client's request, which is not in the table yet.
-func (t *requestTable) open(c *message.Request) *request {
+func (t *requestTable) open(incoming *message.Request) *request {
 	t.lastID++
 	t.unanswered++
-	c.DispatchID = t.lastID
-	return &request{id: t.lastID, client: c}
+	incoming.DispatchID = t.lastID
+	return &request{id: t.lastID, incoming: incoming}
 }
 
 // forgetFinished drops a request that has its final response once no attempt is in flight.
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -26,7 +26,7 @@
 	}
 	// A request that the policy never got stands for one that it forgot.
 	c := &message.Request{Context: t.Context(), Rules: orderRules, Deadline: time.Now().Add(time.Second), Response: make(chan message.Response, 1)}
-	r := &request{id: 1, client: c}
+	r := &request{id: 1, incoming: c}
 	l.requests.byID[1], l.requests.unanswered = r, 1
 	l.backstopExpired(r)
 	if a := <-c.Response; a.Kind != message.Failed || !a.TimedOut {
@@ -61,7 +61,7 @@
 		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
 		{"no time", request{}, up(), now, false},
 	} {
-		test.r.client = &message.Request{Context: t.Context(), Rules: orderRules}
+		test.r.incoming = &message.Request{Context: t.Context(), Rules: orderRules}
 		if err := checkRules(&test.r, test.b, now, test.until); (err == nil) != test.want {
 			t.Errorf("%s: %v", test.name, err)
 		}
@@ -69,7 +69,7 @@
 	// A refusal after an attempt that may have run is turned into a failure.
 	c := &message.Request{Context: t.Context(), Rules: orderRules, Response: make(chan message.Response, 1)}
 	done := make(chan bool)
-	l.Post(func() { l.reject(&request{id: 1 << 30, client: c, mayHaveRun: 1}, 1); close(done) })
+	l.Post(func() { l.reject(&request{id: 1 << 30, incoming: c, mayHaveRun: 1}, 1); close(done) })
 	<-done
 	if a := <-c.Response; a.Kind != message.Failed {
 		t.Errorf("answered %+v, want a failure", a)
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -44,24 +44,24 @@
 // processStart is the start of a server's latest process, as listed and as event time; both in ms.
 type processStart struct{ startedMs, atMs float64 }
 
-func newStartTimeTable(c *eventClock) *startTimeTable {
-	return &startTimeTable{clock: c, known: map[string]processStart{}}
+func newStartTimeTable(eventTime *eventClock) *startTimeTable {
+	return &startTimeTable{clock: eventTime, known: map[string]processStart{}}
 }
 
 // resolve returns the event time at which a server's process started; 0 if that was long ago.
-func (s *startTimeTable) resolve(target *endpoint.Endpoint, list listContext) float64 {
-	startedMs := balancer.Finite(target.StartedMs)
+func (t *startTimeTable) resolve(entry *endpoint.Endpoint, list listContext) float64 {
+	startedMs := balancer.Finite(entry.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
-	last, known := s.known[target.ID]
+	last, known := t.known[entry.ID]
 	sameProcess := startedMs == last.startedMs || list.older && startedMs < last.startedMs
 	if known && sameProcess {
 		return last.atMs
 	}
-	now := s.clock.nowMs()
-	age := s.age(startedMs, now)
-	unlistedBefore := list.lastAnswer != 0 && now-age < s.clock.fromMonotonic(list.lastAnswer-maxListingDelay)
+	now := t.clock.nowMs()
+	age := t.age(startedMs, now)
+	unlistedBefore := list.lastAnswer != 0 && now-age < t.clock.fromMonotonic(list.lastAnswer-maxListingDelay)
 	olderThanLast := known && now-age <= last.atMs
 	atMs := startedMs
 	switch {
@@ -70,15 +70,15 @@
 	case age != now-startedMs:
 		atMs = now - age
 	}
-	s.known[target.ID] = processStart{startedMs, atMs}
+	t.known[entry.ID] = processStart{startedMs: startedMs, atMs: atMs}
 	return atMs
 }
 
 // age is the lower of the ages that the two clocks give a process, in ms. A clock by which the process has yet
 // to start is wrong.
-func (s *startTimeTable) age(startedMs, now float64) float64 {
+func (t *startTimeTable) age(startedMs, now float64) float64 {
 	byEventClock := now - startedMs
-	byWallClock := clock.UnixMilliseconds(s.clock.Wall()) - startedMs
+	byWallClock := clock.UnixMilliseconds(t.clock.Wall()) - startedMs
 	switch {
 	case byEventClock < 0:
 		return max(byWallClock, 0)
@@ -90,13 +90,13 @@
 
 // prune forgets the start times of servers that are no longer listed once there are too many of them. Up to
 // then they are remembered, as a server may be listed again with the same process.
-func (s *startTimeTable) prune(listed map[string]*listedServer) {
-	if len(s.known) <= len(listed)+maxUnlistedStarts {
+func (t *startTimeTable) prune(listed map[string]*listedServer) {
+	if len(t.known) <= len(listed)+maxUnlistedStarts {
 		return
 	}
-	for id := range s.known {
+	for id := range t.known {
 		if listed[id] == nil {
-			delete(s.known, id)
+			delete(t.known, id)
 		}
 	}
 }
