--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -41,12 +41,6 @@
 	targetsPath = "/api/targets"
 )
 
-// List is the endpoint list in the protocol's form, shared with the discovery service.
-type List = endpoint.List
-
-// Target is one server in a List.
-type Target = endpoint.Endpoint
-
 // errMoved ends a call to an address that discovery has left.
 var errMoved = errors.New("discovery has moved")
 
