--- a/internal/agent/dispatch/endpoint_list_test.go
+++ b/internal/agent/dispatch/endpoint_list_test.go
@@ -8,29 +8,42 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// The list follows the address that is in force: what the old one still brings counts until
-// the new one has answered, and the new one's versions are of its own count.
+// listChange is the response of a watch call with one entry that changed.
+func listChange(source *discovery.Source, version uint64, changed endpoint.Endpoint) discovery.Response {
+	list := &endpoint.List{Version: version, Servers: []endpoint.Endpoint{changed}}
+	return discovery.Response{Source: source, Watch: true, List: list}
+}
+
+// fullList is the response of a call for the full list.
+func fullList(source *discovery.Source, version uint64, entries ...endpoint.Endpoint) discovery.Response {
+	list := &endpoint.List{Version: version, Full: true, Servers: entries}
+	return discovery.Response{Source: source, List: list}
+}
+
+// The list follows the address that is in force: responses of the old one count until the new one has responded,
+// and the new one counts versions of its own.
 func TestResponsesThatCrossAMove(t *testing.T) {
-	up, drains := agenttest.Endpoint("s-1", "127.0.0.1:1"), agenttest.Endpoint("s-1", "127.0.0.1:1")
-	drains.State = "draining"
-	l := startLoop(t, agenttest.NewDiscovery(t, up, agenttest.Endpoint("s-2", "127.0.0.1:2")), nil)
+	ready := agenttest.Endpoint("s-1", "127.0.0.1:1")
+	draining := ready
+	draining.State = endpoint.StateDraining
+	loop := startLoop(t, agenttest.NewDiscovery(t, ready, agenttest.Endpoint("s-2", "127.0.0.1:2")), nil)
 	done := make(chan bool)
-	l.Post(func() {
+	loop.Post(func() {
 		defer close(done)
-		old := l.discovery.CurrentSource()
-		l.onListResponse(discovery.Response{Source: old, Watch: true, List: &endpoint.List{Version: 50}})
-		l.discovery.MoveTo("127.0.0.1:9")
-		l.onListResponse(discovery.Response{Source: old, Watch: true, List: &endpoint.List{Version: 51, Servers: []endpoint.Endpoint{drains}}})
-		if l.endpoints.byID["s-1"].IsAvailable() {
-			t.Error("what the old address told before the new one answered was dropped")
+		old := loop.discovery.CurrentSource()
+		loop.onListResponse(discovery.Response{Source: old, Watch: true, List: &endpoint.List{Version: 50}})
+		loop.discovery.MoveTo("127.0.0.1:9")
+		loop.onListResponse(listChange(old, 51, draining))
+		if loop.endpoints.byID["s-1"].IsAvailable() {
+			t.Error("a response of the old address before the first one of the new address was dropped")
 		}
-		l.onListResponse(discovery.Response{Source: l.discovery.CurrentSource(), List: &endpoint.List{Version: 3, Full: true, Servers: []endpoint.Endpoint{up}}})
-		if !l.endpoints.byID["s-1"].IsAvailable() || l.list.version != 3 {
-			t.Errorf("the new address's list was not taken over (version %d)", l.list.version)
+		loop.onListResponse(fullList(loop.discovery.CurrentSource(), 3, ready))
+		if !loop.endpoints.byID["s-1"].IsAvailable() || loop.list.version != 3 {
+			t.Errorf("the new address's list is not in force (version %d)", loop.list.version)
 		}
-		l.onListResponse(discovery.Response{Source: old, Watch: true, List: &endpoint.List{Version: 52, Servers: []endpoint.Endpoint{drains}}})
-		if !l.endpoints.byID["s-1"].IsAvailable() || l.list.version != 3 {
-			t.Error("the old address turned the list back")
+		loop.onListResponse(listChange(old, 52, draining))
+		if !loop.endpoints.byID["s-1"].IsAvailable() || loop.list.version != 3 {
+			t.Error("a response of the old address replaced the list of the new one")
 		}
 	})
 	<-done
@@ -38,36 +51,42 @@
 
 // Responses of discovery that cross do not take the list back to an older version.
 func TestOldListIsDropped(t *testing.T) {
-	l := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), nil)
+	ready := agenttest.Endpoint("s-1", "127.0.0.1:1")
+	draining := ready
+	draining.State = endpoint.StateDraining
+	loop := startLoop(t, agenttest.NewDiscovery(t, ready), nil)
 	done := make(chan bool)
-	l.Post(func() {
+	loop.Post(func() {
 		defer close(done)
-		drains := agenttest.Endpoint("s-1", "127.0.0.1:1")
-		drains.State = "draining"
-		at := l.discovery.CurrentSource()
-		up := []endpoint.Endpoint{agenttest.Endpoint("s-1", "127.0.0.1:1")}
-		l.onListResponse(discovery.Response{Source: at, Watch: true, List: &endpoint.List{Version: 9, Servers: []endpoint.Endpoint{drains}}})
-		l.onListResponse(discovery.Response{Source: at, List: &endpoint.List{Version: 8, Full: true, Servers: up}})
-		l.onListResponse(discovery.Response{Source: at, Watch: true, List: &endpoint.List{Version: 8, Full: true, Servers: up}})
-		if l.endpoints.byID["s-1"].IsAvailable() {
-			t.Error("an older list took back a drain")
+		source := loop.discovery.CurrentSource()
+		loop.onListResponse(listChange(source, 9, draining))
+		older := fullList(source, 8, ready)
+		loop.onListResponse(older)
+		older.Watch = true
+		loop.onListResponse(older)
+		if loop.endpoints.byID["s-1"].IsAvailable() {
+			t.Error("an older list undid a drain")
 		}
-		l.onListResponse(discovery.Response{Source: at, Watch: true, List: &endpoint.List{Version: 10, Full: true}})
-		if len(l.endpoints.byID) != 0 || len(l.endpoints.byAddr) != 0 {
-			t.Error("a backend that is gone is kept")
+		loop.onListResponse(discovery.Response{
+			Source: source,
+			Watch:  true,
+			List:   &endpoint.List{Version: 10, Full: true},
+		})
+		if len(loop.endpoints.byID) != 0 || len(loop.endpoints.byAddr) != 0 {
+			t.Error("a server that is no longer listed is kept")
 		}
 	})
 	<-done
 }
 
 func TestPolicyAddressesAreStableAndUnique(t *testing.T) {
-	x, y := newEndpointList(nil, nil), newEndpointList(nil, nil)
-	a, b := x.findOrAdd("s-1"), y.findOrAdd("s-1")
-	if a.policyAddr != b.policyAddr {
-		t.Error("two agents name one backend differently")
+	first, second := newEndpointList(nil, nil), newEndpointList(nil, nil)
+	server := second.findOrAdd("s-1")
+	if first.findOrAdd("s-1").policyAddr != server.policyAddr {
+		t.Error("two agents have different addresses for one server")
 	}
-	delete(y.byID, "s-1") // now its name is taken by another id
-	if c := y.findOrAdd("s-1"); c.policyAddr == b.policyAddr {
-		t.Error("two backends have one name")
+	delete(second.byID, "s-1") // its address is still taken, as by another id
+	if other := second.findOrAdd("s-1"); other.policyAddr == server.policyAddr {
+		t.Error("two servers have one address")
 	}
 }
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -17,14 +17,13 @@
 	*Loop
 	addr string // where clients connect
 	log  agenttest.LineWriter
-	// stop ends it gracefully.
-	stop context.CancelFunc
+	stop context.CancelFunc // begins a graceful shutdown
 }
 
 // startLoop starts a loop that knows the list of the discovery as it is now.
 func startLoop(t *testing.T, d *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"log/slog"
+	"net/http"
 	"testing"
 	"time"
 
@@ -15,79 +16,107 @@
 )
 
 // orderRules are those of a class that must never execute twice.
-var orderRules = &balancer.RequestRules{Class: balancer.Class{Name: "order", LatencyObjectiveMs: 2000, TotalTimeoutMs: 4000, Idempotency: balancer.NonIdempotent}, MaxAttempts: 3}
+var orderRules = &balancer.RequestRules{
+	Class: balancer.Class{
+		Name:               "order",
+		LatencyObjectiveMs: 2000,
+		TotalTimeoutMs:     4000,
+		Idempotency:        balancer.NonIdempotent,
+	},
+	MaxAttempts: 3,
+}
 
 // The backstop responds before the deadline where the policy does not.
 func TestBackstop(t *testing.T) {
 	cfg := agenttest.NewConfig(t, "127.0.0.1:1", agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")))
-	l, err := New(t.Context(), cfg, upstream.NewPool(cfg), func() {}, nil)
+	loop, err := New(t.Context(), cfg, upstream.NewPool(cfg), func() {}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// A request that the policy never got stands for one that it forgot.
-	c := &message.Request{Context: t.Context(), Rules: orderRules, Deadline: time.Now().Add(time.Second), Response: make(chan message.Response, 1)}
-	r := &request{id: 1, incoming: c}
-	l.requests.byID[1], l.requests.unanswered = r, 1
-	l.backstopExpired(r)
-	if a := <-c.Response; a.Kind != message.Failed || !a.TimedOut {
-		t.Errorf("answered %+v, want a late failure", a)
+	incoming := &message.Request{
+		Context:  t.Context(),
+		Rules:    orderRules,
+		Deadline: time.Now().Add(time.Second),
+		Response: make(chan message.Response, 1),
+	}
+	r := &request{id: 1, incoming: incoming}
+	loop.requests.byID[1] = r
+	loop.requests.unanswered = 1
+	loop.backstopExpired(r)
+	if response := <-incoming.Response; response.Kind != message.Failed || !response.TimedOut {
+		t.Errorf("response %+v, want a failure by timeout", response)
 	}
-	l.finish(r, message.Response{Kind: message.Served})
-	if len(c.Response) != 0 || l.metrics.Backstops != 1 || l.requests.unanswered != 0 || len(l.requests.byID) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.Response), l.metrics, l.requests.unanswered)
+	loop.finish(r, message.Response{Kind: message.Served})
+	unanswered := loop.requests.unanswered
+	if len(incoming.Response) != 0 || loop.metrics.Backstops != 1 || unanswered != 0 || len(loop.requests.byID) != 0 {
+		t.Errorf("%d further responses, metrics %+v, %d open", len(incoming.Response), loop.metrics, unanswered)
 	}
 }
 
 // The rules of a request apply whatever the policy decides.
 func TestViolationsArePrevented(t *testing.T) {
-	up := func() *listedServer { return &listedServer{addr: "127.0.0.1:1"} }
-	drained := up()
-	drained.SetAvailable(false)
+	ready := &listedServer{addr: "127.0.0.1:1"}
+	draining := &listedServer{addr: "127.0.0.1:1"}
+	draining.SetAvailable(false)
 	now := time.Now()
-	l := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), nil)
+	inTime := now.Add(time.Second)
 	for _, test := range []struct {
-		name  string
-		r     request
-		b     *listedServer
-		until time.Time
-		want  bool
+		name     string
+		request  request
+		server   *listedServer
+		deadline time.Time
+		allowed  bool
 	}{
-		{"allowed", request{}, up(), now.Add(time.Second), true},
-		{"drained", request{}, drained, now.Add(time.Second), false},
-		{"unknown backend", request{}, nil, now.Add(time.Second), false},
-		{"one out", request{inFlight: 1}, up(), now.Add(time.Second), false},
-		{"answered", request{answered: true}, up(), now.Add(time.Second), false},
-		{"may have run", request{mayHaveRun: 1}, up(), now.Add(time.Second), false},
-		{"fourth attempt", request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
-		{"no time", request{}, up(), now, false},
+		{name: "allowed", server: ready, deadline: inTime, allowed: true},
+		{name: "draining", server: draining, deadline: inTime},
+		{name: "unlisted server", deadline: inTime},
+		{name: "one in flight", request: request{inFlight: 1}, server: ready, deadline: inTime},
+		{name: "answered", request: request{answered: true}, server: ready, deadline: inTime},
+		{name: "may have executed", request: request{mayHaveRun: 1}, server: ready, deadline: inTime},
+		{name: "fourth attempt", request: request{attempts: make([]*attempt, 4)}, server: ready, deadline: inTime},
+		{name: "no time", server: ready, deadline: now},
 	} {
-		test.r.incoming = &message.Request{Context: t.Context(), Rules: orderRules}
-		if err := checkRules(&test.r, test.b, now, test.until); (err == nil) != test.want {
+		test.request.incoming = &message.Request{Context: t.Context(), Rules: orderRules}
+		if err := checkRules(&test.request, test.server, now, test.deadline); (err == nil) != test.allowed {
 			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	// A refusal after an attempt that may have run is turned into a failure.
-	c := &message.Request{Context: t.Context(), Rules: orderRules, Response: make(chan message.Response, 1)}
-	done := make(chan bool)
-	l.Post(func() { l.reject(&request{id: 1 << 30, incoming: c, mayHaveRun: 1}, 1); close(done) })
-	<-done
-	if a := <-c.Response; a.Kind != message.Failed {
-		t.Errorf("answered %+v, want a failure", a)
+	wantUnsafeRejectionFails(t)
+}
+
+// wantUnsafeRejectionFails checks that a rejection after an attempt that may have executed is turned into a failure.
+func wantUnsafeRejectionFails(t *testing.T) {
+	t.Helper()
+	loop := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), nil)
+	incoming := &message.Request{
+		Context:  t.Context(),
+		Rules:    orderRules,
+		Response: make(chan message.Response, 1),
+	}
+	rejected := &request{id: 1 << 30, incoming: incoming, mayHaveRun: 1}
+	loop.Post(func() { loop.reject(rejected, 1) })
+	if response := <-incoming.Response; response.Kind != message.Failed {
+		t.Errorf("response %+v, want a failure", response)
 	}
 }
 
 // A log that nobody reads does not block the event loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
-	l := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), nil)
-	blocked, held := make(chan struct{}), make(chan struct{})
-	l.lines.lines <- func(context.Context) { close(held); <-blocked }
-	defer close(blocked)
-	<-held
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	loop := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
+	blocked, release := make(chan struct{}), make(chan struct{})
+	loop.lines.lines <- func(context.Context) {
+		close(blocked)
+		<-release
+	}
+	defer close(release)
+	<-blocked
 	done := make(chan struct{})
-	l.Post(func() {
-		l.lines.limit.SetLimit(rate.Inf)
-		for range 2 * cap(l.lines.lines) {
-			l.lines.limited(slog.LevelDebug, "line")
+	loop.Post(func() {
+		loop.lines.limit.SetLimit(rate.Inf)
+		for range 2 * cap(loop.lines.lines) {
+			loop.lines.limited(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
@@ -96,6 +125,6 @@
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := agenttest.Do(t, agenttest.NewRequest(l.addr, "order", "x"))
-	agenttest.WantStatus(t, status, 200)
+	status, _, _ := agenttest.Do(t, agenttest.NewRequest(loop.addr, "order", "x"))
+	agenttest.WantStatus(t, status, http.StatusOK)
 }
--- a/internal/agent/dispatch/start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -12,31 +12,32 @@
 
 // startTimesFixture is a machine whose wall clock may be wrong, and the start times that an agent on it gets.
 type startTimesFixture struct {
-	t      *testing.T
-	clock  *clocktest.Manual
-	starts *startTimeTable
-	asOf   time.Duration // of the last answer of discovery
+	t          *testing.T
+	clock      *clocktest.Manual
+	starts     *startTimeTable
+	lastAnswer time.Duration // of discovery, on the monotonic clock
 }
 
 // trueMs is the time of day by accurate clocks, at the start of a fixture.
 const trueMs = 1_800_000_000_000.0
 
 func newStartTimesFixture(t *testing.T, ahead time.Duration) *startTimesFixture {
-	c := clocktest.NewManual(time.UnixMilli(trueMs).Add(ahead))
-	return &startTimesFixture{t: t, clock: c, starts: newStartTimeTable(newEventClock(c))}
+	t.Helper()
+	manual := clocktest.NewManual(time.UnixMilli(trueMs).Add(ahead))
+	return &startTimesFixture{t: t, clock: manual, starts: newStartTimeTable(newEventClock(manual))}
 }
 
-// tell has discovery tell a start, and returns the age that the process is taken for.
-func (r *startTimesFixture) resolve(startedMs float64, told listContext) time.Duration {
-	at := r.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, told)
-	r.asOf = r.clock.Monotonic()
-	return clock.FromMilliseconds(r.starts.clock.nowMs() - at).Round(time.Millisecond)
+// resolve has discovery list a server with a start time, and returns the age that its process is taken to have.
+func (f *startTimesFixture) resolve(startedMs float64, list listContext) time.Duration {
+	at := f.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, list)
+	f.lastAnswer = f.clock.Monotonic()
+	return clock.FromMilliseconds(f.starts.clock.nowMs() - at).Round(time.Millisecond)
 }
 
-func (r *startTimesFixture) want(got, want time.Duration) {
-	r.t.Helper()
+func (f *startTimesFixture) want(got, want time.Duration) {
+	f.t.Helper()
 	if got != want {
-		r.t.Errorf("taken for %v old, want %v", got, want)
+		f.t.Errorf("the age is taken as %v, want %v", got, want)
 	}
 }
 
@@ -46,22 +47,22 @@
 	for _, step := range clocktest.Steps {
 		for _, listStep := range []time.Duration{step, 0} {
 			t.Run(fmt.Sprintf("agent %v, list %v", step, listStep), func(t *testing.T) {
-				r := newStartTimesFixture(t, 0)
+				fixture := newStartTimesFixture(t, 0)
 				first := trueMs - 1_800_000
-				r.want(r.resolve(first, listContext{}), 30*time.Minute)
-				r.clock.Advance(time.Minute)
-				r.want(r.resolve(first, listContext{lastAnswer: r.asOf}), 31*time.Minute)
-				r.clock.Step(step)
-				r.want(r.resolve(first, listContext{lastAnswer: r.asOf}), 31*time.Minute)
-				r.clock.Advance(time.Minute)
+				fixture.want(fixture.resolve(first, listContext{}), 30*time.Minute)
+				fixture.clock.Advance(time.Minute)
+				fixture.want(fixture.resolve(first, listContext{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.clock.Step(step)
+				fixture.want(fixture.resolve(first, listContext{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.clock.Advance(time.Minute)
 				second := trueMs + 120_000 - 500 + float64(listStep.Milliseconds())
-				got := r.resolve(second, listContext{lastAnswer: r.asOf})
+				got := fixture.resolve(second, listContext{lastAnswer: fixture.lastAnswer})
 				if got < 0 || got > 500*time.Millisecond {
-					t.Errorf("a backend that started 0.5 s ago is taken for %v old", got)
+					t.Errorf("a server started 0.5 s ago, its age is taken as %v", got)
 				}
-				r.clock.Step(-step)
-				r.clock.Advance(time.Second)
-				r.want(r.resolve(second, listContext{lastAnswer: r.asOf}), got+time.Second)
+				fixture.clock.Step(-step)
+				fixture.clock.Advance(time.Second)
+				fixture.want(fixture.resolve(second, listContext{lastAnswer: fixture.lastAnswer}), got+time.Second)
 			})
 		}
 	}
@@ -71,26 +72,26 @@
 // list on where the clock was behind, and from then on where it was ahead.
 func TestNewServerIsInSlowStartAtAnAgentWithAWrongClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
-		r := newStartTimesFixture(t, ahead)
+		fixture := newStartTimesFixture(t, ahead)
 		if ahead < 0 {
-			r.want(r.resolve(trueMs-500, listContext{}), 0)
+			fixture.want(fixture.resolve(trueMs-500, listContext{}), 0)
 		}
-		r.asOf = r.clock.Monotonic()
-		r.clock.Advance(time.Second)
-		r.want(r.resolve(trueMs+900, listContext{lastAnswer: r.asOf}), 0)
+		fixture.lastAnswer = fixture.clock.Monotonic()
+		fixture.clock.Advance(time.Second)
+		fixture.want(fixture.resolve(trueMs+900, listContext{lastAnswer: fixture.lastAnswer}), 0)
 	}
 }
 
 // Where clocks are accurate a start time is what the list says, however late the list.
 func TestAccurateClocksKeepListedStartTimes(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second, time.Minute} {
-		r := newStartTimesFixture(t, 0)
-		r.resolve(0, listContext{})
-		r.clock.Advance(late) // discovery is silent meanwhile
+		fixture := newStartTimesFixture(t, 0)
+		fixture.resolve(0, listContext{})
+		fixture.clock.Advance(late) // discovery is silent meanwhile
 		startedMs := trueMs + 17
 		want := max(late-17*time.Millisecond, 0)
-		r.want(r.resolve(startedMs, listContext{lastAnswer: r.asOf}), want)
-		if at := r.starts.known["s-1"].atMs; late > 0 && at != startedMs {
+		fixture.want(fixture.resolve(startedMs, listContext{lastAnswer: fixture.lastAnswer}), want)
+		if at := fixture.starts.known["s-1"].atMs; late > 0 && at != startedMs {
 			t.Errorf("started at %v, want %v", at, startedMs)
 		}
 	}
@@ -99,8 +100,8 @@
 // A list of a lower version, from a discovery that was moved or restored, restores no earlier process; one
 // that lists a later process is believed.
 func TestOlderListRestoresNoProcess(t *testing.T) {
-	r := newStartTimesFixture(t, 0)
-	r.want(r.resolve(trueMs-5000, listContext{}), 5*time.Second)
-	r.want(r.resolve(trueMs-60_000, listContext{older: true}), 5*time.Second)
-	r.want(r.resolve(trueMs-1000, listContext{older: true}), time.Second)
+	fixture := newStartTimesFixture(t, 0)
+	fixture.want(fixture.resolve(trueMs-5000, listContext{}), 5*time.Second)
+	fixture.want(fixture.resolve(trueMs-60_000, listContext{older: true}), 5*time.Second)
+	fixture.want(fixture.resolve(trueMs-1000, listContext{older: true}), time.Second)
 }
