--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -45,15 +45,15 @@
 }
 
 // SetReadDeadline sets the reader's deadline; for a reader that was woken to close it is set later.
-func (c *clientConn) SetReadDeadline(t time.Time) error {
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readDeadline = t
-	c.mayReadLate = t.After(time.Now())
+	c.readDeadline = deadline
+	c.mayReadLate = deadline.After(time.Now())
 	if c.closeIfIdle {
 		return nil
 	}
-	return c.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // wokenToClose tells whether the reader was woken to close the connection, and restores its own deadline:
@@ -71,9 +71,9 @@
 
 // Read is where a connection that is to be closed ends, or whose deadline has passed. It checks once more for
 // bytes that have arrived, so that no request is lost that was there before.
-func (c *clientConn) Read(p []byte) (int, error) {
+func (c *clientConn) Read(buffer []byte) (int, error) {
 	for {
-		n, err := c.Conn.Read(p)
+		n, err := c.Conn.Read(buffer)
 		timedOut := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		if timedOut && c.wokenToClose() {
 			if !c.requestBegun.Load() && socket.IsIdleAlive(c.Conn) {
@@ -82,7 +82,7 @@
 			continue
 		}
 		if timedOut {
-			n = c.readLate(p)
+			n = c.readLate(buffer)
 		}
 		if n > 0 {
 			c.requestBegun.Store(true)
@@ -94,7 +94,7 @@
 
 // readLate reads bytes that arrived before the deadline and were not read in time, as the process was delayed.
 // It does so once for each deadline: a client that keeps sending gains no time by it.
-func (c *clientConn) readLate(p []byte) int {
+func (c *clientConn) readLate(buffer []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sysConn, ok := c.Conn.(syscall.Conn)
@@ -108,7 +108,7 @@
 	}
 	n := 0
 	// Control works past the deadline, unlike Read.
-	if err := raw.Control(func(fd uintptr) { n = socket.ReadNow(int(fd), p) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { n = socket.ReadNow(int(fd), buffer) }); err != nil {
 		return 0
 	}
 	return n
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -42,48 +42,48 @@
 }
 
 // track takes a connection's change of state; it is the server's ConnState.
-func (c *clientConns) track(nc net.Conn, state http.ConnState) {
+func (c *clientConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.removeIdle(nc)
+	c.removeIdle(conn)
 	switch state {
 	case http.StateNew:
-		c.open[nc] = false
+		c.open[conn] = false
 	case http.StateActive:
-		c.setActive(nc)
+		c.setActive(conn)
 	case http.StateIdle:
-		c.setIdle(nc)
+		c.setIdle(conn)
 	case http.StateClosed, http.StateHijacked:
-		c.setClosed(nc)
+		c.setClosed(conn)
 	}
 	c.closeLongestIdle()
 }
 
-func (c *clientConns) setActive(nc net.Conn) {
-	if conn, ok := nc.(*clientConn); ok {
-		conn.requestBegun.Store(true) // also where its bytes were read with those of the last request
+func (c *clientConns) setActive(conn net.Conn) {
+	if client, ok := conn.(*clientConn); ok {
+		client.requestBegun.Store(true) // also where its bytes were read with those of the last request
 	}
-	if c.open[nc] {
-		c.open[nc] = false
+	if c.open[conn] {
+		c.open[conn] = false
 		c.closing--
 	}
 }
 
-func (c *clientConns) setIdle(nc net.Conn) {
-	if conn, ok := nc.(*clientConn); ok {
-		conn.requestBegun.Store(false)
-		conn.queuedAt = time.Time{}
+func (c *clientConns) setIdle(conn net.Conn) {
+	if client, ok := conn.(*clientConn); ok {
+		client.requestBegun.Store(false)
+		client.queuedAt = time.Time{}
 	}
-	if !c.open[nc] {
-		c.idle[nc] = c.order.PushBack(nc)
+	if !c.open[conn] {
+		c.idle[conn] = c.order.PushBack(conn)
 	}
 }
 
-func (c *clientConns) setClosed(nc net.Conn) {
-	if c.open[nc] {
+func (c *clientConns) setClosed(conn net.Conn) {
+	if c.open[conn] {
 		c.closing--
 	}
-	delete(c.open, nc)
+	delete(c.open, conn)
 	if len(c.open) == 0 && c.allClosed != nil {
 		close(c.allClosed)
 		c.allClosed = nil
@@ -119,17 +119,17 @@
 
 // closeWhenIdle closes a connection on which no request has begun: the server's read fails, and the server
 // reports the close.
-func closeWhenIdle(nc net.Conn) {
-	if conn, ok := nc.(*clientConn); ok {
-		conn.closeWhenIdle()
+func closeWhenIdle(conn net.Conn) {
+	if client, ok := conn.(*clientConn); ok {
+		client.closeWhenIdle()
 	}
 }
 
 // removeIdle takes a connection out of the idle ones. The caller has the lock.
-func (c *clientConns) removeIdle(nc net.Conn) {
-	if element := c.idle[nc]; element != nil {
+func (c *clientConns) removeIdle(conn net.Conn) {
+	if element := c.idle[conn]; element != nil {
 		c.order.Remove(element)
-		delete(c.idle, nc)
+		delete(c.idle, conn)
 	}
 }
 
@@ -145,8 +145,8 @@
 			return
 		}
 		c.mu.Lock()
-		for nc := range c.idle {
-			closeWhenIdle(nc)
+		for conn := range c.idle {
+			closeWhenIdle(conn)
 		}
 		c.mu.Unlock()
 		sweep.Reset(drainSweepInterval)
@@ -157,8 +157,8 @@
 func (c *clientConns) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for nc := range c.open {
-		closeWhenIdle(nc)
+	for conn := range c.open {
+		closeWhenIdle(conn)
 	}
 }
 
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -45,12 +45,12 @@
 			return nil, net.ErrClosed
 		}
 	}
-	nc, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		l.slots.Release(1)
 		return nil, err
 	}
-	conn := &clientConn{Conn: nc, release: func() { l.slots.Release(1) }}
+	conn := &clientConn{Conn: accepted, release: func() { l.slots.Release(1) }}
 	if !l.queuedAt.IsZero() {
 		l.setQueuedAt(conn)
 	}
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -21,11 +21,11 @@
 // bytes of the body budget, also after an error.
 func (s *Server) readRequest(
 	w http.ResponseWriter, req *http.Request,
-) (c *message.Request, reserved int64, invalid *message.RequestError) {
+) (request *message.Request, reserved int64, invalid *message.RequestError) {
 	if invalid := checkProtocol(req); invalid != nil {
 		return nil, 0, invalid
 	}
-	c = &message.Request{
+	request = &message.Request{
 		Context:  req.Context(),
 		ID:       req.Header.Get("Request-Id"),
 		Method:   req.Method,
@@ -36,23 +36,23 @@
 	}
 	conn, known := req.Context().Value(connKey{}).(*clientConn)
 	if known {
-		c.ClientGone = conn.peerClosed
+		request.ClientGone = conn.peerClosed
 	}
-	if invalid := readHeader(c, s.classes.Load()); invalid != nil {
+	if invalid := readHeader(request, s.classes.Load()); invalid != nil {
 		return nil, 0, invalid
 	}
 	if req.ContentLength != 0 {
-		if reserved, invalid = s.readRequestBody(c, w, req); invalid != nil {
+		if reserved, invalid = s.readRequestBody(request, w, req); invalid != nil {
 			return nil, reserved, invalid
 		}
 	}
 	// A request's time counts from its last byte; that of a streamed one starts again with that.
-	c.ArrivedAt = time.Now()
+	request.ArrivedAt = time.Now()
 	if known && !conn.queuedAt.IsZero() {
-		c.ArrivedAt = conn.queuedAt
+		request.ArrivedAt = conn.queuedAt
 	}
-	c.Deadline = c.ArrivedAt.Add(c.Timeout)
-	return c, reserved, nil
+	request.Deadline = request.ArrivedAt.Add(request.Timeout)
+	return request, reserved, nil
 }
 
 // checkProtocol checks what does not depend on the request's class.
@@ -79,24 +79,24 @@
 }
 
 // readHeader reads the request's header fields, by the rules of its class.
-func readHeader(c *message.Request, classes *requestClasses) *message.RequestError {
-	c.Rules = classes.rules[c.Header.Get("Request-Class")]
-	if c.Rules == nil {
+func readHeader(request *message.Request, classes *requestClasses) *message.RequestError {
+	request.Rules = classes.rules[request.Header.Get("Request-Class")]
+	if request.Rules == nil {
 		return badRequest("unknown Request-Class")
 	}
-	if c.ID == "" {
+	if request.ID == "" {
 		return badRequest("no Request-Id")
 	}
-	if c.Rules.Idempotency == balancer.IdempotentByKey && c.Header.Get("Idempotency-Key") == "" {
+	if request.Rules.Idempotency == balancer.IdempotentByKey && request.Header.Get("Idempotency-Key") == "" {
 		return badRequest("no Idempotency-Key, which this class needs")
 	}
-	timeoutMs, err := strconv.Atoi(c.Header.Get("Request-Timeout-Ms"))
+	timeoutMs, err := strconv.Atoi(request.Header.Get("Request-Timeout-Ms"))
 	if err != nil || timeoutMs <= 0 || timeoutMs > maxRequestTimeoutMs {
 		return badRequest("Request-Timeout-Ms is no whole number from 1 to %d", maxRequestTimeoutMs)
 	}
-	c.Timeout = time.Duration(timeoutMs) * time.Millisecond
-	c.Retry = classes.marksRetry && c.Header.Get("Client-Retry") == "1"
-	c.Key = affinityKey(c.URL.EscapedPath())
+	request.Timeout = time.Duration(timeoutMs) * time.Millisecond
+	request.Retry = classes.marksRetry && request.Header.Get("Client-Retry") == "1"
+	request.Key = affinityKey(request.URL.EscapedPath())
 	return nil
 }
 
@@ -111,21 +111,21 @@
 
 // readRequestBody reads the part of the body that is buffered, and leaves the rest as a stream.
 func (s *Server) readRequestBody(
-	c *message.Request, w http.ResponseWriter, req *http.Request,
+	request *message.Request, w http.ResponseWriter, req *http.Request,
 ) (reserved int64, invalid *message.RequestError) {
 	body := &message.ClientBody{
 		Control: http.NewResponseController(w),
 		From:    http.MaxBytesReader(w, req.Body, message.MaxRequestBody),
 	}
 	buffered, complete, reserved, err := s.bodies.ReadBody(body, req.ContentLength)
-	c.Body = buffered
+	request.Body = buffered
 	if err != nil {
 		return reserved, badRequest("body can't be read: %v", err)
 	}
 	if complete {
 		return reserved, nil
 	}
-	c.Streamed = &message.StreamedBody{ClientBody: body, Length: req.ContentLength}
+	request.Streamed = &message.StreamedBody{ClientBody: body, Length: req.ContentLength}
 	// The body continues to arrive while the response is written.
 	if err := body.Control.EnableFullDuplex(); err != nil {
 		return reserved, badRequest("body can't be streamed: %v", err)
--- a/internal/agent/downstream/response.go
+++ b/internal/agent/downstream/response.go
@@ -9,15 +9,15 @@
 )
 
 // writeResponse writes the final response to the client.
-func (s *Server) writeResponse(w http.ResponseWriter, c *message.Request, response message.Response) {
+func (s *Server) writeResponse(w http.ResponseWriter, request *message.Request, response message.Response) {
 	defer response.Body.Release()
-	if c.Streamed != nil && !c.Streamed.Complete() {
+	if request.Streamed != nil && !request.Streamed.Complete() {
 		// The client may still be sending, and reads the response only if its body is read. What follows the
 		// body is not read as a request.
 		closeAfterResponse(w)
 		defer func() {
-			_ = http.NewResponseController(w).Flush()         // the client may have gone
-			_, _ = io.Copy(io.Discard, c.Streamed.ClientBody) // read only for the client's sake
+			_ = http.NewResponseController(w).Flush()               // the client may have gone
+			_, _ = io.Copy(io.Discard, request.Streamed.ClientBody) // read only for the client's sake
 		}()
 	}
 	if s.draining.Load() { // it may have begun since the request came
@@ -25,7 +25,7 @@
 	}
 	switch {
 	case response.Kind == message.Served:
-		s.writeServed(w, c, response)
+		s.writeServed(w, request, response)
 	case response.Kind == message.Rejected:
 		if response.RetryAfterMs > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfterMs/1000, 'f', 3, 64))
@@ -41,7 +41,7 @@
 }
 
 // writeServed passes a server's response on.
-func (s *Server) writeServed(w http.ResponseWriter, c *message.Request, response message.Response) {
+func (s *Server) writeServed(w http.ResponseWriter, request *message.Request, response message.Response) {
 	for name, values := range message.EndToEndHeaders(response.Header) {
 		w.Header()[name] = values
 	}
@@ -51,7 +51,7 @@
 	w.WriteHeader(http.StatusOK)
 	fromServer, toClient := response.Body.CopyTo(w)
 	if fromServer != nil || toClient != nil {
-		s.dispatcher.ResponseAborted(c, fromServer, toClient)
+		s.dispatcher.ResponseAborted(request, fromServer, toClient)
 		// Only a connection that ends before the response does tells the client that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -40,9 +40,9 @@
 // happens to clients. Its methods may be called from any goroutine.
 type Dispatcher interface {
 	// Dispatch takes a request over; its response comes on the request's channel.
-	Dispatch(c *message.Request)
+	Dispatch(request *message.Request)
 	// Abandon ends a request whose client no longer waits for the response.
-	Abandon(c *message.Request)
+	Abandon(request *message.Request)
 	// CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
 	CancelStreaming()
 	// EndAll gives every open request its final response.
@@ -52,7 +52,7 @@
 	// InvalidRequest counts and logs what came in that is not a request of the protocol.
 	InvalidRequest(id, from string, invalid *message.RequestError)
 	// ResponseAborted counts and logs a response that was begun and not passed on completely.
-	ResponseAborted(c *message.Request, fromServer, toClient error)
+	ResponseAborted(request *message.Request, fromServer, toClient error)
 }
 
 // Server serves the clients.
@@ -78,7 +78,15 @@
 	onDrain      func(bool)         // called when draining begins and ends
 	rejectsAll   atomic.Bool        // requests that are still arriving are rejected
 
-	accepting sync.WaitGroup // serve, until it accepts no more
+	accepting sync.WaitGroup // Serve, until it accepts no more
+}
+
+// requestClasses has the rules of each class by its name, and what else the settings say of requests. It is
+// never changed, but replaced.
+type requestClasses struct {
+	rules        map[string]*balancer.RequestRules
+	marksRetry   bool // clients mark their retries
+	retryAfterMs float64
 }
 
 // New makes the server of the clients that connect to ln, which is the server's from now on.
@@ -106,22 +114,14 @@
 		MaxHeaderBytes:    maxRequestHead,
 		ConnState:         s.conns.track,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, conn)
 		},
 		ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 	}
 	return s
 }
 
-// requestClasses has the rules of each class by its name, and what else the settings say of requests. It is
-// never changed, but replaced.
-type requestClasses struct {
-	rules        map[string]*balancer.RequestRules
-	marksRetry   bool // clients mark their retries
-	retryAfterMs float64
-}
-
 // ApplySettings puts the settings in force for requests that arrive from now on.
 func (s *Server) ApplySettings(cfg *config.Config) {
 	classes := &requestClasses{
@@ -206,30 +206,30 @@
 		s.writeReadiness(w)
 		return
 	}
-	c, reserved, invalid := s.readRequest(w, req)
+	request, reserved, invalid := s.readRequest(w, req)
 	defer s.bodies.Release(reserved)
 	if invalid != nil {
 		s.writeInvalid(w, req, control, invalid)
 		return
 	}
 	if s.rejectsAll.Load() {
-		s.writeResponse(w, c, message.Response{Kind: message.Rejected, RetryAfterMs: s.classes.Load().retryAfterMs})
+		s.writeResponse(w, request, message.Response{Kind: message.Rejected, RetryAfterMs: s.classes.Load().retryAfterMs})
 		return
 	}
-	s.forward(w, c)
+	s.forward(w, request)
 }
 
 // forward gives a request to the dispatcher and writes the final response.
-func (s *Server) forward(w http.ResponseWriter, c *message.Request) {
-	s.dispatcher.Dispatch(c)
+func (s *Server) forward(w http.ResponseWriter, request *message.Request) {
+	s.dispatcher.Dispatch(request)
 	select {
-	case response := <-c.Response:
-		s.writeResponse(w, c, response)
-	case <-c.Context.Done():
-		s.dispatcher.Abandon(c)
+	case response := <-request.Response:
+		s.writeResponse(w, request, response)
+	case <-request.Context.Done():
+		s.dispatcher.Abandon(request)
 		// The client may have ended only its sending, and still read. With nothing written here the server
 		// would write an empty 200.
-		s.writeResponse(w, c, message.Response{Kind: message.Failed})
+		s.writeResponse(w, request, message.Response{Kind: message.Failed})
 	}
 }
 
