--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -100,7 +100,12 @@
 	a.loop = loop
 	a.running = running
 	a.stopLoop = stopLoop
-	a.downstream = downstream.New(running, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
+	a.downstream = downstream.New(running, cfg, downstream.Options{
+		Listener:   ln.Clients,
+		Shared:     ln.Shared,
+		Dispatcher: loop,
+		OnDrain:    a.announceDrain,
+	})
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -43,7 +43,11 @@
 		defer close(ended)
 		loop.Run()
 	}()
-	clients := downstream.New(ctx, cfg, ln, false, loop, func(bool) {})
+	clients := downstream.New(ctx, cfg, downstream.Options{
+		Listener:   ln,
+		Dispatcher: loop,
+		OnDrain:    func(bool) {},
+	})
 	go func() { _ = clients.Serve() }()
 	stopping, stop := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -32,7 +32,11 @@
 	t.Helper()
 	requests := new(testDispatcher)
 	cfg := agenttest.NewConfig(t, ln.Addr().String(), agenttest.NewDiscovery(t))
-	server := New(t.Context(), cfg, ln, false, requests, func(bool) {})
+	server := New(t.Context(), cfg, Options{
+		Listener:   ln,
+		Dispatcher: requests,
+		OnDrain:    func(bool) {},
+	})
 	server.SetServing()
 	served := make(chan error, 1)
 	go func() { served <- server.Serve() }()
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -89,22 +89,31 @@
 	retryAfterMs float64
 }
 
-// New makes the server of the clients that connect to ln, which is the server's from now on.
-// Shared tells that other processes accept from its queue too. A request's context ends with its client, or with
-// ctx. onDrain is called when draining begins and ends.
-func New(
-	ctx context.Context, cfg *config.Config, ln net.Listener, shared bool, requests Dispatcher, onDrain func(bool),
-) *Server {
+// Options are what a Server is made of besides the agent's configuration.
+type Options struct {
+	// Listener is where clients connect. The server owns it from New on.
+	Listener net.Listener
+	// Shared tells that other processes accept from the listener's queue too.
+	Shared bool
+	// Dispatcher takes the requests.
+	Dispatcher Dispatcher
+	// OnDrain is called when draining begins and ends.
+	OnDrain func(draining bool)
+}
+
+// New makes the server of an agent's clients. A request's context ends with its client, or with ctx.
+func New(ctx context.Context, cfg *config.Config, options Options) *Server {
 	s := &Server{
-		dispatcher: requests,
-		shared:     shared,
+		dispatcher: options.Dispatcher,
+		shared:     options.Shared,
 		log:        cfg.Logger(),
 		bodies:     message.NewBodyBudget(cfg.MemoryMB),
 		conns:      newClientConns(cfg.ClientConns()),
-		onDrain:    onDrain,
+		onDrain:    options.OnDrain,
 	}
 	s.ApplySettings(cfg)
-	accepting := listener.New(ln, func(err error, _ uint64) { requests.AcceptFailed(err) })
+	onFailure := func(err error, _ uint64) { s.dispatcher.AcceptFailed(err) }
+	accepting := listener.New(options.Listener, onFailure)
 	s.listener = newClientListener(accepting, s.conns.slots)
 	s.server = &http.Server{
 		Handler:           s,
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -26,7 +26,7 @@
 func newLimitedProcess(t *testing.T, sockets int) limitedProcess {
 	t.Helper()
 	cfg := &config.Config{MemoryMB: 64, Sockets: sockets, Settings: balancer.Settings{}}
-	clients := downstream.New(t.Context(), cfg, newUnusedListener(), true, nil, nil)
+	clients := downstream.New(t.Context(), cfg, downstream.Options{Listener: newUnusedListener(), Shared: true})
 	pool := upstream.NewPool(cfg)
 	return limitedProcess{
 		sharedLimits: &sharedLimits{
