--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -17,15 +17,21 @@
 	return &message.RequestError{Status: http.StatusBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
-// readRequest reads a client's request, with its body as far as that is buffered. The caller releases reserved
-// bytes of the body budget, also after an error.
+// receivedRequest is a client's request with its part of the body budget.
+type receivedRequest struct {
+	*message.Request
+	reserved int64 // bytes of the body budget
+}
+
+// readRequest reads a client's request, with its body as far as that is buffered. The caller releases the reserved
+// bytes, also after an error.
 func (s *Server) readRequest(
 	w http.ResponseWriter, req *http.Request,
-) (request *message.Request, reserved int64, invalid *message.RequestError) {
+) (request receivedRequest, invalid *message.RequestError) {
 	if invalid := checkProtocol(req); invalid != nil {
-		return nil, 0, invalid
+		return request, invalid
 	}
-	request = &message.Request{
+	request.Request = &message.Request{
 		Context:  req.Context(),
 		ID:       req.Header.Get("Request-Id"),
 		Method:   req.Method,
@@ -38,12 +44,12 @@
 	if known {
 		request.ClientGone = conn.peerClosed
 	}
-	if invalid := readHeader(request, s.classes.Load()); invalid != nil {
-		return nil, 0, invalid
+	if invalid := readHeader(request.Request, s.classes.Load()); invalid != nil {
+		return request, invalid
 	}
 	if req.ContentLength != 0 {
-		if reserved, invalid = s.readRequestBody(request, w, req); invalid != nil {
-			return nil, reserved, invalid
+		if invalid := s.readRequestBody(&request, w, req); invalid != nil {
+			return request, invalid
 		}
 	}
 	// A request's time counts from its last byte; that of a streamed one starts again with that.
@@ -52,7 +58,7 @@
 		request.ArrivedAt = conn.queuedAt
 	}
 	request.Deadline = request.ArrivedAt.Add(request.Timeout)
-	return request, reserved, nil
+	return request, nil
 }
 
 // checkProtocol checks what does not depend on the request's class.
@@ -111,24 +117,25 @@
 
 // readRequestBody reads the part of the body that is buffered, and leaves the rest as a stream.
 func (s *Server) readRequestBody(
-	request *message.Request, w http.ResponseWriter, req *http.Request,
-) (reserved int64, invalid *message.RequestError) {
+	request *receivedRequest, w http.ResponseWriter, req *http.Request,
+) *message.RequestError {
 	body := &message.ClientBody{
 		Control: http.NewResponseController(w),
 		From:    http.MaxBytesReader(w, req.Body, message.MaxRequestBody),
 	}
-	buffered, complete, reserved, err := s.bodies.ReadBody(body, req.ContentLength)
-	request.Body = buffered
+	buffered, err := s.bodies.ReadBody(body, req.ContentLength)
+	request.Body = buffered.Bytes
+	request.reserved = buffered.Reserved
 	if err != nil {
-		return reserved, badRequest("body can't be read: %v", err)
+		return badRequest("body can't be read: %v", err)
 	}
-	if complete {
-		return reserved, nil
+	if buffered.Complete {
+		return nil
 	}
 	request.Streamed = &message.StreamedBody{ClientBody: body, Length: req.ContentLength}
 	// The body continues to arrive while the response is written.
 	if err := body.Control.EnableFullDuplex(); err != nil {
-		return reserved, badRequest("body can't be streamed: %v", err)
+		return badRequest("body can't be streamed: %v", err)
 	}
-	return reserved, nil
+	return nil
 }
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -215,17 +215,18 @@
 		s.writeReadiness(w)
 		return
 	}
-	request, reserved, invalid := s.readRequest(w, req)
-	defer s.bodies.Release(reserved)
+	request, invalid := s.readRequest(w, req)
+	defer s.bodies.Release(request.reserved)
 	if invalid != nil {
 		s.writeInvalid(w, req, control, invalid)
 		return
 	}
 	if s.rejectsAll.Load() {
-		s.writeResponse(w, request, message.Response{Kind: message.Rejected, RetryAfterMs: s.classes.Load().retryAfterMs})
+		rejection := message.Response{Kind: message.Rejected, RetryAfterMs: s.classes.Load().retryAfterMs}
+		s.writeResponse(w, request.Request, rejection)
 		return
 	}
-	s.forward(w, request)
+	s.forward(w, request.Request)
 }
 
 // forward gives a request to the dispatcher and writes the final response.
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -18,30 +18,40 @@
 	Size int64
 }
 
+// BufferedPart is the part of a body that ReadBody has buffered.
+type BufferedPart struct {
+	Bytes    []byte
+	Complete bool  // it is all of the body
+	Reserved int64 // bytes of the budget, which the caller releases
+}
+
 // NewQuota makes a quota of a size.
-func NewQuota(size int64) Quota { return Quota{semaphore.NewWeighted(size), size} }
+func NewQuota(size int64) Quota {
+	return Quota{Weighted: semaphore.NewWeighted(size), Size: size}
+}
 
 // NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many MiB of memory.
 func NewBodyBudget(memoryMB int) Quota {
 	return NewQuota(int64(memoryMB) * bytesPerMiB / bodyBudgetPart)
 }
 
-// ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. It tells
-// whether that is all of the body, and how many bytes of the budget are reserved, also after an error.
-func (q Quota) ReadBody(from io.Reader, length int64) (buffered []byte, complete bool, reserved int64, err error) {
+// ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. What it has
+// read and reserved it returns also with an error.
+func (q Quota) ReadBody(from io.Reader, length int64) (BufferedPart, error) {
 	limit := int64(MaxBufferedBody)
 	if length >= 0 {
 		limit = min(limit, length)
 	}
 	if !q.TryAcquire(limit) {
-		return nil, length == 0, 0, nil
+		return BufferedPart{Complete: length == 0}, nil
 	}
 	if length < 0 {
-		buffered, err = io.ReadAll(io.LimitReader(from, limit))
-		return buffered, int64(len(buffered)) < limit, limit, err
+		buffered, err := io.ReadAll(io.LimitReader(from, limit))
+		complete := int64(len(buffered)) < limit
+		return BufferedPart{Bytes: buffered, Complete: complete, Reserved: limit}, err
 	}
-	buffered = make([]byte, limit)
+	buffered := make([]byte, limit)
 	n, err := io.ReadFull(from, buffered)
-	complete = limit == length && err == nil
-	return buffered[:n], complete, limit, err
+	complete := limit == length && err == nil
+	return BufferedPart{Bytes: buffered[:n], Complete: complete, Reserved: limit}, err
 }
