--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
+	"io"
 	"net"
 	"os"
 	"testing"
@@ -15,53 +15,99 @@
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
+// drainSweepPeriod is how often a test has an idle connection closed, as the sweep of a draining server does.
+const drainSweepPeriod = 20 * time.Millisecond
+
+// readBufferSize is longer than anything that a test sends at once.
+const readBufferSize = 10
+
 // clientPair is a client's end of a connection and the agent's.
-func clientPair(t *testing.T) (client net.Conn, c *clientConn) {
+func clientPair(t *testing.T) (client net.Conn, conn *clientConn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln := listen(t)
+	defer func() { _ = ln.Close() }()
+	var dialer net.Dialer
+	client, err := dialer.DialContext(t.Context(), "tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	if client, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { client.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	accepted, err := newClientListener(ln, message.NewQuota(8)).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { accepted.Close() })
+	t.Cleanup(func() { _ = accepted.Close() })
 	return client, accepted.(*clientConn)
 }
 
-// What wakes a connection's reader to check leaves the reader's own deadline as it was, whichever of the two
-// is set first, and however often it is woken: a request that has begun has the time that it had.
+// send writes to a connection.
+func send(t *testing.T, client net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(client, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// sendAfter writes to a connection after a delay. Where the write fails the read of its bytes does too.
+func sendAfter(delay time.Duration, client net.Conn, text string) {
+	time.AfterFunc(delay, func() { _, _ = io.WriteString(client, text) })
+}
+
+// waitForBytes waits until bytes have arrived that are not read yet.
+func waitForBytes(t *testing.T, conn *clientConn) {
+	t.Helper()
+	agenttest.WaitUntil(t, "bytes have arrived", func() bool {
+		return socket.Poll(conn.Conn, unix.POLLIN, unix.POLLIN)
+	})
+}
+
+func setReadDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
+	t.Helper()
+	if err := conn.SetReadDeadline(deadline); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// wantRead checks what the next read returns.
+func wantRead(t *testing.T, conn net.Conn, want string) {
+	t.Helper()
+	buffer := make([]byte, readBufferSize)
+	if n, err := conn.Read(buffer); string(buffer[:n]) != want || err != nil {
+		t.Fatalf("read %q and error %v, want %q", buffer[:n], err, want)
+	}
+}
+
+// wantReadTimeout checks that the next read ends by its deadline.
+func wantReadTimeout(t *testing.T, conn net.Conn) {
+	t.Helper()
+	n, err := conn.Read(make([]byte, readBufferSize))
+	if !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("read %d bytes and error %v, want a timeout", n, err)
+	}
+}
+
+// A check whether a connection may be closed leaves its reader's deadline as it was, whichever of the two comes first,
+// and however often it is made: a request that has begun has the time that it had.
 func TestCloseWhenIdleKeepsTheReadersDeadline(t *testing.T) {
-	t.Run("a request under way is not cut short", func(t *testing.T) {
-		client, c := clientPair(t)
-		c.SetReadDeadline(time.Time{})
-		c.closeWhenIdle()
-		c.requestBegun.Store(true) // the head came as it was woken
-		time.AfterFunc(RequestHeadTimeout+200*time.Millisecond, func() { client.Write([]byte("x")) })
-		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Errorf("read %d, %v", n, err)
-		}
+	t.Run("a request in progress is not cut off", func(t *testing.T) {
+		client, conn := clientPair(t)
+		setReadDeadline(t, conn, time.Time{})
+		conn.closeWhenIdle()
+		conn.requestBegun.Store(true) // the head came during the check
+		sendAfter(RequestHeadTimeout+200*time.Millisecond, client, "x")
+		wantRead(t, conn, "x")
 	})
 	t.Run("half a head is not kept open", func(t *testing.T) {
-		client, c := clientPair(t)
-		client.Write([]byte("GET"))
-		c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		buf := make([]byte, 10)
-		if _, err := c.Read(buf); err != nil {
-			t.Fatal(err)
-		}
+		client, conn := clientPair(t)
+		send(t, client, "GET")
+		setReadDeadline(t, conn, time.Now().Add(300*time.Millisecond))
+		wantRead(t, conn, "GET")
 		ended := make(chan error, 1)
 		go func() {
-			_, err := c.Read(buf)
+			_, err := conn.Read(make([]byte, readBufferSize))
 			ended <- err
 		}()
-		over := time.After(agenttest.Timeout)
+		timeout := time.After(agenttest.Timeout)
 		for {
 			select {
 			case err := <-ended:
@@ -69,76 +115,61 @@
 					t.Errorf("ended with %v", err)
 				}
 				return
-			case <-time.After(20 * time.Millisecond): // as the sweep of a draining server does
-				c.closeWhenIdle()
-			case <-over:
-				t.Fatal("a peer that brings half a head stays while the front empties")
+			case <-time.After(drainSweepPeriod):
+				conn.closeWhenIdle()
+			case <-timeout:
+				t.Fatal("a client that has sent half a head stays connected during a drain")
 			}
 		}
 	})
-	t.Run("a deadline set on one that is to leave does not keep it", func(t *testing.T) {
-		_, c := clientPair(t)
-		c.closeWhenIdle()
-		c.SetReadDeadline(time.Now().Add(time.Hour)) // as the server does where one falls idle
-		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
+	t.Run("a later deadline does not keep a connection open", func(t *testing.T) {
+		_, conn := clientPair(t)
+		conn.closeWhenIdle()
+		setReadDeadline(t, conn, time.Now().Add(time.Hour)) // as the server does when a connection becomes idle
+		wantReadTimeout(t, conn)
 	})
 }
 
-// What arrived before the reader's deadline is read, also where the process was delayed and checks only after
-// it: closing would lose a request that came in time.
+// What arrived before the reader's deadline is read, also where the process was delayed and checks only after it:
+// closing would lose a request that came in time.
 func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
 	const deadline = 50 * time.Millisecond
-	pair := func(t *testing.T) (net.Conn, *clientConn, []byte) {
-		client, c := clientPair(t)
-		return client, c, make([]byte, 10)
-	}
-	arrived := func(t *testing.T, c *clientConn) {
-		agenttest.WaitUntil(t, "the bytes have arrived", func() bool { return socket.Poll(c.Conn, unix.POLLIN, unix.POLLIN) })
-	}
+	const processDelay = 2 * deadline
 	t.Run("a first request", func(t *testing.T) {
-		client, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		fmt.Fprint(client, "GET")
-		arrived(t, c)
-		time.Sleep(2 * deadline) // delayed
-		if n, err := c.Read(buf); string(buf[:n]) != "GET" || err != nil {
-			t.Errorf("read %q, %v", buf[:n], err)
-		}
+		client, conn := clientPair(t)
+		setReadDeadline(t, conn, time.Now().Add(deadline))
+		send(t, client, "GET")
+		waitForBytes(t, conn)
+		time.Sleep(processDelay)
+		wantRead(t, conn, "GET")
 	})
 	t.Run("once only", func(t *testing.T) {
-		client, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		time.Sleep(2 * deadline)
-		for i := range 2 {
-			fmt.Fprint(client, "x")
-			arrived(t, c)
-			if _, err := c.Read(buf); (err == nil) != (i == 0) {
-				t.Errorf("look %d after the deadline: %v", i+1, err)
-			}
-		}
+		client, conn := clientPair(t)
+		setReadDeadline(t, conn, time.Now().Add(deadline))
+		time.Sleep(processDelay)
+		send(t, client, "x")
+		waitForBytes(t, conn)
+		wantRead(t, conn, "x")
+		send(t, client, "x")
+		waitForBytes(t, conn)
+		wantReadTimeout(t, conn)
 	})
 	t.Run("not under a deadline that was past", func(t *testing.T) {
-		client, c, buf := pair(t)
-		fmt.Fprint(client, "x")
-		arrived(t, c)
-		c.SetReadDeadline(time.Now().Add(-deadline))
-		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
+		client, conn := clientPair(t)
+		send(t, client, "x")
+		waitForBytes(t, conn)
+		setReadDeadline(t, conn, time.Now().Add(-deadline))
+		wantReadTimeout(t, conn)
 	})
-	t.Run("nothing came", func(t *testing.T) {
-		_, c, buf := pair(t)
-		c.SetReadDeadline(time.Now().Add(deadline))
-		if _, err := c.Read(buf); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("read %v", err)
-		}
+	t.Run("nothing arrived", func(t *testing.T) {
+		_, conn := clientPair(t)
+		setReadDeadline(t, conn, time.Now().Add(deadline))
+		wantReadTimeout(t, conn)
 	})
 }
 
 func TestSmallWritesToClientsAreNotDelayed(t *testing.T) {
 	if _, conn := clientPair(t); !agenttest.HasNoDelay(t, conn.Conn) {
-		t.Error("small writes to clients are held back")
+		t.Error("small writes to clients are delayed")
 	}
 }
--- a/internal/agent/downstream/drain_test.go
+++ b/internal/agent/downstream/drain_test.go
@@ -4,7 +4,6 @@
 	"testing"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/clock"
 )
@@ -12,11 +11,13 @@
 // After SIGTERM the request that came last has its whole timeout, and the program has ended before it may be
 // killed: the longest timeout, 3 s at the most, and 0.7 s later.
 func TestDrainTimeIsWithinTheKillDelay(t *testing.T) {
-	for _, longest := range []float64{300, 3000, 20000} {
-		c := &config.Config{Settings: balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longest}}}}
-		end, kill := DrainTime(&c.Settings), min(clock.FromMilliseconds(longest), 3*time.Second)+700*time.Millisecond
-		if end <= DrainAcceptTime+min(clock.FromMilliseconds(longest), 3*time.Second) || end >= kill-100*time.Millisecond {
-			t.Errorf("longest deadline %v ms: the end is %v after SIGTERM, the kill %v", longest, end, kill)
+	for _, longestMs := range []float64{300, 3000, 20000} {
+		settings := &balancer.Settings{Classes: []balancer.Class{{TotalTimeoutMs: 200}, {TotalTimeoutMs: longestMs}}}
+		timeout := min(clock.FromMilliseconds(longestMs), 3*time.Second)
+		end := DrainTime(settings)
+		kill := timeout + 700*time.Millisecond
+		if end <= DrainAcceptTime+timeout || end >= kill-100*time.Millisecond {
+			t.Errorf("longest timeout %v ms: the end is %v after SIGTERM, the kill %v", longestMs, end, kill)
 		}
 	}
 }
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -15,9 +15,9 @@
 	requests atomic.Int64
 }
 
-func (d *testDispatcher) Dispatch(c *message.Request) {
+func (d *testDispatcher) Dispatch(request *message.Request) {
 	d.requests.Add(1)
-	c.Response <- message.Response{Kind: message.Served, Header: http.Header{}, Body: &message.ResponseBody{}}
+	request.Response <- message.Response{Kind: message.Served, Header: http.Header{}, Body: &message.ResponseBody{}}
 }
 
 func (*testDispatcher) Abandon(*message.Request)                             {}
@@ -30,11 +30,11 @@
 // startServer serves the clients that connect to a listener by a testDispatcher.
 func startServer(t *testing.T, ln net.Listener) (*Server, *testDispatcher) {
 	t.Helper()
-	requests := new(testDispatcher)
+	dispatcher := new(testDispatcher)
 	cfg := agenttest.NewConfig(t, ln.Addr().String(), agenttest.NewDiscovery(t))
 	server := New(t.Context(), cfg, Options{
 		Listener:   ln,
-		Dispatcher: requests,
+		Dispatcher: dispatcher,
 		OnDrain:    func(bool) {},
 	})
 	server.SetServing()
@@ -44,13 +44,13 @@
 		server.Close()
 		<-served
 	})
-	return server, requests
+	return server, dispatcher
 }
 
 // listen is a listener on a port that the system chooses.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/downstream/server_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -1,10 +1,10 @@
 package downstream
 
 import (
-	"fmt"
+	"io"
 	"net"
 	"net/http"
-	"sync"
+	"sync/atomic"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
@@ -14,41 +14,47 @@
 // crosses the close.
 type lateCloseListener struct{ net.Listener }
 
-type lateClose struct {
+// lateCloseConn closes at the second call of Close.
+type lateCloseConn struct {
 	net.Conn
-	closed chan struct{}
-	once   sync.Once
+	closeCalled atomic.Bool
 }
 
 func (l lateCloseListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &lateClose{Conn: c, closed: make(chan struct{})}, nil
+	return &lateCloseConn{Conn: accepted}, nil
 }
 
 // Close takes effect at the second call, the one that ends the serving of a connection.
-func (c *lateClose) Close() error {
-	first := false
-	c.once.Do(func() { first = true; close(c.closed) })
-	if first {
+func (c *lateCloseConn) Close() error {
+	if !c.closeCalled.Swap(true) {
 		return nil
 	}
 	return c.Conn.Close()
 }
 
+// sendRequest writes a request to a server.
+func sendRequest(t *testing.T, client *agenttest.KeptConn, request string) {
+	t.Helper()
+	if _, err := io.WriteString(client, request); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A request that crosses the close of its idle connection is sent again by its client, on another: if the
 // agent forwarded it as well, two copies would execute.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
-	server, requests := startServer(t, lateCloseListener{listen(t)})
+	server, dispatcher := startServer(t, lateCloseListener{listen(t)})
 	client := agenttest.DialKept(t, server.listener.Addr().String())
-	fmt.Fprint(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	if resp, err := http.ReadResponse(client.Br, nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%v, %v", resp, err)
+	sendRequest(t, client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	if status := client.Status(); status != http.StatusOK {
+		t.Fatalf("readiness has the status %d, want %d", status, http.StatusOK)
 	}
 	conns := server.conns
-	agenttest.WaitUntil(t, "the connection idles", func() bool {
+	agenttest.WaitUntil(t, "the connection is idle", func() bool {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
 		return conns.order.Len() == 1
@@ -56,29 +62,28 @@
 	conns.mu.Lock()
 	_ = conns.order.Front().Value.(net.Conn).Close()
 	conns.mu.Unlock()
-	fmt.Fprint(client, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+	sendRequest(t, client, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
-	if resp, err := http.ReadResponse(client.Br, nil); err == nil {
-		t.Errorf("answered %d on a connection that was closed", resp.StatusCode)
+	if status := client.Status(); status != 0 {
+		t.Errorf("response %d on a connection that was closed", status)
 	}
-	if got := requests.requests.Load(); got != 0 {
+	if got := dispatcher.requests.Load(); got != 0 {
 		t.Errorf("%d requests dispatched, want none", got)
 	}
 }
 
-// A request that is read once the process admits none any more is rejected, on its connection, and not
-// forwarded.
+// A request that is read once the process admits no more is rejected, on its connection, and not forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
-	server, requests := startServer(t, listen(t))
-	c := agenttest.DialKept(t, server.listener.Addr().String())
-	if c.Request(t).StatusCode != 200 {
-		t.Fatal("not served")
+	server, dispatcher := startServer(t, listen(t))
+	client := agenttest.DialKept(t, server.listener.Addr().String())
+	sendRequest(t, client, agenttest.RequestText(1, 4000))
+	if status := agenttest.FinalStatus(t, client); status != http.StatusOK {
+		t.Fatalf("status %d before the shutdown, want %d", status, http.StatusOK)
 	}
 	server.rejectNew()
-	if resp := c.Request(t); resp.StatusCode != 503 {
-		t.Errorf("answered %d, want a rejection", resp.StatusCode)
-	}
-	if got := requests.requests.Load(); got != 1 {
+	sendRequest(t, client, agenttest.RequestText(1, 4000))
+	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusServiceUnavailable)
+	if got := dispatcher.requests.Load(); got != 1 {
 		t.Errorf("%d requests dispatched, want 1", got)
 	}
 }
