--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -49,13 +49,14 @@
 
 // Result is how one attempt ended.
 type Result struct {
-	Status         balancer.Status
-	Reason         string // why the attempt failed, for the log
-	connectionLost bool   // the connection broke before any response
-	LatencyMs      float64
-	Header         http.Header
-	Body           *message.ResponseBody
-	ClientErr      error // the client's error that broke off the request in the middle of its body
+	Status    balancer.Status
+	Reason    string // why the attempt failed, for the log
+	LatencyMs float64
+	Header    http.Header
+	Body      *message.ResponseBody
+	ClientErr error // the client's error that broke off the request in the middle of its body
+
+	connectionLost bool // the connection broke before any response
 }
 
 // exchangeResult is how an exchange on one connection ended.
@@ -178,9 +179,7 @@
 }
 
 // exchangeBuffered makes the exchange of a message that is buffered as a whole.
-func (p *Pool) exchangeBuffered(
-	conn *serverConn, server *Server, req *http.Request,
-) exchangeResult {
+func (p *Pool) exchangeBuffered(conn *serverConn, server *Server, req *http.Request) exchangeResult {
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
 		failed := Result{Status: balancer.StatusConnectFailed, Reason: err.Error()}
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, err
 	}
-	nc, err := p.dial(ctx, addr, until)
+	opened, err := p.dial(ctx, addr, until)
 	if err != nil {
 		p.mu.Lock()
 		p.openConns--
@@ -144,8 +144,8 @@
 		return nil, err
 	}
 	return &serverConn{
-		Conn:      nc,
-		reader:    bufio.NewReaderSize(nc, MaxResponseHead),
+		Conn:      opened,
+		reader:    bufio.NewReaderSize(opened, MaxResponseHead),
 		addr:      addr,
 		createdAt: time.Now(),
 	}, nil
--- a/internal/agent/upstream/request.go
+++ b/internal/agent/upstream/request.go
@@ -16,10 +16,10 @@
 var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
 // NewRequest makes the request that is sent to a server, with the time left as its timeout.
-func NewRequest(c *message.Request, left time.Duration) *http.Request {
-	header := message.EndToEndHeaders(c.Header)
+func NewRequest(incoming *message.Request, left time.Duration) *http.Request {
+	header := message.EndToEndHeaders(incoming.Header)
 	for _, name := range identityHeaders {
-		if values := c.Header.Values(name); len(values) > 0 {
+		if values := incoming.Header.Values(name); len(values) > 0 {
 			header[name] = values
 		}
 	}
@@ -28,24 +28,24 @@
 		header.Set("User-Agent", "") // net/http adds its own where there is none
 	}
 	req := &http.Request{
-		Method: c.Method,
+		Method: incoming.Method,
 		URL: &url.URL{
-			Path:       c.URL.Path,
-			RawPath:    c.URL.RawPath,
-			RawQuery:   c.URL.RawQuery,
-			ForceQuery: c.URL.ForceQuery,
+			Path:       incoming.URL.Path,
+			RawPath:    incoming.URL.RawPath,
+			RawQuery:   incoming.URL.RawQuery,
+			ForceQuery: incoming.URL.ForceQuery,
 		},
-		Host:   c.Host,
+		Host:   incoming.Host,
 		Header: header,
 	}
-	buffered := bytes.NewReader(c.Body)
+	buffered := bytes.NewReader(incoming.Body)
 	switch {
-	case c.Streamed != nil:
-		req.Body = io.NopCloser(io.MultiReader(buffered, c.Streamed))
-		req.ContentLength = c.Streamed.Length
-	case len(c.Body) > 0:
+	case incoming.Streamed != nil:
+		req.Body = io.NopCloser(io.MultiReader(buffered, incoming.Streamed))
+		req.ContentLength = incoming.Streamed.Length
+	case len(incoming.Body) > 0:
 		req.Body = io.NopCloser(buffered)
-		req.ContentLength = int64(len(c.Body))
+		req.ContentLength = int64(len(incoming.Body))
 	}
 	return req
 }
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -30,9 +30,7 @@
 
 // readResponse reads the response behind its head, where err is nil. A response that is long, or takes long,
 // is returned with its rest as a stream.
-func (p *Pool) readResponse(
-	conn *serverConn, server *Server, resp *http.Response, err error,
-) exchangeResult {
+func (p *Pool) readResponse(conn *serverConn, server *Server, resp *http.Response, err error) exchangeResult {
 	if resp == nil {
 		return conn.brokenResult(err)
 	}
@@ -83,9 +81,7 @@
 
 // readStreamedBody begins the stream of a body. Where its length is not given, it first buffers what comes
 // within BufferingTime, and needs no stream if that is all.
-func (p *Pool) readStreamedBody(
-	conn *serverConn, server *Server, resp *http.Response,
-) exchangeResult {
+func (p *Pool) readStreamedBody(conn *serverConn, server *Server, resp *http.Response) exchangeResult {
 	body := &message.ResponseBody{
 		Length: resp.ContentLength,
 		Budget: p.budget,
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -39,7 +39,7 @@
 func (p *Pool) exchangeStreamed(
 	ctx context.Context, conn *serverConn, server *Server, message *Message, req *http.Request,
 ) exchangeResult {
-	x := &streamedExchange{
+	e := &streamedExchange{
 		conn:    conn,
 		message: message,
 		heads:   make(chan responseHead, 1),
@@ -47,42 +47,49 @@
 	}
 	// Until all is written the server has no deadline, except for each chunk.
 	conn.setReadDeadline(time.Time{})
-	go x.readHead(req.Method)
-	go x.write(ctx, req)
+	go e.readHead(req.Method)
+	go e.write(ctx, req)
 	var head responseHead
 	var err error
 	select {
-	case err = <-x.written:
+	case err = <-e.written:
 		if clientErr := message.Streamed.Failure(); err != nil && clientErr != nil {
-			return x.clientFailed(clientErr)
+			return e.clientFailed(clientErr)
 		}
-		head = x.awaitHead(ctx, err)
-	case head = <-x.heads:
-		err = x.stopWriting()
+		head = e.awaitHead(ctx, err)
+	case head = <-e.heads:
+		err = e.stopWriting()
 	}
-	return x.finish(p, server, head, err)
+	return e.finish(p, server, head, err)
 }
 
-func (x *streamedExchange) readHead(method string) {
+// readHead reads the head of the response.
+func (e *streamedExchange) readHead(method string) {
 	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
-	resp, err := readResponseHead(x.conn.reader, method)
-	x.heads <- responseHead{resp, err}
+	resp, err := readResponseHead(e.conn.reader, method)
+	e.heads <- responseHead{resp: resp, err: err}
 }
 
-func (x *streamedExchange) write(ctx context.Context, req *http.Request) {
-	to := serverWriter{ctx, x.conn, x.message.Streamed, x.message.ResponseTime}
+// write writes the request, in chunks as its body arrives.
+func (e *streamedExchange) write(ctx context.Context, req *http.Request) {
+	to := serverWriter{
+		ctx:          ctx,
+		conn:         e.conn,
+		body:         e.message.Streamed,
+		responseTime: e.message.ResponseTime,
+	}
 	buffered := bufio.NewWriterSize(to, message.ChunkSize)
 	err := req.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
 	}
-	x.written <- err
+	e.written <- err
 }
 
 // clientFailed ends an exchange whose client broke off the body.
-func (x *streamedExchange) clientFailed(clientErr error) exchangeResult {
-	x.conn.expireReads()
-	<-x.heads
+func (e *streamedExchange) clientFailed(clientErr error) exchangeResult {
+	e.conn.expireReads()
+	<-e.heads
 	return exchangeResult{Result: Result{
 		Status:    balancer.StatusCancelled,
 		Reason:    "client: " + clientErr.Error(),
@@ -91,49 +98,47 @@
 }
 
 // awaitHead waits for the response's head after the write ended with err.
-func (x *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
+func (e *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
 	if err == nil {
-		x.message.OnSent()
-		x.conn.setReadDeadline(x.message.Streamed.RespondBy(x.message.ResponseTime))
+		e.message.OnSent()
+		e.conn.setReadDeadline(e.message.Streamed.RespondBy(e.message.ResponseTime))
 	} else {
 		// A response may be there, or on its way behind what the server did not read.
-		x.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
+		e.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
 	}
 	if ctx.Err() != nil { // the deadline just set may have undone the cancellation's
-		x.conn.expireReads()
+		e.conn.expireReads()
 	}
-	return <-x.heads
+	return <-e.heads
 }
 
 // stopWriting ends the write after an early response; its error is nil if the write had ended before.
-func (x *streamedExchange) stopWriting() error {
+func (e *streamedExchange) stopWriting() error {
 	err := errEarlyResponse
 	select {
-	case err = <-x.written: // only the notification of its end was later
+	case err = <-e.written: // only the notification of its end was later
 	case <-time.After(earlyResponseWait):
 	}
 	if err == nil {
-		x.message.OnSent()
+		e.message.OnSent()
 		return nil
 	}
 	// The writer may still wait for the client. What the client sends now is lost.
-	x.message.Streamed.Consumed.Store(true)
-	x.conn.expireWrites()
+	e.message.Streamed.Consumed.Store(true)
+	e.conn.expireWrites()
 	return err
 }
 
 // finish reads the response behind its head, after the write ended with err.
-func (x *streamedExchange) finish(
-	p *Pool, server *Server, head responseHead, err error,
-) exchangeResult {
-	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(x.conn, x.message.Streamed) {
-		return x.conn.brokenResult(head.err)
+func (e *streamedExchange) finish(p *Pool, server *Server, head responseHead, err error) exchangeResult {
+	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.message.Streamed) {
+		return e.conn.brokenResult(head.err)
 	}
 	if err != nil && head.resp == nil {
 		// The last byte was never sent, and the connection is closed: the request can't execute.
-		return x.conn.unsentResult(cmp.Or(head.err, err))
+		return e.conn.unsentResult(cmp.Or(head.err, err))
 	}
-	result := p.readResponse(x.conn, server, head.resp, head.err)
+	result := p.readResponse(e.conn, server, head.resp, head.err)
 	if err != nil && result.Body != nil {
 		result.Body.Release()
 		return exchangeResult{Result: Result{Status: balancer.StatusError, Reason: err.Error()}}
@@ -150,7 +155,7 @@
 	return body.Complete()
 }
 
-// serverWriter writes a streamed body to a server, with a deadline for each chunk and not for the whole: no
+// serverWriter writes a streamed body to a server, with a deadline for each chunk and not for all of them: no
 // later than the client's if its last byte has come.
 type serverWriter struct {
 	//nolint:containedctx // io.Writer has no context
@@ -160,10 +165,10 @@
 	responseTime time.Duration // the client's time from its last byte on
 }
 
-func (w serverWriter) Write(p []byte) (int, error) {
+func (w serverWriter) Write(chunk []byte) (int, error) {
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
 	w.conn.setWriteDeadline(clock.Earliest(time.Now().Add(message.StallTimeout), w.body.RespondBy(w.responseTime)))
-	return w.conn.Write(p)
+	return w.conn.Write(chunk)
 }
