--- /dev/null
+++ b/internal/agent/upstream/fixture_test.go
@@ -0,0 +1,48 @@
+package upstream
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// testMemoryMB is the memory of an agent by which the pools of the tests bound buffered bodies.
+const testMemoryMB = 64
+
+// newTestPool is a connection pool without an agent.
+func newTestPool(connectTimeout time.Duration, maxConns int) *Pool {
+	return &Pool{
+		budget:         message.NewBodyBudget(testMemoryMB),
+		dial:           DialTCP,
+		connectTimeout: connectTimeout,
+		keepalive:      time.Minute,
+		maxConns:       maxConns,
+		idle:           map[string][]*serverConn{},
+	}
+}
+
+// orderRequest is a client's request of a class that is not idempotent.
+func orderRequest(addr string, body []byte) *message.Request {
+	req := agenttest.NewRequest(addr, "order", "")
+	return &message.Request{Method: req.Method, URL: req.URL, Header: req.Header, Body: body}
+}
+
+// attemptNow makes an attempt for a client's request, with Timeout as its deadline.
+func attemptNow(ctx context.Context, pool *Pool, server *Server, addr string, incoming *message.Request) Result {
+	now := time.Now()
+	message := &Message{NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) }}
+	return pool.Attempt(ctx, server, addr, message, now, now.Add(agenttest.Timeout))
+}
+
+// wantEnd checks the status of an attempt or a health check.
+func wantEnd(t *testing.T, what string, result Result, want balancer.Status) {
+	t.Helper()
+	if result.Status != want {
+		t.Errorf("%s: ended as %d (%s), want %d", what, result.Status, result.Reason, want)
+	}
+}
--- a/internal/agent/upstream/health_check_test.go
+++ b/internal/agent/upstream/health_check_test.go
@@ -10,34 +10,43 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// healthConnectTimeout is the connect timeout of the tested pools; a health check may take twice as long.
+const healthConnectTimeout = 200 * time.Millisecond
+
+// respond returns the answer of a server that responds to each request with a status and header lines.
+func respond(status int, header string) func(net.Conn, *http.Request, int) bool {
+	return func(conn net.Conn, _ *http.Request, _ int) bool {
+		return agenttest.SendResponse(conn, status, header, "")
+	}
+}
+
 // How a health check ends, as the policy sees it.
 func TestHealthCheckOutcomes(t *testing.T) {
+	reset := func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) }
+	silent := func(net.Conn, *http.Request, int) bool { return true }
 	for name, test := range map[string]struct {
 		answer func(net.Conn, *http.Request, int) bool
 		want   balancer.Status
 	}{
-		"healthy":     {func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, 200, "", "") }, balancer.StatusOK},
-		"not healthy": {func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, 503, "", "") }, balancer.StatusError},
-		"full": {func(c net.Conn, _ *http.Request, _ int) bool {
-			return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+		"healthy":     {answer: respond(http.StatusOK, ""), want: balancer.StatusOK},
+		"not healthy": {answer: respond(http.StatusServiceUnavailable, ""), want: balancer.StatusError},
+		"full": {
+			answer: respond(http.StatusServiceUnavailable, "Not-Started: 1\r\n"),
+			want:   balancer.StatusOverloaded,
 		},
-			balancer.StatusOverloaded},
-		"reset":  {func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) }, balancer.StatusReset},
-		"silent": {func(net.Conn, *http.Request, int) bool { return true }, balancer.StatusTimeout},
+		"reset":  {answer: reset, want: balancer.StatusReset},
+		"silent": {answer: silent, want: balancer.StatusTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := agenttest.NewServer(t, test.answer)
-			p := newTestPool(200*time.Millisecond, 8)
-			if res := p.HealthCheck(t.Context(), &Server{}, b.Addr, "x"); res.Status != test.want {
-				t.Errorf("ended as %d, want %d", res.Status, test.want)
-			}
-			drained := &Server{}
-			drained.SetAvailable(false)
-			if res := p.HealthCheck(t.Context(), drained, b.Addr, "x"); res.Status != balancer.StatusConnectFailed {
-				t.Errorf("drained: ended as %d, want %d", res.Status, balancer.StatusConnectFailed)
-			}
-			if b.Count() != 1 {
-				t.Errorf("%d arrivals, want 1", b.Count())
+			server := agenttest.NewServer(t, test.answer)
+			pool := newTestPool(healthConnectTimeout, 8)
+			wantEnd(t, "available", pool.HealthCheck(t.Context(), &Server{}, server.Addr, "x"), test.want)
+			draining := &Server{}
+			draining.SetAvailable(false)
+			result := pool.HealthCheck(t.Context(), draining, server.Addr, "x")
+			wantEnd(t, "draining", result, balancer.StatusConnectFailed)
+			if server.Count() != 1 {
+				t.Errorf("%d arrivals, want 1", server.Count())
 			}
 		})
 	}
--- a/internal/agent/upstream/response_test.go
+++ b/internal/agent/upstream/response_test.go
@@ -11,6 +11,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// readError is the error of a read on a connection.
 func readError(cause error) error {
 	return &net.OpError{Op: "read", Net: "tcp", Err: cause}
 }
@@ -24,8 +25,10 @@
 		io.ErrUnexpectedEOF:                balancer.StatusReset,
 		errors.New("response is not HTTP"): balancer.StatusError,
 	}
-	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE,
-		syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM} {
+	for _, errno := range []syscall.Errno{
+		syscall.ETIMEDOUT, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE, syscall.EHOSTUNREACH,
+		syscall.ENETUNREACH, syscall.ECONNABORTED, syscall.ENOBUFS, syscall.ENOMEM,
+	} {
 		want[readError(os.NewSyscallError("read", errno))] = balancer.StatusReset
 	}
 	for err, status := range want {
