--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -70,7 +70,7 @@
 	conns  map[*countedConn]bool // open connections; nil once the client is closed
 }
 
-// Response is the end of one call; err says why it has no list.
+// Response is the end of one call; Err says why it has no list.
 type Response struct {
 	Source *Source
 	List   *endpoint.List
@@ -83,13 +83,13 @@
 	Err        error
 }
 
-// New makes the client of a configuration's addresses, where the list that it knows is known already.
+// New makes the client of a configuration's addresses, which has the list that the configuration knows.
 // With the section "control" the watch goes round all addresses, and asks for the settings of the section's
 // service, which apply puts in force. Each end of a call is passed to onResponse.
 func New(
 	cfg *config.Config, timeSource clock.Clock, apply ApplySettings, onResponse func(Response),
 ) *Client {
-	d := &Client{
+	c := &Client{
 		source:     newSource(cfg.Known.Version, cfg.Discovery),
 		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
 		localAddr:  cfg.CallFrom,
@@ -97,101 +97,101 @@
 		onResponse: onResponse,
 		conns:      map[*countedConn]bool{},
 	}
-	d.client = &http.Client{Transport: &http.Transport{
-		DialContext:         d.dial,
+	c.client = &http.Client{Transport: &http.Transport{
+		DialContext:         c.dial,
 		MaxIdleConnsPerHost: maxIdleConns,
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
 	if cfg.Control == nil {
-		return d
+		return c
 	}
-	d.name = cfg.Name
-	d.backoff = newAddressBackoff()
-	d.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), d.name)...)
+	c.name = cfg.Name
+	c.backoff = newAddressBackoff()
+	c.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), c.name)...)
 	if cfg.Control.Service != "" {
-		d.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: apply}
+		c.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: apply}
 	}
-	return d
+	return c
 }
 
 // Close closes all connections; no call is answered any more.
-func (d *Client) Close() {
-	d.mu.Lock()
-	open := d.conns
-	d.conns = nil
-	d.mu.Unlock()
+func (c *Client) Close() {
+	c.mu.Lock()
+	open := c.conns
+	c.conns = nil
+	c.mu.Unlock()
 	for conn := range open {
 		_ = conn.Close() // given up, whatever its state
 	}
 }
 
 // KeepsOwnWatch tells whether the client goes round several addresses, and so keeps a watch by itself.
-func (d *Client) KeepsOwnWatch() bool { return d.backoff != nil }
+func (c *Client) KeepsOwnWatch() bool { return c.backoff != nil }
 
 // ForgetRejectedSettings has settings that were rejected sent and checked again.
-func (d *Client) ForgetRejectedSettings() { d.settingsWatch.forgetRejection() }
+func (c *Client) ForgetRejectedSettings() { c.settingsWatch.forgetRejection() }
 
 // MoveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
 // new source may count versions of its own. Connections to the old source are not kept. Which of several
 // addresses is called first depends on the agent's name.
-func (d *Client) MoveTo(addrs ...string) {
-	d.mu.Lock()
-	old := d.source
-	d.source = newSource(0, orderAddresses(addrs, d.name)...)
-	d.mu.Unlock()
+func (c *Client) MoveTo(addrs ...string) {
+	c.mu.Lock()
+	old := c.source
+	c.source = newSource(0, orderAddresses(addrs, c.name)...)
+	c.mu.Unlock()
 	old.markMoved()
-	d.client.CloseIdleConnections()
+	c.client.CloseIdleConnections()
 }
 
 // CurrentSource is where discovery is now.
-func (d *Client) CurrentSource() *Source {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.source
+func (c *Client) CurrentSource() *Source {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.source
 }
 
 // Fetch polls for the full list once.
-func (d *Client) Fetch(ctx context.Context) {
-	response := d.fetchOnce(ctx)
+func (c *Client) Fetch(ctx context.Context) {
+	response := c.fetchOnce(ctx)
 	if errors.Is(response.Err, errMoved) {
-		response = d.fetchOnce(ctx)
+		response = c.fetchOnce(ctx)
 	}
 	if ctx.Err() == nil {
-		d.onResponse(response)
+		c.onResponse(response)
 	}
 }
 
-func (d *Client) fetchOnce(ctx context.Context) Response {
-	source := d.CurrentSource()
+func (c *Client) fetchOnce(ctx context.Context) Response {
+	source := c.CurrentSource()
 	response := Response{Source: source, LastAnswer: source.lastAnswer()}
-	response.List, response.Err = d.get(ctx, source, "", 2*callGrace, 0)
+	response.List, response.Err = c.get(ctx, source, "", 2*callGrace, 0)
 	return response
 }
 
 // get makes one call within a timeout, and accepts no list older than minVersion.
-func (d *Client) get(
+func (c *Client) get(
 	ctx context.Context, source *Source, query string, timeout time.Duration, minVersion uint64,
 ) (*endpoint.List, error) {
-	if err := d.limit.Wait(ctx); err != nil {
+	if err := c.limit.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	callContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	defer context.AfterFunc(source.moved, cancel)() //nolint:contextcheck // the source's context ends this call too
 	addr, index := source.address()
-	list, err := d.call(callContext, "http://"+addr+targetsPath+query)
+	list, err := c.call(callContext, "http://"+addr+targetsPath+query)
 	if err == nil && list.Version < minVersion {
 		source.advance(index)
 		return nil, errOlderVersion
 	}
 	if err == nil {
-		source.answered.Store(int64(d.clock.Monotonic()))
+		source.answered.Store(int64(c.clock.Monotonic()))
 		return list, nil
 	}
 	// Another idle connection may have fallen silent with this one: the next call opens its own.
-	d.client.CloseIdleConnections()
+	c.client.CloseIdleConnections()
 	if source.moved.Err() != nil {
 		return nil, errMoved
 	}
@@ -203,16 +203,16 @@
 }
 
 // call makes one call and reads the list of its response.
-func (d *Client) call(ctx context.Context, url string) (*endpoint.List, error) {
-	if d.backoff != nil {
+func (c *Client) call(ctx context.Context, url string) (*endpoint.List, error) {
+	if c.backoff != nil {
 		ctx = withSingleConn(ctx)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d.counters.calls.Add(1)
-	resp, err := d.client.Do(req)
+	c.counters.calls.Add(1)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
@@ -224,11 +224,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("discovery: status %d", resp.StatusCode)
 	}
-	return d.parseList(text)
+	return c.parseList(text)
 }
 
 // parseList reads a list. What is not a list must not pass for one that names no servers.
-func (d *Client) parseList(text []byte) (*endpoint.List, error) {
+func (c *Client) parseList(text []byte) (*endpoint.List, error) {
 	var parsed struct {
 		Version *uint64
 		Full    bool
@@ -243,13 +243,13 @@
 		return nil, errors.New("discovery: response is not a list")
 	}
 	list := &endpoint.List{Version: *parsed.Version, Full: parsed.Full, Servers: parsed.Servers}
-	if d.settingsWatch == nil || len(parsed.Settings) == 0 {
+	if c.settingsWatch == nil || len(parsed.Settings) == 0 {
 		return list, nil
 	}
 	if err := json.Unmarshal(parsed.Settings, &list.Settings); err != nil {
 		return nil, fmt.Errorf("discovery: settings: %w", err)
 	}
-	if settings := list.Settings; settings != nil && settings.Service != d.settingsWatch.service {
+	if settings := list.Settings; settings != nil && settings.Service != c.settingsWatch.service {
 		return nil, fmt.Errorf("discovery: response with the settings of %.40q", settings.Service)
 	}
 	return list, nil
--- a/internal/agent/discovery/conn.go
+++ b/internal/agent/discovery/conn.go
@@ -24,11 +24,11 @@
 }
 
 // Traffic is the traffic of the client's calls since the start.
-func (d *Client) Traffic() Traffic {
+func (c *Client) Traffic() Traffic {
 	return Traffic{
-		BytesIn:  d.counters.bytesIn.Load(),
-		BytesOut: d.counters.bytesOut.Load(),
-		Calls:    d.counters.calls.Load(),
+		BytesIn:  c.counters.bytesIn.Load(),
+		BytesOut: c.counters.bytesOut.Load(),
+		Calls:    c.counters.calls.Load(),
 	}
 }
 
@@ -38,18 +38,21 @@
 	client *Client
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
+// Read reads from the connection and counts the bytes.
+func (c *countedConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	c.client.counters.bytesIn.Add(uint64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
+// Write writes to the connection and counts the bytes.
+func (c *countedConn) Write(data []byte) (int, error) {
+	n, err := c.Conn.Write(data)
 	c.client.counters.bytesOut.Add(uint64(n))
 	return n, err
 }
 
+// Close closes the connection, which the client then no longer has.
 func (c *countedConn) Close() error {
 	c.client.mu.Lock()
 	delete(c.client.conns, c)
@@ -57,26 +60,27 @@
 	return c.Conn.Close()
 }
 
-func (d *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+// dial opens a connection of the HTTP client; a call that has lost its connection gets no other.
+func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if hadConn, ok := ctx.Value(hadConnKey{}).(*atomic.Bool); ok && hadConn.Load() {
 		return nil, errConnectionLost
 	}
 	dialer := net.Dialer{Timeout: callGrace}
-	if d.localAddr != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: d.localAddr}
+	if c.localAddr != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: c.localAddr}
 	}
-	nc, err := dialer.DialContext(ctx, network, addr)
+	opened, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	conn := &countedConn{nc, d}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.conns == nil {
-		_ = nc.Close() // unused: the client is closed
+	conn := &countedConn{Conn: opened, client: c}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns == nil {
+		_ = opened.Close() // unused: the client is closed
 		return nil, net.ErrClosed
 	}
-	d.conns[conn] = true
+	c.conns[conn] = true
 	return conn, nil
 }
 
--- a/internal/agent/discovery/source.go
+++ b/internal/agent/discovery/source.go
@@ -18,9 +18,9 @@
 	// version is what the watch has reached, by the source's own count; 0: the full list is still to be asked
 	// for. It belongs to the watch, of which there is one at a time.
 	version uint64
-	// answered is when the source last answered a call, on the monotonic clock in ns; 0: never.
+	// answered is when the source last responded to a call, on the monotonic clock in ns; 0: never.
 	answered atomic.Int64
-	// olderAnswers counts consecutive answers to the watch with an older version.
+	// olderAnswers counts consecutive responses to the watch with an older version.
 	olderAnswers int
 }
 
@@ -34,10 +34,10 @@
 	}
 }
 
-// lastAnswer is when the source last answered a call, on the monotonic clock; 0: never.
+// lastAnswer is when the source last responded to a call, on the monotonic clock; 0: never.
 func (s *Source) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
 
-// countOlderAnswer counts an answer with an older version. Once all addresses have given one, discovery has
+// countOlderAnswer counts a response with an older version. Once all addresses have given one, discovery has
 // perhaps been restored from less, and the next watch asks for the full list; one of several addresses may lag
 // behind for a time.
 func (s *Source) countOlderAnswer() {
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -13,14 +13,14 @@
 const minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
 
 // KeepWatch keeps a watch until ctx ends.
-func (d *Client) KeepWatch(ctx context.Context) {
+func (c *Client) KeepWatch(ctx context.Context) {
 	for wait := minWatchBackoff; ctx.Err() == nil; wait = min(2*wait, maxWatchBackoff) {
-		answered := d.Watch(ctx)
+		answered := c.Watch(ctx)
 		if answered {
 			wait = minWatchBackoff
 		}
 		select {
-		case <-time.After(d.reopenDelay(wait, answered)):
+		case <-time.After(c.reopenDelay(wait, answered)):
 		case <-ctx.Done():
 		}
 	}
@@ -28,25 +28,25 @@
 
 // reopenDelay is the wait before the watch is reopened: by the backoff over all addresses, or where there is
 // only one, the given wait with jitter.
-func (d *Client) reopenDelay(wait time.Duration, answered bool) time.Duration {
-	if d.backoff == nil {
+func (c *Client) reopenDelay(wait time.Duration, answered bool) time.Duration {
+	if c.backoff == nil {
 		return wait/2 + rand.N(wait/2)
 	}
 	if answered {
-		d.backoff.reset()
+		c.backoff.reset()
 	}
-	return d.backoff.nextDelay(len(d.CurrentSource().addrs))
+	return c.backoff.nextDelay(len(c.CurrentSource().addrs))
 }
 
 // Watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
 // call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
 // a new watch is a load on it.
-func (d *Client) Watch(ctx context.Context) (answered bool) {
-	next := d.startWatchCall(ctx)
+func (c *Client) Watch(ctx context.Context) (answered bool) {
+	next := c.startWatchCall(ctx)
 	for {
 		response := <-next
 		if errors.Is(response.Err, errMoved) {
-			next = d.startWatchCall(ctx)
+			next = c.startWatchCall(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
@@ -56,37 +56,37 @@
 			if errors.Is(response.Err, errOlderVersion) {
 				response.Source.countOlderAnswer()
 			}
-			d.onResponse(response)
+			c.onResponse(response)
 			return answered
 		}
 		response.Source.version = response.List.Version
 		response.Source.olderAnswers = 0
 		settings := response.List.Settings
 		if settings == nil {
-			next = d.startWatchCall(ctx)
+			next = c.startWatchCall(ctx)
 		}
 		// An empty response brings nothing, but the first one shows that the watch is open.
 		if !answered || response.Complete || response.List.Full || len(response.List.Servers) > 0 {
-			d.onResponse(response)
+			c.onResponse(response)
 		}
 		answered = true
 		if settings != nil {
 			// The next call reports whether these settings are in force.
-			d.settingsWatch.receive(ctx, settings)
-			next = d.startWatchCall(ctx)
+			c.settingsWatch.receive(ctx, settings)
+			next = c.startWatchCall(ctx)
 		}
 	}
 }
 
 // startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
-func (d *Client) startWatchCall(ctx context.Context) <-chan Response {
-	source := d.CurrentSource()
+func (c *Client) startWatchCall(ctx context.Context) <-chan Response {
+	source := c.CurrentSource()
 	done := make(chan Response, 1)
 	version := source.version
 	response := Response{Source: source, Watch: true, Complete: version == 0, LastAnswer: source.lastAnswer()}
 	go func() {
-		query := fmt.Sprintf("?index=%d&wait=%d%s", version, watchWait.Milliseconds(), d.settingsWatch.query())
-		response.List, response.Err = d.get(ctx, source, query, watchWait+callGrace, version)
+		query := fmt.Sprintf("?index=%d&wait=%d%s", version, watchWait.Milliseconds(), c.settingsWatch.query())
+		response.List, response.Err = c.get(ctx, source, query, watchWait+callGrace, version)
 		done <- response
 	}()
 	return done
