--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -3,8 +3,7 @@
 import (
 	"context"
 	"errors"
-	"fmt"
-	"net"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"sync/atomic"
@@ -12,28 +11,30 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
-	"fernbeam.example/fernbeam/internal/agent/config"
-	"fernbeam.example/fernbeam/internal/clock"
-	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// A watch that has fallen silent is opened anew, on a connection of its own: one that idles
-// beside it may have fallen silent with it.
+const (
+	// responseBuffer is how many responses may wait for a test.
+	responseBuffer = 100
+	// rateLimitedTime is how long the rate of calls is measured.
+	rateLimitedTime = 500 * time.Millisecond
+)
+
+// A watch whose discovery has fallen silent is opened anew, on a connection of its own: an idle one may have fallen
+// silent with it.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
-	addr, calls := agenttest.ScriptedDiscovery(t, func(_ int, c agenttest.WatchCall) string {
-		if c.Index == "" {
+	addr, calls := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
+		if call.Index == "" {
 			return `{"version":7,"full":true,"servers":[]}`
 		}
-		return "" // all that is open now stays silent
+		return "" // every watch stays silent
 	})
-	d := newTestClient(addr, 7, func(Response) {})
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	go d.KeepWatch(ctx)
+	client := newTestClient(addr, 7, func(Response) {})
+	keepWatch(t, client)
 	first := agenttest.NextCall(t, calls)
-	silent := time.Now()
-	d.Fetch(ctx) // on another connection, which idles from now on
+	silentSince := time.Now()
+	client.Fetch(t.Context()) // on another connection, which is idle from now on
 	second := agenttest.NextCall(t, calls)
 	if first.Conn == second.Conn {
 		t.Fatal("the fetch came on the watch's connection")
@@ -42,7 +43,7 @@
 	if third.Index != "7" || third.Conn == first.Conn || third.Conn == second.Conn {
 		t.Errorf("after the silence: call %+v, want index 7 on a new connection", third)
 	}
-	if took := time.Since(silent); took > agenttest.NotifiedWithin {
+	if took := time.Since(silentSince); took > agenttest.NotifiedWithin {
 		t.Errorf("the watch was opened anew after %v", took)
 	}
 }
@@ -58,48 +59,43 @@
 		}
 		return `{"version":3,"full":true,"servers":[]}`
 	})
-	told := make(chan Response, 100)
-	d := newTestClient(old, 41, func(n Response) { told <- n })
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	go d.KeepWatch(ctx)
-	if c := agenttest.NextCall(t, oldCalls); c.Index != "41" {
-		t.Errorf("the known version was not asked from: %+v", c)
+	responses := make(chan Response, responseBuffer)
+	client := newTestClient(old, 41, func(response Response) { responses <- response })
+	keepWatch(t, client)
+	if call := agenttest.NextCall(t, oldCalls); call.Index != "41" {
+		t.Errorf("the first call is %+v, want the index 41 of the known version", call)
 	}
-	d.MoveTo(moved)
+	client.MoveTo(moved)
 	for i, want := range []string{"0", "0", "0", "3"} {
-		if c := agenttest.NextCall(t, calls); c.Index != want {
-			t.Errorf("call %d asks from %s, want %s", i, c.Index, want)
+		if call := agenttest.NextCall(t, calls); call.Index != want {
+			t.Errorf("call %d has index %s, want %s", i, call.Index, want)
 		}
 	}
-	for n := range told {
-		if n.Err == nil {
-			if !n.Complete || n.List.Version != 3 {
-				t.Errorf("told %+v", n)
+	for response := range responses {
+		if response.Err == nil {
+			if !response.Complete || response.List.Version != 3 {
+				t.Errorf("response %+v, want the full list of version 3", response)
 			}
 			break
 		}
 	}
 }
 
-// A discovery whose calls fail in other ways than by silence is asked again as well.
+// A call that fails in another way than by silence is repeated as well.
 func TestFailedCallsAreRetriedInTime(t *testing.T) {
 	t.Parallel()
-	refusing, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
+	refusing := listen(t)
+	if err := refusing.Close(); err != nil {
 		t.Fatal(err)
 	}
-	refusing.Close()
-	told := make(chan Response, 100)
-	d := newTestClient(refusing.Addr().String(), 1, func(n Response) { told <- n })
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	go d.KeepWatch(ctx)
+	responses := make(chan Response, responseBuffer)
+	client := newTestClient(refusing.Addr().String(), 1, func(response Response) { responses <- response })
+	keepWatch(t, client)
 	last := time.Now()
 	for range 6 { // the wait has doubled to its bound by then
-		n := <-told
-		if n.Err == nil || errors.Is(n.Err, errMoved) {
-			t.Fatalf("told %+v", n)
+		response := <-responses
+		if response.Err == nil || errors.Is(response.Err, errMoved) {
+			t.Fatalf("response %+v, want a failed call", response)
 		}
 		if wait := time.Since(last); wait > agenttest.NotifiedWithin-watchWait-callGrace {
 			t.Errorf("a refused call was repeated after %v", wait)
@@ -113,22 +109,16 @@
 	var calls atomic.Int64
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
-		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
+		_, _ = io.WriteString(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer busy.Close()
-	d := newTestClient(busy.Listener.Addr().String(), 1, func(Response) {})
-	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
+	client := newTestClient(busy.Listener.Addr().String(), 1, func(Response) {})
+	ctx, cancel := context.WithTimeout(t.Context(), rateLimitedTime)
 	defer cancel()
-	from := time.Now()
-	d.Watch(ctx)
-	most := maxCallBurst + int64(maxCallsPerSecond*time.Since(from).Seconds()) + 1
-	if n := calls.Load(); n < 2 || n > most {
-		t.Errorf("%d calls, want 2 to %d", n, most)
+	startedAt := time.Now()
+	client.Watch(ctx)
+	maxCalls := maxCallBurst + int64(maxCallsPerSecond*time.Since(startedAt).Seconds()) + 1
+	if count := calls.Load(); count < 2 || count > maxCalls {
+		t.Errorf("%d calls, want 2 to %d", count, maxCalls)
 	}
 }
-
-// newTestClient is a discovery client without an agent, which knows version of the list at addr.
-func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
-	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
-	return New(cfg, clock.System(), nil, onResponse)
-}
--- /dev/null
+++ b/internal/agent/discovery/fixture_test.go
@@ -0,0 +1,47 @@
+package discovery
+
+import (
+	"context"
+	"net"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+// newTestClient is a discovery client without an agent, which knows version of the list at addr.
+func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
+	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
+	return New(cfg, clock.System(), nil, onResponse)
+}
+
+// newControlClient is a discovery client with the section "control", which knows version 7 of the list.
+func newControlClient(addrs []string) *Client {
+	cfg := &config.Config{
+		Name:      "pay-1",
+		Discovery: addrs[0],
+		Control:   &config.Control{Addresses: addrs},
+		Known:     endpoint.List{Version: 7},
+	}
+	return New(cfg, clock.System(), nil, func(Response) {})
+}
+
+// keepWatch has a client keep its watch until the test ends.
+func keepWatch(t *testing.T, client *Client) {
+	t.Helper()
+	ctx, stop := context.WithCancel(t.Context())
+	t.Cleanup(stop)
+	go client.KeepWatch(ctx)
+}
+
+// listen is a listener on a port that the system chooses.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"net"
 	"net/http"
@@ -15,6 +14,7 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/clock"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // Agents begin spread over the addresses, and those of one that fails move on to different ones.
@@ -23,15 +23,16 @@
 	pairs := map[[2]string]int{}
 	for i := range 600 {
 		name := fmt.Sprint("pay-", i)
-		o := orderAddresses(addrs, name)
-		if again := orderAddresses([]string{addrs[2], addrs[0], addrs[1]}, name); !slices.Equal(o, again) {
-			t.Fatalf("%s asks in the order %v, or %v where the file names them otherwise", name, o, again)
+		order := orderAddresses(addrs, name)
+		again := orderAddresses([]string{addrs[2], addrs[0], addrs[1]}, name)
+		if !slices.Equal(order, again) {
+			t.Fatalf("%s calls in the order %v, or %v where the file lists the addresses in another", name, order, again)
 		}
-		pairs[[2]string{o[0], o[1]}]++
+		pairs[[2]string{order[0], order[1]}]++
 	}
-	for pair, n := range pairs {
-		if n < 60 || n > 140 {
-			t.Errorf("%d of 600 agents ask in the order %v, want some 100", n, pair)
+	for pair, count := range pairs {
+		if count < 60 || count > 140 {
+			t.Errorf("%d of 600 agents call in the order %v, want about 100", count, pair)
 		}
 	}
 	if len(pairs) != 6 {
@@ -41,44 +42,43 @@
 
 // The waits are drawn evenly from zero up to their bound: of a failover, and of a round, which doubles.
 func TestWaitsHaveFullJitter(t *testing.T) {
-	most, low := map[int]time.Duration{}, map[int]time.Duration{}
-	for range 300 {
-		for turns, i := newAddressBackoff(), 0; i < 15; i++ {
-			w := turns.nextDelay(3)
-			if most[i] = max(most[i], w); low[i] == 0 || w < low[i] {
-				low[i] = w
+	const draws, waits, addresses = 300, 15, 3
+	longest, shortest := map[int]time.Duration{}, map[int]time.Duration{}
+	for range draws {
+		backoff := newAddressBackoff()
+		for i := range waits {
+			wait := backoff.nextDelay(addresses)
+			longest[i] = max(longest[i], wait)
+			if shortest[i] == 0 || wait < shortest[i] {
+				shortest[i] = wait
 			}
 		}
 	}
-	for i := range 15 {
+	for i := range waits {
 		bound := maxFailoverDelay
-		if i%3 == 2 {
-			bound = min(minRoundBackoff<<(i/3), maxRoundBackoff)
+		if i%addresses == addresses-1 {
+			bound = min(minRoundBackoff<<(i/addresses), maxRoundBackoff)
 		}
-		if most[i] > bound || most[i] < bound*3/4 || low[i] > bound/4 {
-			t.Errorf("wait %d is %v to %v in 300 draws, want 0 to %v", i, low[i], most[i], bound)
+		if longest[i] > bound || longest[i] < bound*3/4 || shortest[i] > bound/4 {
+			t.Errorf("wait %d is %v to %v in %d draws, want 0 to %v", i, shortest[i], longest[i], draws, bound)
 		}
 	}
 }
 
-// A watch moves where a call fails, keeps its version and stays where it is answered.
+// A watch moves where a call fails, keeps its version and stays where it gets a response.
 func TestWatchMovesOnFailureAndStays(t *testing.T) {
 	t.Parallel()
-	by := map[string]*agenttest.SettingsDiscovery{}
-	cfg := &config.Config{Name: "pay-1", Control: &config.Control{}}
+	instances := map[string]*agenttest.SettingsDiscovery{}
+	var addrs []string
 	for range 3 {
-		d := agenttest.NewSettingsDiscovery(t, 41)
-		by[d.Addr()] = d
-		cfg.Control.Addresses = append(cfg.Control.Addresses, d.Addr())
-	}
-	cfg.Discovery = cfg.Control.Addresses[0]
-	cfg.Known.Version = 7
-	d := New(cfg, clock.System(), nil, func(Response) {})
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	asked := orderAddresses(cfg.Addresses(), "pay-1")
-	first, second, third := by[asked[0]], by[asked[1]], by[asked[2]]
-	go d.KeepWatch(ctx)
+		instance := agenttest.NewSettingsDiscovery(t, 41)
+		instances[instance.Addr()] = instance
+		addrs = append(addrs, instance.Addr())
+	}
+	client := newControlClient(addrs)
+	order := orderAddresses(addrs, "pay-1")
+	first, second, third := instances[order[0]], instances[order[1]], instances[order[2]]
+	keepWatch(t, client)
 	first.WaitCallWith(t, "index", "7")
 	first.WaitCallWith(t, "index", "41")
 	first.Change(func() { first.Down = true })
@@ -86,14 +86,16 @@
 	first.Change(func() { first.Down = false })
 	first.Drain()
 	for range 3 {
-		if q := second.WaitCallWith(t, "index", "41"); len(q) != 2 {
-			t.Errorf("the call has %v", q)
+		if query := second.WaitCallWith(t, "index", "41"); len(query) != 2 {
+			t.Errorf("the call has %v, want an index and a wait", query)
 		}
 	}
-	if n := len(first.Calls) + len(third.Calls); n != 0 {
-		t.Errorf("%d calls went elsewhere though the second address answered", n)
+	if count := len(first.Calls) + len(third.Calls); count != 0 {
+		t.Errorf("%d calls to other addresses though the second one responded", count)
+	}
+	if err := second.Listener.Close(); err != nil {
+		t.Fatal(err)
 	}
-	second.Listener.Close()
 	second.CloseClientConnections()
 	third.WaitCallWith(t, "index", "41")
 }
@@ -102,78 +104,79 @@
 // instance that fails would all call at once.
 func TestLostCallIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
+	ln := listen(t)
 	var conns atomic.Int64
 	go func() {
 		for {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			conns.Add(1)
-			br := bufio.NewReader(nc)
-			for n := 0; n < 2; n++ { // the second call gets no answer
-				if _, err := http.ReadRequest(br); err != nil || n == 1 {
-					break
-				}
-				text := `{"version":5,"full":false,"servers":[]}`
-				fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-			}
-			nc.Close()
+			answerOneCall(conn)
 		}
 	}()
-	atFailure := make(chan int64, 100)
-	cfg := &config.Config{Name: "pay-1", Discovery: ln.Addr().String(), Control: &config.Control{Service: "pay"}}
-	cfg.Known.Version = 1
-	d := New(cfg, clock.System(), nil, func(n Response) {
-		if n.Err != nil {
-			atFailure <- conns.Load()
+	connsAtFailure := make(chan int64, responseBuffer)
+	cfg := &config.Config{
+		Name:      "pay-1",
+		Discovery: ln.Addr().String(),
+		Control:   &config.Control{Service: "pay"},
+		Known:     endpoint.List{Version: 1},
+	}
+	client := New(cfg, clock.System(), nil, func(response Response) {
+		if response.Err != nil {
+			connsAtFailure <- conns.Load()
 		}
 	})
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	go d.KeepWatch(ctx)
-	for want := range int64(3) {
-		if got := <-atFailure; got != want+1 {
-			t.Errorf("%d connections came before failure %d was told", got, want+1)
+	keepWatch(t, client)
+	for failure := int64(1); failure <= 3; failure++ {
+		if count := <-connsAtFailure; count != failure {
+			t.Errorf("%d connections were opened before failure %d", count, failure)
 		}
 	}
 }
 
+// answerOneCall answers the first call on a connection, and closes the connection at the second one.
+func answerOneCall(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	if _, err := http.ReadRequest(reader); err != nil {
+		return
+	}
+	const body = `{"version":5,"full":false,"servers":[]}`
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	_, _ = http.ReadRequest(reader)
+}
+
 // An instance that has an older version than the others is skipped; only once all have one the full list is
 // asked for.
 func TestOlderVersionIsAcceptedOnlyFromAllAddresses(t *testing.T) {
 	t.Parallel()
-	cfg := &config.Config{Name: "pay-1", Control: &config.Control{}}
+	var addrs []string
 	var mu sync.Mutex
-	var asked []string
+	var indexes []string
 	for range 3 {
-		addr, _ := agenttest.ScriptedDiscovery(t, func(_ int, c agenttest.WatchCall) string {
+		addr, _ := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
 			mu.Lock()
 			defer mu.Unlock()
-			asked = append(asked, c.Index)
-			if len(asked) > 4 {
+			indexes = append(indexes, call.Index)
+			if len(indexes) > 4 {
 				return ""
 			}
 			return `{"version":2,"full":true,"servers":[]}`
 		})
-		cfg.Control.Addresses = append(cfg.Control.Addresses, addr)
-	}
-	cfg.Discovery = cfg.Control.Addresses[0]
-	cfg.Known.Version = 7
-	d := New(cfg, clock.System(), nil, func(Response) {})
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	go d.KeepWatch(ctx)
-	agenttest.WaitUntil(t, "five calls", func() bool { mu.Lock(); defer mu.Unlock(); return len(asked) >= 5 })
+		addrs = append(addrs, addr)
+	}
+	keepWatch(t, newControlClient(addrs))
+	agenttest.WaitUntil(t, "five calls", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return len(indexes) >= 5
+	})
 	mu.Lock()
 	defer mu.Unlock()
-	if want := []string{"7", "7", "7", "0", "2"}; !slices.Equal(asked[:5], want) {
-		t.Errorf("asked from %v, want %v", asked, want)
+	if want := []string{"7", "7", "7", "0", "2"}; !slices.Equal(indexes[:5], want) {
+		t.Errorf("calls with the indexes %v, want %v", indexes, want)
 	}
 }
 
