--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -51,7 +51,7 @@
 	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
 	CallFrom net.IP
 
-	text            map[string]any     // the file as JSON, to compare the next one with
+	document        document           // the file as JSON, to compare the next one with
 	serviceSettings *endpoint.Settings // those in force where they came from the discovery service
 }
 
--- a/internal/agent/config/file.go
+++ b/internal/agent/config/file.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"net"
 	"os"
@@ -39,7 +38,7 @@
 	Control    json.RawMessage `json:"control"`
 	Settings   json.RawMessage `json:"settings"`
 
-	text map[string]any // all of the file
+	document document // all of the file
 }
 
 // Load reads the configuration from the environment and from the file that it names. Where both set a
@@ -94,87 +93,13 @@
 
 // reloaded is the configuration that replaces the one in force.
 func (f *configFile) reloaded(inForce *Config) (*Config, error) {
-	if key := missingKey(inForce.text, f.text); key != "" {
+	if key := inForce.document.missingIn(f.document); key != "" {
 		return nil, fmt.Errorf("config: %s: missing, though it was there before", key)
 	}
 	return f.config()
 }
 
-// missingKey names a key that an object has and its successor lacks; "" if there is none. In a list of objects
-// only the keys count that all of them have.
-func missingKey(before, after map[string]any) string {
-	for key, old := range before {
-		value := after[key]
-		if value == nil && old != nil {
-			return key
-		}
-		within, ok := missingWithin(key, old, value)
-		if !ok {
-			return key
-		}
-		if within != "" {
-			return key + "." + within
-		}
-	}
-	return ""
-}
-
-// missingWithin names a key that a value has and its successor lacks; ok is false where the successor is of
-// another type.
-func missingWithin(key string, before, after any) (within string, ok bool) {
-	switch before := before.(type) {
-	case map[string]any:
-		object, ok := after.(map[string]any)
-		if !ok {
-			return "", false
-		}
-		return missingKey(before, object), true
-	case []any:
-		list, ok := after.([]any)
-		if !ok {
-			return "", false
-		}
-		if key == "known" || key == "servers" {
-			return "", true // the endpoint list changes at any time
-		}
-		return missingInList(before, list), true
-	}
-	return "", true
-}
-
-func missingInList(before, after []any) string {
-	common := commonKeys(before)
-	for _, item := range after {
-		object, ok := item.(map[string]any)
-		if !ok {
-			continue
-		}
-		if key := missingKey(common, object); key != "" {
-			return key
-		}
-	}
-	return ""
-}
-
-// commonKeys is an object of the keys that all objects of a list have, without those that only classes that
-// are idempotent by key need.
-func commonKeys(list []any) map[string]any {
-	var common map[string]any
-	for _, item := range list {
-		object, ok := item.(map[string]any)
-		if !ok {
-			return nil
-		}
-		if common == nil {
-			common = maps.Clone(object)
-			delete(common, "group")
-			delete(common, "keyTtlMs")
-		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
-	}
-	return common
-}
-
+// readFile reads the file that the environment names.
 func readFile(getenv func(string) string) (*configFile, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -191,12 +116,13 @@
 	return f, nil
 }
 
+// parseFile decodes a file, and does not check it.
 func parseFile(text []byte) (*configFile, error) {
 	f := new(configFile)
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(text, &f.text); err != nil {
+	if err := json.Unmarshal(text, &f.document); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -213,7 +139,7 @@
 		MemoryMB:  f.Limits.MemoryMB,
 		Sockets:   f.Limits.Sockets,
 		Known:     f.Known,
-		text:      f.text,
+		document:  f.document,
 	}
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
@@ -241,6 +167,7 @@
 	return c, nil
 }
 
+// checkAddresses checks the addresses that the agent listens on and calls.
 func (c *Config) checkAddresses() error {
 	addresses := []struct{ key, value string }{
 		{"listen", c.Listen},
@@ -258,6 +185,7 @@
 	return nil
 }
 
+// checkLimits checks the limits of the process.
 func (c *Config) checkLimits() error {
 	switch {
 	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
--- a/internal/agent/config/settings.go
+++ b/internal/agent/config/settings.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"slices"
 	"strings"
 
 	"fernbeam.example/fernbeam/internal/endpoint"
@@ -44,14 +45,14 @@
 // for agentOnlyKeys. The rules are those of Reload: an error names the key that can't be used, or that
 // the settings in force have and the new ones lack.
 func (c *Config) WithServiceSettings(settings *endpoint.Settings) (*Config, error) {
-	var object map[string]any
+	var object document
 	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
 		return nil, errors.New("settings: not a JSON object")
 	}
 	maps.DeleteFunc(object, func(key string, _ any) bool { return isAgentOnlyKey(key) })
-	ownObject, _ := c.text[settingsKey].(map[string]any)
-	maps.Copy(object, agentOnly(ownObject))
-	if key := missingKey(ownObject, object); key != "" {
+	ownObject, _ := c.document.section(settingsKey)
+	maps.Copy(object, ownObject.only(agentOnlyKeys))
+	if key := ownObject.missingIn(object); key != "" {
 		return nil, fmt.Errorf("settings: %s: missing, though it was there before", key)
 	}
 	next := *c
@@ -60,11 +61,7 @@
 	}
 	next.Settings.Index = c.Settings.Index
 	next.Settings.Zone = c.Settings.Zone
-	next.text = maps.Clone(c.text)
-	if next.text == nil {
-		next.text = map[string]any{}
-	}
-	next.text[settingsKey] = object
+	next.document = c.document.withSection(settingsKey, object)
 	next.serviceSettings = settings
 	return &next, nil
 }
@@ -76,31 +73,14 @@
 		return c, nil
 	}
 	next := *c
-	next.text = maps.Clone(c.text)
-	if ownObject, ok := c.text[settingsKey].(map[string]any); ok {
+	if ownObject, ok := c.document.section(settingsKey); ok {
 		// The file's other keys no longer count, and so can't be missing.
-		next.text[settingsKey] = agentOnly(ownObject)
+		next.document = c.document.withSection(settingsKey, ownObject.only(agentOnlyKeys))
 	}
 	return next.WithServiceSettings(inForce.serviceSettings)
 }
 
-// agentOnly is the part of a settings object that belongs to one agent.
-func agentOnly(object map[string]any) map[string]any {
-	part := map[string]any{}
-	for _, key := range agentOnlyKeys {
-		if value, ok := object[key]; ok {
-			part[key] = value
-		}
-	}
-	return part
-}
-
 // isAgentOnlyKey compares as encoding/json does, which takes a key in any case for a field's.
 func isAgentOnlyKey(key string) bool {
-	for _, own := range agentOnlyKeys {
-		if strings.EqualFold(key, own) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(agentOnlyKeys, func(own string) bool { return strings.EqualFold(key, own) })
 }
