--- a/internal/agent/config/control_test.go
+++ b/internal/agent/config/control_test.go
@@ -8,6 +8,7 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
+// The section "control" adds addresses to the first one; an error names the key that is wrong, in one line.
 func TestControlSection(t *testing.T) {
 	load := func(control string) (*config.Config, error) {
 		return config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
@@ -19,10 +20,10 @@
 		`"control":{"addresses":["[::1]:3"]},`: "127.0.0.1:2 [::1]:3",
 		`"control":{"addresses":["a:3","127.0.0.1:2","a:3"],"service":"s"},`: "127.0.0.1:2 a:3",
 	} {
-		c, err := load(control)
+		cfg, err := load(control)
 		if err != nil {
 			t.Errorf("%s: %v", control, err)
-		} else if got := strings.Join(c.Addresses(), " "); got != want {
+		} else if got := strings.Join(cfg.Addresses(), " "); got != want {
 			t.Errorf("%s: addresses %s, want %s", control, got, want)
 		}
 	}
