--- a/internal/agent/keyhash/keyhash.go
+++ b/internal/agent/keyhash/keyhash.go
@@ -3,10 +3,11 @@
 
 import "hash/fnv"
 
-// Sum is FNV-1a, never 0. It is the same at every agent, which maphash is not.
-func Sum(s string) uint64 {
+// Sum is the hash of a text by FNV-1a (64 bits), with 1 in place of 0. It is the same at every agent, which the hash of
+// maphash is not.
+func Sum(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(s)) // a hash.Hash never returns an error
+	_, _ = h.Write([]byte(text)) // a hash.Hash never returns an error
 	if sum := h.Sum64(); sum != 0 {
 		return sum
 	}
