--- a/internal/agent/config/document_test.go
+++ b/internal/agent/config/document_test.go
@@ -8,7 +8,8 @@
 // A key counts as missing wherever the successor lacks it, or has null or a value of another type there; entries of
 // the endpoint list may change.
 func TestMissingKeyIsNamedByItsPath(t *testing.T) {
-	const inForce = `{"seed":"1","limits":{"cores":1},"classes":[{"name":"a","group":"x"},{"name":"b"}],"servers":[{"id":"s"}]}`
+	const inForce = `{"seed":"1","limits":{"cores":1},"classes":[{"name":"a","group":"x"},{"name":"b"}],
+"servers":[{"id":"s"}]}`
 	for successor, want := range map[string]string{
 		inForce: "",
 		`{"limits":{"cores":1},"classes":[],"servers":[]}`:                          "seed",
--- a/internal/agent/dispatch/clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -14,8 +14,8 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// halfAnHour is the age of a server that is not in slow start.
-const halfAnHour = 30 * time.Minute
+// warmAge is the age of a server whose slow start is over.
+const warmAge = 30 * time.Minute
 
 // startSteppedLoop starts a loop with a clock that the test steps, and to which changes of the list are pushed.
 func startSteppedLoop(
@@ -46,7 +46,7 @@
 				return agenttest.RespondOK(c, req, n)
 			})
 			ready := agenttest.Endpoint("s-1", server.Addr)
-			ready.StartedMs = unixNowMs() - float64(halfAnHour.Milliseconds())
+			ready.StartedMs = unixNowMs() - float64(warmAge.Milliseconds())
 			discovery := agenttest.NewDiscovery(t, ready)
 			loop, stepped := startSteppedLoop(t, discovery, step) // its clock is wrong at its start
 
