--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -47,7 +47,7 @@
 		s.ExtendDeadline(false)
 		n, err := body.Read(buffers[i][:])
 		select {
-		case s.chunks <- bodyChunk{buffers[i][:n], err}:
+		case s.chunks <- bodyChunk{bytes: buffers[i][:n], err: err}:
 		case <-s.done:
 			return
 		}
@@ -91,8 +91,8 @@
 // Buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout, and tells
 // whether it ended.
 func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (buffered []byte, complete bool, err error) {
-	over := time.NewTimer(timeout)
-	defer over.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	var collected bytes.Buffer
 	for int64(collected.Len()) <= limit {
 		select {
@@ -105,7 +105,7 @@
 			if chunk.err != nil {
 				return collected.Bytes(), false, chunk.err
 			}
-		case <-over.C:
+		case <-timer.C:
 			return collected.Bytes(), false, nil
 		}
 	}
--- a/internal/agent/message/headers.go
+++ b/internal/agent/message/headers.go
@@ -12,15 +12,15 @@
 }
 
 // EndToEndHeaders are the header fields that are passed on.
-func EndToEndHeaders(h http.Header) http.Header {
-	out := h.Clone()
-	for _, list := range h.Values("Connection") {
+func EndToEndHeaders(header http.Header) http.Header {
+	passedOn := header.Clone()
+	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
-			out.Del(strings.TrimSpace(name))
+			passedOn.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		out.Del(name)
+		passedOn.Del(name)
 	}
-	return out
+	return passedOn
 }
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -10,6 +10,7 @@
 // of the process need grows with the connections, which the descriptors bound.
 const bodyBudgetPart = 6
 
+// bytesPerMiB converts the memory limit.
 const bytesPerMiB = 1 << 20
 
 // Quota bounds how much of something the process may have.
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -45,7 +45,8 @@
 	at  time.Time
 }
 
-func (b *ClientBody) Read(p []byte) (int, error) {
+// Read reads from the client, under a deadline by what the client has sent so far.
+func (b *ClientBody) Read(buffer []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if end := b.end.Load(); end != nil {
@@ -55,11 +56,11 @@
 	left := BodyGracePeriod + time.Duration(b.received)*time.Second/minBodyRate - b.waitTime
 	// A connection without deadlines is not a client's.
 	_ = b.Control.SetReadDeadline(now.Add(min(left, BodyGracePeriod)))
-	n, err := b.From.Read(p)
+	n, err := b.From.Read(buffer)
 	b.waitTime += time.Since(now)
 	b.received += int64(n)
 	if err != nil {
-		b.end.Store(&bodyEnd{err, time.Now()})
+		b.end.Store(&bodyEnd{err: err, at: time.Now()})
 		_ = b.Control.SetReadDeadline(readDeadlineAfter(err)) // as above
 	}
 	return n, err
@@ -102,12 +103,13 @@
 // written to a server, so it can be sent once at most.
 type StreamedBody struct {
 	*ClientBody
-	Length   int64 // of the whole body; -1: not given
-	Consumed atomic.Bool
+	Length   int64       // of the complete body; -1: not given
+	Consumed atomic.Bool // bytes have been read or are lost
 }
 
-func (s *StreamedBody) Read(p []byte) (int, error) {
-	n, err := s.ClientBody.Read(p)
+// Read reads from the client and notes that the body can no longer be sent again.
+func (s *StreamedBody) Read(buffer []byte) (int, error) {
+	n, err := s.ClientBody.Read(buffer)
 	if n > 0 {
 		s.Consumed.Store(true)
 	}
--- a/internal/agent/message/response_body.go
+++ b/internal/agent/message/response_body.go
@@ -36,7 +36,7 @@
 
 // CopyTo writes the body to the client as it arrives, and returns the error of the side that broke it off.
 func (b *ResponseBody) CopyTo(w http.ResponseWriter) (fromServer, toClient error) {
-	out := flushingWriter{w, http.NewResponseController(w)}
+	out := flushingWriter{w: w, control: http.NewResponseController(w)}
 	if err := out.write(b.Buffered); err != nil {
 		return nil, err
 	}
@@ -65,9 +65,9 @@
 	control *http.ResponseController
 }
 
-func (f flushingWriter) write(p []byte) error {
+func (f flushingWriter) write(chunk []byte) error {
 	_ = f.control.SetWriteDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the write too
-	if _, err := f.w.Write(p); err != nil {
+	if _, err := f.w.Write(chunk); err != nil {
 		return err
 	}
 	return f.control.Flush()
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -14,12 +14,12 @@
 // Expired is a deadline that makes whatever reads or writes end at once.
 var Expired = time.Unix(1, 0)
 
-// pollFunc is poll(2).
-type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
-
 // PeerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
 const PeerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
+// pollFunc is poll(2).
+type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
+
 // Poll polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
 // Of what is not a socket nothing is known.
 func Poll(socket any, events, wanted int16) bool {
@@ -47,10 +47,10 @@
 }
 
 // ReadNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
-func ReadNow(fd int, p []byte) int {
-	n, err := unix.Read(fd, p)
+func ReadNow(fd int, buffer []byte) int {
+	n, err := unix.Read(fd, buffer)
 	for errors.Is(err, unix.EINTR) {
-		n, err = unix.Read(fd, p)
+		n, err = unix.Read(fd, buffer)
 	}
 	return max(n, 0)
 }
@@ -58,8 +58,8 @@
 // IsIdleAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
 // brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
 // executed.
-func IsIdleAlive(nc net.Conn) bool {
-	socket, ok := nc.(syscall.Conn)
+func IsIdleAlive(conn net.Conn) bool {
+	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
--- a/internal/agent/socket/socket_test.go
+++ b/internal/agent/socket/socket_test.go
@@ -10,7 +10,8 @@
 func TestPeerCloseIsSeenAfterAnInterruptedPoll(t *testing.T) {
 	calls := 0
 	poll := func(fds []unix.PollFd, _ int) (int, error) {
-		if calls++; calls < 3 {
+		calls++
+		if calls < 3 {
 			return -1, unix.EINTR
 		}
 		fds[0].Revents = unix.POLLRDHUP
