--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// adminReadTimeout bounds how long a call may take to arrive: its response is due within a second.
-	adminReadTimeout = 800 * time.Millisecond
-	// adminWriteTimeout bounds how long the response may take to be read, from the call's head on.
-	adminWriteTimeout = 2 * time.Second
-	// maxAdminBody bounds the body of a call, which is ignored.
-	maxAdminBody = 4 << 10
-	// maxAdminHead is the largest head of a call.
-	maxAdminHead = 8 << 10
+	// readTimeout bounds how long a call may take to arrive: its response is due within a second.
+	readTimeout = 800 * time.Millisecond
+	// writeTimeout bounds how long the response may take to be read, from the call's head on.
+	writeTimeout = 2 * time.Second
+	// maxBody bounds the body of a call, which is ignored, in bytes.
+	maxBody = 4 << 10
+	// maxHead is the largest head of a call, in bytes.
+	maxHead = 8 << 10
 )
 
 // Drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
@@ -56,24 +56,24 @@
 
 // New makes the endpoint; member is nil where the agent keeps no membership view.
 func New(clients Drainer, member *membership.Membership, maxConns int, log *slog.Logger) *Server {
-	m := &Server{clients: clients, membership: member, log: log, maxConns: maxConns}
+	s := &Server{clients: clients, membership: member, log: log, maxConns: maxConns}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ops/readiness", m.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", m.afterBody(clients.StartDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", m.afterBody(clients.StopDrain))
+	mux.HandleFunc("GET /ops/readiness", s.readiness)
+	mux.HandleFunc("PUT /ops/drain/start", s.afterBody(clients.StartDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", s.afterBody(clients.StopDrain))
 	if member != nil {
-		mux.HandleFunc("GET /ops/fleet", m.membershipStatus)
+		mux.HandleFunc("GET /ops/fleet", s.membershipStatus)
 	}
-	m.server = &http.Server{
+	s.server = &http.Server{
 		Handler:        mux,
-		ReadTimeout:    adminReadTimeout,
-		WriteTimeout:   adminWriteTimeout,
-		MaxHeaderBytes: maxAdminHead,
-		ConnState:      m.track,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   writeTimeout,
+		MaxHeaderBytes: maxHead,
+		ConnState:      s.track,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
-	m.server.SetKeepAlivesEnabled(false)
-	return m
+	s.server.SetKeepAlivesEnabled(false)
+	return s
 }
 
 // SetConnLimit bounds the admin connections from now on.
@@ -83,7 +83,7 @@
 	s.maxConns = maxConns
 }
 
-// Serve answers operators until close.
+// Serve answers operators until Close.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = listener.New(ln, listener.LogFailures(s.log, "admin"))
 	if err := s.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -95,6 +95,7 @@
 // Close closes the listener and all connections; their errors say nothing of use.
 func (s *Server) Close() { _ = s.server.Close() }
 
+// readiness responds whether the agent serves clients.
 func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
 	if !s.clients.IsServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
@@ -128,7 +129,7 @@
 // afterBody handles a call by an action once all of its body has arrived: a call that is cut off does nothing.
 func (s *Server) afterBody(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxAdminBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxBody)); err != nil {
 			http.Error(w, "the body can't be read", http.StatusBadRequest)
 			return
 		}
@@ -146,18 +147,18 @@
 
 // track closes the connection that has sent no complete head for longest when there are too many connections:
 // callers that send nothing must not keep out those that do.
-func (s *Server) track(nc net.Conn, state http.ConnState) {
+func (s *Server) track(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		s.openConns++
-		s.awaitingHead = append(s.awaitingHead, nc)
+		s.awaitingHead = append(s.awaitingHead, conn)
 	case http.StateClosed:
 		s.openConns--
-		s.headArrived(nc)
+		s.headArrived(conn)
 	default:
-		s.headArrived(nc)
+		s.headArrived(conn)
 	}
 	if s.openConns > s.maxConns && len(s.awaitingHead) > 1 {
 		_ = s.awaitingHead[0].Close() // the server's read then fails, and it reports the close
@@ -166,8 +167,8 @@
 }
 
 // headArrived takes a connection out of those that await a head. The caller has the lock.
-func (s *Server) headArrived(nc net.Conn) {
-	if i := slices.Index(s.awaitingHead, nc); i >= 0 {
+func (s *Server) headArrived(conn net.Conn) {
+	if i := slices.Index(s.awaitingHead, conn); i >= 0 {
 		s.awaitingHead = slices.Delete(s.awaitingHead, i, i+1)
 	}
 }
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -18,35 +18,38 @@
 func (idleDrainer) StartDrain() error { return nil }
 func (idleDrainer) StopDrain() error  { return nil }
 
-// Admin are answered whatever accepts fail.
+// Operators get responses whatever accepts fail.
 func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
-	m := New(idleDrainer{}, nil, config.MaxAdminConns, slog.Default())
+	server := New(idleDrainer{}, nil, config.MaxAdminConns, slog.Default())
 	ln := agenttest.NewFlakyListener(t)
 	served := make(chan error, 1)
-	go func() { served <- m.Serve(ln) }()
+	go func() { served <- server.Serve(ln) }()
 	for range 3 {
-		resp, err := agenttest.HTTPClient.Get("http://" + ln.Addr().String() + "/ops/readiness")
+		url := "http://" + ln.Addr().String() + "/ops/readiness"
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
-		agenttest.WantStatus(t, resp.StatusCode, http.StatusServiceUnavailable)
+		status, _, _ := agenttest.Do(t, req)
+		agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
 	}
-	m.Close()
+	server.Close()
 	if err := <-served; err != nil {
 		t.Errorf("after close: %v", err)
 	}
 }
 
-// A listener that is closed under the admin server still ends it, with its reason.
+// A listener that is closed by something else than the server ends it, with its reason.
 func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
-	m := New(idleDrainer{}, nil, config.MaxAdminConns, slog.Default())
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	server := New(idleDrainer{}, nil, config.MaxAdminConns, slog.Default())
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
-	if err := m.Serve(ln); !errors.Is(err, net.ErrClosed) {
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := server.Serve(ln); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("ended with %v, want %v", err, net.ErrClosed)
 	}
 }
