--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -106,7 +106,7 @@
 	addr := server.addr
 	ctx, cancel := context.WithCancel(incoming.Context)
 	current.cancel = cancel
-	message := &upstream.Message{
+	outgoing := &upstream.Message{
 		NewRequest:   func(left time.Duration) *http.Request { return upstream.NewRequest(incoming, left) },
 		Streamed:     incoming.Streamed,
 		ClientGone:   incoming.ClientGone,
@@ -115,7 +115,7 @@
 		OnSent:       func() { l.Post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
-		result := l.pool.Attempt(ctx, &server.Server, addr, message, current.startedAt, deadline)
+		result := l.pool.Attempt(ctx, &server.Server, addr, outgoing, current.startedAt, deadline)
 		cancel()
 		l.Post(func() { l.attemptDone(r, index, &result) })
 	}()
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -69,23 +69,23 @@
 // Attempt makes one attempt and returns how it ended. It never sends anything twice. Cancelling ctx cancels the
 // attempt and closes its connection.
 func (p *Pool) Attempt(
-	ctx context.Context, server *Server, addr string, message *Message, startedAt, deadline time.Time,
+	ctx context.Context, server *Server, addr string, outgoing *Message, startedAt, deadline time.Time,
 ) Result {
-	sent := message.Streamed == nil
-	if message.Streamed != nil {
-		notify := message.OnSent
-		message.OnSent = func() {
+	sent := outgoing.Streamed == nil
+	if outgoing.Streamed != nil {
+		notify := outgoing.OnSent
+		outgoing.OnSent = func() {
 			startedAt = time.Now()
 			sent = true
 			notify()
 		}
 	}
-	result := p.exchange(ctx, server, addr, message, deadline)
+	result := p.exchange(ctx, server, addr, outgoing, deadline)
 	// A cancelled attempt says nothing of its server, also where the cancellation cut off a connect; a response
 	// that was already there stands.
 	if ctx.Err() != nil && result.Status != balancer.StatusOK && result.Status != balancer.StatusOverloaded {
 		result.Status = balancer.StatusCancelled
-		if !sent && !message.Streamed.Complete() && result.ClientErr == nil {
+		if !sent && !outgoing.Streamed.Complete() && result.ClientErr == nil {
 			result.Status = balancer.StatusUnsent // its last byte was never sent
 		}
 	}
@@ -96,7 +96,7 @@
 // HealthCheck asks a server whether it is healthy, over the connections that attempts use. It is given up after
 // twice the time that a connect may take: a server that delays a cheap response for so long is not healthy.
 func (p *Pool) HealthCheck(ctx context.Context, server *Server, addr, host string) Result {
-	message := &Message{NewRequest: func(time.Duration) *http.Request {
+	outgoing := &Message{NewRequest: func(time.Duration) *http.Request {
 		return &http.Request{
 			Method: http.MethodGet,
 			URL:    &url.URL{Path: healthCheckPath},
@@ -105,7 +105,7 @@
 		}
 	}}
 	startedAt := time.Now()
-	result := p.exchange(ctx, server, addr, message, startedAt.Add(2*p.connectTimeLimit()))
+	result := p.exchange(ctx, server, addr, outgoing, startedAt.Add(2*p.connectTimeLimit()))
 	result.Body.Release() // only the status counts
 	result.LatencyMs = clock.MillisecondsSince(startedAt)
 	return result
@@ -115,7 +115,7 @@
 // byte is written has brought nothing to the server and says nothing of it: the message goes out on the next
 // kept connection, and finally on a new one.
 func (p *Pool) exchange(
-	ctx context.Context, server *Server, addr string, message *Message, deadline time.Time,
+	ctx context.Context, server *Server, addr string, outgoing *Message, deadline time.Time,
 ) Result {
 	for {
 		conn, err := p.acquire(ctx, addr, deadline)
@@ -123,12 +123,12 @@
 			return connectFailureResult(err)
 		}
 		kept := conn.uses > 0
-		result := p.exchangeOn(ctx, conn, server, message, deadline)
+		result := p.exchangeOn(ctx, conn, server, outgoing, deadline)
 		if kept {
 			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
 		}
 		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(deadline)
-		if !mayRetry || message.Streamed.IsConsumed() {
+		if !mayRetry || outgoing.Streamed.IsConsumed() {
 			return result.Result
 		}
 	}
@@ -136,12 +136,12 @@
 
 // exchangeOn makes the exchange on one connection, and gives the connection back or closes it.
 func (p *Pool) exchangeOn(
-	ctx context.Context, conn *serverConn, server *Server, message *Message, deadline time.Time,
+	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, deadline time.Time,
 ) exchangeResult {
 	// Cancelling makes whatever reads or writes end at once.
 	stopCancelling := context.AfterFunc(ctx, conn.expire)
 	conn.uses++
-	result := p.transfer(ctx, conn, server, message, deadline)
+	result := p.transfer(ctx, conn, server, outgoing, deadline)
 	cancelled := !stopCancelling()
 	streaming := result.Body != nil && result.Body.Stream != nil
 	switch {
@@ -162,18 +162,18 @@
 
 // transfer writes the message on a connection and reads the response.
 func (p *Pool) transfer(
-	ctx context.Context, conn *serverConn, server *Server, message *Message, deadline time.Time,
+	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, deadline time.Time,
 ) exchangeResult {
 	conn.setDeadline(deadline)
 	if ctx.Err() != nil {
 		return exchangeResult{Result: Result{Status: balancer.StatusConnectFailed}}
 	}
-	if result, unsendable := message.unsendable(server); unsendable {
+	if result, unsendable := outgoing.unsendable(server); unsendable {
 		return exchangeResult{Result: result, reusable: true}
 	}
-	req := message.NewRequest(time.Until(deadline))
-	if message.Streamed != nil {
-		return p.exchangeStreamed(ctx, conn, server, message, req)
+	req := outgoing.NewRequest(time.Until(deadline))
+	if outgoing.Streamed != nil {
+		return p.exchangeStreamed(ctx, conn, server, outgoing, req)
 	}
 	return p.exchangeBuffered(conn, server, req)
 }
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -29,21 +29,21 @@
 // streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
 // that comes before the body's end ends it.
 type streamedExchange struct {
-	conn    *serverConn
-	message *Message
-	heads   chan responseHead
-	written chan error
+	conn     *serverConn
+	outgoing *Message
+	heads    chan responseHead
+	written  chan error
 }
 
 // exchangeStreamed makes a streamedExchange on a connection.
 func (p *Pool) exchangeStreamed(
-	ctx context.Context, conn *serverConn, server *Server, message *Message, req *http.Request,
+	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, req *http.Request,
 ) exchangeResult {
 	e := &streamedExchange{
-		conn:    conn,
-		message: message,
-		heads:   make(chan responseHead, 1),
-		written: make(chan error, 1),
+		conn:     conn,
+		outgoing: outgoing,
+		heads:    make(chan responseHead, 1),
+		written:  make(chan error, 1),
 	}
 	// Until all is written the server has no deadline, except for each chunk.
 	conn.setReadDeadline(time.Time{})
@@ -53,7 +53,7 @@
 	var err error
 	select {
 	case err = <-e.written:
-		if clientErr := message.Streamed.Failure(); err != nil && clientErr != nil {
+		if clientErr := outgoing.Streamed.Failure(); err != nil && clientErr != nil {
 			return e.clientFailed(clientErr)
 		}
 		head = e.awaitHead(ctx, err)
@@ -75,8 +75,8 @@
 	to := serverWriter{
 		ctx:          ctx,
 		conn:         e.conn,
-		body:         e.message.Streamed,
-		responseTime: e.message.ResponseTime,
+		body:         e.outgoing.Streamed,
+		responseTime: e.outgoing.ResponseTime,
 	}
 	buffered := bufio.NewWriterSize(to, message.ChunkSize)
 	err := req.Write(buffered)
@@ -100,8 +100,8 @@
 // awaitHead waits for the response's head after the write ended with err.
 func (e *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
 	if err == nil {
-		e.message.OnSent()
-		e.conn.setReadDeadline(e.message.Streamed.RespondBy(e.message.ResponseTime))
+		e.outgoing.OnSent()
+		e.conn.setReadDeadline(e.outgoing.Streamed.RespondBy(e.outgoing.ResponseTime))
 	} else {
 		// A response may be there, or on its way behind what the server did not read.
 		e.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
@@ -120,18 +120,18 @@
 	case <-time.After(earlyResponseWait):
 	}
 	if err == nil {
-		e.message.OnSent()
+		e.outgoing.OnSent()
 		return nil
 	}
 	// The writer may still wait for the client. What the client sends now is lost.
-	e.message.Streamed.Consumed.Store(true)
+	e.outgoing.Streamed.Consumed.Store(true)
 	e.conn.expireWrites()
 	return err
 }
 
 // finish reads the response behind its head, after the write ended with err.
 func (e *streamedExchange) finish(p *Pool, server *Server, head responseHead, err error) exchangeResult {
-	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.message.Streamed) {
+	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.outgoing.Streamed) {
 		return e.conn.brokenResult(head.err)
 	}
 	if err != nil && head.resp == nil {
