--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -121,7 +121,7 @@
 	return resp.StatusCode
 }
 
-// RequestReady asks on a connection whether the agent is ready, so that it is idle afterwards.
+// RequestReady requests the readiness of the agent, so that the connection is idle afterwards.
 func (k *KeptConn) RequestReady(t *testing.T) {
 	t.Helper()
 	k.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -98,7 +98,7 @@
 			t.Fatalf("response %+v, want a failed call", response)
 		}
 		if wait := time.Since(last); wait > agenttest.NotifiedWithin-watchWait-callGrace {
-			t.Errorf("a refused call was repeated after %v", wait)
+			t.Errorf("a failed call was repeated after %v", wait)
 		}
 		last = time.Now()
 	}
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -20,14 +20,14 @@
 	stop context.CancelFunc // begins a graceful shutdown
 }
 
-// startLoop starts a loop that knows the list of the discovery as it is now.
-func startLoop(t *testing.T, d *agenttest.Discovery, change func(*config.Config)) *testLoop {
+// startLoop starts a loop that knows the list of the discovery as it is now; change may change its configuration.
+func startLoop(t *testing.T, discovery *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := agenttest.NewConfig(t, ln.Addr().String(), d)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), discovery)
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	cfg.Log = slog.New(slog.NewTextHandler(lines, nil))
 	if change != nil {
--- a/internal/agent/dispatch/start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -98,7 +98,7 @@
 }
 
 // A list of a lower version, from a discovery that was moved or restored, restores no earlier process; one
-// that lists a later process is believed.
+// that lists a later process is accepted.
 func TestOlderListRestoresNoProcess(t *testing.T) {
 	fixture := newStartTimesFixture(t, 0)
 	fixture.want(fixture.resolve(trueMs-5000, listContext{}), 5*time.Second)
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -11,8 +11,12 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// drainSweepInterval is how often idle connections are closed while the downstream server drains.
-const drainSweepInterval = 50 * time.Millisecond
+const (
+	// drainSweepInterval is how often idle connections are closed while the downstream server drains.
+	drainSweepInterval = 50 * time.Millisecond
+	// openPartNumerator and openPartDenominator make the part of the limit above which idle connections are closed.
+	openPartNumerator, openPartDenominator = 7, 8
+)
 
 // clientConns closes the client connections that have been idle longest when there are nearly as many as are
 // allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
@@ -105,10 +109,11 @@
 	return c.maxConns
 }
 
-// closeLongestIdle closes the connections that have been idle longest while more than seven eighths of the
-// limit are open. The caller has the lock.
+// closeLongestIdle closes the connections that have been idle longest while more than a part of the limit are open.
+// The caller has the lock.
 func (c *clientConns) closeLongestIdle() {
-	for len(c.open)-c.closing > c.maxConns*7/8 && c.order.Len() > 0 {
+	maxOpen := c.maxConns * openPartNumerator / openPartDenominator
+	for len(c.open)-c.closing > maxOpen && c.order.Len() > 0 {
 		oldest := c.order.Front().Value.(net.Conn)
 		c.removeIdle(oldest)
 		c.open[oldest] = true
--- a/internal/agent/downstream/response.go
+++ b/internal/agent/downstream/response.go
@@ -8,6 +8,9 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
+// millisecondsPerSecond converts the time until a retry.
+const millisecondsPerSecond = 1000
+
 // writeResponse writes the final response to the client.
 func (s *Server) writeResponse(w http.ResponseWriter, request *message.Request, response message.Response) {
 	defer response.Body.Release()
@@ -28,7 +31,7 @@
 		s.writeServed(w, request, response)
 	case response.Kind == message.Rejected:
 		if response.RetryAfterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfterMs/1000, 'f', 3, 64))
+			w.Header().Set("Retry-After", retryAfterSeconds(response.RetryAfterMs))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case response.BadRequest:
@@ -40,6 +43,11 @@
 	}
 }
 
+// retryAfterSeconds is the value of the header Retry-After: seconds, to the millisecond.
+func retryAfterSeconds(retryAfterMs float64) string {
+	return strconv.FormatFloat(retryAfterMs/millisecondsPerSecond, 'f', 3, 64)
+}
+
 // writeServed passes a server's response on.
 func (s *Server) writeServed(w http.ResponseWriter, request *message.Request, response message.Response) {
 	for name, values := range message.EndToEndHeaders(response.Header) {
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// MaxBufferedBody is the longest body that is buffered as a whole; a longer one is streamed.
+	// MaxBufferedBody is the longest body that is buffered completely; a longer one is streamed.
 	MaxBufferedBody = 64 << 10
 	// MaxRequestBody is the longest body of a request: half as long again as any that clients send.
 	MaxRequestBody = 48 << 20
 	// BodyGracePeriod and minBodyRate (bytes per second) bound the time that a client may take for a body: it
-	// has the grace period, and more by the bytes that it sent, at half of the rate that is promised to honest
+	// has the grace period, and more by the bytes that it sent, at half of the rate that is promised to well-behaved
 	// clients. It may never send nothing for longer than the grace period: connections that stall have to be
 	// closed within 3 s.
 	BodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -178,7 +178,7 @@
 	return p.exchangeBuffered(conn, server, req)
 }
 
-// exchangeBuffered makes the exchange of a message that is buffered as a whole.
+// exchangeBuffered makes the exchange of a message that is buffered completely.
 func (p *Pool) exchangeBuffered(conn *serverConn, server *Server, req *http.Request) exchangeResult {
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
