--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -17,18 +17,17 @@
 	*Loop
 	addr string // where clients connect
 	log  agenttest.LineWriter
-	// stop ends it gracefully.
-	stop context.CancelFunc
+	stop context.CancelFunc // begins a graceful shutdown
 }
 
-// startLoop starts a loop that knows the list of the discovery as it is now.
-func startLoop(t *testing.T, d *agenttest.Discovery, change func(*config.Config)) *testLoop {
+// startLoop starts a loop that knows the list of the discovery as it is now; change may change its configuration.
+func startLoop(t *testing.T, discovery *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := agenttest.NewConfig(t, ln.Addr().String(), d)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), discovery)
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	cfg.Log = slog.New(slog.NewTextHandler(lines, nil))
 	if change != nil {
@@ -44,7 +43,11 @@
 		defer close(ended)
 		loop.Run()
 	}()
-	clients := downstream.New(ctx, cfg, ln, false, loop, func(bool) {})
+	clients := downstream.New(ctx, cfg, downstream.Options{
+		Listener:   ln,
+		Dispatcher: loop,
+		OnDrain:    func(bool) {},
+	})
 	clients.Start(make(chan error, 1))
 	stopping, stop := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
