--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,27 +14,27 @@
 )
 
 // startWithServer starts an agent in front of one server with the given script.
-func startWithServer(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *agenttest.Server) {
+func startWithServer(t *testing.T, answer func(conn net.Conn, req *http.Request, n int) bool) (*testAgent, *agenttest.Server) {
 	t.Helper()
-	b := agenttest.NewServer(t, answer)
-	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil), b
+	server := agenttest.NewServer(t, answer)
+	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil), server
 }
 
 func TestServed(t *testing.T) {
 	var mu sync.Mutex
 	var seen http.Header
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		seen = req.Header.Clone()
 		mu.Unlock()
-		return agenttest.RespondOK(c, req, n)
+		return agenttest.RespondOK(conn, req, n)
 	})
-	req := agenttest.NewRequest(a.addr, "send", "hello")
+	req := agenttest.NewRequest(agent.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
 	// What a client says of its connection does not take away what names its request.
 	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
 	req.Header.Set("X-Hop", "1")
-	status, header, body := a.do(req)
+	status, header, body := agent.do(req)
 	agenttest.WantStatus(t, status, 200)
 	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
 		t.Errorf("body %q, want %q", body, want)
@@ -51,19 +51,21 @@
 	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &left); err != nil || left < 1 || left > 4000 {
 		t.Errorf("the backend was told %q ms", seen.Get("Request-Timeout-Ms"))
 	}
-	if b.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.Count())
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
 	}
 }
 
 // The ends of an attempt: the client's response, and how often the server saw the request.
 func TestOutcomes(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, status, header, body) }
+		return func(conn net.Conn, _ *http.Request, _ int) bool {
+			return agenttest.SendResponse(conn, status, header, body)
+		}
 	}
 	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool {
-			fmt.Fprint(c, text)
+		return func(conn net.Conn, _ *http.Request, _ int) bool {
+			fmt.Fprint(conn, text)
 			return keep
 		}
 	}
@@ -77,15 +79,15 @@
 		{"500 may have run", "order", always(500, "", ""), 502, 1},
 		{"503 without proof may have run", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have run", "order",
-			func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) }, 502, 1},
+			func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) }, 502, 1},
 		{"close after the last byte may have run", "order", raw("", false), 502, 1},
 		{"broken body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
 		{"broken chunk may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", false), 502, 1},
 		{"an answer may end with its connection", "order", raw("HTTP/1.1 200 OK\r\n\r\nwhole", false), 200, 1},
-		{"an answer cut off by a reset may have run", "order", func(c net.Conn, _ *http.Request, _ int) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
-			return agenttest.ResetConn(c)
+		{"an answer cut off by a reset may have run", "order", func(conn net.Conn, _ *http.Request, _ int) bool {
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\nhalf")
+			return agenttest.ResetConn(conn)
 		}, 502, 1},
 		{"two framings at once may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", true), 502, 1},
@@ -99,32 +101,32 @@
 		{"an error is repeated for a keyed one, three attempts at most", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := startWithServer(t, test.answer)
-			status, header, _ := a.do(agenttest.NewRequest(a.addr, test.class, "x"))
+			agent, server := startWithServer(t, test.answer)
+			status, header, _ := agent.do(agenttest.NewRequest(agent.addr, test.class, "x"))
 			agenttest.WantStatus(t, status, test.status)
-			if b.Count() != test.arrivals {
-				t.Errorf("%d arrivals, want %d", b.Count(), test.arrivals)
+			if server.Count() != test.arrivals {
+				t.Errorf("%d arrivals, want %d", server.Count(), test.arrivals)
 			}
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.metricsNow(); f.Backstops+f.Violations > 0 {
-				t.Errorf("a guard had to act: %+v", f)
+			if metrics := agent.metricsNow(); metrics.Backstops+metrics.Violations > 0 {
+				t.Errorf("a guard had to act: %+v", metrics)
 			}
 		})
 	}
 }
 
 func TestOverloadedAttemptIsRetried(t *testing.T) {
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
-			return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+			return agenttest.SendResponse(conn, 503, "Not-Started: 1\r\n", "")
 		}
-		return agenttest.RespondOK(c, req, n)
+		return agenttest.RespondOK(conn, req, n)
 	})
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
-	if b.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.Count())
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -30,9 +30,9 @@
 // digest is what hashing backends answer.
 func digest(b []byte) string { return fmt.Sprintf("%d %x", len(b), sha256.Sum256(b)) }
 
-func hashResponder(c net.Conn, req *http.Request, _ int) bool {
+func hashResponder(conn net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return agenttest.SendResponse(c, 200, "", digest(body))
+	return agenttest.SendResponse(conn, 200, "", digest(body))
 }
 
 // slowReader returns a body in pieces, with a call before each.
@@ -43,22 +43,22 @@
 	at     int
 }
 
-func (s *slowReader) Read(p []byte) (int, error) {
-	if s.at == len(s.body) {
+func (reader *slowReader) Read(p []byte) (int, error) {
+	if reader.at == len(reader.body) {
 		return 0, io.EOF
 	}
-	s.before(s.at)
-	n := copy(p, s.body[s.at:min(s.at+s.piece, len(s.body))])
-	s.at += n
+	reader.before(reader.at)
+	n := copy(p, reader.body[reader.at:min(reader.at+reader.piece, len(reader.body))])
+	reader.at += n
 	return n, nil
 }
 
 func TestStreamedBodyIsForwardedOnce(t *testing.T) {
-	a, b := startWithServer(t, hashResponder)
+	agent, server := startWithServer(t, hashResponder)
 	for i, length := range []int{message.MaxBufferedBody - 1, message.MaxBufferedBody, message.MaxBufferedBody + 1, 5 << 20} {
 		for _, told := range []bool{true, false} {
 			body := randomBytes(length)
-			req := agenttest.NewRequest(a.addr, "order", "")
+			req := agenttest.NewRequest(agent.addr, "order", "")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
 			if told {
 				req.ContentLength = int64(length)
@@ -66,18 +66,18 @@
 			if i == 3 {
 				req.Header.Set("Expect", "100-continue")
 			}
-			status, _, got := a.do(req)
+			status, _, got := agent.do(req)
 			agenttest.WantStatus(t, status, 200)
 			if got != digest(body) {
 				t.Errorf("length %d, told %v: arrived as %s", length, told, got)
 			}
 		}
 	}
-	if b.Count() != 8 {
-		t.Errorf("%d arrivals, want 8", b.Count())
+	if server.Count() != 8 {
+		t.Errorf("%d arrivals, want 8", server.Count())
 	}
-	if f := a.metricsNow(); f.Served != 8 || f.Violations+f.Backstops > 0 {
-		t.Errorf("figures %+v", f)
+	if metrics := agent.metricsNow(); metrics.Served != 8 || metrics.Violations+metrics.Backstops > 0 {
+		t.Errorf("figures %+v", metrics)
 	}
 }
 
@@ -85,9 +85,9 @@
 // slowly.
 func TestSlowStreamedBodyHasItsFullTime(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, hashResponder)
+	agent, server := startWithServer(t, hashResponder)
 	body := randomBytes(6 * message.MaxBufferedBody)
-	req := agenttest.NewRequest(a.addr, "order", "")
+	req := agenttest.NewRequest(agent.addr, "order", "")
 	req.Header.Set("Request-Timeout-Ms", "700")
 	req.ContentLength = int64(len(body))
 	req.Body = io.NopCloser(&slowReader{body: body, piece: message.MaxBufferedBody / 2, before: func(at int) {
@@ -95,21 +95,21 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}})
-	status, _, got := a.do(req)
+	status, _, got := agent.do(req)
 	agenttest.WantStatus(t, status, 200)
-	if got != digest(body) || b.Count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, b.Count())
+	if got != digest(body) || server.Count() != 1 {
+		t.Errorf("arrived as %s, %d times", got, server.Count())
 	}
-	if f := a.metricsNow(); f.Attempts[100] != 1 || f.Violations+f.Backstops > 0 {
-		t.Errorf("figures %+v", f)
+	if metrics := agent.metricsNow(); metrics.Attempts[100] != 1 || metrics.Violations+metrics.Backstops > 0 {
+		t.Errorf("figures %+v", metrics)
 	}
 }
 
 // A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
 // sent again, and what did not execute is rejected.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
-	b := agenttest.NewServer(t, nil)
-	b.Ln.Close()
+	server := agenttest.NewServer(t, nil)
+	server.Ln.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,31 +118,31 @@
 	heads := make(chan struct{}, 10)
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
+				defer conn.Close()
+				br := bufio.NewReader(conn)
 				if _, err := http.ReadRequest(br); err != nil {
 					return
 				}
 				heads <- struct{}{}
 				io.CopyN(io.Discard, br, 2*message.MaxBufferedBody)
-				agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+				agenttest.SendResponse(conn, 503, "Not-Started: 1\r\n", "")
 				io.Copy(io.Discard, br)
 			}()
 		}
 	}()
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
 	// A client that brings the rest only once it has its answer.
-	c := a.dialKept()
+	client := agent.dialKept()
 	body := randomBytes(20 * message.MaxBufferedBody)
-	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+	fmt.Fprintf(client, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", len(body))
-	c.Write(body[:3*message.MaxBufferedBody])
-	resp, err := http.ReadResponse(c.Br, nil)
+	client.Write(body[:3*message.MaxBufferedBody])
+	resp, err := http.ReadResponse(client.Br, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,33 +152,33 @@
 	if len(heads) != 1 {
 		t.Errorf("%d attempts, want 1", len(heads))
 	}
-	if f := a.metricsNow(); f.Attempts[302] != 1 || f.Violations > 0 {
-		t.Errorf("figures %+v", f)
+	if metrics := agent.metricsNow(); metrics.Attempts[302] != 1 || metrics.Violations > 0 {
+		t.Errorf("figures %+v", metrics)
 	}
 }
 
 // A client that breaks off its body leaves nothing at a server that counts as a request.
 func TestStreamedBodyAborted(t *testing.T) {
-	a, b := startWithServer(t, hashResponder)
-	lines := a.logLines()
-	c := a.dialKept()
-	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+	agent, server := startWithServer(t, hashResponder)
+	lines := agent.logLines()
+	client := agent.dialKept()
+	fmt.Fprintf(client, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*message.MaxBufferedBody)
-	c.Write(randomBytes(3 * message.MaxBufferedBody))
-	c.Close()
+	client.Write(randomBytes(3 * message.MaxBufferedBody))
+	client.Close()
 	agenttest.WaitLine(t, lines, " id=1 ") // as left or as failed, whichever is seen first
-	<-b.Ended
-	if b.Count() != 0 {
-		t.Errorf("%d arrivals, want none", b.Count())
+	<-server.Ended
+	if server.Count() != 0 {
+		t.Errorf("%d arrivals, want none", server.Count())
 	}
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
-	f := a.metricsNow()
-	for end := time.Now().Add(agenttest.Timeout); f.Attempts[306]+f.Attempts[307] == 0 && time.Now().Before(end); f = a.metricsNow() {
+	metrics := agent.metricsNow()
+	for end := time.Now().Add(agenttest.Timeout); metrics.Attempts[306]+metrics.Attempts[307] == 0 && time.Now().Before(end); metrics = agent.metricsNow() {
 		time.Sleep(time.Millisecond) // the loop gets the attempt's end by itself
 	}
-	if f.Attempts[306]+f.Attempts[307] != 1 || f.Violations+f.Backstops > 0 {
-		t.Errorf("figures %+v", f)
+	if metrics.Attempts[306]+metrics.Attempts[307] != 1 || metrics.Violations+metrics.Backstops > 0 {
+		t.Errorf("figures %+v", metrics)
 	}
 }
 
@@ -186,28 +186,28 @@
 func TestLongResponseIsStreamed(t *testing.T) {
 	more := make(chan struct{})
 	long := randomBytes(3 * message.MaxBufferedBody)
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
-			c.Write(long[:100])
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
+			conn.Write(long[:100])
 			<-more
-			c.Write(long[100:])
+			conn.Write(long[100:])
 		case "chunks":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n64;a=b\r\n%s\r\n", long[:100])
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n64;a=b\r\n%s\r\n", long[:100])
 			<-more
-			fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-End: 1\r\n\r\n", len(long)-100, long[100:])
+			fmt.Fprintf(conn, "%x\r\n%s\r\n0\r\nX-End: 1\r\n\r\n", len(long)-100, long[100:])
 		case "close":
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n")
-			c.Write(long[:100])
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n")
+			conn.Write(long[:100])
 			<-more
-			c.Write(long[100:])
+			conn.Write(long[100:])
 			return false
 		}
 		return true
 	})
 	for _, form := range []string{"told", "chunks", "close"} {
-		req := agenttest.NewRequest(a.addr, "order", "x")
+		req := agenttest.NewRequest(agent.addr, "order", "x")
 		req.URL.RawQuery = form
 		resp, err := agenttest.HTTPClient.Do(req)
 		if err != nil {
@@ -225,29 +225,29 @@
 		}
 		time.Sleep(2 * upstream.SettleTime) // the connection has rested
 	}
-	b.Mu.Lock()
-	defer b.Mu.Unlock()
-	if b.Arrivals != 3 || b.Most > 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", b.Arrivals, b.Most)
+	server.Mu.Lock()
+	defer server.Mu.Unlock()
+	if server.Arrivals != 3 || server.Most > 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Arrivals, server.Most)
 	}
 }
 
 // A response that breaks halfway can't be taken for complete, and its request is sent once.
 func TestLongResponseAborted(t *testing.T) {
 	long := randomBytes(3 * message.MaxBufferedBody)
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
 		switch req.URL.RawQuery {
 		case "told":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)+1)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)+1)
 		case "chunks":
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(long)+1)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(long)+1)
 		}
-		c.Write(long)
+		conn.Write(long)
 		return false
 	})
 	for i, form := range []string{"told", "chunks"} {
-		lines := a.logLines()
-		req := agenttest.NewRequest(a.addr, "read", "")
+		lines := agent.logLines()
+		req := agenttest.NewRequest(agent.addr, "read", "")
 		req.URL.RawQuery = form
 		resp, err := agenttest.HTTPClient.Do(req)
 		if err != nil {
@@ -259,8 +259,8 @@
 			t.Errorf("%s: %d bytes, %v", form, len(got), err)
 		}
 		agenttest.WaitLine(t, lines, "response aborted")
-		if b.Count() != i+1 {
-			t.Errorf("%s: %d arrivals, want %d", form, b.Count(), i+1)
+		if server.Count() != i+1 {
+			t.Errorf("%s: %d arrivals, want %d", form, server.Count(), i+1)
 		}
 	}
 }
@@ -268,21 +268,21 @@
 // A client that closes in the middle of a long response frees its server's connection.
 func TestClientClosesDuringALongResponse(t *testing.T) {
 	gone := make(chan error, 1)
-	a, _ := startWithServer(t, func(c net.Conn, _ *http.Request, _ int) bool {
-		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
+	agent, _ := startWithServer(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
 		var err error
 		for piece := randomBytes(message.MaxBufferedBody); err == nil; {
-			_, err = c.Write(piece)
+			_, err = conn.Write(piece)
 		}
 		gone <- err
 		return false
 	})
-	c := a.dialKept()
-	fmt.Fprint(c, agenttest.RequestText(1, 4000))
-	if _, err := c.Br.Peek(4096); err != nil {
+	client := agent.dialKept()
+	fmt.Fprint(client, agenttest.RequestText(1, 4000))
+	if _, err := client.Br.Peek(4096); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	client.Close()
 	select {
 	case <-gone:
 	case <-time.After(agenttest.Timeout):
@@ -292,13 +292,13 @@
 
 // A body that exceeds the budget is not buffered, but it is forwarded.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
-	a, server := startWithServer(t, hashResponder)
-	for _, bytes := range a.agent.bodyBudgets() {
+	agent, server := startWithServer(t, hashResponder)
+	for _, bytes := range agent.bodyBudgets() {
 		for bytes.TryAcquire(1 << 10) {
 		}
 	}
 	body := randomBytes(100)
-	status, _, got := a.do(agenttest.NewRequest(a.addr, "order", string(body)))
+	status, _, got := agent.do(agenttest.NewRequest(agent.addr, "order", string(body)))
 	agenttest.WantStatus(t, status, 200)
 	if got != digest(body) || server.Count() != 1 {
 		t.Errorf("arrived as %s, %d times", got, server.Count())
@@ -307,21 +307,21 @@
 
 // Bytes of the budget that bodies reserved are free again once they are through.
 func TestBodyBudgetIsReleased(t *testing.T) {
-	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if n%2 == 0 {
-			return agenttest.SendResponse(c, 200, "", strings.Repeat("x", 100*(n+1)))
+			return agenttest.SendResponse(conn, 200, "", strings.Repeat("x", 100*(n+1)))
 		}
-		_, err := fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
+		_, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 		return err == nil
 	})
 	for range 10 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "some body"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "some body"))
 		agenttest.WantStatus(t, status, 200)
 	}
 	all := int64(192) << 20 / 6
 	for end := time.Now().Add(agenttest.Timeout); ; time.Sleep(time.Millisecond) {
 		// The handler gives back behind the answer's last byte.
-		if requests, responses := a.agent.bodyBudgets()[0], a.agent.bodyBudgets()[1]; requests.TryAcquire(all) && responses.TryAcquire(all) {
+		if requests, responses := agent.bodyBudgets()[0], agent.bodyBudgets()[1]; requests.TryAcquire(all) && responses.TryAcquire(all) {
 			break
 		}
 		if time.Now().After(end) {
@@ -334,31 +334,31 @@
 // one; no server has all of it.
 func TestStreamedBodyIsRejectedAtShutdown(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, hashResponder)
-	c := a.dialKept()
-	fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+	agent, server := startWithServer(t, hashResponder)
+	client := agent.dialKept()
+	fmt.Fprintf(client, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\n", 20*message.MaxBufferedBody)
-	c.Write(randomBytes(3 * message.MaxBufferedBody))
-	agenttest.WaitUntil(t, "it is on its way", func() bool { return b.StartedCount() == 1 })
-	late := a.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
+	client.Write(randomBytes(3 * message.MaxBufferedBody))
+	agenttest.WaitUntil(t, "it is on its way", func() bool { return server.StartedCount() == 1 })
+	late := agent.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
 	fmt.Fprint(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
-	a.stop()
-	refused := func(name string, k *agenttest.KeptConn) {
+	agent.stop()
+	refused := func(name string, conn *agenttest.KeptConn) {
 		t.Helper()
-		resp, err := http.ReadResponse(k.Br, nil)
+		resp, err := http.ReadResponse(conn.Br, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
 			t.Errorf("%s: answered %d, %v", name, resp.StatusCode, resp.Header)
 		}
-		k.Close()
+		conn.Close()
 	}
-	refused("long", c)
+	refused("long", client)
 	fmt.Fprint(late, "Request-Timeout-Ms: 4000\r\n\r\n")
 	refused("late", late)
-	<-b.Ended
-	if b.Count() != 0 {
-		t.Errorf("%d arrivals, want none", b.Count())
+	<-server.Ended
+	if server.Count() != 0 {
+		t.Errorf("%d arrivals, want none", server.Count())
 	}
 }
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -29,11 +29,11 @@
 var clientCloses = map[string]func(*net.TCPConn) error{
 	"close":      (*net.TCPConn).Close,
 	"half-close": (*net.TCPConn).CloseWrite,
-	"reset": func(c *net.TCPConn) error {
-		if err := c.SetLinger(0); err != nil {
+	"reset": func(conn *net.TCPConn) error {
+		if err := conn.SetLinger(0); err != nil {
 			return err
 		}
-		return c.Close()
+		return conn.Close()
 	},
 }
 
@@ -49,36 +49,36 @@
 }
 
 // blockedServer blocks each request until release is called.
-func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *agenttest.Server, release func()) {
+func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (server *agenttest.Server, release func()) {
 	held := make(chan struct{})
-	b = agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	server = agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		<-held
-		return answer(c, req, n)
+		return answer(conn, req, n)
 	})
 	release = sync.OnceFunc(func() { close(held) })
 	t.Cleanup(release)
-	return b, release
+	return server, release
 }
 
-func respondOverloaded(c net.Conn, _ *http.Request, _ int) bool {
-	return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+func respondOverloaded(conn net.Conn, _ *http.Request, _ int) bool {
+	return agenttest.SendResponse(conn, 503, "Not-Started: 1\r\n", "")
 }
 
 // closeAtServer closes while a server works on the request.
 func closeAtServer(t *testing.T) closeMoment {
-	b, release := blockedServer(t, agenttest.RespondOK)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.Count() == 1 },
-		proceed: release, begun: b.StartedCount, allowed: 1, answers: 1}
+	server, release := blockedServer(t, agenttest.RespondOK)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
+	return closeMoment{agent: agent, requests: readRequest, reached: func() bool { return server.Count() == 1 },
+		proceed: release, begun: server.StartedCount, allowed: 1, answers: 1}
 }
 
 // closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
 	begun := func() int { return first.StartedCount() + second.StartedCount() }
-	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
+	return closeMoment{agent: agent, requests: readRequest, reached: func() bool { return begun() == 1 },
 		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
 }
 
@@ -87,36 +87,36 @@
 
 // queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
 func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
-	b, release := blockedServer(t, answer)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
+	server, release := blockedServer(t, answer)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
 	const room = 8 // the concurrency limit of a server without measurements
 	for range room {
-		fmt.Fprint(a.dialKept(), readRequest)
+		fmt.Fprint(agent.dialKept(), readRequest)
 	}
-	agenttest.WaitUntil(t, "all room is taken", func() bool { return b.Count() == room })
-	queued := func() bool { return a.statsNow().Policy.Queued == 1 }
-	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
-		begun: b.StartedCount, allowed: room, answers: 1}
+	agenttest.WaitUntil(t, "all room is taken", func() bool { return server.Count() == room })
+	queued := func() bool { return agent.statsNow().Policy.Queued == 1 }
+	return closeMoment{agent: agent, requests: readRequest, reached: queued, proceed: release,
+		begun: server.StartedCount, allowed: room, answers: 1}
 }
 
 // closeWhileConnecting closes while the connection to the server is not established.
 func closeWhileConnecting(t *testing.T) closeMoment {
 	ln := fullListener(t)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
-		c.Settings.Limits.ConnectTimeoutMs = 10_000
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(cfg *config.Config) {
+		cfg.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
 	var mu sync.Mutex
 	arrived := 0
 	accept := func() {
 		go func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
-					defer c.Close()
-					if n, _ := c.Read(make([]byte, 1)); n > 0 {
+					defer conn.Close()
+					if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 						mu.Lock()
 						arrived++
 						mu.Unlock()
@@ -126,8 +126,8 @@
 		}()
 		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
 	}
-	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.agent.pool.ConnectCount() == 1 },
+	return closeMoment{agent: agent, requests: readRequest, proceed: accept, answers: 1,
+		reached: func() bool { return agent.pool.ConnectCount() == 1 },
 		begun: func() int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -143,36 +143,36 @@
 	writing, proceed chan struct{}
 }
 
-func (c *blockedConn) Write(p []byte) (int, error) {
-	if !c.armed.Load() {
-		return c.Conn.Write(p)
+func (conn *blockedConn) Write(p []byte) (int, error) {
+	if !conn.armed.Load() {
+		return conn.Conn.Write(p)
 	}
-	close(c.writing)
-	<-c.proceed
+	close(conn.writing)
+	<-conn.proceed
 	return 0, syscall.EPIPE
 }
 
 // startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
 // blocks the next one. That request is not counted by the server's arrivals and heads.
-func startWithBlockedConn(t *testing.T, b *agenttest.Server) (*testAgent, *blockedConn) {
+func startWithBlockedConn(t *testing.T, server *agenttest.Server) (*testAgent, *blockedConn) {
 	t.Helper()
 	blocked := &blockedConn{writing: make(chan struct{}), proceed: make(chan struct{})}
 	var dials atomic.Int64
 	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-		nc, err := upstream.DialTCP(ctx, addr, until)
+		conn, err := upstream.DialTCP(ctx, addr, until)
 		if err != nil || dials.Add(1) > 1 {
-			return nc, err
+			return conn, err
 		}
-		blocked.Conn = nc
+		blocked.Conn = conn
 		return blocked, nil
 	}
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(cfg *config.Config) { cfg.Dial = dial })
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), func(cfg *config.Config) { cfg.Dial = dial })
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, http.StatusOK)
 	time.Sleep(restTime)
 	blocked.armed.Store(true)
-	b.Forget()
-	return a, blocked
+	server.Forget()
+	return agent, blocked
 }
 
 // restTime is well over the time that a connection rests before it carries another message.
@@ -182,8 +182,8 @@
 // which the agent would open another. The byte behind the request hides the close from the server's own
 // check.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := agenttest.NewServer(t, agenttest.RespondOK)
-	a, broken := startWithBlockedConn(t, b)
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	agent, broken := startWithBlockedConn(t, server)
 	reached := func() bool {
 		select {
 		case <-broken.writing:
@@ -192,27 +192,27 @@
 			return false
 		}
 	}
-	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
-		proceed: func() { close(broken.proceed) }, begun: b.StartedCount, answers: 1}
+	return closeMoment{agent: agent, requests: readRequest + "X", reached: reached,
+		proceed: func() { close(broken.proceed) }, begun: server.StartedCount, answers: 1}
 }
 
 // closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
-	b, release := blockedServer(t, agenttest.RespondOK)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.Count() == 1 },
-		proceed: release, begun: b.StartedCount, allowed: 1, answers: 2}
+	server, release := blockedServer(t, agenttest.RespondOK)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
+	return closeMoment{agent: agent, requests: readRequest + readRequest, reached: func() bool { return server.Count() == 1 },
+		proceed: release, begun: server.StartedCount, allowed: 1, answers: 2}
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
 func closeInLongBody(t *testing.T) closeMoment {
-	b := agenttest.NewServer(t, hashResponder)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
+	server := agenttest.NewServer(t, hashResponder)
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
 	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*message.MaxBufferedBody)
 	// Its head may have begun to arrive, its end can't: none counts as a request.
-	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*message.MaxBufferedBody),
-		reached: func() bool { return b.StartedCount() == 1 }, proceed: func() {}, begun: b.Count, answers: 1}
+	return closeMoment{agent: agent, requests: head + strings.Repeat("x", 2*message.MaxBufferedBody),
+		reached: func() bool { return server.StartedCount() == 1 }, proceed: func() {}, begun: server.Count, answers: 1}
 }
 
 // A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
@@ -231,26 +231,26 @@
 		for way, end := range clientCloses {
 			t.Run(name+"/"+way, func(t *testing.T) {
 				t.Parallel()
-				m := arrange(t)
-				client := m.agent.dialKept()
-				fmt.Fprint(client, m.requests)
-				agenttest.WaitUntil(t, "the moment has come", m.reached)
+				moment := arrange(t)
+				client := moment.agent.dialKept()
+				fmt.Fprint(client, moment.requests)
+				agenttest.WaitUntil(t, "the moment has come", moment.reached)
 				if err := end(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
-				m.proceed()
+				moment.proceed()
 				if way == "half-close" {
-					wantFinalResponses(t, client.Br, m.answers)
+					wantFinalResponses(t, client.Br, moment.answers)
 				}
 				agenttest.WaitUntil(t, "the connection has ended", func() bool {
-					return m.agent.statsNow().Open == 0
+					return moment.agent.statsNow().Open == 0
 				})
-				if begun := m.begun(); begun != m.allowed {
-					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
+				if begun := moment.begun(); begun != moment.allowed {
+					t.Errorf("%d attempts begun, want %d", begun, moment.allowed)
 				}
-				if f := m.agent.metricsNow(); f.Violations+f.Backstops > 0 {
-					t.Errorf("figures %+v", f)
+				if metrics := moment.agent.metricsNow(); metrics.Violations+metrics.Backstops > 0 {
+					t.Errorf("figures %+v", metrics)
 				}
 			})
 		}
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -15,49 +15,49 @@
 )
 
 // blockLoop stops the loop until the returned function is called.
-func (a *testAgent) blockLoop() (release func()) {
+func (agent *testAgent) blockLoop() (release func()) {
 	blocked, held := make(chan struct{}), make(chan struct{})
-	a.agent.loop.Post(func() { close(held); <-blocked })
+	agent.loop.Post(func() { close(held); <-blocked })
 	<-held
 	return func() { close(blocked) }
 }
 
 // wantNoneOpen waits until the server knows that all clients' connections have ended.
-func (a *testAgent) wantNoneOpen(t *testing.T) {
+func (agent *testAgent) wantNoneOpen(t *testing.T) {
 	t.Helper()
-	agenttest.WaitUntil(t, "all clients' connections are closed", func() bool { return a.agent.downstream.OpenConns() == 0 })
+	agenttest.WaitUntil(t, "all clients' connections are closed", func() bool { return agent.downstream.OpenConns() == 0 })
 }
 
 // A client's close and an event that would have its request sent again cross on the way to the loop. The
 // client closed first, so nothing is sent, whichever the loop takes first.
 func TestNoRetryOnceTheClientHasClosed(t *testing.T) {
 	arrived, answer := make(chan struct{}, 10), make(chan struct{})
-	turnsAway := func(c net.Conn, req *http.Request, _ int) bool {
+	turnsAway := func(conn net.Conn, req *http.Request, _ int) bool {
 		arrived <- struct{}{}
 		<-answer
-		return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+		return agenttest.SendResponse(conn, 503, "Not-Started: 1\r\n", "")
 	}
 	first, second := agenttest.NewServer(t, turnsAway), agenttest.NewServer(t, turnsAway)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
-	c := a.dialKept()
-	fmt.Fprint(c, agenttest.RequestText(1, 4000))
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
+	client := agent.dialKept()
+	fmt.Fprint(client, agenttest.RequestText(1, 4000))
 	<-arrived
-	release := a.blockLoop()
+	release := agent.blockLoop()
 	close(answer)
-	agenttest.WaitUntil(t, "the loop is to take the attempt's end", func() bool { return a.agent.loop.Backlog() > 0 })
-	a.agent.loop.Post(func() { // time for an attempt to begin before the loop takes the leaving
+	agenttest.WaitUntil(t, "the loop is to take the attempt's end", func() bool { return agent.loop.Backlog() > 0 })
+	agent.loop.Post(func() { // time for an attempt to begin before the loop takes the leaving
 		select {
 		case <-arrived:
 		case <-time.After(200 * time.Millisecond):
 		}
 	})
-	c.Close()
-	agenttest.WaitUntil(t, "the loop is to take the client's leaving", func() bool { return a.agent.loop.Backlog() > 2 })
+	client.Close()
+	agenttest.WaitUntil(t, "the loop is to take the client's leaving", func() bool { return agent.loop.Backlog() > 2 })
 	release()
-	a.wantNoneOpen(t)
-	f := a.metricsNow()
-	if n := first.Count() + second.Count(); n != 1 || f.ClientsGone != 1 || f.Violations > 0 {
-		t.Errorf("%d attempts, want 1; figures %+v", n, f)
+	agent.wantNoneOpen(t)
+	metrics := agent.metricsNow()
+	if n := first.Count() + second.Count(); n != 1 || metrics.ClientsGone != 1 || metrics.Violations > 0 {
+		t.Errorf("%d attempts, want 1; figures %+v", n, metrics)
 	}
 }
 
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	for range 4 {
-		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			return ln
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 	t.Fatal("the queue does not fill")
 	return nil
@@ -91,29 +91,29 @@
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	ln := fullListener(t)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
-		c.Settings.Limits.ConnectTimeoutMs = 10_000
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(cfg *config.Config) {
+		cfg.Settings.Limits.ConnectTimeoutMs = 10_000
 	})
-	c := a.dialKept()
-	fmt.Fprint(c, agenttest.RequestText(1, 20000))
-	agenttest.WaitUntil(t, "the connect is under way", func() bool { return a.agent.pool.ConnectCount() == 1 })
-	release := a.blockLoop()
+	client := agent.dialKept()
+	fmt.Fprint(client, agenttest.RequestText(1, 20000))
+	agenttest.WaitUntil(t, "the connect is under way", func() bool { return agent.pool.ConnectCount() == 1 })
+	release := agent.blockLoop()
 	defer release()
-	c.Close()
-	a.wantNoneOpen(t)
+	client.Close()
+	agent.wantNoneOpen(t)
 	// Space in the queue: a connect that continues is established with its next SYN, in a second.
 	over := time.AfterFunc(2500*time.Millisecond, func() { ln.Close() })
 	defer over.Stop()
 	for {
-		nc, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			break
 		}
 		go func() {
-			defer nc.Close()
+			defer conn.Close()
 			head := make([]byte, 1000)
-			_ = nc.SetReadDeadline(time.Now().Add(agenttest.Timeout))
-			if n, _ := nc.Read(head); n > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(agenttest.Timeout))
+			if n, _ := conn.Read(head); n > 0 {
 				t.Errorf("sent on: %q", head[:n])
 			}
 		}()
@@ -137,31 +137,34 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			answer := make(chan struct{})
-			a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+			agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 				if n < 8 {
 					<-answer
 				}
-				return agenttest.RespondOK(c, req, n)
+				return agenttest.RespondOK(conn, req, n)
 			})
 			for range 8 { // all that a lone agent has out at an unmeasured server
-				c := a.dialKept()
-				fmt.Fprint(c, agenttest.RequestText(1, 30000))
+				client := agent.dialKept()
+				fmt.Fprint(client, agenttest.RequestText(1, 30000))
 			}
-			agenttest.WaitUntil(t, "eight are at work", func() bool { return b.Count() == 8 })
-			c := a.dialKept()
-			fmt.Fprint(c, text)
+			agenttest.WaitUntil(t, "eight are at work", func() bool { return server.Count() == 8 })
+			client := agent.dialKept()
+			fmt.Fprint(client, text)
 			agenttest.WaitUntil(t, "the ninth waits", func() bool {
-				return a.statsNow().Policy.Queued == 1
+				return agent.statsNow().Policy.Queued == 1
 			})
 			if name == "a further byte" {
-				fmt.Fprint(c, "X")
+				fmt.Fprint(client, "X")
 				time.Sleep(50 * time.Millisecond) // so that it is read by itself, as a rule
 			}
-			c.Close()
+			client.Close()
 			time.Sleep(50 * time.Millisecond) // its FIN or reset is there long before
 			close(answer)
-			agenttest.WaitUntil(t, "it is over", func() bool { f := a.metricsNow(); return f.Failed+f.ClientsGone == 1 && f.Served == 8 })
-			if b.StartedCount() != 8 {
+			agenttest.WaitUntil(t, "it is over", func() bool {
+				metrics := agent.metricsNow()
+				return metrics.Failed+metrics.ClientsGone == 1 && metrics.Served == 8
+			})
+			if server.StartedCount() != 8 {
 				t.Error("a request was sent on whose client had left")
 			}
 		})
--- a/internal/agent/connection_pool_test.go
+++ b/internal/agent/connection_pool_test.go
@@ -14,40 +14,40 @@
 )
 
 func TestConnectionIsReused(t *testing.T) {
-	a, b := startWithServer(t, agenttest.RespondOK)
+	agent, server := startWithServer(t, agenttest.RespondOK)
 	for range 3 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 		time.Sleep(2 * upstream.SettleTime)
 	}
-	b.Mu.Lock()
-	defer b.Mu.Unlock()
-	if b.Arrivals != 3 || b.Most != 1 || len(b.Ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", b.Arrivals, b.Most, len(b.Ended))
+	server.Mu.Lock()
+	defer server.Mu.Unlock()
+	if server.Arrivals != 3 || server.Most != 1 || len(server.Ended) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Arrivals, server.Most, len(server.Ended))
 	}
 }
 
 // A kept connection that the server has closed must be noticed before it carries a request: a non-idempotent
 // one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		agenttest.RespondOK(c, req, n)
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		agenttest.RespondOK(conn, req, n)
 		return n > 0
 	})
 	wantServed := func() {
 		t.Helper()
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 	}
 	wantServed()
 	select {
-	case <-b.Ended:
+	case <-server.Ended:
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("the backend did not close")
 	}
 	wantServed()
-	if b.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.Count())
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
 
@@ -55,16 +55,16 @@
 // never sent again without the policy, not even with the key or without the body that make http.Transport do
 // so.
 func TestNoSilentResend(t *testing.T) {
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		return n == 0 && agenttest.RespondOK(c, req, n)
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		return n == 0 && agenttest.RespondOK(conn, req, n)
 	})
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", ""))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", ""))
 	agenttest.WantStatus(t, status, 200)
 	time.Sleep(2 * upstream.SettleTime)
-	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", ""))
+	status, _, _ = agent.do(agenttest.NewRequest(agent.addr, "order", ""))
 	agenttest.WantStatus(t, status, 502)
-	if b.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.Count())
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
 
@@ -72,25 +72,25 @@
 // can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
-	b := agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		<-release
-		return agenttest.RespondOK(c, req, n)
+		return agenttest.RespondOK(conn, req, n)
 	})
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) { c.Sockets = config.MinSockets })
-	most := a.agent.cfg.ClientConns()
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
+	most := agent.cfg.ClientConns()
 	for range 2 * most { // clients that stay connected and idle
-		c, err := net.Dial("tcp", a.addr)
+		conn, err := net.Dial("tcp", agent.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(agenttest.Timeout))
-		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(agenttest.Timeout))
+		fmt.Fprint(conn, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 	close(release)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -28,35 +28,35 @@
 }
 
 // recording is answer, with the attempt's Request-Timeout-Ms recorded.
-func (d *deadlineRecorder) recording(answer func(net.Conn, *http.Request, int) bool) func(net.Conn, *http.Request, int) bool {
-	return func(c net.Conn, req *http.Request, n int) bool {
+func (recorder *deadlineRecorder) recording(answer func(net.Conn, *http.Request, int) bool) func(net.Conn, *http.Request, int) bool {
+	return func(conn net.Conn, req *http.Request, n int) bool {
 		told, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
 		if err != nil {
 			told = 1 << 30
 		}
-		d.mu.Lock()
-		d.told = append(d.told, told)
-		d.mu.Unlock()
-		return answer(c, req, n)
+		recorder.mu.Lock()
+		recorder.told = append(recorder.told, told)
+		recorder.mu.Unlock()
+		return answer(conn, req, n)
 	}
 }
 
 // forget forgets the attempts up to now.
-func (d *deadlineRecorder) forget() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.told = nil
+func (recorder *deadlineRecorder) forget() {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.told = nil
 }
 
 // want checks that the attempts gave no more time than the client had left.
-func (d *deadlineRecorder) want(t *testing.T, left ...int) {
+func (recorder *deadlineRecorder) want(t *testing.T, left ...int) {
 	t.Helper()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.told) != len(left) {
-		t.Fatalf("attempts told %v, want %d of them", d.told, len(left))
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	if len(recorder.told) != len(left) {
+		t.Fatalf("attempts told %v, want %d of them", recorder.told, len(left))
 	}
-	for i, told := range d.told {
+	for i, told := range recorder.told {
 		if told > left[i] {
 			t.Errorf("attempt %d told %d ms, and the client had %d left at the most", i, told, left[i])
 		}
@@ -73,38 +73,38 @@
 // attempt are the least that they can be, so a slow machine fails no case.
 func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
 	const left = timeoutMs - int(testDelay/time.Millisecond)
-	for name, test := range map[string]func(t *testing.T, d *deadlineRecorder){
-		"first attempt": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
-			c := a.dialKept()
-			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.want(t, timeoutMs)
+	for name, test := range map[string]func(t *testing.T, recorder *deadlineRecorder){
+		"first attempt": func(t *testing.T, recorder *deadlineRecorder) {
+			agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+			client := agent.dialKept()
+			fmt.Fprint(client, timedRequest(timeoutMs, "x"))
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.want(t, timeoutMs)
 		},
-		"after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
-			requestDuringStall(t, a, timedRequest(timeoutMs, "x"))
-			d.want(t, left)
+		"after a stall of the process": func(t *testing.T, recorder *deadlineRecorder) {
+			agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+			requestDuringStall(t, agent, timedRequest(timeoutMs, "x"))
+			recorder.want(t, left)
 		},
-		"long body after a stall of the process": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(hashResponder))
-			requestDuringStall(t, a, timedRequest(timeoutMs, strings.Repeat("x", 2*message.MaxBufferedBody)))
-			d.want(t, left)
+		"long body after a stall of the process": func(t *testing.T, recorder *deadlineRecorder) {
+			agent, _ := startWithServer(t, recorder.recording(hashResponder))
+			requestDuringStall(t, agent, timedRequest(timeoutMs, strings.Repeat("x", 2*message.MaxBufferedBody)))
+			recorder.want(t, left)
 		},
-		"retries": func(t *testing.T, d *deadlineRecorder) {
-			slow := d.recording(func(c net.Conn, req *http.Request, n int) bool {
+		"retries": func(t *testing.T, recorder *deadlineRecorder) {
+			slow := recorder.recording(func(conn net.Conn, req *http.Request, n int) bool {
 				time.Sleep(testDelay)
-				return respondOverloaded(c, req, n)
+				return respondOverloaded(conn, req, n)
 			})
 			first, second := agenttest.NewServer(t, slow), agenttest.NewServer(t, slow)
-			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
-			c := a.dialKept()
-			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 503)
+			agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
+			client := agent.dialKept()
+			fmt.Fprint(client, timedRequest(timeoutMs, "x"))
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 503)
 			// The third attempt goes back to one of the two: there are no others.
-			d.mu.Lock()
-			attempts := len(d.told)
-			d.mu.Unlock()
+			recorder.mu.Lock()
+			attempts := len(recorder.told)
+			recorder.mu.Unlock()
 			if attempts < 2 {
 				t.Fatalf("%d attempts, want a retry", attempts)
 			}
@@ -112,67 +112,67 @@
 			for i := range attempts {
 				lefts = append(lefts, timeoutMs-i*int(testDelay/time.Millisecond))
 			}
-			d.want(t, lefts...)
+			recorder.want(t, lefts...)
 		},
-		"late connect": func(t *testing.T, d *deadlineRecorder) {
+		"late connect": func(t *testing.T, recorder *deadlineRecorder) {
 			ln := fullListener(t)
-			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
-				c.Settings.Limits.ConnectTimeoutMs = 10_000
+			agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(cfg *config.Config) {
+				cfg.Settings.Limits.ConnectTimeoutMs = 10_000
 			})
-			c := a.dialKept()
-			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			agenttest.WaitUntil(t, "the connect is under way", func() bool { return a.agent.pool.ConnectCount() == 1 })
+			client := agent.dialKept()
+			fmt.Fprint(client, timedRequest(timeoutMs, "x"))
+			agenttest.WaitUntil(t, "the connect is under way", func() bool { return agent.pool.ConnectCount() == 1 })
 			time.Sleep(testDelay)
-			go (&agenttest.Server{T: t, Ln: ln, Answer: d.recording(agenttest.RespondOK), Ended: make(chan struct{}, 10)}).Accept()
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.want(t, left)
+			go (&agenttest.Server{T: t, Ln: ln, Answer: recorder.recording(agenttest.RespondOK), Ended: make(chan struct{}, 10)}).Accept()
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.want(t, left)
 		},
-		"broken kept connection": func(t *testing.T, d *deadlineRecorder) {
-			b := agenttest.NewServer(t, d.recording(agenttest.RespondOK))
-			a, broken := startWithBlockedConn(t, b)
-			d.forget()
-			c := a.dialKept()
-			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
+		"broken kept connection": func(t *testing.T, recorder *deadlineRecorder) {
+			server := agenttest.NewServer(t, recorder.recording(agenttest.RespondOK))
+			agent, broken := startWithBlockedConn(t, server)
+			recorder.forget()
+			client := agent.dialKept()
+			fmt.Fprint(client, timedRequest(timeoutMs, "x"))
 			<-broken.writing
 			time.Sleep(testDelay)
 			close(broken.proceed)
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.want(t, left)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.want(t, left)
 		},
-		"queued": func(t *testing.T, d *deadlineRecorder) {
-			m := queuedBehind(t, d.recording(agenttest.RespondOK))
-			d.forget()
-			c := m.agent.dialKept()
-			fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-			agenttest.WaitUntil(t, "it waits", m.reached)
+		"queued": func(t *testing.T, recorder *deadlineRecorder) {
+			moment := queuedBehind(t, recorder.recording(agenttest.RespondOK))
+			recorder.forget()
+			client := moment.agent.dialKept()
+			fmt.Fprint(client, timedRequest(timeoutMs, "x"))
+			agenttest.WaitUntil(t, "it waits", moment.reached)
 			time.Sleep(testDelay)
-			m.proceed()
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.mu.Lock()
-			d.told = d.told[len(d.told)-1:]
-			d.mu.Unlock()
-			d.want(t, left)
+			moment.proceed()
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.mu.Lock()
+			recorder.told = recorder.told[len(recorder.told)-1:]
+			recorder.mu.Unlock()
+			recorder.want(t, left)
 		},
-		"body that comes late": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
-			c := a.dialKept()
+		"body that comes late": func(t *testing.T, recorder *deadlineRecorder) {
+			agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+			client := agent.dialKept()
 			text := timedRequest(timeoutMs, "xy")
-			fmt.Fprint(c, text[:len(text)-1])
+			fmt.Fprint(client, text[:len(text)-1])
 			time.Sleep(testDelay)
-			fmt.Fprint(c, text[len(text)-1:])
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.want(t, timeoutMs) // the time counts from the last byte
+			fmt.Fprint(client, text[len(text)-1:])
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.want(t, timeoutMs) // the time counts from the last byte
 		},
-		"long upload": func(t *testing.T, d *deadlineRecorder) {
-			a, _ := startWithServer(t, d.recording(hashResponder))
-			c := a.dialKept()
+		"long upload": func(t *testing.T, recorder *deadlineRecorder) {
+			agent, _ := startWithServer(t, recorder.recording(hashResponder))
+			client := agent.dialKept()
 			text := timedRequest(timeoutMs, strings.Repeat("x", 4*message.MaxBufferedBody))
 			for _, part := range []string{text[:2*message.MaxBufferedBody], text[2*message.MaxBufferedBody : 3*message.MaxBufferedBody], text[3*message.MaxBufferedBody:]} {
-				fmt.Fprint(c, part)
+				fmt.Fprint(client, part)
 				time.Sleep(testDelay)
 			}
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
-			d.want(t, timeoutMs)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
+			recorder.want(t, timeoutMs)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -183,38 +183,38 @@
 }
 
 // requestDuringStall sends a request while the loop does not run, for testDelay after the request was read.
-func requestDuringStall(t *testing.T, a *testAgent, text string) {
+func requestDuringStall(t *testing.T, agent *testAgent, text string) {
 	t.Helper()
-	release := a.blockLoop()
-	c := a.dialKept()
-	fmt.Fprint(c, text)
-	agenttest.WaitUntil(t, "the loop is to take the request", func() bool { return a.agent.loop.Backlog() > 0 })
+	release := agent.blockLoop()
+	client := agent.dialKept()
+	fmt.Fprint(client, text)
+	agenttest.WaitUntil(t, "the loop is to take the request", func() bool { return agent.loop.Backlog() > 0 })
 	time.Sleep(testDelay)
 	release()
-	agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
+	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
 }
 
 // With hardly any time left a request has its response, and gives no server more time than that.
 func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
-	d := &deadlineRecorder{}
-	a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
+	recorder := &deadlineRecorder{}
+	agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
 	for _, timeout := range []int{1, 2, 3, 4, 5, 8, 12} {
-		c := a.dialKept()
-		fmt.Fprint(c, timedRequest(timeout, "x"))
-		if status := agenttest.FinalStatus(t, c); status != 200 && status != 502 && status != 503 && status != 504 {
+		client := agent.dialKept()
+		fmt.Fprint(client, timedRequest(timeout, "x"))
+		if status := agenttest.FinalStatus(t, client); status != 200 && status != 502 && status != 503 && status != 504 {
 			t.Errorf("%d ms: answered %d", timeout, status)
 		}
-		d.mu.Lock()
-		for _, told := range d.told {
+		recorder.mu.Lock()
+		for _, told := range recorder.told {
 			if told > timeout {
 				t.Errorf("%d ms: told %d", timeout, told)
 			}
 		}
-		d.told = nil
-		d.mu.Unlock()
+		recorder.told = nil
+		recorder.mu.Unlock()
 	}
-	if f := a.metricsNow(); f.Violations > 0 {
-		t.Errorf("the module sent attempts that have no time: figures %+v", f)
+	if metrics := agent.metricsNow(); metrics.Violations > 0 {
+		t.Errorf("the module sent attempts that have no time: figures %+v", metrics)
 	}
 }
 
@@ -231,17 +231,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := &deadlineRecorder{}
-			a, _ := startWithServer(t, d.recording(agenttest.RespondOK))
-			release := takeAllSlots(t, a)
-			a.dialKept() // takes the slot that Accept holds already
-			agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
-			c := a.dialKept()
-			fmt.Fprint(c, timedRequest(test.timeoutMs, "x"))
+			recorder := &deadlineRecorder{}
+			agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+			release := takeAllSlots(t, agent)
+			agent.dialKept() // takes the slot that Accept holds already
+			agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
+			client := agent.dialKept()
+			fmt.Fprint(client, timedRequest(test.timeoutMs, "x"))
 			time.Sleep(testDelay)
 			release()
-			agenttest.WantStatus(t, agenttest.FinalStatus(t, c), test.status)
-			d.want(t, test.told...)
+			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), test.status)
+			recorder.want(t, test.told...)
 		})
 	}
 }
@@ -250,17 +250,17 @@
 // connection waited.
 func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
 	t.Parallel()
-	a, _ := startWithServer(t, agenttest.RespondOK)
-	release := takeAllSlots(t, a)
-	a.dialKept()
-	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
+	agent, _ := startWithServer(t, agenttest.RespondOK)
+	release := takeAllSlots(t, agent)
+	agent.dialKept()
+	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
 	const timeout = 2 * time.Second
-	c := a.dialKept()
+	client := agent.dialKept()
 	time.Sleep(timeout)
 	release()
-	agenttest.WaitUntil(t, "it is accepted", func() bool { return a.agent.downstream.OpenConns() > 1 })
+	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 1 })
 	for range 2 {
-		fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), "x"))
-		agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 200)
+		fmt.Fprint(client, timedRequest(int(timeout.Milliseconds()), "x"))
+		agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 200)
 	}
 }
--- a/internal/agent/downstream_server_test.go
+++ b/internal/agent/downstream_server_test.go
@@ -15,12 +15,12 @@
 )
 
 func TestMalformedInput(t *testing.T) {
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, _ int) bool { // no echo: it would be too large
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool { // no echo: it would be too large
 		body, _ := io.ReadAll(req.Body)
-		return agenttest.SendResponse(c, 200, "", fmt.Sprint(len(body)))
+		return agenttest.SendResponse(conn, 200, "", fmt.Sprint(len(body)))
 	})
 	set := func(name, value string) func(*http.Request) {
-		return func(r *http.Request) { r.Header.Set(name, value) }
+		return func(req *http.Request) { req.Header.Set(name, value) }
 	}
 	for _, test := range []struct {
 		name   string
@@ -30,52 +30,52 @@
 		status int
 	}{
 		{"class", "order", set("Request-Class", "nobody's"), "x", 400},
-		{"no class", "order", func(r *http.Request) { r.Header.Del("Request-Class") }, "x", 400},
-		{"no id", "order", func(r *http.Request) { r.Header.Del("Request-Id") }, "x", 400},
-		{"no key", "send", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, "x", 400},
+		{"no class", "order", func(req *http.Request) { req.Header.Del("Request-Class") }, "x", 400},
+		{"no id", "order", func(req *http.Request) { req.Header.Del("Request-Id") }, "x", 400},
+		{"no key", "send", func(req *http.Request) { req.Header.Del("Idempotency-Key") }, "x", 400},
 		{"time-out a word", "order", set("Request-Timeout-Ms", "soon"), "x", 400},
 		{"time-out negative", "order", set("Request-Timeout-Ms", "-5"), "x", 400},
 		{"time-out zero", "order", set("Request-Timeout-Ms", "0"), "x", 400},
 		{"time-out huge", "order", set("Request-Timeout-Ms", "99999999999999999999"), "x", 400},
-		{"method", "order", func(r *http.Request) { r.Method = "DELETE" }, "x", 405},
-		{"oversize", "order", func(r *http.Request) { r.ContentLength = message.MaxRequestBody + 1 }, "x", 413},
+		{"method", "order", func(req *http.Request) { req.Method = "DELETE" }, "x", 405},
+		{"oversize", "order", func(req *http.Request) { req.ContentLength = message.MaxRequestBody + 1 }, "x", 413},
 	} {
-		req := agenttest.NewRequest(a.addr, test.class, test.body)
+		req := agenttest.NewRequest(agent.addr, test.class, test.body)
 		if test.change != nil {
 			test.change(req)
 		}
 		if test.status == 413 { // it has no end that the client could send
-			c := a.dialKept()
-			fmt.Fprintf(c, "POST /api/x HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+			client := agent.dialKept()
+			fmt.Fprintf(client, "POST /api/x HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 				"Request-Timeout-Ms: 4000\r\nContent-Length: %d\r\n\r\nx", message.MaxRequestBody+1)
-			if resp, err := http.ReadResponse(c.Br, nil); err != nil || resp.StatusCode != 413 {
+			if resp, err := http.ReadResponse(client.Br, nil); err != nil || resp.StatusCode != 413 {
 				t.Errorf("%s: %v, %v", test.name, resp, err)
 			}
 			continue
 		}
-		if status, _, _ := a.do(req); status != test.status {
+		if status, _, _ := agent.do(req); status != test.status {
 			t.Errorf("%s: answered %d, want %d", test.name, status, test.status)
 		}
 	}
 	for _, text := range []string{"nonsense\r\n\r\n", "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n",
 		"POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc"} {
-		c, err := net.Dial("tcp", a.addr)
+		conn, err := net.Dial("tcp", agent.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(agenttest.Timeout))
-		fmt.Fprint(c, text)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		conn.SetDeadline(time.Now().Add(agenttest.Timeout))
+		fmt.Fprint(conn, text)
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 400 {
 			t.Errorf("%q: %v, %v", text, resp, err)
 		}
-		c.Close()
+		conn.Close()
 	}
-	if status, _, got := a.do(agenttest.NewRequest(a.addr, "order", strings.Repeat("x", message.MaxBufferedBody))); status != 200 || got != fmt.Sprint(message.MaxBufferedBody) {
+	if status, _, got := agent.do(agenttest.NewRequest(agent.addr, "order", strings.Repeat("x", message.MaxBufferedBody))); status != 200 || got != fmt.Sprint(message.MaxBufferedBody) {
 		t.Errorf("the largest body: answered %d, arrived %s", status, got)
 	}
-	if b.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.Count())
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
 	}
 }
 
@@ -103,15 +103,15 @@
 		{"rejected, plain", head("nobody's", "Content-Length: 0"), 400, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := startWithServer(t, agenttest.RespondOK)
-			c, err := net.Dial("tcp", a.addr)
+			agent, server := startWithServer(t, agenttest.RespondOK)
+			conn, err := net.Dial("tcp", agent.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(agenttest.Timeout))
-			fmt.Fprint(c, test.head+body)
-			br := bufio.NewReader(c)
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(agenttest.Timeout))
+			fmt.Fprint(conn, test.head+body)
+			br := bufio.NewReader(conn)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -127,8 +127,8 @@
 			if resp, err := http.ReadResponse(br, nil); err == nil {
 				t.Errorf("a second answer, %d", resp.StatusCode)
 			}
-			if b.Count() != test.arrivals {
-				t.Errorf("%d arrivals, want %d", b.Count(), test.arrivals)
+			if server.Count() != test.arrivals {
+				t.Errorf("%d arrivals, want %d", server.Count(), test.arrivals)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 // also one that sends a byte now and then.
 func TestImproperPeersAreEndedInTime(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, agenttest.RespondOK)
+	agent, server := startWithServer(t, agenttest.RespondOK)
 	head := "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\n"
 	for name, peer := range map[string]struct{ at, drip string }{
 		"silent":       {"", ""},
@@ -153,22 +153,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := net.Dial("tcp", a.addr)
+			conn, err := net.Dial("tcp", agent.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer conn.Close()
 			from := time.Now()
-			c.SetDeadline(from.Add(agenttest.Timeout))
-			fmt.Fprint(c, peer.at)
+			conn.SetDeadline(from.Add(agenttest.Timeout))
+			fmt.Fprint(conn, peer.at)
 			over := make(chan struct{})
 			go func() {
 				defer close(over)
-				io.Copy(io.Discard, c) // an answer, and then the close
+				io.Copy(io.Discard, conn) // an answer, and then the close
 			}()
 			for ended := false; !ended; {
 				if peer.drip != "" {
-					io.WriteString(c, peer.drip)
+					io.WriteString(conn, peer.drip)
 				}
 				select {
 				case <-over:
@@ -180,8 +180,8 @@
 			if took := time.Since(from); took > 4*time.Second {
 				t.Errorf("ended after %v", took)
 			}
-			if b.Count() != 0 {
-				t.Errorf("%d arrivals", b.Count())
+			if server.Count() != 0 {
+				t.Errorf("%d arrivals", server.Count())
 			}
 		})
 	}
@@ -191,11 +191,11 @@
 func TestRequestOutlivesItsReadTimeout(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		<-release
-		return agenttest.RespondOK(c, req, n)
+		return agenttest.RespondOK(conn, req, n)
 	})
 	time.AfterFunc(message.BodyGracePeriod+500*time.Millisecond, func() { close(release) })
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -11,17 +11,17 @@
 
 func TestDrain(t *testing.T) {
 	old, other := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
-	a := startAgent(t, d, nil)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
+	agent := startAgent(t, discovery, nil)
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
-	d.Set(agenttest.Endpoint("s-2", other.Addr))
+	discovery.Set(agenttest.Endpoint("s-2", other.Addr))
 	drains := agenttest.Endpoint("s-1", old.Addr)
 	drains.State = "draining"
-	d.WaitNotified(t, drains)
+	discovery.WaitNotified(t, drains)
 	before := old.Count()
 	for range 8 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 	}
 	if old.Count() != before || other.Count() < 8 {
@@ -36,12 +36,12 @@
 
 func TestAddressChange(t *testing.T) {
 	old, moved := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
-	a := startAgent(t, d, nil)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
+	agent := startAgent(t, discovery, nil)
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
-	d.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
-	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	discovery.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
+	status, _, _ = agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 	if old.Count() != 1 || moved.Count() != 1 {
 		t.Errorf("%d arrivals at the old address, %d at the new", old.Count(), moved.Count())
@@ -52,25 +52,25 @@
 // what has changed.
 func TestDiscoveryOutage(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-	a := startAgent(t, d, nil)
-	d.WaitVersion(t, 1)
-	d.SetDown(true)
-	before := d.CallCount()
-	for d.CallCount() == before { // the policy asks for the list again, after a time of its choice
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
+	agent := startAgent(t, discovery, nil)
+	discovery.WaitVersion(t, 1)
+	discovery.SetDown(true)
+	before := discovery.CallCount()
+	for discovery.CallCount() == before { // the policy asks for the list again, after a time of its choice
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
-	if n := d.CallCount() - before; n > 4 {
+	if n := discovery.CallCount() - before; n > 4 {
 		t.Errorf("%d calls at once to a discovery that is down", n)
 	}
-	d.SetDown(false)
+	discovery.SetDown(false)
 	gone := agenttest.Endpoint("s-1", first.Addr)
 	gone.State = "removed"
-	d.Set(agenttest.Endpoint("s-2", second.Addr))
-	d.WaitNotified(t, gone)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	discovery.Set(agenttest.Endpoint("s-2", second.Addr))
+	discovery.WaitNotified(t, gone)
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 	if second.Count() == 0 {
 		t.Error("the new backend is not used")
@@ -81,19 +81,19 @@
 // its start, and reopens it after failures.
 func TestPushedChangesAreWatchedFor(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-	a := startAgent(t, d, func(c *config.Config) { c.Settings.DiscoveryMode = "pushed" })
-	d.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
-	d.SetDown(true)
-	for before := d.CallCount(); d.CallCount() < before+2; time.Sleep(time.Millisecond) {
+	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
+	agent := startAgent(t, discovery, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = "pushed" })
+	discovery.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
+	discovery.SetDown(true)
+	for before := discovery.CallCount(); discovery.CallCount() < before+2; time.Sleep(time.Millisecond) {
 	}
-	d.SetDown(false)
+	discovery.SetDown(false)
 	gone := agenttest.Endpoint("s-1", first.Addr)
 	gone.State = "removed"
-	d.WaitNotified(t, gone)
+	discovery.WaitNotified(t, gone)
 	before := first.Count()
 	for range 4 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 	}
 	if first.Count() != before || second.Count() < 4 {
@@ -108,20 +108,20 @@
 		t.Run(string(mode), func(t *testing.T) {
 			first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
 			old := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-			a := startAgent(t, old, func(c *config.Config) { c.Settings.DiscoveryMode = mode })
+			agent := startAgent(t, old, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = mode })
 			old.WaitVersion(t, 1)
 			moved := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr))
 			moved.List.Version = 7
-			cfg := *a.agent.cfg
+			cfg := *agent.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
-			a.reloads <- &cfg
+			agent.reloads <- &cfg
 			moved.WaitVersion(t, 7)
 			before := old.CallCount()
 			gone := agenttest.Endpoint("s-1", first.Addr)
 			gone.State = "removed"
 			moved.WaitNotified(t, gone)
 			for range 4 {
-				status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+				status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 				agenttest.WantStatus(t, status, 200)
 			}
 			if first.Count() != 0 || second.Count() < 4 {
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -20,20 +20,20 @@
 const crashFault = "crash"
 
 // serverFaults are ways in which a server fails requests that it has accepted.
-var serverFaults = map[string]func(c net.Conn, req *http.Request, n int) bool{
+var serverFaults = map[string]func(conn net.Conn, req *http.Request, n int) bool{
 	"hang":               func(net.Conn, *http.Request, int) bool { return true },
-	crashFault:           func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) },
-	"reset":              func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(c) },
+	crashFault:           func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) },
+	"reset":              func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) },
 	"close":              func(net.Conn, *http.Request, int) bool { return false },
-	"hang in the answer": func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "200 OK") },
-	"hang in an error":   func(c net.Conn, _ *http.Request, _ int) bool { return halfResponse(c, "500 X") },
-	"reset in the answer": func(c net.Conn, _ *http.Request, _ int) bool {
-		halfResponse(c, "200 OK")
-		return agenttest.ResetConn(c)
+	"hang in the answer": func(conn net.Conn, _ *http.Request, _ int) bool { return halfResponse(conn, "200 OK") },
+	"hang in an error":   func(conn net.Conn, _ *http.Request, _ int) bool { return halfResponse(conn, "500 X") },
+	"reset in the answer": func(conn net.Conn, _ *http.Request, _ int) bool {
+		halfResponse(conn, "200 OK")
+		return agenttest.ResetConn(conn)
 	},
-	"bytes without an end": func(c net.Conn, _ *http.Request, _ int) bool {
+	"bytes without an end": func(conn net.Conn, _ *http.Request, _ int) bool {
 		for {
-			if _, err := c.Write(make([]byte, 100)); err != nil {
+			if _, err := conn.Write(make([]byte, 100)); err != nil {
 				return false
 			}
 			time.Sleep(time.Millisecond)
@@ -42,36 +42,39 @@
 }
 
 // halfResponse writes a response that does not come to its end.
-func halfResponse(c net.Conn, status string) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: 9\r\n\r\nhalf", status)
+func halfResponse(conn net.Conn, status string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 9\r\n\r\nhalf", status)
 	return err == nil
 }
 
 // badClients are peers that misbehave, each on a connection of its own.
-var badClients = []func(c *net.TCPConn){
-	func(c *net.TCPConn) { io.WriteString(c, "GET /api/a HT") },
-	func(c *net.TCPConn) { io.WriteString(c, "\x00\xff\r\n\r\n"+readRequest) },
-	func(c *net.TCPConn) {
-		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 8*message.MaxBufferedBody))[:3*message.MaxBufferedBody])
+var badClients = []func(conn *net.TCPConn){
+	func(conn *net.TCPConn) { io.WriteString(conn, "GET /api/a HT") },
+	func(conn *net.TCPConn) { io.WriteString(conn, "\x00\xff\r\n\r\n"+readRequest) },
+	func(conn *net.TCPConn) {
+		io.WriteString(conn, timedRequest(60_000, strings.Repeat("x", 8*message.MaxBufferedBody))[:3*message.MaxBufferedBody])
 	},
-	func(c *net.TCPConn) { io.WriteString(c, readRequest); c.SetLinger(0); c.Close() },
-	func(c *net.TCPConn) { io.WriteString(c, readRequest+readRequest+"X"); c.Close() },
-	func(c *net.TCPConn) {
-		io.WriteString(c, timedRequest(60_000, strings.Repeat("x", 3*message.MaxBufferedBody)))
-		c.CloseWrite()
+	func(conn *net.TCPConn) { io.WriteString(conn, readRequest); conn.SetLinger(0); conn.Close() },
+	func(conn *net.TCPConn) { io.WriteString(conn, readRequest+readRequest+"X"); conn.Close() },
+	func(conn *net.TCPConn) {
+		io.WriteString(conn, timedRequest(60_000, strings.Repeat("x", 3*message.MaxBufferedBody)))
+		conn.CloseWrite()
+	},
+	func(conn *net.TCPConn) {
+		io.WriteString(conn, strings.Repeat("x", message.MaxBufferedBody))
+		conn.Close()
 	},
-	func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", message.MaxBufferedBody)); c.Close() },
 }
 
 // misbehave has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
 // enough to leave slots for others.
 func misbehave(ctx context.Context, addr string) {
 	for i := 0; ctx.Err() == nil; i++ {
-		nc, err := net.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return
 		}
-		c := nc.(*net.TCPConn)
+		c := conn.(*net.TCPConn)
 		context.AfterFunc(ctx, func() { c.Close() })
 		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		badClients[i%len(badClients)](c)
@@ -90,7 +93,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			bad, good := agenttest.NewServer(t, fault), agenttest.NewServer(t, agenttest.RespondOK)
-			a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", bad.Addr), agenttest.Endpoint("s-2", good.Addr)), nil)
+			agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", bad.Addr), agenttest.Endpoint("s-2", good.Addr)), nil)
 			if name == crashFault {
 				time.AfterFunc(100*time.Millisecond, func() { bad.Ln.Close() })
 			}
@@ -99,7 +102,7 @@
 			others.Add(1)
 			go func() {
 				defer others.Done()
-				misbehave(ctx, a.addr)
+				misbehave(ctx, agent.addr)
 			}()
 			var served atomic.Int64
 			for i := range 3 * requests {
@@ -107,7 +110,7 @@
 				honest.Add(1)
 				time.AfterFunc(time.Duration(i)*20*time.Millisecond, func() {
 					defer honest.Done()
-					if wantResponse(t, a.addr, class, timeout) == http.StatusOK {
+					if wantResponse(t, agent.addr, class, timeout) == http.StatusOK {
 						served.Add(1)
 					}
 				})
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/first_request_test.go
@@ -13,49 +13,49 @@
 )
 
 // startSmallAgent has the fewest descriptors that may be configured.
-func startSmallAgent(t *testing.T) (a *testAgent, most int) {
-	b := agenttest.NewServer(t, agenttest.RespondOK)
-	a = startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) { c.Sockets = config.MinSockets })
-	return a, a.agent.cfg.ClientConns()
+func startSmallAgent(t *testing.T) (agent *testAgent, most int) {
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	agent = startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
+	return agent, agent.cfg.ClientConns()
 }
 
 // The first request on a new connection is answered, whatever the agent does with others just then to keep
 // within its descriptors.
 func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
-	for name, fill := range map[string]func(t *testing.T, a *testAgent, most int){
-		"room is made of resting connections": func(t *testing.T, a *testAgent, most int) {
+	for name, fill := range map[string]func(t *testing.T, agent *testAgent, most int){
+		"room is made of resting connections": func(t *testing.T, agent *testAgent, most int) {
 			for range most {
-				a.dialKept().RequestReady(t)
+				agent.dialKept().RequestReady(t)
 			}
 		},
-		"silent connections hold all": func(t *testing.T, a *testAgent, most int) {
+		"silent connections hold all": func(t *testing.T, agent *testAgent, most int) {
 			for range most {
-				a.dialKept()
+				agent.dialKept()
 			}
 		},
-		"halves of requests hold all": func(t *testing.T, a *testAgent, most int) {
+		"halves of requests hold all": func(t *testing.T, agent *testAgent, most int) {
 			for range most {
-				fmt.Fprint(a.dialKept(), "GET /api/a HTTP/1.1\r\n")
+				fmt.Fprint(agent.dialKept(), "GET /api/a HTTP/1.1\r\n")
 			}
 		},
-		"halves of bodies hold all": func(t *testing.T, a *testAgent, most int) {
+		"halves of bodies hold all": func(t *testing.T, agent *testAgent, most int) {
 			for range most {
-				fmt.Fprint(a.dialKept(), strings.TrimSuffix(timedRequest(60_000, "xy"), "y"))
+				fmt.Fprint(agent.dialKept(), strings.TrimSuffix(timedRequest(60_000, "xy"), "y"))
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, most := startSmallAgent(t)
-			fill(t, a, most)
+			agent, most := startSmallAgent(t)
+			fill(t, agent, most)
 			var asking sync.WaitGroup
 			for range 8 {
 				asking.Add(1)
 				go func() {
 					defer asking.Done()
-					c := a.dialKept()
-					fmt.Fprint(c, timedRequest(30_000, "x"))
-					if status := c.Status(); status != 200 && status != 503 {
+					client := agent.dialKept()
+					fmt.Fprint(client, timedRequest(30_000, "x"))
+					if status := client.Status(); status != 200 && status != 503 {
 						t.Errorf("answered %d", status)
 					}
 				}()
@@ -68,7 +68,7 @@
 // Bytes that are no request, ahead of one on a new connection, are answered with an error or served as if
 // they were not there; the connection never ends without a response.
 func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
-	a, b := startWithServer(t, agenttest.RespondOK)
+	agent, server := startWithServer(t, agenttest.RespondOK)
 	for name, bytes := range map[string]string{
 		"an empty line":        "\r\n",
 		"nonsense":             "nonsense\r\n\r\n",
@@ -80,9 +80,9 @@
 		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := a.dialKept()
-			fmt.Fprint(c, bytes+timedRequest(timeoutMs, "x"))
-			resp, err := http.ReadResponse(c.Br, nil)
+			client := agent.dialKept()
+			fmt.Fprint(client, bytes+timedRequest(timeoutMs, "x"))
+			resp, err := http.ReadResponse(client.Br, nil)
 			if err != nil {
 				t.Fatalf("no answer: %v", err)
 			}
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	if n := b.Count(); n > 1 {
+	if n := server.Count(); n > 1 {
 		t.Errorf("%d arrivals", n)
 	}
 }
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -17,9 +17,9 @@
 
 // testAgent is an agent on a port that the kernel chooses.
 type testAgent struct {
+	*Agent
 	t         testing.TB
 	addr      string
-	agent     *Agent
 	stop      context.CancelFunc
 	done      chan error
 	adminAddr string // of the admin endpoint
@@ -29,19 +29,19 @@
 }
 
 // startAgent starts an agent that knows the list of the discovery as it is now.
-func startAgent(t testing.TB, d *agenttest.Discovery, change func(*config.Config)) *testAgent {
+func startAgent(t testing.TB, discovery *agenttest.Discovery, change func(*config.Config)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startAgentOn(t, d, ln, change)
+	return startAgentOn(t, discovery, ln, change)
 }
 
 // startAgentOn is startAgent with a listener of the test's.
-func startAgentOn(t testing.TB, d *agenttest.Discovery, ln net.Listener, change func(*config.Config)) *testAgent {
+func startAgentOn(t testing.TB, discovery *agenttest.Discovery, ln net.Listener, change func(*config.Config)) *testAgent {
 	t.Helper()
-	cfg := agenttest.NewConfig(t, ln.Addr().String(), d)
+	cfg := agenttest.NewConfig(t, ln.Addr().String(), discovery)
 	log := &testLog{}
 	cfg.Log = slog.New(slog.NewTextHandler(log, nil))
 	if change != nil {
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	a := &testAgent{
+	agent := &testAgent{
 		t:         t,
 		addr:      ln.Addr().String(),
 		adminAddr: operators.Addr().String(),
@@ -61,26 +61,26 @@
 		done:      make(chan error, 1),
 		reloads:   make(chan *config.Config),
 	}
-	a.agent, err = New(cfg, Listeners{Clients: ln, Admin: operators})
+	agent.Agent, err = New(cfg, Listeners{Clients: ln, Admin: operators})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { a.done <- a.agent.Run(ctx, a.reloads) }()
+	go func() { agent.done <- agent.Run(ctx, agent.reloads) }()
 	t.Cleanup(func() {
 		stop()
 		select {
-		case <-a.done:
+		case <-agent.done:
 		case <-time.After(agenttest.Timeout):
 			t.Error("the agent did not stop")
 		}
 	})
-	a.waitReady()
-	return a
+	agent.waitReady()
+	return agent
 }
 
-func (a *testAgent) waitReady() {
+func (agent *testAgent) waitReady() {
 	for end := time.Now().Add(agenttest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		resp, err := agenttest.HTTPClient.Get("http://" + a.addr + "/-/ready")
+		resp, err := agenttest.HTTPClient.Get("http://" + agent.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -88,40 +88,40 @@
 			}
 		}
 	}
-	a.t.Fatal("the agent is not ready")
+	agent.t.Fatal("the agent is not ready")
 }
 
 // statsNow reads the loop's statistics, in the loop.
-func (a *testAgent) statsNow() dispatch.Stats {
+func (agent *testAgent) statsNow() dispatch.Stats {
 	stats := make(chan dispatch.Stats, 1)
-	a.agent.loop.Post(func() { stats <- a.agent.loop.Stats() })
+	agent.loop.Post(func() { stats <- agent.loop.Stats() })
 	return <-stats
 }
 
 // metricsNow reads the loop's metrics, in the loop.
-func (a *testAgent) metricsNow() dispatch.Metrics { return a.statsNow().Metrics }
+func (agent *testAgent) metricsNow() dispatch.Metrics { return agent.statsNow().Metrics }
 
 // testLog writes an agent's lines to the test that asks for them, and else to standard error.
 type testLog struct {
 	lines atomic.Pointer[agenttest.LineWriter]
 }
 
-func (l *testLog) Write(line []byte) (int, error) {
-	if lines := l.lines.Load(); lines != nil {
+func (log *testLog) Write(line []byte) (int, error) {
+	if lines := log.lines.Load(); lines != nil {
 		return lines.Write(line)
 	}
 	return os.Stderr.Write(line)
 }
 
 // logLines makes the agent pass its log lines to the test, as text.
-func (a *testAgent) logLines() <-chan string {
+func (agent *testAgent) logLines() <-chan string {
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
-	a.log.lines.Store(&lines)
+	agent.log.lines.Store(&lines)
 	return lines
 }
 
 // do sends a request and returns the response's status, header and body.
-func (a *testAgent) do(req *http.Request) (int, http.Header, string) {
-	a.t.Helper()
-	return agenttest.Do(a.t, req)
+func (agent *testAgent) do(req *http.Request) (int, http.Header, string) {
+	agent.t.Helper()
+	return agenttest.Do(agent.t, req)
 }
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -16,28 +16,28 @@
 func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	probes := make(chan *http.Request, 100)
 	var healthy atomic.Bool // until a probe says so everything fails
-	b := agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
+	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if req.URL.Path == "/-/healthy" {
 			healthy.Store(true)
 			probes <- req
-			return agenttest.SendResponse(c, 200, "", "")
+			return agenttest.SendResponse(conn, 200, "", "")
 		}
 		if !healthy.Load() {
-			return agenttest.SendResponse(c, 500, "", "")
+			return agenttest.SendResponse(conn, 500, "", "")
 		}
-		return agenttest.RespondOK(c, req, n)
+		return agenttest.RespondOK(conn, req, n)
 	})
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(c *config.Config) {
-		c.Settings.Limits.HealthChecks = true
-		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].LatencyObjectiveMs = 20 // how long a first failure holds
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), func(cfg *config.Config) {
+		cfg.Settings.Limits.HealthChecks = true
+		for i := range cfg.Settings.Classes {
+			cfg.Settings.Classes[i].LatencyObjectiveMs = 20 // how long a first failure holds
 		}
 	})
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 502)
 	var probe *http.Request
 	for end := time.Now().Add(agenttest.Timeout); probe == nil && time.Now().Before(end); {
-		a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		select {
 		case probe = <-probes:
 		default:
@@ -49,6 +49,6 @@
 	if probe.Method != http.MethodGet || probe.Header.Get("Request-Id") != "" || probe.ContentLength != 0 {
 		t.Errorf("the probe was %s %s with %v", probe.Method, probe.URL, probe.Header)
 	}
-	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ = agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 }
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -26,32 +26,32 @@
 }
 
 func newLateWriteConn(lastByte byte) *lateWriteConn {
-	c := &lateWriteConn{lastByte: lastByte, sent: make(chan struct{}), closed: make(chan struct{})}
-	c.close = sync.OnceFunc(func() { close(c.closed) })
-	return c
+	conn := &lateWriteConn{lastByte: lastByte, sent: make(chan struct{}), closed: make(chan struct{})}
+	conn.close = sync.OnceFunc(func() { close(conn.closed) })
+	return conn
 }
 
-func (c *lateWriteConn) Write(p []byte) (int, error) {
-	if bytes.HasSuffix(p, []byte{c.lastByte}) {
-		close(c.sent)
-		<-c.closed
+func (conn *lateWriteConn) Write(p []byte) (int, error) {
+	if bytes.HasSuffix(p, []byte{conn.lastByte}) {
+		close(conn.sent)
+		<-conn.closed
 	}
 	return len(p), nil
 }
 
-func (c *lateWriteConn) Read([]byte) (int, error) {
-	<-c.sent
+func (conn *lateWriteConn) Read([]byte) (int, error) {
+	<-conn.sent
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}
 }
 
-func (c *lateWriteConn) Close() error {
-	c.close()
+func (conn *lateWriteConn) Close() error {
+	conn.close()
 	return nil
 }
 
-func (c *lateWriteConn) SetDeadline(time.Time) error      { return nil }
-func (c *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
-func (c *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
+func (conn *lateWriteConn) SetDeadline(time.Time) error      { return nil }
+func (conn *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
+func (conn *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
 
 // A connection is reset behind the last byte of a streamed body, before the write of that byte returns: the
 // request is non-idempotent, may have executed, and must not be rejected.
@@ -65,14 +65,14 @@
 	dial := func(context.Context, string, time.Time) (net.Conn, error) {
 		return newLateWriteConn(lastByte), nil
 	}
-	a, err := newFaultEnvironment(t, 1).agent(ln, dial)
+	agent, err := newFaultEnvironment(t, 1).agent(ln, dial)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(context.Background(), nil) }()
+	go func() { ended <- agent.Run(context.Background(), nil) }()
 	defer func() {
-		a.Kill()
+		agent.Kill()
 		<-ended
 	}()
 	req := agenttest.NewRequest(ln.Addr().String(), "order", strings.Repeat("x", 2*message.MaxBufferedBody)+string(lastByte))
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -17,17 +17,17 @@
 // A second response that comes some milliseconds late on a kept connection is dropped: the next request there
 // has its own.
 func TestSecondResponseIsNotTheNextRequests(t *testing.T) {
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		if !agenttest.RespondOK(c, req, n) {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		if !agenttest.RespondOK(conn, req, n) {
 			return false
 		}
 		if n == 0 {
 			time.Sleep(5 * time.Millisecond)
-			_ = agenttest.SendResponse(c, 200, "", "a second answer")
+			_ = agenttest.SendResponse(conn, 200, "", "a second answer")
 		}
 		return true
 	})
-	client := a.dialKept()
+	client := agent.dialKept()
 	for i := range 3 {
 		fmt.Fprintf(client, "GET /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n", i, i)
 		resp, err := http.ReadResponse(client.Br, nil)
@@ -41,8 +41,8 @@
 			t.Errorf("request %d was answered %q, want %q", i, body[:n], want)
 		}
 	}
-	if b.Count() != 3 {
-		t.Errorf("%d arrivals, want 3", b.Count())
+	if server.Count() != 3 {
+		t.Errorf("%d arrivals, want 3", server.Count())
 	}
 }
 
@@ -50,19 +50,19 @@
 // the policy's check of the time.
 func TestRetryIsNotSentPastItsWindow(t *testing.T) {
 	t.Parallel()
-	fails := agenttest.NewServer(t, func(c net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(c, 500, "", "") })
+	fails := agenttest.NewServer(t, func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.SendResponse(conn, 500, "", "") })
 	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
 		ln := fullListener(t)
-		a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint(ids[0], fails.Addr), agenttest.Endpoint(ids[1], ln.Addr().String())), func(c *config.Config) {
-			c.Settings.Limits.ConnectTimeoutMs = 10_000
-			for i := range c.Settings.Classes {
-				c.Settings.Classes[i].DedupWindowMs = 400
+		agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint(ids[0], fails.Addr), agenttest.Endpoint(ids[1], ln.Addr().String())), func(cfg *config.Config) {
+			cfg.Settings.Limits.ConnectTimeoutMs = 10_000
+			for i := range cfg.Settings.Classes {
+				cfg.Settings.Classes[i].DedupWindowMs = 400
 			}
 		})
 		before := fails.Count()
-		a.agent.downstream.ApplySettings(a.agent.cfg)
-		req := agenttest.NewRequest(a.addr, "send", "x")
+		agent.downstream.ApplySettings(agent.cfg)
+		req := agenttest.NewRequest(agent.addr, "send", "x")
 		req.Header.Set("Request-Timeout-Ms", "8000")
 		got := make(chan int, 1)
 		go func() {
@@ -74,26 +74,26 @@
 			resp.Body.Close()
 			got <- resp.StatusCode
 		}()
-		agenttest.WaitUntil(t, "a connect is under way", func() bool { return a.agent.pool.ConnectCount() > 0 })
+		agenttest.WaitUntil(t, "a connect is under way", func() bool { return agent.pool.ConnectCount() > 0 })
 		time.Sleep(100 * time.Millisecond)
 		if fails.Count() == before { // the slow one came first: no repeat is on its way
 			ln.Close()
-			a.stop()
+			agent.stop()
 			continue
 		}
 		// The retry's connect blocks until the queue has space, past the window by then.
 		time.AfterFunc(600*time.Millisecond, func() {
 			for {
-				nc, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
-					defer nc.Close()
+					defer conn.Close()
 					head := make([]byte, 1000)
-					if n, _ := nc.Read(head); n > 0 {
+					if n, _ := conn.Read(head); n > 0 {
 						t.Errorf("repeated after its window: %q", head[:n])
-						_ = agenttest.SendResponse(nc, 200, "", "")
+						_ = agenttest.SendResponse(conn, 200, "", "")
 					}
 				}()
 			}
@@ -101,8 +101,8 @@
 		if status := <-got; status != 502 {
 			t.Errorf("answered %d, want 502", status)
 		}
-		if f := a.metricsNow(); f.Attempts[balancer.StatusUnsent] != 1 {
-			t.Errorf("figures %+v", f)
+		if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusUnsent] != 1 {
+			t.Errorf("figures %+v", metrics)
 		}
 		return
 	}
@@ -114,64 +114,64 @@
 // only then.
 func TestReadyWithoutAnEndpointList(t *testing.T) {
 	t.Parallel()
-	b := agenttest.NewServer(t, agenttest.RespondOK)
+	server := agenttest.NewServer(t, agenttest.RespondOK)
 	var up atomic.Bool
 	addr, _ := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
 		if !up.Load() {
 			return ""
 		}
-		return fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, b.Addr)
+		return fmt.Sprintf(`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, server.Addr)
 	})
 	from := time.Now()
-	a := startAgent(t, agenttest.NewDiscovery(t), func(c *config.Config) { c.Discovery, c.Settings.DiscoveryMode = addr, "pushed" })
+	agent := startAgent(t, agenttest.NewDiscovery(t), func(cfg *config.Config) { cfg.Discovery, cfg.Settings.DiscoveryMode = addr, "pushed" })
 	if took := time.Since(from); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
-	agenttest.WantStatus(t, a.adminCall("GET", "/ops/readiness"), 503)
-	req := agenttest.NewRequest(a.addr, "order", "x")
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), 503)
+	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "500")
-	status, _, _ := a.do(req)
+	status, _, _ := agent.do(req)
 	agenttest.WantStatus(t, status, 503)
 	up.Store(true)
 	agenttest.WaitUntil(t, "a request is served", func() bool {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		return status == 200
 	})
-	agenttest.WaitUntil(t, "operators are told", func() bool { return a.adminCall("GET", "/ops/readiness") == 200 })
+	agenttest.WaitUntil(t, "operators are told", func() bool { return agent.adminCall("GET", "/ops/readiness") == 200 })
 }
 
 // Half a line that a server sends on an idle connection makes it unusable: the next request takes another.
 func TestPartialLineOnAnIdleConnectionIsDropped(t *testing.T) {
 	more := make(chan struct{})
-	a, b := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		if agenttest.RespondOK(c, req, n); n == 0 {
-			fmt.Fprint(c, "HTTP/1.1 2")
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		if agenttest.RespondOK(conn, req, n); n == 0 {
+			fmt.Fprint(conn, "HTTP/1.1 2")
 			close(more)
 		}
 		return true
 	})
 	for i := range 2 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 		agenttest.WantStatus(t, status, 200)
 		if i == 0 {
 			<-more
 			time.Sleep(2 * upstream.SettleTime)
 		}
 	}
-	if b.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", b.Count())
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
 
 // A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
 func TestClientThatClosesInItsBodyIsNotForwarded(t *testing.T) {
-	a, b := startWithServer(t, agenttest.RespondOK)
-	c := a.dialKept()
-	fmt.Fprint(c, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\nContent-Length: 9\r\n\r\nhalf")
-	c.Close()
-	a.wantNoneOpen(t)
-	agenttest.WaitUntil(t, "it is counted", func() bool { return a.metricsNow().Invalid == 1 })
-	if f := a.metricsNow(); b.StartedCount() != 0 || f.Requests != 0 {
-		t.Errorf("%d arrivals, figures %+v", b.StartedCount(), f)
+	agent, server := startWithServer(t, agenttest.RespondOK)
+	client := agent.dialKept()
+	fmt.Fprint(client, "POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 4000\r\nContent-Length: 9\r\n\r\nhalf")
+	client.Close()
+	agent.wantNoneOpen(t)
+	agenttest.WaitUntil(t, "it is counted", func() bool { return agent.metricsNow().Invalid == 1 })
+	if metrics := agent.metricsNow(); server.StartedCount() != 0 || metrics.Requests != 0 {
+		t.Errorf("%d arrivals, figures %+v", server.StartedCount(), metrics)
 	}
 }
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -86,27 +86,27 @@
 	for i := range list {
 		list[i] = agenttest.Endpoint(fmt.Sprintf("s-%d", i), agenttest.NewServer(b, agenttest.RespondOK).Addr)
 	}
-	a := startAgent(b, agenttest.NewDiscovery(b, list...), func(c *config.Config) {
-		c.Sockets, c.Settings.FleetSize = 4096, servers
+	agent := startAgent(b, agenttest.NewDiscovery(b, list...), func(cfg *config.Config) {
+		cfg.Sockets, cfg.Settings.FleetSize = 4096, servers
 	})
-	idle := a.agent.pool.IdleLimit()
+	idle := agent.pool.IdleLimit()
 	direct := newRequestPath(2, idle)
 	direct.to = func() string { return list[direct.rng.IntN(servers)].Addr }
 	through := newRequestPath(1, idle)
-	through.to = func() string { return a.addr }
-	return &pathComparison{a, through, direct}
+	through.to = func() string { return agent.addr }
+	return &pathComparison{agent, through, direct}
 }
 
 func newRequestPath(seed uint64, idle time.Duration) *requestPath {
-	w := &requestPath{rng: rand.New(rand.NewPCG(seed, 7))}
+	path := &requestPath{rng: rand.New(rand.NewPCG(seed, 7))}
 	dialer := net.Dialer{KeepAlive: -1}
-	w.client = &http.Client{Timeout: agenttest.Timeout, Transport: &http.Transport{
+	path.client = &http.Client{Timeout: agenttest.Timeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: idle, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			w.connects.Add(1)
+			path.connects.Add(1)
 			return dialer.DialContext(ctx, network, addr)
 		}}}
-	return w
+	return path
 }
 
 // newHistogram takes ns, up to what the client waits.
@@ -115,11 +115,11 @@
 }
 
 // play makes so many calls each way and returns what the agent and the direct way connected.
-func (p *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
+func (comparison *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
 	runtime.GC() // what was before is not the measure's
-	tried, dialed := p.agent.agent.pool.ConnectCount(), p.direct.connects.Load()
+	tried, dialed := comparison.agent.pool.ConnectCount(), comparison.direct.connects.Load()
 	var both sync.WaitGroup
-	for _, w := range []*requestPath{p.through, p.direct} {
+	for _, w := range []*requestPath{comparison.through, comparison.direct} {
 		w.took, w.late, w.failed = newHistogram(), newHistogram(), 0
 		both.Add(1)
 		go func() {
@@ -128,19 +128,19 @@
 		}()
 	}
 	both.Wait()
-	if n := p.through.failed + p.direct.failed; n > 0 {
+	if n := comparison.through.failed + comparison.direct.failed; n > 0 {
 		b.Errorf("%d of %d calls failed", n, 2*calls)
 	}
-	return float64(p.agent.agent.pool.ConnectCount() - tried), float64(p.direct.connects.Load() - dialed)
+	return float64(comparison.agent.pool.ConnectCount() - tried), float64(comparison.direct.connects.Load() - dialed)
 }
 
-func (p *pathComparison) measure(b *testing.B) {
-	agent, direct := p.run(b, b.N)
-	late := hdrhistogram.Import(p.through.late.Export())
-	late.Merge(p.direct.late)
+func (comparison *pathComparison) measure(b *testing.B) {
+	agent, direct := comparison.run(b, b.N)
+	late := hdrhistogram.Import(comparison.through.late.Export())
+	late.Merge(comparison.direct.late)
 	us := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	for _, q := range []float64{50, 99} {
-		d, a := us(p.direct.took, q), us(p.through.took, q)
+		d, a := us(comparison.direct.took, q), us(comparison.through.took, q)
 		b.ReportMetric(d, fmt.Sprintf("direct-p%.0f-us", q))
 		b.ReportMetric(a, fmt.Sprintf("agent-p%.0f-us", q))
 		b.ReportMetric(a-d, fmt.Sprintf("added-p%.0f-us", q))
@@ -152,38 +152,38 @@
 }
 
 // play begins calls when they are due, whatever became of those before.
-func (w *requestPath) run(calls int) {
+func (path *requestPath) run(calls int) {
 	var open sync.WaitGroup
 	due := time.Now()
 	for range calls {
-		due = due.Add(time.Duration(w.rng.ExpFloat64() * float64(time.Second) / pathRate))
-		req := agenttest.NewRequest(w.to(), "read", "")
-		req.URL.Path = fmt.Sprintf("/api/%016x", w.rng.Uint64())
+		due = due.Add(time.Duration(path.rng.ExpFloat64() * float64(time.Second) / pathRate))
+		req := agenttest.NewRequest(path.to(), "read", "")
+		req.URL.Path = fmt.Sprintf("/api/%016x", path.rng.Uint64())
 		time.Sleep(time.Until(due))
 		open.Add(1)
 		go func(due time.Time) {
 			defer open.Done()
-			w.call(req, due)
+			path.call(req, due)
 		}(due)
 	}
 	open.Wait()
 }
 
-func (w *requestPath) call(req *http.Request, due time.Time) {
+func (path *requestPath) call(req *http.Request, due time.Time) {
 	begun := time.Now()
-	resp, err := w.client.Do(req)
+	resp, err := path.client.Do(req)
 	good := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
 	took := time.Since(begun)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	path.mu.Lock()
+	defer path.mu.Unlock()
 	if !good || err != nil {
-		w.failed++
+		path.failed++
 	}
-	if w.took.RecordValue(int64(took)) != nil || w.late.RecordValue(max(int64(begun.Sub(due)), 0)) != nil {
-		w.failed++ // out of range
+	if path.took.RecordValue(int64(took)) != nil || path.late.RecordValue(max(int64(begun.Sub(due)), 0)) != nil {
+		path.failed++ // out of range
 	}
 }
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -19,22 +19,22 @@
 	t.Helper()
 	text := strings.NewReplacer(`"index":0`, `"index":3`, `"zone":0`, `"zone":1`).Replace(agenttest.Settings)
 	more, _ := json.Marshal(addrs)
-	cfg, err := config.Parse([]byte(fmt.Sprintf(`{"name":"pay-1","listen":"127.0.0.1:1","discovery":%q,"seed":"7",
+	file, err := config.Parse([]byte(fmt.Sprintf(`{"name":"pay-1","listen":"127.0.0.1:1","discovery":%q,"seed":"7",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"control":{"service":"pay","addresses":%s},"settings":%s}`, addrs[0], more, text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(c *config.Config) {
-		known, listen, log := c.Known, c.Listen, c.Log
-		*c = *cfg
-		c.Known, c.Listen, c.Log, c.Hooks = known, listen, log, hooks
-	}), cfg
+	return startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(cfg *config.Config) {
+		known, listen, log := cfg.Known, cfg.Listen, cfg.Log
+		*cfg = *file
+		cfg.Known, cfg.Listen, cfg.Log, cfg.Hooks = known, listen, log, hooks
+	}), file
 }
 
 // settingsInForce is the largest number of attempts and the round trip of the settings in force, with the
 // values that belong to the agent.
-func settingsInForce(a *testAgent) [4]int {
-	settings := a.statsNow().Settings
+func settingsInForce(agent *testAgent) [4]int {
+	settings := agent.statsNow().Settings
 	return [4]int{settings.Limits.MaxAttempts, int(settings.RoundTripMs), settings.Index, settings.Zone}
 }
 
@@ -48,13 +48,13 @@
 	heads := make(chan string, 100)
 	go func() {
 		for {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer nc.Close()
-				for br, head := bufio.NewReader(nc), ""; ; {
+				defer conn.Close()
+				for br, head := bufio.NewReader(conn), ""; ; {
 					line, err := br.ReadString('\n')
 					if err != nil {
 						return
@@ -65,13 +65,13 @@
 					heads <- head
 					head = ""
 					text := `{"version":5,"full":false,"servers":[],"settings":"none that anybody asked for"}`
-					fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 				}
 			}()
 		}
 	}()
-	startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(c *config.Config) {
-		c.Name, c.Discovery, c.Settings.DiscoveryMode = "pay-1", ln.Addr().String(), "pushed"
+	startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), func(cfg *config.Config) {
+		cfg.Name, cfg.Discovery, cfg.Settings.DiscoveryMode = "pay-1", ln.Addr().String(), "pushed"
 	})
 	for _, index := range []int{1, 5, 5} {
 		want := fmt.Sprintf("GET /api/targets?index=%d&wait=1000 HTTP/1.1\r\nHost: %s\r\nUser-Agent: Go-http-client/1.1\r\n\r\n", index, ln.Addr())
@@ -85,46 +85,46 @@
 // version never goes back.
 func TestServiceSettingsAreApplied(t *testing.T) {
 	t.Parallel()
-	d := agenttest.NewSettingsDiscovery(t, 41)
+	discovery := agenttest.NewSettingsDiscovery(t, 41)
 	told := make(chan uint64, 100)
 	hooks := config.Hooks{OnSettings: func(version uint64) { told <- version }}
-	a, _ := startWithSettingsService(t, hooks, d.Addr())
-	lines := a.logLines()
-	q := d.WaitCallWith(t, "in_force", "0")
-	if q.Get("service") != "pay" || q.Get("agent") != "pay-1" || q.Has("refused") || q.Has("why") {
-		t.Errorf("the first call has %v", q)
-	}
-	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.WaitCallWith(t, "in_force", "50")
-	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
+	agent, _ := startWithSettingsService(t, hooks, discovery.Addr())
+	lines := agent.logLines()
+	query := discovery.WaitCallWith(t, "in_force", "0")
+	if query.Get("service") != "pay" || query.Get("agent") != "pay-1" || query.Has("refused") || query.Has("why") {
+		t.Errorf("the first call has %v", query)
+	}
+	discovery.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	discovery.WaitCallWith(t, "in_force", "50")
+	if got := settingsInForce(agent); got != [4]int{2, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
 	if line := agenttest.WaitLine(t, lines, "settings applied"); !strings.Contains(line, "version=50") {
 		t.Errorf("logged %q", line)
 	}
 	for _, index := range []string{`"Index":9,`, `"zone":0,"index":9,`} { // who writes them is refused; an older service may not refuse
-		d.Publish(d.Settings.Version+1, `{`+index+agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
-		d.WaitCallWith(t, "in_force", fmt.Sprint(d.Settings.Version))
-		if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} {
+		discovery.Publish(discovery.Settings.Version+1, `{`+index+agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`)[1:])
+		discovery.WaitCallWith(t, "in_force", fmt.Sprint(discovery.Settings.Version))
+		if got := settingsInForce(agent); got != [4]int{2, 5, 3, 1} {
 			t.Errorf("in force: %v", got)
 		}
 	}
 	// An instance that lags, or lies, turns nothing back.
-	d.Change(func() { d.Stubborn = true })
-	d.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
-	d.Drain()
+	discovery.Change(func() { discovery.Stubborn = true })
+	discovery.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
+	discovery.Drain()
 	for range 5 {
-		d.WaitCallWith(t, "in_force", "52")
+		discovery.WaitCallWith(t, "in_force", "52")
 	}
-	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().Settings != 3 {
-		t.Errorf("in force: %v, after %d changes", got, a.metricsNow().Settings)
+	if got := settingsInForce(agent); got != [4]int{2, 5, 3, 1} || agent.metricsNow().Settings != 3 {
+		t.Errorf("in force: %v, after %d changes", got, agent.metricsNow().Settings)
 	}
 	var hooked []uint64
 	for len(told) > 0 {
 		hooked = append(hooked, <-told)
 	}
-	if !slices.Equal(hooked, []uint64{50, 51, 52}) || a.agent.Status().SettingsVersion != 52 {
-		t.Errorf("the hook was told %v, and the status is at %d", hooked, a.agent.Status().SettingsVersion)
+	if !slices.Equal(hooked, []uint64{50, 51, 52}) || agent.Status().SettingsVersion != 52 {
+		t.Errorf("the hook was told %v, and the status is at %d", hooked, agent.Status().SettingsVersion)
 	}
 }
 
@@ -132,12 +132,12 @@
 // stay in force.
 func TestInvalidServiceSettingsAreRejected(t *testing.T) {
 	t.Parallel()
-	d := agenttest.NewSettingsDiscovery(t, 41)
-	a, _ := startWithSettingsService(t, config.Hooks{}, d.Addr())
-	lines := a.logLines()
-	d.WaitCallWith(t, "in_force", "0")
-	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.WaitCallWith(t, "in_force", "50")
+	discovery := agenttest.NewSettingsDiscovery(t, 41)
+	agent, _ := startWithSettingsService(t, config.Hooks{}, discovery.Addr())
+	lines := agent.logLines()
+	discovery.WaitCallWith(t, "in_force", "0")
+	discovery.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	discovery.WaitCallWith(t, "in_force", "50")
 	for i, bad := range []struct{ from, to, want string }{
 		{`"coldMs":8000,`, ``, "settings: contract.coldMs: missing, though it was there before"},
 		{`"maxAttempts":3`, `"maxAttempts":0`, "settings: limits.maxAttempts: must be above 0, is 0"},
@@ -146,21 +146,21 @@
 		{`"effect":"free"`, `"effect":"` + strings.Repeat("x", 300) + `\n"`, `settings: classes[0].effect: unknown effect "xxx`},
 	} {
 		version := fmt.Sprint(60 + i)
-		d.Publish(uint64(60+i), agenttest.SettingsWith(bad.from, bad.to))
-		q := d.WaitCallWith(t, "refused", version)
-		if why := q.Get("why"); !strings.HasPrefix(why, bad.want) || len(why) > 200 || strings.Contains(why, "\n") || q.Get("in_force") != "50" {
-			t.Errorf("%s: told %v, want %q", bad.to, q, bad.want)
+		discovery.Publish(uint64(60+i), agenttest.SettingsWith(bad.from, bad.to))
+		query := discovery.WaitCallWith(t, "refused", version)
+		if why := query.Get("why"); !strings.HasPrefix(why, bad.want) || len(why) > 200 || strings.Contains(why, "\n") || query.Get("in_force") != "50" {
+			t.Errorf("%s: told %v, want %q", bad.to, query, bad.want)
 		}
 		if line := agenttest.WaitLine(t, lines, "settings rejected"); !strings.Contains(line, strings.Split(bad.want, ` "`)[0]) || !strings.Contains(line, "version="+version) {
 			t.Errorf("logged %q", line)
 		}
 	}
-	if got := settingsInForce(a); got != [4]int{2, 5, 3, 1} || a.metricsNow().SettingsRejected != 5 {
-		t.Errorf("in force: %v, after %d refusals", got, a.metricsNow().SettingsRejected)
+	if got := settingsInForce(agent); got != [4]int{2, 5, 3, 1} || agent.metricsNow().SettingsRejected != 5 {
+		t.Errorf("in force: %v, after %d refusals", got, agent.metricsNow().SettingsRejected)
 	}
-	d.Publish(70, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
-	if q := d.WaitCallWith(t, "in_force", "70"); q.Has("refused") || q.Has("why") || settingsInForce(a)[0] != 1 {
-		t.Errorf("after a good change the call has %v", q)
+	discovery.Publish(70, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
+	if query := discovery.WaitCallWith(t, "in_force", "70"); query.Has("refused") || query.Has("why") || settingsInForce(agent)[0] != 1 {
+		t.Errorf("after a good change the call has %v", query)
 	}
 }
 
@@ -168,40 +168,40 @@
 // applied, and rejected settings are checked again.
 func TestReloadWithControl(t *testing.T) {
 	t.Parallel()
-	d, moved := agenttest.NewSettingsDiscovery(t, 41), agenttest.NewSettingsDiscovery(t, 3)
-	a, file := startWithSettingsService(t, config.Hooks{}, d.Addr())
-	lines := a.logLines()
+	discovery, moved := agenttest.NewSettingsDiscovery(t, 41), agenttest.NewSettingsDiscovery(t, 3)
+	agent, file := startWithSettingsService(t, config.Hooks{}, discovery.Addr())
+	lines := agent.logLines()
 	for i, attempts := range []int{4, 7} { // without settings of the service the file's are applied
 		c := *file
 		c.Settings.Limits.MaxAttempts = attempts
-		a.reloads <- &c
+		agent.reloads <- &c
 		if line := agenttest.WaitLine(t, lines, "settings applied"); strings.Contains(line, "version") {
 			t.Errorf("reload %d logged %q", i, line)
 		}
 	}
-	if got := settingsInForce(a); got != [4]int{7, 5, 3, 1} {
+	if got := settingsInForce(agent); got != [4]int{7, 5, 3, 1} {
 		t.Errorf("in force: %v", got)
 	}
-	d.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
-	d.WaitCallWith(t, "in_force", "50")
-	d.Publish(51, agenttest.SettingsWith(`"coldMs":8000,`, ``))
-	d.WaitCallWith(t, "refused", "51")
+	discovery.Publish(50, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":2`))
+	discovery.WaitCallWith(t, "in_force", "50")
+	discovery.Publish(51, agenttest.SettingsWith(`"coldMs":8000,`, ``))
+	discovery.WaitCallWith(t, "refused", "51")
 	c := *file
 	c.Settings.Index, c.Settings.Zone, c.Settings.Limits.MaxAttempts = 4, 0, 9
-	c.Discovery, c.Control = moved.Addr(), &config.Control{Service: "other", Addresses: []string{d.Addr()}}
-	moved.Change(func() { moved.Settings, moved.Stubborn = d.Settings, true })
-	a.reloads <- &c
+	c.Discovery, c.Control = moved.Addr(), &config.Control{Service: "other", Addresses: []string{discovery.Addr()}}
+	moved.Change(func() { moved.Settings, moved.Stubborn = discovery.Settings, true })
+	agent.reloads <- &c
 	agenttest.WaitLine(t, lines, "settings of the file superseded by the service's")
-	if line := agenttest.WaitLine(t, lines, "discovery moved"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.Addr(), d.Addr())) {
+	if line := agenttest.WaitLine(t, lines, "discovery moved"); !strings.Contains(line, fmt.Sprintf("to=%s,%s", moved.Addr(), discovery.Addr())) {
 		t.Errorf("logged %q", line)
 	}
-	if got := settingsInForce(a); got != [4]int{2, 5, 4, 0} {
+	if got := settingsInForce(agent); got != [4]int{2, 5, 4, 0} {
 		t.Errorf("in force: %v", got)
 	}
-	agenttest.WaitUntil(t, "what was refused is judged again", func() bool { return a.metricsNow().SettingsRejected == 2 })
-	for _, to := range []*agenttest.SettingsDiscovery{d, moved} { // wherever it hangs now
+	agenttest.WaitUntil(t, "what was refused is judged again", func() bool { return agent.metricsNow().SettingsRejected == 2 })
+	for _, to := range []*agenttest.SettingsDiscovery{discovery, moved} { // wherever it hangs now
 		to.Change(func() { to.Stubborn = false })
 		to.Publish(60, agenttest.SettingsWith(`"maxAttempts":3`, `"maxAttempts":1`))
 	}
-	agenttest.WaitUntil(t, "the next settings are taken", func() bool { return settingsInForce(a) == [4]int{1, 5, 4, 0} })
+	agenttest.WaitUntil(t, "the next settings are taken", func() bool { return settingsInForce(agent) == [4]int{1, 5, 4, 0} })
 }
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -42,9 +42,9 @@
 }
 
 // available is what is left of each quota and limit, in their order.
-func (s limitedProcess) available() []int64 {
+func (process limitedProcess) available() []int64 {
 	var room []int64
-	for _, q := range s.quotas {
+	for _, q := range process.quotas {
 		n := q.Size
 		for n > 0 && !q.TryAcquire(n) {
 			n--
@@ -52,7 +52,7 @@
 		q.Release(n)
 		room = append(room, n)
 	}
-	return append(room, int64(s.clients.ConnLimit()), int64(s.pool.ConnLimit()))
+	return append(room, int64(process.clients.ConnLimit()), int64(process.pool.ConnLimit()))
 }
 
 // Two processes of one agent have its limits once: the second has half until the first has ended, and the
@@ -68,9 +68,9 @@
 	if err := second.holdLock(t.Context(), lock); err != nil {
 		t.Fatal(err)
 	}
-	want := func(who string, s limitedProcess, part int64) {
+	want := func(who string, process limitedProcess, part int64) {
 		t.Helper()
-		for i, n := range s.available() {
+		for i, n := range process.available() {
 			if n != all[i]-all[i]/2*(part-1) {
 				t.Errorf("%s: limit %d is %d of %d, want one part of %d", who, i, n, all[i], part)
 			}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -13,10 +13,10 @@
 
 // takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
 // Accept has already.
-func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
+func takeAllSlots(t *testing.T, agent *testAgent) (release func()) {
 	t.Helper()
-	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
-	slots := a.agent.downstream.ConnSlots()
+	agent.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
+	slots := agent.downstream.ConnSlots()
 	taken := int64(0)
 	for slots.TryAcquire(1) {
 		taken++
@@ -28,13 +28,13 @@
 // be answered, also where there was no slot for it until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
-	a, _ := startWithServer(t, agenttest.RespondOK)
-	release := takeAllSlots(t, a)
-	accepted := a.dialKept() // takes the slot that Accept holds already
-	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
-	waiting := a.dialKept()
+	agent, _ := startWithServer(t, agenttest.RespondOK)
+	release := takeAllSlots(t, agent)
+	accepted := agent.dialKept() // takes the slot that Accept holds already
+	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
+	waiting := agent.dialKept()
 	fmt.Fprint(waiting, timedRequest(timeoutMs, "x"))
-	a.stop()
+	agent.stop()
 	time.AfterFunc(downstream.DrainAcceptTime+testDelay, release)
 	if status := agenttest.FinalStatus(t, waiting); status != 200 && status != 503 {
 		t.Errorf("answered %d", status)
@@ -46,7 +46,7 @@
 // connections too.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, agenttest.RespondOK)
+	agent, server := startWithServer(t, agenttest.RespondOK)
 	type moment struct{ dial, send time.Duration } // after the signal; 0: before it
 	var ended []chan int
 	begin := time.Now()
@@ -57,10 +57,10 @@
 		status := make(chan int, 1)
 		ended = append(ended, status)
 		dial := func() {
-			c := a.dialKept()
+			client := agent.dialKept()
 			time.AfterFunc(time.Until(begin.Add(m.send)), func() {
-				fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-				status <- c.Status()
+				fmt.Fprint(client, timedRequest(timeoutMs, "x"))
+				status <- client.Status()
 			})
 		}
 		if m.dial == 0 {
@@ -69,8 +69,8 @@
 			time.AfterFunc(m.dial, dial)
 		}
 	}
-	agenttest.WaitUntil(t, "those that came before are accepted", func() bool { return a.agent.downstream.OpenConns() >= 4 })
-	a.stop()
+	agenttest.WaitUntil(t, "those that came before are accepted", func() bool { return agent.downstream.OpenConns() >= 4 })
+	agent.stop()
 	served := 0
 	for i, status := range ended {
 		switch got := <-status; got {
@@ -81,8 +81,8 @@
 			t.Errorf("connection %d: answered %d", i, got)
 		}
 	}
-	if b.Count() != served {
-		t.Errorf("%d arrivals, %d served", b.Count(), served)
+	if server.Count() != served {
+		t.Errorf("%d arrivals, %d served", server.Count(), served)
 	}
 }
 
@@ -90,16 +90,16 @@
 // come too late to be answered.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), func(c *config.Config) {
-		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].TotalTimeoutMs = 300
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), func(cfg *config.Config) {
+		for i := range cfg.Settings.Classes {
+			cfg.Settings.Classes[i].TotalTimeoutMs = 300
 		}
 	})
-	c := a.dialKept()
-	agenttest.WaitUntil(t, "it is accepted", func() bool { return a.agent.downstream.OpenConns() > 0 })
+	client := agent.dialKept()
+	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 0 })
 	stopped := time.Now()
-	a.stop()
-	if n, err := io.Copy(io.Discard, c); n > 0 || err != nil {
+	agent.stop()
+	if n, err := io.Copy(io.Discard, client); n > 0 || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
 	// 0.85 s after the signal; without a request it has headTime otherwise.
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -24,25 +24,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := startWithServer(t, hashResponder)
-			c := a.dialKept()
+			agent, server := startWithServer(t, hashResponder)
+			client := agent.dialKept()
 			text := timedRequest(60_000, strings.Repeat("x", test.length))
-			if _, err := io.WriteString(c, text[:len(text)-(test.length-test.sent)]); err != nil {
+			if _, err := io.WriteString(client, text[:len(text)-(test.length-test.sent)]); err != nil {
 				t.Fatal(err)
 			}
 			stopped := time.Now()
-			if status := agenttest.FinalStatus(t, c); status < 400 {
+			if status := agenttest.FinalStatus(t, client); status < 400 {
 				t.Errorf("answered %d, want an error", status)
 			}
-			if _, err := io.Copy(io.Discard, c.Br); err != nil {
+			if _, err := io.Copy(io.Discard, client.Br); err != nil {
 				t.Errorf("after the answer: %v", err)
 			}
 			// A second more than what is owed: a busy machine is not what is tested.
 			if took := time.Since(stopped); took > 4*time.Second {
 				t.Errorf("ended %v after it stopped", took)
 			}
-			if b.Count() != 0 {
-				t.Errorf("%d arrivals of a request that never came whole", b.Count())
+			if server.Count() != 0 {
+				t.Errorf("%d arrivals of a request that never came whole", server.Count())
 			}
 		})
 	}
@@ -57,13 +57,13 @@
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			_ = c.(*net.TCPConn).SetReadBuffer(4096)
-			_, _ = c.Read(make([]byte, 1))
-			t.Cleanup(func() { c.Close() })
+			_ = conn.(*net.TCPConn).SetReadBuffer(4096)
+			_, _ = conn.Read(make([]byte, 1))
+			t.Cleanup(func() { conn.Close() })
 		}
 	}()
 	return ln
@@ -75,12 +75,12 @@
 	t.Parallel()
 	const timeout = 800 * time.Millisecond
 	ln := unacceptingServer(t)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
-	c := a.dialKept()
-	_ = c.Conn.(*net.TCPConn).SetWriteBuffer(64 * message.MaxBufferedBody)
-	fmt.Fprint(c, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*message.MaxBufferedBody)))
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), nil)
+	client := agent.dialKept()
+	_ = client.Conn.(*net.TCPConn).SetWriteBuffer(64 * message.MaxBufferedBody)
+	fmt.Fprint(client, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*message.MaxBufferedBody)))
 	sent := time.Now()
-	agenttest.WantStatus(t, agenttest.FinalStatus(t, c), 503)
+	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), 503)
 	// What is lost is what is answered half a second after its time or later.
 	if took := time.Since(sent); took > 2*timeout+time.Second {
 		t.Errorf("answered %v after its last byte, of %v", took, timeout)
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -56,48 +56,48 @@
 
 func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
 	t.Helper()
-	w := &faultEnvironment{t: t, arrivals: map[string]int{}, answers: map[int]int{}}
+	env := &faultEnvironment{t: t, arrivals: map[string]int{}, answers: map[int]int{}}
 	var list []endpoint.Endpoint
 	for i := range servers {
-		list = append(list, agenttest.Endpoint(fmt.Sprint("s-", i), agenttest.NewServer(t, w.answer).Addr))
+		list = append(list, agenttest.Endpoint(fmt.Sprint("s-", i), agenttest.NewServer(t, env.answer).Addr))
 	}
-	w.discovery = agenttest.NewDiscovery(t, list...)
-	return w
+	env.discovery = agenttest.NewDiscovery(t, list...)
+	return env
 }
 
-func (w *faultEnvironment) answer(c net.Conn, req *http.Request, _ int) bool {
+func (env *faultEnvironment) answer(conn net.Conn, req *http.Request, _ int) bool {
 	id := req.Header.Get("Request-Id")
-	w.mu.Lock()
-	w.arrivals[id]++
-	w.mu.Unlock()
+	env.mu.Lock()
+	env.arrivals[id]++
+	env.mu.Unlock()
 	if req.Header.Get("X-Chunked") != "1" {
-		return agenttest.SendResponse(c, 200, "", id)
+		return agenttest.SendResponse(conn, 200, "", id)
 	}
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 	return err == nil
 }
 
 // play runs an agent through a day, and returns what broke the rule: one answer a request, none lost,
 // none twice.
-func (w *faultEnvironment) run(day faultScenario) error {
+func (env *faultEnvironment) run(scenario faultScenario) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	clients := agenttest.NewFaultPlan(day.Clients)
-	a, err := w.agent(agenttest.FaultyListener{Listener: ln, Plan: clients}, agenttest.NewFaultPlan(day.Servers).Dial)
+	clients := agenttest.NewFaultPlan(scenario.Clients)
+	agent, err := env.agent(agenttest.FaultyListener{Listener: ln, Plan: clients}, agenttest.NewFaultPlan(scenario.Servers).Dial)
 	if err != nil {
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(context.Background(), nil) }()
+	go func() { ended <- agent.Run(context.Background(), nil) }()
 	defer func() {
-		a.Kill()
+		agent.Kill()
 		<-ended
 	}()
-	client := &faultyClient{world: w, plan: clients, addr: ln.Addr().String()}
+	client := &faultyClient{env: env, plan: clients, addr: ln.Addr().String()}
 	defer client.close()
-	for i, r := range day.Requests {
+	for i, r := range scenario.Requests {
 		if err := client.do(r); err != nil {
 			return fmt.Errorf("request %d: %w", i, err)
 		}
@@ -106,8 +106,8 @@
 }
 
 // agent makes an agent that dials its servers by dial.
-func (w *faultEnvironment) agent(ln net.Listener, dial config.DialFunc) (*Agent, error) {
-	cfg := agenttest.NewConfig(w.t, ln.Addr().String(), w.discovery)
+func (env *faultEnvironment) agent(ln net.Listener, dial config.DialFunc) (*Agent, error) {
+	cfg := agenttest.NewConfig(env.t, ln.Addr().String(), env.discovery)
 	cfg.Log = slog.New(slog.DiscardHandler)
 	cfg.Dial = dial
 	return New(cfg, Listeners{Clients: ln})
@@ -115,67 +115,67 @@
 
 // faultyClient sends one request after another on one connection, and on a new one after its end.
 type faultyClient struct {
-	world *faultEnvironment
-	plan  *agenttest.FaultPlan
-	addr  string
-	nc    net.Conn
-	br    *bufio.Reader
+	env    *faultEnvironment
+	plan   *agenttest.FaultPlan
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (c *faultyClient) close() {
-	if c.nc != nil {
-		c.nc.Close()
+func (client *faultyClient) close() {
+	if client.conn != nil {
+		client.conn.Close()
 	}
-	c.nc = nil
+	client.conn = nil
 }
 
-func (c *faultyClient) connect() (err error) {
-	if c.nc != nil {
+func (client *faultyClient) connect() (err error) {
+	if client.conn != nil {
 		return nil
 	}
-	if c.nc, err = net.DialTimeout("tcp", c.addr, agenttest.Timeout); err != nil {
+	if client.conn, err = net.DialTimeout("tcp", client.addr, agenttest.Timeout); err != nil {
 		return err
 	}
-	c.br = bufio.NewReader(c.nc)
+	client.reader = bufio.NewReader(client.conn)
 	return nil
 }
 
 // ask sends a request, and returns an error unless it has its one answer, or its connection broke.
-func (c *faultyClient) do(r faultyRequest) error {
-	if err := c.connect(); err != nil {
+func (client *faultyClient) do(request faultyRequest) error {
+	if err := client.connect(); err != nil {
 		return err
 	}
-	if r.Rested {
+	if request.Rested {
 		time.Sleep(2 * upstream.SettleTime)
 	}
-	id := fmt.Sprint(c.world.lastID.Add(1))
-	req := agenttest.NewRequest(c.addr, r.Class, strings.Repeat("x", r.Body))
+	id := fmt.Sprint(client.env.lastID.Add(1))
+	req := agenttest.NewRequest(client.addr, request.Class, strings.Repeat("x", request.Body))
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Request-Timeout-Ms", "2000")
-	if r.Chunked {
+	if request.Chunked {
 		req.Header.Set("X-Chunked", "1")
 	}
-	resp, body, err := c.exchange(req)
-	broke := c.plan.Broke(c.nc.LocalAddr())
+	resp, body, err := client.exchange(req)
+	broke := client.plan.Broke(client.conn.LocalAddr())
 	if err == nil {
-		err = c.world.check(r.Class, id, resp.StatusCode, body)
+		err = client.env.check(request.Class, id, resp.StatusCode, body)
 		if resp.Close {
-			c.close()
+			client.close()
 		}
 		return err
 	}
-	c.close()
+	client.close()
 	if !broke {
 		return fmt.Errorf("%s has no answer: %w", id, err)
 	}
-	return c.world.checkCut(r.Class, id)
+	return client.env.checkCut(request.Class, id)
 }
 
-func (c *faultyClient) exchange(req *http.Request) (*http.Response, string, error) {
-	if err := req.Write(c.nc); err != nil {
+func (client *faultyClient) exchange(req *http.Request) (*http.Response, string, error) {
+	if err := req.Write(client.conn); err != nil {
 		return nil, "", err
 	}
-	resp, err := http.ReadResponse(c.br, req)
+	resp, err := http.ReadResponse(client.reader, req)
 	if err != nil {
 		return nil, "", err
 	}
@@ -184,25 +184,25 @@
 }
 
 // nothingFollows tells of bytes behind the last answer.
-func (c *faultyClient) nothingFollows() error {
-	if c.nc == nil {
+func (client *faultyClient) nothingFollows() error {
+	if client.conn == nil {
 		return nil
 	}
-	if err := c.nc.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := client.conn.(*net.TCPConn).CloseWrite(); err != nil {
 		return nil // the connection has ended
 	}
-	if more, _ := io.ReadAll(c.br); len(more) > 0 {
+	if more, _ := io.ReadAll(client.reader); len(more) > 0 {
 		return fmt.Errorf("behind the last answer came %q", more)
 	}
 	return nil
 }
 
 // check checks a complete response.
-func (w *faultEnvironment) check(class, id string, status int, body string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.answers[status]++
-	ran := w.arrivals[id]
+func (env *faultEnvironment) check(class, id string, status int, body string) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.answers[status]++
+	ran := env.arrivals[id]
 	switch {
 	case status == http.StatusOK && body != id:
 		return fmt.Errorf("%s was answered with %q", id, body)
@@ -214,20 +214,20 @@
 		status != http.StatusBadGateway && status != http.StatusGatewayTimeout:
 		return fmt.Errorf("%s was answered %d", id, status)
 	}
-	return w.executedOnce(class, id)
+	return env.executedOnce(class, id)
 }
 
 // checkCut judges a request whose client's connection broke.
-func (w *faultEnvironment) checkCut(class, id string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut++
-	return w.executedOnce(class, id)
+func (env *faultEnvironment) checkCut(class, id string) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.cut++
+	return env.executedOnce(class, id)
 }
 
 // executedOnce reports a non-idempotent request that executed twice. The caller has the lock.
-func (w *faultEnvironment) executedOnce(class, id string) error {
-	if ran := w.arrivals[id]; class == "order" && ran > 1 {
+func (env *faultEnvironment) executedOnce(class, id string) error {
+	if ran := env.arrivals[id]; class == "order" && ran > 1 {
 		return fmt.Errorf("%s ran %d times", id, ran)
 	}
 	return nil
@@ -237,7 +237,7 @@
 // used again, with one byte a call: one answer a request.
 func TestEachErrnoAtEachCall(t *testing.T) {
 	t.Parallel()
-	w := newFaultEnvironment(t, 1)
+	env := newFaultEnvironment(t, 1)
 	requests := []faultyRequest{{Class: "order", Body: 20}, {Class: "order", Body: 20, Rested: true}, {Class: "read", Chunked: true}}
 	for _, errno := range faultErrnos {
 		for _, call := range []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite} {
@@ -248,40 +248,40 @@
 			for _, after := range afters {
 				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.run(day); err != nil {
+					if err := env.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
 					}
 				}
 			}
 		}
 	}
-	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
+	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
 // The same for bodies that are too long to be buffered, and are streamed to their server.
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
-	w := newFaultEnvironment(t, 3)
+	env := newFaultEnvironment(t, 3)
 	requests := []faultyRequest{{Class: "order", Body: message.MaxBufferedBody + 3000}, {Class: "read"}}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOBUFS} {
 		for _, call := range []agenttest.SystemCall{agenttest.CallRead, agenttest.CallWrite} {
 			for _, after := range []int64{0, 10, message.MaxBufferedBody + 1000} {
 				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
 				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.run(day); err != nil {
+					if err := env.run(day); err != nil {
 						t.Errorf("%+v: %v", day, err)
 					}
 				}
 			}
 		}
 	}
-	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
+	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
 // Any faults of the connections of both sides, with one byte a call: one answer a request.
 func TestOneResponseWhateverCallsFail(t *testing.T) {
 	t.Parallel()
-	worlds := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
+	environments := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
 	faults := rapid.Custom(func(t *rapid.T) agenttest.CallFault {
 		return agenttest.CallFault{
 			Call:  rapid.SampledFrom([]agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}).Draw(t, "call"),
@@ -298,33 +298,33 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		day := faultScenario{
+		scenario := faultScenario{
 			Clients:  rapid.SliceOfN(faults, 0, 2).Draw(t, "clients"),
 			Servers:  rapid.SliceOfN(faults, 0, 4).Draw(t, "servers"),
 			Requests: rapid.SliceOfN(requests, 1, 4).Draw(t, "requests"),
 		}
-		if err := rapid.SampledFrom(worlds).Draw(t, "world").run(day); err != nil {
+		if err := rapid.SampledFrom(environments).Draw(t, "environment").run(scenario); err != nil {
 			t.Fatal(err)
 		}
 	})
-	for _, w := range worlds {
+	for _, w := range environments {
 		w.wantStatuses(t, http.StatusOK) // what is drawn need not bring the rarer ones
 	}
 }
 
 // reached fails where the days have missed what they are there for: answers of these statuses, and
 // requests that were cut off.
-func (w *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
+func (env *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
 	t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t.Logf("answers by status %v, requests cut off by their client's connection %d", w.answers, w.cut)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	t.Logf("answers by status %v, requests cut off by their client's connection %d", env.answers, env.cut)
 	for _, status := range statuses {
-		if w.answers[status] == 0 {
+		if env.answers[status] == 0 {
 			t.Errorf("no request was answered %d", status)
 		}
 	}
-	if w.cut == 0 {
+	if env.cut == 0 {
 		t.Error("no request was cut off")
 	}
 }
--- a/internal/agent/upstream_attempt_test.go
+++ b/internal/agent/upstream_attempt_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestInterimResponseIsSkipped(t *testing.T) {
-	a, _ := startWithServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return agenttest.RespondOK(c, req, n)
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		fmt.Fprint(conn, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+		return agenttest.RespondOK(conn, req, n)
 	})
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 200)
 }
 
@@ -26,8 +26,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", addr)), nil)
-	status, header, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
+	agent := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", addr)), nil)
+	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
 		t.Error("refused without Retry-After")
@@ -37,11 +37,11 @@
 // A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
 // late response would be taken for the next one's.
 func TestSilentServer(t *testing.T) {
-	a, b := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
-	req := agenttest.NewRequest(a.addr, "order", "x")
+	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
+	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	from := time.Now()
-	status, _, _ := a.do(req)
+	status, _, _ := agent.do(req)
 	if status != 502 && status != 504 {
 		t.Errorf("answered %d, want a failure", status)
 	}
@@ -49,11 +49,11 @@
 		t.Errorf("gave up after %v", took)
 	}
 	select {
-	case <-b.Ended:
+	case <-server.Ended:
 	case <-time.After(agenttest.Timeout):
 		t.Error("the connection stays open")
 	}
-	if b.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", b.Count())
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
 	}
 }
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -24,30 +24,30 @@
 	b  bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.b.Write(p)
+func (buffer *lockedBuffer) Write(p []byte) (int, error) {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.b.Write(p)
 }
 
-func (b *lockedBuffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.b.String()
+func (buffer *lockedBuffer) String() string {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.b.String()
 }
 
 // An agent without clients follows its list and its settings, shows its operators what it is, and
 // tells its hooks, all under its own logger and from its own address.
 func TestAgentWithoutClients(t *testing.T) {
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
+	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
 	from := make(chan string, 1000)
-	serve := d.Config.Handler
-	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	serve := discovery.Config.Handler
+	discovery.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		host, _, _ := net.SplitHostPort(req.RemoteAddr)
 		from <- host
 		serve.ServeHTTP(w, req)
 	})
-	cfg, err := config.Parse(agenttest.PushedConfigText(t, d, nil))
+	cfg, err := config.Parse(agenttest.PushedConfigText(t, discovery, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,14 +61,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := New(cfg, Listeners{Admin: ln})
+	agent, err := New(cfg, Listeners{Admin: ln})
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop, end := context.WithCancel(context.Background())
 	defer end()
 	reloads, done := make(chan *config.Config), make(chan error, 1)
-	go func() { done <- a.Run(stop, reloads) }()
+	go func() { done <- agent.Run(stop, reloads) }()
 	next := func(what string, from <-chan uint64, want uint64) {
 		t.Helper()
 		select {
@@ -89,20 +89,20 @@
 		return err == nil && resp.StatusCode == http.StatusOK
 	})
 	for version := uint64(2); version < 5; version++ {
-		d.Set(agenttest.Endpoint(fmt.Sprint("s-", version), "127.0.0.1:2"))
+		discovery.Set(agenttest.Endpoint(fmt.Sprint("s-", version), "127.0.0.1:2"))
 		next("list", lists, version)
 	}
-	changed, err := config.ParseReload(agenttest.PushedConfigText(t, d, nil), cfg)
+	changed, err := config.ParseReload(agenttest.PushedConfigText(t, discovery, nil), cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reloads <- changed
 	next("settings", settings, 0)
 	// The watch's fourth call begins after the hooks were called for the third change.
-	agenttest.WaitUntil(t, "the fourth call to discovery", func() bool { return a.Status().ListCalls >= 4 })
-	s := a.Status()
-	if s.ListVersion != 4 || s.Servers != 4 || s.ListCalls < 4 || s.ListIn < 4*100 || s.ListOut < 4*50 || s.Membership != nil {
-		t.Errorf("status %+v", s)
+	agenttest.WaitUntil(t, "the fourth call to discovery", func() bool { return agent.Status().ListCalls >= 4 })
+	status := agent.Status()
+	if status.ListVersion != 4 || status.Servers != 4 || status.ListCalls < 4 || status.ListIn < 4*100 || status.ListOut < 4*50 || status.Membership != nil {
+		t.Errorf("status %+v", status)
 	}
 	if host := <-from; host != "127.0.0.77" {
 		t.Errorf("discovery was called from %s", host)
@@ -128,12 +128,12 @@
 
 // A killed agent answers nobody at once, with or without clients, also one that ends already.
 func TestKill(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.RespondOK)
+	server := agenttest.NewServer(t, agenttest.RespondOK)
 	for name, stopped := range map[string]bool{"in service": false, "while it ends": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr))
-			cfg, err := config.Parse(agenttest.PushedConfigText(t, d, nil))
+			discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr))
+			cfg, err := config.Parse(agenttest.PushedConfigText(t, discovery, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -143,14 +143,14 @@
 					t.Fatal(err)
 				}
 			}
-			a, err := New(cfg, ln)
+			agent, err := New(cfg, ln)
 			if err != nil {
 				t.Fatal(err)
 			}
 			done := make(chan error, 1)
 			stop, end := context.WithCancel(t.Context())
 			defer end()
-			go func() { done <- a.Run(stop, nil) }()
+			go func() { done <- agent.Run(stop, nil) }()
 			idle, err := net.Dial("tcp", ln.Clients.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -165,9 +165,9 @@
 			})
 			if stopped {
 				end()
-				agenttest.WaitUntil(t, "it ends", func() bool { return !a.downstream.IsServing() })
+				agenttest.WaitUntil(t, "it ends", func() bool { return !agent.downstream.IsServing() })
 			}
-			a.Kill()
+			agent.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
 				t.Errorf("Run returned %v", err)
 			}
