--- /dev/null
+++ b/internal/agent/admin_drain_test.go
@@ -0,0 +1,111 @@
+package agent
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+)
+
+// adminCall makes a call to the admin endpoint and returns the status of its response.
+func (agent *testAgent) adminCall(method, path string) int {
+	agent.tb.Helper()
+	req, err := http.NewRequestWithContext(agent.tb.Context(), method, "http://"+agent.adminAddr+path, nil)
+	if err != nil {
+		agent.tb.Fatal(err)
+	}
+	resp, err := agenttest.HTTPClient.Do(req)
+	if err != nil {
+		agent.tb.Fatal(err)
+	}
+	_ = resp.Body.Close()
+	if !resp.Close {
+		agent.tb.Errorf("%s %s: the connection stays open for another call", method, path)
+	}
+	return resp.StatusCode
+}
+
+// wantServed sends a request on a connection and checks that it is served, and whether the response announces
+// that the connection closes.
+func wantServed(t *testing.T, conn *agenttest.KeptConn, closes bool) {
+	t.Helper()
+	resp := conn.Request(t)
+	_ = resp.Body.Close()
+	if resp.StatusCode != http.StatusOK || resp.Close != closes {
+		t.Errorf("response %d, closes: %v; want %d, closes: %v", resp.StatusCode, resp.Close, http.StatusOK, closes)
+	}
+}
+
+func TestAdminDrainStartAndStop(t *testing.T) {
+	agent, server := startWithServer(t, agenttest.RespondOK)
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/nonsense"), http.StatusNotFound)
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/drain/start"), http.StatusMethodNotAllowed)
+	used, idle := agent.dialKept(), agent.dialKept()
+	wantServed(t, used, false)
+	wantServed(t, idle, false)
+
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK)
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK) // it drains already
+	agenttest.WantStatus(t, agent.readyStatus(), http.StatusServiceUnavailable)
+	// It still serves the clients that it has, and those that do not know of the drain yet.
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
+	wantServed(t, used, true)
+	used.WantClosed(t)
+	idle.WantClosed(t)
+	wantServed(t, agent.dialKept(), true)
+
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/stop"), http.StatusOK)
+	agenttest.WantStatus(t, agent.readyStatus(), http.StatusOK)
+	afterDrain := agent.dialKept()
+	for range 3 {
+		wantServed(t, afterDrain, false)
+	}
+	if server.Count() != 7 {
+		t.Errorf("%d arrivals, want 7", server.Count())
+	}
+}
+
+// Callers that send nothing, or part of a call, neither keep others out nor stay connected, and part of a call
+// has no effect.
+func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
+	agent, _ := startWithServer(t, agenttest.RespondOK)
+	incomplete := []string{
+		"",
+		"PUT /ops/dra",
+		"PUT /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf",
+	}
+	var silent []net.Conn
+	for i := range 3 * config.MaxAdminConns {
+		conn := agenttest.DialKept(t, agent.adminAddr)
+		send(conn, incomplete[i%len(incomplete)])
+		silent = append(silent, conn)
+	}
+	for range 5 {
+		agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
+	}
+	for _, conn := range silent {
+		text, err := io.ReadAll(conn)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatal("a caller that sends no complete call stays connected")
+		}
+		if strings.HasPrefix(string(text), "HTTP/1.1 2") {
+			t.Errorf("the response to part of a call is %q", text)
+		}
+	}
+	agenttest.WantStatus(t, agent.readyStatus(), http.StatusOK)
+}
+
+func TestAdminCallsDoNotWaitForTheEventLoop(t *testing.T) {
+	agent, _ := startWithServer(t, agenttest.RespondOK)
+	defer agent.blockLoop()()
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK)
+	agenttest.WantStatus(t, agent.readyStatus(), http.StatusServiceUnavailable)
+}
--- /dev/null
+++ b/internal/agent/blocking_fixture_test.go
@@ -0,0 +1,103 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
+)
+
+// blockedServer blocks each request until release is called.
+func blockedServer(t *testing.T, respond responder) (server *agenttest.Server, release func()) {
+	t.Helper()
+	released := make(chan struct{})
+	server = agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		<-released
+		return respond(conn, req, n)
+	})
+	release = sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release)
+	return server, release
+}
+
+// blockedConn is a connection to a server. Once it is armed its next write blocks until the test lets it fail.
+type blockedConn struct {
+	net.Conn
+	armed   atomic.Bool
+	writing chan struct{} // closed when the write has begun
+	proceed chan struct{} // closed by the test
+}
+
+func (conn *blockedConn) Write(data []byte) (int, error) {
+	if !conn.armed.Load() {
+		return conn.Conn.Write(data)
+	}
+	close(conn.writing)
+	<-conn.proceed
+	return 0, syscall.EPIPE
+}
+
+// startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
+// blocks the next one. The server does not count the earlier request.
+func startWithBlockedConn(t *testing.T, server *agenttest.Server) (*testAgent, *blockedConn) {
+	t.Helper()
+	blocked := &blockedConn{
+		writing: make(chan struct{}),
+		proceed: make(chan struct{}),
+	}
+	var dials atomic.Int64
+	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+		conn, err := upstream.DialTCP(ctx, addr, until)
+		if err != nil || dials.Add(1) > 1 {
+			return conn, err
+		}
+		blocked.Conn = conn
+		return blocked, nil
+	}
+	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Dial = dial })
+	agent.wantOrderStatus(http.StatusOK)
+	time.Sleep(reuseTime)
+	blocked.armed.Store(true)
+	server.Forget()
+	return agent, blocked
+}
+
+// reuseTime is well above the time after which a connection may carry another request.
+const reuseTime = 100 * time.Millisecond
+
+// withLongConnectTimeout lets connects wait for longer than any of these tests takes.
+func withLongConnectTimeout(cfg *config.Config) {
+	cfg.Settings.Limits.ConnectTimeoutMs = longConnectTimeoutMs
+}
+
+// fullListener listens with a queue that is full, so that connections are established only once it has space.
+func fullListener(t *testing.T) net.Listener {
+	t.Helper()
+	listener := newListener(t)
+	t.Cleanup(func() { _ = listener.Close() })
+	raw, err := listener.(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }); err != nil {
+		t.Fatal(err)
+	}
+	dialer := net.Dialer{Timeout: 100 * time.Millisecond}
+	for range 4 {
+		conn, err := dialer.DialContext(t.Context(), "tcp", listener.Addr().String())
+		if err != nil {
+			return listener
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+	}
+	t.Fatal("the accept queue does not fill")
+	return nil
+}
--- /dev/null
+++ b/internal/agent/body_budget_test.go
@@ -0,0 +1,55 @@
+package agent
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+)
+
+// exhaust takes all of a budget, to within a kilobyte.
+func exhaust(budget message.Quota) {
+	const piece = 1 << 10
+	for taken := true; taken; {
+		taken = budget.TryAcquire(piece)
+	}
+}
+
+// A body that exceeds the budget is not buffered, but it is forwarded.
+func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
+	agent, server := startWithServer(t, hashResponder)
+	for _, budget := range agent.bodyBudgets() {
+		exhaust(budget)
+	}
+	body := variedBytes(100)
+	status, _, got := agent.do(agenttest.NewRequest(agent.addr, "order", string(body)))
+	agenttest.WantStatus(t, status, http.StatusOK)
+	if got != digest(body) || server.Count() != 1 {
+		t.Errorf("arrived as %s, %d times", got, server.Count())
+	}
+}
+
+// Bytes of the budget that bodies reserved are free again once they are through.
+func TestBodyBudgetIsReleased(t *testing.T) {
+	agent, _ := startWithServer(t, func(conn net.Conn, _ *http.Request, n int) bool {
+		if n%2 == 0 {
+			return agenttest.SendResponse(conn, http.StatusOK, "", strings.Repeat("x", 100*(n+1)))
+		}
+		_, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
+		return err == nil
+	})
+	for range 10 {
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "some body"))
+		agenttest.WantStatus(t, status, http.StatusOK)
+	}
+	const budget = int64(192) << 20 / 6
+	// A handler releases its bytes after it has sent the last byte of the response.
+	agenttest.WaitUntil(t, "all of the budgets is free", func() bool {
+		requests, responses := agent.bodyBudgets()[0], agent.bodyBudgets()[1]
+		return requests.TryAcquire(budget) && responses.TryAcquire(budget)
+	})
+}
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -1,10 +1,10 @@
 package agent
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -46,30 +46,6 @@
 	}
 }
 
-// fullListener listens with a queue that is full, so that connections are established only once it has space.
-func fullListener(t *testing.T) net.Listener {
-	t.Helper()
-	listener := newListener(t)
-	t.Cleanup(func() { _ = listener.Close() })
-	raw, err := listener.(*net.TCPListener).SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }); err != nil {
-		t.Fatal(err)
-	}
-	dialer := net.Dialer{Timeout: 100 * time.Millisecond}
-	for range 4 {
-		conn, err := dialer.DialContext(t.Context(), "tcp", listener.Addr().String())
-		if err != nil {
-			return listener
-		}
-		t.Cleanup(func() { _ = conn.Close() })
-	}
-	t.Fatal("the accept queue does not fill")
-	return nil
-}
-
 // A connection that is established after its client has closed carries nothing, also while the loop does not
 // know of the close.
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
@@ -135,3 +111,47 @@
 		})
 	}
 }
+
+// A client that closes its connection has its attempt cancelled.
+func TestClientGone(t *testing.T) {
+	arrived := make(chan struct{}, 10)
+	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool {
+		arrived <- struct{}{}
+		return true
+	})
+	ctx, cancel := context.WithCancel(t.Context())
+	failed := make(chan error, 1)
+	go func() {
+		req := agenttest.NewRequest(agent.addr, "order", "x")
+		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the cancellation
+		resp, err := agenttest.HTTPClient.Do(req.WithContext(ctx))
+		if err == nil {
+			_ = resp.Body.Close()
+		}
+		failed <- err
+	}()
+	<-arrived
+	cancel()
+	<-failed
+	select {
+	case <-server.Ended:
+	case <-time.After(agenttest.Timeout):
+		t.Fatal("the attempt goes on")
+	}
+	if metrics := agent.metricsNow(); metrics.ClientsGone != 1 || metrics.Backstops != 0 {
+		t.Errorf("metrics %+v", metrics)
+	}
+}
+
+// A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
+func TestClientThatClosesInItsBodyIsNotForwarded(t *testing.T) {
+	agent, server := startWithServer(t, agenttest.RespondOK)
+	client := agent.dialKept()
+	send(client, orderHead(timeoutMs, len("complete"))+"half")
+	_ = client.Close()
+	agent.waitNoClients(t)
+	agenttest.WaitUntil(t, "the invalid request is counted", func() bool { return agent.metricsNow().Invalid == 1 })
+	if metrics := agent.metricsNow(); server.StartedCount() != 0 || metrics.Requests != 0 {
+		t.Errorf("%d arrivals, metrics %+v", server.StartedCount(), metrics)
+	}
+}
--- a/internal/agent/connection_pool_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
-	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
@@ -59,19 +58,3 @@
 		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
-
-// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
-// can use up the descriptors.
-func TestDescriptorLimit(t *testing.T) {
-	release := make(chan struct{})
-	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
-		<-release
-		return agenttest.RespondOK(conn, req, n)
-	})
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
-	for range 2 * agent.cfg.ClientConns() {
-		agent.dialKept().RequestReady(t) // stays connected and idle
-	}
-	close(release)
-	agent.wantOrderStatus(http.StatusOK)
-}
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"fmt"
 	"math"
 	"net"
 	"net/http"
@@ -70,17 +69,6 @@
 	}
 }
 
-// orderHead is the head of a request with a timeout and a body of that length.
-func orderHead(timeoutMs, length int) string {
-	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", timeoutMs, length)
-}
-
-// timedRequest is a request with a timeout and a body.
-func timedRequest(timeoutMs int, body string) string {
-	return orderHead(timeoutMs, len(body)) + body
-}
-
 // An attempt gives its server no more time than the client has left. The times that have passed before an
 // attempt are the least that they can be, so a slow machine fails no case.
 func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
@@ -309,3 +297,15 @@
 		agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 	}
 }
+
+// A request may wait for longer than it may take to arrive.
+func TestRequestOutlivesItsReadTimeout(t *testing.T) {
+	t.Parallel()
+	release := make(chan struct{})
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		<-release
+		return agenttest.RespondOK(conn, req, n)
+	})
+	time.AfterFunc(message.BodyGracePeriod+500*time.Millisecond, func() { close(release) })
+	agent.wantOrderStatus(http.StatusOK)
+}
--- a/internal/agent/first_request_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -1,7 +1,7 @@
 package agent
 
 import (
-	"io"
+	"net"
 	"net/http"
 	"strings"
 	"sync"
@@ -60,35 +60,18 @@
 	}
 }
 
-// Bytes that are no request, ahead of one on a new connection, lead to an error, or the request is served as if
-// they were not there; the connection never ends without a response.
-func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
-	agent, server := startWithServer(t, agenttest.RespondOK)
-	for name, invalid := range map[string]string{
-		"an empty line":        "\r\n",
-		"nonsense":             "nonsense\r\n\r\n",
-		"a zero byte":          "\x00",
-		"a TLS hello":          "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
-		"HTTP/2's preface":     "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
-		"a line without end":   strings.Repeat("x", 40<<10),
-		"two lengths":          "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
-		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
-	} {
-		t.Run(name, func(t *testing.T) {
-			client := agent.dialKept()
-			send(client, invalid+timedRequest(timeoutMs, "x"))
-			resp, err := http.ReadResponse(client.Br, nil)
-			if err != nil {
-				t.Fatalf("no response: %v", err)
-			}
-			defer func() { _ = resp.Body.Close() }()
-			body, _ := io.ReadAll(resp.Body)
-			if resp.StatusCode < 400 && !strings.Contains(string(body), "/api/a") {
-				t.Errorf("response %d with %q", resp.StatusCode, body)
-			}
-		})
-	}
-	if n := server.Count(); n > 1 {
-		t.Errorf("%d arrivals", n)
+// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
+// can use up the descriptors.
+func TestDescriptorLimit(t *testing.T) {
+	release := make(chan struct{})
+	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		<-release
+		return agenttest.RespondOK(conn, req, n)
+	})
+	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
+	for range 2 * agent.cfg.ClientConns() {
+		agent.dialKept().RequestReady(t) // stays connected and idle
 	}
+	close(release)
+	agent.wantOrderStatus(http.StatusOK)
 }
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -1,7 +1,9 @@
 package agent
 
 import (
+	"fmt"
 	"net/http"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -127,3 +129,40 @@
 		})
 	}
 }
+
+// A process that knows no server, of a discovery that is silent, is ready in time all the same: its requests
+// are rejected within their timeouts, and served once there is a list. The admin endpoint says that it serves
+// only then.
+func TestReadyWithoutAnEndpointList(t *testing.T) {
+	t.Parallel()
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	var reachable atomic.Bool
+	addr, _ := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
+		if !reachable.Load() {
+			return ""
+		}
+		return fmt.Sprintf(
+			`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, server.Addr)
+	})
+	start := time.Now()
+	agent := startAgent(t, agenttest.NewDiscovery(t), func(cfg *config.Config) {
+		cfg.Discovery = addr
+		cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed
+	})
+	if took := time.Since(start); took > 10*time.Second {
+		t.Errorf("ready after %v", took)
+	}
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusServiceUnavailable)
+	req := agenttest.NewRequest(agent.addr, "order", "x")
+	req.Header.Set("Request-Timeout-Ms", "500")
+	status, _, _ := agent.do(req)
+	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
+	reachable.Store(true)
+	agenttest.WaitUntil(t, "a request is served", func() bool {
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+		return status == http.StatusOK
+	})
+	agenttest.WaitUntil(t, "the admin endpoint says that it serves", func() bool {
+		return agent.adminCall("GET", "/ops/readiness") == http.StatusOK
+	})
+}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -246,3 +246,14 @@
 	}
 	return os.Stderr.Write(line)
 }
+
+// orderHead is the head of a request with a timeout and a body of that length.
+func orderHead(timeoutMs, length int) string {
+	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
+		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", timeoutMs, length)
+}
+
+// timedRequest is a request with a timeout and a body.
+func timedRequest(timeoutMs int, body string) string {
+	return orderHead(timeoutMs, len(body)) + body
+}
--- a/internal/agent/downstream_server_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -192,14 +192,35 @@
 	}
 }
 
-// A request may wait for longer than it may take to arrive.
-func TestRequestOutlivesItsReadTimeout(t *testing.T) {
-	t.Parallel()
-	release := make(chan struct{})
-	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
-		<-release
-		return agenttest.RespondOK(conn, req, n)
-	})
-	time.AfterFunc(message.BodyGracePeriod+500*time.Millisecond, func() { close(release) })
-	agent.wantOrderStatus(http.StatusOK)
+// Bytes that are no request, ahead of one on a new connection, lead to an error, or the request is served as if
+// they were not there; the connection never ends without a response.
+func TestInvalidBytesBeforeTheFirstRequest(t *testing.T) {
+	agent, server := startWithServer(t, agenttest.RespondOK)
+	for name, invalid := range map[string]string{
+		"an empty line":        "\r\n",
+		"nonsense":             "nonsense\r\n\r\n",
+		"a zero byte":          "\x00",
+		"a TLS hello":          "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
+		"HTTP/2's preface":     "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n",
+		"a line without end":   strings.Repeat("x", 40<<10),
+		"two lengths":          "POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
+		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := agent.dialKept()
+			send(client, invalid+timedRequest(timeoutMs, "x"))
+			resp, err := http.ReadResponse(client.Br, nil)
+			if err != nil {
+				t.Fatalf("no response: %v", err)
+			}
+			defer func() { _ = resp.Body.Close() }()
+			body, _ := io.ReadAll(resp.Body)
+			if resp.StatusCode < 400 && !strings.Contains(string(body), "/api/a") {
+				t.Errorf("response %d with %q", resp.StatusCode, body)
+			}
+		})
+	}
+	if n := server.Count(); n > 1 {
+		t.Errorf("%d arrivals", n)
+	}
 }
--- /dev/null
+++ b/internal/agent/reload_test.go
@@ -0,0 +1,67 @@
+package agent
+
+import (
+	"net"
+	"net/http"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// A reload applies settings without a restart: classes are added and removed, another idempotency and fewer
+// attempts apply to requests that arrive from then on, and open requests keep the rules under which they arrived.
+func TestReloadAppliesSettings(t *testing.T) {
+	arrived, respond := make(chan struct{}, 10), make(chan struct{})
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		switch {
+		case req.URL.Query().Has("blocks") && n == 0:
+			arrived <- struct{}{}
+			<-respond
+			return agenttest.SendResponse(conn, http.StatusInternalServerError, "", "")
+		case req.URL.Query().Has("fails"):
+			return agenttest.SendResponse(conn, http.StatusInternalServerError, "", "")
+		}
+		return agenttest.RespondOK(conn, req, n)
+	})
+	request := func(class, query string) int {
+		req := agenttest.NewRequest(agent.addr, class, "x")
+		req.URL.RawQuery = query
+		status, _, _ := agent.do(req)
+		return status
+	}
+	openRequest := make(chan int, 1)
+	go func() { openRequest <- request("read", "blocks") }()
+	<-arrived
+
+	class := balancer.Class{
+		Name:               "read",
+		LatencyObjectiveMs: 1000,
+		TotalTimeoutMs:     3000,
+		Idempotency:        balancer.NonIdempotent,
+		PriorityWeight:     1,
+	}
+	added := class
+	added.Name = "fresh"
+	cfg := *agent.cfg
+	cfg.Settings.Limits.MaxAttempts = 1
+	cfg.Settings.Classes = []balancer.Class{class, added}
+	lines := agent.logLines()
+	agent.reloads <- &cfg
+	agenttest.WaitLine(t, lines, "settings applied")
+
+	close(respond)
+	agenttest.WantStatus(t, <-openRequest, http.StatusOK) // by a second attempt, which new requests do not get
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals of the open request, want 2", server.Count())
+	}
+	agenttest.WantStatus(t, request("fresh", ""), http.StatusOK)
+	agenttest.WantStatus(t, request("read", ""), http.StatusOK)
+	agenttest.WantStatus(t, request("order", ""), http.StatusBadRequest)
+	before := server.Count()
+	agenttest.WantStatus(t, request("read", "fails"), http.StatusBadGateway)
+	if server.Count() != before+1 {
+		t.Errorf("%d attempts of a non-idempotent request, want 1", server.Count()-before)
+	}
+	agent.wantNoGuardActed()
+}
--- a/internal/agent/request_log_test.go
+++ b/internal/agent/request_log_test.go
@@ -1,48 +1,14 @@
 package agent
 
 import (
-	"context"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A client that closes its connection has its attempt cancelled.
-func TestClientGone(t *testing.T) {
-	arrived := make(chan struct{}, 10)
-	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool {
-		arrived <- struct{}{}
-		return true
-	})
-	ctx, cancel := context.WithCancel(t.Context())
-	failed := make(chan error, 1)
-	go func() {
-		req := agenttest.NewRequest(agent.addr, "order", "x")
-		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the cancellation
-		resp, err := agenttest.HTTPClient.Do(req.WithContext(ctx))
-		if err == nil {
-			_ = resp.Body.Close()
-		}
-		failed <- err
-	}()
-	<-arrived
-	cancel()
-	<-failed
-	select {
-	case <-server.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Fatal("the attempt goes on")
-	}
-	if metrics := agent.metricsNow(); metrics.ClientsGone != 1 || metrics.Backstops != 0 {
-		t.Errorf("metrics %+v", metrics)
-	}
-}
-
 // The log has all attempts of a request that failed, by its id.
 func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
 	agent, server := startWithServer(t, responds(http.StatusInternalServerError, "", ""))
--- a/internal/agent/agent_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"sync"
 	"testing"
+	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/message"
@@ -50,34 +51,6 @@
 	}
 }
 
-// responds is a responder with one response to every request.
-func responds(status int, header, body string) responder {
-	return func(conn net.Conn, _ *http.Request, _ int) bool {
-		return agenttest.SendResponse(conn, status, header, body)
-	}
-}
-
-// respondsText sends a text to every request, which need not be a response, and keeps the connection or closes it.
-func respondsText(text string, keep bool) responder {
-	return func(conn net.Conn, _ *http.Request, _ int) bool {
-		send(conn, text)
-		return keep
-	}
-}
-
-// resets sends a text to every request and resets the connection.
-func resets(text string) responder {
-	return func(conn net.Conn, _ *http.Request, _ int) bool {
-		send(conn, text)
-		return agenttest.ResetConn(conn)
-	}
-}
-
-// respondOverloaded rejects a request as one that did not execute.
-func respondOverloaded(conn net.Conn, _ *http.Request, _ int) bool {
-	return agenttest.SendResponse(conn, http.StatusServiceUnavailable, "Not-Started: 1\r\n", "")
-}
-
 // outcome is what becomes of a request whose server responds in some way.
 type outcome struct {
 	name     string
@@ -171,3 +144,47 @@
 		t.Errorf("%d arrivals, want 2", server.Count())
 	}
 }
+
+func TestInterimResponseIsSkipped(t *testing.T) {
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		send(conn, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+		return agenttest.RespondOK(conn, req, n)
+	})
+	agent.wantOrderStatus(http.StatusOK)
+}
+
+func TestRefusedConnectDidNotExecute(t *testing.T) {
+	listener := newListener(t)
+	addr := listener.Addr().String()
+	_ = listener.Close()
+	agent := startAgent(t, listing(t, addr), nil)
+	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
+	if header.Get("Retry-After") == "" {
+		t.Error("rejected without Retry-After")
+	}
+}
+
+// A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
+// late response would be taken for the next one's.
+func TestSilentServer(t *testing.T) {
+	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
+	req := agenttest.NewRequest(agent.addr, "order", "x")
+	req.Header.Set("Request-Timeout-Ms", "600")
+	start := time.Now()
+	status, _, _ := agent.do(req)
+	if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
+		t.Errorf("response %d, want a failure", status)
+	}
+	if took := time.Since(start); took < 400*time.Millisecond {
+		t.Errorf("gave up after %v", took)
+	}
+	select {
+	case <-server.Ended:
+	case <-time.After(agenttest.Timeout):
+		t.Error("the connection stays open")
+	}
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
+	}
+}
--- /dev/null
+++ b/internal/agent/retry_window_test.go
@@ -0,0 +1,85 @@
+package agent
+
+import (
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+// A retry is sent only while servers still drop duplicates, also where its connection is established after
+// the policy's check of the time.
+func TestRetryIsNotSentPastItsWindow(t *testing.T) {
+	t.Parallel()
+	failing := agenttest.NewServer(t, responds(http.StatusInternalServerError, "", ""))
+	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
+	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
+		if retriedInTime(t, failing, ids[0], ids[1]) {
+			return
+		}
+	}
+	t.Error("no request came to the failing server first")
+}
+
+// retriedInTime runs an agent with a failing server and one whose connection is established after the
+// deduplication window. It checks that nothing is sent on that connection, and returns false if the policy
+// selected that server first, so that there was no retry.
+func retriedInTime(t *testing.T, failing *agenttest.Server, failingID, slowID string) bool {
+	t.Helper()
+	const (
+		dedupWindowMs = 400
+		attemptTime   = 100 * time.Millisecond // in which the failing server has its attempt
+		acceptDelay   = 600 * time.Millisecond // after that; past the window
+	)
+	listener := fullListener(t)
+	discovery := agenttest.NewDiscovery(t,
+		agenttest.Endpoint(failingID, failing.Addr),
+		agenttest.Endpoint(slowID, listener.Addr().String()),
+	)
+	agent := startAgent(t, discovery, func(cfg *config.Config) {
+		withLongConnectTimeout(cfg)
+		for i := range cfg.Settings.Classes {
+			cfg.Settings.Classes[i].DedupWindowMs = dedupWindowMs
+		}
+	})
+	before := failing.Count()
+	agent.downstream.ApplySettings(agent.cfg)
+	req := agenttest.NewRequest(agent.addr, "send", "x")
+	req.Header.Set("Request-Timeout-Ms", "8000")
+	status := make(chan int, 1)
+	go func() {
+		resp, err := agenttest.HTTPClient.Do(req)
+		if err != nil {
+			status <- 0
+			return
+		}
+		_ = resp.Body.Close()
+		status <- resp.StatusCode
+	}()
+	agenttest.WaitUntil(t, "a connect has begun", func() bool { return agent.pool.ConnectCount() > 0 })
+	time.Sleep(attemptTime)
+	if failing.Count() == before {
+		_ = listener.Close()
+		agent.stop()
+		return false
+	}
+	// The retry's connect blocks until the accept queue has space.
+	time.AfterFunc(acceptDelay, func() {
+		acceptAll(listener, func(conn net.Conn) {
+			head := make([]byte, 1000)
+			if n, _ := conn.Read(head); n > 0 {
+				t.Errorf("retried after the deduplication window: %q", head[:n])
+				_ = agenttest.SendResponse(conn, http.StatusOK, "", "")
+			}
+		})
+	})
+	agenttest.WantStatus(t, <-status, http.StatusBadGateway)
+	if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusUnsent] != 1 {
+		t.Errorf("metrics %+v", metrics)
+	}
+	return true
+}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -1,14 +1,18 @@
 package agent
 
 import (
+	"fmt"
 	"io"
+	"net"
 	"net/http"
+	"strconv"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/downstream"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
@@ -120,3 +124,54 @@
 		t.Errorf("closed %v after the signal", took)
 	}
 }
+
+// Before the process may be killed, open requests have their final response, and a response that is being
+// streamed goes on.
+func TestQueuedRequestsAreAnsweredAtShutdown(t *testing.T) {
+	t.Parallel()
+	arrived, proceed := make(chan struct{}, 2), make(chan struct{})
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
+		if req.URL.Query().Has("streams") {
+			sendf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*message.MaxBufferedBody)
+			arrived <- struct{}{}
+			<-proceed
+			_, err := conn.Write(variedBytes(2*message.MaxBufferedBody - 5))
+			return err == nil
+		}
+		arrived <- struct{}{}
+		<-proceed
+		return false
+	})
+	const timeoutMs = 30_000 // longer than the shutdown takes
+	request := func(query string) <-chan string {
+		outcome := make(chan string, 1)
+		req := agenttest.NewRequest(agent.addr, "order", "x")
+		req.Header.Set("Request-Timeout-Ms", strconv.Itoa(timeoutMs))
+		req.URL.RawQuery = query
+		go func() {
+			resp, err := agenttest.HTTPClient.Do(req)
+			if err != nil {
+				outcome <- err.Error()
+				return
+			}
+			body, err := io.ReadAll(resp.Body)
+			_ = resp.Body.Close()
+			outcome <- fmt.Sprint(resp.StatusCode, len(body), err)
+		}()
+		<-arrived
+		return outcome
+	}
+	inFlight, streamed := request(""), request("streams")
+	agent.stop()
+	if got := <-inFlight; got != "504 0 <nil>" {
+		t.Errorf("the request in flight: %s", got)
+	}
+	close(proceed)
+	if got, want := <-streamed, fmt.Sprint(200, 2*message.MaxBufferedBody, nil); got != want {
+		t.Errorf("the streamed response: %s, want %s", got, want)
+	}
+	if err := <-agent.done; err != nil {
+		t.Errorf("the agent ended with %v", err)
+	}
+	agent.done <- nil // for the cleanup
+}
