--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -13,9 +13,9 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// endpointInState is the entry of a server that is not ready.
-func endpointInState(id, addr string, state endpoint.State) endpoint.Endpoint {
-	entry := agenttest.Endpoint(id, addr)
+// firstServerIn is the entry of the server s-1 in a state.
+func firstServerIn(state endpoint.State, addr string) endpoint.Endpoint {
+	entry := agenttest.Endpoint("s-1", addr)
 	entry.State = state
 	return entry
 }
@@ -26,7 +26,7 @@
 	agent := startAgent(t, discovery, nil)
 	agent.wantOrderStatus(http.StatusOK)
 	discovery.Set(agenttest.Endpoint("s-2", other.Addr))
-	discovery.WaitNotified(t, endpointInState("s-1", old.Addr, "draining"))
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateDraining, old.Addr))
 	before := old.Count()
 	for range 8 {
 		agent.wantOrderStatus(http.StatusOK)
@@ -72,7 +72,7 @@
 	}
 	discovery.SetDown(false)
 	discovery.Set(agenttest.Endpoint("s-2", second.Addr))
-	discovery.WaitNotified(t, endpointInState("s-1", first.Addr, "removed"))
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
 	agent.wantOrderStatus(http.StatusOK)
 	if second.Count() == 0 {
 		t.Error("the new server is not used")
@@ -90,7 +90,7 @@
 	outage := discovery.CallCount()
 	agenttest.WaitUntil(t, "two more calls", func() bool { return discovery.CallCount() >= outage+2 })
 	discovery.SetDown(false)
-	discovery.WaitNotified(t, endpointInState("s-1", first.Addr, "removed"))
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
 	before := first.Count()
 	for range 4 {
 		agent.wantOrderStatus(http.StatusOK)
@@ -116,7 +116,7 @@
 			agent.reloads <- &cfg
 			moved.WaitVersion(t, 7)
 			before := old.CallCount()
-			moved.WaitNotified(t, endpointInState("s-1", first.Addr, "removed"))
+			moved.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
 			for range 4 {
 				agent.wantOrderStatus(http.StatusOK)
 			}
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -14,14 +14,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// sendOrderHead sends the head of a request with a body of that length, and timeoutMs.
-func sendOrderHead(client *agenttest.KeptConn, length int) {
-	send(client, orderHead(timeoutMs, length))
-}
-
 // sendPartOfStreamedBody sends a request with a long body up to the middle of the body, which is streamed by then.
 func sendPartOfStreamedBody(client *agenttest.KeptConn) {
-	sendOrderHead(client, 20*message.MaxBufferedBody)
+	send(client, orderHead(timeoutMs, 20*message.MaxBufferedBody))
 	send(client, string(variedBytes(3*message.MaxBufferedBody)))
 }
 
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -90,9 +90,9 @@
 	served := 0
 	for i, status := range statuses {
 		switch got := <-status; got {
-		case 200:
+		case http.StatusOK:
 			served++
-		case 503:
+		case http.StatusServiceUnavailable:
 		default:
 			t.Errorf("connection %d: response %d", i, got)
 		}
