--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -5,7 +5,7 @@
 //   - dispatch is the event loop, which owns the policy, the requests in flight and the endpoint list;
 //   - upstream has the connections to servers and makes attempts;
 //   - discovery makes the calls for the endpoint list and for settings;
-//   - admin answers the operators;
+//   - admin serves the operators' HTTP endpoint;
 //   - config reads and checks the configuration;
 //   - message has what downstream, dispatch and upstream pass to each other; socket and keyhash are helpers;
 //   - agenttest has servers, discoveries and clients for tests.
@@ -43,7 +43,7 @@
 // Agent is one agent. Many may run in one process.
 type Agent struct {
 	cfg        *config.Config
-	ln         Listeners
+	listeners  Listeners
 	downstream *downstream.Server
 	pool       *upstream.Pool
 	loop       *dispatch.Loop
@@ -64,8 +64,8 @@
 }
 
 // Run makes an agent and runs it as Agent.Run does.
-func Run(stop context.Context, cfg *config.Config, ln Listeners, reloads <-chan *config.Config) error {
-	a, err := New(cfg, ln) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
+func Run(stop context.Context, cfg *config.Config, listeners Listeners, reloads <-chan *config.Config) error {
+	a, err := New(cfg, listeners) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
 	if err != nil {
 		return err
 	}
@@ -74,16 +74,16 @@
 
 // New makes an agent, which owns its listeners unless there is an error: a setting that the policy can't use,
 // or a listener that is shared and missing.
-func New(cfg *config.Config, ln Listeners) (*Agent, error) {
-	if ln.Clients == nil {
-		if ln.Shared {
+func New(cfg *config.Config, listeners Listeners) (*Agent, error) {
+	if listeners.Clients == nil {
+		if listeners.Shared {
 			return nil, errors.New("agent: no listener to share")
 		}
-		ln.Clients = newUnusedListener()
+		listeners.Clients = newUnusedListener()
 	}
 	a := &Agent{
 		cfg:             cfg,
-		ln:              ln,
+		listeners:       listeners,
 		pool:            upstream.NewPool(cfg),
 		loopDone:        make(chan struct{}),
 		usable:          make(chan struct{}),
@@ -100,7 +100,7 @@
 	a.loop = loop
 	a.running = running
 	a.stopLoop = stopLoop
-	a.downstream = downstream.New(running, cfg, ln.Clients, ln.Shared, loop, a.announceDrain)
+	a.downstream = downstream.New(running, cfg, listeners.Clients, listeners.Shared, loop, a.announceDrain)
 	a.killed, a.kill = context.WithCancel(context.Background())
 	return a, nil
 }
@@ -113,7 +113,7 @@
 }
 
 // Run runs the agent, once. It serves until stop is done, then shuts down gracefully, and returns nil when every
-// request that was open has been answered; after Kill it returns ErrKilled. At its return all sockets are
+// request that was open has its response; after Kill it returns ErrKilled. At its return all sockets are
 // closed. Each configuration from reloads replaces the settings, unless the discovery service has set others,
 // and the addresses of discovery; the rest of it takes effect at a start only.
 //
@@ -137,12 +137,13 @@
 	if err != nil {
 		return err
 	}
-	if a.ln.Shared {
+	if a.listeners.Shared {
 		limits.halve(a.running) // the other process is running or about to start
 	}
 	return a.shutdown(member, drainTime)
 }
 
+// newSharedLimits returns the limits that this process shares with another one of the same agent.
 func (a *Agent) newSharedLimits() *sharedLimits {
 	return &sharedLimits{
 		cfg:    a.cfg,
@@ -158,7 +159,7 @@
 	return []message.Quota{a.downstream.BodyBudget(), a.pool.BodyBudget()}
 }
 
-// shutdown ends the agent gracefully: it answers the open requests within DrainTime while it leaves the
+// shutdown ends the agent gracefully: it finishes the open requests within drainTime while it leaves the
 // membership, and stops the loop last, which the open requests need until their end.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
 	left := leaveMembership(member)
@@ -182,21 +183,12 @@
 ) (openRequestTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
-	if a.ln.Admin != nil {
-		go func() { failed <- a.admin.Serve(a.ln.Admin) }()
+	if a.listeners.Admin != nil {
+		go func() { failed <- a.admin.Serve(a.listeners.Admin) }()
 	}
-	var firstListTimer <-chan time.Time
-	if a.ln.Shared {
-		// Before the first client, so that the limits that the other process uses are left to it. There is
-		// no timer: the process that still serves knows more.
-		//nolint:contextcheck // the lock is held until the loop ends, after stop
-		if err := limits.holdLock(a.running, a.ln.Lock); err != nil {
-			return 0, fmt.Errorf("agent: %w", err)
-		}
-	} else {
-		// Until a server is known clients are answered that there is none.
-		go a.serveClients(failed)
-		firstListTimer = time.After(firstListTimeout)
+	firstListTimer, err := a.prepareAccepting(limits, failed)
+	if err != nil {
+		return 0, err
 	}
 	usable := a.usable
 	active := &activeConfig{
@@ -208,9 +200,9 @@
 	for {
 		select {
 		case <-usable:
-			// From a shared queue nothing is accepted before it can be served: the process that still serves
-			// accepts it.
-			if a.ln.Shared {
+			// From a shared queue no connection is accepted before its requests can be served: the process that
+			// still serves accepts it.
+			if a.listeners.Shared {
 				go a.serveClients(failed)
 			}
 			a.downstream.SetServing()
@@ -234,6 +226,22 @@
 	}
 }
 
+// prepareAccepting does what precedes the first usable server. The returned channel sends when the agent is to
+// say that it is ready without one; nil: never.
+func (a *Agent) prepareAccepting(limits *sharedLimits, failed chan<- error) (timeout <-chan time.Time, err error) {
+	if !a.listeners.Shared {
+		// Until a server is known, requests are rejected.
+		go a.serveClients(failed)
+		return time.After(firstListTimeout), nil
+	}
+	// The lock comes before the first client, so that the limits that the other process uses are left to it.
+	// There is no timeout: the process that still serves may know a server.
+	if err := limits.holdLock(a.running, a.listeners.Lock); err != nil {
+		return nil, fmt.Errorf("agent: %w", err)
+	}
+	return nil, nil
+}
+
 // serveClients accepts clients until their listener is closed, and sends how that ended.
 func (a *Agent) serveClients(ended chan<- error) {
 	ended <- a.downstream.Serve()
@@ -262,12 +270,12 @@
 // wait; Run returns once everything has ended. Kill may be called at any time.
 func (a *Agent) Kill() { a.kill() }
 
-// closeAll closes whatever is open and waits for the loop. Clients come first: a request that the loop's end
-// cut off must not look answered. Errors of closing sockets that are given up say nothing of use.
+// closeAll closes whatever is open and waits for the loop. Clients come first: they must get no response to a
+// request that the loop's end cut off. Errors of closing are ignored: nothing is sent on these sockets any more.
 func (a *Agent) closeAll() {
 	a.downstream.Close()
-	if a.ln.Admin != nil {
-		_ = a.ln.Admin.Close() // where it has not been served yet
+	if a.listeners.Admin != nil {
+		_ = a.listeners.Admin.Close() // where it has not been served yet
 	}
 	a.admin.Close()
 	a.stopLoop()
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -9,7 +9,7 @@
 type Listeners struct {
 	// Clients is where clients connect; nil: nowhere, while everything else of the agent runs.
 	Clients net.Listener
-	// Shared tells that other processes accept from the clients' queue too: it outlives this process.
+	// Shared tells that other processes accept from the clients' accept queue too, which outlives this process.
 	Shared bool
 	// Lock is the path of the file by which such processes find each other.
 	Lock string
@@ -25,7 +25,10 @@
 
 func newUnusedListener() unusedListener {
 	closed := make(chan struct{})
-	return unusedListener{closed, sync.OnceFunc(func() { close(closed) })}
+	return unusedListener{
+		closed: closed,
+		close:  sync.OnceFunc(func() { close(closed) }),
+	}
 }
 
 func (l unusedListener) Accept() (net.Conn, error) {
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -6,20 +6,20 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// startMembership begins to take part in the membership view, where the configuration has one; nil: it has
-// none. The event loop gets each view as a posted function; nothing in the loop waits for it.
+// startMembership joins the membership; nil: the configuration has none. Each snapshot is posted to the event
+// loop, which waits for none.
 func startMembership(cfg *config.Config, loop *dispatch.Loop) (*membership.Membership, error) {
 	if cfg.Membership == nil {
 		return nil, nil
 	}
-	own := *cfg.Membership
-	own.Log = cfg.Logger()
-	own.OnSnapshot = loop.MembershipChanged
-	return membership.Start(own)
+	settings := *cfg.Membership
+	settings.Log = cfg.Logger()
+	settings.OnSnapshot = loop.MembershipChanged
+	return membership.Start(settings)
 }
 
-// leaveMembership notifies the other agents that this process ends, beside its last requests. The returned
-// channel is closed once they are notified.
+// leaveMembership notifies the other agents that this process ends, while it finishes its last requests. The
+// returned channel is closed once they are notified.
 func leaveMembership(member *membership.Membership) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -15,13 +15,13 @@
 	cfg        *config.Config
 	downstream *downstream.Server
 	loop       *dispatch.Loop
-	drainTime  time.Duration // how long requests are finished after the end begins; see DrainTime
+	drainTime  time.Duration // how long a shutdown waits for open requests; see downstream.DrainTime
 }
 
-// settingsUpdate is settings on their way from the watch of discovery to the goroutine that applies reloads.
+// settingsUpdate passes settings from the watch of discovery to the goroutine that applies reloads.
 type settingsUpdate struct {
 	settings *endpoint.Settings
-	done     chan error // of capacity one: whoever applies the settings waits for nobody
+	done     chan error // has capacity one, so that applying the settings never blocks
 }
 
 // reload applies the configuration of a file, except for settings that the discovery service has set.
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -12,7 +12,7 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// lockPollInterval is how often a process that began beside another checks whether that has ended.
+// lockPollInterval is how often a process that was started beside another checks whether that has ended.
 const lockPollInterval = 100 * time.Millisecond
 
 // connLimiter bounds the connections of one side of the agent.
@@ -31,9 +31,9 @@
 	halved bool
 }
 
-// halve leaves this process half of the limits. What it has beyond that it gives back as it comes to an end;
-// until then nothing more is acquired. Client connections that are open are left to the draining, which closes
-// none under a request.
+// halve leaves this process half of the limits. What it has acquired beyond that it releases as its use ends;
+// until then nothing more is acquired. Client connections that are open are left to the drain, which closes none
+// that has an open request.
 func (s *sharedLimits) halve(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,13 +41,13 @@
 		return
 	}
 	s.halved = true
-	for _, q := range s.quotas {
-		if !q.TryAcquire(q.Size / 2) {
+	for _, quota := range s.quotas {
+		if !quota.TryAcquire(quota.Size / 2) {
 			// An error is the end of the process, which needs no full limits.
-			go func() { _ = q.Acquire(ctx, q.Size/2) }()
+			go func() { _ = quota.Acquire(ctx, quota.Size/2) }()
 		}
 	}
-	s.applyFraction(2)
+	s.divide(2)
 }
 
 // restore gives this process all of the limits again.
@@ -59,14 +59,14 @@
 	}
 	s.halved = false
 	s.conns.SetConnLimit(s.cfg.ClientConns())
-	for _, q := range s.quotas {
-		q.Release(q.Size / 2)
+	for _, quota := range s.quotas {
+		quota.Release(quota.Size / 2)
 	}
-	s.applyFraction(1)
+	s.divide(1)
 }
 
-// applyFraction divides the limits that are no quotas among so many processes.
-func (s *sharedLimits) applyFraction(processes int) {
+// divide divides the limits that are not quotas among that many processes.
+func (s *sharedLimits) divide(processes int) {
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
 	}
@@ -74,8 +74,8 @@
 	s.admin.SetConnLimit(s.cfg.AdminConns(processes))
 }
 
-// holdLock holds the lock file until ctx is done. While another process has it this one has half of the limits.
-// However a holder ends, the kernel releases its lock.
+// holdLock locks the file until ctx is done. While another process has it locked this one has half of the limits.
+// However a process ends, the kernel releases its lock.
 func (s *sharedLimits) holdLock(ctx context.Context, path string) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// awaitLock waits for the end of the other process and restores the limits; false: ctx ended before.
+// awaitLock waits for the end of the other process and restores the limits; false: ctx was done before that.
 func (s *sharedLimits) awaitLock(ctx context.Context, file *os.File) bool {
 	poll := time.NewTicker(lockPollInterval)
 	defer poll.Stop()
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -18,8 +18,8 @@
 func (a *Agent) Status() Status {
 	status := Status{LoopStatus: a.loop.Status()}
 	if member := a.membership.Load(); member != nil {
-		fleet := member.Status(math.MaxUint64)
-		status.Membership = &fleet
+		view := member.Status(math.MaxUint64)
+		status.Membership = &view
 	}
 	return status
 }
