--- a/internal/agent/client_close_races_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -29,10 +29,11 @@
 	release := agent.blockLoop()
 	close(respond)
 	agenttest.WaitUntil(t, "the end of the attempt is posted to the loop", func() bool { return agent.loop.Backlog() > 0 })
-	agent.loop.Post(func() { // time for an attempt to begin before the loop handles the close
+	const retryTime = 200 * time.Millisecond // enough for a retry to arrive before the loop handles the close
+	agent.loop.Post(func() {
 		select {
 		case <-arrived:
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(retryTime):
 		}
 	})
 	_ = client.Close()
@@ -133,11 +134,7 @@
 	<-arrived
 	cancel()
 	<-failed
-	select {
-	case <-server.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Fatal("the attempt goes on")
-	}
+	waitConnEnded(t, server)
 	if metrics := agent.metricsNow(); metrics.ClientsGone != 1 || metrics.Backstops != 0 {
 		t.Errorf("metrics %+v", metrics)
 	}
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -31,11 +31,7 @@
 		return n > 0
 	})
 	agent.wantOrderStatus(http.StatusOK)
-	select {
-	case <-server.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Fatal("the server did not close")
-	}
+	waitConnEnded(t, server)
 	agent.wantOrderStatus(http.StatusOK)
 	if server.Count() != 2 {
 		t.Errorf("%d arrivals, want 2", server.Count())
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -34,11 +34,7 @@
 	if old.Count() != before || other.Count() < 8 {
 		t.Errorf("%d arrivals after the notification, %d elsewhere", old.Count()-before, other.Count())
 	}
-	select { // its idle connection is closed
-	case <-old.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Error("the idle connection to the draining server stays open")
-	}
+	waitConnEnded(t, old) // the idle one
 }
 
 func TestAddressChange(t *testing.T) {
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -91,9 +91,10 @@
 // half a second after its timeout.
 func TestUnrelatedFaultsCostNoRequestItsResponse(t *testing.T) {
 	const (
-		timeout  = 1500 * time.Millisecond
-		requests = 12 // of each class
-		interval = 20 * time.Millisecond
+		timeout    = 1500 * time.Millisecond
+		requests   = 12 // of each class
+		interval   = 20 * time.Millisecond
+		crashDelay = 100 * time.Millisecond
 	)
 	for name, fault := range serverFaults {
 		t.Run(name, func(t *testing.T) {
@@ -101,7 +102,7 @@
 			bad, good := agenttest.NewServer(t, fault), agenttest.NewServer(t, agenttest.RespondOK)
 			agent := startAgent(t, listing(t, bad.Addr, good.Addr), nil)
 			if name == crashFault {
-				time.AfterFunc(100*time.Millisecond, func() { _ = bad.Ln.Close() })
+				time.AfterFunc(crashDelay, func() { _ = bad.Ln.Close() })
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var badClients, goodClients sync.WaitGroup
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -228,6 +228,16 @@
 	})
 }
 
+// waitConnEnded waits until a connection of a server has ended.
+func waitConnEnded(t *testing.T, server *agenttest.Server) {
+	t.Helper()
+	select {
+	case <-server.Ended:
+	case <-time.After(agenttest.Timeout):
+		t.Fatal("a connection to the server stays open")
+	}
+}
+
 // logLines makes the agent pass its log lines to the test, as text.
 func (agent *testAgent) logLines() <-chan string {
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -215,12 +215,12 @@
 			}
 			defer func() { _ = resp.Body.Close() }()
 			body, _ := io.ReadAll(resp.Body)
-			if resp.StatusCode < 400 && !strings.Contains(string(body), "/api/a") {
+			if resp.StatusCode < http.StatusBadRequest && !strings.Contains(string(body), "/api/a") {
 				t.Errorf("response %d with %q", resp.StatusCode, body)
 			}
 		})
 	}
-	if n := server.Count(); n > 1 {
-		t.Errorf("%d arrivals", n)
+	if arrivals := server.Count(); arrivals > 1 {
+		t.Errorf("%d arrivals", arrivals)
 	}
 }
--- a/internal/agent/local_shortage_test.go
+++ b/internal/agent/local_shortage_test.go
@@ -23,9 +23,10 @@
 	}
 	var connects atomic.Int64
 	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-		n := int(connects.Add(1)) - 1 // each of the errors twice
-		if n < 2*len(agenttest.LocalErrnos) {
-			return nil, agenttest.ConnectError(agenttest.LocalErrnos[n%len(agenttest.LocalErrnos)])
+		errnos := agenttest.LocalErrnos
+		earlier := int(connects.Add(1)) - 1
+		if earlier < 2*len(errnos) { // each of the errors twice
+			return nil, agenttest.ConnectError(errnos[earlier%len(errnos)])
 		}
 		return upstream.DialTCP(ctx, addr, until)
 	}
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -179,11 +179,7 @@
 	if took := time.Since(start); took < 400*time.Millisecond {
 		t.Errorf("gave up after %v", took)
 	}
-	select {
-	case <-server.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Error("the connection stays open")
-	}
+	waitConnEnded(t, server)
 	if server.Count() != 1 {
 		t.Errorf("%d arrivals, want 1", server.Count())
 	}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -30,7 +30,7 @@
 }
 
 // A connection that waits to be accepted when the shutdown closes the listener has arrived: its request must
-// be answered, also where there was no slot for it until then.
+// have a response, also where there was no slot for it until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
 	agent, _ := startWithServer(t, agenttest.RespondOK)
@@ -103,7 +103,7 @@
 }
 
 // A connection that never sent a request is closed before the process may be killed: a request on it could
-// come too late to be answered.
+// come too late for a response.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
