--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -2,188 +2,154 @@
 
 import (
 	"bufio"
-	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
-	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/message"
-	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 const (
-	longTimeoutMs = 30_000 // longer than any of these tests waits for an answer
-	readRequest   = "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 30000\r\n\r\n"
+	longTimeoutMs = 30_000 // longer than any of these tests waits for a response
+	// closeArrivalTime is when a client's FIN or reset has long arrived.
+	closeArrivalTime = 50 * time.Millisecond
+	// reconnectTime is when a connect that found the accept queue full has tried again: it does after 1 s.
+	reconnectTime = 2500 * time.Millisecond
+	// longConnectTimeoutMs is longer than any connect of these tests waits.
+	longConnectTimeoutMs = 10_000
+	// initialConcurrency is a lone agent's concurrency limit at a server without measurements.
+	initialConcurrency = 8
 )
 
+// readRequest is a request of the class read with a long timeout.
+var readRequest = agenttest.RequestText(1, longTimeoutMs)
+
+// halfClose ends only the client's side: it may still read.
+const halfClose = "half-close"
+
 // clientCloses are the ways in which a client ends its connection.
 var clientCloses = map[string]func(*net.TCPConn) error{
-	"close":      (*net.TCPConn).Close,
-	"half-close": (*net.TCPConn).CloseWrite,
-	"reset": func(c *net.TCPConn) error {
-		if err := c.SetLinger(0); err != nil {
+	"close":   (*net.TCPConn).Close,
+	halfClose: (*net.TCPConn).CloseWrite,
+	"reset": func(conn *net.TCPConn) error {
+		if err := conn.SetLinger(0); err != nil {
 			return err
 		}
-		return c.Close()
+		return conn.Close()
 	},
 }
 
 // closeMoment is an agent in the state in which a client ends its connection.
 type closeMoment struct {
-	agent    *testAgent
-	requests string      // what the client has sent by then
-	reached  func() bool // tells whether the moment is there
-	proceed  func()      // lets go on whatever waited for the close
-	begun    func() int  // requests that have begun to arrive at backends
-	allowed  int         // how many of those began before the close
-	answers  int         // final answers that a client which still reads is owed
-}
-
-// blockedServer blocks each request until release is called.
-func blockedServer(t *testing.T, answer func(net.Conn, *http.Request, int) bool) (b *agenttest.Server, release func()) {
-	held := make(chan struct{})
-	b = agenttest.NewServer(t, func(c net.Conn, req *http.Request, n int) bool {
-		<-held
-		return answer(c, req, n)
-	})
-	release = sync.OnceFunc(func() { close(held) })
-	t.Cleanup(release)
-	return b, release
-}
-
-func respondOverloaded(c net.Conn, _ *http.Request, _ int) bool {
-	return agenttest.SendResponse(c, 503, "Not-Started: 1\r\n", "")
+	agent     *testAgent
+	requests  string      // what the client has sent by then
+	reached   func() bool // tells whether the agent is in that state
+	proceed   func()      // unblocks what waited for the close
+	begun     func() int  // requests that have begun to arrive at servers
+	allowed   int         // how many of those began before the close
+	responses int         // final responses that a client which still reads has to get
 }
 
 // closeAtServer closes while a server works on the request.
 func closeAtServer(t *testing.T) closeMoment {
-	b, release := blockedServer(t, agenttest.RespondOK)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return b.Count() == 1 },
-		proceed: release, begun: b.StartedCount, allowed: 1, answers: 1}
+	t.Helper()
+	server, release := blockedServer(t, agenttest.RespondOK)
+	agent := startAgent(t, listing(t, server.Addr), nil)
+	return closeMoment{
+		agent:     agent,
+		requests:  readRequest,
+		reached:   func() bool { return server.Count() == 1 },
+		proceed:   release,
+		begun:     server.StartedCount,
+		allowed:   1,
+		responses: 1,
+	}
 }
 
 // closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
 func closeBeforeRetry(t *testing.T) closeMoment {
+	t.Helper()
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr)), nil)
+	agent := startAgent(t, listing(t, first.Addr, second.Addr), nil)
 	begun := func() int { return first.StartedCount() + second.StartedCount() }
-	return closeMoment{agent: a, requests: readRequest, reached: func() bool { return begun() == 1 },
-		proceed: func() { release(); releaseSecond() }, begun: begun, allowed: 1, answers: 1}
+	return closeMoment{
+		agent:    agent,
+		requests: readRequest,
+		reached:  func() bool { return begun() == 1 },
+		proceed: func() {
+			release()
+			releaseSecond()
+		},
+		begun:     begun,
+		allowed:   1,
+		responses: 1,
+	}
 }
 
 // closeWhileQueued closes while the request is queued in the agent for its only server.
-func closeWhileQueued(t *testing.T) closeMoment { return queuedBehind(t, agenttest.RespondOK) }
+func closeWhileQueued(t *testing.T) closeMoment {
+	t.Helper()
+	return queuedBehind(t, agenttest.RespondOK)
+}
 
 // queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
-func queuedBehind(t *testing.T, answer func(net.Conn, *http.Request, int) bool) closeMoment {
-	b, release := blockedServer(t, answer)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	const room = 8 // the concurrency limit of a server without measurements
-	for range room {
-		fmt.Fprint(a.dialKept(), readRequest)
+func queuedBehind(t *testing.T, respond responder) closeMoment {
+	t.Helper()
+	server, release := blockedServer(t, respond)
+	agent := startAgent(t, listing(t, server.Addr), nil)
+	for range initialConcurrency {
+		send(agent.dialKept(), readRequest)
 	}
-	agenttest.WaitUntil(t, "all room is taken", func() bool { return b.Count() == room })
-	queued := func() bool { return a.statsNow().Policy.Queued == 1 }
-	return closeMoment{agent: a, requests: readRequest, reached: queued, proceed: release,
-		begun: b.StartedCount, allowed: room, answers: 1}
-}
-
-// closeWhileConnecting closes while the connection to the server is not established.
-func closeWhileConnecting(t *testing.T) closeMoment {
-	ln := fullListener(t)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", ln.Addr().String())), func(c *config.Config) {
-		c.Settings.Limits.ConnectTimeoutMs = 10_000
+	agenttest.WaitUntil(t, "the server's concurrency limit is reached", func() bool {
+		return server.Count() == initialConcurrency
 	})
-	var mu sync.Mutex
-	arrived := 0
-	accept := func() {
-		go func() {
-			for {
-				c, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				go func() {
-					defer c.Close()
-					if n, _ := c.Read(make([]byte, 1)); n > 0 {
-						mu.Lock()
-						arrived++
-						mu.Unlock()
-					}
-				}()
-			}
-		}()
-		time.Sleep(2500 * time.Millisecond) // a connect that goes on is tried again after 1 s
+	return closeMoment{
+		agent:     agent,
+		requests:  readRequest,
+		reached:   func() bool { return agent.statsNow().Policy.Queued == 1 },
+		proceed:   release,
+		begun:     server.StartedCount,
+		allowed:   initialConcurrency,
+		responses: 1,
 	}
-	return closeMoment{agent: a, requests: readRequest, proceed: accept, answers: 1,
-		reached: func() bool { return a.agent.pool.ConnectCount() == 1 },
-		begun: func() int {
-			mu.Lock()
-			defer mu.Unlock()
-			return arrived
-		}}
 }
 
-// blockedConn is a kept connection that looks open and is found broken at its first write, which blocks until
-// blockedConn is a connection to a server. Once it is armed a write waits until the test lets it fail.
-type blockedConn struct {
-	net.Conn
-	armed            atomic.Bool
-	writing, proceed chan struct{}
-}
-
-func (c *blockedConn) Write(p []byte) (int, error) {
-	if !c.armed.Load() {
-		return c.Conn.Write(p)
-	}
-	close(c.writing)
-	<-c.proceed
-	return 0, syscall.EPIPE
-}
-
-// startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
-// blocks the next one. That request is not counted by the server's arrivals and heads.
-func startWithBlockedConn(t *testing.T, b *agenttest.Server) (*testAgent, *blockedConn) {
+// closeWhileConnecting closes while the connection to the server is not established.
+func closeWhileConnecting(t *testing.T) closeMoment {
 	t.Helper()
-	blocked := &blockedConn{writing: make(chan struct{}), proceed: make(chan struct{})}
-	var dials atomic.Int64
-	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-		nc, err := upstream.DialTCP(ctx, addr, until)
-		if err != nil || dials.Add(1) > 1 {
-			return nc, err
-		}
-		blocked.Conn = nc
-		return blocked, nil
+	listener := fullListener(t)
+	agent := startAgent(t, listing(t, listener.Addr().String()), withLongConnectTimeout)
+	var arrived atomic.Int64
+	return closeMoment{
+		agent:    agent,
+		requests: readRequest,
+		reached:  func() bool { return agent.pool.ConnectCount() == 1 },
+		proceed: func() {
+			go acceptAll(listener, func(conn net.Conn) {
+				if n, _ := conn.Read(make([]byte, 1)); n > 0 {
+					arrived.Add(1)
+				}
+			})
+			time.Sleep(reconnectTime)
+		},
+		begun:     func() int { return int(arrived.Load()) },
+		responses: 1,
 	}
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), func(cfg *config.Config) { cfg.Dial = dial })
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-	agenttest.WantStatus(t, status, http.StatusOK)
-	time.Sleep(restTime)
-	blocked.armed.Store(true)
-	b.Forget()
-	return a, blocked
 }
 
-// restTime is well over the time that a connection rests before it carries another message.
-const restTime = 100 * time.Millisecond
-
 // closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
-// which the agent would open another. The byte behind the request hides the close from the server's own
-// check.
+// which the agent would open another. The byte behind the request hides the close from net/http, which reads
+// one byte in the background.
 func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
-	b := agenttest.NewServer(t, agenttest.RespondOK)
-	a, broken := startWithBlockedConn(t, b)
+	t.Helper()
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	agent, broken := startWithBlockedConn(t, server)
 	reached := func() bool {
 		select {
 		case <-broken.writing:
@@ -192,34 +158,53 @@
 			return false
 		}
 	}
-	return closeMoment{agent: a, requests: readRequest + "X", reached: reached,
-		proceed: func() { close(broken.proceed) }, begun: b.StartedCount, answers: 1}
+	return closeMoment{
+		agent:     agent,
+		requests:  readRequest + "X",
+		reached:   reached,
+		proceed:   func() { close(broken.proceed) },
+		begun:     server.StartedCount,
+		responses: 1,
+	}
 }
 
 // closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
-	b, release := blockedServer(t, agenttest.RespondOK)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	return closeMoment{agent: a, requests: readRequest + readRequest, reached: func() bool { return b.Count() == 1 },
-		proceed: release, begun: b.StartedCount, allowed: 1, answers: 2}
+	t.Helper()
+	server, release := blockedServer(t, agenttest.RespondOK)
+	agent := startAgent(t, listing(t, server.Addr), nil)
+	return closeMoment{
+		agent:     agent,
+		requests:  readRequest + readRequest,
+		reached:   func() bool { return server.Count() == 1 },
+		proceed:   release,
+		begun:     server.StartedCount,
+		allowed:   1,
+		responses: 2,
+	}
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
 func closeInLongBody(t *testing.T) closeMoment {
-	b := agenttest.NewServer(t, hashResponder)
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", b.Addr)), nil)
-	head := fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
-		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", longTimeoutMs, 4*message.MaxBufferedBody)
-	// Its head may have begun to arrive, its end can't: none counts as a request.
-	return closeMoment{agent: a, requests: head + strings.Repeat("x", 2*message.MaxBufferedBody),
-		reached: func() bool { return b.StartedCount() == 1 }, proceed: func() {}, begun: b.Count, answers: 1}
+	t.Helper()
+	server := agenttest.NewServer(t, hashResponder)
+	agent := startAgent(t, listing(t, server.Addr), nil)
+	head := orderHead(longTimeoutMs, 4*message.MaxBufferedBody)
+	return closeMoment{
+		agent:     agent,
+		requests:  head + strings.Repeat("x", 2*message.MaxBufferedBody),
+		reached:   func() bool { return server.StartedCount() == 1 },
+		proceed:   func() {},
+		begun:     server.Count, // of complete requests: the head may have arrived
+		responses: 1,
+	}
 }
 
 // A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
 // side may still read: it must get a final response, a server's or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
 	moments := map[string]func(*testing.T) closeMoment{
-		"at a backend":                      closeAtServer,
+		"at a server":                       closeAtServer,
 		"before a retry":                    closeBeforeRetry,
 		"queued":                            closeWhileQueued,
 		"connecting":                        closeWhileConnecting,
@@ -228,49 +213,48 @@
 		"in a long body":                    closeInLongBody,
 	}
 	for name, arrange := range moments {
-		for way, end := range clientCloses {
-			t.Run(name+"/"+way, func(t *testing.T) {
+		for closeName, endConnection := range clientCloses {
+			t.Run(name+"/"+closeName, func(t *testing.T) {
 				t.Parallel()
-				m := arrange(t)
-				client := m.agent.dialKept()
-				fmt.Fprint(client, m.requests)
-				agenttest.WaitUntil(t, "the moment has come", m.reached)
-				if err := end(client.Conn.(*net.TCPConn)); err != nil {
+				moment := arrange(t)
+				client := moment.agent.dialKept()
+				send(client, moment.requests)
+				agenttest.WaitUntil(t, "the moment is reached", moment.reached)
+				if err := endConnection(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(50 * time.Millisecond) // its FIN or reset has long arrived
-				m.proceed()
-				if way == "half-close" {
-					wantFinalResponses(t, client.Br, m.answers)
+				time.Sleep(closeArrivalTime)
+				moment.proceed()
+				if closeName == halfClose {
+					wantFinalResponses(t, client.Br, moment.responses)
 				}
 				agenttest.WaitUntil(t, "the connection has ended", func() bool {
-					return m.agent.statsNow().Open == 0
+					return moment.agent.statsNow().Open == 0
 				})
-				if begun := m.begun(); begun != m.allowed {
-					t.Errorf("%d attempts begun, want %d", begun, m.allowed)
-				}
-				if f := m.agent.metricsNow(); f.Violations+f.Backstops > 0 {
-					t.Errorf("figures %+v", f)
+				if begun := moment.begun(); begun != moment.allowed {
+					t.Errorf("%d attempts begun, want %d", begun, moment.allowed)
 				}
+				moment.agent.wantNoGuardActed()
 			})
 		}
 	}
 }
 
-// wantFinalAnswers reads one final response for each request: a server's, or an error.
-func wantFinalResponses(t *testing.T, br *bufio.Reader, want int) {
+// wantFinalResponses reads one final response for each request: a server's, or an error.
+func wantFinalResponses(t *testing.T, reader *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
-		resp, err := http.ReadResponse(br, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("answer %d of %d: %v", i+1, want, err)
+			t.Fatalf("response %d of %d: %v", i+1, want, err)
 		}
 		body, err := io.ReadAll(resp.Body)
+		_ = resp.Body.Close()
 		if err != nil {
-			t.Fatalf("answer %d of %d: %v", i+1, want, err)
+			t.Fatalf("response %d of %d: %v", i+1, want, err)
 		}
 		if resp.StatusCode == http.StatusOK && len(body) == 0 {
-			t.Errorf("answer %d of %d: 200 that no backend gave", i+1, want)
+			t.Errorf("response %d of %d: 200 that no server sent", i+1, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/agent/descriptor_limit_test.go
@@ -0,0 +1,77 @@
+package agent
+
+import (
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
+)
+
+// startSmallAgent starts an agent with the fewest descriptors that may be configured.
+func startSmallAgent(t *testing.T) (agent *testAgent, maxConns int) {
+	t.Helper()
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	agent = startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
+	return agent, agent.cfg.ClientConns()
+}
+
+// The first request on a new connection has a response, whatever the agent does with others just then to keep
+// within its descriptors.
+func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
+	sends := func(text string) func(*testing.T, *agenttest.KeptConn) {
+		return func(t *testing.T, client *agenttest.KeptConn) {
+			t.Helper()
+			send(client, text)
+		}
+	}
+	for name, use := range map[string]func(t *testing.T, client *agenttest.KeptConn){
+		"all connections are idle": func(t *testing.T, client *agenttest.KeptConn) {
+			t.Helper()
+			client.RequestReady(t)
+		},
+		"all connections are silent":       sends(""),
+		"all connections have half a head": sends("GET /api/a HTTP/1.1\r\n"),
+		"all connections have half a body": sends(strings.TrimSuffix(timedRequest(60_000, "xy"), "y")),
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			agent, maxConns := startSmallAgent(t)
+			for range maxConns {
+				use(t, agent.dialKept())
+			}
+			var clients sync.WaitGroup
+			for range 8 {
+				clients.Add(1)
+				go func() {
+					defer clients.Done()
+					client := agent.dialKept()
+					send(client, timedRequest(longTimeoutMs, "x"))
+					if status := client.Status(); status != http.StatusOK && status != http.StatusServiceUnavailable {
+						t.Errorf("response %d", status)
+					}
+				}()
+			}
+			clients.Wait()
+		})
+	}
+}
+
+// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
+// can use up the descriptors.
+func TestDescriptorLimit(t *testing.T) {
+	release := make(chan struct{})
+	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		<-release
+		return agenttest.RespondOK(conn, req, n)
+	})
+	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = config.MinSockets })
+	for range 2 * agent.cfg.ClientConns() {
+		agent.dialKept().RequestReady(t) // stays connected and idle
+	}
+	close(release)
+	agent.wantOrderStatus(http.StatusOK)
+}
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -1,48 +1,49 @@
 package agent
 
 import (
+	"fmt"
+	"net/http"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
+// firstServerIn is the entry of the server s-1 in a state.
+func firstServerIn(state endpoint.State, addr string) endpoint.Endpoint {
+	entry := agenttest.Endpoint("s-1", addr)
+	entry.State = state
+	return entry
+}
+
 func TestDrain(t *testing.T) {
 	old, other := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
-	a := startAgent(t, d, nil)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-	agenttest.WantStatus(t, status, 200)
-	d.Set(agenttest.Endpoint("s-2", other.Addr))
-	drains := agenttest.Endpoint("s-1", old.Addr)
-	drains.State = "draining"
-	d.WaitNotified(t, drains)
+	discovery := listing(t, old.Addr)
+	agent := startAgent(t, discovery, nil)
+	agent.wantOrderStatus(http.StatusOK)
+	discovery.Set(agenttest.Endpoint("s-2", other.Addr))
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateDraining, old.Addr))
 	before := old.Count()
 	for range 8 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-		agenttest.WantStatus(t, status, 200)
+		agent.wantOrderStatus(http.StatusOK)
 	}
 	if old.Count() != before || other.Count() < 8 {
-		t.Errorf("%d arrivals after the telling, %d elsewhere", old.Count()-before, other.Count())
-	}
-	select { // its idle connection is closed
-	case <-old.Ended:
-	case <-time.After(agenttest.Timeout):
-		t.Error("the idle connection to the draining backend stays open")
+		t.Errorf("%d arrivals after the notification, %d elsewhere", old.Count()-before, other.Count())
 	}
+	waitConnEnded(t, old) // the idle one
 }
 
 func TestAddressChange(t *testing.T) {
 	old, moved := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", old.Addr))
-	a := startAgent(t, d, nil)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-	agenttest.WantStatus(t, status, 200)
-	d.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
-	status, _, _ = a.do(agenttest.NewRequest(a.addr, "order", "x"))
-	agenttest.WantStatus(t, status, 200)
+	discovery := listing(t, old.Addr)
+	agent := startAgent(t, discovery, nil)
+	agent.wantOrderStatus(http.StatusOK)
+	discovery.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
+	agent.wantOrderStatus(http.StatusOK)
 	if old.Count() != 1 || moved.Count() != 1 {
 		t.Errorf("%d arrivals at the old address, %d at the new", old.Count(), moved.Count())
 	}
@@ -51,85 +52,113 @@
 // While discovery is down the known list stays in force and the calls are few; when it is back the agent gets
 // what has changed.
 func TestDiscoveryOutage(t *testing.T) {
+	const requestInterval = 5 * time.Millisecond
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-	a := startAgent(t, d, nil)
-	d.WaitVersion(t, 1)
-	d.SetDown(true)
-	before := d.CallCount()
-	for d.CallCount() == before { // the policy asks for the list again, after a time of its choice
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-		agenttest.WantStatus(t, status, 200)
-		time.Sleep(5 * time.Millisecond)
+	discovery := listing(t, first.Addr)
+	agent := startAgent(t, discovery, nil)
+	discovery.WaitVersion(t, 1)
+	discovery.SetDown(true)
+	before := discovery.CallCount()
+	for discovery.CallCount() == before { // until the policy polls again, after a time of its choice
+		agent.wantOrderStatus(http.StatusOK)
+		time.Sleep(requestInterval)
 	}
-	if n := d.CallCount() - before; n > 4 {
-		t.Errorf("%d calls at once to a discovery that is down", n)
+	if calls := discovery.CallCount() - before; calls > 4 {
+		t.Errorf("%d calls at once to a discovery that is down", calls)
 	}
-	d.SetDown(false)
-	gone := agenttest.Endpoint("s-1", first.Addr)
-	gone.State = "removed"
-	d.Set(agenttest.Endpoint("s-2", second.Addr))
-	d.WaitNotified(t, gone)
-	status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-	agenttest.WantStatus(t, status, 200)
+	discovery.SetDown(false)
+	discovery.Set(agenttest.Endpoint("s-2", second.Addr))
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
+	agent.wantOrderStatus(http.StatusOK)
 	if second.Count() == 0 {
-		t.Error("the new backend is not used")
+		t.Error("the new server is not used")
 	}
 }
 
-// Where changes of the list are pushed the policy asks for nothing: the agent keeps a watch by itself from
+// Where changes of the list are pushed the policy does not poll: the agent keeps a watch by itself from
 // its start, and reopens it after failures.
 func TestPushedChangesAreWatchedFor(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	d := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-	a := startAgent(t, d, func(c *config.Config) { c.Settings.DiscoveryMode = "pushed" })
-	d.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
-	d.SetDown(true)
-	for before := d.CallCount(); d.CallCount() < before+2; time.Sleep(time.Millisecond) {
-	}
-	d.SetDown(false)
-	gone := agenttest.Endpoint("s-1", first.Addr)
-	gone.State = "removed"
-	d.WaitNotified(t, gone)
+	discovery := listing(t, first.Addr)
+	agent := startAgent(t, discovery, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = "pushed" })
+	discovery.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
+	discovery.SetDown(true)
+	outage := discovery.CallCount()
+	agenttest.WaitUntil(t, "two more calls", func() bool { return discovery.CallCount() >= outage+2 })
+	discovery.SetDown(false)
+	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
 	before := first.Count()
 	for range 4 {
-		status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-		agenttest.WantStatus(t, status, 200)
+		agent.wantOrderStatus(http.StatusOK)
 	}
 	if first.Count() != before || second.Count() < 4 {
-		t.Errorf("%d arrivals at the one that is gone, %d at the other", first.Count()-before, second.Count())
+		t.Errorf("%d arrivals at the removed server, %d at the other", first.Count()-before, second.Count())
 	}
 }
 
-// After a reload the list is watched at the new address, whichever side asks for the watch, and the old one
+// After a reload the list is watched at the new address, whichever side begins the watch, and the old one
 // gets no more calls.
 func TestReloadMovesDiscovery(t *testing.T) {
 	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
 		t.Run(string(mode), func(t *testing.T) {
 			first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-			old := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr))
-			a := startAgent(t, old, func(c *config.Config) { c.Settings.DiscoveryMode = mode })
+			old := listing(t, first.Addr)
+			agent := startAgent(t, old, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = mode })
 			old.WaitVersion(t, 1)
-			moved := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", first.Addr), agenttest.Endpoint("s-2", second.Addr))
+			moved := listing(t, first.Addr, second.Addr)
 			moved.List.Version = 7
-			cfg := *a.agent.cfg
+			cfg := *agent.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
-			a.reloads <- &cfg
+			agent.reloads <- &cfg
 			moved.WaitVersion(t, 7)
 			before := old.CallCount()
-			gone := agenttest.Endpoint("s-1", first.Addr)
-			gone.State = "removed"
-			moved.WaitNotified(t, gone)
+			moved.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
 			for range 4 {
-				status, _, _ := a.do(agenttest.NewRequest(a.addr, "order", "x"))
-				agenttest.WantStatus(t, status, 200)
+				agent.wantOrderStatus(http.StatusOK)
 			}
 			if first.Count() != 0 || second.Count() < 4 {
-				t.Errorf("%d arrivals at the one that is gone, %d at the other", first.Count(), second.Count())
+				t.Errorf("%d arrivals at the removed server, %d at the other", first.Count(), second.Count())
 			}
-			if n := old.CallCount() - before; n != 0 {
-				t.Errorf("%d calls at the old address", n)
+			if calls := old.CallCount() - before; calls != 0 {
+				t.Errorf("%d calls at the old address", calls)
 			}
 		})
 	}
 }
+
+// A process that knows no server, of a discovery that is silent, is ready in time all the same: its requests
+// are rejected within their timeouts, and served once there is a list. The admin endpoint says that it serves
+// only then.
+func TestReadyWithoutAnEndpointList(t *testing.T) {
+	t.Parallel()
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	var reachable atomic.Bool
+	addr, _ := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
+		if !reachable.Load() {
+			return ""
+		}
+		return fmt.Sprintf(
+			`{"version":3,"full":true,"servers":[{"id":"s-1","addr":%q,"state":"up","weight":1}]}`, server.Addr)
+	})
+	start := time.Now()
+	agent := startAgent(t, agenttest.NewDiscovery(t), func(cfg *config.Config) {
+		cfg.Discovery = addr
+		cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed
+	})
+	if took := time.Since(start); took > 10*time.Second {
+		t.Errorf("ready after %v", took)
+	}
+	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusServiceUnavailable)
+	req := agenttest.NewRequest(agent.addr, "order", "x")
+	req.Header.Set("Request-Timeout-Ms", "500")
+	status, _, _ := agent.do(req)
+	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
+	reachable.Store(true)
+	agenttest.WaitUntil(t, "a request is served", func() bool {
+		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+		return status == http.StatusOK
+	})
+	agenttest.WaitUntil(t, "the admin endpoint says that it serves", func() bool {
+		return agent.adminCall("GET", "/ops/readiness") == http.StatusOK
+	})
+}
--- /dev/null
+++ b/internal/agent/request_outcome_test.go
@@ -0,0 +1,186 @@
+package agent
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/message"
+	"fernbeam.example/fernbeam/internal/agent/upstream"
+)
+
+func TestServed(t *testing.T) {
+	var mu sync.Mutex
+	var received http.Header
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		mu.Lock()
+		received = req.Header.Clone()
+		mu.Unlock()
+		return agenttest.RespondOK(conn, req, n)
+	})
+	req := agenttest.NewRequest(agent.addr, "send", "hello")
+	req.URL.RawQuery = "a=1&b=%20"
+	// A Connection header can't remove the headers that identify a request.
+	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
+	req.Header.Set("X-Hop", "1")
+	status, header, body := agent.do(req)
+	agenttest.WantStatus(t, status, http.StatusOK)
+	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
+		t.Errorf("body %q, want %q", body, want)
+	}
+	if header.Get("Content-Length") != fmt.Sprint(len(body)) {
+		t.Errorf("Content-Length %q", header.Get("Content-Length"))
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if received.Get("Request-Id") != "1" || received.Get("Idempotency-Key") != "k1" || received.Get("X-Hop") != "" {
+		t.Errorf("the server received %v", received)
+	}
+	timeoutMs, err := strconv.Atoi(received.Get("Request-Timeout-Ms"))
+	if err != nil || timeoutMs < 1 || timeoutMs > 4000 {
+		t.Errorf("the server received a timeout of %q ms", received.Get("Request-Timeout-Ms"))
+	}
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
+	}
+}
+
+// outcome is what becomes of a request whose server responds in some way.
+type outcome struct {
+	name     string
+	class    string
+	respond  responder
+	status   int // of the response to the client
+	arrivals int // at the server
+}
+
+// The ends of an attempt: the client's response, and how often the server saw the request.
+func TestOutcomes(t *testing.T) {
+	// The request may have executed and is non-idempotent: it fails after one attempt.
+	mayHaveRun := func(name string, respond responder) outcome {
+		return outcome{name + " may have run", "order", respond, http.StatusBadGateway, 1}
+	}
+	const (
+		headWithLength = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
+		headOfChunks   = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+		headToClose    = "HTTP/1.1 200 OK\r\n\r\n"
+		twoFramings    = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
+		notStarted     = "Not-Started: 1\r\n"
+	)
+	endlessHead := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*upstream.MaxResponseHead)
+	longBody := strings.Repeat("x", 40*message.MaxBufferedBody)
+	for _, test := range []outcome{
+		mayHaveRun("500", responds(http.StatusInternalServerError, "", "")),
+		mayHaveRun("503 without proof", responds(http.StatusServiceUnavailable, "", "")),
+		mayHaveRun("reset after the last byte", resets("")),
+		mayHaveRun("close after the last byte", respondsText("", false)),
+		mayHaveRun("broken body", respondsText(headWithLength+"half", false)),
+		mayHaveRun("broken chunk", respondsText(headOfChunks+"5\r\nhel", false)),
+		{
+			"a response may end with its connection", "order",
+			respondsText(headToClose+"complete", false), http.StatusOK, 1,
+		},
+		mayHaveRun("a response cut off by a reset", resets(headToClose+"half")),
+		mayHaveRun("two framings at once", respondsText(twoFramings, true)),
+		mayHaveRun("an endless head", respondsText(endlessHead, true)),
+		{
+			"what is no HTTP is not waited for", "order",
+			respondsText("\x00\x01 no end of line", true), http.StatusBadGateway, 1,
+		},
+		mayHaveRun("unreadable head", respondsText("nonsense\r\n\r\n", true)),
+		{
+			"a long response is streamed", "order",
+			responds(http.StatusOK, "", longBody), http.StatusOK, 1,
+		},
+		{
+			"503 with proof never ran", "order",
+			responds(http.StatusServiceUnavailable, notStarted, ""), http.StatusServiceUnavailable, 3,
+		},
+		{
+			"504 with proof never ran", "order",
+			responds(http.StatusGatewayTimeout, notStarted, ""), http.StatusServiceUnavailable, 3,
+		},
+		{
+			"what a server calls a bad request is not retried, though an error is", "send",
+			responds(http.StatusBadRequest, "", ""), http.StatusBadRequest, 1,
+		},
+		{
+			"an error is retried with a key, three attempts at most", "send",
+			responds(http.StatusInternalServerError, "", ""), http.StatusServiceUnavailable, 3,
+		},
+	} {
+		t.Run(test.name, test.check)
+	}
+}
+
+func (test outcome) check(t *testing.T) {
+	agent, server := startWithServer(t, test.respond)
+	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, test.class, "x"))
+	agenttest.WantStatus(t, status, test.status)
+	if server.Count() != test.arrivals {
+		t.Errorf("%d arrivals, want %d", server.Count(), test.arrivals)
+	}
+	if status == http.StatusServiceUnavailable && header.Get("Retry-After") != "0.600" {
+		t.Errorf("rejected with Retry-After %q", header.Get("Retry-After"))
+	}
+	agent.wantNoGuardActed()
+}
+
+func TestOverloadedAttemptIsRetried(t *testing.T) {
+	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		if n == 0 {
+			return respondOverloaded(conn, req, n)
+		}
+		return agenttest.RespondOK(conn, req, n)
+	})
+	agent.wantOrderStatus(http.StatusOK)
+	if server.Count() != 2 {
+		t.Errorf("%d arrivals, want 2", server.Count())
+	}
+}
+
+func TestInterimResponseIsSkipped(t *testing.T) {
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
+		send(conn, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+		return agenttest.RespondOK(conn, req, n)
+	})
+	agent.wantOrderStatus(http.StatusOK)
+}
+
+func TestRefusedConnectDidNotExecute(t *testing.T) {
+	listener := newListener(t)
+	addr := listener.Addr().String()
+	_ = listener.Close()
+	agent := startAgent(t, listing(t, addr), nil)
+	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
+	if header.Get("Retry-After") == "" {
+		t.Error("rejected without Retry-After")
+	}
+}
+
+// A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
+// late response would be taken for the next one's.
+func TestSilentServer(t *testing.T) {
+	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
+	req := agenttest.NewRequest(agent.addr, "order", "x")
+	req.Header.Set("Request-Timeout-Ms", "600")
+	start := time.Now()
+	status, _, _ := agent.do(req)
+	if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
+		t.Errorf("response %d, want a failure", status)
+	}
+	if took := time.Since(start); took < 400*time.Millisecond {
+		t.Errorf("gave up after %v", took)
+	}
+	waitConnEnded(t, server)
+	if server.Count() != 1 {
+		t.Errorf("%d arrivals, want 1", server.Count())
+	}
+}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -3,20 +3,25 @@
 import (
 	"fmt"
 	"io"
+	"net"
+	"net/http"
+	"strconv"
 	"testing"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/downstream"
+	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
 // takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
 // Accept has already.
-func takeAllSlots(t *testing.T, a *testAgent) (release func()) {
+func takeAllSlots(t *testing.T, agent *testAgent) (release func()) {
 	t.Helper()
-	a.wantNoneOpen(t) // nor does the connection that asked for /-/ready give one back later
-	slots := a.agent.downstream.ConnSlots()
+	t.Helper()
+	agent.waitNoClients(t) // or the connection that got /-/ready would release one later
+	slots := agent.downstream.ConnSlots()
 	taken := int64(0)
 	for slots.TryAcquire(1) {
 		taken++
@@ -25,85 +30,148 @@
 }
 
 // A connection that waits to be accepted when the shutdown closes the listener has arrived: its request must
-// be answered, also where there was no slot for it until then.
+// have a response, also where there was no slot for it until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
-	a, _ := startWithServer(t, agenttest.RespondOK)
-	release := takeAllSlots(t, a)
-	accepted := a.dialKept() // takes the slot that Accept holds already
-	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return a.agent.downstream.OpenConns() > 0 })
-	waiting := a.dialKept()
-	fmt.Fprint(waiting, timedRequest(timeoutMs, "x"))
-	a.stop()
+	agent, _ := startWithServer(t, agenttest.RespondOK)
+	release := takeAllSlots(t, agent)
+	accepted := agent.dialKept() // takes the slot that Accept has already
+	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
+	waiting := agent.dialKept()
+	send(waiting, timedRequest(timeoutMs, "x"))
+	agent.stop()
 	time.AfterFunc(downstream.DrainAcceptTime+testDelay, release)
-	if status := agenttest.FinalStatus(t, waiting); status != 200 && status != 503 {
-		t.Errorf("answered %d", status)
+	if status := agenttest.FinalStatus(t, waiting); status != http.StatusOK && status != http.StatusServiceUnavailable {
+		t.Errorf("response %d", status)
 	}
-	accepted.Close()
+	_ = accepted.Close()
 }
 
 // First requests of new connections have their response at each moment of the shutdown, and those of earlier
 // connections too.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
-	a, b := startWithServer(t, agenttest.RespondOK)
-	type moment struct{ dial, send time.Duration } // after the signal; 0: before it
-	var ended []chan int
-	begin := time.Now()
-	for _, m := range []moment{{0, 50 * time.Millisecond}, {0, downstream.DrainAcceptTime + 20*time.Millisecond},
-		{0, downstream.ShutdownAdmitTime + 100*time.Millisecond}, {0, 1500 * time.Millisecond},
-		{200 * time.Millisecond, 200 * time.Millisecond}, {300 * time.Millisecond, downstream.DrainAcceptTime},
-		{300 * time.Millisecond, downstream.ShutdownAdmitTime}, {300 * time.Millisecond, time.Second}} {
+	agent, server := startWithServer(t, agenttest.RespondOK)
+	type moment struct { // after the signal; 0: before it
+		dial time.Duration
+		send time.Duration
+	}
+	var statuses []chan int
+	start := time.Now()
+	for _, moment := range []moment{
+		{dial: 0, send: 50 * time.Millisecond},
+		{dial: 0, send: downstream.DrainAcceptTime + 20*time.Millisecond},
+		{dial: 0, send: downstream.ShutdownAdmitTime + 100*time.Millisecond},
+		{dial: 0, send: 1500 * time.Millisecond},
+		{dial: 200 * time.Millisecond, send: 200 * time.Millisecond},
+		{dial: 300 * time.Millisecond, send: downstream.DrainAcceptTime},
+		{dial: 300 * time.Millisecond, send: downstream.ShutdownAdmitTime},
+		{dial: 300 * time.Millisecond, send: time.Second},
+	} {
 		status := make(chan int, 1)
-		ended = append(ended, status)
+		statuses = append(statuses, status)
 		dial := func() {
-			c := a.dialKept()
-			time.AfterFunc(time.Until(begin.Add(m.send)), func() {
-				fmt.Fprint(c, timedRequest(timeoutMs, "x"))
-				status <- c.Status()
+			client := agent.dialKept()
+			time.AfterFunc(time.Until(start.Add(moment.send)), func() {
+				send(client, timedRequest(timeoutMs, "x"))
+				status <- client.Status()
 			})
 		}
-		if m.dial == 0 {
+		if moment.dial == 0 {
 			dial()
 		} else {
-			time.AfterFunc(m.dial, dial)
+			time.AfterFunc(moment.dial, dial)
 		}
 	}
-	agenttest.WaitUntil(t, "those that came before are accepted", func() bool { return a.agent.downstream.OpenConns() >= 4 })
-	a.stop()
+	agenttest.WaitUntil(t, "the earlier connections are accepted", func() bool {
+		return agent.downstream.OpenConns() >= 4
+	})
+	agent.stop()
 	served := 0
-	for i, status := range ended {
+	for i, status := range statuses {
 		switch got := <-status; got {
-		case 200:
+		case http.StatusOK:
 			served++
-		case 503:
+		case http.StatusServiceUnavailable:
 		default:
-			t.Errorf("connection %d: answered %d", i, got)
+			t.Errorf("connection %d: response %d", i, got)
 		}
 	}
-	if b.Count() != served {
-		t.Errorf("%d arrivals, %d served", b.Count(), served)
+	if server.Count() != served {
+		t.Errorf("%d arrivals, %d served", server.Count(), served)
 	}
 }
 
-// A connection that never brought a request is closed before the process may be killed: a request on it could
-// come too late to be answered.
+// A connection that never sent a request is closed before the process may be killed: a request on it could
+// come too late for a response.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	a := startAgent(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", agenttest.NewServer(t, agenttest.RespondOK).Addr)), func(c *config.Config) {
-		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].TotalTimeoutMs = 300
+	server := agenttest.NewServer(t, agenttest.RespondOK)
+	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) {
+		for i := range cfg.Settings.Classes {
+			cfg.Settings.Classes[i].TotalTimeoutMs = 300
 		}
 	})
-	c := a.dialKept()
-	agenttest.WaitUntil(t, "it is accepted", func() bool { return a.agent.downstream.OpenConns() > 0 })
+	client := agent.dialKept()
+	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 0 })
 	stopped := time.Now()
-	a.stop()
-	if n, err := io.Copy(io.Discard, c); n > 0 || err != nil {
+	agent.stop()
+	if n, err := io.Copy(io.Discard, client); n > 0 || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	// 0.85 s after the signal; without a request it has headTime otherwise.
+	// The drain time is 0.85 s; without a shutdown the connection has RequestHeadTimeout.
 	if took := time.Since(stopped); took > downstream.RequestHeadTimeout-time.Second/2 {
-		t.Errorf("ended %v after the signal", took)
+		t.Errorf("closed %v after the signal", took)
+	}
+}
+
+// Before the process may be killed, open requests have their final response, and a response that is being
+// streamed goes on.
+func TestQueuedRequestsAreAnsweredAtShutdown(t *testing.T) {
+	t.Parallel()
+	arrived, proceed := make(chan struct{}, 2), make(chan struct{})
+	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
+		if req.URL.Query().Has("streams") {
+			sendf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 2*message.MaxBufferedBody)
+			arrived <- struct{}{}
+			<-proceed
+			_, err := conn.Write(variedBytes(2*message.MaxBufferedBody - 5))
+			return err == nil
+		}
+		arrived <- struct{}{}
+		<-proceed
+		return false
+	})
+	const timeoutMs = 30_000 // longer than the shutdown takes
+	request := func(query string) <-chan string {
+		outcome := make(chan string, 1)
+		req := agenttest.NewRequest(agent.addr, "order", "x")
+		req.Header.Set("Request-Timeout-Ms", strconv.Itoa(timeoutMs))
+		req.URL.RawQuery = query
+		go func() {
+			resp, err := agenttest.HTTPClient.Do(req)
+			if err != nil {
+				outcome <- err.Error()
+				return
+			}
+			body, err := io.ReadAll(resp.Body)
+			_ = resp.Body.Close()
+			outcome <- fmt.Sprint(resp.StatusCode, len(body), err)
+		}()
+		<-arrived
+		return outcome
+	}
+	inFlight, streamed := request(""), request("streams")
+	agent.stop()
+	if got := <-inFlight; got != "504 0 <nil>" {
+		t.Errorf("the request in flight: %s", got)
+	}
+	close(proceed)
+	if got, want := <-streamed, fmt.Sprint(200, 2*message.MaxBufferedBody, nil); got != want {
+		t.Errorf("the streamed response: %s, want %s", got, want)
+	}
+	if err := <-agent.done; err != nil {
+		t.Errorf("the agent ended with %v", err)
 	}
+	agent.done <- nil // for the cleanup
 }
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -24,81 +24,86 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// faultErrnos are the errors that a connection's calls fail with.
+// faultErrnos are the errors with which a connection's calls fail.
 var faultErrnos = []syscall.Errno{
 	syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.EPIPE,
 	syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE,
 }
 
-// faultyDay is what one agent meets: faults of its connections, and requests one after another.
+// faultScenario is what one agent meets: faults of its connections, and requests one after another.
 type faultScenario struct {
-	Clients, Servers []agenttest.CallFault // of the connections in the order in which they are made
-	Requests         []faultyRequest
+	Clients  []agenttest.CallFault // of clients' connections, in the order in which they are accepted
+	Servers  []agenttest.CallFault // of connections to servers, in the order in which they are dialed
+	Requests []faultyRequest
 }
 
+// faultyRequest is a request of a scenario.
 type faultyRequest struct {
 	Class   string
 	Body    int  // bytes
 	Chunked bool // the server's response
-	Rested  bool // it is sent when kept connections to servers may be used again
+	Delayed bool // until kept connections to servers may be used again
 }
 
-// faultyWorld is what all days have in common: backends that answer with the request's id.
+// faultEnvironment is what all scenarios have in common: servers that respond with the request's id.
 type faultEnvironment struct {
 	t         *testing.T
 	discovery *agenttest.Discovery
 	lastID    atomic.Int64
 	mu        sync.Mutex
 	arrivals  map[string]int // by Request-Id, of complete requests
-	answers   map[int]int    // by status
+	responses map[int]int    // by status
 	cut       int            // requests whose client's connection broke
 }
 
 func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
 	t.Helper()
-	w := &faultEnvironment{t: t, arrivals: map[string]int{}, answers: map[int]int{}}
+	env := &faultEnvironment{t: t, arrivals: map[string]int{}, responses: map[int]int{}}
 	var list []endpoint.Endpoint
 	for i := range servers {
-		list = append(list, agenttest.Endpoint(fmt.Sprint("s-", i), agenttest.NewServer(t, w.answer).Addr))
+		list = append(list, agenttest.Endpoint(fmt.Sprint("s-", i), agenttest.NewServer(t, env.respond).Addr))
 	}
-	w.discovery = agenttest.NewDiscovery(t, list...)
-	return w
+	env.discovery = agenttest.NewDiscovery(t, list...)
+	return env
 }
 
-func (w *faultEnvironment) answer(c net.Conn, req *http.Request, _ int) bool {
+// respond is the responder of all servers.
+func (env *faultEnvironment) respond(conn net.Conn, req *http.Request, _ int) bool {
 	id := req.Header.Get("Request-Id")
-	w.mu.Lock()
-	w.arrivals[id]++
-	w.mu.Unlock()
+	env.mu.Lock()
+	env.arrivals[id]++
+	env.mu.Unlock()
 	if req.Header.Get("X-Chunked") != "1" {
-		return agenttest.SendResponse(c, 200, "", id)
+		return agenttest.SendResponse(conn, http.StatusOK, "", id)
 	}
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 	return err == nil
 }
 
-// play runs an agent through a day, and returns what broke the rule: one answer a request, none lost,
-// none twice.
-func (w *faultEnvironment) run(day faultScenario) error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// run runs an agent through a scenario, and returns what broke the rule: one response to each request, none lost
+// and none twice.
+func (env *faultEnvironment) run(scenario faultScenario) error {
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(env.t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	clients := agenttest.NewFaultPlan(day.Clients)
-	a, err := w.agent(agenttest.FaultyListener{Listener: ln, Plan: clients}, agenttest.NewFaultPlan(day.Servers).Dial)
+	clients := agenttest.NewFaultPlan(scenario.Clients)
+	servers := agenttest.NewFaultPlan(scenario.Servers)
+	agent, err := env.agent(agenttest.FaultyListener{Listener: listener, Plan: clients}, servers.Dial)
 	if err != nil {
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(context.Background(), nil) }()
+	go func() { ended <- agent.Run(context.Background(), nil) }()
 	defer func() {
-		a.Kill()
+		agent.Kill()
 		<-ended
 	}()
-	client := &faultyClient{world: w, plan: clients, addr: ln.Addr().String()}
+	client := &faultyClient{env: env, plan: clients, addr: listener.Addr().String()}
 	defer client.close()
-	for i, r := range day.Requests {
-		if err := client.do(r); err != nil {
+	for i, request := range scenario.Requests {
+		if err := client.do(request); err != nil {
 			return fmt.Errorf("request %d: %w", i, err)
 		}
 	}
@@ -106,185 +111,221 @@
 }
 
 // agent makes an agent that dials its servers by dial.
-func (w *faultEnvironment) agent(ln net.Listener, dial config.DialFunc) (*Agent, error) {
-	cfg := agenttest.NewConfig(w.t, ln.Addr().String(), w.discovery)
+func (env *faultEnvironment) agent(listener net.Listener, dial config.DialFunc) (*Agent, error) {
+	cfg := agenttest.NewConfig(env.t, listener.Addr().String(), env.discovery)
 	cfg.Log = slog.New(slog.DiscardHandler)
 	cfg.Dial = dial
-	return New(cfg, Listeners{Clients: ln})
+	return New(cfg, Listeners{Clients: listener})
 }
 
 // faultyClient sends one request after another on one connection, and on a new one after its end.
 type faultyClient struct {
-	world *faultEnvironment
-	plan  *agenttest.FaultPlan
-	addr  string
-	nc    net.Conn
-	br    *bufio.Reader
+	env    *faultEnvironment
+	plan   *agenttest.FaultPlan
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (c *faultyClient) close() {
-	if c.nc != nil {
-		c.nc.Close()
+// close closes the connection, if there is one.
+func (client *faultyClient) close() {
+	if client.conn != nil {
+		_ = client.conn.Close()
 	}
-	c.nc = nil
+	client.conn = nil
 }
 
-func (c *faultyClient) connect() (err error) {
-	if c.nc != nil {
+// connect makes a connection unless there is one.
+func (client *faultyClient) connect() error {
+	if client.conn != nil {
 		return nil
 	}
-	if c.nc, err = net.DialTimeout("tcp", c.addr, agenttest.Timeout); err != nil {
+	dialer := net.Dialer{Timeout: agenttest.Timeout}
+	conn, err := dialer.DialContext(client.env.t.Context(), "tcp", client.addr)
+	if err != nil {
 		return err
 	}
-	c.br = bufio.NewReader(c.nc)
+	client.conn = conn
+	client.reader = bufio.NewReader(conn)
 	return nil
 }
 
-// ask sends a request, and returns an error unless it has its one answer, or its connection broke.
-func (c *faultyClient) do(r faultyRequest) error {
-	if err := c.connect(); err != nil {
+// do sends a request, and returns an error unless it has its one response or its connection broke.
+func (client *faultyClient) do(request faultyRequest) error {
+	if err := client.connect(); err != nil {
 		return err
 	}
-	if r.Rested {
+	if request.Delayed {
 		time.Sleep(2 * upstream.SettleTime)
 	}
-	id := fmt.Sprint(c.world.lastID.Add(1))
-	req := agenttest.NewRequest(c.addr, r.Class, strings.Repeat("x", r.Body))
+	id := fmt.Sprint(client.env.lastID.Add(1))
+	req := agenttest.NewRequest(client.addr, request.Class, strings.Repeat("x", request.Body))
 	req.Header.Set("Request-Id", id)
 	req.Header.Set("Request-Timeout-Ms", "2000")
-	if r.Chunked {
+	if request.Chunked {
 		req.Header.Set("X-Chunked", "1")
 	}
-	resp, body, err := c.exchange(req)
-	broke := c.plan.Broke(c.nc.LocalAddr())
+	resp, err := client.exchange(req)
+	broke := client.plan.Broke(client.conn.LocalAddr())
 	if err == nil {
-		err = c.world.check(r.Class, id, resp.StatusCode, body)
-		if resp.Close {
-			c.close()
+		err = client.env.check(request.Class, id, resp)
+		if resp.closes {
+			client.close()
 		}
 		return err
 	}
-	c.close()
+	client.close()
 	if !broke {
-		return fmt.Errorf("%s has no answer: %w", id, err)
+		return fmt.Errorf("%s has no response: %w", id, err)
 	}
-	return c.world.checkCut(r.Class, id)
+	return client.env.checkCut(request.Class, id)
+}
+
+// completeResponse is a response that has arrived to its end.
+type completeResponse struct {
+	status int
+	body   string
+	closes bool // announces that the connection closes
 }
 
-func (c *faultyClient) exchange(req *http.Request) (*http.Response, string, error) {
-	if err := req.Write(c.nc); err != nil {
-		return nil, "", err
+// exchange sends a request on the connection and reads its response.
+func (client *faultyClient) exchange(req *http.Request) (completeResponse, error) {
+	if err := req.Write(client.conn); err != nil {
+		return completeResponse{}, err
 	}
-	resp, err := http.ReadResponse(c.br, req)
+	resp, err := http.ReadResponse(client.reader, req)
 	if err != nil {
-		return nil, "", err
+		return completeResponse{}, err
 	}
 	body, err := io.ReadAll(resp.Body)
-	return resp, string(body), err
+	_ = resp.Body.Close()
+	return completeResponse{status: resp.StatusCode, body: string(body), closes: resp.Close}, err
 }
 
-// nothingFollows tells of bytes behind the last answer.
-func (c *faultyClient) nothingFollows() error {
-	if c.nc == nil {
+// closeWrite ends a client's side of a connection; false: the connection has ended.
+func closeWrite(conn net.Conn) bool { return conn.(*net.TCPConn).CloseWrite() == nil }
+
+// nothingFollows returns an error if there are bytes after the last response.
+func (client *faultyClient) nothingFollows() error {
+	if client.conn == nil {
 		return nil
 	}
-	if err := c.nc.(*net.TCPConn).CloseWrite(); err != nil {
-		return nil // the connection has ended
+	if !closeWrite(client.conn) {
+		return nil
 	}
-	if more, _ := io.ReadAll(c.br); len(more) > 0 {
-		return fmt.Errorf("behind the last answer came %q", more)
+	if more, _ := io.ReadAll(client.reader); len(more) > 0 {
+		return fmt.Errorf("after the last response came %q", more)
 	}
 	return nil
 }
 
-// check checks a complete response.
-func (w *faultEnvironment) check(class, id string, status int, body string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.answers[status]++
-	ran := w.arrivals[id]
-	switch {
-	case status == http.StatusOK && body != id:
-		return fmt.Errorf("%s was answered with %q", id, body)
-	case status == http.StatusOK && ran == 0:
-		return fmt.Errorf("%s was answered and never ran", id)
-	case status == http.StatusServiceUnavailable && class == "order" && ran > 0:
-		return fmt.Errorf("%s was refused and ran", id)
-	case status != http.StatusOK && status != http.StatusServiceUnavailable &&
-		status != http.StatusBadGateway && status != http.StatusGatewayTimeout:
-		return fmt.Errorf("%s was answered %d", id, status)
+// check returns an error if a response is not one that the request may have.
+func (env *faultEnvironment) check(class, id string, resp completeResponse) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.responses[resp.status]++
+	executions := env.arrivals[id]
+	switch resp.status {
+	case http.StatusOK:
+		if resp.body != id {
+			return fmt.Errorf("%s has the response %q", id, resp.body)
+		}
+		if executions == 0 {
+			return fmt.Errorf("%s was served and never executed", id)
+		}
+	case http.StatusServiceUnavailable:
+		if class == "order" && executions > 0 {
+			return fmt.Errorf("%s was rejected and executed", id)
+		}
+	case http.StatusBadGateway, http.StatusGatewayTimeout:
+	default:
+		return fmt.Errorf("%s has response %d", id, resp.status)
 	}
-	return w.executedOnce(class, id)
+	return env.executedOnce(class, id)
 }
 
-// checkCut judges a request whose client's connection broke.
-func (w *faultEnvironment) checkCut(class, id string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut++
-	return w.executedOnce(class, id)
+// checkCut checks a request whose client's connection broke.
+func (env *faultEnvironment) checkCut(class, id string) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.cut++
+	return env.executedOnce(class, id)
 }
 
-// executedOnce reports a non-idempotent request that executed twice. The caller has the lock.
-func (w *faultEnvironment) executedOnce(class, id string) error {
-	if ran := w.arrivals[id]; class == "order" && ran > 1 {
-		return fmt.Errorf("%s ran %d times", id, ran)
+// executedOnce returns an error if a non-idempotent request executed twice. The caller has the lock.
+func (env *faultEnvironment) executedOnce(class, id string) error {
+	if executions := env.arrivals[id]; class == "order" && executions > 1 {
+		return fmt.Errorf("%s executed %d times", id, executions)
 	}
 	return nil
 }
 
+// systemCalls are the calls of a connection that fail.
+var systemCalls = []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}
+
+// runOnEachSide runs two scenarios, in which a fault is on a client's connection and on a server's.
+func (env *faultEnvironment) runOnEachSide(t *testing.T, fault agenttest.CallFault, requests []faultyRequest) {
+	t.Helper()
+	faults := []agenttest.CallFault{fault}
+	for _, scenario := range []faultScenario{
+		{Clients: faults, Requests: requests},
+		{Servers: faults, Requests: requests},
+	} {
+		if err := env.run(scenario); err != nil {
+			t.Errorf("%+v: %v", scenario, err)
+		}
+	}
+}
+
 // Each errno at each call of either side, at the first byte, in the middle and on a connection that is
-// used again, with one byte a call: one answer a request.
+// used again, with one byte a call: one response to each request.
 func TestEachErrnoAtEachCall(t *testing.T) {
 	t.Parallel()
-	w := newFaultEnvironment(t, 1)
-	requests := []faultyRequest{{Class: "order", Body: 20}, {Class: "order", Body: 20, Rested: true}, {Class: "read", Chunked: true}}
+	env := newFaultEnvironment(t, 1)
+	requests := []faultyRequest{
+		{Class: "order", Body: 20},
+		{Class: "order", Body: 20, Delayed: true},
+		{Class: "read", Chunked: true},
+	}
 	for _, errno := range faultErrnos {
-		for _, call := range []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite} {
-			afters := []int64{0, 30, 60, 350}
+		for _, call := range systemCalls {
+			offsets := []int64{0, 30, 60, 350}
 			if call == agenttest.CallConnect {
-				afters = afters[:1]
+				offsets = offsets[:1]
 			}
-			for _, after := range afters {
-				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
-				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.run(day); err != nil {
-						t.Errorf("%+v: %v", day, err)
-					}
-				}
+			for _, offset := range offsets {
+				env.runOnEachSide(t, agenttest.CallFault{Call: call, After: offset, Errno: errno}, requests)
 			}
 		}
 	}
-	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
+	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
 // The same for bodies that are too long to be buffered, and are streamed to their server.
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
-	w := newFaultEnvironment(t, 3)
-	requests := []faultyRequest{{Class: "order", Body: message.MaxBufferedBody + 3000}, {Class: "read"}}
+	env := newFaultEnvironment(t, 3)
+	requests := []faultyRequest{
+		{Class: "order", Body: message.MaxBufferedBody + 3000},
+		{Class: "read"},
+	}
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOBUFS} {
 		for _, call := range []agenttest.SystemCall{agenttest.CallRead, agenttest.CallWrite} {
-			for _, after := range []int64{0, 10, message.MaxBufferedBody + 1000} {
-				f := []agenttest.CallFault{{Call: call, After: after, Errno: errno}}
-				for _, day := range []faultScenario{{Clients: f, Requests: requests}, {Servers: f, Requests: requests}} {
-					if err := w.run(day); err != nil {
-						t.Errorf("%+v: %v", day, err)
-					}
-				}
+			for _, offset := range []int64{0, 10, message.MaxBufferedBody + 1000} {
+				env.runOnEachSide(t, agenttest.CallFault{Call: call, After: offset, Errno: errno}, requests)
 			}
 		}
 	}
-	w.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
+	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
-// Any faults of the connections of both sides, with one byte a call: one answer a request.
+// Any faults of the connections of both sides, with one byte a call: one response to each request.
 func TestOneResponseWhateverCallsFail(t *testing.T) {
 	t.Parallel()
-	worlds := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
+	environments := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
 	faults := rapid.Custom(func(t *rapid.T) agenttest.CallFault {
 		return agenttest.CallFault{
-			Call:  rapid.SampledFrom([]agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}).Draw(t, "call"),
+			Call:  rapid.SampledFrom(systemCalls).Draw(t, "call"),
 			After: rapid.Int64Range(0, 300).Draw(t, "after"),
 			Errno: rapid.SampledFrom(faultErrnos).Draw(t, "errno"),
 		}
@@ -294,37 +335,37 @@
 			Class:   rapid.SampledFrom([]string{"read", "send", "order"}).Draw(t, "class"),
 			Body:    rapid.IntRange(0, 100).Draw(t, "body"),
 			Chunked: rapid.Bool().Draw(t, "chunked"),
-			Rested:  rapid.Bool().Draw(t, "rested"),
+			Delayed: rapid.Bool().Draw(t, "delayed"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		day := faultScenario{
+		scenario := faultScenario{
 			Clients:  rapid.SliceOfN(faults, 0, 2).Draw(t, "clients"),
 			Servers:  rapid.SliceOfN(faults, 0, 4).Draw(t, "servers"),
 			Requests: rapid.SliceOfN(requests, 1, 4).Draw(t, "requests"),
 		}
-		if err := rapid.SampledFrom(worlds).Draw(t, "world").run(day); err != nil {
+		env := rapid.SampledFrom(environments).Draw(t, "environment")
+		if err := env.run(scenario); err != nil {
 			t.Fatal(err)
 		}
 	})
-	for _, w := range worlds {
-		w.wantStatuses(t, http.StatusOK) // what is drawn need not bring the rarer ones
+	for _, env := range environments {
+		env.wantStatuses(t, http.StatusOK) // the drawn scenarios need not lead to the rarer statuses
 	}
 }
 
-// reached fails where the days have missed what they are there for: answers of these statuses, and
-// requests that were cut off.
-func (w *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
+// wantStatuses checks that the scenarios led to responses of these statuses, and to requests that were cut off.
+func (env *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
 	t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t.Logf("answers by status %v, requests cut off by their client's connection %d", w.answers, w.cut)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	t.Logf("responses by status %v, requests cut off by their client's connection %d", env.responses, env.cut)
 	for _, status := range statuses {
-		if w.answers[status] == 0 {
-			t.Errorf("no request was answered %d", status)
+		if env.responses[status] == 0 {
+			t.Errorf("no request had response %d", status)
 		}
 	}
-	if w.cut == 0 {
+	if env.cut == 0 {
 		t.Error("no request was cut off")
 	}
 }
