--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -132,13 +132,33 @@
 	return files, nil
 }
 
+const (
+	// listenTimeout bounds how long an address may still be in use by a listener that was closed: another process
+	// that is being started at that moment has a copy of it until its exec.
+	listenTimeout = 5 * time.Second
+	// listenInterval is the time between two attempts to listen.
+	listenInterval = 5 * time.Millisecond
+)
+
+// listenAgain listens on an address of which an earlier listener was closed.
+func listenAgain(addr *net.TCPAddr) (*net.TCPListener, error) {
+	deadline := time.Now().Add(listenTimeout)
+	for {
+		ln, err := net.ListenTCP("tcp", addr)
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
+			return ln, err
+		}
+		time.Sleep(listenInterval)
+	}
+}
+
 // listenFile opens a listener as a file.
 func listenFile(address string) (*os.File, error) {
 	addr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.ListenTCP("tcp", addr)
+	ln, err := listenAgain(addr)
 	if err != nil {
 		return nil, err
 	}
