--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		status, _, _ := agenttest.Do(t, req)
+		status, _, _ := agenttest.Send(t, req)
 		agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
 	}
 	server.Close()
--- a/internal/agent/admin_drain_test.go
+++ b/internal/agent/admin_drain_test.go
@@ -33,7 +33,7 @@
 
 // wantServed sends a request on a connection and checks that it is served, and whether the response announces
 // that the connection closes.
-func wantServed(t *testing.T, conn *agenttest.KeptConn, closes bool) {
+func wantServed(t *testing.T, conn *agenttest.ClientConn, closes bool) {
 	t.Helper()
 	resp := conn.Request(t)
 	_ = resp.Body.Close()
@@ -83,7 +83,7 @@
 	}
 	var silent []net.Conn
 	for i := range 3 * config.MaxAdminConns {
-		conn := agenttest.DialKept(t, agent.adminAddr)
+		conn := agenttest.DialClient(t, agent.adminAddr)
 		send(conn, incomplete[i%len(incomplete)])
 		silent = append(silent, conn)
 	}
--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -66,14 +66,14 @@
 		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
 
-// KeptConn is a client's connection that stays open.
-type KeptConn struct {
+// ClientConn is a client's connection that stays open.
+type ClientConn struct {
 	net.Conn
-	Br *bufio.Reader
+	Reader *bufio.Reader
 }
 
-// DialKept opens a connection of a client that keeps it.
-func DialKept(tb testing.TB, addr string) *KeptConn {
+// DialClient opens a connection of a client that keeps it.
+func DialClient(tb testing.TB, addr string) *ClientConn {
 	tb.Helper()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(tb.Context(), "tcp", addr)
@@ -84,14 +84,14 @@
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		tb.Fatal(err)
 	}
-	return &KeptConn{Conn: conn, Br: bufio.NewReader(conn)}
+	return &ClientConn{Conn: conn, Reader: bufio.NewReader(conn)}
 }
 
 // Request sends a request of the class read and returns its response, whose body has been read.
-func (k *KeptConn) Request(t *testing.T) *http.Response {
+func (k *ClientConn) Request(t *testing.T) *http.Response {
 	t.Helper()
 	k.send(RequestText(1, requestTimeoutMs))
-	resp, err := http.ReadResponse(k.Br, nil)
+	resp, err := http.ReadResponse(k.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,19 +101,19 @@
 }
 
 // send writes a request. An error of it shows when the response is read.
-func (k *KeptConn) send(request string) { _, _ = io.WriteString(k, request) }
+func (k *ClientConn) send(request string) { _, _ = io.WriteString(k, request) }
 
 // WantClosed waits for the connection's orderly end.
-func (k *KeptConn) WantClosed(t *testing.T) {
+func (k *ClientConn) WantClosed(t *testing.T) {
 	t.Helper()
-	if _, err := k.Br.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := k.Reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 }
 
 // Status reads a response and returns its status; 0: there is none.
-func (k *KeptConn) Status() int {
-	resp, err := http.ReadResponse(k.Br, nil)
+func (k *ClientConn) Status() int {
+	resp, err := http.ReadResponse(k.Reader, nil)
 	if err != nil {
 		return 0
 	}
@@ -122,14 +122,14 @@
 }
 
 // RequestReady requests the readiness of the agent, so that the connection is idle afterwards.
-func (k *KeptConn) RequestReady(t *testing.T) {
+func (k *ClientConn) RequestReady(t *testing.T) {
 	t.Helper()
 	k.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	WantStatus(t, FinalStatus(t, k), http.StatusOK)
 }
 
-// Do sends a request and returns the response's status, header and body.
-func Do(tb testing.TB, req *http.Request) (status int, header http.Header, body string) {
+// Send sends a request and returns the response's status, header and body.
+func Send(tb testing.TB, req *http.Request) (status int, header http.Header, body string) {
 	tb.Helper()
 	resp, err := HTTPClient.Do(req)
 	if err != nil {
@@ -144,7 +144,7 @@
 }
 
 // FinalStatus reads a response, which there has to be, and returns its status.
-func FinalStatus(t *testing.T, k *KeptConn) int {
+func FinalStatus(t *testing.T, k *ClientConn) int {
 	t.Helper()
 	status := k.Status()
 	if status == 0 {
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -14,18 +14,18 @@
 
 // Server is a server of requests, whose responses a test scripts.
 type Server struct {
-	T    testing.TB
-	Ln   net.Listener
-	Addr string
-	// Answer handles the n-th request (from 0) to this server; false closes the connection.
-	Answer func(c net.Conn, req *http.Request, n int) bool
+	T        testing.TB
+	Listener net.Listener
+	Addr     string
+	// Respond handles the n-th request (from 0) to this server; false closes the connection.
+	Respond func(c net.Conn, req *http.Request, n int) bool
 
-	Mu       sync.Mutex
-	started  int           // requests that have begun to arrive
-	Arrivals int           // complete requests
-	conns    int           // open now
-	Most     int           // the most connections that were open at a time
-	Ended    chan struct{} // a value for each connection that the agent closed
+	Mu          sync.Mutex
+	started     int           // requests that have begun to arrive
+	Arrivals    int           // complete requests
+	conns       int           // open now
+	MaxConns    int           // the most connections that were open at a time
+	ConnsClosed chan struct{} // a value for each connection that the agent closed
 }
 
 // NewServer starts a server.
@@ -36,11 +36,11 @@
 		tb.Fatal(err)
 	}
 	s := &Server{
-		T:      tb,
-		Ln:     ln,
-		Addr:   ln.Addr().String(),
-		Answer: answer,
-		Ended:  make(chan struct{}, eventBuffer),
+		T:           tb,
+		Listener:    ln,
+		Addr:        ln.Addr().String(),
+		Respond:     answer,
+		ConnsClosed: make(chan struct{}, eventBuffer),
 	}
 	tb.Cleanup(func() { _ = ln.Close() })
 	go s.Accept()
@@ -50,7 +50,7 @@
 // Accept serves connections until the listener is closed.
 func (s *Server) Accept() {
 	for {
-		conn, err := s.Ln.Accept()
+		conn, err := s.Listener.Accept()
 		if err != nil {
 			return
 		}
@@ -62,13 +62,13 @@
 	defer func() { _ = conn.Close() }()
 	s.Mu.Lock()
 	s.conns++
-	s.Most = max(s.Most, s.conns)
+	s.MaxConns = max(s.MaxConns, s.conns)
 	s.Mu.Unlock()
 	defer func() {
 		s.Mu.Lock()
 		s.conns--
 		s.Mu.Unlock()
-		s.Ended <- struct{}{}
+		s.ConnsClosed <- struct{}{}
 	}()
 	reader := bufio.NewReader(conn)
 	for {
@@ -88,7 +88,7 @@
 		n := s.Arrivals
 		s.Arrivals++
 		s.Mu.Unlock()
-		if !s.Answer(conn, req, n) {
+		if !s.Respond(conn, req, n) {
 			return
 		}
 	}
@@ -101,8 +101,8 @@
 	return s.Arrivals
 }
 
-// Forget resets the counts of requests.
-func (s *Server) Forget() {
+// ResetCounts resets the counts of requests.
+func (s *Server) ResetCounts() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	s.started = 0
--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -19,12 +19,12 @@
 	*httptest.Server
 	Calls chan url.Values // of each call
 
-	mu       sync.Mutex
-	version  uint64
-	Settings *endpoint.Settings // nil: it has none
-	Stubborn bool               // it sends its settings whatever version the call has
-	Down     bool               // every call fails
-	wake     chan struct{}
+	mu          sync.Mutex
+	version     uint64
+	Settings    *endpoint.Settings // nil: it has none
+	SendsAlways bool               // it sends its settings whatever version the call has
+	Down        bool               // every call fails
+	wake        chan struct{}
 }
 
 // NewSettingsDiscovery starts an instance whose list is empty and has a version.
@@ -80,7 +80,7 @@
 		return list
 	}
 	known := max(number(query, "in_force"), number(query, "refused"))
-	if d.Stubborn || d.Settings.Version > known {
+	if d.SendsAlways || d.Settings.Version > known {
 		list.Settings = d.Settings
 	}
 	return list
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -66,7 +66,7 @@
 	agent.wantOrderStatus(http.StatusOK)
 	time.Sleep(reuseTime)
 	blocked.armed.Store(true)
-	server.Forget()
+	server.ResetCounts()
 	return agent, blocked
 }
 
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -226,7 +226,7 @@
 				time.Sleep(closeArrivalTime)
 				moment.proceed()
 				if closeName == halfClose {
-					wantFinalResponses(t, client.Br, moment.responses)
+					wantFinalResponses(t, client.Reader, moment.responses)
 				}
 				agenttest.WaitUntil(t, "the connection has ended", func() bool {
 					return moment.agent.statsNow().Open == 0
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -18,8 +18,8 @@
 	}
 	server.Mu.Lock()
 	defer server.Mu.Unlock()
-	if server.Arrivals != 3 || server.Most != 1 || len(server.Ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Arrivals, server.Most, len(server.Ended))
+	if server.Arrivals != 3 || server.MaxConns != 1 || len(server.ConnsClosed) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Arrivals, server.MaxConns, len(server.ConnsClosed))
 	}
 }
 
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -145,10 +145,10 @@
 	agenttest.WaitUntil(t, "the connect has begun", func() bool { return agent.pool.ConnectCount() == 1 })
 	time.Sleep(testDelay)
 	server := &agenttest.Server{
-		T:      t,
-		Ln:     listener,
-		Answer: recorder.recording(agenttest.RespondOK),
-		Ended:  make(chan struct{}, 10),
+		T:           t,
+		Listener:    listener,
+		Respond:     recorder.recording(agenttest.RespondOK),
+		ConnsClosed: make(chan struct{}, 10),
 	}
 	go server.Accept()
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -22,14 +22,14 @@
 // The first request on a new connection has a response, whatever the agent does with others just then to keep
 // within its descriptors.
 func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
-	sends := func(text string) func(*testing.T, *agenttest.KeptConn) {
-		return func(t *testing.T, client *agenttest.KeptConn) {
+	sends := func(text string) func(*testing.T, *agenttest.ClientConn) {
+		return func(t *testing.T, client *agenttest.ClientConn) {
 			t.Helper()
 			send(client, text)
 		}
 	}
-	for name, use := range map[string]func(t *testing.T, client *agenttest.KeptConn){
-		"all connections are idle": func(t *testing.T, client *agenttest.KeptConn) {
+	for name, use := range map[string]func(t *testing.T, client *agenttest.ClientConn){
+		"all connections are idle": func(t *testing.T, client *agenttest.ClientConn) {
 			t.Helper()
 			client.RequestReady(t)
 		},
--- a/internal/agent/dispatch/clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -59,7 +59,7 @@
 			stepped.Step(step)
 			statuses := make(chan int, 1)
 			request := func() {
-				status, _, _ := agenttest.Do(t, agenttest.NewRequest(loop.addr, "read", ""))
+				status, _, _ := agenttest.Send(t, agenttest.NewRequest(loop.addr, "read", ""))
 				statuses <- status
 			}
 			go request()
--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -30,7 +30,7 @@
 // healthCheckDone takes the end of a health check.
 func (l *Loop) healthCheckDone(server *listedServer, result *upstream.Result) {
 	server.inFlight--
-	l.metrics.healthChecks[result.Status]++
+	l.metrics.HealthChecks[result.Status]++
 	if result.Status != balancer.StatusOK {
 		l.lines.limited(slog.LevelInfo, "health check failed", "server", server.id, "status", result.Status,
 			"reason", result.Reason)
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -36,8 +36,8 @@
 		return
 	}
 	list := response.List
-	l.metrics.lists++
-	l.metrics.endpoints += len(list.Servers)
+	l.metrics.Lists++
+	l.metrics.Endpoints += len(list.Servers)
 	l.lines.limited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full, "from", l.list.version,
 		"to", list.Version, "endpoints", len(list.Servers))
 	if response.Source != l.list.source {
@@ -68,7 +68,7 @@
 // onListFailure counts and logs a failed call. The policy decides when to call again, unless the failed call
 // belongs to a watch that the agent keeps by itself.
 func (l *Loop) onListFailure(response discovery.Response) {
-	l.metrics.listFailures++
+	l.metrics.ListFailures++
 	l.lines.limited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
 	if response.Watch && l.ownsWatch() {
 		return
--- a/internal/agent/dispatch/log.go
+++ b/internal/agent/dispatch/log.go
@@ -50,7 +50,7 @@
 
 // logAborted counts and logs a response that was begun and not passed on completely.
 func (l *Loop) logAborted(incoming *message.Request, fromServer, toClient error) {
-	l.metrics.aborted++
+	l.metrics.Aborted++
 	l.lines.limited(slog.LevelWarn, "response aborted", "id", incoming.ID,
 		"after_ms", time.Since(incoming.ArrivedAt).Milliseconds(), "server_err", fromServer, "client_err", toClient)
 }
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -12,36 +12,36 @@
 // metricsInterval is how often the metrics are logged.
 const metricsInterval = time.Second
 
-// Metrics are counts since the start. They are logged at intervals and at the end; the log's "counts" show the
-// fields under their names here.
+// Metrics are counts since the start. They are logged at intervals and at the end, by the
+// keys that String gives them.
 type Metrics struct {
 	// Requests counts the requests that reached the event loop.
 	Requests int
-	// Served and servedLate count the requests that were served within their latency objective and after it;
-	// rejected and failed those that were not served; ClientsGone those that their client abandoned.
-	Served, servedLate, rejected, Failed, ClientsGone int
+	// Served and ServedLate count the requests that were served within their latency objective and after it;
+	// Rejected and failed those that were not served; ClientsGone those that their client abandoned.
+	Served, ServedLate, Rejected, Failed, ClientsGone int
 	// Invalid counts what came in that is not a request of the protocol.
 	Invalid int
 	// Backstops counts the requests that the policy left without a response until just before their deadline.
 	Backstops int
 	// Violations counts the actions of the policy that the rules of the request forbade.
 	Violations int
-	// aborted counts the responses that were begun and not passed on completely.
-	aborted int
-	// Attempts and healthChecks count these by their status.
-	Attempts, healthChecks map[balancer.Status]int
-	// lists counts the responses of discovery, endpoints the entries in them, and listFailures the calls that
+	// Aborted counts the responses that were begun and not passed on completely.
+	Aborted int
+	// Attempts and HealthChecks count these by their status.
+	Attempts, HealthChecks map[balancer.Status]int
+	// Lists counts the responses of discovery, Endpoints the entries in them, and ListFailures the calls that
 	// failed. Over all agents they are the load that discovery bears.
-	lists, endpoints, listFailures int
+	Lists, Endpoints, ListFailures int
 	// Settings counts the settings of the discovery service that were applied, and SettingsRejected those
 	// that could not be.
 	Settings, SettingsRejected int
 	// AcceptFailures counts the accepts of clients that failed temporarily.
 	AcceptFailures int
-	// unlogged counts the log lines that were dropped.
-	unlogged int
-	// listIn and listOut count the bytes of calls to discovery, their heads included, and listCalls the calls.
-	listIn, listOut, listCalls uint64
+	// Unlogged counts the log lines that were dropped.
+	Unlogged int
+	// ListIn and ListOut count the bytes of calls to discovery, their heads included, and ListCalls the calls.
+	ListIn, ListOut, ListCalls uint64
 }
 
 // String has all counts by their keys in the log.
@@ -49,13 +49,13 @@
 	return fmt.Sprintf("{requests:%d served:%d servedLate:%d rejected:%d failed:%d clientsGone:%d invalid:%d"+
 		" backstops:%d violations:%d aborted:%d attempts:%v healthChecks:%v lists:%d endpoints:%d listFailures:%d"+
 		" settings:%d settingsRejected:%d acceptFailures:%d unlogged:%d listIn:%d listOut:%d listCalls:%d}",
-		m.Requests, m.Served, m.servedLate, m.rejected, m.Failed, m.ClientsGone, m.Invalid,
-		m.Backstops, m.Violations, m.aborted, m.Attempts, m.healthChecks, m.lists, m.endpoints, m.listFailures,
-		m.Settings, m.SettingsRejected, m.AcceptFailures, m.unlogged, m.listIn, m.listOut, m.listCalls)
+		m.Requests, m.Served, m.ServedLate, m.Rejected, m.Failed, m.ClientsGone, m.Invalid,
+		m.Backstops, m.Violations, m.Aborted, m.Attempts, m.HealthChecks, m.Lists, m.Endpoints, m.ListFailures,
+		m.Settings, m.SettingsRejected, m.AcceptFailures, m.Unlogged, m.ListIn, m.ListOut, m.ListCalls)
 }
 
 func newMetrics() Metrics {
-	return Metrics{Attempts: map[balancer.Status]int{}, healthChecks: map[balancer.Status]int{}}
+	return Metrics{Attempts: map[balancer.Status]int{}, HealthChecks: map[balancer.Status]int{}}
 }
 
 // Stats is a snapshot of what the loop counts and holds.
@@ -81,14 +81,14 @@
 
 // currentMetrics brings the counts of others up to date and returns a copy of all counts.
 func (l *Loop) currentMetrics() Metrics {
-	l.metrics.unlogged = l.lines.dropped
+	l.metrics.Unlogged = l.lines.dropped
 	traffic := l.discovery.Traffic()
-	l.metrics.listIn = traffic.BytesIn
-	l.metrics.listOut = traffic.BytesOut
-	l.metrics.listCalls = traffic.Calls
+	l.metrics.ListIn = traffic.BytesIn
+	l.metrics.ListOut = traffic.BytesOut
+	l.metrics.ListCalls = traffic.Calls
 	current := l.metrics
 	current.Attempts = maps.Clone(l.metrics.Attempts)
-	current.healthChecks = maps.Clone(l.metrics.healthChecks)
+	current.HealthChecks = maps.Clone(l.metrics.HealthChecks)
 	return current
 }
 
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -200,10 +200,10 @@
 			l.metrics.Served++
 			return
 		}
-		l.metrics.servedLate++
+		l.metrics.ServedLate++
 		l.logRequest(r, "served late")
 	case message.Rejected:
-		l.metrics.rejected++
+		l.metrics.Rejected++
 		l.logRequest(r, "rejected")
 	case message.Failed:
 		l.metrics.Failed++
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -125,6 +125,6 @@
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := agenttest.Do(t, agenttest.NewRequest(loop.addr, "order", "x"))
+	status, _, _ := agenttest.Send(t, agenttest.NewRequest(loop.addr, "order", "x"))
 	agenttest.WantStatus(t, status, http.StatusOK)
 }
--- a/internal/agent/downstream/server_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -37,7 +37,7 @@
 }
 
 // sendRequest writes a request to a server.
-func sendRequest(t *testing.T, client *agenttest.KeptConn, request string) {
+func sendRequest(t *testing.T, client *agenttest.ClientConn, request string) {
 	t.Helper()
 	if _, err := io.WriteString(client, request); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 // agent forwarded it as well, two copies would execute.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
 	server, dispatcher := startServer(t, lateCloseListener{listen(t)})
-	client := agenttest.DialKept(t, server.listener.Addr().String())
+	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status := client.Status(); status != http.StatusOK {
 		t.Fatalf("readiness has the status %d, want %d", status, http.StatusOK)
@@ -75,7 +75,7 @@
 // A request that is read once the process admits no more is rejected, on its connection, and not forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
 	server, dispatcher := startServer(t, listen(t))
-	client := agenttest.DialKept(t, server.listener.Addr().String())
+	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, agenttest.RequestText(1, 4000))
 	if status := agenttest.FinalStatus(t, client); status != http.StatusOK {
 		t.Fatalf("status %d before the shutdown, want %d", status, http.StatusOK)
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -102,7 +102,7 @@
 			bad, good := agenttest.NewServer(t, fault), agenttest.NewServer(t, agenttest.RespondOK)
 			agent := startAgent(t, listing(t, bad.Addr, good.Addr), nil)
 			if name == crashFault {
-				time.AfterFunc(crashDelay, func() { _ = bad.Ln.Close() })
+				time.AfterFunc(crashDelay, func() { _ = bad.Listener.Close() })
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var badClients, goodClients sync.WaitGroup
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -171,15 +171,15 @@
 }
 
 // dialKept opens a connection of a client that keeps it open until the end of the test.
-func (agent *testAgent) dialKept() *agenttest.KeptConn {
+func (agent *testAgent) dialKept() *agenttest.ClientConn {
 	agent.tb.Helper()
-	return agenttest.DialKept(agent.tb, agent.addr)
+	return agenttest.DialClient(agent.tb, agent.addr)
 }
 
 // do sends a request and returns the response's status, header and body.
 func (agent *testAgent) do(req *http.Request) (status int, header http.Header, body string) {
 	agent.tb.Helper()
-	return agenttest.Do(agent.tb, req)
+	return agenttest.Send(agent.tb, req)
 }
 
 // wantOrderStatus sends a non-idempotent request and checks the response's status.
@@ -232,7 +232,7 @@
 func waitConnEnded(t *testing.T, server *agenttest.Server) {
 	t.Helper()
 	select {
-	case <-server.Ended:
+	case <-server.ConnsClosed:
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("a connection to the server stays open")
 	}
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -115,7 +115,7 @@
 			agent, server := startWithServer(t, agenttest.RespondOK)
 			client := agent.dialKept()
 			send(client, test.head+body)
-			resp, err := http.ReadResponse(client.Br, nil)
+			resp, err := http.ReadResponse(client.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -209,7 +209,7 @@
 		t.Run(name, func(t *testing.T) {
 			client := agent.dialKept()
 			send(client, invalid+timedRequest(timeoutMs, "x"))
-			resp, err := http.ReadResponse(client.Br, nil)
+			resp, err := http.ReadResponse(client.Reader, nil)
 			if err != nil {
 				t.Fatalf("no response: %v", err)
 			}
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -29,7 +29,7 @@
 	for i := range 3 {
 		sendf(client, "GET /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 			"Request-Timeout-Ms: 4000\r\n\r\n", i, i)
-		resp, err := http.ReadResponse(client.Br, nil)
+		resp, err := http.ReadResponse(client.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -15,7 +15,7 @@
 )
 
 // sendPartOfStreamedBody sends a request with a long body up to the middle of the body, which is streamed by then.
-func sendPartOfStreamedBody(client *agenttest.KeptConn) {
+func sendPartOfStreamedBody(client *agenttest.ClientConn) {
 	send(client, orderHead(timeoutMs, 20*message.MaxBufferedBody))
 	send(client, string(variedBytes(3*message.MaxBufferedBody)))
 }
@@ -128,9 +128,9 @@
 
 // wantRejectionAndClose reads a response on a connection: a rejection that may be retried elsewhere, and announces
 // that the connection closes.
-func wantRejectionAndClose(t *testing.T, conn *agenttest.KeptConn) {
+func wantRejectionAndClose(t *testing.T, conn *agenttest.ClientConn) {
 	t.Helper()
-	resp, err := http.ReadResponse(conn.Br, nil)
+	resp, err := http.ReadResponse(conn.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	sendPartOfStreamedBody(client)
 	_ = client.Close()
 	agenttest.WaitLine(t, lines, " id=1 ") // as cancelled or as failed, whichever is seen first
-	<-server.Ended
+	<-server.ConnsClosed
 	if server.Count() != 0 {
 		t.Errorf("%d arrivals, want none", server.Count())
 	}
@@ -178,7 +178,7 @@
 	wantRejectionAndClose(t, client)
 	send(late, "Request-Timeout-Ms: 4000\r\n\r\n")
 	wantRejectionAndClose(t, late)
-	<-server.Ended
+	<-server.ConnsClosed
 	if server.Count() != 0 {
 		t.Errorf("%d arrivals, want none", server.Count())
 	}
--- a/internal/agent/response_body_test.go
+++ b/internal/agent/response_body_test.go
@@ -59,8 +59,8 @@
 	}
 	server.Mu.Lock()
 	defer server.Mu.Unlock()
-	if server.Arrivals != 3 || server.Most > 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Arrivals, server.Most)
+	if server.Arrivals != 3 || server.MaxConns > 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Arrivals, server.MaxConns)
 	}
 }
 
@@ -111,7 +111,7 @@
 	})
 	client := agent.dialKept()
 	send(client, agenttest.RequestText(1, 4000))
-	if _, err := client.Br.Peek(4096); err != nil {
+	if _, err := client.Reader.Peek(4096); err != nil {
 		t.Fatal(err)
 	}
 	_ = client.Close()
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -38,7 +38,7 @@
 			if status := agenttest.FinalStatus(t, client); status < http.StatusBadRequest {
 				t.Errorf("response %d, want an error", status)
 			}
-			if _, err := io.Copy(io.Discard, client.Br); err != nil {
+			if _, err := io.Copy(io.Discard, client.Reader); err != nil {
 				t.Errorf("after the response: %v", err)
 			}
 			if took := time.Since(stalled); took > 3*time.Second+tolerance {
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -175,7 +175,7 @@
 			defer stop()
 			go func() { done <- agent.Run(ctx, nil) }()
 			addr := listeners.Clients.Addr().String()
-			idle := agenttest.DialKept(t, addr)
+			idle := agenttest.DialClient(t, addr)
 			agenttest.WaitUntil(t, "it serves", func() bool { return serves(addr) })
 			if stopped {
 				stop()
@@ -201,7 +201,7 @@
 }
 
 // wantAllClosed checks that a killed agent has closed a client's connection and its listeners.
-func wantAllClosed(t *testing.T, client *agenttest.KeptConn, listeners Listeners) {
+func wantAllClosed(t *testing.T, client *agenttest.ClientConn, listeners Listeners) {
 	t.Helper()
 	read, err := client.Read(make([]byte, 100))
 	if read > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
