--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -208,7 +208,18 @@
 }
 
 // descendants are the child processes of a process, and theirs.
-func descendants(pid int) (all []int) {
+func descendants(pid int) []int {
+	children := childProcesses()
+	all := slices.Clone(children[pid])
+	for next := 0; next < len(all); next++ {
+		all = append(all, children[all[next]]...)
+	}
+	return all
+}
+
+// childProcesses are the processes of this machine by their parent.
+func childProcesses() map[int][]int {
+	children := map[int][]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
@@ -219,11 +230,11 @@
 		var state string
 		_, childErr := fmt.Sscan(string(text), &child)
 		_, parentErr := fmt.Sscan(string(text[bytes.LastIndexByte(text, ')')+1:]), &state, &parent)
-		if childErr == nil && parentErr == nil && parent == pid {
-			all = append(append(all, child), descendants(child)...)
+		if childErr == nil && parentErr == nil {
+			children[parent] = append(children[parent], child)
 		}
 	}
-	return all
+	return children
 }
 
 // haveEnded reports whether none of some processes runs.
