--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"path/filepath"
 	"slices"
@@ -17,6 +16,7 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
+	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
 const (
@@ -161,29 +161,15 @@
 	return request(http.MethodPut, admin+"/v1/servers/"+entry.ID, string(body)).version()
 }
 
-// freeAddress returns a loopback address with a port that is free.
-func freeAddress(tb testing.TB) string {
-	tb.Helper()
-	var config net.ListenConfig
-	ln, err := config.Listen(tb.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	if err := ln.Close(); err != nil {
-		tb.Fatal(err)
-	}
-	return ln.Addr().String()
-}
-
-// nodeConfig returns the configuration of an instance on free ports, which founds its cluster.
+// nodeConfig returns the configuration of an instance on reserved ports, which founds its cluster.
 func nodeConfig(tb testing.TB, id, dir string, electionTimeout time.Duration) server.Config {
 	tb.Helper()
 	return server.Config{
 		ID:              id,
 		DataDir:         dir,
-		RaftAddr:        freeAddress(tb),
-		HTTPAddr:        freeAddress(tb),
-		AdminAddr:       freeAddress(tb),
+		RaftAddr:        testaddr.Reserve(tb),
+		HTTPAddr:        testaddr.Reserve(tb),
+		AdminAddr:       testaddr.Reserve(tb),
 		Bootstrap:       true,
 		MaxStale:        time.Second,
 		ElectionTimeout: electionTimeout,
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
 // benchSizes are the numbers of members by which the growth of the costs of a round is measured.
@@ -15,7 +17,7 @@
 // by itself: memberlist neither probes nor gossips.
 func newPopulated(b *testing.B, members int) *Membership {
 	b.Helper()
-	cfg := testConfig(memberName(0), freeAddr(b))
+	cfg := testConfig(memberName(0), testaddr.Reserve(b))
 	cfg.Size = members
 	cfg.Zone = "zone-0"
 	m, err := newMembership(cfg)
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -10,6 +10,7 @@
 
 	"fernbeam.example/fernbeam/internal/clock"
 	"fernbeam.example/fernbeam/internal/clock/clocktest"
+	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
 // processID is the identity of a process in tests, of one digit.
@@ -73,12 +74,12 @@
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			first, err := Start(testConfig("a", freeAddr(t)))
+			first, err := Start(testConfig("a", testaddr.Reserve(t)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(first.Leave)
-			bind, stepped := freeAddr(t), clocktest.NewStepped(0)
+			bind, stepped := testaddr.Reserve(t), clocktest.NewStepped(0)
 			start := func() *Membership {
 				cfg := testConfig("b", bind, first.cfg.Bind)
 				cfg.Clock = stepped
@@ -111,7 +112,7 @@
 
 // The times of a snapshot have a reading of the monotonic clock.
 func TestSnapshotTimesAreMonotonic(t *testing.T) {
-	m, err := Start(testConfig("a", freeAddr(t)))
+	m, err := Start(testConfig("a", testaddr.Reserve(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -9,22 +9,9 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
-)
 
-// freeAddr is an address of this machine on which nothing listens.
-func freeAddr(tb testing.TB) string {
-	tb.Helper()
-	var config net.ListenConfig
-	ln, err := config.Listen(tb.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	if err := ln.Close(); err != nil {
-		tb.Fatal(err)
-	}
-	return addr
-}
+	"fernbeam.example/fernbeam/internal/testaddr"
+)
 
 // testConfig is a configuration with short times.
 func testConfig(name, bind string, seeds ...string) Config {
@@ -112,12 +99,12 @@
 // A process that starts is announced, and sees others, also where its list is read between the injection of a packet
 // and memberlist's handling of it: a change is notified once it is made.
 func TestStartIsAnnouncedWhenListIsReadEarly(t *testing.T) {
-	first, err := Start(testConfig("a", freeAddr(t)))
+	first, err := Start(testConfig("a", testaddr.Reserve(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(first.Leave)
-	m, err := newMembership(testConfig("b", freeAddr(t), first.cfg.Bind))
+	m, err := newMembership(testConfig("b", testaddr.Reserve(t), first.cfg.Bind))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +141,7 @@
 
 // A process that is alone has its own incarnation in its snapshot, also where that grew after its announcement.
 func TestSnapshotHasOwnIncarnationWhenAlone(t *testing.T) {
-	m, err := Start(testConfig("a", freeAddr(t)))
+	m, err := Start(testConfig("a", testaddr.Reserve(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
