--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -102,20 +102,21 @@
 func (l *Loop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
 	incoming := r.incoming
 	current := r.attempts[index]
-	server := current.server
-	addr := server.addr
+	target := upstream.Target{Server: &current.server.Server, Addr: current.server.addr}
 	ctx, cancel := context.WithCancel(incoming.Context)
 	current.cancel = cancel
 	outgoing := &upstream.Message{
 		NewRequest:   func(left time.Duration) *http.Request { return upstream.NewRequest(incoming, left) },
 		Streamed:     incoming.Streamed,
 		ClientGone:   incoming.ClientGone,
+		StartedAt:    current.startedAt,
+		Deadline:     deadline,
 		SendBy:       sendBy,
 		ResponseTime: incoming.Timeout - r.backstopMargin(),
 		OnSent:       func() { l.Post(func() { l.streamedBodySent(r, index) }) },
 	}
 	go func() {
-		result := l.pool.Attempt(ctx, &server.Server, addr, outgoing, current.startedAt, deadline)
+		result := l.pool.Attempt(ctx, target, outgoing)
 		cancel()
 		l.Post(func() { l.attemptDone(r, index, &result) })
 	}()
--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -20,9 +20,9 @@
 		return
 	}
 	server.inFlight++
-	addr := server.addr
+	target := upstream.Target{Server: &server.Server, Addr: server.addr}
 	go func() {
-		result := l.pool.HealthCheck(l.ctx, &server.Server, addr, l.cfg.Listen)
+		result := l.pool.HealthCheck(l.ctx, target, l.cfg.Listen)
 		l.Post(func() { l.healthCheckDone(server, &result) })
 	}()
 }
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"net/http"
-	"net/url"
 	"sync/atomic"
 	"time"
 
@@ -14,9 +13,6 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// healthCheckPath is the path of a server's health check.
-const healthCheckPath = "/-/healthy"
-
 // ErrClientGone ends an attempt whose client has closed its connection.
 var ErrClientGone = errors.New("client closed the connection")
 
@@ -31,10 +27,20 @@
 // IsAvailable tells whether the server may be sent requests; attempts read it just before they write.
 func (s *Server) IsAvailable() bool { return !s.unavailable.Load() }
 
-// Message is what an attempt sends to a server.
+// Target is where an attempt or a health check goes.
+type Target struct {
+	Server *Server
+	Addr   string // the server's network address when the attempt began
+}
+
+// Message is what an attempt sends to a server, and until when.
 type Message struct {
 	// NewRequest makes the request for the time that is left.
 	NewRequest func(left time.Duration) *http.Request
+	// StartedAt is when the attempt began; its latency counts from then, or from the last byte of a streamed request.
+	StartedAt time.Time
+	// Deadline is until when the response to a buffered request is waited for.
+	Deadline time.Time
 	// SendBy is until when a retry may be sent. Zero: there is no limit.
 	SendBy time.Time
 	// ClientGone checks whether the client has closed its connection; nil: that can't be checked.
@@ -66,21 +72,19 @@
 	unsent   bool // the connection broke before the last byte was written
 }
 
-// Attempt makes one attempt and returns how it ended. It never sends anything twice. Cancelling ctx cancels the
-// attempt and closes its connection.
-func (p *Pool) Attempt(
-	ctx context.Context, server *Server, addr string, outgoing *Message, startedAt, deadline time.Time,
-) Result {
+// Attempt makes one attempt and returns how it ended. It never sends anything twice, and outgoing is its own from
+// now on. Cancelling ctx cancels the attempt and closes its connection.
+func (p *Pool) Attempt(ctx context.Context, target Target, outgoing *Message) Result {
 	sent := outgoing.Streamed == nil
 	if outgoing.Streamed != nil {
 		notify := outgoing.OnSent
 		outgoing.OnSent = func() {
-			startedAt = time.Now()
+			outgoing.StartedAt = time.Now()
 			sent = true
 			notify()
 		}
 	}
-	result := p.exchange(ctx, server, addr, outgoing, deadline)
+	result := p.exchange(ctx, target, outgoing)
 	// A cancelled attempt says nothing of its server, also where the cancellation cut off a connect; a response
 	// that was already there stands.
 	if ctx.Err() != nil && result.Status != balancer.StatusOK && result.Status != balancer.StatusOverloaded {
@@ -89,23 +93,20 @@
 			result.Status = balancer.StatusUnsent // its last byte was never sent
 		}
 	}
-	result.LatencyMs = clock.MillisecondsSince(startedAt)
+	result.LatencyMs = clock.MillisecondsSince(outgoing.StartedAt)
 	return result
 }
 
 // HealthCheck asks a server whether it is healthy, over the connections that attempts use. It is given up after
 // twice the time that a connect may take: a server that delays a cheap response for so long is not healthy.
-func (p *Pool) HealthCheck(ctx context.Context, server *Server, addr, host string) Result {
-	outgoing := &Message{NewRequest: func(time.Duration) *http.Request {
-		return &http.Request{
-			Method: http.MethodGet,
-			URL:    &url.URL{Path: healthCheckPath},
-			Host:   host,
-			Header: http.Header{"User-Agent": {""}},
-		}
-	}}
+func (p *Pool) HealthCheck(ctx context.Context, target Target, host string) Result {
 	startedAt := time.Now()
-	result := p.exchange(ctx, server, addr, outgoing, startedAt.Add(2*p.connectTimeLimit()))
+	outgoing := &Message{
+		NewRequest: func(time.Duration) *http.Request { return newHealthCheck(host) },
+		StartedAt:  startedAt,
+		Deadline:   startedAt.Add(2 * p.connectTimeLimit()),
+	}
+	result := p.exchange(ctx, target, outgoing)
 	result.Body.Release() // only the status counts
 	result.LatencyMs = clock.MillisecondsSince(startedAt)
 	return result
@@ -114,20 +115,18 @@
 // exchange writes one message and reads its response. A kept connection that turns out broken before the last
 // byte is written has brought nothing to the server and says nothing of it: the message goes out on the next
 // kept connection, and finally on a new one.
-func (p *Pool) exchange(
-	ctx context.Context, server *Server, addr string, outgoing *Message, deadline time.Time,
-) Result {
+func (p *Pool) exchange(ctx context.Context, target Target, outgoing *Message) Result {
 	for {
-		conn, err := p.acquire(ctx, addr, deadline)
+		conn, err := p.acquire(ctx, target.Addr, outgoing.Deadline)
 		if err != nil { // not a byte was sent
 			return connectFailureResult(err)
 		}
 		kept := conn.uses > 0
-		result := p.exchangeOn(ctx, conn, server, outgoing, deadline)
+		result := p.exchangeOn(ctx, conn, target.Server, outgoing)
 		if kept {
 			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
 		}
-		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(deadline)
+		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(outgoing.Deadline)
 		if !mayRetry || outgoing.Streamed.IsConsumed() {
 			return result.Result
 		}
@@ -136,12 +135,12 @@
 
 // exchangeOn makes the exchange on one connection, and gives the connection back or closes it.
 func (p *Pool) exchangeOn(
-	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, deadline time.Time,
+	ctx context.Context, conn *serverConn, server *Server, outgoing *Message,
 ) exchangeResult {
 	// Cancelling makes whatever reads or writes end at once.
 	stopCancelling := context.AfterFunc(ctx, conn.expire)
 	conn.uses++
-	result := p.transfer(ctx, conn, server, outgoing, deadline)
+	result := p.transfer(ctx, conn, server, outgoing)
 	cancelled := !stopCancelling()
 	streaming := result.Body != nil && result.Body.Stream != nil
 	switch {
@@ -162,16 +161,16 @@
 
 // transfer writes the message on a connection and reads the response.
 func (p *Pool) transfer(
-	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, deadline time.Time,
+	ctx context.Context, conn *serverConn, server *Server, outgoing *Message,
 ) exchangeResult {
-	conn.setDeadline(deadline)
+	conn.setDeadline(outgoing.Deadline)
 	if ctx.Err() != nil {
 		return exchangeResult{Result: Result{Status: balancer.StatusConnectFailed}}
 	}
 	if result, unsendable := outgoing.unsendable(server); unsendable {
 		return exchangeResult{Result: result, reusable: true}
 	}
-	req := outgoing.NewRequest(time.Until(deadline))
+	req := outgoing.NewRequest(time.Until(outgoing.Deadline))
 	if outgoing.Streamed != nil {
 		return p.exchangeStreamed(ctx, conn, server, outgoing, req)
 	}
--- a/internal/agent/upstream/connect_errors_test.go
+++ b/internal/agent/upstream/connect_errors_test.go
@@ -17,7 +17,8 @@
 	pool := newTestPool(agenttest.Timeout, 1)
 	pool.dial = func(context.Context, string, time.Time) (net.Conn, error) { return nil, agenttest.ConnectError(errno) }
 	now := time.Now()
-	result := pool.Attempt(t.Context(), &Server{}, "127.0.0.1:1", &Message{}, now, now.Add(agenttest.Timeout))
+	target := Target{Server: &Server{}, Addr: "127.0.0.1:1"}
+	result := pool.Attempt(t.Context(), target, &Message{StartedAt: now, Deadline: now.Add(agenttest.Timeout)})
 	if pool.Size() != 0 {
 		t.Errorf("%v: %d connections counted, want none", errno, pool.Size())
 	}
--- a/internal/agent/upstream/fixture_test.go
+++ b/internal/agent/upstream/fixture_test.go
@@ -35,8 +35,12 @@
 // attemptNow makes an attempt for a client's request, with Timeout as its deadline.
 func attemptNow(ctx context.Context, pool *Pool, server *Server, addr string, incoming *message.Request) Result {
 	now := time.Now()
-	outgoing := &Message{NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) }}
-	return pool.Attempt(ctx, server, addr, outgoing, now, now.Add(agenttest.Timeout))
+	outgoing := &Message{
+		NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) },
+		StartedAt:  now,
+		Deadline:   now.Add(agenttest.Timeout),
+	}
+	return pool.Attempt(ctx, Target{Server: server, Addr: addr}, outgoing)
 }
 
 // wantEnd checks the status of an attempt or a health check.
--- a/internal/agent/upstream/health_check_test.go
+++ b/internal/agent/upstream/health_check_test.go
@@ -40,10 +40,11 @@
 		t.Run(name, func(t *testing.T) {
 			server := agenttest.NewServer(t, test.answer)
 			pool := newTestPool(healthConnectTimeout, 8)
-			wantEnd(t, "available", pool.HealthCheck(t.Context(), &Server{}, server.Addr, "x"), test.want)
-			draining := &Server{}
-			draining.SetAvailable(false)
-			result := pool.HealthCheck(t.Context(), draining, server.Addr, "x")
+			available := Target{Server: &Server{}, Addr: server.Addr}
+			wantEnd(t, "available", pool.HealthCheck(t.Context(), available, "x"), test.want)
+			draining := Target{Server: &Server{}, Addr: server.Addr}
+			draining.Server.SetAvailable(false)
+			result := pool.HealthCheck(t.Context(), draining, "x")
 			wantEnd(t, "draining", result, balancer.StatusConnectFailed)
 			if server.Count() != 1 {
 				t.Errorf("%d arrivals, want 1", server.Count())
--- a/internal/agent/upstream/request.go
+++ b/internal/agent/upstream/request.go
@@ -11,10 +11,23 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
+// healthCheckPath is the path of a server's health check.
+const healthCheckPath = "/-/healthy"
+
 // identityHeaders are the header fields by which a server recognizes a request: they are passed on even if the
 // client's Connection field lists them.
 var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
+// newHealthCheck makes the request of a health check.
+func newHealthCheck(host string) *http.Request {
+	return &http.Request{
+		Method: http.MethodGet,
+		URL:    &url.URL{Path: healthCheckPath},
+		Host:   host,
+		Header: http.Header{"User-Agent": {""}},
+	}
+}
+
 // NewRequest makes the request that is sent to a server, with the time left as its timeout.
 func NewRequest(incoming *message.Request, left time.Duration) *http.Request {
 	header := message.EndToEndHeaders(incoming.Header)
