--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,8 +91,11 @@
 		servingDone:     make(chan struct{}),
 	}
 	running, stopLoop := context.WithCancel(context.Background())
-	onUsable := sync.OnceFunc(func() { close(a.usable) })
-	loop, err := dispatch.New(running, cfg, a.pool, onUsable, a.applySettings)
+	loop, err := dispatch.New(running, cfg, dispatch.Options{
+		Pool:          a.pool,
+		OnUsable:      sync.OnceFunc(func() { close(a.usable) }),
+		ApplySettings: a.applySettings,
+	})
 	if err != nil {
 		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -67,12 +67,19 @@
 	settingsVersion      atomic.Uint64
 }
 
-// New makes the loop of an agent; Run starts it, and it ends with ctx. It calls onUsable each time that a
-// list with a ready server is in force, and apply with settings of the discovery service. An error says which
-// setting the policy can't use.
-func New(
-	ctx context.Context, cfg *config.Config, pool *upstream.Pool, onUsable func(), apply discovery.ApplySettings,
-) (*Loop, error) {
+// Options are what a Loop is made of besides the agent's configuration.
+type Options struct {
+	// Pool makes the attempts and the health checks.
+	Pool *upstream.Pool
+	// OnUsable is called each time that a list with a ready server comes into force.
+	OnUsable func()
+	// ApplySettings is called with settings of the discovery service; nil: the configuration asks for none.
+	ApplySettings discovery.ApplySettings
+}
+
+// New makes the loop of an agent; Run starts it, and it ends with ctx. An error says which setting the policy
+// can't use.
+func New(ctx context.Context, cfg *config.Config, options Options) (*Loop, error) {
 	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -84,16 +91,16 @@
 		ctx:        ctx,
 		balancer:   decisions,
 		endpoints:  newEndpointList(cfg.Zones, cfg.Kinds),
-		pool:       pool,
+		pool:       options.Pool,
 		clock:      eventTime,
 		inbox:      make(chan func(), inboxSize),
 		requests:   newRequestTable(),
 		startTimes: newStartTimeTable(eventTime),
-		onUsable:   onUsable,
+		onUsable:   options.OnUsable,
 		lines:      newLineLogger(cfg.Logger()),
 		metrics:    newMetrics(),
 	}
-	l.discovery = discovery.New(cfg, eventTime, apply, func(response discovery.Response) {
+	l.discovery = discovery.New(cfg, eventTime, options.ApplySettings, func(response discovery.Response) {
 		l.Post(func() { l.onListResponse(response) })
 	})
 	l.list.source = l.discovery.CurrentSource()
