--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -88,9 +88,9 @@
 	return chunk.bytes, chunk.err
 }
 
-// Buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout, and tells
-// whether it ended.
-func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (buffered []byte, complete bool, err error) {
+// Buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout. It reserves
+// nothing of a budget. What it has collected it returns also with an error.
+func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (BufferedPart, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	var collected bytes.Buffer
@@ -100,14 +100,14 @@
 			collected.Write(chunk.bytes)
 			s.complete = errors.Is(chunk.err, io.EOF)
 			if s.complete {
-				return collected.Bytes(), true, nil
+				return BufferedPart{Bytes: collected.Bytes(), Complete: true}, nil
 			}
 			if chunk.err != nil {
-				return collected.Bytes(), false, chunk.err
+				return BufferedPart{Bytes: collected.Bytes()}, chunk.err
 			}
 		case <-timer.C:
-			return collected.Bytes(), false, nil
+			return BufferedPart{Bytes: collected.Bytes()}, nil
 		}
 	}
-	return collected.Bytes(), false, nil
+	return BufferedPart{Bytes: collected.Bytes()}, nil
 }
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -19,7 +19,7 @@
 	Size int64
 }
 
-// BufferedPart is the part of a body that ReadBody has buffered.
+// BufferedPart is the part of a body that has been buffered.
 type BufferedPart struct {
 	Bytes    []byte
 	Complete bool  // it is all of the body
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -98,8 +98,8 @@
 		return servedResult(resp, body, false)
 	}
 	body.Reserved = message.MaxBufferedBody
-	buffered, complete, err := body.Stream.Buffer(message.MaxBufferedBody, message.BufferingTime)
-	body.Buffered = buffered
+	part, err := body.Stream.Buffer(message.MaxBufferedBody, message.BufferingTime)
+	body.Buffered = part.Bytes
 	if err != nil {
 		body.Stream.Detach()
 		body.Stream = nil
@@ -107,10 +107,10 @@
 		failed := Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}
 		return exchangeResult{Result: failed}
 	}
-	if !complete {
+	if !part.Complete {
 		return servedResult(resp, body, false)
 	}
-	body.Length = int64(len(buffered))
+	body.Length = int64(len(part.Bytes))
 	body.Stream = nil
 	return servedResult(resp, body, conn.reusableAfter(resp))
 }
