--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -55,11 +55,11 @@
 	if list.Full {
 		update = balancer.ListFull
 	}
-	context := listContext{older: older, lastAnswer: response.LastAnswer}
+	origin := listOrigin{older: older, lastAnswer: response.LastAnswer}
 	if response.Complete {
-		context.lastAnswer = 0
+		origin.lastAnswer = 0
 	}
-	l.applyList(list, update, list.Full, context)
+	l.applyList(list, update, list.Full, origin)
 	if l.endpoints.hasReady() {
 		l.onUsable()
 	}
@@ -88,9 +88,9 @@
 }
 
 // applyList puts a list in force.
-func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, full bool, context listContext) {
+func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, full bool, origin listOrigin) {
 	l.list.version = list.Version
-	started := func(entry *endpoint.Endpoint) float64 { return l.startTimes.resolve(entry, context) }
+	started := func(entry *endpoint.Endpoint) float64 { return l.startTimes.resolve(entry, origin) }
 	changes := l.endpoints.apply(list, full, started)
 	for _, addr := range changes.staleAddrs {
 		l.pool.CloseIdle(addr)
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -16,8 +16,8 @@
 	maxUnlistedStarts = 4096
 )
 
-// listContext is what is known of a list from discovery besides its content.
-type listContext struct {
+// listOrigin is what is known of a list from discovery besides its content.
+type listOrigin struct {
 	// older tells that its version is lower than that of the list in force.
 	older bool
 	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
@@ -49,19 +49,19 @@
 }
 
 // resolve returns the event time at which a server's process started; 0 if that was long ago.
-func (t *startTimeTable) resolve(entry *endpoint.Endpoint, list listContext) float64 {
+func (t *startTimeTable) resolve(entry *endpoint.Endpoint, origin listOrigin) float64 {
 	startedMs := balancer.Finite(entry.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
 	last, known := t.known[entry.ID]
-	sameProcess := startedMs == last.startedMs || list.older && startedMs < last.startedMs
+	sameProcess := startedMs == last.startedMs || origin.older && startedMs < last.startedMs
 	if known && sameProcess {
 		return last.atMs
 	}
 	now := t.clock.nowMs()
 	age := t.age(startedMs, now)
-	unlistedBefore := list.lastAnswer != 0 && now-age < t.clock.fromMonotonic(list.lastAnswer-maxListingDelay)
+	unlistedBefore := origin.lastAnswer != 0 && now-age < t.clock.fromMonotonic(origin.lastAnswer-maxListingDelay)
 	olderThanLast := known && now-age <= last.atMs
 	atMs := startedMs
 	switch {
--- a/internal/agent/dispatch/start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -28,8 +28,8 @@
 }
 
 // resolve has discovery list a server with a start time, and returns the age that its process is taken to have.
-func (f *startTimesFixture) resolve(startedMs float64, list listContext) time.Duration {
-	at := f.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, list)
+func (f *startTimesFixture) resolve(startedMs float64, origin listOrigin) time.Duration {
+	at := f.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, origin)
 	f.lastAnswer = f.clock.Monotonic()
 	return clock.FromMilliseconds(f.starts.clock.nowMs() - at).Round(time.Millisecond)
 }
@@ -49,20 +49,20 @@
 			t.Run(fmt.Sprintf("agent %v, list %v", step, listStep), func(t *testing.T) {
 				fixture := newStartTimesFixture(t, 0)
 				first := trueMs - 1_800_000
-				fixture.want(fixture.resolve(first, listContext{}), 30*time.Minute)
+				fixture.want(fixture.resolve(first, listOrigin{}), 30*time.Minute)
 				fixture.clock.Advance(time.Minute)
-				fixture.want(fixture.resolve(first, listContext{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.want(fixture.resolve(first, listOrigin{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
 				fixture.clock.Step(step)
-				fixture.want(fixture.resolve(first, listContext{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.want(fixture.resolve(first, listOrigin{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
 				fixture.clock.Advance(time.Minute)
 				second := trueMs + 120_000 - 500 + float64(listStep.Milliseconds())
-				got := fixture.resolve(second, listContext{lastAnswer: fixture.lastAnswer})
+				got := fixture.resolve(second, listOrigin{lastAnswer: fixture.lastAnswer})
 				if got < 0 || got > 500*time.Millisecond {
 					t.Errorf("a server started 0.5 s ago, its age is taken as %v", got)
 				}
 				fixture.clock.Step(-step)
 				fixture.clock.Advance(time.Second)
-				fixture.want(fixture.resolve(second, listContext{lastAnswer: fixture.lastAnswer}), got+time.Second)
+				fixture.want(fixture.resolve(second, listOrigin{lastAnswer: fixture.lastAnswer}), got+time.Second)
 			})
 		}
 	}
@@ -74,11 +74,11 @@
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		fixture := newStartTimesFixture(t, ahead)
 		if ahead < 0 {
-			fixture.want(fixture.resolve(trueMs-500, listContext{}), 0)
+			fixture.want(fixture.resolve(trueMs-500, listOrigin{}), 0)
 		}
 		fixture.lastAnswer = fixture.clock.Monotonic()
 		fixture.clock.Advance(time.Second)
-		fixture.want(fixture.resolve(trueMs+900, listContext{lastAnswer: fixture.lastAnswer}), 0)
+		fixture.want(fixture.resolve(trueMs+900, listOrigin{lastAnswer: fixture.lastAnswer}), 0)
 	}
 }
 
@@ -86,11 +86,11 @@
 func TestAccurateClocksKeepListedStartTimes(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second, time.Minute} {
 		fixture := newStartTimesFixture(t, 0)
-		fixture.resolve(0, listContext{})
+		fixture.resolve(0, listOrigin{})
 		fixture.clock.Advance(late) // discovery is silent meanwhile
 		startedMs := trueMs + 17
 		want := max(late-17*time.Millisecond, 0)
-		fixture.want(fixture.resolve(startedMs, listContext{lastAnswer: fixture.lastAnswer}), want)
+		fixture.want(fixture.resolve(startedMs, listOrigin{lastAnswer: fixture.lastAnswer}), want)
 		if at := fixture.starts.known["s-1"].atMs; late > 0 && at != startedMs {
 			t.Errorf("started at %v, want %v", at, startedMs)
 		}
@@ -101,7 +101,7 @@
 // that lists a later process is accepted.
 func TestOlderListRestoresNoProcess(t *testing.T) {
 	fixture := newStartTimesFixture(t, 0)
-	fixture.want(fixture.resolve(trueMs-5000, listContext{}), 5*time.Second)
-	fixture.want(fixture.resolve(trueMs-60_000, listContext{older: true}), 5*time.Second)
-	fixture.want(fixture.resolve(trueMs-1000, listContext{older: true}), time.Second)
+	fixture.want(fixture.resolve(trueMs-5000, listOrigin{}), 5*time.Second)
+	fixture.want(fixture.resolve(trueMs-60_000, listOrigin{older: true}), 5*time.Second)
+	fixture.want(fixture.resolve(trueMs-1000, listOrigin{older: true}), time.Second)
 }
