--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -81,7 +81,9 @@
 
 // apply takes a list over and returns what it changed. started gives the start time of a server's process on
 // the clock of the policy's events.
-func (l *endpointList) apply(list *endpoint.List, full bool, started func(*endpoint.Endpoint) float64) listChanges {
+func (l *endpointList) apply(
+	list *endpoint.List, update balancer.ListUpdate, started func(*endpoint.Endpoint) float64,
+) listChanges {
 	var changes listChanges
 	listed := make(map[string]bool, len(list.Servers))
 	for i := range list.Servers {
@@ -92,7 +94,7 @@
 		listed[entry.ID] = true
 		l.applyEntry(entry, started(entry), &changes)
 	}
-	if full {
+	if update != balancer.ListDelta {
 		l.removeUnlisted(listed, &changes)
 	}
 	return changes
@@ -124,7 +126,7 @@
 	})
 }
 
-// removeUnlisted removes the servers that a full list lacks. The policy sees that by itself.
+// removeUnlisted removes the servers that a complete list lacks. The policy sees that by itself.
 func (l *endpointList) removeUnlisted(listed map[string]bool, changes *listChanges) {
 	for id, server := range l.byID {
 		if listed[id] {
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -59,7 +59,7 @@
 	if response.Complete {
 		origin.lastAnswer = 0
 	}
-	l.applyList(list, update, list.Full, origin)
+	l.applyList(list, update, origin)
 	if l.endpoints.hasReady() {
 		l.onUsable()
 	}
@@ -88,10 +88,10 @@
 }
 
 // applyList puts a list in force.
-func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, full bool, origin listOrigin) {
+func (l *Loop) applyList(list *endpoint.List, update balancer.ListUpdate, origin listOrigin) {
 	l.list.version = list.Version
 	started := func(entry *endpoint.Endpoint) float64 { return l.startTimes.resolve(entry, origin) }
-	changes := l.endpoints.apply(list, full, started)
+	changes := l.endpoints.apply(list, update, started)
 	for _, addr := range changes.staleAddrs {
 		l.pool.CloseIdle(addr)
 	}
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -145,7 +145,7 @@
 // watch where the agent keeps one of its own.
 func (l *Loop) start() {
 	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
-	l.applyList(&l.cfg.Known, balancer.ListCached, true, listOrigin{})
+	l.applyList(&l.cfg.Known, balancer.ListCached, listOrigin{})
 	l.handlePending()
 	if l.endpoints.hasReady() {
 		l.onUsable()
