--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -42,10 +42,7 @@
 // A listener that is closed by something else than the server ends it, with its reason.
 func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
 	server := New(idleDrainer{}, nil, config.MaxAdminConns, slog.Default())
-	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := agenttest.Listen(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
 // SystemCall is a system call that a fault makes fail.
@@ -132,7 +134,7 @@
 	if fault != nil && fault.Call == CallConnect {
 		return nil, ConnectError(fault.Errno)
 	}
-	conn, err := dialUntil(ctx, addr, until)
+	conn, err := config.DialTCP(ctx, addr, until)
 	if err != nil {
 		return nil, err
 	}
@@ -174,9 +176,3 @@
 func ConnectError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
-
-// dialUntil opens a TCP connection until a time.
-func dialUntil(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	return dialer.DialContext(ctx, "tcp", addr)
-}
--- a/internal/agent/agenttest/flaky_listener.go
+++ b/internal/agent/agenttest/flaky_listener.go
@@ -25,11 +25,7 @@
 // NewFlakyListener returns a listener whose every accept fails once with each of AcceptErrnos before it accepts.
 func NewFlakyListener(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return &flakyListener{Listener: ln}
+	return &flakyListener{Listener: Listen(t)}
 }
 
 // Accept fails, or accepts once each of AcceptErrnos has been returned.
--- /dev/null
+++ b/internal/agent/agenttest/listen.go
@@ -0,0 +1,18 @@
+package agenttest
+
+import (
+	"net"
+	"testing"
+)
+
+// Listen listens on a loopback port that the system chooses. The listener is closed at the end of the test at the
+// latest.
+func Listen(tb testing.TB) net.Listener {
+	tb.Helper()
+	ln, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { _ = ln.Close() }) // its owner may have closed it
+	return ln
+}
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -31,10 +31,7 @@
 // NewServer starts a server.
 func NewServer(tb testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *Server {
 	tb.Helper()
-	ln, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
+	ln := Listen(tb)
 	s := &Server{
 		T:           tb,
 		Listener:    ln,
@@ -42,7 +39,6 @@
 		Respond:     answer,
 		ConnsClosed: make(chan struct{}, eventBuffer),
 	}
-	tb.Cleanup(func() { _ = ln.Close() })
 	go s.Accept()
 	return s
 }
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -12,7 +12,6 @@
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
-	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
 // blockedServer blocks each request until release is called.
@@ -55,7 +54,7 @@
 	}
 	var dials atomic.Int64
 	dial := func(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-		conn, err := upstream.DialTCP(ctx, addr, until)
+		conn, err := config.DialTCP(ctx, addr, until)
 		if err != nil || dials.Add(1) > 1 {
 			return conn, err
 		}
@@ -81,8 +80,7 @@
 // fullListener listens with a queue that is full, so that connections are established only once it has space.
 func fullListener(t *testing.T) net.Listener {
 	t.Helper()
-	listener := newListener(t)
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := agenttest.Listen(t)
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -58,6 +58,12 @@
 // DialFunc opens a connection to a server until a time.
 type DialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
 
+// DialTCP is the DialFunc of an agent that is given no other; others call it to open the connections that they change.
+func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
+
 // Hooks are called when something has happened, each where it is not nil, from goroutines of the agent: a hook
 // that waits blocks the agent.
 type Hooks struct {
@@ -88,6 +94,14 @@
 	return c.Log
 }
 
+// Dialer opens the connections to servers.
+func (c *Config) Dialer() DialFunc {
+	if c.Dial == nil {
+		return DialTCP
+	}
+	return c.Dial
+}
+
 // Addresses are the addresses of discovery without duplicates, "discovery" first.
 func (c *Config) Addresses() []string {
 	all := []string{c.Discovery}
--- a/internal/agent/config/limits.go
+++ b/internal/agent/config/limits.go
@@ -46,8 +46,11 @@
 	return c.Sockets - membership.MaxDescriptors
 }
 
+// MemoryBytes is the memory that the process may have, in bytes.
+func (c *Config) MemoryBytes() int64 { return int64(c.MemoryMB) * bytesPerMiB }
+
 // MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
 // agent would be killed.
 func (c *Config) MemoryLimit() int64 {
-	return int64(c.MemoryMB) * bytesPerMiB * memoryLimitNumerator / memoryLimitDenominator
+	return c.MemoryBytes() * memoryLimitNumerator / memoryLimitDenominator
 }
--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -84,7 +84,7 @@
 // A call that fails in another way than by silence is repeated as well.
 func TestFailedCallsAreRetriedInTime(t *testing.T) {
 	t.Parallel()
-	refusing := listen(t)
+	refusing := agenttest.Listen(t)
 	if err := refusing.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/discovery/fixture_test.go
+++ b/internal/agent/discovery/fixture_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/agent/config"
@@ -34,14 +33,3 @@
 	t.Cleanup(stop)
 	go client.KeepWatch(ctx)
 }
-
-// listen is a listener on a port that the system chooses.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = ln.Close() })
-	return ln
-}
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -104,7 +104,7 @@
 // instance that fails would all call at once.
 func TestLostCallIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
-	ln := listen(t)
+	ln := agenttest.Listen(t)
 	var conns atomic.Int64
 	go func() {
 		for {
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"net"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
@@ -23,10 +22,7 @@
 // startLoop starts a loop that knows the list of the discovery as it is now; change may change its configuration.
 func startLoop(t *testing.T, discovery *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
-	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := agenttest.Listen(t)
 	cfg := agenttest.NewConfig(t, ln.Addr().String(), discovery)
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	cfg.Log = slog.New(slog.NewTextHandler(lines, nil))
--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -24,7 +24,7 @@
 // clientPair is a client's end of a connection and the agent's.
 func clientPair(t *testing.T) (client net.Conn, conn *clientConn) {
 	t.Helper()
-	ln := listen(t)
+	ln := agenttest.Listen(t)
 	defer func() { _ = ln.Close() }()
 	var dialer net.Dialer
 	client, err := dialer.DialContext(t.Context(), "tcp", ln.Addr().String())
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -46,13 +46,3 @@
 	})
 	return server, dispatcher
 }
-
-// listen is a listener on a port that the system chooses.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -107,7 +107,7 @@
 		dispatcher: options.Dispatcher,
 		shared:     options.Shared,
 		log:        cfg.Logger(),
-		bodies:     message.NewBodyBudget(cfg.MemoryMB),
+		bodies:     message.NewBodyBudget(cfg.MemoryBytes()),
 		conns:      newClientConns(cfg.ClientConns()),
 		onDrain:    options.OnDrain,
 	}
--- a/internal/agent/downstream/server_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -47,7 +47,7 @@
 // A request that crosses the close of its idle connection is sent again by its client, on another: if the
 // agent forwarded it as well, two copies would execute.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
-	server, dispatcher := startServer(t, lateCloseListener{listen(t)})
+	server, dispatcher := startServer(t, lateCloseListener{agenttest.Listen(t)})
 	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status := client.Status(); status != http.StatusOK {
@@ -74,7 +74,7 @@
 
 // A request that is read once the process admits no more is rejected, on its connection, and not forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
-	server, dispatcher := startServer(t, listen(t))
+	server, dispatcher := startServer(t, agenttest.Listen(t))
 	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, agenttest.RequestText(1, 4000))
 	if status := agenttest.FinalStatus(t, client); status != http.StatusOK {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -35,7 +35,7 @@
 // startAgent starts an agent that knows the discovery's list as it is now; change may be nil.
 func startAgent(tb testing.TB, discovery *agenttest.Discovery, change func(*config.Config)) *testAgent {
 	tb.Helper()
-	return startAgentOn(tb, discovery, newListener(tb), change)
+	return startAgentOn(tb, discovery, agenttest.Listen(tb), change)
 }
 
 // startAgentOn is startAgent with a given listener for clients.
@@ -49,7 +49,7 @@
 	if change != nil {
 		change(cfg)
 	}
-	adminListener := newListener(tb)
+	adminListener := agenttest.Listen(tb)
 	started, err := New(cfg, Listeners{Clients: listener, Admin: adminListener})
 	if err != nil {
 		tb.Fatal(err)
@@ -89,17 +89,6 @@
 	return discovery
 }
 
-// newListener listens on a port that the kernel chooses.
-func newListener(tb testing.TB) net.Listener {
-	tb.Helper()
-	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(tb.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	return listener
-}
-
 // acceptAll hands each connection of a listener to a goroutine of its own until the listener is closed.
 // The connection is closed after that.
 func acceptAll(listener net.Listener, handle func(net.Conn)) {
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -62,7 +62,7 @@
 func TestStreamedBodySentBeforeTheResetMayHaveExecuted(t *testing.T) {
 	t.Parallel()
 	const lastByte = 'Z'
-	listener := newListener(t)
+	listener := agenttest.Listen(t)
 	dial := func(context.Context, string, time.Time) (net.Conn, error) {
 		return newLateWriteConn(lastByte), nil
 	}
--- a/internal/agent/local_shortage_test.go
+++ b/internal/agent/local_shortage_test.go
@@ -10,7 +10,6 @@
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
-	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
@@ -28,7 +27,7 @@
 		if earlier < 2*len(errnos) { // each of the errors twice
 			return nil, agenttest.ConnectError(errnos[earlier%len(errnos)])
 		}
-		return upstream.DialTCP(ctx, addr, until)
+		return config.DialTCP(ctx, addr, until)
 	}
 	agent := startAgent(t, listing(t, addrs...), func(cfg *config.Config) { cfg.Dial = dial })
 	agenttest.WaitUntil(t, "a request is served once the shortage is over", func() bool {
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -10,9 +10,6 @@
 // of the process need grows with the connections, which the descriptors bound.
 const bodyBudgetPart = 6
 
-// bytesPerMiB converts the memory limit.
-const bytesPerMiB = 1 << 20
-
 // Quota bounds how much of something the process may have.
 type Quota struct {
 	*semaphore.Weighted
@@ -31,9 +28,9 @@
 	return Quota{Weighted: semaphore.NewWeighted(size), Size: size}
 }
 
-// NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many MiB of memory.
-func NewBodyBudget(memoryMB int) Quota {
-	return NewQuota(int64(memoryMB) * bytesPerMiB / bodyBudgetPart)
+// NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many bytes of memory.
+func NewBodyBudget(memoryBytes int64) Quota {
+	return NewQuota(memoryBytes / bodyBudgetPart)
 }
 
 // ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. What it has
--- a/internal/agent/message/quota_test.go
+++ b/internal/agent/message/quota_test.go
@@ -7,7 +7,7 @@
 
 // A body is buffered only as far as the budget has its bytes.
 func TestBodyBeyondTheBudgetIsNotBuffered(t *testing.T) {
-	budget := NewBodyBudget(1)
+	budget := NewBodyBudget(1 << 20)
 	if !budget.TryAcquire(1 << 20 / 6) {
 		t.Fatal("no budget")
 	}
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -100,7 +100,7 @@
 // A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
 // sent again, and what did not execute is rejected.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
-	listener := newListener(t)
+	listener := agenttest.Listen(t)
 	defer func() { _ = listener.Close() }()
 	heads := make(chan struct{}, 10)
 	go acceptAll(listener, func(conn net.Conn) {
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -154,7 +154,7 @@
 }
 
 func TestRefusedConnectDidNotExecute(t *testing.T) {
-	listener := newListener(t)
+	listener := agenttest.Listen(t)
 	addr := listener.Addr().String()
 	_ = listener.Close()
 	agent := startAgent(t, listing(t, addr), nil)
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -92,8 +92,7 @@
 
 // Without the section a call is the same as before, to the byte, and settings in a response are ignored.
 func TestWithoutControlTheCallFormIsUnchanged(t *testing.T) {
-	listener := newListener(t)
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := agenttest.Listen(t)
 	heads := make(chan string, 100)
 	go acceptAll(listener, func(conn net.Conn) { recordHeads(conn, heads) })
 	startAgent(t, listing(t, unusedAddr), func(cfg *config.Config) {
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -54,8 +54,7 @@
 // unreadingServer accepts connections and reads no more than the first byte of each.
 func unreadingServer(t *testing.T) net.Listener {
 	t.Helper()
-	listener := newListener(t)
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := agenttest.Listen(t)
 	go func() {
 		for {
 			conn, err := listener.Accept()
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -83,11 +83,7 @@
 // run runs an agent through a scenario, and returns what broke the rule: one response to each request, none lost
 // and none twice.
 func (env *faultEnvironment) run(scenario faultScenario) error {
-	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(env.t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		return err
-	}
+	listener := agenttest.Listen(env.t)
 	clients := agenttest.NewFaultPlan(scenario.Clients)
 	servers := agenttest.NewFaultPlan(scenario.Servers)
 	agent, err := env.agent(agenttest.FaultyListener{Listener: listener, Plan: clients}, servers.Dial)
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
@@ -20,14 +21,14 @@
 // listenWithSmallBuffers returns a listener whose connections have a small receive buffer.
 func listenWithSmallBuffers(t *testing.T) net.Listener {
 	t.Helper()
-	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	smallBuffers := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
 		err := raw.Control(func(fd uintptr) {
 			optionErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, socketBufferSize)
 		})
 		return errors.Join(err, optionErr)
 	}}
-	ln, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	ln, err := smallBuffers.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +39,7 @@
 // dialWithSmallBuffer opens a connection with a small send buffer.
 func dialWithSmallBuffer(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	conn, err := DialTCP(t.Context(), addr, time.Now().Add(agenttest.Timeout))
+	conn, err := config.DialTCP(t.Context(), addr, time.Now().Add(agenttest.Timeout))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/upstream/fixture_test.go
+++ b/internal/agent/upstream/fixture_test.go
@@ -7,18 +7,19 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// testMemoryMB is the memory of an agent by which the pools of the tests bound buffered bodies.
-const testMemoryMB = 64
+// testMemoryBytes is the memory of an agent by which the pools of the tests bound buffered bodies.
+const testMemoryBytes = 64 << 20
 
 // newTestPool is a connection pool without an agent.
 func newTestPool(connectTimeout time.Duration, maxConns int) *Pool {
 	return &Pool{
-		budget:         message.NewBodyBudget(testMemoryMB),
-		dial:           DialTCP,
+		budget:         message.NewBodyBudget(testMemoryBytes),
+		dial:           config.DialTCP,
 		connectTimeout: connectTimeout,
 		keepalive:      time.Minute,
 		maxConns:       maxConns,
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -7,7 +7,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"net"
 	"slices"
 	"sync"
 	"time"
@@ -51,13 +50,10 @@
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
 		maxConns: cfg.ServerConns(),
-		budget:   message.NewBodyBudget(cfg.MemoryMB),
-		dial:     cfg.Dial,
+		budget:   message.NewBodyBudget(cfg.MemoryBytes()),
+		dial:     cfg.Dialer(),
 		idle:     map[string][]*serverConn{},
 	}
-	if p.dial == nil {
-		p.dial = DialTCP
-	}
 	p.ApplySettings(cfg)
 	return p
 }
@@ -163,12 +159,6 @@
 	return clock.Earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
-// DialTCP opens a TCP connection to a server until a time.
-func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	return dialer.DialContext(ctx, "tcp", addr)
-}
-
 // evict closes the connection that has been idle longest, so that one to another server can be opened, and
 // tells whether there was any. The caller has the lock.
 func (p *Pool) evict() bool {
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -88,7 +88,7 @@
 	lists, settings := make(inForce, 100), make(inForce, 100)
 	cfg.Hooks.OnList = func(version uint64) { lists <- version }
 	cfg.Hooks.OnSettings = func(version uint64) { settings <- version }
-	listener := newListener(t)
+	listener := agenttest.Listen(t)
 	agent, err := New(cfg, Listeners{Admin: listener})
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +165,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			listeners := Listeners{Clients: newListener(t), Admin: newListener(t)}
+			listeners := Listeners{Clients: agenttest.Listen(t), Admin: agenttest.Listen(t)}
 			agent, err := New(cfg, listeners)
 			if err != nil {
 				t.Fatal(err)
