--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -181,7 +181,7 @@
 	<-left
 	a.stopLoop()
 	<-a.loopDone
-	a.cfg.Logger().Info("stopped", "metrics", a.loop.Stats().Metrics.String())
+	a.cfg.Logger().Info("stopped", "metrics", a.loop.MetricsText())
 	return nil
 }
 
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -58,7 +58,7 @@
 	return Metrics{Attempts: map[balancer.Status]int{}, HealthChecks: map[balancer.Status]int{}}
 }
 
-// Stats is a snapshot of what the loop counts and holds.
+// Stats is a copy of what the loop counts, holds and has in force.
 type Stats struct {
 	Metrics  Metrics
 	Policy   balancer.Stats
@@ -66,10 +66,15 @@
 	Settings balancer.Settings
 }
 
-// Stats returns a snapshot. It is called in a function that is posted to the loop, or once the loop has ended.
+// Stats returns a copy, which stays as it is. It is called in a function that is posted to the loop, or once the
+// loop has ended.
 func (l *Loop) Stats() Stats {
+	l.updateMetrics()
+	metrics := l.metrics
+	metrics.Attempts = maps.Clone(l.metrics.Attempts)
+	metrics.HealthChecks = maps.Clone(l.metrics.HealthChecks)
 	return Stats{
-		Metrics:  l.currentMetrics(),
+		Metrics:  metrics,
 		Policy:   l.balancer.Stats(),
 		Open:     l.requests.unanswered,
 		Settings: l.cfg.Settings,
@@ -80,26 +85,28 @@
 // the loop and have to know when an event of another package has been posted to it.
 func (l *Loop) Backlog() int { return len(l.inbox) }
 
-// currentMetrics brings the counts of others up to date and returns a copy of all counts.
-func (l *Loop) currentMetrics() Metrics {
+// MetricsText has all counts by their keys in the log. It is called where Stats may be.
+func (l *Loop) MetricsText() string {
+	l.updateMetrics()
+	return l.metrics.String()
+}
+
+// updateMetrics brings the counts of the log and of the calls to discovery up to date.
+func (l *Loop) updateMetrics() {
 	l.metrics.Unlogged = l.lines.dropped
 	traffic := l.discovery.Traffic()
 	l.metrics.ListIn = traffic.BytesIn
 	l.metrics.ListOut = traffic.BytesOut
 	l.metrics.ListCalls = traffic.Calls
-	current := l.metrics
-	current.Attempts = maps.Clone(l.metrics.Attempts)
-	current.HealthChecks = maps.Clone(l.metrics.HealthChecks)
-	return current
 }
 
+// logMetrics writes the metrics and the policy's statistics to the log.
 func (l *Loop) logMetrics() {
-	stats := l.Stats()
 	l.lines.always(slog.LevelInfo, "metrics",
-		"open", stats.Open,
+		"open", l.requests.unanswered,
 		"server_conns", l.pool.Size(),
 		"connects", l.pool.ConnectCount(),
 		"idle_limit", l.pool.IdleLimit(),
-		"policy", fmt.Sprintf("%+v", stats.Policy),
-		"counts", stats.Metrics.String())
+		"policy", fmt.Sprintf("%+v", l.balancer.Stats()),
+		"counts", l.MetricsText())
 }
