--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -171,17 +171,10 @@
 // closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
 func closeBehindEarlierResponse(t *testing.T) closeMoment {
 	t.Helper()
-	server, release := blockedServer(t, agenttest.RespondOK)
-	agent := startAgent(t, listing(t, server.Addr), nil)
-	return closeMoment{
-		agent:     agent,
-		requests:  readRequest + readRequest,
-		reached:   func() bool { return server.Count() == 1 },
-		proceed:   release,
-		begun:     server.StartedCount,
-		allowed:   1,
-		responses: 2,
-	}
+	moment := closeAtServer(t)
+	moment.requests = readRequest + readRequest
+	moment.responses = 2
+	return moment
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
