--- a/internal/agent/discovery/backoff.go
+++ b/internal/agent/discovery/backoff.go
@@ -8,6 +8,8 @@
 )
 
 const (
+	// minWatchBackoff and maxWatchBackoff bound the wait of singleBackoff, which doubles from the one to the other.
+	minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
 	// maxFailoverDelay bounds the wait before the next address is called: agents that watched one instance
 	// must not reach the others in step.
 	maxFailoverDelay = 750 * time.Millisecond
@@ -16,6 +18,28 @@
 	minRoundBackoff, maxRoundBackoff = time.Second, 4 * time.Second
 )
 
+// watchBackoff says how long a watch that the agent keeps by itself is not called after a failure.
+type watchBackoff interface {
+	// nextDelay is the time from a failure to the next call, where so many addresses are called in turn.
+	nextDelay(addrs int) time.Duration
+	// reset starts anew after an answer.
+	reset()
+}
+
+// singleBackoff is the backoff of a watch without the section "control". Its wait doubles at each failure, and is
+// drawn from the upper half. The zero value is ready for use.
+type singleBackoff struct {
+	wait time.Duration // the bound of the next wait; 0: minWatchBackoff
+}
+
+func (b *singleBackoff) nextDelay(int) time.Duration {
+	wait := max(b.wait, minWatchBackoff)
+	b.wait = min(2*wait, maxWatchBackoff)
+	return wait/2 + rand.N(wait/2)
+}
+
+func (b *singleBackoff) reset() { b.wait = 0 }
+
 // addressBackoff says how long a watch of several addresses waits after a failure. It belongs to the watch.
 //
 // With the section "control" the agent keeps its watch by itself, at one of several addresses. A change is known
@@ -47,7 +71,6 @@
 	return b
 }
 
-// nextDelay is the time from a failure to the next call, where so many addresses are called in turn.
 func (b *addressBackoff) nextDelay(addrs int) time.Duration {
 	b.failures++
 	if b.failures < addrs {
@@ -57,7 +80,6 @@
 	return b.backoff.NextBackOff()
 }
 
-// reset starts anew after an answer.
 func (b *addressBackoff) reset() {
 	b.failures = 0
 	b.backoff.Reset()
--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -104,6 +104,21 @@
 	}
 }
 
+// However often calls fail, a change is known in time once discovery answers again: the call that is open when it
+// falls silent is given up, the wait follows, and the next call still has its own time.
+func TestLongestWaitLeavesTimeForTheNextCall(t *testing.T) {
+	const draws, failures = 300, 15
+	const longestWait = agenttest.NotifiedWithin - (watchWait + callGrace) - callGrace
+	for range draws {
+		backoff := new(singleBackoff)
+		for failure := range failures {
+			if wait := backoff.nextDelay(1); wait > longestWait {
+				t.Fatalf("the wait after failure %d is %v, want %v at most", failure+1, wait, longestWait)
+			}
+		}
+	}
+}
+
 // A discovery that answers every watch at once is not called in a tight loop.
 func TestDiscoveryCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -4,40 +4,26 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"time"
 )
 
-// minWatchBackoff and maxWatchBackoff bound the wait, doubled at each failure and jittered, before a watch that
-// the agent keeps by itself is reopened.
-const minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
-
 // KeepWatch keeps a watch until ctx ends.
 func (c *Client) KeepWatch(ctx context.Context) {
-	for wait := minWatchBackoff; ctx.Err() == nil; wait = min(2*wait, maxWatchBackoff) {
-		answered := c.Watch(ctx)
-		if answered {
-			wait = minWatchBackoff
+	var backoff watchBackoff = new(singleBackoff)
+	if c.backoff != nil {
+		backoff = c.backoff
+	}
+	for ctx.Err() == nil {
+		if answered := c.Watch(ctx); answered {
+			backoff.reset()
 		}
 		select {
-		case <-time.After(c.reopenDelay(wait, answered)):
+		case <-time.After(backoff.nextDelay(len(c.CurrentSource().addrs))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// reopenDelay is the wait before the watch is reopened: by the backoff over all addresses, or where there is
-// only one, the given wait with jitter.
-func (c *Client) reopenDelay(wait time.Duration, answered bool) time.Duration {
-	if c.backoff == nil {
-		return wait/2 + rand.N(wait/2)
-	}
-	if answered {
-		c.backoff.reset()
-	}
-	return c.backoff.nextDelay(len(c.CurrentSource().addrs))
-}
-
 // Watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
 // call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
 // a new watch is a load on it.
