--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -128,7 +128,7 @@
 		b.concurrency.cutServer(s, rejectionDecrease, 1)
 		b.concurrency.recordOverload(a, true)
 		b.zone.record(s, true)
-		b.concurrency.rest(s, 1)
+		b.concurrency.startCooldown(s, minCooldownIntervals)
 	case balancer.StatusCancelled, balancer.StatusUnsent: // the agent's own doing
 	}
 }
@@ -143,7 +143,7 @@
 		return
 	}
 	b.zone.record(s, true)
-	b.concurrency.rest(s, 1)
+	b.concurrency.startCooldown(s, minCooldownIntervals)
 	if s.lastResponseAt > a.startedAt {
 		s.recordLatency(a.request.class.latency(ev.LatencyMs))
 		b.concurrency.recordOverload(a, true)
@@ -164,7 +164,7 @@
 	latency := a.request.class.latency(ev.LatencyMs)
 	b.latency.record(latency, a.alone)
 	s.recordLatency(latency)
-	b.concurrency.restIfSlow(s, latency, late)
+	b.concurrency.startCooldownIfSlow(s, latency, late)
 	limit := b.concurrency.serverLatencyLimit(s)
 	if b.latency.known() {
 		b.concurrency.recordOverload(a, b.concurrency.isOverload(s, latency, limit))
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -26,14 +26,16 @@
 	overloadSmoothing = 1.0 / 16
 	// overloadedMajority is the overloaded fraction from which all servers count as overloaded.
 	overloadedMajority = 0.5
-	// restFactor times the unloaded latency makes a server rest: an overloaded one takes twice as
-	// long or more, and recovers only with next to no load.
-	restFactor = 2.0
-	// maxRestTurns bounds the turns that a server misses for one slow response.
-	maxRestTurns = 4
-	// minRestFraction is the least part of its turns for which a server rests. The length varies at
-	// random by all of them, so that the agents do not return at once.
-	minRestFraction = 0.5
+	// cooldownLatencyFactor times the unloaded latency starts a server's cooldown: an overloaded one
+	// takes twice as long or more, and recovers only with next to no load.
+	cooldownLatencyFactor = 2.0
+	// minCooldownIntervals and maxCooldownIntervals bound the length of a cooldown, in mean times between
+	// two attempts of this agent at one server.
+	minCooldownIntervals = 1.0
+	maxCooldownIntervals = 4.0
+	// minCooldownFraction is the least part of its length that a cooldown lasts. The jitter added to it is
+	// up to the whole length, so that the agents do not return at once.
+	minCooldownFraction = 0.5
 	// lostAfterResponses is the number of response times after which an attempt is lost whose server
 	// has responded to later ones.
 	lostAfterResponses = 6.0
@@ -184,19 +186,21 @@
 	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
 }
 
-// rest makes an overloaded server miss about so many turns of this agent. An agent that rarely uses
-// the server cannot follow its overload by a limit; but all agents together send it less load, by
-// those that met the overload.
-func (c *concurrencyLimits) rest(s *server, turns float64) {
-	turnMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
-	restMs := min(turns*turnMs, c.env.settings.Contract.SlowStartMs)
-	s.restingUntil = c.env.now + restMs*(minRestFraction+c.env.random.Float64())
+// startCooldown has this agent pass over an overloaded server for about so many of the mean times
+// between two of its attempts at one server, with jitter. An agent that rarely uses the server cannot
+// follow its overload by a limit; but all agents together send it less load, by those that met the
+// overload.
+func (c *concurrencyLimits) startCooldown(s *server, intervals float64) {
+	intervalMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
+	cooldownMs := min(intervals*intervalMs, c.env.settings.Contract.SlowStartMs)
+	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
 }
 
-// restIfSlow makes a server rest after a response that was late, or much slower than without load.
-func (c *concurrencyLimits) restIfSlow(s *server, latency float64, late bool) {
+// startCooldownIfSlow starts a server's cooldown after a response that was late, or much slower than
+// without load.
+func (c *concurrencyLimits) startCooldownIfSlow(s *server, latency float64, late bool) {
 	slowness := latency / c.latency.unloaded
-	if late || slowness > restFactor*c.latency.fleetFactor() {
-		c.rest(s, min(max(slowness-1, 1), maxRestTurns))
+	if late || slowness > cooldownLatencyFactor*c.latency.fleetFactor() {
+		c.startCooldown(s, min(max(slowness-1, minCooldownIntervals), maxCooldownIntervals))
 	}
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -172,9 +172,9 @@
 }
 
 // An attempt that many others overtook, at a server that responds well since, lost its response: the
-// server keeps its limit, its health state and its turns. A few others are no evidence: of many agents
-// each sees a server too rarely to know how it responds now. Nor is a response lost where the others are
-// slow as well. Both times the server rests as a slow one.
+// server keeps its limit and its health state, and has no cooldown. A few others are no evidence: of many
+// agents each sees a server too rarely to know how it responds now. Nor is a response lost where the others
+// are slow as well. Both times the server has a cooldown as a slow one.
 func TestLostResponseIsNoSignOfOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(50, 20)
@@ -190,16 +190,16 @@
 		h.now += 40
 	}, 580)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it to rest", n)
+		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it in cooldown", n)
 	}
-	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
+	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest cooldown
 	h.serve(20, 20)
 	h.timeOutAmong(s, func() {
 		h.serve(4, 145)
 		h.now += 20
 	}, 600)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("an overload: its server got %d of the next 20 new keys, want it to rest", n)
+		t.Errorf("an overload: its server got %d of the next 20 new keys, want it in cooldown", n)
 	}
 }
 
--- a/policy/resting_test.go
+++ b/policy/cooldown_test.go
@@ -6,9 +6,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A server whose response took twice as long as without load, or more, rests: the next new keys pass it
-// over. One that is a fifth slower does not, nor does one of few agents, whose limits follow it.
-func TestOverloadedServerRests(t *testing.T) {
+// A server whose response took twice as long as without load, or more, is in cooldown: the next new keys
+// pass it over. One that is a fifth slower is not, nor is one of few agents, whose limits follow it.
+func TestOverloadedServerIsInCooldown(t *testing.T) {
 	forwardsAfter := func(agents int, responseMs float64) int {
 		settings := testSettings()
 		settings.FleetSize = agents
@@ -33,15 +33,15 @@
 	}
 }
 
-// A server that was overloaded or late rests: the next new keys pass it over, unless most servers were:
-// then all are overloaded, and none is passed over.
-func TestServerRestsUnlessMostAreOverloaded(t *testing.T) {
+// A server that was overloaded or late is in cooldown: the next new keys pass it over, unless most servers
+// were: then all are overloaded, and none is passed over.
+func TestServerIsInCooldownUnlessMostAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		status    balancer.Status
 		latencyMs float64
 		lateFirst int // servers that were late before the one under test
-		rests     bool
+		cooldown  bool
 	}{
 		{"in time", balancer.StatusOK, 20, 0, false},
 		{"overloaded", balancer.StatusOverloaded, 20, 0, true},
@@ -58,7 +58,7 @@
 			id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 			h.now++
 			h.serveRetry(id, h.endAttempt(id, 0, s, c.status, c.latencyMs), 1)
-			if n := h.serveAndCount(60, 1, s); (n == 0) != c.rests {
+			if n := h.serveAndCount(60, 1, s); (n == 0) != c.cooldown {
 				t.Errorf("the server got %d of the next 60 new keys", n)
 			}
 		})
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -16,8 +16,8 @@
 // referenceChoose selects a server as serverSelector.choose does.
 func (b *Balancer) referenceChoose(r *request) *server {
 	for t := range tierCount {
-		for _, skipResting := range []bool{true, false} {
-			if s, found := b.referenceChooseInTier(r, t, skipResting); found {
+		for _, skipCooldown := range []bool{true, false} {
+			if s, found := b.referenceChooseInTier(r, t, skipCooldown); found {
 				return s
 			}
 		}
@@ -25,21 +25,21 @@
 	return nil
 }
 
-// referenceChooseInTier selects a server of one tier, of those that do not rest or of all; found tells
-// whether there is any to choose from, and with skipResting also that most do not rest.
-func (b *Balancer) referenceChooseInTier(r *request, t tier, skipResting bool) (best *server, found bool) {
+// referenceChooseInTier selects a server of one tier, of those not in cooldown or of all; found
+// tells whether there is any to choose from, and with skipCooldown also that most are not in cooldown.
+func (b *Balancer) referenceChooseInTier(r *request, t tier, skipCooldown bool) (best *server, found bool) {
 	waits := r.waitsForKey(b.now)
 	var candidates []*server
 	var nearest [preferredServers]*server
-	restingWeight := 0.0
+	cooldownWeight := 0.0
 	r.tierWeight = 0
 	for _, s := range b.endpoints.servers {
 		if b.outliers.tierOf(s, r) != t || !b.selector.mayForward(r, s) {
 			continue
 		}
 		r.tierWeight += s.weight * b.slowStart.fraction(s)
-		if skipResting && b.now < s.restingUntil {
-			restingWeight += s.weight * b.slowStart.fraction(s)
+		if skipCooldown && b.now < s.cooldownUntil {
+			cooldownWeight += s.weight * b.slowStart.fraction(s)
 			continue
 		}
 		if !waits && !b.concurrency.serverAllows(s) {
@@ -49,7 +49,7 @@
 		candidates = append(candidates, s)
 		referenceInsert(&nearest, s)
 	}
-	if r.tierWeight == 0 || skipResting && (len(candidates) == 0 || restingWeight > r.tierWeight/2) {
+	if r.tierWeight == 0 || skipCooldown && (len(candidates) == 0 || cooldownWeight > r.tierWeight/2) {
 		return nil, false
 	}
 	if waits && len(candidates) > preferredServers {
@@ -142,8 +142,8 @@
 	}
 	b := sc.balancer
 	sc.choices[fmt.Sprintf("tier %d", b.outliers.tierOf(chosen, r))]++
-	if b.now < chosen.restingUntil {
-		sc.choices["resting"]++
+	if b.now < chosen.cooldownUntil {
+		sc.choices["cooldown"]++
 	}
 	if b.slowStart.fraction(chosen) < 1 {
 		sc.choices["slow start"]++
@@ -227,7 +227,7 @@
 			sc.compare()
 		}
 	}
-	for _, kind := range []string{"tier 0", "tier 1", "tier 2", "resting", "slow start", "none"} {
+	for _, kind := range []string{"tier 0", "tier 1", "tier 2", "cooldown", "slow start", "none"} {
 		if choices[kind] < 100 {
 			t.Errorf("only %d choices of kind %q: the scenarios do not cover it", choices[kind], kind)
 		}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -48,10 +48,10 @@
 }
 
 // chooseInTier selects a server of one tier; found tells whether the tier has any to choose from.
-// Those that rest come last, unless most of them rest: then all are overloaded.
+// Those in cooldown come last, unless most of them are: then all are overloaded.
 func (sel *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
-	restingWeight := sel.fillCandidates(r, t)
-	if r.tierWeight == 0 || restingWeight > r.tierWeight/2 {
+	cooldownWeight := sel.fillCandidates(r, t)
+	if r.tierWeight == 0 || cooldownWeight > r.tierWeight/2 {
 		sel.skipDraws(r, true)
 	} else if s, found = sel.nearest(r, true); found {
 		return s, true
@@ -65,8 +65,8 @@
 }
 
 // fillCandidates makes the servers of the tier to which the request may go the candidates, sets
-// r.tierWeight to their weight, and returns the weight of those that rest.
-func (sel *serverSelector) fillCandidates(r *request, t tier) (restingWeight float64) {
+// r.tierWeight to their weight, and returns the weight of those in cooldown.
+func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
 	if t > healthyTier {
 		servers = sel.endpoints.notHealthy()
@@ -82,23 +82,23 @@
 		}
 		weight := s.weight * sel.slowStart.fraction(s)
 		r.tierWeight += weight
-		if s.isResting(sel.env.now) {
-			restingWeight += weight
+		if s.inCooldown(sel.env.now) {
+			cooldownWeight += weight
 		}
 		candidates = append(candidates, s)
 	}
 	sel.candidates = candidates
-	return restingWeight
+	return cooldownWeight
 }
 
 // nearest is the first candidate in the request's order that accepts it; found tells whether there
 // was any to choose from. A request that waits for the servers of its key has no others.
-func (sel *serverSelector) nearest(r *request, skipResting bool) (best *server, found bool) {
+func (sel *serverSelector) nearest(r *request, skipCooldown bool) (best *server, found bool) {
 	if r.waitsForKey(sel.env.now) {
-		return sel.nearestOfKey(r, skipResting)
+		return sel.nearestOfKey(r, skipCooldown)
 	}
 	for _, s := range sel.candidates {
-		if skipResting && s.isResting(sel.env.now) || !sel.concurrency.serverAllows(s) {
+		if skipCooldown && s.inCooldown(sel.env.now) || !sel.concurrency.serverAllows(s) {
 			continue
 		}
 		found = true
@@ -116,11 +116,11 @@
 }
 
 // nearestOfKey is the first of the preferredServers nearest the request's key that accepts it.
-func (sel *serverSelector) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
+func (sel *serverSelector) nearestOfKey(r *request, skipCooldown bool) (best *server, found bool) {
 	var preferred [preferredServers]*server
 	count := 0
 	for _, s := range sel.candidates {
-		if skipResting && s.isResting(sel.env.now) {
+		if skipCooldown && s.inCooldown(sel.env.now) {
 			continue
 		}
 		count++
@@ -160,13 +160,13 @@
 }
 
 // skipDraws passes over the random positions of a choice among no candidates, so that later random
-// numbers do not depend on which servers rest.
-func (sel *serverSelector) skipDraws(r *request, skipResting bool) {
+// numbers do not depend on which servers are in cooldown.
+func (sel *serverSelector) skipDraws(r *request, skipCooldown bool) {
 	if r.key != 0 {
 		return
 	}
 	for _, s := range sel.candidates {
-		if !(skipResting && s.isResting(sel.env.now)) && sel.concurrency.serverAllows(s) {
+		if !(skipCooldown && s.inCooldown(sel.env.now)) && sel.concurrency.serverAllows(s) {
 			sel.env.random.Uint64()
 		}
 	}
--- a/policy/server.go
+++ b/policy/server.go
@@ -17,7 +17,7 @@
 	startedAt      float64 // as listed, on the agent's clock, or later where a restart is assumed
 	listedStart    float64 // start of its process as the endpoint list has it
 	restartAssumed bool    // startedAt is of a restart that the endpoint list does not show (yet)
-	restingUntil   float64 // passed over within its tier until then
+	cooldownUntil  float64 // passed over within its tier until then, to recover from an overload
 	ready          bool    // listed as ready
 	health         balancer.HealthState
 	unresponsive   bool       // ejected because it did not respond, not for a response
@@ -43,8 +43,8 @@
 	score            float64 // place in the order of the request at hand; the lowest comes first
 }
 
-// isResting tells whether the server is passed over within its tier.
-func (s *server) isResting(now float64) bool { return now < s.restingUntil }
+// inCooldown tells whether the server is passed over within its tier to recover from an overload.
+func (s *server) inCooldown(now float64) bool { return now < s.cooldownUntil }
 
 // removeAttempt takes an attempt out of those in flight.
 func (s *server) removeAttempt(a *attempt) {
