--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -32,16 +32,16 @@
 	return x ^ x>>31
 }
 
-// forwardPace is when attempts were forwarded: of this agent to one server, or to all.
-type forwardPace struct {
-	lastAt     float64 // time of the last attempt; 0: none
-	intervalMs float64 // mean time between two attempts; 0: not known
+// forwardTimes is when this agent forwarded attempts, to one server or to all. Times are in milliseconds.
+type forwardTimes struct {
+	lastAt         float64 // when the last attempt was forwarded; 0: none was
+	meanIntervalMs float64 // moving mean of the time between two attempts; 0: not known
 }
 
-// record counts an attempt forwarded now into the mean interval, by the weight smoothing.
-func (p *forwardPace) record(now, smoothing float64) {
-	if p.lastAt > 0 {
-		p.intervalMs = movingMean(p.intervalMs, now-p.lastAt, smoothing)
+// record counts an attempt that is forwarded now; smoothing is the weight of one interval in the mean.
+func (f *forwardTimes) record(now, smoothing float64) {
+	if f.lastAt > 0 {
+		f.meanIntervalMs = movingMean(f.meanIntervalMs, now-f.lastAt, smoothing)
 	}
-	p.lastAt = now
+	f.lastAt = now
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -139,7 +139,7 @@
 func (b *Balancer) recordTimeout(a *attempt, ev *balancer.Event) {
 	s := a.server
 	if s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
-		b.now-a.startedAt > baselineSamples*s.pace.intervalMs {
+		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs {
 		return
 	}
 	b.zone.record(s, true)
@@ -157,7 +157,7 @@
 	s := a.server
 	b.slowStart.earn(s)
 	b.retries.earn()
-	b.slowStart.recordContact(s)
+	b.slowStart.recordReachable(s)
 	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
 	late := b.recordEarnings(a.request, ev.LatencyMs)
 	b.zone.record(s, late)
@@ -181,7 +181,7 @@
 	late = b.now > r.objectiveAt
 	earned := r.class.LateFraction
 	if !late {
-		r.class.countInTime()
+		r.class.countObjectiveMet()
 		earned = 1
 	}
 	if !r.closed {
@@ -195,8 +195,8 @@
 func (b *Balancer) closeIdle(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
-	intervalMs := b.concurrency.pace.intervalMs
-	serverIntervalMs := cmp.Or(s.pace.intervalMs, intervalMs*servers)
+	intervalMs := b.concurrency.forwards.meanIntervalMs
+	serverIntervalMs := cmp.Or(s.forwards.meanIntervalMs, intervalMs*servers)
 	keepCost := costs.Connection * serverIntervalMs * float64(b.settings.FleetSize)
 	openCost := fullCostConnections * servers * intervalMs * costs.Handshake
 	if len(s.inFlight) == 0 && keepCost > openCost {
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// countInTime counts a response that met the latency objective.
-func (c *class) countInTime() { c.inTimeShare += 1 - shareDecay }
+// countObjectiveMet counts a response that met the class's latency objective.
+func (c *class) countObjectiveMet() { c.inTimeShare += 1 - shareDecay }
 
 // recordResponseTime counts a response time, in milliseconds, into the mean of the class.
 func (c *class) recordResponseTime(responseMs float64) {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -54,7 +54,7 @@
 	limit              float64 // attempts that may be in flight at all servers
 	limitCutAt         float64 // when the limit was last decreased; 0: never
 	overloadedFraction float64 // part of the responses of late that came from overloaded servers
-	pace               forwardPace
+	forwards           forwardTimes
 }
 
 // addServer raises the limit of all servers for a new one. Of up to initialFleetLimit agents the
@@ -82,8 +82,8 @@
 
 // recordForward notes that an attempt at the server is forwarded now.
 func (c *concurrencyLimits) recordForward(s *server) {
-	s.pace.record(c.env.now, serverSmoothing)
-	c.pace.record(c.env.now, fleetSmoothing)
+	s.forwards.record(c.env.now, serverSmoothing)
+	c.forwards.record(c.env.now, fleetSmoothing)
 }
 
 // allows tells whether another attempt may be forwarded with so many in flight at all servers. A
@@ -93,7 +93,7 @@
 		return false
 	}
 	pause := c.latency.baseline * c.classes.minObjectiveMs / c.limit
-	return c.limit >= 1 || c.limitCutAt == 0 || c.env.now-c.pace.lastAt >= pause
+	return c.limit >= 1 || c.limitCutAt == 0 || c.env.now-c.forwards.lastAt >= pause
 }
 
 // recordOverload counts whether a response came from an overloaded server, and adjusts the limit of
@@ -166,7 +166,7 @@
 	if c.active(s) >= max(int(s.limit), 1) {
 		return false
 	}
-	return s.limit >= 1 || c.env.now-s.pace.lastAt >= s.responseMs/s.limit
+	return s.limit >= 1 || c.env.now-s.forwards.lastAt >= s.responseMs/s.limit
 }
 
 // active is the number of attempts that a server works on: those in flight that are not lost.
@@ -191,7 +191,7 @@
 // follow its overload by a limit; but all agents together send it less load, by those that met the
 // overload.
 func (c *concurrencyLimits) startCooldown(s *server, intervals float64) {
-	intervalMs := c.pace.intervalMs * float64(len(c.endpoints.servers))
+	intervalMs := c.forwards.meanIntervalMs * float64(len(c.endpoints.servers))
 	cooldownMs := min(intervals*intervalMs, c.env.settings.Contract.SlowStartMs)
 	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
 }
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -62,7 +62,7 @@
 	}
 	switch ev.Status {
 	case balancer.StatusOK:
-		h.slowStart.recordContact(s)
+		h.slowStart.recordReachable(s)
 		h.endpoints.setHealth(s, balancer.Connected)
 	case balancer.StatusOverloaded: // it serves, but not now: it stays as it is
 	case balancer.StatusError, balancer.StatusReset:
--- a/policy/server.go
+++ b/policy/server.go
@@ -37,7 +37,7 @@
 	baseline         float64 // the least that the moving mean has been; 0: not known
 	latencySamples   int
 	limitCutAt       float64 // when its concurrency limit was last decreased
-	pace             forwardPace
+	forwards         forwardTimes
 	responseMs       float64 // moving mean of response times
 	slowStartCredit  float64 // attempts that it may still be sent in slow start
 	score            float64 // place in the order of the request at hand; the lowest comes first
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -163,7 +163,7 @@
 	contract := &ss.env.settings.Contract
 	least := 1 / (max(contract.OverloadWindowMs, 1) * ss.env.fleetSize())
 	perMs := max(ss.servedRate*s.weight*ss.loadShare(s)/contract.SlowStartMs, least)
-	return (ss.env.now - max(s.pace.lastAt, s.healthSince, ss.warm.goneAt)) * perMs
+	return (ss.env.now - max(s.forwards.lastAt, s.healthSince, ss.warm.goneAt)) * perMs
 }
 
 // hasCredit tells whether a server may be sent an attempt; one that is not in slow start always may.
@@ -178,11 +178,11 @@
 	}
 }
 
-// recordContact notes a response of the server or of its health check. A server that no connect
+// recordReachable notes a response to a request or to a health check of the server. A server that no connect
 // reached for long may be a new process that is not listed as such yet: it is taken to have started
 // now. Timeouts alone are no sign of a restart, and quick responses are no sign against one: a
 // server in slow start is quick while it has little load.
-func (ss *slowStart) recordContact(s *server) {
+func (ss *slowStart) recordReachable(s *server) {
 	unreachableMs := ss.env.now - s.unreachableSince
 	if s.unreachableSince > 0 && unreachableMs > ss.env.settings.Contract.OverloadWindowMs {
 		s.startedAt = ss.env.now
