--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -125,7 +125,7 @@
 		b.recordTimeout(a, ev)
 	case balancer.StatusOverloaded:
 		s.lastResponseAt = b.now
-		b.concurrency.cutServer(s, rejectionDecrease, 1)
+		b.concurrency.recordRejection(s)
 		b.concurrency.recordOverload(a, true)
 		b.zone.record(s, true)
 		b.concurrency.startCooldown(s, minCooldownIntervals)
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -7,16 +7,20 @@
 const (
 	// initialFleetAttempts is what all agents together may have in flight for each new server.
 	initialFleetAttempts = 6.0
-	// minLimit is the least concurrency limit: enough to see when an overload is over.
+	// minLimit is the least concurrency limit, in attempts: enough to see when an overload is over.
 	minLimit = 0.1
+	// singleAttemptLimit is the limit, in attempts, below which a server's limit falls only in a severe
+	// overload.
+	singleAttemptLimit = 1.0
 	// severeOverloadFactor times the latency limit is a severe overload, in which a server's
-	// concurrency limit may fall below one attempt.
+	// concurrency limit may fall below singleAttemptLimit.
 	severeOverloadFactor = 2.5
-	// overloadDecrease and rejectionDecrease are the factors of the multiplicative decrease.
+	// overloadDecrease and rejectionDecrease are the factors of the multiplicative decrease: after slow
+	// responses, and after an attempt that a server rejected as overloaded.
 	overloadDecrease  = 0.85
 	rejectionDecrease = 0.7
-	// limitStep is the additive increase of the limit of all servers by a response without overload:
-	// in one response time a twentieth of the limit. One attempt more of each of many agents would
+	// limitStep is the additive increase of the limit of all servers, in attempts, by a response without
+	// overload: in one response time a twentieth of the limit. One attempt more of each of many agents would
 	// undo a decrease.
 	limitStep = 0.05
 	// usedWithin is how close to its limit, in attempts, a server has to be for the limit to count as
@@ -52,7 +56,7 @@
 
 	inFlight           int
 	limit              float64 // attempts that may be in flight at all servers
-	limitCutAt         float64 // when the limit was last decreased; 0: never
+	limitDecreasedAt   float64 // when the limit was last decreased; 0: never
 	overloadedFraction float64 // part of the responses of late that came from overloaded servers
 	forwards           forwardTimes
 }
@@ -93,7 +97,7 @@
 		return false
 	}
 	pause := c.latency.baseline * c.classes.minObjectiveMs / c.limit
-	return c.limit >= 1 || c.limitCutAt == 0 || c.env.now-c.forwards.lastAt >= pause
+	return c.limit >= 1 || c.limitDecreasedAt == 0 || c.env.now-c.forwards.lastAt >= pause
 }
 
 // recordOverload counts whether a response came from an overloaded server, and adjusts the limit of
@@ -108,11 +112,11 @@
 	}
 	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1) // with the one that ended
 	switch {
-	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitCutAt:
+	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitDecreasedAt:
 		// One attempt of all agents together at each server is no overload.
 		least := float64(len(c.endpoints.servers)) / c.env.fleetSize()
 		c.limit = max(min(c.limit, inFlight)*overloadDecrease, least, minLimit)
-		c.limitCutAt = c.env.now
+		c.limitDecreasedAt = c.env.now
 	case c.overloadedFraction < overloadedMajority && inFlight+1 > c.limit:
 		c.limit += limitStep
 	}
@@ -134,22 +138,27 @@
 // a response time below it, if the limit is used.
 func (c *concurrencyLimits) adjustServer(s *server, limit, responseMs float64) {
 	switch {
-	case s.latency > limit && c.env.now-s.limitCutAt > responseMs:
-		least := 1.0
+	case s.latency > limit && c.env.now-s.limitDecreasedAt > responseMs:
+		floor := singleAttemptLimit
 		if s.latency > severeOverloadFactor*limit {
-			least = minLimit
+			floor = minLimit
 		}
-		c.cutServer(s, overloadDecrease, least)
+		c.decreaseServerLimit(s, overloadDecrease, floor)
 	case s.latency < limit && float64(len(s.inFlight)+usedWithin) > s.limit &&
 		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
 }
 
-// cutServer decreases a server's limit by a factor, to least at the lowest.
-func (c *concurrencyLimits) cutServer(s *server, factor, least float64) {
-	s.limit = min(s.limit, max(s.limit*factor, least))
-	s.limitCutAt = c.env.now
+// recordRejection decreases the limit of a server that has rejected an attempt as overloaded.
+func (c *concurrencyLimits) recordRejection(s *server) {
+	c.decreaseServerLimit(s, rejectionDecrease, singleAttemptLimit)
+}
+
+// decreaseServerLimit decreases a server's limit by a factor, but not below floor.
+func (c *concurrencyLimits) decreaseServerLimit(s *server, factor, floor float64) {
+	s.limit = min(s.limit, max(s.limit*factor, floor))
+	s.limitDecreasedAt = c.env.now
 }
 
 // serverAllows tells whether a server may have another attempt in flight: within its limit, one at a
--- a/policy/server.go
+++ b/policy/server.go
@@ -36,7 +36,7 @@
 	latency          float64 // moving mean
 	baseline         float64 // the least that the moving mean has been; 0: not known
 	latencySamples   int
-	limitCutAt       float64 // when its concurrency limit was last decreased
+	limitDecreasedAt float64 // when its concurrency limit was last decreased
 	forwards         forwardTimes
 	responseMs       float64 // moving mean of response times
 	slowStartCredit  float64 // attempts that it may still be sent in slow start
