--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -32,6 +32,28 @@
 	return x ^ x>>31
 }
 
+// tokenBucket limits one kind of action to a part of another: each of the other adds a fraction of a
+// token, up to the capacity, and each action takes one token.
+type tokenBucket struct {
+	tokens   float64 // actions that may be taken at once
+	refill   float64 // tokens that one deposit adds
+	capacity float64 // the most tokens that it holds
+}
+
+// newTokenBucket returns a full bucket.
+func newTokenBucket(refill, capacity float64) *tokenBucket {
+	return &tokenBucket{tokens: capacity, refill: refill, capacity: capacity}
+}
+
+// deposit adds the tokens of one refill.
+func (t *tokenBucket) deposit() { t.tokens = min(t.tokens+t.refill, t.capacity) }
+
+// hasToken tells whether an action may be taken.
+func (t *tokenBucket) hasToken() bool { return t.tokens >= 1 }
+
+// withdraw takes the token of one action.
+func (t *tokenBucket) withdraw() { t.tokens-- }
+
 // forwardTimes is when this agent forwarded attempts, to one server or to all. Times are in milliseconds.
 type forwardTimes struct {
 	lastAt         float64 // when the last attempt was forwarded; 0: none was
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -156,7 +156,7 @@
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
 	b.slowStart.earn(s)
-	b.retries.earn()
+	b.retryBudget.deposit()
 	b.slowStart.recordReachable(s)
 	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
 	late := b.recordEarnings(a.request, ev.LatencyMs)
@@ -208,7 +208,7 @@
 // and the retry budget permit that, and rejects it otherwise.
 func (b *Balancer) retryOrReject(r *request, status balancer.Status) {
 	if b.mayRetry(r, status) {
-		b.retries.spend()
+		b.retryBudget.withdraw()
 		b.queue.add(r)
 		return
 	}
@@ -223,6 +223,6 @@
 	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
 		return false
 	}
-	return b.retries.available() && len(r.attempts) < r.maxAttempts &&
+	return b.retryBudget.hasToken() && len(r.attempts) < r.maxAttempts &&
 		status != balancer.StatusUnsent && !(b.now >= r.deadline)
 }
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -11,8 +11,8 @@
 	checkTokensPerRequest = 0.1
 )
 
-// healthChecker checks ejected servers in the background once their ejection time has passed. A
-// token bucket limits the checks to a part of the requests.
+// healthChecker checks ejected servers in the background once their ejection time has passed. Its
+// budget limits the checks to a part of the requests.
 type healthChecker struct {
 	env       *environment
 	endpoints *endpointList
@@ -20,11 +20,11 @@
 	poller    *listPoller
 	slowStart *slowStart
 	underWay  int
-	tokens    float64 // health checks that may be started
+	budget    *tokenBucket // each request adds to it
 }
 
-// earn adds the tokens of one request.
-func (h *healthChecker) earn() { h.tokens = min(h.tokens+checkTokensPerRequest, maxHealthChecks) }
+// newCheckBudget returns the full budget of health checks.
+func newCheckBudget() *tokenBucket { return newTokenBucket(checkTokensPerRequest, maxHealthChecks) }
 
 // start moves the servers whose ejection time has passed to UnhealthyPending, and starts the health
 // checks that the limits permit.
@@ -37,7 +37,7 @@
 		if h.mayCheck(s) {
 			s.checking = true
 			h.underWay++
-			h.tokens--
+			h.budget.withdraw()
 			h.env.emit(balancer.Action{Kind: balancer.ActionHealthCheck, Server: s.address})
 		}
 	}
@@ -46,7 +46,7 @@
 // mayCheck tells whether a health check of the server is due and permitted.
 func (h *healthChecker) mayCheck(s *server) bool {
 	return s.health == balancer.UnhealthyPending && s.ready && !s.checking &&
-		h.env.settings.Limits.HealthChecks && h.tokens >= 1 && h.underWay < maxHealthChecks
+		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.underWay < maxHealthChecks
 }
 
 // finish takes the result of a health check.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -39,7 +39,7 @@
 	slowStart    *slowStart
 	outliers     *outlierDetector
 	healthChecks *healthChecker
-	retries      *retryBudget
+	retryBudget  *tokenBucket // each served request adds to it
 	partitions   *keyPartitions
 	zone         *zonePreference
 	selector     *serverSelector
@@ -63,7 +63,7 @@
 		shedder:     newLoadShedder(),
 		history:     &requestHistory{env: env},
 		latency:     &latencyBaselines{env: env},
-		retries:     newRetryBudget(),
+		retryBudget: newRetryBudget(),
 		zone:        newZonePreference(env),
 	}
 	b.poller = newListPoller(env, b.classes)
@@ -90,7 +90,7 @@
 		outliers:  b.outliers,
 		poller:    b.poller,
 		slowStart: b.slowStart,
-		tokens:    maxHealthChecks,
+		budget:    newCheckBudget(),
 	}
 	b.selector = &serverSelector{
 		env:         env,
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,20 +7,6 @@
 	maxRetryTokens = 4.0
 )
 
-// retryBudget limits retries to a part of the served requests, by a token bucket as in Finagle and
-// Linkerd. Without it retries multiply the load just when few requests are served.
-type retryBudget struct {
-	tokens float64 // retries that may be made
-}
-
-// newRetryBudget returns a full budget.
-func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
-
-// earn adds the tokens of one served request.
-func (r *retryBudget) earn() { r.tokens = min(r.tokens+retryTokensPerResponse, maxRetryTokens) }
-
-// available tells whether one retry may be made.
-func (r *retryBudget) available() bool { return r.tokens >= 1 }
-
-// spend takes the token of one retry.
-func (r *retryBudget) spend() { r.tokens-- }
+// newRetryBudget returns a full retry budget: it limits retries to a part of the served requests, as in
+// Finagle and Linkerd. Without it retries multiply the load just when few requests are served.
+func newRetryBudget() *tokenBucket { return newTokenBucket(retryTokensPerResponse, maxRetryTokens) }
