--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -32,7 +32,7 @@
 	if !r.streamedBody {
 		b.concurrency.begin(a)
 	}
-	b.slowStart.spend(s)
+	b.slowStart.charge(s)
 	b.concurrency.recordForward(s)
 	timeoutMs := r.deadline - b.now
 	b.emit(balancer.Action{Kind: balancer.ActionForward, Request: r.id, Server: s.address, Ms: timeoutMs})
@@ -155,7 +155,7 @@
 // recordSuccess records a successful response with all concerns that learn from it.
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
-	b.slowStart.earn(s)
+	b.slowStart.grantCredits(s)
 	b.retryBudget.deposit()
 	b.slowStart.recordReachable(s)
 	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -90,8 +90,8 @@
 	s.forgetLatency()
 	s.baseline = 0
 	s.limit = 1
-	// A random part of one attempt: of many agents that never earn a complete one, as many send
-	// one as they earned together.
+	// A random part of one attempt: of many agents whose credits never grow to a complete one, as many
+	// send one as their credits add up to.
 	s.slowStartCredit = l.env.random.Float64()
 }
 
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -254,7 +254,7 @@
 
 // In any overload window a server in slow start gets no more attempts of all agents together than its
 // budget and what is due to chance, however many agents there are, whatever fails at the same time, and
-// however their requests are spread. (The doc comment of slowStart.earn derives the budget.)
+// however their requests are spread. (The doc comment of slowStart.grantCredits derives the budget.)
 func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
@@ -276,8 +276,8 @@
 	}
 }
 
-// Late responses of draining servers earn a server in slow start no more credit than its budget.
-func TestSlowStartBoundsWhatDrainingServersEarn(t *testing.T) {
+// Late responses of draining servers add no more to the credit of a server in slow start than its budget.
+func TestSlowStartBoundsTheCreditFromDrainingServers(t *testing.T) {
 	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
 		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
 			t.Parallel()
@@ -294,7 +294,7 @@
 }
 
 // Where the last warm server drains, credit accrues with time from then on, and not for the time in which
-// the warm servers earned it. The rate is that of the warm servers, measured for long before.
+// the warm servers' responses added to it. The rate is that of the warm servers, measured for long before.
 func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarm(t *testing.T) {
 	for _, agents := range []int{12, 300} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// The retry budget grows with served requests; without them only what was saved up may be spent.
-func TestRetryBudgetIsEarnedByServedRequests(t *testing.T) {
+// The retry budget grows with served requests; without them there are only as many retries as it holds
+// tokens.
+func TestRetryBudgetGrowsWithServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 8)
 		retries := 0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxSlowStartCredit bounds a server's slow-start credit, in attempts: all agents may spend
+	// maxSlowStartCredit bounds a server's slow-start credit, in attempts: all agents may use
 	// theirs at once, and the server's budget counts over a short time.
 	maxSlowStartCredit = 1.0
 	// slowStartMargin is how many times its present capacity an even share of the load may cost a
@@ -17,37 +17,39 @@
 )
 
 // slowStart limits what servers are sent for a while after their start, when they have a part of
-// their capacity. Each such server has a credit of attempts, which grows with what the warm servers
-// serve.
+// their capacity. Each such server has a credit of attempts, which grows with the responses of the warm
+// servers.
 type slowStart struct {
 	env       *environment
 	endpoints *endpointList
-	// changes counts what changes the set of servers in slow start without a change of the list.
-	changes uint64
-	warming warmingServers
-	warm    warmWeight
+	// generation counts what changes the set of servers in slow start without a change of the list.
+	generation uint64
+	warming    warmingCache
+	warm       warmWeightCache
 	// servedRate is the attempts served for each unit of warm weight, with exponential decay over
-	// the slow-start time, as of servedRateAt.
+	// the slow-start time, as of the time servedRateAt in milliseconds.
 	servedRate   float64
 	servedRateAt float64
 }
 
-// warmingServers caches the servers in slow start.
-type warmingServers struct {
-	servers []*server
-	at      float64
-	epoch   uint64
-	changes uint64
+// warmingCache holds the servers in slow start, as of a time in milliseconds, an epoch of the endpoint
+// list and a generation of the set.
+type warmingCache struct {
+	servers    []*server
+	at         float64
+	epoch      uint64
+	generation uint64
 }
 
-// warmWeight caches the weight of the warm servers.
-type warmWeight struct {
-	sum     float64
-	at      float64
-	epoch   uint64
-	changes uint64
-	warming int     // number of servers in slow start when it was summed up
-	goneAt  float64 // when the last warm server was lost
+// warmWeightCache holds the weight of the warm servers, as of a time in milliseconds, an epoch of the
+// endpoint list and a generation of the set.
+type warmWeightCache struct {
+	sum        float64
+	at         float64
+	epoch      uint64
+	generation uint64
+	warming    int     // number of servers in slow start when it was summed up
+	lostAt     float64 // when the last warm server was lost
 }
 
 // newSlowStart returns a slow start without servers.
@@ -56,17 +58,18 @@
 }
 
 // invalidate notes that the set of servers in slow start may have changed.
-func (ss *slowStart) invalidate() { ss.changes++ }
+func (ss *slowStart) invalidate() { ss.generation++ }
 
 // fraction is the part of its capacity that a server has by the contract: 1 where its start is long
 // past or not known, or was assumed and has not been confirmed by the endpoint list in time.
 func (ss *slowStart) fraction(s *server) float64 {
 	contract := &ss.env.settings.Contract
-	age := ss.env.now - s.startedAt
-	if s.startedAt <= 0 || age >= contract.SlowStartMs || s.restartAssumed && age > contract.PollWithinMs {
+	ageMs := ss.env.now - s.startedAt
+	restartUnconfirmed := s.restartAssumed && ageMs > contract.PollWithinMs
+	if s.startedAt <= 0 || ageMs >= contract.SlowStartMs || restartUnconfirmed {
 		return 1
 	}
-	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(ageMs, 0)/contract.SlowStartMs
 }
 
 // loadShare is the part of an even share of the load that a server may be sent. For one in slow
@@ -92,53 +95,60 @@
 		return cache.sum
 	}
 	warming := len(ss.warmingServers())
-	unchanged := cache.epoch == ss.endpoints.epoch && cache.changes == ss.changes && cache.warming == warming
+	unchanged := cache.epoch == ss.endpoints.epoch && cache.generation == ss.generation &&
+		cache.warming == warming
 	cache.at = ss.env.now
 	cache.epoch = ss.endpoints.epoch
-	cache.changes = ss.changes
+	cache.generation = ss.generation
 	cache.warming = warming
 	if unchanged {
 		return cache.sum
 	}
 	before := cache.sum
-	cache.sum = 0
+	cache.sum = ss.sumWarmWeight()
+	if before > 0 && cache.sum == 0 {
+		cache.lostAt = ss.env.now
+	}
+	return cache.sum
+}
+
+// sumWarmWeight sums up the weight of the warm servers.
+func (ss *slowStart) sumWarmWeight() float64 {
+	sum := 0.0
 	for _, s := range ss.endpoints.servers {
 		if ss.isWarm(s) {
-			cache.sum += s.weight
+			sum += s.weight
 		}
 	}
-	if before > 0 && cache.sum == 0 {
-		cache.goneAt = ss.env.now
-	}
-	return cache.sum
+	return sum
 }
 
 // warmingServers returns the listed servers in slow start, by address. Between changes of the list
 // and of starts, time can only make them fewer.
 func (ss *slowStart) warmingServers() []*server {
 	cache := &ss.warming
-	if cache.epoch != ss.endpoints.epoch || cache.changes != ss.changes || ss.env.now < cache.at {
+	if cache.epoch != ss.endpoints.epoch || cache.generation != ss.generation || ss.env.now < cache.at {
 		cache.servers = append(cache.servers[:0], ss.endpoints.servers...)
 		cache.epoch = ss.endpoints.epoch
-		cache.changes = ss.changes
+		cache.generation = ss.generation
 	}
 	cache.servers = slices.DeleteFunc(cache.servers, func(s *server) bool { return ss.fraction(s) == 1 })
 	cache.at = ss.env.now
 	return cache.servers
 }
 
-// earn adds to the credits of the servers in slow start what a response of a warm server allows:
+// grantCredits adds to the credits of the servers in slow start what a response of a warm server allows:
 // each gets its share by weight and slow-start fraction.
 //
 // In a window W a server of capacity C serves at most 2.5 C W attempts, by keys that it knows. So
 // the credits of all agents at fraction k grow by 2.5 C W k OverloadMultiple/slowStartMargin, which
 // is 5/8 of the budget N = C W k OverloadMultiple. As each agent begins with a random part of one
-// attempt, they spend that and a sum of rounded parts, whose variance is under N: by chance at most
+// attempt, they use that and a sum of rounded parts, whose variance is under N: by chance at most
 // 2 sqrt(N) + 2 more.
 //
 // Attempts that were only sent do not count, as most of them may be rejected. Nor do late responses
 // of servers that drain or failed: the weight of the servers that are left says nothing of them.
-func (ss *slowStart) earn(from *server) {
+func (ss *slowStart) grantCredits(from *server) {
 	warm := ss.warmWeight()
 	if warm == 0 || !ss.isWarm(from) {
 		return
@@ -153,28 +163,30 @@
 	}
 }
 
-// accrued is the credit that accrues to a server in slow start with time where no warm server is left
-// to earn it: at the rate at which the warm ones last served, and at least one attempt of all agents in
-// an overload window. What the warm servers earned before they were lost does not count twice.
-func (ss *slowStart) accrued(s *server) float64 {
+// accruedCredit is the credit, in attempts, that accrues to a server in slow start with time where no
+// warm server is left whose responses would add to it: at the rate at which the warm ones last served,
+// and at least one attempt of all agents in an overload window. The time before the warm servers were
+// lost does not count, as their responses were credited then.
+func (ss *slowStart) accruedCredit(s *server) float64 {
 	if ss.warmWeight() > 0 {
 		return 0
 	}
 	contract := &ss.env.settings.Contract
 	least := 1 / (max(contract.OverloadWindowMs, 1) * ss.env.fleetSize())
 	perMs := max(ss.servedRate*s.weight*ss.loadShare(s)/contract.SlowStartMs, least)
-	return (ss.env.now - max(s.forwards.lastAt, s.healthSince, ss.warm.goneAt)) * perMs
+	since := max(s.forwards.lastAt, s.healthSince, ss.warm.lostAt)
+	return (ss.env.now - since) * perMs
 }
 
 // hasCredit tells whether a server may be sent an attempt; one that is not in slow start always may.
 func (ss *slowStart) hasCredit(s *server) bool {
-	return ss.fraction(s) == 1 || s.slowStartCredit+ss.accrued(s) >= 1
+	return ss.fraction(s) == 1 || s.slowStartCredit+ss.accruedCredit(s) >= 1
 }
 
-// spend charges an attempt to the credit of a server in slow start.
-func (ss *slowStart) spend(s *server) {
+// charge takes an attempt off the credit of a server in slow start.
+func (ss *slowStart) charge(s *server) {
 	if ss.fraction(s) < 1 {
-		s.slowStartCredit = min(s.slowStartCredit+ss.accrued(s), maxSlowStartCredit) - 1
+		s.slowStartCredit = min(s.slowStartCredit+ss.accruedCredit(s), maxSlowStartCredit) - 1
 	}
 }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -32,7 +32,7 @@
 }
 
 // Many agents with few requests each send a server in slow start its part together, though none of them
-// earns a complete attempt for it.
+// has credit for a complete attempt.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
 	warming, requests := 0, 0
 	for seed := range uint64(200) {
@@ -110,9 +110,9 @@
 	}
 }
 
-// Slow-start credit is earned by served requests: a server in slow start gets none where all requests are
+// Slow-start credit grows with served requests: a server in slow start gets none where all requests are
 // rejected by the servers, and some where they are served.
-func TestSlowStartCreditIsEarnedByServedRequestsOnly(t *testing.T) {
+func TestSlowStartCreditGrowsWithServedRequestsOnly(t *testing.T) {
 	forwards := func(status balancer.Status) int {
 		h := newHarness(t, testSettings(), 4)
 		h.updateList(balancer.ListDelta,
