--- a/policy/admission.go
+++ b/policy/admission.go
@@ -80,7 +80,7 @@
 			return
 		}
 		r := b.queue.requests[i]
-		if b.selector.nearestAreFull(r) {
+		if b.selector.preferredAreFull(r) {
 			i++
 			continue
 		}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -161,7 +161,7 @@
 }
 
 // Queued requests that wait for the servers of their keys do not keep others from servers with capacity.
-// Two servers of full weight are the nearest of every key; a third, of a hundredth of the weight, takes a
+// Every key prefers the two servers of full weight; a third, of a hundredth of the weight, takes a
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
@@ -182,7 +182,7 @@
 			queued = id
 		}
 	}
-	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
+	for range 10 { // newer, so first in the queue: each waits for the two servers that its key prefers
 		h.now++
 		if _, actions := h.request(idempotentClass, h.random.Uint64()|1); len(actions) != 0 {
 			t.Fatalf("a request with a key was not queued: %+v", actions)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -22,9 +22,9 @@
 	byAddress map[balancer.Addr]*server
 	busy      []*server // the listed ones with attempts in flight, by address
 	// epoch counts the changes of the list and of the servers' health tiers.
-	epoch        uint64
-	ejected      []*server // result of notHealthy, as of ejectedEpoch
-	ejectedEpoch uint64
+	epoch          uint64
+	unhealthy      []*server // result of unhealthyServers, as of unhealthyEpoch
+	unhealthyEpoch uint64
 }
 
 // newEndpointList returns an empty list.
@@ -117,20 +117,20 @@
 	})
 }
 
-// notHealthy returns the listed servers that are ejected or wait for a health check, by address. The
-// slice is valid until the next call.
-func (l *endpointList) notHealthy() []*server {
-	if l.ejectedEpoch == l.epoch {
-		return l.ejected
+// unhealthyServers returns the listed servers that are ejected or wait for a health check, by address.
+// The slice is valid until the next call.
+func (l *endpointList) unhealthyServers() []*server {
+	if l.unhealthyEpoch == l.epoch {
+		return l.unhealthy
 	}
-	l.ejected = l.ejected[:0]
-	l.ejectedEpoch = l.epoch
+	l.unhealthy = l.unhealthy[:0]
+	l.unhealthyEpoch = l.epoch
 	for _, s := range l.servers {
 		if s.health >= balancer.UnhealthyPending {
-			l.ejected = append(l.ejected, s)
+			l.unhealthy = append(l.unhealthy, s)
 		}
 	}
-	return l.ejected
+	return l.unhealthy
 }
 
 // setHealth sets a server's health state and the time of the change.
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -29,7 +29,7 @@
 // start moves the servers whose ejection time has passed to UnhealthyPending, and starts the health
 // checks that the limits permit.
 func (h *healthChecker) start() {
-	for _, s := range h.endpoints.notHealthy() {
+	for _, s := range h.endpoints.unhealthyServers() {
 		if h.outliers.ejectionEnded(s) {
 			h.endpoints.setHealth(s, balancer.UnhealthyPending)
 			h.poller.fetch()
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -30,7 +30,7 @@
 func (b *Balancer) referenceChooseInTier(r *request, t tier, skipCooldown bool) (best *server, found bool) {
 	waits := r.waitsForKey(b.now)
 	var candidates []*server
-	var nearest [preferredServers]*server
+	var preferred [preferredServers]*server
 	cooldownWeight := 0.0
 	r.tierWeight = 0
 	for _, s := range b.endpoints.servers {
@@ -47,15 +47,15 @@
 		}
 		s.score = b.referenceScore(r, s)
 		candidates = append(candidates, s)
-		referenceInsert(&nearest, s)
+		referenceInsert(&preferred, s)
 	}
 	if r.tierWeight == 0 || skipCooldown && (len(candidates) == 0 || cooldownWeight > r.tierWeight/2) {
 		return nil, false
 	}
 	if waits && len(candidates) > preferredServers {
-		r.nearest = nearest
-		r.nearestEpoch = b.endpoints.epoch
-		candidates = nearest[:]
+		r.preferred = preferred
+		r.preferredEpoch = b.endpoints.epoch
+		candidates = preferred[:]
 	}
 	for _, s := range candidates {
 		if (best == nil || s.score < best.score) && b.selector.accepts(s, r) {
@@ -65,11 +65,11 @@
 	return best, true
 }
 
-// referenceInsert puts a server among the nearest, if it is one of them.
-func referenceInsert(nearest *[preferredServers]*server, s *server) {
+// referenceInsert puts a server among the preferred ones, if it is one of them.
+func referenceInsert(preferred *[preferredServers]*server, s *server) {
 	for i := 0; i < preferredServers && s != nil; i++ {
-		if nearest[i] == nil || s.score < nearest[i].score {
-			nearest[i], s = s, nearest[i]
+		if preferred[i] == nil || s.score < preferred[i].score {
+			preferred[i], s = s, preferred[i]
 		}
 	}
 }
@@ -124,8 +124,8 @@
 	expected, wantDraws := *r, *sc.draws
 	*r, *sc.draws = was, draws
 	got := b.selector.choose(r)
-	if got != want || *sc.draws != wantDraws || r.nearest != expected.nearest ||
-		r.nearestEpoch != expected.nearestEpoch ||
+	if got != want || *sc.draws != wantDraws || r.preferred != expected.preferred ||
+		r.preferredEpoch != expected.preferredEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
 		sc.Fatalf("request %d, key %d: chose %s, by the reference %s; tier weight %v and %v, draws equal: %t",
 			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *sc.draws == wantDraws)
@@ -175,7 +175,7 @@
 		is   func(*server) bool
 	}{
 		{"busy", b.endpoints.busy, func(s *server) bool { return len(s.inFlight) > 0 }},
-		{"not healthy", b.endpoints.notHealthy(),
+		{"not healthy", b.endpoints.unhealthyServers(),
 			func(s *server) bool { return s.health >= balancer.UnhealthyPending }},
 		{"slow start", b.slowStart.warmingServers(),
 			func(s *server) bool { return b.slowStart.fraction(s) != 1 }},
--- a/policy/request.go
+++ b/policy/request.go
@@ -11,37 +11,39 @@
 // request is one request of the client, from its arrival until it is answered and none of its
 // attempts is in flight. Times are in milliseconds on the host's clock.
 type request struct {
-	id              balancer.RequestID
-	class           *class
-	maxAttempts     int
-	streamedBody    bool // its body goes to the server as it comes
-	key             uint64
-	partitionKey    uint64  // the key, or one of its partitions
-	firstArrivedAt  float64 // when the client first sent it, as far as known
-	arrivedAt       float64
-	objectiveAt     float64 // a response by then meets the latency objective
-	deadline        float64 // the last useful moment, a round trip to the client already deducted
-	attempts        []*attempt
-	inFlight        int // attempts
-	maybeExecuted   int // attempts that may have executed
-	executedAt      float64
-	executedOn      *server
-	nearest         [preferredServers]*server // in the order of its key, as of nearestEpoch
-	nearestEpoch    uint64
-	tierWeight      float64 // weight of the tier in which a server was last selected
-	priority        float64
-	closed          bool
-	responseStarted bool // the client has begun to receive a streamed response
+	id             balancer.RequestID
+	class          *class
+	maxAttempts    int     // the first included
+	streamedBody   bool    // its body goes to the server as it comes
+	key            uint64  // affinity key; 0: none
+	partitionKey   uint64  // the key, or one of its partitions
+	firstArrivedAt float64 // when the client first sent it, as far as known
+	arrivedAt      float64
+	objectiveAt    float64 // a response by then meets the latency objective
+	deadline       float64 // the last useful moment, a round trip to the client already deducted
+
+	attempts      []*attempt // in the order of their starts
+	inFlight      int        // attempts that have not ended
+	maybeExecuted int        // attempts that may have executed
+	executedAt    float64    // when the first attempt that may have executed was forwarded
+	executedOn    *server    // the server of that attempt
+
+	preferred       [preferredServers]*server // the first in its key's order; nil: not determined
+	preferredEpoch  uint64                    // the endpoint list's epoch for which they are
+	tierWeight      float64                   // weight of the tier in which a server was last selected
+	priority        float64                   // its place in the queue; the highest comes first
+	closed          bool                      // it has its final answer, or its client has left
+	responseStarted bool                      // the client has begun to receive a streamed response
 }
 
 // attempt is one forwarding of a request to a server.
 type attempt struct {
 	request   *request
 	server    *server
-	index     int
-	startedAt float64
-	counted   bool // in flight at its server, which has all of the request
-	alone     bool // no other attempt of this agent was in flight at its server
+	index     int     // among the attempts of its request
+	startedAt float64 // in milliseconds; of a streamed body: when the server had all of it
+	counted   bool    // in flight at its server, which has all of the request
+	alone     bool    // no other attempt of this agent was in flight at its server
 	ended     bool
 }
 
@@ -101,7 +103,7 @@
 		now-r.executedAt < r.class.DedupWindowMs
 }
 
-// waitsForKey tells whether the request still waits for the servers nearest its key.
+// waitsForKey tells whether the request still waits for the servers that its key prefers.
 func (r *request) waitsForKey(now float64) bool {
 	return r.key != 0 && len(r.attempts) == 0 &&
 		now-r.arrivedAt < keyWaitFraction*(r.objectiveAt-r.arrivedAt)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,10 +7,11 @@
 	// go before a key's request moves on to the next server in the key's order.
 	loadCapFactor = 3.0
 	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
-	// preferredServers nearest its key: to go on at once would lose the server's cache for the key
-	// just when servers are short of time.
+	// servers that its key prefers: to go on at once would lose the server's cache for the key just
+	// when servers are short of time.
 	keyWaitFraction = 0.25
-	// preferredServers is the number of servers nearest its key for which a request waits.
+	// preferredServers is the number of servers, the first in the order of its key, for which a request
+	// waits.
 	preferredServers = 2
 )
 
@@ -23,7 +24,7 @@
 	concurrency *concurrencyLimits
 	outliers    *outlierDetector
 	zone        *zonePreference
-	candidates  []*server // scratch: the servers of the tier at hand
+	candidates  []*server // scratch: the servers of the tier that is considered
 }
 
 // mayForward tells whether an attempt of the request at the server is permitted. The limits of its
@@ -53,14 +54,14 @@
 	cooldownWeight := sel.fillCandidates(r, t)
 	if r.tierWeight == 0 || cooldownWeight > r.tierWeight/2 {
 		sel.skipDraws(r, true)
-	} else if s, found = sel.nearest(r, true); found {
+	} else if s, found = sel.firstCandidate(r, true); found {
 		return s, true
 	}
 	if r.tierWeight == 0 {
 		sel.skipDraws(r, false)
 		return nil, false
 	}
-	s, _ = sel.nearest(r, false)
+	s, _ = sel.firstCandidate(r, false)
 	return s, true
 }
 
@@ -69,7 +70,7 @@
 func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
 	if t > healthyTier {
-		servers = sel.endpoints.notHealthy()
+		servers = sel.endpoints.unhealthyServers()
 	}
 	candidates := sel.candidates[:0]
 	r.tierWeight = 0
@@ -91,11 +92,11 @@
 	return cooldownWeight
 }
 
-// nearest is the first candidate in the request's order that accepts it; found tells whether there
-// was any to choose from. A request that waits for the servers of its key has no others.
-func (sel *serverSelector) nearest(r *request, skipCooldown bool) (best *server, found bool) {
+// firstCandidate is the first candidate in the request's order that accepts it; found tells whether
+// there was any to choose from. A request that waits for the servers of its key has no others.
+func (sel *serverSelector) firstCandidate(r *request, skipCooldown bool) (best *server, found bool) {
 	if r.waitsForKey(sel.env.now) {
-		return sel.nearestOfKey(r, skipCooldown)
+		return sel.firstPreferred(r, skipCooldown)
 	}
 	for _, s := range sel.candidates {
 		if skipCooldown && s.inCooldown(sel.env.now) || !sel.concurrency.serverAllows(s) {
@@ -115,8 +116,8 @@
 	return best, found
 }
 
-// nearestOfKey is the first of the preferredServers nearest the request's key that accepts it.
-func (sel *serverSelector) nearestOfKey(r *request, skipCooldown bool) (best *server, found bool) {
+// firstPreferred is the first of the servers that the request's key prefers that accepts it.
+func (sel *serverSelector) firstPreferred(r *request, skipCooldown bool) (best *server, found bool) {
 	var preferred [preferredServers]*server
 	count := 0
 	for _, s := range sel.candidates {
@@ -126,16 +127,16 @@
 		count++
 		position := sel.position(r, s)
 		weight := sel.orderWeight(s)
-		farthest := preferred[preferredServers-1]
-		if farthest != nil && position.minScore(weight) >= farthest.score {
+		last := preferred[preferredServers-1]
+		if last != nil && position.minScore(weight) >= last.score {
 			continue
 		}
 		s.score = position.score(weight)
 		insertByScore(&preferred, s)
 	}
 	if count > preferredServers {
-		r.nearest = preferred
-		r.nearestEpoch = sel.endpoints.epoch
+		r.preferred = preferred
+		r.preferredEpoch = sel.endpoints.epoch
 	}
 	for _, s := range preferred {
 		if s != nil && (best == nil || s.score < best.score) && sel.accepts(s, r) {
@@ -186,14 +187,14 @@
 	return sel.zone.weight(s, s.weight*sel.slowStart.loadShare(s))
 }
 
-// nearestAreFull tells whether the request waits for the servers nearest its key, as they were last
-// determined, and none of them accepts it.
-func (sel *serverSelector) nearestAreFull(r *request) bool {
-	determined := r.nearest[0] != nil && r.nearestEpoch == sel.endpoints.epoch
+// preferredAreFull tells whether the request waits for the servers that its key prefers, as they were
+// last determined, and none of them accepts it.
+func (sel *serverSelector) preferredAreFull(r *request) bool {
+	determined := r.preferred[0] != nil && r.preferredEpoch == sel.endpoints.epoch
 	if !determined || !r.waitsForKey(sel.env.now) {
 		return false
 	}
-	for _, s := range r.nearest {
+	for _, s := range r.preferred {
 		if sel.accepts(s, r) {
 			return false
 		}
