--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -118,7 +118,7 @@
 		s.lastResponseAt = b.now
 	case balancer.StatusError, balancer.StatusReset:
 		s.lastResponseAt = b.now
-		b.outliers.eject(s, false)
+		b.outliers.eject(s, failed)
 	case balancer.StatusConnectFailed:
 		b.outliers.recordUnreachable(s)
 	case balancer.StatusTimeout:
@@ -149,7 +149,7 @@
 		b.concurrency.recordOverload(a, true)
 		return
 	}
-	b.outliers.eject(s, true)
+	b.outliers.eject(s, unresponsive)
 }
 
 // recordSuccess records a successful response with all concerns that learn from it.
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -66,8 +66,8 @@
 		h.endpoints.setHealth(s, balancer.Connected)
 	case balancer.StatusOverloaded: // it serves, but not now: it stays as it is
 	case balancer.StatusError, balancer.StatusReset:
-		h.outliers.eject(s, false)
+		h.outliers.eject(s, failed)
 	default:
-		h.outliers.eject(s, true)
+		h.outliers.eject(s, unresponsive)
 	}
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -29,6 +29,15 @@
 	tierCount               // the number of tiers
 )
 
+// ejectionCause tells why a server is ejected.
+type ejectionCause uint8
+
+// The causes of an ejection.
+const (
+	failed       ejectionCause = iota // it responded with an error, or the connection was lost
+	unresponsive                      // it did not respond, or no connection to it was made
+)
+
 // outlierDetector ejects servers that keep failing or do not respond.
 type outlierDetector struct {
 	env       *environment
@@ -75,14 +84,14 @@
 }
 
 // eject takes a server out of service. Further failures while it is ejected count as the same one.
-func (o *outlierDetector) eject(s *server, unresponsive bool) {
+func (o *outlierDetector) eject(s *server, cause ejectionCause) {
 	if s.health != balancer.Unhealthy {
 		s.ejectionLevel = min(s.ejectionLevel+1, maxEjectionLevel)
 		o.endpoints.setHealth(s, balancer.Unhealthy)
-		s.unresponsive = unresponsive
+		s.unresponsive = cause == unresponsive
 		s.successes = 0
 		s.forgetLatency()
-		if unresponsive { // a failure with a response is no sign of overload
+		if s.unresponsive { // a failure with a response is no sign of overload
 			s.limit = max(s.limit*unresponsiveDecrease, 1)
 		}
 	}
@@ -100,23 +109,23 @@
 		inFlight := min(len(s.inFlight), unresponsiveAttempts)
 		limitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
 		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= limitMs {
-			o.eject(s, true)
+			o.eject(s, unresponsive)
 		}
 	}
 }
 
 // recordUnreachable ejects a server to which a connect failed.
 func (o *outlierDetector) recordUnreachable(s *server) {
-	o.eject(s, true)
+	o.eject(s, unresponsive)
 	if s.unreachableSince == 0 {
 		s.unreachableSince = o.env.now
 	}
 }
 
 // recordSuccess puts a server back in service after a successful attempt and lowers its ejection
-// level after many. It returns false where the attempt began before the server failed, and so says
+// level after many. current is false where the attempt began before the server failed, and so says
 // nothing about its present state.
-func (o *outlierDetector) recordSuccess(a *attempt) bool {
+func (o *outlierDetector) recordSuccess(a *attempt) (current bool) {
 	s := a.server
 	if s.health == balancer.Unhealthy && a.startedAt < s.healthSince && !s.unresponsive {
 		return false
