--- a/policy/admission.go
+++ b/policy/admission.go
@@ -21,7 +21,7 @@
 	b.healthChecks.start()
 	b.queue.add(r)
 	if b.random.Float64() < b.shedder.fraction() {
-		b.shedder.record(0)
+		b.shedder.recordUnserved()
 		b.reject(r)
 	}
 }
@@ -134,7 +134,7 @@
 	}
 	b.history.add(r)
 	if r.inFlight > 0 {
-		b.shedder.record(0)
+		b.shedder.recordUnserved()
 	}
 	b.close(r)
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -126,10 +126,10 @@
 	case balancer.StatusOverloaded:
 		s.lastResponseAt = b.now
 		b.concurrency.recordRejection(s)
-		b.concurrency.recordOverload(a, true)
-		b.zone.record(s, true)
+		b.concurrency.recordLoad(a, overloaded)
+		b.zone.record(s, objectiveMissed)
 		b.concurrency.startCooldown(s, minCooldownIntervals)
-	case balancer.StatusCancelled, balancer.StatusUnsent: // the agent's own doing
+	case balancer.StatusCancelled, balancer.StatusUnsent: // ended by the agent: says nothing of the server
 	}
 }
 
@@ -142,52 +142,54 @@
 		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs {
 		return
 	}
-	b.zone.record(s, true)
+	b.zone.record(s, objectiveMissed)
 	b.concurrency.startCooldown(s, minCooldownIntervals)
 	if s.lastResponseAt > a.startedAt {
 		s.recordLatency(a.request.class.latency(ev.LatencyMs))
-		b.concurrency.recordOverload(a, true)
+		b.concurrency.recordLoad(a, overloaded)
 		return
 	}
 	b.outliers.eject(s, unresponsive)
 }
 
-// recordSuccess records a successful response with all concerns that learn from it.
+// recordSuccess records a successful response with all components that learn from it.
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
 	b.slowStart.grantCredits(s)
 	b.retryBudget.deposit()
 	b.slowStart.recordReachable(s)
 	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
-	late := b.recordEarnings(a.request, ev.LatencyMs)
-	b.zone.record(s, late)
+	outcome := b.recordServed(a.request, ev.LatencyMs)
+	b.zone.record(s, outcome)
 	latency := a.request.class.latency(ev.LatencyMs)
 	b.latency.record(latency, a.alone)
 	s.recordLatency(latency)
-	b.concurrency.startCooldownIfSlow(s, latency, late)
-	limit := b.concurrency.serverLatencyLimit(s)
+	b.concurrency.startCooldownIfSlow(s, latency, outcome)
+	latencyLimit := b.concurrency.serverLatencyLimit(s)
 	if b.latency.known() {
-		b.concurrency.recordOverload(a, b.concurrency.isOverload(s, latency, limit))
+		b.concurrency.recordLoad(a, b.concurrency.loadOf(s, latency, latencyLimit))
 	}
 	if b.outliers.recordSuccess(a) {
-		b.concurrency.adjustServer(s, limit, ev.LatencyMs)
+		b.concurrency.adjustServer(s, latencyLimit, ev.LatencyMs)
 	}
 }
 
-// recordEarnings counts a response into the statistics of its class and the served fraction, and
-// tells whether it missed the latency objective.
-func (b *Balancer) recordEarnings(r *request, responseMs float64) (late bool) {
+// recordServed counts a response into the statistics of its class and the served fraction, and returns
+// whether it met the latency objective.
+func (b *Balancer) recordServed(r *request, responseMs float64) objectiveOutcome {
 	r.class.recordResponseTime(responseMs)
-	late = b.now > r.objectiveAt
-	earned := r.class.LateFraction
-	if !late {
+	outcome := objectiveMet
+	value := 1.0
+	if b.now > r.objectiveAt {
+		outcome = objectiveMissed
+		value = r.class.LateFraction
+	} else {
 		r.class.countObjectiveMet()
-		earned = 1
 	}
 	if !r.closed {
-		b.shedder.record(earned)
+		b.shedder.recordServed(value)
 	}
-	return late
+	return outcome
 }
 
 // closeIdle closes the idle connections to a server where, by the costs in the settings, keeping
@@ -213,7 +215,7 @@
 		return
 	}
 	if status == balancer.StatusOverloaded || status == balancer.StatusTimeout {
-		b.shedder.record(0) // errors and lost connections are no sign of overload
+		b.shedder.recordUnserved() // errors and lost connections are no sign of overload
 	}
 	b.reject(r)
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -45,6 +45,15 @@
 	lostAfterResponses = 6.0
 )
 
+// serverLoad is what a response, or its absence, says of the load of its server.
+type serverLoad bool
+
+// The values of serverLoad.
+const (
+	overloaded    serverLoad = true
+	notOverloaded serverLoad = false
+)
+
 // concurrencyLimits holds the limits of this agent's attempts in flight, at all servers together and
 // at each, by additive increase and multiplicative decrease (AIMD, Chiu and Jain 1989).
 type concurrencyLimits struct {
@@ -96,26 +105,26 @@
 	if !(float64(inFlight) < max(c.limit, 1)) {
 		return false
 	}
-	pause := c.latency.baseline * c.classes.minObjectiveMs / c.limit
-	return c.limit >= 1 || c.limitDecreasedAt == 0 || c.env.now-c.forwards.lastAt >= pause
+	pauseMs := c.latency.baseline * c.classes.minObjectiveMs / c.limit
+	return c.limit >= 1 || c.limitDecreasedAt == 0 || c.env.now-c.forwards.lastAt >= pauseMs
 }
 
-// recordOverload counts whether a response came from an overloaded server, and adjusts the limit of
-// all servers. Of many servers each responds too rarely to one of many agents for its own limit to
+// recordLoad counts whether a response came from an overloaded server, and adjusts the limit of all
+// servers. Of many servers each responds too rarely to one of many agents for its own limit to
 // follow an overload. But when most responses of late took longer than their servers' limits, all
 // are overloaded, and each agent sees that within about a second: it decreases its limit, by steps
 // that wait for the effect of the last, until they are not.
-func (c *concurrencyLimits) recordOverload(a *attempt, overloaded bool) {
+func (c *concurrencyLimits) recordLoad(a *attempt, load serverLoad) {
 	c.overloadedFraction -= overloadSmoothing * c.overloadedFraction
-	if overloaded {
+	if load == overloaded {
 		c.overloadedFraction += overloadSmoothing
 	}
 	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1) // with the one that ended
 	switch {
 	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitDecreasedAt:
 		// One attempt of all agents together at each server is no overload.
-		least := float64(len(c.endpoints.servers)) / c.env.fleetSize()
-		c.limit = max(min(c.limit, inFlight)*overloadDecrease, least, minLimit)
+		floor := float64(len(c.endpoints.servers)) / c.env.fleetSize()
+		c.limit = max(min(c.limit, inFlight)*overloadDecrease, floor, minLimit)
 		c.limitDecreasedAt = c.env.now
 	case c.overloadedFraction < overloadedMajority && inFlight+1 > c.limit:
 		c.limit += limitStep
@@ -127,24 +136,25 @@
 	return c.latency.serverLimit(s, c.slowStart.fraction(s))
 }
 
-// isOverload tells whether one response with this latency came from an overloaded server, whose mean
-// latency is limited by limit.
-func (c *concurrencyLimits) isOverload(s *server, latency, limit float64) bool {
-	return latency > min(max(limit, c.latency.fleetLimit()/c.slowStart.fraction(s)), 1)
+// loadOf is the load of a server by the latency of one response, where latencyLimit is the limit of its
+// mean latency.
+func (c *concurrencyLimits) loadOf(s *server, latency, latencyLimit float64) serverLoad {
+	responseLimit := max(latencyLimit, c.latency.fleetLimit()/c.slowStart.fraction(s))
+	return latency > min(responseLimit, 1)
 }
 
 // adjustServer adjusts a server's limit after a response in responseMs: multiplicative decrease at
 // most once in a response time while its mean latency is above the latency limit; increase by one in
 // a response time below it, if the limit is used.
-func (c *concurrencyLimits) adjustServer(s *server, limit, responseMs float64) {
+func (c *concurrencyLimits) adjustServer(s *server, latencyLimit, responseMs float64) {
 	switch {
-	case s.latency > limit && c.env.now-s.limitDecreasedAt > responseMs:
+	case s.latency > latencyLimit && c.env.now-s.limitDecreasedAt > responseMs:
 		floor := singleAttemptLimit
-		if s.latency > severeOverloadFactor*limit {
+		if s.latency > severeOverloadFactor*latencyLimit {
 			floor = minLimit
 		}
 		c.decreaseServerLimit(s, overloadDecrease, floor)
-	case s.latency < limit && float64(len(s.inFlight)+usedWithin) > s.limit &&
+	case s.latency < latencyLimit && float64(len(s.inFlight)+usedWithin) > s.limit &&
 		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
@@ -205,11 +215,11 @@
 	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
 }
 
-// startCooldownIfSlow starts a server's cooldown after a response that was late, or much slower than
-// without load.
-func (c *concurrencyLimits) startCooldownIfSlow(s *server, latency float64, late bool) {
+// startCooldownIfSlow starts a server's cooldown after a response that missed the latency objective, or
+// was much slower than without load.
+func (c *concurrencyLimits) startCooldownIfSlow(s *server, latency float64, outcome objectiveOutcome) {
 	slowness := latency / c.latency.unloaded
-	if late || slowness > cooldownLatencyFactor*c.latency.fleetFactor() {
+	if outcome == objectiveMissed || slowness > cooldownLatencyFactor*c.latency.fleetFactor() {
 		c.startCooldown(s, min(max(slowness-1, minCooldownIntervals), maxCooldownIntervals))
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -36,6 +36,15 @@
 	baselineDelayExponent = 3
 )
 
+// objectiveOutcome tells whether a response met the latency objective of its request.
+type objectiveOutcome bool
+
+// The values of objectiveOutcome.
+const (
+	objectiveMet    objectiveOutcome = true
+	objectiveMissed objectiveOutcome = false
+)
+
 // latencyBaselines holds what response times are normal. Latencies are fractions of the latency
 // objective of the request's class.
 type latencyBaselines struct {
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -17,21 +17,28 @@
 // a single server, but it does see its own served fraction.
 type loadShedder struct {
 	finished float64 // finished requests, with exponential decay over shedWindow of them
-	earned   float64 // what they earned: 1 for a response in time, a part for a late one
+	value    float64 // sum of their values: 1 for a response in time, less for a late one or none
 }
 
 // newLoadShedder returns a shedder that sheds nothing yet.
 func newLoadShedder() *loadShedder {
-	return &loadShedder{finished: initialFinished, earned: initialFinished}
+	return &loadShedder{finished: initialFinished, value: initialFinished}
 }
 
 // fraction is the part of arriving requests to reject at once.
 func (l *loadShedder) fraction() float64 {
-	return min(max(l.finished-shedFactor*l.earned, 0)/(l.finished+1), maxShedFraction)
+	return min(max(l.finished-shedFactor*l.value, 0)/(l.finished+1), maxShedFraction)
 }
 
-// record counts a finished request and the part of its priority weight that it earned.
-func (l *loadShedder) record(part float64) {
+// recordServed counts a request that was served; value is the part of its priority weight that the
+// response earned, 1 for one in time.
+func (l *loadShedder) recordServed(value float64) { l.recordFinished(value) }
+
+// recordUnserved counts a request that has ended without a response.
+func (l *loadShedder) recordUnserved() { l.recordFinished(0) }
+
+// recordFinished counts a finished request and its value.
+func (l *loadShedder) recordFinished(value float64) {
 	l.finished += 1 - l.finished/shedWindow
-	l.earned += part - l.earned/shedWindow
+	l.value += value - l.value/shedWindow
 }
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -23,13 +23,13 @@
 	return &zonePreference{env: env, factor: minZonePreference}
 }
 
-// record counts an attempt at the server and whether it missed the latency objective.
-func (z *zonePreference) record(s *server, missed bool) {
+// record counts the outcome of an attempt at the server.
+func (z *zonePreference) record(s *server, outcome objectiveOutcome) {
 	if s.zone != z.env.settings.Zone {
 		return
 	}
 	step := z.env.settings.Costs.CrossZone
-	if missed {
+	if outcome == objectiveMissed {
 		step--
 	}
 	z.factor = min(max(z.factor*(1+zonePreferenceStep*step), minZonePreference), maxZonePreference)
