--- a/policy/selection.go
+++ b/policy/selection.go
@@ -15,6 +15,27 @@
 	preferredServers = 2
 )
 
+// candidateSet says which candidates a choice considers.
+type candidateSet uint8
+
+// The values of candidateSet.
+const (
+	notInCooldown candidateSet = iota // candidates in cooldown are passed over
+	allCandidates
+)
+
+// includes tells whether the choice considers the candidate.
+func (c candidateSet) includes(s *server, now float64) bool {
+	return c == allCandidates || !s.inCooldown(now)
+}
+
+// choice is the result of a selection among some servers.
+type choice struct {
+	server *server // nil: none accepts the request
+	// hasCandidates tells that there were servers to choose from, though none may accept the request.
+	hasCandidates bool
+}
+
 // serverSelector selects the server of an attempt: of the best health tier that has any, the first
 // in the order of weighted rendezvous hashing that is under its load cap and has capacity.
 type serverSelector struct {
@@ -41,28 +62,29 @@
 		return nil
 	}
 	for t := range tierCount {
-		if s, found := sel.chooseInTier(r, t); found {
-			return s
+		if c := sel.chooseInTier(r, t); c.hasCandidates {
+			return c.server
 		}
 	}
 	return nil
 }
 
-// chooseInTier selects a server of one tier; found tells whether the tier has any to choose from.
-// Those in cooldown come last, unless most of them are: then all are overloaded.
-func (sel *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
+// chooseInTier selects a server of one tier. Those in cooldown come last, unless most of them are: then
+// all are overloaded.
+func (sel *serverSelector) chooseInTier(r *request, t tier) choice {
 	cooldownWeight := sel.fillCandidates(r, t)
-	if r.tierWeight == 0 || cooldownWeight > r.tierWeight/2 {
-		sel.skipDraws(r, true)
-	} else if s, found = sel.firstCandidate(r, true); found {
-		return s, true
-	}
 	if r.tierWeight == 0 {
-		sel.skipDraws(r, false)
-		return nil, false
+		sel.discardDraws(r, notInCooldown)
+		sel.discardDraws(r, allCandidates)
+		return choice{}
+	}
+	if cooldownWeight > r.tierWeight/2 {
+		sel.discardDraws(r, notInCooldown)
+	} else if c := sel.firstCandidate(r, notInCooldown); c.hasCandidates {
+		return c
 	}
-	s, _ = sel.firstCandidate(r, false)
-	return s, true
+	c := sel.firstCandidate(r, allCandidates)
+	return choice{server: c.server, hasCandidates: true}
 }
 
 // fillCandidates makes the servers of the tier to which the request may go the candidates, sets
@@ -92,17 +114,19 @@
 	return cooldownWeight
 }
 
-// firstCandidate is the first candidate in the request's order that accepts it; found tells whether
-// there was any to choose from. A request that waits for the servers of its key has no others.
-func (sel *serverSelector) firstCandidate(r *request, skipCooldown bool) (best *server, found bool) {
+// firstCandidate is the first candidate of the set in the request's order that accepts it. A request that
+// waits for the servers of its key has no others.
+func (sel *serverSelector) firstCandidate(r *request, set candidateSet) choice {
 	if r.waitsForKey(sel.env.now) {
-		return sel.firstPreferred(r, skipCooldown)
+		return sel.firstPreferred(r, set)
 	}
+	var best *server
+	hasCandidates := false
 	for _, s := range sel.candidates {
-		if skipCooldown && s.inCooldown(sel.env.now) || !sel.concurrency.serverAllows(s) {
+		if !set.includes(s, sel.env.now) || !sel.concurrency.serverAllows(s) {
 			continue
 		}
-		found = true
+		hasCandidates = true
 		position := sel.position(r, s)
 		weight := sel.orderWeight(s)
 		if best != nil && position.minScore(weight) >= best.score || !sel.underLoadCap(s, r) {
@@ -113,15 +137,16 @@
 			best = s
 		}
 	}
-	return best, found
+	return choice{server: best, hasCandidates: hasCandidates}
 }
 
-// firstPreferred is the first of the servers that the request's key prefers that accepts it.
-func (sel *serverSelector) firstPreferred(r *request, skipCooldown bool) (best *server, found bool) {
+// firstPreferred determines the candidates of the set that the request's key prefers, and is the first of
+// them that accepts it.
+func (sel *serverSelector) firstPreferred(r *request, set candidateSet) choice {
 	var preferred [preferredServers]*server
 	count := 0
 	for _, s := range sel.candidates {
-		if skipCooldown && s.inCooldown(sel.env.now) {
+		if !set.includes(s, sel.env.now) {
 			continue
 		}
 		count++
@@ -138,12 +163,13 @@
 		r.preferred = preferred
 		r.preferredEpoch = sel.endpoints.epoch
 	}
+	var best *server
 	for _, s := range preferred {
 		if s != nil && (best == nil || s.score < best.score) && sel.accepts(s, r) {
 			best = s
 		}
 	}
-	return best, count > 0
+	return choice{server: best, hasCandidates: count > 0}
 }
 
 // insertByScore puts a server among those with the lowest scores, in order, if it belongs there; of
@@ -160,14 +186,14 @@
 	}
 }
 
-// skipDraws passes over the random positions of a choice among no candidates, so that later random
-// numbers do not depend on which servers are in cooldown.
-func (sel *serverSelector) skipDraws(r *request, skipCooldown bool) {
+// discardDraws draws the random positions of a choice that is not made, and discards them, so that later
+// random numbers do not depend on which servers are in cooldown.
+func (sel *serverSelector) discardDraws(r *request, set candidateSet) {
 	if r.key != 0 {
 		return
 	}
 	for _, s := range sel.candidates {
-		if !(skipCooldown && s.inCooldown(sel.env.now)) && sel.concurrency.serverAllows(s) {
+		if set.includes(s, sel.env.now) && sel.concurrency.serverAllows(s) {
 			sel.env.random.Uint64()
 		}
 	}
