--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,8 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// fullCostConnections is the number of open connections of a server at which Costs.Connection is due
-// in full.
+// fullCostConnections is the number of open connections of a server that Costs.Connection is the cost of.
 const fullCostConnections = 100.0
 
 // forward starts an attempt of the request at the server, if it is permitted.
@@ -16,11 +15,11 @@
 		return false
 	}
 	a := &attempt{
-		request:   r,
-		server:    s,
-		index:     len(r.attempts),
-		alone:     len(s.inFlight) == 0,
-		startedAt: b.now,
+		request:      r,
+		server:       s,
+		index:        len(r.attempts),
+		soleAtServer: len(s.inFlight) == 0,
+		startedAt:    b.now,
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -55,7 +54,7 @@
 // and its time counts from here.
 func (b *Balancer) onRequestSent(ev *balancer.Event) {
 	a := b.attemptOf(ev)
-	if a == nil || a.counted || a.request.closed {
+	if a == nil || a.fullySent || a.request.closed {
 		return
 	}
 	a.request.setDeadlines(b.environment, ev.RemainingMs, b.now)
@@ -134,14 +133,12 @@
 }
 
 // recordTimeout records a timeout. A server that has responded to other attempts meanwhile counts as
-// slow, another one as unresponsive. Where a server has responded well to later attempts since, the
-// response was lost on its way and says nothing about the server.
+// slow, another one as unresponsive.
 func (b *Balancer) recordTimeout(a *attempt, ev *balancer.Event) {
-	s := a.server
-	if s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
-		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs {
+	if b.responseWasLost(a) {
 		return
 	}
+	s := a.server
 	b.zone.record(s, objectiveMissed)
 	b.concurrency.startCooldown(s, minCooldownIntervals)
 	if s.lastResponseAt > a.startedAt {
@@ -152,6 +149,15 @@
 	b.outliers.eject(s, unresponsive)
 }
 
+// responseWasLost tells whether an attempt timed out because its response was lost on its way, which
+// says nothing about the server: the server has responded well to later attempts, and enough of them to
+// know its present latency.
+func (b *Balancer) responseWasLost(a *attempt) bool {
+	s := a.server
+	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
+		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs
+}
+
 // recordSuccess records a successful response with all components that learn from it.
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
@@ -162,7 +168,7 @@
 	outcome := b.recordServed(a.request, ev.LatencyMs)
 	b.zone.record(s, outcome)
 	latency := a.request.class.latency(ev.LatencyMs)
-	b.latency.record(latency, a.alone)
+	b.latency.record(latency, a.soleAtServer)
 	s.recordLatency(latency)
 	b.concurrency.startCooldownIfSlow(s, latency, outcome)
 	latencyLimit := b.concurrency.serverLatencyLimit(s)
@@ -198,7 +204,7 @@
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
 	intervalMs := b.concurrency.forwards.meanIntervalMs
-	serverIntervalMs := cmp.Or(s.forwards.meanIntervalMs, intervalMs*servers)
+	serverIntervalMs := cmp.Or(s.forwards.meanIntervalMs, b.concurrency.evenServerIntervalMs())
 	keepCost := costs.Connection * serverIntervalMs * float64(b.settings.FleetSize)
 	openCost := fullCostConnections * servers * intervalMs * costs.Handshake
 	if len(s.inFlight) == 0 && keepCost > openCost {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -40,8 +40,8 @@
 	// minCooldownFraction is the least part of its length that a cooldown lasts. The jitter added to it is
 	// up to the whole length, so that the agents do not return at once.
 	minCooldownFraction = 0.5
-	// lostAfterResponses is the number of response times after which an attempt is lost whose server
-	// has responded to later ones.
+	// lostAfterResponses is the number of response times after which an attempt is presumed lost whose
+	// server has responded to later ones.
 	lostAfterResponses = 6.0
 )
 
@@ -79,7 +79,7 @@
 
 // begin counts an attempt as work of its server.
 func (c *concurrencyLimits) begin(a *attempt) {
-	a.counted = true
+	a.fullySent = true
 	a.startedAt = c.env.now
 	c.endpoints.addInFlight(a)
 	c.inFlight++
@@ -87,7 +87,7 @@
 
 // end takes an ended attempt out of the counts.
 func (c *concurrencyLimits) end(a *attempt) {
-	if a.counted {
+	if a.fullySent {
 		c.inFlight--
 	}
 	c.endpoints.removeInFlight(a)
@@ -99,6 +99,11 @@
 	c.forwards.record(c.env.now, fleetSmoothing)
 }
 
+// evenServerIntervalMs is the mean time between two attempts at one server if each got the same number.
+func (c *concurrencyLimits) evenServerIntervalMs() float64 {
+	return c.forwards.meanIntervalMs * float64(len(c.endpoints.servers))
+}
+
 // allows tells whether another attempt may be forwarded with so many in flight at all servers. A
 // limit below one attempt is enforced by a pause between attempts.
 func (c *concurrencyLimits) allows(inFlight int) bool {
@@ -188,7 +193,7 @@
 	return s.limit >= 1 || c.env.now-s.forwards.lastAt >= s.responseMs/s.limit
 }
 
-// active is the number of attempts that a server works on: those in flight that are not lost.
+// active is the number of attempts that a server works on: those in flight that are not presumed lost.
 func (c *concurrencyLimits) active(s *server) int {
 	count := len(s.inFlight)
 	for _, a := range s.inFlight {
@@ -199,7 +204,8 @@
 	return count
 }
 
-// isLost tells whether an attempt's server has responded to later ones for several response times.
+// isLost tells whether the response of an attempt is presumed lost, as TCP presumes a packet
+// lost (RACK, RFC 8985): its server has responded to later attempts for several response times.
 func (c *concurrencyLimits) isLost(a *attempt) bool {
 	lostAfterMs := lostAfterResponses * max(a.request.class.expectedMs, a.server.responseMs)
 	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
@@ -210,8 +216,7 @@
 // follow its overload by a limit; but all agents together send it less load, by those that met the
 // overload.
 func (c *concurrencyLimits) startCooldown(s *server, intervals float64) {
-	intervalMs := c.forwards.meanIntervalMs * float64(len(c.endpoints.servers))
-	cooldownMs := min(intervals*intervalMs, c.env.settings.Contract.SlowStartMs)
+	cooldownMs := min(intervals*c.evenServerIntervalMs(), c.env.settings.Contract.SlowStartMs)
 	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
 }
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -156,7 +156,7 @@
 // removeInFlight takes an ended attempt out of those in flight at its server.
 func (l *endpointList) removeInFlight(a *attempt) {
 	a.server.removeAttempt(a)
-	if a.counted && len(a.server.inFlight) == 0 {
+	if a.fullySent && len(a.server.inFlight) == 0 {
 		l.busy = slices.DeleteFunc(l.busy, func(s *server) bool { return s == a.server })
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -58,9 +58,9 @@
 // known tells whether enough responses have been seen to recognize an overload.
 func (l *latencyBaselines) known() bool { return l.responses >= baselineResponses }
 
-// record counts a response of any server. alone tells that no other attempt of this agent was in
-// flight at the server.
-func (l *latencyBaselines) record(latency float64, alone bool) {
+// record counts a response of any server. soleAtServer tells that no other attempt of this agent was
+// in flight at the server.
+func (l *latencyBaselines) record(latency float64, soleAtServer bool) {
 	l.responses++
 	l.mean = movingMean(l.mean, latency, max(fleetSmoothing, 1/l.responses))
 	l.unloaded = min(l.mean, movingMean(l.unloaded, l.mean, unloadedSmoothing))
@@ -73,16 +73,16 @@
 	case l.mean < l.baseline:
 		l.baseline = movingMean(l.baseline, l.mean, fleetSmoothing)
 	default:
-		l.baseline = movingMean(l.baseline, l.mean, l.riseSmoothing(alone))
+		l.baseline = movingMean(l.baseline, l.mean, l.riseSmoothing(soleAtServer))
 	}
 }
 
 // riseSmoothing is the weight of one response in the baseline as it rises: small, or an overload
-// would become the baseline. A response to an attempt that was alone at its server says more the
-// fewer agents there are: a single agent that took quick first responses for the baseline would
+// would become the baseline. A response to the sole attempt at its server says more the fewer
+// agents there are: a single agent that took quick first responses for the baseline would
 // leave its servers idle for good.
-func (l *latencyBaselines) riseSmoothing(alone bool) float64 {
-	if alone {
+func (l *latencyBaselines) riseSmoothing(soleAtServer bool) float64 {
+	if soleAtServer {
 		delay := minBaselineDelay * math.Pow(l.env.fleetSize(), baselineDelayExponent)
 		return fleetSmoothing / min(delay, maxBaselineDelay)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -42,9 +42,11 @@
 	server    *server
 	index     int     // among the attempts of its request
 	startedAt float64 // in milliseconds; of a streamed body: when the server had all of it
-	counted   bool    // in flight at its server, which has all of the request
-	alone     bool    // no other attempt of this agent was in flight at its server
-	ended     bool
+	// fullySent tells that its server has all of the request; from then on it counts as in flight.
+	fullySent bool
+	// soleAtServer tells that at its start no other attempt of this agent was in flight at its server.
+	soleAtServer bool
+	ended        bool
 }
 
 // setDeadlines sets until when a response meets the latency objective, which counts from start, and
