--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,7 +4,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxForwardFailures is the number of requests that may go to any server, and for which none has
+// maxForwardFailures is the number of queued requests that may go to any server and find none with
 // capacity, after which the rest of the queue is not considered.
 const maxForwardFailures = 4
 
@@ -67,9 +67,9 @@
 	}
 }
 
-// forwardQueued forwards what finds a server. A request that waits for the servers of its key may
-// find no capacity where the next one does, so it is passed over; of requests that may go to any
-// server a few that find none show that there is none.
+// forwardQueued forwards the queued requests that find a server. A request that waits for the servers
+// of its key may find no capacity where the next one does, so it is passed over; of requests that may
+// go to any server a few that find none show that there is none.
 func (b *Balancer) forwardQueued() {
 	b.queue.saturated = false
 	unresponsive := b.endpoints.unresponsiveInFlight()
@@ -96,8 +96,8 @@
 	}
 }
 
-// rejectExpired rejects queued requests that can no longer earn anything, early, before they cost
-// work of a server.
+// rejectExpired rejects queued requests whose response would be of no use to the client, before they
+// cost work of a server.
 func (b *Balancer) rejectExpired() {
 	for i := 0; i < len(b.queue.requests); {
 		r := b.queue.requests[i]
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -85,7 +85,7 @@
 	switch {
 	case r.closed || r.responseStarted || ev.RequestDone || ev.Status == balancer.StatusOK:
 		b.close(r)
-	case ev.Status == balancer.StatusBadRequest: // as it would be at every server, and for each retry
+	case ev.Status == balancer.StatusBadRequest: // every other server would answer alike
 		b.close(r)
 		b.emit(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 	default:
@@ -198,8 +198,9 @@
 	return outcome
 }
 
-// closeIdle closes the idle connections to a server where, by the costs in the settings, keeping
-// them until the next attempt costs more than opening one: of many agents each uses a server rarely.
+// closeIdle closes the idle connections to a server that has just finished an attempt where, by the
+// costs in the settings, keeping them until the next attempt costs more than opening one: of many agents
+// each uses a server rarely.
 func (b *Balancer) closeIdle(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// shareDecay is the factor by which the requests so far weigh less with each new one: the shares
-	// of the classes are those of about the last 500 requests.
+	// shareDecay is the factor of the exponential decay by which earlier requests weigh less with each
+	// new one: the shares of the classes are those of about the last 500 requests.
 	shareDecay = 0.998
 	// expectedSmoothing is the weight of one response in the expected response time of its class.
 	expectedSmoothing = 4 * fleetSmoothing
-	// initialLatency is the mean latency that is expected of a class without responses.
+	// initialLatency is the mean latency that is expected of a class without responses, as a fraction of
+	// its objective.
 	initialLatency = maxMeanLatency / 2
 )
 
@@ -21,15 +22,15 @@
 type class struct {
 	balancer.Class
 	expectedMs       float64 // moving mean of response times
-	requestShare     float64 // part of all requests of late
-	inTimeShare      float64 // requests that met the objective of late, as a part of all requests
+	requestShare     float64 // part of all recent requests
+	inTimeShare      float64 // recent requests that met the objective, as a part of all requests
 	longestTimeoutMs float64 // the longest time that a client gave one request
 }
 
 // classTable holds the statistics of the classes in force.
 type classTable struct {
 	classes        []*class // in the order of the settings
-	worst          *class   // the class with the smallest part of its requests served in time
+	worst          *class   // the class with the smallest part of its recent requests served in time
 	meanWeight     float64  // mean priority weight of a request
 	minObjectiveMs float64  // the shortest latency objective
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -66,7 +66,7 @@
 	inFlight           int
 	limit              float64 // attempts that may be in flight at all servers
 	limitDecreasedAt   float64 // when the limit was last decreased; 0: never
-	overloadedFraction float64 // part of the responses of late that came from overloaded servers
+	overloadedFraction float64 // part of the recent responses that came from overloaded servers
 	forwards           forwardTimes
 }
 
@@ -116,7 +116,7 @@
 
 // recordLoad counts whether a response came from an overloaded server, and adjusts the limit of all
 // servers. Of many servers each responds too rarely to one of many agents for its own limit to
-// follow an overload. But when most responses of late took longer than their servers' limits, all
+// follow an overload. But when most recent responses took longer than their servers' limits, all
 // are overloaded, and each agent sees that within about a second: it decreases its limit, by steps
 // that wait for the effect of the last, until they are not.
 func (c *concurrencyLimits) recordLoad(a *attempt, load serverLoad) {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,12 +10,12 @@
 const (
 	// initialLimit is the least concurrency limit of a new server, in attempts.
 	initialLimit = 2
-	// initialFleetLimit is what all agents together may have in flight at a new server: more than its
-	// cores, as some requests wait for others.
+	// initialFleetLimit is the number of attempts that all agents together may have in flight at a new
+	// server: more than its cores, as some requests wait for others.
 	initialFleetLimit = 8
 )
 
-// endpointList holds the servers that discovery lists, and the groups of them that are needed often.
+// endpointList holds the servers that discovery lists, and the sets of them that are needed often.
 type endpointList struct {
 	env       *environment
 	servers   []*server // by address
--- a/policy/environment.go
+++ b/policy/environment.go
@@ -6,8 +6,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// environment is what all concerns share: the settings in force, the time and the random numbers of
-// the decision under way, and the actions that it has given so far.
+// environment is what all components of a Balancer share: the settings in force, the time and the random
+// numbers of the decision under way, and the actions that it has given so far.
 type environment struct {
 	settings balancer.Settings
 	random   *rand.Rand
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -19,7 +19,7 @@
 	outliers  *outlierDetector
 	poller    *listPoller
 	slowStart *slowStart
-	underWay  int
+	underWay  int          // health checks that have not ended
 	budget    *tokenBucket // each request adds to it
 }
 
--- a/policy/history.go
+++ b/policy/history.go
@@ -10,7 +10,8 @@
 // been given all of it.
 const fullTimeoutFraction = 0.95
 
-// unservedRequest is what is remembered of a request without a response, to recognize its retry.
+// unservedRequest is what is remembered of a request without a response, to recognize its retry. Times are
+// in milliseconds.
 type unservedRequest struct {
 	className      string
 	key            uint64
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// maxPartitionShare is the most of a server's even share of requests that one partition of a
-	// key may bring.
+	// maxPartitionShare is the most requests that one partition of a key may have, as a part of a
+	// server's even share.
 	maxPartitionShare = 0.25
 	// keyCountWindow is the number of requests, for each partition that there may be, over which
 	// the share of a key is measured.
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -51,7 +51,7 @@
 	env       *environment
 	responses float64 // number of responses so far
 	mean      float64 // moving mean of all servers
-	unloaded  float64 // the least that the mean has been of late
+	unloaded  float64 // the least that the mean has recently been
 	baseline  float64 // mean latency without overload
 }
 
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -12,8 +12,8 @@
 	// unresponsiveDecrease is the factor by which the concurrency limit of an unresponsive server is
 	// decreased.
 	unresponsiveDecrease = 0.5
-	// unresponsiveAfter is the number of expected response times, divided by the attempts in flight
-	// (at most unresponsiveAttempts of them), after which a server that does not respond is ejected.
+	// unresponsiveAfter is the number of expected response times, divided by the number of attempts in
+	// flight (at most unresponsiveAttempts), after which a server that does not respond is ejected.
 	unresponsiveAfter    = 8
 	unresponsiveAttempts = 3
 )
@@ -99,7 +99,7 @@
 }
 
 // ejectUnresponsive ejects servers that have attempts in flight and have not responded for several
-// response times: a server that hangs or is cut off would stay healthy otherwise.
+// response times: a server that hangs or is partitioned would stay healthy otherwise.
 func (o *outlierDetector) ejectUnresponsive() {
 	for _, s := range o.endpoints.busy {
 		if s.health == balancer.Unhealthy {
@@ -107,8 +107,8 @@
 		}
 		oldest := s.inFlight[0]
 		inFlight := min(len(s.inFlight), unresponsiveAttempts)
-		limitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
-		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= limitMs {
+		silenceLimitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
+		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= silenceLimitMs {
 			o.eject(s, unresponsive)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -12,7 +12,7 @@
 
 // The tokens of the timers that the policy sets.
 const (
-	tickTimer uint32 = 1 // watches servers in use and queued requests
+	tickTimer uint32 = 1 // the next check of servers in use and of queued requests
 	pollTimer uint32 = 2 // the next call for the endpoint list
 )
 
@@ -27,7 +27,7 @@
 type Balancer struct {
 	*environment
 	requests     map[balancer.RequestID]*request // open, or with an attempt in flight
-	tickRunning  bool
+	tickRunning  bool                            // the tick timer is set
 	endpoints    *endpointList
 	poller       *listPoller
 	queue        *requestQueue
@@ -45,14 +45,14 @@
 	selector     *serverSelector
 }
 
-// New returns the balancer of one agent, or an error that names the setting that makes no sense. All
-// its randomness comes from the seed.
+// New returns the balancer of one agent, or an error that names the first invalid setting. All its
+// randomness comes from the seed.
 func New(settings balancer.Settings, seed uint64) (*Balancer, error) {
 	b := newBalancer(rand.New(rand.NewPCG(seed, splitmix64(seed))))
 	return b, b.Retune(settings)
 }
 
-// newBalancer connects the concerns of a balancer without settings.
+// newBalancer connects the components of a balancer without settings.
 func newBalancer(random *rand.Rand) *Balancer {
 	env := &environment{random: random}
 	b := &Balancer{
@@ -103,8 +103,8 @@
 	return b
 }
 
-// Retune puts settings in force, or returns an error that names the one that makes no sense. What was
-// learned stays, and open requests keep the rules of their classes.
+// Retune puts settings in force, or returns an error that names the first invalid one. What was learned
+// stays, and open requests keep the rules of their classes.
 func (b *Balancer) Retune(settings balancer.Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
@@ -186,7 +186,8 @@
 	b.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: intervalMs, Token: tickTimer})
 }
 
-// onTimer does what a timer was set for.
+// onTimer takes the expiry of a timer: it calls for the endpoint list, or ejects unresponsive servers and
+// rejects requests that can no longer be served in time.
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
 	case pollTimer:
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -15,7 +15,7 @@
 	maxPollDelayMs = 2500.0
 	// maxPollDelayFraction is the part of the time within which a call is due that its delay may take.
 	maxPollDelayFraction = 0.5
-	// minPollSpread is the least spread, in latency objectives.
+	// minPollSpread is the least spread, in multiples of the shortest latency objective.
 	minPollSpread = 2
 	// pollBackoffFactor is the factor by which each failed call in a row multiplies the spread.
 	pollBackoffFactor = 2
@@ -27,7 +27,7 @@
 type listPoller struct {
 	env         *environment
 	classes     *classTable
-	lastFetchAt float64 // time of the last fetch of the complete list
+	lastFetchAt float64 // time of the last fetch of the complete list, in milliseconds
 	failures    int     // failed calls in a row
 	scheduled   bool    // the timer of the next call runs
 }
@@ -46,10 +46,10 @@
 		return
 	}
 	p.scheduled = true
-	mostMs := min(settings.Contract.PollWithinMs*maxPollDelayFraction, maxPollDelayMs)
+	maxDelayMs := min(settings.Contract.PollWithinMs*maxPollDelayFraction, maxPollDelayMs)
 	backoff := math.Pow(pollBackoffFactor, float64(p.failures))
 	spreadMs := pollSpacingMs * float64(settings.FleetSize) * backoff
-	delayMs := p.env.random.Float64() * min(max(spreadMs, minPollSpread*p.classes.minObjectiveMs), mostMs)
+	delayMs := p.env.random.Float64() * min(max(spreadMs, minPollSpread*p.classes.minObjectiveMs), maxDelayMs)
 	p.env.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: delayMs, Token: pollTimer})
 }
 
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxQueued bounds the queued requests, and so the work of a decision.
+// maxQueued is the most requests that may be queued; it bounds the work of a decision.
 const maxQueued = 512
 
 // requestQueue holds the requests that wait for capacity.
@@ -15,7 +15,7 @@
 	env      *environment
 	classes  *classTable
 	requests []*request
-	// saturated tells that requests which may go to any server found no capacity of late.
+	// saturated tells that in the last dispatch requests which may go to any server found no capacity.
 	saturated bool
 }
 
@@ -48,8 +48,8 @@
 	})
 }
 
-// priority is what a unit of server time spent on the request earns by the objective: a part of the
-// total and, if it is of the class served worst, all of that class's part.
+// priority is what a unit of server time for the request adds to the value of the objective: a part of
+// the total and, if it is of the class served worst, all of that class's part.
 func (q *requestQueue) priority(r *request) float64 {
 	settings := &q.env.settings
 	objective := &settings.Objective
@@ -66,13 +66,13 @@
 	return priority
 }
 
-// isExpired tells whether a queued request can no longer earn anything. While capacity is short, a
-// request that can only be late is passed over for newer ones until its deadline, so it counts as
-// expired at once.
+// isExpired tells whether a response to a queued request would come too late to be of use. While
+// capacity is short, a request that can only be late is passed over for newer ones until its deadline,
+// so it counts as expired at once.
 func (q *requestQueue) isExpired(r *request) bool {
-	last := r.objectiveAt
+	latestResponse := r.objectiveAt
 	if r.class.LateFraction > 0 && !q.saturated {
-		last = r.deadline
+		latestResponse = r.deadline
 	}
-	return q.env.now+r.class.expectedMs > last || q.env.now >= r.deadline
+	return q.env.now+r.class.expectedMs > latestResponse || q.env.now >= r.deadline
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -49,8 +49,8 @@
 	ended        bool
 }
 
-// setDeadlines sets until when a response meets the latency objective, which counts from start, and
-// until when any response is of use, with remainingMs left to the client.
+// setDeadlines sets the time until which a response meets the latency objective, which counts from
+// start, and the deadline for any response, with remainingMs left to the client.
 func (r *request) setDeadlines(env *environment, remainingMs, start float64) {
 	r.deadline = env.now + remainingMs - min(env.settings.RoundTripMs, remainingMs*maxRoundTripFraction)
 	r.objectiveAt = min(start+r.class.LatencyObjectiveMs, r.deadline)
--- a/policy/server.go
+++ b/policy/server.go
@@ -11,11 +11,11 @@
 // reads stand first, so that they share one or two lines of the processor's cache. Times are in
 // milliseconds on the host's clock; latencies are fractions of the latency objective.
 type server struct {
-	hash           uint64 // of its address
-	zone           int
+	hash           uint64  // of its address
+	zone           int     // its number, as listed
 	weight         float64 // as listed, relative to the other servers
 	startedAt      float64 // as listed, on the agent's clock, or later where a restart is assumed
-	listedStart    float64 // start of its process as the endpoint list has it
+	listedStart    float64 // start of its process as the endpoint list has it; 0: not known
 	restartAssumed bool    // startedAt is of a restart that the endpoint list does not show (yet)
 	cooldownUntil  float64 // passed over within its tier until then, to recover from an overload
 	ready          bool    // listed as ready
@@ -26,21 +26,21 @@
 	inFlight       []*attempt // oldest first
 
 	address          balancer.Addr
-	cell             int
+	cell             int     // its number, as listed
 	clockLagMs       float64 // how far the clock of its listed start is known to be behind
 	healthSince      float64 // when it entered its health state
 	unreachableSince float64 // first failed connect since its last response; 0: none
-	ejectionLevel    int     // doubles the ejection time with each failure of late
+	ejectionLevel    int     // number of recent failures, each of which doubles the ejection time
 	successes        int     // responses since the ejection level changed
-	lastResponseAt   float64
+	lastResponseAt   float64 // when it last responded to a request or a health check; 0: never
 	latency          float64 // moving mean
 	baseline         float64 // the least that the moving mean has been; 0: not known
-	latencySamples   int
-	limitDecreasedAt float64 // when its concurrency limit was last decreased
+	latencySamples   int     // number of latencies in the moving mean
+	limitDecreasedAt float64 // when its concurrency limit was last decreased; 0: never
 	forwards         forwardTimes
 	responseMs       float64 // moving mean of response times
 	slowStartCredit  float64 // attempts that it may still be sent in slow start
-	score            float64 // place in the order of the request at hand; the lowest comes first
+	score            float64 // in the order of the request that is considered; the lowest comes first
 }
 
 // inCooldown tells whether the server is passed over within its tier to recover from an overload.
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -10,7 +10,7 @@
 )
 
 // zonePreference is the factor by which a server of the agent's own zone weighs more in the order of
-// a key. It settles where the part of the zone's attempts that are not served in time equals the
+// a key. Its equilibrium is where the part of the zone's attempts that are not served in time equals the
 // cost of traffic to another zone: below that cost it grows, above it the zone is sent more than its
 // servers can serve and it shrinks.
 type zonePreference struct {
