--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,7 +17,7 @@
 	r := b.newRequest(ev, rules)
 	b.requests[r.id] = r
 	b.classes.countRequest(r.class)
-	b.healthChecks.budget.deposit()
+	b.healthChecks.recordRequest()
 	b.healthChecks.start()
 	b.queue.add(r)
 	if b.random.Float64() < b.shedder.fraction() {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,20 +14,7 @@
 	if !b.selector.mayForward(r, s) {
 		return false
 	}
-	a := &attempt{
-		request:      r,
-		server:       s,
-		index:        len(r.attempts),
-		soleAtServer: len(s.inFlight) == 0,
-		startedAt:    b.now,
-	}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	if r.maybeExecuted == 0 {
-		r.executedAt = b.now
-		r.executedOn = s
-	}
-	r.maybeExecuted++
+	a := r.addAttempt(s, b.now)
 	if !r.streamedBody {
 		b.concurrency.begin(a)
 	}
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -26,6 +26,9 @@
 // newCheckBudget returns the full budget of health checks.
 func newCheckBudget() *tokenBucket { return newTokenBucket(checkTokensPerRequest, maxHealthChecks) }
 
+// recordRequest adds the tokens of one request to the budget.
+func (h *healthChecker) recordRequest() { h.budget.deposit() }
+
 // start moves the servers whose ejection time has passed to UnhealthyPending, and starts the health
 // checks that the limits permit.
 func (h *healthChecker) start() {
--- a/policy/request.go
+++ b/policy/request.go
@@ -59,6 +59,25 @@
 	}
 }
 
+// addAttempt adds an attempt at the server that starts now.
+func (r *request) addAttempt(s *server, now float64) *attempt {
+	a := &attempt{
+		request:      r,
+		server:       s,
+		index:        len(r.attempts),
+		startedAt:    now,
+		soleAtServer: len(s.inFlight) == 0,
+	}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	if r.maybeExecuted == 0 {
+		r.executedAt = now
+		r.executedOn = s
+	}
+	r.maybeExecuted++
+	return a
+}
+
 // mayAttempt tells whether the request's own state permits another attempt at some server.
 func (r *request) mayAttempt(now float64) bool {
 	return !r.closed && !r.responseStarted && r.inFlight == 0 && now < r.deadline &&
