--- /dev/null
+++ b/policy/fleet_requests_test.go
@@ -0,0 +1,71 @@
+package policy_test
+
+import (
+	"math"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
+
+const (
+	// keyMultiplier spreads the ranks of keys over 64 bits.
+	keyMultiplier = 0x9e3779b97f4a7c15
+	// popularKey is the key of popularShare of the requests.
+	popularKey = 77
+)
+
+// setShares gives the agents shares of the requests by weights.
+func (s *fleetSimulation) setShares(weight func(i int) float64) {
+	sum := 0.0
+	for i := range s.cumulativeShares {
+		sum += weight(i)
+		s.cumulativeShares[i] = sum
+	}
+	for i := range s.cumulativeShares {
+		s.cumulativeShares[i] /= sum
+	}
+}
+
+// scheduleArrivals makes requests arrive from now on, at exponentially distributed intervals.
+func (s *fleetSimulation) scheduleArrivals() {
+	s.schedule(s.random.ExpFloat64()/s.requestsPerMs, func() {
+		s.arrive(s.drawAgent())
+		s.scheduleArrivals()
+	})
+}
+
+// drawAgent draws the agent of a request, by the agents' shares.
+func (s *fleetSimulation) drawAgent() *simulatedAgent {
+	share := s.random.Float64()
+	i := 0
+	for s.cumulativeShares[i] < share {
+		i++
+	}
+	return s.agents[i]
+}
+
+// arrive hands an agent a request.
+func (s *fleetSimulation) arrive(agent *simulatedAgent) {
+	agent.lastRequest++
+	agent.attempts[agent.lastRequest] = 0
+	key := s.drawKey()
+	s.requests++
+	s.handle(agent, balancer.Event{
+		Kind:        balancer.EventRequest,
+		Request:     agent.lastRequest,
+		Class:       s.random.IntN(len(s.settings.Classes)),
+		Key:         key | 1,
+		RemainingMs: 1000,
+	})
+}
+
+// drawKey draws the key of a request.
+func (s *fleetSimulation) drawKey() uint64 {
+	rank := math.Pow(float64(s.keyCount), s.random.Float64())
+	if s.evenKeys {
+		rank = float64(s.random.IntN(s.keyCount))
+	}
+	if s.random.Float64() < s.popularShare {
+		return popularKey
+	}
+	return uint64(rank) * keyMultiplier
+}
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"math"
 	"math/rand/v2"
 	"testing"
 
@@ -10,21 +9,6 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-const (
-	// simulatedRequestsPerMs is the capacity of a warm server, in requests of mean work.
-	simulatedRequestsPerMs = 0.03
-	// simulatedCacheSpeedup is how many times faster a warm server serves the keys that it knows.
-	simulatedCacheSpeedup = 1.6
-	// simulatedMaxWaitMs is the wait from which a server rejects attempts.
-	simulatedMaxWaitMs = 500
-	// simulatedBaseMs is the part of a response time that is neither wait nor work.
-	simulatedBaseMs = 60
-	// keyMultiplier spreads the ranks of keys over 64 bits.
-	keyMultiplier = 0x9e3779b97f4a7c15
-	// popularKey is the key of popularShare of the requests.
-	popularKey = 77
-)
-
 // fleetSimulation is many balancers and their servers in one virtual time: each server is loaded by the
 // sum of what all agents forward. Changes of the endpoint list reach all agents at once.
 type fleetSimulation struct {
@@ -56,45 +40,6 @@
 	serversUsed map[balancer.Addr]bool     // servers that the agent has forwarded to, in any incarnation
 }
 
-// simulatedServer is one server: a queue that is served at its present capacity.
-type simulatedServer struct {
-	startedAt     float64 // 0: long ago
-	requestsPerMs float64 // requests of mean work when warm
-	cacheSpeedup  float64 // how many times faster it serves the keys that it knows, when warm
-	idleAt        float64 // when its queue is served
-	unreachable   bool
-	hangsUntil    float64   // it does not respond until then
-	failsUntil    float64   // it responds with errors until then
-	receivedAt    []float64 // times of the attempts that it got since its start
-}
-
-// scheduledEvent is something that happens at a time of the simulation.
-type scheduledEvent struct {
-	at       float64
-	sequence int // orders events of one time
-	run      func()
-}
-
-// eventQueue is a heap of events, the next one first.
-type eventQueue []scheduledEvent
-
-func (q eventQueue) Len() int { return len(q) }
-
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
-}
-
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
-
-func (q *eventQueue) Pop() any {
-	last := len(*q) - 1
-	x := (*q)[last]
-	*q = (*q)[:last]
-	return x
-}
-
 // newFleetSimulation starts agents with servers that are warm; load is the part of the servers' capacity
 // that the requests take, without the effect of caches.
 func newFleetSimulation(tb testing.TB, agents, servers int, load float64) *fleetSimulation {
@@ -127,33 +72,6 @@
 	return s
 }
 
-// addServer adds a warm server.
-func (s *fleetSimulation) addServer(index int) {
-	s.servers = append(s.servers, &simulatedServer{
-		requestsPerMs: simulatedRequestsPerMs,
-		cacheSpeedup:  simulatedCacheSpeedup,
-	})
-	s.endpoints = append(s.endpoints, balancer.Endpoint{
-		Server: serverAddress(index),
-		State:  balancer.Ready,
-		Weight: 1,
-		Cell:   index / 8,
-		Zone:   index % 2,
-	})
-}
-
-// setShares gives the agents shares of the requests by weights.
-func (s *fleetSimulation) setShares(weight func(i int) float64) {
-	sum := 0.0
-	for i := range s.cumulativeShares {
-		sum += weight(i)
-		s.cumulativeShares[i] = sum
-	}
-	for i := range s.cumulativeShares {
-		s.cumulativeShares[i] /= sum
-	}
-}
-
 // startAgent starts an incarnation of an agent, and ends the one before.
 func (s *fleetSimulation) startAgent(index int) {
 	agent := s.agents[index]
@@ -184,20 +102,6 @@
 	}
 }
 
-// restartServers restarts servers and notifies all agents.
-func (s *fleetSimulation) restartServers(indices ...int) {
-	var delta []balancer.Endpoint
-	for _, i := range indices {
-		server := s.servers[i]
-		server.startedAt = s.now
-		server.receivedAt = nil
-		server.idleAt = s.now
-		s.endpoints[i].StartedMs = s.now + s.clockAheadMs
-		delta = append(delta, s.endpoints[i])
-	}
-	s.notifyAll(delta)
-}
-
 // notifyAll notifies all agents of changes of the endpoint list at once.
 func (s *fleetSimulation) notifyAll(delta []balancer.Endpoint) {
 	for _, agent := range s.agents {
@@ -209,44 +113,6 @@
 	}
 }
 
-// disconnectWarm makes the servers unreachable that were not restarted, and the others reachable.
-func (s *fleetSimulation) disconnectWarm() {
-	for _, server := range s.servers {
-		server.unreachable = server.startedAt == 0
-	}
-}
-
-// drainWarm drains the servers that were not restarted, except the first few, and notifies all agents.
-func (s *fleetSimulation) drainWarm(except int) {
-	var delta []balancer.Endpoint
-	warm := 0
-	for i, server := range s.servers {
-		if server.startedAt > 0 {
-			continue
-		}
-		warm++
-		if warm > except {
-			s.endpoints[i].State = balancer.Draining
-			delta = append(delta, s.endpoints[i])
-		}
-	}
-	s.notifyAll(delta)
-}
-
-// hangServers makes servers not respond for some time.
-func (s *fleetSimulation) hangServers(ms float64, indices ...int) {
-	for _, i := range indices {
-		s.servers[i].hangsUntil = s.now + ms
-	}
-}
-
-// failServers makes servers respond with errors for some time.
-func (s *fleetSimulation) failServers(ms float64, indices ...int) {
-	for _, i := range indices {
-		s.servers[i].failsUntil = s.now + ms
-	}
-}
-
 // handle hands an agent's policy an event and carries out its actions.
 func (s *fleetSimulation) handle(agent *simulatedAgent, ev balancer.Event) {
 	s.carryOut(agent, agent.policy.Handle(s.now, &ev, nil))
@@ -295,92 +161,6 @@
 	})
 }
 
-// serve returns how an attempt at the server ends, and after how long.
-func (s *fleetSimulation) serve(server *simulatedServer, timeoutMs float64) (balancer.Status, float64) {
-	waitMs := max(server.idleAt-s.now, 0)
-	switch {
-	case server.unreachable:
-		return balancer.StatusConnectFailed, 1
-	case s.now < server.hangsUntil:
-		return balancer.StatusTimeout, timeoutMs
-	case s.now < server.failsUntil:
-		return balancer.StatusError, 1
-	case waitMs > simulatedMaxWaitMs:
-		return balancer.StatusOverloaded, 1
-	}
-	workMs := s.workMs(server)
-	server.idleAt = s.now + waitMs + workMs
-	tookMs := waitMs + workMs + simulatedBaseMs
-	if tookMs > timeoutMs {
-		return balancer.StatusTimeout, timeoutMs
-	}
-	return balancer.StatusOK, tookMs
-}
-
-// workMs is how long the server works on one request at its present capacity.
-func (s *fleetSimulation) workMs(server *simulatedServer) float64 {
-	workMs := 1 / (server.requestsPerMs * s.capacityFraction(server, s.now))
-	if server.startedAt == 0 {
-		workMs /= server.cacheSpeedup
-	}
-	return workMs
-}
-
-// capacityFraction is the part of its capacity that a server has, by the contract.
-func (s *fleetSimulation) capacityFraction(server *simulatedServer, at float64) float64 {
-	contract := &s.settings.Contract
-	age := at - server.startedAt
-	if server.startedAt == 0 || age >= contract.SlowStartMs {
-		return 1
-	}
-	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
-}
-
-// scheduleArrivals makes requests arrive from now on, at exponentially distributed intervals.
-func (s *fleetSimulation) scheduleArrivals() {
-	s.schedule(s.random.ExpFloat64()/s.requestsPerMs, func() {
-		s.arrive(s.drawAgent())
-		s.scheduleArrivals()
-	})
-}
-
-// drawAgent draws the agent of a request, by the agents' shares.
-func (s *fleetSimulation) drawAgent() *simulatedAgent {
-	share := s.random.Float64()
-	i := 0
-	for s.cumulativeShares[i] < share {
-		i++
-	}
-	return s.agents[i]
-}
-
-// arrive hands an agent a request.
-func (s *fleetSimulation) arrive(agent *simulatedAgent) {
-	agent.lastRequest++
-	agent.attempts[agent.lastRequest] = 0
-	key := s.drawKey()
-	s.requests++
-	s.handle(agent, balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     agent.lastRequest,
-		Class:       s.random.IntN(len(s.settings.Classes)),
-		Key:         key | 1,
-		RemainingMs: 1000,
-	})
-}
-
-// drawKey draws the key of a request.
-func (s *fleetSimulation) drawKey() uint64 {
-	rank := math.Pow(float64(s.keyCount), s.random.Float64())
-	if s.evenKeys {
-		rank = float64(s.random.IntN(s.keyCount))
-	}
-	if s.random.Float64() < s.popularShare {
-		return popularKey
-	}
-	return uint64(rank) * keyMultiplier
-}
-
 // schedule runs an event after ms.
 func (s *fleetSimulation) schedule(ms float64, run func()) {
 	s.sequence++
--- a/policy/random_rules_test.go
+++ b/policy/random_rules_test.go
@@ -1,7 +1,6 @@
 package policy_test
 
 import (
-	"fmt"
 	"reflect"
 	"slices"
 	"testing"
@@ -11,32 +10,6 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// drawSettings draws a deployment's settings around testSettings, each by its key, so that
-// a broken rule shrinks to the fewest settings that break it.
-func drawSettings(t *rapid.T) balancer.Settings {
-	s := testSettings()
-	s.Limits.HedgedRequests = rapid.Bool().Draw(t, "limits.parallelTries")
-	s.Limits.AttemptCancellation = rapid.Bool().Draw(t, "limits.cancelling")
-	s.Limits.HealthChecks = rapid.Bool().Draw(t, "limits.probing")
-	s.Limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "limits.maxAttempts")
-	s.FleetSize = rapid.IntRange(1, 80).Draw(t, "replicasOfMe")
-	s.Classes[byKeyClass].DedupScope = rapid.SampledFrom([]balancer.DedupScope{
-		balancer.DedupFleet, balancer.DedupZone, balancer.DedupCell,
-	}).Draw(t, "classes[2].group")
-	s.Classes[byKeyClass].DedupWindowMs = rapid.Float64Range(100, 1000).Draw(t, "classes[2].keyTtlMs")
-	for i := range s.Classes {
-		s.Classes[i].LatencyObjectiveMs = rapid.Float64Range(50, 450).Draw(t,
-			fmt.Sprintf("classes[%d].aimMs", i))
-		s.Classes[i].LateFraction = rapid.SampledFrom([]float64{0, 0.2}).Draw(t,
-			fmt.Sprintf("classes[%d].lateShare", i))
-	}
-	s.DiscoveryMode = rapid.SampledFrom([]balancer.DiscoveryMode{
-		balancer.DiscoveryPushed, balancer.DiscoveryOnRequest,
-	}).Draw(t, "membershipMode")
-	s.Clients.MarksRetry = rapid.Bool().Draw(t, "clients.marksRetry")
-	return s
-}
-
 // mayHaveExecuted tells whether an attempt of the request may have executed.
 func (r *simulatedRequest) mayHaveExecuted() bool {
 	return slices.ContainsFunc(r.attempts, (*simulatedAttempt).mayHaveExecuted)
--- a/policy/random_scenario_test.go
+++ b/policy/random_scenario_test.go
@@ -1,7 +1,6 @@
 package policy_test
 
 import (
-	"math"
 	"math/rand/v2"
 	"slices"
 
@@ -24,13 +23,6 @@
 	unknownRequest = 1 << 30
 )
 
-// attemptStatuses are the ends of attempts, from which one is drawn.
-var attemptStatuses = []balancer.Status{
-	balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
-	balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout,
-	balancer.StatusConnectFailed, balancer.StatusReset,
-}
-
 // checker is what a scenario reports to: a *testing.T or a *rapid.T.
 type checker interface {
 	Helper()
@@ -56,26 +48,6 @@
 	earlierRules  []balancer.RequestRules // that were in force
 }
 
-// simulatedRequest is a request of a random client.
-type simulatedRequest struct {
-	rules          balancer.RequestRules // as they were at its arrival
-	deadline       float64
-	streamedBody   bool
-	unsentDeadline float64 // its deadline if its body is never sent completely
-	attempts       []*simulatedAttempt
-	finalAnswers   int
-}
-
-// simulatedAttempt is an attempt at a random server.
-type simulatedAttempt struct {
-	server      balancer.Addr
-	startedAt   float64
-	endsAt      float64
-	fullySentAt float64 // when the last byte of a streamed body is with its server; 0: it is, or not streamed
-	status      balancer.Status
-	ended       bool
-}
-
 // runRandomScenario runs random clients, servers and endpoint lists, drawn from the seed, against one
 // Balancer with these settings, and returns all its actions.
 func runRandomScenario(t checker, settings balancer.Settings, seed uint64) []balancer.Action {
@@ -145,48 +117,6 @@
 	}
 }
 
-// forward starts an attempt at a server, with a random end.
-func (s *randomScenario) forward(r *simulatedRequest, a *balancer.Action) {
-	ends := s.now + 1 + 150*s.random.Float64()
-	status := attemptStatuses[s.random.IntN(len(attemptStatuses))]
-	if status == balancer.StatusTimeout {
-		ends = s.now + a.Ms
-	}
-	attempt := &simulatedAttempt{
-		server:    a.Server,
-		startedAt: s.now,
-		endsAt:    min(ends, s.now+a.Ms),
-		status:    status,
-	}
-	if r.streamedBody {
-		s.streamBody(r, attempt, ends)
-	}
-	r.attempts = append(r.attempts, attempt)
-}
-
-// streamBody sends the body of a request as it comes: the server receives it as slowly as the client
-// sends it, and rejects some requests before the end. The request has no deadline until then.
-func (s *randomScenario) streamBody(r *simulatedRequest, attempt *simulatedAttempt, ends float64) {
-	attempt.fullySentAt = s.now + 300*s.random.Float64()
-	attempt.endsAt = ends
-	if attempt.fullySentAt < ends || !attempt.status.NotExecuted() {
-		attempt.endsAt = max(ends, attempt.fullySentAt+1)
-	}
-	r.unsentDeadline = r.deadline
-	r.deadline = math.Inf(1)
-}
-
-// cancel ends an attempt soon.
-func (s *randomScenario) cancel(r *simulatedRequest, a *balancer.Action) {
-	if !s.settings.Limits.AttemptCancellation {
-		s.t.Fatal("cancelled where it is not allowed")
-	}
-	if attempt := r.attempts[a.Attempt]; !attempt.ended {
-		attempt.status = balancer.StatusCancelled
-		attempt.endsAt = s.now + cancelledAfterMs
-	}
-}
-
 // step lets a round trip pass: it fires the timers that are due and ends the attempts that end.
 func (s *randomScenario) step() {
 	s.now += s.settings.RoundTripMs
@@ -209,97 +139,6 @@
 	}
 }
 
-// stepRequest ends the request's attempts that end, and drops it some time after its answer.
-func (s *randomScenario) stepRequest(id balancer.RequestID, r *simulatedRequest) {
-	open := false
-	for i, attempt := range r.attempts {
-		if attempt.ended {
-			continue
-		}
-		if attempt.fullySentAt > 0 && attempt.fullySentAt <= s.now && r.finalAnswers == 0 {
-			s.completeBody(id, r, i)
-		}
-		if attempt.endsAt > s.now {
-			open = true
-			continue
-		}
-		s.endAttempt(id, r, i)
-	}
-	s.checkNotLost(id, r)
-	if r.finalAnswers > 0 && !open && len(r.attempts) > 0 && s.now > r.deadline+forgetAfterMs {
-		delete(s.requests, id)
-	}
-}
-
-// completeBody tells the policy that the server has all of a streamed body; the request has a deadline
-// from here.
-func (s *randomScenario) completeBody(id balancer.RequestID, r *simulatedRequest, index int) {
-	attempt := r.attempts[index]
-	attempt.fullySentAt = 0
-	remainingMs := 20 + 300*s.random.Float64()
-	r.deadline = s.now + remainingMs
-	attempt.endsAt = min(attempt.endsAt, r.deadline)
-	s.handle(balancer.Event{
-		Kind:        balancer.EventRequestSent,
-		Request:     id,
-		Attempt:     index,
-		RemainingMs: remainingMs,
-	})
-}
-
-// endAttempt ends an attempt with its status.
-func (s *randomScenario) endAttempt(id balancer.RequestID, r *simulatedRequest, index int) {
-	attempt := r.attempts[index]
-	attempt.ended = true
-	if attempt.fullySentAt > 0 {
-		r.deadline = max(r.unsentDeadline, s.now)
-	}
-	if attempt.status == balancer.StatusOK {
-		r.finalAnswers = 1 // the response of a second attempt changes nothing
-	}
-	s.handle(balancer.Event{
-		Kind:         balancer.EventAttemptDone,
-		Request:      id,
-		Attempt:      index,
-		Server:       attempt.server,
-		Status:       attempt.status,
-		LatencyMs:    s.now - attempt.startedAt,
-		RequestDone:  r.finalAnswers > 0,
-		BodyConsumed: r.streamedBody && s.random.IntN(2) == 0,
-	})
-}
-
-// addRequest has a client send a random request; some come under rules that were in force earlier, as
-// they were on their way when the settings changed.
-func (s *randomScenario) addRequest() {
-	s.lastRequest++
-	remainingMs := 20 + 800*s.random.Float64()
-	class := s.random.IntN(len(s.settings.Classes))
-	rules := balancer.RequestRules{
-		Class:       s.settings.Classes[class],
-		MaxAttempts: s.settings.Limits.MaxAttempts,
-	}
-	ev := balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     s.lastRequest,
-		Class:       class,
-		Key:         uint64(s.random.IntN(30)),
-		RemainingMs: remainingMs,
-		Retry:       s.random.IntN(5) == 0,
-	}
-	if len(s.earlierRules) > 0 && s.random.IntN(3) == 0 {
-		rules = s.earlierRules[s.random.IntN(len(s.earlierRules))]
-		ev.Rules = &rules
-	}
-	ev.StreamedBody = s.random.IntN(5) == 0
-	s.requests[s.lastRequest] = &simulatedRequest{
-		rules:        rules,
-		streamedBody: ev.StreamedBody,
-		deadline:     s.now + remainingMs,
-	}
-	s.handle(ev)
-}
-
 // disturb sometimes changes an endpoint or the settings, lets a client leave, or hands the policy events
 // about what it does not know.
 func (s *randomScenario) disturb() {
@@ -325,76 +164,3 @@
 		s.retune()
 	}
 }
-
-// changeEndpoint changes the entry of a random server.
-func (s *randomScenario) changeEndpoint() {
-	server := serverAddress(s.random.IntN(scenarioServers))
-	states := []balancer.EndpointState{balancer.Ready, balancer.Ready, balancer.Draining, balancer.Removed}
-	endpoint := balancer.Endpoint{
-		Server: server,
-		Zone:   int(server[3]) % 2,
-		Cell:   int(server[3]) % 3,
-		Weight: 1 + s.random.Float64(),
-		State:  states[s.random.IntN(len(states))],
-	}
-	if s.random.IntN(3) == 0 {
-		endpoint.StartedMs = s.now - 100*s.random.Float64()
-	}
-	s.endpoints[server] = endpoint
-	if endpoint.State == balancer.Ready {
-		delete(s.unusableSince, server)
-	} else if _, known := s.unusableSince[server]; !known {
-		s.unusableSince[server] = s.now
-	}
-	s.handle(balancer.Event{
-		Kind:       balancer.EventList,
-		ListUpdate: balancer.ListDelta,
-		Endpoints:  []balancer.Endpoint{endpoint},
-	})
-}
-
-// retune drops, adds and changes classes, and changes the attempts permitted; invalid settings must
-// change nothing. The discovery mode and what else the deployment permits stay.
-func (s *randomScenario) retune() {
-	for _, class := range s.settings.Classes {
-		rules := balancer.RequestRules{Class: class, MaxAttempts: s.settings.Limits.MaxAttempts}
-		s.earlierRules = append(s.earlierRules, rules)
-	}
-	settings := s.settings
-	settings.Limits.MaxAttempts = 1 + s.random.IntN(5)
-	settings.Classes = s.drawClasses()
-	invalid := settings
-	invalid.Limits.MaxAttempts = 0
-	if s.policy.Retune(invalid) == nil {
-		s.t.Fatal("settings without attempts are taken over")
-	}
-	if err := s.policy.Retune(settings); err != nil {
-		s.t.Fatal(err)
-	}
-	s.settings = settings
-}
-
-// drawClasses draws some of the classes of testSettings with other rules, and sometimes a new class.
-func (s *randomScenario) drawClasses() []balancer.Class {
-	classes := slices.Clone(testSettings().Classes)
-	for i := range classes {
-		classes[i].LatencyObjectiveMs = 50 + 400*s.random.Float64()
-	}
-	classes = classes[s.random.IntN(len(classes)):]
-	idempotencies := []balancer.Idempotency{
-		balancer.Idempotent, balancer.NonIdempotent, balancer.IdempotentByKey,
-	}
-	first := &classes[0]
-	first.Idempotency = idempotencies[s.random.IntN(len(idempotencies))]
-	first.DedupScope = balancer.DedupCell
-	first.DedupWindowMs = 300
-	if s.random.IntN(3) == 0 {
-		classes = append(classes, balancer.Class{
-			Name:               "new",
-			LatencyObjectiveMs: 200,
-			TotalTimeoutMs:     800,
-			Idempotency:        balancer.NonIdempotent,
-		})
-	}
-	return classes
-}
