--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/balancer"
-	"fernbeam.example/fernbeam/policy"
 )
 
 // With an empty endpoint list a request is rejected in time.
@@ -165,10 +164,9 @@
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.updateList(balancer.ListFull,
-		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
-		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
-		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
+	endpoints := readyEndpoints(3)
+	endpoints[2].Weight = 0.01
+	h.updateList(balancer.ListFull, endpoints...)
 	inFlight := map[balancer.Addr]balancer.RequestID{} // the last request at each server
 	var queued balancer.RequestID
 	for i := 0; queued == 0; i++ { // of no key, until all three are full
@@ -247,14 +245,11 @@
 
 // A request with a key that comes before any endpoint list waits for one, as others do.
 func TestKeyedRequestBeforeTheFirstListWaits(t *testing.T) {
-	b, err := policy.New(testSettings(), 1)
-	if err != nil {
-		t.Fatal(err)
-	}
+	b := newPolicy(t, testSettings(), 1)
 	const now = 1e6
 	b.Start(now, nil)
-	arrival := balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}
-	for _, a := range b.Handle(now, &arrival, nil) {
+	request := arrival(1, idempotentClass, 7, 800)
+	for _, a := range b.Handle(now, &request, nil) {
 		if a.Kind != balancer.ActionSetTimer {
 			t.Errorf("action %+v, want the request queued", a)
 		}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -223,19 +223,18 @@
 // the harness's two servers drains until then, so that all requests go to this one.
 func (h *harness) timeOutAmong(s balancer.Addr, meanwhile func(), tookMs float64) {
 	h.t.Helper()
-	other := serverAddress(0)
-	if s == other {
-		other = serverAddress(1)
+	other := 0
+	if s == serverAddress(0) {
+		other = 1
 	}
-	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+	h.updateList(balancer.ListDelta, drainingEndpoint(other))
 	id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 	if to != s {
 		h.t.Fatalf("sent to %v while the other drains", to)
 	}
 	meanwhile()
 	h.endAttempt(id, 0, s, balancer.StatusTimeout, tookMs)
-	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
+	h.updateList(balancer.ListDelta, readyEndpoint(other))
 }
 
 // Of very many agents that start at once each has no more in flight than its part of six attempts at each
@@ -249,12 +248,9 @@
 		settings := testSettings()
 		settings.FleetSize = c.agents
 		h := newHarness(t, settings, 0)
-		endpoints := make([]balancer.Endpoint, 200)
-		for i := range endpoints {
-			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
-			if i < c.restarted {
-				endpoints[i].StartedMs = h.now
-			}
+		endpoints := readyEndpoints(200)
+		for i := range c.restarted {
+			endpoints[i].StartedMs = h.now
 		}
 		h.updateList(balancer.ListCached, endpoints...)
 		inFlight := 0
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -84,10 +84,7 @@
 	settings := testSettings()
 	settings.FleetSize = agents
 	settings.Zone = 1 // no server is of the agent's zone, as the zone preference changes
-	b, err := policy.New(settings, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	b := newPolicy(tb, settings, 1)
 	d := &decisionBenchmark{
 		TB:      tb,
 		policy:  b,
@@ -97,14 +94,9 @@
 		tickAt:  math.Inf(1),
 	}
 	d.actions = b.Start(d.now, nil)
-	endpoints := make([]balancer.Endpoint, servers)
+	endpoints := readyEndpoints(servers)
 	for i := range endpoints {
-		endpoints[i] = balancer.Endpoint{
-			Server: serverAddress(i),
-			State:  balancer.Ready,
-			Weight: 1,
-			Cell:   i / 8,
-		}
+		endpoints[i].Cell = i / 8
 	}
 	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: endpoints})
 	for range 16 * servers {
@@ -146,13 +138,7 @@
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
-	d.handle(balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     d.lastRequest,
-		Class:       class,
-		Key:         key,
-		RemainingMs: 600,
-	})
+	d.handle(arrival(d.lastRequest, class, key, 600))
 	return d.lastRequest
 }
 
@@ -160,14 +146,7 @@
 func (d *decisionBenchmark) endAttempt(
 	id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64,
 ) {
-	d.handle(balancer.Event{
-		Kind:        balancer.EventAttemptDone,
-		Request:     id,
-		Server:      s,
-		Status:      status,
-		LatencyMs:   ms,
-		RequestDone: status == balancer.StatusOK,
-	})
+	d.handle(attemptDone(id, 0, s, status, ms))
 }
 
 // serve plays one request that is forwarded on arrival and served after ms.
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -1,12 +1,81 @@
 package policy_test
 
-import "fernbeam.example/fernbeam/internal/balancer"
+import (
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/policy"
+)
+
+// newPolicy returns a Balancer that draws its random numbers from the seed.
+func newPolicy(tb testing.TB, settings balancer.Settings, seed uint64) *policy.Balancer {
+	tb.Helper()
+	b, err := policy.New(settings, seed)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return b
+}
 
 // serverAddress is the address of the server with this index.
 func serverAddress(i int) balancer.Addr {
 	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
+// readyEndpoint is the entry of a server that is ready, has a weight of 1 and started long ago.
+func readyEndpoint(index int) balancer.Endpoint {
+	return balancer.Endpoint{Server: serverAddress(index), State: balancer.Ready, Weight: 1}
+}
+
+// startedEndpoint is the entry of a ready server that started at a time, in milliseconds.
+func startedEndpoint(index int, startedMs float64) balancer.Endpoint {
+	e := readyEndpoint(index)
+	e.StartedMs = startedMs
+	return e
+}
+
+// drainingEndpoint is the entry of a server that drains.
+func drainingEndpoint(index int) balancer.Endpoint {
+	e := readyEndpoint(index)
+	e.State = balancer.Draining
+	return e
+}
+
+// readyEndpoints are the entries of the first servers, all ready.
+func readyEndpoints(count int) []balancer.Endpoint {
+	endpoints := make([]balancer.Endpoint, count)
+	for i := range endpoints {
+		endpoints[i] = readyEndpoint(i)
+	}
+	return endpoints
+}
+
+// arrival is the event of a new request.
+func arrival(id balancer.RequestID, class int, key uint64, remainingMs float64) balancer.Event {
+	return balancer.Event{
+		Kind:        balancer.EventRequest,
+		Request:     id,
+		Class:       class,
+		Key:         key,
+		RemainingMs: remainingMs,
+	}
+}
+
+// attemptDone is the event of the end of an attempt; a successful one answers its request.
+func attemptDone(
+	id balancer.RequestID, attempt int, server balancer.Addr, status balancer.Status, responseMs float64,
+) balancer.Event {
+	return balancer.Event{
+		Kind:        balancer.EventAttemptDone,
+		Request:     id,
+		Attempt:     attempt,
+		Server:      server,
+		Status:      status,
+		LatencyMs:   responseMs,
+		RequestDone: status == balancer.StatusOK,
+	}
+}
+
 // The indices of the classes of testSettings.
 const (
 	idempotentClass = iota
--- a/policy/fleet_requests_test.go
+++ b/policy/fleet_requests_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"math"
-
-	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const (
@@ -49,13 +47,8 @@
 	agent.attempts[agent.lastRequest] = 0
 	key := s.drawKey()
 	s.requests++
-	s.handle(agent, balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     agent.lastRequest,
-		Class:       s.random.IntN(len(s.settings.Classes)),
-		Key:         key | 1,
-		RemainingMs: 1000,
-	})
+	class := s.random.IntN(len(s.settings.Classes))
+	s.handle(agent, arrival(agent.lastRequest, class, key|1, 1000))
 }
 
 // drawKey draws the key of a request.
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -33,13 +33,10 @@
 		requestsPerMs: simulatedRequestsPerMs,
 		cacheSpeedup:  simulatedCacheSpeedup,
 	})
-	s.endpoints = append(s.endpoints, balancer.Endpoint{
-		Server: serverAddress(index),
-		State:  balancer.Ready,
-		Weight: 1,
-		Cell:   index / 8,
-		Zone:   index % 2,
-	})
+	endpoint := readyEndpoint(index)
+	endpoint.Cell = index / 8
+	endpoint.Zone = index % 2
+	s.endpoints = append(s.endpoints, endpoint)
 }
 
 // restartServers restarts servers and notifies all agents.
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -78,10 +78,7 @@
 	settings := s.settings
 	settings.Index = index
 	settings.Zone = index % 2
-	b, err := policy.New(settings, s.random.Uint64())
-	if err != nil {
-		s.t.Fatal(err)
-	}
+	b := newPolicy(s.t, settings, s.random.Uint64())
 	agent.policy = b
 	agent.incarnation++
 	agent.attempts = map[balancer.RequestID]int{}
@@ -149,15 +146,7 @@
 			s.served++
 			delete(agent.attempts, action.Request)
 		}
-		s.handle(agent, balancer.Event{
-			Kind:        balancer.EventAttemptDone,
-			Request:     action.Request,
-			Attempt:     index,
-			Server:      action.Server,
-			Status:      status,
-			LatencyMs:   s.now - startedAt,
-			RequestDone: status == balancer.StatusOK,
-		})
+		s.handle(agent, attemptDone(action.Request, index, action.Server, status, s.now-startedAt))
 	})
 }
 
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -30,21 +30,13 @@
 // newHarness returns a harness of an agent with so many servers, all ready.
 func newHarness(tb testing.TB, settings balancer.Settings, servers int) *harness {
 	tb.Helper()
-	b, err := policy.New(settings, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	b := newPolicy(tb, settings, 1)
 	h := &harness{t: tb, policy: b, settings: settings, random: rand.New(rand.NewPCG(1, 2)), now: 1e6}
 	h.collectTimers(b.Start(h.now, nil))
-	endpoints := make([]balancer.Endpoint, servers)
+	endpoints := readyEndpoints(servers)
 	for i := range endpoints {
-		endpoints[i] = balancer.Endpoint{
-			Server: serverAddress(i),
-			State:  balancer.Ready,
-			Weight: 1,
-			Cell:   i % 2,
-			Zone:   i % 2,
-		}
+		endpoints[i].Cell = i % 2
+		endpoints[i].Zone = i % 2
 	}
 	h.updateList(balancer.ListCached, endpoints...)
 	return h
@@ -73,28 +65,14 @@
 // request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
 func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
 	h.lastRequest++
-	return h.lastRequest, h.handle(balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     h.lastRequest,
-		Class:       class,
-		Key:         key,
-		RemainingMs: 600,
-	})
+	return h.lastRequest, h.handle(arrival(h.lastRequest, class, key, 600))
 }
 
 // endAttempt hands the policy the end of an attempt.
 func (h *harness) endAttempt(
 	id balancer.RequestID, attempt int, server balancer.Addr, status balancer.Status, responseMs float64,
 ) []balancer.Action {
-	return h.handle(balancer.Event{
-		Kind:        balancer.EventAttemptDone,
-		Request:     id,
-		Attempt:     attempt,
-		Server:      server,
-		Status:      status,
-		LatencyMs:   responseMs,
-		RequestDone: status == balancer.StatusOK,
-	})
+	return h.handle(attemptDone(id, attempt, server, status, responseMs))
 }
 
 // findAction returns the first action of a kind; nil if there is none.
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -23,14 +23,9 @@
 			}
 		}
 		h.lastRequest++
-		actions := h.handle(balancer.Event{
-			Kind:        balancer.EventRequest,
-			Request:     h.lastRequest,
-			Class:       idempotentClass,
-			Key:         5,
-			RemainingMs: 600,
-			Retry:       marked,
-		})
+		retry := arrival(h.lastRequest, idempotentClass, 5, 600)
+		retry.Retry = marked
+		actions := h.handle(retry)
 		ms, answered := h.waitForAnswer(actions)
 		if !answered {
 			t.Fatalf("retry %v: queued for 500 ms", marked)
@@ -53,13 +48,7 @@
 		h := newHarness(t, settings, 1)
 		arrive := func(remainingMs float64) []balancer.Action {
 			h.lastRequest++
-			return h.handle(balancer.Event{
-				Kind:        balancer.EventRequest,
-				Request:     h.lastRequest,
-				Class:       idempotentClass,
-				Key:         h.random.Uint64() | 1,
-				RemainingMs: remainingMs,
-			})
+			return h.handle(arrival(h.lastRequest, idempotentClass, h.random.Uint64()|1, remainingMs))
 		}
 		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
 			if findAction(arrive(given), balancer.ActionForward) == nil {
--- a/policy/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -65,15 +65,7 @@
 			status, tookMs = balancer.StatusOverloaded, 1
 		}
 		d.advance(tookMs)
-		d.handle(balancer.Event{
-			Kind:        balancer.EventAttemptDone,
-			Request:     id,
-			Attempt:     attempt,
-			Server:      server,
-			Status:      status,
-			LatencyMs:   tookMs,
-			RequestDone: status == balancer.StatusOK,
-		})
+		d.handle(attemptDone(id, attempt, server, status, tookMs))
 	}
 	// The request may still be queued.
 	d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -19,10 +19,7 @@
 func TestFailedPollIsRepeated(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
-	b, err := policy.New(settings, 3)
-	if err != nil {
-		t.Fatal(err)
-	}
+	b := newPolicy(t, settings, 3)
 	first := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
@@ -52,10 +49,7 @@
 		settings.FleetSize = agents
 		calls := map[int]int{}
 		for seed := range agents {
-			b, err := policy.New(settings, uint64(seed))
-			if err != nil {
-				t.Fatal(err)
-			}
+			b := newPolicy(t, settings, uint64(seed))
 			call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 			for range failures {
 				b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
@@ -90,10 +84,7 @@
 	settings.Contract.PollWithinMs = 10000
 	mostMs := 0.0
 	for seed := range uint64(50) {
-		b, err := policy.New(settings, seed)
-		if err != nil {
-			t.Fatal(err)
-		}
+		b := newPolicy(t, settings, seed)
 		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -15,8 +15,7 @@
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
 	h.now = 1e9
-	endpoint := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1,
-		StartedMs: h.now - beforeMs}
+	endpoint := startedEndpoint(4, h.now-beforeMs)
 	h.updateList(balancer.ListDelta, endpoint)
 	h.serve(200, 2)
 	endpoint.StartedMs = h.now + stepMs
@@ -53,7 +52,7 @@
 	for _, startedMs := range []float64{0, -100, 3_600_000} { // long ago, lately, ahead of the agent's clock
 		forwards := func(repeat bool) int {
 			h := newHarness(t, testSettings(), 5)
-			endpoint := balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1}
+			endpoint := readyEndpoint(4)
 			if startedMs != 0 {
 				endpoint.StartedMs = h.now + startedMs
 			}
@@ -83,13 +82,11 @@
 		}
 		h := newHarness(t, testSettings(), 1)
 		h.now = 1e9
-		endpoint := balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1,
-			StartedMs: h.now - 1_800_000}
+		endpoint := startedEndpoint(0, h.now-1_800_000)
 		h.updateList(balancer.ListDelta, endpoint)
 		id, _ := h.mustForward(idempotentClass, 7)
 		for i := 1; i < 5; i++ {
-			h.updateList(balancer.ListDelta,
-				balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1})
+			h.updateList(balancer.ListDelta, readyEndpoint(i))
 		}
 		endpoint.State = balancer.Draining
 		endpoint.StartedMs = h.now + stepMs
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,15 +5,13 @@
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/balancer"
-	"fernbeam.example/fernbeam/policy"
 )
 
 // A server in slow start gets no more than its slow-start fraction of an even share, also after a time
 // without requests.
 func TestSlowStartLimitsTheShareOfAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
-	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now - 10})
+	h.updateList(balancer.ListDelta, startedEndpoint(4, h.now-10))
 	const requests = 2000
 	got := 0
 	for range requests {
@@ -37,15 +35,8 @@
 	warming, requests := 0, 0
 	for seed := range uint64(200) {
 		h := newHarness(t, testSettings(), 19)
-		b, err := policy.New(testSettings(), seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		endpoints := make([]balancer.Endpoint, 20)
-		for i := range endpoints {
-			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
-		}
-		h.policy = b
+		endpoints := readyEndpoints(20)
+		h.policy = newPolicy(t, testSettings(), seed)
 		h.random = rand.New(rand.NewPCG(seed, 2))
 		h.updateList(balancer.ListFull, endpoints...)
 		endpoints[19].StartedMs = h.now - 2000
@@ -73,8 +64,7 @@
 	h.disconnectAll()
 	h.now += 10
 	warming := serverAddress(2)
-	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: warming, State: balancer.Ready, Weight: 1, StartedMs: h.now})
+	h.updateList(balancer.ListDelta, startedEndpoint(2, h.now))
 	// In what is left of its first two seconds it gets its share of the 100 requests a second that
 	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
 	var firstMs, got float64
@@ -115,8 +105,7 @@
 func TestSlowStartCreditGrowsWithServedRequestsOnly(t *testing.T) {
 	forwards := func(status balancer.Status) int {
 		h := newHarness(t, testSettings(), 4)
-		h.updateList(balancer.ListDelta,
-			balancer.Endpoint{Server: serverAddress(4), State: balancer.Ready, Weight: 1, StartedMs: h.now})
+		h.updateList(balancer.ListDelta, startedEndpoint(4, h.now))
 		got := 0
 		for range 200 {
 			h.now += 5
