--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
-// busy for longer; the client is answered at once. Elsewhere it has all of the client's time.
-func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
+// Where a late response has no value, an attempt times out at the latency objective and keeps no server
+// busy for longer; the client is answered at once. Elsewhere its timeout is all of the client's time.
+func TestAttemptTimesOutAtTheObjectiveWhereLateResponsesHaveNoValue(t *testing.T) {
 	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
 	for class, want := range wants {
 		settings := testSettings()
@@ -153,7 +153,7 @@
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: "+
+			t.Errorf("class %d, late responses have a value: "+
 				"want an attempt for all of the time, got %+v", class, actions)
 		}
 	}
--- a/policy/cooldown_test.go
+++ b/policy/cooldown_test.go
@@ -29,7 +29,7 @@
 		t.Error("a server that took a fifth longer got none of the next 60 new keys")
 	}
 	if n := forwardsAfter(3, 140); n == 0 {
-		t.Error("of three agents, one left a server that took 2.8 times as long alone")
+		t.Error("of three agents, one passed over a server that took 2.8 times as long")
 	}
 }
 
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -176,13 +176,13 @@
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
 	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
-	d.endUnjudged(id, s)
+	d.endWithoutEffect(id, s)
 	d.advance(1)
 	return s
 }
 
-// endUnjudged ends a request so that nothing is learned of its server, if it was forwarded.
-func (d *decisionBenchmark) endUnjudged(id balancer.RequestID, s balancer.Addr) {
+// endWithoutEffect ends a request so that nothing is learned of its server, if it was forwarded.
+func (d *decisionBenchmark) endWithoutEffect(id balancer.RequestID, s balancer.Addr) {
 	if s == (balancer.Addr{}) {
 		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		return
@@ -202,7 +202,7 @@
 		for _, key := range keys[:len(keys)/2] {
 			if id := d.occupy(s, key); id > 0 {
 				d.preferred[key] = [2]balancer.Addr{s, d.serverOf(key)}
-				d.endUnjudged(id, s)
+				d.endWithoutEffect(id, s)
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 		if d.forwardedTo == s {
 			return id
 		}
-		d.endUnjudged(id, d.forwardedTo) // its key was split, or the server is at its limit
+		d.endWithoutEffect(id, d.forwardedTo) // its key was split, or the server is at its limit
 	}
 	return 0
 }
@@ -247,8 +247,8 @@
 			d.waitAndServe(key)
 			b.StopTimer()
 		}
-		d.endUnjudged(first, servers[0])
-		d.endUnjudged(second, servers[1])
+		d.endWithoutEffect(first, servers[0])
+		d.endWithoutEffect(second, servers[1])
 		d.advance(1)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -165,8 +165,8 @@
 // healthStates is the number of listed servers in each health state, best first.
 func (h *harness) healthStates() [4]int { return h.policy.Stats().States }
 
-// serve has n requests of new keys served, each after ms, so that the agent knows its servers a little
-// and takes each key for one of many.
+// serve has n requests of new keys served, each after ms, so that the agent has response times of its
+// servers and sees no popular key.
 func (h *harness) serve(n int, ms float64) {
 	h.t.Helper()
 	h.serveAndCount(n, ms, balancer.Addr{})
--- a/policy/invalid_input_test.go
+++ b/policy/invalid_input_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"math"
+	"strings"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/policy"
 )
 
-// Invalid settings are refused with an error that names the key.
-func TestInvalidSettingsAreRefused(t *testing.T) {
-	for key, spoil := range map[string]func(*balancer.Settings){
+// Invalid settings are rejected with an error that names the key.
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for key, invalidate := range map[string]func(*balancer.Settings){
 		"classes":             func(s *balancer.Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *balancer.Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *balancer.Settings) { s.Classes[1].TotalTimeoutMs = -1 },
@@ -20,23 +21,13 @@
 		"membershipMode":      func(s *balancer.Settings) { s.DiscoveryMode = "" },
 	} {
 		s := testSettings()
-		spoil(&s)
-		if _, err := policy.New(s, 1); err == nil || !contains(err.Error(), key) {
-			t.Errorf("spoilt %s: error %v does not name it", key, err)
+		invalidate(&s)
+		if _, err := policy.New(s, 1); err == nil || !strings.Contains(err.Error(), key) {
+			t.Errorf("invalid %s: error %v does not name it", key, err)
 		}
 	}
 }
 
-// contains tells whether part occurs in s.
-func contains(s, part string) bool {
-	for i := 0; i+len(part) <= len(s); i++ {
-		if s[i:i+len(part)] == part {
-			return true
-		}
-	}
-	return false
-}
-
 // Invalid numbers in the endpoint list and in events count as not given: the policy goes on forwarding
 // requests, and its Stats stay numbers.
 func TestInvalidNumbersAreIgnored(t *testing.T) {
@@ -50,7 +41,7 @@
 		h.handle(balancer.Event{Kind: balancer.EventRequest, Request: 99, RemainingMs: x, Attempt: -1})
 		h.handle(balancer.Event{Kind: balancer.EventAttemptDone, Request: 99, Attempt: -1, Server: s,
 			Status: balancer.StatusOK})
-		for range 40 { // each is sent at once
+		for range 40 { // each is forwarded at once
 			h.now += 10
 			id, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
 			h.endAttempt(id, 0, s, balancer.StatusOK, 10)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -108,7 +108,7 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
 	if limits := h.policy.Stats().ServerLimits; limits <= before {
-		t.Errorf("under load at the response time it learned, a lone agent's limits went from %.1f to %.1f",
+		t.Errorf("under load at its baseline latency a single agent's limits went from %.1f to %.1f",
 			before, limits)
 	}
 }
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -22,11 +22,11 @@
 	b := newPolicy(t, settings, 3)
 	first := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
-		t.Fatalf("no subscription within the contract's time: %+v", first)
+		t.Fatalf("no call within the contract's time: %+v", first)
 	}
 	fired := balancer.Event{Kind: balancer.EventTimer, Token: first.Token}
 	if findAction(b.Handle(first.Ms, &fired, nil), balancer.ActionWatchList) == nil {
-		t.Fatal("the timer did not subscribe")
+		t.Fatal("the timer did not make the call")
 	}
 	for range 8 {
 		retryTimer := failPoll(b, first.Ms)
@@ -34,7 +34,7 @@
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
 		}
 		if more := failPoll(b, first.Ms); more != nil {
-			t.Fatalf("a second call was set beside the one that waits: %+v", more)
+			t.Fatalf("a second call was scheduled beside the one that waits: %+v", more)
 		}
 		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
 	}
--- a/policy/random_rules_test.go
+++ b/policy/random_rules_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// The rules hold in scenarios that rapid draws: their settings, and the seed of the rest.
+// The rules hold in scenarios whose settings and seed rapid draws.
 func TestRulesHoldInRandomScenarios(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runRandomScenario(t, drawSettings(t), rapid.Uint64().Draw(t, "seed"))
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -24,7 +24,7 @@
 }
 
 // A restart is detected whatever the wall clock was stepped by before it was listed: the server gets as
-// little as with a true clock. This includes a start only seconds ago, which by a clock that was set
+// few requests as with a true clock. This includes a start only seconds ago, which by a clock that was set
 // back by more is later than the restart.
 func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Many agents with few requests each send a server in slow start its part together, though none of them
-// has credit for a complete attempt.
+// Many agents with few requests each together send a server in slow start its share, though none of them
+// gathers credit for a complete attempt.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
 	warming, requests := 0, 0
 	for seed := range uint64(200) {
