--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,8 +91,11 @@
 		servingDone:     make(chan struct{}),
 	}
 	running, stopLoop := context.WithCancel(context.Background())
-	onUsable := sync.OnceFunc(func() { close(a.usable) })
-	loop, err := dispatch.New(running, cfg, a.pool, onUsable, a.applySettings)
+	loop, err := dispatch.New(running, cfg, dispatch.Options{
+		Pool:          a.pool,
+		OnUsable:      sync.OnceFunc(func() { close(a.usable) }),
+		ApplySettings: a.applySettings,
+	})
 	if err != nil {
 		stopLoop()
 		return nil, fmt.Errorf("agent: %w", err)
@@ -178,7 +181,7 @@
 	<-left
 	a.stopLoop()
 	<-a.loopDone
-	a.cfg.Logger().Info("stopped", "metrics", a.loop.Stats().Metrics.String())
+	a.cfg.Logger().Info("stopped", "metrics", a.loop.MetricsText())
 	return nil
 }
 
--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -24,7 +24,7 @@
 // clientPair is a client's end of a connection and the agent's.
 func clientPair(t *testing.T) (client net.Conn, conn *clientConn) {
 	t.Helper()
-	ln := listen(t)
+	ln := agenttest.Listen(t)
 	defer func() { _ = ln.Close() }()
 	var dialer net.Dialer
 	client, err := dialer.DialContext(t.Context(), "tcp", ln.Addr().String())
@@ -94,7 +94,7 @@
 		setReadDeadline(t, conn, time.Time{})
 		conn.closeWhenIdle()
 		conn.requestBegun.Store(true) // the head came during the check
-		sendAfter(RequestHeadTimeout+200*time.Millisecond, client, "x")
+		sendAfter(requestHeadTimeout+200*time.Millisecond, client, "x")
 		wantRead(t, conn, "x")
 	})
 	t.Run("half a head is not kept open", func(t *testing.T) {
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -20,7 +20,6 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/message"
-	"fernbeam.example/fernbeam/internal/agent/upstream"
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
@@ -83,11 +82,7 @@
 // run runs an agent through a scenario, and returns what broke the rule: one response to each request, none lost
 // and none twice.
 func (env *faultEnvironment) run(scenario faultScenario) error {
-	var listenConfig net.ListenConfig
-	listener, err := listenConfig.Listen(env.t.Context(), "tcp", "127.0.0.1:0")
-	if err != nil {
-		return err
-	}
+	listener := agenttest.Listen(env.t)
 	clients := agenttest.NewFaultPlan(scenario.Clients)
 	servers := agenttest.NewFaultPlan(scenario.Servers)
 	agent, err := env.agent(agenttest.FaultyListener{Listener: listener, Plan: clients}, servers.Dial)
@@ -156,7 +151,7 @@
 		return err
 	}
 	if request.Delayed {
-		time.Sleep(2 * upstream.SettleTime)
+		time.Sleep(reusableWithin)
 	}
 	id := fmt.Sprint(client.env.lastID.Add(1))
 	req := agenttest.NewRequest(client.addr, request.Class, strings.Repeat("x", request.Body))
--- a/internal/agent/upstream/fixture_test.go
+++ b/internal/agent/upstream/fixture_test.go
@@ -7,18 +7,19 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
+	"fernbeam.example/fernbeam/internal/agent/config"
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// testMemoryMB is the memory of an agent by which the pools of the tests bound buffered bodies.
-const testMemoryMB = 64
+// testMemoryBytes is the memory of an agent by which the pools of the tests bound buffered bodies.
+const testMemoryBytes = 64 << 20
 
 // newTestPool is a connection pool without an agent.
 func newTestPool(connectTimeout time.Duration, maxConns int) *Pool {
 	return &Pool{
-		budget:         message.NewBodyBudget(testMemoryMB),
-		dial:           DialTCP,
+		budget:         message.NewBodyBudget(testMemoryBytes),
+		dial:           config.DialTCP,
 		connectTimeout: connectTimeout,
 		keepalive:      time.Minute,
 		maxConns:       maxConns,
@@ -35,8 +36,12 @@
 // attemptNow makes an attempt for a client's request, with Timeout as its deadline.
 func attemptNow(ctx context.Context, pool *Pool, server *Server, addr string, incoming *message.Request) Result {
 	now := time.Now()
-	outgoing := &Message{NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) }}
-	return pool.Attempt(ctx, server, addr, outgoing, now, now.Add(agenttest.Timeout))
+	outgoing := &Message{
+		NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) },
+		StartedAt:  now,
+		Deadline:   now.Add(agenttest.Timeout),
+	}
+	return pool.Attempt(ctx, Target{Server: server, Addr: addr}, outgoing)
 }
 
 // wantEnd checks the status of an attempt or a health check.
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -7,7 +7,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"net"
 	"slices"
 	"sync"
 	"time"
@@ -19,9 +18,9 @@
 )
 
 const (
-	// SettleTime is how long a connection rests before it carries another message. A server may send a second
+	// settleTime is how long a connection rests before it carries another message. A server may send a second
 	// response some milliseconds late; one that came later than this would be taken for the next message's.
-	SettleTime = 20 * time.Millisecond
+	settleTime = 20 * time.Millisecond
 	// defaultConnectTimeout and defaultKeepalive apply where the settings give none.
 	defaultConnectTimeout, defaultKeepalive = time.Second, time.Second
 )
@@ -51,13 +50,10 @@
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
 		maxConns: cfg.ServerConns(),
-		budget:   message.NewBodyBudget(cfg.MemoryMB),
-		dial:     cfg.Dial,
+		budget:   message.NewBodyBudget(cfg.MemoryBytes()),
+		dial:     cfg.Dialer(),
 		idle:     map[string][]*serverConn{},
 	}
-	if p.dial == nil {
-		p.dial = DialTCP
-	}
 	p.ApplySettings(cfg)
 	return p
 }
@@ -121,7 +117,7 @@
 	defer p.mu.Unlock()
 	list := p.idle[addr]
 	for i := len(list) - 1; i >= 0; i-- {
-		if time.Since(list[i].idleSince) >= SettleTime {
+		if time.Since(list[i].idleSince) >= settleTime {
 			conn := list[i]
 			p.idle[addr] = slices.Delete(list, i, i+1)
 			return conn, p.idleTimes.limit(p.keepalive)
@@ -145,7 +141,7 @@
 	}
 	return &serverConn{
 		Conn:      opened,
-		reader:    bufio.NewReaderSize(opened, MaxResponseHead),
+		reader:    bufio.NewReaderSize(opened, maxResponseHead),
 		addr:      addr,
 		createdAt: time.Now(),
 	}, nil
@@ -163,12 +159,6 @@
 	return clock.Earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
-// DialTCP opens a TCP connection to a server until a time.
-func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
-	return dialer.DialContext(ctx, "tcp", addr)
-}
-
 // evict closes the connection that has been idle longest, so that one to another server can be opened, and
 // tells whether there was any. The caller has the lock.
 func (p *Pool) evict() bool {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,7 +4,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxForwardFailures is the number of requests that may go to any server, and for which none has
+// maxForwardFailures is the number of queued requests that may go to any server and find none with
 // capacity, after which the rest of the queue is not considered.
 const maxForwardFailures = 4
 
@@ -17,11 +17,11 @@
 	r := b.newRequest(ev, rules)
 	b.requests[r.id] = r
 	b.classes.countRequest(r.class)
-	b.healthChecks.earn()
+	b.healthChecks.recordRequest()
 	b.healthChecks.start()
 	b.queue.add(r)
 	if b.random.Float64() < b.shedder.fraction() {
-		b.shedder.record(0)
+		b.shedder.recordUnserved()
 		b.reject(r)
 	}
 }
@@ -67,9 +67,9 @@
 	}
 }
 
-// forwardQueued forwards what finds a server. A request that waits for the servers of its key may
-// find no capacity where the next one does, so it is passed over; of requests that may go to any
-// server a few that find none show that there is none.
+// forwardQueued forwards the queued requests that find a server. A request that waits for the servers
+// of its key may find no capacity where the next one does, so it is passed over; of requests that may
+// go to any server a few that find none show that there is none.
 func (b *Balancer) forwardQueued() {
 	b.queue.saturated = false
 	unresponsive := b.endpoints.unresponsiveInFlight()
@@ -80,7 +80,7 @@
 			return
 		}
 		r := b.queue.requests[i]
-		if b.selector.nearestAreFull(r) {
+		if b.selector.preferredAreFull(r) {
 			i++
 			continue
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// rejectExpired rejects queued requests that can no longer earn anything, early, before they cost
-// work of a server.
+// rejectExpired rejects queued requests whose response would be of no use to the client, before they
+// cost work of a server.
 func (b *Balancer) rejectExpired() {
 	for i := 0; i < len(b.queue.requests); {
 		r := b.queue.requests[i]
@@ -134,7 +134,7 @@
 	}
 	b.history.add(r)
 	if r.inFlight > 0 {
-		b.shedder.record(0)
+		b.shedder.recordUnserved()
 	}
 	b.close(r)
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/balancer"
-	"fernbeam.example/fernbeam/policy"
 )
 
 // With an empty endpoint list a request is rejected in time.
@@ -131,9 +130,9 @@
 	}
 }
 
-// Where a late response earns nothing, an attempt ends with the latency objective and keeps no server
-// busy for longer; the client is answered at once. Elsewhere it has all of the client's time.
-func TestNoAttemptOutlastsAnObjectiveThatEarnsAll(t *testing.T) {
+// Where a late response has no value, an attempt times out at the latency objective and keeps no server
+// busy for longer; the client is answered at once. Elsewhere its timeout is all of the client's time.
+func TestAttemptTimesOutAtTheObjectiveWhereLateResponsesHaveNoValue(t *testing.T) {
 	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
 	for class, want := range wants {
 		settings := testSettings()
@@ -154,21 +153,20 @@
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
-			t.Errorf("class %d, late responses earn something: "+
+			t.Errorf("class %d, late responses have a value: "+
 				"want an attempt for all of the time, got %+v", class, actions)
 		}
 	}
 }
 
 // Queued requests that wait for the servers of their keys do not keep others from servers with capacity.
-// Two servers of full weight are the nearest of every key; a third, of a hundredth of the weight, takes a
+// Every key prefers the two servers of full weight; a third, of a hundredth of the weight, takes a
 // request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
-	h.updateList(balancer.ListFull,
-		balancer.Endpoint{Server: serverAddress(0), State: balancer.Ready, Weight: 1},
-		balancer.Endpoint{Server: serverAddress(1), State: balancer.Ready, Weight: 1},
-		balancer.Endpoint{Server: serverAddress(2), State: balancer.Ready, Weight: 0.01})
+	endpoints := readyEndpoints(3)
+	endpoints[2].Weight = 0.01
+	h.updateList(balancer.ListFull, endpoints...)
 	inFlight := map[balancer.Addr]balancer.RequestID{} // the last request at each server
 	var queued balancer.RequestID
 	for i := 0; queued == 0; i++ { // of no key, until all three are full
@@ -182,7 +180,7 @@
 			queued = id
 		}
 	}
-	for range 10 { // newer, so first in the queue: each waits for the two nearest of its key
+	for range 10 { // newer, so first in the queue: each waits for the two servers that its key prefers
 		h.now++
 		if _, actions := h.request(idempotentClass, h.random.Uint64()|1); len(actions) != 0 {
 			t.Fatalf("a request with a key was not queued: %+v", actions)
@@ -247,14 +245,11 @@
 
 // A request with a key that comes before any endpoint list waits for one, as others do.
 func TestKeyedRequestBeforeTheFirstListWaits(t *testing.T) {
-	b, err := policy.New(testSettings(), 1)
-	if err != nil {
-		t.Fatal(err)
-	}
+	b := newPolicy(t, testSettings(), 1)
 	const now = 1e6
 	b.Start(now, nil)
-	arrival := balancer.Event{Kind: balancer.EventRequest, Request: 1, Key: 7, RemainingMs: 800}
-	for _, a := range b.Handle(now, &arrival, nil) {
+	request := arrival(1, idempotentClass, 7, 800)
+	for _, a := range b.Handle(now, &request, nil) {
 		if a.Kind != balancer.ActionSetTimer {
 			t.Errorf("action %+v, want the request queued", a)
 		}
--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -32,16 +32,38 @@
 	return x ^ x>>31
 }
 
-// forwardPace is when attempts were forwarded: of this agent to one server, or to all.
-type forwardPace struct {
-	lastAt     float64 // time of the last attempt; 0: none
-	intervalMs float64 // mean time between two attempts; 0: not known
+// tokenBucket limits one kind of action to a part of another: each of the other adds a fraction of a
+// token, up to the capacity, and each action takes one token.
+type tokenBucket struct {
+	tokens   float64 // actions that may be taken at once
+	refill   float64 // tokens that one deposit adds
+	capacity float64 // the most tokens that it holds
 }
 
-// record counts an attempt forwarded now into the mean interval, by the weight smoothing.
-func (p *forwardPace) record(now, smoothing float64) {
-	if p.lastAt > 0 {
-		p.intervalMs = movingMean(p.intervalMs, now-p.lastAt, smoothing)
+// newTokenBucket returns a full bucket.
+func newTokenBucket(refill, capacity float64) *tokenBucket {
+	return &tokenBucket{tokens: capacity, refill: refill, capacity: capacity}
+}
+
+// deposit adds the tokens of one refill.
+func (t *tokenBucket) deposit() { t.tokens = min(t.tokens+t.refill, t.capacity) }
+
+// hasToken tells whether an action may be taken.
+func (t *tokenBucket) hasToken() bool { return t.tokens >= 1 }
+
+// withdraw takes the token of one action.
+func (t *tokenBucket) withdraw() { t.tokens-- }
+
+// forwardTimes is when this agent forwarded attempts, to one server or to all. Times are in milliseconds.
+type forwardTimes struct {
+	lastAt         float64 // when the last attempt was forwarded; 0: none was
+	meanIntervalMs float64 // moving mean of the time between two attempts; 0: not known
+}
+
+// record counts an attempt that is forwarded now; smoothing is the weight of one interval in the mean.
+func (f *forwardTimes) record(now, smoothing float64) {
+	if f.lastAt > 0 {
+		f.meanIntervalMs = movingMean(f.meanIntervalMs, now-f.lastAt, smoothing)
 	}
-	p.lastAt = now
+	f.lastAt = now
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,8 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// fullCostConnections is the number of open connections of a server at which Costs.Connection is due
-// in full.
+// fullCostConnections is the number of open connections of a server that Costs.Connection is the cost of.
 const fullCostConnections = 100.0
 
 // forward starts an attempt of the request at the server, if it is permitted.
@@ -15,24 +14,11 @@
 	if !b.selector.mayForward(r, s) {
 		return false
 	}
-	a := &attempt{
-		request:   r,
-		server:    s,
-		index:     len(r.attempts),
-		alone:     len(s.inFlight) == 0,
-		startedAt: b.now,
-	}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	if r.maybeExecuted == 0 {
-		r.executedAt = b.now
-		r.executedOn = s
-	}
-	r.maybeExecuted++
+	a := r.addAttempt(s, b.now)
 	if !r.streamedBody {
 		b.concurrency.begin(a)
 	}
-	b.slowStart.spend(s)
+	b.slowStart.charge(s)
 	b.concurrency.recordForward(s)
 	timeoutMs := r.deadline - b.now
 	b.emit(balancer.Action{Kind: balancer.ActionForward, Request: r.id, Server: s.address, Ms: timeoutMs})
@@ -55,7 +41,7 @@
 // and its time counts from here.
 func (b *Balancer) onRequestSent(ev *balancer.Event) {
 	a := b.attemptOf(ev)
-	if a == nil || a.counted || a.request.closed {
+	if a == nil || a.fullySent || a.request.closed {
 		return
 	}
 	a.request.setDeadlines(b.environment, ev.RemainingMs, b.now)
@@ -86,7 +72,7 @@
 	switch {
 	case r.closed || r.responseStarted || ev.RequestDone || ev.Status == balancer.StatusOK:
 		b.close(r)
-	case ev.Status == balancer.StatusBadRequest: // as it would be at every server, and for each retry
+	case ev.Status == balancer.StatusBadRequest: // every other server would answer alike
 		b.close(r)
 		b.emit(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 	default:
@@ -118,85 +104,95 @@
 		s.lastResponseAt = b.now
 	case balancer.StatusError, balancer.StatusReset:
 		s.lastResponseAt = b.now
-		b.outliers.eject(s, false)
+		b.outliers.eject(s, failed)
 	case balancer.StatusConnectFailed:
 		b.outliers.recordUnreachable(s)
 	case balancer.StatusTimeout:
 		b.recordTimeout(a, ev)
 	case balancer.StatusOverloaded:
 		s.lastResponseAt = b.now
-		b.concurrency.cutServer(s, rejectionDecrease, 1)
-		b.concurrency.recordOverload(a, true)
-		b.zone.record(s, true)
-		b.concurrency.rest(s, 1)
-	case balancer.StatusCancelled, balancer.StatusUnsent: // the agent's own doing
+		b.concurrency.recordRejection(s)
+		b.concurrency.recordLoad(a, overloaded)
+		b.zone.record(s, objectiveMissed)
+		b.concurrency.startCooldown(s, minCooldownIntervals)
+	case balancer.StatusCancelled, balancer.StatusUnsent: // ended by the agent: says nothing of the server
 	}
 }
 
 // recordTimeout records a timeout. A server that has responded to other attempts meanwhile counts as
-// slow, another one as unresponsive. Where a server has responded well to later attempts since, the
-// response was lost on its way and says nothing about the server.
+// slow, another one as unresponsive.
 func (b *Balancer) recordTimeout(a *attempt, ev *balancer.Event) {
-	s := a.server
-	if s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
-		b.now-a.startedAt > baselineSamples*s.pace.intervalMs {
+	if b.responseWasLost(a) {
 		return
 	}
-	b.zone.record(s, true)
-	b.concurrency.rest(s, 1)
+	s := a.server
+	b.zone.record(s, objectiveMissed)
+	b.concurrency.startCooldown(s, minCooldownIntervals)
 	if s.lastResponseAt > a.startedAt {
 		s.recordLatency(a.request.class.latency(ev.LatencyMs))
-		b.concurrency.recordOverload(a, true)
+		b.concurrency.recordLoad(a, overloaded)
 		return
 	}
-	b.outliers.eject(s, true)
+	b.outliers.eject(s, unresponsive)
+}
+
+// responseWasLost tells whether an attempt timed out because its response was lost on its way, which
+// says nothing about the server: the server has responded well to later attempts, and enough of them to
+// know its present latency.
+func (b *Balancer) responseWasLost(a *attempt) bool {
+	s := a.server
+	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
+		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs
 }
 
-// recordSuccess records a successful response with all concerns that learn from it.
+// recordSuccess records a successful response with all components that learn from it.
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
-	b.slowStart.earn(s)
-	b.retries.earn()
-	b.slowStart.recordContact(s)
+	b.slowStart.grantCredits(s)
+	b.retryBudget.deposit()
+	b.slowStart.recordReachable(s)
 	s.responseMs = movingMean(s.responseMs, ev.LatencyMs, serverSmoothing)
-	late := b.recordEarnings(a.request, ev.LatencyMs)
-	b.zone.record(s, late)
+	outcome := b.recordServed(a.request, ev.LatencyMs)
+	b.zone.record(s, outcome)
 	latency := a.request.class.latency(ev.LatencyMs)
-	b.latency.record(latency, a.alone)
+	b.latency.record(latency, a.soleAtServer)
 	s.recordLatency(latency)
-	b.concurrency.restIfSlow(s, latency, late)
-	limit := b.concurrency.serverLatencyLimit(s)
+	b.concurrency.startCooldownIfSlow(s, latency, outcome)
+	latencyLimit := b.concurrency.serverLatencyLimit(s)
 	if b.latency.known() {
-		b.concurrency.recordOverload(a, b.concurrency.isOverload(s, latency, limit))
+		b.concurrency.recordLoad(a, b.concurrency.loadOf(s, latency, latencyLimit))
 	}
 	if b.outliers.recordSuccess(a) {
-		b.concurrency.adjustServer(s, limit, ev.LatencyMs)
+		b.concurrency.adjustServer(s, latencyLimit, ev.LatencyMs)
 	}
 }
 
-// recordEarnings counts a response into the statistics of its class and the served fraction, and
-// tells whether it missed the latency objective.
-func (b *Balancer) recordEarnings(r *request, responseMs float64) (late bool) {
+// recordServed counts a response into the statistics of its class and the served fraction, and returns
+// whether it met the latency objective.
+func (b *Balancer) recordServed(r *request, responseMs float64) objectiveOutcome {
 	r.class.recordResponseTime(responseMs)
-	late = b.now > r.objectiveAt
-	earned := r.class.LateFraction
-	if !late {
-		r.class.countInTime()
-		earned = 1
+	outcome := objectiveMet
+	value := 1.0
+	if b.now > r.objectiveAt {
+		outcome = objectiveMissed
+		value = r.class.LateFraction
+	} else {
+		r.class.countObjectiveMet()
 	}
 	if !r.closed {
-		b.shedder.record(earned)
+		b.shedder.recordServed(value)
 	}
-	return late
+	return outcome
 }
 
-// closeIdle closes the idle connections to a server where, by the costs in the settings, keeping
-// them until the next attempt costs more than opening one: of many agents each uses a server rarely.
+// closeIdle closes the idle connections to a server that has just finished an attempt where, by the
+// costs in the settings, keeping them until the next attempt costs more than opening one: of many agents
+// each uses a server rarely.
 func (b *Balancer) closeIdle(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
-	intervalMs := b.concurrency.pace.intervalMs
-	serverIntervalMs := cmp.Or(s.pace.intervalMs, intervalMs*servers)
+	intervalMs := b.concurrency.forwards.meanIntervalMs
+	serverIntervalMs := cmp.Or(s.forwards.meanIntervalMs, b.concurrency.evenServerIntervalMs())
 	keepCost := costs.Connection * serverIntervalMs * float64(b.settings.FleetSize)
 	openCost := fullCostConnections * servers * intervalMs * costs.Handshake
 	if len(s.inFlight) == 0 && keepCost > openCost {
@@ -208,12 +204,12 @@
 // and the retry budget permit that, and rejects it otherwise.
 func (b *Balancer) retryOrReject(r *request, status balancer.Status) {
 	if b.mayRetry(r, status) {
-		b.retries.spend()
+		b.retryBudget.withdraw()
 		b.queue.add(r)
 		return
 	}
 	if status == balancer.StatusOverloaded || status == balancer.StatusTimeout {
-		b.shedder.record(0) // errors and lost connections are no sign of overload
+		b.shedder.recordUnserved() // errors and lost connections are no sign of overload
 	}
 	b.reject(r)
 }
@@ -223,6 +219,6 @@
 	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
 		return false
 	}
-	return b.retries.available() && len(r.attempts) < r.maxAttempts &&
+	return b.retryBudget.hasToken() && len(r.attempts) < r.maxAttempts &&
 		status != balancer.StatusUnsent && !(b.now >= r.deadline)
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -172,9 +172,9 @@
 }
 
 // An attempt that many others overtook, at a server that responds well since, lost its response: the
-// server keeps its limit, its health state and its turns. A few others are no evidence: of many agents
-// each sees a server too rarely to know how it responds now. Nor is a response lost where the others are
-// slow as well. Both times the server rests as a slow one.
+// server keeps its limit and its health state, and has no cooldown. A few others are no evidence: of many
+// agents each sees a server too rarely to know how it responds now. Nor is a response lost where the others
+// are slow as well. Both times the server has a cooldown as a slow one.
 func TestLostResponseIsNoSignOfOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(50, 20)
@@ -190,16 +190,16 @@
 		h.now += 40
 	}, 580)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it to rest", n)
+		t.Errorf("rarely seen: its server got %d of the next 20 new keys, want it in cooldown", n)
 	}
-	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest rest
+	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest cooldown
 	h.serve(20, 20)
 	h.timeOutAmong(s, func() {
 		h.serve(4, 145)
 		h.now += 20
 	}, 600)
 	if n := h.serveAndCount(20, 1, s); n != 0 {
-		t.Errorf("an overload: its server got %d of the next 20 new keys, want it to rest", n)
+		t.Errorf("an overload: its server got %d of the next 20 new keys, want it in cooldown", n)
 	}
 }
 
@@ -223,19 +223,18 @@
 // the harness's two servers drains until then, so that all requests go to this one.
 func (h *harness) timeOutAmong(s balancer.Addr, meanwhile func(), tookMs float64) {
 	h.t.Helper()
-	other := serverAddress(0)
-	if s == other {
-		other = serverAddress(1)
+	other := 0
+	if s == serverAddress(0) {
+		other = 1
 	}
-	h.updateList(balancer.ListDelta,
-		balancer.Endpoint{Server: other, State: balancer.Draining, Weight: 1})
+	h.updateList(balancer.ListDelta, drainingEndpoint(other))
 	id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 	if to != s {
 		h.t.Fatalf("sent to %v while the other drains", to)
 	}
 	meanwhile()
 	h.endAttempt(id, 0, s, balancer.StatusTimeout, tookMs)
-	h.updateList(balancer.ListDelta, balancer.Endpoint{Server: other, State: balancer.Ready, Weight: 1})
+	h.updateList(balancer.ListDelta, readyEndpoint(other))
 }
 
 // Of very many agents that start at once each has no more in flight than its part of six attempts at each
@@ -249,12 +248,9 @@
 		settings := testSettings()
 		settings.FleetSize = c.agents
 		h := newHarness(t, settings, 0)
-		endpoints := make([]balancer.Endpoint, 200)
-		for i := range endpoints {
-			endpoints[i] = balancer.Endpoint{Server: serverAddress(i), State: balancer.Ready, Weight: 1}
-			if i < c.restarted {
-				endpoints[i].StartedMs = h.now
-			}
+		endpoints := readyEndpoints(200)
+		for i := range c.restarted {
+			endpoints[i].StartedMs = h.now
 		}
 		h.updateList(balancer.ListCached, endpoints...)
 		inFlight := 0
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -84,10 +84,7 @@
 	settings := testSettings()
 	settings.FleetSize = agents
 	settings.Zone = 1 // no server is of the agent's zone, as the zone preference changes
-	b, err := policy.New(settings, 1)
-	if err != nil {
-		tb.Fatal(err)
-	}
+	b := newPolicy(tb, settings, 1)
 	d := &decisionBenchmark{
 		TB:      tb,
 		policy:  b,
@@ -97,14 +94,9 @@
 		tickAt:  math.Inf(1),
 	}
 	d.actions = b.Start(d.now, nil)
-	endpoints := make([]balancer.Endpoint, servers)
+	endpoints := readyEndpoints(servers)
 	for i := range endpoints {
-		endpoints[i] = balancer.Endpoint{
-			Server: serverAddress(i),
-			State:  balancer.Ready,
-			Weight: 1,
-			Cell:   i / 8,
-		}
+		endpoints[i].Cell = i / 8
 	}
 	d.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListCached, Endpoints: endpoints})
 	for range 16 * servers {
@@ -146,13 +138,7 @@
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
-	d.handle(balancer.Event{
-		Kind:        balancer.EventRequest,
-		Request:     d.lastRequest,
-		Class:       class,
-		Key:         key,
-		RemainingMs: 600,
-	})
+	d.handle(arrival(d.lastRequest, class, key, 600))
 	return d.lastRequest
 }
 
@@ -160,14 +146,7 @@
 func (d *decisionBenchmark) endAttempt(
 	id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64,
 ) {
-	d.handle(balancer.Event{
-		Kind:        balancer.EventAttemptDone,
-		Request:     id,
-		Server:      s,
-		Status:      status,
-		LatencyMs:   ms,
-		RequestDone: status == balancer.StatusOK,
-	})
+	d.handle(attemptDone(id, 0, s, status, ms))
 }
 
 // serve plays one request that is forwarded on arrival and served after ms.
@@ -197,13 +176,13 @@
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
 	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
-	d.endUnjudged(id, s)
+	d.endWithoutEffect(id, s)
 	d.advance(1)
 	return s
 }
 
-// endUnjudged ends a request so that nothing is learned of its server, if it was forwarded.
-func (d *decisionBenchmark) endUnjudged(id balancer.RequestID, s balancer.Addr) {
+// endWithoutEffect ends a request so that nothing is learned of its server, if it was forwarded.
+func (d *decisionBenchmark) endWithoutEffect(id balancer.RequestID, s balancer.Addr) {
 	if s == (balancer.Addr{}) {
 		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 		return
@@ -223,7 +202,7 @@
 		for _, key := range keys[:len(keys)/2] {
 			if id := d.occupy(s, key); id > 0 {
 				d.preferred[key] = [2]balancer.Addr{s, d.serverOf(key)}
-				d.endUnjudged(id, s)
+				d.endWithoutEffect(id, s)
 			}
 		}
 	}
@@ -241,7 +220,7 @@
 		if d.forwardedTo == s {
 			return id
 		}
-		d.endUnjudged(id, d.forwardedTo) // its key was split, or the server is at its limit
+		d.endWithoutEffect(id, d.forwardedTo) // its key was split, or the server is at its limit
 	}
 	return 0
 }
@@ -268,8 +247,8 @@
 			d.waitAndServe(key)
 			b.StopTimer()
 		}
-		d.endUnjudged(first, servers[0])
-		d.endUnjudged(second, servers[1])
+		d.endWithoutEffect(first, servers[0])
+		d.endWithoutEffect(second, servers[1])
 		d.advance(1)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,21 +10,21 @@
 const (
 	// initialLimit is the least concurrency limit of a new server, in attempts.
 	initialLimit = 2
-	// initialFleetLimit is what all agents together may have in flight at a new server: more than its
-	// cores, as some requests wait for others.
+	// initialFleetLimit is the number of attempts that all agents together may have in flight at a new
+	// server: more than its cores, as some requests wait for others.
 	initialFleetLimit = 8
 )
 
-// endpointList holds the servers that discovery lists, and the groups of them that are needed often.
+// endpointList holds the servers that discovery lists, and the sets of them that are needed often.
 type endpointList struct {
 	env       *environment
 	servers   []*server // by address
 	byAddress map[balancer.Addr]*server
 	busy      []*server // the listed ones with attempts in flight, by address
 	// epoch counts the changes of the list and of the servers' health tiers.
-	epoch        uint64
-	ejected      []*server // result of notHealthy, as of ejectedEpoch
-	ejectedEpoch uint64
+	epoch          uint64
+	unhealthy      []*server // result of unhealthyServers, as of unhealthyEpoch
+	unhealthyEpoch uint64
 }
 
 // newEndpointList returns an empty list.
@@ -90,8 +90,8 @@
 	s.forgetLatency()
 	s.baseline = 0
 	s.limit = 1
-	// A random part of one attempt: of many agents that never earn a complete one, as many send
-	// one as they earned together.
+	// A random part of one attempt: of many agents whose credits never grow to a complete one, as many
+	// send one as their credits add up to.
 	s.slowStartCredit = l.env.random.Float64()
 }
 
@@ -117,20 +117,20 @@
 	})
 }
 
-// notHealthy returns the listed servers that are ejected or wait for a health check, by address. The
-// slice is valid until the next call.
-func (l *endpointList) notHealthy() []*server {
-	if l.ejectedEpoch == l.epoch {
-		return l.ejected
+// unhealthyServers returns the listed servers that are ejected or wait for a health check, by address.
+// The slice is valid until the next call.
+func (l *endpointList) unhealthyServers() []*server {
+	if l.unhealthyEpoch == l.epoch {
+		return l.unhealthy
 	}
-	l.ejected = l.ejected[:0]
-	l.ejectedEpoch = l.epoch
+	l.unhealthy = l.unhealthy[:0]
+	l.unhealthyEpoch = l.epoch
 	for _, s := range l.servers {
 		if s.health >= balancer.UnhealthyPending {
-			l.ejected = append(l.ejected, s)
+			l.unhealthy = append(l.unhealthy, s)
 		}
 	}
-	return l.ejected
+	return l.unhealthy
 }
 
 // setHealth sets a server's health state and the time of the change.
@@ -156,7 +156,7 @@
 // removeInFlight takes an ended attempt out of those in flight at its server.
 func (l *endpointList) removeInFlight(a *attempt) {
 	a.server.removeAttempt(a)
-	if a.counted && len(a.server.inFlight) == 0 {
+	if a.fullySent && len(a.server.inFlight) == 0 {
 		l.busy = slices.DeleteFunc(l.busy, func(s *server) bool { return s == a.server })
 	}
 }
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -11,25 +11,28 @@
 	checkTokensPerRequest = 0.1
 )
 
-// healthChecker checks ejected servers in the background once their ejection time has passed. A
-// token bucket limits the checks to a part of the requests.
+// healthChecker checks ejected servers in the background once their ejection time has passed. Its
+// budget limits the checks to a part of the requests.
 type healthChecker struct {
 	env       *environment
 	endpoints *endpointList
 	outliers  *outlierDetector
 	poller    *listPoller
 	slowStart *slowStart
-	underWay  int
-	tokens    float64 // health checks that may be started
+	underWay  int          // health checks that have not ended
+	budget    *tokenBucket // each request adds to it
 }
 
-// earn adds the tokens of one request.
-func (h *healthChecker) earn() { h.tokens = min(h.tokens+checkTokensPerRequest, maxHealthChecks) }
+// newCheckBudget returns the full budget of health checks.
+func newCheckBudget() *tokenBucket { return newTokenBucket(checkTokensPerRequest, maxHealthChecks) }
+
+// recordRequest adds the tokens of one request to the budget.
+func (h *healthChecker) recordRequest() { h.budget.deposit() }
 
 // start moves the servers whose ejection time has passed to UnhealthyPending, and starts the health
 // checks that the limits permit.
 func (h *healthChecker) start() {
-	for _, s := range h.endpoints.notHealthy() {
+	for _, s := range h.endpoints.unhealthyServers() {
 		if h.outliers.ejectionEnded(s) {
 			h.endpoints.setHealth(s, balancer.UnhealthyPending)
 			h.poller.fetch()
@@ -37,7 +40,7 @@
 		if h.mayCheck(s) {
 			s.checking = true
 			h.underWay++
-			h.tokens--
+			h.budget.withdraw()
 			h.env.emit(balancer.Action{Kind: balancer.ActionHealthCheck, Server: s.address})
 		}
 	}
@@ -46,7 +49,7 @@
 // mayCheck tells whether a health check of the server is due and permitted.
 func (h *healthChecker) mayCheck(s *server) bool {
 	return s.health == balancer.UnhealthyPending && s.ready && !s.checking &&
-		h.env.settings.Limits.HealthChecks && h.tokens >= 1 && h.underWay < maxHealthChecks
+		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.underWay < maxHealthChecks
 }
 
 // finish takes the result of a health check.
@@ -62,12 +65,12 @@
 	}
 	switch ev.Status {
 	case balancer.StatusOK:
-		h.slowStart.recordContact(s)
+		h.slowStart.recordReachable(s)
 		h.endpoints.setHealth(s, balancer.Connected)
 	case balancer.StatusOverloaded: // it serves, but not now: it stays as it is
 	case balancer.StatusError, balancer.StatusReset:
-		h.outliers.eject(s, false)
+		h.outliers.eject(s, failed)
 	default:
-		h.outliers.eject(s, true)
+		h.outliers.eject(s, unresponsive)
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,13 +7,35 @@
 	// go before a key's request moves on to the next server in the key's order.
 	loadCapFactor = 3.0
 	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
-	// preferredServers nearest its key: to go on at once would lose the server's cache for the key
-	// just when servers are short of time.
+	// servers that its key prefers: to go on at once would lose the server's cache for the key just
+	// when servers are short of time.
 	keyWaitFraction = 0.25
-	// preferredServers is the number of servers nearest its key for which a request waits.
+	// preferredServers is the number of servers, the first in the order of its key, for which a request
+	// waits.
 	preferredServers = 2
 )
 
+// candidateSet says which candidates a choice considers.
+type candidateSet uint8
+
+// The values of candidateSet.
+const (
+	notInCooldown candidateSet = iota // candidates in cooldown are passed over
+	allCandidates
+)
+
+// includes tells whether the choice considers the candidate.
+func (c candidateSet) includes(s *server, now float64) bool {
+	return c == allCandidates || !s.inCooldown(now)
+}
+
+// choice is the result of a selection among some servers.
+type choice struct {
+	server *server // nil: none accepts the request
+	// hasCandidates tells that there were servers to choose from, though none may accept the request.
+	hasCandidates bool
+}
+
 // serverSelector selects the server of an attempt: of the best health tier that has any, the first
 // in the order of weighted rendezvous hashing that is under its load cap and has capacity.
 type serverSelector struct {
@@ -23,7 +45,7 @@
 	concurrency *concurrencyLimits
 	outliers    *outlierDetector
 	zone        *zonePreference
-	candidates  []*server // scratch: the servers of the tier at hand
+	candidates  []*server // scratch: the servers of the tier that is considered
 }
 
 // mayForward tells whether an attempt of the request at the server is permitted. The limits of its
@@ -40,36 +62,37 @@
 		return nil
 	}
 	for t := range tierCount {
-		if s, found := sel.chooseInTier(r, t); found {
-			return s
+		if c := sel.chooseInTier(r, t); c.hasCandidates {
+			return c.server
 		}
 	}
 	return nil
 }
 
-// chooseInTier selects a server of one tier; found tells whether the tier has any to choose from.
-// Those that rest come last, unless most of them rest: then all are overloaded.
-func (sel *serverSelector) chooseInTier(r *request, t tier) (s *server, found bool) {
-	restingWeight := sel.fillCandidates(r, t)
-	if r.tierWeight == 0 || restingWeight > r.tierWeight/2 {
-		sel.skipDraws(r, true)
-	} else if s, found = sel.nearest(r, true); found {
-		return s, true
-	}
+// chooseInTier selects a server of one tier. Those in cooldown come last, unless most of them are: then
+// all are overloaded.
+func (sel *serverSelector) chooseInTier(r *request, t tier) choice {
+	cooldownWeight := sel.fillCandidates(r, t)
 	if r.tierWeight == 0 {
-		sel.skipDraws(r, false)
-		return nil, false
+		sel.discardDraws(r, notInCooldown)
+		sel.discardDraws(r, allCandidates)
+		return choice{}
+	}
+	if cooldownWeight > r.tierWeight/2 {
+		sel.discardDraws(r, notInCooldown)
+	} else if c := sel.firstCandidate(r, notInCooldown); c.hasCandidates {
+		return c
 	}
-	s, _ = sel.nearest(r, false)
-	return s, true
+	c := sel.firstCandidate(r, allCandidates)
+	return choice{server: c.server, hasCandidates: true}
 }
 
 // fillCandidates makes the servers of the tier to which the request may go the candidates, sets
-// r.tierWeight to their weight, and returns the weight of those that rest.
-func (sel *serverSelector) fillCandidates(r *request, t tier) (restingWeight float64) {
+// r.tierWeight to their weight, and returns the weight of those in cooldown.
+func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
 	if t > healthyTier {
-		servers = sel.endpoints.notHealthy()
+		servers = sel.endpoints.unhealthyServers()
 	}
 	candidates := sel.candidates[:0]
 	r.tierWeight = 0
@@ -82,26 +105,28 @@
 		}
 		weight := s.weight * sel.slowStart.fraction(s)
 		r.tierWeight += weight
-		if s.isResting(sel.env.now) {
-			restingWeight += weight
+		if s.inCooldown(sel.env.now) {
+			cooldownWeight += weight
 		}
 		candidates = append(candidates, s)
 	}
 	sel.candidates = candidates
-	return restingWeight
+	return cooldownWeight
 }
 
-// nearest is the first candidate in the request's order that accepts it; found tells whether there
-// was any to choose from. A request that waits for the servers of its key has no others.
-func (sel *serverSelector) nearest(r *request, skipResting bool) (best *server, found bool) {
+// firstCandidate is the first candidate of the set in the request's order that accepts it. A request that
+// waits for the servers of its key has no others.
+func (sel *serverSelector) firstCandidate(r *request, set candidateSet) choice {
 	if r.waitsForKey(sel.env.now) {
-		return sel.nearestOfKey(r, skipResting)
+		return sel.firstPreferred(r, set)
 	}
+	var best *server
+	hasCandidates := false
 	for _, s := range sel.candidates {
-		if skipResting && s.isResting(sel.env.now) || !sel.concurrency.serverAllows(s) {
+		if !set.includes(s, sel.env.now) || !sel.concurrency.serverAllows(s) {
 			continue
 		}
-		found = true
+		hasCandidates = true
 		position := sel.position(r, s)
 		weight := sel.orderWeight(s)
 		if best != nil && position.minScore(weight) >= best.score || !sel.underLoadCap(s, r) {
@@ -112,37 +137,39 @@
 			best = s
 		}
 	}
-	return best, found
+	return choice{server: best, hasCandidates: hasCandidates}
 }
 
-// nearestOfKey is the first of the preferredServers nearest the request's key that accepts it.
-func (sel *serverSelector) nearestOfKey(r *request, skipResting bool) (best *server, found bool) {
+// firstPreferred determines the candidates of the set that the request's key prefers, and is the first of
+// them that accepts it.
+func (sel *serverSelector) firstPreferred(r *request, set candidateSet) choice {
 	var preferred [preferredServers]*server
 	count := 0
 	for _, s := range sel.candidates {
-		if skipResting && s.isResting(sel.env.now) {
+		if !set.includes(s, sel.env.now) {
 			continue
 		}
 		count++
 		position := sel.position(r, s)
 		weight := sel.orderWeight(s)
-		farthest := preferred[preferredServers-1]
-		if farthest != nil && position.minScore(weight) >= farthest.score {
+		last := preferred[preferredServers-1]
+		if last != nil && position.minScore(weight) >= last.score {
 			continue
 		}
 		s.score = position.score(weight)
 		insertByScore(&preferred, s)
 	}
 	if count > preferredServers {
-		r.nearest = preferred
-		r.nearestEpoch = sel.endpoints.epoch
+		r.preferred = preferred
+		r.preferredEpoch = sel.endpoints.epoch
 	}
+	var best *server
 	for _, s := range preferred {
 		if s != nil && (best == nil || s.score < best.score) && sel.accepts(s, r) {
 			best = s
 		}
 	}
-	return best, count > 0
+	return choice{server: best, hasCandidates: count > 0}
 }
 
 // insertByScore puts a server among those with the lowest scores, in order, if it belongs there; of
@@ -159,14 +186,14 @@
 	}
 }
 
-// skipDraws passes over the random positions of a choice among no candidates, so that later random
-// numbers do not depend on which servers rest.
-func (sel *serverSelector) skipDraws(r *request, skipResting bool) {
+// discardDraws draws the random positions of a choice that is not made, and discards them, so that later
+// random numbers do not depend on which servers are in cooldown.
+func (sel *serverSelector) discardDraws(r *request, set candidateSet) {
 	if r.key != 0 {
 		return
 	}
 	for _, s := range sel.candidates {
-		if !(skipResting && s.isResting(sel.env.now)) && sel.concurrency.serverAllows(s) {
+		if set.includes(s, sel.env.now) && sel.concurrency.serverAllows(s) {
 			sel.env.random.Uint64()
 		}
 	}
@@ -186,14 +213,14 @@
 	return sel.zone.weight(s, s.weight*sel.slowStart.loadShare(s))
 }
 
-// nearestAreFull tells whether the request waits for the servers nearest its key, as they were last
-// determined, and none of them accepts it.
-func (sel *serverSelector) nearestAreFull(r *request) bool {
-	determined := r.nearest[0] != nil && r.nearestEpoch == sel.endpoints.epoch
+// preferredAreFull tells whether the request waits for the servers that its key prefers, as they were
+// last determined, and none of them accepts it.
+func (sel *serverSelector) preferredAreFull(r *request) bool {
+	determined := r.preferred[0] != nil && r.preferredEpoch == sel.endpoints.epoch
 	if !determined || !r.waitsForKey(sel.env.now) {
 		return false
 	}
-	for _, s := range r.nearest {
+	for _, s := range r.preferred {
 		if sel.accepts(s, r) {
 			return false
 		}
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -10,7 +10,7 @@
 )
 
 // zonePreference is the factor by which a server of the agent's own zone weighs more in the order of
-// a key. It settles where the part of the zone's attempts that are not served in time equals the
+// a key. Its equilibrium is where the part of the zone's attempts that are not served in time equals the
 // cost of traffic to another zone: below that cost it grows, above it the zone is sent more than its
 // servers can serve and it shrinks.
 type zonePreference struct {
@@ -23,13 +23,13 @@
 	return &zonePreference{env: env, factor: minZonePreference}
 }
 
-// record counts an attempt at the server and whether it missed the latency objective.
-func (z *zonePreference) record(s *server, missed bool) {
+// record counts the outcome of an attempt at the server.
+func (z *zonePreference) record(s *server, outcome objectiveOutcome) {
 	if s.zone != z.env.settings.Zone {
 		return
 	}
 	step := z.env.settings.Costs.CrossZone
-	if missed {
+	if outcome == objectiveMissed {
 		step--
 	}
 	z.factor = min(max(z.factor*(1+zonePreferenceStep*step), minZonePreference), maxZonePreference)
