--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		status, _, _ := agenttest.Send(t, req)
+		status := agenttest.Send(t, req).Status
 		agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
 	}
 	server.Close()
--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -72,19 +72,30 @@
 	Reader *bufio.Reader
 }
 
-// DialClient opens a connection of a client that keeps it.
-func DialClient(tb testing.TB, addr string) *ClientConn {
+// ConnectClient opens a connection of a client that keeps it until the end of the test. It may be called in any
+// goroutine.
+func ConnectClient(tb testing.TB, addr string) (*ClientConn, error) {
 	tb.Helper()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(tb.Context(), "tcp", addr)
 	if err != nil {
-		tb.Fatal(err)
+		return nil, err
 	}
 	tb.Cleanup(func() { _ = conn.Close() })
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
+		return nil, err
+	}
+	return &ClientConn{Conn: conn, Reader: bufio.NewReader(conn)}, nil
+}
+
+// DialClient is ConnectClient for the goroutine of a test, which ends at an error.
+func DialClient(tb testing.TB, addr string) *ClientConn {
+	tb.Helper()
+	client, err := ConnectClient(tb, addr)
+	if err != nil {
 		tb.Fatal(err)
 	}
-	return &ClientConn{Conn: conn, Reader: bufio.NewReader(conn)}
+	return client
 }
 
 // Request sends a request of the class read and returns its response, whose body has been read.
@@ -128,19 +139,50 @@
 	WantStatus(t, FinalStatus(t, k), http.StatusOK)
 }
 
-// Send sends a request and returns the response's status, header and body.
-func Send(tb testing.TB, req *http.Request) (status int, header http.Header, body string) {
-	tb.Helper()
+// Response is a response that has been read completely. The zero value stands for none.
+type Response struct {
+	Status int
+	Header http.Header
+	Body   string
+}
+
+// Do sends a request and reads the response. It may be called in any goroutine.
+func Do(req *http.Request) (Response, error) {
 	resp, err := HTTPClient.Do(req)
 	if err != nil {
-		tb.Fatal(err)
+		return Response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return Response{}, err
+	}
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: string(text)}, nil
+}
+
+// Send is Do for the goroutine of a test, which ends at an error.
+func Send(tb testing.TB, req *http.Request) Response {
+	tb.Helper()
+	response, err := Do(req)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return resp.StatusCode, resp.Header, string(text)
+	return response
+}
+
+// SendInBackground is Do in a goroutine of its own. The test has to wait for the response, which is the zero value after
+// an error; an error fails the test.
+func SendInBackground(tb testing.TB, req *http.Request) <-chan Response {
+	tb.Helper()
+	responses := make(chan Response, 1)
+	go func() {
+		response, err := Do(req)
+		if err != nil {
+			tb.Error(err)
+		}
+		responses <- response
+	}()
+	return responses
 }
 
 // FinalStatus reads a response, which there has to be, and returns its status.
--- a/internal/agent/body_budget_test.go
+++ b/internal/agent/body_budget_test.go
@@ -26,8 +26,9 @@
 		exhaust(budget)
 	}
 	body := variedBytes(100)
-	status, _, got := agent.do(agenttest.NewRequest(agent.addr, "order", string(body)))
-	agenttest.WantStatus(t, status, http.StatusOK)
+	response := agent.do(agenttest.NewRequest(agent.addr, "order", string(body)))
+	agenttest.WantStatus(t, response.Status, http.StatusOK)
+	got := response.Body
 	if got != digest(body) || server.Count() != 1 {
 		t.Errorf("arrived as %s, %d times", got, server.Count())
 	}
@@ -43,7 +44,7 @@
 		return err == nil
 	})
 	for range 10 {
-		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "some body"))
+		status := agent.do(agenttest.NewRequest(agent.addr, "order", "some body")).Status
 		agenttest.WantStatus(t, status, http.StatusOK)
 	}
 	const budget = int64(192) << 20 / 6
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -48,10 +48,10 @@
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		return n == 0 && agenttest.RespondOK(conn, req, n)
 	})
-	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", ""))
+	status := agent.do(agenttest.NewRequest(agent.addr, "order", "")).Status
 	agenttest.WantStatus(t, status, http.StatusOK)
 	time.Sleep(reusableWithin)
-	status, _, _ = agent.do(agenttest.NewRequest(agent.addr, "order", ""))
+	status = agent.do(agenttest.NewRequest(agent.addr, "order", "")).Status
 	agenttest.WantStatus(t, status, http.StatusBadGateway)
 	if server.Count() != 2 || agent.pool.ConnectCount() != 1 {
 		t.Errorf("%d arrivals, %d connects, want 2 and 1", server.Count(), agent.pool.ConnectCount())
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -51,7 +51,11 @@
 				clients.Add(1)
 				go func() {
 					defer clients.Done()
-					client := agent.dialKept()
+					client, err := agenttest.ConnectClient(t, agent.addr)
+					if err != nil {
+						t.Error(err)
+						return
+					}
 					send(client, timedRequest(longTimeoutMs, "x"))
 					if status := client.Status(); status != http.StatusOK && status != http.StatusServiceUnavailable {
 						t.Errorf("response %d", status)
--- a/internal/agent/dispatch/clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -57,16 +57,11 @@
 			wantSlowStart(t, loop, "s-1")
 
 			stepped.Step(step)
-			statuses := make(chan int, 1)
-			request := func() {
-				status, _, _ := agenttest.Send(t, agenttest.NewRequest(loop.addr, "read", ""))
-				statuses <- status
-			}
-			go request()
+			response := agenttest.SendInBackground(t, agenttest.NewRequest(loop.addr, "read", ""))
 			<-arrived
 			stepped.Step(-step) // with the request in flight
 			release <- true
-			agenttest.WantStatus(t, <-statuses, http.StatusOK)
+			agenttest.WantStatus(t, (<-response).Status, http.StatusOK)
 
 			other := agenttest.Endpoint("s-2", server.Addr)
 			other.StartedMs = unixNowMs()
@@ -80,12 +75,12 @@
 				t.Error("a draining server may still be sent requests")
 			}
 
-			go request()
+			response = agenttest.SendInBackground(t, agenttest.NewRequest(loop.addr, "read", ""))
 			<-arrived
 			loop.stop()
 			stepped.Step(-step) // while the shutdown waits for a request
 			release <- true
-			agenttest.WantStatus(t, <-statuses, http.StatusOK)
+			agenttest.WantStatus(t, (<-response).Status, http.StatusOK)
 		})
 	}
 }
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -125,6 +125,6 @@
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("the loop waits for the log")
 	}
-	status, _, _ := agenttest.Send(t, agenttest.NewRequest(loop.addr, "order", "x"))
+	status := agenttest.Send(t, agenttest.NewRequest(loop.addr, "order", "x")).Status
 	agenttest.WantStatus(t, status, http.StatusOK)
 }
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -151,11 +151,11 @@
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusServiceUnavailable)
 	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "500")
-	status, _, _ := agent.do(req)
+	status := agent.do(req).Status
 	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
 	reachable.Store(true)
 	agenttest.WaitUntil(t, "a request is served", func() bool {
-		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+		status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 		return status == http.StatusOK
 	})
 	agenttest.WaitUntil(t, "the admin endpoint says that it serves", func() bool {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -165,8 +165,8 @@
 	return agenttest.DialClient(agent.tb, agent.addr)
 }
 
-// do sends a request and returns the response's status, header and body.
-func (agent *testAgent) do(req *http.Request) (status int, header http.Header, body string) {
+// do sends a request and returns the response. It belongs to the goroutine of the test.
+func (agent *testAgent) do(req *http.Request) agenttest.Response {
 	agent.tb.Helper()
 	return agenttest.Send(agent.tb, req)
 }
@@ -174,7 +174,7 @@
 // wantOrderStatus sends a non-idempotent request and checks the response's status.
 func (agent *testAgent) wantOrderStatus(want int) {
 	agent.tb.Helper()
-	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+	status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 	if status != want {
 		agent.tb.Errorf("response %d, want %d", status, want)
 	}
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -24,8 +24,9 @@
 	checkInvalidRequests(t, agent)
 	checkUnreadableRequests(t, agent)
 	largest := agenttest.NewRequest(agent.addr, "order", strings.Repeat("x", message.MaxBufferedBody))
-	if status, _, got := agent.do(largest); status != http.StatusOK || got != fmt.Sprint(message.MaxBufferedBody) {
-		t.Errorf("the largest body: response %d, arrived %s", status, got)
+	response := agent.do(largest)
+	if response.Status != http.StatusOK || response.Body != fmt.Sprint(message.MaxBufferedBody) {
+		t.Errorf("the largest body: response %d, arrived %s", response.Status, response.Body)
 	}
 	if server.Count() != 1 {
 		t.Errorf("%d arrivals, want 1", server.Count())
@@ -59,7 +60,7 @@
 	} {
 		req := agenttest.NewRequest(agent.addr, test.class, "x")
 		test.change(req)
-		if status, _, _ := agent.do(req); status != test.status {
+		if status := agent.do(req).Status; status != test.status {
 			t.Errorf("%s: response %d, want %d", test.name, status, test.status)
 		}
 	}
--- a/internal/agent/local_shortage_test.go
+++ b/internal/agent/local_shortage_test.go
@@ -31,7 +31,7 @@
 	}
 	agent := startAgent(t, listing(t, addrs...), func(cfg *config.Config) { cfg.Dial = dial })
 	agenttest.WaitUntil(t, "a request is served once the shortage is over", func() bool {
-		status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+		status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Fatalf("response %d, want 200 or a rejection", status)
 		}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -24,14 +24,13 @@
 		}
 		return agenttest.RespondOK(conn, req, n)
 	})
-	request := func(class, query string) int {
+	request := func(class, query string) *http.Request {
 		req := agenttest.NewRequest(agent.addr, class, "x")
 		req.URL.RawQuery = query
-		status, _, _ := agent.do(req)
-		return status
+		return req
 	}
-	openRequest := make(chan int, 1)
-	go func() { openRequest <- request("read", "blocks") }()
+	status := func(class, query string) int { return agent.do(request(class, query)).Status }
+	openRequest := agenttest.SendInBackground(t, request("read", "blocks"))
 	<-arrived
 
 	class := balancer.Class{
@@ -51,15 +50,15 @@
 	agenttest.WaitLine(t, lines, "settings applied")
 
 	close(respond)
-	agenttest.WantStatus(t, <-openRequest, http.StatusOK) // by a second attempt, which new requests do not get
+	agenttest.WantStatus(t, (<-openRequest).Status, http.StatusOK) // by a second attempt, which new requests do not get
 	if server.Count() != 2 {
 		t.Errorf("%d arrivals of the open request, want 2", server.Count())
 	}
-	agenttest.WantStatus(t, request("fresh", ""), http.StatusOK)
-	agenttest.WantStatus(t, request("read", ""), http.StatusOK)
-	agenttest.WantStatus(t, request("order", ""), http.StatusBadRequest)
+	agenttest.WantStatus(t, status("fresh", ""), http.StatusOK)
+	agenttest.WantStatus(t, status("read", ""), http.StatusOK)
+	agenttest.WantStatus(t, status("order", ""), http.StatusBadRequest)
 	before := server.Count()
-	agenttest.WantStatus(t, request("read", "fails"), http.StatusBadGateway)
+	agenttest.WantStatus(t, status("read", "fails"), http.StatusBadGateway)
 	if server.Count() != before+1 {
 		t.Errorf("%d attempts of a non-idempotent request, want 1", server.Count()-before)
 	}
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -57,8 +57,9 @@
 			if length == longest {
 				req.Header.Set("Expect", "100-continue")
 			}
-			status, _, got := agent.do(req)
-			agenttest.WantStatus(t, status, http.StatusOK)
+			response := agent.do(req)
+			agenttest.WantStatus(t, response.Status, http.StatusOK)
+			got := response.Body
 			if got != digest(body) {
 				t.Errorf("length %d, announced: %v: arrived as %s", length, announced, got)
 			}
@@ -86,8 +87,9 @@
 		piece: message.MaxBufferedBody / 2,
 		delay: 100 * time.Millisecond,
 	})
-	status, _, got := agent.do(req)
-	agenttest.WantStatus(t, status, http.StatusOK)
+	response := agent.do(req)
+	agenttest.WantStatus(t, response.Status, http.StatusOK)
+	got := response.Body
 	if got != digest(body) || server.Count() != 1 {
 		t.Errorf("arrived as %s, %d times", got, server.Count())
 	}
--- a/internal/agent/request_log_test.go
+++ b/internal/agent/request_log_test.go
@@ -15,7 +15,7 @@
 	lines := agent.logLines()
 	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Id", "c0ffee")
-	status, _, _ := agent.do(req)
+	status := agent.do(req).Status
 	agenttest.WantStatus(t, status, http.StatusBadGateway)
 	text := agenttest.WaitLine(t, lines, "c0ffee")
 	for _, want := range []string{"request failed", "class=order", "[s-1 at ", "ended 301 after "} {
@@ -26,7 +26,7 @@
 	req = agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Id", "decaf")
 	req.Header.Set("Request-Class", "nobody's")
-	status, _, _ = agent.do(req)
+	status = agent.do(req).Status
 	agenttest.WantStatus(t, status, http.StatusBadRequest)
 	if text := agenttest.WaitLine(t, lines, "decaf"); !strings.Contains(text, "unknown Request-Class") {
 		t.Errorf("line %q does not say why", text)
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -28,13 +28,13 @@
 	// A Connection header can't remove the headers that identify a request.
 	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
 	req.Header.Set("X-Hop", "1")
-	status, header, body := agent.do(req)
-	agenttest.WantStatus(t, status, http.StatusOK)
-	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
-		t.Errorf("body %q, want %q", body, want)
+	response := agent.do(req)
+	agenttest.WantStatus(t, response.Status, http.StatusOK)
+	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; response.Body != want {
+		t.Errorf("body %q, want %q", response.Body, want)
 	}
-	if header.Get("Content-Length") != fmt.Sprint(len(body)) {
-		t.Errorf("Content-Length %q", header.Get("Content-Length"))
+	if length := response.Header.Get("Content-Length"); length != fmt.Sprint(len(response.Body)) {
+		t.Errorf("Content-Length %q", length)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -121,13 +121,14 @@
 
 func (test outcome) check(t *testing.T) {
 	agent, server := startWithServer(t, test.respond)
-	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, test.class, "x"))
-	agenttest.WantStatus(t, status, test.status)
+	response := agent.do(agenttest.NewRequest(agent.addr, test.class, "x"))
+	agenttest.WantStatus(t, response.Status, test.status)
 	if server.Count() != test.arrivals {
 		t.Errorf("%d arrivals, want %d", server.Count(), test.arrivals)
 	}
-	if status == http.StatusServiceUnavailable && header.Get("Retry-After") != "0.600" {
-		t.Errorf("rejected with Retry-After %q", header.Get("Retry-After"))
+	retryAfter := response.Header.Get("Retry-After")
+	if response.Status == http.StatusServiceUnavailable && retryAfter != "0.600" {
+		t.Errorf("rejected with Retry-After %q", retryAfter)
 	}
 	agent.wantNoGuardActed()
 }
@@ -158,9 +159,9 @@
 	addr := listener.Addr().String()
 	_ = listener.Close()
 	agent := startAgent(t, listing(t, addr), nil)
-	status, header, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
-	agenttest.WantStatus(t, status, http.StatusServiceUnavailable)
-	if header.Get("Retry-After") == "" {
+	response := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+	agenttest.WantStatus(t, response.Status, http.StatusServiceUnavailable)
+	if response.Header.Get("Retry-After") == "" {
 		t.Error("rejected without Retry-After")
 	}
 }
@@ -172,7 +173,7 @@
 	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	start := time.Now()
-	status, _, _ := agent.do(req)
+	status := agent.do(req).Status
 	if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
 		t.Errorf("response %d, want a failure", status)
 	}
--- a/internal/agent/retry_window_test.go
+++ b/internal/agent/retry_window_test.go
@@ -52,13 +52,8 @@
 	req.Header.Set("Request-Timeout-Ms", "8000")
 	status := make(chan int, 1)
 	go func() {
-		resp, err := agenttest.HTTPClient.Do(req)
-		if err != nil {
-			status <- 0
-			return
-		}
-		_ = resp.Body.Close()
-		status <- resp.StatusCode
+		response, _ := agenttest.Do(req) // after an error the status is 0
+		status <- response.Status
 	}()
 	agenttest.WaitUntil(t, "a connect has begun", func() bool { return agent.pool.ConnectCount() > 0 })
 	time.Sleep(attemptTime)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -80,7 +80,12 @@
 		status := make(chan int, 1)
 		statuses = append(statuses, status)
 		dial := func() {
-			client := agent.dialKept()
+			client, err := agenttest.ConnectClient(t, agent.addr)
+			if err != nil {
+				t.Error(err)
+				status <- 0
+				return
+			}
 			time.AfterFunc(time.Until(start.Add(moment.send)), func() {
 				send(client, timedRequest(timeoutMs, "x"))
 				status <- client.Status()
