--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -170,8 +170,8 @@
 	return response
 }
 
-// SendInBackground is Do in a goroutine of its own. The test has to wait for the response, which is the zero value after
-// an error; an error fails the test.
+// SendInBackground is Do in a goroutine of its own. An error fails the test, which has to wait for the response: the
+// zero value after an error.
 func SendInBackground(tb testing.TB, req *http.Request) <-chan Response {
 	tb.Helper()
 	responses := make(chan Response, 1)
--- a/internal/agent/agenttest/wait.go
+++ b/internal/agent/agenttest/wait.go
@@ -15,15 +15,18 @@
 // eventBuffer is how many events of one kind may wait for a test.
 const eventBuffer = 1000
 
+// pollInterval is how often a condition that is waited for is checked.
+const pollInterval = time.Millisecond
+
 // NotifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
 const NotifiedWithin = 6 * time.Second
 
 // WaitUntil waits for a condition.
-func WaitUntil(t *testing.T, what string, condition func() bool) {
-	t.Helper()
-	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
+func WaitUntil(tb testing.TB, what string, condition func() bool) {
+	tb.Helper()
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatal("the wait timed out: ", what)
+			tb.Fatal("the wait timed out: ", what)
 		}
 	}
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -287,7 +287,7 @@
 	release := takeAllSlots(t, agent)
 	agent.dialKept()
 	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
-	const timeout = 2 * time.Second
+	const timeout = 2 * time.Second // the connection waits for as long, so that nothing would be left of it
 	client := agent.dialKept()
 	time.Sleep(timeout)
 	release()
--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -133,8 +133,10 @@
 // What arrived before the reader's deadline is read, also where the process was delayed and checks only after it:
 // closing would lose a request that came in time.
 func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
-	const deadline = 50 * time.Millisecond
-	const processDelay = 2 * deadline
+	const (
+		deadline     = 50 * time.Millisecond
+		processDelay = 2 * deadline // until the reader checks: the deadline has passed by then
+	)
 	t.Run("a first request", func(t *testing.T) {
 		client, conn := clientPair(t)
 		setReadDeadline(t, conn, time.Now().Add(deadline))
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -52,7 +52,7 @@
 // While discovery is down the known list stays in force and the calls are few; when it is back the agent gets
 // what has changed.
 func TestDiscoveryOutage(t *testing.T) {
-	const requestInterval = 5 * time.Millisecond
+	const requestInterval = 5 * time.Millisecond // requests have to be served all the time, not as fast as possible
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
 	discovery := listing(t, first.Addr)
 	agent := startAgent(t, discovery, nil)
@@ -80,7 +80,7 @@
 func TestPushedChangesAreWatchedFor(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
 	discovery := listing(t, first.Addr)
-	agent := startAgent(t, discovery, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = "pushed" })
+	agent := startAgent(t, discovery, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed })
 	discovery.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
 	discovery.SetDown(true)
 	outage := discovery.CallCount()
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -36,11 +36,12 @@
 
 // sendZeros responds with zero bytes until the connection is closed.
 func sendZeros(conn net.Conn, _ *http.Request, _ int) bool {
+	const interval = time.Millisecond // leaves the processor to the other servers
 	for {
 		if _, err := conn.Write(make([]byte, 100)); err != nil {
 			return false
 		}
-		time.Sleep(time.Millisecond)
+		time.Sleep(interval)
 	}
 }
 
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -137,13 +137,10 @@
 // waitReady waits until the agent says that it is ready.
 func (agent *testAgent) waitReady() {
 	agent.tb.Helper()
-	for end := time.Now().Add(agenttest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	agenttest.WaitUntil(agent.tb, "the agent is ready", func() bool {
 		status, err := getStatus(agent.tb.Context(), agent.readyURL())
-		if err == nil && status == http.StatusOK {
-			return
-		}
-	}
-	agent.tb.Fatal("the agent is not ready")
+		return err == nil && status == http.StatusOK
+	})
 }
 
 // readyURL is where clients see whether the agent is ready.
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -13,7 +13,7 @@
 // A second response that comes some milliseconds late on a kept connection is dropped: the next request there
 // has its own.
 func TestSecondResponseIsNotTheNextRequests(t *testing.T) {
-	const lateBy = 5 * time.Millisecond
+	const lateBy = 5 * time.Millisecond // less than a connection rests
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if !agenttest.RespondOK(conn, req, n) {
 			return false
