--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -137,13 +137,10 @@
 // waitReady waits until the agent says that it is ready.
 func (agent *testAgent) waitReady() {
 	agent.tb.Helper()
-	for end := time.Now().Add(agenttest.Timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	agenttest.WaitUntil(agent.tb, "the agent is ready", func() bool {
 		status, err := getStatus(agent.tb.Context(), agent.readyURL())
-		if err == nil && status == http.StatusOK {
-			return
-		}
-	}
-	agent.tb.Fatal("the agent is not ready")
+		return err == nil && status == http.StatusOK
+	})
 }
 
 // readyURL is where clients see whether the agent is ready.
@@ -165,8 +162,8 @@
 	return agenttest.DialClient(agent.tb, agent.addr)
 }
 
-// do sends a request and returns the response's status, header and body.
-func (agent *testAgent) do(req *http.Request) (status int, header http.Header, body string) {
+// do sends a request and returns the response. It belongs to the goroutine of the test.
+func (agent *testAgent) do(req *http.Request) agenttest.Response {
 	agent.tb.Helper()
 	return agenttest.Send(agent.tb, req)
 }
@@ -174,7 +171,7 @@
 // wantOrderStatus sends a non-idempotent request and checks the response's status.
 func (agent *testAgent) wantOrderStatus(want int) {
 	agent.tb.Helper()
-	status, _, _ := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
+	status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 	if status != want {
 		agent.tb.Errorf("response %d, want %d", status, want)
 	}
