--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,11 +2,6 @@
 // and actions. All numbers are big-endian. It decides nothing.
 package wire
 
-import (
-	"encoding/binary"
-	"math"
-)
-
 // Sizes of records, in bytes.
 const (
 	EventSize    = 48
@@ -44,9 +39,3 @@
 	codeFail          = 90
 	codeLog           = 91
 )
-
-// getFloat64 reads a number from its first eight bytes.
-func getFloat64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
-
-// putFloat64 writes a number to the first eight bytes.
-func putFloat64(raw []byte, v float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(v)) }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,6 +7,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
+// watchStart is the value of a watch record that starts the watch.
+const watchStart = 1
+
 // Encoder builds one reply frame. The zero value is an empty reply.
 type Encoder struct {
 	count   uint32
@@ -21,22 +24,23 @@
 	e.tail = e.tail[:0]
 }
 
-// appendRecord appends a record of zeros with a code and an instance, and returns it.
-func (e *Encoder) appendRecord(code byte, instance uint32) []byte {
+// appendRecord appends a record of zeros with a code and an instance, and returns the writer of its
+// other fields.
+func (e *Encoder) appendRecord(code uint8, instance uint32) fieldWriter {
 	start := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
-	raw := e.records[start:]
-	raw[0] = code
-	binary.BigEndian.PutUint32(raw[1:], instance)
-	return raw
+	fields := fieldWriter{rest: e.records[start:]}
+	fields.uint8(code)
+	fields.uint32(instance)
+	return fields
 }
 
 // appendText appends a record with a text.
-func (e *Encoder) appendText(code byte, instance uint32, text string) {
-	raw := e.appendRecord(code, instance)
-	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
-	binary.BigEndian.PutUint32(raw[9:], uint32(len(text)))
+func (e *Encoder) appendText(code uint8, instance uint32, text string) {
+	fields := e.appendRecord(code, instance)
+	fields.uint32(uint32(len(e.tail)))
+	fields.uint32(uint32(len(text)))
 	e.tail = append(e.tail, text...)
 }
 
@@ -45,39 +49,38 @@
 
 // Add appends one action of an instance.
 func (e *Encoder) Add(instance uint32, a *balancer.Action) {
-	be := binary.BigEndian
 	switch a.Kind {
 	case balancer.ActionForward:
-		raw := e.appendRecord(codeForward, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		copy(raw[9:15], a.Server[:])
-		putFloat64(raw[15:], a.Ms)
+		fields := e.appendRecord(codeForward, instance)
+		fields.requestID(a.Request)
+		fields.address(a.Server)
+		fields.float64(a.Ms)
 	case balancer.ActionCancelAttempt:
-		raw := e.appendRecord(codeCancelAttempt, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		be.PutUint16(raw[9:], uint16(a.Attempt))
+		fields := e.appendRecord(codeCancelAttempt, instance)
+		fields.requestID(a.Request)
+		fields.uint16(uint16(a.Attempt))
 	case balancer.ActionReject:
-		raw := e.appendRecord(codeReject, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		putFloat64(raw[9:], a.Ms)
+		fields := e.appendRecord(codeReject, instance)
+		fields.requestID(a.Request)
+		fields.float64(a.Ms)
 	case balancer.ActionFail:
-		raw := e.appendRecord(codeFail, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
+		fields := e.appendRecord(codeFail, instance)
+		fields.requestID(a.Request)
 	case balancer.ActionHealthCheck:
-		raw := e.appendRecord(codeHealthCheck, instance)
-		copy(raw[5:11], a.Server[:])
+		fields := e.appendRecord(codeHealthCheck, instance)
+		fields.address(a.Server)
 	case balancer.ActionSetTimer:
-		raw := e.appendRecord(codeSetTimer, instance)
-		putFloat64(raw[5:], a.Ms)
-		be.PutUint32(raw[13:], a.Token)
+		fields := e.appendRecord(codeSetTimer, instance)
+		fields.float64(a.Ms)
+		fields.uint32(a.Token)
 	case balancer.ActionWatchList:
-		raw := e.appendRecord(codeWatchList, instance)
-		raw[5] = 1
+		fields := e.appendRecord(codeWatchList, instance)
+		fields.uint8(watchStart)
 	case balancer.ActionFetchList:
 		e.appendRecord(codeFetchList, instance)
 	case balancer.ActionCloseIdle:
-		raw := e.appendRecord(codeCloseIdle, instance)
-		copy(raw[5:11], a.Server[:])
+		fields := e.appendRecord(codeCloseIdle, instance)
+		fields.address(a.Server)
 	case balancer.ActionLog:
 		e.appendText(codeLog, instance, a.Text)
 	}
