--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -6,20 +6,38 @@
 	"math"
 	"strings"
 	"testing"
+
+	"fernbeam.example/fernbeam/internal/wire"
+)
+
+// Codes of records of the simulator's protocol.
+const (
+	requestCode  = 17
+	killedCode   = 21
+	bootCode     = 25
+	crashCode    = 87
+	setTimerCode = 88
 )
 
+// replyHeaderSize is the size of the header of a reply, in bytes.
+const replyHeaderSize = 8
+
+// bootSeed is the seed of the instances' random numbers.
+const bootSeed = 7
+
 // settings are valid settings.
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch makes a batch of records of 48 bytes, given by their first bytes, with a tail.
+// batch makes a batch of records, given by their first bytes, with a tail.
 func batch(clock float64, tail string, records ...[]byte) []byte {
+	const clockSize = 8
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
-	out = be.AppendUint32(out, uint32(8+48*len(records)+len(tail)))
+	out = be.AppendUint32(out, uint32(clockSize+wire.EventSize*len(records)+len(tail)))
 	out = be.AppendUint64(out, math.Float64bits(clock))
 	for _, r := range records {
-		out = append(out, append(r, make([]byte, 48-len(r))...)...)
+		out = append(out, append(r, make([]byte, wire.EventSize-len(r))...)...)
 	}
 	return append(out, tail...)
 }
@@ -27,24 +45,27 @@
 // bootRecord makes a record that starts an instance, whose settings are the first textLen bytes of the tail.
 func bootRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{25}, instance)
-	r = be.AppendUint64(r, 7)
-	r = be.AppendUint32(r, 0)
+	r := be.AppendUint32([]byte{bootCode}, instance)
+	r = be.AppendUint64(r, bootSeed)
+	r = be.AppendUint32(r, 0) // the offset in the tail
 	return be.AppendUint32(r, uint32(textLen))
 }
 
 // requestRecord makes a record of a request with 400 ms left.
 func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{17}, instance)
+	r := be.AppendUint32([]byte{requestCode}, instance)
 	r = be.AppendUint32(r, id)
-	r = append(r, make([]byte, 14)...)
+	r = append(r, make([]byte, 14)...) // class, tenant and key
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
 // killedRecord makes a record that ends an instance.
-func killedRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
+func killedRecord(instance uint32) []byte {
+	return binary.BigEndian.AppendUint32([]byte{killedCode}, instance)
+}
 
+// An instance may end and start again within a batch: it begins anew, and what comes between is ignored.
 func TestKillAndBootWithinBatch(t *testing.T) {
 	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
 	restart := batch(1005, settings,
@@ -59,24 +80,26 @@
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
-		if n != want || reply[8] != 88 {
-			t.Errorf("batch %d: %d actions, first of code %d; want %d timer", i, n, reply[8], want)
+		if n != want || reply[replyHeaderSize] != setTimerCode {
+			t.Errorf("batch %d: %d actions, first of code %d; want %d timer", i, n, reply[replyHeaderSize], want)
 		}
-		reply = reply[8+size:]
+		reply = reply[replyHeaderSize+size:]
 	}
 }
 
+// Settings that are not valid are reported as a crash of the instance, with the key that is wrong.
 func TestInvalidSettingsCrash(t *testing.T) {
 	bad := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
 		t.Fatal(err)
 	}
-	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
+	if reply := out.Bytes(); reply[replyHeaderSize] != crashCode || !strings.Contains(string(reply), "classes[0].effect") {
 		t.Errorf("reply %q does not report a crash that names the key", reply)
 	}
 }
 
+// Input that ends within a batch is an error of one line; between two batches it is the regular end.
 func TestTruncatedInput(t *testing.T) {
 	in := batch(1000, "", killedRecord(1))
 	for _, c := range []struct {
--- a/internal/balancer/parse_settings_test.go
+++ b/internal/balancer/parse_settings_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Unknown keys are ignored; text that is no JSON, or a value of a wrong type, is an error.
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(
 		`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -22,7 +22,7 @@
 
 // Class holds the rules of one class of requests.
 type Class struct {
-	// Name is another one for each class.
+	// Name is unique among the classes.
 	Name string `json:"name"`
 	// LatencyObjectiveMs is the response time from which a response earns only LateFraction.
 	LatencyObjectiveMs float64 `json:"aimMs"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// A request, a timer and a client that has left are decoded with all of their fields and the clock.
 func TestDecodeEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
@@ -68,6 +69,7 @@
 	}
 }
 
+// The ends of an attempt and of a health check are decoded with all of their fields.
 func TestDecodeAttemptAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
@@ -88,8 +90,7 @@
 	}
 }
 
-// TestEndpointTableIsReplacedWithinBatch: a table may be replaced within a batch; each event has the table of
-// its position.
+// An endpoint table may be replaced within a batch: each event has the table as it is at its position.
 func TestEndpointTableIsReplacedWithinBatch(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
@@ -114,6 +115,7 @@
 	}
 }
 
+// The start and the end of an instance are decoded, a start with its seed and settings.
 func TestDecodeBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
@@ -127,6 +129,7 @@
 	}
 }
 
+// Each kind of action is encoded as its record, and texts go into the tail.
 func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	s := balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
@@ -167,6 +170,7 @@
 	}
 }
 
+// A malformed frame gives an error that names the field.
 func TestMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
@@ -193,6 +197,7 @@
 	}
 }
 
+// No input makes the decoder panic, or allocate much more than the size of the input.
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(f, "00000000 00000008 40c06e2000000000"))
 	f.Add(frame(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
@@ -210,6 +215,7 @@
 	})
 }
 
+// The start of a streamed response, a failed call for the list and a peer's message are decoded.
 func TestDecodeStreamFailedListAndPeerMessage(t *testing.T) {
 	data := frame(t, `00000003 0000009a 40c06e2000000000
 		14 00000003 5d3a91c4 0a124a07 138b 4032800000000000 0001`+zeros(23)+`
