--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -65,8 +65,8 @@
 func (ss *slowStart) fraction(s *server) float64 {
 	contract := &ss.env.settings.Contract
 	ageMs := ss.env.now - s.startedAt
-	restartUnconfirmed := s.restartAssumed && ageMs > contract.PollWithinMs
-	if s.startedAt <= 0 || ageMs >= contract.SlowStartMs || restartUnconfirmed {
+	if s.startedAt <= 0 || ageMs >= contract.SlowStartMs ||
+		s.restartAssumed && ageMs > contract.PollWithinMs {
 		return 1
 	}
 	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(ageMs, 0)/contract.SlowStartMs
