--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -201,46 +201,50 @@
 // queued requests the one goes first whose class lost half of its clients before their responses,
 // whichever of the two classes that is.
 func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
-	firstServed := func(starved int) int {
-		settings := testSettings()
-		settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
-		h := newHarness(t, settings, 1)
-		for i := range 200 {
-			for class := range 2 {
-				h.now += 10
-				id, s := h.mustForward(class, 0)
-				if class == starved && i%2 == 0 {
-					h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
-					h.endAttempt(id, 0, s, balancer.StatusCancelled, 5)
-					continue
-				}
-				h.endAttempt(id, 0, s, balancer.StatusOK, 5)
-			}
-		}
-		var inFlight []balancer.RequestID
-		for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
-			id, _ := h.mustForward(1-starved, 0)
-			inFlight = append(inFlight, id)
+	for starved := range 2 {
+		if got := firstServedClass(t, starved); got != starved {
+			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
 		}
-		queued := [2]balancer.RequestID{}
+	}
+}
+
+// firstServedClass is the class of the queued request that is forwarded first, of one of each of two
+// classes, where half of the clients of the starved class left before their responses.
+func firstServedClass(t *testing.T, starved int) int {
+	t.Helper()
+	settings := testSettings()
+	settings.Objective = balancer.Objective{Total: 0.1, WorstClass: 0.9}
+	h := newHarness(t, settings, 1)
+	for i := range 200 {
 		for class := range 2 {
-			queued[class], _ = h.request(class, 0)
-		}
-		actions := h.endAttempt(inFlight[0], 0, serverAddress(0), balancer.StatusOK, 5)
-		a := findAction(actions, balancer.ActionForward)
-		for class, id := range queued {
-			if a != nil && a.Request == id {
-				return class
+			h.now += 10
+			id, s := h.mustForward(class, 0)
+			if class == starved && i%2 == 0 {
+				h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
+				h.endAttempt(id, 0, s, balancer.StatusCancelled, 5)
+				continue
 			}
+			h.endAttempt(id, 0, s, balancer.StatusOK, 5)
 		}
-		t.Fatalf("starved %d: capacity went to %+v, not to a queued request", starved, a)
-		return -1
 	}
-	for starved := range 2 {
-		if got := firstServed(starved); got != starved {
-			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
+	var inFlight []balancer.RequestID
+	for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
+		id, _ := h.mustForward(1-starved, 0)
+		inFlight = append(inFlight, id)
+	}
+	queued := [2]balancer.RequestID{}
+	for class := range 2 {
+		queued[class], _ = h.request(class, 0)
+	}
+	actions := h.endAttempt(inFlight[0], 0, serverAddress(0), balancer.StatusOK, 5)
+	a := findAction(actions, balancer.ActionForward)
+	for class, id := range queued {
+		if a != nil && a.Request == id {
+			return class
 		}
 	}
+	t.Fatalf("starved %d: capacity went to %+v, not to a queued request", starved, a)
+	return -1
 }
 
 // A request with a key that comes before any endpoint list waits for one, as others do.
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -16,18 +16,18 @@
 // referenceChoose selects a server as serverSelector.choose does.
 func (b *Balancer) referenceChoose(r *request) *server {
 	for t := range tierCount {
-		for _, skipCooldown := range []bool{true, false} {
-			if s, found := b.referenceChooseInTier(r, t, skipCooldown); found {
-				return s
+		for _, set := range []candidateSet{notInCooldown, allCandidates} {
+			if c := b.referenceChooseInTier(r, t, set); c.hasCandidates {
+				return c.server
 			}
 		}
 	}
 	return nil
 }
 
-// referenceChooseInTier selects a server of one tier, of those not in cooldown or of all; found
-// tells whether there is any to choose from, and with skipCooldown also that most are not in cooldown.
-func (b *Balancer) referenceChooseInTier(r *request, t tier, skipCooldown bool) (best *server, found bool) {
+// referenceChooseInTier selects a server of one tier, of those in the set. Where most servers of the tier are
+// in cooldown, the set of the others has no candidates.
+func (b *Balancer) referenceChooseInTier(r *request, t tier, set candidateSet) choice {
 	waits := r.waitsForKey(b.now)
 	var candidates []*server
 	var preferred [preferredServers]*server
@@ -38,7 +38,7 @@
 			continue
 		}
 		r.tierWeight += s.weight * b.slowStart.fraction(s)
-		if skipCooldown && b.now < s.cooldownUntil {
+		if set == notInCooldown && b.now < s.cooldownUntil {
 			cooldownWeight += s.weight * b.slowStart.fraction(s)
 			continue
 		}
@@ -49,20 +49,24 @@
 		candidates = append(candidates, s)
 		referenceInsert(&preferred, s)
 	}
-	if r.tierWeight == 0 || skipCooldown && (len(candidates) == 0 || cooldownWeight > r.tierWeight/2) {
-		return nil, false
+	if r.tierWeight == 0 {
+		return choice{}
+	}
+	if set == notInCooldown && (len(candidates) == 0 || cooldownWeight > r.tierWeight/2) {
+		return choice{}
 	}
 	if waits && len(candidates) > preferredServers {
 		r.preferred = preferred
 		r.preferredEpoch = b.endpoints.epoch
 		candidates = preferred[:]
 	}
+	var best *server
 	for _, s := range candidates {
 		if (best == nil || s.score < best.score) && b.selector.accepts(s, r) {
 			best = s
 		}
 	}
-	return best, true
+	return choice{server: best, hasCandidates: true}
 }
 
 // referenceInsert puts a server among the preferred ones, if it is one of them.
