--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -104,7 +104,7 @@
 		s.lastResponseAt = b.now
 	case balancer.StatusError, balancer.StatusReset:
 		s.lastResponseAt = b.now
-		b.outliers.eject(s, failed)
+		b.outliers.eject(s, failedAttempt)
 	case balancer.StatusConnectFailed:
 		b.outliers.recordUnreachable(s)
 	case balancer.StatusTimeout:
@@ -133,7 +133,7 @@
 		b.concurrency.recordLoad(a, overloaded)
 		return
 	}
-	b.outliers.eject(s, unresponsive)
+	b.outliers.eject(s, noResponse)
 }
 
 // responseWasLost tells whether an attempt timed out because its response was lost on its way, which
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -69,8 +69,8 @@
 		h.endpoints.setHealth(s, balancer.Connected)
 	case balancer.StatusOverloaded: // it serves, but not now: it stays as it is
 	case balancer.StatusError, balancer.StatusReset:
-		h.outliers.eject(s, failed)
+		h.outliers.eject(s, failedAttempt)
 	default:
-		h.outliers.eject(s, unresponsive)
+		h.outliers.eject(s, noResponse)
 	}
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -34,8 +34,8 @@
 
 // The causes of an ejection.
 const (
-	failed       ejectionCause = iota // it responded with an error, or the connection was lost
-	unresponsive                      // it did not respond, or no connection to it was made
+	failedAttempt ejectionCause = iota // it responded with an error, or the connection was lost
+	noResponse                         // it did not respond, or no connection to it was made
 )
 
 // outlierDetector ejects servers that keep failing or do not respond.
@@ -88,7 +88,7 @@
 	if s.health != balancer.Unhealthy {
 		s.ejectionLevel = min(s.ejectionLevel+1, maxEjectionLevel)
 		o.endpoints.setHealth(s, balancer.Unhealthy)
-		s.unresponsive = cause == unresponsive
+		s.unresponsive = cause == noResponse
 		s.successes = 0
 		s.forgetLatency()
 		if s.unresponsive { // a failure with a response is no sign of overload
@@ -109,14 +109,14 @@
 		inFlight := min(len(s.inFlight), unresponsiveAttempts)
 		silenceLimitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
 		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= silenceLimitMs {
-			o.eject(s, unresponsive)
+			o.eject(s, noResponse)
 		}
 	}
 }
 
 // recordUnreachable ejects a server to which a connect failed.
 func (o *outlierDetector) recordUnreachable(s *server) {
-	o.eject(s, unresponsive)
+	o.eject(s, noResponse)
 	if s.unreachableSince == 0 {
 		s.unreachableSince = o.env.now
 	}
