--- a/internal/balancer/stats.go
+++ b/internal/balancer/stats.go
@@ -8,5 +8,5 @@
 	ServerLimits       float64 // sum of the servers' concurrency limits, in attempts
 	Shed               float64 // part of arriving requests that is rejected at once
 	ConcurrencyLimit   float64 // attempts that may be in flight at all servers
-	OverloadedFraction float64 // part of the responses of late that came from overloaded servers
+	OverloadedFraction float64 // part of the recent responses that came from overloaded servers
 }
