--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -86,24 +86,27 @@
 	Log *slog.Logger `json:"-"`
 }
 
-// Parse reads the section "fleet" of the agent's configuration; the error names an unknown key or an invalid value.
+// Parse reads the section "fleet" of the agent's configuration. Its error is a *KeyError.
 func Parse(section json.RawMessage) (*Config, error) {
 	c := new(Config)
 	decoder := json.NewDecoder(bytes.NewReader(section))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(c); err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, decodeError(err)
 	}
-	return c, c.complete()
+	if err := c.complete(); err != nil {
+		return nil, err
+	}
+	return c, nil
 }
 
-// checkAgent checks what comes from the agent and not from the section.
+// checkAgent checks what comes from the agent and not from the section; its error is a *KeyError.
 func (c *Config) checkAgent() error {
 	if !isValidName(c.Name) {
-		return fmt.Errorf("fleet: name %q: must have 1 to %d bytes and neither / nor @", c.Name, maxNameBytes)
+		return invalid("name", "must have 1 to %d bytes and neither / nor @, is %q", maxNameBytes, c.Name)
 	}
 	if c.Size < 1 {
-		return fmt.Errorf("fleet: the size of the fleet must be 1 at least, is %d", c.Size)
+		return invalid("settings.replicasOfMe", "must be 1 at least, is %d", c.Size)
 	}
 	return nil
 }
@@ -115,7 +118,7 @@
 	return c.Clock
 }
 
-// complete sets the defaults and checks the section's values.
+// complete sets the defaults and checks the section's values; its error is a *KeyError.
 func (c *Config) complete() error {
 	if c.Advertise == "" {
 		c.Advertise = c.Bind
@@ -124,14 +127,14 @@
 		return err
 	}
 	if c.Site == "" || len(c.Site) > maxLabelBytes {
-		return fmt.Errorf("fleet: site: must have 1 to %d bytes, has %d", maxLabelBytes, len(c.Site))
+		return invalid("site", "must have 1 to %d bytes, has %d", maxLabelBytes, len(c.Site))
 	}
 	if len(c.Zone) > maxLabelBytes {
-		return fmt.Errorf("fleet: zone: may have %d bytes, has %d", maxLabelBytes, len(c.Zone))
+		return invalid("zone", "may have %d bytes, has %d", maxLabelBytes, len(c.Zone))
 	}
 	for i, network := range c.Networks {
 		if _, _, err := net.ParseCIDR(network); err != nil {
-			return fmt.Errorf("fleet: networks[%d]: %q is no CIDR", i, network)
+			return invalid(fmt.Sprintf("networks[%d]", i), "%q is no CIDR", network)
 		}
 	}
 	return c.completeTimes()
@@ -157,7 +160,7 @@
 func checkAddrPort(key, value string) error {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		return fmt.Errorf("fleet: %s: %q is no IP:port of one machine", key, value)
+		return invalid(key, "%q is no IP:port of one machine", value)
 	}
 	return nil
 }
@@ -176,7 +179,7 @@
 		*k.value = k.fallback
 	}
 	if *k.value < k.min || *k.value > k.max {
-		return fmt.Errorf("fleet: %s: must be from %d to %d, is %d", k.key, k.min, k.max, *k.value)
+		return invalid(k.key, "must be from %d to %d, is %d", k.min, k.max, *k.value)
 	}
 	return nil
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"hash/crc32"
 	"math/rand/v2"
 	"strings"
@@ -10,10 +11,14 @@
 	"time"
 )
 
-// An error about the section names the key.
+// An error about the section is one line, and names the key.
 func TestParseErrorsNameTheKey(t *testing.T) {
 	good := `{"bind":"127.0.0.1:7","site":"s"`
 	for section, key := range map[string]string{
+		`[]`:                                                "",
+		`{"bind":`:                                          "",
+		good + `,"probe\"\n":1}`:                            `probe\"\n`,
+		good + `,"seeds":[7]}`:                              "seeds",
 		`{"site":"s"}`:                                      "bind",
 		`{"bind":"0.0.0.0:7","site":"s"}`:                   "bind",
 		`{"bind":"127.0.0.1:7"}`:                            "site",
@@ -26,8 +31,14 @@
 		good + `,"settle_ms":"two seconds"}`:                "settle_ms",
 		good + `,"zone":"` + strings.Repeat("z", 65) + `"}`: "zone",
 	} {
-		if _, err := Parse(json.RawMessage(section)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name %s", section, err, key)
+		_, err := Parse(json.RawMessage(section))
+		var keyError *KeyError
+		if !errors.As(err, &keyError) || keyError.Key != key {
+			t.Errorf("%s: error %v does not name %q", section, err, key)
+			continue
+		}
+		if text := err.Error(); !strings.Contains(text, key) || strings.Contains(text, "\n") {
+			t.Errorf("%s: error %q is not a line that names %q", section, text, key)
 		}
 	}
 	if c, err := Parse(json.RawMessage(good + "}")); err != nil || c.ProbeIntervalMs != 1000 || c.Advertise != c.Bind {
