--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -6,14 +6,7 @@
 	"errors"
 	"fmt"
 	"net"
-	"os"
-	"path/filepath"
 	"strconv"
-
-	"fernbeam.example/fernbeam/internal/agent/config"
-	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/experiment"
-	"fernbeam.example/fernbeam/internal/membership"
 )
 
 // The ports of an agent, on an address of its own. They are below those that the system selects for
@@ -24,13 +17,6 @@
 	membershipPort = 19998
 )
 
-const (
-	// seedFactor keeps the agents' seeds of different plan seeds apart.
-	seedFactor = 100_000
-	// agentConfigMode is the mode of a real agent's configuration file.
-	agentConfigMode = 0o600
-)
-
 // member is one agent of a fleet.
 type member struct {
 	name    string
@@ -51,121 +37,6 @@
 // address is the member's address with a port.
 func (m *member) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
-// createMembers creates the members with their configurations. The first are hollow, and the first
-// minHollowAgents of these are the seeds of membership.
-func (f *fleet) createMembers(hollow int) error {
-	var seeds []string
-	var views []membership.Config
-	for i := range f.size {
-		zone := i % len(zoneNames)
-		m := &member{
-			name:  fmt.Sprintf("%s-a%04d", zoneNames[zone], i),
-			index: i,
-			zone:  zone,
-			ip:    f.address(agentAddress, i),
-		}
-		if i < hollow {
-			m.host = f.hosts[i%len(f.hosts)]
-		}
-		view, err := f.membershipConfig(m)
-		if err != nil {
-			return err
-		}
-		if i < minHollowAgents {
-			seeds = append(seeds, view.Advertise)
-		}
-		f.members = append(f.members, m)
-		views = append(views, view)
-	}
-	f.assignServices()
-	for i, m := range f.members {
-		views[i].Seeds = seeds
-		if err := f.configure(m, views[i]); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// membershipConfig is a member's membership without its seeds. With a packet relay, the member has the
-// address that the relay gives it.
-func (f *fleet) membershipConfig(m *member) (membership.Config, error) {
-	view := membership.Config{
-		Bind:      m.address(membershipPort),
-		Advertise: m.address(membershipPort),
-		Site:      "scale",
-		Zone:      zoneNames[m.zone],
-		Networks:  []string{"127.0.0.0/8"},
-	}
-	if f.packetRelay == nil {
-		return view, nil
-	}
-	var err error
-	view.Bind, view.Advertise, err = f.packetRelay.Add(m.name)
-	if err != nil {
-		return view, err
-	}
-	m.ip, _, err = net.SplitHostPort(view.Bind)
-	return view, err
-}
-
-// deployment is the scenario whose settings the agents have.
-func deployment() *experiment.Scenario {
-	s := experiment.Default()
-	s.Fleet.Zones = zoneNames
-	return s
-}
-
-// configure makes a member's configuration, and for a real agent its file.
-func (f *fleet) configure(m *member, view membership.Config) error {
-	s := deployment()
-	file := map[string]any{
-		"name":       m.name,
-		"listen":     m.address(clientPort),
-		"management": m.address(adminPort),
-		"discovery":  f.discovery.Addr(f.discoveryInstance(m), "http"),
-		"seed":       strconv.FormatUint(f.plan.Seed*seedFactor+uint64(m.index), 16),
-		"limits":     s.Limits(),
-		"known":      endpoint.List{Full: true, Servers: []endpoint.Endpoint{}},
-		"fleet":      view,
-		"settings":   s.Settings(m.index, m.zone, f.size),
-	}
-	if m.service != "" {
-		file["control"] = config.Control{Service: m.service, Addresses: f.discoveryAddresses()}
-	}
-	var err error
-	m.config, err = json.Marshal(file)
-	if err != nil || m.hollow() {
-		return err
-	}
-	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, agentConfigMode)
-}
-
-// discoveryInstance is the instance that a member's "discovery" names: those of its region in turn.
-func (f *fleet) discoveryInstance(m *member) string {
-	names := f.instancesByRegion()[regionOf(m.zone)]
-	return names[m.index/len(zoneNames)%len(names)]
-}
-
-// instancesByRegion are the discovery instances of each region.
-func (f *fleet) instancesByRegion() [][]string {
-	instances := make([][]string, len(regionNames))
-	for i, name := range f.discovery.Names() {
-		region := i % len(regionNames)
-		instances[region] = append(instances[region], name)
-	}
-	return instances
-}
-
-// discoveryAddresses are those of all discovery instances, host:port.
-func (f *fleet) discoveryAddresses() []string {
-	var addresses []string
-	for _, name := range f.discovery.Names() {
-		addresses = append(addresses, f.discovery.Addr(name, "http"))
-	}
-	return addresses
-}
-
 // startMember starts a member that does not run.
 func (f *fleet) startMember(ctx context.Context, m *member) error {
 	var err error
