--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -16,11 +16,20 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // waitTimeout bounds every wait of the tests; each needs a fraction of it.
 const waitTimeout = 3 * time.Minute
 
+const (
+	// agentCores is an agent's part of the machine, defaultMaxAttempts its number of attempts for a request.
+	agentCores         = 0.2
+	defaultMaxAttempts = 3
+)
+
+// settings are an agent's settings, for a number of agents and of attempts.
 const settings = `{
 "classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
 "contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":%d,
@@ -148,29 +157,42 @@
 // adminAddress is the address of an agent's admin endpoint.
 func (c *configurations) adminAddress(i int) string { return c.address(i, c.port-1) }
 
+// configuration is an agent's configuration, with settings by which discovery pushes lists to it.
+type configuration struct {
+	Name         string                  `json:"name"`
+	Listen       string                  `json:"listen"`
+	AdminAddress string                  `json:"management,omitempty"`
+	Discovery    string                  `json:"discovery"`
+	Seed         string                  `json:"seed"`
+	Limits       processtest.AgentLimits `json:"limits"`
+	Known        processtest.AgentList   `json:"known"`
+	Membership   *membership.Config      `json:"fleet,omitempty"` // nil: it takes no part in the membership
+	Settings     json.RawMessage         `json:"settings"`
+}
+
 // config is the configuration of an agent.
-func (c *configurations) config(i int) map[string]any { return c.configWith(i, 3) }
+func (c *configurations) config(i int) configuration { return c.configWith(i, defaultMaxAttempts) }
 
 // configWith is the configuration of an agent with a bound on attempts.
-func (c *configurations) configWith(i, maxAttempts int) map[string]any {
-	return map[string]any{
-		"name":       fmt.Sprintf("a%d", i),
-		"listen":     c.address(i, 8000),
-		"management": c.adminAddress(i),
-		"discovery":  c.discovery,
-		"seed":       "1",
-		"limits":     map[string]any{"cores": 0.2, "memory_mb": 64, "sockets": 256},
-		"known":      map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"fleet": map[string]any{
-			"bind":               c.address(i, c.port),
-			"seeds":              []string{c.address(0, c.port), c.address(1, c.port)},
-			"site":               "test",
-			"probe_interval_ms":  500,
-			"suspect_timeout_ms": 10_000,
-			"settle_ms":          500,
-			"reconnect_ms":       1000,
+func (c *configurations) configWith(i, maxAttempts int) configuration {
+	return configuration{
+		Name:         fmt.Sprintf("a%d", i),
+		Listen:       c.address(i, clientPort),
+		AdminAddress: c.adminAddress(i),
+		Discovery:    c.discovery,
+		Seed:         "1",
+		Limits:       processtest.LimitsOf(agentCores),
+		Known:        processtest.AgentList{Full: true},
+		Membership: &membership.Config{
+			Bind:             c.address(i, c.port),
+			Seeds:            []string{c.address(0, c.port), c.address(1, c.port)},
+			Site:             "test",
+			ProbeIntervalMs:  500,
+			SuspectTimeoutMs: 10_000,
+			SettleMs:         500,
+			ReconnectMs:      1000,
 		},
-		"settings": json.RawMessage(fmt.Sprintf(settings, c.size, maxAttempts)),
+		Settings: json.RawMessage(fmt.Sprintf(settings, c.size, maxAttempts)),
 	}
 }
 
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -205,10 +205,10 @@
 	host.command("start", "a0", configs.config(0))
 	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
 	bad := configs.config(1)
-	bad["seed"] = "none"
+	bad.Seed = "none"
 	bare := configs.config(0)
-	delete(bare, "management")
-	config := func(c map[string]any) string { return string(marshal(t, c)) }
+	bare.AdminAddress = ""
+	config := func(c configuration) string { return string(marshal(t, c)) }
 	for command, want := range map[string]string{
 		`{"do":`:                       "command: unexpected EOF",
 		`{"do":"dance","agent":"a0"}`:  `command: do: "dance" is none`,
@@ -241,7 +241,7 @@
 	}
 	// An address in use is no invalid command: the agent ends.
 	taken := configs.config(1)
-	taken["management"] = configs.adminAddress(0)
+	taken.AdminAddress = configs.adminAddress(0)
 	host.command("start", "a1", taken)
 	if event := host.ended("a1"); !strings.Contains(event.Err, "address already in use") {
 		t.Errorf("event %+v", event)
@@ -264,9 +264,9 @@
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
 	configs := newConfigurations(t, newSilentDiscovery(t), 2)
 	config := configs.config(1)
-	delete(config, "fleet")
+	config.Membership = nil
 	program := programDiscoveryBytes(t, config)
-	config["management"], config["listen"] = configs.adminAddress(0), configs.address(0, 8000)
+	config.AdminAddress, config.Listen = configs.adminAddress(0), configs.address(0, clientPort)
 	hollow := hollowDiscoveryBytes(t, config)
 	compared := 0
 	for calls, p := range program {
@@ -305,7 +305,7 @@
 
 // programDiscoveryBytes runs the program with a configuration until it has made comparedCalls calls, and returns the
 // bytes that it logged, by the number of calls.
-func programDiscoveryBytes(t *testing.T, config map[string]any) map[uint64]discoveryBytes {
+func programDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
 	t.Helper()
 	log := startProgram(t, config)
 	read := make(chan map[uint64]discoveryBytes, 1)
@@ -323,7 +323,7 @@
 }
 
 // startProgram builds and starts the program with a configuration and returns its log. The test's end kills it.
-func startProgram(t *testing.T, config map[string]any) io.Reader {
+func startProgram(t *testing.T, config configuration) io.Reader {
 	t.Helper()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "agent")
@@ -373,7 +373,7 @@
 
 // hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls, and returns the
 // bytes that it reported, by the number of calls.
-func hollowDiscoveryBytes(t *testing.T, config map[string]any) map[uint64]discoveryBytes {
+func hollowDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
 	t.Helper()
 	host := startHostClient(t)
 	host.command("start", "a1", config)
--- a/internal/scaletest/memberconfig.go
+++ b/internal/scaletest/memberconfig.go
@@ -86,31 +86,50 @@
 	return s
 }
 
+// agentConfig is an agent's configuration file (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
+type agentConfig struct {
+	Name           string                   `json:"name"`
+	Listen         string                   `json:"listen"`
+	AdminAddress   string                   `json:"management"`
+	Discovery      string                   `json:"discovery"`
+	Seed           string                   `json:"seed"` // hexadecimal
+	Limits         experiment.AgentLimits   `json:"limits"`
+	KnownEndpoints endpoint.List            `json:"known"`
+	Membership     membership.Config        `json:"fleet"`
+	Settings       experiment.AgentSettings `json:"settings"`
+	Control        *config.Control          `json:"control,omitempty"` // nil: discovery has no settings for it
+}
+
 // configure makes a member's configuration, and for a real agent its file.
 func (f *fleet) configure(m *member, view membership.Config) error {
-	s := deployment()
-	file := map[string]any{
-		"name":       m.name,
-		"listen":     m.address(clientPort),
-		"management": m.address(adminPort),
-		"discovery":  f.discovery.Addr(f.discoveryInstance(m), "http"),
-		"seed":       strconv.FormatUint(f.plan.Seed*seedFactor+uint64(m.index), 16),
-		"limits":     s.Limits(),
-		"known":      endpoint.List{Full: true, Servers: []endpoint.Endpoint{}},
-		"fleet":      view,
-		"settings":   s.Settings(m.index, m.zone, f.size),
-	}
-	if m.service != "" {
-		file["control"] = config.Control{Service: m.service, Addresses: f.discoveryAddresses()}
-	}
 	var err error
-	m.config, err = json.Marshal(file)
+	m.config, err = json.Marshal(f.agentConfig(m, view))
 	if err != nil || m.hollow() {
 		return err
 	}
 	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, agentConfigMode)
 }
 
+// agentConfig is a member's configuration.
+func (f *fleet) agentConfig(m *member, view membership.Config) agentConfig {
+	s := deployment()
+	c := agentConfig{
+		Name:           m.name,
+		Listen:         m.address(clientPort),
+		AdminAddress:   m.address(adminPort),
+		Discovery:      f.discovery.Addr(f.discoveryInstance(m), "http"),
+		Seed:           strconv.FormatUint(f.plan.Seed*seedFactor+uint64(m.index), 16),
+		Limits:         s.Limits(),
+		KnownEndpoints: endpoint.List{Full: true, Servers: []endpoint.Endpoint{}},
+		Membership:     view,
+		Settings:       s.Settings(m.index, m.zone, f.size),
+	}
+	if m.service != "" {
+		c.Control = &config.Control{Service: m.service, Addresses: f.discoveryAddresses()}
+	}
+	return c
+}
+
 // discoveryInstance is the instance that a member's "discovery" names: those of its region in turn.
 func (f *fleet) discoveryInstance(m *member) string {
 	names := f.instancesByRegion()[regionOf(m.zone)]
