--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -92,10 +92,11 @@
 		closed:        make(chan struct{}),
 		stopped:       make(chan struct{}),
 	}
-	var err error
-	if e.networkReservation, e.network, err = faultproxy.ReserveNetwork(); err != nil {
+	network, err := faultproxy.ReserveNetwork()
+	if err != nil {
 		return nil, err
 	}
+	e.networkReservation, e.network = network.Reservation, network.Number
 	for _, class := range config.Classes {
 		e.meanWorkSeconds += class.Share * class.Work.Seconds()
 	}
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -21,24 +21,14 @@
 const (
 	// processPort is the port of every process and relay; their addresses differ.
 	processPort = 19998
-	// reservationPort is the port by which a network of addresses is reserved.
-	reservationPort = 19999
 	// maxProcesses bounds the number of processes, addressesPerNet that of processes with the same third byte.
 	maxProcesses    = 50_000
 	addressesPerNet = 250
-	// firstNetwork and endNetwork bound the second byte of the addresses.
-	firstNetwork = 10
-	endNetwork   = 250
-	// networksPerProxy is the number of networks that a proxy takes: one for the processes, one for their relays.
-	networksPerProxy = 2
 	// receiveBufferBytes is the size of a relay's receive buffer.
 	receiveBufferBytes = 4 << 20
 )
 
-var (
-	errNoNetwork        = errors.New("faultproxy: no network of loopback addresses is free")
-	errTooManyProcesses = errors.New("faultproxy: too many processes")
-)
+var errTooManyProcesses = errors.New("faultproxy: too many processes")
 
 // Counts counts what a proxy has relayed and dropped.
 type Counts struct {
@@ -51,9 +41,8 @@
 
 // Proxy is a relay for each of its processes. Its methods are safe for concurrent use.
 type Proxy struct {
-	seed        uint64
-	network     byte // second byte of the addresses, so that two proxies share none
-	reservation net.Listener
+	seed    uint64
+	network Network
 
 	mu          sync.Mutex
 	relays      map[string]*relay // by the process's name
@@ -84,14 +73,13 @@
 // New returns a proxy without processes. It reserves a network of addresses, so that proxies of several programs can
 // exist at once.
 func New(seed uint64) (*Proxy, error) {
-	reservation, network, err := ReserveNetwork()
+	network, err := ReserveNetwork()
 	if err != nil {
 		return nil, err
 	}
 	return &Proxy{
 		seed:        seed,
 		network:     network,
-		reservation: reservation,
 		relays:      map[string]*relay{},
 		byProcessIP: map[netip.Addr]*relay{},
 		rules:       map[pair]Rule{},
@@ -102,29 +90,22 @@
 	}, nil
 }
 
-// ReserveNetwork reserves a network of loopback addresses that no other proxy or emulator on this machine has: 127.n
-// and 127.n+1. It is the caller's until the reservation is closed.
-func ReserveNetwork() (reservation net.Listener, n byte, err error) {
-	for n := byte(firstNetwork); n < endNetwork; n += networksPerProxy {
-		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 254}), reservationPort)
-		if reservation, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address)); err == nil {
-			return reservation, n, nil
-		}
-	}
-	return nil, 0, errNoNetwork
+// Addresses are the addresses of a process, IP:port, for UDP and TCP.
+type Addresses struct {
+	Bind      string // at which the process has to listen, and from which it has to connect
+	Advertise string // that of its relay, by which the others reach it
 }
 
-// Add starts the relay of one more process. bind is the address at which the process has to listen, and from which it
-// has to connect (UDP and TCP); advertise is the address by which the others reach it.
-func (p *Proxy) Add(name string) (bind, advertise string, err error) {
+// AddProcess starts the relay of one more process.
+func (p *Proxy) AddProcess(name string) (Addresses, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.relays[name] != nil {
-		return "", "", fmt.Errorf("faultproxy: %q exists already", name)
+		return Addresses{}, fmt.Errorf("faultproxy: %q exists already", name)
 	}
 	r, err := p.newRelay(name, len(p.relays)+1)
 	if err != nil {
-		return "", "", err
+		return Addresses{}, err
 	}
 	p.relays[name] = r
 	p.byProcessIP[r.processAddr.Addr()] = r
@@ -132,7 +113,13 @@
 	go p.relayPackets(r)
 	p.wg.Add(1)
 	go p.relayStreams(r)
-	return r.processAddr.String(), r.relayAddr.String(), nil
+	return Addresses{Bind: r.processAddr.String(), Advertise: r.relayAddr.String()}, nil
+}
+
+// Add is AddProcess with the addresses one by one.
+func (p *Proxy) Add(name string) (bind, advertise string, err error) {
+	addresses, err := p.AddProcess(name)
+	return addresses.Bind, addresses.Advertise, err
 }
 
 // newRelay opens the sockets of the relay of a process. number counts the processes from 1.
@@ -141,8 +128,8 @@
 		return nil, errTooManyProcesses
 	}
 	high, low := byte(number/addressesPerNet), byte(number%addressesPerNet+1)
-	processIP := netip.AddrFrom4([4]byte{127, p.network, high, low})
-	relayIP := netip.AddrFrom4([4]byte{127, p.network + 1, high, low})
+	processIP := netip.AddrFrom4([4]byte{127, p.network.Number, high, low})
+	relayIP := netip.AddrFrom4([4]byte{127, p.network.Number + 1, high, low})
 	r := &relay{
 		name:        name,
 		processAddr: netip.AddrPortFrom(processIP, processPort),
@@ -180,7 +167,7 @@
 	}
 	p.mu.Unlock()
 	p.wg.Wait()
-	_ = p.reservation.Close() // it accepts nothing
+	_ = p.network.Reservation.Close() // it accepts nothing
 }
 
 // senderOf returns the name of the process with an address, or "".
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -25,25 +25,26 @@
 
 // testProcess is a process that listens at the address that a proxy assigns to it.
 type testProcess struct {
-	t               *testing.T
-	bind, advertise string
-	udp             *net.UDPConn
-	tcp             net.Listener
+	t         *testing.T
+	addresses Addresses
+	udp       *net.UDPConn
+	tcp       net.Listener
 }
 
 // startProcess adds a process to a proxy. It ends with the test.
 func startProcess(t *testing.T, p *Proxy, name string) *testProcess {
 	t.Helper()
-	bind, advertise, err := p.Add(name)
+	addresses, err := p.AddProcess(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	process := &testProcess{t: t, bind: bind, advertise: advertise}
-	if process.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind))); err != nil {
+	process := &testProcess{t: t, addresses: addresses}
+	bind := netip.MustParseAddrPort(addresses.Bind)
+	if process.udp, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(bind)); err != nil {
 		t.Fatal(err)
 	}
 	var config net.ListenConfig
-	if process.tcp, err = config.Listen(t.Context(), "tcp4", bind); err != nil {
+	if process.tcp, err = config.Listen(t.Context(), "tcp4", addresses.Bind); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(process.close)
@@ -63,7 +64,8 @@
 // send sends a packet to another process.
 func (process *testProcess) send(to *testProcess, text string) {
 	process.t.Helper()
-	if _, err := process.udp.WriteToUDPAddrPort([]byte(text), netip.MustParseAddrPort(to.advertise)); err != nil {
+	addr := netip.MustParseAddrPort(to.addresses.Advertise)
+	if _, err := process.udp.WriteToUDPAddrPort([]byte(text), addr); err != nil {
 		process.t.Error(err)
 	}
 }
@@ -71,9 +73,9 @@
 // dial connects to another process.
 func (process *testProcess) dial(to *testProcess) (net.Conn, error) {
 	process.t.Helper()
-	local := netip.AddrPortFrom(netip.MustParseAddrPort(process.bind).Addr(), 0)
+	local := netip.AddrPortFrom(netip.MustParseAddrPort(process.addresses.Bind).Addr(), 0)
 	dialer := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(local), Timeout: testTimeout}
-	return dialer.DialContext(process.t.Context(), "tcp4", to.advertise)
+	return dialer.DialContext(process.t.Context(), "tcp4", to.addresses.Advertise)
 }
 
 // receiveUntilEnd reads packets up to one with the text "end", which has to come.
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -51,10 +51,10 @@
 func forgedTraffic(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	victim := h.Names[0]
 	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedSequence))
-	if err := sendForgedPackets(ctx, h.relays[victim].bind, random); err != nil {
+	if err := sendForgedPackets(ctx, h.addresses[victim].Bind, random); err != nil {
 		return nil, err
 	}
-	if err := sendForgedStreams(ctx, h.relays[victim].bind, random); err != nil {
+	if err := sendForgedStreams(ctx, h.addresses[victim].Bind, random); err != nil {
 		return nil, err
 	}
 	var dropped uint64
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -60,7 +60,7 @@
 	Proxy     *faultproxy.Proxy
 	processes *processtest.Cluster
 	Names     []string
-	relays    map[string]relayAddrs // by agent
+	addresses map[string]faultproxy.Addresses // by agent
 	discovery *http.Server
 	random    *rand.Rand
 
@@ -71,11 +71,6 @@
 	records    map[string]*Record // by the observer's process
 }
 
-// relayAddrs are an agent's own address and the one that the others use.
-type relayAddrs struct {
-	bind, advertise string
-}
-
 // UpgradeName is the name of the second process of an agent, beside the first.
 func UpgradeName(name string) string { return name + upgradeSuffix }
 
@@ -94,7 +89,7 @@
 	h := &Harness{
 		cfg:        cfg,
 		Proxy:      proxy,
-		relays:     map[string]relayAddrs{},
+		addresses:  map[string]faultproxy.Addresses{},
 		random:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 		identities: map[incarnationKey]identity{},
 		records:    map[string]*Record{},
@@ -141,12 +136,12 @@
 func (h *Harness) addRelays() error {
 	for i := range h.cfg.Agents {
 		name := fmt.Sprintf("a%03d", i)
-		bind, advertise, err := h.Proxy.Add(name)
+		addresses, err := h.Proxy.AddProcess(name)
 		if err != nil {
 			return err
 		}
 		h.Names = append(h.Names, name)
-		h.relays[name] = relayAddrs{bind: bind, advertise: advertise}
+		h.addresses[name] = addresses
 	}
 	return nil
 }
@@ -155,13 +150,13 @@
 // same but for its clients' and admin addresses.
 func (h *Harness) writeConfig(agent, process string, number int) error {
 	fleet := h.cfg.Membership
-	fleet.Bind = h.relays[agent].bind
-	fleet.Advertise = h.relays[agent].advertise
+	fleet.Bind = h.addresses[agent].Bind
+	fleet.Advertise = h.addresses[agent].Advertise
 	fleet.Site = testSite
 	fleet.Zone = fmt.Sprintf("z%d", number%zones)
 	fleet.Networks = []string{"127.0.0.0/8"}
 	for _, seed := range h.Names[:h.cfg.Seeds] {
-		fleet.Seeds = append(fleet.Seeds, h.relays[seed].advertise)
+		fleet.Seeds = append(fleet.Seeds, h.addresses[seed].Advertise)
 	}
 	file := processtest.AgentFile{
 		Name:       agent,
@@ -185,7 +180,7 @@
 	if isUpgrade {
 		port += upgradePortOffset
 	}
-	host, _, _ := net.SplitHostPort(h.relays[agent].bind) // the proxy made it
+	host, _, _ := net.SplitHostPort(h.addresses[agent].Bind) // the proxy made it
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -56,19 +56,18 @@
 
 // fleet is a fleet of one size with its discovery service.
 type fleet struct {
-	plan               *Plan
-	size               int // hollow and real agents
-	listedServers      int
-	directory          string
-	networkReservation net.Listener      // reserves network on this machine
-	network            byte              // the second byte of the loopback addresses
-	packetRelay        *faultproxy.Proxy // nil: membership packets pass no relay
-	discovery          *discoveryCluster
-	hosts              []*hostProcess
-	realAgents         *realAgents
-	trackers           trackers
-	carries            map[string]*counterCarry // of the processes that may be restarted
-	settingsServices   int                      // services whose settings change; 0 where none do
+	plan             *Plan
+	size             int // hollow and real agents
+	listedServers    int
+	directory        string
+	network          faultproxy.Network // of the loopback addresses
+	packetRelay      *faultproxy.Proxy  // nil: membership packets pass no relay
+	discovery        *discoveryCluster
+	hosts            []*hostProcess
+	realAgents       *realAgents
+	trackers         trackers
+	carries          map[string]*counterCarry // of the processes that may be restarted
+	settingsServices int                      // services whose settings change; 0 where none do
 
 	mu             sync.Mutex
 	random         *rand.Rand
@@ -80,7 +79,7 @@
 // start starts a fleet. The caller closes it, also after an error.
 func (f *fleet) start(ctx context.Context, cfg *Config, hollow int) error {
 	var err error
-	f.networkReservation, f.network, err = faultproxy.ReserveNetwork()
+	f.network, err = faultproxy.ReserveNetwork()
 	if err != nil {
 		return err
 	}
@@ -185,7 +184,7 @@
 // address is one of the fleet's loopback addresses.
 func (f *fleet) address(kind addressKind, i int) string {
 	subnet := subnetsPerKind*int(kind) + i/addressesPerSubnet
-	return fmt.Sprintf("127.%d.%d.%d", f.network, subnet, i%addressesPerSubnet+1)
+	return fmt.Sprintf("127.%d.%d.%d", f.network.Number, subnet, i%addressesPerSubnet+1)
 }
 
 // forEach calls do for members, up to concurrentMembers at a time.
@@ -223,7 +222,7 @@
 	if f.packetRelay != nil {
 		f.packetRelay.Close()
 	}
-	if f.networkReservation != nil {
-		_ = f.networkReservation.Close() // nothing was accepted on it
+	if f.network.Reservation != nil {
+		_ = f.network.Reservation.Close() // nothing was accepted on it
 	}
 }
--- a/internal/scaletest/memberconfig.go
+++ b/internal/scaletest/memberconfig.go
@@ -70,11 +70,11 @@
 	if f.packetRelay == nil {
 		return view, nil
 	}
-	var err error
-	view.Bind, view.Advertise, err = f.packetRelay.Add(m.name)
+	addresses, err := f.packetRelay.AddProcess(m.name)
 	if err != nil {
 		return view, err
 	}
+	view.Bind, view.Advertise = addresses.Bind, addresses.Advertise
 	m.ip, _, err = net.SplitHostPort(view.Bind)
 	return view, err
 }
