--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -42,15 +42,15 @@
 
 // usageCell is the fraction of the budget that is used, or why it is not known.
 func (r *Row) usageCell() string {
-	use, at, ok := r.Use()
+	use := r.Use()
 	text := "not known"
 	switch {
 	case r.Budget == 0:
 		text = "no budget"
-	case ok && at > 0:
-		text = fmt.Sprintf("%s at %d already", formatNumber(use), at)
-	case ok:
-		text = formatNumber(use)
+	case use.Size > 0:
+		text = fmt.Sprintf("%s at %d already", formatNumber(use.Fraction), use.Size)
+	case use.Known:
+		text = formatNumber(use.Fraction)
 	case r.LargestSize == 0:
 		text = notMeasured
 	}
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -13,14 +13,12 @@
 )
 
 // Ranked returns the rows that have a budget or require a mechanism, worst first: those that lack the
-// required mechanism, then changes that never came into force at
-// some agents, then by use of the budget. rest are the rows that can't be ranked, as nothing was
-// measured.
+// required mechanism, then changes that never came into force at some agents, then by use of the budget. rest are the
+// rows that can't be ranked, as nothing was measured.
 func (p *Page) Ranked() (ranked, rest []*Row) {
 	for _, r := range p.rows {
-		_, _, known := r.Use()
 		switch {
-		case r.lacksRequiredMechanism(), r.NeverInForce > 0, known:
+		case r.lacksRequiredMechanism(), r.NeverInForce > 0, r.Use().Known:
 			ranked = append(ranked, r)
 		case r.Budget > 0:
 			rest = append(rest, r)
@@ -32,9 +30,7 @@
 
 // compareRank orders rows by their group, and within it by the use of the budget, most first.
 func compareRank(a, b *Row) int {
-	useA, _, _ := a.Use()
-	useB, _, _ := b.Use()
-	return cmp.Or(cmp.Compare(a.rankGroup(), b.rankGroup()), cmp.Compare(useB, useA))
+	return cmp.Or(cmp.Compare(a.rankGroup(), b.rankGroup()), cmp.Compare(b.Use().Fraction, a.Use().Fraction))
 }
 
 // rankGroup is lower for rows that are ranked first.
--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -14,11 +14,11 @@
 	}
 	last := math.Inf(1)
 	for _, r := range ranked[2:] {
-		use, _, ok := r.Use()
-		if !ok || use > last {
-			t.Errorf("%s has use %v (%v), below %v", r.Name(), use, ok, last)
+		use := r.Use()
+		if !use.Known || use.Fraction > last {
+			t.Errorf("%s has use %+v, below %v", r.Name(), use, last)
 		}
-		last = use
+		last = use.Fraction
 	}
 	for _, r := range rest {
 		if r.Known {
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -36,19 +36,26 @@
 // HasMechanism reports whether a mechanism keeps the row within its budget.
 func (r *Row) HasMechanism() bool { return r.Mechanism != noMechanism }
 
-// Use is the fraction of the budget that is used at the target. Where that is not known but the
-// largest size measured is over the budget already, it is the fraction there, and at is that size
-// (else 0).
-func (r *Row) Use() (use float64, at int, ok bool) {
+// BudgetUse is the part of a row's budget that is used. Its zero value says that it is not known.
+type BudgetUse struct {
+	Known    bool
+	Fraction float64
+	// Size is the size at which the fraction was measured; 0: it is that at the target.
+	Size int
+}
+
+// Use is the part of the budget that is used at the target. Where that is not known but the largest size measured is
+// over the budget already, it is the part there.
+func (r *Row) Use() BudgetUse {
 	switch {
 	case r.Budget <= 0:
-		return 0, 0, false
+		return BudgetUse{}
 	case r.Known:
-		return r.Value / r.Budget, 0, true
+		return BudgetUse{Known: true, Fraction: r.Value / r.Budget}
 	case r.LargestSize > 0 && r.LargestSizeMean > r.Budget:
-		return r.LargestSizeMean / r.Budget, r.LargestSize, true
+		return BudgetUse{Known: true, Fraction: r.LargestSizeMean / r.Budget, Size: r.LargestSize}
 	}
-	return 0, 0, false
+	return BudgetUse{}
 }
 
 // lacksRequiredMechanism reports whether the row is required daily and no mechanism meets it.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -271,7 +271,7 @@
 		if changes == 0 {
 			continue
 		}
-		latencies, unknown, err := f.trackers[kind].latencies()
+		latencies, err := f.trackers[kind].latencies()
 		if err != nil {
 			return err
 		}
@@ -279,10 +279,10 @@
 			run.InForce = map[capacity.ChangeKind]capacity.Latencies{}
 		}
 		run.Changes += changes
-		run.InForce[kind] = latencies
-		if unknown > 0 {
+		run.InForce[kind] = latencies.Latencies
+		if latencies.unknown > 0 {
 			run.Missing = append(run.Missing, fmt.Sprintf(
-				"%s in force: %d pairs of change and real agent, whose log left lines out", kind, unknown))
+				"%s in force: %d pairs of change and real agent, whose log left lines out", kind, latencies.unknown))
 		}
 	}
 	return nil
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -179,11 +179,17 @@
 	}
 }
 
+// measuredLatencies are latencies, and what could not be measured.
+type measuredLatencies struct {
+	capacity.Latencies
+	unknown int // pairs of change and agent without a result, as the agent dropped log lines
+}
+
 // latencies are the times from the acknowledgement of each change until it was in force, over all
 // agents that it was for and that ran then. An agent that ended before inForceTimeout without the change is
-// not counted. unknown is the number of pairs of change and agent without a result, as the agent dropped
-// log lines.
-func (t *tracker) latencies() (result capacity.Latencies, unknown int, err error) {
+// not counted.
+func (t *tracker) latencies() (measuredLatencies, error) {
+	var result measuredLatencies
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	histogram := hdrhistogram.New(1, inForceTimeout.Microseconds(), histogramDigits)
@@ -197,18 +203,18 @@
 			latency := max(0, at.Sub(c.acknowledgedAt))
 			switch {
 			case i.incomplete:
-				unknown++
+				result.unknown++
 			case ok && latency <= inForceTimeout:
 				if err := histogram.RecordValue(max(1, latency.Microseconds())); err != nil {
-					return result, unknown, fmt.Errorf("in force after %v: %w", latency, err)
+					return result, fmt.Errorf("in force after %v: %w", latency, err)
 				}
 			case i.observedFor(c.acknowledgedAt, now):
 				result.NeverInForce++
 			}
 		}
 	}
-	err = summarizeLatencies(&result, histogram)
-	return result, unknown, err
+	err := summarizeLatencies(&result.Latencies, histogram)
+	return result, err
 }
 
 // summarizeLatencies sets the durations, in ms, from a histogram of µs.
--- a/internal/scaletest/tracker_test.go
+++ b/internal/scaletest/tracker_test.go
@@ -32,19 +32,19 @@
 	tr.stopping("short")
 	short := slices.IndexFunc(tr.incarnations, func(i *incarnation) bool { return i.agent == "short" })
 	tr.incarnations[short].end = at(-45)
-	times, missing, err := tr.latencies()
+	times, err := tr.latencies()
 	if err != nil {
 		t.Fatal(err)
 	}
 	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
-	if times.Count != 7 || times.NeverInForce != 4 || missing != 2 || math.Abs(times.Max-12_000) > 12 ||
+	if times.Count != 7 || times.NeverInForce != 4 || times.unknown != 2 || math.Abs(times.Max-12_000) > 12 ||
 		math.Abs(times.P50-500) > 1 {
-		t.Errorf("%+v, missing %d", times, missing)
+		t.Errorf("%+v", times)
 	}
 	tr.reset()
-	times, missing, err = tr.latencies()
-	if err != nil || times.Count != 0 || times.NeverInForce != 0 || missing != 0 || tr.latestVersion("all") != 0 {
-		t.Errorf("after a reset: %+v, %d, %v", times, missing, err)
+	times, err = tr.latencies()
+	if err != nil || times.Count != 0 || times.NeverInForce != 0 || times.unknown != 0 || tr.latestVersion("all") != 0 {
+		t.Errorf("after a reset: %+v, %v", times, err)
 	}
 }
 
@@ -59,7 +59,7 @@
 	tr.acknowledgedFor("two", 9, acked)
 	tr.inForce("a", 5, acked.Add(time.Second))
 	tr.inForce("b", 9, acked.Add(3*time.Second))
-	times, _, err := tr.latencies()
+	times, err := tr.latencies()
 	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 ||
 		tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
 		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
