--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -23,20 +23,6 @@
 	"changes", "settled", "roles", "in_force",
 }
 
-// WriteRun appends a run to a record, as one line in one write. A run that ReadRuns would refuse is
-// not written.
-func WriteRun(to io.Writer, r *Run) error {
-	if err := r.check(); err != nil {
-		return fmt.Errorf("the run can't be recorded: %w", err)
-	}
-	line, err := json.Marshal(r)
-	if err != nil {
-		return fmt.Errorf("the run can't be recorded: %w", err)
-	}
-	_, err = to.Write(append(line, '\n'))
-	return err
-}
-
 // ReadRuns reads the runs of a record file, including invalid ones. A malformed line is an error of
 // one line that names the file, the line and the key, and no runs are returned then.
 func ReadRuns(path string) ([]*Run, error) {
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -1,7 +1,7 @@
 package capacity
 
 import (
-	"bytes"
+	"encoding/json"
 	"math"
 	"reflect"
 	"strings"
@@ -19,26 +19,37 @@
 		InForce: map[ChangeKind]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
+// recordLines are runs as lines of a record, as `experiment scale` writes them.
+func recordLines(t *testing.T, runs ...*Run) string {
+	t.Helper()
+	var text strings.Builder
+	lines := json.NewEncoder(&text)
+	for _, r := range runs {
+		if err := lines.Encode(r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return text.String()
+}
+
 func TestRunRoundTrip(t *testing.T) {
-	var b bytes.Buffer
 	one, two := validRun(), validRun()
 	two.Seed = math.MaxUint64
 	two.Missing = []string{"alloc"}
 	two.Invalid = []string{"late"}
 	two.RateFactor = 0
 	two.Seconds = 0
-	for _, r := range []*Run{one, two} {
-		if err := WriteRun(&b, r); err != nil {
-			t.Fatal(err)
-		}
-	}
-	got, err := ReadRuns(writeFile(t, "r.jsonl", b.String()))
+	got, err := ReadRuns(writeFile(t, "r.jsonl", recordLines(t, one, two)))
 	if err != nil || !reflect.DeepEqual(got, []*Run{one, two}) {
 		t.Errorf("read %v, %v", got, err)
 	}
 }
 
-func TestWriteRunRefusesInvalidRun(t *testing.T) {
+// TestCheckNamesImpossibleValues has values that JSON can't have beside those that a record may.
+func TestCheckNamesImpossibleValues(t *testing.T) {
+	if err := validRun().check(); err != nil {
+		t.Fatal(err)
+	}
 	for names, spoil := range map[string]func(*Run){
 		"plan":                func(r *Run) { r.Plan = "" },
 		"day":                 func(r *Run) { r.Profile = "holiday" },
@@ -51,21 +62,14 @@
 		"roles.real.most.cpu": func(r *Run) { r.Roles[RoleReal].Max[CPU] = -1 },
 		"in_force.list":       func(r *Run) { r.InForce["list"] = Latencies{P99: math.NaN()} },
 	} {
-		r, b := validRun(), new(bytes.Buffer)
+		r := validRun()
 		spoil(r)
-		requireOneLineError(t, WriteRun(b, r), names)
-		if b.Len() > 0 {
-			t.Errorf("%s: written all the same", names)
-		}
+		requireOneLineError(t, r.check(), names)
 	}
 }
 
 func TestReadRunsErrors(t *testing.T) {
-	var b bytes.Buffer
-	if err := WriteRun(&b, validRun()); err != nil {
-		t.Fatal(err)
-	}
-	good := b.String()
+	good := recordLines(t, validRun())
 	for _, c := range []struct{ old, new, names string }{
 		{`"size":50`, `"siez":50`, "siez"},
 		{`"size":50,`, ``, "size"},
