--- a/internal/capacity/main_test.go
+++ b/internal/capacity/main_test.go
@@ -1,18 +1,10 @@
 package capacity
 
 import (
-	"fmt"
-	"os"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/rapidseed"
 )
 
-// TestMain fixes the points and runs that rapid draws (see rapidseed).
-func TestMain(m *testing.M) {
-	if err := rapidseed.Fix(); err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
-	}
-	os.Exit(m.Run())
-}
+// TestMain fixes the points and runs that rapid draws.
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -4,6 +4,8 @@
 import (
 	"flag"
 	"fmt"
+	"os"
+	"testing"
 )
 
 const (
@@ -13,9 +15,18 @@
 	fixed = "1"
 )
 
+// Main is the TestMain of a package: it fixes the seed, runs the package's tests and ends the process.
+func Main(m *testing.M) {
+	if err := Fix(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(m.Run())
+}
+
 // Fix parses the command line and sets the seed that rapid draws from to a fixed value, so that every
 // run gives the same verdict. The flags -rapid.seed=N and -rapid.checks=N still draw others, and more
-// of them. It is called from TestMain, before the tests run.
+// of them. It has to be called before the tests run.
 func Fix() error {
 	flag.Parse()
 	seed := flag.Lookup(seedFlag)
