--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -13,13 +12,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-const (
-	// maxPacketBytes bounds a packet.
-	maxPacketBytes = 64 << 10
-	// receiveBufferBytes is the size of the socket's receive buffer, so that a process that stalled still has the
-	// packets that came meanwhile.
-	receiveBufferBytes = 2 << 20
-)
+// receiveBufferBytes is the size of the socket's receive buffer, so that a process that stalled still has the
+// packets that came meanwhile.
+const receiveBufferBytes = 2 << 20
 
 // MaxDescriptors is how many file descriptors a Membership takes at the most: its two sockets, streams from others,
 // as many to them, and the connections of the watchers and to the watched members.
@@ -143,95 +138,6 @@
 	_ = t.Shutdown() // nothing is left that an error could be about
 }
 
-// receivePackets hands packets to memberlist until Shutdown.
-func (t *transport) receivePackets() {
-	buf := make([]byte, maxPacketBytes)
-	for t.ctx.Err() == nil {
-		n, from, err := t.udp.ReadFromUDP(buf)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // the refusal of an earlier packet shows here
-		}
-		packet := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: time.Now()}
-		if t.isAnnounced() && t.acceptPacket(packet) {
-			t.deliver(packet)
-		}
-	}
-}
-
-// isAnnounced tells whether this process may take part yet.
-func (t *transport) isAnnounced() bool {
-	select {
-	case <-t.announced:
-		return true
-	default:
-		return false
-	}
-}
-
-// deliver hands a packet to memberlist and tells whether it was taken before Shutdown.
-func (t *transport) deliver(packet *memberlist.Packet) bool {
-	select {
-	case t.packets <- packet:
-		return true
-	case <-t.ctx.Done():
-		return false
-	}
-}
-
-// acceptPacket tells whether a packet may go to memberlist, and turns death reports into suspicions where they are
-// not believed.
-func (t *transport) acceptPacket(packet *memberlist.Packet) bool {
-	t.counters.packetsIn.Add(1)
-	t.counters.bytesIn.Add(uint64(len(packet.Buf)))
-	b, label, err := memberlist.RemoveLabelHeaderFromPacket(packet.Buf)
-	if err == nil && label != t.cfg.Site {
-		t.counters.foreignSite.Add(1)
-		t.logger.Printf("[WARN] packet of another site, %.64q, from %v", label, packet.From)
-		return false
-	}
-	hasState := false
-	if err == nil {
-		err = checkPacket(b, 0, func(message []byte) {
-			hasState = hasState || changesState(message)
-			t.acceptMessage(message)
-		})
-	}
-	if err != nil {
-		t.counters.badPackets.Add(1)
-		t.logger.Printf("[WARN] packet of %d bytes from %v dropped: %v", len(packet.Buf), packet.From, err)
-		return false
-	}
-	if hasState {
-		t.handlers.onStateMessage()
-	}
-	return true
-}
-
-// acceptMessage handles one message of a packet before memberlist has it.
-func (t *transport) acceptMessage(message []byte) {
-	if demoteDeathReport(message, t.handlers.acceptDeathReport) {
-		t.counters.demotedDeaths.Add(1)
-	}
-	if typeOf(message) == msgAlive {
-		t.handlers.onAlive(message)
-	}
-}
-
-// injectMessage gives memberlist a message as if it had been received.
-func (t *transport) injectMessage(message []byte) {
-	packet, err := memberlist.AddLabelHeaderToPacket(message, t.cfg.Site)
-	if err != nil {
-		return // complete has checked the site's length
-	}
-	from := &net.UDPAddr{IP: t.localIP}
-	if t.deliver(&memberlist.Packet{Buf: packet, From: from, Timestamp: time.Now()}) {
-		t.handlers.onStateMessage()
-	}
-}
-
 // checkNetworks tells why nothing may be sent to an address; nil: it may.
 func (t *transport) checkNetworks(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
@@ -253,41 +159,6 @@
 	return len(t.networks) == 0
 }
 
-// WriteTo sends a packet.
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
-}
-
-// WriteToAddress sends a packet.
-func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
-	if err := t.checkNetworks(address.Addr); err != nil {
-		return time.Time{}, err
-	}
-	t.counters.packetsOut.Add(1)
-	t.counters.bytesOut.Add(uint64(len(b)))
-	if hasStateMessage(b) {
-		t.handlers.onStateMessage()
-	}
-	to, err := net.ResolveUDPAddr("udp", address.Addr)
-	if err != nil {
-		return time.Time{}, err
-	}
-	_, err = t.udp.WriteToUDP(b, to)
-	return time.Now(), err
-}
-
-// hasStateMessage tells whether a packet of this process has a message about a member's state.
-func hasStateMessage(packet []byte) bool {
-	b, _, err := memberlist.RemoveLabelHeaderFromPacket(packet)
-	if err != nil {
-		return false
-	}
-	hasState := false
-	// Of a message of another kind memberlist's own packet has none: what was found until then counts.
-	_ = checkPacket(b, 0, func(message []byte) { hasState = hasState || changesState(message) })
-	return hasState
-}
-
 // DialTimeout opens a stream.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
--- /dev/null
+++ b/internal/scaletest/configurations_test.go
@@ -0,0 +1,119 @@
+package scaletest
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"strconv"
+	"testing"
+
+	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
+)
+
+const (
+	// agentCores is an agent's part of the machine, defaultMaxAttempts its number of attempts for a request.
+	agentCores         = 0.2
+	defaultMaxAttempts = 3
+)
+
+// settings are an agent's settings, for a number of agents and of attempts.
+const settings = `{
+"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
+"contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":%d,
+"limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":%d,"maxRetryAfterMs":600},
+"membershipMode":"pushed","objectiveMix":{"whole":1},"roundMs":5}`
+
+// configurations makes the configurations of a fleet.
+type configurations struct {
+	network   [2]byte
+	port      int
+	size      int
+	discovery string
+}
+
+// newConfigurations returns configurations on a random loopback network, for agents that call one discovery.
+func newConfigurations(t *testing.T, discovery string, size int) *configurations {
+	t.Helper()
+	network := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
+	c := &configurations{network: network, size: size, discovery: discovery}
+	const attempts = 100
+	for range attempts {
+		if c.selectPort(t) {
+			return c
+		}
+	}
+	t.Fatal("no free port")
+	return nil
+}
+
+// selectPort selects a port, and reports whether it is free for both protocols.
+func (c *configurations) selectPort(t *testing.T) bool {
+	t.Helper()
+	var config net.ListenConfig
+	tcp, err := config.Listen(t.Context(), "tcp", c.ip(0)+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = tcp.Close() }() // nothing was accepted
+	c.port = tcp.Addr().(*net.TCPAddr).Port
+	udp, err := config.ListenPacket(t.Context(), "udp", c.address(0, c.port))
+	if err != nil {
+		return false
+	}
+	_ = udp.Close() // nothing was sent
+	return true
+}
+
+// ip is the address of an agent.
+func (c *configurations) ip(i int) string {
+	return fmt.Sprintf("127.%d.%d.%d", c.network[0], c.network[1], i+1)
+}
+
+// address is the address of an agent with a port.
+func (c *configurations) address(i, port int) string {
+	return net.JoinHostPort(c.ip(i), strconv.Itoa(port))
+}
+
+// adminAddress is the address of an agent's admin endpoint.
+func (c *configurations) adminAddress(i int) string { return c.address(i, c.port-1) }
+
+// configuration is an agent's configuration, with settings by which discovery pushes lists to it.
+type configuration struct {
+	Name         string                  `json:"name"`
+	Listen       string                  `json:"listen"`
+	AdminAddress string                  `json:"management,omitempty"`
+	Discovery    string                  `json:"discovery"`
+	Seed         string                  `json:"seed"`
+	Limits       processtest.AgentLimits `json:"limits"`
+	Known        processtest.AgentList   `json:"known"`
+	Membership   *membership.Config      `json:"fleet,omitempty"` // nil: it takes no part in the membership
+	Settings     json.RawMessage         `json:"settings"`
+}
+
+// config is the configuration of an agent.
+func (c *configurations) config(i int) configuration { return c.configWith(i, defaultMaxAttempts) }
+
+// configWith is the configuration of an agent with a bound on attempts.
+func (c *configurations) configWith(i, maxAttempts int) configuration {
+	return configuration{
+		Name:         fmt.Sprintf("a%d", i),
+		Listen:       c.address(i, clientPort),
+		AdminAddress: c.adminAddress(i),
+		Discovery:    c.discovery,
+		Seed:         "1",
+		Limits:       processtest.LimitsOf(agentCores),
+		Known:        processtest.AgentList{Full: true},
+		Membership: &membership.Config{
+			Bind:             c.address(i, c.port),
+			Seeds:            []string{c.address(0, c.port), c.address(1, c.port)},
+			Site:             "test",
+			ProbeIntervalMs:  500,
+			SuspectTimeoutMs: 10_000,
+			SettleMs:         500,
+			ReconnectMs:      1000,
+		},
+		Settings: json.RawMessage(fmt.Sprintf(settings, c.size, maxAttempts)),
+	}
+}
--- /dev/null
+++ b/internal/scaletest/discoverybytes_test.go
@@ -0,0 +1,154 @@
+package scaletest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"testing"
+	"time"
+)
+
+// discoveryBytes are the bytes of an agent's calls to discovery, with HTTP headers.
+type discoveryBytes struct{ in, out uint64 }
+
+const (
+	// silentFrom is the version of the list from which the discovery of TestDiscoveryBytesMatchRealAgent is silent.
+	silentFrom = 20
+	// comparedCalls is the number of calls up to which the bytes are compared: those that get a version, and watches
+	// that time out.
+	comparedCalls = silentFrom + 3
+)
+
+// TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
+// same bytes for the same list.
+func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
+	configs := newConfigurations(t, newSilentDiscovery(t), 2)
+	config := configs.config(1)
+	config.Membership = nil
+	program := programDiscoveryBytes(t, config)
+	config.AdminAddress, config.Listen = configs.adminAddress(0), configs.address(0, clientPort)
+	hollow := hollowDiscoveryBytes(t, config)
+	compared := 0
+	for calls, p := range program {
+		if h, ok := hollow[calls]; ok && calls > silentFrom+1 {
+			compared++
+			t.Logf("%d calls: the program %d bytes in and %d out, hollow %d and %d", calls, p.in, p.out, h.in, h.out)
+			if p.in != h.in || p.out != h.out {
+				t.Errorf("%d calls: the program %+v, hollow %+v", calls, p, h)
+			}
+		}
+	}
+	if compared == 0 {
+		t.Errorf("nothing to compare: the program %v, hollow %v", program, hollow)
+	}
+}
+
+// newSilentDiscovery starts a discovery that has silentFrom versions at once, one a call, and then sends no response:
+// watches time out and are made again. It returns the address.
+func newSilentDiscovery(t *testing.T) string {
+	t.Helper()
+	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		index, _ := strconv.Atoi(req.FormValue("index"))
+		if index >= silentFrom {
+			<-req.Context().Done()
+			return
+		}
+		_, _ = fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
+			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0) // an error: the agent has ended
+	}))
+	t.Cleanup(func() {
+		silent.CloseClientConnections()
+		silent.Close()
+	})
+	return silent.Listener.Addr().String()
+}
+
+// programDiscoveryBytes runs the program with a configuration until it has made comparedCalls calls, and returns the
+// bytes that it logged, by the number of calls.
+func programDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
+	t.Helper()
+	log := startProgram(t, config)
+	read := make(chan map[uint64]discoveryBytes, 1)
+	go func() {
+		read <- readDiscoveryBytes(log)
+		_, _ = io.Copy(io.Discard, log) // so that the program does not wait
+	}()
+	select {
+	case bytes := <-read:
+		return bytes
+	case <-time.After(waitTimeout):
+		t.Fatalf("the program does not make %d calls", comparedCalls)
+		return nil
+	}
+}
+
+// startProgram builds and starts the program with a configuration and returns its log. The test's end kills it.
+func startProgram(t *testing.T, config configuration) io.Reader {
+	t.Helper()
+	dir := t.TempDir()
+	bin := filepath.Join(dir, "agent")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", bin, "../../cmd/agent")
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, marshal(t, config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.CommandContext(t.Context(), bin)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
+		"PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
+	log, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = cmd.Process.Kill() // it fails only where the process has ended
+		_ = cmd.Wait()         // it was killed
+	})
+	return log
+}
+
+// readDiscoveryBytes reads the counts of an agent's log until it has those of comparedCalls calls, or ends.
+func readDiscoveryBytes(log io.Reader) map[uint64]discoveryBytes {
+	counts := regexp.MustCompile(`listIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
+	byCalls := map[uint64]discoveryBytes{}
+	for lines := bufio.NewScanner(log); lines.Scan(); {
+		if found := counts.FindStringSubmatch(lines.Text()); found != nil {
+			var n [3]uint64
+			for i := range n {
+				n[i], _ = strconv.ParseUint(found[i+1], 10, 64)
+			}
+			byCalls[n[2]] = discoveryBytes{in: n[0], out: n[1]}
+		}
+		if byCalls[comparedCalls] != (discoveryBytes{}) {
+			break
+		}
+	}
+	return byCalls
+}
+
+// hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls, and returns the
+// bytes that it reported, by the number of calls.
+func hollowDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
+	t.Helper()
+	host := startHostClient(t)
+	host.command("start", "a1", config)
+	byCalls := map[uint64]discoveryBytes{}
+	host.awaitReport(fmt.Sprintf("%d calls", comparedCalls), func(r *HostReport) bool {
+		a := r.Agents["a1"]
+		byCalls[a.ListCalls] = discoveryBytes{in: a.ListIn, out: a.ListOut}
+		return a.ListCalls >= comparedCalls
+	})
+	return byCalls
+}
