--- a/cmd/discovery/endpoints.go
+++ b/cmd/discovery/endpoints.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodPut, path: serverPath(entry.ID), body: body})
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodPut, path: endpoint.ServerPath(entry.ID), body: body})
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -49,7 +49,7 @@
 		Short: "remove a server from the list",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodDelete, path: serverPath(args[0])})
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodDelete, path: endpoint.ServerPath(args[0])})
 		},
 	}
 	addAdminFlag(cmd, &admin)
@@ -63,16 +63,13 @@
 		Use:   "status",
 		Short: "an instance's Raft state, leader and version",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodGet, path: "/v1/status"})
+			return callAndPrint(cmd, admin, adminCall{method: http.MethodGet, path: endpoint.StatusPath})
 		},
 	}
 	addAdminFlag(cmd, &admin)
 	return cmd
 }
 
-// serverPath is the admin path of a server's entry.
-func serverPath(id string) string { return "/v1/servers/" + id }
-
 // callAndPrint makes a call to an admin address and prints the answer.
 func callAndPrint(cmd *cobra.Command, admin string, call adminCall) error {
 	answer, err := newAdminClient(admin, callTimeout).text(cmd.Context(), call)
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"io"
 	"net/http"
-	"net/url"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
@@ -27,9 +27,6 @@
 	return cmd
 }
 
-// settingsPath is the admin path of a service's settings.
-func settingsPath(service string) string { return "/v1/settings/" + url.PathEscape(service) }
-
 // settingsPutCommand returns the command that writes a service's settings.
 func settingsPutCommand() *cobra.Command {
 	var admin string
@@ -43,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			put := adminCall{method: http.MethodPut, path: settingsPath(args[0]), body: text, header: http.Header{}}
+			put := adminCall{method: http.MethodPut, path: endpoint.SettingsPath(args[0]), body: text, header: http.Header{}}
 			if cmd.Flags().Changed("if-version") {
 				put.header.Set("If-Match", fmt.Sprint(ifVersion))
 			}
@@ -64,7 +61,7 @@
 		Short: "a service's settings as they were put; their version on standard error",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			path := settingsPath(args[0])
+			path := endpoint.SettingsPath(args[0])
 			if cmd.Flags().Changed("version") {
 				path += fmt.Sprint("?version=", version)
 			}
@@ -94,7 +91,7 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var versions []server.SettingsVersion
-			path := settingsPath(args[0]) + "/history"
+			path := endpoint.SettingsHistoryPath(args[0])
 			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &versions); err != nil {
 				return err
 			}
--- a/cmd/discovery/settings_status.go
+++ b/cmd/discovery/settings_status.go
@@ -12,6 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
@@ -76,7 +77,7 @@
 // its peers at once, for at most peerTimeout.
 func collectStatus(ctx context.Context, admin, service string) (*settingsStatus, error) {
 	status := &settingsStatus{service: service, agents: map[string]server.AgentReport{}}
-	path := settingsPath(service) + "/heard"
+	path := endpoint.AgentReportsPath(service)
 	var first server.AgentReports
 	if err := newAdminClient(admin, callTimeout).getJSON(ctx, path, &first); err != nil {
 		return nil, err
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -11,12 +11,11 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
-	// settingsPath is the path of the service's settings at the admin endpoint of an instance.
-	settingsPath = "/v1/settings/" + service
 	// stateLeader is the state of the instance that leads, by its status.
 	stateLeader = "Leader"
 	// retryTimeout bounds the retries of what needs a leader or all agents.
@@ -63,7 +62,7 @@
 			continue
 		}
 		var status server.Status
-		if h.get(name, "/v1/status", &status) == nil && status.State == stateLeader {
+		if h.get(name, endpoint.StatusPath, &status) == nil && status.State == stateLeader {
 			return name
 		}
 	}
@@ -111,7 +110,7 @@
 	reports := map[string]agentReport{}
 	for _, instance := range h.Instances {
 		var reported server.AgentReports
-		if h.get(instance, settingsPath+"/heard", &reported) != nil {
+		if h.get(instance, endpoint.AgentReportsPath(service), &reported) != nil {
 			continue // an instance that is down has no reports
 		}
 		for _, agent := range reported.Agents {
@@ -180,7 +179,7 @@
 	for attempt := 0; time.Now().Before(end); attempt++ {
 		var answer struct{ Version uint64 }
 		instance := instances[attempt%len(instances)]
-		if err = h.callAdmin(instance, http.MethodPut, settingsPath, text, &answer); err == nil {
+		if err = h.callAdmin(instance, http.MethodPut, endpoint.SettingsPath(service), text, &answer); err == nil {
 			write.Version = answer.Version
 			write.AckedAt = time.Now()
 			h.recordWrite(write)
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -145,7 +146,9 @@
 // storedVersions is the service's history.
 func (h *Harness) storedVersions() ([]StoredVersion, error) {
 	var versions []server.SettingsVersion
-	err := h.atLeader(func(instance string) error { return h.get(instance, settingsPath+"/history", &versions) })
+	err := h.atLeader(func(instance string) error {
+		return h.get(instance, endpoint.SettingsHistoryPath(service), &versions)
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +167,8 @@
 func (h *Harness) storedMarker(version uint64) (int, error) {
 	var stored server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
-		return h.get(instance, fmt.Sprintf("%s?version=%d", settingsPath, version), &stored)
+		path := fmt.Sprintf("%s?version=%d", endpoint.SettingsPath(service), version)
+		return h.get(instance, path, &stored)
 	})
 	if err != nil {
 		return 0, err
--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -171,7 +171,7 @@
 // putSettingsAnywhere writes the settings of a service as writeAnywhere does.
 func putSettingsAnywhere(cluster *processtest.Cluster, service, text string) uint64 {
 	return writeAnywhere(cluster, func(admin string) uint64 {
-		return putSettings(admin+"/v1/settings/"+service, text, "").version()
+		return putSettings(admin+endpoint.SettingsPath(service), text, "").version()
 	})
 }
 
@@ -187,7 +187,7 @@
 func commonHistory(cluster *processtest.Cluster, service string) []server.SettingsVersion {
 	var first response
 	for i, name := range instanceNames {
-		got := request(http.MethodGet, cluster.Addr(name, adminPort)+"/v1/settings/"+service+"/history", "")
+		got := request(http.MethodGet, cluster.Addr(name, adminPort)+endpoint.SettingsHistoryPath(service), "")
 		if i == 0 {
 			first = got
 		}
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // limitFileSize sets how long a running process may make files, in bytes; writes beyond it fail with
@@ -35,7 +37,7 @@
 // putStatus returns the status code of a write at an admin address; 0: there was no response.
 func putStatus(admin string) int {
 	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
-	return request(http.MethodPut, admin+"/v1/servers/limited", body).code
+	return request(http.MethodPut, admin+endpoint.ServerPath("limited"), body).code
 }
 
 // TestFileSizeLimit: all writes of cmd/discovery to files fail for limitTime, on all instances. No instance
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/helpers_test.go
@@ -110,10 +110,13 @@
 	return list
 }
 
+// watchURL is the URL of a poll or a watch with query parameters, at an address for reads.
+func watchURL(reads, query string) string { return reads + endpoint.ListPath + "?" + query }
+
 // fetchList returns an instance's full list, and whether the instance served it.
 func fetchList(reads string) (endpoint.List, bool) {
 	var list endpoint.List
-	got := request(http.MethodGet, reads+"/api/targets", "")
+	got := request(http.MethodGet, reads+endpoint.ListPath, "")
 	served := got.code == http.StatusOK && json.Unmarshal([]byte(got.body), &list) == nil
 	return list, served
 }
@@ -122,7 +125,7 @@
 // response.
 func statusAt(admin string) server.Status {
 	var status server.Status
-	got := request(http.MethodGet, admin+"/v1/status", "")
+	got := request(http.MethodGet, admin+endpoint.StatusPath, "")
 	if json.Unmarshal([]byte(got.body), &status) != nil {
 		return server.Status{}
 	}
@@ -132,7 +135,7 @@
 // reportsAt returns the agent reports of a service at an admin address.
 func reportsAt(admin, service string) server.AgentReports {
 	var reports server.AgentReports
-	got := request(http.MethodGet, admin+"/v1/settings/"+service+"/heard", "")
+	got := request(http.MethodGet, admin+endpoint.AgentReportsPath(service), "")
 	if json.Unmarshal([]byte(got.body), &reports) != nil {
 		return server.AgentReports{}
 	}
@@ -158,7 +161,7 @@
 	if err != nil {
 		return 0
 	}
-	return request(http.MethodPut, admin+"/v1/servers/"+entry.ID, string(body)).version()
+	return request(http.MethodPut, admin+endpoint.ServerPath(entry.ID), string(body)).version()
 }
 
 // nodeConfig returns the configuration of an instance on reserved ports, which founds its cluster.
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -5,28 +5,36 @@
 	"fmt"
 	"net/http"
 	"strconv"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // readMux serves the discovery protocol, on Config.HTTPAddr.
 func (n *Node) readMux() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", n.serveEndpoints)
+	mux.HandleFunc("GET "+endpoint.ListPath, n.serveEndpoints)
 	return mux
 }
 
 // adminMux serves writes, settings and status, on Config.AdminAddr.
 func (n *Node) adminMux() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /v1/servers/{id}", n.servePutEndpoint)
-	mux.HandleFunc("DELETE /v1/servers/{id}", n.serveDeleteEndpoint)
-	mux.HandleFunc("GET /v1/status", n.serveStatus)
-	mux.HandleFunc("PUT /v1/settings/{service}", n.servePutSettings)
-	mux.HandleFunc("GET /v1/settings/{service}", n.serveSettings)
-	mux.HandleFunc("GET /v1/settings/{service}/history", n.serveSettingsHistory)
-	mux.HandleFunc("GET /v1/settings/{service}/heard", n.serveAgentReports)
+	mux.HandleFunc("PUT "+endpoint.ServerPattern, n.servePutEndpoint)
+	mux.HandleFunc("DELETE "+endpoint.ServerPattern, n.serveDeleteEndpoint)
+	mux.HandleFunc("GET "+endpoint.StatusPath, n.serveStatus)
+	mux.HandleFunc("PUT "+endpoint.SettingsPattern, n.servePutSettings)
+	mux.HandleFunc("GET "+endpoint.SettingsPattern, n.serveSettings)
+	mux.HandleFunc("GET "+endpoint.SettingsHistoryPattern, n.serveSettingsHistory)
+	mux.HandleFunc("GET "+endpoint.AgentReportsPattern, n.serveAgentReports)
 	return mux
 }
 
+// serverID returns the server's id in the path of a request.
+func serverID(r *http.Request) string { return r.PathValue(endpoint.WildcardID) }
+
+// serviceName returns the service's name in the path of a request.
+func serviceName(r *http.Request) string { return r.PathValue(endpoint.WildcardService) }
+
 // instanceError returns an error whose text begins with the instance's id. The text is part of
 // response bodies, so its prefix is that of the first version.
 func (n *Node) instanceError(format string, args ...any) error {
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -60,7 +60,7 @@
 // watchOnce makes one watch at an instance, and reports whether the instance served it.
 func (w *watcher) watchOnce(t *testing.T, client *http.Client, address string) bool {
 	t.Helper()
-	url := fmt.Sprintf("%s/api/targets?index=%d&wait=%d", address, w.currentVersion(), watcherWait.Milliseconds())
+	url := watchURL(address, fmt.Sprintf("index=%d&wait=%d", w.currentVersion(), watcherWait.Milliseconds()))
 	resp, err := get(t.Context(), client, url)
 	if err != nil {
 		time.Sleep(retryInterval)
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -67,7 +68,7 @@
 // servesReads reports whether an instance serves reads.
 func servesReads(t *testing.T, cluster *processtest.Cluster, name string) bool {
 	t.Helper()
-	resp, err := get(t.Context(), http.DefaultClient, cluster.Addr(name, httpPort)+"/api/targets")
+	resp, err := get(t.Context(), http.DefaultClient, cluster.Addr(name, httpPort)+endpoint.ListPath)
 	if err != nil {
 		return false
 	}
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"golang.org/x/time/rate"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 const (
@@ -94,7 +96,7 @@
 	if err != nil {
 		return status, err
 	}
-	url := "http://" + leader.Admin + "/v1/status?consistent=true"
+	url := "http://" + leader.Admin + endpoint.StatusPath + "?consistent=true"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return status, err
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -69,7 +70,7 @@
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			url := cluster.Addr(instanceNames[i+1], adminPort) + "/v1/settings/" + concurrentService
+			url := cluster.Addr(instanceNames[i+1], adminPort) + endpoint.SettingsPath(concurrentService)
 			got[i] = putSettings(url, server.SettingsText(firstMark+i), ifMatch)
 		}()
 	}
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -33,7 +33,7 @@
 
 // parseSettingsWrite reads and checks a write of settings.
 func parseSettingsWrite(w http.ResponseWriter, r *http.Request) (command, error) {
-	write := command{Op: operationSettings, Service: r.PathValue("service"), WrittenAtMs: time.Now().UnixMilli()}
+	write := command{Op: operationSettings, Service: serviceName(r), WrittenAtMs: time.Now().UnixMilli()}
 	text, err := readSettings(w, r)
 	if err != nil {
 		return write, err
@@ -90,7 +90,7 @@
 		}
 		index := slices.IndexFunc(versions, func(v SettingsVersion) bool { return v.Version == version })
 		if index < 0 {
-			message := fmt.Sprintf("version %d of the settings of %s is not kept", version, r.PathValue("service"))
+			message := fmt.Sprintf("version %d of the settings of %s is not kept", version, serviceName(r))
 			http.Error(w, message, http.StatusNotFound)
 			return
 		}
@@ -121,7 +121,7 @@
 	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return nil, false
 	}
-	service := r.PathValue("service")
+	service := serviceName(r)
 	versions := n.state.history(service)
 	if len(versions) == 0 {
 		http.Error(w, fmt.Sprintf("no settings of %.40q are kept", service), http.StatusNotFound)
@@ -133,7 +133,7 @@
 // serveAgentReports answers the reports of a service's agents that this instance has received. It
 // does not include those that other instances have.
 func (n *Node) serveAgentReports(w http.ResponseWriter, r *http.Request) {
-	service := r.PathValue("service")
+	service := serviceName(r)
 	reports := AgentReports{
 		ID:      n.cfg.ID,
 		Service: service,
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -9,12 +9,13 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // TestSettingsAdminEndpoint: the responses of the admin address to writes and reads of settings.
 func TestSettingsAdminEndpoint(t *testing.T) {
 	_, admin := startSingleNode(t, t.TempDir())
-	url := admin + "/v1/settings/pay"
+	url := admin + endpoint.SettingsPath("pay")
 	if got := request(http.MethodGet, url, ""); got.code != http.StatusNotFound {
 		t.Errorf("before any write: %v", got)
 	}
@@ -107,7 +108,7 @@
 	listVersion := putServer(admin, "s-1")
 	watch := func(query string) <-chan response {
 		result := make(chan response, 1)
-		url := fmt.Sprintf("%s/api/targets?index=%d&%s", reads, listVersion, query)
+		url := watchURL(reads, fmt.Sprintf("index=%d&%s", listVersion, query))
 		go func() { result <- request(http.MethodGet, url, "") }()
 		return result
 	}
@@ -118,7 +119,7 @@
 		return len(reportsAt(admin, "pay").Agents)+len(reportsAt(admin, "ship").Agents) == 2
 	}
 	mustAwait(t, "the watches", areOpen)
-	version := putSettings(admin+"/v1/settings/pay", server.SettingsText(1), "").version()
+	version := putSettings(admin+endpoint.SettingsPath("pay"), server.SettingsText(1), "").version()
 	if got := (<-ownService).list(t); got.Settings == nil || got.Settings.Version != version ||
 		got.Settings.Service != "pay" || string(got.Settings.Value) != server.SettingsText(1) ||
 		got.Version != listVersion || got.Full || len(got.Servers) != 0 {
@@ -153,7 +154,7 @@
 		"rejected":       {fmt.Sprintf("service=pay&agent=p1&in_force=1&refused=%d&why=no%%0Aroom", version), 0},
 		"no service":     {"agent=p1", 0},
 	} {
-		got := request(http.MethodGet, reads+"/api/targets?"+c.query, "").list(t).Settings
+		got := request(http.MethodGet, watchURL(reads, c.query), "").list(t).Settings
 		if (c.want == 0) != (got == nil) || got != nil && got.Version != c.want {
 			t.Errorf("%s: settings %+v, want version %d", name, got, c.want)
 		}
--- a/internal/discovery/server/start_time_test.go
+++ b/internal/discovery/server/start_time_test.go
@@ -55,7 +55,7 @@
 func openWatch(t *testing.T, reads, admin string, from uint64) <-chan response {
 	t.Helper()
 	watch := make(chan response, 1)
-	url := fmt.Sprintf("%s/api/targets?index=%d&wait=20000&service=pay&agent=a%d", reads, from, from)
+	url := watchURL(reads, fmt.Sprintf("index=%d&wait=20000&service=pay&agent=a%d", from, from))
 	go func() { watch <- request(http.MethodGet, url, "") }()
 	isOpen := func() bool { return watchIsOpen(admin, from) }
 	mustAwait(t, "the watch", isOpen)
--- a/internal/discovery/server/stored_data_test.go
+++ b/internal/discovery/server/stored_data_test.go
@@ -42,11 +42,11 @@
 		},
 		{ID: "pod-d", Addr: "10.0.0.4:8080", Zone: "z3", State: endpoint.StateUp, Weight: 0.5},
 	}}
-	caughtUp := func() bool { return request(http.MethodGet, reads+"/api/targets", "").code == http.StatusOK }
+	caughtUp := func() bool { return request(http.MethodGet, reads+endpoint.ListPath, "").code == http.StatusOK }
 	if err := processtest.Await(replayTimeout, "the log applied", caughtUp); err != nil {
 		t.Fatal(err)
 	}
-	if got := request(http.MethodGet, reads+"/api/targets", "").list(t); !reflect.DeepEqual(got, wantList) {
+	if got := request(http.MethodGet, reads+endpoint.ListPath, "").list(t); !reflect.DeepEqual(got, wantList) {
 		t.Errorf("list %+v, want %+v", got, wantList)
 	}
 	for service, want := range map[string]server.SettingsVersion{
@@ -54,13 +54,13 @@
 		"orders": {Version: 10, WrittenAtMs: 1796206591154, Bytes: 136, Text: server.SettingsText(3) + "\n"},
 	} {
 		var got server.SettingsVersion
-		body := request(http.MethodGet, admin+"/v1/settings/"+service, "").body
+		body := request(http.MethodGet, admin+endpoint.SettingsPath(service), "").body
 		if err := json.Unmarshal([]byte(body), &got); err != nil || got != want {
 			t.Errorf("settings of %s: %+v (%v), want %+v", service, got, err, want)
 		}
 	}
 	var history []server.SettingsVersion
-	body := request(http.MethodGet, admin+"/v1/settings/quotes/history", "").body
+	body := request(http.MethodGet, admin+endpoint.SettingsHistoryPath("quotes"), "").body
 	if err := json.Unmarshal([]byte(body), &history); err != nil || len(history) != 3 {
 		t.Errorf("history of quotes: %q (%v), want three versions", body, err)
 	}
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/endpoint"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -60,7 +61,7 @@
 // readListBytes reads the full list on a connection of the default client, and returns its length.
 func readListBytes(t *testing.T, address string) uint64 {
 	t.Helper()
-	resp, err := get(t.Context(), http.DefaultClient, address+"/api/targets")
+	resp, err := get(t.Context(), http.DefaultClient, address+endpoint.ListPath)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -89,7 +89,7 @@
 func (f *fanout) watch(ctx context.Context, address string) {
 	var version uint64
 	for {
-		url := fmt.Sprintf("%s/api/targets?index=%d&wait=%d", address, version, fanoutWait.Milliseconds())
+		url := watchURL(address, fmt.Sprintf("index=%d&wait=%d", version, fanoutWait.Milliseconds()))
 		resp, err := get(ctx, f.client, url)
 		select {
 		case <-f.stop:
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -28,7 +28,7 @@
 			remaining, version := awaitState(t, configs, state)
 			result := make(chan response, 1)
 			startedAt := time.Now()
-			url := fmt.Sprintf("%s/api/targets?index=%d&wait=60000", configs[remaining].HTTPAddr, version)
+			url := watchURL(configs[remaining].HTTPAddr, fmt.Sprintf("index=%d&wait=60000", version))
 			go func() { result <- request(http.MethodGet, url, "") }()
 			for i, node := range nodes {
 				if i != remaining {
@@ -74,7 +74,7 @@
 	}
 	mustAwait(t, "a leader and a write at every instance", allHaveWrite)
 	for _, name := range instanceNames {
-		url := cluster.Addr(name, httpPort) + "/api/targets?wait=500&index=99999"
+		url := watchURL(cluster.Addr(name, httpPort), "wait=500&index=99999")
 		list := request(http.MethodGet, url, "").list(t)
 		if !list.Full || list.Version > 999 || len(list.Servers) != 1 {
 			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the full list", name, leaderName, list)
@@ -88,7 +88,7 @@
 	slowLink.SetDelay(slowLinkDelay)
 	for i := range 5 {
 		version := putServer(cluster.Addr(leaderName, adminPort), fmt.Sprint("new-", i))
-		url := fmt.Sprintf("%s/api/targets?wait=0&index=%d", cluster.Addr(follower, httpPort), version)
+		url := watchURL(cluster.Addr(follower, httpPort), fmt.Sprintf("wait=0&index=%d", version))
 		got := request(http.MethodGet, url, "")
 		if got.code == http.StatusServiceUnavailable {
 			continue // it does not know the version yet; a client would continue at another instance
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -39,9 +39,9 @@
 		return
 	}
 	if entry.ID == "" {
-		entry.ID = r.PathValue("id")
+		entry.ID = serverID(r)
 	}
-	if err := validateEndpoint(entry, r.PathValue("id")); err != nil {
+	if err := validateEndpoint(entry, serverID(r)); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -53,7 +53,7 @@
 	if n.redirectToLeader(w, r) {
 		return
 	}
-	n.commit(w, command{Op: operationRemove, Server: endpoint.Endpoint{ID: r.PathValue("id")}})
+	n.commit(w, command{Op: operationRemove, Server: endpoint.Endpoint{ID: serverID(r)}})
 }
 
 // commit replicates a write and answers {"version": N} once a majority has it.
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -136,7 +136,7 @@
 // status is the status of an instance by its admin endpoint.
 func (d *discoveryCluster) status(ctx context.Context, name string) (server.Status, error) {
 	var status server.Status
-	url := "http://" + d.Addr(name, "admin") + "/v1/status"
+	url := "http://" + d.Addr(name, "admin") + endpoint.StatusPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return status, err
@@ -155,14 +155,14 @@
 
 // putServer sets a server's entry and returns the version of the change.
 func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Endpoint) (uint64, error) {
-	return d.putAcknowledged(ctx, "/v1/servers/"+t.ID, t)
+	return d.putAcknowledged(ctx, endpoint.ServerPath(t.ID), t)
 }
 
 // putSettings sets all settings of a service and returns the version of the change.
 func (d *discoveryCluster) putSettings(
 	ctx context.Context, service string, settings *experiment.ServiceSettings,
 ) (uint64, error) {
-	return d.putAcknowledged(ctx, "/v1/settings/"+service, settings)
+	return d.putAcknowledged(ctx, endpoint.SettingsPath(service), settings)
 }
 
 // putAcknowledged puts a value as JSON by the admin endpoint of any instance. It retries with the next
