--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -2,13 +2,9 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
-	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
@@ -17,34 +13,26 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Names of an instance's ports in a processtest.Cluster.
-const (
-	raftPort  = "raft"
-	httpPort  = "http"
-	adminPort = "admin"
-)
-
 // instanceNames are the instances of the tests' clusters of processes.
 var instanceNames = []string{"n1", "n2", "n3"}
 
-// instancePorts are the ports of an instance, in the order of their file descriptors.
-func instancePorts() []string { return []string{raftPort, httpPort, adminPort} }
+// processMaxStale is the max_stale of the instances that run as processes.
+const processMaxStale = time.Second
 
 // startCluster builds cmd/discovery and starts three instances whose Raft connections pass through
 // the proxies of processtest.
 func startCluster(t *testing.T) *processtest.Cluster {
 	t.Helper()
 	dir := t.TempDir()
-	binary := filepath.Join(dir, "discovery")
-	build := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "../../../cmd/discovery")
-	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+	const program = "discovery"
+	if err := processtest.Build(t.Context(), dir, program); err != nil {
+		t.Fatal(err)
 	}
 	cluster, err := processtest.New(processtest.Config{
-		Binary: binary,
+		Binary: filepath.Join(dir, program),
 		Dir:    dir,
 		Names:  instanceNames,
-		Ports:  instancePorts(),
+		Ports:  processtest.DiscoveryPorts(),
 		Args:   serveArguments(t, dir),
 	})
 	if err != nil {
@@ -78,46 +66,22 @@
 	t.Helper()
 	return func(cluster *processtest.Cluster, name string) []string {
 		path := filepath.Join(dir, name+".toml")
-		linkTo := func(peer string) string {
-			link, err := cluster.Link(name, peer, raftPort)
-			if err != nil {
-				t.Error(err)
-				return ""
-			}
-			return link.Addr()
+		file, err := cluster.DiscoveryFile(name)
+		if err != nil {
+			t.Error(err)
 		}
-		text := configText(cluster, filepath.Join(dir, name), name, linkTo, "")
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+		file.MaxStale = processMaxStale
+		if err := file.Write(path); err != nil {
 			t.Error(err)
 		}
 		return []string{"serve", "--config", path}
 	}
 }
 
-// configText returns the configuration of an instance, whose listeners are inherited. raftAddress
-// returns the address by which it reaches a peer; extra are more lines.
-func configText(
-	cluster *processtest.Cluster, dataDir, name string, raftAddress func(peer string) string, extra string,
-) string {
-	names := cluster.Names()
-	var text strings.Builder
-	fmt.Fprintf(&text, "id = %q\ndata_dir = %q\n", name, dataDir)
-	text.WriteString("raft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n")
-	fmt.Fprintf(&text, "bootstrap = %v\nmax_stale = \"1s\"\n%s\n", name == names[0], extra)
-	for _, peer := range names {
-		if peer == name {
-			continue
-		}
-		fmt.Fprintf(&text, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n",
-			peer, raftAddress(peer), cluster.Addr(peer, adminPort))
-	}
-	return text.String()
-}
-
 // leader returns the name of a running instance that leads, or "".
 func leader(cluster *processtest.Cluster) string {
 	for _, name := range cluster.Names() {
-		if cluster.Running(name) && statusAt(cluster.Addr(name, adminPort)).State == server.StateLeader {
+		if cluster.Running(name) && statusAt(cluster.Addr(name, processtest.AdminPort)).State == server.StateLeader {
 			return name
 		}
 	}
@@ -155,7 +119,7 @@
 	deadline := time.Now().Add(startTimeout)
 	for attempt := 0; time.Now().Before(deadline); attempt++ {
 		name := instanceNames[attempt%len(instanceNames)]
-		if version := write(cluster.Addr(name, adminPort)); version != 0 {
+		if version := write(cluster.Addr(name, processtest.AdminPort)); version != 0 {
 			return version
 		}
 		time.Sleep(retryInterval)
@@ -177,7 +141,7 @@
 
 // listsServer reports whether an instance's full list has an id.
 func listsServer(cluster *processtest.Cluster, name, id string) bool {
-	list, _ := fetchList(cluster.Addr(name, httpPort))
+	list, _ := fetchList(cluster.Addr(name, processtest.HTTPPort))
 	hasID := func(entry endpoint.Endpoint) bool { return entry.ID == id }
 	return slices.ContainsFunc(list.Servers, hasID)
 }
@@ -187,7 +151,7 @@
 func commonHistory(cluster *processtest.Cluster, service string) []server.SettingsVersion {
 	var first response
 	for i, name := range instanceNames {
-		got := request(http.MethodGet, cluster.Addr(name, adminPort)+endpoint.SettingsHistoryPath(service), "")
+		got := request(http.MethodGet, cluster.Addr(name, processtest.AdminPort)+endpoint.SettingsHistoryPath(service), "")
 		if i == 0 {
 			first = got
 		}
--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -96,9 +96,11 @@
 	clients  sync.WaitGroup
 }
 
-// startFaultCluster starts instances and waits for a leader. extraConfig are more lines of the
-// instances' configuration.
-func startFaultCluster(t *testing.T, instances []string, extraConfig string) *faultCluster {
+// configOption changes the configuration of an instance.
+type configOption func(*processtest.DiscoveryFile)
+
+// startFaultCluster starts instances, each configured with the options, and waits for a leader.
+func startFaultCluster(t *testing.T, instances []string, options ...configOption) *faultCluster {
 	t.Helper()
 	binary, err := os.Executable()
 	if err != nil {
@@ -115,7 +117,7 @@
 		Binary: binary,
 		Dir:    cluster.dir,
 		Names:  instances,
-		Ports:  instancePorts(),
+		Ports:  processtest.DiscoveryPorts(),
 		Env:    environment,
 	})
 	if err != nil {
@@ -124,7 +126,7 @@
 	t.Cleanup(cluster.Close)
 	t.Cleanup(cluster.stopClients)
 	for _, name := range instances {
-		cluster.writeConfig(name, extraConfig)
+		cluster.writeConfig(name, options)
 		if err := cluster.Start(name); err != nil {
 			t.Fatal(err)
 		}
@@ -142,11 +144,14 @@
 func (c *faultCluster) dataDir(name string) string { return filepath.Join(c.dir, name) }
 
 // writeConfig writes the configuration of an instance, which reaches its peers directly.
-func (c *faultCluster) writeConfig(name, extra string) {
+func (c *faultCluster) writeConfig(name string, options []configOption) {
 	c.t.Helper()
-	raftAddress := func(peer string) string { return c.Addr(peer, raftPort) }
-	text := configText(c.Cluster, c.dataDir(name), name, raftAddress, extra)
-	if err := os.WriteFile(c.path(name, configExtension), []byte(text), 0o644); err != nil {
+	file := c.DirectDiscoveryFile(name)
+	file.MaxStale = processMaxStale
+	for _, option := range options {
+		option(&file)
+	}
+	if err := file.Write(c.path(name, configExtension)); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -166,7 +171,7 @@
 	for _, name := range c.Names() {
 		text, _ := os.ReadFile(c.path(name, logExtension)) // a missing log is shown as empty
 		end := text[max(0, len(text)-maxLogShown):]
-		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, adminPort)), end)
+		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, processtest.AdminPort)), end)
 	}
 }
 
@@ -249,7 +254,7 @@
 // write writes an entry at an instance and records it. It reports whether it was acknowledged.
 func (c *faultCluster) write(name, id string) bool {
 	record := writeRecord{id: id, started: c.history.now()}
-	record.version = putServer(c.Addr(name, adminPort), id)
+	record.version = putServer(c.Addr(name, processtest.AdminPort), id)
 	record.ended = c.history.now()
 	c.history.recordWrite(record)
 	return record.version != 0
@@ -258,7 +263,7 @@
 // read returns the full list of an instance, and whether the instance served it.
 func (c *faultCluster) read(name string) (readRecord, bool) {
 	record := readRecord{instance: name, started: c.history.now()}
-	list, served := fetchList(c.Addr(name, httpPort))
+	list, served := fetchList(c.Addr(name, processtest.HTTPPort))
 	if !served {
 		return record, false
 	}
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // limitFileSize sets how long a running process may make files, in bytes; writes beyond it fail with
@@ -52,7 +53,7 @@
 		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
 	for end := time.Now().Add(limitTime); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
-		if code := putStatus(cluster.Addr(instanceNames[0], adminPort)); code != http.StatusServiceUnavailable {
+		if code := putStatus(cluster.Addr(instanceNames[0], processtest.AdminPort)); code != http.StatusServiceUnavailable {
 			t.Fatalf("a write was answered with %d while no file can be written", code)
 		}
 	}
@@ -74,7 +75,9 @@
 // TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
 // is written compacts it. A kill after either loses nothing.
 func TestSnapshotOutage(t *testing.T) {
-	cluster := startFaultCluster(t, []string{soleInstance}, fastElection+"\ntrailing_logs = 10")
+	const trailingLogs = 10
+	fewLogs := func(file *processtest.DiscoveryFile) { file.TrailingLogs = trailingLogs }
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection, fewLogs)
 	for i := range 150 {
 		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -50,7 +50,7 @@
 			return
 		default:
 		}
-		address := cluster.Addr(instanceNames[instance%len(instanceNames)], httpPort)
+		address := cluster.Addr(instanceNames[instance%len(instanceNames)], processtest.HTTPPort)
 		if !w.watchOnce(t, client, address) {
 			instance++
 		}
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -41,11 +41,11 @@
 			lastRead = time.Now()
 		}
 		minorityID := fmt.Sprintf("cut-%d", i)
-		if putServer(cluster.Addr(oldLeader, adminPort), minorityID) != 0 {
+		if putServer(cluster.Addr(oldLeader, processtest.AdminPort), minorityID) != 0 {
 			t.Errorf("%s acknowledged by %s %v after it was cut off", minorityID, oldLeader, time.Since(cutAt))
 		}
 		majorityID := fmt.Sprintf("major-%d", i)
-		if putServer(cluster.Addr(majority[i%len(majority)], adminPort), majorityID) != 0 {
+		if putServer(cluster.Addr(majority[i%len(majority)], processtest.AdminPort), majorityID) != 0 {
 			acknowledged = append(acknowledged, majorityID)
 		}
 		time.Sleep(partitionedWriteInterval)
@@ -68,7 +68,7 @@
 // servesReads reports whether an instance serves reads.
 func servesReads(t *testing.T, cluster *processtest.Cluster, name string) bool {
 	t.Helper()
-	resp, err := get(t.Context(), http.DefaultClient, cluster.Addr(name, httpPort)+endpoint.ListPath)
+	resp, err := get(t.Context(), http.DefaultClient, cluster.Addr(name, processtest.HTTPPort)+endpoint.ListPath)
 	if err != nil {
 		return false
 	}
--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -56,7 +56,7 @@
 
 // allKnowLeader reports whether each instance knows a leader: one that does not answers a write with 503.
 func allKnowLeader(cluster *processtest.Cluster) bool {
-	knowsNone := func(name string) bool { return statusAt(cluster.Addr(name, adminPort)).Leader == "" }
+	knowsNone := func(name string) bool { return statusAt(cluster.Addr(name, processtest.AdminPort)).Leader == "" }
 	return !slices.ContainsFunc(instanceNames, knowsNone)
 }
 
@@ -70,7 +70,7 @@
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			url := cluster.Addr(instanceNames[i+1], adminPort) + endpoint.SettingsPath(concurrentService)
+			url := cluster.Addr(instanceNames[i+1], processtest.AdminPort) + endpoint.SettingsPath(concurrentService)
 			got[i] = putSettings(url, server.SettingsText(firstMark+i), ifMatch)
 		}()
 	}
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -11,13 +11,14 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // storeFileName is the file of a data directory that has Raft's log, term and vote.
 const storeFileName = "raft.db"
 
 // fastElection makes an instance that is a cluster by itself lead soon after its start.
-const fastElection = `election_timeout = "100ms"`
+func fastElection(file *processtest.DiscoveryFile) { file.ElectionTimeout = singleNodeElectionTimeout }
 
 const (
 	// maxTimeToKill bounds the random time from the start of an instance until it is killed.
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -90,7 +90,7 @@
 // runOutage runs one outage and checks the history.
 func runOutage(t *testing.T, c outageCase, outage time.Duration) {
 	t.Helper()
-	cluster := startFaultCluster(t, instanceNames, "")
+	cluster := startFaultCluster(t, instanceNames)
 	cluster.startClients(4)
 	time.Sleep(timeBeforeOutage)
 	failing := c.failing(cluster)
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -19,12 +19,12 @@
 	cluster := startCluster(t)
 	mustPutAnywhere(t, cluster, "s-1")
 	leaderName := leader(cluster)
-	admin := cluster.Addr(leaderName, adminPort)
+	admin := cluster.Addr(leaderName, processtest.AdminPort)
 	before := statusAt(admin).Usage
 	const reads = 5
 	bodyBytes := uint64(0)
 	for range reads {
-		bodyBytes += readListBytes(t, cluster.Addr(leaderName, httpPort))
+		bodyBytes += readListBytes(t, cluster.Addr(leaderName, processtest.HTTPPort))
 	}
 	mustPutAnywhere(t, cluster, "s-2")
 	after := statusAt(admin).Usage
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
@@ -74,21 +75,21 @@
 	}
 	mustAwait(t, "a leader and a write at every instance", allHaveWrite)
 	for _, name := range instanceNames {
-		url := watchURL(cluster.Addr(name, httpPort), "wait=500&index=99999")
+		url := watchURL(cluster.Addr(name, processtest.HTTPPort), "wait=500&index=99999")
 		list := request(http.MethodGet, url, "").list(t)
 		if !list.Full || list.Version > 999 || len(list.Servers) != 1 {
 			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the full list", name, leaderName, list)
 		}
 	}
 	follower := instanceNames[(slices.Index(instanceNames, leaderName)+1)%len(instanceNames)]
-	slowLink, err := cluster.Link(leaderName, follower, raftPort)
+	slowLink, err := cluster.Link(leaderName, follower, processtest.RaftPort)
 	if err != nil {
 		t.Fatal(err)
 	}
 	slowLink.SetDelay(slowLinkDelay)
 	for i := range 5 {
-		version := putServer(cluster.Addr(leaderName, adminPort), fmt.Sprint("new-", i))
-		url := watchURL(cluster.Addr(follower, httpPort), fmt.Sprintf("wait=0&index=%d", version))
+		version := putServer(cluster.Addr(leaderName, processtest.AdminPort), fmt.Sprint("new-", i))
+		url := watchURL(cluster.Addr(follower, processtest.HTTPPort), fmt.Sprintf("wait=0&index=%d", version))
 		got := request(http.MethodGet, url, "")
 		if got.code == http.StatusServiceUnavailable {
 			continue // it does not know the version yet; a client would continue at another instance
--- a/internal/processtest/discovery.go
+++ b/internal/processtest/discovery.go
@@ -23,16 +23,20 @@
 func DiscoveryPorts() []string { return []string{RaftPort, HTTPPort, AdminPort} }
 
 // DiscoveryFile is the configuration file of a discovery instance that inherits its listeners, as far as tests use it.
-// The keys are those of the instance.
+// The keys are those of the instance. One that is left out has the instance's default.
 type DiscoveryFile struct {
-	ID        string          `toml:"id"`
-	DataDir   string          `toml:"data_dir"`
-	RaftAddr  string          `toml:"raft_addr"`
-	HTTPAddr  string          `toml:"http_addr"`
-	AdminAddr string          `toml:"admin_addr"`
-	Bootstrap bool            `toml:"bootstrap"`
-	MaxStale  time.Duration   `toml:"max_stale,omitempty"` // 0: the instance's default
-	Peers     []DiscoveryPeer `toml:"peers"`
+	ID        string `toml:"id"`
+	DataDir   string `toml:"data_dir"`
+	RaftAddr  string `toml:"raft_addr"`
+	HTTPAddr  string `toml:"http_addr"`
+	AdminAddr string `toml:"admin_addr"`
+	Bootstrap bool   `toml:"bootstrap"`
+
+	MaxStale        time.Duration `toml:"max_stale,omitzero"`        // 0: left out
+	ElectionTimeout time.Duration `toml:"election_timeout,omitzero"` // 0: left out
+	TrailingLogs    uint64        `toml:"trailing_logs,omitzero"`    // 0: left out
+
+	Peers []DiscoveryPeer `toml:"peers"`
 }
 
 // DiscoveryPeer is another instance as one instance reaches it.
@@ -45,6 +49,19 @@
 // DiscoveryFile is the configuration of an instance of a cluster whose ports are DiscoveryPorts: the first instance
 // founds the service, and each reaches the others' Raft listeners by links. Its data is in DIR/NAME.
 func (c *Cluster) DiscoveryFile(name string) (DiscoveryFile, error) {
+	file := c.DirectDiscoveryFile(name)
+	for i, peer := range file.Peers {
+		link, err := c.Link(name, peer.ID, RaftPort)
+		if err != nil {
+			return file, err
+		}
+		file.Peers[i].Raft = link.Addr()
+	}
+	return file, nil
+}
+
+// DirectDiscoveryFile is DiscoveryFile without links: each instance reaches the others' Raft listeners directly.
+func (c *Cluster) DirectDiscoveryFile(name string) DiscoveryFile {
 	file := DiscoveryFile{
 		ID:        name,
 		DataDir:   filepath.Join(c.cfg.Dir, name),
@@ -57,13 +74,13 @@
 		if peer == name {
 			continue
 		}
-		link, err := c.Link(name, peer, RaftPort)
-		if err != nil {
-			return file, err
-		}
-		file.Peers = append(file.Peers, DiscoveryPeer{ID: peer, Raft: link.Addr(), Admin: c.Addr(peer, AdminPort)})
+		file.Peers = append(file.Peers, DiscoveryPeer{
+			ID:    peer,
+			Raft:  c.Addr(peer, RaftPort),
+			Admin: c.Addr(peer, AdminPort),
+		})
 	}
-	return file, nil
+	return file
 }
 
 // Write writes the file.
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -8,10 +8,8 @@
 	"fmt"
 	"io"
 	"net/http"
-	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -38,10 +36,6 @@
 	writeRetryInterval = 20 * time.Millisecond
 	// maxIdleConnections are kept to each instance.
 	maxIdleConnections = 64
-	// discoveryConfigMode is the mode of an instance's configuration file.
-	discoveryConfigMode = 0o644
-	// leaderState is the state that the leader reports.
-	leaderState = "Leader"
 	// maxWriteResponse is the part of a response to a write that is read.
 	maxWriteResponse = 1 << 16
 )
@@ -58,7 +52,7 @@
 		Binary: program,
 		Dir:    directory,
 		Names:  names,
-		Ports:  []string{"raft", "http", "admin"},
+		Ports:  processtest.DiscoveryPorts(),
 		IP:     func(name string) string { return ip(slices.Index(names, name)) },
 		Args: func(c *processtest.Cluster, name string) []string {
 			return discoveryArguments(c, name, directory)
@@ -86,7 +80,7 @@
 // can't be written the program names the missing file.
 func discoveryArguments(c *processtest.Cluster, name, directory string) []string {
 	path := filepath.Join(directory, name+".toml")
-	if err := writeDiscoveryConfig(c, name, directory, path); err != nil {
+	if err := writeDiscoveryConfig(c, name, path); err != nil {
 		path = filepath.Join(directory, "none")
 	}
 	return []string{"serve", "--config", path}
@@ -94,21 +88,12 @@
 
 // writeDiscoveryConfig writes an instance's configuration. It reaches each other instance by a link of
 // its own.
-func writeDiscoveryConfig(c *processtest.Cluster, name, directory, path string) error {
-	var b strings.Builder
-	fmt.Fprintf(&b, "id = %q\ndata_dir = %q\nraft_addr = \"fd:3\"\nhttp_addr = \"fd:4\"\nadmin_addr = \"fd:5\"\n"+
-		"bootstrap = %v\n", name, filepath.Join(directory, name), name == c.Names()[0])
-	for _, peer := range c.Names() {
-		if peer == name {
-			continue
-		}
-		link, err := c.Link(name, peer, "raft")
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(&b, "[[peers]]\nid = %q\nraft = %q\nadmin = %q\n", peer, link.Addr(), c.Addr(peer, "admin"))
+func writeDiscoveryConfig(c *processtest.Cluster, name, path string) error {
+	file, err := c.DiscoveryFile(name)
+	if err != nil {
+		return err
 	}
-	return os.WriteFile(path, []byte(b.String()), discoveryConfigMode)
+	return file.Write(path)
 }
 
 // awaitLeader waits until an instance is the leader, or the context ends.
@@ -126,7 +111,7 @@
 		if !d.Running(name) {
 			continue
 		}
-		if status, err := d.status(ctx, name); err == nil && status.State == leaderState {
+		if status, err := d.status(ctx, name); err == nil && status.State == server.StateLeader {
 			return name
 		}
 	}
@@ -136,7 +121,7 @@
 // status is the status of an instance by its admin endpoint.
 func (d *discoveryCluster) status(ctx context.Context, name string) (server.Status, error) {
 	var status server.Status
-	url := "http://" + d.Addr(name, "admin") + endpoint.StatusPath
+	url := "http://" + d.Addr(name, processtest.AdminPort) + endpoint.StatusPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return status, err
@@ -174,7 +159,7 @@
 	}
 	for {
 		name := d.Names()[int(d.nextInstance.Load())%len(d.Names())]
-		version, err := d.put(ctx, "http://"+d.Addr(name, "admin")+path, body)
+		version, err := d.put(ctx, "http://"+d.Addr(name, processtest.AdminPort)+path, body)
 		if err == nil || errors.Is(err, errRejected) {
 			return version, err
 		}
