--- a/cmd/discovery/serve.go
+++ b/cmd/discovery/serve.go
@@ -12,34 +12,37 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
-// Values of --log-format.
+// logFormat is the form of the log records, the value of --log-format.
+type logFormat string
+
+// The values of logFormat.
 const (
-	logFormatText = "text"
-	logFormatJSON = "json"
+	logFormatText logFormat = "text"
+	logFormatJSON logFormat = "json"
 )
 
 // serveCommand returns the command that runs one instance.
 func serveCommand() *cobra.Command {
-	var configPath, logFormat string
+	var configPath, format string
 	cmd := &cobra.Command{
 		Use:   "serve",
 		Short: "run one instance until SIGTERM or SIGINT",
-		RunE:  func(*cobra.Command, []string) error { return serve(configPath, logFormat) },
+		RunE:  func(*cobra.Command, []string) error { return serve(configPath, logFormat(format)) },
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&configPath, "config", "discovery.toml",
 		"TOML file of the instance (see internal/discovery/server.Config)")
-	flags.StringVar(&logFormat, "log-format", logFormatText, "log records as text or json, on standard error")
+	flags.StringVar(&format, "log-format", string(logFormatText), "log records as text or json, on standard error")
 	return cmd
 }
 
 // serve runs one instance until SIGTERM or SIGINT, or until it fails.
-func serve(configPath, logFormat string) error {
+func serve(configPath string, format logFormat) error {
 	config, err := server.Load(configPath)
 	if err != nil {
 		return err
 	}
-	log := newLogger(logFormat).With("node", config.ID)
+	log := newLogger(format).With("node", config.ID)
 	node, err := server.Start(config, log)
 	if err != nil {
 		return err
@@ -57,7 +60,7 @@
 }
 
 // newLogger returns a logger to standard error, in JSON for logFormatJSON and otherwise in text.
-func newLogger(format string) *slog.Logger {
+func newLogger(format logFormat) *slog.Logger {
 	if format == logFormatJSON {
 		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
 	}
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -16,8 +16,6 @@
 )
 
 const (
-	// stateLeader is the state of the instance that leads, by its status.
-	stateLeader = "Leader"
 	// retryTimeout bounds the retries of what needs a leader or all agents.
 	retryTimeout = 20 * time.Second
 	// changeTimeout bounds the retries of a change.
@@ -62,7 +60,7 @@
 			continue
 		}
 		var status server.Status
-		if h.get(name, endpoint.StatusPath, &status) == nil && status.State == stateLeader {
+		if h.get(name, endpoint.StatusPath, &status) == nil && status.State == server.StateLeader {
 			return name
 		}
 	}
--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
@@ -109,25 +110,25 @@
 // The JSON forms of the parts of AgentSettings, with the keys of the agent's configuration.
 type (
 	settingsJSON struct {
-		Classes        []classJSON   `json:"classes"`
-		Contract       contractJSON  `json:"contract"`
-		FailureDomains []string      `json:"failureDomains"`
-		Index          *int          `json:"index,omitempty"`
-		Limits         limitsJSON    `json:"limits"`
-		MembershipMode string        `json:"membershipMode"`
-		ObjectiveMix   objectiveJSON `json:"objectiveMix"`
-		ReplicasOfMe   int           `json:"replicasOfMe"`
-		RoundMs        int           `json:"roundMs"`
-		Shapes         []string      `json:"shapes"`
-		Zone           *int          `json:"zone,omitempty"`
+		Classes        []classJSON            `json:"classes"`
+		Contract       contractJSON           `json:"contract"`
+		FailureDomains []string               `json:"failureDomains"`
+		Index          *int                   `json:"index,omitempty"`
+		Limits         limitsJSON             `json:"limits"`
+		MembershipMode balancer.DiscoveryMode `json:"membershipMode"`
+		ObjectiveMix   objectiveJSON          `json:"objectiveMix"`
+		ReplicasOfMe   int                    `json:"replicasOfMe"`
+		RoundMs        int                    `json:"roundMs"`
+		Shapes         []string               `json:"shapes"`
+		Zone           *int                   `json:"zone,omitempty"`
 	}
 	classJSON struct {
-		AimMs     int     `json:"aimMs"`
-		Credit    int     `json:"credit"`
-		Effect    string  `json:"effect"`
-		GiveUpMs  int     `json:"giveUpMs"`
-		LateShare float64 `json:"lateShare"`
-		Name      string  `json:"name"`
+		AimMs     int                  `json:"aimMs"`
+		Credit    int                  `json:"credit"`
+		Effect    balancer.Idempotency `json:"effect"`
+		GiveUpMs  int                  `json:"giveUpMs"`
+		LateShare float64              `json:"lateShare"`
+		Name      string               `json:"name"`
 	}
 	contractJSON struct {
 		AskWithinMs  int `json:"askWithinMs"`
@@ -152,7 +153,7 @@
 		Classes: []classJSON{{
 			AimMs:     latencyObjectiveMs,
 			Credit:    priorityWeight,
-			Effect:    "single_shot",
+			Effect:    balancer.NonIdempotent,
 			GiveUpMs:  totalTimeoutMs,
 			LateShare: lateFraction,
 			Name:      "order",
@@ -171,7 +172,7 @@
 			MaxAttempts:      s.MaxAttempts,
 			MaxRetryAfterMs:  maxRetryAfterMs,
 		},
-		MembershipMode: "on_request",
+		MembershipMode: balancer.DiscoveryOnRequest,
 		ObjectiveMix:   objectiveJSON{Whole: 1},
 		ReplicasOfMe:   s.Agents,
 		RoundMs:        roundTripMs,
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -159,7 +159,7 @@
 		link.SetCut(partition.Separates(key.from, key.to))
 	}
 	c.mu.Unlock()
-	c.record("", "partition", fmt.Sprint(groups))
+	c.record("", ActionPartition, fmt.Sprint(groups))
 }
 
 // Heal restores every link to pass everything at once.
@@ -171,7 +171,7 @@
 		link.SetDrop(0)
 	}
 	c.mu.Unlock()
-	c.record("", "heal", "")
+	c.record("", ActionHeal, "")
 }
 
 // Close kills every process and closes every proxy.
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -101,7 +101,7 @@
 	p.last = started
 	p.incarnations = append(p.incarnations, Incarnation{Start: startedAt})
 	c.mu.Unlock()
-	c.record(name, "start", fmt.Sprintf("pid %d", cmd.Process.Pid))
+	c.record(name, ActionStart, fmt.Sprintf("pid %d", cmd.Process.Pid))
 	return nil
 }
 
@@ -197,13 +197,13 @@
 
 // Kill sends SIGKILL (and SIGCONT, so that a paused process ends too) and waits for the end; a process that is not
 // running gets no signal.
-func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, "kill") }
+func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, ActionKill) }
 
 // Term sends SIGTERM and waits for the end.
-func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, "term") }
+func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, ActionTerm) }
 
 // end records the end of a process, sends it a signal and waits until it has ended.
-func (c *Cluster) end(name string, signal syscall.Signal, action string) error {
+func (c *Cluster) end(name string, signal syscall.Signal, action Action) error {
 	c.recordEnd(name, signal == syscall.SIGTERM)
 	current := c.running(name)
 	if current == nil {
@@ -241,12 +241,13 @@
 }
 
 // Pause sends SIGSTOP.
-func (c *Cluster) Pause(name string) error { return c.signal(name, syscall.SIGSTOP, "pause") }
+func (c *Cluster) Pause(name string) error { return c.signal(name, syscall.SIGSTOP, ActionPause) }
 
 // Resume sends SIGCONT.
-func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, "resume") }
+func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, ActionResume) }
 
-func (c *Cluster) signal(name string, signal syscall.Signal, action string) error {
+// signal sends a signal to a process that runs, and records it.
+func (c *Cluster) signal(name string, signal syscall.Signal, action Action) error {
 	current := c.running(name)
 	if current == nil {
 		return fmt.Errorf("processtest: %s: %w", name, ErrNotRunning)
