--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -9,6 +9,9 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // limitFileSize sets how long a running process may make files, in bytes; writes beyond it fail with
@@ -35,7 +38,7 @@
 // putStatus returns the status code of a write at an admin address; 0: there was no response.
 func putStatus(admin string) int {
 	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
-	return request(http.MethodPut, admin+"/v1/servers/limited", body).code
+	return request(http.MethodPut, admin+endpoint.ServerPath("limited"), body).code
 }
 
 // TestFileSizeLimit: all writes of cmd/discovery to files fail for limitTime, on all instances. No instance
@@ -50,7 +53,7 @@
 		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
 	for end := time.Now().Add(limitTime); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
-		if code := putStatus(cluster.Addr(instanceNames[0], adminPort)); code != http.StatusServiceUnavailable {
+		if code := putStatus(cluster.Addr(instanceNames[0], processtest.AdminPort)); code != http.StatusServiceUnavailable {
 			t.Fatalf("a write was answered with %d while no file can be written", code)
 		}
 	}
@@ -72,7 +75,9 @@
 // TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
 // is written compacts it. A kill after either loses nothing.
 func TestSnapshotOutage(t *testing.T) {
-	cluster := startFaultCluster(t, []string{soleInstance}, fastElection+"\ntrailing_logs = 10")
+	const trailingLogs = 10
+	fewLogs := func(file *processtest.DiscoveryFile) { file.TrailingLogs = trailingLogs }
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection, fewLogs)
 	for i := range 150 {
 		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
