--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net/http"
 	"strings"
 	"sync"
@@ -11,6 +12,7 @@
 
 	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
@@ -19,8 +21,9 @@
 	// silentOperators is how many operators connect and send nothing, one each operatorInterval.
 	silentOperators  = 300
 	operatorInterval = 10 * time.Millisecond
-	// fillTime is the time in which clients and operators take all descriptors that there are for them.
-	fillTime = time.Second
+	// operatorsBeforeReturn is how many of them have connected when discovery returns: several times as many as the
+	// admin endpoint keeps open.
+	operatorsBeforeReturn = 100
 )
 
 // openConns are connections that stay open until they are all closed. Its methods are safe for concurrent use.
@@ -41,6 +44,24 @@
 	return conn, nil
 }
 
+// size is the number of connections so far.
+func (o *openConns) size() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return len(o.conns)
+}
+
+// awaitFirstClosed waits until the agent closes the connection that was opened first.
+func (o *openConns) awaitFirstClosed(t *testing.T) {
+	t.Helper()
+	o.mu.Lock()
+	first := o.conns[0]
+	o.mu.Unlock()
+	if _, err := io.Copy(io.Discard, first.reader); err != nil {
+		t.Fatalf("the connection that was opened first: %v", err)
+	}
+}
+
 // close closes all connections.
 func (o *openConns) close() {
 	o.mu.Lock()
@@ -71,7 +92,7 @@
 		if _, err := o.dial(t.Context(), admin); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(operatorInterval)
+		time.Sleep(operatorInterval) // the operators' load
 	}
 }
 
@@ -135,12 +156,17 @@
 	p.collectLog()
 	defer p.endWithoutLackOfDescriptors(t)
 
-	var open openConns
-	defer open.close()
-	open.dialIdleClients(t, addr)
-	operators := startParallel(1, func(int) { open.dialSilentOperators(t, admin) })
-	defer operators.Wait()
-	time.Sleep(fillTime)
+	var clients, operators openConns
+	defer clients.close()
+	defer operators.close()
+	clients.dialIdleClients(t, addr)
+	dialing := startParallel(1, func(int) { operators.dialSilentOperators(t, admin) })
+	defer dialing.Wait()
+	clients.awaitFirstClosed(t) // for lack of descriptors, as it was idle for longest
+	haveConnected := func() bool { return operators.size() >= operatorsBeforeReturn }
+	if err := processtest.Await(testTimeout, "silent operators", haveConnected); err != nil {
+		t.Fatal(err)
+	}
 	isUp.Store(true)
 	awaitBody(t, addr, "second")
 	got, err := getReadiness(t.Context(), admin)
--- a/cmd/agent/kill_test.go
+++ b/cmd/agent/kill_test.go
@@ -54,7 +54,7 @@
 // the request anew; on a first request the close is a loss.
 func (k *killedClient) use(ctx context.Context, conn *clientConn) {
 	for first := true; ; first = false {
-		time.Sleep(k.idle)
+		time.Sleep(k.idle) // the client's load
 		if k.idle > 0 && conn.closedByPeer() {
 			return // closed between requests: what is sent now was never read
 		}
@@ -95,11 +95,14 @@
 			case <-r.Context().Done():
 			}
 		}
-		time.Sleep(serviceTime)
+		simulateWork(serviceTime)
 		writeBody(w, "done")
 	})
 }
 
+// sleepUntil waits for a moment of the test's schedule, which clients, server and platform share.
+func sleepUntil(moment time.Time) { time.Sleep(time.Until(moment)) }
+
 // SIGKILL at the earliest moment that the protocol allows finds nothing unanswered, while the server blocks from
 // SIGTERM on and clients keep sending on each connection that stays open.
 func TestEarliestSIGKILLFindsNothingUnanswered(t *testing.T) {
@@ -118,9 +121,9 @@
 		clients[i] = killedClient{addr: addr, term: term, idle: time.Duration(i%idleSteps) * idleStep}
 		clients[i].run(t.Context())
 	})
-	time.Sleep(time.Until(term))
+	sleepUntil(term)
 	p.signal(t, syscall.SIGTERM)
-	time.Sleep(time.Until(term.Add(earliestKill)))
+	sleepUntil(term.Add(earliestKill))
 	_ = p.cmd.Process.Kill() // it may have ended by itself
 	running.Wait()
 	p.awaitEnd(t)
--- a/cmd/agent/servers_test.go
+++ b/cmd/agent/servers_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"net/http/httptest"
 	"testing"
+	"time"
 
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
@@ -19,6 +20,9 @@
 	return server.Listener.Addr().String()
 }
 
+// simulateWork lasts as long as a server works on a request.
+func simulateWork(serviceTime time.Duration) { time.Sleep(serviceTime) }
+
 // respond is a handler that responds with a body at once.
 func respond(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { writeBody(w, body) }
--- a/cmd/agent/shutdown_test.go
+++ b/cmd/agent/shutdown_test.go
@@ -90,9 +90,9 @@
 func TestSIGTERMUnderTraffic(t *testing.T) {
 	server := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == longPath {
-			time.Sleep(longServiceTime)
+			simulateWork(longServiceTime)
 		}
-		time.Sleep(serviceTime)
+		simulateWork(serviceTime)
 		writeBody(w, "done")
 	})
 	config := newConfig(silentDiscovery(t), listedServer("s-1", server))
@@ -110,7 +110,7 @@
 	p.signal(t, syscall.SIGTERM)
 	long := make(chan error, 1)
 	go func() { long <- sendLongRequest(t.Context(), addr) }()
-	time.Sleep(connectAfterTerm)
+	time.Sleep(connectAfterTerm) // the platform's delay
 	traffic.stopped.Store(true)
 
 	p.expectCleanEnd(t)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -132,7 +132,7 @@
 		if !mayRetry(class, outcome) {
 			break
 		}
-		time.Sleep(config.RetryDelay)
+		simulateDelay(config.RetryDelay)
 	}
 	return outcome
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -151,7 +151,7 @@
 	s.handshakes.Add(1)
 	if work := s.machine.engine.model.HandshakeWork; work > 0 {
 		s.machine.addBackgroundWork(work.Seconds())
-		time.Sleep(handshakeRoundTrips * s.roundTrip(clientZone))
+		simulateDelay(handshakeRoundTrips * s.roundTrip(clientZone))
 	}
 }
 
@@ -206,7 +206,7 @@
 		Outcome:  AttemptOpen,
 	})
 	s.chargeHandshake(r, clientZone)
-	time.Sleep(s.roundTrip(clientZone))
+	simulateDelay(s.roundTrip(clientZone))
 	outcome := s.execute(rw, r, request)
 	request.endAttempt(attempt, outcome, s.emulator.Now())
 }
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -27,8 +27,6 @@
 	agentSeedFactor = 1000
 	// configFileMode is the mode of an agent's configuration file.
 	configFileMode = 0o600
-	// joinTimeout bounds the time until all agents see each other.
-	joinTimeout = time.Minute
 	// readyTimeout bounds the time from an agent's start until it is ready, readyCallTimeout a call that asks.
 	readyTimeout     = 30 * time.Second
 	readyCallTimeout = time.Second
@@ -168,8 +166,7 @@
 		return nil
 	}
 	// Joining is no part of the traffic's time. An interruption is noticed once the traffic begins.
-	joined := func() bool { return ctx.Err() != nil || r.membershipComplete(ctx) }
-	return processtest.Await(joinTimeout, "all agents see each other", joined)
+	return r.awaitMembership(ctx)
 }
 
 // start starts an agent and waits until it is ready, or until the traffic has ended.
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 	"time"
 
@@ -12,7 +13,8 @@
 const (
 	// sampledAgents is how many agents are queried for their views each second.
 	sampledAgents = 8
-	// joinPollInterval is the pause between two checks whether all agents see each other.
+	// joinTimeout bounds the time until all agents see each other; it is checked every joinPollInterval.
+	joinTimeout      = time.Minute
 	joinPollInterval = 100 * time.Millisecond
 	// viewTimeout bounds a call for an agent's view.
 	viewTimeout = 200 * time.Millisecond
@@ -63,9 +65,29 @@
 	return status.Present
 }
 
-// membershipComplete tells, after a pause, whether every agent sees all agents.
+// awaitMembership waits until every agent sees all agents, for joinTimeout at most. It also returns without an error at
+// the end of the context.
+func (r *armRun) awaitMembership(ctx context.Context) error {
+	ticker := time.NewTicker(joinPollInterval)
+	defer ticker.Stop()
+	timeout := time.NewTimer(joinTimeout)
+	defer timeout.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			if r.membershipComplete(ctx) {
+				return nil
+			}
+		case <-timeout.C:
+			return fmt.Errorf("the agents do not see each other within %v", joinTimeout)
+		case <-ctx.Done():
+			return nil
+		}
+	}
+}
+
+// membershipComplete tells whether every agent sees all agents.
 func (r *armRun) membershipComplete(ctx context.Context) bool {
-	time.Sleep(joinPollInterval)
 	incomplete := func(name string) bool { return r.agentsSeen(ctx, name) != len(r.names) }
 	return !slices.ContainsFunc(r.names, incomplete)
 }
