--- a/internal/clock/units.go
+++ b/internal/clock/units.go
@@ -5,7 +5,7 @@
 // FromMilliseconds converts a number of milliseconds.
 func FromMilliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// microsecondsPerMillisecond converts numbers of these.
+// microsecondsPerMillisecond converts durations and moments.
 const microsecondsPerMillisecond = 1000
 
 // Milliseconds is a duration in ms, to the microsecond.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -8,15 +8,15 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// allZones selects the servers of every zone.
-const allZones = -1
+// AllZones selects the servers of every zone, or the agents of every zone.
+const AllZones = -1
 
-// ServerIDs returns the ids of the running servers in their order; only those of one zone, unless zone is below zero.
+// ServerIDs returns the ids of the running servers of a zone, or of AllZones, in alphabetical order.
 func (e *Emulator) ServerIDs(zone int) (ids []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id, s := range e.servers {
-		if zone < 0 || s.zone == zone {
+		if zone == AllZones || s.zone == zone {
 			ids = append(ids, id)
 		}
 	}
@@ -44,7 +44,7 @@
 
 // directAddress returns the address of the server that a client calls without an agent.
 func (e *Emulator) directAddress(clientIndex int) string {
-	ids := e.ServerIDs(allZones)
+	ids := e.ServerIDs(AllZones)
 	return e.findServer(ids[clientIndex%len(ids)]).addresses[e.config.Agents[clientIndex].Zone]
 }
 
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // Outcome is how an attempt ended for the server, or a request for the client. The texts stand in records.
@@ -75,7 +77,7 @@
 }
 
 // milliseconds formats a time in milliseconds with one decimal.
-func milliseconds(d time.Duration) string { return fmt.Sprintf("%.1f", inMilliseconds(d)) }
+func milliseconds(d time.Duration) string { return fmt.Sprintf("%.1f", clock.Milliseconds(d)) }
 
 // Notification is when an agent was notified of a change of a server's state.
 type Notification struct {
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
@@ -81,8 +83,8 @@
 		history.Requests = append(history.Requests, &record)
 	}
 	r.Seconds = slices.Clone(c.seconds)
-	r.Metrics[MetricLatencyP50] = inMilliseconds(percentile(c.latencies, percentile50))
-	r.Metrics[MetricLatencyP99] = inMilliseconds(percentile(c.latencies, percentile99))
+	r.Metrics[MetricLatencyP50] = clock.Milliseconds(percentile(c.latencies, percentile50))
+	r.Metrics[MetricLatencyP99] = clock.Milliseconds(percentile(c.latencies, percentile99))
 	if served := float64(c.latencies.TotalCount()); served > 0 {
 		r.Metrics[MetricMeanSojourn] = millisecondsPerSecond * c.sojournSeconds / served
 		r.Metrics[MetricMeanWork] = millisecondsPerSecond * c.workSeconds / served
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -36,9 +36,6 @@
 	faultDiscoveryOutage  FaultKind = "list down"
 )
 
-// allZones selects the servers of every zone, or the agents of every zone.
-const allZones = -1
-
 // agentPartition is the name of the partition that partitionAgents makes.
 const agentPartition = "agents"
 
@@ -95,13 +92,13 @@
 	faultPartitionServers: {
 		description: "a share is partitioned from all agents for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			return r.partitionServers(fault, allZones, sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share))
+			return r.partitionServers(fault, emulator.AllZones, r.sampleServers(fault, random))
 		},
 	},
 	faultKillServers: {
 		description: "a share ends at the same moment; successors start after back, with slow start",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+			ids := r.sampleServers(fault, random)
 			r.emulator.KillServers(fault.RestartAfter, ids...)
 			return nil
 		},
@@ -116,7 +113,7 @@
 		needsZone:   true,
 		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
 			ids := r.emulator.ServerIDs(r.zoneIndex(fault.Zone))
-			err := r.partitionServers(fault, allZones, ids)
+			err := r.partitionServers(fault, emulator.AllZones, ids)
 			r.emulator.KillServers(0, ids...)
 			return err
 		},
@@ -176,7 +173,7 @@
 
 // degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
 func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
-	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	ids := r.sampleServers(fault, random)
 	r.emulator.SetServerFault(max(1, slowFactor), failureRate, ids...)
 	r.wait(fault.Duration)
 	r.emulator.SetServerFault(1, 0, ids...)
@@ -193,7 +190,7 @@
 
 // replaceServers replaces a share of the servers, a batch at a time.
 func (r *armRun) replaceServers(fault Fault, random *rand.Rand) error {
-	ids := sampleShare(random, r.emulator.ServerIDs(allZones), fault.Share)
+	ids := r.sampleServers(fault, random)
 	size, interval := batches(fault, len(ids))
 	for batch := range slices.Chunk(ids, size) {
 		if err := r.emulator.ReplaceServers(fault.DrainTime, batch...); err != nil {
@@ -211,6 +208,11 @@
 	return size, fault.Duration / time.Duration(number)
 }
 
+// sampleServers draws a fault's share of the servers of all zones.
+func (r *armRun) sampleServers(fault Fault, random *rand.Rand) []string {
+	return sampleShare(random, r.emulator.ServerIDs(emulator.AllZones), fault.Share)
+}
+
 // sampleShare draws a share of names, at least one.
 func sampleShare(random *rand.Rand, names []string, share float64) []string {
 	names = slices.Clone(names)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -50,12 +50,18 @@
 	return files, nil
 }
 
+// newPlot returns an empty plot with a title and the names of its axes.
+func newPlot(title, xLabel, yLabel string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text = title
+	p.X.Label.Text = xLabel
+	p.Y.Label.Text = yLabel
+	return p
+}
+
 // serviceChart returns the chart of the value served in time, by second.
 func serviceChart() chart {
-	p := plot.New()
-	p.Title.Text = "service by second"
-	p.X.Label.Text = "second"
-	p.Y.Label.Text = "value served in time, of the requested"
+	p := newPlot("service by second", "second", "value served in time, of the requested")
 	p.Y.Min = 0
 	p.Y.Max = 1
 	return chart{name: "service", plot: p, points: servicePoints}
@@ -63,19 +69,13 @@
 
 // slowStartChart returns the chart of the loads in slow start, by server.
 func slowStartChart() chart {
-	p := plot.New()
-	p.Title.Text = "highest load in slow start, of the overload limit (1: fails)"
-	p.X.Label.Text = "server, by its load"
-	p.Y.Label.Text = "of the limit"
-	return chart{name: "cold", plot: p, points: slowStartPoints}
+	const title = "highest load in slow start, of the overload limit (1: fails)"
+	return chart{name: "cold", plot: newPlot(title, "server, by its load", "of the limit"), points: slowStartPoints}
 }
 
 // viewsChart returns the chart of the least membership view, by second.
 func viewsChart() chart {
-	p := plot.New()
-	p.Title.Text = "least view of the sampled agents"
-	p.X.Label.Text = "second"
-	p.Y.Label.Text = "agents seen"
+	p := newPlot("least view of the sampled agents", "second", "agents seen")
 	return chart{name: "views", plot: p, points: viewPoints}
 }
 
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -2,9 +2,9 @@
 
 import (
 	"slices"
-	"time"
 
 	"fernbeam.example/fernbeam/internal/balancer"
+	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // The settings of the site's agents that a scenario does not set.
@@ -129,7 +129,7 @@
 	return balancer.Limits{
 		AttemptCancellation: true,
 		ConnectTimeoutMs:    connectTimeoutMs,
-		KeepaliveMs:         inMilliseconds(keepAlive),
+		KeepaliveMs:         clock.Milliseconds(keepAlive),
 		MaxAttempts:         maxAttempts,
 		MaxRetryAfterMs:     maxRetryAfterMs,
 		HealthChecks:        true,
@@ -143,10 +143,10 @@
 		ResponseSlackMs:  responseSlackMs,
 		PollWithinMs:     pollWithinMs,
 		SlowStartFrom:    s.Contract.SlowStartFrom,
-		SlowStartMs:      inMilliseconds(s.Contract.SlowStartFor),
-		DrainGraceMs:     inMilliseconds(s.Contract.DrainGrace),
+		SlowStartMs:      clock.Milliseconds(s.Contract.SlowStartFor),
+		DrainGraceMs:     clock.Milliseconds(s.Contract.DrainGrace),
 		OverloadMultiple: s.Contract.OverloadMultiple,
-		OverloadWindowMs: inMilliseconds(s.Contract.OverloadWindow),
+		OverloadWindowMs: clock.Milliseconds(s.Contract.OverloadWindow),
 	}
 }
 
@@ -169,11 +169,11 @@
 		class := &s.Classes[i]
 		settings := balancer.Class{
 			Name:               class.Name,
-			LatencyObjectiveMs: inMilliseconds(class.LatencyObjective),
-			TotalTimeoutMs:     inMilliseconds(class.TotalTimeout),
+			LatencyObjectiveMs: clock.Milliseconds(class.LatencyObjective),
+			TotalTimeoutMs:     clock.Milliseconds(class.TotalTimeout),
 			Idempotency:        balancer.Idempotency(class.Idempotency),
 			DedupScope:         balancer.DedupScope(class.DedupScope),
-			DedupWindowMs:      inMilliseconds(class.DedupWindow),
+			DedupWindowMs:      clock.Milliseconds(class.DedupWindow),
 			PriorityWeight:     class.PriorityWeight,
 			LateFraction:       class.LateFraction,
 		}
@@ -185,11 +185,3 @@
 	}
 	return classes
 }
-
-// microsecondsPerMillisecond converts times.
-const microsecondsPerMillisecond = 1000
-
-// inMilliseconds returns a time in ms, to the microsecond.
-func inMilliseconds(d time.Duration) float64 {
-	return float64(d.Microseconds()) / microsecondsPerMillisecond
-}
