--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -46,17 +46,13 @@
 		return
 	}
 	sendBy := l.retryDeadline(r)
-	if r.mayHaveRun == 0 {
-		r.firstSentAt = now
-	}
-	r.sendingBody = r.incoming.Streamed != nil
-	r.inFlight++
-	r.mayHaveRun++
+	r.attemptStarted(now)
 	server.inFlight++
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// mayForward says why an attempt must not be started; nil allows it.
+// mayForward says why an attempt must not be started; nil allows it. It closes a request whose client has gone, and
+// logs an action that breaks a rule.
 func (l *Loop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.answered && r.incoming.Context.Err() != nil {
 		// The downstream server's notification of it is on its way.
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -24,9 +24,7 @@
 	}
 }
 
-// onListResponse takes the end of a call to discovery. A watch and a fetch may cross: a list that is older than
-// the one in force is dropped, unless the call asked for the full list, as after a move of discovery. The
-// source that discovery left counts until the new one has responded.
+// onListResponse takes the end of a call to discovery.
 func (l *Loop) onListResponse(response discovery.Response) {
 	if !response.Watch {
 		l.list.fetching = false
@@ -35,18 +33,13 @@
 		l.onListFailure(response)
 		return
 	}
-	list := response.List
-	l.metrics.Lists++
-	l.metrics.Endpoints += len(list.Servers)
-	l.lines.limited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full, "from", l.list.version,
-		"to", list.Version, "endpoints", len(list.Servers))
-	if response.Source != l.list.source {
-		if response.Source != l.discovery.CurrentSource() {
-			return // the new source has responded already
-		}
-		l.list.source = response.Source
-		response.Complete = true
+	l.countList(&response)
+	if !l.followSource(&response) {
+		return
 	}
+	// A watch and a fetch may cross: a list that is older than the one in force is dropped, unless the call asked
+	// for the full list.
+	list := response.List
 	older := list.Version < l.list.version
 	if older && !response.Complete {
 		return
@@ -65,6 +58,29 @@
 	}
 }
 
+// countList counts and logs a list that discovery returned.
+func (l *Loop) countList(response *discovery.Response) {
+	list := response.List
+	l.metrics.Lists++
+	l.metrics.Endpoints += len(list.Servers)
+	l.lines.limited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full, "from", l.list.version,
+		"to", list.Version, "endpoints", len(list.Servers))
+}
+
+// followSource makes the source of a response the one whose versions count, and tells whether the response still
+// matters. The source that discovery left counts until the new one has responded, whose first list is complete.
+func (l *Loop) followSource(response *discovery.Response) bool {
+	if response.Source == l.list.source {
+		return true
+	}
+	if response.Source != l.discovery.CurrentSource() {
+		return false // the new source has responded already
+	}
+	l.list.source = response.Source
+	response.Complete = true
+	return true
+}
+
 // onListFailure counts and logs a failed call. The policy decides when to call again, unless the failed call
 // belongs to a watch that the agent keeps by itself.
 func (l *Loop) onListFailure(response discovery.Response) {
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -50,6 +50,16 @@
 	return clock.Milliseconds(left)
 }
 
+// attemptStarted counts an attempt that starts now.
+func (r *request) attemptStarted(now time.Time) {
+	if r.mayHaveRun == 0 {
+		r.firstSentAt = now
+	}
+	r.sendingBody = r.incoming.Streamed != nil
+	r.inFlight++
+	r.mayHaveRun++
+}
+
 // startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
 // the simulator, where such requests never reach the instance.
 func (l *Loop) startRequest(incoming *message.Request) {
