--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -210,7 +210,7 @@
 	control := http.NewResponseController(w)
 	if req.ContentLength != 0 {
 		// A body that is not wanted is read too: to its end, or for that long.
-		_ = control.SetReadDeadline(time.Now().Add(message.BodyGracePeriod)) // without deadlines it is not a client's
+		_ = control.SetReadDeadline(time.Now().Add(message.BodyGracePeriod)) // every client's connection has deadlines
 	}
 	// The server reads a chunked body by its chunks and drops a length that was given with it. By that length
 	// what follows would still be body and must not be read as a request, so nothing more is read.
@@ -263,7 +263,7 @@
 func (s *Server) writeInvalid(
 	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *message.RequestError,
 ) {
-	_ = control.SetReadDeadline(time.Now().Add(message.BadRequestReadTime)) // without deadlines it is not a client's
+	_ = control.SetReadDeadline(time.Now().Add(message.BadRequestReadTime)) // as in ServeHTTP
 	s.dispatcher.InvalidRequest(req.Header.Get("Request-Id"), req.RemoteAddr, invalid)
 	closeAfterResponse(w)
 	http.Error(w, invalid.Error(), invalid.Status)
--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -25,8 +25,8 @@
 	done      chan struct{}
 	closeOnce sync.Once
 	complete  bool // its reader has seen the end
-	// Close ends the use of the connection, which may carry another message if the body is complete.
-	Close func(complete bool)
+	// OnEnd is called when the stream has ended. Its connection may carry another message if the body is complete.
+	OnEnd func(complete bool)
 
 	mu          sync.Mutex
 	conn        net.Conn
@@ -44,7 +44,7 @@
 func (s *BodyStream) read(body io.Reader) {
 	var buffers [2][ChunkSize]byte
 	for i := 0; ; i = 1 - i {
-		s.ExtendDeadline(false)
+		s.extendDeadline()
 		n, err := body.Read(buffers[i][:])
 		select {
 		case s.chunks <- bodyChunk{bytes: buffers[i][:n], err: err}:
@@ -57,12 +57,18 @@
 	}
 }
 
-// ExtendDeadline sets the deadline of a read where the stream has its own ones; it has them from the first call
-// with detach on.
-func (s *BodyStream) ExtendDeadline(detach bool) {
+// UseOwnDeadlines gives each read a deadline of its own from now on, in place of the attempt's.
+func (s *BodyStream) UseOwnDeadlines() {
+	s.mu.Lock()
+	s.ownDeadline = true
+	s.mu.Unlock()
+	s.extendDeadline()
+}
+
+// extendDeadline sets the deadline of the next read where the stream has deadlines of its own.
+func (s *BodyStream) extendDeadline() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ownDeadline = s.ownDeadline || detach
 	if s.ownDeadline {
 		_ = s.conn.SetReadDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the read too
 	}
@@ -72,7 +78,7 @@
 func (s *BodyStream) finish() {
 	s.closeOnce.Do(func() {
 		close(s.done)
-		s.Close(s.complete)
+		s.OnEnd(s.complete)
 	})
 }
 
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -54,7 +54,7 @@
 	}
 	now := time.Now()
 	left := BodyGracePeriod + time.Duration(b.received)*time.Second/minBodyRate - b.waitTime
-	// A connection without deadlines is not a client's.
+	// Setting it fails only where a connection has no deadlines, as no client's does.
 	_ = b.Control.SetReadDeadline(now.Add(min(left, BodyGracePeriod)))
 	n, err := b.From.Read(buffer)
 	b.waitTime += time.Since(now)
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -87,7 +87,7 @@
 		Budget: p.budget,
 		Stream: message.NewBodyStream(conn, resp.Body),
 	}
-	body.Stream.Close = func(complete bool) {
+	body.Stream.OnEnd = func(complete bool) {
 		if complete && conn.reusableAfter(resp) {
 			p.release(conn, server)
 		} else {
