--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -166,23 +166,28 @@
 func (c *Client) fetchOnce(ctx context.Context) Response {
 	source := c.CurrentSource()
 	response := Response{Source: source, LastAnswer: source.lastAnswer()}
-	response.List, response.Err = c.get(ctx, source, "", 2*callGrace, 0)
+	response.List, response.Err = c.get(ctx, source, listCall{timeout: 2 * callGrace})
 	return response
 }
 
-// get makes one call within a timeout, and accepts no list older than minVersion.
-func (c *Client) get(
-	ctx context.Context, source *Source, query string, timeout time.Duration, minVersion uint64,
-) (*endpoint.List, error) {
+// listCall is one call for the endpoint list.
+type listCall struct {
+	query      string // "": for the full list
+	timeout    time.Duration
+	minVersion uint64 // an older list is not accepted
+}
+
+// get makes one call to the current address of a source, and moves on to the next address after a failure.
+func (c *Client) get(ctx context.Context, source *Source, call listCall) (*endpoint.List, error) {
 	if err := c.limit.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	callContext, cancel := context.WithTimeout(ctx, timeout)
+	callContext, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
 	defer context.AfterFunc(source.moved, cancel)() //nolint:contextcheck // the source's context ends this call too
 	addr, index := source.address()
-	list, err := c.call(callContext, "http://"+addr+targetsPath+query)
-	if err == nil && list.Version < minVersion {
+	list, err := c.request(callContext, "http://"+addr+targetsPath+call.query)
+	if err == nil && list.Version < call.minVersion {
 		source.advance(index)
 		return nil, errOlderVersion
 	}
@@ -202,8 +207,8 @@
 	return nil, err
 }
 
-// call makes one call and reads the list of its response.
-func (c *Client) call(ctx context.Context, url string) (*endpoint.List, error) {
+// request makes one HTTP request and reads the list of its response.
+func (c *Client) request(ctx context.Context, url string) (*endpoint.List, error) {
 	if c.backoff != nil {
 		ctx = withSingleConn(ctx)
 	}
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -72,7 +72,8 @@
 	response := Response{Source: source, Watch: true, Complete: version == 0, LastAnswer: source.lastAnswer()}
 	go func() {
 		query := fmt.Sprintf("?index=%d&wait=%d%s", version, watchWait.Milliseconds(), c.settingsWatch.query())
-		response.List, response.Err = c.get(ctx, source, query, watchWait+callGrace, version)
+		call := listCall{query: query, timeout: watchWait + callGrace, minVersion: version}
+		response.List, response.Err = c.get(ctx, source, call)
 		done <- response
 	}()
 	return done
