--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -99,10 +99,10 @@
 }
 
 // Request sends a request of the class read and returns its response, whose body has been read.
-func (k *ClientConn) Request(t *testing.T) *http.Response {
+func (c *ClientConn) Request(t *testing.T) *http.Response {
 	t.Helper()
-	k.send(RequestText(1, requestTimeoutMs))
-	resp, err := http.ReadResponse(k.Reader, nil)
+	c.send(RequestText(1, requestTimeoutMs))
+	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,19 +112,19 @@
 }
 
 // send writes a request. An error of it shows when the response is read.
-func (k *ClientConn) send(request string) { _, _ = io.WriteString(k, request) }
+func (c *ClientConn) send(request string) { _, _ = io.WriteString(c, request) }
 
 // WantClosed waits for the connection's orderly end.
-func (k *ClientConn) WantClosed(t *testing.T) {
+func (c *ClientConn) WantClosed(t *testing.T) {
 	t.Helper()
-	if _, err := k.Reader.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := c.Reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 }
 
 // Status reads a response and returns its status; 0: there is none.
-func (k *ClientConn) Status() int {
-	resp, err := http.ReadResponse(k.Reader, nil)
+func (c *ClientConn) Status() int {
+	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		return 0
 	}
@@ -133,10 +133,10 @@
 }
 
 // RequestReady requests the readiness of the agent, so that the connection is idle afterwards.
-func (k *ClientConn) RequestReady(t *testing.T) {
+func (c *ClientConn) RequestReady(t *testing.T) {
 	t.Helper()
-	k.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	WantStatus(t, FinalStatus(t, k), http.StatusOK)
+	c.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	WantStatus(t, FinalStatus(t, c), http.StatusOK)
 }
 
 // Response is a response that has been read completely. The zero value stands for none.
@@ -186,9 +186,9 @@
 }
 
 // FinalStatus reads a response, which there has to be, and returns its status.
-func FinalStatus(t *testing.T, k *ClientConn) int {
+func FinalStatus(t *testing.T, client *ClientConn) int {
 	t.Helper()
-	status := k.Status()
+	status := client.Status()
 	if status == 0 {
 		t.Fatal("the connection ended without a response")
 	}
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -12,31 +12,31 @@
 	"testing"
 )
 
+// Responder handles the n-th request (from 0) to a server; false closes the connection.
+type Responder = func(conn net.Conn, req *http.Request, n int) bool
+
 // Server is a server of requests, whose responses a test scripts.
 type Server struct {
-	T        testing.TB
-	Listener net.Listener
-	Addr     string
-	// Respond handles the n-th request (from 0) to this server; false closes the connection.
-	Respond func(c net.Conn, req *http.Request, n int) bool
-
-	Mu          sync.Mutex
-	started     int           // requests that have begun to arrive
-	Arrivals    int           // complete requests
-	conns       int           // open now
-	MaxConns    int           // the most connections that were open at a time
+	Listener    net.Listener
+	Addr        string
+	Respond     Responder
 	ConnsClosed chan struct{} // a value for each connection that the agent closed
+
+	mu       sync.Mutex
+	started  int // requests that have begun to arrive
+	arrivals int // complete requests
+	conns    int // open now
+	maxConns int // the most connections that were open at a time
 }
 
 // NewServer starts a server.
-func NewServer(tb testing.TB, answer func(c net.Conn, req *http.Request, n int) bool) *Server {
+func NewServer(tb testing.TB, respond Responder) *Server {
 	tb.Helper()
 	ln := Listen(tb)
 	s := &Server{
-		T:           tb,
 		Listener:    ln,
 		Addr:        ln.Addr().String(),
-		Respond:     answer,
+		Respond:     respond,
 		ConnsClosed: make(chan struct{}, eventBuffer),
 	}
 	go s.Accept()
@@ -56,14 +56,14 @@
 
 func (s *Server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	s.Mu.Lock()
+	s.mu.Lock()
 	s.conns++
-	s.MaxConns = max(s.MaxConns, s.conns)
-	s.Mu.Unlock()
+	s.maxConns = max(s.maxConns, s.conns)
+	s.mu.Unlock()
 	defer func() {
-		s.Mu.Lock()
+		s.mu.Lock()
 		s.conns--
-		s.Mu.Unlock()
+		s.mu.Unlock()
 		s.ConnsClosed <- struct{}{}
 	}()
 	reader := bufio.NewReader(conn)
@@ -72,18 +72,18 @@
 		if err != nil {
 			return
 		}
-		s.Mu.Lock()
+		s.mu.Lock()
 		s.started++
-		s.Mu.Unlock()
+		s.mu.Unlock()
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
 		req.Body = io.NopCloser(bytes.NewReader(body))
-		s.Mu.Lock()
-		n := s.Arrivals
-		s.Arrivals++
-		s.Mu.Unlock()
+		s.mu.Lock()
+		n := s.arrivals
+		s.arrivals++
+		s.mu.Unlock()
 		if !s.Respond(conn, req, n) {
 			return
 		}
@@ -92,23 +92,30 @@
 
 // Count counts the complete requests.
 func (s *Server) Count() int {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	return s.Arrivals
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.arrivals
+}
+
+// MaxConns is the most connections that were open at a time.
+func (s *Server) MaxConns() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.maxConns
 }
 
 // ResetCounts resets the counts of requests.
 func (s *Server) ResetCounts() {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.started = 0
-	s.Arrivals = 0
+	s.arrivals = 0
 }
 
 // StartedCount counts the requests that have begun to arrive.
 func (s *Server) StartedCount() int {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.started
 }
 
@@ -125,7 +132,7 @@
 	return SendResponse(c, http.StatusOK, "Server-Load: qps=3,util=0.5,eps=0\r\n", text)
 }
 
-// ResetConn makes the close of a connection a reset; it returns false, as the end of an Answer.
+// ResetConn makes the close of a connection a reset; it returns false, as the end of a Responder.
 func ResetConn(c net.Conn) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -15,7 +15,7 @@
 )
 
 // blockedServer blocks each request until release is called.
-func blockedServer(t *testing.T, respond responder) (server *agenttest.Server, release func()) {
+func blockedServer(t *testing.T, respond agenttest.Responder) (server *agenttest.Server, release func()) {
 	t.Helper()
 	released := make(chan struct{})
 	server = agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -99,7 +99,7 @@
 }
 
 // queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
-func queuedBehind(t *testing.T, respond responder) closeMoment {
+func queuedBehind(t *testing.T, respond agenttest.Responder) closeMoment {
 	t.Helper()
 	server, release := blockedServer(t, respond)
 	agent := startAgent(t, listing(t, server.Addr), nil)
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -19,10 +19,8 @@
 		agent.wantOrderStatus(http.StatusOK)
 		time.Sleep(reusableWithin)
 	}
-	server.Mu.Lock()
-	defer server.Mu.Unlock()
-	if server.Arrivals != 3 || server.MaxConns != 1 || len(server.ConnsClosed) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Arrivals, server.MaxConns, len(server.ConnsClosed))
+	if server.Count() != 3 || server.MaxConns() != 1 || len(server.ConnsClosed) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Count(), server.MaxConns(), len(server.ConnsClosed))
 	}
 }
 
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -28,7 +28,7 @@
 }
 
 // recording is a responder that records the attempt's Request-Timeout-Ms first.
-func (recorder *timeoutRecorder) recording(respond responder) responder {
+func (recorder *timeoutRecorder) recording(respond agenttest.Responder) agenttest.Responder {
 	return func(conn net.Conn, req *http.Request, n int) bool {
 		timeout, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
 		if err != nil {
@@ -145,7 +145,6 @@
 	agenttest.WaitUntil(t, "the connect has begun", func() bool { return agent.pool.ConnectCount() == 1 })
 	time.Sleep(testDelay)
 	server := &agenttest.Server{
-		T:           t,
 		Listener:    listener,
 		Respond:     recorder.recording(agenttest.RespondOK),
 		ConnsClosed: make(chan struct{}, 10),
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -20,7 +20,7 @@
 const crashFault = "crash"
 
 // serverFaults are ways in which a server fails requests that it has accepted.
-var serverFaults = map[string]responder{
+var serverFaults = map[string]agenttest.Responder{
 	"hang":                  respondsText("", true),
 	crashFault:              resets(""),
 	"reset":                 resets(""),
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -17,9 +17,6 @@
 	"fernbeam.example/fernbeam/internal/agent/dispatch"
 )
 
-// responder responds to the n-th request (from 0) to a server; false closes the connection.
-type responder = func(conn net.Conn, req *http.Request, n int) bool
-
 // testAgent is an agent on a port that the kernel chooses.
 type testAgent struct {
 	*Agent
@@ -72,7 +69,7 @@
 }
 
 // startWithServer starts an agent in front of one server with the given responder.
-func startWithServer(t *testing.T, respond responder) (*testAgent, *agenttest.Server) {
+func startWithServer(t *testing.T, respond agenttest.Responder) (*testAgent, *agenttest.Server) {
 	t.Helper()
 	server := agenttest.NewServer(t, respond)
 	return startAgent(t, listing(t, server.Addr), nil), server
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -54,7 +54,7 @@
 type outcome struct {
 	name     string
 	class    string
-	respond  responder
+	respond  agenttest.Responder
 	status   int // of the response to the client
 	arrivals int // at the server
 }
@@ -62,7 +62,7 @@
 // The ends of an attempt: the client's response, and how often the server saw the request.
 func TestOutcomes(t *testing.T) {
 	// The request may have executed and is non-idempotent: it fails after one attempt.
-	mayHaveRun := func(name string, respond responder) outcome {
+	mayHaveRun := func(name string, respond agenttest.Responder) outcome {
 		return outcome{name + " may have run", "order", respond, http.StatusBadGateway, 1}
 	}
 	const (
--- a/internal/agent/responders_test.go
+++ b/internal/agent/responders_test.go
@@ -11,14 +11,14 @@
 )
 
 // responds is a responder with one response to every request.
-func responds(status int, header, body string) responder {
+func responds(status int, header, body string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		return agenttest.SendResponse(conn, status, header, body)
 	}
 }
 
 // respondsText sends a text to every request, which need not be a response, and keeps the connection or closes it.
-func respondsText(text string, keep bool) responder {
+func respondsText(text string, keep bool) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
 		return keep
@@ -26,7 +26,7 @@
 }
 
 // resets sends a text to every request and resets the connection.
-func resets(text string) responder {
+func resets(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
 		return agenttest.ResetConn(conn)
--- a/internal/agent/response_body_test.go
+++ b/internal/agent/response_body_test.go
@@ -56,10 +56,8 @@
 		}
 		time.Sleep(reusableWithin)
 	}
-	server.Mu.Lock()
-	defer server.Mu.Unlock()
-	if server.Arrivals != 3 || server.MaxConns > 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Arrivals, server.MaxConns)
+	if server.Count() != 3 || server.MaxConns() > 1 {
+		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Count(), server.MaxConns())
 	}
 }
 
--- a/internal/agent/upstream/health_check_test.go
+++ b/internal/agent/upstream/health_check_test.go
@@ -14,7 +14,7 @@
 const healthConnectTimeout = 200 * time.Millisecond
 
 // respond returns the answer of a server that responds to each request with a status and header lines.
-func respond(status int, header string) func(net.Conn, *http.Request, int) bool {
+func respond(status int, header string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		return agenttest.SendResponse(conn, status, header, "")
 	}
@@ -25,7 +25,7 @@
 	reset := func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) }
 	silent := func(net.Conn, *http.Request, int) bool { return true }
 	for name, test := range map[string]struct {
-		answer func(net.Conn, *http.Request, int) bool
+		answer agenttest.Responder
 		want   balancer.Status
 	}{
 		"healthy":     {answer: respond(http.StatusOK, ""), want: balancer.StatusOK},
