--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -201,12 +201,7 @@
 
 // ServeHTTP answers one request of a client, or of the platform for readiness.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	// A connection that is being closed as idle may just have brought a request. Its client can't get a
-	// response and sends the request again on another connection: forwarded as well, this copy would run beside
-	// that one.
-	if conn, ok := req.Context().Value(connKey{}).(*clientConn); ok && conn.closed.Load() {
-		panic(http.ErrAbortHandler)
-	}
+	abortOnClosedConn(req)
 	control := http.NewResponseController(w)
 	if req.ContentLength != 0 {
 		// A body that is not wanted is read too: to its end, or for that long.
@@ -221,6 +216,19 @@
 		s.writeReadiness(w)
 		return
 	}
+	s.serveRequest(w, req, control)
+}
+
+// abortOnClosedConn ends a request whose connection was just closed as idle. Its client can't get a response and sends
+// the request again on another connection: forwarded as well, this copy would run beside that one.
+func abortOnClosedConn(req *http.Request) {
+	if conn, ok := req.Context().Value(connKey{}).(*clientConn); ok && conn.closed.Load() {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// serveRequest answers a request that is not for readiness.
+func (s *Server) serveRequest(w http.ResponseWriter, req *http.Request, control *http.ResponseController) {
 	request, invalid := s.readRequest(w, req)
 	defer s.bodies.Release(request.reserved)
 	if invalid != nil {
