--- a/internal/agent/admin_drain_test.go
+++ b/internal/agent/admin_drain_test.go
@@ -30,14 +30,19 @@
 	return resp.StatusCode
 }
 
-// wantServed sends a request on a connection and checks that it is served, and whether the response announces
-// that the connection closes.
-func wantServed(t *testing.T, conn *agenttest.ClientConn, closes bool) {
+// wantServedAndKept sends a request on a connection and checks that it is served and that the connection stays open.
+func wantServedAndKept(t *testing.T, conn *agenttest.ClientConn) {
 	t.Helper()
-	resp := conn.Request(t)
-	_ = resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || resp.Close != closes {
-		t.Errorf("response %d, closes: %v; want %d, closes: %v", resp.StatusCode, resp.Close, http.StatusOK, closes)
+	if response := conn.Request(t); response.Status != http.StatusOK || response.Closes {
+		t.Errorf("response %d, closes: %v; want %d and an open connection", response.Status, response.Closes, http.StatusOK)
+	}
+}
+
+// wantServedAndClosed is wantServedAndKept for a connection that has to be closed with the response.
+func wantServedAndClosed(t *testing.T, conn *agenttest.ClientConn) {
+	t.Helper()
+	if response := conn.Request(t); response.Status != http.StatusOK || !response.Closes {
+		t.Errorf("response %d, closes: %v; want %d and a close", response.Status, response.Closes, http.StatusOK)
 	}
 }
 
@@ -47,24 +52,24 @@
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/nonsense"), http.StatusNotFound)
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/drain/start"), http.StatusMethodNotAllowed)
 	used, idle := agent.dialKept(), agent.dialKept()
-	wantServed(t, used, false)
-	wantServed(t, idle, false)
+	wantServedAndKept(t, used)
+	wantServedAndKept(t, idle)
 
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK)
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK) // it drains already
 	agenttest.WantStatus(t, agent.readyStatus(), http.StatusServiceUnavailable)
 	// It still serves the clients that it has, and those that do not know of the drain yet.
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
-	wantServed(t, used, true)
+	wantServedAndClosed(t, used)
 	used.WantClosed(t)
 	idle.WantClosed(t)
-	wantServed(t, agent.dialKept(), true)
+	wantServedAndClosed(t, agent.dialKept())
 
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/stop"), http.StatusOK)
 	agenttest.WantStatus(t, agent.readyStatus(), http.StatusOK)
 	afterDrain := agent.dialKept()
 	for range 3 {
-		wantServed(t, afterDrain, false)
+		wantServedAndKept(t, afterDrain)
 	}
 	if server.Count() != 7 {
 		t.Errorf("%d arrivals, want 7", server.Count())
--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -98,17 +98,15 @@
 	return client
 }
 
-// Request sends a request of the class read and returns its response, whose body has been read.
-func (c *ClientConn) Request(t *testing.T) *http.Response {
+// Request sends a request of the class read and returns its response.
+func (c *ClientConn) Request(t *testing.T) Response {
 	t.Helper()
 	c.send(RequestText(1, requestTimeoutMs))
-	resp, err := http.ReadResponse(c.Reader, nil)
+	response, err := ReadResponse(c.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close()
-	return resp
+	return response
 }
 
 // send writes a request. An error of it shows when the response is read.
@@ -144,20 +142,36 @@
 	Status int
 	Header http.Header
 	Body   string
+	Closes bool // it announces that its connection closes
 }
 
-// Do sends a request and reads the response. It may be called in any goroutine.
-func Do(req *http.Request) (Response, error) {
-	resp, err := HTTPClient.Do(req)
+// ReadResponse reads a response to a request; nil stands for a GET.
+func ReadResponse(reader *bufio.Reader, req *http.Request) (Response, error) {
+	resp, err := http.ReadResponse(reader, req)
 	if err != nil {
 		return Response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(resp.Body)
+	return readBody(resp)
+}
+
+// readBody reads the body of a response, which the caller closes.
+func readBody(resp *http.Response) (Response, error) {
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return Response{}, err
 	}
-	return Response{Status: resp.StatusCode, Header: resp.Header, Body: string(text)}, nil
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Closes: resp.Close}, nil
+}
+
+// Do sends a request and reads the response. It may be called in any goroutine.
+func Do(req *http.Request) (Response, error) {
+	resp, err := HTTPClient.Do(req)
+	if err != nil {
+		return Response{}, err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	return readBody(resp)
 }
 
 // Send is Do for the goroutine of a test, which ends at an error.
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -237,16 +236,11 @@
 func wantFinalResponses(t *testing.T, reader *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
-		resp, err := http.ReadResponse(reader, nil)
+		response, err := agenttest.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("response %d of %d: %v", i+1, want, err)
 		}
-		body, err := io.ReadAll(resp.Body)
-		_ = resp.Body.Close()
-		if err != nil {
-			t.Fatalf("response %d of %d: %v", i+1, want, err)
-		}
-		if resp.StatusCode == http.StatusOK && len(body) == 0 {
+		if response.Status == http.StatusOK && response.Body == "" {
 			t.Errorf("response %d of %d: 200 that no server sent", i+1, want)
 		}
 	}
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -21,12 +21,12 @@
 
 // serverFaults are ways in which a server fails requests that it has accepted.
 var serverFaults = map[string]agenttest.Responder{
-	"hang":                  respondsText("", true),
+	"hang":                  respondsText(""),
 	crashFault:              resets(""),
 	"reset":                 resets(""),
-	"close":                 respondsText("", false),
-	"hang in the response":  respondsText(halfResponse, true),
-	"hang in an error":      respondsText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf", true),
+	"close":                 respondsTextAndCloses(""),
+	"hang in the response":  respondsText(halfResponse),
+	"hang in an error":      respondsText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf"),
 	"reset in the response": resets(halfResponse),
 	"bytes without an end":  sendZeros,
 }
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -116,16 +116,12 @@
 			agent, server := startWithServer(t, agenttest.RespondOK)
 			client := agent.dialKept()
 			send(client, test.head+body)
-			resp, err := http.ReadResponse(client.Reader, nil)
+			response, err := agenttest.ReadResponse(client.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = resp.Body.Close() }()
-			agenttest.WantStatus(t, resp.StatusCode, test.status)
-			if _, err := io.ReadAll(resp.Body); err != nil {
-				t.Fatal(err)
-			}
-			if !resp.Close {
+			agenttest.WantStatus(t, response.Status, test.status)
+			if !response.Closes {
 				t.Error("the response does not say that the connection closes")
 			}
 			// A reset counts as a close: what was not read makes the kernel send one.
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -28,15 +28,12 @@
 	for i := range 3 {
 		sendf(client, "GET /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 			"Request-Timeout-Ms: 4000\r\n\r\n", i, i)
-		resp, err := http.ReadResponse(client.Reader, nil)
+		response, err := agenttest.ReadResponse(client.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body := make([]byte, 100)
-		n, _ := resp.Body.Read(body)
-		_ = resp.Body.Close()
-		if want := fmt.Sprintf("GET /api/%d ", i); string(body[:n]) != want {
-			t.Errorf("the response to request %d is %q, want %q", i, body[:n], want)
+		if want := fmt.Sprintf("GET /api/%d ", i); response.Body != want {
+			t.Errorf("the response to request %d is %q, want %q", i, response.Body, want)
 		}
 	}
 	if server.Count() != 3 {
--- a/internal/agent/responders_test.go
+++ b/internal/agent/responders_test.go
@@ -17,11 +17,19 @@
 	}
 }
 
-// respondsText sends a text to every request, which need not be a response, and keeps the connection or closes it.
-func respondsText(text string, keep bool) agenttest.Responder {
+// respondsText sends a text to every request, which need not be a response, and keeps the connection open.
+func respondsText(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
-		return keep
+		return true
+	}
+}
+
+// respondsTextAndCloses sends a text to every request, which need not be a response, and closes the connection.
+func respondsTextAndCloses(text string) agenttest.Responder {
+	return func(conn net.Conn, _ *http.Request, _ int) bool {
+		send(conn, text)
+		return false
 	}
 }
 
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -164,7 +164,7 @@
 	broke := client.plan.Broke(client.conn.LocalAddr())
 	if err == nil {
 		err = client.env.check(request.Class, id, resp)
-		if resp.closes {
+		if resp.Closes {
 			client.close()
 		}
 		return err
@@ -176,25 +176,12 @@
 	return client.env.checkCut(request.Class, id)
 }
 
-// completeResponse is a response that has arrived to its end.
-type completeResponse struct {
-	status int
-	body   string
-	closes bool // announces that the connection closes
-}
-
 // exchange sends a request on the connection and reads its response.
-func (client *faultyClient) exchange(req *http.Request) (completeResponse, error) {
+func (client *faultyClient) exchange(req *http.Request) (agenttest.Response, error) {
 	if err := req.Write(client.conn); err != nil {
-		return completeResponse{}, err
-	}
-	resp, err := http.ReadResponse(client.reader, req)
-	if err != nil {
-		return completeResponse{}, err
+		return agenttest.Response{}, err
 	}
-	body, err := io.ReadAll(resp.Body)
-	_ = resp.Body.Close()
-	return completeResponse{status: resp.StatusCode, body: string(body), closes: resp.Close}, err
+	return agenttest.ReadResponse(client.reader, req)
 }
 
 // closeWrite ends a client's side of a connection; false: the connection has ended.
@@ -215,15 +202,15 @@
 }
 
 // check returns an error if a response is not one that the request may have.
-func (env *faultEnvironment) check(class, id string, resp completeResponse) error {
+func (env *faultEnvironment) check(class, id string, resp agenttest.Response) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	env.responses[resp.status]++
+	env.responses[resp.Status]++
 	executions := env.arrivals[id]
-	switch resp.status {
+	switch resp.Status {
 	case http.StatusOK:
-		if resp.body != id {
-			return fmt.Errorf("%s has the response %q", id, resp.body)
+		if resp.Body != id {
+			return fmt.Errorf("%s has the response %q", id, resp.Body)
 		}
 		if executions == 0 {
 			return fmt.Errorf("%s was served and never executed", id)
@@ -234,7 +221,7 @@
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		return fmt.Errorf("%s has response %d", id, resp.status)
+		return fmt.Errorf("%s has response %d", id, resp.Status)
 	}
 	return env.executedOnce(class, id)
 }
