--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -188,7 +188,7 @@
 // serve serves until stop is done, and returns how long open requests may be finished from then on.
 func (a *Agent) serve(
 	stop context.Context, reloads <-chan *config.Config, limits *sharedLimits,
-) (openRequestTime time.Duration, err error) {
+) (drainTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
 	if a.listeners.Admin != nil {
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -193,7 +193,7 @@
 	}
 	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
 	resp, err := readResponseHead(conn.reader, req.Method)
-	return p.readResponse(conn, server, resp, err)
+	return p.readResponse(conn, server, responseHead{resp: resp, err: err})
 }
 
 // unsendable tells whether the message must no longer be sent to a server, and how its attempt ends. The
--- a/internal/agent/upstream/idle_times.go
+++ b/internal/agent/upstream/idle_times.go
@@ -13,8 +13,6 @@
 	// idleLossExcess is how much more often than shorter ones the connections of a range must be lost, as a
 	// fraction of their uses. A new connection costs a handshake; a lost one costs its request.
 	idleLossExcess = 0.15
-	// millisecondsPerSecond converts idle times.
-	millisecondsPerSecond = 1000
 	// idleDecay lowers the weight of older uses, over about 5,000: what closed idle connections early may be
 	// gone, and longer idle times are then used again.
 	idleDecay = 0.9998
@@ -68,7 +66,7 @@
 }
 
 func idleBin(idled time.Duration) int {
-	idleMs := idled.Seconds() * millisecondsPerSecond
+	idleMs := float64(idled) / float64(time.Millisecond)
 	if idleMs < 1 {
 		return 0
 	}
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -28,12 +28,19 @@
 	codingField = regexp.MustCompile(`(?i)\ntransfer-encoding[ \t]*:`)
 )
 
-// readResponse reads the response behind its head, where err is nil. A response that is long, or takes long,
-// is returned with its rest as a stream.
-func (p *Pool) readResponse(conn *serverConn, server *Server, resp *http.Response, err error) exchangeResult {
-	if resp == nil {
-		return conn.brokenResult(err)
+// responseHead is the end of the read of a response's head.
+type responseHead struct {
+	resp *http.Response // nil: err says why there is none
+	err  error
+}
+
+// readResponse reads the response behind its head. A response that is long, or takes long, is returned with its rest
+// as a stream.
+func (p *Pool) readResponse(conn *serverConn, server *Server, head responseHead) exchangeResult {
+	if head.resp == nil {
+		return conn.brokenResult(head.err)
 	}
+	resp := head.resp
 	status := responseStatus(resp)
 	switch {
 	case status != balancer.StatusOK:
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -20,12 +20,6 @@
 // errEarlyResponse ends the write of a request whose response came before its end.
 var errEarlyResponse = errors.New("response before the end of the request")
 
-// responseHead is the end of the read of a response's head.
-type responseHead struct {
-	resp *http.Response
-	err  error
-}
-
 // streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
 // that comes before the body's end ends it.
 type streamedExchange struct {
@@ -50,17 +44,17 @@
 	go e.readHead(req.Method)
 	go e.write(ctx, req)
 	var head responseHead
-	var err error
+	var writeErr error
 	select {
-	case err = <-e.written:
-		if clientErr := outgoing.Streamed.Failure(); err != nil && clientErr != nil {
+	case writeErr = <-e.written:
+		if clientErr := outgoing.Streamed.Failure(); writeErr != nil && clientErr != nil {
 			return e.clientFailed(clientErr)
 		}
-		head = e.awaitHead(ctx, err)
+		head = e.awaitHead(ctx, writeErr)
 	case head = <-e.heads:
-		err = e.stopWriting()
+		writeErr = e.stopWriting()
 	}
-	return e.finish(p, server, head, err)
+	return e.finish(p, server, head, writeErr)
 }
 
 // readHead reads the head of the response.
@@ -97,9 +91,9 @@
 	}}
 }
 
-// awaitHead waits for the response's head after the write ended with err.
-func (e *streamedExchange) awaitHead(ctx context.Context, err error) responseHead {
-	if err == nil {
+// awaitHead waits for the response's head after the write has ended.
+func (e *streamedExchange) awaitHead(ctx context.Context, writeErr error) responseHead {
+	if writeErr == nil {
 		e.outgoing.OnSent()
 		e.conn.setReadDeadline(e.outgoing.Streamed.RespondBy(e.outgoing.ResponseTime))
 	} else {
@@ -129,21 +123,21 @@
 	return err
 }
 
-// finish reads the response behind its head, after the write ended with err.
-func (e *streamedExchange) finish(p *Pool, server *Server, head responseHead, err error) exchangeResult {
-	if errors.Is(err, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.outgoing.Streamed) {
+// finish reads the response behind its head after the write has ended.
+func (e *streamedExchange) finish(p *Pool, server *Server, head responseHead, writeErr error) exchangeResult {
+	if errors.Is(writeErr, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.outgoing.Streamed) {
 		return e.conn.brokenResult(head.err)
 	}
-	if err != nil && head.resp == nil {
+	if writeErr != nil && head.resp == nil {
 		// The last byte was never sent, and the connection is closed: the request can't execute.
-		return e.conn.unsentResult(cmp.Or(head.err, err))
+		return e.conn.unsentResult(cmp.Or(head.err, writeErr))
 	}
-	result := p.readResponse(e.conn, server, head.resp, head.err)
-	if err != nil && result.Body != nil {
+	result := p.readResponse(e.conn, server, head)
+	if writeErr != nil && result.Body != nil {
 		result.Body.Release()
-		return exchangeResult{Result: Result{Status: balancer.StatusError, Reason: err.Error()}}
+		return exchangeResult{Result: Result{Status: balancer.StatusError, Reason: writeErr.Error()}}
 	}
-	result.reusable = result.reusable && err == nil
+	result.reusable = result.reusable && writeErr == nil
 	return result
 }
 
