--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -54,7 +54,7 @@
 type outcome struct {
 	name     string
 	class    string
-	respond  responder
+	respond  agenttest.Responder
 	status   int // of the response to the client
 	arrivals int // at the server
 }
@@ -62,7 +62,7 @@
 // The ends of an attempt: the client's response, and how often the server saw the request.
 func TestOutcomes(t *testing.T) {
 	// The request may have executed and is non-idempotent: it fails after one attempt.
-	mayHaveRun := func(name string, respond responder) outcome {
+	mayHaveRun := func(name string, respond agenttest.Responder) outcome {
 		return outcome{name + " may have run", "order", respond, http.StatusBadGateway, 1}
 	}
 	const (
@@ -79,21 +79,21 @@
 		mayHaveRun("500", responds(http.StatusInternalServerError, "", "")),
 		mayHaveRun("503 without proof", responds(http.StatusServiceUnavailable, "", "")),
 		mayHaveRun("reset after the last byte", resets("")),
-		mayHaveRun("close after the last byte", respondsText("", false)),
-		mayHaveRun("broken body", respondsText(headWithLength+"half", false)),
-		mayHaveRun("broken chunk", respondsText(headOfChunks+"5\r\nhel", false)),
+		mayHaveRun("close after the last byte", respondsTextAndCloses("")),
+		mayHaveRun("broken body", respondsTextAndCloses(headWithLength+"half")),
+		mayHaveRun("broken chunk", respondsTextAndCloses(headOfChunks+"5\r\nhel")),
 		{
 			"a response may end with its connection", "order",
-			respondsText(headToClose+"complete", false), http.StatusOK, 1,
+			respondsTextAndCloses(headToClose + "complete"), http.StatusOK, 1,
 		},
 		mayHaveRun("a response cut off by a reset", resets(headToClose+"half")),
-		mayHaveRun("two framings at once", respondsText(twoFramings, true)),
-		mayHaveRun("an endless head", respondsText(endlessHead, true)),
+		mayHaveRun("two framings at once", respondsText(twoFramings)),
+		mayHaveRun("an endless head", respondsText(endlessHead)),
 		{
 			"what is no HTTP is not waited for", "order",
-			respondsText("\x00\x01 no end of line", true), http.StatusBadGateway, 1,
+			respondsText("\x00\x01 no end of line"), http.StatusBadGateway, 1,
 		},
-		mayHaveRun("unreadable head", respondsText("nonsense\r\n\r\n", true)),
+		mayHaveRun("unreadable head", respondsText("nonsense\r\n\r\n")),
 		{
 			"a long response is streamed", "order",
 			responds(http.StatusOK, "", longBody), http.StatusOK, 1,
