--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -14,11 +14,11 @@
 	maxZones  = 20
 )
 
-// Agent is where an agent stands.
+// Agent is an agent and the client beside it.
 type Agent struct {
 	Name  string
 	Zone  int
-	Share float64 // of the calls
+	Share float64 // of the calls that its client makes
 }
 
 // Config describes what is emulated.
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -1,8 +1,10 @@
 package emulator
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"log"
 	"math/rand/v2"
@@ -79,20 +81,24 @@
 	return l
 }
 
-// publish sends a server's present state to all views, immediately or with a random delay for each.
-func (l *endpointList) publish(s *server, immediately bool) {
+// publish sends a server's present state to all views, with a random delay for each.
+func (l *endpointList) publish(s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
 	for _, view := range l.viewOrder {
-		// The delay is drawn also where it is not used, so that later ones do not depend on it.
-		delay := l.randomDelay(view)
-		if immediately {
-			delay = 0
-		}
-		entry := s.endpoint
-		entry.Addr = s.addresses[view.zone]
-		l.schedule(view, entry, delay)
+		l.schedule(view, s.endpointFor(view.zone), l.randomDelay(view))
+	}
+}
+
+// publishInitial sends the state of a server that was started long ago to all views at once.
+func (l *endpointList) publishInitial(s *server) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.version++
+	for _, view := range l.viewOrder {
+		l.randomDelay(view) // drawn although it is not used: what a seed means includes it
+		l.schedule(view, s.endpointFor(view.zone), 0)
 	}
 }
 
@@ -226,21 +232,48 @@
 	return nil
 }
 
-// handleList answers a poll with the full list, and a watch (one that names a version as "index") with the changes
-// after that version, once there are any or its time ("wait", in ms) is over.
-func (l *endpointList) handleList(view *agentView, rw http.ResponseWriter, r *http.Request) {
-	l.calls.Add(1)
-	version := uint64(0)
-	watch := r.FormValue("index") != ""
-	if watch {
-		var err error
-		if version, err = strconv.ParseUint(r.FormValue("index"), 10, 64); err != nil {
-			http.Error(rw, "index: "+err.Error(), http.StatusBadRequest)
-			return
+// listQuery is an agent's call for the endpoint list: a poll, or a watch, which names the version that the agent has.
+type listQuery struct {
+	watch   bool
+	version uint64
+	wait    time.Duration // how long a watch waits for a change
+}
+
+// parseListQuery reads the parameters of a call: "index", the version of a watch, and "wait", its time in ms.
+func parseListQuery(r *http.Request) (query listQuery, err error) {
+	if index := r.FormValue("index"); index != "" {
+		query.watch = true
+		if query.version, err = strconv.ParseUint(index, 10, 64); err != nil {
+			return listQuery{}, fmt.Errorf("index: %w", err)
 		}
 	}
 	waitMs, _ := strconv.Atoi(r.FormValue("wait")) // without a number the answer is immediate
-	timeout := time.NewTimer(time.Duration(min(max(waitMs, 0), maxWatchMs)) * time.Millisecond)
+	query.wait = time.Duration(min(max(waitMs, 0), maxWatchMs)) * time.Millisecond
+	return query, nil
+}
+
+// handleList answers a poll with the full list, and a watch with the changes after its version, once there are any or
+// its time is over.
+func (l *endpointList) handleList(view *agentView, rw http.ResponseWriter, r *http.Request) {
+	l.calls.Add(1)
+	query, err := parseListQuery(r)
+	if err != nil {
+		http.Error(rw, err.Error(), http.StatusBadRequest)
+		return
+	}
+	list, ok := l.awaitList(r.Context(), view, query)
+	if !ok {
+		return // the agent has closed the connection
+	}
+	l.entriesSent.Add(uint64(len(list.Servers)))
+	rw.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(rw).Encode(list) // an error: the agent has closed the connection
+}
+
+// awaitList returns the answer to a call once discovery is available and the answer is due; false: the context has
+// ended before.
+func (l *endpointList) awaitList(ctx context.Context, view *agentView, query listQuery) (endpoint.List, bool) {
+	timeout := time.NewTimer(query.wait)
 	defer timeout.Stop()
 	timedOut := false
 	for {
@@ -248,23 +281,20 @@
 			select {
 			case <-restored:
 				continue
-			case <-r.Context().Done():
-				return
+			case <-ctx.Done():
+				return endpoint.List{}, false
 			}
 		}
-		list, changed := l.changesSince(view, version, !watch)
-		if !watch || timedOut || list.Full || len(list.Servers) > 0 {
-			l.entriesSent.Add(uint64(len(list.Servers)))
-			rw.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(rw).Encode(list) // an error: the agent has closed the connection
-			return
+		list, changed := l.changesSince(view, query.version, !query.watch)
+		if !query.watch || timedOut || list.Full || len(list.Servers) > 0 {
+			return list, true
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
 			timedOut = true
-		case <-r.Context().Done():
-			return
+		case <-ctx.Done():
+			return endpoint.List{}, false
 		}
 	}
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -220,7 +220,7 @@
 		State:  endpoint.StateUp,
 		Weight: 1,
 	}
-	if started >= 0 {
+	if started != longAgo {
 		entry.StartedMs = float64(e.startTime.Add(started).UnixMilli())
 	}
 	s, err := newServer(e, serverConfig{
@@ -237,7 +237,11 @@
 	e.mu.Lock()
 	e.servers[entry.ID] = s
 	e.mu.Unlock()
-	e.endpoints.publish(s, started < 0)
+	if started == longAgo {
+		e.endpoints.publishInitial(s)
+	} else {
+		e.endpoints.publish(s)
+	}
 	return s, nil
 }
 
--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -18,6 +18,7 @@
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
+	reused bool // a response has been read on it
 }
 
 // newClientConn returns a connection without buffered data.
@@ -32,7 +33,7 @@
 // read the request, the request is sent once more on a new connection.
 func (c *client) roundTrip(ctx context.Context, request *liveRequest) Outcome {
 	if conn := c.takeIdle(); conn != nil {
-		if outcome, unread := c.exchange(conn, request, false); !unread {
+		if outcome, unread := c.exchange(conn, request); !unread {
 			return outcome
 		}
 	}
@@ -41,7 +42,7 @@
 	if err != nil {
 		return c.dialOutcome(err)
 	}
-	outcome, _ := c.exchange(newClientConn(conn), request, true)
+	outcome, _ := c.exchange(newClientConn(conn), request)
 	return outcome
 }
 
@@ -60,6 +61,7 @@
 
 // putIdle keeps a connection for the next request.
 func (c *client) putIdle(conn *clientConn) {
+	conn.reused = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = append(c.idle, conn)
@@ -87,9 +89,9 @@
 	return AgentUnreachable
 }
 
-// exchange sends a request and reads its response. fresh tells that the connection is new; unread, that a reused one
-// ended before anything came back, and that no server has seen the request.
-func (c *client) exchange(conn *clientConn, request *liveRequest, fresh bool) (outcome Outcome, unread bool) {
+// exchange sends a request and reads its response; the connection becomes idle or is closed. unread tells that a reused
+// connection ended before anything came back, and that no server has seen the request.
+func (c *client) exchange(conn *clientConn, request *liveRequest) (outcome Outcome, unread bool) {
 	reusable := false
 	defer func() {
 		if reusable {
@@ -105,7 +107,7 @@
 		_, err = conn.reader.Peek(1)
 	}
 	if err != nil {
-		return noResponseOutcome(request, err, fresh)
+		return noResponseOutcome(request, err, conn.reused)
 	}
 	response, err := http.ReadResponse(conn.reader, &http.Request{Method: request.method()})
 	if err != nil {
@@ -159,14 +161,15 @@
 	return RequestFailed
 }
 
-// noResponseOutcome returns the outcome of a request on which nothing came back (TERMS, "Failed requests").
-func noResponseOutcome(request *liveRequest, err error, fresh bool) (outcome Outcome, unread bool) {
+// noResponseOutcome returns the outcome of a request on which nothing came back (TERMS, "Failed requests"); unread is
+// that of exchange.
+func noResponseOutcome(request *liveRequest, err error, reused bool) (outcome Outcome, unread bool) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return RequestTimedOut, false
 	case request.hasAttempts():
 		return RequestLost, false
-	case fresh:
+	case !reused:
 		return RequestFailed, false
 	}
 	return RequestLost, true
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// AllZones selects the servers of every zone, or the agents of every zone.
+// AllZones selects the servers of every zone.
 const AllZones = -1
 
 // ServerIDs returns the ids of the running servers of a zone, or of AllZones, in alphabetical order.
@@ -48,19 +48,24 @@
 	return e.findServer(ids[clientIndex%len(ids)]).addresses[e.config.Agents[clientIndex].Zone]
 }
 
-// removeServer ends a server's process; publish tells whether discovery lists that.
-func (e *Emulator) removeServer(s *server, publish bool) {
+// removeServer ends a server's process, and discovery lists that.
+func (e *Emulator) removeServer(s *server) {
+	if e.stopServer(s) {
+		s.endpoint.State = endpoint.StateRemoved
+		e.endpoints.publish(s)
+	}
+}
+
+// stopServer ends a server's process and keeps its metrics; false: it does not run any more.
+func (e *Emulator) stopServer(s *server) bool {
 	if !e.unregister(s) {
-		return
+		return false
 	}
 	s.stop()
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.stoppedServers = append(e.stoppedServers, s.metrics())
-	e.mu.Unlock()
-	if publish {
-		s.endpoint.State = endpoint.StateRemoved
-		e.endpoints.publish(s, false)
-	}
+	return true
 }
 
 // unregister takes a server out of the running ones; false: it is not among them.
@@ -81,7 +86,7 @@
 	}
 	go func() { // the handler that found the overload goes on meanwhile
 		defer e.background.Done()
-		e.removeServer(s, false)
+		e.stopServer(s)
 	}()
 }
 
@@ -106,8 +111,8 @@
 		}
 		s.draining.Store(true)
 		s.endpoint.State = endpoint.StateDraining
-		e.endpoints.publish(s, false)
-		time.AfterFunc(drain, func() { e.removeServer(s, true) })
+		e.endpoints.publish(s)
+		time.AfterFunc(drain, func() { e.removeServer(s) })
 	}
 	return nil
 }
@@ -115,7 +120,7 @@
 // KillServers ends servers at once and starts successors after a time; discovery lists both.
 func (e *Emulator) KillServers(restartAfter time.Duration, ids ...string) {
 	for s := range e.findServers(ids) {
-		e.removeServer(s, true)
+		e.removeServer(s)
 		time.AfterFunc(restartAfter, e.startSuccessor)
 	}
 }
@@ -140,17 +145,17 @@
 	}
 }
 
-// PartitionServers begins or ends a partition of servers from the agents of all zones except one (below zero: from
-// the agents of all zones).
-func (e *Emulator) PartitionServers(partitioned bool, exceptZone int, ids ...string) {
-	var zones []int
-	for zone := range e.config.Zones {
-		if zone != exceptZone {
-			zones = append(zones, zone)
-		}
+// PartitionServers partitions servers from the agents of some zones.
+func (e *Emulator) PartitionServers(agentZones []int, ids ...string) {
+	for s := range e.findServers(ids) {
+		s.setPartitioned(true, agentZones)
 	}
+}
+
+// HealServers ends a partition of servers from the agents of some zones.
+func (e *Emulator) HealServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
-		s.setPartitioned(partitioned, zones...)
+		s.setPartitioned(false, agentZones)
 	}
 }
 
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -14,6 +14,9 @@
 	// overloadSpareRequests more than the contract's limit.
 	overloadDeviations    = 3
 	overloadSpareRequests = 3
+	// notifiedNumerator and notifiedDenominator make the part of the load above which an overload counts as that of
+	// the notified agents.
+	notifiedNumerator, notifiedDenominator = 2, 3
 )
 
 // machine drives an engine in real time. It adds what a server has besides its cores: the cache of keys and the
@@ -136,8 +139,8 @@
 
 // recordArrival notes a request that reaches a server in slow start. The server is overloaded once more than
 // N + 3 sqrt(N) + 3 requests of mean work arrive within the contract's window, where N is Contract.SlowStartLimit
-// (the definition of the operators' acceptance test). byNotified tells whether more than two thirds of
-// them came from agents that had been notified of the start: only then the overload counts as theirs.
+// (the definition of the operators' acceptance test). byNotified tells whether more than two thirds of them came from
+// agents that had been notified of the start.
 func (m *machine) recordArrival(seconds float64, notified bool) (overloaded, byNotified bool) {
 	contract := &m.emulator.config.Contract
 	mean := m.emulator.meanWorkSeconds
@@ -162,5 +165,5 @@
 	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
 	limit := expected + overloadDeviations*math.Sqrt(expected) + overloadSpareRequests
 	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
-	return total > limit, fromNotified > total*2/3
+	return total > limit, fromNotified > total*notifiedNumerator/notifiedDenominator
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -89,6 +89,13 @@
 	return s, nil
 }
 
+// endpointFor returns the server's entry in the endpoint list for the agents of a zone.
+func (s *server) endpointFor(agentZone int) endpoint.Endpoint {
+	entry := s.endpoint
+	entry.Addr = s.addresses[agentZone]
+	return entry
+}
+
 // newHTTPServer returns the HTTP server for the agents of a zone.
 func (s *server) newHTTPServer(clientZone, maxConnections int) *http.Server {
 	mux := http.NewServeMux()
@@ -135,9 +142,9 @@
 	}
 }
 
-// setPartitioned begins or ends a partition from the agents of some zones.
-func (s *server) setPartitioned(partitioned bool, zones ...int) {
-	for _, zone := range zones {
+// setPartitioned begins or ends a partition of the server from the agents of some zones.
+func (s *server) setPartitioned(partitioned bool, agentZones []int) {
+	for _, zone := range agentZones {
 		s.listeners[zone].setPartitioned(partitioned)
 	}
 }
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -92,7 +92,7 @@
 	faultPartitionServers: {
 		description: "a share is partitioned from all agents for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			return r.partitionServers(fault, emulator.AllZones, r.sampleServers(fault, random))
+			return r.partitionServers(fault, r.sampleServers(fault, random), r.allZones())
 		},
 	},
 	faultKillServers: {
@@ -113,7 +113,7 @@
 		needsZone:   true,
 		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
 			ids := r.emulator.ServerIDs(r.zoneIndex(fault.Zone))
-			err := r.partitionServers(fault, emulator.AllZones, ids)
+			err := r.partitionServers(fault, ids, r.allZones())
 			r.emulator.KillServers(0, ids...)
 			return err
 		},
@@ -123,7 +123,8 @@
 		needsZone:   true,
 		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
 			zone := r.zoneIndex(fault.Zone)
-			return r.partitionServers(fault, zone, r.emulator.ServerIDs(zone))
+			otherZones := slices.DeleteFunc(r.allZones(), func(z int) bool { return z == zone })
+			return r.partitionServers(fault, r.emulator.ServerIDs(zone), otherZones)
 		},
 	},
 	faultBurst: {
@@ -171,6 +172,14 @@
 // zoneIndex returns the index of a zone.
 func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
 
+// allZones returns the indexes of all zones.
+func (r *armRun) allZones() (zones []int) {
+	for zone := range r.scenario.Fleet.Zones {
+		zones = append(zones, zone)
+	}
+	return zones
+}
+
 // degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
 func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
 	ids := r.sampleServers(fault, random)
@@ -180,11 +189,11 @@
 	return nil
 }
 
-// partitionServers partitions servers from the agents of all zones except one.
-func (r *armRun) partitionServers(fault Fault, exceptZone int, ids []string) error {
-	r.emulator.PartitionServers(true, exceptZone, ids...)
+// partitionServers partitions servers from the agents of some zones for a time.
+func (r *armRun) partitionServers(fault Fault, ids []string, agentZones []int) error {
+	r.emulator.PartitionServers(agentZones, ids...)
 	r.wait(fault.Duration)
-	r.emulator.PartitionServers(false, exceptZone, ids...)
+	r.emulator.HealServers(agentZones, ids...)
 	return nil
 }
 
