--- a/cmd/experiment/draw.go
+++ b/cmd/experiment/draw.go
@@ -18,20 +18,19 @@
 
 // drawCmd is `experiment draw`.
 func drawCmd() *cobra.Command {
-	var seed uint64
-	var agents, servers int
-	var length time.Duration
+	var config experiment.GeneratorConfig
 	cmd := &cobra.Command{
 		Use:   "draw KIND",
 		Short: "print a generated scenario of a kind: " + strings.Join(experiment.ScenarioKinds(), ", "),
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return experiment.Generate(cmd.OutOrStdout(), args[0], seed, agents, servers, length)
+			config.Kind = args[0]
+			return experiment.Generate(cmd.OutOrStdout(), config)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the scenario's magnitudes")
-	cmd.Flags().IntVar(&agents, "agents", drawnAgents, "number of agents")
-	cmd.Flags().IntVar(&servers, "nodes", drawnServers, "number of servers")
-	cmd.Flags().DurationVar(&length, "length", drawnLength, "length of the traffic")
+	cmd.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the scenario's magnitudes")
+	cmd.Flags().IntVar(&config.Agents, "agents", drawnAgents, "number of agents")
+	cmd.Flags().IntVar(&config.Servers, "nodes", drawnServers, "number of servers")
+	cmd.Flags().DurationVar(&config.Length, "length", drawnLength, "length of the traffic")
 	return cmd
 }
--- a/cmd/experiment/trust.go
+++ b/cmd/experiment/trust.go
@@ -24,20 +24,18 @@
 
 // trustQueuesCmd is `experiment trust queues`.
 func trustQueuesCmd() *cobra.Command {
-	var first uint64
-	var seeds int
-	var length time.Duration
+	var runs experiment.QueueCheckRuns
 	cmd := &cobra.Command{
 		Use:   "queues",
 		Short: "compare the waits in one server with queueing theory",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return experiment.CheckQueues(cmd.Context(), cmd.OutOrStdout(), first, seeds, length)
+			return experiment.CheckQueues(cmd.Context(), cmd.OutOrStdout(), runs)
 		},
 	}
-	cmd.Flags().Uint64Var(&first, "seed", 1, "the first seed")
-	cmd.Flags().IntVar(&seeds, "seeds", queueCheckSeeds, "number of runs of each queue")
-	cmd.Flags().DurationVar(&length, "length", queueCheckLength, "length of a run")
+	cmd.Flags().Uint64Var(&runs.FirstSeed, "seed", 1, "the first seed")
+	cmd.Flags().IntVar(&runs.Seeds, "seeds", queueCheckSeeds, "number of runs of each queue")
+	cmd.Flags().DurationVar(&runs.Length, "length", queueCheckLength, "length of a run")
 	return cmd
 }
 
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -58,30 +58,41 @@
 // memberAddress is where an agent listens for other agents, and the address that it advertises to them.
 type memberAddress struct{ bind, advertise string }
 
+// membershipAddresses are the addresses of all members, by the agents' names, and those that all know at their start.
+type membershipAddresses struct {
+	members map[string]memberAddress
+	seeds   []string
+}
+
+// config returns the membership section of an agent in a zone.
+func (a *membershipAddresses) config(agent, zone string) *membershipConfig {
+	member := a.members[agent]
+	return &membershipConfig{
+		Bind:      member.bind,
+		Advertise: member.advertise,
+		Seeds:     a.seeds,
+		Site:      membershipSite,
+		Zone:      zone,
+		Networks:  []string{loopbackNetwork},
+	}
+}
+
 // prepareAgents writes the agents' configurations.
 func (r *armRun) prepareAgents(dir, program string) (err error) {
 	for i, agent := range r.emulatorConfig.Agents {
 		r.names = append(r.names, agent.Name)
 		r.agentIndex[agent.Name] = i
 	}
-	var members map[string]memberAddress
-	var seeds []string
+	var addresses *membershipAddresses // nil: the agents have no membership section
 	if r.arm.Membership {
-		if members, seeds, err = r.connectMembers(); err != nil {
+		if addresses, err = r.connectMembers(); err != nil {
 			return err
 		}
 	}
 	for i, agent := range r.emulatorConfig.Agents {
 		config := r.agentConfig(i, agent)
-		if member, ok := members[agent.Name]; ok {
-			config.Membership = &membershipConfig{
-				Bind:      member.bind,
-				Advertise: member.advertise,
-				Seeds:     seeds,
-				Site:      membershipSite,
-				Zone:      r.scenario.Fleet.Zones[agent.Zone],
-				Networks:  []string{loopbackNetwork},
-			}
+		if addresses != nil {
+			config.Membership = addresses.config(agent.Name, r.scenario.Fleet.Zones[agent.Zone])
 		}
 		text, err := config.encode(r.arm.Config)
 		if err != nil {
@@ -97,23 +108,23 @@
 	return err
 }
 
-// connectMembers adds each agent to a fault proxy and returns the agents' addresses and the seeds.
-func (r *armRun) connectMembers() (members map[string]memberAddress, seeds []string, err error) {
+// connectMembers adds each agent to a fault proxy and returns the agents' addresses.
+func (r *armRun) connectMembers() (addresses *membershipAddresses, err error) {
 	if r.proxy, err = faultproxy.New(r.seed); err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	members = map[string]memberAddress{}
+	addresses = &membershipAddresses{members: map[string]memberAddress{}}
 	for _, name := range r.names {
 		bind, advertise, err := r.proxy.Add(name)
 		if err != nil {
-			return nil, nil, err
+			return nil, err
 		}
-		members[name] = memberAddress{bind, advertise}
-		if len(seeds) < membershipSeeds {
-			seeds = append(seeds, advertise)
+		addresses.members[name] = memberAddress{bind, advertise}
+		if len(addresses.seeds) < membershipSeeds {
+			addresses.seeds = append(addresses.seeds, advertise)
 		}
 	}
-	return members, seeds, nil
+	return addresses, nil
 }
 
 // agentConfig returns the configuration of the agent with an index, without a membership section.
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -12,18 +12,20 @@
 // minPairs is the least number of pairs from which an interval can be computed.
 const minPairs = 2
 
-// Difference is how a metric of an arm differs from that of a base arm: the mean over pairs of the same seed and the
-// half width of its 95 % confidence interval (Student's t).
+// Interval is a mean of samples and the half width of its 95 % confidence interval (Student's t).
+type Interval struct{ Mean, HalfWidth float64 }
+
+// Includes tells whether a value is in the interval.
+func (i Interval) Includes(value float64) bool { return math.Abs(i.Mean-value) <= i.HalfWidth }
+
+// Difference is how a metric of an arm differs from that of a base arm, over pairs of the same seed.
 type Difference struct {
-	Metric          Metric
-	Base, Arm       float64 // means
-	Mean, HalfWidth float64
-	Pairs           int
+	Metric    Metric
+	Base, Arm float64  // means
+	Interval  Interval // of the arm's value minus the base arm's
+	Pairs     int
 }
 
-// IncludesZero tells whether the interval includes no difference.
-func (d Difference) IncludesZero() bool { return math.Abs(d.Mean) <= d.HalfWidth }
-
 // Compare returns the differences of all metrics between two arms, over the seeds on which both have a valid run; the
 // last one of each is used.
 func Compare(records []*Record, base, arm string) ([]Difference, error) {
@@ -57,14 +59,12 @@
 		armValues = append(armValues, armValue)
 		pairDifferences = append(pairDifferences, armValue-baseValue)
 	}
-	mean, halfWidth := confidenceInterval(pairDifferences)
 	return Difference{
-		Metric:    metric,
-		Base:      stat.Mean(baseValues, nil),
-		Arm:       stat.Mean(armValues, nil),
-		Mean:      mean,
-		HalfWidth: halfWidth,
-		Pairs:     len(seeds),
+		Metric:   metric,
+		Base:     stat.Mean(baseValues, nil),
+		Arm:      stat.Mean(armValues, nil),
+		Interval: confidenceInterval(pairDifferences),
+		Pairs:    len(seeds),
 	}
 }
 
@@ -77,11 +77,11 @@
 	return last
 }
 
-// confidenceInterval returns the mean of samples and the half width of its 95 % confidence interval (Student's t).
-func confidenceInterval(samples []float64) (mean, halfWidth float64) {
+// confidenceInterval returns the interval of samples.
+func confidenceInterval(samples []float64) Interval {
 	const quantile = 0.975 // two-sided
 	mean, deviation := stat.MeanStdDev(samples, nil)
 	n := float64(len(samples))
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(quantile)
-	return mean, t * deviation / math.Sqrt(n)
+	return Interval{Mean: mean, HalfWidth: t * deviation / math.Sqrt(n)}
 }
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -33,8 +33,10 @@
 		t.Fatalf("no difference of the metric: %+v", differences)
 	}
 	d := differences[index]
+	interval := d.Interval
 	// By hand: differences 1, 1.1, 1, 1.1; t of 3 degrees of freedom 3.182; standard deviation 0.0577.
-	if math.Abs(d.Mean-1.05) > 1e-9 || math.Abs(d.HalfWidth-0.0919) > 1e-3 || d.IncludesZero() || d.Pairs != 4 {
+	if math.Abs(interval.Mean-1.05) > 1e-9 || math.Abs(interval.HalfWidth-0.0919) > 1e-3 || interval.Includes(0) ||
+		d.Pairs != 4 {
 		t.Errorf("%+v", d)
 	}
 	if _, err := Compare(records[:2], "a", "b"); err == nil {
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -100,21 +100,30 @@
 // ScenarioKinds returns the kinds of scenarios that can be generated, in alphabetical order.
 func ScenarioKinds() []string { return slices.Sorted(maps.Keys(scenarioKinds())) }
 
-// Generate writes a scenario of a kind as TOML, its magnitudes drawn from a seed.
-func Generate(out io.Writer, kind string, seed uint64, agents, servers int, length time.Duration) error {
-	template, ok := scenarioKinds()[kind]
+// GeneratorConfig says what scenario is generated.
+type GeneratorConfig struct {
+	Kind    string // of ScenarioKinds
+	Seed    uint64 // that the magnitudes are drawn from
+	Agents  int
+	Servers int
+	Length  time.Duration // of the traffic
+}
+
+// Generate writes a generated scenario as TOML.
+func Generate(out io.Writer, config GeneratorConfig) error {
+	template, ok := scenarioKinds()[config.Kind]
 	if !ok {
-		return fmt.Errorf("there is no kind %q; kinds: %v", kind, ScenarioKinds())
+		return fmt.Errorf("there is no kind %q; kinds: %v", config.Kind, ScenarioKinds())
 	}
 	s := defaultWithoutTables()
-	s.Name = kind
-	s.Seed = seed
+	s.Name = config.Kind
+	s.Seed = config.Seed
 	s.Seeds = generatedSeeds
-	s.Length = length
-	s.Fleet.Agents = agents
-	s.Fleet.Servers = servers
+	s.Length = config.Length
+	s.Fleet.Agents = config.Agents
+	s.Fleet.Servers = config.Servers
 	s.Arms = []Arm{{Name: "off"}, {Name: "fleet", Membership: true}}
-	template.fill(s, rand.New(rand.NewPCG(seed, generatorStream)))
+	template.fill(s, rand.New(rand.NewPCG(config.Seed, generatorStream)))
 	return toml.NewEncoder(out).Encode(s)
 }
 
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -125,7 +125,7 @@
 				sums = append(sums, 0)
 				counts = append(counts, 0)
 			}
-			sums[i] += float64(view[0])
+			sums[i] += float64(view.least())
 			counts[i]++
 		}
 	}
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -42,66 +42,69 @@
 	{Cores: 4, Load: 0.7, MeanService: 30 * time.Millisecond, ServiceCV: 1},
 }
 
-// CheckQueues makes all comparisons on some seeds, from the first one on, each run of the given length, and writes them
-// as a Markdown table, row by row as they end. The error is that of the first comparison that fails.
-func CheckQueues(ctx context.Context, out io.Writer, first uint64, seeds int, length time.Duration) error {
+// QueueCheckRuns says on what each comparison is measured.
+type QueueCheckRuns struct {
+	FirstSeed uint64
+	Seeds     int           // consecutive ones, with a run for each
+	Length    time.Duration // of a run
+}
+
+// CheckQueues makes all comparisons and writes them as a Markdown table, row by row as they end. The error is that of
+// the first comparison that fails.
+func CheckQueues(ctx context.Context, out io.Writer, runs QueueCheckRuns) error {
 	const header = "| queue | theory, ms | measured, ms | |\n| --- | --- | --- | --- |"
 	if _, err := fmt.Fprintln(out, header); err != nil {
 		return err
 	}
 	var firstError error
 	for _, check := range queueChecks {
-		if err := check.run(ctx, out, first, seeds, length); firstError == nil {
+		if err := check.run(ctx, out, runs); firstError == nil {
 			firstError = err
 		}
 	}
 	return firstError
 }
 
-// run measures on some seeds, from the first one on, in real time on sockets. It writes, as a row of a Markdown
-// table, the mean wait by theory and the 95 % interval of the measured one, both in ms. The error is a theoretical
-// value outside of the interval.
-func (q QueueCheck) run(ctx context.Context, out io.Writer, first uint64, seeds int, length time.Duration) error {
+// run measures in real time on sockets. It writes, as a row of a Markdown table, the mean wait by theory and the 95 %
+// interval of the measured one, both in ms. The error is a theoretical value outside of the interval.
+func (q QueueCheck) run(ctx context.Context, out io.Writer, runs QueueCheckRuns) error {
 	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * millisecondsPerSecond
-	mean, halfWidth, err := q.measureWaits(ctx, first, seeds, length)
+	measured, err := q.measureWaits(ctx, runs)
 	if err != nil {
 		return err
 	}
-	agrees := math.Abs(mean-theory) <= halfWidth
+	agrees := measured.Includes(theory)
 	verdict := "agrees"
 	if !agrees {
 		verdict = "DIFFERS"
 	}
 	_, err = fmt.Fprintf(out, "| M/G/%d, load %g, service %v, cv %g | %.2f | %.2f ± %.2f | %s |\n",
-		q.Cores, q.Load, q.MeanService, q.ServiceCV, theory, mean, halfWidth, verdict)
+		q.Cores, q.Load, q.MeanService, q.ServiceCV, theory, measured.Mean, measured.HalfWidth, verdict)
 	if err != nil {
 		return err
 	}
 	if !agrees {
 		return fmt.Errorf("M/G/%d at load %g: a mean wait of %.2f ms, where theory has %.2f ms",
-			q.Cores, q.Load, mean, theory)
+			q.Cores, q.Load, measured.Mean, theory)
 	}
 	return nil
 }
 
-// measureWaits returns the mean wait over some seeds and the half width of its 95 % confidence interval, in ms.
-func (q QueueCheck) measureWaits(
-	ctx context.Context, first uint64, seeds int, length time.Duration,
-) (mean, halfWidth float64, err error) {
-	waits := make([]float64, seeds)
+// measureWaits returns the interval of the mean waits in the runs, in ms.
+func (q QueueCheck) measureWaits(ctx context.Context, runs QueueCheckRuns) (Interval, error) {
+	waits := make([]float64, runs.Seeds)
 	var group errgroup.Group
 	group.SetLimit(queueCheckParallelism)
-	for seed := range seeds {
+	for i := range waits {
 		group.Go(func() (err error) {
-			waits[seed], err = q.measureWait(ctx, first+uint64(seed), length)
+			waits[i], err = q.measureWait(ctx, runs.FirstSeed+uint64(i), runs.Length)
 			return err
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return 0, 0, err
+		return Interval{}, err
 	}
-	mean, halfWidth = confidenceInterval(waits)
-	return mean, halfWidth, nil
+	return confidenceInterval(waits), nil
 }
 
 // measureWait returns the mean wait on a seed, in ms: the difference in sojourn time to a server with a core for each
--- a/internal/experiment/ranking.go
+++ b/internal/experiment/ranking.go
@@ -63,7 +63,7 @@
 	}
 	for _, d := range differences {
 		if d.Metric == metric {
-			return fmt.Sprintf("%+.4f ± %.4f", d.Mean, d.HalfWidth), nil
+			return fmt.Sprintf("%+.4f ± %.4f", d.Interval.Mean, d.Interval.HalfWidth), nil
 		}
 	}
 	return "", nil
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -25,9 +25,8 @@
 	AgentsCPU  float64          `json:"agents_cpu_s"`
 	HarnessCPU float64          `json:"lab_cpu_s"`
 	AgentError string           `json:"agent_fault,omitempty"` // an agent that ended by itself
-	// Views are, for each second, the least and the greatest number of agents that the sampled agents saw; empty
-	// without a membership section.
-	Views [][2]int `json:"views,omitempty"`
+	// Views has what the sampled agents saw in each second; it is empty without a membership section.
+	Views []ViewRange `json:"views,omitempty"`
 }
 
 // The metrics that a record has beside those of the emulator's result.
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -82,11 +82,11 @@
 	equal := 0
 	for _, d := range differences {
 		verdict := "differs"
-		if d.IncludesZero() {
+		if d.Interval.Includes(0) {
 			verdict = ""
 			equal++
 		}
-		interval := fmt.Sprintf("%+.4g ± %.4g", d.Mean, d.HalfWidth)
+		interval := fmt.Sprintf("%+.4g ± %.4g", d.Interval.Mean, d.Interval.HalfWidth)
 		table.addRow(d.Metric.Title, formatValue(d.Base), formatValue(d.Arm), interval, verdict, d.Metric.Unit)
 	}
 	table.write(out)
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -143,7 +143,7 @@
 // checkViews checks that all agents saw all others at some time in the arm with a membership section, and only there.
 func checkViews(t *testing.T, record *Record) {
 	t.Helper()
-	complete := func(view [2]int) bool { return view == [2]int{8, 8} }
+	complete := func(view ViewRange) bool { return view == ViewRange{8, 8} }
 	if slices.ContainsFunc(record.Views, complete) != (record.Arm == "fleet") {
 		t.Errorf("arm %q: views %v", record.Arm, record.Views)
 	}
--- a/internal/experiment/scenario_test.go
+++ b/internal/experiment/scenario_test.go
@@ -36,7 +36,8 @@
 	for _, kind := range ScenarioKinds() {
 		t.Run(kind, func(t *testing.T) {
 			var text bytes.Buffer
-			if err := Generate(&text, kind, 3, 8, 6, 10*time.Second); err != nil {
+			config := GeneratorConfig{Kind: kind, Seed: 3, Agents: 8, Servers: 6, Length: 10 * time.Second}
+			if err := Generate(&text, config); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := Parse(kind, text.String()); err != nil {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -22,9 +22,23 @@
 	viewQuery = "members=none&since=4611686018427387904"
 )
 
-// sampleViews queries some agents each second for the number of agents they see, until the traffic has ended. It
-// returns the least and the greatest number of each second.
-func (r *armRun) sampleViews(ctx context.Context) (views [][2]int) {
+// ViewRange is the least and the greatest number of agents that any of the sampled agents sees; both 0: none answered.
+type ViewRange [2]int
+
+// least returns the least number.
+func (v *ViewRange) least() int { return v[0] }
+
+// add adds the number that one more agent sees.
+func (v *ViewRange) add(seen int) {
+	if *v == (ViewRange{}) {
+		v[0] = seen
+	}
+	v[0] = min(v[0], seen)
+	v[1] = max(v[1], seen)
+}
+
+// sampleViews queries some agents each second for the number of agents they see, until the traffic has ended.
+func (r *armRun) sampleViews(ctx context.Context) (views []ViewRange) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
@@ -37,19 +51,13 @@
 	}
 }
 
-// sampleView returns the least and the greatest number of agents that the sampled agents see; agents that are down or
-// paused do not count.
-func (r *armRun) sampleView(ctx context.Context) (view [2]int) {
+// sampleView returns what the sampled agents see; agents that are down or paused do not count.
+func (r *armRun) sampleView(ctx context.Context) (view ViewRange) {
 	for i := range min(sampledAgents, len(r.names)) {
 		name := r.names[i*len(r.names)/sampledAgents%len(r.names)]
-		seen := r.agentsSeen(ctx, name)
-		if seen == 0 {
-			continue
-		}
-		if view[0] == 0 || seen < view[0] {
-			view[0] = seen
+		if seen := r.agentsSeen(ctx, name); seen > 0 {
+			view.add(seen)
 		}
-		view[1] = max(view[1], seen)
 	}
 	return view
 }
