--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,21 +6,12 @@
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
 // MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
 const MaxTimerDelay = 5 * time.Millisecond
 
-const (
-	// maxDelayMicroseconds bounds the delays that a histogram can hold.
-	maxDelayMicroseconds = 60_000_000
-	// delayDigits is how many significant digits of a delay a histogram keeps.
-	delayDigits = 3
-)
-
 // Result is what a run measured.
 type Result struct {
 	Seconds    []SecondTotals     `json:"Seconds"`
@@ -31,21 +22,6 @@
 	Attempts   int                `json:"Attempts"`
 }
 
-// newDelayHistogram returns a histogram of delays in microseconds.
-func newDelayHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxDelayMicroseconds, delayDigits)
-}
-
-// recordDelay adds a delay to a histogram; below zero it counts as none.
-func recordDelay(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(0, d.Microseconds())) // a delay beyond the histogram's range is left out
-}
-
-// percentile returns a percentile of the delays of a histogram.
-func percentile(h *hdrhistogram.Histogram, percent float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
-}
-
 // result collects the result of a run whose last call has ended.
 func (e *Emulator) result() *Result {
 	r := &Result{Metrics: map[Metric]float64{}}
--- /dev/null
+++ b/internal/experiment/agent_config.go
@@ -0,0 +1,104 @@
+package experiment
+
+import (
+	"encoding/json"
+	"strconv"
+
+	"fernbeam.example/fernbeam/internal/emulator"
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+const (
+	// membershipSite is the site in the agents' membership sections.
+	membershipSite = "lab"
+	// loopbackNetwork has the addresses that members may have.
+	loopbackNetwork = "127.0.0.0/8"
+	// agentSeedFactor keeps the seeds of the agents of one run apart from those of the next seed's.
+	agentSeedFactor = 1000
+)
+
+// agentConfig is an agent's configuration file (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
+type agentConfig struct {
+	Name           string            `json:"name"`
+	Listen         string            `json:"listen"`
+	AdminAddress   string            `json:"management"`
+	Discovery      string            `json:"discovery"`
+	Seed           string            `json:"seed"` // hexadecimal
+	Limits         AgentLimits       `json:"limits"`
+	KnownEndpoints endpoint.List     `json:"known"`
+	Membership     *membershipConfig `json:"fleet,omitempty"`
+	Settings       AgentSettings     `json:"settings"`
+}
+
+// membershipConfig is the membership section of an agent's configuration.
+type membershipConfig struct {
+	Bind      string   `json:"bind"`
+	Advertise string   `json:"advertise"`
+	Seeds     []string `json:"seeds"`
+	Site      string   `json:"site"`
+	Zone      string   `json:"zone"`
+	Networks  []string `json:"networks"`
+}
+
+// memberAddress is where an agent listens for other agents, and the address that it advertises to them.
+type memberAddress struct{ bind, advertise string }
+
+// membershipAddresses are the addresses of all members, by the agents' names, and those that all know at their start.
+type membershipAddresses struct {
+	members map[string]memberAddress
+	seeds   []string
+}
+
+// config returns the membership section of an agent in a zone.
+func (a *membershipAddresses) config(agent, zone string) *membershipConfig {
+	member := a.members[agent]
+	return &membershipConfig{
+		Bind:      member.bind,
+		Advertise: member.advertise,
+		Seeds:     a.seeds,
+		Site:      membershipSite,
+		Zone:      zone,
+		Networks:  []string{loopbackNetwork},
+	}
+}
+
+// agentConfig returns the configuration of the agent with an index, without a membership section.
+func (r *armRun) agentConfig(index int, agent emulator.Agent) *agentConfig {
+	return &agentConfig{
+		Name:           agent.Name,
+		Listen:         r.emulator.Address(index, emulator.ListenPort),
+		AdminAddress:   r.emulator.Address(index, emulator.AdminPort),
+		Discovery:      r.emulator.Address(index, emulator.DiscoveryPort),
+		Seed:           strconv.FormatUint(r.seed*agentSeedFactor+uint64(index), 16),
+		Limits:         r.scenario.Limits(),
+		KnownEndpoints: r.emulator.InitialList(agent.Name),
+		Settings:       r.scenario.Settings(index, agent.Zone, len(r.emulatorConfig.Agents)),
+	}
+}
+
+// encode returns the configuration as JSON with an arm's overrides, which may set any key, also unknown ones.
+func (c *agentConfig) encode(overrides map[string]any) ([]byte, error) {
+	text, err := json.Marshal(c)
+	if err != nil || len(overrides) == 0 {
+		return text, err
+	}
+	config := map[string]any{}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return nil, err
+	}
+	mergeConfig(config, overrides)
+	return json.Marshal(config)
+}
+
+// mergeConfig merges a configuration into another one, key by key.
+func mergeConfig(base, overrides map[string]any) {
+	for key, value := range overrides {
+		if section, ok := value.(map[string]any); ok {
+			if baseSection, ok := base[key].(map[string]any); ok {
+				mergeConfig(baseSection, section)
+				continue
+			}
+		}
+		base[key] = value
+	}
+}
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -1,16 +1,12 @@
 package experiment
 
 import (
-	"errors"
 	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
-	"time"
 
 	"fernbeam.example/fernbeam/internal/emulator"
-	"fernbeam.example/fernbeam/internal/faultproxy"
-	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // FaultKind is what a fault does. Scenarios name the kinds by these texts.
@@ -36,9 +32,6 @@
 	faultDiscoveryOutage  FaultKind = "list down"
 )
 
-// agentPartition is the name of the partition that partitionAgents makes.
-const agentPartition = "agents"
-
 // faultEffect is what a kind of fault does. Either trafficChange or inject is set.
 type faultEffect struct {
 	description string // how it uses the keys of a scenario
@@ -168,139 +161,3 @@
 	}
 	return descriptions
 }
-
-// zoneIndex returns the index of a zone.
-func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
-
-// allZones returns the indexes of all zones.
-func (r *armRun) allZones() (zones []int) {
-	for zone := range r.scenario.Fleet.Zones {
-		zones = append(zones, zone)
-	}
-	return zones
-}
-
-// degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
-func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
-	ids := r.sampleServers(fault, random)
-	r.emulator.SetServerFault(max(1, slowFactor), failureRate, ids...)
-	r.wait(fault.Duration)
-	r.emulator.SetServerFault(1, 0, ids...)
-	return nil
-}
-
-// partitionServers partitions servers from the agents of some zones for a time.
-func (r *armRun) partitionServers(fault Fault, ids []string, agentZones []int) error {
-	r.emulator.PartitionServers(agentZones, ids...)
-	r.wait(fault.Duration)
-	r.emulator.HealServers(agentZones, ids...)
-	return nil
-}
-
-// replaceServers replaces a share of the servers, a batch at a time.
-func (r *armRun) replaceServers(fault Fault, random *rand.Rand) error {
-	ids := r.sampleServers(fault, random)
-	size, interval := batches(fault, len(ids))
-	for batch := range slices.Chunk(ids, size) {
-		if err := r.emulator.ReplaceServers(fault.DrainTime, batch...); err != nil {
-			return err
-		}
-		r.wait(interval)
-	}
-	return nil
-}
-
-// batches returns the size of a fault's batches and the time from one to the next.
-func batches(fault Fault, count int) (size int, interval time.Duration) {
-	size = shareOf(fault.Batch, count)
-	number := (count + size - 1) / size
-	return size, fault.Duration / time.Duration(number)
-}
-
-// sampleServers draws a fault's share of the servers of all zones.
-func (r *armRun) sampleServers(fault Fault, random *rand.Rand) []string {
-	return sampleShare(random, r.emulator.ServerIDs(emulator.AllZones), fault.Share)
-}
-
-// sampleShare draws a share of names, at least one.
-func sampleShare(random *rand.Rand, names []string, share float64) []string {
-	names = slices.Clone(names)
-	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	return names[:min(len(names), shareOf(share, len(names)))]
-}
-
-// shareOf returns how many of a number a share is, rounded half up and at least one.
-func shareOf(share float64, count int) int {
-	const half = 0.5
-	return max(1, int(share*float64(count)+half))
-}
-
-// killAgents kills a share of the agents and starts them again after a time.
-func (r *armRun) killAgents(fault Fault, random *rand.Rand) error {
-	names := sampleShare(random, r.names, fault.Share)
-	for _, name := range names {
-		r.emulator.AgentStopped(name)
-	}
-	if err := processtest.Each(names, r.procs.Kill); err != nil {
-		return err
-	}
-	r.wait(fault.RestartAfter)
-	return processtest.Each(names, r.start)
-}
-
-// restartAgents terminates and starts a share of the agents, a batch at a time.
-func (r *armRun) restartAgents(fault Fault, random *rand.Rand) error {
-	names := sampleShare(random, r.names, fault.Share)
-	size, interval := batches(fault, len(names))
-	for part := range slices.Chunk(names, size) {
-		began := time.Now()
-		if err := processtest.Each(part, r.restartAgent); err != nil {
-			return err
-		}
-		r.wait(interval - time.Since(began))
-	}
-	return nil
-}
-
-// restartAgent terminates an agent and starts it again.
-func (r *armRun) restartAgent(name string) error {
-	return errors.Join(r.procs.Term(name), r.start(name))
-}
-
-// pauseAgents stops the processes of a share of the agents for a time.
-func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
-	names := sampleShare(random, r.names, fault.Share)
-	if err := processtest.Each(names, r.procs.Pause); err != nil {
-		return err
-	}
-	r.wait(fault.Duration)
-	return processtest.Each(names, r.procs.Resume)
-}
-
-// partitionAgents partitions each of a share of the agents from all others for a time.
-func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
-	if r.proxy == nil {
-		return nil // the agents have no connections anyway
-	}
-	isolated := sampleShare(random, r.names, fault.Share)
-	var groups [][]string
-	for _, name := range isolated {
-		groups = append(groups, []string{name})
-	}
-	rest := slices.DeleteFunc(slices.Clone(r.names), func(n string) bool { return slices.Contains(isolated, n) })
-	r.proxy.Partition(agentPartition, append(groups, rest)...)
-	r.wait(fault.Duration)
-	r.proxy.Heal(agentPartition)
-	return nil
-}
-
-// loseMessages drops a part of the messages between agents for a time.
-func (r *armRun) loseMessages(fault Fault, _ *rand.Rand) error {
-	if r.proxy == nil {
-		return nil
-	}
-	r.proxy.SetAll(faultproxy.Rule{Loss: fault.Magnitude})
-	r.wait(fault.Duration)
-	r.proxy.SetAll(faultproxy.Rule{})
-	return nil
-}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -7,10 +7,8 @@
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"math"
-	"slices"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/emulator"
@@ -101,81 +99,6 @@
 // socketSlack is the tolerance of the operating rules for sockets and timers.
 const socketSlack = 50 * time.Millisecond
 
-// The reasons for which several keys are invalid.
-var (
-	errNotPositive = errors.New("must be above 0")
-	errNotFraction = errors.New("must be from 0 to 1")
-)
-
-// validate returns the first key whose value is invalid, and the reason.
-func (s *Scenario) validate() (key string, reason error) {
-	for _, check := range []func() (string, error){s.validateSizes, s.validateFaults, s.validateArms} {
-		if key, reason := check(); reason != nil {
-			return key, reason
-		}
-	}
-	return "", nil
-}
-
-// validateSizes is validate for the fleet, the traffic and how long and often it runs.
-func (s *Scenario) validateSizes() (key string, reason error) {
-	switch {
-	case s.Length <= 0:
-		return "length", errNotPositive
-	case s.Seeds < 1:
-		return "seeds", errNotPositive
-	case s.Fleet.Agents < 1:
-		return "fleet.agents", errNotPositive
-	case s.Fleet.Servers < 1:
-		return "fleet.nodes", errNotPositive
-	case s.Fleet.CellSize < 1:
-		return "fleet.pod", errNotPositive
-	case len(s.Fleet.Zones) == 0:
-		return "fleet.zones", errors.New("at least one is needed")
-	case s.Fleet.ListDelay[1] < s.Fleet.ListDelay[0]:
-		return "fleet.list_delay", errors.New("the second is below the first")
-	case s.Traffic.Rate <= 0 && s.Traffic.Load <= 0:
-		return "traffic.rate", errors.New("rate or load must be above 0")
-	case s.Traffic.Imbalance < 0 || s.Traffic.Imbalance >= 1:
-		return "traffic.uneven", errors.New("must be from 0 to below 1")
-	case s.Traffic.RequestTimeoutShare <= 0 || s.Traffic.RequestTimeoutShare > 1:
-		return "traffic.try_share", errNotFraction
-	}
-	return "", nil
-}
-
-// validateFaults is validate for the faults.
-func (s *Scenario) validateFaults() (key string, reason error) {
-	for _, fault := range s.Faults {
-		effect, known := faultEffects[fault.Kind]
-		switch {
-		case !known:
-			return "trouble.kind", fmt.Errorf("there is no fault %q", fault.Kind)
-		case fault.At < 0 || fault.At > s.Length:
-			return "trouble.at", errors.New("is outside the length")
-		case fault.Kind == faultBurst && fault.Magnitude <= 0:
-			return "trouble.size", errNotPositive
-		case fault.Share < 0 || fault.Share > 1:
-			return "trouble.share", errNotFraction
-		case effect.needsZone && !slices.Contains(s.Fleet.Zones, fault.Zone):
-			return "trouble.zone", fmt.Errorf("there is no zone %q", fault.Zone)
-		}
-	}
-	return "", nil
-}
-
-// validateArms is validate for the arms.
-func (s *Scenario) validateArms() (key string, reason error) {
-	names := map[string]bool{}
-	for _, arm := range s.Arms {
-		if arm.Name == "" || names[arm.Name] {
-			return "arm.name", fmt.Errorf("each arm needs a name of its own, this one has %q", arm.Name)
-		}
-		names[arm.Name] = true
-	}
-	return "", nil
-}
-
 // requestRate returns the calls per second of all clients.
 func (s *Scenario) requestRate() float64 {
 	if s.Traffic.Rate > 0 {
