--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -10,8 +10,8 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// runOptions are the flags of the command run.
-type runOptions struct {
+// runFlags are the flags of `experiment run`.
+type runFlags struct {
 	binary string
 	record string
 	logs   string
@@ -19,18 +19,18 @@
 
 // runCmd is `experiment run`.
 func runCmd() *cobra.Command {
-	var options runOptions
+	var flags runFlags
 	cmd := &cobra.Command{
 		Use:   "run FILE.toml",
 		Short: "run a scenario: each arm on each seed, in turn",
 		Long: "Runs a scenario, adds each run to the record, and prints the report. Times in a scenario are such as\n" +
 			"\"300ms\"; \"experiment draw\" prints complete scenarios. The faults:\n\n" + faultsHelp(),
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error { return runScenario(cmd, args[0], options) },
+		RunE: func(cmd *cobra.Command, args []string) error { return runScenario(cmd, args[0], flags) },
 	}
-	cmd.Flags().StringVar(&options.binary, "binary", "bin/agent", "the built agent, for arms without a commit")
-	cmd.Flags().StringVar(&options.record, "record", "experiment.jsonl", "file to which each run is added")
-	cmd.Flags().StringVar(&options.logs, "logs", "", "directory in which the agents' logs are kept; default: none are")
+	cmd.Flags().StringVar(&flags.binary, "binary", "bin/agent", "the built agent, for arms without a commit")
+	cmd.Flags().StringVar(&flags.record, "record", "experiment.jsonl", "file to which each run is added")
+	cmd.Flags().StringVar(&flags.logs, "logs", "", "directory in which the agents' logs are kept; default: none are")
 	return cmd
 }
 
@@ -44,17 +44,17 @@
 }
 
 // runScenario runs a scenario from a file, records its runs and prints the report of those that ended.
-func runScenario(cmd *cobra.Command, path string, options runOptions) (err error) {
+func runScenario(cmd *cobra.Command, path string, flags runFlags) (err error) {
 	scenario, err := experiment.Load(path)
 	if err != nil {
 		return err
 	}
-	file, err := openAppend(options.record)
+	file, err := openAppend(flags.record)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	dir, removeDir, err := workDirectory(options.logs)
+	dir, removeDir, err := workDirectory(flags.logs)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	var records []*experiment.Record
 	err = experiment.Run(cmd.Context(), experiment.Config{
 		Scenario:   scenario,
-		Binary:     options.binary,
+		Binary:     flags.binary,
 		Repository: checkout(cmd.Context()),
 		Dir:        dir,
 		Progress:   progress(),
--- a/internal/experiment/agent_config.go
+++ b/internal/experiment/agent_config.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"os"
+	"path/filepath"
 	"strconv"
 
 	"fernbeam.example/fernbeam/internal/emulator"
@@ -15,6 +17,8 @@
 	loopbackNetwork = "127.0.0.0/8"
 	// agentSeedFactor keeps the seeds of the agents of one run apart from those of the next seed's.
 	agentSeedFactor = 1000
+	// configFileMode is the mode of an agent's configuration file.
+	configFileMode = 0o600
 )
 
 // agentConfig is an agent's configuration file (DEPLOY, "What an agent is told"; WIRE, "Start-up parameters").
@@ -76,6 +80,15 @@
 	}
 }
 
+// write writes the configuration, with an arm's overrides, to the file that the agent's process reads.
+func (c *agentConfig) write(dir string, overrides map[string]any) error {
+	text, err := c.encode(overrides)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, c.Name+".json"), text, configFileMode)
+}
+
 // encode returns the configuration as JSON with an arm's overrides, which may set any key, also unknown ones.
 func (c *agentConfig) encode(overrides map[string]any) ([]byte, error) {
 	text, err := json.Marshal(c)
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -4,8 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/emulator"
@@ -16,19 +14,13 @@
 const (
 	// membershipSeeds is how many agents the others know at their start.
 	membershipSeeds = 3
-	// configFileMode is the mode of an agent's configuration file.
-	configFileMode = 0o600
 	// readyTimeout bounds the time from an agent's start until it is ready, readyCallTimeout a call that asks.
 	readyTimeout     = 30 * time.Second
 	readyCallTimeout = time.Second
 )
 
-// prepareAgents writes the agents' configurations.
+// prepareAgents writes the agents' configurations into a directory and prepares their processes.
 func (r *armRun) prepareAgents(dir, program string) (err error) {
-	for i, agent := range r.emulatorConfig.Agents {
-		r.names = append(r.names, agent.Name)
-		r.agentIndex[agent.Name] = i
-	}
 	var addresses *membershipAddresses // nil: the agents have no membership section
 	if r.arm.Membership {
 		if addresses, err = r.connectMembers(); err != nil {
@@ -40,11 +32,7 @@
 		if addresses != nil {
 			config.Membership = addresses.config(agent.Name, r.scenario.Fleet.Zones[agent.Zone])
 		}
-		text, err := config.encode(r.arm.Config)
-		if err != nil {
-			return err
-		}
-		if err := os.WriteFile(filepath.Join(dir, agent.Name+".json"), text, configFileMode); err != nil {
+		if err := config.write(dir, r.arm.Config); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -75,14 +75,9 @@
 	finished       chan struct{} // closed when the traffic has ended
 }
 
-// runArm runs an arm on a seed.
-func (cfg *Config) runArm(ctx context.Context, arm Arm, program string, seed uint64) (*Record, error) {
-	scenario := cfg.Scenario
-	dir, err := os.MkdirTemp(cfg.Dir, "run")
-	if err != nil {
-		return nil, err
-	}
-	r := &armRun{
+// newArmRun returns a run of an arm on a seed, with its emulator started and without agents.
+func newArmRun(scenario *Scenario, arm Arm, seed uint64) (r *armRun, err error) {
+	r = &armRun{
 		scenario:       scenario,
 		arm:            arm,
 		seed:           seed,
@@ -90,7 +85,22 @@
 		agentIndex:     map[string]int{},
 		finished:       make(chan struct{}),
 	}
-	if r.emulator, err = emulator.New(r.emulatorConfig); err != nil {
+	for i, agent := range r.emulatorConfig.Agents {
+		r.names = append(r.names, agent.Name)
+		r.agentIndex[agent.Name] = i
+	}
+	r.emulator, err = emulator.New(r.emulatorConfig)
+	return r, err
+}
+
+// runArm runs an arm on a seed.
+func (cfg *Config) runArm(ctx context.Context, arm Arm, program string, seed uint64) (*Record, error) {
+	dir, err := os.MkdirTemp(cfg.Dir, "run")
+	if err != nil {
+		return nil, err
+	}
+	r, err := newArmRun(cfg.Scenario, arm, seed)
+	if err != nil {
 		return nil, err
 	}
 	defer r.emulator.Close()
@@ -104,12 +114,12 @@
 		return nil, err
 	}
 	record := &Record{
-		Scenario: scenario.Name,
+		Scenario: cfg.Scenario.Name,
 		Arm:      arm.Name,
 		Seed:     seed,
 		Commit:   Revision(ctx, arm.Commit, program, cfg.Repository),
 		Machine:  machineDescription(),
-		Length:   scenario.Length,
+		Length:   cfg.Scenario.Length,
 	}
 	r.runTraffic(ctx, record)
 	if ctx.Err() != nil {
