--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/processtest"
@@ -81,17 +80,16 @@
 
 // awaitLastChange returns once each running agent knows the last change, or this was due.
 func (h *Harness) awaitLastChange() error {
-	for end := time.Now().Add(h.cfg.Within + settleMargin); ; time.Sleep(pollInterval) {
+	var failure error
+	isKnown := func() bool {
 		history, err := h.observed()
 		if err != nil {
-			return err
-		}
-		last := history.lastWrite()
-		isMissing := slices.ContainsFunc(history.Incarnations, func(p *ProcessIncarnation) bool {
-			return p.IsRunning() && !p.knew(last.Version, time.Now())
-		})
-		if !isMissing || time.Now().After(end) {
-			return nil
+			failure = err
+			return true
 		}
+		return history.allKnow(history.lastWrite())
 	}
+	// The checker reports the agents that do not know it in time.
+	_ = processtest.AwaitEvery(pollInterval, h.cfg.Within+settleMargin, "the last change at all agents", isKnown)
+	return failure
 }
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -74,15 +74,18 @@
 
 // atLeader does something at the leader, or, until there is one and for retryTimeout, retries.
 func (h *Harness) atLeader(do func(instance string) error) error {
-	for end := time.Now().Add(retryTimeout); ; time.Sleep(leaderPause) {
-		err := errNoLeader
+	var err error
+	isDone := func() bool {
+		err = errNoLeader
 		if leader := h.leader(); leader != "" {
 			err = do(leader)
 		}
-		if err == nil || time.Now().After(end) {
-			return err
-		}
+		return err == nil
+	}
+	if awaitErr := processtest.AwaitEvery(leaderPause, retryTimeout, "a call of the leader", isDone); awaitErr != nil {
+		return fmt.Errorf("%w: %w", awaitErr, err)
 	}
+	return nil
 }
 
 // others are the instances but one.
@@ -173,19 +176,22 @@
 	if err != nil {
 		return write, err
 	}
-	end := time.Now().Add(changeTimeout)
-	for attempt := 0; time.Now().Before(end); attempt++ {
-		var answer struct{ Version uint64 }
-		instance := instances[attempt%len(instances)]
-		if err = h.callAdmin(instance, http.MethodPut, endpoint.SettingsPath(service), text, &answer); err == nil {
-			write.Version = answer.Version
-			write.AckedAt = time.Now()
-			h.recordWrite(write)
-			return write, nil
-		}
-		time.Sleep(changePause)
+	var answer struct{ Version uint64 }
+	attempts := 0
+	isAcknowledged := func() bool {
+		instance := instances[attempts%len(instances)]
+		attempts++
+		err = h.callAdmin(instance, http.MethodPut, endpoint.SettingsPath(service), text, &answer)
+		return err == nil
+	}
+	what := fmt.Sprintf("an acknowledgement of change %d", write.Marker)
+	if awaitErr := processtest.AwaitEvery(changePause, changeTimeout, what, isAcknowledged); awaitErr != nil {
+		return write, fmt.Errorf("%w: %w", awaitErr, err)
 	}
-	return write, fmt.Errorf("configtest: change %d not acknowledged within %v: %w", write.Marker, changeTimeout, err)
+	write.Version = answer.Version
+	write.AckedAt = time.Now()
+	h.recordWrite(write)
+	return write, nil
 }
 
 func (h *Harness) nextMarker() int {
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -165,7 +165,7 @@
 	cutAt := time.Now()
 	h.discovery.Partition(append([]string{region}, regionAgents...), append(slices.Clone(rest), restAgents...))
 	for range regionChanges {
-		time.Sleep(h.cfg.Outage / regionChanges)
+		time.Sleep(h.cfg.Outage / regionChanges) // the changes are spread over the outage
 		if err := h.change(rest...); err != nil {
 			return nil, err
 		}
@@ -242,12 +242,12 @@
 func (h *Harness) restartTenthDuringOutage() error {
 	const tenths = 10
 	const halves = 2
-	time.Sleep(h.cfg.Outage / halves)
+	time.Sleep(h.cfg.Outage / halves) // the agents' backoff has grown by then
 	restarted := h.Agents[:max(1, len(h.Agents)/tenths)]
 	if err := processtest.Each(restarted, h.agents.Restart); err != nil {
 		return err
 	}
-	time.Sleep(h.cfg.Outage / halves)
+	time.Sleep(h.cfg.Outage / halves) // the rest of the outage
 	for _, agent := range h.Agents {
 		if !h.agents.Running(agent) {
 			return fmt.Errorf("%s does not run any more", agent)
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -78,6 +78,13 @@
 	return slices.MaxFunc(h.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
 }
 
+// allKnow tells whether all running processes know of a change.
+func (h *History) allKnow(w Write) bool {
+	return !slices.ContainsFunc(h.Incarnations, func(p *ProcessIncarnation) bool {
+		return p.IsRunning() && !p.knew(w.Version, time.Now())
+	})
+}
+
 // dueAt is when a process must know of a change; false where it need not, as it ended before.
 func (h *History) dueAt(w Write, p *ProcessIncarnation, within time.Duration) (time.Time, bool) {
 	from := w.firstKnownAt(p)
--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -116,15 +116,17 @@
 // writeAnywhere tries a write at each instance in turn until one acknowledges it. It returns the
 // version of the write, or 0 if none was acknowledged within startTimeout.
 func writeAnywhere(cluster *processtest.Cluster, write func(admin string) uint64) uint64 {
-	deadline := time.Now().Add(startTimeout)
-	for attempt := 0; time.Now().Before(deadline); attempt++ {
-		name := instanceNames[attempt%len(instanceNames)]
-		if version := write(cluster.Addr(name, processtest.AdminPort)); version != 0 {
-			return version
-		}
-		time.Sleep(retryInterval)
+	var version uint64
+	attempts := 0
+	isAcknowledged := func() bool {
+		name := instanceNames[attempts%len(instanceNames)]
+		attempts++
+		version = write(cluster.Addr(name, processtest.AdminPort))
+		return version != 0
 	}
-	return 0
+	// The callers check the version.
+	_ = processtest.AwaitEvery(retryInterval, startTimeout, "an acknowledged write", isAcknowledged)
+	return version
 }
 
 // putServerAnywhere writes an entry under an id as writeAnywhere does.
--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -29,9 +29,10 @@
 	longTestsVariable = "DISCOVERY_LONG_TESTS"
 	// convergenceTimeout bounds the time until instances have the same state after a fault.
 	convergenceTimeout = 60 * time.Second
-	// maxWritePause bounds the random pause between two writes of a client.
+	// maxWritePause bounds the random pause between two writes of a client, by which the clients do not
+	// write in step.
 	maxWritePause = 40 * time.Millisecond
-	// readPause is the pause between two reads of a client.
+	// readPause is the pause between two reads of a client, which limits the length of the history.
 	readPause = 250 * time.Millisecond
 	// maxLogShown is the number of bytes of an instance's log that a failed test shows.
 	maxLogShown = 6000
--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -57,7 +57,8 @@
 	return fault
 }
 
-// hangPollInterval is the time between two checks of a call that hangs.
+// hangPollInterval is the time between two checks of a call that hangs: the control file is read again, as
+// its change has no event.
 const hangPollInterval = 10 * time.Millisecond
 
 // write runs a write, which fails if the fault says so.
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -31,7 +31,7 @@
 const (
 	// limitTime is how long TestFileSizeLimit keeps the instances from writing files.
 	limitTime = 3 * time.Second
-	// limitedWriteInterval is the time between two of its writes meanwhile.
+	// limitedWriteInterval is the time between two of its writes meanwhile, which limits their load.
 	limitedWriteInterval = 50 * time.Millisecond
 )
 
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -21,6 +21,9 @@
 	// response.
 	watcherWait    = 500 * time.Millisecond
 	watcherTimeout = 3 * time.Second
+	// watcherPause is the pause of a watcher after a call that failed, so that it does not take the
+	// processor from the instances while none is reached.
+	watcherPause = 20 * time.Millisecond
 	// watcherCatchUpTimeout bounds the time until all watchers have the last write.
 	watcherCatchUpTimeout = 30 * time.Second
 )
@@ -63,7 +66,7 @@
 	url := watchURL(address, fmt.Sprintf("index=%d&wait=%d", w.currentVersion(), watcherWait.Milliseconds()))
 	resp, err := get(t.Context(), client, url)
 	if err != nil {
-		time.Sleep(retryInterval)
+		time.Sleep(watcherPause)
 		return false
 	}
 	defer closeBody(resp)
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -14,7 +14,7 @@
 const (
 	// partitionTime is how long TestPartitionedLeader cuts off the leader.
 	partitionTime = 10 * time.Second
-	// partitionedWriteInterval is the time between two of its writes meanwhile.
+	// partitionedWriteInterval is the time between two of its writes meanwhile, which limits their load.
 	partitionedWriteInterval = 50 * time.Millisecond
 	// healTimeout bounds the time until all instances have the same writes after the partition.
 	healTimeout = 20 * time.Second
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -21,7 +21,8 @@
 func fastElection(file *processtest.DiscoveryFile) { file.ElectionTimeout = singleNodeElectionTimeout }
 
 const (
-	// maxTimeToKill bounds the random time from the start of an instance until it is killed.
+	// maxTimeToKill bounds the random time from the start of an instance until it is killed. It is random,
+	// so that the kill finds the instance at any step of a write.
 	maxTimeToKill = 300 * time.Millisecond
 	// firstReadInterval is the time between two attempts of the first read of an instance. It is short, so
 	// that the read that succeeds comes soon after the instance serves reads.
@@ -85,11 +86,13 @@
 		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
-		read, served := cluster.read(soleInstance)
-		deadline := time.Now().Add(convergenceTimeout)
-		for !served && time.Now().Before(deadline) {
-			time.Sleep(firstReadInterval)
+		var read readRecord
+		isServed := func() (served bool) {
 			read, served = cluster.read(soleInstance)
+			return served
+		}
+		if err := processtest.AwaitEvery(firstReadInterval, convergenceTimeout, "a first read", isServed); err != nil {
+			t.Fatal(err)
 		}
 		if err := checkContainsAll(read, acknowledged); err != nil {
 			t.Fatalf("first read, version %d: %v", read.version, err)
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -15,7 +15,8 @@
 // busy machine.
 const staleBound = 4500 * time.Millisecond
 
-// timeBeforeOutage is how long clients write before an outage.
+// timeBeforeOutage is how long clients write before an outage, so that the history has writes and reads
+// of all instances from before it.
 const timeBeforeOutage = time.Second
 
 // failoverTime is the length of an outage in which the other instances have elected a leader and
@@ -105,7 +106,7 @@
 	}
 	pids := cluster.pids()
 	before := len(cluster.history.acknowledged())
-	time.Sleep(outage)
+	time.Sleep(outage) // the time under test
 	during := len(cluster.history.acknowledged())
 	for _, name := range failing {
 		cluster.setFault(name, server.StoreFault{})
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -13,6 +13,7 @@
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 const (
@@ -180,8 +181,10 @@
 		startedAt := time.Now()
 		closeNode(b, nodes[leader])
 		other := configs[(leader+1)%len(configs)].AdminAddr
-		for putServer(other, fmt.Sprint("after-", i)) == 0 {
-			time.Sleep(failoverWriteInterval)
+		isWritten := func() bool { return putServer(other, fmt.Sprint("after-", i)) != 0 }
+		err := processtest.AwaitEvery(failoverWriteInterval, startTimeout, "a write after the failover", isWritten)
+		if err != nil {
+			b.Fatal(err)
 		}
 		total += time.Since(startedAt)
 	}
--- a/internal/processtest/await.go
+++ b/internal/processtest/await.go
@@ -16,12 +16,17 @@
 
 // Await checks a condition every awaitInterval until it is met or the time has passed; the error says what was awaited.
 func Await(within time.Duration, what string, met func() bool) error {
+	return AwaitEvery(awaitInterval, within, what, met)
+}
+
+// AwaitEvery is Await with another interval. Each check may be a call that is repeated until it succeeds.
+func AwaitEvery(interval, within time.Duration, what string, met func() bool) error {
 	end := time.Now().Add(within)
 	for !met() {
 		if time.Now().After(end) {
 			return fmt.Errorf("processtest: %s: not within %v", what, within)
 		}
-		time.Sleep(awaitInterval)
+		time.Sleep(interval)
 	}
 	return nil
 }
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// awaitDelay waits for the link's delay.
+// awaitDelay holds a chunk for the link's delay, which is the fault that a test injects.
 func (l *Link) awaitDelay() {
 	l.mu.Lock()
 	delay := l.delay
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The slices of time of a starved process: it runs for a tenth of the time.
+// The slices of time of a process that Starve lets run for a tenth of the time.
 const (
 	starvedPause = 90 * time.Millisecond
 	starvedRun   = 10 * time.Millisecond
@@ -141,15 +141,15 @@
 )
 
 // listenAgain listens on an address of which an earlier listener was closed.
-func listenAgain(addr *net.TCPAddr) (*net.TCPListener, error) {
-	deadline := time.Now().Add(listenTimeout)
-	for {
-		ln, err := net.ListenTCP("tcp", addr)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
-			return ln, err
-		}
-		time.Sleep(listenInterval)
+func listenAgain(addr *net.TCPAddr) (ln *net.TCPListener, err error) {
+	isFree := func() bool {
+		ln, err = net.ListenTCP("tcp", addr)
+		return !errors.Is(err, syscall.EADDRINUSE)
+	}
+	if awaitErr := AwaitEvery(listenInterval, listenTimeout, "a free address", isFree); awaitErr != nil {
+		return nil, fmt.Errorf("%w: %w", awaitErr, err)
 	}
+	return ln, err
 }
 
 // listenFile opens a listener as a file.
