--- a/cmd/discovery/admin_client.go
+++ b/cmd/discovery/admin_client.go
@@ -23,9 +23,18 @@
 	maxAnswerBytes = 1 << 20
 )
 
-// addAdminFlag adds the flag --admin.
-func addAdminFlag(cmd *cobra.Command, address *string) {
-	cmd.Flags().StringVar(address, "admin", defaultAdminAddress, "admin address of any instance (host:port)")
+// adminAction is what a command does by calls to an admin address.
+type adminAction func(cmd *cobra.Command, client adminClient, args []string) error
+
+// withAdminFlag adds the flag --admin to a command and makes the command run an action, with a client for
+// the flag's address.
+func withAdminFlag(cmd *cobra.Command, run adminAction) *cobra.Command {
+	var address string
+	cmd.Flags().StringVar(&address, "admin", defaultAdminAddress, "admin address of any instance (host:port)")
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
+		return run(cmd, newAdminClient(address, callTimeout), args)
+	}
+	return cmd
 }
 
 // adminCall is one request to an admin address.
@@ -59,6 +68,16 @@
 	return adminClient{address: address, client: &http.Client{Timeout: timeout}}
 }
 
+// print makes a call and prints the answer's body on a command's standard output.
+func (c adminClient) print(cmd *cobra.Command, call adminCall) error {
+	body, err := c.text(cmd.Context(), call)
+	if err != nil {
+		return err
+	}
+	_, err = cmd.OutOrStdout().Write(body)
+	return err
+}
+
 // text makes a call and returns the answer's body, or a statusError.
 func (c adminClient) text(ctx context.Context, call adminCall) ([]byte, error) {
 	response, err := c.do(ctx, call)
--- a/cmd/discovery/endpoints.go
+++ b/cmd/discovery/endpoints.go
@@ -11,24 +11,13 @@
 
 // putCommand returns the command that writes a server's entry.
 func putCommand() *cobra.Command {
-	var admin string
-	var entry endpoint.Endpoint
-	var state string
 	cmd := &cobra.Command{
 		Use:   "put ID",
 		Short: "replace a server's entry",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			entry.ID = args[0]
-			entry.State = endpoint.State(state)
-			body, err := json.Marshal(entry)
-			if err != nil {
-				return err
-			}
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodPut, path: endpoint.ServerPath(entry.ID), body: body})
-		},
 	}
-	addAdminFlag(cmd, &admin)
+	var entry endpoint.Endpoint
+	var state string
 	flags := cmd.Flags()
 	flags.StringVar(&entry.Addr, "addr", "", "the server's address, host:port")
 	flags.StringVar(&entry.Zone, "zone", "", "its zone")
@@ -38,44 +27,33 @@
 	flags.StringVar(&state, "state", string(endpoint.StateUp), "up or draining")
 	flags.Float64Var(&entry.Weight, "weight", 1, "its weight, above zero")
 	flags.Float64Var(&entry.StartedMs, "started-ms", 0, "Unix time in ms of its last start; 0: long ago")
-	return cmd
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		entry.ID = args[0]
+		entry.State = endpoint.State(state)
+		body, err := json.Marshal(entry)
+		if err != nil {
+			return err
+		}
+		return client.print(cmd, adminCall{method: http.MethodPut, path: endpoint.ServerPath(entry.ID), body: body})
+	})
 }
 
 // removeCommand returns the command that removes a server from the list.
 func removeCommand() *cobra.Command {
-	var admin string
 	cmd := &cobra.Command{
 		Use:   "remove ID",
 		Short: "remove a server from the list",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodDelete, path: endpoint.ServerPath(args[0])})
-		},
 	}
-	addAdminFlag(cmd, &admin)
-	return cmd
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		return client.print(cmd, adminCall{method: http.MethodDelete, path: endpoint.ServerPath(args[0])})
+	})
 }
 
 // statusCommand returns the command that prints an instance's status.
 func statusCommand() *cobra.Command {
-	var admin string
-	cmd := &cobra.Command{
-		Use:   "status",
-		Short: "an instance's Raft state, leader and version",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return callAndPrint(cmd, admin, adminCall{method: http.MethodGet, path: endpoint.StatusPath})
-		},
-	}
-	addAdminFlag(cmd, &admin)
-	return cmd
-}
-
-// callAndPrint makes a call to an admin address and prints the answer.
-func callAndPrint(cmd *cobra.Command, admin string, call adminCall) error {
-	answer, err := newAdminClient(admin, callTimeout).text(cmd.Context(), call)
-	if err != nil {
-		return err
-	}
-	_, err = cmd.OutOrStdout().Write(answer)
-	return err
+	cmd := &cobra.Command{Use: "status", Short: "an instance's Raft state, leader and version"}
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, _ []string) error {
+		return client.print(cmd, adminCall{method: http.MethodGet, path: endpoint.StatusPath})
+	})
 }
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -29,82 +29,74 @@
 
 // settingsPutCommand returns the command that writes a service's settings.
 func settingsPutCommand() *cobra.Command {
-	var admin string
-	var ifVersion uint64
 	cmd := &cobra.Command{
 		Use:   "put SERVICE FILE|-",
 		Short: "replace a service's settings from a file or standard input",
 		Args:  cobra.ExactArgs(putArguments),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			text, err := readInput(cmd, args[1])
-			if err != nil {
-				return err
-			}
-			put := adminCall{method: http.MethodPut, path: endpoint.SettingsPath(args[0]), body: text, header: http.Header{}}
-			if cmd.Flags().Changed("if-version") {
-				put.header.Set("If-Match", fmt.Sprint(ifVersion))
-			}
-			return callAndPrint(cmd, admin, put)
-		},
 	}
-	addAdminFlag(cmd, &admin)
-	cmd.Flags().Uint64Var(&ifVersion, "if-version", 0, "only if this version is in place (0: none yet)")
-	return cmd
+	const flagName = "if-version"
+	ifVersion := cmd.Flags().Uint64(flagName, 0, "only if this version is in place (0: none yet)")
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		text, err := readInput(cmd, args[1])
+		if err != nil {
+			return err
+		}
+		header := http.Header{}
+		if cmd.Flags().Changed(flagName) {
+			header.Set("If-Match", fmt.Sprint(*ifVersion))
+		}
+		path := endpoint.SettingsPath(args[0])
+		return client.print(cmd, adminCall{method: http.MethodPut, path: path, body: text, header: header})
+	})
 }
 
 // settingsGetCommand returns the command that prints a version of a service's settings.
 func settingsGetCommand() *cobra.Command {
-	var admin string
-	var version uint64
 	cmd := &cobra.Command{
 		Use:   "get SERVICE",
 		Short: "a service's settings as they were put; their version on standard error",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			path := endpoint.SettingsPath(args[0])
-			if cmd.Flags().Changed("version") {
-				path += fmt.Sprint("?version=", version)
-			}
-			var settings server.SettingsVersion
-			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &settings); err != nil {
-				return err
-			}
-			_, err := fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", settings.Version, writeTime(settings))
-			if err != nil {
-				return err
-			}
-			_, err = io.WriteString(cmd.OutOrStdout(), settings.Text)
-			return err
-		},
 	}
-	addAdminFlag(cmd, &admin)
-	cmd.Flags().Uint64Var(&version, "version", 0, "this version, of the last 20")
-	return cmd
+	const flagName = "version"
+	version := cmd.Flags().Uint64(flagName, 0, "this version, of the last 20")
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		path := endpoint.SettingsPath(args[0])
+		if cmd.Flags().Changed(flagName) {
+			path += fmt.Sprint("?version=", *version)
+		}
+		var settings server.SettingsVersion
+		if err := client.getJSON(cmd.Context(), path, &settings); err != nil {
+			return err
+		}
+		_, err := fmt.Fprintf(cmd.ErrOrStderr(), "version %d of %s\n", settings.Version, writeTime(settings))
+		if err != nil {
+			return err
+		}
+		_, err = io.WriteString(cmd.OutOrStdout(), settings.Text)
+		return err
+	})
 }
 
 // settingsHistoryCommand returns the command that lists the versions of a service's settings.
 func settingsHistoryCommand() *cobra.Command {
-	var admin string
 	cmd := &cobra.Command{
 		Use:   "history SERVICE",
 		Short: "the last 20 versions of a service's settings, the newest first",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			var versions []server.SettingsVersion
-			path := endpoint.SettingsHistoryPath(args[0])
-			if err := newAdminClient(admin, callTimeout).getJSON(cmd.Context(), path, &versions); err != nil {
-				return err
-			}
-			var table strings.Builder
-			table.WriteString("VERSION\tWRITTEN\tBYTES\n")
-			for _, version := range versions {
-				fmt.Fprintf(&table, "%d\t%s\t%d\n", version.Version, writeTime(version), version.Bytes)
-			}
-			return writeTable(cmd.OutOrStdout(), table.String())
-		},
 	}
-	addAdminFlag(cmd, &admin)
-	return cmd
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		var versions []server.SettingsVersion
+		path := endpoint.SettingsHistoryPath(args[0])
+		if err := client.getJSON(cmd.Context(), path, &versions); err != nil {
+			return err
+		}
+		var table strings.Builder
+		table.WriteString("VERSION\tWRITTEN\tBYTES\n")
+		for _, version := range versions {
+			fmt.Fprintf(&table, "%d\t%s\t%d\n", version.Version, writeTime(version), version.Bytes)
+		}
+		return writeTable(cmd.OutOrStdout(), table.String())
+	})
 }
 
 // writeTime formats the time of the write of a settings version.
--- a/cmd/discovery/settings_status.go
+++ b/cmd/discovery/settings_status.go
@@ -27,24 +27,21 @@
 
 // settingsStatusCommand returns the command that shows which agents have which settings in force.
 func settingsStatusCommand() *cobra.Command {
-	var admin string
 	cmd := &cobra.Command{
 		Use:   "status SERVICE",
 		Short: "which agents have which version in force; exit 1 while one lacks the newest",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			status, err := collectStatus(cmd.Context(), admin, args[0])
-			if err != nil {
-				return err
-			}
-			if err := writeTable(cmd.OutOrStdout(), status.table()); err != nil {
-				return err
-			}
-			return status.lackingError()
-		},
 	}
-	addAdminFlag(cmd, &admin)
-	return cmd
+	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
+		status, err := collectStatus(cmd.Context(), client, args[0])
+		if err != nil {
+			return err
+		}
+		if err := writeTable(cmd.OutOrStdout(), status.table()); err != nil {
+			return err
+		}
+		return status.lackingError()
+	})
 }
 
 // lackingError says that agents do not have the newest version in force.
@@ -73,13 +70,13 @@
 	err         error
 }
 
-// collectStatus requests the agent reports of the instance at an admin address, and then those of
-// its peers at once, for at most peerTimeout.
-func collectStatus(ctx context.Context, admin, service string) (*settingsStatus, error) {
+// collectStatus requests the agent reports of the client's instance, and then those of its peers at once,
+// for at most peerTimeout.
+func collectStatus(ctx context.Context, client adminClient, service string) (*settingsStatus, error) {
 	status := &settingsStatus{service: service, agents: map[string]server.AgentReport{}}
 	path := endpoint.AgentReportsPath(service)
 	var first server.AgentReports
-	if err := newAdminClient(admin, callTimeout).getJSON(ctx, path, &first); err != nil {
+	if err := client.getJSON(ctx, path, &first); err != nil {
 		return nil, err
 	}
 	status.add(first)
