--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -3,16 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"strings"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// startCasePrefix begins the names of the cases that start the cluster themselves.
-const startCasePrefix = "start"
-
-// Scale says how long a case's faults last and how much time the cluster may take to converge.
+// Scale says how long a case's faults last, which the cases sleep for, and how much time the cluster may take to
+// converge.
 type Scale struct {
 	ShortPartition time.Duration
 	LongPartition  time.Duration // longer than every dead and reclaim timeout
@@ -22,37 +19,41 @@
 	ConvergeWithin time.Duration
 }
 
-// Case is one fault in a cluster whose processes run and agree, but for the cases whose name begins with "start",
-// which start the cluster.
+// Case is one fault in a cluster.
 type Case struct {
 	Name string
+	// StartsCluster tells that the case starts the processes itself; those of the others run and agree before.
+	StartsCluster bool
 	// EndsCluster tells that after a run the cluster is not complete for another case.
 	EndsCluster bool
-	Run         func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error)
+	run         caseFunc
 }
 
+// caseFunc injects a case's fault, ends it and waits until the cluster has converged.
+type caseFunc func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error)
+
 // Cases are the fault cases of the membership. Their names are part of plans and records.
 var Cases = []Case{
-	{Name: "start at once", Run: startTogether},
-	{Name: "start without seeds", Run: startWithoutSeeds},
-	{Name: "kill a tenth", Run: killTenth},
-	{Name: "restart at once", Run: restartTogether},
-	{Name: "two sides, short", Run: shortPartition},
-	{Name: "two sides, long", Run: longPartition},
-	{Name: "overlapping sides", Run: overlappingPartitions},
-	{Name: "one-way cuts", Run: oneWayCuts},
-	{Name: "pause a fifth", Run: pauseFifth},
-	{Name: "starve a tenth", Run: starveTenth},
-	{Name: "loss 5 %", Run: lossOf(lightLoss)},
-	{Name: "loss 20 %", Run: lossOf(heavyLoss)},
-	{Name: "rolling restart", Run: rollingRestart},
-	{Name: "upgrade side by side", Run: upgradeSideBySide},
-	{Name: "strangers on the port", Run: forgedTraffic},
-	{Name: "crash of all", Run: crashAll},
-	{Name: "churn in a partition", Run: churnDuringPartition},
-	{Name: "replayed packets", Run: replayedPackets},
-	{Name: "drawn faults", Run: drawnFaults},
-	{Name: "seeds gone for good", EndsCluster: true, Run: seedsGone},
+	{Name: "start at once", StartsCluster: true, run: startTogether},
+	{Name: "start without seeds", StartsCluster: true, run: startWithoutSeeds},
+	{Name: "kill a tenth", run: killTenth},
+	{Name: "restart at once", run: restartTogether},
+	{Name: "two sides, short", run: shortPartition},
+	{Name: "two sides, long", run: longPartition},
+	{Name: "overlapping sides", run: overlappingPartitions},
+	{Name: "one-way cuts", run: oneWayCuts},
+	{Name: "pause a fifth", run: pauseFifth},
+	{Name: "starve a tenth", run: starveTenth},
+	{Name: "loss 5 %", run: lossOf(lightLoss)},
+	{Name: "loss 20 %", run: lossOf(heavyLoss)},
+	{Name: "rolling restart", run: rollingRestart},
+	{Name: "upgrade side by side", run: upgradeSideBySide},
+	{Name: "strangers on the port", run: forgedTraffic},
+	{Name: "crash of all", run: crashAll},
+	{Name: "churn in a partition", run: churnDuringPartition},
+	{Name: "replayed packets", run: replayedPackets},
+	{Name: "drawn faults", run: drawnFaults},
+	{Name: "seeds gone for good", EndsCluster: true, run: seedsGone},
 }
 
 // RunCase runs one case and checks it: the histories keep the rules, and all agree at the end.
@@ -62,7 +63,7 @@
 	}
 	h.cfg.Log("%s: begins", c.Name)
 	defer h.Proxy.Clear() // also where the case fails
-	metrics, err := c.Run(ctx, h, scale)
+	metrics, err := c.run(ctx, h, scale)
 	if err != nil {
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
 	}
@@ -77,7 +78,7 @@
 // prepareCase starts the cluster if the case does not, and waits until it agrees, whatever the case before left.
 func (h *Harness) prepareCase(ctx context.Context, c Case, scale Scale) error {
 	if len(h.Running()) == 0 {
-		if strings.HasPrefix(c.Name, startCasePrefix) {
+		if c.StartsCluster {
 			return nil
 		}
 		if err := h.Start(ctx, h.Names...); err != nil {
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -108,7 +108,7 @@
 }
 
 // lossOf is the case of a fraction of messages lost on all links.
-func lossOf(fraction float64) func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
+func lossOf(fraction float64) caseFunc {
 	return func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 		lossAt := time.Now()
 		h.Proxy.SetAll(faultproxy.Rule{
