--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -19,10 +19,13 @@
 		ProbeIntervalMs: 50, SuspectTimeoutMs: 1000, SettleMs: 50, ReconnectMs: 200, LeaveMs: 200}
 }
 
+// awaitInterval is the time between two checks of await.
+const awaitInterval = 5 * time.Millisecond
+
 // await waits until a condition is met, for a time at the most.
 func await(t *testing.T, within time.Duration, what string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !met(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(within); !met(); time.Sleep(awaitInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", within, what)
 		}
@@ -37,6 +40,7 @@
 	notified     chan struct{} // closed once onStateMessage was called
 	isTaken      func() bool   // no notification waits
 	began, ended atomic.Int64  // readings of the list
+	readingEnded chan struct{} // has an element where one has ended since it was last received from
 }
 
 func (d *delayedTransport) PacketCh() <-chan *memberlist.Packet { return d.packets }
@@ -58,6 +62,10 @@
 
 func (c readingConn) Close() error {
 	c.transport.ended.Add(1)
+	select {
+	case c.transport.readingEnded <- struct{}{}:
+	default: // awaitReading will check anyway
+	}
 	return c.Conn.Close()
 }
 
@@ -86,8 +94,12 @@
 	case <-d.ctx.Done():
 	}
 	before := d.began.Load()
-	for d.ctx.Err() == nil && !d.wasReadSince(before) {
-		time.Sleep(time.Millisecond)
+	for !d.wasReadSince(before) {
+		select {
+		case <-d.readingEnded:
+		case <-d.ctx.Done():
+			return
+		}
 	}
 }
 
@@ -111,9 +123,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	m.stop = stop
 	delayed := &delayedTransport{
-		packets:  make(chan *memberlist.Packet),
-		notified: make(chan struct{}),
-		isTaken:  func() bool { return len(m.listChanged) == 0 },
+		packets:      make(chan *memberlist.Packet),
+		notified:     make(chan struct{}),
+		readingEnded: make(chan struct{}, 1),
+		isTaken:      func() bool { return len(m.listChanged) == 0 },
 	}
 	closeNotified := sync.OnceFunc(func() { close(delayed.notified) })
 	handlers := m.messageHandlers()
--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -16,7 +16,8 @@
 const (
 	// statusTimeout is how long a process may take to answer: the machine is full.
 	statusTimeout = 3 * time.Second
-	// minCollectInterval and collectIntervalPerAgent are the time between two rounds of AwaitConvergence.
+	// The time between two rounds of AwaitConvergence: minCollectInterval at least, and collectIntervalPerAgent for each
+	// agent, as a round calls them all and must not be their main load.
 	minCollectInterval      = 150 * time.Millisecond
 	collectIntervalPerAgent = 2 * time.Millisecond
 	// maxDescribed is how many disagreeing processes an error describes.
@@ -87,7 +88,7 @@
 	var last statuses
 	var disagreement error
 	err := processtest.Await(within, "all agree", func() bool {
-		time.Sleep(max(minCollectInterval, time.Duration(h.cfg.Agents)*collectIntervalPerAgent))
+		time.Sleep(h.collectInterval())
 		running := slices.DeleteFunc(h.Running(), h.isWithoutMembership)
 		last = h.collectChanges(ctx, running)
 		disagreement = checkAgreement(last, running)
@@ -99,6 +100,11 @@
 	return max(0, h.lastConvergence(last).Sub(since)), nil
 }
 
+// collectInterval is the time between two rounds of AwaitConvergence.
+func (h *Harness) collectInterval() time.Duration {
+	return max(minCollectInterval, time.Duration(h.cfg.Agents)*collectIntervalPerAgent)
+}
+
 // lastConvergence is when the last of the processes converged to its digest for good.
 func (h *Harness) lastConvergence(collected statuses) time.Time {
 	h.mu.Lock()
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	startedAt := time.Now()
-	time.Sleep(during)
+	time.Sleep(during) // the time measured
 	seconds := time.Since(startedAt).Seconds()
 	after, err := h.usages(ctx, h.Names)
 	if err != nil {
@@ -172,7 +172,7 @@
 	startedAt := time.Now()
 	for i := range int(during.Seconds() * float64(rate)) {
 		due := startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))
-		time.Sleep(time.Until(due))
+		time.Sleep(time.Until(due)) // the pause of the load
 		if err := conn.SetDeadline(due.Add(responseTimeout)); err != nil {
 			return histogram, err
 		}
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -135,18 +135,25 @@
 	return event.Report
 }
 
+// The pause between two reports of awaitReport doubles from the first to the longest: a report collects garbage, and
+// the host's agents must have time to come to the wanted state.
+const (
+	firstReportPause   = 200 * time.Millisecond
+	longestReportPause = 2 * time.Second
+)
+
 // awaitReport requests reports until one is as wanted.
-func (h *hostClient) awaitReport(what string, is func(*HostReport) bool) *HostReport {
+func (h *hostClient) awaitReport(what string, isWanted func(*HostReport) bool) *HostReport {
 	h.t.Helper()
-	wait := 100 * time.Millisecond
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(wait) {
-		wait = min(2*wait, 2*time.Second) // a report collects garbage
+	end := time.Now().Add(waitTimeout)
+	for pause := firstReportPause; ; pause = min(2*pause, longestReportPause) {
 		report := h.report()
-		if is(report) {
+		if isWanted(report) {
 			return report
 		}
 		if time.Now().After(end) {
 			h.t.Fatalf("no such report: %s: %+v", what, report)
 		}
+		time.Sleep(pause)
 	}
 }
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -10,6 +10,7 @@
 
 	"fernbeam.example/fernbeam/internal/capacity"
 	"fernbeam.example/fernbeam/internal/membership"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // TestHollowFleetConverges: thirty agents in one process see each other and put a change of the list in
@@ -104,23 +105,20 @@
 		"a3": membership.Left,
 	}
 	var seen *membership.Status
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) {
+	err := processtest.Await(waitTimeout, "a0 sees all in their states", func() bool {
 		var err error
 		if seen, err = membership.FetchStatus(t.Context(), configs.adminAddress(0), "since=0"); err != nil {
 			t.Fatal(err)
 		}
-		right := 0
 		for name, state := range want {
-			if m, ok := seen.Snapshot.Member(name); ok && m.State == state {
-				right++
+			if m, ok := seen.Snapshot.Member(name); !ok || m.State != state {
+				return false
 			}
 		}
-		if right == len(want) {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatalf("members %+v", seen.Members)
-		}
+		return true
+	})
+	if err != nil {
+		t.Fatalf("%v: members %+v", err, seen.Members)
 	}
 	for _, c := range seen.Changes {
 		if c.Name == "a2" && c.To == membership.Left {
@@ -129,14 +127,49 @@
 	}
 }
 
-// processResources is the number of goroutines and descriptors of this process.
-func processResources(t *testing.T) [2]int {
+// resources are what this process has open.
+type resources struct{ goroutines, descriptors int }
+
+// processResources are the resources of this process.
+func processResources(t *testing.T) resources {
 	t.Helper()
-	fds, err := os.ReadDir("/proc/self/fd")
+	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return [2]int{runtime.NumGoroutine(), len(fds)}
+	return resources{goroutines: runtime.NumGoroutine(), descriptors: len(descriptors)}
+}
+
+// isWithin reports whether a process has no more than other resources of either kind.
+func (r resources) isWithin(other resources) bool {
+	return r.goroutines <= other.goroutines && r.descriptors <= other.descriptors
+}
+
+// max is the larger number of either kind.
+func (r resources) max(other resources) resources {
+	return resources{max(r.goroutines, other.goroutines), max(r.descriptors, other.descriptors)}
+}
+
+const (
+	// maxStackBytes is how much of the goroutines' stacks is printed.
+	maxStackBytes = 1 << 20
+	// Nothing tells that a start has opened all that it opens: it has once stableSamples samples in a row, one each
+	// sampleInterval, have no more than those before.
+	stableSamples  = 10
+	sampleInterval = 100 * time.Millisecond
+)
+
+// awaitStableResources waits until this process opens nothing more, and returns what it had at the most.
+func awaitStableResources(t *testing.T) resources {
+	t.Helper()
+	most := processResources(t)
+	for same := 0; same < stableSamples; time.Sleep(sampleInterval) {
+		if now := processResources(t); !now.isWithin(most) {
+			most, same = most.max(now), 0
+		}
+		same++
+	}
+	return most
 }
 
 // TestEndedAgentsReleaseResources: an agent that has ended leaves no goroutine and no descriptor,
@@ -148,13 +181,7 @@
 	// What the first agent opens for the whole process is part of the level before.
 	host.command("start", "a0", configs.config(0))
 	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
-	before := processResources(t)
-	for same := 0; same < 10; time.Sleep(100 * time.Millisecond) { // it has started once nothing is added
-		if now := processResources(t); now[0] > before[0] || now[1] > before[1] {
-			before, same = [2]int{max(before[0], now[0]), max(before[1], now[1])}, 0
-		}
-		same++
-	}
+	before := awaitStableResources(t)
 	for round := range 20 {
 		since := host.count()
 		name := fmt.Sprintf("b%d", round)
@@ -177,15 +204,14 @@
 			t.Fatalf("%s ended: %s", name, event.Err)
 		}
 	}
-	var after [2]int
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(100 * time.Millisecond) {
-		if after = processResources(t); after[0] <= before[0] && after[1] <= before[1] {
-			return
-		}
-		if time.Now().After(end) {
-			buf := make([]byte, 1<<20)
-			t.Fatalf("goroutines and descriptors %v, before %v\n%s", after, before, buf[:runtime.Stack(buf, true)])
-		}
+	var after resources
+	err := processtest.Await(waitTimeout, "the resources are released", func() bool {
+		after = processResources(t)
+		return after.isWithin(before)
+	})
+	if err != nil {
+		stacks := make([]byte, maxStackBytes)
+		t.Fatalf("%v: %+v, before %+v\n%s", err, after, before, stacks[:runtime.Stack(stacks, true)])
 	}
 }
 
