--- a/cmd/membership/plan.go
+++ b/cmd/membership/plan.go
@@ -41,12 +41,7 @@
 	Cases  []string      `toml:"cases"` // empty: all
 	Costs  time.Duration `toml:"costs"` // how long traffic, CPU, memory and latency are measured
 
-	ShortPartition time.Duration `toml:"cut"`
-	LongPartition  time.Duration `toml:"long"`
-	Pause          time.Duration `toml:"pause"`
-	FaultTime      time.Duration `toml:"faulty"`
-	LossTime       time.Duration `toml:"loss"`
-	ConvergeWithin time.Duration `toml:"within"`
+	membershiptest.Scale
 
 	ProbeInterval  time.Duration `toml:"probe_interval"`
 	SuspectTimeout time.Duration `toml:"suspect_timeout"`
@@ -59,18 +54,20 @@
 // defaultPlan is the plan of an empty file.
 func defaultPlan() plan {
 	return plan{
-		Binary:         defaultBinary,
-		Agents:         defaultAgents,
-		Seeds:          defaultSeeds,
-		Seed:           defaultSeed,
-		Runs:           defaultRuns,
-		ShortPartition: defaultShortPartition,
-		LongPartition:  defaultLongPartition,
-		Pause:          defaultPause,
-		FaultTime:      defaultFaultTime,
-		LossTime:       defaultLossTime,
-		ConvergeWithin: defaultConvergeWithin,
-		Forget:         defaultForget,
+		Binary: defaultBinary,
+		Agents: defaultAgents,
+		Seeds:  defaultSeeds,
+		Seed:   defaultSeed,
+		Runs:   defaultRuns,
+		Scale: membershiptest.Scale{
+			ShortPartition: defaultShortPartition,
+			LongPartition:  defaultLongPartition,
+			Pause:          defaultPause,
+			FaultTime:      defaultFaultTime,
+			LossTime:       defaultLossTime,
+			ConvergeWithin: defaultConvergeWithin,
+		},
+		Forget: defaultForget,
 	}
 }
 
@@ -113,18 +110,6 @@
 // hasCase tells whether the plan has a case.
 func (p plan) hasCase(name string) bool { return len(p.Cases) == 0 || slices.Contains(p.Cases, name) }
 
-// scale are the times of the plan's faults.
-func (p plan) scale() membershiptest.Scale {
-	return membershiptest.Scale{
-		ShortPartition: p.ShortPartition,
-		LongPartition:  p.LongPartition,
-		Pause:          p.Pause,
-		FaultTime:      p.FaultTime,
-		LossTime:       p.LossTime,
-		ConvergeWithin: p.ConvergeWithin,
-	}
-}
-
 // membershipConfig are the timings of the agents' memberships.
 func (p plan) membershipConfig() membership.Config {
 	return membership.Config{
--- a/cmd/membership/plan_test.go
+++ b/cmd/membership/plan_test.go
@@ -5,6 +5,9 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/membershiptest"
 )
 
 // An error about a plan names the key.
@@ -26,3 +29,27 @@
 		}
 	}
 }
+
+// The keys of the faults' times set them, and the others keep their defaults.
+func TestLoadPlanReadsTimes(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "plan.toml")
+	text := "cut = \"1s\"\nlong = \"2s\"\npause = \"3ms\"\nfaulty = \"4s\"\nwithin = \"6s\"\nprobe_interval = \"7ms\""
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := loadPlan(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := membershiptest.Scale{
+		ShortPartition: time.Second,
+		LongPartition:  2 * time.Second,
+		Pause:          3 * time.Millisecond,
+		FaultTime:      4 * time.Second,
+		LossTime:       defaultLossTime,
+		ConvergeWithin: 6 * time.Second,
+	}
+	if got.Scale != want || got.ProbeInterval != 7*time.Millisecond || got.Forget != defaultForget {
+		t.Errorf("the plan is %+v", got)
+	}
+}
--- a/cmd/membership/runner.go
+++ b/cmd/membership/runner.go
@@ -110,7 +110,7 @@
 			}
 		}
 		// An interrupt counts between runs: a run goes to its end.
-		metrics, runErr := c.RunCase(context.WithoutCancel(ctx), faultCase, r.plan.scale())
+		metrics, runErr := c.RunCase(context.WithoutCancel(ctx), faultCase, r.plan.Scale)
 		if err := r.journal.Add(faultCase.Name, seed, metrics, runErr); err != nil {
 			return err
 		}
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -52,6 +52,7 @@
 // be found, and the intervals have to contain the true slope, the largest size and the target's value.
 func TestFitCoverageOfKnownLaws(t *testing.T) {
 	for _, law := range []knownLaw{
+		// shape, repeats, intercept, slope, noise, found, inSlope, atTarget
 		{ShapeFlat, 4, 5, 0, 0.2, 0.75, 0, 0.93},
 		{ShapeLog, 4, 1, 3, 0.1, 0.95, 0.92, 0.93},
 		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -74,11 +74,7 @@
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
-			first, err := Start(testConfig("a", testaddr.Reserve(t)))
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(first.Leave)
+			first := startAlone(t)
 			bind, stepped := testaddr.Reserve(t), clocktest.NewStepped(0)
 			start := func() *Membership {
 				cfg := testConfig("b", bind, first.cfg.Bind)
@@ -112,11 +108,7 @@
 
 // The times of a snapshot have a reading of the monotonic clock.
 func TestSnapshotTimesAreMonotonic(t *testing.T) {
-	m, err := Start(testConfig("a", testaddr.Reserve(t)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(m.Leave)
+	m := startAlone(t)
 	await(t, 5*time.Second, "a has a snapshot", func() bool { return m.Snapshot().Present == 1 })
 	snapshot := m.Snapshot()
 	for name, at := range map[string]time.Time{
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -19,6 +19,17 @@
 		ProbeIntervalMs: 50, SuspectTimeoutMs: 1000, SettleMs: 50, ReconnectMs: 200, LeaveMs: 200}
 }
 
+// startAlone starts the member a, without seeds. It leaves at the test's end.
+func startAlone(t *testing.T) *Membership {
+	t.Helper()
+	m, err := Start(testConfig("a", testaddr.Reserve(t)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(m.Leave)
+	return m
+}
+
 // awaitInterval is the time between two checks of await.
 const awaitInterval = 5 * time.Millisecond
 
@@ -111,11 +122,7 @@
 // A process that starts is announced, and sees others, also where its list is read between the injection of a packet
 // and memberlist's handling of it: a change is notified once it is made.
 func TestStartIsAnnouncedWhenListIsReadEarly(t *testing.T) {
-	first, err := Start(testConfig("a", testaddr.Reserve(t)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(first.Leave)
+	first := startAlone(t)
 	m, err := newMembership(testConfig("b", testaddr.Reserve(t), first.cfg.Bind))
 	if err != nil {
 		t.Fatal(err)
@@ -154,11 +161,7 @@
 
 // A process that is alone has its own incarnation in its snapshot, also where that grew after its announcement.
 func TestSnapshotHasOwnIncarnationWhenAlone(t *testing.T) {
-	m, err := Start(testConfig("a", testaddr.Reserve(t)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(m.Leave)
+	m := startAlone(t)
 	await(t, 5*time.Second, "a is above its base incarnation, and announced that with one more update", func() bool {
 		self, _ := m.Snapshot().Member("a")
 		return self.Incarnation == m.baseIncarnation+2
--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -9,14 +9,14 @@
 )
 
 // Scale says how long a case's faults last, which the cases sleep for, and how much time the cluster may take to
-// converge.
+// converge. The keys are those of plans.
 type Scale struct {
-	ShortPartition time.Duration
-	LongPartition  time.Duration // longer than every dead and reclaim timeout
-	Pause          time.Duration // shorter than the suspicion
-	FaultTime      time.Duration // of one-way cuts, overlapping partitions, starvation
-	LossTime       time.Duration // of loss on every link
-	ConvergeWithin time.Duration
+	ShortPartition time.Duration `toml:"cut"`
+	LongPartition  time.Duration `toml:"long"`   // longer than every dead and reclaim timeout
+	Pause          time.Duration `toml:"pause"`  // shorter than the suspicion
+	FaultTime      time.Duration `toml:"faulty"` // of one-way cuts, overlapping partitions, starvation
+	LossTime       time.Duration `toml:"loss"`   // of loss on every link
+	ConvergeWithin time.Duration `toml:"within"`
 }
 
 // Case is one fault in a cluster.
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -51,6 +51,17 @@
 	return healedAt, err
 }
 
+// measureHealing partitions groups while something is done, and measures the convergence after the partition.
+func (h *Harness) measureHealing(
+	ctx context.Context, scale Scale, do func() error, groups ...[]string,
+) (processtest.Metrics, error) {
+	healedAt, err := h.duringPartition(scale, do, groups...)
+	if err != nil {
+		return nil, err
+	}
+	return h.measureConvergence(ctx, healedAt, scale)
+}
+
 func shortPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	return h.partition(ctx, scale.ShortPartition, scale)
 }
@@ -66,11 +77,7 @@
 		time.Sleep(d)
 		return nil
 	}
-	healedAt, err := h.duringPartition(scale, wait, first, second)
-	if err != nil {
-		return nil, err
-	}
-	return h.measureConvergence(ctx, healedAt, scale)
+	return h.measureHealing(ctx, scale, wait, first, second)
 }
 
 // overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
@@ -137,11 +144,7 @@
 		}
 		return nil
 	}
-	healedAt, err := h.duringPartition(scale, churn, first, second)
-	if err != nil {
-		return nil, err
-	}
-	return h.measureConvergence(ctx, healedAt, scale)
+	return h.measureHealing(ctx, scale, churn, first, second)
 }
 
 // replayedPackets replays a fraction of all packets later, while processes are killed, leave and restart: messages by
--- a/internal/scaletest/convergence.go
+++ b/internal/scaletest/convergence.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return "", err
 	}
-	running := f.membersRunning(true)
+	running := f.runningMembers()
 	views := map[string]int{} // members by digest
 	oldList := 0
 	oldSettings := 0
@@ -106,7 +106,7 @@
 			observations[name] = observation{a.Digest, a.Settled, a.ListVersion, a.SettingsVersion}
 		}
 	})
-	for _, m := range f.membersRunning(true) {
+	for _, m := range f.runningMembers() {
 		if m.hollow() {
 			continue
 		}
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -34,6 +34,9 @@
 // hollow reports whether the member shares a host process.
 func (m *member) hollow() bool { return m.host != nil }
 
+// idle reports whether the member runs and is not busy; the caller has locked fleet.mu.
+func (m *member) idle() bool { return m.running && !m.busy }
+
 // address is the member's address with a port.
 func (m *member) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
@@ -95,12 +98,7 @@
 func (f *fleet) takeIdleMember() *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var idle []*member
-	for _, m := range f.members {
-		if m.running && !m.busy {
-			idle = append(idle, m)
-		}
-	}
+	idle := f.selectMembers((*member).idle)
 	if len(idle) == 0 {
 		return nil
 	}
@@ -113,23 +111,32 @@
 func (f *fleet) takeZone(zone int) []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var taken []*member
-	for _, m := range f.members {
-		if m.zone == zone && m.running && !m.busy {
-			m.busy = true
-			taken = append(taken, m)
-		}
+	taken := f.selectMembers(func(m *member) bool { return m.zone == zone && m.idle() })
+	for _, m := range taken {
+		m.busy = true
 	}
 	return taken
 }
 
-// membersRunning are the members that run, or those that do not.
-func (f *fleet) membersRunning(running bool) []*member {
+// runningMembers are the members that run.
+func (f *fleet) runningMembers() []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	return f.selectMembers(func(m *member) bool { return m.running })
+}
+
+// endedMembers are the members that do not run.
+func (f *fleet) endedMembers() []*member {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.selectMembers(func(m *member) bool { return !m.running })
+}
+
+// selectMembers are the members that fit; the caller has locked mu.
+func (f *fleet) selectMembers(fits func(*member) bool) []*member {
 	var selected []*member
 	for _, m := range f.members {
-		if m.running == running {
+		if fits(m) {
 			selected = append(selected, m)
 		}
 	}
--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -170,7 +170,7 @@
 
 // rolloutProfile restarts all agents, a tenth at a time, each part once the one before has started again.
 func rolloutProfile(f *fleet, t *capacity.Target) script {
-	members := f.membersRunning(true)
+	members := f.runningMembers()
 	f.mu.Lock()
 	f.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	f.mu.Unlock()
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -197,7 +197,7 @@
 // prepareRun starts the members whose machine failed in the run before, and waits until the fleet has
 // converged; problem says why it has not.
 func (f *fleet) prepareRun(ctx context.Context) (problem string, err error) {
-	if err := f.forEach(ctx, f.membersRunning(false), f.startMember); err != nil {
+	if err := f.forEach(ctx, f.endedMembers(), f.startMember); err != nil {
 		return "", err
 	}
 	problem, err = f.awaitConvergence(ctx, true)
@@ -258,7 +258,7 @@
 
 // recordInForceTimes records the times from acknowledgement to in force.
 func (f *fleet) recordInForceTimes(run *capacity.Run) error {
-	for _, m := range f.membersRunning(true) {
+	for _, m := range f.runningMembers() {
 		if m.hollow() {
 			continue
 		}
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -87,35 +87,28 @@
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
 	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.carries) })
-	for _, m := range f.membersRunning(true) {
-		if m.hollow() {
-			continue
-		}
+	// add has one process read and adds its reading to those of its role.
+	add := func(readings map[string]reading, name string, read func() (reading, error)) {
 		group.Go(func() error {
-			r, err := f.readRealAgent(ctx, m)
+			r, err := read()
 			if err != nil {
-				return nil // the agent is missing from the sample then
+				return nil // the process is missing from the sample then
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.real[m.name] = r
+			readings[name] = r
 			return nil
 		})
 	}
+	for _, m := range f.runningMembers() {
+		if !m.hollow() {
+			add(s.real, m.name, func() (reading, error) { return f.readRealAgent(ctx, m) })
+		}
+	}
 	for _, name := range f.discovery.Names() {
-		if !f.discovery.Running(name) {
-			continue
+		if f.discovery.Running(name) {
+			add(s.discovery, name, func() (reading, error) { return f.readInstance(ctx, name) })
 		}
-		group.Go(func() error {
-			r, err := f.readInstance(ctx, name)
-			if err != nil {
-				return nil // the instance is missing from the sample then
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			s.discovery[name] = r
-			return nil
-		})
 	}
 	return s, group.Wait()
 }
