--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -54,14 +54,30 @@
 	maxConns     int
 }
 
-// New makes the endpoint; member is nil where the agent keeps no membership view.
-func New(clients Drainer, member *membership.Membership, maxConns int, log *slog.Logger) *Server {
-	s := &Server{clients: clients, membership: member, log: log, maxConns: maxConns}
+// Options are what a Server is made of.
+type Options struct {
+	// Clients is the server of the agent's clients.
+	Clients Drainer
+	// Membership is the agent's membership view; nil: it keeps none.
+	Membership *membership.Membership
+	// MaxConns bounds the admin connections.
+	MaxConns int
+	Log      *slog.Logger
+}
+
+// New makes the endpoint.
+func New(options Options) *Server {
+	s := &Server{
+		clients:    options.Clients,
+		membership: options.Membership,
+		log:        options.Log,
+		maxConns:   options.MaxConns,
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", s.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", s.afterBody(clients.StartDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", s.afterBody(clients.StopDrain))
-	if member != nil {
+	mux.HandleFunc("PUT /ops/drain/start", s.afterBody(s.clients.StartDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", s.afterBody(s.clients.StopDrain))
+	if s.membership != nil {
 		mux.HandleFunc("GET /ops/fleet", s.membershipStatus)
 	}
 	s.server = &http.Server{
@@ -70,7 +86,7 @@
 		WriteTimeout:   writeTimeout,
 		MaxHeaderBytes: maxHead,
 		ConnState:      s.track,
-		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+		ErrorLog:       slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
 	}
 	s.server.SetKeepAlivesEnabled(false)
 	return s
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -22,7 +22,7 @@
 
 // Operators get responses whatever accepts fail.
 func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
-	server := New(idleDrainer{}, nil, testMaxConns, slog.Default())
+	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.NewFlakyListener(t)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
@@ -43,7 +43,7 @@
 
 // A listener that is closed by something else than the server ends it, with its reason.
 func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
-	server := New(idleDrainer{}, nil, testMaxConns, slog.Default())
+	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.Listen(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -133,7 +133,12 @@
 	}()
 	member, err := startMembership(a.cfg, a.loop)
 	a.membership.Store(member)
-	a.admin = admin.New(a.downstream, member, a.cfg.AdminConns(1), a.cfg.Logger())
+	a.admin = admin.New(admin.Options{
+		Clients:    a.downstream,
+		Membership: member,
+		MaxConns:   a.cfg.AdminConns(1),
+		Log:        a.cfg.Logger(),
+	})
 	closeAll := sync.OnceFunc(a.closeAll)
 	defer closeAll()
 	defer context.AfterFunc(a.killed, closeAll)()
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -83,18 +83,25 @@
 	Err        error
 }
 
+// Options are what a Client is made of besides the agent's configuration.
+type Options struct {
+	Clock clock.Clock
+	// OnResponse is called at the end of each call.
+	OnResponse func(Response)
+	// ApplySettings is called with settings of the discovery service; nil: the configuration asks for none.
+	ApplySettings ApplySettings
+}
+
 // New makes the client of a configuration's addresses, which has the list that the configuration knows.
 // With the section "control" the watch goes round all addresses, and asks for the settings of the section's
-// service, which apply puts in force. Each end of a call is passed to onResponse.
-func New(
-	cfg *config.Config, timeSource clock.Clock, apply ApplySettings, onResponse func(Response),
-) *Client {
+// service.
+func New(cfg *config.Config, options Options) *Client {
 	c := &Client{
 		source:     newSource(cfg.Known.Version, cfg.Discovery),
 		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
 		localAddr:  cfg.CallFrom,
-		clock:      timeSource,
-		onResponse: onResponse,
+		clock:      options.Clock,
+		onResponse: options.OnResponse,
 		conns:      map[*countedConn]bool{},
 	}
 	c.client = &http.Client{Transport: &http.Transport{
@@ -111,7 +118,7 @@
 	c.backoff = newAddressBackoff()
 	c.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), c.name)...)
 	if cfg.Control.Service != "" {
-		c.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: apply}
+		c.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: options.ApplySettings}
 	}
 	return c
 }
--- a/internal/agent/discovery/fixture_test.go
+++ b/internal/agent/discovery/fixture_test.go
@@ -12,7 +12,7 @@
 // newTestClient is a discovery client without an agent, which knows version of the list at addr.
 func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
 	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
-	return New(cfg, clock.System(), nil, onResponse)
+	return New(cfg, Options{Clock: clock.System(), OnResponse: onResponse})
 }
 
 // newControlClient is a discovery client with the section "control", which knows version 7 of the list.
@@ -23,7 +23,7 @@
 		Control:   &config.Control{Addresses: addrs},
 		Known:     endpoint.List{Version: 7},
 	}
-	return New(cfg, clock.System(), nil, func(Response) {})
+	return New(cfg, Options{Clock: clock.System(), OnResponse: func(Response) {}})
 }
 
 // keepWatch has a client keep its watch until the test ends.
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -123,11 +123,12 @@
 		Control:   &config.Control{Service: "pay"},
 		Known:     endpoint.List{Version: 1},
 	}
-	client := New(cfg, clock.System(), nil, func(response Response) {
+	countConns := func(response Response) {
 		if response.Err != nil {
 			connsAtFailure <- conns.Load()
 		}
-	})
+	}
+	client := New(cfg, Options{Clock: clock.System(), OnResponse: countConns})
 	keepWatch(t, client)
 	for failure := int64(1); failure <= 3; failure++ {
 		if count := <-connsAtFailure; count != failure {
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -100,8 +100,10 @@
 		lines:      newLineLogger(cfg.Logger()),
 		metrics:    newMetrics(),
 	}
-	l.discovery = discovery.New(cfg, eventTime, options.ApplySettings, func(response discovery.Response) {
-		l.Post(func() { l.onListResponse(response) })
+	l.discovery = discovery.New(cfg, discovery.Options{
+		Clock:         eventTime,
+		OnResponse:    func(response discovery.Response) { l.Post(func() { l.onListResponse(response) }) },
+		ApplySettings: options.ApplySettings,
 	})
 	l.list.source = l.discovery.CurrentSource()
 	return l, nil
