--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -172,7 +172,7 @@
 	}
 	req := outgoing.NewRequest(time.Until(outgoing.Deadline))
 	if outgoing.Streamed != nil {
-		return p.exchangeStreamed(ctx, conn, server, outgoing, req)
+		return p.newStreamedExchange(conn, server, outgoing).run(ctx, req)
 	}
 	return p.exchangeBuffered(conn, server, req)
 }
--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -73,7 +73,7 @@
 		idleSince: time.Now().Add(-time.Second),
 	}}
 	request := orderRequest(addr, make([]byte, message.MaxBufferedBody))
-	result := attemptNow(t.Context(), pool, &Server{}, addr, request)
+	result := attemptNow(t.Context(), pool, readyTarget(addr), request)
 	wantEnd(t, "broken", result, balancer.StatusConnectFailed)
 	if pool.openConns != 0 {
 		t.Errorf("%d connections counted as open", pool.openConns)
@@ -88,14 +88,14 @@
 	request := orderRequest(server.Addr, []byte("x"))
 	draining := &Server{}
 	draining.SetAvailable(false)
-	result := attemptNow(t.Context(), pool, draining, server.Addr, request)
+	result := attemptNow(t.Context(), pool, Target{Server: draining, Addr: server.Addr}, request)
 	wantEnd(t, "draining", result, balancer.StatusConnectFailed)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	result = attemptNow(cancelled, pool, &Server{}, server.Addr, request)
+	result = attemptNow(cancelled, pool, readyTarget(server.Addr), request)
 	wantEnd(t, "cancelled", result, balancer.StatusCancelled)
 	// An earlier request would have arrived before this one.
-	result = attemptNow(t.Context(), pool, &Server{}, server.Addr, request)
+	result = attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 	wantEnd(t, "available", result, balancer.StatusOK)
 	if server.Count() != 1 {
 		t.Errorf("%d arrivals, want 1", server.Count())
--- a/internal/agent/upstream/connect_errors_test.go
+++ b/internal/agent/upstream/connect_errors_test.go
@@ -17,7 +17,7 @@
 	pool := newTestPool(agenttest.Timeout, 1)
 	pool.dial = func(context.Context, string, time.Time) (net.Conn, error) { return nil, agenttest.ConnectError(errno) }
 	now := time.Now()
-	target := Target{Server: &Server{}, Addr: "127.0.0.1:1"}
+	target := readyTarget("127.0.0.1:1")
 	result := pool.Attempt(t.Context(), target, &Message{StartedAt: now, Deadline: now.Add(agenttest.Timeout)})
 	if pool.Size() != 0 {
 		t.Errorf("%v: %d connections counted, want none", errno, pool.Size())
@@ -47,7 +47,7 @@
 		pool := newTestPool(agenttest.Timeout, 1)
 		fault := agenttest.CallFault{Call: agenttest.CallWrite, After: 30, Errno: errno}
 		pool.dial = agenttest.NewFaultPlan([]agenttest.CallFault{fault}).Dial
-		result := attemptNow(t.Context(), pool, &Server{}, server.Addr, orderRequest(server.Addr, []byte("x")))
+		result := attemptNow(t.Context(), pool, readyTarget(server.Addr), orderRequest(server.Addr, []byte("x")))
 		wantEnd(t, errno.Error(), result, want)
 	}
 	if server.Count() != 0 {
--- a/internal/agent/upstream/fixture_test.go
+++ b/internal/agent/upstream/fixture_test.go
@@ -33,15 +33,18 @@
 	return &message.Request{Method: req.Method, URL: req.URL, Header: req.Header, Body: body}
 }
 
+// readyTarget is a server that may be sent requests, at an address.
+func readyTarget(addr string) Target { return Target{Server: &Server{}, Addr: addr} }
+
 // attemptNow makes an attempt for a client's request, with Timeout as its deadline.
-func attemptNow(ctx context.Context, pool *Pool, server *Server, addr string, incoming *message.Request) Result {
+func attemptNow(ctx context.Context, pool *Pool, target Target, incoming *message.Request) Result {
 	now := time.Now()
 	outgoing := &Message{
 		NewRequest: func(left time.Duration) *http.Request { return NewRequest(incoming, left) },
 		StartedAt:  now,
 		Deadline:   now.Add(agenttest.Timeout),
 	}
-	return pool.Attempt(ctx, Target{Server: server, Addr: addr}, outgoing)
+	return pool.Attempt(ctx, target, outgoing)
 }
 
 // wantEnd checks the status of an attempt or a health check.
--- a/internal/agent/upstream/health_check_test.go
+++ b/internal/agent/upstream/health_check_test.go
@@ -40,9 +40,9 @@
 		t.Run(name, func(t *testing.T) {
 			server := agenttest.NewServer(t, test.answer)
 			pool := newTestPool(healthConnectTimeout, 8)
-			available := Target{Server: &Server{}, Addr: server.Addr}
+			available := readyTarget(server.Addr)
 			wantEnd(t, "available", pool.HealthCheck(t.Context(), available, "x"), test.want)
-			draining := Target{Server: &Server{}, Addr: server.Addr}
+			draining := readyTarget(server.Addr)
 			draining.Server.SetAvailable(false)
 			result := pool.HealthCheck(t.Context(), draining, "x")
 			wantEnd(t, "draining", result, balancer.StatusConnectFailed)
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -41,14 +41,14 @@
 		pool.openConns++
 	}
 	request := orderRequest(server.Addr, []byte("x"))
-	result := attemptNow(t.Context(), pool, &Server{}, server.Addr, request)
+	result := attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 	wantEnd(t, "broken connections", result, balancer.StatusOK)
 	if server.Count() != 1 || pool.Size() != 1 {
 		t.Errorf("%d arrivals and %d connections, want 1 and 1", server.Count(), pool.Size())
 	}
 	pool.CloseIdle(server.Addr)
 	pool.maxConns = 0
-	result = attemptNow(t.Context(), pool, &Server{}, server.Addr, request)
+	result = attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 	wantEnd(t, "no descriptor", result, balancer.StatusOverloaded)
 }
 
@@ -60,13 +60,13 @@
 	pool.idleTimes.recordUses(100, 0, 0)
 	pool.idleTimes.recordUses(100, 200*time.Millisecond, 2)
 	for _, idled := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond} {
-		result := attemptNow(t.Context(), pool, &Server{}, server.Addr, request)
+		result := attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 		if result.Status != balancer.StatusOK {
 			t.Fatalf("ended as %d (%s)", result.Status, result.Reason)
 		}
 		pool.idle[server.Addr][0].idleSince = time.Now().Add(-idled)
 	}
-	attemptNow(t.Context(), pool, &Server{}, server.Addr, request)
+	attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 	if server.Count() != 3 {
 		t.Errorf("%d arrivals, want 3", server.Count())
 	}
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -83,7 +83,9 @@
 		failed := Result{Status: brokenStatus(err), Reason: conn.describeFailure(err)}
 		return exchangeResult{Result: failed}
 	}
-	return servedResult(resp, body, conn.reusableAfter(resp))
+	result := servedResult(resp, body)
+	result.reusable = conn.reusableAfter(resp)
+	return result
 }
 
 // readStreamedBody begins the stream of a body. Where its length is not given, it first buffers what comes
@@ -102,7 +104,7 @@
 		}
 	}
 	if resp.ContentLength >= 0 || !p.budget.TryAcquire(message.MaxBufferedBody) {
-		return servedResult(resp, body, false)
+		return servedResult(resp, body)
 	}
 	body.Reserved = message.MaxBufferedBody
 	part, err := body.Stream.Buffer(message.MaxBufferedBody, message.BufferingTime)
@@ -115,16 +117,18 @@
 		return exchangeResult{Result: failed}
 	}
 	if !part.Complete {
-		return servedResult(resp, body, false)
+		return servedResult(resp, body)
 	}
 	body.Length = int64(len(part.Bytes))
 	body.Stream = nil
-	return servedResult(resp, body, conn.reusableAfter(resp))
+	result := servedResult(resp, body)
+	result.reusable = conn.reusableAfter(resp)
+	return result
 }
 
-func servedResult(resp *http.Response, body *message.ResponseBody, reusable bool) exchangeResult {
-	served := Result{Status: balancer.StatusOK, Header: resp.Header, Body: body}
-	return exchangeResult{Result: served, reusable: reusable}
+// servedResult is the end of an exchange whose response is passed on. Its connection is not free for another message.
+func servedResult(resp *http.Response, body *message.ResponseBody) exchangeResult {
+	return exchangeResult{Result: Result{Status: balancer.StatusOK, Header: resp.Header, Body: body}}
 }
 
 // brokenStatus maps the error that ended an attempt whose last byte was written: it may have executed. The
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -23,38 +23,43 @@
 // streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
 // that comes before the body's end ends it.
 type streamedExchange struct {
+	pool     *Pool
+	server   *Server
 	conn     *serverConn
 	outgoing *Message
-	heads    chan responseHead
-	written  chan error
+	heads    chan responseHead // gets the head of the response
+	written  chan error        // gets the end of the write
 }
 
-// exchangeStreamed makes a streamedExchange on a connection.
-func (p *Pool) exchangeStreamed(
-	ctx context.Context, conn *serverConn, server *Server, outgoing *Message, req *http.Request,
-) exchangeResult {
-	e := &streamedExchange{
+func (p *Pool) newStreamedExchange(conn *serverConn, server *Server, outgoing *Message) *streamedExchange {
+	return &streamedExchange{
+		pool:     p,
+		server:   server,
 		conn:     conn,
 		outgoing: outgoing,
 		heads:    make(chan responseHead, 1),
 		written:  make(chan error, 1),
 	}
+}
+
+// run writes a request and reads its response.
+func (e *streamedExchange) run(ctx context.Context, req *http.Request) exchangeResult {
 	// Until all is written the server has no deadline, except for each chunk.
-	conn.setReadDeadline(time.Time{})
+	e.conn.setReadDeadline(time.Time{})
 	go e.readHead(req.Method)
 	go e.write(ctx, req)
 	var head responseHead
 	var writeErr error
 	select {
 	case writeErr = <-e.written:
-		if clientErr := outgoing.Streamed.Failure(); writeErr != nil && clientErr != nil {
+		if clientErr := e.outgoing.Streamed.Failure(); writeErr != nil && clientErr != nil {
 			return e.clientFailed(clientErr)
 		}
 		head = e.awaitHead(ctx, writeErr)
 	case head = <-e.heads:
 		writeErr = e.stopWriting()
 	}
-	return e.finish(p, server, head, writeErr)
+	return e.finish(head, writeErr)
 }
 
 // readHead reads the head of the response.
@@ -124,7 +129,7 @@
 }
 
 // finish reads the response behind its head after the write has ended.
-func (e *streamedExchange) finish(p *Pool, server *Server, head responseHead, writeErr error) exchangeResult {
+func (e *streamedExchange) finish(head responseHead, writeErr error) exchangeResult {
 	if errors.Is(writeErr, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.outgoing.Streamed) {
 		return e.conn.brokenResult(head.err)
 	}
@@ -132,7 +137,7 @@
 		// The last byte was never sent, and the connection is closed: the request can't execute.
 		return e.conn.unsentResult(cmp.Or(head.err, writeErr))
 	}
-	result := p.readResponse(e.conn, server, head)
+	result := e.pool.readResponse(e.conn, e.server, head)
 	if writeErr != nil && result.Body != nil {
 		result.Body.Release()
 		return exchangeResult{Result: Result{Status: balancer.StatusError, Reason: writeErr.Error()}}
