--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -33,7 +33,7 @@
 
 // Drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
 type Drainer interface {
-	// IsServing tells whether a server may be sent requests, and the shutdown has not begun.
+	// IsServing reports whether a server may be sent requests, and the shutdown has not begun.
 	IsServing() bool
 	// StartDrain begins to drain, and StopDrain serves clients again.
 	StartDrain() error
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -213,12 +213,7 @@
 	for {
 		select {
 		case <-usable:
-			// From a shared queue no connection is accepted before its requests can be served: the process that
-			// still serves accepts it.
-			if a.listeners.Shared {
-				a.downstream.Start(failed)
-			}
-			a.downstream.SetServing()
+			a.startServing(failed)
 			usable = nil
 		case <-firstListTimer:
 			a.downstream.AcceptClients()
@@ -255,6 +250,15 @@
 	return nil, nil
 }
 
+// startServing serves clients once a server may be sent requests. From a shared queue no connection is accepted before
+// its requests can be served: the process that still serves accepts it.
+func (a *Agent) startServing(failed chan<- error) {
+	if a.listeners.Shared {
+		a.downstream.Start(failed)
+	}
+	a.downstream.SetServing()
+}
+
 // applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
 // says why they are not: ErrAgentStopping once nothing is applied any more.
 func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -120,7 +120,7 @@
 	return faulty
 }
 
-// Broke tells whether the connection of a peer has met its fault.
+// Broke reports whether the connection of a peer has met its fault.
 func (p *FaultPlan) Broke(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/agenttest/nodelay.go
+++ b/internal/agent/agenttest/nodelay.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// HasNoDelay tells whether a connection sends small writes at once.
+// HasNoDelay reports whether a connection sends small writes at once.
 func HasNoDelay(tb testing.TB, conn net.Conn) bool {
 	tb.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -47,7 +47,7 @@
 type closeMoment struct {
 	agent     *testAgent
 	requests  string      // what the client has sent by then
-	reached   func() bool // tells whether the agent is in that state
+	reached   func() bool // reports whether the agent is in that state
 	proceed   func()      // unblocks what waited for the close
 	begun     func() int  // requests that have begun to arrive at servers
 	allowed   int         // how many of those began before the close
--- a/internal/agent/config/control.go
+++ b/internal/agent/config/control.go
@@ -71,7 +71,7 @@
 	return control, nil
 }
 
-// isHostPort tells whether calls may be made to an address.
+// isHostPort reports whether calls may be made to an address.
 func isHostPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" || strings.ContainsAny(host, "/?#@ ") {
@@ -81,7 +81,7 @@
 	return err == nil && number > 0
 }
 
-// isServiceName tells whether the discovery service accepts a text as a service's name.
+// isServiceName reports whether the discovery service accepts a text as a service's name.
 func isServiceName(s string) bool {
 	return s != "" && s != "." && s != ".." && len(s) <= maxServiceName && utf8.ValidString(s) &&
 		!strings.Contains(s, "/") && !strings.ContainsFunc(s, unicode.IsControl)
--- a/internal/agent/config/file_test.go
+++ b/internal/agent/config/file_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// isLineWith tells whether an error has a text, in one line.
+// isLineWith reports whether an error has a text, in one line.
 func isLineWith(err error, text string) bool {
 	return err != nil && strings.Contains(err.Error(), text) && !strings.Contains(err.Error(), "\n")
 }
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -75,7 +75,7 @@
 	Source *Source
 	List   *endpoint.List
 	Watch  bool
-	// Complete tells that the full list was asked for, and not what has changed: the version of the list
+	// Complete means that the full list was asked for, and not what has changed: the version of the list
 	// counts whatever was known before.
 	Complete bool
 	// LastAnswer is when discovery last responded before the call was made; 0: it had not.
@@ -134,7 +134,7 @@
 	}
 }
 
-// KeepsOwnWatch tells whether the client goes round several addresses, and so keeps a watch by itself.
+// KeepsOwnWatch reports whether the client goes round several addresses, and so keeps a watch by itself.
 func (c *Client) KeepsOwnWatch() bool { return c.backoff != nil }
 
 // ForgetRejectedSettings has settings that were rejected sent and checked again.
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
+// Watch follows the changes until a call fails or ctx ends, and reports whether any call was answered. The next
 // call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
 // a new watch is a load on it.
 func (c *Client) Watch(ctx context.Context) (answered bool) {
--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -51,7 +51,7 @@
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// mayForward says why an attempt must not be started; nil allows it. It closes a request whose client has gone, and
+// mayForward returns why an attempt must not be started; nil allows it. It closes a request whose client has gone, and
 // logs an action that breaks a rule.
 func (l *Loop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.answered && r.incoming.Context.Err() != nil {
@@ -134,7 +134,7 @@
 	}
 }
 
-// attemptDone takes the end of an attempt.
+// attemptDone handles the end of an attempt.
 func (l *Loop) attemptDone(r *request, index int, result *upstream.Result) {
 	ended := r.attempts[index]
 	ended.done = true
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// hasReady tells whether any server may be sent requests.
+// hasReady reports whether any server may be sent requests.
 func (l *endpointList) hasReady() bool {
 	for _, server := range l.byID {
 		if server.IsAvailable() {
--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -27,7 +27,7 @@
 	}()
 }
 
-// healthCheckDone takes the end of a health check.
+// healthCheckDone handles the end of a health check.
 func (l *Loop) healthCheckDone(server *listedServer, result *upstream.Result) {
 	server.inFlight--
 	l.metrics.HealthChecks[result.Status]++
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// onListResponse takes the end of a call to discovery.
+// onListResponse handles the end of a call to discovery.
 func (l *Loop) onListResponse(response discovery.Response) {
 	if !response.Watch {
 		l.list.fetching = false
@@ -67,7 +67,7 @@
 		"to", list.Version, "endpoints", len(list.Servers))
 }
 
-// followSource makes the source of a response the one whose versions count, and tells whether the response still
+// followSource makes the source of a response the one whose versions count, and reports whether the response still
 // matters. The source that discovery left counts until the new one has responded, whose first list is complete.
 func (l *Loop) followSource(response *discovery.Response) bool {
 	if response.Source == l.list.source {
@@ -95,10 +95,10 @@
 	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 }
 
-// ownsWatch tells whether the agent keeps a watch by itself, and not as the policy asks.
+// ownsWatch reports whether the agent keeps a watch by itself, and not as the policy asks.
 func (l *Loop) ownsWatch() bool { return l.discovery.KeepsOwnWatch() || l.changesArePushed() }
 
-// changesArePushed tells whether changes of the list arrive without the policy asking for them.
+// changesArePushed reports whether changes of the list arrive without the policy asking for them.
 func (l *Loop) changesArePushed() bool {
 	return l.cfg.Settings.DiscoveryMode == balancer.DiscoveryPushed
 }
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// streamedBodySent takes the write of the last byte of a streamed request. The request's time counts from that
+// streamedBodySent handles the write of the last byte of a streamed request. The request's time counts from that
 // byte on, and the server can execute the request.
 func (l *Loop) streamedBodySent(r *request, index int) {
 	r.sendingBody = false
--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -20,7 +20,7 @@
 	errUnsafeRejection   = errors.New("rejection after an attempt that may have executed")
 )
 
-// checkRules says which rule an attempt would break, whatever the policy decided; nil allows the attempt.
+// checkRules returns the rule that an attempt would break, whatever the policy decided; nil allows the attempt.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.incoming.Rules
 	switch {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// safeToRepeatAnywhere tells whether a request that has executed may be sent again through any agent.
+// safeToRepeatAnywhere reports whether a request that has executed may be sent again through any agent.
 func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
 	switch rules.Idempotency {
 	case balancer.NonIdempotent:
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -18,7 +18,7 @@
 
 // listOrigin is what is known of a list from discovery besides its content.
 type listOrigin struct {
-	// older tells that its version is lower than that of the list in force.
+	// older means that its version is lower than that of the list in force.
 	older bool
 	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
 	// listed by then. 0: it had not responded before, or the full list was asked for.
--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -17,7 +17,7 @@
 // connKey is the context key of a request's *clientConn.
 type connKey struct{}
 
-// clientConn is a client's connection that tells whether this agent has closed it, and that can be closed
+// clientConn is a client's connection that reports whether this agent has closed it, and that can be closed
 // between two requests without losing one that has just arrived.
 type clientConn struct {
 	net.Conn
@@ -56,7 +56,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// wokenToClose tells whether the reader was woken to close the connection, and restores its own deadline:
+// wokenToClose reports whether the reader was woken to close the connection, and restores its own deadline:
 // nothing can be read under one that has passed.
 func (c *clientConn) wokenToClose() bool {
 	c.mu.Lock()
@@ -114,7 +114,7 @@
 	return n
 }
 
-// peerClosed tells whether the client has closed its side, also behind bytes that nobody has read: a server
+// peerClosed reports whether the client has closed its side, also behind bytes that nobody has read: a server
 // that has read ahead of a request, or leaves its body unread, does not notice.
 func (c *clientConn) peerClosed() bool {
 	return socket.Poll(c.Conn, unix.POLLRDHUP, socket.PeerClosedEvents)
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// track takes a connection's change of state; it is the server's ConnState.
+// track handles a connection's change of state; it is the server's ConnState.
 func (c *clientConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/downstream/drain.go
+++ b/internal/agent/downstream/drain.go
@@ -121,7 +121,7 @@
 	return fmt.Errorf("%d client connections still open", s.conns.size())
 }
 
-// awaitNoneOpen waits until no client connection is open, and tells whether that was before over fired.
+// awaitNoneOpen waits until no client connection is open, and reports whether that was before over fired.
 func (s *Server) awaitNoneOpen(over *time.Timer, drainTime time.Duration) bool {
 	select {
 	case <-s.conns.noneOpen():
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -83,13 +83,13 @@
 	}
 }
 
-// finishQueue has Accept end once it has accepted the connections that wait, and tells whether any do.
+// finishQueue has Accept end once it has accepted the connections that wait, and reports whether any do.
 func (l *clientListener) finishQueue() bool {
 	l.finishing.Store(true)
 	return l.queued()
 }
 
-// queued tells whether connections wait to be accepted.
+// queued reports whether connections wait to be accepted.
 func (l *clientListener) queued() bool {
 	return socket.Poll(l.Listener, unix.POLLIN, unix.POLLIN)
 }
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -66,9 +66,9 @@
 	bodies     message.Quota // of bytes of buffered request bodies
 	conns      *clientConns
 
-	// acceptsClients tells that clients should connect: a server may be sent requests, or one was waited for.
+	// acceptsClients means that clients should connect: a server may be sent requests, or one was waited for.
 	acceptsClients atomic.Bool
-	// serving tells that a server may be sent requests, and that the shutdown has not begun.
+	// serving means that a server may be sent requests, and that the shutdown has not begun.
 	serving atomic.Bool
 
 	mu           sync.Mutex
@@ -93,7 +93,7 @@
 type Options struct {
 	// Listener is where clients connect. The server owns it from New on.
 	Listener net.Listener
-	// Shared tells that other processes accept from the listener's queue too.
+	// Shared means that other processes accept from the listener's queue too.
 	Shared bool
 	// Dispatcher takes the requests.
 	Dispatcher Dispatcher
@@ -188,7 +188,7 @@
 // AcceptClients has the readiness path say yes before a server is known.
 func (s *Server) AcceptClients() { s.acceptsClients.Store(true) }
 
-// IsServing tells whether a server may be sent requests, and the shutdown has not begun.
+// IsServing reports whether a server may be sent requests, and the shutdown has not begun.
 func (s *Server) IsServing() bool { return s.serving.Load() }
 
 // SetServing is called once a server may be sent requests.
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -9,7 +9,7 @@
 type Listeners struct {
 	// Clients is where clients connect; nil: nowhere, while everything else of the agent runs.
 	Clients net.Listener
-	// Shared tells that other processes accept from the clients' accept queue too, which outlives this process.
+	// Shared means that other processes accept from the clients' accept queue too, which outlives this process.
 	Shared bool
 	// Lock is the path of the file by which such processes find each other.
 	Lock string
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -75,7 +75,7 @@
 	return time.Now().Add(BadRequestReadTime)
 }
 
-// Complete tells whether all of the body has arrived.
+// Complete reports whether all of the body has arrived.
 func (b *ClientBody) Complete() bool {
 	end := b.end.Load()
 	return end != nil && errors.Is(end.err, io.EOF)
@@ -116,7 +116,7 @@
 	return n, err
 }
 
-// IsConsumed tells whether bytes of the body have been read, so that it can't be sent again.
+// IsConsumed reports whether bytes of the body have been read, so that it can't be sent again.
 func (s *StreamedBody) IsConsumed() bool {
 	return s != nil && s.Consumed.Load()
 }
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -20,7 +20,7 @@
 // pollFunc is poll(2).
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
-// Poll polls a socket for events without waiting, and tells whether one of the wanted ones has occurred.
+// Poll polls a socket for events without waiting, and reports whether one of the wanted ones has occurred.
 // Of what is not a socket nothing is known.
 func Poll(socket any, events, wanted int16) bool {
 	conn, ok := socket.(syscall.Conn)
@@ -55,7 +55,7 @@
 	return max(n, 0)
 }
 
-// IsIdleAlive tells whether an idle connection is still open and silent. One that the peer closed, or that
+// IsIdleAlive reports whether an idle connection is still open and silent. One that the peer closed, or that
 // brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
 // executed.
 func IsIdleAlive(conn net.Conn) bool {
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -21,10 +21,10 @@
 	unavailable atomic.Bool
 }
 
-// SetAvailable tells whether the server may be sent requests: it is neither draining nor removed.
+// SetAvailable sets whether the server may be sent requests: it is neither draining nor removed.
 func (s *Server) SetAvailable(available bool) { s.unavailable.Store(!available) }
 
-// IsAvailable tells whether the server may be sent requests; attempts read it just before they write.
+// IsAvailable reports whether the server may be sent requests; attempts read it just before they write.
 func (s *Server) IsAvailable() bool { return !s.unavailable.Load() }
 
 // Target is where an attempt or a health check goes.
@@ -196,7 +196,7 @@
 	return p.readResponse(conn, server, responseHead{resp: resp, err: err})
 }
 
-// unsendable tells whether the message must no longer be sent to a server, and how its attempt ends. The
+// unsendable reports whether the message must no longer be sent to a server, and how its attempt ends. The
 // connect may have taken long: a draining server allows requests only for a grace time, servers drop duplicates
 // only within a window, and the client may have closed its connection meanwhile.
 func (m *Message) unsendable(server *Server) (result Result, unsendable bool) {
--- a/internal/agent/upstream/conn.go
+++ b/internal/agent/upstream/conn.go
@@ -33,7 +33,7 @@
 func (c *serverConn) expireReads()  { c.setReadDeadline(socket.Expired) }
 func (c *serverConn) expireWrites() { c.setWriteDeadline(socket.Expired) }
 
-// reusableAfter tells whether the connection may carry another message after a response was read completely.
+// reusableAfter reports whether the connection may carry another message after a response was read completely.
 // Bytes that the server sent beyond it must not be taken for the next response.
 func (c *serverConn) reusableAfter(resp *http.Response) bool {
 	return !resp.Close && c.reader.Buffered() == 0
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -160,7 +160,7 @@
 }
 
 // evict closes the connection that has been idle longest, so that one to another server can be opened, and
-// tells whether there was any. The caller has the lock.
+// reports whether there was any. The caller has the lock.
 func (p *Pool) evict() bool {
 	var oldest *serverConn
 	for _, list := range p.idle {
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -51,7 +51,7 @@
 	return p.readStreamedBody(conn, server, resp)
 }
 
-// mayBuffer tells whether a response's body has a given length that may be buffered.
+// mayBuffer reports whether a response's body has a given length that may be buffered.
 func mayBuffer(resp *http.Response) bool {
 	return resp.ContentLength >= 0 && resp.ContentLength <= message.MaxBufferedBody
 }
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// serves tells whether an agent serves a request.
+// serves reports whether an agent serves a request.
 func serves(addr string) bool {
 	resp, err := agenttest.HTTPClient.Do(agenttest.NewRequest(addr, "read", ""))
 	if err != nil {
