--- a/internal/agent/agenttest/listen.go
+++ b/internal/agent/agenttest/listen.go
@@ -16,3 +16,18 @@
 	tb.Cleanup(func() { _ = ln.Close() }) // its owner may have closed it
 	return ln
 }
+
+// AcceptAll hands each connection of a listener to a goroutine of its own until the listener is closed. The connection
+// is closed after that.
+func AcceptAll(listener net.Listener, handle func(net.Conn)) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer func() { _ = conn.Close() }()
+			handle(conn)
+		}()
+	}
+}
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -44,18 +44,9 @@
 }
 
 // Accept serves connections until the listener is closed.
-func (s *Server) Accept() {
-	for {
-		conn, err := s.Listener.Accept()
-		if err != nil {
-			return
-		}
-		go s.serve(conn)
-	}
-}
+func (s *Server) Accept() { AcceptAll(s.Listener, s.serve) }
 
 func (s *Server) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }()
 	s.mu.Lock()
 	s.conns++
 	s.maxConns = max(s.maxConns, s.conns)
--- a/internal/agent/client_close_races_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -63,7 +63,7 @@
 	// Space in the queue: a connect that continues is established with its next SYN, in a second.
 	end := time.AfterFunc(reconnectTime, func() { _ = listener.Close() })
 	defer end.Stop()
-	acceptAll(listener, func(conn net.Conn) {
+	agenttest.AcceptAll(listener, func(conn net.Conn) {
 		head := make([]byte, 1000)
 		_ = conn.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 		if n, _ := conn.Read(head); n > 0 {
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -130,7 +130,7 @@
 		requests: readRequest,
 		reached:  func() bool { return agent.pool.ConnectCount() == 1 },
 		proceed: func() {
-			go acceptAll(listener, func(conn net.Conn) {
+			go agenttest.AcceptAll(listener, func(conn net.Conn) {
 				if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 					arrived.Add(1)
 				}
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -106,16 +106,10 @@
 	t.Parallel()
 	ln := agenttest.Listen(t)
 	var conns atomic.Int64
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			conns.Add(1)
-			answerOneCall(conn)
-		}
-	}()
+	go agenttest.AcceptAll(ln, func(conn net.Conn) {
+		conns.Add(1)
+		answerOneCall(conn)
+	})
 	connsAtFailure := make(chan int64, responseBuffer)
 	cfg := &config.Config{
 		Name:      "pay-1",
@@ -137,9 +131,8 @@
 	}
 }
 
-// answerOneCall answers the first call on a connection, and closes the connection at the second one.
+// answerOneCall answers the first call on a connection, and returns at the second one.
 func answerOneCall(conn net.Conn) {
-	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	if _, err := http.ReadRequest(reader); err != nil {
 		return
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -86,21 +86,6 @@
 	return discovery
 }
 
-// acceptAll hands each connection of a listener to a goroutine of its own until the listener is closed.
-// The connection is closed after that.
-func acceptAll(listener net.Listener, handle func(net.Conn)) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			defer func() { _ = conn.Close() }()
-			handle(conn)
-		}()
-	}
-}
-
 // send writes text to a peer. A failure is the peer's close, which shows in what the peer receives or sends.
 func send(peer io.Writer, text string) { _, _ = io.WriteString(peer, text) }
 
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -105,7 +105,7 @@
 	listener := agenttest.Listen(t)
 	defer func() { _ = listener.Close() }()
 	heads := make(chan struct{}, 10)
-	go acceptAll(listener, func(conn net.Conn) {
+	go agenttest.AcceptAll(listener, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		req, err := http.ReadRequest(reader)
 		if err != nil {
--- a/internal/agent/retry_window_test.go
+++ b/internal/agent/retry_window_test.go
@@ -64,7 +64,7 @@
 	}
 	// The retry's connect blocks until the accept queue has space.
 	time.AfterFunc(acceptDelay, func() {
-		acceptAll(listener, func(conn net.Conn) {
+		agenttest.AcceptAll(listener, func(conn net.Conn) {
 			head := make([]byte, 1000)
 			if n, _ := conn.Read(head); n > 0 {
 				t.Errorf("retried after the deduplication window: %q", head[:n])
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -94,7 +94,7 @@
 func TestWithoutControlTheCallFormIsUnchanged(t *testing.T) {
 	listener := agenttest.Listen(t)
 	heads := make(chan string, 100)
-	go acceptAll(listener, func(conn net.Conn) { recordHeads(conn, heads) })
+	go agenttest.AcceptAll(listener, func(conn net.Conn) { recordHeads(conn, heads) })
 	startAgent(t, listing(t, unusedAddr), func(cfg *config.Config) {
 		cfg.Name = "pay-1"
 		cfg.Discovery = listener.Addr().String()
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -55,17 +55,11 @@
 func unreadingServer(t *testing.T) net.Listener {
 	t.Helper()
 	listener := agenttest.Listen(t)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			_ = conn.(*net.TCPConn).SetReadBuffer(4096)
-			_, _ = conn.Read(make([]byte, 1))
-			t.Cleanup(func() { _ = conn.Close() })
-		}
-	}()
+	go agenttest.AcceptAll(listener, func(conn net.Conn) {
+		_ = conn.(*net.TCPConn).SetReadBuffer(4096)
+		_, _ = conn.Read(make([]byte, 1))
+		<-t.Context().Done()
+	})
 	return listener
 }
 
