--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -39,10 +39,7 @@
 			return answered
 		}
 		if response.Err != nil {
-			if errors.Is(response.Err, errOlderVersion) {
-				response.Source.countOlderAnswer()
-			}
-			c.onResponse(response)
+			c.watchFailed(response)
 			return answered
 		}
 		response.Source.version = response.List.Version
@@ -64,6 +61,14 @@
 	}
 }
 
+// watchFailed hands on the failure of a call of the watch.
+func (c *Client) watchFailed(response Response) {
+	if errors.Is(response.Err, errOlderVersion) {
+		response.Source.countOlderAnswer()
+	}
+	c.onResponse(response)
+}
+
 // startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
 func (c *Client) startWatchCall(ctx context.Context) <-chan Response {
 	source := c.CurrentSource()
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -18,6 +18,14 @@
 	openPartNumerator, openPartDenominator = 7, 8
 )
 
+// connPhase says what becomes of an open connection.
+type connPhase uint8
+
+const (
+	inService   connPhase = iota
+	beingClosed           // as idle; the server has not reported the close yet
+)
+
 // clientConns closes the client connections that have been idle longest when there are nearly as many as are
 // allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
 //
@@ -29,9 +37,9 @@
 	slots     message.Quota
 	mu        sync.Mutex
 	maxConns  int
-	open      map[net.Conn]bool // true: being closed
-	closing   int               // the number of those
-	order     list.List         // idle connections, the longest idle first
+	open      map[net.Conn]connPhase
+	closing   int       // connections that are beingClosed
+	order     list.List // idle connections, the longest idle first
 	idle      map[net.Conn]*list.Element
 	allClosed chan struct{} // closed once no connection is open; nil: nobody waits for it
 }
@@ -40,7 +48,7 @@
 	return &clientConns{
 		maxConns: maxConns,
 		slots:    message.NewQuota(int64(maxConns)),
-		open:     map[net.Conn]bool{},
+		open:     map[net.Conn]connPhase{},
 		idle:     map[net.Conn]*list.Element{},
 	}
 }
@@ -52,7 +60,7 @@
 	c.removeIdle(conn)
 	switch state {
 	case http.StateNew:
-		c.open[conn] = false
+		c.open[conn] = inService
 	case http.StateActive:
 		c.setActive(conn)
 	case http.StateIdle:
@@ -67,8 +75,8 @@
 	if client, ok := conn.(*clientConn); ok {
 		client.requestBegun.Store(true) // also where its bytes were read with those of the last request
 	}
-	if c.open[conn] {
-		c.open[conn] = false
+	if c.open[conn] == beingClosed {
+		c.open[conn] = inService
 		c.closing--
 	}
 }
@@ -78,13 +86,13 @@
 		client.requestBegun.Store(false)
 		client.queuedAt = time.Time{}
 	}
-	if !c.open[conn] {
+	if c.open[conn] == inService {
 		c.idle[conn] = c.order.PushBack(conn)
 	}
 }
 
 func (c *clientConns) setClosed(conn net.Conn) {
-	if c.open[conn] {
+	if c.open[conn] == beingClosed {
 		c.closing--
 	}
 	delete(c.open, conn)
@@ -116,7 +124,7 @@
 	for len(c.open)-c.closing > maxOpen && c.order.Len() > 0 {
 		oldest := c.order.Front().Value.(net.Conn)
 		c.removeIdle(oldest)
-		c.open[oldest] = true
+		c.open[oldest] = beingClosed
 		c.closing++
 		closeWhenIdle(oldest)
 	}
