--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -9,8 +9,6 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
@@ -117,7 +115,7 @@
 // peerClosed reports whether the client has closed its side, also behind bytes that nobody has read: a server
 // that has read ahead of a request, or leaves its body unread, does not notice.
 func (c *clientConn) peerClosed() bool {
-	return socket.Poll(c.Conn, unix.POLLRDHUP, socket.PeerClosedEvents)
+	return socket.PeerClosed(c.Conn)
 }
 
 // Close closes the connection and gives its slot back, once.
--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -8,8 +8,6 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/agent/socket"
@@ -57,7 +55,7 @@
 func waitForBytes(t *testing.T, conn *clientConn) {
 	t.Helper()
 	agenttest.WaitUntil(t, "bytes have arrived", func() bool {
-		return socket.Poll(conn.Conn, unix.POLLIN, unix.POLLIN)
+		return socket.IsReadable(conn.Conn)
 	})
 }
 
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -6,8 +6,6 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
@@ -90,9 +88,7 @@
 }
 
 // queued reports whether connections wait to be accepted.
-func (l *clientListener) queued() bool {
-	return socket.Poll(l.Listener, unix.POLLIN, unix.POLLIN)
-}
+func (l *clientListener) queued() bool { return socket.IsReadable(l.Listener) }
 
 // Close closes the listener, also for an Accept that waits for a slot.
 func (l *clientListener) Close() error {
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -14,15 +14,22 @@
 // Expired is a deadline that makes whatever reads or writes end at once.
 var Expired = time.Unix(1, 0)
 
-// PeerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
-const PeerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+// peerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
+const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
 // pollFunc is poll(2).
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
-// Poll polls a socket for events without waiting, and reports whether one of the wanted ones has occurred.
-// Of what is not a socket nothing is known.
-func Poll(socket any, events, wanted int16) bool {
+// PeerClosed reports whether the peer has closed its side of a connection, also behind bytes that nobody has read.
+// Of what is not a socket that is not known.
+func PeerClosed(conn net.Conn) bool { return pollSocket(conn, unix.POLLRDHUP, peerClosedEvents) }
+
+// IsReadable reports whether a connection has bytes to read, or a listener a connection to accept. Of what is not a
+// socket that is not known.
+func IsReadable(socket any) bool { return pollSocket(socket, unix.POLLIN, unix.POLLIN) }
+
+// pollSocket polls a socket for events without waiting, and reports whether one of the wanted ones has occurred.
+func pollSocket(socket any, events, wanted int16) bool {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
@@ -36,7 +43,7 @@
 	return err == nil && occurred
 }
 
-// pollDescriptor is Poll for a descriptor. It polls again where poll(2) was interrupted.
+// pollDescriptor is pollSocket for a descriptor. It polls again where poll(2) was interrupted.
 func pollDescriptor(fd int32, events, wanted int16, poll pollFunc) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: events}}
 	n, err := poll(fds, 0)
--- a/internal/agent/socket/socket_test.go
+++ b/internal/agent/socket/socket_test.go
@@ -17,11 +17,11 @@
 		fds[0].Revents = unix.POLLRDHUP
 		return 1, nil
 	}
-	if !pollDescriptor(0, unix.POLLRDHUP, PeerClosedEvents, poll) {
+	if !pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, poll) {
 		t.Errorf("no hangup seen after %d polls", calls)
 	}
 	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
-	if pollDescriptor(0, unix.POLLRDHUP, PeerClosedEvents, failing) {
+	if pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, failing) {
 		t.Error("a poll that failed was taken for a hangup")
 	}
 }
