--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -47,7 +47,7 @@
 type closeMoment struct {
 	agent     *testAgent
 	requests  string      // what the client has sent by then
-	reached   func() bool // tells whether the agent is in that state
+	reached   func() bool // reports whether the agent is in that state
 	proceed   func()      // unblocks what waited for the close
 	begun     func() int  // requests that have begun to arrive at servers
 	allowed   int         // how many of those began before the close
@@ -130,7 +130,7 @@
 		requests: readRequest,
 		reached:  func() bool { return agent.pool.ConnectCount() == 1 },
 		proceed: func() {
-			go acceptAll(listener, func(conn net.Conn) {
+			go agenttest.AcceptAll(listener, func(conn net.Conn) {
 				if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 					arrived.Add(1)
 				}
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Watch follows the changes until a call fails or ctx ends, and tells whether any call was answered. The next
+// Watch follows the changes until a call fails or ctx ends, and reports whether any call was answered. The next
 // call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
 // a new watch is a load on it.
 func (c *Client) Watch(ctx context.Context) (answered bool) {
@@ -39,10 +39,7 @@
 			return answered
 		}
 		if response.Err != nil {
-			if errors.Is(response.Err, errOlderVersion) {
-				response.Source.countOlderAnswer()
-			}
-			c.onResponse(response)
+			c.watchFailed(response)
 			return answered
 		}
 		response.Source.version = response.List.Version
@@ -64,6 +61,14 @@
 	}
 }
 
+// watchFailed hands on the failure of a call of the watch.
+func (c *Client) watchFailed(response Response) {
+	if errors.Is(response.Err, errOlderVersion) {
+		response.Source.countOlderAnswer()
+	}
+	c.onResponse(response)
+}
+
 // startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
 func (c *Client) startWatchCall(ctx context.Context) <-chan Response {
 	source := c.CurrentSource()
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -6,8 +6,6 @@
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"fernbeam.example/fernbeam/internal/agent/message"
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
@@ -83,16 +81,14 @@
 	}
 }
 
-// finishQueue has Accept end once it has accepted the connections that wait, and tells whether any do.
+// finishQueue has Accept end once it has accepted the connections that wait, and reports whether any do.
 func (l *clientListener) finishQueue() bool {
 	l.finishing.Store(true)
 	return l.queued()
 }
 
-// queued tells whether connections wait to be accepted.
-func (l *clientListener) queued() bool {
-	return socket.Poll(l.Listener, unix.POLLIN, unix.POLLIN)
-}
+// queued reports whether connections wait to be accepted.
+func (l *clientListener) queued() bool { return socket.IsReadable(l.Listener) }
 
 // Close closes the listener, also for an Accept that waits for a slot.
 func (l *clientListener) Close() error {
