--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -137,14 +137,23 @@
 	}
 }
 
-// SetServerFault makes servers slower by a factor of at least 1 (infinite: they compute nothing) and lets a fraction
-// of their requests fail; a factor of 1 and a fraction of 0 end the fault.
-func (e *Emulator) SetServerFault(slowFactor, failureRate float64, ids ...string) {
+// ServerFault makes a server slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
+// its requests fail at once.
+type ServerFault struct{ SlowFactor, FailureRate float64 }
+
+// noServerFault is that of a server without a fault.
+var noServerFault = ServerFault{SlowFactor: 1}
+
+// SetServerFault begins a fault of servers.
+func (e *Emulator) SetServerFault(fault ServerFault, ids ...string) {
 	for s := range e.findServers(ids) {
-		s.machine.setFault(slowFactor, failureRate)
+		s.machine.setFault(fault)
 	}
 }
 
+// EndServerFault ends the fault of servers.
+func (e *Emulator) EndServerFault(ids ...string) { e.SetServerFault(noServerFault, ids...) }
+
 // PartitionServers partitions servers from the agents of some zones.
 func (e *Emulator) PartitionServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -50,7 +50,7 @@
 		random:     rand.New(rand.NewPCG(seed, machineStream)),
 		cachedKeys: map[uint64]time.Duration{},
 	}
-	m.timer = time.AfterFunc(time.Hour, m.tick)
+	m.timer = time.AfterFunc(time.Hour, m.tick) // do sets it to the first event
 	return m
 }
 
@@ -128,13 +128,12 @@
 // cancel removes a job; its work stops.
 func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
 
-// setFault makes the machine slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
-// its requests fail.
-func (m *machine) setFault(slowFactor, failureRate float64) {
-	m.do(func(e *engine) { e.slowFactor = slowFactor })
-	m.mu.Lock()
-	m.failureRate = failureRate
-	m.mu.Unlock()
+// setFault puts a fault in the place of the present one.
+func (m *machine) setFault(fault ServerFault) {
+	m.do(func(e *engine) {
+		e.slowFactor = fault.SlowFactor
+		m.failureRate = fault.FailureRate
+	})
 }
 
 // recordArrival notes a request that reaches a server in slow start. The server is overloaded once more than
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -67,19 +67,20 @@
 	faultSlowServers: {
 		description: "a share is size times slower for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			return r.degradeServers(fault, random, fault.Magnitude, 0)
+			slowFactor := max(1, fault.Magnitude)
+			return r.degradeServers(fault, random, emulator.ServerFault{SlowFactor: slowFactor})
 		},
 	},
 	faultFailingServers: {
 		description: "a share fails a part (size) of its requests at once for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			return r.degradeServers(fault, random, 1, fault.Magnitude)
+			return r.degradeServers(fault, random, emulator.ServerFault{SlowFactor: 1, FailureRate: fault.Magnitude})
 		},
 	},
 	faultHungServers: {
 		description: "a share computes nothing for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
-			return r.degradeServers(fault, random, math.Inf(1), 0)
+			return r.degradeServers(fault, random, emulator.ServerFault{SlowFactor: math.Inf(1)})
 		},
 	},
 	faultPartitionServers: {
--- a/internal/experiment/inject.go
+++ b/internal/experiment/inject.go
@@ -25,12 +25,12 @@
 	return zones
 }
 
-// degradeServers makes a share of the servers slower by a factor, and lets a fraction of their requests fail.
-func (r *armRun) degradeServers(fault Fault, random *rand.Rand, slowFactor, failureRate float64) error {
+// degradeServers gives a share of the servers a fault for a time.
+func (r *armRun) degradeServers(fault Fault, random *rand.Rand, serverFault emulator.ServerFault) error {
 	ids := r.sampleServers(fault, random)
-	r.emulator.SetServerFault(max(1, slowFactor), failureRate, ids...)
+	r.emulator.SetServerFault(serverFault, ids...)
 	r.wait(fault.Duration)
-	r.emulator.SetServerFault(1, 0, ids...)
+	r.emulator.EndServerFault(ids...)
 	return nil
 }
 
--- a/internal/experiment/requirements.go
+++ b/internal/experiment/requirements.go
@@ -18,6 +18,8 @@
 	megabytesOfHarness       = 200
 	descriptorsPerAgent      = 8 // besides one connection to each server
 	descriptorsOfHarness     = 200
+	// descriptorsPerListener counts the listener and the connection that fills its backlog in a partition.
+	descriptorsPerListener = 2
 )
 
 // checkMachine returns an error, which says what the scenario needs, if this machine is too small. It raises the
@@ -42,7 +44,8 @@
 func (s *Scenario) raiseDescriptorLimit() error {
 	agents, servers := s.Fleet.Agents, s.Fleet.Servers
 	// A server has a listener for each zone; most agents keep one connection to each server.
-	needed := uint64(descriptorsOfHarness + servers*len(s.Fleet.Zones)*2 + agents*(descriptorsPerAgent+servers))
+	listeners := servers * len(s.Fleet.Zones)
+	needed := uint64(descriptorsOfHarness + listeners*descriptorsPerListener + agents*(descriptorsPerAgent+servers))
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -149,16 +149,19 @@
 	return config
 }
 
+// weightStride is the step among the evenly spread weights from one agent to the next, so that the agents of each zone
+// get low and high ones.
+const weightStride = 7
+
 // agents returns the agents with their zones and their shares of the calls.
 func (s *Scenario) agents() []emulator.Agent {
 	count := s.Fleet.Agents
 	weights := make([]float64, count)
 	sum := 0.0
 	for i := range weights {
-		// The weights are spread evenly, in an order in which each zone gets low and high ones.
-		position := 0.5
+		position := 0.5 // among the evenly spread weights: 0 for the least, 1 for the greatest
 		if count > 1 {
-			position = float64(i*7%count) / float64(count-1)
+			position = float64(i*weightStride%count) / float64(count-1)
 		}
 		weights[i] = 1 + s.Traffic.Imbalance*(2*math.Min(1, position)-1)
 		sum += weights[i]
