--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -10,8 +10,6 @@
 
 import (
 	"context"
-	"fmt"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"sync"
@@ -23,27 +21,8 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// The ports of an agent at its address.
-const (
-	ListenPort    = 8000
-	AdminPort     = 8001
-	DiscoveryPort = 8500
-)
-
-const (
-	serverPort = 8000
-	// serverStream is the first of the streams of random numbers for the servers' models.
-	serverStream = 1000
-	// hostsPerSubnet is how many addresses of a /24 are used, subnetsPerZone how many /24 the servers of a zone have.
-	hostsPerSubnet = 250
-	subnetsPerZone = 12
-
-	// maxErrors bounds how many errors of the harness are kept.
-	maxErrors = 20
-)
-
-// longAgo is the start time of a server that has no slow start.
-const longAgo time.Duration = -1
+// maxErrors bounds how many errors of the harness are kept.
+const maxErrors = 20
 
 // Emulator is a running emulation. Its methods are safe for concurrent use.
 type Emulator struct {
@@ -168,93 +147,12 @@
 	_ = e.networkReservation.Close() // fails only on a closed listener
 }
 
-// Address returns the address of a port of the agent with an index.
-func (e *Emulator) Address(agentIndex, port int) string {
-	subnet := agentIndex / hostsPerSubnet
-	host := agentIndex%hostsPerSubnet + 1
-	return fmt.Sprintf("127.%d.%d.%d:%d", e.network, subnet, host, port)
-}
-
-// serverAddress returns the address at which a server listens for the agents of a zone.
-func (e *Emulator) serverAddress(serverIndex, clientZone int) string {
-	subnet := subnetsPerZone*clientZone + serverIndex/hostsPerSubnet%subnetsPerZone
-	host := serverIndex%hostsPerSubnet + 1
-	return fmt.Sprintf("127.%d.%d.%d:%d", e.network+1, subnet, host, serverPort)
-}
-
 // Now returns the time since the emulator's start, by the monotonic clock.
 func (e *Emulator) Now() time.Duration { return time.Since(e.startTime) }
 
 // InitialList returns the full endpoint list of an agent, for its configuration.
 func (e *Emulator) InitialList(agent string) endpoint.List { return e.endpoints.fullList(agent) }
 
-// zoneDelay returns the one-way network delay between two zones.
-func (e *Emulator) zoneDelay(a, b int) time.Duration {
-	if a == b {
-		return 0
-	}
-	return e.config.ZoneDelay
-}
-
-// addServer starts one more server. Discovery lists it at once, which reaches the agents with a delay unless the
-// server was started long ago.
-func (e *Emulator) addServer(started time.Duration) (*server, error) {
-	e.mu.Lock()
-	index := e.serversCreated
-	e.serversCreated++
-	e.mu.Unlock()
-
-	position := index % e.config.Servers // a successor has its predecessor's model, zone and cell
-	random := rand.New(rand.NewPCG(e.config.Seed, serverStream+uint64(position)))
-	model := e.config.Models[pickShare(random.Float64(), e.config.ModelShares)]
-	zone := position % len(e.config.Zones)
-	var addresses []string
-	for clientZone := range e.config.Zones {
-		addresses = append(addresses, e.serverAddress(index, clientZone))
-	}
-	entry := endpoint.Endpoint{
-		ID:     serverID(index),
-		Zone:   e.config.Zones[zone],
-		Kind:   model.Kind,
-		Cell:   position / e.config.CellSize,
-		State:  endpoint.StateUp,
-		Weight: 1,
-	}
-	if started != longAgo {
-		entry.StartedMs = float64(e.startTime.Add(started).UnixMilli())
-	}
-	s, err := newServer(e, serverConfig{
-		endpoint:  entry,
-		zone:      zone,
-		model:     model,
-		started:   started,
-		addresses: addresses,
-		seed:      e.config.Seed + uint64(index),
-	})
-	if err != nil {
-		return nil, fmt.Errorf("emulator: server %d: %w", index, err)
-	}
-	e.mu.Lock()
-	e.servers[entry.ID] = s
-	e.mu.Unlock()
-	if started == longAgo {
-		e.endpoints.publishInitial(s)
-	} else {
-		e.endpoints.publish(s)
-	}
-	return s, nil
-}
-
-const (
-	// serverIDFactor spreads the ids of servers by multiplicative hashing: 2^32 divided by the golden ratio.
-	serverIDFactor = 2_654_435_761
-	// serverIDMask has the bits of an id.
-	serverIDMask = 0xffff
-)
-
-// serverID returns the id of a server; ids in a row look unrelated.
-func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*serverIDFactor)&serverIDMask) }
-
 // recordError notes an error of the harness itself, which makes the run invalid.
 func (e *Emulator) recordError(err error) {
 	e.mu.Lock()
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -21,3 +21,11 @@
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
+
+// zoneDelay returns the one-way network delay between two zones.
+func (e *Emulator) zoneDelay(a, b int) time.Duration {
+	if a == b {
+		return 0
+	}
+	return e.config.ZoneDelay
+}
