--- a/cmd/experiment/example_test.go
+++ b/cmd/experiment/example_test.go
@@ -35,7 +35,7 @@
 	scenario.Length = 2 * time.Second
 	var records []*experiment.Record
 	err = experiment.Run(t.Context(), experiment.Config{Scenario: scenario, Binary: agent, Dir: dir,
-		Done: func(record *experiment.Record) error {
+		OnRecord: func(record *experiment.Record) error {
 			records = append(records, record)
 			return nil
 		}})
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -66,7 +66,7 @@
 		Repository: checkout(cmd.Context()),
 		Dir:        dir,
 		Progress:   progress(),
-		Done: func(record *experiment.Record) error {
+		OnRecord: func(record *experiment.Record) error {
 			records = append(records, record)
 			return record.Write(file)
 		},
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -21,6 +21,15 @@
 	Share float64 // of the calls that its client makes
 }
 
+// DelayRange is the least and the greatest value of a delay.
+type DelayRange [2]time.Duration
+
+// Least returns the least value.
+func (r DelayRange) Least() time.Duration { return r[0] }
+
+// Greatest returns the greatest value.
+func (r DelayRange) Greatest() time.Duration { return r[1] }
+
 // Config describes what is emulated.
 type Config struct {
 	Seed        uint64
@@ -42,7 +51,7 @@
 	RequestTimeoutShare float64
 	RetryDelay          time.Duration
 	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
-	ListDelay [2]time.Duration
+	ListDelay DelayRange
 	KeepAlive time.Duration // how long a server keeps an idle connection
 	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
 	// is for the comparison with queueing theory.
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// listQuery is an agent's call for the endpoint list: a poll, or a watch, which names the version that the agent has.
+// listQuery is an agent's call for the endpoint list: a poll, which gets the full list, or a watch, which names the
+// version that the agent has.
 type listQuery struct {
 	watch   bool
 	version uint64
@@ -93,7 +94,7 @@
 				return endpoint.List{}, false
 			}
 		}
-		list, changed := l.changesSince(view, query.version, !query.watch)
+		list, changed := l.answer(view, query)
 		if !query.watch || timedOut || list.Full || len(list.Servers) > 0 {
 			return list, true
 		}
--- a/internal/emulator/endpoint_list.go
+++ b/internal/emulator/endpoint_list.go
@@ -93,7 +93,8 @@
 // randomDelay draws the delay of a change for a view.
 func (l *endpointList) randomDelay(view *agentView) time.Duration {
 	bounds := l.emulator.config.ListDelay
-	return bounds[0] + time.Duration(view.random.Float64()*float64(bounds[1]-bounds[0]))
+	spread := bounds.Greatest() - bounds.Least()
+	return bounds.Least() + time.Duration(view.random.Float64()*float64(spread))
 }
 
 // schedule adds a change to a view after a delay, but not before earlier changes. The caller holds mu.
@@ -175,16 +176,16 @@
 	return ok && entry.StartedMs > 0
 }
 
-// changesSince returns a view's entries that changed after a version, or the full list, and the channel that is
-// closed at the next change.
-func (l *endpointList) changesSince(view *agentView, version uint64, full bool) (endpoint.List, <-chan struct{}) {
+// answer returns the present answer to a call: the full list, or for a watch the entries that changed after its version
+// if the view has had that one. The channel is closed at the view's next change.
+func (l *endpointList) answer(view *agentView, query listQuery) (endpoint.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	full = full || version > view.version
+	full := !query.watch || query.version > view.version
 	list := endpoint.List{Version: view.version, Full: full, Servers: []endpoint.Endpoint{}}
 	for _, id := range view.ids {
 		entry := view.entries[id]
-		if full && entry.State != endpoint.StateRemoved || !full && entry.version > version {
+		if full && entry.State != endpoint.StateRemoved || !full && entry.version > query.version {
 			list.Servers = append(list.Servers, entry.Endpoint)
 		}
 	}
@@ -193,6 +194,6 @@
 
 // fullList returns the full list of an agent's view.
 func (l *endpointList) fullList(agent string) endpoint.List {
-	list, _ := l.changesSince(l.agentViews[agent], 0, true)
+	list, _ := l.answer(l.agentViews[agent], listQuery{})
 	return list
 }
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -36,7 +36,7 @@
 			return err
 		}
 	}
-	r.procs, err = processtest.New(processtest.Config{
+	r.processes, err = processtest.New(processtest.Config{
 		Binary: program, Dir: dir, Names: r.names, Env: processtest.AgentEnv(dir),
 	})
 	return err
@@ -75,7 +75,7 @@
 
 // start starts an agent and waits until it is ready, or until the traffic has ended.
 func (r *armRun) start(name string) error {
-	if err := r.procs.Start(name); err != nil {
+	if err := r.processes.Start(name); err != nil {
 		return err
 	}
 	r.emulator.AgentStarted(name)
@@ -119,8 +119,8 @@
 
 // closeAgents ends the agents and the connections between them.
 func (r *armRun) closeAgents() {
-	if r.procs != nil {
-		r.procs.Close()
+	if r.processes != nil {
+		r.processes.Close()
 	}
 	if r.proxy != nil {
 		r.proxy.Close()
--- a/internal/experiment/inject.go
+++ b/internal/experiment/inject.go
@@ -86,7 +86,7 @@
 	for _, name := range names {
 		r.emulator.AgentStopped(name)
 	}
-	if err := processtest.Each(names, r.procs.Kill); err != nil {
+	if err := processtest.Each(names, r.processes.Kill); err != nil {
 		return err
 	}
 	r.wait(fault.RestartAfter)
@@ -109,17 +109,17 @@
 
 // restartAgent terminates an agent and starts it again.
 func (r *armRun) restartAgent(name string) error {
-	return errors.Join(r.procs.Term(name), r.start(name))
+	return errors.Join(r.processes.Term(name), r.start(name))
 }
 
 // pauseAgents stops the processes of a share of the agents for a time.
 func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
 	names := sampleShare(random, r.names, fault.Share)
-	if err := processtest.Each(names, r.procs.Pause); err != nil {
+	if err := processtest.Each(names, r.processes.Pause); err != nil {
 		return err
 	}
 	r.wait(fault.Duration)
-	return processtest.Each(names, r.procs.Resume)
+	return processtest.Each(names, r.processes.Resume)
 }
 
 // partitionAgents partitions each of a share of the agents from all others for a time.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -27,8 +27,8 @@
 	Dir        string // for configurations, logs and builds
 	// Progress is called with what happens; it may be nil.
 	Progress func(format string, args ...any)
-	// Done is called with each run as it ends; its error ends the experiment.
-	Done func(*Record) error
+	// OnRecord is called with each run as it ends; its error ends the experiment.
+	OnRecord func(*Record) error
 }
 
 // Run runs all arms on all seeds: on each seed the arms in turn, beginning with another one.
@@ -53,7 +53,7 @@
 			if err != nil {
 				return fmt.Errorf("arm %q, seed %d: %w", arm.Name, seed, err)
 			}
-			if err := config.Done(record); err != nil {
+			if err := config.OnRecord(record); err != nil {
 				return err
 			}
 		}
@@ -69,7 +69,7 @@
 	emulator       *emulator.Emulator
 	emulatorConfig emulator.Config
 	proxy          *faultproxy.Proxy // between the agents; nil: they have no membership section
-	procs          *processtest.Cluster
+	processes      *processtest.Cluster
 	names          []string // of the agents
 	agentIndex     map[string]int
 	finished       chan struct{} // closed when the traffic has ended
@@ -126,11 +126,11 @@
 		return nil, errors.New("interrupted")
 	}
 	for _, name := range r.names {
-		if !r.procs.Running(name) {
+		if !r.processes.Running(name) {
 			record.AgentError = name + " ended by itself"
 		}
 	}
-	r.procs.Close()
+	r.processes.Close()
 	record.HarnessCPU = processorSeconds(syscall.RUSAGE_SELF) - harnessBefore
 	record.AgentsCPU = processorSeconds(syscall.RUSAGE_CHILDREN) - agentsBefore
 	record.Valid = len(record.Result.Errors) == 0
@@ -145,7 +145,7 @@
 	r.injectFaults(&background, faultErrors)
 	stop := context.AfterFunc(ctx, func() {
 		r.emulator.Stop()
-		r.procs.Close()
+		r.processes.Close()
 	})
 	if r.proxy != nil {
 		background.Add(1)
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -116,7 +116,7 @@
 		Scenario: scenario,
 		Binary:   binary,
 		Dir:      t.TempDir(),
-		Done: func(r *Record) error {
+		OnRecord: func(r *Record) error {
 			records = append(records, r)
 			return nil
 		},
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -32,15 +32,15 @@
 
 // Fleet describes the agents and the servers, which are spread evenly over the zones.
 type Fleet struct {
-	Agents    int              `toml:"agents"`
-	Servers   int              `toml:"nodes"`
-	CellSize  int              `toml:"pod"` // servers of a cell
-	Zones     []string         `toml:"zones"`
-	ZoneDelay time.Duration    `toml:"cross"`      // one way between two zones
-	Cores     float64          `toml:"cores"`      // limit of an agent
-	MemoryMB  int              `toml:"memory_mb"`  // limit of an agent
-	Sockets   int              `toml:"sockets"`    // limit of an agent
-	ListDelay [2]time.Duration `toml:"list_delay"` // least and greatest delay of a change of the endpoint list
+	Agents    int                 `toml:"agents"`
+	Servers   int                 `toml:"nodes"`
+	CellSize  int                 `toml:"pod"` // servers of a cell
+	Zones     []string            `toml:"zones"`
+	ZoneDelay time.Duration       `toml:"cross"`      // one way between two zones
+	Cores     float64             `toml:"cores"`      // limit of an agent
+	MemoryMB  int                 `toml:"memory_mb"`  // limit of an agent
+	Sockets   int                 `toml:"sockets"`    // limit of an agent
+	ListDelay emulator.DelayRange `toml:"list_delay"` // of a change of the endpoint list
 }
 
 // Traffic describes what the clients call.
