--- a/cmd/experiment/trust.go
+++ b/cmd/experiment/trust.go
@@ -15,6 +15,9 @@
 	queueCheckLength = 15 * time.Second
 )
 
+// earlierMetricFlag is the name of the flag --metric in earlier versions.
+const earlierMetricFlag = "figure"
+
 // trustCmd is `experiment trust`, the checks of the emulator.
 func trustCmd() *cobra.Command {
 	cmd := &cobra.Command{Use: "trust", Short: "show how far the emulator can be trusted"}
@@ -42,10 +45,8 @@
 // trustRankCmd is `experiment trust rank`.
 func trustRankCmd() *cobra.Command {
 	const (
-		minArgs   = 3 // a file and two arms
-		flagName  = "metric"
-		oldName   = "figure" // of the flag in earlier versions
-		usageText = "metric to rank by, greater being better: a row of the report, or its key in records"
+		minArgs     = 3 // a file and two arms
+		metricUsage = "metric to rank by, greater being better: a row of the report, or its key in records"
 	)
 	var metric string
 	cmd := &cobra.Command{
@@ -62,8 +63,8 @@
 		},
 	}
 	defaultMetric := experiment.FindMetric(string(emulator.MetricInTime)).Title
-	cmd.Flags().StringVar(&metric, flagName, defaultMetric, usageText)
-	cmd.Flags().StringVar(&metric, oldName, defaultMetric, usageText)
-	_ = cmd.Flags().MarkHidden(oldName) // fails only for a flag that does not exist
+	cmd.Flags().StringVar(&metric, "metric", defaultMetric, metricUsage)
+	cmd.Flags().StringVar(&metric, earlierMetricFlag, defaultMetric, metricUsage)
+	_ = cmd.Flags().MarkHidden(earlierMetricFlag) // fails only for a flag that does not exist
 	return cmd
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -72,14 +72,18 @@
 // PartitionServers partitions servers from the agents of some zones.
 func (e *Emulator) PartitionServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
-		s.setPartitioned(true, agentZones)
+		for _, zone := range agentZones {
+			s.listeners[zone].beginPartition()
+		}
 	}
 }
 
 // HealServers ends a partition of servers from the agents of some zones.
 func (e *Emulator) HealServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
-		s.setPartitioned(false, agentZones)
+		for _, zone := range agentZones {
+			s.listeners[zone].endPartition()
+		}
 	}
 }
 
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -154,15 +154,21 @@
 	for now-m.slowStartArrivals[0].at > contract.OverloadWindow {
 		m.slowStartArrivals = m.slowStartArrivals[1:]
 	}
-	total, fromNotified := 0.0, 0.0
+	total, fromNotified := m.sumArrivals()
+	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
+	limit := expected + overloadDeviations*math.Sqrt(expected) + overloadSpareRequests
+	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
+	return total > limit, fromNotified > total*notifiedNumerator/notifiedDenominator
+}
+
+// sumArrivals returns the load within the contract's window, in requests of mean work, and the part of it that came
+// from notified agents. The caller holds mu.
+func (m *machine) sumArrivals() (total, fromNotified float64) {
 	for _, a := range m.slowStartArrivals {
 		total += a.requests
 		if a.notified {
 			fromNotified += a.requests
 		}
 	}
-	expected := contract.SlowStartLimit(m.engine.model, max(0, age-contract.OverloadWindow), age, mean)
-	limit := expected + overloadDeviations*math.Sqrt(expected) + overloadSpareRequests
-	m.peakSlowStartLoad = math.Max(m.peakSlowStartLoad, total/limit)
-	return total > limit, fromNotified > total*notifiedNumerator/notifiedDenominator
+	return total, fromNotified
 }
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -42,27 +42,33 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// setPartitioned begins or ends a partition.
-func (l *partitionListener) setPartitioned(partitioned bool) {
+// beginPartition begins a partition, unless there is one.
+func (l *partitionListener) beginPartition() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || partitioned == (l.healed != nil) {
+	if l.closed || l.healed != nil {
 		return
 	}
-	if partitioned {
-		l.healed = make(chan struct{})
-		// Even with a backlog of 0 the system accepts one connection. After this one it accepts none.
-		l.setBacklog(0)
-		l.backlogFiller, _ = dialTCP(context.Background(), l.Addr().String(), 0) // an error: it is full already
+	l.healed = make(chan struct{})
+	// Even with a backlog of 0 the system accepts one connection. After this one it accepts none.
+	l.setBacklog(0)
+	l.backlogFiller, _ = dialTCP(context.Background(), l.Addr().String(), 0) // an error: it is full already
+}
+
+// endPartition ends the partition, if there is one.
+func (l *partitionListener) endPartition() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || l.healed == nil {
 		return
 	}
-	l.endPartition()
+	l.releaseWaiting()
 	l.setBacklog(syscall.SOMAXCONN)
 	l.resetConnections()
 }
 
-// endPartition releases what waits for the end of a partition, if there is one. The caller holds mu.
-func (l *partitionListener) endPartition() {
+// releaseWaiting releases what waits for the end of a partition, if there is one. The caller holds mu.
+func (l *partitionListener) releaseWaiting() {
 	if l.healed != nil {
 		close(l.healed)
 		l.healed = nil
@@ -93,7 +99,7 @@
 		return
 	}
 	l.closed = true
-	l.endPartition()
+	l.releaseWaiting()
 	_ = l.Close() // fails only on a closed listener
 	l.resetConnections()
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -123,10 +123,3 @@
 		s.machine.stop()
 	}
 }
-
-// setPartitioned begins or ends a partition of the server from the agents of some zones.
-func (s *server) setPartitioned(partitioned bool, agentZones []int) {
-	for _, zone := range agentZones {
-		s.listeners[zone].setPartitioned(partitioned)
-	}
-}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -40,13 +40,14 @@
 	report   FailureReporter
 	failures atomic.Uint64
 	closed   chan struct{}
-	close    func() error
+	// closeOnce closes the wrapped listener at its first call and returns the same error at each.
+	closeOnce func() error
 }
 
 // New wraps a listener. Closing the result closes it.
 func New(inner net.Listener, report FailureReporter) *Listener {
 	l := &Listener{Listener: inner, report: report, closed: make(chan struct{})}
-	l.close = sync.OnceValue(func() error {
+	l.closeOnce = sync.OnceValue(func() error {
 		close(l.closed)
 		return inner.Close()
 	})
@@ -73,7 +74,7 @@
 }
 
 // Close closes the listener and ends the backoff of an Accept.
-func (l *Listener) Close() error { return l.close() }
+func (l *Listener) Close() error { return l.closeOnce() }
 
 // SyscallConn returns the raw listening socket (syscall.Conn), or errors.ErrUnsupported if the
 // wrapped listener has none.
