--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -137,7 +137,7 @@
 	return outcome
 }
 
-// newRequest makes the request, or the retry, number so many of a call.
+// newRequest returns a request of the call with a number: the first one (retry 0) or a retry.
 func (c *client) newRequest(call call, number, retry int, timeout time.Duration) *liveRequest {
 	request := &liveRequest{
 		class:          &c.emulator.config.Classes[call.class],
--- a/internal/emulator/endpoint_list.go
+++ b/internal/emulator/endpoint_list.go
@@ -85,7 +85,7 @@
 	defer l.mu.Unlock()
 	l.version++
 	for _, view := range l.viewOrder {
-		l.randomDelay(view) // drawn although it is not used: what a seed means includes it
+		l.randomDelay(view) // drawn although it is not used, so that the later delays of a seed stay the same
 		l.schedule(view, s.endpointFor(view.zone), 0)
 	}
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// durationOf returns for how long a condition has held without a break, whose begin it keeps in since; below zero:
+// durationOf returns for how long a condition has held without a break, whose start it keeps in since; below zero:
 // the condition does not hold.
 func (e *engine) durationOf(since *time.Duration, holds bool) time.Duration {
 	if !holds {
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -3,7 +3,7 @@
 import "time"
 
 // TrafficChange multiplies the rate of the calls by RateFactor and gives a part HotKeyShare of them the most popular
-// key. From and To count from the begin of the traffic.
+// key. From and To count from the start of the traffic.
 type TrafficChange struct {
 	From, To                time.Duration
 	RateFactor, HotKeyShare float64
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -31,7 +31,7 @@
 	random      *rand.Rand
 	keys        distuv.Categorical // Zipf's distribution over the ranks of the keys
 	classShares []float64
-	due         time.Duration // of the last call, from the begin of the traffic
+	due         time.Duration // of the last call, from the start of the traffic
 }
 
 // newWorkload returns the workload of a client, whose share is that of all calls.
@@ -56,8 +56,8 @@
 	}
 }
 
-// next draws the next call, due from the begin of the traffic on, as a Poisson process; false: it is due after the
-// length of the traffic. The order of the draws is part of what a seed means.
+// next draws the next call, due from the start of the traffic on, as a Poisson process; false: it is due after the
+// length of the traffic. The calls of a seed depend on the order of the draws.
 func (w *workload) next(length time.Duration) (call, bool) {
 	config := &w.emulator.config
 	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -127,7 +127,7 @@
 	return toml.NewEncoder(out).Encode(s)
 }
 
-// fill sets a scenario's load and faults. The order of the draws is part of what a seed means.
+// fill sets a scenario's load and faults. The scenario of a seed depends on the order of the draws.
 func (t *scenarioTemplate) fill(s *Scenario, random *rand.Rand) {
 	s.Traffic.Load = valueRange{low: generatedLoadLow, high: generatedLoadHigh}.draw(random)
 	if t.Load != (valueRange{}) {
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -124,7 +124,7 @@
 	return queued - unqueued, err
 }
 
-// measureSojourn returns the mean sojourn time, in ms, in a server with so many cores.
+// measureSojourn returns the mean sojourn time, in ms, in a server with a number of cores.
 func (q QueueCheck) measureSojourn(
 	ctx context.Context, seed uint64, cores int, length time.Duration,
 ) (float64, error) {
@@ -140,7 +140,7 @@
 	return result.Metrics[emulator.MetricMeanSojourn], nil
 }
 
-// emulatorConfig returns the configuration of one server with so many cores and an unbounded queue, and its client.
+// emulatorConfig returns the configuration of one server, with some cores and an unbounded queue, and its client.
 func (q QueueCheck) emulatorConfig(seed uint64, cores int) emulator.Config {
 	return emulator.Config{
 		Seed:        seed,
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -74,7 +74,7 @@
 
 // Fault is a fault that is injected at a time. How it uses the other keys depends on its kind; see FaultDescriptions.
 type Fault struct {
-	At           time.Duration `toml:"at"` // from the begin of the traffic
+	At           time.Duration `toml:"at"` // from the start of the traffic
 	Kind         FaultKind     `toml:"kind"`
 	Duration     time.Duration `toml:"for"`
 	Share        float64       `toml:"share"`
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -89,12 +89,13 @@
 	return AgentLimits{Cores: s.Fleet.Cores, MemoryMB: s.Fleet.MemoryMB, Sockets: s.Fleet.Sockets}
 }
 
-// Settings returns the settings of the agent with an index, in the zone with an index, of a fleet of so many agents.
+// Settings returns the settings of the agent with an index in the fleet, in the zone with an index. agents is the fleet
+// size.
 func (s *Scenario) Settings(index, zone, agents int) AgentSettings {
 	return AgentSettings{ServiceSettings: s.ServiceSettings(agents), Index: index, Zone: zone}
 }
 
-// ServiceSettings returns the settings that all agents of a fleet of so many have in common.
+// ServiceSettings returns the settings that all agents of a fleet have in common. agents is the fleet size.
 func (s *Scenario) ServiceSettings(agents int) ServiceSettings {
 	return ServiceSettings{
 		Classes:       s.classSettings(),
