--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -32,15 +32,15 @@
 
 // Fleet describes the agents and the servers, which are spread evenly over the zones.
 type Fleet struct {
-	Agents    int              `toml:"agents"`
-	Servers   int              `toml:"nodes"`
-	CellSize  int              `toml:"pod"` // servers of a cell
-	Zones     []string         `toml:"zones"`
-	ZoneDelay time.Duration    `toml:"cross"`      // one way between two zones
-	Cores     float64          `toml:"cores"`      // limit of an agent
-	MemoryMB  int              `toml:"memory_mb"`  // limit of an agent
-	Sockets   int              `toml:"sockets"`    // limit of an agent
-	ListDelay [2]time.Duration `toml:"list_delay"` // least and greatest delay of a change of the endpoint list
+	Agents    int                 `toml:"agents"`
+	Servers   int                 `toml:"nodes"`
+	CellSize  int                 `toml:"pod"` // servers of a cell
+	Zones     []string            `toml:"zones"`
+	ZoneDelay time.Duration       `toml:"cross"`      // one way between two zones
+	Cores     float64             `toml:"cores"`      // limit of an agent
+	MemoryMB  int                 `toml:"memory_mb"`  // limit of an agent
+	Sockets   int                 `toml:"sockets"`    // limit of an agent
+	ListDelay emulator.DelayRange `toml:"list_delay"` // of a change of the endpoint list
 }
 
 // Traffic describes what the clients call.
@@ -74,7 +74,7 @@
 
 // Fault is a fault that is injected at a time. How it uses the other keys depends on its kind; see FaultDescriptions.
 type Fault struct {
-	At           time.Duration `toml:"at"` // from the begin of the traffic
+	At           time.Duration `toml:"at"` // from the start of the traffic
 	Kind         FaultKind     `toml:"kind"`
 	Duration     time.Duration `toml:"for"`
 	Share        float64       `toml:"share"`
@@ -149,16 +149,19 @@
 	return config
 }
 
+// weightStride is the step among the evenly spread weights from one agent to the next, so that the agents of each zone
+// get low and high ones.
+const weightStride = 7
+
 // agents returns the agents with their zones and their shares of the calls.
 func (s *Scenario) agents() []emulator.Agent {
 	count := s.Fleet.Agents
 	weights := make([]float64, count)
 	sum := 0.0
 	for i := range weights {
-		// The weights are spread evenly, in an order in which each zone gets low and high ones.
-		position := 0.5
+		position := 0.5 // among the evenly spread weights: 0 for the least, 1 for the greatest
 		if count > 1 {
-			position = float64(i*7%count) / float64(count-1)
+			position = float64(i*weightStride%count) / float64(count-1)
 		}
 		weights[i] = 1 + s.Traffic.Imbalance*(2*math.Min(1, position)-1)
 		sum += weights[i]
