--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"slices"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
@@ -55,16 +54,10 @@
 	h.mu.Lock()
 	paused := h.pausedInstance
 	h.mu.Unlock()
-	for _, name := range h.Instances {
-		if name == paused || !h.discovery.Running(name) {
-			continue
-		}
+	return h.discovery.FirstRunning(func(name string) bool {
 		var status server.Status
-		if h.get(name, endpoint.StatusPath, &status) == nil && status.State == server.StateLeader {
-			return name
-		}
-	}
-	return ""
+		return name != paused && h.get(name, endpoint.StatusPath, &status) == nil && status.State == server.StateLeader
+	})
 }
 
 // awaitLeader waits until there is a leader.
@@ -88,15 +81,10 @@
 	return nil
 }
 
-// others are the instances but one.
-func (h *Harness) others(instance string) []string {
-	return slices.DeleteFunc(slices.Clone(h.Instances), func(name string) bool { return name == instance })
-}
-
 // drawFollower draws an instance that does not lead.
 func (h *Harness) drawFollower() (string, error) {
 	err := h.awaitLeader(retryTimeout)
-	followers := h.others(h.leader())
+	followers := h.discovery.Others(h.leader())
 	return followers[h.random.IntN(len(followers))], err
 }
 
@@ -190,10 +178,11 @@
 	}
 	write.Version = answer.Version
 	write.AckedAt = time.Now()
-	h.recordWrite(write)
+	h.writes.Add(write)
 	return write, nil
 }
 
+// nextMarker draws the marker of the next change.
 func (h *Harness) nextMarker() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -201,12 +190,6 @@
 	return h.lastMarker
 }
 
-func (h *Harness) recordWrite(write Write) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.writes = append(h.writes, write)
-}
-
 // change changes settings to such as all agents take.
 func (h *Harness) change(instances ...string) error {
 	_, err := h.Change(settings, instances...)
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -104,7 +104,7 @@
 }
 
 func (h *Harness) cutOff(instance string) (end func() error, err error) {
-	h.discovery.Partition([]string{instance}, append(h.others(instance), h.Agents...))
+	h.discovery.Partition([]string{instance}, append(h.discovery.Others(instance), h.Agents...))
 	heal := func() error {
 		h.discovery.Heal()
 		return nil
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = h.change(h.others(instance)...)
+	err = h.change(h.discovery.Others(instance)...)
 	if err == nil {
 		err = h.awaitLastChange()
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rest := h.others(region)
+	rest := h.discovery.Others(region)
 	regionSize := len(h.Agents) / regions
 	regionAgents, restAgents := h.Agents[:regionSize], h.Agents[regionSize:]
 	cutAt := time.Now()
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -89,11 +89,11 @@
 	random    *rand.Rand
 	client    *http.Client
 
+	writes     processtest.Records[Write]
 	exemptions processtest.Exemptions // from the times at which agents must know a change
 
 	mu         sync.Mutex
 	lastMarker int
-	writes     []Write
 	// pausedInstance is the instance that is paused; "": none.
 	pausedInstance string
 }
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -127,9 +127,7 @@
 
 // observed is all that was seen and done so far, but for the service's own history.
 func (h *Harness) observed() (*History, error) {
-	h.mu.Lock()
-	history := &History{Writes: slices.Clone(h.writes), Exemptions: h.exemptions.All()}
-	h.mu.Unlock()
+	history := &History{Writes: h.writes.All(), Exemptions: h.exemptions.All()}
 	for _, agent := range h.Agents {
 		incarnations, err := h.incarnations(agent)
 		if err != nil {
--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -51,12 +51,10 @@
 func startClusterWithLeader(t *testing.T) (*processtest.Cluster, string) {
 	t.Helper()
 	cluster := startCluster(t)
-	elected := ""
-	hasLeader := func() bool {
-		elected = leader(cluster)
-		return elected != ""
+	elected, err := awaitLeader(cluster)
+	if err != nil {
+		t.Fatal(err)
 	}
-	mustAwait(t, "a leader", hasLeader)
 	return cluster, elected
 }
 
@@ -80,12 +78,20 @@
 
 // leader returns the name of a running instance that leads, or "".
 func leader(cluster *processtest.Cluster) string {
-	for _, name := range cluster.Names() {
-		if cluster.Running(name) && statusAt(cluster.Addr(name, processtest.AdminPort)).State == server.StateLeader {
-			return name
-		}
+	return cluster.FirstRunning(func(name string) bool {
+		return statusAt(cluster.Addr(name, processtest.AdminPort)).State == server.StateLeader
+	})
+}
+
+// awaitLeader waits for an instance that leads, and returns its name.
+func awaitLeader(cluster *processtest.Cluster) (string, error) {
+	name := ""
+	isElected := func() bool {
+		name = leader(cluster)
+		return name != ""
 	}
-	return ""
+	err := processtest.Await(startTimeout, "a leader", isElected)
+	return name, err
 }
 
 // kill kills an instance.
@@ -100,12 +106,8 @@
 // none within startTimeout.
 func killLeader(t *testing.T, cluster *processtest.Cluster) string {
 	t.Helper()
-	name := ""
-	isElected := func() bool {
-		name = leader(cluster)
-		return name != ""
-	}
-	if err := processtest.Await(startTimeout, "a leader", isElected); err != nil {
+	name, err := awaitLeader(cluster)
+	if err != nil {
 		t.Error(err) // not Fatal, as this may be a goroutine of the test
 		return ""
 	}
--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -8,7 +8,6 @@
 	"os"
 	"os/signal"
 	"path/filepath"
-	"slices"
 	"sync"
 	"syscall"
 	"testing"
@@ -91,7 +90,7 @@
 	*processtest.Cluster
 	t        *testing.T
 	dir      string
-	history  *history
+	recorder *recorder
 	stop     chan struct{} // closed by stopClients
 	stopOnce sync.Once
 	clients  sync.WaitGroup
@@ -107,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cluster := &faultCluster{t: t, dir: t.TempDir(), history: newHistory(), stop: make(chan struct{})}
+	cluster := &faultCluster{t: t, dir: t.TempDir(), recorder: &recorder{start: time.Now()}, stop: make(chan struct{})}
 	environment := func(name string) []string {
 		return []string{
 			configVariable + "=" + cluster.path(name, configExtension),
@@ -180,10 +179,7 @@
 func (c *faultCluster) leader() string { return leader(c.Cluster) }
 
 // followers returns the names of the instances that do not lead.
-func (c *faultCluster) followers() []string {
-	leader := c.leader()
-	return slices.DeleteFunc(slices.Clone(c.Names()), func(name string) bool { return name == leader })
-}
+func (c *faultCluster) followers() []string { return c.Others(c.leader()) }
 
 // pids returns the instances' process ids by name.
 func (c *faultCluster) pids() map[string]int {
@@ -224,7 +220,7 @@
 	for _, name := range c.Names() {
 		c.repeat(func(int) {
 			if read, ok := c.read(name); ok {
-				c.history.recordRead(read)
+				c.recorder.reads.Add(read)
 			}
 			time.Sleep(readPause)
 		})
@@ -254,16 +250,16 @@
 
 // write writes an entry at an instance and records it. It reports whether it was acknowledged.
 func (c *faultCluster) write(name, id string) bool {
-	record := writeRecord{id: id, started: c.history.now()}
+	record := writeRecord{id: id, started: c.recorder.now()}
 	record.version = putServer(c.Addr(name, processtest.AdminPort), id)
-	record.ended = c.history.now()
-	c.history.recordWrite(record)
+	record.ended = c.recorder.now()
+	c.recorder.writes.Add(record)
 	return record.version != 0
 }
 
 // read returns the full list of an instance, and whether the instance served it.
 func (c *faultCluster) read(name string) (readRecord, bool) {
-	record := readRecord{instance: name, started: c.history.now()}
+	record := readRecord{instance: name, started: c.recorder.now()}
 	list, served := fetchList(c.Addr(name, processtest.HTTPPort))
 	if !served {
 		return record, false
@@ -288,20 +284,22 @@
 	c.stopClients()
 	lastID := func() string { return fmt.Sprint("last-", rand.Int()) }
 	c.await("a last write", func() bool { return c.write(c.Names()[0], lastID()) })
-	acknowledged := c.history.acknowledged()
+	acknowledged := c.recorder.acknowledged()
 	last := acknowledged[len(acknowledged)-1].version
+	var final []readRecord
 	allHaveLast := func() bool {
-		c.history.final = nil
+		final = nil
 		for _, name := range c.Names() {
 			if read, ok := c.read(name); ok && read.version >= last {
-				c.history.final = append(c.history.final, read)
+				final = append(final, read)
 			}
 		}
-		return len(c.history.final) == len(c.Names())
+		return len(final) == len(c.Names())
 	}
 	if err := processtest.Await(convergenceTimeout, "the last write at each instance", allHaveLast); err != nil {
 		c.showLogs()
-		return fmt.Errorf("%d of %d instances have version %d: %w", len(c.history.final), len(c.Names()), last, err)
+		return fmt.Errorf("%d of %d instances have version %d: %w", len(final), len(c.Names()), last, err)
 	}
-	return c.history.check(staleBound)
+	clientHistory := history{writes: c.recorder.writes.All(), reads: c.recorder.reads.All(), final: final}
+	return clientHistory.check(staleBound)
 }
--- a/internal/discovery/server/history_checker_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -1,13 +1,15 @@
 package server_test
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // writeRecord is one write of a server's entry. Each write has an id of its own.
@@ -25,42 +27,31 @@
 	ids      []string
 }
 
-// history is what clients wrote to all instances and read from them.
-type history struct {
-	mu     sync.Mutex
+// recorder records what clients write to all instances and read from them.
+type recorder struct {
 	start  time.Time
-	writes []writeRecord
-	reads  []readRecord
-	final  []readRecord // one of each instance, at the end
+	writes processtest.Records[writeRecord]
+	reads  processtest.Records[readRecord]
 }
 
-// newHistory returns an empty history that starts now.
-func newHistory() *history { return &history{start: time.Now()} }
+// now returns the time since the start of the recorder.
+func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
-// now returns the time since the start of the history.
-func (h *history) now() time.Duration { return time.Since(h.start) }
+// acknowledged returns the acknowledged writes so far, ordered by version.
+func (r *recorder) acknowledged() []writeRecord { return acknowledgedOf(r.writes.All()) }
 
-// recordWrite adds a write.
-func (h *history) recordWrite(record writeRecord) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.writes = append(h.writes, record)
-}
-
-// recordRead adds a read.
-func (h *history) recordRead(record readRecord) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.reads = append(h.reads, record)
+// history is what clients wrote to all instances and read from them.
+type history struct {
+	writes []writeRecord
+	reads  []readRecord
+	final  []readRecord // one of each instance, at the end
 }
 
-// acknowledged returns the acknowledged writes, ordered by version.
-func (h *history) acknowledged() []writeRecord {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := slices.DeleteFunc(slices.Clone(h.writes), func(w writeRecord) bool { return w.version == 0 })
-	slices.SortFunc(out, func(a, b writeRecord) int { return int(a.version) - int(b.version) })
-	return out
+// acknowledgedOf returns the acknowledged ones of several writes, ordered by version.
+func acknowledgedOf(writes []writeRecord) []writeRecord {
+	acknowledged := slices.DeleteFunc(slices.Clone(writes), func(w writeRecord) bool { return w.version == 0 })
+	slices.SortFunc(acknowledged, func(a, b writeRecord) int { return cmp.Compare(a.version, b.version) })
+	return acknowledged
 }
 
 // check returns an error if no single list with writes in one order explains the history: two writes
@@ -68,7 +59,7 @@
 // write of its version or an earlier one, or has a later one; a read is older than maxStale; the final
 // lists differ.
 func (h *history) check(maxStale time.Duration) error {
-	acknowledged := h.acknowledged()
+	acknowledged := acknowledgedOf(h.writes)
 	errs := []error{checkOrder(acknowledged)}
 	for _, read := range slices.Concat(h.reads, h.final) {
 		errs = append(errs, checkRead(acknowledged, read))
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net/http"
-	"slices"
 	"testing"
 	"time"
 
@@ -28,7 +27,7 @@
 // After the partition every instance has every acknowledged write.
 func TestPartitionedLeader(t *testing.T) {
 	cluster, oldLeader := startClusterWithLeader(t)
-	majority := slices.DeleteFunc(slices.Clone(instanceNames), func(name string) bool { return name == oldLeader })
+	majority := cluster.Others(oldLeader)
 	if putServerAnywhere(cluster, "before") == 0 {
 		t.Fatal("no write before the partition")
 	}
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -44,16 +44,16 @@
 	cluster.startClients(8)
 	for range killCount() {
 		time.Sleep(randomBelow(maxTimeToKill))
-		before := len(cluster.history.acknowledged())
+		before := len(cluster.recorder.acknowledged())
 		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
 		}
-		cluster.await("writes after the kill", func() bool { return len(cluster.history.acknowledged()) > before+8 })
+		cluster.await("writes after the kill", func() bool { return len(cluster.recorder.acknowledged()) > before+8 })
 	}
 	if err := cluster.stopAndCheck(); err != nil {
 		t.Error(err)
 	}
-	t.Logf("%d kills, %d writes acknowledged", killCount(), len(cluster.history.acknowledged()))
+	t.Logf("%d kills, %d writes acknowledged", killCount(), len(cluster.recorder.acknowledged()))
 }
 
 // TestHistoryFindsUnsyncedWrites: after a kill the checker finds that an instance has acknowledged
@@ -81,7 +81,7 @@
 	for i := range 20 {
 		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
-	acknowledged := cluster.history.acknowledged()
+	acknowledged := cluster.recorder.acknowledged()
 	for range 10 {
 		if err := cluster.Restart(soleInstance); err != nil {
 			t.Fatal(err)
@@ -155,7 +155,7 @@
 	for i := range 60 {
 		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
-	acknowledged := cluster.history.acknowledged()
+	acknowledged := cluster.recorder.acknowledged()
 	kill(t, cluster.Cluster, soleInstance)
 	dir := cluster.dataDir(soleInstance)
 	saved := filepath.Join(cluster.dir, "saved")
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -105,14 +105,14 @@
 		}
 	}
 	pids := cluster.pids()
-	before := len(cluster.history.acknowledged())
+	before := len(cluster.recorder.acknowledged())
 	time.Sleep(outage) // the time under test
-	during := len(cluster.history.acknowledged())
+	during := len(cluster.recorder.acknowledged())
 	for _, name := range failing {
 		cluster.setFault(name, server.StoreFault{})
 	}
 	healed := time.Now()
-	cluster.await("a write after the outage", func() bool { return len(cluster.history.acknowledged()) > during+10 })
+	cluster.await("a write after the outage", func() bool { return len(cluster.recorder.acknowledged()) > during+10 })
 	resumed := time.Since(healed)
 	if err := cluster.stopAndCheck(); err != nil {
 		t.Error(err)
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// awaitLeader waits for an instance that leads and acknowledges a write, and returns its number.
-func awaitLeader(b *testing.B, configs []server.Config) int {
+// awaitWritingLeader waits for an instance that leads and acknowledges a write, and returns its number.
+func awaitWritingLeader(b *testing.B, configs []server.Config) int {
 	b.Helper()
 	leader := -1
 	isElected := func() bool {
@@ -176,7 +176,7 @@
 	for i := range b.N {
 		b.StopTimer()
 		configs, nodes := startThreeNodes(b, electionTimeout)
-		leader := awaitLeader(b, configs)
+		leader := awaitWritingLeader(b, configs)
 		b.StartTimer()
 		startedAt := time.Now()
 		closeNode(b, nodes[leader])
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -36,10 +36,10 @@
 type Cluster struct {
 	cfg       Config
 	start     time.Time
+	history   Records[Event]
 	mu        sync.Mutex
 	processes map[string]*process
 	links     map[linkKey]*Link
-	history   []Event
 }
 
 // linkKey identifies a link by the process that connects and the listener that it connects to.
--- a/internal/processtest/exemption.go
+++ b/internal/processtest/exemption.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sync"
 	"time"
 )
 
@@ -35,22 +34,5 @@
 	return !to.Before(e.From) && from.Before(e.To)
 }
 
-// Exemptions are the exemptions of a harness. They are safe for concurrent use.
-type Exemptions struct {
-	mu   sync.Mutex
-	list []Exemption
-}
-
-// Add adds an exemption.
-func (e *Exemptions) Add(exemption Exemption) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.list = append(e.list, exemption)
-}
-
-// All is a copy of the exemptions so far.
-func (e *Exemptions) All() []Exemption {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return slices.Clone(e.list)
-}
+// Exemptions are the exemptions of a harness.
+type Exemptions = Records[Exemption]
--- a/internal/processtest/history.go
+++ b/internal/processtest/history.go
@@ -1,9 +1,6 @@
 package processtest
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // Action is what was done to a process or to the cluster.
 type Action string
@@ -29,14 +26,8 @@
 
 // record adds an event to the history.
 func (c *Cluster) record(process string, action Action, detail string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.history = append(c.history, Event{At: time.Since(c.start), Process: process, Action: action, Detail: detail})
+	c.history.Add(Event{At: time.Since(c.start), Process: process, Action: action, Detail: detail})
 }
 
-// History is a copy of the events so far, in order.
-func (c *Cluster) History() []Event {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Clone(c.history)
-}
+// History is a copy of the events so far, in the order in which they were recorded.
+func (c *Cluster) History() []Event { return c.history.All() }
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -7,6 +7,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"syscall"
 	"time"
 )
@@ -187,6 +188,21 @@
 // Running tells whether a process runs (a paused one does).
 func (c *Cluster) Running(name string) bool { return c.running(name) != nil }
 
+// FirstRunning is the first running process, in the order of the names, that fulfils a condition; "": none does.
+func (c *Cluster) FirstRunning(condition func(name string) bool) string {
+	for _, name := range c.cfg.Names {
+		if c.Running(name) && condition(name) {
+			return name
+		}
+	}
+	return ""
+}
+
+// Others are the processes but one.
+func (c *Cluster) Others(name string) []string {
+	return slices.DeleteFunc(slices.Clone(c.cfg.Names), func(other string) bool { return other == name })
+}
+
 // Pid is a running process's id, or 0.
 func (c *Cluster) Pid(name string) int {
 	if current := c.running(name); current != nil {
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -107,15 +107,10 @@
 
 // leader is the instance that reports to be the leader, or "".
 func (d *discoveryCluster) leader(ctx context.Context) string {
-	for _, name := range d.Names() {
-		if !d.Running(name) {
-			continue
-		}
-		if status, err := d.status(ctx, name); err == nil && status.State == server.StateLeader {
-			return name
-		}
-	}
-	return ""
+	return d.FirstRunning(func(name string) bool {
+		status, err := d.status(ctx, name)
+		return err == nil && status.State == server.StateLeader
+	})
 }
 
 // status is the status of an instance by its admin endpoint.
