--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -58,11 +57,6 @@
 	return processtest.Metrics{"agents that rejected": float64(rejected)}, h.change(h.Instances...)
 }
 
-// rejected tells whether an agent reported that it rejected a version for the missing key and has none in force.
-func (r agentReport) rejected(version uint64) bool {
-	return r.Rejected == version && r.InForce == 0 && strings.Contains(r.Reason, missingKey)
-}
-
 // leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
 func (h *Harness) leaderKilled() (_ processtest.Metrics, err error) {
 	for i := range h.cfg.Burst {
--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -3,13 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -18,12 +15,6 @@
 )
 
 const (
-	// configVariable is the environment variable with the path of a configuration, by which this
-	// test binary runs as an instance.
-	configVariable = "DISCOVERY_TEST_CONFIG"
-	// faultVariable is the environment variable with the path of the control file of the
-	// instance's FaultyStore.
-	faultVariable = "DISCOVERY_TEST_FAULT"
 	// longTestsVariable is the environment variable by which cases run in full length.
 	longTestsVariable = "DISCOVERY_LONG_TESTS"
 	// convergenceTimeout bounds the time until instances have the same state after a fault.
@@ -47,43 +38,6 @@
 // soleInstance is the name of an instance that is a cluster by itself.
 const soleInstance = "n1"
 
-// TestMain runs the tests, or one instance if configVariable is set.
-func TestMain(m *testing.M) {
-	if path := os.Getenv(configVariable); path != "" {
-		if err := runInstance(path); err != nil {
-			fmt.Fprintln(os.Stderr, "instance:", err)
-			os.Exit(1)
-		}
-		return
-	}
-	os.Exit(m.Run())
-}
-
-// runInstance runs an instance with a FaultyStore until SIGTERM. On SIGUSR1 it takes a snapshot.
-func runInstance(path string) error {
-	config, err := server.Load(path)
-	if err != nil {
-		return err
-	}
-	config.WrapStore = func(store server.Store) server.Store {
-		return &server.FaultyStore{Store: store, Control: os.Getenv(faultVariable)}
-	}
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	node, err := server.Start(config, log)
-	if err != nil {
-		return err
-	}
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGUSR1)
-	for received := range signals {
-		if received == syscall.SIGTERM {
-			return node.Close()
-		}
-		log.Info("snapshot", "err", node.Snapshot())
-	}
-	return nil
-}
-
 // faultCluster is a cluster of processes that run this test binary as instances whose stores can be
 // made to fail, with clients that write and read, and the clients' history.
 type faultCluster struct {
--- a/internal/processtest/await.go
+++ b/internal/processtest/await.go
@@ -48,18 +48,3 @@
 	group.Wait()
 	return errors.Join(errs...)
 }
-
-// The quantiles that reports have.
-const (
-	Median       = 0.5
-	Percentile99 = 0.99
-	Maximum      = 1.0
-)
-
-// Quantile is a quantile (0 to 1) of values in order; 0 of none.
-func Quantile[T time.Duration | float64](sorted []T, q float64) T {
-	if len(sorted) == 0 {
-		return 0
-	}
-	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
-}
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -6,13 +6,9 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"sync"
-	"syscall"
 	"time"
-
-	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
 // Config says what to run. Each process of Names gets a listener for each of Ports on loopback with a port from the
@@ -70,55 +66,6 @@
 	return c, nil
 }
 
-// reserveAddrs draws the addresses of a process's listeners, by port name, and listens on them until the listeners
-// are closed. Each start listens on them anew.
-func (c *Cluster) reserveAddrs(name string) (addrs map[string]string, listeners []net.Listener, err error) {
-	ip := drawIP()
-	if c.cfg.IP != nil {
-		ip = net.ParseIP(c.cfg.IP(name))
-	}
-	addrs = map[string]string{}
-	for _, port := range c.cfg.Ports {
-		listener, err := listenOnFreePort(ip)
-		if err != nil {
-			return addrs, listeners, err
-		}
-		listeners = append(listeners, listener)
-		addrs[port] = listener.Addr().String()
-	}
-	return addrs, listeners, nil
-}
-
-// firstPort and endPort bound the ports of processes, below those that the system gives out by itself (from 32768 on):
-// none of these is taken while a process is down.
-const firstPort, endPort = 20_000, 32_000
-
-// maxPortDraws bounds the draws until a port is free.
-const maxPortDraws = 1000
-
-// listenOnFreePort listens on a port drawn from those of processes.
-func listenOnFreePort(ip net.IP) (net.Listener, error) {
-	for range maxPortDraws {
-		port := firstPort + rand.IntN(endPort-firstPort)
-		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port})
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
-			return ln, err
-		}
-	}
-	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
-}
-
-// drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
-func drawIP() net.IP {
-	const (
-		loopback    = 127
-		byteValues  = 256
-		innerValues = byteValues - 2 // without 0 and 255
-	)
-	innerByte := func() byte { return byte(1 + rand.IntN(innerValues)) }
-	return net.IPv4(loopback, innerByte(), byte(rand.IntN(byteValues)), innerByte())
-}
-
 // Names are the processes.
 func (c *Cluster) Names() []string { return c.cfg.Names }
 
@@ -150,30 +97,6 @@
 	return link, nil
 }
 
-// Partition cuts every link between processes of different groups; processes of no group keep their links. Heal
-// undoes it.
-func (c *Cluster) Partition(groups ...[]string) {
-	partition := faultproxy.NewPartition(groups...)
-	c.mu.Lock()
-	for key, link := range c.links {
-		link.SetCut(partition.Separates(key.from, key.to))
-	}
-	c.mu.Unlock()
-	c.record("", ActionPartition, fmt.Sprint(groups))
-}
-
-// Heal restores every link to pass everything at once.
-func (c *Cluster) Heal() {
-	c.mu.Lock()
-	for _, link := range c.links {
-		link.SetCut(false)
-		link.SetDelay(0)
-		link.SetDrop(0)
-	}
-	c.mu.Unlock()
-	c.record("", ActionHeal, "")
-}
-
 // Close kills every process and closes every proxy.
 func (c *Cluster) Close() {
 	for _, name := range c.cfg.Names {
--- /dev/null
+++ b/internal/processtest/listeners.go
@@ -0,0 +1,114 @@
+package processtest
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// reserveAddrs draws the addresses of a process's listeners, by port name, and listens on them until the listeners
+// are closed. Each start listens on them anew.
+func (c *Cluster) reserveAddrs(name string) (addrs map[string]string, listeners []net.Listener, err error) {
+	ip := drawIP()
+	if c.cfg.IP != nil {
+		ip = net.ParseIP(c.cfg.IP(name))
+	}
+	addrs = map[string]string{}
+	for _, port := range c.cfg.Ports {
+		listener, err := listenOnFreePort(ip)
+		if err != nil {
+			return addrs, listeners, err
+		}
+		listeners = append(listeners, listener)
+		addrs[port] = listener.Addr().String()
+	}
+	return addrs, listeners, nil
+}
+
+// firstPort and endPort bound the ports of processes, below those that the system gives out by itself (from 32768 on):
+// none of these is taken while a process is down.
+const firstPort, endPort = 20_000, 32_000
+
+// maxPortDraws bounds the draws until a port is free.
+const maxPortDraws = 1000
+
+// listenOnFreePort listens on a port drawn from those of processes.
+func listenOnFreePort(ip net.IP) (net.Listener, error) {
+	for range maxPortDraws {
+		port := firstPort + rand.IntN(endPort-firstPort)
+		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port})
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
+			return ln, err
+		}
+	}
+	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
+}
+
+// drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
+func drawIP() net.IP {
+	const (
+		loopback    = 127
+		byteValues  = 256
+		innerValues = byteValues - 2 // without 0 and 255
+	)
+	innerByte := func() byte { return byte(1 + rand.IntN(innerValues)) }
+	return net.IPv4(loopback, innerByte(), byte(rand.IntN(byteValues)), innerByte())
+}
+
+// listen opens a process's listeners, as files that it inherits; after an error these are the ones opened until then.
+func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
+	var files []*os.File
+	for _, port := range c.cfg.Ports {
+		file, err := listenFile(p.addrs[port])
+		if err != nil {
+			return files, fmt.Errorf("processtest: %s: port %s: %w", name, port, err)
+		}
+		files = append(files, file)
+	}
+	return files, nil
+}
+
+const (
+	// listenTimeout bounds how long an address may still be in use by a listener that was closed: another process
+	// that is being started at that moment has a copy of it until its exec.
+	listenTimeout = 5 * time.Second
+	// listenInterval is the time between two attempts to listen.
+	listenInterval = 5 * time.Millisecond
+)
+
+// listenAgain listens on an address of which an earlier listener was closed.
+func listenAgain(addr *net.TCPAddr) (ln *net.TCPListener, err error) {
+	isFree := func() bool {
+		ln, err = net.ListenTCP("tcp", addr)
+		return !errors.Is(err, syscall.EADDRINUSE)
+	}
+	if awaitErr := AwaitEvery(listenInterval, listenTimeout, "a free address", isFree); awaitErr != nil {
+		return nil, fmt.Errorf("%w: %w", awaitErr, err)
+	}
+	return ln, err
+}
+
+// listenFile opens a listener as a file.
+func listenFile(address string) (*os.File, error) {
+	addr, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	ln, err := listenAgain(addr)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = ln.Close() }() // the file is a duplicate of it
+	return ln.File()
+}
+
+// closeAll closes files that a process has inherited.
+func closeAll(files []*os.File) {
+	for _, file := range files {
+		_ = file.Close() // the process has duplicates
+	}
+}
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,12 +11,6 @@
 	"time"
 )
 
-// The slices of time of a process that Starve lets run for a tenth of the time.
-const (
-	starvedPause = 90 * time.Millisecond
-	starvedRun   = 10 * time.Millisecond
-)
-
 // logMode is the mode of a process's log.
 const logMode = 0o644
 
@@ -120,60 +113,6 @@
 	return cmd
 }
 
-// listen opens a process's listeners, as files that it inherits; after an error these are the ones opened until then.
-func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
-	var files []*os.File
-	for _, port := range c.cfg.Ports {
-		file, err := listenFile(p.addrs[port])
-		if err != nil {
-			return files, fmt.Errorf("processtest: %s: port %s: %w", name, port, err)
-		}
-		files = append(files, file)
-	}
-	return files, nil
-}
-
-const (
-	// listenTimeout bounds how long an address may still be in use by a listener that was closed: another process
-	// that is being started at that moment has a copy of it until its exec.
-	listenTimeout = 5 * time.Second
-	// listenInterval is the time between two attempts to listen.
-	listenInterval = 5 * time.Millisecond
-)
-
-// listenAgain listens on an address of which an earlier listener was closed.
-func listenAgain(addr *net.TCPAddr) (ln *net.TCPListener, err error) {
-	isFree := func() bool {
-		ln, err = net.ListenTCP("tcp", addr)
-		return !errors.Is(err, syscall.EADDRINUSE)
-	}
-	if awaitErr := AwaitEvery(listenInterval, listenTimeout, "a free address", isFree); awaitErr != nil {
-		return nil, fmt.Errorf("%w: %w", awaitErr, err)
-	}
-	return ln, err
-}
-
-// listenFile opens a listener as a file.
-func listenFile(address string) (*os.File, error) {
-	addr, err := net.ResolveTCPAddr("tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	ln, err := listenAgain(addr)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = ln.Close() }() // the file is a duplicate of it
-	return ln.File()
-}
-
-// closeAll closes files that a process has inherited.
-func closeAll(files []*os.File) {
-	for _, file := range files {
-		_ = file.Close() // the process has duplicates
-	}
-}
-
 // running is a process's execution; nil: it does not run.
 func (c *Cluster) running(name string) *execution {
 	c.mu.Lock()
@@ -255,59 +194,3 @@
 	}
 	return c.Start(name)
 }
-
-// Pause sends SIGSTOP.
-func (c *Cluster) Pause(name string) error { return c.signal(name, syscall.SIGSTOP, ActionPause) }
-
-// Resume sends SIGCONT.
-func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, ActionResume) }
-
-// signal sends a signal to a process that runs, and records it.
-func (c *Cluster) signal(name string, signal syscall.Signal, action Action) error {
-	current := c.running(name)
-	if current == nil {
-		return fmt.Errorf("processtest: %s: %w", name, ErrNotRunning)
-	}
-	c.record(name, action, "")
-	return current.signal(signal)
-}
-
-// PauseFor pauses processes for a time.
-func (c *Cluster) PauseFor(d time.Duration, names ...string) error {
-	for _, name := range names {
-		if err := c.Pause(name); err != nil {
-			return err
-		}
-	}
-	time.Sleep(d)
-	return Each(names, c.Resume)
-}
-
-// Starve lets processes run for a tenth of the time, in short slices, for a time. Those that have ended are left alone.
-func (c *Cluster) Starve(d time.Duration, names ...string) error {
-	for end := time.Now().Add(d); time.Now().Before(end); {
-		if err := c.signalRunning(syscall.SIGSTOP, names); err != nil {
-			return err
-		}
-		time.Sleep(starvedPause)
-		if err := c.signalRunning(syscall.SIGCONT, names); err != nil {
-			return err
-		}
-		time.Sleep(starvedRun)
-	}
-	return nil
-}
-
-// signalRunning sends a signal to those of some processes that run; the history does not have it.
-func (c *Cluster) signalRunning(signal syscall.Signal, names []string) error {
-	for _, name := range names {
-		current := c.running(name)
-		if current == nil {
-			continue
-		}
-		if err := current.signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
-			return err
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/processtest/usage_test.go
@@ -0,0 +1,16 @@
+package processtest
+
+import (
+	"os"
+	"testing"
+)
+
+func TestProcessUsageOfThisProcess(t *testing.T) {
+	usage, err := ProcessUsage(os.Getpid())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if usage.RSS == 0 || usage.Descriptors == 0 || usage.Threads == 0 {
+		t.Errorf("%+v", usage)
+	}
+}
