--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -62,7 +62,7 @@
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
 		path := endpoint.SettingsPath(args[0])
 		if cmd.Flags().Changed(flagName) {
-			path += fmt.Sprint("?version=", *version)
+			path += fmt.Sprintf("?%s=%d", endpoint.QueryVersion, *version)
 		}
 		var settings server.SettingsVersion
 		if err := client.getJSON(cmd.Context(), path, &settings); err != nil {
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -172,7 +172,7 @@
 func (h *Harness) storedMarker(version uint64) (int, error) {
 	var stored server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
-		path := fmt.Sprintf("%s?version=%d", endpoint.SettingsPath(service), version)
+		path := fmt.Sprintf("%s?%s=%d", endpoint.SettingsPath(service), endpoint.QueryVersion, version)
 		return h.get(instance, path, &stored)
 	})
 	if err != nil {
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // maxSettingsBytes bounds the text of a service's settings.
@@ -82,10 +84,10 @@
 		return
 	}
 	found := newestSettings(versions)
-	if text := r.URL.Query().Get("version"); text != "" {
+	if text := r.URL.Query().Get(endpoint.QueryVersion); text != "" {
 		version, err := parseUint(text)
 		if err != nil {
-			http.Error(w, "version: "+err.Error(), http.StatusBadRequest)
+			http.Error(w, endpoint.QueryVersion+": "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		index := slices.IndexFunc(versions, func(v SettingsVersion) bool { return v.Version == version })
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -30,16 +30,16 @@
 	Text        string `json:"text,omitempty"` // as it was written, byte for byte; empty in a history
 }
 
-// versionConflict is the result of a write of settings that named another version than the newest
+// versionConflictError is the result of a write of settings that named another version than the newest
 // one; it changes nothing.
-type versionConflict struct {
+type versionConflictError struct {
 	service  string
 	expected uint64 // by the write
 	current  uint64
 }
 
 // Error names the service and both versions.
-func (c versionConflict) Error() string {
+func (c versionConflictError) Error() string {
 	return fmt.Sprintf("settings of %s: version %d is in place, not %d", c.service, c.current, c.expected)
 }
 
@@ -102,7 +102,7 @@
 }
 
 // applySettings applies a committed write of settings. It returns the version of the write, the newest
-// version if the text is the same, or a versionConflict. The caller holds mu.
+// version if the text is the same, or a versionConflictError. The caller holds mu.
 func (m *stateMachine) applySettings(c command, index uint64) (uint64, error) {
 	versions := m.settings[c.Service]
 	newest := newestSettings(versions)
@@ -110,7 +110,7 @@
 	case len(versions) > 0 && newest.Text == c.Text:
 		return newest.Version, nil // possibly a retry of a write whose answer was lost
 	case c.IfVersion != nil && *c.IfVersion != newest.Version:
-		return 0, versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		return 0, versionConflictError{service: c.Service, expected: *c.IfVersion, current: newest.Version}
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
 	versions = append(versions, written)
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -64,7 +64,7 @@
 	case newest.Text == c.Text:
 		return applyResult{version: newest.Version}
 	case c.IfVersion != nil && *c.IfVersion != newest.Version:
-		conflict := versionConflict{service: c.Service, expected: *c.IfVersion, current: newest.Version}
+		conflict := versionConflictError{service: c.Service, expected: *c.IfVersion, current: newest.Version}
 		return applyResult{err: conflict}
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
--- a/internal/discovery/server/status.go
+++ b/internal/discovery/server/status.go
@@ -2,6 +2,8 @@
 
 import (
 	"net/http"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // MemberState is the state of an instance's Raft member, as raft.RaftState names it.
@@ -29,7 +31,7 @@
 // after a barrier, by which the leader has applied all that was committed before, and 503 at any
 // other instance.
 func (n *Node) serveStatus(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Query().Get("consistent") == "true" {
+	if r.URL.Query().Get(endpoint.QueryConsistent) == "true" {
 		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
 			http.Error(w, "not consistent: "+err.Error(), http.StatusServiceUnavailable)
 			return
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -25,13 +25,13 @@
 // parseWatchRequest parses the query parameters; those about settings only if one names a service.
 func parseWatchRequest(query url.Values) (watchRequest, error) {
 	var request watchRequest
-	version, versionErr := parseUint(query.Get("index"))
-	waitMs, waitErr := parseUint(query.Get("wait"))
+	version, versionErr := parseUint(query.Get(endpoint.QueryIndex))
+	waitMs, waitErr := parseUint(query.Get(endpoint.QueryWait))
 	if err := errors.Join(versionErr, waitErr); err != nil {
 		return request, err
 	}
 	request.version = version
-	request.full = !query.Has("index")
+	request.full = !query.Has(endpoint.QueryIndex)
 	request.wait = time.Duration(min(waitMs, uint64(maxWatchWait.Milliseconds()))) * time.Millisecond
 	request.service = query.Get(endpoint.QueryService)
 	if request.service == "" {
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -93,7 +93,7 @@
 // applyErrorStatus is the HTTP status for a write that was committed and that the state machine
 // rejected.
 func applyErrorStatus(err error) int {
-	var conflict versionConflict
+	var conflict versionConflictError
 	if errors.As(err, &conflict) {
 		return http.StatusPreconditionFailed
 	}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -38,6 +38,22 @@
 	Value   json.RawMessage `json:"value"`
 }
 
+// Query parameters of ListPath.
+const (
+	// QueryIndex is the list version from which on a watch wants changes; absent: a poll of the full list.
+	QueryIndex = "index"
+	// QueryWait is how long a watch waits for a change, in milliseconds.
+	QueryWait = "wait"
+)
+
+// Query parameters of the other paths.
+const (
+	// QueryConsistent requests the leader's status after all that was committed is applied, if it is "true".
+	QueryConsistent = "consistent"
+	// QueryVersion requests a stored version of a service's settings; absent: the newest.
+	QueryVersion = "version"
+)
+
 // Query parameters by which a watch requests settings and reports those that its agent has. Without
 // QueryService the discovery service ignores the others.
 const (
--- a/internal/endpoint/paths_test.go
+++ b/internal/endpoint/wire_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// TestPathsOnTheWire has each path as a literal: clients and instances of other versions use them.
-func TestPathsOnTheWire(t *testing.T) {
-	for _, path := range []struct{ got, want string }{
+// TestNamesOnTheWire has each path and query parameter as a literal: clients and instances of other versions
+// use them.
+func TestNamesOnTheWire(t *testing.T) {
+	for _, name := range []struct{ got, want string }{
 		{ListPath, "/api/targets"},
 		{StatusPath, "/v1/status"},
 		{ServerPattern, "/v1/servers/{id}"},
@@ -16,9 +17,18 @@
 		{SettingsHistoryPath("pay"), "/v1/settings/pay/history"},
 		{AgentReportsPattern, "/v1/settings/{service}/heard"},
 		{AgentReportsPath("pay"), "/v1/settings/pay/heard"},
+		{QueryIndex, "index"},
+		{QueryWait, "wait"},
+		{QueryConsistent, "consistent"},
+		{QueryVersion, "version"},
+		{QueryService, "service"},
+		{QueryAgent, "agent"},
+		{QueryInForce, "in_force"},
+		{QueryRejected, "refused"},
+		{QueryReason, "why"},
 	} {
-		if path.got != path.want {
-			t.Errorf("path %q, want %q", path.got, path.want)
+		if name.got != name.want {
+			t.Errorf("got %q, want %q", name.got, name.want)
 		}
 	}
 }
