--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -89,17 +89,20 @@
 // checkFile reads all pages of the database and returns an error if one is invalid.
 func checkFile(path string, size int64) error {
 	return catchPageFaults(func() error {
-		if err := viewDatabase(path, true, func(tx *bbolt.Tx) error { return checkSize(tx, size) }); err != nil {
+		// Opened read-only, bbolt does not load the list of free pages, which may be missing from a
+		// truncated file.
+		readOnly := &bbolt.Options{ReadOnly: true}
+		err := viewDatabase(path, readOnly, func(tx *bbolt.Tx) error { return checkSize(tx, size) })
+		if err != nil {
 			return err
 		}
-		return viewDatabase(path, false, checkPages)
+		return viewDatabase(path, &bbolt.Options{}, checkPages)
 	})
 }
 
-// viewDatabase opens the database and runs one read transaction. If it is opened read-only, bbolt
-// does not load the list of free pages, which may be missing from a truncated file.
-func viewDatabase(path string, readOnly bool, view func(*bbolt.Tx) error) error {
-	database, err := bbolt.Open(path, storeFileMode, &bbolt.Options{ReadOnly: readOnly})
+// viewDatabase opens the database and runs one read transaction.
+func viewDatabase(path string, options *bbolt.Options, view func(*bbolt.Tx) error) error {
+	database, err := bbolt.Open(path, storeFileMode, options)
 	if err != nil {
 		return err
 	}
