--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -23,7 +23,7 @@
 
 // Cases are run on one harness in this order: the first needs agents that have their files' settings.
 var Cases = []Case{
-	{"half refuse", (*Harness).halfReject},
+	{"half reject", (*Harness).halfReject},
 	{"leader killed in a burst", (*Harness).leaderKilled},
 	{"instance paused", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.pause) }},
 	{"instance cut off", func(h *Harness) (processtest.Metrics, error) { return h.instanceGone(h.cutOff) }},
@@ -37,11 +37,11 @@
 // far. The error tells what failed, or the rules that the history breaks.
 func (h *Harness) RunCase(c Case) error {
 	startedAt := time.Now()
-	history, metrics, err := h.runCase(c)
+	result, err := h.runCase(c)
 	if err != nil {
 		return fmt.Errorf("%s: %w\n%s", c.Name, err, h.timeline(startedAt))
 	}
-	delays := history.Delays(startedAt)
+	delays := result.history.Delays(startedAt)
 	h.cfg.Log("%s: %.1f s; in force after p50 %v, p99 %v, worst %v, of %d; %v",
 		c.Name,
 		time.Since(startedAt).Seconds(),
@@ -49,28 +49,34 @@
 		processtest.Quantile(delays, processtest.Percentile99),
 		processtest.Quantile(delays, processtest.Maximum),
 		len(delays),
-		metrics)
-	if violations := Check(history, h.cfg.Within); len(violations) > 0 {
+		result.metrics)
+	if violations := Check(result.history, h.cfg.Within); len(violations) > 0 {
 		err := &processtest.ViolationsError{Violations: violations, Timeline: h.timeline(startedAt)}
 		return fmt.Errorf("%s: %w", c.Name, err)
 	}
 	return nil
 }
 
-// runCase runs a case, waits until all that was changed is in force, and returns all that was seen so far.
-func (h *Harness) runCase(c Case) (*History, processtest.Metrics, error) {
+// caseResult is what a case measured, and all that was seen until its end.
+type caseResult struct {
+	metrics processtest.Metrics
+	history *History
+}
+
+// runCase runs a case, and waits until all that was changed is in force.
+func (h *Harness) runCase(c Case) (caseResult, error) {
 	metrics, err := c.run(h)
 	if err != nil {
-		return nil, metrics, err
+		return caseResult{}, err
 	}
 	if err := h.awaitLastChange(); err != nil {
-		return nil, metrics, err
+		return caseResult{}, err
 	}
 	history, err := h.History()
-	return history, metrics, err
+	return caseResult{metrics: metrics, history: history}, err
 }
 
-// timeline is what was done to the processes since a time.
+// timeline returns what was done to the processes since a time.
 func (h *Harness) timeline(since time.Time) string {
 	timeline := new(processtest.Timeline)
 	timeline.AddEvents(h.discovery, since)
--- a/internal/configtest/check.go
+++ b/internal/configtest/check.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// oldestVersion is the oldest of some stored versions.
+// oldestVersion returns the oldest of some stored versions.
 func oldestVersion(stored []StoredVersion) uint64 {
 	oldest := slices.MinFunc(stored, func(a, b StoredVersion) int { return cmp.Compare(a.Version, b.Version) })
 	return oldest.Version
--- a/internal/configtest/check_test.go
+++ b/internal/configtest/check_test.go
@@ -10,7 +10,7 @@
 // testWithin is the time that a change may take.
 const testWithin = 11 * time.Second
 
-// at is a time of the valid history, in seconds.
+// at returns a time of the valid history, in seconds.
 func at(seconds float64) time.Time {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return start.Add(time.Duration(seconds * float64(time.Second)))
--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -49,7 +49,7 @@
 	return h.callAdmin(instance, http.MethodGet, path, nil, out)
 }
 
-// leader is the instance that leads by its own status, of those that are not paused; "": none does.
+// leader returns the instance that leads by its own status, of those that are not paused; "": none does.
 func (h *Harness) leader() string {
 	h.mu.Lock()
 	paused := h.pausedInstance
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -77,12 +77,14 @@
 // fault injects a fault into an instance; end ends it.
 type fault func(instance string) (end func() error, err error)
 
+// setPaused sets the instance that is paused; "": none.
 func (h *Harness) setPaused(instance string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pausedInstance = instance
 }
 
+// pause is the fault that stops an instance by SIGSTOP.
 func (h *Harness) pause(instance string) (end func() error, err error) {
 	h.setPaused(instance)
 	resume := func() error {
@@ -92,11 +94,13 @@
 	return resume, h.discovery.Pause(instance)
 }
 
+// kill is the fault that ends an instance by SIGKILL.
 func (h *Harness) kill(instance string) (end func() error, err error) {
 	start := func() error { return h.discovery.Start(instance) }
 	return start, h.discovery.Kill(instance)
 }
 
+// cutOff is the fault that separates an instance from the other instances and the agents.
 func (h *Harness) cutOff(instance string) (end func() error, err error) {
 	h.discovery.Partition([]string{instance}, append(h.discovery.Others(instance), h.Agents...))
 	heal := func() error {
@@ -250,8 +254,8 @@
 	return nil
 }
 
-// peakCalls is the number of calls of the instances in the peakWindow with the most of them. Each call counted is a
-// connection of its own: after a failure no connection is kept.
+// peakCalls returns the number of calls of the instances in the peakWindow with the most of them. Each call counted is
+// a connection of its own: after a failure no connection is kept.
 func (h *Harness) peakCalls(from, to time.Time) (int, error) {
 	var calls []time.Time
 	for _, agent := range h.Agents {
@@ -270,7 +274,7 @@
 	return mostWithin(calls, peakWindow), nil
 }
 
-// mostWithin is the largest number of times that are within a window.
+// mostWithin returns the largest number of times that are within a window.
 func mostWithin(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// settings are settings that agents take. The marker of a change is its number of attempts: agents log that of
+// settings returns settings that agents take. The marker of a change is its number of attempts: agents log that of
 // settings that they have put in force.
 func settings(marker int) processtest.AgentSettings {
 	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
@@ -72,7 +72,8 @@
 	return number%every == 1
 }
 
-// settingsWithoutSlowStart are settings without a key that every second agent has in its file, which those reject.
+// settingsWithoutSlowStart returns settings without a key that every second agent has in its file: those agents
+// reject them.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
 	without.SlowStartMs = 0
@@ -178,7 +179,7 @@
 	h.discovery.Close()
 }
 
-// instanceFile is the path of an instance's configuration file.
+// instanceFile returns the path of an instance's configuration file.
 func (h *Harness) instanceFile(name string) string { return filepath.Join(h.cfg.Dir, name+".toml") }
 
 // writeInstanceConfig writes the configuration of an instance of the service.
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -53,7 +53,7 @@
 	return slices.ContainsFunc(p.Observations, func(o Observation) bool { return o.Rejected && o.Version == version })
 }
 
-// inForceAt is when the process put a version or a newer one in force, and whether it did.
+// inForceAt returns when the process put a version or a newer one in force, and whether it did.
 func (p *ProcessIncarnation) inForceAt(version uint64) (time.Time, bool) {
 	for _, o := range p.Observations {
 		if !o.Rejected && o.Version >= version {
@@ -73,7 +73,7 @@
 	Exemptions []processtest.Exemption
 }
 
-// lastWrite is the write of the newest version.
+// lastWrite returns the write of the newest version.
 func (h *History) lastWrite() Write {
 	return slices.MaxFunc(h.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
 }
@@ -85,7 +85,7 @@
 	})
 }
 
-// dueAt is when a process must know of a change; false where it need not, as it ended before.
+// dueAt returns when a process must know of a change; false where it need not, as it ended before.
 func (h *History) dueAt(w Write, p *ProcessIncarnation, within time.Duration) (time.Time, bool) {
 	from := w.firstKnownAt(p)
 	for _, e := range h.Exemptions {
@@ -97,7 +97,7 @@
 	return due, !w.AckedAt.IsZero() && (p.IsRunning() || p.End.After(due))
 }
 
-// firstKnownAt is when a process could first know of a change.
+// firstKnownAt returns when a process could first know of a change.
 func (w Write) firstKnownAt(p *ProcessIncarnation) time.Time {
 	if p.Start.After(w.AckedAt) {
 		return p.Start
@@ -105,7 +105,7 @@
 	return w.AckedAt
 }
 
-// Delays are the times from the acknowledgements since a time to in force, at each process that ran then, did not
+// Delays returns the times from the acknowledgements since a time to in force, at each process that ran then, did not
 // reject the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt
 // process the time counts from the end of its exemption.
 func (h *History) Delays(since time.Time) []time.Duration {
@@ -125,7 +125,7 @@
 	return delays
 }
 
-// observed is all that was seen and done so far, but for the service's own history.
+// observed returns all that was recorded so far, but for the service's own history.
 func (h *Harness) observed() (*History, error) {
 	history := &History{Writes: h.writes.All(), Exemptions: h.exemptions.All()}
 	for _, agent := range h.Agents {
@@ -138,7 +138,7 @@
 	return history, nil
 }
 
-// History is all that was seen and done so far.
+// History returns all that was recorded so far.
 func (h *Harness) History() (*History, error) {
 	history, err := h.observed()
 	if err != nil {
@@ -148,7 +148,7 @@
 	return history, err
 }
 
-// storedVersions is the service's history.
+// storedVersions returns the service's history.
 func (h *Harness) storedVersions() ([]StoredVersion, error) {
 	var versions []server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
@@ -168,7 +168,7 @@
 	return stored, nil
 }
 
-// storedMarker is the marker of a stored version.
+// storedMarker returns the marker of a stored version.
 func (h *Harness) storedMarker(version uint64) (int, error) {
 	var stored server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -75,7 +75,7 @@
 	return entry, nil
 }
 
-// observation is what a line says about settings, and whether it does.
+// observation returns what a line says about settings, and whether it does.
 func (e logEntry) observation() (Observation, bool) {
 	version, ok := e.numbers[numberVersion]
 	switch {
@@ -88,8 +88,8 @@
 	}
 }
 
-// incarnations are an agent's processes by its log, with the ends that the harness made. A process counts from when it
-// listens on, and until its successor listens: an agent that does not start again is due to know all changes.
+// incarnations returns an agent's processes by its log, with the ends that the harness made. A process counts from
+// when it listens on, and until its successor listens: an agent that does not start again is due to know all changes.
 func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
 	entries, err := h.readLog(agent)
 	if err != nil {
--- a/internal/configtest/reports.go
+++ b/internal/configtest/reports.go
@@ -15,7 +15,7 @@
 	instance string
 }
 
-// agentReports are the last reports of the agents, by their names.
+// agentReports returns the last reports of the agents, by their names.
 func (h *Harness) agentReports() map[string]agentReport {
 	reports := map[string]agentReport{}
 	for _, instance := range h.Instances {
@@ -38,9 +38,9 @@
 	agents   int
 }
 
-// busiestInstance is the follower that most agents use, or the leader where all use that: an agent uses the instance
-// that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The error
-// tells that not all agents have called within retryTimeout.
+// busiestInstance returns the follower that most agents use, or the leader where all use that: an agent uses the
+// instance that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The
+// error tells that not all agents have called within retryTimeout.
 func (h *Harness) busiestInstance() (instanceUse, error) {
 	agentsOf, err := h.awaitCalls()
 	leader := h.leader()
--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -28,8 +28,8 @@
 // agentFileMode is the mode of an agent's configuration file.
 const agentFileMode = 0o600
 
-// AgentEnv is the environment of agents whose configuration files are DIR/NAME.json. Without the other variables the
-// file alone counts; agents of one directory find their lock files in it.
+// AgentEnv returns the environment of agents whose configuration files are DIR/NAME.json. Without the other variables
+// the file alone counts; agents of one directory find their lock files in it.
 func AgentEnv(dir string) func(name string) []string {
 	return func(name string) []string {
 		return []string{
@@ -44,7 +44,7 @@
 	}
 }
 
-// agentFilePath is the path of a process's configuration file.
+// agentFilePath returns the path of a process's configuration file.
 func agentFilePath(dir, process string) string { return filepath.Join(dir, process+".json") }
 
 // AgentFile is an agent's configuration file, as far as tests use it. The keys are those of the agent.
@@ -68,7 +68,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// LimitsOf are the limits of an agent under test that has so many processor cores.
+// LimitsOf returns the limits of an agent under test that has so many processor cores.
 func LimitsOf(cores float64) AgentLimits {
 	return AgentLimits{Cores: cores, MemoryMB: agentMemoryMB, Sockets: agentSockets}
 }
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -6,7 +6,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"sync"
 	"time"
 )
@@ -49,35 +48,31 @@
 		return nil, errors.New("processtest: Binary, Dir and Names are all needed")
 	}
 	c := &Cluster{cfg: cfg, start: time.Now(), processes: map[string]*process{}, links: map[linkKey]*Link{}}
-	var reserved []net.Listener
+	var reserved reservation
 	var failure error
 	for _, name := range cfg.Names {
-		addrs, listeners, err := c.reserveAddrs(name)
-		reserved = append(reserved, listeners...)
+		addrs, err := reserved.draw(c.ip(name), cfg.Ports)
 		c.processes[name] = &process{addrs: addrs}
 		failure = errors.Join(failure, err)
 	}
-	for _, listener := range reserved { // all are open until the last is drawn, so that none is drawn twice
-		failure = errors.Join(failure, listener.Close())
-	}
-	if failure != nil {
-		return nil, failure
+	if err := errors.Join(failure, reserved.release()); err != nil {
+		return nil, err
 	}
 	return c, nil
 }
 
-// Names are the processes.
+// Names returns the processes.
 func (c *Cluster) Names() []string { return c.cfg.Names }
 
-// Addr is the address of a process's listener by its port name.
+// Addr returns the address of a process's listener by its port name.
 func (c *Cluster) Addr(name, port string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[name].addrs[port]
 }
 
-// Link is the proxy by which process from reaches to's listener port, made once and kept: its address is what from is
-// configured with.
+// Link returns the proxy between two processes, to a listener of the second by its port name. The first process is
+// configured with the proxy's address. Each proxy is made once.
 func (c *Cluster) Link(from, to, port string) (*Link, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/processtest/discovery.go
+++ b/internal/processtest/discovery.go
@@ -19,7 +19,7 @@
 // discoveryFileMode is the mode of an instance's configuration file.
 const discoveryFileMode = 0o600
 
-// DiscoveryPorts are the listeners of a discovery instance.
+// DiscoveryPorts returns the listeners of a discovery instance.
 func DiscoveryPorts() []string { return []string{RaftPort, HTTPPort, AdminPort} }
 
 // DiscoveryFile is the configuration file of a discovery instance that inherits its listeners, as far as tests use it.
@@ -46,8 +46,8 @@
 	Admin string `toml:"admin"`
 }
 
-// DiscoveryFile is the configuration of an instance of a cluster whose ports are DiscoveryPorts: the first instance
-// founds the service, and each reaches the others' Raft listeners by links. Its data is in DIR/NAME.
+// DiscoveryFile returns the configuration of an instance of a cluster whose ports are DiscoveryPorts: the first
+// instance founds the service, and each reaches the others' Raft listeners by links. Its data is in DIR/NAME.
 func (c *Cluster) DiscoveryFile(name string) (DiscoveryFile, error) {
 	file := c.DirectDiscoveryFile(name)
 	for i, peer := range file.Peers {
@@ -60,7 +60,7 @@
 	return file, nil
 }
 
-// DirectDiscoveryFile is DiscoveryFile without links: each instance reaches the others' Raft listeners directly.
+// DirectDiscoveryFile returns a DiscoveryFile without links: each instance reaches the others' Raft listeners directly.
 func (c *Cluster) DirectDiscoveryFile(name string) DiscoveryFile {
 	file := DiscoveryFile{
 		ID:        name,
--- a/internal/processtest/exemption.go
+++ b/internal/processtest/exemption.go
@@ -13,7 +13,7 @@
 	Applies func(observer, subject string) bool
 }
 
-// Observers is the condition of an exemption for some observers, whatever the subject.
+// Observers returns the condition of an exemption for some observers, whatever the subject.
 func Observers(names ...string) func(observer, subject string) bool {
 	names = slices.Clone(names)
 	return func(observer, _ string) bool { return slices.Contains(names, observer) }
--- a/internal/processtest/history.go
+++ b/internal/processtest/history.go
@@ -29,5 +29,5 @@
 	c.history.Add(Event{At: time.Since(c.start), Process: process, Action: action, Detail: detail})
 }
 
-// History is a copy of the events so far, in the order in which they were recorded.
+// History returns a copy of the events so far, in the order in which they were recorded.
 func (c *Cluster) History() []Event { return c.history.All() }
--- a/internal/processtest/incarnation.go
+++ b/internal/processtest/incarnation.go
@@ -21,7 +21,7 @@
 	return !i.End.IsZero() && i.End.Before(other.Start)
 }
 
-// Incarnations are the runs of a process so far, in order.
+// Incarnations returns the runs of a process so far, in order.
 func (c *Cluster) Incarnations(name string) []Incarnation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -42,10 +42,10 @@
 	return l, nil
 }
 
-// Addr is the proxy's address, host:port on loopback.
+// Addr returns the proxy's address, host:port on loopback.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Accepted are the times at which connections came, in order, those that were closed at once among them.
+// Accepted returns the times at which connections came, in order, those that were closed at once among them.
 func (l *Link) Accepted() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/processtest/listeners.go
+++ b/internal/processtest/listeners.go
@@ -10,23 +10,40 @@
 	"time"
 )
 
-// reserveAddrs draws the addresses of a process's listeners, by port name, and listens on them until the listeners
-// are closed. Each start listens on them anew.
-func (c *Cluster) reserveAddrs(name string) (addrs map[string]string, listeners []net.Listener, err error) {
-	ip := drawIP()
-	if c.cfg.IP != nil {
-		ip = net.ParseIP(c.cfg.IP(name))
+// reservation has the listeners that reserve addresses until it is released: so none of them is drawn twice.
+type reservation struct {
+	listeners []net.Listener
+}
+
+// release closes the listeners. Each start of a process listens on its addresses anew.
+func (r *reservation) release() error {
+	var failure error
+	for _, listener := range r.listeners {
+		failure = errors.Join(failure, listener.Close())
 	}
-	addrs = map[string]string{}
-	for _, port := range c.cfg.Ports {
+	return failure
+}
+
+// draw draws the addresses of a process's listeners, by port name, and reserves them.
+func (r *reservation) draw(ip net.IP, ports []string) (map[string]string, error) {
+	addrs := map[string]string{}
+	for _, port := range ports {
 		listener, err := listenOnFreePort(ip)
 		if err != nil {
-			return addrs, listeners, err
+			return addrs, err
 		}
-		listeners = append(listeners, listener)
+		r.listeners = append(r.listeners, listener)
 		addrs[port] = listener.Addr().String()
 	}
-	return addrs, listeners, nil
+	return addrs, nil
+}
+
+// ip returns the address of a process's listeners.
+func (c *Cluster) ip(name string) net.IP {
+	if c.cfg.IP == nil {
+		return drawIP()
+	}
+	return net.ParseIP(c.cfg.IP(name))
 }
 
 // firstPort and endPort bound the ports of processes, below those that the system gives out by itself (from 32768 on):
--- a/internal/processtest/metrics.go
+++ b/internal/processtest/metrics.go
@@ -12,7 +12,7 @@
 	Maximum      = 1.0
 )
 
-// Quantile is a quantile (0 to 1) of values in order; 0 of none.
+// Quantile returns a quantile (0 to 1) of values in order; 0 of none.
 func Quantile[T time.Duration | float64](sorted []T, q float64) T {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// command is the command of a process, without its files.
+// command returns the command of a process, without its files.
 func (c *Cluster) command(name string) *exec.Cmd {
 	cmd := exec.Command(c.cfg.Binary) //nolint:noctx // the process outlives this call; Kill, Term and Close end it
 	if c.cfg.Args != nil {
@@ -113,7 +113,7 @@
 	return cmd
 }
 
-// running is a process's execution; nil: it does not run.
+// running returns a process's execution; nil: it does not run.
 func (c *Cluster) running(name string) *execution {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,7 @@
 // Running tells whether a process runs (a paused one does).
 func (c *Cluster) Running(name string) bool { return c.running(name) != nil }
 
-// FirstRunning is the first running process, in the order of the names, that fulfils a condition; "": none does.
+// FirstRunning returns the first running process, in the order of the names, that fulfils a condition; "": none does.
 func (c *Cluster) FirstRunning(condition func(name string) bool) string {
 	for _, name := range c.cfg.Names {
 		if c.Running(name) && condition(name) {
@@ -137,12 +137,12 @@
 	return ""
 }
 
-// Others are the processes but one.
+// Others returns the processes but one.
 func (c *Cluster) Others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.cfg.Names), func(other string) bool { return other == name })
 }
 
-// Pid is a running process's id, or 0.
+// Pid returns a running process's id, or 0.
 func (c *Cluster) Pid(name string) int {
 	if current := c.running(name); current != nil {
 		return current.cmd.Process.Pid
@@ -159,7 +159,7 @@
 
 // end records the end of a process, sends it a signal and waits until it has ended.
 func (c *Cluster) end(name string, signal syscall.Signal, action Action) error {
-	c.recordEnd(name, signal == syscall.SIGTERM)
+	c.recordEnd(name, signal)
 	current := c.running(name)
 	if current == nil {
 		return nil
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// recordEnd records the end of a process's incarnation, unless it is recorded already.
-func (c *Cluster) recordEnd(name string, graceful bool) {
+// recordEnd records the end of a process's incarnation by a signal, unless it is recorded already.
+func (c *Cluster) recordEnd(name string, signal syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.processes[name]
@@ -183,7 +183,7 @@
 	current := &p.incarnations[len(p.incarnations)-1]
 	if current.IsRunning() {
 		current.End = time.Now()
-		current.Graceful = graceful
+		current.Graceful = signal == syscall.SIGTERM
 	}
 }
 
--- a/internal/processtest/records.go
+++ b/internal/processtest/records.go
@@ -19,7 +19,7 @@
 	r.list = append(r.list, record)
 }
 
-// All is a copy of the records so far.
+// All returns a copy of the records so far.
 func (r *Records[T]) All() []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/processtest/timeline.go
+++ b/internal/processtest/timeline.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// String has the last entries in the order of time, one a line.
+// String returns the last entries in the order of time, one a line.
 func (t *Timeline) String() string {
 	entries := slices.SortedStableFunc(slices.Values(t.entries), func(a, b timelineEntry) int {
 		return a.at.Compare(b.at)
@@ -55,5 +55,5 @@
 	return text.String()
 }
 
-// FormatTime is a time in a report: the seconds of its minute.
+// FormatTime formats a time for a report: the seconds of its minute.
 func FormatTime(at time.Time) string { return at.Format("05.000000") }
--- a/internal/processtest/usage.go
+++ b/internal/processtest/usage.go
@@ -67,7 +67,7 @@
 	}, nil
 }
 
-// FreeMB is this machine's available memory in MB (proc(5), meminfo); 0 if it can't be read.
+// FreeMB returns this machine's available memory in MB (proc(5), meminfo); 0 if it can't be read.
 func FreeMB() int {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/processtest/violation.go
+++ b/internal/processtest/violation.go
@@ -18,6 +18,7 @@
 	Text    string // how the rule is broken
 }
 
+// String returns the rule and how it is broken.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Text }
 
 // ViolationsError tells that the history of a case breaks rules.
@@ -26,6 +27,7 @@
 	Timeline   string // what led to the first of them
 }
 
+// Error returns the first violations, one a line, and the timeline.
 func (e *ViolationsError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d violations, the first:", len(e.Violations))
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -131,7 +131,7 @@
 }
 
 // errRejected is returned for a write that no retry can make succeed.
-var errRejected = errors.New("refused")
+var errRejected = errors.New("rejected")
 
 // putServer sets a server's entry and returns the version of the change.
 func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Endpoint) (uint64, error) {
