--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -204,7 +204,8 @@
 // TestPageOfArbitraryRuns: for arbitrary runs, with any of the metrics missing, the page has no defect.
 func TestPageOfArbitraryRuns(t *testing.T) {
 	names := []MetricKey{
-		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB, ViewBytes, ListBytes,
+		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB,
+		MembershipBytes, DiscoveryBytes,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		var runs []*Run
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -21,7 +21,7 @@
 	RateFactor         float64 `json:"hurry"`   // rate of changes and restarts divided by the target's, scaled to Size
 	Seconds            float64 `json:"seconds"` // measured
 	Changes            int     `json:"changes"` // acknowledged within Seconds
-	// Converged says that at the end all agents had the last change and the same membership view.
+	// Converged says that at the end all agents had the last change and the same membership snapshot.
 	Converged bool                 `json:"settled"`
 	Roles     map[Role]RoleMetrics `json:"roles"`
 	// InForce has, by kind of change, the time from the acknowledgement of a change
@@ -66,20 +66,20 @@
 // The metrics of a role. Traffic is bytes and messages of control on its sockets (membership packets
 // and streams, calls to discovery, Raft), without headers below TCP and UDP.
 const (
-	CPU         MetricKey = "cpu"           // fraction of one core
-	ResidentMB  MetricKey = "resident_mb"   // of the process, divided by the agents in it
-	HeapMB      MetricKey = "heap_mb"       // live after a collection, divided by the agents in the process
-	AllocKBps   MetricKey = "alloc_kb_s"    // KB allocated a second
-	BytesIn     MetricKey = "bytes_in_s"    // a second
-	BytesOut    MetricKey = "bytes_out_s"   // a second
-	MessagesIn  MetricKey = "messages_in_s" // a second
-	MessagesOut MetricKey = "messages_out_s"
-	ViewBytes   MetricKey = "view_bytes_s"      // of these, membership's, in both directions
-	ListBytes   MetricKey = "discovery_bytes_s" // of these, calls to discovery, in both directions
-	Descriptors MetricKey = "descriptors"       // open file descriptors
-	Goroutines  MetricKey = "goroutines"
-	Members     MetricKey = "members" // entries of the membership view
-	Servers     MetricKey = "servers" // entries of the endpoint list
+	CPU             MetricKey = "cpu"           // fraction of one core
+	ResidentMB      MetricKey = "resident_mb"   // of the process, divided by the agents in it
+	HeapMB          MetricKey = "heap_mb"       // live after a collection, divided by the agents in the process
+	AllocKBps       MetricKey = "alloc_kb_s"    // KB allocated a second
+	BytesIn         MetricKey = "bytes_in_s"    // a second
+	BytesOut        MetricKey = "bytes_out_s"   // a second
+	MessagesIn      MetricKey = "messages_in_s" // a second
+	MessagesOut     MetricKey = "messages_out_s"
+	MembershipBytes MetricKey = "view_bytes_s"      // of these, membership's, in both directions
+	DiscoveryBytes  MetricKey = "discovery_bytes_s" // of these, calls to discovery, in both directions
+	Descriptors     MetricKey = "descriptors"       // open file descriptors
+	Goroutines      MetricKey = "goroutines"
+	Members         MetricKey = "members" // members in the membership snapshot
+	Servers         MetricKey = "servers" // entries of the endpoint list
 )
 
 // Latencies summarizes durations in ms, from an HDR histogram.
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -56,7 +56,7 @@
 const dailyTable = "day"
 
 // checkNumbers checks all keys, which are numbers in tables: each has to be there and above zero, or
-// not below zero in dayTable.
+// not below zero in dailyTable.
 func (t *Target) checkNumbers(defined func(...string) bool) error {
 	tables := reflect.ValueOf(t).Elem()
 	for i := range tables.NumField() {
--- a/internal/scaletest/convergence.go
+++ b/internal/scaletest/convergence.go
@@ -10,32 +10,79 @@
 )
 
 const (
-	// convergenceTimeout is how long a fleet may take to have one membership view and the last list.
+	// convergenceTimeout is how long a fleet may take to have one membership snapshot and the last list.
 	convergenceTimeout = 60 * time.Second
 	// convergencePollInterval is the pause between two observations, each of which has the hosts collect
 	// their garbage.
 	convergencePollInterval = time.Second
 )
 
-// observation is what a member reports of its membership view and the versions in force.
+// observation is what a member reports of its membership snapshot and the versions in force.
 type observation struct {
 	digest          string
-	settled         bool
+	settled         bool // the snapshot has not changed for its settle time
 	listVersion     uint64
 	settingsVersion uint64
 }
 
-// awaitConvergence waits until all members that run have the last list, their last settings and the
-// same membership view, and with settled also that no view has changed for its settle time. problem says
-// which members have not after convergenceTimeout; it is empty if the fleet has converged.
-func (f *fleet) awaitConvergence(ctx context.Context, settled bool) (problem string, err error) {
+// fleetState has the numbers of the members that run, by what they report.
+type fleetState struct {
+	running     int
+	silent      string         // a member that does not report; "": all do
+	byDigest    map[string]int // by the digest of their membership snapshots
+	oldList     int            // without the last list
+	oldSettings int            // without their last settings
+	unsettled   int            // whose snapshots still change
+}
+
+// divergence describes how the members differ from each other or lack what is last; it is empty if the fleet has
+// converged.
+func (s *fleetState) divergence() string {
+	switch {
+	case s.silent != "":
+		return s.silent + " does not report its view"
+	case len(s.byDigest) > 1:
+		return fmt.Sprintf("%d of %d agents do not see the fleet that most see",
+			s.running-largest(s.byDigest), s.running)
+	case s.oldList > 0:
+		return fmt.Sprintf("%d of %d agents do not have the last list", s.oldList, s.running)
+	case s.oldSettings > 0:
+		return fmt.Sprintf("%d of %d agents do not have their last settings", s.oldSettings, s.running)
+	}
+	return ""
+}
+
+// divergenceOrChange is divergence, or else describes which members' snapshots still change.
+func (s *fleetState) divergenceOrChange() string {
+	problem := s.divergence()
+	if problem == "" && s.unsettled > 0 {
+		return fmt.Sprintf("the views of %d of %d agents still change", s.unsettled, s.running)
+	}
+	return problem
+}
+
+// awaitConvergence waits until all members that run have the last list, their last settings and the same membership
+// snapshot. problem says which members have not after convergenceTimeout; it is empty if the fleet has converged.
+func (f *fleet) awaitConvergence(ctx context.Context) (problem string, err error) {
+	return f.awaitState(ctx, (*fleetState).divergence)
+}
+
+// awaitSettled is awaitConvergence, and waits until no member's snapshot has changed for its settle time.
+func (f *fleet) awaitSettled(ctx context.Context) (problem string, err error) {
+	return f.awaitState(ctx, (*fleetState).divergenceOrChange)
+}
+
+// awaitState waits until describe finds no problem in the fleet's state, and returns the one that it finds after
+// convergenceTimeout.
+func (f *fleet) awaitState(ctx context.Context, describe func(*fleetState) string) (problem string, err error) {
 	deadline := time.Now().Add(convergenceTimeout)
 	for {
-		problem, err = f.divergence(ctx, settled)
-		if err != nil || problem == "" {
-			return problem, err
+		state, err := f.state(ctx)
+		if err != nil {
+			return "", err
 		}
-		if time.Now().After(deadline) {
+		problem := describe(state)
+		if problem == "" || time.Now().After(deadline) {
 			return problem, nil
 		}
 		select {
@@ -46,45 +93,32 @@
 	}
 }
 
-// divergence describes how the members that run differ; it is empty if they don't.
-func (f *fleet) divergence(ctx context.Context, settled bool) (string, error) {
+// state observes all members that run.
+func (f *fleet) state(ctx context.Context) (*fleetState, error) {
 	observations, err := f.observe(ctx)
 	if err != nil {
-		return "", err
+		return nil, err
 	}
 	running := f.runningMembers()
-	views := map[string]int{} // members by digest
-	oldList := 0
-	oldSettings := 0
-	unsettled := 0
+	state := &fleetState{running: len(running), byDigest: map[string]int{}}
 	for _, m := range running {
 		o, ok := observations[m.name]
 		if !ok {
-			return m.name + " does not report its view", nil
+			state.silent = m.name
+			return state, nil
 		}
-		views[o.digest]++
+		state.byDigest[o.digest]++
 		if o.listVersion < f.trackers[kindList].latestVersion(m.name) {
-			oldList++
+			state.oldList++
 		}
 		if o.settingsVersion < f.trackers[kindSettings].latestVersion(m.name) {
-			oldSettings++
+			state.oldSettings++
 		}
 		if !o.settled {
-			unsettled++
+			state.unsettled++
 		}
 	}
-	switch {
-	case len(views) > 1:
-		return fmt.Sprintf("%d of %d agents do not see the fleet that most see",
-			len(running)-largest(views), len(running)), nil
-	case oldList > 0:
-		return fmt.Sprintf("%d of %d agents do not have the last list", oldList, len(running)), nil
-	case oldSettings > 0:
-		return fmt.Sprintf("%d of %d agents do not have their last settings", oldSettings, len(running)), nil
-	case settled && unsettled > 0:
-		return fmt.Sprintf("the views of %d of %d agents still change", unsettled, len(running)), nil
-	}
-	return "", nil
+	return state, nil
 }
 
 // largest is the largest of some counts.
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -143,7 +143,7 @@
 func hollowDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
 	t.Helper()
 	host := startHostClient(t)
-	host.command("start", "a1", config)
+	host.command(commandStart, "a1", config)
 	byCalls := map[uint64]discoveryBytes{}
 	host.awaitReport(fmt.Sprintf("%d calls", comparedCalls), func(r *HostReport) bool {
 		a := r.Agents["a1"]
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -63,7 +63,7 @@
 }
 
 // command sends a command; config may be nil.
-func (h *hostClient) command(do, name string, config any) {
+func (h *hostClient) command(do commandName, name string, config any) {
 	h.t.Helper()
 	command := HostCommand{Command: do, Agent: name}
 	if config != nil {
@@ -130,7 +130,7 @@
 func (h *hostClient) report() *HostReport {
 	h.t.Helper()
 	since := h.count()
-	h.command("report", "", nil)
+	h.command(commandReport, "", nil)
 	event, _ := h.await(since, "report", func(event *HostEvent) bool { return event.Report != nil })
 	return event.Report
 }
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -23,7 +23,7 @@
 
 	mu      sync.Mutex
 	stdin   io.WriteCloser
-	waiters map[string]chan error // by the event waited for (see startedEvent, endedEvent)
+	waiters map[agentEvent]chan error // by the event waited for
 	reports chan *HostReport
 	err     error // the first error that the host reported, or how its events ended
 
@@ -44,9 +44,26 @@
 	maxReportAge = 200 * time.Millisecond
 )
 
-// startedEvent and endedEvent identify the events that commands wait for.
-func startedEvent(agent string) string { return "started " + agent }
-func endedEvent(agent string) string   { return "ended " + agent }
+// agentEvent identifies an event that a command waits for.
+type agentEvent struct {
+	kind  agentEventKind
+	agent string
+}
+
+// agentEventKind is what has happened to an agent.
+type agentEventKind string
+
+// The kinds of events that commands wait for.
+const (
+	agentStarted agentEventKind = "started"
+	agentEnded   agentEventKind = "ended"
+)
+
+func startedEvent(agent string) agentEvent { return agentEvent{agentStarted, agent} }
+func endedEvent(agent string) agentEvent   { return agentEvent{agentEnded, agent} }
+
+// String names the event in errors.
+func (e agentEvent) String() string { return string(e.kind) + " " + e.agent }
 
 // startHost starts a host process, with its log in a directory. It runs until close, beyond the end of the context.
 func startHost(ctx context.Context, command []string, name, directory string, trackers trackers) (*hostProcess, error) {
@@ -60,7 +77,7 @@
 		cmd:      exec.CommandContext(context.WithoutCancel(ctx), command[0], command[1:]...),
 		done:     make(chan struct{}),
 		trackers: trackers,
-		waiters:  map[string]chan error{},
+		waiters:  map[agentEvent]chan error{},
 		reports:  make(chan *HostReport, 1),
 	}
 	h.cmd.Stderr = log
@@ -148,7 +165,7 @@
 }
 
 // resolve ends the wait for an event, and reports whether there was one.
-func (h *hostProcess) resolve(event string, err error) bool {
+func (h *hostProcess) resolve(event agentEvent, err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	waiter := h.waiters[event]
@@ -161,7 +178,7 @@
 }
 
 // command sends a command and waits for an event.
-func (h *hostProcess) command(ctx context.Context, c HostCommand, event string) error {
+func (h *hostProcess) command(ctx context.Context, c HostCommand, event agentEvent) error {
 	waiter := make(chan error, 1)
 	h.mu.Lock()
 	h.waiters[event] = waiter
--- a/internal/scaletest/hostreport.go
+++ b/internal/scaletest/hostreport.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/membership"
 )
 
 const bytesPerMB = 1 << 20
@@ -23,7 +24,7 @@
 	return nil
 }
 
-// Log makes a report. What the report itself takes, above all its garbage collection, is left out of
+// report makes a report. What the report itself takes, above all its garbage collection, is left out of
 // the processor time, with what the agents do meanwhile; that is little if reports are rare.
 func (h *hostServer) report() (*HostReport, error) {
 	before, err := processorTime()
@@ -63,6 +64,7 @@
 	return reports
 }
 
+// agentReport is the report of an agent by its status.
 func agentReport(s agent.Status) AgentReport {
 	r := AgentReport{
 		ListIn:          s.ListIn,
@@ -72,21 +74,31 @@
 		ListVersion:     s.ListVersion,
 		SettingsVersion: s.SettingsVersion,
 	}
-	view := s.Membership
-	if view == nil {
+	if s.Membership == nil {
 		return r
 	}
-	traffic := view.Traffic
-	r.ViewIn = traffic["bytes_in"] + traffic["stream_bytes_in"]
-	r.ViewOut = traffic["bytes_out"] + traffic["stream_bytes_out"]
-	r.ViewMsgIn = traffic["packets_in"] + traffic["streams"] - traffic["streams_out"]
-	r.ViewMsgOut = traffic["packets_out"] + traffic["streams_out"]
-	r.Members = len(view.Members)
-	r.Digest = view.Digest
-	r.Settled = view.Settled
+	traffic := s.Membership.Traffic
+	r.MembershipIn = membershipBytesIn(traffic)
+	r.MembershipOut = membershipBytesOut(traffic)
+	r.MembershipMessagesIn =
+		traffic[membership.PacketsIn] + traffic[membership.Streams] - traffic[membership.StreamsOut]
+	r.MembershipMessagesOut = traffic[membership.PacketsOut] + traffic[membership.StreamsOut]
+	r.Members = len(s.Membership.Members)
+	r.Digest = s.Membership.Digest
+	r.Settled = s.Membership.Settled
 	return r
 }
 
+// membershipBytesIn are the bytes that an agent's membership received.
+func membershipBytesIn(traffic membership.Traffic) uint64 {
+	return traffic[membership.BytesIn] + traffic[membership.StreamBytesIn]
+}
+
+// membershipBytesOut are the bytes that an agent's membership sent.
+func membershipBytesOut(traffic membership.Traffic) uint64 {
+	return traffic[membership.BytesOut] + traffic[membership.StreamBytesOut]
+}
+
 // processorTime is the user and system time of this process.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -95,7 +95,7 @@
 	return lines
 }
 
-// Serve executes commands until they or ctx end.
+// serve executes commands until they or ctx end.
 func (h *hostServer) serve(ctx context.Context, lines <-chan []byte) {
 	for {
 		select {
@@ -168,26 +168,15 @@
 	return handler(c, a)
 }
 
-// start runs an agent. Its calls to discovery come from the address of its membership, or else from the
-// one where it would take clients.
+// start starts an agent.
 func (h *hostServer) start(c *HostCommand, _ *hollowAgent) error {
-	cfg, err := config.Parse(c.Config)
+	cfg, err := h.agentConfig(c)
 	if err != nil {
 		return err
 	}
-	name := c.Agent
-	cfg.CallFrom = callAddress(cfg)
-	cfg.Log = h.log.With("agent", name)
-	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
-	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
-	var listeners agent.Listeners
-	var listenConfig net.ListenConfig
-	if cfg.AdminAddr != "" {
-		listeners.Admin, err = listenConfig.Listen(context.Background(), "tcp", cfg.AdminAddr)
-		if err != nil {
-			h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
-			return nil
-		}
+	listeners, ok := h.listen(c.Agent, cfg)
+	if !ok {
+		return nil
 	}
 	a := &hollowAgent{reloads: make(chan *config.Config), config: cfg}
 	a.agent, err = agent.New(cfg, listeners)
@@ -197,6 +186,43 @@
 		}
 		return err
 	}
+	h.spawn(c.Agent, a)
+	return nil
+}
+
+// agentConfig is the configuration of the agent that a command starts. Its calls to discovery come from the address of
+// its membership, or else from the one where it would take clients.
+func (h *hostServer) agentConfig(c *HostCommand) (*config.Config, error) {
+	cfg, err := config.Parse(c.Config)
+	if err != nil {
+		return nil, err
+	}
+	name := c.Agent
+	cfg.CallFrom = callAddress(cfg)
+	cfg.Log = h.log.With("agent", name)
+	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
+	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
+	return cfg, nil
+}
+
+// listen opens the listeners of an agent: it has no clients, and an admin endpoint where one is configured. It returns
+// false where the address can't be had: the command is valid, so this is written as the agent's end.
+func (h *hostServer) listen(name string, cfg *config.Config) (listeners agent.Listeners, ok bool) {
+	if cfg.AdminAddr == "" {
+		return listeners, true
+	}
+	var err error
+	var listenConfig net.ListenConfig
+	listeners.Admin, err = listenConfig.Listen(context.Background(), "tcp", cfg.AdminAddr)
+	if err != nil {
+		h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
+		return listeners, false
+	}
+	return listeners, true
+}
+
+// spawn runs an agent in the background.
+func (h *hostServer) spawn(name string, a *hollowAgent) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
 	a.ended = ctx.Done()
@@ -209,7 +235,6 @@
 		defer h.runs.Done()
 		h.run(ctx, name, a)
 	}()
-	return nil
 }
 
 // callAddress is the address that an agent's calls to discovery come from; nil: the system selects it.
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -21,7 +21,7 @@
 	configs := newConfigurations(t, discovery.addr, n)
 	host := startHostClient(t)
 	for i := range n {
-		host.command("start", fmt.Sprintf("a%d", i), configs.config(i))
+		host.command(commandStart, fmt.Sprintf("a%d", i), configs.config(i))
 	}
 	inForce := func(kind capacity.ChangeKind, version uint64) {
 		t.Helper()
@@ -41,7 +41,7 @@
 	}
 	inForce(kindList, 1)
 	inForce(kindList, discovery.addServer())
-	r := host.awaitReport("one view", func(r *HostReport) bool {
+	r := host.awaitReport("one snapshot", func(r *HostReport) bool {
 		digests := map[string]bool{}
 		for _, a := range r.Agents {
 			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
@@ -51,8 +51,9 @@
 		return len(r.Agents) == n && len(digests) == 1
 	})
 	for name, a := range r.Agents {
-		noView := a.ViewIn == 0 || a.ViewOut == 0 || a.ViewMsgIn == 0 || a.ViewMsgOut == 0
-		if noView || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
+		noBytes := a.MembershipIn == 0 || a.MembershipOut == 0
+		noMessages := a.MembershipMessagesIn == 0 || a.MembershipMessagesOut == 0
+		if noBytes || noMessages || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
 			t.Errorf("%s counted %+v", name, a)
 		}
 	}
@@ -68,7 +69,7 @@
 	}
 	discovery.mu.Unlock()
 	for i := range n {
-		host.command("reload", fmt.Sprintf("a%d", i), configs.configWith(i, 2))
+		host.command(commandReload, fmt.Sprintf("a%d", i), configs.configWith(i, 2))
 	}
 	inForce(kindSettings, 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
@@ -81,7 +82,7 @@
 	configs := newConfigurations(t, discovery.addr, 4)
 	host := startHostClient(t)
 	for i := range 4 {
-		host.command("start", fmt.Sprintf("a%d", i), configs.config(i))
+		host.command(commandStart, fmt.Sprintf("a%d", i), configs.config(i))
 	}
 	host.awaitReport("four members", func(r *HostReport) bool {
 		for _, a := range r.Agents {
@@ -91,8 +92,8 @@
 		}
 		return len(r.Agents) == 4
 	})
-	host.command("kill", "a2", nil)
-	host.command("stop", "a3", nil)
+	host.command(commandKill, "a2", nil)
+	host.command(commandStop, "a3", nil)
 	for _, name := range []string{"a2", "a3"} {
 		if event := host.ended(name); event.Err != "" {
 			t.Errorf("%s ended: %s", name, event.Err)
@@ -179,13 +180,13 @@
 	configs := newConfigurations(t, discovery.addr, 8)
 	host := startHostClient(t)
 	// What the first agent opens for the whole process is part of the level before.
-	host.command("start", "a0", configs.config(0))
+	host.command(commandStart, "a0", configs.config(0))
 	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
 	before := awaitStableResources(t)
 	for round := range 20 {
 		since := host.count()
 		name := fmt.Sprintf("b%d", round)
-		host.command("start", name, configs.config(1))
+		host.command(commandStart, name, configs.config(1))
 		if round%4 > 0 {
 			host.await(since, "list in force", func(event *HostEvent) bool {
 				return event.InForce != nil && event.InForce.Agent == name
@@ -193,12 +194,12 @@
 		}
 		switch round % 4 {
 		case 1:
-			host.command("stop", name, nil)
+			host.command(commandStop, name, nil)
 		case 2:
-			host.command("stop", name, nil)
+			host.command(commandStop, name, nil)
 			fallthrough
 		default:
-			host.command("kill", name, nil)
+			host.command(commandKill, name, nil)
 		}
 		if event := host.ended(name); event.Err != "" {
 			t.Fatalf("%s ended: %s", name, event.Err)
@@ -220,7 +221,7 @@
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 2)
 	host := startHostClient(t)
-	host.command("start", "a0", configs.config(0))
+	host.command(commandStart, "a0", configs.config(0))
 	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
 	bad := configs.config(1)
 	bad.Seed = "none"
@@ -260,7 +261,7 @@
 	// An address in use is no invalid command: the agent ends.
 	taken := configs.config(1)
 	taken.AdminAddress = configs.adminAddress(0)
-	host.command("start", "a1", taken)
+	host.command(commandStart, "a1", taken)
 	if event := host.ended("a1"); !strings.Contains(event.Err, "address already in use") {
 		t.Errorf("event %+v", event)
 	}
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -58,14 +58,19 @@
 
 // terminateMember ends a member that runs gracefully, as SIGTERM does.
 func (f *fleet) terminateMember(ctx context.Context, m *member) error {
-	return f.endMember(ctx, m, true)
+	return f.endMember(ctx, m, commandStop, f.realAgents.Term)
 }
 
 // killMember ends a member that runs at once, as SIGKILL does.
-func (f *fleet) killMember(ctx context.Context, m *member) error { return f.endMember(ctx, m, false) }
+func (f *fleet) killMember(ctx context.Context, m *member) error {
+	return f.endMember(ctx, m, commandKill, f.realAgents.Kill)
+}
 
-// endMember ends a member that runs. What comes into force there from then on does not count.
-func (f *fleet) endMember(ctx context.Context, m *member, graceful bool) error {
+// endMember ends a member that runs: a hollow one by a command, a real one by a signal, which endProcess sends. What
+// comes into force there from then on does not count.
+func (f *fleet) endMember(
+	ctx context.Context, m *member, command commandName, endProcess func(name string) error,
+) error {
 	if err := f.carryOver(ctx, m); err != nil {
 		return fmt.Errorf("before its end: %w", err)
 	}
@@ -73,16 +78,10 @@
 	f.mu.Lock()
 	m.running = false
 	f.mu.Unlock()
-	switch {
-	case m.hollow() && graceful:
-		return m.host.command(ctx, HostCommand{Command: commandStop, Agent: m.name}, endedEvent(m.name))
-	case m.hollow():
-		return m.host.command(ctx, HostCommand{Command: commandKill, Agent: m.name}, endedEvent(m.name))
-	case graceful:
-		return errors.Join(f.realAgents.Term(m.name), f.realAgents.finishLog(m.name))
-	default:
-		return errors.Join(f.realAgents.Kill(m.name), f.realAgents.finishLog(m.name))
+	if m.hollow() {
+		return m.host.command(ctx, HostCommand{Command: command, Agent: m.name}, endedEvent(m.name))
 	}
+	return errors.Join(endProcess(m.name), f.realAgents.finishLog(m.name))
 }
 
 // restartMember ends a member gracefully and starts it again.
--- a/internal/scaletest/memberconfig.go
+++ b/internal/scaletest/memberconfig.go
@@ -25,7 +25,7 @@
 // minHollowAgents of these are the seeds of membership.
 func (f *fleet) createMembers(hollow int) error {
 	var seeds []string
-	var views []membership.Config
+	var configs []membership.Config
 	for i := range f.size {
 		zone := i % len(zoneNames)
 		m := &member{
@@ -37,20 +37,20 @@
 		if i < hollow {
 			m.host = f.hosts[i%len(f.hosts)]
 		}
-		view, err := f.membershipConfig(m)
+		c, err := f.membershipConfig(m)
 		if err != nil {
 			return err
 		}
 		if i < minHollowAgents {
-			seeds = append(seeds, view.Advertise)
+			seeds = append(seeds, c.Advertise)
 		}
 		f.members = append(f.members, m)
-		views = append(views, view)
+		configs = append(configs, c)
 	}
 	f.assignServices()
 	for i, m := range f.members {
-		views[i].Seeds = seeds
-		if err := f.configure(m, views[i]); err != nil {
+		configs[i].Seeds = seeds
+		if err := f.configure(m, configs[i]); err != nil {
 			return err
 		}
 	}
@@ -60,7 +60,7 @@
 // membershipConfig is a member's membership without its seeds. With a packet relay, the member has the
 // address that the relay gives it.
 func (f *fleet) membershipConfig(m *member) (membership.Config, error) {
-	view := membership.Config{
+	c := membership.Config{
 		Bind:      m.address(membershipPort),
 		Advertise: m.address(membershipPort),
 		Site:      "scale",
@@ -68,15 +68,15 @@
 		Networks:  []string{"127.0.0.0/8"},
 	}
 	if f.packetRelay == nil {
-		return view, nil
+		return c, nil
 	}
 	addresses, err := f.packetRelay.AddProcess(m.name)
 	if err != nil {
-		return view, err
+		return c, err
 	}
-	view.Bind, view.Advertise = addresses.Bind, addresses.Advertise
-	m.ip, _, err = net.SplitHostPort(view.Bind)
-	return view, err
+	c.Bind, c.Advertise = addresses.Bind, addresses.Advertise
+	m.ip, _, err = net.SplitHostPort(c.Bind)
+	return c, err
 }
 
 // deployment is the scenario whose settings the agents have.
@@ -101,9 +101,9 @@
 }
 
 // configure makes a member's configuration, and for a real agent its file.
-func (f *fleet) configure(m *member, view membership.Config) error {
+func (f *fleet) configure(m *member, c membership.Config) error {
 	var err error
-	m.config, err = json.Marshal(f.agentConfig(m, view))
+	m.config, err = json.Marshal(f.agentConfig(m, c))
 	if err != nil || m.hollow() {
 		return err
 	}
@@ -111,7 +111,7 @@
 }
 
 // agentConfig is a member's configuration.
-func (f *fleet) agentConfig(m *member, view membership.Config) agentConfig {
+func (f *fleet) agentConfig(m *member, membershipConfig membership.Config) agentConfig {
 	s := deployment()
 	c := agentConfig{
 		Name:           m.name,
@@ -121,7 +121,7 @@
 		Seed:           strconv.FormatUint(f.plan.Seed*seedFactor+uint64(m.index), 16),
 		Limits:         s.Limits(),
 		KnownEndpoints: endpoint.List{Full: true, Servers: []endpoint.Endpoint{}},
-		Membership:     view,
+		Membership:     membershipConfig,
 		Settings:       s.Settings(m.index, m.zone, f.size),
 	}
 	if m.service != "" {
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -16,18 +16,21 @@
 
 // HostCommand is a command to a host process.
 type HostCommand struct {
-	Command string          `json:"do"` // one of the commands below
+	Command commandName     `json:"do"`
 	Agent   string          `json:"agent,omitempty"`
 	Config  json.RawMessage `json:"config,omitempty"` // in the form of $PROXY_CONFIG
 }
 
+// commandName says what a host process is to do.
+type commandName string
+
 // The commands.
 const (
-	commandStart  = "start"  // Agent with Config
-	commandStop   = "stop"   // Agent, gracefully, as SIGTERM does
-	commandKill   = "kill"   // Agent: its sockets are closed and nothing is sent, as SIGKILL does
-	commandReload = "reload" // Agent with Config, as SIGHUP does
-	commandReport = "report" // on all agents; it collects garbage first, so it should be rare
+	commandStart  commandName = "start"  // Agent with Config
+	commandStop   commandName = "stop"   // Agent, gracefully, as SIGTERM does
+	commandKill   commandName = "kill"   // Agent: its sockets are closed and nothing is sent, as SIGKILL does
+	commandReload commandName = "reload" // Agent with Config, as SIGHUP does
+	commandReport commandName = "report" // on all agents; it collects garbage first, so it should be rare
 )
 
 // HostEvent is an event of a host process; one of its parts is set.
@@ -61,17 +64,17 @@
 
 // AgentReport has the counters of one agent since its start, and its state.
 type AgentReport struct {
-	ViewIn          uint64 `json:"ViewIn"` // bytes of membership
-	ViewOut         uint64 `json:"ViewOut"`
-	ViewMsgIn       uint64 `json:"ViewMsgIn"` // membership's packets and streams
-	ViewMsgOut      uint64 `json:"ViewMsgOut"`
-	ListIn          uint64 `json:"ListIn"` // bytes of calls to discovery, with HTTP headers
-	ListOut         uint64 `json:"ListOut"`
-	ListCalls       uint64 `json:"ListCalls"`
-	Members         int    `json:"Members"` // entries of the membership view
-	Servers         int    `json:"Servers"` // entries of the endpoint list
-	ListVersion     uint64 `json:"ListVersion"`
-	SettingsVersion uint64 `json:"SettingsVersion"`
-	Digest          string `json:"Digest"`  // of the membership view
-	Settled         bool   `json:"Settled"` // the membership view has not changed for its settle time
+	MembershipIn          uint64 `json:"ViewIn"` // bytes of membership
+	MembershipOut         uint64 `json:"ViewOut"`
+	MembershipMessagesIn  uint64 `json:"ViewMsgIn"` // membership's packets and streams
+	MembershipMessagesOut uint64 `json:"ViewMsgOut"`
+	ListIn                uint64 `json:"ListIn"` // bytes of calls to discovery, with HTTP headers
+	ListOut               uint64 `json:"ListOut"`
+	ListCalls             uint64 `json:"ListCalls"`
+	Members               int    `json:"Members"` // members in the membership snapshot
+	Servers               int    `json:"Servers"` // entries of the endpoint list
+	ListVersion           uint64 `json:"ListVersion"`
+	SettingsVersion       uint64 `json:"SettingsVersion"`
+	Digest                string `json:"Digest"`  // of the membership snapshot
+	Settled               bool   `json:"Settled"` // the membership snapshot has not changed for its settle time
 }
--- a/internal/scaletest/realagents.go
+++ b/internal/scaletest/realagents.go
@@ -24,9 +24,9 @@
 const (
 	// readyRequestTimeout is that of one request whether an agent is ready.
 	readyRequestTimeout = time.Second
-	// statusTimeout is that of a request for an agent's membership view.
+	// statusTimeout is that of a request for an agent's membership status.
 	statusTimeout = 3 * time.Second
-	// statusQuery asks for neither members nor changes: no view comes to 2^62 changes.
+	// statusQuery asks for neither members nor changes: no snapshot has a number of 2^62.
 	statusQuery = "members=none&since=4611686018427387904"
 )
 
@@ -94,7 +94,7 @@
 	return count
 }
 
-// status is an agent's membership view by its admin endpoint.
+// status is an agent's membership status by its admin endpoint.
 func (r *realAgents) status(ctx context.Context, adminAddress string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -183,7 +183,7 @@
 	if err := f.measureRun(ctx, loadProfiles[run.Profile](f, cfg.Target), run); err != nil {
 		return false, err
 	}
-	problem, err = f.awaitConvergence(ctx, false)
+	problem, err = f.awaitConvergence(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -200,7 +200,7 @@
 	if err := f.forEach(ctx, f.endedMembers(), f.startMember); err != nil {
 		return "", err
 	}
-	problem, err = f.awaitConvergence(ctx, true)
+	problem, err = f.awaitSettled(ctx)
 	if err != nil || problem != "" {
 		return problem, err
 	}
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -165,7 +165,7 @@
 		if small.Profile == capacity.ProfileQuiet && after > 1.6*before+tolerance {
 			return "the fleet"
 		}
-	case capacity.ViewBytes, capacity.BytesIn, capacity.BytesOut:
+	case capacity.MembershipBytes, capacity.BytesIn, capacity.BytesOut:
 		// Full lists are exchanged rarely: one is a large part of a short run's bytes.
 		tolerance = 2000
 	default: // the tolerance is that of a small value
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
@@ -139,12 +140,12 @@
 // response one in.
 func hollowCounters(a AgentReport) metricValues {
 	return metricValues{
-		capacity.BytesIn:     float64(a.ViewIn + a.ListIn),
-		capacity.BytesOut:    float64(a.ViewOut + a.ListOut),
-		capacity.MessagesIn:  float64(a.ViewMsgIn + a.ListCalls),
-		capacity.MessagesOut: float64(a.ViewMsgOut + a.ListCalls),
-		capacity.ViewBytes:   float64(a.ViewIn + a.ViewOut),
-		capacity.ListBytes:   float64(a.ListIn + a.ListOut),
+		capacity.BytesIn:         float64(a.MembershipIn + a.ListIn),
+		capacity.BytesOut:        float64(a.MembershipOut + a.ListOut),
+		capacity.MessagesIn:      float64(a.MembershipMessagesIn + a.ListCalls),
+		capacity.MessagesOut:     float64(a.MembershipMessagesOut + a.ListCalls),
+		capacity.MembershipBytes: float64(a.MembershipIn + a.MembershipOut),
+		capacity.DiscoveryBytes:  float64(a.ListIn + a.ListOut),
 	}
 }
 
@@ -177,17 +178,19 @@
 	}
 	log := f.realAgents.state(m.name)
 	traffic := status.Traffic
-	viewIn := float64(traffic["bytes_in"] + traffic["stream_bytes_in"])
-	viewOut := float64(traffic["bytes_out"] + traffic["stream_bytes_out"])
+	bytesIn := float64(membershipBytesIn(traffic))
+	bytesOut := float64(membershipBytesOut(traffic))
+	messagesIn := float64(traffic[membership.PacketsIn] + traffic[membership.Streams])
+	messagesOut := float64(traffic[membership.PacketsOut] + traffic[membership.StreamsOut])
 	return usage{
 		counters: metricValues{
-			capacity.CPU:         process.CPU.Seconds(),
-			capacity.BytesIn:     viewIn + log.listIn,
-			capacity.BytesOut:    viewOut + log.listOut,
-			capacity.MessagesIn:  float64(traffic["packets_in"]+traffic["streams"]) + log.listCalls,
-			capacity.MessagesOut: float64(traffic["packets_out"]+traffic["streams_out"]) + log.listCalls,
-			capacity.ViewBytes:   viewIn + viewOut,
-			capacity.ListBytes:   log.listIn + log.listOut,
+			capacity.CPU:             process.CPU.Seconds(),
+			capacity.BytesIn:         bytesIn + log.listIn,
+			capacity.BytesOut:        bytesOut + log.listOut,
+			capacity.MessagesIn:      messagesIn + log.listCalls,
+			capacity.MessagesOut:     messagesOut + log.listCalls,
+			capacity.MembershipBytes: bytesIn + bytesOut,
+			capacity.DiscoveryBytes:  log.listIn + log.listOut,
 		},
 		gauges: metricValues{
 			capacity.ResidentMB:  float64(process.RSS) / bytesPerMB,
@@ -241,13 +244,13 @@
 	messages := float64(reads.Messages + raft.Messages)
 	return usage{
 		counters: metricValues{
-			capacity.CPU:         process.CPU.Seconds(),
-			capacity.AllocKBps:   float64(status.Usage.AllocBytes) / bytesPerKB,
-			capacity.BytesIn:     float64(reads.In + raft.In),
-			capacity.BytesOut:    float64(reads.Out + raft.Out),
-			capacity.MessagesIn:  messages,
-			capacity.MessagesOut: messages,
-			capacity.ListBytes:   float64(reads.In + reads.Out),
+			capacity.CPU:            process.CPU.Seconds(),
+			capacity.AllocKBps:      float64(status.Usage.AllocBytes) / bytesPerKB,
+			capacity.BytesIn:        float64(reads.In + raft.In),
+			capacity.BytesOut:       float64(reads.Out + raft.Out),
+			capacity.MessagesIn:     messages,
+			capacity.MessagesOut:    messages,
+			capacity.DiscoveryBytes: float64(reads.In + reads.Out),
 		},
 		gauges: metricValues{
 			capacity.ResidentMB:  float64(process.RSS) / bytesPerMB,
