--- a/cmd/membership/plan.go
+++ b/cmd/membership/plan.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -87,26 +86,43 @@
 	return p, nil
 }
 
-// check tells why a plan can't be run.
+// keyError says that a key of a plan has an invalid value.
+type keyError struct {
+	key     string
+	problem string
+}
+
+// Error names the key and what is wrong with its value.
+func (e *keyError) Error() string { return fmt.Sprintf("key %s: %s", e.key, e.problem) }
+
+// invalid returns a *keyError.
+func invalid(key, format string, args ...any) error {
+	return &keyError{key: key, problem: fmt.Sprintf(format, args...)}
+}
+
+// check tells why a plan can't be run; its error is a *keyError.
 func (p plan) check() error {
-	known := map[string]bool{}
-	for _, c := range membershiptest.Cases {
-		known[c.Name] = true
-	}
 	for _, name := range p.Cases {
-		if !known[name] {
-			return fmt.Errorf("key cases: there is no case %q", name)
+		if !isCase(name) {
+			return invalid("cases", "there is no case %q", name)
 		}
 	}
-	if p.Runs < 0 {
-		return errors.New("key runs: below zero")
-	}
-	if p.Agents < minAgents || p.Seeds < 1 || p.Seeds >= p.Agents {
-		return fmt.Errorf("keys agents, seeds: %d agents at least, and more than seeds", minAgents)
+	switch {
+	case p.Runs < 0:
+		return invalid("runs", "must be 0 or more, is %d", p.Runs)
+	case p.Agents < minAgents:
+		return invalid("agents", "must be %d at least, is %d", minAgents, p.Agents)
+	case p.Seeds < 1 || p.Seeds >= p.Agents:
+		return invalid("seeds", "must be above 0 and below the %d agents, is %d", p.Agents, p.Seeds)
 	}
 	return nil
 }
 
+// isCase tells whether there is a fault case of a name.
+func isCase(name string) bool {
+	return slices.ContainsFunc(membershiptest.Cases, func(c membershiptest.Case) bool { return c.Name == name })
+}
+
 // hasCase tells whether the plan has a case.
 func (p plan) hasCase(name string) bool { return len(p.Cases) == 0 || slices.Contains(p.Cases, name) }
 
--- a/cmd/membership/plan_test.go
+++ b/cmd/membership/plan_test.go
@@ -17,6 +17,7 @@
 		"agents = 4":            "agents",
 		"seeds = 24":            "seeds",
 		"runs = -1":             "runs",
+		"seeds = 0":             "seeds",
 		`cases = ["no such"]`:   "cases",
 		"pause = \"two hours\"": "pause",
 	} {
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -74,9 +74,12 @@
 // UpgradeName is the name of the second process of an agent, beside the first.
 func UpgradeName(name string) string { return name + upgradeSuffix }
 
+// minAgents is the least number of agents that form a cluster.
+const minAgents = 2
+
 // New makes the cluster's addresses and configurations; nothing runs yet.
 func New(cfg Config) (*Harness, error) {
-	if cfg.Agents < 2 || cfg.Seeds < 1 || cfg.Seeds > cfg.Agents {
+	if cfg.Agents < minAgents || cfg.Seeds < 1 || cfg.Seeds > cfg.Agents {
 		return nil, fmt.Errorf("membershiptest: %d agents with %d seeds", cfg.Agents, cfg.Seeds)
 	}
 	if cfg.Log == nil {
