--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -70,10 +70,9 @@
 	Runs               int   // fitted
 	GrowsQuadratically bool  // n² fits better than every other shape
 
-	HeldOutSize       int     // 0 with three sizes, where none is held out
-	Measured          float64 // mean at the size held out
-	Predicted         float64 // mean at the size held out
-	PredictedInterval Interval
+	HeldOutSize int        // 0 with three sizes, where none is held out
+	Measured    float64    // mean at the size held out
+	Predicted   Prediction // of that mean
 
 	best         regression
 	alternatives []regression
@@ -191,38 +190,38 @@
 		changes = append(changes, p.Changes)
 	}
 	f.Measured = stat.Mean(values, nil)
-	f.Predicted, f.PredictedInterval = f.predictMean(float64(f.HeldOutSize), stat.Mean(changes, nil), len(heldOut))
+	f.Predicted = f.predictMean(float64(f.HeldOutSize), stat.Mean(changes, nil), len(heldOut))
 }
 
 // RelativeError is the value measured at the size held out divided by the predicted one, less one;
 // false where no size was held out or the prediction is zero.
 func (f *Fit) RelativeError() (float64, bool) {
-	if f.HeldOutSize == 0 || f.Predicted <= 0 {
+	if f.HeldOutSize == 0 || f.Predicted.Value <= 0 {
 		return 0, false
 	}
-	return f.Measured/f.Predicted - 1, true
+	return f.Measured/f.Predicted.Value - 1, true
 }
 
 // Predict predicts the metric of one run of n agents with changes a second. The interval is the
 // prediction interval by Student's t. It includes those of the shapes that could not be distinguished,
 // and nothing of it is below zero.
-func (f *Fit) Predict(n, changes float64) (float64, Interval) { return f.predictMean(n, changes, 1) }
+func (f *Fit) Predict(n, changes float64) Prediction { return f.predictMean(n, changes, 1) }
 
 // predictMean predicts the mean over a number of runs; see Predict.
-func (f *Fit) predictMean(n, changes float64, runs int) (float64, Interval) {
-	value, interval := f.best.predictMean(n, changes, runs)
+func (f *Fit) predictMean(n, changes float64, runs int) Prediction {
+	prediction := f.best.predictMean(n, changes, runs)
+	interval := prediction.Interval
 	for _, line := range f.alternatives {
-		_, other := line.predictMean(n, changes, runs)
-		interval = interval.union(other)
+		interval = interval.union(line.predictMean(n, changes, runs).Interval)
 	}
-	return math.Max(value, 0), interval.nonNegative()
+	return Prediction{Value: math.Max(prediction.Value, 0), Interval: interval.nonNegative()}
 }
 
 // outsideInterval reports whether the mean at the size held out lies outside of the prediction's
 // interval, by more than rounding.
 func (f *Fit) outsideInterval() bool {
-	return f.HeldOutSize > 0 && !f.PredictedInterval.Contains(f.Measured) &&
-		math.Abs(f.Measured-f.Predicted) > relativeRounding*f.Measured
+	return f.HeldOutSize > 0 && !f.Predicted.Interval.Contains(f.Measured) &&
+		math.Abs(f.Measured-f.Predicted.Value) > relativeRounding*f.Measured
 }
 
 // maxReliableError is the relative error at the size held out up to which a prediction for the
@@ -232,5 +231,5 @@
 // unreliable reports whether the size held out contradicts the fit: it lies outside of its interval
 // and the prediction is off by more than maxReliableError.
 func (f *Fit) unreliable() bool {
-	return f.outsideInterval() && math.Abs(f.Measured-f.Predicted) > maxReliableError*f.Predicted
+	return f.outsideInterval() && math.Abs(f.Measured-f.Predicted.Value) > maxReliableError*f.Predicted.Value
 }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -90,10 +90,10 @@
 			c.alarms++
 		}
 		next := law.samplePoints(rng, 1, 1500)[0]
-		if _, in := f.Predict(1500, next.Changes); in.Contains(next.Value) {
+		if f.Predict(1500, next.Changes).Interval.Contains(next.Value) {
 			c.target++
 		}
-		if f.PredictedInterval.Contains(f.Measured) {
+		if f.Predicted.Interval.Contains(f.Measured) {
 			c.largest++
 		}
 		if f.Shape == law.shape {
@@ -142,7 +142,7 @@
 			t.Errorf("exact %s: misses by %v (%v)", s, miss, ok)
 		}
 		if want := 3 + 0.25*s.regressor(1500, 0); s != ShapeFlat {
-			if v, _ := f.Predict(1500, 0); math.Abs(v/want-1) > 1e-6 {
+			if v := f.Predict(1500, 0).Value; math.Abs(v/want-1) > 1e-6 {
 				t.Errorf("exact %s: %v at 1500, want %v", s, v, want)
 			}
 		}
@@ -151,7 +151,7 @@
 	if err != nil || none.Shape != ShapeFlat {
 		t.Errorf("nothing at all: %+v, %v", none, err)
 	}
-	if _, in := none.Predict(1500, 0); in != (Interval{}) {
+	if in := none.Predict(1500, 0).Interval; in != (Interval{}) {
 		t.Errorf("nothing at all: %v at 1500", in)
 	}
 }
@@ -179,8 +179,8 @@
 	if err != nil || f.Shape != ShapeFlat {
 		t.Fatalf("%+v, %v", f, err)
 	}
-	if v, in := f.Predict(1500, 0); v < 60 || in.Lo < 0 || !in.Contains(v) {
-		t.Errorf("%v (%v) at 1500", v, in)
+	if p := f.Predict(1500, 0); p.Value < 60 || p.Interval.Lo < 0 || !p.Interval.Contains(p.Value) {
+		t.Errorf("%+v at 1500", p)
 	}
 }
 
@@ -221,18 +221,18 @@
 		if err != nil {
 			return
 		}
-		v, in := f.Predict(1500, 0.06)
+		p := f.Predict(1500, 0.06)
 		miss, _ := f.RelativeError()
 		for _, x := range []float64{
-			f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, v, in.Lo, in.Hi, f.Measured, f.Predicted,
-			f.PredictedInterval.Lo, f.PredictedInterval.Hi, miss,
+			f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, p.Value, p.Interval.Lo, p.Interval.Hi,
+			f.Measured, f.Predicted.Value, f.Predicted.Interval.Lo, f.Predicted.Interval.Hi, miss,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) {
-				t.Fatalf("%+v, %v %v at 1500", f, v, in)
+				t.Fatalf("%+v, %+v at 1500", f, p)
 			}
 		}
-		if !in.Contains(v) || v < 0 || in.Lo < 0 {
-			t.Fatalf("%v outside of %v", v, in)
+		if !p.Interval.Contains(p.Value) || p.Value < 0 || p.Interval.Lo < 0 {
+			t.Fatalf("%v outside of %v", p.Value, p.Interval)
 		}
 	})
 }
--- a/internal/capacity/interval.go
+++ b/internal/capacity/interval.go
@@ -5,6 +5,12 @@
 // Interval is a 95 % confidence or prediction interval.
 type Interval struct{ Lo, Hi float64 }
 
+// Prediction is a predicted value with its interval.
+type Prediction struct {
+	Value    float64
+	Interval Interval
+}
+
 // Contains reports whether a value lies in the interval.
 func (i Interval) Contains(v float64) bool { return v >= i.Lo && v <= i.Hi }
 
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -44,7 +44,7 @@
 	r.Fit = fit
 	r.Known = true
 	r.Extrapolated = r.LargestSize < p.Target.Fleet.Agents
-	r.Value, r.Interval = p.predictAtTarget(fit, source, runs, rateFactor)
+	r.Prediction = p.predictAtTarget(fit, source, runs, rateFactor)
 	if rateFactor != 1 {
 		p.rescale(r, metric, selectPoints, rateFactor)
 	}
@@ -52,7 +52,7 @@
 
 // predictAtTarget predicts the metric at the target's size, with the runs' changes per agent times
 // the rate factor.
-func (p *Page) predictAtTarget(fit *Fit, s Source, runs []*Run, rateFactor float64) (float64, Interval) {
+func (p *Page) predictAtTarget(fit *Fit, s Source, runs []*Run, rateFactor float64) Prediction {
 	n := float64(p.Target.Fleet.Agents)
 	return s.widen(fit.Predict(n, changesPerAgent(runs)*n*rateFactor))
 }
@@ -72,19 +72,17 @@
 		r.appendSource(fmt.Sprintf("at ×%s the rates, as the quiet profile has no fit", factor))
 		return
 	}
-	quiet, quietInterval := p.predictAtTarget(fit, source, quietRuns, 1)
-	r.Value, r.Interval = rescaleToTarget(quiet, quietInterval, r.Value, r.Interval, rateFactor)
+	quiet := p.predictAtTarget(fit, source, quietRuns, 1)
+	r.Prediction = rescaleToTarget(quiet, r.Prediction, rateFactor)
 	r.appendSource(fmt.Sprintf("scaled from ×%s the rates", factor))
 }
 
 // rescaleToTarget is a profile's rate at the target's rate of changes: the quiet one's, and of what the
 // accelerated changes add to it, the part that is due without the acceleration.
-func rescaleToTarget(
-	quiet float64, quietInterval Interval, accelerated float64, acceleratedInterval Interval, rateFactor float64,
-) (float64, Interval) {
+func rescaleToTarget(quiet, accelerated Prediction, rateFactor float64) Prediction {
 	part := 1 / rateFactor
-	value := math.Max(quiet*(1-part)+accelerated*part, 0)
-	below := math.Hypot((1-part)*(quiet-quietInterval.Lo), part*(accelerated-acceleratedInterval.Lo))
-	above := math.Hypot((1-part)*(quietInterval.Hi-quiet), part*(acceleratedInterval.Hi-accelerated))
-	return value, Interval{math.Max(value-below, 0), value + above}
+	value := math.Max(quiet.Value*(1-part)+accelerated.Value*part, 0)
+	below := math.Hypot((1-part)*(quiet.Value-quiet.Interval.Lo), part*(accelerated.Value-accelerated.Interval.Lo))
+	above := math.Hypot((1-part)*(quiet.Interval.Hi-quiet.Value), part*(accelerated.Interval.Hi-accelerated.Value))
+	return Prediction{Value: value, Interval: Interval{math.Max(value-below, 0), value + above}}
 }
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -18,9 +18,11 @@
 		{"the target's rate", 1, 500, Interval{400, 700}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, in := rescaleToTarget(100, Interval{90, 120}, 500, Interval{400, 700}, c.rateFactor)
-			if v != c.value || !near(in.Lo, c.interval.Lo) || !near(in.Hi, c.interval.Hi) {
-				t.Errorf("%v (%v), want %v (%v)", v, in, c.value, c.interval)
+			quiet := Prediction{100, Interval{90, 120}}
+			accelerated := Prediction{500, Interval{400, 700}}
+			got := rescaleToTarget(quiet, accelerated, c.rateFactor)
+			if got.Value != c.value || !near(got.Interval.Lo, c.interval.Lo) || !near(got.Interval.Hi, c.interval.Hi) {
+				t.Errorf("%+v, want %v (%v)", got, c.value, c.interval)
 			}
 		})
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -135,7 +135,7 @@
 	usPerSecond = 1e6
 )
 
-// The benchmarks of the data path, and the states of the balancer that decisions were measured in.
+// The benchmarks of the data path.
 const (
 	pathBenchmark     = "Path"
 	decisionBenchmark = "Decision"
@@ -144,6 +144,7 @@
 // calmState is the balancer's state without overload, in which the data path was measured.
 const calmState = "calm"
 
+// decisionStates are the states of the balancer in which decisions were measured.
 var decisionStates = []string{calmState, "crowded", "demoted"}
 
 // pathName is the name of the data path's benchmark with a number of servers.
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -128,7 +128,7 @@
 }
 
 // predictMean predicts the mean of a number of runs at n agents.
-func (line regression) predictMean(n, changes float64, runs int) (float64, Interval) {
+func (line regression) predictMean(n, changes float64, runs int) Prediction {
 	x := line.shape.regressor(n, changes)
 	value := line.intercept + line.slope*x
 	spread := 1/float64(runs) + 1/float64(len(line.xs))
@@ -136,7 +136,7 @@
 		spread += (x - line.meanX) * (x - line.meanX) / line.sumSquaresX
 	}
 	half := studentQuantile(line.degreesOfFreedom) * line.residualDeviation * math.Sqrt(spread)
-	return value, Interval{value - half, value + half}
+	return Prediction{Value: value, Interval: Interval{value - half, value + half}}
 }
 
 // quantileCache has the quantiles computed so far, as gonum searches for each.
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -10,9 +10,8 @@
 	Mechanism         string
 	MechanismRequired bool // a mechanism has to meet the requirement
 
-	Known           bool // Value is the one at the target
-	Value           float64
-	Interval        Interval
+	Known           bool   // Prediction is the value at the target
+	Prediction             // for the data path: what was measured there
 	Extrapolated    bool   // the target is larger than the largest size measured
 	UnknownReason   string // why there is no value at the target
 	LargestSize     int    // the largest size measured; 0: none was
@@ -58,7 +57,7 @@
 	return BudgetUse{}
 }
 
-// lacksRequiredMechanism reports whether the row is required daily and no mechanism meets it.
+// lacksRequiredMechanism reports whether the row requires a mechanism and has none.
 func (r *Row) lacksRequiredMechanism() bool { return r.MechanismRequired && !r.HasMechanism() }
 
 // appendSource adds a remark to the row's source.
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -124,14 +124,15 @@
 	})
 }
 
-// widen adds the uncertainty of the ratio that the points were divided by to an interval.
-func (s Source) widen(value float64, interval Interval) (float64, Interval) {
+// widen adds the uncertainty of the ratio that the points were divided by to a prediction's interval.
+func (s Source) widen(prediction Prediction) Prediction {
 	if !s.Corrected {
-		return value, interval
+		return prediction
 	}
+	value, interval := prediction.Value, prediction.Interval
 	below := 1 - s.Ratio.Mean/s.Ratio.Interval.Hi
 	above := s.Ratio.Mean/s.Ratio.Interval.Lo - 1
 	lo := value - math.Hypot(value-interval.Lo, value*below)
 	hi := value + math.Hypot(interval.Hi-value, value*above)
-	return value, Interval{math.Max(lo, 0), hi}
+	return Prediction{Value: value, Interval: Interval{math.Max(lo, 0), hi}}
 }
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -44,13 +44,14 @@
 // part of the interval.
 func TestCorrectionWidensInterval(t *testing.T) {
 	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
-	if v, in := s.widen(10, Interval{10, 10}); v != 10 || math.Abs(in.Lo-8) > 1e-9 || math.Abs(in.Hi-12.5) > 1e-9 {
-		t.Errorf("%v (%v)", v, in)
+	got := s.widen(Prediction{10, Interval{10, 10}})
+	if got.Value != 10 || math.Abs(got.Interval.Lo-8) > 1e-9 || math.Abs(got.Interval.Hi-12.5) > 1e-9 {
+		t.Errorf("%+v", got)
 	}
 	_, p := renderTables(t, syntheticRuns(t))
 	r := p.rowNamed(t, "agent/rollout/processor")
 	runs, _ := p.comparableRuns(subjectAgent, "rollout")
-	_, plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200)
+	plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200).Interval
 	if r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
 		t.Errorf("%v, no wider than %v", r.Interval, plain)
 	}
