--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -107,9 +107,9 @@
 // measureFlaps waits for agreement and returns, beside the time it took, the suspicions since a time as metrics.
 func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
-	most, sum := h.Flaps(ctx, since)
+	flaps := h.countFlaps(ctx, since)
 	running := float64(len(h.Running()))
-	metrics["doubts, most of a pair"] = float64(most)
-	metrics["doubts a pair"] = float64(sum) / (running * (running - 1))
+	metrics["doubts, most of a pair"] = float64(flaps.most)
+	metrics["doubts a pair"] = float64(flaps.sum) / (running * (running - 1))
 	return metrics, err
 }
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -128,37 +128,44 @@
 	return running
 }
 
-// Flaps counts, for each pair of an observer and a running member since a time, how often the observer came to suspect
-// the member, and returns the most for a pair and the sum.
-func Flaps(incarnations []*ProcessIncarnation, records []*Record, since time.Time) (most, sum int) {
-	running := runningProcesses(incarnations)
-	for _, record := range records {
+// flapCounts are how often observers came to suspect running members.
+type flapCounts struct {
+	most int // of a pair of an observer and a member
+	sum  int
+}
+
+// countFlaps counts the flaps since a time.
+func (h *Harness) countFlaps(ctx context.Context, since time.Time) flapCounts {
+	h.collectChanges(ctx, h.Running())
+	running := runningProcesses(h.incarnations())
+	var flaps flapCounts
+	for _, record := range h.sortedRecords() {
 		perMember := map[string]int{}
 		for _, change := range record.Changes {
 			suspected := change.To == membership.Suspect && change.From == membership.Alive
 			if suspected && running[change.Process] && changeTime(change).After(since) {
 				perMember[change.Process]++
-				sum++
-				most = max(most, perMember[change.Process])
+				flaps.sum++
+				flaps.most = max(flaps.most, perMember[change.Process])
 			}
 		}
 	}
-	return most, sum
+	return flaps
 }
 
-// Flaps are those of the harness's history since a time.
-func (h *Harness) Flaps(ctx context.Context, since time.Time) (most, sum int) {
-	h.collectChanges(ctx, h.Running())
-	return Flaps(h.incarnations(), h.sortedRecords(), since)
+// detections are how processes that were killed were detected.
+type detections struct {
+	times  []time.Duration // from the end of a process until a running process saw it dead, in order
+	missed int             // pairs of the two where it never did
 }
 
-// DetectionTimes are the times from the ends of processes that were killed since a time until each running process saw
-// them dead, in order; missing counts those that never did.
-func DetectionTimes(
-	incarnations []*ProcessIncarnation, records []*Record, since time.Time,
-) (times []time.Duration, missing int) {
+// detectionsSince are the detections of the processes that were killed since a time.
+func (h *Harness) detectionsSince(ctx context.Context, since time.Time) detections {
+	h.collectChanges(ctx, h.Running())
+	incarnations := h.incarnations()
 	running := runningProcesses(incarnations)
-	for _, record := range records {
+	var found detections
+	for _, record := range h.sortedRecords() {
 		if !running[record.Process] {
 			continue
 		}
@@ -171,18 +178,12 @@
 					changeTime(change).After(incarnation.End)
 			})
 			if i < 0 {
-				missing++
+				found.missed++
 				continue
 			}
-			times = append(times, changeTime(record.Changes[i]).Sub(incarnation.End))
+			found.times = append(found.times, changeTime(record.Changes[i]).Sub(incarnation.End))
 		}
 	}
-	slices.Sort(times)
-	return times, missing
-}
-
-// DetectionTimes are those of the harness's history since a time.
-func (h *Harness) DetectionTimes(ctx context.Context, since time.Time) (times []time.Duration, missing int) {
-	h.collectChanges(ctx, h.Running())
-	return DetectionTimes(h.incarnations(), h.sortedRecords(), since)
+	slices.Sort(found.times)
+	return found
 }
--- a/internal/membershiptest/faults_process.go
+++ b/internal/membershiptest/faults_process.go
@@ -74,11 +74,11 @@
 	if err != nil {
 		return metrics, err
 	}
-	times, missing := h.DetectionTimes(ctx, killedAt)
-	metrics["detect p50 ms"] = float64(processtest.Quantile(times, processtest.Median).Milliseconds())
-	metrics["detect p99 ms"] = float64(processtest.Quantile(times, processtest.Percentile99).Milliseconds())
-	if missing > 0 {
-		return metrics, fmt.Errorf("%d of %d deaths not seen", missing, missing+len(times))
+	found := h.detectionsSince(ctx, killedAt)
+	metrics["detect p50 ms"] = float64(processtest.Quantile(found.times, processtest.Median).Milliseconds())
+	metrics["detect p99 ms"] = float64(processtest.Quantile(found.times, processtest.Percentile99).Milliseconds())
+	if found.missed > 0 {
+		return metrics, fmt.Errorf("%d of %d deaths not seen", found.missed, found.missed+len(found.times))
 	}
 	return metrics, h.Start(ctx, killed...)
 }
