--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -73,13 +73,9 @@
 		return Grant{}, false
 	}
 	account.lent = append(account.lent, entry{amount: amount, expiresAt: now + q.returnDelay()})
-	return Grant{
-		Budget:   request.Budget,
-		Borrower: request.Borrower,
-		Lender:   request.Lender,
-		Number:   request.Number,
-		Amount:   amount,
-	}, true
+	grant := Grant(request)
+	grant.Amount = amount
+	return grant, true
 }
 
 // lendableNow is what a process can lend beside reserve: only of its own share, where all that it has spent in the
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -13,6 +13,8 @@
 	"strconv"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // discoveryBytes are the bytes of an agent's calls to discovery, with HTTP headers.
@@ -89,22 +91,16 @@
 	}
 }
 
-// startProgram builds and starts the program with a configuration and returns its log. The test's end kills it.
+// startProgram starts the program with a configuration and returns its log. The test's end kills it.
 func startProgram(t *testing.T, config configuration) io.Reader {
 	t.Helper()
 	dir := t.TempDir()
-	bin := filepath.Join(dir, "agent")
-	build := exec.CommandContext(t.Context(), "go", "build", "-o", bin, "../../cmd/agent")
-	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, marshal(t, config), 0o600); err != nil {
+	file := filepath.Join(dir, config.Name+".json") // which AgentEnv names
+	if err := os.WriteFile(file, marshal(t, config), agentConfigMode); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.CommandContext(t.Context(), bin)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
-		"PROXY_MANAGEMENT=", "PROXY_LISTEN_FD=")
+	cmd := exec.CommandContext(t.Context(), filepath.Join(programs(t), "agent"))
+	cmd.Env = append(os.Environ(), processtest.AgentEnv(dir)(config.Name)...)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/interrupted_test.go
+++ b/internal/scaletest/interrupted_test.go
@@ -91,10 +91,7 @@
 // startScaleRun starts a run of two profiles that is repeated several times. The test's end kills it.
 func startScaleRun(t *testing.T) *scaleRun {
 	t.Helper()
-	bin, err := programs()
-	if err != nil {
-		t.Fatal(err)
-	}
+	bin := programs(t)
 	dir := t.TempDir()
 	run := &scaleRun{record: filepath.Join(dir, "record.jsonl")}
 	plan := filepath.Join(dir, "plan.toml")
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -4,38 +4,42 @@
 	"context"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"sync"
 	"testing"
 
 	"fernbeam.example/fernbeam/internal/capacity"
+	"fernbeam.example/fernbeam/internal/processtest"
 )
 
 // targetFile is the deployment's target.
 const targetFile = "../../deploy/target.toml"
 
-// programs builds the programs that a run starts, once for all tests, and returns their directory.
-var programs = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "scale")
-	if err != nil {
-		return "", err
-	}
-	for _, program := range []string{"agent", "discovery", "experiment"} {
-		output := filepath.Join(dir, program)
-		build := exec.CommandContext(context.Background(), "go", "build", "-o", output, "../../cmd/"+program)
-		if out, err := build.CombinedOutput(); err != nil {
-			return dir, fmt.Errorf("build %s: %w\n%s", program, err, out)
-		}
-	}
-	return dir, nil
+// programsDir is the directory of the programs that tests start.
+var programsDir string
+
+// buildPrograms builds the programs, once for all tests.
+var buildPrograms = sync.OnceValue(func() error {
+	return processtest.Build(context.Background(), programsDir, "agent", "discovery", "experiment")
 })
 
+// programs returns the directory of the built programs.
+func programs(t *testing.T) string {
+	t.Helper()
+	if err := buildPrograms(); err != nil {
+		t.Fatal(err)
+	}
+	return programsDir
+}
+
 func TestMain(m *testing.M) {
-	code := m.Run()
-	if dir, _ := programs(); dir != "" {
-		_ = os.RemoveAll(dir) // the system cleans up what stays
+	var err error
+	if programsDir, err = os.MkdirTemp("", "scale"); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
 	}
+	code := m.Run()
+	_ = os.RemoveAll(programsDir) // the system cleans up what stays
 	os.Exit(code)
 }
 
@@ -50,10 +54,7 @@
 // runPlan carries out a plan of one size and returns its records.
 func runPlan(t *testing.T, p *Plan) []*capacity.Run {
 	t.Helper()
-	bin, err := programs()
-	if err != nil {
-		t.Fatal(err)
-	}
+	bin := programs(t)
 	target, err := capacity.LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +191,7 @@
 	times := r.InForce["settings"]
 	_, hasList := r.InForce["list"]
 	if hasList || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
-		t.Errorf("settled %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
+		t.Errorf("converged %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
 	}
 	// Two services share 15 agents, 3 of them real: a change has 7 or 8 pairs, 4 at least of hollow
 	// agents, which leave nothing out.
--- a/internal/scaletest/tracker_test.go
+++ b/internal/scaletest/tracker_test.go
@@ -24,7 +24,7 @@
 	tr.inForce("all", 5, at(-59))
 	tr.inForce("all", 7, at(-49.5))
 	tr.inForce("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
-	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: both absent
+	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: never in force
 	tr.inForce("blind", 5, at(-59))
 	tr.markIncomplete("blind")
 	tr.current["new"].start = at(-55) // the change of version 5 was before it
