--- /dev/null
+++ b/internal/scaletest/hollowagent.go
@@ -0,0 +1,156 @@
+package scaletest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/agent"
+	"fernbeam.example/fernbeam/internal/agent/config"
+	"fernbeam.example/fernbeam/internal/capacity"
+)
+
+// hollowAgent is one agent of a host process.
+type hollowAgent struct {
+	agent   *agent.Agent
+	cancel  context.CancelFunc // stops it gracefully
+	ended   <-chan struct{}    // closed once it is stopped, or has ended
+	reloads chan *config.Config
+	config  *config.Config // in force
+}
+
+// start starts an agent.
+func (h *hostServer) start(c *HostCommand, _ *hollowAgent) error {
+	cfg, err := h.agentConfig(c)
+	if err != nil {
+		return err
+	}
+	listeners, ok := h.listen(c.Agent, cfg)
+	if !ok {
+		return nil
+	}
+	a := &hollowAgent{reloads: make(chan *config.Config), config: cfg}
+	a.agent, err = agent.New(cfg, listeners)
+	if err != nil {
+		if listeners.Admin != nil {
+			_ = listeners.Admin.Close() // the agent's error is the one to report
+		}
+		return err
+	}
+	h.spawn(c.Agent, a)
+	return nil
+}
+
+// agentConfig is the configuration of the agent that a command starts. Its calls to discovery come from the address of
+// its membership, or else from the one where it would take clients.
+func (h *hostServer) agentConfig(c *HostCommand) (*config.Config, error) {
+	cfg, err := config.Parse(c.Config)
+	if err != nil {
+		return nil, err
+	}
+	name := c.Agent
+	cfg.CallFrom = callAddress(cfg)
+	cfg.Log = h.log.With("agent", name)
+	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
+	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
+	return cfg, nil
+}
+
+// listen opens the listeners of an agent: it has no clients, and an admin endpoint where one is configured. It returns
+// false where the address can't be had: the command is valid, so this is written as the agent's end.
+func (h *hostServer) listen(name string, cfg *config.Config) (listeners agent.Listeners, ok bool) {
+	if cfg.AdminAddr == "" {
+		return listeners, true
+	}
+	var err error
+	var listenConfig net.ListenConfig
+	listeners.Admin, err = listenConfig.Listen(context.Background(), "tcp", cfg.AdminAddr)
+	if err != nil {
+		h.events.write(HostEvent{Ended: name, Err: fmt.Sprintf("management: %v", err)})
+		return listeners, false
+	}
+	return listeners, true
+}
+
+// spawn runs an agent in the background.
+func (h *hostServer) spawn(name string, a *hollowAgent) {
+	ctx, cancel := context.WithCancel(context.Background())
+	a.cancel = cancel
+	a.ended = ctx.Done()
+	h.mu.Lock()
+	h.agents[name] = a
+	h.mu.Unlock()
+	h.events.write(HostEvent{Started: name})
+	h.runs.Add(1)
+	go func() {
+		defer h.runs.Done()
+		h.run(ctx, name, a)
+	}()
+}
+
+// callAddress is the address that an agent's calls to discovery come from; nil: the system selects it.
+func callAddress(cfg *config.Config) net.IP {
+	address := cfg.Listen
+	if cfg.Membership != nil {
+		address = cfg.Membership.Bind
+	}
+	ip, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return cfg.CallFrom
+	}
+	return net.ParseIP(ip)
+}
+
+// run runs an agent until it ends, or until the context does.
+func (h *hostServer) run(ctx context.Context, name string, a *hollowAgent) {
+	defer a.cancel()
+	event := HostEvent{Ended: name}
+	if err := a.agent.Run(ctx, a.reloads); err != nil && !errors.Is(err, agent.ErrKilled) {
+		event.Err = err.Error()
+	}
+	h.mu.Lock()
+	delete(h.agents, name)
+	h.mu.Unlock()
+	h.events.write(event)
+}
+
+// stop ends an agent gracefully.
+func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
+	select {
+	case <-a.ended:
+		return errAlreadyEnds
+	default:
+	}
+	a.cancel()
+	return nil
+}
+
+// kill ends an agent at once.
+func (h *hostServer) kill(_ *HostCommand, a *hollowAgent) error {
+	a.agent.Kill()
+	a.cancel()
+	return nil
+}
+
+// reload puts another configuration in force at an agent.
+func (h *hostServer) reload(c *HostCommand, a *hollowAgent) error {
+	cfg, err := config.ParseReload(c.Config, a.config)
+	if err != nil {
+		return err
+	}
+	select {
+	case a.reloads <- cfg:
+		a.config = cfg
+		return nil
+	case <-a.ended:
+		return errAlreadyEnds
+	}
+}
+
+// reportInForce writes the event that a version is in force at an agent.
+func (h *hostServer) reportInForce(name string, kind capacity.ChangeKind, version uint64) {
+	now := time.Now().UnixMicro()
+	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: now}})
+}
