--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// TestForgedMessagesChangeNothing: grants that were not requested, or for more, and requests to others or of invalid
-// amounts.
-func TestForgedMessagesChangeNothing(t *testing.T) {
-	cfg := Config{
+// testConfig is the configuration of process a of two, with a budget "x" of ten units.
+func testConfig() Config {
+	return Config{
 		Process:          "a",
 		Size:             2,
 		Budgets:          map[string]Amount{"x": 10 * Unit},
@@ -17,13 +16,38 @@
 		LendableFraction: 1,
 		MaxLoans:         2,
 	}
-	q, err := New(cfg, 0)
+}
+
+// TestForgedMessagesChangeNothing: grants that were not requested, or for more, and requests to others or of invalid
+// amounts.
+func TestForgedMessagesChangeNothing(t *testing.T) {
+	q, err := New(testConfig(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 10 * time.Second
 	request, _ := q.RequestLoan("x", "b", Unit, now)
 	valid := Grant{Budget: "x", Borrower: "a", Lender: "b", Number: request.Number, Amount: Unit}
+	checkForgedGrants(t, q, valid, now)
+	checkForgedRequests(t, q, now)
+	if !q.AcceptGrant(valid, now) || q.AcceptGrant(valid, now) {
+		t.Error("a valid grant is not accepted exactly once")
+	}
+	during, after := q.Available("x", now), q.Available("x", now+time.Second)
+	if during != 6*Unit || after != 5*Unit {
+		t.Errorf("%d during the loan and %d after it, want 6 and 5 units: %+v", during, after, q.Holdings(now))
+	}
+	for range 10 { // requests of others bound only what is lent
+		q.GrantLoan(Request{Budget: "x", Borrower: "b", Lender: "a", Amount: 1}, 0, now)
+	}
+	if h := q.Holdings(now + time.Second)[0]; h.Lent != 2 || h.ExpiredLoans != 1 {
+		t.Errorf("%+v", h)
+	}
+}
+
+// checkForgedGrants checks that a process accepts no grant that differs from a valid one.
+func checkForgedGrants(t *testing.T, q *Quotas, valid Grant, now time.Duration) {
+	t.Helper()
 	for name, change := range map[string]func(g *Grant){
 		"another number":      func(g *Grant) { g.Number++ },
 		"another lender":      func(g *Grant) { g.Lender = "c" },
@@ -38,6 +62,11 @@
 			t.Errorf("a grant of %s is accepted", name)
 		}
 	}
+}
+
+// checkForgedRequests checks that process a grants no invalid request.
+func checkForgedRequests(t *testing.T, q *Quotas, now time.Duration) {
+	t.Helper()
 	for name, request := range map[string]Request{
 		"another lender":    {Budget: "x", Borrower: "b", Lender: "c", Amount: Unit},
 		"another budget":    {Budget: "y", Borrower: "b", Lender: "a", Amount: Unit},
@@ -48,19 +77,10 @@
 			t.Errorf("a request of %s is granted", name)
 		}
 	}
-	if !q.AcceptGrant(valid, now) || q.AcceptGrant(valid, now) {
-		t.Error("a valid grant is not accepted exactly once")
-	}
-	during, after := q.Available("x", now), q.Available("x", now+time.Second)
-	if during != 6*Unit || after != 5*Unit {
-		t.Errorf("%d during the loan and %d after it, want 6 and 5 units: %+v", during, after, q.Holdings(now))
-	}
-	for range 10 { // requests of others bound only what is lent
-		q.GrantLoan(Request{Budget: "x", Borrower: "b", Lender: "a", Amount: 1}, 0, now)
-	}
-	if h := q.Holdings(now + time.Second)[0]; h.Lent != 2 || h.ExpiredLoans != 1 {
-		t.Errorf("%+v", h)
-	}
+}
+
+func TestNewRejectsInvalidClockDrift(t *testing.T) {
+	cfg := testConfig()
 	cfg.MaxClockDrift = 0.7
 	if _, err := New(cfg, 0); err == nil {
 		t.Error("an invalid clock drift is accepted")
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -4,10 +4,13 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"sync"
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/capacity"
 )
 
 // waitTimeout bounds every wait of the tests; each needs a fraction of it.
@@ -126,6 +129,26 @@
 	return event
 }
 
+// awaitInForce waits until a version or a later one is in force at a number of agents, which has to be reported at
+// once.
+func (h *hostClient) awaitInForce(agents int, kind capacity.ChangeKind, version uint64) {
+	h.t.Helper()
+	have := map[string]bool{}
+	latest := int64(0)
+	what := fmt.Sprintf("%s %d in force everywhere", kind, version)
+	for since := 0; len(have) < agents; {
+		var event HostEvent
+		event, since = h.await(since, what, func(event *HostEvent) bool {
+			return event.InForce != nil && event.InForce.Kind == kind && event.InForce.Version >= version
+		})
+		have[event.InForce.Agent] = true
+		latest = max(latest, event.InForce.AtUs)
+	}
+	if late := time.Since(time.UnixMicro(latest)); late < 0 || late > waitTimeout {
+		h.t.Errorf("in force %v ago", late)
+	}
+}
+
 // report requests a report and waits for it.
 func (h *hostClient) report() *HostReport {
 	h.t.Helper()
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"fernbeam.example/fernbeam/internal/capacity"
 	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
@@ -23,39 +22,11 @@
 	for i := range n {
 		host.command(commandStart, fmt.Sprintf("a%d", i), configs.config(i))
 	}
-	inForce := func(kind capacity.ChangeKind, version uint64) {
-		t.Helper()
-		have, latest := map[string]bool{}, int64(0)
-		what := fmt.Sprintf("%s %d in force everywhere", kind, version)
-		for since := 0; len(have) < n; {
-			var event HostEvent
-			event, since = host.await(since, what, func(event *HostEvent) bool {
-				return event.InForce != nil && event.InForce.Kind == kind && event.InForce.Version >= version
-			})
-			have[event.InForce.Agent] = true
-			latest = max(latest, event.InForce.AtUs)
-		}
-		if late := time.Since(time.UnixMicro(latest)); late < 0 || late > waitTimeout {
-			t.Errorf("in force %v ago", late)
-		}
-	}
-	inForce(kindList, 1)
-	inForce(kindList, discovery.addServer())
-	r := host.awaitReport("one snapshot", func(r *HostReport) bool {
-		digests := map[string]bool{}
-		for _, a := range r.Agents {
-			if digests[a.Digest] = true; a.Members != n || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
-				return false
-			}
-		}
-		return len(r.Agents) == n && len(digests) == 1
-	})
+	host.awaitInForce(n, kindList, 1)
+	host.awaitInForce(n, kindList, discovery.addServer())
+	r := host.awaitReport("one snapshot", func(r *HostReport) bool { return agree(r, n) })
 	for name, a := range r.Agents {
-		noBytes := a.MembershipIn == 0 || a.MembershipOut == 0
-		noMessages := a.MembershipMessagesIn == 0 || a.MembershipMessagesOut == 0
-		if noBytes || noMessages || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
-			t.Errorf("%s counted %+v", name, a)
-		}
+		checkTraffic(t, name, a)
 	}
 	if r.CPUSeconds <= 0 || r.ResidentMB <= 0 || r.HeapMB <= 0 || r.AllocBytes == 0 ||
 		r.Descriptors < n || r.Goroutines < n {
@@ -71,11 +42,34 @@
 	for i := range n {
 		host.command(commandReload, fmt.Sprintf("a%d", i), configs.configWith(i, 2))
 	}
-	inForce(kindSettings, 0)
+	host.awaitInForce(n, kindSettings, 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
 		n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
 }
 
+// agree reports whether a number of agents have the same settled snapshot of each other, and the second version of the
+// list.
+func agree(r *HostReport, agents int) bool {
+	digests := map[string]bool{}
+	for _, a := range r.Agents {
+		digests[a.Digest] = true
+		if a.Members != agents || !a.Settled || a.ListVersion != 2 || a.Servers != 2 {
+			return false
+		}
+	}
+	return len(r.Agents) == agents && len(digests) == 1
+}
+
+// checkTraffic checks that an agent has counted its membership's traffic and its calls to discovery.
+func checkTraffic(t *testing.T, name string, a AgentReport) {
+	t.Helper()
+	noBytes := a.MembershipIn == 0 || a.MembershipOut == 0
+	noMessages := a.MembershipMessagesIn == 0 || a.MembershipMessagesOut == 0
+	if noBytes || noMessages || a.ListIn == 0 || a.ListOut == 0 || a.ListCalls < 2 {
+		t.Errorf("%s counted %+v", name, a)
+	}
+}
+
 // TestKillAndStopInMembership: to the other agents a kill looks like SIGKILL, and a stop like SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
 	discovery := newDiscoveryServer(t)
