--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -63,24 +63,24 @@
 	return nil
 }
 
-// checkSize compares what a size takes with limits.
+// checkSize compares what a size takes with limits; its error is a *keyError.
 func (p *Plan) checkSize(hollow int, limits machineLimits) error {
 	hosts := hostCount(hollow, p.AgentsPerHost)
 	memoryMB := p.memoryMB(hollow)
 	processes := hosts + p.Real + p.DiscoveryInstances + 1
 	descriptors := uint64(min(p.AgentsPerHost, hollow)*hollowDescriptors + hostDescriptors)
-	fleet := fmt.Sprintf("sizes: %d hollow agents in %d processes, %d real ones and %d discovery instances",
+	fleet := fmt.Sprintf("%d hollow agents in %d processes, %d real ones and %d discovery instances",
 		hollow, hosts, p.Real, p.DiscoveryInstances)
 	switch {
 	case processes > maxProcesses:
-		return fmt.Errorf("%s are %d processes with the runner, and %d are allowed", fleet, processes, maxProcesses)
+		return invalid("sizes", "%s are %d processes with the runner, and %d are allowed", fleet, processes, maxProcesses)
 	case memoryMB > limits.memoryMB:
-		return fmt.Errorf("%s take some %d MB, and half of this machine's memory is %d MB",
+		return invalid("sizes", "%s take some %d MB, and half of this machine's memory is %d MB",
 			fleet, memoryMB, limits.memoryMB)
 	case memoryMB > limits.freeMemoryMB:
-		return fmt.Errorf("%s take some %d MB, and %d MB are free", fleet, memoryMB, limits.freeMemoryMB)
+		return invalid("sizes", "%s take some %d MB, and %d MB are free", fleet, memoryMB, limits.freeMemoryMB)
 	case descriptors > limits.descriptors:
-		return fmt.Errorf("%s take some %d descriptors a process, and %d are allowed",
+		return invalid("sizes", "%s take some %d descriptors a process, and %d are allowed",
 			fleet, descriptors, limits.descriptors)
 	}
 	return nil
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -36,6 +36,9 @@
 // errInterrupted is returned when the context ends.
 var errInterrupted = errors.New("interrupted")
 
+// runner carries out a plan.
+type runner struct{ Config }
+
 // Run carries out a plan: each repeat of each size on a fleet of its own, on which its load profiles follow each
 // other. The one with a partition of regions has another fleet, whose membership packets pass a relay. A size that this
 // machine can't run is an error before anything is started. When ctx ends, everything that was started
@@ -47,6 +50,7 @@
 	if err := cfg.Plan.CheckMachine(); err != nil {
 		return err
 	}
+	r := runner{cfg}
 	var direct, relayed []capacity.Profile
 	for _, profile := range cfg.Plan.Profiles {
 		if profile == capacity.ProfileRegion {
@@ -58,7 +62,7 @@
 	for repeat := 1; repeat <= cfg.Plan.Repeats; repeat++ {
 		for _, hollow := range cfg.Plan.Sizes {
 			for _, profiles := range [][]capacity.Profile{direct, relayed} {
-				if err := cfg.runProfiles(ctx, hollow, repeat, profiles); err != nil {
+				if err := r.runProfiles(ctx, hollow, repeat, profiles); err != nil {
 					return err
 				}
 			}
@@ -68,10 +72,10 @@
 }
 
 // runProfiles runs load profiles on one fleet, and on a new one after each failure to converge before a run.
-func (cfg *Config) runProfiles(ctx context.Context, hollow, repeat int, profiles []capacity.Profile) error {
+func (r *runner) runProfiles(ctx context.Context, hollow, repeat int, profiles []capacity.Profile) error {
 	failures := 0
 	for len(profiles) > 0 {
-		done, err := cfg.runOnFleet(ctx, hollow, repeat, profiles)
+		done, err := r.runOnFleet(ctx, hollow, repeat, profiles)
 		if ctx.Err() != nil {
 			return errInterrupted
 		}
@@ -86,7 +90,7 @@
 		}
 		failures++
 		if failures == maxFleetStarts {
-			cfg.Progress("%d hollow agents: %d fleets did not converge, %s is not run",
+			r.Progress("%d hollow agents: %d fleets did not converge, %s is not run",
 				hollow, failures, capacity.JoinProfiles(profiles))
 			return nil
 		}
@@ -96,12 +100,12 @@
 
 // runOnFleet starts a fleet and runs load profiles on it until it fails to converge before one. done is the number of
 // those that were run.
-func (cfg *Config) runOnFleet(
+func (r *runner) runOnFleet(
 	ctx context.Context, hollow, repeat int, profiles []capacity.Profile,
 ) (done int, err error) {
-	plan := cfg.Plan
+	plan := r.Plan
 	seed := plan.Seed + uint64(repeat) - 1
-	f, err := cfg.newFleet(hollow, seed)
+	f, err := r.newFleet(hollow, seed)
 	if err != nil {
 		return 0, err
 	}
@@ -111,29 +115,21 @@
 			return 0, err
 		}
 	}
-	cfg.Progress("%d hollow and %d real agents, repeat %d: starting", hollow, plan.Real, repeat)
-	if err := f.start(ctx, cfg, hollow); err != nil {
+	r.Progress("%d hollow and %d real agents, repeat %d: starting", hollow, plan.Real, repeat)
+	if err := f.start(ctx, &r.Config, hollow); err != nil {
 		return 0, fmt.Errorf("start: %w", err)
 	}
 	for _, profile := range profiles {
-		run := &capacity.Run{
-			Plan:               plan.Name,
-			Commit:             cfg.Commit,
-			Profile:            profile,
-			Repeat:             repeat,
-			Seed:               seed,
-			Size:               f.size,
-			Hollow:             hollow,
-			Real:               plan.Real,
-			DiscoveryInstances: plan.DiscoveryInstances,
-			ListedServers:      f.listedServers,
-			RateFactor:         plan.RateFactor,
-		}
-		ok, err := f.runProfile(ctx, cfg, run)
+		run := f.newRun()
+		run.Commit = r.Commit
+		run.Profile = profile
+		run.Repeat = repeat
+		run.Seed = seed
+		ok, err := f.runProfile(ctx, &r.Config, run)
 		if err != nil {
 			return done, err
 		}
-		if err := cfg.OnRun(run); err != nil {
+		if err := r.OnRun(run); err != nil {
 			return done, err
 		}
 		if !ok {
@@ -145,15 +141,15 @@
 }
 
 // newFleet returns a fleet that is not started, with a directory of its own.
-func (cfg *Config) newFleet(hollow int, seed uint64) (*fleet, error) {
-	directory, err := os.MkdirTemp(cfg.Directory, "fleet")
+func (r *runner) newFleet(hollow int, seed uint64) (*fleet, error) {
+	directory, err := os.MkdirTemp(r.Directory, "fleet")
 	if err != nil {
 		return nil, err
 	}
 	f := &fleet{
-		plan:          cfg.Plan,
-		size:          hollow + cfg.Plan.Real,
-		listedServers: cfg.Plan.ListedServers,
+		plan:          r.Plan,
+		size:          hollow + r.Plan.Real,
+		listedServers: r.Plan.ListedServers,
 		directory:     directory,
 		random:        rand.New(rand.NewPCG(seed, uint64(hollow))),
 		trackers:      newTrackers(),
@@ -165,6 +161,19 @@
 	return f, nil
 }
 
+// newRun is the record of a run on the fleet, with what all of its runs have in common.
+func (f *fleet) newRun() *capacity.Run {
+	return &capacity.Run{
+		Plan:               f.plan.Name,
+		Size:               f.size,
+		Hollow:             f.size - f.plan.Real,
+		Real:               f.plan.Real,
+		DiscoveryInstances: f.plan.DiscoveryInstances,
+		ListedServers:      f.listedServers,
+		RateFactor:         f.plan.RateFactor,
+	}
+}
+
 // runProfile runs one load profile on a fleet and fills its record. It returns false, and marks the run invalid, if the
 // fleet does not converge before.
 func (f *fleet) runProfile(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
