--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 func (l *Loop) AcceptFailed(err error) {
 	l.Post(func() {
 		l.metrics.AcceptFailures++
-		l.lines.limited(slog.LevelWarn, "accept failed", "err", err)
+		l.logger.limited(slog.LevelWarn, "accept failed", "err", err)
 	})
 }
 
@@ -33,7 +33,7 @@
 func (l *Loop) InvalidRequest(id, from string, invalid *message.RequestError) {
 	l.Post(func() {
 		l.metrics.Invalid++
-		l.lines.limited(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.Status, "err", invalid)
+		l.logger.limited(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.Status, "err", invalid)
 	})
 }
 
@@ -45,7 +45,7 @@
 // MembershipChanged logs a new membership view. No decision rests on it.
 func (l *Loop) MembershipChanged(view *membership.Snapshot) {
 	l.Post(func() {
-		l.lines.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
+		l.logger.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
 			"digest", view.Digest)
 	})
 }
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -93,7 +93,7 @@
 
 // updateMetrics brings the counts of the log and of the calls to discovery up to date.
 func (l *Loop) updateMetrics() {
-	l.metrics.Unlogged = l.lines.dropped
+	l.metrics.Unlogged = l.logger.dropped
 	traffic := l.discovery.Traffic()
 	l.metrics.ListIn = traffic.BytesIn
 	l.metrics.ListOut = traffic.BytesOut
@@ -102,7 +102,7 @@
 
 // logMetrics writes the metrics and the policy's statistics to the log.
 func (l *Loop) logMetrics() {
-	l.lines.always(slog.LevelInfo, "metrics",
+	l.logger.always(slog.LevelInfo, "metrics",
 		"open", l.requests.unanswered,
 		"server_conns", l.pool.Size(),
 		"connects", l.pool.ConnectCount(),
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -106,7 +106,7 @@
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	loop := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
 	blocked, release := make(chan struct{}), make(chan struct{})
-	loop.lines.lines <- func(context.Context) {
+	loop.logger.lines <- func(context.Context) {
 		close(blocked)
 		<-release
 	}
@@ -114,9 +114,9 @@
 	<-blocked
 	done := make(chan struct{})
 	loop.Post(func() {
-		loop.lines.limit.SetLimit(rate.Inf)
-		for range 2 * cap(loop.lines.lines) {
-			loop.lines.limited(slog.LevelDebug, "line")
+		loop.logger.limit.SetLimit(rate.Inf)
+		for range 2 * cap(loop.logger.lines) {
+			loop.logger.limited(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
