--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -19,13 +19,6 @@
 	minAgents = 4
 	// service is the service whose settings the agents take.
 	service = "pay"
-	// replicas is the agents' replicasOfMe.
-	replicas = 12
-	// fileMarker is the marker of the settings in the agents' files, firstMarker is below those of all changes.
-	fileMarker  = 3
-	firstMarker = 1000
-	// slowStartMs is the value of the key that the first change leaves out.
-	slowStartMs = 8000
 	// leaderTimeout bounds how long the service may take until it has a leader.
 	leaderTimeout = 30 * time.Second
 	// maxStale is how old a read at a follower may be.
@@ -59,27 +52,6 @@
 	return nil
 }
 
-// settings returns settings that agents take. The marker of a change is its number of attempts: agents log that of
-// settings that they have put in force.
-func settings(marker int) processtest.AgentSettings {
-	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
-}
-
-// hasSlowStartInFile tells whether the agent of a number has the key in its file that the first change leaves out:
-// every second one does.
-func hasSlowStartInFile(number int) bool {
-	const every = 2
-	return number%every == 1
-}
-
-// settingsWithoutSlowStart returns settings without a key that every second agent has in its file: those agents
-// reject them.
-func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
-	without := settings(marker)
-	without.SlowStartMs = 0
-	return without
-}
-
 // Harness is a running service of three instances and its agents.
 type Harness struct {
 	cfg       Config
--- a/internal/discovery/server/helpers_test.go
+++ b/internal/discovery/server/client_test.go
@@ -5,9 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -15,15 +13,9 @@
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
 	"fernbeam.example/fernbeam/internal/endpoint"
-	"fernbeam.example/fernbeam/internal/processtest"
-	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
 const (
-	// startTimeout bounds how long a test waits for a leader or a first write.
-	startTimeout = 20 * time.Second
-	// singleNodeElectionTimeout makes an instance that is a cluster by itself lead soon.
-	singleNodeElectionTimeout = 100 * time.Millisecond
 	// retryInterval is the time between two attempts of a write.
 	retryInterval = 20 * time.Millisecond
 	// writeTimeout bounds a request. It is longer than a write may wait for its commit.
@@ -39,14 +31,6 @@
 	body string
 }
 
-// mustAwait waits for a condition, and fails the test if it is not met within startTimeout.
-func mustAwait(tb testing.TB, what string, met func() bool) {
-	tb.Helper()
-	if err := processtest.Await(startTimeout, what, met); err != nil {
-		tb.Fatal(err)
-	}
-}
-
 // request makes one request, following a redirect to the leader.
 func request(method, url, body string) response {
 	return requestWithHeader(method, url, body, http.Header{})
@@ -163,87 +147,3 @@
 	}
 	return request(http.MethodPut, admin+endpoint.ServerPath(entry.ID), string(body)).version()
 }
-
-// nodeConfig returns the configuration of an instance on reserved ports, which founds its cluster.
-func nodeConfig(tb testing.TB, id, dir string, electionTimeout time.Duration) server.Config {
-	tb.Helper()
-	return server.Config{
-		ID:              id,
-		DataDir:         dir,
-		RaftAddr:        testaddr.Reserve(tb),
-		HTTPAddr:        testaddr.Reserve(tb),
-		AdminAddr:       testaddr.Reserve(tb),
-		Bootstrap:       true,
-		MaxStale:        time.Second,
-		ElectionTimeout: electionTimeout,
-		KeepChanges:     4096,
-		SnapshotEvery:   8192,
-		TrailingLogs:    1024,
-	}
-}
-
-// singleNodeConfig returns the configuration of an instance that is a cluster by itself.
-func singleNodeConfig(t *testing.T, dir string) server.Config {
-	t.Helper()
-	config := nodeConfig(t, "n1", dir, singleNodeElectionTimeout)
-	config.KeepChanges = 64
-	return config
-}
-
-// startNode starts an instance in this process, which ends with the test.
-func startNode(tb testing.TB, config server.Config) *server.Node {
-	tb.Helper()
-	node, err := server.Start(config, slog.New(slog.DiscardHandler))
-	if err != nil {
-		tb.Fatal(err)
-	}
-	tb.Cleanup(func() { closeNode(tb, node) })
-	return node
-}
-
-// closeNode closes an instance, which may be closed already.
-func closeNode(tb testing.TB, node *server.Node) {
-	tb.Helper()
-	if err := node.Close(); err != nil {
-		tb.Error(err)
-	}
-}
-
-// startSingleNode starts an instance that is a cluster by itself, on a new data directory or one
-// that was written before. It returns the instance's addresses once the instance leads.
-func startSingleNode(t *testing.T, dir string) (reads, admin string) {
-	t.Helper()
-	config := singleNodeConfig(t, dir)
-	startNode(t, config)
-	isLeader := func() bool { return statusAt(config.AdminAddr).State == server.StateLeader }
-	mustAwait(t, "a leader", isLeader)
-	return config.HTTPAddr, config.AdminAddr
-}
-
-// startThreeNodes starts three instances in this process.
-func startThreeNodes(tb testing.TB, electionTimeout time.Duration) ([]server.Config, []*server.Node) {
-	tb.Helper()
-	configs := make([]server.Config, 3)
-	for i := range configs {
-		id := fmt.Sprint("n", i)
-		configs[i] = nodeConfig(tb, id, filepath.Join(tb.TempDir(), "data"), electionTimeout)
-		configs[i].Bootstrap = i == 0
-	}
-	nodes := make([]*server.Node, len(configs))
-	for i := range configs {
-		configs[i].Peers = peersOf(configs, i)
-		nodes[i] = startNode(tb, configs[i])
-	}
-	return configs, nodes
-}
-
-// peersOf returns the peers of one of several instances.
-func peersOf(configs []server.Config, instance int) []server.Peer {
-	var peers []server.Peer
-	for i, config := range configs {
-		if i != instance {
-			peers = append(peers, server.Peer{ID: config.ID, Raft: config.RaftAddr, Admin: config.AdminAddr})
-		}
-	}
-	return peers
-}
