--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return write, err
 	}
-	var answer struct{ Version uint64 }
+	var answer server.WriteResult
 	attempts := 0
 	isAcknowledged := func() bool {
 		instance := instances[attempts%len(instances)]
--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -71,13 +71,3 @@
 	}
 	return true
 }
-
-// isClosed reports whether Close was called.
-func (n *Node) isClosed() bool {
-	select {
-	case <-n.closed:
-		return true
-	default:
-		return false
-	}
-}
--- a/internal/discovery/server/client_test.go
+++ b/internal/discovery/server/client_test.go
@@ -77,7 +77,7 @@
 
 // version returns the version of an acknowledged write, or 0.
 func (r response) version() uint64 {
-	var written struct{ Version uint64 }
+	var written server.WriteResult
 	if r.code != http.StatusOK || json.Unmarshal([]byte(r.body), &written) != nil {
 		return 0
 	}
--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -119,3 +119,13 @@
 		return fmt.Errorf("raft has not stopped within %v: %w", shutdownTimeout, n.store.available())
 	}
 }
+
+// isClosed reports whether Close was called.
+func (n *Node) isClosed() bool {
+	select {
+	case <-n.closed:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -21,9 +21,9 @@
 	commitTimeout = 5 * time.Second
 )
 
-// writeResult is the body of the answer to a committed write.
-type writeResult struct {
-	Version uint64 `json:"version"`
+// WriteResult is the body of the answer to a committed write.
+type WriteResult struct {
+	Version uint64 `json:"version"` // of the write
 }
 
 // servePutEndpoint replaces a server's entry by the JSON body, an endpoint.Endpoint.
@@ -74,7 +74,7 @@
 		http.Error(w, result.err.Error(), applyErrorStatus(result.err))
 		return
 	}
-	writeJSON(w, writeResult{Version: result.version})
+	writeJSON(w, WriteResult{Version: result.version})
 }
 
 // commitErrorStatus is the HTTP status for a write that Raft did not commit: 503 where it may
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -189,7 +189,7 @@
 	default:
 		return 0, fmt.Errorf("put: %s: %s", response.Status, bytes.TrimSpace(text))
 	}
-	var change struct{ Version uint64 }
-	err = json.Unmarshal(text, &change)
-	return change.Version, err
+	var written server.WriteResult
+	err = json.Unmarshal(text, &written)
+	return written.Version, err
 }
