--- a/policy/random_rules_test.go
+++ b/policy/random_rules_test.go
@@ -109,6 +109,7 @@
 
 // The rules hold in scenarios whose settings and seed rapid draws.
 func TestRulesHoldInRandomScenarios(t *testing.T) {
+	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		runRandomScenario(t, drawSettings(t), rapid.Uint64().Draw(t, "seed"))
 	})
@@ -116,6 +117,7 @@
 
 // Two runs of one scenario give the same actions.
 func TestEqualInputsGiveEqualActions(t *testing.T) {
+	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		settings, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
 		first := runRandomScenario(t, settings, seed)
