--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -100,6 +100,9 @@
 		}
 		select {
 		case <-changed:
+			// The agent counts as notified now, so an outage that begins at this moment does not hold back the answer.
+			list, _ = l.answer(view, query)
+			return list, true
 		case <-timeout.C:
 			timedOut = true
 		case <-ctx.Done():
--- /dev/null
+++ b/internal/emulator/discovery_test.go
@@ -0,0 +1,54 @@
+package emulator
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
+)
+
+const (
+	// watchPause is the time until a watch has mostly begun to wait; each round of the test waits for one more.
+	watchPause = 20 * time.Millisecond
+	// answerTimeout bounds the wait for an answer that is due at once.
+	answerTimeout = time.Second
+)
+
+// TestOutageHoldsBackNoEarlierChange: an agent counts as notified once a change has reached its view. Where its watch
+// waits then, the watch is answered, even if an outage begins at that moment. Nothing tells that a watch waits, so there
+// are several rounds; one that is answered is enough, as none is without the rule.
+func TestOutageHoldsBackNoEarlierChange(t *testing.T) {
+	const rounds = 10
+	for round := range rounds {
+		if isAnsweredInOutage(t, watchPause*time.Duration(round+1)) {
+			return
+		}
+	}
+	t.Errorf("no watch was answered in %d rounds", rounds)
+}
+
+// isAnsweredInOutage opens a watch, publishes a removal a while later and begins an outage before the watch can see it.
+// It reports whether the watch is answered.
+func isAnsweredInOutage(t *testing.T, pause time.Duration) bool {
+	t.Helper()
+	list := newEndpointList(&Emulator{config: smallConfig(), startTime: time.Now()})
+	view := &agentView{agent: "a001", entries: map[string]listEntry{}, changed: make(chan struct{})}
+	ctx, stop := context.WithTimeout(t.Context(), pause+answerTimeout)
+	defer stop()
+	answered := make(chan bool, 1)
+	go func() {
+		answer, ok := list.awaitList(ctx, view, listQuery{watch: true, wait: time.Minute})
+		answered <- ok && len(answer.Servers) == 1
+	}()
+	time.Sleep(pause)
+	list.mu.Lock()
+	list.version++
+	list.schedule(view, endpoint.Endpoint{ID: "s-1", State: endpoint.StateRemoved}, 0)
+	list.restored = make(chan struct{})
+	list.mu.Unlock()
+	if len(list.removals) != 1 {
+		t.Fatalf("removals that count as notified: %+v", list.removals)
+	}
+	return <-answered
+}
