--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -41,7 +41,7 @@
 	if action.Ms != 0 {
 		deadline = clock.Earliest(deadline, now.Add(clock.FromMilliseconds(action.Ms)))
 	}
-	if err := l.mayForward(r, server, now, deadline); err != nil {
+	if err := l.checkForward(r, server, now, deadline); err != nil {
 		l.endUnsent(r, index, action.Server, err)
 		return
 	}
@@ -51,9 +51,9 @@
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// mayForward returns why an attempt must not be started; nil allows it. It closes a request whose client has gone, and
-// logs an action that breaks a rule.
-func (l *Loop) mayForward(r *request, server *listedServer, now, deadline time.Time) error {
+// checkForward returns why an attempt must not be started; nil allows it. It closes a request whose client has gone,
+// and logs an action that breaks a rule.
+func (l *Loop) checkForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.answered && r.incoming.Context.Err() != nil {
 		// The downstream server's notification of it is on its way.
 		l.closeAsGone(r)
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -240,11 +240,11 @@
 		s.writeResponse(w, request.Request, rejection)
 		return
 	}
-	s.forward(w, request.Request)
+	s.dispatch(w, request.Request)
 }
 
-// forward gives a request to the dispatcher and writes the final response.
-func (s *Server) forward(w http.ResponseWriter, request *message.Request) {
+// dispatch gives a request to the dispatcher and writes the final response.
+func (s *Server) dispatch(w http.ResponseWriter, request *message.Request) {
 	s.dispatcher.Dispatch(request)
 	select {
 	case response := <-request.Response:
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -126,8 +126,8 @@
 		if kept {
 			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
 		}
-		mayRetry := result.unsent && kept && ctx.Err() == nil && time.Now().Before(outgoing.Deadline)
-		if !mayRetry || outgoing.Streamed.IsConsumed() {
+		maySendAgain := result.unsent && kept && ctx.Err() == nil && time.Now().Before(outgoing.Deadline)
+		if !maySendAgain || outgoing.Streamed.IsConsumed() {
 			return result.Result
 		}
 	}
