--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -55,7 +55,8 @@
 	client     *http.Client
 	limit      *rate.Limiter
 	onResponse func(Response)
-	// name is the agent's, and backoff the wait of the watch after a failure; nil: as with one address.
+	// name is the agent's. backoff is the wait of the watch after a failure with the section "control"; nil:
+	// without the section, KeepWatch waits by a singleBackoff.
 	name    string
 	backoff *addressBackoff
 	// settingsWatch is what the watch asks for and reports of settings; nil: nothing.
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -37,7 +37,7 @@
 func (l *Loop) ForgetRejectedSettings() { l.discovery.ForgetRejectedSettings() }
 
 // applyConfig applies what may change in service: the settings and the addresses of discovery. After an error
-// nothing of the configuration is in force.
+// the loop keeps those that it has.
 func (l *Loop) applyConfig(cfg *config.Config) error {
 	if err := l.balancer.Retune(cfg.Settings); err != nil {
 		// The file was checked as a whole: no part of it may be in force without the rest.
--- a/internal/agent/upstream/connect_errors.go
+++ b/internal/agent/upstream/connect_errors.go
@@ -26,7 +26,7 @@
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// connectFailureResult is the end of an attempt that got no connection. The server is not demoted for what this
+// connectFailureResult is the end of an attempt that got no connection. The server is not ejected for what this
 // agent or its machine lacks.
 func connectFailureResult(err error) Result {
 	status := balancer.StatusConnectFailed
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -214,7 +214,8 @@
 	b.reject(r)
 }
 
-// mayRetry tells whether another attempt may follow one that ended with the status.
+// mayRetry tells whether the request may be queued for another attempt after one that ended with the status.
+// At which servers is for request.mayAttemptAt to say.
 func (b *Balancer) mayRetry(r *request, status balancer.Status) bool {
 	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
 		return false
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -48,8 +48,8 @@
 	candidates  []*server // scratch: the servers of the tier that is considered
 }
 
-// mayForward tells whether an attempt of the request at the server is permitted. The limits of its
-// load are in concurrencyLimits.serverAllows.
+// mayForward checks once more, just before an attempt begins, that the selected server is ready and that the
+// request may be attempted there. The limits of its load are in concurrencyLimits.serverAllows.
 func (sel *serverSelector) mayForward(r *request, s *server) bool {
 	return s.ready && r.mayAttempt(sel.env.now) && r.mayAttemptAt(s, sel.env, len(sel.endpoints.servers))
 }
@@ -84,10 +84,10 @@
 		return c
 	}
 	c := sel.firstCandidate(r, allCandidates)
-	return choice{server: c.server, hasCandidates: true}
+	return choice{server: c.server, hasCandidates: true} // no worse tier is tried, even if none accepts the request
 }
 
-// fillCandidates makes the servers of the tier to which the request may go the candidates, sets
+// fillCandidates makes the ready servers of the tier at which the request may be attempted the candidates, sets
 // r.tierWeight to their weight, and returns the weight of those in cooldown.
 func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -34,7 +34,8 @@
 // response earned, 1 for one in time.
 func (l *loadShedder) recordServed(value float64) { l.recordFinished(value) }
 
-// recordUnserved counts a request that has ended without a response.
+// recordUnserved counts a request that was not served where overload may be the cause: it was shed, its last
+// attempt timed out or was rejected, or its client left during an attempt.
 func (l *loadShedder) recordUnserved() { l.recordFinished(0) }
 
 // recordFinished counts a finished request and its value.
