--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -37,8 +37,6 @@
 	maxListBytes = 8 << 20
 	// maxConns and maxIdleConns bound the connections to an address.
 	maxConns, maxIdleConns = 4, 2
-	// targetsPath is the path of the endpoint list at discovery.
-	targetsPath = "/api/targets"
 )
 
 // errMoved ends a call to an address that discovery has left.
@@ -194,7 +192,7 @@
 	defer cancel()
 	defer context.AfterFunc(source.moved, cancel)() //nolint:contextcheck // the source's context ends this call too
 	addr, index := source.address()
-	list, err := c.request(callContext, "http://"+addr+targetsPath+call.query)
+	list, err := c.request(callContext, "http://"+addr+endpoint.ListPath+call.query)
 	if err == nil && list.Version < call.minVersion {
 		source.advance(index)
 		return nil, errOlderVersion
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -25,7 +25,7 @@
 	}
 	view := e.endpoints.agentViews[agent]
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", func(rw http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+endpoint.ListPath, func(rw http.ResponseWriter, r *http.Request) {
 		e.endpoints.handleList(view, rw, r)
 	})
 	s := &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0)}
@@ -50,13 +50,13 @@
 
 // parseListQuery reads the parameters of a call: "index", the version of a watch, and "wait", its time in ms.
 func parseListQuery(r *http.Request) (query listQuery, err error) {
-	if index := r.FormValue("index"); index != "" {
+	if index := r.FormValue(endpoint.QueryIndex); index != "" {
 		query.watch = true
 		if query.version, err = strconv.ParseUint(index, 10, 64); err != nil {
 			return listQuery{}, fmt.Errorf("index: %w", err)
 		}
 	}
-	waitMs, _ := strconv.Atoi(r.FormValue("wait")) // without a number the answer is immediate
+	waitMs, _ := strconv.Atoi(r.FormValue(endpoint.QueryWait)) // without a number the answer is immediate
 	query.wait = time.Duration(min(max(waitMs, 0), maxWatchMs)) * time.Millisecond
 	return query, nil
 }
--- a/internal/membershiptest/discovery.go
+++ b/internal/membershiptest/discovery.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
 // serveDiscovery serves an endpoint list with one server to all agents, and is that server.
@@ -17,7 +19,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/targets", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+endpoint.ListPath, func(w http.ResponseWriter, r *http.Request) {
 		awaitWatch(r)
 		_, _ = fmt.Fprintf(w, `{"version":1,"full":true,"servers":[`+
 			`{"id":"s-1","addr":%q,"zone":"east","kind":"big","state":"up","weight":1}]}`, ln.Addr()) // the agent polls again
@@ -37,7 +39,7 @@
 
 // awaitWatch waits as long as a watch may take: the list never changes.
 func awaitWatch(r *http.Request) {
-	waitMs, err := strconv.Atoi(r.FormValue("wait"))
+	waitMs, err := strconv.Atoi(r.FormValue(endpoint.QueryWait))
 	if err != nil {
 		return
 	}
