--- a/internal/experiment/agent_config.go
+++ b/internal/experiment/agent_config.go
@@ -8,6 +8,7 @@
 
 	"fernbeam.example/fernbeam/internal/emulator"
 	"fernbeam.example/fernbeam/internal/endpoint"
+	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
 const (
@@ -44,12 +45,9 @@
 	Networks  []string `json:"networks"`
 }
 
-// memberAddress is where an agent listens for other agents, and the address that it advertises to them.
-type memberAddress struct{ bind, advertise string }
-
 // membershipAddresses are the addresses of all members, by the agents' names, and those that all know at their start.
 type membershipAddresses struct {
-	members map[string]memberAddress
+	members map[string]faultproxy.Addresses
 	seeds   []string
 }
 
@@ -57,8 +55,8 @@
 func (a *membershipAddresses) config(agent, zone string) *membershipConfig {
 	member := a.members[agent]
 	return &membershipConfig{
-		Bind:      member.bind,
-		Advertise: member.advertise,
+		Bind:      member.Bind,
+		Advertise: member.Advertise,
 		Seeds:     a.seeds,
 		Site:      membershipSite,
 		Zone:      zone,
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -47,15 +47,15 @@
 	if r.proxy, err = faultproxy.New(r.seed); err != nil {
 		return nil, err
 	}
-	addresses = &membershipAddresses{members: map[string]memberAddress{}}
+	addresses = &membershipAddresses{members: map[string]faultproxy.Addresses{}}
 	for _, name := range r.names {
-		bind, advertise, err := r.proxy.Add(name)
+		member, err := r.proxy.AddProcess(name)
 		if err != nil {
 			return nil, err
 		}
-		addresses.members[name] = memberAddress{bind, advertise}
+		addresses.members[name] = member
 		if len(addresses.seeds) < membershipSeeds {
-			addresses.seeds = append(addresses.seeds, advertise)
+			addresses.seeds = append(addresses.seeds, member.Advertise)
 		}
 	}
 	return addresses, nil
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -116,12 +116,6 @@
 	return Addresses{Bind: r.processAddr.String(), Advertise: r.relayAddr.String()}, nil
 }
 
-// Add is AddProcess with the addresses one by one.
-func (p *Proxy) Add(name string) (bind, advertise string, err error) {
-	addresses, err := p.AddProcess(name)
-	return addresses.Bind, addresses.Advertise, err
-}
-
 // newRelay opens the sockets of the relay of a process. number counts the processes from 1.
 func (p *Proxy) newRelay(name string, number int) (*relay, error) {
 	if number > maxProcesses {
