--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -256,6 +256,7 @@
 // budget and what is due to chance, however many agents there are, whatever fails at the same time, and
 // however their requests are spread. (The doc comment of slowStart.grantCredits derives the budget.)
 func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
+	t.Parallel()
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
 		{1500, 15}, // a hundred agents for each server
@@ -278,6 +279,7 @@
 
 // Late responses of draining servers add no more to the credit of a server in slow start than its budget.
 func TestSlowStartBoundsTheCreditFromDrainingServers(t *testing.T) {
+	t.Parallel()
 	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
 		t.Run(fmt.Sprintf("%d agents, %d servers", fleet.agents, fleet.servers), func(t *testing.T) {
 			t.Parallel()
@@ -296,6 +298,7 @@
 // Where the last warm server drains, credit accrues with time from then on, and not for the time in which
 // the warm servers' responses added to it. The rate is that of the warm servers, measured for long before.
 func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarm(t *testing.T) {
+	t.Parallel()
 	for _, agents := range []int{12, 300} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
 			t.Parallel()
