--- a/policy/selection.go
+++ b/policy/selection.go
@@ -84,11 +84,12 @@
 		return c
 	}
 	c := sel.firstCandidate(r, allCandidates)
-	return choice{server: c.server, hasCandidates: true} // no worse tier is tried, even if none accepts the request
+	// No worse tier is tried, even if no server of this one accepts the request.
+	return choice{server: c.server, hasCandidates: true}
 }
 
-// fillCandidates makes the ready servers of the tier at which the request may be attempted the candidates, sets
-// r.tierWeight to their weight, and returns the weight of those in cooldown.
+// fillCandidates makes the ready servers of the tier at which the request may be attempted the
+// candidates, sets r.tierWeight to their weight, and returns the weight of those in cooldown.
 func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
 	if t > healthyTier {
