--- a/internal/faultproxy/rules.go
+++ b/internal/faultproxy/rules.go
@@ -37,11 +37,6 @@
 	p.change(func() { p.rules[pair{from, to}] = rule })
 }
 
-// Unset removes the rule of an ordered pair, which then has that of SetAll.
-func (p *Proxy) Unset(from, to string) {
-	p.change(func() { delete(p.rules, pair{from, to}) })
-}
-
 // Partition cuts, under a name, all pairs of processes in different groups, both ways.
 func (p *Proxy) Partition(name string, groups ...[]string) {
 	p.change(func() { p.partitions[name] = NewPartition(groups...) })
