--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -1,6 +1,7 @@
 package processtest
 
 import (
+	"cmp"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -105,6 +106,8 @@
 	MaxAttempts int
 	// SlowStartMs is the contract's coldMs; 0: the key is left out.
 	SlowStartMs int
+	// DiscoveryMode is how lists reach the policy; empty: balancer.DiscoveryOnRequest.
+	DiscoveryMode balancer.DiscoveryMode
 }
 
 // The JSON forms of the parts of AgentSettings, with the keys of the agent's configuration.
@@ -172,7 +175,7 @@
 			MaxAttempts:      s.MaxAttempts,
 			MaxRetryAfterMs:  maxRetryAfterMs,
 		},
-		MembershipMode: balancer.DiscoveryOnRequest,
+		MembershipMode: cmp.Or(s.DiscoveryMode, balancer.DiscoveryOnRequest),
 		ObjectiveMix:   objectiveJSON{Whole: 1},
 		ReplicasOfMe:   s.Agents,
 		RoundMs:        roundTripMs,
--- a/internal/scaletest/configurations_test.go
+++ b/internal/scaletest/configurations_test.go
@@ -1,13 +1,13 @@
 package scaletest
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"strconv"
 	"testing"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/membership"
 	"fernbeam.example/fernbeam/internal/processtest"
 )
@@ -18,13 +18,6 @@
 	defaultMaxAttempts = 3
 )
 
-// settings are an agent's settings, for a number of agents and of attempts.
-const settings = `{
-"classes":[{"name":"order","aimMs":2000,"giveUpMs":3000,"effect":"single_shot","credit":5,"lateShare":0.2}],
-"contract":{"askWithinMs":1600,"drainGraceMs":250},"failureDomains":["east"],"shapes":["big"],"replicasOfMe":%d,
-"limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":%d,"maxRetryAfterMs":600},
-"membershipMode":"pushed","objectiveMix":{"whole":1},"roundMs":5}`
-
 // configurations makes the configurations of a fleet.
 type configurations struct {
 	network   [2]byte
@@ -79,33 +72,17 @@
 // adminAddress is the address of an agent's admin endpoint.
 func (c *configurations) adminAddress(i int) string { return c.address(i, c.port-1) }
 
-// configuration is an agent's configuration, with settings by which discovery pushes lists to it.
-type configuration struct {
-	Name         string                  `json:"name"`
-	Listen       string                  `json:"listen"`
-	AdminAddress string                  `json:"management,omitempty"`
-	Discovery    string                  `json:"discovery"`
-	Seed         string                  `json:"seed"`
-	Limits       processtest.AgentLimits `json:"limits"`
-	Known        processtest.AgentList   `json:"known"`
-	Membership   *membership.Config      `json:"fleet,omitempty"` // nil: it takes no part in the membership
-	Settings     json.RawMessage         `json:"settings"`
-}
-
-// config is the configuration of an agent.
-func (c *configurations) config(i int) configuration { return c.configWith(i, defaultMaxAttempts) }
-
-// configWith is the configuration of an agent with a bound on attempts.
-func (c *configurations) configWith(i, maxAttempts int) configuration {
-	return configuration{
-		Name:         fmt.Sprintf("a%d", i),
-		Listen:       c.address(i, clientPort),
-		AdminAddress: c.adminAddress(i),
-		Discovery:    c.discovery,
-		Seed:         "1",
-		Limits:       processtest.LimitsOf(agentCores),
-		Known:        processtest.AgentList{Full: true},
-		Membership: &membership.Config{
+// config is the configuration of an agent, with settings by which discovery pushes lists to it.
+func (c *configurations) config(i int) processtest.AgentFile {
+	return processtest.AgentFile{
+		Name:       fmt.Sprintf("a%d", i),
+		Listen:     c.address(i, clientPort),
+		Management: c.adminAddress(i),
+		Discovery:  c.discovery,
+		Seed:       "1",
+		Limits:     processtest.LimitsOf(agentCores),
+		Known:      processtest.AgentList{Full: true},
+		Fleet: &membership.Config{
 			Bind:             c.address(i, c.port),
 			Seeds:            []string{c.address(0, c.port), c.address(1, c.port)},
 			Site:             "test",
@@ -114,6 +91,10 @@
 			SettleMs:         500,
 			ReconnectMs:      1000,
 		},
-		Settings: json.RawMessage(fmt.Sprintf(settings, c.size, maxAttempts)),
+		Settings: processtest.AgentSettings{
+			Agents:        c.size,
+			MaxAttempts:   defaultMaxAttempts,
+			DiscoveryMode: balancer.DiscoveryPushed,
+		},
 	}
 }
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -33,9 +33,9 @@
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
 	configs := newConfigurations(t, newSilentDiscovery(t), 2)
 	config := configs.config(1)
-	config.Membership = nil
+	config.Fleet = nil
 	program := programDiscoveryBytes(t, config)
-	config.AdminAddress, config.Listen = configs.adminAddress(0), configs.address(0, clientPort)
+	config.Management, config.Listen = configs.adminAddress(0), configs.address(0, clientPort)
 	hollow := hollowDiscoveryBytes(t, config)
 	compared := 0
 	for calls, p := range program {
@@ -74,7 +74,7 @@
 
 // programDiscoveryBytes runs the program with a configuration until it has made comparedCalls calls, and returns the
 // bytes that it logged, by the number of calls.
-func programDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
+func programDiscoveryBytes(t *testing.T, config processtest.AgentFile) map[uint64]discoveryBytes {
 	t.Helper()
 	log := startProgram(t, config)
 	read := make(chan map[uint64]discoveryBytes, 1)
@@ -92,11 +92,10 @@
 }
 
 // startProgram starts the program with a configuration and returns its log. The test's end kills it.
-func startProgram(t *testing.T, config configuration) io.Reader {
+func startProgram(t *testing.T, config processtest.AgentFile) io.Reader {
 	t.Helper()
 	dir := t.TempDir()
-	file := filepath.Join(dir, config.Name+".json") // which AgentEnv names
-	if err := os.WriteFile(file, marshal(t, config), agentConfigMode); err != nil {
+	if err := config.Write(dir, config.Name); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), filepath.Join(programs(t), "agent"))
@@ -136,7 +135,7 @@
 
 // hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls, and returns the
 // bytes that it reported, by the number of calls.
-func hollowDiscoveryBytes(t *testing.T, config configuration) map[uint64]discoveryBytes {
+func hollowDiscoveryBytes(t *testing.T, config processtest.AgentFile) map[uint64]discoveryBytes {
 	t.Helper()
 	host := startHostClient(t)
 	host.command(commandStart, "a1", config)
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -40,7 +40,9 @@
 	}
 	discovery.mu.Unlock()
 	for i := range n {
-		host.command(commandReload, fmt.Sprintf("a%d", i), configs.configWith(i, 2))
+		fewerAttempts := configs.config(i)
+		fewerAttempts.Settings.MaxAttempts = 2
+		host.command(commandReload, fmt.Sprintf("a%d", i), fewerAttempts)
 	}
 	host.awaitInForce(n, kindSettings, 0)
 	t.Logf("%d agents: %.1f MB live, %.1f MB resident, %d goroutines, %d descriptors",
@@ -220,8 +222,8 @@
 	bad := configs.config(1)
 	bad.Seed = "none"
 	bare := configs.config(0)
-	bare.AdminAddress = ""
-	config := func(c configuration) string { return string(marshal(t, c)) }
+	bare.Management = ""
+	config := func(c processtest.AgentFile) string { return string(marshal(t, c)) }
 	for command, want := range map[string]string{
 		`{"do":`:                       "command: unexpected EOF",
 		`{"do":"dance","agent":"a0"}`:  `command: do: "dance" is none`,
@@ -254,7 +256,7 @@
 	}
 	// An address in use is no invalid command: the agent ends.
 	taken := configs.config(1)
-	taken.AdminAddress = configs.adminAddress(0)
+	taken.Management = configs.adminAddress(0)
 	host.command(commandStart, "a1", taken)
 	if event := host.ended("a1"); !strings.Contains(event.Err, "address already in use") {
 		t.Errorf("event %+v", event)
