--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -1,26 +1,9 @@
 package emulator
 
-import "time"
+import (
+	"time"
 
-// Idempotency tells whether a request may execute twice. The texts are those of scenarios and settings.
-type Idempotency string
-
-// The kinds of idempotency.
-const (
-	Idempotent      Idempotency = "free"
-	IdempotentByKey Idempotency = "guarded" // duplicates are dropped within the DedupScope and the DedupWindow
-	NonIdempotent   Idempotency = "single_shot"
-)
-
-// DedupScope says among which servers duplicates of a request are dropped. The texts are those of scenarios and
-// settings.
-type DedupScope string
-
-// The scopes of deduplication.
-const (
-	DedupFleet DedupScope = "all"
-	DedupZone  DedupScope = "zone"
-	DedupCell  DedupScope = "cell"
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Class is a class of requests.
@@ -35,24 +18,25 @@
 	LatencyObjective time.Duration `toml:"aim"`
 	TotalTimeout     time.Duration `toml:"give_up"`
 	// PriorityWeight is what a response within the objective earns, LateFraction the part that a later one earns.
-	PriorityWeight float64       `toml:"worth"`
-	LateFraction   float64       `toml:"late_worth"`
-	Idempotency    Idempotency   `toml:"effect"`
-	DedupScope     DedupScope    `toml:"group"`   // of IdempotentByKey
-	DedupWindow    time.Duration `toml:"key_for"` // of IdempotentByKey
+	PriorityWeight float64              `toml:"worth"`
+	LateFraction   float64              `toml:"late_worth"`
+	Idempotency    balancer.Idempotency `toml:"effect"`
+	DedupScope     balancer.DedupScope  `toml:"group"`   // of IdempotentByKey
+	DedupWindow    time.Duration        `toml:"key_for"` // of IdempotentByKey
 }
 
 // idempotentEverywhere tells whether any server may execute a request of the class after another one.
 func (c *Class) idempotentEverywhere() bool {
-	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupFleet
+	inWholeFleet := c.Idempotency == balancer.IdempotentByKey && c.DedupScope == balancer.DedupFleet
+	return c.Idempotency == balancer.Idempotent || inWholeFleet
 }
 
 // outsideScope tells whether two attempts reached servers that do not drop each other's duplicates.
 func (c *Class) outsideScope(a, b *Attempt) bool {
 	switch c.DedupScope {
-	case DedupCell:
+	case balancer.DedupCell:
 		return a.Cell != b.Cell
-	case DedupZone:
+	case balancer.DedupZone:
 		return a.Zone != b.Zone
 	default: // DedupFleet, or the class has no scope
 		return false
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
@@ -154,7 +155,7 @@
 			Timeout: timeout,
 		},
 	}
-	if request.class.Idempotency == IdempotentByKey {
+	if request.class.Idempotency == balancer.IdempotentByKey {
 		request.idempotencyKey = fmt.Sprintf("%04x%028x", c.index, number)
 	}
 	return request
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -1,6 +1,10 @@
 package emulator
 
-import "time"
+import (
+	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
+)
 
 // smallConfig returns the configuration of one server with one core, which a client may call without an agent.
 func smallConfig() Config {
@@ -18,7 +22,7 @@
 			LatencyObjective: time.Second,
 			TotalTimeout:     time.Second,
 			PriorityWeight:   1,
-			Idempotency:      Idempotent,
+			Idempotency:      balancer.Idempotent,
 		}},
 		Rate:                1,
 		Keys:                1,
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // Rule is one of the four operating rules (WIRE, "Operating rules"). The texts stand in records.
@@ -115,12 +117,12 @@
 		return
 	}
 	switch {
-	case class.Idempotency == NonIdempotent:
+	case class.Idempotency == balancer.NonIdempotent:
 		j.report(RuleDuplicate, request, "at %s after it may have executed at %s", later.Server, earlier.Server)
-	case class.Idempotency == IdempotentByKey && class.outsideScope(earlier, later):
+	case class.Idempotency == balancer.IdempotentByKey && class.outsideScope(earlier, later):
 		j.report(RuleDuplicate, request, "at %s after it may have executed at %s, in another %s",
 			later.Server, earlier.Server, class.DedupScope)
-	case class.Idempotency == IdempotentByKey && later.Received > earlier.Started+class.DedupWindow+slack:
+	case class.Idempotency == balancer.IdempotentByKey && later.Received > earlier.Started+class.DedupWindow+slack:
 		j.report(RuleDuplicate, request, "at %s %v after it was sent to %s",
 			later.Server, later.Received-earlier.Started, earlier.Server)
 	}
--- a/internal/emulator/judge_test.go
+++ b/internal/emulator/judge_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 const ms = time.Millisecond
@@ -15,9 +17,9 @@
 )
 
 var judgeClasses = []Class{
-	{Name: "once", Idempotency: NonIdempotent},
-	{Name: "keyed", Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: time.Second},
-	{Name: "free", Idempotency: Idempotent},
+	{Name: "once", Idempotency: balancer.NonIdempotent},
+	{Name: "keyed", Idempotency: balancer.IdempotentByKey, DedupScope: balancer.DedupCell, DedupWindow: time.Second},
+	{Name: "free", Idempotency: balancer.Idempotent},
 }
 
 // Indexes of the requests of validHistory.
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"fernbeam.example/fernbeam/internal/balancer"
 )
 
 // liveRequest is a request to an agent with what the servers have to know of it.
@@ -34,7 +36,7 @@
 
 // method is the request's HTTP method.
 func (r *liveRequest) method() string {
-	if r.class.Idempotency == Idempotent {
+	if r.class.Idempotency == balancer.Idempotent {
 		return http.MethodGet
 	}
 	return http.MethodPost
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"fernbeam.example/fernbeam/internal/balancer"
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
@@ -158,7 +159,7 @@
 			LatencyObjective: time.Minute,
 			TotalTimeout:     time.Minute,
 			PriorityWeight:   1,
-			Idempotency:      emulator.Idempotent,
+			Idempotency:      balancer.Idempotent,
 		}},
 		Rate:                q.Load * float64(q.Cores) / q.MeanService.Seconds(),
 		Keys:                1,
