--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"slices"
 	"time"
 
 	"fernbeam.example/fernbeam/internal/discovery/server"
@@ -50,21 +49,15 @@
 	return h.callAdmin(instance, http.MethodGet, path, nil, out)
 }
 
-// leader is the instance that leads by its own status, of those that are not paused; "": none does.
+// leader returns the instance that leads by its own status, of those that are not paused; "": none does.
 func (h *Harness) leader() string {
 	h.mu.Lock()
 	paused := h.pausedInstance
 	h.mu.Unlock()
-	for _, name := range h.Instances {
-		if name == paused || !h.discovery.Running(name) {
-			continue
-		}
+	return h.discovery.FirstRunning(func(name string) bool {
 		var status server.Status
-		if h.get(name, endpoint.StatusPath, &status) == nil && status.State == server.StateLeader {
-			return name
-		}
-	}
-	return ""
+		return name != paused && h.get(name, endpoint.StatusPath, &status) == nil && status.State == server.StateLeader
+	})
 }
 
 // awaitLeader waits until there is a leader.
@@ -88,86 +81,13 @@
 	return nil
 }
 
-// others are the instances but one.
-func (h *Harness) others(instance string) []string {
-	return slices.DeleteFunc(slices.Clone(h.Instances), func(name string) bool { return name == instance })
-}
-
 // drawFollower draws an instance that does not lead.
 func (h *Harness) drawFollower() (string, error) {
 	err := h.awaitLeader(retryTimeout)
-	followers := h.others(h.leader())
+	followers := h.discovery.Others(h.leader())
 	return followers[h.random.IntN(len(followers))], err
 }
 
-// agentReport is the last report of an agent, and the instance that received it.
-type agentReport struct {
-	server.AgentReport
-	instance string
-}
-
-// agentReports are the last reports of the agents, by their names.
-func (h *Harness) agentReports() map[string]agentReport {
-	reports := map[string]agentReport{}
-	for _, instance := range h.Instances {
-		var reported server.AgentReports
-		if h.get(instance, endpoint.AgentReportsPath(service), &reported) != nil {
-			continue // an instance that is down has no reports
-		}
-		for _, agent := range reported.Agents {
-			if old, ok := reports[agent.Agent]; !ok || agent.SilentMs < old.SilentMs {
-				reports[agent.Agent] = agentReport{agent, instance}
-			}
-		}
-	}
-	return reports
-}
-
-// instanceUse is an instance and the number of agents that use it.
-type instanceUse struct {
-	instance string
-	agents   int
-}
-
-// busiestInstance is the follower that most agents use, or the leader where all use that: an agent uses the instance
-// that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The error
-// tells that not all agents have called within retryTimeout.
-func (h *Harness) busiestInstance() (instanceUse, error) {
-	agentsOf, err := h.awaitCalls()
-	leader := h.leader()
-	var busiest instanceUse
-	for _, name := range h.Instances {
-		agents := agentsOf[name]
-		if agents == 0 {
-			continue
-		}
-		isBusierFollower := agents > busiest.agents && name != leader
-		if isBusierFollower || busiest.instance == leader || busiest.agents == 0 {
-			busiest = instanceUse{instance: name, agents: agents}
-		}
-	}
-	return busiest, err
-}
-
-// awaitCalls waits until all agents have called an instance, and counts them by the instance that each called last.
-func (h *Harness) awaitCalls() (map[string]int, error) {
-	startedAt := time.Now()
-	agentsOf := map[string]int{}
-	err := processtest.Await(retryTimeout, "calls of all agents", func() bool {
-		reports := h.agentReports()
-		for _, report := range reports {
-			if report.SilentMs >= time.Since(startedAt).Milliseconds() {
-				return false
-			}
-		}
-		for _, report := range reports {
-			agentsOf[report.instance]++
-		}
-		return true
-	})
-	return agentsOf, err
-}
-
 // Change writes settings with a marker of their own until they are acknowledged, at the given instances in turn, and
 // records that; the error is that this took longer than changeTimeout. It is safe for concurrent use.
 func (h *Harness) Change(settingsOf func(marker int) processtest.AgentSettings, instances ...string) (Write, error) {
@@ -190,10 +110,11 @@
 	}
 	write.Version = answer.Version
 	write.AckedAt = time.Now()
-	h.recordWrite(write)
+	h.writes.Add(write)
 	return write, nil
 }
 
+// nextMarker draws the marker of the next change.
 func (h *Harness) nextMarker() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -201,12 +122,6 @@
 	return h.lastMarker
 }
 
-func (h *Harness) recordWrite(write Write) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.writes = append(h.writes, write)
-}
-
 // change changes settings to such as all agents take.
 func (h *Harness) change(instances ...string) error {
 	_, err := h.Change(settings, instances...)
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint defines the messages of the discovery protocol (PROTOCOL-fernbeam.md,
-// "Discovery"): the answer to GET /api/targets, a server's entry in it, and the query parameters
-// about settings. The discovery service writes the messages and the agent reads them.
+// Package endpoint defines what the discovery service and its clients agree on: the messages of the
+// discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), which are the answer to GET /api/targets
+// and a server's entry in it, the paths of the service, and the query parameters.
 package endpoint
 
 import "encoding/json"
@@ -38,6 +38,22 @@
 	Value   json.RawMessage `json:"value"`
 }
 
+// Query parameters of ListPath.
+const (
+	// QueryIndex is the list version from which on a watch wants changes; absent: a poll of the full list.
+	QueryIndex = "index"
+	// QueryWait is how long a watch waits for a change, in milliseconds.
+	QueryWait = "wait"
+)
+
+// Query parameters of the other paths.
+const (
+	// QueryConsistent requests the leader's status after all that was committed is applied, if it is "true".
+	QueryConsistent = "consistent"
+	// QueryVersion requests a stored version of a service's settings; absent: the newest.
+	QueryVersion = "version"
+)
+
 // Query parameters by which a watch requests settings and reports those that its agent has. Without
 // QueryService the discovery service ignores the others.
 const (
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -107,15 +107,10 @@
 
 // leader is the instance that reports to be the leader, or "".
 func (d *discoveryCluster) leader(ctx context.Context) string {
-	for _, name := range d.Names() {
-		if !d.Running(name) {
-			continue
-		}
-		if status, err := d.status(ctx, name); err == nil && status.State == server.StateLeader {
-			return name
-		}
-	}
-	return ""
+	return d.FirstRunning(func(name string) bool {
+		status, err := d.status(ctx, name)
+		return err == nil && status.State == server.StateLeader
+	})
 }
 
 // status is the status of an instance by its admin endpoint.
@@ -136,7 +131,7 @@
 }
 
 // errRejected is returned for a write that no retry can make succeed.
-var errRejected = errors.New("refused")
+var errRejected = errors.New("rejected")
 
 // putServer sets a server's entry and returns the version of the change.
 func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Endpoint) (uint64, error) {
