--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -55,8 +55,9 @@
 var _ io.Closer = (*Node)(nil)
 
 // Start opens the data directory, founds the cluster or joins it, and serves reads on cfg.HTTPAddr
-// and writes on cfg.AdminAddr until Close. Its errors name what failed: a key of the configuration,
-// a data directory of a newer format, a listener, or the store (StoreDamageError if it is damaged).
+// and writes on cfg.AdminAddr until Close. Its errors name what failed: a key of the configuration
+// (KeyError), a data directory of a newer format (DataFormatError), a listener, or the store
+// (StoreDamageError if it is damaged).
 func Start(cfg Config, log *slog.Logger) (*Node, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint defines the messages of the discovery protocol (PROTOCOL-fernbeam.md,
-// "Discovery"): the answer to GET /api/targets, a server's entry in it, and the query parameters
-// about settings. The discovery service writes the messages and the agent reads them.
+// Package endpoint defines what the discovery service and its clients agree on: the messages of the
+// discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), which are the answer to GET /api/targets
+// and a server's entry in it, the paths of the service, and the query parameters.
 package endpoint
 
 import "encoding/json"
