--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -13,67 +13,68 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// ErrClientGone ends an attempt whose client has closed its connection.
+// ErrClientGone is the error of an attempt whose client has closed its connection.
 var ErrClientGone = errors.New("client closed the connection")
 
-// Server is what attempts know of a server besides its address. The zero value is available.
+// Server is the state of a server that attempts check before they send. The zero value is available.
 type Server struct {
 	unavailable atomic.Bool
 }
 
-// SetAvailable sets whether the server may be sent requests: it is neither draining nor removed.
+// SetAvailable sets whether requests may be sent to the server, that is, whether it is neither draining nor removed.
 func (s *Server) SetAvailable(available bool) { s.unavailable.Store(!available) }
 
-// IsAvailable reports whether the server may be sent requests; attempts read it just before they write.
+// IsAvailable reports whether requests may be sent to the server. Attempts check it immediately before they write.
 func (s *Server) IsAvailable() bool { return !s.unavailable.Load() }
 
-// Target is where an attempt or a health check goes.
+// Target is the destination of an attempt or a health check.
 type Target struct {
 	Server *Server
 	Addr   string // the server's network address when the attempt began
 }
 
-// Message is what an attempt sends to a server, and until when.
+// Message is what an attempt sends to a server, with its time limits.
 type Message struct {
-	// NewRequest makes the request for the time that is left.
+	// NewRequest creates the request, given the time left until the deadline.
 	NewRequest func(left time.Duration) *http.Request
-	// StartedAt is when the attempt began; its latency counts from then, or from the last byte of a streamed request.
+	// StartedAt is when the attempt began. Its latency is measured from then, or from the last byte of a streamed
+	// request.
 	StartedAt time.Time
-	// Deadline is until when the response to a buffered request is waited for.
+	// Deadline is when the attempt stops waiting for the response to a buffered request.
 	Deadline time.Time
-	// SendBy is until when a retry may be sent. Zero: there is no limit.
+	// SendBy is the latest time at which a retry may be sent. The zero time means no limit.
 	SendBy time.Time
-	// ClientGone checks whether the client has closed its connection; nil: that can't be checked.
+	// ClientGone reports whether the client has closed its connection. It is nil if that can't be checked.
 	ClientGone func() bool
-	// Streamed is the part of the body that is not buffered; nil: all of it is.
+	// Streamed is the part of the body that is not buffered. It is nil if the whole body is buffered.
 	Streamed *message.StreamedBody
-	// ResponseTime is the time for the response to a streamed request, from its last byte on.
+	// ResponseTime is the time allowed for the response to a streamed request, measured from its last byte.
 	ResponseTime time.Duration
-	// OnSent is called when the last byte of a streamed request is written.
+	// OnSent is called when the last byte of a streamed request has been written.
 	OnSent func()
 }
 
-// Result is how one attempt ended.
+// Result is the outcome of one attempt.
 type Result struct {
 	Status    balancer.Status
 	Reason    string // why the attempt failed, for the log
 	LatencyMs float64
 	Header    http.Header
 	Body      *message.ResponseBody
-	ClientErr error // the client's error that broke off the request in the middle of its body
+	ClientErr error // the client's error that interrupted the request
 
-	connectionLost bool // the connection broke before any response
+	connectionLost bool // the connection broke before a response arrived
 }
 
-// exchangeResult is how an exchange on one connection ended.
+// exchangeResult is the outcome of an exchange on one connection.
 type exchangeResult struct {
 	Result
 	reusable bool // the connection may carry another message
 	unsent   bool // the connection broke before the last byte was written
 }
 
-// Attempt makes one attempt and returns how it ended. It never sends anything twice, and outgoing is its own from
-// now on. Cancelling ctx cancels the attempt and closes its connection.
+// Attempt makes one attempt and returns its outcome. It never sends a message twice if the first may have executed,
+// and it takes ownership of outgoing. Cancelling ctx cancels the attempt and closes its connection.
 func (p *Pool) Attempt(ctx context.Context, target Target, outgoing *Message) Result {
 	sent := outgoing.Streamed == nil
 	if outgoing.Streamed != nil {
@@ -85,20 +86,20 @@
 		}
 	}
 	result := p.exchange(ctx, target, outgoing)
-	// A cancelled attempt says nothing of its server, also where the cancellation cut off a connect; a response
-	// that was already there stands.
+	// A cancelled attempt gives no information about its server, even if the cancellation interrupted a connect.
+	// A response that had already arrived is kept.
 	if ctx.Err() != nil && result.Status != balancer.StatusOK && result.Status != balancer.StatusOverloaded {
 		result.Status = balancer.StatusCancelled
 		if !sent && !outgoing.Streamed.Complete() && result.ClientErr == nil {
-			result.Status = balancer.StatusUnsent // its last byte was never sent
+			result.Status = balancer.StatusUnsent // the last byte was never sent
 		}
 	}
 	result.LatencyMs = clock.MillisecondsSince(outgoing.StartedAt)
 	return result
 }
 
-// HealthCheck asks a server whether it is healthy, over the connections that attempts use. It is given up after
-// twice the time that a connect may take: a server that delays a cheap response for so long is not healthy.
+// HealthCheck checks a server's health over the connections that attempts use. Its deadline is twice the connect
+// timeout: a server that takes longer for such a cheap response is not healthy.
 func (p *Pool) HealthCheck(ctx context.Context, target Target, host string) Result {
 	startedAt := time.Now()
 	outgoing := &Message{
@@ -107,37 +108,37 @@
 		Deadline:   startedAt.Add(2 * p.connectTimeLimit()),
 	}
 	result := p.exchange(ctx, target, outgoing)
-	result.Body.Release() // only the status counts
+	result.Body.Release() // only the status is used
 	result.LatencyMs = clock.MillisecondsSince(startedAt)
 	return result
 }
 
-// exchange writes one message and reads its response. A kept connection that turns out broken before the last
-// byte is written has brought nothing to the server and says nothing of it: the message goes out on the next
-// kept connection, and finally on a new one.
+// exchange writes one message and reads its response. If a reused connection breaks before the last byte is written,
+// the request can't have executed and the server is not to blame: the message is sent on the next idle connection,
+// and finally on a new one.
 func (p *Pool) exchange(ctx context.Context, target Target, outgoing *Message) Result {
 	for {
 		conn, err := p.acquire(ctx, target.Addr, outgoing.Deadline)
-		if err != nil { // not a byte was sent
+		if err != nil { // nothing was sent
 			return connectFailureResult(err)
 		}
-		kept := conn.uses > 0
+		reused := conn.uses > 0
 		result := p.exchangeOn(ctx, conn, target.Server, outgoing)
-		if kept {
+		if reused {
 			p.recordIdleUse(conn.idledFor, result.unsent || result.connectionLost)
 		}
-		maySendAgain := result.unsent && kept && ctx.Err() == nil && time.Now().Before(outgoing.Deadline)
+		maySendAgain := result.unsent && reused && ctx.Err() == nil && time.Now().Before(outgoing.Deadline)
 		if !maySendAgain || outgoing.Streamed.IsConsumed() {
 			return result.Result
 		}
 	}
 }
 
-// exchangeOn makes the exchange on one connection, and gives the connection back or closes it.
+// exchangeOn makes the exchange on one connection, and then returns the connection to the pool or closes it.
 func (p *Pool) exchangeOn(
 	ctx context.Context, conn *serverConn, server *Server, outgoing *Message,
 ) exchangeResult {
-	// Cancelling makes whatever reads or writes end at once.
+	// Cancelling ctx ends pending reads and writes immediately.
 	stopCancelling := context.AfterFunc(ctx, conn.expire)
 	conn.uses++
 	result := p.transfer(ctx, conn, server, outgoing)
@@ -145,7 +146,7 @@
 	streaming := result.Body != nil && result.Body.Stream != nil
 	switch {
 	case streaming && !cancelled:
-		// The connection is the stream's until that ends.
+		// The stream owns the connection until it ends.
 		result.Body.Stream.UseOwnDeadlines()
 	case streaming:
 		result.Body.Release()
@@ -153,13 +154,13 @@
 	case result.reusable && !cancelled:
 		p.release(conn, server)
 	default:
-		// If the cancellation has begun its deadline would hit the connection's next user.
+		// A cancellation that has begun may still set its expired deadline, which would fail the connection's next use.
 		p.discard(conn)
 	}
 	return result
 }
 
-// transfer writes the message on a connection and reads the response.
+// transfer writes the message to a connection and reads the response.
 func (p *Pool) transfer(
 	ctx context.Context, conn *serverConn, server *Server, outgoing *Message,
 ) exchangeResult {
@@ -177,7 +178,7 @@
 	return p.exchangeBuffered(conn, server, req)
 }
 
-// exchangeBuffered makes the exchange of a message that is buffered completely.
+// exchangeBuffered makes the exchange of a message whose body is completely buffered.
 func (p *Pool) exchangeBuffered(conn *serverConn, server *Server, req *http.Request) exchangeResult {
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
@@ -196,9 +197,10 @@
 	return p.readResponse(conn, server, responseHead{resp: resp, err: err})
 }
 
-// unsendable reports whether the message must no longer be sent to a server, and how its attempt ends. The
-// connect may have taken long: a draining server allows requests only for a grace time, servers drop duplicates
-// only within a window, and the client may have closed its connection meanwhile.
+// unsendable reports whether the message must no longer be sent to a server, and the result of its attempt in that
+// case. It is checked after the connect, which may have taken long: a draining server accepts requests only during the
+// drain grace, servers drop duplicates only within the deduplication window, and the client may have closed its
+// connection meanwhile.
 func (m *Message) unsendable(server *Server) (result Result, unsendable bool) {
 	switch {
 	case !server.IsAvailable():
--- a/internal/agent/upstream/connect_errors.go
+++ b/internal/agent/upstream/connect_errors.go
@@ -8,47 +8,48 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// localErrors are the errors of socket, bind and connect that say that this machine lacks a resource. A connect
+// localErrors are the errors of socket, bind and connect that report a lack of resources on this machine. A connect
 // to any server would have failed, and nothing was sent:
-//   - EMFILE, ENFILE: no descriptor is left in the process or the system (socket(2));
+//   - EMFILE, ENFILE: the process or the system has no file descriptor left (socket(2));
 //   - ENOBUFS, ENOMEM: not enough memory for the socket (socket(2), ip(7));
 //   - EADDRNOTAVAIL: all ephemeral ports are in use, or the source address is not local (connect(2), ip(7));
 //   - EADDRINUSE: the local address is in use (connect(2));
-//   - EAGAIN: no entry is left in the routing cache (connect(2));
+//   - EAGAIN: the routing cache has no free entry (connect(2));
 //   - ENETUNREACH: this machine has no route (connect(2));
-//   - ENETDOWN: the interface is down (accept(2) names it among the network errors of TCP/IP).
+//   - ENETDOWN: the interface is down (accept(2) lists it among the network errors of TCP/IP).
 //
-// All other errors count against the server: ECONNREFUSED and ETIMEDOUT (connect(2)), EHOSTUNREACH, which a
-// router may have sent (ip(7)), and EACCES and EPERM, a firewall's rule that may block this address alone
-// (connect(2)). Package net never returns EINTR, EINPROGRESS and EALREADY.
+// All other errors count against the server: ECONNREFUSED and ETIMEDOUT (connect(2)), EHOSTUNREACH, which a router
+// may have caused (ip(7)), and EACCES and EPERM, caused by a firewall rule that may apply to this address only
+// (connect(2)). Package net never returns EINTR, EINPROGRESS or EALREADY.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// connectFailureResult is the end of an attempt that got no connection. The server is not ejected for what this
-// agent or its machine lacks.
+// connectFailureResult returns the result of an attempt that got no connection. A lack of resources in this agent or
+// on its machine does not eject the server.
 func connectFailureResult(err error) Result {
 	status := balancer.StatusConnectFailed
-	if errors.Is(err, errNoDescriptor) || isOneOf(err, localErrors) {
+	if errors.Is(err, errNoDescriptor) || hasErrno(err, localErrors) {
 		status = balancer.StatusOverloaded
 	}
 	return Result{Status: status, Reason: err.Error()}
 }
 
-// localWriteErrors say that this machine had no memory for a write (send(2)). Any other error of a write shows
-// that the connection broke: ENETUNREACH too, as the connection was up before.
+// localWriteErrors are the errors of a write for which this machine lacks memory (send(2)). Any other write error
+// means that the connection broke, including ENETUNREACH, as the connection had been established.
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
-// writeFailureStatus is the status of an attempt whose last byte was not written.
+// writeFailureStatus returns the status of an attempt whose last byte was not written.
 func writeFailureStatus(err error) balancer.Status {
-	if isOneOf(err, localWriteErrors) {
+	if hasErrno(err, localWriteErrors) {
 		return balancer.StatusOverloaded
 	}
 	return balancer.StatusConnectFailed
 }
 
-func isOneOf(err error, list []syscall.Errno) bool {
+// hasErrno reports whether err wraps one of the error numbers of list.
+func hasErrno(err error, list []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream makes attempts at servers: it keeps a pool of connections, writes one message on a connection, reads
-// its response, and says how the attempt ended and whether it may have executed. An attempt runs in the goroutine of
-// its caller. The package never sends a message that may have executed again.
+// Package upstream makes attempts at servers. It keeps a pool of connections, writes one message to a connection, reads
+// the response, and reports how the attempt ended and whether it may have executed. An attempt runs in its caller's
+// goroutine. The package never resends a message that may have executed.
 package upstream
 
 import (
@@ -18,35 +18,35 @@
 )
 
 const (
-	// settleTime is how long a connection rests before it carries another message. A server may send a second
-	// response some milliseconds late; one that came later than this would be taken for the next message's.
-	settleTime = 20 * time.Millisecond
-	// defaultConnectTimeout and defaultKeepalive apply where the settings give none.
+	// minIdleTime is how long a connection stays idle before it carries another message. A server may send a second
+	// response some milliseconds late; one that came later than this would be taken for the next message's response.
+	minIdleTime = 20 * time.Millisecond
+	// defaultConnectTimeout and defaultKeepalive apply if the settings give no value.
 	defaultConnectTimeout, defaultKeepalive = time.Second, time.Second
 )
 
-// errNoDescriptor ends a connect for which no descriptor is left.
+// errNoDescriptor is the error of a connect at the limit on connections, which keeps the agent within its descriptors.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// Pool makes attempts and keeps idle connections. http.Transport is not used, as it retries by itself
-// on a broken kept connection, and does not tell whether the last byte was written, on which it depends whether
-// an attempt may have executed.
+// Pool makes attempts and keeps idle connections. It does not use http.Transport, which retries by itself when a reused
+// connection is broken, and does not report whether the last byte was written, which decides whether an attempt may
+// have executed.
 type Pool struct {
-	budget message.Quota // of bytes of buffered response bodies
+	budget message.Quota // for the bytes of buffered response bodies
 	dial   config.DialFunc
 
 	mu              sync.Mutex
 	maxConns        int
 	connectTimeout  time.Duration
-	keepalive       time.Duration            // connections that have been idle for longer are not used
-	idle            map[string][]*serverConn // by address, the most recently used last
-	closed          bool                     // nothing is kept any more
+	keepalive       time.Duration            // connections idle for longer are not used
+	idle            map[string][]*serverConn // by address, most recently used last
+	closed          bool                     // no connection is kept any more
 	openConns       int                      // open or being opened
 	connectAttempts int                      // since the start
 	idleTimes       idleTimeModel
 }
 
-// NewPool makes the pool of an agent with a configuration.
+// NewPool returns the pool of an agent with the given configuration.
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
 		maxConns: cfg.ServerConns(),
@@ -58,7 +58,7 @@
 	return p
 }
 
-// SetConnLimit bounds the connections from now on.
+// SetConnLimit changes the limit on connections, and closes idle connections beyond it.
 func (p *Pool) SetConnLimit(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,17 +70,17 @@
 	}
 }
 
-// BodyBudget bounds the bytes of buffered response bodies.
+// BodyBudget returns the quota for the bytes of buffered response bodies.
 func (p *Pool) BodyBudget() message.Quota { return p.budget }
 
-// ConnLimit is the bound on the connections.
+// ConnLimit returns the limit on connections.
 func (p *Pool) ConnLimit() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.maxConns
 }
 
-// ApplySettings puts the settings in force for connections from now on.
+// ApplySettings applies the connect timeout and the keepalive time of the settings to later uses of connections.
 func (p *Pool) ApplySettings(cfg *config.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,17 +88,18 @@
 	if p.connectTimeout <= 0 {
 		p.connectTimeout = defaultConnectTimeout
 	}
-	// The server closes at its keepalive time at the latest; half of it is well before.
+	// The server closes idle connections after its keepalive time; half of it leaves a safe margin.
 	p.keepalive = clock.FromMilliseconds(cfg.Settings.Limits.KeepaliveMs / 2)
 	if p.keepalive <= 0 {
 		p.keepalive = defaultKeepalive
 	}
 }
 
-// acquire returns an idle connection that is alive and has rested, the most recently used first, or opens one.
+// acquire returns the most recently used connection that is alive and has been idle for at least minIdleTime, or opens
+// a new one.
 func (p *Pool) acquire(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	for {
-		conn, idleLimit := p.takeRested(addr)
+		conn, idleLimit := p.takeIdle(addr)
 		if conn == nil {
 			return p.open(ctx, addr, deadline)
 		}
@@ -110,14 +111,14 @@
 	}
 }
 
-// takeRested takes an idle connection that has rested out of the pool, with the idle time that it may have
-// had; nil: there is none.
-func (p *Pool) takeRested(addr string) (conn *serverConn, idleLimit time.Duration) {
+// takeIdle removes a connection that has been idle for at least minIdleTime from the pool, and returns it with the
+// current limit on idle times. The connection is nil if there is none.
+func (p *Pool) takeIdle(addr string) (conn *serverConn, idleLimit time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
 	for i := len(list) - 1; i >= 0; i-- {
-		if time.Since(list[i].idleSince) >= settleTime {
+		if time.Since(list[i].idleSince) >= minIdleTime {
 			conn := list[i]
 			p.idle[addr] = slices.Delete(list, i, i+1)
 			return conn, p.idleTimes.limit(p.keepalive)
@@ -126,7 +127,7 @@
 	return nil, 0
 }
 
-// open opens a connection, for which it closes an idle one at the limit.
+// open opens a connection. At the limit on connections it first closes an idle one.
 func (p *Pool) open(ctx context.Context, addr string, deadline time.Time) (*serverConn, error) {
 	until, err := p.reserve(deadline)
 	if err != nil {
@@ -147,7 +148,7 @@
 	}, nil
 }
 
-// reserve counts a connection that is about to be opened, and returns until when that may take.
+// reserve counts a connection that is about to be opened, and returns the deadline for the connect.
 func (p *Pool) reserve(deadline time.Time) (until time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,8 +160,8 @@
 	return clock.Earliest(deadline, time.Now().Add(p.connectTimeout)), nil
 }
 
-// evict closes the connection that has been idle longest, so that one to another server can be opened, and
-// reports whether there was any. The caller has the lock.
+// evict closes the connection that has been idle longest, so that one to another server can be opened, and reports
+// whether there was one. The caller must hold p.mu.
 func (p *Pool) evict() bool {
 	var oldest *serverConn
 	for _, list := range p.idle {
@@ -176,13 +177,14 @@
 	return true
 }
 
-// closeConn closes a connection and no longer counts it. The caller has the lock.
+// closeConn closes a connection and stops counting it. The caller must hold p.mu.
 func (p *Pool) closeConn(conn *serverConn) {
 	p.openConns--
-	_ = conn.Close() // it is given up, whatever its state
+	_ = conn.Close() // the connection is no longer used, so the error has no consequence
 }
 
-// release keeps a connection for the next message to its server, unless that is not to have any.
+// release keeps a connection for the next message to its server. If the server is unavailable or the pool is shut down,
+// it closes the connection instead.
 func (p *Pool) release(conn *serverConn, server *Server) {
 	conn.setDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -197,41 +199,41 @@
 
 // discard closes a connection that is not idle.
 func (p *Pool) discard(conn *serverConn) {
-	_ = conn.Close() // it is given up, whatever its state
+	_ = conn.Close() // the connection is no longer used, so the error has no consequence
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.openConns--
 }
 
-// recordIdleUse records the use of a kept connection for the model of idle times.
+// recordIdleUse records that a connection was reused after an idle time, and whether it turned out to be lost.
 func (p *Pool) recordIdleUse(idled time.Duration, lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleTimes.record(idled, lost)
 }
 
-// IdleLimit is how long a connection may be idle by what is known now.
+// IdleLimit returns how long a connection may currently be idle before it is no longer used.
 func (p *Pool) IdleLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.idleTimes.limit(p.keepalive)
 }
 
-// connectTimeLimit is how long a connect may take.
+// connectTimeLimit returns the connect timeout in force.
 func (p *Pool) connectTimeLimit() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectTimeout
 }
 
-// Size is the number of connections that are open or being opened.
+// Size returns the number of connections that are open or being opened.
 func (p *Pool) Size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns
 }
 
-// ConnectCount is the number of connects since the start, whether they succeeded or not.
+// ConnectCount returns the number of connects since the start, including failed ones.
 func (p *Pool) ConnectCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -248,7 +250,7 @@
 	delete(p.idle, addr)
 }
 
-// Shutdown closes the idle connections, and those that become idle from now on.
+// Shutdown closes the idle connections, and makes the pool close each other connection when it becomes idle.
 func (p *Pool) Shutdown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +260,7 @@
 	}
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for IdleLimit or longer.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/upstream/request.go
+++ b/internal/agent/upstream/request.go
@@ -11,14 +11,14 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// healthCheckPath is the path of a server's health check.
+// healthCheckPath is the URL path of the health check that each server provides.
 const healthCheckPath = "/-/healthy"
 
-// identityHeaders are the header fields by which a server recognizes a request: they are passed on even if the
-// client's Connection field lists them.
+// identityHeaders are the header fields by which a server recognizes a request. They are forwarded even if the client's
+// Connection field lists them.
 var identityHeaders = []string{"Request-Id", "Idempotency-Key"}
 
-// newHealthCheck makes the request of a health check.
+// newHealthCheck returns the request of a health check.
 func newHealthCheck(host string) *http.Request {
 	return &http.Request{
 		Method: http.MethodGet,
@@ -28,7 +28,7 @@
 	}
 }
 
-// NewRequest makes the request that is sent to a server, with the time left as its timeout.
+// NewRequest returns the request to send to a server, with the time left as its request timeout.
 func NewRequest(incoming *message.Request, left time.Duration) *http.Request {
 	header := message.EndToEndHeaders(incoming.Header)
 	for _, name := range identityHeaders {
@@ -38,7 +38,7 @@
 	}
 	header.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	if header.Get("User-Agent") == "" {
-		header.Set("User-Agent", "") // net/http adds its own where there is none
+		header.Set("User-Agent", "") // keeps net/http from adding its own
 	}
 	req := &http.Request{
 		Method: incoming.Method,
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// maxResponseHead is the largest head of a response.
+	// maxResponseHead is the largest response head accepted, in bytes.
 	maxResponseHead = 16 << 10
-	// maxInterimResponses bounds the interim responses (1xx) before a final one.
+	// maxInterimResponses is the largest number of interim (1xx) responses before a final one.
 	maxInterimResponses = 8
-	// protocolPrefix is how the head of a response begins.
+	// protocolPrefix is the beginning of each response head.
 	protocolPrefix = "HTTP/1."
 )
 
 var (
-	endOfHead   = regexp.MustCompile(`\n\r?\n`)
-	lengthField = regexp.MustCompile(`(?i)\ncontent-length[ \t]*:`)
-	codingField = regexp.MustCompile(`(?i)\ntransfer-encoding[ \t]*:`)
+	endOfHead             = regexp.MustCompile(`\n\r?\n`)
+	contentLengthField    = regexp.MustCompile(`(?i)\ncontent-length[ \t]*:`)
+	transferEncodingField = regexp.MustCompile(`(?i)\ntransfer-encoding[ \t]*:`)
 )
 
-// responseHead is the end of the read of a response's head.
+// responseHead is the outcome of reading a response head.
 type responseHead struct {
-	resp *http.Response // nil: err says why there is none
+	resp *http.Response // nil if err is set
 	err  error
 }
 
-// readResponse reads the response behind its head. A response that is long, or takes long, is returned with its rest
-// as a stream.
+// readResponse reads the rest of a response after its head. If a response is long, or takes long, the rest of its body
+// is returned as a stream.
 func (p *Pool) readResponse(conn *serverConn, server *Server, head responseHead) exchangeResult {
 	if head.resp == nil {
 		return conn.brokenResult(head.err)
@@ -51,13 +51,13 @@
 	return p.readStreamedBody(conn, server, resp)
 }
 
-// mayBuffer reports whether a response's body has a given length that may be buffered.
+// mayBuffer reports whether the length of a response body is known and small enough to buffer.
 func mayBuffer(resp *http.Response) bool {
 	return resp.ContentLength >= 0 && resp.ContentLength <= message.MaxBufferedBody
 }
 
-// discardResponseBody reads the body of a response that is not passed on: it must be complete for the
-// connection to be used again.
+// discardResponseBody reads the body of a response that is not forwarded. The connection can be reused only once the
+// body has been read completely.
 func discardResponseBody(conn *serverConn, resp *http.Response, status balancer.Status) exchangeResult {
 	read, err := io.Copy(io.Discard, io.LimitReader(resp.Body, message.MaxBufferedBody))
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// readBufferedBody reads a body whose length the budget has reserved.
+// readBufferedBody reads a body whose length has been reserved in the budget.
 func (p *Pool) readBufferedBody(conn *serverConn, resp *http.Response) exchangeResult {
 	body := &message.ResponseBody{
 		Length:   resp.ContentLength,
@@ -88,8 +88,8 @@
 	return result
 }
 
-// readStreamedBody begins the stream of a body. Where its length is not given, it first buffers what comes
-// within BufferingTime, and needs no stream if that is all.
+// readStreamedBody starts streaming a body. If the length of the body is unknown, it first buffers what arrives within
+// message.BufferingTime, and does not stream a body that is complete by then.
 func (p *Pool) readStreamedBody(conn *serverConn, server *Server, resp *http.Response) exchangeResult {
 	body := &message.ResponseBody{
 		Length: resp.ContentLength,
@@ -126,13 +126,14 @@
 	return result
 }
 
-// servedResult is the end of an exchange whose response is passed on. Its connection is not free for another message.
+// servedResult returns the result of an exchange whose response is forwarded. Its connection is not marked reusable.
 func servedResult(resp *http.Response, body *message.ResponseBody) exchangeResult {
 	return exchangeResult{Result: Result{Status: balancer.StatusOK, Header: resp.Header, Body: body}}
 }
 
-// brokenStatus maps the error that ended an attempt whose last byte was written: it may have executed. The
-// kernel's ETIMEDOUT, whose Timeout method returns true as well, says that the connection broke.
+// brokenStatus maps the error of an attempt whose last byte was written, and which may have executed, to a status. Only
+// the deadline of this agent is a timeout: the kernel's ETIMEDOUT, whose Timeout method also returns true, means that
+// the connection broke.
 func brokenStatus(err error) balancer.Status {
 	var opError *net.OpError
 	switch {
@@ -141,11 +142,11 @@
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &opError):
 		return balancer.StatusReset
 	}
-	return balancer.StatusError // a response that can't be read
+	return balancer.StatusError // the response can't be parsed
 }
 
-// responseStatus maps a complete response. Only the header Not-Started of the server itself proves that a
-// request did not execute: a bare 503 or 504 may come from half-way through.
+// responseStatus maps a final response to a status. Only the header Not-Started, which the server itself sets, proves
+// that a request did not execute: a 503 or 504 without it may have been sent in the middle of the execution.
 func responseStatus(resp *http.Response) balancer.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -160,7 +161,7 @@
 	return balancer.StatusError
 }
 
-// readResponseHead reads the head of a final response, skipping interim ones.
+// readResponseHead reads the head of the final response and skips interim ones.
 func readResponseHead(reader *bufio.Reader, method string) (*http.Response, error) {
 	for range maxInterimResponses {
 		if err := checkResponseHead(reader); err != nil {
@@ -177,16 +178,16 @@
 	return nil, errors.New("too many interim responses")
 }
 
-// checkResponseHead waits for a complete head without taking it from the reader, whose size bounds it, and
-// rejects what net/http would read in its own way: net/http buffers a line of any length, and reads a response
-// with both Content-Length and Transfer-Encoding by its chunks, though the other framing might be meant and its
-// rest be taken for the next response.
+// checkResponseHead waits for a complete head, whose length is limited by the reader's buffer, without consuming it. It
+// rejects heads on which net/http is too lenient: net/http buffers a line of any length, and if a response has both
+// Content-Length and Transfer-Encoding, it follows the chunks, though the server may have meant the other framing. The
+// rest of the body would then be taken for the next response.
 func checkResponseHead(reader *bufio.Reader) error {
 	for needed := 1; ; needed = reader.Buffered() + 1 {
 		if _, err := reader.Peek(needed); err != nil {
 			return err
 		}
-		head, _ := reader.Peek(reader.Buffered()) // what is buffered can always be peeked
+		head, _ := reader.Peek(reader.Buffered()) // peeking at buffered bytes can't fail
 		compared := min(len(protocolPrefix), len(head))
 		if string(head[:compared]) != protocolPrefix[:compared] {
 			return errors.New("response is not HTTP")
@@ -196,7 +197,7 @@
 			continue
 		}
 		head = head[:end[0]]
-		if lengthField.Match(head) && codingField.Match(head) {
+		if contentLengthField.Match(head) && transferEncodingField.Match(head) {
 			return errors.New("response has two framings")
 		}
 		return nil
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -13,22 +13,22 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// earlyResponseWait is how long a response is waited for after the write of a request failed, and the end of
-// the write after an early response.
+// earlyResponseWait is how long to wait for a response after writing the request failed, and for the write to end after
+// an early response.
 const earlyResponseWait = 50 * time.Millisecond
 
-// errEarlyResponse ends the write of a request whose response came before its end.
+// errEarlyResponse is the error of a write during which the response arrived.
 var errEarlyResponse = errors.New("response before the end of the request")
 
-// streamedExchange is the exchange of a message whose body is written as it comes from the client. A response
-// that comes before the body's end ends it.
+// streamedExchange is the exchange of a message whose body is forwarded as it arrives from the client. A response that
+// arrives before the end of the body ends the write.
 type streamedExchange struct {
 	pool     *Pool
 	server   *Server
 	conn     *serverConn
 	outgoing *Message
-	heads    chan responseHead // gets the head of the response
-	written  chan error        // gets the end of the write
+	heads    chan responseHead // receives the head of the response
+	written  chan error        // receives the error of the write, or nil
 }
 
 func (p *Pool) newStreamedExchange(conn *serverConn, server *Server, outgoing *Message) *streamedExchange {
@@ -42,9 +42,9 @@
 	}
 }
 
-// run writes a request and reads its response.
+// run writes req and reads its response.
 func (e *streamedExchange) run(ctx context.Context, req *http.Request) exchangeResult {
-	// Until all is written the server has no deadline, except for each chunk.
+	// Until the whole request is written, only the write of each chunk has a deadline.
 	e.conn.setReadDeadline(time.Time{})
 	go e.readHead(req.Method)
 	go e.write(ctx, req)
@@ -62,14 +62,14 @@
 	return e.finish(head, writeErr)
 }
 
-// readHead reads the head of the response.
+// readHead reads the head of the response and sends it to e.heads.
 func (e *streamedExchange) readHead(method string) {
 	//nolint:bodyclose // the body has no resources of its own: the pool closes or reuses the connection
 	resp, err := readResponseHead(e.conn.reader, method)
 	e.heads <- responseHead{resp: resp, err: err}
 }
 
-// write writes the request, in chunks as its body arrives.
+// write writes the request in chunks as its body arrives, and sends the error to e.written.
 func (e *streamedExchange) write(ctx context.Context, req *http.Request) {
 	to := serverWriter{
 		ctx:          ctx,
@@ -85,7 +85,7 @@
 	e.written <- err
 }
 
-// clientFailed ends an exchange whose client broke off the body.
+// clientFailed ends an exchange whose body the client did not complete.
 func (e *streamedExchange) clientFailed(clientErr error) exchangeResult {
 	e.conn.expireReads()
 	<-e.heads
@@ -96,45 +96,45 @@
 	}}
 }
 
-// awaitHead waits for the response's head after the write has ended.
+// awaitHead waits for the head of the response after the write has ended.
 func (e *streamedExchange) awaitHead(ctx context.Context, writeErr error) responseHead {
 	if writeErr == nil {
 		e.outgoing.OnSent()
 		e.conn.setReadDeadline(e.outgoing.Streamed.RespondBy(e.outgoing.ResponseTime))
 	} else {
-		// A response may be there, or on its way behind what the server did not read.
+		// The server may have sent a response before it stopped reading.
 		e.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
 	}
-	if ctx.Err() != nil { // the deadline just set may have undone the cancellation's
+	if ctx.Err() != nil { // the new deadline may have replaced that of the cancellation
 		e.conn.expireReads()
 	}
 	return <-e.heads
 }
 
-// stopWriting ends the write after an early response; its error is nil if the write had ended before.
+// stopWriting ends the write after an early response. The error is nil if the write had already succeeded.
 func (e *streamedExchange) stopWriting() error {
 	err := errEarlyResponse
 	select {
-	case err = <-e.written: // only the notification of its end was later
+	case err = <-e.written: // the write may have ended before the response arrived
 	case <-time.After(earlyResponseWait):
 	}
 	if err == nil {
 		e.outgoing.OnSent()
 		return nil
 	}
-	// The writer may still wait for the client. What the client sends now is lost.
+	// The writer may still be waiting for the client. What the client sends from now on is lost.
 	e.outgoing.Streamed.Consumed.Store(true)
 	e.conn.expireWrites()
 	return err
 }
 
-// finish reads the response behind its head after the write has ended.
+// finish reads the rest of the response after the write has ended, and returns the result of the exchange.
 func (e *streamedExchange) finish(head responseHead, writeErr error) exchangeResult {
-	if errors.Is(writeErr, errEarlyResponse) && head.resp == nil && bodyMayHaveLeft(e.conn, e.outgoing.Streamed) {
+	if errors.Is(writeErr, errEarlyResponse) && head.resp == nil && closeAndCheckSent(e.conn, e.outgoing.Streamed) {
 		return e.conn.brokenResult(head.err)
 	}
 	if writeErr != nil && head.resp == nil {
-		// The last byte was never sent, and the connection is closed: the request can't execute.
+		// The last byte was never sent, and the connection gets closed: the request can't execute.
 		return e.conn.unsentResult(cmp.Or(head.err, writeErr))
 	}
 	result := e.pool.readResponse(e.conn, e.server, head)
@@ -146,22 +146,22 @@
 	return result
 }
 
-// bodyMayHaveLeft closes a connection whose writer has not reported how far it came, as it may be blocked, and
-// returns whether the last byte of the request may have been written: only if the body was read to its end by
-// then.
-func bodyMayHaveLeft(conn *serverConn, body *message.StreamedBody) bool {
-	_ = conn.Close() // later writes fail; the pool counts the connection when it discards it
+// closeAndCheckSent closes a connection whose writer has not reported its progress, as it may be blocked, and reports
+// whether the last byte of the request may have been written. That takes a body that was read to its end before the
+// connection was closed.
+func closeAndCheckSent(conn *serverConn, body *message.StreamedBody) bool {
+	_ = conn.Close() // makes later writes fail; the pool stops counting the connection in discard
 	return body.Complete()
 }
 
-// serverWriter writes a streamed body to a server, with a deadline for each chunk and not for all of them: no
-// later than the client's if its last byte has come.
+// serverWriter writes a streamed body to a server. The deadline applies to each chunk, not to the whole body. Once the
+// client's last byte has arrived, it is no later than the end of the response time.
 type serverWriter struct {
 	//nolint:containedctx // io.Writer has no context
 	ctx          context.Context // cancels the attempt
 	conn         *serverConn
 	body         *message.StreamedBody
-	responseTime time.Duration // the client's time from its last byte on
+	responseTime time.Duration // time for the response, from the client's last byte on
 }
 
 func (w serverWriter) Write(chunk []byte) (int, error) {
