--- a/internal/agent/upstream/attempt_test.go
+++ b/internal/agent/upstream/attempt_test.go
@@ -15,7 +15,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// socketBufferSize is that of a connection which a long request does not fit, in bytes.
+// socketBufferSize is the size of the socket buffers in bytes, too small for a long request.
 const socketBufferSize = 4096
 
 // listenWithSmallBuffers returns a listener whose connections have a small receive buffer.
@@ -49,8 +49,8 @@
 	return conn
 }
 
-// A connection that breaks before the last byte is written proves that the attempt did not execute; only the count of
-// bytes written distinguishes it from a reset.
+// If a connection breaks before the last byte is written, the attempt can't have executed. Only the count of bytes
+// written distinguishes this case from a reset.
 func TestBreakBeforeLastByteDidNotExecute(t *testing.T) {
 	ln := listenWithSmallBuffers(t)
 	go func() {
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = conn.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
+		_, _ = conn.Read(make([]byte, 1)) // the request has started, and does not fit into the buffers
 		agenttest.ResetConn(conn)
 		_ = conn.Close()
 	}()
@@ -74,29 +74,29 @@
 	}}
 	request := orderRequest(addr, make([]byte, message.MaxBufferedBody))
 	result := attemptNow(t.Context(), pool, readyTarget(addr), request)
-	wantEnd(t, "broken", result, balancer.StatusConnectFailed)
+	wantStatus(t, "broken", result, balancer.StatusConnectFailed)
 	if pool.openConns != 0 {
 		t.Errorf("%d connections counted as open", pool.openConns)
 	}
 }
 
-// A server that began to drain while the attempt was connecting gets no request, and an attempt that was cancelled
-// meanwhile does not count against its server.
-func TestNothingIsSentOnceDrainingOrCancelled(t *testing.T) {
+// A server that started draining while the attempt was connecting gets no request, and an attempt that was cancelled in
+// that time does not count against its server.
+func TestNothingIsSentAfterDrainOrCancellation(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	pool := newTestPool(agenttest.Timeout, 8)
 	request := orderRequest(server.Addr, []byte("x"))
 	draining := &Server{}
 	draining.SetAvailable(false)
 	result := attemptNow(t.Context(), pool, Target{Server: draining, Addr: server.Addr}, request)
-	wantEnd(t, "draining", result, balancer.StatusConnectFailed)
+	wantStatus(t, "draining", result, balancer.StatusConnectFailed)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	result = attemptNow(cancelled, pool, readyTarget(server.Addr), request)
-	wantEnd(t, "cancelled", result, balancer.StatusCancelled)
-	// An earlier request would have arrived before this one.
+	wantStatus(t, "cancelled", result, balancer.StatusCancelled)
+	// A request of an earlier attempt would have arrived before this one.
 	result = attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
-	wantEnd(t, "available", result, balancer.StatusOK)
+	wantStatus(t, "available", result, balancer.StatusOK)
 	if server.Count() != 1 {
 		t.Errorf("%d arrivals, want 1", server.Count())
 	}
--- a/internal/agent/upstream/connect_errors_test.go
+++ b/internal/agent/upstream/connect_errors_test.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// connectWith makes an attempt whose connect fails.
+// connectWith makes an attempt whose connect fails with errno.
 func connectWith(t *testing.T, errno syscall.Errno) Result {
 	t.Helper()
 	pool := newTestPool(agenttest.Timeout, 1)
@@ -25,16 +25,17 @@
 	return result
 }
 
+// A connect that fails for lack of a local resource does not count against the server, but other failures do.
 func TestConnectErrorsSeparateLocalShortageFromServerFault(t *testing.T) {
 	for _, errno := range agenttest.LocalErrnos {
-		wantEnd(t, errno.Error(), connectWith(t, errno), balancer.StatusOverloaded)
+		wantStatus(t, errno.Error(), connectWith(t, errno), balancer.StatusOverloaded)
 	}
 	for _, errno := range agenttest.ServerErrnos {
-		wantEnd(t, errno.Error(), connectWith(t, errno), balancer.StatusConnectFailed)
+		wantStatus(t, errno.Error(), connectWith(t, errno), balancer.StatusConnectFailed)
 	}
 }
 
-// A request that could not be written for lack of memory does not count against a server either.
+// A write that fails for lack of local memory does not count against the server, but one on a broken connection does.
 func TestWriteErrorsSeparateLocalShortageFromServerFault(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	for errno, want := range map[syscall.Errno]balancer.Status{
@@ -48,7 +49,7 @@
 		fault := agenttest.CallFault{Call: agenttest.CallWrite, After: 30, Errno: errno}
 		pool.dial = agenttest.NewFaultPlan([]agenttest.CallFault{fault}).Dial
 		result := attemptNow(t.Context(), pool, readyTarget(server.Addr), orderRequest(server.Addr, []byte("x")))
-		wantEnd(t, errno.Error(), result, want)
+		wantStatus(t, errno.Error(), result, want)
 	}
 	if server.Count() != 0 {
 		t.Errorf("%d arrivals, want none", server.Count())
--- a/internal/agent/upstream/fixture_test.go
+++ b/internal/agent/upstream/fixture_test.go
@@ -12,10 +12,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// testMemoryBytes is the memory of an agent by which the pools of the tests bound buffered bodies.
+// testMemoryBytes is the agent memory from which the tests' pools derive their budget for buffered bodies.
 const testMemoryBytes = 64 << 20
 
-// newTestPool is a connection pool without an agent.
+// newTestPool returns a connection pool without an agent.
 func newTestPool(connectTimeout time.Duration, maxConns int) *Pool {
 	return &Pool{
 		budget:         message.NewBodyBudget(testMemoryBytes),
@@ -27,16 +27,16 @@
 	}
 }
 
-// orderRequest is a client's request of a class that is not idempotent.
+// orderRequest returns a client request of a non-idempotent class.
 func orderRequest(addr string, body []byte) *message.Request {
 	req := agenttest.NewRequest(addr, "order", "")
 	return &message.Request{Method: req.Method, URL: req.URL, Header: req.Header, Body: body}
 }
 
-// readyTarget is a server that may be sent requests, at an address.
+// readyTarget returns the target of an available server at addr.
 func readyTarget(addr string) Target { return Target{Server: &Server{}, Addr: addr} }
 
-// attemptNow makes an attempt for a client's request, with Timeout as its deadline.
+// attemptNow makes an attempt for a client request, with a deadline after agenttest.Timeout.
 func attemptNow(ctx context.Context, pool *Pool, target Target, incoming *message.Request) Result {
 	now := time.Now()
 	outgoing := &Message{
@@ -47,10 +47,10 @@
 	return pool.Attempt(ctx, target, outgoing)
 }
 
-// wantEnd checks the status of an attempt or a health check.
-func wantEnd(t *testing.T, what string, result Result, want balancer.Status) {
+// wantStatus checks the status of an attempt or a health check, which what names.
+func wantStatus(t *testing.T, what string, result Result, want balancer.Status) {
 	t.Helper()
 	if result.Status != want {
-		t.Errorf("%s: ended as %d (%s), want %d", what, result.Status, result.Reason, want)
+		t.Errorf("%s: status %d (%s), want %d", what, result.Status, result.Reason, want)
 	}
 }
--- a/internal/agent/upstream/health_check_test.go
+++ b/internal/agent/upstream/health_check_test.go
@@ -10,17 +10,17 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// healthConnectTimeout is the connect timeout of the tested pools; a health check may take twice as long.
+// healthConnectTimeout is the connect timeout of the tests' pools. A health check may take twice as long.
 const healthConnectTimeout = 200 * time.Millisecond
 
-// respond returns the answer of a server that responds to each request with a status and header lines.
+// respond returns a responder that sends the same status and header lines for each request.
 func respond(status int, header string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		return agenttest.SendResponse(conn, status, header, "")
 	}
 }
 
-// How a health check ends, as the policy sees it.
+// Each outcome of a health check is reported with its own status, and a draining server is not checked.
 func TestHealthCheckOutcomes(t *testing.T) {
 	reset := func(conn net.Conn, _ *http.Request, _ int) bool { return agenttest.ResetConn(conn) }
 	silent := func(net.Conn, *http.Request, int) bool { return true }
@@ -41,11 +41,11 @@
 			server := agenttest.NewServer(t, test.answer)
 			pool := newTestPool(healthConnectTimeout, 8)
 			available := readyTarget(server.Addr)
-			wantEnd(t, "available", pool.HealthCheck(t.Context(), available, "x"), test.want)
+			wantStatus(t, "available", pool.HealthCheck(t.Context(), available, "x"), test.want)
 			draining := readyTarget(server.Addr)
 			draining.Server.SetAvailable(false)
 			result := pool.HealthCheck(t.Context(), draining, "x")
-			wantEnd(t, "draining", result, balancer.StatusConnectFailed)
+			wantStatus(t, "draining", result, balancer.StatusConnectFailed)
 			if server.Count() != 1 {
 				t.Errorf("%d arrivals, want 1", server.Count())
 			}
--- a/internal/agent/upstream/idle_times_test.go
+++ b/internal/agent/upstream/idle_times_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// recordUses records uses after an idle time, of which each lostOf-th is lost; 0: none.
-func (m *idleTimeModel) recordUses(uses int, idled time.Duration, lostOf int) {
+// recordUses records uses after an idle time. One use in lossEvery is lost, or none if lossEvery is 0.
+func (m *idleTimeModel) recordUses(uses int, idled time.Duration, lossEvery int) {
 	for i := range uses {
-		m.record(idled, lostOf > 0 && i%lostOf == 0)
+		m.record(idled, lossEvery > 0 && i%lossEvery == 0)
 	}
 }
 
@@ -16,22 +16,22 @@
 	const keepalive = 30 * time.Second
 	var model idleTimeModel
 	if got := model.limit(keepalive); got != keepalive {
-		t.Errorf("nothing known: %v", got)
+		t.Errorf("limit %v without samples, want the keepalive time", got)
 	}
-	model.recordUses(500, 0, 17) // losses after no idle time do not count
+	model.recordUses(500, 0, 17) // losses that are not due to the idle time do not lower the limit
 	model.recordUses(300, 50*time.Millisecond, 17)
 	model.recordUses(100, 100*time.Millisecond, 17)
 	if got := model.limit(keepalive); got != keepalive {
-		t.Errorf("losses that don't depend on the idle time: %v", got)
+		t.Errorf("limit %v with losses independent of the idle time, want the keepalive time", got)
 	}
 	model.recordUses(60, 300*time.Millisecond, 2)
 	got := model.limit(keepalive)
 	if got <= 100*time.Millisecond || got > 300*time.Millisecond {
-		t.Errorf("half lost after 300 ms: %v", got)
+		t.Errorf("limit %v with half the connections lost after 300 ms, want over 100 ms and at most 300 ms", got)
 	}
-	model.recordUses(20_000, 0, 17) // much later, longer idle times are used again
+	model.recordUses(20_000, 0, 17) // the old losses have decayed, so longer idle times are allowed again
 	if got := model.limit(keepalive); got != keepalive {
-		t.Errorf("much later: %v", got)
+		t.Errorf("limit %v after the losses have ended, want the keepalive time", got)
 	}
 }
 
@@ -40,7 +40,7 @@
 	for idled := time.Duration(0); idled < 10*time.Minute; idled = idled*3/2 + time.Millisecond {
 		bin := idleBin(idled)
 		if bin < last || bin >= idleBins {
-			t.Fatalf("%v is in bin %d after %d", idled, bin, last)
+			t.Fatalf("idle time %v is in bin %d after bin %d", idled, bin, last)
 		}
 		last = bin
 	}
--- a/internal/agent/upstream/pool_test.go
+++ b/internal/agent/upstream/pool_test.go
@@ -12,12 +12,12 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// brokenConn looks open until it is written to.
+// brokenConn is a connection that looks open but fails each write.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// brokenIdleConn is an idle connection that breaks at its next use.
+// brokenIdleConn returns an idle connection that fails at its next use.
 func brokenIdleConn(t *testing.T, addr string) *serverConn {
 	t.Helper()
 	end, other := net.Pipe()
@@ -31,9 +31,9 @@
 	}
 }
 
-// A kept connection that breaks before the last byte is written does not count against its server, and the
-// request goes out on another connection; nor does a lack of descriptors.
-func TestBrokenKeptConnectionAndLocalShortageDemoteNoServer(t *testing.T) {
+// A reused connection that breaks before the last byte is written does not count against its server: the request is
+// sent on another connection. A lack of descriptors does not count against the server either.
+func TestBrokenReusedConnectionAndLocalShortageEjectNoServer(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	pool := newTestPool(agenttest.Timeout, 2)
 	for range 2 {
@@ -42,18 +42,18 @@
 	}
 	request := orderRequest(server.Addr, []byte("x"))
 	result := attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
-	wantEnd(t, "broken connections", result, balancer.StatusOK)
+	wantStatus(t, "broken connections", result, balancer.StatusOK)
 	if server.Count() != 1 || pool.Size() != 1 {
 		t.Errorf("%d arrivals and %d connections, want 1 and 1", server.Count(), pool.Size())
 	}
 	pool.CloseIdle(server.Addr)
 	pool.maxConns = 0
 	result = attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
-	wantEnd(t, "no descriptor", result, balancer.StatusOverloaded)
+	wantStatus(t, "no descriptor", result, balancer.StatusOverloaded)
 }
 
-// Once a server is known to drop idle connections without a sign, those that were idle for too long are not used.
-func TestConnectionsThatIdleTooLongAreNotUsed(t *testing.T) {
+// If a server is known to drop idle connections without notice, those that were idle for too long are not used.
+func TestConnectionsIdleForTooLongAreNotUsed(t *testing.T) {
 	pool := newTestPool(agenttest.Timeout, 8)
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	request := orderRequest(server.Addr, []byte("x"))
@@ -62,7 +62,7 @@
 	for _, idled := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond} {
 		result := attemptNow(t.Context(), pool, readyTarget(server.Addr), request)
 		if result.Status != balancer.StatusOK {
-			t.Fatalf("ended as %d (%s)", result.Status, result.Reason)
+			t.Fatalf("status %d (%s), want OK", result.Status, result.Reason)
 		}
 		pool.idle[server.Addr][0].idleSince = time.Now().Add(-idled)
 	}
@@ -74,10 +74,11 @@
 		t.Errorf("%d connections, want the new one alone", size)
 	}
 	if uses := pool.idle[server.Addr][0].uses; uses != 1 {
-		t.Errorf("the third request was number %d on its connection", uses)
+		t.Errorf("the third request was request %d of its connection, want 1", uses)
 	}
 }
 
+// Nagle's algorithm would delay the end of a request.
 func TestSmallWritesToServersAreNotDelayed(t *testing.T) {
 	pool := newTestPool(agenttest.Timeout, 8)
 	server := agenttest.NewServer(t, agenttest.RespondOK)
@@ -87,12 +88,12 @@
 	}
 	defer pool.discard(conn)
 	if !agenttest.HasNoDelay(t, conn.Conn) {
-		t.Error("small writes to servers are delayed")
+		t.Error("TCP_NODELAY is off on a connection to a server")
 	}
 }
 
-// At its limit the pool opens no further connection, except in place of an idle one.
-func TestPoolKeepsItsLimit(t *testing.T) {
+// At its limit the pool opens a connection only in place of an idle one.
+func TestPoolKeepsWithinConnLimit(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	pool := newTestPool(agenttest.Timeout, 2)
 	deadline := time.Now().Add(agenttest.Timeout)
@@ -106,7 +107,7 @@
 	}
 	defer func() { _ = second.Close() }()
 	if _, err := pool.acquire(t.Context(), server.Addr, deadline); !errors.Is(err, errNoDescriptor) {
-		t.Errorf("a third connection of two: %v", err)
+		t.Errorf("third connection with a limit of 2: %v, want errNoDescriptor", err)
 	}
 	pool.release(first, &Server{})
 	other := agenttest.NewServer(t, agenttest.RespondOK)
--- a/internal/agent/upstream/response_test.go
+++ b/internal/agent/upstream/response_test.go
@@ -11,13 +11,13 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// readError is the error of a read on a connection.
+// readError returns the error of a failed read on a TCP connection.
 func readError(cause error) error {
 	return &net.OpError{Op: "read", Net: "tcp", Err: cause}
 }
 
-// Only the deadline that this agent set is a timeout; whatever error of the kernel shows that a connection
-// broke, it was reset.
+// Only the deadline that this agent set is a timeout. Any kernel error that shows that the connection broke counts as a
+// reset.
 func TestBrokenConnectionsAreResets(t *testing.T) {
 	want := map[error]balancer.Status{
 		readError(os.ErrDeadlineExceeded):  balancer.StatusTimeout,
@@ -33,7 +33,7 @@
 	}
 	for err, status := range want {
 		if got := brokenStatus(err); got != status {
-			t.Errorf("%v: ended as %d, want %d", err, got, status)
+			t.Errorf("%v: status %d, want %d", err, got, status)
 		}
 	}
 }
