--- a/internal/agent/discovery/backoff.go
+++ b/internal/agent/discovery/backoff.go
@@ -8,60 +8,62 @@
 )
 
 const (
-	// minWatchBackoff and maxWatchBackoff bound the wait of singleBackoff, which doubles from the one to the other.
+	// minWatchBackoff and maxWatchBackoff limit the wait of singleAddressBackoff, which doubles from the minimum to
+	// the maximum.
 	minWatchBackoff, maxWatchBackoff = 100 * time.Millisecond, time.Second
-	// maxFailoverDelay bounds the wait before the next address is called: agents that watched one instance
-	// must not reach the others in step.
+	// maxFailoverDelay limits the random wait before the next address is called. Without the wait, all agents that
+	// watched an instance that fails would call the other instances at the same time.
 	maxFailoverDelay = 750 * time.Millisecond
-	// minRoundBackoff and maxRoundBackoff bound the wait before the next round once all addresses have failed
-	// in one. It is drawn evenly from zero up to a bound that doubles from the one to the other.
+	// minRoundBackoff and maxRoundBackoff limit the wait after a round in which all addresses have failed. The wait
+	// is drawn uniformly between zero and a bound that doubles from the minimum to the maximum.
 	minRoundBackoff, maxRoundBackoff = time.Second, 4 * time.Second
 )
 
-// watchBackoff says how long a watch that the agent keeps by itself is not called after a failure.
+// watchBackoff determines how long KeepWatch waits after a failure before the next call.
 type watchBackoff interface {
-	// nextDelay is the time from a failure to the next call, where so many addresses are called in turn.
+	// nextDelay returns the wait between a failure and the next call, for a watch of the given number of addresses.
 	nextDelay(addrs int) time.Duration
-	// reset starts anew after an answer.
+	// reset returns to the shortest wait after a call was answered.
 	reset()
 }
 
-// singleBackoff is the backoff of a watch without the section "control". Its wait doubles at each failure, and is
-// drawn from the upper half. The zero value is ready for use.
-type singleBackoff struct {
-	wait time.Duration // the bound of the next wait; 0: minWatchBackoff
+// singleAddressBackoff is the backoff of a watch without the section "control". Its bound doubles with each failure,
+// and the wait is drawn from the upper half of the range up to the bound. The zero value is ready to use.
+type singleAddressBackoff struct {
+	wait time.Duration // bound of the next wait; 0 means minWatchBackoff
 }
 
-func (b *singleBackoff) nextDelay(int) time.Duration {
+func (b *singleAddressBackoff) nextDelay(int) time.Duration {
 	wait := max(b.wait, minWatchBackoff)
 	b.wait = min(2*wait, maxWatchBackoff)
 	return wait/2 + rand.N(wait/2)
 }
 
-func (b *singleBackoff) reset() { b.wait = 0 }
+func (b *singleAddressBackoff) reset() { b.wait = 0 }
 
-// addressBackoff says how long a watch of several addresses waits after a failure. It belongs to the watch.
+// failoverBackoff is the backoff of a watch of several addresses. It must be used only by the goroutine of the watch.
 //
-// With the section "control" the agent keeps its watch by itself, at one of several addresses. A change is known
-// 11 s after its acknowledgement at the latest, also where three of four addresses fail:
-//   - a call that is open when its instance falls silent, is paused or cut off is given up after
-//     watchWait + callGrace = 2.25 s; one whose connection does not come up, after callGrace; one that is
-//     refused or reset, at once;
-//   - the next address is called maxFailoverDelay = 0.75 s later at the most, and the limit of
-//     maxCallsPerSecond adds 0.1 s;
-//   - so each silent address costs 3.1 s, and the fourth is called after 3 x 3.1 = 9.3 s and answers at once,
-//     1.7 s before the bound. With one silent address among others that answer: 3.1 s.
+// With the section "control" the agent keeps its own watch, at one of several addresses. A change is known to the
+// agent at most 11 s after it was acknowledged, even if three of four addresses fail:
+//   - A call that is open when its instance stops responding, is paused or gets partitioned times out after
+//     watchWait + callGrace = 2.25 s. A connect times out after callGrace. A call that is refused or reset fails
+//     immediately.
+//   - The next address is called after at most maxFailoverDelay = 0.75 s, and the limit of maxCallsPerSecond adds
+//     0.1 s.
+//   - So each unresponsive address costs up to 3.1 s, and the fourth address is called after 3 x 3.1 = 9.3 s and
+//     answers at once, 1.7 s before the bound. If only one address is unresponsive, it takes 3.1 s.
 //
-// Where all have failed, the wait before the next round is up to maxRoundBackoff = 4 s: once the addresses are
-// back and have a leader, an agent has called one of them 4.1 s later, or 3.1 s more for each silent one.
-type addressBackoff struct {
+// If all addresses have failed, the wait before the next round is up to maxRoundBackoff = 4 s. Once the addresses are
+// back and have a leader, an agent calls one of them within 4.1 s, plus 3.1 s for each address that is still
+// unresponsive.
+type failoverBackoff struct {
 	backoff  backoff.ExponentialBackOff
-	failures int // in this round
+	failures int // failed calls in this round
 }
 
-func newAddressBackoff() *addressBackoff {
-	// With a randomization factor of 1 the wait is drawn from zero to twice the interval.
-	b := &addressBackoff{backoff: backoff.ExponentialBackOff{
+func newFailoverBackoff() *failoverBackoff {
+	// With a randomization factor of 1, the wait is drawn between zero and twice the interval.
+	b := &failoverBackoff{backoff: backoff.ExponentialBackOff{
 		InitialInterval:     minRoundBackoff / 2,
 		MaxInterval:         maxRoundBackoff / 2,
 		RandomizationFactor: 1,
@@ -71,7 +73,7 @@
 	return b
 }
 
-func (b *addressBackoff) nextDelay(addrs int) time.Duration {
+func (b *failoverBackoff) nextDelay(addrs int) time.Duration {
 	b.failures++
 	if b.failures < addrs {
 		return rand.N(maxFailoverDelay)
@@ -80,7 +82,7 @@
 	return b.backoff.NextBackOff()
 }
 
-func (b *addressBackoff) reset() {
+func (b *failoverBackoff) reset() {
 	b.failures = 0
 	b.backoff.Reset()
 }
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -1,6 +1,6 @@
-// Package discovery calls the discovery service for the endpoint list and for settings: one call at a time for the
-// list, and a watch that goes round several addresses. Each call runs in a goroutine of its own. The package does
-// not decide when to call again after a failure, unless the client keeps its own watch.
+// Package discovery gets the endpoint list and settings from the discovery service, by single calls for the list or by
+// a watch, which moves on to another address when a call fails. Each call of a watch runs in its own goroutine. Unless
+// the client keeps its own watch, its caller decides when to call again after a failure.
 package discovery
 
 import (
@@ -22,78 +22,79 @@
 )
 
 const (
-	// watchWait is how long one call of a watch may wait for a change. A change has to reach the agent within
-	// 6 s after discovery had it and could be reached, whatever failed. A call that is open when discovery
-	// falls silent is given up after watchWait + callGrace, 2.25 s; the next one follows within
-	// maxWatchBackoff, or 2.5 s where the policy asks for it, and has the rest of the 6 s.
+	// watchWait is how long discovery may delay the response to a watch call while there is no change. After any
+	// failure, a change must reach the agent within 6 s from when discovery has it and is reachable. A call that is
+	// open when discovery stops responding times out after watchWait + callGrace, 2.25 s. The next one follows within
+	// maxWatchBackoff, or within 2.5 s if the policy schedules it, and has the rest of the 6 s.
 	watchWait = time.Second
-	// callGrace is what a call may take beyond its wait: discovery gives up calls that stood in its queue for
-	// a second.
+	// callGrace is the time allowed for a call in addition to its wait. Discovery drops calls that have been queued
+	// for a second.
 	callGrace = 1250 * time.Millisecond
-	// maxCallsPerSecond and maxCallBurst bound the calls: a discovery that answers watches at once must not
-	// be called in a tight loop. A watch outlives the gap.
+	// maxCallsPerSecond and maxCallBurst limit the rate of calls: a discovery instance that answers watch calls
+	// immediately must not be called in a tight loop. The delay between two calls is short enough to keep the watch.
 	maxCallsPerSecond, maxCallBurst = 10, 10
-	// maxListBytes bounds a response of discovery.
+	// maxListBytes limits the size of a response.
 	maxListBytes = 8 << 20
-	// maxConns and maxIdleConns bound the connections to an address.
+	// maxConns and maxIdleConns limit the connections to one address.
 	maxConns, maxIdleConns = 4, 2
 )
 
-// errMoved ends a call to an address that discovery has left.
+// errMoved is the error of a call to a source that MoveTo has replaced.
 var errMoved = errors.New("discovery has moved")
 
-// errOlderVersion ends a call whose response has an older version than the one that was asked for.
+// errOlderVersion is the error of a call whose response has an older version than the one requested.
 var errOlderVersion = errors.New("discovery: response with an older version")
 
-// Client makes the calls that the policy asks for and hands on what they return. The policy decides
-// when to call again after a failure: a failed call ends the watch and is passed on as ListFailed, and the
-// policy sets a timer with exponential backoff and jitter. Where changes are pushed the policy does not ask,
-// and KeepWatch keeps a watch.
+// Client makes the calls that the policy requests and passes on their responses. A failed call ends the watch and is
+// reported to the policy as ListFailed, and the policy decides when to call again, by a timer with exponential backoff
+// and jitter. If changes are pushed, the policy requests no calls, and KeepWatch maintains a watch.
 type Client struct {
 	client     *http.Client
 	limit      *rate.Limiter
 	onResponse func(Response)
-	// name is the agent's. backoff is the wait of the watch after a failure with the section "control"; nil:
-	// without the section, KeepWatch waits by a singleBackoff.
-	name    string
-	backoff *addressBackoff
-	// settingsWatch is what the watch asks for and reports of settings; nil: nothing.
+	// name is the agent's name. It is empty without the section "control".
+	name string
+	// backoff is the backoff of the watch with the section "control". Without the section it is nil, and KeepWatch
+	// uses a singleAddressBackoff.
+	backoff *failoverBackoff
+	// settingsWatch requests settings with the calls of the watch and reports on them; nil if none are requested.
 	settingsWatch *settingsWatch
-	// localAddr is the address that calls come from; nil: the system's choice.
+	// localAddr is the local address of calls; nil lets the system choose.
 	localAddr net.IP
 	clock     clock.Clock
 	counters  callCounters
 
 	mu     sync.Mutex
 	source *Source
-	conns  map[*countedConn]bool // open connections; nil once the client is closed
+	conns  map[*countingConn]bool // open connections; nil after Close
 }
 
-// Response is the end of one call; Err says why it has no list.
+// Response is the outcome of one call. If Err is set there is no list.
 type Response struct {
 	Source *Source
 	List   *endpoint.List
 	Watch  bool
-	// Complete means that the full list was asked for, and not what has changed: the version of the list
-	// counts whatever was known before.
+	// Complete means that the full list was requested, not the changes since a version. The list is then
+	// accepted whatever version was known before.
 	Complete bool
-	// LastAnswer is when discovery last responded before the call was made; 0: it had not.
+	// LastAnswer is when discovery last responded before this call, on the monotonic clock; 0 means never.
 	LastAnswer time.Duration
 	Err        error
 }
 
-// Options are what a Client is made of besides the agent's configuration.
+// Options are the parameters of a Client besides the agent's configuration.
 type Options struct {
 	Clock clock.Clock
 	// OnResponse is called at the end of each call.
 	OnResponse func(Response)
-	// ApplySettings is called with settings of the discovery service; nil: the configuration asks for none.
+	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration requests
+	// none.
 	ApplySettings ApplySettings
 }
 
-// New makes the client of a configuration's addresses, which has the list that the configuration knows.
-// With the section "control" the watch goes round all addresses, and asks for the settings of the section's
-// service.
+// New returns a client for the addresses of a configuration, which starts from the version of the list that the
+// configuration contains. With the section "control" the watch uses all addresses, and requests the settings of the
+// service that the section names.
 func New(cfg *config.Config, options Options) *Client {
 	c := &Client{
 		source:     newSource(cfg.Known.Version, cfg.Discovery),
@@ -101,7 +102,7 @@
 		localAddr:  cfg.CallFrom,
 		clock:      options.Clock,
 		onResponse: options.OnResponse,
-		conns:      map[*countedConn]bool{},
+		conns:      map[*countingConn]bool{},
 	}
 	c.client = &http.Client{Transport: &http.Transport{
 		DialContext:         c.dial,
@@ -114,7 +115,7 @@
 		return c
 	}
 	c.name = cfg.Name
-	c.backoff = newAddressBackoff()
+	c.backoff = newFailoverBackoff()
 	c.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), c.name)...)
 	if cfg.Control.Service != "" {
 		c.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: options.ApplySettings}
@@ -122,26 +123,26 @@
 	return c
 }
 
-// Close closes all connections; no call is answered any more.
+// Close closes all connections. Open and later calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	open := c.conns
 	c.conns = nil
 	c.mu.Unlock()
 	for conn := range open {
-		_ = conn.Close() // given up, whatever its state
+		_ = conn.Close() // the connection is no longer used, so the error has no consequence
 	}
 }
 
-// KeepsOwnWatch reports whether the client goes round several addresses, and so keeps a watch by itself.
+// KeepsOwnWatch reports whether the client has the section "control", and so maintains its watch by itself.
 func (c *Client) KeepsOwnWatch() bool { return c.backoff != nil }
 
-// ForgetRejectedSettings has settings that were rejected sent and checked again.
+// ForgetRejectedSettings makes the client request and check rejected settings again.
 func (c *Client) ForgetRejectedSettings() { c.settingsWatch.forgetRejection() }
 
-// MoveTo moves the calls to other addresses. Calls in flight are made again there, for the full list, as the
-// new source may count versions of its own. Connections to the old source are not kept. Which of several
-// addresses is called first depends on the agent's name.
+// MoveTo makes the client call other addresses. Calls in flight are repeated there for the full list, as the new source
+// may have its own versions. Idle connections to the old source are closed. Which of several addresses is called first
+// depends on the agent's name.
 func (c *Client) MoveTo(addrs ...string) {
 	c.mu.Lock()
 	old := c.source
@@ -151,14 +152,14 @@
 	c.client.CloseIdleConnections()
 }
 
-// CurrentSource is where discovery is now.
+// CurrentSource returns the source that calls go to now.
 func (c *Client) CurrentSource() *Source {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.source
 }
 
-// Fetch polls for the full list once.
+// Fetch requests the full list once, and again if the client is moved meanwhile.
 func (c *Client) Fetch(ctx context.Context) {
 	response := c.fetchOnce(ctx)
 	if errors.Is(response.Err, errMoved) {
@@ -178,12 +179,12 @@
 
 // listCall is one call for the endpoint list.
 type listCall struct {
-	query      string // "": for the full list
+	query      string // empty for the full list
 	timeout    time.Duration
 	minVersion uint64 // an older list is not accepted
 }
 
-// get makes one call to the current address of a source, and moves on to the next address after a failure.
+// get makes one call to the current address of a source. After a failure it advances the source to the next address.
 func (c *Client) get(ctx context.Context, source *Source, call listCall) (*endpoint.List, error) {
 	if err := c.limit.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -201,7 +202,7 @@
 		source.answered.Store(int64(c.clock.Monotonic()))
 		return list, nil
 	}
-	// Another idle connection may have fallen silent with this one: the next call opens its own.
+	// Idle connections may have failed together with this one, so that the next call must open a new one.
 	c.client.CloseIdleConnections()
 	if source.moved.Err() != nil {
 		return nil, errMoved
@@ -213,7 +214,7 @@
 	return nil, err
 }
 
-// request makes one HTTP request and reads the list of its response.
+// request makes one HTTP request and returns the list of the response.
 func (c *Client) request(ctx context.Context, url string) (*endpoint.List, error) {
 	if c.backoff != nil {
 		ctx = withSingleConn(ctx)
@@ -227,7 +228,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it has been read, or is of no use
+	defer func() { _ = resp.Body.Close() }() // it has been read, or is not needed
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -238,13 +239,13 @@
 	return c.parseList(text)
 }
 
-// parseList reads a list. What is not a list must not pass for one that names no servers.
+// parseList parses a list. It rejects other JSON texts, which must not be taken for a list without servers.
 func (c *Client) parseList(text []byte) (*endpoint.List, error) {
 	var parsed struct {
 		Version *uint64
 		Full    bool
 		Servers []endpoint.Endpoint
-		// Settings are read only where they were asked for.
+		// Settings are parsed only if they were requested.
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(text, &parsed); err != nil {
--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -110,7 +110,7 @@
 	const draws, failures = 300, 15
 	const longestWait = agenttest.NotifiedWithin - (watchWait + callGrace) - callGrace
 	for range draws {
-		backoff := new(singleBackoff)
+		backoff := new(singleAddressBackoff)
 		for failure := range failures {
 			if wait := backoff.nextDelay(1); wait > longestWait {
 				t.Fatalf("the wait after failure %d is %v, want %v at most", failure+1, wait, longestWait)
--- a/internal/agent/discovery/settings_watch.go
+++ b/internal/agent/discovery/settings_watch.go
@@ -12,37 +12,38 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// maxRejectionReason bounds the reason of a rejection that is reported to discovery, in bytes.
+// maxRejectionReason is the largest length of a reported rejection reason, in bytes.
 const maxRejectionReason = 200
 
-// ErrAgentStopping ends the application of settings by an agent that stops.
+// ErrAgentStopping is the error of applying settings to an agent that is stopping.
 var ErrAgentStopping = errors.New("the agent ends")
 
-// ApplySettings puts settings in force and returns once they are. An error says why they are not:
-// ErrAgentStopping where nothing is applied any more.
+// ApplySettings puts settings in force and returns when they are. If they are rejected, the error is the reason. It is
+// ErrAgentStopping once no settings are applied any more.
 type ApplySettings func(context.Context, *endpoint.Settings) error
 
-// settingsWatch is what the watch of discovery asks for and reports of the settings of a service. The watch's
-// goroutine changes what was rejected, and the goroutine that applies reloads forgets it.
+// settingsWatch is the part of the discovery watch that requests the settings of a service and reports which version is
+// in force or rejected. The watch's goroutine updates it, and the goroutine that applies reloads clears a rejection.
 type settingsWatch struct {
 	service, agent string
 	apply          ApplySettings
 
 	mu              sync.Mutex
 	appliedVersion  uint64
-	rejectedVersion uint64 // 0: none since the last settings that were applied
+	rejectedVersion uint64 // 0 if none since settings were last applied
 	rejectionReason string
-	ended           bool // nothing is applied any more
+	stopped         bool // no settings are applied any more
 }
 
-// query is what a call of the watch has beside its index; "" once nothing is applied any more.
+// query returns the query parameters that a watch call has in addition to its index and wait. It is empty once no
+// settings are applied any more.
 func (w *settingsWatch) query() string {
 	if w == nil {
 		return ""
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.ended {
+	if w.stopped {
 		return ""
 	}
 	query := fmt.Sprintf("&%s=%s&%s=%s&%s=%d", endpoint.QueryService, url.QueryEscape(w.service),
@@ -54,8 +55,8 @@
 	return query
 }
 
-// receive applies settings that a response brought, unless they are no newer than those that were applied or
-// rejected: a version never goes back.
+// receive applies the settings of a response if they are newer than those that were applied or rejected. It never
+// returns to an older version.
 func (w *settingsWatch) receive(ctx context.Context, settings *endpoint.Settings) {
 	if !w.isNewer(settings.Version) {
 		return
@@ -65,7 +66,7 @@
 	defer w.mu.Unlock()
 	switch {
 	case errors.Is(err, ErrAgentStopping):
-		w.ended = true
+		w.stopped = true
 	case err != nil:
 		w.rejectedVersion = settings.Version
 		w.rejectionReason = shortLine(err.Error(), maxRejectionReason)
@@ -76,13 +77,15 @@
 	}
 }
 
+// isNewer reports whether a version is newer than those that were applied or rejected.
 func (w *settingsWatch) isNewer(version uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return version > max(w.appliedVersion, w.rejectedVersion)
 }
 
-// forgetRejection forgets what was rejected, so that it is sent and checked again: the reason may be gone.
+// forgetRejection clears the rejected version, so that it is sent and checked again: the reason for the rejection may
+// no longer apply.
 func (w *settingsWatch) forgetRejection() {
 	if w == nil {
 		return
@@ -93,7 +96,7 @@
 	w.rejectionReason = ""
 }
 
-// shortLine is a text without control characters, cut to a number of bytes.
+// shortLine returns text with control characters replaced by spaces, truncated to at most limit bytes.
 func shortLine(text string, limit int) string {
 	text = strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/internal/agent/discovery/source.go
+++ b/internal/agent/discovery/source.go
@@ -9,18 +9,18 @@
 	"fernbeam.example/fernbeam/internal/agent/keyhash"
 )
 
-// Source is where discovery is: at one address, or at several that return the same list.
+// Source is a discovery service, at one address or at several that return the same list.
 type Source struct {
 	addressRing
-	//nolint:containedctx // a move ends the calls to the source, whoever made them
-	moved     context.Context // done once discovery is elsewhere
+	//nolint:containedctx // MoveTo ends the calls to the source, whoever made them
+	moved     context.Context // done once another source has replaced this one
 	markMoved context.CancelFunc
-	// version is what the watch has reached, by the source's own count; 0: the full list is still to be asked
-	// for. It belongs to the watch, of which there is one at a time.
+	// version is the version of this source that the watch has reached; 0 means that the next call requests the
+	// full list. Only the watch uses it, of which there is one at a time.
 	version uint64
-	// answered is when the source last responded to a call, on the monotonic clock in ns; 0: never.
+	// answered is when the source last responded to a call, in nanoseconds on the monotonic clock; 0 means never.
 	answered atomic.Int64
-	// olderAnswers counts consecutive responses to the watch with an older version.
+	// olderAnswers is the number of consecutive responses to the watch that had an older version.
 	olderAnswers int
 }
 
@@ -34,12 +34,12 @@
 	}
 }
 
-// lastAnswer is when the source last responded to a call, on the monotonic clock; 0: never.
+// lastAnswer returns when the source last responded to a call, on the monotonic clock; 0 means never.
 func (s *Source) lastAnswer() time.Duration { return time.Duration(s.answered.Load()) }
 
-// countOlderAnswer counts a response with an older version. Once all addresses have given one, discovery has
-// perhaps been restored from less, and the next watch asks for the full list; one of several addresses may lag
-// behind for a time.
+// countOlderAnswer counts a response with an older version. A single address may lag behind for a time. Once all
+// addresses have returned an older version, discovery may have been restored from older data, and the next watch
+// requests the full list.
 func (s *Source) countOlderAnswer() {
 	s.olderAnswers++
 	if s.olderAnswers >= len(s.addrs) {
@@ -48,24 +48,24 @@
 	}
 }
 
-// addressRing is the addresses of a source, of which one is called until a call to it fails.
+// addressRing holds the addresses of a source, and calls go to one of them until a call fails.
 type addressRing struct {
 	addrs   []string
 	current atomic.Uint32
 }
 
-// address is the address to call, and its index for advance.
+// address returns the address to call, and its index for advance.
 func (r *addressRing) address() (addr string, index uint32) {
 	index = r.current.Load()
 	return r.addrs[int(index)%len(r.addrs)], index
 }
 
-// advance moves on to the next address after a failure, unless another call has done so already.
+// advance moves on to the next address after a failure, unless another call has already done so.
 func (r *addressRing) advance(index uint32) { r.current.CompareAndSwap(index, index+1) }
 
-// orderAddresses returns all addresses in an agent's own order, by rendezvous hashing with its name: the agents
-// begin spread over the addresses, and those of an address that fails move on to different ones. An address
-// that is added or removed moves few agents.
+// orderAddresses returns all addresses in an order specific to the agent, by rendezvous hashing with its name. The
+// agents start spread over the addresses, and when an address fails its agents move on to different ones. Adding or
+// removing an address moves few agents.
 func orderAddresses(addrs []string, name string) []string {
 	rank := func(addr string) uint64 { return keyhash.Mix(keyhash.Sum(name + "\x00" + addr)) }
 	ordered := make([]string, 0, len(addrs))
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -45,7 +45,7 @@
 	const draws, waits, addresses = 300, 15, 3
 	longest, shortest := map[int]time.Duration{}, map[int]time.Duration{}
 	for range draws {
-		backoff := newAddressBackoff()
+		backoff := newFailoverBackoff()
 		for i := range waits {
 			wait := backoff.nextDelay(addresses)
 			longest[i] = max(longest[i], wait)
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// KeepWatch keeps a watch until ctx ends.
+// KeepWatch maintains a watch until ctx is done, and starts it again after failures.
 func (c *Client) KeepWatch(ctx context.Context) {
-	var backoff watchBackoff = new(singleBackoff)
+	var backoff watchBackoff = new(singleAddressBackoff)
 	if c.backoff != nil {
 		backoff = c.backoff
 	}
@@ -24,9 +24,9 @@
 	}
 }
 
-// Watch follows the changes until a call fails or ctx ends, and reports whether any call was answered. The next
-// call goes out before the last response is handed on: discovery drops a watch after 200 ms without a call, and
-// a new watch is a load on it.
+// Watch follows the changes until a call fails or ctx is done, and reports whether any call was answered. The next call
+// is made before a response is passed on: discovery drops a watch after 200 ms without a call, and a new watch puts
+// load on it.
 func (c *Client) Watch(ctx context.Context) (answered bool) {
 	next := c.startWatchCall(ctx)
 	for {
@@ -48,20 +48,20 @@
 		if settings == nil {
 			next = c.startWatchCall(ctx)
 		}
-		// An empty response brings nothing, but the first one shows that the watch is open.
+		// An empty response has no changes, but the first one shows that the watch is open.
 		if !answered || response.Complete || response.List.Full || len(response.List.Servers) > 0 {
 			c.onResponse(response)
 		}
 		answered = true
 		if settings != nil {
-			// The next call reports whether these settings are in force.
+			// The next call reports whether these settings are in force, so they are applied first.
 			c.settingsWatch.receive(ctx, settings)
 			next = c.startWatchCall(ctx)
 		}
 	}
 }
 
-// watchFailed hands on the failure of a call of the watch.
+// watchFailed passes on the failure of a watch call.
 func (c *Client) watchFailed(response Response) {
 	if errors.Is(response.Err, errOlderVersion) {
 		response.Source.countOlderAnswer()
@@ -69,7 +69,7 @@
 	c.onResponse(response)
 }
 
-// startWatchCall starts the next call of the watch in a goroutine, which ends with the call.
+// startWatchCall starts the next watch call in a goroutine, which ends with the call.
 func (c *Client) startWatchCall(ctx context.Context) <-chan Response {
 	source := c.CurrentSource()
 	done := make(chan Response, 1)
