--- a/internal/agent/discovery/conn.go
+++ b/internal/agent/discovery/conn.go
@@ -9,7 +9,7 @@
 )
 
 // errConnectionLost is the error of a call that has lost its connection and must not open another one.
-var errConnectionLost = errors.New("the connection was lost")
+var errConnectionLost = errors.New("connection lost")
 
 // callCounters counts the traffic of calls to discovery since the start.
 type callCounters struct {
--- a/internal/agent/discovery/settings_watch.go
+++ b/internal/agent/discovery/settings_watch.go
@@ -16,7 +16,7 @@
 const maxRejectionReason = 200
 
 // ErrAgentStopping is the error of applying settings to an agent that is stopping.
-var ErrAgentStopping = errors.New("the agent ends")
+var ErrAgentStopping = errors.New("agent is stopping")
 
 // ApplySettings puts settings in force and returns when they are. If they are rejected, the error is the reason. It is
 // ErrAgentStopping once no settings are applied any more.
