--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// responseBuffer is how many responses may wait for a test.
+	// responseBuffer is the capacity of the tests' response channels.
 	responseBuffer = 100
-	// rateLimitedTime is how long the rate of calls is measured.
-	rateLimitedTime = 500 * time.Millisecond
+	// rateMeasurementTime is how long the rate of calls is measured for.
+	rateMeasurementTime = 500 * time.Millisecond
 )
 
-// A watch whose discovery has fallen silent is opened anew, on a connection of its own: an idle one may have fallen
-// silent with it.
+// If discovery stops responding to a watch, the watch is opened again on a new connection, as an idle connection may
+// have failed together with the first one.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	addr, calls := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
 		if call.Index == "" {
 			return `{"version":7,"full":true,"servers":[]}`
 		}
-		return "" // every watch stays silent
+		return "" // no watch call gets a response
 	})
 	client := newTestClient(addr, 7, func(Response) {})
 	keepWatch(t, client)
 	first := agenttest.NextCall(t, calls)
 	silentSince := time.Now()
-	client.Fetch(t.Context()) // on another connection, which is idle from now on
+	client.Fetch(t.Context()) // on another connection, which is idle afterwards
 	second := agenttest.NextCall(t, calls)
 	if first.Conn == second.Conn {
-		t.Fatal("the fetch came on the watch's connection")
+		t.Fatal("the fetch used the connection of the watch")
 	}
 	third := agenttest.NextCall(t, calls)
 	if third.Index != "7" || third.Conn == first.Conn || third.Conn == second.Conn {
-		t.Errorf("after the silence: call %+v, want index 7 on a new connection", third)
+		t.Errorf("the call after the timeout is %+v, want index 7 on a new connection", third)
 	}
 	if took := time.Since(silentSince); took > agenttest.NotifiedWithin {
-		t.Errorf("the watch was opened anew after %v", took)
+		t.Errorf("the watch was opened again too late, after %v", took)
 	}
 }
 
-// After a move the new address is polled for the full list, however often its first calls fail, and never from
-// a version of the old one.
+// After a move the full list is requested from the new address until a call succeeds, and never the changes since a
+// version of the old address.
 func TestMovedDiscoveryIsPolledForTheFullList(t *testing.T) {
 	t.Parallel()
 	old, oldCalls := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string { return "" })
@@ -63,7 +63,7 @@
 	client := newTestClient(old, 41, func(response Response) { responses <- response })
 	keepWatch(t, client)
 	if call := agenttest.NextCall(t, oldCalls); call.Index != "41" {
-		t.Errorf("the first call is %+v, want the index 41 of the known version", call)
+		t.Errorf("the first call is %+v, want index 41, the known version", call)
 	}
 	client.MoveTo(moved)
 	for i, want := range []string{"0", "0", "0", "3"} {
@@ -74,14 +74,14 @@
 	for response := range responses {
 		if response.Err == nil {
 			if !response.Complete || response.List.Version != 3 {
-				t.Errorf("response %+v, want the full list of version 3", response)
+				t.Errorf("response %+v, want the full list at version 3", response)
 			}
 			break
 		}
 	}
 }
 
-// A call that fails in another way than by silence is repeated as well.
+// A refused call is repeated in time, however many calls have failed before.
 func TestFailedCallsAreRetriedInTime(t *testing.T) {
 	t.Parallel()
 	refusing := agenttest.Listen(t)
@@ -92,20 +92,20 @@
 	client := newTestClient(refusing.Addr().String(), 1, func(response Response) { responses <- response })
 	keepWatch(t, client)
 	last := time.Now()
-	for range 6 { // the wait has doubled to its bound by then
+	for range 6 { // enough for the wait to reach its maximum
 		response := <-responses
 		if response.Err == nil || errors.Is(response.Err, errMoved) {
 			t.Fatalf("response %+v, want a failed call", response)
 		}
 		if wait := time.Since(last); wait > agenttest.NotifiedWithin-watchWait-callGrace {
-			t.Errorf("a failed call was repeated after %v", wait)
+			t.Errorf("a failed call was repeated too late, after %v", wait)
 		}
 		last = time.Now()
 	}
 }
 
-// However often calls fail, a change is known in time once discovery answers again: the call that is open when it
-// falls silent is given up, the wait follows, and the next call still has its own time.
+// However often calls have failed, a change is known in time once discovery responds again: the longest wait leaves
+// time for the call that is open when discovery stops responding to time out, and for the next call to complete.
 func TestLongestWaitLeavesTimeForTheNextCall(t *testing.T) {
 	const draws, failures = 300, 15
 	const longestWait = agenttest.NotifiedWithin - (watchWait + callGrace) - callGrace
@@ -119,7 +119,7 @@
 	}
 }
 
-// A discovery that answers every watch at once is not called in a tight loop.
+// Discovery that answers each watch call immediately is not called in a tight loop.
 func TestDiscoveryCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -128,7 +128,7 @@
 	}))
 	defer busy.Close()
 	client := newTestClient(busy.Listener.Addr().String(), 1, func(Response) {})
-	ctx, cancel := context.WithTimeout(t.Context(), rateLimitedTime)
+	ctx, cancel := context.WithTimeout(t.Context(), rateMeasurementTime)
 	defer cancel()
 	startedAt := time.Now()
 	client.Watch(ctx)
--- a/internal/agent/discovery/fixture_test.go
+++ b/internal/agent/discovery/fixture_test.go
@@ -9,13 +9,13 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// newTestClient is a discovery client without an agent, which knows version of the list at addr.
+// newTestClient returns a discovery client without an agent, which calls addr and starts from a version of the list.
 func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
 	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
 	return New(cfg, Options{Clock: clock.System(), OnResponse: onResponse})
 }
 
-// newControlClient is a discovery client with the section "control", which knows version 7 of the list.
+// newControlClient returns a discovery client with the section "control", which starts from version 7 of the list.
 func newControlClient(addrs []string) *Client {
 	cfg := &config.Config{
 		Name:      "pay-1",
@@ -26,7 +26,7 @@
 	return New(cfg, Options{Clock: clock.System(), OnResponse: func(Response) {}})
 }
 
-// keepWatch has a client keep its watch until the test ends.
+// keepWatch runs the client's KeepWatch until the test ends.
 func keepWatch(t *testing.T, client *Client) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/agent/discovery/settings_watch_test.go
+++ b/internal/agent/discovery/settings_watch_test.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// An agent that stops applies no more settings, and does not ask for them repeatedly.
+// An agent that is stopping applies no settings, and so must not request them again and again.
 func TestStoppingAgentRequestsNoSettings(t *testing.T) {
 	t.Parallel()
 	watch := &settingsWatch{
@@ -20,6 +20,6 @@
 	}
 	watch.receive(t.Context(), &endpoint.Settings{Version: 5})
 	if watch.query() != "" {
-		t.Errorf("query %q after the end, want none", watch.query())
+		t.Errorf("query %q after ErrAgentStopping, want none", watch.query())
 	}
 }
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -17,7 +17,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// Agents begin spread over the addresses, and those of one that fails move on to different ones.
+// The agents start spread over the addresses, and when an address fails its agents move on to different ones.
 func TestAgentsAreSpreadOverAddresses(t *testing.T) {
 	addrs := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	pairs := map[[2]string]int{}
@@ -26,7 +26,7 @@
 		order := orderAddresses(addrs, name)
 		again := orderAddresses([]string{addrs[2], addrs[0], addrs[1]}, name)
 		if !slices.Equal(order, again) {
-			t.Fatalf("%s calls in the order %v, or %v where the file lists the addresses in another", name, order, again)
+			t.Fatalf("%s calls in the order %v, but %v if the addresses are listed differently", name, order, again)
 		}
 		pairs[[2]string{order[0], order[1]}]++
 	}
@@ -36,11 +36,12 @@
 		}
 	}
 	if len(pairs) != 6 {
-		t.Errorf("%d orders of 6 are used", len(pairs))
+		t.Errorf("%d of 6 orders are used", len(pairs))
 	}
 }
 
-// The waits are drawn evenly from zero up to their bound: of a failover, and of a round, which doubles.
+// The waits before a failover and after a round are drawn uniformly between zero and their bound, and the bound of the
+// wait after a round doubles.
 func TestWaitsHaveFullJitter(t *testing.T) {
 	const draws, waits, addresses = 300, 15, 3
 	longest, shortest := map[int]time.Duration{}, map[int]time.Duration{}
@@ -65,7 +66,7 @@
 	}
 }
 
-// A watch moves where a call fails, keeps its version and stays where it gets a response.
+// A watch moves to the next address when a call fails, keeps its version, and stays at an address that responds.
 func TestWatchMovesOnFailureAndStays(t *testing.T) {
 	t.Parallel()
 	instances := map[string]*agenttest.SettingsDiscovery{}
@@ -87,11 +88,11 @@
 	first.Drain()
 	for range 3 {
 		if query := second.WaitCallWith(t, "index", "41"); len(query) != 2 {
-			t.Errorf("the call has %v, want an index and a wait", query)
+			t.Errorf("the call has the query parameters %v, want an index and a wait", query)
 		}
 	}
 	if count := len(first.Calls) + len(third.Calls); count != 0 {
-		t.Errorf("%d calls to other addresses though the second one responded", count)
+		t.Errorf("%d calls to the other addresses, want none while the second one responds", count)
 	}
 	if err := second.Listener.Close(); err != nil {
 		t.Fatal(err)
@@ -100,8 +101,8 @@
 	third.WaitCallWith(t, "index", "41")
 }
 
-// A call whose connection is lost is not retried until the wait after a failure is over: the agents of an
-// instance that fails would all call at once.
+// A call whose connection is lost is not retried before the wait after a failure: otherwise all agents of an instance
+// that fails would call again at the same time.
 func TestLostCallIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
 	ln := agenttest.Listen(t)
@@ -126,12 +127,12 @@
 	keepWatch(t, client)
 	for failure := int64(1); failure <= 3; failure++ {
 		if count := <-connsAtFailure; count != failure {
-			t.Errorf("%d connections were opened before failure %d", count, failure)
+			t.Errorf("%d connections were opened before failure %d, want one per failure", count, failure)
 		}
 	}
 }
 
-// answerOneCall answers the first call on a connection, and returns at the second one.
+// answerOneCall answers the first call on a connection, and returns when it has read the second one.
 func answerOneCall(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	if _, err := http.ReadRequest(reader); err != nil {
@@ -142,8 +143,8 @@
 	_, _ = http.ReadRequest(reader)
 }
 
-// An instance that has an older version than the others is skipped; only once all have one the full list is
-// asked for.
+// An instance with a version older than the one reached is skipped. The full list is requested only once all instances
+// have returned an older version.
 func TestOlderVersionIsAcceptedOnlyFromAllAddresses(t *testing.T) {
 	t.Parallel()
 	var addrs []string
@@ -170,23 +171,23 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if want := []string{"7", "7", "7", "0", "2"}; !slices.Equal(indexes[:5], want) {
-		t.Errorf("calls with the indexes %v, want %v", indexes, want)
+		t.Errorf("calls have the indexes %v, want %v", indexes, want)
 	}
 }
 
-// Without the section "control" the client has one address, no backoff of several and no settings to ask for.
+// Without the section "control" the client has one address, no failover backoff, and no settings to request.
 func TestClientWithoutControlSection(t *testing.T) {
 	client := newTestClient("127.0.0.1:1", 1, func(Response) {})
 	if client.backoff != nil || client.settingsWatch != nil || len(client.CurrentSource().addrs) != 1 {
-		t.Error("the discovery client has parts that only the section calls for")
+		t.Error("the client has a failover backoff, a settings watch or several addresses without the section")
 	}
 }
 
-// A move to several addresses leaves the client with all of them.
+// After a move to several addresses the client has all of them.
 func TestMoveToSeveralAddresses(t *testing.T) {
 	client := newTestClient("127.0.0.1:1", 1, func(Response) {})
 	client.MoveTo("127.0.0.1:2", "127.0.0.1:3")
 	if addrs := client.CurrentSource().addrs; len(addrs) != 2 {
-		t.Errorf("the addresses are %v", addrs)
+		t.Errorf("the addresses are %v, want 2", addrs)
 	}
 }
