--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -73,8 +73,8 @@
 	unsent   bool // the connection broke before the last byte was written
 }
 
-// Attempt makes one attempt and returns its outcome. It never sends a message twice if the first may have executed,
-// and it takes ownership of outgoing. Cancelling ctx cancels the attempt and closes its connection.
+// Attempt makes one attempt and returns its outcome. It resends a message only if the message can't have executed, and
+// it takes ownership of outgoing. Cancelling ctx cancels the attempt and closes its connection.
 func (p *Pool) Attempt(ctx context.Context, target Target, outgoing *Message) Result {
 	sent := outgoing.Streamed == nil
 	if outgoing.Streamed != nil {
