--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -94,7 +94,7 @@
 		return
 	}
 	incoming := r.incoming
-	incoming.Deadline = incoming.Streamed.RespondBy(incoming.Timeout)
+	incoming.Deadline = incoming.Streamed.ResponseDeadline(incoming.Timeout)
 	incoming.ArrivedAt = incoming.Deadline.Add(-incoming.Timeout)
 	r.backstop.Reset(time.Until(r.respondBy()))
 	l.handle(&balancer.Event{
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -121,7 +121,7 @@
 ) *message.RequestError {
 	body := &message.ClientBody{
 		Control: http.NewResponseController(w),
-		From:    http.MaxBytesReader(w, req.Body, message.MaxRequestBody),
+		Source:  http.MaxBytesReader(w, req.Body, message.MaxRequestBody),
 	}
 	buffered, err := s.bodies.ReadBody(body, req.ContentLength)
 	request.Body = buffered.Bytes
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -271,7 +271,7 @@
 func (s *Server) writeInvalid(
 	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *message.RequestError,
 ) {
-	_ = control.SetReadDeadline(time.Now().Add(message.BadRequestReadTime)) // as in ServeHTTP
+	_ = control.SetReadDeadline(time.Now().Add(message.LingerTimeout)) // as in ServeHTTP
 	s.dispatcher.InvalidRequest(req.Header.Get("Request-Id"), req.RemoteAddr, invalid)
 	closeAfterResponse(w)
 	http.Error(w, invalid.Error(), invalid.Status)
--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -28,9 +28,9 @@
 	// OnEnd is called when the stream has ended. Its connection may carry another message if the body is complete.
 	OnEnd func(complete bool)
 
-	mu          sync.Mutex
-	conn        net.Conn
-	ownDeadline bool // each read has its own deadline, and no longer the attempt's
+	mu              sync.Mutex
+	conn            net.Conn
+	perReadDeadline bool // each read has its own deadline, and no longer the attempt's
 }
 
 // NewBodyStream begins to read a body, under the deadline that its connection has.
@@ -57,10 +57,10 @@
 	}
 }
 
-// UseOwnDeadlines gives each read a deadline of its own from now on, in place of the attempt's.
-func (s *BodyStream) UseOwnDeadlines() {
+// UsePerReadDeadline gives each read a deadline of its own from now on, in place of the attempt's.
+func (s *BodyStream) UsePerReadDeadline() {
 	s.mu.Lock()
-	s.ownDeadline = true
+	s.perReadDeadline = true
 	s.mu.Unlock()
 	s.extendDeadline()
 }
@@ -69,7 +69,7 @@
 func (s *BodyStream) extendDeadline() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ownDeadline {
+	if s.perReadDeadline {
 		_ = s.conn.SetReadDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the read too
 	}
 }
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// bodyBudgetPart is the part of the memory, as a divisor, that buffered bodies may use. What streams and the rest
+// bodyBudgetDivisor is the part of the memory, as a divisor, that buffered bodies may use. What streams and the rest
 // of the process need grows with the connections, which the descriptors bound.
-const bodyBudgetPart = 6
+const bodyBudgetDivisor = 6
 
 // Quota bounds how much of something the process may have.
 type Quota struct {
@@ -30,7 +30,7 @@
 
 // NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many bytes of memory.
 func NewBodyBudget(memoryBytes int64) Quota {
-	return NewQuota(memoryBytes / bodyBudgetPart)
+	return NewQuota(memoryBytes / bodyBudgetDivisor)
 }
 
 // ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. What it has
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -19,9 +19,9 @@
 	// clients. It may never send nothing for longer than the grace period: connections that stall have to be
 	// closed within 3 s.
 	BodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
-	// BadRequestReadTime bounds how long what follows a request that was not accepted is read, so that its sender
+	// LingerTimeout bounds how long what follows a request that was not accepted is read, so that its sender
 	// can read the response.
-	BadRequestReadTime = 300 * time.Millisecond
+	LingerTimeout = 300 * time.Millisecond
 	// StallTimeout is how long a server may send or take nothing of a long body, and a client take nothing of
 	// one.
 	StallTimeout = 10 * time.Second
@@ -33,7 +33,7 @@
 	Control *http.ResponseController
 
 	mu       sync.Mutex // one goroutine reads at a time
-	From     io.Reader
+	Source   io.Reader
 	received int64
 	waitTime time.Duration
 	end      atomic.Pointer[bodyEnd] // nil: the body is still arriving
@@ -56,7 +56,7 @@
 	left := BodyGracePeriod + time.Duration(b.received)*time.Second/minBodyRate - b.waitTime
 	// Setting it fails only where a connection has no deadlines, as no client's does.
 	_ = b.Control.SetReadDeadline(now.Add(min(left, BodyGracePeriod)))
-	n, err := b.From.Read(buffer)
+	n, err := b.Source.Read(buffer)
 	b.waitTime += time.Since(now)
 	b.received += int64(n)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if errors.Is(err, io.EOF) {
 		return time.Time{}
 	}
-	return time.Now().Add(BadRequestReadTime)
+	return time.Now().Add(LingerTimeout)
 }
 
 // Complete reports whether all of the body has arrived.
@@ -81,8 +81,8 @@
 	return end != nil && errors.Is(end.err, io.EOF)
 }
 
-// Failure is the error that ended the body before it was complete; nil: there is none.
-func (b *ClientBody) Failure() error {
+// Err is the error that ended the body before it was complete; nil: there is none.
+func (b *ClientBody) Err() error {
 	end := b.end.Load()
 	if end == nil || errors.Is(end.err, io.EOF) {
 		return nil
@@ -90,9 +90,9 @@
 	return end.err
 }
 
-// RespondBy is when the response is due at the latest to a request that gives so much time from its last byte
+// ResponseDeadline is when the response is due at the latest to a request that gives so much time from its last byte
 // on. That byte may have arrived, unread, while a server takes nothing more.
-func (b *ClientBody) RespondBy(timeout time.Duration) time.Time {
+func (b *ClientBody) ResponseDeadline(timeout time.Duration) time.Time {
 	if end := b.end.Load(); end != nil {
 		return end.at.Add(timeout)
 	}
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -146,7 +146,7 @@
 	switch {
 	case streaming && !cancelled:
 		// The connection is the stream's until that ends.
-		result.Body.Stream.UseOwnDeadlines()
+		result.Body.Stream.UsePerReadDeadline()
 	case streaming:
 		result.Body.Release()
 		result.Result = Result{Status: balancer.StatusCancelled}
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -52,7 +52,7 @@
 	var writeErr error
 	select {
 	case writeErr = <-e.written:
-		if clientErr := e.outgoing.Streamed.Failure(); writeErr != nil && clientErr != nil {
+		if clientErr := e.outgoing.Streamed.Err(); writeErr != nil && clientErr != nil {
 			return e.clientFailed(clientErr)
 		}
 		head = e.awaitHead(ctx, writeErr)
@@ -100,7 +100,7 @@
 func (e *streamedExchange) awaitHead(ctx context.Context, writeErr error) responseHead {
 	if writeErr == nil {
 		e.outgoing.OnSent()
-		e.conn.setReadDeadline(e.outgoing.Streamed.RespondBy(e.outgoing.ResponseTime))
+		e.conn.setReadDeadline(e.outgoing.Streamed.ResponseDeadline(e.outgoing.ResponseTime))
 	} else {
 		// A response may be there, or on its way behind what the server did not read.
 		e.conn.setReadDeadline(time.Now().Add(earlyResponseWait))
@@ -168,6 +168,6 @@
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
 	}
-	w.conn.setWriteDeadline(clock.Earliest(time.Now().Add(message.StallTimeout), w.body.RespondBy(w.responseTime)))
+	w.conn.setWriteDeadline(clock.Earliest(time.Now().Add(message.StallTimeout), w.body.ResponseDeadline(w.responseTime)))
 	return w.conn.Write(chunk)
 }
