--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -92,9 +92,9 @@
 	}
 	running, stopLoop := context.WithCancel(context.Background())
 	loop, err := dispatch.New(running, cfg, dispatch.Options{
-		Pool:          a.pool,
-		OnUsable:      sync.OnceFunc(func() { close(a.usable) }),
-		ApplySettings: a.applySettings,
+		Pool:           a.pool,
+		OnServersReady: sync.OnceFunc(func() { close(a.usable) }),
+		ApplySettings:  a.applySettings,
 	})
 	if err != nil {
 		stopLoop()
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -30,7 +30,7 @@
 		change(cfg)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	loop, err := New(ctx, cfg, Options{Pool: upstream.NewPool(cfg), OnUsable: func() {}})
+	loop, err := New(ctx, cfg, Options{Pool: upstream.NewPool(cfg), OnServersReady: func() {}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -54,7 +54,7 @@
 	}
 	l.applyList(list, update, origin)
 	if l.endpoints.hasReady() {
-		l.onUsable()
+		l.onServersReady()
 	}
 }
 
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -45,7 +45,7 @@
 
 	list       listState
 	startTimes *startTimeTable
-	onUsable   func() // called when the list has a ready server
+	onServersReady   func() // called when the list has a ready server
 
 	logger    *lineLogger
 	metrics   Metrics
@@ -71,8 +71,8 @@
 type Options struct {
 	// Pool makes the attempts and the health checks.
 	Pool *upstream.Pool
-	// OnUsable is called each time that a list with a ready server comes into force.
-	OnUsable func()
+	// OnServersReady is called each time that a list with a ready server comes into force.
+	OnServersReady func()
 	// ApplySettings is called with settings of the discovery service; nil: the configuration asks for none.
 	ApplySettings discovery.ApplySettings
 }
@@ -96,7 +96,7 @@
 		inbox:      make(chan func(), inboxSize),
 		requests:   newRequestTable(),
 		startTimes: newStartTimeTable(eventTime),
-		onUsable:   options.OnUsable,
+		onServersReady:   options.OnServersReady,
 		logger:     newLineLogger(cfg.Logger()),
 		metrics:    newMetrics(),
 	}
@@ -150,7 +150,7 @@
 	l.applyList(&l.cfg.Known, balancer.ListCached, listOrigin{})
 	l.handlePending()
 	if l.endpoints.hasReady() {
-		l.onUsable()
+		l.onServersReady()
 	}
 	if l.ownsWatch() {
 		l.list.watching = true
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -29,7 +29,7 @@
 // The backstop responds before the deadline where the policy does not.
 func TestBackstop(t *testing.T) {
 	cfg := agenttest.NewConfig(t, "127.0.0.1:1", agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")))
-	loop, err := New(t.Context(), cfg, Options{Pool: upstream.NewPool(cfg), OnUsable: func() {}})
+	loop, err := New(t.Context(), cfg, Options{Pool: upstream.NewPool(cfg), OnServersReady: func() {}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -8,18 +8,18 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// Activate puts a configuration in force in one step of the loop.
-func (l *Loop) Activate(cfg *config.Config) {
+// ApplyConfig puts a configuration in force in one step of the loop.
+func (l *Loop) ApplyConfig(cfg *config.Config) {
 	l.Post(func() { _ = l.applyConfig(cfg) }) // an error has been logged
 }
 
-// ActivateServiceSettings puts a configuration with settings of the discovery service in force in one step of the
+// ApplyServiceSettings puts a configuration with settings of the discovery service in force in one step of the
 // loop, or rejects them, and calls done in that step.
-func (l *Loop) ActivateServiceSettings(cfg *config.Config, done func(error)) {
+func (l *Loop) ApplyServiceSettings(cfg *config.Config, done func(error)) {
 	l.Post(func() {
 		err := l.applyConfig(cfg)
 		if err != nil {
-			l.countRejected(cfg.SettingsVersion(), err)
+			l.recordRejectedSettings(cfg.SettingsVersion(), err)
 		}
 		done(err)
 	})
@@ -28,7 +28,7 @@
 // RejectSettings counts and logs settings of the discovery service that can't be used, and calls done in that step.
 func (l *Loop) RejectSettings(version uint64, err error, done func(error)) {
 	l.Post(func() {
-		l.countRejected(version, err)
+		l.recordRejectedSettings(version, err)
 		done(err)
 	})
 }
@@ -84,8 +84,8 @@
 	l.discovery.MoveTo(to...)
 }
 
-// countRejected counts and logs settings of the discovery service that can't be used.
-func (l *Loop) countRejected(version uint64, err error) {
+// recordRejectedSettings counts and logs settings of the discovery service that can't be used.
+func (l *Loop) recordRejectedSettings(version uint64, err error) {
 	l.metrics.SettingsRejected++
 	l.logger.always(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -36,7 +36,7 @@
 			"version", version)
 	}
 	a.replace(next)
-	a.loop.Activate(next)
+	a.loop.ApplyConfig(next)
 	a.loop.ForgetRejectedSettings()
 }
 
@@ -49,7 +49,7 @@
 		return
 	}
 	a.replace(next)
-	a.loop.ActivateServiceSettings(next, finished)
+	a.loop.ApplyServiceSettings(next, finished)
 }
 
 // replace makes a configuration the one in force, first for requests that arrive from now on.
