--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -37,7 +37,7 @@
 	server := l.endpoints.byAddr[action.Server]
 	started := &attempt{server: server, startedAt: now}
 	r.attempts = append(r.attempts, started)
-	deadline := r.respondBy()
+	deadline := r.backstopTime()
 	if action.Ms != 0 {
 		deadline = clock.Earliest(deadline, now.Add(clock.FromMilliseconds(action.Ms)))
 	}
@@ -54,9 +54,9 @@
 // checkForward returns why an attempt must not be started; nil allows it. It closes a request whose client has gone,
 // and logs an action that breaks a rule.
 func (l *Loop) checkForward(r *request, server *listedServer, now, deadline time.Time) error {
-	if !r.answered && r.incoming.Context.Err() != nil {
+	if !r.closed && r.incoming.Context.Err() != nil {
 		// The downstream server's notification of it is on its way.
-		l.closeAsGone(r)
+		l.closeAbandoned(r)
 		return upstream.ErrClientGone
 	}
 	err := checkRules(r, server, now, deadline)
@@ -78,7 +78,7 @@
 		Attempt:     index,
 		Server:      policyAddr,
 		Status:      balancer.StatusUnsent,
-		RequestDone: r.answered,
+		RequestDone: r.closed,
 	})
 }
 
@@ -87,7 +87,7 @@
 // what is written needs a round trip to arrive. Zero: there is no limit.
 func (l *Loop) retryDeadline(r *request) time.Time {
 	rules := r.incoming.Rules
-	if r.mayHaveRun == 0 || rules.Idempotency != balancer.IdempotentByKey {
+	if r.mayHaveExecuted == 0 || rules.Idempotency != balancer.IdempotentByKey {
 		return time.Time{}
 	}
 	return r.firstSentAt.Add(clock.FromMilliseconds(rules.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
@@ -145,7 +145,7 @@
 	l.metrics.Attempts[result.Status]++
 	r.inFlight--
 	if result.Status.NotExecuted() {
-		r.mayHaveRun--
+		r.mayHaveExecuted--
 	}
 	r.badRequest = result.Status == balancer.StatusBadRequest
 	r.sendingBody = false
@@ -157,7 +157,7 @@
 		Server:       ended.server.policyAddr,
 		Status:       result.Status,
 		LatencyMs:    result.LatencyMs,
-		RequestDone:  r.answered,
+		RequestDone:  r.closed,
 		BodyConsumed: r.incoming.Streamed.IsConsumed(),
 	})
 	l.requests.forgetFinished(r)
@@ -168,11 +168,11 @@
 // to the policy.
 func (l *Loop) respondTo(r *request, result *upstream.Result) {
 	switch {
-	case r.answered:
+	case r.closed:
 		result.Body.Release()
 	case result.Status != balancer.StatusOK && r.incoming.Context.Err() != nil:
 		// The downstream server's notification of it is on its way.
-		l.clientLeft(r)
+		l.handleClientGone(r)
 	case result.Status == balancer.StatusOK:
 		l.finish(r, message.Response{Kind: message.Served, Header: result.Header, Body: result.Body})
 	case result.ClientErr != nil:
--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -13,13 +13,13 @@
 func (l *Loop) Dispatch(incoming *message.Request) { l.Post(func() { l.startRequest(incoming) }) }
 
 // Abandon ends a request whose client no longer waits for the response.
-func (l *Loop) Abandon(incoming *message.Request) { l.Post(func() { l.discardResponse(incoming) }) }
+func (l *Loop) Abandon(incoming *message.Request) { l.Post(func() { l.abandonRequest(incoming) }) }
 
 // CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
-func (l *Loop) CancelStreaming() { l.Post(l.cancelSending) }
+func (l *Loop) CancelStreaming() { l.Post(l.cancelStreaming) }
 
 // EndAll gives every open request its final response.
-func (l *Loop) EndAll() { l.Post(l.endRequests) }
+func (l *Loop) EndAll() { l.Post(l.endAllRequests) }
 
 // AcceptFailed counts and logs an accept that failed temporarily.
 func (l *Loop) AcceptFailed(err error) {
--- a/internal/agent/dispatch/log.go
+++ b/internal/agent/dispatch/log.go
@@ -29,7 +29,7 @@
 	l.logger.always(slog.LevelInfo, "request "+outcome, "id", incoming.ID, "class", incoming.Rules.Name,
 		"retry", incoming.Retry, "after_ms", time.Since(incoming.ArrivedAt).Milliseconds(),
 		"timeout_ms", incoming.Deadline.Sub(incoming.ArrivedAt).Milliseconds(),
-		"open", l.requests.unanswered, "attempts", attempts.String())
+		"open", l.requests.openCount, "attempts", attempts.String())
 }
 
 // describe tells the log when an attempt began after the request's arrival, and how it ended; all in ms.
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -43,9 +43,9 @@
 	pendingEvents []balancer.Event  // raised while actions were carried out
 	actions       []balancer.Action // the buffer of the actions
 
-	list       listState
-	startTimes *startTimeTable
-	onServersReady   func() // called when the list has a ready server
+	list           listState
+	startTimes     *startTimeTable
+	onServersReady func() // called when the list has a ready server
 
 	logger    *lineLogger
 	metrics   Metrics
@@ -87,18 +87,18 @@
 	ownConfig := *cfg // the loop changes the settings in it
 	eventTime := newEventClock(cfg.SystemClock())
 	l := &Loop{
-		cfg:        &ownConfig,
-		ctx:        ctx,
-		balancer:   decisions,
-		endpoints:  newEndpointList(cfg.Zones, cfg.Kinds),
-		pool:       options.Pool,
-		clock:      eventTime,
-		inbox:      make(chan func(), inboxSize),
-		requests:   newRequestTable(),
-		startTimes: newStartTimeTable(eventTime),
-		onServersReady:   options.OnServersReady,
-		logger:     newLineLogger(cfg.Logger()),
-		metrics:    newMetrics(),
+		cfg:            &ownConfig,
+		ctx:            ctx,
+		balancer:       decisions,
+		endpoints:      newEndpointList(cfg.Zones, cfg.Kinds),
+		pool:           options.Pool,
+		clock:          eventTime,
+		inbox:          make(chan func(), inboxSize),
+		requests:       newRequestTable(),
+		startTimes:     newStartTimeTable(eventTime),
+		onServersReady: options.OnServersReady,
+		logger:         newLineLogger(cfg.Logger()),
+		metrics:        newMetrics(),
 	}
 	l.discovery = discovery.New(cfg, discovery.Options{
 		Clock:         eventTime,
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -76,7 +76,7 @@
 	return Stats{
 		Metrics:  metrics,
 		Policy:   l.balancer.Stats(),
-		Open:     l.requests.unanswered,
+		Open:     l.requests.openCount,
 		Settings: l.cfg.Settings,
 	}
 }
@@ -103,7 +103,7 @@
 // logMetrics writes the metrics and the policy's statistics to the log.
 func (l *Loop) logMetrics() {
 	l.logger.always(slog.LevelInfo, "metrics",
-		"open", l.requests.unanswered,
+		"open", l.requests.openCount,
 		"server_conns", l.pool.Size(),
 		"connects", l.pool.ConnectCount(),
 		"idle_limit", l.pool.IdleLimit(),
--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -24,7 +24,7 @@
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.incoming.Rules
 	switch {
-	case r.answered:
+	case r.closed:
 		return errRequestFinished
 	case server == nil || server.addr == "":
 		return errServerNotListed
@@ -36,7 +36,7 @@
 		return errTooManyAttempts
 	case r.incoming.Streamed.IsConsumed():
 		return errBodyConsumed
-	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
+	case r.mayHaveExecuted > 0 && rules.Idempotency == balancer.NonIdempotent:
 		return errMayHaveExecuted
 	case !deadline.After(now):
 		return errNoTimeLeft
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// safeToRepeatAnywhere reports whether a request that has executed may be sent again through any agent.
-func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
+// safeToRetryAnywhere reports whether a request that has executed may be sent again through any agent.
+func safeToRetryAnywhere(rules *balancer.RequestRules) bool {
 	switch rules.Idempotency {
 	case balancer.NonIdempotent:
 		return false
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -42,13 +42,13 @@
 	}
 	r := &request{id: 1, incoming: incoming}
 	loop.requests.byID[1] = r
-	loop.requests.unanswered = 1
+	loop.requests.openCount = 1
 	loop.backstopExpired(r)
 	if response := <-incoming.Response; response.Kind != message.Failed || !response.TimedOut {
 		t.Errorf("response %+v, want a failure by timeout", response)
 	}
 	loop.finish(r, message.Response{Kind: message.Served})
-	unanswered := loop.requests.unanswered
+	unanswered := loop.requests.openCount
 	if len(incoming.Response) != 0 || loop.metrics.Backstops != 1 || unanswered != 0 || len(loop.requests.byID) != 0 {
 		t.Errorf("%d further responses, metrics %+v, %d open", len(incoming.Response), loop.metrics, unanswered)
 	}
@@ -72,8 +72,8 @@
 		{name: "draining", server: draining, deadline: inTime},
 		{name: "unlisted server", deadline: inTime},
 		{name: "one in flight", request: request{inFlight: 1}, server: ready, deadline: inTime},
-		{name: "answered", request: request{answered: true}, server: ready, deadline: inTime},
-		{name: "may have executed", request: request{mayHaveRun: 1}, server: ready, deadline: inTime},
+		{name: "answered", request: request{closed: true}, server: ready, deadline: inTime},
+		{name: "may have executed", request: request{mayHaveExecuted: 1}, server: ready, deadline: inTime},
 		{name: "fourth attempt", request: request{attempts: make([]*attempt, 4)}, server: ready, deadline: inTime},
 		{name: "no time", server: ready, deadline: now},
 	} {
@@ -94,7 +94,7 @@
 		Rules:    orderRules,
 		Response: make(chan message.Response, 1),
 	}
-	rejected := &request{id: 1 << 30, incoming: incoming, mayHaveRun: 1}
+	rejected := &request{id: 1 << 30, incoming: incoming, mayHaveExecuted: 1}
 	loop.Post(func() { loop.reject(rejected, 1) })
 	if response := <-incoming.Response; response.Kind != message.Failed {
 		t.Errorf("response %+v, want a failure", response)
