--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 func (l *Loop) AcceptFailed(err error) {
 	l.Post(func() {
 		l.metrics.AcceptFailures++
-		l.logger.limited(slog.LevelWarn, "accept failed", "err", err)
+		l.logger.logLimited(slog.LevelWarn, "accept failed", "err", err)
 	})
 }
 
@@ -33,7 +33,8 @@
 func (l *Loop) InvalidRequest(id, from string, invalid *message.RequestError) {
 	l.Post(func() {
 		l.metrics.Invalid++
-		l.logger.limited(slog.LevelWarn, "invalid request", "id", id, "from", from, "status", invalid.Status, "err", invalid)
+		l.logger.logLimited(slog.LevelWarn, "invalid request", "id", id, "from", from,
+			"status", invalid.Status, "err", invalid)
 	})
 }
 
@@ -45,7 +46,7 @@
 // MembershipChanged logs a new membership view. No decision rests on it.
 func (l *Loop) MembershipChanged(view *membership.Snapshot) {
 	l.Post(func() {
-		l.logger.limited(slog.LevelInfo, "membership view", "number", view.Number, "present", view.Present, "of", view.Size,
-			"digest", view.Digest)
+		l.logger.logLimited(slog.LevelInfo, "membership view", "number", view.Number,
+			"present", view.Present, "of", view.Size, "digest", view.Digest)
 	})
 }
--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -32,7 +32,7 @@
 	server.inFlight--
 	l.metrics.HealthChecks[result.Status]++
 	if result.Status != balancer.StatusOK {
-		l.logger.limited(slog.LevelInfo, "health check failed", "server", server.id, "status", result.Status,
+		l.logger.logLimited(slog.LevelInfo, "health check failed", "server", server.id, "status", result.Status,
 			"reason", result.Reason)
 	}
 	l.handle(&balancer.Event{
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -63,8 +63,8 @@
 	list := response.List
 	l.metrics.Lists++
 	l.metrics.Endpoints += len(list.Servers)
-	l.logger.limited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full, "from", l.list.version,
-		"to", list.Version, "endpoints", len(list.Servers))
+	l.logger.logLimited(slog.LevelInfo, "endpoint list", "watch", response.Watch, "full", list.Full,
+		"from", l.list.version, "to", list.Version, "endpoints", len(list.Servers))
 }
 
 // followSource makes the source of a response the one whose versions count, and reports whether the response still
@@ -85,7 +85,7 @@
 // belongs to a watch that the agent keeps by itself.
 func (l *Loop) onListFailure(response discovery.Response) {
 	l.metrics.ListFailures++
-	l.logger.limited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
+	l.logger.logLimited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
 	if response.Watch && l.ownsWatch() {
 		return
 	}
--- a/internal/agent/dispatch/log.go
+++ b/internal/agent/dispatch/log.go
@@ -12,7 +12,7 @@
 // logViolation counts and logs an action of the policy that the rules of the request forbid.
 func (l *Loop) logViolation(rule error, args ...any) {
 	l.metrics.Violations++
-	l.logger.limited(slog.LevelError, "contract violation: "+rule.Error(), args...)
+	l.logger.logLimited(slog.LevelError, "contract violation: "+rule.Error(), args...)
 }
 
 // logRequest logs a request that was not served in time, from its arrival through each attempt, so that one
@@ -26,7 +26,7 @@
 	for _, a := range r.attempts {
 		attempts.WriteString(a.describe(incoming.ArrivedAt))
 	}
-	l.logger.always(slog.LevelInfo, "request "+outcome, "id", incoming.ID, "class", incoming.Rules.Name,
+	l.logger.log(slog.LevelInfo, "request "+outcome, "id", incoming.ID, "class", incoming.Rules.Name,
 		"retry", incoming.Retry, "after_ms", time.Since(incoming.ArrivedAt).Milliseconds(),
 		"timeout_ms", incoming.Deadline.Sub(incoming.ArrivedAt).Milliseconds(),
 		"open", l.requests.openCount, "attempts", attempts.String())
@@ -51,11 +51,11 @@
 // logAborted counts and logs a response that was begun and not passed on completely.
 func (l *Loop) logAborted(incoming *message.Request, fromServer, toClient error) {
 	l.metrics.Aborted++
-	l.logger.limited(slog.LevelWarn, "response aborted", "id", incoming.ID,
+	l.logger.logLimited(slog.LevelWarn, "response aborted", "id", incoming.ID,
 		"after_ms", time.Since(incoming.ArrivedAt).Milliseconds(), "server_err", fromServer, "client_err", toClient)
 }
 
 // Log writes a line from any goroutine, whatever the bound of lines per second.
 func (l *Loop) Log(level slog.Level, text string, args ...any) {
-	l.Post(func() { l.logger.always(level, text, args...) })
+	l.Post(func() { l.logger.log(level, text, args...) })
 }
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -47,7 +47,7 @@
 	startTimes     *startTimeTable
 	onServersReady func() // called when the list has a ready server
 
-	logger    *lineLogger
+	logger    *asyncLogger
 	metrics   Metrics
 	published publishedState
 }
@@ -97,7 +97,7 @@
 		requests:       newRequestTable(),
 		startTimes:     newStartTimeTable(eventTime),
 		onServersReady: options.OnServersReady,
-		logger:         newLineLogger(cfg.Logger()),
+		logger:         newAsyncLogger(cfg.Logger()),
 		metrics:        newMetrics(),
 	}
 	l.discovery = discovery.New(cfg, discovery.Options{
@@ -122,7 +122,7 @@
 
 // Run runs the loop until its context ends.
 func (l *Loop) Run() {
-	go l.logger.write(l.ctx)
+	go l.logger.run(l.ctx)
 	l.start()
 	sweepTicker := time.NewTicker(idleSweepInterval)
 	defer sweepTicker.Stop()
@@ -206,7 +206,7 @@
 			l.pool.CloseIdle(server.addr)
 		}
 	case balancer.ActionLog:
-		l.logger.limited(slog.LevelInfo, "policy", "text", action.Text)
+		l.logger.logLimited(slog.LevelInfo, "policy", "text", action.Text)
 	case balancer.ActionHealthCheck:
 		l.startHealthCheck(action.Server)
 	}
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -102,7 +102,7 @@
 
 // logMetrics writes the metrics and the policy's statistics to the log.
 func (l *Loop) logMetrics() {
-	l.logger.always(slog.LevelInfo, "metrics",
+	l.logger.log(slog.LevelInfo, "metrics",
 		"open", l.requests.openCount,
 		"server_conns", l.pool.Size(),
 		"connects", l.pool.ConnectCount(),
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -112,7 +112,7 @@
 		return
 	}
 	l.metrics.Backstops++
-	l.logger.limited(slog.LevelWarn, "backstop ended a request", "id", r.incoming.ID, "attempts", len(r.attempts),
+	l.logger.logLimited(slog.LevelWarn, "backstop ended a request", "id", r.incoming.ID, "attempts", len(r.attempts),
 		"in_flight", r.inFlight, "late_ms", clock.MillisecondsSince(r.backstopTime()))
 	l.finish(r, message.Response{Kind: message.Failed, TimedOut: true})
 	l.cancelRequest(r)
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -116,7 +116,7 @@
 	loop.Post(func() {
 		loop.logger.limit.SetLimit(rate.Inf)
 		for range 2 * cap(loop.logger.lines) {
-			loop.logger.limited(slog.LevelDebug, "line")
+			loop.logger.logLimited(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -41,7 +41,7 @@
 func (l *Loop) applyConfig(cfg *config.Config) error {
 	if err := l.balancer.Retune(cfg.Settings); err != nil {
 		// The file was checked as a whole: no part of it may be in force without the rest.
-		l.logger.always(slog.LevelError, "settings not applied", "err", err)
+		l.logger.log(slog.LevelError, "settings not applied", "err", err)
 		return err
 	}
 	l.cfg.Settings = cfg.Settings
@@ -64,7 +64,7 @@
 	if version != 0 {
 		args = append(args, "version", version)
 	}
-	l.logger.always(slog.LevelInfo, "settings applied", args...)
+	l.logger.log(slog.LevelInfo, "settings applied", args...)
 }
 
 // moveDiscovery moves the calls to the addresses of a configuration where those differ from the ones in force.
@@ -78,7 +78,7 @@
 	if slices.Equal(from, to) {
 		return
 	}
-	l.logger.always(slog.LevelInfo, "discovery moved", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
+	l.logger.log(slog.LevelInfo, "discovery moved", "from", strings.Join(from, ","), "to", strings.Join(to, ","))
 	l.cfg.Discovery = next.Discovery
 	l.cfg.Control = next.Control
 	l.discovery.MoveTo(to...)
@@ -87,5 +87,5 @@
 // recordRejectedSettings counts and logs settings of the discovery service that can't be used.
 func (l *Loop) recordRejectedSettings(version uint64, err error) {
 	l.metrics.SettingsRejected++
-	l.logger.always(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
+	l.logger.log(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
 }
