--- a/internal/agent/dispatch/clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -71,7 +71,7 @@
 			draining.State = endpoint.StateDraining
 			stepped.Step(step)
 			discovery.WaitNotified(t, draining)
-			if inLoop(loop, func() bool { return loop.endpoints.byID["s-1"].IsAvailable() }) {
+			if runInLoop(loop, func() bool { return loop.endpoints.byID["s-1"].IsAvailable() }) {
 				t.Error("a draining server may still be sent requests")
 			}
 
@@ -87,7 +87,7 @@
 
 // An agent whose clock is ahead from its start on recognizes a new server by the time of discovery's last response,
 // from the second response on.
-func TestNewServerIsBoundedByTheLastResponse(t *testing.T) {
+func TestNewServerAgeIsBoundedByLastResponse(t *testing.T) {
 	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
 	loop, _ := startSteppedLoop(t, discovery, time.Hour)
 	discovery.WaitNotified(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
@@ -100,8 +100,8 @@
 // wantSlowStart checks that a server that has just started is no older than the test.
 func wantSlowStart(t *testing.T, loop *testLoop, id string) {
 	t.Helper()
-	age := inLoop(loop, func() time.Duration {
-		return clock.FromMilliseconds(loop.clock.nowMs() - loop.startTimes.known[id].atMs)
+	age := runInLoop(loop, func() time.Duration {
+		return clock.FromMilliseconds(loop.clock.nowMs() - loop.startTimes.known[id].eventMs)
 	})
 	if age < 0 || age > agenttest.Timeout {
 		t.Errorf("server %s has just started, its age is taken as %v", id, age)
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -51,14 +51,14 @@
 	if server := l.byID[id]; server != nil {
 		return server
 	}
-	server := &listedServer{id: id, policyAddr: l.freePolicyAddr(id)}
+	server := &listedServer{id: id, policyAddr: l.unusedPolicyAddr(id)}
 	l.byID[id] = server
 	l.byAddr[server.policyAddr] = server
 	return server
 }
 
-// freePolicyAddr is the hash of an id, or the next free address where another id has the same hash.
-func (l *endpointList) freePolicyAddr(id string) balancer.Addr {
+// unusedPolicyAddr is the hash of an id, or the next free address where another id has the same hash.
+func (l *endpointList) unusedPolicyAddr(id string) balancer.Addr {
 	hash := keyhash.Sum(id)
 	for {
 		var addr balancer.Addr
@@ -117,8 +117,8 @@
 	}
 	changes.endpoints = append(changes.endpoints, balancer.Endpoint{
 		Server:    server.policyAddr,
-		Zone:      numberOf(l.zones, entry.Zone),
-		Kind:      numberOf(l.kinds, entry.Kind),
+		Zone:      indexOf(l.zones, entry.Zone),
+		Kind:      indexOf(l.kinds, entry.Kind),
 		Cell:      entry.Cell,
 		StartedMs: startedMs,
 		Weight:    entry.Weight,
@@ -152,8 +152,8 @@
 	return balancer.Draining
 }
 
-// numberOf is the number of a name; one past the last for a name that the settings do not have.
-func numberOf(index map[string]int, name string) int {
+// indexOf is the number of a name; one past the last for a name that the settings do not have.
+func indexOf(index map[string]int, name string) int {
 	if number, ok := index[name]; ok {
 		return number
 	}
--- a/internal/agent/dispatch/endpoint_list_test.go
+++ b/internal/agent/dispatch/endpoint_list_test.go
@@ -22,7 +22,7 @@
 
 // The list follows the address that is in force: responses of the old one count until the new one has responded,
 // and the new one counts versions of its own.
-func TestResponsesThatCrossAMove(t *testing.T) {
+func TestResponsesDuringDiscoveryMove(t *testing.T) {
 	ready := agenttest.Endpoint("s-1", "127.0.0.1:1")
 	draining := ready
 	draining.State = endpoint.StateDraining
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -59,8 +59,8 @@
 	return &testLoop{Loop: loop, addr: ln.Addr().String(), log: lines, stop: stop}
 }
 
-// inLoop returns what read returns in the loop.
-func inLoop[T any](l *testLoop, read func() T) T {
+// runInLoop returns what read returns in the loop.
+func runInLoop[T any](l *testLoop, read func() T) T {
 	result := make(chan T, 1)
 	l.Post(func() { result <- read() })
 	return <-result
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -30,7 +30,7 @@
 		l.list.fetching = false
 	}
 	if response.Err != nil {
-		l.onListFailure(response)
+		l.onListFailed(response)
 		return
 	}
 	l.countList(&response)
@@ -48,9 +48,9 @@
 	if list.Full {
 		update = balancer.ListFull
 	}
-	origin := listOrigin{older: older, lastAnswer: response.LastAnswer}
+	origin := listOrigin{older: older, lastResponseAt: response.LastAnswer}
 	if response.Complete {
-		origin.lastAnswer = 0
+		origin.lastResponseAt = 0
 	}
 	l.applyList(list, update, origin)
 	if l.endpoints.hasReady() {
@@ -81,9 +81,9 @@
 	return true
 }
 
-// onListFailure counts and logs a failed call. The policy decides when to call again, unless the failed call
+// onListFailed counts and logs a failed call. The policy decides when to call again, unless the failed call
 // belongs to a watch that the agent keeps by itself.
-func (l *Loop) onListFailure(response discovery.Response) {
+func (l *Loop) onListFailed(response discovery.Response) {
 	l.metrics.ListFailures++
 	l.logger.logLimited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
 	if response.Watch && l.ownsWatch() {
--- a/internal/agent/dispatch/list_updates_test.go
+++ b/internal/agent/dispatch/list_updates_test.go
@@ -40,7 +40,7 @@
 
 // A change that discovery can send is known within 6 s, also where a call was open when discovery fell silent, and
 // where three hundred agents share the calls.
-func TestChangesArriveInTimeAfterASilence(t *testing.T) {
+func TestChangesArriveInTimeAfterDiscoveryStall(t *testing.T) {
 	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 			agenttest.NextCall(t, calls)
 			silentSince := time.Now()
 			agenttest.WaitUntil(t, "the change is known", func() bool {
-				return inLoop(loop, func() bool { return !loop.endpoints.byID["s-1"].IsAvailable() })
+				return runInLoop(loop, func() bool { return !loop.endpoints.byID["s-1"].IsAvailable() })
 			})
 			if took := time.Since(silentSince); took > agenttest.NotifiedWithin {
 				t.Errorf("the change was known after %v", took)
@@ -115,7 +115,7 @@
 			if call := agenttest.NextCall(t, calls); call.Index != wantIndex {
 				t.Errorf("the next call has index %s, want %s", call.Index, wantIndex)
 			}
-			if !inLoop(loop, func() bool {
+			if !runInLoop(loop, func() bool {
 				server := loop.endpoints.byID["s-1"]
 				return server != nil && server.IsAvailable() && loop.list.version == 50
 			}) {
@@ -147,7 +147,7 @@
 	})
 	loop := startWatchingLoop(t, addr)
 	agenttest.WaitUntil(t, "the list of the discovery that started again is followed", func() bool {
-		return inLoop(loop, func() bool {
+		return runInLoop(loop, func() bool {
 			servers := loop.endpoints.byID
 			return len(servers) == 2 && servers["s-2"] != nil && servers["s-3"] != nil && loop.list.version == 3
 		})
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -20,9 +20,9 @@
 type listOrigin struct {
 	// older means that its version is lower than that of the list in force.
 	older bool
-	// lastAnswer is when discovery responded before, on the monotonic clock: what the list names anew was not
+	// lastResponseAt is when discovery responded before, on the monotonic clock: what the list names anew was not
 	// listed by then. 0: it had not responded before, or the full list was asked for.
-	lastAnswer time.Duration
+	lastResponseAt time.Duration
 }
 
 // startTimeTable converts the start times of servers, which lists give by a wall clock, to event time. A
@@ -42,7 +42,7 @@
 }
 
 // processStart is the start of a server's latest process, as listed and as event time; both in ms.
-type processStart struct{ startedMs, atMs float64 }
+type processStart struct{ listedMs, eventMs float64 }
 
 func newStartTimeTable(eventTime *eventClock) *startTimeTable {
 	return &startTimeTable{clock: eventTime, known: map[string]processStart{}}
@@ -55,23 +55,23 @@
 		return 0
 	}
 	last, known := t.known[entry.ID]
-	sameProcess := startedMs == last.startedMs || origin.older && startedMs < last.startedMs
+	sameProcess := startedMs == last.listedMs || origin.older && startedMs < last.listedMs
 	if known && sameProcess {
-		return last.atMs
+		return last.eventMs
 	}
 	now := t.clock.nowMs()
 	age := t.age(startedMs, now)
-	unlistedBefore := origin.lastAnswer != 0 && now-age < t.clock.fromMonotonic(origin.lastAnswer-maxListingDelay)
-	olderThanLast := known && now-age <= last.atMs
-	atMs := startedMs
+	unlistedBefore := origin.lastResponseAt != 0 && now-age < t.clock.fromMonotonic(origin.lastResponseAt-maxListingDelay)
+	olderThanLast := known && now-age <= last.eventMs
+	eventMs := startedMs
 	switch {
 	case unlistedBefore || olderThanLast:
-		atMs = now
+		eventMs = now
 	case age != now-startedMs:
-		atMs = now - age
+		eventMs = now - age
 	}
-	t.known[entry.ID] = processStart{startedMs: startedMs, atMs: atMs}
-	return atMs
+	t.known[entry.ID] = processStart{listedMs: startedMs, eventMs: eventMs}
+	return eventMs
 }
 
 // age is the lower of the ages that the two clocks give a process, in ms. A clock by which the process has yet
--- a/internal/agent/dispatch/start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -12,10 +12,10 @@
 
 // startTimesFixture is a machine whose wall clock may be wrong, and the start times that an agent on it gets.
 type startTimesFixture struct {
-	t          *testing.T
-	clock      *clocktest.Manual
-	starts     *startTimeTable
-	lastAnswer time.Duration // of discovery, on the monotonic clock
+	t              *testing.T
+	clock          *clocktest.Manual
+	starts         *startTimeTable
+	lastResponseAt time.Duration // of discovery, on the monotonic clock
 }
 
 // trueMs is the time of day by accurate clocks, at the start of a fixture.
@@ -30,7 +30,7 @@
 // resolve has discovery list a server with a start time, and returns the age that its process is taken to have.
 func (f *startTimesFixture) resolve(startedMs float64, origin listOrigin) time.Duration {
 	at := f.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, origin)
-	f.lastAnswer = f.clock.Monotonic()
+	f.lastResponseAt = f.clock.Monotonic()
 	return clock.FromMilliseconds(f.starts.clock.nowMs() - at).Round(time.Millisecond)
 }
 
@@ -51,18 +51,18 @@
 				first := trueMs - 1_800_000
 				fixture.want(fixture.resolve(first, listOrigin{}), 30*time.Minute)
 				fixture.clock.Advance(time.Minute)
-				fixture.want(fixture.resolve(first, listOrigin{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.want(fixture.resolve(first, listOrigin{lastResponseAt: fixture.lastResponseAt}), 31*time.Minute)
 				fixture.clock.Step(step)
-				fixture.want(fixture.resolve(first, listOrigin{lastAnswer: fixture.lastAnswer}), 31*time.Minute)
+				fixture.want(fixture.resolve(first, listOrigin{lastResponseAt: fixture.lastResponseAt}), 31*time.Minute)
 				fixture.clock.Advance(time.Minute)
 				second := trueMs + 120_000 - 500 + float64(listStep.Milliseconds())
-				got := fixture.resolve(second, listOrigin{lastAnswer: fixture.lastAnswer})
+				got := fixture.resolve(second, listOrigin{lastResponseAt: fixture.lastResponseAt})
 				if got < 0 || got > 500*time.Millisecond {
 					t.Errorf("a server started 0.5 s ago, its age is taken as %v", got)
 				}
 				fixture.clock.Step(-step)
 				fixture.clock.Advance(time.Second)
-				fixture.want(fixture.resolve(second, listOrigin{lastAnswer: fixture.lastAnswer}), got+time.Second)
+				fixture.want(fixture.resolve(second, listOrigin{lastResponseAt: fixture.lastResponseAt}), got+time.Second)
 			})
 		}
 	}
@@ -76,9 +76,9 @@
 		if ahead < 0 {
 			fixture.want(fixture.resolve(trueMs-500, listOrigin{}), 0)
 		}
-		fixture.lastAnswer = fixture.clock.Monotonic()
+		fixture.lastResponseAt = fixture.clock.Monotonic()
 		fixture.clock.Advance(time.Second)
-		fixture.want(fixture.resolve(trueMs+900, listOrigin{lastAnswer: fixture.lastAnswer}), 0)
+		fixture.want(fixture.resolve(trueMs+900, listOrigin{lastResponseAt: fixture.lastResponseAt}), 0)
 	}
 }
 
@@ -90,8 +90,8 @@
 		fixture.clock.Advance(late) // discovery is silent meanwhile
 		startedMs := trueMs + 17
 		want := max(late-17*time.Millisecond, 0)
-		fixture.want(fixture.resolve(startedMs, listOrigin{lastAnswer: fixture.lastAnswer}), want)
-		if at := fixture.starts.known["s-1"].atMs; late > 0 && at != startedMs {
+		fixture.want(fixture.resolve(startedMs, listOrigin{lastResponseAt: fixture.lastResponseAt}), want)
+		if at := fixture.starts.known["s-1"].eventMs; late > 0 && at != startedMs {
 			t.Errorf("started at %v, want %v", at, startedMs)
 		}
 	}
