--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// ChunkSize is how much of a body a stream holds at a time; there are two such chunks.
+// ChunkSize is the size of a BodyStream's read buffer in bytes. Each stream has two.
 const ChunkSize = 16 << 10
 
-// bodyChunk is what one read of a body returned.
+// bodyChunk is the result of one read of a body.
 type bodyChunk struct {
 	bytes []byte
 	err   error
 }
 
-// BodyStream is a body that is read from a server's connection while it is passed on. A goroutine of its own
-// reads one chunk ahead, until the end of the body or of the stream.
+// BodyStream is a response body that is forwarded while it is still being read from the server's connection. A
+// separate goroutine reads one chunk ahead until the body or the stream ends.
 type BodyStream struct {
 	chunks    chan bodyChunk
 	done      chan struct{}
 	closeOnce sync.Once
-	complete  bool // its reader has seen the end
-	// OnEnd is called when the stream has ended. Its connection may carry another message if the body is complete.
+	complete  bool // the whole body has been read
+	// OnEnd is called when the stream has ended. The connection can be reused if the body is complete.
 	OnEnd func(complete bool)
 
 	mu              sync.Mutex
 	conn            net.Conn
-	perReadDeadline bool // each read has its own deadline, and no longer the attempt's
+	perReadDeadline bool // each read has its own deadline instead of the attempt's
 }
 
-// NewBodyStream begins to read a body, under the deadline that its connection has.
+// NewBodyStream returns a stream of body and starts reading it. Reads are subject to the current deadline of conn.
 func NewBodyStream(conn net.Conn, body io.Reader) *BodyStream {
 	s := &BodyStream{chunks: make(chan bodyChunk), done: make(chan struct{}), conn: conn}
 	go s.read(body)
 	return s
 }
 
-// read reads into two buffers in turn: whoever takes a chunk is done with it before the next one.
+// read reads the body into two buffers alternately. A receiver must not use a chunk after it has asked for the next.
 func (s *BodyStream) read(body io.Reader) {
 	var buffers [2][ChunkSize]byte
 	for i := 0; ; i = 1 - i {
@@ -57,7 +57,7 @@
 	}
 }
 
-// UsePerReadDeadline gives each read a deadline of its own from now on, in place of the attempt's.
+// UsePerReadDeadline sets a deadline of StallTimeout for each read from now on, in place of the attempt's deadline.
 func (s *BodyStream) UsePerReadDeadline() {
 	s.mu.Lock()
 	s.perReadDeadline = true
@@ -65,16 +65,16 @@
 	s.extendDeadline()
 }
 
-// extendDeadline sets the deadline of the next read where the stream has deadlines of its own.
+// extendDeadline sets the deadline of the next read if the stream uses per-read deadlines.
 func (s *BodyStream) extendDeadline() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.perReadDeadline {
-		_ = s.conn.SetReadDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the read too
+		_ = s.conn.SetReadDeadline(time.Now().Add(StallTimeout)) // on a closed connection the read fails too
 	}
 }
 
-// finish ends the stream, complete or not, and its connection's use.
+// finish ends the stream, whether complete or not, and calls OnEnd.
 func (s *BodyStream) finish() {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -82,20 +82,21 @@
 	})
 }
 
-// Detach ends the stream before anyone has it, without its connection, which is then still the attempt's.
+// Detach ends a stream that has not been handed out, without calling OnEnd. The connection remains with the
+// attempt.
 func (s *BodyStream) Detach() {
 	s.closeOnce.Do(func() { close(s.done) })
 }
 
-// next waits for the next chunk.
+// next waits for the next chunk. The error is io.EOF after the last one.
 func (s *BodyStream) next() ([]byte, error) {
 	chunk := <-s.chunks
 	s.complete = errors.Is(chunk.err, io.EOF)
 	return chunk.bytes, chunk.err
 }
 
-// Buffer collects chunks until the body ends, has more than limit bytes or takes longer than timeout. It reserves
-// nothing of a budget. What it has collected it returns also with an error.
+// Buffer collects chunks until the body ends, exceeds limit bytes or takes longer than timeout. It reserves no bytes
+// of a budget. The collected bytes are returned even with a non-nil error.
 func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (BufferedPart, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/agent/message/headers.go
+++ b/internal/agent/message/headers.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// hopByHopHeaders are the header fields that are for one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders are the header fields that are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// EndToEndHeaders are the header fields that are passed on.
+// EndToEndHeaders returns a copy of header without hop-by-hop fields and those listed in Connection.
 func EndToEndHeaders(header http.Header) http.Header {
-	passedOn := header.Clone()
+	forwarded := header.Clone()
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
-			passedOn.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHopHeaders {
-		passedOn.Del(name)
+		forwarded.Del(name)
 	}
-	return passedOn
+	return forwarded
 }
--- a/internal/agent/message/message.go
+++ b/internal/agent/message/message.go
@@ -1,6 +1,6 @@
-// Package message has what the two sides of an agent pass to each other through the event loop: a client's request, its
-// one final response, their bodies, and the quotas that bound buffered bytes. It starts a goroutine only for a body
-// that is streamed from a server.
+// Package message defines the messages that an agent's downstream and upstream sides exchange through the event loop:
+// a client's request, its single final response, their bodies, and the quotas that limit buffered bytes. The only
+// goroutines that it starts read bodies streamed from a server.
 package message
 
 import (
@@ -12,44 +12,44 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Request is a client's request as the downstream server read it, with the channel for its response. The dispatcher
-// owns it from Dispatch on.
+// Request is a client's request as read by the downstream server, with the channel for its response. The dispatcher
+// owns it once Dispatch has been called.
 type Request struct {
-	//nolint:containedctx // a request lives as long as its client waits, across goroutines
-	Context      context.Context // ends with the client's connection
-	ClientGone   func() bool     // checks whether the client has closed without notice; nil: it can't be checked
+	//nolint:containedctx // a request lasts as long as its client waits, across goroutines
+	Context      context.Context // canceled when the client's connection ends
+	ClientGone   func() bool     // checks whether the client has closed its connection; nil: it can't be checked
 	ID           string          // the client's Request-Id
 	ArrivedAt    time.Time
 	Method, Host string
 	URL          *url.URL
 	Header       http.Header
 	Body         []byte        // the buffered part of the body
-	Streamed     *StreamedBody // the rest of the body; nil: all of it is buffered
+	Streamed     *StreamedBody // the rest of the body; nil if all of it is buffered
 	Timeout      time.Duration
-	Rules        *balancer.RequestRules // as they were when it arrived
-	Key          uint64                 // hash of the affinity key; 0: none
-	Retry        bool                   // the client marked it as a retry
+	Rules        *balancer.RequestRules // the rules in force when it arrived
+	Key          uint64                 // hash of the affinity key; 0 if it has none
+	Retry        bool                   // set if the client marked it as a retry
 	Deadline     time.Time
-	Response     chan Response      // of capacity one: the dispatcher never waits for a client
-	DispatchID   balancer.RequestID // belongs to the dispatcher
+	Response     chan Response      // has capacity 1, so that the dispatcher never waits for a client
+	DispatchID   balancer.RequestID // set and used by the dispatcher
 }
 
-// ResponseKind says what became of a request.
+// ResponseKind is the outcome of a request.
 type ResponseKind uint8
 
 // The values of ResponseKind.
 const (
-	Served   ResponseKind = iota // a server's response, whose status was 200
-	Rejected                     // no server has executed the request: a retry is harmless
-	Failed                       // any other end
+	Served   ResponseKind = iota // a server responded with status 200
+	Rejected                     // a retry is safe, as no server has executed the request
+	Failed                       // any other outcome
 )
 
-// Response is the one final response to a Request.
+// Response is the single final response to a Request.
 type Response struct {
 	Kind         ResponseKind
-	RetryAfterMs float64 // rejected: when the client may retry
-	TimedOut     bool    // failed: because its time was over
-	BadRequest   bool    // failed: because a server called the request invalid
+	RetryAfterMs float64 // Rejected only: the delay before the client may retry
+	TimedOut     bool    // Failed only: the deadline has passed
+	BadRequest   bool    // Failed only: the request is invalid or incomplete
 	Header       http.Header
 	Body         *ResponseBody
 }
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -6,35 +6,35 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// bodyBudgetDivisor is the part of the memory, as a divisor, that buffered bodies may use. What streams and the rest
-// of the process need grows with the connections, which the descriptors bound.
+// bodyBudgetDivisor is the divisor that gives the share of the memory limit for buffered bodies. The memory for streams
+// and the rest of the process grows with the number of connections, which is bounded by the descriptor limit.
 const bodyBudgetDivisor = 6
 
-// Quota bounds how much of something the process may have.
+// Quota limits the process's use of a resource.
 type Quota struct {
 	*semaphore.Weighted
 	Size int64
 }
 
-// BufferedPart is the part of a body that has been buffered.
+// BufferedPart is the buffered part of a body.
 type BufferedPart struct {
 	Bytes    []byte
-	Complete bool  // it is all of the body
-	Reserved int64 // bytes of the budget, which the caller releases
+	Complete bool  // Bytes is the whole body
+	Reserved int64 // bytes of the budget, to be released by the caller
 }
 
-// NewQuota makes a quota of a size.
+// NewQuota returns a quota of the given size.
 func NewQuota(size int64) Quota {
 	return Quota{Weighted: semaphore.NewWeighted(size), Size: size}
 }
 
-// NewBodyBudget bounds the bytes of buffered bodies, where the process may have so many bytes of memory.
+// NewBodyBudget returns the quota for the bytes of buffered bodies in a process with the given memory limit.
 func NewBodyBudget(memoryBytes int64) Quota {
 	return NewQuota(memoryBytes / bodyBudgetDivisor)
 }
 
-// ReadBody buffers a body of a length (-1: not given) as far as the budget and MaxBufferedBody allow. What it has
-// read and reserved it returns also with an error.
+// ReadBody buffers a body of the given length (-1 if unknown) as far as the budget and MaxBufferedBody allow. The bytes
+// read and the reservation are returned even with a non-nil error.
 func (q Quota) ReadBody(from io.Reader, length int64) (BufferedPart, error) {
 	limit := int64(MaxBufferedBody)
 	if length >= 0 {
--- a/internal/agent/message/quota_test.go
+++ b/internal/agent/message/quota_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A body is buffered only as far as the budget has its bytes.
+// A body is buffered only if the budget has enough bytes left for it.
 func TestBodyBeyondTheBudgetIsNotBuffered(t *testing.T) {
 	budget := NewBodyBudget(1 << 20)
 	if !budget.TryAcquire(1 << 20 / 6) {
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// MaxBufferedBody is the longest body that is buffered completely; a longer one is streamed.
+	// MaxBufferedBody is the size of the largest body that is buffered completely. Larger ones are streamed.
 	MaxBufferedBody = 64 << 10
-	// MaxRequestBody is the longest body of a request: half as long again as any that clients send.
+	// MaxRequestBody is the size limit for request bodies: 1.5 times the largest that clients send.
 	MaxRequestBody = 48 << 20
-	// BodyGracePeriod and minBodyRate (bytes per second) bound the time that a client may take for a body: it
-	// has the grace period, and more by the bytes that it sent, at half of the rate that is promised to well-behaved
-	// clients. It may never send nothing for longer than the grace period: connections that stall have to be
-	// closed within 3 s.
+	// BodyGracePeriod and minBodyRate (bytes per second) limit the time that a client may take to send a body: the
+	// grace period plus the time for the received bytes at minBodyRate, which is half of the rate guaranteed to
+	// well-behaved clients. No pause may exceed the grace period, because stalled connections have to be closed
+	// within 3 s.
 	BodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
-	// LingerTimeout bounds how long what follows a request that was not accepted is read, so that its sender
-	// can read the response.
+	// LingerTimeout limits how long the agent continues to read after a request that was not accepted, so that the
+	// client can read the response.
 	LingerTimeout = 300 * time.Millisecond
-	// StallTimeout is how long a server may send or take nothing of a long body, and a client take nothing of
-	// one.
+	// StallTimeout is how long the transfer of a streamed body to or from a server, or to a client, may make no
+	// progress.
 	StallTimeout = 10 * time.Second
 )
 
-// ClientBody reads a client's body and ends one that arrives too slowly. Only the time that is spent waiting
-// for the client counts, not the time that a server takes to read.
+// ClientBody reads a request body from a client and fails if the body arrives too slowly. Only the time spent waiting
+// for the client counts, not the time that the server takes to read.
 type ClientBody struct {
 	Control *http.ResponseController
 
@@ -39,13 +39,13 @@
 	end      atomic.Pointer[bodyEnd] // nil: the body is still arriving
 }
 
-// bodyEnd says what ended a body, and when; io.EOF: it is complete.
+// bodyEnd is the error that ended a body, io.EOF if it is complete, and the time.
 type bodyEnd struct {
 	err error
 	at  time.Time
 }
 
-// Read reads from the client, under a deadline by what the client has sent so far.
+// Read reads from the client with a deadline that depends on the bytes received so far.
 func (b *ClientBody) Read(buffer []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 	now := time.Now()
 	left := BodyGracePeriod + time.Duration(b.received)*time.Second/minBodyRate - b.waitTime
-	// Setting it fails only where a connection has no deadlines, as no client's does.
+	// SetReadDeadline fails only for connections without deadlines, and all client connections have them.
 	_ = b.Control.SetReadDeadline(now.Add(min(left, BodyGracePeriod)))
 	n, err := b.Source.Read(buffer)
 	b.waitTime += time.Since(now)
@@ -66,8 +66,9 @@
 	return n, err
 }
 
-// readDeadlineAfter is until when the server may read on a connection behind a body that ended with err: with
-// no limit behind a complete one, to see the client close, or for the rest of a broken one.
+// readDeadlineAfter returns the read deadline of a client connection after a body that ended with err. After a complete
+// body there is none, as the server reads on to detect that the client closes the connection. After an incomplete one
+// the rest is read for LingerTimeout.
 func readDeadlineAfter(err error) time.Time {
 	if errors.Is(err, io.EOF) {
 		return time.Time{}
@@ -75,13 +76,13 @@
 	return time.Now().Add(LingerTimeout)
 }
 
-// Complete reports whether all of the body has arrived.
+// Complete reports whether the whole body has been received.
 func (b *ClientBody) Complete() bool {
 	end := b.end.Load()
 	return end != nil && errors.Is(end.err, io.EOF)
 }
 
-// Err is the error that ended the body before it was complete; nil: there is none.
+// Err returns the error that ended the body before it was complete, if any.
 func (b *ClientBody) Err() error {
 	end := b.end.Load()
 	if end == nil || errors.Is(end.err, io.EOF) {
@@ -90,8 +91,8 @@
 	return end.err
 }
 
-// ResponseDeadline is when the response is due at the latest to a request that gives so much time from its last byte
-// on. That byte may have arrived, unread, while a server takes nothing more.
+// ResponseDeadline returns the deadline of the response, where timeout counts from the last byte of the body. While the
+// body is incomplete it counts from now, as the last byte may have arrived unread if the server has stopped reading.
 func (b *ClientBody) ResponseDeadline(timeout time.Duration) time.Time {
 	if end := b.end.Load(); end != nil {
 		return end.at.Add(timeout)
@@ -99,15 +100,15 @@
 	return time.Now().Add(timeout)
 }
 
-// StreamedBody is the part of a request's body that is not buffered: it is read from the client while it is
-// written to a server, so it can be sent once at most.
+// StreamedBody is the part of a request body that is not buffered. It is read from the client while it is written to
+// a server, so it can be sent at most once.
 type StreamedBody struct {
 	*ClientBody
-	Length   int64       // of the complete body; -1: not given
-	Consumed atomic.Bool // bytes have been read or are lost
+	Length   int64       // of the whole body; -1 if unknown
+	Consumed atomic.Bool // set once bytes have been read or lost
 }
 
-// Read reads from the client and notes that the body can no longer be sent again.
+// Read reads from the client and marks the body as consumed.
 func (s *StreamedBody) Read(buffer []byte) (int, error) {
 	n, err := s.ClientBody.Read(buffer)
 	if n > 0 {
@@ -116,7 +117,7 @@
 	return n, err
 }
 
-// IsConsumed reports whether bytes of the body have been read, so that it can't be sent again.
+// IsConsumed reports whether bytes of the body have been read, so that it can't be sent again. It is false for nil.
 func (s *StreamedBody) IsConsumed() bool {
 	return s != nil && s.Consumed.Load()
 }
--- a/internal/agent/message/request_error.go
+++ b/internal/agent/message/request_error.go
@@ -1,11 +1,11 @@
 package message
 
-// RequestError says why a client's request is not one of the protocol, and the status of the response. It is
-// never a rejection, which would tell the client to send the same again.
+// RequestError is the reason why a client's request does not conform to the protocol, with the status of the response.
+// The response is never a rejection, which would invite the client to retry the same request.
 type RequestError struct {
 	Status  int
 	Message string
 }
 
-// Error is the text of the response.
+// Error returns the text of the response.
 func (e *RequestError) Error() string { return e.Message }
--- a/internal/agent/message/response_body.go
+++ b/internal/agent/message/response_body.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// BufferingTime is how long the bytes of a response without a length are buffered before they are passed on:
-// where the response turns out long its first bytes should not wait.
+// BufferingTime limits how long the first bytes of a response of unknown length are buffered before they are forwarded,
+// so that they are not held back if the response is long.
 const BufferingTime = 250 * time.Millisecond
 
-// ResponseBody is the body of a response on its way to the client. Its last owner releases it.
+// ResponseBody is the body of a response to the client. Its last owner must call Release.
 type ResponseBody struct {
 	Buffered []byte
-	Stream   *BodyStream // the rest; nil: all of the body is buffered
-	Length   int64       // -1: not given
+	Stream   *BodyStream // the rest; nil if the whole body is buffered
+	Length   int64       // -1 if unknown
 	Budget   Quota
-	Reserved int64 // bytes of the budget
+	Reserved int64 // bytes reserved of Budget
 }
 
-// Release gives back what the body holds; a stream that has not come to its end is cut off.
+// Release returns the reserved bytes to the budget and ends the stream, even if it is incomplete.
 func (b *ResponseBody) Release() {
 	if b == nil {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// CopyTo writes the body to the client as it arrives, and returns the error of the side that broke it off.
+// CopyTo writes the body to the client as it arrives. It returns the error of the side that failed, if any.
 func (b *ResponseBody) CopyTo(w http.ResponseWriter) (fromServer, toClient error) {
 	out := flushingWriter{w: w, control: http.NewResponseController(w)}
 	if err := out.write(b.Buffered); err != nil {
@@ -59,14 +59,14 @@
 	}
 }
 
-// flushingWriter writes to a client without delay, with a deadline for each write.
+// flushingWriter flushes after each write to a client, with a deadline for each write.
 type flushingWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 }
 
 func (f flushingWriter) write(chunk []byte) error {
-	_ = f.control.SetWriteDeadline(time.Now().Add(StallTimeout)) // a closed connection fails in the write too
+	_ = f.control.SetWriteDeadline(time.Now().Add(StallTimeout)) // on a closed connection the write fails too
 	if _, err := f.w.Write(chunk); err != nil {
 		return err
 	}
