--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -11,24 +11,24 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// attempt is one forwarding of a request to a server.
+// attempt is one attempt to forward a request to a server.
 type attempt struct {
 	server    *listedServer
-	cancel    context.CancelFunc // nil: it was never started
+	cancel    context.CancelFunc // nil if it was never started
 	startedAt time.Time
 
 	done      bool
-	status    balancer.Status // once it is done
-	reason    string          // why it failed, for the log
+	status    balancer.Status // valid once done
+	reason    string          // why it failed; logged only
 	latencyMs float64
 }
 
-// forward starts an attempt at the action's server, after a check against the rules of the request. An attempt
-// that the check forbids ends at once with StatusUnsent.
+// forward starts an attempt to the action's server if the rules of the request allow it. Otherwise the attempt ends
+// immediately with StatusUnsent.
 func (l *Loop) forward(action *balancer.Action) {
 	r := l.requests.byID[action.Request]
 	if r == nil {
-		// The request is forgotten: nothing can be sent or counted for it.
+		// The request is no longer in the table, so there is nothing to send or count.
 		l.logViolation(errRequestFinished)
 		return
 	}
@@ -51,11 +51,11 @@
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// checkForward returns why an attempt must not be started; nil allows it. It closes a request whose client has gone,
-// and logs an action that breaks a rule.
+// checkForward returns the reason why an attempt must not be started, or nil if it may. It closes the request if its
+// client has disconnected, and logs a violation if the action breaks a rule.
 func (l *Loop) checkForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.closed && r.incoming.Context.Err() != nil {
-		// The downstream server's notification of it is on its way.
+		// The downstream server's notification has not arrived yet.
 		l.closeAbandoned(r)
 		return upstream.ErrClientGone
 	}
@@ -82,9 +82,9 @@
 	})
 }
 
-// retryDeadline is the time until which a retry of a request that is idempotent by key may be sent, as servers
-// drop duplicates only within a window. The connect may take long, so the policy's own check is not enough, and
-// what is written needs a round trip to arrive. Zero: there is no limit.
+// retryDeadline returns the time until which a retry of a request that is idempotent by key may be sent, because
+// servers detect duplicates only within the deduplication window. The policy's own check is not sufficient, as
+// connecting may take long. A round trip is left for the request to arrive. The zero time means no limit.
 func (l *Loop) retryDeadline(r *request) time.Time {
 	rules := r.incoming.Rules
 	if r.mayHaveExecuted == 0 || rules.Idempotency != balancer.IdempotentByKey {
@@ -93,8 +93,8 @@
 	return r.firstSentAt.Add(clock.FromMilliseconds(rules.DedupWindowMs - 2*l.cfg.Settings.RoundTripMs))
 }
 
-// runAttempt runs an attempt in a goroutine of its own, which posts its end. The attempt is cancelled both by
-// the loop and by the end of the client's connection.
+// runAttempt runs an attempt in a separate goroutine, which posts the result to the loop. The attempt is cancelled by
+// the loop or when the client's connection ends.
 func (l *Loop) runAttempt(r *request, index int, sendBy, deadline time.Time) {
 	incoming := r.incoming
 	current := r.attempts[index]
@@ -164,19 +164,19 @@
 	l.endpoints.forget(ended.server)
 }
 
-// respondTo gives the request the final response that an attempt's end decides by itself; all others are left
+// respondTo sends the final response to a request if the attempt's result determines it. All other responses are left
 // to the policy.
 func (l *Loop) respondTo(r *request, result *upstream.Result) {
 	switch {
 	case r.closed:
 		result.Body.Release()
 	case result.Status != balancer.StatusOK && r.incoming.Context.Err() != nil:
-		// The downstream server's notification of it is on its way.
+		// The downstream server's notification has not arrived yet.
 		l.handleClientGone(r)
 	case result.Status == balancer.StatusOK:
 		l.finish(r, message.Response{Kind: message.Served, Header: result.Header, Body: result.Body})
 	case result.ClientErr != nil:
-		// No more of the request will come, and no server has all of it.
+		// The rest of the request will not arrive, and no server has received all of it.
 		l.finish(r, message.Response{Kind: message.Failed, BadRequest: true})
 	}
 }
--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -7,21 +7,21 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// Loop is the Dispatcher of the downstream server: each method posts its work to the loop.
+// Loop implements the Dispatcher interface of the downstream server. Each method posts its work to the loop.
 
-// Dispatch gives a client's request to the policy.
+// Dispatch passes a client's request to the policy.
 func (l *Loop) Dispatch(incoming *message.Request) { l.Post(func() { l.startRequest(incoming) }) }
 
 // Abandon ends a request whose client no longer waits for the response.
 func (l *Loop) Abandon(incoming *message.Request) { l.Post(func() { l.abandonRequest(incoming) }) }
 
-// CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
+// CancelStreaming cancels the attempts whose streamed body is still being sent to a server.
 func (l *Loop) CancelStreaming() { l.Post(l.cancelStreaming) }
 
-// EndAll gives every open request its final response.
+// EndAll sends the final response to every open request.
 func (l *Loop) EndAll() { l.Post(l.endAllRequests) }
 
-// AcceptFailed counts and logs an accept that failed temporarily.
+// AcceptFailed counts and logs a temporary accept error.
 func (l *Loop) AcceptFailed(err error) {
 	l.Post(func() {
 		l.metrics.AcceptFailures++
@@ -29,7 +29,7 @@
 	})
 }
 
-// InvalidRequest counts and logs what came in that is not a request of the protocol.
+// InvalidRequest counts and logs input from a client that does not conform to the protocol.
 func (l *Loop) InvalidRequest(id, from string, invalid *message.RequestError) {
 	l.Post(func() {
 		l.metrics.Invalid++
@@ -38,12 +38,12 @@
 	})
 }
 
-// ResponseAborted counts and logs a response that was begun and not passed on completely.
+// ResponseAborted counts and logs a response that was started but not forwarded completely.
 func (l *Loop) ResponseAborted(incoming *message.Request, fromServer, toClient error) {
 	l.Post(func() { l.logAborted(incoming, fromServer, toClient) })
 }
 
-// MembershipChanged logs a new membership view. No decision rests on it.
+// MembershipChanged logs a new membership view. No decision depends on it.
 func (l *Loop) MembershipChanged(view *membership.Snapshot) {
 	l.Post(func() {
 		l.logger.logLimited(slog.LevelInfo, "membership view", "number", view.Number,
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -7,22 +7,21 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// listedServer is one server of the endpoint list.
+// listedServer is a server in the endpoint list.
 type listedServer struct {
 	upstream.Server
 	id         string
-	policyAddr balancer.Addr // what the policy calls it
-	addr       string        // its network address, as this agent's list gave it last
-	removed    bool          // the list no longer has it
+	policyAddr balancer.Addr // identifies it to the policy
+	addr       string        // network address, as last listed for this agent
+	removed    bool          // no longer in the list
 	inFlight   int           // attempts and health checks in flight
 }
 
 const bitsPerByte = 8
 
-// endpointList holds the servers that discovery lists, by their id and by the policy's address for them. It
-// belongs to the event loop.
+// endpointList holds the servers listed by discovery, by id and by policy address. Only the event loop may use it.
 type endpointList struct {
-	zones, kinds map[string]int // the policy's numbers of the names
+	zones, kinds map[string]int // indexes of the names, as used by the policy
 	byID         map[string]*listedServer
 	byAddr       map[balancer.Addr]*listedServer
 }
@@ -44,9 +43,9 @@
 	return index
 }
 
-// findOrAdd finds or makes the entry of an id. The policy's address comes from the id and not from the network
-// address: network addresses differ from one agent to the next, and the agents must agree on the order of
-// servers for a key without communicating.
+// findOrAdd returns the server with the given id, adding it if necessary. The policy address is derived from the id
+// rather than from the network address, because network addresses differ between agents and all agents must agree on
+// the order of servers for a key without communicating.
 func (l *endpointList) findOrAdd(id string) *listedServer {
 	if server := l.byID[id]; server != nil {
 		return server
@@ -57,7 +56,7 @@
 	return server
 }
 
-// unusedPolicyAddr is the hash of an id, or the next free address where another id has the same hash.
+// unusedPolicyAddr returns the hash of an id, or the next unused address if another id has the same hash.
 func (l *endpointList) unusedPolicyAddr(id string) balancer.Addr {
 	hash := keyhash.Sum(id)
 	for {
@@ -72,15 +71,14 @@
 	}
 }
 
-// listChanges is what a list changed, for the policy and for the connection pool.
+// listChanges are the changes made by a list, for the policy and the connection pool.
 type listChanges struct {
 	endpoints  []balancer.Endpoint
-	staleAddrs []string // network addresses whose idle connections are of no more use
+	staleAddrs []string // network addresses whose idle connections are to be closed
 	removed    []*listedServer
 }
 
-// apply takes a list over and returns what it changed. started gives the start time of a server's process on
-// the clock of the policy's events.
+// apply applies a list and returns the changes. started returns the start time of a server's process as event time.
 func (l *endpointList) apply(
 	list *endpoint.List, update balancer.ListUpdate, started func(*endpoint.Endpoint) float64,
 ) listChanges {
@@ -126,7 +124,7 @@
 	})
 }
 
-// removeUnlisted removes the servers that a complete list lacks. The policy sees that by itself.
+// removeUnlisted removes the servers that are missing from a full list. The policy does the same on its side.
 func (l *endpointList) removeUnlisted(listed map[string]bool, changes *listChanges) {
 	for id, server := range l.byID {
 		if listed[id] {
@@ -139,7 +137,7 @@
 	}
 }
 
-// endpointState is the policy's name of a state; one that is not known counts as draining.
+// endpointState converts a state to that of the policy. An unknown state counts as draining.
 func endpointState(state endpoint.State) balancer.EndpointState {
 	switch state {
 	case endpoint.StateUp:
@@ -152,15 +150,15 @@
 	return balancer.Draining
 }
 
-// indexOf is the number of a name; one past the last for a name that the settings do not have.
+// indexOf returns the index of a name, or the number of names for one that the settings do not contain.
 func indexOf(index map[string]int, name string) int {
-	if number, ok := index[name]; ok {
-		return number
+	if i, ok := index[name]; ok {
+		return i
 	}
 	return len(index)
 }
 
-// forget drops a server that was removed and has no attempt in flight; the policy has forgotten it by then.
+// forget drops a removed server once nothing is in flight to it. The policy has already forgotten it by then.
 func (l *endpointList) forget(server *listedServer) {
 	if server.removed && server.inFlight == 0 && l.byID[server.id] == server {
 		delete(l.byID, server.id)
@@ -168,7 +166,7 @@
 	}
 }
 
-// hasReady reports whether any server may be sent requests.
+// hasReady reports whether any server is ready for requests.
 func (l *endpointList) hasReady() bool {
 	for _, server := range l.byID {
 		if server.IsAvailable() {
--- a/internal/agent/dispatch/event_clock.go
+++ b/internal/agent/dispatch/event_clock.go
@@ -6,22 +6,22 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// eventClock is the time of the policy's events, in ms: Unix time as it was at the start of the agent, advanced
-// by the monotonic clock, so that a step of the wall clock does not change it.
+// eventClock provides event time, the timestamps of the policy's events in milliseconds: the Unix time at the agent's
+// start, advanced by the monotonic clock, so that steps of the wall clock have no effect.
 type eventClock struct {
 	clock.Clock
 	baseMs float64
-	origin time.Duration // the monotonic time of baseMs
+	origin time.Duration // monotonic time at baseMs
 }
 
 func newEventClock(machine clock.Clock) *eventClock {
 	return &eventClock{Clock: machine, baseMs: clock.UnixMilliseconds(machine.Wall()), origin: machine.Monotonic()}
 }
 
-// fromMonotonic is the event time of a moment of the monotonic clock, in ms.
+// fromMonotonic converts a time of the monotonic clock to event time, in milliseconds.
 func (c *eventClock) fromMonotonic(monotonic time.Duration) float64 {
 	return c.baseMs + clock.Milliseconds(monotonic-c.origin)
 }
 
-// nowMs is the event time of now, in ms.
+// nowMs returns the current event time in milliseconds.
 func (c *eventClock) nowMs() float64 { return c.fromMonotonic(c.Monotonic()) }
--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -7,8 +7,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// startHealthCheck checks a server in the background. The policy waits for one end of each health check, so
-// one that can't be sent ends at once with StatusUnsent.
+// startHealthCheck starts a health check of a server in the background. The policy expects exactly one result per
+// health check, so one that can't be sent ends immediately with StatusUnsent.
 func (l *Loop) startHealthCheck(policyAddr balancer.Addr) {
 	server := l.endpoints.byAddr[policyAddr]
 	if server == nil || server.addr == "" || !server.IsAvailable() || !l.cfg.Settings.Limits.HealthChecks {
@@ -27,7 +27,7 @@
 	}()
 }
 
-// healthCheckDone handles the end of a health check.
+// healthCheckDone handles the result of a health check.
 func (l *Loop) healthCheckDone(server *listedServer, result *upstream.Result) {
 	server.inFlight--
 	l.metrics.HealthChecks[result.Status]++
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// openWatch opens a watch unless one is open: a second would bring the same.
+// openWatch opens a watch unless one is open already, as a second one would return the same changes.
 func (l *Loop) openWatch() {
 	if !l.list.watching {
 		l.list.watching = true
@@ -16,7 +16,7 @@
 	}
 }
 
-// fetchList polls for the full list unless that is in flight.
+// fetchList polls for the full list unless a poll is in flight.
 func (l *Loop) fetchList() {
 	if !l.list.fetching {
 		l.list.fetching = true
@@ -24,7 +24,7 @@
 	}
 }
 
-// onListResponse handles the end of a call to discovery.
+// onListResponse handles the response or failure of a call to discovery.
 func (l *Loop) onListResponse(response discovery.Response) {
 	if !response.Watch {
 		l.list.fetching = false
@@ -37,8 +37,8 @@
 	if !l.followSource(&response) {
 		return
 	}
-	// A watch and a fetch may cross: a list that is older than the one in force is dropped, unless the call asked
-	// for the full list.
+	// Responses of a watch and a fetch may arrive out of order, so a list older than the one in force is dropped, unless
+	// the call requested the full list.
 	list := response.List
 	older := list.Version < l.list.version
 	if older && !response.Complete {
@@ -58,7 +58,7 @@
 	}
 }
 
-// countList counts and logs a list that discovery returned.
+// countList counts and logs a list returned by discovery.
 func (l *Loop) countList(response *discovery.Response) {
 	list := response.List
 	l.metrics.Lists++
@@ -67,22 +67,22 @@
 		"from", l.list.version, "to", list.Version, "endpoints", len(list.Servers))
 }
 
-// followSource makes the source of a response the one whose versions count, and reports whether the response still
-// matters. The source that discovery left counts until the new one has responded, whose first list is complete.
+// followSource reports whether a response comes from the source in use, and switches to the current source of discovery
+// at its first response, whose list replaces the one in force. Until then the previous source remains in use.
 func (l *Loop) followSource(response *discovery.Response) bool {
 	if response.Source == l.list.source {
 		return true
 	}
 	if response.Source != l.discovery.CurrentSource() {
-		return false // the new source has responded already
+		return false // the new source is already in use
 	}
 	l.list.source = response.Source
 	response.Complete = true
 	return true
 }
 
-// onListFailed counts and logs a failed call. The policy decides when to call again, unless the failed call
-// belongs to a watch that the agent keeps by itself.
+// onListFailed counts and logs a failed call. The policy decides when to repeat it, unless it belongs to a watch that
+// the agent maintains itself.
 func (l *Loop) onListFailed(response discovery.Response) {
 	l.metrics.ListFailures++
 	l.logger.logLimited(slog.LevelWarn, "discovery call failed", "watch", response.Watch, "err", response.Err)
@@ -95,10 +95,10 @@
 	l.handle(&balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 }
 
-// ownsWatch reports whether the agent keeps a watch by itself, and not as the policy asks.
+// ownsWatch reports whether the agent maintains a watch itself rather than at the request of the policy.
 func (l *Loop) ownsWatch() bool { return l.discovery.KeepsOwnWatch() || l.changesArePushed() }
 
-// changesArePushed reports whether changes of the list arrive without the policy asking for them.
+// changesArePushed reports whether list changes arrive without a request of the policy.
 func (l *Loop) changesArePushed() bool {
 	return l.cfg.Settings.DiscoveryMode == balancer.DiscoveryPushed
 }
--- a/internal/agent/dispatch/log.go
+++ b/internal/agent/dispatch/log.go
@@ -9,14 +9,14 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// logViolation counts and logs an action of the policy that the rules of the request forbid.
+// logViolation counts and logs an action of the policy that violates the rules of a request.
 func (l *Loop) logViolation(rule error, args ...any) {
 	l.metrics.Violations++
 	l.logger.logLimited(slog.LevelError, "contract violation: "+rule.Error(), args...)
 }
 
-// logRequest logs a request that was not served in time, from its arrival through each attempt, so that one
-// line tells where its time went.
+// logRequest logs a request that was not served in time. The line includes all attempts with their times, to show where
+// the time was spent.
 func (l *Loop) logRequest(r *request, outcome string) {
 	if !l.logger.allow() {
 		return
@@ -32,7 +32,7 @@
 		"open", l.requests.openCount, "attempts", attempts.String())
 }
 
-// describe tells the log when an attempt began after the request's arrival, and how it ended; all in ms.
+// describe returns an attempt's server, start time relative to the request's arrival, status and duration, in ms.
 func (a *attempt) describe(arrivedAt time.Time) string {
 	server := "unlisted"
 	if a.server != nil {
@@ -48,14 +48,14 @@
 	return began + fmt.Sprintf(" ended %d after %.0f: %s]", a.status, a.latencyMs, a.reason)
 }
 
-// logAborted counts and logs a response that was begun and not passed on completely.
+// logAborted counts and logs a response that was started but not forwarded completely.
 func (l *Loop) logAborted(incoming *message.Request, fromServer, toClient error) {
 	l.metrics.Aborted++
 	l.logger.logLimited(slog.LevelWarn, "response aborted", "id", incoming.ID,
 		"after_ms", time.Since(incoming.ArrivedAt).Milliseconds(), "server_err", fromServer, "client_err", toClient)
 }
 
-// Log writes a line from any goroutine, whatever the bound of lines per second.
+// Log logs a line without a rate limit. It may be called from any goroutine but the loop's.
 func (l *Loop) Log(level slog.Level, text string, args ...any) {
 	l.Post(func() { l.logger.log(level, text, args...) })
 }
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -1,7 +1,7 @@
-// Package dispatch is the event loop of an agent. One goroutine, Loop.Run, owns the policy, the requests in flight and
-// the endpoint list: it turns what happens into the policy's events and carries out the policy's actions, after a
-// check against the rules of the request. It never blocks; whatever may wait runs in a goroutine of its own and
-// posts its end.
+// Package dispatch implements the event loop of an agent. A single goroutine, Loop.Run, owns the policy, the open
+// requests and the endpoint list. It passes events to the policy and performs the actions that the policy returns,
+// after checking them against the rules of the request. The loop never blocks: blocking operations run in separate
+// goroutines, which post their results to it.
 package dispatch
 
 import (
@@ -20,17 +20,16 @@
 )
 
 const (
-	// idleSweepInterval is how often connections that have been idle for too long are closed.
+	// idleSweepInterval is the interval at which expired idle connections are closed.
 	idleSweepInterval = time.Second
-	// inboxSize is the number of functions that may wait for the event loop before Post blocks.
+	// inboxSize is the number of functions that can be queued for the event loop before Post blocks.
 	inboxSize = 4096
 )
 
-// Loop owns the balancer's policy and the state of all requests. One goroutine runs it; everything else
-// reaches it through Post. It never blocks: whatever may wait runs in a goroutine of its own.
+// Loop owns the policy, the endpoint list and the state of all requests. Other goroutines access them through Post.
 type Loop struct {
 	cfg *config.Config
-	//nolint:containedctx // whoever posts must not wait for a loop that has ended
+	//nolint:containedctx // Post must not block once the loop has ended
 	ctx       context.Context
 	balancer  *policy.Balancer
 	endpoints *endpointList
@@ -40,25 +39,25 @@
 	inbox     chan func()
 
 	requests      *requestTable
-	pendingEvents []balancer.Event  // raised while actions were carried out
-	actions       []balancer.Action // the buffer of the actions
+	pendingEvents []balancer.Event  // raised while actions were performed
+	actions       []balancer.Action // reused buffer
 
 	list           listState
 	startTimes     *startTimeTable
-	onServersReady func() // called when the list has a ready server
+	onServersReady func() // called when a list with a ready server is in force
 
 	logger    *asyncLogger
 	metrics   Metrics
 	published publishedState
 }
 
-// listState is what is known of the endpoint list in force and of the calls for it.
+// listState is the state of the endpoint list in force and of the calls for it.
 type listState struct {
 	version         uint64
-	source          *discovery.Source // whose versions version counts
+	source          *discovery.Source // the source that version belongs to
 	watching        bool              // a watch is open
 	fetching        bool              // a fetch is in flight
-	notifiedVersion uint64            // the version that Hooks.OnList was called with last
+	notifiedVersion uint64            // the last version passed to Hooks.OnList
 }
 
 // publishedState is the part of the loop's state that other goroutines may read.
@@ -67,24 +66,24 @@
 	settingsVersion      atomic.Uint64
 }
 
-// Options are what a Loop is made of besides the agent's configuration.
+// Options are the parameters of New besides the agent's configuration.
 type Options struct {
-	// Pool makes the attempts and the health checks.
+	// Pool performs attempts and health checks.
 	Pool *upstream.Pool
-	// OnServersReady is called each time that a list with a ready server comes into force.
+	// OnServersReady is called each time a list with a ready server comes into force.
 	OnServersReady func()
-	// ApplySettings is called with settings of the discovery service; nil: the configuration asks for none.
+	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration requests
+	// none.
 	ApplySettings discovery.ApplySettings
 }
 
-// New makes the loop of an agent; Run starts it, and it ends with ctx. An error says which setting the policy
-// can't use.
+// New returns a Loop that ends when ctx is done. It returns an error if the policy does not accept the settings.
 func New(ctx context.Context, cfg *config.Config, options Options) (*Loop, error) {
 	decisions, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	ownConfig := *cfg // the loop changes the settings in it
+	ownConfig := *cfg // copied because the loop modifies its settings
 	eventTime := newEventClock(cfg.SystemClock())
 	l := &Loop{
 		cfg:            &ownConfig,
@@ -109,7 +108,8 @@
 	return l, nil
 }
 
-// Post hands the loop a function to run. It may wait, so the loop itself never calls it.
+// Post queues a function for execution by the loop. It must not be called from the loop, as it blocks while the queue
+// is full.
 func (l *Loop) Post(task func()) {
 	select {
 	case l.inbox <- task:
@@ -117,10 +117,10 @@
 	}
 }
 
-// Close ends the connections to discovery.
+// Close closes the connections to discovery.
 func (l *Loop) Close() { l.discovery.Close() }
 
-// Run runs the loop until its context ends.
+// Run runs the loop until its context is done.
 func (l *Loop) Run() {
 	go l.logger.run(l.ctx)
 	l.start()
@@ -143,8 +143,8 @@
 	}
 }
 
-// start starts the policy with the list that the configuration knows, however old that is, and opens the
-// watch where the agent keeps one of its own.
+// start starts the policy with the list in the configuration, however old it is, and opens the watch if the agent
+// maintains one itself.
 func (l *Loop) start() {
 	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
 	l.applyList(&l.cfg.Known, balancer.ListCached, listOrigin{})
@@ -158,12 +158,12 @@
 	}
 }
 
-// handle gives the policy one event and carries out the actions that it returns.
+// handle passes an event to the policy and performs the actions that it returns.
 func (l *Loop) handle(event *balancer.Event) {
 	l.performActions(l.balancer.Handle(l.clock.nowMs(), event, l.actions[:0]))
 }
 
-// handlePending handles the events that were raised while actions were carried out.
+// handlePending handles the events that were raised while actions were performed.
 func (l *Loop) handlePending() {
 	for len(l.pendingEvents) > 0 {
 		event := l.pendingEvents[0]
@@ -173,7 +173,7 @@
 	l.pendingEvents = nil
 }
 
-// performActions carries out the policy's actions in their order.
+// performActions performs the policy's actions in order.
 func (l *Loop) performActions(actions []balancer.Action) {
 	l.actions = actions
 	for i := range actions {
@@ -212,7 +212,7 @@
 	}
 }
 
-// setTimer raises a timer event with the action's token once its time has passed.
+// setTimer schedules a timer event with the action's token.
 func (l *Loop) setTimer(action *balancer.Action) {
 	token := action.Token
 	time.AfterFunc(clock.FromMilliseconds(action.Ms), func() {
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -9,42 +9,40 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// metricsInterval is how often the metrics are logged.
 const metricsInterval = time.Second
 
-// Metrics are counts since the start. They are logged at intervals and at the end, by the
-// keys that String gives them.
+// Metrics are counters since the agent's start. They are logged periodically and at shutdown, in the format of String.
 type Metrics struct {
 	// Requests counts the requests that reached the event loop.
 	Requests int
-	// Served and ServedLate count the requests that were served within their latency objective and after it;
-	// Rejected and failed those that were not served; ClientsGone those that their client abandoned.
+	// Served and ServedLate count the requests served within their latency objective and after it, Rejected and Failed
+	// those that were not served, and ClientsGone those abandoned by their client.
 	Served, ServedLate, Rejected, Failed, ClientsGone int
-	// Invalid counts what came in that is not a request of the protocol.
+	// Invalid counts the requests that did not conform to the protocol.
 	Invalid int
-	// Backstops counts the requests that the policy left without a response until just before their deadline.
+	// Backstops counts the requests for which the policy had returned no response just before their deadline.
 	Backstops int
-	// Violations counts the actions of the policy that the rules of the request forbade.
+	// Violations counts the actions of the policy that violated the rules of a request.
 	Violations int
-	// Aborted counts the responses that were begun and not passed on completely.
+	// Aborted counts the responses that were started but not forwarded completely.
 	Aborted int
-	// Attempts and HealthChecks count these by their status.
+	// Attempts and HealthChecks are counted by status.
 	Attempts, HealthChecks map[balancer.Status]int
-	// Lists counts the responses of discovery, Endpoints the entries in them, and ListFailures the calls that
-	// failed. Over all agents they are the load that discovery bears.
+	// Lists counts the responses of discovery, Endpoints the entries in them, and ListFailures the failed calls.
+	// Their sums over all agents are the load of discovery.
 	Lists, Endpoints, ListFailures int
-	// Settings counts the settings of the discovery service that were applied, and SettingsRejected those
-	// that could not be.
+	// Settings counts the settings of the discovery service that were applied, and SettingsRejected those that were
+	// not.
 	Settings, SettingsRejected int
-	// AcceptFailures counts the accepts of clients that failed temporarily.
+	// AcceptFailures counts the temporary errors on accepting client connections.
 	AcceptFailures int
 	// Unlogged counts the log lines that were dropped.
 	Unlogged int
-	// ListIn and ListOut count the bytes of calls to discovery, their heads included, and ListCalls the calls.
+	// ListIn and ListOut count the bytes of calls to discovery including headers, and ListCalls the calls.
 	ListIn, ListOut, ListCalls uint64
 }
 
-// String has all counts by their keys in the log.
+// String returns all counters in the format of the log.
 func (m Metrics) String() string {
 	return fmt.Sprintf("{requests:%d served:%d servedLate:%d rejected:%d failed:%d clientsGone:%d invalid:%d"+
 		" backstops:%d violations:%d aborted:%d attempts:%v healthChecks:%v lists:%d endpoints:%d listFailures:%d"+
@@ -58,7 +56,7 @@
 	return Metrics{Attempts: map[balancer.Status]int{}, HealthChecks: map[balancer.Status]int{}}
 }
 
-// Stats is a copy of what the loop counts, holds and has in force.
+// Stats is a snapshot of the loop's metrics, state and settings.
 type Stats struct {
 	Metrics  Metrics
 	Policy   balancer.Stats
@@ -66,8 +64,7 @@
 	Settings balancer.Settings
 }
 
-// Stats returns a copy, which stays as it is. It is called in a function that is posted to the loop, or once the
-// loop has ended.
+// Stats returns a snapshot. It must be called from a function posted to the loop, or after the loop has ended.
 func (l *Loop) Stats() Stats {
 	l.updateMetrics()
 	metrics := l.metrics
@@ -81,17 +78,17 @@
 	}
 }
 
-// Backlog is the number of functions that wait for the loop. It is exported for tests of the whole agent, which block
-// the loop and have to know when an event of another package has been posted to it.
+// Backlog returns the number of functions queued for the loop. It is exported for tests of the whole agent, which block
+// the loop and need to know when another package has posted an event.
 func (l *Loop) Backlog() int { return len(l.inbox) }
 
-// MetricsText has all counts by their keys in the log. It is called where Stats may be.
+// MetricsText returns all counters in the format of the log. The same restrictions apply as for Stats.
 func (l *Loop) MetricsText() string {
 	l.updateMetrics()
 	return l.metrics.String()
 }
 
-// updateMetrics brings the counts of the log and of the calls to discovery up to date.
+// updateMetrics copies the counters of the logger and the discovery client into the metrics.
 func (l *Loop) updateMetrics() {
 	l.metrics.Unlogged = l.logger.dropped
 	traffic := l.discovery.Traffic()
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -10,47 +10,47 @@
 )
 
 const (
-	// maxBackstopMargin is how long before the client's deadline the backstop responds, well after the policy
-	// should have done so, and backstopTimeoutDivisor the part of the request's timeout, as a divisor, that bounds it.
+	// The backstop responds maxBackstopMargin before the client's deadline, well after the policy should have responded.
+	// The margin is at most the request's timeout divided by backstopTimeoutDivisor.
 	maxBackstopMargin, backstopTimeoutDivisor = 4 * time.Millisecond, 16
-	// maxPolicyMargin is subtracted from the time left that the policy is given for a request: the end of the
-	// last attempt needs it to become a response at the client. policyTimeLeftDivisor is the part of the time left,
-	// as a divisor, that bounds it.
+	// maxPolicyMargin is subtracted from the remaining time of a request that is passed to the policy, because the result
+	// of the last attempt takes time to reach the client. The margin is at most the remaining time divided by
+	// policyTimeLeftDivisor.
 	maxPolicyMargin, policyTimeLeftDivisor = 8 * time.Millisecond, 8
 )
 
-// request is a client's request in the event loop, until it has a final response and no attempt is in flight.
+// request is the event loop's state of a client's request, kept until it is closed and no attempt is in flight.
 type request struct {
 	id              balancer.RequestID
 	incoming        *message.Request
 	closed          bool
 	attempts        []*attempt
-	sendingBody     bool      // a streamed body is on its way to a server: the request's time has not begun
+	sendingBody     bool      // a streamed body is being sent to a server; the request's timeout has not started
 	inFlight        int       // attempts in flight
 	mayHaveExecuted int       // attempts that are in flight or may have executed
-	firstSentAt     time.Time // when the first of those began
-	badRequest      bool      // the last attempt's server called the request invalid
+	firstSentAt     time.Time // when the first of those started
+	badRequest      bool      // the server of the last attempt found the request invalid
 	backstop        *time.Timer
 }
 
-// backstopMargin is the margin of the backstop: less than maxBackstopMargin where the client gives little time.
+// backstopMargin returns how long before the deadline the backstop responds. It is shorter for short timeouts.
 func (r *request) backstopMargin() time.Duration {
 	return min(maxBackstopMargin, r.incoming.Timeout/backstopTimeoutDivisor)
 }
 
-// backstopTime is when the backstop responds; no attempt continues after it.
+// backstopTime returns the time at which the backstop responds. No attempt continues after it.
 func (r *request) backstopTime() time.Time {
 	return r.incoming.Deadline.Add(-r.backstopMargin())
 }
 
-// policyTimeLeftMs is the time left that the policy is given, in ms.
+// policyTimeLeftMs returns the remaining time that is passed to the policy, in milliseconds.
 func (r *request) policyTimeLeftMs() float64 {
 	left := time.Until(r.incoming.Deadline)
 	left -= min(maxPolicyMargin, left/policyTimeLeftDivisor)
 	return clock.Milliseconds(left)
 }
 
-// attemptStarted counts an attempt that starts now.
+// attemptStarted updates the request's state for an attempt that starts now.
 func (r *request) attemptStarted(now time.Time) {
 	if r.mayHaveExecuted == 0 {
 		r.firstSentAt = now
@@ -60,8 +60,8 @@
 	r.mayHaveExecuted++
 }
 
-// startRequest gives a request to the policy. Beyond the limit of open requests it is rejected at once, as in
-// the simulator, where such requests never reach the instance.
+// startRequest passes a request to the policy. It rejects the request if the limit of open requests is exceeded, as the
+// simulator does, where such requests never reach the instance, or if no time is left.
 func (l *Loop) startRequest(incoming *message.Request) {
 	l.metrics.Requests++
 	r := l.requests.open(incoming)
@@ -86,8 +86,8 @@
 	})
 }
 
-// streamedBodySent handles the write of the last byte of a streamed request. The request's time counts from that
-// byte on, and the server can execute the request.
+// streamedBodySent is called when the last byte of a streamed body has been written. The request's timeout starts at
+// that byte, as the server can execute the request only then.
 func (l *Loop) streamedBodySent(r *request, index int) {
 	r.sendingBody = false
 	if r.closed {
@@ -105,8 +105,8 @@
 	})
 }
 
-// backstopExpired ends a request that the policy should have ended before. That it did not is a fault or a
-// stall, so it is logged and counted.
+// backstopExpired ends a request that the policy should have ended earlier. This indicates a fault or a stall, so it is
+// logged and counted.
 func (l *Loop) backstopExpired(r *request) {
 	if r.closed || r.sendingBody {
 		return
@@ -118,8 +118,8 @@
 	l.cancelRequest(r)
 }
 
-// abandonRequest ends a request whose client no longer waits for the response. One that is not in flight any
-// more has its response.
+// abandonRequest ends a request whose client no longer waits for the response. A response that has already been sent
+// to the request's channel is released.
 func (l *Loop) abandonRequest(incoming *message.Request) {
 	if r := l.requests.byID[incoming.DispatchID]; r != nil {
 		l.handleClientGone(r)
@@ -131,8 +131,8 @@
 	}
 }
 
-// cancelStreaming cancels the attempts whose streamed body is still on its way to a server: no server has all of
-// it, so the client can safely send it again, to another process.
+// cancelStreaming cancels the attempts whose streamed body is still being sent to a server. No server has received the
+// whole body, so the client can safely retry through another process.
 func (l *Loop) cancelStreaming() {
 	for _, r := range l.requests.byID {
 		if len(r.attempts) > 0 && r.sendingBody {
@@ -141,8 +141,8 @@
 	}
 }
 
-// endAllRequests gives every open request its final response: the process is about to be killed, and a request that
-// has none by then is lost. A request that can't have executed is rejected, so that the client may send it again.
+// endAllRequests sends the final response to every open request, because requests without one are lost when the process
+// is killed. Requests that can't have executed are rejected, so that their clients can retry.
 func (l *Loop) endAllRequests() {
 	for _, r := range l.requests.byID {
 		if r.closed {
@@ -166,14 +166,14 @@
 	l.cancelRequest(r)
 }
 
-// closeAbandoned counts, logs and closes a request whose client has closed its connection.
+// closeAbandoned closes a request whose client has closed its connection, and counts and logs it.
 func (l *Loop) closeAbandoned(r *request) {
 	l.metrics.ClientsGone++
 	l.logRequest(r, "abandoned by its client")
 	l.closeRequest(r)
 }
 
-// cancelRequest tells the policy that a request is over, and cancels its attempts.
+// cancelRequest cancels a request's attempts and notifies the policy that the request has ended.
 func (l *Loop) cancelRequest(r *request) {
 	for _, a := range r.attempts {
 		a.cancelInFlight()
@@ -181,8 +181,8 @@
 	l.handle(&balancer.Event{Kind: balancer.EventClientGone, Request: r.id})
 }
 
-// reject responds that a retry is harmless. Where an attempt may have executed that makes a retry harmful, the
-// request fails instead.
+// reject sends a rejection, which means that a retry is safe. The request fails instead if an attempt may have executed
+// and a retry could execute it again.
 func (l *Loop) reject(r *request, retryAfterMs float64) {
 	if r.mayHaveExecuted > 0 && !safeToRetryAnywhere(r.incoming.Rules) {
 		l.logViolation(errUnsafeRejection, "id", r.incoming.ID)
@@ -192,7 +192,7 @@
 	l.finish(r, message.Response{Kind: message.Rejected, RetryAfterMs: retryAfterMs})
 }
 
-// finish gives a request its final response; only the first one counts.
+// finish sends the final response to a request. It does nothing if the request is closed.
 func (l *Loop) finish(r *request, response message.Response) {
 	if r.closed {
 		return
@@ -202,7 +202,7 @@
 	l.closeRequest(r)
 }
 
-// countResponse counts a final response, and logs one that is not a success in time.
+// countResponse counts a final response, and logs the request unless it was served in time.
 func (l *Loop) countResponse(r *request, kind message.ResponseKind) {
 	switch kind {
 	case message.Served:
@@ -221,7 +221,7 @@
 	}
 }
 
-// closeRequest marks a request as over, and forgets it once no attempt is in flight.
+// closeRequest marks a request as closed and removes it from the table if no attempt is in flight.
 func (l *Loop) closeRequest(r *request) {
 	if !r.closed {
 		r.closed = true
--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The rules of a request that an action of the policy would break.
+// Violations of the rules of a request by an action of the policy.
 var (
 	errRequestFinished   = errors.New("attempt for a finished request")
 	errServerNotListed   = errors.New("attempt to a server that is not listed")
@@ -20,7 +20,7 @@
 	errUnsafeRejection   = errors.New("rejection after an attempt that may have executed")
 )
 
-// checkRules returns the rule that an attempt would break, whatever the policy decided; nil allows the attempt.
+// checkRules returns the rule that an attempt would violate, or nil if it is allowed. It does not rely on the policy.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.incoming.Rules
 	switch {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// safeToRetryAnywhere reports whether a request that has executed may be sent again through any agent.
+// safeToRetryAnywhere reports whether a request that has executed may be retried through any agent.
 func safeToRetryAnywhere(rules *balancer.RequestRules) bool {
 	switch rules.Idempotency {
 	case balancer.NonIdempotent:
--- a/internal/agent/dispatch/request_table.go
+++ b/internal/agent/dispatch/request_table.go
@@ -5,18 +5,18 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// requestTable has the requests that have no final response, or an attempt in flight.
+// requestTable holds the requests that are not closed or have an attempt in flight.
 type requestTable struct {
 	lastID    balancer.RequestID
 	byID      map[balancer.RequestID]*request
-	openCount int // requests without a final response, also those that are not in byID yet
+	openCount int // requests that are not closed, including those not in byID yet
 }
 
 func newRequestTable() *requestTable {
 	return &requestTable{byID: map[balancer.RequestID]*request{}}
 }
 
-// open numbers and counts a client's request, which is not in the table yet.
+// open assigns an id to a client's request and counts it, without adding it to byID.
 func (t *requestTable) open(incoming *message.Request) *request {
 	t.lastID++
 	t.openCount++
@@ -24,7 +24,7 @@
 	return &request{id: t.lastID, incoming: incoming}
 }
 
-// forgetFinished drops a request that has its final response once no attempt is in flight.
+// forgetFinished removes a request that is closed and has no attempt in flight.
 func (t *requestTable) forgetFinished(r *request) {
 	if r.closed && r.inFlight == 0 {
 		delete(t.byID, r.id)
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -8,13 +8,13 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// ApplyConfig puts a configuration in force in one step of the loop.
+// ApplyConfig puts a configuration in force asynchronously, in a single step of the loop.
 func (l *Loop) ApplyConfig(cfg *config.Config) {
-	l.Post(func() { _ = l.applyConfig(cfg) }) // an error has been logged
+	l.Post(func() { _ = l.applyConfig(cfg) }) // errors are logged by applyConfig
 }
 
-// ApplyServiceSettings puts a configuration with settings of the discovery service in force in one step of the
-// loop, or rejects them, and calls done in that step.
+// ApplyServiceSettings puts a configuration with settings of the discovery service in force, or rejects them, and calls
+// done with the result, all in a single step of the loop.
 func (l *Loop) ApplyServiceSettings(cfg *config.Config, done func(error)) {
 	l.Post(func() {
 		err := l.applyConfig(cfg)
@@ -25,7 +25,7 @@
 	})
 }
 
-// RejectSettings counts and logs settings of the discovery service that can't be used, and calls done in that step.
+// RejectSettings counts and logs settings of the discovery service that can't be used, and calls done in the loop.
 func (l *Loop) RejectSettings(version uint64, err error, done func(error)) {
 	l.Post(func() {
 		l.recordRejectedSettings(version, err)
@@ -33,14 +33,14 @@
 	})
 }
 
-// ForgetRejectedSettings has settings that were rejected sent and checked again: the reason may be gone.
+// ForgetRejectedSettings causes rejected settings to be sent and checked again, as the reason may no longer exist.
 func (l *Loop) ForgetRejectedSettings() { l.discovery.ForgetRejectedSettings() }
 
-// applyConfig applies what may change in service: the settings and the addresses of discovery. After an error
-// the loop keeps those that it has.
+// applyConfig applies the parts of a configuration that can change at run time: the settings and the addresses of
+// discovery. On an error the previous ones stay in force.
 func (l *Loop) applyConfig(cfg *config.Config) error {
 	if err := l.balancer.Retune(cfg.Settings); err != nil {
-		// The file was checked as a whole: no part of it may be in force without the rest.
+		// The configuration was validated as a whole, so it is applied completely or not at all.
 		l.logger.log(slog.LevelError, "settings not applied", "err", err)
 		return err
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// logSettings logs that settings are in force; version 0: those of a file.
+// logSettings logs that settings are in force. Settings from a file have version 0.
 func (l *Loop) logSettings(cfg *config.Config, version uint64) {
 	args := []any{"classes", len(cfg.Settings.Classes), "max_attempts", cfg.Settings.Limits.MaxAttempts}
 	if version != 0 {
@@ -67,11 +67,11 @@
 	l.logger.log(slog.LevelInfo, "settings applied", args...)
 }
 
-// moveDiscovery moves the calls to the addresses of a configuration where those differ from the ones in force.
+// moveDiscovery switches to the discovery addresses of a configuration if they differ from those in force.
 func (l *Loop) moveDiscovery(cfg *config.Config) {
 	next := *l.cfg
 	next.Discovery = cfg.Discovery
-	if l.cfg.Control != nil && cfg.Control != nil { // an agent without the section stays without it until its end
+	if l.cfg.Control != nil && cfg.Control != nil { // the section can't be added at run time
 		next.Control = &config.Control{Service: l.cfg.Control.Service, Addresses: cfg.Control.Addresses}
 	}
 	from, to := l.cfg.Addresses(), next.Addresses()
@@ -84,7 +84,7 @@
 	l.discovery.MoveTo(to...)
 }
 
-// recordRejectedSettings counts and logs settings of the discovery service that can't be used.
+// recordRejectedSettings counts and logs rejected settings of the discovery service.
 func (l *Loop) recordRejectedSettings(version uint64, err error) {
 	l.metrics.SettingsRejected++
 	l.logger.log(slog.LevelError, "settings rejected, the previous ones stay in force", "version", version, "err", err)
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -9,46 +9,45 @@
 )
 
 const (
-	// maxListingDelay is how long after the start of a process the list may first name it, where discovery
-	// could be reached all the time.
+	// maxListingDelay is the maximum time from the start of a process until it is first listed, while discovery is
+	// reachable.
 	maxListingDelay = 10 * time.Second
-	// maxUnlistedStarts bounds the start times that are remembered of servers that are no longer listed.
+	// maxUnlistedStarts limits the start times kept for servers that are no longer listed.
 	maxUnlistedStarts = 4096
 )
 
-// listOrigin is what is known of a list from discovery besides its content.
+// listOrigin describes how a list relates to earlier responses of discovery.
 type listOrigin struct {
-	// older means that its version is lower than that of the list in force.
+	// older is set if the list has a lower version than the list in force.
 	older bool
-	// lastResponseAt is when discovery responded before, on the monotonic clock: what the list names anew was not
-	// listed by then. 0: it had not responded before, or the full list was asked for.
+	// lastResponseAt is the time of the previous response of discovery, on the monotonic clock. Servers that are new in
+	// the list were not listed at that time. It is 0 if there was no previous response or the full list was requested.
 	lastResponseAt time.Duration
 }
 
-// startTimeTable converts the start times of servers, which lists give by a wall clock, to event time. A
-// process keeps the time that it was given when it was first listed, so a later step of a wall clock changes
-// nothing that is known.
+// startTimeTable converts the start times of servers, which are listed as wall-clock times, to event time. The event
+// time of a process is determined when it is first listed, so later steps of a wall clock do not change it.
 //
-// Assumptions: at its first list an agent has only its own wall clock and believes it; a start in the future
-// counts as now. Later a start may come from a clock that was stepped together with the agent's, or apart from
-// it. Of the ages by the wall clock and by the event clock the lower one is used. An age is wrong if the
-// process would have been listed at the last response, or if it is older than the process that it follows;
-// then the process counts as started now, as a server that gets too little traffic for a time costs less than
-// a server in slow start that gets too much. An error below maxListingDelay, in a clock that was wrong from
-// the agent's start on, is not detected.
+// At its first list an agent has to trust its own wall clock. A start time in the future counts as now. Later start
+// times may come from a clock that was stepped together with the agent's, or independently of it, so the lower of the
+// ages by the wall clock and by the event clock is used. An age is wrong if the process would have been listed at the
+// previous response, or if the process would be older than its predecessor. The process then counts as started now,
+// because too little traffic to a server for a time costs less than too much traffic to a server in slow start. An
+// error below maxListingDelay of a clock that has been wrong since the agent's start is not detected.
 type startTimeTable struct {
 	clock *eventClock
 	known map[string]processStart // by the server's id
 }
 
-// processStart is the start of a server's latest process, as listed and as event time; both in ms.
+// processStart is the start time of a server's latest process, as listed and as event time, in milliseconds.
 type processStart struct{ listedMs, eventMs float64 }
 
 func newStartTimeTable(eventTime *eventClock) *startTimeTable {
 	return &startTimeTable{clock: eventTime, known: map[string]processStart{}}
 }
 
-// resolve returns the event time at which a server's process started; 0 if that was long ago.
+// resolve returns the event time at which a server's process started, or 0 if that was long ago, which a list gives
+// as 0.
 func (t *startTimeTable) resolve(entry *endpoint.Endpoint, origin listOrigin) float64 {
 	startedMs := balancer.Finite(entry.StartedMs)
 	if startedMs == 0 {
@@ -74,8 +73,8 @@
 	return eventMs
 }
 
-// age is the lower of the ages that the two clocks give a process, in ms. A clock by which the process has yet
-// to start is wrong.
+// age returns the lower of a process's ages by the two clocks, in milliseconds. A clock is wrong and therefore ignored
+// if the start time is in its future.
 func (t *startTimeTable) age(startedMs, now float64) float64 {
 	byEventClock := now - startedMs
 	byWallClock := clock.UnixMilliseconds(t.clock.Wall()) - startedMs
@@ -88,8 +87,8 @@
 	return min(byEventClock, byWallClock)
 }
 
-// prune forgets the start times of servers that are no longer listed once there are too many of them. Up to
-// then they are remembered, as a server may be listed again with the same process.
+// prune removes the start times of unlisted servers once there are more than maxUnlistedStarts. Until then they are
+// kept, as a server may be listed again with the same process.
 func (t *startTimeTable) prune(listed map[string]*listedServer) {
 	if len(t.known) <= len(listed)+maxUnlistedStarts {
 		return
