--- a/internal/agent/dispatch/clock_steps_test.go
+++ b/internal/agent/dispatch/clock_steps_test.go
@@ -14,10 +14,10 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// warmAge is the age of a server whose slow start is over.
+// warmAge is the age of a server that has completed its slow start.
 const warmAge = 30 * time.Minute
 
-// startSteppedLoop starts a loop with a clock that the test steps, and to which changes of the list are pushed.
+// startSteppedLoop starts a loop with a clock that the test can step, and with pushed list changes.
 func startSteppedLoop(
 	t *testing.T, discovery *agenttest.Discovery, ahead time.Duration,
 ) (*testLoop, *clocktest.Stepped) {
@@ -30,11 +30,11 @@
 	return loop, stepped
 }
 
-// unixNowMs is the time of day by an accurate clock, in the form of start times in a list.
+// unixNowMs returns the accurate wall-clock time in the format of start times in a list.
 func unixNowMs() float64 { return float64(time.Now().UnixMilli()) }
 
-// A step of the wall clock disturbs nothing, at whichever moment it comes: the start, an open watch, a server's
-// restart and drain, a request in flight, and the shutdown.
+// Steps of the wall clock have no effect at any time: at the start, with an open watch, before a server's restart and
+// drain, with a request in flight, and during the shutdown.
 func TestWallClockSteps(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
@@ -48,7 +48,7 @@
 			ready := agenttest.Endpoint("s-1", server.Addr)
 			ready.StartedMs = unixNowMs() - float64(warmAge.Milliseconds())
 			discovery := agenttest.NewDiscovery(t, ready)
-			loop, stepped := startSteppedLoop(t, discovery, step) // its clock is wrong at its start
+			loop, stepped := startSteppedLoop(t, discovery, step) // the clock is wrong at the start
 
 			stepped.Step(-step) // and corrected while a watch is open
 			restarted := ready
@@ -72,7 +72,7 @@
 			stepped.Step(step)
 			discovery.WaitNotified(t, draining)
 			if runInLoop(loop, func() bool { return loop.endpoints.byID["s-1"].IsAvailable() }) {
-				t.Error("a draining server may still be sent requests")
+				t.Error("draining server is still available for requests")
 			}
 
 			response = agenttest.SendInBackground(t, agenttest.NewRequest(loop.addr, "read", ""))
@@ -85,8 +85,8 @@
 	}
 }
 
-// An agent whose clock is ahead from its start on recognizes a new server by the time of discovery's last response,
-// from the second response on.
+// An agent whose clock has been ahead since its start recognizes a new server from discovery's second response on, by
+// the time of the previous response.
 func TestNewServerAgeIsBoundedByLastResponse(t *testing.T) {
 	discovery := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
 	loop, _ := startSteppedLoop(t, discovery, time.Hour)
@@ -97,13 +97,13 @@
 	wantSlowStart(t, loop, "s-2")
 }
 
-// wantSlowStart checks that a server that has just started is no older than the test.
+// wantSlowStart checks that the age of a server that has just started is at most the duration of the test.
 func wantSlowStart(t *testing.T, loop *testLoop, id string) {
 	t.Helper()
 	age := runInLoop(loop, func() time.Duration {
 		return clock.FromMilliseconds(loop.clock.nowMs() - loop.startTimes.known[id].eventMs)
 	})
 	if age < 0 || age > agenttest.Timeout {
-		t.Errorf("server %s has just started, its age is taken as %v", id, age)
+		t.Errorf("age of server %s, which has just started, is %v", id, age)
 	}
 }
--- a/internal/agent/dispatch/endpoint_list_test.go
+++ b/internal/agent/dispatch/endpoint_list_test.go
@@ -8,20 +8,20 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// listChange is the response of a watch call with one entry that changed.
+// listChange returns the response to a watch call with one changed entry.
 func listChange(source *discovery.Source, version uint64, changed endpoint.Endpoint) discovery.Response {
 	list := &endpoint.List{Version: version, Servers: []endpoint.Endpoint{changed}}
 	return discovery.Response{Source: source, Watch: true, List: list}
 }
 
-// fullList is the response of a call for the full list.
+// fullList returns the response to a request for the full list.
 func fullList(source *discovery.Source, version uint64, entries ...endpoint.Endpoint) discovery.Response {
 	list := &endpoint.List{Version: version, Full: true, Servers: entries}
 	return discovery.Response{Source: source, List: list}
 }
 
-// The list follows the address that is in force: responses of the old one count until the new one has responded,
-// and the new one counts versions of its own.
+// When discovery moves to a new address, responses of the old address are applied until the new one has responded. The
+// new address has its own versions.
 func TestResponsesDuringDiscoveryMove(t *testing.T) {
 	ready := agenttest.Endpoint("s-1", "127.0.0.1:1")
 	draining := ready
@@ -35,21 +35,21 @@
 		loop.discovery.MoveTo("127.0.0.1:9")
 		loop.onListResponse(listChange(old, 51, draining))
 		if loop.endpoints.byID["s-1"].IsAvailable() {
-			t.Error("a response of the old address before the first one of the new address was dropped")
+			t.Error("response of the old address was dropped before the new address had responded")
 		}
 		loop.onListResponse(fullList(loop.discovery.CurrentSource(), 3, ready))
 		if !loop.endpoints.byID["s-1"].IsAvailable() || loop.list.version != 3 {
-			t.Errorf("the new address's list is not in force (version %d)", loop.list.version)
+			t.Errorf("list of the new address is not in force (version %d)", loop.list.version)
 		}
 		loop.onListResponse(listChange(old, 52, draining))
 		if !loop.endpoints.byID["s-1"].IsAvailable() || loop.list.version != 3 {
-			t.Error("a response of the old address replaced the list of the new one")
+			t.Error("response of the old address replaced the list of the new one")
 		}
 	})
 	<-done
 }
 
-// Responses of discovery that cross do not take the list back to an older version.
+// Responses of discovery that arrive out of order do not restore an older version of the list.
 func TestOldListIsDropped(t *testing.T) {
 	ready := agenttest.Endpoint("s-1", "127.0.0.1:1")
 	draining := ready
@@ -65,7 +65,7 @@
 		older.Watch = true
 		loop.onListResponse(older)
 		if loop.endpoints.byID["s-1"].IsAvailable() {
-			t.Error("an older list undid a drain")
+			t.Error("older list reverted a drain")
 		}
 		loop.onListResponse(discovery.Response{
 			Source: source,
@@ -73,7 +73,7 @@
 			List:   &endpoint.List{Version: 10, Full: true},
 		})
 		if len(loop.endpoints.byID) != 0 || len(loop.endpoints.byAddr) != 0 {
-			t.Error("a server that is no longer listed is kept")
+			t.Error("server that is no longer listed was kept")
 		}
 	})
 	<-done
@@ -83,10 +83,10 @@
 	first, second := newEndpointList(nil, nil), newEndpointList(nil, nil)
 	server := second.findOrAdd("s-1")
 	if first.findOrAdd("s-1").policyAddr != server.policyAddr {
-		t.Error("two agents have different addresses for one server")
+		t.Error("two agents use different policy addresses for the same server")
 	}
-	delete(second.byID, "s-1") // its address is still taken, as by another id
+	delete(second.byID, "s-1") // its address remains in use, as if by another id
 	if other := second.findOrAdd("s-1"); other.policyAddr == server.policyAddr {
-		t.Error("two servers have one address")
+		t.Error("two servers have the same policy address")
 	}
 }
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -11,15 +11,15 @@
 	"fernbeam.example/fernbeam/internal/agent/upstream"
 )
 
-// testLoop is a running event loop with clients' requests, and without the rest of an agent.
+// testLoop is a running event loop with a downstream server, without the rest of an agent.
 type testLoop struct {
 	*Loop
 	addr string // where clients connect
 	log  agenttest.LineWriter
-	stop context.CancelFunc // begins a graceful shutdown
+	stop context.CancelFunc // starts a graceful shutdown
 }
 
-// startLoop starts a loop that knows the list of the discovery as it is now; change may change its configuration.
+// startLoop starts a loop that has the current list of discovery. A non-nil change may modify its configuration.
 func startLoop(t *testing.T, discovery *agenttest.Discovery, change func(*config.Config)) *testLoop {
 	t.Helper()
 	ln := agenttest.Listen(t)
@@ -59,7 +59,7 @@
 	return &testLoop{Loop: loop, addr: ln.Addr().String(), log: lines, stop: stop}
 }
 
-// runInLoop returns what read returns in the loop.
+// runInLoop calls read in the loop and returns its result.
 func runInLoop[T any](l *testLoop, read func() T) T {
 	result := make(chan T, 1)
 	l.Post(func() { result <- read() })
--- a/internal/agent/dispatch/list_updates_test.go
+++ b/internal/agent/dispatch/list_updates_test.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// indentedList is a full list of version 2, with white space.
+// indentedList is a full list of version 2, formatted with white space.
 const indentedList = `{
   "version": 2,
   "full": true,
@@ -27,7 +27,7 @@
 }
 `
 
-// startWatchingLoop starts a loop that knows one server by a list of version 50, and watches discovery at addr.
+// startWatchingLoop starts a loop that has a list of version 50 with one server, and watches discovery at addr.
 func startWatchingLoop(t *testing.T, addr string) *testLoop {
 	t.Helper()
 	known := agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1"))
@@ -38,19 +38,19 @@
 	})
 }
 
-// A change that discovery can send is known within 6 s, also where a call was open when discovery fell silent, and
-// where three hundred agents share the calls.
+// A list change is applied within 6 s after discovery can send it, even if a call was open when discovery stopped
+// responding, and with the polling interval of a fleet of 300 agents.
 func TestChangesArriveInTimeAfterDiscoveryStall(t *testing.T) {
 	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
-			var silent atomic.Bool
+			var stalled atomic.Bool
 			addr, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 				switch {
-				case !silent.Load() && n > 0: // the second call is open when discovery falls silent
-					silent.Store(true)
+				case !stalled.Load() && n > 0: // discovery stops responding with the second call open
+					stalled.Store(true)
 					return ""
-				case silent.Load():
+				case stalled.Load():
 					return `{"version":9,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"draining"}]}`
 				}
 				return `{"version":8,"full":false,"servers":[]}`
@@ -64,19 +64,19 @@
 			})
 			agenttest.NextCall(t, calls)
 			agenttest.NextCall(t, calls)
-			silentSince := time.Now()
-			agenttest.WaitUntil(t, "the change is known", func() bool {
+			stalledSince := time.Now()
+			agenttest.WaitUntil(t, "the list change is applied", func() bool {
 				return runInLoop(loop, func() bool { return !loop.endpoints.byID["s-1"].IsAvailable() })
 			})
-			if took := time.Since(silentSince); took > agenttest.NotifiedWithin {
-				t.Errorf("the change was known after %v", took)
+			if took := time.Since(stalledSince); took > agenttest.NotifiedWithin {
+				t.Errorf("list change was applied after %v", took)
 			}
 		})
 	}
 }
 
-// Responses that are no list, are cut off or have an older version change nothing, are logged, and are
-// followed by another call.
+// Responses that are not a list, are truncated or have an older version are logged, do not change the list in force,
+// and are followed by another call.
 func TestInvalidResponsesChangeNothing(t *testing.T) {
 	entry := `{"id":"s-1","addr":"127.0.0.1:1","state":"draining"}`
 	for name, text := range map[string]string{
@@ -113,20 +113,20 @@
 				wantIndex = "0"
 			}
 			if call := agenttest.NextCall(t, calls); call.Index != wantIndex {
-				t.Errorf("the next call has index %s, want %s", call.Index, wantIndex)
+				t.Errorf("next call has index %s, want %s", call.Index, wantIndex)
 			}
 			if !runInLoop(loop, func() bool {
 				server := loop.endpoints.byID["s-1"]
 				return server != nil && server.IsAvailable() && loop.list.version == 50
 			}) {
-				t.Error("the list has changed")
+				t.Error("list in force has changed")
 			}
 		})
 	}
 }
 
-// A discovery that starts again counts its versions from the beginning. Its response to a call for the full list is
-// accepted, and watched from there.
+// After a restart discovery may count versions from the beginning. The agent then requests the full list, accepts it
+// despite its lower version, and continues to watch from there.
 func TestRestartedDiscoveryIsWatched(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -146,7 +146,7 @@
 		return ""
 	})
 	loop := startWatchingLoop(t, addr)
-	agenttest.WaitUntil(t, "the list of the discovery that started again is followed", func() bool {
+	agenttest.WaitUntil(t, "the list of the restarted discovery is in force", func() bool {
 		return runInLoop(loop, func() bool {
 			servers := loop.endpoints.byID
 			return len(servers) == 2 && servers["s-2"] != nil && servers["s-3"] != nil && loop.list.version == 3
@@ -155,6 +155,6 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if !slices.Equal(indexes[:3], []string{"50", "0", "2"}) {
-		t.Errorf("calls with the indexes %v", indexes)
+		t.Errorf("calls have indexes %v, want 50, 0, 2", indexes)
 	}
 }
--- a/internal/agent/dispatch/metrics_test.go
+++ b/internal/agent/dispatch/metrics_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The log has every count, under its key and in a fixed order, as the operators' page names them.
+// The log line contains all counters under their documented keys and in a fixed order.
 func TestMetricsStringHasAllKeysInOrder(t *testing.T) {
 	metrics := Metrics{
 		Requests:         1,
--- a/internal/agent/dispatch/request_test.go
+++ b/internal/agent/dispatch/request_test.go
@@ -15,7 +15,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// orderRules are those of a class that must never execute twice.
+// orderRules are the rules of a non-idempotent class.
 var orderRules = &balancer.RequestRules{
 	Class: balancer.Class{
 		Name:               "order",
@@ -26,14 +26,14 @@
 	MaxAttempts: 3,
 }
 
-// The backstop responds before the deadline where the policy does not.
+// The backstop responds before the deadline if the policy does not.
 func TestBackstop(t *testing.T) {
 	cfg := agenttest.NewConfig(t, "127.0.0.1:1", agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")))
 	loop, err := New(t.Context(), cfg, Options{Pool: upstream.NewPool(cfg), OnServersReady: func() {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A request that the policy never got stands for one that it forgot.
+	// The policy has not received this request, as if it had lost it.
 	incoming := &message.Request{
 		Context:  t.Context(),
 		Rules:    orderRules,
@@ -48,13 +48,13 @@
 		t.Errorf("response %+v, want a failure by timeout", response)
 	}
 	loop.finish(r, message.Response{Kind: message.Served})
-	unanswered := loop.requests.openCount
-	if len(incoming.Response) != 0 || loop.metrics.Backstops != 1 || unanswered != 0 || len(loop.requests.byID) != 0 {
-		t.Errorf("%d further responses, metrics %+v, %d open", len(incoming.Response), loop.metrics, unanswered)
+	openCount := loop.requests.openCount
+	if len(incoming.Response) != 0 || loop.metrics.Backstops != 1 || openCount != 0 || len(loop.requests.byID) != 0 {
+		t.Errorf("%d further responses, metrics %+v, %d open requests", len(incoming.Response), loop.metrics, openCount)
 	}
 }
 
-// The rules of a request apply whatever the policy decides.
+// Attempts and rejections that violate the rules of a request are prevented even if the policy requests them.
 func TestViolationsArePrevented(t *testing.T) {
 	ready := &listedServer{addr: "127.0.0.1:1"}
 	draining := &listedServer{addr: "127.0.0.1:1"}
@@ -72,7 +72,7 @@
 		{name: "draining", server: draining, deadline: inTime},
 		{name: "unlisted server", deadline: inTime},
 		{name: "one in flight", request: request{inFlight: 1}, server: ready, deadline: inTime},
-		{name: "answered", request: request{closed: true}, server: ready, deadline: inTime},
+		{name: "closed", request: request{closed: true}, server: ready, deadline: inTime},
 		{name: "may have executed", request: request{mayHaveExecuted: 1}, server: ready, deadline: inTime},
 		{name: "fourth attempt", request: request{attempts: make([]*attempt, 4)}, server: ready, deadline: inTime},
 		{name: "no time", server: ready, deadline: now},
@@ -85,7 +85,7 @@
 	wantUnsafeRejectionFails(t)
 }
 
-// wantUnsafeRejectionFails checks that a rejection after an attempt that may have executed is turned into a failure.
+// wantUnsafeRejectionFails checks that a rejection after an attempt that may have executed becomes a failure.
 func wantUnsafeRejectionFails(t *testing.T) {
 	t.Helper()
 	loop := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", "127.0.0.1:1")), nil)
@@ -101,7 +101,7 @@
 	}
 }
 
-// A log that nobody reads does not block the event loop.
+// A blocked log writer does not block the event loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	loop := startLoop(t, agenttest.NewDiscovery(t, agenttest.Endpoint("s-1", server.Addr)), nil)
@@ -123,7 +123,7 @@
 	select {
 	case <-done:
 	case <-time.After(agenttest.Timeout):
-		t.Fatal("the loop waits for the log")
+		t.Fatal("event loop is blocked by the log")
 	}
 	status := agenttest.Send(t, agenttest.NewRequest(loop.addr, "order", "x")).Status
 	agenttest.WantStatus(t, status, http.StatusOK)
--- a/internal/agent/dispatch/start_times_test.go
+++ b/internal/agent/dispatch/start_times_test.go
@@ -10,15 +10,15 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// startTimesFixture is a machine whose wall clock may be wrong, and the start times that an agent on it gets.
+// startTimesFixture is a startTimeTable on a machine whose wall clock may be wrong.
 type startTimesFixture struct {
 	t              *testing.T
 	clock          *clocktest.Manual
 	starts         *startTimeTable
-	lastResponseAt time.Duration // of discovery, on the monotonic clock
+	lastResponseAt time.Duration // time of discovery's last response, on the monotonic clock
 }
 
-// trueMs is the time of day by accurate clocks, at the start of a fixture.
+// trueMs is the accurate Unix time at the start of a fixture, in milliseconds.
 const trueMs = 1_800_000_000_000.0
 
 func newStartTimesFixture(t *testing.T, ahead time.Duration) *startTimesFixture {
@@ -27,7 +27,7 @@
 	return &startTimesFixture{t: t, clock: manual, starts: newStartTimeTable(newEventClock(manual))}
 }
 
-// resolve has discovery list a server with a start time, and returns the age that its process is taken to have.
+// resolve resolves the start time of a listed server, and returns the resulting age of its process.
 func (f *startTimesFixture) resolve(startedMs float64, origin listOrigin) time.Duration {
 	at := f.starts.resolve(&endpoint.Endpoint{ID: "s-1", StartedMs: startedMs}, origin)
 	f.lastResponseAt = f.clock.Monotonic()
@@ -37,12 +37,12 @@
 func (f *startTimesFixture) want(got, want time.Duration) {
 	f.t.Helper()
 	if got != want {
-		f.t.Errorf("the age is taken as %v, want %v", got, want)
+		f.t.Errorf("age is %v, want %v", got, want)
 	}
 }
 
-// A server that restarts after a step of the wall clock has its true age, whether the step was of all
-// machines or of the agent's alone; a process that is listed again keeps its age.
+// A server that restarts after a step of the wall clock gets its true age, whether all machines or only the agent's
+// were stepped. A process that is listed again keeps its age.
 func TestRestartAfterAClockStepIsInSlowStart(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		for _, listStep := range []time.Duration{step, 0} {
@@ -58,7 +58,7 @@
 				second := trueMs + 120_000 - 500 + float64(listStep.Milliseconds())
 				got := fixture.resolve(second, listOrigin{lastResponseAt: fixture.lastResponseAt})
 				if got < 0 || got > 500*time.Millisecond {
-					t.Errorf("a server started 0.5 s ago, its age is taken as %v", got)
+					t.Errorf("age of a server that started 0.5 s ago is %v", got)
 				}
 				fixture.clock.Step(-step)
 				fixture.clock.Advance(time.Second)
@@ -68,8 +68,8 @@
 	}
 }
 
-// New servers are in slow start at an agent whose clock was an hour wrong when it started, from its first
-// list on where the clock was behind, and from then on where it was ahead.
+// New servers are in slow start at an agent whose clock was wrong by an hour at its start: from the first list on if
+// the clock was behind, and from the second on if it was ahead.
 func TestNewServerIsInSlowStartAtAnAgentWithAWrongClock(t *testing.T) {
 	for _, ahead := range []time.Duration{-time.Hour, time.Hour} {
 		fixture := newStartTimesFixture(t, ahead)
@@ -82,23 +82,23 @@
 	}
 }
 
-// Where clocks are accurate a start time is what the list says, however late the list.
+// With accurate clocks the start times of the list are used, however late the list arrives.
 func TestAccurateClocksKeepListedStartTimes(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second, time.Minute} {
 		fixture := newStartTimesFixture(t, 0)
 		fixture.resolve(0, listOrigin{})
-		fixture.clock.Advance(late) // discovery is silent meanwhile
+		fixture.clock.Advance(late) // discovery does not respond meanwhile
 		startedMs := trueMs + 17
 		want := max(late-17*time.Millisecond, 0)
 		fixture.want(fixture.resolve(startedMs, listOrigin{lastResponseAt: fixture.lastResponseAt}), want)
 		if at := fixture.starts.known["s-1"].eventMs; late > 0 && at != startedMs {
-			t.Errorf("started at %v, want %v", at, startedMs)
+			t.Errorf("start time is %v, want %v", at, startedMs)
 		}
 	}
 }
 
-// A list of a lower version, from a discovery that was moved or restored, restores no earlier process; one
-// that lists a later process is accepted.
+// A list with a lower version, as after a move or restore of discovery, does not restore an earlier process. A later
+// process in such a list is accepted.
 func TestOlderListRestoresNoProcess(t *testing.T) {
 	fixture := newStartTimesFixture(t, 0)
 	fixture.want(fixture.resolve(trueMs-5000, listOrigin{}), 5*time.Second)
