--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -23,7 +23,7 @@
 type request struct {
 	id              balancer.RequestID
 	incoming        *message.Request
-	closed          bool
+	closed          bool // it has a final response or its client has gone
 	attempts        []*attempt
 	sendingBody     bool      // a streamed body is being sent to a server; the request's timeout has not started
 	inFlight        int       // attempts in flight
@@ -141,8 +141,8 @@
 	}
 }
 
-// endAllRequests sends the final response to every open request, because requests without one are lost when the process
-// is killed. Requests that can't have executed are rejected, so that their clients can retry.
+// endAllRequests sends the final response to every open request, because the process is about to be killed and requests
+// without one would be lost. Requests that can't have executed are rejected, so that their clients can retry.
 func (l *Loop) endAllRequests() {
 	for _, r := range l.requests.byID {
 		if r.closed {
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -46,8 +46,8 @@
 	return &startTimeTable{clock: eventTime, known: map[string]processStart{}}
 }
 
-// resolve returns the event time at which a server's process started, or 0 if that was long ago, which a list gives
-// as 0.
+// resolve returns the event time at which a server's process started, or 0 if that was long ago. Lists use 0 for such
+// start times.
 func (t *startTimeTable) resolve(entry *endpoint.Endpoint, origin listOrigin) float64 {
 	startedMs := balancer.Finite(entry.StartedMs)
 	if startedMs == 0 {
