--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The rules of a request that an action of the policy would break.
+// Violations of the rules of a request by an action of the policy.
 var (
 	errRequestFinished   = errors.New("attempt for a finished request")
 	errServerNotListed   = errors.New("attempt to a server that is not listed")
@@ -20,11 +20,11 @@
 	errUnsafeRejection   = errors.New("rejection after an attempt that may have executed")
 )
 
-// checkRules returns the rule that an attempt would break, whatever the policy decided; nil allows the attempt.
+// checkRules returns the rule that an attempt would violate, or nil if it is allowed. It does not rely on the policy.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.incoming.Rules
 	switch {
-	case r.answered:
+	case r.closed:
 		return errRequestFinished
 	case server == nil || server.addr == "":
 		return errServerNotListed
@@ -36,7 +36,7 @@
 		return errTooManyAttempts
 	case r.incoming.Streamed.IsConsumed():
 		return errBodyConsumed
-	case r.mayHaveRun > 0 && rules.Idempotency == balancer.NonIdempotent:
+	case r.mayHaveExecuted > 0 && rules.Idempotency == balancer.NonIdempotent:
 		return errMayHaveExecuted
 	case !deadline.After(now):
 		return errNoTimeLeft
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// safeToRepeatAnywhere reports whether a request that has executed may be sent again through any agent.
-func safeToRepeatAnywhere(rules *balancer.RequestRules) bool {
+// safeToRetryAnywhere reports whether a request that has executed may be retried through any agent.
+func safeToRetryAnywhere(rules *balancer.RequestRules) bool {
 	switch rules.Idempotency {
 	case balancer.NonIdempotent:
 		return false
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -147,7 +147,7 @@
 	switch {
 	case streaming && !cancelled:
 		// The stream owns the connection until it ends.
-		result.Body.Stream.UseOwnDeadlines()
+		result.Body.Stream.UsePerReadDeadline()
 	case streaming:
 		result.Body.Release()
 		result.Result = Result{Status: balancer.StatusCancelled}
