--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// retainedSnapshots is the number of snapshots in the data directory.
+	// retainedSnapshots is the number of snapshots kept in the data directory.
 	retainedSnapshots = 2
 	// raftMaxPool is the number of idle connections to each peer.
 	raftMaxPool = 3
-	// raftIOTimeout bounds each read and write of a connection to a peer.
+	// raftIOTimeout bounds each read from and write to a connection to a peer.
 	raftIOTimeout = 2 * time.Second
 )
 
-// beforeAnyStart is recorded as the time of an outage at each start of an instance, so that its list
+// beforeAnyStart is recorded as the start of an outage whenever an instance starts, so that its list
 // counts as older than MaxStale until the instance has caught up.
 var beforeAnyStart = time.Unix(0, 0)
 
-// startRaft starts the Raft member, and founds the cluster if the configuration says so.
+// startRaft starts the Raft member, and bootstraps the cluster if the configuration requests it.
 func (n *Node) startRaft() error {
 	ln, err := listen(n.cfg.RaftAddr)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return config
 }
 
-// openStore opens the store of Raft's log, term and vote.
+// openStore opens the store for Raft's log, term and vote.
 func (n *Node) openStore() (*retryingStore, error) {
 	path := filepath.Join(n.cfg.DataDir, storeFile)
 	bolt, err := openBolt(n.cfg.DataDir, n.log)
@@ -102,7 +102,7 @@
 	return store, nil
 }
 
-// openSnapshots opens the snapshots, and checks that the log continues from the newest one.
+// openSnapshots opens the snapshot store, and checks that the log continues from the newest snapshot.
 func (n *Node) openSnapshots(store *retryingStore, log hclog.Logger) (raft.SnapshotStore, error) {
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(n.cfg.DataDir, retainedSnapshots, log)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return snapshots, nil
 }
 
-// newTransport returns the transport to the peers, which accepts their connections on a listener.
+// newTransport returns the transport to the peers, which accepts the peers' connections on ln.
 func (n *Node) newTransport(ln net.Listener, store *retryingStore, log hclog.Logger) *gatedTransport {
 	ln = listener.New(ln, listener.LogFailures(n.log, n.cfg.RaftAddr))
 	counting := countingListener{Listener: ln, counters: &n.raftTraffic, countWrites: true}
@@ -130,8 +130,8 @@
 	return newGatedTransport(network, store, n.closed)
 }
 
-// bootstrap founds the cluster of this instance and its peers, unless the data directory has the
-// state of a cluster.
+// bootstrap bootstraps a cluster of this instance and its peers, unless the data directory already
+// has Raft state.
 func (n *Node) bootstrap(snapshots raft.SnapshotStore, address raft.ServerAddress) error {
 	exists, err := raft.HasExistingState(n.store, n.store, snapshots)
 	if err != nil || exists {
@@ -144,8 +144,8 @@
 	return n.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 }
 
-// ServerAddr returns the Raft address by which this instance reaches a peer
-// (raft.ServerAddressProvider). Each instance has addresses of its own for the others.
+// ServerAddr returns the Raft address at which this instance reaches a peer
+// (raft.ServerAddressProvider). The addresses of the peers may differ between instances.
 func (n *Node) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	peer, ok := n.peers[id]
 	if !ok {
@@ -154,10 +154,10 @@
 	return raft.ServerAddress(peer.Raft), nil
 }
 
-// streamLayer is the stream layer of Raft's transport on a counting listener (raft.StreamLayer).
+// streamLayer is a raft.StreamLayer whose traffic is counted.
 type streamLayer struct{ countingListener }
 
-// Dial connects to a peer. hashicorp/raft bounds it by a timeout and passes no context.
+// Dial connects to a peer. hashicorp/raft passes a timeout but no context.
 func (s streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp", string(address))
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// readIndexTimeout bounds how long an instance waits to learn what is committed, and then how
-	// long it waits until it has applied as much.
+	// readIndexTimeout bounds how long an instance waits for a read index, and then how long it
+	// waits until it has applied the log up to it.
 	readIndexTimeout = 500 * time.Millisecond
-	// readIndexesPerSecond bounds the barriers that read indexes add to the Raft log. Requests
-	// beyond that rate share one.
+	// readIndexesPerSecond bounds the rate of the barriers that read indexes add to the Raft log.
+	// Requests beyond that rate share a barrier.
 	readIndexesPerSecond = 10
 )
 
 var (
-	// errVersionUnknown says that an instance can't tell whether any instance returned the version
-	// that a watch names, as it has not applied as much itself. Its text is part of response bodies.
+	// errVersionUnknown is returned if an instance can't determine whether any instance has returned
+	// the version given by a watch, because it has not applied that version itself. Its message is
+	// part of response bodies.
 	errVersionUnknown = errors.New("whether the version named was ever given can't be known here now")
-	// errNoLeader says that an instance knows no leader of the cluster.
+	// errNoLeader is returned if an instance knows no leader of the cluster.
 	errNoLeader = errors.New("no leader known")
 )
 
-// progress is how far an instance has applied the Raft log.
+// progress is the position up to which an instance has applied the Raft log.
 type progress struct {
 	version uint64 // of the endpoint list
 	applied uint64 // Raft index
@@ -46,10 +47,10 @@
 	err         error
 }
 
-// committedVersion returns a version of the list that is not older than any that an instance
-// returned before the call. It is the read index of Ongaro's thesis ("Consensus: Bridging Theory
-// and Practice", 2014, section 6.4). A call that waits for another one uses the result of that one
-// if it was requested after the call began.
+// committedVersion returns a version of the list that is at least as new as any version that an
+// instance returned before the call. It is the read index of Ongaro's thesis ("Consensus: Bridging
+// Theory and Practice", 2014, section 6.4). A call that waits for a concurrent call uses the result
+// of that call if it was requested after this call began.
 func (n *Node) committedVersion(ctx context.Context) (uint64, error) {
 	startedAt := time.Now()
 	cache := &n.readIndex
@@ -58,7 +59,7 @@
 	if cache.requestedAt.After(startedAt) {
 		return cache.version, cache.err
 	}
-	// The result is shared, so the end of this caller's context does not cancel the request.
+	// The result is shared, so cancellation of this caller's context does not cancel the request.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readIndexTimeout)
 	defer cancel()
 	if err := cache.limiter.Wait(ctx); err != nil {
@@ -71,10 +72,10 @@
 	return cache.version, cache.err
 }
 
-// committedProgress returns the leader's progress after a barrier in the Raft log, by which the
-// leader has applied all that was committed before. A follower requests it from the leader's admin
-// address (GET /v1/status?consistent=true). The barrier is in place of the round of heartbeats of
-// the thesis, as a follower can't request one from hashicorp/raft. Each call adds a log entry.
+// committedProgress returns the leader's progress after a barrier in the Raft log, which ensures that
+// the leader has applied everything committed before. A follower requests it from the leader's admin
+// address (GET /v1/status?consistent=true). The barrier replaces the round of heartbeats described in
+// the thesis, which hashicorp/raft has no call for. Each barrier adds a log entry.
 func (n *Node) committedProgress(ctx context.Context) (progress, error) {
 	if n.isLeader() {
 		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
@@ -113,7 +114,7 @@
 	return status, err
 }
 
-// leader returns the peer that leads the cluster as far as this instance knows, or errNoLeader.
+// leader returns the peer that this instance considers the leader, or errNoLeader.
 func (n *Node) leader() (Peer, error) {
 	_, id := n.raft.LeaderWithID()
 	peer, ok := n.peers[id]
@@ -123,14 +124,14 @@
 	return peer, nil
 }
 
-// awaitVersion decides how to answer a watch whose version is newer than the list applied here.
-// Either this instance lags behind the one that returned the version: then it waits until it has
-// applied all that is committed, so that no client gets an older list than it has. Or it has
-// applied all of that and the version is still newer: no instance returned it (the service was
-// restored from older data, say), and the watch gets the full list (true).
+// awaitVersion decides how to respond to a watch whose version is newer than the list applied by this
+// instance. If this instance lags behind the one that returned the version, it waits until it has
+// applied everything committed, so that no client gets an older list than it has. If the version is
+// newer even then, no instance has returned it (for example, because the service was restored from
+// older data), and the watch gets the full list (true).
 //
-// It returns errVersionUnknown where that can't be decided within readIndexTimeout, as no leader
-// answers or this instance does not catch up. A version that no instance returned and that the log
+// It returns errVersionUnknown if that can't be decided within readIndexTimeout, because no leader
+// responds or this instance does not catch up. A version that no instance returned but that the log
 // has since passed can't be distinguished from one that was returned.
 func (n *Node) awaitVersion(ctx context.Context, version uint64) (fullList bool, err error) {
 	if version <= n.state.currentVersion() {
--- a/internal/discovery/server/serve.go
+++ b/internal/discovery/server/serve.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/listener"
 )
 
-// inheritedPrefix starts an address that is the number of an inherited file descriptor.
+// inheritedPrefix is the prefix of an address that refers to an inherited file descriptor.
 const inheritedPrefix = "fd:"
 
 // startHTTP starts the HTTP servers for reads and for writes.
@@ -24,7 +24,7 @@
 	return n.startHTTPServer(n.cfg.AdminAddr, n.adminMux(), &n.adminTraffic)
 }
 
-// startHTTPServer starts one HTTP server, which Close ends.
+// startHTTPServer starts an HTTP server, which Close stops.
 func (n *Node) startHTTPServer(address string, handler http.Handler, counters *trafficCounters) error {
 	ln, err := listen(address)
 	if err != nil {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// serve answers the requests that arrive at a listener until the server is closed. If it ends for
-// another reason, the reason is sent to Failed.
+// serve serves requests on a listener until the server is closed. If it stops for another reason, it
+// sends the error to the channel of Failed.
 func (n *Node) serve(server *http.Server, ln net.Listener, counters *trafficCounters) {
 	address := ln.Addr().String()
 	ln = listener.New(ln, listener.LogFailures(n.log, address))
@@ -52,7 +52,7 @@
 	n.failed <- fmt.Errorf("serve %s: %w", address, err)
 }
 
-// listen opens a TCP listener at host:port, or uses an inherited one at "fd:N".
+// listen opens a TCP listener for host:port, or uses the inherited listener for "fd:N".
 func listen(address string) (net.Listener, error) {
 	number, inherited := strings.CutPrefix(address, inheritedPrefix)
 	if !inherited {
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -13,14 +13,14 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// maxSettingsBytes bounds the text of a service's settings.
+// maxSettingsBytes bounds the size of a service's settings.
 const maxSettingsBytes = 64 << 10
 
-// servePutSettings replaces a service's settings. The body is their text, at most 64 KiB, in the
-// form of the agent's configuration without index and zone. Settings that no agent could put in
-// force are answered with 400 and one line that names the key. With If-Match: VERSION (0: none
-// yet) it answers 412 if another version is the newest. Otherwise it answers {"version": N}; N is
-// the newest version if the text is the same as the newest.
+// servePutSettings replaces a service's settings. The body is the text of the settings, at most
+// 64 KiB, in the format of the agent's configuration but without index and zone. The response to
+// settings that agents would reject is 400 with one line that includes the key. With If-Match:
+// VERSION (0: there are none yet), the response is 412 if the newest version is a different one.
+// Otherwise the response is {"version": N}; N is the newest version if its text is the same.
 func (n *Node) servePutSettings(w http.ResponseWriter, r *http.Request) {
 	if n.redirectToLeader(w, r) {
 		return
@@ -33,7 +33,7 @@
 	n.commit(w, write)
 }
 
-// parseSettingsWrite reads and checks a write of settings.
+// parseSettingsWrite reads and validates a write of settings.
 func parseSettingsWrite(w http.ResponseWriter, r *http.Request) (command, error) {
 	write := command{Op: operationSettings, Service: serviceName(r), WrittenAtMs: time.Now().UnixMilli()}
 	text, err := readSettings(w, r)
@@ -64,7 +64,8 @@
 	return text, nil
 }
 
-// parseIfMatch parses an If-Match header, whose version may be in quotes; nil: there is none.
+// parseIfMatch parses an If-Match header, whose version may be in quotes. It returns nil if the header
+// is empty.
 func parseIfMatch(header string) (*uint64, error) {
 	if header == "" {
 		return nil, nil
@@ -76,8 +77,9 @@
 	return &version, nil
 }
 
-// serveSettings answers a service's newest settings as SettingsVersion, or with ?version=N that
-// version, if it is one of the last 20; 404 if it is not stored.
+// serveSettings responds with a service's newest settings as a SettingsVersion. With ?version=N it
+// responds with that version, which must be one of the last 20. It responds with 404 if the version is
+// not stored.
 func (n *Node) serveSettings(w http.ResponseWriter, r *http.Request) {
 	versions, ok := n.storedSettings(w, r)
 	if !ok {
@@ -102,8 +104,8 @@
 	writeJSON(w, found)
 }
 
-// serveSettingsHistory answers the stored versions of a service's settings, the newest first and
-// without their texts; 404 if there are none.
+// serveSettingsHistory responds with the stored versions of a service's settings, newest first and
+// without their texts, or with 404 if there are none.
 func (n *Node) serveSettingsHistory(w http.ResponseWriter, r *http.Request) {
 	versions, ok := n.storedSettings(w, r)
 	if !ok {
@@ -117,8 +119,9 @@
 	writeJSON(w, history)
 }
 
-// storedSettings returns the stored versions of the settings of the path's service, the oldest
-// first. If there are none, or this instance may not serve reads, it answers and returns false.
+// storedSettings returns the stored versions of the settings of the service in the request's path,
+// oldest first. If there are none, or if this instance may not serve reads, it responds with an error
+// and returns false.
 func (n *Node) storedSettings(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
 	if _, stale := n.rejectStale(r.Context(), w); stale {
 		return nil, false
@@ -132,8 +135,8 @@
 	return versions, true
 }
 
-// serveAgentReports answers the reports of a service's agents that this instance has received. It
-// does not include those that other instances have.
+// serveAgentReports responds with the reports that this instance has received from a service's agents.
+// Reports received by other instances are not included.
 func (n *Node) serveAgentReports(w http.ResponseWriter, r *http.Request) {
 	service := serviceName(r)
 	reports := AgentReports{
@@ -142,7 +145,7 @@
 		Agents:  n.reports.ofService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
-	// Read after the reports, so that no agent has newer settings than the newest.
+	// Read after the reports, so that no agent in them has a newer version than this one.
 	reports.Version = newestSettings(n.state.history(service)).Version
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.Admin
--- a/internal/discovery/server/settings_validation.go
+++ b/internal/discovery/server/settings_validation.go
@@ -13,12 +13,12 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxNameBytes bounds the name of a service or an agent.
+// maxNameBytes bounds the length of the name of a service or an agent.
 const maxNameBytes = 128
 
-// validateSettings checks a text of settings as an agent would. Its error is one line that names
-// the key: balancer.ParseSettings or Settings.Validate rejects the text, the names of zones or machine
-// kinds are not strings, or it sets index or zone, which each agent has of its own.
+// validateSettings applies the agents' checks to the text of settings. It returns an error of one line
+// that includes the key if balancer.ParseSettings or Settings.Validate rejects the text, if the names of
+// zones or machine kinds are not strings, or if the text sets index or zone, which are set per agent.
 func validateSettings(text []byte) error {
 	var keys map[string]json.RawMessage
 	if !utf8.Valid(text) || json.Unmarshal(text, &keys) != nil || keys == nil {
@@ -40,8 +40,8 @@
 	return settings.Validate()
 }
 
-// rejectAgentKeys returns an error if a key is one that each agent has of its own. Case does not
-// matter, as encoding/json matches a field's name in any case.
+// rejectAgentKeys returns an error if a key is one that is set per agent. It ignores case, as
+// encoding/json matches field names case-insensitively.
 func rejectAgentKeys(keys map[string]json.RawMessage) error {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if strings.EqualFold(key, "index") || strings.EqualFold(key, "zone") {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// validateName returns an error if a text can't be the name of a service.
+// validateName returns an error if the name of a service is invalid.
 func validateName(service string) error {
 	valid := service != "" && service != "." && service != ".." &&
 		len(service) <= maxNameBytes &&
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -11,33 +11,33 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// operation is the kind of a command. Its values are part of the stored log.
+// operation is the type of a command. Its values are part of the stored log.
 type operation string
 
 const (
 	// operationPut replaces a server's entry.
 	operationPut operation = "put"
-	// operationRemove removes a server's entry; its change has StateRemoved.
+	// operationRemove removes a server's entry; the resulting change has StateRemoved.
 	operationRemove operation = "remove"
 	// operationSettings replaces the settings of a service.
 	operationSettings operation = "settings"
 )
 
-// command is one write in the form in which the Raft log stores it.
+// command is a write as stored in the Raft log.
 type command struct {
 	Op      operation         `json:"op"`
 	Server  endpoint.Endpoint `json:"server"`
 	Service string            `json:"service,omitempty"`
-	// Text is that of the settings, byte for byte as it was received.
+	// Text is the text of the settings, exactly as received.
 	Text string `json:"text,omitempty"`
 	// WrittenAtMs is the Unix time in ms at which the leader received the write.
 	WrittenAtMs int64 `json:"at_ms,omitempty"`
-	// IfVersion is the version of the settings that the write replaces (0: there are none yet);
-	// nil: any.
+	// IfVersion is the version of the settings that the write expects to replace (0: there are none
+	// yet); nil: any.
 	IfVersion *uint64 `json:"if_version,omitempty"`
 }
 
-// target returns the id of the server or the name of the service that the command is about.
+// target returns the id of the server or the name of the service that the command applies to.
 func (c command) target() string {
 	if c.Op == operationSettings {
 		return c.Service
@@ -45,42 +45,42 @@
 	return c.Server.ID
 }
 
-// change is an entry as a write left it, with the Raft index of the write.
+// change is a server's entry after a write, with the Raft index of the write.
 type change struct {
 	Index  uint64            `json:"index"`
 	Server endpoint.Endpoint `json:"server"`
 }
 
-// settingsChannels is the number of channels that services' names hash to; see settingsChannel.
+// settingsChannels is the number of channels that service names are hashed to; see settingsChannel.
 const settingsChannels = 256
 
 // stateMachine is the replicated state (raft.FSM): the servers, their last changes, and the last
 // versions of each service's settings. It is safe for concurrent use.
 //
-// version is the Raft index of the last change of a server. Writes of settings have versions of the
-// same sequence but leave version alone, so that watches of servers do not see them.
+// version is the Raft index of the last change of a server. Writes of settings get their versions from
+// the same sequence but do not advance version, so that they do not wake watches of servers.
 type stateMachine struct {
 	mu        sync.RWMutex
 	servers   map[string]endpoint.Endpoint // by id
 	changedAt map[string]uint64            // Raft index of each server's last change, by id
-	changes   []change                     // the last maxChanges, the oldest first
+	changes   []change                     // the last maxChanges, oldest first
 	version   uint64
 	// discardedVersion is the version of the newest change that is no longer in changes.
 	discardedVersion uint64
 	maxChanges       int
 	changed          chan struct{} // closed and replaced at each change of a server
 
-	// responses are encoded responses at the present version, for requests with the same key.
-	// responsesMu is locked while mu is locked for reading; a change, which replaces responses,
-	// locks mu for writing, which is sufficient.
+	// responses caches the encoded responses of the current version by responseKey. Readers, which
+	// hold mu for reading, also lock responsesMu; a change, which replaces responses, holds mu for
+	// writing, which is sufficient.
 	responsesMu sync.Mutex
 	responses   map[responseKey][]byte
 
-	settings        map[string][]SettingsVersion    // by service, the oldest first
+	settings        map[string][]SettingsVersion    // by service, oldest first
 	settingsChanged [settingsChannels]chan struct{} // like changed; see settingsChannel
 }
 
-// newStateMachine returns an empty state that keeps a number of changes for watches.
+// newStateMachine returns an empty state that keeps up to maxChanges changes for watches.
 func newStateMachine(maxChanges int) *stateMachine {
 	m := &stateMachine{
 		servers:    map[string]endpoint.Endpoint{},
@@ -96,15 +96,15 @@
 	return m
 }
 
-// applyResult is the result of a committed command: the version of the write, or why it changed
-// nothing.
+// applyResult is the result of a committed command: the version of the write, or the reason why it had
+// no effect.
 type applyResult struct {
 	version uint64
 	err     error
 }
 
-// Apply applies one committed write and returns its applyResult (raft.FSM). A command that can't be
-// decoded changes nothing.
+// Apply applies a committed write and returns its applyResult (raft.FSM). A command that can't be
+// decoded has no effect.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -119,9 +119,9 @@
 	return applyResult{version: m.applyServer(c, entry.Index)}
 }
 
-// applyServer applies a write of a server's entry and returns its version: its own index; for a put
-// that changes nothing, the index of the write that set the entry so; for the removal of a server
-// that is not listed, the present version. The caller holds mu.
+// applyServer applies a write of a server's entry and returns its version. The version is the write's
+// own index; for a put that changes nothing, the index of the write that last changed the entry; for
+// the removal of a server that is not listed, the current version. The caller holds mu.
 func (m *stateMachine) applyServer(c command, index uint64) uint64 {
 	id := c.Server.ID
 	listed, isListed := m.servers[id]
@@ -136,7 +136,7 @@
 		written = listed
 		written.State = endpoint.StateRemoved
 	case isListed:
-		return m.changedAt[id] // a retry of an earlier write
+		return m.changedAt[id] // may be a retry of an earlier write
 	default:
 		return m.version
 	}
@@ -144,7 +144,7 @@
 	return m.version
 }
 
-// recordChange appends a change, discards the oldest ones beyond maxChanges, and wakes the watches.
+// recordChange appends a change, discards the oldest changes beyond maxChanges, and wakes the watches.
 // The caller holds mu.
 func (m *stateMachine) recordChange(c change) {
 	m.changes = append(m.changes, c)
@@ -156,15 +156,15 @@
 	m.notifyWatches()
 }
 
-// notifyWatches wakes every watch that waits for a change of a server, and discards the responses
-// that were encoded before. The caller holds mu.
+// notifyWatches wakes every watch that waits for a change of a server, and discards the cached
+// responses. The caller holds mu.
 func (m *stateMachine) notifyWatches() {
 	m.responses = map[responseKey][]byte{}
 	closeAndReplace(&m.changed)
 }
 
-// closeAndReplace wakes every goroutine that waits for a channel, and opens another one for the next
-// change.
+// closeAndReplace closes a channel, which wakes every goroutine that waits for it, and replaces it with
+// a new one for the next change.
 func closeAndReplace(changed *chan struct{}) {
 	close(*changed)
 	*changed = make(chan struct{})
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -10,12 +10,12 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// maxCachedResponses bounds the encoded responses that are cached: the full list, and the changes
-// since the versions that most watches have.
+// maxCachedResponses bounds the number of cached responses: the full list, and the changes since the
+// versions that most watches have.
 const maxCachedResponses = 64
 
-// watchQuery is what a watch requests: the changes since a version, or the full list; and the
-// settings of a service, if it names one and they are newer than those that its agent has.
+// watchQuery is what a watch requests: the changes since a version, or the full list; and, if it gives
+// a service, that service's settings if they are newer than those that its agent has.
 type watchQuery struct {
 	version       uint64
 	full          bool
@@ -23,27 +23,28 @@
 	knownSettings uint64 // version
 }
 
-// responseKey is what the servers' part of a response depends on, beside the list's version.
+// responseKey identifies the servers in a response, together with the list's version.
 type responseKey struct {
 	version uint64 // of the query; 0 for the full list
 	full    bool
 }
 
-// watchResponse is the present answer to a watchQuery, and by what the watch waits for a later one.
+// watchResponse is the current response to a watchQuery, and the channels on which the watch waits for
+// an update.
 type watchResponse struct {
-	// hasUpdate says that the body has changes, the full list, or newer settings.
+	// hasUpdate reports whether the body has changes, the full list, or newer settings.
 	hasUpdate bool
-	// body is an endpoint.List in JSON and a line feed.
+	// body is an endpoint.List in JSON followed by a newline.
 	body []byte
 	// changed is closed at the next change of a server.
 	changed <-chan struct{}
-	// settingsChanged is closed at the next write of the service's settings, and may be at one of
-	// another service's (see settingsChannel); nil: the query names no service.
+	// settingsChanged is closed at the next write of the service's settings, and possibly at a write
+	// of another service's settings (see settingsChannel); nil: the query gives no service.
 	settingsChanged <-chan struct{}
 }
 
-// changesSince returns the answer to a query: the changes since its version, each server once and
-// in its last form, or the full list where some of the changes have been discarded; and newer
+// changesSince returns the response to a query: the changes since its version, with only the last
+// change of each server, or the full list if some of the changes have been discarded; and newer
 // settings.
 func (m *stateMachine) changesSince(query watchQuery) watchResponse {
 	m.mu.RLock()
@@ -68,20 +69,20 @@
 	return response
 }
 
-// withSettings returns a copy of an encoded endpoint.List without settings that has them: they are
-// the last field of a List.
+// withSettings returns a copy of an encoded endpoint.List with settings added. The list must not have
+// settings yet; they are the last field of a List.
 func withSettings(body []byte, settings *endpoint.Settings) []byte {
 	const listEnd = "}\n"
-	text, _ := json.Marshal(settings) // the stored text is valid JSON: validateSettings accepted it
+	text, _ := json.Marshal(settings) // the stored text is valid JSON: validateSettings has accepted it
 	servers := bytes.TrimSuffix(body, []byte(listEnd))
 	return slices.Concat(servers, []byte(`,"settings":`), text, []byte(listEnd))
 }
 
-// encodedResponse returns the servers' part of a response, which is encoded once for all watches
-// with the same key until the next change. The caller holds mu.
+// encodedResponse returns a response without settings, which is encoded once for all watches with the
+// same key until the next change. The caller holds mu.
 func (m *stateMachine) encodedResponse(key responseKey) []byte {
 	if !key.full && key.version >= m.version {
-		return encodeList(m.endpointsSince(key)) // without servers, so it is cheap
+		return encodeList(m.endpointsSince(key)) // has no servers, so it is cheap to encode
 	}
 	m.responsesMu.Lock()
 	defer m.responsesMu.Unlock()
@@ -95,20 +96,20 @@
 	return body
 }
 
-// encodeList returns a list in JSON and a line feed.
+// encodeList returns a list in JSON followed by a newline.
 func encodeList(list endpoint.List) []byte {
-	body, _ := json.Marshal(list) // all numbers are finite: validateEndpoint accepts no others
+	body, _ := json.Marshal(list) // all numbers are finite: validateEndpoint rejects others
 	return append(body, '\n')
 }
 
-// endpointsSince returns the servers' part of the answer to a query. The caller holds mu.
+// endpointsSince returns the response to a query, without settings. The caller holds mu.
 func (m *stateMachine) endpointsSince(key responseKey) endpoint.List {
 	if key.full {
 		return endpoint.List{Version: m.version, Full: true, Servers: m.allEndpoints()}
 	}
 	list := endpoint.List{Version: max(m.version, key.version), Servers: []endpoint.Endpoint{}}
 	first, _ := slices.BinarySearchFunc(m.changes, key.version+1, compareToIndex)
-	position := map[string]int{} // in list.Servers, by id
+	position := map[string]int{} // index in list.Servers, by id
 	for _, c := range m.changes[first:] {
 		if i, ok := position[c.Server.ID]; ok {
 			list.Servers[i] = c.Server
@@ -131,20 +132,20 @@
 	return servers
 }
 
-// compareToIndex orders changes by their index.
+// compareToIndex compares a change's index with an index.
 func compareToIndex(c change, index uint64) int { return cmp.Compare(c.Index, index) }
 
-// compareByID orders entries by their id.
+// compareByID compares two entries by id.
 func compareByID(a, b endpoint.Endpoint) int { return strings.Compare(a.ID, b.ID) }
 
-// currentVersion returns the version of the last change of a server applied here.
+// currentVersion returns the version of the last applied change of a server.
 func (m *stateMachine) currentVersion() uint64 {
 	version, _ := m.versionAndChange()
 	return version
 }
 
-// versionAndChange returns the current version, and the channel that is closed at the next change
-// of a server.
+// versionAndChange returns the current version and a channel that is closed at the next change of a
+// server.
 func (m *stateMachine) versionAndChange() (uint64, <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
