--- a/internal/discovery/server/state_snapshot.go
+++ b/internal/discovery/server/state_snapshot.go
@@ -13,15 +13,15 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// snapshotImage is the content of a snapshot, in JSON. The changes are included, so that a watch
-// resumes after a restart from a snapshot.
+// snapshotImage is the content of a snapshot, encoded as JSON. It includes the changes, so that a watch
+// can resume after a restart from a snapshot.
 type snapshotImage struct {
 	Version          uint64              `json:"version"`
 	DiscardedVersion uint64              `json:"floor"`
 	Servers          []endpoint.Endpoint `json:"servers"`
 	Changes          []change            `json:"changes"`
 	ChangedAt        map[string]uint64   `json:"set_at"`
-	// Settings are absent from the snapshots of programs that did not store any.
+	// Settings is absent from the snapshots of data format 1.
 	Settings map[string][]SettingsVersion `json:"settings,omitempty"`
 }
 
@@ -39,9 +39,9 @@
 	}, nil
 }
 
-// Restore replaces the state by that of a snapshot, and wakes all watches (raft.FSM).
+// Restore replaces the state with that of a snapshot, and wakes all watches (raft.FSM).
 func (m *stateMachine) Restore(content io.ReadCloser) error {
-	defer func() { _ = content.Close() }() // it was only read
+	defer func() { _ = content.Close() }() // content was only read
 	var image snapshotImage
 	if err := json.NewDecoder(content).Decode(&image); err != nil {
 		return fmt.Errorf("discovery: snapshot unreadable: %w", err)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// load replaces the state by an image's. The caller holds mu.
+// load replaces the state with that of a snapshot image. The caller holds mu.
 func (m *stateMachine) load(image snapshotImage) {
 	m.servers = map[string]endpoint.Endpoint{}
 	for _, server := range image.Servers {
@@ -83,5 +83,5 @@
 	return sink.Close()
 }
 
-// Release does nothing, as an image has no resources (raft.FSMSnapshot).
+// Release does nothing, as an image holds no resources (raft.FSMSnapshot).
 func (image snapshotImage) Release() {}
--- a/internal/discovery/server/status.go
+++ b/internal/discovery/server/status.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// MemberState is the state of an instance's Raft member, as raft.RaftState names it.
+// MemberState is the state of an instance's Raft member; its values are those of raft.RaftState.String.
 type MemberState string
 
 // The values of MemberState.
@@ -17,19 +17,19 @@
 	StateShutdown  MemberState = "Shutdown"
 )
 
-// Status is the body of GET /v1/status: the state of one instance.
+// Status is the state of an instance. It is the response body of GET /v1/status.
 type Status struct {
 	ID      string      `json:"id"`
 	State   MemberState `json:"state"`
 	Leader  string      `json:"leader"`  // the leader's id; empty while none is known
-	Version uint64      `json:"version"` // of the last change of the list applied here
-	Applied uint64      `json:"applied"` // Raft index applied here
+	Version uint64      `json:"version"` // of the last change of the list applied by this instance
+	Applied uint64      `json:"applied"` // last Raft index applied by this instance
 	Usage   Usage       `json:"usage"`
 }
 
-// serveStatus answers this instance's Status. With ?consistent=true it answers the leader's Status
-// after a barrier, by which the leader has applied all that was committed before, and 503 at any
-// other instance.
+// serveStatus responds with this instance's Status. With ?consistent=true it first waits for a barrier,
+// which ensures that the leader has applied everything committed before; an instance that is not the
+// leader then responds with 503.
 func (n *Node) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get(endpoint.QueryConsistent) == "true" {
 		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// storeHealth is the state of a store: whether it fails, whether a write hangs, and since when the
-// list may lack entries because of that. The zero value is a store that works. It is safe for
+// storeHealth tracks the state of a store: whether it fails, whether a write hangs, and since when the
+// list may lack entries because of that. The zero value is the state of a working store. It is safe for
 // concurrent use.
 type storeHealth struct {
 	mu      sync.Mutex
 	outage  *storeOutage // nil while the store works
-	outages int          // that have started so far, slow writes included
-	// laggingSince is since when the list may lack entries because of an outage; zero: it does not.
+	outages int          // number of outages started so far, including slow writes
+	// laggingSince is the time since which the list may lack entries because of an outage; zero: it
+	// lacks none.
 	laggingSince time.Time
-	// writeOperation is the write that is running since writeStarted; zero: none is.
+	// writeOperation is the write that has been running since writeStarted. A zero writeStarted means
+	// that no write is running.
 	writeOperation StoreOperation
 	writeStarted   time.Time
 }
 
-// storeOutage is a time in which the store fails.
+// storeOutage is a period in which the store fails.
 type storeOutage struct {
 	cause *StoreError
 	ended chan struct{} // closed at its end
 }
 
-// closedChannel is a channel that is closed.
+// closedChannel is always closed.
 var closedChannel = newClosedChannel()
 
-// newClosedChannel returns a channel that is closed.
+// newClosedChannel returns a closed channel.
 func newClosedChannel() <-chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
 	return channel
 }
 
-// check returns a StoreError in an outage, or while a write has lasted longer than limit.
+// check returns a StoreError during an outage, or if the running write has lasted longer than limit.
 func (h *storeHealth) check(now time.Time, limit time.Duration) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,12 +50,12 @@
 	return nil
 }
 
-// writeHangs reports whether a write has lasted longer than limit. The caller holds mu.
+// writeHangs reports whether the running write has lasted longer than limit. The caller holds mu.
 func (h *storeHealth) writeHangs(now time.Time, limit time.Duration) bool {
 	return !h.writeStarted.IsZero() && now.Sub(h.writeStarted) > limit
 }
 
-// failure returns the cause of the present outage, or nil.
+// failure returns the cause of the current outage, or nil.
 func (h *storeHealth) failure() *StoreError {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +65,8 @@
 	return h.outage.cause
 }
 
-// working returns a channel that is closed while there is no outage.
+// working returns a channel that is closed at the end of the current outage, or is already closed if
+// there is none.
 func (h *storeHealth) working() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,7 +91,7 @@
 	h.writeStarted = time.Time{}
 }
 
-// beginOutage starts an outage, or returns false if there is one already.
+// beginOutage starts an outage. It returns false if there already is one.
 func (h *storeHealth) beginOutage(cause *StoreError, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,7 +103,7 @@
 	return true
 }
 
-// endOutage ends the outage and returns the number of outages so far, for caughtUp.
+// endOutage ends the current outage and returns the number of outages so far, for caughtUp.
 func (h *storeHealth) endOutage() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,8 +112,8 @@
 	return h.outages
 }
 
-// recordLag records a time in which the store was slow, which has ended, as an outage. It returns
-// the number of outages so far, for caughtUp.
+// recordLag records a period since which the store was slow, and which has ended, as an outage. It
+// returns the number of outages so far, for caughtUp.
 func (h *storeHealth) recordLag(since time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,7 +128,7 @@
 	return h.outages
 }
 
-// markLagging counts an outage. The caller holds mu.
+// markLagging counts an outage, and sets laggingSince unless it is already set. The caller holds mu.
 func (h *storeHealth) markLagging(since time.Time) {
 	h.outages++
 	if h.laggingSince.IsZero() {
@@ -133,8 +136,8 @@
 	}
 }
 
-// caughtUp records that the list has all that was committed by the end of the numbered outage. It
-// does nothing if another outage has started since.
+// caughtUp records that the list has everything committed by the end of an outage. outages is the number
+// of outages at that time: if another one has started since, caughtUp does nothing.
 func (h *storeHealth) caughtUp(outages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,8 +146,8 @@
 	}
 }
 
-// behindSince returns since when the list may lack entries because of the store, or zero if it does
-// not.
+// behindSince returns the time since which the list may lack entries because of an outage or a hanging
+// write, or the zero time if it lacks none.
 func (h *storeHealth) behindSince(now time.Time, limit time.Duration) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// repairInterval is the time between two attempts to repair a store that fails.
+// repairInterval is the time between two attempts to repair a failing store.
 const repairInterval = 50 * time.Millisecond
 
 // beginOutage makes every write fail until the store is repaired and check, if not nil, succeeds.
 func (s *retryingStore) beginOutage(cause *StoreError, check func() error) {
 	startedAt := time.Now()
 	if !s.health.beginOutage(cause, startedAt) {
-		return // there is one already
+		return // there already is an outage
 	}
 	s.log.Error("store outage started", "operation", cause.Operation, "err", cause.Err)
 	go s.repairUntilDone(startedAt, check)
 }
 
-// repairUntilDone retries the repair of the store until it succeeds, and then ends the outage.
+// repairUntilDone retries the repair until it succeeds, and then ends the outage.
 func (s *retryingStore) repairUntilDone(startedAt time.Time, check func() error) {
 	for attempts := 1; ; attempts++ {
 		select {
@@ -37,7 +37,7 @@
 	}
 }
 
-// repair brings the store into the state that raft assumes, and checks it by a write.
+// repair restores the state of the store that raft assumes, and checks the store with a write.
 func (s *retryingStore) repair(check func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -61,26 +61,26 @@
 	return check()
 }
 
-// metaPages is the number of meta pages at the head of a bbolt file.
+// metaPages is the number of meta pages at the start of a bbolt file.
 const metaPages = 2
 
-// metaPagesSize is the length of the meta pages in bytes.
+// metaPagesSize returns the total size of the meta pages in bytes.
 func metaPagesSize() int { return metaPages * os.Getpagesize() }
 
-// rewriteMetaPages writes the two meta pages of a bbolt file again as they are, and syncs them.
+// rewriteMetaPages rewrites the two meta pages of a bbolt file unchanged, and syncs them.
 //
-// After a failed sync Linux may drop the pages that were to be written and mark them as clean, so
-// that a later sync succeeds without having written them (fsync(2), "EIO"). bbolt writes data pages
-// that no meta page refers to yet, syncs, writes one meta page, and syncs again. If the first sync
-// failed, the data pages are free again and will be written anew. If the second one failed, the
-// meta page is in the page cache only; bbolt continues from it and may overwrite pages that the older
-// meta page on disk refers to. So the newer one has to be on disk before the next commit begins.
+// After a failed sync, Linux may discard the dirty pages and mark them as clean, so that a later sync
+// succeeds without having written them (fsync(2), "EIO"). bbolt writes data pages that no meta page
+// refers to yet, syncs, writes one meta page, and syncs again. If the first sync failed, the data
+// pages are free again and will be rewritten. If the second sync failed, the meta page is only in the
+// page cache; bbolt continues from it and may overwrite pages that the older meta page on disk refers
+// to. So the newer meta page must be on disk before the next commit begins.
 func rewriteMetaPages(path string) error {
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // Sync has reported what a close could
+	defer func() { _ = file.Close() }() // Sync has already reported any write error
 	pages := make([]byte, metaPagesSize())
 	if _, err := file.ReadAt(pages, 0); err != nil {
 		return err
--- a/internal/discovery/server/store_retry.go
+++ b/internal/discovery/server/store_retry.go
@@ -14,48 +14,47 @@
 )
 
 // retryingStore keeps an instance running while its disk fails. hashicorp/raft v1.7.3 panics if it
-// can't save the term or read a committed entry; it accepts an error of any other operation, but
-// some of these errors leave its state inconsistent. So an operation that fails begins an outage,
-// in which no write reaches the disk until a repair has succeeded. The operation itself
+// can't save the term or read a committed entry; it handles errors of all other operations, but some
+// of these errors leave its state inconsistent. So a failed operation starts an outage, during which
+// no write reaches the disk until a repair has succeeded. The operation itself
 //
-//   - is retried after the repair, if it saves the term or reads an entry (raft would panic), removes
-//     entries, or is a follower's append: if such an append fails, raft forgets that it has truncated
-//     the log before it;
-//   - returns a StoreError at once, if it saves a vote (which is not granted) or is a leader's append
-//     (raft fails the writes and steps down, so that the others elect a leader).
+//   - is retried after the repair if it saves the term or reads an entry (raft would panic), removes
+//     entries, or is a follower's append (if it failed, raft would lose track of having truncated the
+//     log before it);
+//   - returns a StoreError immediately if it saves a vote (which is then not granted) or is a leader's
+//     append (raft fails the writes and steps down, so that the other instances elect a leader).
 //
-// When the instance is closed, retries of removals and appends end with an error; those of the
-// other operations never return.
+// When the instance is closed, retries of removals and appends return an error; retries of the other
+// operations never return.
 //
 // While the store is unavailable, gatedTransport keeps the instance out of the cluster.
 //
-// A commit that failed may still be in the file, since its last step is to sync a page that is
-// already written. The repair removes the entries of a failed append, so that none of them remains
-// after a shorter append, and rewrites what the failed sync may have dropped (see
-// rewriteMetaPages).
+// A failed commit may still be in the file, as its last step is to sync a page that is already
+// written. The repair removes the entries of a failed append, so that none of them remains after a
+// shorter append, and rewrites the pages that the failed sync may have dropped (see rewriteMetaPages).
 type retryingStore struct {
 	Store
 	log *slog.Logger
-	// rewriteLastCommit makes the file's last commit durable again; nil: nothing is to be done.
+	// rewriteLastCommit makes the file's last commit durable again; nil: not needed.
 	rewriteLastCommit func() error
-	// outageLimit is the duration from which on a write counts as an outage.
+	// outageLimit is the duration above which a write counts as an outage.
 	outageLimit time.Duration
 	closed      <-chan struct{} // closed when the instance is closed
 	member      atomic.Pointer[storeMember]
-	savedTerm   atomic.Uint64 // the newest term that was saved
+	savedTerm   atomic.Uint64 // the newest saved term
 	health      storeHealth
 
 	writeMu      sync.Mutex // held while Store is written
 	failedAppend uint64     // first index of a failed append, 0: none; guarded by writeMu
 }
 
-// storeMember is the Raft member that a store belongs to.
+// storeMember is the Raft member that uses a store.
 type storeMember struct {
 	raft      *raft.Raft
 	recovered func(outages int) // called after each outage with the number of outages so far
 }
 
-// newRetryingStore wraps a store that works. Its goroutines end when closed is closed.
+// newRetryingStore wraps a working store. Its goroutines end when closed is closed.
 func newRetryingStore(
 	store Store, log *slog.Logger, outageLimit time.Duration, closed <-chan struct{},
 ) (*retryingStore, error) {
@@ -76,7 +75,7 @@
 	}
 }
 
-// notifyRecovered starts the member's catch-up after an outage, if there is a member yet.
+// notifyRecovered starts the member's catch-up after an outage, if a member is attached.
 func (s *retryingStore) notifyRecovered(outages int) {
 	if member := s.member.Load(); member != nil {
 		go member.recovered(outages)
@@ -89,10 +88,12 @@
 	return member != nil && member.raft.State() == raft.Leader
 }
 
-// available returns a StoreError in an outage, or while a write has lasted longer than outageLimit.
+// available returns a StoreError during an outage, or if the running write has lasted longer than
+// outageLimit.
 func (s *retryingStore) available() error { return s.health.check(time.Now(), s.outageLimit) }
 
-// behindSince returns since when the list may lack entries because of the store; zero: it does not.
+// behindSince returns the time since which the list may lack entries because of an outage or a hanging
+// write, or the zero time if it lacks none.
 func (s *retryingStore) behindSince() time.Time {
 	return s.health.behindSince(time.Now(), s.outageLimit)
 }
@@ -100,7 +101,7 @@
 // StoreLog appends one entry; see StoreLogs.
 func (s *retryingStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs appends entries. A leader's append fails at once, a follower's is retried.
+// StoreLogs appends entries. A leader's append fails immediately; a follower's is retried.
 func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
 	if s.isLeader() {
 		return s.write(AppendEntries, s.appendEntries(entries))
@@ -108,7 +109,7 @@
 	return s.writeUntilDone(AppendEntries, s.appendEntries(entries))
 }
 
-// appendEntries returns a function for write that appends entries. If it fails it records which
+// appendEntries returns a function for write that appends entries. If it fails, it records which
 // entries the repair has to remove.
 func (s *retryingStore) appendEntries(entries []*raft.Log) func() error {
 	return func() error {
@@ -125,14 +126,14 @@
 	return s.writeUntilDone(RemoveEntries, func() error { return s.Store.DeleteRange(first, last) })
 }
 
-// Set saves the candidate that got the vote, or fails at once.
+// Set saves the candidate that received the vote. It is not retried.
 func (s *retryingStore) Set(key, value []byte) error {
 	return s.write(SaveVote, func() error { return s.Store.Set(key, value) })
 }
 
-// SetUint64 saves the current term, with retries, or the term of the vote, which fails at once. A
-// term that is not newer than the saved one is not written: raft saves terms from two goroutines,
-// and an older one must not replace a newer one.
+// SetUint64 saves the current term, with retries, or the term of the vote, without retries. A term that
+// is not newer than the saved one is not written: raft saves terms from two goroutines, and an older
+// term must not replace a newer one.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != string(keyCurrentTerm) {
 		return s.write(SaveVoteTerm, func() error { return s.Store.SetUint64(key, value) })
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// saveTerm saves a term that is newer than the saved one. The caller holds writeMu.
+// saveTerm saves a term if it is newer than the saved one. The caller holds writeMu.
 func (s *retryingStore) saveTerm(term uint64) error {
 	if term <= s.savedTerm.Load() {
 		return nil
@@ -159,11 +160,11 @@
 	return nil
 }
 
-// blockForever stops a goroutine of raft that would panic on an error while the instance is being
-// closed. Node.Close does not wait for it.
+// blockForever blocks a raft goroutine that would otherwise panic on an error while the instance is
+// being closed. Node.Close does not wait for it.
 func blockForever() { select {} }
 
-// GetLog reads an entry, with retries. raft.ErrLogNotFound does not count as a failure.
+// GetLog reads an entry, with retries. raft.ErrLogNotFound is returned without a retry.
 func (s *retryingStore) GetLog(index uint64, entry *raft.Log) error {
 	read := func() error {
 		return catchPageFaults(func() error { return s.Store.GetLog(index, entry) })
@@ -187,8 +188,8 @@
 	}
 }
 
-// catchPageFaults runs a read of the memory-mapped file, and returns an error if a page can't be
-// read (SIGBUS), which would otherwise end the process.
+// catchPageFaults runs a read of the memory-mapped file and returns an error if a page can't be read
+// (SIGBUS), which would otherwise crash the process.
 func catchPageFaults(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -199,8 +200,8 @@
 	return read()
 }
 
-// write runs one write. A failure begins an outage and is returned as a StoreError; during an outage
-// the write is not run.
+// write runs a write. A failure starts an outage and is returned as a StoreError. During an outage it
+// returns a StoreError without running the write.
 func (s *retryingStore) write(operation StoreOperation, do func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
@@ -223,8 +224,8 @@
 	return nil
 }
 
-// writeUntilDone runs a write and retries it after each outage. It fails only once the instance is
-// closed.
+// writeUntilDone runs a write and retries it after each outage. It returns an error only if the instance
+// is closed.
 func (s *retryingStore) writeUntilDone(operation StoreOperation, do func() error) error {
 	for {
 		err := s.write(operation, do)
@@ -234,7 +235,7 @@
 	}
 }
 
-// awaitRecovery waits until the outage has ended. It returns false if the instance is closed before.
+// awaitRecovery waits for the end of the outage. It returns false if the instance is closed first.
 func (s *retryingStore) awaitRecovery() bool {
 	select {
 	case <-s.health.working():
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// storeFile is the file of the data directory that has Raft's log, term and vote.
+	// storeFile is the file in the data directory that contains Raft's log, term and vote.
 	storeFile = "raft.db"
-	// createdFile marks that a store was created in the data directory. From then on a missing or
+	// createdFile marks that a store was created in the data directory. If it exists, a missing or
 	// empty store counts as damaged.
 	createdFile = "raft.db.created"
-	// storeFileMode is the permissions of the store.
+	// storeFileMode is the permissions of the store's file.
 	storeFileMode = 0o600
 	// termBytes is the length of a saved term.
 	termBytes = 8
 )
 
-// StoreDamageError says that a file of the data directory is damaged. The instance does not start on
-// it, as what it would serve might lack acknowledged writes.
+// StoreDamageError reports a damaged file in the data directory. The instance does not start with such
+// a file, as it might serve a list that lacks acknowledged writes.
 type StoreDamageError struct {
 	Path string // of the file
 	Err  error  // what is wrong with it
 }
 
-// Error names the file and what is wrong with it, on one line.
+// Error returns the file and what is wrong with it, on one line.
 func (d *StoreDamageError) Error() string { return fmt.Sprintf("damaged file %s: %v", d.Path, d.Err) }
 
 // Unwrap returns what is wrong with the file.
 func (d *StoreDamageError) Unwrap() error { return d.Err }
 
 // openBolt opens the data directory's store, or creates it in a new directory. It returns a
-// StoreDamageError for a file that is truncated or has pages that can't be read. bbolt has checksums
-// only for its two meta pages; of the other pages the structure is checked, and of the log entries
-// the encoding. One invalid meta page counts as a write that was interrupted by a kill, and the
-// other meta page is used.
+// StoreDamageError for a file that is truncated or has unreadable pages. bbolt has checksums only for
+// its two meta pages; for the other pages the structure is checked, and for the log entries the
+// encoding. A single invalid meta page is treated as a write interrupted by a kill, and the other meta
+// page is used.
 func openBolt(dir string, log *slog.Logger) (*raftboltdb.BoltStore, error) {
 	path := filepath.Join(dir, storeFile)
 	info, err := os.Stat(path)
@@ -77,7 +77,7 @@
 	return len(snapshots) > 0
 }
 
-// markCreated marks that the directory has a store.
+// markCreated records that the directory has a store.
 func markCreated(dir string) error {
 	file, err := os.OpenFile(filepath.Join(dir, createdFile), os.O_CREATE|os.O_WRONLY, dataFileMode)
 	if err != nil {
@@ -89,7 +89,7 @@
 // checkFile reads all pages of the database and returns an error if one is invalid.
 func checkFile(path string, size int64) error {
 	return catchPageFaults(func() error {
-		// Opened read-only, bbolt does not load the list of free pages, which may be missing from a
+		// Read-only, as bbolt then does not load the list of free pages, which may be missing from a
 		// truncated file.
 		readOnly := &bbolt.Options{ReadOnly: true}
 		err := viewDatabase(path, readOnly, func(tx *bbolt.Tx) error { return checkSize(tx, size) })
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// checkPages reads every key and value and then runs bbolt's own check, in that order: bbolt's check
-// runs in a goroutine whose panics can't be recovered from here.
+// checkPages reads every key and value before it runs bbolt's own check, which runs in a goroutine
+// whose panics can't be recovered here.
 func checkPages(tx *bbolt.Tx) error {
 	err := tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error { return checkKeys(bucket) })
 	if err != nil {
@@ -172,7 +172,7 @@
 	return checkTerm(store, term)
 }
 
-// newestSnapshot returns the last index of the newest snapshot that can be read; 0: there is none.
+// newestSnapshot returns the last index of the newest readable snapshot, or 0 if there is none.
 func newestSnapshot(snapshots raft.SnapshotStore) (uint64, error) {
 	listed, err := snapshots.List()
 	if err != nil {
@@ -181,7 +181,7 @@
 	for _, snapshot := range listed {
 		_, content, err := snapshots.Open(snapshot.ID)
 		if err != nil {
-			continue // raft falls back to an older one too
+			continue // raft also falls back to an older snapshot
 		}
 		_ = content.Close() // nothing was written
 		return snapshot.Index, nil
@@ -189,8 +189,8 @@
 	return 0, nil
 }
 
-// checkEntry returns an error if an entry read at an index is invalid, or its term older than that of
-// the entry before it.
+// checkEntry returns an error if the entry read at an index is invalid, or if its term is older than
+// that of the entry before it.
 func checkEntry(entry *raft.Log, index, termBefore uint64) error {
 	switch {
 	case entry.Index != index:
--- a/internal/discovery/server/usage.go
+++ b/internal/discovery/server/usage.go
@@ -14,30 +14,30 @@
 	allocatedMetric = "/gc/heap/allocs:bytes"
 )
 
-// Traffic is what has passed one of an instance's addresses since its start.
+// Traffic is the traffic of one of an instance's addresses since the instance started.
 type Traffic struct {
-	In  uint64 `json:"in"`  // bytes received, above TCP
-	Out uint64 `json:"out"` // bytes sent, above TCP
-	// Messages counts the requests of an HTTP server, as they arrive. For Raft it counts the
-	// writes to streams: Raft makes one for each of its requests and each of its responses.
+	In  uint64 `json:"in"`  // payload bytes received over TCP
+	Out uint64 `json:"out"` // payload bytes sent over TCP
+	// Messages counts the requests received by an HTTP server. For Raft it counts the writes to
+	// streams: Raft makes one write for each request and each response.
 	Messages uint64 `json:"messages"`
 }
 
-// Usage is the traffic and the memory of an instance.
+// Usage is the traffic and the memory usage of an instance.
 type Usage struct {
 	Reads Traffic `json:"reads"` // GET /api/targets: reads and watches
 	Admin Traffic `json:"admin"` // writes, settings and status
-	Raft  Traffic `json:"raft"`  // with the other instances, over connections of either side
+	Raft  Traffic `json:"raft"`  // with the other instances, over connections dialed by either side
 	// HeapBytes is the live memory as of the last garbage collection
 	// (runtime/metrics: /gc/heap/live:bytes).
 	HeapBytes uint64 `json:"heap_bytes"`
-	// AllocBytes is all memory that was allocated since the start
+	// AllocBytes is the memory allocated since the process started
 	// (runtime/metrics: /gc/heap/allocs:bytes).
 	AllocBytes uint64 `json:"alloc_bytes"`
 	Goroutines int    `json:"goroutines"`
 }
 
-// usage returns this instance's usage. It causes no garbage collection.
+// usage returns this instance's usage. It does not trigger a garbage collection.
 func (n *Node) usage() Usage {
 	heap := []metrics.Sample{{Name: liveHeapMetric}, {Name: allocatedMetric}}
 	metrics.Read(heap)
@@ -59,7 +59,7 @@
 	return Traffic{In: c.in.Load(), Out: c.out.Load(), Messages: c.messages.Load()}
 }
 
-// countRequests wraps a handler so that each request counts as a message.
+// countRequests wraps a handler and counts each request as a message.
 func (c *trafficCounters) countRequests(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.messages.Add(1)
@@ -74,7 +74,7 @@
 	countWrites bool // each write counts as a message
 }
 
-// Accept waits for the next connection and returns it with its traffic counted.
+// Accept waits for the next connection and returns it wrapped in a countingConn.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -83,7 +83,7 @@
 	return l.wrap(conn), nil
 }
 
-// wrap returns a connection with its traffic counted.
+// wrap wraps a connection in a countingConn.
 func (l countingListener) wrap(conn net.Conn) net.Conn {
 	return &countingConn{Conn: conn, counters: l.counters, countWrites: l.countWrites}
 }
@@ -95,14 +95,14 @@
 	countWrites bool
 }
 
-// Read reads from the connection.
+// Read reads from the connection and counts the bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.counters.in.Add(uint64(n))
 	return n, err
 }
 
-// Write writes to the connection.
+// Write writes to the connection and counts the bytes.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.counters.out.Add(uint64(n))
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -11,10 +11,10 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// maxWatchWait bounds the wait of a watch; it is the limit of the discovery protocol.
+// maxWatchWait bounds the wait of a watch, as specified by the discovery protocol.
 const maxWatchWait = 60 * time.Second
 
-// watchRequest is one request of GET /api/targets.
+// watchRequest is a GET /api/targets request: a poll or a watch.
 type watchRequest struct {
 	watchQuery
 	wait   time.Duration
@@ -22,7 +22,7 @@
 	report SettingsReport
 }
 
-// parseWatchRequest parses the query parameters; those about settings only if one names a service.
+// parseWatchRequest parses the query parameters. It ignores those for settings if no service is given.
 func parseWatchRequest(query url.Values) (watchRequest, error) {
 	var request watchRequest
 	version, versionErr := parseUint(query.Get(endpoint.QueryIndex))
@@ -47,7 +47,7 @@
 	return request, validateName(request.service)
 }
 
-// parseSettingsReport parses what a request says about the settings of its agent.
+// parseSettingsReport parses the query parameters with which an agent reports the state of its settings.
 func parseSettingsReport(query url.Values) (SettingsReport, error) {
 	inForce, err := parseUint(query.Get(endpoint.QueryInForce))
 	if err != nil {
@@ -61,13 +61,13 @@
 	return SettingsReport{InForce: inForce, Rejected: rejected, Reason: reason}, nil
 }
 
-// serveEndpoints answers GET /api/targets: the full list without index, otherwise the changes since
-// the version index, after waiting for one for up to wait milliseconds (60,000 at most).
+// serveEndpoints responds to GET /api/targets: without index with the full list, otherwise with the
+// changes since the version index, after waiting up to wait milliseconds (at most 60,000) for a change.
 //
-// A request that names a service is also answered once the service's settings are newer than those
-// that its agent has, and its report about the agent is recorded. A follower that has had no
-// contact with a leader within MaxStale answers 503, also to a watch that is open. For an index
-// that is newer than the list applied here see awaitVersion.
+// If the request gives a service, it also gets a response once the service's settings are newer than
+// those that its agent has, and the agent's report is recorded. A follower that has had no contact
+// with a leader within MaxStale responds with 503, also to an open watch. For an index that is newer
+// than the list applied by this instance, see awaitVersion.
 func (n *Node) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatchRequest(r.URL.Query())
 	if err == nil && request.service != "" && request.agent != "" {
@@ -89,7 +89,7 @@
 	n.watch(r.Context(), w, request)
 }
 
-// watch answers a request once there is an update for it or its wait is over.
+// watch responds to a request once there is an update for it or its wait is over.
 func (n *Node) watch(ctx context.Context, w http.ResponseWriter, request watchRequest) {
 	timeout := time.NewTimer(request.wait)
 	defer timeout.Stop()
@@ -106,11 +106,11 @@
 		}
 		select {
 		case <-response.changed:
-			answerNow = true // also if it turns out to be no change for this watch
-		case <-response.settingsChanged: // possibly those of another service, so it checks again
+			answerNow = true // even if the change turns out not to affect this watch
+		case <-response.settingsChanged: // possibly another service's settings, so check again
 		case <-timeout.C:
 			answerNow = true
-		case <-time.After(remaining): // check again whether the list is fresh
+		case <-time.After(remaining): // check again whether the list is stale
 		case <-ctx.Done():
 			return
 		case <-n.closed:
@@ -119,7 +119,7 @@
 	}
 }
 
-// writeList answers with an encoded endpoint.List.
+// writeList responds with an encoded endpoint.List.
 func writeList(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(body) // fails only if the client has disconnected
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a write; it is the limit of the discovery protocol.
+	// maxBodyBytes bounds the body of a write, as specified by the discovery protocol.
 	maxBodyBytes = 64 << 10
-	// commitTimeout bounds how long a write waits until it is in the Raft log.
+	// commitTimeout bounds how long a write waits to be added to the Raft log.
 	commitTimeout = 5 * time.Second
 )
 
-// WriteResult is the body of the answer to a committed write.
+// WriteResult is the response body of a committed write.
 type WriteResult struct {
 	Version uint64 `json:"version"` // of the write
 }
 
-// servePutEndpoint replaces a server's entry by the JSON body, an endpoint.Endpoint.
+// servePutEndpoint replaces a server's entry with the endpoint.Endpoint in the JSON body.
 func (n *Node) servePutEndpoint(w http.ResponseWriter, r *http.Request) {
 	if n.redirectToLeader(w, r) {
 		return
@@ -56,7 +56,7 @@
 	n.commit(w, command{Op: operationRemove, Server: endpoint.Endpoint{ID: serverID(r)}})
 }
 
-// commit replicates a write and answers {"version": N} once a majority has it.
+// commit replicates a write and responds with {"version": N} once a majority has stored it.
 func (n *Node) commit(w http.ResponseWriter, c command) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -69,7 +69,7 @@
 		http.Error(w, "not committed: "+err.Error(), commitErrorStatus(err))
 		return
 	}
-	result, _ := applied.Response().(applyResult) // what stateMachine.Apply returns
+	result, _ := applied.Response().(applyResult) // the type that stateMachine.Apply returns
 	if result.err != nil {
 		http.Error(w, result.err.Error(), applyErrorStatus(result.err))
 		return
@@ -77,7 +77,7 @@
 	writeJSON(w, WriteResult{Version: result.version})
 }
 
-// commitErrorStatus is the HTTP status for a write that Raft did not commit: 503 where it may
+// commitErrorStatus returns the HTTP status for a write that Raft did not commit: 503 if the write may
 // succeed at another instance or later.
 func commitErrorStatus(err error) int {
 	var storeErr *StoreError
@@ -90,7 +90,7 @@
 	}
 }
 
-// applyErrorStatus is the HTTP status for a write that was committed and that the state machine
+// applyErrorStatus returns the HTTP status for a write that was committed but that the state machine
 // rejected.
 func applyErrorStatus(err error) int {
 	var conflict versionConflictError
@@ -100,7 +100,7 @@
 	return http.StatusInternalServerError
 }
 
-// validateEndpoint returns an error that names what is wrong with an entry written under an id.
+// validateEndpoint returns an error if an entry is invalid or its id is not the given one.
 func validateEndpoint(entry endpoint.Endpoint, id string) error {
 	switch {
 	case entry.ID != id:
