--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -114,11 +114,11 @@
 	case c.DataDir == "":
 		return &KeyError{Key: "data_dir", Problem: "missing"}
 	case c.MaxStale < 0:
-		return &KeyError{Key: "max_stale", Problem: "below zero"}
+		return &KeyError{Key: "max_stale", Problem: "must not be negative"}
 	case c.ElectionTimeout < minElectionTimeout:
-		return &KeyError{Key: "election_timeout", Problem: "under 10 ms"}
+		return &KeyError{Key: "election_timeout", Problem: "must be at least 10 ms"}
 	case c.KeepChanges < 1:
-		return &KeyError{Key: "keep_changes", Problem: "below one"}
+		return &KeyError{Key: "keep_changes", Problem: "must be at least 1"}
 	}
 	if err := validateAddress("raft_addr", c.RaftAddr); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	ids := map[string]bool{c.ID: true}
 	for i, peer := range c.Peers {
 		if peer.ID == "" || ids[peer.ID] {
-			return &KeyError{Key: fmt.Sprintf("peers[%d].id", i), Problem: "missing or named twice"}
+			return &KeyError{Key: fmt.Sprintf("peers[%d].id", i), Problem: "missing or duplicate"}
 		}
 		ids[peer.ID] = true
 		if err := validateAddress(fmt.Sprintf("peers[%d].raft", i), peer.Raft); err != nil {
--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -17,7 +17,7 @@
 )
 
 // errStoreTimeout is the cause of an outage in which a write hangs.
-var errStoreTimeout = errors.New("no answer from the disk")
+var errStoreTimeout = errors.New("no response from the disk")
 
 // Store stores an instance's Raft state on disk: the log, the term and the vote. It returns
 // raftboltdb.ErrKeyNotFound for a missing key.
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -56,7 +56,7 @@
 	case err != nil && !errors.Is(err, os.ErrNotExist):
 		return nil, err
 	case wasCreated(dir):
-		return nil, &StoreDamageError{Path: path, Err: errors.New("missing or empty, and this directory had one")}
+		return nil, &StoreDamageError{Path: path, Err: errors.New("missing or empty, but the directory had a store")}
 	}
 	store, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
@@ -117,7 +117,7 @@
 // checkSize returns an error if the file is shorter than the database's pages.
 func checkSize(tx *bbolt.Tx, size int64) error {
 	if size < tx.Size() {
-		return fmt.Errorf("cut to %d bytes of %d", size, tx.Size())
+		return fmt.Errorf("truncated to %d of %d bytes", size, tx.Size())
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 	var last []byte
 	return bucket.ForEach(func(key, _ []byte) error {
 		if last != nil && bytes.Compare(last, key) >= 0 {
-			return fmt.Errorf("key %x stands after %x", key, last)
+			return fmt.Errorf("key %x is out of order after %x", key, last)
 		}
 		last = bytes.Clone(key)
 		return nil
@@ -194,9 +194,9 @@
 func checkEntry(entry *raft.Log, index, termBefore uint64) error {
 	switch {
 	case entry.Index != index:
-		return fmt.Errorf("says that it is entry %d", entry.Index)
+		return fmt.Errorf("stored with index %d", entry.Index)
 	case entry.Term < termBefore:
-		return fmt.Errorf("term %d after %d", entry.Term, termBefore)
+		return fmt.Errorf("term %d after term %d", entry.Term, termBefore)
 	case entry.Type == raft.LogCommand && !json.Valid(entry.Data):
 		return errors.New("not a command")
 	}
@@ -210,14 +210,14 @@
 		return err
 	}
 	if len(saved) != 0 && len(saved) != termBytes {
-		return fmt.Errorf("a term of %d bytes", len(saved))
+		return fmt.Errorf("saved term has %d bytes", len(saved))
 	}
 	var term uint64
 	if len(saved) == termBytes {
 		term = binary.BigEndian.Uint64(saved)
 	}
 	if term < lastTerm {
-		return fmt.Errorf("term %d is saved, the log has %d", term, lastTerm)
+		return fmt.Errorf("saved term %d is older than the log's term %d", term, lastTerm)
 	}
 	return nil
 }
