--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -60,7 +60,7 @@
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%q is not a whole number", text)
+		return 0, fmt.Errorf("%q is not a non-negative integer", text)
 	}
 	return value, nil
 }
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -72,7 +72,7 @@
 	}
 	version, err := strconv.ParseUint(strings.Trim(header, `"`), 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("If-Match: %.40q is no version", header)
+		return nil, fmt.Errorf("If-Match: %.40q is not a version", header)
 	}
 	return &version, nil
 }
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -76,7 +76,7 @@
 		},
 		"key of the agent": {
 			body: strings.Replace(text, `"roundMs"`, `"zone":1,"roundMs"`, 1),
-			want: badRequest("settings: zone: is each agent's own, leave it out"),
+			want: badRequest("settings: zone: is set per agent and must be omitted"),
 		},
 		"too long": {
 			body: text + strings.Repeat(" ", 64<<10),
@@ -85,9 +85,9 @@
 		"invalid name": {
 			url:  strings.Replace(url, "/pay", "/a%2Fb", 1),
 			body: text,
-			want: badRequest(`service: "a/b" is no name: want 1 to 128 bytes, no / and no control characters`),
+			want: badRequest(`service: "a/b" is not a valid name: want 1 to 128 bytes without / and control characters`),
 		},
-		"invalid version": {body: text, ifMatch: "x", want: badRequest(`If-Match: "x" is no version`)},
+		"invalid version": {body: text, ifMatch: "x", want: badRequest(`If-Match: "x" is not a version`)},
 		"another version": {body: text, ifMatch: fmt.Sprint(newest + 9), want: conflict(newest + 9)},
 		"no version yet":  {body: text, ifMatch: "0", want: conflict(0)},
 	} {
--- a/internal/discovery/server/settings_validation.go
+++ b/internal/discovery/server/settings_validation.go
@@ -45,7 +45,7 @@
 func rejectAgentKeys(keys map[string]json.RawMessage) error {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		if strings.EqualFold(key, "index") || strings.EqualFold(key, "zone") {
-			return fmt.Errorf("settings: %s: is each agent's own, leave it out", strings.ToLower(key))
+			return fmt.Errorf("settings: %s: is set per agent and must be omitted", strings.ToLower(key))
 		}
 	}
 	return nil
@@ -59,7 +59,7 @@
 		!strings.Contains(service, "/") &&
 		!strings.ContainsFunc(service, unicode.IsControl)
 	if !valid {
-		return fmt.Errorf("service: %.40q is no name: want 1 to %d bytes, no / and no control characters",
+		return fmt.Errorf("service: %.40q is not a valid name: want 1 to %d bytes without / and control characters",
 			service, maxNameBytes)
 	}
 	return nil
--- a/internal/discovery/server/settings_validation_test.go
+++ b/internal/discovery/server/settings_validation_test.go
@@ -16,8 +16,8 @@
 		"type":       {`"maxAttempts":3`, `"maxAttempts":"3"`, "limits.maxAttempts"},
 		"value":      {`"aimMs":20`, `"aimMs":0`, "classes[0].aimMs"},
 		"mode":       {`"pushed"`, `"pulled"`, "membershipMode"},
-		"index":      {`"roundMs"`, `"index":0,"roundMs"`, "index: is each agent's own"},
-		"zone":       {`"roundMs"`, `"ZONE":0,"roundMs"`, "zone: is each agent's own"},
+		"index":      {`"roundMs"`, `"index":0,"roundMs"`, "index: is set per agent"},
+		"zone":       {`"roundMs"`, `"ZONE":0,"roundMs"`, "zone: is set per agent"},
 		"zone names": {`"roundMs"`, `"failureDomains":[1],"roundMs"`, "failureDomains"},
 	} {
 		err := validateSettings([]byte(strings.Replace(SettingsText(1), c.old, c.new, 1)))
--- a/internal/discovery/server/writes.go
+++ b/internal/discovery/server/writes.go
@@ -104,7 +104,7 @@
 func validateEndpoint(entry endpoint.Endpoint, id string) error {
 	switch {
 	case entry.ID != id:
-		return fmt.Errorf("id %q in the body is not %q of the path", entry.ID, id)
+		return fmt.Errorf("id %q in the body differs from %q in the path", entry.ID, id)
 	case entry.Addr == "":
 		return errors.New("addr: missing")
 	case entry.State != endpoint.StateUp && entry.State != endpoint.StateDraining:
