--- a/internal/discovery/server/agent_reports.go
+++ b/internal/discovery/server/agent_reports.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// ofService returns the unexpired reports of a service's agents, ordered by agent name.
-func (r *reportRegistry) ofService(service string, now time.Time) []AgentReport {
+// forService returns the unexpired reports of a service's agents, ordered by agent name.
+func (r *reportRegistry) forService(service string, now time.Time) []AgentReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reports := []AgentReport{}
--- a/internal/discovery/server/agent_reports_test.go
+++ b/internal/discovery/server/agent_reports_test.go
@@ -16,12 +16,12 @@
 		report := SettingsReport{InForce: uint64(i)}
 		registry.record("a", fmt.Sprint("agent-", i), report, now.Add(time.Duration(i)))
 	}
-	got := registry.ofService("a", now.Add(time.Minute))
+	got := registry.forService("a", now.Add(time.Minute))
 	isEvicted := func(report AgentReport) bool { return report.InForce < 10 }
 	if len(got) != maxReports || slices.ContainsFunc(got, isEvicted) {
 		t.Errorf("%d agents remembered, want the last %d", len(got), maxReports)
 	}
-	if got := registry.ofService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
+	if got := registry.forService("a", now.Add(reportRetention+time.Minute)); len(got) != 0 {
 		t.Errorf("%d agents remembered after %v", len(got), reportRetention)
 	}
 	reason := oneLine("no\nroom"+strings.Repeat("é", 200), maxReasonBytes)
--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -18,7 +18,7 @@
 // catchUp waits after a store outage until this instance has applied everything that the leader has
 // committed; from then on the list no longer counts as stale because of the outage. A heartbeat from
 // the leader is not enough, as it arrives before the missed entries. outages is the number of outages
-// so far; see storeHealth.caughtUp.
+// so far; see storeHealth.markCaughtUp.
 func (n *Node) catchUp(outages int) {
 	for !n.appliedAllCommitted() {
 		select {
@@ -27,7 +27,7 @@
 			return
 		}
 	}
-	n.store.health.caughtUp(outages)
+	n.store.health.markCaughtUp(outages)
 }
 
 // appliedAllCommitted requests the leader's progress and reports whether this instance reaches it
--- a/internal/discovery/server/data_dir.go
+++ b/internal/discovery/server/data_dir.go
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("data_dir %s: format %q, this program reads %d or older", e.Dir, e.Format, dataFormat)
 }
 
-// claimDataDir creates the data directory or, if it exists, checks that its format is supported. It
+// prepareDataDir creates the data directory or, if it exists, checks that its format is supported. It
 // then records this program's format in it.
-func claimDataDir(dir string) error {
+func prepareDataDir(dir string) error {
 	if err := os.MkdirAll(dir, dataDirMode); err != nil {
 		return fmt.Errorf("data_dir: %w", err)
 	}
--- a/internal/discovery/server/data_dir_test.go
+++ b/internal/discovery/server/data_dir_test.go
@@ -23,7 +23,7 @@
 	for _, format := range []string{"3", "", "two"} {
 		dir := writeDataFormat(t, format+"\n")
 		var rejected *DataFormatError
-		if err := claimDataDir(dir); !errors.As(err, &rejected) || rejected.Dir != dir || rejected.Format != format {
+		if err := prepareDataDir(dir); !errors.As(err, &rejected) || rejected.Dir != dir || rejected.Format != format {
 			t.Errorf("format %q: %v, want a DataFormatError", format, err)
 			continue
 		}
@@ -42,7 +42,7 @@
 		writeDataFormat(t, "1\n"),
 		writeDataFormat(t, "2\n"),
 	} {
-		if err := claimDataDir(dir); err != nil {
+		if err := prepareDataDir(dir); err != nil {
 			t.Errorf("%s: %v", dir, err)
 			continue
 		}
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -12,9 +12,9 @@
 // finds it stale.
 const freshnessMargin = time.Millisecond
 
-// rejectStale responds with 503 if this instance may not serve reads, and reports whether it did. If
+// rejectIfStale responds with 503 if this instance may not serve reads, and reports whether it did. If
 // it did not, it also returns how long this instance may serve reads. ctx is the request's context.
-func (n *Node) rejectStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
+func (n *Node) rejectIfStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
 	remaining, err := n.freshness()
 	if err != nil && n.awaitCaughtUp(ctx) {
 		remaining, err = n.freshness()
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -65,9 +65,9 @@
 	return value, nil
 }
 
-// rejectWithoutStore responds to a write with 503 if the store is unavailable, and reports whether it
+// rejectIfStoreUnavailable responds to a write with 503 if the store is unavailable, and reports whether it
 // did.
-func (n *Node) rejectWithoutStore(w http.ResponseWriter) bool {
+func (n *Node) rejectIfStoreUnavailable(w http.ResponseWriter) bool {
 	err := n.store.available()
 	if err == nil {
 		return false
@@ -80,7 +80,7 @@
 // no leader is known or this instance's store is unavailable. It reports whether it responded; if
 // not, this instance is the leader.
 func (n *Node) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
-	if n.rejectWithoutStore(w) {
+	if n.rejectIfStoreUnavailable(w) {
 		return true
 	}
 	if n.isLeader() {
--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -62,7 +62,7 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	if err := claimDataDir(cfg.DataDir); err != nil {
+	if err := prepareDataDir(cfg.DataDir); err != nil {
 		return nil, err
 	}
 	n := newNode(cfg, log)
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -34,15 +34,15 @@
 		return fmt.Errorf("raft_addr: %w", err)
 	}
 	n.peers[raft.ServerID(n.cfg.ID)] = Peer{ID: n.cfg.ID, Raft: ln.Addr().String(), Admin: n.cfg.AdminAddr}
-	if err := n.runMember(ln); err != nil {
+	if err := n.startMember(ln); err != nil {
 		_ = ln.Close() // err is the cause
 		return err
 	}
 	return nil
 }
 
-// runMember starts the Raft member on a listener.
-func (n *Node) runMember(ln net.Listener) error {
+// startMember starts the Raft member on a listener.
+func (n *Node) startMember(ln net.Listener) error {
 	config := n.raftConfig()
 	store, err := n.openStore()
 	if err != nil {
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return write, err
 	}
-	if err := validateName(write.Service); err != nil {
+	if err := validateServiceName(write.Service); err != nil {
 		return write, err
 	}
 	if err := validateSettings(text); err != nil {
@@ -123,7 +123,7 @@
 // oldest first. If there are none, or if this instance may not serve reads, it responds with an error
 // and returns false.
 func (n *Node) storedSettings(w http.ResponseWriter, r *http.Request) ([]SettingsVersion, bool) {
-	if _, stale := n.rejectStale(r.Context(), w); stale {
+	if _, stale := n.rejectIfStale(r.Context(), w); stale {
 		return nil, false
 	}
 	service := serviceName(r)
@@ -142,7 +142,7 @@
 	reports := AgentReports{
 		ID:      n.cfg.ID,
 		Service: service,
-		Agents:  n.reports.ofService(service, time.Now()),
+		Agents:  n.reports.forService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
 	// Read after the reports, so that no agent in them has a newer version than this one.
--- a/internal/discovery/server/settings_validation.go
+++ b/internal/discovery/server/settings_validation.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// validateName returns an error if the name of a service is invalid.
-func validateName(service string) error {
+// validateServiceName returns an error if the name of a service is invalid.
+func validateServiceName(service string) error {
 	valid := service != "" && service != "." && service != ".." &&
 		len(service) <= maxNameBytes &&
 		utf8.ValidString(service) &&
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -51,8 +51,8 @@
 	Server endpoint.Endpoint `json:"server"`
 }
 
-// settingsChannels is the number of channels that service names are hashed to; see settingsChannel.
-const settingsChannels = 256
+// settingsChannelCount is the number of channels that service names are hashed to; see settingsChannel.
+const settingsChannelCount = 256
 
 // stateMachine is the replicated state (raft.FSM): the servers, their last changes, and the last
 // versions of each service's settings. It is safe for concurrent use.
@@ -76,8 +76,8 @@
 	responsesMu sync.Mutex
 	responses   map[responseKey][]byte
 
-	settings        map[string][]SettingsVersion    // by service, oldest first
-	settingsChanged [settingsChannels]chan struct{} // like changed; see settingsChannel
+	settings        map[string][]SettingsVersion        // by service, oldest first
+	settingsChanged [settingsChannelCount]chan struct{} // like changed; see settingsChannel
 }
 
 // newStateMachine returns an empty state that keeps up to maxChanges changes for watches.
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -103,7 +103,7 @@
 	return true
 }
 
-// endOutage ends the current outage and returns the number of outages so far, for caughtUp.
+// endOutage ends the current outage and returns the number of outages so far, for markCaughtUp.
 func (h *storeHealth) endOutage() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +113,7 @@
 }
 
 // recordLag records a period since which the store was slow, and which has ended, as an outage. It
-// returns the number of outages so far, for caughtUp.
+// returns the number of outages so far, for markCaughtUp.
 func (h *storeHealth) recordLag(since time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,9 +136,9 @@
 	}
 }
 
-// caughtUp records that the list has everything committed by the end of an outage. outages is the number
-// of outages at that time: if another one has started since, caughtUp does nothing.
-func (h *storeHealth) caughtUp(outages int) {
+// markCaughtUp records that the list has everything committed by the end of an outage. outages is the number
+// of outages at that time: if another one has started since, markCaughtUp does nothing.
+func (h *storeHealth) markCaughtUp(outages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.outages == outages {
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -61,11 +61,11 @@
 	return check()
 }
 
-// metaPages is the number of meta pages at the start of a bbolt file.
-const metaPages = 2
+// metaPageCount is the number of meta pages at the start of a bbolt file.
+const metaPageCount = 2
 
 // metaPagesSize returns the total size of the meta pages in bytes.
-func metaPagesSize() int { return metaPages * os.Getpagesize() }
+func metaPagesSize() int { return metaPageCount * os.Getpagesize() }
 
 // rewriteMetaPages rewrites the two meta pages of a bbolt file unchanged, and syncs them.
 //
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -55,21 +55,21 @@
 		}
 	case err != nil && !errors.Is(err, os.ErrNotExist):
 		return nil, err
-	case wasCreated(dir):
+	case storeWasCreated(dir):
 		return nil, &StoreDamageError{Path: path, Err: errors.New("missing or empty, but the directory had a store")}
 	}
 	store, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := markCreated(dir); err != nil {
+	if err := markStoreCreated(dir); err != nil {
 		log.Warn("marking the store as created failed", "err", err)
 	}
 	return store, nil
 }
 
-// wasCreated reports whether the directory has had a store.
-func wasCreated(dir string) bool {
+// storeWasCreated reports whether the directory has had a store.
+func storeWasCreated(dir string) bool {
 	if _, err := os.Stat(filepath.Join(dir, createdFile)); err == nil {
 		return true
 	}
@@ -77,8 +77,8 @@
 	return len(snapshots) > 0
 }
 
-// markCreated records that the directory has a store.
-func markCreated(dir string) error {
+// markStoreCreated records that the directory has a store.
+func markStoreCreated(dir string) error {
 	file, err := os.OpenFile(filepath.Join(dir, createdFile), os.O_CREATE|os.O_WRONLY, dataFileMode)
 	if err != nil {
 		return err
@@ -154,15 +154,15 @@
 	if err != nil {
 		return err
 	}
-	from, err := newestSnapshot(snapshots)
+	snapshotIndex, err := newestSnapshotIndex(snapshots)
 	if err != nil {
 		return err
 	}
 	var term uint64
-	for index := from + 1; index <= last; index++ {
+	for index := snapshotIndex + 1; index <= last; index++ {
 		var entry raft.Log
 		if err := store.GetLog(index, &entry); err != nil {
-			return fmt.Errorf("entry %d after the newest readable snapshot (%d): %w", index, from, err)
+			return fmt.Errorf("entry %d after the newest readable snapshot (%d): %w", index, snapshotIndex, err)
 		}
 		if err := checkEntry(&entry, index, term); err != nil {
 			return fmt.Errorf("entry %d: %w", index, err)
@@ -172,8 +172,8 @@
 	return checkTerm(store, term)
 }
 
-// newestSnapshot returns the last index of the newest readable snapshot, or 0 if there is none.
-func newestSnapshot(snapshots raft.SnapshotStore) (uint64, error) {
+// newestSnapshotIndex returns the last index of the newest readable snapshot, or 0 if there is none.
+func newestSnapshotIndex(snapshots raft.SnapshotStore) (uint64, error) {
 	listed, err := snapshots.List()
 	if err != nil {
 		return 0, err
@@ -191,12 +191,12 @@
 
 // checkEntry returns an error if the entry read at an index is invalid, or if its term is older than
 // that of the entry before it.
-func checkEntry(entry *raft.Log, index, termBefore uint64) error {
+func checkEntry(entry *raft.Log, index, previousTerm uint64) error {
 	switch {
 	case entry.Index != index:
 		return fmt.Errorf("stored with index %d", entry.Index)
-	case entry.Term < termBefore:
-		return fmt.Errorf("term %d after term %d", entry.Term, termBefore)
+	case entry.Term < previousTerm:
+		return fmt.Errorf("term %d after term %d", entry.Term, previousTerm)
 	case entry.Type == raft.LogCommand && !json.Valid(entry.Data):
 		return errors.New("not a command")
 	}
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -44,7 +44,7 @@
 	request.agent = query.Get(endpoint.QueryAgent)
 	request.report = report
 	request.knownSettings = max(report.InForce, report.Rejected)
-	return request, validateName(request.service)
+	return request, validateServiceName(request.service)
 }
 
 // parseSettingsReport parses the query parameters with which an agent reports the state of its settings.
@@ -73,7 +73,7 @@
 	if err == nil && request.service != "" && request.agent != "" {
 		n.reports.record(request.service, request.agent, request.report, time.Now())
 	}
-	if _, stale := n.rejectStale(r.Context(), w); stale {
+	if _, stale := n.rejectIfStale(r.Context(), w); stale {
 		return
 	}
 	if err != nil {
@@ -95,7 +95,7 @@
 	defer timeout.Stop()
 	answerNow := request.wait == 0
 	for {
-		remaining, stale := n.rejectStale(ctx, w)
+		remaining, stale := n.rejectIfStale(ctx, w)
 		if stale {
 			return
 		}
