--- a/internal/discovery/server/store.go
+++ b/internal/discovery/server/store.go
@@ -32,18 +32,18 @@
 
 // The values of StoreOperation.
 const (
-	// AppendEntries appends entries to the log.
-	AppendEntries StoreOperation = "append entries"
-	// RemoveEntries removes entries from the log.
-	RemoveEntries StoreOperation = "remove entries"
-	// ReadEntry reads an entry of the log.
-	ReadEntry StoreOperation = "read an entry"
-	// SaveTerm saves the current term.
-	SaveTerm StoreOperation = "save the term"
-	// SaveVote saves the candidate that received the vote.
-	SaveVote StoreOperation = "save the vote"
-	// SaveVoteTerm saves the term in which the vote was cast.
-	SaveVoteTerm StoreOperation = "save the term of the vote"
+	// OpAppendEntries appends entries to the log.
+	OpAppendEntries StoreOperation = "append entries"
+	// OpRemoveEntries removes entries from the log.
+	OpRemoveEntries StoreOperation = "remove entries"
+	// OpReadEntry reads an entry of the log.
+	OpReadEntry StoreOperation = "read an entry"
+	// OpSaveTerm saves the current term.
+	OpSaveTerm StoreOperation = "save the term"
+	// OpSaveVote saves the candidate that received the vote.
+	OpSaveVote StoreOperation = "save the vote"
+	// OpSaveVoteTerm saves the term in which the vote was cast.
+	OpSaveVoteTerm StoreOperation = "save the term of the vote"
 )
 
 // StoreError reports that a store operation failed, or was not started because an earlier one had
--- a/internal/discovery/server/store_retry.go
+++ b/internal/discovery/server/store_retry.go
@@ -104,9 +104,9 @@
 // StoreLogs appends entries. A leader's append fails immediately; a follower's is retried.
 func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
 	if s.isLeader() {
-		return s.write(AppendEntries, s.appendEntries(entries))
+		return s.write(OpAppendEntries, s.appendEntries(entries))
 	}
-	return s.writeUntilDone(AppendEntries, s.appendEntries(entries))
+	return s.writeUntilDone(OpAppendEntries, s.appendEntries(entries))
 }
 
 // appendEntries returns a function for write that appends entries. If it fails, it records which
@@ -123,12 +123,12 @@
 
 // DeleteRange removes entries, with retries.
 func (s *retryingStore) DeleteRange(first, last uint64) error {
-	return s.writeUntilDone(RemoveEntries, func() error { return s.Store.DeleteRange(first, last) })
+	return s.writeUntilDone(OpRemoveEntries, func() error { return s.Store.DeleteRange(first, last) })
 }
 
 // Set saves the candidate that received the vote. It is not retried.
 func (s *retryingStore) Set(key, value []byte) error {
-	return s.write(SaveVote, func() error { return s.Store.Set(key, value) })
+	return s.write(OpSaveVote, func() error { return s.Store.Set(key, value) })
 }
 
 // SetUint64 saves the current term, with retries, or the term of the vote, without retries. A term that
@@ -136,12 +136,12 @@
 // term must not replace a newer one.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	if string(key) != string(keyCurrentTerm) {
-		return s.write(SaveVoteTerm, func() error { return s.Store.SetUint64(key, value) })
+		return s.write(OpSaveVoteTerm, func() error { return s.Store.SetUint64(key, value) })
 	}
 	if value <= s.savedTerm.Load() {
 		return nil
 	}
-	err := s.writeUntilDone(SaveTerm, func() error { return s.saveTerm(value) })
+	err := s.writeUntilDone(OpSaveTerm, func() error { return s.saveTerm(value) })
 	if err != nil {
 		blockForever()
 	}
@@ -181,7 +181,7 @@
 		if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 			return err
 		}
-		s.beginOutage(&StoreError{Operation: ReadEntry, Err: err}, checkRead)
+		s.beginOutage(&StoreError{Operation: OpReadEntry, Err: err}, checkRead)
 		if !s.awaitRecovery() {
 			blockForever()
 		}
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	faulty.Fail(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
-	if err := store.write(AppendEntries, store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
+	if err := store.write(OpAppendEntries, store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("append: %v", err)
 	}
 	faulty.Fail(nil)
@@ -158,7 +158,7 @@
 	release := make(chan error)
 	hang := func() error { return <-release }
 	done := make(chan error, 1)
-	go func() { done <- store.write(AppendEntries, hang) }()
+	go func() { done <- store.write(OpAppendEntries, hang) }()
 	isUnavailable := func() bool { return errors.Is(store.available(), errStoreTimeout) }
 	if err := processtest.Await(waitTimeout, "an outage", isUnavailable); err != nil {
 		t.Fatal(err)
