--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -19,12 +19,12 @@
 	defaultTrailingLogs    = 1024
 )
 
-// Peer is another instance of the cluster. Raft is the Raft address at which this instance reaches
-// it; Admin is its admin address, to which writes are redirected while it is the leader.
+// Peer is another instance of the cluster. RaftAddr is the Raft address at which this instance reaches
+// it; AdminAddr is its admin address, to which writes are redirected while it is the leader.
 type Peer struct {
-	ID    string `toml:"id"`
-	Raft  string `toml:"raft"`
-	Admin string `toml:"admin"`
+	ID        string `toml:"id"`
+	RaftAddr  string `toml:"raft"`
+	AdminAddr string `toml:"admin"`
 }
 
 // Config is the configuration of an instance, which Load reads from a TOML file. An address is
@@ -140,10 +140,10 @@
 			return &KeyError{Key: fmt.Sprintf("peers[%d].id", i), Problem: "missing or duplicate"}
 		}
 		ids[peer.ID] = true
-		if err := validateAddress(fmt.Sprintf("peers[%d].raft", i), peer.Raft); err != nil {
+		if err := validateAddress(fmt.Sprintf("peers[%d].raft", i), peer.RaftAddr); err != nil {
 			return err
 		}
-		if err := validateAddress(fmt.Sprintf("peers[%d].admin", i), peer.Admin); err != nil {
+		if err := validateAddress(fmt.Sprintf("peers[%d].admin", i), peer.AdminAddr); err != nil {
 			return err
 		}
 	}
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -91,6 +91,6 @@
 		writeUnavailable(w, err)
 		return true
 	}
-	http.Redirect(w, r, "http://"+leader.Admin+r.URL.RequestURI(), http.StatusTemporaryRedirect)
+	http.Redirect(w, r, "http://"+leader.AdminAddr+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 	return true
 }
--- a/internal/discovery/server/nodes_test.go
+++ b/internal/discovery/server/nodes_test.go
@@ -105,7 +105,7 @@
 	var peers []server.Peer
 	for i, config := range configs {
 		if i != instance {
-			peers = append(peers, server.Peer{ID: config.ID, Raft: config.RaftAddr, Admin: config.AdminAddr})
+			peers = append(peers, server.Peer{ID: config.ID, RaftAddr: config.RaftAddr, AdminAddr: config.AdminAddr})
 		}
 	}
 	return peers
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return fmt.Errorf("raft_addr: %w", err)
 	}
-	n.peers[raft.ServerID(n.cfg.ID)] = Peer{ID: n.cfg.ID, Raft: ln.Addr().String(), Admin: n.cfg.AdminAddr}
+	n.peers[raft.ServerID(n.cfg.ID)] = Peer{ID: n.cfg.ID, RaftAddr: ln.Addr().String(), AdminAddr: n.cfg.AdminAddr}
 	if err := n.startMember(ln); err != nil {
 		_ = ln.Close() // err is the cause
 		return err
@@ -139,7 +139,7 @@
 	}
 	servers := []raft.Server{{ID: raft.ServerID(n.cfg.ID), Address: address}}
 	for _, peer := range n.cfg.Peers {
-		servers = append(servers, raft.Server{ID: raft.ServerID(peer.ID), Address: raft.ServerAddress(peer.Raft)})
+		servers = append(servers, raft.Server{ID: raft.ServerID(peer.ID), Address: raft.ServerAddress(peer.RaftAddr)})
 	}
 	return n.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 }
@@ -151,7 +151,7 @@
 	if !ok {
 		return "", fmt.Errorf("discovery: unknown peer %q", id)
 	}
-	return raft.ServerAddress(peer.Raft), nil
+	return raft.ServerAddress(peer.RaftAddr), nil
 }
 
 // streamLayer is a raft.StreamLayer whose traffic is counted.
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return status, err
 	}
-	url := "http://" + leader.Admin + endpoint.StatusPath + "?" + endpoint.QueryConsistent + "=true"
+	url := "http://" + leader.AdminAddr + endpoint.StatusPath + "?" + endpoint.QueryConsistent + "=true"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return status, err
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -148,7 +148,7 @@
 	// Read after the reports, so that no agent in them has a newer version than this one.
 	reports.Version = newestSettings(n.state.history(service)).Version
 	for _, peer := range n.cfg.Peers {
-		reports.Peers[peer.ID] = peer.Admin
+		reports.Peers[peer.ID] = peer.AdminAddr
 	}
 	writeJSON(w, reports)
 }
