--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -42,7 +42,7 @@
 	hasApplied := func() bool {
 		return n.raft.AppliedIndex() >= committed.applied && n.state.currentVersion() >= committed.version
 	}
-	return n.poll(context.Background(), catchUpTimeout, catchUpInterval, hasApplied)
+	return n.awaitCondition(context.Background(), catchUpTimeout, catchUpInterval, hasApplied)
 }
 
 // awaitCaughtUp waits up to readIndexTimeout for this instance to catch up, for example after a
@@ -50,14 +50,14 @@
 func (n *Node) awaitCaughtUp(ctx context.Context) bool {
 	caughtUp := func() bool { return n.store.behindSince().IsZero() }
 	caughtUpOrOutage := func() bool { return caughtUp() || n.store.available() != nil }
-	return n.poll(ctx, readIndexTimeout, readWaitInterval, caughtUpOrOutage) && caughtUp()
+	return n.awaitCondition(ctx, readIndexTimeout, readWaitInterval, caughtUpOrOutage) && caughtUp()
 }
 
-// poll checks a condition immediately and then at an interval. It reports whether the condition was
-// met before the timeout, before ctx was done and before the instance was closed. It is for conditions
-// without an event: hashicorp/raft does not signal changes of the applied index, and a hanging write
-// becomes an outage by its duration alone.
-func (n *Node) poll(ctx context.Context, timeout, interval time.Duration, met func() bool) bool {
+// awaitCondition checks a condition immediately and then at an interval. It reports whether the
+// condition was met before the timeout, before ctx was done and before the instance was closed. It is
+// for conditions without an event: hashicorp/raft does not signal changes of the applied index, and a
+// hanging write becomes an outage by its duration alone.
+func (n *Node) awaitCondition(ctx context.Context, timeout, interval time.Duration, met func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(interval)
--- a/internal/discovery/server/raft_member.go
+++ b/internal/discovery/server/raft_member.go
@@ -61,7 +61,7 @@
 	}
 	n.raft = member
 	n.store = store
-	store.attach(&storeMember{raft: member, recovered: n.catchUp})
+	store.attach(&storeMember{raft: member, onRecovered: n.catchUp})
 	if !n.cfg.Bootstrap {
 		return nil
 	}
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -14,8 +14,8 @@
 // versions that most watches have.
 const maxCachedResponses = 64
 
-// watchQuery is what a watch requests: the changes since a version, or the full list; and, if it gives
-// a service, that service's settings if they are newer than those that its agent has.
+// watchQuery is what a watch requests: the changes since a version, or the full list; and, if it
+// specifies a service, that service's settings if they are newer than those that its agent has.
 type watchQuery struct {
 	version       uint64
 	full          bool
@@ -39,7 +39,7 @@
 	// changed is closed at the next change of a server.
 	changed <-chan struct{}
 	// settingsChanged is closed at the next write of the service's settings, and possibly at a write
-	// of another service's settings (see settingsChannel); nil: the query gives no service.
+	// of another service's settings (see settingsChannel); nil: the query has no service.
 	settingsChanged <-chan struct{}
 }
 
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// markCaughtUp records that the list has everything committed by the end of an outage. outages is the number
-// of outages at that time: if another one has started since, markCaughtUp does nothing.
+// markCaughtUp records that the list has everything committed by the end of an outage. outages is the
+// number of outages at that time: if another one has started since, markCaughtUp does nothing.
 func (h *storeHealth) markCaughtUp(outages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/discovery/server/store_retry.go
+++ b/internal/discovery/server/store_retry.go
@@ -50,8 +50,8 @@
 
 // storeMember is the Raft member that uses a store.
 type storeMember struct {
-	raft      *raft.Raft
-	recovered func(outages int) // called after each outage with the number of outages so far
+	raft        *raft.Raft
+	onRecovered func(outages int) // called after each outage with the number of outages so far
 }
 
 // newRetryingStore wraps a working store. Its goroutines end when closed is closed.
@@ -78,7 +78,7 @@
 // notifyRecovered starts the member's catch-up after an outage, if a member is attached.
 func (s *retryingStore) notifyRecovered(outages int) {
 	if member := s.member.Load(); member != nil {
-		go member.recovered(outages)
+		go member.onRecovered(outages)
 	}
 }
 
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -64,7 +64,7 @@
 // serveEndpoints responds to GET /api/targets: without index with the full list, otherwise with the
 // changes since the version index, after waiting up to wait milliseconds (at most 60,000) for a change.
 //
-// If the request gives a service, it also gets a response once the service's settings are newer than
+// If the request has a service, it also gets a response once the service's settings are newer than
 // those that its agent has, and the agent's report is recorded. A follower that has had no contact
 // with a leader within MaxStale responds with 503, also to an open watch. For an index that is newer
 // than the list applied by this instance, see awaitVersion.
@@ -93,23 +93,23 @@
 func (n *Node) watch(ctx context.Context, w http.ResponseWriter, request watchRequest) {
 	timeout := time.NewTimer(request.wait)
 	defer timeout.Stop()
-	answerNow := request.wait == 0
+	respondNow := request.wait == 0
 	for {
 		remaining, stale := n.rejectIfStale(ctx, w)
 		if stale {
 			return
 		}
 		response := n.state.changesSince(request.watchQuery)
-		if response.hasUpdate || answerNow {
+		if response.hasUpdate || respondNow {
 			writeList(w, response.body)
 			return
 		}
 		select {
 		case <-response.changed:
-			answerNow = true // even if the change turns out not to affect this watch
+			respondNow = true // even if the change turns out not to affect this watch
 		case <-response.settingsChanged: // possibly another service's settings, so check again
 		case <-timeout.C:
-			answerNow = true
+			respondNow = true
 		case <-time.After(remaining): // check again whether the list is stale
 		case <-ctx.Done():
 			return
