--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -12,37 +12,38 @@
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
-// connKey is the context key of a request's *clientConn.
+// connKey is the context key of the *clientConn that a request arrived on.
 type connKey struct{}
 
-// clientConn is a client's connection that reports whether this agent has closed it, and that can be closed
-// between two requests without losing one that has just arrived.
+// clientConn is a client connection. It records whether this agent has closed it, and it can be closed between two
+// requests without losing a request that has just arrived.
 type clientConn struct {
 	net.Conn
-	release      func() // gives its slot back
+	release      func() // releases its slot
 	closed       atomic.Bool
-	requestBegun atomic.Bool // bytes have arrived since it was idle last
-	// queuedAt is when its first request may have arrived, where that waited to be accepted. It belongs to the
-	// goroutine that serves the connection.
+	requestBegun atomic.Bool // bytes have arrived since it was last idle
+	// queuedAt is the earliest time at which its first request may have arrived, if the connection waited to be accepted;
+	// zero otherwise. It is owned by the goroutine that serves the connection.
 	queuedAt time.Time
 
 	mu           sync.Mutex
-	closeIfIdle  bool      // its reader was woken to close it if no bytes have arrived
-	readDeadline time.Time // the reader's own deadline
-	mayReadLate  bool      // readLate may be called once that deadline has passed
+	closeIfIdle  bool      // the reader was woken to close the connection if no bytes have arrived
+	readDeadline time.Time // the deadline that the reader has set
+	mayReadLate  bool      // readLate may read once after that deadline
 }
 
-// closeWhenIdle has the connection closed by its reader, unless a request has begun.
+// closeWhenIdle makes the reader close the connection, unless a request has begun.
 func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.requestBegun.Load() {
 		c.closeIfIdle = true
-		_ = c.Conn.SetReadDeadline(socket.Expired) // fails only once it is closed
+		_ = c.Conn.SetReadDeadline(socket.Expired) // fails only if already closed
 	}
 }
 
-// SetReadDeadline sets the reader's deadline; for a reader that was woken to close it is set later.
+// SetReadDeadline sets the read deadline. If the reader has just been woken to close the connection, wokenToClose
+// applies the deadline later.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,8 +55,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// wokenToClose reports whether the reader was woken to close the connection, and restores its own deadline:
-// nothing can be read under one that has passed.
+// wokenToClose reports whether the reader was woken to close the connection. If so it restores the reader's own
+// deadline, because nothing can be read after the expired one.
 func (c *clientConn) wokenToClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,12 +64,12 @@
 		return false
 	}
 	c.closeIfIdle = false
-	_ = c.Conn.SetReadDeadline(c.readDeadline) // fails only once it is closed
+	_ = c.Conn.SetReadDeadline(c.readDeadline) // fails only if already closed
 	return true
 }
 
-// Read is where a connection that is to be closed ends, or whose deadline has passed. It checks once more for
-// bytes that have arrived, so that no request is lost that was there before.
+// Read reads from the connection. After a deadline, or a request to close the connection, it checks once more for bytes
+// that have arrived, so that no request received by then is lost.
 func (c *clientConn) Read(buffer []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(buffer)
@@ -90,8 +91,8 @@
 	}
 }
 
-// readLate reads bytes that arrived before the deadline and were not read in time, as the process was delayed.
-// It does so once for each deadline: a client that keeps sending gains no time by it.
+// readLate reads bytes that arrived before the deadline but were not read in time because the process was delayed. It
+// does so once per deadline, so that a client gains no time by sending continuously.
 func (c *clientConn) readLate(buffer []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,20 +106,20 @@
 		return 0
 	}
 	n := 0
-	// Control works past the deadline, unlike Read.
+	// Unlike Read, Control works after the deadline.
 	if err := raw.Control(func(fd uintptr) { n = socket.ReadNow(int(fd), buffer) }); err != nil {
 		return 0
 	}
 	return n
 }
 
-// peerClosed reports whether the client has closed its side, also behind bytes that nobody has read: a server
-// that has read ahead of a request, or leaves its body unread, does not notice.
+// peerClosed reports whether the client has closed its side, even if bytes before the close are still unread. The HTTP
+// server does not notice such a close after it has read ahead or left a request body unread.
 func (c *clientConn) peerClosed() bool {
 	return socket.PeerClosed(c.Conn)
 }
 
-// Close closes the connection and gives its slot back, once.
+// Close closes the connection. The first call releases its slot.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	if !c.closed.Swap(true) {
--- a/internal/agent/downstream/conn_test.go
+++ b/internal/agent/downstream/conn_test.go
@@ -13,13 +13,13 @@
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
-// drainSweepPeriod is how often a test has an idle connection closed, as the sweep of a draining server does.
+// drainSweepPeriod is how often a test tries to close an idle connection, as a draining server does.
 const drainSweepPeriod = 20 * time.Millisecond
 
-// readBufferSize is longer than anything that a test sends at once.
+// readBufferSize is longer than any text that a test sends at once.
 const readBufferSize = 10
 
-// clientPair is a client's end of a connection and the agent's.
+// clientPair returns the client's and the agent's end of a connection.
 func clientPair(t *testing.T) (client net.Conn, conn *clientConn) {
 	t.Helper()
 	ln := agenttest.Listen(t)
@@ -38,7 +38,6 @@
 	return client, accepted.(*clientConn)
 }
 
-// send writes to a connection.
 func send(t *testing.T, client net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(client, text); err != nil {
@@ -46,12 +45,13 @@
 	}
 }
 
-// sendAfter writes to a connection after a delay. Where the write fails the read of its bytes does too.
+// sendAfter writes to a connection after a delay. It ignores a failed write, because the read of these bytes then fails
+// too.
 func sendAfter(delay time.Duration, client net.Conn, text string) {
 	time.AfterFunc(delay, func() { _, _ = io.WriteString(client, text) })
 }
 
-// waitForBytes waits until bytes have arrived that are not read yet.
+// waitForBytes waits until unread bytes have arrived.
 func waitForBytes(t *testing.T, conn *clientConn) {
 	t.Helper()
 	agenttest.WaitUntil(t, "bytes have arrived", func() bool {
@@ -75,7 +75,7 @@
 	}
 }
 
-// wantReadTimeout checks that the next read ends by its deadline.
+// wantReadTimeout checks that the next read fails because of its deadline.
 func wantReadTimeout(t *testing.T, conn net.Conn) {
 	t.Helper()
 	n, err := conn.Read(make([]byte, readBufferSize))
@@ -84,14 +84,14 @@
 	}
 }
 
-// A check whether a connection may be closed leaves its reader's deadline as it was, whichever of the two comes first,
-// and however often it is made: a request that has begun has the time that it had.
+// closeWhenIdle must not change the deadline of the reader, whether it is called before or after SetReadDeadline and
+// however often: otherwise a request that has begun would be cut off or kept open for too long.
 func TestCloseWhenIdleKeepsTheReadersDeadline(t *testing.T) {
 	t.Run("a request in progress is not cut off", func(t *testing.T) {
 		client, conn := clientPair(t)
 		setReadDeadline(t, conn, time.Time{})
 		conn.closeWhenIdle()
-		conn.requestBegun.Store(true) // the head came during the check
+		conn.requestBegun.Store(true) // the head arrived in the meantime
 		sendAfter(requestHeadTimeout+200*time.Millisecond, client, "x")
 		wantRead(t, conn, "x")
 	})
@@ -110,13 +110,13 @@
 			select {
 			case err := <-ended:
 				if !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("ended with %v", err)
+					t.Errorf("read ended with %v, want a timeout", err)
 				}
 				return
 			case <-time.After(drainSweepPeriod):
 				conn.closeWhenIdle()
 			case <-timeout:
-				t.Fatal("a client that has sent half a head stays connected during a drain")
+				t.Fatal("connection with half a head is still open during a drain")
 			}
 		}
 	})
@@ -128,12 +128,12 @@
 	})
 }
 
-// What arrived before the reader's deadline is read, also where the process was delayed and checks only after it:
-// closing would lose a request that came in time.
+// Bytes that arrive before the reader's deadline are read even if the process is delayed and checks only after it.
+// Otherwise the connection would be closed and a request that came in time would be lost.
 func TestBytesBeforeTheDeadlineAreRead(t *testing.T) {
 	const (
 		deadline     = 50 * time.Millisecond
-		processDelay = 2 * deadline // until the reader checks: the deadline has passed by then
+		processDelay = 2 * deadline // until the reader checks, after the deadline
 	)
 	t.Run("a first request", func(t *testing.T) {
 		client, conn := clientPair(t)
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// drainSweepInterval is how often idle connections are closed while the downstream server drains.
+	// drainSweepInterval is the interval at which idle connections are closed while the server drains.
 	drainSweepInterval = 50 * time.Millisecond
-	// openPartNumerator and openPartDenominator make the part of the limit above which idle connections are closed.
+	// openPartNumerator and openPartDenominator are the fraction of the connection limit above which idle connections are
+	// closed.
 	openPartNumerator, openPartDenominator = 7, 8
 )
 
-// connPhase says what becomes of an open connection.
+// connPhase is the state of an open connection.
 type connPhase uint8
 
 const (
 	inService   connPhase = iota
-	beingClosed           // as idle; the server has not reported the close yet
+	beingClosed           // closed while idle; the HTTP server has not reported the close yet
 )
 
-// clientConns closes the client connections that have been idle longest when there are nearly as many as are
-// allowed: clients keep connections for good, and those that wait for a descriptor would wait as long.
+// clientConns tracks the client connections and closes those that have been idle longest when their number approaches
+// the limit. Clients keep idle connections indefinitely, and without this, clients that wait to be accepted would wait
+// as long.
 //
-// It checks both when a connection is accepted and when one becomes idle. At the limit none is accepted any
-// more, and if all became idle only then no descriptor would ever become free. A connection that is being
-// closed no longer counts and is not chosen again, unless a request turns out to have arrived on it: then
-// another one is closed.
+// It checks both when a connection is accepted and when one becomes idle: no connection is accepted at the limit, so if
+// all connections became idle only then, no descriptor would ever become free. A connection that is being closed is not
+// counted and not selected again. If a request turns out to have arrived on it, another connection is closed instead.
 type clientConns struct {
 	slots     message.Quota
 	mu        sync.Mutex
 	maxConns  int
 	open      map[net.Conn]connPhase
-	closing   int       // connections that are beingClosed
-	order     list.List // idle connections, the longest idle first
+	closing   int       // number of connections that are beingClosed
+	order     list.List // idle connections, longest idle first
 	idle      map[net.Conn]*list.Element
-	allClosed chan struct{} // closed once no connection is open; nil: nobody waits for it
+	allClosed chan struct{} // closed once no connection is open; nil if nothing waits for that
 }
 
 func newClientConns(maxConns int) *clientConns {
@@ -53,7 +54,7 @@
 	}
 }
 
-// track handles a connection's change of state; it is the server's ConnState.
+// track records a connection's change of state. It is the ConnState hook of the HTTP server.
 func (c *clientConns) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +74,7 @@
 
 func (c *clientConns) setActive(conn net.Conn) {
 	if client, ok := conn.(*clientConn); ok {
-		client.requestBegun.Store(true) // also where its bytes were read with those of the last request
+		client.requestBegun.Store(true) // its bytes may have been read along with the last request
 	}
 	if c.open[conn] == beingClosed {
 		c.open[conn] = inService
@@ -102,7 +103,7 @@
 	}
 }
 
-// setLimit bounds the connections from now on; the slots bound what is accepted.
+// setLimit changes the limit on open connections. It does not change the slots, which limit how many are accepted.
 func (c *clientConns) setLimit(maxConns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,15 +111,15 @@
 	c.closeLongestIdle()
 }
 
-// limit is the bound on the connections.
+// limit returns the limit on open connections.
 func (c *clientConns) limit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.maxConns
 }
 
-// closeLongestIdle closes the connections that have been idle longest while more than a part of the limit are open.
-// The caller has the lock.
+// closeLongestIdle closes the connections that have been idle longest while the number of open connections exceeds the
+// allowed fraction of the limit. The caller holds c.mu.
 func (c *clientConns) closeLongestIdle() {
 	maxOpen := c.maxConns * openPartNumerator / openPartDenominator
 	for len(c.open)-c.closing > maxOpen && c.order.Len() > 0 {
@@ -130,15 +131,15 @@
 	}
 }
 
-// closeWhenIdle closes a connection on which no request has begun: the server's read fails, and the server
-// reports the close.
+// closeWhenIdle closes a connection on which no request has begun: it makes the HTTP server's read fail, and the HTTP
+// server then reports the close.
 func closeWhenIdle(conn net.Conn) {
 	if client, ok := conn.(*clientConn); ok {
 		client.closeWhenIdle()
 	}
 }
 
-// removeIdle takes a connection out of the idle ones. The caller has the lock.
+// removeIdle removes a connection from the idle list. The caller holds c.mu.
 func (c *clientConns) removeIdle(conn net.Conn) {
 	if element := c.idle[conn]; element != nil {
 		c.order.Remove(element)
@@ -146,8 +147,8 @@
 	}
 }
 
-// closeIdleUntil closes idle connections until ctx ends: not at once, as connections still arrive and clients
-// still choose among those that they have.
+// closeIdleUntil periodically closes idle connections until ctx is done. It starts after drainAcceptTime, because until
+// then new connections arrive and clients may still pick a connection that they have open.
 func (c *clientConns) closeIdleUntil(ctx context.Context) {
 	sweep := time.NewTimer(drainAcceptTime)
 	defer sweep.Stop()
@@ -166,7 +167,7 @@
 	}
 }
 
-// closeAllIdle closes all connections on which no request has begun, also those that never brought one.
+// closeAllIdle closes all connections on which no request has begun, including those that never carried one.
 func (c *clientConns) closeAllIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +192,7 @@
 	return allClosed
 }
 
-// size is the number of open connections.
+// size returns the number of open connections.
 func (c *clientConns) size() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/downstream/conns_test.go
+++ b/internal/agent/downstream/conns_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// lateBytesDelay is how long bytes of a client arrive after a connection was to be closed.
+// lateBytesDelay is how long after an attempt to close its connection a client sends further bytes.
 const lateBytesDelay = 50 * time.Millisecond
 
-// A connection that is closed by a drain ends only if no request has arrived on it.
+// A drain closes a connection only if no request has arrived on it.
 func TestDrainingCrossesNoRequest(t *testing.T) {
 	_, idle := clientPair(t)
 	idle.closeWhenIdle()
@@ -21,15 +21,15 @@
 	waitForBytes(t, conn)
 	conn.closeWhenIdle()
 	wantRead(t, conn, "GET")
-	conn.closeWhenIdle() // the rest of the request has not arrived yet
+	conn.closeWhenIdle() // the rest of the request has not arrived
 	sendAfter(lateBytesDelay, client, " /")
 	wantRead(t, conn, " /")
 }
 
-// Where connections are closed for others, a request that has arrived on the one chosen is not lost: it is
-// read, and another connection is closed.
+// If a request has arrived on the connection that is selected for closing at the limit, it must not be lost: it is
+// read, and another connection is closed instead.
 func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
-	conns := newClientConns(4) // seven eighths, three, may be open
+	conns := newClientConns(4) // 7/8 of 4, rounded down: 3 may be open
 	var clients []net.Conn
 	var accepted []*clientConn
 	for range 4 {
@@ -37,43 +37,43 @@
 		clients = append(clients, client)
 		accepted = append(accepted, conn)
 	}
-	send(t, clients[0], "GET") // on the connection that will have been idle longest
+	send(t, clients[0], "GET") // on the connection that becomes idle first
 	waitForBytes(t, accepted[0])
 	for _, conn := range accepted[:3] {
 		trackIdle(conns, conn)
 	}
-	conns.track(accepted[3], http.StateNew) // with the fourth there are too many
+	conns.track(accepted[3], http.StateNew) // the fourth exceeds the limit
 	wantRead(t, accepted[0], "GET")
 	conns.track(accepted[0], http.StateActive)
-	wantReadTimeout(t, accepted[1]) // the next one is closed in its place
+	wantReadTimeout(t, accepted[1]) // the next one is closed instead
 	conns.track(accepted[1], http.StateClosed)
 	if conns.size() != 3 || conns.closing != 0 {
 		t.Errorf("%d connections open, %d of them being closed, want 3 and none", conns.size(), conns.closing)
 	}
 }
 
-// Requests that a client has sent ahead are in the server's buffer when its connection becomes idle: the sweep of a
-// drain does not close it.
+// Requests that a client has pipelined are already in the buffer of the HTTP server when the connection becomes idle. A
+// drain must not close that connection.
 func TestDrainingKeepsARequestThatWasReadAhead(t *testing.T) {
 	client, conn := clientPair(t)
 	conns := newClientConns(8)
 	trackIdle(conns, conn)
 	setReadDeadline(t, conn, time.Time{})
-	conn.closeWhenIdle()                // the sweep
-	conns.track(conn, http.StateActive) // by what was read ahead
+	conn.closeWhenIdle()                // as a drain does
+	conns.track(conn, http.StateActive) // with the bytes that were read ahead
 	sendAfter(lateBytesDelay, client, "x")
 	wantRead(t, conn, "x")
 }
 
-// trackIdle has a connection accepted, in use and idle.
+// trackIdle reports a connection to conns as new, then active, then idle.
 func trackIdle(conns *clientConns, conn net.Conn) {
 	conns.track(conn, http.StateNew)
 	conns.track(conn, http.StateActive)
 	conns.track(conn, http.StateIdle)
 }
 
-// Connections that are all accepted before any is idle reach the limit with none to close; those that become
-// idle then have to be closed. None is chosen twice while it is being closed.
+// If all connections are accepted before any becomes idle, the limit is reached with none to close, so connections must
+// be closed as they become idle. None is selected twice while it is being closed.
 func TestIdleClientsAreClosedAtTheLimit(t *testing.T) {
 	const limit = 16
 	conns := newClientConns(limit)
@@ -86,7 +86,7 @@
 	}
 	closed := func() (count int) {
 		for _, conn := range accepted {
-			if conn.closeIfIdle { // nothing has arrived, so its reader closes it
+			if conn.closeIfIdle { // no bytes have arrived, so its reader closes it
 				count++
 			}
 		}
@@ -101,7 +101,7 @@
 	for _, conn := range accepted[:limit/8] {
 		conns.track(conn, http.StateClosed)
 	}
-	for range limit / 8 { // new ones, while the server has not noticed a close yet
+	for range limit / 8 { // new ones, before the server reports further closes
 		conns.track(pipeEnd(t), http.StateNew)
 	}
 	if count := closed(); count != limit/4 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// pipeEnd is one end of a pipe, whose other end is closed after the test.
+// pipeEnd returns one end of a pipe. The other end is closed after the test.
 func pipeEnd(t *testing.T) net.Conn {
 	t.Helper()
 	end, other := net.Pipe()
--- a/internal/agent/downstream/drain.go
+++ b/internal/agent/downstream/drain.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// drainAcceptTime is how long connections still arrive after SIGTERM or the start of a drain: 0.4 s at
-	// most, and what stands in the accept queue by then. Idle connections are closed after it.
+	// drainAcceptTime is how long new connections are expected after SIGTERM or the start of a drain: clients connect for
+	// up to 0.4 s, and the accept queue may still hold connections then. Idle connections are closed after it.
 	drainAcceptTime = 500 * time.Millisecond
-	// maxCountedTimeout is the longest request timeout that the platform's delay before SIGKILL allows for.
+	// maxCountedTimeout is the longest request timeout that the platform's delay between SIGTERM and SIGKILL covers.
 	maxCountedTimeout = 3 * time.Second
-	// minDrainTime and responseWriteTime are added to drainAcceptTime: the one where no class has a timeout, the
-	// other for the write of the last response.
+	// minDrainTime is added to drainAcceptTime if no class has a timeout. responseWriteTime is the time allowed for
+	// writing the last response.
 	minDrainTime, responseWriteTime = 100 * time.Millisecond, 50 * time.Millisecond
-	// shutdownAdmitTime is how long after SIGTERM requests are admitted: a later one is lost if the kill finds
-	// it unanswered, and can go to another process.
+	// shutdownAdmitTime is how long after SIGTERM requests are admitted. A later request could still be unanswered at
+	// SIGKILL and be lost, while a rejected one can be sent to another process.
 	shutdownAdmitTime = 600 * time.Millisecond
-	// shutdownStreamingTime is how long responses may be streamed on after the last request has its response.
-	// The platform kills long before; it is for those that do not.
+	// shutdownStreamingTime is how long responses may continue to stream after the last open request has got its response.
+	// It matters only where no SIGKILL follows: the platform sends one long before.
 	shutdownStreamingTime = time.Minute
 )
 
-// errShuttingDown answers operators who would stop the drain of a process that shuts down.
-var errShuttingDown = errors.New("the process is ending")
+// errShuttingDown is returned when an operator tries to stop the drain of a process that is shutting down.
+var errShuttingDown = errors.New("the process is shutting down")
 
-// DrainTime is how long open requests are finished after SIGTERM at the most. SIGKILL comes no sooner than the
-// longest timeout (but maxCountedTimeout) and 0.7 s after SIGTERM: a request that came while connections were
-// still accepted has its whole timeout up to that, and its final response well before the kill.
+// DrainTime returns the longest time that open requests may take after SIGTERM. SIGKILL follows SIGTERM after at least
+// 0.7 s plus the longest request timeout, capped at maxCountedTimeout. A request that arrives while connections are
+// still accepted thus has its whole timeout, and its final response is sent well before the kill.
 func DrainTime(settings *balancer.Settings) time.Duration {
 	longest := minDrainTime
 	for _, class := range settings.Classes {
@@ -42,8 +42,8 @@
 	return drainAcceptTime + longest
 }
 
-// StartDrain begins to drain: the readiness path says no, every response closes its connection, and idle
-// connections are closed once no more connections arrive.
+// StartDrain starts draining: the readiness check fails, every response closes its connection, and idle connections are
+// closed once no more connections are expected.
 func (s *Server) StartDrain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// StopDrain serves clients again.
+// StopDrain ends the drain, so that clients are served again. It returns an error during a shutdown.
 func (s *Server) StopDrain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,10 +74,12 @@
 	return nil
 }
 
-// Shutdown ends service without losing a request: open requests have their response within DrainTime, and
-// responses that are being streamed then go on, for shutdownStreamingTime at the most. Closing an accept queue
-// resets the connections in it, so while connections still arrive after the signal they are accepted. A shared
-// queue is not closed with this process's listener: what it holds is left to the other process, at once.
+// Shutdown stops the server without losing requests. Open requests get their responses within drainTime, and responses
+// that are streaming then continue for at most shutdownStreamingTime.
+//
+// Closing a listener resets the connections in its accept queue, so connections that still arrive after the signal are
+// accepted first. A shared queue survives the close of this process's listener, so its connections are left to the
+// other process immediately.
 func (s *Server) Shutdown(drainTime time.Duration) error {
 	over := time.NewTimer(drainTime)
 	defer over.Stop()
@@ -93,21 +95,21 @@
 		time.Sleep(drainAcceptTime)
 		s.acceptQueued(over)
 	}
-	_ = s.listener.Close() // its queue is empty or the other process's
-	s.accepting.Wait()     // the connection accepted last is counted by then
+	_ = s.listener.Close() // its queue is empty or shared with another process
+	s.accepting.Wait()     // so that the last accepted connection is counted
 	defer func() { _ = s.server.Close() }()
 	defer s.cancelDrain()
 	return s.awaitClients(over, drainTime)
 }
 
-// rejectNew rejects requests that are still arriving, or whose streamed body is.
+// rejectNew rejects requests that are still arriving, and cancels those whose streamed body is still being received.
 func (s *Server) rejectNew() {
 	s.rejectsAll.Store(true)
 	s.dispatcher.CancelStreaming()
 }
 
-// awaitClients waits until all client connections are closed. When over fires it ends the open requests, and
-// waits for shutdownStreamingTime more.
+// awaitClients waits until all client connections are closed. If the timer fires first, it ends the open requests and
+// waits for up to shutdownStreamingTime more.
 func (s *Server) awaitClients(over *time.Timer, drainTime time.Duration) error {
 	if s.awaitNoneOpen(over, drainTime) {
 		return nil
@@ -121,7 +123,7 @@
 	return fmt.Errorf("%d client connections still open", s.conns.size())
 }
 
-// awaitNoneOpen waits until no client connection is open, and reports whether that was before over fired.
+// awaitNoneOpen waits until no client connection is open, and reports whether that happened before the timer fired.
 func (s *Server) awaitNoneOpen(over *time.Timer, drainTime time.Duration) bool {
 	select {
 	case <-s.conns.noneOpen():
@@ -132,8 +134,9 @@
 	}
 }
 
-// acceptQueued accepts the connections that still wait, perhaps for a slot: closing the listener would reset
-// them. When over fires they are left, and over fires again.
+// acceptQueued accepts the connections that are still queued, which may have to wait for a slot: closing the listener
+// would reset them. If the timer fires first, the remaining ones are abandoned, and the timer is reset to fire again at
+// once.
 func (s *Server) acceptQueued(over *time.Timer) {
 	if !s.listener.finishQueue() {
 		return
--- a/internal/agent/downstream/fixture_test.go
+++ b/internal/agent/downstream/fixture_test.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// testDispatcher serves each request with an empty response, and counts the requests.
+// testDispatcher answers each request with an empty response and counts the requests.
 type testDispatcher struct {
 	requests atomic.Int64
 }
@@ -27,7 +27,7 @@
 func (*testDispatcher) InvalidRequest(string, string, *message.RequestError) {}
 func (*testDispatcher) ResponseAborted(*message.Request, error, error)       {}
 
-// startServer serves the clients that connect to a listener by a testDispatcher.
+// startServer starts a Server on the listener, with a testDispatcher.
 func startServer(t *testing.T, ln net.Listener) (*Server, *testDispatcher) {
 	t.Helper()
 	dispatcher := new(testDispatcher)
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -10,21 +10,21 @@
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
-// queuePollInterval is how often the accept queue is polled while no slot is free: the time that a request has
-// waited there is known that exactly.
+// queuePollInterval is the interval at which the accept queue is polled while no slot is free. It bounds the error of
+// the time that a request is known to have waited there.
 const queuePollInterval = 25 * time.Millisecond
 
-// clientListener accepts as many connections as there are slots: clients beyond them wait in the accept queue,
-// without a descriptor.
+// clientListener accepts as many connections as there are slots. Further clients wait in the accept queue, where they
+// take no descriptor.
 type clientListener struct {
 	net.Listener
 	slots message.Quota
 	//nolint:containedctx // Close ends an Accept that waits for a slot
 	open      context.Context
 	stop      context.CancelFunc
-	finishing atomic.Bool // Accept ends once no connection waits
-	// queuedAt is since when connections have waited to be accepted because no slot was free: those that wait
-	// now came after it. Zero: none has waited. It belongs to Accept.
+	finishing atomic.Bool // Accept ends once the accept queue is empty
+	// queuedAt is when connections began to wait in the accept queue because no slot was free; those in the queue now
+	// arrived after it. It is zero if none has had to wait. It is owned by Accept.
 	queuedAt time.Time
 }
 
@@ -33,7 +33,7 @@
 	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
 }
 
-// Accept accepts a connection once a slot is free.
+// Accept waits for a free slot and accepts a connection.
 func (l *clientListener) Accept() (net.Conn, error) {
 	if l.finishing.Load() && !l.queued() {
 		return nil, net.ErrClosed
@@ -55,7 +55,7 @@
 	return conn, nil
 }
 
-// awaitSlot waits for a slot, and notes since when connections wait for it too.
+// awaitSlot waits for a free slot. It records in queuedAt when connections began to wait in the accept queue.
 func (l *clientListener) awaitSlot() error {
 	for {
 		polledAt := time.Now()
@@ -71,9 +71,9 @@
 	}
 }
 
-// setQueuedAt tells a connection since when it may have waited with a request on it.
+// setQueuedAt sets the queuedAt of a new connection that may have waited in the accept queue with a request on it.
 func (l *clientListener) setQueuedAt(conn *clientConn) {
-	if !socket.IsIdleAlive(conn.Conn) { // its bytes were there before it was accepted
+	if !socket.IsIdleAlive(conn.Conn) { // its bytes arrived before it was accepted
 		conn.queuedAt = l.queuedAt
 	}
 	if !l.queued() {
@@ -81,16 +81,16 @@
 	}
 }
 
-// finishQueue has Accept end once it has accepted the connections that wait, and reports whether any do.
+// finishQueue makes Accept end once it has accepted the queued connections, and reports whether there are any.
 func (l *clientListener) finishQueue() bool {
 	l.finishing.Store(true)
 	return l.queued()
 }
 
-// queued reports whether connections wait to be accepted.
+// queued reports whether connections wait in the accept queue.
 func (l *clientListener) queued() bool { return socket.IsReadable(l.Listener) }
 
-// Close closes the listener, also for an Accept that waits for a slot.
+// Close closes the listener and ends an Accept that waits for a slot.
 func (l *clientListener) Close() error {
 	l.stop()
 	return l.Listener.Close()
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -12,19 +12,19 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// badRequest is the error of a request that breaks the protocol.
+// badRequest returns the error for a request that violates the protocol.
 func badRequest(format string, args ...any) *message.RequestError {
 	return &message.RequestError{Status: http.StatusBadRequest, Message: fmt.Sprintf(format, args...)}
 }
 
-// receivedRequest is a client's request with its part of the body budget.
+// receivedRequest is a client's request with the bytes that it has reserved of the body budget.
 type receivedRequest struct {
 	*message.Request
-	reserved int64 // bytes of the body budget
+	reserved int64 // bytes reserved of the body budget
 }
 
-// readRequest reads a client's request, with its body as far as that is buffered. The caller releases the reserved
-// bytes, also after an error.
+// readRequest reads a client's request and as much of its body as is buffered. The caller releases the reserved bytes,
+// even after an error.
 func (s *Server) readRequest(
 	w http.ResponseWriter, req *http.Request,
 ) (request receivedRequest, invalid *message.RequestError) {
@@ -52,7 +52,7 @@
 			return request, invalid
 		}
 	}
-	// A request's time counts from its last byte; that of a streamed one starts again with that.
+	// The request's timeout starts when its last byte has arrived; for a streamed body it is restarted then.
 	request.ArrivedAt = time.Now()
 	if known && !conn.queuedAt.IsZero() {
 		request.ArrivedAt = conn.queuedAt
@@ -61,14 +61,14 @@
 	return request, nil
 }
 
-// checkProtocol checks what does not depend on the request's class.
+// checkProtocol checks the parts of a request that don't depend on its class.
 func checkProtocol(req *http.Request) *message.RequestError {
 	switch {
 	case !req.ProtoAtLeast(1, 1):
-		// Before 1.1 chunks don't count, and a body framed by them would be read as requests.
+		// Before HTTP/1.1 there is no chunked encoding: a chunked body would be read as further requests.
 		return &message.RequestError{
 			Status:  http.StatusHTTPVersionNotSupported,
-			Message: req.Proto + " is not spoken here",
+			Message: req.Proto + " is not supported",
 		}
 	case req.Method != http.MethodGet && req.Method != http.MethodPost:
 		return &message.RequestError{
@@ -78,27 +78,27 @@
 	case req.ContentLength > message.MaxRequestBody:
 		return &message.RequestError{
 			Status:  http.StatusRequestEntityTooLarge,
-			Message: fmt.Sprintf("body over %d bytes", message.MaxRequestBody),
+			Message: fmt.Sprintf("request body is larger than %d bytes", message.MaxRequestBody),
 		}
 	}
 	return nil
 }
 
-// readHeader reads the request's header fields, by the rules of its class.
+// readHeader reads the request's header fields according to the rules of its class.
 func readHeader(request *message.Request, classes *requestClasses) *message.RequestError {
 	request.Rules = classes.rules[request.Header.Get("Request-Class")]
 	if request.Rules == nil {
 		return badRequest("unknown Request-Class")
 	}
 	if request.ID == "" {
-		return badRequest("no Request-Id")
+		return badRequest("missing Request-Id")
 	}
 	if request.Rules.Idempotency == balancer.IdempotentByKey && request.Header.Get("Idempotency-Key") == "" {
-		return badRequest("no Idempotency-Key, which this class needs")
+		return badRequest("missing Idempotency-Key, which the class requires")
 	}
 	timeoutMs, err := strconv.Atoi(request.Header.Get("Request-Timeout-Ms"))
 	if err != nil || timeoutMs <= 0 || timeoutMs > maxRequestTimeoutMs {
-		return badRequest("Request-Timeout-Ms is no whole number from 1 to %d", maxRequestTimeoutMs)
+		return badRequest("Request-Timeout-Ms is not an integer from 1 to %d", maxRequestTimeoutMs)
 	}
 	request.Timeout = time.Duration(timeoutMs) * time.Millisecond
 	request.Retry = classes.marksRetry && request.Header.Get("Client-Retry") == "1"
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// affinityKey is the hash of a path's last element, where the path has more than one; 0: there is no key.
+// affinityKey returns the hash of the path's last element, or 0 for no key if the path has fewer than two elements.
 func affinityKey(escapedPath string) uint64 {
 	directory, last := path.Split(escapedPath)
 	if len(directory) <= 1 || last == "" {
@@ -115,7 +115,8 @@
 	return keyhash.Sum(last)
 }
 
-// readRequestBody reads the part of the body that is buffered, and leaves the rest as a stream.
+// readRequestBody buffers the first part of the body as far as the limits allow, and leaves any remainder to be
+// streamed.
 func (s *Server) readRequestBody(
 	request *receivedRequest, w http.ResponseWriter, req *http.Request,
 ) *message.RequestError {
@@ -127,15 +128,15 @@
 	request.Body = buffered.Bytes
 	request.reserved = buffered.Reserved
 	if err != nil {
-		return badRequest("body can't be read: %v", err)
+		return badRequest("reading the request body: %v", err)
 	}
 	if buffered.Complete {
 		return nil
 	}
 	request.Streamed = &message.StreamedBody{ClientBody: body, Length: req.ContentLength}
-	// The body continues to arrive while the response is written.
+	// The rest of the body may still arrive while the response is written.
 	if err := body.Control.EnableFullDuplex(); err != nil {
-		return badRequest("body can't be streamed: %v", err)
+		return badRequest("streaming the request body: %v", err)
 	}
 	return nil
 }
--- a/internal/agent/downstream/response.go
+++ b/internal/agent/downstream/response.go
@@ -8,22 +8,21 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// millisecondsPerSecond converts the time until a retry.
 const millisecondsPerSecond = 1000
 
 // writeResponse writes the final response to the client.
 func (s *Server) writeResponse(w http.ResponseWriter, request *message.Request, response message.Response) {
 	defer response.Body.Release()
 	if request.Streamed != nil && !request.Streamed.Complete() {
-		// The client may still be sending, and reads the response only if its body is read. What follows the
-		// body is not read as a request.
+		// The client may still be sending, and may not read the response before its body has been read. The connection is
+		// closed, so what follows the body is not read as another request.
 		closeAfterResponse(w)
 		defer func() {
-			_ = http.NewResponseController(w).Flush()               // the client may have gone
-			_, _ = io.Copy(io.Discard, request.Streamed.ClientBody) // read only for the client's sake
+			_ = http.NewResponseController(w).Flush()               // the client may have disconnected
+			_, _ = io.Copy(io.Discard, request.Streamed.ClientBody) // lets the client finish sending
 		}()
 	}
-	if s.draining.Load() { // it may have begun since the request came
+	if s.draining.Load() { // draining may have started since the request arrived
 		closeAfterResponse(w)
 	}
 	switch {
@@ -43,12 +42,12 @@
 	}
 }
 
-// retryAfterSeconds is the value of the header Retry-After: seconds, to the millisecond.
+// retryAfterSeconds formats the value of the Retry-After header, in seconds with millisecond precision.
 func retryAfterSeconds(retryAfterMs float64) string {
 	return strconv.FormatFloat(retryAfterMs/millisecondsPerSecond, 'f', 3, 64)
 }
 
-// writeServed passes a server's response on.
+// writeServed forwards a server's response.
 func (s *Server) writeServed(w http.ResponseWriter, request *message.Request, response message.Response) {
 	for name, values := range message.EndToEndHeaders(response.Header) {
 		w.Header()[name] = values
@@ -60,10 +59,10 @@
 	fromServer, toClient := response.Body.CopyTo(w)
 	if fromServer != nil || toClient != nil {
 		s.dispatcher.ResponseAborted(request, fromServer, toClient)
-		// Only a connection that ends before the response does tells the client that it is incomplete.
+		// The client can tell that the response is incomplete only if its connection ends early.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// closeAfterResponse has the client's connection closed behind the response.
+// closeAfterResponse makes the HTTP server close the client's connection after the response.
 func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -1,6 +1,6 @@
 // Package downstream serves the clients: it accepts their connections, reads requests, hands them to a Dispatcher and
-// writes the final responses, and it drains the connections at a shutdown. Each connection has a goroutine of
-// net/http's. The package decides nothing about where a request goes.
+// writes the final responses. At a shutdown it drains the connections. Each connection is served by a goroutine of
+// net/http. The package makes no decision about where a request is sent.
 package downstream
 
 import (
@@ -21,87 +21,88 @@
 )
 
 const (
-	// requestHeadTimeout bounds how long a request's head may take to arrive: clients may take 2 s, and peers
-	// that send none must get an error or a close 3 s after connecting.
+	// requestHeadTimeout is the time allowed for reading the head of a request. Clients may take 2 s, and a peer that
+	// sends nothing must get an error or a close within 3 s of connecting.
 	requestHeadTimeout = 2600 * time.Millisecond
-	// maxRequestTimeoutMs bounds the timeout that a client may give, in ms.
+	// maxRequestTimeoutMs is the longest request timeout that a client may set, in milliseconds.
 	maxRequestTimeoutMs = 60_000
-	// writeTimeout bounds the write of a response, from the request's head on.
+	// writeTimeout is the time allowed for writing a response, measured from the arrival of the request's head.
 	writeTimeout = maxRequestTimeoutMs*time.Millisecond + 10*time.Second
-	// keepAliveTimeout is how long a client's connection may be idle.
+	// keepAliveTimeout is how long a client connection may stay idle.
 	keepAliveTimeout = 2 * time.Minute
-	// maxRequestHead is the largest head of a request.
+	// maxRequestHead is the maximum size of the head of a request, in bytes.
 	maxRequestHead = 16 << 10
-	// readyPath is the path by which the platform asks whether clients are to connect.
+	// readyPath is the path on which the platform checks whether clients should connect.
 	readyPath = "/-/ready"
 )
 
-// Dispatcher takes the requests of clients and gives each its one final response. It also counts and logs what
-// happens to clients. Its methods may be called from any goroutine.
+// Dispatcher handles the requests of clients and gives each one final response. It also counts and logs failures on the
+// side of the clients. Its methods are safe for concurrent use.
 type Dispatcher interface {
-	// Dispatch takes a request over; its response comes on the request's channel.
+	// Dispatch takes over a request. The response is sent on the channel request.Response.
 	Dispatch(request *message.Request)
-	// Abandon ends a request whose client no longer waits for the response.
+	// Abandon ends a request whose client has stopped waiting for the response.
 	Abandon(request *message.Request)
-	// CancelStreaming cancels the attempts whose streamed body is still on its way to a server.
+	// CancelStreaming cancels the attempts whose streamed body is still being sent.
 	CancelStreaming()
 	// EndAll gives every open request its final response.
 	EndAll()
-	// AcceptFailed counts and logs an accept that failed temporarily.
+	// AcceptFailed counts and logs a temporary failure of accept.
 	AcceptFailed(err error)
-	// InvalidRequest counts and logs what came in that is not a request of the protocol.
+	// InvalidRequest counts and logs a message from a client that is not a valid request.
 	InvalidRequest(id, from string, invalid *message.RequestError)
-	// ResponseAborted counts and logs a response that was begun and not passed on completely.
+	// ResponseAborted counts and logs a response that was started but not forwarded completely.
 	ResponseAborted(request *message.Request, fromServer, toClient error)
 }
 
-// Server serves the clients.
+// Server accepts client connections and serves their requests.
 type Server struct {
 	dispatcher Dispatcher
 	server     *http.Server
 	listener   *clientListener
-	shared     bool // other processes accept from the listener's queue too
+	shared     bool // other processes also accept from the listener's queue
 	log        *slog.Logger
 	classes    atomic.Pointer[requestClasses]
-	bodies     message.Quota // of bytes of buffered request bodies
+	bodies     message.Quota // bytes of buffered request bodies
 	conns      *clientConns
 
-	// acceptsClients means that clients should connect: a server may be sent requests, or one was waited for.
+	// acceptsClients is set once clients should connect: a server has become available, or the wait for one has ended.
 	acceptsClients atomic.Bool
-	// serving means that a server may be sent requests, and that the shutdown has not begun.
+	// serving is set while a server may be sent requests and the shutdown has not begun.
 	serving atomic.Bool
 
 	mu           sync.Mutex
-	draining     atomic.Bool        // clients are to go elsewhere; set under mu
-	cancelDrain  context.CancelFunc // ends the draining; nil: there is none
-	shuttingDown bool               // the draining is for good
-	onDrain      func(bool)         // called when draining begins and ends
-	rejectsAll   atomic.Bool        // requests that are still arriving are rejected
+	draining     atomic.Bool        // clients should connect elsewhere; set under mu
+	cancelDrain  context.CancelFunc // ends the drain; nil if not draining
+	shuttingDown bool               // the drain can no longer be stopped
+	onDrain      func(bool)         // called when a drain starts and ends
+	rejectsAll   atomic.Bool        // requests still arriving are rejected
 
-	accepting sync.WaitGroup // Serve, until it accepts no more
+	accepting sync.WaitGroup // done once serve accepts no more connections
 }
 
-// requestClasses has the rules of each class by its name, and what else the settings say of requests. It is
-// never changed, but replaced.
+// requestClasses has the request rules of each class, by class name, and the other settings that apply to requests. It
+// is immutable; a change of settings replaces it.
 type requestClasses struct {
 	rules        map[string]*balancer.RequestRules
 	marksRetry   bool // clients mark their retries
 	retryAfterMs float64
 }
 
-// Options are what a Server is made of besides the agent's configuration.
+// Options are the parameters of New other than the configuration of the agent.
 type Options struct {
-	// Listener is where clients connect. The server owns it from New on.
+	// Listener accepts the client connections. New takes ownership of it.
 	Listener net.Listener
-	// Shared means that other processes accept from the listener's queue too.
+	// Shared means that other processes also accept from the listener's queue.
 	Shared bool
-	// Dispatcher takes the requests.
+	// Dispatcher handles the requests.
 	Dispatcher Dispatcher
-	// OnDrain is called when draining begins and ends.
+	// OnDrain is called when a drain starts and ends.
 	OnDrain func(draining bool)
 }
 
-// New makes the server of an agent's clients. A request's context ends with its client, or with ctx.
+// New returns a Server for the clients of an agent. The context of a request is canceled when its client disconnects or
+// ctx is done.
 func New(ctx context.Context, cfg *config.Config, options Options) *Server {
 	s := &Server{
 		dispatcher: options.Dispatcher,
@@ -131,7 +132,7 @@
 	return s
 }
 
-// ApplySettings puts the settings in force for requests that arrive from now on.
+// ApplySettings applies the settings to requests that arrive from now on.
 func (s *Server) ApplySettings(cfg *config.Config) {
 	classes := &requestClasses{
 		rules:        map[string]*balancer.RequestRules{},
@@ -144,10 +145,10 @@
 	s.classes.Store(classes)
 }
 
-// Start accepts clients in a goroutine of its own until the listener is closed, and sends how that ended on ended,
-// whose receiver may come late.
+// Start accepts clients in a new goroutine until the listener is closed, then sends the result of serving on ended. It
+// does not need the receiver to be ready.
 func (s *Server) Start(ended chan<- error) {
-	s.accepting.Add(1) // before a shutdown can wait for it
+	s.accepting.Add(1) // before a shutdown can wait for accepting
 	go func() { ended <- s.serve() }()
 }
 
@@ -163,35 +164,35 @@
 	return fmt.Errorf("downstream: %w", err)
 }
 
-// Close closes the listener and all connections at once. Errors of closing sockets that are given up say nothing
-// of use.
+// Close closes the listener and all connections immediately. It ignores errors, because the sockets are given up
+// anyway.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	_ = s.server.Close()
 }
 
-// ConnSlots bounds the accepted connections.
+// ConnSlots returns the quota of accepted connections.
 func (s *Server) ConnSlots() message.Quota { return s.conns.slots }
 
-// BodyBudget bounds the bytes of buffered request bodies.
+// BodyBudget returns the quota of bytes of buffered request bodies.
 func (s *Server) BodyBudget() message.Quota { return s.bodies }
 
-// SetConnLimit bounds the client connections from now on.
+// SetConnLimit changes the limit on client connections.
 func (s *Server) SetConnLimit(maxConns int) { s.conns.setLimit(maxConns) }
 
-// ConnLimit is the bound on the client connections.
+// ConnLimit returns the limit on client connections.
 func (s *Server) ConnLimit() int { return s.conns.limit() }
 
-// OpenConns is the number of client connections.
+// OpenConns returns the number of open client connections.
 func (s *Server) OpenConns() int { return s.conns.size() }
 
-// AcceptClients has the readiness path say yes before a server is known.
+// AcceptClients makes the readiness check succeed although no server is known yet.
 func (s *Server) AcceptClients() { s.acceptsClients.Store(true) }
 
-// IsServing reports whether a server may be sent requests, and the shutdown has not begun.
+// IsServing reports whether a server may be sent requests and the shutdown has not begun.
 func (s *Server) IsServing() bool { return s.serving.Load() }
 
-// SetServing is called once a server may be sent requests.
+// SetServing records that a server may be sent requests.
 func (s *Server) SetServing() {
 	s.acceptsClients.Store(true)
 	s.mu.Lock()
@@ -199,16 +200,16 @@
 	s.serving.Store(!s.shuttingDown)
 }
 
-// ServeHTTP answers one request of a client, or of the platform for readiness.
+// ServeHTTP answers a client's request or the platform's readiness check.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	abortOnClosedConn(req)
 	control := http.NewResponseController(w)
 	if req.ContentLength != 0 {
-		// A body that is not wanted is read too: to its end, or for that long.
-		_ = control.SetReadDeadline(time.Now().Add(message.BodyGracePeriod)) // every client's connection has deadlines
+		// An unwanted body is also read, to its end or until this deadline.
+		_ = control.SetReadDeadline(time.Now().Add(message.BodyGracePeriod)) // client connections support deadlines
 	}
-	// The server reads a chunked body by its chunks and drops a length that was given with it. By that length
-	// what follows would still be body and must not be read as a request, so nothing more is read.
+	// The HTTP server decodes a chunked body and ignores a Content-Length given along with it. By that length, the bytes
+	// after the chunks could still be body and must not be read as a request, so the connection is closed.
 	if len(req.TransferEncoding) > 0 || s.draining.Load() {
 		closeAfterResponse(w)
 	}
@@ -219,15 +220,15 @@
 	s.serveRequest(w, req, control)
 }
 
-// abortOnClosedConn ends a request whose connection was just closed as idle. Its client can't get a response and sends
-// the request again on another connection: forwarded as well, this copy would run beside that one.
+// abortOnClosedConn aborts a request whose connection has just been closed as idle. The client gets no response and
+// sends the request again on another connection; if this copy were forwarded as well, both would execute.
 func abortOnClosedConn(req *http.Request) {
 	if conn, ok := req.Context().Value(connKey{}).(*clientConn); ok && conn.closed.Load() {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serveRequest answers a request that is not for readiness.
+// serveRequest answers a request that is not a readiness check.
 func (s *Server) serveRequest(w http.ResponseWriter, req *http.Request, control *http.ResponseController) {
 	request, invalid := s.readRequest(w, req)
 	defer s.bodies.Release(request.reserved)
@@ -243,7 +244,7 @@
 	s.dispatch(w, request.Request)
 }
 
-// dispatch gives a request to the dispatcher and writes the final response.
+// dispatch hands a request to the dispatcher and writes the final response.
 func (s *Server) dispatch(w http.ResponseWriter, request *message.Request) {
 	s.dispatcher.Dispatch(request)
 	select {
@@ -251,13 +252,14 @@
 		s.writeResponse(w, request, response)
 	case <-request.Context.Done():
 		s.dispatcher.Abandon(request)
-		// The client may have ended only its sending, and still read. With nothing written here the server
-		// would write an empty 200.
+		// The client may have closed only its sending side and still read. If nothing were written, net/http would send an
+		// empty 200 response.
 		s.writeResponse(w, request, message.Response{Kind: message.Failed})
 	}
 }
 
-// writeReadiness answers the platform. The answer is not one to a request of the protocol, so no rejection.
+// writeReadiness answers the platform's readiness check. A negative answer is not a rejection, because the check is not
+// a request of the protocol.
 func (s *Server) writeReadiness(w http.ResponseWriter) {
 	if s.acceptsClients.Load() && !s.draining.Load() {
 		w.WriteHeader(http.StatusOK)
@@ -266,8 +268,8 @@
 	http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 }
 
-// writeInvalid answers what is not a request of the protocol, and has its connection closed: what follows it
-// may not be a request either.
+// writeInvalid answers an invalid request and closes its connection, because what follows may not be a valid request
+// either.
 func (s *Server) writeInvalid(
 	w http.ResponseWriter, req *http.Request, control *http.ResponseController, invalid *message.RequestError,
 ) {
--- a/internal/agent/downstream/server_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -10,11 +10,11 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// lateCloseListener makes connections that the agent closes stay readable, so that they bring a request that
-// crosses the close.
+// lateCloseListener keeps connections readable after the agent has closed them, so that a request can still arrive on
+// them.
 type lateCloseListener struct{ net.Listener }
 
-// lateCloseConn closes at the second call of Close.
+// lateCloseConn is closed by the second call of Close.
 type lateCloseConn struct {
 	net.Conn
 	closeCalled atomic.Bool
@@ -28,7 +28,8 @@
 	return &lateCloseConn{Conn: accepted}, nil
 }
 
-// Close takes effect at the second call, the one that ends the serving of a connection.
+// Close has no effect at the first call. The second call is made by the HTTP server when it has finished with the
+// connection.
 func (c *lateCloseConn) Close() error {
 	if !c.closeCalled.Swap(true) {
 		return nil
@@ -36,7 +37,6 @@
 	return c.Conn.Close()
 }
 
-// sendRequest writes a request to a server.
 func sendRequest(t *testing.T, client *agenttest.ClientConn, request string) {
 	t.Helper()
 	if _, err := io.WriteString(client, request); err != nil {
@@ -44,14 +44,14 @@
 	}
 }
 
-// A request that crosses the close of its idle connection is sent again by its client, on another: if the
-// agent forwarded it as well, two copies would execute.
+// A request sent while its idle connection is being closed is sent again by its client on another connection. If the
+// agent also forwarded the first copy, the request would execute twice.
 func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
 	server, dispatcher := startServer(t, lateCloseListener{agenttest.Listen(t)})
 	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status := client.Status(); status != http.StatusOK {
-		t.Fatalf("readiness has the status %d, want %d", status, http.StatusOK)
+		t.Fatalf("readiness status %d, want %d", status, http.StatusOK)
 	}
 	conns := server.conns
 	agenttest.WaitUntil(t, "the connection is idle", func() bool {
@@ -65,14 +65,14 @@
 	sendRequest(t, client, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
 	if status := client.Status(); status != 0 {
-		t.Errorf("response %d on a connection that was closed", status)
+		t.Errorf("status %d on a closed connection, want no response", status)
 	}
 	if got := dispatcher.requests.Load(); got != 0 {
 		t.Errorf("%d requests dispatched, want none", got)
 	}
 }
 
-// A request that is read once the process admits no more is rejected, on its connection, and not forwarded.
+// A request read after the process has stopped admitting requests is rejected on its connection and not forwarded.
 func TestRequestReadAfterShutdownIsRejected(t *testing.T) {
 	server, dispatcher := startServer(t, agenttest.Listen(t))
 	client := agenttest.DialClient(t, server.listener.Addr().String())
