--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -14,17 +14,17 @@
 const (
 	// drainSweepInterval is the interval at which idle connections are closed while the server drains.
 	drainSweepInterval = 50 * time.Millisecond
-	// openPartNumerator and openPartDenominator are the fraction of the connection limit above which idle connections are
+	// openShareNumerator and openShareDenominator are the share of the connection limit above which idle connections are
 	// closed.
-	openPartNumerator, openPartDenominator = 7, 8
+	openShareNumerator, openShareDenominator = 7, 8
 )
 
 // connPhase is the state of an open connection.
 type connPhase uint8
 
 const (
-	inService   connPhase = iota
-	beingClosed           // closed while idle; the HTTP server has not reported the close yet
+	connOpen    connPhase = iota
+	connClosing           // closed while idle; the HTTP server has not reported the close yet
 )
 
 // clientConns tracks the client connections and closes those that have been idle longest when their number approaches
@@ -39,8 +39,8 @@
 	mu        sync.Mutex
 	maxConns  int
 	open      map[net.Conn]connPhase
-	closing   int       // number of connections that are beingClosed
-	order     list.List // idle connections, longest idle first
+	closing   int       // number of connections that are connClosing
+	idleOrder list.List // idle connections, longest idle first
 	idle      map[net.Conn]*list.Element
 	allClosed chan struct{} // closed once no connection is open; nil if nothing waits for that
 }
@@ -61,7 +61,7 @@
 	c.removeIdle(conn)
 	switch state {
 	case http.StateNew:
-		c.open[conn] = inService
+		c.open[conn] = connOpen
 	case http.StateActive:
 		c.setActive(conn)
 	case http.StateIdle:
@@ -76,8 +76,8 @@
 	if client, ok := conn.(*clientConn); ok {
 		client.requestBegun.Store(true) // its bytes may have been read along with the last request
 	}
-	if c.open[conn] == beingClosed {
-		c.open[conn] = inService
+	if c.open[conn] == connClosing {
+		c.open[conn] = connOpen
 		c.closing--
 	}
 }
@@ -87,13 +87,13 @@
 		client.requestBegun.Store(false)
 		client.queuedAt = time.Time{}
 	}
-	if c.open[conn] == inService {
-		c.idle[conn] = c.order.PushBack(conn)
+	if c.open[conn] == connOpen {
+		c.idle[conn] = c.idleOrder.PushBack(conn)
 	}
 }
 
 func (c *clientConns) setClosed(conn net.Conn) {
-	if c.open[conn] == beingClosed {
+	if c.open[conn] == connClosing {
 		c.closing--
 	}
 	delete(c.open, conn)
@@ -121,11 +121,11 @@
 // closeLongestIdle closes the connections that have been idle longest while the number of open connections exceeds the
 // allowed fraction of the limit. The caller holds c.mu.
 func (c *clientConns) closeLongestIdle() {
-	maxOpen := c.maxConns * openPartNumerator / openPartDenominator
-	for len(c.open)-c.closing > maxOpen && c.order.Len() > 0 {
-		oldest := c.order.Front().Value.(net.Conn)
+	maxOpen := c.maxConns * openShareNumerator / openShareDenominator
+	for len(c.open)-c.closing > maxOpen && c.idleOrder.Len() > 0 {
+		oldest := c.idleOrder.Front().Value.(net.Conn)
 		c.removeIdle(oldest)
-		c.open[oldest] = beingClosed
+		c.open[oldest] = connClosing
 		c.closing++
 		closeWhenIdle(oldest)
 	}
@@ -142,7 +142,7 @@
 // removeIdle removes a connection from the idle list. The caller holds c.mu.
 func (c *clientConns) removeIdle(conn net.Conn) {
 	if element := c.idle[conn]; element != nil {
-		c.order.Remove(element)
+		c.idleOrder.Remove(element)
 		delete(c.idle, conn)
 	}
 }
--- a/internal/agent/downstream/conns_test.go
+++ b/internal/agent/downstream/conns_test.go
@@ -11,7 +11,7 @@
 const lateBytesDelay = 50 * time.Millisecond
 
 // A drain closes a connection only if no request has arrived on it.
-func TestDrainingCrossesNoRequest(t *testing.T) {
+func TestDrainLosesNoRequest(t *testing.T) {
 	_, idle := clientPair(t)
 	idle.closeWhenIdle()
 	wantReadTimeout(t, idle)
@@ -28,7 +28,7 @@
 
 // If a request has arrived on the connection that is selected for closing at the limit, it must not be lost: it is
 // read, and another connection is closed instead.
-func TestClosingIdleConnectionsCrossesNoRequest(t *testing.T) {
+func TestClosingIdleConnectionsLosesNoRequest(t *testing.T) {
 	conns := newClientConns(4) // 7/8 of 4, rounded down: 3 may be open
 	var clients []net.Conn
 	var accepted []*clientConn
@@ -54,7 +54,7 @@
 
 // Requests that a client has pipelined are already in the buffer of the HTTP server when the connection becomes idle. A
 // drain must not close that connection.
-func TestDrainingKeepsARequestThatWasReadAhead(t *testing.T) {
+func TestDrainKeepsConnectionWithPipelinedRequest(t *testing.T) {
 	client, conn := clientPair(t)
 	conns := newClientConns(8)
 	trackIdle(conns, conn)
--- a/internal/agent/downstream/drain.go
+++ b/internal/agent/downstream/drain.go
@@ -14,8 +14,8 @@
 	// drainAcceptTime is how long new connections are expected after SIGTERM or the start of a drain: clients connect for
 	// up to 0.4 s, and the accept queue may still hold connections then. Idle connections are closed after it.
 	drainAcceptTime = 500 * time.Millisecond
-	// maxCountedTimeout is the longest request timeout that the platform's delay between SIGTERM and SIGKILL covers.
-	maxCountedTimeout = 3 * time.Second
+	// maxCoveredTimeout is the longest request timeout that the platform's delay between SIGTERM and SIGKILL covers.
+	maxCoveredTimeout = 3 * time.Second
 	// minDrainTime is added to drainAcceptTime if no class has a timeout. responseWriteTime is the time allowed for
 	// writing the last response.
 	minDrainTime, responseWriteTime = 100 * time.Millisecond, 50 * time.Millisecond
@@ -31,12 +31,12 @@
 var errShuttingDown = errors.New("the process is shutting down")
 
 // DrainTime returns the longest time that open requests may take after SIGTERM. SIGKILL follows SIGTERM after at least
-// 0.7 s plus the longest request timeout, capped at maxCountedTimeout. A request that arrives while connections are
+// 0.7 s plus the longest request timeout, capped at maxCoveredTimeout. A request that arrives while connections are
 // still accepted thus has its whole timeout, and its final response is sent well before the kill.
 func DrainTime(settings *balancer.Settings) time.Duration {
 	longest := minDrainTime
 	for _, class := range settings.Classes {
-		timeout := min(clock.FromMilliseconds(class.TotalTimeoutMs), maxCountedTimeout)
+		timeout := min(clock.FromMilliseconds(class.TotalTimeoutMs), maxCoveredTimeout)
 		longest = max(longest, timeout+responseWriteTime)
 	}
 	return drainAcceptTime + longest
@@ -81,8 +81,8 @@
 // accepted first. A shared queue survives the close of this process's listener, so its connections are left to the
 // other process immediately.
 func (s *Server) Shutdown(drainTime time.Duration) error {
-	over := time.NewTimer(drainTime)
-	defer over.Stop()
+	drainTimer := time.NewTimer(drainTime)
+	defer drainTimer.Stop()
 	defer time.AfterFunc(shutdownAdmitTime, s.rejectNew).Stop()
 	s.mu.Lock()
 	s.shuttingDown = true
@@ -93,42 +93,42 @@
 	}
 	if !s.shared {
 		time.Sleep(drainAcceptTime)
-		s.acceptQueued(over)
+		s.acceptQueued(drainTimer)
 	}
 	_ = s.listener.Close() // its queue is empty or shared with another process
 	s.accepting.Wait()     // so that the last accepted connection is counted
 	defer func() { _ = s.server.Close() }()
 	defer s.cancelDrain()
-	return s.awaitClients(over, drainTime)
+	return s.awaitClients(drainTimer, drainTime)
 }
 
 // rejectNew rejects requests that are still arriving, and cancels those whose streamed body is still being received.
 func (s *Server) rejectNew() {
-	s.rejectsAll.Store(true)
+	s.rejectingNew.Store(true)
 	s.dispatcher.CancelStreaming()
 }
 
 // awaitClients waits until all client connections are closed. If the timer fires first, it ends the open requests and
 // waits for up to shutdownStreamingTime more.
-func (s *Server) awaitClients(over *time.Timer, drainTime time.Duration) error {
-	if s.awaitNoneOpen(over, drainTime) {
+func (s *Server) awaitClients(drainTimer *time.Timer, drainTime time.Duration) error {
+	if s.awaitNoneOpen(drainTimer, drainTime) {
 		return nil
 	}
 	s.dispatcher.EndAll()
 	s.conns.closeAllIdle()
-	over.Reset(shutdownStreamingTime)
-	if s.awaitNoneOpen(over, drainTime) {
+	drainTimer.Reset(shutdownStreamingTime)
+	if s.awaitNoneOpen(drainTimer, drainTime) {
 		return nil
 	}
 	return fmt.Errorf("%d client connections still open", s.conns.size())
 }
 
 // awaitNoneOpen waits until no client connection is open, and reports whether that happened before the timer fired.
-func (s *Server) awaitNoneOpen(over *time.Timer, drainTime time.Duration) bool {
+func (s *Server) awaitNoneOpen(drainTimer *time.Timer, drainTime time.Duration) bool {
 	select {
 	case <-s.conns.noneOpen():
 		return true
-	case <-over.C:
+	case <-drainTimer.C:
 		s.log.Warn("client connections still open", "count", s.conns.size(), "after", drainTime)
 		return false
 	}
@@ -137,7 +137,7 @@
 // acceptQueued accepts the connections that are still queued, which may have to wait for a slot: closing the listener
 // would reset them. If the timer fires first, the remaining ones are abandoned, and the timer is reset to fire again at
 // once.
-func (s *Server) acceptQueued(over *time.Timer) {
+func (s *Server) acceptQueued(drainTimer *time.Timer) {
 	if !s.listener.finishQueue() {
 		return
 	}
@@ -148,7 +148,7 @@
 	}()
 	select {
 	case <-accepted:
-	case <-over.C:
-		over.Reset(0)
+	case <-drainTimer.C:
+		drainTimer.Reset(0)
 	}
 }
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -20,8 +20,8 @@
 	net.Listener
 	slots message.Quota
 	//nolint:containedctx // Close ends an Accept that waits for a slot
-	open      context.Context
-	stop      context.CancelFunc
+	ctx       context.Context
+	cancel    context.CancelFunc
 	finishing atomic.Bool // Accept ends once the accept queue is empty
 	// queuedAt is when connections began to wait in the accept queue because no slot was free; those in the queue now
 	// arrived after it. It is zero if none has had to wait. It is owned by Accept.
@@ -29,8 +29,8 @@
 }
 
 func newClientListener(ln net.Listener, slots message.Quota) *clientListener {
-	open, stop := context.WithCancel(context.Background())
-	return &clientListener{Listener: ln, slots: slots, open: open, stop: stop}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &clientListener{Listener: ln, slots: slots, ctx: ctx, cancel: cancel}
 }
 
 // Accept waits for a free slot and accepts a connection.
@@ -62,10 +62,10 @@
 		if l.queuedAt.IsZero() && l.queued() {
 			l.queuedAt = polledAt.Add(-queuePollInterval)
 		}
-		ctx, cancel := context.WithTimeout(l.open, queuePollInterval)
+		ctx, cancel := context.WithTimeout(l.ctx, queuePollInterval)
 		err := l.slots.Acquire(ctx, 1)
 		cancel()
-		if err == nil || l.open.Err() != nil {
+		if err == nil || l.ctx.Err() != nil {
 			return err
 		}
 	}
@@ -92,6 +92,6 @@
 
 // Close closes the listener and ends an Accept that waits for a slot.
 func (l *clientListener) Close() error {
-	l.stop()
+	l.cancel()
 	return l.Listener.Close()
 }
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -40,8 +40,8 @@
 		Header:   req.Header,
 		Response: make(chan message.Response, 1),
 	}
-	conn, known := req.Context().Value(connKey{}).(*clientConn)
-	if known {
+	conn, ok := req.Context().Value(connKey{}).(*clientConn)
+	if ok {
 		request.ClientGone = conn.peerClosed
 	}
 	if invalid := readHeader(request.Request, s.classes.Load()); invalid != nil {
@@ -54,7 +54,7 @@
 	}
 	// The request's timeout starts when its last byte has arrived; for a streamed body it is restarted then.
 	request.ArrivedAt = time.Now()
-	if known && !conn.queuedAt.IsZero() {
+	if ok && !conn.queuedAt.IsZero() {
 		request.ArrivedAt = conn.queuedAt
 	}
 	request.Deadline = request.ArrivedAt.Add(request.Timeout)
--- a/internal/agent/downstream/response.go
+++ b/internal/agent/downstream/response.go
@@ -56,9 +56,9 @@
 		w.Header().Set("Content-Length", strconv.FormatInt(response.Body.Length, 10))
 	}
 	w.WriteHeader(http.StatusOK)
-	fromServer, toClient := response.Body.CopyTo(w)
-	if fromServer != nil || toClient != nil {
-		s.dispatcher.ResponseAborted(request, fromServer, toClient)
+	serverErr, clientErr := response.Body.CopyTo(w)
+	if serverErr != nil || clientErr != nil {
+		s.dispatcher.ResponseAborted(request, serverErr, clientErr)
 		// The client can tell that the response is incomplete only if its connection ends early.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -52,7 +52,7 @@
 	// InvalidRequest counts and logs a message from a client that is not a valid request.
 	InvalidRequest(id, from string, invalid *message.RequestError)
 	// ResponseAborted counts and logs a response that was started but not forwarded completely.
-	ResponseAborted(request *message.Request, fromServer, toClient error)
+	ResponseAborted(request *message.Request, serverErr, clientErr error)
 }
 
 // Server accepts client connections and serves their requests.
@@ -76,7 +76,7 @@
 	cancelDrain  context.CancelFunc // ends the drain; nil if not draining
 	shuttingDown bool               // the drain can no longer be stopped
 	onDrain      func(bool)         // called when a drain starts and ends
-	rejectsAll   atomic.Bool        // requests still arriving are rejected
+	rejectingNew atomic.Bool        // requests still arriving are rejected
 
 	accepting sync.WaitGroup // done once serve accepts no more connections
 }
@@ -236,7 +236,7 @@
 		s.writeInvalid(w, req, control, invalid)
 		return
 	}
-	if s.rejectsAll.Load() {
+	if s.rejectingNew.Load() {
 		rejection := message.Response{Kind: message.Rejected, RetryAfterMs: s.classes.Load().retryAfterMs}
 		s.writeResponse(w, request.Request, rejection)
 		return
--- a/internal/agent/downstream/server_test.go
+++ b/internal/agent/downstream/server_test.go
@@ -46,7 +46,7 @@
 
 // A request sent while its idle connection is being closed is sent again by its client on another connection. If the
 // agent also forwarded the first copy, the request would execute twice.
-func TestRequestThatCrossesACloseIsNotForwarded(t *testing.T) {
+func TestRequestOnClosedConnectionIsNotForwarded(t *testing.T) {
 	server, dispatcher := startServer(t, lateCloseListener{agenttest.Listen(t)})
 	client := agenttest.DialClient(t, server.listener.Addr().String())
 	sendRequest(t, client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -57,10 +57,10 @@
 	agenttest.WaitUntil(t, "the connection is idle", func() bool {
 		conns.mu.Lock()
 		defer conns.mu.Unlock()
-		return conns.order.Len() == 1
+		return conns.idleOrder.Len() == 1
 	})
 	conns.mu.Lock()
-	_ = conns.order.Front().Value.(net.Conn).Close()
+	_ = conns.idleOrder.Front().Value.(net.Conn).Close()
 	conns.mu.Unlock()
 	sendRequest(t, client, "POST /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
