--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -75,7 +75,7 @@
 		n, err := c.Conn.Read(buffer)
 		timedOut := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		if timedOut && c.wokenToClose() {
-			if !c.requestBegun.Load() && socket.IsIdleAlive(c.Conn) {
+			if !c.requestBegun.Load() && socket.IsOpenAndIdle(c.Conn) {
 				return 0, err
 			}
 			continue
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -73,7 +73,7 @@
 
 // setQueuedAt sets the queuedAt of a new connection that may have waited in the accept queue with a request on it.
 func (l *clientListener) setQueuedAt(conn *clientConn) {
-	if !socket.IsIdleAlive(conn.Conn) { // its bytes arrived before it was accepted
+	if !socket.IsOpenAndIdle(conn.Conn) { // its bytes arrived before it was accepted
 		conn.queuedAt = l.queuedAt
 	}
 	if !l.queued() {
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket looks at sockets without waiting: whether the peer has closed, whether an idle connection is still
-// usable, and what has arrived.
+// Package socket inspects sockets without blocking: whether the peer has closed the connection, whether an idle
+// connection is still usable, and which bytes have arrived.
 package socket
 
 import (
@@ -11,24 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Expired is a deadline that makes whatever reads or writes end at once.
+// Expired is a deadline in the past. Set on a connection, it ends blocked reads and writes immediately.
 var Expired = time.Unix(1, 0)
 
-// peerClosedEvents are the events that say that a socket's peer has closed its side, or the connection broke.
+// peerClosedEvents are the poll(2) events that report that the peer has closed its side or that the connection failed.
 const peerClosedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// pollFunc is poll(2).
+// pollFunc is the signature of unix.Poll.
 type pollFunc func(fds []unix.PollFd, timeoutMs int) (int, error)
 
-// PeerClosed reports whether the peer has closed its side of a connection, also behind bytes that nobody has read.
-// Of what is not a socket that is not known.
+// PeerClosed reports whether the peer has closed its side of the connection, even if bytes before the close are still
+// unread. It returns false if conn is not a socket.
 func PeerClosed(conn net.Conn) bool { return pollSocket(conn, unix.POLLRDHUP, peerClosedEvents) }
 
-// IsReadable reports whether a connection has bytes to read, or a listener a connection to accept. Of what is not a
-// socket that is not known.
+// IsReadable reports whether a connection has bytes to read or a listener has a connection to accept. It returns false
+// for anything that is not a socket.
 func IsReadable(socket any) bool { return pollSocket(socket, unix.POLLIN, unix.POLLIN) }
 
-// pollSocket polls a socket for events without waiting, and reports whether one of the wanted ones has occurred.
+// pollSocket polls a socket for events without blocking, and reports whether any of the wanted events has occurred.
 func pollSocket(socket any, events, wanted int16) bool {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
@@ -43,7 +43,7 @@
 	return err == nil && occurred
 }
 
-// pollDescriptor is pollSocket for a descriptor. It polls again where poll(2) was interrupted.
+// pollDescriptor polls a file descriptor like pollSocket. It retries if poll(2) is interrupted by a signal.
 func pollDescriptor(fd int32, events, wanted int16, poll pollFunc) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: events}}
 	n, err := poll(fds, 0)
@@ -53,7 +53,8 @@
 	return err == nil && n > 0 && fds[0].Revents&wanted != 0
 }
 
-// ReadNow reads what a non-blocking socket has by now; 0 bytes where that is nothing or it ended.
+// ReadNow reads the bytes available on a non-blocking socket. It returns 0 if there are none, at the end of the stream,
+// and after an error.
 func ReadNow(fd int, buffer []byte) int {
 	n, err := unix.Read(fd, buffer)
 	for errors.Is(err, unix.EINTR) {
@@ -62,10 +63,10 @@
 	return max(n, 0)
 }
 
-// IsIdleAlive reports whether an idle connection is still open and silent. One that the peer closed, or that
-// brings bytes nobody asked for, must not carry a request: the request would end as a reset, which may have
-// executed.
-func IsIdleAlive(conn net.Conn) bool {
+// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It returns true if conn is not a socket.
+// An idle connection that the peer has closed, or on which it has sent unsolicited bytes, must not carry a request: the
+// request could end in a reset after it has already executed.
+func IsOpenAndIdle(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/agent/socket/socket_test.go
+++ b/internal/agent/socket/socket_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// An interrupted poll of a connection is repeated: the client may have closed it.
-func TestPeerCloseIsSeenAfterAnInterruptedPoll(t *testing.T) {
+// An interrupted poll is retried; otherwise a client that has closed its connection would go unnoticed.
+func TestPeerCloseIsReportedAfterInterruptedPoll(t *testing.T) {
 	calls := 0
 	poll := func(fds []unix.PollFd, _ int) (int, error) {
 		calls++
@@ -18,10 +18,10 @@
 		return 1, nil
 	}
 	if !pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, poll) {
-		t.Errorf("no hangup seen after %d polls", calls)
+		t.Errorf("hangup not reported after %d polls", calls)
 	}
 	failing := func([]unix.PollFd, int) (int, error) { return -1, unix.ENOMEM }
 	if pollDescriptor(0, unix.POLLRDHUP, peerClosedEvents, failing) {
-		t.Error("a poll that failed was taken for a hangup")
+		t.Error("failed poll reported as a hangup")
 	}
 }
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -103,7 +103,7 @@
 			return p.open(ctx, addr, deadline)
 		}
 		conn.idledFor = time.Since(conn.idleSince)
-		if conn.idledFor < idleLimit && socket.IsIdleAlive(conn.Conn) {
+		if conn.idledFor < idleLimit && socket.IsOpenAndIdle(conn.Conn) {
 			return conn, nil
 		}
 		p.discard(conn)
