--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the configuration of an agent: its file, the environment, and settings of the
-// discovery service. A Config is not changed once it is in use, but replaced.
+// Package config reads and validates the configuration of an agent: its file, the environment, and the settings from
+// the discovery service. A Config in use is never modified, only replaced.
 package config
 
 import (
@@ -18,67 +18,67 @@
 // Config is the validated configuration of one agent.
 type Config struct {
 	Name string
-	// Listen is where clients connect, and Discovery the first address of the discovery service.
+	// Listen is the address on which clients connect, and Discovery the first address of the discovery service.
 	Listen    string
 	Discovery string
-	// AdminAddr is the address of the admin endpoint; empty: there is none.
+	// AdminAddr is the address of the admin endpoint; empty if there is none.
 	AdminAddr string
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int // MiB
-	Sockets   int // descriptors that the process may have
-	// Known is the endpoint list that is in force until discovery has responded.
+	Sockets   int // maximum number of file descriptors of the process
+	// Known is the endpoint list in force until discovery has responded.
 	Known    endpoint.List
 	Settings balancer.Settings
-	// Zones and Kinds are the names of zones and of machine kinds, by the number that the policy knows.
+	// Zones and Kinds are the names of zones and machine kinds, indexed by the numbers that the policy uses for them.
 	Zones []string
 	Kinds []string
-	// Membership is how this agent and the others keep a membership view; nil: they do not.
+	// Membership is the configuration of the membership view that the agents keep; nil if they keep none.
 	Membership *membership.Config
-	// Control is what the discovery service sends beside the list, and where; nil: nothing.
+	// Control selects what the discovery service sends in addition to the list, and from which addresses; nil if nothing.
 	Control *Control
 
-	// The fields below are not in the file: the host of the agent sets them before the start.
+	// The fields below are not part of the file; the host process of the agent sets them before the start.
 
-	// Log takes the agent's lines; nil: slog.Default().
+	// Log is the agent's logger; nil means slog.Default().
 	Log *slog.Logger
-	// Hooks are called when something has happened.
+	// Hooks are called on events of the agent.
 	Hooks Hooks
-	// Clock is the machine's clock; nil: the system's.
+	// Clock is the machine's clock; nil means the system clock.
 	Clock clock.Clock
-	// Dial opens connections to servers; nil: over TCP.
+	// Dial opens connections to servers; nil means DialTCP.
 	Dial DialFunc
-	// CallFrom is the address that calls to discovery come from; nil: the system's choice.
+	// CallFrom is the local address of calls to discovery; nil lets the system choose.
 	CallFrom net.IP
 
-	document        document           // the file as JSON, to compare the next one with
-	serviceSettings *endpoint.Settings // those in force where they came from the discovery service
+	document        document           // the decoded file, for comparison with the next one
+	serviceSettings *endpoint.Settings // settings in force if they came from the discovery service, else nil
 }
 
-// DialFunc opens a connection to a server until a time.
-type DialFunc func(ctx context.Context, addr string, until time.Time) (net.Conn, error)
+// DialFunc opens a connection to a server before the deadline.
+type DialFunc func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 
-// DialTCP is the DialFunc of an agent that is given no other; others call it to open the connections that they change.
-func DialTCP(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+// DialTCP is the default DialFunc. Other DialFuncs use it to open the connections that they wrap.
+func DialTCP(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
+	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// Hooks are called when something has happened, each where it is not nil, from goroutines of the agent: a hook
-// that waits blocks the agent.
+// Hooks are functions that are called on events of the agent, except those that are nil. They are called from
+// goroutines of the agent and must not block, because the agent waits for them.
 type Hooks struct {
-	// OnList is called with each version of the endpoint list once the policy has it: also with the one known
-	// at the start, if there is one, and only with the first of two responses of one version.
+	// OnList is called with each version of the endpoint list after it has been passed to the policy, including the list
+	// known at the start, if any. If two responses have the same version, it is called only for the first.
 	OnList func(version uint64)
-	// OnSettings is called when other settings are in force, with their version: 0 for those of a file, which
-	// has none.
+	// OnSettings is called when new settings are in force, with their version, or 0 if they came from a file, which has no
+	// version.
 	OnSettings func(version uint64)
-	// OnMemoryLimit is called with the bytes that the process should keep within from now on, where it shares
-	// its limits with another process.
+	// OnMemoryLimit is called with the number of bytes that the process should stay within from now on, when it shares its
+	// limits with another process.
 	OnMemoryLimit func(bytes int64)
 }
 
-// SystemClock is the machine's clock.
+// SystemClock returns Clock, or the system clock if Clock is nil.
 func (c *Config) SystemClock() clock.Clock {
 	if c.Clock == nil {
 		return clock.System()
@@ -86,7 +86,7 @@
 	return c.Clock
 }
 
-// Logger takes the agent's lines.
+// Logger returns Log, or slog.Default() if Log is nil.
 func (c *Config) Logger() *slog.Logger {
 	if c.Log == nil {
 		return slog.Default()
@@ -94,7 +94,7 @@
 	return c.Log
 }
 
-// Dialer opens the connections to servers.
+// Dialer returns Dial, or DialTCP if Dial is nil.
 func (c *Config) Dialer() DialFunc {
 	if c.Dial == nil {
 		return DialTCP
@@ -102,7 +102,7 @@
 	return c.Dial
 }
 
-// Addresses are the addresses of discovery without duplicates, "discovery" first.
+// Addresses returns the addresses of discovery without duplicates, starting with Discovery.
 func (c *Config) Addresses() []string {
 	all := []string{c.Discovery}
 	if c.Control == nil {
@@ -116,7 +116,7 @@
 	return all
 }
 
-// SettingsVersion is the version of the settings, 0 where they are the file's.
+// SettingsVersion returns the version of the settings, or 0 if they came from the file.
 func (c *Config) SettingsVersion() uint64 {
 	if c.serviceSettings == nil {
 		return 0
--- a/internal/agent/config/config_test.go
+++ b/internal/agent/config/config_test.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// Configurations read from bytes are checked as those of the file are.
+// Configurations parsed from bytes are validated like those read from a file.
 func TestParseConfig(t *testing.T) {
 	discovery := agenttest.NewDiscovery(t)
 	withAdmin := agenttest.PushedConfigText(t, discovery, func(keys map[string]any) {
@@ -30,9 +30,9 @@
 	}
 	_, err = config.ParseReload(agenttest.PushedConfigText(t, discovery, nil), inForce)
 	if err == nil || !strings.HasPrefix(err.Error(), "config: management: missing") {
-		t.Errorf("a file without a key of the one in force: %v", err)
+		t.Errorf("reload without a key of the configuration in force: %v", err)
 	}
 	if _, err := config.ParseReload(badSeed, inForce); err == nil {
-		t.Error("a bad seed is accepted at a reload")
+		t.Error("reload accepted a bad seed")
 	}
 }
--- a/internal/agent/config/control.go
+++ b/internal/agent/config/control.go
@@ -13,19 +13,19 @@
 	"unicode/utf8"
 )
 
-// maxServiceName bounds the name of a service, in bytes, as the discovery service does.
+// maxServiceName is the maximum length of a service name, in bytes. The discovery service has the same limit.
 const maxServiceName = 128
 
-// Control is the section "control" of the configuration: which settings the agent takes from the discovery
-// service, and at which addresses.
+// Control is the section "control" of the configuration: which settings the agent takes from the discovery service, and
+// the further addresses of that service.
 type Control struct {
-	// Service is the service whose settings the agent takes; empty: only those of its file.
+	// Service is the service whose settings the agent takes; empty if it uses only those of its file.
 	Service string `json:"service"`
-	// Addresses are further addresses of discovery, host:port, of instances that return the same list.
+	// Addresses are further addresses of discovery, as host:port, of instances that return the same list.
 	Addresses []string `json:"addresses"`
 }
 
-// parseControl reads the section; an error names the key that is unknown or has an invalid value.
+// parseControl parses and validates the section. Errors name the key that is unknown or has an invalid value.
 func parseControl(text []byte) (*Control, error) {
 	control, err := decodeControl(text)
 	if err != nil {
@@ -37,22 +37,23 @@
 	}
 	for key, value := range keys {
 		if strings.EqualFold(key, "service") && !isServiceName(control.Service) {
-			return nil, fmt.Errorf("control: service: %.40q is no name: want 1 to %d bytes, no / and no control characters",
+			return nil, fmt.Errorf(
+				"control: service: %.40q is not a valid name: want 1 to %d bytes, no / and no control characters",
 				control.Service, maxServiceName)
 		}
 		if strings.EqualFold(key, "addresses") && len(control.Addresses) == 0 {
-			return nil, fmt.Errorf("control: addresses: must name one at least, is %.40s", value)
+			return nil, fmt.Errorf("control: addresses: must contain at least one address, is %.40s", value)
 		}
 	}
 	for i, addr := range control.Addresses {
 		if !isHostPort(addr) {
-			return nil, fmt.Errorf("control: addresses[%d]: %q is no host:port", i, addr)
+			return nil, fmt.Errorf("control: addresses[%d]: %q is not a host:port address", i, addr)
 		}
 	}
 	return control, nil
 }
 
-// decodeControl decodes the section's JSON, which must be one object with known keys.
+// decodeControl decodes the section's JSON, which must be a single object with known keys.
 func decodeControl(text []byte) (*Control, error) {
 	control := new(Control)
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -71,7 +72,7 @@
 	return control, nil
 }
 
-// isHostPort reports whether calls may be made to an address.
+// isHostPort reports whether addr is a valid address for calls: a host and a port other than 0.
 func isHostPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host == "" || strings.ContainsAny(host, "/?#@ ") {
@@ -81,7 +82,7 @@
 	return err == nil && number > 0
 }
 
-// isServiceName reports whether the discovery service accepts a text as a service's name.
+// isServiceName reports whether the discovery service accepts s as a service name.
 func isServiceName(s string) bool {
 	return s != "" && s != "." && s != ".." && len(s) <= maxServiceName && utf8.ValidString(s) &&
 		!strings.Contains(s, "/") && !strings.ContainsFunc(s, unicode.IsControl)
--- a/internal/agent/config/control_test.go
+++ b/internal/agent/config/control_test.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// The section "control" adds addresses to the first one; an error names the key that is wrong, in one line.
+// The section "control" adds addresses to the first one. Its errors name the invalid key, on one line.
 func TestControlSection(t *testing.T) {
 	load := func(control string) (*config.Config, error) {
 		return config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
@@ -32,19 +32,19 @@
 		`{}`:                                 "control: must have service, addresses or both",
 		`[]`:                                 "control: ",
 		`7`:                                  "control: ",
-		`{"service":""}`:                     `control: service: "" is no name`,
-		`{"service":null}`:                   `control: service: "" is no name`,
-		`{"service":"a/b"}`:                  `control: service: "a/b" is no name`,
-		`{"service":"a\nb"}`:                 `control: service: "a\nb" is no name`,
+		`{"service":""}`:                     `control: service: "" is not a valid name`,
+		`{"service":null}`:                   `control: service: "" is not a valid name`,
+		`{"service":"a/b"}`:                  `control: service: "a/b" is not a valid name`,
+		`{"service":"a\nb"}`:                 `control: service: "a\nb" is not a valid name`,
 		`{"service":7}`:                      "control: service: cannot be a number",
-		`{"addresses":[]}`:                   "control: addresses: must name one at least, is []",
-		`{"addresses":null}`:                 "control: addresses: must name one at least, is null",
+		`{"addresses":[]}`:                   "control: addresses: must contain at least one address, is []",
+		`{"addresses":null}`:                 "control: addresses: must contain at least one address, is null",
 		`{"addresses":"a:1"}`:                "control: addresses: cannot be a string",
-		`{"addresses":["a:1","b"]}`:          `control: addresses[1]: "b" is no host:port`,
-		`{"addresses":[":1"]}`:               `control: addresses[0]: ":1" is no host:port`,
-		`{"addresses":["a:0"]}`:              `control: addresses[0]: "a:0" is no host:port`,
-		`{"addresses":["a:http"]}`:           `control: addresses[0]: "a:http" is no host:port`,
-		`{"addresses":["a/b:1"]}`:            `control: addresses[0]: "a/b:1" is no host:port`,
+		`{"addresses":["a:1","b"]}`:          `control: addresses[1]: "b" is not a host:port address`,
+		`{"addresses":[":1"]}`:               `control: addresses[0]: ":1" is not a host:port address`,
+		`{"addresses":["a:0"]}`:              `control: addresses[0]: "a:0" is not a host:port address`,
+		`{"addresses":["a:http"]}`:           `control: addresses[0]: "a:http" is not a host:port address`,
+		`{"addresses":["a/b:1"]}`:            `control: addresses[0]: "a/b:1" is not a host:port address`,
 		`{"service":"pay","adresses":["a"]}`: `control: unknown field "adresses"`,
 	} {
 		_, err := load(`"control":` + control + `,`)
--- a/internal/agent/config/document.go
+++ b/internal/agent/config/document.go
@@ -2,25 +2,25 @@
 
 import "maps"
 
-// document is a JSON object as decoded. Documents are compared to find the keys that a later one lacks: a key that is
-// missing would be read as a zero, which nobody has set.
+// document is a decoded JSON object. Documents are compared to find keys that a later one lacks, because a missing key
+// would be read as a zero value that nobody has set.
 type document map[string]any
 
-// section is the object under a key; ok is false where there is none.
+// section returns the object under a key; ok is false if there is none.
 func (d document) section(key string) (section document, ok bool) {
 	section, ok = d[key].(map[string]any)
 	return section, ok
 }
 
-// withSection is a copy of the document with another object under a key.
+// withSection returns a copy of the document with the object under a key replaced.
 func (d document) withSection(key string, section document) document {
 	changed := document{}
 	maps.Copy(changed, d)
-	changed[key] = map[string]any(section) // the type of decoded objects
+	changed[key] = map[string]any(section) // the type that json.Unmarshal uses for objects
 	return changed
 }
 
-// only is the part of the document that has the given keys.
+// only returns a document with only the given keys.
 func (d document) only(keys []string) document {
 	part := document{}
 	for _, key := range keys {
@@ -31,8 +31,8 @@
 	return part
 }
 
-// missingIn names a key that the document has and its successor lacks, as a path with dots; "" if there is none. In a
-// list of objects only the keys count that all of them have.
+// missingIn returns a key that the document has and its successor lacks, as a dotted path, or "" if there is none. In a
+// list of objects, only the keys that all of them have are required.
 func (d document) missingIn(successor document) string {
 	for key, value := range d {
 		newValue := successor[key]
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// missingWithin names a key that the value of a key has and its successor lacks; ok is false where the successor is
-// of another type.
+// missingWithin returns a key that is present within the value of a key but missing from its successor; ok is false if
+// the successor has another type.
 func missingWithin(key string, value, successor any) (within string, ok bool) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -73,7 +73,7 @@
 	return "", true
 }
 
-// missingInList names a key that all objects of a list have and one of its successor lacks.
+// missingInList returns a key that all objects of a list have and an object of its successor lacks.
 func missingInList(list, successor []any) string {
 	common := commonKeys(list)
 	for _, item := range successor {
@@ -88,8 +88,8 @@
 	return ""
 }
 
-// commonKeys has the keys that all objects of a list have, without those that only classes that are idempotent by key
-// need.
+// commonKeys returns the keys that all objects of a list have, except those that only classes that are idempotent by
+// key need.
 func commonKeys(list []any) document {
 	var common document
 	for _, item := range list {
--- a/internal/agent/config/document_test.go
+++ b/internal/agent/config/document_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A key counts as missing wherever the successor lacks it, or has null or a value of another type there; entries of
-// the endpoint list may change.
+// A key is missing if the successor lacks it, or has null or a value of another type in its place. Entries of the
+// endpoint list may change.
 func TestMissingKeyIsNamedByItsPath(t *testing.T) {
 	const inForce = `{"seed":"1","limits":{"cores":1},"classes":[{"name":"a","group":"x"},{"name":"b"}],
 "servers":[{"id":"s"}]}`
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		if key := before.missingIn(after); key != want {
-			t.Errorf("%s: the key %q is missing, want %q", successor, key, want)
+			t.Errorf("%s: missing key %q, want %q", successor, key, want)
 		}
 	}
 }
--- a/internal/agent/config/file.go
+++ b/internal/agent/config/file.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// minMemoryMB is the smallest memory limit, in MiB.
+	// minMemoryMB is the smallest allowed memory limit, in MiB.
 	minMemoryMB = 16
-	// revisionLength is the length of a commit's short name.
+	// revisionLength is the length of an abbreviated commit hash.
 	revisionLength = 12
 )
 
-// configFile is the form of $PROXY_CONFIG.
+// configFile is the content of the file that $PROXY_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -38,11 +38,11 @@
 	Control    json.RawMessage `json:"control"`
 	Settings   json.RawMessage `json:"settings"`
 
-	document document // all of the file
+	document document // the whole file
 }
 
-// Load reads the configuration from the environment and from the file that it names. Where both set a
-// value the environment has precedence: the platform set it for this start.
+// Load reads the configuration from the environment and from the file that $PROXY_CONFIG names. Values of the
+// environment take precedence, because the platform sets them for this start.
 func Load(getenv func(string) string) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
@@ -62,9 +62,9 @@
 	return f.config()
 }
 
-// Reload reads the file again, in service. The file is later than the environment of the start, so the
-// file has precedence. A key that the file in force has and the new one lacks is an error: read as a zero it
-// would be a setting that nobody made.
+// Reload reads the file again while the agent is running. Values of the file take precedence over the environment,
+// because the file is newer. A key that is present in the configuration in force but missing from the file is an error:
+// it would be read as a zero value that nobody has set.
 func Reload(getenv func(string) string, inForce *Config) (*Config, error) {
 	f, err := readFile(getenv)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return f.reloaded(inForce)
 }
 
-// Parse reads a configuration of the form of $PROXY_CONFIG's file; an error names the key.
+// Parse parses and validates a configuration in the format of the file. Errors name the key.
 func Parse(text []byte) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return f.config()
 }
 
-// ParseReload reads such a configuration as Reload does, in place of the one in force.
+// ParseReload parses a configuration that replaces the one in force, by the rules of Reload.
 func ParseReload(text []byte, inForce *Config) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return f.reloaded(inForce)
 }
 
-// reloaded is the configuration that replaces the one in force.
+// reloaded returns the configuration that replaces the one in force.
 func (f *configFile) reloaded(inForce *Config) (*Config, error) {
 	if key := inForce.document.missingIn(f.document); key != "" {
 		return nil, fmt.Errorf("config: %s: missing, though it was there before", key)
@@ -99,7 +99,7 @@
 	return f.config()
 }
 
-// readFile reads the file that the environment names.
+// readFile reads and decodes the file that the environment names.
 func readFile(getenv func(string) string) (*configFile, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -116,7 +116,7 @@
 	return f, nil
 }
 
-// parseFile decodes a file, and does not check it.
+// parseFile decodes a file without validating it.
 func parseFile(text []byte) (*configFile, error) {
 	f := new(configFile)
 	if err := json.Unmarshal(text, f); err != nil {
@@ -128,7 +128,7 @@
 	return f, nil
 }
 
-// config checks the file and makes the configuration of it; an error names the key.
+// config validates the file and returns its configuration. Errors name the key.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{
 		Name:      f.Name,
@@ -149,11 +149,11 @@
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("config: seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	c.Seed = seed
 	if len(f.Settings) == 0 {
-		return nil, errors.New("config: settings: none given")
+		return nil, errors.New("config: settings: missing")
 	}
 	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
@@ -167,7 +167,7 @@
 	return c, nil
 }
 
-// checkAddresses checks the addresses that the agent listens on and calls.
+// checkAddresses validates the addresses that the agent listens on and calls.
 func (c *Config) checkAddresses() error {
 	addresses := []struct{ key, value string }{
 		{"listen", c.Listen},
@@ -179,26 +179,26 @@
 			continue
 		}
 		if _, port, err := net.SplitHostPort(address.value); err != nil || port == "" {
-			return fmt.Errorf("config: %s: %q is no host:port", address.key, address.value)
+			return fmt.Errorf("config: %s: %q is not a host:port address", address.key, address.value)
 		}
 	}
 	return nil
 }
 
-// checkLimits checks the limits of the process.
+// checkLimits validates the limits of the process.
 func (c *Config) checkLimits() error {
 	switch {
 	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
-		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
+		return fmt.Errorf("config: limits.cores: must be a finite number above 0, is %v", c.Cores)
 	case c.MemoryMB < minMemoryMB:
-		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
+		return fmt.Errorf("config: limits.memory_mb: must be at least %d, is %d", minMemoryMB, c.MemoryMB)
 	case c.Sockets < minSockets:
-		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+		return fmt.Errorf("config: limits.sockets: must be at least %d, is %d", minSockets, c.Sockets)
 	}
 	return nil
 }
 
-// parseControlSection reads the section "control" where there is one.
+// parseControlSection parses the section "control", if there is one.
 func (c *Config) parseControlSection(text json.RawMessage) error {
 	if len(text) == 0 {
 		return nil
@@ -208,13 +208,13 @@
 		return fmt.Errorf("config: %w", err)
 	}
 	if c.Name == "" {
-		return errors.New("config: name: none given, which control needs")
+		return errors.New("config: name: missing, required by control")
 	}
 	c.Control = control
 	return nil
 }
 
-// parseFleetSection reads the section "fleet" where there is one.
+// parseFleetSection parses the section "fleet", if there is one.
 func (c *Config) parseFleetSection(text json.RawMessage) error {
 	if len(text) == 0 {
 		return nil
@@ -224,7 +224,7 @@
 		return fmt.Errorf("config: %w", err)
 	}
 	if least := minSockets + membership.MaxDescriptors; c.Sockets < least {
-		return fmt.Errorf("config: limits.sockets: must be %d at least with a fleet, is %d", least, c.Sockets)
+		return fmt.Errorf("config: limits.sockets: must be at least %d with a fleet, is %d", least, c.Sockets)
 	}
 	fleet.Name = c.Name
 	fleet.Size = c.Settings.FleetSize
@@ -233,7 +233,8 @@
 	return nil
 }
 
-// buildRevision is the commit that the program was built from, "unknown" where the build does not tell.
+// buildRevision returns the abbreviated hash of the commit that the program was built from, or "unknown" if the build
+// does not record it.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/agent/config/file_test.go
+++ b/internal/agent/config/file_test.go
@@ -10,19 +10,17 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// replacement is a part of a configuration's text and what a test has in its place; wantError is the text that the
-// error has, which names the key.
+// replacement replaces a part of a configuration's text. wantError is a text of the expected error that names the key.
 type replacement struct{ from, to, wantError string }
 
 func (r replacement) in(text string) string { return strings.Replace(text, r.from, r.to, 1) }
 
-// configPath is where a test writes its configuration file.
+// configPath returns a path for the configuration file of a test.
 func configPath(t *testing.T) string {
 	t.Helper()
 	return filepath.Join(t.TempDir(), "config.json")
 }
 
-// writeConfig writes a configuration file.
 func writeConfig(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -30,7 +28,7 @@
 	}
 }
 
-// environment is one that names a configuration file, with further variables.
+// environment returns a getenv function that has the path of a configuration file and further variables.
 func environment(path string, variables map[string]string) func(string) string {
 	return func(name string) string {
 		if name == "PROXY_CONFIG" {
@@ -40,12 +38,12 @@
 	}
 }
 
-// isLineWith reports whether an error has a text, in one line.
+// isLineWith reports whether err is a single line that contains text.
 func isLineWith(err error, text string) bool {
 	return err != nil && strings.Contains(err.Error(), text) && !strings.Contains(err.Error(), "\n")
 }
 
-// A file is read with the environment's values before its own, and an invalid one is rejected by the key.
+// Values of the environment take precedence over the file, and the error of an invalid file names the key.
 func TestConfig(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"known":{"version":4,"full":true,"servers":[{"id":"s-1"}]},
@@ -61,7 +59,7 @@
 	}
 	if cfg.Listen != "127.0.0.1:9" || cfg.Discovery != "127.0.0.1:2" || cfg.Seed != 0x8c1f30d27a5be964 ||
 		cfg.Known.Version != 4 || cfg.Cores != 0.5 || len(cfg.Zones) != 2 || len(cfg.Settings.Classes) != 3 {
-		t.Errorf("read as %+v", cfg)
+		t.Errorf("parsed as %+v", cfg)
 	}
 	for _, bad := range []replacement{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"zz"`, "seed"},
@@ -80,16 +78,16 @@
 		}
 	}
 	if _, err := config.Load(func(string) string { return "" }); err == nil {
-		t.Error("no configuration is accepted")
+		t.Error("Load without PROXY_CONFIG succeeded")
 	}
 }
 
-// reloadedConfig is a file that reloads change.
+// reloadedConfig is the configuration in force, to which the reloads apply replacements.
 const reloadedConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},
 "known":{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:9"}]},"settings":` + agenttest.Settings + `}`
 
-// validReloads are changes that a reload accepts.
+// validReloads are replacements that a reload accepts.
 var validReloads = []replacement{
 	{from: "", to: ""},
 	{from: `{"name":"send"`, to: `{"name":"later"`},
@@ -98,7 +96,7 @@
 	{from: `"servers":[{"id":"a","addr":"127.0.0.1:9"}]`, to: `"servers":[]`},
 }
 
-// invalidReloads are changes that a reload rejects.
+// invalidReloads are replacements that a reload rejects.
 var invalidReloads = []replacement{
 	{reloadedConfig, ``, "config"},
 	{reloadedConfig, `{}`, "missing"},
@@ -123,7 +121,8 @@
 	{`"name":"send"`, `"name":""`, "name"},
 }
 
-// Whatever a file lacks or gets wrong, the settings in force stay as they are, all of them.
+// A reload of a file with a missing or invalid key is rejected as a whole, so that all settings in force stay as they
+// are.
 func TestReloadRejectsInvalidFiles(t *testing.T) {
 	path := configPath(t)
 	getenv := environment(path, nil)
--- a/internal/agent/config/limits.go
+++ b/internal/agent/config/limits.go
@@ -3,42 +3,43 @@
 import "fernbeam.example/fernbeam/internal/membership"
 
 const (
-	// minSockets leaves a few connections to each side beside the reserve.
+	// minSockets is the smallest limit that leaves each side a few connections in addition to the reserve.
 	minSockets = 64
-	// fixedSockets are the descriptors that a process always needs: three standard streams, two of the poller,
-	// its two listeners, the lock, four calls to discovery, the file that is read at a reload, and one
-	// connection that is accepted before another is closed.
+	// fixedSockets is the number of descriptors that a process always needs: three for the standard streams, two for the
+	// network poller, two for its listeners, one for the lock, four for calls to discovery, one for the file read at a
+	// reload, and one for a connection that is accepted before another is closed.
 	fixedSockets = 14
-	// maxAdminConns bounds the admin connections, whatever the reserve of descriptors allows.
+	// maxAdminConns is the maximum number of admin connections, however large the reserve of descriptors is.
 	maxAdminConns = 24
-	// reserveDivisor is the part of the descriptors, as a divisor, that neither side's connections may use.
+	// reserveDivisor determines the reserve: 1/reserveDivisor of the descriptors, which neither side may use for
+	// connections.
 	reserveDivisor = 8
-	// bytesPerMiB converts the memory limit.
-	bytesPerMiB = 1 << 20
-	// memoryLimitNumerator and memoryLimitDenominator make the part of the memory that MemoryLimit returns.
+	bytesPerMiB    = 1 << 20
+	// memoryLimitNumerator and memoryLimitDenominator are the share of the memory that MemoryLimit returns.
 	memoryLimitNumerator, memoryLimitDenominator = 3, 4
-	// minReserve lets two processes run side by side with two admin connections each.
+	// minReserve is enough for two processes to run side by side with two admin connections each.
 	minReserve = 2 * (fixedSockets + 2)
 )
 
-// ClientConns is the number of client connections: half of the descriptors beside the reserve, which is for admin
-// connections and for fixedSockets.
+// ClientConns returns the maximum number of client connections: half of the descriptors outside the reserve, which is
+// for admin connections and fixedSockets.
 func (c *Config) ClientConns() int {
 	sockets := c.ownSockets()
 	reserve := max(sockets/reserveDivisor, minReserve)
 	return (sockets - reserve) / 2
 }
 
-// ServerConns is the number of connections to servers: the other half.
+// ServerConns returns the maximum number of connections to servers: the other half.
 func (c *Config) ServerConns() int { return c.ClientConns() }
 
-// AdminConns is the number of admin connections of a process where the reserve is shared by so many processes.
+// AdminConns returns the maximum number of admin connections of each process if the given number of processes share the
+// reserve.
 func (c *Config) AdminConns(processes int) int {
 	reserve := c.ownSockets() - c.ClientConns() - c.ServerConns()
 	return min(reserve/processes-fixedSockets, maxAdminConns)
 }
 
-// ownSockets are the descriptors without those of the membership view, where there is one.
+// ownSockets returns the number of descriptors that are not used by the membership view.
 func (c *Config) ownSockets() int {
 	if c.Membership == nil {
 		return c.Sockets
@@ -46,11 +47,11 @@
 	return c.Sockets - membership.MaxDescriptors
 }
 
-// MemoryBytes is the memory that the process may have, in bytes.
+// MemoryBytes returns the memory limit of the process, in bytes.
 func (c *Config) MemoryBytes() int64 { return int64(c.MemoryMB) * bytesPerMiB }
 
-// MemoryLimit is the memory that the runtime should keep within, in bytes: well below the limit over which the
-// agent would be killed.
+// MemoryLimit returns the soft memory limit for the Go runtime, in bytes. It is well below the limit at which the
+// process would be killed.
 func (c *Config) MemoryLimit() int64 {
 	return c.MemoryBytes() * memoryLimitNumerator / memoryLimitDenominator
 }
--- a/internal/agent/config/limits_test.go
+++ b/internal/agent/config/limits_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Whatever a configuration allows, one process and two side by side stay within its descriptors with every
-// slot used, and each side has some.
+// For every number of descriptors, one process or two side by side stay within it with all slots in use, and each kind
+// of connection has some.
 func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := minSockets; sockets <= 1024; sockets++ {
 		cfg := &Config{Sockets: sockets}
 		one := cfg.ClientConns() + cfg.ServerConns() + cfg.AdminConns(1) + fixedSockets
 		two := 2 * ((cfg.ClientConns()+1)/2 + cfg.ServerConns()/2 + cfg.AdminConns(2) + fixedSockets)
 		if one > sockets || two > sockets || cfg.ClientConns() < 16 || cfg.AdminConns(2) < 2 {
-			t.Fatalf("%d descriptors: one process needs %d, two %d; %d for clients, %d for operators", sockets, one, two,
+			t.Fatalf("%d descriptors: one process needs %d, two need %d; clients get %d, operators %d", sockets, one, two,
 				cfg.ClientConns(), cfg.AdminConns(2))
 		}
 	}
--- a/internal/agent/config/settings.go
+++ b/internal/agent/config/settings.go
@@ -13,20 +13,20 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// settingsKey is the key of the settings in the configuration's file.
+// settingsKey is the key of the settings in the configuration file.
 const settingsKey = "settings"
 
-// agentOnlyKeys are the keys of the settings that belong to one agent: they come from its file, also where the
-// discovery service sets the others.
+// agentOnlyKeys are the settings that are specific to one agent. They always come from its file, even if the discovery
+// service provides the others.
 var agentOnlyKeys = []string{"index", "zone"}
 
-// parseSettings reads and checks the settings of a configuration; an error names the key.
+// parseSettings parses and validates the settings of a configuration. Errors name the key.
 func (c *Config) parseSettings(text []byte) error {
 	settings, err := balancer.ParseSettings(text)
 	if err != nil {
 		return err
 	}
-	// The policy knows zones and kinds by number only; discovery names them.
+	// The policy uses numbers for zones and kinds; discovery uses these names.
 	var names struct {
 		Zones []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
@@ -41,9 +41,9 @@
 	return err
 }
 
-// WithServiceSettings is the configuration with settings of the discovery service in place of its own, except
-// for agentOnlyKeys. The rules are those of Reload: an error names the key that can't be used, or that
-// the settings in force have and the new ones lack.
+// WithServiceSettings returns a copy of the configuration with its settings, except agentOnlyKeys, replaced by those of
+// the discovery service. As with Reload, errors name the key that is invalid, or that the settings in force have and
+// the new ones lack.
 func (c *Config) WithServiceSettings(settings *endpoint.Settings) (*Config, error) {
 	var object document
 	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
@@ -66,21 +66,21 @@
 	return &next, nil
 }
 
-// KeepServiceSettings is the configuration, which a file brought, with the settings of the one in force where
-// those came from the discovery service: they have precedence over a file's.
+// KeepServiceSettings returns the configuration, which was read from a file, with the settings of the one in force if
+// those came from the discovery service: they take precedence over the settings of a file.
 func (c *Config) KeepServiceSettings(inForce *Config) (*Config, error) {
 	if inForce.serviceSettings == nil {
 		return c, nil
 	}
 	next := *c
 	if ownObject, ok := c.document.section(settingsKey); ok {
-		// The file's other keys no longer count, and so can't be missing.
+		// The file's other settings are not in force, so they are not required of the next settings.
 		next.document = c.document.withSection(settingsKey, ownObject.only(agentOnlyKeys))
 	}
 	return next.WithServiceSettings(inForce.serviceSettings)
 }
 
-// isAgentOnlyKey compares as encoding/json does, which takes a key in any case for a field's.
+// isAgentOnlyKey reports whether key is one of agentOnlyKeys. Like encoding/json, it ignores case.
 func isAgentOnlyKey(key string) bool {
 	return slices.ContainsFunc(agentOnlyKeys, func(own string) bool { return strings.EqualFold(key, own) })
 }
