--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -136,7 +136,7 @@
 	a.admin = admin.New(admin.Options{
 		Clients:    a.downstream,
 		Membership: member,
-		MaxConns:   a.cfg.AdminConns(1),
+		MaxConns:   a.cfg.MaxAdminConns(1),
 		Log:        a.cfg.Logger(),
 	})
 	closeAll := sync.OnceFunc(a.closeAll)
--- a/internal/agent/config/limits.go
+++ b/internal/agent/config/limits.go
@@ -21,21 +21,21 @@
 	minReserve = 2 * (fixedSockets + 2)
 )
 
-// ClientConns returns the maximum number of client connections: half of the descriptors outside the reserve, which is
-// for admin connections and fixedSockets.
-func (c *Config) ClientConns() int {
+// MaxClientConns returns the maximum number of client connections: half of the descriptors outside the reserve, which
+// is for admin connections and fixedSockets.
+func (c *Config) MaxClientConns() int {
 	sockets := c.ownSockets()
 	reserve := max(sockets/reserveDivisor, minReserve)
 	return (sockets - reserve) / 2
 }
 
-// ServerConns returns the maximum number of connections to servers: the other half.
-func (c *Config) ServerConns() int { return c.ClientConns() }
+// MaxServerConns returns the maximum number of connections to servers: the other half.
+func (c *Config) MaxServerConns() int { return c.MaxClientConns() }
 
-// AdminConns returns the maximum number of admin connections of each process if the given number of processes share the
-// reserve.
-func (c *Config) AdminConns(processes int) int {
-	reserve := c.ownSockets() - c.ClientConns() - c.ServerConns()
+// MaxAdminConns returns the maximum number of admin connections of each process if the given number of processes share
+// the reserve.
+func (c *Config) MaxAdminConns(processes int) int {
+	reserve := c.ownSockets() - c.MaxClientConns() - c.MaxServerConns()
 	return min(reserve/processes-fixedSockets, maxAdminConns)
 }
 
--- a/internal/agent/config/limits_test.go
+++ b/internal/agent/config/limits_test.go
@@ -7,11 +7,11 @@
 func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := minSockets; sockets <= 1024; sockets++ {
 		cfg := &Config{Sockets: sockets}
-		one := cfg.ClientConns() + cfg.ServerConns() + cfg.AdminConns(1) + fixedSockets
-		two := 2 * ((cfg.ClientConns()+1)/2 + cfg.ServerConns()/2 + cfg.AdminConns(2) + fixedSockets)
-		if one > sockets || two > sockets || cfg.ClientConns() < 16 || cfg.AdminConns(2) < 2 {
+		one := cfg.MaxClientConns() + cfg.MaxServerConns() + cfg.MaxAdminConns(1) + fixedSockets
+		two := 2 * ((cfg.MaxClientConns()+1)/2 + cfg.MaxServerConns()/2 + cfg.MaxAdminConns(2) + fixedSockets)
+		if one > sockets || two > sockets || cfg.MaxClientConns() < 16 || cfg.MaxAdminConns(2) < 2 {
 			t.Fatalf("%d descriptors: one process needs %d, two need %d; clients get %d, operators %d", sockets, one, two,
-				cfg.ClientConns(), cfg.AdminConns(2))
+				cfg.MaxClientConns(), cfg.MaxAdminConns(2))
 		}
 	}
 }
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	agent = startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
-	return agent, agent.cfg.ClientConns()
+	return agent, agent.cfg.MaxClientConns()
 }
 
 // The first request on a new connection has a response, whatever the agent does with others just then to keep
@@ -76,7 +76,7 @@
 		return agenttest.RespondOK(conn, req, n)
 	})
 	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
-	for range 2 * agent.cfg.ClientConns() {
+	for range 2 * agent.cfg.MaxClientConns() {
 		agent.dialKept().RequestReady(t) // stays connected and idle
 	}
 	close(release)
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -109,7 +109,7 @@
 		shared:     options.Shared,
 		log:        cfg.Logger(),
 		bodies:     message.NewBodyBudget(cfg.MemoryBytes()),
-		conns:      newClientConns(cfg.ClientConns()),
+		conns:      newClientConns(cfg.MaxClientConns()),
 		onDrain:    options.OnDrain,
 	}
 	s.ApplySettings(cfg)
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -58,7 +58,7 @@
 		return
 	}
 	s.halved = false
-	s.conns.SetConnLimit(s.cfg.ClientConns())
+	s.conns.SetConnLimit(s.cfg.MaxClientConns())
 	for _, quota := range s.quotas {
 		quota.Release(quota.Size / 2)
 	}
@@ -70,8 +70,8 @@
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
 	}
-	s.pool.SetConnLimit(s.cfg.ServerConns() / processes)
-	s.admin.SetConnLimit(s.cfg.AdminConns(processes))
+	s.pool.SetConnLimit(s.cfg.MaxServerConns() / processes)
+	s.admin.SetConnLimit(s.cfg.MaxAdminConns(processes))
 }
 
 // holdLock locks the file until ctx is done. While another process has it locked this one has half of the limits.
@@ -85,7 +85,7 @@
 	if !alone {
 		s.cfg.Logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
-		s.conns.SetConnLimit(s.cfg.ClientConns() / 2)
+		s.conns.SetConnLimit(s.cfg.MaxClientConns() / 2)
 	}
 	go func() {
 		defer func() { _ = file.Close() }() // nothing was written to it
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -49,7 +49,7 @@
 // NewPool makes the pool of an agent with a configuration.
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
-		maxConns: cfg.ServerConns(),
+		maxConns: cfg.MaxServerConns(),
 		budget:   message.NewBodyBudget(cfg.MemoryBytes()),
 		dial:     cfg.Dialer(),
 		idle:     map[string][]*serverConn{},
