--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -76,7 +76,7 @@
 	}
 	slog.Info("listening", "name", cfg.Name, "addr", ln.Clients.Addr().String(), "shared", ln.Shared,
 		"admin", admin, "discovery_mode", cfg.Settings.DiscoveryMode, "agents", cfg.Settings.FleetSize,
-		"known_servers", len(cfg.Known.Servers), "costs", fmt.Sprintf("%+v", cfg.Settings.Costs))
+		"known_servers", len(cfg.InitialList.Servers), "costs", fmt.Sprintf("%+v", cfg.Settings.Costs))
 }
 
 // listen opens the listeners that the configuration names. The clients' listener is inherited where fd gives
--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -27,9 +27,9 @@
 	Cores     float64
 	MemoryMB  int // MiB
 	Sockets   int // maximum number of file descriptors of the process
-	// Known is the endpoint list in force until discovery has responded.
-	Known    endpoint.List
-	Settings balancer.Settings
+	// InitialList is the endpoint list in force until discovery has responded.
+	InitialList endpoint.List
+	Settings    balancer.Settings
 	// Zones and Kinds are the names of zones and machine kinds, indexed by the numbers that the policy uses for them.
 	Zones []string
 	Kinds []string
@@ -48,8 +48,8 @@
 	Clock clock.Clock
 	// Dial opens connections to servers; nil means DialTCP.
 	Dial DialFunc
-	// CallFrom is the local address of calls to discovery; nil lets the system choose.
-	CallFrom net.IP
+	// DiscoveryLocalIP is the local address of calls to discovery; nil lets the system choose.
+	DiscoveryLocalIP net.IP
 
 	document        document           // the decoded file, for comparison with the next one
 	serviceSettings *endpoint.Settings // settings in force if they came from the discovery service, else nil
@@ -102,8 +102,8 @@
 	return c.Dial
 }
 
-// Addresses returns the addresses of discovery without duplicates, starting with Discovery.
-func (c *Config) Addresses() []string {
+// DiscoveryAddresses returns the addresses of discovery without duplicates, starting with Discovery.
+func (c *Config) DiscoveryAddresses() []string {
 	all := []string{c.Discovery}
 	if c.Control == nil {
 		return all
--- a/internal/agent/config/control_test.go
+++ b/internal/agent/config/control_test.go
@@ -23,7 +23,7 @@
 		cfg, err := load(control)
 		if err != nil {
 			t.Errorf("%s: %v", control, err)
-		} else if got := strings.Join(cfg.Addresses(), " "); got != want {
+		} else if got := strings.Join(cfg.DiscoveryAddresses(), " "); got != want {
 			t.Errorf("%s: addresses %s, want %s", control, got, want)
 		}
 	}
--- a/internal/agent/config/file.go
+++ b/internal/agent/config/file.go
@@ -131,15 +131,15 @@
 // config validates the file and returns its configuration. Errors name the key.
 func (f *configFile) config() (*Config, error) {
 	c := &Config{
-		Name:      f.Name,
-		Listen:    f.Listen,
-		Discovery: f.Discovery,
-		AdminAddr: f.Admin,
-		Cores:     f.Limits.Cores,
-		MemoryMB:  f.Limits.MemoryMB,
-		Sockets:   f.Limits.Sockets,
-		Known:     f.Known,
-		document:  f.document,
+		Name:        f.Name,
+		Listen:      f.Listen,
+		Discovery:   f.Discovery,
+		AdminAddr:   f.Admin,
+		Cores:       f.Limits.Cores,
+		MemoryMB:    f.Limits.MemoryMB,
+		Sockets:     f.Limits.Sockets,
+		InitialList: f.Known,
+		document:    f.document,
 	}
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
@@ -223,8 +223,8 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if least := minSockets + membership.MaxDescriptors; c.Sockets < least {
-		return fmt.Errorf("config: limits.sockets: must be at least %d with a fleet, is %d", least, c.Sockets)
+	if minimum := minSockets + membership.MaxDescriptors; c.Sockets < minimum {
+		return fmt.Errorf("config: limits.sockets: must be at least %d with a fleet, is %d", minimum, c.Sockets)
 	}
 	fleet.Name = c.Name
 	fleet.Size = c.Settings.FleetSize
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -96,9 +96,9 @@
 // service.
 func New(cfg *config.Config, options Options) *Client {
 	c := &Client{
-		source:     newSource(cfg.Known.Version, cfg.Discovery),
+		source:     newSource(cfg.InitialList.Version, cfg.Discovery),
 		limit:      rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
-		localAddr:  cfg.CallFrom,
+		localAddr:  cfg.DiscoveryLocalIP,
 		clock:      options.Clock,
 		onResponse: options.OnResponse,
 		conns:      map[*countedConn]bool{},
@@ -115,7 +115,7 @@
 	}
 	c.name = cfg.Name
 	c.backoff = newAddressBackoff()
-	c.source = newSource(cfg.Known.Version, orderAddresses(cfg.Addresses(), c.name)...)
+	c.source = newSource(cfg.InitialList.Version, orderAddresses(cfg.DiscoveryAddresses(), c.name)...)
 	if cfg.Control.Service != "" {
 		c.settingsWatch = &settingsWatch{service: cfg.Control.Service, agent: cfg.Name, apply: options.ApplySettings}
 	}
--- a/internal/agent/discovery/fixture_test.go
+++ b/internal/agent/discovery/fixture_test.go
@@ -11,17 +11,17 @@
 
 // newTestClient is a discovery client without an agent, which knows version of the list at addr.
 func newTestClient(addr string, version uint64, onResponse func(Response)) *Client {
-	cfg := &config.Config{Discovery: addr, Known: endpoint.List{Version: version}}
+	cfg := &config.Config{Discovery: addr, InitialList: endpoint.List{Version: version}}
 	return New(cfg, Options{Clock: clock.System(), OnResponse: onResponse})
 }
 
 // newControlClient is a discovery client with the section "control", which knows version 7 of the list.
 func newControlClient(addrs []string) *Client {
 	cfg := &config.Config{
-		Name:      "pay-1",
-		Discovery: addrs[0],
-		Control:   &config.Control{Addresses: addrs},
-		Known:     endpoint.List{Version: 7},
+		Name:        "pay-1",
+		Discovery:   addrs[0],
+		Control:     &config.Control{Addresses: addrs},
+		InitialList: endpoint.List{Version: 7},
 	}
 	return New(cfg, Options{Clock: clock.System(), OnResponse: func(Response) {}})
 }
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -112,10 +112,10 @@
 	})
 	connsAtFailure := make(chan int64, responseBuffer)
 	cfg := &config.Config{
-		Name:      "pay-1",
-		Discovery: ln.Addr().String(),
-		Control:   &config.Control{Service: "pay"},
-		Known:     endpoint.List{Version: 1},
+		Name:        "pay-1",
+		Discovery:   ln.Addr().String(),
+		Control:     &config.Control{Service: "pay"},
+		InitialList: endpoint.List{Version: 1},
 	}
 	countConns := func(response Response) {
 		if response.Err != nil {
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -147,7 +147,7 @@
 // watch where the agent keeps one of its own.
 func (l *Loop) start() {
 	l.performActions(l.balancer.Start(l.clock.nowMs(), l.actions[:0]))
-	l.applyList(&l.cfg.Known, balancer.ListCached, listOrigin{})
+	l.applyList(&l.cfg.InitialList, balancer.ListCached, listOrigin{})
 	l.handlePending()
 	if l.endpoints.hasReady() {
 		l.onUsable()
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -74,7 +74,7 @@
 	if l.cfg.Control != nil && cfg.Control != nil { // an agent without the section stays without it until its end
 		next.Control = &config.Control{Service: l.cfg.Control.Service, Addresses: cfg.Control.Addresses}
 	}
-	from, to := l.cfg.Addresses(), next.Addresses()
+	from, to := l.cfg.DiscoveryAddresses(), next.DiscoveryAddresses()
 	if slices.Equal(from, to) {
 		return
 	}
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -29,9 +29,9 @@
 		t.Fatal(err)
 	}
 	agent := startAgent(t, listing(t, unusedAddr), func(cfg *config.Config) {
-		known, listen, log := cfg.Known, cfg.Listen, cfg.Log
+		known, listen, log := cfg.InitialList, cfg.Listen, cfg.Log
 		*cfg = *file
-		cfg.Known = known
+		cfg.InitialList = known
 		cfg.Listen = listen
 		cfg.Log = log
 		cfg.Hooks = hooks
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -84,7 +84,7 @@
 	}
 	var log lockedBuffer
 	cfg.Log = slog.New(slog.NewTextHandler(&log, nil)).With("agent", "a1")
-	cfg.CallFrom = net.ParseIP(callFrom)
+	cfg.DiscoveryLocalIP = net.ParseIP(callFrom)
 	lists, settings := make(inForce, 100), make(inForce, 100)
 	cfg.Hooks.OnList = func(version uint64) { lists <- version }
 	cfg.Hooks.OnSettings = func(version uint64) { settings <- version }
--- a/internal/scaletest/hollowagent.go
+++ b/internal/scaletest/hollowagent.go
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	name := c.Agent
-	cfg.CallFrom = callAddress(cfg)
+	cfg.DiscoveryLocalIP = callAddress(cfg)
 	cfg.Log = h.log.With("agent", name)
 	cfg.Hooks.OnList = func(version uint64) { h.reportInForce(name, kindList, version) }
 	cfg.Hooks.OnSettings = func(version uint64) { h.reportInForce(name, kindSettings, version) }
@@ -98,7 +98,7 @@
 	}
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return cfg.CallFrom
+		return cfg.DiscoveryLocalIP
 	}
 	return net.ParseIP(ip)
 }
