--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' HTTP endpoint: readiness, drain and the membership view. Its server runs a goroutine
-// for each call, which never waits for the event loop.
+// Package admin implements the operators' HTTP endpoint: readiness, drain and the membership view. Its server uses a
+// goroutine for each call, which never waits for the event loop.
 package admin
 
 import (
@@ -21,51 +21,51 @@
 )
 
 const (
-	// readTimeout bounds how long a call may take to arrive: its response is due within a second.
+	// readTimeout is the time allowed for reading a call, whose response is due within a second.
 	readTimeout = 800 * time.Millisecond
-	// writeTimeout bounds how long the response may take to be read, from the call's head on.
+	// writeTimeout is the time allowed for writing the response, measured from the arrival of the call's head.
 	writeTimeout = 2 * time.Second
-	// maxBody bounds the body of a call, which is ignored, in bytes.
+	// maxBody is the maximum size of the body of a call, in bytes. The body is ignored.
 	maxBody = 4 << 10
-	// maxHead is the largest head of a call, in bytes.
+	// maxHead is the maximum size of the head of a call, in bytes.
 	maxHead = 8 << 10
 )
 
 // Drainer is the part of the downstream server that operators control. Its methods never wait for the event loop.
 type Drainer interface {
-	// IsServing reports whether a server may be sent requests, and the shutdown has not begun.
+	// IsServing reports whether a server may be sent requests and the shutdown has not begun.
 	IsServing() bool
-	// StartDrain begins to drain, and StopDrain serves clients again.
+	// StartDrain starts a drain, and StopDrain ends it so that clients are served again.
 	StartDrain() error
 	StopDrain() error
 }
 
-// Server is the operators' HTTP endpoint: one call to a connection, on a listener of its own. It never waits
-// for the event loop, so that it responds whatever the load.
+// Server is the operators' HTTP endpoint, with its own listener and one call per connection. It never waits for the
+// event loop, so that it responds under any load.
 type Server struct {
 	clients    Drainer
-	membership *membership.Membership // nil: there is none
+	membership *membership.Membership // nil if there is none
 	log        *slog.Logger
 	server     *http.Server
 
 	mu           sync.Mutex
-	awaitingHead []net.Conn // connections that have not sent a complete head, the oldest first
+	awaitingHead []net.Conn // connections without a complete head so far, oldest first
 	openConns    int
 	maxConns     int
 }
 
-// Options are what a Server is made of.
+// Options are the parameters of New.
 type Options struct {
-	// Clients is the server of the agent's clients.
+	// Clients is the downstream server.
 	Clients Drainer
-	// Membership is the agent's membership view; nil: it keeps none.
+	// Membership is the agent's membership view; nil if it keeps none.
 	Membership *membership.Membership
-	// MaxConns bounds the admin connections.
+	// MaxConns is the maximum number of admin connections.
 	MaxConns int
 	Log      *slog.Logger
 }
 
-// New makes the endpoint.
+// New returns a Server, which serves no calls before Serve.
 func New(options Options) *Server {
 	s := &Server{
 		clients:    options.Clients,
@@ -92,14 +92,14 @@
 	return s
 }
 
-// SetConnLimit bounds the admin connections from now on.
+// SetConnLimit changes the maximum number of admin connections.
 func (s *Server) SetConnLimit(maxConns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxConns = maxConns
 }
 
-// Serve answers operators until Close.
+// Serve answers operators on ln until Close.
 func (s *Server) Serve(ln net.Listener) error {
 	ln = listener.New(ln, listener.LogFailures(s.log, "admin"))
 	if err := s.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// Close closes the listener and all connections; their errors say nothing of use.
+// Close closes the listener and all connections. It ignores errors, because the sockets are given up anyway.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// readiness responds whether the agent serves clients.
+// readiness reports whether the agent serves clients.
 func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
 	if !s.clients.IsServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
@@ -120,14 +120,14 @@
 	writeLine(w, "serving")
 }
 
-// membershipStatus responds with the membership view: without its members if "members" is "none", and with its
-// changes after the number that "since" gives, if it gives one.
+// membershipStatus responds with the membership view. It omits the members if the parameter "members" is "none", and
+// includes the changes after the number in the parameter "since", if present.
 func (s *Server) membershipStatus(w http.ResponseWriter, req *http.Request) {
 	since := uint64(math.MaxUint64)
 	if text := req.FormValue("since"); text != "" {
 		number, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			http.Error(w, "since: no number", http.StatusBadRequest)
+			http.Error(w, "since: not a number", http.StatusBadRequest)
 			return
 		}
 		since = number
@@ -142,11 +142,12 @@
 	}
 }
 
-// afterBody handles a call by an action once all of its body has arrived: a call that is cut off does nothing.
+// afterBody returns a handler that performs an action once the whole body of the call has arrived, so that a truncated
+// call has no effect.
 func (s *Server) afterBody(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, req.Body, maxBody)); err != nil {
-			http.Error(w, "the body can't be read", http.StatusBadRequest)
+			http.Error(w, "request body can't be read", http.StatusBadRequest)
 			return
 		}
 		s.log.Info("admin call", "path", req.URL.Path, "from", req.RemoteAddr)
@@ -158,11 +159,11 @@
 	}
 }
 
-// writeLine writes a line to an operator. A failed write means that the operator has gone.
+// writeLine writes a line to an operator. It ignores a failed write, because the operator has then disconnected.
 func writeLine(w io.Writer, line string) { _, _ = fmt.Fprintln(w, line) }
 
-// track closes the connection that has sent no complete head for longest when there are too many connections:
-// callers that send nothing must not keep out those that do.
+// track is the ConnState hook of the HTTP server. If there are too many connections, it closes the one that has been
+// without a complete head for longest, so that callers that send nothing do not keep out others.
 func (s *Server) track(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,12 +178,12 @@
 		s.headArrived(conn)
 	}
 	if s.openConns > s.maxConns && len(s.awaitingHead) > 1 {
-		_ = s.awaitingHead[0].Close() // the server's read then fails, and it reports the close
+		_ = s.awaitingHead[0].Close() // the HTTP server's read then fails, and it reports the close
 		s.awaitingHead = s.awaitingHead[1:]
 	}
 }
 
-// headArrived takes a connection out of those that await a head. The caller has the lock.
+// headArrived removes a connection from those that await a head. The caller holds s.mu.
 func (s *Server) headArrived(conn net.Conn) {
 	if i := slices.Index(s.awaitingHead, conn); i >= 0 {
 		s.awaitingHead = slices.Delete(s.awaitingHead, i, i+1)
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -10,17 +10,17 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// testMaxConns is how many connections the tested servers may have open; no test opens as many.
+// testMaxConns is more connections than any test opens.
 const testMaxConns = 24
 
-// idleDrainer serves no clients.
+// idleDrainer is a Drainer that serves no clients.
 type idleDrainer struct{}
 
 func (idleDrainer) IsServing() bool   { return false }
 func (idleDrainer) StartDrain() error { return nil }
 func (idleDrainer) StopDrain() error  { return nil }
 
-// Operators get responses whatever accepts fail.
+// Failed accepts must not end the admin listener: operators still get responses.
 func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
 	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.NewFlakyListener(t)
@@ -37,18 +37,18 @@
 	}
 	server.Close()
 	if err := <-served; err != nil {
-		t.Errorf("after close: %v", err)
+		t.Errorf("Serve after Close: %v", err)
 	}
 }
 
-// A listener that is closed by something else than the server ends it, with its reason.
-func TestClosedAdminListenerEndsWithItsReason(t *testing.T) {
+// If the listener is closed by something other than the server, Serve returns the error.
+func TestServeReturnsErrorOfClosedListener(t *testing.T) {
 	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.Listen(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := server.Serve(ln); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended with %v, want %v", err, net.ErrClosed)
+		t.Errorf("Serve ended with %v, want %v", err, net.ErrClosed)
 	}
 }
