--- a/internal/agent/admin/server.go
+++ b/internal/agent/admin/server.go
@@ -43,7 +43,7 @@
 // Server is the operators' HTTP endpoint, with its own listener and one call per connection. It never waits for the
 // event loop, so that it responds under any load.
 type Server struct {
-	clients    Drainer
+	drainer    Drainer
 	membership *membership.Membership // nil if there is none
 	log        *slog.Logger
 	server     *http.Server
@@ -56,8 +56,8 @@
 
 // Options are the parameters of New.
 type Options struct {
-	// Clients is the downstream server.
-	Clients Drainer
+	// Drainer is the downstream server.
+	Drainer Drainer
 	// Membership is the agent's membership view; nil if it keeps none.
 	Membership *membership.Membership
 	// MaxConns is the maximum number of admin connections.
@@ -68,15 +68,15 @@
 // New returns a Server, which serves no calls before Serve.
 func New(options Options) *Server {
 	s := &Server{
-		clients:    options.Clients,
+		drainer:    options.Drainer,
 		membership: options.Membership,
 		log:        options.Log,
 		maxConns:   options.MaxConns,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", s.readiness)
-	mux.HandleFunc("PUT /ops/drain/start", s.afterBody(s.clients.StartDrain))
-	mux.HandleFunc("PUT /ops/drain/stop", s.afterBody(s.clients.StopDrain))
+	mux.HandleFunc("PUT /ops/drain/start", s.afterBody(s.drainer.StartDrain))
+	mux.HandleFunc("PUT /ops/drain/stop", s.afterBody(s.drainer.StopDrain))
 	if s.membership != nil {
 		mux.HandleFunc("GET /ops/fleet", s.membershipStatus)
 	}
@@ -113,7 +113,7 @@
 
 // readiness reports whether the agent serves clients.
 func (s *Server) readiness(w http.ResponseWriter, _ *http.Request) {
-	if !s.clients.IsServing() {
+	if !s.drainer.IsServing() {
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/agent/admin/server_test.go
+++ b/internal/agent/admin/server_test.go
@@ -22,7 +22,7 @@
 
 // Failed accepts must not end the admin listener: operators still get responses.
 func TestFailedAcceptsDoNotEndTheAdminListener(t *testing.T) {
-	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
+	server := New(Options{Drainer: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.NewFlakyListener(t)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
@@ -43,7 +43,7 @@
 
 // If the listener is closed by something other than the server, Serve returns the error.
 func TestServeReturnsErrorOfClosedListener(t *testing.T) {
-	server := New(Options{Clients: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
+	server := New(Options{Drainer: idleDrainer{}, MaxConns: testMaxConns, Log: slog.Default()})
 	ln := agenttest.Listen(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -134,7 +134,7 @@
 	member, err := startMembership(a.cfg, a.loop)
 	a.membership.Store(member)
 	a.admin = admin.New(admin.Options{
-		Clients:    a.downstream,
+		Drainer:    a.downstream,
 		Membership: member,
 		MaxConns:   a.cfg.MaxAdminConns(1),
 		Log:        a.cfg.Logger(),
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -31,7 +31,7 @@
 	return limitedProcess{
 		sharedLimits: &sharedLimits{
 			cfg:    cfg,
-			admin:  admin.New(admin.Options{Clients: clients, MaxConns: cfg.MaxAdminConns(1), Log: slog.Default()}),
+			admin:  admin.New(admin.Options{Drainer: clients, MaxConns: cfg.MaxAdminConns(1), Log: slog.Default()}),
 			conns:  clients,
 			pool:   pool,
 			quotas: []message.Quota{clients.ConnSlots(), clients.BodyBudget(), pool.BodyBudget()},
