--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -107,7 +107,7 @@
 	}
 	n := 0
 	// Unlike Read, Control works after the deadline.
-	if err := raw.Control(func(fd uintptr) { n = socket.ReadNow(int(fd), buffer) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { n = socket.ReadAvailable(int(fd), buffer) }); err != nil {
 		return 0
 	}
 	return n
--- a/internal/agent/socket/socket.go
+++ b/internal/agent/socket/socket.go
@@ -53,9 +53,9 @@
 	return err == nil && n > 0 && fds[0].Revents&wanted != 0
 }
 
-// ReadNow reads the bytes available on a non-blocking socket. It returns 0 if there are none, at the end of the stream,
-// and after an error.
-func ReadNow(fd int, buffer []byte) int {
+// ReadAvailable reads the bytes available on a non-blocking socket. It returns 0 if there are none, at the end of the
+// stream, and after an error.
+func ReadAvailable(fd int, buffer []byte) int {
 	n, err := unix.Read(fd, buffer)
 	for errors.Is(err, unix.EINTR) {
 		n, err = unix.Read(fd, buffer)
