--- a/internal/agent/config/file_test.go
+++ b/internal/agent/config/file_test.go
@@ -44,7 +44,7 @@
 }
 
 // Values of the environment take precedence over the file, and the error of an invalid file names the key.
-func TestConfig(t *testing.T) {
+func TestLoad(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"known":{"version":4,"full":true,"servers":[{"id":"s-1"}]},
 "settings":` + agenttest.Settings + `}`
