--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -49,7 +49,7 @@
 // NewPool returns the pool of an agent with the given configuration.
 func NewPool(cfg *config.Config) *Pool {
 	p := &Pool{
-		maxConns: cfg.ServerConns(),
+		maxConns: cfg.MaxServerConns(),
 		budget:   message.NewBodyBudget(cfg.MemoryBytes()),
 		dial:     cfg.Dialer(),
 		idle:     map[string][]*serverConn{},
@@ -104,7 +104,7 @@
 			return p.open(ctx, addr, deadline)
 		}
 		conn.idledFor = time.Since(conn.idleSince)
-		if conn.idledFor < idleLimit && socket.IsIdleAlive(conn.Conn) {
+		if conn.idledFor < idleLimit && socket.IsOpenAndIdle(conn.Conn) {
 			return conn, nil
 		}
 		p.discard(conn)
