--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Idempotency tells whether a request of a class may execute more than once.
+// Idempotency reports whether a request of a class may execute more than once.
 type Idempotency string
 
 // The values of Idempotency.
@@ -28,7 +28,7 @@
 	LatencyObjectiveMs float64 `json:"aimMs"`
 	// TotalTimeoutMs is the time after which a client gives up, its retries included.
 	TotalTimeoutMs float64 `json:"giveUpMs"`
-	// Idempotency tells whether a request may execute more than once.
+	// Idempotency reports whether a request may execute more than once.
 	Idempotency Idempotency `json:"effect"`
 	// DedupScope tells which servers drop duplicates, for IdempotentByKey.
 	DedupScope DedupScope `json:"group"`
--- a/internal/balancer/validate.go
+++ b/internal/balancer/validate.go
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// valid tells whether the value is one of Idempotency.
+// valid reports whether the value is one of Idempotency.
 func (i Idempotency) valid() bool {
 	return i == Idempotent || i == IdempotentByKey || i == NonIdempotent
 }
 
-// valid tells whether the value is one of DedupScope.
+// valid reports whether the value is one of DedupScope.
 func (d DedupScope) valid() bool { return d == DedupFleet || d == DedupZone || d == DedupCell }
 
-// valid tells whether the value is one of DiscoveryMode.
+// valid reports whether the value is one of DiscoveryMode.
 func (d DiscoveryMode) valid() bool { return d == DiscoveryPushed || d == DiscoveryOnRequest }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,11 +4,11 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxForwardFailures is the number of queued requests that may go to any server and find none with
-// capacity, after which the rest of the queue is not considered.
+// maxForwardFailures is the number of queued requests that may go to any server but find none with
+// capacity, after which the rest of the queue is skipped.
 const maxForwardFailures = 4
 
-// onRequest admits a request to the queue, or rejects it to shed load.
+// onRequest admits a new request to the queue, or rejects it to shed load.
 func (b *Balancer) onRequest(ev *balancer.Event) {
 	rules := b.rulesOf(ev)
 	if rules == nil || b.requests[ev.Request] != nil {
@@ -26,8 +26,8 @@
 	}
 }
 
-// rulesOf returns the rules that came with the request, or else those of its class in force; nil if
-// there is no such class.
+// rulesOf returns the rules that came with the request, or otherwise those in force for its class, or nil
+// if there is no such class.
 func (b *Balancer) rulesOf(ev *balancer.Event) *balancer.RequestRules {
 	if ev.Rules != nil {
 		return ev.Rules
@@ -41,7 +41,7 @@
 	}
 }
 
-// newRequest returns the request that an event brings.
+// newRequest returns a request for an EventRequest.
 func (b *Balancer) newRequest(ev *balancer.Event, rules *balancer.RequestRules) *request {
 	c := b.classes.find(rules.Class)
 	r := &request{
@@ -58,7 +58,8 @@
 	return r
 }
 
-// dispatch forwards queued requests as far as there is capacity, by priority.
+// dispatch forwards queued requests in the order of their priority while there is capacity, and rejects
+// those of the lowest priority if more than maxQueued remain.
 func (b *Balancer) dispatch() {
 	b.queue.sort()
 	b.forwardQueued()
@@ -67,9 +68,9 @@
 	}
 }
 
-// forwardQueued forwards the queued requests that find a server. A request that waits for the servers
-// of its key may find no capacity where the next one does, so it is passed over; of requests that may
-// go to any server a few that find none show that there is none.
+// forwardQueued forwards the queued requests for which a server has capacity. A request that waits for the
+// preferred servers of its key is skipped if they are full, as the next request may find capacity
+// elsewhere. If a few requests that may go to any server find none, the servers are full, and it stops.
 func (b *Balancer) forwardQueued() {
 	b.queue.saturated = false
 	unresponsive := b.endpoints.unresponsiveInFlight()
@@ -96,8 +97,8 @@
 	}
 }
 
-// rejectExpired rejects queued requests whose response would be of no use to the client, before they
-// cost work of a server.
+// rejectExpired rejects queued requests whose responses would come too late, so that no server spends
+// work on them.
 func (b *Balancer) rejectExpired() {
 	for i := 0; i < len(b.queue.requests); {
 		r := b.queue.requests[i]
@@ -109,8 +110,8 @@
 	}
 }
 
-// reject gives the final answer to a request that is not served: a rejection where a retry of the client
-// is harmless, else a failure.
+// reject ends a request without a response from a server. The client gets a rejection if a retry of
+// the request is harmless, and a failure otherwise.
 func (b *Balancer) reject(r *request) {
 	if r.closed || r.responseStarted {
 		return
@@ -126,7 +127,7 @@
 	b.emit(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 }
 
-// onClientGone closes a request whose client has left.
+// onClientGone closes a request whose client has closed its connection.
 func (b *Balancer) onClientGone(ev *balancer.Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed {
@@ -139,8 +140,8 @@
 	b.close(r)
 }
 
-// close ends a request: its attempts in flight are cancelled where that is permitted, and it is
-// forgotten as soon as none is left.
+// close marks a request as closed, cancels its attempts in flight if that is permitted, and deletes the
+// request once none of its attempts is in flight.
 func (b *Balancer) close(r *request) {
 	r.closed = true
 	b.queue.remove(r)
--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -48,7 +48,7 @@
 // deposit adds the tokens of one refill.
 func (t *tokenBucket) deposit() { t.tokens = min(t.tokens+t.refill, t.capacity) }
 
-// hasToken tells whether an action may be taken.
+// hasToken reports whether an action may be taken.
 func (t *tokenBucket) hasToken() bool { return t.tokens >= 1 }
 
 // withdraw takes the token of one action.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -6,10 +6,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// fullCostConnections is the number of open connections of a server that Costs.Connection is the cost of.
+// fullCostConnections is the number of open connections per server that cost Costs.Connection.
 const fullCostConnections = 100.0
 
-// forward starts an attempt of the request at the server, if it is permitted.
+// forward starts an attempt of the request at the server if that is permitted, and reports whether it did.
 func (b *Balancer) forward(r *request, s *server) bool {
 	if !b.selector.mayForward(r, s) {
 		return false
@@ -25,7 +25,7 @@
 	return true
 }
 
-// attemptOf is the attempt that an event is about; nil if it has ended or is not known.
+// attemptOf returns the attempt that an event refers to, or nil if it has ended or is unknown.
 func (b *Balancer) attemptOf(ev *balancer.Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// onRequestSent counts an attempt of a request with a streamed body: the server has all of it now,
-// and its time counts from here.
+// onRequestSent counts an attempt with a streamed body as in flight. The server has received all of the
+// request now, so its deadlines and its latency are measured from this time.
 func (b *Balancer) onRequestSent(ev *balancer.Event) {
 	a := b.attemptOf(ev)
 	if a == nil || a.fullySent || a.request.closed {
@@ -48,7 +48,7 @@
 	b.concurrency.begin(a)
 }
 
-// onResponseStarted notes that the client has begun to receive a streamed response.
+// onResponseStarted records that a streamed response to the client has started.
 func (b *Balancer) onResponseStarted(ev *balancer.Event) {
 	a := b.attemptOf(ev)
 	if a == nil || a.request.closed {
@@ -58,8 +58,8 @@
 	a.server.lastResponseAt = b.now
 }
 
-// onAttemptDone takes the end of an attempt: it updates what is known of the server, and answers the
-// request or decides about a retry.
+// onAttemptDone handles the end of an attempt: it updates the statistics of the server, and closes the
+// request or decides whether to retry it.
 func (b *Balancer) onAttemptDone(ev *balancer.Event) {
 	a := b.attemptOf(ev)
 	if a == nil {
@@ -72,7 +72,7 @@
 	switch {
 	case r.closed || r.responseStarted || ev.RequestDone || ev.Status == balancer.StatusOK:
 		b.close(r)
-	case ev.Status == balancer.StatusBadRequest: // every other server would answer alike
+	case ev.Status == balancer.StatusBadRequest: // any other server would respond the same
 		b.close(r)
 		b.emit(balancer.Action{Kind: balancer.ActionFail, Request: r.id})
 	default:
@@ -80,7 +80,7 @@
 	}
 }
 
-// endAttempt takes an ended attempt out of all counts.
+// endAttempt marks an attempt as ended and removes it from all counts.
 func (b *Balancer) endAttempt(a *attempt, ev *balancer.Event) {
 	r := a.request
 	a.ended = true
@@ -94,13 +94,13 @@
 	}
 }
 
-// recordStatus updates what is known of the attempt's server by how the attempt ended.
+// recordStatus updates the state of the attempt's server according to the status of the attempt.
 func (b *Balancer) recordStatus(a *attempt, ev *balancer.Event) {
 	s := a.server
 	switch ev.Status {
 	case balancer.StatusOK:
 		b.recordSuccess(a, ev)
-	case balancer.StatusBadRequest: // a response, and no failure of the server's
+	case balancer.StatusBadRequest: // a response, not a server failure
 		s.lastResponseAt = b.now
 	case balancer.StatusError, balancer.StatusReset:
 		s.lastResponseAt = b.now
@@ -115,12 +115,12 @@
 		b.concurrency.recordLoad(a, overloaded)
 		b.zone.record(s, objectiveMissed)
 		b.concurrency.startCooldown(s, minCooldownIntervals)
-	case balancer.StatusCancelled, balancer.StatusUnsent: // ended by the agent: says nothing of the server
+	case balancer.StatusCancelled, balancer.StatusUnsent: // ended by the agent, not by the server
 	}
 }
 
-// recordTimeout records a timeout. A server that has responded to other attempts meanwhile counts as
-// slow, another one as unresponsive.
+// recordTimeout records the timeout of an attempt. A server that has responded to other attempts since
+// the attempt started counts as slow, any other server as unresponsive.
 func (b *Balancer) recordTimeout(a *attempt, ev *balancer.Event) {
 	if b.responseWasLost(a) {
 		return
@@ -136,16 +136,16 @@
 	b.outliers.eject(s, noResponse)
 }
 
-// responseWasLost tells whether an attempt timed out because its response was lost on its way, which
-// says nothing about the server: the server has responded well to later attempts, and enough of them to
-// know its present latency.
+// responseWasLost reports whether an attempt timed out because its response was lost in the network,
+// which is no sign of a slow server. It requires that the server has responded to later attempts within
+// its latency limit, and to enough of them to know its current latency.
 func (b *Balancer) responseWasLost(a *attempt) bool {
 	s := a.server
 	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
 		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs
 }
 
-// recordSuccess records a successful response with all components that learn from it.
+// recordSuccess updates all statistics for a successful response.
 func (b *Balancer) recordSuccess(a *attempt, ev *balancer.Event) {
 	s := a.server
 	b.slowStart.grantCredits(s)
@@ -167,7 +167,7 @@
 	}
 }
 
-// recordServed counts a response into the statistics of its class and the served fraction, and returns
+// recordServed adds a response to the statistics of its class and to the served fraction, and returns
 // whether it met the latency objective.
 func (b *Balancer) recordServed(r *request, responseMs float64) objectiveOutcome {
 	r.class.recordResponseTime(responseMs)
@@ -185,9 +185,9 @@
 	return outcome
 }
 
-// closeIdle closes the idle connections to a server that has just finished an attempt where, by the
-// costs in the settings, keeping them until the next attempt costs more than opening one: of many agents
-// each uses a server rarely.
+// closeIdle closes the idle connections to a server whose last attempt in flight has ended if, by the costs
+// in the settings, keeping them open until the next attempt costs more than a new handshake. That is
+// the case in large fleets, where each agent uses a given server rarely.
 func (b *Balancer) closeIdle(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
@@ -200,8 +200,8 @@
 	}
 }
 
-// retryOrReject queues a request whose attempt failed for another server, where its class, its time
-// and the retry budget permit that, and rejects it otherwise.
+// retryOrReject handles a request whose attempt failed: it queues the request again if its class, its
+// deadline and the retry budget permit a retry, and rejects it otherwise.
 func (b *Balancer) retryOrReject(r *request, status balancer.Status) {
 	if b.mayRetry(r, status) {
 		b.retryBudget.withdraw()
@@ -214,8 +214,8 @@
 	b.reject(r)
 }
 
-// mayRetry tells whether the request may be queued for another attempt after one that ended with the status.
-// At which servers is for request.mayAttemptAt to say.
+// mayRetry reports whether the request may be queued for another attempt after one that ended with the
+// given status. At which servers it may be attempted is decided by request.mayAttemptAt.
 func (b *Balancer) mayRetry(r *request, status balancer.Status) bool {
 	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
 		return false
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// mayCheck tells whether a health check of the server is due and permitted.
+// mayCheck reports whether a health check of the server is due and permitted.
 func (h *healthChecker) mayCheck(s *server) bool {
 	return s.health == balancer.UnhealthyPending && s.ready && !s.checking &&
 		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.underWay < maxHealthChecks
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -36,7 +36,7 @@
 	baselineDelayExponent = 3
 )
 
-// objectiveOutcome tells whether a response met the latency objective of its request.
+// objectiveOutcome reports whether a response met the latency objective of its request.
 type objectiveOutcome bool
 
 // The values of objectiveOutcome.
@@ -55,7 +55,7 @@
 	baseline  float64 // mean latency without overload
 }
 
-// known tells whether enough responses have been seen to recognize an overload.
+// known reports whether enough responses have been seen to recognize an overload.
 func (l *latencyBaselines) known() bool { return l.responses >= baselineResponses }
 
 // record counts a response of any server. soleAtServer tells that no other attempt of this agent was
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -76,7 +76,7 @@
 	return o.classes.minObjectiveMs * float64(int(1)<<max(s.ejectionLevel-1, 0))
 }
 
-// ejectionEnded tells whether an ejected server has been out of service for its ejection time and
+// ejectionEnded reports whether an ejected server has been out of service for its ejection time and
 // has no attempt in flight.
 func (o *outlierDetector) ejectionEnded(s *server) bool {
 	return s.health == balancer.Unhealthy && s.ready && len(s.inFlight) == 0 &&
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,9 @@
-// Package policy decides what an agent does with the requests of its client: whether each is admitted,
-// to which server it is forwarded, with what timeout, whether it is retried, and when it is rejected.
-// It has no I/O, clock or goroutines: it takes events, each with its time, and returns actions in
-// order, in the types of package balancer.
+// Package policy implements the load balancing policy of an agent. For each request of the agent's
+// client it decides whether the request is admitted, to which server and with what timeout it is
+// forwarded, whether it is retried, and when it is rejected.
+//
+// The package does no I/O, reads no clock and starts no goroutines: it takes timestamped events and
+// returns an ordered list of actions, using the types of package balancer.
 package policy
 
 import (
@@ -10,20 +12,20 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The tokens of the timers that the policy sets.
+// Tokens of the timers that the policy sets.
 const (
-	tickTimer uint32 = 1 // the next check of servers in use and of queued requests
-	pollTimer uint32 = 2 // the next call for the endpoint list
+	tickTimer uint32 = 1 // next check of busy servers and queued requests
+	pollTimer uint32 = 2 // next call for the endpoint list
 )
 
 const (
 	// tickRoundTrips is the interval of the tick timer, in round trips.
 	tickRoundTrips = 2
-	// minTickMs is the least interval of the tick timer, in milliseconds.
+	// minTickMs is the minimum interval of the tick timer, in milliseconds.
 	minTickMs = 5
 )
 
-// Balancer makes the decisions of one agent. It is not safe for concurrent use.
+// Balancer makes the load balancing decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	*environment
 	requests     map[balancer.RequestID]*request // open, or with an attempt in flight
@@ -45,14 +47,14 @@
 	selector     *serverSelector
 }
 
-// New returns the balancer of one agent, or an error that names the first invalid setting. All its
-// randomness comes from the seed.
+// New returns a Balancer with the given settings, or an error that names the first invalid setting.
+// The seed determines all random decisions of the Balancer.
 func New(settings balancer.Settings, seed uint64) (*Balancer, error) {
 	b := newBalancer(rand.New(rand.NewPCG(seed, splitmix64(seed))))
 	return b, b.Retune(settings)
 }
 
-// newBalancer connects the components of a balancer without settings.
+// newBalancer returns a Balancer with its components connected and no settings in force.
 func newBalancer(random *rand.Rand) *Balancer {
 	env := &environment{random: random}
 	b := &Balancer{
@@ -103,8 +105,8 @@
 	return b
 }
 
-// Retune puts settings in force, or returns an error that names the first invalid one. What was learned
-// stays, and open requests keep the rules of their classes.
+// Retune puts settings in force, or returns an error that names the first invalid one. Collected
+// statistics are kept, and open requests keep the rules of their classes.
 func (b *Balancer) Retune(settings balancer.Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
@@ -115,7 +117,8 @@
 	return nil
 }
 
-// Start appends the first actions of a new agent to actions. The time now is in milliseconds.
+// Start appends the initial actions of an agent to actions and returns the extended slice. The time
+// now is in milliseconds.
 func (b *Balancer) Start(now float64, actions []balancer.Action) []balancer.Action {
 	b.now = now
 	b.actions = actions
@@ -123,8 +126,9 @@
 	return b.actions
 }
 
-// Handle takes one event and appends the actions that it calls for to actions. The time now is in
-// milliseconds. Events about what has ended or is not known are ignored.
+// Handle processes one event, appends the resulting actions to actions and returns the extended slice.
+// The time now is in milliseconds. Events about requests, attempts or health checks that are unknown
+// or have ended are ignored.
 func (b *Balancer) Handle(now float64, event *balancer.Event, actions []balancer.Action) []balancer.Action {
 	b.now = now
 	b.actions = actions
@@ -134,7 +138,7 @@
 	return b.actions
 }
 
-// handle updates the state by an event.
+// handle updates the state of the balancer for one event.
 func (b *Balancer) handle(ev *balancer.Event) {
 	switch ev.Kind {
 	case balancer.EventRequest:
@@ -157,7 +161,7 @@
 	}
 }
 
-// onList takes over an update of the endpoint list, or the failure to get one.
+// onList applies an update of the endpoint list, or records a failed call for it.
 func (b *Balancer) onList(ev *balancer.Event) {
 	if ev.ListUpdate == balancer.ListFailed {
 		b.poller.recordFailure()
@@ -176,7 +180,7 @@
 	b.endpoints.removeUnused()
 }
 
-// setTick sets the tick timer while there is something to watch, one at a time.
+// setTick sets the tick timer if requests are queued or in flight and the timer is not already running.
 func (b *Balancer) setTick() {
 	if b.tickRunning || len(b.queue.requests) == 0 && b.concurrency.inFlight <= 0 {
 		return
@@ -186,8 +190,8 @@
 	b.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: intervalMs, Token: tickTimer})
 }
 
-// onTimer takes the expiry of a timer: it calls for the endpoint list, or ejects unresponsive servers and
-// rejects requests that can no longer be served in time.
+// onTimer handles the expiry of a timer. The poll timer calls for the endpoint list; the tick timer ejects
+// unresponsive servers and rejects requests that can no longer be served in time.
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
 	case pollTimer:
@@ -199,7 +203,7 @@
 	}
 }
 
-// Stats sums up the state of the moment, for metrics and the log.
+// Stats returns a summary of the current state, for metrics and the log.
 func (b *Balancer) Stats() balancer.Stats {
 	stats := balancer.Stats{
 		Queued:             len(b.queue.requests),
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -66,7 +66,7 @@
 	return priority
 }
 
-// isExpired tells whether a response to a queued request would come too late to be of use. While
+// isExpired reports whether a response to a queued request would come too late to be of use. While
 // capacity is short, a request that can only be late is passed over for newer ones until its deadline,
 // so it counts as expired at once.
 func (q *requestQueue) isExpired(r *request) bool {
--- a/policy/request.go
+++ b/policy/request.go
@@ -78,13 +78,13 @@
 	return a
 }
 
-// mayAttempt tells whether the request's own state permits another attempt at some server.
+// mayAttempt reports whether the request's own state permits another attempt at some server.
 func (r *request) mayAttempt(now float64) bool {
 	return !r.closed && !r.responseStarted && r.inFlight == 0 && now < r.deadline &&
 		len(r.attempts) < r.maxAttempts
 }
 
-// mayAttemptAt tells whether the attempts so far permit another one at the server, of serverCount in
+// mayAttemptAt reports whether the attempts so far permit another one at the server, of serverCount in
 // the endpoint list: at a server that was not used yet if there is any, and after one that may have
 // executed only where its execution twice is harmless.
 func (r *request) mayAttemptAt(s *server, env *environment, serverCount int) bool {
@@ -101,7 +101,7 @@
 		r.sharesDeduplication(s)
 }
 
-// sharesDeduplication tells whether the server drops a duplicate of what may have executed already.
+// sharesDeduplication reports whether the server drops a duplicate of what may have executed already.
 func (r *request) sharesDeduplication(s *server) bool {
 	switch r.class.DedupScope {
 	case balancer.DedupFleet:
@@ -114,7 +114,7 @@
 	return false
 }
 
-// harmlessToRepeat tells whether a retry of the client cannot execute the request twice. Past the
+// harmlessToRepeat reports whether a retry of the client cannot execute the request twice. Past the
 // deduplication window a duplicate would be executed.
 func (r *request) harmlessToRepeat(now float64) bool {
 	if r.maybeExecuted == 0 || r.class.Idempotency == balancer.Idempotent {
@@ -124,7 +124,7 @@
 		now-r.executedAt < r.class.DedupWindowMs
 }
 
-// waitsForKey tells whether the request still waits for the servers that its key prefers.
+// waitsForKey reports whether the request still waits for the servers that its key prefers.
 func (r *request) waitsForKey(now float64) bool {
 	return r.key != 0 && len(r.attempts) == 0 &&
 		now-r.arrivedAt < keyWaitFraction*(r.objectiveAt-r.arrivedAt)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,41 +3,41 @@
 import "math"
 
 const (
-	// loadCapFactor is how far above its even share of the agent's attempts in flight a server may
-	// go before a key's request moves on to the next server in the key's order.
+	// loadCapFactor is the load cap of a server, as a multiple of its even share of the agent's attempts
+	// in flight. A request with a key moves on to the next server in the key's order at that load.
 	loadCapFactor = 3.0
 	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
-	// servers that its key prefers: to go on at once would lose the server's cache for the key just
-	// when servers are short of time.
+	// preferred servers of its key. Moving on at once would miss the server's cache for the key just
+	// when the servers have no capacity to spare.
 	keyWaitFraction = 0.25
-	// preferredServers is the number of servers, the first in the order of its key, for which a request
-	// waits.
+	// preferredServers is the number of preferred servers of a key, the first in the key's order.
 	preferredServers = 2
 )
 
-// candidateSet says which candidates a choice considers.
+// candidateSet specifies which candidates a selection considers.
 type candidateSet uint8
 
 // The values of candidateSet.
 const (
-	notInCooldown candidateSet = iota // candidates in cooldown are passed over
+	notInCooldown candidateSet = iota // candidates in cooldown are skipped
 	allCandidates
 )
 
-// includes tells whether the choice considers the candidate.
+// includes reports whether the set contains the candidate.
 func (c candidateSet) includes(s *server, now float64) bool {
 	return c == allCandidates || !s.inCooldown(now)
 }
 
-// choice is the result of a selection among some servers.
+// choice is the result of a selection from a set of candidates.
 type choice struct {
-	server *server // nil: none accepts the request
-	// hasCandidates tells that there were servers to choose from, though none may accept the request.
+	server *server // nil: no candidate accepts the request
+	// hasCandidates reports whether there were candidates, even if none accepts the request.
 	hasCandidates bool
 }
 
-// serverSelector selects the server of an attempt: of the best health tier that has any, the first
-// in the order of weighted rendezvous hashing that is under its load cap and has capacity.
+// serverSelector selects the server of an attempt. It takes the best health tier that has candidates
+// and selects the first one, in the order of weighted rendezvous hashing, that is under its load cap
+// and has capacity.
 type serverSelector struct {
 	env         *environment
 	endpoints   *endpointList
@@ -45,17 +45,18 @@
 	concurrency *concurrencyLimits
 	outliers    *outlierDetector
 	zone        *zonePreference
-	candidates  []*server // scratch: the servers of the tier that is considered
+	candidates  []*server // candidates of the tier being considered; reused between selections
 }
 
-// mayForward checks once more, just before an attempt begins, that the selected server is ready and that the
-// request may be attempted there. The limits of its load are in concurrencyLimits.serverAllows.
+// mayForward reports whether the selected server is ready and the request may be attempted there. It is
+// the final check before an attempt starts; concurrencyLimits.serverAllows checks the server's load.
 func (sel *serverSelector) mayForward(r *request, s *server) bool {
 	return s.ready && r.mayAttempt(sel.env.now) && r.mayAttemptAt(s, sel.env, len(sel.endpoints.servers))
 }
 
-// choose selects a server for the request; nil if none has capacity. Only servers that can win are
-// scored in full, and none are sorted, as there may be thousands of them.
+// choose selects a server for the request, or returns nil if none has capacity. As there may be
+// thousands of servers, it sorts none of them and computes the full score only of those that may come
+// first.
 func (sel *serverSelector) choose(r *request) *server {
 	r.tierWeight = 0
 	if !r.mayAttempt(sel.env.now) {
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// chooseInTier selects a server of one tier. Those in cooldown come last, unless most of them are: then
-// all are overloaded.
+// chooseInTier selects a server of one tier. Servers in cooldown come last unless they have more than
+// half of the tier's weight: then the whole tier is overloaded, and cooldowns are ignored.
 func (sel *serverSelector) chooseInTier(r *request, t tier) choice {
 	cooldownWeight := sel.fillCandidates(r, t)
 	if r.tierWeight == 0 {
@@ -88,8 +89,8 @@
 	return choice{server: c.server, hasCandidates: true}
 }
 
-// fillCandidates makes the ready servers of the tier at which the request may be attempted the
-// candidates, sets r.tierWeight to their weight, and returns the weight of those in cooldown.
+// fillCandidates sets sel.candidates to the ready servers of the tier at which the request may be
+// attempted and r.tierWeight to their total weight. It returns the weight of those in cooldown.
 func (sel *serverSelector) fillCandidates(r *request, t tier) (cooldownWeight float64) {
 	servers := sel.endpoints.servers
 	if t > healthyTier {
@@ -115,8 +116,8 @@
 	return cooldownWeight
 }
 
-// firstCandidate is the first candidate of the set in the request's order that accepts it. A request that
-// waits for the servers of its key has no others.
+// firstCandidate returns the first candidate of the set, in the request's order, that accepts the request.
+// While a request waits for its preferred servers, only those are considered.
 func (sel *serverSelector) firstCandidate(r *request, set candidateSet) choice {
 	if r.waitsForKey(sel.env.now) {
 		return sel.firstPreferred(r, set)
@@ -141,8 +142,8 @@
 	return choice{server: best, hasCandidates: hasCandidates}
 }
 
-// firstPreferred determines the candidates of the set that the request's key prefers, and is the first of
-// them that accepts it.
+// firstPreferred determines the preferred servers of the request's key among the candidates of the set and
+// returns the first of them that accepts the request.
 func (sel *serverSelector) firstPreferred(r *request, set candidateSet) choice {
 	var preferred [preferredServers]*server
 	count := 0
@@ -173,8 +174,8 @@
 	return choice{server: best, hasCandidates: count > 0}
 }
 
-// insertByScore puts a server among those with the lowest scores, in order, if it belongs there; of
-// equal scores the earlier one stays first.
+// insertByScore inserts a server into the list of those with the lowest scores, in ascending order, if its
+// score is low enough. Of servers with equal scores the one inserted earlier stays first.
 func insertByScore(lowest *[preferredServers]*server, s *server) {
 	for i, other := range lowest {
 		if other == nil || s.score < other.score {
@@ -187,7 +188,7 @@
 	}
 }
 
-// discardDraws draws the random positions of a choice that is not made, and discards them, so that later
+// discardDraws draws and discards the random positions of a selection that is skipped, so that later
 // random numbers do not depend on which servers are in cooldown.
 func (sel *serverSelector) discardDraws(r *request, set candidateSet) {
 	if r.key != 0 {
@@ -200,8 +201,8 @@
 	}
 }
 
-// position is the server's position for the request's key, the same for all agents of a zone, or a
-// random one if the request has no key.
+// position returns the server's position for the request's partition key, which does not depend on the
+// agent, or a random position if the request has no key.
 func (sel *serverSelector) position(r *request, s *server) position {
 	if r.key == 0 {
 		return newPosition(sel.env.random.Uint64())
@@ -209,13 +210,13 @@
 	return newPosition(splitmix64(r.partitionKey ^ s.hash))
 }
 
-// orderWeight is the server's weight in the order of a request.
+// orderWeight returns the server's weight in the order of a request.
 func (sel *serverSelector) orderWeight(s *server) float64 {
 	return sel.zone.weight(s, s.weight*sel.slowStart.loadShare(s))
 }
 
-// preferredAreFull tells whether the request waits for the servers that its key prefers, as they were
-// last determined, and none of them accepts it.
+// preferredAreFull reports whether the request waits for its preferred servers and none of them accepts
+// it. It is false if they are not determined for the current endpoint list.
 func (sel *serverSelector) preferredAreFull(r *request) bool {
 	determined := r.preferred[0] != nil && r.preferredEpoch == sel.endpoints.epoch
 	if !determined || !r.waitsForKey(sel.env.now) {
@@ -229,13 +230,13 @@
 	return true
 }
 
-// accepts tells whether the server is under its load cap and has capacity.
+// accepts reports whether the server is under its load cap and has capacity.
 func (sel *serverSelector) accepts(s *server, r *request) bool {
 	return sel.underLoadCap(s, r) && sel.concurrency.serverAllows(s)
 }
 
-// underLoadCap tells whether the server is under its load cap in the tier of the last selection for
-// the request.
+// underLoadCap reports whether the server is under its load cap, which depends on its share of the
+// weight of the tier last considered for the request.
 func (sel *serverSelector) underLoadCap(s *server, r *request) bool {
 	share := s.weight * sel.slowStart.fraction(s) / r.tierWeight
 	loadCap := math.Ceil(loadCapFactor * float64(sel.concurrency.inFlight+1) * share)
--- a/policy/server.go
+++ b/policy/server.go
@@ -43,7 +43,7 @@
 	score            float64 // in the order of the request that is considered; the lowest comes first
 }
 
-// inCooldown tells whether the server is passed over within its tier to recover from an overload.
+// inCooldown reports whether the server is passed over within its tier to recover from an overload.
 func (s *server) inCooldown(now float64) bool { return now < s.cooldownUntil }
 
 // removeAttempt takes an attempt out of those in flight.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// maxSlowStartCredit bounds a server's slow-start credit, in attempts: all agents may use
-	// theirs at once, and the server's budget counts over a short time.
+	// maxSlowStartCredit is the maximum slow-start credit of a server, in attempts. All agents may use
+	// their credits at the same time, while the server's budget applies to a short window.
 	maxSlowStartCredit = 1.0
-	// slowStartMargin is how many times its present capacity an even share of the load may cost a
-	// server in slow start: warm servers save up to three quarters of the work by their caches.
+	// slowStartMargin is the cost of an even share of the load for a server in slow start, as a multiple of
+	// its cost for a warm server: caches save warm servers up to three quarters of the work.
 	slowStartMargin = 4.0
 )
 
-// slowStart limits what servers are sent for a while after their start, when they have a part of
-// their capacity. Each such server has a credit of attempts, which grows with the responses of the warm
-// servers.
+// slowStart limits the load of servers for some time after their start, while they have only a part of
+// their capacity. Each server in slow start has a credit of attempts, which grows with the responses
+// of the warm servers.
 type slowStart struct {
 	env       *environment
 	endpoints *endpointList
-	// generation counts what changes the set of servers in slow start without a change of the list.
+	// generation counts the changes of the set of servers in slow start that come without a change of
+	// the endpoint list.
 	generation uint64
 	warming    warmingCache
 	warm       warmWeightCache
-	// servedRate is the attempts served for each unit of warm weight, with exponential decay over
-	// the slow-start time, as of the time servedRateAt in milliseconds.
+	// servedRate is the number of attempts served per unit of warm weight, with exponential decay over
+	// the slow-start time, as of servedRateAt in milliseconds.
 	servedRate   float64
 	servedRateAt float64
 }
 
-// warmingCache holds the servers in slow start, as of a time in milliseconds, an epoch of the endpoint
+// warmingCache caches the servers in slow start, as of a time in milliseconds, an epoch of the endpoint
 // list and a generation of the set.
 type warmingCache struct {
 	servers    []*server
@@ -41,27 +42,28 @@
 	generation uint64
 }
 
-// warmWeightCache holds the weight of the warm servers, as of a time in milliseconds, an epoch of the
-// endpoint list and a generation of the set.
+// warmWeightCache caches the total weight of the warm servers, as of a time in milliseconds, an epoch of
+// the endpoint list and a generation of the set.
 type warmWeightCache struct {
 	sum        float64
 	at         float64
 	epoch      uint64
 	generation uint64
-	warming    int     // number of servers in slow start when it was summed up
-	lostAt     float64 // when the last warm server was lost
+	warming    int     // number of servers in slow start at that time
+	lostAt     float64 // when the sum last became zero
 }
 
-// newSlowStart returns a slow start without servers.
+// newSlowStart returns the slow start of the servers in endpoints.
 func newSlowStart(env *environment, endpoints *endpointList) *slowStart {
 	return &slowStart{env: env, endpoints: endpoints}
 }
 
-// invalidate notes that the set of servers in slow start may have changed.
+// invalidate records that the set of servers in slow start may have changed.
 func (ss *slowStart) invalidate() { ss.generation++ }
 
-// fraction is the part of its capacity that a server has by the contract: 1 where its start is long
-// past or not known, or was assumed and has not been confirmed by the endpoint list in time.
+// fraction returns the slow-start fraction of a server: the part of its capacity that it has according to the
+// contract. It is 1 if the start of the server is long past or unknown, or if an assumed restart was not
+// confirmed by the endpoint list in time.
 func (ss *slowStart) fraction(s *server) float64 {
 	contract := &ss.env.settings.Contract
 	ageMs := ss.env.now - s.startedAt
@@ -72,9 +74,9 @@
 	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(ageMs, 0)/contract.SlowStartMs
 }
 
-// loadShare is the part of an even share of the load that a server may be sent. For one in slow
-// start it is what keeps the contract, so that its keys move to it as it warms up, instead of
-// waiting for it.
+// loadShare returns the part of an even share of the load that a server may be sent. For a server in
+// slow start that is what the contract permits. Its keys then move to it gradually as it warms up,
+// instead of waiting for it.
 func (ss *slowStart) loadShare(s *server) float64 {
 	if fraction := ss.fraction(s); fraction < 1 {
 		return fraction * ss.env.settings.Contract.OverloadMultiple / slowStartMargin
@@ -82,13 +84,13 @@
 	return 1
 }
 
-// isWarm tells whether a server counts into the warm weight: healthy, and not in slow start.
+// isWarm reports whether a server counts towards the warm weight: ready, healthy and not in slow start.
 func (ss *slowStart) isWarm(s *server) bool {
 	return s.ready && s.health <= balancer.Unknown && ss.fraction(s) == 1
 }
 
-// warmWeight is the weight of the warm servers. It is computed once for all decisions of a moment,
-// and summed up anew only where a server's health, listing or slow start has changed.
+// warmWeight returns the total weight of the warm servers. It checks the cached sum once per point in
+// time, and recomputes it only if the health, the list entry or the slow start of a server has changed.
 func (ss *slowStart) warmWeight() float64 {
 	cache := &ss.warm
 	if cache.at == ss.env.now && cache.epoch == ss.endpoints.epoch {
@@ -112,7 +114,7 @@
 	return cache.sum
 }
 
-// sumWarmWeight sums up the weight of the warm servers.
+// sumWarmWeight computes the total weight of the warm servers.
 func (ss *slowStart) sumWarmWeight() float64 {
 	sum := 0.0
 	for _, s := range ss.endpoints.servers {
@@ -123,8 +125,8 @@
 	return sum
 }
 
-// warmingServers returns the listed servers in slow start, by address. Between changes of the list
-// and of starts, time can only make them fewer.
+// warmingServers returns the listed servers in slow start, ordered by address. As long as the list and the
+// start times stay the same, servers can only leave this set, so the cached set is only filtered.
 func (ss *slowStart) warmingServers() []*server {
 	cache := &ss.warming
 	if cache.epoch != ss.endpoints.epoch || cache.generation != ss.generation || ss.env.now < cache.at {
@@ -137,17 +139,17 @@
 	return cache.servers
 }
 
-// grantCredits adds to the credits of the servers in slow start what a response of a warm server allows:
-// each gets its share by weight and slow-start fraction.
+// grantCredits increases the credits of the servers in slow start after a response of a warm server.
+// Each server gets its share by weight and slow-start fraction.
 //
-// In a window W a server of capacity C serves at most 2.5 C W attempts, by keys that it knows. So
-// the credits of all agents at fraction k grow by 2.5 C W k OverloadMultiple/slowStartMargin, which
-// is 5/8 of the budget N = C W k OverloadMultiple. As each agent begins with a random part of one
-// attempt, they use that and a sum of rounded parts, whose variance is under N: by chance at most
-// 2 sqrt(N) + 2 more.
+// In a window W a server of capacity C serves at most 2.5 C W attempts, if their keys are in its caches.
+// So the credits of all agents for a server at slow-start fraction k grow by
+// 2.5 C W k OverloadMultiple/slowStartMargin, which is 5/8 of the budget N = C W k OverloadMultiple.
+// As each agent starts with a random part of one attempt, the agents use that amount and a sum of
+// rounded parts whose variance is below N, which adds at most about 2 sqrt(N) + 2 attempts by chance.
 //
-// Attempts that were only sent do not count, as most of them may be rejected. Nor do late responses
-// of servers that drain or failed: the weight of the servers that are left says nothing of them.
+// Attempts without a response do not count, as most of them may be rejected. Late responses of servers
+// that are draining or have failed do not count either, as the warm weight does not include them.
 func (ss *slowStart) grantCredits(from *server) {
 	warm := ss.warmWeight()
 	if warm == 0 || !ss.isWarm(from) {
@@ -163,10 +165,10 @@
 	}
 }
 
-// accruedCredit is the credit, in attempts, that accrues to a server in slow start with time where no
-// warm server is left whose responses would add to it: at the rate at which the warm ones last served,
-// and at least one attempt of all agents in an overload window. The time before the warm servers were
-// lost does not count, as their responses were credited then.
+// accruedCredit returns the credit, in attempts, that a server in slow start gains with time while there
+// are no warm servers whose responses would add to it. It grows at the rate at which the warm servers
+// last served, and at least by one attempt of all agents together per overload window. The time while
+// there were warm servers does not count, as their responses have been credited already.
 func (ss *slowStart) accruedCredit(s *server) float64 {
 	if ss.warmWeight() > 0 {
 		return 0
@@ -178,22 +180,23 @@
 	return (ss.env.now - since) * perMs
 }
 
-// hasCredit tells whether a server may be sent an attempt; one that is not in slow start always may.
+// hasCredit reports whether the slow-start credit of a server permits an attempt. A server that is not in
+// slow start needs no credit.
 func (ss *slowStart) hasCredit(s *server) bool {
 	return ss.fraction(s) == 1 || s.slowStartCredit+ss.accruedCredit(s) >= 1
 }
 
-// charge takes an attempt off the credit of a server in slow start.
+// charge deducts one attempt from the credit of a server in slow start.
 func (ss *slowStart) charge(s *server) {
 	if ss.fraction(s) < 1 {
 		s.slowStartCredit = min(s.slowStartCredit+ss.accruedCredit(s), maxSlowStartCredit) - 1
 	}
 }
 
-// recordReachable notes a response to a request or to a health check of the server. A server that no connect
-// reached for long may be a new process that is not listed as such yet: it is taken to have started
-// now. Timeouts alone are no sign of a restart, and quick responses are no sign against one: a
-// server in slow start is quick while it has little load.
+// recordReachable records a response to a request or a health check by the server. If connects to the
+// server have failed for longer than an overload window, it may be a new process that the endpoint list
+// does not show yet, so it is assumed to have started now. Timeouts alone do not indicate a restart, and
+// fast responses do not rule one out, as a server in slow start is fast while it has little load.
 func (ss *slowStart) recordReachable(s *server) {
 	unreachableMs := ss.env.now - s.unreachableSince
 	if s.unreachableSince > 0 && unreachableMs > ss.env.settings.Contract.OverloadWindowMs {
