--- a/policy/classes.go
+++ b/policy/classes.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// shareDecay is the factor of the exponential decay by which earlier requests weigh less with each
-	// new one: the shares of the classes are those of about the last 500 requests.
+	// shareDecay is the factor by which each new request reduces the weight of the earlier ones in the shares
+	// of the classes, so that the shares cover about the last 500 requests.
 	shareDecay = 0.998
-	// expectedSmoothing is the weight of one response in the expected response time of its class.
+	// expectedSmoothing is the weight of one response in the mean response time of its class.
 	expectedSmoothing = 4 * fleetSmoothing
-	// initialLatency is the mean latency that is expected of a class without responses, as a fraction of
-	// its objective.
+	// initialLatency is the expected mean latency of a class without responses, as a fraction of its
+	// latency objective.
 	initialLatency = maxMeanLatency / 2
 )
 
-// class is what is known of one class of requests. Requests that came under other rules than those
-// in force have a class value of their own.
+// class holds the rules and the statistics of one class of requests. Requests with other rules than those
+// in force have a separate class value.
 type class struct {
 	balancer.Class
 	expectedMs       float64 // moving mean of response times
-	requestShare     float64 // part of all recent requests
-	inTimeShare      float64 // recent requests that met the objective, as a part of all requests
-	longestTimeoutMs float64 // the longest time that a client gave one request
+	requestShare     float64 // fraction of all recent requests that are of this class
+	inTimeShare      float64 // fraction of all recent requests that are of this class and met its objective
+	longestTimeoutMs float64 // longest remaining time of any request at its arrival
 }
 
 // classTable holds the statistics of the classes in force.
 type classTable struct {
 	classes        []*class // in the order of the settings
-	worst          *class   // the class with the smallest part of its recent requests served in time
+	worst          *class   // class with the smallest fraction of its recent requests served in time
 	meanWeight     float64  // mean priority weight of a request
-	minObjectiveMs float64  // the shortest latency objective
+	minObjectiveMs float64  // shortest latency objective
 }
 
-// replace puts classes in force; what was learned of a class of the same name stays.
+// replace puts classes in force. A class keeps the statistics of the previous class of the same name.
 func (t *classTable) replace(rules []balancer.Class) {
 	var classes []*class
 	t.minObjectiveMs = math.Inf(1)
@@ -47,8 +47,8 @@
 	t.worst = classes[0]
 }
 
-// find returns the class with these rules. Where there is none it returns a new one, with the
-// statistics of the class of that name if there is one; the new one is not added.
+// find returns the class with the given rules. If there is none, it returns a new one with the statistics
+// of the class of the same name, if any, without adding it to the table.
 func (t *classTable) find(rules balancer.Class) *class {
 	found := &class{
 		Class:        rules,
@@ -69,7 +69,7 @@
 	return found
 }
 
-// countRequest updates the shares of the classes by a request of one of them, and the worst class.
+// countRequest updates the shares of all classes, the mean weight and the worst class for a new request.
 func (t *classTable) countRequest(of *class) {
 	t.meanWeight = 0
 	for _, c := range t.classes {
@@ -88,13 +88,13 @@
 // countObjectiveMet counts a response that met the class's latency objective.
 func (c *class) countObjectiveMet() { c.inTimeShare += 1 - shareDecay }
 
-// recordResponseTime counts a response time, in milliseconds, into the mean of the class.
+// recordResponseTime adds a response time, in milliseconds, to the mean of the class.
 func (c *class) recordResponseTime(responseMs float64) {
 	bounded := min(responseMs, maxLatency*c.LatencyObjectiveMs)
 	c.expectedMs = movingMean(c.expectedMs, bounded, expectedSmoothing)
 }
 
-// latency is a response time as a fraction of the class's objective, at most maxLatency.
+// latency returns a response time as a fraction of the latency objective of the class, at most maxLatency.
 func (c *class) latency(responseMs float64) float64 {
 	return min(responseMs/c.LatencyObjectiveMs, maxLatency)
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -218,7 +218,7 @@
 // startCooldown makes this agent avoid an overloaded server for about the given number of mean intervals
 // between two of its attempts at one server, with jitter. An agent that uses a server rarely cannot
 // follow its overload with a concurrency limit; cooldowns reduce the load from all agents together,
-// as those that observe the overload stay away.
+// as those that observe the overload skip the server.
 func (c *concurrencyLimits) startCooldown(s *server, intervals float64) {
 	cooldownMs := min(intervals*c.evenServerIntervalMs(), c.env.settings.Contract.SlowStartMs)
 	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// initialLimit is the least concurrency limit of a new server, in attempts.
+	// initialLimit is the minimum initial concurrency limit of a new server, in attempts.
 	initialLimit = 2
 	// initialFleetLimit is the number of attempts that all agents together may have in flight at a new
-	// server: more than its cores, as some requests wait for others.
+	// server. It is larger than the number of cores, as some requests wait for others.
 	initialFleetLimit = 8
 )
 
-// endpointList holds the servers that discovery lists, and the sets of them that are needed often.
+// endpointList holds the servers of the endpoint list and frequently used subsets of them.
 type endpointList struct {
 	env       *environment
-	servers   []*server // by address
+	servers   []*server // ordered by address
 	byAddress map[balancer.Addr]*server
-	busy      []*server // the listed ones with attempts in flight, by address
-	// epoch counts the changes of the list and of the servers' health tiers.
+	busy      []*server // listed servers with attempts in flight, ordered by address
+	// epoch counts the updates of the list and the health changes to or from an unhealthy state.
 	epoch          uint64
-	unhealthy      []*server // result of unhealthyServers, as of unhealthyEpoch
+	unhealthy      []*server // cached result of unhealthyServers, as of unhealthyEpoch
 	unhealthyEpoch uint64
 }
 
@@ -32,9 +32,9 @@
 	return &endpointList{env: env, byAddress: map[balancer.Addr]*server{}}
 }
 
-// update takes over one entry of the endpoint list and returns its server, and whether it is new.
-// Another start time means another process, whether it is later or earlier: the wall clock by which
-// starts are listed may be set back. A start time of 0 means that it is not known.
+// update applies one entry of the endpoint list and returns its server and whether it was added. A
+// different start time means a new process, whether the time is later or earlier: the wall clock that
+// provides the start times may be set back. A start time of 0 means that it is unknown.
 func (l *endpointList) update(e *balancer.Endpoint) (s *server, added bool) {
 	s = l.byAddress[e.Server]
 	startedAt := balancer.Finite(e.StartedMs)
@@ -52,7 +52,7 @@
 	return s, added
 }
 
-// insert adds a server that was not listed so far.
+// insert adds a server that was not in the list before.
 func (l *endpointList) insert(address balancer.Addr, startedAt float64) *server {
 	s := &server{
 		address:         address,
@@ -70,10 +70,9 @@
 	return s
 }
 
-// restart begins anew with a server that is another process, in slow start: nothing that is known of
-// the old process holds. No process starts before the one that it follows, so where the list says
-// that, the clock was set back and the process started at some time up to now. Later starts by that
-// clock are as far behind.
+// restart resets the state of a server that runs as a new process, which begins its slow start. A process
+// cannot have started before its predecessor, so if the listed start time says so, the clock was set back
+// and the process is taken to have started now. The lag of that clock is added to later start times.
 func (l *endpointList) restart(s *server, startedAt float64) {
 	s.startedAt = min(startedAt+s.clockLagMs, l.env.now)
 	if startedAt < s.listedStart {
@@ -90,12 +89,12 @@
 	s.forgetLatency()
 	s.baseline = 0
 	s.limit = 1
-	// A random part of one attempt: of many agents whose credits never grow to a complete one, as many
-	// send one as their credits add up to.
+	// The credit starts with a random part of one attempt. In a large fleet, where the credit of an agent may
+	// never grow to a whole attempt, the number of agents that send one then matches the sum of their credits.
 	s.slowStartCredit = l.env.random.Float64()
 }
 
-// retainListed marks the servers as not ready that a complete list does not name.
+// retainListed marks servers that are missing from a full list as not ready.
 func (l *endpointList) retainListed(endpoints []balancer.Endpoint) {
 	listed := map[balancer.Addr]bool{}
 	for i := range endpoints {
@@ -106,7 +105,7 @@
 	}
 }
 
-// removeUnused removes the servers that may not be used and on which nothing is under way.
+// removeUnused removes the servers that are not ready and have no attempt or health check in flight.
 func (l *endpointList) removeUnused() {
 	l.servers = slices.DeleteFunc(l.servers, func(s *server) bool {
 		unused := !s.ready && len(s.inFlight) == 0 && !s.checking
@@ -117,8 +116,8 @@
 	})
 }
 
-// unhealthyServers returns the listed servers that are ejected or wait for a health check, by address.
-// The slice is valid until the next call.
+// unhealthyServers returns the listed servers that are ejected or wait for a health check, ordered by
+// address. The slice is valid until the next call.
 func (l *endpointList) unhealthyServers() []*server {
 	if l.unhealthyEpoch == l.epoch {
 		return l.unhealthy
@@ -142,8 +141,8 @@
 	s.healthSince = l.env.now
 }
 
-// addInFlight counts an attempt into those in flight at its server. A server that the list has
-// dropped since the request was forwarded is not watched for responses any more.
+// addInFlight adds an attempt to those in flight at its server. A server that was removed from the list
+// after the request was forwarded is not added to the busy servers.
 func (l *endpointList) addInFlight(a *attempt) {
 	s := a.server
 	if len(s.inFlight) == 0 && l.byAddress[s.address] == s {
@@ -153,7 +152,7 @@
 	s.inFlight = append(s.inFlight, a)
 }
 
-// removeInFlight takes an ended attempt out of those in flight at its server.
+// removeInFlight removes an ended attempt from those in flight at its server.
 func (l *endpointList) removeInFlight(a *attempt) {
 	a.server.removeAttempt(a)
 	if a.fullySent && len(a.server.inFlight) == 0 {
@@ -161,8 +160,7 @@
 	}
 }
 
-// unresponsiveInFlight is the number of attempts in flight at servers that are ejected because they
-// do not respond.
+// unresponsiveInFlight returns the number of attempts in flight at unhealthy servers that do not respond.
 func (l *endpointList) unresponsiveInFlight() int {
 	count := 0
 	for _, s := range l.busy {
--- a/policy/environment.go
+++ b/policy/environment.go
@@ -6,17 +6,17 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// environment is what all components of a Balancer share: the settings in force, the time and the random
-// numbers of the decision under way, and the actions that it has given so far.
+// environment is the state that all components of a Balancer share: the settings in force, the random
+// number generator, and the time and the actions of the event being processed.
 type environment struct {
 	settings balancer.Settings
 	random   *rand.Rand
-	now      float64 // milliseconds, on the host's clock, which may be set back
+	now      float64 // in milliseconds on the host's clock, which may be set back
 	actions  []balancer.Action
 }
 
-// emit appends an action to those of the decision under way.
+// emit appends an action to those of the event being processed.
 func (e *environment) emit(action balancer.Action) { e.actions = append(e.actions, action) }
 
-// fleetSize is the number of agents, at least one.
+// fleetSize returns the number of agents, at least one.
 func (e *environment) fleetSize() float64 { return float64(max(e.settings.FleetSize, 1)) }
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -5,32 +5,32 @@
 )
 
 const (
-	// maxHealthChecks bounds the health checks under way and the tokens for more of them.
+	// maxHealthChecks is the maximum number of health checks in flight and the capacity of their budget.
 	maxHealthChecks = 2
-	// checkTokensPerRequest is what each request adds to the budget, in health checks.
+	// checkTokensPerRequest is the number of health checks that each request adds to their budget.
 	checkTokensPerRequest = 0.1
 )
 
-// healthChecker checks ejected servers in the background once their ejection time has passed. Its
-// budget limits the checks to a part of the requests.
+// healthChecker checks ejected servers in the background once their ejection time has passed. Its budget
+// limits the number of checks to a fraction of the number of requests.
 type healthChecker struct {
 	env       *environment
 	endpoints *endpointList
 	outliers  *outlierDetector
 	poller    *listPoller
 	slowStart *slowStart
-	underWay  int          // health checks that have not ended
+	underWay  int          // health checks in flight
 	budget    *tokenBucket // each request adds to it
 }
 
-// newCheckBudget returns the full budget of health checks.
+// newCheckBudget returns a full budget of health checks.
 func newCheckBudget() *tokenBucket { return newTokenBucket(checkTokensPerRequest, maxHealthChecks) }
 
-// recordRequest adds the tokens of one request to the budget.
+// recordRequest adds one request to the budget.
 func (h *healthChecker) recordRequest() { h.budget.deposit() }
 
-// start moves the servers whose ejection time has passed to UnhealthyPending, and starts the health
-// checks that the limits permit.
+// start changes the state of servers whose ejection time has passed to UnhealthyPending, and starts the
+// health checks that are due and permitted.
 func (h *healthChecker) start() {
 	for _, s := range h.endpoints.unhealthyServers() {
 		if h.outliers.ejectionEnded(s) {
@@ -52,7 +52,7 @@
 		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.underWay < maxHealthChecks
 }
 
-// finish takes the result of a health check.
+// finish processes the result of a health check.
 func (h *healthChecker) finish(ev *balancer.Event) {
 	s := h.endpoints.byAddress[ev.Server]
 	if s == nil || !s.checking {
@@ -67,7 +67,7 @@
 	case balancer.StatusOK:
 		h.slowStart.recordReachable(s)
 		h.endpoints.setHealth(s, balancer.Connected)
-	case balancer.StatusOverloaded: // it serves, but not now: it stays as it is
+	case balancer.StatusOverloaded: // reachable but without capacity: its state stays
 	case balancer.StatusError, balancer.StatusReset:
 		h.outliers.eject(s, failedAttempt)
 	default:
--- a/policy/history.go
+++ b/policy/history.go
@@ -6,27 +6,27 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// fullTimeoutFraction is the part of the class's total timeout from which a request is taken to have
-// been given all of it.
+// fullTimeoutFraction is the fraction of the total timeout of its class above which the remaining time of a
+// request shows that clients give first requests the whole timeout.
 const fullTimeoutFraction = 0.95
 
-// unservedRequest is what is remembered of a request without a response, to recognize its retry. Times are
-// in milliseconds.
+// unservedRequest is the record of a request that ended without a response, by which a retry of it is
+// recognized. Times are in milliseconds.
 type unservedRequest struct {
 	className      string
 	key            uint64
 	firstArrivedAt float64
-	expiresAt      float64 // the client has given up by then
+	expiresAt      float64 // when the client gives up
 }
 
-// requestHistory remembers unserved requests, so that a client's retry is judged by the time that
-// has passed for the client since it first sent the request.
+// requestHistory records unserved requests, so that the latency objective of a client's retry counts from
+// the time at which the client first sent the request.
 type requestHistory struct {
 	env      *environment
 	unserved []unservedRequest // oldest first, at most maxQueued
 }
 
-// add remembers a request that ends without a response.
+// add records a request that ends without a response.
 func (h *requestHistory) add(r *request) {
 	h.unserved = slices.DeleteFunc(h.unserved, func(u unservedRequest) bool {
 		return h.env.now > u.expiresAt
@@ -42,9 +42,9 @@
 	})
 }
 
-// firstArrival is when the client first sent the request. For a marked retry that is remembered.
-// Where retries are not marked, a retry has less time left than a first request, by the time that
-// has passed; this holds only if clients give a first request all of the timeout.
+// firstArrival returns the time at which the client first sent the request. For a marked retry that is
+// the recorded arrival of the unserved request. If clients do not mark retries, a retry is recognized by
+// its shorter remaining time, provided that clients give first requests the whole total timeout.
 func (h *requestHistory) firstArrival(c *class, ev *balancer.Event) float64 {
 	now := h.env.now
 	c.longestTimeoutMs = max(c.longestTimeoutMs, min(ev.RemainingMs, c.TotalTimeoutMs))
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -3,34 +3,34 @@
 import "math"
 
 const (
-	// maxPartitionShare is the most requests that one partition of a key may have, as a part of a
-	// server's even share.
+	// maxPartitionShare is the maximum load of one partition of a key, as a fraction of the even share of
+	// one server.
 	maxPartitionShare = 0.25
-	// keyCountWindow is the number of requests, for each partition that there may be, over which
-	// the share of a key is measured.
+	// keyCountWindow is the number of requests over which the share of a key is measured, as a multiple of the
+	// maximum number of its partitions.
 	keyCountWindow = 2.0
-	// minKeyCount is the count, in requests, below which a key is dropped.
+	// minKeyCount is the number of requests below which the count of a key is deleted.
 	minKeyCount = 0.5
 )
 
-// keyPartitions counts the requests of each affinity key and splits popular keys into partitions.
-// The load cap alone does not spread a popular key: of many agents none has enough attempts in
-// flight to reach it.
+// keyPartitions counts the requests of each affinity key and splits popular keys into partitions. The
+// load cap alone does not spread a popular key, as in a large fleet no agent has enough attempts in
+// flight to reach the cap.
 type keyPartitions struct {
 	env       *environment
 	endpoints *endpointList
-	counts    map[uint64]float64 // requests of each key, halved from time to time
-	total     float64            // requests of all keys
+	counts    map[uint64]float64 // number of requests by key, halved when total reaches the window
+	total     float64            // number of requests of all keys, halved with the counts
 }
 
-// newKeyPartitions returns the partitions of an agent that has seen no keys.
+// newKeyPartitions returns a keyPartitions without counts.
 func newKeyPartitions(env *environment, endpoints *endpointList) *keyPartitions {
 	return &keyPartitions{env: env, endpoints: endpoints, counts: map[uint64]float64{}}
 }
 
-// choose counts a request of the key and returns the key by which it is placed: the key itself, or
-// one of its partitions, drawn at random, which has its own order of servers. While few requests are
-// counted each key has two partitions. Key 0 means that the request has none.
+// choose counts a request of the key and returns its partition key: the key itself, or that of another
+// partition of the key, which has a different order of servers. The partition is chosen at random. While
+// few requests are counted, each key has two partitions. Key 0 means that the request has no key.
 func (k *keyPartitions) choose(key uint64) uint64 {
 	if key == 0 {
 		return 0
@@ -45,7 +45,7 @@
 	return splitmix64(key + index)
 }
 
-// count counts a request of the key. All counts are halved once their total has reached the window.
+// count counts a request of the key. It halves all counts first if their total has reached the window.
 func (k *keyPartitions) count(key uint64, window float64) {
 	if k.total >= window {
 		k.halve()
@@ -54,7 +54,7 @@
 	k.counts[key]++
 }
 
-// halve halves all counts and drops the keys that have become rare.
+// halve halves all counts and deletes those that fall below minKeyCount.
 func (k *keyPartitions) halve() {
 	k.total /= 2
 	for key, count := range k.counts {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -11,8 +11,8 @@
 	// maxSlowStartCredit is the maximum slow-start credit of a server, in attempts. All agents may use
 	// their credits at the same time, while the server's budget applies to a short window.
 	maxSlowStartCredit = 1.0
-	// slowStartMargin is the cost of an even share of the load for a server in slow start, as a multiple of
-	// its cost for a warm server: caches save warm servers up to three quarters of the work.
+	// slowStartMargin is the maximum cost of an even share of the load for a server in slow start, as a
+	// multiple of its present capacity. Warm servers save up to three quarters of the work with their caches.
 	slowStartMargin = 4.0
 )
 
