--- a/policy/latency.go
+++ b/policy/latency.go
@@ -3,34 +3,34 @@
 import "math"
 
 const (
-	// maxMeanLatency is the part of the latency objective that a mean response may take; the rest
-	// is left for the spread of the response times.
+	// maxMeanLatency is the maximum mean latency, as a fraction of the latency objective. The rest is
+	// reserved for the spread of the response times.
 	maxMeanLatency = 0.5
-	// overloadFactor times the baseline latency is the mean latency from which a server is
-	// overloaded: enough to keep its cores busy, too little to let its queue grow.
+	// overloadFactor is the multiple of the baseline latency above which the mean latency of a server counts
+	// as overload. It is high enough to keep the server's cores busy and too low to let its queue grow.
 	overloadFactor = 1.5
-	// baselineSamples is the number of responses after which a server's own baseline is known.
+	// baselineSamples is the number of responses after which the baseline of a single server is known.
 	baselineSamples = 8
-	// baselineResponses is the number of responses of all servers after which their baseline is
-	// known; until then no concurrency limit grows.
+	// baselineResponses is the number of responses of all servers after which the common baseline is known.
+	// Until then the concurrency limits of the servers do not grow.
 	baselineResponses = 50
-	// maxInitialBaseline bounds the baseline of the first responses: neither one quick response nor an
-	// overload at the start may become the baseline.
+	// maxInitialBaseline is the maximum baseline during the first baselineResponses responses. It keeps an
+	// overload at the start from becoming the baseline, as the mean does for a single fast response.
 	maxInitialBaseline = maxMeanLatency / 2
-	// fleetOverloadFactor times the unloaded latency, but from minFleetLatency to maxFleetLatency, is
-	// the latency that counts as an overload of all servers.
+	// fleetOverloadFactor is the multiple of the unloaded latency above which a response counts towards an
+	// overload of all servers. minFleetLatency and maxFleetLatency bound the result.
 	fleetOverloadFactor = 1.25
 	minFleetLatency     = maxMeanLatency / 2
 	maxFleetLatency     = 0.6
 	// smallFleetAgents is the number of agents for which fleetFactor is 2, and a server's latency limit
 	// at least half of maxMeanLatency.
 	smallFleetAgents = 2
-	// maxLatency bounds one latency in all means, as a multiple of the objective.
+	// maxLatency is the maximum of a single latency in all means, as a multiple of the objective.
 	maxLatency = 2
-	// unloadedSmoothing is the weight of one response in the unloaded latency as it rises.
+	// unloadedSmoothing is the weight of one response in the unloaded latency while that rises.
 	unloadedSmoothing = fleetSmoothing / 10
-	// minBaselineDelay and maxBaselineDelay bound how many times slower than fleetSmoothing the
-	// baseline rises. In between the delay grows by baselineDelayExponent with the fleet size.
+	// minBaselineDelay and maxBaselineDelay bound the factor by which the baseline rises more slowly than
+	// fleetSmoothing. The factor grows with the fleet size to the power of baselineDelayExponent.
 	minBaselineDelay      = 2
 	maxBaselineDelay      = 250
 	baselineDelayExponent = 3
@@ -45,21 +45,21 @@
 	objectiveMissed objectiveOutcome = false
 )
 
-// latencyBaselines holds what response times are normal. Latencies are fractions of the latency
+// latencyBaselines estimates the normal latency of the servers. Latencies are fractions of the latency
 // objective of the request's class.
 type latencyBaselines struct {
 	env       *environment
 	responses float64 // number of responses so far
 	mean      float64 // moving mean of all servers
-	unloaded  float64 // the least that the mean has recently been
+	unloaded  float64 // recent minimum of the mean
 	baseline  float64 // mean latency without overload
 }
 
-// known reports whether enough responses have been seen to recognize an overload.
+// known reports whether there have been enough responses to recognize an overload.
 func (l *latencyBaselines) known() bool { return l.responses >= baselineResponses }
 
-// record counts a response of any server. soleAtServer tells that no other attempt of this agent was
-// in flight at the server.
+// record adds the latency of a response of any server. soleAtServer specifies whether no other attempt of
+// this agent was in flight at the server.
 func (l *latencyBaselines) record(latency float64, soleAtServer bool) {
 	l.responses++
 	l.mean = movingMean(l.mean, latency, max(fleetSmoothing, 1/l.responses))
@@ -77,10 +77,10 @@
 	}
 }
 
-// riseSmoothing is the weight of one response in the baseline as it rises: small, or an overload
-// would become the baseline. A response to the sole attempt at its server says more the fewer
-// agents there are: a single agent that took quick first responses for the baseline would
-// leave its servers idle for good.
+// riseSmoothing returns the weight of one response in the baseline while that rises. The weight is small,
+// as otherwise an overload would become the baseline. A response to the only attempt at a server has more
+// weight the fewer agents there are: if the baseline of a single agent stayed at a few fast first
+// responses, its servers would be left idle permanently.
 func (l *latencyBaselines) riseSmoothing(soleAtServer bool) float64 {
 	if soleAtServer {
 		delay := minBaselineDelay * math.Pow(l.env.fleetSize(), baselineDelayExponent)
@@ -89,23 +89,25 @@
 	return fleetSmoothing / maxBaselineDelay
 }
 
-// serverLimit is the mean latency above which the server counts as overloaded. Few agents each see
-// much of the load, and need not fear to overload a server that responds well within the objective;
-// too low a baseline would leave it idle. A server in slow start, with slowStartFraction of its
-// capacity, is slow before it is overloaded.
+// serverLimit returns the mean latency above which the server counts as overloaded. In a small fleet each
+// agent sees much of the load and is unlikely to overload a server that responds well within the
+// objective, so the limit has a minimum: with too low a baseline the server would be left idle. A server
+// in slow start, with slowStartFraction of its capacity, is slow before it is overloaded.
 func (l *latencyBaselines) serverLimit(s *server, slowStartFraction float64) float64 {
 	least := smallFleetAgents * maxMeanLatency / (smallFleetAgents + float64(l.env.settings.FleetSize))
 	limit := max(overloadFactor*max(l.baseline, s.baseline), least)
 	return min(maxMeanLatency, limit) / slowStartFraction
 }
 
-// fleetLimit is the latency above which a response counts as one of overloaded servers: with the
-// usual spread of response times, at a mean of 1.5 times that without load. Of few agents each sees its
-// servers often, and the servers' own limits have to react to an overload first.
+// fleetLimit returns the latency above which a response counts towards an overload of all servers. With
+// the usual spread of response times, most responses exceed it at a mean latency of 1.5 times that
+// without load. In a small fleet each agent uses each server often, and the limits of the individual
+// servers are to react to an overload first.
 func (l *latencyBaselines) fleetLimit() float64 {
 	limit := min(max(fleetOverloadFactor*l.unloaded, minFleetLatency), maxFleetLatency)
 	return limit * l.fleetFactor()
 }
 
-// fleetFactor is how much later one of few agents reacts to what it sees than one of very many.
+// fleetFactor returns the factor by which latency limits for all servers are raised. It decreases with the
+// fleet size: an agent in a small fleet reacts later than one in a large fleet.
 func (l *latencyBaselines) fleetFactor() float64 { return 1 + smallFleetAgents/l.env.fleetSize() }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -5,37 +5,39 @@
 )
 
 const (
-	// maxEjectionLevel bounds the doubling of the ejection time.
+	// maxEjectionLevel is the maximum ejection level, which bounds the ejection time.
 	maxEjectionLevel = 5
-	// successesPerLevel is the number of responses, for each ejection level, that lower the level.
+	// successesPerLevel is the number of successful responses, as a multiple of the ejection level, that
+	// lower the level by one.
 	successesPerLevel = 16
 	// unresponsiveDecrease is the factor by which the concurrency limit of an unresponsive server is
-	// decreased.
+	// multiplied.
 	unresponsiveDecrease = 0.5
-	// unresponsiveAfter is the number of expected response times, divided by the number of attempts in
-	// flight (at most unresponsiveAttempts), after which a server that does not respond is ejected.
+	// unresponsiveAfter is the number of expected response times after which a server with one attempt in
+	// flight is ejected if it does not respond. The time is divided by the number of attempts in flight, up
+	// to unresponsiveAttempts.
 	unresponsiveAfter    = 8
 	unresponsiveAttempts = 3
 )
 
-// tier is a server's health tier for a request: a server of a lower tier is used first.
+// tier is the health tier of a server for a request. Servers of a lower tier are used first.
 type tier int
 
 // The health tiers, best first.
 const (
-	healthyTier tier = iota // in service
+	healthyTier tier = iota // healthy, or checked by the request itself
 	suspectTier             // waits for a health check
-	ejectedTier             // out of service
-	tierCount               // the number of tiers
+	ejectedTier             // ejected
+	tierCount               // number of tiers
 )
 
-// ejectionCause tells why a server is ejected.
+// ejectionCause specifies why a server is ejected.
 type ejectionCause uint8
 
-// The causes of an ejection.
+// The values of ejectionCause.
 const (
-	failedAttempt ejectionCause = iota // it responded with an error, or the connection was lost
-	noResponse                         // it did not respond, or no connection to it was made
+	failedAttempt ejectionCause = iota // the server responded with an error, or the connection was lost
+	noResponse                         // the server did not respond, or a connect to it failed
 )
 
 // outlierDetector ejects servers that keep failing or do not respond.
@@ -47,9 +49,10 @@
 	queue     *requestQueue
 }
 
-// tierOf is the server's tier for the request. A server that waits for a health check is used like a
-// healthy one, as the request checks it as well; but not by a request that must not execute twice,
-// nor at first where a health check is on its way.
+// tierOf returns the server's tier for the request. A server that waits for a health check is used like a
+// healthy one, as an attempt checks it as well. It is in suspectTier, however, for requests that must not
+// execute twice, and for all requests during the first minObjectiveMs if health checks are permitted, as
+// a check is to be expected by then.
 func (o *outlierDetector) tierOf(s *server, r *request) tier {
 	switch s.health {
 	case balancer.Unhealthy:
@@ -66,9 +69,9 @@
 	}
 }
 
-// ejectionMs is how long a server stays ejected until it is checked: one latency objective for
-// a single failure, doubled with each further level. While no other server has capacity it is 0: a
-// server that fails some requests is better than rejecting them all, unless it does not respond.
+// ejectionMs returns the ejection time of a server, after which it is checked: one latency objective for
+// a single failure, doubled with each further level. While no other server has capacity it is 0 for a
+// server that does respond: a server that fails some requests is better than rejecting all of them.
 func (o *outlierDetector) ejectionMs(s *server) float64 {
 	if o.queue.saturated && !s.unresponsive {
 		return 0
@@ -76,14 +79,13 @@
 	return o.classes.minObjectiveMs * float64(int(1)<<max(s.ejectionLevel-1, 0))
 }
 
-// ejectionEnded reports whether an ejected server has been out of service for its ejection time and
-// has no attempt in flight.
+// ejectionEnded reports whether the ejection time of a server has passed and no attempt is in flight there.
 func (o *outlierDetector) ejectionEnded(s *server) bool {
 	return s.health == balancer.Unhealthy && s.ready && len(s.inFlight) == 0 &&
 		o.env.now-s.healthSince >= o.ejectionMs(s)
 }
 
-// eject takes a server out of service. Further failures while it is ejected count as the same one.
+// eject ejects a server. Further failures while it is ejected do not extend the ejection.
 func (o *outlierDetector) eject(s *server, cause ejectionCause) {
 	if s.health != balancer.Unhealthy {
 		s.ejectionLevel = min(s.ejectionLevel+1, maxEjectionLevel)
@@ -91,7 +93,7 @@
 		s.unresponsive = cause == noResponse
 		s.successes = 0
 		s.forgetLatency()
-		if s.unresponsive { // a failure with a response is no sign of overload
+		if s.unresponsive { // a failure with a response does not indicate overload
 			s.limit = max(s.limit*unresponsiveDecrease, 1)
 		}
 	}
@@ -99,7 +101,7 @@
 }
 
 // ejectUnresponsive ejects servers that have attempts in flight and have not responded for several
-// response times: a server that hangs or is partitioned would stay healthy otherwise.
+// response times. A server that hangs or is cut off from the network would stay healthy otherwise.
 func (o *outlierDetector) ejectUnresponsive() {
 	for _, s := range o.endpoints.busy {
 		if s.health == balancer.Unhealthy {
@@ -122,9 +124,9 @@
 	}
 }
 
-// recordSuccess puts a server back in service after a successful attempt and lowers its ejection
-// level after many. current is false where the attempt began before the server failed, and so says
-// nothing about its present state.
+// recordSuccess marks a server as healthy after a successful attempt, and lowers its ejection level after
+// a number of them. If the attempt began before the server was ejected for a failed attempt, current is
+// false and nothing changes, as the response does not show the present state of the server.
 func (o *outlierDetector) recordSuccess(a *attempt) (current bool) {
 	s := a.server
 	if s.health == balancer.Unhealthy && a.startedAt < s.healthSince && !s.unresponsive {
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// pollSpacingMs is how far apart in time the agents' calls for the endpoint list are spread, in
-	// milliseconds for each agent.
+	// pollSpacingMs is the mean interval between the agents' calls for the endpoint list when all agents
+	// start together, in milliseconds.
 	pollSpacingMs = 50.0
-	// maxPollDelayMs bounds the spread, in milliseconds. A call without a response is given up after
-	// 2.25 s, so an agent has its change 6 s after the start of such a call.
+	// maxPollDelayMs is the maximum spread, in milliseconds. A call without a response times out after
+	// 2.25 s, so an agent gets a change within 6 s of the start of such a call.
 	maxPollDelayMs = 2500.0
-	// maxPollDelayFraction is the part of the time within which a call is due that its delay may take.
+	// maxPollDelayFraction is the maximum spread as a fraction of the time within which a call is due.
 	maxPollDelayFraction = 0.5
-	// minPollSpread is the least spread, in multiples of the shortest latency objective.
+	// minPollSpread is the minimum spread, as a multiple of the shortest latency objective.
 	minPollSpread = 2
-	// pollBackoffFactor is the factor by which each failed call in a row multiplies the spread.
+	// pollBackoffFactor is the factor by which each consecutive failed call multiplies the spread.
 	pollBackoffFactor = 2
-	// minFetchIntervalMs is the least time between two fetches of the complete list.
+	// minFetchIntervalMs is the minimum interval between two fetches of the full list, in milliseconds.
 	minFetchIntervalMs = 1000
 )
 
@@ -27,9 +27,9 @@
 type listPoller struct {
 	env         *environment
 	classes     *classTable
-	lastFetchAt float64 // time of the last fetch of the complete list, in milliseconds
-	failures    int     // failed calls in a row
-	scheduled   bool    // the timer of the next call runs
+	lastFetchAt float64 // time of the last fetch of the full list, in milliseconds
+	failures    int     // number of consecutive failed calls
+	scheduled   bool    // the timer of the next call is running
 }
 
 // newListPoller returns a poller that has not called yet.
@@ -37,9 +37,9 @@
 	return &listPoller{env: env, classes: classes, lastFetchAt: math.Inf(-1)}
 }
 
-// schedule sets the timer of the next call for changes, after a random delay, so that agents which
-// start or fail together are spread over a time in proportion to their number, doubled with each
-// failure in a row. One call is under way at a time, whatever else fails meanwhile.
+// schedule sets the timer of the next call for changes with a random delay. It spreads the calls of agents
+// that start or fail together over a time in proportion to their number, doubled with each consecutive
+// failure. If the timer is already running, schedule does nothing, so that there is one call at a time.
 func (p *listPoller) schedule() {
 	settings := &p.env.settings
 	if settings.DiscoveryMode != balancer.DiscoveryOnRequest || p.scheduled {
@@ -53,24 +53,24 @@
 	p.env.emit(balancer.Action{Kind: balancer.ActionSetTimer, Ms: delayMs, Token: pollTimer})
 }
 
-// poll makes the scheduled call.
+// poll makes the scheduled call for changes.
 func (p *listPoller) poll() {
 	p.scheduled = false
 	p.env.emit(balancer.Action{Kind: balancer.ActionWatchList})
 }
 
-// recordFailure counts a failed call and schedules the next.
+// recordFailure records a failed call and schedules the next one.
 func (p *listPoller) recordFailure() {
 	p.failures++
 	p.schedule()
 }
 
-// recordSuccess counts a call that brought the list or a change.
+// recordSuccess records a call that returned the list or a change of it.
 func (p *listPoller) recordSuccess() { p.failures = 0 }
 
-// fetch asks for the complete list, rarely: watch events are as fresh. Where agents call discovery
-// it does nothing: on one server's first failures all agents would call, and their complete lists
-// would delay the calls that bring changes.
+// fetch calls for the full list, but not more often than the minimum interval allows, as watch events are
+// just as fresh. If agents poll discovery for changes, fetch does nothing: after the first failures of a
+// server all agents would call, and their full lists would delay the calls that return changes.
 func (p *listPoller) fetch() {
 	settings := &p.env.settings
 	interval := max(settings.Contract.PollWithinMs, minFetchIntervalMs)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -7,34 +7,34 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxQueued is the most requests that may be queued; it bounds the work of a decision.
+// maxQueued is the maximum number of queued requests. It bounds the work of one dispatch.
 const maxQueued = 512
 
-// requestQueue holds the requests that wait for capacity.
+// requestQueue holds the requests that wait for a server with capacity.
 type requestQueue struct {
 	env      *environment
 	classes  *classTable
 	requests []*request
-	// saturated tells that in the last dispatch requests which may go to any server found no capacity.
+	// saturated is true if in the last dispatch a request that may go to any server found no capacity.
 	saturated bool
 }
 
 // add queues a request.
 func (q *requestQueue) add(r *request) { q.requests = append(q.requests, r) }
 
-// remove takes a request out of the queue, if it is there.
+// remove removes a request from the queue, if it is queued.
 func (q *requestQueue) remove(r *request) {
 	q.requests = slices.DeleteFunc(q.requests, func(other *request) bool { return other == r })
 }
 
-// removeAt takes the request at an index out of the queue.
+// removeAt removes the request at index i from the queue.
 func (q *requestQueue) removeAt(i int) { q.requests = slices.Delete(q.requests, i, i+1) }
 
-// last is the request of the lowest priority, after sort.
+// last returns the last request of the queue; after sort it has the lowest priority.
 func (q *requestQueue) last() *request { return q.requests[len(q.requests)-1] }
 
-// sort orders the queue by priority; of equals the newest comes first, as under overload the oldest
-// would only be served late.
+// sort orders the queue by descending priority. Of requests with equal priority the newest comes first, as
+// under overload the oldest would only be served late.
 func (q *requestQueue) sort() {
 	for _, r := range q.requests {
 		r.priority = q.priority(r)
@@ -48,8 +48,8 @@
 	})
 }
 
-// priority is what a unit of server time for the request adds to the value of the objective: a part of
-// the total and, if it is of the class served worst, all of that class's part.
+// priority returns the value that a unit of server time for the request adds to the objective: its part
+// of the total and, if the request is of the worst-served class, that of the class.
 func (q *requestQueue) priority(r *request) float64 {
 	settings := &q.env.settings
 	objective := &settings.Objective
@@ -66,9 +66,9 @@
 	return priority
 }
 
-// isExpired reports whether a response to a queued request would come too late to be of use. While
-// capacity is short, a request that can only be late is passed over for newer ones until its deadline,
-// so it counts as expired at once.
+// isExpired reports whether a response to a queued request would come too late to be of use. While the
+// queue is saturated, newer requests take precedence over a request that can only be late, until its
+// deadline passes, so such a request counts as expired at once.
 func (q *requestQueue) isExpired(r *request) bool {
 	latestResponse := r.objectiveAt
 	if r.class.LateFraction > 0 && !q.saturated {
--- a/policy/request.go
+++ b/policy/request.go
@@ -4,23 +4,23 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxRoundTripFraction is the most of a client's remaining time that is set aside for the round trip to
-// the client.
+// maxRoundTripFraction is the maximum fraction of a client's remaining time that is reserved for the round
+// trip to the client.
 const maxRoundTripFraction = 0.25
 
-// request is one request of the client, from its arrival until it is answered and none of its
-// attempts is in flight. Times are in milliseconds on the host's clock.
+// request is a request of the client, from its arrival until it is closed and none of its attempts is in
+// flight. Times are in milliseconds on the host's clock.
 type request struct {
 	id             balancer.RequestID
 	class          *class
-	maxAttempts    int     // the first included
-	streamedBody   bool    // its body goes to the server as it comes
+	maxAttempts    int     // including the first
+	streamedBody   bool    // the body is streamed to the server as it arrives
 	key            uint64  // affinity key; 0: none
-	partitionKey   uint64  // the key, or one of its partitions
-	firstArrivedAt float64 // when the client first sent it, as far as known
+	partitionKey   uint64  // the key, or that of one of its partitions
+	firstArrivedAt float64 // when the client first sent the request, as far as known
 	arrivedAt      float64
-	objectiveAt    float64 // a response by then meets the latency objective
-	deadline       float64 // the last useful moment, a round trip to the client already deducted
+	objectiveAt    float64 // latest response time that meets the latency objective
+	deadline       float64 // latest useful response time, with a round trip to the client deducted
 
 	attempts      []*attempt // in the order of their starts
 	inFlight      int        // attempts that have not ended
@@ -28,38 +28,38 @@
 	executedAt    float64    // when the first attempt that may have executed was forwarded
 	executedOn    *server    // the server of that attempt
 
-	preferred       [preferredServers]*server // the first in its key's order; nil: not determined
-	preferredEpoch  uint64                    // the endpoint list's epoch for which they are
-	tierWeight      float64                   // weight of the tier in which a server was last selected
-	priority        float64                   // its place in the queue; the highest comes first
-	closed          bool                      // it has its final answer, or its client has left
-	responseStarted bool                      // the client has begun to receive a streamed response
+	preferred       [preferredServers]*server // preferred servers of the key; nil: not determined
+	preferredEpoch  uint64                    // epoch of the endpoint list when they were determined
+	tierWeight      float64                   // total weight of the tier last considered in a selection
+	priority        float64                   // in the queue; the highest comes first
+	closed          bool                      // it has its final response, or its client is gone
+	responseStarted bool                      // a streamed response to the client has started
 }
 
-// attempt is one forwarding of a request to a server.
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	request   *request
 	server    *server
 	index     int     // among the attempts of its request
-	startedAt float64 // in milliseconds; of a streamed body: when the server had all of it
-	// fullySent tells that its server has all of the request; from then on it counts as in flight.
+	startedAt float64 // in milliseconds; with a streamed body, when all of it was sent
+	// fullySent is set when all of the request has been sent; from then on the attempt counts as in flight.
 	fullySent bool
-	// soleAtServer tells that at its start no other attempt of this agent was in flight at its server.
+	// soleAtServer is true if no other attempt of this agent was in flight at the server at the start.
 	soleAtServer bool
 	ended        bool
 }
 
-// setDeadlines sets the time until which a response meets the latency objective, which counts from
-// start, and the deadline for any response, with remainingMs left to the client.
+// setDeadlines sets the time by which a response meets the latency objective, measured from start, and the
+// deadline of any response, given the remaining time of the client.
 func (r *request) setDeadlines(env *environment, remainingMs, start float64) {
 	r.deadline = env.now + remainingMs - min(env.settings.RoundTripMs, remainingMs*maxRoundTripFraction)
 	r.objectiveAt = min(start+r.class.LatencyObjectiveMs, r.deadline)
 	if r.class.LateFraction == 0 {
-		r.deadline = r.objectiveAt // a late response earns nothing, so work for it would be wasted
+		r.deadline = r.objectiveAt // a late response has no value, so work on it would be wasted
 	}
 }
 
-// addAttempt adds an attempt at the server that starts now.
+// addAttempt adds and returns an attempt at the server that starts now.
 func (r *request) addAttempt(s *server, now float64) *attempt {
 	a := &attempt{
 		request:      r,
@@ -78,15 +78,15 @@
 	return a
 }
 
-// mayAttempt reports whether the request's own state permits another attempt at some server.
+// mayAttempt reports whether the state of the request permits another attempt, regardless of the server.
 func (r *request) mayAttempt(now float64) bool {
 	return !r.closed && !r.responseStarted && r.inFlight == 0 && now < r.deadline &&
 		len(r.attempts) < r.maxAttempts
 }
 
-// mayAttemptAt reports whether the attempts so far permit another one at the server, of serverCount in
-// the endpoint list: at a server that was not used yet if there is any, and after one that may have
-// executed only where its execution twice is harmless.
+// mayAttemptAt reports whether the previous attempts of the request permit another one at the server, one of
+// serverCount in the endpoint list. The server must be unused by the request as long as there are unused
+// ones, and if the request may have executed already, a second execution must be harmless.
 func (r *request) mayAttemptAt(s *server, env *environment, serverCount int) bool {
 	for _, a := range r.attempts {
 		if a.server == s && serverCount > len(r.attempts) {
@@ -101,7 +101,8 @@
 		r.sharesDeduplication(s)
 }
 
-// sharesDeduplication reports whether the server drops a duplicate of what may have executed already.
+// sharesDeduplication reports whether the server is in the deduplication scope of the first attempt that may
+// have executed.
 func (r *request) sharesDeduplication(s *server) bool {
 	switch r.class.DedupScope {
 	case balancer.DedupFleet:
@@ -114,8 +115,8 @@
 	return false
 }
 
-// harmlessToRepeat reports whether a retry of the client cannot execute the request twice. Past the
-// deduplication window a duplicate would be executed.
+// harmlessToRepeat reports whether a retry by the client is harmless: the request has not executed, is
+// idempotent, or its duplicates are dropped by all servers and the deduplication window is still open.
 func (r *request) harmlessToRepeat(now float64) bool {
 	if r.maybeExecuted == 0 || r.class.Idempotency == balancer.Idempotent {
 		return true
@@ -124,7 +125,7 @@
 		now-r.executedAt < r.class.DedupWindowMs
 }
 
-// waitsForKey reports whether the request still waits for the servers that its key prefers.
+// waitsForKey reports whether the request still waits for the preferred servers of its key.
 func (r *request) waitsForKey(now float64) bool {
 	return r.key != 0 && len(r.attempts) == 0 &&
 		now-r.arrivedAt < keyWaitFraction*(r.objectiveAt-r.arrivedAt)
--- a/policy/server.go
+++ b/policy/server.go
@@ -7,51 +7,52 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// server is what the agent knows of one listed server. The fields that each walk over all servers
-// reads stand first, so that they share one or two lines of the processor's cache. Times are in
-// milliseconds on the host's clock; latencies are fractions of the latency objective.
+// server is the state of one listed server. The fields that are read when iterating over all servers come
+// first, so that they share one or two CPU cache lines. Times are in milliseconds on the host's clock;
+// latencies are fractions of the latency objective.
 type server struct {
-	hash           uint64  // of its address
-	zone           int     // its number, as listed
+	hash           uint64  // of the address
+	zone           int     // number of the zone, as listed
 	weight         float64 // as listed, relative to the other servers
-	startedAt      float64 // as listed, on the agent's clock, or later where a restart is assumed
-	listedStart    float64 // start of its process as the endpoint list has it; 0: not known
+	startedAt      float64 // as listed, on the agent's clock, or the time of an assumed restart
+	listedStart    float64 // start of the process according to the endpoint list; 0: unknown
 	restartAssumed bool    // startedAt is of a restart that the endpoint list does not show (yet)
-	cooldownUntil  float64 // passed over within its tier until then, to recover from an overload
+	cooldownUntil  float64 // end of the cooldown
 	ready          bool    // listed as ready
 	health         balancer.HealthState
-	unresponsive   bool       // ejected because it did not respond, not for a response
-	checking       bool       // a health check is under way
-	limit          float64    // concurrency limit: attempts of this agent that it may have in flight
+	unresponsive   bool       // ejected because of a missing response, not because of an error
+	checking       bool       // a health check is in flight
+	limit          float64    // concurrency limit, in attempts of this agent
 	inFlight       []*attempt // oldest first
 
 	address          balancer.Addr
-	cell             int     // its number, as listed
-	clockLagMs       float64 // how far the clock of its listed start is known to be behind
-	healthSince      float64 // when it entered its health state
-	unreachableSince float64 // first failed connect since its last response; 0: none
+	cell             int     // number of the cell, as listed
+	clockLagMs       float64 // known lag of the clock that provides the listed start
+	healthSince      float64 // time of the last change of the health state
+	unreachableSince float64 // first failed connect since the last response; 0: none
 	ejectionLevel    int     // number of recent failures, each of which doubles the ejection time
-	successes        int     // responses since the ejection level changed
-	lastResponseAt   float64 // when it last responded to a request or a health check; 0: never
+	successes        int     // successful responses since the ejection level changed
+	lastResponseAt   float64 // last response to a request or a health check; 0: none
 	latency          float64 // moving mean
-	baseline         float64 // the least that the moving mean has been; 0: not known
+	baseline         float64 // minimum of the moving mean; 0: unknown
 	latencySamples   int     // number of latencies in the moving mean
-	limitDecreasedAt float64 // when its concurrency limit was last decreased; 0: never
+	limitDecreasedAt float64 // last decrease of the concurrency limit; 0: none
 	forwards         forwardTimes
 	responseMs       float64 // moving mean of response times
-	slowStartCredit  float64 // attempts that it may still be sent in slow start
-	score            float64 // in the order of the request that is considered; the lowest comes first
+	slowStartCredit  float64 // attempts still permitted in slow start
+	score            float64 // in the order of the current request; the lowest comes first
 }
 
-// inCooldown reports whether the server is passed over within its tier to recover from an overload.
+// inCooldown reports whether the server is in cooldown: used last within its tier, to recover from an
+// overload.
 func (s *server) inCooldown(now float64) bool { return now < s.cooldownUntil }
 
-// removeAttempt takes an attempt out of those in flight.
+// removeAttempt removes an attempt from those in flight.
 func (s *server) removeAttempt(a *attempt) {
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// recordLatency counts a latency, a fraction of the objective, into the server's mean and baseline.
+// recordLatency adds a latency, a fraction of the objective, to the server's mean and baseline.
 func (s *server) recordLatency(latency float64) {
 	s.latencySamples++
 	s.latency = movingMean(s.latency, latency, max(serverSmoothing, 1/float64(s.latencySamples)))
@@ -60,11 +61,11 @@
 	}
 }
 
-// forgetLatency starts the server's mean latency anew; its baseline stays.
+// forgetLatency resets the server's mean latency but keeps its baseline.
 func (s *server) forgetLatency() {
 	s.latency = 0
 	s.latencySamples = 0
 }
 
-// compareAddress orders servers by address.
+// compareAddress compares two servers by address.
 func compareAddress(x, y *server) int { return cmp.Compare(x.address.Uint64(), y.address.Uint64()) }
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -1,29 +1,29 @@
 package policy
 
 const (
-	// minZonePreference and maxZonePreference bound the zone preference: traffic to another zone
-	// takes longer and may have a cost.
+	// minZonePreference and maxZonePreference bound the zone preference. The minimum is above 1 because
+	// traffic to another zone takes longer and may have a cost.
 	minZonePreference = 1.5
 	maxZonePreference = 8.0
-	// zonePreferenceStep is how fast the zone preference changes, as a part of itself.
+	// zonePreferenceStep scales the relative change of the zone preference by one attempt.
 	zonePreferenceStep = 0.1
 )
 
-// zonePreference is the factor by which a server of the agent's own zone weighs more in the order of
-// a key. Its equilibrium is where the part of the zone's attempts that are not served in time equals the
-// cost of traffic to another zone: below that cost it grows, above it the zone is sent more than its
-// servers can serve and it shrinks.
+// zonePreference is the factor that increases the weight of the servers in the agent's own zone in the
+// order of a request. The factor is in equilibrium when the fraction of the zone's attempts that miss the
+// objective equals the cost of traffic to another zone. It grows while the fraction is lower, and shrinks
+// while it is higher, as the zone then gets more load than its servers can serve.
 type zonePreference struct {
 	env    *environment
 	factor float64
 }
 
-// newZonePreference returns the weakest preference.
+// newZonePreference returns a zonePreference with the minimum factor.
 func newZonePreference(env *environment) *zonePreference {
 	return &zonePreference{env: env, factor: minZonePreference}
 }
 
-// record counts the outcome of an attempt at the server.
+// record adjusts the factor after an attempt at the server.
 func (z *zonePreference) record(s *server, outcome objectiveOutcome) {
 	if s.zone != z.env.settings.Zone {
 		return
@@ -35,7 +35,7 @@
 	z.factor = min(max(z.factor*(1+zonePreferenceStep*step), minZonePreference), maxZonePreference)
 }
 
-// weight is the server's weight, with the preference if it is of the agent's zone.
+// weight returns the weight of the server, multiplied by the factor if the server is in the agent's zone.
 func (z *zonePreference) weight(s *server, weight float64) float64 {
 	if s.zone == z.env.settings.Zone {
 		weight *= z.factor
