--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -1,6 +1,6 @@
-// Package balancer is the interface of the balancing policy (package policy): the settings that it
-// reads and their validation, the events that it takes, and the actions that it returns. It makes no
-// decisions itself. The JSON keys and the numbers of statuses are those of the simulator's protocol
+// Package balancer defines the interface of the load balancing policy (package policy): its settings and
+// their validation, the events that it takes, and the actions that it returns. The package makes no
+// decisions itself. The JSON keys and the status numbers are those of the simulator's protocol
 // (WIRE-fernbeam) and of the agent's configuration (PROTOCOL). All times are in milliseconds.
 package balancer
 
@@ -8,80 +8,80 @@
 	"math"
 )
 
-// RequestID identifies one request of a client; an id is never used twice.
+// RequestID identifies a request of a client. IDs are never reused.
 type RequestID uint32
 
-// Status tells how an attempt or a health check ended.
+// Status is the result of an attempt or a health check.
 type Status uint16
 
 // The values of Status.
 const (
-	StatusOK            Status = 100 // a successful response
-	StatusError         Status = 301 // a response that says that the server failed
-	StatusOverloaded    Status = 302 // the server rejected it at its own limit, or this machine lacked a resource
-	StatusTimeout       Status = 303 // no response by its timeout
-	StatusConnectFailed Status = 304 // no connection was made
+	StatusOK            Status = 100 // successful response
+	StatusError         Status = 301 // response that reports a server failure
+	StatusOverloaded    Status = 302 // rejected by the server at its limit, or this machine lacked a resource
+	StatusTimeout       Status = 303 // no response within the timeout
+	StatusConnectFailed Status = 304 // no connection was established
 	StatusReset         Status = 305 // the connection was lost
-	StatusCancelled     Status = 306 // the agent cancelled it
-	StatusUnsent        Status = 307 // the agent did not send it
-	StatusBadRequest    Status = 400 // the request itself is wrong; only real servers answer so
+	StatusCancelled     Status = 306 // cancelled by the agent
+	StatusUnsent        Status = 307 // not sent by the agent
+	StatusBadRequest    Status = 400 // the request is invalid; only real servers respond so
 )
 
-// NotExecuted tells whether the status proves that the attempt was not executed.
+// NotExecuted reports whether the status proves that the attempt was not executed.
 func (s Status) NotExecuted() bool {
 	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusUnsent
 }
 
-// EventKind tells what an Event is about, and so which of its fields are set.
+// EventKind specifies what an Event reports. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The kinds of events, each with the fields that are set.
+// The kinds of events. The fields that each kind sets are listed in parentheses.
 const (
-	// EventRequest: a client sent a request. Request, Rules or Class, Key, RemainingMs, Retry,
-	// StreamedBody.
+	// EventRequest reports that a client sent a request (Request, Rules or Class, Key, RemainingMs, Retry,
+	// StreamedBody).
 	EventRequest EventKind = iota + 1
-	// EventAttemptDone: an attempt ended. Request, Attempt, Server, Status, LatencyMs, RequestDone,
-	// BodyConsumed.
+	// EventAttemptDone reports that an attempt ended (Request, Attempt, Server, Status, LatencyMs,
+	// RequestDone, BodyConsumed).
 	EventAttemptDone
-	// EventRequestSent: the last byte of a streamed body is with the server. Request, Attempt,
-	// RemainingMs.
+	// EventRequestSent reports that the last byte of a streamed body was sent to the server (Request,
+	// Attempt, RemainingMs).
 	EventRequestSent
-	// EventResponseStarted: a streamed response began. Request, Attempt, Server, LatencyMs.
+	// EventResponseStarted reports that a streamed response started (Request, Attempt, Server, LatencyMs).
 	EventResponseStarted
-	// EventClientGone: the client closed its connection. Request.
+	// EventClientGone reports that the client closed its connection (Request).
 	EventClientGone
-	// EventList: the endpoint list changed, or a call for it failed. ListUpdate, Endpoints.
+	// EventList reports a change of the endpoint list or a failed call for it (ListUpdate, Endpoints).
 	EventList
-	// EventHealthCheckDone: a health check ended. Server, Status, LatencyMs.
+	// EventHealthCheckDone reports that a health check ended (Server, Status, LatencyMs).
 	EventHealthCheckDone
-	// EventTimer: a timer that ActionSetTimer set has fired. Token.
+	// EventTimer reports that a timer set by ActionSetTimer has fired (Token).
 	EventTimer
-	// EventPeerMessage: a message of another agent; the policy does not use it.
+	// EventPeerMessage is a message from another agent. The policy ignores it.
 	EventPeerMessage
 )
 
-// Event is something that happened to one agent.
+// Event is an input of the policy of one agent.
 type Event struct {
 	Kind         EventKind
 	Request      RequestID
 	Class        int           // index in the classes of the settings in force
-	Rules        *RequestRules // nil: those of Class
+	Rules        *RequestRules // nil: the rules of Class
 	Key          uint64        // affinity key; 0: none
-	RemainingMs  float64       // time left until the client gives up
+	RemainingMs  float64       // time until the client gives up
 	Retry        bool          // the client marked the request as a retry
-	StreamedBody bool          // the body goes to a server as it comes; its time counts from EventRequestSent
-	BodyConsumed bool          // a part of the body was read, so it cannot be sent to another server
-	Attempt      int           // index of the attempt among those of its request
+	StreamedBody bool          // the body is streamed to a server; times are measured from EventRequestSent
+	BodyConsumed bool          // part of the body was read, so it cannot be sent to another server
+	Attempt      int           // index of the attempt within its request
 	Server       Addr
 	Status       Status
 	LatencyMs    float64
-	RequestDone  bool // the request has its final answer
+	RequestDone  bool // the request has its final response
 	ListUpdate   ListUpdate
-	Endpoints    []Endpoint // neither changed nor retained by the policy
-	Token        uint32
+	Endpoints    []Endpoint // neither modified nor retained by the policy
+	Token        uint32     // identifies the timer
 }
 
-// Finite returns x, or 0 where x is negative, infinite or not a number.
+// Finite returns x, or 0 if x is negative, infinite or not a number.
 func Finite(x float64) float64 {
 	if !(x > 0) || math.IsInf(x, 1) {
 		return 0
@@ -89,7 +89,7 @@
 	return x
 }
 
-// Finite returns a copy of the event with its times made Finite.
+// Finite returns a copy of the event with the function Finite applied to its times.
 func (ev *Event) Finite() *Event {
 	e := *ev
 	e.RemainingMs = Finite(e.RemainingMs)
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Idempotency reports whether a request of a class may execute more than once.
+// Idempotency specifies whether a request of a class may execute more than once.
 type Idempotency string
 
 // The values of Idempotency.
@@ -10,7 +10,7 @@
 	NonIdempotent   Idempotency = "single_shot" // must not execute twice
 )
 
-// DedupScope tells which servers drop duplicates of a request that is idempotent by key.
+// DedupScope specifies which servers drop duplicates of a request that is idempotent by key.
 type DedupScope string
 
 // The values of DedupScope.
@@ -24,63 +24,65 @@
 type Class struct {
 	// Name is unique among the classes.
 	Name string `json:"name"`
-	// LatencyObjectiveMs is the response time from which a response earns only LateFraction.
+	// LatencyObjectiveMs is the response time above which a response counts as late.
 	LatencyObjectiveMs float64 `json:"aimMs"`
-	// TotalTimeoutMs is the time after which a client gives up, its retries included.
+	// TotalTimeoutMs is the time after which a client gives up, including its retries.
 	TotalTimeoutMs float64 `json:"giveUpMs"`
-	// Idempotency reports whether a request may execute more than once.
+	// Idempotency specifies whether a request may execute more than once.
 	Idempotency Idempotency `json:"effect"`
-	// DedupScope tells which servers drop duplicates, for IdempotentByKey.
+	// DedupScope specifies which servers drop duplicates, for IdempotentByKey.
 	DedupScope DedupScope `json:"group"`
 	// DedupWindowMs is how long after the first execution duplicates are dropped.
 	DedupWindowMs float64 `json:"keyTtlMs"`
-	// PriorityWeight is what a response in time earns.
+	// PriorityWeight is the value of a response in time.
 	PriorityWeight float64 `json:"credit"`
-	// LateFraction is the part of PriorityWeight that a late response earns.
+	// LateFraction is the value of a late response as a fraction of PriorityWeight.
 	LateFraction float64 `json:"lateShare"`
-	// Streaming tells that the client receives the response as it comes.
+	// Streaming specifies that responses are streamed to the client.
 	Streaming bool `json:"streamed"`
 }
 
-// RequestRules are the rules of one request. They stay the same from its start to its end, whatever
-// settings are put in force meanwhile.
+// RequestRules are the rules of one request. They do not change during the request, even if other settings
+// are put in force.
 type RequestRules struct {
 	Class
 	MaxAttempts int
 }
 
-// Limits is what a deployment permits an agent to do.
+// Limits specifies what a deployment permits an agent to do.
 type Limits struct {
 	AttemptCancellation bool    `json:"cancelling"`       // attempts in flight may be cancelled
-	ConnectTimeoutMs    float64 `json:"connectTimeoutMs"` // of a connect to a server
-	KeepaliveMs         float64 `json:"keepaliveMs"`      // idle time after which a connection closes
-	MaxAttempts         int     `json:"maxAttempts"`      // for each request, the first included
-	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"`  // of the advice in a rejection
-	HedgedRequests      bool    `json:"parallelTries"`    // an attempt may start beside one in flight
-	HealthChecks        bool    `json:"probing"`          // servers may be checked
-	RetryAfter          bool    `json:"retryAfter"`       // clients get the Retry-After of a rejection
-	MaxOpenRequests     int     `json:"openCap"`          // of one agent
+	ConnectTimeoutMs    float64 `json:"connectTimeoutMs"` // timeout of a connect to a server
+	KeepaliveMs         float64 `json:"keepaliveMs"`      // idle time after which a connection is closed
+	MaxAttempts         int     `json:"maxAttempts"`      // attempts per request, including the first
+	MaxRetryAfterMs     float64 `json:"maxRetryAfterMs"`  // maximum Retry-After of a rejection
+	HedgedRequests      bool    `json:"parallelTries"`    // requests may have several attempts in flight
+	HealthChecks        bool    `json:"probing"`          // health checks of servers are permitted
+	RetryAfter          bool    `json:"retryAfter"`       // clients receive the Retry-After of a rejection
+	MaxOpenRequests     int     `json:"openCap"`          // open requests per agent
 }
 
-// Contract holds what the agents promise about responses, the endpoint list, slow start and draining.
+// Contract holds the guarantees of the agents about responses, the endpoint list, slow start and drains.
 type Contract struct {
-	// ResponseSlackMs is how long after its deadline a request may still be answered.
+	// ResponseSlackMs is the time after its deadline within which a request may still be answered.
 	ResponseSlackMs float64 `json:"answerSlackMs"`
-	// PollWithinMs is the time in which an agent calls discovery after a start or a failed call.
+	// PollWithinMs is the time within which an agent calls discovery after a start or a failed call.
 	PollWithinMs float64 `json:"askWithinMs"`
-	// SlowStartFrom is the part of its capacity that a server has at its start.
+	// SlowStartFrom is the slow-start fraction of a server at its start.
 	SlowStartFrom float64 `json:"coldFrom"`
-	// SlowStartMs is the time after which a server has all of its capacity.
+	// SlowStartMs is the duration of slow start, after which a server has its full capacity.
 	SlowStartMs float64 `json:"coldMs"`
-	// DrainGraceMs is how long after the notification of its drain a server may still be sent attempts.
+	// DrainGraceMs is the time after the notification of its drain during which a server may still be
+	// sent attempts.
 	DrainGraceMs float64 `json:"drainGraceMs"`
-	// OverloadMultiple is how many times its present capacity a server bears in OverloadWindowMs.
+	// OverloadMultiple is the maximum load of a server in OverloadWindowMs, as a multiple of its present
+	// capacity.
 	OverloadMultiple float64 `json:"fallMultiple"`
-	// OverloadWindowMs is the window in which that load is counted.
+	// OverloadWindowMs is the time window in which the load of a server is measured.
 	OverloadWindowMs float64 `json:"tipAfterMs"`
 }
 
-// Costs are points that are taken off the result, each for its part of the requests or its rate.
+// Costs are deducted from the result, each in proportion to a fraction of the requests or to a rate.
 type Costs struct {
 	CrossZone    float64 `json:"crossZone"`
 	Handshake    float64 `json:"handshake"`
@@ -93,41 +95,41 @@
 
 // Objective holds the weights of the parts of the result.
 type Objective struct {
-	Total       float64 `json:"whole"`       // what all requests earn
-	WorstWindow float64 `json:"worstWindow"` // what those of the worst time window earn
-	WorstClass  float64 `json:"worstClass"`  // what those of the worst class earn
+	Total       float64 `json:"whole"`       // value of all requests
+	WorstWindow float64 `json:"worstWindow"` // value of the requests in the worst time window
+	WorstClass  float64 `json:"worstClass"`  // value of the requests of the worst class
 }
 
-// DiscoveryMode says how changes of the endpoint list reach an agent.
+// DiscoveryMode specifies how changes of the endpoint list reach an agent.
 type DiscoveryMode string
 
 // The values of DiscoveryMode.
 const (
-	DiscoveryPushed    DiscoveryMode = "pushed"     // without the policy asking for them
+	DiscoveryPushed    DiscoveryMode = "pushed"     // without a call by the policy
 	DiscoveryOnRequest DiscoveryMode = "on_request" // when the policy polls or opens a watch
 )
 
-// WeightAccuracy says what the weights of the endpoint list tell of the servers' capacity.
+// WeightAccuracy specifies how the weights in the endpoint list relate to the capacity of the servers.
 type WeightAccuracy string
 
 // The values of WeightAccuracy.
 const (
-	WeightsOff     WeightAccuracy = "off"     // nothing
-	WeightsNominal WeightAccuracy = "nominal" // the capacity that is planned for
-	WeightsRough   WeightAccuracy = "rough"   // about the present capacity
-	WeightsLive    WeightAccuracy = "live"    // the present capacity
+	WeightsOff     WeightAccuracy = "off"     // not at all
+	WeightsNominal WeightAccuracy = "nominal" // planned capacity
+	WeightsRough   WeightAccuracy = "rough"   // approximate present capacity
+	WeightsLive    WeightAccuracy = "live"    // present capacity
 )
 
-// WeightBasis says what a served request counts by.
+// WeightBasis specifies how served requests are weighted in the result.
 type WeightBasis string
 
 // The values of WeightBasis.
 const (
-	WeightByRequest WeightBasis = "request" // each request alike
-	WeightByWork    WeightBasis = "work"    // by the work that it took
+	WeightByRequest WeightBasis = "request" // all requests equally
+	WeightByWork    WeightBasis = "work"    // by the work of the request
 )
 
-// Settings is the configuration of the policy, given at an agent's start and changed by Retune.
+// Settings is the configuration of the policy, set when an agent starts and changed by Retune.
 type Settings struct {
 	Classes       []Class       `json:"classes"`
 	Limits        Limits        `json:"limits"`
@@ -139,10 +141,10 @@
 		MarksRetry bool `json:"marksRetry"` // clients mark their retries as such
 	} `json:"clients"`
 	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"` // servers do less work for keys that they have served before
+		WarmKeys bool `json:"warmKeys"` // servers need less work for keys that they have served before
 	} `json:"familyInfo"`
 	Index       int            `json:"index"`        // of this agent
-	FleetSize   int            `json:"replicasOfMe"` // number of agents; 0: not known
+	FleetSize   int            `json:"replicasOfMe"` // number of agents; 0: unknown
 	RoundTripMs float64        `json:"roundMs"`      // between agent and client, and between agent and server
 	Weights     WeightAccuracy `json:"weights"`
 	WeightBy    WeightBasis    `json:"worthBy"`
