--- a/internal/balancer/parse_settings.go
+++ b/internal/balancer/parse_settings.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// ParseSettings reads settings from their JSON text, without Validate's checks. Unknown keys are ignored; a value of
-// a wrong type is an error that names the key.
+// ParseSettings parses settings in JSON without validating them. It ignores unknown keys and returns an
+// error that names the key for a value of the wrong type.
 func ParseSettings(text []byte) (Settings, error) {
 	var settings Settings
 	err := json.Unmarshal(text, &settings)
@@ -18,5 +18,5 @@
 	if errors.As(err, &typeError) {
 		return settings, fmt.Errorf("settings: %s: cannot be a %s", typeError.Field, typeError.Value)
 	}
-	return settings, fmt.Errorf("settings: no JSON: %w", err)
+	return settings, fmt.Errorf("settings: invalid JSON: %w", err)
 }
--- a/internal/balancer/parse_settings_test.go
+++ b/internal/balancer/parse_settings_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// Unknown keys are ignored; text that is no JSON, or a value of a wrong type, is an error.
+// Unknown keys are ignored; invalid JSON and a value of the wrong type are errors.
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(
 		`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
 	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyObjectiveMs != 5 || s.RoundTripMs != 5 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("settings with unknown keys: got %+v, error %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
-		t.Error("no JSON, and no error")
+		t.Error("no error for invalid JSON")
 	}
 	if _, err := ParseSettings([]byte(`{"roundMs": "five"}`)); err == nil || !strings.Contains(err.Error(), "roundMs") {
-		t.Errorf("error %v does not name roundMs", err)
+		t.Errorf("got error %v, want one that names roundMs", err)
 	}
 }
--- a/internal/balancer/validate.go
+++ b/internal/balancer/validate.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Validate returns an error for the first setting that is not valid, as "settings: KEY: what is
-// wrong", or nil.
+// Validate returns an error for the first invalid setting, in the form "settings: KEY: REASON", or nil if
+// all settings are valid.
 func (s *Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: classes: none given")
@@ -26,14 +26,14 @@
 	return s.validateNumbers()
 }
 
-// validateClass returns an error for the first rule of the class at the index that is not valid, as
-// "KEY: what is wrong", or nil.
+// validateClass returns an error for the first invalid rule of the class at the index, in the form
+// "KEY: REASON", or nil if all are valid.
 func (s *Settings) validateClass(index int) error {
 	c := &s.Classes[index]
 	sameName := func(other Class) bool { return other.Name == c.Name }
 	switch {
 	case c.Name == "" || slices.ContainsFunc(s.Classes[:index], sameName):
-		return fmt.Errorf("name: must be there and be another for each class, is %q", c.Name)
+		return fmt.Errorf("name: must be non-empty and unique among the classes, is %q", c.Name)
 	case !(c.LatencyObjectiveMs > 0):
 		return fmt.Errorf("aimMs: must be above 0, is %v", c.LatencyObjectiveMs)
 	case !(c.TotalTimeoutMs > 0):
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// validateNumbers returns an error for the first number that is negative or not a number, or nil.
+// validateNumbers returns an error for the first number that is negative or NaN, or nil if there is none.
 func (s *Settings) validateNumbers() error {
 	for _, number := range []struct {
 		key   string
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// valid reports whether the value is one of Idempotency.
+// valid reports whether i is a defined value of Idempotency.
 func (i Idempotency) valid() bool {
 	return i == Idempotent || i == IdempotentByKey || i == NonIdempotent
 }
 
-// valid reports whether the value is one of DedupScope.
+// valid reports whether d is a defined value of DedupScope.
 func (d DedupScope) valid() bool { return d == DedupFleet || d == DedupZone || d == DedupCell }
 
-// valid reports whether the value is one of DiscoveryMode.
+// valid reports whether d is a defined value of DiscoveryMode.
 func (d DiscoveryMode) valid() bool { return d == DiscoveryPushed || d == DiscoveryOnRequest }
