--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -39,7 +39,7 @@
 // applyConfig applies what may change in service: the settings and the addresses of discovery. After an error
 // the loop keeps those that it has.
 func (l *Loop) applyConfig(cfg *config.Config) error {
-	if err := l.balancer.Retune(cfg.Settings); err != nil {
+	if err := l.balancer.UpdateSettings(cfg.Settings); err != nil {
 		// The file was checked as a whole: no part of it may be in force without the rest.
 		l.logger.always(slog.LevelError, "settings not applied", "err", err)
 		return err
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -129,7 +129,7 @@
 	WeightByWork    WeightBasis = "work"    // by the work of the request
 )
 
-// Settings is the configuration of the policy, set when an agent starts and changed by Retune.
+// Settings is the configuration of the policy, set when an agent starts and changed by UpdateSettings of the policy.
 type Settings struct {
 	Classes       []Class       `json:"classes"`
 	Limits        Limits        `json:"limits"`
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -51,7 +51,7 @@
 // The seed determines all random decisions of the Balancer.
 func New(settings balancer.Settings, seed uint64) (*Balancer, error) {
 	b := newBalancer(rand.New(rand.NewPCG(seed, splitmix64(seed))))
-	return b, b.Retune(settings)
+	return b, b.UpdateSettings(settings)
 }
 
 // newBalancer returns a Balancer with its components connected and no settings in force.
@@ -105,9 +105,9 @@
 	return b
 }
 
-// Retune puts settings in force, or returns an error that names the first invalid one. Collected
+// UpdateSettings puts settings in force, or returns an error that names the first invalid one. Collected
 // statistics are kept, and open requests keep the rules of their classes.
-func (b *Balancer) Retune(settings balancer.Settings) error {
+func (b *Balancer) UpdateSettings(settings balancer.Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
 	}
--- a/policy/random_settings_test.go
+++ b/policy/random_settings_test.go
@@ -74,10 +74,10 @@
 	settings.Classes = s.drawClasses()
 	invalid := settings
 	invalid.Limits.MaxAttempts = 0
-	if s.policy.Retune(invalid) == nil {
+	if s.policy.UpdateSettings(invalid) == nil {
 		s.t.Fatal("settings without attempts are taken over")
 	}
-	if err := s.policy.Retune(settings); err != nil {
+	if err := s.policy.UpdateSettings(settings); err != nil {
 		s.t.Fatal(err)
 	}
 	s.settings = settings
--- a/policy/reference_scenario_test.go
+++ b/policy/reference_scenario_test.go
@@ -174,7 +174,7 @@
 	case n < 37 && sc.random.IntN(10) == 0:
 		sc.updateList(30, balancer.ListCached)
 	case n < 38:
-		if err := sc.balancer.Retune(sc.settings()); err != nil {
+		if err := sc.balancer.UpdateSettings(sc.settings()); err != nil {
 			sc.Fatal(err)
 		}
 	case len(sc.inFlight) > 0: // the client of a request with an attempt in flight leaves
