--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -50,7 +50,7 @@
 
 // resolve returns the event time at which a server's process started; 0 if that was long ago.
 func (t *startTimeTable) resolve(entry *endpoint.Endpoint, origin listOrigin) float64 {
-	startedMs := balancer.Finite(entry.StartedMs)
+	startedMs := balancer.FiniteOrZero(entry.StartedMs)
 	if startedMs == 0 {
 		return 0
 	}
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -81,18 +81,18 @@
 	Token        uint32     // identifies the timer
 }
 
-// Finite returns x, or 0 if x is negative, infinite or not a number.
-func Finite(x float64) float64 {
+// FiniteOrZero returns x, or 0 if x is negative, infinite or not a number.
+func FiniteOrZero(x float64) float64 {
 	if !(x > 0) || math.IsInf(x, 1) {
 		return 0
 	}
 	return x
 }
 
-// Finite returns a copy of the event with the function Finite applied to its times.
-func (ev *Event) Finite() *Event {
+// Sanitized returns a copy of the event with FiniteOrZero applied to its times.
+func (ev *Event) Sanitized() *Event {
 	e := *ev
-	e.RemainingMs = Finite(e.RemainingMs)
-	e.LatencyMs = Finite(e.LatencyMs)
+	e.RemainingMs = FiniteOrZero(e.RemainingMs)
+	e.LatencyMs = FiniteOrZero(e.LatencyMs)
 	return &e
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -37,7 +37,7 @@
 // provides the start times may be set back. A start time of 0 means that it is unknown.
 func (l *endpointList) update(e *balancer.Endpoint) (s *server, added bool) {
 	s = l.byAddress[e.Server]
-	startedAt := balancer.Finite(e.StartedMs)
+	startedAt := balancer.FiniteOrZero(e.StartedMs)
 	switch {
 	case s == nil:
 		s = l.insert(e.Server, startedAt)
@@ -48,7 +48,7 @@
 	s.zone = e.Zone
 	s.cell = e.Cell
 	s.ready = e.State == balancer.Ready
-	s.weight = cmp.Or(max(balancer.Finite(e.Weight), 0), 1)
+	s.weight = cmp.Or(max(balancer.FiniteOrZero(e.Weight), 0), 1)
 	return s, added
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -132,7 +132,7 @@
 func (b *Balancer) Handle(now float64, event *balancer.Event, actions []balancer.Action) []balancer.Action {
 	b.now = now
 	b.actions = actions
-	b.handle(event.Finite())
+	b.handle(event.Sanitized())
 	b.dispatch()
 	b.setTick()
 	return b.actions
