--- a/policy/classes.go
+++ b/policy/classes.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// shareDecay is the factor by which each new request reduces the weight of the earlier ones in the shares
-	// of the classes, so that the shares cover about the last 500 requests.
+	// shareDecay is the factor by which each new request reduces the weight of the earlier ones in the
+	// shares of the classes, so that the shares cover about the last 500 requests.
 	shareDecay = 0.998
 	// expectedSmoothing is the weight of one response in the mean response time of its class.
 	expectedSmoothing = 4 * fleetSmoothing
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -40,8 +40,9 @@
 	// between two attempts of this agent at one server.
 	minCooldownIntervals = 1.0
 	maxCooldownIntervals = 4.0
-	// minCooldownFraction is the part of its nominal length that a cooldown lasts without jitter. The jitter
-	// adds up to the nominal length, so that the agents do not all return to a server at the same time.
+	// minCooldownFraction is the part of its nominal length that a cooldown lasts without jitter. The
+	// jitter adds up to the nominal length, so that the agents do not all return to a server at the same
+	// time.
 	minCooldownFraction = 0.5
 	// lostAfterResponses is the number of response times after which an attempt is presumed lost if its
 	// server has responded to later ones.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -89,8 +89,9 @@
 	s.forgetLatency()
 	s.baseline = 0
 	s.limit = 1
-	// The credit starts with a random part of one attempt. In a large fleet, where the credit of an agent may
-	// never grow to a whole attempt, the number of agents that send one then matches the sum of their credits.
+	// The credit starts with a random part of one attempt. In a large fleet, where the credit of an agent
+	// may never grow to a whole attempt, the number of agents that send one then matches the sum of their
+	// credits.
 	s.slowStartCredit = l.env.random.Float64()
 }
 
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -6,8 +6,8 @@
 	// maxPartitionShare is the maximum load of one partition of a key, as a fraction of the even share of
 	// one server.
 	maxPartitionShare = 0.25
-	// keyCountWindow is the number of requests over which the share of a key is measured, as a multiple of the
-	// maximum number of its partitions.
+	// keyCountWindow is the number of requests over which the share of a key is measured, as a multiple of
+	// the maximum number of its partitions.
 	keyCountWindow = 2.0
 	// minKeyCount is the number of requests below which the count of a key is deleted.
 	minKeyCount = 0.5
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,8 +6,9 @@
 	// maxMeanLatency is the maximum mean latency, as a fraction of the latency objective. The rest is
 	// reserved for the spread of the response times.
 	maxMeanLatency = 0.5
-	// overloadFactor is the multiple of the baseline latency above which the mean latency of a server counts
-	// as overload. It is high enough to keep the server's cores busy and too low to let its queue grow.
+	// overloadFactor is the multiple of the baseline latency above which the mean latency of a server
+	// counts as overload. It is high enough to keep the server's cores busy and too low to let its queue
+	// grow.
 	overloadFactor = 1.5
 	// baselineSamples is the number of responses after which the baseline of a single server is known.
 	baselineSamples = 8
--- a/policy/request.go
+++ b/policy/request.go
@@ -84,9 +84,9 @@
 		len(r.attempts) < r.maxAttempts
 }
 
-// mayAttemptAt reports whether the previous attempts of the request permit another one at the server, one of
-// serverCount in the endpoint list. The server must be unused by the request as long as there are unused
-// ones, and if the request may have executed already, a second execution must be harmless.
+// mayAttemptAt reports whether the previous attempts of the request permit another one at the server, one
+// of serverCount in the endpoint list. The server must be unused by the request as long as there are
+// unused ones, and if the request may have executed already, a second execution must be harmless.
 func (r *request) mayAttemptAt(s *server, env *environment, serverCount int) bool {
 	for _, a := range r.attempts {
 		if a.server == s && serverCount > len(r.attempts) {
@@ -101,8 +101,8 @@
 		r.sharesDeduplication(s)
 }
 
-// sharesDeduplication reports whether the server is in the deduplication scope of the first attempt that may
-// have executed.
+// sharesDeduplication reports whether the server is in the deduplication scope of the first attempt that
+// may have executed.
 func (r *request) sharesDeduplication(s *server) bool {
 	switch r.class.DedupScope {
 	case balancer.DedupFleet:
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,8 @@
 	// their credits at the same time, while the server's budget applies to a short window.
 	maxSlowStartCredit = 1.0
 	// slowStartMargin is the maximum cost of an even share of the load for a server in slow start, as a
-	// multiple of its present capacity. Warm servers save up to three quarters of the work with their caches.
+	// multiple of its present capacity. Warm servers save up to three quarters of the work with their
+	// caches.
 	slowStartMargin = 4.0
 )
 
@@ -61,9 +62,9 @@
 // invalidate records that the set of servers in slow start may have changed.
 func (ss *slowStart) invalidate() { ss.generation++ }
 
-// fraction returns the slow-start fraction of a server: the part of its capacity that it has according to the
-// contract. It is 1 if the start of the server is long past or unknown, or if an assumed restart was not
-// confirmed by the endpoint list in time.
+// fraction returns the slow-start fraction of a server: the part of its capacity that it has according to
+// the contract. It is 1 if the start of the server is long past or unknown, or if an assumed restart was
+// not confirmed by the endpoint list in time.
 func (ss *slowStart) fraction(s *server) float64 {
 	contract := &ss.env.settings.Contract
 	ageMs := ss.env.now - s.startedAt
