--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,7 +10,7 @@
 
 // onRequest admits a new request to the queue, or rejects it to shed load.
 func (b *Balancer) onRequest(ev *balancer.Event) {
-	rules := b.rulesOf(ev)
+	rules := b.requestRules(ev)
 	if rules == nil || b.requests[ev.Request] != nil {
 		return
 	}
@@ -26,9 +26,9 @@
 	}
 }
 
-// rulesOf returns the rules that came with the request, or otherwise those in force for its class, or nil
-// if there is no such class.
-func (b *Balancer) rulesOf(ev *balancer.Event) *balancer.RequestRules {
+// requestRules returns the rules that came with the request, or otherwise those in force for its class, or
+// nil if there is no such class.
+func (b *Balancer) requestRules(ev *balancer.Event) *balancer.RequestRules {
 	if ev.Rules != nil {
 		return ev.Rules
 	}
@@ -43,7 +43,7 @@
 
 // newRequest returns a request for an EventRequest.
 func (b *Balancer) newRequest(ev *balancer.Event, rules *balancer.RequestRules) *request {
-	c := b.classes.find(rules.Class)
+	c := b.classes.findOrNew(rules.Class)
 	r := &request{
 		id:             ev.Request,
 		streamedBody:   ev.StreamedBody,
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -25,8 +25,8 @@
 	return true
 }
 
-// attemptOf returns the attempt that an event refers to, or nil if it has ended or is unknown.
-func (b *Balancer) attemptOf(ev *balancer.Event) *attempt {
+// findAttempt returns the attempt that an event refers to, or nil if it has ended or is unknown.
+func (b *Balancer) findAttempt(ev *balancer.Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
 		return nil
@@ -40,7 +40,7 @@
 // onRequestSent counts an attempt with a streamed body as in flight. The server has received all of the
 // request now, so its deadlines and its latency are measured from this time.
 func (b *Balancer) onRequestSent(ev *balancer.Event) {
-	a := b.attemptOf(ev)
+	a := b.findAttempt(ev)
 	if a == nil || a.fullySent || a.request.closed {
 		return
 	}
@@ -50,7 +50,7 @@
 
 // onResponseStarted records that a streamed response to the client has started.
 func (b *Balancer) onResponseStarted(ev *balancer.Event) {
-	a := b.attemptOf(ev)
+	a := b.findAttempt(ev)
 	if a == nil || a.request.closed {
 		return
 	}
@@ -61,14 +61,14 @@
 // onAttemptDone handles the end of an attempt: it updates the statistics of the server, and closes the
 // request or decides whether to retry it.
 func (b *Balancer) onAttemptDone(ev *balancer.Event) {
-	a := b.attemptOf(ev)
+	a := b.findAttempt(ev)
 	if a == nil {
 		return
 	}
 	r := a.request
 	b.endAttempt(a, ev)
 	b.recordStatus(a, ev)
-	b.closeIdle(a.server)
+	b.closeIdleConnections(a.server)
 	switch {
 	case r.closed || r.responseStarted || ev.RequestDone || ev.Status == balancer.StatusOK:
 		b.close(r)
@@ -141,7 +141,7 @@
 // its latency limit, and to enough of them to know its current latency.
 func (b *Balancer) responseWasLost(a *attempt) bool {
 	s := a.server
-	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.isLost(a) &&
+	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.presumedLost(a) &&
 		b.now-a.startedAt > baselineSamples*s.forwards.meanIntervalMs
 }
 
@@ -185,10 +185,10 @@
 	return outcome
 }
 
-// closeIdle closes the idle connections to a server whose last attempt in flight has ended if, by the costs
-// in the settings, keeping them open until the next attempt costs more than a new handshake. That is
-// the case in large fleets, where each agent uses a given server rarely.
-func (b *Balancer) closeIdle(s *server) {
+// closeIdleConnections closes the idle connections to a server whose last attempt in flight has ended if,
+// by the costs in the settings, keeping them open until the next attempt costs more than a new handshake.
+// That is the case in large fleets, where each agent uses a given server rarely.
+func (b *Balancer) closeIdleConnections(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
 	intervalMs := b.concurrency.forwards.meanIntervalMs
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -40,16 +40,16 @@
 	var classes []*class
 	t.minObjectiveMs = math.Inf(1)
 	for _, r := range rules {
-		classes = append(classes, t.find(r))
+		classes = append(classes, t.findOrNew(r))
 		t.minObjectiveMs = min(t.minObjectiveMs, r.LatencyObjectiveMs)
 	}
 	t.classes = classes
 	t.worst = classes[0]
 }
 
-// find returns the class with the given rules. If there is none, it returns a new one with the statistics
-// of the class of the same name, if any, without adding it to the table.
-func (t *classTable) find(rules balancer.Class) *class {
+// findOrNew returns the class with the given rules. If there is none, it returns a new one with the
+// statistics of the class of the same name, if any, without adding it to the table.
+func (t *classTable) findOrNew(rules balancer.Class) *class {
 	found := &class{
 		Class:        rules,
 		expectedMs:   rules.LatencyObjectiveMs * initialLatency,
@@ -70,12 +70,12 @@
 }
 
 // countRequest updates the shares of all classes, the mean weight and the worst class for a new request.
-func (t *classTable) countRequest(of *class) {
+func (t *classTable) countRequest(counted *class) {
 	t.meanWeight = 0
 	for _, c := range t.classes {
 		c.requestShare *= shareDecay
 		c.inTimeShare *= shareDecay
-		if c == of {
+		if c == counted {
 			c.requestShare += 1 - shareDecay
 		}
 		t.meanWeight += c.requestShare * c.PriorityWeight
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -25,9 +25,9 @@
 	// overload. The limit grows by a twentieth in one response time; if each of many agents added a whole
 	// attempt, that would undo a decrease.
 	limitStep = 0.05
-	// usedWithin is the distance to a server's limit, in attempts, within which the limit counts as used:
-	// the attempt that has just ended, and one more.
-	usedWithin = 2
+	// limitUsedMargin is the distance to a server's limit, in attempts, within which the limit counts as
+	// used: the attempt that has just ended, and one more.
+	limitUsedMargin = 2
 	// overloadSmoothing is the weight of one response in the overloaded fraction.
 	overloadSmoothing = 1.0 / 16
 	// overloadedMajority is the overloaded fraction above which the servers as a whole count as overloaded.
@@ -44,9 +44,9 @@
 	// jitter adds up to the nominal length, so that the agents do not all return to a server at the same
 	// time.
 	minCooldownFraction = 0.5
-	// lostAfterResponses is the number of response times after which an attempt is presumed lost if its
+	// lostAfterResponseTimes is the number of response times after which an attempt is presumed lost if its
 	// server has responded to later ones.
-	lostAfterResponses = 6.0
+	lostAfterResponseTimes = 6.0
 )
 
 // serverLoad is the load of a server as inferred from a response, or from the lack of one.
@@ -164,7 +164,7 @@
 			floor = minLimit
 		}
 		c.decreaseServerLimit(s, overloadDecrease, floor)
-	case s.latency < latencyLimit && float64(len(s.inFlight)+usedWithin) > s.limit &&
+	case s.latency < latencyLimit && float64(len(s.inFlight)+limitUsedMargin) > s.limit &&
 		c.latency.responses > baselineResponses:
 		s.limit += min(1/s.limit, s.limit)
 	}
@@ -202,17 +202,17 @@
 func (c *concurrencyLimits) active(s *server) int {
 	count := len(s.inFlight)
 	for _, a := range s.inFlight {
-		if c.isLost(a) {
+		if c.presumedLost(a) {
 			count--
 		}
 	}
 	return count
 }
 
-// isLost reports whether an attempt is presumed lost because its server has been responding to later
+// presumedLost reports whether an attempt is presumed lost because its server has been responding to later
 // attempts for several response times, similar to the loss detection of TCP (RACK, RFC 8985).
-func (c *concurrencyLimits) isLost(a *attempt) bool {
-	lostAfterMs := lostAfterResponses * max(a.request.class.expectedMs, a.server.responseMs)
+func (c *concurrencyLimits) presumedLost(a *attempt) bool {
+	lostAfterMs := lostAfterResponseTimes * max(a.request.class.expectedMs, a.server.responseMs)
 	return c.env.now-a.startedAt > lostAfterMs && a.server.lastResponseAt-a.startedAt > lostAfterMs/2
 }
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -86,7 +86,7 @@
 	s.unresponsive = false
 	s.ejectionLevel = 0
 	s.successes = 0
-	s.forgetLatency()
+	s.resetLatency()
 	s.baseline = 0
 	s.limit = 1
 	// The credit starts with a random part of one attempt. In a large fleet, where the credit of an agent
@@ -134,11 +134,11 @@
 }
 
 // setHealth sets a server's health state and the time of the change.
-func (l *endpointList) setHealth(s *server, to balancer.HealthState) {
-	if s.health > balancer.Unknown || to > balancer.Unknown {
+func (l *endpointList) setHealth(s *server, state balancer.HealthState) {
+	if s.health > balancer.Unknown || state > balancer.Unknown {
 		l.epoch++
 	}
-	s.health = to
+	s.health = state
 	s.healthSince = l.env.now
 }
 
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -19,7 +19,7 @@
 	outliers  *outlierDetector
 	poller    *listPoller
 	slowStart *slowStart
-	underWay  int          // health checks in flight
+	inFlight  int          // health checks in flight
 	budget    *tokenBucket // each request adds to it
 }
 
@@ -39,7 +39,7 @@
 		}
 		if h.mayCheck(s) {
 			s.checking = true
-			h.underWay++
+			h.inFlight++
 			h.budget.withdraw()
 			h.env.emit(balancer.Action{Kind: balancer.ActionHealthCheck, Server: s.address})
 		}
@@ -49,7 +49,7 @@
 // mayCheck reports whether a health check of the server is due and permitted.
 func (h *healthChecker) mayCheck(s *server) bool {
 	return s.health == balancer.UnhealthyPending && s.ready && !s.checking &&
-		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.underWay < maxHealthChecks
+		h.env.settings.Limits.HealthChecks && h.budget.hasToken() && h.inFlight < maxHealthChecks
 }
 
 // finish processes the result of a health check.
@@ -59,7 +59,7 @@
 		return
 	}
 	s.checking = false
-	h.underWay--
+	h.inFlight--
 	if s.health != balancer.UnhealthyPending {
 		return
 	}
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -13,11 +13,11 @@
 	// unresponsiveDecrease is the factor by which the concurrency limit of an unresponsive server is
 	// multiplied.
 	unresponsiveDecrease = 0.5
-	// unresponsiveAfter is the number of expected response times after which a server with one attempt in
-	// flight is ejected if it does not respond. The time is divided by the number of attempts in flight, up
-	// to unresponsiveAttempts.
-	unresponsiveAfter    = 8
-	unresponsiveAttempts = 3
+	// unresponsiveResponseTimes is the number of expected response times after which a server with one
+	// attempt in flight is ejected if it does not respond. The time is divided by the number of attempts
+	// in flight, up to unresponsiveAttempts.
+	unresponsiveResponseTimes = 8
+	unresponsiveAttempts      = 3
 )
 
 // tier is the health tier of a server for a request. Servers of a lower tier are used first.
@@ -92,7 +92,7 @@
 		o.endpoints.setHealth(s, balancer.Unhealthy)
 		s.unresponsive = cause == noResponse
 		s.successes = 0
-		s.forgetLatency()
+		s.resetLatency()
 		if s.unresponsive { // a failure with a response does not indicate overload
 			s.limit = max(s.limit*unresponsiveDecrease, 1)
 		}
@@ -109,7 +109,7 @@
 		}
 		oldest := s.inFlight[0]
 		inFlight := min(len(s.inFlight), unresponsiveAttempts)
-		silenceLimitMs := oldest.request.class.expectedMs * unresponsiveAfter / float64(inFlight)
+		silenceLimitMs := oldest.request.class.expectedMs * unresponsiveResponseTimes / float64(inFlight)
 		if o.env.now-max(s.lastResponseAt, oldest.startedAt) >= silenceLimitMs {
 			o.eject(s, noResponse)
 		}
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -16,8 +16,8 @@
 	logarithmBits = 40
 	// logarithmMargin is less than 1 by more than the relative error of a computed logarithm.
 	logarithmMargin = 1 - 1.0/(1<<logarithmBits)
-	// minPosition is added to a position to keep the logarithm of position 0 finite.
-	minPosition = 1e-18
+	// positionOffset is added to a position to keep the logarithm of position 0 finite.
+	positionOffset = 1e-18
 )
 
 // newPosition returns the position of a hash, from its upper bits.
@@ -27,7 +27,7 @@
 // Ravishankar 1998; the weight divides the logarithm, as for exponentially distributed variables). The
 // server with the lowest score comes first, and a server's share of the keys is its share of the weight.
 func (p position) score(weight float64) float64 {
-	return -math.Log(float64(p)/positionSteps+minPosition) / weight
+	return -math.Log(float64(p)/positionSteps+positionOffset) / weight
 }
 
 // minScore returns a lower bound of the score that is much cheaper to compute: 1-u is at most -log(u).
--- a/policy/server.go
+++ b/policy/server.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// forgetLatency resets the server's mean latency but keeps its baseline.
-func (s *server) forgetLatency() {
+// resetLatency resets the server's mean latency but keeps its baseline.
+func (s *server) resetLatency() {
 	s.latency = 0
 	s.latencySamples = 0
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -151,9 +151,9 @@
 //
 // Attempts without a response do not count, as most of them may be rejected. Late responses of servers
 // that are draining or have failed do not count either, as the warm weight does not include them.
-func (ss *slowStart) grantCredits(from *server) {
+func (ss *slowStart) grantCredits(responder *server) {
 	warm := ss.warmWeight()
-	if warm == 0 || !ss.isWarm(from) {
+	if warm == 0 || !ss.isWarm(responder) {
 		return
 	}
 	decay := math.Exp((ss.servedRateAt - ss.env.now) / ss.env.settings.Contract.SlowStartMs)
