--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -41,7 +41,7 @@
 	minCooldownIntervals = 1.0
 	maxCooldownIntervals = 4.0
 	// minCooldownFraction is the part of its nominal length that a cooldown lasts without jitter. The
-	// jitter adds up to the nominal length, so that the agents do not all return to a server at the same
+	// jitter adds at most the nominal length, so that the agents do not all return to a server at the same
 	// time.
 	minCooldownFraction = 0.5
 	// lostAfterResponseTimes is the number of response times after which an attempt is presumed lost if its
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -37,7 +37,7 @@
 	baselineDelayExponent = 3
 )
 
-// objectiveOutcome reports whether a response met the latency objective of its request.
+// objectiveOutcome specifies whether a response met the latency objective of its request.
 type objectiveOutcome bool
 
 // The values of objectiveOutcome.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -157,7 +157,7 @@
 		b.healthChecks.finish(ev)
 	case balancer.EventTimer:
 		b.onTimer(ev.Token)
-	case balancer.EventPeerMessage: // not used
+	case balancer.EventPeerMessage: // ignored
 	}
 }
 
