--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -39,7 +39,7 @@
 // applyConfig applies the parts of a configuration that can change at run time: the settings and the addresses of
 // discovery. On an error the previous ones stay in force.
 func (l *Loop) applyConfig(cfg *config.Config) error {
-	if err := l.balancer.Retune(cfg.Settings); err != nil {
+	if err := l.balancer.UpdateSettings(cfg.Settings); err != nil {
 		// The configuration was validated as a whole, so it is applied completely or not at all.
 		l.logger.log(slog.LevelError, "settings not applied", "err", err)
 		return err
