--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -262,7 +262,7 @@
 		return nil, fmt.Errorf("discovery: settings: %w", err)
 	}
 	if settings := list.Settings; settings != nil && settings.Service != c.settingsWatch.service {
-		return nil, fmt.Errorf("discovery: response has settings of another service: %.40q", settings.Service)
+		return nil, fmt.Errorf("discovery: response with the settings of %.40q", settings.Service)
 	}
 	return list, nil
 }
