--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -1,5 +1,6 @@
-// Package wire translates between the binary frames of the operators' simulator and the balancer's events
-// and actions. All numbers are big-endian. It decides nothing.
+// Package wire implements the binary protocol of the operators' simulator: it decodes frames into events
+// for the balancer and encodes the balancer's actions into frames. All numbers are big-endian. The package
+// makes no balancing decisions.
 package wire
 
 // Sizes of records, in bytes.
@@ -9,8 +10,8 @@
 	endpointSize = 24
 )
 
-// Codes of event records. The names of the wire's own description, which errors use, follow where they
-// differ.
+// Codes of event records. A trailing comment has the event's name in the protocol description where it
+// differs from the constant's. Error messages use the protocol's names.
 const (
 	codeClientGone      = 16 // dropped
 	codeRequest         = 17 // ask
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// headerSize is the size of the number of records and the length of the body, in bytes.
+	// headerSize is the size of a frame's header, in bytes: the number of records and the length of the body.
 	headerSize = 8
-	// clockSize is the size of the clock at the beginning of the body, in bytes.
+	// clockSize is the size of the clock reading at the start of the body, in bytes.
 	clockSize = 8
-	// maxBody is more than any valid batch has, in bytes.
+	// maxBody is the largest body that is accepted, in bytes. Valid batches are smaller.
 	maxBody = 1 << 30
-	// readStep is how much of a body is read before more memory is allocated, in bytes.
+	// readStep is the number of bytes of a body that are read before more memory is allocated.
 	readStep = 1 << 20
 	// maxTables is the number of endpoint tables.
 	maxTables = 16
-	// retryFlag is set in the flags of a request that the client sends again.
+	// retryFlag is the bit in a request's flags that marks a retry by the client.
 	retryFlag = 2
 )
 
-// RecordKind says what a record of a batch is about.
+// RecordKind is the kind of a record in a batch.
 type RecordKind uint8
 
-// The kinds of records, with the fields of Record that they set.
+// The kinds of records, each with the fields of Record that it sets.
 const (
 	Boot   RecordKind = iota + 1 // Instance, Seed, Settings
 	Killed                       // Instance
 	Event                        // Instance, Event
 )
 
-// Record is one event record of a batch, with its endpoint table resolved.
+// Record is a decoded event record. A reference to an endpoint table is resolved to its endpoints.
 type Record struct {
 	Kind     RecordKind
 	Instance uint32
@@ -44,8 +44,8 @@
 	Event    balancer.Event
 }
 
-// Decoder reads batches from a stream. It has the endpoint tables, which belong to the process and are
-// shared, read-only, by all instances.
+// Decoder reads batches from a stream. It keeps the endpoint tables, which belong to the process: all
+// instances share them and only read them.
 type Decoder struct {
 	reader io.Reader
 	body   []byte
@@ -55,8 +55,9 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{reader: r} }
 
-// Next reads one batch and calls handle for each record in order, with the batch's clock in ms. It
-// returns io.EOF at the end of input before a batch.
+// Next reads one batch and calls handle for each of its records in order, with the batch's clock in
+// milliseconds. It returns io.EOF if the input ends before a batch begins, and stops at the first error
+// of handle.
 func (d *Decoder) Next(handle func(now float64, rec *Record) error) error {
 	count, err := d.readBatch()
 	if err != nil {
@@ -65,7 +66,7 @@
 	clock := fieldReader{rest: d.body}
 	now := clock.float64()
 	if math.IsNaN(now) || math.IsInf(now, 0) {
-		return errors.New("batch header: clock: not a number")
+		return errors.New("batch header: clock: not a finite number")
 	}
 	records := d.body[clockSize : clockSize+count*EventSize]
 	tail := d.body[clockSize+len(records):]
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// readBatch reads the header and the body of a batch, and returns its number of records.
+// readBatch reads the header and the body of a batch and returns the number of records.
 func (d *Decoder) readBatch() (count int, err error) {
 	var header [headerSize]byte
 	_, err = io.ReadFull(d.reader, header[:])
@@ -105,13 +106,13 @@
 		return 0, fmt.Errorf("batch header: length: %d is out of range", size)
 	}
 	if uint64(records)*EventSize > uint64(size)-clockSize {
-		return 0, fmt.Errorf("batch header: number of records: %d do not fit into %d bytes", records, size)
+		return 0, fmt.Errorf("batch header: number of records: %d do not fit in %d bytes", records, size)
 	}
 	return int(records), d.readBody(int(size))
 }
 
-// readBody reads size bytes in steps, so that a false length allocates no more than about twice what
-// arrives.
+// readBody reads size bytes in steps, so that a false length allocates at most about twice the number of
+// bytes that arrive.
 func (d *Decoder) readBody(size int) error {
 	d.body = d.body[:0]
 	for len(d.body) < size {
@@ -123,7 +124,7 @@
 		d.body = d.body[:end]
 		_, err := io.ReadFull(d.reader, d.body[start:])
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // only the end before a batch is io.EOF
+			err = io.ErrUnexpectedEOF // io.EOF is only returned before a batch
 		}
 		if err != nil {
 			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", start, size, err)
--- a/internal/wire/decode_records.go
+++ b/internal/wire/decode_records.go
@@ -6,23 +6,24 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// tailSpan is the place of a field's value in the tail.
+// tailSpan is the position of a field's value in the tail of a frame.
 type tailSpan struct {
 	offset uint32 // in bytes
-	length uint32 // in units of a number of bytes
+	length uint32 // in units that depend on the field
 }
 
-// resolve returns the bytes of the span; field names it in an error.
+// resolve returns the bytes of the span. unit is the size of a unit of its length, in bytes; field is the
+// field's name in error messages.
 func (s tailSpan) resolve(field string, tail []byte, unit int) ([]byte, error) {
 	end := uint64(s.offset) + uint64(s.length)*uint64(unit)
 	if end > uint64(len(tail)) {
-		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes",
+		return nil, fmt.Errorf("%s: offset %d and length %d exceed the tail's %d bytes",
 			field, s.offset, s.length, len(tail))
 	}
 	return tail[s.offset:end], nil
 }
 
-// decode decodes one record that is not an endpoint table.
+// decode decodes a record of any code except codeEndpointTable.
 func (d *Decoder) decode(raw, tail []byte) (Record, error) {
 	fields := fieldReader{rest: raw}
 	code := fields.uint8()
@@ -58,7 +59,7 @@
 	case codePeerMessage:
 		event.Kind = balancer.EventPeerMessage
 		fields.skip(uint32Size)                                   // the sender
-		_, err = fields.span().resolve("peer_data: msg", tail, 1) // checked, but not used by the balancer
+		_, err = fields.span().resolve("peer_data: msg", tail, 1) // validated, but not used by the balancer
 	default:
 		err = fmt.Errorf("code: unknown event %d", code)
 	}
@@ -86,7 +87,7 @@
 	event.Attempt = int(fields.uint16())
 }
 
-// decodeList decodes an answer of discovery, with the endpoint table that it names.
+// decodeList decodes a response of discovery and resolves the endpoint table that it refers to.
 func (d *Decoder) decodeList(fields *fieldReader, event *balancer.Event) error {
 	event.Kind = balancer.EventList
 	update := fields.uint8()
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// decodeTable replaces an endpoint table. The slice is new: events with the old table still refer to
-// it.
+// decodeTable replaces an endpoint table. It allocates a new slice because earlier events may still refer
+// to the old one.
 func (d *Decoder) decodeTable(raw, tail []byte) error {
 	fields := fieldReader{rest: raw}
 	fields.skip(1) // the code
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,14 +7,14 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// watchStart is the value of a watch record that starts the watch.
+// watchStart is the value in a codeWatchList record that starts the watch.
 const watchStart = 1
 
-// Encoder builds one reply frame. The zero value is an empty reply.
+// Encoder builds a reply frame. The zero value is an empty reply.
 type Encoder struct {
 	count   uint32
 	records []byte
-	tail    []byte // the texts of records
+	tail    []byte // texts of the records
 }
 
 // Reset starts a new reply.
@@ -24,8 +24,8 @@
 	e.tail = e.tail[:0]
 }
 
-// appendRecord appends a record of zeros with a code and an instance, and returns the writer of its
-// other fields.
+// appendRecord appends a zero-filled record with a code and an instance, and returns the writer of its
+// remaining fields.
 func (e *Encoder) appendRecord(code uint8, instance uint32) fieldWriter {
 	start := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
@@ -36,7 +36,7 @@
 	return fields
 }
 
-// appendText appends a record with a text.
+// appendText appends a record that has a text in the tail.
 func (e *Encoder) appendText(code uint8, instance uint32, text string) {
 	fields := e.appendRecord(code, instance)
 	fields.uint32(uint32(len(e.tail)))
@@ -44,10 +44,10 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash appends the record that an instance's decision code failed.
+// Crash appends the record that reports a failure of an instance's decision code.
 func (e *Encoder) Crash(instance uint32, text string) { e.appendText(codeCrash, instance, text) }
 
-// Add appends one action of an instance.
+// Add appends the record of an instance's action.
 func (e *Encoder) Add(instance uint32, a *balancer.Action) {
 	switch a.Kind {
 	case balancer.ActionForward:
@@ -86,7 +86,7 @@
 	}
 }
 
-// WriteTo writes the reply frame.
+// WriteTo implements io.WriterTo. It writes the reply frame to w.
 func (e *Encoder) WriteTo(w io.Writer) (int64, error) {
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[:], e.count)
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -15,13 +15,13 @@
 	addressSize = 6
 )
 
-// fieldReader reads the fields of a record one after the other. A record has a fixed size and so all of its
-// fields.
+// fieldReader reads the fields of a record in order. It needs no bounds checks, because records have a
+// fixed size and contain all of their fields.
 type fieldReader struct {
-	rest []byte // what is not read yet
+	rest []byte // unread bytes
 }
 
-// skip passes over fields that are not used.
+// skip skips size bytes.
 func (f *fieldReader) skip(size int) { f.rest = f.rest[size:] }
 
 // uint8 reads a byte.
@@ -31,34 +31,34 @@
 	return v
 }
 
-// uint16 reads a number of two bytes.
+// uint16 reads a two-byte integer.
 func (f *fieldReader) uint16() uint16 {
 	v := binary.BigEndian.Uint16(f.rest)
 	f.skip(uint16Size)
 	return v
 }
 
-// uint32 reads a number of four bytes.
+// uint32 reads a four-byte integer.
 func (f *fieldReader) uint32() uint32 {
 	v := binary.BigEndian.Uint32(f.rest)
 	f.skip(uint32Size)
 	return v
 }
 
-// uint64 reads a number of eight bytes.
+// uint64 reads an eight-byte integer.
 func (f *fieldReader) uint64() uint64 {
 	v := binary.BigEndian.Uint64(f.rest)
 	f.skip(uint64Size)
 	return v
 }
 
-// float32 reads a floating-point number of four bytes.
+// float32 reads a four-byte floating-point number.
 func (f *fieldReader) float32() float32 { return math.Float32frombits(f.uint32()) }
 
-// float64 reads a floating-point number of eight bytes.
+// float64 reads an eight-byte floating-point number.
 func (f *fieldReader) float64() float64 { return math.Float64frombits(f.uint64()) }
 
-// requestID reads the id of a request.
+// requestID reads the ID of a request.
 func (f *fieldReader) requestID() balancer.RequestID { return balancer.RequestID(f.uint32()) }
 
 // address reads the address of a server.
@@ -68,18 +68,18 @@
 	return v
 }
 
-// status reads how an attempt or a health check ended.
+// status reads the outcome of an attempt or a health check.
 func (f *fieldReader) status() balancer.Status { return balancer.Status(f.uint16()) }
 
-// span reads the place of a field's value in the tail.
+// span reads the position of a field's value in the tail.
 func (f *fieldReader) span() tailSpan {
 	offset := f.uint32()
 	return tailSpan{offset: offset, length: f.uint32()}
 }
 
-// fieldWriter writes the fields of a record of zeros one after the other.
+// fieldWriter writes the fields of a zero-filled record in order.
 type fieldWriter struct {
-	rest []byte // what is not written yet
+	rest []byte // bytes not written yet
 }
 
 // uint8 writes a byte.
@@ -88,25 +88,25 @@
 	f.rest = f.rest[1:]
 }
 
-// uint16 writes a number of two bytes.
+// uint16 writes a two-byte integer.
 func (f *fieldWriter) uint16(v uint16) {
 	binary.BigEndian.PutUint16(f.rest, v)
 	f.rest = f.rest[uint16Size:]
 }
 
-// uint32 writes a number of four bytes.
+// uint32 writes a four-byte integer.
 func (f *fieldWriter) uint32(v uint32) {
 	binary.BigEndian.PutUint32(f.rest, v)
 	f.rest = f.rest[uint32Size:]
 }
 
-// float64 writes a floating-point number of eight bytes.
+// float64 writes an eight-byte floating-point number.
 func (f *fieldWriter) float64(v float64) {
 	binary.BigEndian.PutUint64(f.rest, math.Float64bits(v))
 	f.rest = f.rest[uint64Size:]
 }
 
-// requestID writes the id of a request.
+// requestID writes the ID of a request.
 func (f *fieldWriter) requestID(v balancer.RequestID) { f.uint32(uint32(v)) }
 
 // address writes the address of a server.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// frame decodes hex text, in which white space is ignored.
+// frame decodes hex text and ignores white space in it.
 func frame(tb testing.TB, text string) []byte {
 	tb.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,10 +21,10 @@
 	return b
 }
 
-// zeros is the hex text of n bytes of zeros.
+// zeros returns the hex text of n zero bytes.
 func zeros(n int) string { return strings.Repeat("00", n) }
 
-// decodeAll decodes all batches, and returns their records, each with its clock.
+// decodeAll decodes all batches and returns their records, and for each record the clock of its batch.
 func decodeAll(data []byte) (clocks []float64, recs []Record, err error) {
 	d := NewDecoder(bytes.NewReader(data))
 	for {
@@ -42,7 +42,7 @@
 	}
 }
 
-// A request, a timer and a client that has left are decoded with all of their fields and the clock.
+// TestDecodeEvents checks that the clock and all fields of request, timer and client-gone events are decoded.
 func TestDecodeEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
@@ -69,7 +69,8 @@
 	}
 }
 
-// The ends of an attempt and of a health check are decoded with all of their fields.
+// TestDecodeAttemptAndHealthCheck checks that the ends of an attempt and of a health check are decoded with all of
+// their fields.
 func TestDecodeAttemptAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
@@ -90,7 +91,8 @@
 	}
 }
 
-// An endpoint table may be replaced within a batch: each event has the table as it is at its position.
+// TestEndpointTableIsReplacedWithinBatch checks that an endpoint table may be replaced within a batch: each event has
+// the table as it was at the event's position.
 func TestEndpointTableIsReplacedWithinBatch(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
@@ -111,11 +113,11 @@
 	}
 	e := a.Endpoints[0]
 	if e.Zone != 1 || e.StartedMs != 6100 || e.State != balancer.Ready || e.Weight != 1.5 || e.Cell != 2 || e.Kind != 1 {
-		t.Errorf("entry: %+v", e)
+		t.Errorf("endpoint: %+v", e)
 	}
 }
 
-// The start and the end of an instance are decoded, a start with its seed and settings.
+// TestDecodeBootAndKilled checks that the start of an instance, with its seed and settings, and its end are decoded.
 func TestDecodeBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
@@ -129,7 +131,7 @@
 	}
 }
 
-// Each kind of action is encoded as its record, and texts go into the tail.
+// TestEncodeActions checks that each kind of action is encoded as its record, and that texts go into the tail.
 func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	s := balancer.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
@@ -170,7 +172,7 @@
 	}
 }
 
-// A malformed frame gives an error that names the field.
+// TestMalformedFrames checks that the error for a malformed frame names the field.
 func TestMalformedFrames(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
@@ -197,7 +199,7 @@
 	}
 }
 
-// No input makes the decoder panic, or allocate much more than the size of the input.
+// FuzzDecoder checks that no input makes the decoder panic or allocate much more than the size of the input.
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(f, "00000000 00000008 40c06e2000000000"))
 	f.Add(frame(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
@@ -210,12 +212,13 @@
 			}
 		}
 		if cap(d.body) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it allocate %d", len(data), cap(d.body))
+			t.Errorf("decoding %d bytes of input allocated %d bytes", len(data), cap(d.body))
 		}
 	})
 }
 
-// The start of a streamed response, a failed call for the list and a peer's message are decoded.
+// TestDecodeStreamFailedListAndPeerMessage checks that the start of a streamed response, a failed fetch of the endpoint
+// list and a message of a peer are decoded.
 func TestDecodeStreamFailedListAndPeerMessage(t *testing.T) {
 	data := frame(t, `00000003 0000009a 40c06e2000000000
 		14 00000003 5d3a91c4 0a124a07 138b 4032800000000000 0001`+zeros(23)+`
