--- a/internal/clock/units.go
+++ b/internal/clock/units.go
@@ -2,26 +2,25 @@
 
 import "time"
 
-// FromMilliseconds converts a number of milliseconds.
+// FromMilliseconds returns the duration of a number of milliseconds.
 func FromMilliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// microsecondsPerMillisecond converts durations and moments.
 const microsecondsPerMillisecond = 1000
 
-// Milliseconds is a duration in ms, to the microsecond.
+// Milliseconds returns a duration in milliseconds, with microsecond precision.
 func Milliseconds(d time.Duration) float64 {
 	return float64(d.Microseconds()) / microsecondsPerMillisecond
 }
 
-// MillisecondsSince is the time since a moment in ms, to the microsecond.
+// MillisecondsSince returns the time elapsed since t in milliseconds, with microsecond precision.
 func MillisecondsSince(t time.Time) float64 { return Milliseconds(time.Since(t)) }
 
-// UnixMilliseconds is a moment in Unix time, in ms.
+// UnixMilliseconds returns t as a Unix time in milliseconds, with microsecond precision.
 func UnixMilliseconds(t time.Time) float64 {
 	return float64(t.UnixMicro()) / microsecondsPerMillisecond
 }
 
-// Earliest is the earlier of two moments.
+// Earliest returns the earlier of two times.
 func Earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
