--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,8 +1,8 @@
-// Package listener provides a net.Listener that continues after a temporary error of accept.
+// Package listener provides a net.Listener that continues to accept after a temporary error.
 //
-// accept(2) of Linux returns network errors that were pending on the new connection, and its manual
-// page says to treat them like EAGAIN; a lack of descriptors or memory is temporary as well. Serve
-// of net/http returns at most of these errors, and raft's transport backs off for up to a second.
+// On Linux, accept(2) returns network errors that were pending on the new connection, and its manual
+// page says to treat them like EAGAIN. A lack of descriptors or memory is temporary too. Serve of
+// net/http returns on most of these errors, and raft's transport backs off for up to a second.
 // This listener retries within milliseconds, while connections wait in the kernel's queue, and
 // returns only permanent errors.
 package listener
@@ -21,17 +21,16 @@
 )
 
 const (
-	// minDelay is the backoff after a first failure, and after each failure of a single connection.
+	// minDelay is the backoff after the first error, and after each error that concerns a single connection.
 	minDelay = time.Millisecond
-	// maxDelay bounds the backoff, which grows by backoffFactor while a resource is exhausted.
+	// maxDelay is the upper bound of the backoff, which grows by backoffFactor while a resource is exhausted.
 	maxDelay      = 32 * time.Millisecond
 	backoffFactor = 2
-	// logInterval is the minimum time between two lines of LogFailures.
+	// logInterval is the minimum time between two log lines of a FailureReporter of LogFailures.
 	logInterval = time.Second
 )
 
-// FailureReporter is called for each temporary error of accept, with the number of such errors so
-// far, by the goroutine that accepts.
+// FailureReporter is called by Accept for each temporary error, with the number of temporary errors so far.
 type FailureReporter func(err error, failures uint64)
 
 // Listener is a net.Listener whose Accept retries after a temporary error.
@@ -44,7 +43,8 @@
 	closeOnce func() error
 }
 
-// New wraps a listener. Closing the result closes it.
+// New returns a Listener that wraps inner and calls report for each temporary error. Closing the Listener
+// closes inner.
 func New(inner net.Listener, report FailureReporter) *Listener {
 	l := &Listener{Listener: inner, report: report, closed: make(chan struct{})}
 	l.closeOnce = sync.OnceValue(func() error {
@@ -54,7 +54,7 @@
 	return l
 }
 
-// Accept returns the next connection, or a permanent error: net.ErrClosed after Close.
+// Accept returns the next connection or a permanent error, such as net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	var delay time.Duration
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close closes the listener and ends the backoff of an Accept.
+// Close closes the listener and interrupts the backoff of Accept.
 func (l *Listener) Close() error { return l.closeOnce() }
 
 // SyscallConn returns the raw listening socket (syscall.Conn), or errors.ErrUnsupported if the
@@ -86,10 +86,10 @@
 	return socket.SyscallConn()
 }
 
-// Failures returns the number of temporary errors of accept so far.
+// Failures returns the number of temporary errors so far.
 func (l *Listener) Failures() uint64 { return l.failures.Load() }
 
-// wait waits for the delay, or returns false as soon as the listener is closed.
+// wait waits for the delay and returns true, or returns false as soon as the listener is closed.
 func (l *Listener) wait(delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -101,8 +101,8 @@
 	}
 }
 
-// nextDelay increases the backoff while a resource of this machine is exhausted. Any other error took
-// one connection out of the queue, and the next connection may be good.
+// nextDelay returns the backoff after an error. It grows while a resource of this machine is exhausted.
+// Any other error removed one connection from the queue and says nothing about the next one.
 func nextDelay(err error, previous time.Duration) time.Duration {
 	if !isOneOf(err, exhaustionErrors) {
 		return minDelay
@@ -110,29 +110,29 @@
 	return min(max(backoffFactor*previous, minDelay), maxDelay)
 }
 
-// exhaustionErrors are the errors of accept(2) by which the process or the system has no descriptor,
+// exhaustionErrors are the errors of accept(2) that say that the process or the system has no descriptor,
 // buffer or memory left.
 var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// permanentErrors are the errors of accept(2) by which the descriptor can't accept, so that a retry
-// would fail too. EOPNOTSUPP is not among them, as it may be the pending error of a connection.
+// permanentErrors are the errors of accept(2) that say that the descriptor can't accept connections, so
+// that a retry would fail too. EOPNOTSUPP is not one of them, as it may be the pending error of a connection.
 var permanentErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
 
-// Temporary reports whether an error of accept may not occur on a retry. That is so for all of the
-// kernel's errors except those of an unusable descriptor.
+// Temporary reports whether accept may succeed on a retry after err. That is so for all errors of the
+// kernel except those of an unusable descriptor.
 func Temporary(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && !slices.Contains(permanentErrors, errno)
 }
 
-// isOneOf reports whether an error is one of a list of the kernel's errors.
+// isOneOf reports whether err is one of the given errors of the kernel.
 func isOneOf(err error, errnos []syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
 
-// LogFailures returns a FailureReporter that logs at most one line a second, with the number of
-// failures so far.
+// LogFailures returns a FailureReporter that logs at most one line per logInterval, with the listener's
+// name and the number of errors so far.
 func LogFailures(log *slog.Logger, name string) FailureReporter {
 	limit := rate.NewLimiter(rate.Every(logInterval), 1)
 	return func(err error, failures uint64) {
