--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// The values of an agent's configuration that no test varies, in the units of its keys.
+// Values that are the same in all configurations of agents, in the units of their keys.
 const (
 	pollWithinMs       = 1600
 	drainGraceMs       = 250
@@ -29,8 +29,8 @@
 // agentFileMode is the mode of an agent's configuration file.
 const agentFileMode = 0o600
 
-// AgentEnv returns the environment of agents whose configuration files are DIR/NAME.json. Without the other variables
-// the file alone counts; agents of one directory find their lock files in it.
+// AgentEnv returns a Config.Env for agents whose configuration files are DIR/NAME.json. It clears the variables that
+// override values of the file, and sets TMPDIR so that agents of one directory share their lock files.
 func AgentEnv(dir string) func(name string) []string {
 	return func(name string) []string {
 		return []string{
@@ -45,49 +45,49 @@
 	}
 }
 
-// agentFilePath returns the path of a process's configuration file.
+// agentFilePath returns the path of the configuration file of an agent's process.
 func agentFilePath(dir, process string) string { return filepath.Join(dir, process+".json") }
 
-// AgentFile is an agent's configuration file, as far as tests use it. The keys are those of the agent.
+// AgentFile is the part of an agent's configuration file that tests use.
 type AgentFile struct {
 	Name       string             `json:"name"`
 	Listen     string             `json:"listen"`
-	Management string             `json:"management,omitempty"` // address of the admin endpoint; empty: none
+	Management string             `json:"management,omitempty"` // address of the admin endpoint; empty means none
 	Discovery  string             `json:"discovery"`
 	Seed       string             `json:"seed"` // hexadecimal
 	Limits     AgentLimits        `json:"limits"`
 	Known      AgentList          `json:"known"`
-	Control    *AgentControl      `json:"control,omitempty"` // nil: discovery has no settings for it
-	Fleet      *membership.Config `json:"fleet,omitempty"`   // nil: it takes no part in the membership
+	Control    *AgentControl      `json:"control,omitempty"` // nil means that it watches no settings
+	Fleet      *membership.Config `json:"fleet,omitempty"`   // nil means that it does not join the membership
 	Settings   AgentSettings      `json:"settings"`
 }
 
-// AgentLimits are the resources of the machine that an agent may take.
+// AgentLimits are the resources of the machine that an agent may use.
 type AgentLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// LimitsOf returns the limits of an agent under test that has so many processor cores.
+// LimitsOf returns the limits of an agent under test that may use the given number of processor cores.
 func LimitsOf(cores float64) AgentLimits {
 	return AgentLimits{Cores: cores, MemoryMB: agentMemoryMB, Sockets: agentSockets}
 }
 
-// AgentList is an empty endpoint list that an agent starts with.
+// AgentList is the empty endpoint list that an agent starts with.
 type AgentList struct {
 	Version int         `json:"version"`
 	Full    bool        `json:"full,omitempty"`
-	Servers [0]struct{} `json:"servers"` // an array, as a nil slice would be null
+	Servers [0]struct{} `json:"servers"` // an empty array, because a nil slice is encoded as null
 }
 
-// AgentControl says where an agent watches its service's settings.
+// AgentControl identifies the service settings that an agent watches and the addresses of discovery.
 type AgentControl struct {
 	Service   string   `json:"service"`
 	Addresses []string `json:"addresses"`
 }
 
-// Write writes the configuration file of a process, which AgentEnv names.
+// Write writes the configuration file of an agent's process to the path that AgentEnv sets.
 func (f AgentFile) Write(dir, process string) error {
 	text, err := json.Marshal(f)
 	if err != nil {
@@ -96,21 +96,21 @@
 	return os.WriteFile(agentFilePath(dir, process), text, agentFileMode)
 }
 
-// AgentSettings are the least settings that an agent takes, with one class "order".
+// AgentSettings are minimal valid settings of agents, with one class "order".
 type AgentSettings struct {
-	// Index and Zone are an agent's own; nil: left out, as in settings for all agents of a service.
+	// Index and Zone are those of a single agent. Nil omits them, as in settings for all agents of a service.
 	Index, Zone *int
-	// Agents is the number of agents (replicasOfMe).
+	// Agents is the number of agents (key replicasOfMe).
 	Agents int
-	// MaxAttempts of a request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int
-	// SlowStartMs is the contract's coldMs; 0: the key is left out.
+	// SlowStartMs is the duration of the slow start (key contract.coldMs). Zero omits the key.
 	SlowStartMs int
-	// DiscoveryMode is how lists reach the policy; empty: balancer.DiscoveryOnRequest.
+	// DiscoveryMode is how lists reach the policy. Empty means balancer.DiscoveryOnRequest.
 	DiscoveryMode balancer.DiscoveryMode
 }
 
-// The JSON forms of the parts of AgentSettings, with the keys of the agent's configuration.
+// The JSON encoding of AgentSettings.
 type (
 	settingsJSON struct {
 		Classes        []classJSON            `json:"classes"`
@@ -150,7 +150,7 @@
 	}
 )
 
-// MarshalJSON writes the settings with the keys of the agent's configuration.
+// MarshalJSON implements json.Marshaler with the keys of the agent's configuration.
 func (s AgentSettings) MarshalJSON() ([]byte, error) {
 	return json.Marshal(settingsJSON{
 		Classes: []classJSON{{
--- a/internal/processtest/await.go
+++ b/internal/processtest/await.go
@@ -8,30 +8,32 @@
 )
 
 const (
-	// awaitInterval is how often Await checks its condition.
+	// awaitInterval is the time between two checks of Await's condition.
 	awaitInterval = 10 * time.Millisecond
-	// maxParallel is for how many processes Each does something at a time.
+	// maxParallel is the maximum number of concurrent calls of Each.
 	maxParallel = 64
 )
 
-// Await checks a condition every awaitInterval until it is met or the time has passed; the error says what was awaited.
+// Await checks a condition every awaitInterval until it is met, and returns an error if it is not met in time. what
+// describes the condition in the error.
 func Await(within time.Duration, what string, met func() bool) error {
 	return AwaitEvery(awaitInterval, within, what, met)
 }
 
-// AwaitEvery is Await with another interval. Each check may be a call that is repeated until it succeeds.
+// AwaitEvery is like Await with a given interval between two checks. A check may be an operation that is retried until
+// it succeeds.
 func AwaitEvery(interval, within time.Duration, what string, met func() bool) error {
 	end := time.Now().Add(within)
 	for !met() {
 		if time.Now().After(end) {
-			return fmt.Errorf("processtest: %s: not within %v", what, within)
+			return fmt.Errorf("processtest: %s: timed out after %v", what, within)
 		}
 		time.Sleep(interval)
 	}
 	return nil
 }
 
-// Each does something for many processes at once, up to maxParallel at a time, and returns all errors.
+// Each calls do for each of the names, with up to maxParallel concurrent calls, and returns their joined errors.
 func Each(names []string, do func(string) error) error {
 	var group sync.WaitGroup
 	errs := make([]error, len(names))
--- a/internal/processtest/build.go
+++ b/internal/processtest/build.go
@@ -6,10 +6,10 @@
 	"os/exec"
 )
 
-// commandsPath is the import path of the directory with the project's programs.
+// commandsPath is the prefix of the import paths of the project's programs.
 const commandsPath = "fernbeam.example/fernbeam/cmd/"
 
-// Build builds programs of the project, such as "agent", into a directory.
+// Build builds programs of the project, such as "agent", and writes the binaries to dir.
 func Build(ctx context.Context, dir string, programs ...string) error {
 	for _, program := range programs {
 		build := exec.CommandContext(ctx, "go", "build", "-o", dir+"/", commandsPath+program)
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -1,6 +1,7 @@
-// Package processtest is the project's multi-process test harness. It starts built programs on loopback ports from
-// the system and injects faults: SIGKILL, SIGSTOP and SIGCONT, restarts, CPU starvation, and on every link a TCP
-// proxy that can delay, drop or cut (a partition is a set of cut links). It keeps a history of what was done.
+// Package processtest is a harness for tests with several processes. It starts built programs with listeners on free
+// loopback ports and injects faults: SIGKILL, SIGSTOP and SIGCONT, restarts, CPU starvation, and network faults by a
+// TCP proxy on every link, which can delay, drop or cut connections. A partition is a set of cut links. The harness
+// keeps a history of its actions.
 package processtest
 
 import (
@@ -10,24 +11,24 @@
 	"time"
 )
 
-// Config says what to run. Each process of Names gets a listener for each of Ports on loopback with a port from the
-// system, inherited as file descriptor 3, 4, ... in the order of Ports; Args gives its command line once all addresses
-// and links are known.
+// Config configures a cluster. Each process in Names gets a listener for each of Ports, on a loopback address with a
+// free port, and inherits them as file descriptors 3, 4, ... in the order of Ports.
 type Config struct {
 	Binary string   // path of the built program
-	Dir    string   // where each process's log (NAME.log) and files go
-	Names  []string // the processes
-	Ports  []string // the names of each process's listeners, such as "raft" or "http"
-	// Args is the command line of a process (without the program's path); nil: none.
+	Dir    string   // directory of each process's log (NAME.log) and files
+	Names  []string // names of the processes
+	Ports  []string // names of each process's listeners, such as "raft" or "http"
+	// Args returns the command line arguments of a process. It is called at each start, when all addresses are known.
+	// Nil means none.
 	Args func(c *Cluster, name string) []string
-	// IP is the loopback address of a process's listeners; nil: one drawn for each. On an address of its own no
-	// connection of another process can take a port while the process that has it is down.
+	// IP returns the loopback address of a process's listeners. Nil means a random one for each process. If a process
+	// has an address of its own, no connection of another process can take its ports while it is down.
 	IP func(name string) string
-	// Env is what a process has in its environment beside the harness's own; nil: nothing.
+	// Env returns the environment variables that a process has in addition to those of the harness. Nil means none.
 	Env func(name string) []string
 }
 
-// Cluster is a running set of processes and the proxies between them. Its methods are safe for concurrent use.
+// Cluster is a set of processes and the proxies between them. Its methods are safe for concurrent use.
 type Cluster struct {
 	cfg       Config
 	start     time.Time
@@ -37,15 +38,15 @@
 	links     map[linkKey]*Link
 }
 
-// linkKey identifies a link by the process that connects and the listener that it connects to.
+// linkKey identifies a link by the connecting process and the listener that it connects to.
 type linkKey struct {
 	from, to, port string
 }
 
-// New reserves every process's addresses; nothing runs until Start.
+// New returns a cluster with an address for each listener of each process. It starts no process.
 func New(cfg Config) (*Cluster, error) {
 	if cfg.Binary == "" || cfg.Dir == "" || len(cfg.Names) == 0 {
-		return nil, errors.New("processtest: Binary, Dir and Names are all needed")
+		return nil, errors.New("processtest: Binary, Dir and Names are required")
 	}
 	c := &Cluster{cfg: cfg, start: time.Now(), processes: map[string]*process{}, links: map[linkKey]*Link{}}
 	var reserved reservation
@@ -61,18 +62,18 @@
 	return c, nil
 }
 
-// Names returns the processes.
+// Names returns the names of the processes.
 func (c *Cluster) Names() []string { return c.cfg.Names }
 
-// Addr returns the address of a process's listener by its port name.
+// Addr returns the address of a process's listener with the given port name.
 func (c *Cluster) Addr(name, port string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[name].addrs[port]
 }
 
-// Link returns the proxy between two processes, to a listener of the second by its port name. The first process is
-// configured with the proxy's address. Each proxy is made once.
+// Link returns the proxy from one process to a listener of another, which it starts at the first call. The caller has
+// to configure the first process with the proxy's address.
 func (c *Cluster) Link(from, to, port string) (*Link, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 	p := c.processes[to]
 	if p == nil || p.addrs[port] == "" {
-		return nil, fmt.Errorf("processtest: no listener %s of %q", port, to)
+		return nil, fmt.Errorf("processtest: no listener %q of process %q", port, to)
 	}
 	link, err := newLink(p.addrs[port])
 	if err != nil {
@@ -95,7 +96,7 @@
 // Close kills every process and closes every proxy.
 func (c *Cluster) Close() {
 	for _, name := range c.cfg.Names {
-		_ = c.Kill(name) // it waits for the end of the process, however that comes
+		_ = c.Kill(name) // returns once the process has ended, for whatever reason
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/processtest/discovery.go
+++ b/internal/processtest/discovery.go
@@ -9,7 +9,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The listeners of a discovery instance, as Config.Ports names them in this order.
+// The port names of a discovery instance's listeners.
 const (
 	RaftPort  = "raft"
 	HTTPPort  = "http"
@@ -19,11 +19,11 @@
 // discoveryFileMode is the mode of an instance's configuration file.
 const discoveryFileMode = 0o600
 
-// DiscoveryPorts returns the listeners of a discovery instance.
+// DiscoveryPorts returns the Config.Ports of discovery instances.
 func DiscoveryPorts() []string { return []string{RaftPort, HTTPPort, AdminPort} }
 
-// DiscoveryFile is the configuration file of a discovery instance that inherits its listeners, as far as tests use it.
-// The keys are those of the instance. One that is left out has the instance's default.
+// DiscoveryFile is the part of a discovery instance's configuration file that tests use. An omitted key has the
+// instance's default value.
 type DiscoveryFile struct {
 	ID        string `toml:"id"`
 	DataDir   string `toml:"data_dir"`
@@ -32,22 +32,23 @@
 	AdminAddr string `toml:"admin_addr"`
 	Bootstrap bool   `toml:"bootstrap"`
 
-	MaxStale        time.Duration `toml:"max_stale,omitzero"`        // 0: left out
-	ElectionTimeout time.Duration `toml:"election_timeout,omitzero"` // 0: left out
-	TrailingLogs    uint64        `toml:"trailing_logs,omitzero"`    // 0: left out
+	MaxStale        time.Duration `toml:"max_stale,omitzero"`        // 0 omits the key
+	ElectionTimeout time.Duration `toml:"election_timeout,omitzero"` // 0 omits the key
+	TrailingLogs    uint64        `toml:"trailing_logs,omitzero"`    // 0 omits the key
 
 	Peers []DiscoveryPeer `toml:"peers"`
 }
 
-// DiscoveryPeer is another instance as one instance reaches it.
+// DiscoveryPeer has the addresses at which an instance reaches another one.
 type DiscoveryPeer struct {
 	ID    string `toml:"id"`
 	Raft  string `toml:"raft"`
 	Admin string `toml:"admin"`
 }
 
-// DiscoveryFile returns the configuration of an instance of a cluster whose ports are DiscoveryPorts: the first
-// instance founds the service, and each reaches the others' Raft listeners by links. Its data is in DIR/NAME.
+// DiscoveryFile returns the configuration of an instance of a cluster whose ports are DiscoveryPorts. The first
+// instance bootstraps the service. The instance reaches the others' Raft listeners through links, and keeps its data
+// in DIR/NAME.
 func (c *Cluster) DiscoveryFile(name string) (DiscoveryFile, error) {
 	file := c.DirectDiscoveryFile(name)
 	for i, peer := range file.Peers {
@@ -60,7 +61,8 @@
 	return file, nil
 }
 
-// DirectDiscoveryFile returns a DiscoveryFile without links: each instance reaches the others' Raft listeners directly.
+// DirectDiscoveryFile is like Cluster.DiscoveryFile without links: the instance reaches the others' Raft listeners
+// directly.
 func (c *Cluster) DirectDiscoveryFile(name string) DiscoveryFile {
 	file := DiscoveryFile{
 		ID:        name,
@@ -83,7 +85,7 @@
 	return file
 }
 
-// Write writes the file.
+// Write writes the file to path.
 func (f DiscoveryFile) Write(path string) error {
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(f); err != nil {
--- a/internal/processtest/discovery_test.go
+++ b/internal/processtest/discovery_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// instanceCluster returns a cluster of discovery instances, of which none is started, in a directory.
+// instanceCluster returns a cluster of discovery instances that are not started.
 func instanceCluster(t *testing.T, dir string, names ...string) *Cluster {
 	t.Helper()
 	cluster, err := New(Config{Binary: "unused", Dir: dir, Names: names, Ports: DiscoveryPorts()})
@@ -19,7 +19,7 @@
 	return cluster
 }
 
-// checkDiscoveryFile checks the text of a file.
+// checkDiscoveryFile checks the text that is written for a file.
 func checkDiscoveryFile(t *testing.T, file DiscoveryFile, want string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "instance.toml")
--- a/internal/processtest/exemption_test.go
+++ b/internal/processtest/exemption_test.go
@@ -15,7 +15,7 @@
 		want     bool
 	}{{9, "a", false}, {15, "a", true}, {15, "b", false}, {20, "a", false}} {
 		if got := exemption.Covers(at(test.seconds), test.observer, "c"); got != test.want {
-			t.Errorf("at %d s, observer %s: covered %v, want %v", test.seconds, test.observer, got, test.want)
+			t.Errorf("at %d s, observer %s: covers %v, want %v", test.seconds, test.observer, got, test.want)
 		}
 	}
 	for _, test := range []struct {
--- a/internal/processtest/faults.go
+++ b/internal/processtest/faults.go
@@ -10,19 +10,19 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// The slices of time of a process that Starve lets run for a tenth of the time.
+// The time slices of Starve, which give a process a tenth of the time.
 const (
 	starvedPause = 90 * time.Millisecond
 	starvedRun   = 10 * time.Millisecond
 )
 
-// Pause sends SIGSTOP.
+// Pause sends SIGSTOP to a running process.
 func (c *Cluster) Pause(name string) error { return c.signal(name, syscall.SIGSTOP, ActionPause) }
 
-// Resume sends SIGCONT.
+// Resume sends SIGCONT to a running process.
 func (c *Cluster) Resume(name string) error { return c.signal(name, syscall.SIGCONT, ActionResume) }
 
-// signal sends a signal to a process that runs, and records it.
+// signal sends a signal to a running process and records the action.
 func (c *Cluster) signal(name string, signal syscall.Signal, action Action) error {
 	current := c.running(name)
 	if current == nil {
@@ -32,7 +32,7 @@
 	return current.signal(signal)
 }
 
-// PauseFor pauses processes for a time.
+// PauseFor pauses processes for the duration d.
 func (c *Cluster) PauseFor(d time.Duration, names ...string) error {
 	for _, name := range names {
 		if err := c.Pause(name); err != nil {
@@ -43,7 +43,8 @@
 	return Each(names, c.Resume)
 }
 
-// Starve lets processes run for a tenth of the time, in short slices, for a time. Those that have ended are left alone.
+// Starve pauses and resumes processes in turn for the duration d, so that they run in short slices for a tenth of the
+// time. It skips processes that have ended.
 func (c *Cluster) Starve(d time.Duration, names ...string) error {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		if err := c.signalRunning(syscall.SIGSTOP, names); err != nil {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// signalRunning sends a signal to those of some processes that run; the history does not have it.
+// signalRunning sends a signal to those of the named processes that are running. It records nothing in the history.
 func (c *Cluster) signalRunning(signal syscall.Signal, names []string) error {
 	for _, name := range names {
 		current := c.running(name)
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// Partition cuts every link between processes of different groups; processes of no group keep their links. Heal
-// undoes it.
+// Partition cuts every link between processes of different groups and restores the other links. A process of no group
+// keeps all of its links. Heal ends the partition.
 func (c *Cluster) Partition(groups ...[]string) {
 	partition := faultproxy.NewPartition(groups...)
 	c.mu.Lock()
@@ -84,7 +85,7 @@
 	c.record("", ActionPartition, fmt.Sprint(groups))
 }
 
-// Heal restores every link to pass everything at once.
+// Heal removes the cut, delay and drop of every link.
 func (c *Cluster) Heal() {
 	c.mu.Lock()
 	for _, link := range c.links {
--- a/internal/processtest/history.go
+++ b/internal/processtest/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is what was done to a process or to the cluster.
+// Action is an action of the harness on a process or on the cluster.
 type Action string
 
 // The values of Action.
@@ -16,12 +16,12 @@
 	ActionHeal      Action = "heal"
 )
 
-// Event is one entry of the history.
+// Event is an entry of a cluster's history.
 type Event struct {
 	At      time.Duration // since New
-	Process string        // "": the whole cluster
+	Process string        // empty for an action on the whole cluster
 	Action  Action
-	Detail  string // such as the process id; "": none
+	Detail  string // such as the process ID; may be empty
 }
 
 // record adds an event to the history.
@@ -29,5 +29,5 @@
 	c.history.Add(Event{At: time.Since(c.start), Process: process, Action: action, Detail: detail})
 }
 
-// History returns a copy of the events so far, in the order in which they were recorded.
+// History returns a copy of the events so far, in the order of their recording.
 func (c *Cluster) History() []Event { return c.history.All() }
--- a/internal/processtest/incarnation_test.go
+++ b/internal/processtest/incarnation_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("the incarnations are out of order: %v", incarnations)
 	}
 	if killed.IsRunning() || killed.Graceful || ended.IsRunning() || !ended.Graceful || !running.IsRunning() {
-		t.Errorf("killed, ended and running are recorded as %v", incarnations)
+		t.Errorf("the killed, terminated and running incarnations are recorded as %v", incarnations)
 	}
 	if got := cluster.Incarnations("unknown"); got != nil {
 		t.Errorf("an unknown process has incarnations %v", got)
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// linkIP is the address of all links.
+	// linkIP is the IP address on which all links listen.
 	linkIP = "127.0.0.1"
-	// linkDialTimeout bounds a link's connection to its target.
+	// linkDialTimeout bounds the time to connect to a link's target.
 	linkDialTimeout = time.Second
-	// linkChunkBytes is the most that a link relays at a time.
+	// linkChunkBytes is the maximum size of a chunk that a link relays at once.
 	linkChunkBytes = 32 << 10
 )
 
-// Link is a TCP proxy on one directed link. A cut link resets its connections and closes new ones at once; a delay
-// holds each chunk of bytes that long in each direction; a drop closes that share of new connections at once, as lost
-// packets would fail them. Its methods are safe for concurrent use.
+// Link is a TCP proxy from one process to a listener of another. A cut closes its connections, and each new one at
+// once. A delay holds back each chunk of bytes in either direction. A drop closes a fraction of the new connections at
+// once, as if lost packets had made them fail. The methods are safe for concurrent use.
 type Link struct {
 	target   string
 	ln       net.Listener
@@ -31,7 +31,7 @@
 	accepted []time.Time
 }
 
-// newLink starts a proxy to a target.
+// newLink starts a proxy to the address target.
 func newLink(target string) (*Link, error) {
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(linkIP)})
 	if err != nil {
@@ -42,17 +42,17 @@
 	return l, nil
 }
 
-// Addr returns the proxy's address, host:port on loopback.
+// Addr returns the proxy's loopback address (host:port).
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Accepted returns the times at which connections came, in order, those that were closed at once among them.
+// Accepted returns the times at which connections were accepted, in order, including those that were closed at once.
 func (l *Link) Accepted() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.accepted)
 }
 
-// SetCut cuts the link (true) or restores it; a cut closes the open connections.
+// SetCut cuts or restores the link. A cut closes the open connections.
 func (l *Link) SetCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,14 +64,14 @@
 	}
 }
 
-// SetDelay delays each chunk of bytes.
+// SetDelay sets the delay of each chunk of bytes.
 func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// SetDrop closes that share (0 to 1) of new connections.
+// SetDrop sets the fraction (0 to 1) of new connections that are closed at once.
 func (l *Link) SetDrop(share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// admit records a new connection and tells whether it is relayed.
+// admit records a new connection and reports whether it is to be relayed.
 func (l *Link) admit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	return !l.cut && rand.Float64() >= l.drop
 }
 
-// relay connects to the target and relays both directions until one ends.
+// relay connects to the target and relays both directions until one of them ends.
 func (l *Link) relay(in net.Conn) {
 	out, err := net.DialTimeout("tcp", l.target, linkDialTimeout) //nolint:noctx // the timeout bounds it
 	if err != nil {
@@ -126,7 +126,7 @@
 	delete(l.conns, out)
 }
 
-// register adds the two connections of a relay, which a cut closes, and tells whether the link is not cut.
+// register adds the two connections of a relay to those that a cut closes. It returns false if the link is cut.
 func (l *Link) register(in, out net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +138,7 @@
 	return true
 }
 
-// pipe copies src to dst, each chunk after the link's delay, and closes both at the end.
+// pipe copies src to dst, each chunk after the link's delay, and then closes both.
 func (l *Link) pipe(dst, src net.Conn) {
 	defer closeConn(dst)
 	defer closeConn(src)
@@ -157,7 +157,7 @@
 	}
 }
 
-// awaitDelay holds a chunk for the link's delay, which is the fault that a test injects.
+// awaitDelay waits for the link's delay, a fault that a test injects.
 func (l *Link) awaitDelay() {
 	l.mu.Lock()
 	delay := l.delay
@@ -167,9 +167,9 @@
 
 // close ends the proxy and its connections.
 func (l *Link) close() {
-	_ = l.ln.Close() // the harness ends
+	_ = l.ln.Close() // the proxy is not used any more
 	l.SetCut(true)
 }
 
-// closeConn closes a relayed connection: its two ends see the result, the relay has no use for the error.
+// closeConn closes a relayed connection. Both peers notice the close, so the relay ignores its error.
 func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/processtest/listeners.go
+++ b/internal/processtest/listeners.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// reservation has the listeners that reserve addresses until it is released: so none of them is drawn twice.
+// reservation has the listeners that reserve addresses until release, so that no address is chosen twice.
 type reservation struct {
 	listeners []net.Listener
 }
 
-// release closes the listeners. Each start of a process listens on its addresses anew.
+// release closes the listeners. Each start of a process listens on its addresses again.
 func (r *reservation) release() error {
 	var failure error
 	for _, listener := range r.listeners {
@@ -24,7 +24,7 @@
 	return failure
 }
 
-// draw draws the addresses of a process's listeners, by port name, and reserves them.
+// draw reserves an address for each of a process's listeners, and returns the addresses by port name.
 func (r *reservation) draw(ip net.IP, ports []string) (map[string]string, error) {
 	addrs := map[string]string{}
 	for _, port := range ports {
@@ -38,7 +38,7 @@
 	return addrs, nil
 }
 
-// ip returns the address of a process's listeners.
+// ip returns the IP address of a process's listeners.
 func (c *Cluster) ip(name string) net.IP {
 	if c.cfg.IP == nil {
 		return drawIP()
@@ -46,14 +46,14 @@
 	return net.ParseIP(c.cfg.IP(name))
 }
 
-// firstPort and endPort bound the ports of processes, below those that the system gives out by itself (from 32768 on):
-// none of these is taken while a process is down.
+// firstPort and endPort bound the ports of processes. They are below the ephemeral ports (from 32768 on), so that the
+// system does not assign the port of a process that is down.
 const firstPort, endPort = 20_000, 32_000
 
-// maxPortDraws bounds the draws until a port is free.
+// maxPortDraws is the maximum number of ports that are tried to find a free one.
 const maxPortDraws = 1000
 
-// listenOnFreePort listens on a port drawn from those of processes.
+// listenOnFreePort listens on a random free port from firstPort to endPort-1.
 func listenOnFreePort(ip net.IP) (net.Listener, error) {
 	for range maxPortDraws {
 		port := firstPort + rand.IntN(endPort-firstPort)
@@ -65,18 +65,19 @@
 	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
 }
 
-// drawIP draws a loopback address; outgoing connections come from 127.0.0.1, which it never is.
+// drawIP returns a random loopback address other than 127.0.0.1, from which outgoing connections come.
 func drawIP() net.IP {
 	const (
 		loopback    = 127
 		byteValues  = 256
-		innerValues = byteValues - 2 // without 0 and 255
+		innerValues = byteValues - 2 // all but 0 and 255
 	)
 	innerByte := func() byte { return byte(1 + rand.IntN(innerValues)) }
 	return net.IPv4(loopback, innerByte(), byte(rand.IntN(byteValues)), innerByte())
 }
 
-// listen opens a process's listeners, as files that it inherits; after an error these are the ones opened until then.
+// listen opens a process's listeners as files for the process to inherit. If an error occurs, it returns the files that
+// were opened before it.
 func (c *Cluster) listen(name string, p *process) ([]*os.File, error) {
 	var files []*os.File
 	for _, port := range c.cfg.Ports {
@@ -90,14 +91,14 @@
 }
 
 const (
-	// listenTimeout bounds how long an address may still be in use by a listener that was closed: another process
-	// that is being started at that moment has a copy of it until its exec.
+	// listenTimeout bounds how long an address may stay in use after its listener was closed: a process that is being
+	// started at that moment has a copy of the listener between fork and exec.
 	listenTimeout = 5 * time.Second
 	// listenInterval is the time between two attempts to listen.
 	listenInterval = 5 * time.Millisecond
 )
 
-// listenAgain listens on an address of which an earlier listener was closed.
+// listenAgain listens on an address whose previous listener was closed.
 func listenAgain(addr *net.TCPAddr) (ln *net.TCPListener, err error) {
 	isFree := func() bool {
 		ln, err = net.ListenTCP("tcp", addr)
@@ -119,13 +120,13 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = ln.Close() }() // the file is a duplicate of it
+	defer func() { _ = ln.Close() }() // File returns a duplicate
 	return ln.File()
 }
 
-// closeAll closes files that a process has inherited.
+// closeAll closes the harness's copies of files that a process inherits.
 func closeAll(files []*os.File) {
 	for _, file := range files {
-		_ = file.Close() // the process has duplicates
+		_ = file.Close() // the process has its own descriptors
 	}
 }
--- a/internal/processtest/listeners_test.go
+++ b/internal/processtest/listeners_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestAddressesOfAProcessAreDistinct draws many ports for one process, so that a port that the system gives out
-// again would show.
+// TestAddressesOfAProcessAreDistinct checks that no two listeners of a process get the same address. It reserves many
+// ports for one process, so that a repeated one is likely to be found.
 func TestAddressesOfAProcessAreDistinct(t *testing.T) {
 	const ports = 500
 	var names []string
@@ -22,11 +22,11 @@
 	for _, name := range names {
 		addr := cluster.Addr("a", name)
 		if other := nameOf[addr]; other != "" {
-			t.Errorf("%s and %s have one address %s", other, name, addr)
+			t.Errorf("%s and %s have the same address %s", other, name, addr)
 		}
 		nameOf[addr] = name
 		if port := netip.MustParseAddrPort(addr).Port(); port < firstPort || port >= endPort {
-			t.Errorf("%s has %s, which the system may give out again", name, addr)
+			t.Errorf("%s has %s, a port that the system may assign to others", name, addr)
 		}
 	}
 }
--- a/internal/processtest/process.go
+++ b/internal/processtest/process.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// logMode is the mode of a process's log.
+// logMode is the mode of a process's log file.
 const logMode = 0o644
 
-// Why nothing can be done to a process.
+// Errors of operations on a process.
 var (
-	ErrUnknownProcess = errors.New("no process of the cluster")
-	ErrRunning        = errors.New("it is running")
-	ErrNotRunning     = errors.New("it is not running")
+	ErrUnknownProcess = errors.New("unknown process")
+	ErrRunning        = errors.New("already running")
+	ErrNotRunning     = errors.New("not running")
 )
 
-// process is one process of a cluster, running or not.
+// process is a process of a cluster. It may be running or not.
 type process struct {
-	addrs        map[string]string // of its listeners, by port name
+	addrs        map[string]string // addresses of its listeners, by port name
 	incarnations []Incarnation
-	last         *execution // of the last start; nil: it was never started
+	last         *execution // the most recent one; nil if it was never started
 }
 
 // execution is one execution of a process's command.
 type execution struct {
 	cmd   *exec.Cmd
-	ended chan struct{} // closed once the process has ended
+	ended chan struct{} // closed when the process has ended
 }
 
 // start starts a command.
@@ -41,13 +41,13 @@
 	}
 	e := &execution{cmd: cmd, ended: make(chan struct{})}
 	go func() {
-		_ = cmd.Wait() // tests end processes by signals; their logs have the errors
+		_ = cmd.Wait() // tests end processes by signals; other errors are in the processes' logs
 		close(e.ended)
 	}()
 	return e, nil
 }
 
-// isRunning tells whether the process has not ended; a paused one has not.
+// isRunning reports whether the process has not ended. A paused process is running.
 func (e *execution) isRunning() bool {
 	select {
 	case <-e.ended:
@@ -60,7 +60,7 @@
 // signal sends a signal.
 func (e *execution) signal(signal syscall.Signal) error { return e.cmd.Process.Signal(signal) }
 
-// Start runs a process that is not running, with its listeners inherited.
+// Start starts a process that is not running. The process inherits its listeners.
 func (c *Cluster) Start(name string) error {
 	c.mu.Lock()
 	p := c.processes[name]
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// command returns the command of a process, without its files.
+// command returns the command of a process without its standard streams and inherited files.
 func (c *Cluster) command(name string) *exec.Cmd {
 	cmd := exec.Command(c.cfg.Binary) //nolint:noctx // the process outlives this call; Kill, Term and Close end it
 	if c.cfg.Args != nil {
@@ -108,12 +108,12 @@
 	if c.cfg.Env != nil {
 		cmd.Env = append(os.Environ(), c.cfg.Env(name)...)
 	}
-	// However the harness ends, none of its processes stays.
+	// The kernel kills the process when the harness ends, for whatever reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// running returns a process's execution; nil: it does not run.
+// running returns a process's current execution, or nil if it is not running.
 func (c *Cluster) running(name string) *execution {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,10 +124,11 @@
 	return p.last
 }
 
-// Running tells whether a process runs (a paused one does).
+// Running reports whether a process is running. A paused process is running.
 func (c *Cluster) Running(name string) bool { return c.running(name) != nil }
 
-// FirstRunning returns the first running process, in the order of the names, that fulfils a condition; "": none does.
+// FirstRunning returns the name of the first running process, in the order of Config.Names, that meets a condition, or
+// "" if none does.
 func (c *Cluster) FirstRunning(condition func(name string) bool) string {
 	for _, name := range c.cfg.Names {
 		if c.Running(name) && condition(name) {
@@ -137,12 +138,12 @@
 	return ""
 }
 
-// Others returns the processes but one.
+// Others returns the names of all processes except the given one.
 func (c *Cluster) Others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(c.cfg.Names), func(other string) bool { return other == name })
 }
 
-// Pid returns a running process's id, or 0.
+// Pid returns the process ID of a running process, or 0 if it is not running.
 func (c *Cluster) Pid(name string) int {
 	if current := c.running(name); current != nil {
 		return current.cmd.Process.Pid
@@ -150,14 +151,14 @@
 	return 0
 }
 
-// Kill sends SIGKILL (and SIGCONT, so that a paused process ends too) and waits for the end; a process that is not
-// running gets no signal.
+// Kill sends SIGKILL to a process, and SIGCONT in case it is paused, and waits until it has ended. A process that is
+// not running gets no signal.
 func (c *Cluster) Kill(name string) error { return c.end(name, syscall.SIGKILL, ActionKill) }
 
-// Term sends SIGTERM and waits for the end.
+// Term is like Kill, but sends SIGTERM.
 func (c *Cluster) Term(name string) error { return c.end(name, syscall.SIGTERM, ActionTerm) }
 
-// end records the end of a process, sends it a signal and waits until it has ended.
+// end records the end of a process, sends it a signal followed by SIGCONT, and waits until it has ended.
 func (c *Cluster) end(name string, signal syscall.Signal, action Action) error {
 	c.recordEnd(name, signal)
 	current := c.running(name)
@@ -165,14 +166,14 @@
 		return nil
 	}
 	c.record(name, action, "")
-	// A process that has ended by itself meanwhile takes no signal.
+	// The signals fail if the process has exited on its own in the meantime.
 	_ = current.signal(signal)
 	_ = current.signal(syscall.SIGCONT)
 	<-current.ended
 	return nil
 }
 
-// recordEnd records the end of a process's incarnation by a signal, unless it is recorded already.
+// recordEnd records the end of a process's last incarnation by a signal, unless its end is already recorded.
 func (c *Cluster) recordEnd(name string, signal syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,7 +188,7 @@
 	}
 }
 
-// Restart kills a process if it runs and starts it again on the same ports.
+// Restart kills a process if it is running, and starts it again with the same addresses.
 func (c *Cluster) Restart(name string) error {
 	if err := c.Kill(name); err != nil {
 		return err
--- a/internal/processtest/records.go
+++ b/internal/processtest/records.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// Records are what the goroutines of a test have recorded, in its order. They are safe for concurrent use; the zero
-// value is empty.
+// Records is a list of records that the goroutines of a test add to, in the order of the additions. Its methods are
+// safe for concurrent use. The zero value is an empty list.
 type Records[T any] struct {
 	mu   sync.Mutex
 	list []T
 }
 
-// Add adds a record.
+// Add appends a record.
 func (r *Records[T]) Add(record T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/processtest/timeline.go
+++ b/internal/processtest/timeline.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// maxTimelineEntries bounds the entries that a timeline writes.
+// maxTimelineEntries is the maximum number of entries in a timeline's text.
 const maxTimelineEntries = 60
 
-// Timeline merges the histories of several processes by time, for the report of a failure.
+// Timeline merges the histories of several processes by time for the report of a failure.
 type Timeline struct {
 	entries []timelineEntry
 }
 
-// timelineEntry is a line of a timeline.
+// timelineEntry is an entry of a timeline.
 type timelineEntry struct {
 	at   time.Time
 	text string
 }
 
-// Add adds an entry.
+// Add adds an entry with a formatted text.
 func (t *Timeline) Add(at time.Time, format string, args ...any) {
 	t.entries = append(t.entries, timelineEntry{at: at, text: fmt.Sprintf(format, args...)})
 }
 
-// AddIncarnation adds the start and the end of a process's run.
+// AddIncarnation adds the start and the end of an incarnation of a process.
 func (t *Timeline) AddIncarnation(name string, incarnation Incarnation) {
 	t.Add(incarnation.Start, "%s started", name)
 	if !incarnation.IsRunning() {
@@ -34,7 +34,7 @@
 	}
 }
 
-// AddEvents adds the history of a cluster from a time on.
+// AddEvents adds the events of a cluster's history at or after the time from.
 func (t *Timeline) AddEvents(c *Cluster, from time.Time) {
 	for _, event := range c.History() {
 		if at := c.start.Add(event.At); !at.Before(from) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// String returns the last entries in the order of time, one a line.
+// String returns the last maxTimelineEntries entries in chronological order, one per line.
 func (t *Timeline) String() string {
 	entries := slices.SortedStableFunc(slices.Values(t.entries), func(a, b timelineEntry) int {
 		return a.at.Compare(b.at)
@@ -55,5 +55,5 @@
 	return text.String()
 }
 
-// FormatTime formats a time for a report: the seconds of its minute.
+// FormatTime formats a time for a report as seconds within its minute.
 func FormatTime(at time.Time) string { return at.Format("05.000000") }
--- a/internal/processtest/usage.go
+++ b/internal/processtest/usage.go
@@ -8,16 +8,15 @@
 	"time"
 )
 
-// Usage are the resources of a process: processor time, user and system, since its start, resident memory now, open
-// descriptors and threads.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU         time.Duration
-	RSS         int64 // bytes
-	Descriptors int
+	CPU         time.Duration // user and system time since the start of the process
+	RSS         int64         // resident memory in bytes
+	Descriptors int           // number of open file descriptors
 	Threads     int
 }
 
-// The fields of /proc/PID/stat that are read, counted from zero behind the command, and their units (proc(5)).
+// Indices of fields of /proc/PID/stat after the command, from zero, and the units of the values (proc(5)).
 const (
 	statUserTime   = 11 // clock ticks
 	statSystemTime = 12 // clock ticks
@@ -28,7 +27,7 @@
 
 const kilobytesPerMB = 1 << 10
 
-// ProcessUsage reads the resources of a running process from /proc (proc(5)).
+// ProcessUsage reads the resource usage of a running process from /proc (proc(5)).
 func ProcessUsage(pid int) (Usage, error) {
 	path := fmt.Sprintf("/proc/%d/stat", pid)
 	stat, err := os.ReadFile(path)
@@ -44,13 +43,13 @@
 	return usage, err
 }
 
-// parseStat reads all of a Usage but the descriptors from a line of /proc/PID/stat.
+// parseStat parses the text of /proc/PID/stat, which has all of a Usage except the descriptors.
 func parseStat(stat string) (Usage, error) {
-	// The command is in brackets and may have any characters; the fields that are read follow it.
+	// The command is in parentheses and may contain any characters, also parentheses and spaces.
 	commandEnd := strings.LastIndexByte(stat, ')')
 	fields := strings.Fields(stat[commandEnd+1:])
 	if len(fields) <= statRSS {
-		return Usage{}, fmt.Errorf("%d fields behind the command", len(fields))
+		return Usage{}, fmt.Errorf("%d fields after the command, too few", len(fields))
 	}
 	var numbers [statRSS + 1]int64
 	for _, i := range []int{statUserTime, statSystemTime, statThreads, statRSS} {
@@ -67,7 +66,7 @@
 	}, nil
 }
 
-// FreeMB returns this machine's available memory in MB (proc(5), meminfo); 0 if it can't be read.
+// FreeMB returns the machine's available memory in MB from /proc/meminfo (proc(5)), or 0 if it can't be read.
 func FreeMB() int {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -75,7 +74,7 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		var kilobytes int
-		if n, _ := fmt.Sscanf(line, "MemAvailable: %d kB", &kilobytes); n == 1 { // other lines do not match
+		if n, _ := fmt.Sscanf(line, "MemAvailable: %d kB", &kilobytes); n == 1 { // ignore the error: other lines do not match
 			return kilobytes / kilobytesPerMB
 		}
 	}
--- a/internal/processtest/usage_test.go
+++ b/internal/processtest/usage_test.go
@@ -11,6 +11,6 @@
 		t.Fatal(err)
 	}
 	if usage.RSS == 0 || usage.Descriptors == 0 || usage.Threads == 0 {
-		t.Errorf("%+v", usage)
+		t.Errorf("the usage of this process is %+v, want memory, descriptors and threads above zero", usage)
 	}
 }
--- a/internal/processtest/violation.go
+++ b/internal/processtest/violation.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// maxReportedViolations is how many violations a ViolationsError names.
+// maxReportedViolations is the maximum number of violations in the text of a ViolationsError.
 const maxReportedViolations = 5
 
-// Rule names a rule that the histories of all cases keep.
+// Rule is the name of a rule that the history of every case has to follow.
 type Rule string
 
-// Violation is a rule that a history breaks.
+// Violation is a violation of a rule by a history.
 type Violation struct {
 	Rule    Rule
-	Subject string // the process that it is about
-	Text    string // how the rule is broken
+	Subject string // the process that it concerns
+	Text    string // description of the violation
 }
 
-// String returns the rule and how it is broken.
+// String returns the rule and the description.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Text }
 
-// ViolationsError tells that the history of a case breaks rules.
+// ViolationsError is the error of a case whose history violates rules.
 type ViolationsError struct {
 	Violations []Violation
-	Timeline   string // what led to the first of them
+	Timeline   string // the events that led to the first violation
 }
 
-// Error returns the first violations, one a line, and the timeline.
+// Error returns the first violations, one per line, and the timeline.
 func (e *ViolationsError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d violations, the first:", len(e.Violations))
