--- a/cmd/membership/runner.go
+++ b/cmd/membership/runner.go
@@ -77,7 +77,7 @@
 
 // checkMemory checks that this machine has the memory for a number of agents.
 func checkMemory(agents int) error {
-	need, free := agents*agentMemoryMB, processtest.FreeMB()
+	need, free := agents*agentMemoryMB, processtest.AvailableMemoryMB()
 	if need > free {
 		return fmt.Errorf("%d agents take some %d MB, and %d MB are free", agents, need, free)
 	}
--- a/internal/experiment/requirements.go
+++ b/internal/experiment/requirements.go
@@ -33,7 +33,7 @@
 			agents, s.requestRate(), needed, available)
 	}
 	megabytes := agents*megabytesPerAgent + servers*megabytesPerServer + megabytesOfHarness
-	if free := processtest.FreeMB(); megabytes > free {
+	if free := processtest.AvailableMemoryMB(); megabytes > free {
 		return fmt.Errorf("%d agents and %d servers take some %d MB, and %d MB are free",
 			agents, servers, megabytes, free)
 	}
--- a/internal/processtest/usage.go
+++ b/internal/processtest/usage.go
@@ -66,8 +66,8 @@
 	}, nil
 }
 
-// FreeMB returns the machine's available memory in MB from /proc/meminfo (proc(5)), or 0 if it can't be read.
-func FreeMB() int {
+// AvailableMemoryMB returns the machine's available memory in MB from /proc/meminfo (proc(5)), or 0 if it is unknown.
+func AvailableMemoryMB() int {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0
