--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -186,7 +186,7 @@
 		Listen:    "127.0.0.1:0",
 		Discovery: addrs[0],
 		Seed:      fmt.Sprintf("%x", number+1),
-		Limits:    processtest.LimitsOf(1),
+		Limits:    processtest.AgentLimitsFor(1),
 		Control:   &processtest.AgentControl{Service: service, Addresses: addrs[1:]},
 		Settings:  own,
 	}
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -167,7 +167,7 @@
 		Management: h.address(process, adminPort),
 		Discovery:  h.discovery.Addr,
 		Seed:       agentSeed,
-		Limits:     processtest.LimitsOf(agentCores),
+		Limits:     processtest.AgentLimitsFor(agentCores),
 		Known:      processtest.AgentList{Full: true},
 		Settings:   processtest.AgentSettings{Agents: h.cfg.Agents, MaxAttempts: maxAttempts},
 	}
--- a/internal/processtest/agent.go
+++ b/internal/processtest/agent.go
@@ -69,8 +69,8 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// LimitsOf returns the limits of an agent under test that may use the given number of processor cores.
-func LimitsOf(cores float64) AgentLimits {
+// AgentLimitsFor returns the limits of an agent under test that may use the given number of processor cores.
+func AgentLimitsFor(cores float64) AgentLimits {
 	return AgentLimits{Cores: cores, MemoryMB: agentMemoryMB, Sockets: agentSockets}
 }
 
--- a/internal/scaletest/configurations_test.go
+++ b/internal/scaletest/configurations_test.go
@@ -80,7 +80,7 @@
 		Management: c.adminAddress(i),
 		Discovery:  c.discovery,
 		Seed:       "1",
-		Limits:     processtest.LimitsOf(agentCores),
+		Limits:     processtest.AgentLimitsFor(agentCores),
 		Known:      processtest.AgentList{Full: true},
 		Fleet: &membership.Config{
 			Bind:             c.address(i, c.port),
