--- a/internal/processtest/agent_test.go
+++ b/internal/processtest/agent_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAgentSettingsLeaveOutUnsetKeys(t *testing.T) {
+func TestAgentSettingsOmitUnsetKeys(t *testing.T) {
 	type decoded struct {
 		Index    *int
 		Contract map[string]int
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -52,7 +52,7 @@
 	var reserved reservation
 	var failure error
 	for _, name := range cfg.Names {
-		addrs, err := reserved.draw(c.ip(name), cfg.Ports)
+		addrs, err := reserved.add(c.ip(name), cfg.Ports)
 		c.processes[name] = &process{addrs: addrs}
 		failure = errors.Join(failure, err)
 	}
--- a/internal/processtest/discovery_test.go
+++ b/internal/processtest/discovery_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestDiscoveryFileLeavesOutUnsetKeys(t *testing.T) {
+func TestDiscoveryFileOmitsUnsetKeys(t *testing.T) {
 	dir := t.TempDir()
 	file := instanceCluster(t, dir, "n1").DirectDiscoveryFile("n1")
 	want := fmt.Sprintf(`id = "n1"
@@ -52,7 +52,7 @@
 	checkDiscoveryFile(t, file, want+"max_stale = \"1s\"\nelection_timeout = \"100ms\"\ntrailing_logs = 10\n")
 }
 
-func TestDiscoveryFileReachesPeersByLinks(t *testing.T) {
+func TestDiscoveryFileReachesPeersThroughLinks(t *testing.T) {
 	dir := t.TempDir()
 	cluster := instanceCluster(t, dir, "n1", "n2")
 	link, err := cluster.Link("n2", "n1", RaftPort)
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -72,10 +72,10 @@
 }
 
 // SetDrop sets the fraction (0 to 1) of new connections that are closed at once.
-func (l *Link) SetDrop(share float64) {
+func (l *Link) SetDrop(fraction float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop = share
+	l.drop = fraction
 }
 
 // accept relays connections until the link is closed.
--- a/internal/processtest/listeners.go
+++ b/internal/processtest/listeners.go
@@ -24,8 +24,8 @@
 	return failure
 }
 
-// draw reserves an address for each of a process's listeners, and returns the addresses by port name.
-func (r *reservation) draw(ip net.IP, ports []string) (map[string]string, error) {
+// add reserves an address for each of a process's listeners, and returns the addresses by port name.
+func (r *reservation) add(ip net.IP, ports []string) (map[string]string, error) {
 	addrs := map[string]string{}
 	for _, port := range ports {
 		listener, err := listenOnFreePort(ip)
@@ -41,7 +41,7 @@
 // ip returns the IP address of a process's listeners.
 func (c *Cluster) ip(name string) net.IP {
 	if c.cfg.IP == nil {
-		return drawIP()
+		return randomLoopbackIP()
 	}
 	return net.ParseIP(c.cfg.IP(name))
 }
@@ -50,12 +50,12 @@
 // system does not assign the port of a process that is down.
 const firstPort, endPort = 20_000, 32_000
 
-// maxPortDraws is the maximum number of ports that are tried to find a free one.
-const maxPortDraws = 1000
+// maxPortAttempts is the maximum number of ports that are tried to find a free one.
+const maxPortAttempts = 1000
 
 // listenOnFreePort listens on a random free port from firstPort to endPort-1.
 func listenOnFreePort(ip net.IP) (net.Listener, error) {
-	for range maxPortDraws {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(endPort-firstPort)
 		ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port})
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
@@ -65,8 +65,8 @@
 	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
 }
 
-// drawIP returns a random loopback address other than 127.0.0.1, from which outgoing connections come.
-func drawIP() net.IP {
+// randomLoopbackIP returns a random loopback address other than 127.0.0.1, from which outgoing connections come.
+func randomLoopbackIP() net.IP {
 	const (
 		loopback    = 127
 		byteValues  = 256
--- a/internal/processtest/listeners_test.go
+++ b/internal/processtest/listeners_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestAddressesOfAProcessAreDistinct checks that no two listeners of a process get the same address. It reserves many
+// TestProcessAddressesAreDistinct checks that no two listeners of a process get the same address. It reserves many
 // ports for one process, so that a repeated one is likely to be found.
-func TestAddressesOfAProcessAreDistinct(t *testing.T) {
+func TestProcessAddressesAreDistinct(t *testing.T) {
 	const ports = 500
 	var names []string
 	for i := range ports {
--- a/internal/processtest/timeline_test.go
+++ b/internal/processtest/timeline_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestTimelineIsInOrderOfTime(t *testing.T) {
+func TestTimelineIsChronological(t *testing.T) {
 	start := time.Unix(0, 0)
 	timeline := new(Timeline)
 	timeline.Add(start.Add(2*time.Second), "second %d", 2)
