--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// reservationPort is the port by which a network of addresses is reserved.
+	// reservationPort is the port of the listener that reserves a network of addresses.
 	reservationPort = 19999
 	// firstNetwork and endNetwork bound the second byte of the addresses.
 	firstNetwork = 10
 	endNetwork   = 250
-	// bytesPerNetwork is how many values of the second byte a network has: a proxy has one for the processes and one
-	// for their relays.
+	// bytesPerNetwork is the number of values of the second byte in a network. A proxy uses one for its processes and
+	// one for their relays.
 	bytesPerNetwork = 2
 )
 
-var errNoNetwork = errors.New("faultproxy: no network of loopback addresses is free")
+var errNoNetwork = errors.New("faultproxy: no free network of loopback addresses")
 
-// Network is a network of loopback addresses that no other proxy or emulator on this machine has: those that begin
-// with 127.Number and 127.(Number+1).
+// Network is a network of loopback addresses that no other proxy or emulator on this machine uses: the addresses that
+// begin with 127.Number and 127.(Number+1).
 type Network struct {
 	Number      byte
-	Reservation net.Listener // the network is the caller's until it is closed; nothing connects to it
+	Reservation net.Listener // reserves the network until it is closed; nothing connects to it
 }
 
-// ReserveNetwork reserves a network.
+// ReserveNetwork reserves a free network. The caller has to close its Reservation.
 func ReserveNetwork() (Network, error) {
 	for number := byte(firstNetwork); number < endNetwork; number += bytesPerNetwork {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, number, 255, 254}), reservationPort)
--- a/internal/faultproxy/packets.go
+++ b/internal/faultproxy/packets.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxPacketBytes is the size of the largest packet.
+// maxPacketBytes is the maximum size of a packet.
 const maxPacketBytes = 64 << 10
 
-// relayPackets relays the packets to a process until Close.
+// relayPackets relays the packets sent to a process until Close.
 func (p *Proxy) relayPackets(to *relay) {
 	defer p.wg.Done()
 	buf := make([]byte, maxPacketBytes)
@@ -20,7 +20,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // reports that an earlier packet was rejected (ICMP)
+			continue // an ICMP error about an earlier packet
 		}
 		p.packets.Add(1)
 		p.bytes.Add(uint64(n))
@@ -28,7 +28,7 @@
 	}
 }
 
-// relayPacket relays one packet as its verdict says.
+// relayPacket relays or drops one packet according to its verdict.
 func (p *Proxy) relayPacket(to *relay, v verdict, packet []byte) {
 	switch {
 	case v.cut:
@@ -53,10 +53,10 @@
 
 // deliver sends a packet to the relay's process.
 func (r *relay) deliver(packet []byte) {
-	_, _ = r.udp.WriteToUDPAddrPort(packet, r.processAddr) // a packet that is not sent counts as lost by the network
+	_, _ = r.udp.WriteToUDPAddrPort(packet, r.processAddr) // a packet that can't be sent is lost, as on a network
 }
 
-// deliverAfter sends a packet after a delay. The caller does not change the packet any more.
+// deliverAfter sends a packet after a delay. The caller must not modify the packet afterwards.
 func (r *relay) deliverAfter(delay time.Duration, packet []byte) {
 	if delay == 0 {
 		r.deliver(packet)
--- a/internal/faultproxy/partition.go
+++ b/internal/faultproxy/partition.go
@@ -1,8 +1,8 @@
 package faultproxy
 
-// Partition separates groups of processes from each other. A process of no group is separated from none.
+// Partition separates groups of processes from each other. A process in no group is not separated from any other.
 type Partition struct {
-	groupOf map[string]int // number of the group by process, from 1; 0: none
+	groupOf map[string]int // group numbers from 1, by process; 0 means no group
 }
 
 // NewPartition returns the partition between groups of processes.
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,11 +1,11 @@
-// Package faultproxy relays UDP and TCP between processes on one machine, with a rule for each ordered pair: pass, cut,
-// delay with jitter, loss, duplication, reordering, replay.
+// Package faultproxy relays UDP and TCP between processes on one machine and injects network faults. For each ordered
+// pair of processes a rule can cut the network, delay packets with jitter, and lose, duplicate, reorder or replay them.
 //
-// Every process has a loopback address of its own, by which the proxy identifies the sender; the others use the address
-// of its relay. A cut is silent, as a network partition is: packets vanish, open connections stay open and deliver
-// nothing, new ones never get a response; when the cut heals, these connections are reset. A process that does not run
-// refuses connections through the relay too. What happens to a packet is drawn at random, by a generator for each
-// ordered pair that is seeded with the proxy's seed.
+// Every process has its own loopback address, by which the proxy identifies the sender. The other processes use the
+// address of the process's relay. A cut is silent, like a network partition: packets are dropped, open connections stay
+// open but deliver nothing, and new connections get no response. When the cut ends, these connections are reset. If a
+// process is not running, its relay refuses connections too. The faults of a packet are chosen by a random number
+// generator for each ordered pair, which is seeded with the proxy's seed and the pair.
 package faultproxy
 
 import (
@@ -21,7 +21,8 @@
 const (
 	// processPort is the port of every process and relay; their addresses differ.
 	processPort = 19998
-	// maxProcesses bounds the number of processes, addressesPerNet that of processes with the same third byte.
+	// maxProcesses bounds the number of processes, and addressesPerNet the number of those whose addresses have the
+	// same third byte.
 	maxProcesses    = 50_000
 	addressesPerNet = 250
 	// receiveBufferBytes is the size of a relay's receive buffer.
@@ -30,28 +31,28 @@
 
 var errTooManyProcesses = errors.New("faultproxy: too many processes")
 
-// Counts counts what a proxy has relayed and dropped.
+// Counts are the counters of a proxy.
 type Counts struct {
-	Packets uint64 // received
-	Bytes   uint64 // of these packets
+	Packets uint64 // packets received
+	Bytes   uint64 // total size of these packets
 	Lost    uint64 // packets dropped by Rule.Loss
-	Cut     uint64 // packets, and chunks of connections, dropped by a cut
+	Cut     uint64 // packets and chunks of connections dropped by a cut
 	Streams uint64 // connections accepted
 }
 
-// Proxy is a relay for each of its processes. Its methods are safe for concurrent use.
+// Proxy has a relay for each of its processes. Its methods are safe for concurrent use.
 type Proxy struct {
 	seed    uint64
 	network Network
 
 	mu          sync.Mutex
-	relays      map[string]*relay // by the process's name
+	relays      map[string]*relay // by process name
 	byProcessIP map[netip.Addr]*relay
 	defaultRule Rule
 	rules       map[pair]Rule
 	partitions  map[string]Partition // by name
 	random      map[pair]*rand.Rand
-	changed     chan struct{} // closed and replaced at each change of the rules
+	changed     chan struct{} // closed and replaced at each change of rules or partitions
 	closed      chan struct{}
 	wg          sync.WaitGroup
 
@@ -61,17 +62,17 @@
 // pair is an ordered pair of processes.
 type pair struct{ from, to string }
 
-// relay has the sockets by which the other processes reach one process.
+// relay has the sockets through which the other processes reach a process.
 type relay struct {
-	name        string
-	processAddr netip.AddrPort // at which the process listens, and from which it connects
+	name        string         // name of the process
+	processAddr netip.AddrPort // address at which the process listens and whose IP it connects from
 	relayAddr   netip.AddrPort
 	udp         *net.UDPConn
 	tcp         *net.TCPListener
 }
 
-// New returns a proxy without processes. It reserves a network of addresses, so that proxies of several programs can
-// exist at once.
+// New returns a proxy without processes. It reserves a network of addresses, so that proxies in several programs can
+// run at the same time.
 func New(seed uint64) (*Proxy, error) {
 	network, err := ReserveNetwork()
 	if err != nil {
@@ -90,18 +91,18 @@
 	}, nil
 }
 
-// Addresses are the addresses of a process, IP:port, for UDP and TCP.
+// Addresses are the addresses (IP:port) of a process for UDP and TCP.
 type Addresses struct {
-	Bind      string // at which the process has to listen, and from which it has to connect
-	Advertise string // that of its relay, by which the others reach it
+	Bind      string // address at which the process has to listen, and from whose IP it has to connect
+	Advertise string // address of its relay, at which the other processes reach it
 }
 
-// AddProcess starts the relay of one more process.
+// AddProcess starts the relay of a new process.
 func (p *Proxy) AddProcess(name string) (Addresses, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.relays[name] != nil {
-		return Addresses{}, fmt.Errorf("faultproxy: %q exists already", name)
+		return Addresses{}, fmt.Errorf("faultproxy: process %q already exists", name)
 	}
 	r, err := p.newRelay(name, len(p.relays)+1)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return Addresses{Bind: r.processAddr.String(), Advertise: r.relayAddr.String()}, nil
 }
 
-// newRelay opens the sockets of the relay of a process. number counts the processes from 1.
+// newRelay opens the sockets of the relay of a process. number is the number of the process, from 1.
 func (p *Proxy) newRelay(name string, number int) (*relay, error) {
 	if number > maxProcesses {
 		return nil, errTooManyProcesses
@@ -136,11 +137,11 @@
 	if r.tcp, err = net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(r.relayAddr)); err != nil {
 		return nil, errors.Join(err, r.udp.Close())
 	}
-	_ = r.udp.SetReadBuffer(receiveBufferBytes) // a smaller buffer only loses more under load
+	_ = r.udp.SetReadBuffer(receiveBufferBytes) // with a smaller buffer only more packets are lost under load
 	return r, nil
 }
 
-// Counts returns what the proxy has relayed and dropped so far.
+// Counts returns the present counters.
 func (p *Proxy) Counts() Counts {
 	return Counts{
 		Packets: p.packets.Load(),
@@ -151,20 +152,20 @@
 	}
 }
 
-// Close ends all relays and their connections.
+// Close closes all relays and their connections, and releases the network.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	close(p.closed)
 	for _, r := range p.relays {
-		_ = r.udp.Close() // nothing is left to send
-		_ = r.tcp.Close() // nothing is left to accept
+		_ = r.udp.Close() // the relay is not used any more
+		_ = r.tcp.Close()
 	}
 	p.mu.Unlock()
 	p.wg.Wait()
-	_ = p.network.Reservation.Close() // it accepts nothing
+	_ = p.network.Reservation.Close() // it accepts no connections
 }
 
-// senderOf returns the name of the process with an address, or "".
+// senderOf returns the name of the process with an address, or "" if there is none.
 func (p *Proxy) senderOf(addr netip.Addr) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// testTimeout bounds each wait of these tests.
+	// testTimeout bounds each wait in these tests.
 	testTimeout = 20 * time.Second
 	// pollInterval is the time between two checks of a condition.
 	pollInterval = time.Millisecond
-	// silentTime is how long a connection has to be silent to count as cut.
+	// silentTime is the time for which a connection has to deliver nothing to count as cut.
 	silentTime = 50 * time.Millisecond
-	// packetsEachWay is the number of packets that TestPacketsFollowRuleAndSeed sends each way.
+	// packetsEachWay is the number of packets that TestPacketsFollowRuleAndSeed sends in each direction.
 	packetsEachWay = 200
 )
 
-// testProcess is a process that listens at the address that a proxy assigns to it.
+// testProcess simulates a process that listens at the address that a proxy assigns to it.
 type testProcess struct {
 	t         *testing.T
 	addresses Addresses
@@ -31,7 +31,7 @@
 	tcp       net.Listener
 }
 
-// startProcess adds a process to a proxy. It ends with the test.
+// startProcess adds a process to a proxy. Its sockets are closed when the test ends.
 func startProcess(t *testing.T, p *Proxy, name string) *testProcess {
 	t.Helper()
 	addresses, err := p.AddProcess(name)
@@ -78,7 +78,7 @@
 	return dialer.DialContext(process.t.Context(), "tcp4", to.addresses.Advertise)
 }
 
-// receiveUntilEnd reads packets up to one with the text "end", which has to come.
+// receiveUntilEnd returns the packets received before one with the text "end", which has to arrive within testTimeout.
 func (process *testProcess) receiveUntilEnd() (got []string) {
 	process.t.Helper()
 	if err := process.udp.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// serveEcho accepts connections until the process is closed, and sends back what each receives.
+// serveEcho accepts connections until the process is closed, and sends back the data that each receives.
 func (process *testProcess) serveEcho() {
 	for {
 		conn, err := process.tcp.Accept()
@@ -105,8 +105,8 @@
 			return
 		}
 		go func() {
-			defer func() { _ = conn.Close() }() // the other side sees the end
-			_, _ = io.Copy(conn, conn)          // until the other side or a cut ends the connection
+			defer func() { _ = conn.Close() }() // the peer notices the close
+			_, _ = io.Copy(conn, conn)          // until the peer or a cut ends the connection
 		}()
 	}
 }
@@ -123,7 +123,7 @@
 	return err
 }
 
-// readWithin reads a byte from a connection, and returns the error of the read.
+// readWithin reads a byte from a connection within a timeout and returns the error of the read.
 func readWithin(t *testing.T, conn net.Conn, timeout time.Duration) error {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
@@ -133,8 +133,8 @@
 	return err
 }
 
-// receiveWithSeed sends packets both ways under rules, one of them a cut, and returns those that arrived. No
-// packet may pass the cut.
+// receiveWithSeed sends packets from x to y under a rule, and from y to x under a cut, and returns those that y has
+// received. It fails the test if a packet passes the cut.
 func receiveWithSeed(t *testing.T, seed uint64) []string {
 	t.Helper()
 	p, err := New(seed)
@@ -161,7 +161,7 @@
 	return y.receiveUntilEnd()
 }
 
-// awaitPackets waits until a proxy has received a number of packets.
+// awaitPackets waits until a proxy has received the given number of packets.
 func awaitPackets(t *testing.T, p *Proxy, packets uint64) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); p.Counts().Packets < packets; time.Sleep(pollInterval) {
@@ -171,15 +171,15 @@
 	}
 }
 
-// TestPacketsFollowRuleAndSeed: the same seed loses, duplicates and replays the same packets; a one-way cut is one
-// way.
+// TestPacketsFollowRuleAndSeed checks that the same seed loses, duplicates and replays the same packets, about as many
+// as the rule says, and that a cut of one direction does not affect the other.
 func TestPacketsFollowRuleAndSeed(t *testing.T) {
 	first, second, other := receiveWithSeed(t, 7), receiveWithSeed(t, 7), receiveWithSeed(t, 8)
 	if !slices.Equal(first, second) {
-		t.Error("the same seed gave other packets")
+		t.Error("different packets arrived with the same seed")
 	}
 	if slices.Equal(first, other) {
-		t.Error("another seed gave the same packets")
+		t.Error("the same packets arrived with another seed")
 	}
 	once := slices.Compact(slices.Clone(first))
 	lost, twice := packetsEachWay-len(once), len(first)-len(once)
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestStreamsDuringAndAfterCut: a cut interrupts connections silently and resets them when it heals; a process that
-// does not run refuses connections; after the cut connections work.
+// TestStreamsDuringAndAfterCut checks that a cut interrupts connections silently and resets them when it ends, that
+// connections work after the cut, and that a process that is not running refuses them.
 func TestStreamsDuringAndAfterCut(t *testing.T) {
 	p, err := New(1)
 	if err != nil {
@@ -220,17 +220,17 @@
 		err = echo(gone)
 	}
 	if !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("a connection to a process that does not run gives %v", err)
+		t.Errorf("a connection to a process that is not running returned error %v, want a reset", err)
 	}
 }
 
-// checkCutConnections checks that connections are silent during the partition "p", and reset once it is healed. They
-// are given by their relation to the cut.
+// checkCutConnections checks that connections deliver nothing during the partition "p", and that they are reset when it
+// ends. The keys of conns say when the connections were opened, relative to the cut.
 func checkCutConnections(t *testing.T, p *Proxy, conns map[string]net.Conn) {
 	t.Helper()
 	for name, conn := range conns {
 		if _, err := conn.Write([]byte("x")); err != nil {
-			t.Errorf("a connection %s the cut can't be written: %v", name, err)
+			t.Errorf("a write on a connection %s the cut failed: %v", name, err)
 		}
 		var timeout net.Error
 		if err := readWithin(t, conn, silentTime); !errors.As(err, &timeout) || !timeout.Timeout() {
@@ -240,7 +240,7 @@
 	p.Heal("p")
 	for name, conn := range conns {
 		if err := readWithin(t, conn, testTimeout); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("a connection %s the cut ends with %v after it", name, err)
+			t.Errorf("a connection %s the cut ended with error %v after it, want a reset", name, err)
 		}
 	}
 }
--- a/internal/faultproxy/rules.go
+++ b/internal/faultproxy/rules.go
@@ -7,47 +7,49 @@
 	"time"
 )
 
-// Rule says what happens to the packets and connections from one process to another. Fractions are from 0 to 1 and
-// apply to each packet. On a connection nothing is lost: a lost or reordered chunk arrives later, by retransmitDelay.
+// Rule has the faults of packets and connections from one process to another. A fraction, from 0 to 1, is the
+// probability of a fault for each packet. Connections lose no data: a lost or reordered chunk arrives later, by
+// retransmitDelay.
 type Rule struct {
-	Cut            bool
-	Delay          time.Duration // of each packet or chunk
-	Jitter         time.Duration // bounds what is added to Delay, uniformly distributed
-	Loss           float64
-	Duplicate      float64
-	Reorder        float64       // of the packets that are delayed by reorderDelay, behind later ones
-	Replay         float64       // of the packets that are sent once more after a delay
-	MaxReplayDelay time.Duration // bounds that delay, uniformly distributed
+	Cut            bool          // nothing is relayed
+	Delay          time.Duration // delay of each packet or chunk
+	Jitter         time.Duration // maximum of the random addition to Delay, which is uniformly distributed
+	Loss           float64       // fraction of packets that are dropped
+	Duplicate      float64       // fraction of packets that are sent twice
+	Reorder        float64       // fraction of packets that are delayed by reorderDelay, so that later ones pass them
+	Replay         float64       // fraction of packets that are sent once more after a delay
+	MaxReplayDelay time.Duration // maximum of that delay, which is uniformly distributed
 }
 
 const (
-	// reorderDelay is the additional delay of a packet that is reordered.
+	// reorderDelay is the additional delay of a reordered packet.
 	reorderDelay = 30 * time.Millisecond
-	// retransmitDelay is the delay of a chunk that was lost, as TCP's first timeout.
+	// retransmitDelay is the additional delay of a lost or reordered chunk, like TCP's first retransmission timeout.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// SetAll sets the rule of every pair that has none of its own.
+// SetAll sets the default rule, which applies to every pair without a rule of its own.
 func (p *Proxy) SetAll(rule Rule) {
 	p.change(func() { p.defaultRule = rule })
 }
 
-// Set sets the rule of an ordered pair.
+// Set sets the rule of an ordered pair of processes.
 func (p *Proxy) Set(from, to string, rule Rule) {
 	p.change(func() { p.rules[pair{from, to}] = rule })
 }
 
-// Partition cuts, under a name, all pairs of processes in different groups, both ways.
+// Partition starts a partition with the given name, which cuts all pairs of processes in different groups in both
+// directions.
 func (p *Proxy) Partition(name string, groups ...[]string) {
 	p.change(func() { p.partitions[name] = NewPartition(groups...) })
 }
 
-// Heal ends the partition of a name.
+// Heal ends the partition with the given name.
 func (p *Proxy) Heal(name string) {
 	p.change(func() { delete(p.partitions, name) })
 }
 
-// Clear ends all partitions and rules.
+// Clear removes all partitions and rules.
 func (p *Proxy) Clear() {
 	p.change(func() {
 		p.defaultRule = Rule{}
@@ -56,7 +58,7 @@
 	})
 }
 
-// change changes the rules, and wakes the connections that are stalled by a cut.
+// change applies a change of rules or partitions and wakes the connections that are stalled by a cut.
 func (p *Proxy) change(apply func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +67,8 @@
 	p.changed = make(chan struct{})
 }
 
-// rule returns the present rule of an ordered pair. An unknown sender ("") has the rule of all.
+// rule returns the present rule of an ordered pair, with partitions applied. An unknown sender ("") has the default
+// rule.
 func (p *Proxy) rule(of pair) Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,21 +84,21 @@
 	return rule
 }
 
-// Passes reports whether anything is relayed from one process to another now.
+// Passes reports whether packets are relayed from one process to another at present, that is, whether no cut applies.
 func (p *Proxy) Passes(from, to string) bool { return !p.rule(pair{from, to}).Cut }
 
-// passesBothWays reports whether two processes reach each other now.
+// passesBothWays reports whether Passes is true in both directions.
 func (p *Proxy) passesBothWays(of pair) bool {
 	return p.Passes(of.from, of.to) && p.Passes(of.to, of.from)
 }
 
-// verdict is what happens to one packet or chunk. The zero value relays it at once.
+// verdict has the faults chosen for one packet or chunk. The zero value relays it without delay.
 type verdict struct {
 	cut, lost, duplicate, reorder, replay bool
 	delay, replayDelay                    time.Duration
 }
 
-// drawVerdict draws what happens to one packet or chunk.
+// drawVerdict chooses the faults of one packet or chunk at random.
 func (p *Proxy) drawVerdict(of pair) verdict {
 	rule := p.rule(of)
 	if rule.Cut {
@@ -107,7 +110,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	random := p.randomOf(of)
-	// All are drawn for each packet, so that one fraction does not change the others.
+	// All numbers are drawn for each packet, so that a change of one fraction does not change the other faults.
 	lost := random.Float64()
 	duplicate := random.Float64()
 	reorder := random.Float64()
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// dialTimeout bounds a relay's connection to its process.
+	// dialTimeout bounds the time to connect a relay to its process.
 	dialTimeout = time.Second
-	// chunkBytes is the most that a relay passes on at a time.
+	// chunkBytes is the maximum size of a chunk that a relay forwards at once.
 	chunkBytes = 64 << 10
 )
 
-// relayStreams relays the connections to a process until Close.
+// relayStreams accepts and relays the connections to a process until Close.
 func (p *Proxy) relayStreams(to *relay) {
 	defer p.wg.Done()
 	for {
@@ -36,15 +36,15 @@
 
 // direction is one direction of a relayed connection.
 type direction struct {
-	pair // of the processes: the sender and the receiver
+	pair // the sending and the receiving process
 	src  *net.TCPConn
 	dst  *net.TCPConn
 }
 
-// relayStream relays one connection until it ends or a cut has dropped something of it.
+// relayStream relays one connection until it ends or a cut has dropped a part of its data.
 func (p *Proxy) relayStream(in *net.TCPConn, to *relay) {
 	defer closeConn(in)
-	addr, _ := netip.ParseAddrPort(in.RemoteAddr().String()) // the address of a TCP connection can be parsed
+	addr, _ := netip.ParseAddrPort(in.RemoteAddr().String()) // the address of a TCP connection is valid
 	processes := pair{from: p.senderOf(addr.Addr()), to: to.name}
 	if !p.passesBothWays(processes) {
 		p.stallUntilHealed(in, processes)
@@ -57,7 +57,7 @@
 		return
 	}
 	if err != nil {
-		p.blackhole(in) // the process exists but does not respond, so the relay does not either
+		p.blackhole(in) // the process does not respond, so the relay does not either
 		return
 	}
 	out := conn.(*net.TCPConn)
@@ -65,7 +65,7 @@
 	p.pipeBothWays(direction{pair: processes, src: in, dst: out})
 }
 
-// pipeBothWays relays a direction of a connection and the opposite one until one ends it, or until Close.
+// pipeBothWays relays both directions of a connection until one of them ends the connection, or until Close.
 func (p *Proxy) pipeBothWays(forward direction) {
 	back := direction{pair: pair{from: forward.to, to: forward.from}, src: forward.dst, dst: forward.src}
 	ended := make(chan struct{})
@@ -91,8 +91,8 @@
 	pipes.Wait()
 }
 
-// pipe relays one direction. The orderly end of one side is passed on; a reset, or a cut that has healed, ends both
-// sides with a reset. end ends the connection.
+// pipe relays one direction of a connection. It forwards an orderly close of one side. After a reset, or a cut that has
+// ended, it ends both sides with a reset. end ends the connection.
 func (p *Proxy) pipe(d direction, end func()) {
 	buf := make([]byte, chunkBytes)
 	for {
@@ -108,7 +108,8 @@
 	}
 }
 
-// relayChunk relays one chunk as its verdict says. If it returns false, the connection has to end.
+// relayChunk relays or drops one chunk according to its verdict. If it returns false, the caller has to end the
+// connection.
 func (p *Proxy) relayChunk(d direction, chunk []byte) bool {
 	v := p.drawVerdict(d.pair)
 	if v.cut {
@@ -133,7 +134,7 @@
 	return true
 }
 
-// passEnd passes the end of one direction on, unless a cut hides it.
+// passEnd forwards the end of one direction, unless a cut hides it.
 func (p *Proxy) passEnd(d direction, err error, end func()) {
 	if !p.Passes(d.from, d.to) {
 		return
@@ -148,17 +149,18 @@
 	}
 }
 
-// discardInput discards what a connection's peer sends. The channel that it returns is closed once the peer has gone.
+// discardInput reads and discards the data of a connection. The returned channel is closed when the peer has closed the
+// connection.
 func discardInput(conn *net.TCPConn) <-chan struct{} {
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		_, _ = io.Copy(io.Discard, conn) // any error means that the peer has gone
+		_, _ = io.Copy(io.Discard, conn) // an error also means that the connection has ended
 	}()
 	return gone
 }
 
-// blackhole keeps a connection open and sends nothing on it until its peer has gone.
+// blackhole keeps a connection open without sending anything until its peer has closed it, or until Close.
 func (p *Proxy) blackhole(conn *net.TCPConn) {
 	gone := discardInput(conn)
 	select {
@@ -169,12 +171,12 @@
 	}
 }
 
-// stallUntilHealed keeps a connection that a cut has interrupted open, and sends nothing on it until its peer has
-// gone or the pair passes again; then the connection is reset.
+// stallUntilHealed keeps a connection that a cut has interrupted open without sending anything. It returns when the
+// peer has closed the connection, or at Close, or resets the connection when neither direction is cut any more.
 func (p *Proxy) stallUntilHealed(conn *net.TCPConn, processes pair) {
 	gone := discardInput(conn)
 	for {
-		changed := p.nextChange() // taken before the check, so that no change is missed
+		changed := p.nextChange() // must precede the check, so that no change is missed
 		if p.passesBothWays(processes) {
 			break
 		}
@@ -193,17 +195,17 @@
 	<-gone
 }
 
-// nextChange returns a channel that is closed at the next change of the rules.
+// nextChange returns a channel that is closed at the next change of rules or partitions.
 func (p *Proxy) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
 }
 
-// resetOnClose makes the close of a connection a reset.
+// resetOnClose makes Close reset the connection.
 func resetOnClose(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // a connection that has ended needs no reset
+	_ = conn.SetLinger(0) // a connection that has already ended needs no reset
 }
 
-// closeConn closes a relayed connection. Its two ends see the result, so the relay ignores the error.
+// closeConn closes a relayed connection. Both peers notice the close, so the relay ignores its error.
 func closeConn(conn *net.TCPConn) { _ = conn.Close() }
