--- a/internal/faultproxy/network.go
+++ b/internal/faultproxy/network.go
@@ -9,12 +9,12 @@
 const (
 	// reservationPort is the port of the listener that reserves a network of addresses.
 	reservationPort = 19999
-	// firstNetwork and endNetwork bound the second byte of the addresses.
+	// firstNetwork and endNetwork bound the numbers of networks, the second byte of their addresses.
 	firstNetwork = 10
 	endNetwork   = 250
-	// bytesPerNetwork is the number of values of the second byte in a network. A proxy uses one for its processes and
+	// prefixesPerNetwork is the number of 16-bit address prefixes in a network. A proxy uses one for its processes and
 	// one for their relays.
-	bytesPerNetwork = 2
+	prefixesPerNetwork = 2
 )
 
 var errNoNetwork = errors.New("faultproxy: no free network of loopback addresses")
@@ -28,7 +28,7 @@
 
 // ReserveNetwork reserves a free network. The caller has to close its Reservation.
 func ReserveNetwork() (Network, error) {
-	for number := byte(firstNetwork); number < endNetwork; number += bytesPerNetwork {
+	for number := byte(firstNetwork); number < endNetwork; number += prefixesPerNetwork {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, number, 255, 254}), reservationPort)
 		if reservation, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(address)); err == nil {
 			return Network{Number: number, Reservation: reservation}, nil
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -21,10 +21,10 @@
 const (
 	// processPort is the port of every process and relay; their addresses differ.
 	processPort = 19998
-	// maxProcesses bounds the number of processes, and addressesPerNet the number of those whose addresses have the
+	// maxProcesses bounds the number of processes, and addressesPerSubnet the number of those whose addresses have the
 	// same third byte.
-	maxProcesses    = 50_000
-	addressesPerNet = 250
+	maxProcesses       = 50_000
+	addressesPerSubnet = 250
 	// receiveBufferBytes is the size of a relay's receive buffer.
 	receiveBufferBytes = 4 << 20
 )
@@ -122,7 +122,7 @@
 	if number > maxProcesses {
 		return nil, errTooManyProcesses
 	}
-	high, low := byte(number/addressesPerNet), byte(number%addressesPerNet+1)
+	high, low := byte(number/addressesPerSubnet), byte(number%addressesPerSubnet+1)
 	processIP := netip.AddrFrom4([4]byte{127, p.network.Number, high, low})
 	relayIP := netip.AddrFrom4([4]byte{127, p.network.Number + 1, high, low})
 	r := &relay{
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -102,7 +102,7 @@
 			return
 		}
 		if err != nil {
-			p.passEnd(d, err, end)
+			p.relayEnd(d, err, end)
 			return
 		}
 	}
@@ -134,8 +134,8 @@
 	return true
 }
 
-// passEnd forwards the end of one direction, unless a cut hides it.
-func (p *Proxy) passEnd(d direction, err error, end func()) {
+// relayEnd forwards the end of one direction, unless a cut hides it.
+func (p *Proxy) relayEnd(d direction, err error, end func()) {
 	if !p.Passes(d.from, d.to) {
 		return
 	}
