--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -10,12 +10,12 @@
 
 const (
 	seedFlag = "rapid.seed"
-	// unset is the value of the flag without which rapid draws a new seed at each run.
-	unset = "0"
-	fixed = "1"
+	// unsetSeed is the flag's default value, with which rapid chooses a new seed for each run.
+	unsetSeed = "0"
+	fixedSeed = "1"
 )
 
-// Main is the TestMain of a package: it fixes the seed, runs the package's tests and ends the process.
+// Main implements a package's TestMain: it fixes the seed, runs the package's tests and exits.
 func Main(m *testing.M) {
 	if err := Fix(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -24,16 +24,16 @@
 	os.Exit(m.Run())
 }
 
-// Fix parses the command line and sets the seed that rapid draws from to a fixed value, so that every
-// run gives the same verdict. The flags -rapid.seed=N and -rapid.checks=N still draw others, and more
-// of them. It has to be called before the tests run.
+// Fix parses the command line and sets rapid's seed to a fixed value unless -rapid.seed is given, so that
+// every run checks the same cases and has the same result. The flags -rapid.seed=N and -rapid.checks=N
+// still select other cases and more of them. Fix has to be called before the tests run.
 func Fix() error {
 	flag.Parse()
 	seed := flag.Lookup(seedFlag)
-	if seed == nil || seed.Value.String() != unset {
+	if seed == nil || seed.Value.String() != unsetSeed {
 		return nil
 	}
-	if err := seed.Value.Set(fixed); err != nil {
+	if err := seed.Value.Set(fixedSeed); err != nil {
 		return fmt.Errorf("-%s: %w", seedFlag, err)
 	}
 	return nil
--- a/internal/rapidseed/rapidseed_test.go
+++ b/internal/rapidseed/rapidseed_test.go
@@ -9,7 +9,7 @@
 	"fernbeam.example/fernbeam/internal/rapidseed"
 )
 
-// TestFix checks that an unset seed is fixed, and that one from the command line is kept.
+// TestFix checks that an unset seed is fixed and that one from the command line is kept.
 func TestFix(t *testing.T) {
 	for _, c := range []struct{ name, before, after string }{
 		{"unset", "0", "1"},
