--- a/internal/testaddr/reserve.go
+++ b/internal/testaddr/reserve.go
@@ -1,4 +1,4 @@
-// Package testaddr reserves addresses for the tests of servers that open their listeners themselves.
+// Package testaddr reserves addresses for tests of servers that open their own listeners.
 package testaddr
 
 import (
@@ -9,19 +9,20 @@
 	"testing"
 )
 
-// Reserve returns a loopback address (host:port) on which this process may listen over TCP, and listen again, until
-// the test ends. A bound socket that never listens holds the port: the system gives it neither to a listener on any
-// port nor to an outgoing connection, while net.Listen, which sets SO_REUSEADDR as this socket does, may share it.
+// Reserve returns a loopback address (host:port) on which this process can listen for TCP connections, any number of
+// times, until the test ends. The port is held by a bound socket that never listens. The system therefore assigns it
+// neither to listeners on port 0 nor to outgoing connections, while net.Listen can share it, because it sets
+// SO_REUSEADDR as this socket does.
 func Reserve(tb testing.TB) string {
 	tb.Helper()
 	address, err := reserve(tb)
 	if err != nil {
-		tb.Fatal(fmt.Errorf("reserve an address: %w", err))
+		tb.Fatal(fmt.Errorf("reserving an address: %w", err))
 	}
 	return address.String()
 }
 
-// reserve binds a socket, which is closed when the test ends, and returns its address.
+// reserve binds a socket, to be closed when the test ends, and returns its address.
 func reserve(tb testing.TB) (netip.AddrPort, error) {
 	tb.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/testaddr/reserve_test.go
+++ b/internal/testaddr/reserve_test.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// listens is how often the tests listen on one reserved address.
+	// listens is the number of times that a test listens on a reserved address.
 	listens = 3
-	// localPortRange is IP_LOCAL_PORT_RANGE of Linux, the bounds of the ports that the system chooses for a socket:
-	// the first in the lower 16 bits, the last in the upper ones.
+	// localPortRange is the Linux socket option IP_LOCAL_PORT_RANGE, which bounds the ports that the system may choose
+	// for a socket. The value has the first port in the lower 16 bits and the last port in the upper 16 bits.
 	localPortRange = 51
 )
 
-// TestReservedAddressCanBeListenedOn: a server can listen, and again after a restart; a client reaches it.
+// TestReservedAddressCanBeListenedOn checks that a server can listen on a reserved address, also after a restart, and
+// that a client can connect to it.
 func TestReservedAddressCanBeListenedOn(t *testing.T) {
 	address := Reserve(t)
 	for range listens {
@@ -36,11 +37,11 @@
 	}
 }
 
-// TestSystemDoesNotGiveOutReservedPort: a socket for which the system may choose the reserved port alone gets none,
-// whether it listens or connects, before a server has listened there and after.
-func TestSystemDoesNotGiveOutReservedPort(t *testing.T) {
+// TestSystemDoesNotAssignReservedPort checks that the system does not assign a reserved port: a socket for which it may
+// choose only this port gets none, whether it listens or connects, before and after a server has listened on the port.
+func TestSystemDoesNotAssignReservedPort(t *testing.T) {
 	address := Reserve(t)
-	expectNoPort(t, address)
+	expectPortNotAssigned(t, address)
 	ln, err := new(net.ListenConfig).Listen(t.Context(), "tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -48,16 +49,16 @@
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	expectNoPort(t, address)
+	expectPortNotAssigned(t, address)
 }
 
-// expectNoPort fails the test if a socket that may have the port of an address alone gets it.
-func expectNoPort(t *testing.T, address string) {
+// expectPortNotAssigned fails the test if a socket that is limited to the port of an address gets it.
+func expectPortNotAssigned(t *testing.T, address string) {
 	t.Helper()
 	onlyThisPort := func(_, _ string, raw syscall.RawConn) error { return limitToPort(raw, address) }
 	config := net.ListenConfig{Control: onlyThisPort}
 	if ln, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0"); err == nil {
-		t.Errorf("a listener got %v, which is reserved", ln.Addr())
+		t.Errorf("a listener got the reserved address %v", ln.Addr())
 		_ = ln.Close()
 	} else if !errors.Is(err, syscall.EADDRINUSE) {
 		t.Error(err)
@@ -71,14 +72,14 @@
 		return limitToPort(raw, address)
 	}}
 	if conn, err := dialer.DialContext(t.Context(), "tcp", server.Addr().String()); err == nil {
-		t.Errorf("a connection got %v, which is reserved", conn.LocalAddr())
+		t.Errorf("a connection got the reserved address %v", conn.LocalAddr())
 		_ = conn.Close()
 	} else if !errors.Is(err, syscall.EADDRNOTAVAIL) {
 		t.Error(err)
 	}
 }
 
-// limitToPort leaves the system the port of an address alone to choose for a socket.
+// limitToPort limits the ports that the system may choose for a socket to the port of an address.
 func limitToPort(raw syscall.RawConn, address string) error {
 	port := int(netip.MustParseAddrPort(address).Port())
 	var optionErr error
