--- a/internal/membership/client.go
+++ b/internal/membership/client.go
@@ -9,31 +9,31 @@
 	"net/http"
 )
 
-// maxStatusBytes bounds an answer: the largest number of members with all changes that are kept.
+// maxStatusBytes bounds the size of a response: it has room for the maximum number of members and all kept changes.
 const maxStatusBytes = 16 << 20
 
-// ErrNotConfigured tells that an agent's configuration has no section "fleet".
+// ErrNotConfigured is returned when an agent's configuration has no section "fleet".
 var ErrNotConfigured = errors.New("has no section fleet")
 
-// FetchStatus calls an agent's admin endpoint (host:port): GET /ops/fleet with a query (see docs/ON-CALL.md),
-// empty or such as "members=none&since=4".
+// FetchStatus sends GET /ops/fleet to an agent's admin endpoint, adminAddr (host:port), and returns the decoded
+// response. The query is empty or of the form "members=none&since=4"; see docs/ON-CALL.md.
 func FetchStatus(ctx context.Context, adminAddr, query string) (*Status, error) {
 	url := "http://" + adminAddr + "/ops/fleet?" + query
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := http.DefaultClient.Do(req) // the admin endpoint closes each connection after its answer
+	resp, err := http.DefaultClient.Do(req) // the admin endpoint closes each connection after its response
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was only read
+	defer func() { _ = resp.Body.Close() }() // the body was only read
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
 		return nil, ErrNotConfigured
 	default:
-		return nil, fmt.Errorf("answered %s", resp.Status)
+		return nil, fmt.Errorf("unexpected status %s", resp.Status)
 	}
 	status := &Status{Snapshot: new(Snapshot)}
 	body := io.LimitReader(resp.Body, maxStatusBytes)
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -14,79 +14,84 @@
 )
 
 const (
-	// suspicionMaxMultiplier is by how much longer a suspicion lasts that no other member shares.
+	// suspicionMaxMultiplier is how many times longer a suspicion lasts if no other member confirms it.
 	suspicionMaxMultiplier = 2
-	// maxMembersFactor and minMaxMembers bound the known members: a flood of forged names ends there.
+	// maxMembersFactor and minMaxMembers bound the number of known members, and so the effect of forged names.
 	maxMembersFactor = 2
 	minMaxMembers    = 64
 
-	// Times in milliseconds, the unit of the configuration.
+	// Units of time in milliseconds, the unit of the configuration.
 	secondMs = 1000
 	minuteMs = 60 * secondMs
 	dayMs    = 24 * 60 * minuteMs
 
-	// The shortest suspicion, and the least default, in probe intervals.
+	// minSuspectTimeoutProbes and defaultSuspectTimeoutProbes are the minimum of SuspectTimeoutMs and the lower bound
+	// of its default, in probe intervals.
 	minSuspectTimeoutProbes     = 4
 	defaultSuspectTimeoutProbes = 5
 	defaultSuspectTimeoutMs     = 5 * secondMs
 )
 
-// Config is the configuration of an agent's membership. The JSON keys are those of the agent's configuration file,
-// section "fleet"; times there are whole milliseconds.
+// Config is the configuration of an agent's membership. The JSON keys are those of section "fleet" of the agent's
+// configuration file; times are whole milliseconds.
 type Config struct {
-	// Bind is this process's own address for other agents, IP:port, UDP and TCP. Its connections come from it too.
+	// Bind is the address (IP:port) on which this process listens for other agents, on UDP and TCP, and from which it
+	// sends and connects.
 	Bind string `json:"bind"`
-	// Advertise is the address that other agents use, IP:port; default: Bind.
+	// Advertise is the address (IP:port) that other agents use; it defaults to Bind.
 	Advertise string `json:"advertise"`
-	// Seeds are addresses (IP:port, as advertised) of members by which to find the others. The agent's own address
-	// among them is ignored, so that all agents may have one list.
+	// Seeds are the advertised addresses (IP:port) of members through which to find the others. The agent's own
+	// address is ignored, so that all agents can share one list.
 	Seeds []string `json:"seeds"`
-	// Site is the label of the site, 1 to 64 bytes: messages of another are dropped.
+	// Site is the label of the site, 1 to 64 bytes. Messages with another label are dropped.
 	Site string `json:"site"`
-	// Zone is where this agent is, at most 64 bytes; the other agents see it.
+	// Zone is the zone of this agent, at most 64 bytes; it is announced to the other agents.
 	Zone string `json:"zone"`
-	// Networks bounds the addresses that members may have and that anything is sent to, as CIDR; default: no bound.
+	// Networks lists, in CIDR notation, the networks in which members may have their addresses and to which anything
+	// is sent; if empty, all networks are allowed.
 	Networks []string `json:"networks"`
 
-	// ProbeIntervalMs is how often one other member is probed; default 1,000, 50 to 10,000.
+	// ProbeIntervalMs is the interval at which one other member is probed; default 1,000, from 50 to 10,000.
 	ProbeIntervalMs int `json:"probe_interval_ms"`
-	// SuspectTimeoutMs is how long a silent member is suspected, at least, before it is declared dead; default
-	// 5,000, or 5 probe intervals if those are more; from 4 probe intervals to 60,000. A process that stalls for
-	// less is never declared dead.
+	// SuspectTimeoutMs is the minimum time for which a silent member is suspected before it is declared dead; default
+	// 5,000 or 5 probe intervals, whichever is more; from 4 probe intervals to 60,000. A process that stalls for less
+	// is never declared dead.
 	SuspectTimeoutMs int `json:"suspect_timeout_ms"`
-	// SettleMs is how long a member has to be alive in the snapshot before anything is concluded from it; default
-	// 2,000, up to 60,000.
+	// SettleMs is how long a member must have been alive in the snapshot before an Assessment counts it; default
+	// 2,000, from 1 to 60,000.
 	SettleMs int `json:"settle_ms"`
-	// ForgetMs is how long a member that is dead or left stays in memberlist's list; default 30,000, from 1,000 to
-	// 600,000.
+	// ForgetMs is how long a member that is dead or has left stays in memberlist's list; default 30,000, from 1,000
+	// to 600,000.
 	ForgetMs int `json:"forget_ms"`
-	// ReclaimMs is how long a dead member's name is reserved against a process of that name at another address;
-	// default 10,000, from 1 to 600,000.
+	// ReclaimMs is how long a dead member's name can't be taken by a process at another address; default 10,000, from
+	// 1 to 600,000.
 	ReclaimMs int `json:"reclaim_ms"`
-	// ReconnectMs is the longest time between two attempts to reach a dead member or a seed, each after a time
-	// drawn from zero up to a bound that doubles to this; default 5,000, from 100 to 600,000.
+	// ReconnectMs is the maximum time between two attempts to reach a dead member or a seed: each attempt waits for a
+	// random time below a bound that doubles up to this value; default 5,000, from 100 to 600,000.
 	ReconnectMs int `json:"reconnect_ms"`
-	// ReconnectForMs is how long reconnects to a dead member go on; default 86,400,000 (a day), from 1 to 30 days.
+	// ReconnectForMs is how long reconnects to a dead member are attempted; default 86,400,000 (a day), from 1 to
+	// 2,592,000,000 (30 days).
 	ReconnectForMs int `json:"reconnect_for_ms"`
-	// LeaveMs bounds how long announcing a graceful shutdown takes; default 1,500, from 1 to 10,000.
+	// LeaveMs bounds the time for announcing a graceful shutdown; default 1,500, from 1 to 10,000.
 	LeaveMs int `json:"leave_ms"`
 
-	// Name is the agent's name, the same at each start; it comes from the agent, not from the section, as do the
+	// Name is the agent's name, the same at each start. It is set by the agent and not by the section, as are the
 	// fields below.
 	Name string `json:"-"`
-	// Size is the number of agents that the configuration names (replicasOfMe).
+	// Size is the fleet size: the number of agents according to the service settings (replicasOfMe).
 	Size int `json:"-"`
-	// Version is the version of the program that this process runs.
+	// Version is the program version of this process.
 	Version string `json:"-"`
-	// OnSnapshot is called with each new snapshot, from one goroutine, one at a time; nil: not called.
+	// OnSnapshot, if not nil, is called with each new snapshot, always from the same goroutine.
 	OnSnapshot func(*Snapshot) `json:"-"`
-	// Clock is the machine's clock; nil: the system's.
+	// Clock is the machine's clock; if nil, the system clock.
 	Clock clock.Clock `json:"-"`
-	// Log takes this process's log lines; nil: slog.Default().
+	// Log is the logger of this process; if nil, slog.Default().
 	Log *slog.Logger `json:"-"`
 }
 
-// Parse reads the section "fleet" of the agent's configuration. Its error is a *KeyError.
+// Parse decodes section "fleet" of the agent's configuration, sets defaults and checks the values. Any error is a
+// *KeyError.
 func Parse(section json.RawMessage) (*Config, error) {
 	c := new(Config)
 	decoder := json.NewDecoder(bytes.NewReader(section))
@@ -100,13 +105,13 @@
 	return c, nil
 }
 
-// checkAgent checks what comes from the agent and not from the section; its error is a *KeyError.
+// checkAgent checks the fields that are set by the agent and not by the section. Any error is a *KeyError.
 func (c *Config) checkAgent() error {
 	if !isValidName(c.Name) {
 		return invalid("name", "must have 1 to %d bytes and neither / nor @, is %q", maxNameBytes, c.Name)
 	}
 	if c.Size < 1 {
-		return invalid("settings.replicasOfMe", "must be 1 at least, is %d", c.Size)
+		return invalid("settings.replicasOfMe", "must be at least 1, is %d", c.Size)
 	}
 	return nil
 }
@@ -118,7 +123,7 @@
 	return c.Clock
 }
 
-// complete sets the defaults and checks the section's values; its error is a *KeyError.
+// complete sets the defaults and checks the section's values. Any error is a *KeyError.
 func (c *Config) complete() error {
 	if c.Advertise == "" {
 		c.Advertise = c.Bind
@@ -130,11 +135,11 @@
 		return invalid("site", "must have 1 to %d bytes, has %d", maxLabelBytes, len(c.Site))
 	}
 	if len(c.Zone) > maxLabelBytes {
-		return invalid("zone", "may have %d bytes, has %d", maxLabelBytes, len(c.Zone))
+		return invalid("zone", "must have at most %d bytes, has %d", maxLabelBytes, len(c.Zone))
 	}
 	for i, network := range c.Networks {
 		if _, _, err := net.ParseCIDR(network); err != nil {
-			return invalid(fmt.Sprintf("networks[%d]", i), "%q is no CIDR", network)
+			return invalid(fmt.Sprintf("networks[%d]", i), "%q is not a network in CIDR notation", network)
 		}
 	}
 	return c.completeTimes()
@@ -156,16 +161,16 @@
 	return nil
 }
 
-// checkAddrPort checks that a key's value is the IP:port of one machine.
+// checkAddrPort checks that a key's value is an IP:port whose IP is not the unspecified address.
 func checkAddrPort(key, value string) error {
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		return invalid(key, "%q is no IP:port of one machine", value)
+		return invalid(key, "must be an IP:port with a specified IP and a nonzero port, is %q", value)
 	}
 	return nil
 }
 
-// timeKey is a key of the section with a time, its default and its bounds, all in milliseconds.
+// timeKey is a key of the section whose value is a time, with its default and its bounds, all in milliseconds.
 type timeKey struct {
 	key      string
 	value    *int
@@ -173,7 +178,7 @@
 	min, max int
 }
 
-// complete sets the default and checks the value.
+// complete sets the default if the value is zero, and checks the value.
 func (k timeKey) complete() error {
 	if *k.value == 0 {
 		*k.value = k.fallback
@@ -184,7 +189,8 @@
 	return nil
 }
 
-// completeTimes sets the defaults of the times and checks them. Those of a suspicion depend on the probe interval.
+// completeTimes sets the defaults of the times and checks them. The default and the minimum of the suspect timeout
+// depend on the probe interval.
 func (c *Config) completeTimes() error {
 	probe := timeKey{"probe_interval_ms", &c.ProbeIntervalMs, secondMs, 50, 10 * secondMs}
 	if err := probe.complete(); err != nil {
@@ -214,31 +220,32 @@
 	return nil
 }
 
-// milliseconds is a number of milliseconds as a duration.
+// milliseconds returns n milliseconds as a duration.
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// suspicionMultiplier is memberlist's factor by which a suspicion lasts SuspectTimeoutMs at least: memberlist
-// multiplies it by the logarithm of the number of members, if that is over one.
+// suspicionMultiplier returns memberlist's SuspicionMult, in probe intervals, with which a suspicion lasts at least
+// SuspectTimeoutMs: memberlist also multiplies it by the decimal logarithm of the number of members, if that is above
+// one.
 func (c *Config) suspicionMultiplier() int {
 	return int(math.Ceil(float64(c.SuspectTimeoutMs) / float64(c.ProbeIntervalMs)))
 }
 
-// halfSuspicion is half of the time that a suspicion lasts at least: a member that refutes has mostly done so by then.
+// halfSuspicion returns half of the minimum duration of a suspicion: a member that refutes has usually done so by then.
 func (c *Config) halfSuspicion() time.Duration {
 	const parts = 2
 	return milliseconds(c.SuspectTimeoutMs) / parts
 }
 
-// maxSuspicion is how long a suspicion lasts at the most with a number of members.
+// maxSuspicion returns the maximum duration of a suspicion with the given number of members.
 func (c *Config) maxSuspicion(members int) time.Duration {
 	scale := math.Max(1, math.Log10(math.Max(1, float64(members))))
 	return time.Duration(suspicionMaxMultiplier * scale * float64(milliseconds(c.SuspectTimeoutMs)))
 }
 
-// maxMembers bounds the members that are known.
+// maxMembers returns the maximum number of known members.
 func (c *Config) maxMembers() int { return max(maxMembersFactor*c.Size, minMaxMembers) }
 
-// networks is Networks parsed; complete has checked them.
+// networks returns Networks, parsed; complete has checked them.
 func (c *Config) networks() []net.IPNet {
 	var networks []net.IPNet
 	for _, text := range c.Networks {
--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Traffic are counts by what they count.
+// Traffic has the value of each counter.
 type Traffic map[Counter]uint64
 
-// Counter names one count of Traffic; the names are part of the admin endpoint's answer.
+// Counter is the name of a counter, as it appears in the admin endpoint's response.
 type Counter string
 
-// The counters, all since the start.
+// The counters, which count from the start of the process.
 const (
 	PacketsIn       Counter = "packets_in"
 	BytesIn         Counter = "bytes_in" // in packets
@@ -18,19 +18,19 @@
 	StreamsOut      Counter = "streams_out"
 	StreamBytesIn   Counter = "stream_bytes_in"
 	StreamBytesOut  Counter = "stream_bytes_out"
-	BadPackets      Counter = "bad_packets"   // dropped, as no member sends such a packet
-	BadStreams      Counter = "bad_streams"   // closed, as no member sends such a message
+	BadPackets      Counter = "bad_packets"   // dropped: no member sends such a packet
+	BadStreams      Counter = "bad_streams"   // closed: no member sends such a message
 	ForeignSite     Counter = "foreign"       // messages with the label of another site
-	RejectedMembers Counter = "rejected"      // claims of members that are not admitted
-	DemotedDeaths   Counter = "hearsay"       // death reports that became suspicions
+	RejectedMembers Counter = "rejected"      // messages about members that are not admitted
+	DemotedDeaths   Counter = "hearsay"       // death reports turned into suspicions
 	Reconnects      Counter = "reconnects"    // attempts to reach a dead member or a seed
-	Exchanges       Counter = "syncs"         // exchanges of lists with members
-	DeclaredDead    Counter = "declared_gone" // members whose addresses refused connections
+	Exchanges       Counter = "syncs"         // push/pulls with members
+	DeclaredDead    Counter = "declared_gone" // members whose address refused connections
 	Stalls          Counter = "stalls"        // of this process
 	DroppedLogLines Counter = "unlogged"
 )
 
-// counters are the counts of Traffic while the process runs; its constants say what each counts.
+// counters holds the counters of a running process; the Counter constants say what each one counts.
 type counters struct {
 	packetsIn      atomic.Uint64
 	bytesIn        atomic.Uint64
@@ -51,7 +51,7 @@
 	stalls         atomic.Uint64
 }
 
-// traffic is what the counters have, with the log lines that were dropped.
+// traffic returns the current values, with the given number of dropped log lines.
 func (c *counters) traffic(droppedLogLines uint64) Traffic {
 	return Traffic{
 		PacketsIn:       c.packetsIn.Load(),
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Membership is the delegate of memberlist for each of these; memberlist calls the methods from its own
-// goroutines, some of them under its lock.
+// Membership implements memberlist's delegates. memberlist calls their methods from its own goroutines, some of them
+// while it holds its lock.
 var (
 	_ memberlist.Delegate      = (*Membership)(nil)
 	_ memberlist.EventDelegate = (*Membership)(nil)
@@ -18,26 +18,27 @@
 	_ memberlist.PingDelegate  = (*Membership)(nil)
 )
 
-// Why a member is not admitted.
+// Reasons for which a member is not admitted.
 var (
 	errInvalidAddress  = errors.New("invalid name or address")
-	errProtocolVersion = errors.New("another version of the protocol")
-	errReplacedProcess = errors.New("a process that was replaced")
+	errProtocolVersion = errors.New("unsupported protocol version")
+	errReplacedProcess = errors.New("process was replaced by another")
 	errTooManyMembers  = errors.New("too many members")
 )
 
 const (
-	// digestBytes is the length of a digest in the answer to a probe.
+	// digestBytes is the length of the digest in the response to a probe.
 	digestBytes = 8
 	// digestSettleRounds is digestSettleTime in probe intervals.
 	digestSettleRounds = 3
-	// unsettledFactor is after how many times digestSettleTime a digest that never settles is compared all the same.
+	// unsettledFactor is unsettledTime as a multiple of digestSettleTime.
 	unsettledFactor = 2
-	// probeTimeoutsPerInterval is how many timeouts of a direct probe a probe interval has.
+	// probeTimeoutsPerInterval is the probe interval as a multiple of the timeout of a direct probe.
 	probeTimeoutsPerInterval = 2
 
-	// Memberlist's gossip: how many rounds of it a probe interval has, their shortest interval, the members that
-	// each round reaches, and the factor for the retransmissions of a message.
+	// The settings of memberlist's gossip: rounds per probe interval, the minimum interval between rounds, the members
+	// that each round sends to, the multiplier for retransmissions of a message, and the length of the queue of
+	// received messages.
 	gossipRoundsPerProbe = 20
 	minGossipInterval    = 20 * time.Millisecond
 	gossipNodes          = 6
@@ -45,8 +46,8 @@
 	handoffQueueDepth    = 4096
 )
 
-// listConfig is memberlist's configuration: its timings mostly have the proportions of its defaults, with a
-// suspicion that lasts at least SuspectTimeoutMs.
+// listConfig returns memberlist's configuration. Most timings are in the same proportions as memberlist's defaults, and
+// a suspicion lasts at least SuspectTimeoutMs.
 func (m *Membership) listConfig(underlying memberlist.NodeAwareTransport) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	advertised, _ := net.ResolveTCPAddr("tcp", m.cfg.Advertise) // complete has checked it
@@ -63,8 +64,8 @@
 	c.ProbeTimeout = c.ProbeInterval / probeTimeoutsPerInterval
 	c.SuspicionMult = m.cfg.suspicionMultiplier()
 	c.SuspicionMaxTimeoutMult = suspicionMaxMultiplier
-	// A gossip round costs nothing when there are no messages. After a partition or a start there are messages
-	// about all members, which then wait for rounds and not for processors, so rounds are frequent.
+	// Rounds are frequent because a round without messages costs nothing, and because after a partition or a start
+	// there are messages about all members, whose delivery is limited by the gossip rounds and not by the processors.
 	c.GossipInterval = max(c.ProbeInterval/gossipRoundsPerProbe, minGossipInterval)
 	c.GossipNodes = gossipNodes
 	c.RetransmitMult = retransmitMultiplier
@@ -79,10 +80,10 @@
 	return c
 }
 
-// acceptDeathReport tells whether a member's report that another is dead is believed, and then records the reporter. It
-// is believed while the reporter itself is certainly present, as in an Assessment, and, where it returned from the dead
-// or from a long suspicion, once the suspicions have ended that it may have begun on the other side of a partition. Any
-// other report makes a suspicion, which the accused member receives and refutes.
+// acceptDeathReport reports whether to believe a member's report that another member is dead, and records the reporter
+// if so. A report is believed if the reporter itself is certainly present, as defined by Assessment. If the reporter
+// was dead or suspected for long before, the suspicions that it may have started on the other side of a partition must
+// have ended too. Any other death report is turned into a suspicion, which the accused member receives and refutes.
 func (m *Membership) acceptDeathReport(reporter, accused string) bool {
 	snapshot := m.snapshot.Load()
 	member, ok := snapshot.Member(reporter)
@@ -106,7 +107,7 @@
 	return true
 }
 
-// NodeMeta is this process's metadata.
+// NodeMeta returns this process's metadata.
 func (m *Membership) NodeMeta(int) []byte {
 	return meta{
 		Process:  m.process,
@@ -116,7 +117,8 @@
 	}.bytes()
 }
 
-// NotifyAlive rejects members that can't be agents of this site: it is the only way into the list.
+// NotifyAlive returns an error for members that can't be agents of this site. memberlist calls it before it adds or
+// updates any member.
 func (m *Membership) NotifyAlive(node *memberlist.Node) error {
 	err := m.checkMember(node)
 	if err != nil {
@@ -125,10 +127,10 @@
 	return err
 }
 
-// checkMember tells why a member is not admitted to the list; nil: it is.
+// checkMember admits a member to the list, or returns the reason for which it is not admitted.
 func (m *Membership) checkMember(node *memberlist.Node) error {
 	if node.Name == m.cfg.Name {
-		return nil // memberlist refutes what is wrong of this process
+		return nil // memberlist refutes wrong messages about this process
 	}
 	parsed, err := m.metas.parse(node.Meta)
 	if err != nil {
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// hasProtocolVersion tells whether a member speaks the version that all agents speak: another version would make
-// every exchange of lists fail.
+// hasProtocolVersion reports whether a member has the protocol version of all agents. With a member of another version
+// in the list, every push/pull would fail.
 func hasProtocolVersion(node *memberlist.Node) bool {
 	const version = memberlist.ProtocolVersion2Compatible
 	if node.PMin > version || node.PMax < version || node.PCur != version {
@@ -165,22 +167,22 @@
 	return node.DMin == 0 && node.DMax == 0 && node.DCur == 0
 }
 
-// NotifyJoin notifies that the list has changed.
+// NotifyJoin is called when a member is added to the list.
 func (m *Membership) NotifyJoin(*memberlist.Node) { m.notifyListChanged() }
 
-// NotifyLeave notifies that the list has changed.
+// NotifyLeave is called when a member has died or left.
 func (m *Membership) NotifyLeave(*memberlist.Node) { m.notifyListChanged() }
 
-// NotifyUpdate notifies that the list has changed.
+// NotifyUpdate is called when a member's metadata has changed.
 func (m *Membership) NotifyUpdate(*memberlist.Node) { m.notifyListChanged() }
 
-// AckPayload is this process's digest, which goes with each answer to a probe.
+// AckPayload returns this process's digest, which is sent with each response to a probe.
 func (m *Membership) AckPayload() []byte {
 	return binary.BigEndian.AppendUint64(nil, m.snapshot.Load().digest)
 }
 
-// NotifyPingComplete compares a member's digest with this process's. Digests differ while a change spreads; where
-// they still do once it should have spread, syncWithDifferingPeer exchanges the lists.
+// NotifyPingComplete compares a member's digest with this process's. Digests differ while a change spreads. If they
+// still differ once it should have reached all members, syncWithDifferingPeer exchanges the lists.
 func (m *Membership) NotifyPingComplete(node *memberlist.Node, _ time.Duration, payload []byte) {
 	if len(payload) != digestBytes {
 		return
@@ -200,24 +202,25 @@
 	m.differedAt = now
 }
 
-// digestSettleTime is how long the digest has to be unchanged before a differing one matters: some rounds of
-// gossip. (Suspicions do not count in it: with many members there always are some.)
+// digestSettleTime returns how long this process's digest must have been unchanged before a differing one leads to an
+// exchange of lists: the time of several gossip rounds. Suspicions don't change the digest, because with many members
+// there are always some.
 func (m *Membership) digestSettleTime() time.Duration {
 	return digestSettleRounds * milliseconds(m.cfg.ProbeIntervalMs)
 }
 
-// unsettledTime is how long after the last exchange of lists a differing digest matters even where this process's own
-// never settles, as one member after the other is discovered.
+// unsettledTime returns the time since the last exchange of lists after which a differing digest leads to another one
+// even if this process's digest keeps changing, as it does while members are discovered one by one.
 func (m *Membership) unsettledTime() time.Duration { return unsettledFactor * m.digestSettleTime() }
 
-// NotifyMsg ignores user messages: agents send none.
+// NotifyMsg ignores user messages; agents send none.
 func (m *Membership) NotifyMsg([]byte) {}
 
-// GetBroadcasts returns no user messages.
+// GetBroadcasts returns nil: agents send no user messages.
 func (m *Membership) GetBroadcasts(_, _ int) [][]byte { return nil }
 
-// LocalState returns no user state for a push/pull.
+// LocalState returns nil: agents send no user state in a push/pull.
 func (m *Membership) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState ignores user state.
+// MergeRemoteState ignores user state; agents send none.
 func (m *Membership) MergeRemoteState([]byte, bool) {}
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// exchangeOneIn is in how many probe intervals an agent whose digest differs exchanges lists once. Few agents do
-// so at a time: what they bring changes the digests of the others.
+// exchangeOneIn is the average number of probe intervals between two exchanges of lists while a peer's digest differs.
+// Only some agents exchange lists in each interval, as the result also changes the digests of the others.
 const exchangeOneIn = 2
 
-// peerAddress is where lists can be exchanged: the address of a member, or that of a seed, whose name is not known.
+// peerAddress is the address of a member, or of a seed whose name is not known, with which to exchange lists.
 type peerAddress struct {
-	name string // empty: any member may answer
+	name string // if empty, the name is not checked
 	addr string
 }
 
-// peerOf is the address of a member.
+// peerOf returns the address of a member.
 func peerOf(member *Member) peerAddress { return peerAddress{name: member.Name, addr: member.Addr} }
 
-// String is the address as memberlist's Join takes it.
+// String returns the address in the form that memberlist's Join expects.
 func (p peerAddress) String() string {
 	if p.name == "" {
 		return p.addr
@@ -26,7 +26,7 @@
 	return p.name + "/" + p.addr
 }
 
-// exchangeWith exchanges lists (a push/pull) with a peer.
+// exchangeWith exchanges lists with a peer by a push/pull.
 func (m *Membership) exchangeWith(peer peerAddress) error {
 	if _, err := m.list.Load().Join([]string{peer.String()}); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// exchangeLists exchanges lists with a member, counts it and logs its failure.
+// exchangeLists exchanges lists with a member, counts the exchange and logs any error.
 func (m *Membership) exchangeLists(peer peerAddress) {
 	m.counters.exchanges.Add(1)
 	if err := m.exchangeWith(peer); err != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// firstExchange exchanges lists with the first member that this process discovers, if it has not yet with any: its
-// seeds may be on the other side of a partition, and members that find it one by one only send about themselves.
+// firstExchange exchanges lists with a known member if this process has not exchanged lists with any yet. Its seeds may
+// be on the other side of a partition, and members that discover it one by one only send messages about themselves.
 func (m *Membership) firstExchange() {
 	m.mu.Lock()
 	exchanged := !m.exchangedAt.IsZero()
@@ -63,7 +63,7 @@
 	}
 }
 
-// syncWithDifferingPeer exchanges lists with a member whose digest differed.
+// syncWithDifferingPeer exchanges lists, with probability 1/exchangeOneIn, with a member whose digest differed.
 func (m *Membership) syncWithDifferingPeer() {
 	m.mu.Lock()
 	peer := m.differingPeer
@@ -75,8 +75,8 @@
 	m.exchangeLists(*peer)
 }
 
-// exchangeAboutSuspect exchanges lists with some member about a suspect that does not answer this process: the
-// suspicion may be refuted to all others, and no digest shows it, as suspicions do not count there.
+// exchangeAboutSuspect exchanges lists with a random member because of a suspect that does not respond to this process.
+// The suspect may have refuted the suspicion to all others, and digests, which leave suspicions out, don't show that.
 func (m *Membership) exchangeAboutSuspect(suspect *Member) {
 	wait := m.cfg.halfSuspicion()
 	m.mu.Lock()
@@ -96,13 +96,14 @@
 	}
 }
 
-// isAlivePeer tells whether a member is alive and not this process's own agent.
+// isAlivePeer reports whether a member is alive and is not this process's own agent.
 func (m *Membership) isAlivePeer(member *Member) bool {
 	return member.State == Alive && member.Name != m.cfg.Name
 }
 
-// digestDifferedLately tells whether this process's digest was lately different from that of members it probed:
-// what it suspects then may long be decided (memberlist takes another's dead member for a suspect).
+// digestDifferedLately reports whether this process's digest recently differed from that of a member that it probed.
+// The other members may then have decided about its suspects long ago: memberlist merges a dead member of a peer's list
+// as a suspect.
 func (m *Membership) digestDifferedLately() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/guard.go
+++ b/internal/membership/guard.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// maxCompoundDepth is how deep compound messages may be nested.
+	// maxCompoundDepth is the maximum depth at which a compound message may be nested in others.
 	maxCompoundDepth = 1
-	// checksumBytes is the length of a checksum, and of the message type and the checksum before what it covers.
-	checksumBytes       = 4
+	// checksumBytes is the length of a checksum.
+	checksumBytes = 4
+	// checksumHeaderBytes is the length of the message type and the checksum, which precede the covered bytes.
 	checksumHeaderBytes = 1 + checksumBytes
-	// partLengthBytes is the length of the length of a part in a compound message.
+	// partLengthBytes is the size of each length field in a compound message.
 	partLengthBytes = 2
-	// versionBytes is the number of versions in a pushNode.
+	// versionBytes is the number of versions in a pushNode, of one byte each.
 	versionBytes = 6
 )
 
-// Why a message is one that no member sends.
+// Reasons for which a message is rejected.
 var (
 	errEmptyMessage   = errors.New("empty message")
-	errNested         = errors.New("nested too deep")
-	errCompoundCutOff = errors.New("compound message cut off")
-	errNoChecksumBody = errors.New("checksum of nothing")
-	errChecksum       = errors.New("wrong checksum")
+	errNested         = errors.New("compound message nested too deeply")
+	errCompoundCutOff = errors.New("compound message is truncated")
+	errNoChecksumBody = errors.New("checksum message is empty or nested")
+	errChecksum       = errors.New("checksum mismatch")
 )
 
-// messageTypeError is a message of a type that no member sends at that place.
+// messageTypeError is the error for a message of a type that no member sends in that place.
 type messageTypeError messageType
 
-func (e messageTypeError) Error() string { return fmt.Sprintf("message of type %d", messageType(e)) }
+func (e messageTypeError) Error() string {
+	return fmt.Sprintf("unexpected message type %d", messageType(e))
+}
 
-// checkPacket tells why a packet, its label removed, is one that no member sends; nil: it may go to memberlist. Each
-// of its messages is given to onMessage, which may change its bytes in place (not their number); checksums are then
-// updated. Compressed and encrypted messages are rejected: agents never send any, and a small one can unpack to any
-// size.
+// checkPacket checks a packet without its label; if it returns nil, the packet can be handed to memberlist. It calls
+// onMessage with each message in the packet, which onMessage may modify but not resize; checksums are updated after
+// that. Compressed and encrypted messages are rejected: agents never send any, and a small compressed message can
+// expand to any size.
 func checkPacket(b []byte, depth int, onMessage func(message []byte)) error {
 	if len(b) == 0 {
 		return errEmptyMessage
@@ -61,7 +64,8 @@
 	}
 }
 
-// checkChecksum checks a message with a checksum, which only a whole packet may have, and what it covers.
+// checkChecksum checks a message with a checksum, and the message that the checksum covers. Only a whole packet may
+// have a checksum.
 func checkChecksum(b []byte, depth int, onMessage func([]byte)) error {
 	if len(b) <= checksumHeaderBytes || depth > 0 {
 		return errNoChecksumBody
@@ -75,8 +79,8 @@
 	return err
 }
 
-// checkCompound checks the parts of a compound message: their number in a byte, the length of each in two, then the
-// parts.
+// checkCompound checks the body of a compound message: the number of its parts in one byte, the length of each part in
+// two bytes, and the parts.
 func checkCompound(b []byte, depth int, onMessage func([]byte)) error {
 	if len(b) < 1 {
 		return errCompoundCutOff
@@ -99,8 +103,8 @@
 	return nil
 }
 
-// readPushPull reads a push/pull without its first byte. It checks every length in it against what is there, so that
-// memberlist, which trusts them, can be given the message.
+// readPushPull decodes the body of a push/pull. It checks each length field against the data, so that the message can
+// be handed to memberlist, which trusts these lengths.
 func readPushPull(b []byte, maxNodes int) ([]pushNode, error) {
 	decoder := codec.NewDecoderBytes(b, &codec.MsgpackHandle{})
 	var header pushPullHeader
@@ -108,7 +112,7 @@
 		return nil, fmt.Errorf("push/pull header: %w", err)
 	}
 	if header.Nodes < 0 || header.Nodes > maxNodes || header.UserStateLen < 0 || header.UserStateLen > len(b) {
-		return nil, fmt.Errorf("push/pull of %d members and %d bytes", header.Nodes, header.UserStateLen)
+		return nil, fmt.Errorf("push/pull header: %d members, %d bytes of user state", header.Nodes, header.UserStateLen)
 	}
 	nodes := make([]pushNode, header.Nodes)
 	for i := range nodes {
@@ -120,12 +124,12 @@
 		}
 	}
 	if rest := len(b) - decoder.NumBytesRead(); rest != header.UserStateLen {
-		return nil, fmt.Errorf("push/pull with %d bytes of state where the header has %d", rest, header.UserStateLen)
+		return nil, fmt.Errorf("push/pull with %d bytes of user state, header says %d", rest, header.UserStateLen)
 	}
 	return nodes, nil
 }
 
-// hasValidLengths tells whether each field of a push/pull's member has a length that a member's may have.
+// hasValidLengths reports whether all fields of a member in a push/pull have valid lengths.
 func hasValidLengths(node *pushNode) bool {
 	return len(node.Vsn) == versionBytes &&
 		len(node.Name) <= maxNameBytes &&
@@ -133,13 +137,13 @@
 		isValidIP(node.Addr)
 }
 
-// isValidIP tells whether an address in a message has the length of an IPv4 or IPv6 address.
+// isValidIP reports whether an address in a message has the length of an IPv4 or IPv6 address.
 func isValidIP(addr []byte) bool { return len(addr) == net.IPv4len || len(addr) == net.IPv6len }
 
-// checkStream tells why a message of a stream is one that no member sends.
+// checkStream checks a message of a stream; if it returns nil, the message can be handed to memberlist.
 func checkStream(b []byte, maxNodes int) (err error) {
 	defer func() {
-		// The decoder panics at some input that is not msgpack.
+		// The decoder panics on some input that is not msgpack.
 		if r := recover(); r != nil {
 			err = fmt.Errorf("invalid message: %v", r)
 		}
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -7,26 +7,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// incarnationStep is the time in which the first incarnation of a starting process grows by one: a uint32 of
+// incarnationStep is the step of the wall clock by which the first incarnation of a process grows by one. A uint32 of
 // quarters of a second lasts for 34 years.
 const incarnationStep = 250 * time.Millisecond
 
-// incarnationEpoch is when the incarnations start from zero.
+// incarnationEpoch is the wall-clock time of incarnation zero.
 var incarnationEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// startIncarnation is where a process that starts now begins to count. The clock is that of one machine, an
-// agent's own, over its restarts. Where it went back, this process begins below earlier ones and refutes what it
-// receives about them, and liftRetirements corrects those who took it for the earlier one.
+// startIncarnation returns the base incarnation of a process that starts at the given wall-clock time. All processes of
+// an agent use the clock of the same machine. If that clock was set back, a process starts below its predecessors: it
+// refutes the messages that it receives about them, and liftRetirements corrects the members that took it for the
+// earlier process.
 func startIncarnation(wall time.Time) uint32 {
 	return uint32(max(0, wall.Sub(incarnationEpoch)/incarnationStep))
 }
 
-// raiseIncarnation brings this process's incarnation above baseIncarnation, before it returns: memberlist counts
-// from one, and messages about an earlier process of this name would be taken for messages about this one.
+// raiseIncarnation raises this process's incarnation above baseIncarnation before it returns. memberlist itself starts
+// at one, so that messages about an earlier process of this name would be taken for messages about this one.
 //
-// A suspicion of itself makes memberlist refute with a higher incarnation. It comes as a push/pull, which is
-// merged at once; a packet would only be queued, and memberlist has no event for the refutation of a member that
-// is alone.
+// It gives memberlist a suspicion of this process, which memberlist refutes with a higher incarnation. The suspicion is
+// in a push/pull, which is merged synchronously. A packet would only be queued, and memberlist has no event for the
+// refutation by a member that is alone.
 func (m *Membership) raiseIncarnation(list *memberlist.Memberlist) error {
 	node := list.LocalNode()
 	suspicion := pushNode{
@@ -40,21 +41,22 @@
 	}
 	m.transport.suspicionOfSelf = encodePushPull(suspicion)
 	if _, err := list.Join([]string{peerAddress{suspicionPeer, m.cfg.Advertise}.String()}); err != nil {
-		return fmt.Errorf("starting above the incarnations of earlier processes: %w", err)
+		return fmt.Errorf("raising the incarnation above those of earlier processes: %w", err)
 	}
 	return nil
 }
 
-// announce lets this process send and receive messages about members, as it is above all earlier ones.
+// announce lets this process send and receive messages about members, once its incarnation is above those of earlier
+// processes.
 //
-// Memberlist still has its message of the first incarnation, one, to broadcast beside the refutation. An update
-// replaces it: a member that has just started itself would believe it, and then take a message of an earlier process
-// for one of a later process.
+// memberlist's queue still has the alive message with the first incarnation, one, besides the refutation. An update
+// replaces it. Otherwise a member that has just started itself would accept it, and would later take a message about an
+// earlier process for one about a later process.
 func (m *Membership) announce() {
 	if err := m.list.Load().UpdateNode(updateTimeout); err != nil {
 		m.log.Warn("membership: announcing the start failed", "err", err)
 	}
-	m.notifyListChanged() // memberlist has no event for its own update, and alone it gossips nothing
+	m.notifyListChanged() // memberlist has no event for its own update, and a member that is alone doesn't gossip
 	close(m.announced)
 	close(m.transport.announced)
 }
--- a/internal/membership/localstream.go
+++ b/internal/membership/localstream.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// The names under which memberlist opens the local streams: by one it writes its own list, by the other it reads a
-// list with a suspicion of this process. No member may have them.
+// The peer names for which DialAddressTimeout opens a local stream. Over listPeer memberlist writes its own list; over
+// suspicionPeer it reads a list with a suspicion of this process. No member may have these names.
 const (
 	listPeer      = "@list"
 	suspicionPeer = "@suspicion"
 )
 
-// localStream is a stream within the process, to which memberlist writes the first half of a push/pull: its own
-// list. The other half is an answer that is given beforehand.
+// localStream is an in-process stream to which memberlist writes the first half of a push/pull: its own list. The other
+// half, the response, is fixed when the stream is created.
 type localStream struct {
-	net.Conn // nil: no method but those below is used
+	net.Conn // nil: memberlist only calls the methods below
 	addr     net.Addr
 	onList   func([]byte)
 	answer   *bytes.Reader
@@ -30,7 +30,7 @@
 	return &localStream{addr: remote, onList: onList, answer: bytes.NewReader(answer)}, nil
 }
 
-// Write takes a message; of those that memberlist writes only the push/pull is recorded.
+// Write passes a push/pull to onList and discards any other message.
 func (s *localStream) Write(message []byte) (int, error) {
 	if len(message) > 0 && typeOf(message) == msgPushPull {
 		s.onList(bytes.Clone(message))
@@ -38,13 +38,13 @@
 	return len(message), nil
 }
 
-// Read reads the answer.
+// Read reads from the response.
 func (s *localStream) Read(p []byte) (int, error) { return s.answer.Read(p) }
 
 // Close does nothing.
 func (s *localStream) Close() error { return nil }
 
-// RemoteAddr is the address that memberlist dialed.
+// RemoteAddr returns the address that memberlist dialed.
 func (s *localStream) RemoteAddr() net.Addr { return s.addr }
 
 // SetDeadline does nothing: no call blocks.
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// logLinesPerSecond and logBurst bound the log lines.
+	// logLinesPerSecond and logBurst are the rate limit of log lines.
 	logLinesPerSecond = 2
 	logBurst          = 20
-	// maxLogTextBytes bounds the text of one of memberlist's lines.
+	// maxLogTextBytes bounds the text of a log line of memberlist.
 	maxLogTextBytes = 200
 )
 
-// logger bounds the log lines and counts those that it drops. memberlist's own lines come through std.
+// logger limits the rate of log lines and counts those that it drops. memberlist logs through std.
 type logger struct {
 	out     *slog.Logger
 	limit   *rate.Limiter
@@ -28,21 +28,21 @@
 	return &logger{out: out, limit: rate.NewLimiter(logLinesPerSecond, logBurst)}
 }
 
-// Info writes a line if the bound allows it.
+// Info logs at level info, subject to the rate limit.
 func (l *logger) Info(text string, args ...any) {
 	if l.allow() {
 		l.out.Info(text, args...)
 	}
 }
 
-// Warn writes a line if the bound allows it.
+// Warn logs at level warn, subject to the rate limit.
 func (l *logger) Warn(text string, args ...any) {
 	if l.allow() {
 		l.out.Warn(text, args...)
 	}
 }
 
-// allow tells whether the bound allows one more line, and counts the line as dropped if not.
+// allow reports whether the rate limit allows one more line, and counts the line as dropped if not.
 func (l *logger) allow() bool {
 	if l.limit.Allow() {
 		return true
@@ -51,10 +51,10 @@
 	return false
 }
 
-// std is the logger for memberlist, which writes its level in brackets before the text.
+// std returns a logger for memberlist, which writes the level in brackets before the text.
 func (l *logger) std() *log.Logger { return log.New(l, "", 0) }
 
-// Write takes one of memberlist's lines. Its debug lines are dropped.
+// Write logs one line of memberlist; debug lines are discarded.
 func (l *logger) Write(line []byte) (int, error) {
 	level, text := splitLevel(bytes.TrimSpace(line))
 	excerpt := string(text[:min(len(text), maxLogTextBytes)])
@@ -67,7 +67,7 @@
 	return len(line), nil
 }
 
-// splitLevel splits a line of memberlist's, such as "[WARN] memberlist: ...", into level and text.
+// splitLevel splits a log line of memberlist, such as "[WARN] memberlist: ...", into level and text.
 func splitLevel(line []byte) (slog.Level, []byte) {
 	end := bytes.IndexByte(line, ']')
 	if end <= 0 || line[0] != '[' {
