--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,19 +1,25 @@
-// Package membership maintains each agent's view of the other agents of its site: which are present, as which
-// process, in which zone, and whether they drain. It has no server: it is SWIM with Lifeguard's extensions
-// (hashicorp/memberlist), and what those leave out.
+// Package membership maintains each agent's view of the other agents of its site: which agents are present, the
+// identity and zone of each one's process, and whether it is draining. There is no server: the protocol is SWIM with
+// the Lifeguard extensions, as implemented by hashicorp/memberlist, with the additions below.
 //
-// Its invariants, which internal/membershiptest checks over the histories of many processes: a process that runs
-// is never declared dead by one that was not partitioned from it; the identity of a process that was replaced
-// never returns; an agent that leaves is neither suspected nor reconnected to; incarnations and snapshot numbers
-// never decrease; and once faults have ended all running processes converge to the same digest, however long they
-// were apart.
+// The package maintains these invariants, which internal/membershiptest checks on recorded histories of many processes:
 //
-// It adds to memberlist: its list is read whole (as the first half of a local push/pull), so that a snapshot
-// has suspicions and incarnations; two sides of a partition that declared each other dead find each other again;
-// members compare digests in the answers to probes and exchange their lists where the digests stay different; an
-// address that refuses connections shows at once that its process is gone; a death report is believed only from
-// members that are certainly present themselves; and packets and streams are checked before memberlist reads
-// them, as it trusts the lengths that they claim.
+//   - A running process is never declared dead by one that was not partitioned from it.
+//   - The identity of a process that was replaced never returns.
+//   - An agent that leaves is neither suspected nor reconnected to.
+//   - Incarnations and snapshot numbers never decrease.
+//   - Once faults have ended, all running processes converge to the same digest, however long they were partitioned.
+//
+// It adds to memberlist:
+//
+//   - memberlist's list is read in full, as the first half of a local push/pull, so that snapshots include suspicions
+//     and incarnations.
+//   - Two sides of a partition that declared each other dead find each other again.
+//   - Members compare digests, which are sent with the responses to probes, and exchange their lists if the digests
+//     stay different.
+//   - A process whose address refuses connections is declared dead at once.
+//   - A death report is believed only from a member that is certainly present itself.
+//   - Packets and streams are checked before memberlist reads them, because it trusts the lengths in them.
 package membership
 
 import (
@@ -33,21 +39,21 @@
 )
 
 const (
-	// bindRetryInterval is how often a process tries the address that another process of its agent has.
+	// bindRetryInterval is the interval at which a process tries to bind an address that is in use.
 	bindRetryInterval = 100 * time.Millisecond
-	// updateTimeout bounds how long memberlist may take to send this process's changed metadata.
+	// updateTimeout bounds the time that memberlist may take to send this process's changed metadata.
 	updateTimeout = time.Second
 )
 
-// Membership is this process's part in the membership of its site's agents.
+// Membership is this process's participation in the membership of its site. Create one with Start.
 type Membership struct {
 	cfg             Config
 	process         string
-	baseIncarnation uint32        // below this process's incarnations, above those of earlier ones
-	announced       chan struct{} // closed once this process is above baseIncarnation
+	baseIncarnation uint32        // lower than this process's incarnations, higher than those of earlier processes
+	announced       chan struct{} // closed once this process's incarnation is above baseIncarnation
 	log             *logger
 	counters        counters
-	listChanged     chan struct{} // of one: the list may have changed
+	listChanged     chan struct{} // capacity one; has an element if the list may have changed
 
 	snapshot  atomic.Pointer[Snapshot]
 	list      atomic.Pointer[memberlist.Memberlist]
@@ -57,21 +63,22 @@
 	metas         metaCache
 	mu            sync.Mutex // guards the fields from table to killed
 	table         *memberTable
-	admitted      map[string]bool // names in the last reading of the list, and those admitted since
-	differingPeer *peerAddress    // a member whose digest differed; nil: none
+	admitted      map[string]bool // names in the list when it was last read, and those admitted since
+	differingPeer *peerAddress    // a member whose digest differed, or nil
 	differedAt    time.Time       // when a digest last differed
-	exchangedAt   time.Time       // when lists were last exchanged with a member; zero: never
+	exchangedAt   time.Time       // when lists were last exchanged with a peer; zero if never
 	leaving       bool
 	killed        bool
-	shutdownMutex sync.Mutex // held while memberlist leaves or shuts down: it must not do both at once
+	shutdownMutex sync.Mutex // held while memberlist leaves or shuts down, which must not overlap
 
-	stop  context.CancelFunc // ends the context of the tasks
+	stop  context.CancelFunc // cancels the context of the tasks
 	tasks sync.WaitGroup
 }
 
-// Start joins the other agents in the background: it returns before any of them has answered, and an agent that
-// finds nobody runs alone and keeps trying. Where another process of this machine has the address (the old one,
-// in an upgrade), this one waits until that has ended. The error is for a configuration that can't be used.
+// Start joins the other agents in the background. It returns before any of them has responded; an agent that reaches no
+// other runs alone and keeps trying. If another process of this machine has bound the address, such as the old process
+// during an upgrade, this process waits until that one has ended. Start returns an error if the configuration can't be
+// used.
 func Start(cfg Config) (*Membership, error) {
 	m, err := newMembership(cfg)
 	if err != nil {
@@ -91,7 +98,7 @@
 	return m, nil
 }
 
-// newMembership checks the configuration and draws the process's identity; it opens no socket.
+// newMembership checks the configuration and generates the process's identity. It opens no sockets.
 func newMembership(cfg Config) (*Membership, error) {
 	if err := cfg.complete(); err != nil {
 		return nil, err
@@ -115,20 +122,20 @@
 	return m, nil
 }
 
-// newProcessID draws the identity of a process.
+// newProcessID generates a random process identity.
 func newProcessID() string {
 	var id [processIDLength / 2]byte
-	_, _ = rand.Read(id[:]) // never fails
+	_, _ = rand.Read(id[:]) // never returns an error
 	return hex.EncodeToString(id[:])
 }
 
-// isValidName tells whether a member may have a name; memberlist's addresses are written as name/address, and
-// the names with @ are those of the local streams.
+// isValidName reports whether a member may have the name. A slash separates name and address in memberlist's addresses,
+// and names with @ are reserved for the local streams.
 func isValidName(name string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "/@")
 }
 
-// spawn runs a goroutine that Leave and Kill wait for.
+// spawn runs a task in a goroutine that Leave and Kill wait for.
 func (m *Membership) spawn(task func()) {
 	m.tasks.Add(1)
 	go func() {
@@ -137,7 +144,7 @@
 	}()
 }
 
-// waitForAddress binds as soon as the address is free.
+// waitForAddress retries bind until it succeeds or the context is done.
 func (m *Membership) waitForAddress(ctx context.Context) {
 	ticker := time.NewTicker(bindRetryInterval)
 	defer ticker.Stop()
@@ -158,7 +165,7 @@
 	}
 }
 
-// bind opens the sockets and starts to take part until the context ends.
+// bind opens the sockets and participates until the context is done.
 func (m *Membership) bind(ctx context.Context) error {
 	sockets, err := newTransport(&m.cfg, m.log.std(), &m.counters, m.messageHandlers())
 	if err != nil {
@@ -170,7 +177,7 @@
 	return nil
 }
 
-// messageHandlers are what this process's transport calls.
+// messageHandlers returns the handlers for this process's transport.
 func (m *Membership) messageHandlers() messageHandlers {
 	return messageHandlers{
 		onStateMessage:    m.notifyListChanged,
@@ -179,8 +186,8 @@
 	}
 }
 
-// run takes part over a transport until the context ends. Memberlist gets it as underlying, which differs only in a
-// test.
+// run starts memberlist and the background tasks, which participate until the context is done. underlying is the
+// transport that memberlist uses; it is the same as sockets except in a test.
 func (m *Membership) run(ctx context.Context, sockets *transport, underlying memberlist.NodeAwareTransport) error {
 	m.transport = sockets
 	list, err := memberlist.Create(m.listConfig(underlying))
@@ -200,7 +207,7 @@
 	return nil
 }
 
-// notifyListChanged notifies publishSnapshots that the list may have changed; it never blocks.
+// notifyListChanged notifies publishSnapshots that the list may have changed. It never blocks.
 func (m *Membership) notifyListChanged() {
 	select {
 	case m.listChanged <- struct{}{}:
@@ -208,10 +215,10 @@
 	}
 }
 
-// Snapshot is the current snapshot.
+// Snapshot returns the current snapshot.
 func (m *Membership) Snapshot() *Snapshot { return m.snapshot.Load() }
 
-// SetDraining announces in the background whether this agent drains.
+// SetDraining sets whether this agent is draining, and announces a change in the background.
 func (m *Membership) SetDraining(on bool) {
 	if m.draining.Swap(on) == on {
 		return
--- a/internal/membership/membertable.go
+++ b/internal/membership/membertable.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Change is one change of a member in this process's snapshot.
+// Change is a change of one member in this process's snapshot.
 type Change struct {
-	// Number is that of the snapshot that has the change, Digest its digest.
+	// Number is the number of the first snapshot with this change, and Digest is its digest.
 	Number uint64 `json:"number"`
-	// UnixUs is the process's wall clock in microseconds: for operators, and for experiments on one machine.
-	// No decision rests on it.
+	// UnixUs is this process's wall-clock time in microseconds, for operators and for experiments on one machine. No
+	// decision depends on it.
 	UnixUs  int64  `json:"unix_us"`
 	Name    string `json:"name"`
 	Process string `json:"process"`
-	// From is empty if the member was not known, or was another process.
+	// From is empty if the member was unknown or had another process.
 	From State `json:"from,omitempty"`
-	// To is empty if the member is forgotten.
+	// To is empty if the member was forgotten.
 	To          State  `json:"to,omitempty"`
 	Incarnation uint32 `json:"incarnation"`
 	Digest      string `json:"digest"`
 	Draining    bool   `json:"draining,omitempty"`
-	// ReportedBy is the member that reported the death, where To is Dead; empty: this process or nobody did.
+	// ReportedBy is, if To is Dead, the member whose death report this process believed. It is empty if there was no
+	// such report, for example if this process itself declared the death.
 	ReportedBy string `json:"by,omitempty"`
 }
 
-// maxChanges is how many changes a process keeps for GET /ops/fleet.
+// maxChanges is the number of changes that a process keeps for GET /ops/fleet.
 const maxChanges = 8192
 
-// memberTable makes snapshots of memberlist's list. One goroutine at a time uses it.
+// memberTable turns memberlist's list into snapshots. It is not safe for concurrent use.
 type memberTable struct {
 	cfg      *Config
 	process  string
 	snapshot *Snapshot
 	changes  []Change
-	// retired are the processes that a name had before, the latest first, at most maxRetiredPerName each.
+	// retired has the earlier processes of each name, the latest first, at most maxRetiredPerName of them.
 	retired map[string][]retiredProcess
-	// deathReporters are the members that last reported a member dead, by its name, until it is alive or
-	// forgotten.
+	// deathReporters has, by name, the member that last reported a member dead, until that is alive or forgotten.
 	deathReporters map[string]string
 }
 
@@ -52,7 +52,7 @@
 	return t
 }
 
-// newSnapshot is a snapshot of the members, which it sorts; it has no number yet.
+// newSnapshot returns a snapshot of the members, without a number. It sorts the members in place.
 func (t *memberTable) newSnapshot(members []Member, now time.Time) *Snapshot {
 	slices.SortFunc(members, compareNames)
 	snapshot := &Snapshot{
@@ -77,7 +77,7 @@
 	return snapshot
 }
 
-// update takes memberlist's list and tells whether the snapshot changed.
+// update applies memberlist's list and reports whether the snapshot changed.
 func (t *memberTable) update(list []Member, now time.Time) bool {
 	members := make([]Member, 0, len(list))
 	listed := make(map[string]bool, len(list))
@@ -110,7 +110,7 @@
 	return true
 }
 
-// updateListed merges a member of memberlist's list with what is known of it; the change is nil if there is none.
+// updateListed merges a member of memberlist's list with the snapshot's. The change is nil if there is none.
 func (t *memberTable) updateListed(member Member, now time.Time) (Member, *Change) {
 	old, known := t.snapshot.Member(member.Name)
 	sameProcess := known && old.Process == member.Process
@@ -151,8 +151,8 @@
 	return member, change
 }
 
-// hasReturned tells whether a member is present again after it was dead, or after a suspicion that lasted: that,
-// too, may have been a partition, with suspicions on its other side.
+// hasReturned reports whether a member is present again after it was dead, or alive again after a long suspicion. The
+// latter may have been a partition too, with suspicions on its other side.
 func (t *memberTable) hasReturned(old, member *Member, now time.Time) bool {
 	if old.State == Dead {
 		return member.State.isPresent()
@@ -160,8 +160,8 @@
 	return old.State == Suspect && member.State == Alive && now.Sub(old.stateSince) >= t.cfg.halfSuspicion()
 }
 
-// updateUnlisted decides about a member that memberlist has forgotten. A dead one stays for ReconnectForMs, so
-// that reconnects can find it; one that left is forgotten too (the member is nil). The change is nil if there is
+// updateUnlisted updates a member that memberlist has forgotten. A dead member is kept for ReconnectForMs, so that
+// reconnects can find it. One that left is forgotten, and the returned member is nil. The change is nil if there is
 // none.
 func (t *memberTable) updateUnlisted(member Member, now time.Time) (*Member, *Change) {
 	change := &Change{
@@ -172,7 +172,7 @@
 	}
 	switch {
 	case member.State.isPresent():
-		// It died and was forgotten between two readings of the list.
+		// The member died and was forgotten between two reads of the list.
 		change.To = Dead
 		member.State = Dead
 		member.stateSince = now
@@ -185,7 +185,7 @@
 	}
 }
 
-// replaceSnapshot puts a snapshot of the members in the place of the current one.
+// replaceSnapshot replaces the current snapshot with one of the given members.
 func (t *memberTable) replaceSnapshot(members []Member, now time.Time) {
 	next := t.newSnapshot(members, now)
 	next.Number = t.snapshot.Number + 1
@@ -196,7 +196,7 @@
 	t.snapshot = next
 }
 
-// recordChanges keeps the changes that led to the current snapshot, and drops the oldest ones over maxChanges.
+// recordChanges records the changes that led to the current snapshot, and drops the oldest ones beyond maxChanges.
 func (t *memberTable) recordChanges(changes []Change) {
 	for _, change := range changes {
 		change.Number = t.snapshot.Number
@@ -209,7 +209,7 @@
 	}
 }
 
-// changesSince are the kept changes after the snapshot of a number; nil if there are none.
+// changesSince returns the recorded changes after the snapshot with the given number, or nil if there are none.
 func (t *memberTable) changesSince(number uint64) []Change {
 	var changes []Change
 	for _, change := range t.changes {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -5,11 +5,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// messageType is the first byte of a message of memberlist's protocol (v0.5.4, version 2); the body follows, mostly as
-// msgpack.
+// messageType is the first byte of a message of memberlist's protocol (v0.5.4, version 2). The body follows, in most
+// messages as msgpack.
 type messageType byte
 
-// The types of messages.
+// The message types of memberlist.
 const (
 	msgPing messageType = iota
 	msgIndirectPing
@@ -29,16 +29,16 @@
 	msgLabel messageType = 244
 )
 
-// typeOf is the type of a message, which is not empty.
+// typeOf returns the type of a message, which must not be empty.
 func typeOf(message []byte) messageType { return messageType(message[0]) }
 
-// bodyOf is what follows a message's type.
+// bodyOf returns the body of a message.
 func bodyOf(message []byte) []byte { return message[1:] }
 
-// maxNameBytes bounds a member's name.
+// maxNameBytes is the maximum length of a member's name.
 const maxNameBytes = 64
 
-// pushPullHeader begins a push/pull; Nodes entries of pushNode and UserStateLen bytes follow.
+// pushPullHeader is the header of a push/pull, followed by Nodes pushNode entries and UserStateLen bytes of user state.
 type pushPullHeader struct {
 	Nodes        int
 	UserStateLen int
@@ -56,37 +56,38 @@
 	Vsn         []uint8
 }
 
-// deadMessage reports that a member is dead or, if it is From itself, that it leaves. A suspicion has the same form.
+// deadMessage reports that a member is dead or, if Node and From are equal, that it leaves. A suspicion has the same
+// fields.
 type deadMessage struct {
 	Incarnation uint32
 	Node        string
 	From        string
 }
 
-// errorMessage answers a stream with an error.
+// errorMessage is an error response on a stream.
 type errorMessage struct{ Error string }
 
-// encodeMessage is a message as memberlist writes it.
+// encodeMessage returns a message in memberlist's encoding.
 func encodeMessage(kind messageType, body any) []byte {
 	return append([]byte{byte(kind)}, encodeBody(body)...)
 }
 
-// encodeBody is a struct of plain fields as msgpack.
+// encodeBody encodes a struct of plain fields as msgpack.
 func encodeBody(body any) []byte {
 	var encoded []byte
 	if err := codec.NewEncoderBytes(&encoded, &codec.MsgpackHandle{}).Encode(body); err != nil {
-		panic(err) // a struct of plain fields can be encoded
+		panic(err) // encoding plain fields never fails
 	}
 	return encoded
 }
 
-// encodePushPull is a push/pull with one member.
+// encodePushPull returns a push/pull with one member.
 func encodePushPull(node pushNode) []byte {
 	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: 1})
 	return append(message, encodeBody(node)...)
 }
 
-// changesState tells whether a message is about a member's state.
+// changesState reports whether a message can change a member's state.
 func changesState(message []byte) bool {
 	switch typeOf(message) {
 	case msgSuspect, msgAlive, msgDead:
@@ -96,14 +97,15 @@
 	}
 }
 
-// demoteDeathReport turns a report that a member is dead into a suspicion, unless it is the member's own (it leaves)
-// or comes from a member that is trusted; the two messages differ in their first byte only.
+// demoteDeathReport turns a report that a member is dead into a suspicion in place, and reports whether it did. It
+// leaves a member's announcement that it leaves itself, and reports from trusted members. The two kinds of message
+// differ only in the first byte.
 func demoteDeathReport(message []byte, trusts func(reporter, accused string) bool) (demoted bool) {
 	if typeOf(message) != msgDead {
 		return false
 	}
 	defer func() {
-		_ = recover() // the decoder panics at some input that is not msgpack: memberlist drops such a message
+		_ = recover() // the decoder panics on some input that is not msgpack; memberlist drops such a message
 	}()
 	var report deadMessage
 	if err := codec.NewDecoderBytes(bodyOf(message), &codec.MsgpackHandle{}).Decode(&report); err != nil {
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// processIDLength is the length of a process's identity, in hexadecimal digits.
+	// processIDLength is the length of a process identity in hexadecimal digits.
 	processIDLength = 16
-	// maxLabelBytes bounds a site, a zone and a version.
+	// maxLabelBytes is the maximum length of a site, a zone or a version.
 	maxLabelBytes = 64
-	// maxCachedMetas bounds the metadata cache, in entries; once full, it is emptied.
+	// maxCachedMetas is the maximum number of entries in a metaCache, which is emptied when it is full.
 	maxCachedMetas = 4096
 )
 
 var errMetadataLength = errors.New("meta: process, zone or version has an invalid length")
 
-// meta is the metadata that a member sends about itself, as JSON; memberlist allows 512 bytes.
+// meta is the metadata that a member announces, as JSON. memberlist limits it to 512 bytes.
 type meta struct {
 	Process  string `json:"p"`
 	Zone     string `json:"z,omitempty"`
@@ -27,11 +27,11 @@
 }
 
 func (m meta) bytes() []byte {
-	b, _ := json.Marshal(m) // strings and a bool cannot fail
+	b, _ := json.Marshal(m) // encoding strings and a bool never fails
 	return b
 }
 
-// parseMeta reads a member's metadata; what no agent sends is an error.
+// parseMeta decodes and checks a member's metadata.
 func parseMeta(b []byte) (meta, error) {
 	var parsed meta
 	if err := json.Unmarshal(b, &parsed); err != nil {
@@ -43,13 +43,13 @@
 	return parsed, nil
 }
 
-// metaCache keeps parsed metadata: the same bytes come again with each message about a member.
+// metaCache caches parsed metadata, as each message about a member repeats the same bytes.
 type metaCache struct {
 	mu     sync.Mutex
 	parsed map[string]meta
 }
 
-// parse is parseMeta with the cache.
+// parse returns the cached result of parseMeta.
 func (c *metaCache) parse(b []byte) (meta, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -9,10 +9,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxPacketBytes bounds a packet.
+// maxPacketBytes is the size of the receive buffer: the maximum size of a packet.
 const maxPacketBytes = 64 << 10
 
-// receivePackets hands packets to memberlist until Shutdown.
+// receivePackets receives packets and hands them to memberlist until Shutdown.
 func (t *transport) receivePackets() {
 	buf := make([]byte, maxPacketBytes)
 	for t.ctx.Err() == nil {
@@ -21,7 +21,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the refusal of an earlier packet shows here
+			continue // for example, an earlier packet was refused by its destination
 		}
 		packet := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: time.Now()}
 		if t.isAnnounced() && t.acceptPacket(packet) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// isAnnounced tells whether this process may take part yet.
+// isAnnounced reports whether this process may receive messages yet.
 func (t *transport) isAnnounced() bool {
 	select {
 	case <-t.announced:
@@ -40,7 +40,7 @@
 	}
 }
 
-// deliver hands a packet to memberlist and tells whether it was taken before Shutdown.
+// deliver hands a packet to memberlist and reports whether that took it before Shutdown.
 func (t *transport) deliver(packet *memberlist.Packet) bool {
 	select {
 	case t.packets <- packet:
@@ -50,8 +50,8 @@
 	}
 }
 
-// acceptPacket tells whether a packet may go to memberlist, and turns death reports into suspicions where they are
-// not believed.
+// acceptPacket reports whether a packet may be handed to memberlist, and turns death reports that are not believed into
+// suspicions.
 func (t *transport) acceptPacket(packet *memberlist.Packet) bool {
 	t.counters.packetsIn.Add(1)
 	t.counters.bytesIn.Add(uint64(len(packet.Buf)))
@@ -79,7 +79,7 @@
 	return true
 }
 
-// acceptMessage handles one message of a packet before memberlist has it.
+// acceptMessage processes one message of a packet before memberlist receives it.
 func (t *transport) acceptMessage(message []byte) {
 	if demoteDeathReport(message, t.handlers.acceptDeathReport) {
 		t.counters.demotedDeaths.Add(1)
@@ -89,7 +89,7 @@
 	}
 }
 
-// injectMessage gives memberlist a message as if it had been received.
+// injectMessage hands memberlist a message as if it had been received.
 func (t *transport) injectMessage(message []byte) {
 	packet, err := memberlist.AddLabelHeaderToPacket(message, t.cfg.Site)
 	if err != nil {
@@ -101,12 +101,12 @@
 	}
 }
 
-// WriteTo sends a packet.
+// WriteTo sends a packet to an address (host:port).
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress sends a packet to a member's address.
 func (t *transport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
 	if err := t.checkNetworks(address.Addr); err != nil {
 		return time.Time{}, err
@@ -124,14 +124,14 @@
 	return time.Now(), err
 }
 
-// hasStateMessage tells whether a packet of this process has a message about a member's state.
+// hasStateMessage reports whether a packet that memberlist sends has a message that can change a member's state.
 func hasStateMessage(packet []byte) bool {
 	b, _, err := memberlist.RemoveLabelHeaderFromPacket(packet)
 	if err != nil {
 		return false
 	}
 	hasState := false
-	// Of a message of another kind memberlist's own packet has none: what was found until then counts.
+	// memberlist's own packets have no message that checkPacket rejects; if one did, the messages before it count.
 	_ = checkPacket(b, 0, func(message []byte) { hasState = hasState || changesState(message) })
 	return hasState
 }
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// The list is read every minSnapshotInterval at the most, and so seldom that reading takes a
-	// maxSnapshotTimeFraction of the time, but at least every maxSnapshotInterval: what a change costs is bounded
-	// whatever the number of members, and less is done when the machine is short of time.
+	// A changed list is read at intervals of at least minSnapshotInterval, and long enough that reading takes at most
+	// maxSnapshotTimeFraction of the time, but at most maxSnapshotInterval. This bounds the cost of changes with many
+	// members, and reduces the work when the machine is overloaded.
 	minSnapshotInterval     = 100 * time.Millisecond
 	maxSnapshotInterval     = time.Second
 	maxSnapshotTimeFraction = 0.02
-	// stallThreshold is how late the reader of the list may be before this process counts as stalled. What it
-	// then reads first is stale: its timers have expired, and the answers to its probes wait in its sockets. So
-	// nothing is published for stallQuietTime.
+	// stallThreshold is the delay of publishSnapshots above which this process counts as stalled. The list is stale
+	// right after a stall, as timers have expired while the responses to probes wait in the sockets, so nothing is
+	// published for stallQuietTime.
 	stallThreshold = time.Second
 	stallQuietTime = 500 * time.Millisecond
-	// maxLocalNodes bounds the members in memberlist's own list, which needs no other bound.
+	// maxLocalNodes is the limit for reading memberlist's own list, whose length is bounded by maxMembers already.
 	maxLocalNodes = 1 << 20
 )
 
-// memberStates are the states of members by those of memberlist.
+// memberStates maps memberlist's states to State.
 var memberStates = [...]State{
 	memberlist.StateAlive:   Alive,
 	memberlist.StateSuspect: Suspect,
@@ -33,7 +33,7 @@
 	memberlist.StateLeft:    Left,
 }
 
-// publishSnapshots reads the list when it may have changed, and publishes a snapshot where it did change.
+// publishSnapshots reads the list when it may have changed, and publishes a snapshot if it did.
 func (m *Membership) publishSnapshots(ctx context.Context) {
 	ticker := time.NewTicker(minSnapshotInterval)
 	defer ticker.Stop()
@@ -65,11 +65,11 @@
 			}
 			m.publish(snapshot)
 		}
-		lastTick = time.Now() // the time that publishing took is no stall
+		lastTick = time.Now() // the time spent publishing is not a stall
 	}
 }
 
-// takeListChanged tells whether the list may have changed since it was last called.
+// takeListChanged reports whether the list may have changed since the previous call.
 func (m *Membership) takeListChanged() bool {
 	select {
 	case <-m.listChanged:
@@ -79,18 +79,19 @@
 	}
 }
 
-// snapshotPause is the time between the starts of two readings, by how long the first took.
+// snapshotPause returns the minimum time from the start of one read of the list to the next, given the time that the
+// first one took.
 func snapshotPause(took time.Duration) time.Duration {
 	return min(maxSnapshotInterval, time.Duration(float64(took)/maxSnapshotTimeFraction))
 }
 
-// isAboveBase tells whether a snapshot has this process above the incarnations of earlier ones.
+// isAboveBase reports whether a snapshot has this process with an incarnation above baseIncarnation.
 func (m *Membership) isAboveBase(snapshot *Snapshot) bool {
 	self, _ := snapshot.Member(m.cfg.Name)
 	return self.Incarnation > m.baseIncarnation
 }
 
-// publish makes a snapshot the current one.
+// publish makes a snapshot the current one and calls OnSnapshot.
 func (m *Membership) publish(snapshot *Snapshot) {
 	m.snapshot.Store(snapshot)
 	if m.cfg.OnSnapshot != nil {
@@ -101,7 +102,7 @@
 // readSnapshot reads memberlist's list and returns the new snapshot, or nil if it did not change.
 func (m *Membership) readSnapshot(now time.Time) *Snapshot {
 	m.transport.recordedList = nil
-	// A push/pull with the local stream always fails; it has recorded the list by then.
+	// A push/pull over the local stream always fails, but records the list first.
 	_, _ = m.list.Load().Join([]string{peerAddress{listPeer, m.cfg.Advertise}.String()})
 	if m.transport.recordedList == nil {
 		return nil
@@ -116,7 +117,7 @@
 	for i := range nodes {
 		member, err := m.newMember(&nodes[i])
 		if err != nil {
-			continue // NotifyAlive admits no such member
+			continue // unreachable: NotifyAlive rejects such members
 		}
 		names[member.Name] = true
 		members = append(members, member)
@@ -130,7 +131,7 @@
 	return m.table.snapshot
 }
 
-// newMember is the member that an entry of memberlist's list describes.
+// newMember converts an entry of memberlist's list to a Member.
 func (m *Membership) newMember(node *pushNode) (Member, error) {
 	parsed, err := m.metas.parse(node.Meta)
 	if err != nil {
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -8,19 +8,18 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// runReconnects brings together what memberlist leaves apart. It tries one seed or dead member at a time, drawn at
-// random, after a time drawn from zero up to a bound that doubles to ReconnectMs (exponential backoff with full
-// jitter), and exchanges lists with members whose digest stays different. The work of one agent is bounded
-// however many members are missing; over all agents it adds up, so that the first pair meets within milliseconds
-// after a partition.
+// runReconnects reconnects members that memberlist doesn't. It tries one random seed or dead member at a time, with
+// exponential backoff and full jitter: each wait is a random time below a bound that doubles up to ReconnectMs. It also
+// exchanges lists with members whose digest stays different. The work of each agent is bounded however many members are
+// missing. As all agents try, the first pair connects within milliseconds after a partition has ended.
 func (m *Membership) runReconnects(ctx context.Context) {
 	select {
-	case <-m.announced: // nobody may learn of this process before it is above all earlier ones
+	case <-m.announced: // no member may learn of this process before its incarnation is above those of earlier ones
 	case <-ctx.Done():
 		return
 	}
 	bound := m.newBackoff()
-	wait := time.NewTimer(fullJitter(bound)) // agents that start at once do not call at once
+	wait := time.NewTimer(fullJitter(bound)) // spreads the attempts of agents that start at the same time
 	defer wait.Stop()
 	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs))
 	defer ticker.Stop()
@@ -35,20 +34,20 @@
 			missingBefore := missing
 			missing = len(m.missingPeers())
 			if missing > missingBefore {
-				// Earlier failures tell nothing about a member that is newly missing.
+				// Earlier failures say nothing about a member that has only now gone missing.
 				bound.Reset()
 				wait.Reset(fullJitter(bound))
 			}
 		case <-wait.C:
 			if m.reconnect() {
-				bound.Reset() // one member of a side was reached: there may be more of them
+				bound.Reset() // other members on the same side of the partition may be reachable too
 			}
 			wait.Reset(fullJitter(bound))
 		}
 	}
 }
 
-// newBackoff doubles from the probe interval to ReconnectMs; fullJitter draws from it.
+// newBackoff returns a backoff that doubles from the probe interval up to ReconnectMs, for use with fullJitter.
 func (m *Membership) newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = milliseconds(m.cfg.ProbeIntervalMs)
@@ -59,10 +58,10 @@
 	return b
 }
 
-// fullJitter draws a time from zero up to the backoff's next interval.
+// fullJitter returns a random time below the backoff's next interval.
 func fullJitter(b *backoff.ExponentialBackOff) time.Duration { return rand.N(b.NextBackOff()) }
 
-// missingPeers are the dead members and the seeds that are not members. Members that left are not missing.
+// missingPeers returns the dead members and the seeds that are not members. It leaves out members that left.
 func (m *Membership) missingPeers() []peerAddress {
 	var missing []peerAddress
 	memberAddrs := map[string]bool{m.cfg.Advertise: true}
@@ -82,7 +81,7 @@
 	return missing
 }
 
-// reconnect tries one missing peer and tells whether it answered.
+// reconnect tries to exchange lists with one random missing peer and reports whether it succeeded.
 func (m *Membership) reconnect() bool {
 	peers := m.missingPeers()
 	if len(peers) == 0 {
--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -9,44 +9,44 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// retiredProcess is a process that another process of the same name replaced. Late messages about it are ignored
-// for ForgetMs, unless one claims a higher incarnation than the process that replaced it: see liftRetirement.
+// retiredProcess is a process that another process of the same name replaced. Late messages about it are ignored for
+// ForgetMs, unless one has a higher incarnation than the process that replaced it; see liftRetirement.
 type retiredProcess struct {
 	process   string
 	retiredAt time.Time
 }
 
 const (
-	// maxRetiredPerName is how many retired processes of a name are remembered.
+	// maxRetiredPerName is the maximum number of retired processes that are kept per name.
 	maxRetiredPerName = 4
-	// retiredNamesFactor bounds the names with retired processes, as a multiple of maxMembers.
+	// retiredNamesFactor is the maximum number of names with retired processes, as a multiple of maxMembers.
 	retiredNamesFactor = 4
 )
 
 var errInvalidAlive = errors.New("invalid alive message")
 
-// retire remembers a process that was replaced.
+// retire records a process that was replaced.
 func (t *memberTable) retire(name string, old retiredProcess) {
 	if len(t.retired) > retiredNamesFactor*t.cfg.maxMembers() {
-		clear(t.retired) // new names keep coming; late messages about the old ones are refuted by their members
+		clear(t.retired) // bounds memory if new names keep coming; members refute late messages about themselves
 	}
 	processes := append([]retiredProcess{old}, t.retired[name]...)
 	t.retired[name] = processes[:min(len(processes), maxRetiredPerName)]
 }
 
-// isRetired tells whether messages about a process are ignored, as it was replaced within ForgetMs.
+// isRetired reports whether messages about a process are ignored because it was replaced less than ForgetMs ago.
 func (t *memberTable) isRetired(name, process string, now time.Time) bool {
 	return slices.ContainsFunc(t.retired[name], func(old retiredProcess) bool {
 		return old.process == process && now.Sub(old.retiredAt) < milliseconds(t.cfg.ForgetMs)
 	})
 }
 
-// liftRetirement ends the retirement of a process that claims a higher incarnation than the one that replaced it.
+// liftRetirement ends the retirement of a process that has a higher incarnation than the one that replaced it.
 //
-// Incarnations start from the wall clock, so all that an earlier process sent is below its successor. Where that
-// clock was set back between the two, a process starts below its predecessor: a member that learns of it first,
-// and of the predecessor then, takes it for the earlier one. The process refutes that with a higher incarnation,
-// which shows that it is the one that runs.
+// First incarnations are derived from the wall clock, so that all messages of an earlier process have lower
+// incarnations than its successor. If the clock was set back between the two starts, a process starts below its
+// predecessor, and a member that learns of the process first and of the predecessor after that takes the process for
+// the earlier one. The process refutes this with a higher incarnation, which shows that it is the running one.
 func (t *memberTable) liftRetirement(name, process string, incarnation uint32) {
 	current, ok := t.snapshot.Member(name)
 	if !ok || incarnation <= current.Incarnation {
@@ -57,15 +57,15 @@
 	})
 }
 
-// aliveMessage is memberlist's message that a member is alive, as far as it is read here.
+// aliveMessage has the fields of memberlist's alive message that this package reads.
 type aliveMessage struct {
 	Incarnation uint32
 	Node        string
 	Meta        []byte
 }
 
-// liftRetirements lifts the retirements that an alive message or a push/pull refutes. Its form has been checked,
-// and memberlist has not seen it yet.
+// liftRetirements ends the retirements that an alive message or a push/pull refutes. It is called with messages that
+// have been checked, before memberlist receives them.
 func (m *Membership) liftRetirements(message []byte) {
 	if !m.hasRetired() {
 		return
@@ -93,10 +93,10 @@
 	return len(m.table.retired) > 0
 }
 
-// readAlive reads the members that an alive message or a push/pull claims to be alive.
+// readAlive returns the members that are alive according to an alive message or a push/pull.
 func readAlive(message []byte, maxNodes int) (claims []aliveMessage, err error) {
 	defer func() {
-		if recover() != nil { // the decoder panics at some input that is not msgpack
+		if recover() != nil { // the decoder panics on some input that is not msgpack
 			claims = nil
 			err = errInvalidAlive
 		}
@@ -109,7 +109,7 @@
 	return []aliveMessage{claim}, err
 }
 
-// readAliveNodes reads the alive members of a push/pull.
+// readAliveNodes returns the alive members in a push/pull.
 func readAliveNodes(message []byte, maxNodes int) ([]aliveMessage, error) {
 	nodes, err := readPushPull(bodyOf(message), maxNodes)
 	if err != nil {
--- a/internal/membership/shutdown.go
+++ b/internal/membership/shutdown.go
@@ -1,6 +1,7 @@
 package membership
 
-// Leave announces that this process ends, for LeaveMs at the most, and closes all sockets. It may be called once.
+// Leave announces that this process is shutting down, within LeaveMs at most, and closes all sockets. It must be called
+// at most once.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	m.leaving = true
@@ -15,7 +16,7 @@
 	m.shutdown()
 }
 
-// announceLeave announces that this process ends, unless its sockets are closed already.
+// announceLeave announces that this process is shutting down, unless its sockets are already closed.
 func (m *Membership) announceLeave() {
 	m.shutdownMutex.Lock()
 	defer m.shutdownMutex.Unlock()
@@ -28,8 +29,8 @@
 	}
 }
 
-// Kill closes all sockets at once and announces nothing: to the others it is as if the process had been killed. It
-// may be called at any time, also during Leave and after it, and returns once all goroutines have ended.
+// Kill closes all sockets at once without an announcement; to other members it looks as if the process had been killed.
+// It may be called at any time, even during or after Leave, and returns once all goroutines have ended.
 func (m *Membership) Kill() {
 	m.mu.Lock()
 	m.leaving = true
@@ -41,17 +42,17 @@
 	}
 	m.shutdown()
 	m.tasks.Wait()
-	m.shutdown() // the address may have been bound meanwhile
+	m.shutdown() // a task may have bound the address after the first call
 }
 
-// socketsClosed tells whether the process's sockets are closed already.
+// socketsClosed reports whether the sockets are already closed.
 func (m *Membership) socketsClosed() bool { return m.transport.ctx.Err() != nil }
 
-// shutdown ends memberlist, if it runs.
+// shutdown shuts memberlist down if it is running.
 func (m *Membership) shutdown() {
 	m.shutdownMutex.Lock()
 	defer m.shutdownMutex.Unlock()
 	if list := m.list.Load(); list != nil {
-		_ = list.Shutdown() // memberlist has logged an error
+		_ = list.Shutdown() // memberlist logs errors itself
 	}
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -14,42 +14,41 @@
 
 // The states of a member.
 const (
-	Alive   State = "alive"   // it answers, or other members say that it does
-	Suspect State = "suspect" // it did not answer; it can still refute the suspicion
-	Dead    State = "dead"    // it refuted nothing in time, or its address refused connections
-	Left    State = "left"    // it announced that it ends
+	Alive   State = "alive"   // it responds to probes of this process or of other members
+	Suspect State = "suspect" // it did not respond to a probe, but can still refute the suspicion
+	Dead    State = "dead"    // it did not refute the suspicion in time, or its address refused connections
+	Left    State = "left"    // it announced that it is shutting down
 )
 
-// isPresent tells whether a member in this state counts as present: a suspicion alone removes nobody.
+// isPresent reports whether a member in this state counts as present. A suspected member does.
 func (s State) isPresent() bool { return s == Alive || s == Suspect }
 
 // Member is one agent as this process sees it.
 type Member struct {
 	Name string `json:"name"`
-	// Process identifies the run of the agent: 16 hexadecimal digits, drawn at each start.
+	// Process identifies the process of the agent: 16 hexadecimal digits, generated at each start.
 	Process  string `json:"process"`
 	Zone     string `json:"zone,omitempty"`
 	Version  string `json:"version,omitempty"`
 	Draining bool   `json:"draining,omitempty"`
 	State    State  `json:"state"`
-	// Incarnation is SWIM's number: it grows when the member refutes a suspicion or changes its metadata.
+	// Incarnation is SWIM's incarnation number. It grows when the member refutes a suspicion or changes its metadata.
 	Incarnation uint32 `json:"incarnation"`
 	Addr        string `json:"addr"`
 
-	// stateSince is when this process first saw the member with this State and Process.
+	// stateSince is when this process first saw the member with its current State and Process.
 	stateSince time.Time
-	// returnedAt is when the process last became alive again after it had been dead, or suspected for long;
-	// zero: never.
+	// returnedAt is when the process was last seen again after it had been dead or suspected for long; zero if never.
 	returnedAt time.Time
 }
 
-// isStable tells whether a member has been alive, without a suspicion, for the settle time.
+// isStable reports whether a member has been alive, without a suspicion, for the settle time.
 func (m *Member) isStable(now time.Time, settleTime time.Duration) bool {
 	return m.State == Alive && now.Sub(m.stateSince) >= settleTime
 }
 
-// isReturning tells whether a member returned so lately that a suspicion of the given length, which it may
-// have begun on the other side of a partition, can still run.
+// isReturning reports whether a member returned so recently that a suspicion of the given duration, which it may have
+// started on the other side of a partition, can still be running.
 func (m *Member) isReturning(now time.Time, suspicion time.Duration) bool {
 	return !m.returnedAt.IsZero() && now.Sub(m.returnedAt) < suspicion
 }
@@ -57,19 +56,19 @@
 // compareNames orders members by their names.
 func compareNames(a, b Member) int { return strings.Compare(a.Name, b.Name) }
 
-// Snapshot is what one process knows of all members at a time. It is immutable.
+// Snapshot is one process's view of all members at one time. It is immutable.
 type Snapshot struct {
 	Self    string `json:"self"`
 	Process string `json:"process"`
 	Site    string `json:"site"`
-	// Number grows by one with each change of this process's snapshot; it has no meaning for another process.
+	// Number grows by one with each new snapshot of this process. Numbers of different processes are unrelated.
 	Number uint64 `json:"number"`
-	// Digest is a hash of the names and processes that are alive or suspected: two agents with equal digests
-	// see the same members.
+	// Digest is a hash of the names and processes of the members that are alive or suspected. Two agents with equal
+	// digests see the same members as present.
 	Digest string `json:"digest"`
-	// Size is the number of agents that the configuration names.
+	// Size is the fleet size: the number of agents according to the service settings.
 	Size int `json:"size"`
-	// Present is the number of members that are alive or suspected, Suspects that of the suspected ones.
+	// Present is the number of members that are alive or suspected; Suspects is the number of suspected ones.
 	Present  int `json:"present"`
 	Suspects int `json:"suspects"`
 	// Members are ordered by name.
@@ -81,22 +80,22 @@
 	digestSince time.Time
 }
 
-// Assessment is all that may be concluded from a snapshot at a time. A member counts as certainly present once
-// it has been alive, without a suspicion, for the settle time, so that a member that is joining, suspected or
-// flapping is not counted. An agent that is not seen may still serve on the other side of a partition, so up
-// to as many agents as the configuration names (or more, if more are seen) may be present. A member that is
-// dead in the snapshot may still send.
+// Assessment has the conclusions that can safely be drawn from a snapshot at a given time. A member counts as certainly
+// present once it has been alive, without a suspicion, for the settle time, so that members that are joining, suspected
+// or flapping are not counted. An agent that is not in the snapshot may still be serving on the other side of a
+// partition, so up to Size agents may be present, or more if the snapshot has more. A member that is dead in the
+// snapshot may still be sending messages.
 type Assessment struct {
-	// AtLeast and AtMost bound the number of agents that are present, this one included.
+	// AtLeast and AtMost bound the number of present agents, including this one.
 	AtLeast int `json:"at_least"`
 	AtMost  int `json:"at_most"`
-	// Quorate tells that AtLeast is a majority of the configured size.
+	// Quorate is true if AtLeast is a majority of the fleet size.
 	Quorate bool `json:"quorate"`
-	// Settled tells that the snapshot has not changed for the settle time.
+	// Settled is true if the snapshot has not changed for the settle time.
 	Settled bool `json:"settled"`
 }
 
-// Assess tells what may be concluded from the snapshot at a time of this process's clock.
+// Assess returns the assessment of the snapshot at a time of this process's clock.
 func (s *Snapshot) Assess(now time.Time) Assessment {
 	assessment := Assessment{
 		AtMost:  max(s.Size, s.Present),
@@ -112,7 +111,7 @@
 	return assessment
 }
 
-// Member returns the member with a name, and whether there is one.
+// Member returns the member with the given name, and whether there is one.
 func (s *Snapshot) Member(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(s.Members, name, func(member Member, name string) int {
 		return strings.Compare(member.Name, name)
@@ -123,21 +122,21 @@
 	return s.Members[i], true
 }
 
-// digest hashes the names and processes of the present members, which are ordered by name.
+// digest returns a hash of the names and processes of the present members. The members must be ordered by name.
 func digest(members []Member) uint64 {
 	hash := xxhash.New()
 	for i := range members {
 		if members[i].State.isPresent() {
-			_, _ = fmt.Fprintf(hash, "%s\x00%s\n", members[i].Name, members[i].Process) // a hash takes every write
+			_, _ = fmt.Fprintf(hash, "%s\x00%s\n", members[i].Name, members[i].Process) // writing to a hash never fails
 		}
 	}
 	return hash.Sum64()
 }
 
-// formatDigest is the digest as Snapshot.Digest shows it.
+// formatDigest returns a digest in the form of Snapshot.Digest.
 func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
 
-// DigestOf is the digest of a snapshot in which exactly these members are present.
+// DigestOf returns the digest of a snapshot with these members.
 func DigestOf(members []Member) string {
 	sorted := slices.SortedFunc(slices.Values(members), compareNames)
 	return formatDigest(digest(sorted))
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// Status is the answer of the admin endpoint's GET /ops/fleet.
+// Status is the response of the admin endpoint to GET /ops/fleet.
 type Status struct {
 	*Snapshot
 	Assessment
-	// UnchangedMs is how long the snapshot has been the same.
+	// UnchangedMs is the time since the snapshot last changed.
 	UnchangedMs int64 `json:"unchanged_ms"`
-	// Member tells whether this process takes part; if not, another process of its agent has the address, or it
-	// leaves.
+	// Member is true if this process participates. Otherwise another process of its agent has the address, or this
+	// process is leaving.
 	Member bool `json:"member"`
-	// Health is Lifeguard's local health score: 0 is healthy; the higher it is, the slower this process suspects
-	// others.
+	// Health is Lifeguard's local health score. 0 is healthy; a process with a higher score is slower to suspect others.
 	Health int `json:"health"`
 	// Traffic counts messages, bytes and events since the start.
 	Traffic Traffic  `json:"traffic"`
 	Changes []Change `json:"changes,omitempty"`
 }
 
-// WithoutMembers is the status without the members.
+// WithoutMembers returns a copy of the status without the list of members.
 func (s Status) WithoutMembers() Status {
 	brief := *s.Snapshot
 	brief.Members = nil
@@ -27,7 +26,7 @@
 	return s
 }
 
-// Status is what this process knows, with the changes after the snapshot of number since.
+// Status returns the current status, with the changes after the snapshot with number since.
 func (m *Membership) Status(since uint64) Status {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// maxFrameBytes bounds a message on a stream: the state of some 5,000 members.
+	// maxFrameBytes is the maximum size of a message on a stream: a push/pull of about 5,000 members.
 	maxFrameBytes = 1 << 20
-	// frameHeaderBytes is the length of the length before each message.
+	// frameHeaderBytes is the size of the length field before each message.
 	frameHeaderBytes = 4
-	// labelHeaderBytes is the length of what goes before a label: the message type and the label's length.
+	// labelHeaderBytes is the size of the header of a label: the message type and the label's length, one byte each.
 	labelHeaderBytes = 2
-	// maxStreams bounds the streams from others at a time; further ones wait unaccepted.
+	// maxStreams is the maximum number of concurrent streams from other members; further ones wait unaccepted.
 	maxStreams = 6
-	// maxWatchers bounds the connections of the watchers of this member: mostly as many as it watches itself,
-	// more where snapshots differ.
+	// maxWatchers is the maximum number of connections from members that watch this one. Usually there are as many as
+	// this member watches itself, and more while snapshots differ.
 	maxWatchers = 3 * watchedSuccessors
-	// streamTimeout bounds how long a stream may take, as memberlist bounds its own.
+	// streamTimeout bounds the duration of a stream; it is also memberlist's TCPTimeout.
 	streamTimeout = 3 * time.Second
 )
 
 var (
 	errTooManyWatchers = errors.New("too many watchers")
-	errForeignSite     = errors.New("stream of another site")
+	errForeignSite     = errors.New("stream from another site")
 )
 
-// messageSizeError is a message on a stream with a size that none may have, in bytes.
+// messageSizeError is the error for a message on a stream with an invalid size, in bytes.
 type messageSizeError uint64
 
-func (e messageSizeError) Error() string { return fmt.Sprintf("message of %d bytes", uint64(e)) }
+func (e messageSizeError) Error() string { return fmt.Sprintf("invalid message size %d", uint64(e)) }
 
-// acceptStreams accepts streams until Shutdown. A stream over maxStreams waits unaccepted: closed, it would look
-// as if this process had ended.
+// acceptStreams accepts streams until Shutdown. Streams beyond maxStreams wait unaccepted: if they were closed, it
+// would look as if this process had ended.
 func (t *transport) acceptStreams() {
 	select {
 	case <-t.announced:
@@ -71,11 +71,11 @@
 	}
 }
 
-// routeStream reads a stream's label and first message: a watcher's stream stays here, any other is for memberlist.
+// routeStream reads a stream's label and first message. It serves a watcher's stream and hands any other to memberlist.
 func (t *transport) routeStream(s *framedStream) {
 	label, err := s.readStart()
 	if err != nil {
-		_ = s.Close() // the peer gets no answer
+		_ = s.Close() // the peer gets no response
 		return
 	}
 	if typeOf(s.unread) == msgWatch {
@@ -86,12 +86,12 @@
 	select {
 	case t.streams <- s:
 	case <-t.ctx.Done():
-		_ = s.Close() // the process ends
+		_ = s.Close() // this process is shutting down
 	}
 }
 
-// serveWatcher acknowledges a watch and keeps the connection until either side ends. It does not count among the
-// streams; the watchers have a bound of their own. One over it is acknowledged and closed, and retries.
+// serveWatcher acknowledges a watch message and keeps the connection open until either side ends. Watchers don't count
+// towards maxStreams but towards maxWatchers. A watcher beyond that is acknowledged and closed, and retries.
 func (t *transport) serveWatcher(s *framedStream) {
 	_, err := s.Write([]byte{byte(msgWatch)})
 	s.releaseSlot()
@@ -107,29 +107,29 @@
 	if err == nil {
 		t.awaitStreamEnd(s)
 	}
-	_ = s.Close() // nothing was written that could be lost
+	_ = s.Close() // no unsent data can be lost
 }
 
-// awaitStreamEnd waits until a watcher's stream or this process ends.
+// awaitStreamEnd waits until a watcher closes its stream or this process shuts down.
 func (t *transport) awaitStreamEnd(s *framedStream) {
-	stop := context.AfterFunc(t.ctx, func() { _ = s.Close() }) // the process ends
+	stop := context.AfterFunc(t.ctx, func() { _ = s.Close() }) // this process is shutting down
 	defer stop()
-	_, _ = s.Conn.Read(make([]byte, 1)) // the watcher sends nothing: this returns at the end of the connection
+	_, _ = s.Conn.Read(make([]byte, 1)) // the watcher sends nothing, so this returns when the connection ends
 }
 
-// framedStream is a stream whose messages have their length before them, in four bytes, and are checked before any
-// byte of them goes to memberlist.
+// framedStream is a stream on which each message is preceded by its length in four bytes, and is checked before any of
+// it is handed to memberlist.
 type framedStream struct {
 	net.Conn
 	transport      *transport
 	releaseSlot    func()
 	detachFromKill func() bool
-	unread         []byte // of the message that was read last
+	unread         []byte // rest of the last message that was received
 }
 
-// newFramedStream makes a stream of a connection, which kill closes.
+// newFramedStream wraps a connection, which kill closes. Close calls releaseSlot.
 func (t *transport) newFramedStream(conn net.Conn, releaseSlot func()) *framedStream {
-	closeAtKill := func() { _ = conn.Close() } // the process ends
+	closeAtKill := func() { _ = conn.Close() } // the process is killed
 	return &framedStream{
 		Conn:           conn,
 		transport:      t,
@@ -138,7 +138,7 @@
 	}
 }
 
-// Close closes the stream and frees its slot.
+// Close closes the stream and releases its slot.
 func (s *framedStream) Close() error {
 	s.detachFromKill()
 	s.releaseSlot()
@@ -158,7 +158,7 @@
 	return max(0, n-frameHeaderBytes), err
 }
 
-// Read reads of the current message, or of the next one if that is read.
+// Read reads from the current message, or from the next one once the current one has been read completely.
 func (s *framedStream) Read(p []byte) (int, error) {
 	if len(s.unread) == 0 {
 		if err := s.readMessage(); err != nil {
@@ -170,8 +170,8 @@
 	return n, nil
 }
 
-// readStart reads a stream's first message, which it leaves unread, and the label before it, if there is one; the
-// label is the first message itself if there is none.
+// readStart reads a stream's label and first message, which it leaves unread. If there is no label, it returns the
+// first message in its place.
 func (s *framedStream) readStart() (label []byte, err error) {
 	if err := s.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	return label, err
 }
 
-// readMessage reads and checks one message.
+// readMessage reads and checks one message, which it leaves unread.
 func (s *framedStream) readMessage() error {
 	message, err := s.readFrame()
 	if err != nil {
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// readFrame reads one message, which is not empty.
+// readFrame reads one message and rejects an empty one.
 func (s *framedStream) readFrame() ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(s.Conn, header[:]); err != nil {
@@ -215,7 +215,7 @@
 	if size == 0 || size > maxFrameBytes {
 		return nil, s.rejectMessage(messageSizeError(size))
 	}
-	var message bytes.Buffer // grows with what is received, not with what is claimed
+	var message bytes.Buffer // grows with the received bytes and not with the claimed size
 	if _, err := io.CopyN(&message, s.Conn, int64(size)); err != nil {
 		return nil, err
 	}
@@ -223,7 +223,7 @@
 	return message.Bytes(), nil
 }
 
-// checkLabel checks the message with a stream's label.
+// checkLabel checks that a stream's label is this site's.
 func (s *framedStream) checkLabel(message []byte) error {
 	label := message[min(labelHeaderBytes, len(message)):]
 	if string(label) != s.transport.cfg.Site {
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// rejectMessage counts and drops a message, and returns the error that was found in it.
+// rejectMessage counts and drops an invalid message, and returns its error.
 func (s *framedStream) rejectMessage(err error) error {
 	s.transport.counters.badStreams.Add(1)
 	s.unread = nil
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// confirmRoundsPerProbe is how often in a probe interval an agent may check a suspect.
+	// confirmRoundsPerProbe is the number of rounds per probe interval; in each, an agent checks at most one suspect.
 	confirmRoundsPerProbe = 2
-	// checkersPerRound is how many agents check a suspect in each round, on average over all agents.
+	// checkersPerRound is the average number of agents that check a suspect in each round.
 	checkersPerRound = 3
-	// refusalsToDeclareDead is how many refused connections, one after the other, declare a member dead.
+	// refusalsToDeclareDead is the number of consecutive refused connections after which a member is declared dead.
 	refusalsToDeclareDead = 3
-	// refusalPauses is how many pauses between refused connections a probe interval has.
+	// refusalPauses is the probe interval as a multiple of the pause between refused connections.
 	refusalPauses = 20
-	// overdueCheckOneIn is in how many rounds an overdue suspect is checked once, so that not all agents connect
-	// at the same time to a machine that stalls.
+	// overdueCheckOneIn is the average number of rounds between two checks of an overdue suspect by one agent, so that
+	// not all agents connect at the same time to a stalled machine.
 	overdueCheckOneIn = 6
 )
 
 // confirmSuspects checks suspects by connecting to them.
 //
-// Where the address refuses connections, or ends them without an answer, the process is gone, and it is declared
-// dead without waiting for the rest of the suspicion. A suspect that answers receives this process's list, with
-// its suspicion, so that it refutes. One that is stalled or partitioned gives no result, and the suspicion takes
-// its time; once that is half over, another member's list is fetched.
+// If the address refuses connections or ends them without a response, the process is gone, and is declared dead without
+// waiting for the rest of the suspicion. A suspect that responds receives this process's list, which includes the
+// suspicion, so that it refutes it. For one that is stalled or partitioned there is no result and the suspicion
+// continues; once half of its minimum duration is over, lists are exchanged with another member.
 func (m *Membership) confirmSuspects(ctx context.Context) {
 	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / confirmRoundsPerProbe)
 	defer ticker.Stop()
@@ -46,7 +46,7 @@
 	}
 }
 
-// drawSuspect is the suspect that this process checks in a round, or nil.
+// drawSuspect picks the suspect that this process checks in a round, or returns nil.
 func (m *Membership) drawSuspect() *Member {
 	snapshot := m.snapshot.Load()
 	checkAll := m.digestDifferedLately()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// confirmSuspect checks a suspect once.
+// confirmSuspect checks a suspect once and acts on the result.
 func (m *Membership) confirmSuspect(ctx context.Context, suspect *Member) {
 	switch m.checkAddress(ctx, suspect) {
 	case addressRefuses:
@@ -75,14 +75,14 @@
 	}
 }
 
-// overdueCheckDrawn draws whether to check a suspect whose suspicion is half over: the others may long have
-// received its refutation, which this process missed.
+// overdueCheckDrawn decides at random whether to check a suspect for which half of the minimum duration of a suspicion
+// is over. The other members may have received its refutation long ago, and this process may have missed it.
 func (m *Membership) overdueCheckDrawn(suspect *Member) bool {
 	overdue := time.Since(suspect.stateSince) > m.cfg.halfSuspicion()
 	return overdue && rand.IntN(overdueCheckOneIn) == 0
 }
 
-// declareDead sends memberlist, and so all members, a message that a member is dead.
+// declareDead hands memberlist a message that a member is dead, which it also sends to the other members.
 func (m *Membership) declareDead(member *Member) {
 	m.counters.declaredDead.Add(1)
 	m.log.Info("membership: member declared dead, its address refuses connections",
@@ -91,21 +91,22 @@
 	m.transport.injectMessage(encodeMessage(msgDead, death))
 }
 
-// addressState is the result of connecting to a member.
+// addressState is the result of connecting to a member's address.
 type addressState int
 
 const (
-	addressSilent addressState = iota // no answer in time, which proves nothing
+	addressSilent addressState = iota // no response in time, which proves nothing
 	addressAnswers
 	addressRefuses
 )
 
-// checkAddress connects to a member until it answers, is silent, or has refused so often that it is gone.
+// checkAddress connects to a member until it responds, fails to respond in time, or has refused refusalsToDeclareDead
+// connections.
 func (m *Membership) checkAddress(ctx context.Context, member *Member) addressState {
 	for range refusalsToDeclareDead {
 		conn, err := m.dialWatch(member)
 		if err == nil {
-			_ = conn.Close() // it has answered
+			_ = conn.Close() // only the response matters
 			return addressAnswers
 		}
 		if !isPeerGone(err) {
@@ -120,9 +121,9 @@
 	return addressRefuses
 }
 
-// isPeerGone tells whether a connection failed because no process is there: it was refused, reset or ended. A
-// connection that breaks may also fail with the kernel's ETIMEDOUT or EHOSTUNREACH; if it was never established,
-// these only tell that nothing answered.
+// isPeerGone reports whether a connection failed because the peer's process is gone: it was refused, reset or closed.
+// An established connection that breaks may also fail with ETIMEDOUT or EHOSTUNREACH. On a connection that was never
+// established, these only mean that there was no response.
 func isPeerGone(err error) bool {
 	if isOneOf(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
 		return true
@@ -132,7 +133,7 @@
 	return established && isOneOf(err, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
 }
 
-// isOneOf tells whether an error is one of the system's errors.
+// isOneOf reports whether err wraps one of the given error numbers.
 func isOneOf(err error, list ...syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(list, errno)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -12,18 +12,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// receiveBufferBytes is the size of the socket's receive buffer, so that a process that stalled still has the
-// packets that came meanwhile.
+// receiveBufferBytes is the size of the UDP socket's receive buffer. It has to hold the packets that arrive while the
+// process is stalled.
 const receiveBufferBytes = 2 << 20
 
-// MaxDescriptors is how many file descriptors a Membership takes at the most: its two sockets, streams from others,
-// as many to them, and the connections of the watchers and to the watched members.
+// MaxDescriptors is the maximum number of file descriptors that a Membership uses: its two sockets, the streams from
+// other members, as many streams to them, the connections from watchers and those to watched members.
 const MaxDescriptors = 2 + 2*maxStreams + maxWatchers + watchedSuccessors
 
-// transport is the network below memberlist, with a guard: packets and stream messages that no member of this site
-// sends are dropped and counted before memberlist reads them; streams are bounded in number and each message on one
-// in size (a length of four bytes goes before each); and connections come from the bound address, so that it
-// identifies the sender. (Besides, memberlist's own transport takes 64 KiB of new memory for each packet.)
+// transport is the network transport of memberlist. Unlike memberlist's own, it drops and counts packets and stream
+// messages that no member of this site sends, before memberlist reads them. It bounds the number of streams and the
+// size of each message on a stream, which is preceded by its length in four bytes. Connections are made from the bound
+// address, which therefore identifies the sender. It also avoids the allocation of 64 KiB for each packet.
 type transport struct {
 	cfg      *Config
 	localIP  net.IP
@@ -36,34 +36,33 @@
 	streams  chan net.Conn
 	slots    chan struct{}
 	watchers chan struct{}
-	// ctx ends at Shutdown, killContext at kill, which also closes the streams that Shutdown lets finish. They are
-	// fields as memberlist calls a transport's methods without a context.
+	// ctx is canceled by Shutdown, killContext by kill, which also closes the streams that Shutdown lets finish. They
+	// are fields because memberlist calls a transport's methods without a context.
 	ctx          context.Context //nolint:containedctx // memberlist calls a transport without a context
 	cancel       context.CancelFunc
 	killContext  context.Context //nolint:containedctx // memberlist calls a transport without a context
 	cancelKill   context.CancelFunc
-	closeSockets func() error // once
+	closeSockets func() error // closes both sockets once
 	handlers     messageHandlers
-	// announced is closed once this process may take part: nothing is received before.
+	// announced is closed once this process may participate; nothing is received before that.
 	announced chan struct{}
-	// recordedList is the list that memberlist last wrote to listPeer; only the goroutine that reads it uses it.
+	// recordedList is the list that memberlist last wrote to listPeer. Only the goroutine of publishSnapshots uses it.
 	recordedList []byte
-	// suspicionOfSelf is the push/pull that suspicionPeer answers.
+	// suspicionOfSelf is the push/pull that suspicionPeer responds with.
 	suspicionOfSelf []byte
 }
 
-// messageHandlers are what a transport calls about messages, from its own goroutines and from memberlist's.
+// messageHandlers has the functions that a transport calls for messages, from its own goroutines and memberlist's.
 type messageHandlers struct {
-	// onStateMessage is called when a packet was received or sent that has a message about a member's state.
+	// onStateMessage is called for each received or sent packet with a message that can change a member's state.
 	onStateMessage func()
-	// acceptDeathReport tells whether this process believes a member's report that another is dead; it is called once for
-	// each report.
+	// acceptDeathReport reports whether to believe a member's report that another is dead. It is called once per report.
 	acceptDeathReport func(reporter, accused string) bool
-	// onAlive is called with each received message about members that are alive.
+	// onAlive is called with each received alive message and push/pull.
 	onAlive func(message []byte)
 }
 
-// newTransport opens the sockets of cfg.Bind and starts to receive.
+// newTransport opens the sockets on cfg.Bind and starts to receive.
 func newTransport(
 	cfg *Config, logger *log.Logger, counts *counters, handlers messageHandlers,
 ) (*transport, error) {
@@ -95,14 +94,14 @@
 	return t, nil
 }
 
-// openSockets opens the TCP and the UDP socket of an address.
+// openSockets opens the TCP and UDP sockets on an address.
 func (t *transport) openSockets(addr *net.TCPAddr) error {
 	var err error
 	if t.tcp, err = net.ListenTCP("tcp", addr); err != nil {
 		return err
 	}
 	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: addr.IP, Port: addr.Port}); err != nil {
-		_ = t.tcp.Close() // the error that counts is the one before
+		_ = t.tcp.Close() // the first error is returned
 		return err
 	}
 	if err := t.udp.SetReadBuffer(receiveBufferBytes); err != nil {
@@ -111,13 +110,13 @@
 	return nil
 }
 
-// PacketCh has the packets that were received.
+// PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh has the streams that were accepted.
+// StreamCh returns the channel of accepted streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// FinalAdvertiseAddr is the address that other members use, which complete has checked.
+// FinalAdvertiseAddr returns the address that other members use. complete has checked it.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	addr := net.ParseIP(ip)
 	if ipv4 := addr.To4(); ipv4 != nil {
@@ -126,19 +125,19 @@
 	return addr, port, nil
 }
 
-// Shutdown closes the sockets and the watchers' connections; other open streams may finish.
+// Shutdown closes the sockets and the watchers' connections. Other open streams may finish.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	return t.closeSockets()
 }
 
-// kill closes everything at once, as the kernel does for a process that is killed.
+// kill closes all sockets and streams at once, as the kernel does for a killed process.
 func (t *transport) kill() {
 	t.cancelKill()
-	_ = t.Shutdown() // nothing is left that an error could be about
+	_ = t.Shutdown() // an error of closing makes no difference here
 }
 
-// checkNetworks tells why nothing may be sent to an address; nil: it may.
+// checkNetworks returns an error if the address is in none of the allowed networks.
 func (t *transport) checkNetworks(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -147,7 +146,7 @@
 	if ip := net.ParseIP(host); ip != nil && t.isInNetworks(ip) {
 		return nil
 	}
-	return fmt.Errorf("%s is in none of the networks", addr)
+	return fmt.Errorf("%s is in none of the allowed networks", addr)
 }
 
 func (t *transport) isInNetworks(ip net.IP) bool {
@@ -159,7 +158,7 @@
 	return len(t.networks) == 0
 }
 
-// DialTimeout opens a stream.
+// DialTimeout opens a stream to an address (host:port).
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// watchedSuccessors is how many members each one watches by an open connection: its successors on a ring of
-	// hashed names. When a process ends its connections end with it, so up to so many others detect a crash at
-	// once; only members that fall silent are left to the probes, which can be slow then and cause no false
-	// alarms under load.
+	// watchedSuccessors is the number of members that each one watches over an open connection: its successors on a
+	// ring of hashed names. The connections of a process end with it, so that up to this many others detect a crash at
+	// once. Probes only have to detect members that stop responding, and can be slow enough not to cause false
+	// positives under load.
 	watchedSuccessors = 3
-	// watchRoundsPerProbe is how often in a probe interval the watched members are compared with the successors.
+	// watchRoundsPerProbe is how many times per probe interval the connections are updated to the current successors.
 	watchRoundsPerProbe = 4
-	// msgWatch begins a stream that stays open for as long as both processes run. It is not one of memberlist's
-	// messages.
+	// msgWatch is the first message on a stream that stays open while both processes run. It is not part of
+	// memberlist's protocol.
 	msgWatch messageType = 200
 )
 
-// watcher has the connections to the members that a process watches.
+// watcher holds the connections to the members that a process watches.
 type watcher struct {
 	m     *Membership
 	mu    sync.Mutex
-	conns map[string]net.Conn // by process
+	conns map[string]net.Conn // by process identity
 	ended sync.WaitGroup
 }
 
-// watchSuccessors keeps the connections to this member's successors.
+// watchSuccessors maintains connections to this member's successors until the context is done.
 func (m *Membership) watchSuccessors(ctx context.Context) {
 	w := &watcher{m: m, conns: map[string]net.Conn{}}
 	defer w.close()
@@ -56,7 +56,7 @@
 func (w *watcher) close() {
 	w.mu.Lock()
 	for _, conn := range w.conns {
-		_ = conn.Close() // nothing was written that could be lost
+		_ = conn.Close() // no unsent data can be lost
 	}
 	w.mu.Unlock()
 	w.ended.Wait()
@@ -71,7 +71,7 @@
 		isWanted := slices.ContainsFunc(wanted, func(member Member) bool { return member.Process == process })
 		if !isWanted {
 			delete(w.conns, process)
-			_ = conn.Close() // nothing was written that could be lost
+			_ = conn.Close() // no unsent data can be lost
 		}
 	}
 	var unwatched []Member
@@ -83,8 +83,7 @@
 	return unwatched
 }
 
-// open connects to a member and watches the connection. A failure is left to the next round, and to
-// confirmSuspects.
+// open connects to a member and watches the connection. Failures are left to the next round and to confirmSuspects.
 func (w *watcher) open(ctx context.Context, member Member) {
 	conn, err := w.m.dialWatch(&member)
 	if err != nil {
@@ -100,10 +99,10 @@
 	}()
 }
 
-// watch waits for the end of a connection, and checks the member if the member ended it.
+// watch waits until a connection ends, and calls watchEnded if it was not ended by this process.
 func (w *watcher) watch(ctx context.Context, member *Member, conn net.Conn) {
-	_, _ = conn.Read(make([]byte, 1)) // the member sends nothing: this returns at the end of the connection
-	_ = conn.Close()                  // it has ended
+	_, _ = conn.Read(make([]byte, 1)) // the member sends nothing, so this returns when the connection ends
+	_ = conn.Close()                  // the connection has ended already
 	w.mu.Lock()
 	endedByPeer := w.conns[member.Process] == conn
 	if endedByPeer {
@@ -115,8 +114,8 @@
 	}
 }
 
-// watchEnded is called when a watched member's connection has ended: if its address refuses connections its
-// process is gone.
+// watchEnded handles the end of the connection to a watched member: it declares the member dead if its address refuses
+// connections.
 func (m *Membership) watchEnded(ctx context.Context, watched *Member) {
 	current, ok := m.snapshot.Load().Member(watched.Name)
 	if !ok || current.Process != watched.Process || !current.State.isPresent() {
@@ -127,13 +126,13 @@
 	}
 }
 
-// successors are the members that this one watches, appended to into: those whose hashed names follow its own, the
-// next one first. It takes one pass and no memory, as each round of watchSuccessors calls it.
+// successors appends to into the members that this one watches: those whose hashed names follow its own, the nearest
+// first. As each round of watchSuccessors calls it, it makes a single pass and allocates nothing.
 func (m *Membership) successors(into []Member) []Member {
 	members := m.snapshot.Load().Members
 	own := xxhash.Sum64String(m.cfg.Name)
 	var nearest [watchedSuccessors]struct {
-		distance uint64 // by how much the hash follows this process's own, around the ring
+		distance uint64 // from the hash of this process's name, around the ring
 		index    int
 	}
 	found := 0
@@ -160,7 +159,7 @@
 	return into
 }
 
-// dialWatch opens a watch connection to a member, which has acknowledged it.
+// dialWatch opens a watch connection to a member and waits for the acknowledgement.
 func (m *Membership) dialWatch(member *Member) (net.Conn, error) {
 	timeout := milliseconds(m.cfg.ProbeIntervalMs)
 	address := memberlist.Address{Name: member.Name, Addr: member.Addr}
@@ -169,7 +168,7 @@
 		return nil, err
 	}
 	if err := m.startWatch(conn, timeout); err != nil {
-		_ = conn.Close() // the error that counts is the one before
+		_ = conn.Close() // the first error is returned
 		return nil, err
 	}
 	return conn, nil
