--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -10,11 +10,11 @@
 	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
-// benchSizes are the numbers of members by which the growth of the costs of a round is measured.
+// benchSizes are the numbers of members for which the benchmarks measure the growth of costs.
 var benchSizes = []int{100, 200, 400, 800, 1500}
 
-// newPopulated is a Membership with a number of members, all alive in its list and its snapshot. Nothing of it runs
-// by itself: memberlist neither probes nor gossips.
+// newPopulated returns a Membership with the given number of members, all alive in its list and its snapshot. It does
+// nothing on its own: memberlist neither probes nor gossips.
 func newPopulated(b *testing.B, members int) *Membership {
 	b.Helper()
 	cfg := testConfig(memberName(0), testaddr.Reserve(b))
@@ -48,13 +48,13 @@
 	}
 	snapshot := m.readSnapshot(time.Now())
 	if snapshot == nil || snapshot.Present != members {
-		b.Fatalf("the list of %d members was read as %+v", members, snapshot)
+		b.Fatalf("snapshot of %d members: %+v", members, snapshot)
 	}
 	m.snapshot.Store(snapshot)
 	return m
 }
 
-// pushPullOf is a push/pull of all members but the first.
+// pushPullOf returns a push/pull with all members except the first.
 func pushPullOf(members int) []byte {
 	message := encodeMessage(msgPushPull, pushPullHeader{Nodes: members - 1})
 	for i := 1; i < members; i++ {
@@ -74,8 +74,8 @@
 
 func memberName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// BenchmarkSnapshot is one reading of the list: where nothing changed, where one member did, and where one did and
-// the table has as many changes as it keeps.
+// BenchmarkSnapshot measures one read of the list: without a change, with one changed member, and with one changed
+// member when the table already holds maxChanges changes.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, bench := range []struct {
 		name    string
@@ -99,7 +99,7 @@
 						m.table.changes = m.table.changes[:0]
 					}
 					if snapshot := m.readSnapshot(now); (snapshot != nil) != bench.changed {
-						b.Fatalf("changed: %v", snapshot != nil)
+						b.Fatalf("snapshot changed: %v", snapshot != nil)
 					}
 				}
 			})
@@ -107,7 +107,7 @@
 	}
 }
 
-// BenchmarkSuccessors is what each round of watchSuccessors, four in a probe interval, computes.
+// BenchmarkSuccessors measures what each round of watchSuccessors, of which a probe interval has four, computes.
 func BenchmarkSuccessors(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/membership/clock_test.go
+++ b/internal/membership/clock_test.go
@@ -13,10 +13,10 @@
 	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
-// processID is the identity of a process in tests, of one digit.
+// processID returns a process identity that repeats one digit.
 func processID(digit string) string { return strings.Repeat(digit, 16) }
 
-// aliveNode is the node that memberlist has for a process of member b.
+// aliveNode returns memberlist's node for a process of member b.
 func aliveNode(process string) *memberlist.Node {
 	return &memberlist.Node{
 		Name: "b", Addr: net.IPv4(127, 0, 0, 1).To4(), Port: 7, Meta: meta{Process: process}.bytes(),
@@ -24,9 +24,9 @@
 	}
 }
 
-// A process that started below its predecessor, as the wall clock was set back between them, is admitted by a member
-// that took it for the earlier of the two, as soon as it refutes that. Late messages of the predecessor are still
-// rejected.
+// TestRefutationLiftsRetirement checks that a process that starts below its predecessor, because the wall clock was set
+// back between them, is admitted once it refutes the predecessor, even by a member that took it for the earlier of the
+// two. Late messages of the predecessor are still rejected.
 func TestRefutationLiftsRetirement(t *testing.T) {
 	const firstIncarnation, laterIncarnation = 1000, 400 // of the earlier process "1" and the later process "2"
 	for name, message := range map[string]func(process string, incarnation uint32) []byte{
@@ -55,21 +55,21 @@
 			update("2", laterIncarnation)
 			update("1", firstIncarnation) // a late message of the predecessor
 			if admitted("2", laterIncarnation) || admitted("2", firstIncarnation) {
-				t.Error("a process is admitted that claims no more than the one that replaced it")
+				t.Error("a retired process without a higher incarnation is admitted")
 			}
 			if !admitted("2", firstIncarnation+1) {
-				t.Fatal("the process that runs refuted the earlier one, and is not admitted")
+				t.Fatal("the running process is not admitted after it refuted the earlier one")
 			}
 			update("2", firstIncarnation+1)
 			if admitted("1", firstIncarnation) {
-				t.Error("a late message of the earlier process is admitted")
+				t.Error("the earlier process is admitted by a late message")
 			}
 		})
 	}
 }
 
-// A member that restarts is seen as its new process, whatever its machine's clock was stepped by between its starts
-// and is while it runs, and the snapshot changes by none of it.
+// TestRestartAfterWallClockStep checks that a restarted member is seen as its new process, whatever the steps of its
+// machine's wall clock between the starts, and that a step while it runs does not change that.
 func TestRestartAfterWallClockStep(t *testing.T) {
 	for _, step := range clocktest.Steps {
 		t.Run(step.String(), func(t *testing.T) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// The times of a snapshot have a reading of the monotonic clock.
+// TestSnapshotTimesAreMonotonic checks that the times of a snapshot have a monotonic clock reading.
 func TestSnapshotTimesAreMonotonic(t *testing.T) {
 	m := startAlone(t)
 	await(t, 5*time.Second, "a has a snapshot", func() bool { return m.Snapshot().Present == 1 })
@@ -116,19 +116,20 @@
 		"digestSince": snapshot.digestSince,
 		"stateSince":  snapshot.Members[0].stateSince,
 	} {
-		if at == at.Round(0) { //nolint:staticcheck // Equal would leave the monotonic reading out
-			t.Errorf("%s has no monotonic reading: %v", name, at)
+		if at == at.Round(0) { //nolint:staticcheck // Equal ignores the monotonic clock reading
+			t.Errorf("%s has no monotonic clock reading: %v", name, at)
 		}
 	}
 }
 
-// A process starts above earlier ones while the wall clock grows, and never below zero.
+// TestStartIncarnationGrowsWithWallClock checks that a process starts above earlier ones if the wall clock advanced,
+// and never below zero.
 func TestStartIncarnationGrowsWithWallClock(t *testing.T) {
 	wall := clock.System().Wall()
 	if a, b := startIncarnation(wall), startIncarnation(wall.Add(time.Second)); b != a+4 {
-		t.Errorf("incarnations of starts one second apart: %d and %d", a, b)
+		t.Errorf("incarnations of starts one second apart are %d and %d, want a difference of 4", a, b)
 	}
 	if got := startIncarnation(time.Unix(0, 0)); got != 0 {
-		t.Errorf("a clock before the epoch gives %d, want 0", got)
+		t.Errorf("incarnation for a clock before the epoch is %d, want 0", got)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// An error about the section is one line, and names the key.
+// TestParseErrorsNameTheKey checks that an error of Parse is a single line that names the key.
 func TestParseErrorsNameTheKey(t *testing.T) {
 	good := `{"bind":"127.0.0.1:7","site":"s"`
 	for section, key := range map[string]string{
@@ -38,15 +38,16 @@
 			continue
 		}
 		if text := err.Error(); !strings.Contains(text, key) || strings.Contains(text, "\n") {
-			t.Errorf("%s: error %q is not a line that names %q", section, text, key)
+			t.Errorf("%s: error %q is not a single line that names %q", section, text, key)
 		}
 	}
 	if c, err := Parse(json.RawMessage(good + "}")); err != nil || c.ProbeIntervalMs != 1000 || c.Advertise != c.Bind {
-		t.Errorf("the least section: %+v, %v", c, err)
+		t.Errorf("minimal section: %+v, %v", c, err)
 	}
 }
 
-// An assessment counts no member that is new, suspected or gone, and always allows for all configured agents.
+// TestAssessment checks that an assessment counts no member that is new, suspected or gone, and that AtMost is never
+// below the fleet size.
 func TestAssessment(t *testing.T) {
 	cfg := &Config{Name: "a", Size: 5, SettleMs: 1000}
 	t0 := time.Now()
@@ -76,30 +77,30 @@
 		table.update(step.list, t0.Add(step.at))
 		got := table.snapshot.Assess(t0.Add(step.at))
 		if got.AtLeast != step.atLeast || got.AtMost != step.atMost || got.Quorate != step.quorate {
-			t.Errorf("step %d: %+v", i, got)
+			t.Errorf("unexpected assessment at step %d: %+v", i, got)
 		}
 	}
 	if member, _ := table.snapshot.Member("b"); member.State != Alive {
-		t.Errorf("b is %v", member)
+		t.Errorf("b is %v, want alive", member)
 	}
 	// A dead member that memberlist forgets is kept for reconnects; one that left is not.
 	cfg.ReconnectForMs = 60_000
 	table.update(list(Alive, Dead, Left), t0.Add(7*time.Second))
 	table.update(list(Alive), t0.Add(8*time.Second))
 	if _, ok := table.snapshot.Member("b"); !ok {
-		t.Error("the dead member is forgotten with memberlist's list")
+		t.Error("the dead member is forgotten once memberlist has forgotten it")
 	}
 	if _, ok := table.snapshot.Member("c"); ok {
 		t.Error("the member that left is kept")
 	}
 }
 
-// validNode is a member in a push/pull that a member may send.
+// validNode returns a valid member of a push/pull.
 func validNode() pushNode {
 	return pushNode{Name: "b", Addr: []byte{127, 0, 0, 1}, Port: 1, Vsn: []uint8{1, 5, 2, 0, 0, 0}}
 }
 
-// pushPullMessage is a push/pull with a header that need not fit its members.
+// pushPullMessage returns a push/pull with the given header, which may not match the members.
 func pushPullMessage(header pushPullHeader, nodes ...pushNode) []byte {
 	message := encodeMessage(msgPushPull, header)
 	for _, node := range nodes {
@@ -108,7 +109,8 @@
 	return message
 }
 
-// Messages with lengths beyond their end, or at which memberlist would panic, are rejected.
+// TestForgedMessagesAreRejected checks that messages are rejected if their lengths exceed them, or if memberlist would
+// panic on them.
 func TestForgedMessagesAreRejected(t *testing.T) {
 	t.Run("streams", checkForgedStreams)
 	t.Run("packets", checkForgedPackets)
@@ -119,7 +121,7 @@
 func checkForgedStreams(t *testing.T) {
 	node := validNode()
 	if err := checkStream(pushPullMessage(pushPullHeader{Nodes: 1}, node), 8); err != nil {
-		t.Fatalf("a valid list: %v", err)
+		t.Fatalf("valid push/pull: %v", err)
 	}
 	short := node
 	short.Vsn = []uint8{1, 5}
@@ -159,7 +161,7 @@
 	}
 }
 
-// A death report is believed from a trusted member and from the member itself.
+// checkDeathReports checks that only a death report of a trusted member or of the member itself is not demoted.
 func checkDeathReports(t *testing.T) {
 	trusts := func(reporter, _ string) bool { return reporter == "trusted" }
 	for _, from := range []string{"trusted", "untrusted", "b"} {
@@ -171,12 +173,12 @@
 		recheckErr := checkPacket(packet, 0, func([]byte) {})
 		got := typeOf(packet[len(packet)-len(report):])
 		if err != nil || recheckErr != nil || (got == msgSuspect) != (from == "untrusted") {
-			t.Errorf("the report of %q becomes a message of type %d (%v, %v)", from, got, err, recheckErr)
+			t.Errorf("death report of %q became a message of type %d (errors %v and %v)", from, got, err, recheckErr)
 		}
 	}
 }
 
-// No changed or cut off message makes the check panic.
+// checkChangedBytes checks that checkStream panics on no corrupted or truncated message.
 func checkChangedBytes(*testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
 	valid := pushPullMessage(pushPullHeader{Nodes: 2}, validNode(), validNode())
@@ -187,6 +189,6 @@
 				message[1+draw.IntN(len(message)-1)] = byte(draw.Uint32())
 			}
 		}
-		_ = checkStream(message, 8) // only a panic counts
+		_ = checkStream(message, 8) // must not panic
 	}
 }
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -13,13 +13,13 @@
 	"fernbeam.example/fernbeam/internal/testaddr"
 )
 
-// testConfig is a configuration with short times.
+// testConfig returns a configuration with short times.
 func testConfig(name, bind string, seeds ...string) Config {
 	return Config{Name: name, Size: 2, Bind: bind, Seeds: seeds, Site: "test", Version: "1",
 		ProbeIntervalMs: 50, SuspectTimeoutMs: 1000, SettleMs: 50, ReconnectMs: 200, LeaveMs: 200}
 }
 
-// startAlone starts the member a, without seeds. It leaves at the test's end.
+// startAlone starts member a without seeds. It leaves when the test ends.
 func startAlone(t *testing.T) *Membership {
 	t.Helper()
 	m, err := Start(testConfig("a", testaddr.Reserve(t)))
@@ -33,25 +33,25 @@
 // awaitInterval is the time between two checks of await.
 const awaitInterval = 5 * time.Millisecond
 
-// await waits until a condition is met, for a time at the most.
+// await waits until a condition is met, and fails the test after the given time.
 func await(t *testing.T, within time.Duration, what string, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(within); !met(); time.Sleep(awaitInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("not met within %v: %s", within, what)
 		}
 	}
 }
 
-// delayedTransport is a transport below memberlist that delivers a packet of the process itself only once the list
-// was notified as changed and has been read after that notification.
+// delayedTransport delays the packets that the process injects: each is delivered to memberlist only once a change of
+// the list was notified and the list has been read after the notification.
 type delayedTransport struct {
 	*transport
 	packets      chan *memberlist.Packet
 	notified     chan struct{} // closed once onStateMessage was called
-	isTaken      func() bool   // no notification waits
-	began, ended atomic.Int64  // readings of the list
-	readingEnded chan struct{} // has an element where one has ended since it was last received from
+	isTaken      func() bool   // whether no notification is pending
+	began, ended atomic.Int64  // counts of reads of the list
+	readingEnded chan struct{} // capacity one; has an element if a read has ended since the last receive
 }
 
 func (d *delayedTransport) PacketCh() <-chan *memberlist.Packet { return d.packets }
@@ -65,7 +65,7 @@
 	return readingConn{conn, d}, nil
 }
 
-// readingConn is a local stream over which the list is read; the reading ends when it is closed.
+// readingConn is a local stream over which the list is read. The read ends when it is closed.
 type readingConn struct {
 	net.Conn
 	transport *delayedTransport
@@ -75,17 +75,17 @@
 	c.transport.ended.Add(1)
 	select {
 	case c.transport.readingEnded <- struct{}{}:
-	default: // awaitReading will check anyway
+	default: // awaitReading has an element to receive already
 	}
 	return c.Conn.Close()
 }
 
-// deliverPackets delivers the packets in their order, until the transport ends.
+// deliverPackets delivers the packets in order until the transport is shut down.
 func (d *delayedTransport) deliverPackets() {
 	for {
 		select {
 		case packet := <-d.transport.packets:
-			if from, ok := packet.From.(*net.UDPAddr); ok && from.Port == 0 { // no socket: injected
+			if from, ok := packet.From.(*net.UDPAddr); ok && from.Port == 0 { // not from a socket: injected
 				d.awaitReading()
 			}
 			select {
@@ -98,7 +98,7 @@
 	}
 }
 
-// awaitReading waits until the list was read after the notification.
+// awaitReading waits until the list has been read after the first notification.
 func (d *delayedTransport) awaitReading() {
 	select {
 	case <-d.notified:
@@ -114,13 +114,15 @@
 	}
 }
 
-// wasReadSince tells whether no notification waits, and a reading has ended that began after so many others.
+// wasReadSince reports whether no notification is pending, no read is running, and a read has ended that began after
+// the given number of others.
 func (d *delayedTransport) wasReadSince(readings int64) bool {
 	return d.isTaken() && d.ended.Load() > readings && d.ended.Load() == d.began.Load()
 }
 
-// A process that starts is announced, and sees others, also where its list is read between the injection of a packet
-// and memberlist's handling of it: a change is notified once it is made.
+// TestStartIsAnnouncedWhenListIsReadEarly checks that a starting process is announced and sees others even if its list
+// is read between the injection of a packet and memberlist's handling of it. This fails if a change is only notified
+// before it is made.
 func TestStartIsAnnouncedWhenListIsReadEarly(t *testing.T) {
 	first := startAlone(t)
 	m, err := newMembership(testConfig("b", testaddr.Reserve(t), first.cfg.Bind))
@@ -155,14 +157,15 @@
 		return m.Snapshot().Present == 2 && first.Snapshot().Present == 2 && m.Snapshot().Digest == first.Snapshot().Digest
 	})
 	if self, _ := m.Snapshot().Member("b"); self.Incarnation <= m.baseIncarnation {
-		t.Errorf("b is at incarnation %d, not above %d", self.Incarnation, m.baseIncarnation)
+		t.Errorf("b has incarnation %d, want above %d", self.Incarnation, m.baseIncarnation)
 	}
 }
 
-// A process that is alone has its own incarnation in its snapshot, also where that grew after its announcement.
+// TestSnapshotHasOwnIncarnationWhenAlone checks that the snapshot of a process that is alone has its current
+// incarnation, even if that has grown since the process was announced.
 func TestSnapshotHasOwnIncarnationWhenAlone(t *testing.T) {
 	m := startAlone(t)
-	await(t, 5*time.Second, "a is above its base incarnation, and announced that with one more update", func() bool {
+	await(t, 5*time.Second, "a is above its base incarnation and has announced that by an update", func() bool {
 		self, _ := m.Snapshot().Member("a")
 		return self.Incarnation == m.baseIncarnation+2
 	})
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// successorsByDefinition are the first few of all other alive members, in the order in which their hashed names
-// follow the own one.
+// successorsByDefinition returns the first watchedSuccessors of all other alive members, ordered by the distance of
+// their hashed names on the ring.
 func successorsByDefinition(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
 	var there []Member
@@ -33,7 +33,8 @@
 	return there[:min(watchedSuccessors, len(there))]
 }
 
-// Every drawn member, and one that is not in the list, watches those that follow it on the ring.
+// TestSuccessorsAreNextOnRing checks that every member, and one that is not in the list, watches the members that
+// follow it on the ring.
 func TestSuccessorsAreNextOnRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []State{Alive, Alive, Alive, Suspect, Dead, Left}
@@ -48,13 +49,13 @@
 			m.snapshot.Store(&Snapshot{Members: members})
 			got = m.successors(got[:0])
 			if want := successorsByDefinition(m.Snapshot(), self); !slices.Equal(got, want) {
-				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
+				t.Fatalf("%s watches %v, want %v", self, got, want)
 			}
 		}
 	})
 }
 
-// successors allocates nothing, whatever the number of members.
+// TestSuccessorsAllocateNothing checks that successors allocates nothing with many members.
 func TestSuccessorsAllocateNothing(t *testing.T) {
 	m := &Membership{cfg: Config{Name: memberName(7)}}
 	snapshot := &Snapshot{}
@@ -69,8 +70,8 @@
 	}
 }
 
-// The end of an established connection shows that the peer is gone; a connection that was never established shows it
-// only where it was refused or reset, and this process's own deadline shows nothing.
+// TestIsPeerGone checks that the end of an established connection shows that the peer is gone. A connection that was
+// never established shows it only if it was refused or reset. An expired deadline of this process does not show it.
 func TestIsPeerGone(t *testing.T) {
 	kernel := func(op string, errno syscall.Errno) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
@@ -98,7 +99,7 @@
 	}
 	for _, c := range cases {
 		if got := isPeerGone(c.err); got != c.gone {
-			t.Errorf("%v: gone %v, want %v", c.err, got, c.gone)
+			t.Errorf("isPeerGone(%v) = %v, want %v", c.err, got, c.gone)
 		}
 	}
 }
