--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -6,59 +6,62 @@
 	"time"
 )
 
-// maxClockDriftLimit bounds MaxClockDrift: with more, a clock's bounds have no useful ratio.
+// maxClockDriftLimit is the exclusive upper bound of MaxClockDrift: with more drift, the ratio between the fastest and
+// the slowest clock is too large to be useful.
 const maxClockDriftLimit = 0.5
 
-// Config is how a process takes part in budgets. All processes of a fleet have the same values, but for Process.
+// Config is the configuration of a process's quotas. All processes of a fleet must have the same values, except for
+// Process.
 type Config struct {
-	// Process identifies this run of this agent, as in the membership.
+	// Process identifies this process of this agent, as in the membership.
 	Process string
-	// Size is the number of agents that the configuration names.
+	// Size is the fleet size.
 	Size int
-	// Budgets are what the whole fleet may spend, by name, in any window of the length Window.
+	// Budgets has, by name, the amount that the whole fleet may spend in any window of length Window.
 	Budgets map[string]Amount
 	Window  time.Duration
-	// LoanDuration is how long a loan lasts, from its request on.
+	// LoanDuration is the duration of a loan, counted from its request.
 	LoanDuration time.Duration
-	// LendableFraction is the part of a share, from 0 to 1, that may be lent. A process that has just started cannot
-	// use that part until the loans of its predecessors have expired.
+	// LendableFraction is the fraction of a share, from 0 to 1, that may be lent. A process that has just started can't
+	// use that part of its share until the loans of its predecessors have expired.
 	LendableFraction float64
-	// MaxClockDrift bounds how fast or slow a process's clock runs, as a part of true time: 0.01 is 1 %.
+	// MaxClockDrift is the maximum rate error of a process's clock, as a fraction of true time: 0.01 is 1 %.
 	MaxClockDrift float64
-	// MaxLoans bounds the loans that a process has given, and those that it has received, of one budget.
+	// MaxLoans bounds the number of loans that a process has granted, and of those that it has received, per budget. It
+	// also bounds the number of its pending requests.
 	MaxLoans int
 }
 
-// check tells why the configuration can't be used.
+// check returns an error if the configuration can't be used.
 func (c *Config) check() error {
 	switch {
 	case c.Process == "":
-		return errors.New("quota: a process's identity is needed")
+		return errors.New("quota: process identity must not be empty")
 	case c.Size < 1:
-		return fmt.Errorf("quota: the size of the fleet must be 1 at least, is %d", c.Size)
+		return fmt.Errorf("quota: fleet size must be at least 1, is %d", c.Size)
 	case c.Window <= 0 || c.LoanDuration <= 0:
 		return errors.New("quota: window and loan duration must be above 0")
 	case !(c.LendableFraction >= 0 && c.LendableFraction <= 1):
-		return fmt.Errorf("quota: the lendable fraction must be from 0 to 1, is %g", c.LendableFraction)
+		return fmt.Errorf("quota: lendable fraction must be from 0 to 1, is %g", c.LendableFraction)
 	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift < maxClockDriftLimit):
-		return fmt.Errorf("quota: the clock drift must be from 0 to below %g, is %g", maxClockDriftLimit, c.MaxClockDrift)
+		return fmt.Errorf("quota: clock drift must be from 0 to below %g, is %g", maxClockDriftLimit, c.MaxClockDrift)
 	case c.MaxLoans < 1:
-		return fmt.Errorf("quota: the number of loans must be 1 at least, is %d", c.MaxLoans)
+		return fmt.Errorf("quota: maximum number of loans must be at least 1, is %d", c.MaxLoans)
 	}
 	for name, budget := range c.Budgets {
 		if budget < 0 {
-			return fmt.Errorf("quota: budget %q is below 0", name)
+			return fmt.Errorf("quota: budget %q is negative", name)
 		}
 	}
 	return nil
 }
 
-// atLeast is a time on this clock in which at least d passes on every clock that keeps within MaxClockDrift.
+// atLeast returns a time on this process's clock during which at least d passes on every clock within MaxClockDrift.
 func (c *Config) atLeast(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
 }
 
-// atMost is a time on this clock in which at most d passes on every clock that keeps within MaxClockDrift.
+// atMost returns a time on this process's clock during which at most d passes on every clock within MaxClockDrift.
 func (c *Config) atMost(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
 }
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// pendingRequest is a request of this process without a grant yet.
+// pendingRequest is a request of this process that has not been granted yet.
 type pendingRequest struct {
 	requestedAt time.Duration
 	budget      string
@@ -10,7 +10,7 @@
 	amount      Amount
 }
 
-// Request is a request to another process for a loan. Number identifies it among the requests of its borrower.
+// Request asks another process for a loan. Number identifies it among the requests of its borrower.
 type Request struct {
 	Budget   string
 	Borrower string
@@ -19,7 +19,7 @@
 	Amount   Amount
 }
 
-// Grant answers a Request, with its number; the amount may be less than requested.
+// Grant is the response to a Request, with the same number. The amount may be less than requested.
 type Grant struct {
 	Budget   string
 	Borrower string
@@ -28,7 +28,8 @@
 	Amount   Amount
 }
 
-// RequestLoan makes a request for a loan of an amount; false: too many are pending, or it makes no sense.
+// RequestLoan returns a request for a loan, which the caller sends to the lender. It returns false if too many requests
+// are pending or the arguments are invalid.
 func (q *Quotas) RequestLoan(budget, lender string, amount Amount, now time.Duration) (Request, bool) {
 	q.dropLateRequests(now)
 	if q.accounts[budget] == nil || amount <= 0 || lender == q.cfg.Process || len(q.pending) >= q.cfg.MaxLoans {
@@ -45,7 +46,7 @@
 	}, true
 }
 
-// dropLateRequests drops the pending requests whose loans would be over.
+// dropLateRequests drops the pending requests whose loans would have expired.
 func (q *Quotas) dropLateRequests(now time.Duration) {
 	for number, request := range q.pending {
 		if now-request.requestedAt >= q.cfg.atMost(q.cfg.LoanDuration) {
@@ -54,8 +55,9 @@
 	}
 }
 
-// GrantLoan answers a request of another process: it lends what it can beside reserve, at the most what is requested.
-// The right is lent from now on, whether or not the grant arrives, until returnDelay has passed.
+// GrantLoan handles a request of another process. It lends the requested amount, or as much as it can while it keeps
+// reserve for itself, and returns false if that is nothing. The right is lent from now until returnDelay has passed,
+// whether or not the grant reaches the borrower.
 func (q *Quotas) GrantLoan(request Request, reserve Amount, now time.Duration) (Grant, bool) {
 	account := q.accounts[request.Budget]
 	if account == nil || request.Lender != q.cfg.Process || request.Borrower == q.cfg.Process || request.Amount <= 0 {
@@ -78,8 +80,8 @@
 	return grant, true
 }
 
-// lendableNow is what a process can lend beside reserve: only of its own share, where all that it has spent in the
-// last window counts as spent of that.
+// lendableNow returns the amount that a process can lend while it keeps reserve for itself. It lends only from its own
+// share, and everything that it spent in the last window counts as spent from that share.
 func (q *Quotas) lendableNow(account *account, reserve Amount, now time.Duration) Amount {
 	spent := sum(account.spent)
 	if q.omitted == lendOnlyUnspent {
@@ -89,8 +91,8 @@
 	return min(q.lendable(account)-sum(account.lent), unspent)
 }
 
-// AcceptGrant uses a grant, if it answers a pending request of this process, and tells whether it did. The loan
-// counts from the request, which was before the lender's count began.
+// AcceptGrant accepts a grant for a pending request of this process, and reports whether it did. The duration of the
+// loan counts from the request, which was before the lender started to count.
 func (q *Quotas) AcceptGrant(grant Grant, now time.Duration) bool {
 	request, ok := q.pending[grant.Number]
 	if !ok || grant.Borrower != q.cfg.Process || !request.isAnsweredBy(grant) {
@@ -112,7 +114,7 @@
 	return true
 }
 
-// isAnsweredBy tells whether a grant has the request's budget and lender and not more than its amount.
+// isAnsweredBy reports whether a grant has the request's budget and lender, and at most its amount.
 func (r pendingRequest) isAnsweredBy(grant Grant) bool {
 	return grant.Budget == r.budget && grant.Lender == r.lender && grant.Amount > 0 && grant.Amount <= r.amount
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// modelBudget is the one budget of the model.
+// modelBudget is the only budget of the model.
 const modelBudget = "requests"
 
-// A step draws one of allActions numbers; each kind of step has those below its bound that are not below the one
-// before. The rest are spends.
+// A step draws a number below allActions. Each bound is the exclusive upper end of the range of one kind of step, which
+// starts at the previous bound. Numbers from requestsUntil on are spends.
 const (
 	startsUntil     = 1
 	pausesUntil     = 4
@@ -22,15 +22,14 @@
 	messagesUntil   = 60
 	requestsUntil   = 80
 	allActions      = 100
-	// maxTimeStepMs is the most by which the time grows in a step.
+	// maxTimeStepMs is the maximum time that passes in one step.
 	maxTimeStepMs = 1500
 )
 
-// model is a fleet of processes on a network that loses, duplicates, delays and reorders messages, with clocks that
-// are offset and drift, and processes that stall and that restart without their state. Only the model knows the true
-// time.
+// model is a fleet of processes that stall and restart without their state, with clocks that have offsets and drift, on
+// a network that loses, duplicates, delays and reorders messages. Only the model knows the true time.
 type model struct {
-	draw      func(name string, n int) int // 0 to n-1
+	draw      func(name string, n int) int // returns a number from 0 to n-1
 	now       time.Duration
 	cfg       Config
 	omission  omission
@@ -40,21 +39,21 @@
 	started   int
 }
 
-// message is a request or a grant; the other one is nil.
+// message is either a request or a grant; the other field is nil.
 type message struct {
 	request *Request
 	grant   *Grant
 }
 
-// omission is a rule that the model check leaves out. noDriftMargin is one of the configuration's, the others are
-// those of Quotas.
+// omission is a rule that the model check leaves out: either a rule of Quotas or, with noDriftMargin, the allowance for
+// clock drift in the configuration.
 type omission struct {
 	name          string
 	rule          rule
 	noDriftMargin bool
 }
 
-// modelProcess is one process of the model, with its clock.
+// modelProcess is a process of the model with its clock.
 type modelProcess struct {
 	quotas *Quotas
 	name   string
@@ -94,7 +93,7 @@
 	return m
 }
 
-// startProcess starts a process anew.
+// startProcess starts or restarts a process, without its earlier state.
 func (m *model) startProcess(p *modelProcess) {
 	m.started++
 	cfg := m.cfg
@@ -108,7 +107,7 @@
 	p.quotas.omitted = m.omission.rule
 }
 
-// step does one thing, and gives an error if more than the budget was spent in a window.
+// step executes a random step. It returns an error if more than the budget was spent in a window.
 func (m *model) step() error {
 	p := m.processes[m.draw("process", len(m.processes))]
 	action := m.draw("action", allActions)
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// passMessage delivers or drops a message; it may stay, to come again.
+// passMessage delivers or drops a random message, and may keep it so that it is delivered again.
 func (m *model) passMessage() {
 	i := m.draw("message", len(m.messages))
 	drawn := m.messages[i]
@@ -165,7 +164,7 @@
 	}
 }
 
-// spend has a process spend all that it may, or half of it, and checks the window that ends now.
+// spend makes a process spend all or half of its available amount, and checks the window that ends now.
 func (m *model) spend(p *modelProcess) error {
 	amount := p.quotas.Available(modelBudget, p.clock(m.now)) / Amount(1+m.draw("part", 2))
 	if !p.quotas.Spend(modelBudget, amount, p.clock(m.now)) {
@@ -179,12 +178,12 @@
 		}
 	}
 	if total > m.cfg.Budgets[modelBudget] {
-		return fmt.Errorf("%d of %d spent in the window up to %v", total, m.cfg.Budgets[modelBudget], m.now)
+		return fmt.Errorf("%d of budget %d spent in the window that ends at %v", total, m.cfg.Budgets[modelBudget], m.now)
 	}
 	return nil
 }
 
-// TestBudgetIsNeverExceeded is the model check; a violation shrinks to the fewest steps.
+// TestBudgetIsNeverExceeded checks the invariant on random schedules, which rapid shrinks when one violates it.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, n int) int { return rapid.IntRange(0, n-1).Draw(t, name) }
@@ -197,7 +196,7 @@
 	})
 }
 
-// runModel runs the model on a seed.
+// runModel runs the model with a random schedule for the seed.
 func runModel(seed uint64, omitted omission, steps int) (*model, error) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	m := newModel(func(_ string, n int) int { return r.IntN(n) }, omitted)
@@ -209,8 +208,8 @@
 	return m, nil
 }
 
-// TestModelFindsEachOmittedRule: 200 random schedules keep the budget, lend and spend; with a rule omitted some
-// exceed it.
+// TestModelFindsEachOmittedRule checks that 200 random schedules keep the budget while loans are used, and that without
+// any one of the rules some schedule exceeds the budget.
 func TestModelFindsEachOmittedRule(t *testing.T) {
 	loans := 0
 	for seed := range uint64(200) {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// testConfig is the configuration of process a of two, with a budget "x" of ten units.
+// testConfig returns the configuration of process a in a fleet of two, with a budget "x" of ten units.
 func testConfig() Config {
 	return Config{
 		Process:          "a",
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestForgedMessagesChangeNothing: grants that were not requested, or for more, and requests to others or of invalid
-// amounts.
+// TestForgedMessagesChangeNothing checks that grants that were not requested or are for more than requested, and
+// requests that are for another lender or budget or have an invalid amount, are rejected.
 func TestForgedMessagesChangeNothing(t *testing.T) {
 	q, err := New(testConfig(), 0)
 	if err != nil {
@@ -35,17 +35,17 @@
 	}
 	during, after := q.Available("x", now), q.Available("x", now+time.Second)
 	if during != 6*Unit || after != 5*Unit {
-		t.Errorf("%d during the loan and %d after it, want 6 and 5 units: %+v", during, after, q.Holdings(now))
+		t.Errorf("%d available during the loan, %d after it, want 6 and 5 units: %+v", during, after, q.Holdings(now))
 	}
-	for range 10 { // requests of others bound only what is lent
+	for range 10 { // MaxLoans of 2 bounds the granted loans
 		q.GrantLoan(Request{Budget: "x", Borrower: "b", Lender: "a", Amount: 1}, 0, now)
 	}
 	if h := q.Holdings(now + time.Second)[0]; h.Lent != 2 || h.ExpiredLoans != 1 {
-		t.Errorf("%+v", h)
+		t.Errorf("unexpected holding: %+v", h)
 	}
 }
 
-// checkForgedGrants checks that a process accepts no grant that differs from a valid one.
+// checkForgedGrants checks that a process rejects grants that differ from a valid one.
 func checkForgedGrants(t *testing.T, q *Quotas, valid Grant, now time.Duration) {
 	t.Helper()
 	for name, change := range map[string]func(g *Grant){
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkForgedRequests checks that process a grants no invalid request.
+// checkForgedRequests checks that process a rejects invalid requests.
 func checkForgedRequests(t *testing.T, q *Quotas, now time.Duration) {
 	t.Helper()
 	for name, request := range map[string]Request{
