--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -13,9 +13,9 @@
 // benchSizes are the numbers of members for which the benchmarks measure the growth of costs.
 var benchSizes = []int{100, 200, 400, 800, 1500}
 
-// newPopulated returns a Membership with the given number of members, all alive in its list and its snapshot. It does
-// nothing on its own: memberlist neither probes nor gossips.
-func newPopulated(b *testing.B, members int) *Membership {
+// newPopulatedMembership returns a Membership with the given number of members, all alive in its list and its snapshot.
+// It does nothing on its own: memberlist neither probes nor gossips.
+func newPopulatedMembership(b *testing.B, members int) *Membership {
 	b.Helper()
 	cfg := testConfig(memberName(0), testaddr.Reserve(b))
 	cfg.Size = members
@@ -84,7 +84,7 @@
 	}{{"same", false, 0}, {"changed", true, 0}, {"changed-kept", true, maxChanges}} {
 		for _, size := range benchSizes {
 			b.Run(fmt.Sprintf("%s/%d", bench.name, size), func(b *testing.B) {
-				m := newPopulated(b, size)
+				m := newPopulatedMembership(b, size)
 				before := *m.table.snapshot
 				if bench.changed {
 					before.Members = append([]Member(nil), before.Members...)
@@ -111,7 +111,7 @@
 func BenchmarkSuccessors(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			m := newPopulated(b, size)
+			m := newPopulatedMembership(b, size)
 			var got []Member
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -172,16 +172,16 @@
 
 // timeKey is a key of the section whose value is a time, with its default and its bounds, all in milliseconds.
 type timeKey struct {
-	key      string
-	value    *int
-	fallback int
-	min, max int
+	key       string
+	value     *int
+	defaultMs int
+	min, max  int
 }
 
 // complete sets the default if the value is zero, and checks the value.
 func (k timeKey) complete() error {
 	if *k.value == 0 {
-		*k.value = k.fallback
+		*k.value = k.defaultMs
 	}
 	if *k.value < k.min || *k.value > k.max {
 		return invalid(k.key, "must be from %d to %d, is %d", k.min, k.max, *k.value)
@@ -197,11 +197,11 @@
 		return err
 	}
 	suspect := timeKey{
-		key:      "suspect_timeout_ms",
-		value:    &c.SuspectTimeoutMs,
-		fallback: max(defaultSuspectTimeoutMs, defaultSuspectTimeoutProbes*c.ProbeIntervalMs),
-		min:      minSuspectTimeoutProbes * c.ProbeIntervalMs,
-		max:      minuteMs,
+		key:       "suspect_timeout_ms",
+		value:     &c.SuspectTimeoutMs,
+		defaultMs: max(defaultSuspectTimeoutMs, defaultSuspectTimeoutProbes*c.ProbeIntervalMs),
+		min:       minSuspectTimeoutProbes * c.ProbeIntervalMs,
+		max:       minuteMs,
 	}
 	for _, key := range []timeKey{
 		suspect,
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// exchangeOneIn is the average number of probe intervals between two exchanges of lists while a peer's digest differs.
-// Only some agents exchange lists in each interval, as the result also changes the digests of the others.
-const exchangeOneIn = 2
+// probeIntervalsPerSync is the average number of probe intervals between two exchanges of lists while a peer's digest
+// differs. Only some agents exchange lists in each interval, as the result also changes the digests of the others.
+const probeIntervalsPerSync = 2
 
 // peerAddress is the address of a member, or of a seed whose name is not known, with which to exchange lists.
 type peerAddress struct {
@@ -63,26 +63,26 @@
 	}
 }
 
-// syncWithDifferingPeer exchanges lists, with probability 1/exchangeOneIn, with a member whose digest differed.
+// syncWithDifferingPeer exchanges lists, with probability 1/probeIntervalsPerSync, with a member whose digest differed.
 func (m *Membership) syncWithDifferingPeer() {
 	m.mu.Lock()
 	peer := m.differingPeer
 	m.differingPeer = nil
 	m.mu.Unlock()
-	if peer == nil || rand.IntN(exchangeOneIn) != 0 {
+	if peer == nil || rand.IntN(probeIntervalsPerSync) != 0 {
 		return
 	}
 	m.exchangeLists(*peer)
 }
 
-// exchangeAboutSuspect exchanges lists with a random member because of a suspect that does not respond to this process.
+// exchangeForSuspect exchanges lists with a random member because of a suspect that does not respond to this process.
 // The suspect may have refuted the suspicion to all others, and digests, which leave suspicions out, don't show that.
-func (m *Membership) exchangeAboutSuspect(suspect *Member) {
+func (m *Membership) exchangeForSuspect(suspect *Member) {
 	wait := m.cfg.halfSuspicion()
 	m.mu.Lock()
-	exchangedLately := time.Since(m.exchangedAt) < wait
+	exchangedRecently := time.Since(m.exchangedAt) < wait
 	m.mu.Unlock()
-	if exchangedLately || time.Since(suspect.stateSince) < wait {
+	if exchangedRecently || time.Since(suspect.stateSince) < wait {
 		return
 	}
 	members := m.snapshot.Load().Members
@@ -101,10 +101,10 @@
 	return member.State == Alive && member.Name != m.cfg.Name
 }
 
-// digestDifferedLately reports whether this process's digest recently differed from that of a member that it probed.
+// digestDifferedRecently reports whether this process's digest recently differed from that of a member that it probed.
 // The other members may then have decided about its suspects long ago: memberlist merges a dead member of a peer's list
 // as a suspect.
-func (m *Membership) digestDifferedLately() bool {
+func (m *Membership) digestDifferedRecently() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.differedAt.IsZero() && time.Since(m.differedAt) < m.unsettledTime()
--- a/internal/membership/guard.go
+++ b/internal/membership/guard.go
@@ -26,11 +26,11 @@
 
 // Reasons for which a message is rejected.
 var (
-	errEmptyMessage   = errors.New("empty message")
-	errNested         = errors.New("compound message nested too deeply")
-	errCompoundCutOff = errors.New("compound message is truncated")
-	errNoChecksumBody = errors.New("checksum message is empty or nested")
-	errChecksum       = errors.New("checksum mismatch")
+	errEmptyMessage      = errors.New("empty message")
+	errNestedTooDeeply   = errors.New("compound message nested too deeply")
+	errCompoundTruncated = errors.New("compound message is truncated")
+	errChecksumBody      = errors.New("checksum message is empty or nested")
+	errChecksum          = errors.New("checksum mismatch")
 )
 
 // messageTypeError is the error for a message of a type that no member sends in that place.
@@ -56,7 +56,7 @@
 		return checkChecksum(b, depth, onMessage)
 	case msgCompound:
 		if depth > maxCompoundDepth {
-			return errNested
+			return errNestedTooDeeply
 		}
 		return checkCompound(bodyOf(b), depth, onMessage)
 	default:
@@ -68,7 +68,7 @@
 // have a checksum.
 func checkChecksum(b []byte, depth int, onMessage func([]byte)) error {
 	if len(b) <= checksumHeaderBytes || depth > 0 {
-		return errNoChecksumBody
+		return errChecksumBody
 	}
 	checksum, body := b[1:checksumHeaderBytes], b[checksumHeaderBytes:]
 	if binary.BigEndian.Uint32(checksum) != crc32.ChecksumIEEE(body) {
@@ -83,17 +83,17 @@
 // two bytes, and the parts.
 func checkCompound(b []byte, depth int, onMessage func([]byte)) error {
 	if len(b) < 1 {
-		return errCompoundCutOff
+		return errCompoundTruncated
 	}
 	lengthsEnd := 1 + partLengthBytes*int(b[0])
 	if len(b) < lengthsEnd {
-		return errCompoundCutOff
+		return errCompoundTruncated
 	}
 	lengths, parts := b[1:lengthsEnd], b[lengthsEnd:]
 	for ; len(lengths) > 0; lengths = lengths[partLengthBytes:] {
 		length := int(binary.BigEndian.Uint16(lengths))
 		if length > len(parts) {
-			return errCompoundCutOff
+			return errCompoundTruncated
 		}
 		if err := checkPacket(parts[:length], depth+1, onMessage); err != nil {
 			return err
--- a/internal/membership/localstream.go
+++ b/internal/membership/localstream.go
@@ -19,15 +19,15 @@
 	net.Conn // nil: memberlist only calls the methods below
 	addr     net.Addr
 	onList   func([]byte)
-	answer   *bytes.Reader
+	response *bytes.Reader
 }
 
-func newLocalStream(addr string, onList func([]byte), answer []byte) (net.Conn, error) {
+func newLocalStream(addr string, onList func([]byte), response []byte) (net.Conn, error) {
 	remote, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &localStream{addr: remote, onList: onList, answer: bytes.NewReader(answer)}, nil
+	return &localStream{addr: remote, onList: onList, response: bytes.NewReader(response)}, nil
 }
 
 // Write passes a push/pull to onList and discards any other message.
@@ -39,7 +39,7 @@
 }
 
 // Read reads from the response.
-func (s *localStream) Read(p []byte) (int, error) { return s.answer.Read(p) }
+func (s *localStream) Read(p []byte) (int, error) { return s.response.Read(p) }
 
 // Close does nothing.
 func (s *localStream) Close() error { return nil }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -69,7 +69,7 @@
 	exchangedAt   time.Time       // when lists were last exchanged with a peer; zero if never
 	leaving       bool
 	killed        bool
-	shutdownMutex sync.Mutex // held while memberlist leaves or shuts down, which must not overlap
+	shutdownMu    sync.Mutex // held while memberlist leaves or shuts down, which must not overlap
 
 	stop  context.CancelFunc // cancels the context of the tasks
 	tasks sync.WaitGroup
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,23 +13,23 @@
 
 // TestParseErrorsNameTheKey checks that an error of Parse is a single line that names the key.
 func TestParseErrorsNameTheKey(t *testing.T) {
-	good := `{"bind":"127.0.0.1:7","site":"s"`
+	prefix := `{"bind":"127.0.0.1:7","site":"s"`
 	for section, key := range map[string]string{
-		`[]`:                                                "",
-		`{"bind":`:                                          "",
-		good + `,"probe\"\n":1}`:                            `probe\"\n`,
-		good + `,"seeds":[7]}`:                              "seeds",
-		`{"site":"s"}`:                                      "bind",
-		`{"bind":"0.0.0.0:7","site":"s"}`:                   "bind",
-		`{"bind":"127.0.0.1:7"}`:                            "site",
-		good + `,"seeds":["here"]}`:                         "seeds[0]",
-		good + `,"networks":["ten"]}`:                       "networks[0]",
-		good + `,"probe_interval_ms":5}`:                    "probe_interval_ms",
-		good + `,"suspect_timeout_ms":3999}`:                "suspect_timeout_ms",
-		good + `,"leave_ms":-1}`:                            "leave_ms",
-		good + `,"probe_intervall_ms":1000}`:                "probe_intervall_ms",
-		good + `,"settle_ms":"two seconds"}`:                "settle_ms",
-		good + `,"zone":"` + strings.Repeat("z", 65) + `"}`: "zone",
+		`[]`:                                                  "",
+		`{"bind":`:                                            "",
+		prefix + `,"probe\"\n":1}`:                            `probe\"\n`,
+		prefix + `,"seeds":[7]}`:                              "seeds",
+		`{"site":"s"}`:                                        "bind",
+		`{"bind":"0.0.0.0:7","site":"s"}`:                     "bind",
+		`{"bind":"127.0.0.1:7"}`:                              "site",
+		prefix + `,"seeds":["here"]}`:                         "seeds[0]",
+		prefix + `,"networks":["ten"]}`:                       "networks[0]",
+		prefix + `,"probe_interval_ms":5}`:                    "probe_interval_ms",
+		prefix + `,"suspect_timeout_ms":3999}`:                "suspect_timeout_ms",
+		prefix + `,"leave_ms":-1}`:                            "leave_ms",
+		prefix + `,"probe_intervall_ms":1000}`:                "probe_intervall_ms",
+		prefix + `,"settle_ms":"two seconds"}`:                "settle_ms",
+		prefix + `,"zone":"` + strings.Repeat("z", 65) + `"}`: "zone",
 	} {
 		_, err := Parse(json.RawMessage(section))
 		var keyError *KeyError
@@ -41,7 +41,7 @@
 			t.Errorf("%s: error %q is not a single line that names %q", section, text, key)
 		}
 	}
-	if c, err := Parse(json.RawMessage(good + "}")); err != nil || c.ProbeIntervalMs != 1000 || c.Advertise != c.Bind {
+	if c, err := Parse(json.RawMessage(prefix + "}")); err != nil || c.ProbeIntervalMs != 1000 || c.Advertise != c.Bind {
 		t.Errorf("minimal section: %+v, %v", c, err)
 	}
 }
--- a/internal/membership/shutdown.go
+++ b/internal/membership/shutdown.go
@@ -18,8 +18,8 @@
 
 // announceLeave announces that this process is shutting down, unless its sockets are already closed.
 func (m *Membership) announceLeave() {
-	m.shutdownMutex.Lock()
-	defer m.shutdownMutex.Unlock()
+	m.shutdownMu.Lock()
+	defer m.shutdownMu.Unlock()
 	list := m.list.Load()
 	if list == nil || m.socketsClosed() {
 		return
@@ -50,8 +50,8 @@
 
 // shutdown shuts memberlist down if it is running.
 func (m *Membership) shutdown() {
-	m.shutdownMutex.Lock()
-	defer m.shutdownMutex.Unlock()
+	m.shutdownMu.Lock()
+	defer m.shutdownMu.Unlock()
 	if list := m.list.Load(); list != nil {
 		_ = list.Shutdown() // memberlist logs errors itself
 	}
--- a/internal/membership/start_test.go
+++ b/internal/membership/start_test.go
@@ -47,11 +47,11 @@
 // the list was notified and the list has been read after the notification.
 type delayedTransport struct {
 	*transport
-	packets      chan *memberlist.Packet
-	notified     chan struct{} // closed once onStateMessage was called
-	isTaken      func() bool   // whether no notification is pending
-	began, ended atomic.Int64  // counts of reads of the list
-	readingEnded chan struct{} // capacity one; has an element if a read has ended since the last receive
+	packets                chan *memberlist.Packet
+	notified               chan struct{} // closed once onStateMessage was called
+	noNotification         func() bool   // whether no notification is pending
+	readsBegan, readsEnded atomic.Int64  // counts of reads of the list
+	readDone               chan struct{} // capacity one; has an element if a read has ended since the last receive
 }
 
 func (d *delayedTransport) PacketCh() <-chan *memberlist.Packet { return d.packets }
@@ -61,21 +61,21 @@
 	if err != nil || address.Name != listPeer {
 		return conn, err
 	}
-	d.began.Add(1)
-	return readingConn{conn, d}, nil
+	d.readsBegan.Add(1)
+	return readConn{conn, d}, nil
 }
 
-// readingConn is a local stream over which the list is read. The read ends when it is closed.
-type readingConn struct {
+// readConn is a local stream over which the list is read. The read ends when it is closed.
+type readConn struct {
 	net.Conn
 	transport *delayedTransport
 }
 
-func (c readingConn) Close() error {
-	c.transport.ended.Add(1)
+func (c readConn) Close() error {
+	c.transport.readsEnded.Add(1)
 	select {
-	case c.transport.readingEnded <- struct{}{}:
-	default: // awaitReading has an element to receive already
+	case c.transport.readDone <- struct{}{}:
+	default: // awaitRead has an element to receive already
 	}
 	return c.Conn.Close()
 }
@@ -86,7 +86,7 @@
 		select {
 		case packet := <-d.transport.packets:
 			if from, ok := packet.From.(*net.UDPAddr); ok && from.Port == 0 { // not from a socket: injected
-				d.awaitReading()
+				d.awaitRead()
 			}
 			select {
 			case d.packets <- packet:
@@ -98,16 +98,16 @@
 	}
 }
 
-// awaitReading waits until the list has been read after the first notification.
-func (d *delayedTransport) awaitReading() {
+// awaitRead waits until the list has been read after the first notification.
+func (d *delayedTransport) awaitRead() {
 	select {
 	case <-d.notified:
 	case <-d.ctx.Done():
 	}
-	before := d.began.Load()
+	before := d.readsBegan.Load()
 	for !d.wasReadSince(before) {
 		select {
-		case <-d.readingEnded:
+		case <-d.readDone:
 		case <-d.ctx.Done():
 			return
 		}
@@ -116,8 +116,8 @@
 
 // wasReadSince reports whether no notification is pending, no read is running, and a read has ended that began after
 // the given number of others.
-func (d *delayedTransport) wasReadSince(readings int64) bool {
-	return d.isTaken() && d.ended.Load() > readings && d.ended.Load() == d.began.Load()
+func (d *delayedTransport) wasReadSince(reads int64) bool {
+	return d.noNotification() && d.readsEnded.Load() > reads && d.readsEnded.Load() == d.readsBegan.Load()
 }
 
 // TestStartIsAnnouncedWhenListIsReadEarly checks that a starting process is announced and sees others even if its list
@@ -132,10 +132,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	m.stop = stop
 	delayed := &delayedTransport{
-		packets:      make(chan *memberlist.Packet),
-		notified:     make(chan struct{}),
-		readingEnded: make(chan struct{}, 1),
-		isTaken:      func() bool { return len(m.listChanged) == 0 },
+		packets:        make(chan *memberlist.Packet),
+		notified:       make(chan struct{}),
+		readDone:       make(chan struct{}, 1),
+		noNotification: func() bool { return len(m.listChanged) == 0 },
 	}
 	closeNotified := sync.OnceFunc(func() { close(delayed.notified) })
 	handlers := m.messageHandlers()
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -73,7 +73,7 @@
 
 // routeStream reads a stream's label and first message. It serves a watcher's stream and hands any other to memberlist.
 func (t *transport) routeStream(s *framedStream) {
-	label, err := s.readStart()
+	label, err := s.readFirstMessage()
 	if err != nil {
 		_ = s.Close() // the peer gets no response
 		return
@@ -105,13 +105,13 @@
 		err = s.SetDeadline(time.Time{})
 	}
 	if err == nil {
-		t.awaitStreamEnd(s)
+		t.waitForStreamEnd(s)
 	}
 	_ = s.Close() // no unsent data can be lost
 }
 
-// awaitStreamEnd waits until a watcher closes its stream or this process shuts down.
-func (t *transport) awaitStreamEnd(s *framedStream) {
+// waitForStreamEnd waits until a watcher closes its stream or this process shuts down.
+func (t *transport) waitForStreamEnd(s *framedStream) {
 	stop := context.AfterFunc(t.ctx, func() { _ = s.Close() }) // this process is shutting down
 	defer stop()
 	_, _ = s.Conn.Read(make([]byte, 1)) // the watcher sends nothing, so this returns when the connection ends
@@ -121,26 +121,26 @@
 // it is handed to memberlist.
 type framedStream struct {
 	net.Conn
-	transport      *transport
-	releaseSlot    func()
-	detachFromKill func() bool
-	unread         []byte // rest of the last message that was received
+	transport       *transport
+	releaseSlot     func()
+	stopCloseOnKill func() bool
+	unread          []byte // rest of the last message that was received
 }
 
 // newFramedStream wraps a connection, which kill closes. Close calls releaseSlot.
 func (t *transport) newFramedStream(conn net.Conn, releaseSlot func()) *framedStream {
-	closeAtKill := func() { _ = conn.Close() } // the process is killed
+	closeOnKill := func() { _ = conn.Close() } // the process is killed
 	return &framedStream{
-		Conn:           conn,
-		transport:      t,
-		releaseSlot:    releaseSlot,
-		detachFromKill: context.AfterFunc(t.killContext, closeAtKill),
+		Conn:            conn,
+		transport:       t,
+		releaseSlot:     releaseSlot,
+		stopCloseOnKill: context.AfterFunc(t.killContext, closeOnKill),
 	}
 }
 
 // Close closes the stream and releases its slot.
 func (s *framedStream) Close() error {
-	s.detachFromKill()
+	s.stopCloseOnKill()
 	s.releaseSlot()
 	return s.Conn.Close()
 }
@@ -170,9 +170,9 @@
 	return n, nil
 }
 
-// readStart reads a stream's label and first message, which it leaves unread. If there is no label, it returns the
-// first message in its place.
-func (s *framedStream) readStart() (label []byte, err error) {
+// readFirstMessage reads a stream's label and first message, which it leaves unread. If there is no label, it returns
+// the first message in its place.
+func (s *framedStream) readFirstMessage() (label []byte, err error) {
 	if err := s.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return nil, err
 	}
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -20,9 +20,9 @@
 	refusalsToDeclareDead = 3
 	// refusalPauses is the probe interval as a multiple of the pause between refused connections.
 	refusalPauses = 20
-	// overdueCheckOneIn is the average number of rounds between two checks of an overdue suspect by one agent, so that
+	// roundsPerOverdueCheck is the average number of rounds between two checks of an overdue suspect by one agent, so that
 	// not all agents connect at the same time to a stalled machine.
-	overdueCheckOneIn = 6
+	roundsPerOverdueCheck = 6
 )
 
 // confirmSuspects checks suspects by connecting to them.
@@ -40,22 +40,22 @@
 			return
 		case <-ticker.C:
 		}
-		if suspect := m.drawSuspect(); suspect != nil {
+		if suspect := m.pickSuspect(); suspect != nil {
 			m.confirmSuspect(ctx, suspect)
 		}
 	}
 }
 
-// drawSuspect picks the suspect that this process checks in a round, or returns nil.
-func (m *Membership) drawSuspect() *Member {
+// pickSuspect picks the suspect that this process checks in a round, or returns nil.
+func (m *Membership) pickSuspect() *Member {
 	snapshot := m.snapshot.Load()
-	checkAll := m.digestDifferedLately()
+	checkAll := m.digestDifferedRecently()
 	for i := range snapshot.Members {
 		member := &snapshot.Members[i]
 		if member.State != Suspect {
 			continue
 		}
-		drawn := checkAll || m.overdueCheckDrawn(member)
+		drawn := checkAll || m.shouldCheckOverdue(member)
 		if drawn || rand.IntN(max(1, snapshot.Present)) < checkersPerRound {
 			return member
 		}
@@ -68,18 +68,18 @@
 	switch m.checkAddress(ctx, suspect) {
 	case addressRefuses:
 		m.declareDead(suspect)
-	case addressAnswers:
+	case addressResponds:
 		m.exchangeLists(peerOf(suspect))
 	case addressSilent:
-		m.exchangeAboutSuspect(suspect)
+		m.exchangeForSuspect(suspect)
 	}
 }
 
-// overdueCheckDrawn decides at random whether to check a suspect for which half of the minimum duration of a suspicion
+// shouldCheckOverdue decides at random whether to check a suspect for which half of the minimum duration of a suspicion
 // is over. The other members may have received its refutation long ago, and this process may have missed it.
-func (m *Membership) overdueCheckDrawn(suspect *Member) bool {
+func (m *Membership) shouldCheckOverdue(suspect *Member) bool {
 	overdue := time.Since(suspect.stateSince) > m.cfg.halfSuspicion()
-	return overdue && rand.IntN(overdueCheckOneIn) == 0
+	return overdue && rand.IntN(roundsPerOverdueCheck) == 0
 }
 
 // declareDead hands memberlist a message that a member is dead, which it also sends to the other members.
@@ -96,7 +96,7 @@
 
 const (
 	addressSilent addressState = iota // no response in time, which proves nothing
-	addressAnswers
+	addressResponds
 	addressRefuses
 )
 
@@ -107,7 +107,7 @@
 		conn, err := m.dialWatch(member)
 		if err == nil {
 			_ = conn.Close() // only the response matters
-			return addressAnswers
+			return addressResponds
 		}
 		if !isPeerGone(err) {
 			return addressSilent
@@ -125,16 +125,16 @@
 // An established connection that breaks may also fail with ETIMEDOUT or EHOSTUNREACH. On a connection that was never
 // established, these only mean that there was no response.
 func isPeerGone(err error) bool {
-	if isOneOf(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
+	if isErrno(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
 		return true
 	}
 	var opError *net.OpError
 	established := errors.As(err, &opError) && opError.Op != "dial"
-	return established && isOneOf(err, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
+	return established && isErrno(err, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
 }
 
-// isOneOf reports whether err wraps one of the given error numbers.
-func isOneOf(err error, list ...syscall.Errno) bool {
+// isErrno reports whether err wraps one of the given error numbers.
+func isErrno(err error, list ...syscall.Errno) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -26,10 +26,10 @@
 
 // watcher holds the connections to the members that a process watches.
 type watcher struct {
-	m     *Membership
-	mu    sync.Mutex
-	conns map[string]net.Conn // by process identity
-	ended sync.WaitGroup
+	m          *Membership
+	mu         sync.Mutex
+	conns      map[string]net.Conn // by process identity
+	goroutines sync.WaitGroup
 }
 
 // watchSuccessors maintains connections to this member's successors until the context is done.
@@ -46,7 +46,7 @@
 		case <-ticker.C:
 		}
 		wanted = m.successors(wanted[:0])
-		for _, member := range w.replaceUnwanted(wanted) {
+		for _, member := range w.closeUnwanted(wanted) {
 			w.open(ctx, member)
 		}
 	}
@@ -59,12 +59,12 @@
 		_ = conn.Close() // no unsent data can be lost
 	}
 	w.mu.Unlock()
-	w.ended.Wait()
+	w.goroutines.Wait()
 }
 
-// replaceUnwanted closes the connections to members that are not wanted, and returns the wanted ones without a
+// closeUnwanted closes the connections to members that are not wanted, and returns the wanted ones without a
 // connection.
-func (w *watcher) replaceUnwanted(wanted []Member) []Member {
+func (w *watcher) closeUnwanted(wanted []Member) []Member {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for process, conn := range w.conns {
@@ -92,14 +92,14 @@
 	w.mu.Lock()
 	w.conns[member.Process] = conn
 	w.mu.Unlock()
-	w.ended.Add(1)
+	w.goroutines.Add(1)
 	go func() {
-		defer w.ended.Done()
+		defer w.goroutines.Done()
 		w.watch(ctx, &member, conn)
 	}()
 }
 
-// watch waits until a connection ends, and calls watchEnded if it was not ended by this process.
+// watch waits until a connection ends, and calls handleWatchEnd if it was not ended by this process.
 func (w *watcher) watch(ctx context.Context, member *Member, conn net.Conn) {
 	_, _ = conn.Read(make([]byte, 1)) // the member sends nothing, so this returns when the connection ends
 	_ = conn.Close()                  // the connection has ended already
@@ -110,13 +110,13 @@
 	}
 	w.mu.Unlock()
 	if endedByPeer && ctx.Err() == nil {
-		w.m.watchEnded(ctx, member)
+		w.m.handleWatchEnd(ctx, member)
 	}
 }
 
-// watchEnded handles the end of the connection to a watched member: it declares the member dead if its address refuses
-// connections.
-func (m *Membership) watchEnded(ctx context.Context, watched *Member) {
+// handleWatchEnd handles the end of the connection to a watched member: it declares the member dead if its address
+// refuses connections.
+func (m *Membership) handleWatchEnd(ctx context.Context, watched *Member) {
 	current, ok := m.snapshot.Load().Member(watched.Name)
 	if !ok || current.Process != watched.Process || !current.State.isPresent() {
 		return
@@ -126,9 +126,9 @@
 	}
 }
 
-// successors appends to into the members that this one watches: those whose hashed names follow its own, the nearest
+// successors appends to dst the members that this one watches: those whose hashed names follow its own, the nearest
 // first. As each round of watchSuccessors calls it, it makes a single pass and allocates nothing.
-func (m *Membership) successors(into []Member) []Member {
+func (m *Membership) successors(dst []Member) []Member {
 	members := m.snapshot.Load().Members
 	own := xxhash.Sum64String(m.cfg.Name)
 	var nearest [watchedSuccessors]struct {
@@ -154,9 +154,9 @@
 		nearest[at].index = i
 	}
 	for _, successor := range nearest[:found] {
-		into = append(into, members[successor.index])
+		dst = append(dst, members[successor.index])
 	}
-	return into
+	return dst
 }
 
 // dialWatch opens a watch connection to a member and waits for the acknowledgement.
--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -17,20 +17,20 @@
 // their hashed names on the ring.
 func successorsByDefinition(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
-	var there []Member
+	var alive []Member
 	for _, member := range snapshot.Members {
 		if member.State == Alive && member.Name != name {
-			there = append(there, member)
+			alive = append(alive, member)
 		}
 	}
 	after := func(member Member) uint64 { return xxhash.Sum64String(member.Name) - own }
-	slices.SortFunc(there, func(a, b Member) int {
+	slices.SortFunc(alive, func(a, b Member) int {
 		if after(a) < after(b) {
 			return -1
 		}
 		return 1
 	})
-	return there[:min(watchedSuccessors, len(there))]
+	return alive[:min(watchedSuccessors, len(alive))]
 }
 
 // TestSuccessorsAreNextOnRing checks that every member, and one that is not in the list, watches the members that
@@ -73,7 +73,7 @@
 // TestIsPeerGone checks that the end of an established connection shows that the peer is gone. A connection that was
 // never established shows it only if it was refused or reset. An expired deadline of this process does not show it.
 func TestIsPeerGone(t *testing.T) {
-	kernel := func(op string, errno syscall.Errno) error {
+	opError := func(op string, errno syscall.Errno) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 	}
 	cases := []struct {
@@ -81,18 +81,18 @@
 		gone bool
 	}{
 		{io.EOF, true},
-		{kernel("read", syscall.ECONNRESET), true},
-		{kernel("write", syscall.EPIPE), true},
-		{kernel("read", syscall.ETIMEDOUT), true},
-		{kernel("write", syscall.ETIMEDOUT), true},
-		{kernel("read", syscall.EHOSTUNREACH), true},
-		{kernel("dial", syscall.ECONNREFUSED), true},
-		{kernel("dial", syscall.ECONNRESET), true},
-		{kernel("dial", syscall.ETIMEDOUT), false},
-		{kernel("dial", syscall.EHOSTUNREACH), false},
-		{kernel("dial", syscall.ENETUNREACH), false},
-		{kernel("dial", syscall.ENOBUFS), false},
-		{kernel("dial", syscall.EMFILE), false},
+		{opError("read", syscall.ECONNRESET), true},
+		{opError("write", syscall.EPIPE), true},
+		{opError("read", syscall.ETIMEDOUT), true},
+		{opError("write", syscall.ETIMEDOUT), true},
+		{opError("read", syscall.EHOSTUNREACH), true},
+		{opError("dial", syscall.ECONNREFUSED), true},
+		{opError("dial", syscall.ECONNRESET), true},
+		{opError("dial", syscall.ETIMEDOUT), false},
+		{opError("dial", syscall.EHOSTUNREACH), false},
+		{opError("dial", syscall.ENETUNREACH), false},
+		{opError("dial", syscall.ENOBUFS), false},
+		{opError("dial", syscall.EMFILE), false},
 		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
 		{&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
 		{errors.New("message of another kind"), false},
