--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -95,7 +95,7 @@
 // loan counts from the request, which was before the lender started to count.
 func (q *Quotas) AcceptGrant(grant Grant, now time.Duration) bool {
 	request, ok := q.pending[grant.Number]
-	if !ok || grant.Borrower != q.cfg.Process || !request.isAnsweredBy(grant) {
+	if !ok || grant.Borrower != q.cfg.Process || !request.matches(grant) {
 		return false
 	}
 	account := q.accounts[grant.Budget]
@@ -114,7 +114,7 @@
 	return true
 }
 
-// isAnsweredBy reports whether a grant has the request's budget and lender, and at most its amount.
-func (r pendingRequest) isAnsweredBy(grant Grant) bool {
+// matches reports whether a grant has the request's budget and lender, and at most its amount.
+func (r pendingRequest) matches(grant Grant) bool {
 	return grant.Budget == r.budget && grant.Lender == r.lender && grant.Amount > 0 && grant.Amount <= r.amount
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -13,15 +13,15 @@
 // modelBudget is the only budget of the model.
 const modelBudget = "requests"
 
-// A step draws a number below allActions. Each bound is the exclusive upper end of the range of one kind of step, which
-// starts at the previous bound. Numbers from requestsUntil on are spends.
+// A step draws a number below actionCount. Each bound is the exclusive upper end of the range of one kind of step,
+// which starts at the previous bound. Numbers from requestBound on are spends.
 const (
-	startsUntil     = 1
-	pausesUntil     = 4
-	timePassesUntil = 30
-	messagesUntil   = 60
-	requestsUntil   = 80
-	allActions      = 100
+	startBound   = 1
+	pauseBound   = 4
+	timeBound    = 30
+	messageBound = 60
+	requestBound = 80
+	actionCount  = 100
 	// maxTimeStepMs is the maximum time that passes in one step.
 	maxTimeStepMs = 1500
 )
@@ -110,18 +110,18 @@
 // step executes a random step. It returns an error if more than the budget was spent in a window.
 func (m *model) step() error {
 	p := m.processes[m.draw("process", len(m.processes))]
-	action := m.draw("action", allActions)
+	action := m.draw("action", actionCount)
 	switch {
-	case action < startsUntil:
+	case action < startBound:
 		m.startProcess(p)
-	case action < pausesUntil:
+	case action < pauseBound:
 		p.paused = !p.paused
-	case action < timePassesUntil:
+	case action < timeBound:
 		m.now += time.Duration(1+m.draw("ms", maxTimeStepMs)) * time.Millisecond
-	case action < messagesUntil && len(m.messages) > 0:
-		m.passMessage()
+	case action < messageBound && len(m.messages) > 0:
+		m.handleMessage()
 	case p.paused:
-	case action < requestsUntil:
+	case action < requestBound:
 		m.requestLoan(p)
 	default:
 		return m.spend(p)
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// passMessage delivers or drops a random message, and may keep it so that it is delivered again.
-func (m *model) passMessage() {
+// handleMessage delivers or drops a random message, and may keep it so that it is delivered again.
+func (m *model) handleMessage() {
 	i := m.draw("message", len(m.messages))
 	drawn := m.messages[i]
 	if m.draw("keep", 3) > 0 {
