--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// A changed list is read at intervals of at least minSnapshotInterval, and long enough that reading takes at most
-	// maxSnapshotTimeFraction of the time, but at most maxSnapshotInterval. This bounds the cost of changes with many
-	// members, and reduces the work when the machine is overloaded.
+	// A changed list is read at most once per minSnapshotInterval, and so rarely that reading takes at most
+	// maxSnapshotTimeFraction of the time, but at least once per maxSnapshotInterval. This bounds the cost of changes
+	// with any number of members, and reduces the work when the machine is overloaded.
 	minSnapshotInterval     = 100 * time.Millisecond
 	maxSnapshotInterval     = time.Second
 	maxSnapshotTimeFraction = 0.02
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -20,8 +20,8 @@
 	refusalsToDeclareDead = 3
 	// refusalPauses is the probe interval as a multiple of the pause between refused connections.
 	refusalPauses = 20
-	// roundsPerOverdueCheck is the average number of rounds between two checks of an overdue suspect by one agent, so that
-	// not all agents connect at the same time to a stalled machine.
+	// roundsPerOverdueCheck is the average number of rounds between two checks of an overdue suspect by one agent. It
+	// keeps all agents from connecting to a stalled machine at the same time.
 	roundsPerOverdueCheck = 6
 )
 
@@ -122,8 +122,8 @@
 }
 
 // isPeerGone reports whether a connection failed because the peer's process is gone: it was refused, reset or closed.
-// An established connection that breaks may also fail with ETIMEDOUT or EHOSTUNREACH. On a connection that was never
-// established, these only mean that there was no response.
+// An established connection that breaks may also fail with ETIMEDOUT or EHOSTUNREACH from the kernel. On a connection
+// that was never established, these only mean that there was no response.
 func isPeerGone(err error) bool {
 	if isErrno(err, syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE) || errors.Is(err, io.EOF) {
 		return true
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -23,7 +23,8 @@
 // transport is the network transport of memberlist. Unlike memberlist's own, it drops and counts packets and stream
 // messages that no member of this site sends, before memberlist reads them. It bounds the number of streams and the
 // size of each message on a stream, which is preceded by its length in four bytes. Connections are made from the bound
-// address, which therefore identifies the sender. It also avoids the allocation of 64 KiB for each packet.
+// address, which therefore identifies the sender. It also avoids the 64 KiB that memberlist's transport allocates for
+// each packet.
 type transport struct {
 	cfg      *Config
 	localIP  net.IP
