--- a/internal/membership/watch_test.go
+++ b/internal/membership/watch_test.go
@@ -13,27 +13,28 @@
 	"pgregory.net/rapid"
 )
 
-// successorsByDefinition are the first few of all other alive members, in the order in which their hashed names
-// follow the own one.
+// successorsByDefinition returns the first watchedSuccessors of all other alive members, ordered by the distance of
+// their hashed names on the ring.
 func successorsByDefinition(snapshot *Snapshot, name string) []Member {
 	own := xxhash.Sum64String(name)
-	var there []Member
+	var alive []Member
 	for _, member := range snapshot.Members {
 		if member.State == Alive && member.Name != name {
-			there = append(there, member)
+			alive = append(alive, member)
 		}
 	}
 	after := func(member Member) uint64 { return xxhash.Sum64String(member.Name) - own }
-	slices.SortFunc(there, func(a, b Member) int {
+	slices.SortFunc(alive, func(a, b Member) int {
 		if after(a) < after(b) {
 			return -1
 		}
 		return 1
 	})
-	return there[:min(watchedSuccessors, len(there))]
+	return alive[:min(watchedSuccessors, len(alive))]
 }
 
-// Every drawn member, and one that is not in the list, watches those that follow it on the ring.
+// TestSuccessorsAreNextOnRing checks that every member, and one that is not in the list, watches the members that
+// follow it on the ring.
 func TestSuccessorsAreNextOnRing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := []State{Alive, Alive, Alive, Suspect, Dead, Left}
@@ -48,13 +49,13 @@
 			m.snapshot.Store(&Snapshot{Members: members})
 			got = m.successors(got[:0])
 			if want := successorsByDefinition(m.Snapshot(), self); !slices.Equal(got, want) {
-				t.Fatalf("%s watches %v, the ring says %v", self, got, want)
+				t.Fatalf("%s watches %v, want %v", self, got, want)
 			}
 		}
 	})
 }
 
-// successors allocates nothing, whatever the number of members.
+// TestSuccessorsAllocateNothing checks that successors allocates nothing with many members.
 func TestSuccessorsAllocateNothing(t *testing.T) {
 	m := &Membership{cfg: Config{Name: memberName(7)}}
 	snapshot := &Snapshot{}
@@ -69,10 +70,10 @@
 	}
 }
 
-// The end of an established connection shows that the peer is gone; a connection that was never established shows it
-// only where it was refused or reset, and this process's own deadline shows nothing.
+// TestIsPeerGone checks that the end of an established connection shows that the peer is gone. A connection that was
+// never established shows it only if it was refused or reset. An expired deadline of this process does not show it.
 func TestIsPeerGone(t *testing.T) {
-	kernel := func(op string, errno syscall.Errno) error {
+	opError := func(op string, errno syscall.Errno) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 	}
 	cases := []struct {
@@ -80,25 +81,25 @@
 		gone bool
 	}{
 		{io.EOF, true},
-		{kernel("read", syscall.ECONNRESET), true},
-		{kernel("write", syscall.EPIPE), true},
-		{kernel("read", syscall.ETIMEDOUT), true},
-		{kernel("write", syscall.ETIMEDOUT), true},
-		{kernel("read", syscall.EHOSTUNREACH), true},
-		{kernel("dial", syscall.ECONNREFUSED), true},
-		{kernel("dial", syscall.ECONNRESET), true},
-		{kernel("dial", syscall.ETIMEDOUT), false},
-		{kernel("dial", syscall.EHOSTUNREACH), false},
-		{kernel("dial", syscall.ENETUNREACH), false},
-		{kernel("dial", syscall.ENOBUFS), false},
-		{kernel("dial", syscall.EMFILE), false},
+		{opError("read", syscall.ECONNRESET), true},
+		{opError("write", syscall.EPIPE), true},
+		{opError("read", syscall.ETIMEDOUT), true},
+		{opError("write", syscall.ETIMEDOUT), true},
+		{opError("read", syscall.EHOSTUNREACH), true},
+		{opError("dial", syscall.ECONNREFUSED), true},
+		{opError("dial", syscall.ECONNRESET), true},
+		{opError("dial", syscall.ETIMEDOUT), false},
+		{opError("dial", syscall.EHOSTUNREACH), false},
+		{opError("dial", syscall.ENETUNREACH), false},
+		{opError("dial", syscall.ENOBUFS), false},
+		{opError("dial", syscall.EMFILE), false},
 		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
 		{&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, false},
 		{errors.New("message of another kind"), false},
 	}
 	for _, c := range cases {
 		if got := isPeerGone(c.err); got != c.gone {
-			t.Errorf("%v: gone %v, want %v", c.err, got, c.gone)
+			t.Errorf("isPeerGone(%v) = %v, want %v", c.err, got, c.gone)
 		}
 	}
 }
