--- a/internal/discovery/server/client_test.go
+++ b/internal/discovery/server/client_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// retryInterval is the time between two attempts of a write.
+	// retryInterval is the time between two attempts at a write.
 	retryInterval = 20 * time.Millisecond
-	// writeTimeout bounds a request. It is longer than a write may wait for its commit.
-	writeTimeout = 6 * time.Second
+	// requestTimeout bounds a request. It is longer than a write waits for its commit.
+	requestTimeout = 6 * time.Second
 )
 
-// writeClient is the client of the tests' writes.
-var writeClient = &http.Client{Timeout: writeTimeout}
+// httpClient is the client that the test helpers use unless they are given another one.
+var httpClient = &http.Client{Timeout: requestTimeout}
 
-// response is the status and the body of an HTTP response; code 0: there was no response.
+// response is an HTTP response.
 type response struct {
-	code int
+	code int // status code; 0: no response was received
 	body string
 }
 
-// request makes one request, following a redirect to the leader.
+// request makes one request to a URL without scheme, and follows redirects to the leader.
 func request(method, url, body string) response {
 	return requestWithHeader(method, url, body, http.Header{})
 }
 
-// putSettings writes the settings at a URL. An ifMatch that is not "" is sent as the header If-Match.
+// putSettings writes settings to a URL. If ifMatch is not empty, it is sent in the If-Match header.
 func putSettings(url, text, ifMatch string) response {
 	header := http.Header{}
 	if ifMatch != "" {
@@ -45,14 +45,14 @@
 	return requestWithHeader(http.MethodPut, url, text, header)
 }
 
-// requestWithHeader makes one request as request does, with a header.
+// requestWithHeader is like request, but also sends a header.
 func requestWithHeader(method, url, body string, header http.Header) response {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+url, strings.NewReader(body))
 	if err != nil {
 		return response{}
 	}
 	req.Header = header
-	resp, err := writeClient.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return response{}
 	}
@@ -61,7 +61,7 @@
 	return response{resp.StatusCode, string(text)}
 }
 
-// get makes a GET request with a client of its own. The caller closes the body of the response.
+// get makes a GET request with the given client. The caller must close the response body.
 func get(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+url, http.NoBody)
 	if err != nil {
@@ -70,21 +70,21 @@
 	return client.Do(req)
 }
 
-// closeBody closes the body of a response.
+// closeBody closes a response body.
 func closeBody(resp *http.Response) {
-	_ = resp.Body.Close() // nothing more is read from it
+	_ = resp.Body.Close() // an error is harmless, as nothing more is read
 }
 
-// version returns the version of an acknowledged write, or 0.
+// version returns the version of a write, or 0 if the write was not acknowledged.
 func (r response) version() uint64 {
-	var written server.WriteResult
-	if r.code != http.StatusOK || json.Unmarshal([]byte(r.body), &written) != nil {
+	var result server.WriteResult
+	if r.code != http.StatusOK || json.Unmarshal([]byte(r.body), &result) != nil {
 		return 0
 	}
-	return written.Version
+	return result.Version
 }
 
-// list decodes the response to a watch.
+// list decodes the response to a poll or a watch, and fails the test if it is not a list.
 func (r response) list(t *testing.T) endpoint.List {
 	t.Helper()
 	var list endpoint.List
@@ -94,56 +94,58 @@
 	return list
 }
 
-// watchURL is the URL of a poll or a watch with query parameters, at an address for reads.
-func watchURL(reads, query string) string { return reads + endpoint.ListPath + "?" + query }
+// watchURL returns the URL of a poll or a watch with the given query at an instance's HTTP address.
+func watchURL(httpAddr, query string) string { return httpAddr + endpoint.ListPath + "?" + query }
 
-// fetchList returns an instance's full list, and whether the instance served it.
-func fetchList(reads string) (endpoint.List, bool) {
+// fetchList returns an instance's full list and reports whether the instance served it.
+func fetchList(httpAddr string) (endpoint.List, bool) {
 	var list endpoint.List
-	got := request(http.MethodGet, reads+endpoint.ListPath, "")
+	got := request(http.MethodGet, httpAddr+endpoint.ListPath, "")
 	served := got.code == http.StatusOK && json.Unmarshal([]byte(got.body), &list) == nil
 	return list, served
 }
 
-// statusAt returns the status of the instance at an admin address; the zero Status if there is no
-// response.
-func statusAt(admin string) server.Status {
+// statusAt returns the status of the instance at an admin address, or the zero Status if there is no
+// valid response.
+func statusAt(adminAddr string) server.Status {
 	var status server.Status
-	got := request(http.MethodGet, admin+endpoint.StatusPath, "")
+	got := request(http.MethodGet, adminAddr+endpoint.StatusPath, "")
 	if json.Unmarshal([]byte(got.body), &status) != nil {
 		return server.Status{}
 	}
 	return status
 }
 
-// reportsAt returns the agent reports of a service at an admin address.
-func reportsAt(admin, service string) server.AgentReports {
+// reportsAt returns the agent reports of a service from the instance at an admin address, or the zero
+// AgentReports if there is no valid response.
+func reportsAt(adminAddr, service string) server.AgentReports {
 	var reports server.AgentReports
-	got := request(http.MethodGet, admin+endpoint.AgentReportsPath(service), "")
+	got := request(http.MethodGet, adminAddr+endpoint.AgentReportsPath(service), "")
 	if json.Unmarshal([]byte(got.body), &reports) != nil {
 		return server.AgentReports{}
 	}
 	return reports
 }
 
-// watchIsOpen reports whether the watch of service pay by the agent "a" with a number has arrived.
-func watchIsOpen(admin string, number uint64) bool {
+// watchIsOpen reports whether the instance has received a watch of service pay by agent a<number>.
+func watchIsOpen(adminAddr string, number uint64) bool {
 	name := fmt.Sprint("a", number)
 	isNamed := func(report server.AgentReport) bool { return report.Agent == name }
-	return slices.ContainsFunc(reportsAt(admin, "pay").Agents, isNamed)
+	return slices.ContainsFunc(reportsAt(adminAddr, "pay").Agents, isNamed)
 }
 
-// putServer writes an entry under an id. It returns the version of the write, or 0 if it was not
-// acknowledged.
-func putServer(admin, id string) uint64 {
-	return putEntry(admin, endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: endpoint.StateUp, Weight: 1})
+// putServer writes a valid entry with the given id. It returns the version of the write, or 0 if it was
+// not acknowledged.
+func putServer(adminAddr, id string) uint64 {
+	return putEntry(adminAddr,
+		endpoint.Endpoint{ID: id, Addr: "127.0.0.1:9", Zone: "a", State: endpoint.StateUp, Weight: 1})
 }
 
 // putEntry writes an entry. It returns the version of the write, or 0 if it was not acknowledged.
-func putEntry(admin string, entry endpoint.Endpoint) uint64 {
+func putEntry(adminAddr string, entry endpoint.Endpoint) uint64 {
 	body, err := json.Marshal(entry)
 	if err != nil {
 		return 0
 	}
-	return request(http.MethodPut, admin+endpoint.ServerPath(entry.ID), string(body)).version()
+	return request(http.MethodPut, adminAddr+endpoint.ServerPath(entry.ID), string(body)).version()
 }
--- a/internal/discovery/server/cluster_test.go
+++ b/internal/discovery/server/cluster_test.go
@@ -13,13 +13,13 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// instanceNames are the instances of the tests' clusters of processes.
+// instanceNames are the names of the instances that startCluster starts.
 var instanceNames = []string{"n1", "n2", "n3"}
 
-// processMaxStale is the max_stale of the instances that run as processes.
+// processMaxStale is max_stale of the instances that run as processes.
 const processMaxStale = time.Second
 
-// startCluster builds cmd/discovery and starts three instances whose Raft connections pass through
+// startCluster builds cmd/discovery and starts three instances, whose Raft connections pass through
 // the proxies of processtest.
 func startCluster(t *testing.T) *processtest.Cluster {
 	t.Helper()
@@ -47,7 +47,7 @@
 	return cluster
 }
 
-// startClusterWithLeader starts a cluster as startCluster does, and returns its leader too.
+// startClusterWithLeader is like startCluster, but also waits for a leader and returns its name.
 func startClusterWithLeader(t *testing.T) (*processtest.Cluster, string) {
 	t.Helper()
 	cluster := startCluster(t)
@@ -58,8 +58,8 @@
 	return cluster, elected
 }
 
-// serveArguments returns a function that writes an instance's configuration and returns the
-// arguments by which cmd/discovery runs it.
+// serveArguments returns a function that writes an instance's configuration file and returns the
+// arguments with which cmd/discovery runs the instance.
 func serveArguments(t *testing.T, dir string) func(*processtest.Cluster, string) []string {
 	t.Helper()
 	return func(cluster *processtest.Cluster, name string) []string {
@@ -76,14 +76,14 @@
 	}
 }
 
-// leader returns the name of a running instance that leads, or "".
+// leader returns the name of a running instance that is the leader, or "" if there is none.
 func leader(cluster *processtest.Cluster) string {
 	return cluster.FirstRunning(func(name string) bool {
 		return statusAt(cluster.Addr(name, processtest.AdminPort)).State == server.StateLeader
 	})
 }
 
-// awaitLeader waits for an instance that leads, and returns its name.
+// awaitLeader waits until an instance is the leader, and returns its name.
 func awaitLeader(cluster *processtest.Cluster) (string, error) {
 	name := ""
 	isElected := func() bool {
@@ -102,13 +102,13 @@
 	}
 }
 
-// killLeader kills the leader, once there is one, and returns its name. It fails the test if there is
-// none within startTimeout.
+// killLeader waits for a leader, kills it and returns its name. It fails the test if there is no leader
+// within startTimeout.
 func killLeader(t *testing.T, cluster *processtest.Cluster) string {
 	t.Helper()
 	name, err := awaitLeader(cluster)
 	if err != nil {
-		t.Error(err) // not Fatal, as this may be a goroutine of the test
+		t.Error(err) // not Fatal, which may only be called from the test's own goroutine
 		return ""
 	}
 	kill(t, cluster, name)
@@ -117,7 +117,7 @@
 
 // writeAnywhere tries a write at each instance in turn until one acknowledges it. It returns the
 // version of the write, or 0 if none was acknowledged within startTimeout.
-func writeAnywhere(cluster *processtest.Cluster, write func(admin string) uint64) uint64 {
+func writeAnywhere(cluster *processtest.Cluster, write func(adminAddr string) uint64) uint64 {
 	var version uint64
 	attempts := 0
 	isAcknowledged := func() bool {
@@ -126,32 +126,32 @@
 		version = write(cluster.Addr(name, processtest.AdminPort))
 		return version != 0
 	}
-	// The callers check the version.
+	// On a timeout the version is 0, which the callers check.
 	_ = processtest.AwaitEvery(retryInterval, startTimeout, "an acknowledged write", isAcknowledged)
 	return version
 }
 
-// putServerAnywhere writes an entry under an id as writeAnywhere does.
+// putServerAnywhere writes an entry with the given id as putServer does, using writeAnywhere.
 func putServerAnywhere(cluster *processtest.Cluster, id string) uint64 {
-	return writeAnywhere(cluster, func(admin string) uint64 { return putServer(admin, id) })
+	return writeAnywhere(cluster, func(adminAddr string) uint64 { return putServer(adminAddr, id) })
 }
 
-// putSettingsAnywhere writes the settings of a service as writeAnywhere does.
+// putSettingsAnywhere writes the settings of a service, using writeAnywhere.
 func putSettingsAnywhere(cluster *processtest.Cluster, service, text string) uint64 {
-	return writeAnywhere(cluster, func(admin string) uint64 {
-		return putSettings(admin+endpoint.SettingsPath(service), text, "").version()
+	return writeAnywhere(cluster, func(adminAddr string) uint64 {
+		return putSettings(adminAddr+endpoint.SettingsPath(service), text, "").version()
 	})
 }
 
-// listsServer reports whether an instance's full list has an id.
+// listsServer reports whether an instance's full list contains the server with the given id.
 func listsServer(cluster *processtest.Cluster, name, id string) bool {
 	list, _ := fetchList(cluster.Addr(name, processtest.HTTPPort))
 	hasID := func(entry endpoint.Endpoint) bool { return entry.ID == id }
 	return slices.ContainsFunc(list.Servers, hasID)
 }
 
-// commonHistory returns the history of a service's settings if it is the same at all instances, or
-// nil.
+// commonHistory returns the history of a service's settings if it is the same at all instances, and
+// nil otherwise.
 func commonHistory(cluster *processtest.Cluster, service string) []server.SettingsVersion {
 	var first response
 	for i, name := range instanceNames {
--- a/internal/discovery/server/data_dir_test.go
+++ b/internal/discovery/server/data_dir_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// writeDataFormat returns a data directory that names a format.
+// writeDataFormat creates a data directory whose format file has the given text, and returns its path.
 func writeDataFormat(t *testing.T, format string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -17,9 +17,9 @@
 	return dir
 }
 
-// TestRejectsUnknownDataFormat: a directory of a newer format, or of none that can be read, is rejected and left
-// as it is.
-func TestRejectsUnknownDataFormat(t *testing.T) {
+// TestPrepareDataDirRejectsUnknownFormat checks that a data directory with a newer or an unreadable
+// format is rejected and not changed.
+func TestPrepareDataDirRejectsUnknownFormat(t *testing.T) {
 	for _, format := range []string{"3", "", "two"} {
 		dir := writeDataFormat(t, format+"\n")
 		var rejected *DataFormatError
@@ -35,8 +35,9 @@
 	}
 }
 
-// TestClaimsDataDirectory: a new directory and one of an older format are marked with this program's format.
-func TestClaimsDataDirectory(t *testing.T) {
+// TestPrepareDataDirWritesFormat checks that this program's format is written to a new data directory
+// and to one of an older format.
+func TestPrepareDataDirWritesFormat(t *testing.T) {
 	for _, dir := range []string{
 		filepath.Join(t.TempDir(), "new"),
 		writeDataFormat(t, "1\n"),
@@ -50,10 +51,10 @@
 	}
 }
 
-// checkDataFormat checks the text of a data directory's format file.
+// checkDataFormat checks the content of a data directory's format file.
 func checkDataFormat(t *testing.T, dir, want string) {
 	t.Helper()
 	if text, err := os.ReadFile(filepath.Join(dir, formatFile)); err != nil || string(text) != want {
-		t.Errorf("the format of %s is %q (%v), want %q", dir, text, err, want)
+		t.Errorf("format of %s: %q (%v), want %q", dir, text, err, want)
 	}
 }
--- a/internal/discovery/server/leader_kill_test.go
+++ b/internal/discovery/server/leader_kill_test.go
@@ -14,40 +14,40 @@
 
 // Load and timeouts of TestLeaderKilledDuringWrites.
 const (
-	loadWriters      = 8
-	loadWrites       = 1000
+	writerCount      = 8
+	writeCount       = 1000
 	writesBeforeKill = 300
-	// watcherWait is how long a watch waits for a change, watcherTimeout how long a watcher waits for the
-	// response.
+	// watcherWait is how long a watch waits for a change. watcherTimeout bounds the wait of the watcher
+	// for the response.
 	watcherWait    = 500 * time.Millisecond
 	watcherTimeout = 3 * time.Second
-	// watcherPause is the pause of a watcher after a call that failed, so that it does not take the
-	// processor from the instances while none is reached.
+	// watcherPause is the pause of a watcher after a failed request. It keeps the watcher from using the
+	// instances' CPU time while no instance is reachable.
 	watcherPause = 20 * time.Millisecond
-	// watcherCatchUpTimeout bounds the time until all watchers have the last write.
+	// watcherCatchUpTimeout bounds the wait until all watchers have the last write.
 	watcherCatchUpTimeout = 30 * time.Second
 )
 
-// watcher watches the list as an agent does: after a failure it continues at the next instance from
-// the version that it has. It fails the test if a version is older than that.
+// watcher watches the list as an agent does: after a failed request it continues at the next instance
+// from the version that it has. It fails the test if a response has an older version than that.
 type watcher struct {
 	mu      sync.Mutex
 	version uint64
 	servers map[string]endpoint.Endpoint
 }
 
-// currentVersion returns the version that the watcher has.
+// currentVersion returns the version of the watcher's list.
 func (w *watcher) currentVersion() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version
 }
 
-// run watches until stop is closed, at first at the numbered instance.
-func (w *watcher) run(t *testing.T, cluster *processtest.Cluster, first int, stop <-chan struct{}) {
+// run watches the list until stop is closed. It starts at the instance with the index firstInstance.
+func (w *watcher) run(t *testing.T, cluster *processtest.Cluster, firstInstance int, stop <-chan struct{}) {
 	t.Helper()
 	client := &http.Client{Timeout: watcherTimeout}
-	for instance := first; ; {
+	for instance := firstInstance; ; {
 		select {
 		case <-stop:
 			return
@@ -60,7 +60,7 @@
 	}
 }
 
-// watchOnce makes one watch at an instance, and reports whether the instance served it.
+// watchOnce makes one watch request to an instance and reports whether the instance served it.
 func (w *watcher) watchOnce(t *testing.T, client *http.Client, address string) bool {
 	t.Helper()
 	url := watchURL(address, fmt.Sprintf("index=%d&wait=%d", w.currentVersion(), watcherWait.Milliseconds()))
@@ -78,13 +78,13 @@
 	return true
 }
 
-// apply applies the response to a watch.
+// apply updates the watcher's list with the response to a watch.
 func (w *watcher) apply(t *testing.T, list endpoint.List) {
 	t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if list.Version < w.version {
-		t.Errorf("watch went back from version %d to %d", w.version, list.Version)
+		t.Errorf("watch from version %d returned the older version %d", w.version, list.Version)
 	}
 	if list.Full {
 		w.servers = map[string]endpoint.Endpoint{}
@@ -99,9 +99,9 @@
 	w.version = list.Version
 }
 
-// TestLeaderKilledDuringWrites: eight writers make 1,000 writes; the leader is killed after 300 are
-// acknowledged, and started again. No acknowledged write is lost, no two have the same version, and
-// all watchers have the same list in the end, with all acknowledged writes.
+// TestLeaderKilledDuringWrites kills the leader while eight writers make 1,000 writes, after 300 of them
+// are acknowledged, and starts the instance again after the writes. It checks that no two acknowledged
+// writes have the same version, and that all watchers end with the same list, which has all of them.
 func TestLeaderKilledDuringWrites(t *testing.T) {
 	cluster, _ := startClusterWithLeader(t)
 	stop := make(chan struct{})
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	err := processtest.Await(watcherCatchUpTimeout, "the last write at every watcher", func() bool {
-		return haveVersion(watchers, lastVersion(acknowledged))
+		return allHaveVersion(watchers, lastVersion(acknowledged))
 	})
 	close(stop)
 	watching.Wait()
@@ -128,12 +128,12 @@
 		t.Fatal(err)
 	}
 	checkWatchers(t, watchers, acknowledged)
-	t.Logf("%d of %d writes acknowledged; leader %s killed at %d; history of %d events",
-		len(acknowledged), loadWrites, killed, writesBeforeKill, len(cluster.History()))
+	t.Logf("%d of %d writes acknowledged; leader %s killed after %d; %d events in the cluster's history",
+		len(acknowledged), writeCount, killed, writesBeforeKill, len(cluster.History()))
 }
 
-// writeAndKillLeader makes the writes and kills the leader. It returns the ids of the acknowledged
-// writes by version, and the killed instance.
+// writeAndKillLeader makes the writes and kills the leader during them. It returns the ids of the
+// acknowledged writes by version, and the name of the killed instance.
 func writeAndKillLeader(t *testing.T, cluster *processtest.Cluster) (acknowledged map[uint64]string, killed string) {
 	t.Helper()
 	acknowledged = map[uint64]string{}
@@ -145,18 +145,18 @@
 			return len(acknowledged)
 		}
 		if other, ok := acknowledged[version]; ok {
-			t.Errorf("%s and %s both acknowledged at version %d", other, id, version)
+			t.Errorf("%s and %s both acknowledged with version %d", other, id, version)
 		}
 		acknowledged[version] = id
 		return len(acknowledged)
 	}
 	killedNames := make(chan string, 1)
 	var writers sync.WaitGroup
-	for writer := range loadWriters {
+	for writer := range writerCount {
 		writers.Add(1)
 		go func() {
 			defer writers.Done()
-			for i := writer; i < loadWrites; i += loadWriters {
+			for i := writer; i < writeCount; i += writerCount {
 				id := fmt.Sprintf("s-%04d", i)
 				if record(putServerAnywhere(cluster, id), id) == writesBeforeKill {
 					killedNames <- killLeader(t, cluster)
@@ -168,7 +168,7 @@
 	return acknowledged, <-killedNames
 }
 
-// lastVersion returns the latest version of the acknowledged writes.
+// lastVersion returns the highest version of the acknowledged writes.
 func lastVersion(acknowledged map[uint64]string) uint64 {
 	var last uint64
 	for version := range acknowledged {
@@ -177,8 +177,8 @@
 	return last
 }
 
-// haveVersion reports whether all watchers have a version or a later one.
-func haveVersion(watchers []*watcher, version uint64) bool {
+// allHaveVersion reports whether all watchers have the given version or a later one.
+func allHaveVersion(watchers []*watcher, version uint64) bool {
 	for _, w := range watchers {
 		if w.currentVersion() < version {
 			return false
@@ -187,13 +187,14 @@
 	return true
 }
 
-// checkWatchers checks that all watchers, which have ended, have the same list with all writes.
+// checkWatchers checks that all watchers have all acknowledged writes and the same number of entries.
+// The watchers must have stopped.
 func checkWatchers(t *testing.T, watchers []*watcher, acknowledged map[uint64]string) {
 	t.Helper()
 	for i, w := range watchers {
 		for _, id := range acknowledged {
 			if _, ok := w.servers[id]; !ok {
-				t.Fatalf("watcher %d lacks acknowledged %s", i, id)
+				t.Fatalf("watcher %d lacks the acknowledged write of %s", i, id)
 			}
 		}
 		if len(w.servers) != len(watchers[0].servers) {
--- a/internal/discovery/server/nodes_test.go
+++ b/internal/discovery/server/nodes_test.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// startTimeout bounds how long a test waits for a leader or a first write.
+	// startTimeout bounds the wait for the condition that a test needs before it goes on, such as a
+	// leader or an acknowledged write.
 	startTimeout = 20 * time.Second
-	// singleNodeElectionTimeout makes an instance that is a cluster by itself lead soon.
+	// singleNodeElectionTimeout is short, so that a single-instance cluster soon has its leader.
 	singleNodeElectionTimeout = 100 * time.Millisecond
 )
 
 // mustAwait waits for a condition, and fails the test if it is not met within startTimeout.
-func mustAwait(tb testing.TB, what string, met func() bool) {
+func mustAwait(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	if err := processtest.Await(startTimeout, what, met); err != nil {
+	if err := processtest.Await(startTimeout, what, condition); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-// nodeConfig returns the configuration of an instance on reserved ports, which founds its cluster.
+// nodeConfig returns the configuration of an instance that listens on reserved ports and bootstraps its
+// cluster.
 func nodeConfig(tb testing.TB, id, dir string, electionTimeout time.Duration) server.Config {
 	tb.Helper()
 	return server.Config{
@@ -45,7 +47,7 @@
 	}
 }
 
-// singleNodeConfig returns the configuration of an instance that is a cluster by itself.
+// singleNodeConfig returns the configuration of the instance of a single-instance cluster.
 func singleNodeConfig(t *testing.T, dir string) server.Config {
 	t.Helper()
 	config := nodeConfig(t, "n1", dir, singleNodeElectionTimeout)
@@ -53,7 +55,7 @@
 	return config
 }
 
-// startNode starts an instance in this process, which ends with the test.
+// startNode starts an instance in this process, and closes it at the end of the test.
 func startNode(tb testing.TB, config server.Config) *server.Node {
 	tb.Helper()
 	node, err := server.Start(config, slog.New(slog.DiscardHandler))
@@ -64,7 +66,7 @@
 	return node
 }
 
-// closeNode closes an instance, which may be closed already.
+// closeNode closes an instance. The instance may already be closed.
 func closeNode(tb testing.TB, node *server.Node) {
 	tb.Helper()
 	if err := node.Close(); err != nil {
@@ -72,9 +74,9 @@
 	}
 }
 
-// startSingleNode starts an instance that is a cluster by itself, on a new data directory or one
-// that was written before. It returns the instance's addresses once the instance leads.
-func startSingleNode(t *testing.T, dir string) (reads, admin string) {
+// startSingleNode starts a single-instance cluster on a new or an existing data directory. It returns
+// the instance's addresses once the instance is the leader.
+func startSingleNode(t *testing.T, dir string) (httpAddr, adminAddr string) {
 	t.Helper()
 	config := singleNodeConfig(t, dir)
 	startNode(t, config)
@@ -83,7 +85,7 @@
 	return config.HTTPAddr, config.AdminAddr
 }
 
-// startThreeNodes starts three instances in this process.
+// startThreeNodes starts a cluster of three instances in this process. The first one bootstraps it.
 func startThreeNodes(tb testing.TB, electionTimeout time.Duration) ([]server.Config, []*server.Node) {
 	tb.Helper()
 	configs := make([]server.Config, 3)
@@ -100,7 +102,7 @@
 	return configs, nodes
 }
 
-// peersOf returns the peers of one of several instances.
+// peersOf returns the peers of the instance with the given index in configs.
 func peersOf(configs []server.Config, instance int) []server.Peer {
 	var peers []server.Peer
 	for i, config := range configs {
--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	// partitionTime is how long TestPartitionedLeader cuts off the leader.
-	partitionTime = 10 * time.Second
-	// partitionedWriteInterval is the time between two of its writes meanwhile, which limits their load.
+	// partitionDuration is how long TestPartitionedLeader isolates the leader.
+	partitionDuration = 10 * time.Second
+	// partitionedWriteInterval is the pause after each round of writes during the partition, which limits
+	// their load.
 	partitionedWriteInterval = 50 * time.Millisecond
-	// healTimeout bounds the time until all instances have the same writes after the partition.
+	// healTimeout bounds the wait after the partition until all instances have the acknowledged writes.
 	healTimeout = 20 * time.Second
-	// maxReadsAfterCut is how long a leader that is cut off may serve reads: max_stale (1 s), the
-	// leader's lease (0.5 s) and a margin.
-	maxReadsAfterCut = 2500 * time.Millisecond
+	// maxReadTimeAfterPartition is how long an isolated leader may serve reads: max_stale (1 s), the
+	// leader lease (0.5 s) and a margin.
+	maxReadTimeAfterPartition = 2500 * time.Millisecond
 )
 
-// TestPartitionedLeader: the leader is cut off from both followers for partitionTime. Its reads end within
-// maxReadsAfterCut and it acknowledges no write; the other two elect a leader and acknowledge writes.
-// After the partition every instance has every acknowledged write.
+// TestPartitionedLeader isolates the leader from both followers for partitionDuration. It checks that the
+// isolated leader acknowledges no write and stops serving reads within maxReadTimeAfterPartition, that
+// the followers elect a leader and acknowledge writes, and that every instance has these writes after
+// the partition.
 func TestPartitionedLeader(t *testing.T) {
 	cluster, oldLeader := startClusterWithLeader(t)
 	majority := cluster.Others(oldLeader)
 	if putServerAnywhere(cluster, "before") == 0 {
-		t.Fatal("no write before the partition")
+		t.Fatal("no write acknowledged before the partition")
 	}
 	cluster.Partition([]string{oldLeader}, majority)
-	cutAt := time.Now()
-	lastRead := cutAt
+	partitionedAt := time.Now()
+	lastRead := partitionedAt
 	var acknowledged []string
-	for i := 0; time.Since(cutAt) < partitionTime; i++ {
+	for i := 0; time.Since(partitionedAt) < partitionDuration; i++ {
 		if servesReads(t, cluster, oldLeader) {
 			lastRead = time.Now()
 		}
 		minorityID := fmt.Sprintf("cut-%d", i)
 		if putServer(cluster.Addr(oldLeader, processtest.AdminPort), minorityID) != 0 {
-			t.Errorf("%s acknowledged by %s %v after it was cut off", minorityID, oldLeader, time.Since(cutAt))
+			t.Errorf("%s acknowledged by %s, %v after it was isolated", minorityID, oldLeader, time.Since(partitionedAt))
 		}
 		majorityID := fmt.Sprintf("major-%d", i)
 		if putServer(cluster.Addr(majority[i%len(majority)], processtest.AdminPort), majorityID) != 0 {
@@ -49,19 +51,19 @@
 		}
 		time.Sleep(partitionedWriteInterval)
 	}
-	if readsAfterCut := lastRead.Sub(cutAt); readsAfterCut > maxReadsAfterCut {
-		t.Errorf("the leader served reads until %v after it was cut off", readsAfterCut)
+	if readTimeAfterPartition := lastRead.Sub(partitionedAt); readTimeAfterPartition > maxReadTimeAfterPartition {
+		t.Errorf("the leader served reads until %v after it was isolated", readTimeAfterPartition)
 	}
 	if len(acknowledged) == 0 {
-		t.Fatal("the majority acknowledged no write while the leader was cut off")
+		t.Fatal("the majority acknowledged no write while the leader was isolated")
 	}
 	cluster.Heal()
-	allHaveWrites := func() bool { return allList(cluster, acknowledged) }
+	allHaveWrites := func() bool { return allListServers(cluster, acknowledged) }
 	if err := processtest.Await(healTimeout, "the majority's writes at every instance", allHaveWrites); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("reads of the leader ended %v after it was cut off; the majority acknowledged %d writes",
-		lastRead.Sub(cutAt), len(acknowledged))
+	t.Logf("the leader stopped serving reads %v after it was isolated; the majority acknowledged %d writes",
+		lastRead.Sub(partitionedAt), len(acknowledged))
 }
 
 // servesReads reports whether an instance serves reads.
@@ -75,8 +77,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// allList reports whether the full list of every instance has all ids.
-func allList(cluster *processtest.Cluster, ids []string) bool {
+// allListServers reports whether the full list of every instance contains the servers with the given ids.
+func allListServers(cluster *processtest.Cluster, ids []string) bool {
 	for _, name := range instanceNames {
 		for _, id := range ids {
 			if !listsServer(cluster, name, id) {
--- a/internal/discovery/server/serve_test.go
+++ b/internal/discovery/server/serve_test.go
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-// flakyListener fails every other accept with ENOBUFS.
+// flakyListener is a listener whose every other Accept fails with ENOBUFS.
 type flakyListener struct {
 	net.Listener
 	calls atomic.Uint64
 }
 
-// Accept fails or accepts a connection, in turn.
+// Accept alternately returns an error and accepts a connection.
 func (l *flakyListener) Accept() (net.Conn, error) {
 	if l.calls.Add(1)%2 == 1 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.ENOBUFS)}
@@ -26,7 +26,7 @@
 	return l.Listener.Accept()
 }
 
-// listenLoopback opens a listener at a free port of the loopback address.
+// listenLoopback returns a listener on a free loopback port.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -37,7 +37,7 @@
 	return ln
 }
 
-// startServer starts an HTTP server on a listener, and returns the instance that it belongs to.
+// startServer serves HTTP on a listener with Node.serve, and returns the Node.
 func startServer(t *testing.T, ln net.Listener) *Node {
 	t.Helper()
 	n := &Node{log: slog.New(slog.NewTextHandler(io.Discard, nil)), failed: make(chan error, 1)}
@@ -51,7 +51,7 @@
 	return n
 }
 
-// TestFailedAcceptsDoNotStopInstance: temporary errors of accept do not stop an instance.
+// TestFailedAcceptsDoNotStopInstance checks that an instance continues after temporary accept errors.
 func TestFailedAcceptsDoNotStopInstance(t *testing.T) {
 	ln := listenLoopback(t)
 	n := startServer(t, &flakyListener{Listener: ln})
@@ -76,8 +76,9 @@
 	}
 }
 
-// TestBrokenListenerFailsTheInstance: an instance that no longer accepts connections reports why.
-func TestBrokenListenerFailsTheInstance(t *testing.T) {
+// TestClosedListenerFailsInstance checks that an instance whose listener is closed fails with the
+// listener's error.
+func TestClosedListenerFailsInstance(t *testing.T) {
 	ln := listenLoopback(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/discovery/server/usage_test.go
+++ b/internal/discovery/server/usage_test.go
@@ -10,29 +10,29 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// maxHeaderBytes bounds the header of a response in TestStatusReportsTraffic.
+// maxHeaderBytes bounds the size of a response header in TestStatusReportsTraffic.
 const maxHeaderBytes = 500
 
-// TestStatusReportsTraffic: an instance reports the traffic of each of its addresses, each apart from
-// that of the others.
+// TestStatusReportsTraffic checks that an instance's status counts the traffic of each of its addresses
+// separately.
 func TestStatusReportsTraffic(t *testing.T) {
 	cluster := startCluster(t)
 	mustPutAnywhere(t, cluster, "s-1")
 	leaderName := leader(cluster)
-	admin := cluster.Addr(leaderName, processtest.AdminPort)
-	before := statusAt(admin).Usage
+	adminAddr := cluster.Addr(leaderName, processtest.AdminPort)
+	before := statusAt(adminAddr).Usage
 	const reads = 5
 	bodyBytes := uint64(0)
 	for range reads {
 		bodyBytes += readListBytes(t, cluster.Addr(leaderName, processtest.HTTPPort))
 	}
 	mustPutAnywhere(t, cluster, "s-2")
-	after := statusAt(admin).Usage
+	after := statusAt(adminAddr).Usage
 	if got := after.Reads.Messages - before.Reads.Messages; got != reads {
-		t.Errorf("%d requests were counted, %d made", got, reads)
+		t.Errorf("%d requests counted, want %d", got, reads)
 	}
 	if out := after.Reads.Out - before.Reads.Out; out < bodyBytes || out > bodyBytes+reads*maxHeaderBytes {
-		t.Errorf("%d bytes sent were counted, bodies had %d", out, bodyBytes)
+		t.Errorf("%d bytes sent counted, want %d for the bodies and some for the headers", out, bodyBytes)
 	}
 	for name, count := range map[string]func(server.Usage) uint64{
 		"bytes received by reads": func(usage server.Usage) uint64 { return usage.Reads.In },
@@ -42,7 +42,7 @@
 		"admin requests":          func(usage server.Usage) uint64 { return usage.Admin.Messages },
 	} {
 		if count(before) == count(after) {
-			t.Errorf("no %s were counted: %+v, before %+v", name, after, before)
+			t.Errorf("no %s counted: %+v, before %+v", name, after, before)
 		}
 	}
 	if after.AllocBytes <= before.AllocBytes || after.Goroutines < 1 {
@@ -50,15 +50,15 @@
 	}
 }
 
-// mustPutAnywhere writes an entry at any instance.
+// mustPutAnywhere is like putServerAnywhere, but fails the test if the write is not acknowledged.
 func mustPutAnywhere(t *testing.T, cluster *processtest.Cluster, id string) {
 	t.Helper()
 	if putServerAnywhere(cluster, id) == 0 {
-		t.Fatalf("the write of %s was not acknowledged", id)
+		t.Fatalf("write of %s not acknowledged", id)
 	}
 }
 
-// readListBytes reads the full list on a connection of the default client, and returns its length.
+// readListBytes reads the full list with http.DefaultClient and returns the length of the body.
 func readListBytes(t *testing.T, address string) uint64 {
 	t.Helper()
 	resp, err := get(t.Context(), http.DefaultClient, address+endpoint.ListPath)
--- a/internal/discovery/server/watch_bench_test.go
+++ b/internal/discovery/server/watch_bench_test.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// fanoutWatchers is the number of watches of BenchmarkWatchFanout.
+	// fanoutWatchers is the number of watchers in BenchmarkWatchFanout.
 	fanoutWatchers = 1000
-	// fanoutWait is how long each of them waits for a change.
+	// fanoutWait is how long each watch in BenchmarkWatchFanout waits for a change.
 	fanoutWait = 2 * time.Second
-	// writeBeforeStart is the id of the entry by whose write benchmarks wait for a leader.
-	writeBeforeStart = "warm"
-	// failoverWriteInterval is the time between two attempts of the write that ends a failover.
+	// warmupServerID is the id of the server that the benchmarks write until there is a leader.
+	warmupServerID = "warm"
+	// failoverWriteInterval is the time between two attempts at the write that ends a failover.
 	failoverWriteInterval = 5 * time.Millisecond
 )
 
-// BenchmarkWatchFanout has 1,000 watchers at three instances. Each iteration writes one change and waits
-// until every watcher has it. It reports in ms the p50 and p99 of the time from the write's
-// acknowledgement to a watcher's response (0 if the response was first), and the p99 from the time at
-// which the write was sent, which includes its commit.
+// BenchmarkWatchFanout measures how long a change takes to reach 1,000 watchers at three instances. Each
+// iteration writes one change and waits until every watcher has it. The benchmark reports the p50 and p99
+// of the time in ms from the acknowledgement of a write to a watcher's response (0 if the response was
+// first), and the p99 of the time from the sending of the write, which includes its commit.
 func BenchmarkWatchFanout(b *testing.B) {
 	configs, _ := startThreeNodes(b, time.Second)
-	admin := configs[0].AdminAddr
-	isWritten := func() bool { return putServer(admin, writeBeforeStart) != 0 }
+	adminAddr := configs[0].AdminAddr
+	isWritten := func() bool { return putServer(adminAddr, warmupServerID) != 0 }
 	mustAwait(b, "a first write", isWritten)
 	fanout := newFanout()
 	for i := range fanoutWatchers {
@@ -50,7 +50,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		sentAt = append(sentAt, time.Now())
-		putServer(admin, fmt.Sprint("s-", i))
+		putServer(adminAddr, fmt.Sprint("s-", i))
 		acknowledgedAt = append(acknowledgedAt, time.Now())
 		for range fanoutWatchers {
 			<-fanout.received
@@ -65,16 +65,16 @@
 // milliseconds returns a duration in ms.
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// fanout is the watchers of BenchmarkWatchFanout.
+// fanout is the set of watchers of BenchmarkWatchFanout.
 type fanout struct {
 	client   *http.Client
 	received chan struct{} // gets a value for each change at each watcher
-	stop     chan struct{}
-	started  atomic.Int64 // watchers that have their first version
+	stop     chan struct{} // closed to stop the watchers
+	started  atomic.Int64  // watchers that have their first version
 	watching sync.WaitGroup
 
 	mu         sync.Mutex
-	receivedAt []time.Time // of each change at each watcher, in order
+	receivedAt []time.Time // when each watcher received each change, in ascending order
 }
 
 // newFanout returns a fanout without watchers.
@@ -86,7 +86,7 @@
 	}
 }
 
-// watch watches the list at an instance until stop is closed, and records each change.
+// watch watches the list at an instance until stop is closed, and records when it receives each change.
 func (f *fanout) watch(ctx context.Context, address string) {
 	var version uint64
 	for {
@@ -120,7 +120,7 @@
 	}
 }
 
-// record records that a change was received.
+// record records that a watcher has received a change.
 func (f *fanout) record(receivedAt time.Time) {
 	f.mu.Lock()
 	f.receivedAt = append(f.receivedAt, receivedAt)
@@ -128,7 +128,8 @@
 	f.received <- struct{}{}
 }
 
-// report reports the times from the writes to the watchers' responses. They are given by write.
+// report reports the times from the writes to the watchers' responses. sentAt and acknowledgedAt have one
+// time per write.
 func (f *fanout) report(b *testing.B, sentAt, acknowledgedAt []time.Time) {
 	b.Helper()
 	var fromAcknowledged, fromSent []float64
@@ -144,22 +145,22 @@
 	b.ReportMetric(fromSent[len(fromSent)*99/100], "p99-sent-ms")
 }
 
-// BenchmarkFailover has three instances. Each iteration closes the leader and measures the time until a
-// write at another instance is acknowledged. It reports ms per failover, with Raft's timeouts at their
-// default of 1 s and at 500 ms.
+// BenchmarkFailover measures the time from the close of the leader of three instances until a write at
+// another instance is acknowledged, in ms per failover, with election timeouts of 1 s (the default) and
+// 500 ms.
 func BenchmarkFailover(b *testing.B) {
 	for _, timeout := range []time.Duration{time.Second, 500 * time.Millisecond} {
 		b.Run(fmt.Sprint("election=", timeout), func(b *testing.B) { benchmarkFailover(b, timeout) })
 	}
 }
 
-// awaitWritingLeader waits for an instance that leads and acknowledges a write, and returns its number.
+// awaitWritingLeader waits for a leader that acknowledges writes, and returns its index in configs.
 func awaitWritingLeader(b *testing.B, configs []server.Config) int {
 	b.Helper()
 	leader := -1
 	isElected := func() bool {
 		for instance, config := range configs {
-			if putServer(config.AdminAddr, writeBeforeStart) != 0 && statusAt(config.AdminAddr).Leader == config.ID {
+			if putServer(config.AdminAddr, warmupServerID) != 0 && statusAt(config.AdminAddr).Leader == config.ID {
 				leader = instance
 			}
 		}
@@ -169,7 +170,7 @@
 	return leader
 }
 
-// benchmarkFailover measures failovers with an election timeout.
+// benchmarkFailover measures failovers with the given election timeout.
 func benchmarkFailover(b *testing.B, electionTimeout time.Duration) {
 	b.Helper()
 	var total time.Duration
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// openWatchElectionTimeout is the election timeout of the instances of TestOpenWatchEndsWithItsLeader.
+	// openWatchElectionTimeout is the election timeout in TestOpenWatchEndsWithoutQuorum.
 	openWatchElectionTimeout = 300 * time.Millisecond
 	// slowLinkDelay is the delay from the leader to a follower in TestWatchFromUnknownVersion.
 	slowLinkDelay = 150 * time.Millisecond
 )
 
-// TestOpenWatchEndsWithItsLeader: a watch that is open at an instance ends with 503 within max_stale,
-// as a new read would, once the instance is alone: a follower that lost its leader, and a leader that
-// lost its followers.
-func TestOpenWatchEndsWithItsLeader(t *testing.T) {
+// TestOpenWatchEndsWithoutQuorum checks that an open watch ends with 503 within max_stale, as a new read
+// would, once its instance has lost the other two: a follower that has lost the leader, and a leader that
+// has lost its followers.
+func TestOpenWatchEndsWithoutQuorum(t *testing.T) {
 	for _, state := range []server.MemberState{server.StateFollower, server.StateLeader} {
 		t.Run(string(state), func(t *testing.T) {
 			t.Parallel()
@@ -36,16 +36,16 @@
 					closeNode(t, node)
 				}
 			}
-			// The wait for the response is bounded by writeTimeout.
+			// requestTimeout bounds the wait for the response.
 			if got := <-result; got.code != http.StatusServiceUnavailable {
-				t.Errorf("after %v: %v, want 503", time.Since(startedAt), got)
+				t.Errorf("watch ended after %v with %v, want 503", time.Since(startedAt), got)
 			}
 		})
 	}
 }
 
-// awaitState writes an entry, and waits for an instance in a Raft state that has applied it. It returns
-// the number of the instance and the version of the write.
+// awaitState writes an entry and waits until an instance in the given state has applied it. It returns
+// the instance's index in configs and the version of the write.
 func awaitState(t *testing.T, configs []server.Config, state server.MemberState) (instance int, version uint64) {
 	t.Helper()
 	instance = -1
@@ -63,22 +63,22 @@
 	return instance, version
 }
 
-// TestWatchFromUnknownVersion: a watch from a version that no instance returned gets the full list from
-// the leader and from a follower. A watch from a version that a follower has not applied yet, as its
-// connection to the leader is slow, gets nothing older from the follower.
+// TestWatchFromUnknownVersion checks that a watch from a version that never existed gets the full list
+// from the leader and from the followers, and that a watch from a version that a follower has not applied
+// yet, as its connection to the leader is slow, never gets an older list from the follower.
 func TestWatchFromUnknownVersion(t *testing.T) {
 	cluster := startCluster(t)
 	leaderName := ""
 	allHaveWrite := func() bool {
 		leaderName = leader(cluster)
-		return leaderName != "" && putServerAnywhere(cluster, "s-1") != 0 && allList(cluster, []string{"s-1"})
+		return leaderName != "" && putServerAnywhere(cluster, "s-1") != 0 && allListServers(cluster, []string{"s-1"})
 	}
 	mustAwait(t, "a leader and a write at every instance", allHaveWrite)
 	for _, name := range instanceNames {
 		url := watchURL(cluster.Addr(name, processtest.HTTPPort), "wait=500&index=99999")
 		list := request(http.MethodGet, url, "").list(t)
 		if !list.Full || list.Version > 999 || len(list.Servers) != 1 {
-			t.Errorf("%s (leader %s) answers version 99999 with %+v, want the full list", name, leaderName, list)
+			t.Errorf("watch from version 99999 at %s (leader %s) got %+v, want the full list", name, leaderName, list)
 		}
 	}
 	follower := instanceNames[(slices.Index(instanceNames, leaderName)+1)%len(instanceNames)]
@@ -92,10 +92,10 @@
 		url := watchURL(cluster.Addr(follower, processtest.HTTPPort), fmt.Sprintf("wait=0&index=%d", version))
 		got := request(http.MethodGet, url, "")
 		if got.code == http.StatusServiceUnavailable {
-			continue // it does not know the version yet; a client would continue at another instance
+			continue // the follower does not have the version yet; a client would try another instance
 		}
 		if list := got.list(t); list.Version < version || list.Full {
-			t.Errorf("the watch from version %d got %+v from a slow follower", version, list)
+			t.Errorf("watch from version %d got %+v from the slow follower", version, list)
 		}
 	}
 }
