--- a/internal/discovery/server/settings_cluster_test.go
+++ b/internal/discovery/server/settings_cluster_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// concurrentService is the service that two writers write at the same time.
+	// concurrentService is the service whose settings two writers write at the same time.
 	concurrentService = "two"
-	// concurrentVersions is the number of its settings versions afterwards.
+	// concurrentVersions is the number of settings versions of concurrentService after these writes.
 	concurrentVersions = 4
-	// historyTimeout bounds the time until all instances have the same history.
+	// historyTimeout bounds the wait until all instances have the same history.
 	historyTimeout = 30 * time.Second
 )
 
-// TestSettingsUnderFaults: of two concurrent writers that name the version they replace, one
-// succeeds; of two that name none, both do, in the same order at all instances. Then ten services
-// get ten changes each, and the leader is killed after 30 of them and started again: every
-// acknowledged change is in the history of each instance, once, and nothing else is.
+// TestSettingsUnderFaults checks that of two concurrent writes with If-Match one succeeds, and that
+// without If-Match both succeed. It then changes the settings of ten services ten times each, kills the
+// leader after 30 of these changes and starts it again. The histories of all instances must be the same,
+// and must have each acknowledged change once and nothing else.
 func TestSettingsUnderFaults(t *testing.T) {
 	cluster, _ := startClusterWithLeader(t)
 	base := putSettingsAnywhere(cluster, concurrentService, server.SettingsText(1))
@@ -54,15 +54,16 @@
 	}
 }
 
-// allKnowLeader reports whether each instance knows a leader: one that does not answers a write with 503.
+// allKnowLeader reports whether each instance knows a leader. An instance that knows none responds to
+// writes with 503.
 func allKnowLeader(cluster *processtest.Cluster) bool {
 	knowsNone := func(name string) bool { return statusAt(cluster.Addr(name, processtest.AdminPort)).Leader == "" }
 	return !slices.ContainsFunc(instanceNames, knowsNone)
 }
 
-// checkConcurrentWrites writes two settings at two instances at the same time, and checks the sorted
-// status codes. The settings have the marks firstMark and the next one.
-func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstMark int, ifMatch string, want []int) {
+// checkConcurrentWrites makes two writes of settings at two instances at the same time, and checks the
+// sorted status codes. roundMs of the settings is firstRoundMs and firstRoundMs+1.
+func checkConcurrentWrites(t *testing.T, cluster *processtest.Cluster, firstRoundMs int, ifMatch string, want []int) {
 	t.Helper()
 	var got [2]response
 	var writers sync.WaitGroup
@@ -71,7 +72,7 @@
 		go func() {
 			defer writers.Done()
 			url := cluster.Addr(instanceNames[i+1], processtest.AdminPort) + endpoint.SettingsPath(concurrentService)
-			got[i] = putSettings(url, server.SettingsText(firstMark+i), ifMatch)
+			got[i] = putSettings(url, server.SettingsText(firstRoundMs+i), ifMatch)
 		}()
 	}
 	writers.Wait()
@@ -82,15 +83,15 @@
 	}
 }
 
-// changeSettings makes ten changes of ten services each and kills the leader after 30 of them. It
-// returns the acknowledged versions by service, the newest first.
+// changeSettings changes the settings of ten services ten times each, and kills the leader after 30
+// changes. It returns the acknowledged versions by service, newest first.
 func changeSettings(t *testing.T, cluster *processtest.Cluster) map[string][]uint64 {
 	t.Helper()
 	const services, changes, changesBeforeKill = 10, 10, 30
 	acknowledged := map[string][]uint64{}
 	var mu sync.Mutex
 	var writers sync.WaitGroup
-	var done atomic.Int32
+	var changesMade atomic.Int32
 	for i := range services {
 		writers.Add(1)
 		go func() {
@@ -98,7 +99,7 @@
 			service := fmt.Sprint("s-", i)
 			for change := range changes {
 				version := putSettingsAnywhere(cluster, service, server.SettingsText(change))
-				if done.Add(1) == changesBeforeKill {
+				if changesMade.Add(1) == changesBeforeKill {
 					killLeader(t, cluster)
 				}
 				mu.Lock()
@@ -111,8 +112,8 @@
 	return acknowledged
 }
 
-// awaitHistory waits until all instances have the same history of a service, up to a version at
-// least, and returns its versions, the newest first.
+// awaitHistory waits until all instances have the same history of a service's settings, whose newest
+// version is at least the given one. It returns the versions, newest first.
 func awaitHistory(t *testing.T, cluster *processtest.Cluster, service string, version uint64) []uint64 {
 	t.Helper()
 	var history []server.SettingsVersion
@@ -120,7 +121,7 @@
 		history = commonHistory(cluster, service)
 		return len(history) > 0 && history[0].Version >= version
 	}
-	if err := processtest.Await(historyTimeout, "one history at all instances", agree); err != nil {
+	if err := processtest.Await(historyTimeout, "the same history at all instances", agree); err != nil {
 		t.Fatal(err)
 	}
 	var versions []uint64
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -12,17 +12,17 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// TestSettingsAdminEndpoint: the responses of the admin address to writes and reads of settings.
-func TestSettingsAdminEndpoint(t *testing.T) {
-	_, admin := startSingleNode(t, t.TempDir())
-	url := admin + endpoint.SettingsPath("pay")
+// TestSettingsAdminAPI checks the responses of the admin address to writes and reads of settings.
+func TestSettingsAdminAPI(t *testing.T) {
+	_, adminAddr := startSingleNode(t, t.TempDir())
+	url := adminAddr + endpoint.SettingsPath("pay")
 	if got := request(http.MethodGet, url, ""); got.code != http.StatusNotFound {
-		t.Errorf("before any write: %v", got)
+		t.Errorf("before any write: %v, want status 404", got)
 	}
 	first := putSettings(url, server.SettingsText(1), "0").version()
 	retried := putSettings(url, server.SettingsText(1), "").version()
 	if first == 0 || retried != first {
-		t.Errorf("a write got version %d, its retry %d", first, retried)
+		t.Errorf("write got version %d, its retry %d", first, retried)
 	}
 	checkRejectedSettings(t, url, first)
 	quoted := fmt.Sprintf("%q", fmt.Sprint(first))
@@ -30,11 +30,11 @@
 	newest := decodeSettings(t, request(http.MethodGet, url, ""))
 	age := time.Since(time.UnixMilli(newest.WrittenAtMs))
 	if second <= first || newest.Version != second || newest.Text != server.SettingsText(2) || age > time.Hour {
-		t.Errorf("after versions %d and %d the newest is %+v", first, second, newest)
+		t.Errorf("newest settings after versions %d and %d: %+v", first, second, newest)
 	}
 	older := decodeSettings(t, request(http.MethodGet, fmt.Sprint(url, "?version=", first), ""))
 	if older.Version != first || older.Text != server.SettingsText(1) {
-		t.Errorf("version %d is %+v", first, older)
+		t.Errorf("settings of version %d: %+v", first, older)
 	}
 	var history []server.SettingsVersion
 	if err := json.Unmarshal([]byte(request(http.MethodGet, url+"/history", "").body), &history); err != nil {
@@ -42,7 +42,7 @@
 	}
 	if len(history) != 2 || history[0].Version != second || history[1].Version != first ||
 		history[0].Bytes != len(server.SettingsText(2)) {
-		t.Errorf("the history is %+v", history)
+		t.Errorf("history: %+v", history)
 	}
 }
 
@@ -56,7 +56,8 @@
 	return settings
 }
 
-// checkRejectedSettings checks the responses to writes that are rejected while a version is the newest.
+// checkRejectedSettings checks the responses to invalid and conflicting writes of settings whose newest
+// version is the given one.
 func checkRejectedSettings(t *testing.T, url string, newest uint64) {
 	t.Helper()
 	text := server.SettingsText(2)
@@ -74,7 +75,7 @@
 			body: strings.Replace(text, `"maxAttempts":3`, `"maxAttempts":0`, 1),
 			want: badRequest("settings: limits.maxAttempts: must be above 0, is 0"),
 		},
-		"key of the agent": {
+		"per-agent key": {
 			body: strings.Replace(text, `"roundMs"`, `"zone":1,"roundMs"`, 1),
 			want: badRequest("settings: zone: is set per agent and must be omitted"),
 		},
@@ -101,14 +102,15 @@
 	}
 }
 
-// TestSettingsByWatch: a watch that names its service gets newer settings, at once or when they are
-// written. Other watches are not woken. The report about the agent is recorded.
-func TestSettingsByWatch(t *testing.T) {
-	reads, admin := startSingleNode(t, t.TempDir())
-	listVersion := putServer(admin, "s-1")
+// TestWatchReturnsSettings checks that a watch with a service gets the service's newer settings,
+// immediately or when they are written, that other watches stay open, and that the agent's report is
+// recorded.
+func TestWatchReturnsSettings(t *testing.T) {
+	httpAddr, adminAddr := startSingleNode(t, t.TempDir())
+	listVersion := putServer(adminAddr, "s-1")
 	watch := func(query string) <-chan response {
 		result := make(chan response, 1)
-		url := watchURL(reads, fmt.Sprintf("index=%d&%s", listVersion, query))
+		url := watchURL(httpAddr, fmt.Sprintf("index=%d&%s", listVersion, query))
 		go func() { result <- request(http.MethodGet, url, "") }()
 		return result
 	}
@@ -116,45 +118,46 @@
 	otherService := watch("wait=1500&service=ship&agent=s1")
 	ownService := watch("wait=60000&service=pay&agent=p1")
 	areOpen := func() bool {
-		return len(reportsAt(admin, "pay").Agents)+len(reportsAt(admin, "ship").Agents) == 2
+		return len(reportsAt(adminAddr, "pay").Agents)+len(reportsAt(adminAddr, "ship").Agents) == 2
 	}
 	mustAwait(t, "the watches", areOpen)
-	version := putSettings(admin+endpoint.SettingsPath("pay"), server.SettingsText(1), "").version()
+	version := putSettings(adminAddr+endpoint.SettingsPath("pay"), server.SettingsText(1), "").version()
 	if got := (<-ownService).list(t); got.Settings == nil || got.Settings.Version != version ||
 		got.Settings.Service != "pay" || string(got.Settings.Value) != server.SettingsText(1) ||
 		got.Version != listVersion || got.Full || len(got.Servers) != 0 {
-		t.Errorf("the service's own watch got %+v, want settings %d", got, version)
+		t.Errorf("watch with the service got %+v, want settings version %d", got, version)
 	}
 	unchanged := response{http.StatusOK, fmt.Sprintf("{\"version\":%d,\"full\":false,\"servers\":[]}\n", listVersion)}
 	for _, result := range []<-chan response{withoutService, otherService} {
 		if got := <-result; got != unchanged {
-			t.Errorf("a watch without this service got %v, want %v at its timeout", got, unchanged)
+			t.Errorf("watch without the service got %v, want %v after its wait", got, unchanged)
 		}
 	}
-	checkSettingsInResponses(t, reads, listVersion, version)
-	reports := reportsAt(admin, "pay")
+	checkSettingsInResponses(t, httpAddr, listVersion, version)
+	reports := reportsAt(adminAddr, "pay")
 	want := server.SettingsReport{InForce: 1, Rejected: version, Reason: "no room"}
 	if reports.Version != version || len(reports.Agents) != 1 || reports.Agents[0].Agent != "p1" ||
 		reports.Agents[0].SettingsReport != want {
-		t.Errorf("reports %+v, want p1 with %+v", reports, want)
+		t.Errorf("reports %+v, want one of p1 with %+v", reports, want)
 	}
 }
 
-// checkSettingsInResponses checks for queries whether the response has the service's settings.
-func checkSettingsInResponses(t *testing.T, reads string, listVersion, version uint64) {
+// checkSettingsInResponses checks for several queries whether the response includes the service's
+// settings. version is their newest version.
+func checkSettingsInResponses(t *testing.T, httpAddr string, listVersion, version uint64) {
 	t.Helper()
 	for name, c := range map[string]struct {
 		query string
 		want  uint64 // 0: no settings
 	}{
-		"at once":        {fmt.Sprintf("index=%d&wait=60000&service=pay", listVersion), version},
-		"in force older": {fmt.Sprintf("index=%d&wait=60000&service=pay&in_force=%d", listVersion, version-1), version},
+		"none in force":  {fmt.Sprintf("index=%d&wait=60000&service=pay", listVersion), version},
+		"older in force": {fmt.Sprintf("index=%d&wait=60000&service=pay&in_force=%d", listVersion, version-1), version},
 		"full list":      {"service=pay", version},
 		"in force":       {fmt.Sprintf("service=pay&in_force=%d", version), 0},
 		"rejected":       {fmt.Sprintf("service=pay&agent=p1&in_force=1&refused=%d&why=no%%0Aroom", version), 0},
 		"no service":     {"agent=p1", 0},
 	} {
-		got := request(http.MethodGet, watchURL(reads, c.query), "").list(t).Settings
+		got := request(http.MethodGet, watchURL(httpAddr, c.query), "").list(t).Settings
 		if (c.want == 0) != (got == nil) || got != nil && got.Version != c.want {
 			t.Errorf("%s: settings %+v, want version %d", name, got, c.want)
 		}
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -14,10 +14,11 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// SettingsText returns settings that agents accept; texts differ by their mark.
-func SettingsText(mark int) string {
+// SettingsText returns settings that agents accept, with the given roundMs. Different values of roundMs
+// result in different texts.
+func SettingsText(roundMs int) string {
 	return fmt.Sprintf(`{"classes":[{"name":"read","aimMs":20,"giveUpMs":40,"effect":"free"}],`+
-		`"limits":{"maxAttempts":3},"membershipMode":"pushed","roundMs":%d}`, mark)
+		`"limits":{"maxAttempts":3},"membershipMode":"pushed","roundMs":%d}`, roundMs)
 }
 
 // memorySink is a snapshot sink in memory (raft.SnapshotSink).
@@ -27,7 +28,7 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// restoreFromSnapshot returns a new state machine that was restored from a snapshot of another one.
+// restoreFromSnapshot returns a new state machine restored from a snapshot of state.
 func restoreFromSnapshot(t *rapid.T, state *stateMachine) *stateMachine {
 	t.Helper()
 	snapshot, err := state.Snapshot()
@@ -45,7 +46,7 @@
 	return restored
 }
 
-// applyCommand applies a command as the log entry at an index.
+// applyCommand applies a command as the log entry with the given index.
 func applyCommand(t interface{ Fatal(...any) }, state *stateMachine, index uint64, c command) applyResult {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return state.Apply(&raft.Log{Index: index, Data: data}).(applyResult)
 }
 
-// settingsModel is a simple model of the settings' versions by service.
+// settingsModel is a simple model of the stored settings versions, by service, oldest first.
 type settingsModel map[string][]SettingsVersion
 
 // apply applies a write of settings and returns its expected result.
@@ -73,7 +74,7 @@
 	return applyResult{version: index}
 }
 
-// newest returns the newest version of a service's settings.
+// newest returns the newest version of a service's settings, or the zero SettingsVersion if there is none.
 func (m settingsModel) newest(service string) SettingsVersion {
 	versions := m[service]
 	if len(versions) == 0 {
@@ -82,16 +83,18 @@
 	return versions[len(versions)-1]
 }
 
-// TestSettingsStateMachine compares random writes of settings with settingsModel. There are two writers,
-// which may name the version that they replace, and snapshots and changes of a server between the
-// writes. Versions increase, a retry returns its version, a write over another one is rejected, the last
-// 20 versions are stored, and watches of servers see the changes of servers only.
+// TestSettingsStateMachine compares the results of random writes of settings with those of
+// settingsModel. Two writers write settings, with or without the version that they replace. Between the
+// writes a server is changed, and the state machine is restored from a snapshot. Versions must increase,
+// a repeated write must return the existing version, a write that replaces an outdated version must be
+// rejected, and the last 20 versions must be stored. Watches without a service must only see changes of
+// servers.
 func TestSettingsStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := newStateMachine(8)
 		model := settingsModel{}
-		listVersion := uint64(0)             // of the last change of the server
-		known := []map[string]uint64{{}, {}} // the version that each writer knows of a service
+		listVersion := uint64(0)                     // of the last change of the server
+		knownVersions := []map[string]uint64{{}, {}} // per writer, the last known version by service
 		for index := uint64(1); index <= uint64(rapid.IntRange(1, 120).Draw(t, "writes")); index++ {
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
 				state = restoreFromSnapshot(t, state)
@@ -106,7 +109,7 @@
 				continue
 			}
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
-			versions := known[rapid.IntRange(0, 1).Draw(t, "writer")]
+			versions := knownVersions[rapid.IntRange(0, 1).Draw(t, "writer")]
 			text := SettingsText(rapid.IntRange(1, 40).Draw(t, "text"))
 			c := command{Op: operationSettings, Service: service, Text: text, WrittenAtMs: int64(index)}
 			if rapid.Bool().Draw(t, "if") {
@@ -119,14 +122,15 @@
 			}
 			versions[service] = model.newest(service).Version
 			if got, want := fmt.Sprint(state.history(service)), fmt.Sprint(model[service]); got != want {
-				t.Fatalf("after write %d the history is %s, want %s", index, got, want)
+				t.Fatalf("history after write %d: %s, want %s", index, got, want)
 			}
 			checkServerWatches(t, state, listVersion)
 		}
 	})
 }
 
-// checkServerWatches checks the responses to watches of servers at a version of the list.
+// checkServerWatches checks the responses to watches without a service while the list has the given
+// version.
 func checkServerWatches(t *rapid.T, state *stateMachine, version uint64) {
 	t.Helper()
 	for _, query := range []watchQuery{{full: true}, {version: version}, {version: version / 2}} {
@@ -136,13 +140,13 @@
 		wantUpdate := query.full || query.version < version
 		wrongServer := len(list.Servers) > 0 && list.Servers[0].Weight != float64(version)
 		if err != nil || list.Version != version || list.Settings != nil || response.hasUpdate != wantUpdate || wrongServer {
-			t.Fatalf("a watch of servers, %+v, gets %s (%v) at version %d", query, response.body, err, version)
+			t.Fatalf("watch %+v without a service got %s (%v) at version %d", query, response.body, err, version)
 		}
 	}
 }
 
-// TestRestoreSnapshotWithoutSettings: a snapshot of a program that did not store settings is restored, and
-// settings are written after it.
+// TestRestoreSnapshotWithoutSettings checks that a snapshot of a program version that did not store
+// settings can be restored, and that settings can be written after it.
 func TestRestoreSnapshotWithoutSettings(t *testing.T) {
 	state := newStateMachine(8)
 	const snapshot = `{"version":7,"floor":0,"servers":[{"id":"s","addr":"127.0.0.1:9","state":"up","weight":1}],` +
@@ -153,6 +157,6 @@
 	got := applyCommand(t, state, 8, command{Op: operationSettings, Service: "a", Text: SettingsText(1)})
 	version, servers := state.currentVersion(), len(state.allEndpoints())
 	if got != (applyResult{version: 8}) || version != 7 || servers != 1 {
-		t.Errorf("write gave %v on version %d with %d servers, want 8, 7 and 1", got, version, servers)
+		t.Errorf("write returned %v, list has version %d and %d servers, want 8, 7 and 1", got, version, servers)
 	}
 }
--- a/internal/discovery/server/settings_validation_test.go
+++ b/internal/discovery/server/settings_validation_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestValidateSettings: settings that no agent could put in force are rejected with one line that names
-// the key.
+// TestValidateSettings checks that settings that no agent would accept are rejected with an error on one
+// line that names the key.
 func TestValidateSettings(t *testing.T) {
 	if err := validateSettings([]byte(SettingsText(1))); err != nil {
 		t.Error(err)
