--- a/internal/discovery/server/fault_cluster_test.go
+++ b/internal/discovery/server/fault_cluster_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// longTestsVariable is the environment variable by which cases run in full length.
+	// longTestsVariable is the environment variable that makes tests run at full length.
 	longTestsVariable = "DISCOVERY_LONG_TESTS"
-	// convergenceTimeout bounds the time until instances have the same state after a fault.
+	// convergenceTimeout bounds the wait for a condition during and after a fault.
 	convergenceTimeout = 60 * time.Second
-	// maxWritePause bounds the random pause between two writes of a client, by which the clients do not
-	// write in step.
+	// maxWritePause bounds the random pause between two writes of a client, which keeps the clients from
+	// writing in step.
 	maxWritePause = 40 * time.Millisecond
-	// readPause is the pause between two reads of a client, which limits the length of the history.
+	// readPause is the pause between two reads of a client. It limits the length of the history.
 	readPause = 250 * time.Millisecond
-	// maxLogShown is the number of bytes of an instance's log that a failed test shows.
-	maxLogShown = 6000
+	// maxLogBytesShown is the number of bytes of an instance's log that a failed test shows.
+	maxLogBytesShown = 6000
 )
 
 // Extensions of an instance's files in the directory of its cluster.
 const (
 	configExtension = "toml"
-	faultExtension  = "fault" // the control file of the FaultyStore
+	faultExtension  = "fault" // the FaultyStore's control file
 	logExtension    = "log"   // written by processtest
 )
 
-// soleInstance is the name of an instance that is a cluster by itself.
+// soleInstance is the name of the instance of a single-instance cluster.
 const soleInstance = "n1"
 
-// faultCluster is a cluster of processes that run this test binary as instances whose stores can be
-// made to fail, with clients that write and read, and the clients' history.
+// faultCluster is a cluster of instances with a FaultyStore each, which run this test binary as
+// processes. It includes clients that write and read, and records their history.
 type faultCluster struct {
 	*processtest.Cluster
 	t        *testing.T
@@ -50,10 +50,11 @@
 	clients  sync.WaitGroup
 }
 
-// configOption changes the configuration of an instance.
+// configOption changes an instance's configuration file.
 type configOption func(*processtest.DiscoveryFile)
 
-// startFaultCluster starts instances, each configured with the options, and waits for a leader.
+// startFaultCluster starts the named instances, each configured with the options, and waits for a
+// leader.
 func startFaultCluster(t *testing.T, instances []string, options ...configOption) *faultCluster {
 	t.Helper()
 	binary, err := os.Executable()
@@ -89,7 +90,7 @@
 	return cluster
 }
 
-// path returns the path of a file of an instance.
+// path returns the path of an instance's file with the given extension.
 func (c *faultCluster) path(name, extension string) string {
 	return filepath.Join(c.dir, name+"."+extension)
 }
@@ -97,7 +98,7 @@
 // dataDir returns the data directory of an instance.
 func (c *faultCluster) dataDir(name string) string { return filepath.Join(c.dir, name) }
 
-// writeConfig writes the configuration of an instance, which reaches its peers directly.
+// writeConfig writes the configuration file of an instance that connects to its peers directly.
 func (c *faultCluster) writeConfig(name string, options []configOption) {
 	c.t.Helper()
 	file := c.DirectDiscoveryFile(name)
@@ -110,7 +111,7 @@
 	}
 }
 
-// await waits for a condition, and fails the test if it is not fulfilled within convergenceTimeout.
+// await waits for a condition, and fails the test if it is not met within convergenceTimeout.
 func (c *faultCluster) await(what string, condition func() bool) {
 	c.t.Helper()
 	if err := processtest.Await(convergenceTimeout, what, condition); err != nil {
@@ -119,23 +120,23 @@
 	}
 }
 
-// showLogs logs each instance's status and the end of its log.
+// showLogs logs the status and the end of the log of each instance.
 func (c *faultCluster) showLogs() {
 	c.t.Helper()
 	for _, name := range c.Names() {
 		text, _ := os.ReadFile(c.path(name, logExtension)) // a missing log is shown as empty
-		end := text[max(0, len(text)-maxLogShown):]
-		c.t.Logf("%s, status %+v; its log ends:\n%s", name, statusAt(c.Addr(name, processtest.AdminPort)), end)
+		end := text[max(0, len(text)-maxLogBytesShown):]
+		c.t.Logf("%s: status %+v, end of the log:\n%s", name, statusAt(c.Addr(name, processtest.AdminPort)), end)
 	}
 }
 
-// leader returns the name of a running instance that leads, or "".
+// leader returns the name of a running instance that is the leader, or "" if there is none.
 func (c *faultCluster) leader() string { return leader(c.Cluster) }
 
-// followers returns the names of the instances that do not lead.
+// followers returns the names of the instances that are not the leader.
 func (c *faultCluster) followers() []string { return c.Others(c.leader()) }
 
-// pids returns the instances' process ids by name.
+// pids returns the process IDs of the instances, by name.
 func (c *faultCluster) pids() map[string]int {
 	pids := map[string]int{}
 	for _, name := range c.Names() {
@@ -144,8 +145,8 @@
 	return pids
 }
 
-// setFault sets the fault of an instance's store until the next call. It replaces the control file
-// atomically.
+// setFault sets the fault of an instance's store, which lasts until the next call of setFault. It
+// replaces the control file atomically.
 func (c *faultCluster) setFault(name string, fault server.StoreFault) {
 	c.t.Helper()
 	text, err := json.Marshal(fault)
@@ -161,8 +162,8 @@
 	}
 }
 
-// startClients starts writers, each of which writes to all instances in turn, and a reader of each
-// instance.
+// startClients starts the given number of writers, each of which writes to all instances in turn, and
+// one reader per instance.
 func (c *faultCluster) startClients(writers int) {
 	for writer := range writers {
 		c.repeat(func(i int) {
@@ -181,12 +182,12 @@
 	}
 }
 
-// randomBelow returns a random whole number of milliseconds below a limit.
+// randomBelow returns a random duration below limit, in whole milliseconds.
 func randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(rand.Int64N(limit.Milliseconds())) * time.Millisecond
 }
 
-// repeat repeats a call in a goroutine until stopClients.
+// repeat runs a call in a loop, in its own goroutine, until stopClients is called.
 func (c *faultCluster) repeat(call func(i int)) {
 	c.clients.Add(1)
 	go func() {
@@ -202,7 +203,7 @@
 	}()
 }
 
-// write writes an entry at an instance and records it. It reports whether it was acknowledged.
+// write writes an entry at an instance, records the write and reports whether it was acknowledged.
 func (c *faultCluster) write(name, id string) bool {
 	record := writeRecord{id: id, started: c.recorder.now()}
 	record.version = putServer(c.Addr(name, processtest.AdminPort), id)
@@ -211,7 +212,7 @@
 	return record.version != 0
 }
 
-// read returns the full list of an instance, and whether the instance served it.
+// read reads the full list of an instance and reports whether the instance served it.
 func (c *faultCluster) read(name string) (readRecord, bool) {
 	record := readRecord{instance: name, started: c.recorder.now()}
 	list, served := fetchList(c.Addr(name, processtest.HTTPPort))
@@ -225,14 +226,14 @@
 	return record, true
 }
 
-// stopClients ends the clients that startClients started.
+// stopClients stops the clients that startClients started, and waits until they have ended.
 func (c *faultCluster) stopClients() {
 	c.stopOnce.Do(func() { close(c.stop) })
 	c.clients.Wait()
 }
 
-// stopAndCheck stops the clients, waits until each instance has the last acknowledged write, and
-// checks the history.
+// stopAndCheck stops the clients, makes a last write, waits until each instance has it, and returns an
+// error if the history is inconsistent.
 func (c *faultCluster) stopAndCheck() error {
 	c.t.Helper()
 	c.stopClients()
@@ -255,5 +256,5 @@
 		return fmt.Errorf("%d of %d instances have version %d: %w", len(final), len(c.Names()), last, err)
 	}
 	clientHistory := history{writes: c.recorder.writes.All(), reads: c.recorder.reads.All(), final: final}
-	return clientHistory.check(staleBound)
+	return clientHistory.check(maxReadAge)
 }
--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -12,85 +12,85 @@
 	"github.com/hashicorp/raft"
 )
 
-// StoreFault is the fault of a FaultyStore.
+// StoreFault describes which calls of a FaultyStore fail, and how.
 type StoreFault struct {
-	Log      bool          // writes of the log fail
+	Log      bool          // log writes fail
 	Stable   bool          // writes of the term and the vote fail
-	Read     bool          // reads of the log fail
-	Applied  bool          // a write that fails has reached the file, as after a failed sync
-	Unsynced bool          // appends succeed without being written, for the checker to find
-	Hang     bool          // a write that would fail waits instead, until the fault changes
-	Err      syscall.Errno // the error of the calls that fail
+	Read     bool          // log reads fail
+	Applied  bool          // failing writes reach the file, as after a failed sync
+	Unsynced bool          // appends succeed without reaching the file, which the history check must find
+	Hang     bool          // failing writes block instead, until the fault changes
+	Err      syscall.Errno // returned by failing calls
 }
 
-// FaultyStore is a store whose calls fail according to a StoreFault.
+// FaultyStore wraps a Store and makes its calls fail as described by a StoreFault.
 type FaultyStore struct {
 	Store
-	// Control is the path of a file with a StoreFault in JSON, which is read at each call; "": the
-	// fault is that of the last Fail.
-	Control     string
+	// ControlFile is the path of a file with a StoreFault in JSON, which is read at each call. If it is
+	// empty, the fault is the one set with SetFault.
+	ControlFile string
 	fault       atomic.Pointer[StoreFault]
-	failedCalls atomic.Int64 // that failed
+	failedCalls atomic.Int64 // number of calls that failed
 
 	mu       sync.Mutex
-	unsynced map[uint64]raft.Log
+	unsynced map[uint64]raft.Log // entries appended while StoreFault.Unsynced was set, by index
 }
 
-// Fail sets the fault of the following calls; nil: none.
-func (f *FaultyStore) Fail(fault *StoreFault) { f.fault.Store(fault) }
+// SetFault sets the fault of the following calls; nil means no fault.
+func (f *FaultyStore) SetFault(fault *StoreFault) { f.fault.Store(fault) }
 
-// current returns the present fault.
-func (f *FaultyStore) current() (fault StoreFault) {
-	if f.Control == "" {
+// currentFault returns the fault that applies now.
+func (f *FaultyStore) currentFault() (fault StoreFault) {
+	if f.ControlFile == "" {
 		if set := f.fault.Load(); set != nil {
 			return *set
 		}
 		return fault
 	}
-	text, err := os.ReadFile(f.Control)
+	text, err := os.ReadFile(f.ControlFile)
 	if err != nil {
-		return fault // there is no file before the first fault
+		return fault // the file does not exist before the first fault is set
 	}
 	if err := json.Unmarshal(text, &fault); err != nil {
-		panic(fmt.Sprintf("%s: %v", f.Control, err))
+		panic(fmt.Sprintf("%s: %v", f.ControlFile, err))
 	}
 	return fault
 }
 
-// hangPollInterval is the time between two checks of a call that hangs: the control file is read again, as
-// its change has no event.
+// hangPollInterval is the time between two checks whether a hanging call may continue. The control file
+// is polled, as there is no notification of its changes.
 const hangPollInterval = 10 * time.Millisecond
 
-// write runs a write, which fails if the fault says so.
+// write runs a write, which fails if failing returns true for the current fault.
 func (f *FaultyStore) write(failing func(StoreFault) bool, do func() error) error {
-	fault := f.current()
+	fault := f.currentFault()
 	for failing(fault) && fault.Hang {
 		time.Sleep(hangPollInterval)
-		fault = f.current()
+		fault = f.currentFault()
 	}
 	if !failing(fault) {
 		return do()
 	}
 	if fault.Applied {
-		_ = do() // the fault's error is returned
+		_ = do() // the fault's error is returned instead
 	}
 	f.failedCalls.Add(1)
 	return fault.Err
 }
 
-// writeLog runs a write of the log, or fails.
+// writeLog runs a log write, which fails if StoreFault.Log is set.
 func (f *FaultyStore) writeLog(do func() error) error {
 	return f.write(func(fault StoreFault) bool { return fault.Log }, do)
 }
 
-// writeStable runs a write of the term or the vote, or fails.
+// writeStable runs a write of the term or the vote, which fails if StoreFault.Stable is set.
 func (f *FaultyStore) writeStable(do func() error) error {
 	return f.write(func(fault StoreFault) bool { return fault.Stable }, do)
 }
 
-// StoreLogs appends entries, or fails.
+// StoreLogs appends entries to the log, or fails.
 func (f *FaultyStore) StoreLogs(entries []*raft.Log) error {
-	if f.current().Unsynced {
+	if f.currentFault().Unsynced {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.unsynced == nil {
@@ -104,7 +104,7 @@
 	return f.writeLog(func() error { return f.Store.StoreLogs(entries) })
 }
 
-// DeleteRange removes entries, or fails.
+// DeleteRange removes entries from the log, or fails.
 func (f *FaultyStore) DeleteRange(first, last uint64) error {
 	return f.writeLog(func() error { return f.Store.DeleteRange(first, last) })
 }
@@ -119,9 +119,9 @@
 	return f.writeStable(func() error { return f.Store.SetUint64(key, value) })
 }
 
-// GetLog reads an entry, or fails.
+// GetLog reads an entry of the log, or fails.
 func (f *FaultyStore) GetLog(index uint64, entry *raft.Log) error {
-	if fault := f.current(); fault.Read {
+	if fault := f.currentFault(); fault.Read {
 		f.failedCalls.Add(1)
 		return fault.Err
 	}
@@ -135,5 +135,5 @@
 	return f.Store.GetLog(index, entry)
 }
 
-// Snapshot makes the node take a snapshot now.
+// Snapshot takes a snapshot of the state machine immediately.
 func (n *Node) Snapshot() error { return n.raft.Snapshot().Error() }
--- a/internal/discovery/server/file_limit_test.go
+++ b/internal/discovery/server/file_limit_test.go
@@ -14,8 +14,8 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// limitFileSize sets how long a running process may make files, in bytes; writes beyond it fail with
-// EFBIG. It returns the limit before.
+// limitFileSize limits the size in bytes of the files that a running process writes; writes beyond the
+// limit fail with EFBIG. It returns the previous limit.
 func limitFileSize(t *testing.T, pid int, limit uint64) uint64 {
 	t.Helper()
 	var old unix.Rlimit
@@ -29,62 +29,64 @@
 }
 
 const (
-	// limitTime is how long TestFileSizeLimit keeps the instances from writing files.
-	limitTime = 3 * time.Second
-	// limitedWriteInterval is the time between two of its writes meanwhile, which limits their load.
+	// limitDuration is how long the instances can't write files in TestFileSizeLimit.
+	limitDuration = 3 * time.Second
+	// limitedWriteInterval is the time between two write requests during limitDuration, which limits
+	// their load.
 	limitedWriteInterval = 50 * time.Millisecond
 )
 
-// putStatus returns the status code of a write at an admin address; 0: there was no response.
-func putStatus(admin string) int {
+// putStatus writes an entry and returns the status code of the response, or 0 if there was none.
+func putStatus(adminAddr string) int {
 	const body = `{"addr":"127.0.0.1:9","state":"up","weight":1}`
-	return request(http.MethodPut, admin+endpoint.ServerPath("limited"), body).code
+	return request(http.MethodPut, adminAddr+endpoint.ServerPath("limited"), body).code
 }
 
-// TestFileSizeLimit: all writes of cmd/discovery to files fail for limitTime, on all instances. No instance
-// ends, writes are answered with 503 meanwhile, and are acknowledged afterwards.
+// TestFileSizeLimit makes all file writes of all instances fail for limitDuration. It checks that no
+// instance exits, that write requests get 503 during that time and that they are acknowledged after it.
 func TestFileSizeLimit(t *testing.T) {
 	cluster := startCluster(t)
 	if putServerAnywhere(cluster, "before") == 0 {
-		t.Fatal("no write before the limit")
+		t.Fatal("no write acknowledged before the limit")
 	}
 	limits := map[string]uint64{}
 	for _, name := range instanceNames {
 		limits[name] = limitFileSize(t, cluster.Pid(name), 0)
 	}
-	for end := time.Now().Add(limitTime); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
+	for end := time.Now().Add(limitDuration); time.Now().Before(end); time.Sleep(limitedWriteInterval) {
 		if code := putStatus(cluster.Addr(instanceNames[0], processtest.AdminPort)); code != http.StatusServiceUnavailable {
-			t.Fatalf("a write was answered with %d while no file can be written", code)
+			t.Fatalf("status %d for a write while no file can be written, want 503", code)
 		}
 	}
 	for _, name := range instanceNames {
 		if !cluster.Running(name) {
-			t.Fatalf("%s has ended", name)
+			t.Fatalf("instance %s exited", name)
 		}
 		limitFileSize(t, cluster.Pid(name), limits[name])
 	}
 	if putServerAnywhere(cluster, "after") == 0 {
-		t.Error("no write after the limit")
+		t.Error("no write acknowledged after the limit")
 	}
 }
 
-// snapshotLimit is less than the size of a snapshot of TestSnapshotOutage, and more than that of the
-// instance's log.
-const snapshotLimit = 16 << 10
+// snapshotSizeLimit is a file size in bytes that is smaller than a snapshot in TestFailedSnapshotKeepsLog
+// and larger than the instance's log file.
+const snapshotSizeLimit = 16 << 10
 
-// TestSnapshotOutage: a snapshot that can't be written leaves the Raft log as it is; a snapshot that
-// is written compacts it. A kill after either loses nothing.
-func TestSnapshotOutage(t *testing.T) {
+// TestFailedSnapshotKeepsLog checks that no acknowledged write is lost if an instance is killed after a
+// snapshot: neither after one that can't be written, which must leave the Raft log unchanged, nor after
+// one that is written, which compacts the log.
+func TestFailedSnapshotKeepsLog(t *testing.T) {
 	const trailingLogs = 10
-	fewLogs := func(file *processtest.DiscoveryFile) { file.TrailingLogs = trailingLogs }
-	cluster := startFaultCluster(t, []string{soleInstance}, fastElection, fewLogs)
+	fewTrailingLogs := func(file *processtest.DiscoveryFile) { file.TrailingLogs = trailingLogs }
+	cluster := startFaultCluster(t, []string{soleInstance}, fastElection, fewTrailingLogs)
 	for i := range 150 {
 		cluster.write(soleInstance, fmt.Sprint("s-", i))
 	}
 	for _, wantErr := range []bool{true, false} {
 		limit := uint64(unix.RLIM_INFINITY)
 		if wantErr {
-			limit = limitFileSize(t, cluster.Pid(soleInstance), snapshotLimit)
+			limit = limitFileSize(t, cluster.Pid(soleInstance), snapshotSizeLimit)
 		}
 		if line := cluster.snapshot(soleInstance); strings.Contains(line, "err=<nil>") == wantErr {
 			t.Errorf("snapshot: %s", line)
@@ -101,7 +103,7 @@
 	}
 }
 
-// snapshot makes an instance take a snapshot, and returns the line of its log about it.
+// snapshot makes an instance take a snapshot, and returns the attributes of its log line about it.
 func (c *faultCluster) snapshot(name string) (line string) {
 	c.t.Helper()
 	c.await("reads", func() bool {
@@ -111,7 +113,7 @@
 	if err := unix.Kill(c.Pid(name), unix.SIGUSR1); err != nil {
 		c.t.Fatal(err)
 	}
-	c.await("the snapshot's line", func() bool {
+	c.await("the log line about the snapshot", func() bool {
 		text, _ := os.ReadFile(c.path(name, logExtension))
 		_, after, found := strings.Cut(string(text), "msg=snapshot ")
 		line, _, _ = strings.Cut(after, "\n")
--- a/internal/discovery/server/history_checker_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -12,22 +12,22 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// writeRecord is one write of a server's entry. Each write has an id of its own.
+// writeRecord is one write of a server's entry. The id is unique among the writes.
 type writeRecord struct {
 	id             string
-	started, ended time.Duration
-	version        uint64 // 0: not acknowledged, but possibly applied
+	started, ended time.Duration // since the start of the recorder
+	version        uint64        // 0: not acknowledged, but possibly applied
 }
 
-// readRecord is a full list that one instance returned.
+// readRecord is a full list returned by one instance.
 type readRecord struct {
 	instance string
-	started  time.Duration
+	started  time.Duration // since the start of the recorder
 	version  uint64
 	ids      []string
 }
 
-// recorder records what clients write to all instances and read from them.
+// recorder records the clients' writes and reads at all instances.
 type recorder struct {
 	start  time.Time
 	writes processtest.Records[writeRecord]
@@ -38,28 +38,31 @@
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
 // acknowledged returns the acknowledged writes so far, ordered by version.
-func (r *recorder) acknowledged() []writeRecord { return acknowledgedOf(r.writes.All()) }
+func (r *recorder) acknowledged() []writeRecord { return acknowledgedWrites(r.writes.All()) }
 
-// history is what clients wrote to all instances and read from them.
+// history is the clients' writes and reads at all instances.
 type history struct {
 	writes []writeRecord
 	reads  []readRecord
-	final  []readRecord // one of each instance, at the end
+	final  []readRecord // one per instance, after the last write
 }
 
-// acknowledgedOf returns the acknowledged ones of several writes, ordered by version.
-func acknowledgedOf(writes []writeRecord) []writeRecord {
+// acknowledgedWrites returns those of the writes that were acknowledged, ordered by version.
+func acknowledgedWrites(writes []writeRecord) []writeRecord {
 	acknowledged := slices.DeleteFunc(slices.Clone(writes), func(w writeRecord) bool { return w.version == 0 })
 	slices.SortFunc(acknowledged, func(a, b writeRecord) int { return cmp.Compare(a.version, b.version) })
 	return acknowledged
 }
 
-// check returns an error if no single list with writes in one order explains the history: two writes
-// have the same version, or versions that contradict the order in time; a list lacks an acknowledged
-// write of its version or an earlier one, or has a later one; a read is older than maxStale; the final
-// lists differ.
+// check returns an error if the history is not that of a single list with totally ordered writes, which
+// is the case if
+//
+//   - two writes have the same version, or versions that contradict their order in time,
+//   - a list lacks an acknowledged write of its version or an earlier one, or has a later one,
+//   - a list lacks a write that was acknowledged longer than maxStale before the read, or
+//   - the final lists differ or lack an acknowledged write.
 func (h *history) check(maxStale time.Duration) error {
-	acknowledged := acknowledgedOf(h.writes)
+	acknowledged := acknowledgedWrites(h.writes)
 	errs := []error{checkOrder(acknowledged)}
 	for _, read := range slices.Concat(h.reads, h.final) {
 		errs = append(errs, checkRead(acknowledged, read))
@@ -69,7 +72,7 @@
 	}
 	for _, read := range h.final {
 		if len(acknowledged) > 0 && read.version < acknowledged[len(acknowledged)-1].version {
-			err := fmt.Errorf("%s ends at version %d, acknowledged was %d",
+			err := fmt.Errorf("%s ends at version %d, but version %d was acknowledged",
 				read.instance, read.version, acknowledged[len(acknowledged)-1].version)
 			errs = append(errs, err)
 		}
@@ -81,15 +84,15 @@
 }
 
 // checkOrder returns an error if two writes have the same version, or if a write that started after
-// another one was acknowledged has an earlier version. The writes are ordered by version.
+// another one was acknowledged has the lower version. The writes are ordered by version.
 func checkOrder(acknowledged []writeRecord) error {
 	var latestStart writeRecord
 	for i, write := range acknowledged {
 		if i > 0 && acknowledged[i-1].version == write.version {
-			return fmt.Errorf("%s and %s are both version %d", acknowledged[i-1].id, write.id, write.version)
+			return fmt.Errorf("%s and %s both have version %d", acknowledged[i-1].id, write.id, write.version)
 		}
 		if write.ended < latestStart.started {
-			return fmt.Errorf("%s (version %d) was acknowledged before %s (version %d) began",
+			return fmt.Errorf("%s (version %d) was acknowledged before %s (version %d) started",
 				write.id, write.version, latestStart.id, latestStart.version)
 		}
 		if write.started > latestStart.started {
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// checkRead returns an error if a list does not have exactly the acknowledged writes up to its version.
+// checkRead returns an error if a list lacks an acknowledged write up to its version, or has a later one.
 func checkRead(acknowledged []writeRecord, read readRecord) error {
 	listed := map[string]bool{}
 	for _, id := range read.ids {
@@ -107,35 +110,39 @@
 	}
 	for _, write := range acknowledged {
 		if listed[write.id] != (write.version <= read.version) {
-			return fmt.Errorf("%s at version %d: holds %s of version %d: %v",
+			return fmt.Errorf("%s at version %d: lists %s (version %d): %v",
 				read.instance, read.version, write.id, write.version, listed[write.id])
 		}
 	}
 	return nil
 }
 
-// checkFresh returns an error if a list lacks a write that was acknowledged longer ago than maxStale.
+// checkFresh returns an error if a list lacks a write that was acknowledged more than maxStale before
+// the read.
 func checkFresh(acknowledged []writeRecord, read readRecord, maxStale time.Duration) error {
 	for _, write := range acknowledged {
 		if write.version > read.version && read.started-write.ended > maxStale {
-			return fmt.Errorf("%s at version %d: read %v after %s (version %d) was acknowledged",
+			return fmt.Errorf("%s at version %d: read started %v after %s (version %d) was acknowledged",
 				read.instance, read.version, read.started-write.ended, write.id, write.version)
 		}
 	}
 	return nil
 }
 
-// TestHistoryCheck: the checker finds each kind of fault in a history that is correct without it.
+// TestHistoryCheck checks that history.check accepts a correct history and finds each kind of
+// inconsistency that is inserted into it. The map's keys are parts of the expected errors.
 func TestHistoryCheck(t *testing.T) {
 	const second = time.Second
 	for fault, insertFault := range map[string]func(*history){
-		"":               func(*history) {},
-		"both version":   func(h *history) { h.writes[1].version = 1 },
-		"before":         func(h *history) { h.writes[0].version, h.writes[1].version = 2, 1 },
-		"holds b":        func(h *history) { h.reads[0].ids = []string{"a"} },
-		"holds c":        func(h *history) { h.reads[0].ids = []string{"a", "b", "c"} },
-		"after c":        func(h *history) { h.reads[0].started = 20 * second },
-		"ends at":        func(h *history) { h.final[1] = readRecord{instance: "n2", version: 2, ids: []string{"a", "b"}} },
+		"":                  func(*history) {},
+		"both have version": func(h *history) { h.writes[1].version = 1 },
+		"before":            func(h *history) { h.writes[0].version, h.writes[1].version = 2, 1 },
+		"lists b":           func(h *history) { h.reads[0].ids = []string{"a"} },
+		"lists c":           func(h *history) { h.reads[0].ids = []string{"a", "b", "c"} },
+		"after c":           func(h *history) { h.reads[0].started = 20 * second },
+		"ends at": func(h *history) {
+			h.final[1] = readRecord{instance: "n2", version: 2, ids: []string{"a", "b"}}
+		},
 		"different list": func(h *history) { h.final[1].ids = []string{"a", "b", "c", "other"} },
 	} {
 		h := &history{
@@ -156,7 +163,7 @@
 		case fault == "" && err != nil:
 			t.Error(err)
 		case fault != "" && (err == nil || !strings.Contains(err.Error(), fault)):
-			t.Errorf("%q: the checker says %v", fault, err)
+			t.Errorf("%q: check returned %v", fault, err)
 		}
 	}
 }
--- a/internal/discovery/server/instance_process_test.go
+++ b/internal/discovery/server/instance_process_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// configVariable is the environment variable with the path of a configuration, by which this
-	// test binary runs as an instance.
+	// configVariable is the environment variable with the path of a configuration file. If it is set,
+	// the test binary runs as an instance with this configuration.
 	configVariable = "DISCOVERY_TEST_CONFIG"
-	// faultVariable is the environment variable with the path of the control file of the
-	// instance's FaultyStore.
+	// faultVariable is the environment variable with the path of the control file of the instance's
+	// FaultyStore.
 	faultVariable = "DISCOVERY_TEST_FAULT"
 )
 
-// TestMain runs the tests, or one instance if configVariable is set.
+// TestMain runs the tests or, if configVariable is set, an instance.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(configVariable); path != "" {
 		if err := runInstance(path); err != nil {
@@ -32,14 +32,15 @@
 	os.Exit(m.Run())
 }
 
-// runInstance runs an instance with a FaultyStore until SIGTERM. On SIGUSR1 it takes a snapshot.
+// runInstance runs an instance with a FaultyStore until SIGTERM. The instance takes a snapshot at each
+// SIGUSR1.
 func runInstance(path string) error {
 	config, err := server.Load(path)
 	if err != nil {
 		return err
 	}
 	config.WrapStore = func(store server.Store) server.Store {
-		return &server.FaultyStore{Store: store, Control: os.Getenv(faultVariable)}
+		return &server.FaultyStore{Store: store, ControlFile: os.Getenv(faultVariable)}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	node, err := server.Start(config, log)
--- a/internal/discovery/server/store_damage_test.go
+++ b/internal/discovery/server/store_damage_test.go
@@ -14,22 +14,22 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// storeFileName is the file of a data directory that has Raft's log, term and vote.
+// storeFileName is the file in a data directory that contains Raft's log, term and vote.
 const storeFileName = "raft.db"
 
-// fastElection makes an instance that is a cluster by itself lead soon after its start.
+// fastElection is a configOption with which a single-instance cluster soon has its leader.
 func fastElection(file *processtest.DiscoveryFile) { file.ElectionTimeout = singleNodeElectionTimeout }
 
 const (
-	// maxTimeToKill bounds the random time from the start of an instance until it is killed. It is random,
-	// so that the kill finds the instance at any step of a write.
+	// maxTimeToKill bounds the time from the start of an instance until it is killed. The time is random,
+	// so that the kill can interrupt a write at any step.
 	maxTimeToKill = 300 * time.Millisecond
-	// firstReadInterval is the time between two attempts of the first read of an instance. It is short, so
-	// that the read that succeeds comes soon after the instance serves reads.
+	// firstReadInterval is the time between two attempts at the first read from an instance. It is short,
+	// so that the first successful read comes soon after the instance starts to serve reads.
 	firstReadInterval = time.Millisecond
 )
 
-// killCount returns how often TestKilledDuringWrites kills an instance.
+// killCount returns how often TestKilledDuringWrites kills the instance.
 func killCount() int {
 	if os.Getenv(longTestsVariable) != "" {
 		return 200
@@ -37,8 +37,9 @@
 	return 6
 }
 
-// TestKilledDuringWrites: an instance that is a cluster by itself, so that what it acknowledged is on
-// its disk or lost, is killed at random times during writes and started again.
+// TestKilledDuringWrites checks that no acknowledged write is lost if an instance is killed at random
+// times during writes and started again. The cluster has a single instance, so a write that is not on
+// its disk is lost.
 func TestKilledDuringWrites(t *testing.T) {
 	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	cluster.startClients(8)
@@ -56,13 +57,13 @@
 	t.Logf("%d kills, %d writes acknowledged", killCount(), len(cluster.recorder.acknowledged()))
 }
 
-// TestHistoryFindsUnsyncedWrites: after a kill the checker finds that an instance has acknowledged
-// what it has not written.
-func TestHistoryFindsUnsyncedWrites(t *testing.T) {
+// TestHistoryCheckFindsUnsyncedWrites checks that the history check fails for an instance that
+// acknowledged a write without storing it and was then killed.
+func TestHistoryCheckFindsUnsyncedWrites(t *testing.T) {
 	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	cluster.setFault(soleInstance, server.StoreFault{Unsynced: true})
 	if !cluster.write(soleInstance, "unsynced") {
-		t.Fatal("not acknowledged")
+		t.Fatal("write not acknowledged")
 	}
 	cluster.setFault(soleInstance, server.StoreFault{})
 	if err := cluster.Restart(soleInstance); err != nil {
@@ -70,12 +71,12 @@
 	}
 	cluster.await("a leader", func() bool { return cluster.leader() != "" })
 	if err := cluster.stopAndCheck(); err == nil {
-		t.Error("the checker found nothing")
+		t.Error("history check returned no error for a lost write")
 	}
 }
 
-// TestRestartServesAcknowledgedWrites: the first read that a restarted instance serves has all writes
-// that it acknowledged before.
+// TestRestartServesAcknowledgedWrites checks that the first list that a restarted instance serves has all
+// writes that the instance acknowledged before.
 func TestRestartServesAcknowledgedWrites(t *testing.T) {
 	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	for i := range 20 {
@@ -95,18 +96,19 @@
 			t.Fatal(err)
 		}
 		if err := checkContainsAll(read, acknowledged); err != nil {
-			t.Fatalf("first read, version %d: %v", read.version, err)
+			t.Fatalf("first read, at version %d: %v", read.version, err)
 		}
 	}
 }
 
-// damageCase is a damage to a data directory that has acknowledged writes.
+// damageCase is one way to damage a data directory.
 type damageCase struct {
 	name  string
 	apply func(dir string) error
 }
 
-// truncateTo truncates the store to a size that depends on its size.
+// truncateTo returns a function that truncates a data directory's store. The new size is a function of
+// the old one.
 func truncateTo(size func(int64) int64) func(string) error {
 	return func(dir string) error {
 		path := filepath.Join(dir, storeFileName)
@@ -118,7 +120,8 @@
 	}
 }
 
-// tearPage overwrites the second half of one page with zeros.
+// tearPage returns a function that overwrites the second half of one page of a data directory's store
+// with zeros, as if only the first half had been written.
 func tearPage(page int64) func(string) error {
 	return func(dir string) error {
 		file, err := os.OpenFile(filepath.Join(dir, storeFileName), os.O_WRONLY, 0)
@@ -131,10 +134,10 @@
 	}
 }
 
-// damageCases are the damages that TestDamagedStore tries.
+// damageCases returns the cases of TestDamagedStore.
 func damageCases() []damageCase {
 	page := int64(os.Getpagesize())
-	out := []damageCase{
+	cases := []damageCase{
 		{"missing", func(dir string) error { return os.Remove(filepath.Join(dir, storeFileName)) }},
 		{"empty", truncateTo(func(int64) int64 { return 0 })},
 		{"a byte short", truncateTo(func(size int64) int64 { return size - 1 })},
@@ -143,13 +146,14 @@
 		{"six pages", truncateTo(func(int64) int64 { return 6 * page })},
 	}
 	for i := range int64(16) {
-		out = append(out, damageCase{fmt.Sprintf("page %d torn", i), tearPage(i)})
+		cases = append(cases, damageCase{fmt.Sprintf("page %d torn", i), tearPage(i)})
 	}
-	return out
+	return cases
 }
 
-// TestDamagedStore: on a truncated store, or one with a torn page, an instance either serves all that
-// it acknowledged or does not start, with one line that names the file.
+// TestDamagedStore checks that an instance whose store is missing, truncated or has a torn page either
+// serves all writes that it acknowledged or does not start, with an error on one line that names the
+// file.
 func TestDamagedStore(t *testing.T) {
 	cluster := startFaultCluster(t, []string{soleInstance}, fastElection)
 	for i := range 60 {
@@ -160,16 +164,17 @@
 	dir := cluster.dataDir(soleInstance)
 	saved := filepath.Join(cluster.dir, "saved")
 	copyDir(t, dir, saved)
-	for _, d := range damageCases() {
+	for _, damage := range damageCases() {
 		copyDir(t, saved, dir)
-		if err := d.apply(dir); err != nil {
-			t.Fatal(d.name, err)
+		if err := damage.apply(dir); err != nil {
+			t.Fatal(damage.name, err)
 		}
-		cluster.checkDamaged(d.name, acknowledged)
+		cluster.checkDamaged(damage.name, acknowledged)
 	}
 }
 
-// checkDamaged starts the instance over a damaged directory.
+// checkDamaged starts the instance on a damaged data directory. It fails the test unless the instance
+// serves all acknowledged writes or exits with an error that names the store's file.
 func (c *faultCluster) checkDamaged(name string, acknowledged []writeRecord) {
 	c.t.Helper()
 	logPath := c.path(soleInstance, logExtension)
@@ -182,7 +187,7 @@
 	defer kill(c.t, c.Cluster, soleInstance)
 	var read readRecord
 	served := false
-	c.await("reads or an end", func() bool {
+	c.await("a read or the end of the process", func() bool {
 		read, served = c.read(soleInstance)
 		return served || !c.Running(soleInstance)
 	})
@@ -200,23 +205,23 @@
 	namesFile := strings.HasPrefix(last, "instance: ") && strings.Contains(last, storeFileName)
 	panicked := strings.Contains(string(text), "goroutine ")
 	if !namesFile || panicked {
-		c.t.Errorf("%s: the instance ended with %q", name, text[:min(len(text), 400)])
+		c.t.Errorf("%s: the instance exited with log %q", name, text[:min(len(text), 400)])
 		return
 	}
 	c.t.Logf("%s: %s", name, last)
 }
 
-// checkContainsAll returns an error if a read lacks one of several writes.
+// checkContainsAll returns an error if a read lacks one of the writes.
 func checkContainsAll(read readRecord, writes []writeRecord) error {
 	for _, write := range writes {
 		if !slices.Contains(read.ids, write.id) {
-			return fmt.Errorf("%s, acknowledged as version %d, is not served", write.id, write.version)
+			return fmt.Errorf("list lacks %s, which was acknowledged with version %d", write.id, write.version)
 		}
 	}
 	return nil
 }
 
-// copyDir replaces a directory by a copy of another.
+// copyDir replaces the directory to with a copy of the directory from.
 func copyDir(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.RemoveAll(to); err != nil {
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -11,40 +11,40 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
-// staleBound is how old a read may be: max_stale (1 s) and the leader's lease (0.5 s), and 3 s for a
-// busy machine.
-const staleBound = 4500 * time.Millisecond
+// maxReadAge bounds the age of a list that an instance serves: max_stale (1 s), the leader lease (0.5 s),
+// and 3 s for delays on a busy machine.
+const maxReadAge = 4500 * time.Millisecond
 
-// timeBeforeOutage is how long clients write before an outage, so that the history has writes and reads
-// of all instances from before it.
+// timeBeforeOutage is how long the clients run before an outage, so that the history has writes and reads
+// at all instances from before it.
 const timeBeforeOutage = time.Second
 
-// failoverTime is the length of an outage in which the other instances have elected a leader and
-// acknowledged writes.
-const failoverTime = 5 * time.Second
+// failoverDuration is the time within which the other instances elect a leader and acknowledge writes
+// during an outage of one instance's store.
+const failoverDuration = 5 * time.Second
 
 // outageCase is an outage of the stores of some instances.
 type outageCase struct {
-	name    string
-	fault   server.StoreFault
-	failing func(cluster *faultCluster) []string
-	// restart says that the leader is killed and started again during the outage, so that terms
-	// and votes have to be saved.
+	name          string
+	fault         server.StoreFault
+	selectFailing func(cluster *faultCluster) []string
+	// restart reports whether the leader is killed and started again at the start of the outage, so that
+	// terms and votes must be saved during it.
 	restart bool
-	// shortOutage is the length of the outage in a short run. One that is longer than staleBound
-	// shows that reads end.
+	// shortOutage is the length of the outage unless longTestsVariable is set. An outage longer than
+	// maxReadAge also checks that instances stop serving stale reads.
 	shortOutage time.Duration
 }
 
-// outages returns the lengths of the outage to test.
-func (c outageCase) outages() []time.Duration {
+// durations returns the outage lengths to test.
+func (c outageCase) durations() []time.Duration {
 	if os.Getenv(longTestsVariable) != "" {
 		return []time.Duration{time.Second, 5 * time.Second, 30 * time.Second}
 	}
 	return []time.Duration{c.shortOutage}
 }
 
-// Selections of the instances whose stores fail.
+// Functions that select the instances whose stores fail.
 
 func leaderOnly(cluster *faultCluster) []string { return []string{cluster.leader()} }
 
@@ -56,33 +56,36 @@
 	return append(cluster.followers()[:1], cluster.leader())
 }
 
-// outageCases are the outages of TestStoreOutages.
+// outageCases are the cases of TestStoreOutages. "After the write" means that the failing writes reach
+// the file.
 var outageCases = []outageCase{
-	{name: "log of the leader", failing: leaderOnly, shortOutage: 6 * time.Second,
+	{name: "log of the leader", selectFailing: leaderOnly, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Err: syscall.ENOSPC}},
-	{name: "all of the leader, after the write", failing: leaderOnly, shortOutage: 2 * time.Second,
+	{name: "log, term and vote of the leader, after the write", selectFailing: leaderOnly, shortOutage: 2 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.EIO}},
-	{name: "log of the leader hangs", failing: leaderOnly, shortOutage: 8 * time.Second,
+	{name: "log of the leader hangs", selectFailing: leaderOnly, shortOutage: 8 * time.Second,
 		fault: server.StoreFault{Log: true, Hang: true}},
-	{name: "log of a follower", failing: followerOnly, shortOutage: 6 * time.Second,
+	{name: "log of a follower", selectFailing: followerOnly, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Err: syscall.EIO}},
-	{name: "reads of a follower", failing: followerOnly, shortOutage: time.Second,
+	{name: "reads of a follower", selectFailing: followerOnly, shortOutage: time.Second,
 		fault: server.StoreFault{Read: true, Err: syscall.EIO}},
-	{name: "all of the followers", failing: bothFollowers, shortOutage: 6 * time.Second,
+	{name: "log, term and vote of the followers", selectFailing: bothFollowers, shortOutage: 6 * time.Second,
 		fault: server.StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC}},
-	{name: "term and vote of a follower", failing: followerOnly, restart: true, shortOutage: 3 * time.Second,
+	{name: "term and vote of a follower", selectFailing: followerOnly, restart: true, shortOutage: 3 * time.Second,
 		fault: server.StoreFault{Stable: true, Err: syscall.EIO}},
-	{name: "term and vote of the followers", failing: bothFollowers, restart: true, shortOutage: 3 * time.Second,
+	{name: "term and vote of the followers", selectFailing: bothFollowers, restart: true, shortOutage: 3 * time.Second,
 		fault: server.StoreFault{Stable: true, Err: syscall.ENOSPC}},
-	{name: "all of a majority, after the write", failing: leaderAndFollower, shortOutage: 3 * time.Second,
-		fault: server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.ENOSPC}},
+	{name: "log, term and vote of a majority, after the write", selectFailing: leaderAndFollower,
+		shortOutage: 3 * time.Second,
+		fault:       server.StoreFault{Log: true, Stable: true, Applied: true, Err: syscall.ENOSPC}},
 }
 
-// TestStoreOutages: the stores of some instances fail for a while during writes. No instance ends,
-// each continues after the outage, and the history of all clients is that of one list.
+// TestStoreOutages makes the stores of some instances fail for a while during writes. It checks that no
+// instance exits, that writes are acknowledged again after the outage, and that the clients' history is
+// consistent.
 func TestStoreOutages(t *testing.T) {
 	for _, c := range outageCases {
-		for _, outage := range c.outages() {
+		for _, outage := range c.durations() {
 			t.Run(fmt.Sprintf("%s/%v", c.name, outage), func(t *testing.T) { runOutage(t, c, outage) })
 		}
 	}
@@ -94,7 +97,7 @@
 	cluster := startFaultCluster(t, instanceNames)
 	cluster.startClients(4)
 	time.Sleep(timeBeforeOutage)
-	failing := c.failing(cluster)
+	failing := c.selectFailing(cluster)
 	leader := cluster.leader()
 	for _, name := range failing {
 		cluster.setFault(name, c.fault)
@@ -117,13 +120,14 @@
 	if err := cluster.stopAndCheck(); err != nil {
 		t.Error(err)
 	}
-	if minority := len(failing) == 1; minority && outage >= failoverTime && during == before {
-		t.Errorf("no write in the outage of %v, a minority", failing)
+	if minority := len(failing) == 1; minority && outage >= failoverDuration && during == before {
+		t.Errorf("no write acknowledged during the outage of a minority, %v", failing)
 	}
 	if now := cluster.pids(); !maps.Equal(pids, now) {
-		t.Errorf("processes were %v, are %v", pids, now)
+		t.Errorf("process IDs changed from %v to %v", pids, now)
 	}
 	t.Logf("%v failed for %v: %d writes acknowledged before and %d during the outage",
 		failing, outage, before, during-before)
-	t.Logf("writes again %v and the same list everywhere %v after the outage", resumed, time.Since(healed))
+	t.Logf("writes acknowledged %v after the outage, the same list at all instances %v after it",
+		resumed, time.Since(healed))
 }
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -14,11 +14,10 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// waitTimeout bounds each wait of these tests.
+// waitTimeout bounds each wait in the tests of retryingStore.
 const waitTimeout = 20 * time.Second
 
-// openFaultyStore returns a retrying store on a new bbolt file, and the store below it, whose calls
-// can be made to fail.
+// openFaultyStore returns a retryingStore on a new bbolt file, and the FaultyStore that it wraps.
 func openFaultyStore(t *testing.T) (*retryingStore, *FaultyStore) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), storeFile)
@@ -42,7 +41,7 @@
 	return store, faulty
 }
 
-// logEntries returns log entries with the indexes from first to last.
+// logEntries returns the log entries of a term with the indexes first to last.
 func logEntries(term, first, last uint64) []*raft.Log {
 	var entries []*raft.Log
 	for index := first; index <= last; index++ {
@@ -51,7 +50,7 @@
 	return entries
 }
 
-// waitForCall waits for a call that was started, and fails the test on its error.
+// waitForCall waits for the result of a call, and fails the test if it is an error.
 func waitForCall(t *testing.T, call <-chan error) {
 	t.Helper()
 	select {
@@ -64,8 +63,8 @@
 	}
 }
 
-// startFailingCall starts a call of a store that fails, and returns once the call has failed below
-// or has returned.
+// startFailingCall starts a call of a store whose underlying store fails. It returns once the call has
+// failed repeatedly in the underlying store, or has returned. The channel gets the call's result.
 func startFailingCall(t *testing.T, faulty *FaultyStore, call func() error) <-chan error {
 	t.Helper()
 	before := faulty.failedCalls.Load()
@@ -78,8 +77,9 @@
 	return done
 }
 
-// TestStoreRetriesUntilOutageEnds: operations whose failure would make raft panic, or would leave its
-// state inconsistent, return once the disk works and have succeeded then. A vote fails at once.
+// TestStoreRetriesUntilOutageEnds checks that operations whose failure would make raft panic, or would
+// leave its state inconsistent, are retried until the outage ends and then succeed, and that saving a
+// vote fails immediately.
 func TestStoreRetriesUntilOutageEnds(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
@@ -92,16 +92,16 @@
 		"remove": func() error { return store.DeleteRange(1, 1) },
 		"read":   func() error { return store.GetLog(2, &entry) },
 	} {
-		faulty.Fail(&StoreFault{Log: true, Stable: true, Read: name == "read", Err: syscall.ENOSPC})
+		faulty.SetFault(&StoreFault{Log: true, Stable: true, Read: name == "read", Err: syscall.ENOSPC})
 		done := startFailingCall(t, faulty, call)
 		if len(done) > 0 {
 			t.Errorf("%s: returned during the outage", name)
 		}
 		err := store.Set([]byte("LastVoteCand"), []byte("n2"))
 		if !errors.As(err, new(*StoreError)) || !errors.Is(store.available(), syscall.ENOSPC) {
-			t.Errorf("%s: vote %v, available %v in the outage", name, err, store.available())
+			t.Errorf("%s: saving a vote returned %v, available returned %v during the outage", name, err, store.available())
 		}
-		faulty.Fail(nil)
+		faulty.SetFault(nil)
 		waitForCall(t, done)
 		isAvailable := func() bool { return store.available() == nil }
 		if err := processtest.Await(waitTimeout, "the end of the outage", isAvailable); err != nil {
@@ -116,42 +116,43 @@
 	}
 }
 
-// TestFailedAppendLeavesNoEntries: the entries of a leader's append that failed but reached the file
-// are removed before a shorter append.
+// TestFailedAppendLeavesNoEntries checks that the entries of a leader's append that failed but reached
+// the file are removed before the next append, which is shorter.
 func TestFailedAppendLeavesNoEntries(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
 		t.Fatal(err)
 	}
-	faulty.Fail(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
+	faulty.SetFault(&StoreFault{Log: true, Applied: true, Err: syscall.ENOSPC})
 	if err := store.write(OpAppendEntries, store.appendEntries(logEntries(1, 4, 9))); !errors.Is(err, syscall.ENOSPC) {
-		t.Fatalf("append: %v", err)
+		t.Fatalf("append returned %v, want ENOSPC", err)
 	}
-	faulty.Fail(nil)
+	faulty.SetFault(nil)
 	if err := store.StoreLogs(logEntries(2, 4, 5)); err != nil {
 		t.Fatal(err)
 	}
 	if last, err := store.LastIndex(); last != 5 || err != nil {
-		t.Errorf("last entry %d, %v: want 5", last, err)
+		t.Errorf("last index %d (%v), want 5", last, err)
 	}
 }
 
-// TestTermNeverDecreases: saving an older term changes nothing and does not use the disk.
+// TestTermNeverDecreases checks that saving an older term changes nothing and does not write to the disk.
 func TestTermNeverDecreases(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.SetUint64(keyCurrentTerm, 6); err != nil {
 		t.Fatal(err)
 	}
-	faulty.Fail(&StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC})
+	faulty.SetFault(&StoreFault{Log: true, Stable: true, Err: syscall.ENOSPC})
 	done := make(chan error, 1)
 	go func() { done <- store.SetUint64(keyCurrentTerm, 5) }()
 	waitForCall(t, done)
 	if term, err := store.GetUint64(keyCurrentTerm); term != 6 || err != nil {
-		t.Errorf("term %d, %v: want 6", term, err)
+		t.Errorf("term %d (%v), want 6", term, err)
 	}
 }
 
-// TestHangingWriteMakesStoreUnavailable: a write that neither succeeds nor fails counts as an outage.
+// TestHangingWriteMakesStoreUnavailable checks that a write that neither succeeds nor fails counts as an
+// outage, and that the list counts as stale after it.
 func TestHangingWriteMakesStoreUnavailable(t *testing.T) {
 	store, _ := openFaultyStore(t)
 	store.outageLimit = time.Millisecond
@@ -166,7 +167,7 @@
 	close(release)
 	waitForCall(t, done)
 	if err := store.available(); err != nil {
-		t.Errorf("after the write: %v", err)
+		t.Errorf("store unavailable after the write: %v", err)
 	}
 	if store.health.behindSince(time.Now(), time.Minute).IsZero() {
 		t.Error("the list does not count as stale after the outage")
