--- a/cmd/discovery/settings_status.go
+++ b/cmd/discovery/settings_status.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// peerTimeout bounds how long status waits for the agent reports of another instance.
+	// peerTimeout bounds the wait for the agent reports of another instance.
 	peerTimeout = time.Second
-	// silentAfter is how long ago an agent's last call was when status lists it as silent. Agents
-	// call about once a second, and switch to another instance within a few seconds.
+	// silentAfter is the time since an agent's last call after which the agent is listed as silent.
+	// Agents call about once a second, and switch to another instance within a few seconds.
 	silentAfter = 10 * time.Second
 )
 
@@ -27,7 +27,7 @@
 func settingsStatusCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "status SERVICE",
-		Short: "which agents have which version in force; exit 1 while one lacks the newest",
+		Short: "show which agents have which version in force; exit code 1 if one lacks the newest",
 		Args:  cobra.ExactArgs(1),
 	}
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
@@ -38,28 +38,28 @@
 		if err := writeTable(cmd.OutOrStdout(), status.table()); err != nil {
 			return err
 		}
-		return status.lackingError()
+		return status.outdatedError()
 	})
 }
 
-// lackingError says that agents do not have the newest version in force.
-type lackingError struct {
-	lacking, agents int
-	version         uint64
+// outdatedAgentsError reports that some agents do not have the newest version in force.
+type outdatedAgentsError struct {
+	outdated, agents int
+	version          uint64
 }
 
-// Error says how many agents lack which version.
-func (e *lackingError) Error() string {
-	return fmt.Sprintf("%d of %d agents lack version %d", e.lacking, e.agents, e.version)
+// Error returns the number of agents and the version that they lack.
+func (e *outdatedAgentsError) Error() string {
+	return fmt.Sprintf("%d of %d agents lack version %d", e.outdated, e.agents, e.version)
 }
 
-// settingsStatus is what all reachable instances know about the settings of a service's agents.
+// settingsStatus combines the agent reports of all reachable instances for one service.
 type settingsStatus struct {
-	service     string
-	version     uint64                        // of the newest settings at any instance
-	agents      map[string]server.AgentReport // the last report of each agent, by name
-	reached     int                           // instances
-	unreachable []unreachableInstance
+	service          string
+	version          uint64                        // of the newest settings at any instance
+	lastReports      map[string]server.AgentReport // by agent name
+	reachedInstances int                           // number of instances whose reports are included
+	unreachable      []unreachableInstance
 }
 
 // unreachableInstance is an instance whose agent reports could not be read.
@@ -68,10 +68,10 @@
 	err         error
 }
 
-// collectStatus requests the agent reports of the client's instance, and then those of its peers at once,
-// for at most peerTimeout.
+// collectStatus requests the agent reports of the client's instance, and then concurrently those of its
+// peers.
 func collectStatus(ctx context.Context, client adminClient, service string) (*settingsStatus, error) {
-	status := &settingsStatus{service: service, agents: map[string]server.AgentReport{}}
+	status := &settingsStatus{service: service, lastReports: map[string]server.AgentReport{}}
 	path := endpoint.AgentReportsPath(service)
 	var first server.AgentReports
 	if err := client.getJSON(ctx, path, &first); err != nil {
@@ -85,7 +85,8 @@
 	return status, nil
 }
 
-// collectPeers requests the agent reports of the peers, given as addresses by id.
+// collectPeers adds the agent reports of the peers, which are given as admin addresses by id. It waits at
+// most peerTimeout.
 func (s *settingsStatus) collectPeers(ctx context.Context, peers map[string]string, path string) {
 	var mu sync.Mutex
 	var requests sync.WaitGroup
@@ -109,44 +110,44 @@
 	slices.SortFunc(s.unreachable, byID)
 }
 
-// add adds the reports of one instance. Of two reports of an agent the later one remains.
+// add adds the reports of one instance. Of two reports of the same agent, the later one is kept.
 func (s *settingsStatus) add(reports server.AgentReports) {
-	s.reached++
+	s.reachedInstances++
 	s.version = max(s.version, reports.Version)
 	for _, report := range reports.Agents {
-		known, ok := s.agents[report.Agent]
+		known, ok := s.lastReports[report.Agent]
 		if !ok || report.SilentMs < known.SilentMs {
-			s.agents[report.Agent] = report
+			s.lastReports[report.Agent] = report
 		}
 	}
 }
 
-// selectAgents returns the reports that fulfil a condition, ordered by the agent's name.
+// selectAgents returns the reports that satisfy a condition, ordered by agent name.
 func (s *settingsStatus) selectAgents(condition func(server.AgentReport) bool) []server.AgentReport {
 	var selected []server.AgentReport
-	for _, name := range slices.Sorted(maps.Keys(s.agents)) {
-		if report := s.agents[name]; condition(report) {
+	for _, name := range slices.Sorted(maps.Keys(s.lastReports)) {
+		if report := s.lastReports[name]; condition(report) {
 			selected = append(selected, report)
 		}
 	}
 	return selected
 }
 
-// lacking returns the reports of the agents that do not have the newest version in force.
-func (s *settingsStatus) lacking() []server.AgentReport {
+// outdated returns the reports of the agents that do not have the newest version in force.
+func (s *settingsStatus) outdated() []server.AgentReport {
 	return s.selectAgents(func(report server.AgentReport) bool { return report.InForce < s.version })
 }
 
-// silent returns the reports that are older than silentAfter.
+// silent returns the reports of the agents whose last call was at least silentAfter ago.
 func (s *settingsStatus) silent() []server.AgentReport {
 	return s.selectAgents(func(report server.AgentReport) bool { return silence(report) >= silentAfter })
 }
 
-// lackingError returns a lackingError if agents lack the newest version, or nil.
-func (s *settingsStatus) lackingError() error {
-	lacking := len(s.lacking())
-	if lacking == 0 {
+// outdatedError returns an outdatedAgentsError if agents lack the newest version, and nil otherwise.
+func (s *settingsStatus) outdatedError() error {
+	outdated := len(s.outdated())
+	if outdated == 0 {
 		return nil
 	}
-	return &lackingError{lacking: lacking, agents: len(s.agents), version: s.version}
+	return &outdatedAgentsError{outdated: outdated, agents: len(s.lastReports), version: s.version}
 }
