--- a/cmd/discovery/admin_client.go
+++ b/cmd/discovery/admin_client.go
@@ -16,17 +16,16 @@
 const (
 	// defaultAdminAddress is the default of --admin.
 	defaultAdminAddress = "127.0.0.1:7401"
-	// callTimeout bounds a call to an admin address. It is longer than a write may wait for its
-	// commit.
+	// callTimeout bounds a call to an admin address. It is longer than a write waits for its commit.
 	callTimeout = 10 * time.Second
-	// maxAnswerBytes bounds the part of an answer that is read as text.
-	maxAnswerBytes = 1 << 20
+	// maxResponseBytes bounds the part of a response body that is read as text.
+	maxResponseBytes = 1 << 20
 )
 
-// adminAction is what a command does by calls to an admin address.
+// adminAction runs a command that makes calls to an admin address.
 type adminAction func(cmd *cobra.Command, client adminClient, args []string) error
 
-// withAdminFlag adds the flag --admin to a command and makes the command run an action, with a client for
+// withAdminFlag adds the flag --admin to a command and makes the command run an action with a client of
 // the flag's address.
 func withAdminFlag(cmd *cobra.Command, run adminAction) *cobra.Command {
 	var address string
@@ -41,34 +40,34 @@
 type adminCall struct {
 	method string
 	path   string
-	body   []byte      // nil: none
-	header http.Header // beside those that net/http sets; nil: none
+	body   []byte      // nil: no body
+	header http.Header // in addition to the fields that net/http sets; may be nil
 }
 
-// statusError is an answer with another status than 200.
+// statusError reports a response with a status other than 200.
 type statusError struct {
 	call    adminCall
 	status  string // such as "404 Not Found"
-	message string // the body
+	message string // the response body
 }
 
-// Error names the call, the status and the body.
+// Error returns the call, the status and the response body.
 func (e *statusError) Error() string {
 	return fmt.Sprintf("%s %s: %s: %s", e.call.method, e.call.path, e.status, e.message)
 }
 
-// adminClient makes calls to the admin address of one instance. It follows redirects to the leader.
+// adminClient is a client of one instance's admin address. It follows redirects to the leader.
 type adminClient struct {
 	address string // host:port
 	client  *http.Client
 }
 
-// newAdminClient returns a client whose calls end after a timeout.
+// newAdminClient returns a client whose calls have the given timeout.
 func newAdminClient(address string, timeout time.Duration) adminClient {
 	return adminClient{address: address, client: &http.Client{Timeout: timeout}}
 }
 
-// print makes a call and prints the answer's body on a command's standard output.
+// print makes a call and prints the response body to the command's standard output.
 func (c adminClient) print(cmd *cobra.Command, call adminCall) error {
 	body, err := c.text(cmd.Context(), call)
 	if err != nil {
@@ -78,7 +77,7 @@
 	return err
 }
 
-// text makes a call and returns the answer's body, or a statusError.
+// text makes a call and returns the response body. It returns a statusError if the status is not 200.
 func (c adminClient) text(ctx context.Context, call adminCall) ([]byte, error) {
 	response, err := c.do(ctx, call)
 	if err != nil {
@@ -88,7 +87,7 @@
 	return readText(response)
 }
 
-// getJSON makes a GET call and decodes the answer into a value.
+// getJSON makes a GET call and decodes the response body into the value that value points to.
 func (c adminClient) getJSON(ctx context.Context, path string, value any) error {
 	response, err := c.do(ctx, adminCall{method: http.MethodGet, path: path})
 	if err != nil {
@@ -101,8 +100,8 @@
 	return nil
 }
 
-// do makes a call and returns the response if its status is 200, otherwise a statusError. The caller
-// closes the response's body.
+// do makes a call and returns the response, whose body the caller must close. It returns a statusError
+// if the status is not 200.
 func (c adminClient) do(ctx context.Context, call adminCall) (*http.Response, error) {
 	url := "http://" + c.address + call.path
 	request, err := http.NewRequestWithContext(ctx, call.method, url, bytes.NewReader(call.body))
@@ -118,16 +117,16 @@
 		return response, nil
 	}
 	defer closeBody(response)
-	message, _ := readText(response) // the status is reported without it too
+	message, _ := readText(response) // if this fails, the error has the status and what was read
 	return nil, &statusError{call: call, status: response.Status, message: string(bytes.TrimSpace(message))}
 }
 
-// readText reads the body of a response, at most maxAnswerBytes.
+// readText reads at most maxResponseBytes of a response body.
 func readText(response *http.Response) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	return io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 }
 
-// closeBody closes the body of a response that has been read.
+// closeBody closes a response body that has been read.
 func closeBody(response *http.Response) {
-	_ = response.Body.Close() // nothing is left to read
+	_ = response.Body.Close() // an error is harmless, as nothing more is read
 }
--- a/cmd/discovery/endpoints.go
+++ b/cmd/discovery/endpoints.go
@@ -26,7 +26,7 @@
 	flags.IntVar(&entry.Cell, "cell", 0, "its cell")
 	flags.StringVar(&state, "state", string(endpoint.StateUp), "up or draining")
 	flags.Float64Var(&entry.Weight, "weight", 1, "its weight, above zero")
-	flags.Float64Var(&entry.StartedMs, "started-ms", 0, "Unix time in ms of its last start; 0: long ago")
+	flags.Float64Var(&entry.StartedMs, "started-ms", 0, "Unix time of its last start in milliseconds (0: long ago)")
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
 		entry.ID = args[0]
 		entry.State = endpoint.State(state)
@@ -52,7 +52,7 @@
 
 // statusCommand returns the command that prints an instance's status.
 func statusCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "status", Short: "an instance's Raft state, leader and version"}
+	cmd := &cobra.Command{Use: "status", Short: "show an instance's Raft state, leader and list version"}
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, _ []string) error {
 		return client.print(cmd, adminCall{method: http.MethodGet, path: endpoint.StatusPath})
 	})
--- a/cmd/discovery/input.go
+++ b/cmd/discovery/input.go
@@ -11,11 +11,11 @@
 const (
 	// stdinName is the file name that stands for standard input.
 	stdinName = "-"
-	// maxInputBytes bounds what is read of a settings file. The service accepts 64 KiB.
+	// maxInputBytes bounds the part of a settings file that is read. The service accepts at most 64 KiB.
 	maxInputBytes = 1 << 20
 )
 
-// readInput reads a file, or standard input for stdinName.
+// readInput reads a file, or the command's standard input if name is stdinName.
 func readInput(cmd *cobra.Command, name string) ([]byte, error) {
 	if name == stdinName {
 		return readLimited(cmd.InOrStdin(), name)
@@ -24,11 +24,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // nothing was written
 	return readLimited(file, name)
 }
 
-// readLimited reads at most maxInputBytes.
+// readLimited reads at most maxInputBytes from input, which is called name in errors.
 func readLimited(input io.Reader, name string) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(input, maxInputBytes))
 	if err != nil {
--- a/cmd/discovery/main.go
+++ b/cmd/discovery/main.go
@@ -1,12 +1,13 @@
-// Command discovery is the discovery service and its command line. "serve" runs one instance
-// (internal/discovery/server). The other commands talk to the admin address of any instance: "put"
-// and "remove" write the endpoint list, "status" shows an instance's state, and "settings" writes
-// and reads the settings of a service's agents and shows which agents have them in force.
+// Command discovery runs an instance of the discovery service and administers the service. The command
+// "serve" runs one instance (see internal/discovery/server). The other commands call the admin address of
+// any instance: "put" and "remove" change the endpoint list, "status" shows an instance's state, and
+// "settings" writes and reads the settings of a service's agents and shows which agents have them in
+// force.
 //
-// The exit code is 0 if the command succeeded, for "serve" after SIGTERM or SIGINT. It is 1 after any
-// error, which is printed on standard error after "discovery:": an invalid command line, file or
-// configuration, an instance that can't be reached or that answers with another status than 200, or,
-// for "settings status", agents that lack the newest version.
+// The exit code is 0 on success; for "serve" this is a shutdown by SIGTERM or SIGINT. It is 1 on any
+// error, which is printed to standard error after "discovery:": an invalid command line, file or
+// configuration, an instance that can't be reached or that responds with a status other than 200, or, for
+// "settings status", agents that do not have the newest version in force.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFailure is the exit code after any error.
+// exitFailure is the exit code on any error.
 const exitFailure = 1
 
 func main() {
@@ -26,11 +27,11 @@
 	}
 }
 
-// rootCommand returns the command line with all its commands.
+// rootCommand returns the root command with all its subcommands.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "discovery",
-		Short:         "the replicated discovery service and its command line",
+		Short:         "run and administer the replicated discovery service",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/discovery/serve.go
+++ b/cmd/discovery/serve.go
@@ -12,7 +12,7 @@
 	"fernbeam.example/fernbeam/internal/discovery/server"
 )
 
-// logFormat is the form of the log records, the value of --log-format.
+// logFormat is the format of log records, as given by --log-format.
 type logFormat string
 
 // The values of logFormat.
@@ -31,8 +31,8 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&configPath, "config", "discovery.toml",
-		"TOML file of the instance (see internal/discovery/server.Config)")
-	flags.StringVar(&format, "log-format", string(logFormatText), "log records as text or json, on standard error")
+		"TOML configuration file of the instance (see internal/discovery/server.Config)")
+	flags.StringVar(&format, "log-format", string(logFormatText), "format of the log on standard error: text or json")
 	return cmd
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// newLogger returns a logger to standard error, in JSON for logFormatJSON and otherwise in text.
+// newLogger returns a logger to standard error. Its format is JSON for logFormatJSON and otherwise text.
 func newLogger(format logFormat) *slog.Logger {
 	if format == logFormatJSON {
 		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
--- a/cmd/discovery/settings.go
+++ b/cmd/discovery/settings.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// putArguments is the number of arguments of put: SERVICE and FILE.
+	// putArguments is the number of arguments of "settings put": SERVICE and FILE.
 	putArguments = 2
-	// writeTimeFormat shows the time of a write, in UTC.
+	// writeTimeFormat is the format of the UTC time at which settings were written.
 	writeTimeFormat = "2006-01-02T15:04:05.000Z"
 )
 
-// settingsCommand returns the command with the subcommands about settings.
+// settingsCommand returns the parent command of the subcommands for settings.
 func settingsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "settings", Short: "the settings of a service's agents"}
+	cmd := &cobra.Command{Use: "settings", Short: "write and read the settings of a service's agents"}
 	cmd.AddCommand(settingsPutCommand(), settingsGetCommand(), settingsHistoryCommand(), settingsStatusCommand())
 	return cmd
 }
@@ -35,7 +35,7 @@
 		Args:  cobra.ExactArgs(putArguments),
 	}
 	const flagName = "if-version"
-	ifVersion := cmd.Flags().Uint64(flagName, 0, "only if this version is in place (0: none yet)")
+	ifVersion := cmd.Flags().Uint64(flagName, 0, "write only if this is the newest version (0: there is none yet)")
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
 		text, err := readInput(cmd, args[1])
 		if err != nil {
@@ -54,11 +54,11 @@
 func settingsGetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "get SERVICE",
-		Short: "a service's settings as they were put; their version on standard error",
+		Short: "print a service's settings as they were put, and their version to standard error",
 		Args:  cobra.ExactArgs(1),
 	}
 	const flagName = "version"
-	version := cmd.Flags().Uint64(flagName, 0, "this version, of the last 20")
+	version := cmd.Flags().Uint64(flagName, 0, "version to print, one of the last 20 (default: the newest)")
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
 		path := endpoint.SettingsPath(args[0])
 		if cmd.Flags().Changed(flagName) {
@@ -81,7 +81,7 @@
 func settingsHistoryCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "history SERVICE",
-		Short: "the last 20 versions of a service's settings, the newest first",
+		Short: "list the last 20 versions of a service's settings, newest first",
 		Args:  cobra.ExactArgs(1),
 	}
 	return withAdminFlag(cmd, func(cmd *cobra.Command, client adminClient, args []string) error {
@@ -99,7 +99,7 @@
 	})
 }
 
-// writeTime formats the time of the write of a settings version.
+// writeTime returns the formatted time at which a settings version was written.
 func writeTime(settings server.SettingsVersion) string {
 	return time.UnixMilli(settings.WrittenAtMs).UTC().Format(writeTimeFormat)
 }
