--- a/internal/discovery/server/partition_test.go
+++ b/internal/discovery/server/partition_test.go
@@ -41,11 +41,11 @@
 		if servesReads(t, cluster, oldLeader) {
 			lastRead = time.Now()
 		}
-		minorityID := fmt.Sprintf("cut-%d", i)
+		minorityID := fmt.Sprintf("minority-%d", i)
 		if putServer(cluster.Addr(oldLeader, processtest.AdminPort), minorityID) != 0 {
 			t.Errorf("%s acknowledged by %s, %v after it was isolated", minorityID, oldLeader, time.Since(partitionedAt))
 		}
-		majorityID := fmt.Sprintf("major-%d", i)
+		majorityID := fmt.Sprintf("majority-%d", i)
 		if putServer(cluster.Addr(majority[i%len(majority)], processtest.AdminPort), majorityID) != 0 {
 			acknowledged = append(acknowledged, majorityID)
 		}
