--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -45,7 +45,11 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return machineLimits{}, err
 	}
-	return machineLimits{memoryMB: total / memoryDivisor, freeMemoryMB: processtest.AvailableMemoryMB(), descriptors: files.Cur}, nil
+	return machineLimits{
+		memoryMB:     total / memoryDivisor,
+		freeMemoryMB: processtest.AvailableMemoryMB(),
+		descriptors:  files.Cur,
+	}, nil
 }
 
 // CheckMachine returns an error if this machine can't run one of the plan's sizes: within half of its
