--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// pollInterval is how often awaitLastChange reads the logs, and settleMargin how much longer it waits than a
-	// change may take.
+	// pollInterval is the interval at which awaitLastChange reads the logs.
 	pollInterval = 50 * time.Millisecond
+	// settleMargin is how much longer than Config.Within awaitLastChange waits.
 	settleMargin = time.Second
 )
 
-// Case is one fault case. Its run returns once the last change is acknowledged and all faults are over; the metrics
-// that it returns are for the log.
+// Case is a fault case. Its run function returns once the last change is acknowledged and all faults have ended; the
+// metrics it returns are logged.
 type Case struct {
 	Name string
 	run  func(h *Harness) (processtest.Metrics, error)
 }
 
-// Cases are run on one harness in this order: the first needs agents that have their files' settings.
+// Cases lists the fault cases. They run on one harness in this order, because the first needs agents that still have
+// the settings of their configuration files in force.
 var Cases = []Case{
 	{"half reject", (*Harness).halfReject},
 	{"leader killed in a burst", (*Harness).leaderKilled},
@@ -33,8 +34,8 @@
 	{"all down", (*Harness).allDown},
 }
 
-// RunCase runs a case, waits until all that was changed is in force where it must be, and checks all that was seen so
-// far. The error tells what failed, or the rules that the history breaks.
+// RunCase runs a case, waits until its last change has reached all running agents or is overdue, and checks the
+// history recorded so far. The error describes the failure, or the violations in the history.
 func (h *Harness) RunCase(c Case) error {
 	startedAt := time.Now()
 	result, err := h.runCase(c)
@@ -57,13 +58,13 @@
 	return nil
 }
 
-// caseResult is what a case measured, and all that was seen until its end.
+// caseResult has the metrics of a case and the history recorded up to its end.
 type caseResult struct {
 	metrics processtest.Metrics
 	history *History
 }
 
-// runCase runs a case, and waits until all that was changed is in force.
+// runCase runs a case and waits until its last change has reached all running agents or is overdue.
 func (h *Harness) runCase(c Case) (caseResult, error) {
 	metrics, err := c.run(h)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return caseResult{metrics: metrics, history: history}, err
 }
 
-// timeline returns what was done to the processes since a time.
+// timeline returns the timeline of process events and faults since the given time.
 func (h *Harness) timeline(since time.Time) string {
 	timeline := new(processtest.Timeline)
 	timeline.AddEvents(h.discovery, since)
@@ -84,7 +85,8 @@
 	return timeline.String()
 }
 
-// awaitLastChange returns once each running agent knows the last change, or this was due.
+// awaitLastChange returns once each running agent has applied or rejected the last change, or when the change is
+// overdue.
 func (h *Harness) awaitLastChange() error {
 	var failure error
 	isKnown := func() bool {
@@ -95,7 +97,7 @@
 		}
 		return history.allKnow(history.lastWrite())
 	}
-	// The checker reports the agents that do not know it in time.
+	// A timeout is ignored here: the checker reports each agent that is late.
 	_ = processtest.AwaitEvery(pollInterval, h.cfg.Within+settleMargin, "the last change at all agents", isKnown)
 	return failure
 }
--- a/internal/configtest/cases_test.go
+++ b/internal/configtest/cases_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestFaultCases runs every case on one harness of three instances and 12 agents of the real programs. With
-// CONFIGTEST_LONG=1 instances and regions are gone for 30 s instead of 6.
+// TestFaultCases runs every case on one harness with three discovery instances and 12 agents, all of them processes of
+// the real programs. With CONFIGTEST_LONG=1, outages of instances and regions last 30 s instead of 6 s.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
 	if err := processtest.Build(t.Context(), dir, "agent", "discovery"); err != nil {
--- a/internal/configtest/check.go
+++ b/internal/configtest/check.go
@@ -9,21 +9,23 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The rules of a history.
+// The rules that a history must satisfy.
 const (
-	// RuleBack: a version of a process is above the one before.
+	// RuleBack requires that the versions that a process puts in force strictly increase.
 	RuleBack processtest.Rule = "back"
-	// RuleUnaccepted: what is in force was acknowledged to a writer or is in the history, and is what was written.
+	// RuleUnaccepted requires that settings in force were acknowledged to a writer or are in the service's history, and
+	// are the settings written with that version.
 	RuleUnaccepted processtest.Rule = "unaccepted"
-	// RuleLost: an acknowledged change is in the service's history.
+	// RuleLost requires that each acknowledged change is in the service's history, as far back as that reaches.
 	RuleLost processtest.Rule = "lost"
-	// RuleOrder: one version is of one change.
+	// RuleOrder requires that each version belongs to a single change.
 	RuleOrder processtest.Rule = "order"
-	// RuleLate: a process has put in force or rejected a change, or a newer one, when it is due.
+	// RuleLate requires that each process has put in force or rejected a change, or a newer one, by the time it is due.
 	RuleLate processtest.Rule = "late"
 )
 
-// Check checks a history; within is the time from a change's acknowledgement to in force at all agents.
+// Check checks a history and returns its violations. A change must be in force or rejected at all agents within the
+// given time after its acknowledgement.
 func Check(h *History, within time.Duration) []processtest.Violation {
 	c := &checker{history: h, accepted: map[uint64]int{}}
 	c.checkService()
@@ -34,23 +36,23 @@
 	return c.violations
 }
 
-// checker checks one history.
+// checker checks a single history.
 type checker struct {
 	history    *History
-	accepted   map[uint64]int // marker by version, of all that was acknowledged or stored
+	accepted   map[uint64]int // markers of the acknowledged and stored changes, by version
 	violations []processtest.Violation
 }
 
-// report adds a violation by a process; "" is the service.
+// report adds a violation by the given process; an empty name stands for the service.
 func (c *checker) report(rule processtest.Rule, process, format string, args ...any) {
 	violation := processtest.Violation{Rule: rule, Subject: process, Text: fmt.Sprintf(format, args...)}
 	c.violations = append(c.violations, violation)
 }
 
-// accept records a version with its marker.
+// accept records the marker of an acknowledged or stored version.
 func (c *checker) accept(version uint64, marker int) {
 	if old, ok := c.accepted[version]; ok && old != marker {
-		c.report(RuleOrder, "", "version %d is of the changes %d and %d", version, old, marker)
+		c.report(RuleOrder, "", "version %d belongs to both change %d and change %d", version, old, marker)
 	}
 	c.accepted[version] = marker
 }
@@ -69,18 +71,18 @@
 		c.accept(w.Version, w.Marker)
 		isKept := len(c.history.Stored) > 0 && w.Version >= oldestVersion(c.history.Stored)
 		if isKept && !stored[w.Version] {
-			c.report(RuleLost, "", "version %d, change %d, was acknowledged and is not in the history", w.Version, w.Marker)
+			c.report(RuleLost, "", "version %d, change %d, was acknowledged but is not in the history", w.Version, w.Marker)
 		}
 	}
 }
 
-// oldestVersion returns the oldest of some stored versions.
+// oldestVersion returns the oldest of the stored versions.
 func oldestVersion(stored []StoredVersion) uint64 {
 	oldest := slices.MinFunc(stored, func(a, b StoredVersion) int { return cmp.Compare(a.Version, b.Version) })
 	return oldest.Version
 }
 
-// checkVersions checks the versions that a process put in force.
+// checkVersions checks the order and the content of the versions that a process put in force.
 func (c *checker) checkVersions(p *ProcessIncarnation) {
 	last := uint64(0)
 	for _, o := range p.Observations {
@@ -100,7 +102,7 @@
 	}
 }
 
-// checkDelays checks that each process knew of each change when it was due.
+// checkDelays checks that each process had applied or rejected each change when it was due.
 func (c *checker) checkDelays(within time.Duration) {
 	for _, w := range c.history.Writes {
 		for _, p := range c.history.Incarnations {
--- a/internal/configtest/check_test.go
+++ b/internal/configtest/check_test.go
@@ -7,16 +7,16 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// testWithin is the time that a change may take.
+// testWithin is the maximum time from the acknowledgement of a change until it is in force.
 const testWithin = 11 * time.Second
 
-// at returns a time of the valid history, in seconds.
+// at returns the time that is the given number of seconds after the start of the valid history.
 func at(seconds float64) time.Time {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// validHistory keeps all rules.
+// validHistory returns a history without violations.
 func validHistory() *History {
 	return &History{
 		Writes: []Write{
@@ -52,61 +52,62 @@
 	}
 }
 
-// TestCheckerFindsSeededViolations breaks each rule in a history that keeps all of them.
+// TestCheckerFindsSeededViolations checks that the checker accepts a valid history, and that it reports the violated
+// rule after a change to that history that violates it.
 func TestCheckerFindsSeededViolations(t *testing.T) {
 	if violations := Check(validHistory(), testWithin); len(violations) > 0 {
-		t.Fatalf("a valid history breaks rules: %v", violations)
+		t.Fatalf("violations in a valid history: %v", violations)
 	}
 	observations := func(h *History, incarnation int) []Observation { return h.Incarnations[incarnation].Observations }
 	for name, test := range map[string]struct {
 		rule    processtest.Rule
-		breakIt func(h *History)
+		violate func(h *History)
 	}{
-		"a version that goes back": {RuleBack, func(h *History) {
+		"version goes back": {RuleBack, func(h *History) {
 			observations(h, 0)[2].Version, observations(h, 0)[2].Marker = 10, 101
 		}},
-		"the same version twice": {RuleBack, func(h *History) {
+		"same version twice": {RuleBack, func(h *History) {
 			observations(h, 0)[2] = observations(h, 0)[1]
 		}},
-		"in force what was never accepted": {RuleUnaccepted, func(h *History) {
+		"version in force that was never accepted": {RuleUnaccepted, func(h *History) {
 			observations(h, 0)[2].Version = 16
 		}},
-		"in force other settings than were written": {RuleUnaccepted, func(h *History) {
+		"settings in force differ from those written": {RuleUnaccepted, func(h *History) {
 			observations(h, 0)[2].Marker = 107
 		}},
-		"an agent that lacks the last": {RuleLate, func(h *History) {
+		"agent lacks the last change": {RuleLate, func(h *History) {
 			h.Incarnations[0].Observations = observations(h, 0)[:3]
 		}},
-		"an agent that has nothing": {RuleLate, func(h *History) {
+		"agent has no change": {RuleLate, func(h *History) {
 			h.Incarnations[3].Observations = nil
 		}},
-		"a change that comes too late": {RuleLate, func(h *History) {
+		"change arrives too late": {RuleLate, func(h *History) {
 			observations(h, 0)[3].At = at(71.1)
 		}},
-		"a change too late after an exemption": {RuleLate, func(h *History) {
+		"change arrives too late after an exemption": {RuleLate, func(h *History) {
 			observations(h, 3)[1].At = at(81.1)
 		}},
-		"a restarted agent without settings": {RuleLate, func(h *History) {
+		"restarted agent has no settings": {RuleLate, func(h *History) {
 			h.Incarnations[2].Observations = observations(h, 2)[2:]
 		}},
-		"an acknowledged change that is lost": {RuleLost, func(h *History) {
+		"acknowledged change is lost": {RuleLost, func(h *History) {
 			h.Stored = append(h.Stored[:1:1], h.Stored[2:]...)
 		}},
-		"one version of two changes": {RuleOrder, func(h *History) {
+		"two changes with the same version": {RuleOrder, func(h *History) {
 			h.Writes[3].Version, h.Writes[3].Marker = 12, 104
 		}},
 	} {
 		history := validHistory()
-		test.breakIt(history)
+		test.violate(history)
 		rules := map[processtest.Rule]bool{}
 		for _, violation := range Check(history, testWithin) {
 			rules[violation.Rule] = true
 		}
 		if !rules[test.rule] {
-			t.Errorf("%s: the checker found %v, want %q", name, rules, test.rule)
+			t.Errorf("%s: Check reported the rules %v, want %q", name, rules, test.rule)
 		}
 	}
 	if delays := validHistory().Delays(at(0)); len(delays) != 8 || delays[0] != 0 || delays[7] != 10900*time.Millisecond {
-		t.Errorf("delays %v", delays)
+		t.Errorf("Delays returned %v, want 8 delays from 0 to 10.9s", delays)
 	}
 }
--- a/internal/configtest/collect.go
+++ b/internal/configtest/collect.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// observed returns all that was recorded so far, but for the service's own history.
+// observed returns the history recorded so far, without the versions that the service stores.
 func (h *Harness) observed() (*History, error) {
 	history := &History{Writes: h.writes.All(), Exemptions: h.exemptions.All()}
 	for _, agent := range h.Agents {
@@ -23,7 +23,7 @@
 	return history, nil
 }
 
-// History returns all that was recorded so far.
+// History returns the history recorded so far, with the versions that the service stores.
 func (h *Harness) History() (*History, error) {
 	history, err := h.observed()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return history, err
 }
 
-// storedVersions returns the service's history.
+// storedVersions reads the versions in the service's history from the leader.
 func (h *Harness) storedVersions() ([]StoredVersion, error) {
 	var versions []server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
@@ -53,7 +53,7 @@
 	return stored, nil
 }
 
-// storedMarker returns the marker of a stored version.
+// storedMarker reads the marker of a stored version from the leader.
 func (h *Harness) storedMarker(version uint64) (int, error) {
 	var stored server.SettingsVersion
 	err := h.atLeader(func(instance string) error {
@@ -68,7 +68,8 @@
 	return settings.Limits.MaxAttempts, err
 }
 
-// exemptUntilNow records that agents could reach nobody who knows more, from a time until now.
+// exemptUntilNow records that, from the given time until now, the agents could not reach any instance with newer
+// settings than their own.
 func (h *Harness) exemptUntilNow(from time.Time, agents []string) {
 	h.exemptions.Add(processtest.Exemption{From: from, To: time.Now(), Applies: processtest.Observers(agents...)})
 }
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// missingKey is what the reason of a rejected change names.
+	// missingKey is the error that the reason of a rejected change must contain.
 	missingKey = "contract.coldMs: missing"
-	// writers and writesPerWriter are those of twoWriters.
+	// writers and writesPerWriter are the numbers of concurrent writers and of their writes in twoWriters.
 	writers         = 2
 	writesPerWriter = 10
-	// burstParts is the number of parts of a burst; the leader is killed after the first.
+	// burstParts is the number of parts of a burst; the leader is killed after the first part.
 	burstParts = 3
-	// regions is the number of regions, each with as many agents.
+	// regions is the number of regions; the agents are divided equally among them.
 	regions = 3
-	// regionChanges are the changes that are made while a region is cut off.
+	// regionChanges is the number of changes made while a region is cut off.
 	regionChanges = 3
-	// cutGrace is how long after a cut an agent may still put in force what was sent to it before.
+	// cutGrace is how long after a partition starts an agent may still put in force settings sent to it before.
 	cutGrace = time.Second
-	// peakWindow is the time over which calls are counted.
+	// peakWindow is the length of the time window in which peakCalls counts calls.
 	peakWindow = 100 * time.Millisecond
 )
 
-// halfReject: a change lacks a key that half of the agents have in force. They keep what they have and are reported
-// with the reason; the next change reaches all.
+// halfReject writes a change that lacks a key that half of the agents have in force. These agents must keep their
+// settings in force and report the rejection with its reason. The next change must reach all agents.
 func (h *Harness) halfReject() (processtest.Metrics, error) {
 	write, err := h.Change(settingsWithoutSlowStart, h.Instances...)
 	if err != nil {
 		return nil, err
 	}
 	rejected := 0
-	err = processtest.Await(h.cfg.Within, "all agents reported with the result of the change", func() bool {
+	err = processtest.Await(h.cfg.Within, "reports of all agents with the result of the change", func() bool {
 		reports := h.agentReports()
 		rejected = 0
 		for i, agent := range h.Agents {
@@ -57,7 +57,7 @@
 	return processtest.Metrics{"agents that rejected": float64(rejected)}, h.change(h.Instances...)
 }
 
-// leaderKilled: the leader is killed in the middle of a burst of changes, and starts again after it.
+// leaderKilled kills the leader during a burst of changes and starts it again after the burst.
 func (h *Harness) leaderKilled() (_ processtest.Metrics, err error) {
 	for i := range h.cfg.Burst {
 		if i == h.cfg.Burst/burstParts {
@@ -74,17 +74,17 @@
 	return nil, nil
 }
 
-// fault injects a fault into an instance; end ends it.
+// fault injects a fault into an instance. The function end that it returns ends the fault.
 type fault func(instance string) (end func() error, err error)
 
-// setPaused sets the instance that is paused; "": none.
+// setPaused records which instance is paused; an empty name means none.
 func (h *Harness) setPaused(instance string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pausedInstance = instance
 }
 
-// pause is the fault that stops an instance by SIGSTOP.
+// pause is a fault that stops an instance with SIGSTOP.
 func (h *Harness) pause(instance string) (end func() error, err error) {
 	h.setPaused(instance)
 	resume := func() error {
@@ -94,13 +94,13 @@
 	return resume, h.discovery.Pause(instance)
 }
 
-// kill is the fault that ends an instance by SIGKILL.
+// kill is a fault that ends an instance with SIGKILL.
 func (h *Harness) kill(instance string) (end func() error, err error) {
 	start := func() error { return h.discovery.Start(instance) }
 	return start, h.discovery.Kill(instance)
 }
 
-// cutOff is the fault that separates an instance from the other instances and the agents.
+// cutOff is a fault that partitions an instance from the other instances and from the agents.
 func (h *Harness) cutOff(instance string) (end func() error, err error) {
 	h.discovery.Partition([]string{instance}, append(h.discovery.Others(instance), h.Agents...))
 	heal := func() error {
@@ -110,7 +110,8 @@
 	return heal, nil
 }
 
-// instanceGone: an instance that agents use is gone, and settings change as soon as the others take a write.
+// instanceGone injects a fault into an instance that agents use. Settings change as soon as the other instances accept
+// a write, and the change must reach the agents while the fault lasts.
 func (h *Harness) instanceGone(inject fault) (processtest.Metrics, error) {
 	use, err := h.busiestInstance()
 	if err != nil {
@@ -133,7 +134,7 @@
 	return metrics, errors.Join(err, end())
 }
 
-// twoWriters: two writers write at once, at different instances, ten times.
+// twoWriters makes concurrent changes by two writers, which start at different instances.
 func (h *Harness) twoWriters() (processtest.Metrics, error) {
 	var group sync.WaitGroup
 	errs := make([]error, writers)
@@ -150,20 +151,21 @@
 	return nil, errors.Join(errs...)
 }
 
-// regionCut: an instance and a third of the agents are cut off from the rest while settings change: the others have the
-// changes in time, these keep the last they had and have the newest in time after the heal.
+// regionCut partitions a region, one instance and a third of the agents, from the rest while settings change. The
+// changes must reach the other agents in time. The agents in the region must keep the settings they have, and must have
+// the newest ones in time after the partition heals.
 func (h *Harness) regionCut() (processtest.Metrics, error) {
-	region, err := h.drawFollower()
+	instance, err := h.randomFollower()
 	if err != nil {
 		return nil, err
 	}
-	rest := h.discovery.Others(region)
+	rest := h.discovery.Others(instance)
 	regionSize := len(h.Agents) / regions
 	regionAgents, restAgents := h.Agents[:regionSize], h.Agents[regionSize:]
 	cutAt := time.Now()
-	h.discovery.Partition(append([]string{region}, regionAgents...), append(slices.Clone(rest), restAgents...))
+	h.discovery.Partition(append([]string{instance}, regionAgents...), append(slices.Clone(rest), restAgents...))
 	for range regionChanges {
-		time.Sleep(h.cfg.Outage / regionChanges) // the changes are spread over the outage
+		time.Sleep(h.cfg.Outage / regionChanges) // spreads the changes over the outage
 		if err := h.change(rest...); err != nil {
 			return nil, err
 		}
@@ -179,24 +181,26 @@
 	return nil, err
 }
 
-// checkCutOff checks that no running process of the agents observed a version, or a newer one, after a time.
+// checkCutOff checks that no running process of the given agents observed the given version or a newer one after the
+// given time.
 func checkCutOff(history *History, agents []string, version uint64, after time.Time) error {
 	for _, p := range history.Incarnations {
 		if !slices.Contains(agents, p.Agent) || !p.IsRunning() {
 			continue
 		}
-		crossed := slices.ContainsFunc(p.Observations, func(o Observation) bool {
+		received := slices.ContainsFunc(p.Observations, func(o Observation) bool {
 			return o.At.After(after) && o.Version >= version
 		})
-		if crossed {
-			return fmt.Errorf("%s, which was cut off, has a change that was made on the other side", p.Agent)
+		if received {
+			return fmt.Errorf("%s received a change made on the other side of the partition", p.Agent)
 		}
 	}
 	return nil
 }
 
-// allDown: all instances are killed, and a tenth of the agents restarts meanwhile; once they run again, the agents call
-// one by one. The change is made then.
+// allDown kills all instances and restarts a tenth of the agents during the outage. Then it starts the instances again
+// and makes a change. The agents must spread their calls, both during and after the outage: fewer calls than there are
+// agents may occur within any peakWindow.
 func (h *Harness) allDown() (processtest.Metrics, error) {
 	downAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
@@ -230,17 +234,17 @@
 		"most calls at once after the return": float64(afterReturn),
 	}
 	if max(whileDown, afterReturn) >= len(h.Agents) {
-		return metrics, fmt.Errorf("too many calls within %v of %d agents: %v", peakWindow, len(h.Agents), metrics)
+		return metrics, fmt.Errorf("too many calls within %v for %d agents: %v", peakWindow, len(h.Agents), metrics)
 	}
 	return metrics, nil
 }
 
-// restartTenthDuringOutage restarts a tenth of the agents in the middle of an outage, and checks that all agents run at
-// its end.
+// restartTenthDuringOutage waits for the length of an outage. In the middle of it, it restarts a tenth of the agents;
+// at its end, it checks that all agents run.
 func (h *Harness) restartTenthDuringOutage() error {
 	const tenths = 10
 	const halves = 2
-	time.Sleep(h.cfg.Outage / halves) // the agents' backoff has grown by then
+	time.Sleep(h.cfg.Outage / halves) // lets the agents' backoff grow
 	restarted := h.Agents[:max(1, len(h.Agents)/tenths)]
 	if err := processtest.Each(restarted, h.agents.Restart); err != nil {
 		return err
@@ -248,14 +252,14 @@
 	time.Sleep(h.cfg.Outage / halves) // the rest of the outage
 	for _, agent := range h.Agents {
 		if !h.agents.Running(agent) {
-			return fmt.Errorf("%s does not run any more", agent)
+			return fmt.Errorf("%s is no longer running", agent)
 		}
 	}
 	return nil
 }
 
-// peakCalls returns the number of calls of the instances in the peakWindow with the most of them. Each call counted is
-// a connection of its own: after a failure no connection is kept.
+// peakCalls returns the largest number of calls to the instances within any peakWindow between two times. It counts
+// connections: agents keep no connection after a failed call, so each call opens its own.
 func (h *Harness) peakCalls(from, to time.Time) (int, error) {
 	var calls []time.Time
 	for _, agent := range h.Agents {
@@ -274,7 +278,7 @@
 	return mostWithin(calls, peakWindow), nil
 }
 
-// mostWithin returns the largest number of times that are within a window.
+// mostWithin returns the largest number of the given times that lie within one window.
 func mostWithin(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -1,6 +1,6 @@
 // Package configtest runs the real discovery service and real agents on one machine, with a proxy on every link between
-// them, injects faults between them while settings change, and checks the merged histories of writers, agents and
-// service. The program's tests run its cases at a small size.
+// them. It injects faults while settings change, and checks the merged histories of the writers, the agents and the
+// service. The package's own test runs the cases at a small size.
 package configtest
 
 import (
@@ -15,64 +15,64 @@
 )
 
 const (
-	// minAgents is the least number of agents that the cases need.
+	// minAgents is the minimum number of agents that the cases need.
 	minAgents = 4
-	// service is the service whose settings the agents take.
+	// service is the service whose settings the agents use.
 	service = "pay"
-	// leaderTimeout bounds how long the service may take until it has a leader.
+	// leaderTimeout bounds the time until the started service has a leader.
 	leaderTimeout = 30 * time.Second
-	// maxStale is how old a read at a follower may be.
+	// maxStale is the maximum staleness of a read at a follower.
 	maxStale = time.Second
-	// adminTimeout bounds a call of an instance's admin endpoint.
+	// adminTimeout bounds a call to an instance's admin endpoint.
 	adminTimeout = 7 * time.Second
 )
 
-// Config says what to run.
+// Config configures a Harness.
 type Config struct {
-	AgentBinary     string // path of the built agent
-	DiscoveryBinary string // path of the built discovery
-	Dir             string // for configurations, logs and data
-	Agents          int    // 4 at least; every second has a key in its file that the first change lacks
-	Seed            uint64 // of all that is drawn
-	// Within is how long a change may take from its acknowledgement to in force everywhere.
+	AgentBinary     string // path of the agent binary
+	DiscoveryBinary string // path of the discovery binary
+	Dir             string // directory for configurations, logs and data
+	Agents          int    // at least 4; every second one has a key in its file that the first change lacks
+	Seed            uint64 // seed of all random choices
+	// Within is the maximum time from the acknowledgement of a change until it is in force at all agents.
 	Within time.Duration
-	// Outage is how long all instances, or a region, are gone; Burst is how many changes a burst has.
+	// Outage is how long all instances are down or a region is cut off.
 	Outage time.Duration
-	Burst  int
-	// Log takes the course of the cases; nil: it is dropped.
+	// Burst is the number of changes in a burst.
+	Burst int
+	// Log receives the results of the cases; nil discards them.
 	Log func(format string, args ...any)
 }
 
-// check tells why a configuration can't be used.
+// check returns an error if the configuration is invalid.
 func (c *Config) check() error {
 	if c.Agents < minAgents || c.Within <= 0 || c.Burst < 1 {
-		return fmt.Errorf("configtest: %d agents, %d changes in a burst, within %v: want %d, 1 and above 0",
+		return fmt.Errorf("configtest: %d agents, %d changes in a burst, within %v: want at least %d, at least 1 and above 0",
 			c.Agents, c.Burst, c.Within, minAgents)
 	}
 	return nil
 }
 
-// Harness is a running service of three instances and its agents.
+// Harness runs the discovery service with three instances, and its agents.
 type Harness struct {
 	cfg       Config
 	Instances []string
 	Agents    []string
-	discovery *processtest.Cluster // its links are those of the agents too
+	discovery *processtest.Cluster // has also the links from the agents
 	agents    *processtest.Cluster
 	random    *rand.Rand
 	client    *http.Client
 
 	writes     processtest.Records[Write]
-	exemptions processtest.Exemptions // from the times at which agents must know a change
+	exemptions processtest.Exemptions // periods that extend the time at which a change is due at an agent
 
 	mu         sync.Mutex
 	lastMarker int
-	// pausedInstance is the instance that is paused; "": none.
+	// pausedInstance is the paused instance; empty if there is none.
 	pausedInstance string
 }
 
-// New starts the service and the agents, and returns once a write would be taken; the error says what could not be
-// started.
+// New starts the service and the agents, and returns once the service has a leader and thus accepts writes.
 func New(cfg Config) (*Harness, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	return h, nil
 }
 
-// newClusters makes the addresses of all processes.
+// newClusters creates the clusters of instances and agents, without starting their processes.
 func (h *Harness) newClusters() error {
 	var err error
 	h.discovery, err = processtest.New(processtest.Config{
@@ -145,7 +145,7 @@
 	return h.awaitLeader(leaderTimeout)
 }
 
-// Close ends all processes.
+// Close stops all processes.
 func (h *Harness) Close() {
 	h.agents.Close()
 	h.discovery.Close()
@@ -164,7 +164,7 @@
 	return file.Write(h.instanceFile(name))
 }
 
-// writeAgentConfig writes the configuration of the agent of a number.
+// writeAgentConfig writes the configuration of the agent with the given name and number.
 func (h *Harness) writeAgentConfig(name string, number int) error {
 	var addrs []string
 	for _, instance := range h.Instances {
@@ -174,13 +174,13 @@
 		}
 		addrs = append(addrs, link.Addr())
 	}
-	own := settingsWithoutSlowStart(fileMarker)
+	settingsInFile := settingsWithoutSlowStart(fileMarker)
 	if hasSlowStartInFile(number) {
-		own = settings(fileMarker)
+		settingsInFile = settings(fileMarker)
 	}
 	zone := 0
-	own.Index = &number
-	own.Zone = &zone
+	settingsInFile.Index = &number
+	settingsInFile.Zone = &zone
 	file := processtest.AgentFile{
 		Name:      name,
 		Listen:    "127.0.0.1:0",
@@ -188,7 +188,7 @@
 		Seed:      fmt.Sprintf("%x", number+1),
 		Limits:    processtest.AgentLimitsFor(1),
 		Control:   &processtest.AgentControl{Service: service, Addresses: addrs[1:]},
-		Settings:  own,
+		Settings:  settingsInFile,
 	}
 	return file.Write(h.cfg.Dir, name)
 }
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -8,11 +8,11 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Write is one write of settings. Marker is what distinguishes its settings from others.
+// Write is a write of settings. Its marker distinguishes the settings from those of other writes.
 type Write struct {
 	Marker  int
-	Version uint64    // of the acknowledgement
-	AckedAt time.Time // zero: it was not acknowledged
+	Version uint64    // the acknowledged version
+	AckedAt time.Time // zero if the write was not acknowledged
 }
 
 // StoredVersion is a version in the service's history.
@@ -21,35 +21,36 @@
 	Marker  int
 }
 
-// Observation is a line of an agent's log: settings of a version that it put in force or rejected.
+// Observation is an entry of an agent's log about a version of the settings that it put in force or rejected.
 type Observation struct {
 	At       time.Time
 	Version  uint64
-	Marker   int // of what it put in force
+	Marker   int // marker of the settings in force; 0 if rejected
 	Rejected bool
-	Reason   string // of the rejection
+	Reason   string // reason of the rejection
 }
 
-// ProcessIncarnation is one run of an agent, from when it listens on, with what it observed in its order.
+// ProcessIncarnation is an incarnation of an agent's process, which starts when the process listens, with its
+// observations in the order of its log.
 type ProcessIncarnation struct {
 	processtest.Incarnation
 	Agent        string
 	Observations []Observation
 }
 
-// knew tells whether the process had put in force or rejected a version, or a newer one, at a time.
+// knew reports whether, at the given time, the process had put in force or rejected the version or a newer one.
 func (p *ProcessIncarnation) knew(version uint64, at time.Time) bool {
 	return slices.ContainsFunc(p.Observations, func(o Observation) bool {
 		return o.Version >= version && !o.At.After(at)
 	})
 }
 
-// rejected tells whether the process rejected a version.
+// rejected reports whether the process rejected the version.
 func (p *ProcessIncarnation) rejected(version uint64) bool {
 	return slices.ContainsFunc(p.Observations, func(o Observation) bool { return o.Rejected && o.Version == version })
 }
 
-// inForceAt returns when the process put a version or a newer one in force, and whether it did.
+// inForceAt returns when the process put the version or a newer one in force, and whether it did so.
 func (p *ProcessIncarnation) inForceAt(version uint64) (time.Time, bool) {
 	for _, o := range p.Observations {
 		if !o.Rejected && o.Version >= version {
@@ -59,29 +60,30 @@
 	return time.Time{}, false
 }
 
-// History is all that the processes of a harness saw and did. All times are of one machine's clock.
+// History has the merged records of the writers, the service and the agents. All times are from one machine's clock.
 type History struct {
 	Writes       []Write
-	Stored       []StoredVersion // what the service has of its history, the last 20 versions
+	Stored       []StoredVersion // versions in the service's history, which keeps the last 20
 	Incarnations []*ProcessIncarnation
-	// Exemptions are times in which agents, the observers, could reach no instance that knows more than they do: what is
-	// due in one is due after it.
+	// Exemptions are periods in which agents, as observers, could not reach any instance with newer settings than their
+	// own. If the time for a change overlaps such a period, it starts again at the end of the period.
 	Exemptions []processtest.Exemption
 }
 
-// lastWrite returns the write of the newest version.
+// lastWrite returns the write with the newest version.
 func (h *History) lastWrite() Write {
 	return slices.MaxFunc(h.Writes, func(a, b Write) int { return cmp.Compare(a.Version, b.Version) })
 }
 
-// allKnow tells whether all running processes know of a change.
+// allKnow reports whether all running processes have applied or rejected a write, or a newer one.
 func (h *History) allKnow(w Write) bool {
 	return !slices.ContainsFunc(h.Incarnations, func(p *ProcessIncarnation) bool {
 		return p.IsRunning() && !p.knew(w.Version, time.Now())
 	})
 }
 
-// dueAt returns when a process must know of a change; false where it need not, as it ended before.
+// dueAt returns when a write is due at a process. It returns false if the write is not due there because it was not
+// acknowledged or the process ended earlier.
 func (h *History) dueAt(w Write, p *ProcessIncarnation, within time.Duration) (time.Time, bool) {
 	from := w.firstKnownAt(p)
 	for _, e := range h.Exemptions {
@@ -93,7 +95,7 @@
 	return due, !w.AckedAt.IsZero() && (p.IsRunning() || p.End.After(due))
 }
 
-// firstKnownAt returns when a process could first know of a change.
+// firstKnownAt returns the earliest time at which a process could know of the write.
 func (w Write) firstKnownAt(p *ProcessIncarnation) time.Time {
 	if p.Start.After(w.AckedAt) {
 		return p.Start
@@ -101,9 +103,10 @@
 	return w.AckedAt
 }
 
-// Delays returns the times from the acknowledgements since a time to in force, at each process that ran then, did not
-// reject the version and put it or a newer one in force, in order; 0 where it was in force before. For an exempt
-// process the time counts from the end of its exemption.
+// Delays returns, in ascending order, the delays from the acknowledgement of each write since the given time until it
+// was in force at each process. It leaves out processes that started later, that rejected the version or that never put
+// it or a newer one in force. A delay is 0 if the version was in force before its acknowledgement. For an exempt
+// process, the delay counts from the end of its exemption.
 func (h *History) Delays(since time.Time) []time.Duration {
 	var delays []time.Duration
 	for _, w := range h.Writes {
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -13,13 +13,13 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The agent's log messages that are read, and their attributes.
+// The messages and attributes that are read from an agent's log.
 const (
-	messageStarted  = "listening"
-	messageInForce  = "settings applied"
-	messageRejected = "settings rejected" // the message begins with it
-	numberVersion   = "version"
-	numberMarker    = "max_attempts"
+	messageListening = "listening"
+	messageApplied   = "settings applied"
+	messageRejected  = "settings rejected" // prefix of the message
+	attributeVersion = "version"
+	attributeMarker  = "max_attempts"
 )
 
 var (
@@ -28,7 +28,7 @@
 	errorField  = regexp.MustCompile(` err=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
-// logEntry is a line of an agent's log.
+// logEntry is a parsed line of an agent's log.
 type logEntry struct {
 	at      time.Time
 	message string
@@ -36,7 +36,8 @@
 	numbers map[string]uint64
 }
 
-// readLog reads an agent's log, of all its processes; lines that are not complete are left out.
+// readLog reads an agent's log, which has the entries of all its processes. It skips lines that do not have the format
+// of an entry, such as incomplete ones.
 func (h *Harness) readLog(agent string) ([]logEntry, error) {
 	text, err := os.ReadFile(filepath.Join(h.cfg.Dir, agent+".log"))
 	if err != nil {
@@ -57,7 +58,7 @@
 	return entries, nil
 }
 
-// parseEntry parses the time, the message and the attributes of a line.
+// parseEntry parses the time, the message and the attributes of a log line.
 func parseEntry(at, message, attributes string) (logEntry, error) {
 	entry := logEntry{message: strings.Trim(message, `"`), numbers: map[string]uint64{}}
 	var err error
@@ -75,12 +76,12 @@
 	return entry, nil
 }
 
-// observation returns what a line says about settings, and whether it does.
+// observation returns the observation that the entry records, and whether it records one.
 func (e logEntry) observation() (Observation, bool) {
-	version, ok := e.numbers[numberVersion]
+	version, ok := e.numbers[attributeVersion]
 	switch {
-	case ok && e.message == messageInForce:
-		return Observation{At: e.at, Version: version, Marker: int(e.numbers[numberMarker])}, true
+	case ok && e.message == messageApplied:
+		return Observation{At: e.at, Version: version, Marker: int(e.numbers[attributeMarker])}, true
 	case ok && strings.HasPrefix(e.message, messageRejected):
 		return Observation{At: e.at, Version: version, Rejected: true, Reason: e.err}, true
 	default:
@@ -88,8 +89,9 @@
 	}
 }
 
-// incarnations returns an agent's processes by its log, with the ends that the harness made. A process counts from
-// when it listens on, and until its successor listens: an agent that does not start again is due to know all changes.
+// incarnations returns the incarnations of an agent's process. An incarnation starts when the process logs that it
+// listens. It gets the end that the harness recorded only once its successor listens, so that all changes stay due at
+// an agent that fails to start again.
 func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
 	entries, err := h.readLog(agent)
 	if err != nil {
@@ -98,7 +100,7 @@
 	runs := h.agents.Incarnations(agent)
 	var incarnations []*ProcessIncarnation
 	for _, entry := range entries {
-		if entry.message == messageStarted {
+		if entry.message == messageListening {
 			if n := len(incarnations); n > 0 && n <= len(runs) {
 				incarnations[n-1].End = runs[n-1].End
 			}
--- a/internal/configtest/reports.go
+++ b/internal/configtest/reports.go
@@ -9,19 +9,19 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// agentReport is the last report of an agent, and the instance that received it.
+// agentReport is the latest report of an agent, with the instance that received it.
 type agentReport struct {
 	server.AgentReport
 	instance string
 }
 
-// agentReports returns the last reports of the agents, by their names.
+// agentReports returns the latest report of each agent by the agent's name.
 func (h *Harness) agentReports() map[string]agentReport {
 	reports := map[string]agentReport{}
 	for _, instance := range h.Instances {
 		var reported server.AgentReports
 		if h.get(instance, endpoint.AgentReportsPath(service), &reported) != nil {
-			continue // an instance that is down has no reports
+			continue // an instance that is down is skipped
 		}
 		for _, agent := range reported.Agents {
 			if old, ok := reports[agent.Agent]; !ok || agent.SilentMs < old.SilentMs {
@@ -32,15 +32,15 @@
 	return reports
 }
 
-// instanceUse is an instance and the number of agents that use it.
+// instanceUse is an instance with the number of agents that use it.
 type instanceUse struct {
 	instance string
 	agents   int
 }
 
-// busiestInstance returns the follower that most agents use, or the leader where all use that: an agent uses the
-// instance that received its last call. (An instance that was paused receives then what was sent to it meanwhile.) The
-// error tells that not all agents have called within retryTimeout.
+// busiestInstance returns the follower that most agents use, or the leader if all agents use the leader. An agent uses
+// the instance that received its last call. (A resumed instance also receives the calls sent while it was paused.) It
+// returns an error if not all agents call within retryTimeout.
 func (h *Harness) busiestInstance() (instanceUse, error) {
 	agentsOf, err := h.awaitCalls()
 	leader := h.leader()
@@ -58,7 +58,7 @@
 	return busiest, err
 }
 
-// awaitCalls waits until all agents have called an instance, and counts them by the instance that each called last.
+// awaitCalls waits until each agent has called an instance, and counts the agents by the instance called last.
 func (h *Harness) awaitCalls() (map[string]int, error) {
 	startedAt := time.Now()
 	agentsOf := map[string]int{}
@@ -77,7 +77,8 @@
 	return agentsOf, err
 }
 
-// rejected tells whether an agent reported that it rejected a version for the missing key and has none in force.
+// rejected reports whether the agent rejected the version because of the missing key and has none of the service's
+// versions in force.
 func (r agentReport) rejected(version uint64) bool {
 	return r.Rejected == version && r.InForce == 0 && strings.Contains(r.Reason, missingKey)
 }
--- a/internal/configtest/settings.go
+++ b/internal/configtest/settings.go
@@ -5,30 +5,31 @@
 )
 
 const (
-	// replicas is the agents' replicasOfMe.
+	// replicas is the value of replicasOfMe in the agents' settings.
 	replicas = 12
-	// fileMarker is the marker of the settings in the agents' files, firstMarker is below those of all changes.
-	fileMarker  = 3
+	// fileMarker is the marker of the settings in the agents' files.
+	fileMarker = 3
+	// firstMarker is below the markers of all changes.
 	firstMarker = 1000
-	// slowStartMs is the value of the key that the first change leaves out.
+	// slowStartMs is the value of the key that the first change lacks.
 	slowStartMs = 8000
 )
 
-// settings returns settings that agents take. The marker of a change is its number of attempts: agents log that of
-// settings that they have put in force.
+// settings returns settings that all agents accept. The marker of a change is its maximum number of attempts, which an
+// agent logs for the settings that it puts in force.
 func settings(marker int) processtest.AgentSettings {
 	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
 }
 
-// hasSlowStartInFile tells whether the agent of a number has the key in its file that the first change leaves out:
-// every second one does.
+// hasSlowStartInFile reports whether the agent with the given number has the key in its file that the first change
+// lacks. Every second agent has it.
 func hasSlowStartInFile(number int) bool {
 	const every = 2
 	return number%every == 1
 }
 
-// settingsWithoutSlowStart returns settings without a key that every second agent has in its file: those agents
-// reject them.
+// settingsWithoutSlowStart returns settings without a key that every second agent has in its file. Those agents reject
+// them.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
 	without.SlowStartMs = 0
