--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -72,8 +72,8 @@
 	return running
 }
 
-// DrawRunning draws a fraction of the running processes that are no seeds, one at least.
-func (h *Harness) DrawRunning(fraction float64) []string {
+// RandomRunning draws a fraction of the running processes that are no seeds, one at least.
+func (h *Harness) RandomRunning(fraction float64) []string {
 	running := h.Running()
 	wanted := max(1, int(fraction*float64(len(running))))
 	allAreSeeds := h.cfg.Seeds == len(h.Names)
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -156,7 +156,7 @@
 		if i%2 == 1 {
 			restart = h.restartGracefully
 		}
-		if err := restart(ctx, h.DrawRunning(killedFraction)...); err != nil {
+		if err := restart(ctx, h.RandomRunning(killedFraction)...); err != nil {
 			return nil, err
 		}
 		time.Sleep(scale.FaultTime / replayRestarts)
@@ -211,7 +211,7 @@
 	var healedAt time.Time
 	for step := range drawnSteps {
 		rule := h.drawRule(scale)
-		names := h.DrawRunning(minDrawnProcesses + drawnProcessesRange*h.random.Float64())
+		names := h.RandomRunning(minDrawnProcesses + drawnProcessesRange*h.random.Float64())
 		action := drawnAction(h.random.IntN(int(drawnActions)))
 		groups := h.drawGroups()
 		h.cfg.Log("drawn step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
--- a/internal/membershiptest/faults_process.go
+++ b/internal/membershiptest/faults_process.go
@@ -65,7 +65,7 @@
 
 // killTenth kills a tenth of the processes and measures how soon the others detect that.
 func killTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
-	killed := h.DrawRunning(killedFraction)
+	killed := h.RandomRunning(killedFraction)
 	killedAt := time.Now()
 	if err := h.Kill(ctx, killed...); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 
 // restartTogether kills processes and starts them again under the same names and addresses.
 func restartTogether(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
-	drawn := h.DrawRunning(restartedFraction)
+	drawn := h.RandomRunning(restartedFraction)
 	killedAt := time.Now()
 	if err := h.restartKilled(ctx, drawn...); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 
 // pauseFifth pauses a fifth of the processes for less than a suspicion lasts.
 func pauseFifth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
-	if err := h.processes.PauseFor(scale.Pause, h.DrawRunning(pausedFraction)...); err != nil {
+	if err := h.processes.PauseFor(scale.Pause, h.RandomRunning(pausedFraction)...); err != nil {
 		return nil, err
 	}
 	return h.measureConvergence(ctx, time.Now(), scale)
@@ -115,7 +115,7 @@
 // for long.
 func starveTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	starvedAt := time.Now()
-	if err := h.processes.Starve(scale.FaultTime, h.DrawRunning(starvedFraction)...); err != nil {
+	if err := h.processes.Starve(scale.FaultTime, h.RandomRunning(starvedFraction)...); err != nil {
 		return nil, err
 	}
 	return h.measureFlaps(ctx, starvedAt, scale)
@@ -135,7 +135,7 @@
 // upgradeSideBySide runs a second process of an agent beside the first: it is no member until the first has ended, and
 // then replaces it.
 func upgradeSideBySide(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
-	old := h.DrawRunning(oneProcess)[0]
+	old := h.RandomRunning(oneProcess)[0]
 	upgrade := UpgradeName(old)
 	if err := h.Start(ctx, upgrade); err != nil {
 		return nil, err
@@ -200,7 +200,7 @@
 	if err != nil {
 		return metrics, err
 	}
-	restarted := h.DrawRunning(oneProcess)
+	restarted := h.RandomRunning(oneProcess)
 	if err := h.Kill(ctx, restarted...); err != nil {
 		return metrics, err
 	}
