--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -8,31 +8,31 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Scale says how long a case's faults last, which the cases sleep for, and how much time the cluster may take to
-// converge. The keys are those of plans.
+// Scale sets how long the faults of the cases last and how long the cluster may take to converge. The TOML keys are
+// those of a plan.
 type Scale struct {
 	ShortPartition time.Duration `toml:"cut"`
 	LongPartition  time.Duration `toml:"long"`   // longer than every dead and reclaim timeout
-	Pause          time.Duration `toml:"pause"`  // shorter than the suspicion
-	FaultTime      time.Duration `toml:"faulty"` // of one-way cuts, overlapping partitions, starvation
-	LossTime       time.Duration `toml:"loss"`   // of loss on every link
+	Pause          time.Duration `toml:"pause"`  // shorter than the suspicion timeout
+	FaultTime      time.Duration `toml:"faulty"` // for one-way cuts, overlapping partitions and starvation
+	LossTime       time.Duration `toml:"loss"`   // for message loss on every link
 	ConvergeWithin time.Duration `toml:"within"`
 }
 
-// Case is one fault in a cluster.
+// Case is a fault case.
 type Case struct {
 	Name string
-	// StartsCluster tells that the case starts the processes itself; those of the others run and agree before.
+	// StartsCluster is true if the case starts the processes itself. Other cases need a running, converged cluster.
 	StartsCluster bool
-	// EndsCluster tells that after a run the cluster is not complete for another case.
+	// EndsCluster is true if the case leaves a cluster that is unusable for other cases.
 	EndsCluster bool
 	run         caseFunc
 }
 
-// caseFunc injects a case's fault, ends it and waits until the cluster has converged.
+// caseFunc injects the faults of a case, ends them and waits until the cluster has converged.
 type caseFunc func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error)
 
-// Cases are the fault cases of the membership. Their names are part of plans and records.
+// Cases lists the fault cases of the membership. Plans and records contain their names.
 var Cases = []Case{
 	{Name: "start at once", StartsCluster: true, run: startTogether},
 	{Name: "start without seeds", StartsCluster: true, run: startWithoutSeeds},
@@ -52,17 +52,17 @@
 	{Name: "crash of all", run: crashAll},
 	{Name: "churn in a partition", run: churnDuringPartition},
 	{Name: "replayed packets", run: replayedPackets},
-	{Name: "drawn faults", run: drawnFaults},
+	{Name: "drawn faults", run: randomFaults},
 	{Name: "seeds gone for good", EndsCluster: true, run: seedsGone},
 }
 
-// RunCase runs one case and checks it: the histories keep the rules, and all agree at the end.
+// RunCase runs a case and checks that the cluster converges and that the histories have no violations.
 func (h *Harness) RunCase(ctx context.Context, c Case, scale Scale) (processtest.Metrics, error) {
 	if err := h.prepareCase(ctx, c, scale); err != nil {
-		return nil, fmt.Errorf("before the case: %w", err)
+		return nil, fmt.Errorf("preparing the case: %w", err)
 	}
-	h.cfg.Log("%s: begins", c.Name)
-	defer h.Proxy.Clear() // also where the case fails
+	h.cfg.Log("%s: started", c.Name)
+	defer h.Proxy.Clear() // also clears the rules of a failed case
 	metrics, err := c.run(ctx, h, scale)
 	if err != nil {
 		return metrics, fmt.Errorf("%s: %w", c.Name, err)
@@ -75,7 +75,7 @@
 	return metrics, nil
 }
 
-// prepareCase starts the cluster if the case does not, and waits until it agrees, whatever the case before left.
+// prepareCase starts the cluster unless it runs or the case starts it, and waits until a running cluster has converged.
 func (h *Harness) prepareCase(ctx context.Context, c Case, scale Scale) error {
 	if len(h.Running()) == 0 {
 		if c.StartsCluster {
@@ -89,7 +89,7 @@
 	return err
 }
 
-// StartConverged starts all processes and waits until they agree.
+// StartConverged starts all processes and waits until the cluster has converged.
 func (h *Harness) StartConverged(ctx context.Context, within time.Duration) error {
 	if err := h.Start(ctx, h.Names...); err != nil {
 		return err
@@ -98,18 +98,20 @@
 	return err
 }
 
-// measureConvergence waits for agreement and returns the time it took as a metric.
+// measureConvergence waits until the cluster has converged and returns the time this took since the given time as a
+// metric.
 func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	took, err := h.AwaitConvergence(ctx, since, scale.ConvergeWithin)
 	return processtest.Metrics{"settle ms": float64(took.Milliseconds())}, err
 }
 
-// measureFlaps waits for agreement and returns, beside the time it took, the suspicions since a time as metrics.
+// measureFlaps waits until the cluster has converged. It returns the time this took and, as metrics for flapping, the
+// suspicions of running members since the given time.
 func (h *Harness) measureFlaps(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	metrics, err := h.measureConvergence(ctx, time.Now(), scale)
 	flaps := h.countFlaps(ctx, since)
 	running := float64(len(h.Running()))
-	metrics["doubts, most of a pair"] = float64(flaps.most)
-	metrics["doubts a pair"] = float64(flaps.sum) / (running * (running - 1))
+	metrics["doubts, most of a pair"] = float64(flaps.maxPerPair)
+	metrics["doubts a pair"] = float64(flaps.total) / (running * (running - 1))
 	return metrics, err
 }
--- a/internal/membershiptest/cases_test.go
+++ b/internal/membershiptest/cases_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestFaultCases runs every case on one cluster of 24 agents of the real program, one after another; the checker checks
-// all that the processes saw.
+// TestFaultCases runs every case in turn on one cluster of 24 processes of the real agent, and checks the histories of
+// all processes after each case.
 func TestFaultCases(t *testing.T) {
 	dir := t.TempDir()
 	if err := processtest.Build(t.Context(), dir, "agent"); err != nil {
--- a/internal/membershiptest/check.go
+++ b/internal/membershiptest/check.go
@@ -10,21 +10,21 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The rules of a history.
+// The rules that a history must satisfy.
 const (
-	// RuleFalseDeath: a running process is not declared dead, unless that is exempted.
+	// RuleFalseDeath requires that no running process is declared dead, except under an exemption.
 	RuleFalseDeath processtest.Rule = "false death"
-	// RuleIncarnation: an incarnation never decreases.
+	// RuleIncarnation requires that the incarnation of a process never decreases.
 	RuleIncarnation processtest.Rule = "incarnation"
-	// RuleNumber: the number of a snapshot grows by one.
+	// RuleNumber requires that consecutive snapshots of an observer have consecutive numbers.
 	RuleNumber processtest.Rule = "number"
-	// RuleReturn: a process that was replaced does not return, and none replaces its successor.
+	// RuleReturn requires that a replaced process does not return, and that no process replaces its successor.
 	RuleReturn processtest.Rule = "return"
-	// RuleLeaver: a process that left is neither suspected nor dead and does not return.
+	// RuleLeaver requires that a process that left is not suspected or declared dead afterwards and does not return.
 	RuleLeaver processtest.Rule = "leaver"
 )
 
-// Check checks the merged histories of all processes against the rules.
+// Check checks the merged histories of all processes and returns the violations.
 func Check(
 	incarnations []*ProcessIncarnation, records []*Record, exemptions []processtest.Exemption,
 ) []processtest.Violation {
@@ -49,13 +49,13 @@
 	return violations
 }
 
-// recordChecker checks the changes of one observer, in their order.
+// recordChecker checks the changes of one observer in order.
 type recordChecker struct {
 	observer   string
 	byProcess  map[string]*ProcessIncarnation
 	exemptions []processtest.Exemption
-	seen       map[string]membership.Change // the last change of each name
-	replaced   map[string]bool              // processes that another one replaced
+	seen       map[string]membership.Change // latest change of each name
+	replaced   map[string]bool              // processes replaced by another one
 	number     uint64
 	violations []processtest.Violation
 }
@@ -83,7 +83,7 @@
 	c.seen[change.Name] = change
 }
 
-// checkSameProcess checks a change of a process that was seen before.
+// checkSameProcess checks a change of a name whose process is the same as in the previous change.
 func (c *recordChecker) checkSameProcess(old, change membership.Change) {
 	if change.Incarnation < old.Incarnation {
 		c.report(RuleIncarnation, change)
@@ -93,7 +93,7 @@
 	}
 }
 
-// isFalseDeath tells whether a process was declared dead that runs, without an exemption.
+// isFalseDeath reports whether a change declared a running process dead without an exemption.
 func (c *recordChecker) isFalseDeath(change membership.Change) bool {
 	at := changeTime(change)
 	incarnation := c.byProcess[change.Process]
@@ -105,7 +105,7 @@
 	})
 }
 
-// report adds the violation of a rule by a change.
+// report adds a violation of a rule by a change.
 func (c *recordChecker) report(rule processtest.Rule, change membership.Change) {
 	text := fmt.Sprintf("%s saw %s/%s go from %q to %q (incarnation %d, by %q) in snapshot %d at %s",
 		c.observer, change.Name, change.Process, change.From, change.To, change.Incarnation,
@@ -113,13 +113,14 @@
 	c.violations = append(c.violations, processtest.Violation{Rule: rule, Subject: change.Process, Text: text})
 }
 
-// Check checks all that the harness's processes saw so far.
+// Check collects the changes of the running processes, checks the histories of all processes so far and returns the
+// violations.
 func (h *Harness) Check(ctx context.Context) []processtest.Violation {
 	h.collectChanges(ctx, h.Running())
 	return Check(h.incarnations(), h.sortedRecords(), h.exemptions.All())
 }
 
-// runningProcesses are the processes that have not ended.
+// runningProcesses returns, for each process, whether it is running.
 func runningProcesses(incarnations []*ProcessIncarnation) map[string]bool {
 	running := map[string]bool{}
 	for _, incarnation := range incarnations {
@@ -128,13 +129,13 @@
 	return running
 }
 
-// flapCounts are how often observers came to suspect running members.
+// flapCounts counts the transitions of running members from alive to suspect.
 type flapCounts struct {
-	most int // of a pair of an observer and a member
-	sum  int
+	maxPerPair int // maximum of all pairs of an observer and a member
+	total      int // sum over all such pairs
 }
 
-// countFlaps counts the flaps since a time.
+// countFlaps counts the flaps since the given time.
 func (h *Harness) countFlaps(ctx context.Context, since time.Time) flapCounts {
 	h.collectChanges(ctx, h.Running())
 	running := runningProcesses(h.incarnations())
@@ -145,21 +146,21 @@
 			suspected := change.To == membership.Suspect && change.From == membership.Alive
 			if suspected && running[change.Process] && changeTime(change).After(since) {
 				perMember[change.Process]++
-				flaps.sum++
-				flaps.most = max(flaps.most, perMember[change.Process])
+				flaps.total++
+				flaps.maxPerPair = max(flaps.maxPerPair, perMember[change.Process])
 			}
 		}
 	}
 	return flaps
 }
 
-// detections are how processes that were killed were detected.
+// detections describes how running observers detected the deaths of killed processes.
 type detections struct {
-	times  []time.Duration // from the end of a process until a running process saw it dead, in order
-	missed int             // pairs of the two where it never did
+	times  []time.Duration // from the end of a process until an observer declared it dead, in ascending order
+	missed int             // number of pairs of a killed process and an observer without a detection
 }
 
-// detectionsSince are the detections of the processes that were killed since a time.
+// detectionsSince returns the detections of the processes killed since the given time.
 func (h *Harness) detectionsSince(ctx context.Context, since time.Time) detections {
 	h.collectChanges(ctx, h.Running())
 	incarnations := h.incarnations()
--- a/internal/membershiptest/check_test.go
+++ b/internal/membershiptest/check_test.go
@@ -12,13 +12,13 @@
 // startTime is the start of the valid history.
 var startTime = time.UnixMicro(1_000_000_000)
 
-// at is a time of the valid history, in seconds.
+// at returns the time that is the given number of seconds after the start of the valid history.
 func at(seconds int) time.Time { return startTime.Add(time.Duration(seconds) * time.Second) }
 
-// unixUs is at in microseconds, as a Change has it.
+// unixUs returns the same time as at in the format of membership.Change.UnixUs.
 func unixUs(seconds int) int64 { return at(seconds).UnixMicro() }
 
-// testIncarnations are the processes of the valid history.
+// testIncarnations returns the incarnations of the processes in the valid history.
 func testIncarnations() []*ProcessIncarnation {
 	return []*ProcessIncarnation{
 		{Name: "b", Process: "b1", Incarnation: processtest.Incarnation{Start: at(0), End: at(5)}},
@@ -28,7 +28,7 @@
 	}
 }
 
-// validChanges keep all rules, with partition as an exemption.
+// validChanges returns changes without violations, given partition as an exemption.
 func validChanges() []membership.Change {
 	const alive, suspect, dead, left = membership.Alive, membership.Suspect, membership.Dead, membership.Left
 	return []membership.Change{
@@ -50,8 +50,8 @@
 	Applies: func(observer, member string) bool { return observer == "a" && member == "c" },
 }
 
-// brokenRules are the rules that the changes of the observer a break.
-func brokenRules(changes []membership.Change, exemptions ...processtest.Exemption) []processtest.Rule {
+// violatedRules returns the rules that the given changes, as seen by the observer a, violate.
+func violatedRules(changes []membership.Change, exemptions ...processtest.Exemption) []processtest.Rule {
 	var rules []processtest.Rule
 	records := []*Record{{Observer: "a", Process: "a1", Changes: changes}}
 	for _, violation := range Check(testIncarnations(), records, exemptions) {
@@ -60,15 +60,16 @@
 	return rules
 }
 
-// TestCheckerFindsEachBrokenRule breaks one rule at a time in a history that keeps them all.
+// TestCheckerFindsEachBrokenRule checks that the checker accepts a valid history, and that it reports the violated rule
+// after a change to that history that violates it.
 func TestCheckerFindsEachBrokenRule(t *testing.T) {
-	if got := brokenRules(validChanges(), partition); got != nil {
-		t.Fatalf("a history that keeps the rules breaks %v", got)
+	if got := violatedRules(validChanges(), partition); got != nil {
+		t.Fatalf("violations in a valid history: %v", got)
 	}
 	for _, test := range []struct {
 		name    string
 		rule    processtest.Rule
-		breakIt func(c []membership.Change)
+		violate func(c []membership.Change)
 	}{
 		{"a number is skipped", RuleNumber, func(c []membership.Change) { c[7].Number = 9 }},
 		{"an incarnation decreases", RuleIncarnation, func(c []membership.Change) { c[3].Incarnation = 2 }},
@@ -84,12 +85,12 @@
 		{"a running process is declared dead", RuleFalseDeath, func(c []membership.Change) { c[5].UnixUs = unixUs(4) }},
 	} {
 		changes := validChanges()
-		test.breakIt(changes)
-		if got := brokenRules(changes, partition); !slices.Contains(got, test.rule) {
-			t.Errorf("%s: the checker found %v, want %q", test.name, got, test.rule)
+		test.violate(changes)
+		if got := violatedRules(changes, partition); !slices.Contains(got, test.rule) {
+			t.Errorf("%s: Check reported the rules %v, want %q", test.name, got, test.rule)
 		}
 	}
-	if got := brokenRules(validChanges()); !slices.Equal(got, []processtest.Rule{RuleFalseDeath}) {
-		t.Errorf("without its exemption the death across the partition is %v", got)
+	if got := violatedRules(validChanges()); !slices.Equal(got, []processtest.Rule{RuleFalseDeath}) {
+		t.Errorf("without its exemption, the death across the partition violates %v, want only the rule on false deaths", got)
 	}
 }
--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// statusTimeout is how long a process may take to answer: the machine is full.
+	// statusTimeout bounds a status call. Calls are slow because the cluster's processes fill the machine.
 	statusTimeout = 3 * time.Second
-	// The time between two rounds of AwaitConvergence: minCollectInterval at least, and collectIntervalPerAgent for each
-	// agent, as a round calls them all and must not be their main load.
+	// The time between two rounds of AwaitConvergence is at least minCollectInterval. It grows with the number of agents
+	// by collectIntervalPerAgent, because a round calls all of them and must not be their main load.
 	minCollectInterval      = 150 * time.Millisecond
 	collectIntervalPerAgent = 2 * time.Millisecond
-	// maxDescribed is how many disagreeing processes an error describes.
+	// maxDescribed is the maximum number of disagreeing processes that an error describes.
 	maxDescribed = 3
 )
 
-// statuses are the answers of processes by their names; a process that did not answer has none.
+// statuses has the statuses of processes by process name. A process that did not respond has none.
 type statuses map[string]*membership.Status
 
-// Status fetches a process's status without the members, with its changes after a number.
+// Status fetches the status of a process without the members, but with the changes after the given snapshot number.
 func (h *Harness) Status(ctx context.Context, name string, since uint64) (*membership.Status, error) {
 	return h.fetchStatus(ctx, name, fmt.Sprintf("members=none&since=%d", since))
 }
 
+// fetchStatus fetches the status of a process with the given query.
 func (h *Harness) fetchStatus(ctx context.Context, name, query string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -42,11 +43,11 @@
 	return status, nil
 }
 
-// collectChanges adds what processes saw since the last call to their records, and returns their statuses.
+// collectChanges adds the changes that processes saw since the last call to their records, and returns their statuses.
 func (h *Harness) collectChanges(ctx context.Context, names []string) statuses {
 	var mu sync.Mutex
 	collected := statuses{}
-	_ = processtest.Each(names, func(name string) error { // a process that does not answer is no error here
+	_ = processtest.Each(names, func(name string) error { // a process that does not respond is not an error here
 		if status := h.collectFrom(ctx, name); status != nil {
 			mu.Lock()
 			defer mu.Unlock()
@@ -57,7 +58,7 @@
 	return collected
 }
 
-// collectFrom adds what one process saw to its record; nil: it does not answer.
+// collectFrom adds the new changes of a process to its record and returns its status, or nil if it does not respond.
 func (h *Harness) collectFrom(ctx context.Context, name string) *membership.Status {
 	status, err := h.Status(ctx, name, h.lastCollected(name))
 	if err != nil {
@@ -71,7 +72,8 @@
 	return status
 }
 
-// lastCollected is the number of the last change that was collected of a process's current incarnation; 0: none.
+// lastCollected returns the number of the last change collected from a process's current incarnation, or 0 if there is
+// none.
 func (h *Harness) lastCollected(name string) uint64 {
 	key := incarnationKey{processName: name, number: len(h.processes.Incarnations(name)) - 1}
 	h.mu.Lock()
@@ -82,12 +84,12 @@
 	return 0
 }
 
-// AwaitConvergence waits until all running processes that take part see exactly each other, and returns the time from
-// since on that the last of them took to converge for good.
+// AwaitConvergence waits until each running process that takes part in the membership sees exactly the others that do.
+// It returns the time from since until the last of them reached its final snapshot.
 func (h *Harness) AwaitConvergence(ctx context.Context, since time.Time, within time.Duration) (time.Duration, error) {
 	var last statuses
 	var disagreement error
-	err := processtest.Await(within, "all agree", func() bool {
+	err := processtest.Await(within, "agreement of all processes", func() bool {
 		time.Sleep(h.collectInterval())
 		running := slices.DeleteFunc(h.Running(), h.isWithoutMembership)
 		last = h.collectChanges(ctx, running)
@@ -100,12 +102,12 @@
 	return max(0, h.lastConvergence(last).Sub(since)), nil
 }
 
-// collectInterval is the time between two rounds of AwaitConvergence.
+// collectInterval returns the time between two rounds of AwaitConvergence.
 func (h *Harness) collectInterval() time.Duration {
 	return max(minCollectInterval, time.Duration(h.cfg.Agents)*collectIntervalPerAgent)
 }
 
-// lastConvergence is when the last of the processes converged to its digest for good.
+// lastConvergence returns when the last of the processes reached its current digest.
 func (h *Harness) lastConvergence(collected statuses) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +120,7 @@
 	return last
 }
 
-// presentMembers are those of some processes that take part, by their own answers.
+// presentMembers returns those of the named processes that take part according to their own statuses.
 func presentMembers(collected statuses, names []string) []membership.Member {
 	var present []membership.Member
 	for _, name := range names {
@@ -133,31 +135,32 @@
 	return present
 }
 
-// agrees tells whether a process sees exactly the members of a digest, and suspects none.
+// agrees reports whether a process sees exactly the members with the given digest, and suspects none of them.
 func agrees(status *membership.Status, digest string) bool {
 	return status.Digest == digest && status.Suspects == 0
 }
 
-// disagreementError tells how processes disagree with each other or with who is present.
+// disagreementError reports that a process does not respond, or that processes do not see exactly the present members.
 type disagreementError struct {
-	silent               string // a process that does not answer; empty: all do
+	unresponsive         string // a process that does not respond; empty if all do
 	disagreeing, present int
-	example              string // one that disagrees
+	example              string // description of one disagreeing process
 }
 
 func (e *disagreementError) Error() string {
-	if e.silent != "" {
-		return e.silent + " does not answer"
+	if e.unresponsive != "" {
+		return e.unresponsive + " does not respond"
 	}
-	return fmt.Sprintf("%d of %d do not see exactly the present members, such as: %s",
+	return fmt.Sprintf("%d of %d processes do not see exactly the present members, for example: %s",
 		e.disagreeing, e.present, e.example)
 }
 
-// checkAgreement checks that all running processes answer, and see exactly those of them that take part.
+// checkAgreement checks that all running processes respond, and that each one that takes part sees exactly the others
+// that do.
 func checkAgreement(collected statuses, running []string) error {
 	for _, name := range running {
 		if collected[name] == nil {
-			return &disagreementError{silent: name}
+			return &disagreementError{unresponsive: name}
 		}
 	}
 	present := presentMembers(collected, running)
@@ -179,8 +182,8 @@
 	return disagreement
 }
 
-// describeDifferences says, for a few processes that disagree with who is present, which members they see differently,
-// and their counts.
+// describeDifferences describes, for up to maxDescribed processes that do not see exactly the present members, their
+// traffic counts and the members they see differently.
 func (h *Harness) describeDifferences(ctx context.Context, collected statuses) string {
 	names := slices.Sorted(maps.Keys(collected))
 	present := presentMembers(collected, names)
@@ -208,7 +211,8 @@
 	return text.String()
 }
 
-// describeDifference says how a process sees a present member, if it sees it differently, and how it came to that.
+// describeDifference describes how a process sees a present member, with the changes that led to it, unless the process
+// sees it as alive.
 func (h *Harness) describeDifference(text *strings.Builder, status *membership.Status, present membership.Member) {
 	seen, ok := status.Snapshot.Member(present.Name)
 	if ok && seen.Process == present.Process && seen.State == membership.Alive {
--- a/internal/membershiptest/control.go
+++ b/internal/membershiptest/control.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// startTimeout bounds how long a process may take until it answers.
+	// startTimeout bounds the time until a started process responds.
 	startTimeout = time.Minute
-	// noChanges selects the changes after a number that no snapshot has.
+	// noChanges is a snapshot number that no snapshot reaches; a status has no changes after it.
 	noChanges = math.MaxInt64
 )
 
-// Start starts processes at once and waits until each has answered with its identity.
+// Start starts processes concurrently and waits until each has reported its identity. It does not wait for agents
+// without a membership.
 func (h *Harness) Start(ctx context.Context, names ...string) error {
 	if err := processtest.Each(names, h.processes.Start); err != nil {
 		return err
@@ -29,11 +30,11 @@
 	})
 }
 
-// recordStart waits until a process answers, and adds its identity to the history.
+// recordStart waits until a process responds, and adds its identity to the history.
 func (h *Harness) recordStart(ctx context.Context, name string) error {
 	var status *membership.Status
-	err := processtest.Await(startTimeout, name+" answers", func() bool {
-		status, _ = h.Status(ctx, name, noChanges) // until it answers
+	err := processtest.Await(startTimeout, name+"'s status", func() bool {
+		status, _ = h.Status(ctx, name, noChanges) // retried until the process responds
 		return status != nil
 	})
 	if err != nil {
@@ -47,19 +48,19 @@
 	return nil
 }
 
-// Kill sends SIGKILL to processes at once, after it has collected what they saw.
+// Kill collects the changes that processes saw and then sends them SIGKILL concurrently.
 func (h *Harness) Kill(ctx context.Context, names ...string) error {
 	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Kill)
 }
 
-// Term sends SIGTERM to processes and waits for their ends.
+// Term collects the changes that processes saw, sends them SIGTERM and waits until they have ended.
 func (h *Harness) Term(ctx context.Context, names ...string) error {
 	h.collectChanges(ctx, names)
 	return processtest.Each(names, h.processes.Term)
 }
 
-// Running are the names of the processes that run.
+// Running returns the names of the running processes.
 func (h *Harness) Running() []string {
 	var running []string
 	for _, name := range h.Names {
@@ -72,19 +73,20 @@
 	return running
 }
 
-// RandomRunning draws a fraction of the running processes that are no seeds, one at least.
+// RandomRunning returns a random selection of the running processes: the given fraction of them, but at least one. It
+// leaves out the seeds, unless all agents are seeds.
 func (h *Harness) RandomRunning(fraction float64) []string {
 	running := h.Running()
 	wanted := max(1, int(fraction*float64(len(running))))
 	allAreSeeds := h.cfg.Seeds == len(h.Names)
-	var drawn []string
+	var selected []string
 	for _, i := range h.random.Perm(len(running)) {
 		if allAreSeeds || running[i] >= h.Names[h.cfg.Seeds] {
-			drawn = append(drawn, running[i])
+			selected = append(selected, running[i])
 		}
-		if len(drawn) >= wanted {
+		if len(selected) >= wanted {
 			break
 		}
 	}
-	return drawn
+	return selected
 }
--- a/internal/membershiptest/costs.go
+++ b/internal/membershiptest/costs.go
@@ -19,7 +19,7 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// The bounds and the precision of the latency histogram.
+	// Bounds and precision of the latency histogram.
 	minLatencyUs      = 1
 	maxLatencyUs      = 10_000_000
 	latencyDigits     = 3
@@ -31,18 +31,18 @@
 		"Request-Timeout-Ms: 3000\r\nContent-Length: 1\r\n\r\nx"
 )
 
-// latencyPercentiles are the percentiles that Latency returns.
+// latencyPercentiles lists the percentiles that Latency returns.
 var latencyPercentiles = []float64{50, 99, 99.9}
 
-// Usage are the resources of one process, and what its membership sent.
+// Usage is the resource usage of a process and the traffic that its membership sent.
 type Usage struct {
 	processtest.Usage
 	Packets uint64
 	Bytes   uint64 // in packets and on streams
 }
 
-// usage reads the resources of a running process from /proc and what its membership sent from its status; a process
-// without a membership sent nothing.
+// usage reads the resource usage of a running process from /proc and the traffic that its membership sent from its
+// status. A process without a membership has no traffic.
 func (h *Harness) usage(ctx context.Context, name string) (Usage, error) {
 	resources, err := processtest.ProcessUsage(h.processes.Pid(name))
 	usage := Usage{Usage: resources}
@@ -58,7 +58,7 @@
 	return usage, nil
 }
 
-// usages are the resources of some processes by name.
+// usages returns the usage of each of the named processes.
 func (h *Harness) usages(ctx context.Context, names []string) (map[string]Usage, error) {
 	usages := map[string]Usage{}
 	for _, name := range names {
@@ -71,12 +71,13 @@
 	return usages, nil
 }
 
-// usageSum adds up the usages of agents over a time; CPU, Packets and Bytes are those of that time.
+// usageSum sums the usage of several agents over a period. CPU, Packets and Bytes count only that period.
 type usageSum struct {
 	Usage
 	agents float64
 }
 
+// add adds the usage of an agent, given its usage before and after the period.
 func (s *usageSum) add(before, after Usage) {
 	s.agents++
 	s.CPU += after.CPU - before.CPU
@@ -86,22 +87,22 @@
 	s.Bytes += after.Bytes - before.Bytes
 }
 
-// addTo adds the means over the agents to the metrics.
+// addTo adds the mean resource usage per agent to the metrics. The period lasted the given number of seconds.
 func (s *usageSum) addTo(metrics processtest.Metrics, label string, seconds float64) {
 	metrics["CPU share "+label] = s.CPU.Seconds() / s.agents / seconds
 	metrics["memory MB "+label] = float64(s.RSS) / s.agents / bytesPerMB
 	metrics["descriptors "+label] = float64(s.Descriptors) / s.agents
 }
 
-// Costs measures, over a time without faults, what a member's membership takes: means over the members, and over the
-// agents without a membership where there are any.
+// Costs measures the resource usage and the traffic of agents for the given time, without faults. The metrics are means
+// over the agents with a membership and, separately, over those without one if there are any.
 func (h *Harness) Costs(ctx context.Context, during time.Duration) (processtest.Metrics, error) {
 	before, err := h.usages(ctx, h.Names)
 	if err != nil {
 		return nil, err
 	}
 	startedAt := time.Now()
-	time.Sleep(during) // the time measured
+	time.Sleep(during) // the measured period
 	seconds := time.Since(startedAt).Seconds()
 	after, err := h.usages(ctx, h.Names)
 	if err != nil {
@@ -127,8 +128,8 @@
 	return metrics, nil
 }
 
-// Latency sends requests at a steady rate to two agents, one with a membership and one without, and returns the
-// percentiles of the times from sending to the end of the response.
+// Latency sends requests at a constant rate to two agents, one with a membership and one without, and returns
+// percentiles of their latencies.
 func (h *Harness) Latency(
 	ctx context.Context, with, without string, rate int, during time.Duration,
 ) (processtest.Metrics, error) {
@@ -157,8 +158,8 @@
 	return metrics, nil
 }
 
-// measureLatency sends requests to one agent, each on the same connection and at its time; a time runs from when its
-// request was due, so that a late one counts.
+// measureLatency sends requests at a constant rate on one connection to an agent. A latency runs from when the request
+// was due until the end of its response, so that it includes the delay of a request that is sent late.
 func (h *Harness) measureLatency(
 	ctx context.Context, name string, rate int, during time.Duration,
 ) (*hdrhistogram.Histogram, error) {
@@ -167,12 +168,12 @@
 	if err != nil {
 		return histogram, err
 	}
-	defer func() { _ = conn.Close() }() // all responses have been read
+	defer func() { _ = conn.Close() }() // all responses have been read, so an error has no effect
 	responses := bufio.NewReader(conn)
 	startedAt := time.Now()
 	for i := range int(during.Seconds() * float64(rate)) {
 		due := startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))
-		time.Sleep(time.Until(due)) // the pause of the load
+		time.Sleep(time.Until(due)) // keeps the request rate
 		if err := conn.SetDeadline(due.Add(responseTimeout)); err != nil {
 			return histogram, err
 		}
@@ -189,7 +190,7 @@
 	return histogram, nil
 }
 
-// readResponse reads one response, which must be 200.
+// readResponse reads a response and returns an error if its status is not 200.
 func readResponse(responses *bufio.Reader) error {
 	resp, err := http.ReadResponse(responses, nil)
 	if err != nil {
@@ -198,7 +199,7 @@
 	_, err = io.Copy(io.Discard, resp.Body)
 	err = errors.Join(err, resp.Body.Close())
 	if resp.StatusCode != http.StatusOK {
-		err = errors.Join(err, fmt.Errorf("answered %s", resp.Status))
+		err = errors.Join(err, fmt.Errorf("unexpected status %s", resp.Status))
 	}
 	return err
 }
--- a/internal/membershiptest/discovery.go
+++ b/internal/membershiptest/discovery.go
@@ -12,7 +12,8 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// serveDiscovery serves an endpoint list with one server to all agents, and is that server.
+// serveDiscovery starts an HTTP server that is both the agents' discovery service and the only server in its endpoint
+// list.
 func (h *Harness) serveDiscovery() error {
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP("127.0.0.1")})
 	if err != nil {
@@ -25,7 +26,7 @@
 			`{"id":"s-1","addr":%q,"zone":"east","kind":"big","state":"up","weight":1}]}`, ln.Addr()) // the agent polls again
 	})
 	mux.HandleFunc("POST /api/", func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // the agent sees what becomes of its request
+		_, _ = io.Copy(io.Discard, r.Body) // the agent handles a failed request
 		_, _ = fmt.Fprint(w, "done")
 	})
 	h.discovery = &http.Server{Addr: ln.Addr().String(), Handler: mux}
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// awaitWatch waits as long as a watch may take: the list never changes.
+// awaitWatch waits for the maximum time of a watch, because the list never changes.
 func awaitWatch(r *http.Request) {
 	waitMs, err := strconv.Atoi(r.FormValue(endpoint.QueryWait))
 	if err != nil {
--- a/internal/membershiptest/faults_forged.go
+++ b/internal/membershiptest/faults_forged.go
@@ -13,15 +13,15 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The first bytes of memberlist's messages that are forged.
+// The first bytes of the forged memberlist messages.
 const (
 	labelType    = 244
 	pushPullType = 6
 	compressType = 9
-	messageTypes = 16 // the types below this number exist, or may exist
+	messageTypes = 16 // bound of the random types; types below it exist or may exist
 )
 
-// The first bytes of msgpack's values that are forged, those of a fixed length with it in their low bits.
+// The first bytes of the msgpack values in forged messages. The fixed-length types have the length in their low bits.
 const (
 	msgpackFixMap    = 0x80
 	msgpackFixString = 0xa0
@@ -31,26 +31,26 @@
 
 const (
 	forgedPackets     = 400
-	forgedPacketBytes = 1400 // below this many
+	forgedPacketBytes = 1400 // exclusive upper bound
 	forgedStreams     = 40
 	forgedStreamBytes = 200
 	dialTimeout       = 5 * time.Second
 	forgedTimeout     = 5 * time.Second
 	foreignSite       = "other"
-	// forgedSequence is the sequence of the seed that forged messages are drawn from.
-	forgedSequence = 2
+	// forgedRandomStream selects the stream of random numbers, within that of the harness's seed, for forged messages.
+	forgedRandomStream = 2
 
-	// The least counts that the forged messages lead to.
+	// The minimum counts that the victim must report.
 	minBadStreams     = 20
 	minForeignPackets = 50
 	minBadPackets     = 50
 )
 
-// forgedTraffic sends a member garbage, messages of another site and forged lengths, over UDP and TCP; it drops and
-// counts them and continues.
+// forgedTraffic sends garbage, messages of another site and messages with forged lengths to a member over UDP and TCP.
+// The member must drop and count them and continue to work.
 func forgedTraffic(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	victim := h.Names[0]
-	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedSequence))
+	random := rand.New(rand.NewPCG(h.cfg.Seed, forgedRandomStream))
 	if err := sendForgedPackets(ctx, h.addresses[victim].Bind, random); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	var dropped uint64
-	err := processtest.Await(scale.ConvergeWithin, "the forged messages are counted", func() bool {
+	err := processtest.Await(scale.ConvergeWithin, "counts of the forged messages", func() bool {
 		status, err := h.Status(ctx, victim, 0)
 		if err != nil {
 			return false
@@ -85,18 +85,19 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// label is the header of memberlist's messages of a site.
+// label returns the header of memberlist messages with the label of a site.
 func label(site string) []byte {
 	return append([]byte{labelType, byte(len(site))}, site...)
 }
 
-// sendForgedPackets sends packets of another site, of any type, compressed, and of garbage.
+// sendForgedPackets sends random bytes in packets of another site, in packets of random types, as compressed messages
+// and without any header.
 func sendForgedPackets(ctx context.Context, to string, random *rand.Rand) error {
 	conn, err := dial(ctx, "udp", to)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // a UDP socket has nothing to flush
+	defer func() { _ = conn.Close() }() // a UDP socket has no buffered data
 	kinds := []func() []byte{
 		func() []byte { return append(label(foreignSite), 0) },
 		func() []byte { return append(label(testSite), byte(random.IntN(messageTypes))) },
@@ -106,11 +107,12 @@
 	for i := range forgedPackets {
 		garbage := randomBytes(random, random.IntN(forgedPacketBytes))
 		start := kinds[i%len(kinds)]()
-		_, _ = conn.Write(append(start, garbage...)) // the receiver's counts are checked
+		_, _ = conn.Write(append(start, garbage...)) // the receiver's counts show whether packets arrived
 	}
 	return nil
 }
 
+// randomBytes returns n random bytes.
 func randomBytes(random *rand.Rand, n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -119,14 +121,14 @@
 	return b
 }
 
-// sendForgedStreams sends streams, each on a connection of its own.
+// sendForgedStreams sends forged streams, each on its own connection.
 func sendForgedStreams(ctx context.Context, to string, random *rand.Rand) error {
 	for i := range forgedStreams {
 		conn, err := dial(ctx, "tcp", to)
 		if err != nil {
 			return err
 		}
-		// The receiver's counts are checked.
+		// Errors are ignored: the receiver's counts show whether the streams arrived.
 		_ = conn.SetDeadline(time.Now().Add(forgedTimeout))
 		_, _ = conn.Write(forgedStream(i, random))
 		_ = conn.Close()
@@ -134,12 +136,13 @@
 	return nil
 }
 
-// frame is a message with its length before it.
+// frame returns a message prefixed with its length.
 func frame(message []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...)
 }
 
-// forgedStream is a frame with an oversized length, a push/pull that claims members and state without end, or garbage.
+// forgedStream returns a stream with an oversized frame length, with a push/pull that claims excessive numbers of
+// members and bytes of state, or with garbage. The number i selects the kind.
 func forgedStream(i int, random *rand.Rand) []byte {
 	kinds := []func() []byte{
 		func() []byte { return binary.BigEndian.AppendUint32(nil, math.MaxUint32) },
@@ -149,7 +152,7 @@
 	return append(frame(label(testSite)), kinds[i%len(kinds)]()...)
 }
 
-// oversizedPushPull is the header of a push/pull, in msgpack, that claims 2^62 - 1 members and as many bytes.
+// oversizedPushPull returns the msgpack header of a push/pull that claims 2^62 - 1 members and as many bytes of state.
 func oversizedPushPull() []byte {
 	const (
 		fields = 3
@@ -162,7 +165,7 @@
 	return append(appendString(message, "Join"), msgpackTrue)
 }
 
-// appendString appends a short string in msgpack.
+// appendString appends a short string in msgpack format.
 func appendString(message []byte, text string) []byte {
 	return append(append(message, msgpackFixString|byte(len(text))), text...)
 }
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// partitionName names the one partition of a case.
+	// partitionName is the name of a case's partition in the proxy.
 	partitionName = "case"
-	// lightLoss and heavyLoss are the fractions of messages that the cases of loss lose.
+	// lightLoss and heavyLoss are the loss rates of the loss cases.
 	lightLoss = 0.05
 	heavyLoss = 0.20
-	// lossJitter is the jitter of messages under loss, and their duplicated and reordered fractions are lossShare of
-	// the lost one.
+	// lossJitter is the jitter in the loss cases.
 	lossJitter = 2 * time.Millisecond
-	lossShare  = 1.0 / 5
-	// replayedFraction is the fraction of packets that come once more, replayRestarts the number of restarts meanwhile.
+	// disorderPerLoss is the ratio of the rates of duplicated and of reordered messages to the loss rate.
+	disorderPerLoss = 1.0 / 5
+	// replayedFraction is the fraction of packets that are replayed.
 	replayedFraction = 0.3
-	replayRestarts   = 4
-	// cutOnePairIn is of how many pairs one has a direction cut.
-	cutOnePairIn = 3
-	// churnPauses is the number of pauses between two restarts that a short partition has.
-	churnPauses = 4
+	// replayRestarts is the number of restarts while packets are replayed.
+	replayRestarts = 4
+	// pairsPerCut is the number of pairs of which one, on average, has a direction cut.
+	pairsPerCut = 3
+	// pausesPerShortPartition divides the time of a short partition into the pauses between restarts.
+	pausesPerShortPartition = 4
 )
 
-// twoSides are the running processes in two parts, the first with two fifths of them.
+// twoSides splits the running processes into two parts, the first with two fifths of them.
 func (h *Harness) twoSides() (first, second []string) {
 	const firstFifths, allFifths = 2, 5
 	running := h.Running()
@@ -36,22 +37,23 @@
 	return running[:end], running[end:]
 }
 
-// duringPartition partitions groups while something is done, and exempts deaths between them until a while after.
+// duringPartition calls do while the groups are partitioned. It exempts the deaths that processes declare across the
+// partition until the cluster must have converged after it.
 func (h *Harness) duringPartition(scale Scale, do func() error, groups ...[]string) (healedAt time.Time, err error) {
-	cutAt := time.Now()
+	partitionedAt := time.Now()
 	h.Proxy.Partition(partitionName, groups...)
 	err = do()
 	h.Proxy.Heal(partitionName)
 	healedAt = time.Now()
 	h.exemptions.Add(processtest.Exemption{
-		From:    cutAt,
+		From:    partitionedAt,
 		To:      healedAt.Add(scale.ConvergeWithin),
 		Applies: faultproxy.NewPartition(groups...).Separates,
 	})
 	return healedAt, err
 }
 
-// measureHealing partitions groups while something is done, and measures the convergence after the partition.
+// measureHealing calls do while the groups are partitioned, and measures the convergence after the partition heals.
 func (h *Harness) measureHealing(
 	ctx context.Context, scale Scale, do func() error, groups ...[]string,
 ) (processtest.Metrics, error) {
@@ -62,15 +64,17 @@
 	return h.measureConvergence(ctx, healedAt, scale)
 }
 
+// shortPartition partitions two sides for Scale.ShortPartition.
 func shortPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	return h.partition(ctx, scale.ShortPartition, scale)
 }
 
+// longPartition partitions two sides for Scale.LongPartition, which exceeds every dead and reclaim timeout.
 func longPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	return h.partition(ctx, scale.LongPartition, scale)
 }
 
-// partition partitions two sides for a time.
+// partition partitions two sides for the given time and measures the convergence after it.
 func (h *Harness) partition(ctx context.Context, d time.Duration, scale Scale) (processtest.Metrics, error) {
 	first, second := h.twoSides()
 	wait := func() error {
@@ -80,29 +84,29 @@
 	return h.measureHealing(ctx, scale, wait, first, second)
 }
 
-// overlappingPartitions lets A reach B and B reach C, but A not C. As B relays gossip nobody may be declared dead, so
-// there is no exemption.
+// overlappingPartitions separates two thirds of the processes, A and C, while both still reach the remaining third, B.
+// No process may be declared dead, because B relays gossip between A and C, so there is no exemption.
 func overlappingPartitions(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	const parts = 3
 	running := h.Running()
 	third := len(running) / parts
-	cutAt := time.Now()
+	partitionedAt := time.Now()
 	h.Proxy.Partition(partitionName, running[:third], running[2*third:])
 	time.Sleep(scale.FaultTime)
 	h.Proxy.Heal(partitionName)
-	return h.measureFlaps(ctx, cutAt, scale)
+	return h.measureFlaps(ctx, partitionedAt, scale)
 }
 
-// oneWayCuts cuts one direction of a third of all pairs.
+// oneWayCuts cuts one direction between the processes of about a third of all pairs.
 func oneWayCuts(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	cutAt := time.Now()
 	running := h.Running()
 	for i, from := range running {
 		for _, to := range running[i+1:] {
-			if h.random.IntN(cutOnePairIn) != 0 {
+			if h.random.IntN(pairsPerCut) != 0 {
 				continue
 			}
-			if h.drawBool() {
+			if h.randomBool() {
 				h.Proxy.Set(to, from, faultproxy.Rule{Cut: true})
 			} else {
 				h.Proxy.Set(from, to, faultproxy.Rule{Cut: true})
@@ -114,15 +118,15 @@
 	return h.measureFlaps(ctx, cutAt, scale)
 }
 
-// lossOf is the case of a fraction of messages lost on all links.
+// lossOf returns a case that loses the given fraction of messages on all links.
 func lossOf(fraction float64) caseFunc {
 	return func(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 		lossAt := time.Now()
 		h.Proxy.SetAll(faultproxy.Rule{
 			Loss:      fraction,
 			Jitter:    lossJitter,
-			Duplicate: fraction * lossShare,
-			Reorder:   fraction * lossShare,
+			Duplicate: fraction * disorderPerLoss,
+			Reorder:   fraction * disorderPerLoss,
 		})
 		time.Sleep(scale.LossTime)
 		h.Proxy.Clear()
@@ -130,7 +134,7 @@
 	}
 }
 
-// churnDuringPartition kills and starts processes on both sides of a partition.
+// churnDuringPartition kills and restarts processes on both sides of a partition.
 func churnDuringPartition(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	first, second := h.twoSides()
 	churn := func() error {
@@ -140,15 +144,15 @@
 					return err
 				}
 			}
-			time.Sleep(scale.ShortPartition / churnPauses)
+			time.Sleep(scale.ShortPartition / pausesPerShortPartition)
 		}
 		return nil
 	}
 	return h.measureHealing(ctx, scale, churn, first, second)
 }
 
-// replayedPackets replays a fraction of all packets later, while processes are killed, leave and restart: messages by
-// and about replaced processes reach their successors and all others.
+// replayedPackets replays a fraction of all packets after a delay, while processes are killed, leave and restart. So
+// messages from and about replaced processes reach their successors and all other processes.
 func replayedPackets(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	h.Proxy.SetAll(faultproxy.Rule{Replay: replayedFraction, MaxReplayDelay: scale.FaultTime})
 	for i := range replayRestarts {
@@ -161,7 +165,7 @@
 		}
 		time.Sleep(scale.FaultTime / replayRestarts)
 	}
-	metrics, err := h.measureConvergence(ctx, time.Now(), scale) // while old packets still come
+	metrics, err := h.measureConvergence(ctx, time.Now(), scale) // while old packets still arrive
 	if err != nil {
 		return metrics, err
 	}
@@ -171,50 +175,50 @@
 	return metrics, err
 }
 
-// drawnAction is what is done to processes in a step of drawn faults.
-type drawnAction int
+// randomAction is an action on processes in a step of randomFaults.
+type randomAction int
 
-// The actions to draw from.
+// The actions that randomFaults chooses from.
 const (
-	actionKill drawnAction = iota
+	actionKill randomAction = iota
 	actionTerm
 	actionPause
 	actionStarve
-	actionWait // nothing is done to them
+	actionWait // no action on the processes
 
-	drawnActions // their number
+	actionCount // number of actions
 )
 
-// The numbers of drawn faults, which are fractions where no unit is named.
+// The parameters of randomFaults. Loss, duplicates, reordering and replays are fractions of all messages.
 const (
-	drawnSteps = 4
-	// The processes that a step is about are a fraction of all, from the least up.
-	minDrawnProcesses   = 0.02
-	drawnProcessesRange = 0.13
-	// The bounds of the bad links.
-	maxDrawnLoss      = 0.05
-	maxDrawnJitterMs  = 10
-	maxDrawnDuplicate = 0.1
-	maxDrawnReorder   = 0.1
-	maxDrawnReplay    = 0.1
+	randomSteps = 4
+	// The fraction of the running processes that a step acts on is minProcessFraction plus up to processFractionRange.
+	minProcessFraction   = 0.02
+	processFractionRange = 0.13
+	// Upper bounds of the link faults.
+	maxRandomLoss      = 0.05
+	maxRandomJitterMs  = 10
+	maxRandomDuplicate = 0.1
+	maxRandomReorder   = 0.1
+	maxRandomReplay    = 0.1
 )
 
-// drawBool draws whether something is done that is done as often as not.
-func (h *Harness) drawBool() bool {
+// randomBool returns true or false with equal probability.
+func (h *Harness) randomBool() bool {
 	const outcomes = 2
 	return h.random.IntN(outcomes) == 0
 }
 
-// drawnFaults injects a schedule that is drawn from the seed: in each step bad links for all, a partition in one of
-// two, and meanwhile processes that are killed, leave, pause or starve.
-func drawnFaults(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
+// randomFaults injects a random schedule of faults, which the seed determines. Each step has faults on all links and,
+// with a probability of one half, a partition. Meanwhile processes are killed, leave, pause or starve.
+func randomFaults(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	var healedAt time.Time
-	for step := range drawnSteps {
-		rule := h.drawRule(scale)
-		names := h.RandomRunning(minDrawnProcesses + drawnProcessesRange*h.random.Float64())
-		action := drawnAction(h.random.IntN(int(drawnActions)))
-		groups := h.drawGroups()
-		h.cfg.Log("drawn step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
+	for step := range randomSteps {
+		rule := h.randomRule(scale)
+		names := h.RandomRunning(minProcessFraction + processFractionRange*h.random.Float64())
+		action := randomAction(h.random.IntN(int(actionCount)))
+		groups := h.randomGroups()
+		h.cfg.Log("random step %d: action %d on %d processes, %d groups, %+v", step, action, len(names), len(groups), rule)
 		h.Proxy.SetAll(rule)
 		var err error
 		act := func() error { return h.act(ctx, action, names, scale) }
@@ -226,20 +230,20 @@
 	return h.measureConvergence(ctx, healedAt, scale)
 }
 
-// drawRule draws bad links.
-func (h *Harness) drawRule(scale Scale) faultproxy.Rule {
+// randomRule returns a rule with random link faults.
+func (h *Harness) randomRule(scale Scale) faultproxy.Rule {
 	return faultproxy.Rule{
-		Loss:           maxDrawnLoss * h.random.Float64(),
-		Jitter:         time.Duration(h.random.IntN(maxDrawnJitterMs)) * time.Millisecond,
-		Duplicate:      maxDrawnDuplicate * h.random.Float64(),
-		Reorder:        maxDrawnReorder * h.random.Float64(),
-		Replay:         maxDrawnReplay * h.random.Float64(),
+		Loss:           maxRandomLoss * h.random.Float64(),
+		Jitter:         time.Duration(h.random.IntN(maxRandomJitterMs)) * time.Millisecond,
+		Duplicate:      maxRandomDuplicate * h.random.Float64(),
+		Reorder:        maxRandomReorder * h.random.Float64(),
+		Replay:         maxRandomReplay * h.random.Float64(),
 		MaxReplayDelay: scale.ShortPartition,
 	}
 }
 
-// act does one of the drawn actions to processes.
-func (h *Harness) act(ctx context.Context, action drawnAction, names []string, scale Scale) error {
+// act applies an action to processes.
+func (h *Harness) act(ctx context.Context, action randomAction, names []string, scale Scale) error {
 	switch action {
 	case actionKill:
 		return h.restartKilled(ctx, names...)
@@ -255,10 +259,11 @@
 	}
 }
 
-// drawGroups draws a partition in two or three groups, or none.
-func (h *Harness) drawGroups() [][]string {
+// randomGroups randomly divides the running processes into two or three groups for a partition. It returns nil for no
+// partition.
+func (h *Harness) randomGroups() [][]string {
 	const minGroups, maxGroups = 2, 3
-	if !h.drawBool() {
+	if !h.randomBool() {
 		return nil
 	}
 	running := h.Running()
--- a/internal/membershiptest/faults_process.go
+++ b/internal/membershiptest/faults_process.go
@@ -10,20 +10,20 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// The fractions of the running processes that the cases use.
 const (
+	// The fractions of the running processes that the cases kill, restart, pause or starve.
 	killedFraction    = 0.1
 	restartedFraction = 0.15
 	pausedFraction    = 0.2
 	starvedFraction   = 0.1
-	// oneProcess draws the least: one process.
+	// oneProcess is a fraction for which RandomRunning selects its minimum, one process.
 	oneProcess = 0
-	// rollingParts and crashParts are the parts in which all processes restart.
+	// rollingParts and crashParts are the numbers of parts in which rollingRestart and crashAll start the processes.
 	rollingParts = 10
 	crashParts   = 5
 )
 
-// startTogether starts all processes at once.
+// startTogether starts all processes concurrently.
 func startTogether(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
@@ -35,7 +35,8 @@
 	return h.measureConvergence(ctx, startedAt, scale)
 }
 
-// startWithoutSeeds starts the seeds last: the others serve alone and join when a seed comes.
+// startWithoutSeeds starts the seeds last. Until then each of the other processes must see only itself; they must join
+// once a seed runs.
 func startWithoutSeeds(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
@@ -44,7 +45,7 @@
 	if err := h.Start(ctx, others...); err != nil {
 		return nil, err
 	}
-	err := processtest.Await(scale.ConvergeWithin, "each sees itself alone", func() bool {
+	err := processtest.Await(scale.ConvergeWithin, "snapshots in which each process sees only itself", func() bool {
 		collected := h.collectChanges(ctx, h.Running())
 		for _, status := range collected {
 			if status.Present != 1 || status.Quorate {
@@ -63,7 +64,7 @@
 	return h.measureConvergence(ctx, startedAt, scale)
 }
 
-// killTenth kills a tenth of the processes and measures how soon the others detect that.
+// killTenth kills a tenth of the processes and measures how long the others take to detect their deaths.
 func killTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	killed := h.RandomRunning(killedFraction)
 	killedAt := time.Now()
@@ -78,16 +79,16 @@
 	metrics["detect p50 ms"] = float64(processtest.Quantile(found.times, processtest.Median).Milliseconds())
 	metrics["detect p99 ms"] = float64(processtest.Quantile(found.times, processtest.Percentile99).Milliseconds())
 	if found.missed > 0 {
-		return metrics, fmt.Errorf("%d of %d deaths not seen", found.missed, found.missed+len(found.times))
+		return metrics, fmt.Errorf("%d of %d deaths not detected", found.missed, found.missed+len(found.times))
 	}
 	return metrics, h.Start(ctx, killed...)
 }
 
-// restartTogether kills processes and starts them again under the same names and addresses.
+// restartTogether concurrently kills processes and starts them again with the same names and addresses.
 func restartTogether(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
-	drawn := h.RandomRunning(restartedFraction)
+	restarted := h.RandomRunning(restartedFraction)
 	killedAt := time.Now()
-	if err := h.restartKilled(ctx, drawn...); err != nil {
+	if err := h.restartKilled(ctx, restarted...); err != nil {
 		return nil, err
 	}
 	return h.measureConvergence(ctx, killedAt, scale)
@@ -98,12 +99,12 @@
 	return processtest.Each(names, func(name string) error { return errors.Join(h.Kill(ctx, name), h.Start(ctx, name)) })
 }
 
-// restartGracefully ends processes by SIGTERM and starts them again.
+// restartGracefully stops processes with SIGTERM and starts them again.
 func (h *Harness) restartGracefully(ctx context.Context, names ...string) error {
 	return processtest.Each(names, func(name string) error { return errors.Join(h.Term(ctx, name), h.Start(ctx, name)) })
 }
 
-// pauseFifth pauses a fifth of the processes for less than a suspicion lasts.
+// pauseFifth pauses a fifth of the processes for less than the suspicion timeout.
 func pauseFifth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.processes.PauseFor(scale.Pause, h.RandomRunning(pausedFraction)...); err != nil {
 		return nil, err
@@ -111,8 +112,8 @@
 	return h.measureConvergence(ctx, time.Now(), scale)
 }
 
-// starveTenth gives a tenth of the processes a tenth of the time: they stay alive in all snapshots, and suspect nobody
-// for long.
+// starveTenth lets a tenth of the processes run for only a tenth of the time. They must not be declared dead, and must
+// not suspect other members for long.
 func starveTenth(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	starvedAt := time.Now()
 	if err := h.processes.Starve(scale.FaultTime, h.RandomRunning(starvedFraction)...); err != nil {
@@ -121,7 +122,7 @@
 	return h.measureFlaps(ctx, starvedAt, scale)
 }
 
-// rollingRestart restarts all processes by SIGTERM, a tenth at a time.
+// rollingRestart gracefully restarts all processes, a tenth at a time.
 func rollingRestart(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	running := h.Running()
 	for part := range slices.Chunk(running, max(1, len(running)/rollingParts)) {
@@ -132,8 +133,8 @@
 	return h.measureConvergence(ctx, time.Now(), scale)
 }
 
-// upgradeSideBySide runs a second process of an agent beside the first: it is no member until the first has ended, and
-// then replaces it.
+// upgradeSideBySide runs a second process of an agent beside the first. The second process must not become a member
+// until the first has ended, and must then replace it.
 func upgradeSideBySide(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	old := h.RandomRunning(oneProcess)[0]
 	upgrade := UpgradeName(old)
@@ -141,7 +142,7 @@
 		return nil, err
 	}
 	if err := h.checkTakesPart(ctx, upgrade, false); err != nil {
-		return nil, fmt.Errorf("beside the first process: %w", err)
+		return nil, fmt.Errorf("while the first process runs: %w", err)
 	}
 	if _, err := h.AwaitConvergence(ctx, time.Now(), scale.ConvergeWithin); err != nil {
 		return nil, err
@@ -155,7 +156,7 @@
 		return metrics, err
 	}
 	if err := h.checkTakesPart(ctx, upgrade, true); err != nil {
-		return metrics, fmt.Errorf("after the first process: %w", err)
+		return metrics, fmt.Errorf("after the end of the first process: %w", err)
 	}
 	if err := h.Term(ctx, upgrade); err != nil {
 		return metrics, err
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// crashAll kills all processes at once and starts them in a random order.
+// crashAll kills all processes concurrently and starts them in parts, in a random order.
 func crashAll(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	if err := h.Kill(ctx, h.Running()...); err != nil {
 		return nil, err
@@ -190,7 +191,8 @@
 	return h.measureConvergence(ctx, time.Now(), scale)
 }
 
-// seedsGone kills every seed for good; the others continue, and find a process that restarts without any seed.
+// seedsGone kills all seeds for good. The other processes must continue without them, and must find a process that
+// restarts.
 func seedsGone(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	killedAt := time.Now()
 	if err := h.Kill(ctx, h.Names[:h.cfg.Seeds]...); err != nil {
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -1,7 +1,7 @@
-// Package membershiptest runs clusters of the real agent on one machine, through a proxy that injects faults between
-// them, and checks their memberships: a checker decides safety over the merged histories of all processes, and the same
-// histories give the times that a change took to be seen by all. The program's tests run its cases at a small size; the
-// command membership runs them at any.
+// Package membershiptest runs clusters of the real agent on one machine, connected through a proxy that injects faults,
+// and checks their memberships. A checker checks safety rules on the merged histories of all processes, which also show
+// how long changes took to reach all of them. The package's own test runs the cases on a small cluster; the membership
+// command runs them on clusters of any size.
 package membershiptest
 
 import (
@@ -21,66 +21,68 @@
 )
 
 const (
-	// zones is the number of zones of the agents.
+	// zones is the number of zones that the agents are divided into.
 	zones = 3
 	// testSite is the site of all agents.
 	testSite = "test"
-	// maxAttempts is the agents' number of attempts for a request, agentCores their share of the processor cores, and
-	// agentSeed their seed.
+	// maxAttempts is the agents' maximum number of attempts for a request.
 	maxAttempts = 3
-	agentCores  = 0.2
-	agentSeed   = "1"
-	// clientPort and adminPort are the ports of an agent's clients and of its admin endpoint. Those of the second
-	// process of an agent are higher by upgradePortOffset.
-	clientPort        = 8000
-	adminPort         = 8001
+	// agentCores is the number of processor cores in the limits of an agent.
+	agentCores = 0.2
+	// agentSeed is the seed of all agents.
+	agentSeed = "1"
+	// clientPort and adminPort are the ports of an agent's clients and of its admin endpoint.
+	clientPort = 8000
+	adminPort  = 8001
+	// upgradePortOffset is added to the ports for the second process of an agent.
 	upgradePortOffset = 10
-	// upgradeSuffix ends the name of the second process of an agent.
+	// upgradeSuffix is the suffix of the name of an agent's second process.
 	upgradeSuffix = "-next"
 )
 
-// Config says what cluster to run.
+// Config configures a Harness.
 type Config struct {
-	Binary string // the built agent
-	Dir    string // for configurations and logs
-	Agents int    // in three zones
-	Seeds  int    // the first so many agents are the seeds of all
-	Seed   uint64 // of all that is drawn
-	// Membership are the timings of the agents' section "fleet".
+	Binary string // path of the agent binary
+	Dir    string // directory for configurations and logs
+	Agents int    // number of agents, divided into three zones
+	Seeds  int    // number of agents, counted from the first, that are the seeds of all agents
+	Seed   uint64 // seed of all random choices
+	// Membership has the timings for the section "fleet" of the agents' configurations.
 	Membership membership.Config
-	// WithoutMembership tells which agents have no section "fleet"; nil: none.
+	// WithoutMembership reports whether the agent with the given number has no section "fleet"; nil means that all have
+	// one.
 	WithoutMembership func(i int) bool
-	// Log takes the course of the cases; nil: it is dropped.
+	// Log receives the results of the cases; nil discards them.
 	Log func(format string, args ...any)
 }
 
-// Harness is a cluster with its proxy and its history.
+// Harness runs a cluster with its proxy and records its history.
 type Harness struct {
 	cfg       Config
 	Proxy     *faultproxy.Proxy
 	processes *processtest.Cluster
 	Names     []string
-	addresses map[string]faultproxy.Addresses // by agent
+	addresses map[string]faultproxy.Addresses // by agent name
 	discovery *http.Server
 	random    *rand.Rand
 
-	exemptions processtest.Exemptions // from the rule that no running process is declared dead
+	exemptions processtest.Exemptions // from RuleFalseDeath
 
 	mu         sync.Mutex
 	identities map[incarnationKey]identity
-	records    map[string]*Record // by the observer's process
+	records    map[string]*Record // by the process of the observer
 }
 
-// UpgradeName is the name of the second process of an agent, beside the first.
+// UpgradeName returns the name of the second process of an agent, which can run beside the first.
 func UpgradeName(name string) string { return name + upgradeSuffix }
 
-// minAgents is the least number of agents that form a cluster.
+// minAgents is the minimum number of agents in a cluster.
 const minAgents = 2
 
-// New makes the cluster's addresses and configurations; nothing runs yet.
+// New prepares the cluster's addresses and configurations, without starting any agent.
 func New(cfg Config) (*Harness, error) {
 	if cfg.Agents < minAgents || cfg.Seeds < 1 || cfg.Seeds > cfg.Agents {
-		return nil, fmt.Errorf("membershiptest: %d agents with %d seeds", cfg.Agents, cfg.Seeds)
+		return nil, fmt.Errorf("membershiptest: invalid cluster of %d agents with %d seeds", cfg.Agents, cfg.Seeds)
 	}
 	if cfg.Log == nil {
 		cfg.Log = func(string, ...any) {}
@@ -104,7 +106,7 @@
 	return h, nil
 }
 
-// prepare makes all that processes need to start.
+// prepare sets up everything that the processes need to start.
 func (h *Harness) prepare() error {
 	if err := h.addRelays(); err != nil {
 		return err
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// addRelays names the agents and makes their relays.
+// addRelays names the agents and creates their relays.
 func (h *Harness) addRelays() error {
 	for i := range h.cfg.Agents {
 		name := fmt.Sprintf("a%03d", i)
@@ -149,8 +151,8 @@
 	return nil
 }
 
-// writeConfig writes the configuration of a process of the agent of a number; the second process of an agent has the
-// same but for its clients' and admin addresses.
+// writeConfig writes the configuration of a process of the agent with the given name and number. The second process of
+// an agent differs from the first only in its client and admin addresses.
 func (h *Harness) writeConfig(agent, process string, number int) error {
 	fleet := h.cfg.Membership
 	fleet.Bind = h.addresses[agent].Bind
@@ -177,28 +179,28 @@
 	return file.Write(h.cfg.Dir, process)
 }
 
-// address is an address of a process for those outside the membership.
+// address returns the address of one of a process's ports outside the membership.
 func (h *Harness) address(process string, port int) string {
 	agent, isUpgrade := strings.CutSuffix(process, upgradeSuffix)
 	if isUpgrade {
 		port += upgradePortOffset
 	}
-	host, _, _ := net.SplitHostPort(h.addresses[agent].Bind) // the proxy made it
+	host, _, _ := net.SplitHostPort(h.addresses[agent].Bind) // the proxy created a valid address
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// isWithoutMembership tells whether an agent has no section "fleet".
+// isWithoutMembership reports whether an agent has no section "fleet".
 func (h *Harness) isWithoutMembership(name string) bool {
 	return h.cfg.WithoutMembership != nil && h.cfg.WithoutMembership(slices.Index(h.Names, name))
 }
 
-// Close ends every process, the proxy and the discovery.
+// Close stops all processes, the discovery service and the proxy.
 func (h *Harness) Close() {
 	if h.processes != nil {
-		_ = processtest.Each(h.processes.Names(), h.processes.Kill) // it waits for the ends, however they come
+		_ = processtest.Each(h.processes.Names(), h.processes.Kill) // waits until the processes have ended, however they end
 	}
 	if h.discovery != nil {
-		_ = h.discovery.Close() // no process is left to use it
+		_ = h.discovery.Close() // no running process uses it any more
 	}
 	h.Proxy.Close()
 }
--- a/internal/membershiptest/history.go
+++ b/internal/membershiptest/history.go
@@ -9,37 +9,38 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// ProcessIncarnation is one run of an agent, with its identity in the membership.
+// ProcessIncarnation is an incarnation of an agent's process with its identity in the membership.
 type ProcessIncarnation struct {
 	processtest.Incarnation
-	Name    string // of the agent
-	Process string // the identity
+	Name    string // name of the agent
+	Process string // identity in the membership
 }
 
-// endedBefore tells whether a process is known to have ended before another began.
+// endedBefore reports whether a process is known to have ended before another one started.
 func (p *ProcessIncarnation) endedBefore(other *ProcessIncarnation) bool {
 	return p != nil && other != nil && p.EndedBefore(other.Incarnation)
 }
 
-// identity is what an incarnation of a process answered first: its agent's name and its identity in the membership.
+// identity is the identity that an incarnation of a process reported: its agent's name and its process identity in the
+// membership.
 type identity struct {
 	agent, process string
 }
 
-// incarnationKey identifies an incarnation by the name of its process in the cluster and its number, from zero.
+// incarnationKey identifies an incarnation by the name of its process in the cluster and its number, counted from 0.
 type incarnationKey struct {
 	processName string
 	number      int
 }
 
-// Record is what one process saw, in its order.
+// Record contains the changes that one process observed, in order.
 type Record struct {
 	Observer string
 	Process  string
 	Changes  []membership.Change
 }
 
-// last is the number of the last change.
+// last returns the number of the last change, or 0 if there is none.
 func (r *Record) last() uint64 {
 	if n := len(r.Changes); n > 0 {
 		return r.Changes[n-1].Number
@@ -57,7 +58,7 @@
 	}
 }
 
-// convergedAt is when the snapshot came to a digest for good.
+// convergedAt returns when the snapshot last reached the given digest, or the zero time if it now has another one.
 func (r *Record) convergedAt(digest string) time.Time {
 	var at time.Time
 	for _, change := range slices.Backward(r.Changes) {
@@ -69,10 +70,10 @@
 	return at
 }
 
-// changeTime is when a change was made.
+// changeTime returns the time of a change.
 func changeTime(change membership.Change) time.Time { return time.UnixMicro(change.UnixUs) }
 
-// incarnations are the runs of all processes that answered, in the order of their starts.
+// incarnations returns the incarnations of all processes that reported an identity, in the order of their starts.
 func (h *Harness) incarnations() []*ProcessIncarnation {
 	h.mu.Lock()
 	identities := maps.Clone(h.identities)
@@ -93,7 +94,7 @@
 	return incarnations
 }
 
-// sortedRecords are copies of the records, the longest first.
+// sortedRecords returns copies of the records, the longest first.
 func (h *Harness) sortedRecords() []*Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,7 +110,7 @@
 	return records
 }
 
-// timeline is what all processes saw of one, and its start and end, in the order of time.
+// timeline returns the timeline of a process: its start, its end and the changes of it that all processes saw.
 func (h *Harness) timeline(process string) string {
 	timeline := new(processtest.Timeline)
 	for _, incarnation := range h.incarnations() {
--- a/internal/membershiptest/journal.go
+++ b/internal/membershiptest/journal.go
@@ -12,27 +12,27 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// Run is one run of a case: its metrics, or why it failed. The JSON keys are those of records.
+// Run is the result of running a case: its metrics, or the reason of its failure. The JSON keys are those of a record.
 type Run struct {
 	Case       string              `json:"case"`
 	Agents     int                 `json:"agents"`
-	Seed       uint64              `json:"seed"` // of the harness that ran it
+	Seed       uint64              `json:"seed"` // seed of the harness
 	Commit     string              `json:"commit"`
 	Processors int                 `json:"processors"`
 	Metrics    processtest.Metrics `json:"figures,omitempty"`
 	Failed     string              `json:"failed,omitempty"`
 }
 
-// Journal has the runs of cases, each written as soon as it has ended.
+// Journal collects the runs of cases and writes each run as soon as it has ended.
 type Journal struct {
 	Commit     string
 	Agents     int
 	Processors int
-	Out        io.Writer // a JSON object a line; nil: nothing is written
+	Out        io.Writer // receives one JSON object per line; nil disables writing
 	runs       []Run
 }
 
-// Add adds a run; the error is that of writing it.
+// Add adds a run and writes it to Out.
 func (j *Journal) Add(name string, seed uint64, metrics processtest.Metrics, failed error) error {
 	run := Run{
 		Case:       name,
@@ -52,7 +52,7 @@
 	return json.NewEncoder(j.Out).Encode(run)
 }
 
-// Read adds the runs of a record.
+// Read adds the runs of a record without writing them to Out.
 func (j *Journal) Read(from io.Reader) error {
 	decoder := json.NewDecoder(from)
 	for number := 1; ; number++ {
@@ -68,7 +68,7 @@
 	}
 }
 
-// FailedRunsError tells that some of a journal's runs failed.
+// FailedRunsError reports that some runs of a journal failed.
 type FailedRunsError struct {
 	Failed, Runs int
 }
@@ -77,14 +77,14 @@
 	return fmt.Sprintf("%d of %d runs failed", e.Failed, e.Runs)
 }
 
-// tableKey identifies a line of the table.
+// tableKey identifies a row of the table.
 type tableKey struct {
 	agents       int
 	name, metric string
 }
 
-// Table writes the median, 99th percentile and worst of each metric of each case by number of agents, and the runs that
-// failed, by their seeds; if any did, the error is a FailedRunsError.
+// Table writes a table with the median, the 99th percentile and the worst value of each metric, by case and number of
+// agents. A list of the failed runs with their seeds follows. If there are any, it returns a *FailedRunsError.
 func (j *Journal) Table(out io.Writer) error {
 	var text strings.Builder
 	text.WriteString("| agents | case | figure | runs | median | p99 | worst |\n")
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// valuesByKey are the values of each metric of the runs that did not fail, and their keys in the order of the runs.
+// valuesByKey returns the values of each metric of the successful runs, and the keys in the order of the runs.
 func (j *Journal) valuesByKey() ([]tableKey, map[tableKey][]float64) {
 	var keys []tableKey
 	values := map[tableKey][]float64{}
@@ -127,7 +127,7 @@
 	return keys, values
 }
 
-// writeFailed writes the runs that failed, and returns their number.
+// writeFailed writes the failed runs and returns their number.
 func (j *Journal) writeFailed(text *strings.Builder) int {
 	failed := 0
 	for _, run := range j.runs {
--- a/internal/membershiptest/journal_test.go
+++ b/internal/membershiptest/journal_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// earlierRecord is a record with each key that records have.
+// earlierRecord is a record that contains each key of a run.
 const earlierRecord = `{"case":"kill a tenth","agents":24,"seed":7,"commit":"abc1234","processors":8,` +
 	`"figures":{"detect p50 ms":310,"settle ms":812}}
 {"case":"loss 5 %","agents":24,"seed":8,"commit":"abc1234","processors":8,"failed":"not within 1m0s"}
 `
 
-// TestJournalReadsEarlierRecord reads a record, prints its table and writes the same record again.
+// TestJournalReadsEarlierRecord checks that a Journal reads a record in the stored format, prints its table and writes
+// the same record again.
 func TestJournalReadsEarlierRecord(t *testing.T) {
 	var read Journal
 	if err := read.Read(strings.NewReader(earlierRecord)); err != nil {
@@ -21,14 +22,14 @@
 	var table strings.Builder
 	var failed *FailedRunsError
 	if err := read.Table(&table); !errors.As(err, &failed) || *failed != (FailedRunsError{Failed: 1, Runs: 2}) {
-		t.Errorf("the table's error is %v", err)
+		t.Errorf("Table returned the error %v, want 1 failed run of 2", err)
 	}
 	for _, line := range []string{
 		"| 24 | kill a tenth | settle ms | 1 | 812 | 812 | 812 |\n",
 		"FAILED: loss 5 %, 24 agents, seed 8, commit abc1234: not within 1m0s\n",
 	} {
 		if !strings.Contains(table.String(), line) {
-			t.Errorf("the table has no line %q:\n%s", line, &table)
+			t.Errorf("table without the line %q:\n%s", line, &table)
 		}
 	}
 	var text strings.Builder
@@ -43,6 +44,6 @@
 		}
 	}
 	if text.String() != earlierRecord {
-		t.Errorf("written again:\n%s\nwant:\n%s", &text, earlierRecord)
+		t.Errorf("wrote the record:\n%s\nwant:\n%s", &text, earlierRecord)
 	}
 }
