--- a/cmd/membership/cluster.go
+++ b/cmd/membership/cluster.go
@@ -7,15 +7,15 @@
 	"fernbeam.example/fernbeam/internal/membershiptest"
 )
 
-// cluster is a test cluster with its directory.
+// cluster is a test cluster with its working directory.
 type cluster struct {
 	*membershiptest.Harness
 	dir     string
 	keepDir bool
 }
 
-// newCluster makes a cluster of a plan and a seed; nothing runs yet. The agents' logs are kept in logDir, if it is not
-// empty.
+// newCluster creates the cluster of a plan with a seed, without starting any agent. If logDir is not empty, the agents'
+// logs are kept in a directory inside it.
 func newCluster(p plan, seed uint64, logDir string, withoutMembership func(i int) bool) (*cluster, error) {
 	binary, err := filepath.Abs(p.Binary)
 	if err != nil {
@@ -42,14 +42,15 @@
 	return c, nil
 }
 
-// close ends the cluster and removes its directory.
+// close stops the cluster and removes its directory.
 func (c *cluster) close() {
 	c.Close()
 	c.removeDir()
 }
 
+// removeDir removes the directory, unless the logs are to be kept.
 func (c *cluster) removeDir() {
 	if !c.keepDir {
-		_ = os.RemoveAll(c.dir) // a directory that stays in the temporary one does no harm
+		_ = os.RemoveAll(c.dir) // a directory left behind in the temporary one is harmless
 	}
 }
--- a/cmd/membership/experiment.go
+++ b/cmd/membership/experiment.go
@@ -4,28 +4,30 @@
 	"github.com/spf13/cobra"
 )
 
-// experimentCommand runs fault cases as a plan says.
+// experimentCommand returns the command that runs the fault cases of a plan.
 func experimentCommand() *cobra.Command {
 	var path, record, logDir string
 	cmd := &cobra.Command{
 		Use:   "experiment",
-		Short: "run clusters of the real agent with faults and print what they measured",
-		Long: `Runs the membership's fault cases on this machine, each as often as the plan says, checks
-every history, and prints a table: the median, 99th percentile and worst of each metric.
-All cases are run in turn, then all again on the next seed: a run that fails is named with
-its seed, from which its faults can be drawn again. With --record each run is kept as soon as
-it has ended, and "figures" prints the table of all runs of several records. The plan is a
-TOML file:
+		Short: "run fault cases on clusters of the real agent and print their metrics",
+		Long: `Runs the membership's fault cases on this machine, checks the history of every run, and prints
+a table with the median, the 99th percentile and the worst value of each metric. A round runs
+all cases in turn, and each round uses the next seed. The report of a failed run includes its
+seed, which reproduces the random choice of its faults. With --record, each run is recorded as
+soon as it has ended; "figures" prints the table of all runs of several records. The plan is a
+TOML file with these keys and defaults:
 
-  binary = "bin/agent"   the built agent
-  agents = 24                processes; 300 take some 6 GB
-  seeds = 3, seed = 1, runs = 1
-  cases = []                 by name; empty: all
+  binary = "bin/agent"       path of the agent binary
+  agents = 24                number of processes; 300 need about 6 GB of memory
+  seeds = 3                  number of agents that are the seeds of all agents
+  seed = 1, runs = 1         random seed of the first round, and number of rounds
+  cases = []                 names of the cases; empty means all
   costs = "0s"               how long traffic, CPU, memory and latency are measured
-  cut = "5s", long = "45s", pause = "3s", faulty = "20s", loss = "60s", within = "120s"
-                             of the faults, and the time to converge in
+  cut = "5s", long = "45s", pause = "3s", faulty = "20s", loss = "60s"
+                             durations of the faults
+  within = "120s"            maximum time to converge
   probe_interval, suspect_timeout, settle, forget (10s), reclaim, reconnect
-                             the agents' timings; default: theirs`,
+                             timings of the agents; the agents' own defaults if missing`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p, err := loadPlan(path)
@@ -36,17 +38,17 @@
 			return r.run(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&path, "config", "experiment.toml", "the plan")
-	cmd.Flags().StringVar(&logDir, "logs", "", "directory in which the agents' logs are kept; default: they are removed")
-	cmd.Flags().StringVar(&record, "record", "", "file to which each run is added, a JSON object a line")
+	cmd.Flags().StringVar(&path, "config", "experiment.toml", "plan file")
+	cmd.Flags().StringVar(&logDir, "logs", "", "directory for the agents' logs (default: logs are removed)")
+	cmd.Flags().StringVar(&record, "record", "", "file to which each run is appended as a line of JSON")
 	return cmd
 }
 
-// figuresCommand prints the table of records that were made at several times.
+// figuresCommand returns the command that prints the table of the runs in several records.
 func figuresCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "figures FILE...",
-		Short: "print the table of all runs of experiments' records",
+		Short: "print the table of all runs in the records of experiments",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			journal, err := readRecords(paths)
--- a/cmd/membership/main.go
+++ b/cmd/membership/main.go
@@ -1,10 +1,9 @@
-// Command membership shows operators what the agents of a site see of each other ("view"), and runs the membership's
-// fault experiments: clusters of the real agent on this machine with injected faults ("experiment"; "figures" prints
-// the table of earlier ones).
+// Command membership shows how the agents of a site see each other ("view"), runs fault experiments on clusters of the
+// real agent on this machine ("experiment"), and prints the metrics of earlier experiments ("figures").
 //
-// Tables go to standard output, errors to standard error. The exit status is 0 if the command did what it should, and
-// 1 otherwise: if the command line or a file can't be used; for "view" without --json also if an agent does not answer
-// or digests differ; and for "experiment" and "figures" also if a run failed or the experiment was interrupted.
+// Tables go to standard output and errors to standard error. The exit status is 0 on success. It is 1 if the command
+// line or a file can't be used; for "view" without --json also if an agent does not respond or the digests differ; and
+// for "experiment" and "figures" also if a run failed or the experiment was interrupted.
 package main
 
 import (
@@ -30,17 +29,17 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "membership:", err) // there is nowhere else to report it
+		_, _ = fmt.Fprintln(os.Stderr, "membership:", err) // an error in writing to stderr can't be reported
 		return exitFailed
 	}
 	return exitOK
 }
 
-// rootCommand is the command line with all its commands.
+// rootCommand returns the root command with its subcommands.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "membership",
-		Short:         "the agents' membership, and its experiments",
+		Short:         "inspect the membership of agents and run experiments on it",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/membership/plan.go
+++ b/cmd/membership/plan.go
@@ -11,10 +11,10 @@
 	"fernbeam.example/fernbeam/internal/membershiptest"
 )
 
-// minAgents is the least number of agents that the fault cases need.
+// minAgents is the minimum number of agents that the fault cases need.
 const minAgents = 5
 
-// The defaults of a plan; --help names them too.
+// The defaults of a plan. The help text of the experiment command repeats them.
 const (
 	defaultBinary         = "bin/agent"
 	defaultAgents         = 24
@@ -30,14 +30,15 @@
 	defaultForget         = 10 * time.Second
 )
 
-// plan is the TOML file of an experiment. Times are such as "300ms"; what is left out has the value that --help names.
+// plan is the plan of an experiment, a TOML file. Durations have Go's format, such as "300ms". The help text of the
+// experiment command lists the defaults of missing keys.
 type plan struct {
-	Binary string        `toml:"binary"` // the built agent
+	Binary string        `toml:"binary"` // path of the agent binary
 	Agents int           `toml:"agents"`
 	Seeds  int           `toml:"seeds"`
 	Seed   uint64        `toml:"seed"`
-	Runs   int           `toml:"runs"`  // of each case, each on a cluster of its own seed
-	Cases  []string      `toml:"cases"` // empty: all
+	Runs   int           `toml:"runs"`  // number of runs of each case, each with its own seed
+	Cases  []string      `toml:"cases"` // names of the cases; empty means all
 	Costs  time.Duration `toml:"costs"` // how long traffic, CPU, memory and latency are measured
 
 	membershiptest.Scale
@@ -50,7 +51,7 @@
 	Reconnect      time.Duration `toml:"reconnect"`
 }
 
-// defaultPlan is the plan of an empty file.
+// defaultPlan returns the plan of an empty file.
 func defaultPlan() plan {
 	return plan{
 		Binary: defaultBinary,
@@ -70,7 +71,7 @@
 	}
 }
 
-// loadPlan reads a plan; the error names an unknown key or an invalid value.
+// loadPlan reads and checks a plan. An error about an unknown key or an invalid value names the key.
 func loadPlan(path string) (plan, error) {
 	p := defaultPlan()
 	metadata, err := toml.DecodeFile(path, &p)
@@ -86,13 +87,13 @@
 	return p, nil
 }
 
-// keyError says that a key of a plan has an invalid value.
+// keyError reports an invalid value of a key in a plan.
 type keyError struct {
 	key     string
 	problem string
 }
 
-// Error names the key and what is wrong with its value.
+// Error returns the key and the problem with its value.
 func (e *keyError) Error() string { return fmt.Sprintf("key %s: %s", e.key, e.problem) }
 
 // invalid returns a *keyError.
@@ -100,33 +101,33 @@
 	return &keyError{key: key, problem: fmt.Sprintf(format, args...)}
 }
 
-// check tells why a plan can't be run; its error is a *keyError.
+// check returns a *keyError if the plan is invalid.
 func (p plan) check() error {
 	for _, name := range p.Cases {
 		if !isCase(name) {
-			return invalid("cases", "there is no case %q", name)
+			return invalid("cases", "unknown case %q", name)
 		}
 	}
 	switch {
 	case p.Runs < 0:
-		return invalid("runs", "must be 0 or more, is %d", p.Runs)
+		return invalid("runs", "must be at least 0, is %d", p.Runs)
 	case p.Agents < minAgents:
-		return invalid("agents", "must be %d at least, is %d", minAgents, p.Agents)
+		return invalid("agents", "must be at least %d, is %d", minAgents, p.Agents)
 	case p.Seeds < 1 || p.Seeds >= p.Agents:
-		return invalid("seeds", "must be above 0 and below the %d agents, is %d", p.Agents, p.Seeds)
+		return invalid("seeds", "must be above 0 and below the number of agents, %d, is %d", p.Agents, p.Seeds)
 	}
 	return nil
 }
 
-// isCase tells whether there is a fault case of a name.
+// isCase reports whether there is a fault case with the given name.
 func isCase(name string) bool {
 	return slices.ContainsFunc(membershiptest.Cases, func(c membershiptest.Case) bool { return c.Name == name })
 }
 
-// hasCase tells whether the plan has a case.
+// hasCase reports whether the plan includes a case.
 func (p plan) hasCase(name string) bool { return len(p.Cases) == 0 || slices.Contains(p.Cases, name) }
 
-// membershipConfig are the timings of the agents' memberships.
+// membershipConfig returns the membership configuration with the plan's timings.
 func (p plan) membershipConfig() membership.Config {
 	return membership.Config{
 		ProbeIntervalMs:  toMs(p.ProbeInterval),
@@ -138,5 +139,5 @@
 	}
 }
 
-// toMs is a time in whole milliseconds.
+// toMs returns a duration in whole milliseconds.
 func toMs(d time.Duration) int { return int(d.Milliseconds()) }
--- a/cmd/membership/plan_test.go
+++ b/cmd/membership/plan_test.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/membershiptest"
 )
 
-// An error about a plan names the key.
+// TestLoadPlanErrorsNameTheKey checks that the error about an invalid plan names the key that is invalid.
 func TestLoadPlanErrorsNameTheKey(t *testing.T) {
 	for text, key := range map[string]string{
 		"agentz = 5":            "agentz",
@@ -26,12 +26,13 @@
 			t.Fatal(err)
 		}
 		if _, err := loadPlan(path); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name %s", text, err, key)
+			t.Errorf("plan %q: error %v does not name the key %s", text, err, key)
 		}
 	}
 }
 
-// The keys of the faults' times set them, and the others keep their defaults.
+// TestLoadPlanReadsTimes checks that the keys for times set the right fields, and that times without a key keep their
+// defaults.
 func TestLoadPlanReadsTimes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "cut = \"1s\"\nlong = \"2s\"\npause = \"3ms\"\nfaulty = \"4s\"\nwithin = \"6s\"\nprobe_interval = \"7ms\""
@@ -51,6 +52,6 @@
 		ConvergeWithin: 6 * time.Second,
 	}
 	if got.Scale != want || got.ProbeInterval != 7*time.Millisecond || got.Forget != defaultForget {
-		t.Errorf("the plan is %+v", got)
+		t.Errorf("loadPlan returned %+v, want the times of the file and defaults for the others", got)
 	}
 }
--- a/cmd/membership/record.go
+++ b/cmd/membership/record.go
@@ -7,15 +7,15 @@
 	"fernbeam.example/fernbeam/internal/membershiptest"
 )
 
-// recordMode is the mode of a record file.
+// recordMode is the file mode of a new record.
 const recordMode = 0o644
 
-// openRecord opens a record to which runs are added.
+// openRecord opens a record for appending runs and creates it if needed.
 func openRecord(path string) (*os.File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, recordMode)
 }
 
-// readRecords reads the runs of records into one journal.
+// readRecords reads the runs of several records into one journal.
 func readRecords(paths []string) (*membershiptest.Journal, error) {
 	journal := new(membershiptest.Journal)
 	for _, path := range paths {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	if err := journal.Read(file); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/membership/runner.go
+++ b/cmd/membership/runner.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// agentMemoryMB is the memory that one agent takes in an experiment.
+	// agentMemoryMB is the memory that an agent needs in an experiment.
 	agentMemoryMB = 20
-	// agentsWithoutMembership is the number of agents without one while costs are measured.
+	// agentsWithoutMembership is the number of agents without a membership in the cost measurement.
 	agentsWithoutMembership = 2
-	// latencyRate is the number of requests a second by which latency is measured.
+	// latencyRate is the request rate of the latency measurement, per second.
 	latencyRate = 100
-	// costsCase is the name under which costs are recorded.
+	// costsCase is the case name of the cost measurement in the record.
 	costsCase = "costs"
 )
 
@@ -29,12 +29,12 @@
 // runner runs a plan.
 type runner struct {
 	plan       plan
-	logDir     string // where the agents' logs are kept; empty: they are removed
-	recordPath string // the file to which each run is added; empty: none
+	logDir     string // directory for the agents' logs; if empty, they are removed
+	recordPath string // file to which each run is appended; empty for none
 	journal    *membershiptest.Journal
 }
 
-// run runs the plan and prints the table of its runs, also where it could not be finished.
+// run runs the plan and prints the table of its runs, even if the plan could not be completed.
 func (r *runner) run(ctx context.Context, out io.Writer) (err error) {
 	if err := checkMemory(r.plan.Agents); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return err
 }
 
-// runAll runs the rounds of the plan and measures the costs, until the context ends.
+// runAll runs the rounds of the plan and then the cost measurement. It stops early if the context is canceled.
 func (r *runner) runAll(ctx context.Context) error {
 	for round := range r.plan.Runs {
 		if err := r.runRound(ctx, r.plan.Seed+uint64(round)); err != nil {
@@ -70,28 +70,28 @@
 		}
 	}
 	if r.plan.Costs > 0 && ctx.Err() == nil {
-		return r.measureCosts(context.WithoutCancel(ctx)) // to its end: an interrupt counts between runs
+		return r.measureCosts(context.WithoutCancel(ctx)) // an interrupt takes effect only between runs
 	}
 	return nil
 }
 
-// checkMemory checks that this machine has the memory for a number of agents.
+// checkMemory checks that the machine has enough free memory for the given number of agents.
 func checkMemory(agents int) error {
 	need, free := agents*agentMemoryMB, processtest.AvailableMemoryMB()
 	if need > free {
-		return fmt.Errorf("%d agents take some %d MB, and %d MB are free", agents, need, free)
+		return fmt.Errorf("%d agents need about %d MB of memory, but only %d MB are free", agents, need, free)
 	}
 	return nil
 }
 
-// currentCommit is the short hash of the working directory's commit; empty if it has none.
+// currentCommit returns the short hash of the working directory's commit, or "" if there is none.
 func currentCommit(ctx context.Context) string {
-	hash, _ := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output() // a record may lack it
+	hash, _ := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output() // optional in a record
 	return strings.TrimSuffix(string(hash), "\n")
 }
 
-// runRound runs the plan's cases in turn, on a cluster of a seed. A run that fails ends its cluster, and the round goes
-// on with a new one.
+// runRound runs the plan's cases in turn on a cluster with the given seed. After a failed run or a case that ends its
+// cluster, the round continues on a new cluster.
 func (r *runner) runRound(ctx context.Context, seed uint64) error {
 	var c *cluster
 	defer func() {
@@ -109,7 +109,7 @@
 				return err
 			}
 		}
-		// An interrupt counts between runs: a run goes to its end.
+		// An interrupt takes effect only between runs: a started run is completed.
 		metrics, runErr := c.RunCase(context.WithoutCancel(ctx), faultCase, r.plan.Scale)
 		if err := r.journal.Add(faultCase.Name, seed, metrics, runErr); err != nil {
 			return err
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// measureCosts measures what the membership takes, beside agents that have none.
+// measureCosts measures the costs of the membership by comparing agents with and without one in the same cluster.
 func (r *runner) measureCosts(ctx context.Context) error {
 	p := r.plan
 	firstWithout := p.Agents - agentsWithoutMembership
--- a/cmd/membership/view.go
+++ b/cmd/membership/view.go
@@ -18,108 +18,113 @@
 )
 
 const (
-	// defaultViewTimeout is how long an agent may take to answer, unless --within says otherwise.
+	// defaultViewTimeout is the default of --within, which bounds the time for the agents to respond.
 	defaultViewTimeout = 2 * time.Second
-	// maxNamedObservers is how many agents are named that see a member in the same way.
+	// maxNamedObservers is the maximum number of agents named for each state in which agents see a member.
 	maxNamedObservers = 3
-	// columnGap is the number of spaces between two columns.
+	// columnGap is the number of spaces between columns.
 	columnGap = 2
 )
 
-// viewCommand compares the snapshots of several agents.
+// viewCommand returns the command that compares the snapshots of several agents.
 func viewCommand() *cobra.Command {
 	var asJSON bool
 	var timeout time.Duration
 	cmd := &cobra.Command{
 		Use:   "view ADDR...",
-		Short: "print the snapshots of agents side by side and where they differ",
-		Long: "Calls each agent's admin endpoint (host:port) for its snapshot of the members. The exit status is 1\n" +
-			"if one does not answer or their digests differ.",
+		Short: "compare the membership snapshots of agents and print the differences",
+		Long: "Reads the membership snapshot of each agent from its admin endpoint (host:port). The exit status is 1\n" +
+			"if an agent does not respond or the digests differ.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, addrs []string) error {
-			answers := fetchAll(cmd.Context(), addrs, timeout)
+			statuses := fetchAll(cmd.Context(), addrs, timeout)
 			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(answers)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(statuses)
 			}
-			return show(cmd.OutOrStdout(), answers)
+			return show(cmd.OutOrStdout(), statuses)
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print the answers as one JSON list")
-	cmd.Flags().DurationVar(&timeout, "within", defaultViewTimeout, "how long an agent may take to answer")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the statuses as one JSON array and don't compare them")
+	cmd.Flags().DurationVar(&timeout, "within", defaultViewTimeout, "how long an agent may take to respond")
 	return cmd
 }
 
-// answer is an agent's status, or why there is none.
-type answer struct {
+// agentStatus is an agent's status, or the error of the call.
+type agentStatus struct {
 	Addr   string             `json:"addr"`
 	Error  string             `json:"error,omitempty"`
 	Status *membership.Status `json:"view,omitempty"`
 }
 
-// fetchAll calls all agents at once.
-func fetchAll(ctx context.Context, addrs []string, timeout time.Duration) []answer {
+// fetchAll fetches the statuses of all agents concurrently.
+func fetchAll(ctx context.Context, addrs []string, timeout time.Duration) []agentStatus {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answers := make([]answer, len(addrs))
+	statuses := make([]agentStatus, len(addrs))
 	var calls sync.WaitGroup
 	for i, addr := range addrs {
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			answers[i] = fetch(ctx, addr)
+			statuses[i] = fetch(ctx, addr)
 		}()
 	}
 	calls.Wait()
-	return answers
+	return statuses
 }
 
-// fetch calls one agent.
-func fetch(ctx context.Context, addr string) answer {
+// fetch fetches the status of one agent.
+func fetch(ctx context.Context, addr string) agentStatus {
 	status, err := membership.FetchStatus(ctx, addr, "")
 	if err != nil {
-		return answer{Addr: addr, Error: err.Error()}
+		return agentStatus{Addr: addr, Error: err.Error()}
 	}
-	return answer{Addr: addr, Status: status}
+	return agentStatus{Addr: addr, Status: status}
 }
 
-// disagreementError tells that the agents do not all answer with the same digest.
+// disagreementError reports that agents do not respond or that their digests differ.
 type disagreementError struct {
-	digests, differing, silent, agents int
+	digests, differing, unresponsive, agents int
 }
 
 func (e *disagreementError) Error() string {
-	return fmt.Sprintf("%d digests, %d members seen differently, %d of %d agents silent",
-		e.digests, e.differing, e.silent, e.agents)
+	return fmt.Sprintf("%d digests, %d members seen differently, %d of %d agents did not respond",
+		e.digests, e.differing, e.unresponsive, e.agents)
 }
 
-// show prints a line for each agent, then a line for each member that not all see alike.
-func show(out io.Writer, answers []answer) error {
+// show prints a table with a row for each agent, and one with a row for each member that agents see differently.
+func show(out io.Writer, statuses []agentStatus) error {
 	var text bytes.Buffer
-	showAgents(&text, answers)
-	differing := showDifferences(&text, answers)
+	showAgents(&text, statuses)
+	differing := showDifferences(&text, statuses)
 	if _, err := text.WriteTo(out); err != nil {
 		return err
 	}
 	digests := map[string]bool{}
-	silent := 0
-	for _, a := range answers {
+	unresponsive := 0
+	for _, a := range statuses {
 		if a.Status == nil {
-			silent++
+			unresponsive++
 			continue
 		}
 		digests[a.Status.Digest] = true
 	}
-	if len(digests) > 1 || silent > 0 {
-		return &disagreementError{digests: len(digests), differing: differing, silent: silent, agents: len(answers)}
+	if len(digests) > 1 || unresponsive > 0 {
+		return &disagreementError{
+			digests:      len(digests),
+			differing:    differing,
+			unresponsive: unresponsive,
+			agents:       len(statuses),
+		}
 	}
 	return nil
 }
 
-// showAgents prints a table with a line for each agent.
-func showAgents(text *bytes.Buffer, answers []answer) {
+// showAgents prints a table with a row for each agent.
+func showAgents(text *bytes.Buffer, statuses []agentStatus) {
 	table := newTable(text)
 	printTo(table, "AGENT\tPROCESS\tMEMBER\tVIEW\tDIGEST\tPRESENT\tAT LEAST\tAT MOST\tQUORATE\tUNCHANGED\tADMIN\n")
-	for _, a := range answers {
+	for _, a := range statuses {
 		s := a.Status
 		if s == nil {
 			printTo(table, "?\t%s\t\t\t\t\t\t\t\t\t%s\n", a.Error, a.Addr)
@@ -132,15 +137,15 @@
 	flush(table)
 }
 
-// showDifferences prints a line for each member that not all agents see alike, and returns their number.
-func showDifferences(text *bytes.Buffer, answers []answer) int {
+// showDifferences prints a row for each member that agents see differently, and returns the number of these members.
+func showDifferences(text *bytes.Buffer, statuses []agentStatus) int {
 	table := newTable(text)
 	differing := 0
-	states := statesByMember(answers)
+	states := statesByMember(statuses)
 	for _, name := range slices.Sorted(maps.Keys(states)) {
-		observers := observersByState(states[name], answers)
+		observers := observersByState(states[name], statuses)
 		if len(observers) <= 1 {
-			continue // all agents see it alike
+			continue // all agents see the member in the same state
 		}
 		differing++
 		printTo(table, "differs: %s", name)
@@ -157,17 +162,17 @@
 	return differing
 }
 
-// statesByMember are each member's process and state, as each agent that answered sees them; empty: it does not know
-// the member.
-func statesByMember(answers []answer) map[string][]string {
+// statesByMember returns, for each member, its process and state as seen by each agent, in the order of the agents. The
+// state is empty if an agent did not respond or does not know the member.
+func statesByMember(statuses []agentStatus) map[string][]string {
 	states := map[string][]string{}
-	for i, a := range answers {
+	for i, a := range statuses {
 		if a.Status == nil {
 			continue
 		}
 		for _, member := range a.Status.Members {
 			if states[member.Name] == nil {
-				states[member.Name] = make([]string, len(answers))
+				states[member.Name] = make([]string, len(statuses))
 			}
 			states[member.Name][i] = fmt.Sprintf("%s %s", member.Process, member.State)
 		}
@@ -175,26 +180,26 @@
 	return states
 }
 
-// observersByState are the names of the agents that answered, by the state in which they see a member.
-func observersByState(states []string, answers []answer) map[string][]string {
+// observersByState returns the names of the agents that responded, by the state in which they see a member.
+func observersByState(states []string, statuses []agentStatus) map[string][]string {
 	observers := map[string][]string{}
 	for i, state := range states {
-		if status := answers[i].Status; status != nil {
+		if status := statuses[i].Status; status != nil {
 			observers[state] = append(observers[state], status.Self)
 		}
 	}
 	return observers
 }
 
-// newTable is a table whose columns are as wide as their cells.
+// newTable returns a table with aligned columns.
 func newTable(text *bytes.Buffer) *tabwriter.Writer {
 	return tabwriter.NewWriter(text, 0, 0, columnGap, ' ', 0)
 }
 
-// printTo prints to a table in memory, which takes every write.
+// printTo prints to a table. Writes to its memory buffer never fail.
 func printTo(table *tabwriter.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(table, format, args...)
 }
 
-// flush ends a table in memory, which takes every write.
+// flush completes a table. Writes to its memory buffer never fail.
 func flush(table *tabwriter.Writer) { _ = table.Flush() }
