--- a/internal/configtest/discovery.go
+++ b/internal/configtest/discovery.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // nothing was written, so an error has no effect
+	defer func() { _ = resp.Body.Close() }() // the body is only read, so an error has no effect
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("configtest: %s responded with status %d to %s %s", instance, resp.StatusCode, method, path)
 	}
