--- a/internal/membershiptest/check_test.go
+++ b/internal/membershiptest/check_test.go
@@ -60,9 +60,9 @@
 	return rules
 }
 
-// TestCheckerFindsEachBrokenRule checks that the checker accepts a valid history, and that it reports the violated rule
-// after a change to that history that violates it.
-func TestCheckerFindsEachBrokenRule(t *testing.T) {
+// TestCheckerFindsEachViolatedRule checks that the checker accepts a valid history, and that it reports the violated
+// rule after a change to that history that violates it.
+func TestCheckerFindsEachViolatedRule(t *testing.T) {
 	if got := violatedRules(validChanges(), partition); got != nil {
 		t.Fatalf("violations in a valid history: %v", got)
 	}
