--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -31,8 +31,8 @@
 	return c.Idempotency == balancer.Idempotent || inWholeFleet
 }
 
-// outsideScope tells whether two attempts reached servers that do not drop each other's duplicates.
-func (c *Class) outsideScope(a, b *Attempt) bool {
+// inDifferentScopes tells whether two attempts reached servers that do not drop each other's duplicates.
+func (c *Class) inDifferentScopes(a, b *Attempt) bool {
 	switch c.DedupScope {
 	case balancer.DedupCell:
 		return a.Cell != b.Cell
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -122,10 +122,10 @@
 func (c *client) makeCall(ctx context.Context, call call, number int) (outcome Outcome) {
 	config := &c.emulator.config
 	class := &config.Classes[call.class]
-	end := call.due + class.TotalTimeout
+	deadline := call.due + class.TotalTimeout
 	for retry := 0; retry <= config.Retries && !c.emulator.isStopped(); retry++ {
 		requestTimeout := time.Duration(config.RequestTimeoutShare * float64(class.TotalTimeout))
-		timeout := min(requestTimeout, end-c.emulator.Now())
+		timeout := min(requestTimeout, deadline-c.emulator.Now())
 		if timeout < minRequestTimeout {
 			break
 		}
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -15,10 +15,10 @@
 	answerTimeout = time.Second
 )
 
-// TestOutageHoldsBackNoEarlierChange: an agent counts as notified once a change has reached its view. Where its watch
+// TestOutageDoesNotDelayEarlierChange: an agent counts as notified once a change has reached its view. Where its watch
 // waits then, the watch is answered, even if an outage begins at that moment. Nothing tells that a watch waits, so
 // there are several rounds; one that is answered is enough, as none is without the rule.
-func TestOutageHoldsBackNoEarlierChange(t *testing.T) {
+func TestOutageDoesNotDelayEarlierChange(t *testing.T) {
 	const rounds = 10
 	for round := range rounds {
 		if isAnsweredInOutage(t, watchPause*time.Duration(round+1)) {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -31,8 +31,8 @@
 	unset time.Duration = -1
 	// rateStep bounds for how long a rate that changes continuously is taken as constant.
 	rateStep = 50 * time.Millisecond
-	// completeBelow is the remaining work, in seconds, below which a job counts as computed.
-	completeBelow = 1e-9
+	// minRemainingWork is the remaining work, in seconds, below which a job counts as computed.
+	minRemainingWork = 1e-9
 )
 
 // engine simulates a server's machine: the running jobs share the cores evenly (processor sharing, at most one core
@@ -149,7 +149,7 @@
 // completeDue moves the jobs on whose computation or wait has ended.
 func (e *engine) completeDue() {
 	for _, j := range slices.Clone(e.jobs[jobRunning]) {
-		if j.remaining <= completeBelow {
+		if j.remaining <= minRemainingWork {
 			e.setState(j, jobWaiting)
 			j.waitEnds = e.now + j.dependencyWait
 		}
@@ -178,11 +178,11 @@
 		return
 	}
 	load := e.load()
-	overloaded := e.durationOf(&e.overloadedSince, load > congestion.OnsetLoad)
+	overloaded := e.conditionDuration(&e.overloadedSince, load > congestion.OnsetLoad)
 	if e.congestedSince < 0 && overloaded >= congestion.OnsetTime {
 		e.congestedSince = e.now
 	}
-	recovering := e.durationOf(&e.recoveringSince, load < congestion.RecoveryLoad)
+	recovering := e.conditionDuration(&e.recoveringSince, load < congestion.RecoveryLoad)
 	if e.congestedSince < 0 {
 		return
 	}
@@ -192,9 +192,9 @@
 	}
 }
 
-// durationOf returns for how long a condition has held without a break, whose start it keeps in since; below zero:
-// the condition does not hold.
-func (e *engine) durationOf(since *time.Duration, holds bool) time.Duration {
+// conditionDuration returns how long a condition has held without interruption. It keeps the start in since and returns
+// a negative duration if the condition does not hold.
+func (e *engine) conditionDuration(since *time.Duration, holds bool) time.Duration {
 	if !holds {
 		*since = unset
 		return unset
--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -14,26 +14,26 @@
 	"time"
 )
 
-// clientConn is one connection of a client to its agent.
+// clientConn is a connection from a client to its agent.
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool // a response has been read on it
+	reused bool // a response has been read from it
 }
 
-// newClientConn returns a connection without buffered data.
+// newClientConn wraps a new connection to an agent.
 func newClientConn(conn net.Conn) *clientConn {
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// discard closes the connection; nothing that was written on it matters any more.
-func (c *clientConn) discard() { _ = c.Close() }
+// discard closes the connection.
+func (c *clientConn) discard() { _ = c.Close() } // an error can only concern data that is no longer needed
 
-// roundTrip sends a request on an idle connection, or on a new one. If the agent had closed the idle one before it
-// read the request, the request is sent once more on a new connection.
+// roundTrip sends a request on an idle connection or a new one. If the agent closed the idle connection before it
+// read the request, roundTrip sends the request again on a new connection.
 func (c *client) roundTrip(ctx context.Context, request *liveRequest) Outcome {
 	if conn := c.takeIdle(); conn != nil {
-		if outcome, unread := c.exchange(conn, request); !unread {
+		if outcome, resend := c.exchange(conn, request); !resend {
 			return outcome
 		}
 	}
@@ -46,7 +46,7 @@
 	return outcome
 }
 
-// takeIdle returns the idle connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection, or returns nil.
 func (c *client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// dialAddress is the agent's address, or a server's if the clients call the servers themselves.
+// dialAddress returns the agent's address, or a server's if the clients call the servers directly.
 func (c *client) dialAddress() string {
 	if c.emulator.config.Direct {
 		return c.emulator.directAddress(c.index)
@@ -75,8 +75,8 @@
 	return c.address
 }
 
-// dialOutcome returns the outcome of a request without a connection; an exhausted resource of this machine makes the
-// run invalid.
+// dialOutcome returns the outcome of a request whose connection failed with err. It records an error of the harness,
+// which makes the run invalid, if this machine has run out of descriptors or ports.
 func (c *client) dialOutcome(err error) Outcome {
 	for _, exhausted := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, exhausted) {
@@ -89,9 +89,9 @@
 	return AgentUnreachable
 }
 
-// exchange sends a request and reads its response; the connection becomes idle or is closed. unread tells that a reused
-// connection ended before anything came back, and that no server has seen the request.
-func (c *client) exchange(conn *clientConn, request *liveRequest) (outcome Outcome, unread bool) {
+// exchange sends a request and reads its response, then returns the connection to the idle ones or closes it. It asks
+// for a resend if a reused connection was closed before any response and no server has received the request.
+func (c *client) exchange(conn *clientConn, request *liveRequest) (outcome Outcome, resend bool) {
 	reusable := false
 	defer func() {
 		if reusable {
@@ -102,7 +102,7 @@
 	}()
 	deadline := c.emulator.startTime.Add(request.record.Sent + request.record.Timeout)
 	_ = conn.SetDeadline(deadline) // fails only on a closed connection, where the write fails too
-	_, err := io.WriteString(conn, requestText(request))
+	_, err := io.WriteString(conn, formatRequest(request))
 	if err == nil {
 		_, err = conn.reader.Peek(1)
 	}
@@ -114,7 +114,7 @@
 		return RequestFailed, false // the response began, but is incomplete
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // the read has the error that matters
+	_ = response.Body.Close() // ReadAll has already returned the error that matters
 	if err != nil {
 		return RequestFailed, false
 	}
@@ -122,11 +122,11 @@
 	return responseOutcome(request, response.StatusCode, string(body)), false
 }
 
-// requestText is a request in HTTP/1.1's form.
-func requestText(request *liveRequest) string {
+// formatRequest returns a request in HTTP/1.1 format.
+func formatRequest(request *liveRequest) string {
 	record := request.record
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s /api/%s HTTP/1.1\r\n", request.method(), request.keyText())
+	fmt.Fprintf(&text, "%s /api/%s HTTP/1.1\r\n", request.method(), request.pathKey())
 	fmt.Fprintf(&text, "Host: backend.local\r\n")
 	fmt.Fprintf(&text, "Request-Id: %s\r\n", record.ID)
 	fmt.Fprintf(&text, "Request-Class: %s\r\n", request.class.Name)
@@ -146,7 +146,7 @@
 	return text.String()
 }
 
-// responseOutcome returns the outcome of a request with a complete response.
+// responseOutcome returns the outcome of a request that received a complete response.
 func responseOutcome(request *liveRequest, status int, body string) Outcome {
 	id := request.record.ID
 	switch status {
@@ -161,9 +161,9 @@
 	return RequestFailed
 }
 
-// noResponseOutcome returns the outcome of a request on which nothing came back (TERMS, "Failed requests"); unread is
-// that of exchange.
-func noResponseOutcome(request *liveRequest, err error, reused bool) (outcome Outcome, unread bool) {
+// noResponseOutcome returns the outcome of a request for which no byte of a response arrived (TERMS, "Failed
+// requests"), and whether to send it again.
+func noResponseOutcome(request *liveRequest, err error, reused bool) (outcome Outcome, resend bool) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return RequestTimedOut, false
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -6,8 +6,9 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// serverOverloaded ends a server that was overloaded in slow start. It stays down, and discovery does not list that.
-func (e *Emulator) serverOverloaded(s *server, byNotified bool) {
+// failOverloadedServer stops a server that was overloaded in slow start. The server stays down, and discovery keeps
+// listing it.
+func (e *Emulator) failOverloadedServer(s *server, byNotified bool) {
 	if !e.recordOverload(s, byNotified) {
 		return
 	}
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -28,7 +28,7 @@
 	if !overloaded || !byNotified {
 		t.Fatalf("overloaded %v, by notified agents %v", overloaded, byNotified)
 	}
-	e.serverOverloaded(s, byNotified)
+	e.failOverloadedServer(s, byNotified)
 	e.Close()
 	if len(e.overloads) != 1 || !e.overloads[0].ByNotifiedAgents {
 		t.Errorf("overloads: %+v", e.overloads)
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -35,13 +35,13 @@
 	return fmt.Sprintf("%s: %s: %v", v.Rule, v.Description, v.Request)
 }
 
-// serverOfAgent identifies a server as seen by an agent.
-type serverOfAgent struct{ agent, server string }
+// agentServer identifies a server as seen by an agent.
+type agentServer struct{ agent, server string }
 
 // judge collects the violations of a history.
 type judge struct {
 	contract   *Contract
-	removedAt  map[serverOfAgent]time.Duration // first notification of the removal
+	removedAt  map[agentServer]time.Duration // first notification of the removal
 	violations []Violation
 }
 
@@ -63,10 +63,10 @@
 }
 
 // firstNotifications returns when each agent was first notified of each server's removal.
-func firstNotifications(notifications []Notification) map[serverOfAgent]time.Duration {
-	first := map[serverOfAgent]time.Duration{}
+func firstNotifications(notifications []Notification) map[agentServer]time.Duration {
+	first := map[agentServer]time.Duration{}
 	for _, n := range notifications {
-		key := serverOfAgent{n.Agent, n.Server}
+		key := agentServer{n.Agent, n.Server}
 		if at, ok := first[key]; !ok || n.At < at {
 			first[key] = n.At
 		}
@@ -119,7 +119,7 @@
 	switch {
 	case class.Idempotency == balancer.NonIdempotent:
 		j.report(RuleDuplicate, request, "at %s after it may have executed at %s", later.Server, earlier.Server)
-	case class.Idempotency == balancer.IdempotentByKey && class.outsideScope(earlier, later):
+	case class.Idempotency == balancer.IdempotentByKey && class.inDifferentScopes(earlier, later):
 		j.report(RuleDuplicate, request, "at %s after it may have executed at %s, in another %s",
 			later.Server, earlier.Server, class.DedupScope)
 	case class.Idempotency == balancer.IdempotentByKey && later.Received > earlier.Started+class.DedupWindow+slack:
@@ -131,7 +131,7 @@
 // checkDrain checks that no attempt began after the agent was notified of the server's removal.
 func (j *judge) checkDrain(request *Request) {
 	for _, a := range request.Attempts {
-		removedAt, ok := j.removedAt[serverOfAgent{request.Agent, a.Server}]
+		removedAt, ok := j.removedAt[agentServer{request.Agent, a.Server}]
 		if ok && a.Started > removedAt+j.contract.DrainGrace+j.contract.Slack {
 			j.report(RuleDrain, request, "sent to %s %v after the notification of its removal",
 				a.Server, a.Started-removedAt)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -79,7 +79,7 @@
 const (
 	admitted admission = iota
 	rejectedFull
-	failedAtOnce // answered with an error at once
+	failedImmediately // answered with an error at once
 )
 
 // submit gives the machine a request with a key, its work (seconds of a standard core) and its wait on a dependency.
@@ -88,7 +88,7 @@
 	m.do(func(e *engine) {
 		m.workReceived += seconds
 		if m.random.Float64() < math.Max(m.failureRate, e.model.ErrorRate) {
-			result = failedAtOnce
+			result = failedImmediately
 			return
 		}
 		if e.model.CacheSaving > 0 {
--- a/internal/emulator/queueing.go
+++ b/internal/emulator/queueing.go
@@ -16,6 +16,6 @@
 // with a mean (in seconds) and a coefficient of variation, at a utilization of each server from 0 to 1. It is exact
 // for M/M/k and M/G/1 (Pollaczek and Khinchine, 1932), and Lee and Longton's approximation for M/G/k.
 func MeanWait(k int, utilization, mean, cv float64) float64 {
-	waits := ErlangC(k, utilization*float64(k))
-	return (1 + cv*cv) / 2 * waits * mean / (float64(k) * (1 - utilization))
+	waitProbability := ErlangC(k, utilization*float64(k))
+	return (1 + cv*cv) / 2 * waitProbability * mean / (float64(k) * (1 - utilization))
 }
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -31,8 +31,8 @@
 	return request.(*liveRequest)
 }
 
-// keyText is the request's affinity key as it stands in the path.
-func (r *liveRequest) keyText() string { return fmt.Sprintf("%016x", r.key) }
+// pathKey is the request's affinity key as it stands in the path.
+func (r *liveRequest) pathKey() string { return fmt.Sprintf("%016x", r.key) }
 
 // method is the request's HTTP method.
 func (r *liveRequest) method() string {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -44,8 +44,8 @@
 
 // connState is what a server knows of a connection.
 type connState struct {
-	excess        bool // the connection exceeds the model's bound
-	handshakePaid atomic.Bool
+	overLimit        bool // the connection exceeds the model's bound
+	handshakeCharged atomic.Bool
 }
 
 // newServer starts a server process; the emulator's background group waits for its goroutines.
@@ -65,7 +65,7 @@
 		e.background.Add(1)
 		go func() {
 			defer e.background.Done()
-			s.listen(i)
+			s.serve(i)
 		}()
 	}
 	return s, nil
@@ -88,14 +88,14 @@
 		ErrorLog:    log.New(io.Discard, "", 0),
 		IdleTimeout: s.emulator.config.KeepAlive,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			state := &connState{excess: maxConnections > 0 && s.openConnections() > maxConnections}
+			state := &connState{overLimit: maxConnections > 0 && s.openConnections() > maxConnections}
 			return context.WithValue(ctx, connStateKey{}, state)
 		},
 	}
 }
 
-// listen serves one listener until it is closed.
-func (s *server) listen(i int) {
+// serve serves one listener until it is closed.
+func (s *server) serve(i int) {
 	err := s.httpServers[i].Serve(s.listeners[i])
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		s.emulator.recordError(err)
--- a/internal/emulator/server_requests.go
+++ b/internal/emulator/server_requests.go
@@ -27,7 +27,7 @@
 // chargeHandshake lets the first request on a connection take the time and the work of the handshake.
 func (s *server) chargeHandshake(r *http.Request, clientZone int) {
 	state := connStateOf(r)
-	if state == nil || state.handshakePaid.Swap(true) {
+	if state == nil || state.handshakeCharged.Swap(true) {
 		return
 	}
 	s.handshakes.Add(1)
@@ -73,7 +73,7 @@
 		return // the request did not arrive completely
 	}
 	request := s.emulator.findRequest(id)
-	if request == nil || path.Base(r.URL.Path) != request.keyText() || r.Method != request.method() {
+	if request == nil || path.Base(r.URL.Path) != request.pathKey() || r.Method != request.method() {
 		s.emulator.recordUnknownRequest()
 		http.Error(rw, "no client sent this", http.StatusBadRequest)
 		return
@@ -96,7 +96,7 @@
 // execute serves a request that has arrived completely, and returns how the attempt ended.
 func (s *server) execute(rw http.ResponseWriter, r *http.Request, request *liveRequest) Outcome {
 	s.checkSlowStart(request)
-	if state := connStateOf(r); s.draining.Load() || state != nil && state.excess {
+	if state := connStateOf(r); s.draining.Load() || state != nil && state.overLimit {
 		s.reject(rw, "draining, or too many connections")
 		return AttemptRejected
 	}
@@ -109,7 +109,7 @@
 	case rejectedFull:
 		s.reject(rw, "full")
 		return AttemptRejected
-	case failedAtOnce:
+	case failedImmediately:
 		http.Error(rw, "failed", http.StatusInternalServerError)
 		return AttemptFailed
 	case admitted:
@@ -133,7 +133,7 @@
 func (s *server) checkSlowStart(request *liveRequest) {
 	notified := s.emulator.notifiedOfStart(request.agent, s.endpoint.ID)
 	if overloaded, byNotified := s.machine.recordArrival(request.work.Seconds(), notified); overloaded {
-		s.emulator.serverOverloaded(s, byNotified)
+		s.emulator.failOverloadedServer(s, byNotified)
 	}
 }
 
--- a/internal/emulator/timer_delay.go
+++ b/internal/emulator/timer_delay.go
@@ -8,10 +8,10 @@
 // measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
 func (e *Emulator) measureTimerDelay() {
 	for {
-		before := time.Now()
+		start := time.Now()
 		select {
 		case <-time.After(timerProbeInterval):
-			e.recordTimerDelay(time.Since(before) - timerProbeInterval)
+			e.recordTimerDelay(time.Since(start) - timerProbeInterval)
 		case <-e.closed:
 			return
 		}
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -11,8 +11,8 @@
 // workloadStream is the first of the streams of random numbers for the clients' calls.
 const workloadStream = 3000
 
-// hottestKey is the key that a TrafficChange with a HotKeyShare prefers.
-const hottestKey = 1
+// mostPopularKey is the key that a TrafficChange with a HotKeyShare prefers.
+const mostPopularKey = 1
 
 // call is one call of an application, as drawn from the seed. It is answered by a request or by its retries.
 type call struct {
@@ -69,7 +69,7 @@
 	key := 1 + uint64(w.keys.Rand())
 	work := sampleWork(&config.Classes[class], w.source)
 	if w.random.Float64() < hotKeyShare {
-		key = hottestKey
+		key = mostPopularKey
 	}
 	return call{
 		due:            w.due,
