--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -21,14 +21,14 @@
 	Share float64 // of the calls that its client makes
 }
 
-// DelayRange is the least and the greatest value of a delay.
+// DelayRange holds the shortest and the longest value of a delay.
 type DelayRange [2]time.Duration
 
-// Least returns the least value.
-func (r DelayRange) Least() time.Duration { return r[0] }
+// Min returns the shortest delay.
+func (r DelayRange) Min() time.Duration { return r[0] }
 
-// Greatest returns the greatest value.
-func (r DelayRange) Greatest() time.Duration { return r[1] }
+// Max returns the longest delay.
+func (r DelayRange) Max() time.Duration { return r[1] }
 
 // Config describes what is emulated.
 type Config struct {
--- a/internal/emulator/endpoint_list.go
+++ b/internal/emulator/endpoint_list.go
@@ -93,8 +93,8 @@
 // randomDelay draws the delay of a change for a view.
 func (l *endpointList) randomDelay(view *agentView) time.Duration {
 	bounds := l.emulator.config.ListDelay
-	spread := bounds.Greatest() - bounds.Least()
-	return bounds.Least() + time.Duration(view.random.Float64()*float64(spread))
+	spread := bounds.Max() - bounds.Min()
+	return bounds.Min() + time.Duration(view.random.Float64()*float64(spread))
 }
 
 // schedule adds a change to a view after a delay, but not before earlier changes. The caller holds mu.
--- a/internal/emulator/metric.go
+++ b/internal/emulator/metric.go
@@ -39,8 +39,8 @@
 const (
 	// MetricSlowStartLoad is the highest load of a server in slow start, as a fraction of the overload limit.
 	MetricSlowStartLoad Metric = "cold load of its bound"
-	// MetricSlowStartFails counts the servers that failed because they were overloaded in slow start.
-	MetricSlowStartFails Metric = "cold nodes fallen"
+	// MetricSlowStartFailures counts the servers that failed because of an overload in slow start.
+	MetricSlowStartFailures Metric = "cold nodes fallen"
 	// MetricTimerDelayP99 is how late the harness's timers fired at the 99th percentile, in ms.
 	MetricTimerDelayP99 Metric = "lab late p99 ms"
 )
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -120,7 +120,7 @@
 	}
 	r.Metrics[MetricCalls] = float64(calls)
 	r.Metrics[MetricSlowStartLoad] = slowStartLoad
-	r.Metrics[MetricSlowStartFails] = float64(len(history.Overloads))
+	r.Metrics[MetricSlowStartFailures] = float64(len(history.Overloads))
 	counts := map[Metric]float64{
 		MetricRequests:          float64(len(history.Requests)),
 		MetricAttempts:          float64(r.Attempts),
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -52,7 +52,7 @@
 	{emulator.MetricEndpointsSent, "endpoints from discovery", unitPerRequest},
 
 	{emulator.MetricSlowStartLoad, "highest load in slow start", unitOfOverloadLimit},
-	{emulator.MetricSlowStartFails, "servers overloaded in slow start", unitCount},
+	{emulator.MetricSlowStartFailures, "servers overloaded in slow start", unitCount},
 
 	{metricAgentsCPU, "agents' processor time", unitProcessorSeconds},
 	{metricHarnessCPU, "harness's processor time", unitProcessorSeconds},
--- a/internal/experiment/validate.go
+++ b/internal/experiment/validate.go
@@ -37,7 +37,7 @@
 		return "fleet.pod", errNotPositive
 	case len(s.Fleet.Zones) == 0:
 		return "fleet.zones", errors.New("at least one is needed")
-	case s.Fleet.ListDelay.Greatest() < s.Fleet.ListDelay.Least():
+	case s.Fleet.ListDelay.Max() < s.Fleet.ListDelay.Min():
 		return "fleet.list_delay", errors.New("the second is below the first")
 	case s.Traffic.Rate <= 0 && s.Traffic.Load <= 0:
 		return "traffic.rate", errors.New("rate or load must be above 0")
