--- a/internal/emulator/addresses.go
+++ b/internal/emulator/addresses.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The ports of an agent at its address.
+// Ports of an agent's address.
 const (
 	ListenPort    = 8000
 	AdminPort     = 8001
@@ -11,19 +11,20 @@
 
 const (
 	serverPort = 8000
-	// hostsPerSubnet is how many addresses of a /24 are used, subnetsPerZone how many /24 the servers of a zone have.
+	// hostsPerSubnet is the number of addresses used in each /24 network. subnetsPerZone is the number of /24 networks
+	// with the addresses at which servers listen for the agents of one zone.
 	hostsPerSubnet = 250
 	subnetsPerZone = 12
 )
 
-// Address returns the address of a port of the agent with an index.
+// Address returns the host and port at which the agent with the given index has the given port.
 func (e *Emulator) Address(agentIndex, port int) string {
 	subnet := agentIndex / hostsPerSubnet
 	host := agentIndex%hostsPerSubnet + 1
 	return fmt.Sprintf("127.%d.%d.%d:%d", e.network, subnet, host, port)
 }
 
-// serverAddress returns the address at which a server listens for the agents of a zone.
+// serverAddress returns the host and port at which a server listens for the agents of a zone.
 func (e *Emulator) serverAddress(serverIndex, clientZone int) string {
 	subnet := subnetsPerZone*clientZone + serverIndex/hostsPerSubnet%subnetsPerZone
 	host := serverIndex%hostsPerSubnet + 1
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -10,25 +10,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// minRequestTimeout is the remaining time below which a client sends no further request.
+// minRequestTimeout is the shortest remaining time with which a client still sends a request.
 const minRequestTimeout = 5 * time.Millisecond
 
-// clients are the applications, one beside each agent. They call at times of their own, whatever becomes of earlier
-// calls (open loop), and retry a few times.
+// clients are the client applications, one for each agent. They form an open loop: the time of a call does not depend
+// on the outcome of earlier calls. Failed calls are retried a few times.
 type clients struct {
 	emulator   *Emulator
 	byAgent    map[string]*client
-	background sync.WaitGroup // clients and open calls
+	background sync.WaitGroup // running clients and open calls
 
 	mu             sync.Mutex
 	finished       []*liveRequest
 	seconds        []SecondTotals
-	latencies      *hdrhistogram.Histogram // of served calls, in microseconds
+	latencies      *hdrhistogram.Histogram // latencies of served calls, in microseconds
 	sojournSeconds float64                 // sum of the latencies of served calls
-	workSeconds    float64                 // sum of their work
+	workSeconds    float64                 // sum of the work of served calls
 }
 
-// SecondTotals is what became of the calls that were due in one second, in priority weight times relative work.
+// SecondTotals sums the values of the calls due in one second by outcome. The value of a call is its priority weight
+// times its work in units of the mean work.
 type SecondTotals struct {
 	Requested float64 `json:"Asked"`
 	InTime    float64 `json:"InTime"`
@@ -46,7 +47,7 @@
 	s.Failed += other.Failed
 }
 
-// client is the application beside one agent.
+// client is the client application of one agent.
 type client struct {
 	clients  *clients
 	emulator *Emulator
@@ -59,7 +60,7 @@
 	open map[*liveRequest]bool
 }
 
-// newClients returns a client beside each agent.
+// newClients returns a client for each agent.
 func newClients(e *Emulator) *clients {
 	c := &clients{
 		emulator:  e,
@@ -79,7 +80,7 @@
 	return c
 }
 
-// run lets the clients call for a time; it returns when the last call has ended.
+// run makes calls from all clients for the given time and returns when the last call has ended.
 func (c *clients) run(ctx context.Context, length time.Duration) {
 	c.seconds = make([]SecondTotals, int(length/time.Second)+1)
 	trafficStart := c.emulator.Now()
@@ -93,7 +94,7 @@
 	c.background.Wait()
 }
 
-// run draws the client's calls and makes each at its time.
+// run draws the client's calls from its workload and makes each when it is due.
 func (c *client) run(ctx context.Context, trafficStart, length time.Duration) {
 	workload := newWorkload(c.emulator, c.index, c.agent.Share)
 	for number := 0; ; number++ {
@@ -117,8 +118,8 @@
 	}
 }
 
-// makeCall sends a request and its retries until one is served, no retry is allowed, or the time is over. It returns
-// the outcome of the last one, or an empty one if there was no time for any.
+// makeCall sends a request and its retries until one is served, no further retry is allowed, or the total timeout is
+// reached. It returns the outcome of the last request, or an empty outcome if there was no time for any.
 func (c *client) makeCall(ctx context.Context, call call, number int) (outcome Outcome) {
 	config := &c.emulator.config
 	class := &config.Classes[call.class]
@@ -138,7 +139,7 @@
 	return outcome
 }
 
-// newRequest returns a request of the call with a number: the first one (retry 0) or a retry.
+// newRequest returns a request of the numbered call; retry 0 is the first request, higher values are its retries.
 func (c *client) newRequest(call call, number, retry int, timeout time.Duration) *liveRequest {
 	request := &liveRequest{
 		class:          &c.emulator.config.Classes[call.class],
@@ -161,7 +162,7 @@
 	return request
 }
 
-// mayRetry tells whether a client retries after an outcome (WIRE, "Client behaviour").
+// mayRetry reports whether a client retries after the given outcome (WIRE, "Client behaviour").
 func mayRetry(class *Class, outcome Outcome) bool {
 	switch outcome {
 	case Served, RequestLost, ResponseForged:
@@ -173,7 +174,7 @@
 	}
 }
 
-// sendRequest sends one request, records how it ended and returns that.
+// sendRequest sends one request, records its outcome and returns it.
 func (c *client) sendRequest(ctx context.Context, request *liveRequest) Outcome {
 	request.record.Sent = c.emulator.Now()
 	c.emulator.requests.Store(request.record.ID, request)
@@ -191,7 +192,7 @@
 	return outcome
 }
 
-// recordCall adds a call's outcome to the totals of its second.
+// recordCall adds a call and its outcome to the totals of the second in which it was due.
 func (c *clients) recordCall(call call, outcome Outcome, trafficStart time.Duration) {
 	class := &c.emulator.config.Classes[call.class]
 	latency := c.emulator.Now() - call.due
@@ -217,7 +218,7 @@
 	}
 }
 
-// markAgentStopped marks the open requests of an agent whose process the experiment has ended.
+// markAgentStopped marks the open requests of an agent whose process the experiment has stopped.
 func (c *clients) markAgentStopped(agent string) {
 	client := c.byAgent[agent]
 	client.mu.Lock()
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// shareTolerance is how far the sum of the classes' shares may be from 1.
+	// shareTolerance bounds the deviation of the sum of the class shares from 1.
 	shareTolerance = 0.001
 
 	maxAgents = 60_000
 	maxZones  = 20
 )
 
-// Agent is an agent and the client beside it.
+// Agent describes an agent and its client.
 type Agent struct {
 	Name  string
 	Zone  int
-	Share float64 // of the calls that its client makes
+	Share float64 // fraction of all calls that its client makes
 }
 
 // DelayRange holds the shortest and the longest value of a delay.
@@ -30,35 +30,35 @@
 // Max returns the longest delay.
 func (r DelayRange) Max() time.Duration { return r[1] }
 
-// Config describes what is emulated.
+// Config describes an emulation.
 type Config struct {
 	Seed        uint64
 	Zones       []string
-	ZoneDelay   time.Duration // one way between two zones
+	ZoneDelay   time.Duration // one-way network delay between two zones
 	Agents      []Agent
-	Models      []Model   // of the servers
-	ModelShares []float64 // the share of the servers that each model has
+	Models      []Model   // server models
+	ModelShares []float64 // fraction of the servers that have each model
 	Servers     int
-	CellSize    int // servers of a cell
+	CellSize    int // servers in a cell
 	Classes     []Class
 	Contract    Contract
-	Rate        float64 // calls per second of all clients, without a TrafficChange
-	Keys        int     // distinct keys, of a Zipf distribution with the exponent Zipf
+	Rate        float64 // calls per second of all clients, before any TrafficChange
+	Keys        int     // distinct keys, drawn from a Zipf distribution with exponent Zipf
 	Zipf        float64
-	// Clients give a request up after RequestTimeoutShare of the class's total timeout, and retry up to Retries
-	// times, RetryDelay after the response.
+	// Clients abandon a request after RequestTimeoutShare of the class's total timeout. They retry up to Retries times,
+	// RetryDelay after the previous request has ended.
 	Retries             int
 	RequestTimeoutShare float64
 	RetryDelay          time.Duration
-	// ListDelay bounds the delay of a change of the endpoint list, which is drawn for each agent.
+	// ListDelay bounds the delay after which a change of the endpoint list reaches an agent. It is drawn for each agent.
 	ListDelay DelayRange
-	KeepAlive time.Duration // how long a server keeps an idle connection
-	// Direct lets the clients call the servers themselves, without agents, each the server with its own number. It
-	// is for the comparison with queueing theory.
+	KeepAlive time.Duration // how long a server keeps an idle connection open
+	// Direct makes the clients bypass the agents: each calls the server with its own index. It serves to compare the
+	// emulator with queueing theory.
 	Direct bool
 }
 
-// validate checks the configuration.
+// validate returns an error if the configuration is incomplete or out of range.
 func (c *Config) validate() error {
 	shares := 0.0
 	for _, class := range c.Classes {
--- a/internal/emulator/delay_histogram.go
+++ b/internal/emulator/delay_histogram.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxDelayMicroseconds bounds the delays that a histogram can hold.
+	// maxDelayMicroseconds is the longest delay that a histogram can hold.
 	maxDelayMicroseconds = 60_000_000
-	// delayDigits is how many significant digits of a delay a histogram keeps.
+	// delayDigits is the number of significant decimal digits that a histogram keeps of a delay.
 	delayDigits = 3
 )
 
-// Percentiles of the delays that are reported.
+// Reported percentiles.
 const (
 	percentile50 = 50
 	percentile99 = 99
@@ -24,12 +24,12 @@
 	return hdrhistogram.New(1, maxDelayMicroseconds, delayDigits)
 }
 
-// recordDelay adds a delay to a histogram; below zero it counts as none.
+// recordDelay adds a delay to a histogram; a negative delay counts as 0.
 func recordDelay(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(0, d.Microseconds())) // a delay beyond the histogram's range is left out
+	_ = h.RecordValue(max(0, d.Microseconds())) // the error means a delay beyond the range, which is left out
 }
 
-// percentile returns a percentile of the delays of a histogram.
+// percentile returns the given percentile of a histogram's delays.
 func percentile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -14,10 +14,10 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// maxWatchMs bounds the time, in ms, that a watch waits for a change.
+// maxWatchMs bounds how long, in ms, a watch waits for a change.
 const maxWatchMs = 60_000
 
-// serveDiscovery opens an agent's discovery address.
+// serveDiscovery serves the endpoint list at an agent's discovery address.
 func (e *Emulator) serveDiscovery(agent, address string) error {
 	listener, err := listenTCP(address)
 	if err != nil {
@@ -40,15 +40,15 @@
 	return nil
 }
 
-// listQuery is an agent's call for the endpoint list: a poll, which gets the full list, or a watch, which names the
+// listQuery is an agent's request for the endpoint list: a poll for the full list, or a watch for the changes after the
 // version that the agent has.
 type listQuery struct {
 	watch   bool
 	version uint64
-	wait    time.Duration // how long a watch waits for a change
+	wait    time.Duration // longest wait of a watch for a change
 }
 
-// parseListQuery reads the parameters of a call: "index", the version of a watch, and "wait", its time in ms.
+// parseListQuery parses the query parameters: "index", the version of a watch, and "wait", its longest wait in ms.
 func parseListQuery(r *http.Request) (query listQuery, err error) {
 	if index := r.FormValue(endpoint.QueryIndex); index != "" {
 		query.watch = true
@@ -56,13 +56,13 @@
 			return listQuery{}, fmt.Errorf("index: %w", err)
 		}
 	}
-	waitMs, _ := strconv.Atoi(r.FormValue(endpoint.QueryWait)) // without a number the answer is immediate
+	waitMs, _ := strconv.Atoi(r.FormValue(endpoint.QueryWait)) // a missing or invalid wait counts as 0
 	query.wait = time.Duration(min(max(waitMs, 0), maxWatchMs)) * time.Millisecond
 	return query, nil
 }
 
-// handleList answers a poll with the full list, and a watch with the changes after its version, once there are any or
-// its time is over.
+// handleList answers a poll with the full list. It answers a watch with the changes after its version, as soon as there
+// are any or its wait is over.
 func (l *endpointList) handleList(view *agentView, rw http.ResponseWriter, r *http.Request) {
 	l.calls.Add(1)
 	query, err := parseListQuery(r)
@@ -72,15 +72,15 @@
 	}
 	list, ok := l.awaitList(r.Context(), view, query)
 	if !ok {
-		return // the agent has closed the connection
+		return // the agent closed the connection
 	}
 	l.entriesSent.Add(uint64(len(list.Servers)))
 	rw.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(rw).Encode(list) // an error: the agent has closed the connection
+	_ = json.NewEncoder(rw).Encode(list) // fails only if the agent closed the connection
 }
 
-// awaitList returns the answer to a call once discovery is available and the answer is due; false: the context has
-// ended before.
+// awaitList returns the answer to a query once discovery is available and the answer is due. It returns false if the
+// context ends first.
 func (l *endpointList) awaitList(ctx context.Context, view *agentView, query listQuery) (endpoint.List, bool) {
 	timeout := time.NewTimer(query.wait)
 	defer timeout.Stop()
@@ -100,7 +100,7 @@
 		}
 		select {
 		case <-changed:
-			// The agent counts as notified now, so an outage that begins at this moment does not hold back the answer.
+			// The agent already counts as notified of the change, so an outage that begins now must not delay the answer.
 			list, _ = l.answer(view, query)
 			return list, true
 		case <-timeout.C:
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// watchPause is the time until a watch has mostly begun to wait; each round of the test waits for one more.
+	// watchPause is a time after which a watch has usually started to wait. Each round of the test adds another one.
 	watchPause = 20 * time.Millisecond
-	// answerTimeout bounds the wait for an answer that is due at once.
+	// answerTimeout bounds the wait for an answer that is due immediately.
 	answerTimeout = time.Second
 )
 
-// TestOutageDoesNotDelayEarlierChange: an agent counts as notified once a change has reached its view. Where its watch
-// waits then, the watch is answered, even if an outage begins at that moment. Nothing tells that a watch waits, so
-// there are several rounds; one that is answered is enough, as none is without the rule.
+// TestOutageDoesNotDelayEarlierChange checks that a waiting watch gets a change that has reached the agent's view, even
+// if an outage begins at that moment: the agent already counts as notified. The test can't tell whether the watch is
+// waiting yet, so it makes several attempts. One answered watch is enough, because without the rule none is answered.
 func TestOutageDoesNotDelayEarlierChange(t *testing.T) {
 	const rounds = 10
 	for round := range rounds {
@@ -28,8 +28,8 @@
 	t.Errorf("no watch was answered in %d rounds", rounds)
 }
 
-// isAnsweredInOutage opens a watch, publishes a removal a while later and begins an outage before the watch can see it.
-// It reports whether the watch is answered.
+// isAnsweredInOutage opens a watch, publishes a removal after a pause, and begins an outage before the watch can see
+// the removal. It reports whether the watch is answered.
 func isAnsweredInOutage(t *testing.T, pause time.Duration) bool {
 	t.Helper()
 	list := newEndpointList(&Emulator{config: smallConfig(), startTime: time.Now()})
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,11 +1,13 @@
-// Package emulator runs the surroundings of a fleet of agents on loopback sockets in real time: servers with a
-// simulated machine, the client applications that call the agents, and discovery, whose changes reach each agent
-// with a delay. Its model follows the operators' pages (BRIEF, PROTOCOL, TERMS, DEPLOY, and WIRE for the operating
-// rules); docs/LAB.md says what it leaves out.
+// Package emulator runs the environment of a fleet of agents on loopback sockets in real time: servers on simulated
+// machines, the client applications that call the agents, and discovery, whose changes reach each agent with a delay.
+// Its model follows the operators' pages (BRIEF, PROTOCOL, TERMS, DEPLOY, and WIRE for the operating rules);
+// docs/LAB.md lists what it leaves out.
 //
-// Its invariants: what the clients call (times, classes, keys, work) follows from the seed alone, whatever the agents
-// do; every request and every attempt is recorded and judged by the operating rules; and a run in which the emulator
-// was late or out of descriptors says so (Result.Errors, MetricTimerDelayP99).
+// Its invariants are:
+//   - The calls of the clients (times, classes, keys, work) follow from the seed alone, whatever the agents do.
+//   - Every request and every attempt is recorded and checked against the operating rules.
+//   - A run in which the emulator's timers were late or descriptors ran out reports it (Result.Errors,
+//     MetricTimerDelayP99).
 package emulator
 
 import (
@@ -21,42 +23,42 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// maxErrors bounds how many errors of the harness are kept.
+// maxErrors bounds the number of recorded errors of the harness.
 const maxErrors = 20
 
 // Emulator is a running emulation. Its methods are safe for concurrent use.
 type Emulator struct {
 	config             Config
-	network            byte // second byte of the agents' addresses; the servers have the next
+	network            byte // second byte of the agents' addresses; that of the servers' is one higher
 	networkReservation net.Listener
 	startTime          time.Time
-	meanWorkSeconds    float64 // of a standard core
+	meanWorkSeconds    float64 // mean work of a call, on a standard core
 	endpoints          *endpointList
 	discoveryServers   []*http.Server
 	clients            *clients
 	trafficChanges     []TrafficChange
-	requests           sync.Map       // *liveRequest by id
-	background         sync.WaitGroup // all goroutines that end with Close
+	requests           sync.Map       // from request ID to *liveRequest
+	background         sync.WaitGroup // all goroutines that Close waits for
 
 	mu              sync.Mutex
-	servers         map[string]*server // the running ones
+	servers         map[string]*server // running servers by ID
 	stoppedServers  []ServerMetrics
 	serversCreated  int
 	overloads       []SlowStartOverload
 	errors          []string
 	unknownRequests int
-	dedupKeys       map[int]map[string]time.Duration // by cell: when each idempotency key first arrived
-	stoppedAgents   map[string]bool                  // agents whose process the experiment has ended
+	dedupKeys       map[int]map[string]time.Duration // arrival time of each idempotency key, by cell
+	stoppedAgents   map[string]bool                  // agents whose process the experiment has stopped
 
 	timerMu     sync.Mutex
 	timerDelays *hdrhistogram.Histogram // in microseconds
 
 	closed   chan struct{}
-	stopped  chan struct{} // closed when the traffic ends before its time
+	stopped  chan struct{} // closed when the traffic is ended early
 	stopOnce sync.Once
 }
 
-// New starts the servers and the agents' discovery addresses; no client calls before Run.
+// New starts the servers and serves discovery to the agents. The clients make no calls before Run.
 func New(config Config) (*Emulator, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -93,7 +95,7 @@
 	return e, nil
 }
 
-// startServers starts the servers and the discovery addresses of the configuration.
+// startServers starts the configured servers and serves discovery at each agent's address.
 func (e *Emulator) startServers() error {
 	for range e.config.Servers {
 		if _, err := e.addServer(longAgo); err != nil {
@@ -108,17 +110,17 @@
 	return nil
 }
 
-// Run lets the clients call for a time and returns the result once the last call has ended. After the end of the
-// context, which does not end the calls, the clients cannot connect to the agents any more.
+// Run makes calls from all clients for the given time and returns the result once the last call has ended. The end of
+// the context does not end the calls, but the clients can no longer connect to the agents.
 func (e *Emulator) Run(ctx context.Context, length time.Duration) *Result {
 	e.clients.run(ctx, length)
 	return e.result()
 }
 
-// Stop ends the traffic before its time; open calls are not retried.
+// Stop ends the traffic early. Calls in flight are not retried.
 func (e *Emulator) Stop() { e.stopOnce.Do(func() { close(e.stopped) }) }
 
-// isStopped tells whether the traffic was ended before its time.
+// isStopped reports whether the traffic was ended early.
 func (e *Emulator) isStopped() bool {
 	select {
 	case <-e.stopped:
@@ -128,13 +130,13 @@
 	}
 }
 
-// Close ends everything and waits for it.
+// Close stops the traffic, the servers and discovery, and waits until all goroutines have ended.
 func (e *Emulator) Close() {
 	e.Stop()
 	close(e.closed)
 	e.endpoints.setUnavailable(false)
 	for _, s := range e.discoveryServers {
-		_ = s.Close() // an error of the listener, which is gone either way
+		_ = s.Close() // an error concerns the listener, which is closed either way
 	}
 	e.mu.Lock()
 	servers := e.servers
@@ -148,13 +150,13 @@
 	_ = e.networkReservation.Close() // fails only on a closed listener
 }
 
-// Now returns the time since the emulator's start, by the monotonic clock.
+// Now returns the time since the emulator's start by the monotonic clock.
 func (e *Emulator) Now() time.Duration { return time.Since(e.startTime) }
 
-// InitialList returns the full endpoint list of an agent, for its configuration.
+// InitialList returns the full endpoint list for an agent's configuration.
 func (e *Emulator) InitialList(agent string) endpoint.List { return e.endpoints.fullList(agent) }
 
-// recordError notes an error of the harness itself, which makes the run invalid.
+// recordError records an error of the harness itself, which makes the run invalid.
 func (e *Emulator) recordError(err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -163,14 +165,15 @@
 	}
 }
 
-// recordUnknownRequest notes a request at a server that no client has sent.
+// recordUnknownRequest counts a request that reached a server although no client sent it.
 func (e *Emulator) recordUnknownRequest() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unknownRequests++
 }
 
-// isDuplicate tells whether a cell has received a request with the same idempotency key within the class's window.
+// isDuplicate reports whether a cell has received a request with the same idempotency key within the class's
+// deduplication window. If not, it records the key.
 func (e *Emulator) isDuplicate(cell int, request *liveRequest) bool {
 	if request.idempotencyKey == "" {
 		return false
@@ -190,7 +193,7 @@
 	return false
 }
 
-// notifiedOfStart tells whether an agent has been notified of a server's start.
+// notifiedOfStart reports whether an agent has been notified of a server's start.
 func (e *Emulator) notifiedOfStart(agent, serverID string) bool {
 	return e.endpoints.notifiedOfStart(agent, serverID)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestExhaustedDescriptorsAreReported checks that a run that cannot open connections has errors.
+// TestExhaustedDescriptorsAreReported checks that a run reports an error if the process runs out of descriptors.
 func TestExhaustedDescriptorsAreReported(t *testing.T) {
 	config := smallConfig()
 	config.Rate = 100
--- a/internal/emulator/endpoint_list.go
+++ b/internal/emulator/endpoint_list.go
@@ -9,43 +9,43 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// discoveryStream is the first of the streams of random numbers for the agents' delays.
+// discoveryStream is the random number stream of the first agent's delays. The streams of the other agents follow it.
 const discoveryStream = 2000
 
-// endpointList is the emulated discovery. Each agent has a view of its own: changes reach it in their order, each
-// with a random delay (PROTOCOL, "Discovery"). An agent counts as notified once a change has reached its view.
+// endpointList emulates discovery. Each agent has a view of its own, which changes reach in order and each after a
+// random delay (PROTOCOL, "Discovery"). An agent counts as notified of a change once it has reached the agent's view.
 type endpointList struct {
 	emulator *Emulator
 
 	mu         sync.Mutex
 	version    uint64
 	agentViews map[string]*agentView
-	viewOrder  []*agentView  // in the agents' order, so that delays follow from the seed
-	restored   chan struct{} // not nil while discovery is unavailable; closed when it is available again
+	viewOrder  []*agentView  // in the order of the agents, so that delays follow from the seed
+	restored   chan struct{} // non-nil while discovery is unavailable; closed when it is available again
 	removals   []Notification
 
 	calls, entriesSent atomic.Uint64
 }
 
-// agentView is the endpoint list as one agent can see it.
+// agentView is the endpoint list as one agent sees it.
 type agentView struct {
 	agent   string
 	zone    int
 	random  *rand.Rand
 	version uint64
 	entries map[string]listEntry
-	ids     []string // in the order in which they were added
+	ids     []string // keys of entries, in the order of their addition
 	pending []pendingChange
-	changed chan struct{} // closed and replaced at a change
+	changed chan struct{} // closed and replaced at every change
 }
 
-// listEntry is an endpoint and the version of its last change.
+// listEntry is an endpoint and the list version of its last change.
 type listEntry struct {
 	endpoint.Endpoint
 	version uint64
 }
 
-// pendingChange is a change that has not reached a view yet.
+// pendingChange is a change that has not yet reached a view.
 type pendingChange struct {
 	at      time.Duration
 	version uint64
@@ -69,7 +69,7 @@
 	return l
 }
 
-// publish sends a server's present state to all views, with a random delay for each.
+// publish sends a server's current state to all views, to each with a random delay.
 func (l *endpointList) publish(s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,13 +79,13 @@
 	}
 }
 
-// publishInitial sends the state of a server that was started long ago to all views at once.
+// publishInitial adds a server that was started long ago to all views without a delay.
 func (l *endpointList) publishInitial(s *server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
 	for _, view := range l.viewOrder {
-		l.randomDelay(view) // drawn although it is not used, so that the later delays of a seed stay the same
+		l.randomDelay(view) // unused, but drawn so that the later delays of a seed stay the same
 		l.schedule(view, s.endpointFor(view.zone), 0)
 	}
 }
@@ -97,7 +97,7 @@
 	return bounds.Min() + time.Duration(view.random.Float64()*float64(spread))
 }
 
-// schedule adds a change to a view after a delay, but not before earlier changes. The caller holds mu.
+// schedule adds a change to a view after a delay, but not before earlier changes. The caller must hold l.mu.
 func (l *endpointList) schedule(view *agentView, entry endpoint.Endpoint, delay time.Duration) {
 	at := l.emulator.Now() + delay
 	if n := len(view.pending); n > 0 {
@@ -115,7 +115,7 @@
 	})
 }
 
-// deliverDue applies the changes that are due to a view. The caller holds mu.
+// deliverDue applies the due changes to a view unless discovery is unavailable. The caller must hold l.mu.
 func (l *endpointList) deliverDue(view *agentView) {
 	now := l.emulator.Now()
 	delivered := false
@@ -139,7 +139,7 @@
 	}
 }
 
-// setUnavailable makes discovery unavailable, or available again.
+// setUnavailable makes discovery unavailable or available again.
 func (l *endpointList) setUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,14 +157,14 @@
 	}
 }
 
-// outage returns a channel that is closed when discovery is available again; nil: it is available.
+// outage returns a channel that is closed at the end of the current outage, or nil if discovery is available.
 func (l *endpointList) outage() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.restored
 }
 
-// notifiedOfStart tells whether an agent's view has the start time of a server.
+// notifiedOfStart reports whether an agent's view contains the start time of a server.
 func (l *endpointList) notifiedOfStart(agent, serverID string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -176,8 +176,9 @@
 	return ok && entry.StartedMs > 0
 }
 
-// answer returns the present answer to a call: the full list, or for a watch the entries that changed after its version
-// if the view has had that one. The channel is closed at the view's next change.
+// answer returns the current answer to a query, and a channel that is closed at the view's next change. A watch gets
+// the entries that changed after its version. A poll gets the full list, and so does a watch whose version is newer
+// than the view's.
 func (l *endpointList) answer(view *agentView, query listQuery) (endpoint.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +193,7 @@
 	return list, view.changed
 }
 
-// fullList returns the full list of an agent's view.
+// fullList returns the full list in an agent's view.
 func (l *endpointList) fullList(agent string) endpoint.List {
 	list, _ := l.answer(l.agentViews[agent], listQuery{})
 	return list
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// job is one request inside a machine: first it needs processor time, then it waits on a dependency.
+// job is a request in a machine. It first needs processor time, then waits for a dependency.
 type job struct {
 	remaining      float64       // seconds of a standard core
-	dependencyWait time.Duration // after the processor time
-	waitEnds       time.Duration // set once the wait has begun
+	dependencyWait time.Duration // starts after the processor time
+	waitEnds       time.Duration // set when the wait starts
 	done           chan struct{} // closed when the job is complete
 	state          jobState
 }
 
-// jobState says where in the machine a job is.
+// jobState is the stage that a job has reached in a machine.
 type jobState int
 
 const (
@@ -27,22 +27,22 @@
 )
 
 const (
-	// unset marks a time that has not been set.
+	// unset is the value of a time that is not set.
 	unset time.Duration = -1
-	// rateStep bounds for how long a rate that changes continuously is taken as constant.
+	// rateStep is the longest time for which a continuously changing rate is treated as constant.
 	rateStep = 50 * time.Millisecond
-	// minRemainingWork is the remaining work, in seconds, below which a job counts as computed.
+	// minRemainingWork is the remaining work, in seconds, at or below which a job needs no more processor time.
 	minRemainingWork = 1e-9
 )
 
-// engine simulates a server's machine: the running jobs share the cores evenly (processor sharing, at most one core
-// for each), and a first-come queue stands before the slots. It has no clock and no goroutine: the caller passes the
-// time, which counts from the emulator's start.
+// engine simulates a server's machine. Running jobs share the cores evenly (processor sharing with at most one core per
+// job); jobs without a slot wait in a first-come, first-served queue. The engine has no clock and no goroutine: the
+// caller passes the time since the emulator's start.
 type engine struct {
 	model      Model
 	now        time.Duration
-	started    time.Duration // start of the process; unset: long ago
-	slowFactor float64       // of an injected fault, at least 1; infinite: nothing is computed
+	started    time.Duration // start of the process; longAgo if it has no slow start
+	slowFactor float64       // of an injected fault, at least 1; no job makes progress if infinite
 	jobs       [jobStates][]*job
 
 	overloadedSince time.Duration
@@ -51,7 +51,7 @@
 	busyCoreSeconds float64
 }
 
-// newEngine returns an idle machine of a model.
+// newEngine returns an idle machine of the given model.
 func newEngine(m Model, now, started time.Duration) *engine {
 	return &engine{
 		model:           m,
@@ -64,7 +64,7 @@
 	}
 }
 
-// age returns how long ago the process was started.
+// age returns the time since the start of the process.
 func (e *engine) age(now time.Duration) time.Duration {
 	if e.started < 0 {
 		return math.MaxInt64
@@ -77,13 +77,13 @@
 	return len(e.jobs[jobQueued]) + len(e.jobs[jobRunning]) + len(e.jobs[jobWaiting])
 }
 
-// usedSlots returns the number of jobs that occupy a slot.
+// usedSlots returns the number of occupied slots.
 func (e *engine) usedSlots() int { return len(e.jobs[jobRunning]) + len(e.jobs[jobWaiting]) }
 
 // load returns the number of jobs per core.
 func (e *engine) load() float64 { return float64(e.jobCount()) / float64(e.model.Cores) }
 
-// rate returns how fast each running job computes now, in standard cores.
+// rate returns the current speed of each running job, in standard cores.
 func (e *engine) rate() float64 {
 	n := len(e.jobs[jobRunning])
 	if n == 0 || math.IsInf(e.slowFactor, 1) {
@@ -100,7 +100,7 @@
 	return rate
 }
 
-// nextEvent returns when the state changes without a call from outside; false: never.
+// nextEvent returns the time of the next state change that needs no call from outside, or false if there is none.
 func (e *engine) nextEvent() (at time.Duration, ok bool) {
 	at = math.MaxInt64
 	if rate := e.rate(); rate > 0 {
@@ -133,7 +133,7 @@
 	e.computeUntil(now)
 }
 
-// computeUntil lets the running jobs compute up to a time before which no event is due.
+// computeUntil advances the running jobs up to a time before which no event is due.
 func (e *engine) computeUntil(to time.Duration) {
 	rate := e.rate()
 	seconds := (to - e.now).Seconds()
@@ -146,7 +146,7 @@
 	e.now = to
 }
 
-// completeDue moves the jobs on whose computation or wait has ended.
+// completeDue moves the jobs whose processor time or wait has ended to their next state.
 func (e *engine) completeDue() {
 	for _, j := range slices.Clone(e.jobs[jobRunning]) {
 		if j.remaining <= minRemainingWork {
@@ -164,14 +164,14 @@
 	e.updateCongestion()
 }
 
-// startQueued gives free slots to the queue.
+// startQueued starts queued jobs in the free slots.
 func (e *engine) startQueued() {
 	for len(e.jobs[jobQueued]) > 0 && e.usedSlots() < e.model.Slots {
 		e.setState(e.jobs[jobQueued][0], jobRunning)
 	}
 }
 
-// updateCongestion begins and ends the congestion that the model describes.
+// updateCongestion starts or ends congestion as the model describes.
 func (e *engine) updateCongestion() {
 	congestion := &e.model.Congestion
 	if congestion.Factor <= 0 {
@@ -205,7 +205,7 @@
 	return e.now - *since
 }
 
-// setState moves a job to another state's list.
+// setState moves a job to the list of another state.
 func (e *engine) setState(j *job, to jobState) {
 	from := e.jobs[j.state]
 	if i := slices.Index(from, j); i >= 0 {
@@ -217,7 +217,7 @@
 	}
 }
 
-// submit gives the machine one more job; false: slots and queue are full.
+// submit adds a job to the machine. It returns false if the slots and the queue are full.
 func (e *engine) submit(j *job) bool {
 	if e.usedSlots() >= e.model.Slots && len(e.jobs[jobQueued]) >= e.model.Queue {
 		return false
@@ -228,7 +228,7 @@
 	return true
 }
 
-// cancel removes a job; its work stops.
+// cancel stops and removes a job.
 func (e *engine) cancel(j *job) {
 	if j.state != jobInactive {
 		e.setState(j, jobInactive)
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestEngineMatchesQueueingTheory serves a Poisson stream in simulated time and compares the mean wait with exact
-// results: Erlang's C for M/M/k and the formula of Pollaczek and Khinchine for M/G/1.
+// TestEngineMatchesQueueingTheory serves Poisson arrivals in simulated time and compares the mean wait with queueing
+// theory: Erlang C for M/M/k, Pollaczek-Khinchine for M/D/1, and MeanWait's approximation for M/G/2.
 func TestEngineMatchesQueueingTheory(t *testing.T) {
 	logNormal := func(r *rand.Rand) float64 { // mean 1, coefficient of variation 0.5
 		variance := math.Log(1.25)
@@ -21,7 +21,7 @@
 		name    string
 		cores   int
 		load    float64
-		service func(*rand.Rand) float64 // in seconds, of mean 1
+		service func(*rand.Rand) float64 // service time in seconds, with mean 1
 		want    float64                  // mean wait in seconds
 	}{
 		{"M/M/1", 1, 0.7, exponential, 0.7 / 0.3},
@@ -38,7 +38,7 @@
 	}
 }
 
-// meanWait returns the mean wait in an engine at a load of each core, in seconds.
+// meanWait returns the mean wait, in seconds, in an engine with the given load per core.
 func meanWait(t *testing.T, cores int, load float64, service func(*rand.Rand) float64) float64 {
 	t.Helper()
 	const jobs = 60_000
@@ -57,7 +57,7 @@
 	return waits / jobs
 }
 
-// secondsUntilFreeCore returns when a core is free for a job that is submitted now (first come, first served).
+// secondsUntilFreeCore returns how long a job that is submitted now waits for a core (first come, first served).
 func secondsUntilFreeCore(e *engine) float64 {
 	if len(e.jobs[jobRunning]) < e.model.Cores {
 		return 0
@@ -73,10 +73,11 @@
 	return slices.Min(free)
 }
 
-// rejected is the service time of a job that the engine does not take.
+// rejected is the result of serviceTime if the engine rejects a job.
 const rejected time.Duration = -1
 
-// serviceTime submits jobs of one second of work and one second of wait at once, and returns when the last is done.
+// serviceTime submits jobs with one second of work and one second of dependency wait at the same time, and returns when
+// the last one is done.
 func serviceTime(m Model, started time.Duration, slowFactor float64, jobs int) time.Duration {
 	e := newEngine(m, 0, started)
 	e.slowFactor = slowFactor
@@ -97,7 +98,8 @@
 	}
 }
 
-// TestEngineServiceTimes checks a machine in slow start, under load, congested, slowed down and full.
+// TestEngineServiceTimes checks service times in slow start, under load, with congestion and with a fault that slows
+// the machine down, and the rejection of a job when the machine is full.
 func TestEngineServiceTimes(t *testing.T) {
 	const tolerance = time.Second / 20
 	base := Model{Cores: 2, Speed: 1, Slots: 8, Queue: 2}
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -12,14 +12,15 @@
 	if !e.recordOverload(s, byNotified) {
 		return
 	}
-	go func() { // the handler that found the overload goes on meanwhile
+	go func() { // stopping the server must not block the handler that detected the overload
 		defer e.background.Done()
 		e.stopServer(s)
 	}()
 }
 
-// recordOverload notes the overload of a running server and adds the removal to the background group; false: the
-// server is not running any more. Both happen under mu, as Close takes out all servers before it waits for the group.
+// recordOverload records the overload of a running server and adds the removal to the background group. It returns
+// false if the server is no longer running. Both happen under e.mu, because Close unregisters all servers before it
+// waits for the group.
 func (e *Emulator) recordOverload(s *server, byNotified bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,7 +32,8 @@
 	return true
 }
 
-// ReplaceServers drains servers, ends them after a time, and starts a successor with another id for each at once.
+// ReplaceServers starts draining the servers, stops them after the given time, and immediately starts a successor with
+// another ID for each.
 func (e *Emulator) ReplaceServers(drain time.Duration, ids ...string) error {
 	for s := range e.findServers(ids) {
 		if _, err := e.addServer(e.Now()); err != nil {
@@ -45,7 +47,8 @@
 	return nil
 }
 
-// KillServers ends servers at once and starts successors after a time; discovery lists both.
+// KillServers stops servers without a drain and starts their successors after the given time. Discovery lists the
+// removals and the successors.
 func (e *Emulator) KillServers(restartAfter time.Duration, ids ...string) {
 	for s := range e.findServers(ids) {
 		e.removeServer(s)
@@ -53,24 +56,24 @@
 	}
 }
 
-// ServerFault makes a server slower by a factor of at least 1 (infinite: it computes nothing) and lets a fraction of
-// its requests fail at once.
+// ServerFault slows a server down by a factor of at least 1, with no progress at all if it is infinite, and makes a
+// fraction of its requests fail immediately.
 type ServerFault struct{ SlowFactor, FailureRate float64 }
 
-// noServerFault is that of a server without a fault.
+// noServerFault is the ServerFault of a server without a fault.
 var noServerFault = ServerFault{SlowFactor: 1}
 
-// SetServerFault begins a fault of servers.
+// SetServerFault injects a fault into servers in place of any earlier one.
 func (e *Emulator) SetServerFault(fault ServerFault, ids ...string) {
 	for s := range e.findServers(ids) {
 		s.machine.setFault(fault)
 	}
 }
 
-// EndServerFault ends the fault of servers.
+// EndServerFault removes the fault from servers.
 func (e *Emulator) EndServerFault(ids ...string) { e.SetServerFault(noServerFault, ids...) }
 
-// PartitionServers partitions servers from the agents of some zones.
+// PartitionServers starts a network partition between servers and the agents of some zones.
 func (e *Emulator) PartitionServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
 		for _, zone := range agentZones {
@@ -79,7 +82,7 @@
 	}
 }
 
-// HealServers ends a partition of servers from the agents of some zones.
+// HealServers ends the network partition between servers and the agents of some zones.
 func (e *Emulator) HealServers(agentZones []int, ids ...string) {
 	for s := range e.findServers(ids) {
 		for _, zone := range agentZones {
@@ -88,11 +91,11 @@
 	}
 }
 
-// SetDiscoveryUnavailable makes discovery unavailable, or available again.
+// SetDiscoveryUnavailable makes discovery unavailable or available again.
 func (e *Emulator) SetDiscoveryUnavailable(unavailable bool) { e.endpoints.setUnavailable(unavailable) }
 
-// AgentStopped notes that the experiment has ended an agent's process: its open requests are not lost by a fault of
-// the agent.
+// AgentStopped records that the experiment has stopped an agent's process, so that the loss of its open requests is not
+// counted as a violation.
 func (e *Emulator) AgentStopped(name string) {
 	e.mu.Lock()
 	e.stoppedAgents[name] = true
@@ -100,14 +103,14 @@
 	e.clients.markAgentStopped(name)
 }
 
-// AgentStarted notes that the experiment has started an agent's process.
+// AgentStarted records that the experiment has started an agent's process.
 func (e *Emulator) AgentStarted(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.stoppedAgents, name)
 }
 
-// isAgentStopped tells whether the experiment has ended the agent's process.
+// isAgentStopped reports whether the experiment has stopped an agent's process.
 func (e *Emulator) isAgentStopped(agent string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestOverloadedServerStaysDown overloads a server in slow start: it fails, is not listed as removed, and Close
-// waits for its removal.
+// TestOverloadedServerStaysDown checks that a server that is overloaded in slow start stops without being listed as
+// removed, and that Close waits until it has stopped.
 func TestOverloadedServerStaysDown(t *testing.T) {
 	config := smallConfig()
 	config.Contract = Contract{
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const seconds = 1000 // of work at once, far above the limit of the first second
+	const seconds = 1000 // of work in one request, far above the limit of the first second
 	overloaded, byNotified := s.machine.recordArrival(seconds, true)
 	if !overloaded || !byNotified {
 		t.Fatalf("overloaded %v, by notified agents %v", overloaded, byNotified)
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// smallConfig returns the configuration of one server with one core, which a client may call without an agent.
+// smallConfig returns a configuration with one single-core server and one client.
 func smallConfig() Config {
 	return Config{
 		Seed:        1,
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -9,25 +9,25 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Rule is one of the four operating rules (WIRE, "Operating rules"). The texts stand in records.
+// Rule is one of the four operating rules (WIRE, "Operating rules"). Its values are stored in records.
 type Rule string
 
 // The operating rules.
 const (
-	RuleLost      Rule = "lost"      // every request gets one complete and genuine response
+	RuleLost      Rule = "lost"      // every request gets one complete response, made by a server
 	RuleDuplicate Rule = "duplicate" // no request executes twice unless its class allows it
 	RuleDrain     Rule = "drain"     // no new request goes to a server after the notification of its removal
-	RuleSlowStart Rule = "cold"      // no server in slow start is overloaded by agents that know of its start
+	RuleSlowStart Rule = "cold"      // no server in slow start is overloaded by agents notified of its start
 )
 
-// Violation is a rule that was broken, with the request concerned if there is one.
+// Violation is a breach of a rule. Request is nil if the breach does not concern a single request.
 type Violation struct {
 	Rule        Rule     `json:"Rule"`
 	Description string   `json:"What"`
 	Request     *Request `json:"Try"`
 }
 
-// String describes the violation on one line.
+// String returns a one-line description of the violation.
 func (v Violation) String() string {
 	if v.Request == nil {
 		return fmt.Sprintf("%s: %s", v.Rule, v.Description)
@@ -35,13 +35,13 @@
 	return fmt.Sprintf("%s: %s: %v", v.Rule, v.Description, v.Request)
 }
 
-// agentServer identifies a server as seen by an agent.
+// agentServer is a pair of an agent and a server.
 type agentServer struct{ agent, server string }
 
-// judge collects the violations of a history.
+// judge checks a history and collects its violations.
 type judge struct {
 	contract   *Contract
-	removedAt  map[agentServer]time.Duration // first notification of the removal
+	removedAt  map[agentServer]time.Duration // first notification of the drain or removal
 	violations []Violation
 }
 
@@ -62,7 +62,7 @@
 	return j.violations
 }
 
-// firstNotifications returns when each agent was first notified of each server's removal.
+// firstNotifications returns the time at which each agent was first notified of each server's drain or removal.
 func firstNotifications(notifications []Notification) map[agentServer]time.Duration {
 	first := map[agentServer]time.Duration{}
 	for _, n := range notifications {
@@ -74,12 +74,12 @@
 	return first
 }
 
-// report adds a violation; the request may be nil.
+// report adds a violation. The request may be nil.
 func (j *judge) report(rule Rule, request *Request, format string, args ...any) {
 	j.violations = append(j.violations, Violation{rule, fmt.Sprintf(format, args...), request})
 }
 
-// checkResponse checks that the request got one complete and genuine response.
+// checkResponse checks that the request got one complete response, made by a server.
 func (j *judge) checkResponse(request *Request) {
 	switch {
 	case request.Outcome == RequestLost && !request.AgentStopped:
@@ -89,8 +89,9 @@
 	}
 }
 
-// checkDuplicates checks that no two attempts are in flight at the same time, and that after one that may have
-// executed only those follow which the class allows. The same holds for a rejection, after which clients retry.
+// checkDuplicates checks that no two attempts are in flight at the same time, and that an attempt that may have
+// executed is followed only by attempts that the class allows. It checks rejections likewise, because clients retry
+// after them.
 func (j *judge) checkDuplicates(request *Request, class *Class) {
 	for i := range request.Attempts {
 		for k := range request.Attempts[:i] {
@@ -107,7 +108,7 @@
 	}
 }
 
-// checkPair checks an attempt against an earlier one of the same request.
+// checkPair checks an attempt against an earlier attempt of the same request.
 func (j *judge) checkPair(request *Request, class *Class, earlier, later *Attempt) {
 	slack := j.contract.Slack
 	if earlier.Outcome == AttemptOpen || earlier.Ended > later.Received+slack {
@@ -128,7 +129,8 @@
 	}
 }
 
-// checkDrain checks that no attempt began after the agent was notified of the server's removal.
+// checkDrain checks that no attempt started later than the drain grace after the agent was notified of the server's
+// drain or removal.
 func (j *judge) checkDrain(request *Request) {
 	for _, a := range request.Attempts {
 		removedAt, ok := j.removedAt[agentServer{request.Agent, a.Server}]
--- a/internal/emulator/judge_test.go
+++ b/internal/emulator/judge_test.go
@@ -31,7 +31,7 @@
 	requestRejectedAfterError
 )
 
-// validHistory returns a history that breaks no rule, though each rule is close to it.
+// validHistory returns a history without violations in which a small change violates each rule.
 func validHistory() *History {
 	requests := make([]*Request, 5)
 	requests[requestForwardedTwice] = &Request{
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestJudgeFindsEachViolation seeds one violation at a time in a history that breaks no rule.
+// TestJudgeFindsEachViolation adds one violation at a time to a history without violations.
 func TestJudgeFindsEachViolation(t *testing.T) {
 	contract := &Contract{DrainGrace: 300 * ms, Slack: 50 * ms}
 	if got := Judge(validHistory(), judgeClasses, contract); len(got) > 0 {
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// machineStream selects a machine's random numbers from its seed.
+	// machineStream is the random number stream of a machine's seed.
 	machineStream = 7
-	// Arrivals vary, so a server in slow start bears overloadDeviations standard deviations of a Poisson count and
-	// overloadSpareRequests more than the contract's limit.
+	// Arrivals vary, so a server in slow start tolerates overloadDeviations standard deviations of a Poisson count plus
+	// overloadSpareRequests requests above the contract's limit.
 	overloadDeviations    = 3
 	overloadSpareRequests = 3
-	// notifiedNumerator and notifiedDenominator make the part of the load above which an overload counts as that of
+	// notifiedNumerator and notifiedDenominator form the fraction of the load above which an overload is attributed to
 	// the notified agents.
 	notifiedNumerator, notifiedDenominator = 2, 3
 )
 
-// machine drives an engine in real time. It adds what a server has besides its cores: the cache of keys and the
-// overload of a server in slow start. Its methods are safe for concurrent use.
+// machine runs an engine in real time. It adds the cache of keys, the requests that fail immediately, and the overload
+// of a server in slow start. Its methods are safe for concurrent use.
 type machine struct {
 	emulator *Emulator
 
@@ -28,21 +28,21 @@
 	engine            *engine
 	timer             *time.Timer
 	random            *rand.Rand
-	cachedKeys        map[uint64]time.Duration // when each key was last requested
-	failureRate       float64                  // of an injected fault: the fraction of requests that fail at once
-	slowStartArrivals []arrival                // within the contract's overload window
-	workReceived      float64                  // seconds of a standard core
+	cachedKeys        map[uint64]time.Duration // last use of each cached key
+	failureRate       float64                  // of an injected fault: fraction of requests that fail immediately
+	slowStartArrivals []arrival                // those within the contract's overload window
+	workReceived      float64                  // in seconds of a standard core
 	peakSlowStartLoad float64                  // highest load in slow start, as a fraction of the overload limit
 }
 
-// arrival is one request that reached a server in slow start.
+// arrival is the arrival of a request at a server in slow start.
 type arrival struct {
 	at       time.Duration
-	requests float64 // its work, in requests of mean work
+	requests float64 // its work, in units of the mean work
 	notified bool    // its agent had been notified of the server's start
 }
 
-// newMachine returns a machine that runs until stop.
+// newMachine returns a machine that runs until stop is called.
 func newMachine(e *Emulator, model Model, started time.Duration, seed uint64) *machine {
 	m := &machine{
 		emulator:   e,
@@ -50,14 +50,14 @@
 		random:     rand.New(rand.NewPCG(seed, machineStream)),
 		cachedKeys: map[uint64]time.Duration{},
 	}
-	m.timer = time.AfterFunc(time.Hour, m.tick) // do sets it to the first event
+	m.timer = time.AfterFunc(time.Hour, m.tick) // do resets it to the first event
 	return m
 }
 
-// tick handles the engine's next event.
+// tick processes the engine's due events.
 func (m *machine) tick() { m.do(func(*engine) {}) }
 
-// do advances the engine to now, calls a function with it, and sets the timer to the next event.
+// do advances the engine to the current time, calls action with it, and resets the timer to the engine's next event.
 func (m *machine) do(action func(*engine)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,17 +73,17 @@
 // stop ends the machine's timer.
 func (m *machine) stop() { m.timer.Stop() }
 
-// admission is what a machine does with a request on arrival.
+// admission is a machine's decision about an arriving request.
 type admission int
 
 const (
 	admitted admission = iota
 	rejectedFull
-	failedImmediately // answered with an error at once
+	failedImmediately // answered with an error, without any work
 )
 
-// submit gives the machine a request with a key, its work (seconds of a standard core) and its wait on a dependency.
-// The job is nil unless the request was admitted.
+// submit passes a request to the machine: its key, its work in seconds of a standard core, and its wait for a
+// dependency. The returned job is nil unless the request was admitted.
 func (m *machine) submit(key uint64, seconds float64, dependencyWait time.Duration) (j *job, result admission) {
 	m.do(func(e *engine) {
 		m.workReceived += seconds
@@ -106,7 +106,8 @@
 	return j, result
 }
 
-// cacheKey notes the use of a key; the least recently used one is evicted from a full cache. The caller holds mu.
+// cacheKey records the use of a key. If the cache is full, it evicts the least recently used key. The caller must hold
+// m.mu.
 func (m *machine) cacheKey(key uint64, now time.Duration) {
 	if _, ok := m.cachedKeys[key]; !ok && len(m.cachedKeys) >= m.engine.model.CacheSize {
 		oldest, oldestUse := key, now
@@ -120,15 +121,15 @@
 	m.cachedKeys[key] = now
 }
 
-// addBackgroundWork adds work that no request waits for, such as handshakes and health checks.
+// addBackgroundWork adds work that no request waits for, such as that of handshakes and health checks.
 func (m *machine) addBackgroundWork(seconds float64) {
 	m.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
 }
 
-// cancel removes a job; its work stops.
+// cancel stops and removes a job.
 func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
 
-// setFault puts a fault in the place of the present one.
+// setFault replaces the current fault.
 func (m *machine) setFault(fault ServerFault) {
 	m.do(func(e *engine) {
 		e.slowFactor = fault.SlowFactor
@@ -136,10 +137,10 @@
 	})
 }
 
-// recordArrival notes a request that reaches a server in slow start. The server is overloaded once more than
-// N + 3 sqrt(N) + 3 requests of mean work arrive within the contract's window, where N is Contract.SlowStartLimit
-// (the definition of the operators' acceptance test). byNotified tells whether more than two thirds of them came from
-// agents that had been notified of the start.
+// recordArrival records a request that reaches a server in slow start. The server is overloaded when more than
+// N + 3 sqrt(N) + 3 requests of mean work arrive within the contract's overload window, where N is
+// Contract.SlowStartLimit (the definition of the operators' acceptance test). byNotified reports whether more than two
+// thirds of them came from agents that had been notified of the start.
 func (m *machine) recordArrival(seconds float64, notified bool) (overloaded, byNotified bool) {
 	contract := &m.emulator.config.Contract
 	mean := m.emulator.meanWorkSeconds
@@ -161,8 +162,8 @@
 	return total > limit, fromNotified > total*notifiedNumerator/notifiedDenominator
 }
 
-// sumArrivals returns the load within the contract's window, in requests of mean work, and the part of it that came
-// from notified agents. The caller holds mu.
+// sumArrivals returns the load within the contract's overload window, in requests of mean work, and the part of it that
+// came from notified agents. The caller must hold m.mu.
 func (m *machine) sumArrivals() (total, fromNotified float64) {
 	for _, a := range m.slowStartArrivals {
 		total += a.requests
--- a/internal/emulator/metric.go
+++ b/internal/emulator/metric.go
@@ -1,11 +1,11 @@
 package emulator
 
-// Metric is the key of a metric in the record of a run. Records that were written earlier have the same keys, so they
-// do not change; package experiment has the titles and units that reports print.
+// Metric is the key of a metric in the record of a run. Stored records contain these keys, so they must not change.
+// Package experiment has the titles and units that reports print.
 type Metric string
 
-// The part of the requested value that became of the calls. The value of a call is its class's priority weight times
-// its work, in units of the mean work.
+// Fractions of the requested value by the outcome of the calls. The value of a call is its class's priority weight
+// times its work in units of the mean work.
 const (
 	MetricInTime   Metric = "in time"
 	MetricLate     Metric = "late"
@@ -13,7 +13,7 @@
 	MetricFailed   Metric = "failed"
 )
 
-// The calls of a run, and the latencies and the work of those that were served, in ms.
+// Number of calls of a run, and the latencies and mean work of the served ones in ms.
 const (
 	MetricCalls       Metric = "requests"
 	MetricLatencyP50  Metric = "latency p50 ms"
@@ -24,7 +24,7 @@
 
 // Counts of a run, each divided by the number of calls.
 const (
-	MetricRequests          Metric = "tries a request" // of clients, their retries included
+	MetricRequests          Metric = "tries a request" // from clients, including retries
 	MetricAttempts          Metric = "attempts a request"
 	MetricAttemptsFailed    Metric = "error a request"
 	MetricAttemptsRejected  Metric = "turned away a request"
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Model describes the machine of a server. A zero field switches the property off.
+// Model describes a server's machine. A zero field disables the property that it describes.
 type Model struct {
-	// Kind is the name under which discovery lists the model.
+	// Kind is the name of the model in the endpoint list.
 	Kind  string `toml:"kind"`
 	Cores int    `toml:"cores"`
-	// Speed is that of a core, in standard cores.
+	// Speed is the speed of a core, in standard cores.
 	Speed float64 `toml:"speed"`
-	// Slots bounds the requests served at the same time, those that wait on a dependency included.
+	// Slots bounds the requests served at the same time, including those that wait for a dependency.
 	Slots int `toml:"slots"`
-	// Queue bounds the requests that wait for a slot; more are rejected.
+	// Queue bounds the requests that wait for a slot. Further requests are rejected.
 	Queue int `toml:"queue"`
-	// SlowStartFrom is the fraction of its capacity that a server has right after a start; it grows linearly and is
-	// complete after SlowStartFor.
+	// SlowStartFrom is the fraction of its capacity that a server has right after a start. The fraction grows linearly
+	// and reaches 1 after SlowStartFor.
 	SlowStartFrom float64       `toml:"cold_from"`
 	SlowStartFor  time.Duration `toml:"cold_for"`
-	// ThrashLoss is the fraction of the capacity that is lost at twice ThrashAt requests per core; the loss begins
-	// at ThrashAt and grows linearly.
+	// ThrashLoss is the fraction of the capacity that is lost at twice ThrashAt requests per core or more. The loss
+	// starts at ThrashAt and grows linearly.
 	ThrashLoss float64    `toml:"thrash"`
 	ThrashAt   float64    `toml:"thrash_at"`
 	Congestion Congestion `toml:"choke"`
-	// CacheSaving is the fraction of the work that a request with a cached key saves. A key stays cached for
-	// CacheTTL; at most CacheSize keys are cached.
+	// CacheSaving is the fraction of its work that a request with a cached key saves. A key stays cached for CacheTTL
+	// after its last use. At most CacheSize keys are cached.
 	CacheSaving float64       `toml:"key_gain"`
 	CacheTTL    time.Duration `toml:"key_for"`
 	CacheSize   int           `toml:"keys"`
-	// MaxConnections bounds the open connections; requests on further ones are rejected.
+	// MaxConnections bounds the open connections. Requests on further connections are rejected.
 	MaxConnections int `toml:"conns"`
-	// HandshakeWork is the work of a new connection, on a standard core.
+	// HandshakeWork is the work of a new connection's handshake, on a standard core.
 	HandshakeWork time.Duration `toml:"handshake"`
 	// HealthCheckWork is the work of a health check, on a standard core.
 	HealthCheckWork time.Duration `toml:"probe"`
-	// ErrorRate is the fraction of the requests that fail at once.
+	// ErrorRate is the fraction of the requests that fail immediately.
 	ErrorRate float64 `toml:"error_rate"`
 }
 
-// Congestion describes how a server slows down after a long overload. Once it has had more than OnsetLoad requests
-// per core for OnsetTime, it is slower by Factor, until it has had less than RecoveryLoad requests per core for
-// RecoveryTime, or until MaxTime has passed.
+// Congestion describes how a server slows down after a long overload. After more than OnsetLoad requests per core for
+// OnsetTime, the server is slower by Factor. This ends after less than RecoveryLoad requests per core for RecoveryTime,
+// or after MaxTime.
 type Congestion struct {
 	OnsetLoad    float64       `toml:"at"`
 	RecoveryLoad float64       `toml:"below"`
@@ -49,7 +49,7 @@
 	Factor       float64       `toml:"slower"`
 }
 
-// capacityFraction returns the fraction of its capacity that a server has at an age.
+// capacityFraction returns the fraction of its capacity that a server has at the given age.
 func (m *Model) capacityFraction(age time.Duration) float64 {
 	if m.SlowStartFor <= 0 || age >= m.SlowStartFor {
 		return 1
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// listenTCP opens a listener at an IP address and port of this machine.
+// listenTCP listens at an IP address and port of this machine.
 func listenTCP(address string) (*net.TCPListener, error) {
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addrPort))
 }
 
-// dialTCP opens a connection within a time; 0: without a bound.
+// dialTCP opens a connection. A timeout of 0 means no timeout.
 func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(ctx, "tcp", address)
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -8,19 +8,19 @@
 )
 
 // partitionListener is a server's listener for the agents of one zone. It can emulate a network partition: open
-// connections stay open but transfer nothing, new ones are never established, and when the partition ends, the open
-// ones are reset (PROTOCOL, "The network").
+// connections stay open without transferring data, and new ones are not established. At the end of the partition, the
+// open ones are reset (PROTOCOL, "The network").
 type partitionListener struct {
 	*net.TCPListener
 
 	mu            sync.Mutex
-	healed        chan struct{} // not nil during a partition; closed when it ends
+	healed        chan struct{} // non-nil during a partition; closed when it ends
 	connections   map[*partitionConn]bool
-	backlogFiller net.Conn // occupies the backlog during a partition
+	backlogFiller net.Conn // fills the backlog during a partition
 	closed        bool
 }
 
-// newPartitionListener listens at an address, without a partition.
+// newPartitionListener returns a listener at the given address, initially without a partition.
 func newPartitionListener(address string) (*partitionListener, error) {
 	listener, err := listenTCP(address)
 	if err != nil {
@@ -32,17 +32,17 @@
 	}, nil
 }
 
-// setBacklog changes how many connections the system accepts ahead of Accept.
+// setBacklog sets how many connections the kernel establishes ahead of Accept.
 func (l *partitionListener) setBacklog(n int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return // the listener is closed
 	}
-	// Both errors mean that the listener was closed meanwhile: then there is no backlog to change.
+	// Both errors mean that the listener was closed in the meantime, so that there is no backlog to change.
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// beginPartition begins a partition, unless there is one.
+// beginPartition starts a partition unless one is in progress.
 func (l *partitionListener) beginPartition() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,12 +50,12 @@
 		return
 	}
 	l.healed = make(chan struct{})
-	// Even with a backlog of 0 the system accepts one connection. After this one it accepts none.
+	// The kernel establishes one connection even with a backlog of 0, and none after this one.
 	l.setBacklog(0)
-	l.backlogFiller, _ = dialTCP(context.Background(), l.Addr().String(), 0) // an error: it is full already
+	l.backlogFiller, _ = dialTCP(context.Background(), l.Addr().String(), 0) // fails if the backlog is already full
 }
 
-// endPartition ends the partition, if there is one.
+// endPartition ends the current partition, if any.
 func (l *partitionListener) endPartition() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,31 +67,32 @@
 	l.resetConnections()
 }
 
-// releaseWaiting releases what waits for the end of a partition, if there is one. The caller holds mu.
+// releaseWaiting wakes the goroutines that wait for the end of the partition, if any, and frees the backlog. The caller
+// must hold l.mu.
 func (l *partitionListener) releaseWaiting() {
 	if l.healed != nil {
 		close(l.healed)
 		l.healed = nil
 	}
 	if l.backlogFiller != nil {
-		_ = l.backlogFiller.Close() // nothing was written on it
+		_ = l.backlogFiller.Close() // nothing was written to it
 	}
 }
 
-// resetConnections closes all connections with a TCP reset. The caller holds mu.
+// resetConnections closes all connections with a TCP reset. The caller must hold l.mu.
 func (l *partitionListener) resetConnections() {
 	for c := range l.connections {
 		resetConnection(c.TCPConn)
 	}
 }
 
-// resetConnection closes a connection with a TCP reset. Both calls fail only on a connection that is closed already.
+// resetConnection closes a connection with a TCP reset. Both calls fail only on a connection that is already closed.
 func resetConnection(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// stop closes the listener as the end of its process does: connections are reset, new ones refused.
+// stop closes the listener as if its process had ended: open connections are reset and new ones refused.
 func (l *partitionListener) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,14 +105,14 @@
 	l.resetConnections()
 }
 
-// partition returns a channel that is closed at the end of the present partition; nil: there is none.
+// partition returns a channel that is closed at the end of the current partition, or nil if there is none.
 func (l *partitionListener) partition() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.healed
 }
 
-// Accept returns the next connection that is established outside of a partition.
+// Accept returns the next connection that is established outside a partition.
 func (l *partitionListener) Accept() (net.Conn, error) {
 	for {
 		if healed := l.partition(); healed != nil {
@@ -121,7 +122,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if healed := l.partition(); healed != nil { // it was established while the partition began
+		if healed := l.partition(); healed != nil { // a partition started while it was established
 			<-healed
 			resetConnection(c)
 			continue
@@ -134,7 +135,7 @@
 	}
 }
 
-// openConnections returns the number of accepted connections that are open.
+// openConnections returns the number of open accepted connections.
 func (l *partitionListener) openConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +148,8 @@
 	listener *partitionListener
 }
 
-// Read returns what arrived outside of a partition; one that has begun by then is waited for and ends in a reset.
+// Read reads data outside a partition. If a partition is in progress when data arrives, Read waits for its end and
+// returns ECONNRESET.
 func (c *partitionConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if healed := c.listener.partition(); healed != nil {
@@ -157,7 +159,7 @@
 	return n, err
 }
 
-// Write waits for the end of a partition, which resets the connection.
+// Write writes data outside a partition. During a partition, it waits for the end and returns ECONNRESET.
 func (c *partitionConn) Write(p []byte) (int, error) {
 	if healed := c.listener.partition(); healed != nil {
 		<-healed
@@ -166,7 +168,7 @@
 	return c.TCPConn.Write(p)
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from the listener's open connections.
 func (c *partitionConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.connections, c)
--- a/internal/emulator/request.go
+++ b/internal/emulator/request.go
@@ -9,20 +9,20 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// liveRequest is a request to an agent with what the servers have to know of it.
+// liveRequest is a request to an agent, with the properties that the servers need to serve it and its record.
 type liveRequest struct {
 	class          *Class
 	agent          string
 	key            uint64
 	work           time.Duration // on a standard core
 	dependencyWait time.Duration
-	idempotencyKey string // empty: the class has none
+	idempotencyKey string // empty if the class has none
 
 	mu     sync.Mutex // guards record while the request is open
 	record *Request
 }
 
-// findRequest returns the request with an id, or nil.
+// findRequest returns the request with the given ID, or nil.
 func (e *Emulator) findRequest(id string) *liveRequest {
 	request, ok := e.requests.Load(id)
 	if !ok {
@@ -31,10 +31,10 @@
 	return request.(*liveRequest)
 }
 
-// pathKey is the request's affinity key as it stands in the path.
+// pathKey returns the request's affinity key as written in the URL path.
 func (r *liveRequest) pathKey() string { return fmt.Sprintf("%016x", r.key) }
 
-// method is the request's HTTP method.
+// method returns the request's HTTP method.
 func (r *liveRequest) method() string {
 	if r.class.Idempotency == balancer.Idempotent {
 		return http.MethodGet
@@ -42,12 +42,12 @@
 	return http.MethodPost
 }
 
-// remaining returns the time until the client gives up.
+// remaining returns the time left until the request timeout.
 func (r *liveRequest) remaining(now time.Duration) time.Duration {
 	return r.record.Sent + r.record.Timeout - now
 }
 
-// addAttempt records the arrival of an attempt at a server and returns its index.
+// addAttempt records the arrival of an attempt at a server and returns the attempt's index.
 func (r *liveRequest) addAttempt(a Attempt) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +64,7 @@
 	attempt.Ended = at
 }
 
-// hasAttempts tells whether a server has received the request.
+// hasAttempts reports whether any server has received the request.
 func (r *liveRequest) hasAttempts() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// markAgentStopped records that the experiment ended the agent's process while the request was open.
+// markAgentStopped records that the experiment stopped the agent's process while the request was open.
 func (r *liveRequest) markAgentStopped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -9,20 +9,20 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// MaxTimerDelay is how late the harness may be at the 99th percentile for a run to be valid.
+// MaxTimerDelay bounds the 99th percentile of the delays of the harness's timers in a valid run.
 const MaxTimerDelay = 5 * time.Millisecond
 
-// Result is what a run measured.
+// Result holds the measurements of a run and the violations found in it.
 type Result struct {
 	Seconds    []SecondTotals     `json:"Seconds"`
 	Metrics    map[Metric]float64 `json:"Figures"`
 	Servers    []ServerMetrics    `json:"Nodes"`
 	Violations []Violation        `json:"Broken"`
-	Errors     []string           `json:"Faults"` // of the harness itself: the run is not valid
+	Errors     []string           `json:"Faults"` // errors of the harness itself, which make the run invalid
 	Attempts   int                `json:"Attempts"`
 }
 
-// result collects the result of a run whose last call has ended.
+// result returns the result of a run whose last call has ended.
 func (e *Emulator) result() *Result {
 	r := &Result{Metrics: map[Metric]float64{}}
 	history := &History{}
@@ -33,7 +33,7 @@
 	e.endpoints.mu.Unlock()
 
 	delayP99, worstDelay := e.timerDelayQuantiles()
-	// No time is judged more precisely than this machine kept it.
+	// The limits allow for the longest timer delay, because the harness cannot measure times more precisely.
 	contract := e.config.Contract
 	contract.Slack += worstDelay
 	r.Violations = append(r.Violations, Judge(history, e.config.Classes, &contract)...)
@@ -46,7 +46,7 @@
 	return r
 }
 
-// collectCalls adds what the clients measured.
+// collectCalls adds the measurements of the clients to the result and their requests to the history.
 func (e *Emulator) collectCalls(r *Result, history *History) {
 	c := e.clients
 	c.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// collectServers adds what the servers counted.
+// collectServers adds the metrics of the servers and the errors to the result, and the overloads to the history.
 func (e *Emulator) collectServers(r *Result, history *History) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// addFractions adds the fractions of the requested value that the calls of the run earned.
+// addFractions adds the fractions of the requested value by the outcome of the calls.
 func (r *Result) addFractions() {
 	var total SecondTotals
 	for _, second := range r.Seconds {
@@ -99,7 +99,7 @@
 	r.Metrics[MetricFailed] = total.Failed / total.Requested
 }
 
-// addPerCall adds the counts of the run, each divided by the number of calls.
+// addPerCall adds the number of calls, the slow-start metrics, and the counts per call.
 func (r *Result) addPerCall(history *History, endpoints *endpointList) {
 	calls := 0
 	outcomes := map[Outcome]int{}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -13,23 +13,23 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// serverConfig describes a server to be started.
+// serverConfig describes a server to start.
 type serverConfig struct {
-	endpoint  endpoint.Endpoint // as listed, without the address
+	endpoint  endpoint.Endpoint // entry in the endpoint list, without the address
 	zone      int
 	model     Model
-	started   time.Duration // below zero: long ago
-	addresses []string      // by the zone of the agents that use it
+	started   time.Duration // longAgo if the server has no slow start
+	addresses []string      // one for the agents of each zone
 	seed      uint64
 }
 
-// server is a server process on sockets: a listener for the agents of each zone, each at an address of its own, in
-// front of one machine.
+// server emulates a server process: one machine behind a listener for the agents of each zone, each with its own
+// address.
 type server struct {
 	emulator    *Emulator
-	endpoint    endpoint.Endpoint // as listed, without the address
+	endpoint    endpoint.Endpoint // entry in the endpoint list, without the address
 	zone        int
-	addresses   []string // by the zone of the agents that use it
+	addresses   []string // one for the agents of each zone
 	listeners   []*partitionListener
 	httpServers []*http.Server
 	machine     *machine
@@ -42,13 +42,13 @@
 // connStateKey is the context key of a connection's connState.
 type connStateKey struct{}
 
-// connState is what a server knows of a connection.
+// connState is a server's state of a connection.
 type connState struct {
-	overLimit        bool // the connection exceeds the model's bound
+	overLimit        bool // the connection exceeds the model's MaxConnections
 	handshakeCharged atomic.Bool
 }
 
-// newServer starts a server process; the emulator's background group waits for its goroutines.
+// newServer starts a server. The emulator's background group waits for its goroutines.
 func newServer(e *Emulator, config serverConfig) (*server, error) {
 	s := &server{emulator: e, endpoint: config.endpoint, zone: config.zone, addresses: config.addresses}
 	for clientZone, address := range config.addresses {
@@ -78,7 +78,7 @@
 	return entry
 }
 
-// newHTTPServer returns the HTTP server for the agents of a zone.
+// newHTTPServer returns the HTTP server for the agents of a zone. A maxConnections of 0 means no bound.
 func (s *server) newHTTPServer(clientZone, maxConnections int) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/healthy", s.handleHealthCheck)
@@ -94,7 +94,7 @@
 	}
 }
 
-// serve serves one listener until it is closed.
+// serve handles the connections of listener i until it is closed.
 func (s *server) serve(i int) {
 	err := s.httpServers[i].Serve(s.listeners[i])
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// openConnections returns the number of open connections from all zones.
+// openConnections returns the number of open connections of all listeners.
 func (s *server) openConnections() (n int) {
 	for _, l := range s.listeners {
 		n += l.openConnections()
@@ -110,14 +110,14 @@
 	return n
 }
 
-// stop ends the process: connections are reset, new ones refused, work stops.
+// stop ends the server: it resets open connections, refuses new ones, and stops all work.
 func (s *server) stop() {
 	s.stopped.Store(true)
 	for _, l := range s.listeners {
 		l.stop()
 	}
 	for _, h := range s.httpServers {
-		_ = h.Close() // its listener is closed already
+		_ = h.Close() // its listener is already closed
 	}
 	if s.machine != nil {
 		s.machine.stop()
--- a/internal/emulator/server_metrics.go
+++ b/internal/emulator/server_metrics.go
@@ -1,6 +1,6 @@
 package emulator
 
-// ServerMetrics are a server's counts over a run.
+// ServerMetrics holds the metrics of a server over a run.
 type ServerMetrics struct {
 	Server       string `json:"Node"`
 	Requests     uint64 `json:"Requests"`
@@ -9,14 +9,14 @@
 	HealthChecks uint64 `json:"Probes"`
 	// WorkReceived is the work of all requests, in seconds of a standard core.
 	WorkReceived float64 `json:"Work"`
-	// BusyCoreSeconds is the time that the cores computed, in seconds of one core.
+	// BusyCoreSeconds is the time during which cores were busy, summed over the cores, in seconds.
 	BusyCoreSeconds float64 `json:"Busy"`
-	// SlowStartLoad is the highest load in slow start, as a fraction of the overload limit: above 1 the server
+	// SlowStartLoad is the highest load in slow start, as a fraction of the overload limit. A server with more than 1
 	// failed.
 	SlowStartLoad float64 `json:"Cold"`
 }
 
-// metrics returns the server's counts so far.
+// metrics returns the server's metrics so far.
 func (s *server) metrics() ServerMetrics {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
--- a/internal/emulator/server_requests.go
+++ b/internal/emulator/server_requests.go
@@ -12,19 +12,19 @@
 const maxBodyBytes = 1 << 20
 
 const (
-	// handshakeRoundTrips is how many round trips a new connection takes before its first request is served.
+	// handshakeRoundTrips is the number of round trips that a new connection takes before its first request.
 	handshakeRoundTrips = 2
-	// delaysPerRoundTrip is how many one-way delays a round trip has.
+	// delaysPerRoundTrip is the number of one-way delays in a round trip.
 	delaysPerRoundTrip = 2
 )
 
-// connStateOf returns the state of the connection that a request came on, or nil.
+// connStateOf returns the state of the connection on which a request arrived, or nil if it has none.
 func connStateOf(r *http.Request) *connState {
 	state, _ := r.Context().Value(connStateKey{}).(*connState)
 	return state
 }
 
-// chargeHandshake lets the first request on a connection take the time and the work of the handshake.
+// chargeHandshake adds the delay and the work of the handshake to the first request on a connection.
 func (s *server) chargeHandshake(r *http.Request, clientZone int) {
 	state := connStateOf(r)
 	if state == nil || state.handshakeCharged.Swap(true) {
@@ -37,12 +37,12 @@
 	}
 }
 
-// roundTrip returns the network delay of a round trip between a zone and the server.
+// roundTrip returns the network delay of a round trip between the clients' zone and the server.
 func (s *server) roundTrip(clientZone int) time.Duration {
 	return delaysPerRoundTrip * s.emulator.zoneDelay(clientZone, s.zone)
 }
 
-// handleHealthCheck answers a health check, with 503 once the server is draining.
+// handleHealthCheck answers a health check: with status 503 if the server is draining, with 200 otherwise.
 func (s *server) handleHealthCheck(rw http.ResponseWriter, r *http.Request) {
 	s.healthChecks.Add(1)
 	s.chargeHandshake(r, 0)
@@ -54,14 +54,14 @@
 	}
 }
 
-// reject answers that the request was not executed.
+// reject responds that the request was not executed.
 func (s *server) reject(rw http.ResponseWriter, reason string) {
 	s.rejected.Add(1)
 	rw.Header().Set("Not-Started", "1")
 	http.Error(rw, reason, http.StatusServiceUnavailable)
 }
 
-// handleRequest serves one attempt and records it with the client's request, to be judged later.
+// handleRequest serves an attempt and records it in the client's request for Judge.
 func (s *server) handleRequest(rw http.ResponseWriter, r *http.Request, clientZone int) {
 	started := s.emulator.Now()
 	id := r.Header.Get("Request-Id")
@@ -70,7 +70,7 @@
 		return
 	}
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
-		return // the request did not arrive completely
+		return // the request is incomplete
 	}
 	request := s.emulator.findRequest(id)
 	if request == nil || path.Base(r.URL.Path) != request.pathKey() || r.Method != request.method() {
@@ -93,7 +93,7 @@
 	request.endAttempt(attempt, outcome, s.emulator.Now())
 }
 
-// execute serves a request that has arrived completely, and returns how the attempt ended.
+// execute serves a request that has been read completely and returns the outcome of the attempt.
 func (s *server) execute(rw http.ResponseWriter, r *http.Request, request *liveRequest) Outcome {
 	s.checkSlowStart(request)
 	if state := connStateOf(r); s.draining.Load() || state != nil && state.overLimit {
@@ -101,7 +101,7 @@
 		return AttemptRejected
 	}
 	if s.emulator.isDuplicate(s.endpoint.Cell, request) {
-		_, _ = io.WriteString(rw, duplicateResponse(request.record.ID)) // it counts as served once the server drops it
+		_, _ = io.WriteString(rw, duplicateResponse(request.record.ID)) // dropping the duplicate counts as serving it
 		return Served
 	}
 	j, result := s.machine.submit(request.key, request.work.Seconds(), request.dependencyWait)
@@ -129,7 +129,8 @@
 	return Served
 }
 
-// checkSlowStart counts a request against the limit of a server in slow start, which an overload ends.
+// checkSlowStart counts a request toward the overload limit of a server in slow start and stops the server if it is
+// overloaded.
 func (s *server) checkSlowStart(request *liveRequest) {
 	notified := s.emulator.notifiedOfStart(request.agent, s.endpoint.ID)
 	if overloaded, byNotified := s.machine.recordArrival(request.work.Seconds(), notified); overloaded {
@@ -137,8 +138,8 @@
 	}
 }
 
-// servedResponse is the body of the response to an executed request.
+// servedResponse returns the body of the response to an executed request.
 func servedResponse(id string) string { return fmt.Sprintf("%s done", id) }
 
-// duplicateResponse is the body of the response to a dropped duplicate.
+// duplicateResponse returns the body of the response to a dropped duplicate.
 func duplicateResponse(id string) string { return fmt.Sprintf("%s repeated", id) }
--- a/internal/emulator/servers.go
+++ b/internal/emulator/servers.go
@@ -10,16 +10,17 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// serverStream is the first of the streams of random numbers for the servers' models.
+// serverStream is the random number stream for the model of the first server. The streams of the other servers follow
+// it.
 const serverStream = 1000
 
-// longAgo is the start time of a server that has no slow start.
+// longAgo is the start time of a server that was started before the emulation and has no slow start.
 const longAgo time.Duration = -1
 
-// AllZones selects the servers of every zone.
+// AllZones selects the servers of all zones.
 const AllZones = -1
 
-// ServerIDs returns the ids of the running servers of a zone, or of AllZones, in alphabetical order.
+// ServerIDs returns the sorted IDs of the running servers in a zone, or in AllZones.
 func (e *Emulator) ServerIDs(zone int) (ids []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,14 +33,14 @@
 	return ids
 }
 
-// findServer returns the running server with an id, or nil.
+// findServer returns the running server with the given ID, or nil.
 func (e *Emulator) findServer(id string) *server {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.servers[id]
 }
 
-// findServers yields those of some servers that are running, each looked up at its turn.
+// findServers yields the running servers among the given IDs. It looks up each when its turn comes.
 func (e *Emulator) findServers(ids []string) iter.Seq[*server] {
 	return func(yield func(*server) bool) {
 		for _, id := range ids {
@@ -50,21 +51,21 @@
 	}
 }
 
-// directAddress returns the address of the server that a client calls without an agent.
+// directAddress returns the address of the server that a client calls if Config.Direct is set.
 func (e *Emulator) directAddress(clientIndex int) string {
 	ids := e.ServerIDs(AllZones)
 	return e.findServer(ids[clientIndex%len(ids)]).addresses[e.config.Agents[clientIndex].Zone]
 }
 
-// addServer starts one more server. Discovery lists it at once, which reaches the agents with a delay unless the
-// server was started long ago.
+// addServer starts another server and adds it to the endpoint list. The change reaches the agents after a delay, or
+// without one if the server was started long ago.
 func (e *Emulator) addServer(started time.Duration) (*server, error) {
 	e.mu.Lock()
 	index := e.serversCreated
 	e.serversCreated++
 	e.mu.Unlock()
 
-	position := index % e.config.Servers // a successor has its predecessor's model, zone and cell
+	position := index % e.config.Servers // successors have the model, zone and cell of a configured server
 	random := rand.New(rand.NewPCG(e.config.Seed, serverStream+uint64(position)))
 	model := e.config.Models[pickShare(random.Float64(), e.config.ModelShares)]
 	zone := position % len(e.config.Zones)
@@ -106,16 +107,16 @@
 }
 
 const (
-	// serverIDFactor spreads the ids of servers by multiplicative hashing: 2^32 divided by the golden ratio.
+	// serverIDFactor spreads the IDs of servers by multiplicative hashing. It is 2^32 divided by the golden ratio.
 	serverIDFactor = 2_654_435_761
-	// serverIDMask has the bits of an id.
+	// serverIDMask selects the bits that form an ID.
 	serverIDMask = 0xffff
 )
 
-// serverID returns the id of a server; ids in a row look unrelated.
+// serverID returns the ID of the server with the given index. The IDs of successive servers look unrelated.
 func serverID(index int) string { return fmt.Sprintf("s-%04x", (index*serverIDFactor)&serverIDMask) }
 
-// startSuccessor starts a server unless the emulator is closed.
+// startSuccessor starts another server unless the emulator is closed.
 func (e *Emulator) startSuccessor() {
 	select {
 	case <-e.closed:
@@ -127,7 +128,7 @@
 	}
 }
 
-// removeServer ends a server's process, and discovery lists that.
+// removeServer stops a server and publishes its removal unless it is already stopped.
 func (e *Emulator) removeServer(s *server) {
 	if e.stopServer(s) {
 		s.endpoint.State = endpoint.StateRemoved
@@ -135,7 +136,7 @@
 	}
 }
 
-// stopServer ends a server's process and keeps its metrics; false: it does not run any more.
+// stopServer stops a server and keeps its metrics. It returns false if the server is not running.
 func (e *Emulator) stopServer(s *server) bool {
 	if !e.unregister(s) {
 		return false
@@ -147,7 +148,7 @@
 	return true
 }
 
-// unregister takes a server out of the running ones; false: it is not among them.
+// unregister removes a server from the running ones. It returns false if the server is not running.
 func (e *Emulator) unregister(s *server) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/timer_delay.go
+++ b/internal/emulator/timer_delay.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// timerProbeInterval is how often the machine's timers are measured.
+// timerProbeInterval is the duration of the timers with which measureTimerDelay measures delays.
 const timerProbeInterval = 2 * time.Millisecond
 
-// measureTimerDelay measures how late the machine fires timers, until the emulator is closed.
+// measureTimerDelay records how late timers fire on this machine until the emulator is closed.
 func (e *Emulator) measureTimerDelay() {
 	for {
 		start := time.Now()
@@ -18,14 +18,14 @@
 	}
 }
 
-// recordTimerDelay notes how late a timer fired.
+// recordTimerDelay records how late a timer fired.
 func (e *Emulator) recordTimerDelay(d time.Duration) {
 	e.timerMu.Lock()
 	defer e.timerMu.Unlock()
 	recordDelay(e.timerDelays, d)
 }
 
-// timerDelayQuantiles returns the 99th percentile of the timer delays and the longest one.
+// timerDelayQuantiles returns the 99th percentile and the maximum of the timer delays.
 func (e *Emulator) timerDelayQuantiles() (p99, worst time.Duration) {
 	e.timerMu.Lock()
 	defer e.timerMu.Unlock()
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// TrafficChange multiplies the rate of the calls by RateFactor and gives a part HotKeyShare of them the most popular
-// key. From and To count from the start of the traffic.
+// TrafficChange multiplies the rate of the calls by RateFactor and gives a fraction HotKeyShare of them the most
+// popular key. It is in force from From until To, which count from the start of the traffic.
 type TrafficChange struct {
 	From, To                time.Duration
 	RateFactor, HotKeyShare float64
 }
 
-// SetTrafficChanges sets how the traffic changes. It has to be called before Run, so that the calls follow from the
+// SetTrafficChanges sets the changes of the traffic. It must be called before Run, so that the calls follow from the
 // seed alone.
 func (e *Emulator) SetTrafficChanges(changes ...TrafficChange) { e.trafficChanges = changes }
 
-// trafficAt returns the factor of the rate, and the part of the calls with the most popular key, at a time of the
-// traffic.
+// trafficAt returns the rate factor and the fraction of calls that are given the most popular key, at a time since the
+// start of the traffic.
 func (e *Emulator) trafficAt(at time.Duration) (rateFactor, hotKeyShare float64) {
 	rateFactor = 1
 	for _, change := range e.trafficChanges {
--- a/internal/emulator/units.go
+++ b/internal/emulator/units.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// millisecondsPerSecond converts times.
+// millisecondsPerSecond converts seconds to milliseconds.
 const millisecondsPerSecond = 1000
 
-// secondsToDuration returns a time that is given in seconds.
+// secondsToDuration converts a number of seconds to a duration.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -8,13 +8,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// workloadStream is the first of the streams of random numbers for the clients' calls.
+// workloadStream is the random number stream for the calls of the first client. The streams of the other clients follow
+// it.
 const workloadStream = 3000
 
-// mostPopularKey is the key that a TrafficChange with a HotKeyShare prefers.
+// mostPopularKey is the key of rank 1 in Zipf's distribution, which a TrafficChange's HotKeyShare refers to.
 const mostPopularKey = 1
 
-// call is one call of an application, as drawn from the seed. It is answered by a request or by its retries.
+// call is a call of a client application, as drawn from the seed. The client makes it with a request and its retries.
 type call struct {
 	due            time.Duration
 	class          int
@@ -26,15 +27,15 @@
 // workload draws the calls of one client from the seed alone.
 type workload struct {
 	emulator    *Emulator
-	clientShare float64 // of all calls
+	clientShare float64 // fraction of all calls
 	source      rand.Source
 	random      *rand.Rand
-	keys        distuv.Categorical // Zipf's distribution over the ranks of the keys
+	keys        distuv.Categorical // Zipf distribution over the ranks of the keys
 	classShares []float64
-	due         time.Duration // of the last call, from the start of the traffic
+	due         time.Duration // due time of the last call, from the start of the traffic
 }
 
-// newWorkload returns the workload of a client, whose share is that of all calls.
+// newWorkload returns the workload of a client that makes the given fraction of all calls.
 func newWorkload(e *Emulator, clientIndex int, clientShare float64) *workload {
 	config := &e.config
 	source := rand.NewPCG(config.Seed, workloadStream+uint64(clientIndex))
@@ -56,8 +57,8 @@
 	}
 }
 
-// next draws the next call, due from the start of the traffic on, as a Poisson process; false: it is due after the
-// length of the traffic. The calls of a seed depend on the order of the draws.
+// next draws the next call of a Poisson process, due at a time from the start of the traffic. It returns false if the
+// traffic ends before. The calls of a seed depend on the order of the draws.
 func (w *workload) next(length time.Duration) (call, bool) {
 	config := &w.emulator.config
 	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
@@ -85,7 +86,7 @@
 	if class.WorkCV == 0 {
 		return class.Work
 	}
-	variance := math.Log(1 + class.WorkCV*class.WorkCV) // of the logarithm
+	variance := math.Log(1 + class.WorkCV*class.WorkCV) // of the logarithm of the work
 	distribution := distuv.LogNormal{
 		Mu:    math.Log(class.Work.Seconds()) - variance/2,
 		Sigma: math.Sqrt(variance),
@@ -94,7 +95,8 @@
 	return secondsToDuration(distribution.Rand())
 }
 
-// pickShare returns which of several shares a number from 0 to 1 falls into.
+// pickShare returns the index of the share into which x falls, a number from 0 to below 1. Shares are relative to their
+// sum.
 func pickShare(x float64, shares []float64) int {
 	sum := 0.0
 	for _, share := range shares {
