--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -66,15 +66,15 @@
 	}
 	switch {
 	case len(c.Zones) == 0 || len(c.Agents) == 0 || c.Servers < 1 || c.CellSize < 1:
-		return errors.New("emulator: zones, agents, servers and a cell size are needed")
+		return errors.New("emulator: zones, agents, servers and cell size must be set")
 	case len(c.Models) == 0 || len(c.Models) != len(c.ModelShares):
-		return errors.New("emulator: a share for each model is needed")
+		return errors.New("emulator: every model needs a share")
 	case shares < 1-shareTolerance || shares > 1+shareTolerance:
-		return fmt.Errorf("emulator: the shares of the classes add up to %g", shares)
+		return fmt.Errorf("emulator: class shares add up to %g, not 1", shares)
 	case c.Rate <= 0 || c.Keys < 1 || c.RequestTimeoutShare <= 0 || c.RequestTimeoutShare > 1:
-		return errors.New("emulator: rate, keys and the share of a request's timeout must be above 0")
+		return errors.New("emulator: rate and keys must be positive, the request timeout share above 0 and at most 1")
 	case len(c.Agents) > maxAgents || len(c.Zones) > maxZones:
-		return errors.New("emulator: more agents or zones than addresses")
+		return errors.New("emulator: too many agents or zones for the address space")
 	}
 	return nil
 }
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -25,7 +25,7 @@
 			return
 		}
 	}
-	t.Errorf("no watch was answered in %d rounds", rounds)
+	t.Errorf("no watch was answered during an outage in %d rounds", rounds)
 }
 
 // isAnsweredInOutage opens a watch, publishes a removal after a pause, and begins an outage before the watch can see
@@ -48,7 +48,7 @@
 	list.restored = make(chan struct{})
 	list.mu.Unlock()
 	if len(list.removals) != 1 {
-		t.Fatalf("removals that count as notified: %+v", list.removals)
+		t.Fatalf("removal notifications: %+v, want one", list.removals)
 	}
 	return <-answered
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -29,6 +29,6 @@
 		t.Fatal(err)
 	}
 	if len(result.Errors) == 0 || !strings.Contains(result.Errors[0], "too many open files") {
-		t.Errorf("errors: %v", result.Errors)
+		t.Errorf("errors %v, want one about too many open files", result.Errors)
 	}
 }
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -51,7 +51,7 @@
 		e.advance(at)
 		waits += secondsUntilFreeCore(e)
 		if !e.submit(&job{remaining: service(random), done: make(chan struct{})}) {
-			t.Fatal("an unbounded queue is full")
+			t.Fatal("the engine rejected a job although its queue is unbounded")
 		}
 	}
 	return waits / jobs
--- a/internal/emulator/faults_test.go
+++ b/internal/emulator/faults_test.go
@@ -26,17 +26,17 @@
 	const seconds = 1000 // of work in one request, far above the limit of the first second
 	overloaded, byNotified := s.machine.recordArrival(seconds, true)
 	if !overloaded || !byNotified {
-		t.Fatalf("overloaded %v, by notified agents %v", overloaded, byNotified)
+		t.Fatalf("overloaded %v, by notified agents %v, want true for both", overloaded, byNotified)
 	}
 	e.failOverloadedServer(s, byNotified)
 	e.Close()
 	if len(e.overloads) != 1 || !e.overloads[0].ByNotifiedAgents {
-		t.Errorf("overloads: %+v", e.overloads)
+		t.Errorf("overloads %+v, want one by notified agents", e.overloads)
 	}
 	if s.listeners[0].openConnections() != 0 || !s.stopped.Load() {
-		t.Error("the server still runs")
+		t.Error("the server is still running")
 	}
 	if len(e.endpoints.removals) > 0 {
-		t.Errorf("removals: %+v", e.endpoints.removals)
+		t.Errorf("removals %+v, want none", e.endpoints.removals)
 	}
 }
--- a/internal/emulator/server_requests.go
+++ b/internal/emulator/server_requests.go
@@ -75,7 +75,7 @@
 	request := s.emulator.findRequest(id)
 	if request == nil || path.Base(r.URL.Path) != request.pathKey() || r.Method != request.method() {
 		s.emulator.recordUnknownRequest()
-		http.Error(rw, "no client sent this", http.StatusBadRequest)
+		http.Error(rw, "no client sent this request", http.StatusBadRequest)
 		return
 	}
 	s.requests.Add(1)
