--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Close stops the traffic, the servers and discovery, and waits until all goroutines have ended.
+// Close stops the traffic, the servers and discovery, and waits for their goroutines.
 func (e *Emulator) Close() {
 	e.Stop()
 	close(e.closed)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -60,7 +60,7 @@
 // fraction of its requests fail immediately.
 type ServerFault struct{ SlowFactor, FailureRate float64 }
 
-// noServerFault is the ServerFault of a server without a fault.
+// noServerFault describes a server without a fault.
 var noServerFault = ServerFault{SlowFactor: 1}
 
 // SetServerFault injects a fault into servers in place of any earlier one.
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -14,7 +14,7 @@
 
 // The operating rules.
 const (
-	RuleLost      Rule = "lost"      // every request gets one complete response, made by a server
+	RuleLost      Rule = "lost"      // every request gets one complete response, which a server made for it
 	RuleDuplicate Rule = "duplicate" // no request executes twice unless its class allows it
 	RuleDrain     Rule = "drain"     // no new request goes to a server after the notification of its removal
 	RuleSlowStart Rule = "cold"      // no server in slow start is overloaded by agents notified of its start
@@ -79,7 +79,7 @@
 	j.violations = append(j.violations, Violation{rule, fmt.Sprintf(format, args...), request})
 }
 
-// checkResponse checks that the request got one complete response, made by a server.
+// checkResponse checks that the request got one complete response, which a server made for it.
 func (j *judge) checkResponse(request *Request) {
 	switch {
 	case request.Outcome == RequestLost && !request.AgentStopped:
--- a/internal/emulator/judge_test.go
+++ b/internal/emulator/judge_test.go
@@ -76,9 +76,9 @@
 		t.Fatalf("violations in a valid history: %v", got)
 	}
 	for _, test := range []struct {
-		name string
-		want Rule
-		seed func(h *History)
+		name    string
+		want    Rule
+		violate func(h *History)
 	}{
 		{"lost response", RuleLost, func(h *History) { h.Requests[requestOfStoppedAgent].AgentStopped = false }},
 		{"forged response", RuleLost, func(h *History) { h.Requests[requestForwardedTwice].Outcome = ResponseForged }},
@@ -102,7 +102,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			history := validHistory()
-			test.seed(history)
+			test.violate(history)
 			if got := Judge(history, judgeClasses, contract); len(got) == 0 || got[0].Rule != test.want {
 				t.Errorf("violations: %v, want one of %q", got, test.want)
 			}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// machineStream is the random number stream of a machine's seed.
+	// machineStream is the random number stream of every machine; each machine has its own seed.
 	machineStream = 7
 	// Arrivals vary, so a server in slow start tolerates overloadDeviations standard deviations of a Poisson count plus
 	// overloadSpareRequests requests above the contract's limit.
@@ -50,15 +50,16 @@
 		random:     rand.New(rand.NewPCG(seed, machineStream)),
 		cachedKeys: map[uint64]time.Duration{},
 	}
-	m.timer = time.AfterFunc(time.Hour, m.tick) // do resets it to the first event
+	m.timer = time.AfterFunc(time.Hour, m.tick) // update resets it to the first event
 	return m
 }
 
 // tick processes the engine's due events.
-func (m *machine) tick() { m.do(func(*engine) {}) }
+func (m *machine) tick() { m.update(func(*engine) {}) }
 
-// do advances the engine to the current time, calls action with it, and resets the timer to the engine's next event.
-func (m *machine) do(action func(*engine)) {
+// update advances the engine to the current time, calls action with it, and resets the timer to the engine's next
+// event.
+func (m *machine) update(action func(*engine)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.engine.advance(m.emulator.Now())
@@ -85,7 +86,7 @@
 // submit passes a request to the machine: its key, its work in seconds of a standard core, and its wait for a
 // dependency. The returned job is nil unless the request was admitted.
 func (m *machine) submit(key uint64, seconds float64, dependencyWait time.Duration) (j *job, result admission) {
-	m.do(func(e *engine) {
+	m.update(func(e *engine) {
 		m.workReceived += seconds
 		if m.random.Float64() < math.Max(m.failureRate, e.model.ErrorRate) {
 			result = failedImmediately
@@ -123,15 +124,15 @@
 
 // addBackgroundWork adds work that no request waits for, such as that of handshakes and health checks.
 func (m *machine) addBackgroundWork(seconds float64) {
-	m.do(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
+	m.update(func(e *engine) { e.submit(&job{remaining: seconds, done: make(chan struct{})}) })
 }
 
 // cancel stops and removes a job.
-func (m *machine) cancel(j *job) { m.do(func(e *engine) { e.cancel(j) }) }
+func (m *machine) cancel(j *job) { m.update(func(e *engine) { e.cancel(j) }) }
 
 // setFault replaces the current fault.
 func (m *machine) setFault(fault ServerFault) {
-	m.do(func(e *engine) {
+	m.update(func(e *engine) {
 		e.slowFactor = fault.SlowFactor
 		m.failureRate = fault.FailureRate
 	})
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -58,7 +58,7 @@
 }
 
 // next draws the next call of a Poisson process, due at a time from the start of the traffic. It returns false if the
-// traffic ends before. The calls of a seed depend on the order of the draws.
+// traffic ends before then. The calls of a seed depend on the order of the draws.
 func (w *workload) next(length time.Duration) (call, bool) {
 	config := &w.emulator.config
 	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
