--- a/internal/emulator/judge_test.go
+++ b/internal/emulator/judge_test.go
@@ -31,7 +31,7 @@
 	requestRejectedAfterError
 )
 
-// validHistory returns a history that breaks no rule, though each rule is close to it.
+// validHistory returns a history without violations in which a small change violates each rule.
 func validHistory() *History {
 	requests := make([]*Request, 5)
 	requests[requestForwardedTwice] = &Request{
@@ -69,16 +69,16 @@
 	}
 }
 
-// TestJudgeFindsEachViolation seeds one violation at a time in a history that breaks no rule.
+// TestJudgeFindsEachViolation adds one violation at a time to a history without violations.
 func TestJudgeFindsEachViolation(t *testing.T) {
 	contract := &Contract{DrainGrace: 300 * ms, Slack: 50 * ms}
 	if got := Judge(validHistory(), judgeClasses, contract); len(got) > 0 {
 		t.Fatalf("violations in a valid history: %v", got)
 	}
 	for _, test := range []struct {
-		name string
-		want Rule
-		seed func(h *History)
+		name    string
+		want    Rule
+		violate func(h *History)
 	}{
 		{"lost response", RuleLost, func(h *History) { h.Requests[requestOfStoppedAgent].AgentStopped = false }},
 		{"forged response", RuleLost, func(h *History) { h.Requests[requestForwardedTwice].Outcome = ResponseForged }},
@@ -102,7 +102,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			history := validHistory()
-			test.seed(history)
+			test.violate(history)
 			if got := Judge(history, judgeClasses, contract); len(got) == 0 || got[0].Rule != test.want {
 				t.Errorf("violations: %v, want one of %q", got, test.want)
 			}
