--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -112,19 +112,19 @@
 func (j *judge) checkPair(request *Request, class *Class, earlier, later *Attempt) {
 	slack := j.contract.Slack
 	if earlier.Outcome == AttemptOpen || earlier.Ended > later.Received+slack {
-		j.report(RuleDuplicate, request, "attempt at %s while another one is in flight at %s", later.Server, earlier.Server)
+		j.report(RuleDuplicate, request, "at %s while it is in flight at %s", later.Server, earlier.Server)
 	}
 	if !earlier.mayHaveExecuted() {
 		return
 	}
 	switch {
 	case class.Idempotency == balancer.NonIdempotent:
-		j.report(RuleDuplicate, request, "attempt at %s after it may have executed at %s", later.Server, earlier.Server)
+		j.report(RuleDuplicate, request, "at %s after it may have executed at %s", later.Server, earlier.Server)
 	case class.Idempotency == balancer.IdempotentByKey && class.inDifferentScopes(earlier, later):
-		j.report(RuleDuplicate, request, "attempt at %s after it may have executed at %s, in another %s",
+		j.report(RuleDuplicate, request, "at %s after it may have executed at %s, in another %s",
 			later.Server, earlier.Server, class.DedupScope)
 	case class.Idempotency == balancer.IdempotentByKey && later.Received > earlier.Started+class.DedupWindow+slack:
-		j.report(RuleDuplicate, request, "attempt at %s %v after the one at %s",
+		j.report(RuleDuplicate, request, "at %s %v after it was sent to %s",
 			later.Server, later.Received-earlier.Started, earlier.Server)
 	}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -38,7 +38,7 @@
 	contract.Slack += worstDelay
 	r.Violations = append(r.Violations, Judge(history, e.config.Classes, &contract)...)
 	if delayP99 > MaxTimerDelay {
-		r.Errors = append(r.Errors, fmt.Sprintf("the harness's timers were %v late at the 99th percentile", delayP99))
+		r.Errors = append(r.Errors, fmt.Sprintf("the harness was late by %v at the 99th percentile", delayP99))
 	}
 	r.Metrics[MetricTimerDelayP99] = delayP99.Seconds() * millisecondsPerSecond
 	r.addFractions()
@@ -79,7 +79,7 @@
 	}
 	slices.SortFunc(r.Servers, func(a, b ServerMetrics) int { return strings.Compare(a.Server, b.Server) })
 	if e.unknownRequests > 0 {
-		description := fmt.Sprintf("servers received %d requests that no client sent", e.unknownRequests)
+		description := fmt.Sprintf("%d requests at servers that no client sent", e.unknownRequests)
 		r.Violations = append(r.Violations, Violation{RuleDuplicate, description, nil})
 	}
 }
