--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -8,9 +8,9 @@
 )
 
 // Clients are served whatever accepts fail, and the failures are counted.
-func TestFailedAcceptsDoNotEndTheAgent(t *testing.T) {
+func TestFailedAcceptsDoNotStopTheAgent(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
-	agent := startAgentOn(t, listing(t, server.Addr), agenttest.NewFlakyListener(t), nil)
+	agent := startAgentOn(t, discoveryWith(t, server.Addr), agenttest.NewFlakyListener(t), nil)
 	for range 3 {
 		agent.wantOrderStatus(http.StatusOK)
 	}
--- a/internal/agent/admin_drain_test.go
+++ b/internal/agent/admin_drain_test.go
@@ -51,7 +51,7 @@
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/nonsense"), http.StatusNotFound)
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/drain/start"), http.StatusMethodNotAllowed)
-	used, idle := agent.dialKept(), agent.dialKept()
+	used, idle := agent.dial(), agent.dial()
 	wantServedAndKept(t, used)
 	wantServedAndKept(t, idle)
 
@@ -63,11 +63,11 @@
 	wantServedAndClosed(t, used)
 	used.WantClosed(t)
 	idle.WantClosed(t)
-	wantServedAndClosed(t, agent.dialKept())
+	wantServedAndClosed(t, agent.dial())
 
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/stop"), http.StatusOK)
 	agenttest.WantStatus(t, agent.readyStatus(), http.StatusOK)
-	afterDrain := agent.dialKept()
+	afterDrain := agent.dial()
 	for range 3 {
 		wantServedAndKept(t, afterDrain)
 	}
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -61,16 +61,16 @@
 		blocked.Conn = conn
 		return blocked, nil
 	}
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Dial = dial })
+	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) { cfg.Dial = dial })
 	agent.wantOrderStatus(http.StatusOK)
-	time.Sleep(reuseTime)
+	time.Sleep(longReuseDelay)
 	blocked.armed.Store(true)
 	server.ResetCounts()
 	return agent, blocked
 }
 
-// reuseTime is well above reusableWithin.
-const reuseTime = 100 * time.Millisecond
+// longReuseDelay is well above reusableWithin.
+const longReuseDelay = 100 * time.Millisecond
 
 // withLongConnectTimeout lets connects wait for longer than any of these tests takes.
 func withLongConnectTimeout(cfg *config.Config) {
--- a/internal/agent/client_close_races_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -22,8 +22,8 @@
 		return respondOverloaded(conn, req, n)
 	}
 	first, second := agenttest.NewServer(t, rejects), agenttest.NewServer(t, rejects)
-	agent := startAgent(t, listing(t, first.Addr, second.Addr), nil)
-	client := agent.dialKept()
+	agent := startAgent(t, discoveryWith(t, first.Addr, second.Addr), nil)
+	client := agent.dial()
 	send(client, agenttest.RequestText(1, 4000))
 	<-arrived
 	release := agent.blockLoop()
@@ -52,8 +52,8 @@
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	listener := fullListener(t)
-	agent := startAgent(t, listing(t, listener.Addr().String()), withLongConnectTimeout)
-	client := agent.dialKept()
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), withLongConnectTimeout)
+	client := agent.dial()
 	send(client, agenttest.RequestText(1, 20000))
 	agenttest.WaitUntil(t, "the connect has begun", func() bool { return agent.pool.ConnectCount() == 1 })
 	release := agent.blockLoop()
@@ -61,7 +61,7 @@
 	_ = client.Close()
 	agent.waitNoClients(t)
 	// Space in the queue: a connect that continues is established with its next SYN, in a second.
-	end := time.AfterFunc(reconnectTime, func() { _ = listener.Close() })
+	end := time.AfterFunc(connectRetryDelay, func() { _ = listener.Close() })
 	defer end.Stop()
 	agenttest.AcceptAll(listener, func(conn net.Conn) {
 		head := make([]byte, 1000)
@@ -90,23 +90,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			queued := queuedBehind(t, agenttest.RespondOK)
+			queued := startAtConcurrencyLimit(t, agenttest.RespondOK)
 			agent := queued.agent
-			client := agent.dialKept()
+			client := agent.dial()
 			send(client, test.request)
 			agenttest.WaitUntil(t, "the request is queued", queued.reached)
 			if test.further != "" {
 				send(client, test.further)
-				time.Sleep(closeArrivalTime) // so that it is read by itself, as a rule
+				time.Sleep(closeArrivalDelay) // so that it is read by itself, as a rule
 			}
 			_ = client.Close()
-			time.Sleep(closeArrivalTime)
+			time.Sleep(closeArrivalDelay)
 			queued.proceed()
 			agenttest.WaitUntil(t, "all requests have ended", func() bool {
 				metrics := agent.metricsNow()
 				return metrics.Failed+metrics.ClientsGone == 1 && metrics.Served == initialConcurrency
 			})
-			if queued.begun() != queued.allowed {
+			if queued.started() != queued.allowed {
 				t.Error("a request was sent whose client had closed")
 			}
 		})
@@ -114,7 +114,7 @@
 }
 
 // A client that closes its connection has its attempt cancelled.
-func TestClientGone(t *testing.T) {
+func TestAttemptIsCancelledWhenTheClientCloses(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
@@ -141,9 +141,9 @@
 }
 
 // A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
-func TestClientThatClosesInItsBodyIsNotForwarded(t *testing.T) {
+func TestRequestIsNotForwardedIfTheClientClosesDuringItsBody(t *testing.T) {
 	agent, server := startWithServer(t, agenttest.RespondOK)
-	client := agent.dialKept()
+	client := agent.dial()
 	send(client, orderHead(timeoutMs, len("complete"))+"half")
 	_ = client.Close()
 	agent.waitNoClients(t)
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -15,10 +15,10 @@
 
 const (
 	longTimeoutMs = 30_000 // longer than any of these tests waits for a response
-	// closeArrivalTime is when a client's FIN or reset has long arrived.
-	closeArrivalTime = 50 * time.Millisecond
-	// reconnectTime is when a connect that found the accept queue full has tried again: it does after 1 s.
-	reconnectTime = 2500 * time.Millisecond
+	// closeArrivalDelay is when a client's FIN or reset has long arrived.
+	closeArrivalDelay = 50 * time.Millisecond
+	// connectRetryDelay is when a connect that found the accept queue full has tried again: it does after 1 s.
+	connectRetryDelay = 2500 * time.Millisecond
 	// longConnectTimeoutMs is longer than any connect of these tests waits.
 	longConnectTimeoutMs = 10_000
 	// initialConcurrency is a lone agent's concurrency limit at a server without measurements.
@@ -43,41 +43,41 @@
 	},
 }
 
-// closeMoment is an agent in the state in which a client ends its connection.
-type closeMoment struct {
+// closeScenario is an agent in the state in which a client ends its connection.
+type closeScenario struct {
 	agent     *testAgent
 	requests  string      // what the client has sent by then
 	reached   func() bool // reports whether the agent is in that state
 	proceed   func()      // unblocks what waited for the close
-	begun     func() int  // requests that have begun to arrive at servers
+	started   func() int  // requests that have begun to arrive at servers
 	allowed   int         // how many of those began before the close
 	responses int         // final responses that a client which still reads has to get
 }
 
 // closeAtServer closes while a server works on the request.
-func closeAtServer(t *testing.T) closeMoment {
+func closeAtServer(t *testing.T) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, agenttest.RespondOK)
-	agent := startAgent(t, listing(t, server.Addr), nil)
-	return closeMoment{
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest,
 		reached:   func() bool { return server.Count() == 1 },
 		proceed:   release,
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		allowed:   1,
 		responses: 1,
 	}
 }
 
 // closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
-func closeBeforeRetry(t *testing.T) closeMoment {
+func closeBeforeRetry(t *testing.T) closeScenario {
 	t.Helper()
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
-	agent := startAgent(t, listing(t, first.Addr, second.Addr), nil)
+	agent := startAgent(t, discoveryWith(t, first.Addr, second.Addr), nil)
 	begun := func() int { return first.StartedCount() + second.StartedCount() }
-	return closeMoment{
+	return closeScenario{
 		agent:    agent,
 		requests: readRequest,
 		reached:  func() bool { return begun() == 1 },
@@ -85,47 +85,47 @@
 			release()
 			releaseSecond()
 		},
-		begun:     begun,
+		started:   begun,
 		allowed:   1,
 		responses: 1,
 	}
 }
 
 // closeWhileQueued closes while the request is queued in the agent for its only server.
-func closeWhileQueued(t *testing.T) closeMoment {
+func closeWhileQueued(t *testing.T) closeScenario {
 	t.Helper()
-	return queuedBehind(t, agenttest.RespondOK)
+	return startAtConcurrencyLimit(t, agenttest.RespondOK)
 }
 
-// queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
-func queuedBehind(t *testing.T, respond agenttest.Responder) closeMoment {
+// startAtConcurrencyLimit has the concurrency limit of the only server used up, which responds once it is released.
+func startAtConcurrencyLimit(t *testing.T, respond agenttest.Responder) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, respond)
-	agent := startAgent(t, listing(t, server.Addr), nil)
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
 	for range initialConcurrency {
-		send(agent.dialKept(), readRequest)
+		send(agent.dial(), readRequest)
 	}
 	agenttest.WaitUntil(t, "the server's concurrency limit is reached", func() bool {
 		return server.Count() == initialConcurrency
 	})
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest,
 		reached:   func() bool { return agent.statsNow().Policy.Queued == 1 },
 		proceed:   release,
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		allowed:   initialConcurrency,
 		responses: 1,
 	}
 }
 
 // closeWhileConnecting closes while the connection to the server is not established.
-func closeWhileConnecting(t *testing.T) closeMoment {
+func closeWhileConnecting(t *testing.T) closeScenario {
 	t.Helper()
 	listener := fullListener(t)
-	agent := startAgent(t, listing(t, listener.Addr().String()), withLongConnectTimeout)
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), withLongConnectTimeout)
 	var arrived atomic.Int64
-	return closeMoment{
+	return closeScenario{
 		agent:    agent,
 		requests: readRequest,
 		reached:  func() bool { return agent.pool.ConnectCount() == 1 },
@@ -135,17 +135,17 @@
 					arrived.Add(1)
 				}
 			})
-			time.Sleep(reconnectTime)
+			time.Sleep(connectRetryDelay)
 		},
-		begun:     func() int { return int(arrived.Load()) },
+		started:   func() int { return int(arrived.Load()) },
 		responses: 1,
 	}
 }
 
-// closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
+// closeOnBrokenReusedConn closes while the request is written to a kept connection that breaks, after
 // which the agent would open another. The byte behind the request hides the close from net/http, which reads
 // one byte in the background.
-func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
+func closeOnBrokenReusedConn(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	agent, broken := startWithBlockedConn(t, server)
@@ -157,18 +157,18 @@
 			return false
 		}
 	}
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest + "X",
 		reached:   reached,
 		proceed:   func() { close(broken.proceed) },
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		responses: 1,
 	}
 }
 
-// closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
-func closeBehindEarlierResponse(t *testing.T) closeMoment {
+// closeWithPipelinedRequest closes while the earlier of two requests of the connection is still at a server.
+func closeWithPipelinedRequest(t *testing.T) closeScenario {
 	t.Helper()
 	moment := closeAtServer(t)
 	moment.requests = readRequest + readRequest
@@ -177,17 +177,17 @@
 }
 
 // closeInLongBody closes before the last byte of a body that is streamed.
-func closeInLongBody(t *testing.T) closeMoment {
+func closeInLongBody(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, hashResponder)
-	agent := startAgent(t, listing(t, server.Addr), nil)
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
 	head := orderHead(longTimeoutMs, 4*message.MaxBufferedBody)
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  head + strings.Repeat("x", 2*message.MaxBufferedBody),
 		reached:   func() bool { return server.StartedCount() == 1 },
 		proceed:   func() {},
-		begun:     server.Count, // of complete requests: the head may have arrived
+		started:   server.Count, // of complete requests: the head may have arrived
 		responses: 1,
 	}
 }
@@ -195,13 +195,13 @@
 // A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
 // side may still read: it must get a final response, a server's or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
-	moments := map[string]func(*testing.T) closeMoment{
+	moments := map[string]func(*testing.T) closeScenario{
 		"at a server":                       closeAtServer,
 		"before a retry":                    closeBeforeRetry,
 		"queued":                            closeWhileQueued,
 		"connecting":                        closeWhileConnecting,
-		"broken kept connection":            closeOnBrokenKeptConnection,
-		"behind the response of an earlier": closeBehindEarlierResponse,
+		"broken kept connection":            closeOnBrokenReusedConn,
+		"behind the response of an earlier": closeWithPipelinedRequest,
 		"in a long body":                    closeInLongBody,
 	}
 	for name, arrange := range moments {
@@ -209,13 +209,13 @@
 			t.Run(name+"/"+closeName, func(t *testing.T) {
 				t.Parallel()
 				moment := arrange(t)
-				client := moment.agent.dialKept()
+				client := moment.agent.dial()
 				send(client, moment.requests)
 				agenttest.WaitUntil(t, "the moment is reached", moment.reached)
 				if err := endConnection(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(closeArrivalTime)
+				time.Sleep(closeArrivalDelay)
 				moment.proceed()
 				if closeName == halfClose {
 					wantFinalResponses(t, client.Reader, moment.responses)
@@ -223,10 +223,10 @@
 				agenttest.WaitUntil(t, "the connection has ended", func() bool {
 					return moment.agent.statsNow().Open == 0
 				})
-				if begun := moment.begun(); begun != moment.allowed {
+				if begun := moment.started(); begun != moment.allowed {
 					t.Errorf("%d attempts begun, want %d", begun, moment.allowed)
 				}
-				moment.agent.wantNoGuardActed()
+				moment.agent.wantNoViolationsOrBackstops()
 			})
 		}
 	}
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -9,15 +9,15 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// reusableWithin is how soon after a response the agent has to use its connection for the next request. It lets the
+// reuseDelay is how soon after a response the agent has to use its connection for the next request. It lets the
 // connection rest for half of that, so tests that need a kept connection wait for it before their next request.
-const reusableWithin = 40 * time.Millisecond
+const reuseDelay = 40 * time.Millisecond
 
 func TestConnectionIsReused(t *testing.T) {
 	agent, server := startWithServer(t, agenttest.RespondOK)
 	for range 3 {
 		agent.wantOrderStatus(http.StatusOK)
-		time.Sleep(reusableWithin)
+		time.Sleep(reuseDelay)
 	}
 	if server.Count() != 3 || server.MaxConns() != 1 || len(server.ConnsClosed) != 0 {
 		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Count(), server.MaxConns(), len(server.ConnsClosed))
@@ -26,7 +26,7 @@
 
 // A kept connection that the server has closed must be noticed before it carries a request: a non-idempotent
 // one would end as a reset and fail.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		agenttest.RespondOK(conn, req, n)
 		return n > 0
@@ -42,13 +42,13 @@
 // A kept connection breaks on a request whose last byte was written: the request may have executed and is
 // never sent again without the policy, not even with the key or without the body that make http.Transport do
 // so.
-func TestNoSilentResend(t *testing.T) {
+func TestNoAutomaticResend(t *testing.T) {
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		return n == 0 && agenttest.RespondOK(conn, req, n)
 	})
 	status := agent.do(agenttest.NewRequest(agent.addr, "order", "")).Status
 	agenttest.WantStatus(t, status, http.StatusOK)
-	time.Sleep(reusableWithin)
+	time.Sleep(reuseDelay)
 	status = agent.do(agenttest.NewRequest(agent.addr, "order", "")).Status
 	agenttest.WantStatus(t, status, http.StatusBadGateway)
 	if server.Count() != 2 || agent.pool.ConnectCount() != 1 {
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -27,8 +27,8 @@
 	timeouts []int
 }
 
-// recording is a responder that records the attempt's Request-Timeout-Ms first.
-func (recorder *timeoutRecorder) recording(respond agenttest.Responder) agenttest.Responder {
+// wrap is a responder that records the attempt's Request-Timeout-Ms first.
+func (recorder *timeoutRecorder) wrap(respond agenttest.Responder) agenttest.Responder {
 	return func(conn net.Conn, req *http.Request, n int) bool {
 		timeout, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
 		if err != nil {
@@ -71,14 +71,14 @@
 
 // An attempt gives its server no more time than the client has left. The times that have passed before an
 // attempt are the least that they can be, so a slow machine fails no case.
-func TestAttemptTimeoutIsWithinTheClients(t *testing.T) {
+func TestAttemptTimeoutIsWithinTheRequestTimeout(t *testing.T) {
 	for name, check := range map[string]func(t *testing.T, recorder *timeoutRecorder){
 		"first attempt":                          checkFirstAttempt,
 		"after a stall of the process":           checkStall,
 		"long body after a stall of the process": checkLongBodyAfterStall,
 		"retries":                                checkRetries,
 		"late connect":                           checkLateConnect,
-		"broken kept connection":                 checkBrokenKeptConnection,
+		"broken kept connection":                 checkBrokenReusedConn,
 		"queued":                                 checkQueued,
 		"body that comes late":                   checkLateBody,
 		"long upload":                            checkLongUpload,
@@ -92,37 +92,37 @@
 
 func checkFirstAttempt(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
-	client := agent.dialKept()
-	send(client, timedRequest(timeoutMs, "x"))
+	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
+	client := agent.dial()
+	send(client, orderRequest(timeoutMs, "x"))
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 	recorder.want(t, timeoutMs)
 }
 
 func checkStall(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
-	requestDuringStall(t, agent, timedRequest(timeoutMs, "x"))
+	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
+	requestDuringStall(t, agent, orderRequest(timeoutMs, "x"))
 	recorder.want(t, timeoutMs-testDelayMs)
 }
 
 func checkLongBodyAfterStall(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	agent, _ := startWithServer(t, recorder.recording(hashResponder))
-	requestDuringStall(t, agent, timedRequest(timeoutMs, strings.Repeat("x", 2*message.MaxBufferedBody)))
+	agent, _ := startWithServer(t, recorder.wrap(hashResponder))
+	requestDuringStall(t, agent, orderRequest(timeoutMs, strings.Repeat("x", 2*message.MaxBufferedBody)))
 	recorder.want(t, timeoutMs-testDelayMs)
 }
 
 func checkRetries(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	slow := recorder.recording(func(conn net.Conn, req *http.Request, n int) bool {
+	slow := recorder.wrap(func(conn net.Conn, req *http.Request, n int) bool {
 		time.Sleep(testDelay)
 		return respondOverloaded(conn, req, n)
 	})
 	first, second := agenttest.NewServer(t, slow), agenttest.NewServer(t, slow)
-	agent := startAgent(t, listing(t, first.Addr, second.Addr), nil)
-	client := agent.dialKept()
-	send(client, timedRequest(timeoutMs, "x"))
+	agent := startAgent(t, discoveryWith(t, first.Addr, second.Addr), nil)
+	client := agent.dial()
+	send(client, orderRequest(timeoutMs, "x"))
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusServiceUnavailable)
 	// The third attempt goes back to one of the two servers.
 	timeouts := recorder.take()
@@ -139,14 +139,14 @@
 func checkLateConnect(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
 	listener := fullListener(t)
-	agent := startAgent(t, listing(t, listener.Addr().String()), withLongConnectTimeout)
-	client := agent.dialKept()
-	send(client, timedRequest(timeoutMs, "x"))
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), withLongConnectTimeout)
+	client := agent.dial()
+	send(client, orderRequest(timeoutMs, "x"))
 	agenttest.WaitUntil(t, "the connect has begun", func() bool { return agent.pool.ConnectCount() == 1 })
 	time.Sleep(testDelay)
 	server := &agenttest.Server{
 		Listener:    listener,
-		Respond:     recorder.recording(agenttest.RespondOK),
+		Respond:     recorder.wrap(agenttest.RespondOK),
 		ConnsClosed: make(chan struct{}, 10),
 	}
 	go server.Accept()
@@ -154,13 +154,13 @@
 	recorder.want(t, timeoutMs-testDelayMs)
 }
 
-func checkBrokenKeptConnection(t *testing.T, recorder *timeoutRecorder) {
+func checkBrokenReusedConn(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	server := agenttest.NewServer(t, recorder.recording(agenttest.RespondOK))
+	server := agenttest.NewServer(t, recorder.wrap(agenttest.RespondOK))
 	agent, broken := startWithBlockedConn(t, server)
 	recorder.take() // the earlier request's
-	client := agent.dialKept()
-	send(client, timedRequest(timeoutMs, "x"))
+	client := agent.dial()
+	send(client, orderRequest(timeoutMs, "x"))
 	<-broken.writing
 	time.Sleep(testDelay)
 	close(broken.proceed)
@@ -170,10 +170,10 @@
 
 func checkQueued(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	queued := queuedBehind(t, recorder.recording(agenttest.RespondOK))
+	queued := startAtConcurrencyLimit(t, recorder.wrap(agenttest.RespondOK))
 	recorder.take()
-	client := queued.agent.dialKept()
-	send(client, timedRequest(timeoutMs, "x"))
+	client := queued.agent.dial()
+	send(client, orderRequest(timeoutMs, "x"))
 	agenttest.WaitUntil(t, "the request is queued", queued.reached)
 	time.Sleep(testDelay)
 	queued.proceed()
@@ -186,9 +186,9 @@
 // The time of a request counts from its last byte.
 func checkLateBody(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
-	client := agent.dialKept()
-	text := timedRequest(timeoutMs, "xy")
+	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
+	client := agent.dial()
+	text := orderRequest(timeoutMs, "xy")
 	lastByte := len(text) - 1
 	send(client, text[:lastByte])
 	time.Sleep(testDelay)
@@ -199,9 +199,9 @@
 
 func checkLongUpload(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	agent, _ := startWithServer(t, recorder.recording(hashResponder))
-	client := agent.dialKept()
-	text := timedRequest(timeoutMs, strings.Repeat("x", 4*message.MaxBufferedBody))
+	agent, _ := startWithServer(t, recorder.wrap(hashResponder))
+	client := agent.dial()
+	text := orderRequest(timeoutMs, strings.Repeat("x", 4*message.MaxBufferedBody))
 	for _, part := range []string{
 		text[:2*message.MaxBufferedBody],
 		text[2*message.MaxBufferedBody : 3*message.MaxBufferedBody],
@@ -218,7 +218,7 @@
 func requestDuringStall(t *testing.T, agent *testAgent, text string) {
 	t.Helper()
 	release := agent.blockLoop()
-	client := agent.dialKept()
+	client := agent.dial()
 	send(client, text)
 	agenttest.WaitUntil(t, "the request is posted to the loop", func() bool { return agent.loop.Backlog() > 0 })
 	time.Sleep(testDelay)
@@ -229,10 +229,10 @@
 // A request with a very short timeout has its response, and gives no server more time than that.
 func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
 	recorder := &timeoutRecorder{}
-	agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
 	for _, timeout := range []int{1, 2, 3, 4, 5, 8, 12} {
-		client := agent.dialKept()
-		send(client, timedRequest(timeout, "x"))
+		client := agent.dial()
+		send(client, orderRequest(timeout, "x"))
 		switch status := agenttest.FinalStatus(t, client); status {
 		case http.StatusOK, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		default:
@@ -264,12 +264,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			recorder := &timeoutRecorder{}
-			agent, _ := startWithServer(t, recorder.recording(agenttest.RespondOK))
+			agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
 			release := takeAllSlots(t, agent)
-			agent.dialKept() // takes the slot that Accept has already
+			agent.dial() // takes the slot that Accept has already
 			agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
-			client := agent.dialKept()
-			send(client, timedRequest(test.timeoutMs, "x"))
+			client := agent.dial()
+			send(client, orderRequest(test.timeoutMs, "x"))
 			time.Sleep(testDelay)
 			release()
 			agenttest.WantStatus(t, agenttest.FinalStatus(t, client), test.status)
@@ -280,19 +280,19 @@
 
 // A request that arrives only once its connection has been accepted has its full time, however long the
 // connection waited.
-func TestTimeInTheAcceptQueueIsNotTheNextRequests(t *testing.T) {
+func TestTimeInTheAcceptQueueDoesNotCountForLaterRequests(t *testing.T) {
 	t.Parallel()
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, agent)
-	agent.dialKept()
+	agent.dial()
 	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
 	const timeout = 2 * time.Second // the connection waits for as long, so that nothing would be left of it
-	client := agent.dialKept()
+	client := agent.dial()
 	time.Sleep(timeout)
 	release()
 	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 1 })
 	for range 2 {
-		send(client, timedRequest(int(timeout.Milliseconds()), "x"))
+		send(client, orderRequest(int(timeout.Milliseconds()), "x"))
 		agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 	}
 }
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -11,20 +11,20 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// fewestSockets is the smallest limit of descriptors that a configuration may give.
-const fewestSockets = 64
+// minSockets is the smallest limit of descriptors that a configuration may give.
+const minSockets = 64
 
-// startSmallAgent starts an agent with the fewest descriptors that may be configured.
-func startSmallAgent(t *testing.T) (agent *testAgent, maxConns int) {
+// startWithMinSockets starts an agent with the fewest descriptors that may be configured.
+func startWithMinSockets(t *testing.T) (agent *testAgent, maxConns int) {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
-	agent = startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
+	agent = startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = minSockets })
 	return agent, agent.cfg.MaxClientConns()
 }
 
 // The first request on a new connection has a response, whatever the agent does with others just then to keep
 // within its descriptors.
-func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
+func TestFirstRequestAtTheDescriptorLimitIsAnswered(t *testing.T) {
 	sends := func(text string) func(*testing.T, *agenttest.ClientConn) {
 		return func(t *testing.T, client *agenttest.ClientConn) {
 			t.Helper()
@@ -38,13 +38,13 @@
 		},
 		"all connections are silent":       sends(""),
 		"all connections have half a head": sends("GET /api/a HTTP/1.1\r\n"),
-		"all connections have half a body": sends(strings.TrimSuffix(timedRequest(60_000, "xy"), "y")),
+		"all connections have half a body": sends(strings.TrimSuffix(orderRequest(60_000, "xy"), "y")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			agent, maxConns := startSmallAgent(t)
+			agent, maxConns := startWithMinSockets(t)
 			for range maxConns {
-				use(t, agent.dialKept())
+				use(t, agent.dial())
 			}
 			var clients sync.WaitGroup
 			for range 8 {
@@ -56,7 +56,7 @@
 						t.Error(err)
 						return
 					}
-					send(client, timedRequest(longTimeoutMs, "x"))
+					send(client, orderRequest(longTimeoutMs, "x"))
 					if status := client.Status(); status != http.StatusOK && status != http.StatusServiceUnavailable {
 						t.Errorf("response %d", status)
 					}
@@ -75,9 +75,9 @@
 		<-release
 		return agenttest.RespondOK(conn, req, n)
 	})
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
+	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = minSockets })
 	for range 2 * agent.cfg.MaxClientConns() {
-		agent.dialKept().RequestReady(t) // stays connected and idle
+		agent.dial().RequestReady(t) // stays connected and idle
 	}
 	close(release)
 	agent.wantOrderStatus(http.StatusOK)
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -20,9 +20,9 @@
 	return entry
 }
 
-func TestDrain(t *testing.T) {
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	old, other := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	discovery := listing(t, old.Addr)
+	discovery := discoveryWith(t, old.Addr)
 	agent := startAgent(t, discovery, nil)
 	agent.wantOrderStatus(http.StatusOK)
 	discovery.Set(agenttest.Endpoint("s-2", other.Addr))
@@ -39,7 +39,7 @@
 
 func TestAddressChange(t *testing.T) {
 	old, moved := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	discovery := listing(t, old.Addr)
+	discovery := discoveryWith(t, old.Addr)
 	agent := startAgent(t, discovery, nil)
 	agent.wantOrderStatus(http.StatusOK)
 	discovery.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
@@ -54,7 +54,7 @@
 func TestDiscoveryOutage(t *testing.T) {
 	const requestInterval = 5 * time.Millisecond // requests have to be served all the time, not as fast as possible
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	discovery := listing(t, first.Addr)
+	discovery := discoveryWith(t, first.Addr)
 	agent := startAgent(t, discovery, nil)
 	discovery.WaitVersion(t, 1)
 	discovery.SetDown(true)
@@ -77,9 +77,9 @@
 
 // Where changes of the list are pushed the policy does not poll: the agent keeps a watch by itself from
 // its start, and reopens it after failures.
-func TestPushedChangesAreWatchedFor(t *testing.T) {
+func TestAgentWatchesPushedChanges(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-	discovery := listing(t, first.Addr)
+	discovery := discoveryWith(t, first.Addr)
 	agent := startAgent(t, discovery, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed })
 	discovery.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
 	discovery.SetDown(true)
@@ -102,10 +102,10 @@
 	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
 		t.Run(string(mode), func(t *testing.T) {
 			first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
-			old := listing(t, first.Addr)
+			old := discoveryWith(t, first.Addr)
 			agent := startAgent(t, old, func(cfg *config.Config) { cfg.Settings.DiscoveryMode = mode })
 			old.WaitVersion(t, 1)
-			moved := listing(t, first.Addr, second.Addr)
+			moved := discoveryWith(t, first.Addr, second.Addr)
 			moved.List.Version = 7
 			cfg := *agent.cfg
 			cfg.Discovery = moved.Listener.Addr().String()
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -21,18 +21,18 @@
 
 // serverFaults are ways in which a server fails requests that it has accepted.
 var serverFaults = map[string]agenttest.Responder{
-	"hang":                  respondsText(""),
-	crashFault:              resets(""),
-	"reset":                 resets(""),
-	"close":                 respondsTextAndCloses(""),
-	"hang in the response":  respondsText(halfResponse),
-	"hang in an error":      respondsText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf"),
-	"reset in the response": resets(halfResponse),
+	"hang":                  sendText(""),
+	crashFault:              sendTextAndReset(""),
+	"reset":                 sendTextAndReset(""),
+	"close":                 sendTextAndClose(""),
+	"hang in the response":  sendText(partialResponse),
+	"hang in an error":      sendText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf"),
+	"reset in the response": sendTextAndReset(partialResponse),
 	"bytes without an end":  sendZeros,
 }
 
-// halfResponse is the first half of a response.
-const halfResponse = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
+// partialResponse is the first half of a response.
+const partialResponse = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
 
 // sendZeros responds with zero bytes until the connection is closed.
 func sendZeros(conn net.Conn, _ *http.Request, _ int) bool {
@@ -45,12 +45,12 @@
 	}
 }
 
-// badClients are peers that misbehave, each on a connection of its own.
-var badClients = []func(conn *net.TCPConn){
+// misbehavingClients are peers that misbehave, each on a connection of its own.
+var misbehavingClients = []func(conn *net.TCPConn){
 	func(conn *net.TCPConn) { send(conn, "GET /api/a HT") },
 	func(conn *net.TCPConn) { send(conn, "\x00\xff\r\n\r\n"+readRequest) },
 	func(conn *net.TCPConn) {
-		send(conn, timedRequest(60_000, strings.Repeat("x", 8*message.MaxBufferedBody))[:3*message.MaxBufferedBody])
+		send(conn, orderRequest(60_000, strings.Repeat("x", 8*message.MaxBufferedBody))[:3*message.MaxBufferedBody])
 	},
 	func(conn *net.TCPConn) {
 		send(conn, readRequest)
@@ -62,7 +62,7 @@
 		_ = conn.Close()
 	},
 	func(conn *net.TCPConn) {
-		send(conn, timedRequest(60_000, strings.Repeat("x", 3*message.MaxBufferedBody)))
+		send(conn, orderRequest(60_000, strings.Repeat("x", 3*message.MaxBufferedBody)))
 		_ = conn.CloseWrite()
 	},
 	func(conn *net.TCPConn) {
@@ -71,9 +71,9 @@
 	},
 }
 
-// misbehave has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
+// runMisbehavingClients has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
 // enough to leave slots for others.
-func misbehave(ctx context.Context, addr string) {
+func runMisbehavingClients(ctx context.Context, addr string) {
 	const interval = 20 * time.Millisecond
 	var dialer net.Dialer
 	for i := 0; ctx.Err() == nil; i++ {
@@ -83,14 +83,14 @@
 		}
 		context.AfterFunc(ctx, func() { _ = conn.Close() })
 		_ = conn.SetDeadline(time.Now().Add(agenttest.Timeout))
-		badClients[i%len(badClients)](conn.(*net.TCPConn))
+		misbehavingClients[i%len(misbehavingClients)](conn.(*net.TCPConn))
 		time.Sleep(interval)
 	}
 }
 
 // Whatever a server and other clients do, each request has its final response, a server's or an error, within
 // half a second after its timeout.
-func TestUnrelatedFaultsCostNoRequestItsResponse(t *testing.T) {
+func TestRequestsGetResponsesDespiteUnrelatedFaults(t *testing.T) {
 	const (
 		timeout    = 1500 * time.Millisecond
 		requests   = 12 // of each class
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			bad, good := agenttest.NewServer(t, fault), agenttest.NewServer(t, agenttest.RespondOK)
-			agent := startAgent(t, listing(t, bad.Addr, good.Addr), nil)
+			agent := startAgent(t, discoveryWith(t, bad.Addr, good.Addr), nil)
 			if name == crashFault {
 				time.AfterFunc(crashDelay, func() { _ = bad.Listener.Close() })
 			}
@@ -110,7 +110,7 @@
 			badClients.Add(1)
 			go func() {
 				defer badClients.Done()
-				misbehave(ctx, agent.addr)
+				runMisbehavingClients(ctx, agent.addr)
 			}()
 			var served atomic.Int64
 			for i := range 3 * requests {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -72,11 +72,11 @@
 func startWithServer(t *testing.T, respond agenttest.Responder) (*testAgent, *agenttest.Server) {
 	t.Helper()
 	server := agenttest.NewServer(t, respond)
-	return startAgent(t, listing(t, server.Addr), nil), server
+	return startAgent(t, discoveryWith(t, server.Addr), nil), server
 }
 
-// listing is a discovery that lists servers at these addresses, as s-1, s-2 and so on.
-func listing(tb testing.TB, addrs ...string) *agenttest.Discovery {
+// discoveryWith is a discovery that lists servers at these addresses, as s-1, s-2 and so on.
+func discoveryWith(tb testing.TB, addrs ...string) *agenttest.Discovery {
 	tb.Helper()
 	discovery := agenttest.NewDiscovery(tb)
 	for i, addr := range addrs {
@@ -138,8 +138,8 @@
 	return status
 }
 
-// dialKept opens a connection of a client that keeps it open until the end of the test.
-func (agent *testAgent) dialKept() *agenttest.ClientConn {
+// dial opens a connection of a client that keeps it open until the end of the test.
+func (agent *testAgent) dial() *agenttest.ClientConn {
 	agent.tb.Helper()
 	return agenttest.DialClient(agent.tb, agent.addr)
 }
@@ -180,8 +180,8 @@
 // metricsNow reads the event loop's metrics, in the loop.
 func (agent *testAgent) metricsNow() dispatch.Metrics { return agent.statsNow().Metrics }
 
-// wantNoGuardActed checks that the policy did nothing that the agent had to prevent or to make up for.
-func (agent *testAgent) wantNoGuardActed() {
+// wantNoViolationsOrBackstops checks that the policy did nothing that the agent had to prevent or to make up for.
+func (agent *testAgent) wantNoViolationsOrBackstops() {
 	agent.tb.Helper()
 	if metrics := agent.metricsNow(); metrics.Violations+metrics.Backstops > 0 {
 		agent.tb.Errorf("there were violations or backstops: metrics %+v", metrics)
@@ -231,7 +231,7 @@
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", timeoutMs, length)
 }
 
-// timedRequest is a request with a timeout and a body.
-func timedRequest(timeoutMs int, body string) string {
+// orderRequest is a request with a timeout and a body.
+func orderRequest(timeoutMs int, body string) string {
 	return orderHead(timeoutMs, len(body)) + body
 }
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -26,7 +26,7 @@
 		}
 		return agenttest.RespondOK(conn, req, n)
 	})
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) {
+	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) {
 		cfg.Settings.Limits.HealthChecks = true
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].LatencyObjectiveMs = 20 // a first failure demotes for this time
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("%s: response %d, want %d", test.name, status, test.status)
 		}
 	}
-	oversize := agent.dialKept()
+	oversize := agent.dial()
 	send(oversize, orderHead(timeoutMs, message.MaxRequestBody+1)+"x")
 	if status := oversize.Status(); status != http.StatusRequestEntityTooLarge {
 		t.Errorf("oversize: response %d", status)
@@ -79,7 +79,7 @@
 		"POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n",
 		"POST /api/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
 	} {
-		client := agent.dialKept()
+		client := agent.dial()
 		send(client, text)
 		if status := client.Status(); status != http.StatusBadRequest {
 			t.Errorf("%q: response %d", text, status)
@@ -90,7 +90,7 @@
 
 // Chunked framing may hide a request in what the sender meant as a body of the length that it also gave:
 // nothing after the last chunk is read as a request.
-func TestNothingInsideABodyIsTakenForARequest(t *testing.T) {
+func TestNoRequestSmuggling(t *testing.T) {
 	inner := "POST /api/b2 HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\nContent-Length: 0\r\n\r\n"
 	body := "1\r\nx\r\n0\r\n\r\n" + inner
@@ -114,7 +114,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			agent, server := startWithServer(t, agenttest.RespondOK)
-			client := agent.dialKept()
+			client := agent.dial()
 			send(client, test.head+body)
 			response, err := agenttest.ReadResponse(client.Reader, nil)
 			if err != nil {
@@ -137,7 +137,7 @@
 
 // A peer that connects and sends no complete request gets an error or a close within 3 s from connecting,
 // also one that sends a byte now and then.
-func TestImproperPeersAreEndedInTime(t *testing.T) {
+func TestConnectionsWithoutACompleteRequestEndInTime(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, agenttest.RespondOK)
 	const (
@@ -163,7 +163,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			client := agent.dialKept()
+			client := agent.dial()
 			start := time.Now()
 			send(client, peer.first)
 			closed := make(chan struct{})
@@ -204,8 +204,8 @@
 		"a request with no id": "GET /api/x HTTP/1.1\r\nHost: x\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			client := agent.dialKept()
-			send(client, invalid+timedRequest(timeoutMs, "x"))
+			client := agent.dial()
+			send(client, invalid+orderRequest(timeoutMs, "x"))
 			resp, err := http.ReadResponse(client.Reader, nil)
 			if err != nil {
 				t.Fatalf("no response: %v", err)
--- a/internal/agent/local_shortage_test.go
+++ b/internal/agent/local_shortage_test.go
@@ -15,7 +15,7 @@
 
 // While connects fail because this machine lacks a resource, requests are rejected or served by retries, and
 // no server is demoted.
-func TestLocalShortageDemotesNoServer(t *testing.T) {
+func TestLocalResourceErrorsDemoteNoServer(t *testing.T) {
 	var addrs []string
 	for range 3 {
 		addrs = append(addrs, agenttest.NewServer(t, agenttest.RespondOK).Addr)
@@ -29,7 +29,7 @@
 		}
 		return config.DialTCP(ctx, addr, until)
 	}
-	agent := startAgent(t, listing(t, addrs...), func(cfg *config.Config) { cfg.Dial = dial })
+	agent := startAgent(t, discoveryWith(t, addrs...), func(cfg *config.Config) { cfg.Dial = dial })
 	agenttest.WaitUntil(t, "a request is served once the shortage is over", func() bool {
 		status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 		if status != http.StatusOK && status != http.StatusServiceUnavailable {
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -12,7 +12,7 @@
 
 // A second response that comes some milliseconds late on a kept connection is dropped: the next request there
 // has its own.
-func TestSecondResponseIsNotTheNextRequests(t *testing.T) {
+func TestSecondResponseIsNotUsedForTheNextRequest(t *testing.T) {
 	const lateBy = 5 * time.Millisecond // less than a connection rests
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if !agenttest.RespondOK(conn, req, n) {
@@ -24,7 +24,7 @@
 		}
 		return true
 	})
-	client := agent.dialKept()
+	client := agent.dial()
 	for i := range 3 {
 		sendf(client, "GET /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 			"Request-Timeout-Ms: 4000\r\n\r\n", i, i)
@@ -56,7 +56,7 @@
 		agent.wantOrderStatus(http.StatusOK)
 		if i == 0 {
 			<-sent
-			time.Sleep(reusableWithin)
+			time.Sleep(reuseDelay)
 		}
 	}
 	if server.Count() != 2 {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -62,5 +62,5 @@
 	if server.Count() != before+1 {
 		t.Errorf("%d attempts of a non-idempotent request, want 1", server.Count()-before)
 	}
-	agent.wantNoGuardActed()
+	agent.wantNoViolationsOrBackstops()
 }
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -75,7 +75,7 @@
 
 // The time of a request counts from its last byte, and its server is not to blame for a client that sends
 // slowly.
-func TestSlowStreamedBodyHasItsFullTime(t *testing.T) {
+func TestSlowStreamedBodyHasItsFullTimeout(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, hashResponder)
 	body := variedBytes(6 * message.MaxBufferedBody)
@@ -96,7 +96,7 @@
 	if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusOK] != 1 {
 		t.Errorf("metrics %+v", metrics)
 	}
-	agent.wantNoGuardActed()
+	agent.wantNoViolationsOrBackstops()
 }
 
 // A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
@@ -116,8 +116,8 @@
 		respondOverloaded(conn, req, 0)
 		_, _ = io.Copy(io.Discard, reader)
 	})
-	agent := startAgent(t, listing(t, listener.Addr().String()), nil)
-	client := agent.dialKept()
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), nil)
+	client := agent.dial()
 	sendPartOfStreamedBody(client)
 	wantRejectionAndClose(t, client)
 	if len(heads) != 1 {
@@ -147,7 +147,7 @@
 func TestStreamedBodyAborted(t *testing.T) {
 	agent, server := startWithServer(t, hashResponder)
 	lines := agent.logLines()
-	client := agent.dialKept()
+	client := agent.dial()
 	sendPartOfStreamedBody(client)
 	_ = client.Close()
 	agenttest.WaitLine(t, lines, " id=1 ") // as cancelled or as failed, whichever is seen first
@@ -171,10 +171,10 @@
 func TestStreamedBodyIsRejectedAtShutdown(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, hashResponder)
-	client := agent.dialKept()
+	client := agent.dial()
 	sendPartOfStreamedBody(client)
 	agenttest.WaitUntil(t, "the body is streamed", func() bool { return server.StartedCount() == 1 })
-	late := agent.dialKept() // its head arrives in two parts, the second of them after the shutdown has begun
+	late := agent.dial() // its head arrives in two parts, the second of them after the shutdown has begun
 	send(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	agent.stop()
 	wantRejectionAndClose(t, client)
--- a/internal/agent/request_log_test.go
+++ b/internal/agent/request_log_test.go
@@ -11,7 +11,7 @@
 
 // The log has all attempts of a request that failed, by its id.
 func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
-	agent, server := startWithServer(t, responds(http.StatusInternalServerError, "", ""))
+	agent, server := startWithServer(t, respondWith(http.StatusInternalServerError, "", ""))
 	lines := agent.logLines()
 	req := agenttest.NewRequest(agent.addr, "order", "x")
 	req.Header.Set("Request-Id", "c0ffee")
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -14,7 +14,7 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-func TestServed(t *testing.T) {
+func TestRequestIsForwarded(t *testing.T) {
 	var mu sync.Mutex
 	var received http.Header
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
@@ -60,9 +60,9 @@
 }
 
 // The ends of an attempt: the client's response, and how often the server saw the request.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	// The request may have executed and is non-idempotent: it fails after one attempt.
-	mayHaveRun := func(name string, respond agenttest.Responder) outcome {
+	mayHaveExecuted := func(name string, respond agenttest.Responder) outcome {
 		return outcome{name + " may have run", "order", respond, http.StatusBadGateway, 1}
 	}
 	const (
@@ -76,43 +76,43 @@
 	endlessHead := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*largestHead)
 	longBody := strings.Repeat("x", 40*message.MaxBufferedBody)
 	for _, test := range []outcome{
-		mayHaveRun("500", responds(http.StatusInternalServerError, "", "")),
-		mayHaveRun("503 without proof", responds(http.StatusServiceUnavailable, "", "")),
-		mayHaveRun("reset after the last byte", resets("")),
-		mayHaveRun("close after the last byte", respondsTextAndCloses("")),
-		mayHaveRun("broken body", respondsTextAndCloses(headWithLength+"half")),
-		mayHaveRun("broken chunk", respondsTextAndCloses(headOfChunks+"5\r\nhel")),
+		mayHaveExecuted("500", respondWith(http.StatusInternalServerError, "", "")),
+		mayHaveExecuted("503 without proof", respondWith(http.StatusServiceUnavailable, "", "")),
+		mayHaveExecuted("reset after the last byte", sendTextAndReset("")),
+		mayHaveExecuted("close after the last byte", sendTextAndClose("")),
+		mayHaveExecuted("broken body", sendTextAndClose(headWithLength+"half")),
+		mayHaveExecuted("broken chunk", sendTextAndClose(headOfChunks+"5\r\nhel")),
 		{
 			"a response may end with its connection", "order",
-			respondsTextAndCloses(headToClose + "complete"), http.StatusOK, 1,
+			sendTextAndClose(headToClose + "complete"), http.StatusOK, 1,
 		},
-		mayHaveRun("a response cut off by a reset", resets(headToClose+"half")),
-		mayHaveRun("two framings at once", respondsText(twoFramings)),
-		mayHaveRun("an endless head", respondsText(endlessHead)),
+		mayHaveExecuted("a response cut off by a reset", sendTextAndReset(headToClose+"half")),
+		mayHaveExecuted("two framings at once", sendText(twoFramings)),
+		mayHaveExecuted("an endless head", sendText(endlessHead)),
 		{
 			"what is no HTTP is not waited for", "order",
-			respondsText("\x00\x01 no end of line"), http.StatusBadGateway, 1,
+			sendText("\x00\x01 no end of line"), http.StatusBadGateway, 1,
 		},
-		mayHaveRun("unreadable head", respondsText("nonsense\r\n\r\n")),
+		mayHaveExecuted("unreadable head", sendText("nonsense\r\n\r\n")),
 		{
 			"a long response is streamed", "order",
-			responds(http.StatusOK, "", longBody), http.StatusOK, 1,
+			respondWith(http.StatusOK, "", longBody), http.StatusOK, 1,
 		},
 		{
 			"503 with proof never ran", "order",
-			responds(http.StatusServiceUnavailable, notStarted, ""), http.StatusServiceUnavailable, 3,
+			respondWith(http.StatusServiceUnavailable, notStarted, ""), http.StatusServiceUnavailable, 3,
 		},
 		{
 			"504 with proof never ran", "order",
-			responds(http.StatusGatewayTimeout, notStarted, ""), http.StatusServiceUnavailable, 3,
+			respondWith(http.StatusGatewayTimeout, notStarted, ""), http.StatusServiceUnavailable, 3,
 		},
 		{
 			"what a server calls a bad request is not retried, though an error is", "send",
-			responds(http.StatusBadRequest, "", ""), http.StatusBadRequest, 1,
+			respondWith(http.StatusBadRequest, "", ""), http.StatusBadRequest, 1,
 		},
 		{
 			"an error is retried with a key, three attempts at most", "send",
-			responds(http.StatusInternalServerError, "", ""), http.StatusServiceUnavailable, 3,
+			respondWith(http.StatusInternalServerError, "", ""), http.StatusServiceUnavailable, 3,
 		},
 	} {
 		t.Run(test.name, test.check)
@@ -130,7 +130,7 @@
 	if response.Status == http.StatusServiceUnavailable && retryAfter != "0.600" {
 		t.Errorf("rejected with Retry-After %q", retryAfter)
 	}
-	agent.wantNoGuardActed()
+	agent.wantNoViolationsOrBackstops()
 }
 
 func TestOverloadedAttemptIsRetried(t *testing.T) {
@@ -158,7 +158,7 @@
 	listener := agenttest.Listen(t)
 	addr := listener.Addr().String()
 	_ = listener.Close()
-	agent := startAgent(t, listing(t, addr), nil)
+	agent := startAgent(t, discoveryWith(t, addr), nil)
 	response := agent.do(agenttest.NewRequest(agent.addr, "order", "x"))
 	agenttest.WantStatus(t, response.Status, http.StatusServiceUnavailable)
 	if response.Header.Get("Retry-After") == "" {
--- a/internal/agent/responders_test.go
+++ b/internal/agent/responders_test.go
@@ -10,31 +10,31 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// responds is a responder with one response to every request.
-func responds(status int, header, body string) agenttest.Responder {
+// respondWith is a responder with one response to every request.
+func respondWith(status int, header, body string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		return agenttest.SendResponse(conn, status, header, body)
 	}
 }
 
-// respondsText sends a text to every request, which need not be a response, and keeps the connection open.
-func respondsText(text string) agenttest.Responder {
+// sendText sends a text to every request, which need not be a response, and keeps the connection open.
+func sendText(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
 		return true
 	}
 }
 
-// respondsTextAndCloses sends a text to every request, which need not be a response, and closes the connection.
-func respondsTextAndCloses(text string) agenttest.Responder {
+// sendTextAndClose sends a text to every request, which need not be a response, and closes the connection.
+func sendTextAndClose(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
 		return false
 	}
 }
 
-// resets sends a text to every request and resets the connection.
-func resets(text string) agenttest.Responder {
+// sendTextAndReset sends a text to every request and sendTextAndReset the connection.
+func sendTextAndReset(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
 		return agenttest.ResetConn(conn)
--- a/internal/agent/response_body_test.go
+++ b/internal/agent/response_body_test.go
@@ -54,7 +54,7 @@
 		if err != nil || resp.StatusCode != http.StatusOK || !bytes.Equal(append(first, rest...), long) {
 			t.Errorf("%s: response %d, %d bytes, %v", form, resp.StatusCode, 100+len(rest), err)
 		}
-		time.Sleep(reusableWithin)
+		time.Sleep(reuseDelay)
 	}
 	if server.Count() != 3 || server.MaxConns() > 1 {
 		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Count(), server.MaxConns())
@@ -106,7 +106,7 @@
 		writeFailed <- err
 		return false
 	})
-	client := agent.dialKept()
+	client := agent.dial()
 	send(client, agenttest.RequestText(1, 4000))
 	if _, err := client.Reader.Peek(4096); err != nil {
 		t.Fatal(err)
--- a/internal/agent/retry_window_test.go
+++ b/internal/agent/retry_window_test.go
@@ -13,22 +13,22 @@
 
 // A retry is sent only while servers still drop duplicates, also where its connection is established after
 // the policy's check of the time.
-func TestRetryIsNotSentPastItsWindow(t *testing.T) {
+func TestRetryIsNotSentAfterTheDeduplicationWindow(t *testing.T) {
 	t.Parallel()
-	failing := agenttest.NewServer(t, responds(http.StatusInternalServerError, "", ""))
+	failing := agenttest.NewServer(t, respondWith(http.StatusInternalServerError, "", ""))
 	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
-		if retriedInTime(t, failing, ids[0], ids[1]) {
+		if checkLateRetry(t, failing, ids[0], ids[1]) {
 			return
 		}
 	}
 	t.Error("no request came to the failing server first")
 }
 
-// retriedInTime runs an agent with a failing server and one whose connection is established after the
+// checkLateRetry runs an agent with a failing server and one whose connection is established after the
 // deduplication window. It checks that nothing is sent on that connection, and returns false if the policy
 // selected that server first, so that there was no retry.
-func retriedInTime(t *testing.T, failing *agenttest.Server, failingID, slowID string) bool {
+func checkLateRetry(t *testing.T, failing *agenttest.Server, failingID, slowID string) bool {
 	t.Helper()
 	const (
 		dedupWindowMs = 400
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent := startAgent(t, listing(t, unusedAddr), func(cfg *config.Config) {
+	agent := startAgent(t, discoveryWith(t, unusedAddr), func(cfg *config.Config) {
 		known, listen, log := cfg.InitialList, cfg.Listen, cfg.Log
 		*cfg = *file
 		cfg.InitialList = known
@@ -91,11 +91,11 @@
 }
 
 // Without the section a call is the same as before, to the byte, and settings in a response are ignored.
-func TestWithoutControlTheCallFormIsUnchanged(t *testing.T) {
+func TestDiscoveryCallWithoutControlIsUnchanged(t *testing.T) {
 	listener := agenttest.Listen(t)
 	heads := make(chan string, 100)
 	go agenttest.AcceptAll(listener, func(conn net.Conn) { recordHeads(conn, heads) })
-	startAgent(t, listing(t, unusedAddr), func(cfg *config.Config) {
+	startAgent(t, discoveryWith(t, unusedAddr), func(cfg *config.Config) {
 		cfg.Name = "pay-1"
 		cfg.Discovery = listener.Addr().String()
 		cfg.Settings.DiscoveryMode = "pushed"
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -16,13 +16,13 @@
 
 // The moments of a shutdown, from SIGTERM on, around which the tests act.
 const (
-	// acceptTime is how long the agent accepts connections: clients may open them for 0.4 s.
-	acceptTime = 500 * time.Millisecond
-	// admitTime is how long it forwards requests: those that come in the first 0.7 s must not be lost.
-	admitTime = 600 * time.Millisecond
-	// silentConnTime is by when a connection that brings no request is closed, in a shutdown whose drain time is
+	// acceptPeriod is how long the agent accepts connections: clients may open them for 0.4 s.
+	acceptPeriod = 500 * time.Millisecond
+	// admitPeriod is how long it forwards requests: those that come in the first 0.7 s must not be lost.
+	admitPeriod = 600 * time.Millisecond
+	// silentConnLimit is by when a connection that brings no request is closed, in a shutdown whose drain time is
 	// 0.85 s. Without a shutdown the connection would have 2.6 s.
-	silentConnTime = 2100 * time.Millisecond
+	silentConnLimit = 2100 * time.Millisecond
 )
 
 // takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
@@ -44,12 +44,12 @@
 	t.Parallel()
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, agent)
-	accepted := agent.dialKept() // takes the slot that Accept has already
+	accepted := agent.dial() // takes the slot that Accept has already
 	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
-	waiting := agent.dialKept()
-	send(waiting, timedRequest(timeoutMs, "x"))
+	waiting := agent.dial()
+	send(waiting, orderRequest(timeoutMs, "x"))
 	agent.stop()
-	time.AfterFunc(acceptTime+testDelay, release)
+	time.AfterFunc(acceptPeriod+testDelay, release)
 	if status := agenttest.FinalStatus(t, waiting); status != http.StatusOK && status != http.StatusServiceUnavailable {
 		t.Errorf("response %d", status)
 	}
@@ -69,12 +69,12 @@
 	start := time.Now()
 	for _, moment := range []moment{
 		{dial: 0, send: 50 * time.Millisecond},
-		{dial: 0, send: acceptTime + 20*time.Millisecond},
-		{dial: 0, send: admitTime + 100*time.Millisecond},
+		{dial: 0, send: acceptPeriod + 20*time.Millisecond},
+		{dial: 0, send: admitPeriod + 100*time.Millisecond},
 		{dial: 0, send: 1500 * time.Millisecond},
 		{dial: 200 * time.Millisecond, send: 200 * time.Millisecond},
-		{dial: 300 * time.Millisecond, send: acceptTime},
-		{dial: 300 * time.Millisecond, send: admitTime},
+		{dial: 300 * time.Millisecond, send: acceptPeriod},
+		{dial: 300 * time.Millisecond, send: admitPeriod},
 		{dial: 300 * time.Millisecond, send: time.Second},
 	} {
 		status := make(chan int, 1)
@@ -87,7 +87,7 @@
 				return
 			}
 			time.AfterFunc(time.Until(start.Add(moment.send)), func() {
-				send(client, timedRequest(timeoutMs, "x"))
+				send(client, orderRequest(timeoutMs, "x"))
 				status <- client.Status()
 			})
 		}
@@ -121,26 +121,26 @@
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) {
+	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) {
 		for i := range cfg.Settings.Classes {
 			cfg.Settings.Classes[i].TotalTimeoutMs = 300
 		}
 	})
-	client := agent.dialKept()
+	client := agent.dial()
 	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 0 })
 	stopped := time.Now()
 	agent.stop()
 	if n, err := io.Copy(io.Discard, client); n > 0 || err != nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if took := time.Since(stopped); took > silentConnTime {
+	if took := time.Since(stopped); took > silentConnLimit {
 		t.Errorf("closed %v after the signal", took)
 	}
 }
 
 // Before the process may be killed, open requests have their final response, and a response that is being
 // streamed goes on.
-func TestQueuedRequestsAreAnsweredAtShutdown(t *testing.T) {
+func TestOpenRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	arrived, proceed := make(chan struct{}, 2), make(chan struct{})
 	agent, _ := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -29,8 +29,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			agent, server := startWithServer(t, hashResponder)
-			client := agent.dialKept()
-			text := timedRequest(60_000, strings.Repeat("x", test.length))
+			client := agent.dial()
+			text := orderRequest(60_000, strings.Repeat("x", test.length))
 			if _, err := io.WriteString(client, text[:len(text)-(test.length-test.sent)]); err != nil {
 				t.Fatal(err)
 			}
@@ -73,10 +73,10 @@
 		tolerance = time.Second / 2 // for a busy machine
 	)
 	listener := unreadingServer(t)
-	agent := startAgent(t, listing(t, listener.Addr().String()), nil)
-	client := agent.dialKept()
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), nil)
+	client := agent.dial()
 	_ = client.Conn.(*net.TCPConn).SetWriteBuffer(64 * message.MaxBufferedBody)
-	send(client, timedRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*message.MaxBufferedBody)))
+	send(client, orderRequest(int(timeout.Milliseconds()), strings.Repeat("x", 100*message.MaxBufferedBody)))
 	sent := time.Now()
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusServiceUnavailable)
 	if took := time.Since(sent); took > 2*timeout+slack+tolerance {
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -33,11 +33,11 @@
 type faultScenario struct {
 	Clients  []agenttest.CallFault // of clients' connections, in the order in which they are accepted
 	Servers  []agenttest.CallFault // of connections to servers, in the order in which they are dialed
-	Requests []faultyRequest
+	Requests []scenarioRequest
 }
 
-// faultyRequest is a request of a scenario.
-type faultyRequest struct {
+// scenarioRequest is a request of a scenario.
+type scenarioRequest struct {
 	Class   string
 	Body    int  // bytes
 	Chunked bool // the server's response
@@ -52,7 +52,7 @@
 	mu        sync.Mutex
 	arrivals  map[string]int // by Request-Id, of complete requests
 	responses map[int]int    // by status
-	cut       int            // requests whose client's connection broke
+	cutOff    int            // requests whose client's connection broke
 }
 
 func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
@@ -95,14 +95,14 @@
 		agent.Kill()
 		<-ended
 	}()
-	client := &faultyClient{env: env, plan: clients, addr: listener.Addr().String()}
+	client := &scenarioClient{env: env, plan: clients, addr: listener.Addr().String()}
 	defer client.close()
 	for i, request := range scenario.Requests {
 		if err := client.do(request); err != nil {
 			return fmt.Errorf("request %d: %w", i, err)
 		}
 	}
-	return client.nothingFollows()
+	return client.checkNoExtraBytes()
 }
 
 // agent makes an agent that dials its servers by dial.
@@ -113,8 +113,8 @@
 	return New(cfg, Listeners{Clients: listener})
 }
 
-// faultyClient sends one request after another on one connection, and on a new one after its end.
-type faultyClient struct {
+// scenarioClient sends one request after another on one connection, and on a new one after its end.
+type scenarioClient struct {
 	env    *faultEnvironment
 	plan   *agenttest.FaultPlan
 	addr   string
@@ -123,7 +123,7 @@
 }
 
 // close closes the connection, if there is one.
-func (client *faultyClient) close() {
+func (client *scenarioClient) close() {
 	if client.conn != nil {
 		_ = client.conn.Close()
 	}
@@ -131,7 +131,7 @@
 }
 
 // connect makes a connection unless there is one.
-func (client *faultyClient) connect() error {
+func (client *scenarioClient) connect() error {
 	if client.conn != nil {
 		return nil
 	}
@@ -146,12 +146,12 @@
 }
 
 // do sends a request, and returns an error unless it has its one response or its connection broke.
-func (client *faultyClient) do(request faultyRequest) error {
+func (client *scenarioClient) do(request scenarioRequest) error {
 	if err := client.connect(); err != nil {
 		return err
 	}
 	if request.Delayed {
-		time.Sleep(reusableWithin)
+		time.Sleep(reuseDelay)
 	}
 	id := fmt.Sprint(client.env.lastID.Add(1))
 	req := agenttest.NewRequest(client.addr, request.Class, strings.Repeat("x", request.Body))
@@ -173,26 +173,26 @@
 	if !broke {
 		return fmt.Errorf("%s has no response: %w", id, err)
 	}
-	return client.env.checkCut(request.Class, id)
+	return client.env.checkCutOff(request.Class, id)
 }
 
 // exchange sends a request on the connection and reads its response.
-func (client *faultyClient) exchange(req *http.Request) (agenttest.Response, error) {
+func (client *scenarioClient) exchange(req *http.Request) (agenttest.Response, error) {
 	if err := req.Write(client.conn); err != nil {
 		return agenttest.Response{}, err
 	}
 	return agenttest.ReadResponse(client.reader, req)
 }
 
-// closeWrite ends a client's side of a connection; false: the connection has ended.
-func closeWrite(conn net.Conn) bool { return conn.(*net.TCPConn).CloseWrite() == nil }
+// halfCloseConn ends a client's side of a connection; false: the connection has ended.
+func halfCloseConn(conn net.Conn) bool { return conn.(*net.TCPConn).CloseWrite() == nil }
 
-// nothingFollows returns an error if there are bytes after the last response.
-func (client *faultyClient) nothingFollows() error {
+// checkNoExtraBytes returns an error if there are bytes after the last response.
+func (client *scenarioClient) checkNoExtraBytes() error {
 	if client.conn == nil {
 		return nil
 	}
-	if !closeWrite(client.conn) {
+	if !halfCloseConn(client.conn) {
 		return nil
 	}
 	if more, _ := io.ReadAll(client.reader); len(more) > 0 {
@@ -223,19 +223,19 @@
 	default:
 		return fmt.Errorf("%s has response %d", id, resp.Status)
 	}
-	return env.executedOnce(class, id)
+	return env.checkExecutedOnce(class, id)
 }
 
-// checkCut checks a request whose client's connection broke.
-func (env *faultEnvironment) checkCut(class, id string) error {
+// checkCutOff checks a request whose client's connection broke.
+func (env *faultEnvironment) checkCutOff(class, id string) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	env.cut++
-	return env.executedOnce(class, id)
+	env.cutOff++
+	return env.checkExecutedOnce(class, id)
 }
 
-// executedOnce returns an error if a non-idempotent request executed twice. The caller has the lock.
-func (env *faultEnvironment) executedOnce(class, id string) error {
+// checkExecutedOnce returns an error if a non-idempotent request executed twice. The caller has the lock.
+func (env *faultEnvironment) checkExecutedOnce(class, id string) error {
 	if executions := env.arrivals[id]; class == "order" && executions > 1 {
 		return fmt.Errorf("%s executed %d times", id, executions)
 	}
@@ -246,7 +246,7 @@
 var systemCalls = []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}
 
 // runOnEachSide runs two scenarios, in which a fault is on a client's connection and on a server's.
-func (env *faultEnvironment) runOnEachSide(t *testing.T, fault agenttest.CallFault, requests []faultyRequest) {
+func (env *faultEnvironment) runOnEachSide(t *testing.T, fault agenttest.CallFault, requests []scenarioRequest) {
 	t.Helper()
 	faults := []agenttest.CallFault{fault}
 	for _, scenario := range []faultScenario{
@@ -264,7 +264,7 @@
 func TestEachErrnoAtEachCall(t *testing.T) {
 	t.Parallel()
 	env := newFaultEnvironment(t, 1)
-	requests := []faultyRequest{
+	requests := []scenarioRequest{
 		{Class: "order", Body: 20},
 		{Class: "order", Body: 20, Delayed: true},
 		{Class: "read", Chunked: true},
@@ -287,7 +287,7 @@
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
 	env := newFaultEnvironment(t, 3)
-	requests := []faultyRequest{
+	requests := []scenarioRequest{
 		{Class: "order", Body: message.MaxBufferedBody + 3000},
 		{Class: "read"},
 	}
@@ -302,7 +302,7 @@
 }
 
 // Any faults of the connections of both sides, with one byte a call: one response to each request.
-func TestOneResponseWhateverCallsFail(t *testing.T) {
+func TestOneResponseToEachRequestDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
 	environments := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
 	faults := rapid.Custom(func(t *rapid.T) agenttest.CallFault {
@@ -312,8 +312,8 @@
 			Errno: rapid.SampledFrom(faultErrnos).Draw(t, "errno"),
 		}
 	})
-	requests := rapid.Custom(func(t *rapid.T) faultyRequest {
-		return faultyRequest{
+	requests := rapid.Custom(func(t *rapid.T) scenarioRequest {
+		return scenarioRequest{
 			Class:   rapid.SampledFrom([]string{"read", "send", "order"}).Draw(t, "class"),
 			Body:    rapid.IntRange(0, 100).Draw(t, "body"),
 			Chunked: rapid.Bool().Draw(t, "chunked"),
@@ -341,13 +341,13 @@
 	t.Helper()
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	t.Logf("responses by status %v, requests cut off by their client's connection %d", env.responses, env.cut)
+	t.Logf("responses by status %v, requests cut off by their client's connection %d", env.responses, env.cutOff)
 	for _, status := range statuses {
 		if env.responses[status] == 0 {
 			t.Errorf("no request had response %d", status)
 		}
 	}
-	if env.cut == 0 {
+	if env.cutOff == 0 {
 		t.Error("no request was cut off")
 	}
 }
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -45,7 +45,7 @@
 func newCallerRecorder(t *testing.T) callerRecorder {
 	t.Helper()
 	recorder := callerRecorder{
-		Discovery: listing(t, "127.0.0.1:1"),
+		Discovery: discoveryWith(t, "127.0.0.1:1"),
 		callers:   make(chan string, 1000),
 	}
 	serve := recorder.Config.Handler
@@ -57,11 +57,11 @@
 	return recorder
 }
 
-// inForce are the versions that an agent's hooks are called with.
-type inForce chan uint64
+// versionsInForce are the versions that an agent's hooks are called with.
+type versionsInForce chan uint64
 
 // wantNext waits for the next version.
-func (versions inForce) wantNext(t *testing.T, want uint64) {
+func (versions versionsInForce) wantNext(t *testing.T, want uint64) {
 	t.Helper()
 	select {
 	case version := <-versions:
@@ -85,7 +85,7 @@
 	var log lockedBuffer
 	cfg.Log = slog.New(slog.NewTextHandler(&log, nil)).With("agent", "a1")
 	cfg.DiscoveryLocalIP = net.ParseIP(callFrom)
-	lists, settings := make(inForce, 100), make(inForce, 100)
+	lists, settings := make(versionsInForce, 100), make(versionsInForce, 100)
 	cfg.Hooks.OnList = func(version uint64) { lists <- version }
 	cfg.Hooks.OnSettings = func(version uint64) { settings <- version }
 	listener := agenttest.Listen(t)
@@ -113,7 +113,7 @@
 	}
 	reloads <- changed
 	settings.wantNext(t, 0)
-	wantFourLists(t, agent)
+	wantStatusAfterFourLists(t, agent)
 	if host := <-discovery.callers; host != callFrom {
 		t.Errorf("discovery was called from %s", host)
 	}
@@ -121,7 +121,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	wantLogOf(t, log.String(), "agent=a1")
+	wantLogWithAttribute(t, log.String(), "agent=a1")
 	select {
 	case version := <-lists:
 		t.Errorf("list %d in force once more", version)
@@ -129,8 +129,8 @@
 	}
 }
 
-// wantFourLists checks the status of an agent that has had four lists, and waits until it watches for the next.
-func wantFourLists(t *testing.T, agent *Agent) {
+// wantStatusAfterFourLists checks the status of an agent that has had four lists, and waits until it watches for the next.
+func wantStatusAfterFourLists(t *testing.T, agent *Agent) {
 	t.Helper()
 	// The watch's fourth call begins after the hooks were called for the third change.
 	agenttest.WaitUntil(t, "the fourth call to discovery", func() bool { return agent.Status().ListCalls >= 4 })
@@ -142,8 +142,8 @@
 	}
 }
 
-// wantLogOf checks that each line of a log has an attribute, and that the log ends with the agent's metrics.
-func wantLogOf(t *testing.T, log, attribute string) {
+// wantLogWithAttribute checks that each line of a log has an attribute, and that the log ends with the agent's metrics.
+func wantLogWithAttribute(t *testing.T, log, attribute string) {
 	t.Helper()
 	for line := range strings.Lines(log) {
 		if !strings.Contains(line, attribute) {
@@ -161,7 +161,7 @@
 	for name, stopped := range map[string]bool{"in service": false, "during a shutdown": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cfg, err := config.Parse(agenttest.PushedConfigText(t, listing(t, server.Addr), nil))
+			cfg, err := config.Parse(agenttest.PushedConfigText(t, discoveryWith(t, server.Addr), nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -215,7 +215,7 @@
 }
 
 // New returns an error for what it can't use, and leaves the listeners to its caller.
-func TestNewRejectsUnusableSettings(t *testing.T) {
+func TestNewRejectsAMissingSharedListener(t *testing.T) {
 	cfg, err := config.Parse(agenttest.PushedConfigText(t, agenttest.NewDiscovery(t), nil))
 	if err != nil {
 		t.Fatal(err)
