--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// Clients are served whatever accepts fail, and the failures are counted.
+// The agent keeps serving clients after failed accepts, and counts the failures.
 func TestFailedAcceptsDoNotStopTheAgent(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	agent := startAgentOn(t, discoveryWith(t, server.Addr), agenttest.NewFlakyListener(t), nil)
--- a/internal/agent/admin_drain_test.go
+++ b/internal/agent/admin_drain_test.go
@@ -12,7 +12,7 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// adminCall makes a call to the admin endpoint and returns the status of its response.
+// adminCall sends a request to the admin endpoint and returns the status of the response.
 func (agent *testAgent) adminCall(method, path string) int {
 	agent.tb.Helper()
 	req, err := http.NewRequestWithContext(agent.tb.Context(), method, "http://"+agent.adminAddr+path, nil)
@@ -25,24 +25,26 @@
 	}
 	_ = resp.Body.Close()
 	if !resp.Close {
-		agent.tb.Errorf("%s %s: the connection stays open for another call", method, path)
+		agent.tb.Errorf("%s %s: connection is kept open after the response, want it closed", method, path)
 	}
 	return resp.StatusCode
 }
 
-// wantServedAndKept sends a request on a connection and checks that it is served and that the connection stays open.
+// wantServedAndKept sends a request on a client connection, and checks that it is served and that the connection is
+// kept open.
 func wantServedAndKept(t *testing.T, conn *agenttest.ClientConn) {
 	t.Helper()
 	if response := conn.Request(t); response.Status != http.StatusOK || response.Closes {
-		t.Errorf("response %d, closes: %v; want %d and an open connection", response.Status, response.Closes, http.StatusOK)
+		t.Errorf("status %d, connection closes: %v; want %d, false", response.Status, response.Closes, http.StatusOK)
 	}
 }
 
-// wantServedAndClosed is wantServedAndKept for a connection that has to be closed with the response.
+// wantServedAndClosed sends a request on a client connection, and checks that it is served and that the response
+// announces the close of the connection.
 func wantServedAndClosed(t *testing.T, conn *agenttest.ClientConn) {
 	t.Helper()
 	if response := conn.Request(t); response.Status != http.StatusOK || !response.Closes {
-		t.Errorf("response %d, closes: %v; want %d and a close", response.Status, response.Closes, http.StatusOK)
+		t.Errorf("status %d, connection closes: %v; want %d, true", response.Status, response.Closes, http.StatusOK)
 	}
 }
 
@@ -56,9 +58,9 @@
 	wantServedAndKept(t, idle)
 
 	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK)
-	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK) // it drains already
+	agenttest.WantStatus(t, agent.adminCall("PUT", "/ops/drain/start"), http.StatusOK) // is draining already
 	agenttest.WantStatus(t, agent.readyStatus(), http.StatusServiceUnavailable)
-	// It still serves the clients that it has, and those that do not know of the drain yet.
+	// During the drain it still serves connected clients, and those that have not noticed the drain yet.
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusOK)
 	wantServedAndClosed(t, used)
 	used.WantClosed(t)
@@ -72,12 +74,12 @@
 		wantServedAndKept(t, afterDrain)
 	}
 	if server.Count() != 7 {
-		t.Errorf("%d arrivals, want 7", server.Count())
+		t.Errorf("server received %d requests, want 7", server.Count())
 	}
 }
 
-// Callers that send nothing, or part of a call, neither keep others out nor stay connected, and part of a call
-// has no effect.
+// Connections to the admin endpoint that send no request, or an incomplete one, are closed. They neither keep other
+// callers from being served nor have any effect.
 func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	incomplete := []string{
@@ -85,7 +87,7 @@
 		"PUT /ops/dra",
 		"PUT /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf",
 	}
-	const silentCallers = 3 * 24 // three times the connections that the admin endpoint may have open
+	const silentCallers = 3 * 24 // three times the connection limit of the admin endpoint
 	var silent []net.Conn
 	for i := range silentCallers {
 		conn := agenttest.DialClient(t, agent.adminAddr)
@@ -98,10 +100,10 @@
 	for _, conn := range silent {
 		text, err := io.ReadAll(conn)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a caller that sends no complete call stays connected")
+			t.Fatal("connection without a complete request is still open")
 		}
 		if strings.HasPrefix(string(text), "HTTP/1.1 2") {
-			t.Errorf("the response to part of a call is %q", text)
+			t.Errorf("response to an incomplete request: %q", text)
 		}
 	}
 	agenttest.WantStatus(t, agent.readyStatus(), http.StatusOK)
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -14,7 +14,7 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// blockedServer blocks each request until release is called.
+// blockedServer starts a server that responds to no request until release is called.
 func blockedServer(t *testing.T, respond agenttest.Responder) (server *agenttest.Server, release func()) {
 	t.Helper()
 	released := make(chan struct{})
@@ -27,11 +27,12 @@
 	return server, release
 }
 
-// blockedConn is a connection to a server. Once it is armed its next write blocks until the test lets it fail.
+// blockedConn is a connection to a server. Once armed, its next write blocks until the test closes proceed, and then
+// fails.
 type blockedConn struct {
 	net.Conn
 	armed   atomic.Bool
-	writing chan struct{} // closed when the write has begun
+	writing chan struct{} // closed when the write begins
 	proceed chan struct{} // closed by the test
 }
 
@@ -44,8 +45,8 @@
 	return 0, syscall.EPIPE
 }
 
-// startWithBlockedConn starts an agent that keeps one connection to a server, which a request has used and which
-// blocks the next one. The server does not count the earlier request.
+// startWithBlockedConn starts an agent with one idle connection to a server, whose next write blocks. The request that
+// opened the connection is not included in the counts of the server.
 func startWithBlockedConn(t *testing.T, server *agenttest.Server) (*testAgent, *blockedConn) {
 	t.Helper()
 	blocked := &blockedConn{
@@ -69,15 +70,15 @@
 	return agent, blocked
 }
 
-// longReuseDelay is well above reusableWithin.
+// longReuseDelay is well above reuseDelay.
 const longReuseDelay = 100 * time.Millisecond
 
-// withLongConnectTimeout lets connects wait for longer than any of these tests takes.
+// withLongConnectTimeout sets a connect timeout that is longer than any of these tests takes.
 func withLongConnectTimeout(cfg *config.Config) {
 	cfg.Settings.Limits.ConnectTimeoutMs = longConnectTimeoutMs
 }
 
-// fullListener listens with a queue that is full, so that connections are established only once it has space.
+// fullListener returns a listener whose accept queue is full: no connection is established until the test accepts one.
 func fullListener(t *testing.T) net.Listener {
 	t.Helper()
 	listener := agenttest.Listen(t)
@@ -96,6 +97,6 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Fatal("the accept queue does not fill")
+	t.Fatal("accept queue is not full after 4 connections")
 	return nil
 }
--- a/internal/agent/body_budget_test.go
+++ b/internal/agent/body_budget_test.go
@@ -11,7 +11,7 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// exhaust takes all of a budget, to within a kilobyte.
+// exhaust acquires a budget until less than 1 KiB of it is left.
 func exhaust(budget message.Quota) {
 	const piece = 1 << 10
 	for taken := true; taken; {
@@ -19,7 +19,7 @@
 	}
 }
 
-// A body that exceeds the budget is not buffered, but it is forwarded.
+// A request body for which the buffer budget has no space left is streamed instead of buffered.
 func TestBodiesBeyondTheBudgetAreStreamed(t *testing.T) {
 	agent, server := startWithServer(t, hashResponder)
 	for _, budget := range agent.bodyBudgets() {
@@ -30,11 +30,11 @@
 	agenttest.WantStatus(t, response.Status, http.StatusOK)
 	got := response.Body
 	if got != digest(body) || server.Count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, server.Count())
+		t.Errorf("server received %s in %d requests, want the whole body in 1", got, server.Count())
 	}
 }
 
-// Bytes of the budget that bodies reserved are free again once they are through.
+// The bytes that bodies have reserved in the budget are released once the bodies have been forwarded.
 func TestBodyBudgetIsReleased(t *testing.T) {
 	agent, _ := startWithServer(t, func(conn net.Conn, _ *http.Request, n int) bool {
 		if n%2 == 0 {
@@ -48,8 +48,8 @@
 		agenttest.WantStatus(t, status, http.StatusOK)
 	}
 	const budget = int64(192) << 20 / 6
-	// A handler releases its bytes after it has sent the last byte of the response.
-	agenttest.WaitUntil(t, "all of the budgets is free", func() bool {
+	// A handler releases its bytes only after it has sent the last byte of the response.
+	agenttest.WaitUntil(t, "both budgets are completely free", func() bool {
 		requests, responses := agent.bodyBudgets()[0], agent.bodyBudgets()[1]
 		return requests.TryAcquire(budget) && responses.TryAcquire(budget)
 	})
--- a/internal/agent/client_close_races_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -12,8 +12,8 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// A client's close and an event that would have its request sent again cross on the way to the loop. The
-// client closed first, so nothing is sent, whichever the loop takes first.
+// A client's close and the end of an attempt that would be retried reach the event loop in either order. There must be
+// no retry, even if the loop handles the end of the attempt first.
 func TestNoRetryOnceTheClientHasClosed(t *testing.T) {
 	arrived, respond := make(chan struct{}, 10), make(chan struct{})
 	rejects := func(conn net.Conn, req *http.Request, n int) bool {
@@ -28,8 +28,10 @@
 	<-arrived
 	release := agent.blockLoop()
 	close(respond)
-	agenttest.WaitUntil(t, "the end of the attempt is posted to the loop", func() bool { return agent.loop.Backlog() > 0 })
-	const retryTime = 200 * time.Millisecond // enough for a retry to arrive before the loop handles the close
+	agenttest.WaitUntil(t, "the end of the attempt is posted to the event loop", func() bool {
+		return agent.loop.Backlog() > 0
+	})
+	const retryTime = 200 * time.Millisecond // enough for a retry to arrive before the event loop handles the close
 	agent.loop.Post(func() {
 		select {
 		case <-arrived:
@@ -37,18 +39,20 @@
 		}
 	})
 	_ = client.Close()
-	agenttest.WaitUntil(t, "the client's close is posted to the loop", func() bool { return agent.loop.Backlog() > 2 })
+	agenttest.WaitUntil(t, "the close of the client is posted to the event loop", func() bool {
+		return agent.loop.Backlog() > 2
+	})
 	release()
 	agent.waitNoClients(t)
 	metrics := agent.metricsNow()
 	attempts := first.Count() + second.Count()
 	if attempts != 1 || metrics.ClientsGone != 1 || metrics.Violations > 0 {
-		t.Errorf("%d attempts, want 1; metrics %+v", attempts, metrics)
+		t.Errorf("%d attempts, want 1; metrics %+v, want 1 closed client and no violation", attempts, metrics)
 	}
 }
 
-// A connection that is established after its client has closed carries nothing, also while the loop does not
-// know of the close.
+// Nothing is sent on a server connection that is established after the client has closed, even if the event loop has
+// not handled the close yet.
 func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	listener := fullListener(t)
@@ -60,60 +64,60 @@
 	defer release()
 	_ = client.Close()
 	agent.waitNoClients(t)
-	// Space in the queue: a connect that continues is established with its next SYN, in a second.
+	// The accept queue gets space: a connect that was not cancelled succeeds with its next SYN, after 1 s.
 	end := time.AfterFunc(connectRetryDelay, func() { _ = listener.Close() })
 	defer end.Stop()
 	agenttest.AcceptAll(listener, func(conn net.Conn) {
 		head := make([]byte, 1000)
 		_ = conn.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 		if n, _ := conn.Read(head); n > 0 {
-			t.Errorf("sent to the server: %q", head[:n])
+			t.Errorf("agent sent %q to the server, want nothing", head[:n])
 		}
 	})
 }
 
-// A client may have sent more before it closes: a byte behind its request, or a body that is not read while
-// the request is queued. It has closed all the same. (All of it fits into what the system buffers unread: the
-// end of a connection can't be seen before what precedes it.)
+// The agent must notice that the client of a queued request has closed, even if unread bytes precede the close: a byte
+// after the request, or a body that is not read while the request is queued. The unread bytes of these cases fit into
+// the buffers of the kernel; otherwise the FIN could not arrive before they are read.
 func TestQueuedRequestIsNotSentOnceItsClientHasClosed(t *testing.T) {
 	const longBody = message.MaxBufferedBody + 20_000
 	request := agenttest.RequestText(9, longTimeoutMs)
 	for name, test := range map[string]struct {
 		request string
-		further string // sent once the request is queued
+		further string // sent after the request was queued
 	}{
-		"nothing more":         {request, ""},
-		"a further byte":       {request, "X"},
-		"many more bytes":      {request + strings.Repeat("X", 30_000), ""},
+		"no further bytes":     {request, ""},
+		"one further byte":     {request, "X"},
+		"many further bytes":   {request + strings.Repeat("X", 30_000), ""},
 		"half a long body":     {orderHead(longTimeoutMs, 400_000) + strings.Repeat("X", longBody), ""},
 		"a complete long body": {orderHead(longTimeoutMs, longBody) + strings.Repeat("X", longBody), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			queued := startAtConcurrencyLimit(t, agenttest.RespondOK)
-			agent := queued.agent
+			scenario := startAtConcurrencyLimit(t, agenttest.RespondOK)
+			agent := scenario.agent
 			client := agent.dial()
 			send(client, test.request)
-			agenttest.WaitUntil(t, "the request is queued", queued.reached)
+			agenttest.WaitUntil(t, "the request is queued", scenario.reached)
 			if test.further != "" {
 				send(client, test.further)
-				time.Sleep(closeArrivalDelay) // so that it is read by itself, as a rule
+				time.Sleep(closeArrivalDelay) // so that it is usually read separately
 			}
 			_ = client.Close()
 			time.Sleep(closeArrivalDelay)
-			queued.proceed()
+			scenario.proceed()
 			agenttest.WaitUntil(t, "all requests have ended", func() bool {
 				metrics := agent.metricsNow()
 				return metrics.Failed+metrics.ClientsGone == 1 && metrics.Served == initialConcurrency
 			})
-			if queued.started() != queued.allowed {
-				t.Error("a request was sent whose client had closed")
+			if scenario.started() != scenario.allowed {
+				t.Error("request was sent to the server after its client had closed")
 			}
 		})
 	}
 }
 
-// A client that closes its connection has its attempt cancelled.
+// If a client closes its connection the attempt in flight is cancelled.
 func TestAttemptIsCancelledWhenTheClientCloses(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool {
@@ -124,7 +128,7 @@
 	failed := make(chan error, 1)
 	go func() {
 		req := agenttest.NewRequest(agent.addr, "order", "x")
-		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the cancellation
+		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the server connection to close
 		resp, err := agenttest.HTTPClient.Do(req.WithContext(ctx))
 		if err == nil {
 			_ = resp.Body.Close()
@@ -136,11 +140,11 @@
 	<-failed
 	waitConnEnded(t, server)
 	if metrics := agent.metricsNow(); metrics.ClientsGone != 1 || metrics.Backstops != 0 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 closed client and no backstop", metrics)
 	}
 }
 
-// A client that closes in the middle of a buffered body has sent no request: nothing is forwarded.
+// A request whose client closes in the middle of a buffered body is incomplete and is not forwarded.
 func TestRequestIsNotForwardedIfTheClientClosesDuringItsBody(t *testing.T) {
 	agent, server := startWithServer(t, agenttest.RespondOK)
 	client := agent.dial()
@@ -149,6 +153,6 @@
 	agent.waitNoClients(t)
 	agenttest.WaitUntil(t, "the invalid request is counted", func() bool { return agent.metricsNow().Invalid == 1 })
 	if metrics := agent.metricsNow(); server.StartedCount() != 0 || metrics.Requests != 0 {
-		t.Errorf("%d arrivals, metrics %+v", server.StartedCount(), metrics)
+		t.Errorf("server received %d requests, metrics %+v; want no request", server.StartedCount(), metrics)
 	}
 }
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	longTimeoutMs = 30_000 // longer than any of these tests waits for a response
-	// closeArrivalDelay is when a client's FIN or reset has long arrived.
+	longTimeoutMs = 30_000 // ms, longer than any of these tests waits for a response
+	// closeArrivalDelay is well above the time that a client's FIN or RST needs to arrive.
 	closeArrivalDelay = 50 * time.Millisecond
-	// connectRetryDelay is when a connect that found the accept queue full has tried again: it does after 1 s.
+	// connectRetryDelay is enough for the retry of a connect that found the accept queue full, which is after 1 s.
 	connectRetryDelay = 2500 * time.Millisecond
-	// longConnectTimeoutMs is longer than any connect of these tests waits.
+	// longConnectTimeoutMs is longer than any connect of these tests takes.
 	longConnectTimeoutMs = 10_000
-	// initialConcurrency is a lone agent's concurrency limit at a server without measurements.
+	// initialConcurrency is the concurrency limit for a server before any measurement, in a fleet of one agent.
 	initialConcurrency = 8
 )
 
-// readRequest is a request of the class read with a long timeout.
+// readRequest is a request of class read with a long timeout.
 var readRequest = agenttest.RequestText(1, longTimeoutMs)
 
-// halfClose ends only the client's side: it may still read.
+// halfClose is the case in which the client closes only its sending side and can still read.
 const halfClose = "half-close"
 
 // clientCloses are the ways in which a client ends its connection.
@@ -43,18 +43,18 @@
 	},
 }
 
-// closeScenario is an agent in the state in which a client ends its connection.
+// closeScenario is a running agent, and the state of it in which a client ends its connection.
 type closeScenario struct {
 	agent     *testAgent
-	requests  string      // what the client has sent by then
+	requests  string      // what the client sends before it ends the connection
 	reached   func() bool // reports whether the agent is in that state
-	proceed   func()      // unblocks what waited for the close
-	started   func() int  // requests that have begun to arrive at servers
-	allowed   int         // how many of those began before the close
-	responses int         // final responses that a client which still reads has to get
+	proceed   func()      // unblocks the server or connection after the client's close
+	started   func() int  // returns how many requests have begun to arrive at servers
+	allowed   int         // expected value of started: the requests from before the close
+	responses int         // final responses that the client must get after a half-close
 }
 
-// closeAtServer closes while a server works on the request.
+// closeAtServer is a close while a server processes the request.
 func closeAtServer(t *testing.T) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, agenttest.RespondOK)
@@ -70,34 +70,35 @@
 	}
 }
 
-// closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
+// closeBeforeRetry is a close during an attempt that will be rejected and would be retried.
 func closeBeforeRetry(t *testing.T) closeScenario {
 	t.Helper()
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
 	agent := startAgent(t, discoveryWith(t, first.Addr, second.Addr), nil)
-	begun := func() int { return first.StartedCount() + second.StartedCount() }
+	started := func() int { return first.StartedCount() + second.StartedCount() }
 	return closeScenario{
 		agent:    agent,
 		requests: readRequest,
-		reached:  func() bool { return begun() == 1 },
+		reached:  func() bool { return started() == 1 },
 		proceed: func() {
 			release()
 			releaseSecond()
 		},
-		started:   begun,
+		started:   started,
 		allowed:   1,
 		responses: 1,
 	}
 }
 
-// closeWhileQueued closes while the request is queued in the agent for its only server.
+// closeWhileQueued is a close while the request is queued in the agent.
 func closeWhileQueued(t *testing.T) closeScenario {
 	t.Helper()
 	return startAtConcurrencyLimit(t, agenttest.RespondOK)
 }
 
-// startAtConcurrencyLimit has the concurrency limit of the only server used up, which responds once it is released.
+// startAtConcurrencyLimit starts an agent whose only server has as many requests as its concurrency limit allows, and
+// responds to none of them until proceed is called. The next request is queued.
 func startAtConcurrencyLimit(t *testing.T, respond agenttest.Responder) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, respond)
@@ -119,7 +120,7 @@
 	}
 }
 
-// closeWhileConnecting closes while the connection to the server is not established.
+// closeWhileConnecting is a close while the connection to the server is being established.
 func closeWhileConnecting(t *testing.T) closeScenario {
 	t.Helper()
 	listener := fullListener(t)
@@ -142,9 +143,9 @@
 	}
 }
 
-// closeOnBrokenReusedConn closes while the request is written to a kept connection that breaks, after
-// which the agent would open another. The byte behind the request hides the close from net/http, which reads
-// one byte in the background.
+// closeOnBrokenReusedConn is a close while the request is written to a reused connection that breaks, after which the
+// agent would open another. The byte after the request hides the close from net/http, which reads one byte in the
+// background.
 func closeOnBrokenReusedConn(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
@@ -167,16 +168,16 @@
 	}
 }
 
-// closeWithPipelinedRequest closes while the earlier of two requests of the connection is still at a server.
+// closeWithPipelinedRequest is a close after two pipelined requests, the first of which is still at a server.
 func closeWithPipelinedRequest(t *testing.T) closeScenario {
 	t.Helper()
-	moment := closeAtServer(t)
-	moment.requests = readRequest + readRequest
-	moment.responses = 2
-	return moment
+	scenario := closeAtServer(t)
+	scenario.requests = readRequest + readRequest
+	scenario.responses = 2
+	return scenario
 }
 
-// closeInLongBody closes before the last byte of a body that is streamed.
+// closeInLongBody is a close before the last byte of a streamed body.
 func closeInLongBody(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, hashResponder)
@@ -187,52 +188,52 @@
 		requests:  head + strings.Repeat("x", 2*message.MaxBufferedBody),
 		reached:   func() bool { return server.StartedCount() == 1 },
 		proceed:   func() {},
-		started:   server.Count, // of complete requests: the head may have arrived
+		started:   server.Count, // counts complete requests only: the head has arrived
 		responses: 1,
 	}
 }
 
-// A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
-// side may still read: it must get a final response, a server's or an error.
+// After a client has ended its connection no attempt of its request begins, whatever state the request is in. A client
+// that has closed only its sending side must get a final response: that of a server, or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
-	moments := map[string]func(*testing.T) closeScenario{
-		"at a server":                       closeAtServer,
-		"before a retry":                    closeBeforeRetry,
-		"queued":                            closeWhileQueued,
-		"connecting":                        closeWhileConnecting,
-		"broken kept connection":            closeOnBrokenReusedConn,
-		"behind the response of an earlier": closeWithPipelinedRequest,
-		"in a long body":                    closeInLongBody,
+	scenarios := map[string]func(*testing.T) closeScenario{
+		"at a server":              closeAtServer,
+		"before a retry":           closeBeforeRetry,
+		"queued":                   closeWhileQueued,
+		"connecting":               closeWhileConnecting,
+		"broken reused connection": closeOnBrokenReusedConn,
+		"pipelined request":        closeWithPipelinedRequest,
+		"in a long body":           closeInLongBody,
 	}
-	for name, arrange := range moments {
+	for name, arrange := range scenarios {
 		for closeName, endConnection := range clientCloses {
 			t.Run(name+"/"+closeName, func(t *testing.T) {
 				t.Parallel()
-				moment := arrange(t)
-				client := moment.agent.dial()
-				send(client, moment.requests)
-				agenttest.WaitUntil(t, "the moment is reached", moment.reached)
+				scenario := arrange(t)
+				client := scenario.agent.dial()
+				send(client, scenario.requests)
+				agenttest.WaitUntil(t, "the state of the case is reached", scenario.reached)
 				if err := endConnection(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(closeArrivalDelay)
-				moment.proceed()
+				scenario.proceed()
 				if closeName == halfClose {
-					wantFinalResponses(t, client.Reader, moment.responses)
+					wantFinalResponses(t, client.Reader, scenario.responses)
 				}
-				agenttest.WaitUntil(t, "the connection has ended", func() bool {
-					return moment.agent.statsNow().Open == 0
+				agenttest.WaitUntil(t, "no request is open", func() bool {
+					return scenario.agent.statsNow().Open == 0
 				})
-				if begun := moment.started(); begun != moment.allowed {
-					t.Errorf("%d attempts begun, want %d", begun, moment.allowed)
+				if started := scenario.started(); started != scenario.allowed {
+					t.Errorf("%d attempts started, want %d", started, scenario.allowed)
 				}
-				moment.agent.wantNoViolationsOrBackstops()
+				scenario.agent.wantNoViolationsOrBackstops()
 			})
 		}
 	}
 }
 
-// wantFinalResponses reads one final response for each request: a server's, or an error.
+// wantFinalResponses reads the given number of final responses, and checks that each is from a server or an error.
 func wantFinalResponses(t *testing.T, reader *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
@@ -241,7 +242,7 @@
 			t.Fatalf("response %d of %d: %v", i+1, want, err)
 		}
 		if response.Status == http.StatusOK && response.Body == "" {
-			t.Errorf("response %d of %d: 200 that no server sent", i+1, want)
+			t.Errorf("response %d of %d: status 200, but not from a server", i+1, want)
 		}
 	}
 }
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// reuseDelay is how soon after a response the agent has to use its connection for the next request. It lets the
-// connection rest for half of that, so tests that need a kept connection wait for it before their next request.
+// reuseDelay is how long tests wait after a response if their next request must reuse its connection. It is twice the
+// time for which the agent leaves a connection idle before it reuses it.
 const reuseDelay = 40 * time.Millisecond
 
 func TestConnectionIsReused(t *testing.T) {
@@ -20,12 +20,13 @@
 		time.Sleep(reuseDelay)
 	}
 	if server.Count() != 3 || server.MaxConns() != 1 || len(server.ConnsClosed) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", server.Count(), server.MaxConns(), len(server.ConnsClosed))
+		t.Errorf("%d requests, %d concurrent connections, %d closed; want 3, 1, 0",
+			server.Count(), server.MaxConns(), len(server.ConnsClosed))
 	}
 }
 
-// A kept connection that the server has closed must be noticed before it carries a request: a non-idempotent
-// one would end as a reset and fail.
+// The agent must notice that a server has closed an idle connection before it sends a request on it: a non-idempotent
+// request would fail because of the reset, as it may have executed.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		agenttest.RespondOK(conn, req, n)
@@ -35,13 +36,12 @@
 	waitConnEnded(t, server)
 	agent.wantOrderStatus(http.StatusOK)
 	if server.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", server.Count())
+		t.Errorf("server received %d requests, want 2", server.Count())
 	}
 }
 
-// A kept connection breaks on a request whose last byte was written: the request may have executed and is
-// never sent again without the policy, not even with the key or without the body that make http.Transport do
-// so.
+// A request whose reused connection breaks after its last byte was written may have executed. It must not be sent again
+// unless the policy retries it. http.Transport would resend it automatically if it had an idempotency key or no body.
 func TestNoAutomaticResend(t *testing.T) {
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		return n == 0 && agenttest.RespondOK(conn, req, n)
@@ -52,6 +52,6 @@
 	status = agent.do(agenttest.NewRequest(agent.addr, "order", "")).Status
 	agenttest.WantStatus(t, status, http.StatusBadGateway)
 	if server.Count() != 2 || agent.pool.ConnectCount() != 1 {
-		t.Errorf("%d arrivals, %d connects, want 2 and 1", server.Count(), agent.pool.ConnectCount())
+		t.Errorf("%d requests, %d connects; want 2, 1", server.Count(), agent.pool.ConnectCount())
 	}
 }
--- a/internal/agent/deadline_test.go
+++ b/internal/agent/deadline_test.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// testDelay is what the cases below take off a request's time before its attempt begins.
+	// testDelay is how long the cases below delay a request, mostly before an attempt of it begins.
 	testDelay   = 300 * time.Millisecond
 	testDelayMs = int(testDelay / time.Millisecond)
 	timeoutMs   = 4000
 )
 
-// timeoutRecorder records the timeout in ms that each attempt gives its server.
+// timeoutRecorder records the timeout that each attempt passes to its server, in ms.
 type timeoutRecorder struct {
 	mu       sync.Mutex
 	timeouts []int
 }
 
-// wrap is a responder that records the attempt's Request-Timeout-Ms first.
+// wrap returns a responder that records the Request-Timeout-Ms of the attempt and then calls respond.
 func (recorder *timeoutRecorder) wrap(respond agenttest.Responder) agenttest.Responder {
 	return func(conn net.Conn, req *http.Request, n int) bool {
 		timeout, err := strconv.Atoi(req.Header.Get("Request-Timeout-Ms"))
@@ -41,7 +41,7 @@
 	}
 }
 
-// take returns the attempts' timeouts since the last call.
+// take returns the timeouts recorded since the last call, in ms.
 func (recorder *timeoutRecorder) take() []int {
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
@@ -50,27 +50,27 @@
 	return taken
 }
 
-// want checks that the attempts gave no more time than the client had left.
+// want checks the timeouts recorded since the last call against the client's remaining time at each attempt, in ms.
 func (recorder *timeoutRecorder) want(t *testing.T, remaining ...int) {
 	t.Helper()
 	wantTimeouts(t, recorder.take(), remaining)
 }
 
-// wantTimeouts checks that each attempt's timeout is at most what the client had left, in ms.
+// wantTimeouts checks that each attempt's timeout is at most the client's remaining time, both in ms.
 func wantTimeouts(t *testing.T, timeouts, remaining []int) {
 	t.Helper()
 	if len(timeouts) != len(remaining) {
-		t.Fatalf("attempts had timeouts of %v ms, want %d attempts", timeouts, len(remaining))
+		t.Fatalf("attempts have timeouts of %v ms, want %d attempts", timeouts, len(remaining))
 	}
 	for i, timeout := range timeouts {
 		if timeout > remaining[i] {
-			t.Errorf("attempt %d had a timeout of %d ms, and the client at most %d left", i, timeout, remaining[i])
+			t.Errorf("attempt %d has a timeout of %d ms, but the client has at most %d ms left", i, timeout, remaining[i])
 		}
 	}
 }
 
-// An attempt gives its server no more time than the client has left. The times that have passed before an
-// attempt are the least that they can be, so a slow machine fails no case.
+// The timeout that an attempt passes to its server is at most the client's remaining time. The cases check an upper
+// bound that follows from the shortest possible delay, so that a slow machine can't make them fail.
 func TestAttemptTimeoutIsWithinTheRequestTimeout(t *testing.T) {
 	for name, check := range map[string]func(t *testing.T, recorder *timeoutRecorder){
 		"first attempt":                          checkFirstAttempt,
@@ -78,9 +78,9 @@
 		"long body after a stall of the process": checkLongBodyAfterStall,
 		"retries":                                checkRetries,
 		"late connect":                           checkLateConnect,
-		"broken kept connection":                 checkBrokenReusedConn,
+		"broken reused connection":               checkBrokenReusedConn,
 		"queued":                                 checkQueued,
-		"body that comes late":                   checkLateBody,
+		"late body":                              checkLateBody,
 		"long upload":                            checkLongUpload,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 	client := agent.dial()
 	send(client, orderRequest(timeoutMs, "x"))
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusServiceUnavailable)
-	// The third attempt goes back to one of the two servers.
+	// A third attempt goes to one of the two servers again.
 	timeouts := recorder.take()
 	if len(timeouts) < 2 {
 		t.Fatalf("%d attempts, want a retry", len(timeouts))
@@ -158,7 +158,7 @@
 	t.Helper()
 	server := agenttest.NewServer(t, recorder.wrap(agenttest.RespondOK))
 	agent, broken := startWithBlockedConn(t, server)
-	recorder.take() // the earlier request's
+	recorder.take() // drops that of the request that opened the connection
 	client := agent.dial()
 	send(client, orderRequest(timeoutMs, "x"))
 	<-broken.writing
@@ -170,20 +170,20 @@
 
 func checkQueued(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
-	queued := startAtConcurrencyLimit(t, recorder.wrap(agenttest.RespondOK))
+	scenario := startAtConcurrencyLimit(t, recorder.wrap(agenttest.RespondOK))
 	recorder.take()
-	client := queued.agent.dial()
+	client := scenario.agent.dial()
 	send(client, orderRequest(timeoutMs, "x"))
-	agenttest.WaitUntil(t, "the request is queued", queued.reached)
+	agenttest.WaitUntil(t, "the request is queued", scenario.reached)
 	time.Sleep(testDelay)
-	queued.proceed()
+	scenario.proceed()
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 	timeouts := recorder.take()
-	last := timeouts[len(timeouts)-1:] // those before are of the requests that it was queued behind
+	last := timeouts[len(timeouts)-1:] // the others belong to the requests ahead of it in the queue
 	wantTimeouts(t, last, []int{timeoutMs - testDelayMs})
 }
 
-// The time of a request counts from its last byte.
+// checkLateBody checks that the timeout of a request starts with its last byte.
 func checkLateBody(t *testing.T, recorder *timeoutRecorder) {
 	t.Helper()
 	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
@@ -214,19 +214,20 @@
 	recorder.want(t, timeoutMs)
 }
 
-// requestDuringStall sends a request while the loop does not run, for testDelay after the request was read.
+// requestDuringStall sends a request while the event loop is blocked, and unblocks it testDelay after the request was
+// read.
 func requestDuringStall(t *testing.T, agent *testAgent, text string) {
 	t.Helper()
 	release := agent.blockLoop()
 	client := agent.dial()
 	send(client, text)
-	agenttest.WaitUntil(t, "the request is posted to the loop", func() bool { return agent.loop.Backlog() > 0 })
+	agenttest.WaitUntil(t, "the request is posted to the event loop", func() bool { return agent.loop.Backlog() > 0 })
 	time.Sleep(testDelay)
 	release()
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 }
 
-// A request with a very short timeout has its response, and gives no server more time than that.
+// A request with a very short timeout gets a response, and its attempts have no longer timeout than the request.
 func TestRequestsWithShortTimeoutsAreAnswered(t *testing.T) {
 	recorder := &timeoutRecorder{}
 	agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
@@ -236,27 +237,27 @@
 		switch status := agenttest.FinalStatus(t, client); status {
 		case http.StatusOK, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		default:
-			t.Errorf("%d ms: response %d", timeout, status)
+			t.Errorf("timeout %d ms: response status %d", timeout, status)
 		}
 		for _, attemptTimeout := range recorder.take() {
 			if attemptTimeout > timeout {
-				t.Errorf("%d ms: an attempt had a timeout of %d ms", timeout, attemptTimeout)
+				t.Errorf("timeout %d ms: attempt has a timeout of %d ms", timeout, attemptTimeout)
 			}
 		}
 	}
 	if metrics := agent.metricsNow(); metrics.Violations > 0 {
-		t.Errorf("the policy made attempts that have no time: metrics %+v", metrics)
+		t.Errorf("policy made attempts without time left: metrics %+v", metrics)
 	}
 }
 
-// A connection may have waited for a slot in the accept queue with its request: that time is part of the
-// client's timeout.
+// If a request arrives while its connection waits in the accept queue for a free slot, that waiting time counts towards
+// the request timeout.
 func TestTimeInTheAcceptQueueCounts(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		timeoutMs int
 		status    int
-		remaining []int // of the attempts
+		remaining []int // at each attempt, in ms
 	}{
 		"time is left":    {timeoutMs, http.StatusOK, []int{timeoutMs - testDelayMs}},
 		"no time is left": {testDelayMs / 2, http.StatusServiceUnavailable, nil},
@@ -266,7 +267,7 @@
 			recorder := &timeoutRecorder{}
 			agent, _ := startWithServer(t, recorder.wrap(agenttest.RespondOK))
 			release := takeAllSlots(t, agent)
-			agent.dial() // takes the slot that Accept has already
+			agent.dial() // takes the slot that Accept already holds
 			agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
 			client := agent.dial()
 			send(client, orderRequest(test.timeoutMs, "x"))
@@ -278,26 +279,26 @@
 	}
 }
 
-// A request that arrives only once its connection has been accepted has its full time, however long the
-// connection waited.
+// A request that arrives after its connection was accepted has its full timeout, however long the connection waited in
+// the accept queue.
 func TestTimeInTheAcceptQueueDoesNotCountForLaterRequests(t *testing.T) {
 	t.Parallel()
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, agent)
 	agent.dial()
 	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
-	const timeout = 2 * time.Second // the connection waits for as long, so that nothing would be left of it
+	const timeout = 2 * time.Second // also the waiting time in the accept queue
 	client := agent.dial()
 	time.Sleep(timeout)
 	release()
-	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 1 })
+	agenttest.WaitUntil(t, "the connection is accepted", func() bool { return agent.downstream.OpenConns() > 1 })
 	for range 2 {
 		send(client, orderRequest(int(timeout.Milliseconds()), "x"))
 		agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusOK)
 	}
 }
 
-// A request may wait for longer than it may take to arrive.
+// The response to a request may take longer than the time limit for reading the request.
 func TestRequestOutlivesItsReadTimeout(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -11,10 +11,11 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// minSockets is the smallest limit of descriptors that a configuration may give.
+// minSockets is the smallest number of descriptors that can be configured.
 const minSockets = 64
 
-// startWithMinSockets starts an agent with the fewest descriptors that may be configured.
+// startWithMinSockets starts an agent with the smallest number of descriptors that can be configured. It also
+// returns the agent's limit on client connections.
 func startWithMinSockets(t *testing.T) (agent *testAgent, maxConns int) {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
@@ -22,8 +23,8 @@
 	return agent, agent.cfg.MaxClientConns()
 }
 
-// The first request on a new connection has a response, whatever the agent does with others just then to keep
-// within its descriptors.
+// The first request on a new connection gets a response, even if the agent has to close other connections to stay
+// within its descriptor limit.
 func TestFirstRequestAtTheDescriptorLimitIsAnswered(t *testing.T) {
 	sends := func(text string) func(*testing.T, *agenttest.ClientConn) {
 		return func(t *testing.T, client *agenttest.ClientConn) {
@@ -58,7 +59,7 @@
 					}
 					send(client, orderRequest(longTimeoutMs, "x"))
 					if status := client.Status(); status != http.StatusOK && status != http.StatusServiceUnavailable {
-						t.Errorf("response %d", status)
+						t.Errorf("response status %d, want 200 or 503", status)
 					}
 				}()
 			}
@@ -67,8 +68,8 @@
 	}
 }
 
-// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
-// can use up the descriptors.
+// Idle client connections are closed in favor of new ones, and attempts beyond the limit open no connections, so that
+// neither side can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
 	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -13,8 +13,8 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// firstServerIn is the entry of the server s-1 in a state.
-func firstServerIn(state endpoint.State, addr string) endpoint.Endpoint {
+// endpointInState returns the endpoint of the server s-1 in the given state.
+func endpointInState(state endpoint.State, addr string) endpoint.Endpoint {
 	entry := agenttest.Endpoint("s-1", addr)
 	entry.State = state
 	return entry
@@ -26,15 +26,16 @@
 	agent := startAgent(t, discovery, nil)
 	agent.wantOrderStatus(http.StatusOK)
 	discovery.Set(agenttest.Endpoint("s-2", other.Addr))
-	discovery.WaitNotified(t, firstServerIn(endpoint.StateDraining, old.Addr))
+	discovery.WaitNotified(t, endpointInState(endpoint.StateDraining, old.Addr))
 	before := old.Count()
 	for range 8 {
 		agent.wantOrderStatus(http.StatusOK)
 	}
 	if old.Count() != before || other.Count() < 8 {
-		t.Errorf("%d arrivals after the notification, %d elsewhere", old.Count()-before, other.Count())
+		t.Errorf("draining server received %d requests, the other %d; want none, at least 8",
+			old.Count()-before, other.Count())
 	}
-	waitConnEnded(t, old) // the idle one
+	waitConnEnded(t, old) // its idle connection
 }
 
 func TestAddressChange(t *testing.T) {
@@ -45,38 +46,38 @@
 	discovery.WaitNotified(t, agenttest.Endpoint("s-1", moved.Addr))
 	agent.wantOrderStatus(http.StatusOK)
 	if old.Count() != 1 || moved.Count() != 1 {
-		t.Errorf("%d arrivals at the old address, %d at the new", old.Count(), moved.Count())
+		t.Errorf("old address received %d requests, new address %d; want 1 each", old.Count(), moved.Count())
 	}
 }
 
-// While discovery is down the known list stays in force and the calls are few; when it is back the agent gets
-// what has changed.
+// During an outage of discovery the list stays in force and the agent makes few calls. After the outage it receives the
+// changes.
 func TestDiscoveryOutage(t *testing.T) {
-	const requestInterval = 5 * time.Millisecond // requests have to be served all the time, not as fast as possible
+	const requestInterval = 5 * time.Millisecond // requests are sent throughout, but not as fast as possible
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
 	discovery := discoveryWith(t, first.Addr)
 	agent := startAgent(t, discovery, nil)
 	discovery.WaitVersion(t, 1)
 	discovery.SetDown(true)
 	before := discovery.CallCount()
-	for discovery.CallCount() == before { // until the policy polls again, after a time of its choice
+	for discovery.CallCount() == before { // until the policy polls again, at an interval that it chooses
 		agent.wantOrderStatus(http.StatusOK)
 		time.Sleep(requestInterval)
 	}
 	if calls := discovery.CallCount() - before; calls > 4 {
-		t.Errorf("%d calls at once to a discovery that is down", calls)
+		t.Errorf("%d calls in quick succession during the outage, want at most 4", calls)
 	}
 	discovery.SetDown(false)
 	discovery.Set(agenttest.Endpoint("s-2", second.Addr))
-	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
+	discovery.WaitNotified(t, endpointInState(endpoint.StateRemoved, first.Addr))
 	agent.wantOrderStatus(http.StatusOK)
 	if second.Count() == 0 {
-		t.Error("the new server is not used")
+		t.Error("new server received no request")
 	}
 }
 
-// Where changes of the list are pushed the policy does not poll: the agent keeps a watch by itself from
-// its start, and reopens it after failures.
+// If changes of the list are pushed the policy does not poll: the agent itself watches the list from its start on, and
+// reopens the watch after failures.
 func TestAgentWatchesPushedChanges(t *testing.T) {
 	first, second := agenttest.NewServer(t, agenttest.RespondOK), agenttest.NewServer(t, agenttest.RespondOK)
 	discovery := discoveryWith(t, first.Addr)
@@ -84,20 +85,21 @@
 	discovery.WaitNotified(t, agenttest.Endpoint("s-2", second.Addr))
 	discovery.SetDown(true)
 	outage := discovery.CallCount()
-	agenttest.WaitUntil(t, "two more calls", func() bool { return discovery.CallCount() >= outage+2 })
+	agenttest.WaitUntil(t, "two more calls to discovery", func() bool { return discovery.CallCount() >= outage+2 })
 	discovery.SetDown(false)
-	discovery.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
+	discovery.WaitNotified(t, endpointInState(endpoint.StateRemoved, first.Addr))
 	before := first.Count()
 	for range 4 {
 		agent.wantOrderStatus(http.StatusOK)
 	}
 	if first.Count() != before || second.Count() < 4 {
-		t.Errorf("%d arrivals at the removed server, %d at the other", first.Count()-before, second.Count())
+		t.Errorf("removed server received %d requests, the other %d; want none, at least 4",
+			first.Count()-before, second.Count())
 	}
 }
 
-// After a reload the list is watched at the new address, whichever side begins the watch, and the old one
-// gets no more calls.
+// After a reload with a new discovery address the list is watched there, whether the agent or the policy starts the
+// watch, and the old address receives no more calls.
 func TestReloadMovesDiscovery(t *testing.T) {
 	for _, mode := range []balancer.DiscoveryMode{balancer.DiscoveryPushed, balancer.DiscoveryOnRequest} {
 		t.Run(string(mode), func(t *testing.T) {
@@ -112,23 +114,22 @@
 			agent.reloads <- &cfg
 			moved.WaitVersion(t, 7)
 			before := old.CallCount()
-			moved.WaitNotified(t, firstServerIn(endpoint.StateRemoved, first.Addr))
+			moved.WaitNotified(t, endpointInState(endpoint.StateRemoved, first.Addr))
 			for range 4 {
 				agent.wantOrderStatus(http.StatusOK)
 			}
 			if first.Count() != 0 || second.Count() < 4 {
-				t.Errorf("%d arrivals at the removed server, %d at the other", first.Count(), second.Count())
+				t.Errorf("removed server received %d requests, the other %d; want none, at least 4", first.Count(), second.Count())
 			}
 			if calls := old.CallCount() - before; calls != 0 {
-				t.Errorf("%d calls at the old address", calls)
+				t.Errorf("old address received %d calls after the reload, want none", calls)
 			}
 		})
 	}
 }
 
-// A process that knows no server, of a discovery that is silent, is ready in time all the same: its requests
-// are rejected within their timeouts, and served once there is a list. The admin endpoint says that it serves
-// only then.
+// An agent without a list, whose discovery does not respond, becomes ready in time nevertheless. It rejects requests
+// within their timeouts, and serves them once it has a list. The admin endpoint reports that it serves only then.
 func TestReadyWithoutAnEndpointList(t *testing.T) {
 	t.Parallel()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
@@ -146,7 +147,7 @@
 		cfg.Settings.DiscoveryMode = balancer.DiscoveryPushed
 	})
 	if took := time.Since(start); took > 10*time.Second {
-		t.Errorf("ready after %v", took)
+		t.Errorf("ready after %v, want at most 10 s", took)
 	}
 	agenttest.WantStatus(t, agent.adminCall("GET", "/ops/readiness"), http.StatusServiceUnavailable)
 	req := agenttest.NewRequest(agent.addr, "order", "x")
@@ -158,7 +159,7 @@
 		status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 		return status == http.StatusOK
 	})
-	agenttest.WaitUntil(t, "the admin endpoint says that it serves", func() bool {
+	agenttest.WaitUntil(t, "the admin endpoint reports that the agent serves", func() bool {
 		return agent.adminCall("GET", "/ops/readiness") == http.StatusOK
 	})
 }
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -16,27 +16,27 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// crashFault is the fault of a server whose process dies: it accepts nothing more.
+// crashFault is the crash of a server process: open connections are reset, and no more are accepted.
 const crashFault = "crash"
 
-// serverFaults are ways in which a server fails requests that it has accepted.
+// serverFaults are faults of a server in requests that it has received.
 var serverFaults = map[string]agenttest.Responder{
-	"hang":                  sendText(""),
-	crashFault:              sendTextAndReset(""),
-	"reset":                 sendTextAndReset(""),
-	"close":                 sendTextAndClose(""),
-	"hang in the response":  sendText(partialResponse),
-	"hang in an error":      sendText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf"),
-	"reset in the response": sendTextAndReset(partialResponse),
-	"bytes without an end":  sendZeros,
+	"hang":                      sendText(""),
+	crashFault:                  sendTextAndReset(""),
+	"reset":                     sendTextAndReset(""),
+	"close":                     sendTextAndClose(""),
+	"hang in the response":      sendText(partialResponse),
+	"hang in an error response": sendText("HTTP/1.1 500 X\r\nContent-Length: 9\r\n\r\nhalf"),
+	"reset in the response":     sendTextAndReset(partialResponse),
+	"endless bytes":             sendZeros,
 }
 
-// partialResponse is the first half of a response.
+// partialResponse is a response that ends in the middle of its body.
 const partialResponse = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
 
-// sendZeros responds with zero bytes until the connection is closed.
+// sendZeros sends zero bytes until the connection is closed.
 func sendZeros(conn net.Conn, _ *http.Request, _ int) bool {
-	const interval = time.Millisecond // leaves the processor to the other servers
+	const interval = time.Millisecond // so that the other servers get processor time
 	for {
 		if _, err := conn.Write(make([]byte, 100)); err != nil {
 			return false
@@ -45,7 +45,7 @@
 	}
 }
 
-// misbehavingClients are peers that misbehave, each on a connection of its own.
+// misbehavingClients are clients that violate the protocol or break off, each on its own connection.
 var misbehavingClients = []func(conn *net.TCPConn){
 	func(conn *net.TCPConn) { send(conn, "GET /api/a HT") },
 	func(conn *net.TCPConn) { send(conn, "\x00\xff\r\n\r\n"+readRequest) },
@@ -71,8 +71,8 @@
 	},
 }
 
-// runMisbehavingClients has bad clients connect one after another until ctx ends; some stay to the end. They come seldom
-// enough to leave slots for others.
+// runMisbehavingClients runs misbehaving clients one after another until ctx is done; some stay connected until then.
+// Their rate is low enough to leave connection slots for other clients.
 func runMisbehavingClients(ctx context.Context, addr string) {
 	const interval = 20 * time.Millisecond
 	var dialer net.Dialer
@@ -88,12 +88,12 @@
 	}
 }
 
-// Whatever a server and other clients do, each request has its final response, a server's or an error, within
-// half a second after its timeout.
+// Despite a faulty server and misbehaving clients each request gets a final response, that of a server or an error, at
+// most half a second after its timeout.
 func TestRequestsGetResponsesDespiteUnrelatedFaults(t *testing.T) {
 	const (
 		timeout    = 1500 * time.Millisecond
-		requests   = 12 // of each class
+		requests   = 12 // per class
 		interval   = 20 * time.Millisecond
 		crashDelay = 100 * time.Millisecond
 	)
@@ -106,38 +106,38 @@
 				time.AfterFunc(crashDelay, func() { _ = bad.Listener.Close() })
 			}
 			ctx, stop := context.WithCancel(t.Context())
-			var badClients, goodClients sync.WaitGroup
-			badClients.Add(1)
+			var misbehaving, wellBehaved sync.WaitGroup
+			misbehaving.Add(1)
 			go func() {
-				defer badClients.Done()
+				defer misbehaving.Done()
 				runMisbehavingClients(ctx, agent.addr)
 			}()
 			var served atomic.Int64
 			for i := range 3 * requests {
 				class := []string{"read", "send", "order"}[i%3]
-				goodClients.Add(1)
+				wellBehaved.Add(1)
 				time.AfterFunc(time.Duration(i)*interval, func() {
-					defer goodClients.Done()
+					defer wellBehaved.Done()
 					if wantResponse(t, agent.addr, class, timeout) == http.StatusOK {
 						served.Add(1)
 					}
 				})
 			}
-			goodClients.Wait()
+			wellBehaved.Wait()
 			stop()
-			badClients.Wait()
+			misbehaving.Wait()
 			if served.Load() == 0 {
-				t.Error("no request was served, though one of two servers is good")
+				t.Error("no request was served, though one of the two servers is healthy")
 			}
 		})
 	}
 }
 
-// wantResponse sends a request, and checks that the response is final and not too late.
+// wantResponse sends a request, checks that the response is complete and in time, and returns its status code.
 func wantResponse(t *testing.T, addr, class string, timeout time.Duration) int {
 	t.Helper()
 	const (
-		slack     = time.Second / 2
+		slack     = time.Second / 2 // a later response counts as lost
 		tolerance = time.Second / 2 // for a busy machine
 	)
 	req := agenttest.NewRequest(addr, class, "x")
@@ -151,10 +151,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if took := time.Since(start); took > timeout+slack+tolerance {
-		t.Errorf("%s: response after %v", class, took)
+		t.Errorf("%s: response after %v, which is too late", class, took)
 	}
 	if resp.StatusCode == http.StatusOK && (err != nil || !strings.Contains(string(body), "/api/")) {
-		t.Errorf("%s: 200 with %q, %v", class, body, err)
+		t.Errorf("%s: status 200 with body %q, error %v", class, body, err)
 	}
 	return resp.StatusCode
 }
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -17,25 +17,26 @@
 	"fernbeam.example/fernbeam/internal/agent/dispatch"
 )
 
-// testAgent is an agent on a port that the kernel chooses.
+// testAgent is a running agent that listens on loopback ports chosen by the kernel.
 type testAgent struct {
 	*Agent
 	tb        testing.TB
-	addr      string // for clients
-	adminAddr string // of the admin endpoint
+	addr      string // address for clients
+	adminAddr string // address of the admin endpoint
 	stop      context.CancelFunc
-	done      chan error // gets what Run returned
+	done      chan error // receives the result of Run
 	log       *testLog
-	reloads   chan *config.Config // takes what a SIGHUP would bring
+	reloads   chan *config.Config // configurations to reload, as after SIGHUP
 }
 
-// startAgent starts an agent that knows the discovery's list as it is now; change may be nil.
+// startAgent starts an agent whose initial list is the current one of discovery, and waits until it is ready. If change
+// is not nil it is applied to the configuration first.
 func startAgent(tb testing.TB, discovery *agenttest.Discovery, change func(*config.Config)) *testAgent {
 	tb.Helper()
 	return startAgentOn(tb, discovery, agenttest.Listen(tb), change)
 }
 
-// startAgentOn is startAgent with a given listener for clients.
+// startAgentOn is like startAgent, with the given listener for clients.
 func startAgentOn(
 	tb testing.TB, discovery *agenttest.Discovery, listener net.Listener, change func(*config.Config),
 ) *testAgent {
@@ -68,14 +69,14 @@
 	return agent
 }
 
-// startWithServer starts an agent in front of one server with the given responder.
+// startWithServer starts a server with the given responder, and an agent whose endpoint list has only that server.
 func startWithServer(t *testing.T, respond agenttest.Responder) (*testAgent, *agenttest.Server) {
 	t.Helper()
 	server := agenttest.NewServer(t, respond)
 	return startAgent(t, discoveryWith(t, server.Addr), nil), server
 }
 
-// discoveryWith is a discovery that lists servers at these addresses, as s-1, s-2 and so on.
+// discoveryWith starts a discovery that lists servers at the given addresses, with the IDs s-1, s-2 and so on.
 func discoveryWith(tb testing.TB, addrs ...string) *agenttest.Discovery {
 	tb.Helper()
 	discovery := agenttest.NewDiscovery(tb)
@@ -86,13 +87,14 @@
 	return discovery
 }
 
-// send writes text to a peer. A failure is the peer's close, which shows in what the peer receives or sends.
+// send writes text to a peer. Write errors are ignored: they mean that the peer has closed the connection, which tests
+// notice in what the peer received or sent.
 func send(peer io.Writer, text string) { _, _ = io.WriteString(peer, text) }
 
-// sendf is send with a format.
+// sendf is like send, with a format.
 func sendf(peer io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(peer, format, args...) }
 
-// getStatus gets a URL and returns the response's status.
+// getStatus sends a GET request for url and returns the status code of the response.
 func getStatus(ctx context.Context, url string) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -106,17 +108,17 @@
 	return resp.StatusCode, nil
 }
 
-// stopAndWait shuts the agent down.
+// stopAndWait shuts the agent down and waits until it has stopped.
 func (agent *testAgent) stopAndWait() {
 	agent.stop()
 	select {
 	case <-agent.done:
 	case <-time.After(agenttest.Timeout):
-		agent.tb.Error("the agent did not stop")
+		agent.tb.Error("agent did not stop")
 	}
 }
 
-// waitReady waits until the agent says that it is ready.
+// waitReady waits until the agent reports that it is ready.
 func (agent *testAgent) waitReady() {
 	agent.tb.Helper()
 	agenttest.WaitUntil(agent.tb, "the agent is ready", func() bool {
@@ -125,10 +127,10 @@
 	})
 }
 
-// readyURL is where clients see whether the agent is ready.
+// readyURL returns the URL at which clients check whether the agent is ready.
 func (agent *testAgent) readyURL() string { return "http://" + agent.addr + "/-/ready" }
 
-// readyStatus is what clients get from readyURL.
+// readyStatus returns the status code that clients get from readyURL.
 func (agent *testAgent) readyStatus() int {
 	agent.tb.Helper()
 	status, err := getStatus(agent.tb.Context(), agent.readyURL())
@@ -138,28 +140,28 @@
 	return status
 }
 
-// dial opens a connection of a client that keeps it open until the end of the test.
+// dial opens a client connection, which stays open until the end of the test unless the test closes it.
 func (agent *testAgent) dial() *agenttest.ClientConn {
 	agent.tb.Helper()
 	return agenttest.DialClient(agent.tb, agent.addr)
 }
 
-// do sends a request and returns the response. It belongs to the goroutine of the test.
+// do sends a request and returns the response. It must be called from the goroutine of the test.
 func (agent *testAgent) do(req *http.Request) agenttest.Response {
 	agent.tb.Helper()
 	return agenttest.Send(agent.tb, req)
 }
 
-// wantOrderStatus sends a non-idempotent request and checks the response's status.
+// wantOrderStatus sends a non-idempotent request and checks the status of the response.
 func (agent *testAgent) wantOrderStatus(want int) {
 	agent.tb.Helper()
 	status := agent.do(agenttest.NewRequest(agent.addr, "order", "x")).Status
 	if status != want {
-		agent.tb.Errorf("response %d, want %d", status, want)
+		agent.tb.Errorf("response status %d, want %d", status, want)
 	}
 }
 
-// blockLoop stops the event loop until release is called.
+// blockLoop blocks the event loop until release is called.
 func (agent *testAgent) blockLoop() (release func()) {
 	unblock, blocked := make(chan struct{}), make(chan struct{})
 	agent.loop.Post(func() {
@@ -170,50 +172,51 @@
 	return func() { close(unblock) }
 }
 
-// statsNow reads the event loop's statistics, in the loop.
+// statsNow returns the current statistics of the event loop.
 func (agent *testAgent) statsNow() dispatch.Stats {
 	stats := make(chan dispatch.Stats, 1)
 	agent.loop.Post(func() { stats <- agent.loop.Stats() })
 	return <-stats
 }
 
-// metricsNow reads the event loop's metrics, in the loop.
+// metricsNow returns the current metrics of the event loop.
 func (agent *testAgent) metricsNow() dispatch.Metrics { return agent.statsNow().Metrics }
 
-// wantNoViolationsOrBackstops checks that the policy did nothing that the agent had to prevent or to make up for.
+// wantNoViolationsOrBackstops checks that the agent did not have to prevent an action of the policy, nor to end a
+// request in place of it.
 func (agent *testAgent) wantNoViolationsOrBackstops() {
 	agent.tb.Helper()
 	if metrics := agent.metricsNow(); metrics.Violations+metrics.Backstops > 0 {
-		agent.tb.Errorf("there were violations or backstops: metrics %+v", metrics)
+		agent.tb.Errorf("violations or backstops counted: metrics %+v", metrics)
 	}
 }
 
-// waitNoClients waits until the agent knows that all connections of clients have ended.
+// waitNoClients waits until the agent has noticed that all client connections are closed.
 func (agent *testAgent) waitNoClients(t *testing.T) {
 	t.Helper()
-	agenttest.WaitUntil(t, "all connections of clients have ended", func() bool {
+	agenttest.WaitUntil(t, "all client connections are closed", func() bool {
 		return agent.downstream.OpenConns() == 0
 	})
 }
 
-// waitConnEnded waits until a connection of a server has ended.
+// waitConnEnded waits until the agent has closed a connection to the server.
 func waitConnEnded(t *testing.T, server *agenttest.Server) {
 	t.Helper()
 	select {
 	case <-server.ConnsClosed:
 	case <-time.After(agenttest.Timeout):
-		t.Fatal("a connection to the server stays open")
+		t.Fatal("connection to the server is still open")
 	}
 }
 
-// logLines makes the agent pass its log lines to the test, as text.
+// logLines returns a channel that receives the lines that the agent logs from now on.
 func (agent *testAgent) logLines() <-chan string {
 	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
 	agent.log.lines.Store(&lines)
 	return lines
 }
 
-// testLog writes an agent's lines to the test once it has called logLines, and before to standard error.
+// testLog receives the log of an agent. It writes to standard error until logLines is called, and then to its channel.
 type testLog struct {
 	lines atomic.Pointer[agenttest.LineWriter]
 }
@@ -225,13 +228,13 @@
 	return os.Stderr.Write(line)
 }
 
-// orderHead is the head of a request with a timeout and a body of that length.
+// orderHead returns the head of a non-idempotent request with the given timeout and Content-Length.
 func orderHead(timeoutMs, length int) string {
 	return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 1\r\nRequest-Class: order\r\n"+
 		"Request-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n", timeoutMs, length)
 }
 
-// orderRequest is a request with a timeout and a body.
+// orderRequest returns a non-idempotent request with the given timeout and body.
 func orderRequest(timeoutMs int, body string) string {
 	return orderHead(timeoutMs, len(body)) + body
 }
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -10,11 +10,11 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// Where the settings allow health checks a demoted server is restored by one, on the health path and with no
-// header of a client's; a draining server gets none.
+// If the settings allow health checks a successful one restores a demoted server. It goes to the health path and has no
+// headers of a client's request.
 func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	checks := make(chan *http.Request, 100)
-	var healthy atomic.Bool // until the first health check all requests fail
+	var healthy atomic.Bool // set by the first health check; all requests before it fail
 	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if req.URL.Path == "/-/healthy" {
 			healthy.Store(true)
@@ -29,7 +29,7 @@
 	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) {
 		cfg.Settings.Limits.HealthChecks = true
 		for i := range cfg.Settings.Classes {
-			cfg.Settings.Classes[i].LatencyObjectiveMs = 20 // a first failure demotes for this time
+			cfg.Settings.Classes[i].LatencyObjectiveMs = 20 // a server is demoted for this time after its first failure
 		}
 	})
 	agent.wantOrderStatus(http.StatusBadGateway)
@@ -39,7 +39,8 @@
 	})
 	check := <-checks
 	if check.Method != http.MethodGet || check.Header.Get("Request-Id") != "" || check.ContentLength != 0 {
-		t.Errorf("the health check was %s %s with %v", check.Method, check.URL, check.Header)
+		t.Errorf("health check is %s %s with header %v, want GET without headers of a client",
+			check.Method, check.URL, check.Header)
 	}
 	agent.wantOrderStatus(http.StatusOK)
 }
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -15,13 +15,13 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// lateWriteConn is a connection whose server gets a complete request and then resets the connection, while the
-// goroutine that wrote the last byte is blocked until the connection is closed.
+// lateWriteConn is a connection whose server receives a complete request and then resets the connection, while the
+// write of the last byte does not return until the connection is closed.
 type lateWriteConn struct {
-	net.Conn // nil: what is not overridden isn't called
+	net.Conn // nil: the other methods are not called
 	lastByte byte
-	sent     chan struct{} // closed when the last byte is written
-	closed   chan struct{} // closed with the connection
+	sent     chan struct{} // closed when the last byte has been written
+	closed   chan struct{} // closed when the connection is closed
 	close    func()        // closes closed, once
 }
 
@@ -57,8 +57,9 @@
 func (conn *lateWriteConn) SetReadDeadline(time.Time) error  { return nil }
 func (conn *lateWriteConn) SetWriteDeadline(time.Time) error { return nil }
 
-// A connection is reset behind the last byte of a streamed body, before the write of that byte returns: the
-// request is non-idempotent, may have executed, and must not be rejected.
+// If a connection is reset after the last byte of a streamed body, but before the write of that byte returns, the
+// request may have executed. A non-idempotent one must fail and must not be rejected, as the client could then retry
+// it.
 func TestStreamedBodySentBeforeTheResetMayHaveExecuted(t *testing.T) {
 	t.Parallel()
 	const lastByte = 'Z'
@@ -85,6 +86,6 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("response %d, want %d: the request may have executed", resp.StatusCode, http.StatusBadGateway)
+		t.Errorf("response status %d, want %d: the request may have executed", resp.StatusCode, http.StatusBadGateway)
 	}
 }
--- a/internal/agent/message_boundary_test.go
+++ b/internal/agent/message_boundary_test.go
@@ -10,10 +10,10 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// A second response that comes some milliseconds late on a kept connection is dropped: the next request there
-// has its own.
+// A second response to a request, which arrives some milliseconds after the first, is not taken for the response to the
+// next request on the connection.
 func TestSecondResponseIsNotUsedForTheNextRequest(t *testing.T) {
-	const lateBy = 5 * time.Millisecond // less than a connection rests
+	const lateBy = 5 * time.Millisecond // less than the minimum idle time of a connection before reuse
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		if !agenttest.RespondOK(conn, req, n) {
 			return false
@@ -33,15 +33,15 @@
 			t.Fatal(err)
 		}
 		if want := fmt.Sprintf("GET /api/%d ", i); response.Body != want {
-			t.Errorf("the response to request %d is %q, want %q", i, response.Body, want)
+			t.Errorf("response to request %d is %q, want %q", i, response.Body, want)
 		}
 	}
 	if server.Count() != 3 {
-		t.Errorf("%d arrivals, want 3", server.Count())
+		t.Errorf("server received %d requests, want 3", server.Count())
 	}
 }
 
-// Half a line that a server sends on an idle connection makes it unusable: the next request takes another.
+// If a server sends part of a line on an idle connection, the connection is not reused: the next request uses another.
 func TestPartialLineOnAnIdleConnectionIsDropped(t *testing.T) {
 	sent := make(chan struct{})
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
@@ -60,6 +60,6 @@
 		}
 	}
 	if server.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", server.Count())
+		t.Errorf("server received %d requests, want 2", server.Count())
 	}
 }
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -21,40 +21,40 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// pathRate is the calls a second that an agent has on average in two years (deploy/target.toml).
+// pathRate is the average number of calls per second of an agent at the target load in two years (deploy/target.toml).
 const pathRate = 120
 
-// maxDescriptors is enough that it does not bound how many connections the agent keeps.
+// maxDescriptors is high enough that it does not limit the agent's idle connections.
 const maxDescriptors = 4096
 
-// BenchmarkPath measures what the way through an agent adds to a call: b.N calls through it and b.N
-// directly to the same servers, side by side in one run. Both are open loops of Poisson gaps, each
-// at pathRate. -benchtime 2400x is 20 s and leaves 24 calls above each p99; -count gives the spread.
+// BenchmarkPath measures the latency that an agent adds to a call. It makes b.N calls through an agent and b.N calls
+// directly to the same servers, concurrently in one run. Both are open loops with exponentially distributed gaps, at
+// pathRate each. With -benchtime 2400x a run takes 20 s and has 24 calls above each p99; -count shows the spread.
 //
-// What could distort the metrics, and what is done:
-//   - Cold starts: the first concurrency limits, the responses by which the baseline latency is learned and
-//     the first connections come before the measurement (see warmUpCalls).
-//   - Affinity keys are never the same, so calls go to all servers alike. Of 1,500 at 120 calls a second each
-//     is called every 12.5 s, and a kept connection idles for 15 s at most (half of keepaliveMs): a fraction
-//     e^-1.2, about 0.3, of the calls opens one. The direct client draws servers alike, keeps connections as
-//     long, and so opens as many: both counts are reported. The agent does not reuse a connection that carried
-//     a call in the last 20 ms (settleTime); the direct client has no such rule.
-//   - Descriptors do not bound kept connections here (see maxDescriptors).
-//   - FleetSize is the number of servers, as each has its agent: concurrency limits are that size's.
-//   - Client, agent and servers are one process on all of GOMAXPROCS (the names' suffix). They share
-//     its garbage collector, and the agent is not limited to one core. Context switches between processes are
-//     not in the metrics, nor is the other work of a shared machine.
-//   - Servers respond at once: the direct way is the bare cost of a loopback call. A call's time
-//     counts from its start, not from when it was due; late-p99-us is the difference (the
-//     same for both ways, so it is not in what is added).
-//   - added-p99-us is the difference of two p99 of one run, not the p99 of differences.
+// What could distort the results, and how the benchmark deals with it:
+//   - Cold start: the initial concurrency limits, the responses that determine the baseline latency and the first
+//     connections precede the measurement (see warmUpCalls).
+//   - Affinity keys are random, so that calls are spread evenly over the servers. With 1,500 servers and 120 calls per
+//     second a server is called every 12.5 s on average, and connections stay idle for 15 s at most (half of
+//     keepaliveMs): a fraction of e^-1.2, about 0.3, of the calls opens a connection. The direct client selects servers
+//     at random and has the same idle timeout, so that it opens as many; both counts are reported. The agent does not
+//     reuse a connection within 20 ms of its last call (minIdleTime of the upstream package); the direct client does.
+//   - The descriptor limit does not limit idle connections (see maxDescriptors).
+//   - FleetSize is the number of servers, as if each had its own agent. The concurrency limits depend on it.
+//   - Client, agent and servers are one process that uses GOMAXPROCS processors (the suffix of the benchmark names).
+//     They share a garbage collector, and the agent is not limited to one core. The results include no context
+//     switches between processes, and no other load of a shared machine.
+//   - Servers respond immediately, so that the direct path is the bare cost of a loopback call. The latency of a call
+//     counts from its start and not from when it was due. late-p99-us is the difference, which is the same on both
+//     paths and so not part of the added latency.
+//   - added-p99-us is the difference of the two p99 of one run, not the p99 of the differences.
 func BenchmarkPath(b *testing.B) {
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // or it would be among the results
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // otherwise the log would mix with the results
 	for _, servers := range []int{10, 100, 1500} {
 		var comparison *pathComparison
 		b.Run(fmt.Sprintf("servers=%d", servers), func(sub *testing.B) {
-			if comparison == nil { // once for all sizes of b.N and all of -count: repeats share their agent
+			if comparison == nil { // shared by all values of b.N and all repeats of -count
 				comparison = newPathComparison(b, servers)
 				comparison.run(b, warmUpCalls(servers))
 			}
@@ -66,7 +66,8 @@
 	}
 }
 
-// warmUpCalls is how many calls bring connections to their steady number: after at most 15 s as many end as begin.
+// warmUpCalls returns how many calls are made before the measurement, so that the number of connections is steady:
+// after at most 15 s as many are closed as are opened.
 func warmUpCalls(servers int) int { return min(240+5*servers, 1800) }
 
 // pathComparison is a client that calls the same servers through an agent and directly.
@@ -76,20 +77,20 @@
 	direct  *requestPath
 }
 
-// requestPath is one of the two ways: an open loop and what it measured.
+// requestPath is one of the two paths: an open loop of calls and its measurements.
 type requestPath struct {
 	client   *http.Client
 	random   *rand.Rand
-	nextAddr func() string // the address of the next call
-	connects atomic.Int64  // opened by the client
+	nextAddr func() string // returns the address for the next call
+	connects atomic.Int64  // connections opened by the client
 
 	mu     sync.Mutex
-	took   *hdrhistogram.Histogram
-	late   *hdrhistogram.Histogram // how long after it was due a call began
+	took   *hdrhistogram.Histogram // latency of calls
+	late   *hdrhistogram.Histogram // delay of calls after the time at which they were due
 	failed int
 }
 
-// newPathComparison starts that many servers and an agent.
+// newPathComparison starts the given number of servers, and an agent for them.
 func newPathComparison(b *testing.B, servers int) *pathComparison {
 	b.Helper()
 	list := make([]endpoint.Endpoint, servers)
@@ -108,7 +109,7 @@
 	return &pathComparison{agent: agent, through: through, direct: direct}
 }
 
-// newRequestPath makes a client that keeps connections for the idle time.
+// newRequestPath returns a path whose client keeps idle connections for the given time.
 func newRequestPath(seed uint64, idle time.Duration) *requestPath {
 	path := &requestPath{random: rand.New(rand.NewPCG(seed, 7))}
 	dialer := net.Dialer{KeepAlive: -1}
@@ -125,15 +126,16 @@
 	return path
 }
 
-// newHistogram makes a histogram of times in ns, up to what the client waits.
+// newHistogram returns a histogram of durations in ns, with a range above the timeout of the client.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(2*agenttest.Timeout), 3)
 }
 
-// run makes that many calls each way and returns how many connections the agent and the direct client opened.
+// run makes the given number of calls on each path, and returns how many connections the agent and the direct client
+// opened.
 func (comparison *pathComparison) run(b *testing.B, calls int) (agent, direct float64) {
 	b.Helper()
-	runtime.GC() // earlier garbage is not part of the measurement
+	runtime.GC() // so that the measurement does not include earlier garbage
 	agentBefore, directBefore := comparison.agent.pool.ConnectCount(), comparison.direct.connects.Load()
 	var both sync.WaitGroup
 	for _, path := range []*requestPath{comparison.through, comparison.direct} {
@@ -155,7 +157,7 @@
 	return agent, direct
 }
 
-// measure makes b.N calls each way and reports the metrics.
+// measure makes b.N calls on each path and reports the metrics.
 func (comparison *pathComparison) measure(b *testing.B) {
 	b.Helper()
 	agent, direct := comparison.run(b, b.N)
@@ -171,15 +173,15 @@
 	b.ReportMetric(microseconds(late, 99), "late-p99-us")
 	b.ReportMetric(agent/float64(b.N), "connects/op")
 	b.ReportMetric(direct/float64(b.N), "direct-connects/op")
-	b.ReportMetric(0, "ns/op") // it would be the gaps
+	b.ReportMetric(0, "ns/op") // it would only reflect the gaps between calls
 }
 
-// microseconds is a percentile of a histogram of times in ns.
+// microseconds returns a percentile of a histogram of durations in ns, in µs.
 func microseconds(times *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(times.ValueAtQuantile(percentile)) / 1000
 }
 
-// run begins that many calls, each when it is due, whether or not those before have ended.
+// run makes the given number of calls. Each begins when it is due, even if earlier ones have not ended.
 func (path *requestPath) run(calls int) {
 	var open sync.WaitGroup
 	due := time.Now()
@@ -197,7 +199,7 @@
 	open.Wait()
 }
 
-// call makes a call that was due at a time, and records it.
+// call makes a call that was due at the given time, and records its latency and its delay.
 func (path *requestPath) call(req *http.Request, due time.Time) {
 	start := time.Now()
 	resp, err := path.client.Do(req)
@@ -213,6 +215,6 @@
 		path.failed++
 	}
 	if path.took.RecordValue(int64(took)) != nil || path.late.RecordValue(max(int64(start.Sub(due)), 0)) != nil {
-		path.failed++ // out of range
+		path.failed++ // outside of the histogram's range
 	}
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A reload applies settings without a restart: classes are added and removed, another idempotency and fewer
-// attempts apply to requests that arrive from then on, and open requests keep the rules under which they arrived.
+// A reload applies settings without a restart. Added and removed classes, a changed idempotency and a lower number of
+// attempts apply to requests that arrive after it. Open requests keep the rules under which they arrived.
 func TestReloadAppliesSettings(t *testing.T) {
 	arrived, respond := make(chan struct{}, 10), make(chan struct{})
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
@@ -50,9 +50,10 @@
 	agenttest.WaitLine(t, lines, "settings applied")
 
 	close(respond)
-	agenttest.WantStatus(t, (<-openRequest).Status, http.StatusOK) // by a second attempt, which new requests do not get
+	// A second attempt serves the open request; new requests have only one.
+	agenttest.WantStatus(t, (<-openRequest).Status, http.StatusOK)
 	if server.Count() != 2 {
-		t.Errorf("%d arrivals of the open request, want 2", server.Count())
+		t.Errorf("server received the open request %d times, want 2", server.Count())
 	}
 	agenttest.WantStatus(t, status("fresh", ""), http.StatusOK)
 	agenttest.WantStatus(t, status("read", ""), http.StatusOK)
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -14,18 +14,18 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// sendPartOfStreamedBody sends a request with a long body up to the middle of the body, which is streamed by then.
+// sendPartOfStreamedBody sends the head of a request and part of its body, which is long enough to be streamed.
 func sendPartOfStreamedBody(client *agenttest.ClientConn) {
 	send(client, orderHead(timeoutMs, 20*message.MaxBufferedBody))
 	send(client, string(variedBytes(3*message.MaxBufferedBody)))
 }
 
-// slowReader returns a body in pieces, with a delay before each but the first.
+// slowReader reads a body in pieces, with a delay before each piece except for the first.
 type slowReader struct {
 	body   []byte
-	piece  int // length
+	piece  int // length of a piece
 	delay  time.Duration
-	offset int // of the next piece
+	offset int // offset of the next piece
 }
 
 func (reader *slowReader) Read(buffer []byte) (int, error) {
@@ -61,20 +61,19 @@
 			agenttest.WantStatus(t, response.Status, http.StatusOK)
 			got := response.Body
 			if got != digest(body) {
-				t.Errorf("length %d, announced: %v: arrived as %s", length, announced, got)
+				t.Errorf("body of %d bytes, length announced: %v: server received %s", length, announced, got)
 			}
 		}
 	}
 	if server.Count() != 8 {
-		t.Errorf("%d arrivals, want 8", server.Count())
+		t.Errorf("server received %d requests, want 8", server.Count())
 	}
 	if metrics := agent.metricsNow(); metrics.Served != 8 || metrics.Violations+metrics.Backstops > 0 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 8 served requests, no violation and no backstop", metrics)
 	}
 }
 
-// The time of a request counts from its last byte, and its server is not to blame for a client that sends
-// slowly.
+// The timeout of a request starts with its last byte, and a client that sends slowly does not count against the server.
 func TestSlowStreamedBodyHasItsFullTimeout(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, hashResponder)
@@ -91,16 +90,16 @@
 	agenttest.WantStatus(t, response.Status, http.StatusOK)
 	got := response.Body
 	if got != digest(body) || server.Count() != 1 {
-		t.Errorf("arrived as %s, %d times", got, server.Count())
+		t.Errorf("server received %s in %d requests, want the whole body in 1", got, server.Count())
 	}
 	if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusOK] != 1 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 successful attempt", metrics)
 	}
 	agent.wantNoViolationsOrBackstops()
 }
 
-// A server that reads no more of a streamed body ends the attempt with its response. What was sent is not
-// sent again, and what did not execute is rejected.
+// If a server responds before the end of a streamed body, its response ends the attempt. The body is not sent again,
+// and as the server did not execute the request the client gets a rejection.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
 	listener := agenttest.Listen(t)
 	defer func() { _ = listener.Close() }()
@@ -124,12 +123,12 @@
 		t.Errorf("%d attempts, want 1", len(heads))
 	}
 	if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusOverloaded] != 1 || metrics.Violations > 0 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 overloaded attempt and no violation", metrics)
 	}
 }
 
-// wantRejectionAndClose reads a response on a connection: a rejection that may be retried elsewhere, and announces
-// that the connection closes.
+// wantRejectionAndClose reads a response, checks that it is a rejection with Retry-After which announces the close of
+// the connection, and closes the connection.
 func wantRejectionAndClose(t *testing.T, conn *agenttest.ClientConn) {
 	t.Helper()
 	resp, err := http.ReadResponse(conn.Reader, nil)
@@ -138,43 +137,43 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || !resp.Close {
-		t.Errorf("response %d, %v", resp.StatusCode, resp.Header)
+		t.Errorf("response status %d, header %v; want a rejection and a close", resp.StatusCode, resp.Header)
 	}
 	_ = conn.Close()
 }
 
-// If a client closes in the middle of its body, its server has received no complete request.
+// If a client closes in the middle of a streamed body, the server does not receive a complete request.
 func TestStreamedBodyAborted(t *testing.T) {
 	agent, server := startWithServer(t, hashResponder)
 	lines := agent.logLines()
 	client := agent.dial()
 	sendPartOfStreamedBody(client)
 	_ = client.Close()
-	agenttest.WaitLine(t, lines, " id=1 ") // as cancelled or as failed, whichever is seen first
+	agenttest.WaitLine(t, lines, " id=1 ") // logged as cancelled or as failed, whichever is noticed first
 	<-server.ConnsClosed
 	if server.Count() != 0 {
-		t.Errorf("%d arrivals, want none", server.Count())
+		t.Errorf("server received %d complete requests, want none", server.Count())
 	}
 	agent.wantOrderStatus(http.StatusOK)
 	endedAttempts := func() int {
 		attempts := agent.metricsNow().Attempts
 		return attempts[balancer.StatusCancelled] + attempts[balancer.StatusUnsent]
 	}
-	agenttest.WaitUntil(t, "the event loop counts the end of the attempt", func() bool { return endedAttempts() > 0 })
+	agenttest.WaitUntil(t, "the event loop has counted the end of the attempt", func() bool { return endedAttempts() > 0 })
 	if metrics := agent.metricsNow(); endedAttempts() != 1 || metrics.Violations+metrics.Backstops > 0 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 ended attempt, no violation and no backstop", metrics)
 	}
 }
 
-// A streamed request that is still arriving when the process shuts down is rejected and can go to another
-// one; no server has all of it.
+// A streamed request that is still arriving when the agent shuts down is rejected, so that the client can send it to
+// another agent. No server receives all of it.
 func TestStreamedBodyIsRejectedAtShutdown(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, hashResponder)
 	client := agent.dial()
 	sendPartOfStreamedBody(client)
 	agenttest.WaitUntil(t, "the body is streamed", func() bool { return server.StartedCount() == 1 })
-	late := agent.dial() // its head arrives in two parts, the second of them after the shutdown has begun
+	late := agent.dial() // the second part of its head arrives after the shutdown has begun
 	send(late, "GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: 2\r\nRequest-Class: read\r\n")
 	agent.stop()
 	wantRejectionAndClose(t, client)
@@ -182,6 +181,6 @@
 	wantRejectionAndClose(t, late)
 	<-server.ConnsClosed
 	if server.Count() != 0 {
-		t.Errorf("%d arrivals, want none", server.Count())
+		t.Errorf("server received %d complete requests, want none", server.Count())
 	}
 }
--- a/internal/agent/request_log_test.go
+++ b/internal/agent/request_log_test.go
@@ -9,7 +9,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The log has all attempts of a request that failed, by its id.
+// A failed request is logged with its ID and all its attempts, an invalid one with its ID and the reason.
 func TestFailedRequestIsLoggedWithItsAttempts(t *testing.T) {
 	agent, server := startWithServer(t, respondWith(http.StatusInternalServerError, "", ""))
 	lines := agent.logLines()
@@ -20,7 +20,7 @@
 	text := agenttest.WaitLine(t, lines, "c0ffee")
 	for _, want := range []string{"request failed", "class=order", "[s-1 at ", "ended 301 after "} {
 		if !strings.Contains(text, want) {
-			t.Errorf("line %q lacks %q", text, want)
+			t.Errorf("log line %q does not contain %q", text, want)
 		}
 	}
 	req = agenttest.NewRequest(agent.addr, "order", "x")
@@ -29,13 +29,13 @@
 	status = agent.do(req).Status
 	agenttest.WantStatus(t, status, http.StatusBadRequest)
 	if text := agenttest.WaitLine(t, lines, "decaf"); !strings.Contains(text, "unknown Request-Class") {
-		t.Errorf("line %q does not say why", text)
+		t.Errorf("log line %q does not contain the reason", text)
 	}
 	metrics := agent.metricsNow()
 	if metrics.Invalid != 1 || metrics.Failed != 1 || metrics.Attempts[balancer.StatusError] != 1 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 invalid request, 1 failed request and 1 attempt with an error", metrics)
 	}
 	if server.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", server.Count())
+		t.Errorf("server received %d requests, want 1", server.Count())
 	}
 }
--- a/internal/agent/request_outcome_test.go
+++ b/internal/agent/request_outcome_test.go
@@ -25,7 +25,7 @@
 	})
 	req := agenttest.NewRequest(agent.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
-	// A Connection header can't remove the headers that identify a request.
+	// The client's Connection header can't remove the headers that identify a request.
 	req.Header.Set("Connection", "Request-Id, Idempotency-Key, X-Hop")
 	req.Header.Set("X-Hop", "1")
 	response := agent.do(req)
@@ -34,36 +34,36 @@
 		t.Errorf("body %q, want %q", response.Body, want)
 	}
 	if length := response.Header.Get("Content-Length"); length != fmt.Sprint(len(response.Body)) {
-		t.Errorf("Content-Length %q", length)
+		t.Errorf("Content-Length %q is not the length of the body", length)
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if received.Get("Request-Id") != "1" || received.Get("Idempotency-Key") != "k1" || received.Get("X-Hop") != "" {
-		t.Errorf("the server received %v", received)
+		t.Errorf("server received the header %v", received)
 	}
 	timeoutMs, err := strconv.Atoi(received.Get("Request-Timeout-Ms"))
 	if err != nil || timeoutMs < 1 || timeoutMs > 4000 {
-		t.Errorf("the server received a timeout of %q ms", received.Get("Request-Timeout-Ms"))
+		t.Errorf("server received a timeout of %q ms, want 1 to 4000", received.Get("Request-Timeout-Ms"))
 	}
 	if server.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", server.Count())
+		t.Errorf("server received %d requests, want 1", server.Count())
 	}
 }
 
-// outcome is what becomes of a request whose server responds in some way.
+// outcome is the expected result of a request whose server uses the given responder.
 type outcome struct {
 	name     string
 	class    string
 	respond  agenttest.Responder
-	status   int // of the response to the client
-	arrivals int // at the server
+	status   int // status of the response to the client
+	received int // requests that the server receives
 }
 
-// The ends of an attempt: the client's response, and how often the server saw the request.
+// The ways in which an attempt can end determine the response to the client and whether there are retries.
 func TestAttemptOutcomes(t *testing.T) {
-	// The request may have executed and is non-idempotent: it fails after one attempt.
+	// mayHaveExecuted is the outcome of a non-idempotent request that may have executed: it fails after one attempt.
 	mayHaveExecuted := func(name string, respond agenttest.Responder) outcome {
-		return outcome{name + " may have run", "order", respond, http.StatusBadGateway, 1}
+		return outcome{name + ": may have executed", "order", respond, http.StatusBadGateway, 1}
 	}
 	const (
 		headWithLength = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
@@ -71,47 +71,47 @@
 		headToClose    = "HTTP/1.1 200 OK\r\n\r\n"
 		twoFramings    = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
 		notStarted     = "Not-Started: 1\r\n"
-		largestHead    = 16 << 10 // that an agent reads of a response, in bytes
+		largestHead    = 16 << 10 // largest response head that an agent accepts, in bytes
 	)
 	endlessHead := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*largestHead)
 	longBody := strings.Repeat("x", 40*message.MaxBufferedBody)
 	for _, test := range []outcome{
 		mayHaveExecuted("500", respondWith(http.StatusInternalServerError, "", "")),
-		mayHaveExecuted("503 without proof", respondWith(http.StatusServiceUnavailable, "", "")),
+		mayHaveExecuted("503 without Not-Started", respondWith(http.StatusServiceUnavailable, "", "")),
 		mayHaveExecuted("reset after the last byte", sendTextAndReset("")),
 		mayHaveExecuted("close after the last byte", sendTextAndClose("")),
 		mayHaveExecuted("broken body", sendTextAndClose(headWithLength+"half")),
 		mayHaveExecuted("broken chunk", sendTextAndClose(headOfChunks+"5\r\nhel")),
 		{
-			"a response may end with its connection", "order",
+			"response ends with the close", "order",
 			sendTextAndClose(headToClose + "complete"), http.StatusOK, 1,
 		},
-		mayHaveExecuted("a response cut off by a reset", sendTextAndReset(headToClose+"half")),
-		mayHaveExecuted("two framings at once", sendText(twoFramings)),
-		mayHaveExecuted("an endless head", sendText(endlessHead)),
+		mayHaveExecuted("response broken by a reset", sendTextAndReset(headToClose+"half")),
+		mayHaveExecuted("two framings", sendText(twoFramings)),
+		mayHaveExecuted("endless head", sendText(endlessHead)),
 		{
-			"what is no HTTP is not waited for", "order",
+			"invalid bytes fail without a wait for the end of the line", "order",
 			sendText("\x00\x01 no end of line"), http.StatusBadGateway, 1,
 		},
 		mayHaveExecuted("unreadable head", sendText("nonsense\r\n\r\n")),
 		{
-			"a long response is streamed", "order",
+			"long response is streamed", "order",
 			respondWith(http.StatusOK, "", longBody), http.StatusOK, 1,
 		},
 		{
-			"503 with proof never ran", "order",
+			"503 with Not-Started: did not execute", "order",
 			respondWith(http.StatusServiceUnavailable, notStarted, ""), http.StatusServiceUnavailable, 3,
 		},
 		{
-			"504 with proof never ran", "order",
+			"504 with Not-Started: did not execute", "order",
 			respondWith(http.StatusGatewayTimeout, notStarted, ""), http.StatusServiceUnavailable, 3,
 		},
 		{
-			"what a server calls a bad request is not retried, though an error is", "send",
+			"400 is not retried", "send",
 			respondWith(http.StatusBadRequest, "", ""), http.StatusBadRequest, 1,
 		},
 		{
-			"an error is retried with a key, three attempts at most", "send",
+			"500 is retried if idempotent by key, at most three attempts", "send",
 			respondWith(http.StatusInternalServerError, "", ""), http.StatusServiceUnavailable, 3,
 		},
 	} {
@@ -123,12 +123,12 @@
 	agent, server := startWithServer(t, test.respond)
 	response := agent.do(agenttest.NewRequest(agent.addr, test.class, "x"))
 	agenttest.WantStatus(t, response.Status, test.status)
-	if server.Count() != test.arrivals {
-		t.Errorf("%d arrivals, want %d", server.Count(), test.arrivals)
+	if server.Count() != test.received {
+		t.Errorf("server received %d requests, want %d", server.Count(), test.received)
 	}
 	retryAfter := response.Header.Get("Retry-After")
 	if response.Status == http.StatusServiceUnavailable && retryAfter != "0.600" {
-		t.Errorf("rejected with Retry-After %q", retryAfter)
+		t.Errorf("rejected with Retry-After %q, want 0.600", retryAfter)
 	}
 	agent.wantNoViolationsOrBackstops()
 }
@@ -142,7 +142,7 @@
 	})
 	agent.wantOrderStatus(http.StatusOK)
 	if server.Count() != 2 {
-		t.Errorf("%d arrivals, want 2", server.Count())
+		t.Errorf("server received %d requests, want 2", server.Count())
 	}
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// A server that sends nothing: the request fails within its timeout, and the connection is closed, as the
-// late response would be taken for the next one's.
+// If a server sends no response the request fails within its timeout, and the connection is closed: a late response
+// would otherwise be taken for the response to the next request.
 func TestSilentServer(t *testing.T) {
 	agent, server := startWithServer(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := agenttest.NewRequest(agent.addr, "order", "x")
@@ -175,13 +175,13 @@
 	start := time.Now()
 	status := agent.do(req).Status
 	if status != http.StatusBadGateway && status != http.StatusGatewayTimeout {
-		t.Errorf("response %d, want a failure", status)
+		t.Errorf("response status %d, want 502 or 504", status)
 	}
 	if took := time.Since(start); took < 400*time.Millisecond {
-		t.Errorf("gave up after %v", took)
+		t.Errorf("request failed after %v, want at least 400 ms", took)
 	}
 	waitConnEnded(t, server)
 	if server.Count() != 1 {
-		t.Errorf("%d arrivals, want 1", server.Count())
+		t.Errorf("server received %d requests, want 1", server.Count())
 	}
 }
--- a/internal/agent/responders_test.go
+++ b/internal/agent/responders_test.go
@@ -10,14 +10,14 @@
 	"fernbeam.example/fernbeam/internal/agent/agenttest"
 )
 
-// respondWith is a responder with one response to every request.
+// respondWith returns a responder that sends the same response to every request.
 func respondWith(status int, header, body string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		return agenttest.SendResponse(conn, status, header, body)
 	}
 }
 
-// sendText sends a text to every request, which need not be a response, and keeps the connection open.
+// sendText returns a responder that sends text, which need not be a valid response, and keeps the connection open.
 func sendText(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
@@ -25,7 +25,7 @@
 	}
 }
 
-// sendTextAndClose sends a text to every request, which need not be a response, and closes the connection.
+// sendTextAndClose returns a responder that sends text, which need not be a valid response, and closes the connection.
 func sendTextAndClose(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
@@ -33,7 +33,7 @@
 	}
 }
 
-// sendTextAndReset sends a text to every request and sendTextAndReset the connection.
+// sendTextAndReset returns a responder that sends text and resets the connection.
 func sendTextAndReset(text string) agenttest.Responder {
 	return func(conn net.Conn, _ *http.Request, _ int) bool {
 		send(conn, text)
@@ -41,12 +41,12 @@
 	}
 }
 
-// respondOverloaded rejects a request as one that did not execute.
+// respondOverloaded rejects a request and states that it was not executed.
 func respondOverloaded(conn net.Conn, _ *http.Request, _ int) bool {
 	return agenttest.SendResponse(conn, http.StatusServiceUnavailable, "Not-Started: 1\r\n", "")
 }
 
-// variedBytes is that many bytes that differ.
+// variedBytes returns count bytes of varying values, so that lost or reordered bytes change the digest.
 func variedBytes(count int) []byte {
 	body := make([]byte, count)
 	for i := range body {
@@ -55,10 +55,10 @@
 	return body
 }
 
-// digest identifies a body by its length and its hash.
+// digest returns the length and the hash of a body.
 func digest(body []byte) string { return fmt.Sprintf("%d %x", len(body), sha256.Sum256(body)) }
 
-// hashResponder responds with the digest of the request's body.
+// hashResponder is a responder that sends the digest of the request body.
 func hashResponder(conn net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
 	return agenttest.SendResponse(conn, http.StatusOK, "", digest(body))
--- a/internal/agent/response_body_test.go
+++ b/internal/agent/response_body_test.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// The first bytes of a long response are passed on before the rest has arrived.
+// The first bytes of a long response are forwarded before the rest has arrived.
 func TestLongResponseIsStreamed(t *testing.T) {
 	proceed := make(chan struct{})
 	long := variedBytes(3 * message.MaxBufferedBody)
@@ -52,16 +52,16 @@
 		rest, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK || !bytes.Equal(append(first, rest...), long) {
-			t.Errorf("%s: response %d, %d bytes, %v", form, resp.StatusCode, 100+len(rest), err)
+			t.Errorf("%s: response status %d, %d bytes, error %v", form, resp.StatusCode, 100+len(rest), err)
 		}
 		time.Sleep(reuseDelay)
 	}
 	if server.Count() != 3 || server.MaxConns() > 1 {
-		t.Errorf("%d arrivals, %d connections at once, want 3 and 1", server.Count(), server.MaxConns())
+		t.Errorf("%d requests, %d concurrent connections; want 3, 1", server.Count(), server.MaxConns())
 	}
 }
 
-// A response that breaks halfway can't be taken for complete, and its request is sent once.
+// If a streamed response breaks the client can tell that it is incomplete, and the request is not sent again.
 func TestLongResponseAborted(t *testing.T) {
 	long := variedBytes(3 * message.MaxBufferedBody)
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, _ int) bool {
@@ -85,16 +85,16 @@
 		got, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if !errors.Is(err, io.ErrUnexpectedEOF) || len(got) > len(long) {
-			t.Errorf("%s: %d bytes, %v", form, len(got), err)
+			t.Errorf("%s: read %d bytes, error %v; want io.ErrUnexpectedEOF", form, len(got), err)
 		}
 		agenttest.WaitLine(t, lines, "response aborted")
 		if server.Count() != i+1 {
-			t.Errorf("%s: %d arrivals, want %d", form, server.Count(), i+1)
+			t.Errorf("%s: server received %d requests, want %d", form, server.Count(), i+1)
 		}
 	}
 }
 
-// A client that closes in the middle of a long response frees its server's connection.
+// If a client closes in the middle of a streamed response, the server connection is closed too.
 func TestClientClosesDuringALongResponse(t *testing.T) {
 	writeFailed := make(chan error, 1)
 	agent, _ := startWithServer(t, func(conn net.Conn, _ *http.Request, _ int) bool {
@@ -115,6 +115,6 @@
 	select {
 	case <-writeFailed:
 	case <-time.After(agenttest.Timeout):
-		t.Error("the server's connection stays open")
+		t.Error("server connection is still open")
 	}
 }
--- a/internal/agent/retry_window_test.go
+++ b/internal/agent/retry_window_test.go
@@ -11,29 +11,29 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A retry is sent only while servers still drop duplicates, also where its connection is established after
-// the policy's check of the time.
+// A retry is not sent once the deduplication window is over, even if its connection is established only after the
+// policy has checked the window.
 func TestRetryIsNotSentAfterTheDeduplicationWindow(t *testing.T) {
 	t.Parallel()
 	failing := agenttest.NewServer(t, respondWith(http.StatusInternalServerError, "", ""))
-	// Which server the policy selects first depends on its hash: one of two ids leads to the failing one.
+	// The policy selects the first server by a hash of its ID: for one order of the IDs that is the failing one.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
 		if checkLateRetry(t, failing, ids[0], ids[1]) {
 			return
 		}
 	}
-	t.Error("no request came to the failing server first")
+	t.Error("no request went to the failing server first")
 }
 
-// checkLateRetry runs an agent with a failing server and one whose connection is established after the
-// deduplication window. It checks that nothing is sent on that connection, and returns false if the policy
-// selected that server first, so that there was no retry.
+// checkLateRetry sends a request through an agent with two servers: one that fails it, and one whose connection is
+// established after the deduplication window. It checks that nothing is sent on that connection, and returns false if
+// the policy selected that server first, so that there was no retry.
 func checkLateRetry(t *testing.T, failing *agenttest.Server, failingID, slowID string) bool {
 	t.Helper()
 	const (
 		dedupWindowMs = 400
-		attemptTime   = 100 * time.Millisecond // in which the failing server has its attempt
-		acceptDelay   = 600 * time.Millisecond // after that; past the window
+		attemptTime   = 100 * time.Millisecond // enough for the attempt at the failing server
+		acceptDelay   = 600 * time.Millisecond // after attemptTime; later than the window
 	)
 	listener := fullListener(t)
 	discovery := agenttest.NewDiscovery(t,
@@ -52,7 +52,7 @@
 	req.Header.Set("Request-Timeout-Ms", "8000")
 	status := make(chan int, 1)
 	go func() {
-		response, _ := agenttest.Do(req) // after an error the status is 0
+		response, _ := agenttest.Do(req) // the status is 0 after an error
 		status <- response.Status
 	}()
 	agenttest.WaitUntil(t, "a connect has begun", func() bool { return agent.pool.ConnectCount() > 0 })
@@ -62,7 +62,7 @@
 		agent.stop()
 		return false
 	}
-	// The retry's connect blocks until the accept queue has space.
+	// The connect of the retry is pending until the accept queue has space.
 	time.AfterFunc(acceptDelay, func() {
 		agenttest.AcceptAll(listener, func(conn net.Conn) {
 			head := make([]byte, 1000)
@@ -74,7 +74,7 @@
 	})
 	agenttest.WantStatus(t, <-status, http.StatusBadGateway)
 	if metrics := agent.metricsNow(); metrics.Attempts[balancer.StatusUnsent] != 1 {
-		t.Errorf("metrics %+v", metrics)
+		t.Errorf("metrics %+v, want 1 attempt that was not sent", metrics)
 	}
 	return true
 }
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -13,11 +13,11 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// unusedAddr is an address of servers that no request is sent to.
+// unusedAddr is the address of listed servers to which no request is sent.
 const unusedAddr = "127.0.0.1:1"
 
-// startWithSettingsService starts an agent that takes the settings of service pay, at index 3 in zone 1, from the
-// discovery service at addr. It returns the configuration of the agent's file, so that a test can reload it.
+// startWithSettingsService starts an agent with index 3 and zone 1 that requests the settings of service pay from the
+// discovery service at addr. It also returns the configuration of the agent's file, so that tests can reload it.
 func startWithSettingsService(t *testing.T, hooks config.Hooks, addr string) (*testAgent, *config.Config) {
 	t.Helper()
 	const format = `{"name":"pay-1","listen":"127.0.0.1:1","discovery":%q,"seed":"7",
@@ -39,14 +39,15 @@
 	return agent, file
 }
 
-// activeSettings are some of the settings in force.
+// activeSettings is a part of the settings in force.
 type activeSettings struct {
 	maxAttempts int
 	roundTripMs int
-	index       int // belongs to the agent
-	zone        int // belongs to the agent
+	index       int // set per agent, in its file
+	zone        int // set per agent, in its file
 }
 
+// settingsInForce returns the settings that are in force in the event loop.
 func settingsInForce(agent *testAgent) activeSettings {
 	settings := agent.statsNow().Settings
 	return activeSettings{
@@ -61,19 +62,19 @@
 func wantSettings(t *testing.T, agent *testAgent, want activeSettings) {
 	t.Helper()
 	if got := settingsInForce(agent); got != want {
-		t.Errorf("in force: %+v, want %+v", got, want)
+		t.Errorf("settings in force: %+v, want %+v", got, want)
 	}
 }
 
-// withMaxAttempts are the tests' settings with another largest number of attempts.
+// withMaxAttempts returns the tests' settings with the given limits.maxAttempts.
 func withMaxAttempts(maxAttempts int) string {
 	return agenttest.SettingsWith(`"maxAttempts":3`, fmt.Sprintf(`"maxAttempts":%d`, maxAttempts))
 }
 
-// recordHeads reads the heads of requests from a connection, and responds to each with an endpoint list that has
-// settings which nobody asked for.
+// recordHeads reads request heads from a connection and sends them to heads. It responds to each with an endpoint list
+// that includes settings, which the agent did not request.
 func recordHeads(conn net.Conn, heads chan<- string) {
-	const list = `{"version":5,"full":false,"servers":[],"settings":"none that anybody asked for"}`
+	const list = `{"version":5,"full":false,"servers":[],"settings":"not requested"}`
 	reader := bufio.NewReader(conn)
 	head := ""
 	for {
@@ -90,7 +91,8 @@
 	}
 }
 
-// Without the section a call is the same as before, to the byte, and settings in a response are ignored.
+// Without the section "control" the agent's calls to discovery are byte for byte those of agents without support for
+// it, and settings in a response are ignored.
 func TestDiscoveryCallWithoutControlIsUnchanged(t *testing.T) {
 	listener := agenttest.Listen(t)
 	heads := make(chan string, 100)
@@ -104,13 +106,13 @@
 		want := fmt.Sprintf("GET /api/targets?index=%d&wait=1000 HTTP/1.1\r\nHost: %s\r\n"+
 			"User-Agent: Go-http-client/1.1\r\n\r\n", index, listener.Addr())
 		if got := <-heads; got != want {
-			t.Errorf("the call is %q, want %q", got, want)
+			t.Errorf("call is %q, want %q", got, want)
 		}
 	}
 }
 
-// Settings that the service sends are applied as a whole, except for those that belong to the agent; a
-// version never goes back.
+// Settings from the discovery service are applied as a whole, except for the keys that are set per agent. Settings with
+// a lower version than those in force are not applied.
 func TestServiceSettingsAreApplied(t *testing.T) {
 	t.Parallel()
 	applied := activeSettings{maxAttempts: 2, roundTripMs: 5, index: 3, zone: 1}
@@ -121,21 +123,21 @@
 	lines := agent.logLines()
 	query := discovery.WaitCallWith(t, "in_force", "0")
 	if query.Get("service") != "pay" || query.Get("agent") != "pay-1" || query.Has("refused") || query.Has("why") {
-		t.Errorf("the first call has %v", query)
+		t.Errorf("first call has the query parameters %v", query)
 	}
 	discovery.Publish(50, withMaxAttempts(2))
 	discovery.WaitCallWith(t, "in_force", "50")
 	wantSettings(t, agent, applied)
 	if line := agenttest.WaitLine(t, lines, "settings applied"); !strings.Contains(line, "version=50") {
-		t.Errorf("logged %q", line)
+		t.Errorf("unexpected log line %q", line)
 	}
-	// The service rejects settings with an agent's own keys; an older service may not.
+	// The service rejects settings that contain keys set per agent, but an older version of it may not.
 	for _, ownKeys := range []string{`"Index":9,`, `"zone":0,"index":9,`} {
 		discovery.Publish(discovery.Settings.Version+1, `{`+ownKeys+withMaxAttempts(2)[1:])
 		discovery.WaitCallWith(t, "in_force", fmt.Sprint(discovery.Settings.Version))
 		wantSettings(t, agent, applied)
 	}
-	// An instance with an older version, which it sends whatever the agent has, turns nothing back.
+	// An instance that sends an older version, whatever version the agent has, does not revert the settings.
 	discovery.Change(func() { discovery.SendsAlways = true })
 	discovery.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
 	discovery.Drain()
@@ -144,27 +146,28 @@
 	}
 	wantSettings(t, agent, applied)
 	if changes := agent.metricsNow().Settings; changes != 3 {
-		t.Errorf("settings changed %d times, want 3", changes)
+		t.Errorf("settings were applied %d times, want 3", changes)
 	}
 	var hooked []uint64
 	for len(versions) > 0 {
 		hooked = append(hooked, <-versions)
 	}
 	if !slices.Equal(hooked, []uint64{50, 51, 52}) || agent.Status().SettingsVersion != 52 {
-		t.Errorf("the hook was called with %v, and the status has %d", hooked, agent.Status().SettingsVersion)
+		t.Errorf("OnSettings was called with %v, status has version %d; want [50 51 52], 52",
+			hooked, agent.Status().SettingsVersion)
 	}
 }
 
-// invalidSettings are settings of the discovery service that an agent rejects.
+// invalidSettings are settings from the discovery service that the agent must reject.
 type invalidSettings struct {
 	version uint64
-	from    string // text of valid settings
-	to      string // what replaces it
-	reason  string // how the reason for the rejection begins
+	from    string // a part of valid settings
+	to      string // its replacement
+	reason  string // expected start of the reason for the rejection
 }
 
-// Settings that the agent can't apply are counted, logged and reported with the key, and the previous ones
-// stay in force.
+// Settings that the agent can't apply are counted, logged and reported with the invalid key. The previous settings stay
+// in force.
 func TestInvalidServiceSettingsAreRejected(t *testing.T) {
 	t.Parallel()
 	discovery := agenttest.NewSettingsDiscovery(t, 41)
@@ -190,45 +193,45 @@
 		line := agenttest.WaitLine(t, lines, "settings rejected")
 		unquotedReason := strings.Split(invalid.reason, ` "`)[0]
 		if !strings.Contains(line, unquotedReason) || !strings.Contains(line, "version="+version) {
-			t.Errorf("logged %q", line)
+			t.Errorf("unexpected log line %q", line)
 		}
 	}
 	wantSettings(t, agent, activeSettings{maxAttempts: 2, roundTripMs: 5, index: 3, zone: 1})
 	if rejected := agent.metricsNow().SettingsRejected; rejected != 5 {
-		t.Errorf("%d rejections, want 5", rejected)
+		t.Errorf("%d rejected settings, want 5", rejected)
 	}
 	discovery.Publish(70, withMaxAttempts(1))
 	query := discovery.WaitCallWith(t, "in_force", "70")
 	if query.Has("refused") || query.Has("why") || settingsInForce(agent).maxAttempts != 1 {
-		t.Errorf("after valid settings the call has %v", query)
+		t.Errorf("call after valid settings has the query parameters %v", query)
 	}
 }
 
-// wantReport checks that a call reports the rejection: its reason in one line of at most 200 bytes.
+// wantReport checks that a call reports the rejection, with the reason on one line of at most 200 bytes.
 func (invalid invalidSettings) wantReport(t *testing.T, query url.Values) {
 	t.Helper()
 	reason := query.Get("why")
 	if !strings.HasPrefix(reason, invalid.reason) || len(reason) > 200 || strings.Contains(reason, "\n") {
-		t.Errorf("%s: reported %q, want %q", invalid.to, reason, invalid.reason)
+		t.Errorf("%s: reported reason %q, want prefix %q", invalid.to, reason, invalid.reason)
 	}
 	if query.Get("in_force") != "50" {
 		t.Errorf("%s: reported %v, want version 50 in force", invalid.to, query)
 	}
 }
 
-// At a reload the service's settings stay in force, the file's addresses and the agent's own values are
-// applied, and rejected settings are checked again.
+// After a reload the settings of the service stay in force. The addresses and the keys set per agent are taken from the
+// file, and rejected settings are checked again.
 func TestReloadWithControl(t *testing.T) {
 	t.Parallel()
 	discovery, moved := agenttest.NewSettingsDiscovery(t, 41), agenttest.NewSettingsDiscovery(t, 3)
 	agent, file := startWithSettingsService(t, config.Hooks{}, discovery.Addr())
 	lines := agent.logLines()
-	for i, maxAttempts := range []int{4, 7} { // without settings of the service the file's are applied
+	for i, maxAttempts := range []int{4, 7} { // the settings of the file apply until the service has sent some
 		reloaded := *file
 		reloaded.Settings.Limits.MaxAttempts = maxAttempts
 		agent.reloads <- &reloaded
 		if line := agenttest.WaitLine(t, lines, "settings applied"); strings.Contains(line, "version") {
-			t.Errorf("reload %d logged %q", i, line)
+			t.Errorf("reload %d: unexpected log line %q", i, line)
 		}
 	}
 	wantSettings(t, agent, activeSettings{maxAttempts: 7, roundTripMs: 5, index: 3, zone: 1})
@@ -251,13 +254,13 @@
 	agenttest.WaitLine(t, lines, "settings of the file superseded by the service's")
 	addresses := fmt.Sprintf("to=%s,%s", moved.Addr(), discovery.Addr())
 	if line := agenttest.WaitLine(t, lines, "discovery moved"); !strings.Contains(line, addresses) {
-		t.Errorf("logged %q", line)
+		t.Errorf("unexpected log line %q", line)
 	}
 	wantSettings(t, agent, activeSettings{maxAttempts: 2, roundTripMs: 5, index: 4, zone: 0})
 	agenttest.WaitUntil(t, "the rejected settings are checked again", func() bool {
 		return agent.metricsNow().SettingsRejected == 2
 	})
-	// Either of the two may have the agent's watch by now.
+	// The agent may be watching either of the two by now.
 	for _, service := range []*agenttest.SettingsDiscovery{discovery, moved} {
 		service.Change(func() { service.SendsAlways = false })
 		service.Publish(60, withMaxAttempts(1))
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -16,7 +16,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// limitedProcess is what one process of an agent limits.
+// limitedProcess has the limits of one process of an agent, and the client and server side to which they apply.
 type limitedProcess struct {
 	*sharedLimits
 	clients *downstream.Server
@@ -41,7 +41,7 @@
 	}
 }
 
-// available is what is free of each quota, and the limits of connections, in their order.
+// available returns the free part of each quota, followed by the limits on client and server connections.
 func (process limitedProcess) available() []int64 {
 	var available []int64
 	for _, quota := range process.quotas {
@@ -55,21 +55,21 @@
 	return append(available, int64(process.clients.ConnLimit()), int64(process.pool.ConnLimit()))
 }
 
-// wantAvailable checks what is available to a process.
+// wantAvailable checks the quotas and limits that are available to a process.
 func wantAvailable(t *testing.T, name string, process limitedProcess, want []int64) {
 	t.Helper()
 	if got := process.available(); !slices.Equal(got, want) {
-		t.Errorf("%s: limits %v, want %v", name, got, want)
+		t.Errorf("%s: available %v, want %v", name, got, want)
 	}
 }
 
-// Two processes of one agent have its limits once: the second has half until the first has ended, and the
-// first releases half when its shutdown begins.
+// Two processes of one agent share its limits. The second has half of them until the first has ended, and the first
+// releases half when its shutdown begins.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	lock := filepath.Join(t.TempDir(), "lock")
 	first, second := newLimitedProcess(t, 256), newLimitedProcess(t, 256)
 	all := first.available()
-	firstCtx, firstEnds := context.WithCancel(t.Context())
+	firstCtx, endFirst := context.WithCancel(t.Context())
 	if err := first.holdLock(firstCtx, lock); err != nil {
 		t.Fatal(err)
 	}
@@ -86,10 +86,10 @@
 	first.halve(firstCtx) // the second call has no effect
 	for i, available := range first.available()[:len(first.quotas)] {
 		if available > (all[i]+1)/2 {
-			t.Errorf("the process that ends: quota %d is %d of %d", i, available, all[i])
+			t.Errorf("first process during its shutdown: quota %d has %d of %d available, want half", i, available, all[i])
 		}
 	}
-	firstEnds()
+	endFirst()
 	agenttest.WaitUntil(t, "the second process has all of the limits", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -14,22 +14,22 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// The moments of a shutdown, from SIGTERM on, around which the tests act.
+// The times of a shutdown, counted from SIGTERM.
 const (
-	// acceptPeriod is how long the agent accepts connections: clients may open them for 0.4 s.
+	// acceptPeriod is how long the agent accepts connections. Clients may open connections for 0.4 s.
 	acceptPeriod = 500 * time.Millisecond
-	// admitPeriod is how long it forwards requests: those that come in the first 0.7 s must not be lost.
+	// admitPeriod is how long the agent forwards requests. Requests that arrive in the first 0.7 s must not be lost.
 	admitPeriod = 600 * time.Millisecond
-	// silentConnLimit is by when a connection that brings no request is closed, in a shutdown whose drain time is
-	// 0.85 s. Without a shutdown the connection would have 2.6 s.
+	// silentConnLimit is by when a connection without a request is closed in a shutdown with a drain time of 0.85 s.
+	// Without a shutdown the connection would be closed after 2.6 s.
 	silentConnLimit = 2100 * time.Millisecond
 )
 
-// takeAllSlots leaves clients no slot for a connection until release is called, except for the one that
-// Accept has already.
+// takeAllSlots takes all connection slots for clients until release is called, except for the slot that Accept already
+// holds.
 func takeAllSlots(t *testing.T, agent *testAgent) (release func()) {
 	t.Helper()
-	agent.waitNoClients(t) // or the connection that got /-/ready would release one later
+	agent.waitNoClients(t) // otherwise the connection of waitReady would release a slot later
 	slots := agent.downstream.ConnSlots()
 	taken := int64(0)
 	for slots.TryAcquire(1) {
@@ -38,36 +38,36 @@
 	return func() { slots.Release(taken) }
 }
 
-// A connection that waits to be accepted when the shutdown closes the listener has arrived: its request must
-// have a response, also where there was no slot for it until then.
+// A request on a connection that is in the accept queue when the shutdown closes the listener must get a response, even
+// if no slot was free for the connection until then.
 func TestShutdownAnswersTheAcceptQueue(t *testing.T) {
 	t.Parallel()
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	release := takeAllSlots(t, agent)
-	accepted := agent.dial() // takes the slot that Accept has already
+	accepted := agent.dial() // takes the slot that Accept already holds
 	agenttest.WaitUntil(t, "the last slot is taken", func() bool { return agent.downstream.OpenConns() > 0 })
 	waiting := agent.dial()
 	send(waiting, orderRequest(timeoutMs, "x"))
 	agent.stop()
 	time.AfterFunc(acceptPeriod+testDelay, release)
 	if status := agenttest.FinalStatus(t, waiting); status != http.StatusOK && status != http.StatusServiceUnavailable {
-		t.Errorf("response %d", status)
+		t.Errorf("response status %d, want 200 or 503", status)
 	}
 	_ = accepted.Close()
 }
 
-// First requests of new connections have their response at each moment of the shutdown, and those of earlier
-// connections too.
+// The first request of a connection gets a response at any time of the shutdown, whether the connection was opened
+// before the shutdown or during it.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, agenttest.RespondOK)
-	type moment struct { // after the signal; 0: before it
+	type times struct { // relative to the signal; a dial of 0 is before it
 		dial time.Duration
 		send time.Duration
 	}
 	var statuses []chan int
 	start := time.Now()
-	for _, moment := range []moment{
+	for _, moment := range []times{
 		{dial: 0, send: 50 * time.Millisecond},
 		{dial: 0, send: acceptPeriod + 20*time.Millisecond},
 		{dial: 0, send: admitPeriod + 100*time.Millisecond},
@@ -108,16 +108,16 @@
 			served++
 		case http.StatusServiceUnavailable:
 		default:
-			t.Errorf("connection %d: response %d", i, got)
+			t.Errorf("connection %d: response status %d, want 200 or 503", i, got)
 		}
 	}
 	if server.Count() != served {
-		t.Errorf("%d arrivals, %d served", server.Count(), served)
+		t.Errorf("server received %d requests, but %d were served", server.Count(), served)
 	}
 }
 
-// A connection that never sent a request is closed before the process may be killed: a request on it could
-// come too late for a response.
+// A connection without a request is closed before the process may be killed. Otherwise a request could arrive on it too
+// late for a response.
 func TestSilentConnectionsCloseBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
@@ -127,19 +127,18 @@
 		}
 	})
 	client := agent.dial()
-	agenttest.WaitUntil(t, "it is accepted", func() bool { return agent.downstream.OpenConns() > 0 })
+	agenttest.WaitUntil(t, "the connection is accepted", func() bool { return agent.downstream.OpenConns() > 0 })
 	stopped := time.Now()
 	agent.stop()
 	if n, err := io.Copy(io.Discard, client); n > 0 || err != nil {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("read %d bytes, error %v; want an orderly close", n, err)
 	}
 	if took := time.Since(stopped); took > silentConnLimit {
-		t.Errorf("closed %v after the signal", took)
+		t.Errorf("connection closed %v after the signal, which is too late", took)
 	}
 }
 
-// Before the process may be killed, open requests have their final response, and a response that is being
-// streamed goes on.
+// Open requests get their final response before the process may be killed, and a streamed response continues.
 func TestOpenRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	arrived, proceed := make(chan struct{}, 2), make(chan struct{})
@@ -177,14 +176,14 @@
 	inFlight, streamed := request(""), request("streams")
 	agent.stop()
 	if got := <-inFlight; got != "504 0 <nil>" {
-		t.Errorf("the request in flight: %s", got)
+		t.Errorf("request in flight: %s, want status 504", got)
 	}
 	close(proceed)
 	if got, want := <-streamed, fmt.Sprint(200, 2*message.MaxBufferedBody, nil); got != want {
-		t.Errorf("the streamed response: %s, want %s", got, want)
+		t.Errorf("streamed response: %s, want %s", got, want)
 	}
 	if err := <-agent.done; err != nil {
-		t.Errorf("the agent ended with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 	agent.done <- nil // for the cleanup
 }
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -12,19 +12,19 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// A client that stops in the middle of its body and stays connected gets an error and its connection is
-// closed within the time for improper peers, however much it has sent.
+// If a client stops sending in the middle of its body and stays connected, it gets an error and its connection is
+// closed within 3 s, however much of the body it has sent.
 func TestStalledRequestBodyIsClosedInTime(t *testing.T) {
 	t.Parallel()
 	const tolerance = time.Second // for a busy machine
 	for name, test := range map[string]struct {
-		sent   int
-		length int // announced
+		sent   int // bytes of the body that are sent
+		length int // announced Content-Length
 	}{
-		"buffered body":               {message.MaxBufferedBody / 2, message.MaxBufferedBody},
-		"start of a long body":        {2 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
-		"middle of a long body":       {20 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
-		"shortly before the long end": {2 * message.MaxBufferedBody, 3 * message.MaxBufferedBody},
+		"buffered body":         {message.MaxBufferedBody / 2, message.MaxBufferedBody},
+		"start of a long body":  {2 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
+		"middle of a long body": {20 * message.MaxBufferedBody, 40 * message.MaxBufferedBody},
+		"last third of a body":  {2 * message.MaxBufferedBody, 3 * message.MaxBufferedBody},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -36,22 +36,23 @@
 			}
 			stalled := time.Now()
 			if status := agenttest.FinalStatus(t, client); status < http.StatusBadRequest {
-				t.Errorf("response %d, want an error", status)
+				t.Errorf("response status %d, want an error", status)
 			}
 			if _, err := io.Copy(io.Discard, client.Reader); err != nil {
-				t.Errorf("after the response: %v", err)
+				t.Errorf("read after the response: %v", err)
 			}
 			if took := time.Since(stalled); took > 3*time.Second+tolerance {
-				t.Errorf("closed %v after the body stalled", took)
+				t.Errorf("connection closed %v after the body stalled, want at most 3 s", took)
 			}
 			if server.Count() != 0 {
-				t.Errorf("%d arrivals of an incomplete request", server.Count())
+				t.Errorf("server received %d complete requests, want none", server.Count())
 			}
 		})
 	}
 }
 
-// unreadingServer accepts connections and reads no more than the first byte of each.
+// unreadingServer starts a server that accepts connections and reads only the first byte of each. It returns its
+// listener.
 func unreadingServer(t *testing.T) net.Listener {
 	t.Helper()
 	listener := agenttest.Listen(t)
@@ -63,8 +64,8 @@
 	return listener
 }
 
-// A server that stops reading in the middle of a streamed body costs no client its response: the client may
-// have sent its last byte, and its time runs.
+// If a server stops reading in the middle of a streamed body the client gets a response in time. The client may have
+// sent its last byte, and then the request timeout has started.
 func TestServerThatStopsReadingAStreamedBody(t *testing.T) {
 	t.Parallel()
 	const (
@@ -80,6 +81,6 @@
 	sent := time.Now()
 	agenttest.WantStatus(t, agenttest.FinalStatus(t, client), http.StatusServiceUnavailable)
 	if took := time.Since(sent); took > 2*timeout+slack+tolerance {
-		t.Errorf("response %v after the last byte of the request, whose timeout is %v", took, timeout)
+		t.Errorf("response %v after the last byte of a request with a timeout of %v", took, timeout)
 	}
 }
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -23,28 +23,29 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// faultErrnos are the errors with which a connection's calls fail.
+// faultErrnos are the errors with which the system calls of connections fail.
 var faultErrnos = []syscall.Errno{
 	syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.EPIPE,
 	syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE,
 }
 
-// faultScenario is what one agent meets: faults of its connections, and requests one after another.
+// faultScenario has the connection faults of one agent, and the requests that it receives one after another.
 type faultScenario struct {
-	Clients  []agenttest.CallFault // of clients' connections, in the order in which they are accepted
-	Servers  []agenttest.CallFault // of connections to servers, in the order in which they are dialed
+	Clients  []agenttest.CallFault // of client connections, in accept order
+	Servers  []agenttest.CallFault // of server connections, in dial order
 	Requests []scenarioRequest
 }
 
 // scenarioRequest is a request of a scenario.
 type scenarioRequest struct {
 	Class   string
-	Body    int  // bytes
-	Chunked bool // the server's response
-	Delayed bool // until kept connections to servers may be used again
+	Body    int  // length in bytes
+	Chunked bool // the response of the server is chunked
+	Delayed bool // sent only when idle server connections can be reused
 }
 
-// faultEnvironment is what all scenarios have in common: servers that respond with the request's id.
+// faultEnvironment has the servers that scenarios share, which respond with the request's ID, and counts of what
+// happened.
 type faultEnvironment struct {
 	t         *testing.T
 	discovery *agenttest.Discovery
@@ -52,7 +53,7 @@
 	mu        sync.Mutex
 	arrivals  map[string]int // by Request-Id, of complete requests
 	responses map[int]int    // by status
-	cutOff    int            // requests whose client's connection broke
+	cutOff    int            // requests whose client connection broke
 }
 
 func newFaultEnvironment(t *testing.T, servers int) *faultEnvironment {
@@ -66,7 +67,7 @@
 	return env
 }
 
-// respond is the responder of all servers.
+// respond is the responder of all servers. It counts the request and responds with its ID.
 func (env *faultEnvironment) respond(conn net.Conn, req *http.Request, _ int) bool {
 	id := req.Header.Get("Request-Id")
 	env.mu.Lock()
@@ -79,8 +80,7 @@
 	return err == nil
 }
 
-// run runs an agent through a scenario, and returns what broke the rule: one response to each request, none lost
-// and none twice.
+// run runs an agent through a scenario. It returns an error unless each request gets exactly one response.
 func (env *faultEnvironment) run(scenario faultScenario) error {
 	listener := agenttest.Listen(env.t)
 	clients := agenttest.NewFaultPlan(scenario.Clients)
@@ -105,7 +105,7 @@
 	return client.checkNoExtraBytes()
 }
 
-// agent makes an agent that dials its servers by dial.
+// agent returns an agent that connects to its servers with dial.
 func (env *faultEnvironment) agent(listener net.Listener, dial config.DialFunc) (*Agent, error) {
 	cfg := agenttest.NewConfig(env.t, listener.Addr().String(), env.discovery)
 	cfg.Log = slog.New(slog.DiscardHandler)
@@ -113,7 +113,7 @@
 	return New(cfg, Listeners{Clients: listener})
 }
 
-// scenarioClient sends one request after another on one connection, and on a new one after its end.
+// scenarioClient sends one request after another on a connection, and opens a new one if it has ended.
 type scenarioClient struct {
 	env    *faultEnvironment
 	plan   *agenttest.FaultPlan
@@ -122,7 +122,7 @@
 	reader *bufio.Reader
 }
 
-// close closes the connection, if there is one.
+// close closes the connection if one is open.
 func (client *scenarioClient) close() {
 	if client.conn != nil {
 		_ = client.conn.Close()
@@ -130,7 +130,7 @@
 	client.conn = nil
 }
 
-// connect makes a connection unless there is one.
+// connect opens a connection unless one is open.
 func (client *scenarioClient) connect() error {
 	if client.conn != nil {
 		return nil
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// do sends a request, and returns an error unless it has its one response or its connection broke.
+// do sends a request. It returns an error unless there is a valid response or the connection broke because of a fault.
 func (client *scenarioClient) do(request scenarioRequest) error {
 	if err := client.connect(); err != nil {
 		return err
@@ -171,12 +171,12 @@
 	}
 	client.close()
 	if !broke {
-		return fmt.Errorf("%s has no response: %w", id, err)
+		return fmt.Errorf("request %s: no response: %w", id, err)
 	}
 	return client.env.checkCutOff(request.Class, id)
 }
 
-// exchange sends a request on the connection and reads its response.
+// exchange sends a request on the connection and reads the response.
 func (client *scenarioClient) exchange(req *http.Request) (agenttest.Response, error) {
 	if err := req.Write(client.conn); err != nil {
 		return agenttest.Response{}, err
@@ -184,10 +184,10 @@
 	return agenttest.ReadResponse(client.reader, req)
 }
 
-// halfCloseConn ends a client's side of a connection; false: the connection has ended.
+// halfCloseConn closes the sending side of a connection. It returns false if the connection has already ended.
 func halfCloseConn(conn net.Conn) bool { return conn.(*net.TCPConn).CloseWrite() == nil }
 
-// checkNoExtraBytes returns an error if there are bytes after the last response.
+// checkNoExtraBytes returns an error if the agent sends bytes after the last response.
 func (client *scenarioClient) checkNoExtraBytes() error {
 	if client.conn == nil {
 		return nil
@@ -196,12 +196,12 @@
 		return nil
 	}
 	if more, _ := io.ReadAll(client.reader); len(more) > 0 {
-		return fmt.Errorf("after the last response came %q", more)
+		return fmt.Errorf("unexpected bytes after the last response: %q", more)
 	}
 	return nil
 }
 
-// check returns an error if a response is not one that the request may have.
+// check returns an error if a request must not get this response.
 func (env *faultEnvironment) check(class, id string, resp agenttest.Response) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -210,23 +210,23 @@
 	switch resp.Status {
 	case http.StatusOK:
 		if resp.Body != id {
-			return fmt.Errorf("%s has the response %q", id, resp.Body)
+			return fmt.Errorf("request %s: response has body %q", id, resp.Body)
 		}
 		if executions == 0 {
-			return fmt.Errorf("%s was served and never executed", id)
+			return fmt.Errorf("request %s was served but not executed", id)
 		}
 	case http.StatusServiceUnavailable:
 		if class == "order" && executions > 0 {
-			return fmt.Errorf("%s was rejected and executed", id)
+			return fmt.Errorf("request %s was rejected but executed", id)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		return fmt.Errorf("%s has response %d", id, resp.Status)
+		return fmt.Errorf("request %s: unexpected response status %d", id, resp.Status)
 	}
 	return env.checkExecutedOnce(class, id)
 }
 
-// checkCutOff checks a request whose client's connection broke.
+// checkCutOff counts a request whose client connection broke, and checks its executions.
 func (env *faultEnvironment) checkCutOff(class, id string) error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -234,18 +234,18 @@
 	return env.checkExecutedOnce(class, id)
 }
 
-// checkExecutedOnce returns an error if a non-idempotent request executed twice. The caller has the lock.
+// checkExecutedOnce returns an error if a non-idempotent request executed more than once. The caller holds env.mu.
 func (env *faultEnvironment) checkExecutedOnce(class, id string) error {
 	if executions := env.arrivals[id]; class == "order" && executions > 1 {
-		return fmt.Errorf("%s executed %d times", id, executions)
+		return fmt.Errorf("request %s executed %d times", id, executions)
 	}
 	return nil
 }
 
-// systemCalls are the calls of a connection that fail.
+// systemCalls are the system calls that the scenarios make fail.
 var systemCalls = []agenttest.SystemCall{agenttest.CallConnect, agenttest.CallRead, agenttest.CallWrite}
 
-// runOnEachSide runs two scenarios, in which a fault is on a client's connection and on a server's.
+// runOnEachSide runs a scenario with the fault on a client connection, and one with the fault on a server connection.
 func (env *faultEnvironment) runOnEachSide(t *testing.T, fault agenttest.CallFault, requests []scenarioRequest) {
 	t.Helper()
 	faults := []agenttest.CallFault{fault}
@@ -259,8 +259,8 @@
 	}
 }
 
-// Each errno at each call of either side, at the first byte, in the middle and on a connection that is
-// used again, with one byte a call: one response to each request.
+// Each request gets exactly one response, whichever errno occurs at whichever system call of either side: at the first
+// byte, in the middle, and on a reused connection. Each call transfers one byte.
 func TestEachErrnoAtEachCall(t *testing.T) {
 	t.Parallel()
 	env := newFaultEnvironment(t, 1)
@@ -283,7 +283,7 @@
 	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
-// The same for bodies that are too long to be buffered, and are streamed to their server.
+// Each request gets exactly one response if system calls fail during a body that is streamed.
 func TestErrnosInStreamedBodies(t *testing.T) {
 	t.Parallel()
 	env := newFaultEnvironment(t, 3)
@@ -301,7 +301,7 @@
 	env.wantStatuses(t, http.StatusOK, http.StatusBadGateway)
 }
 
-// Any faults of the connections of both sides, with one byte a call: one response to each request.
+// Each request gets exactly one response with any combination of faults on both sides. Each call transfers one byte.
 func TestOneResponseToEachRequestDespiteFailedCalls(t *testing.T) {
 	t.Parallel()
 	environments := []*faultEnvironment{newFaultEnvironment(t, 1), newFaultEnvironment(t, 3)}
@@ -332,22 +332,23 @@
 		}
 	})
 	for _, env := range environments {
-		env.wantStatuses(t, http.StatusOK) // the drawn scenarios need not lead to the rarer statuses
+		env.wantStatuses(t, http.StatusOK) // the random scenarios need not include the rarer statuses
 	}
 }
 
-// wantStatuses checks that the scenarios led to responses of these statuses, and to requests that were cut off.
+// wantStatuses checks that the scenarios led to responses with each of these statuses, and to broken client
+// connections.
 func (env *faultEnvironment) wantStatuses(t *testing.T, statuses ...int) {
 	t.Helper()
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	t.Logf("responses by status %v, requests cut off by their client's connection %d", env.responses, env.cutOff)
+	t.Logf("responses by status %v, %d requests whose client connection broke", env.responses, env.cutOff)
 	for _, status := range statuses {
 		if env.responses[status] == 0 {
-			t.Errorf("no request had response %d", status)
+			t.Errorf("no response had status %d", status)
 		}
 	}
 	if env.cutOff == 0 {
-		t.Error("no request was cut off")
+		t.Error("no client connection broke during a request")
 	}
 }
--- a/internal/agent/without_clients_test.go
+++ b/internal/agent/without_clients_test.go
@@ -18,7 +18,7 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// lockedBuffer may be written to by many goroutines.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -36,7 +36,7 @@
 	return locked.buffer.String()
 }
 
-// callerRecorder is a discovery that records the address from which each call comes.
+// callerRecorder is a discovery that records the IP address of the caller of each call.
 type callerRecorder struct {
 	*agenttest.Discovery
 	callers chan string
@@ -57,24 +57,24 @@
 	return recorder
 }
 
-// versionsInForce are the versions that an agent's hooks are called with.
+// versionsInForce receives the versions with which a hook of the agent is called.
 type versionsInForce chan uint64
 
-// wantNext waits for the next version.
+// wantNext waits for the next version and checks it.
 func (versions versionsInForce) wantNext(t *testing.T, want uint64) {
 	t.Helper()
 	select {
 	case version := <-versions:
 		if version != want {
-			t.Fatalf("version %d in force, want %d", version, want)
+			t.Fatalf("hook was called with version %d, want %d", version, want)
 		}
 	case <-time.After(agenttest.Timeout):
-		t.Fatalf("version %d never in force", want)
+		t.Fatalf("hook was not called with version %d", want)
 	}
 }
 
-// An agent without clients follows its endpoint list and its settings, serves its admin endpoint and calls its
-// hooks, all with its own logger and from its own address.
+// An agent without client listener applies changes of its endpoint list and its settings, serves its admin endpoint and
+// calls its hooks. It uses its own logger, and calls discovery from its own IP address.
 func TestAgentWithoutClients(t *testing.T) {
 	const callFrom = "127.0.0.77"
 	discovery := newCallerRecorder(t)
@@ -99,7 +99,7 @@
 	go func() { done <- agent.Run(ctx, reloads) }()
 
 	lists.wantNext(t, 1)
-	agenttest.WaitUntil(t, "it is ready", func() bool {
+	agenttest.WaitUntil(t, "the agent is ready", func() bool {
 		status, err := getStatus(t.Context(), "http://"+listener.Addr().String()+"/ops/readiness")
 		return err == nil && status == http.StatusOK
 	})
@@ -115,7 +115,7 @@
 	settings.wantNext(t, 0)
 	wantStatusAfterFourLists(t, agent)
 	if host := <-discovery.callers; host != callFrom {
-		t.Errorf("discovery was called from %s", host)
+		t.Errorf("discovery was called from %s, want the configured local IP address", host)
 	}
 	stop()
 	if err := <-done; err != nil {
@@ -124,15 +124,16 @@
 	wantLogWithAttribute(t, log.String(), "agent=a1")
 	select {
 	case version := <-lists:
-		t.Errorf("list %d in force once more", version)
+		t.Errorf("OnList was called again, with version %d", version)
 	default:
 	}
 }
 
-// wantStatusAfterFourLists checks the status of an agent that has had four lists, and waits until it watches for the next.
+// wantStatusAfterFourLists waits until an agent has made its fourth call to discovery, and checks that its status
+// reports four calls and list version 4.
 func wantStatusAfterFourLists(t *testing.T, agent *Agent) {
 	t.Helper()
-	// The watch's fourth call begins after the hooks were called for the third change.
+	// The fourth call of the watch begins after the hooks were called for the third change.
 	agenttest.WaitUntil(t, "the fourth call to discovery", func() bool { return agent.Status().ListCalls >= 4 })
 	status := agent.Status()
 	listsAndServers := status.ListVersion == 4 && status.Servers == 4
@@ -142,20 +143,20 @@
 	}
 }
 
-// wantLogWithAttribute checks that each line of a log has an attribute, and that the log ends with the agent's metrics.
+// wantLogWithAttribute checks that each line of a log has the attribute, and that the log contains the final metrics.
 func wantLogWithAttribute(t *testing.T, log, attribute string) {
 	t.Helper()
 	for line := range strings.Lines(log) {
 		if !strings.Contains(line, attribute) {
-			t.Errorf("line without its agent: %s", line)
+			t.Errorf("log line without the agent's attribute: %s", line)
 		}
 	}
 	if !strings.Contains(log, "msg=stopped") || !strings.Contains(log, " listCalls:") {
-		t.Errorf("log %s", log)
+		t.Errorf("log does not contain the final metrics: %s", log)
 	}
 }
 
-// A killed agent sends no response any more, in service and during a shutdown.
+// A killed agent closes its connections and listeners without further responses, in service and during a shutdown.
 func TestKill(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	for name, stopped := range map[string]bool{"in service": false, "during a shutdown": true} {
@@ -176,21 +177,21 @@
 			go func() { done <- agent.Run(ctx, nil) }()
 			addr := listeners.Clients.Addr().String()
 			idle := agenttest.DialClient(t, addr)
-			agenttest.WaitUntil(t, "it serves", func() bool { return serves(addr) })
+			agenttest.WaitUntil(t, "the agent serves", func() bool { return serves(addr) })
 			if stopped {
 				stop()
 				agenttest.WaitUntil(t, "the shutdown has begun", func() bool { return !agent.downstream.IsServing() })
 			}
 			agent.Kill()
 			if err := <-done; !errors.Is(err, ErrKilled) {
-				t.Errorf("Run returned %v", err)
+				t.Errorf("Run returned %v, want ErrKilled", err)
 			}
 			wantAllClosed(t, idle, listeners)
 		})
 	}
 }
 
-// serves reports whether an agent serves a request.
+// serves reports whether the agent at addr serves a request.
 func serves(addr string) bool {
 	resp, err := agenttest.HTTPClient.Do(agenttest.NewRequest(addr, "read", ""))
 	if err != nil {
@@ -200,27 +201,27 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// wantAllClosed checks that a killed agent has closed a client's connection and its listeners.
+// wantAllClosed checks that a killed agent has closed a client connection and its listeners.
 func wantAllClosed(t *testing.T, client *agenttest.ClientConn, listeners Listeners) {
 	t.Helper()
 	read, err := client.Read(make([]byte, 100))
 	if read > 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a client's connection has %d bytes, %v", read, err)
+		t.Errorf("client connection: read %d bytes, error %v; want a close", read, err)
 	}
 	for _, listener := range []net.Listener{listeners.Clients, listeners.Admin} {
 		if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("a listener is still open: %v", err)
+			t.Errorf("Accept returned %v, want net.ErrClosed", err)
 		}
 	}
 }
 
-// New returns an error for what it can't use, and leaves the listeners to its caller.
+// New returns an error if the listener to share is missing.
 func TestNewRejectsAMissingSharedListener(t *testing.T) {
 	cfg, err := config.Parse(agenttest.PushedConfigText(t, agenttest.NewDiscovery(t), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := New(cfg, Listeners{Shared: true}); err == nil || !strings.Contains(err.Error(), "no listener to share") {
-		t.Errorf("a shared listener that is missing: %v", err)
+		t.Errorf("New without the listener to share: error %v", err)
 	}
 }
