--- a/internal/agent/admin_drain_test.go
+++ b/internal/agent/admin_drain_test.go
@@ -80,7 +80,7 @@
 
 // Connections to the admin endpoint that send no request, or an incomplete one, are closed. They neither keep other
 // callers from being served nor have any effect.
-func TestAdminCallsAreAnsweredBesideSilentCallers(t *testing.T) {
+func TestSilentAdminCallersDoNotBlockOthers(t *testing.T) {
 	agent, _ := startWithServer(t, agenttest.RespondOK)
 	incomplete := []string{
 		"",
--- a/internal/agent/client_close_races_test.go
+++ b/internal/agent/client_close_races_test.go
@@ -53,7 +53,7 @@
 
 // Nothing is sent on a server connection that is established after the client has closed, even if the event loop has
 // not handled the close yet.
-func TestLateConnectionCarriesNothingOnceTheClientHasClosed(t *testing.T) {
+func TestNothingIsSentOnALateConnectionOnceTheClientHasClosed(t *testing.T) {
 	t.Parallel()
 	listener := fullListener(t)
 	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), withLongConnectTimeout)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -16,10 +16,10 @@
 
 // The times of a shutdown, counted from SIGTERM.
 const (
-	// acceptPeriod is how long the agent accepts connections. Clients may open connections for 0.4 s.
-	acceptPeriod = 500 * time.Millisecond
-	// admitPeriod is how long the agent forwards requests. Requests that arrive in the first 0.7 s must not be lost.
-	admitPeriod = 600 * time.Millisecond
+	// acceptTime is how long the agent accepts connections. Clients may open connections for 0.4 s.
+	acceptTime = 500 * time.Millisecond
+	// admitTime is how long the agent forwards requests. Requests that arrive in the first 0.7 s must not be lost.
+	admitTime = 600 * time.Millisecond
 	// silentConnLimit is by when a connection without a request is closed in a shutdown with a drain time of 0.85 s.
 	// Without a shutdown the connection would be closed after 2.6 s.
 	silentConnLimit = 2100 * time.Millisecond
@@ -49,7 +49,7 @@
 	waiting := agent.dial()
 	send(waiting, orderRequest(timeoutMs, "x"))
 	agent.stop()
-	time.AfterFunc(acceptPeriod+testDelay, release)
+	time.AfterFunc(acceptTime+testDelay, release)
 	if status := agenttest.FinalStatus(t, waiting); status != http.StatusOK && status != http.StatusServiceUnavailable {
 		t.Errorf("response status %d, want 200 or 503", status)
 	}
@@ -61,20 +61,20 @@
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	t.Parallel()
 	agent, server := startWithServer(t, agenttest.RespondOK)
-	type times struct { // relative to the signal; a dial of 0 is before it
+	type connTimes struct { // relative to the signal; a dial of 0 is before it
 		dial time.Duration
 		send time.Duration
 	}
 	var statuses []chan int
 	start := time.Now()
-	for _, moment := range []times{
+	for _, times := range []connTimes{
 		{dial: 0, send: 50 * time.Millisecond},
-		{dial: 0, send: acceptPeriod + 20*time.Millisecond},
-		{dial: 0, send: admitPeriod + 100*time.Millisecond},
+		{dial: 0, send: acceptTime + 20*time.Millisecond},
+		{dial: 0, send: admitTime + 100*time.Millisecond},
 		{dial: 0, send: 1500 * time.Millisecond},
 		{dial: 200 * time.Millisecond, send: 200 * time.Millisecond},
-		{dial: 300 * time.Millisecond, send: acceptPeriod},
-		{dial: 300 * time.Millisecond, send: admitPeriod},
+		{dial: 300 * time.Millisecond, send: acceptTime},
+		{dial: 300 * time.Millisecond, send: admitTime},
 		{dial: 300 * time.Millisecond, send: time.Second},
 	} {
 		status := make(chan int, 1)
@@ -86,15 +86,15 @@
 				status <- 0
 				return
 			}
-			time.AfterFunc(time.Until(start.Add(moment.send)), func() {
+			time.AfterFunc(time.Until(start.Add(times.send)), func() {
 				send(client, orderRequest(timeoutMs, "x"))
 				status <- client.Status()
 			})
 		}
-		if moment.dial == 0 {
+		if times.dial == 0 {
 			dial()
 		} else {
-			time.AfterFunc(moment.dial, dial)
+			time.AfterFunc(times.dial, dial)
 		}
 	}
 	agenttest.WaitUntil(t, "the earlier connections are accepted", func() bool {
--- a/internal/agent/stalled_body_test.go
+++ b/internal/agent/stalled_body_test.go
@@ -14,7 +14,7 @@
 
 // If a client stops sending in the middle of its body and stays connected, it gets an error and its connection is
 // closed within 3 s, however much of the body it has sent.
-func TestStalledRequestBodyIsClosedInTime(t *testing.T) {
+func TestConnectionWithAStalledBodyIsClosedInTime(t *testing.T) {
 	t.Parallel()
 	const tolerance = time.Second // for a busy machine
 	for name, test := range map[string]struct {
