--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	longTimeoutMs = 30_000 // longer than any of these tests waits for a response
-	// closeArrivalTime is when a client's FIN or reset has long arrived.
-	closeArrivalTime = 50 * time.Millisecond
-	// reconnectTime is when a connect that found the accept queue full has tried again: it does after 1 s.
-	reconnectTime = 2500 * time.Millisecond
-	// longConnectTimeoutMs is longer than any connect of these tests waits.
+	longTimeoutMs = 30_000 // ms, longer than any of these tests waits for a response
+	// closeArrivalDelay is well above the time that a client's FIN or RST needs to arrive.
+	closeArrivalDelay = 50 * time.Millisecond
+	// connectRetryDelay is enough for the retry of a connect that found the accept queue full, which is after 1 s.
+	connectRetryDelay = 2500 * time.Millisecond
+	// longConnectTimeoutMs is longer than any connect of these tests takes.
 	longConnectTimeoutMs = 10_000
-	// initialConcurrency is a lone agent's concurrency limit at a server without measurements.
+	// initialConcurrency is the concurrency limit for a server before any measurement, in a fleet of one agent.
 	initialConcurrency = 8
 )
 
-// readRequest is a request of the class read with a long timeout.
+// readRequest is a request of class read with a long timeout.
 var readRequest = agenttest.RequestText(1, longTimeoutMs)
 
-// halfClose ends only the client's side: it may still read.
+// halfClose is the case in which the client closes only its sending side and can still read.
 const halfClose = "half-close"
 
 // clientCloses are the ways in which a client ends its connection.
@@ -43,89 +43,90 @@
 	},
 }
 
-// closeMoment is an agent in the state in which a client ends its connection.
-type closeMoment struct {
+// closeScenario is a running agent, and the state of it in which a client ends its connection.
+type closeScenario struct {
 	agent     *testAgent
-	requests  string      // what the client has sent by then
+	requests  string      // what the client sends before it ends the connection
 	reached   func() bool // reports whether the agent is in that state
-	proceed   func()      // unblocks what waited for the close
-	begun     func() int  // requests that have begun to arrive at servers
-	allowed   int         // how many of those began before the close
-	responses int         // final responses that a client which still reads has to get
+	proceed   func()      // unblocks the server or connection after the client's close
+	started   func() int  // returns how many requests have begun to arrive at servers
+	allowed   int         // expected value of started: the requests from before the close
+	responses int         // final responses that the client must get after a half-close
 }
 
-// closeAtServer closes while a server works on the request.
-func closeAtServer(t *testing.T) closeMoment {
+// closeAtServer is a close while a server processes the request.
+func closeAtServer(t *testing.T) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, agenttest.RespondOK)
-	agent := startAgent(t, listing(t, server.Addr), nil)
-	return closeMoment{
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest,
 		reached:   func() bool { return server.Count() == 1 },
 		proceed:   release,
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		allowed:   1,
 		responses: 1,
 	}
 }
 
-// closeBeforeRetry closes while the attempt is in flight whose end leads to a retry.
-func closeBeforeRetry(t *testing.T) closeMoment {
+// closeBeforeRetry is a close during an attempt that will be rejected and would be retried.
+func closeBeforeRetry(t *testing.T) closeScenario {
 	t.Helper()
 	first, release := blockedServer(t, respondOverloaded)
 	second, releaseSecond := blockedServer(t, respondOverloaded)
-	agent := startAgent(t, listing(t, first.Addr, second.Addr), nil)
-	begun := func() int { return first.StartedCount() + second.StartedCount() }
-	return closeMoment{
+	agent := startAgent(t, discoveryWith(t, first.Addr, second.Addr), nil)
+	started := func() int { return first.StartedCount() + second.StartedCount() }
+	return closeScenario{
 		agent:    agent,
 		requests: readRequest,
-		reached:  func() bool { return begun() == 1 },
+		reached:  func() bool { return started() == 1 },
 		proceed: func() {
 			release()
 			releaseSecond()
 		},
-		begun:     begun,
+		started:   started,
 		allowed:   1,
 		responses: 1,
 	}
 }
 
-// closeWhileQueued closes while the request is queued in the agent for its only server.
-func closeWhileQueued(t *testing.T) closeMoment {
+// closeWhileQueued is a close while the request is queued in the agent.
+func closeWhileQueued(t *testing.T) closeScenario {
 	t.Helper()
-	return queuedBehind(t, agenttest.RespondOK)
+	return startAtConcurrencyLimit(t, agenttest.RespondOK)
 }
 
-// queuedBehind has the concurrency limit of the only server used up, which responds once it is released.
-func queuedBehind(t *testing.T, respond agenttest.Responder) closeMoment {
+// startAtConcurrencyLimit starts an agent whose only server has as many requests as its concurrency limit allows, and
+// responds to none of them until proceed is called. The next request is queued.
+func startAtConcurrencyLimit(t *testing.T, respond agenttest.Responder) closeScenario {
 	t.Helper()
 	server, release := blockedServer(t, respond)
-	agent := startAgent(t, listing(t, server.Addr), nil)
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
 	for range initialConcurrency {
-		send(agent.dialKept(), readRequest)
+		send(agent.dial(), readRequest)
 	}
 	agenttest.WaitUntil(t, "the server's concurrency limit is reached", func() bool {
 		return server.Count() == initialConcurrency
 	})
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest,
 		reached:   func() bool { return agent.statsNow().Policy.Queued == 1 },
 		proceed:   release,
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		allowed:   initialConcurrency,
 		responses: 1,
 	}
 }
 
-// closeWhileConnecting closes while the connection to the server is not established.
-func closeWhileConnecting(t *testing.T) closeMoment {
+// closeWhileConnecting is a close while the connection to the server is being established.
+func closeWhileConnecting(t *testing.T) closeScenario {
 	t.Helper()
 	listener := fullListener(t)
-	agent := startAgent(t, listing(t, listener.Addr().String()), withLongConnectTimeout)
+	agent := startAgent(t, discoveryWith(t, listener.Addr().String()), withLongConnectTimeout)
 	var arrived atomic.Int64
-	return closeMoment{
+	return closeScenario{
 		agent:    agent,
 		requests: readRequest,
 		reached:  func() bool { return agent.pool.ConnectCount() == 1 },
@@ -135,17 +136,17 @@
 					arrived.Add(1)
 				}
 			})
-			time.Sleep(reconnectTime)
+			time.Sleep(connectRetryDelay)
 		},
-		begun:     func() int { return int(arrived.Load()) },
+		started:   func() int { return int(arrived.Load()) },
 		responses: 1,
 	}
 }
 
-// closeOnBrokenKeptConnection closes while the request is written to a kept connection that breaks, after
-// which the agent would open another. The byte behind the request hides the close from net/http, which reads
-// one byte in the background.
-func closeOnBrokenKeptConnection(t *testing.T) closeMoment {
+// closeOnBrokenReusedConn is a close while the request is written to a reused connection that breaks, after which the
+// agent would open another. The byte after the request hides the close from net/http, which reads one byte in the
+// background.
+func closeOnBrokenReusedConn(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	agent, broken := startWithBlockedConn(t, server)
@@ -157,82 +158,82 @@
 			return false
 		}
 	}
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  readRequest + "X",
 		reached:   reached,
 		proceed:   func() { close(broken.proceed) },
-		begun:     server.StartedCount,
+		started:   server.StartedCount,
 		responses: 1,
 	}
 }
 
-// closeBehindEarlierResponse closes while the earlier of two requests of the connection is still at a server.
-func closeBehindEarlierResponse(t *testing.T) closeMoment {
+// closeWithPipelinedRequest is a close after two pipelined requests, the first of which is still at a server.
+func closeWithPipelinedRequest(t *testing.T) closeScenario {
 	t.Helper()
-	moment := closeAtServer(t)
-	moment.requests = readRequest + readRequest
-	moment.responses = 2
-	return moment
+	scenario := closeAtServer(t)
+	scenario.requests = readRequest + readRequest
+	scenario.responses = 2
+	return scenario
 }
 
-// closeInLongBody closes before the last byte of a body that is streamed.
-func closeInLongBody(t *testing.T) closeMoment {
+// closeInLongBody is a close before the last byte of a streamed body.
+func closeInLongBody(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, hashResponder)
-	agent := startAgent(t, listing(t, server.Addr), nil)
+	agent := startAgent(t, discoveryWith(t, server.Addr), nil)
 	head := orderHead(longTimeoutMs, 4*message.MaxBufferedBody)
-	return closeMoment{
+	return closeScenario{
 		agent:     agent,
 		requests:  head + strings.Repeat("x", 2*message.MaxBufferedBody),
 		reached:   func() bool { return server.StartedCount() == 1 },
 		proceed:   func() {},
-		begun:     server.Count, // of complete requests: the head may have arrived
+		started:   server.Count, // counts complete requests only: the head has arrived
 		responses: 1,
 	}
 }
 
-// A client that ends its connection gets no further attempt, whatever the moment. One that ends only its own
-// side may still read: it must get a final response, a server's or an error.
+// After a client has ended its connection no attempt of its request begins, whatever state the request is in. A client
+// that has closed only its sending side must get a final response: that of a server, or an error.
 func TestNoAttemptBeginsAfterTheClientCloses(t *testing.T) {
-	moments := map[string]func(*testing.T) closeMoment{
-		"at a server":                       closeAtServer,
-		"before a retry":                    closeBeforeRetry,
-		"queued":                            closeWhileQueued,
-		"connecting":                        closeWhileConnecting,
-		"broken kept connection":            closeOnBrokenKeptConnection,
-		"behind the response of an earlier": closeBehindEarlierResponse,
-		"in a long body":                    closeInLongBody,
+	scenarios := map[string]func(*testing.T) closeScenario{
+		"at a server":              closeAtServer,
+		"before a retry":           closeBeforeRetry,
+		"queued":                   closeWhileQueued,
+		"connecting":               closeWhileConnecting,
+		"broken reused connection": closeOnBrokenReusedConn,
+		"pipelined request":        closeWithPipelinedRequest,
+		"in a long body":           closeInLongBody,
 	}
-	for name, arrange := range moments {
+	for name, arrange := range scenarios {
 		for closeName, endConnection := range clientCloses {
 			t.Run(name+"/"+closeName, func(t *testing.T) {
 				t.Parallel()
-				moment := arrange(t)
-				client := moment.agent.dialKept()
-				send(client, moment.requests)
-				agenttest.WaitUntil(t, "the moment is reached", moment.reached)
+				scenario := arrange(t)
+				client := scenario.agent.dial()
+				send(client, scenario.requests)
+				agenttest.WaitUntil(t, "the state of the case is reached", scenario.reached)
 				if err := endConnection(client.Conn.(*net.TCPConn)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(closeArrivalTime)
-				moment.proceed()
+				time.Sleep(closeArrivalDelay)
+				scenario.proceed()
 				if closeName == halfClose {
-					wantFinalResponses(t, client.Reader, moment.responses)
+					wantFinalResponses(t, client.Reader, scenario.responses)
 				}
-				agenttest.WaitUntil(t, "the connection has ended", func() bool {
-					return moment.agent.statsNow().Open == 0
+				agenttest.WaitUntil(t, "no request is open", func() bool {
+					return scenario.agent.statsNow().Open == 0
 				})
-				if begun := moment.begun(); begun != moment.allowed {
-					t.Errorf("%d attempts begun, want %d", begun, moment.allowed)
+				if started := scenario.started(); started != scenario.allowed {
+					t.Errorf("%d attempts started, want %d", started, scenario.allowed)
 				}
-				moment.agent.wantNoGuardActed()
+				scenario.agent.wantNoViolationsOrBackstops()
 			})
 		}
 	}
 }
 
-// wantFinalResponses reads one final response for each request: a server's, or an error.
+// wantFinalResponses reads the given number of final responses, and checks that each is from a server or an error.
 func wantFinalResponses(t *testing.T, reader *bufio.Reader, want int) {
 	t.Helper()
 	for i := range want {
@@ -241,7 +242,7 @@
 			t.Fatalf("response %d of %d: %v", i+1, want, err)
 		}
 		if response.Status == http.StatusOK && response.Body == "" {
-			t.Errorf("response %d of %d: 200 that no server sent", i+1, want)
+			t.Errorf("response %d of %d: status 200, but not from a server", i+1, want)
 		}
 	}
 }
--- a/internal/agent/descriptor_limit_test.go
+++ b/internal/agent/descriptor_limit_test.go
@@ -11,20 +11,21 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// fewestSockets is the smallest limit of descriptors that a configuration may give.
-const fewestSockets = 64
+// minSockets is the smallest number of descriptors that can be configured.
+const minSockets = 64
 
-// startSmallAgent starts an agent with the fewest descriptors that may be configured.
-func startSmallAgent(t *testing.T) (agent *testAgent, maxConns int) {
+// startWithMinSockets starts an agent with the smallest number of descriptors that can be configured. It also
+// returns the agent's limit on client connections.
+func startWithMinSockets(t *testing.T) (agent *testAgent, maxConns int) {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
-	agent = startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
+	agent = startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = minSockets })
 	return agent, agent.cfg.MaxClientConns()
 }
 
-// The first request on a new connection has a response, whatever the agent does with others just then to keep
-// within its descriptors.
-func TestFirstRequestAtTheLimitOfDescriptorsIsAnswered(t *testing.T) {
+// The first request on a new connection gets a response, even if the agent has to close other connections to stay
+// within its descriptor limit.
+func TestFirstRequestAtTheDescriptorLimitIsAnswered(t *testing.T) {
 	sends := func(text string) func(*testing.T, *agenttest.ClientConn) {
 		return func(t *testing.T, client *agenttest.ClientConn) {
 			t.Helper()
@@ -38,13 +39,13 @@
 		},
 		"all connections are silent":       sends(""),
 		"all connections have half a head": sends("GET /api/a HTTP/1.1\r\n"),
-		"all connections have half a body": sends(strings.TrimSuffix(timedRequest(60_000, "xy"), "y")),
+		"all connections have half a body": sends(strings.TrimSuffix(orderRequest(60_000, "xy"), "y")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			agent, maxConns := startSmallAgent(t)
+			agent, maxConns := startWithMinSockets(t)
 			for range maxConns {
-				use(t, agent.dialKept())
+				use(t, agent.dial())
 			}
 			var clients sync.WaitGroup
 			for range 8 {
@@ -56,9 +57,9 @@
 						t.Error(err)
 						return
 					}
-					send(client, timedRequest(longTimeoutMs, "x"))
+					send(client, orderRequest(longTimeoutMs, "x"))
 					if status := client.Status(); status != http.StatusOK && status != http.StatusServiceUnavailable {
-						t.Errorf("response %d", status)
+						t.Errorf("response status %d, want 200 or 503", status)
 					}
 				}()
 			}
@@ -67,17 +68,17 @@
 	}
 }
 
-// Idle clients are closed for new ones, and attempts beyond the limit don't open connections: neither side
-// can use up the descriptors.
+// Idle client connections are closed in favor of new ones, and attempts beyond the limit open no connections, so that
+// neither side can use up the descriptors.
 func TestDescriptorLimit(t *testing.T) {
 	release := make(chan struct{})
 	server := agenttest.NewServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		<-release
 		return agenttest.RespondOK(conn, req, n)
 	})
-	agent := startAgent(t, listing(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = fewestSockets })
+	agent := startAgent(t, discoveryWith(t, server.Addr), func(cfg *config.Config) { cfg.Sockets = minSockets })
 	for range 2 * agent.cfg.MaxClientConns() {
-		agent.dialKept().RequestReady(t) // stays connected and idle
+		agent.dial().RequestReady(t) // stays connected and idle
 	}
 	close(release)
 	agent.wantOrderStatus(http.StatusOK)
