--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,16 +1,16 @@
-// Package agent runs the balancing policy as a real load balancer. It makes the parts of an agent, which are packages
-// below it, joins them, and owns the order of their start and of their shutdown:
+// Package agent runs the balancing policy as a real load balancer. It creates the components of an agent, connects
+// them, and controls the order in which they start and shut down. The components are subpackages:
 //
-//   - downstream serves the clients, and knows the event loop only as its Dispatcher;
+//   - downstream serves the clients; it knows the event loop only as its Dispatcher;
 //   - dispatch is the event loop, which owns the policy, the requests in flight and the endpoint list;
-//   - upstream has the connections to servers and makes attempts;
-//   - discovery makes the calls for the endpoint list and for settings;
+//   - upstream holds the connections to servers and makes attempts;
+//   - discovery calls the discovery service for the endpoint list and for settings;
 //   - admin serves the operators' HTTP endpoint;
-//   - config reads and checks the configuration;
-//   - message has what downstream, dispatch and upstream pass to each other; socket and keyhash are helpers;
-//   - agenttest has servers, discoveries and clients for tests.
+//   - config reads and validates the configuration;
+//   - message defines what downstream, dispatch and upstream pass to each other; socket and keyhash are helpers;
+//   - agenttest provides servers, discovery services and clients for tests.
 //
-// The goroutine of Agent.Run applies reloads and settings of the discovery service; it decides nothing about
+// The goroutine of Agent.Run applies reloads and settings from the discovery service; it takes no part in handling
 // requests.
 package agent
 
@@ -33,14 +33,15 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// firstListTimeout is how long clients wait for a first server. Restarts have to be ready within 10 s, also
-// where no list is known and discovery is silent; requests are then rejected in time.
+// firstListTimeout is how long the agent waits for a first server before it reports that it is ready. A restarted
+// agent must be ready within 10 s even if it knows no list and the discovery service does not respond; it then rejects
+// requests in time.
 const firstListTimeout = 5 * time.Second
 
-// ErrKilled is what Run returns after Kill.
+// ErrKilled is returned by Run after Kill.
 var ErrKilled = errors.New("agent: killed")
 
-// Agent is one agent. Many may run in one process.
+// Agent is a load balancer instance. A process may run several of them.
 type Agent struct {
 	cfg        *config.Config
 	listeners  Listeners
@@ -51,11 +52,11 @@
 	membership atomic.Pointer[membership.Membership]
 
 	//nolint:containedctx // the loop outlives the context of Run
-	running  context.Context    // done once the loop is to end
-	stopLoop context.CancelFunc // ends the loop, and everything that has its context
-	loopDone chan struct{}      // closed once the loop has ended
-	usable   chan struct{}      // closed once a server may be sent requests
-	// settingsUpdates takes settings of the discovery service until servingDone is closed.
+	loopCtx      context.Context    // canceled to end the loop
+	stopLoop     context.CancelFunc // cancels loopCtx, and with it everything that runs under it
+	loopDone     chan struct{}      // closed once the loop has ended
+	serversReady chan struct{}      // closed once requests may be sent to a server
+	// settingsUpdates receives settings from the discovery service until servingDone is closed.
 	settingsUpdates chan settingsUpdate
 	servingDone     chan struct{}
 	//nolint:containedctx // Kill may be called at any time, also before Run
@@ -63,17 +64,17 @@
 	kill   context.CancelFunc
 }
 
-// Run makes an agent and runs it as Agent.Run does.
-func Run(stop context.Context, cfg *config.Config, listeners Listeners, reloads <-chan *config.Config) error {
-	a, err := New(cfg, listeners) //nolint:contextcheck // the loop outlives stop: it finishes the open requests
+// Run creates an agent and calls its Run method.
+func Run(ctx context.Context, cfg *config.Config, listeners Listeners, reloads <-chan *config.Config) error {
+	a, err := New(cfg, listeners) //nolint:contextcheck // the loop outlives ctx: it finishes the open requests
 	if err != nil {
 		return err
 	}
-	return a.Run(stop, reloads)
+	return a.Run(ctx, reloads)
 }
 
-// New makes an agent, which owns its listeners unless there is an error: a setting that the policy can't use,
-// or a listener that is shared and missing.
+// New returns an agent, which owns the listeners unless New fails. It fails if the policy does not accept the settings
+// or if the client listener is shared but missing.
 func New(cfg *config.Config, listeners Listeners) (*Agent, error) {
 	if listeners.Clients == nil {
 		if listeners.Shared {
@@ -86,14 +87,14 @@
 		listeners:       listeners,
 		pool:            upstream.NewPool(cfg),
 		loopDone:        make(chan struct{}),
-		usable:          make(chan struct{}),
+		serversReady:    make(chan struct{}),
 		settingsUpdates: make(chan settingsUpdate),
 		servingDone:     make(chan struct{}),
 	}
-	running, stopLoop := context.WithCancel(context.Background())
-	loop, err := dispatch.New(running, cfg, dispatch.Options{
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	loop, err := dispatch.New(loopCtx, cfg, dispatch.Options{
 		Pool:           a.pool,
-		OnServersReady: sync.OnceFunc(func() { close(a.usable) }),
+		OnServersReady: sync.OnceFunc(func() { close(a.serversReady) }),
 		ApplySettings:  a.applySettings,
 	})
 	if err != nil {
@@ -101,9 +102,9 @@
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	a.loop = loop
-	a.running = running
+	a.loopCtx = loopCtx
 	a.stopLoop = stopLoop
-	a.downstream = downstream.New(running, cfg, downstream.Options{
+	a.downstream = downstream.New(loopCtx, cfg, downstream.Options{
 		Listener:   listeners.Clients,
 		Shared:     listeners.Shared,
 		Dispatcher: loop,
@@ -113,20 +114,20 @@
 	return a, nil
 }
 
-// announceDrain notifies the other agents that this one drains or no longer does.
+// announceDrain notifies the other agents that this one has started or stopped draining.
 func (a *Agent) announceDrain(draining bool) {
 	if member := a.membership.Load(); member != nil {
 		member.SetDraining(draining)
 	}
 }
 
-// Run runs the agent, once. It serves until stop is done, then shuts down gracefully, and returns nil when every
-// request that was open has its response; after Kill it returns ErrKilled. At its return all sockets are
-// closed. Each configuration from reloads replaces the settings, unless the discovery service has set others,
-// and the addresses of discovery; the rest of it takes effect at a start only.
+// Run runs the agent; it may be called only once. It serves until ctx is done, then shuts down gracefully, and returns
+// nil once all open requests have their response; after Kill it returns ErrKilled. When it returns, all sockets are
+// closed. Each configuration received from reloads replaces the addresses of the discovery service and, unless that
+// service has set them, the settings; everything else in it takes effect only at a start.
 //
-//nolint:contextcheck // the loop, the membership and the drain outlive stop: they finish the open requests
-func (a *Agent) Run(stop context.Context, reloads <-chan *config.Config) error {
+//nolint:contextcheck // the loop, the membership and the drain outlive ctx: they finish the open requests
+func (a *Agent) Run(ctx context.Context, reloads <-chan *config.Config) error {
 	go func() {
 		defer close(a.loopDone)
 		a.loop.Run()
@@ -146,34 +147,34 @@
 		return fmt.Errorf("agent: %w", err)
 	}
 	limits := a.newSharedLimits()
-	drainTime, err := a.serve(stop, reloads, limits)
+	drainTime, err := a.serve(ctx, reloads, limits)
 	if err != nil {
 		return err
 	}
 	if a.listeners.Shared {
-		limits.halve(a.running) // the other process is running or about to start
+		limits.halve(a.loopCtx) // another process of this agent is running or about to start
 	}
 	return a.shutdown(member, drainTime)
 }
 
-// newSharedLimits returns the limits that this process shares with another one of the same agent.
+// newSharedLimits returns the limits that this process shares with another process of the same agent.
 func (a *Agent) newSharedLimits() *sharedLimits {
 	return &sharedLimits{
-		cfg:    a.cfg,
-		admin:  a.admin,
-		conns:  a.downstream,
-		pool:   a.pool,
-		quotas: append(a.bodyBudgets(), a.downstream.ConnSlots()),
+		cfg:        a.cfg,
+		admin:      a.admin,
+		downstream: a.downstream,
+		pool:       a.pool,
+		quotas:     append(a.bodyBudgets(), a.downstream.ConnSlots()),
 	}
 }
 
-// bodyBudgets bound the bytes of buffered bodies: of requests, and of responses.
+// bodyBudgets returns the quotas that limit the bytes of buffered request bodies and response bodies.
 func (a *Agent) bodyBudgets() []message.Quota {
 	return []message.Quota{a.downstream.BodyBudget(), a.pool.BodyBudget()}
 }
 
-// shutdown ends the agent gracefully: it finishes the open requests within drainTime while it leaves the
-// membership, and stops the loop last, which the open requests need until their end.
+// shutdown ends the agent gracefully: it finishes the open requests within drainTime and meanwhile leaves the
+// membership. It stops the loop last, since open requests need it.
 func (a *Agent) shutdown(member *membership.Membership, drainTime time.Duration) error {
 	left := leaveMembership(member)
 	err := a.downstream.Shutdown(drainTime)
@@ -190,9 +191,9 @@
 	return nil
 }
 
-// serve serves until stop is done, and returns how long open requests may be finished from then on.
+// serve serves until ctx is done. It returns the time within which the open requests must then finish.
 func (a *Agent) serve(
-	stop context.Context, reloads <-chan *config.Config, limits *sharedLimits,
+	ctx context.Context, reloads <-chan *config.Config, limits *sharedLimits,
 ) (drainTime time.Duration, err error) {
 	defer close(a.servingDone)
 	failed := make(chan error, 2)
@@ -203,7 +204,7 @@
 	if err != nil {
 		return 0, err
 	}
-	usable := a.usable
+	serversReady := a.serversReady
 	active := &activeConfig{
 		cfg:        a.cfg,
 		downstream: a.downstream,
@@ -212,9 +213,9 @@
 	}
 	for {
 		select {
-		case <-usable:
+		case <-serversReady:
 			a.startServing(failed)
-			usable = nil
+			serversReady = nil
 		case <-firstListTimer:
 			a.downstream.AcceptClients()
 		case err := <-failed:
@@ -228,30 +229,30 @@
 			active.applyUpdate(update)
 		case <-a.killed.Done():
 			return 0, ErrKilled
-		case <-stop.Done():
+		case <-ctx.Done():
 			return active.drainTime, nil
 		}
 	}
 }
 
-// prepareAccepting does what precedes the first usable server. The returned channel sends when the agent is to
-// say that it is ready without one; nil: never.
+// prepareAccepting makes the preparations that don't require a usable server. A value on the returned channel means
+// that the agent is to report that it is ready although it knows no server; the channel is nil if it never should.
 func (a *Agent) prepareAccepting(limits *sharedLimits, failed chan<- error) (timeout <-chan time.Time, err error) {
 	if !a.listeners.Shared {
-		// Until a server is known, requests are rejected.
+		// Requests are rejected until a server is known.
 		a.downstream.Start(failed)
 		return time.After(firstListTimeout), nil
 	}
-	// The lock comes before the first client, so that the limits that the other process uses are left to it.
-	// There is no timeout: the process that still serves may know a server.
-	if err := limits.holdLock(a.running, a.listeners.Lock); err != nil {
+	// The lock is taken before the first client is accepted, so that this process doesn't use the other one's share of
+	// the limits. There is no timeout: the process that still serves may know a server.
+	if err := limits.holdLock(a.loopCtx, a.listeners.Lock); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	return nil, nil
 }
 
-// startServing serves clients once a server may be sent requests. From a shared queue no connection is accepted before
-// its requests can be served: the process that still serves accepts it.
+// startServing starts serving clients once requests may be sent to a server. Connections of a shared accept queue are
+// not accepted before that, so that the process that still serves accepts them.
 func (a *Agent) startServing(failed chan<- error) {
 	if a.listeners.Shared {
 		a.downstream.Start(failed)
@@ -259,8 +260,8 @@
 	a.downstream.SetServing()
 }
 
-// applySettings hands settings of the discovery service to serve, and returns once they are in force. An error
-// says why they are not: ErrAgentStopping once nothing is applied any more.
+// applySettings passes settings of the discovery service to serve and waits until they are in force. It returns
+// discovery.ErrAgentStopping if the agent no longer applies settings, and otherwise the reason why they are rejected.
 func (a *Agent) applySettings(ctx context.Context, settings *endpoint.Settings) error {
 	update := settingsUpdate{settings: settings, done: make(chan error, 1)}
 	select {
@@ -278,16 +279,17 @@
 	}
 }
 
-// Kill ends the agent as SIGKILL would: its sockets are closed at once, and nobody is notified. It does not
-// wait; Run returns once everything has ended. Kill may be called at any time.
+// Kill ends the agent as SIGKILL would: it closes all sockets at once and notifies no peers. It doesn't wait; Run
+// returns once everything has ended. Kill may be called at any time.
 func (a *Agent) Kill() { a.kill() }
 
-// closeAll closes whatever is open and waits for the loop. Clients come first: they must get no response to a
-// request that the loop's end cut off. Errors of closing are ignored: nothing is sent on these sockets any more.
+// closeAll closes everything that is open and waits for the loop. Client connections are closed first, so that no
+// client receives a response to a request that the end of the loop interrupted. Errors from closing are ignored since
+// nothing more is sent on these sockets.
 func (a *Agent) closeAll() {
 	a.downstream.Close()
 	if a.listeners.Admin != nil {
-		_ = a.listeners.Admin.Close() // where it has not been served yet
+		_ = a.listeners.Admin.Close() // the admin server doesn't close it if it has not served it yet
 	}
 	a.admin.Close()
 	a.stopLoop()
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -5,22 +5,23 @@
 	"sync"
 )
 
-// Listeners are the sockets that one agent listens on.
+// Listeners holds the listeners of an agent.
 type Listeners struct {
-	// Clients is where clients connect; nil: nowhere, while everything else of the agent runs.
+	// Clients accepts the client connections. If it is nil, the agent runs without clients.
 	Clients net.Listener
-	// Shared means that other processes accept from the clients' accept queue too, which outlives this process.
+	// Shared means that other processes also accept connections from the accept queue of Clients, which outlives this
+	// process.
 	Shared bool
-	// Lock is the path of the file by which such processes find each other.
+	// Lock is the path of the file that processes which share Clients lock in order to detect each other.
 	Lock string
-	// Admin is where the admin endpoint listens; nil: there is none.
+	// Admin accepts the connections to the admin endpoint; nil if there is no admin endpoint.
 	Admin net.Listener
 }
 
-// unusedListener is a listener that accepts nobody.
+// unusedListener is a listener that accepts no connections.
 type unusedListener struct {
 	closed chan struct{}
-	close  func() // closes closed, once
+	close  func() // closes the channel closed; it may be called more than once
 }
 
 func newUnusedListener() unusedListener {
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -6,8 +6,8 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// startMembership joins the membership; nil: the configuration has none. Each snapshot is posted to the event
-// loop, which waits for none.
+// startMembership joins the membership; it returns nil if none is configured. Each snapshot is posted to the event
+// loop, which never waits for one.
 func startMembership(cfg *config.Config, loop *dispatch.Loop) (*membership.Membership, error) {
 	if cfg.Membership == nil {
 		return nil, nil
@@ -18,8 +18,8 @@
 	return membership.Start(settings)
 }
 
-// leaveMembership notifies the other agents that this process ends, while it finishes its last requests. The
-// returned channel is closed once they are notified.
+// leaveMembership notifies the other agents that this process is ending. It doesn't block: the returned channel is
+// closed once they are notified.
 func leaveMembership(member *membership.Membership) <-chan struct{} {
 	left := make(chan struct{})
 	go func() {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// activeConfig is the configuration in force. It belongs to the goroutine that applies reloads.
+// activeConfig is the configuration in force. It is used only by the goroutine that applies reloads.
 type activeConfig struct {
 	cfg        *config.Config
 	downstream *downstream.Server
@@ -18,16 +18,16 @@
 	drainTime  time.Duration // how long a shutdown waits for open requests; see downstream.DrainTime
 }
 
-// settingsUpdate passes settings from the watch of discovery to the goroutine that applies reloads.
+// settingsUpdate passes settings from the watch of the discovery service to the goroutine that applies reloads.
 type settingsUpdate struct {
 	settings *endpoint.Settings
-	done     chan error // has capacity one, so that applying the settings never blocks
+	done     chan error // receives the result; it has a capacity of one, so that sending never blocks
 }
 
-// reload applies the configuration of a file, except for settings that the discovery service has set.
+// reload applies a configuration that was read from a file, except for settings that the discovery service has set.
 func (a *activeConfig) reload(file *config.Config) {
 	next, err := file.KeepServiceSettings(a.cfg)
-	if err != nil { // unexpected: the service's settings were checked when they arrived
+	if err != nil { // unexpected: the service's settings were validated when they arrived
 		a.loop.Log(slog.LevelError, "settings not applied", "err", err)
 		return
 	}
@@ -40,21 +40,21 @@
 	a.loop.ForgetRejectedSettings()
 }
 
-// applyUpdate applies settings of the discovery service, and sends on update.done when that has ended.
+// applyUpdate applies settings of the discovery service and sends the result on update.done.
 func (a *activeConfig) applyUpdate(update settingsUpdate) {
-	finished := func(err error) { update.done <- err }
+	report := func(err error) { update.done <- err }
 	next, err := a.cfg.WithServiceSettings(update.settings)
 	if err != nil {
-		a.loop.RejectSettings(update.settings.Version, err, finished)
+		a.loop.RejectSettings(update.settings.Version, err, report)
 		return
 	}
 	a.replace(next)
-	a.loop.ApplyServiceSettings(next, finished)
+	a.loop.ApplyServiceSettings(next, report)
 }
 
-// replace makes a configuration the one in force, first for requests that arrive from now on.
+// replace puts a configuration in force for requests that arrive from now on; the caller applies it to the event loop.
 func (a *activeConfig) replace(next *config.Config) {
-	a.drainTime = max(a.drainTime, downstream.DrainTime(&next.Settings)) // open requests keep their deadline
+	a.drainTime = max(a.drainTime, downstream.DrainTime(&next.Settings)) // open requests keep their deadlines
 	a.cfg = next
 	a.downstream.ApplySettings(next)
 }
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -12,28 +12,29 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// lockPollInterval is how often a process that was started beside another checks whether that has ended.
+// lockPollInterval is how often a process that was started while another one is running checks whether the other has
+// ended.
 const lockPollInterval = 100 * time.Millisecond
 
-// connLimiter bounds the connections of one side of the agent.
+// connLimiter limits the connections of one component of the agent.
 type connLimiter interface{ SetConnLimit(maxConns int) }
 
-// sharedLimits are the limits that two processes of one agent share while both are running, a new version
-// beside the old one: each has half of the bytes and of the descriptors.
+// sharedLimits holds the limits that two processes of the same agent share while both are running, as during an
+// upgrade: each process gets half of the memory and of the descriptors.
 type sharedLimits struct {
-	cfg    *config.Config
-	admin  connLimiter
-	conns  connLimiter
-	pool   connLimiter
-	quotas []message.Quota
+	cfg        *config.Config
+	admin      connLimiter
+	downstream connLimiter
+	pool       connLimiter
+	quotas     []message.Quota
 
 	mu     sync.Mutex
 	halved bool
 }
 
-// halve leaves this process half of the limits. What it has acquired beyond that it releases as its use ends;
-// until then nothing more is acquired. Client connections that are open are left to the drain, which closes none
-// that has an open request.
+// halve reduces the limits of this process to half. Where more than half of a quota is in use, nothing more is acquired
+// from it until enough has been released. Open client connections are left to the drain, which doesn't close those with
+// an open request.
 func (s *sharedLimits) halve(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,14 +44,14 @@
 	s.halved = true
 	for _, quota := range s.quotas {
 		if !quota.TryAcquire(quota.Size / 2) {
-			// An error is the end of the process, which needs no full limits.
+			// Acquire fails only when the process is ending, and then the limits no longer matter.
 			go func() { _ = quota.Acquire(ctx, quota.Size/2) }()
 		}
 	}
 	s.divide(2)
 }
 
-// restore gives this process all of the limits again.
+// restore reverts halve.
 func (s *sharedLimits) restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,14 +59,14 @@
 		return
 	}
 	s.halved = false
-	s.conns.SetConnLimit(s.cfg.MaxClientConns())
+	s.downstream.SetConnLimit(s.cfg.MaxClientConns())
 	for _, quota := range s.quotas {
 		quota.Release(quota.Size / 2)
 	}
 	s.divide(1)
 }
 
-// divide divides the limits that are not quotas among that many processes.
+// divide divides the limits that are not quotas by the number of processes.
 func (s *sharedLimits) divide(processes int) {
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
@@ -74,22 +75,22 @@
 	s.admin.SetConnLimit(s.cfg.MaxAdminConns(processes))
 }
 
-// holdLock locks the file until ctx is done. While another process has it locked this one has half of the limits.
-// However a process ends, the kernel releases its lock.
+// holdLock locks the file at path until ctx is done. While another process holds the lock, this process has half of the
+// limits. The kernel releases the lock of a process however the process ends.
 func (s *sharedLimits) holdLock(ctx context.Context, path string) error {
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	lockFile, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("lock: %w", err)
 	}
-	alone := tryLock(file)
-	if !alone {
+	locked := tryLock(lockFile)
+	if !locked {
 		s.cfg.Logger().Info("another process of this agent is running", "limits", "half")
 		s.halve(ctx)
-		s.conns.SetConnLimit(s.cfg.MaxClientConns() / 2)
+		s.downstream.SetConnLimit(s.cfg.MaxClientConns() / 2)
 	}
 	go func() {
-		defer func() { _ = file.Close() }() // nothing was written to it
-		if !alone && !s.awaitLock(ctx, file) {
+		defer func() { _ = lockFile.Close() }() // nothing was written to the file
+		if !locked && !s.awaitLock(ctx, lockFile) {
 			return
 		}
 		<-ctx.Done()
@@ -97,13 +98,14 @@
 	return nil
 }
 
-// awaitLock waits for the end of the other process and restores the limits; false: ctx was done before that.
+// awaitLock waits for the other process to end, then restores the limits and returns true. It returns false if ctx is
+// done first.
 func (s *sharedLimits) awaitLock(ctx context.Context, file *os.File) bool {
-	poll := time.NewTicker(lockPollInterval)
-	defer poll.Stop()
+	ticker := time.NewTicker(lockPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-poll.C:
+		case <-ticker.C:
 			if tryLock(file) {
 				s.restore()
 				s.cfg.Logger().Info("no other process of this agent is running", "limits", "full")
@@ -115,7 +117,7 @@
 	}
 }
 
-// tryLock locks a file unless another process has it locked.
+// tryLock locks a file and reports whether it succeeded; it fails if another process holds the lock.
 func tryLock(file *os.File) bool {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
 }
--- a/internal/agent/shared_limits_test.go
+++ b/internal/agent/shared_limits_test.go
@@ -30,11 +30,11 @@
 	pool := upstream.NewPool(cfg)
 	return limitedProcess{
 		sharedLimits: &sharedLimits{
-			cfg:    cfg,
-			admin:  admin.New(admin.Options{Drainer: clients, MaxConns: cfg.MaxAdminConns(1), Log: slog.Default()}),
-			conns:  clients,
-			pool:   pool,
-			quotas: []message.Quota{clients.ConnSlots(), clients.BodyBudget(), pool.BodyBudget()},
+			cfg:        cfg,
+			admin:      admin.New(admin.Options{Drainer: clients, MaxConns: cfg.MaxAdminConns(1), Log: slog.Default()}),
+			downstream: clients,
+			pool:       pool,
+			quotas:     []message.Quota{clients.ConnSlots(), clients.BodyBudget(), pool.BodyBudget()},
 		},
 		clients: clients,
 		pool:    pool,
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -7,14 +7,14 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// Status is a snapshot of what an agent knows and has counted.
+// Status is a snapshot of the state and the counters of an agent.
 type Status struct {
-	// Membership is the membership view; nil: there is none.
+	// Membership is the membership view; nil if the agent has no membership.
 	Membership *membership.Status
 	dispatch.LoopStatus
 }
 
-// Status returns the agent's status; it never waits for the agent's work.
+// Status returns the agent's status. It doesn't wait for the event loop.
 func (a *Agent) Status() Status {
 	status := Status{LoopStatus: a.loop.Status()}
 	if member := a.membership.Load(); member != nil {
