--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Settings are the policy's settings of an agent, as its configuration file has them.
+// Settings holds the policy settings of an agent in the form of its configuration file.
 const Settings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
  {"name":"send","aimMs":2000,"giveUpMs":4000,"effect":"guarded","group":"all","keyTtlMs":8000,"credit":2,
@@ -29,13 +29,13 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// requestTimeoutMs is the timeout that clients set, in ms.
+// requestTimeoutMs is the request timeout that clients send, in ms.
 const requestTimeoutMs = 4000
 
-// HTTPClient opens a connection for each request, and so never sends one again.
+// HTTPClient opens a new connection for each request, so that net/http never retries one on its own.
 var HTTPClient = &http.Client{Timeout: Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// NewRequest returns a request of a class to the agent at an address. One of the class read has no body.
+// NewRequest returns a request of the given class to the agent at addr. The body is ignored for the class read.
 func NewRequest(addr, class, body string) *http.Request {
 	req := &http.Request{
 		Method: http.MethodGet,
@@ -60,20 +60,19 @@
 	return req
 }
 
-// RequestText is a request of the class read as a client writes it.
+// RequestText returns the text of an HTTP request of the class read.
 func RequestText(id, timeoutMs int) string {
 	return fmt.Sprintf("GET /api/a HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: read\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
 
-// ClientConn is a client's connection that stays open.
+// ClientConn is a persistent client connection.
 type ClientConn struct {
 	net.Conn
 	Reader *bufio.Reader
 }
 
-// ConnectClient opens a connection of a client that keeps it until the end of the test. It may be called in any
-// goroutine.
+// ConnectClient opens a client connection, which is closed when the test ends. It may be called from any goroutine.
 func ConnectClient(tb testing.TB, addr string) (*ClientConn, error) {
 	tb.Helper()
 	var dialer net.Dialer
@@ -88,7 +87,7 @@
 	return &ClientConn{Conn: conn, Reader: bufio.NewReader(conn)}, nil
 }
 
-// DialClient is ConnectClient for the goroutine of a test, which ends at an error.
+// DialClient is like ConnectClient but ends the test if there is an error. It must be called from the test's goroutine.
 func DialClient(tb testing.TB, addr string) *ClientConn {
 	tb.Helper()
 	client, err := ConnectClient(tb, addr)
@@ -98,7 +97,7 @@
 	return client
 }
 
-// Request sends a request of the class read and returns its response.
+// Request sends a request of the class read and returns the response.
 func (c *ClientConn) Request(t *testing.T) Response {
 	t.Helper()
 	c.send(RequestText(1, requestTimeoutMs))
@@ -109,10 +108,10 @@
 	return response
 }
 
-// send writes a request. An error of it shows when the response is read.
+// send writes a request. It ignores errors since they also show when the response is read.
 func (c *ClientConn) send(request string) { _, _ = io.WriteString(c, request) }
 
-// WantClosed waits for the connection's orderly end.
+// WantClosed checks that the peer closes the connection without sending more data and without a reset.
 func (c *ClientConn) WantClosed(t *testing.T) {
 	t.Helper()
 	if _, err := c.Reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -120,7 +119,7 @@
 	}
 }
 
-// Status reads a response and returns its status; 0: there is none.
+// Status reads a response and returns its status code, or 0 if there is no response.
 func (c *ClientConn) Status() int {
 	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
@@ -130,22 +129,23 @@
 	return resp.StatusCode
 }
 
-// RequestReady requests the readiness of the agent, so that the connection is idle afterwards.
+// RequestReady sends a readiness check to the agent and waits for the response, so that the connection is idle
+// afterwards.
 func (c *ClientConn) RequestReady(t *testing.T) {
 	t.Helper()
 	c.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	WantStatus(t, FinalStatus(t, c), http.StatusOK)
 }
 
-// Response is a response that has been read completely. The zero value stands for none.
+// Response is a response that has been read completely. The zero value means that there was no response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
-	Closes bool // it announces that its connection closes
+	Closes bool // the response announces that the agent closes the connection
 }
 
-// ReadResponse reads a response to a request; nil stands for a GET.
+// ReadResponse reads the response to req; a nil req means a GET request.
 func ReadResponse(reader *bufio.Reader, req *http.Request) (Response, error) {
 	resp, err := http.ReadResponse(reader, req)
 	if err != nil {
@@ -155,7 +155,7 @@
 	return readBody(resp)
 }
 
-// readBody reads the body of a response, which the caller closes.
+// readBody reads the body of resp; the caller closes it.
 func readBody(resp *http.Response) (Response, error) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return Response{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Closes: resp.Close}, nil
 }
 
-// Do sends a request and reads the response. It may be called in any goroutine.
+// Do sends a request and reads the response. It may be called from any goroutine.
 func Do(req *http.Request) (Response, error) {
 	resp, err := HTTPClient.Do(req)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return readBody(resp)
 }
 
-// Send is Do for the goroutine of a test, which ends at an error.
+// Send is like Do but ends the test if there is an error. It must be called from the test's goroutine.
 func Send(tb testing.TB, req *http.Request) Response {
 	tb.Helper()
 	response, err := Do(req)
@@ -184,8 +184,8 @@
 	return response
 }
 
-// SendInBackground is Do in a goroutine of its own. An error fails the test, which has to wait for the response: the
-// zero value after an error.
+// SendInBackground is like Do but runs in a new goroutine. If there is an error, it fails the test and sends the zero
+// Response. The test must receive from the returned channel before it ends.
 func SendInBackground(tb testing.TB, req *http.Request) <-chan Response {
 	tb.Helper()
 	responses := make(chan Response, 1)
@@ -199,7 +199,7 @@
 	return responses
 }
 
-// FinalStatus reads a response, which there has to be, and returns its status.
+// FinalStatus reads a response and returns its status code. It ends the test if there is no response.
 func FinalStatus(t *testing.T, client *ClientConn) int {
 	t.Helper()
 	status := client.Status()
--- a/internal/agent/agenttest/config.go
+++ b/internal/agent/agenttest/config.go
@@ -8,14 +8,14 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// The limits of the tests' agents.
+// Limits of the agents in tests.
 const (
 	memoryLimitMB = 192
 	socketLimit   = 1024
 )
 
-// configText is the configuration file of an agent that knows the list of the discovery as it is now. The function
-// change may change its keys; nil changes nothing.
+// configText returns the configuration file of an agent that initially knows the current endpoint list of d. If change
+// is not nil, it is called to modify the keys of the file.
 func configText(tb testing.TB, listen string, d *Discovery, change func(map[string]any)) []byte {
 	tb.Helper()
 	keys := map[string]any{
@@ -37,7 +37,8 @@
 	return text
 }
 
-// PushedConfigText is the configuration file of an agent without clients, to which changes of the list are pushed.
+// PushedConfigText returns the configuration file of an agent without clients to which d pushes changes of its list.
+// If change is not nil, it is called to modify the keys of the file.
 func PushedConfigText(tb testing.TB, d *Discovery, change func(map[string]any)) []byte {
 	tb.Helper()
 	return configText(tb, "127.0.0.1:1", d, func(keys map[string]any) {
@@ -48,7 +49,8 @@
 	})
 }
 
-// NewConfig is the configuration of an agent that knows the list of the discovery as it is now.
+// NewConfig returns the configuration of an agent that listens on the given address and initially knows the current
+// endpoint list of d.
 func NewConfig(tb testing.TB, listen string, d *Discovery) *config.Config {
 	tb.Helper()
 	cfg, err := config.Parse(configText(tb, listen, d, nil))
--- a/internal/agent/agenttest/discovery.go
+++ b/internal/agent/agenttest/discovery.go
@@ -17,17 +17,17 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// connNumberKey is the context key of the number of a call's connection.
+// connNumberKey is the context key for the number of the connection on which a call arrived.
 type connNumberKey struct{}
 
-// WatchCall is a call that a scripted discovery received: its index, and the number of its connection.
+// WatchCall is a call that a scripted discovery service has received.
 type WatchCall struct {
-	Index string
-	Conn  int64
+	Index string // the call's parameter index
+	Conn  int64  // the number of the connection on which the call arrived
 }
 
-// ScriptedDiscovery answers the n-th call (from 0) with the body that the script returns; after "" it does not respond,
-// and waits until the caller gives up.
+// ScriptedDiscovery starts a discovery service that answers the n-th call (counted from 0) with the body that script
+// returns. If the body is empty, the service doesn't respond and waits until the caller gives up.
 func ScriptedDiscovery(t *testing.T, script func(n int, c WatchCall) string) (addr string, calls <-chan WatchCall) {
 	t.Helper()
 	var count, conns atomic.Int64
@@ -54,31 +54,31 @@
 	return server.Listener.Addr().String(), received
 }
 
-// NextCall waits for the next call of a scripted discovery.
+// NextCall waits for the next call to a scripted discovery service.
 func NextCall(t *testing.T, calls <-chan WatchCall) WatchCall {
 	t.Helper()
 	select {
 	case call := <-calls:
 		return call
 	case <-time.After(Timeout):
-		t.Fatal("no call")
+		t.Fatal("no call to the discovery service")
 		return WatchCall{}
 	}
 }
 
-// Discovery has a list and answers fetches and watches.
+// Discovery is a discovery service that answers polls and watches of its endpoint list.
 type Discovery struct {
 	*httptest.Server
 	mu      sync.Mutex
 	List    endpoint.List
-	changed map[string]uint64 // version of each entry's last change
+	changed map[string]uint64 // the list version of each endpoint's last change, by endpoint ID
 	down    bool
 	calls   int
 	wake    chan struct{}
 	watched chan uint64 // the index of each watch call
 }
 
-// NewDiscovery starts a discovery whose list has version 1.
+// NewDiscovery starts a discovery service whose list contains the servers and has version 1.
 func NewDiscovery(tb testing.TB, servers ...endpoint.Endpoint) *Discovery {
 	tb.Helper()
 	d := &Discovery{
@@ -117,7 +117,7 @@
 	d.serveWatch(req.Context(), w, index, time.Duration(wait)*time.Millisecond)
 }
 
-// serveWatch answers a watch call once there is a version above its index, or with no change after its wait.
+// serveWatch answers a watch call as soon as the list has a version above index, or with an empty delta after wait.
 func (d *Discovery) serveWatch(ctx context.Context, w http.ResponseWriter, index uint64, wait time.Duration) {
 	timeout := time.After(wait)
 	for {
@@ -143,7 +143,8 @@
 	}
 }
 
-// changesSince are the entries that changed after a version; after version 0 all of them did. The caller has mu.
+// changesSince returns the endpoints that changed after a version, or the full list if the version is 0. The caller
+// must hold d.mu.
 func (d *Discovery) changesSince(version uint64) endpoint.List {
 	if version == 0 {
 		return endpoint.List{Version: d.List.Version, Full: true, Servers: slices.Clone(d.List.Servers)}
@@ -157,10 +158,10 @@
 	return delta
 }
 
-// writeList writes a list as the response to a call. A caller that has gone needs none.
+// writeList writes list as the response to a call. It ignores errors: the caller may have closed the connection.
 func writeList(w http.ResponseWriter, list *endpoint.List) { _ = json.NewEncoder(w).Encode(list) }
 
-// Set changes or adds an entry.
+// Set adds an endpoint to the list or replaces the one with the same ID.
 func (d *Discovery) Set(entry endpoint.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +176,7 @@
 	d.wakeWatches()
 }
 
-// SetDown sets whether every call fails, with a status of 503.
+// SetDown sets whether every call fails with status 503.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,21 +184,22 @@
 	d.wakeWatches()
 }
 
-// wakeWatches has the open watch calls look again. The caller has mu.
+// wakeWatches makes the open watch calls check the state again. The caller must hold d.mu.
 func (d *Discovery) wakeWatches() {
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
-// CallCount is the number of calls so far.
+// CallCount returns the number of calls so far.
 func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// WaitNotified changes an entry and returns once the agent has passed the change to its loop: the watch calls
-// again first and passes on then, so one more change is made and the call after that is waited for.
+// WaitNotified changes an endpoint and returns once the agent has passed the change to its event loop. The agent's
+// watch makes its next call before it passes a change on. WaitNotified therefore makes a second change and waits for
+// the call after that.
 func (d *Discovery) WaitNotified(t *testing.T, entry endpoint.Endpoint) {
 	t.Helper()
 	d.Set(entry)
@@ -222,7 +224,7 @@
 	}
 }
 
-// Endpoint is the entry of a server that is ready.
+// Endpoint returns the endpoint of a server that is ready.
 func Endpoint(id, addr string) endpoint.Endpoint {
 	return endpoint.Endpoint{ID: id, Addr: addr, Zone: "east", Kind: "big", State: endpoint.StateUp, Weight: 1}
 }
--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -12,20 +12,20 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// SystemCall is a system call that a fault makes fail.
+// SystemCall is a system call that can be made to fail.
 type SystemCall string
 
-// The system calls that may fail. On the side of a listener CallConnect is the accept.
+// The system calls that can be made to fail. For a FaultyListener, CallConnect stands for accept.
 const (
 	CallConnect SystemCall = "connect"
 	CallRead    SystemCall = "read"
 	CallWrite   SystemCall = "write"
 )
 
-// CallFault makes a connection's call fail once so many bytes have passed it, and every call after that.
+// CallFault makes a system call on a connection fail. All reads and writes after that fail too.
 type CallFault struct {
 	Call  SystemCall
-	After int64
+	After int64 // the number of bytes that the call transfers before it fails
 	Errno syscall.Errno
 }
 
@@ -34,13 +34,13 @@
 }
 
 const (
-	// singleBytes is how many bytes pass one by one before they pass by shortPiece: long bodies too
-	// pass in many short calls.
+	// singleBytes is how many bytes are transferred one at a time. After that, a call transfers at most shortPiece
+	// bytes, so that long bodies also take many short calls.
 	singleBytes = 1000
 	shortPiece  = 61
 )
 
-// shortCall is how many of the available bytes a call moves.
+// shortCall returns how many of the available bytes a call transfers after passed bytes.
 func shortCall(passed int64, available int) int {
 	if passed < singleBytes {
 		return min(1, available)
@@ -48,12 +48,12 @@
 	return min(shortPiece, available)
 }
 
-// faultyConn reads and writes a few bytes a call, the first ones one by one, until its fault.
+// faultyConn is a connection that transfers only a few bytes per call (see shortCall) until its fault occurs.
 type faultyConn struct {
 	*net.TCPConn
-	fault         *CallFault // nil: none
+	fault         *CallFault // nil if there is none
 	read, written atomic.Int64
-	broken        atomic.Bool
+	broken        atomic.Bool // the fault has occurred
 }
 
 func (c *faultyConn) fails(call SystemCall, passed int64) bool {
@@ -89,14 +89,15 @@
 	return len(b), nil
 }
 
-// FaultPlan has the faults of the connections to come, in order; those after them have none.
+// FaultPlan assigns faults to connections in the order in which they are opened or accepted. Connections beyond the
+// last fault have none.
 type FaultPlan struct {
 	mu     sync.Mutex
-	faults []CallFault
-	conns  map[string]*faultyConn // by the peer's address
+	faults []CallFault            // those that are not yet assigned
+	conns  map[string]*faultyConn // by peer address
 }
 
-// NewFaultPlan returns a plan of faults, one for each connection.
+// NewFaultPlan returns a plan that assigns one fault to each connection.
 func NewFaultPlan(faults []CallFault) *FaultPlan {
 	return &FaultPlan{faults: faults, conns: map[string]*faultyConn{}}
 }
@@ -120,7 +121,7 @@
 	return faulty
 }
 
-// Broke reports whether the connection of a peer has met its fault.
+// Broke reports whether the fault of the connection to peer has occurred.
 func (p *FaultPlan) Broke(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +129,8 @@
 	return conn != nil && conn.broken.Load()
 }
 
-// Dial opens a connection to a server, as a pool of connections has it opened.
+// Dial opens a connection to a server and assigns it the next fault of the plan. It can replace the dial function of a
+// connection pool.
 func (p *FaultPlan) Dial(ctx context.Context, addr string, until time.Time) (net.Conn, error) {
 	fault := p.next()
 	if fault != nil && fault.Call == CallConnect {
@@ -141,13 +143,13 @@
 	return p.wrap(conn, fault), nil
 }
 
-// FaultyListener accepts clients by a plan.
+// FaultyListener is a listener whose connections have the faults of a plan.
 type FaultyListener struct {
 	net.Listener
 	Plan *FaultPlan
 }
 
-// Accept accepts a connection, which has the next fault of the plan.
+// Accept accepts a connection and assigns it the next fault of the plan.
 func (l FaultyListener) Accept() (net.Conn, error) {
 	fault := l.Plan.next()
 	if fault != nil && fault.Call == CallConnect {
@@ -160,7 +162,7 @@
 	return l.Plan.wrap(conn, fault), nil
 }
 
-// LocalErrnos say at connect that this machine lacks a resource, ServerErrnos that the server fails.
+// Errors of connect(2): LocalErrnos mean that the local machine lacks a resource, ServerErrnos that the server fails.
 var (
 	LocalErrnos = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
@@ -172,7 +174,7 @@
 	}
 )
 
-// ConnectError is the error of a dial whose connect failed.
+// ConnectError returns the error of a dial whose connect call failed.
 func ConnectError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
--- a/internal/agent/agenttest/flaky_listener.go
+++ b/internal/agent/agenttest/flaky_listener.go
@@ -8,27 +8,26 @@
 	"testing"
 )
 
-// AcceptErrnos are errors that accept(2) may return temporarily and that net/http takes for the listener's
-// end.
+// AcceptErrnos are temporary errors of accept(2) that net/http treats as the end of the listener.
 var AcceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENFILE, syscall.EMFILE, syscall.ECONNABORTED,
 }
 
-// flakyListener fails each accept once with every one of AcceptErrnos before it accepts.
+// flakyListener is a listener that returns each of AcceptErrnos once before it accepts a connection.
 type flakyListener struct {
 	net.Listener
 	mu   sync.Mutex
 	next int
 }
 
-// NewFlakyListener returns a listener whose every accept fails once with each of AcceptErrnos before it accepts.
+// NewFlakyListener returns a listener that, before each connection it accepts, returns each of AcceptErrnos once.
 func NewFlakyListener(t *testing.T) net.Listener {
 	t.Helper()
 	return &flakyListener{Listener: Listen(t)}
 }
 
-// Accept fails, or accepts once each of AcceptErrnos has been returned.
+// Accept returns the next of AcceptErrnos. Once it has returned all of them, it accepts a connection and starts over.
 func (l *flakyListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	i := l.next
--- a/internal/agent/agenttest/listen.go
+++ b/internal/agent/agenttest/listen.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Listen listens on a loopback port that the system chooses. The listener is closed at the end of the test at the
-// latest.
+// Listen listens on a loopback port chosen by the system. The listener is closed when the test ends, unless its owner
+// closes it earlier.
 func Listen(tb testing.TB) net.Listener {
 	tb.Helper()
 	ln, err := new(net.ListenConfig).Listen(tb.Context(), "tcp", "127.0.0.1:0")
@@ -17,8 +17,8 @@
 	return ln
 }
 
-// AcceptAll hands each connection of a listener to a goroutine of its own until the listener is closed. The connection
-// is closed after that.
+// AcceptAll accepts connections until the listener is closed. It calls handle for each connection in a new goroutine,
+// and closes the connection when handle returns.
 func AcceptAll(listener net.Listener, handle func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/agent/agenttest/nodelay.go
+++ b/internal/agent/agenttest/nodelay.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// HasNoDelay reports whether a connection sends small writes at once.
+// HasNoDelay reports whether TCP_NODELAY is set on a connection, so that small writes are sent at once.
 func HasNoDelay(tb testing.TB, conn net.Conn) bool {
 	tb.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -1,4 +1,4 @@
-// Package agenttest has servers, discoveries, clients and faults for the tests of an agent's packages.
+// Package agenttest provides servers, discovery services, clients and faults for the tests of the agent's packages.
 package agenttest
 
 import (
@@ -12,24 +12,24 @@
 	"testing"
 )
 
-// Responder handles the n-th request (from 0) to a server; false closes the connection.
+// Responder handles the n-th request (counted from 0) to a server. If it returns false, the connection is closed.
 type Responder = func(conn net.Conn, req *http.Request, n int) bool
 
-// Server is a server of requests, whose responses a test scripts.
+// Server is an HTTP server whose responses are written by a Responder.
 type Server struct {
 	Listener    net.Listener
 	Addr        string
 	Respond     Responder
-	ConnsClosed chan struct{} // a value for each connection that the agent closed
+	ConnsClosed chan struct{} // receives a value for each connection that has ended
 
 	mu       sync.Mutex
-	started  int // requests that have begun to arrive
-	arrivals int // complete requests
-	conns    int // open now
-	maxConns int // the most connections that were open at a time
+	started  int // requests whose header has been read
+	arrivals int // requests that have been read completely
+	conns    int // connections that are open
+	maxConns int // the maximum of conns so far
 }
 
-// NewServer starts a server.
+// NewServer starts a server that answers requests by respond.
 func NewServer(tb testing.TB, respond Responder) *Server {
 	tb.Helper()
 	ln := Listen(tb)
@@ -81,21 +81,21 @@
 	}
 }
 
-// Count counts the complete requests.
+// Count returns the number of requests that have been read completely.
 func (s *Server) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.arrivals
 }
 
-// MaxConns is the most connections that were open at a time.
+// MaxConns returns the maximum number of connections that were open at the same time.
 func (s *Server) MaxConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxConns
 }
 
-// ResetCounts resets the counts of requests.
+// ResetCounts resets Count and StartedCount to 0.
 func (s *Server) ResetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,27 +103,28 @@
 	s.arrivals = 0
 }
 
-// StartedCount counts the requests that have begun to arrive.
+// StartedCount returns the number of requests whose header has been read.
 func (s *Server) StartedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.started
 }
 
-// SendResponse writes a response; header is lines, each with its end.
+// SendResponse writes a response and reports whether that succeeded. Each line of header must end with CRLF.
 func SendResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
-// RespondOK answers a request with its method, path and body.
+// RespondOK is a Responder that answers a request with its method, path and body.
 func RespondOK(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
 	text := req.Method + " " + req.URL.RequestURI() + " " + string(body)
 	return SendResponse(c, http.StatusOK, "Server-Load: qps=3,util=0.5,eps=0\r\n", text)
 }
 
-// ResetConn makes the close of a connection a reset; it returns false, as the end of a Responder.
+// ResetConn makes the connection end with a reset when it is closed. It returns false, which a Responder can return to
+// close the connection.
 func ResetConn(c net.Conn) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -14,20 +14,21 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// SettingsDiscovery is an instance of a discovery service that sends settings.
+// SettingsDiscovery is an instance of a discovery service that sends settings. Once it receives calls, its fields
+// Settings, SendsAlways and Down may be changed only by functions that are passed to Change.
 type SettingsDiscovery struct {
 	*httptest.Server
-	Calls chan url.Values // of each call
+	Calls chan url.Values // the query of each call
 
 	mu          sync.Mutex
 	version     uint64
-	Settings    *endpoint.Settings // nil: it has none
-	SendsAlways bool               // it sends its settings whatever version the call has
+	Settings    *endpoint.Settings // nil if there are none
+	SendsAlways bool               // settings are sent regardless of the version that the caller has
 	Down        bool               // every call fails
 	wake        chan struct{}
 }
 
-// NewSettingsDiscovery starts an instance whose list is empty and has a version.
+// NewSettingsDiscovery starts an instance whose endpoint list is empty and has the given version.
 func NewSettingsDiscovery(t *testing.T, version uint64) *SettingsDiscovery {
 	t.Helper()
 	d := &SettingsDiscovery{version: version, Calls: make(chan url.Values, eventBuffer), wake: make(chan struct{})}
@@ -39,7 +40,7 @@
 	return d
 }
 
-// Addr is the address of the instance.
+// Addr returns the address of the instance.
 func (d *SettingsDiscovery) Addr() string { return d.Listener.Addr().String() }
 
 func (d *SettingsDiscovery) serve(w http.ResponseWriter, req *http.Request) {
@@ -69,7 +70,8 @@
 	}
 }
 
-// response is the list for a call, with the settings if the call needs them. The caller has mu.
+// response returns the list that answers a call, including the settings if the caller needs them. The caller must hold
+// d.mu.
 func (d *SettingsDiscovery) response(query url.Values) endpoint.List {
 	list := endpoint.List{
 		Version: d.version,
@@ -86,13 +88,13 @@
 	return list
 }
 
-// number is the number of a query's key; 0: it has none.
+// number returns the value of a query parameter as a number, or 0 if it is absent or not a number.
 func number(query url.Values, key string) uint64 {
 	value, _ := strconv.ParseUint(query.Get(key), 10, 64)
 	return value
 }
 
-// Change calls a function that changes the instance, and has the open calls look again.
+// Change calls a function that changes the state of the instance, and makes the open calls check the state again.
 func (d *SettingsDiscovery) Change(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,14 +103,14 @@
 	d.wake = make(chan struct{})
 }
 
-// Publish has settings of a version sent.
+// Publish makes the instance send settings with the given version and value.
 func (d *SettingsDiscovery) Publish(version uint64, value string) {
 	d.Change(func() {
 		d.Settings = &endpoint.Settings{Service: "pay", Version: version, Value: json.RawMessage(value)}
 	})
 }
 
-// waitCall waits for a call that satisfies a condition.
+// waitCall waits for a call whose query satisfies matches.
 func (d *SettingsDiscovery) waitCall(t *testing.T, what string, matches func(url.Values) bool) url.Values {
 	t.Helper()
 	timeout := time.After(Timeout)
@@ -119,26 +121,26 @@
 				return query
 			}
 		case <-timeout:
-			t.Fatal("no call with ", what)
+			t.Fatal("no call to the discovery service with ", what)
 		}
 	}
 }
 
-// WaitCallWith waits for a call whose key has a value.
+// WaitCallWith waits for a call that has a query parameter with the given value.
 func (d *SettingsDiscovery) WaitCallWith(t *testing.T, key, value string) url.Values {
 	t.Helper()
 	return d.waitCall(t, key+"="+value, func(query url.Values) bool { return query.Get(key) == value })
 }
 
-// Drain forgets the calls so far.
+// Drain discards the calls received so far.
 func (d *SettingsDiscovery) Drain() {
 	for len(d.Calls) > 0 {
 		<-d.Calls
 	}
 }
 
-// SettingsWith are the tests' settings without the keys that belong to one agent, one text replaced by
-// another.
+// SettingsWith returns Settings without the keys that are specific to one agent, with the first occurrence of from
+// replaced by to.
 func SettingsWith(from, to string) string {
 	text := strings.NewReplacer(`"index":0,`, ``, `,"zone":0`, ``).Replace(Settings)
 	return strings.Replace(text, from, to, 1)
--- a/internal/agent/agenttest/wait.go
+++ b/internal/agent/agenttest/wait.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Timeout bounds every wait of the tests; none of them needs more than a part of it.
+// Timeout bounds every wait in the tests. It is longer than any of them should take.
 const Timeout = 20 * time.Second
 
-// MaxTestLines is how many log lines may wait for a test.
+// MaxTestLines is the number of log lines that are buffered for a test.
 const MaxTestLines = 1000
 
-// eventBuffer is how many events of one kind may wait for a test.
+// eventBuffer is the number of events of one kind that are buffered for a test.
 const eventBuffer = 1000
 
-// pollInterval is how often a condition that is waited for is checked.
+// pollInterval is how often a wait checks its condition.
 const pollInterval = time.Millisecond
 
-// NotifiedWithin is the time within which the agent has to know a change of a discovery that can be reached.
+// NotifiedWithin is the time within which the agent must know a change of the endpoint list if it can reach the
+// discovery service.
 const NotifiedWithin = 6 * time.Second
 
-// WaitUntil waits for a condition.
+// WaitUntil waits until condition returns true.
 func WaitUntil(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
 	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			tb.Fatal("the wait timed out: ", what)
+			tb.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
-// LineWriter sends each line that is written; it drops those for which there is no space.
+// LineWriter is an io.Writer that sends each line to its channel. It drops lines while the buffer is full.
 type LineWriter chan string
 
-// Write sends a line; it never fails.
+// Write sends a line. It never returns an error.
 func (w LineWriter) Write(line []byte) (int, error) {
 	select {
 	case w <- string(line):
@@ -43,7 +44,7 @@
 	return len(line), nil
 }
 
-// WaitLine waits for a line that contains text.
+// WaitLine waits for a line that contains text and returns it.
 func WaitLine(t *testing.T, lines <-chan string, text string) string {
 	t.Helper()
 	timeout := time.After(Timeout)
@@ -54,15 +55,15 @@
 				return line
 			}
 		case <-timeout:
-			t.Fatalf("no line with %q", text)
+			t.Fatalf("no line contains %q", text)
 		}
 	}
 }
 
-// WantStatus checks the status of a response.
+// WantStatus checks the status code of a response.
 func WantStatus(t *testing.T, got, want int) {
 	t.Helper()
 	if got != want {
-		t.Errorf("got the status %d, want %d", got, want)
+		t.Errorf("got status %d, want %d", got, want)
 	}
 }
