--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -15,17 +15,17 @@
 )
 
 // SettingsDiscovery is an instance of a discovery service that sends settings. Once it receives calls, its fields
-// Settings, SendsAlways and Down may be changed only by functions that are passed to Change.
+// Settings, AlwaysSend and Down may be changed only by functions that are passed to Change.
 type SettingsDiscovery struct {
 	*httptest.Server
 	Calls chan url.Values // the query of each call
 
-	mu          sync.Mutex
-	version     uint64
-	Settings    *endpoint.Settings // nil if there are none
-	SendsAlways bool               // settings are sent regardless of the version that the caller has
-	Down        bool               // every call fails
-	wake        chan struct{}
+	mu         sync.Mutex
+	version    uint64
+	Settings   *endpoint.Settings // nil if there are none
+	AlwaysSend bool               // settings are sent regardless of the version that the caller has
+	Down       bool               // every call fails
+	wake       chan struct{}
 }
 
 // NewSettingsDiscovery starts an instance whose endpoint list is empty and has the given version.
@@ -82,7 +82,7 @@
 		return list
 	}
 	known := max(number(query, "in_force"), number(query, "refused"))
-	if d.SendsAlways || d.Settings.Version > known {
+	if d.AlwaysSend || d.Settings.Version > known {
 		list.Settings = d.Settings
 	}
 	return list
@@ -132,8 +132,8 @@
 	return d.waitCall(t, key+"="+value, func(query url.Values) bool { return query.Get(key) == value })
 }
 
-// Drain discards the calls received so far.
-func (d *SettingsDiscovery) Drain() {
+// DiscardCalls discards the calls received so far.
+func (d *SettingsDiscovery) DiscardCalls() {
 	for len(d.Calls) > 0 {
 		<-d.Calls
 	}
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -85,7 +85,7 @@
 	first.Change(func() { first.Down = true })
 	second.WaitCallWith(t, "index", "41")
 	first.Change(func() { first.Down = false })
-	first.Drain()
+	first.DiscardCalls()
 	for range 3 {
 		if query := second.WaitCallWith(t, "index", "41"); len(query) != 2 {
 			t.Errorf("the call has the query parameters %v, want an index and a wait", query)
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -136,9 +136,9 @@
 		wantSettings(t, agent, applied)
 	}
 	// An instance with an older version, which it sends whatever the agent has, turns nothing back.
-	discovery.Change(func() { discovery.SendsAlways = true })
+	discovery.Change(func() { discovery.AlwaysSend = true })
 	discovery.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
-	discovery.Drain()
+	discovery.DiscardCalls()
 	for range 5 {
 		discovery.WaitCallWith(t, "in_force", "52")
 	}
@@ -245,7 +245,7 @@
 	reloaded.Control = &config.Control{Service: "other", Addresses: []string{discovery.Addr()}}
 	moved.Change(func() {
 		moved.Settings = discovery.Settings
-		moved.SendsAlways = true
+		moved.AlwaysSend = true
 	})
 	agent.reloads <- &reloaded
 	agenttest.WaitLine(t, lines, "settings of the file superseded by the service's")
@@ -259,7 +259,7 @@
 	})
 	// Either of the two may have the agent's watch by now.
 	for _, service := range []*agenttest.SettingsDiscovery{discovery, moved} {
-		service.Change(func() { service.SendsAlways = false })
+		service.Change(func() { service.AlwaysSend = false })
 		service.Publish(60, withMaxAttempts(1))
 	}
 	agenttest.WaitUntil(t, "the next settings are applied", func() bool {
