--- a/internal/agent/agenttest/discovery.go
+++ b/internal/agent/agenttest/discovery.go
@@ -26,9 +26,11 @@
 	Conn  int64  // the number of the connection on which the call arrived
 }
 
-// ScriptedDiscovery starts a discovery service that answers the n-th call (counted from 0) with the body that script
-// returns. If the body is empty, the service doesn't respond and waits until the caller gives up.
-func ScriptedDiscovery(t *testing.T, script func(n int, c WatchCall) string) (addr string, calls <-chan WatchCall) {
+// StartScriptedDiscovery starts a discovery service that answers the n-th call (counted from 0) with the body that
+// script returns. If the body is empty, the service doesn't respond and waits until the caller gives up.
+func StartScriptedDiscovery(
+	t *testing.T, script func(n int, c WatchCall) string,
+) (addr string, calls <-chan WatchCall) {
 	t.Helper()
 	var count, conns atomic.Int64
 	received := make(chan WatchCall, eventBuffer)
--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -121,8 +121,8 @@
 	return faulty
 }
 
-// Broke reports whether the fault of the connection to peer has occurred.
-func (p *FaultPlan) Broke(peer net.Addr) bool {
+// FaultOccurred reports whether the fault of the connection to peer has occurred.
+func (p *FaultPlan) FaultOccurred(peer net.Addr) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.conns[peer.String()]
--- a/internal/agent/agenttest/wait.go
+++ b/internal/agent/agenttest/wait.go
@@ -9,8 +9,8 @@
 // Timeout bounds every wait in the tests. It is longer than any of them should take.
 const Timeout = 20 * time.Second
 
-// MaxTestLines is the number of log lines that are buffered for a test.
-const MaxTestLines = 1000
+// MaxBufferedLines is the number of log lines that are buffered for a test.
+const MaxBufferedLines = 1000
 
 // eventBuffer is the number of events of one kind that are buffered for a test.
 const eventBuffer = 1000
@@ -18,9 +18,9 @@
 // pollInterval is how often a wait checks its condition.
 const pollInterval = time.Millisecond
 
-// NotifiedWithin is the time within which the agent must know a change of the endpoint list if it can reach the
+// MaxNotifyDelay is the time within which the agent must know a change of the endpoint list if it can reach the
 // discovery service.
-const NotifiedWithin = 6 * time.Second
+const MaxNotifyDelay = 6 * time.Second
 
 // WaitUntil waits until condition returns true.
 func WaitUntil(tb testing.TB, what string, condition func() bool) {
--- a/internal/agent/discovery/client_test.go
+++ b/internal/agent/discovery/client_test.go
@@ -24,7 +24,7 @@
 // have failed together with the first one.
 func TestSilentWatchIsReopened(t *testing.T) {
 	t.Parallel()
-	addr, calls := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
+	addr, calls := agenttest.StartScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
 		if call.Index == "" {
 			return `{"version":7,"full":true,"servers":[]}`
 		}
@@ -43,7 +43,7 @@
 	if third.Index != "7" || third.Conn == first.Conn || third.Conn == second.Conn {
 		t.Errorf("the call after the timeout is %+v, want index 7 on a new connection", third)
 	}
-	if took := time.Since(silentSince); took > agenttest.NotifiedWithin {
+	if took := time.Since(silentSince); took > agenttest.MaxNotifyDelay {
 		t.Errorf("the watch was opened again too late, after %v", took)
 	}
 }
@@ -52,8 +52,8 @@
 // version of the old address.
 func TestMovedDiscoveryIsPolledForTheFullList(t *testing.T) {
 	t.Parallel()
-	old, oldCalls := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string { return "" })
-	moved, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
+	old, oldCalls := agenttest.StartScriptedDiscovery(t, func(int, agenttest.WatchCall) string { return "" })
+	moved, calls := agenttest.StartScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 		if n < 2 {
 			return "no list"
 		}
@@ -97,7 +97,7 @@
 		if response.Err == nil || errors.Is(response.Err, errMoved) {
 			t.Fatalf("response %+v, want a failed call", response)
 		}
-		if wait := time.Since(last); wait > agenttest.NotifiedWithin-watchWait-callGrace {
+		if wait := time.Since(last); wait > agenttest.MaxNotifyDelay-watchWait-callGrace {
 			t.Errorf("a failed call was repeated too late, after %v", wait)
 		}
 		last = time.Now()
@@ -108,7 +108,7 @@
 // time for the call that is open when discovery stops responding to time out, and for the next call to complete.
 func TestLongestWaitLeavesTimeForTheNextCall(t *testing.T) {
 	const draws, failures = 300, 15
-	const longestWait = agenttest.NotifiedWithin - (watchWait + callGrace) - callGrace
+	const longestWait = agenttest.MaxNotifyDelay - (watchWait + callGrace) - callGrace
 	for range draws {
 		backoff := new(singleAddressBackoff)
 		for failure := range failures {
--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -151,7 +151,7 @@
 	var mu sync.Mutex
 	var indexes []string
 	for range 3 {
-		addr, _ := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
+		addr, _ := agenttest.StartScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
 			mu.Lock()
 			defer mu.Unlock()
 			indexes = append(indexes, call.Index)
--- a/internal/agent/dispatch/fixture_test.go
+++ b/internal/agent/dispatch/fixture_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	ln := agenttest.Listen(t)
 	cfg := agenttest.NewConfig(t, ln.Addr().String(), discovery)
-	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
+	lines := make(agenttest.LineWriter, agenttest.MaxBufferedLines)
 	cfg.Log = slog.New(slog.NewTextHandler(lines, nil))
 	if change != nil {
 		change(cfg)
--- a/internal/agent/dispatch/list_updates_test.go
+++ b/internal/agent/dispatch/list_updates_test.go
@@ -45,7 +45,7 @@
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
 			var stalled atomic.Bool
-			addr, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
+			addr, calls := agenttest.StartScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 				switch {
 				case !stalled.Load() && n > 0: // discovery stops responding with the second call open
 					stalled.Store(true)
@@ -68,7 +68,7 @@
 			agenttest.WaitUntil(t, "the list change is applied", func() bool {
 				return runInLoop(loop, func() bool { return !loop.endpoints.byID["s-1"].IsAvailable() })
 			})
-			if took := time.Since(stalledSince); took > agenttest.NotifiedWithin {
+			if took := time.Since(stalledSince); took > agenttest.MaxNotifyDelay {
 				t.Errorf("list change was applied after %v", took)
 			}
 		})
@@ -97,7 +97,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			addr, calls := agenttest.ScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
+			addr, calls := agenttest.StartScriptedDiscovery(t, func(n int, _ agenttest.WatchCall) string {
 				if n == 0 {
 					<-release
 					return text
@@ -131,7 +131,7 @@
 	t.Parallel()
 	var mu sync.Mutex
 	var indexes []string
-	addr, _ := agenttest.ScriptedDiscovery(t, func(n int, call agenttest.WatchCall) string {
+	addr, _ := agenttest.StartScriptedDiscovery(t, func(n int, call agenttest.WatchCall) string {
 		mu.Lock()
 		indexes = append(indexes, call.Index)
 		mu.Unlock()
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -133,7 +133,7 @@
 	t.Parallel()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
 	var reachable atomic.Bool
-	addr, _ := agenttest.ScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
+	addr, _ := agenttest.StartScriptedDiscovery(t, func(int, agenttest.WatchCall) string {
 		if !reachable.Load() {
 			return ""
 		}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -208,7 +208,7 @@
 
 // logLines makes the agent pass its log lines to the test, as text.
 func (agent *testAgent) logLines() <-chan string {
-	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
+	lines := make(agenttest.LineWriter, agenttest.MaxBufferedLines)
 	agent.log.lines.Store(&lines)
 	return lines
 }
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -161,7 +161,7 @@
 		req.Header.Set("X-Chunked", "1")
 	}
 	resp, err := client.exchange(req)
-	broke := client.plan.Broke(client.conn.LocalAddr())
+	broke := client.plan.FaultOccurred(client.conn.LocalAddr())
 	if err == nil {
 		err = client.env.check(request.Class, id, resp)
 		if resp.Closes {
