--- a/internal/agent/agenttest/faults.go
+++ b/internal/agent/agenttest/faults.go
@@ -34,21 +34,21 @@
 }
 
 const (
-	// singleBytes is how many bytes are transferred one at a time. After that, a call transfers at most shortPiece
+	// singleByteCalls is how many bytes are transferred one at a time. After that, a call transfers at most maxShortCall
 	// bytes, so that long bodies also take many short calls.
-	singleBytes = 1000
-	shortPiece  = 61
+	singleByteCalls = 1000
+	maxShortCall    = 61
 )
 
-// shortCall returns how many of the available bytes a call transfers after passed bytes.
-func shortCall(passed int64, available int) int {
-	if passed < singleBytes {
+// shortCallSize returns how many of the available bytes a call transfers after passed bytes.
+func shortCallSize(passed int64, available int) int {
+	if passed < singleByteCalls {
 		return min(1, available)
 	}
-	return min(shortPiece, available)
+	return min(maxShortCall, available)
 }
 
-// faultyConn is a connection that transfers only a few bytes per call (see shortCall) until its fault occurs.
+// faultyConn is a connection that transfers only a few bytes per call (see shortCallSize) until its fault occurs.
 type faultyConn struct {
 	*net.TCPConn
 	fault         *CallFault // nil if there is none
@@ -67,7 +67,7 @@
 	if c.fails(CallRead, c.read.Load()) {
 		return 0, c.fault.err()
 	}
-	n, err := c.TCPConn.Read(b[:shortCall(c.read.Load(), len(b))])
+	n, err := c.TCPConn.Read(b[:shortCallSize(c.read.Load(), len(b))])
 	c.read.Add(int64(n))
 	return n, err
 }
@@ -79,7 +79,7 @@
 		if c.fails(CallWrite, passed) {
 			return done, c.fault.err()
 		}
-		n, err := c.TCPConn.Write(b[done : done+shortCall(passed, len(b)-done)])
+		n, err := c.TCPConn.Write(b[done : done+shortCallSize(passed, len(b)-done)])
 		c.written.Add(int64(n))
 		done += n
 		if err != nil {
--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -46,7 +46,7 @@
 func (d *SettingsDiscovery) serve(w http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	d.Calls <- query
-	wait := time.Duration(number(query, "wait")) * time.Millisecond
+	wait := time.Duration(queryNumber(query, "wait")) * time.Millisecond
 	timeout := time.After(wait)
 	for timedOut := false; ; {
 		d.mu.Lock()
@@ -75,21 +75,21 @@
 func (d *SettingsDiscovery) response(query url.Values) endpoint.List {
 	list := endpoint.List{
 		Version: d.version,
-		Full:    number(query, "index") == 0,
+		Full:    queryNumber(query, "index") == 0,
 		Servers: []endpoint.Endpoint{},
 	}
 	if d.Settings == nil || query.Get("service") != d.Settings.Service {
 		return list
 	}
-	known := max(number(query, "in_force"), number(query, "refused"))
+	known := max(queryNumber(query, "in_force"), queryNumber(query, "refused"))
 	if d.AlwaysSend || d.Settings.Version > known {
 		list.Settings = d.Settings
 	}
 	return list
 }
 
-// number returns the value of a query parameter as a number, or 0 if it is absent or not a number.
-func number(query url.Values, key string) uint64 {
+// queryNumber returns the value of a query parameter as a queryNumber, or 0 if it is absent or not a queryNumber.
+func queryNumber(query url.Values, key string) uint64 {
 	value, _ := strconv.ParseUint(query.Get(key), 10, 64)
 	return value
 }
