--- a/cmd/simulatoradapter/main.go
+++ b/cmd/simulatoradapter/main.go
@@ -1,5 +1,5 @@
-// Command simulatoradapter runs many independent balancers in the operators' simulator: it reads batches
-// of events from standard input and writes one reply with actions for each to standard output.
+// Command simulatoradapter runs any number of independent balancers for the operators' simulator. It reads batches of
+// events from standard input and writes a reply with the balancers' actions for each batch to standard output.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// bufferSize is the size of the buffers of input and output, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 16
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches from in until it ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(bufio.NewReaderSize(in, bufferSize))
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -47,15 +47,15 @@
 	}
 }
 
-// simulation has the balancers by their instance numbers. They share nothing but the process.
+// simulation holds the balancers of all instances. The balancers share no state.
 type simulation struct {
-	balancers map[uint32]*policy.Balancer
+	balancers map[uint32]*policy.Balancer // by instance number
 	reply     wire.Encoder
 	actions   []balancer.Action // reused between events
 }
 
-// handle handles one record and appends the balancer's actions to the reply. A balancer that can't be
-// created is reported as crashed. Events for an instance that does not run are ignored.
+// handle handles one record and appends the balancer's actions to the reply. If a balancer can't be created, its
+// instance is reported as crashed. Events for an instance that isn't running are ignored.
 func (s *simulation) handle(now float64, rec *wire.Record) error {
 	s.actions = s.actions[:0]
 	switch rec.Kind {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// newBalancer returns the balancer that a boot record describes.
+// newBalancer creates a balancer with the settings and the seed of a boot record.
 func newBalancer(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := balancer.ParseSettings(rec.Settings)
 	if err != nil {
--- a/cmd/simulatoradapter/main_test.go
+++ b/cmd/simulatoradapter/main_test.go
@@ -10,7 +10,7 @@
 	"fernbeam.example/fernbeam/internal/wire"
 )
 
-// Codes of records of the simulator's protocol.
+// Record codes of the simulator's protocol.
 const (
 	requestCode  = 17
 	killedCode   = 21
@@ -19,17 +19,17 @@
 	setTimerCode = 88
 )
 
-// replyHeaderSize is the size of the header of a reply, in bytes.
+// replyHeaderSize is the size of a reply's header, in bytes.
 const replyHeaderSize = 8
 
-// bootSeed is the seed of the instances' random numbers.
+// bootSeed is the random seed of all instances.
 const bootSeed = 7
 
 // settings are valid settings.
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch makes a batch of records, given by their first bytes, with a tail.
+// batch encodes a batch of records and a tail. Records are padded with zeros to wire.EventSize.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	const clockSize = 8
 	be := binary.BigEndian
@@ -42,7 +42,7 @@
 	return append(out, tail...)
 }
 
-// bootRecord makes a record that starts an instance, whose settings are the first textLen bytes of the tail.
+// bootRecord encodes a record that starts an instance. Its settings are the first textLen bytes of the tail.
 func bootRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{bootCode}, instance)
@@ -51,7 +51,7 @@
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-// requestRecord makes a record of a request with 400 ms left.
+// requestRecord encodes a record of a request that has 400 ms left.
 func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
 	r := be.AppendUint32([]byte{requestCode}, instance)
@@ -60,12 +60,13 @@
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-// killedRecord makes a record that ends an instance.
+// killedRecord encodes a record that ends an instance.
 func killedRecord(instance uint32) []byte {
 	return binary.BigEndian.AppendUint32([]byte{killedCode}, instance)
 }
 
-// An instance may end and start again within a batch: it begins anew, and what comes between is ignored.
+// An instance that is killed and booted again within one batch must start with no earlier state. Events between the two
+// records must be ignored.
 func TestKillAndBootWithinBatch(t *testing.T) {
 	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
 	restart := batch(1005, settings,
@@ -75,19 +76,19 @@
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each incarnation queues its one request (there is no list) and sets one timer; the request between the
-	// two has no instance.
+	// Each incarnation queues its request, since it has no endpoint list, and sets one timer. The request between the
+	// two incarnations has no instance.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
 		if n != want || reply[replyHeaderSize] != setTimerCode {
-			t.Errorf("batch %d: %d actions, first of code %d; want %d timer", i, n, reply[replyHeaderSize], want)
+			t.Errorf("batch %d: %d actions, the first with code %d; want %d timer", i, n, reply[replyHeaderSize], want)
 		}
 		reply = reply[replyHeaderSize+size:]
 	}
 }
 
-// Settings that are not valid are reported as a crash of the instance, with the key that is wrong.
+// Invalid settings must be reported as a crash of the instance, with a message that names the invalid key.
 func TestInvalidSettingsCrash(t *testing.T) {
 	bad := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
@@ -99,7 +100,7 @@
 	}
 }
 
-// Input that ends within a batch is an error of one line; between two batches it is the regular end.
+// Input that ends within a batch must cause an error of one line. Input that ends between two batches is complete.
 func TestTruncatedInput(t *testing.T) {
 	in := batch(1000, "", killedRecord(1))
 	for _, c := range []struct {
@@ -119,6 +120,6 @@
 	}
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(nil), &out); err != nil {
-		t.Errorf("the end of input before a batch: %v", err)
+		t.Errorf("input that ends before a batch: %v", err)
 	}
 }
