--- a/cmd/agent/reload_test.go
+++ b/cmd/agent/reload_test.go
@@ -42,7 +42,7 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("the %s discovery was not called", name)
+			t.Fatalf("the %s discovery service was not called", name)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	calls.await(t, "second") // the agent calls again because the first call was not answered
 	select {
 	case called := <-calls:
-		t.Errorf("the %s discovery was called as well", called)
+		t.Errorf("the %s discovery service was called too", called)
 	default:
 	}
 	p.signal(t, syscall.SIGTERM)
--- a/internal/agent/agenttest/client.go
+++ b/internal/agent/agenttest/client.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Settings holds the policy settings of an agent in the form of its configuration file.
+// Settings is the JSON text of the policy settings in an agent's configuration file.
 const Settings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
  {"name":"send","aimMs":2000,"giveUpMs":4000,"effect":"guarded","group":"all","keyTtlMs":8000,"credit":2,
--- a/internal/agent/agenttest/settings_discovery.go
+++ b/internal/agent/agenttest/settings_discovery.go
@@ -88,7 +88,7 @@
 	return list
 }
 
-// queryNumber returns the value of a query parameter as a queryNumber, or 0 if it is absent or not a queryNumber.
+// queryNumber returns the value of a query parameter as a number, or 0 if it is absent or not a number.
 func queryNumber(query url.Values, key string) uint64 {
 	value, _ := strconv.ParseUint(query.Get(key), 10, 64)
 	return value
--- a/internal/agent/shared_limits.go
+++ b/internal/agent/shared_limits.go
@@ -12,8 +12,8 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// lockPollInterval is how often a process that was started while another one is running checks whether the other has
-// ended.
+// lockPollInterval is how often a process that was started while another one was running checks whether the other one
+// has ended.
 const lockPollInterval = 100 * time.Millisecond
 
 // connLimiter limits the connections of one component of the agent.
@@ -66,7 +66,7 @@
 	s.divide(1)
 }
 
-// divide divides the limits that are not quotas by the number of processes.
+// divide sets the limits other than the quotas to the share of one of the given number of processes.
 func (s *sharedLimits) divide(processes int) {
 	if onMemoryLimit := s.cfg.Hooks.OnMemoryLimit; onMemoryLimit != nil {
 		onMemoryLimit(s.cfg.MemoryLimit() / int64(processes))
