--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -84,7 +84,7 @@
 func listen(cfg *config.Config, fd string) (ln agent.Listeners, err error) {
 	if fd != "" {
 		ln.Shared = true
-		ln.Lock = filepath.Join(os.TempDir(), lockFileName)
+		ln.LockPath = filepath.Join(os.TempDir(), lockFileName)
 		ln.Clients, err = inheritListener(fd)
 	} else {
 		ln.Clients, err = listenTCP(cfg.Listen)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -245,7 +245,7 @@
 	}
 	// The lock is taken before the first client is accepted, so that this process doesn't use the other one's share of
 	// the limits. There is no timeout: the process that still serves may know a server.
-	if err := limits.holdLock(a.loopCtx, a.listeners.Lock); err != nil {
+	if err := limits.holdLock(a.loopCtx, a.listeners.LockPath); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	return nil, nil
--- a/internal/agent/listeners.go
+++ b/internal/agent/listeners.go
@@ -12,8 +12,8 @@
 	// Shared means that other processes also accept connections from the accept queue of Clients, which outlives this
 	// process.
 	Shared bool
-	// Lock is the path of the file that processes which share Clients lock in order to detect each other.
-	Lock string
+	// LockPath is the path of the file that processes which share Clients lock in order to detect each other.
+	LockPath string
 	// Admin accepts the connections to the admin endpoint; nil if there is no admin endpoint.
 	Admin net.Listener
 }
