--- a/cmd/agent/descriptors_test.go
+++ b/cmd/agent/descriptors_test.go
@@ -21,9 +21,9 @@
 	// silentOperators is the number of operators that connect, one per operatorInterval, and send nothing.
 	silentOperators  = 300
 	operatorInterval = 10 * time.Millisecond
-	// operatorsBeforeReturn is how many of them have connected when the discovery service becomes available again:
+	// operatorsBeforeRecovery is how many of them have connected when the discovery service becomes available again:
 	// several times as many as the admin endpoint keeps open.
-	operatorsBeforeReturn = 100
+	operatorsBeforeRecovery = 100
 )
 
 // openConns is a set of connections that the clients keep open until close is called. Its methods are safe for
@@ -141,9 +141,9 @@
 func TestFullDescriptorsLeaveRoomForDiscoveryServersAndAdmin(t *testing.T) {
 	first := listedServer("s-1", startServer(t, respond("first")))
 	second := listedServer("s-2", startServer(t, respond("second")))
-	var isUp atomic.Bool
+	var discoveryUp atomic.Bool
 	discovery := startServer(t, func(w http.ResponseWriter, r *http.Request) {
-		if !isUp.Load() {
+		if !discoveryUp.Load() {
 			neverRespond(w, r)
 			return
 		}
@@ -166,11 +166,11 @@
 	dialing := startParallel(1, func(int) { operators.dialSilentOperators(t, admin) })
 	defer dialing.Wait()
 	clients.awaitFirstClosed(t) // the agent closes the longest idle connection for lack of descriptors
-	haveConnected := func() bool { return operators.size() >= operatorsBeforeReturn }
+	haveConnected := func() bool { return operators.size() >= operatorsBeforeRecovery }
 	if err := processtest.Await(testTimeout, "silent operators", haveConnected); err != nil {
 		t.Fatal(err)
 	}
-	isUp.Store(true)
+	discoveryUp.Store(true)
 	awaitBody(t, addr, "second")
 	got, err := getReadiness(t.Context(), admin)
 	if err != nil {
--- a/cmd/agent/kill_test.go
+++ b/cmd/agent/kill_test.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// shortDeadline is the longest request timeout in this test's settings.
-	shortDeadline = 300 * time.Millisecond
+	// shortTimeout is the longest request timeout in this test's settings.
+	shortTimeout = 300 * time.Millisecond
 	// earliestKill is the earliest time after SIGTERM at which the platform may send SIGKILL.
-	earliestKill = shortDeadline + 700*time.Millisecond
+	earliestKill = shortTimeout + 700*time.Millisecond
 	// lastDial is how long after SIGTERM clients still open connections.
 	lastDial = 400 * time.Millisecond
 	// trafficBeforeTerm is how long clients send requests before SIGTERM.
 	trafficBeforeTerm = 2 * time.Second
 
-	// killedClients is the number of clients. Before each request a client idles for idleStep times a number from 0 to
+	// idlingClients is the number of clients. Before each request a client idles for idleStep times a number from 0 to
 	// idleSteps-1 that differs between clients, so that some idle beyond the start of the shutdown.
-	killedClients = 24
+	idlingClients = 24
 	idleSteps     = 8
 	idleStep      = 120 * time.Millisecond
 	// closeCheckTime is how long a client reads to check whether its connection is closed.
 	closeCheckTime = time.Millisecond
 )
 
-// killedClient sends requests on one connection after another and counts the outcomes.
-type killedClient struct {
+// idlingClient sends requests on one connection after another and counts the outcomes.
+type idlingClient struct {
 	addr string
 	idle time.Duration // before each request
 	term time.Time     // when SIGTERM is sent
@@ -39,38 +39,38 @@
 }
 
 // run sends requests on each connection until it is closed, and opens connections until lastDial.
-func (k *killedClient) run(ctx context.Context) {
-	for time.Since(k.term) < lastDial {
-		conn, err := dialAgent(ctx, k.addr)
+func (c *idlingClient) run(ctx context.Context) {
+	for time.Since(c.term) < lastDial {
+		conn, err := dialAgent(ctx, c.addr)
 		if err != nil {
 			return
 		}
-		k.use(ctx, conn)
+		c.use(ctx, conn)
 		conn.close()
 	}
 }
 
 // use sends requests on one connection until it is closed. A close between two requests is no loss, since the client
 // can send the request again on another connection. A close before the response to the first request is a loss.
-func (k *killedClient) use(ctx context.Context, conn *clientConn) {
+func (c *idlingClient) use(ctx context.Context, conn *clientConn) {
 	for first := true; ; first = false {
-		time.Sleep(k.idle) // the client's idle time
-		if k.idle > 0 && conn.closedByPeer() {
+		time.Sleep(c.idle) // the client's idle time
+		if c.idle > 0 && conn.closedByPeer() {
 			return // closed while idle: the agent would not read another request
 		}
-		if err := conn.write(ctx, order{path: orderPath, timeout: shortDeadline}); err != nil {
+		if err := conn.write(ctx, order{path: orderPath, timeout: shortTimeout}); err != nil {
 			return // closed before the request was sent
 		}
 		got, err := conn.read()
 		if err != nil {
 			// If a client idles for longer, the agent may close the connection before its first request.
-			killed := time.Since(k.term) >= earliestKill
-			if killed || first && k.idle < shortDeadline {
-				k.lost++
+			killed := time.Since(c.term) >= earliestKill
+			if killed || first && c.idle < shortTimeout {
+				c.lost++
 			}
 			return
 		}
-		k.answered++
+		c.answered++
 		if got.close {
 			return
 		}
@@ -111,14 +111,14 @@
 	defer close(release)
 	config := newConfig(silentDiscovery(t), listedServer("s-1", blockingServer(t, term, release)))
 	config.Settings.Classes[0].LatencyObjectiveMs = 200
-	config.Settings.Classes[0].TotalTimeoutMs = float64(shortDeadline.Milliseconds())
+	config.Settings.Classes[0].TotalTimeoutMs = float64(shortTimeout.Milliseconds())
 	p := newProgram(t, config.text(t))
 	addr, _ := p.startListening(t)
 	p.collectLog()
 
-	clients := make([]killedClient, killedClients)
+	clients := make([]idlingClient, idlingClients)
 	running := startParallel(len(clients), func(i int) {
-		clients[i] = killedClient{addr: addr, term: term, idle: time.Duration(i%idleSteps) * idleStep}
+		clients[i] = idlingClient{addr: addr, term: term, idle: time.Duration(i%idleSteps) * idleStep}
 		clients[i].run(t.Context())
 	})
 	sleepUntil(term)
--- a/cmd/agent/shutdown_time_test.go
+++ b/cmd/agent/shutdown_time_test.go
@@ -229,7 +229,7 @@
 		name             string
 		timeout, counted time.Duration
 	}{
-		{"short timeout", shortDeadline, shortDeadline},
+		{"short timeout", shortTimeout, shortTimeout},
 		{"timeout that counts in part", 3 * maxCountedTimeout, maxCountedTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
