--- a/internal/agent/discovery/source_test.go
+++ b/internal/agent/discovery/source_test.go
@@ -85,7 +85,7 @@
 	first.Change(func() { first.Down = true })
 	second.WaitCallWith(t, "index", "41")
 	first.Change(func() { first.Down = false })
-	first.Drain()
+	first.DiscardCalls()
 	for range 3 {
 		if query := second.WaitCallWith(t, "index", "41"); len(query) != 2 {
 			t.Errorf("the call has the query parameters %v, want an index and a wait", query)
@@ -151,7 +151,7 @@
 	var mu sync.Mutex
 	var indexes []string
 	for range 3 {
-		addr, _ := agenttest.ScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
+		addr, _ := agenttest.StartScriptedDiscovery(t, func(_ int, call agenttest.WatchCall) string {
 			mu.Lock()
 			defer mu.Unlock()
 			indexes = append(indexes, call.Index)
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -211,7 +211,7 @@
 
 // logLines returns a channel that receives the lines that the agent logs from now on.
 func (agent *testAgent) logLines() <-chan string {
-	lines := make(agenttest.LineWriter, agenttest.MaxTestLines)
+	lines := make(agenttest.LineWriter, agenttest.MaxBufferedLines)
 	agent.log.lines.Store(&lines)
 	return lines
 }
--- a/internal/agent/settings_watch_test.go
+++ b/internal/agent/settings_watch_test.go
@@ -138,9 +138,9 @@
 		wantSettings(t, agent, applied)
 	}
 	// An instance that sends an older version, whatever version the agent has, does not revert the settings.
-	discovery.Change(func() { discovery.SendsAlways = true })
+	discovery.Change(func() { discovery.AlwaysSend = true })
 	discovery.Publish(51, agenttest.SettingsWith(`"roundMs":5`, `"roundMs":6`))
-	discovery.Drain()
+	discovery.DiscardCalls()
 	for range 5 {
 		discovery.WaitCallWith(t, "in_force", "52")
 	}
@@ -248,7 +248,7 @@
 	reloaded.Control = &config.Control{Service: "other", Addresses: []string{discovery.Addr()}}
 	moved.Change(func() {
 		moved.Settings = discovery.Settings
-		moved.SendsAlways = true
+		moved.AlwaysSend = true
 	})
 	agent.reloads <- &reloaded
 	agenttest.WaitLine(t, lines, "settings of the file superseded by the service's")
@@ -262,7 +262,7 @@
 	})
 	// The agent may be watching either of the two by now.
 	for _, service := range []*agenttest.SettingsDiscovery{discovery, moved} {
-		service.Change(func() { service.SendsAlways = false })
+		service.Change(func() { service.AlwaysSend = false })
 		service.Publish(60, withMaxAttempts(1))
 	}
 	agenttest.WaitUntil(t, "the next settings are applied", func() bool {
