--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,24 +6,24 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// With an empty endpoint list a request is rejected in time.
+// A request is rejected in time if the endpoint list is empty.
 func TestRequestIsRejectedWhileNoServerIsListed(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	id, actions := h.request(nonIdempotentClass, 1)
 	for range 130 {
 		if a := findAction(actions, balancer.ActionReject); a != nil {
 			if a.Request != id {
-				t.Fatalf("rejected %d, want %d", a.Request, id)
+				t.Fatalf("rejected request %d, want %d", a.Request, id)
 			}
 			return
 		}
 		actions = h.advance(10)
 	}
-	t.Error("a request with an empty list was never answered")
+	t.Error("request was not answered while the endpoint list was empty")
 }
 
-// Load is shed where responses are late: overloaded servers work for clients that have left, and each
-// rejection brings a retry. Errors are no sign of overload, nor are queued requests.
+// Load is shed when responses are late: overloaded servers would work for clients that have given up, and
+// each rejection by a server causes a retry. Errors and queued requests do not indicate overload.
 func TestLoadIsShedWhereResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -46,7 +46,7 @@
 	}
 }
 
-// rejectedOf200 is how many of 200 requests are rejected where each attempt ends with the status after
+// rejectedOf200 returns how many of 200 requests are rejected if each attempt ends with the status after
 // responseMs.
 func rejectedOf200(t *testing.T, status balancer.Status, responseMs float64) int {
 	t.Helper()
@@ -67,8 +67,8 @@
 	return rejected
 }
 
-// A rejection tells the client that a retry is harmless: past the deduplication window it is not, and
-// the request fails instead.
+// A rejection tells the client that a retry is safe. After the deduplication window it is not, so the
+// request fails instead.
 func TestRejectionOnlyWithinTheDeduplicationWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -87,13 +87,13 @@
 			h.now += c.afterMs
 			actions := h.endAttempt(id, 0, s, balancer.StatusError, c.afterMs)
 			if findAction(actions, c.want) == nil {
-				t.Errorf("failed after %.0f ms: %+v", c.afterMs, actions)
+				t.Errorf("attempt failed after %.0f ms: got actions %+v", c.afterMs, actions)
 			}
 		})
 	}
 }
 
-// Once a streamed response has begun the policy neither answers nor retries the request.
+// After the start of a streamed response the policy neither answers nor retries the request.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[idempotentClass].Streaming = true
@@ -110,7 +110,7 @@
 	for range 200 {
 		for _, a := range h.advance(10) {
 			if a.Request == id && a.Kind != balancer.ActionSetTimer {
-				t.Fatalf("action %+v for a request whose response streams", a)
+				t.Fatalf("action %+v for a request whose response is being streamed", a)
 			}
 		}
 	}
@@ -125,13 +125,14 @@
 	})
 	if stats := h.policy.Stats(); findAction(actions, balancer.ActionForward) != nil ||
 		findAction(actions, balancer.ActionFail) != nil || stats.InFlight+stats.Queued != 0 {
-		t.Errorf("a stream that broke: %+v, %d in flight and %d queued",
+		t.Errorf("broken stream: actions %+v, %d in flight and %d queued, want no retry and no answer",
 			actions, stats.InFlight, stats.Queued)
 	}
 }
 
-// Where a late response has no value, an attempt times out at the latency objective and keeps no server
-// busy for longer; the client is answered at once. Elsewhere its timeout is all of the client's time.
+// If late responses of a class have no value, an attempt times out at the latency objective, so that it
+// keeps no server busy for longer, and the client is answered at once. Otherwise the attempt has all of the
+// client's remaining time.
 func TestAttemptTimesOutAtTheObjectiveWhereLateResponsesHaveNoValue(t *testing.T) {
 	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
 	for class, want := range wants {
@@ -143,25 +144,25 @@
 		a := findAction(actions, balancer.ActionForward)
 		if a == nil || a.Ms > 300 || a.Ms < 280 {
 			t.Fatalf("class %d, objective 300 ms of 600: "+
-				"want an attempt that ends with the objective, got %+v", class, actions)
+				"want an attempt that times out at the objective, got %+v", class, actions)
 		}
 		h.now += a.Ms
 		actions = h.endAttempt(id, 0, a.Server, balancer.StatusTimeout, a.Ms)
 		if findAction(actions, want) == nil {
-			t.Errorf("class %d: not answered once the objective was over: %+v", class, actions)
+			t.Errorf("class %d: not answered after the objective: %+v", class, actions)
 		}
 		settings.Classes[class].LateFraction = 0.2
 		_, actions = newHarness(t, settings, 3).request(class, 5)
 		if a = findAction(actions, balancer.ActionForward); a == nil || a.Ms < 500 {
 			t.Errorf("class %d, late responses have a value: "+
-				"want an attempt for all of the time, got %+v", class, actions)
+				"want an attempt with all of the remaining time, got %+v", class, actions)
 		}
 	}
 }
 
-// Queued requests that wait for the servers of their keys do not keep others from servers with capacity.
-// Every key prefers the two servers of full weight; a third, of a hundredth of the weight, takes a
-// request without a key.
+// Queued requests that wait for the preferred servers of their keys do not block other requests from servers
+// with capacity. All keys prefer the two servers of full weight; a third server with a hundredth of the
+// weight takes a request without a key.
 func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	endpoints := readyEndpoints(3)
@@ -169,9 +170,9 @@
 	h.updateList(balancer.ListFull, endpoints...)
 	inFlight := map[balancer.Addr]balancer.RequestID{} // the last request at each server
 	var queued balancer.RequestID
-	for i := 0; queued == 0; i++ { // of no key, until all three are full
+	for i := 0; queued == 0; i++ { // without a key, until all three servers are full
 		if i > 20 {
-			t.Fatalf("the servers never filled: %+v", h.policy.Stats())
+			t.Fatalf("the servers did not reach their limits: %+v", h.policy.Stats())
 		}
 		id, actions := h.request(idempotentClass, 0)
 		if a := findAction(actions, balancer.ActionForward); a != nil {
@@ -180,36 +181,36 @@
 			queued = id
 		}
 	}
-	for range 10 { // newer, so first in the queue: each waits for the two servers that its key prefers
+	for range 10 { // newer, so first in the queue; each waits for its two preferred servers
 		h.now++
 		if _, actions := h.request(idempotentClass, h.random.Uint64()|1); len(actions) != 0 {
-			t.Fatalf("a request with a key was not queued: %+v", actions)
+			t.Fatalf("request with a key was not queued: %+v", actions)
 		}
 	}
 	light := serverAddress(2)
 	id, ok := inFlight[light]
 	if !ok {
-		t.Fatalf("nothing went to the light server: %v", inFlight)
+		t.Fatalf("no request was forwarded to the light server: %v", inFlight)
 	}
 	actions := h.endAttempt(id, 0, light, balancer.StatusOK, 5)
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Request != queued {
-		t.Errorf("capacity at the light server went to %+v, want request %d without a key", a, queued)
+		t.Errorf("capacity of the light server went to %+v, want request %d without a key", a, queued)
 	}
 }
 
-// The class served worst weighs more in the queue, by the objective's part for the worst class: of two
-// queued requests the one goes first whose class lost half of its clients before their responses,
-// whichever of the two classes that is.
+// Requests of the worst-served class get a higher priority in the queue, according to the part of the
+// objective for the worst class. Of two queued requests, the one is forwarded first whose class lost half of
+// its clients before their responses, whichever of the two classes that is.
 func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
 	for starved := range 2 {
 		if got := firstServedClass(t, starved); got != starved {
-			t.Errorf("class %d lost half of its clients, and class %d was sent first", starved, got)
+			t.Errorf("class %d lost half of its clients, but class %d was forwarded first", starved, got)
 		}
 	}
 }
 
-// firstServedClass is the class of the queued request that is forwarded first, of one of each of two
-// classes, where half of the clients of the starved class left before their responses.
+// firstServedClass queues one request of each of two classes and returns the class of the one that is
+// forwarded first. Before that, half of the clients of the starved class leave before their responses.
 func firstServedClass(t *testing.T, starved int) int {
 	t.Helper()
 	settings := testSettings()
@@ -228,7 +229,7 @@
 		}
 	}
 	var inFlight []balancer.RequestID
-	for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
+	for h.policy.Stats().InFlight < 2 { // until the server is at its limit: further requests are queued
 		id, _ := h.mustForward(1-starved, 0)
 		inFlight = append(inFlight, id)
 	}
@@ -243,11 +244,11 @@
 			return class
 		}
 	}
-	t.Fatalf("starved %d: capacity went to %+v, not to a queued request", starved, a)
+	t.Fatalf("starved class %d: capacity was used for %+v, want a queued request", starved, a)
 	return -1
 }
 
-// A request with a key that comes before any endpoint list waits for one, as others do.
+// A request with a key that arrives before the first endpoint list waits for it, like any other request.
 func TestKeyedRequestBeforeTheFirstListWaits(t *testing.T) {
 	b := newPolicy(t, testSettings(), 1)
 	const now = 1e6
--- a/policy/cooldown_test.go
+++ b/policy/cooldown_test.go
@@ -6,8 +6,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A server whose response took twice as long as without load, or more, is in cooldown: the next new keys
-// pass it over. One that is a fifth slower is not, nor is one of few agents, whose limits follow it.
+// A server whose response takes at least twice as long as without load is in cooldown: requests of new keys
+// skip it. A server that is a fifth slower is not in cooldown, and neither is a slow server in a small
+// fleet, where its concurrency limit adapts instead.
 func TestOverloadedServerIsInCooldown(t *testing.T) {
 	forwardsAfter := func(agents int, responseMs float64) int {
 		settings := testSettings()
@@ -23,24 +24,24 @@
 		return h.serveAndCount(60, 2, s)
 	}
 	if n := forwardsAfter(80, 200); n != 0 {
-		t.Errorf("a server that took four times as long got %d of the next 60 new keys", n)
+		t.Errorf("server that took four times as long got %d of the next 60 new keys, want 0", n)
 	}
 	if n := forwardsAfter(80, 60); n == 0 {
-		t.Error("a server that took a fifth longer got none of the next 60 new keys")
+		t.Error("server that took a fifth longer got none of the next 60 new keys")
 	}
 	if n := forwardsAfter(3, 140); n == 0 {
-		t.Error("of three agents, one passed over a server that took 2.8 times as long")
+		t.Error("fleet of three agents: server that took 2.8 times as long got none of the next 60 new keys")
 	}
 }
 
-// A server that was overloaded or late is in cooldown: the next new keys pass it over, unless most servers
-// were: then all are overloaded, and none is passed over.
+// A server that was overloaded or late is in cooldown: requests of new keys skip it. If most servers were,
+// the fleet as a whole is overloaded, and cooldowns are ignored.
 func TestServerIsInCooldownUnlessMostAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		status    balancer.Status
 		latencyMs float64
-		lateFirst int // servers that were late before the one under test
+		lateFirst int // number of servers that are late before the one under test
 		cooldown  bool
 	}{
 		{"in time", balancer.StatusOK, 20, 0, false},
@@ -59,13 +60,13 @@
 			h.now++
 			h.serveRetry(id, h.endAttempt(id, 0, s, c.status, c.latencyMs), 1)
 			if n := h.serveAndCount(60, 1, s); (n == 0) != c.cooldown {
-				t.Errorf("the server got %d of the next 60 new keys", n)
+				t.Errorf("server got %d of the next 60 new keys", n)
 			}
 		})
 	}
 }
 
-// makeLate has so many servers respond late.
+// makeLate makes the given number of servers respond late.
 func (h *harness) makeLate(servers int) {
 	h.t.Helper()
 	for late := map[balancer.Addr]bool{}; len(late) < servers; {
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -12,30 +12,30 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// The states of BenchmarkDecision. Their values stand in the recorded results (docs/capacity).
+// The states of BenchmarkDecision. Their values are part of the recorded results in docs/capacity.
 const (
-	// stateUnloaded: nothing is in flight, each request goes to the first server of its key.
+	// stateUnloaded: nothing is in flight, and each request is forwarded to the first server of its key.
 	stateUnloaded = "calm"
-	// stateOverloaded: both servers that a key prefers are at their limits, so its request waits for a
-	// quarter of its objective, is considered in each tick, and then goes to another server.
+	// stateOverloaded: both preferred servers of a key are at their limits, so its request waits for a
+	// quarter of its objective, is considered in each tick, and is then forwarded to another server.
 	stateOverloaded = "crowded"
-	// stateEjected: all servers have just failed a request, so that there is none in any better tier.
+	// stateEjected: all servers have just failed a request, so that none is in a better tier.
 	stateEjected = "demoted"
 )
 
-// requestsPerSecond is the rate of requests, that of deploy/target.toml.
+// requestsPerSecond is the request rate of the target in deploy/target.toml.
 const requestsPerSecond = 120
 
 // BenchmarkDecision measures the policy's decisions for one served request: the request arrives and is
-// forwarded, its response comes, and the ticks that are due meanwhile are handled. There are as many
-// agents as servers, and so many keys that none is split. What it takes to bring the state about is not
-// timed. A profile shows the proportions of the timed part only for stateUnloaded, where all is timed.
+// forwarded, its response arrives, and the ticks that are due in between are handled. There are as many
+// agents as servers, and enough keys that none is split. The setup of a state is not timed, so a profile
+// shows the proportions of the timed part only for stateUnloaded, which needs no setup.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{10, 100, 1500} {
 		for _, state := range []string{stateUnloaded, stateOverloaded, stateEjected} {
 			var d *decisionBenchmark
 			b.Run(fmt.Sprintf("servers=%d/state=%s", servers, state), func(b *testing.B) {
-				if d == nil { // once for all sizes of b.N and all of -count
+				if d == nil { // reused for all sizes of b.N and all runs of -count
 					d = newDecisionBenchmark(b, servers, servers)
 				}
 				d.TB = b
@@ -58,32 +58,32 @@
 	}
 }
 
-// decisionBenchmark is one Balancer with its clock and its one timer.
+// decisionBenchmark is a Balancer with a clock and its tick timer.
 type decisionBenchmark struct {
 	testing.TB
 	policy          *policy.Balancer
 	random          *rand.Rand
 	servers         int
-	now             float64
-	tickAt          float64 // time of the tick that is set; infinite: none is
+	now             float64 // milliseconds
+	tickAt          float64 // time of the next tick; infinite: none is set
 	lastRequest     balancer.RequestID
 	actions         []balancer.Action
-	forwardedTo     balancer.Addr               // server of the last request; zero: it is queued
-	keys            []uint64                    // of which the requests' keys are drawn
-	preferred       map[uint64][2]balancer.Addr // the two servers that a key prefers
-	keysByServer    map[balancer.Addr][]uint64  // keys by the first server of their order
-	failedAt        float64                     // when all servers last failed a request
+	forwardedTo     balancer.Addr               // server of the last request; zero: the request is queued
+	keys            []uint64                    // the requests' keys are drawn from these
+	preferred       map[uint64][2]balancer.Addr // preferred servers of a key
+	keysByServer    map[balancer.Addr][]uint64  // keys by the first server in their order
+	failedAt        float64                     // time at which all servers last failed a request
 	ticks           int
-	forwardedAtOnce int // requests that were forwarded on arrival
+	forwardedAtOnce int // number of requests forwarded on arrival
 }
 
-// newDecisionBenchmark returns a benchmark of one of so many agents, which knows its servers' baseline
-// latency and the share of each key.
+// newDecisionBenchmark returns a benchmark of one agent of a fleet. The agent knows the baseline latency of
+// its servers and the share of each key.
 func newDecisionBenchmark(tb testing.TB, agents, servers int) *decisionBenchmark {
 	tb.Helper()
 	settings := testSettings()
 	settings.FleetSize = agents
-	settings.Zone = 1 // no server is of the agent's zone, as the zone preference changes
+	settings.Zone = 1 // without servers in the agent's zone, as the zone preference varies
 	b := newPolicy(tb, settings, 1)
 	d := &decisionBenchmark{
 		TB:      tb,
@@ -108,7 +108,7 @@
 	return d
 }
 
-// handle hands the policy an event and notes the timer and the server of its actions.
+// handle passes an event to the policy and records the timer and the server in the resulting actions.
 func (d *decisionBenchmark) handle(ev balancer.Event) {
 	d.actions = d.policy.Handle(d.now, &ev, d.actions[:0])
 	for i := range d.actions {
@@ -117,12 +117,12 @@
 			d.tickAt = d.now + a.Ms
 		case balancer.ActionForward:
 			d.forwardedTo = a.Server
-		default: // changes nothing that the benchmark has to know
+		default: // other actions do not matter to the benchmark
 		}
 	}
 }
 
-// advance lets ms pass and handles the ticks that are due.
+// advance advances the time by ms and handles the ticks that become due.
 func (d *decisionBenchmark) advance(ms float64) {
 	end := d.now + ms
 	for d.tickAt <= end {
@@ -134,7 +134,7 @@
 	d.now = end
 }
 
-// request makes a request and returns its id.
+// request passes a new request to the policy and returns its id.
 func (d *decisionBenchmark) request(class int, key uint64) balancer.RequestID {
 	d.lastRequest++
 	d.forwardedTo = balancer.Addr{}
@@ -142,18 +142,18 @@
 	return d.lastRequest
 }
 
-// endAttempt ends the first attempt of a request.
+// endAttempt passes the end of the first attempt of a request to the policy.
 func (d *decisionBenchmark) endAttempt(
 	id balancer.RequestID, s balancer.Addr, status balancer.Status, ms float64,
 ) {
 	d.handle(attemptDone(id, 0, s, status, ms))
 }
 
-// serve plays one request that is forwarded on arrival and served after ms.
+// serve simulates one request that is forwarded on arrival and served after ms.
 func (d *decisionBenchmark) serve(class int, key uint64, ms float64) {
 	id := d.request(class, key)
 	if d.forwardedTo == (balancer.Addr{}) {
-		d.Fatal("a request is queued that should be forwarded: ", d.actions)
+		d.Fatal("request was queued, want it forwarded: ", d.actions)
 	}
 	d.forwardedAtOnce++
 	d.advance(ms)
@@ -161,7 +161,7 @@
 	d.advance(1000.0/requestsPerSecond - ms)
 }
 
-// anyKey draws a key.
+// anyKey returns a random key.
 func (d *decisionBenchmark) anyKey() uint64 { return d.keys[d.random.IntN(len(d.keys))] }
 
 // serveUnloaded measures requests without load.
@@ -172,7 +172,7 @@
 	}
 }
 
-// serverOf makes a request of the key, ends it without effect on its server, and returns the server.
+// serverOf makes a request with the key, ends it without effect on its server, and returns the server.
 func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
 	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
@@ -181,7 +181,7 @@
 	return s
 }
 
-// endWithoutEffect ends a request so that nothing is learned of its server, if it was forwarded.
+// endWithoutEffect ends a request without effect on the state of its server s, which is zero if it is queued.
 func (d *decisionBenchmark) endWithoutEffect(id balancer.RequestID, s balancer.Addr) {
 	if s == (balancer.Addr{}) {
 		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
@@ -190,7 +190,7 @@
 	d.endAttempt(id, s, balancer.StatusBadRequest, 1)
 }
 
-// learnPreferred determines the two servers that keys prefer.
+// learnPreferred determines the two preferred servers of the keys.
 func (d *decisionBenchmark) learnPreferred() {
 	d.keysByServer = map[balancer.Addr][]uint64{}
 	d.preferred = map[uint64][2]balancer.Addr{}
@@ -208,7 +208,8 @@
 	}
 }
 
-// occupy forwards a request of another key to the server and returns its id; 0 if none went there.
+// occupy makes requests with keys other than except until one is forwarded to the server. It returns the id
+// of that request, or 0 if there was none.
 func (d *decisionBenchmark) occupy(s balancer.Addr, except uint64) balancer.RequestID {
 	keys := d.keysByServer[s]
 	for range 2 * len(keys) {
@@ -220,7 +221,7 @@
 		if d.forwardedTo == s {
 			return id
 		}
-		d.endWithoutEffect(id, d.forwardedTo) // its key was split, or the server is at its limit
+		d.endWithoutEffect(id, d.forwardedTo) // the key is split or the server is at its limit
 	}
 	return 0
 }
@@ -236,7 +237,7 @@
 	measured := 0
 	for rounds := 0; measured < b.N; rounds++ {
 		if rounds > 4*b.N+100 {
-			b.Fatalf("%d of %d times both were at their limits", measured, rounds)
+			b.Fatalf("both servers were at their limits in only %d of %d rounds", measured, rounds)
 		}
 		key := keys[d.random.IntN(len(keys))]
 		servers := d.preferred[key]
@@ -253,7 +254,7 @@
 	}
 }
 
-// waitAndServe plays one request that is queued, as the servers that its key prefers are at their limits.
+// waitAndServe simulates one request that is queued because its preferred servers are at their limits.
 func (d *decisionBenchmark) waitAndServe(key uint64) {
 	arrivedAt := d.now
 	id := d.request(idempotentClass, key)
@@ -262,7 +263,7 @@
 	}
 	for d.forwardedTo == (balancer.Addr{}) {
 		if d.now > arrivedAt+100 {
-			d.Fatal("a request is not forwarded")
+			d.Fatal("request was not forwarded within 100 ms")
 		}
 		d.advance(10)
 	}
@@ -274,7 +275,7 @@
 func (d *decisionBenchmark) serveAfterEjections(b *testing.B) {
 	b.Helper()
 	b.StopTimer()
-	for range 5 { // by then the ejection time is 4.8 s
+	for range 5 { // after which the ejection time is 4.8 s
 		d.failAll()
 	}
 	for range b.N {
@@ -284,23 +285,23 @@
 		b.StartTimer()
 		d.serve(idempotentClass, d.anyKey(), 5)
 		b.StopTimer()
-		d.fail() // the one that has served
+		d.fail() // ejects the server that has just served
 	}
 }
 
-// failAll has each server fail one request.
+// failAll makes each server fail one request.
 func (d *decisionBenchmark) failAll() {
-	d.advance(5000) // past all ejection times
+	d.advance(5000) // longer than any ejection time
 	for range d.servers {
 		d.fail()
 	}
 	d.failedAt = d.now
 	if states := d.policy.Stats().States; states[balancer.Unhealthy] != d.servers {
-		d.Fatal("servers by state: ", states)
+		d.Fatal("not all servers are Unhealthy: ", states)
 	}
 }
 
-// fail has one server of the best tier fail a request that is not retried.
+// fail makes one server of the best tier fail a request that is not retried.
 func (d *decisionBenchmark) fail() {
 	id := d.request(nonIdempotentClass, d.anyKey())
 	d.endAttempt(id, d.forwardedTo, balancer.StatusError, 5)
--- a/policy/event_queue_test.go
+++ b/policy/event_queue_test.go
@@ -1,13 +1,13 @@
 package policy_test
 
-// scheduledEvent is something that happens at a time of the simulation.
+// scheduledEvent is an event at a point in the virtual time of a simulation.
 type scheduledEvent struct {
-	at       float64
-	sequence int // orders events of one time
+	at       float64 // milliseconds
+	sequence int     // orders events with equal times
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, the earliest first. It implements heap.Interface.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
--- a/policy/fixtures_test.go
+++ b/policy/fixtures_test.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// newPolicy returns a Balancer that draws its random numbers from the seed.
+// newPolicy returns a Balancer with the settings and the seed.
 func newPolicy(tb testing.TB, settings balancer.Settings, seed uint64) *policy.Balancer {
 	tb.Helper()
 	b, err := policy.New(settings, seed)
@@ -17,31 +17,31 @@
 	return b
 }
 
-// serverAddress is the address of the server with this index.
+// serverAddress returns the address of the server with the index.
 func serverAddress(i int) balancer.Addr {
 	return balancer.Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
-// readyEndpoint is the entry of a server that is ready, has a weight of 1 and started long ago.
+// readyEndpoint returns the entry of a ready server with a weight of 1 that started long ago.
 func readyEndpoint(index int) balancer.Endpoint {
 	return balancer.Endpoint{Server: serverAddress(index), State: balancer.Ready, Weight: 1}
 }
 
-// startedEndpoint is the entry of a ready server that started at a time, in milliseconds.
+// startedEndpoint returns the entry of a ready server that started at startedMs.
 func startedEndpoint(index int, startedMs float64) balancer.Endpoint {
 	e := readyEndpoint(index)
 	e.StartedMs = startedMs
 	return e
 }
 
-// drainingEndpoint is the entry of a server that drains.
+// drainingEndpoint returns the entry of a draining server.
 func drainingEndpoint(index int) balancer.Endpoint {
 	e := readyEndpoint(index)
 	e.State = balancer.Draining
 	return e
 }
 
-// readyEndpoints are the entries of the first servers, all ready.
+// readyEndpoints returns the entries of the first count servers, all ready.
 func readyEndpoints(count int) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, count)
 	for i := range endpoints {
@@ -50,7 +50,7 @@
 	return endpoints
 }
 
-// arrival is the event of a new request.
+// arrival returns the event of a new request.
 func arrival(id balancer.RequestID, class int, key uint64, remainingMs float64) balancer.Event {
 	return balancer.Event{
 		Kind:        balancer.EventRequest,
@@ -61,7 +61,7 @@
 	}
 }
 
-// attemptDone is the event of the end of an attempt; a successful one answers its request.
+// attemptDone returns the event of the end of an attempt. A successful attempt answers its request.
 func attemptDone(
 	id balancer.RequestID, attempt int, server balancer.Addr, status balancer.Status, responseMs float64,
 ) balancer.Event {
@@ -80,10 +80,10 @@
 const (
 	idempotentClass = iota
 	nonIdempotentClass
-	byKeyClass // duplicates are dropped within a cell for half a second
+	byKeyClass // deduplicated within a cell for half a second
 )
 
-// testSettings returns settings with a class of each idempotency.
+// testSettings returns settings with one class per idempotency.
 func testSettings() balancer.Settings {
 	s := balancer.Settings{
 		Classes: []balancer.Class{
--- a/policy/fleet_requests_test.go
+++ b/policy/fleet_requests_test.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	// keyMultiplier spreads the ranks of keys over 64 bits.
+	// keyMultiplier distributes the ranks of keys over 64 bits.
 	keyMultiplier = 0x9e3779b97f4a7c15
-	// popularKey is the key of popularShare of the requests.
+	// popularKey is the key of a fraction popularShare of the requests.
 	popularKey = 77
 )
 
-// setShares gives the agents shares of the requests by weights.
+// setShares distributes the requests over the agents in proportion to their weights.
 func (s *fleetSimulation) setShares(weight func(i int) float64) {
 	sum := 0.0
 	for i := range s.cumulativeShares {
@@ -23,7 +23,7 @@
 	}
 }
 
-// scheduleArrivals makes requests arrive from now on, at exponentially distributed intervals.
+// scheduleArrivals starts the arrival of requests at exponentially distributed intervals.
 func (s *fleetSimulation) scheduleArrivals() {
 	s.schedule(s.random.ExpFloat64()/s.requestsPerMs, func() {
 		s.arrive(s.drawAgent())
@@ -31,7 +31,7 @@
 	})
 }
 
-// drawAgent draws the agent of a request, by the agents' shares.
+// drawAgent draws the agent of a request according to the agents' shares.
 func (s *fleetSimulation) drawAgent() *simulatedAgent {
 	share := s.random.Float64()
 	i := 0
@@ -41,7 +41,7 @@
 	return s.agents[i]
 }
 
-// arrive hands an agent a request.
+// arrive passes a new request to an agent.
 func (s *fleetSimulation) arrive(agent *simulatedAgent) {
 	agent.lastRequest++
 	agent.attempts[agent.lastRequest] = 0
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -7,24 +7,24 @@
 const (
 	// simulatedRequestsPerMs is the capacity of a warm server, in requests of mean work.
 	simulatedRequestsPerMs = 0.03
-	// simulatedCacheSpeedup is how many times faster a warm server serves the keys that it knows.
+	// simulatedCacheSpeedup is the speedup of a warm server for cached keys.
 	simulatedCacheSpeedup = 1.6
-	// simulatedMaxWaitMs is the wait from which a server rejects attempts.
+	// simulatedMaxWaitMs is the queue wait above which a server rejects attempts.
 	simulatedMaxWaitMs = 500
-	// simulatedBaseMs is the part of a response time that is neither wait nor work.
+	// simulatedBaseMs is the part of a response time that is neither queueing nor processing.
 	simulatedBaseMs = 60
 )
 
-// simulatedServer is one server: a queue that is served at its present capacity.
+// simulatedServer is a server with a single queue, which it serves at its present capacity.
 type simulatedServer struct {
 	startedAt     float64 // 0: long ago
-	requestsPerMs float64 // requests of mean work when warm
-	cacheSpeedup  float64 // how many times faster it serves the keys that it knows, when warm
-	idleAt        float64 // when its queue is served
+	requestsPerMs float64 // capacity when warm, in requests of mean work
+	cacheSpeedup  float64 // speedup for cached keys when warm
+	idleAt        float64 // when its queue becomes empty
 	unreachable   bool
-	hangsUntil    float64   // it does not respond until then
-	failsUntil    float64   // it responds with errors until then
-	receivedAt    []float64 // times of the attempts that it got since its start
+	hangsUntil    float64   // does not respond until then
+	failsUntil    float64   // responds with errors until then
+	receivedAt    []float64 // times of the attempts received since its start
 }
 
 // addServer adds a warm server.
@@ -39,7 +39,7 @@
 	s.endpoints = append(s.endpoints, endpoint)
 }
 
-// restartServers restarts servers and notifies all agents.
+// restartServers restarts the servers and notifies all agents.
 func (s *fleetSimulation) restartServers(indices ...int) {
 	var delta []balancer.Endpoint
 	for _, i := range indices {
@@ -53,14 +53,15 @@
 	s.notifyAll(delta)
 }
 
-// disconnectWarm makes the servers unreachable that were not restarted, and the others reachable.
+// disconnectWarm makes the servers that were not restarted unreachable, and the others reachable.
 func (s *fleetSimulation) disconnectWarm() {
 	for _, server := range s.servers {
 		server.unreachable = server.startedAt == 0
 	}
 }
 
-// drainWarm drains the servers that were not restarted, except the first few, and notifies all agents.
+// drainWarm drains the servers that were not restarted, except for the given number of them, and notifies all
+// agents.
 func (s *fleetSimulation) drainWarm(except int) {
 	var delta []balancer.Endpoint
 	warm := 0
@@ -77,21 +78,21 @@
 	s.notifyAll(delta)
 }
 
-// hangServers makes servers not respond for some time.
+// hangServers makes the servers stop responding for the given time.
 func (s *fleetSimulation) hangServers(ms float64, indices ...int) {
 	for _, i := range indices {
 		s.servers[i].hangsUntil = s.now + ms
 	}
 }
 
-// failServers makes servers respond with errors for some time.
+// failServers makes the servers respond with errors for the given time.
 func (s *fleetSimulation) failServers(ms float64, indices ...int) {
 	for _, i := range indices {
 		s.servers[i].failsUntil = s.now + ms
 	}
 }
 
-// serve returns how an attempt at the server ends, and after how long.
+// serve returns the status with which an attempt at the server ends, and its duration in milliseconds.
 func (s *fleetSimulation) serve(server *simulatedServer, timeoutMs float64) (balancer.Status, float64) {
 	waitMs := max(server.idleAt-s.now, 0)
 	switch {
@@ -113,7 +114,7 @@
 	return balancer.StatusOK, tookMs
 }
 
-// workMs is how long the server works on one request at its present capacity.
+// workMs returns the time in which the server processes one request at its present capacity.
 func (s *fleetSimulation) workMs(server *simulatedServer) float64 {
 	workMs := 1 / (server.requestsPerMs * s.capacityFraction(server, s.now))
 	if server.startedAt == 0 {
@@ -122,7 +123,7 @@
 	return workMs
 }
 
-// capacityFraction is the part of its capacity that a server has, by the contract.
+// capacityFraction returns the part of its warm capacity that a server has according to the contract.
 func (s *fleetSimulation) capacityFraction(server *simulatedServer, at float64) float64 {
 	contract := &s.settings.Contract
 	age := at - server.startedAt
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// fleetSimulation is many balancers and their servers in one virtual time: each server is loaded by the
-// sum of what all agents forward. Changes of the endpoint list reach all agents at once.
+// fleetSimulation simulates a fleet of agents and their servers in virtual time. The load of a server is the
+// sum of what all agents forward to it. Changes of the endpoint list reach all agents at the same time.
 type fleetSimulation struct {
 	t                testing.TB
 	random           *rand.Rand
@@ -21,27 +21,27 @@
 	agents           []*simulatedAgent
 	servers          []*simulatedServer
 	endpoints        []balancer.Endpoint
-	cumulativeShares []float64 // of the requests, summed up by agent
+	cumulativeShares []float64 // cumulative shares of the agents in the requests
 	requestsPerMs    float64   // arrival rate
 	keyCount         int
-	evenKeys         bool    // keys are equally popular; else the share of a key falls with its rank
-	popularShare     float64 // part of the requests that are for popularKey
+	evenKeys         bool    // keys are equally popular; otherwise their shares decrease by rank
+	popularShare     float64 // fraction of the requests that have popularKey
 	requests         int
 	served           int
-	clockAheadMs     float64 // how far the endpoint list's clock is ahead of the agents'
+	clockAheadMs     float64 // how far the clock of the endpoint list is ahead of the agents' clocks
 }
 
-// simulatedAgent is one agent; it may be restarted.
+// simulatedAgent is an agent, which may be restarted.
 type simulatedAgent struct {
 	policy      *policy.Balancer
 	lastRequest balancer.RequestID
-	incarnation int                        // events of an earlier one are dropped
+	incarnation int                        // events of earlier incarnations are dropped
 	attempts    map[balancer.RequestID]int // number of attempts of each open request
-	serversUsed map[balancer.Addr]bool     // servers that the agent has forwarded to, in any incarnation
+	serversUsed map[balancer.Addr]bool     // servers that any incarnation has forwarded to
 }
 
-// newFleetSimulation starts agents with servers that are warm; load is the part of the servers' capacity
-// that the requests take, without the effect of caches.
+// newFleetSimulation starts agents and warm servers. load is the arrival rate of the requests as a fraction
+// of the servers' capacity without caches.
 func newFleetSimulation(tb testing.TB, agents, servers int, load float64) *fleetSimulation {
 	tb.Helper()
 	settings := testSettings()
@@ -72,7 +72,7 @@
 	return s
 }
 
-// startAgent starts an incarnation of an agent, and ends the one before.
+// startAgent starts a new incarnation of an agent and ends the previous one.
 func (s *fleetSimulation) startAgent(index int) {
 	agent := s.agents[index]
 	settings := s.settings
@@ -90,7 +90,7 @@
 	})
 }
 
-// restartMostAgents restarts seven in ten agents at once.
+// restartMostAgents restarts seven of ten agents at the same time.
 func (s *fleetSimulation) restartMostAgents() {
 	for i := range s.agents {
 		if i%10 < 7 {
@@ -99,7 +99,7 @@
 	}
 }
 
-// notifyAll notifies all agents of changes of the endpoint list at once.
+// notifyAll notifies all agents of a change of the endpoint list.
 func (s *fleetSimulation) notifyAll(delta []balancer.Endpoint) {
 	for _, agent := range s.agents {
 		s.handle(agent, balancer.Event{
@@ -110,12 +110,12 @@
 	}
 }
 
-// handle hands an agent's policy an event and carries out its actions.
+// handle passes an event to an agent's policy and carries out the resulting actions.
 func (s *fleetSimulation) handle(agent *simulatedAgent, ev balancer.Event) {
 	s.carryOut(agent, agent.policy.Handle(s.now, &ev, nil))
 }
 
-// carryOut carries out the actions of an agent.
+// carryOut carries out the actions of an agent's policy.
 func (s *fleetSimulation) carryOut(agent *simulatedAgent, actions []balancer.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -127,12 +127,12 @@
 			s.forward(agent, action)
 		case balancer.ActionReject, balancer.ActionFail:
 			delete(agent.attempts, action.Request)
-		default: // has no effect in the simulation
+		default: // other actions have no effect in the simulation
 		}
 	}
 }
 
-// forward starts an attempt at its server.
+// forward simulates an attempt at the server of the action.
 func (s *fleetSimulation) forward(agent *simulatedAgent, action balancer.Action) {
 	startedAt := s.now
 	index := agent.attempts[action.Request]
@@ -150,13 +150,13 @@
 	})
 }
 
-// schedule runs an event after ms.
+// schedule schedules run after ms.
 func (s *fleetSimulation) schedule(ms float64, run func()) {
 	s.sequence++
 	heap.Push(&s.queue, scheduledEvent{at: s.now + ms, sequence: s.sequence, run: run})
 }
 
-// scheduleFor runs an event of the agent after ms, unless the agent is restarted before.
+// scheduleFor schedules run for the agent after ms, unless the agent is restarted before.
 func (s *fleetSimulation) scheduleFor(agent *simulatedAgent, ms float64, run func()) {
 	incarnation := agent.incarnation
 	s.schedule(ms, func() {
@@ -166,7 +166,7 @@
 	})
 }
 
-// run lets ms pass.
+// run runs the simulation for ms.
 func (s *fleetSimulation) run(ms float64) {
 	end := s.now + ms
 	for len(s.queue) > 0 && s.queue[0].at <= end {
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// maxReceived is how many attempts a server in slow start bears in a window for which the settings allow
-// it n: those and what is due to chance. The operators' terms allow 3 sqrt(n) + 3 for chance where n is
-// under 30, which is more; the smaller figure holds for all n.
+// maxReceived returns the maximum number of attempts that a server in slow start may receive in a window with
+// a budget of n attempts, with a margin for chance. The operators' terms have a margin of 3 sqrt(n) + 3 for n
+// under 30; this one is smaller and holds for all n.
 func maxReceived(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// overload describes the window in which a server in slow start got most attempts for its budget.
+// overload describes the window in which a server in slow start received the most attempts relative to its
+// budget.
 type overload struct {
 	server       int
 	received     float64
@@ -19,17 +20,17 @@
 	sinceStartMs float64
 }
 
-// ratio is what the server got, as a multiple of what it bears.
+// ratio returns the attempts received as a multiple of the maximum.
 func (o overload) ratio() float64 { return o.received / maxReceived(o.budget) }
 
-// String describes the window, for messages.
+// String returns a description of the window for error messages.
 func (o overload) String() string {
-	return fmt.Sprintf("server %d got %.0f where %.1f are its budget, %.1f s after its start",
+	return fmt.Sprintf("server %d received %.0f attempts with a budget of %.1f, %.1f s after its start",
 		o.server, o.received, o.budget, o.sinceStartMs/1000)
 }
 
-// worstOverload returns the worst overload of all servers that were in slow start; the zero value where
-// there was none.
+// worstOverload returns the worst overload of all servers that were in slow start, or the zero value if there
+// was none.
 func (s *fleetSimulation) worstOverload() overload {
 	var worst overload
 	for i, server := range s.servers {
@@ -43,8 +44,8 @@
 	return worst
 }
 
-// worstOverloadOf returns the worst overload of one server. The budget of a window is that of the
-// capacity at its first attempt, as the capacity only grows.
+// worstOverloadOf returns the worst overload of one server. As the capacity only grows, the budget of a
+// window is determined by the capacity at its first attempt.
 func (s *fleetSimulation) worstOverloadOf(index int, server *simulatedServer) overload {
 	contract := &s.settings.Contract
 	warmBudget := contract.OverloadMultiple * server.requestsPerMs * contract.OverloadWindowMs
@@ -72,11 +73,11 @@
 	return worst
 }
 
-// checkSlowStart checks that no server in slow start got more attempts than it bears.
+// checkSlowStart checks that no server in slow start received more attempts than the maximum.
 func (s *fleetSimulation) checkSlowStart(t *testing.T) {
 	t.Helper()
 	if worst := s.worstOverload(); worst.ratio() > 1 || s.served == 0 {
-		t.Errorf("%.2f times what is allowed: %v; %d of %d served",
+		t.Errorf("%.2f times the allowed attempts: %v; %d of %d requests served",
 			worst.ratio(), worst, s.served, s.requests)
 	}
 }
@@ -97,10 +98,10 @@
 	return indices
 }
 
-// slowStartCase is a course of events in a fleet simulation, after 5 s without faults.
+// slowStartCase is a sequence of events in a fleet simulation, after 5 s without faults.
 type slowStartCase struct {
 	name string
-	load float64 // part of the warm servers' capacity, as for newFleetSimulation
+	load float64 // fraction of the warm servers' capacity, as in newFleetSimulation
 	run  func(s *fleetSimulation)
 }
 
@@ -252,14 +253,14 @@
 	}},
 }
 
-// In any overload window a server in slow start gets no more attempts of all agents together than its
-// budget and what is due to chance, however many agents there are, whatever fails at the same time, and
-// however their requests are spread. (The doc comment of slowStart.grantCredits derives the budget.)
+// In any overload window a server in slow start receives no more attempts from all agents together than its
+// budget and a margin for chance, regardless of the number of agents, of simultaneous faults and of the
+// distribution of the requests. The doc comment of slowStart.grantCredits derives the budget.
 func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
 	t.Parallel()
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
-		{1500, 15}, // a hundred agents for each server
+		{1500, 15}, // a hundred agents per server
 		{2, 1}, {2, 3}, {2, 12}, {12, 1}, {12, 3}, {12, 12}, {40, 1}, {40, 12}, {100, 12},
 	}
 	for _, c := range slowStartCases {
@@ -277,7 +278,7 @@
 	}
 }
 
-// Late responses of draining servers add no more to the credit of a server in slow start than its budget.
+// Late responses of draining servers do not raise the credit of a server in slow start above its budget.
 func TestSlowStartBoundsTheCreditFromDrainingServers(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []struct{ agents, servers int }{{12, 12}, {40, 120}, {100, 120}} {
@@ -295,8 +296,8 @@
 	}
 }
 
-// Where the last warm server drains, credit accrues with time from then on, and not for the time in which
-// the warm servers' responses added to it. The rate is that of the warm servers, measured for long before.
+// After the last warm server starts to drain, credit accrues with time, but not for the time before, in which
+// the responses of warm servers added to it. The rate is that of the warm servers, measured over a long time.
 func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarm(t *testing.T) {
 	t.Parallel()
 	for _, agents := range []int{12, 300} {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -10,24 +10,24 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// harness drives one Balancer from outside: events in, actions out.
+// harness drives one Balancer: it passes events to it and collects the resulting actions.
 type harness struct {
 	t           testing.TB
 	policy      *policy.Balancer
 	settings    balancer.Settings // in force
 	random      *rand.Rand
-	now         float64
+	now         float64 // milliseconds
 	lastRequest balancer.RequestID
-	timers      []timer // set and not fired yet
+	timers      []timer // set but not fired yet
 }
 
-// timer is a timer that the policy has set and that has not fired yet.
+// timer is a timer set by the policy that has not fired yet.
 type timer struct {
 	at    float64
 	token uint32
 }
 
-// newHarness returns a harness of an agent with so many servers, all ready.
+// newHarness returns a harness of an agent with the given number of ready servers.
 func newHarness(tb testing.TB, settings balancer.Settings, servers int) *harness {
 	tb.Helper()
 	b := newPolicy(tb, settings, 1)
@@ -42,12 +42,12 @@
 	return h
 }
 
-// handle hands the policy one event at the harness's time and collects the timers that it sets.
+// handle passes an event to the policy at the present time and collects the timers that the policy sets.
 func (h *harness) handle(ev balancer.Event) []balancer.Action {
 	return h.collectTimers(h.policy.Handle(h.now, &ev, nil))
 }
 
-// collectTimers adds the timers that the actions set, and returns the actions.
+// collectTimers records the timers that the actions set and returns the actions.
 func (h *harness) collectTimers(actions []balancer.Action) []balancer.Action {
 	for _, a := range actions {
 		if a.Kind == balancer.ActionSetTimer {
@@ -57,25 +57,25 @@
 	return actions
 }
 
-// updateList hands the policy an update of the endpoint list.
+// updateList passes an update of the endpoint list to the policy.
 func (h *harness) updateList(update balancer.ListUpdate, endpoints ...balancer.Endpoint) {
 	h.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: update, Endpoints: endpoints})
 }
 
-// request hands the policy a new request of a class with 600 ms left, and returns its id and the actions.
+// request passes a new request with 600 ms left to the policy and returns its id and the resulting actions.
 func (h *harness) request(class int, key uint64) (balancer.RequestID, []balancer.Action) {
 	h.lastRequest++
 	return h.lastRequest, h.handle(arrival(h.lastRequest, class, key, 600))
 }
 
-// endAttempt hands the policy the end of an attempt.
+// endAttempt passes the end of an attempt to the policy and returns the resulting actions.
 func (h *harness) endAttempt(
 	id balancer.RequestID, attempt int, server balancer.Addr, status balancer.Status, responseMs float64,
 ) []balancer.Action {
 	return h.handle(attemptDone(id, attempt, server, status, responseMs))
 }
 
-// findAction returns the first action of a kind; nil if there is none.
+// findAction returns the first action of the kind, or nil if there is none.
 func findAction(actions []balancer.Action, kind balancer.ActionKind) *balancer.Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// mustForward makes a request that has to be forwarded at once, and returns its id and its server.
+// mustForward makes a request that must be forwarded immediately and returns its id and its server.
 func (h *harness) mustForward(class int, key uint64) (balancer.RequestID, balancer.Addr) {
 	h.t.Helper()
 	id, actions := h.request(class, key)
@@ -97,15 +97,15 @@
 	return id, a.Server
 }
 
-// serveRetry serves the second attempt of a request at once, if the actions forward it.
+// serveRetry serves the second attempt of a request if the actions forward one.
 func (h *harness) serveRetry(id balancer.RequestID, actions []balancer.Action, responseMs float64) {
 	if a := findAction(actions, balancer.ActionForward); a != nil {
 		h.endAttempt(id, 1, a.Server, balancer.StatusOK, responseMs)
 	}
 }
 
-// endEachAttempt makes a request of a class and ends each of its attempts at once, as outcome says for
-// the server; it returns their servers.
+// endEachAttempt makes a request of a class and ends each of its attempts immediately with the outcome for
+// its server. It returns the servers of the attempts.
 func (h *harness) endEachAttempt(
 	class int, outcome func(server balancer.Addr) (status balancer.Status, tookMs float64),
 ) (servers []balancer.Addr) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// waitForAnswer lets time pass until the policy forwards or answers the last request, of which actions
-// are the first, and returns how long that took; false after 500 ms.
+// waitForAnswer advances the time until the policy forwards or answers the last request, and returns how long
+// that took. answered is false if nothing happens within 500 ms. actions are those of the request's arrival.
 func (h *harness) waitForAnswer(actions []balancer.Action) (ms float64, answered bool) {
 	start := h.now
 	for range 100 {
@@ -136,8 +136,8 @@
 	return h.now - start, false
 }
 
-// advance lets ms pass and fires the timers that are due by then, in the order of their times; it returns
-// all actions.
+// advance advances the time by ms, fires the timers that become due in chronological order, and returns the
+// resulting actions.
 func (h *harness) advance(ms float64) []balancer.Action {
 	end := h.now + ms
 	var all []balancer.Action
@@ -151,7 +151,7 @@
 	return all
 }
 
-// nextTimer returns the index of the first timer that is due by a time; -1 if there is none.
+// nextTimer returns the index of the earliest timer that is due by the given time, or -1 if there is none.
 func (h *harness) nextTimer(by float64) int {
 	next := -1
 	for i, timer := range h.timers {
@@ -162,18 +162,18 @@
 	return next
 }
 
-// healthStates is the number of listed servers in each health state, best first.
+// healthStates returns the number of listed servers in each health state, best state first.
 func (h *harness) healthStates() [4]int { return h.policy.Stats().States }
 
-// serve has n requests of new keys served, each after ms, so that the agent has response times of its
-// servers and sees no popular key.
+// serve has n requests with new keys served, each after ms, so that the agent knows the response times of its
+// servers and there is no popular key.
 func (h *harness) serve(n int, ms float64) {
 	h.t.Helper()
 	h.serveAndCount(n, ms, balancer.Addr{})
 }
 
-// serveAndCount has n requests of new keys served, one after the other, each after ms, and returns how
-// many went to s.
+// serveAndCount has n requests with new keys served, one after the other, each after ms. It returns how many
+// were forwarded to s.
 func (h *harness) serveAndCount(n int, ms float64, s balancer.Addr) int {
 	h.t.Helper()
 	got := 0
@@ -188,7 +188,7 @@
 	return got
 }
 
-// ejectionMs is how long a server that failed once is ejected: the shortest latency objective.
+// ejectionMs returns the ejection time of a server that failed once, which is the shortest latency objective.
 func (h *harness) ejectionMs() float64 {
 	least := math.Inf(1)
 	for _, c := range h.settings.Classes {
@@ -197,8 +197,8 @@
 	return least
 }
 
-// serveRounds plays n rounds: each makes k requests of new keys, then ends every attempt in flight after
-// responseMs, those forwarded meanwhile too.
+// serveRounds runs n rounds. Each makes k requests with new keys and ends all attempts in flight after
+// responseMs, including those of requests that were queued in the previous round.
 func (h *harness) serveRounds(n, k int, responseMs float64) {
 	var inFlight []*balancer.Action
 	collect := func(actions []balancer.Action) {
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// Where health checks are permitted, they decide whether a server is put back in service.
+// If health checks are permitted, they decide whether a server in UnhealthyPending serves again.
 func TestHealthCheckDecidesAboutAPendingServer(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.HealthChecks = true
@@ -26,32 +26,32 @@
 	h.now += 2 * h.ejectionMs()
 	_, actions := h.request(idempotentClass, 7)
 	if check := findAction(actions, balancer.ActionHealthCheck); check == nil || check.Server != s {
-		t.Fatalf("no health check of the pending server: %+v", actions)
+		t.Fatalf("pending server was not health-checked: %+v", actions)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
-		t.Error("a request went to a pending server before its health check")
+		t.Error("request was not forwarded to another server before the health check")
 	}
 	h.endHealthCheck(s, balancer.StatusTimeout, 100)
 	if h.healthStates()[balancer.Unhealthy] != 1 {
-		t.Errorf("a failed health check did not eject: %v", h.healthStates())
+		t.Errorf("health states after a failed health check: %v, want one Unhealthy", h.healthStates())
 	}
 	h.now += 10 * h.ejectionMs()
 	h.request(idempotentClass, 8)
 	h.endHealthCheck(s, balancer.StatusOK, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 ||
 		got[balancer.Connected] == 0 {
-		t.Errorf("a successful health check did not set Connected: %v", got)
+		t.Errorf("health states after a successful health check: %v, want the server Connected", got)
 	}
 }
 
-// Health checks are limited to a part of the requests.
+// The number of health checks is limited to a fraction of the number of requests.
 func TestHealthChecksAreFewerThanRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.HealthChecks = true
 	h := newHarness(t, settings, 6)
-	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // four become unreachable
+	for i := 0; h.healthStates()[balancer.Unhealthy] < 4; i++ { // until four are ejected as unreachable
 		if i > 50 {
-			t.Fatalf("four servers were not ejected: %v", h.healthStates())
+			t.Fatalf("health states %v, want four servers ejected", h.healthStates())
 		}
 		h.endEachAttempt(idempotentClass, func(server balancer.Addr) (balancer.Status, float64) {
 			if server[3] < 4 {
@@ -76,12 +76,12 @@
 		}
 	}
 	if checks == 0 || checks > 30 {
-		t.Errorf("%d health checks in 200 requests", checks)
+		t.Errorf("%d health checks with 200 requests, want some and at most 30", checks)
 	}
 }
 
-// A health check with a response, even an error, does not make a server unresponsive; one that times out
-// or cannot connect does, and halves the server's limit (eight at first for a single agent).
+// A health check with a response, even an error, does not make a server unresponsive. One that times out or
+// cannot connect does, and halves the server's limit, which is initially eight for a single agent.
 func TestHealthCheckWithAResponseIsNotUnresponsive(t *testing.T) {
 	for status, unresponsive := range map[balancer.Status]bool{
 		balancer.StatusError:         false,
@@ -98,7 +98,7 @@
 		h.now += 2 * settings.Classes[nonIdempotentClass].LatencyObjectiveMs
 		_, actions := h.request(nonIdempotentClass, 0)
 		if findAction(actions, balancer.ActionHealthCheck) == nil {
-			t.Fatalf("no health check was sent: %+v", actions)
+			t.Fatalf("server was not health-checked: %+v", actions)
 		}
 		h.endHealthCheck(s, status, 1)
 		want := 8.0
@@ -106,7 +106,8 @@
 			want = 4
 		}
 		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
-			t.Errorf("health check ended %d: %+v, want it Unhealthy with a limit of %v", status, stats, want)
+			t.Errorf("health check status %d: stats %+v, want one Unhealthy and a limit of %v",
+				status, stats, want)
 		}
 	}
 }
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// retryMark tells whether a client marks a request as a retry.
+// retryMark specifies whether a client marks a request as a retry.
 type retryMark bool
 
 const (
@@ -15,18 +15,19 @@
 	notMarked retryMark = false
 )
 
-// A client's retry is judged by the time that has passed for the client: where it can only be queued, it
-// is rejected once the latency objective of the first request has passed, not one objective later.
+// The latency objective of a client's retry counts from the client's first request: a retry that stays queued
+// is rejected when the objective of the first request has passed, not one objective later.
 func TestMarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
-	// The client had waited 200 ms for its first request: its retry ends that much sooner.
+	// The client has waited 200 ms for its first request, so its retry is rejected 200 ms earlier.
 	retry, first := queuedRetryMs(t, marked), queuedRetryMs(t, notMarked)
 	if math.Abs(first-retry-200) > 10 {
-		t.Errorf("a queued retry was rejected after %.0f ms, a first request after %.0f", retry, first)
+		t.Errorf("queued retry was rejected after %.0f ms, first request after %.0f ms, "+
+			"want a difference of 200 ms", retry, first)
 	}
 }
 
-// queuedRetryMs is how long a request is queued that comes after its client has waited 200 ms for another
-// one of the same key, where the only server is at its limit.
+// queuedRetryMs returns how long a request is queued whose client has waited 200 ms for another request of
+// the same key before. The only server is at its limit.
 func queuedRetryMs(t *testing.T, mark retryMark) float64 {
 	t.Helper()
 	h := newHarness(t, testSettings(), 1)
@@ -34,10 +35,10 @@
 	h.now += 200
 	h.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
 	h.endAttempt(id, 0, s, balancer.StatusCancelled, 200)
-	for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
+	for h.policy.Stats().InFlight < 2 { // until the server is at its limit: further requests are queued
 		_, actions := h.request(idempotentClass, h.random.Uint64()|1)
 		if findAction(actions, balancer.ActionForward) == nil {
-			t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
+			t.Fatalf("server did not reach its limit: %+v", h.policy.Stats())
 		}
 	}
 	h.lastRequest++
@@ -46,31 +47,32 @@
 	actions := h.handle(retry)
 	ms, answered := h.waitForAnswer(actions)
 	if !answered {
-		t.Fatalf("retry %v: queued for 500 ms", mark)
+		t.Fatalf("request is still queued after 500 ms (marked as a retry: %t)", mark)
 	}
 	return ms
 }
 
-// Where clients do not mark their retries, a request with less time than others of its class were given
-// is taken for a retry, and the time that it lacks has passed since the first. Where each request has a
-// time of its own, shorter than the total timeout, a shorter time has no such meaning.
+// If clients do not mark their retries, a request with less remaining time than others of its class is taken
+// for a retry, and the difference for the time since the first request. If clients give their requests less
+// time than the total timeout, a shorter remaining time does not indicate a retry.
 func TestUnmarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	first := queuedRequestMs(t, 1000, 1000)
 	second := queuedRequestMs(t, 1000, 800)
 	third := queuedRequestMs(t, 1000, 650)
 	if math.Abs(first-second-200) > 10 || third > 10 {
-		t.Errorf("first requests were queued for %.0f ms, "+
-			"retries after 200 ms for %.0f, after 350 ms for %.0f", first, second, third)
+		t.Errorf("first request was queued for %.0f ms, "+
+			"retry after 200 ms for %.0f ms, retry after 350 ms for %.0f ms", first, second, third)
 	}
 	full, shorter := queuedRequestMs(t, 500, 500), queuedRequestMs(t, 500, 400)
 	if math.Abs(full-first) > 10 || math.Abs(shorter-first) > 10 {
-		t.Errorf("requests of 500 ms were queued for %.0f ms, one of 400 for %.0f, first requests for %.0f",
+		t.Errorf("request with 500 ms was queued for %.0f ms, one with 400 ms for %.0f ms, "+
+			"first request for %.0f ms",
 			full, shorter, first)
 	}
 }
 
-// queuedRequestMs is how long a request with remainingMs left is queued, where the only server is at its
-// limit by requests that were given givenMs. The objective is 300 ms, the total timeout 1,000 ms.
+// queuedRequestMs returns how long a request with remainingMs left is queued while the only server is at its
+// limit with requests that had givenMs left. The objective is 300 ms, the total timeout 1,000 ms.
 func queuedRequestMs(t *testing.T, givenMs, remainingMs float64) float64 {
 	t.Helper()
 	settings := testSettings()
@@ -80,14 +82,14 @@
 		h.lastRequest++
 		return h.handle(arrival(h.lastRequest, idempotentClass, h.random.Uint64()|1, remainingMs))
 	}
-	for h.policy.Stats().InFlight < 2 { // the server's limit is reached: what comes is queued
+	for h.policy.Stats().InFlight < 2 { // until the server is at its limit: further requests are queued
 		if findAction(arrive(givenMs), balancer.ActionForward) == nil {
-			t.Fatalf("the limit is not reached: %+v", h.policy.Stats())
+			t.Fatalf("server did not reach its limit: %+v", h.policy.Stats())
 		}
 	}
 	ms, answered := h.waitForAnswer(arrive(remainingMs))
 	if !answered {
-		t.Fatalf("queued for 500 ms, given %.0f of %.0f ms", remainingMs, givenMs)
+		t.Fatalf("request with %.0f of %.0f ms left is still queued after 500 ms", remainingMs, givenMs)
 	}
 	return ms
 }
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Idle connections are closed where keeping them costs more than opening new ones.
+// Idle connections are closed if keeping them costs more than opening new ones.
 func TestIdleConnectionsAreClosedWhereKeepingCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
@@ -26,14 +26,14 @@
 			settings.Costs.Handshake = c.handshake
 			closed := closedOf200(t, settings)
 			if c.closes && closed < 150 || !c.closes && closed > 20 {
-				t.Errorf("%d agents, connection %v, handshake %v: closed %d times of 200",
+				t.Errorf("%d agents, connection cost %v, handshake cost %v: closed %d times in 200 requests",
 					c.agents, c.connection, c.handshake, closed)
 			}
 		})
 	}
 }
 
-// closedOf200 is after how many of 200 served requests the idle connections of their server are closed.
+// closedOf200 returns after how many of 200 served requests the idle connections of the server are closed.
 func closedOf200(t *testing.T, settings balancer.Settings) int {
 	t.Helper()
 	h := newHarness(t, settings, 8)
--- a/policy/keys_test.go
+++ b/policy/keys_test.go
@@ -6,8 +6,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A key with a large share of the requests is spread over many servers, a rare one keeps to few. The agent
-// has no more than one request in flight, so that no load cap spreads them.
+// A popular key is spread over many servers, a rare one stays on few. The agent has at most one request in
+// flight, so that the load cap does not spread the keys.
 func TestPopularKeyIsSpreadByItsShare(t *testing.T) {
 	h := newHarness(t, testSettings(), 20)
 	const popular, rare = 7, 8
@@ -27,7 +27,7 @@
 		}
 	}
 	if len(servers[popular]) < 8 || len(servers[rare]) > 5 {
-		t.Errorf("a fifth of all requests went to %d servers, a hundredth to %d",
+		t.Errorf("key with a fifth of the requests used %d servers, key with a hundredth used %d",
 			len(servers[popular]), len(servers[rare]))
 	}
 }
--- a/policy/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// largeFleetAgents is the number of agents of the largest fleet that the operators name.
+	// largeFleetAgents is the number of agents in the largest fleet of the operators' requirements.
 	largeFleetAgents = 900
-	// requestIntervalMs is the time between two requests of one agent of that fleet.
+	// requestIntervalMs is the interval between two requests of one agent in that fleet.
 	requestIntervalMs = 100.0
-	// largeFleetLoad is the part of the servers' capacity that the agents' requests take.
+	// largeFleetLoad is the load of the requests as a fraction of the servers' capacity.
 	largeFleetLoad = 0.7
 	// largeFleetDurationMs is the duration of a simulation of BenchmarkLargeFleetDay.
 	largeFleetDurationMs = 30000.0
-	// responseTimeMs is how long a server takes to respond.
+	// responseTimeMs is the response time of a server.
 	responseTimeMs = 60.0
 )
 
-// The states of BenchmarkLargeFleetDecision. Their values stand in the recorded results (docs/CAPACITY.md).
+// The states of BenchmarkLargeFleetDecision. Their values are part of the recorded results in
+// docs/CAPACITY.md.
 const (
 	// stateQuiet: the first server serves the request.
 	stateQuiet = "quiet"
@@ -31,8 +32,8 @@
 	stateRejecting = "crowded"
 )
 
-// BenchmarkLargeFleetDecision measures the processor time of one request with the settings of 900 agents:
-// its arrival, its attempts, their ends, and the ticks that are due until the next request.
+// BenchmarkLargeFleetDecision measures the processor time of one request in a fleet of 900 agents: its
+// arrival, its attempts, their ends, and the ticks that are due until the next request.
 func BenchmarkLargeFleetDecision(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		for _, state := range []string{stateQuiet, stateRejecting} {
@@ -53,7 +54,8 @@
 	}
 }
 
-// serveAmongOverloaded plays one request of which so many in four attempts find an overloaded server.
+// serveAmongOverloaded simulates one request. Each attempt is rejected by an overloaded server with a
+// probability of overloaded/4.
 func (d *decisionBenchmark) serveAmongOverloaded(key uint64, overloaded int) {
 	arrivedAt := d.now
 	id := d.request(idempotentClass, key)
@@ -72,8 +74,8 @@
 	d.advance(max(arrivedAt+requestIntervalMs-d.now, 0))
 }
 
-// processorTime is the processor time that the process has used so far. Unlike the wall clock it depends
-// little on what else the machine does.
+// processorTime returns the processor time that the process has used so far. Unlike the elapsed time it
+// depends little on the other load of the machine.
 func processorTime(tb testing.TB) time.Duration {
 	tb.Helper()
 	var usage syscall.Rusage
@@ -84,9 +86,10 @@
 }
 
 // BenchmarkLargeFleetDay simulates fleets without faults, with agents in proportion to servers. It reports
-// the part of the requests that is served, the servers that an agent has forwarded to (with at least one
-// connection to each), and the memory of a Balancer at the end, with what the simulation has for it. There
-// are 40 keys for each server, equally popular or skewed: the share of a key falls with its rank.
+// the fraction of the requests that are served, the mean number of servers that an agent has forwarded to,
+// each of which takes at least one connection, and the memory per Balancer at the end, including its share
+// of the simulation. There are 40 keys per server. They are equally popular, or skewed so that the share of
+// a key decreases with its rank.
 func BenchmarkLargeFleetDay(b *testing.B) {
 	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
 		for _, keys := range []string{"even", "skewed"} {
@@ -122,7 +125,7 @@
 	runtime.KeepAlive(s)
 }
 
-// heapInUse is the size of the reachable memory, in bytes.
+// heapInUse returns the size of the reachable heap memory, in bytes.
 func heapInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -7,25 +7,25 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// For few agents, responses that take one and a half times as long as without load are no overload; for
-// many they are: each of these sees little of the load and reacts later.
+// Responses that take 1.5 times as long as without load count as an overload in a large fleet, but not in a
+// small one: each agent of a large fleet sees only a small part of the load and reacts later.
 func TestOverloadLatencyIsHigherForFewAgents(t *testing.T) {
 	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
 	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
 	if !math.IsInf(few[1].ConcurrencyLimit, 1) || many[1].ConcurrencyLimit >= 1 {
-		t.Errorf("concurrency limit %.1f of three agents, %.1f of eighty, after responses 1.5 times as long",
+		t.Errorf("concurrency limit %.1f of three agents, %.1f of eighty, want infinity and less than 1",
 			few[1].ConcurrencyLimit, many[1].ConcurrencyLimit)
 	}
 }
 
-// No server's limit grows before the baseline latency is known. Until then a server may have two attempts
-// in flight of one of many agents.
+// The limits of the servers do not grow before the baseline latency is known. Until then each server may have
+// two attempts of this agent in flight.
 func TestNoServerLimitGrowsBeforeTheBaselineIsKnown(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for i := range 49 { // the baseline is known from the 50th response on
 		h.serve(1, 20)
 		if limits := h.policy.Stats().ServerLimits; limits > 2*2 {
-			t.Fatalf("limits %.2f after %d responses", limits, i+1)
+			t.Fatalf("sum of the limits is %.2f after %d responses, want at most 4", limits, i+1)
 		}
 	}
 	for range 40 {
@@ -44,13 +44,13 @@
 		}
 	}
 	if limits := h.policy.Stats().ServerLimits; limits <= 2*2 {
-		t.Errorf("no limit grew once the baseline was known: %.2f", limits)
+		t.Errorf("sum of the limits is %.2f with a known baseline, want more than 4", limits)
 	}
 }
 
-// Few agents see most of the load: a server that responds well within the objective is not overloaded,
-// however low the baseline is. After responses in a quarter of the objective, where the baseline is a
-// fifteenth, the limits of a single agent stay, and those of one of twenty are decreased.
+// In a small fleet each agent sees most of the load, so a server that responds well within the objective is
+// not overloaded, however low the baseline is. With a baseline of a fifteenth of the objective, responses
+// that take a quarter of it decrease the limits of one of twenty agents, but not those of a single agent.
 func TestOverloadLatencyFallsWithTheFleetSize(t *testing.T) {
 	for _, agents := range []int{1, 20} {
 		settings := testSettings()
@@ -66,9 +66,9 @@
 	}
 }
 
-// A server that is always slow is judged by its own baseline, not by that of all: at four times the
-// other's response time, over one and a half times the common baseline, its limit stays; at twice its own
-// it is decreased.
+// A server that is always slow is compared with its own baseline, not with the common one. Its limit stays
+// the same at four times the response time of the other server, which is over 1.5 times the common baseline,
+// and is decreased at twice its own baseline.
 func TestSlowServerIsJudgedByItsOwnBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	serve := func(requests int, slowMs float64) {
@@ -86,19 +86,19 @@
 	first := h.policy.Stats().ServerLimits
 	serve(400, 120)
 	if limits := h.policy.Stats().ServerLimits; limits < first {
-		t.Errorf("at its own baseline latency, four times the other's, "+
-			"the slow server's limit was cut: %.1f of %.1f", limits, first)
+		t.Errorf("limit of the slow server at its own baseline, four times the other's latency: "+
+			"%.1f, want at least %.1f", limits, first)
 	}
 	serve(100, 240)
 	if limits := h.policy.Stats().ServerLimits; limits >= first {
-		t.Errorf("at twice its own baseline latency the slow server's limit stays: %.1f of %.1f",
+		t.Errorf("limit of the slow server at twice its own baseline: %.1f, want less than %.1f",
 			limits, first)
 	}
 }
 
-// A single agent whose first responses were quick (those of a few popular keys) must not take all that
-// follow for overload. Its baseline has to follow responses in 0.4 of the objective, above its least latency
-// limit of a third: under load its limits grow again.
+// A single agent whose first responses were fast, such as those of a few popular keys, must not treat all
+// later ones as an overload. Its baseline has to rise to responses that take 0.4 of the objective, which is
+// above its minimum latency limit of a third, so that its limits grow again under load.
 func TestSingleAgentRaisesItsBaseline(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 1
@@ -108,23 +108,22 @@
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 6, 120)
 	if limits := h.policy.Stats().ServerLimits; limits <= before {
-		t.Errorf("under load at its baseline latency a single agent's limits went from %.1f to %.1f",
+		t.Errorf("limits of a single agent went from %.1f to %.1f under load, want them to grow",
 			before, limits)
 	}
 }
 
-// Agents may be restarted one by one while the fleet is overloaded. The baseline of the first responses
-// is at most a quarter of the objective: after quick responses and then responses in 0.9 of the
-// objective, a server's responses in 0.47 of it still count as overload, and its limit does not grow
-// under load.
+// An agent may be restarted while the fleet is overloaded, so its initial baseline is at most a quarter of
+// the objective. After a few fast responses and then responses that take 0.9 of the objective, responses
+// that take 0.47 of it still count as an overload, and the server's limit does not grow under load.
 func TestOverloadAtTheStartDoesNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
-	h.serve(12, 20)  // the server's own baseline is short
-	h.serve(38, 270) // the rest of the 50 responses by which the baseline is first known
+	h.serve(12, 20)  // gives the server a low baseline of its own
+	h.serve(38, 270) // the rest of the 50 responses after which the common baseline is known
 	before := h.policy.Stats().ServerLimits
 	h.serveRounds(100, 3, 140)
 	if limits := h.policy.Stats().ServerLimits; limits > before {
-		t.Errorf("responses in 0.9 of the objective became the baseline: the limit grew from %.1f to %.1f",
+		t.Errorf("limit grew from %.1f to %.1f: responses in 0.9 of the objective became the baseline",
 			before, limits)
 	}
 }
--- a/policy/main_test.go
+++ b/policy/main_test.go
@@ -1,5 +1,5 @@
-// Package policy_test holds the black-box tests of the balancing policy (package policy): they hand it
-// events and check the actions that come back and its Stats, and use nothing else of it.
+// Package policy_test contains the black-box tests of package policy. They pass events to a Balancer, and
+// check the actions that it returns and its Stats.
 package policy_test
 
 import (
@@ -8,5 +8,5 @@
 	"fernbeam.example/fernbeam/internal/rapidseed"
 )
 
-// TestMain fixes the scenarios that rapid draws.
+// TestMain fixes the seed of the scenarios that rapid draws.
 func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A request goes to an ejected server if there is no server of a better tier.
+// A request is forwarded to an ejected server if no tier above has a server.
 func TestEjectedServersServeWhenNoOtherIsLeft(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 2 {
@@ -14,22 +14,22 @@
 		h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	}
 	if _, s := h.mustForward(idempotentClass, 3); s == (balancer.Addr{}) {
-		t.Error("nothing was sent though Unhealthy servers are the only ones")
+		t.Error("request was not forwarded although only Unhealthy servers are left")
 	}
 }
 
-// A server's health state follows its responses: Unknown, Connected, Unhealthy, and after its ejection
+// The health state of a server follows its responses: Unknown, Connected, Unhealthy, and after the ejection
 // time UnhealthyPending until a request checks it.
 func TestHealthStateTransitions(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	if got := h.healthStates(); got != [4]int{0, 4, 0, 0} {
-		t.Fatalf("listed servers start as %v, want all Unknown", got)
+		t.Fatalf("health states of new servers: %v, want all Unknown", got)
 	}
 	id, s := h.mustForward(idempotentClass, 7)
 	h.now += 50
 	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
 	if got := h.healthStates(); got != [4]int{1, 3, 0, 0} {
-		t.Fatalf("served: %v, want one Connected", got)
+		t.Fatalf("health states after a response: %v, want one Connected", got)
 	}
 	h.ejectServerOf(7, s)
 	h.checkNoneGoTo(s)
@@ -38,27 +38,27 @@
 	h.now += 50
 	h.endAttempt(id, 0, s, balancer.StatusOK, 50)
 	if got := h.healthStates(); got != [4]int{4, 0, 0, 0} {
-		t.Fatalf("checked: %v, want it Connected", got)
+		t.Fatalf("health states after the check: %v, want all Connected", got)
 	}
 }
 
-// ejectServerOf has the server of a key fail a request, which another server then serves, and checks
-// that the server is ejected.
+// ejectServerOf makes the server of a key fail a request, checks that the server is ejected, and has another
+// server serve the request.
 func (h *harness) ejectServerOf(key uint64, s balancer.Addr) {
 	h.t.Helper()
 	id, second := h.mustForward(idempotentClass, key)
 	if second != s {
-		h.t.Fatalf("key moved from %v to %v without a cause", s, second)
+		h.t.Fatalf("server of the key changed from %v to %v without a reason", s, second)
 	}
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 5)
 	if got := h.healthStates(); got[balancer.Unhealthy] != 1 || got[balancer.Connected] != 0 {
-		h.t.Fatalf("error: %v, want the server Unhealthy", got)
+		h.t.Fatalf("health states after an error: %v, want the server Unhealthy", got)
 	}
 	if findAction(actions, balancer.ActionFetchList) == nil {
-		h.t.Error("an ejection did not fetch the list")
+		h.t.Error("ejection did not fetch the endpoint list")
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
-		h.t.Fatalf("the idempotent request did not go on to another server: %+v", actions)
+		h.t.Fatalf("idempotent request was not retried on another server: %+v", actions)
 	}
 	h.now += 5
 	h.serveRetry(id, actions, 5)
@@ -70,58 +70,58 @@
 	for range 20 {
 		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		if to == s {
-			h.t.Fatal("an Unhealthy server was chosen before the better tier")
+			h.t.Fatal("request was forwarded to an Unhealthy server although a better tier has servers")
 		}
 		h.endAttempt(id, 0, to, balancer.StatusOK, 1)
 	}
 }
 
-// checkPending checks that a server whose ejection time has passed is pending until a request checks it,
-// and returns that request.
+// checkPending checks that a server whose ejection time has passed is in UnhealthyPending until a request
+// checks it, and returns the id of that request.
 func (h *harness) checkPending(s balancer.Addr) balancer.RequestID {
 	h.t.Helper()
 	for range 52 {
 		id, to := h.mustForward(idempotentClass, h.random.Uint64()|1)
 		if got := h.healthStates(); got[balancer.UnhealthyPending] != 1 {
-			h.t.Fatalf("after the ejection time: %v, want it pending", got)
+			h.t.Fatalf("health states after the ejection time: %v, want one UnhealthyPending", got)
 		}
 		if to == s {
 			return id
 		}
 		h.endAttempt(id, 0, to, balancer.StatusOK, 1)
 	}
-	h.t.Fatal("a server pending after its ejection time is never checked by a request")
+	h.t.Fatal("no request checked the server after its ejection time")
 	return 0
 }
 
-// A server that rejects an attempt as overloaded is not ejected, and the request goes to another.
+// A server that rejects an attempt as overloaded is not ejected, and the request is retried on another one.
 func TestOverloadedStatusDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	id, s := h.mustForward(nonIdempotentClass, 7)
 	actions := h.endAttempt(id, 0, s, balancer.StatusOverloaded, 1)
 	if got := h.healthStates(); got[balancer.Unhealthy]+got[balancer.UnhealthyPending] != 0 {
-		t.Errorf("an overloaded status ejected the server: %v", got)
+		t.Errorf("health states after an overloaded status: %v, want no ejection", got)
 	}
 	if a := findAction(actions, balancer.ActionForward); a == nil || a.Server == s {
-		t.Errorf("a request that was rejected by the server did not go elsewhere: %+v", actions)
+		t.Errorf("rejected attempt was not retried on another server: %+v", actions)
 	}
 }
 
-// A server that hangs would stay Connected by its statuses alone; it is ejected as it does not respond.
+// A server that hangs returns no statuses and would stay Connected, so it is ejected for not responding.
 func TestUnresponsiveServerIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	h.serve(200, 10) // so that the response time is known
+	h.serve(200, 10) // enough responses to know the response time
 	h.mustForward(idempotentClass, 9)
 	for range 30 {
 		if h.advance(10); h.healthStates()[balancer.Unhealthy] == 1 {
 			return
 		}
 	}
-	t.Error("a server that does not respond for 300 ms was not ejected")
+	t.Error("server that did not respond for 300 ms was not ejected")
 }
 
-// A non-idempotent request does not find out whether a pending server serves again; an idempotent one
-// does.
+// Only idempotent requests check whether a server in UnhealthyPending serves again; non-idempotent ones do
+// not.
 func TestNonIdempotentRequestDoesNotCheckAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	id, failing := h.mustForward(idempotentClass, 7)
@@ -140,13 +140,13 @@
 		}
 	}
 	if idempotent == 0 || nonIdempotent > 0 {
-		t.Errorf("a pending server was checked by %d idempotent and %d non-idempotent requests; "+
+		t.Errorf("pending server was checked by %d idempotent and %d non-idempotent requests, "+
 			"want some and none", idempotent, nonIdempotent)
 	}
 }
 
-// A failure with a response is no sign of overload and keeps the server's limit; a failed connect halves
-// it.
+// A failure with a response does not indicate overload and leaves the server's limit unchanged; a failed
+// connect halves it.
 func TestFailureWithAResponseKeepsTheServerLimit(t *testing.T) {
 	for status, want := range map[balancer.Status]float64{
 		balancer.StatusError:         8 + 8,
@@ -154,37 +154,38 @@
 		balancer.StatusConnectFailed: 8 + 4,
 	} {
 		settings := testSettings()
-		settings.FleetSize = 1 // a single agent begins with eight for each server
+		settings.FleetSize = 1 // a single agent starts with a limit of eight per server
 		h := newHarness(t, settings, 2)
 		id, s := h.mustForward(nonIdempotentClass, 0)
 		h.endAttempt(id, 0, s, status, 5)
 		if stats := h.policy.Stats(); stats.States[balancer.Unhealthy] != 1 || stats.ServerLimits != want {
-			t.Errorf("ended %d: %+v, want one Unhealthy and limits of %v", status, stats, want)
+			t.Errorf("status %d: stats %+v, want one Unhealthy server and limits of %v", status, stats, want)
 		}
 	}
 }
 
-// A server that failed three times in a row is ejected for four latency objectives. While the others have
-// no capacity it is checked after one: a server that fails some requests is better than rejecting all.
+// A server that failed three times in a row is ejected for four latency objectives. If the other servers
+// have no capacity, it is checked after one objective: a server that fails some requests is better than
+// rejecting all of them.
 func TestEjectionEndsEarlyWhileOthersAreSaturated(t *testing.T) {
 	for _, saturated := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
 		h.failThreeTimes()
 		if saturated {
-			for range 40 { // more than the other limits permit, without a key: they take any server
+			for range 40 { // more than the other servers' limits permit; without a key any server takes them
 				h.request(idempotentClass, 0)
 			}
 		}
 		h.now += h.ejectionMs() + 1
 		h.request(idempotentClass, 0)
 		if checked := h.healthStates()[balancer.UnhealthyPending] == 1; checked != saturated {
-			t.Errorf("others full: %v; failing server checked after one objective: %v (%v)",
+			t.Errorf("others saturated: %t, failing server checked after one objective: %t (states %v)",
 				saturated, checked, h.healthStates())
 		}
 	}
 }
 
-// failThreeTimes has one server fail three requests in a row, each after its ejection time.
+// failThreeTimes makes one server fail three requests in a row, each after its ejection time.
 func (h *harness) failThreeTimes() {
 	h.t.Helper()
 	id, failing := h.mustForward(idempotentClass, h.random.Uint64()|1)
@@ -198,8 +199,8 @@
 	}
 }
 
-// forwardTo makes requests of new keys until one is forwarded to the server, and returns that one; the
-// others are served.
+// forwardTo makes requests with new keys until one is forwarded to the server, and returns its id. The other
+// requests are served.
 func (h *harness) forwardTo(s balancer.Addr) balancer.RequestID {
 	h.t.Helper()
 	for range 102 {
@@ -209,6 +210,6 @@
 		}
 		h.endAttempt(id, 0, to, balancer.StatusOK, 5)
 	}
-	h.t.Fatal("a pending server was never checked")
+	h.t.Fatal("no request checked the pending server")
 	return 0
 }
--- a/policy/phases_test.go
+++ b/policy/phases_test.go
@@ -6,14 +6,14 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// phase is a number of requests, one every 40 ms, each with a response after responseMs.
+// phase is a sequence of requests, one every 40 ms, each with a response after responseMs.
 type phase struct {
 	responseMs float64
 	requests   int
 }
 
-// runPhases plays phases to an agent, one of so many, with 60 servers and returns its Stats at the end of
-// each.
+// runPhases runs the phases on one agent of a fleet with 60 servers and returns its Stats at the end of each
+// phase.
 func runPhases(t *testing.T, agents int, phases ...phase) []balancer.Stats {
 	t.Helper()
 	settings := testSettings()
@@ -27,10 +27,10 @@
 	return stats
 }
 
-// phasePlayer plays phases to a harness.
+// phasePlayer runs phases on a harness.
 type phasePlayer struct {
 	*harness
-	inFlight []phaseAttempt // the next one to end first
+	inFlight []phaseAttempt // in the order of their ends
 }
 
 // phaseAttempt is an attempt in flight.
@@ -40,7 +40,7 @@
 	endsAt  float64
 }
 
-// play plays the requests of one phase.
+// play runs the requests of one phase.
 func (p *phasePlayer) play(phase phase) {
 	for range phase.requests {
 		p.now += 40
@@ -53,13 +53,13 @@
 	}
 }
 
-// start notes an attempt that is forwarded now and ends after responseMs.
+// start records an attempt that is forwarded now and ends after responseMs.
 func (p *phasePlayer) start(a *balancer.Action, responseMs float64) {
 	p.inFlight = append(p.inFlight, phaseAttempt{a.Request, a.Server, p.now + responseMs})
 }
 
-// endDue ends the attempts that are due, each with a response after responseMs, and notes those that are
-// forwarded in their place.
+// endDue ends the attempts that are due, each with a response after responseMs, and records those that are
+// forwarded as a result.
 func (p *phasePlayer) endDue(responseMs float64) {
 	for len(p.inFlight) > 0 && p.inFlight[0].endsAt <= p.now {
 		ended := p.inFlight[0]
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -7,41 +7,41 @@
 	"fernbeam.example/fernbeam/policy"
 )
 
-// failPoll hands the policy the failure of a call for the endpoint list, and returns the timer that it sets;
-// nil if it sets none.
+// failPoll passes the failure of a call for the endpoint list to the policy. It returns the timer that the
+// policy sets, or nil if there is none.
 func failPoll(b *policy.Balancer, now float64) *balancer.Action {
 	failed := balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed}
 	return findAction(b.Handle(now, &failed, nil), balancer.ActionSetTimer)
 }
 
-// The call for the endpoint list is made within the contract's time after the start and after each
-// failure, one at a time.
+// The endpoint list is polled within the time of the contract after the start and after each failure, by one
+// call at a time.
 func TestFailedPollIsRepeated(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	b := newPolicy(t, settings, 3)
 	first := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 	if first == nil || first.Ms > settings.Contract.PollWithinMs {
-		t.Fatalf("no call within the contract's time: %+v", first)
+		t.Fatalf("no call within the time of the contract: %+v", first)
 	}
 	fired := balancer.Event{Kind: balancer.EventTimer, Token: first.Token}
 	if findAction(b.Handle(first.Ms, &fired, nil), balancer.ActionWatchList) == nil {
-		t.Fatal("the timer did not make the call")
+		t.Fatal("timer did not make the call")
 	}
 	for range 8 {
 		retryTimer := failPoll(b, first.Ms)
 		if retryTimer == nil || retryTimer.Ms > settings.Contract.PollWithinMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", retryTimer)
+			t.Fatalf("failed call is not repeated within the time of the contract: %+v", retryTimer)
 		}
 		if more := failPoll(b, first.Ms); more != nil {
-			t.Fatalf("a second call was scheduled beside the one that waits: %+v", more)
+			t.Fatalf("second call was scheduled while one is pending: %+v", more)
 		}
 		b.Handle(first.Ms, &balancer.Event{Kind: balancer.EventTimer, Token: retryTimer.Token}, nil)
 	}
 }
 
-// Eighty agents that start together, as after a mass restart, or whose calls fail together, spread their
-// next calls to discovery over time; a few agents need no such time.
+// Eighty agents that start at the same time, as in a mass restart, or whose calls fail at the same time,
+// spread their next calls to discovery over time. A small fleet does not need to.
 func TestPollsAreSpreadByFleetSize(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
@@ -64,19 +64,19 @@
 		return most
 	}
 	if n := busiestSecond(80, 0); n > 35 {
-		t.Errorf("%d of 80 agents call in one second after a start", n)
+		t.Errorf("%d of 80 agents call in the same second after a start, want at most 35", n)
 	}
 	if n := busiestSecond(80, 1); n > 35 {
-		t.Errorf("%d of 80 agents call in one second after a failure", n)
+		t.Errorf("%d of 80 agents call in the same second after a failure, want at most 35", n)
 	}
 	if n := busiestSecond(3, 0); n != 3 {
-		t.Errorf("%d of 3 agents call in the first second", n)
+		t.Errorf("%d of 3 agents call in the first second, want all", n)
 	}
 }
 
-// A change counts as notified up to 6 s after discovery could be called. A call without a response is
-// given up after 2.25 s; whatever failed before, and with any number of agents, the next call must leave
-// a second of what remains for its response.
+// An agent must get a change within 6 s after discovery has become reachable. A call without a response times
+// out after 2.25 s. The delay of the next call must leave one second of the rest for its response, regardless
+// of the number of previous failures and of agents.
 func TestFailedPollIsRepeatedInTimeForTheContract(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
@@ -93,20 +93,20 @@
 		}
 	}
 	if mostMs > 6000-2250-1000 || mostMs < 1000 {
-		t.Errorf("a failed call is repeated after %.0f ms at the most", mostMs)
+		t.Errorf("failed call is repeated after at most %.0f ms, want 1000 to 2750 ms", mostMs)
 	}
 }
 
-// Where agents call discovery for changes, an ejection does not fetch the complete list.
+// If agents poll discovery for changes, an ejection does not fetch the full list.
 func TestEjectionFetchesNoListInOnRequestMode(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	h := newHarness(t, settings, 4)
 	id, s := h.mustForward(idempotentClass, 7)
 	if a := findAction(h.endAttempt(id, 0, s, balancer.StatusError, 5), balancer.ActionFetchList); a != nil {
-		t.Error("an ejection fetched the complete list")
+		t.Error("ejection fetched the full list")
 	}
 	if h.healthStates()[balancer.Unhealthy] != 1 {
-		t.Errorf("the failure did not eject its server: %v", h.healthStates())
+		t.Errorf("health states after the failure: %v, want one Unhealthy", h.healthStates())
 	}
 }
--- a/policy/random_attempts_test.go
+++ b/policy/random_attempts_test.go
@@ -6,35 +6,35 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// attemptStatuses are the ends of attempts, from which one is drawn.
+// attemptStatuses contains the statuses of which the one of an attempt is drawn.
 var attemptStatuses = []balancer.Status{
 	balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
 	balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout,
 	balancer.StatusConnectFailed, balancer.StatusReset,
 }
 
-// simulatedRequest is a request of a random client.
+// simulatedRequest is a request in a random scenario.
 type simulatedRequest struct {
-	rules          balancer.RequestRules // as they were at its arrival
+	rules          balancer.RequestRules // rules that apply to the request
 	deadline       float64
 	streamedBody   bool
-	unsentDeadline float64 // its deadline if its body is never sent completely
+	unsentDeadline float64 // its deadline if its body is not sent completely
 	attempts       []*simulatedAttempt
 	finalAnswers   int
 }
 
-// simulatedAttempt is an attempt at a random server.
+// simulatedAttempt is an attempt in a random scenario.
 type simulatedAttempt struct {
 	server      balancer.Addr
 	startedAt   float64
 	endsAt      float64
-	fullySentAt float64 // when the last byte of a streamed body is with its server; 0: it is, or not streamed
+	fullySentAt float64 // when the server has the whole streamed body; 0: it has it, or none is streamed
 	status      balancer.Status
 	ended       bool
 }
 
-// addRequest has a client send a random request; some come under rules that were in force earlier, as
-// they were on their way when the settings changed.
+// addRequest passes a random request to the policy. Some requests have rules that were in force earlier, as
+// if the settings had changed while they were being received.
 func (s *randomScenario) addRequest() {
 	s.lastRequest++
 	remainingMs := 20 + 800*s.random.Float64()
@@ -64,7 +64,7 @@
 	s.handle(ev)
 }
 
-// forward starts an attempt at a server, with a random end.
+// forward starts an attempt with a random status and end.
 func (s *randomScenario) forward(r *simulatedRequest, a *balancer.Action) {
 	ends := s.now + 1 + 150*s.random.Float64()
 	status := attemptStatuses[s.random.IntN(len(attemptStatuses))]
@@ -83,8 +83,8 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
-// streamBody sends the body of a request as it comes: the server receives it as slowly as the client
-// sends it, and rejects some requests before the end. The request has no deadline until then.
+// streamBody simulates a streamed body: the server receives it as slowly as the client sends it, and rejects
+// some requests before its end. The request has no deadline until the body is complete.
 func (s *randomScenario) streamBody(r *simulatedRequest, attempt *simulatedAttempt, ends float64) {
 	attempt.fullySentAt = s.now + 300*s.random.Float64()
 	attempt.endsAt = ends
@@ -95,10 +95,10 @@
 	r.deadline = math.Inf(1)
 }
 
-// cancel ends an attempt soon.
+// cancel makes an attempt end as cancelled after cancelledAfterMs.
 func (s *randomScenario) cancel(r *simulatedRequest, a *balancer.Action) {
 	if !s.settings.Limits.AttemptCancellation {
-		s.t.Fatal("cancelled where it is not allowed")
+		s.t.Fatal("attempt cancelled although the settings do not permit it")
 	}
 	if attempt := r.attempts[a.Attempt]; !attempt.ended {
 		attempt.status = balancer.StatusCancelled
@@ -106,7 +106,8 @@
 	}
 }
 
-// stepRequest ends the request's attempts that end, and drops it some time after its answer.
+// stepRequest ends the attempts of a request that are due, and deletes the request some time after its
+// answer.
 func (s *randomScenario) stepRequest(id balancer.RequestID, r *simulatedRequest) {
 	open := false
 	for i, attempt := range r.attempts {
@@ -128,8 +129,8 @@
 	}
 }
 
-// completeBody tells the policy that the server has all of a streamed body; the request has a deadline
-// from here.
+// completeBody notifies the policy that a server has the whole streamed body. From then on the request has a
+// deadline.
 func (s *randomScenario) completeBody(id balancer.RequestID, r *simulatedRequest, index int) {
 	attempt := r.attempts[index]
 	attempt.fullySentAt = 0
@@ -144,7 +145,7 @@
 	})
 }
 
-// endAttempt ends an attempt with its status.
+// endAttempt passes the end of an attempt to the policy.
 func (s *randomScenario) endAttempt(id balancer.RequestID, r *simulatedRequest, index int) {
 	attempt := r.attempts[index]
 	attempt.ended = true
@@ -152,7 +153,7 @@
 		r.deadline = max(r.unsentDeadline, s.now)
 	}
 	if attempt.status == balancer.StatusOK {
-		r.finalAnswers = 1 // the response of a second attempt changes nothing
+		r.finalAnswers = 1 // the response of another attempt has no effect
 	}
 	s.handle(balancer.Event{
 		Kind:         balancer.EventAttemptDone,
--- a/policy/random_rules_test.go
+++ b/policy/random_rules_test.go
@@ -10,31 +10,32 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// mayHaveExecuted tells whether an attempt of the request may have executed.
+// mayHaveExecuted reports whether any attempt of the request may have executed.
 func (r *simulatedRequest) mayHaveExecuted() bool {
 	return slices.ContainsFunc(r.attempts, (*simulatedAttempt).mayHaveExecuted)
 }
 
-// mayHaveExecuted tells whether the attempt may have executed.
+// mayHaveExecuted reports whether the attempt may have executed.
 func (a *simulatedAttempt) mayHaveExecuted() bool { return !a.ended || !a.status.NotExecuted() }
 
-// checkForward checks a new attempt of a request: its number, its time, its server, and that it cannot
-// execute a request twice that must not.
+// checkForward checks the number, the time and the server of a new attempt, and that the attempt cannot
+// execute a request a second time unless that is permitted.
 func (s *randomScenario) checkForward(r *simulatedRequest, a *balancer.Action) {
 	s.t.Helper()
 	if r.finalAnswers > 0 || s.now > r.deadline {
-		s.t.Fatalf("request %d sent after its end", a.Request)
+		s.t.Fatalf("request %d forwarded after its answer or its deadline", a.Request)
 	}
 	if len(r.attempts) >= r.rules.MaxAttempts {
 		s.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, r.rules.MaxAttempts)
 	}
 	since, unusable := s.unusableSince[a.Server]
 	if unusable && s.now-since > s.settings.Contract.DrainGraceMs {
-		s.t.Fatalf("sent to %v %.0f ms after it was notified of its drain", a.Server, s.now-since)
+		s.t.Fatalf("forwarded to %v %.0f ms after it was listed as draining or removed",
+			a.Server, s.now-since)
 	}
 	for _, earlier := range r.attempts {
 		if !earlier.ended && !s.settings.Limits.HedgedRequests {
-			s.t.Fatalf("request %d: two attempts in flight at once", a.Request)
+			s.t.Fatalf("request %d hedged although the settings do not permit it", a.Request)
 		}
 		if earlier.mayHaveExecuted() {
 			s.checkRetry(r, earlier, a)
@@ -46,7 +47,7 @@
 func (s *randomScenario) checkRetry(r *simulatedRequest, earlier *simulatedAttempt, a *balancer.Action) {
 	s.t.Helper()
 	if r.rules.Idempotency == balancer.NonIdempotent {
-		s.t.Fatalf("request %d retried though it may have executed", a.Request)
+		s.t.Fatalf("request %d retried although it may have executed", a.Request)
 	}
 	if r.rules.Idempotency != balancer.IdempotentByKey {
 		return
@@ -61,12 +62,12 @@
 	}
 }
 
-// checkFinalAnswer checks a rejection or a failure: it is the only final answer, in time, and a
+// checkFinalAnswer checks that a rejection or a failure is the only final answer and in time, and that a
 // rejection does not permit a retry that may execute the request twice.
 func (s *randomScenario) checkFinalAnswer(r *simulatedRequest, a *balancer.Action) {
 	s.t.Helper()
 	if r.finalAnswers > 1 {
-		s.t.Fatalf("request %d: a second final answer", a.Request)
+		s.t.Fatalf("request %d has a second final answer", a.Request)
 	}
 	if s.now > r.deadline+s.settings.Contract.ResponseSlackMs {
 		s.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, s.now-r.deadline)
@@ -74,22 +75,22 @@
 	repeatable := r.rules.Idempotency == balancer.Idempotent ||
 		r.rules.Idempotency == balancer.IdempotentByKey && r.rules.DedupScope == balancer.DedupFleet
 	if a.Kind == balancer.ActionReject && r.mayHaveExecuted() && !repeatable {
-		s.t.Fatalf("request %d of idempotency %s rejected though it may have executed",
+		s.t.Fatalf("request %d with idempotency %q rejected although it may have executed",
 			a.Request, r.rules.Idempotency)
 	}
 }
 
-// checkNotLost checks that a request has its final answer in time.
+// checkNotLost checks that a request has a final answer in time.
 func (s *randomScenario) checkNotLost(id balancer.RequestID, r *simulatedRequest) {
 	s.t.Helper()
 	if r.finalAnswers == 0 && s.now > r.deadline+s.settings.Contract.ResponseSlackMs {
-		s.t.Fatalf("request %d of class %s lost: no answer %.0f ms after its deadline",
+		s.t.Fatalf("request %d of class %s has no answer %.0f ms after its deadline",
 			id, r.rules.Name, s.now-r.deadline)
 	}
 }
 
-// checkEnd checks that nothing is left at the end: every request has had its one final answer, every
-// attempt has ended, and the policy has nothing queued or in flight.
+// checkEnd checks that at the end every request has exactly one final answer, every attempt has ended, and
+// nothing is queued or in flight in the policy.
 func (s *randomScenario) checkEnd(seed uint64) {
 	s.t.Helper()
 	for id, r := range s.requests {
@@ -98,7 +99,7 @@
 		}
 		for i, attempt := range r.attempts {
 			if !attempt.ended {
-				s.t.Errorf("seed %d: request %d: attempt %d at %v never ended", seed, id, i, attempt.server)
+				s.t.Errorf("seed %d: request %d: attempt %d at %v has not ended", seed, id, i, attempt.server)
 			}
 		}
 	}
@@ -107,7 +108,7 @@
 	}
 }
 
-// The rules hold in scenarios whose settings and seed rapid draws.
+// The rules hold in random scenarios with settings and seeds drawn by rapid.
 func TestRulesHoldInRandomScenarios(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -115,14 +116,14 @@
 	})
 }
 
-// Two runs of one scenario give the same actions.
+// Two runs of the same scenario return the same actions.
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		settings, seed := drawSettings(t), rapid.Uint64().Draw(t, "seed")
 		first := runRandomScenario(t, settings, seed)
 		if !reflect.DeepEqual(first, runRandomScenario(t, settings, seed)) {
-			t.Error("two runs of one scenario differ")
+			t.Error("two runs of the same scenario returned different actions")
 		}
 	})
 }
--- a/policy/random_scenario_test.go
+++ b/policy/random_scenario_test.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// scenarioSteps is the number of steps of a random scenario, of a round trip each; requests
-	// arrive in the first arrivalSteps of them.
+	// scenarioSteps is the number of steps of a random scenario, each of which takes one round trip.
+	// Requests arrive in the first arrivalSteps of them.
 	scenarioSteps = 1500
 	arrivalSteps  = 1200
-	// scenarioServers is the number of servers that may be listed.
+	// scenarioServers is the number of servers in a random scenario.
 	scenarioServers = 8
-	// cancelledAfterMs is how long after its cancellation an attempt ends.
+	// cancelledAfterMs is the time between the cancellation of an attempt and its end.
 	cancelledAfterMs = 5
-	// forgetAfterMs is how long after its deadline an answered request is dropped.
+	// forgetAfterMs is the time between the deadline of an answered request and its deletion.
 	forgetAfterMs = 100
-	// unknownRequest is the id of no request.
+	// unknownRequest is an id that no request has.
 	unknownRequest = 1 << 30
 )
 
-// checker is what a scenario reports to: a *testing.T or a *rapid.T.
+// checker is the part of *testing.T and *rapid.T that a scenario uses.
 type checker interface {
 	Helper()
 	Errorf(format string, args ...any)
@@ -31,25 +31,25 @@
 	Fatalf(format string, args ...any)
 }
 
-// randomScenario plays random clients, servers and endpoint lists against one Balancer, and checks the
-// rules from outside, by the actions alone.
+// randomScenario simulates random clients, servers and endpoint lists of one Balancer, and checks the rules
+// only by the actions of the Balancer.
 type randomScenario struct {
 	t             checker
 	random        *rand.Rand
 	settings      balancer.Settings
 	policy        *policy.Balancer
-	now           float64
+	now           float64 // milliseconds
 	lastRequest   balancer.RequestID
 	requests      map[balancer.RequestID]*simulatedRequest
 	timers        []timer
 	endpoints     map[balancer.Addr]balancer.Endpoint
-	unusableSince map[balancer.Addr]float64 // when it was listed as draining or removed
-	history       []balancer.Action
-	earlierRules  []balancer.RequestRules // that were in force
+	unusableSince map[balancer.Addr]float64 // when a server was listed as draining or removed
+	history       []balancer.Action         // all actions so far
+	earlierRules  []balancer.RequestRules   // rules that were in force
 }
 
-// runRandomScenario runs random clients, servers and endpoint lists, drawn from the seed, against one
-// Balancer with these settings, and returns all its actions.
+// runRandomScenario runs the scenario of the seed on a Balancer with the settings, and returns all actions
+// of the Balancer.
 func runRandomScenario(t checker, settings balancer.Settings, seed uint64) []balancer.Action {
 	t.Helper()
 	s := newRandomScenario(t, settings, seed)
@@ -64,7 +64,7 @@
 	return s.history
 }
 
-// newRandomScenario starts the Balancer of a scenario and lists its first servers.
+// newRandomScenario starts the Balancer of a scenario and lists the first servers.
 func newRandomScenario(t checker, settings balancer.Settings, seed uint64) *randomScenario {
 	t.Helper()
 	b, err := policy.New(settings, seed)
@@ -88,10 +88,10 @@
 	return s
 }
 
-// handle hands the policy an event and carries out its actions.
+// handle passes an event to the policy and applies the resulting actions.
 func (s *randomScenario) handle(ev balancer.Event) { s.apply(s.policy.Handle(s.now, &ev, nil)) }
 
-// apply checks the actions and carries them out.
+// apply checks the actions and simulates their effects.
 func (s *randomScenario) apply(actions []balancer.Action) {
 	s.history = append(s.history, actions...)
 	for _, a := range actions {
@@ -107,17 +107,17 @@
 			s.cancel(r, &a)
 		case balancer.ActionHealthCheck:
 			if !s.settings.Limits.HealthChecks {
-				s.t.Fatal("health check where it is not allowed")
+				s.t.Fatal("health check although the settings do not permit it")
 			}
 		case balancer.ActionSetTimer:
 			s.timers = append(s.timers, timer{s.now + a.Ms, a.Token})
 		case balancer.ActionWatchList, balancer.ActionFetchList, balancer.ActionLog, balancer.ActionCloseIdle:
-			// permitted at any time, and without effect in the scenario
+			// permitted at any time and without effect in the scenario
 		}
 	}
 }
 
-// step lets a round trip pass: it fires the timers that are due and ends the attempts that end.
+// step advances the time by a round trip, fires the timers and ends the attempts that are due.
 func (s *randomScenario) step() {
 	s.now += s.settings.RoundTripMs
 	s.fireTimers()
@@ -139,8 +139,8 @@
 	}
 }
 
-// disturb sometimes changes an endpoint or the settings, lets a client leave, or hands the policy events
-// about what it does not know.
+// disturb sometimes changes an endpoint or the settings, makes a client leave, or passes events to the policy
+// that refer to unknown requests, servers and timers.
 func (s *randomScenario) disturb() {
 	switch s.random.IntN(40) {
 	case 0:
--- a/policy/random_settings_test.go
+++ b/policy/random_settings_test.go
@@ -9,8 +9,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// drawSettings draws a deployment's settings around testSettings, each by its key, so that
-// a broken rule shrinks to the fewest settings that break it.
+// drawSettings draws a variant of testSettings. Each value is drawn separately under its key, so that rapid
+// can shrink a failure to the settings that cause it.
 func drawSettings(t *rapid.T) balancer.Settings {
 	s := testSettings()
 	s.Limits.HedgedRequests = rapid.Bool().Draw(t, "limits.parallelTries")
@@ -62,8 +62,8 @@
 	})
 }
 
-// retune drops, adds and changes classes, and changes the attempts permitted; invalid settings must
-// change nothing. The discovery mode and what else the deployment permits stay.
+// retune removes, adds and changes classes and changes the maximum number of attempts. It also checks that
+// invalid settings are rejected. The discovery mode and the other settings stay the same.
 func (s *randomScenario) retune() {
 	for _, class := range s.settings.Classes {
 		rules := balancer.RequestRules{Class: class, MaxAttempts: s.settings.Limits.MaxAttempts}
@@ -75,7 +75,7 @@
 	invalid := settings
 	invalid.Limits.MaxAttempts = 0
 	if s.policy.UpdateSettings(invalid) == nil {
-		s.t.Fatal("settings without attempts are taken over")
+		s.t.Fatal("UpdateSettings accepted settings without attempts")
 	}
 	if err := s.policy.UpdateSettings(settings); err != nil {
 		s.t.Fatal(err)
@@ -83,7 +83,7 @@
 	s.settings = settings
 }
 
-// drawClasses draws some of the classes of testSettings with other rules, and sometimes a new class.
+// drawClasses draws some classes of testSettings with different rules, and sometimes a new class.
 func (s *randomScenario) drawClasses() []balancer.Class {
 	classes := slices.Clone(testSettings().Classes)
 	for i := range classes {
--- a/policy/reference_scenario_test.go
+++ b/policy/reference_scenario_test.go
@@ -8,20 +8,20 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// referenceScenario plays random requests, attempts' ends and endpoint lists against one Balancer.
+// referenceScenario passes random requests, ends of attempts and endpoint lists to one Balancer.
 type referenceScenario struct {
 	*testing.T
 	random      *rand.Rand
-	draws       *rand.PCG // the Balancer's own
+	draws       *rand.PCG // source of the Balancer's random numbers
 	balancer    *Balancer
 	now         float64 // milliseconds
 	lastRequest balancer.RequestID
 	attempts    map[balancer.RequestID]int // number of attempts of each request
-	inFlight    []balancer.Event           // attempts in flight, as the events of their ends
-	choices     map[string]int             // number of compared choices, by what they chose
+	inFlight    []balancer.Event           // attempts in flight, as the events that end them
+	choices     map[string]int             // number of compared choices by kind
 }
 
-// newReferenceScenario returns a scenario whose settings and events are drawn from the seed.
+// newReferenceScenario returns a scenario with settings and events drawn from the seed.
 func newReferenceScenario(t *testing.T, seed uint64) *referenceScenario {
 	t.Helper()
 	sc := &referenceScenario{
@@ -42,7 +42,7 @@
 	return sc
 }
 
-// settings draws settings.
+// settings returns random settings.
 func (sc *referenceScenario) settings() balancer.Settings {
 	return balancer.Settings{
 		Classes: sc.classes(),
@@ -66,7 +66,7 @@
 	}
 }
 
-// classes returns a class of each idempotency; the scope of duplicates is drawn.
+// classes returns one class per idempotency, with a random deduplication scope.
 func (sc *referenceScenario) classes() []balancer.Class {
 	return []balancer.Class{
 		{
@@ -96,10 +96,10 @@
 	}
 }
 
-// oneOf draws one of the values, each with the same probability.
+// oneOf returns one of the values at random, each with the same probability.
 func oneOf[T any](random *rand.Rand, values ...T) T { return values[random.IntN(len(values))] }
 
-// handle hands the Balancer an event and notes the attempts that it forwards.
+// handle passes an event to the Balancer and records the attempts that it forwards.
 func (sc *referenceScenario) handle(ev balancer.Event) {
 	for _, a := range sc.balancer.Handle(sc.now, &ev, nil) {
 		if a.Kind == balancer.ActionForward {
@@ -114,7 +114,7 @@
 	}
 }
 
-// updateList updates the entries of some random servers.
+// updateList passes an update of the entries of random servers to the Balancer.
 func (sc *referenceScenario) updateList(count int, kind balancer.ListUpdate) {
 	var endpoints []balancer.Endpoint
 	for range count {
@@ -122,7 +122,7 @@
 	}
 	sc.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: kind, Endpoints: endpoints})
 	servers := sc.balancer.endpoints.servers
-	for range sc.random.IntN(3) { // equal scores, which hashes of addresses hardly give
+	for range sc.random.IntN(3) { // equal scores, which are very unlikely with hashes of addresses
 		if len(servers) > 0 {
 			s := oneOf(sc.random, servers...)
 			s.hash = oneOf(sc.random, servers...).hash
@@ -130,7 +130,7 @@
 	}
 }
 
-// endpoint draws the entry of a random server.
+// endpoint returns a random entry of a random server.
 func (sc *referenceScenario) endpoint() balancer.Endpoint {
 	i := sc.random.IntN(60)
 	e := balancer.Endpoint{
@@ -148,11 +148,11 @@
 	return e
 }
 
-// step plays one random event a random time later.
+// step passes one random event to the Balancer after a random time.
 func (sc *referenceScenario) step() {
 	sc.now += 20 * sc.random.ExpFloat64()
 	if sc.random.IntN(100) == 0 {
-		sc.now -= 300 // the host's clock may be set back
+		sc.now -= 300 // the clock of the host may be set back
 	}
 	servers := sc.balancer.endpoints.servers
 	switch n := sc.random.IntN(40); {
@@ -182,7 +182,7 @@
 	}
 }
 
-// request makes a random request.
+// request passes a random request to the Balancer.
 func (sc *referenceScenario) request() {
 	sc.lastRequest++
 	sc.handle(balancer.Event{
@@ -195,8 +195,8 @@
 	})
 }
 
-// advanceAttempt lets the server of a random attempt have all of its request, and mostly ends the
-// attempt at once.
+// advanceAttempt notifies the Balancer that the request of a random attempt is fully sent, and usually ends
+// the attempt immediately.
 func (sc *referenceScenario) advanceAttempt() {
 	i := sc.random.IntN(len(sc.inFlight))
 	ev := sc.inFlight[i]
@@ -204,7 +204,7 @@
 	ev.RemainingMs = 300
 	sc.handle(ev)
 	if sc.random.IntN(3) == 0 {
-		return // it ends later
+		return // the attempt ends later
 	}
 	sc.inFlight = slices.Delete(sc.inFlight, i, i+1)
 	ev.Kind = balancer.EventAttemptDone
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -10,10 +10,10 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The reference implementations compute with more work what the policy caches or bounds: each walks all
-// servers, and scores all that it may choose. The policy has to agree with them to the last bit.
+// The reference implementations compute without caches and bounds what the policy computes with them: they
+// visit all servers and score all candidates. The results of the policy must be bit-identical.
 
-// referenceChoose selects a server as serverSelector.choose does.
+// referenceChoose selects a server like serverSelector.choose.
 func (b *Balancer) referenceChoose(r *request) *server {
 	for t := range tierCount {
 		for _, set := range []candidateSet{notInCooldown, allCandidates} {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// referenceChooseInTier selects a server of one tier, of those in the set. Where most servers of the tier are
-// in cooldown, the set of the others has no candidates.
+// referenceChooseInTier selects a server of one tier and candidate set. If most servers of the tier are in
+// cooldown, the set notInCooldown has no candidates.
 func (b *Balancer) referenceChooseInTier(r *request, t tier, set candidateSet) choice {
 	waits := r.waitsForKey(b.now)
 	var candidates []*server
@@ -69,7 +69,7 @@
 	return choice{server: best, hasCandidates: true}
 }
 
-// referenceInsert puts a server among the preferred ones, if it is one of them.
+// referenceInsert inserts a server into the preferred ones if its score is low enough.
 func referenceInsert(preferred *[preferredServers]*server, s *server) {
 	for i := 0; i < preferredServers && s != nil; i++ {
 		if preferred[i] == nil || s.score < preferred[i].score {
@@ -78,7 +78,7 @@
 	}
 }
 
-// referenceScore is the score of the server in the order of the request.
+// referenceScore returns the score of the server in the order of the request.
 func (b *Balancer) referenceScore(r *request, s *server) float64 {
 	hash := splitmix64(r.partitionKey ^ s.hash)
 	if r.key == 0 {
@@ -92,7 +92,7 @@
 	return -math.Log(uniform+1e-18) / weight
 }
 
-// referenceWarmWeight sums up the weight of the warm servers.
+// referenceWarmWeight returns the total weight of the warm servers.
 func (b *Balancer) referenceWarmWeight() (warm float64) {
 	for _, s := range b.endpoints.servers {
 		if s.ready && s.health <= balancer.Unknown && b.slowStart.fraction(s) == 1 {
@@ -102,7 +102,7 @@
 	return warm
 }
 
-// serversWhere returns the listed servers for which a condition holds, by address.
+// serversWhere returns the listed servers that satisfy the condition, ordered by address.
 func (b *Balancer) serversWhere(is func(*server) bool) (found []*server) {
 	for _, s := range b.endpoints.servers {
 		if is(s) {
@@ -112,7 +112,7 @@
 	return found
 }
 
-// name returns a server's address, for messages.
+// name returns the address of a server for error messages.
 func name(s *server) string {
 	if s == nil {
 		return "none"
@@ -120,7 +120,7 @@
 	return fmt.Sprint(s.address)
 }
 
-// compareChoice compares the choice for a request with the reference, and undoes the changes of both.
+// compareChoice compares the choice for a request with the reference, and reverts the changes of both.
 func (sc *referenceScenario) compareChoice(r *request) {
 	b := sc.balancer
 	was, draws := *r, *sc.draws
@@ -131,14 +131,14 @@
 	if got != want || *sc.draws != wantDraws || r.preferred != expected.preferred ||
 		r.preferredEpoch != expected.preferredEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
-		sc.Fatalf("request %d, key %d: chose %s, by the reference %s; tier weight %v and %v, draws equal: %t",
+		sc.Fatalf("request %d, key %d: chose %s, reference %s; tier weight %v, reference %v; equal draws: %t",
 			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *sc.draws == wantDraws)
 	}
 	sc.countChoice(r, got)
 	*r, *sc.draws = was, draws
 }
 
-// countChoice counts a choice by the kinds that the scenarios have to cover.
+// countChoice counts a choice under each kind that applies. The scenarios must cover all kinds.
 func (sc *referenceScenario) countChoice(r *request, chosen *server) {
 	if chosen == nil {
 		sc.choices["none"]++
@@ -154,14 +154,14 @@
 	}
 }
 
-// compare compares the state and the choices of the moment with the reference.
+// compare compares the present state of the Balancer and its choices with the reference.
 func (sc *referenceScenario) compare() {
 	b := sc.balancer
-	b.now += 1e-3 // a new moment: the warm weight is computed once for all decisions of one
+	b.now += 1e-3 // the warm weight is computed once per point in time
 	sc.now = b.now
 	got, want := b.slowStart.warmWeight(), b.referenceWarmWeight()
 	if math.Float64bits(got) != math.Float64bits(want) {
-		sc.Fatalf("warm weight %v, by the reference %v", got, want)
+		sc.Fatalf("warm weight is %v, reference is %v", got, want)
 	}
 	sc.compareSets()
 	for _, r := range b.queue.requests {
@@ -186,13 +186,13 @@
 	}
 	for _, set := range sets {
 		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
-			sc.Fatalf("%s: %d servers, by the reference %d", set.name, len(set.got), len(want))
+			sc.Fatalf("%s: %d servers differ from the %d of the reference", set.name, len(set.got), len(want))
 		}
 	}
 }
 
-// compareNewRequest compares the choices for a random request: a new one, and one that had an attempt at
-// some server before.
+// compareNewRequest compares the choices for a random new request, and for one that has had an attempt at a
+// random server.
 func (sc *referenceScenario) compareNewRequest() {
 	b := sc.balancer
 	r := &request{
@@ -205,7 +205,7 @@
 		deadline:    b.now + 400,
 	}
 	if r.partitionKey = r.key; sc.random.IntN(2) == 0 {
-		r.arrivedAt -= 200 // it does not wait for its key's servers any more
+		r.arrivedAt -= 200 // the request no longer waits for its preferred servers
 	}
 	sc.compareChoice(r)
 	if len(b.endpoints.servers) > 0 {
@@ -218,8 +218,8 @@
 	}
 }
 
-// What the policy caches from event to event, and the choice that scores only the servers that can win,
-// equal the reference in the states of random scenarios.
+// In the states of random scenarios, the values that the policy caches between events, and the choice that
+// scores only the servers that may come first, equal the reference.
 func TestDecisionsEqualTheReference(t *testing.T) {
 	choices := map[string]int{}
 	for seed := range uint64(60) {
@@ -233,25 +233,25 @@
 	}
 	for _, kind := range []string{"tier 0", "tier 1", "tier 2", "cooldown", "slow start", "none"} {
 		if choices[kind] < 100 {
-			t.Errorf("only %d choices of kind %q: the scenarios do not cover it", choices[kind], kind)
+			t.Errorf("scenarios contain %d choices of kind %q, want at least 100", choices[kind], kind)
 		}
 	}
 	t.Log(choices)
 }
 
-// The least score is no more than the score, for positions and weights of all sizes and the extremes.
+// The minimum score is at most the score, for positions and weights of all magnitudes and for extreme values.
 func TestMinScoreIsNoMoreThanTheScore(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	weights := []float64{0, 5e-324, 1e-310, 1, math.MaxFloat64, math.Inf(1)}
 	positions := []position{0, 1, 2, positionSteps / 2, positionSteps - 2, positionSteps - 1}
 	for range 100000 {
-		distance := position(rng.Uint64() >> (11 + rng.IntN(53))) // of any size, from either end
+		distance := position(rng.Uint64() >> (11 + rng.IntN(53))) // of any magnitude, from either end
 		positions = append(positions[:6], distance, positionSteps-1-distance)
 		weights = append(weights[:6], math.Exp(1400*rng.Float64()-700))
 		for _, p := range positions {
 			for _, weight := range weights {
 				if p.minScore(weight) > p.score(weight) {
-					t.Fatalf("position %d, weight %v: least %v, score %v",
+					t.Fatalf("position %d, weight %v: minimum score %v is above the score %v",
 						p, weight, p.minScore(weight), p.score(weight))
 				}
 			}
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -6,11 +6,11 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// clockStepsMs are steps of a wall clock, in milliseconds: seconds, or an hour.
+// clockStepsMs contains steps of a wall clock by a few seconds and by an hour, in milliseconds.
 var clockStepsMs = []float64{-3_600_000, -5000, 5000, 3_600_000}
 
-// forwardsAfterRestart is how many of 400 requests a server gets whose restart is listed at once, by a
-// clock that was stepped meanwhile; before, it was listed as started beforeMs ago.
+// forwardsAfterRestart returns how many of 400 requests a server gets after its restart is listed with the
+// time of a clock that was stepped by stepMs. Before, the server was listed as started beforeMs ago.
 func forwardsAfterRestart(t *testing.T, beforeMs, stepMs float64) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
@@ -23,33 +23,34 @@
 	return h.serveAndCount(400, 2, serverAddress(4))
 }
 
-// A restart is detected whatever the wall clock was stepped by before it was listed: the server gets as
-// few requests as with a true clock. This includes a start only seconds ago, which by a clock that was set
-// back by more is later than the restart.
+// A restart is detected even if the wall clock was stepped before the restart was listed: the server gets as
+// few requests as with an accurate clock. This includes a previous start only seconds ago, which is later
+// than the restart if the clock was set back by more than that.
 func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
-			t.Fatalf("with true clocks a server in slow start got %d of 400 requests; "+
-				"want some, and at most %d", trueShare, warm/2)
+			t.Fatalf("server in slow start got %d of 400 requests with an accurate clock, "+
+				"want some and at most %d", trueShare, warm/2)
 		}
 		for _, stepMs := range clockStepsMs {
 			if stepMs == -5000 && beforeMs > 5000 {
-				// The start is later, and the policy takes it as listed: internal/agent bounds its age.
+				// The listed start is still later than the previous one, and the policy uses it as it is:
+				// internal/agent bounds the age.
 				continue
 			}
 			if got := forwardsAfterRestart(t, beforeMs, stepMs); got != trueShare {
-				t.Errorf("started %v ms before, clock stepped by %v ms: "+
-					"a server in slow start got %d of 400 requests, want %d",
+				t.Errorf("previous start %v ms ago, clock stepped by %v ms: "+
+					"server in slow start got %d of 400 requests, want %d",
 					beforeMs, stepMs, got, trueShare)
 			}
 		}
 	}
 }
 
-// A repeated entry of the same process changes no decision.
+// Listing the same process again does not change any decision.
 func TestRepeatedEntryChangesNothing(t *testing.T) {
-	for _, startedMs := range []float64{0, -100, 3_600_000} { // long ago, lately, ahead of the agent's clock
+	for _, startedMs := range []float64{0, -100, 3_600_000} { // long ago, recent, ahead of the agent's clock
 		forwards := func(repeat bool) int {
 			h := newHarness(t, testSettings(), 5)
 			endpoint := readyEndpoint(4)
@@ -67,18 +68,19 @@
 			return got
 		}
 		if got, want := forwards(true), forwards(false); got != want {
-			t.Errorf("start of %v ms: listed repeatedly the server got %d of 400 requests, want %d",
+			t.Errorf("start time offset %v ms: repeatedly listed server got %d of 400 requests, want %d",
 				startedMs, got, want)
 		}
 	}
 }
 
-// A drain and then a restart that are listed while an attempt is in flight count as with true clocks: a
-// draining server gets no attempts, and the response of the old process does not make the new one warm.
+// A drain and a restart that are listed while an attempt is in flight have the same effect as with accurate
+// clocks: a draining server gets no attempts, and a response of the old process does not make the new one
+// warm.
 func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
 	for _, stepMs := range append([]float64{0}, clockStepsMs...) {
 		if stepMs == -5000 {
-			continue // the start is later: as above
+			continue // the listed start is later than the previous one, as above
 		}
 		h := newHarness(t, testSettings(), 1)
 		h.now = 1e9
@@ -92,7 +94,7 @@
 		endpoint.StartedMs = h.now + stepMs
 		h.updateList(balancer.ListDelta, endpoint)
 		if got := h.serveAndCount(100, 2, serverAddress(0)); got != 0 {
-			t.Errorf("clock stepped by %v ms: %d requests were sent to a server that drains", stepMs, got)
+			t.Errorf("clock stepped by %v ms: draining server got %d requests", stepMs, got)
 		}
 		h.endAttempt(id, 0, serverAddress(0), balancer.StatusOK, 200)
 		endpoint.State = balancer.Ready
@@ -100,7 +102,7 @@
 		h.updateList(balancer.ListDelta, endpoint)
 		const most = 400 / 5 / 2
 		if got := h.serveAndCount(400, 2, serverAddress(0)); got == 0 || got > most {
-			t.Errorf("clock stepped by %v ms: a server in slow start got %d of 400 requests, "+
+			t.Errorf("clock stepped by %v ms: server in slow start got %d of 400 requests, "+
 				"want some and at most %d", stepMs, got, most)
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A non-idempotent request is retried only after an attempt that did not execute.
+// A non-idempotent request is retried only if its attempt was not executed.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	for _, status := range []balancer.Status{
 		balancer.StatusError, balancer.StatusTimeout, balancer.StatusReset, balancer.StatusCancelled,
@@ -17,19 +17,19 @@
 		if findAction(actions, balancer.ActionForward) != nil ||
 			findAction(actions, balancer.ActionReject) != nil ||
 			findAction(actions, balancer.ActionFail) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
+			t.Errorf("status %d: got actions %+v, want only a failure", status, actions)
 		}
 	}
 	h := newHarness(t, testSettings(), 3)
 	id, s := h.mustForward(nonIdempotentClass, 5)
 	actions := h.endAttempt(id, 0, s, balancer.StatusConnectFailed, 50)
 	if findAction(actions, balancer.ActionForward) == nil {
-		t.Errorf("an attempt that was not executed was not retried: %+v", actions)
+		t.Errorf("request was not retried after an attempt that was not executed: %+v", actions)
 	}
 }
 
-// A request that is idempotent by key is retried only within the scope and the window in which duplicates
-// are dropped. Server i of the harness is in cell i%2.
+// A request that is idempotent by key is retried only within its deduplication scope and window. Server i of
+// the harness is in cell i%2.
 func TestRetryStaysInItsDeduplicationScopeAndWindow(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	cell := func(a balancer.Addr) int { return int(a[3]) % 2 }
@@ -37,17 +37,17 @@
 	actions := h.endAttempt(id, 0, s, balancer.StatusError, 20)
 	a := findAction(actions, balancer.ActionForward)
 	if a == nil || cell(a.Server) != cell(s) {
-		t.Fatalf("a retry did not stay in its cell: %+v", actions)
+		t.Fatalf("retry was not forwarded within the cell: %+v", actions)
 	}
-	h.now += 496 // just inside the 500 ms less the margin
+	h.now += 496 // just within the window of 500 ms less the margin
 	actions = h.endAttempt(id, 1, a.Server, balancer.StatusError, 20)
 	if findAction(actions, balancer.ActionForward) != nil ||
 		findAction(actions, balancer.ActionFail) == nil && h.policy.Stats().Queued == 0 {
-		t.Errorf("a retry was forwarded after its window: %+v", actions)
+		t.Errorf("after the deduplication window: actions %+v, want the request failed or queued", actions)
 	}
 }
 
-// A request that a server answers as bad fails at once, and no server is ejected.
+// A request that a server rejects as bad fails immediately, and no server is ejected.
 func TestBadRequestFailsWithoutEjection(t *testing.T) {
 	for class, c := range testSettings().Classes {
 		h := newHarness(t, testSettings(), 4)
@@ -55,16 +55,16 @@
 		h.now += 5
 		actions := h.endAttempt(id, 0, s, balancer.StatusBadRequest, 5)
 		if f := findAction(actions, balancer.ActionFail); f == nil || f.Request != id || len(actions) != 1 {
-			t.Errorf("%s: %+v, want one failure", c.Name, actions)
+			t.Errorf("%s: actions %+v, want only a failure", c.Name, actions)
 		}
 		if stats := h.policy.Stats(); stats.States != [4]int{0, 4, 0, 0} || stats.InFlight+stats.Queued != 0 {
-			t.Errorf("%s: %+v, want all servers as they were and the request gone", c.Name, stats)
+			t.Errorf("%s: stats %+v, want all servers unchanged and no request left", c.Name, stats)
 		}
 	}
 }
 
-// The retry budget grows with served requests; without them there are only as many retries as it holds
-// tokens.
+// The retry budget grows with served requests. If none are served, the number of retries is limited to the
+// initial tokens.
 func TestRetryBudgetGrowsWithServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 8)
@@ -77,12 +77,12 @@
 				}
 				return balancer.StatusOverloaded, 1
 			})
-			// A request may have no attempt: load is shed while little is served in time.
+			// A request may have no attempt, as load is shed while few requests are served in time.
 			retries += max(len(servers)-1, 0)
 		}
-		// The retry budget holds four tokens at the most.
+		// The retry budget holds at most four tokens.
 		if served && retries < 15 || !served && retries > 4 {
-			t.Errorf("four of five served: %v; %d retries", served, retries)
+			t.Errorf("four of five requests served: %t; %d retries", served, retries)
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A server in slow start gets no more than its slow-start fraction of an even share, also after a time
-// without requests.
+// A server in slow start gets no more than its slow-start fraction of an even share of the requests, even if
+// the agent has had no requests before.
 func TestSlowStartLimitsTheShareOfAServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
 	h.updateList(balancer.ListDelta, startedEndpoint(4, h.now-10))
@@ -24,13 +24,13 @@
 	}
 	const even = requests / 4.0
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a server in slow start got %d of %d attempts; want some, and at most %.0f",
+		t.Errorf("server in slow start got %d of %d attempts, want some and at most %.0f",
 			got, requests, limit)
 	}
 }
 
-// Many agents with few requests each together send a server in slow start its share, though none of them
-// gathers credit for a complete attempt.
+// Many agents with few requests each send a server in slow start its share together, although none of them
+// accrues the credit for a whole attempt.
 func TestManySmallAgentsUseServersInSlowStart(t *testing.T) {
 	warming, requests := 0, 0
 	for seed := range uint64(200) {
@@ -52,12 +52,12 @@
 		}
 	}
 	if even := requests / 20; warming < even/20 || warming > even {
-		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d",
+		t.Errorf("server in slow start got %d of %d requests, where an even share is %d",
 			warming, requests, even)
 	}
 }
 
-// A server in slow start serves its part where all warm ones have failed, as after the loss of a zone.
+// A server in slow start serves its share after all warm servers have failed, as in the loss of a zone.
 func TestServersInSlowStartServeWhenAllWarmOnesFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(200, 10)
@@ -65,8 +65,9 @@
 	h.now += 10
 	warming := serverAddress(2)
 	h.updateList(balancer.ListDelta, startedEndpoint(2, h.now))
-	// In what is left of its first two seconds it gets its share of the 100 requests a second that
-	// two warm ones served: 50 x (0.2 to 0.36) x 3/4 a second. Not all at once: the others have theirs.
+	// During its first two seconds it gets its share of the 100 requests per second that the two warm
+	// servers served: 50 x (0.2 to 0.36) x 3/4 per second. It does not get all of them at once, as the
+	// other agents have their shares too.
 	var firstMs, got float64
 	for i := range 200 {
 		h.now += 10
@@ -82,16 +83,16 @@
 		})
 	}
 	if got < 1 || firstMs > 1000 || got > 2*50*0.28*0.75 {
-		t.Errorf("the server in slow start got %.0f requests, the first after %.0f ms", got, firstMs)
+		t.Errorf("server in slow start got %.0f requests, the first after %.0f ms", got, firstMs)
 	}
 }
 
-// disconnectAll makes connects to all servers fail until both servers of the harness are ejected.
+// disconnectAll makes all connects fail until both servers of the harness are ejected.
 func (h *harness) disconnectAll() {
 	h.t.Helper()
 	for i := 0; h.healthStates()[balancer.Unhealthy] < 2; i++ {
 		if i > 20 {
-			h.t.Fatalf("the warm servers were not ejected: %v", h.healthStates())
+			h.t.Fatalf("warm servers were not ejected: health states %v", h.healthStates())
 		}
 		h.now += 10
 		h.endEachAttempt(idempotentClass, func(balancer.Addr) (balancer.Status, float64) {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Slow-start credit grows with served requests: a server in slow start gets none where all requests are
-// rejected by the servers, and some where they are served.
+// Slow-start credit grows with served requests: a server in slow start gets requests if the warm servers
+// serve theirs, and none if they reject all.
 func TestSlowStartCreditGrowsWithServedRequestsOnly(t *testing.T) {
 	forwards := func(status balancer.Status) int {
 		h := newHarness(t, testSettings(), 4)
@@ -120,13 +121,13 @@
 	}
 	overloaded, served := forwards(balancer.StatusOverloaded), forwards(balancer.StatusOK)
 	if overloaded != 0 || served == 0 {
-		t.Errorf("of 200 requests the server in slow start got %d where all were overloaded, "+
-			"%d where all were served", overloaded, served)
+		t.Errorf("server in slow start got %d of 200 requests when all were rejected as overloaded, "+
+			"%d when all were served, want 0 and some", overloaded, served)
 	}
 }
 
-// A server that was unreachable for long counts as restarted before the endpoint list says so: it gets
-// less than a warm one's share of new keys.
+// A server that was unreachable for long counts as restarted before the endpoint list shows it: it gets a
+// smaller share of new keys than a warm server.
 func TestServerThatWasUnreachableIsInSlowStart(t *testing.T) {
 	share := func(unresponsive bool) int {
 		h := newHarness(t, testSettings(), 3)
@@ -141,7 +142,7 @@
 		return h.serveAndCount(90, 20, s)
 	}
 	if unresponsive, warm := share(true), share(false); unresponsive == 0 || 2*unresponsive >= warm {
-		t.Errorf("of 90 new keys a server back from being unreachable got %d, one that stayed %d",
+		t.Errorf("server that was unreachable got %d of 90 new keys, one that was not got %d",
 			unresponsive, warm)
 	}
 }
--- a/policy/source_files_test.go
+++ b/policy/source_files_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// maxLineWidth is the most characters a line of the module has, a tab counted as four.
+// maxLineWidth is the maximum width of a line of the module, in characters. A tab counts as four.
 const maxLineWidth = 110
 
-// repositoryRoot is the path from this package to the root of the repository.
+// repositoryRoot is the path of the repository, relative to this package.
 const repositoryRoot = ".."
 
-// policyFiles returns the source files of the module, relative to the repository's root.
+// policyFiles returns the paths of the source files of the module, relative to the repository root.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(repositoryRoot, "policy", "*.go"))
@@ -29,7 +29,7 @@
 	return names
 }
 
-// TestDeployFileNamesThePolicy holds the deploy file's list of the module's files to what is there.
+// TestDeployFileNamesThePolicy checks that the deploy file lists exactly the module's files except tests.
 func TestDeployFileNamesThePolicy(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy", "balancer.toml"))
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("the deploy file names no files of the module")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	named := regexp.MustCompile(`[^", ]+`).FindAllString(string(list[1]), -1)
 	slices.Sort(named)
@@ -45,11 +45,11 @@
 		func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	slices.Sort(present)
 	if !slices.Equal(named, present) {
-		t.Errorf("the deploy file names %v, policy/ has %v", named, present)
+		t.Errorf("deploy/balancer.toml lists %v, policy/ contains %v", named, present)
 	}
 }
 
-// TestPolicyLineWidth holds each line of the module to maxLineWidth.
+// TestPolicyLineWidth checks that no line of the module is wider than maxLineWidth.
 func TestPolicyLineWidth(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join(repositoryRoot, name))
@@ -59,7 +59,7 @@
 		for i, line := range strings.Split(string(text), "\n") {
 			width := len([]rune(strings.ReplaceAll(line, "\t", "    ")))
 			if width > maxLineWidth {
-				t.Errorf("%s:%d is %d characters wide, at most %d", name, i+1, width, maxLineWidth)
+				t.Errorf("%s:%d is %d characters wide, want at most %d", name, i+1, width, maxLineWidth)
 			}
 		}
 	}
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -6,9 +6,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Servers of the agent's own zone get more of the keys, and all servers get some.
+// Servers in the agent's own zone get more of the keys, and all servers get some.
 func TestOwnZoneIsPreferred(t *testing.T) {
-	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	h := newHarness(t, testSettings(), 6) // alternately in zones 0 and 1; the agent is in 0
 	const requests = 600
 	ownZone := 0
 	used := map[balancer.Addr]bool{}
@@ -21,12 +21,12 @@
 		}
 	}
 	if share := float64(ownZone) / requests; share < 0.53 || share > 0.68 || len(used) != 6 {
-		t.Errorf("own zone got %.2f of the keys over %d servers, want about 0.6 over 6", share, len(used))
+		t.Errorf("own zone got %.2f of the keys, %d servers used, want about 0.6 and 6", share, len(used))
 	}
 }
 
-// The zone preference grows while the zone serves in time and traffic to another zone has a cost. Where
-// the zone is late, or that traffic is free, it is the weakest. Server i is in zone i%2.
+// The zone preference grows while the zone responds in time and cross-zone traffic has a cost. It is at its
+// minimum while the zone responds late or cross-zone traffic is free. Server i is in zone i%2.
 func TestZonePreferenceGrowsWhileTheZoneServesInTime(t *testing.T) {
 	share := func(cost, responseMs float64) float64 {
 		settings := testSettings()
@@ -49,10 +49,10 @@
 	}
 	least := share(0, 20) // as in TestOwnZoneIsPreferred: about 0.6
 	if s := share(0.1, 20); s < least+0.15 {
-		t.Errorf("own zone in time: %.2f of the keys, against %.2f where cross-zone traffic is free",
+		t.Errorf("own zone in time got %.2f of the keys, %.2f if cross-zone traffic is free",
 			s, least)
 	}
 	if s := share(0.1, 500); s > least+0.05 {
-		t.Errorf("own zone late: %.2f of the keys, against %.2f where cross-zone traffic is free", s, least)
+		t.Errorf("own zone late got %.2f of the keys, %.2f if cross-zone traffic is free", s, least)
 	}
 }
