--- a/policy/cooldown_test.go
+++ b/policy/cooldown_test.go
@@ -47,7 +47,7 @@
 		{"in time", balancer.StatusOK, 20, 0, false},
 		{"overloaded", balancer.StatusOverloaded, 20, 0, true},
 		{"late", balancer.StatusOK, 400, 0, true},
-		{"late, as most others", balancer.StatusOK, 400, 4, false},
+		{"late, like most others", balancer.StatusOK, 400, 4, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 6)
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -117,7 +117,7 @@
 		s.restartMostAgents()
 		s.run(20000)
 	}},
-	{"uneven", 0.7, func(s *fleetSimulation) {
+	{"uneven agents", 0.7, func(s *fleetSimulation) {
 		s.setShares(func(i int) float64 { return 1 / float64(i+1) })
 		s.run(3000)
 		s.restartServers(everyFifth(s)...)
@@ -133,7 +133,7 @@
 		s.requestsPerMs *= 2.5
 		s.run(8000)
 	}},
-	{"warm lost", 0.7, func(s *fleetSimulation) {
+	{"half of warm servers unreachable", 0.7, func(s *fleetSimulation) {
 		s.restartServers(everyFifth(s)...)
 		s.run(4000)
 		for i, server := range s.servers {
@@ -141,13 +141,13 @@
 		}
 		s.run(8000)
 	}},
-	{"all warm lost", 0.7, func(s *fleetSimulation) {
+	{"all warm servers unreachable", 0.7, func(s *fleetSimulation) {
 		s.restartServers(everyFifth(s)...)
 		s.run(4000)
 		s.disconnectWarm()
 		s.run(8000)
 	}},
-	{"half in steps", 0.8, func(s *fleetSimulation) {
+	{"half replaced in steps", 0.8, func(s *fleetSimulation) {
 		for k := range 5 {
 			var which []int
 			for i := range s.servers {
@@ -166,14 +166,14 @@
 		s.requestsPerMs *= 10
 		s.run(6000)
 	}},
-	{"surge, seven in ten agents new", 0.2, func(s *fleetSimulation) {
+	{"surge, most agents restarted", 0.2, func(s *fleetSimulation) {
 		s.restartMostAgents()
 		s.restartServers(everyFifth(s)...)
 		s.run(2000)
 		s.requestsPerMs *= 10
 		s.run(6000)
 	}},
-	{"one warm left", 0.7, func(s *fleetSimulation) {
+	{"one warm server left", 0.7, func(s *fleetSimulation) {
 		s.restartServers(allServers(s)[1:]...)
 		s.run(24000)
 	}},
@@ -193,7 +193,7 @@
 		s.restartMostAgents()
 		s.run(20000)
 	}},
-	{"all in slow start, uneven", 0.7, func(s *fleetSimulation) {
+	{"all in slow start, uneven agents", 0.7, func(s *fleetSimulation) {
 		s.setShares(func(i int) float64 { return 1 / float64(i+1) })
 		s.run(3000)
 		s.restartServers(allServers(s)...)
@@ -207,7 +207,7 @@
 		s.restartServers(0)
 		s.run(24000)
 	}},
-	{"overload, one warm left", 1.8, func(s *fleetSimulation) {
+	{"overload, one warm server left", 1.8, func(s *fleetSimulation) {
 		s.restartServers(allServers(s)[1:]...)
 		s.run(24000)
 	}},
@@ -231,7 +231,7 @@
 		s.failServers(6000, allServers(s)...)
 		s.run(10000)
 	}},
-	{"all warm lost, others failing", 0.7, func(s *fleetSimulation) {
+	{"all warm servers unreachable, others failing", 0.7, func(s *fleetSimulation) {
 		s.restartServers(everyFifth(s)...)
 		s.run(500)
 		s.disconnectWarm()
@@ -244,7 +244,7 @@
 		s.hangServers(2500, allServers(s)...)
 		s.run(10000)
 	}},
-	{"list's clock an hour ahead", 0.7, func(s *fleetSimulation) {
+	{"clock of the list an hour ahead", 0.7, func(s *fleetSimulation) {
 		s.clockAheadMs = 3600e3
 		s.restartServers(everyFifth(s)...)
 		s.run(3000)
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -17,7 +17,7 @@
 		{"many agents", 1000, 0.05, 0.05, true},
 		{"few agents", 10, 0.05, 0.05, false},
 		{"no costs", 1000, 0, 0, false},
-		{"no cost of a connection", 1000, 0, 0.05, false},
+		{"no connection cost", 1000, 0, 0.05, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
