--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -24,7 +24,7 @@
 
 // Load is shed when responses are late: overloaded servers would work for clients that have given up, and
 // each rejection by a server causes a retry. Errors and queued requests do not indicate overload.
-func TestLoadIsShedWhereResponsesAreLate(t *testing.T) {
+func TestLoadIsShedWhenResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		status     balancer.Status
@@ -133,7 +133,7 @@
 // If late responses of a class have no value, an attempt times out at the latency objective, so that it
 // keeps no server busy for longer, and the client is answered at once. Otherwise the attempt has all of the
 // client's remaining time.
-func TestAttemptTimesOutAtTheObjectiveWhereLateResponsesHaveNoValue(t *testing.T) {
+func TestAttemptTimesOutAtTheObjectiveIfLateResponsesHaveNoValue(t *testing.T) {
 	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
 	for class, want := range wants {
 		settings := testSettings()
@@ -163,7 +163,7 @@
 // Queued requests that wait for the preferred servers of their keys do not block other requests from servers
 // with capacity. All keys prefer the two servers of full weight; a third server with a hundredth of the
 // weight takes a request without a key.
-func TestRequestWaitingForItsKeyBlocksNoOther(t *testing.T) {
+func TestRequestWaitingForItsKeyDoesNotBlockOthers(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	endpoints := readyEndpoints(3)
 	endpoints[2].Weight = 0.01
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -96,7 +96,7 @@
 // The concurrency limit grows by a twentieth in one response time without overload, not by one attempt per
 // response: one more attempt of each of eighty agents would undo every decrease. In a second without
 // overload, about twelve response times, it grows but does not double.
-func TestConcurrencyLimitGrowsByAPartOfItself(t *testing.T) {
+func TestConcurrencyLimitGrowsByAFraction(t *testing.T) {
 	stats := runPhases(t, 80, phase{80, 200}, phase{120, 200}, phase{80, 25})
 	if stats[2].ConcurrencyLimit <= stats[1].ConcurrencyLimit ||
 		stats[2].ConcurrencyLimit >= 2*stats[1].ConcurrencyLimit {
@@ -110,7 +110,7 @@
 // attempts are not enough, as an agent of a large fleet sees a server too rarely to know how it responds
 // now. The response is not presumed lost either if the later attempts are slow as well. In both of these
 // cases the server is in cooldown, like any slow server.
-func TestLostResponseIsNoSignOfOverload(t *testing.T) {
+func TestLostResponseDoesNotIndicateOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(50, 20)
 	s := h.loseResponse()
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -105,7 +105,7 @@
 	run  func(s *fleetSimulation)
 }
 
-// slowStartCases are the cases of TestSlowStartBoundsTheSumOfAllAgents.
+// slowStartCases are the cases of TestSlowStartBoundsTheTotalOfAllAgents.
 var slowStartCases = []slowStartCase{
 	{"a fifth replaced", 0.7, func(s *fleetSimulation) {
 		s.restartServers(everyFifth(s)...)
@@ -256,7 +256,7 @@
 // In any overload window a server in slow start receives no more attempts from all agents together than its
 // budget and a margin for chance, regardless of the number of agents, of simultaneous faults and of the
 // distribution of the requests. The doc comment of slowStart.grantCredits derives the budget.
-func TestSlowStartBoundsTheSumOfAllAgents(t *testing.T) {
+func TestSlowStartBoundsTheTotalOfAllAgents(t *testing.T) {
 	t.Parallel()
 	fleets := []struct{ agents, servers int }{
 		{1, 12}, {3, 12}, {30, 12}, {300, 30},
@@ -298,7 +298,7 @@
 
 // After the last warm server starts to drain, credit accrues with time, but not for the time before, in which
 // the responses of warm servers added to it. The rate is that of the warm servers, measured over a long time.
-func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarm(t *testing.T) {
+func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarmServers(t *testing.T) {
 	t.Parallel()
 	for _, agents := range []int{12, 300} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -7,7 +7,7 @@
 )
 
 // Idle connections are closed if keeping them costs more than opening new ones.
-func TestIdleConnectionsAreClosedWhereKeepingCostsMore(t *testing.T) {
+func TestIdleConnectionsAreClosedIfKeepingCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		agents                int
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -26,7 +26,7 @@
 // A restart is detected even if the wall clock was stepped before the restart was listed: the server gets as
 // few requests as with an accurate clock. This includes a previous start only seconds ago, which is later
 // than the restart if the clock was set back by more than that.
-func TestRestartIsSeenAfterAStepOfTheWallClock(t *testing.T) {
+func TestRestartIsDetectedAfterClockStep(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
 		if warm := 400 / 5; trueShare == 0 || trueShare > warm/2 {
@@ -77,7 +77,7 @@
 // A drain and a restart that are listed while an attempt is in flight have the same effect as with accurate
 // clocks: a draining server gets no attempts, and a response of the old process does not make the new one
 // warm.
-func TestDrainAndRestartUnderARequestAfterAStep(t *testing.T) {
+func TestDrainAndRestartDuringRequestAfterClockStep(t *testing.T) {
 	for _, stepMs := range append([]float64{0}, clockStepsMs...) {
 		if stepMs == -5000 {
 			continue // the listed start is later than the previous one, as above
