--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -117,7 +117,7 @@
 	if n := h.serveAndCount(60, 1, s); n == 0 {
 		t.Error("server with a lost response got none of the next 60 new keys")
 	}
-	h.timeOutAmong(s, func() {
+	h.timeOutAttempt(s, func() {
 		for range 3 {
 			h.now += 160
 			h.serve(1, 20)
@@ -129,7 +129,7 @@
 	}
 	h.now += 16 * h.settings.Contract.SlowStartMs / 10 // past the longest cooldown
 	h.serve(20, 20)
-	h.timeOutAmong(s, func() {
+	h.timeOutAttempt(s, func() {
 		h.serve(4, 145)
 		h.now += 20
 	}, 600)
@@ -154,10 +154,10 @@
 	return s
 }
 
-// timeOutAmong forwards an attempt to a server, calls meanwhile, which serves others, and then makes the
+// timeOutAttempt forwards an attempt to a server, calls meanwhile, which serves others, and then makes the
 // attempt time out. The other one of the harness's two servers is draining until then, so that all requests
 // go to this server.
-func (h *harness) timeOutAmong(s balancer.Addr, meanwhile func(), tookMs float64) {
+func (h *harness) timeOutAttempt(s balancer.Addr, meanwhile func(), tookMs float64) {
 	h.t.Helper()
 	other := 0
 	if s == serverAddress(0) {
@@ -177,10 +177,10 @@
 // of six attempts per server, and fewer at servers in slow start. With eight agents only the limits of the
 // single servers apply.
 func TestManyNewAgentsShareTheInitialLimit(t *testing.T) {
-	for _, c := range []struct{ agents, restarted, most int }{
-		{agents: 8, restarted: 0, most: 40},
-		{agents: 108, restarted: 0, most: 13},
-		{agents: 108, restarted: 100, most: 8},
+	for _, c := range []struct{ agents, restarted, maxInFlight int }{
+		{agents: 8, restarted: 0, maxInFlight: 40},
+		{agents: 108, restarted: 0, maxInFlight: 13},
+		{agents: 108, restarted: 100, maxInFlight: 8},
 	} {
 		settings := testSettings()
 		settings.FleetSize = c.agents
@@ -197,9 +197,9 @@
 				inFlight++
 			}
 		}
-		if inFlight > c.most || inFlight < c.most/2 {
+		if inFlight > c.maxInFlight || inFlight < c.maxInFlight/2 {
 			t.Errorf("one of %d new agents, %d of 200 servers in slow start, has %d in flight, "+
-				"want %d at most", c.agents, c.restarted, inFlight, c.most)
+				"want %d at most", c.agents, c.restarted, inFlight, c.maxInFlight)
 		}
 	}
 }
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -103,7 +103,7 @@
 		d.keys = append(d.keys, d.random.Uint64()|1)
 	}
 	for range max(8*servers, 100) {
-		d.serve(idempotentClass, d.anyKey(), 5)
+		d.serve(idempotentClass, d.randomKey(), 5)
 	}
 	return d
 }
@@ -161,19 +161,19 @@
 	d.advance(1000.0/requestsPerSecond - ms)
 }
 
-// anyKey returns a random key.
-func (d *decisionBenchmark) anyKey() uint64 { return d.keys[d.random.IntN(len(d.keys))] }
+// randomKey returns a random key.
+func (d *decisionBenchmark) randomKey() uint64 { return d.keys[d.random.IntN(len(d.keys))] }
 
 // serveUnloaded measures requests without load.
 func (d *decisionBenchmark) serveUnloaded(b *testing.B) {
 	b.Helper()
 	for range b.N {
-		d.serve(idempotentClass, d.anyKey(), 5)
+		d.serve(idempotentClass, d.randomKey(), 5)
 	}
 }
 
-// serverOf makes a request with the key, ends it without effect on its server, and returns the server.
-func (d *decisionBenchmark) serverOf(key uint64) balancer.Addr {
+// findServer makes a request with the key, ends it without effect on its server, and returns the server.
+func (d *decisionBenchmark) findServer(key uint64) balancer.Addr {
 	id := d.request(idempotentClass, key)
 	s := d.forwardedTo
 	d.endWithoutEffect(id, s)
@@ -190,18 +190,18 @@
 	d.endAttempt(id, s, balancer.StatusBadRequest, 1)
 }
 
-// learnPreferred determines the two preferred servers of the keys.
-func (d *decisionBenchmark) learnPreferred() {
+// findPreferred determines the two preferred servers of the keys.
+func (d *decisionBenchmark) findPreferred() {
 	d.keysByServer = map[balancer.Addr][]uint64{}
 	d.preferred = map[uint64][2]balancer.Addr{}
 	for _, key := range d.keys {
-		s := d.serverOf(key)
+		s := d.findServer(key)
 		d.keysByServer[s] = append(d.keysByServer[s], key)
 	}
 	for s, keys := range d.keysByServer {
 		for _, key := range keys[:len(keys)/2] {
 			if id := d.occupy(s, key); id > 0 {
-				d.preferred[key] = [2]balancer.Addr{s, d.serverOf(key)}
+				d.preferred[key] = [2]balancer.Addr{s, d.findServer(key)}
 				d.endWithoutEffect(id, s)
 			}
 		}
@@ -231,7 +231,7 @@
 	b.Helper()
 	b.StopTimer()
 	if d.keysByServer == nil {
-		d.learnPreferred()
+		d.findPreferred()
 	}
 	keys := slices.Sorted(maps.Keys(d.preferred))
 	measured := 0
@@ -245,7 +245,7 @@
 		if first > 0 && second > 0 {
 			measured++
 			b.StartTimer()
-			d.waitAndServe(key)
+			d.serveQueued(key)
 			b.StopTimer()
 		}
 		d.endWithoutEffect(first, servers[0])
@@ -254,8 +254,8 @@
 	}
 }
 
-// waitAndServe simulates one request that is queued because its preferred servers are at their limits.
-func (d *decisionBenchmark) waitAndServe(key uint64) {
+// serveQueued simulates one request that is queued because its preferred servers are at their limits.
+func (d *decisionBenchmark) serveQueued(key uint64) {
 	arrivedAt := d.now
 	id := d.request(idempotentClass, key)
 	if d.forwardedTo != (balancer.Addr{}) {
@@ -276,24 +276,24 @@
 	b.Helper()
 	b.StopTimer()
 	for range 5 { // after which the ejection time is 4.8 s
-		d.failAll()
+		d.failAllServers()
 	}
 	for range b.N {
 		if d.now > d.failedAt+4000 {
-			d.failAll()
+			d.failAllServers()
 		}
 		b.StartTimer()
-		d.serve(idempotentClass, d.anyKey(), 5)
+		d.serve(idempotentClass, d.randomKey(), 5)
 		b.StopTimer()
-		d.fail() // ejects the server that has just served
+		d.failServer() // ejects the server that has just served
 	}
 }
 
-// failAll makes each server fail one request.
-func (d *decisionBenchmark) failAll() {
+// failAllServers makes each server fail one request.
+func (d *decisionBenchmark) failAllServers() {
 	d.advance(5000) // longer than any ejection time
 	for range d.servers {
-		d.fail()
+		d.failServer()
 	}
 	d.failedAt = d.now
 	if states := d.policy.Stats().States; states[balancer.Unhealthy] != d.servers {
@@ -301,8 +301,8 @@
 	}
 }
 
-// fail makes one server of the best tier fail a request that is not retried.
-func (d *decisionBenchmark) fail() {
-	id := d.request(nonIdempotentClass, d.anyKey())
+// failServer makes one server of the best tier fail a request that is not retried.
+func (d *decisionBenchmark) failServer() {
+	id := d.request(nonIdempotentClass, d.randomKey())
 	d.endAttempt(id, d.forwardedTo, balancer.StatusError, 5)
 }
--- a/policy/fleet_servers_test.go
+++ b/policy/fleet_servers_test.go
@@ -53,16 +53,16 @@
 	s.notifyAll(delta)
 }
 
-// disconnectWarm makes the servers that were not restarted unreachable, and the others reachable.
-func (s *fleetSimulation) disconnectWarm() {
+// disconnectWarmServers makes the servers that were not restarted unreachable, and the others reachable.
+func (s *fleetSimulation) disconnectWarmServers() {
 	for _, server := range s.servers {
 		server.unreachable = server.startedAt == 0
 	}
 }
 
-// drainWarm drains the servers that were not restarted, except for the given number of them, and notifies all
-// agents.
-func (s *fleetSimulation) drainWarm(except int) {
+// drainWarmServers drains the servers that were not restarted, except for the given number of them, and
+// notifies all agents.
+func (s *fleetSimulation) drainWarmServers(except int) {
 	var delta []balancer.Endpoint
 	warm := 0
 	for i, server := range s.servers {
--- a/policy/fleet_simulation_test.go
+++ b/policy/fleet_simulation_test.go
@@ -82,7 +82,7 @@
 	agent.policy = b
 	agent.incarnation++
 	agent.attempts = map[balancer.RequestID]int{}
-	s.carryOut(agent, b.Start(s.now, nil))
+	s.apply(agent, b.Start(s.now, nil))
 	s.handle(agent, balancer.Event{
 		Kind:       balancer.EventList,
 		ListUpdate: balancer.ListCached,
@@ -112,11 +112,11 @@
 
 // handle passes an event to an agent's policy and carries out the resulting actions.
 func (s *fleetSimulation) handle(agent *simulatedAgent, ev balancer.Event) {
-	s.carryOut(agent, agent.policy.Handle(s.now, &ev, nil))
+	s.apply(agent, agent.policy.Handle(s.now, &ev, nil))
 }
 
-// carryOut carries out the actions of an agent's policy.
-func (s *fleetSimulation) carryOut(agent *simulatedAgent, actions []balancer.Action) {
+// apply carries out the actions of an agent's policy.
+func (s *fleetSimulation) apply(agent *simulatedAgent, actions []balancer.Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case balancer.ActionSetTimer:
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// everyFifth returns the indices of every fifth server.
-func everyFifth(s *fleetSimulation) (indices []int) {
+// everyFifthServer returns the indices of every fifth server.
+func everyFifthServer(s *fleetSimulation) (indices []int) {
 	for i := 0; i < len(s.servers); i += 5 {
 		indices = append(indices, i)
 	}
@@ -108,11 +108,11 @@
 // slowStartCases are the cases of TestSlowStartBoundsTheTotalOfAllAgents.
 var slowStartCases = []slowStartCase{
 	{"a fifth replaced", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(20000)
 	}},
 	{"agents restarted", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(1000)
 		s.restartMostAgents()
 		s.run(20000)
@@ -120,7 +120,7 @@
 	{"uneven agents", 0.7, func(s *fleetSimulation) {
 		s.setShares(func(i int) float64 { return 1 / float64(i+1) })
 		s.run(3000)
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(20000)
 	}},
 	{"all in slow start", 0.7, func(s *fleetSimulation) {
@@ -128,13 +128,13 @@
 		s.run(24000)
 	}},
 	{"burst", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(4000)
 		s.requestsPerMs *= 2.5
 		s.run(8000)
 	}},
 	{"half of warm servers unreachable", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(4000)
 		for i, server := range s.servers {
 			server.unreachable = i%2 == 0 && server.startedAt == 0
@@ -142,33 +142,33 @@
 		s.run(8000)
 	}},
 	{"all warm servers unreachable", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(4000)
-		s.disconnectWarm()
+		s.disconnectWarmServers()
 		s.run(8000)
 	}},
 	{"half replaced in steps", 0.8, func(s *fleetSimulation) {
 		for k := range 5 {
-			var which []int
+			var indices []int
 			for i := range s.servers {
 				if i%10 == k {
-					which = append(which, i)
+					indices = append(indices, i)
 				}
 			}
-			s.restartServers(which...)
+			s.restartServers(indices...)
 			s.run(3000)
 		}
 		s.run(9000)
 	}},
 	{"surge", 0.2, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(4000)
 		s.requestsPerMs *= 10
 		s.run(6000)
 	}},
 	{"surge, most agents restarted", 0.2, func(s *fleetSimulation) {
 		s.restartMostAgents()
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(2000)
 		s.requestsPerMs *= 10
 		s.run(6000)
@@ -178,13 +178,13 @@
 		s.run(24000)
 	}},
 	{"popular key", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(4000)
 		s.popularShare = 0.25
 		s.run(8000)
 	}},
 	{"overload", 1.8, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(20000)
 	}},
 	{"all in slow start, agents restarted", 0.7, func(s *fleetSimulation) {
@@ -212,13 +212,13 @@
 		s.run(24000)
 	}},
 	{"early surge", 0.05, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(400)
 		s.requestsPerMs *= 40
 		s.run(6000)
 	}},
 	{"agents restarted repeatedly", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		for range 10 {
 			s.run(500)
 			s.restartMostAgents()
@@ -232,21 +232,21 @@
 		s.run(10000)
 	}},
 	{"all warm servers unreachable, others failing", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(500)
-		s.disconnectWarm()
-		s.failServers(6000, everyFifth(s)...)
+		s.disconnectWarmServers()
+		s.failServers(6000, everyFifthServer(s)...)
 		s.run(10000)
 	}},
 	{"all unresponsive, a fifth in slow start", 0.7, func(s *fleetSimulation) {
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(500)
 		s.hangServers(2500, allServers(s)...)
 		s.run(10000)
 	}},
 	{"clock of the list an hour ahead", 0.7, func(s *fleetSimulation) {
 		s.clockAheadMs = 3600e3
-		s.restartServers(everyFifth(s)...)
+		s.restartServers(everyFifthServer(s)...)
 		s.run(3000)
 		s.restartMostAgents()
 		s.run(18000)
@@ -287,9 +287,9 @@
 			s := newFleetSimulation(t, fleet.agents, fleet.servers, 1.8)
 			s.scheduleArrivals()
 			s.run(5000)
-			s.restartServers(everyFifth(s)...)
+			s.restartServers(everyFifthServer(s)...)
 			s.run(300)
-			s.drainWarm(1)
+			s.drainWarmServers(1)
 			s.run(4000)
 			s.checkSlowStart(t)
 		})
@@ -306,9 +306,9 @@
 			s := newFleetSimulation(t, agents, 12, 0.9)
 			s.scheduleArrivals()
 			s.run(45000)
-			s.restartServers(everyFifth(s)...)
+			s.restartServers(everyFifthServer(s)...)
 			s.run(8000)
-			s.drainWarm(0)
+			s.drainWarmServers(0)
 			s.run(8000)
 			s.checkSlowStart(t)
 		})
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -190,11 +190,11 @@
 
 // ejectionMs returns the ejection time of a server that failed once, which is the shortest latency objective.
 func (h *harness) ejectionMs() float64 {
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, c := range h.settings.Classes {
-		least = min(least, c.LatencyObjectiveMs)
+		shortest = min(shortest, c.LatencyObjectiveMs)
 	}
-	return least
+	return shortest
 }
 
 // serveRounds runs n rounds. Each makes k requests with new keys and ends all attempts in flight after
--- a/policy/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -46,7 +46,7 @@
 				b.ResetTimer()
 				before := processorTime(b)
 				for range b.N {
-					d.serveAmongOverloaded(d.anyKey(), overloaded)
+					d.serveAmongOverloaded(d.randomKey(), overloaded)
 				}
 				b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 			})
--- a/policy/phases_test.go
+++ b/policy/phases_test.go
@@ -18,17 +18,17 @@
 	t.Helper()
 	settings := testSettings()
 	settings.FleetSize = agents
-	p := phasePlayer{harness: newHarness(t, settings, 60)}
+	p := phaseRunner{harness: newHarness(t, settings, 60)}
 	var stats []balancer.Stats
 	for _, phase := range phases {
-		p.play(phase)
+		p.run(phase)
 		stats = append(stats, p.policy.Stats())
 	}
 	return stats
 }
 
-// phasePlayer runs phases on a harness.
-type phasePlayer struct {
+// phaseRunner runs phases on a harness.
+type phaseRunner struct {
 	*harness
 	inFlight []phaseAttempt // in the order of their ends
 }
@@ -40,8 +40,8 @@
 	endsAt  float64
 }
 
-// play runs the requests of one phase.
-func (p *phasePlayer) play(phase phase) {
+// run runs the requests of one phase.
+func (p *phaseRunner) run(phase phase) {
 	for range phase.requests {
 		p.now += 40
 		p.endDue(phase.responseMs)
@@ -54,13 +54,13 @@
 }
 
 // start records an attempt that is forwarded now and ends after responseMs.
-func (p *phasePlayer) start(a *balancer.Action, responseMs float64) {
+func (p *phaseRunner) start(a *balancer.Action, responseMs float64) {
 	p.inFlight = append(p.inFlight, phaseAttempt{a.Request, a.Server, p.now + responseMs})
 }
 
 // endDue ends the attempts that are due, each with a response after responseMs, and records those that are
 // forwarded as a result.
-func (p *phasePlayer) endDue(responseMs float64) {
+func (p *phaseRunner) endDue(responseMs float64) {
 	for len(p.inFlight) > 0 && p.inFlight[0].endsAt <= p.now {
 		ended := p.inFlight[0]
 		p.inFlight = p.inFlight[1:]
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -57,11 +57,11 @@
 			}
 			calls[int(call.Ms/1000)]++
 		}
-		most := 0
+		maxCalls := 0
 		for _, n := range calls {
-			most = max(most, n)
+			maxCalls = max(maxCalls, n)
 		}
-		return most
+		return maxCalls
 	}
 	if n := busiestSecond(80, 0); n > 35 {
 		t.Errorf("%d of 80 agents call in the same second after a start, want at most 35", n)
@@ -82,18 +82,18 @@
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
 	settings.FleetSize = 300
 	settings.Contract.PollWithinMs = 10000
-	mostMs := 0.0
+	maxDelayMs := 0.0
 	for seed := range uint64(50) {
 		b := newPolicy(t, settings, seed)
 		call := findAction(b.Start(0, nil), balancer.ActionSetTimer)
 		for range 8 {
 			b.Handle(0, &balancer.Event{Kind: balancer.EventTimer, Token: call.Token}, nil)
 			call = failPoll(b, 0)
-			mostMs = max(mostMs, call.Ms)
+			maxDelayMs = max(maxDelayMs, call.Ms)
 		}
 	}
-	if mostMs > 6000-2250-1000 || mostMs < 1000 {
-		t.Errorf("failed call is repeated after at most %.0f ms, want 1000 to 2750 ms", mostMs)
+	if maxDelayMs > 6000-2250-1000 || maxDelayMs < 1000 {
+		t.Errorf("failed call is repeated after at most %.0f ms, want 1000 to 2750 ms", maxDelayMs)
 	}
 }
 
--- a/policy/random_attempts_test.go
+++ b/policy/random_attempts_test.go
@@ -66,30 +66,30 @@
 
 // forward starts an attempt with a random status and end.
 func (s *randomScenario) forward(r *simulatedRequest, a *balancer.Action) {
-	ends := s.now + 1 + 150*s.random.Float64()
+	endsAt := s.now + 1 + 150*s.random.Float64()
 	status := attemptStatuses[s.random.IntN(len(attemptStatuses))]
 	if status == balancer.StatusTimeout {
-		ends = s.now + a.Ms
+		endsAt = s.now + a.Ms
 	}
 	attempt := &simulatedAttempt{
 		server:    a.Server,
 		startedAt: s.now,
-		endsAt:    min(ends, s.now+a.Ms),
+		endsAt:    min(endsAt, s.now+a.Ms),
 		status:    status,
 	}
 	if r.streamedBody {
-		s.streamBody(r, attempt, ends)
+		s.streamBody(r, attempt, endsAt)
 	}
 	r.attempts = append(r.attempts, attempt)
 }
 
 // streamBody simulates a streamed body: the server receives it as slowly as the client sends it, and rejects
 // some requests before its end. The request has no deadline until the body is complete.
-func (s *randomScenario) streamBody(r *simulatedRequest, attempt *simulatedAttempt, ends float64) {
+func (s *randomScenario) streamBody(r *simulatedRequest, attempt *simulatedAttempt, endsAt float64) {
 	attempt.fullySentAt = s.now + 300*s.random.Float64()
-	attempt.endsAt = ends
-	if attempt.fullySentAt < ends || !attempt.status.NotExecuted() {
-		attempt.endsAt = max(ends, attempt.fullySentAt+1)
+	attempt.endsAt = endsAt
+	if attempt.fullySentAt < endsAt || !attempt.status.NotExecuted() {
+		attempt.endsAt = max(endsAt, attempt.fullySentAt+1)
 	}
 	r.unsentDeadline = r.deadline
 	r.deadline = math.Inf(1)
--- a/policy/random_scenario_test.go
+++ b/policy/random_scenario_test.go
@@ -23,8 +23,8 @@
 	unknownRequest = 1 << 30
 )
 
-// checker is the part of *testing.T and *rapid.T that a scenario uses.
-type checker interface {
+// testingT is the part of *testing.T and *rapid.T that a scenario uses.
+type testingT interface {
 	Helper()
 	Errorf(format string, args ...any)
 	Fatal(args ...any)
@@ -34,7 +34,7 @@
 // randomScenario simulates random clients, servers and endpoint lists of one Balancer, and checks the rules
 // only by the actions of the Balancer.
 type randomScenario struct {
-	t             checker
+	t             testingT
 	random        *rand.Rand
 	settings      balancer.Settings
 	policy        *policy.Balancer
@@ -50,7 +50,7 @@
 
 // runRandomScenario runs the scenario of the seed on a Balancer with the settings, and returns all actions
 // of the Balancer.
-func runRandomScenario(t checker, settings balancer.Settings, seed uint64) []balancer.Action {
+func runRandomScenario(t testingT, settings balancer.Settings, seed uint64) []balancer.Action {
 	t.Helper()
 	s := newRandomScenario(t, settings, seed)
 	for i := range scenarioSteps {
@@ -58,14 +58,14 @@
 		for i < arrivalSteps && s.random.IntN(3) == 0 {
 			s.addRequest()
 		}
-		s.disturb()
+		s.injectEvent()
 	}
 	s.checkEnd(seed)
 	return s.history
 }
 
 // newRandomScenario starts the Balancer of a scenario and lists the first servers.
-func newRandomScenario(t checker, settings balancer.Settings, seed uint64) *randomScenario {
+func newRandomScenario(t testingT, settings balancer.Settings, seed uint64) *randomScenario {
 	t.Helper()
 	b, err := policy.New(settings, seed)
 	if err != nil {
@@ -139,9 +139,9 @@
 	}
 }
 
-// disturb sometimes changes an endpoint or the settings, makes a client leave, or passes events to the policy
-// that refer to unknown requests, servers and timers.
-func (s *randomScenario) disturb() {
+// injectEvent sometimes changes an endpoint or the settings, makes a client leave, or passes events with
+// unknown requests and timers to the policy.
+func (s *randomScenario) injectEvent() {
 	switch s.random.IntN(40) {
 	case 0:
 		s.changeEndpoint()
@@ -161,6 +161,6 @@
 		s.handle(balancer.Event{Kind: balancer.EventTimer, Token: 99})
 		s.handle(balancer.Event{Kind: balancer.EventList, ListUpdate: balancer.ListFailed})
 	case 3:
-		s.retune()
+		s.changeSettings()
 	}
 }
--- a/policy/random_settings_test.go
+++ b/policy/random_settings_test.go
@@ -62,9 +62,9 @@
 	})
 }
 
-// retune removes, adds and changes classes and changes the maximum number of attempts. It also checks that
-// invalid settings are rejected. The discovery mode and the other settings stay the same.
-func (s *randomScenario) retune() {
+// changeSettings removes, adds and changes classes and changes the maximum number of attempts. It also checks
+// that invalid settings are rejected. The discovery mode and the other settings stay the same.
+func (s *randomScenario) changeSettings() {
 	for _, class := range s.settings.Classes {
 		rules := balancer.RequestRules{Class: class, MaxAttempts: s.settings.Limits.MaxAttempts}
 		s.earlierRules = append(s.earlierRules, rules)
--- a/policy/reference_scenario_test.go
+++ b/policy/reference_scenario_test.go
@@ -12,7 +12,7 @@
 type referenceScenario struct {
 	*testing.T
 	random      *rand.Rand
-	draws       *rand.PCG // source of the Balancer's random numbers
+	source      *rand.PCG // source of the Balancer's random numbers
 	balancer    *Balancer
 	now         float64 // milliseconds
 	lastRequest balancer.RequestID
@@ -27,7 +27,7 @@
 	sc := &referenceScenario{
 		T:        t,
 		random:   rand.New(rand.NewPCG(seed, 1)),
-		draws:    rand.NewPCG(seed, 2),
+		source:   rand.NewPCG(seed, 2),
 		now:      1e5,
 		attempts: map[balancer.RequestID]int{},
 		choices:  map[string]int{},
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.random = rand.New(sc.draws)
+	b.random = rand.New(sc.source)
 	sc.balancer = b
 	b.Start(sc.now, nil)
 	return sc
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -103,17 +103,17 @@
 }
 
 // serversWhere returns the listed servers that satisfy the condition, ordered by address.
-func (b *Balancer) serversWhere(is func(*server) bool) (found []*server) {
+func (b *Balancer) serversWhere(matches func(*server) bool) (found []*server) {
 	for _, s := range b.endpoints.servers {
-		if is(s) {
+		if matches(s) {
 			found = append(found, s)
 		}
 	}
 	return found
 }
 
-// name returns the address of a server for error messages.
-func name(s *server) string {
+// addressText returns the address of a server for error messages.
+func addressText(s *server) string {
 	if s == nil {
 		return "none"
 	}
@@ -123,19 +123,20 @@
 // compareChoice compares the choice for a request with the reference, and reverts the changes of both.
 func (sc *referenceScenario) compareChoice(r *request) {
 	b := sc.balancer
-	was, draws := *r, *sc.draws
+	before, drawsBefore := *r, *sc.source
 	want := b.referenceChoose(r)
-	expected, wantDraws := *r, *sc.draws
-	*r, *sc.draws = was, draws
+	expected, wantDraws := *r, *sc.source
+	*r, *sc.source = before, drawsBefore
 	got := b.selector.choose(r)
-	if got != want || *sc.draws != wantDraws || r.preferred != expected.preferred ||
+	if got != want || *sc.source != wantDraws || r.preferred != expected.preferred ||
 		r.preferredEpoch != expected.preferredEpoch ||
 		math.Float64bits(r.tierWeight) != math.Float64bits(expected.tierWeight) {
 		sc.Fatalf("request %d, key %d: chose %s, reference %s; tier weight %v, reference %v; equal draws: %t",
-			r.id, r.key, name(got), name(want), r.tierWeight, expected.tierWeight, *sc.draws == wantDraws)
+			r.id, r.key, addressText(got), addressText(want),
+			r.tierWeight, expected.tierWeight, *sc.source == wantDraws)
 	}
 	sc.countChoice(r, got)
-	*r, *sc.draws = was, draws
+	*r, *sc.source = before, drawsBefore
 }
 
 // countChoice counts a choice under each kind that applies. The scenarios must cover all kinds.
@@ -174,9 +175,9 @@
 func (sc *referenceScenario) compareSets() {
 	b := sc.balancer
 	sets := []struct {
-		name string
-		got  []*server
-		is   func(*server) bool
+		name    string
+		got     []*server
+		matches func(*server) bool
 	}{
 		{"busy", b.endpoints.busy, func(s *server) bool { return len(s.inFlight) > 0 }},
 		{"not healthy", b.endpoints.unhealthyServers(),
@@ -185,7 +186,7 @@
 			func(s *server) bool { return b.slowStart.fraction(s) != 1 }},
 	}
 	for _, set := range sets {
-		if want := b.serversWhere(set.is); !slices.Equal(set.got, want) {
+		if want := b.serversWhere(set.matches); !slices.Equal(set.got, want) {
 			sc.Fatalf("%s: %d servers differ from the %d of the reference", set.name, len(set.got), len(want))
 		}
 	}
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -100,10 +100,10 @@
 		endpoint.State = balancer.Ready
 		endpoint.StartedMs = h.now + stepMs
 		h.updateList(balancer.ListDelta, endpoint)
-		const most = 400 / 5 / 2
-		if got := h.serveAndCount(400, 2, serverAddress(0)); got == 0 || got > most {
+		const maxRequests = 400 / 5 / 2
+		if got := h.serveAndCount(400, 2, serverAddress(0)); got == 0 || got > maxRequests {
 			t.Errorf("clock stepped by %v ms: server in slow start got %d of 400 requests, "+
-				"want some and at most %d", stepMs, got, most)
+				"want some and at most %d", stepMs, got, maxRequests)
 		}
 	}
 }
--- a/policy/zone_test.go
+++ b/policy/zone_test.go
@@ -47,12 +47,12 @@
 		}
 		return float64(ownZone) / float64(max(all, 1))
 	}
-	least := share(0, 20) // as in TestOwnZoneIsPreferred: about 0.6
-	if s := share(0.1, 20); s < least+0.15 {
+	minShare := share(0, 20) // as in TestOwnZoneIsPreferred: about 0.6
+	if s := share(0.1, 20); s < minShare+0.15 {
 		t.Errorf("own zone in time got %.2f of the keys, %.2f if cross-zone traffic is free",
-			s, least)
+			s, minShare)
 	}
-	if s := share(0.1, 500); s > least+0.05 {
-		t.Errorf("own zone late got %.2f of the keys, %.2f if cross-zone traffic is free", s, least)
+	if s := share(0.1, 500); s > minShare+0.05 {
+		t.Errorf("own zone late got %.2f of the keys, %.2f if cross-zone traffic is free", s, minShare)
 	}
 }
