--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -131,8 +131,8 @@
 }
 
 // If late responses of a class have no value, an attempt times out at the latency objective, so that it
-// keeps no server busy for longer, and the client is answered at once. Otherwise the attempt has all of the
-// client's remaining time.
+// keeps no server busy for longer, and the client is answered immediately. Otherwise the attempt has all of
+// the client's remaining time.
 func TestAttemptTimesOutAtTheObjectiveIfLateResponsesHaveNoValue(t *testing.T) {
 	wants := []balancer.ActionKind{balancer.ActionReject, balancer.ActionFail, balancer.ActionFail}
 	for class, want := range wants {
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -83,7 +83,7 @@
 	tb.Helper()
 	settings := testSettings()
 	settings.FleetSize = agents
-	settings.Zone = 1 // without servers in the agent's zone, as the zone preference varies
+	settings.Zone = 1 // no servers are in the agent's zone, as the zone preference varies with time
 	b := newPolicy(tb, settings, 1)
 	d := &decisionBenchmark{
 		TB:      tb,
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// endHealthCheck hands the policy the end of a health check.
+// endHealthCheck passes the end of a health check to the policy.
 func (h *harness) endHealthCheck(server balancer.Addr, status balancer.Status, tookMs float64) {
 	h.handle(balancer.Event{
 		Kind:      balancer.EventHealthCheckDone,
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -52,8 +52,8 @@
 	return ms
 }
 
-// If clients do not mark their retries, a request with less remaining time than others of its class is taken
-// for a retry, and the difference for the time since the first request. If clients give their requests less
+// If clients do not mark their retries, a request with less remaining time than others of its class counts
+// as a retry, and the difference as the time since the first request. If clients give their requests less
 // time than the total timeout, a shorter remaining time does not indicate a retry.
 func TestUnmarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	first := queuedRequestMs(t, 1000, 1000)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -7,8 +7,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// Responses that take 1.5 times as long as without load count as an overload in a large fleet, but not in a
-// small one: each agent of a large fleet sees only a small part of the load and reacts later.
+// Responses that take 1.5 times as long as without load count as an overload of all servers in a large fleet,
+// but not in a small one. An agent of a large fleet sees only a small part of the load, so the limits of the
+// single servers react later there.
 func TestOverloadLatencyIsHigherForFewAgents(t *testing.T) {
 	few := runPhases(t, 3, phase{80, 200}, phase{120, 200})
 	many := runPhases(t, 80, phase{80, 200}, phase{120, 200})
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// A request is forwarded to an ejected server if no tier above has a server.
+// A request is forwarded to an ejected server if no better tier has a server.
 func TestEjectedServersServeWhenNoOtherIsLeft(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 2 {
@@ -107,7 +107,8 @@
 	}
 }
 
-// A server that hangs returns no statuses and would stay Connected, so it is ejected for not responding.
+// A server that hangs sends no response that could change its health state from Connected, so it is ejected
+// for not responding.
 func TestUnresponsiveServerIsEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.serve(200, 10) // enough responses to know the response time
--- a/policy/random_attempts_test.go
+++ b/policy/random_attempts_test.go
@@ -6,7 +6,7 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// attemptStatuses contains the statuses of which the one of an attempt is drawn.
+// attemptStatuses contains the statuses from which the status of an attempt is drawn.
 var attemptStatuses = []balancer.Status{
 	balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK, balancer.StatusOK,
 	balancer.StatusError, balancer.StatusOverloaded, balancer.StatusTimeout,
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -158,7 +158,7 @@
 // compare compares the present state of the Balancer and its choices with the reference.
 func (sc *referenceScenario) compare() {
 	b := sc.balancer
-	b.now += 1e-3 // the warm weight is computed once per point in time
+	b.now += 1e-3 // a new point in time, as the warm weight is computed once for each
 	sc.now = b.now
 	got, want := b.slowStart.warmWeight(), b.referenceWarmWeight()
 	if math.Float64bits(got) != math.Float64bits(want) {
