--- a/policy/phases_test.go
+++ b/policy/phases_test.go
@@ -6,31 +6,31 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// phase is a number of requests, one every 40 ms, each with a response after responseMs.
+// phase is a sequence of requests, one every 40 ms, each with a response after responseMs.
 type phase struct {
 	responseMs float64
 	requests   int
 }
 
-// runPhases plays phases to an agent, one of so many, with 60 servers and returns its Stats at the end of
-// each.
+// runPhases runs the phases on one agent of a fleet with 60 servers and returns its Stats at the end of each
+// phase.
 func runPhases(t *testing.T, agents int, phases ...phase) []balancer.Stats {
 	t.Helper()
 	settings := testSettings()
 	settings.FleetSize = agents
-	p := phasePlayer{harness: newHarness(t, settings, 60)}
+	p := phaseRunner{harness: newHarness(t, settings, 60)}
 	var stats []balancer.Stats
 	for _, phase := range phases {
-		p.play(phase)
+		p.run(phase)
 		stats = append(stats, p.policy.Stats())
 	}
 	return stats
 }
 
-// phasePlayer plays phases to a harness.
-type phasePlayer struct {
+// phaseRunner runs phases on a harness.
+type phaseRunner struct {
 	*harness
-	inFlight []phaseAttempt // the next one to end first
+	inFlight []phaseAttempt // in the order of their ends
 }
 
 // phaseAttempt is an attempt in flight.
@@ -40,8 +40,8 @@
 	endsAt  float64
 }
 
-// play plays the requests of one phase.
-func (p *phasePlayer) play(phase phase) {
+// run runs the requests of one phase.
+func (p *phaseRunner) run(phase phase) {
 	for range phase.requests {
 		p.now += 40
 		p.endDue(phase.responseMs)
@@ -53,14 +53,14 @@
 	}
 }
 
-// start notes an attempt that is forwarded now and ends after responseMs.
-func (p *phasePlayer) start(a *balancer.Action, responseMs float64) {
+// start records an attempt that is forwarded now and ends after responseMs.
+func (p *phaseRunner) start(a *balancer.Action, responseMs float64) {
 	p.inFlight = append(p.inFlight, phaseAttempt{a.Request, a.Server, p.now + responseMs})
 }
 
-// endDue ends the attempts that are due, each with a response after responseMs, and notes those that are
-// forwarded in their place.
-func (p *phasePlayer) endDue(responseMs float64) {
+// endDue ends the attempts that are due, each with a response after responseMs, and records those that are
+// forwarded as a result.
+func (p *phaseRunner) endDue(responseMs float64) {
 	for len(p.inFlight) > 0 && p.inFlight[0].endsAt <= p.now {
 		ended := p.inFlight[0]
 		p.inFlight = p.inFlight[1:]
