--- a/internal/experiment/agent_config.go
+++ b/internal/experiment/agent_config.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// membershipSite is the site in the agents' membership sections.
+	// membershipSite is the site name in the membership section of every agent.
 	membershipSite = "lab"
-	// loopbackNetwork has the addresses that members may have.
+	// loopbackNetwork is the network that members' addresses must belong to.
 	loopbackNetwork = "127.0.0.0/8"
-	// agentSeedFactor keeps the seeds of the agents of one run apart from those of the next seed's.
+	// agentSeedFactor separates the seeds of the agents in runs with consecutive seeds.
 	agentSeedFactor = 1000
-	// configFileMode is the mode of an agent's configuration file.
+	// configFileMode is the permission mode of an agent's configuration file.
 	configFileMode = 0o600
 )
 
@@ -45,13 +45,14 @@
 	Networks  []string `json:"networks"`
 }
 
-// membershipAddresses are the addresses of all members, by the agents' names, and those that all know at their start.
+// membershipAddresses holds the addresses of all members, by agent name, and the addresses that every agent gets as
+// seeds.
 type membershipAddresses struct {
 	members map[string]faultproxy.Addresses
 	seeds   []string
 }
 
-// config returns the membership section of an agent in a zone.
+// config returns the membership section for an agent in the given zone.
 func (a *membershipAddresses) config(agent, zone string) *membershipConfig {
 	member := a.members[agent]
 	return &membershipConfig{
@@ -64,7 +65,7 @@
 	}
 }
 
-// agentConfig returns the configuration of the agent with an index, without a membership section.
+// agentConfig returns the configuration of the agent at the given index, without a membership section.
 func (r *armRun) agentConfig(index int, agent emulator.Agent) *agentConfig {
 	return &agentConfig{
 		Name:           agent.Name,
@@ -78,7 +79,7 @@
 	}
 }
 
-// write writes the configuration, with an arm's overrides, to the file that the agent's process reads.
+// write writes the configuration with an arm's overrides to the file in dir that the agent's process reads.
 func (c *agentConfig) write(dir string, overrides map[string]any) error {
 	text, err := c.encode(overrides)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return os.WriteFile(filepath.Join(dir, c.Name+".json"), text, configFileMode)
 }
 
-// encode returns the configuration as JSON with an arm's overrides, which may set any key, also unknown ones.
+// encode returns the configuration as JSON with an arm's overrides, which may set any key, including unknown ones.
 func (c *agentConfig) encode(overrides map[string]any) ([]byte, error) {
 	text, err := json.Marshal(c)
 	if err != nil || len(overrides) == 0 {
@@ -101,7 +102,7 @@
 	return json.Marshal(config)
 }
 
-// mergeConfig merges a configuration into another one, key by key.
+// mergeConfig merges overrides into base recursively, key by key.
 func mergeConfig(base, overrides map[string]any) {
 	for key, value := range overrides {
 		if section, ok := value.(map[string]any); ok {
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// membershipSeeds is how many agents the others know at their start.
+	// membershipSeeds is the number of agents whose addresses every agent gets as seeds.
 	membershipSeeds = 3
-	// readyTimeout bounds the time from an agent's start until it is ready, readyCallTimeout a call that asks.
+	// readyTimeout bounds the time from an agent's start until it is ready; readyCallTimeout bounds one readiness
+	// call.
 	readyTimeout     = 30 * time.Second
 	readyCallTimeout = time.Second
 )
 
-// prepareAgents writes the agents' configurations into a directory and prepares their processes.
+// prepareAgents writes the agents' configurations into dir and prepares their processes.
 func (r *armRun) prepareAgents(dir, program string) (err error) {
-	var addresses *membershipAddresses // nil: the agents have no membership section
+	var addresses *membershipAddresses // nil if the agents have no membership section
 	if r.arm.Membership {
 		if addresses, err = r.connectMembers(); err != nil {
 			return err
@@ -69,11 +70,12 @@
 	if r.proxy == nil {
 		return nil
 	}
-	// Joining is no part of the traffic's time. An interruption is noticed once the traffic begins.
+	// The agents join before the traffic starts. An interruption is handled when the traffic starts.
 	return r.awaitMembership(ctx)
 }
 
-// start starts an agent and waits until it is ready, or until the traffic has ended.
+// start starts an agent and waits until it is ready. After the end of the traffic it no longer waits for an agent that
+// doesn't respond.
 func (r *armRun) start(name string) error {
 	if err := r.processes.Start(name); err != nil {
 		return err
@@ -93,7 +95,7 @@
 	})
 }
 
-// isReady asks an agent at its readiness endpoint. The client bounds the call.
+// isReady queries an agent's readiness endpoint. The client's timeout bounds the call.
 func isReady(client *http.Client, url string) (bool, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, http.NoBody)
 	if err != nil {
@@ -103,11 +105,11 @@
 	if err != nil {
 		return false, err
 	}
-	_ = response.Body.Close() // the status says all
+	_ = response.Body.Close() // only the status is used
 	return response.StatusCode == http.StatusOK, nil
 }
 
-// isFinished tells whether the traffic has ended.
+// isFinished reports whether the traffic has ended.
 func (r *armRun) isFinished() bool {
 	select {
 	case <-r.finished:
@@ -117,7 +119,7 @@
 	}
 }
 
-// closeAgents ends the agents and the connections between them.
+// closeAgents stops the agents and the fault proxy between them.
 func (r *armRun) closeAgents() {
 	if r.processes != nil {
 		r.processes.Close()
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// revisionLength is how many characters of a commit's hash a record has.
+	// revisionLength is the number of characters of a commit hash in a record.
 	revisionLength = 12
-	// sourceMode is the mode of the directory that a commit's files are written into.
+	// sourceMode is the permission mode of the directory that a commit is extracted to.
 	sourceMode = 0o755
-	// unknownRevision stands for a program of which no commit is known.
+	// unknownRevision is the revision of a program whose commit is not known.
 	unknownRevision = "unknown"
 )
 
-// buildPrograms returns the agent's program for each commit that the arms name.
+// buildPrograms builds the agent for each commit that an arm names and returns the paths of the programs by commit.
 func (cfg *Config) buildPrograms(ctx context.Context) (map[string]string, error) {
 	programs := map[string]string{}
 	for _, arm := range cfg.Scenario.Arms {
@@ -37,13 +37,14 @@
 	return programs, nil
 }
 
-// agentProgram returns the agent that a commit builds, or the configured one if the commit is empty.
+// agentProgram builds the agent of a commit and returns its path, or that of the configured program if the commit is
+// empty.
 func (cfg *Config) agentProgram(ctx context.Context, commit string) (string, error) {
 	if commit == "" {
 		return filepath.Abs(cfg.Binary)
 	}
 	if cfg.Repository == "" {
-		return "", errors.New("no checkout is known from which a commit could be built")
+		return "", errors.New("an arm names a commit, but no git checkout was found to build it from")
 	}
 	cfg.Progress("building %s", commit)
 	source := filepath.Join(cfg.Dir, "src-"+commit)
@@ -62,7 +63,7 @@
 	return program, nil
 }
 
-// extractCommit writes the files of a commit into a directory.
+// extractCommit extracts the files of a commit into a directory.
 func extractCommit(ctx context.Context, repository, commit, directory string) error {
 	archive := exec.CommandContext(ctx, "git", "-C", repository, "archive", commit)
 	extract := exec.CommandContext(ctx, "tar", "-x", "-C", directory)
@@ -77,17 +78,18 @@
 	return errors.Join(archive.Run(), extract.Wait())
 }
 
-// agentPackage returns the package of the agent's program in a checkout; earlier versions had another name for it.
+// agentPackage returns the path of the agent's main package in a checkout, which has another name in older commits.
 func agentPackage(checkout string) string {
-	const present, earlier = "./cmd/agent", "./cmd/ringtrack"
-	if _, err := os.Stat(filepath.Join(checkout, earlier)); err == nil {
-		return earlier
+	const current, legacy = "./cmd/agent", "./cmd/ringtrack"
+	if _, err := os.Stat(filepath.Join(checkout, legacy)); err == nil {
+		return legacy
 	}
-	return present
+	return current
 }
 
-// Revision returns the commit of a program: the given one if it was built from that, else the one that the program
-// names, else that of the checkout. "-dirty" follows if the tree had changes; "unknown" stands for no commit.
+// Revision returns the commit that a program was built from: the given one if it is not empty, else the one embedded
+// in the program, else that of the repository, or "unknown". The suffix "-dirty" marks a tree with uncommitted
+// changes.
 func Revision(ctx context.Context, commit, program, repository string) string {
 	if commit != "" {
 		return commit
@@ -102,7 +104,7 @@
 	return unknownRevision
 }
 
-// embeddedRevision returns the commit that a Go program was built from by its own account, or an empty text.
+// embeddedRevision returns the commit in the build information of a Go program, or an empty string.
 func embeddedRevision(program string) string {
 	info, err := buildinfo.ReadFile(program)
 	if err != nil {
@@ -119,7 +121,7 @@
 	return revision
 }
 
-// buildSetting returns a setting of a program's build, or an empty text.
+// buildSetting returns the build setting with a key, or an empty string.
 func buildSetting(info *debug.BuildInfo, key string) string {
 	for _, setting := range info.Settings {
 		if setting.Key == key {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -9,16 +9,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// minPairs is the least number of pairs from which an interval can be computed.
+// minPairs is the minimum number of pairs for a confidence interval.
 const minPairs = 2
 
-// Interval is a mean of samples and the half width of its 95 % confidence interval (Student's t).
+// Interval is the mean of samples and the half width of its 95 % confidence interval (Student's t).
 type Interval struct{ Mean, HalfWidth float64 }
 
-// Includes tells whether a value is in the interval.
+// Includes reports whether the interval includes a value.
 func (i Interval) Includes(value float64) bool { return math.Abs(i.Mean-value) <= i.HalfWidth }
 
-// Difference is how a metric of an arm differs from that of a base arm, over pairs of the same seed.
+// Difference is the paired difference of a metric between an arm and a base arm, over runs with the same seeds.
 type Difference struct {
 	Metric    Metric
 	Base, Arm float64  // means
@@ -26,8 +26,8 @@
 	Pairs     int
 }
 
-// Compare returns the differences of all metrics between two arms, over the seeds on which both have a valid run; the
-// last one of each is used.
+// Compare returns the differences of all metrics between two arms over the seeds for which both have a valid run. If
+// an arm has several valid runs of a seed, the last one is used.
 func Compare(records []*Record, base, arm string) ([]Difference, error) {
 	baseRuns := lastBySeed(validOf(records, base))
 	armRuns := lastBySeed(validOf(records, arm))
@@ -38,7 +38,7 @@
 		}
 	}
 	if len(seeds) < minPairs {
-		return nil, fmt.Errorf("%q and %q have %d seeds in common with a valid run of both; %d are needed",
+		return nil, fmt.Errorf("arms %q and %q have valid runs on %d common seeds; at least %d are needed",
 			base, arm, len(seeds), minPairs)
 	}
 	slices.Sort(seeds)
@@ -49,7 +49,7 @@
 	return differences, nil
 }
 
-// difference returns the difference of a metric over the seeds.
+// difference returns the difference in a metric over the seeds.
 func difference(metric Metric, seeds []uint64, baseRuns, armRuns map[uint64]*Record) Difference {
 	var baseValues, armValues, pairDifferences []float64
 	for _, seed := range seeds {
@@ -68,7 +68,7 @@
 	}
 }
 
-// lastBySeed returns the last record of each seed.
+// lastBySeed returns the last record of each seed, by seed.
 func lastBySeed(records []*Record) map[uint64]*Record {
 	last := map[uint64]*Record{}
 	for _, record := range records {
@@ -77,7 +77,7 @@
 	return last
 }
 
-// confidenceInterval returns the interval of samples.
+// confidenceInterval returns the mean of the samples with its 95 % confidence interval.
 func confidenceInterval(samples []float64) Interval {
 	const quantile = 0.975 // two-sided
 	mean, deviation := stat.MeanStdDev(samples, nil)
--- a/internal/experiment/defaults.go
+++ b/internal/experiment/defaults.go
@@ -10,16 +10,16 @@
 	"github.com/BurntSushi/toml"
 )
 
-// keepAlive is how long servers keep an idle connection.
+// keepAlive is the time for which servers keep idle connections open.
 const keepAlive = time.Minute
 
-// defaultFile is the name of the file that defaultText is read from.
+// defaultFile is the name of the embedded file in defaultText.
 const defaultFile = "default.toml"
 
 //go:embed default.toml
 var defaultText string
 
-// decodeDefault decodes the default scenario once. It panics if the file, which is part of the program, has an error.
+// decodeDefault decodes the default scenario once. It panics if the embedded file is invalid.
 var decodeDefault = sync.OnceValue(func() *Scenario {
 	s := new(Scenario)
 	if _, err := toml.Decode(defaultText, s); err != nil {
@@ -28,7 +28,7 @@
 	return s
 })
 
-// Default returns the scenario of default.toml. The caller may change it.
+// Default returns a copy of the scenario in default.toml, which the caller may change.
 func Default() *Scenario {
 	s := *decodeDefault()
 	s.Fleet.Zones = slices.Clone(s.Fleet.Zones)
@@ -37,7 +37,8 @@
 	return &s
 }
 
-// defaultWithoutTables returns the default scenario without its classes and models, which a file replaces as a whole.
+// defaultWithoutTables returns the default scenario without classes and models: those of a scenario file replace the
+// defaults instead of being appended to them.
 func defaultWithoutTables() *Scenario {
 	s := Default()
 	s.Classes = nil
@@ -45,7 +46,7 @@
 	return s
 }
 
-// addDefaultTables gives a scenario without classes or models those of the default scenario.
+// addDefaultTables sets the classes and the models to the defaults where the scenario has none.
 func (s *Scenario) addDefaultTables() {
 	defaults := Default()
 	if len(s.Classes) == 0 {
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -9,7 +9,7 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// FaultKind is what a fault does. Scenarios name the kinds by these texts.
+// FaultKind is the kind of a fault, as written in scenario files.
 type FaultKind string
 
 // The kinds of faults.
@@ -32,36 +32,36 @@
 	faultDiscoveryOutage  FaultKind = "list down"
 )
 
-// faultEffect is what a kind of fault does. Either trafficChange or inject is set.
+// faultEffect implements a kind of fault. Exactly one of trafficChange and inject is set.
 type faultEffect struct {
-	description string // how it uses the keys of a scenario
+	description string // how the kind uses the keys of a fault in a scenario
 	needsZone   bool
-	// trafficChange returns how a fault changes the traffic.
+	// trafficChange returns the change to the traffic that a fault makes.
 	trafficChange func(Fault) emulator.TrafficChange
-	// inject injects a fault and returns when it is over.
+	// inject injects a fault and returns when the fault is over.
 	inject func(*armRun, Fault, *rand.Rand) error
 }
 
-// faultEffects has the effect of each kind.
+// faultEffects maps each kind to its effect.
 var faultEffects = map[FaultKind]faultEffect{
 	faultKillAgents: {
-		description: "SIGKILL to a share at the same moment; they start again after back",
+		description: "SIGKILL to a share at the same time; the agents are started again after back",
 		inject:      (*armRun).killAgents,
 	},
 	faultRestartAgents: {
-		description: "SIGTERM and a start, a batch of a share at a time, spread over for",
+		description: "SIGTERM to a share and a new start, in batches spread over for",
 		inject:      (*armRun).restartAgents,
 	},
 	faultPauseAgents: {
-		description: "SIGSTOP for a share, SIGCONT after for",
+		description: "SIGSTOP to a share, SIGCONT after for",
 		inject:      (*armRun).pauseAgents,
 	},
 	faultPartitionAgents: {
-		description: "a share is partitioned from all other agents for a time; needs arms with a fleet",
+		description: "a share is partitioned from all other agents for a time; only in arms with fleet = true",
 		inject:      (*armRun).partitionAgents,
 	},
 	faultMessageLoss: {
-		description: "a part (size) of the messages between agents is lost for a time",
+		description: "a fraction (size) of the messages between agents is lost for a time",
 		inject:      (*armRun).loseMessages,
 	},
 	faultSlowServers: {
@@ -72,13 +72,13 @@
 		},
 	},
 	faultFailingServers: {
-		description: "a share fails a part (size) of its requests at once for a time",
+		description: "a share fails a fraction (size) of its requests immediately for a time",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
 			return r.degradeServers(fault, random, emulator.ServerFault{SlowFactor: 1, FailureRate: fault.Magnitude})
 		},
 	},
 	faultHungServers: {
-		description: "a share computes nothing for a time",
+		description: "a share hangs for a time: its requests make no progress",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
 			return r.degradeServers(fault, random, emulator.ServerFault{SlowFactor: math.Inf(1)})
 		},
@@ -90,7 +90,7 @@
 		},
 	},
 	faultKillServers: {
-		description: "a share ends at the same moment; successors start after back, with slow start",
+		description: "a share is killed at the same time; replacements start after back, in slow start",
 		inject: func(r *armRun, fault Fault, random *rand.Rand) error {
 			ids := r.sampleServers(fault, random)
 			r.emulator.KillServers(fault.RestartAfter, ids...)
@@ -98,7 +98,7 @@
 		},
 	},
 	faultReplaceServers: {
-		description: "a share is drained (for drain) and replaced by servers in slow start, a batch of it at a time," +
+		description: "a share is drained (for drain) and replaced by servers in slow start, in batches" +
 			" spread over for",
 		inject: (*armRun).replaceServers,
 	},
@@ -122,13 +122,13 @@
 		},
 	},
 	faultBurst: {
-		description: "traffic is size times as much for a time",
+		description: "the request rate is multiplied by size for a time",
 		trafficChange: func(fault Fault) emulator.TrafficChange {
 			return emulator.TrafficChange{From: fault.At, To: fault.At + fault.Duration, RateFactor: fault.Magnitude}
 		},
 	},
 	faultHotKey: {
-		description: "a share of the requests has the same key for a time",
+		description: "a share of the requests uses the same key for a time",
 		trafficChange: func(fault Fault) emulator.TrafficChange {
 			return emulator.TrafficChange{
 				From:        fault.At,
@@ -139,7 +139,7 @@
 		},
 	},
 	faultDiscoveryOutage: {
-		description: "discovery does not answer for a time",
+		description: "discovery is unavailable for a time",
 		inject: func(r *armRun, fault Fault, _ *rand.Rand) error {
 			r.emulator.SetDiscoveryUnavailable(true)
 			r.wait(fault.Duration)
@@ -149,13 +149,13 @@
 	},
 }
 
-// FaultDescription says how a kind of fault uses the keys of a scenario.
+// FaultDescription describes how a kind of fault uses the keys of a fault in a scenario.
 type FaultDescription struct {
 	Kind        FaultKind
 	Description string
 }
 
-// FaultDescriptions returns the descriptions of all kinds, in alphabetical order of the kinds.
+// FaultDescriptions returns the descriptions of all kinds, sorted by kind.
 func FaultDescriptions() (descriptions []FaultDescription) {
 	for _, kind := range slices.Sorted(maps.Keys(faultEffects)) {
 		descriptions = append(descriptions, FaultDescription{kind, faultEffects[kind].description})
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// generatorStream selects the generator's random numbers from its seed.
+	// generatorStream is the generator's stream of random numbers for a seed.
 	generatorStream = 9
-	// generatedSeeds is how many seeds a generated scenario has.
+	// generatedSeeds is the number of seeds in a generated scenario.
 	generatedSeeds = 10
-	// generatedLoadLow and generatedLoadHigh bound the load of a generated scenario, unless its kind has another.
+	// generatedLoadLow and generatedLoadHigh bound the load of a generated scenario unless its kind sets a range.
 	generatedLoadLow  = 0.5
 	generatedLoadHigh = 0.7
-	// drawnPerUnit is how many different values a draw can have within 1.
-	drawnPerUnit = 1000
-	// kindsFile is the name of the file that kindsText is read from.
+	// drawStepsPerUnit is the resolution of drawn values: they are rounded to a multiple of 1/drawStepsPerUnit.
+	drawStepsPerUnit = 1000
+	// kindsFile is the name of the embedded file in kindsText.
 	kindsFile = "kinds.toml"
 )
 
 //go:embed kinds.toml
 var kindsText string
 
-// scenarioTemplate is a kind of generated scenario.
+// scenarioTemplate is the template of a kind of generated scenario.
 type scenarioTemplate struct {
 	Load   valueRange      `toml:"load"`
 	Faults []faultTemplate `toml:"trouble"`
 }
 
-// faultTemplate is a fault of a generated scenario. The duration is Duration seconds, or DurationPart of the length.
+// faultTemplate is the template of a fault in a generated scenario. The duration is Duration in seconds or, if
+// DurationFraction is above 0, that fraction of the scenario's length.
 type faultTemplate struct {
-	At           float64    `toml:"at"` // part of the length
-	Kind         FaultKind  `toml:"kind"`
-	Duration     float64    `toml:"for"`
-	DurationPart float64    `toml:"for_part"`
-	Share        valueRange `toml:"share"`
-	Magnitude    valueRange `toml:"size"`
-	Batch        valueRange `toml:"batch"`
-	DrainTime    valueRange `toml:"drain"` // seconds
-	RestartAfter valueRange `toml:"back"`  // seconds
+	At               float64    `toml:"at"` // fraction of the scenario's length
+	Kind             FaultKind  `toml:"kind"`
+	Duration         float64    `toml:"for"`
+	DurationFraction float64    `toml:"for_part"`
+	Share            valueRange `toml:"share"`
+	Magnitude        valueRange `toml:"size"`
+	Batch            valueRange `toml:"batch"`
+	DrainTime        valueRange `toml:"drain"` // seconds
+	RestartAfter     valueRange `toml:"back"`  // seconds
 }
 
-// valueRange is a range that a value is drawn from; a fixed value has low and high the same.
+// valueRange is the range that a value is drawn from; low and high are equal for a fixed value.
 type valueRange struct{ low, high float64 }
 
 // UnmarshalTOML reads a range, such as [0.6, 0.87], or a fixed value.
@@ -70,21 +71,21 @@
 	}
 	const ends = 2
 	if len(numbers) != ends || len(bounds) != ends {
-		return fmt.Errorf("%v is no number and no range of two", value)
+		return fmt.Errorf("%v is neither a number nor a range of two numbers", value)
 	}
 	r.low, r.high = numbers[0], numbers[1]
 	return nil
 }
 
-// draw draws a value, rounded. A fixed value takes no random number.
+// draw returns a random value from the range, rounded. A fixed value consumes no random number.
 func (r valueRange) draw(random *rand.Rand) float64 {
 	if r.low == r.high {
 		return r.low
 	}
-	return math.Round(drawnPerUnit*(r.low+(r.high-r.low)*random.Float64())) / drawnPerUnit
+	return math.Round(drawStepsPerUnit*(r.low+(r.high-r.low)*random.Float64())) / drawStepsPerUnit
 }
 
-// scenarioKinds decodes the kinds of scenarios once. It panics if the file, which is part of the program, has an error.
+// scenarioKinds decodes the templates of all kinds once. It panics if the embedded file is invalid.
 var scenarioKinds = sync.OnceValue(func() map[string]scenarioTemplate {
 	kinds := map[string]scenarioTemplate{}
 	metadata, err := toml.Decode(kindsText, &kinds)
@@ -97,23 +98,23 @@
 	return kinds
 })
 
-// ScenarioKinds returns the kinds of scenarios that can be generated, in alphabetical order.
+// ScenarioKinds returns the sorted kinds of scenarios that Generate accepts.
 func ScenarioKinds() []string { return slices.Sorted(maps.Keys(scenarioKinds())) }
 
-// GeneratorConfig says what scenario is generated.
+// GeneratorConfig configures Generate.
 type GeneratorConfig struct {
-	Kind    string // of ScenarioKinds
-	Seed    uint64 // that the magnitudes are drawn from
+	Kind    string // one of ScenarioKinds
+	Seed    uint64 // of the drawn values
 	Agents  int
 	Servers int
 	Length  time.Duration // of the traffic
 }
 
-// Generate writes a generated scenario as TOML.
+// Generate generates a scenario and writes it as TOML.
 func Generate(out io.Writer, config GeneratorConfig) error {
 	template, ok := scenarioKinds()[config.Kind]
 	if !ok {
-		return fmt.Errorf("there is no kind %q; kinds: %v", config.Kind, ScenarioKinds())
+		return fmt.Errorf("unknown kind %q; known kinds: %v", config.Kind, ScenarioKinds())
 	}
 	s := defaultWithoutTables()
 	s.Name = config.Kind
@@ -127,7 +128,8 @@
 	return toml.NewEncoder(out).Encode(s)
 }
 
-// fill sets a scenario's load and faults. The scenario of a seed depends on the order of the draws.
+// fill sets a scenario's load and faults. The order of the draws must not change: it determines the scenario of a
+// seed.
 func (t *scenarioTemplate) fill(s *Scenario, random *rand.Rand) {
 	s.Traffic.Load = valueRange{low: generatedLoadLow, high: generatedLoadHigh}.draw(random)
 	if t.Load != (valueRange{}) {
@@ -138,15 +140,15 @@
 	}
 }
 
-// fault returns the fault for a scenario; one that needs a zone has the first.
+// fault draws the fault for a scenario. A fault that needs a zone gets the first one.
 func (t *faultTemplate) fault(s *Scenario, random *rand.Rand) Fault {
 	fault := Fault{
-		At:       s.partOfLength(t.At),
+		At:       s.fractionOfLength(t.At),
 		Kind:     t.Kind,
 		Duration: seconds(t.Duration),
 	}
-	if t.DurationPart > 0 {
-		fault.Duration = s.partOfLength(t.DurationPart)
+	if t.DurationFraction > 0 {
+		fault.Duration = s.fractionOfLength(t.DurationFraction)
 	}
 	if faultEffects[t.Kind].needsZone {
 		fault.Zone = s.Fleet.Zones[0]
@@ -159,12 +161,12 @@
 	return fault
 }
 
-// partOfLength returns a part of the length of the traffic.
-func (s *Scenario) partOfLength(part float64) time.Duration {
-	return time.Duration(part * float64(s.Length))
+// fractionOfLength returns a fraction of the scenario's length.
+func (s *Scenario) fractionOfLength(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(s.Length))
 }
 
-// seconds returns a time, rounded to milliseconds.
+// seconds converts seconds to a duration, rounded to milliseconds.
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second)).Round(time.Millisecond)
 }
--- a/internal/experiment/inject.go
+++ b/internal/experiment/inject.go
@@ -11,10 +11,10 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// agentPartition is the name of the partition that partitionAgents makes.
+// agentPartition is the name of the partition that partitionAgents creates.
 const agentPartition = "agents"
 
-// zoneIndex returns the index of a zone.
+// zoneIndex returns the index of the zone with a name.
 func (r *armRun) zoneIndex(name string) int { return slices.Index(r.scenario.Fleet.Zones, name) }
 
 // allZones returns the indexes of all zones.
@@ -25,7 +25,7 @@
 	return zones
 }
 
-// degradeServers gives a share of the servers a fault for a time.
+// degradeServers applies serverFault to a share of the servers for the fault's duration.
 func (r *armRun) degradeServers(fault Fault, random *rand.Rand, serverFault emulator.ServerFault) error {
 	ids := r.sampleServers(fault, random)
 	r.emulator.SetServerFault(serverFault, ids...)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// partitionServers partitions servers from the agents of some zones for a time.
+// partitionServers partitions servers from the agents in the given zones for the fault's duration.
 func (r *armRun) partitionServers(fault Fault, ids []string, agentZones []int) error {
 	r.emulator.PartitionServers(agentZones, ids...)
 	r.wait(fault.Duration)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// replaceServers replaces a share of the servers, a batch at a time.
+// replaceServers drains and replaces a share of the servers in batches.
 func (r *armRun) replaceServers(fault Fault, random *rand.Rand) error {
 	ids := r.sampleServers(fault, random)
 	size, interval := batches(fault, len(ids))
@@ -55,32 +55,32 @@
 	return nil
 }
 
-// batches returns the size of a fault's batches and the time from one to the next.
+// batches returns the size of a fault's batches, out of count members, and the interval between their starts.
 func batches(fault Fault, count int) (size int, interval time.Duration) {
 	size = shareOf(fault.Batch, count)
-	number := (count + size - 1) / size
-	return size, fault.Duration / time.Duration(number)
+	batchCount := (count + size - 1) / size
+	return size, fault.Duration / time.Duration(batchCount)
 }
 
-// sampleServers draws a fault's share of the servers of all zones.
+// sampleServers returns a random sample of the servers in all zones, of the size given by the fault's share.
 func (r *armRun) sampleServers(fault Fault, random *rand.Rand) []string {
 	return sampleShare(random, r.emulator.ServerIDs(emulator.AllZones), fault.Share)
 }
 
-// sampleShare draws a share of names, at least one.
+// sampleShare returns a random sample of names of the size given by share, at least one.
 func sampleShare(random *rand.Rand, names []string, share float64) []string {
 	names = slices.Clone(names)
 	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names[:min(len(names), shareOf(share, len(names)))]
 }
 
-// shareOf returns how many of a number a share is, rounded half up and at least one.
+// shareOf returns share times count, rounded half up, and at least 1.
 func shareOf(share float64, count int) int {
 	const half = 0.5
 	return max(1, int(share*float64(count)+half))
 }
 
-// killAgents kills a share of the agents and starts them again after a time.
+// killAgents kills a share of the agents and starts them again after the fault's RestartAfter.
 func (r *armRun) killAgents(fault Fault, random *rand.Rand) error {
 	names := sampleShare(random, r.names, fault.Share)
 	for _, name := range names {
@@ -93,16 +93,16 @@
 	return processtest.Each(names, r.start)
 }
 
-// restartAgents terminates and starts a share of the agents, a batch at a time.
+// restartAgents restarts a share of the agents in batches.
 func (r *armRun) restartAgents(fault Fault, random *rand.Rand) error {
 	names := sampleShare(random, r.names, fault.Share)
 	size, interval := batches(fault, len(names))
-	for part := range slices.Chunk(names, size) {
-		began := time.Now()
-		if err := processtest.Each(part, r.restartAgent); err != nil {
+	for batch := range slices.Chunk(names, size) {
+		start := time.Now()
+		if err := processtest.Each(batch, r.restartAgent); err != nil {
 			return err
 		}
-		r.wait(interval - time.Since(began))
+		r.wait(interval - time.Since(start))
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 	return errors.Join(r.processes.Term(name), r.start(name))
 }
 
-// pauseAgents stops the processes of a share of the agents for a time.
+// pauseAgents pauses the processes of a share of the agents for the fault's duration.
 func (r *armRun) pauseAgents(fault Fault, random *rand.Rand) error {
 	names := sampleShare(random, r.names, fault.Share)
 	if err := processtest.Each(names, r.processes.Pause); err != nil {
@@ -122,10 +122,10 @@
 	return processtest.Each(names, r.processes.Resume)
 }
 
-// partitionAgents partitions each of a share of the agents from all others for a time.
+// partitionAgents partitions each agent of a share from all other agents for the fault's duration.
 func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
 	if r.proxy == nil {
-		return nil // the agents have no connections anyway
+		return nil // without a membership section there are no connections to partition
 	}
 	isolated := sampleShare(random, r.names, fault.Share)
 	var groups [][]string
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// loseMessages drops a part of the messages between agents for a time.
+// loseMessages drops a fraction of the messages between agents for the fault's duration.
 func (r *armRun) loseMessages(fault Fault, _ *rand.Rand) error {
 	if r.proxy == nil {
 		return nil
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -9,11 +9,11 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// Metric is a metric as reports print it.
+// Metric describes a metric as it is printed in reports.
 type Metric struct {
 	Key   emulator.Metric // in records
 	Title string
-	Unit  string // empty: of a metric that only an older version knew
+	Unit  string // empty for metrics that only older versions recorded
 }
 
 // The units of the metrics.
@@ -26,8 +26,8 @@
 	unitProcessorSeconds = "s"
 )
 
-// metricTable has the metrics in the order in which reports print them: what was asked for and what became of it, then
-// the clients' and the agents' requests, the servers in slow start, and what the run itself took.
+// metricTable lists the metrics in the order of reports: requests and their outcomes, then client requests and
+// attempts, servers in slow start, and the resource usage of the run itself.
 var metricTable = []Metric{
 	{emulator.MetricCalls, "requests", unitCount},
 	{emulator.MetricInTime, "served in time", unitOfValue},
@@ -59,7 +59,7 @@
 	{emulator.MetricTimerDelayP99, "harness's timer delay, 99th percentile", unitMilliseconds},
 }
 
-// String returns the title with the unit, for lists that have no column for it.
+// String returns the title followed by the unit in parentheses.
 func (m Metric) String() string {
 	if m.Unit == "" {
 		return m.Title
@@ -67,8 +67,8 @@
 	return m.Title + " (" + m.Unit + ")"
 }
 
-// FindMetric returns the metric with a title or, for what was written before titles, with the key of records. Of one
-// that is in no table, the key is the title.
+// FindMetric returns the metric with the given title or record key. Keys are accepted for command lines from before
+// metrics had titles. A metric that is not in the table gets its name as key and title.
 func FindMetric(name string) Metric {
 	for _, metric := range metricTable {
 		if metric.Title == name || string(metric.Key) == name {
@@ -78,19 +78,20 @@
 	return Metric{Key: emulator.Metric(name), Title: name}
 }
 
-// wholeFrom is the magnitude from which a value is printed without a fraction, and below it with four digits.
-const wholeFrom = 1000
+// integerThreshold is the absolute value from which numbers are printed without a fraction; smaller ones have four
+// significant digits.
+const integerThreshold = 1000
 
-// formatValue returns a metric's value for a table.
+// formatValue formats a metric's value for a table.
 func formatValue(value float64) string {
-	if math.Abs(value) >= wholeFrom {
+	if math.Abs(value) >= integerThreshold {
 		return fmt.Sprintf("%.0f", value)
 	}
 	return fmt.Sprintf("%.4g", value)
 }
 
-// metricsIn returns the metrics that any of the records has, in the order of reports; those that only an older version
-// knew come last, by their keys.
+// metricsIn returns the metrics that at least one of the records has, in the order of reports. Metrics that only older
+// versions recorded come last, sorted by key.
 func metricsIn(records []*Record) (metrics []Metric) {
 	present := map[emulator.Metric]bool{}
 	for _, record := range records {
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -10,10 +10,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// defaultArm is the name of the only arm of a scenario that names none.
+// defaultArm is the name of the arm of a scenario that defines none.
 const defaultArm = "as it is"
 
-// Load reads a scenario from a file. The error of a wrong key or value names the file and the line.
+// Load reads a scenario from a file. Errors for invalid keys or values name the file and the line.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads a scenario from a text; path is the name that errors give it.
+// Parse parses a scenario in TOML; path is the file name for errors.
 func Parse(path, text string) (*Scenario, error) {
 	s := defaultWithoutTables()
 	metadata, err := toml.Decode(text, s)
@@ -30,7 +30,7 @@
 		return nil, TOMLError(path, err)
 	}
 	for _, key := range metadata.Undecoded() {
-		if !strings.Contains(key.String(), "config.") { // the configuration of an arm may have any key
+		if !strings.Contains(key.String(), "config.") { // an arm's configuration may have any key
 			return nil, fmt.Errorf("%s:%d: unknown key %q", path, LineOf(text, key), key)
 		}
 	}
@@ -44,11 +44,11 @@
 	return s, nil
 }
 
-// typeErrorPattern matches the library's error for a value of a wrong type, for which it has no Go type.
+// typeErrorPattern matches the TOML library's error for a value of the wrong type, which has no Go type of its own.
 var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "(.*?)"\): `)
 
-// TOMLError turns an error of toml.Decode into one that names the file and the line, and the key of a value of a
-// wrong type.
+// TOMLError converts an error of toml.Decode to one that names the file and the line, and, for a value of the wrong
+// type, the key.
 func TOMLError(path string, err error) error {
 	if parseError := (toml.ParseError{}); errors.As(err, &parseError) {
 		return fmt.Errorf("%s:%d: %s", path, parseError.Position.Line, parseError.Message)
@@ -61,7 +61,8 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// LineOf returns the line of a text in which the last part of a key is set, else the line of its table, else 1.
+// LineOf returns the number of the first line of a TOML text that sets the last part of the key. If there is none, it
+// returns the line of the innermost enclosing table, or else 1.
 func LineOf(text string, key []string) int {
 	for i := len(key) - 1; i >= 0; i-- {
 		name := regexp.QuoteMeta(key[i])
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -13,23 +13,23 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// chart is one of the plots: a line for each arm.
+// chart is a plot with a line for each arm.
 type chart struct {
-	name   string // of the file, without its ending
+	name   string // file name without extension
 	plot   *plot.Plot
 	points func(runs []*Record) plotter.XYs
 }
 
-// Plot draws the valid records into a directory and returns the paths of its files: service by second (the part of
-// the requested value that was served in time, mean over the seeds of each arm); for each arm the highest load in
-// slow start of each server, as a fraction of the overload limit; and the least view of the sampled agents by second.
-// The format is a file ending that gonum/plot knows, such as "svg" or "png".
+// Plot draws plots of the valid records into a directory and returns the paths of the files: by second, the fraction
+// of the requested value that was served in time, over all seeds of each arm; for each arm, the highest load of each
+// server in slow start, as a fraction of the overload limit; and, by second, the least view of the sampled agents.
+// The format is a file extension that gonum/plot supports, such as "svg" or "png".
 func Plot(records []*Record, directory, format string) (files []string, err error) {
 	charts := []chart{serviceChart(), slowStartChart(), viewsChart()}
 	for i, arm := range Arms(records) {
@@ -50,7 +50,7 @@
 	return files, nil
 }
 
-// newPlot returns an empty plot with a title and the names of its axes.
+// newPlot returns an empty plot with a title and labels for its axes.
 func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -59,7 +59,7 @@
 	return p
 }
 
-// serviceChart returns the chart of the value served in time, by second.
+// serviceChart returns the chart of the value served in time by second.
 func serviceChart() chart {
 	p := newPlot("service by second", "second", "value served in time, of the requested")
 	p.Y.Min = 0
@@ -67,19 +67,19 @@
 	return chart{name: "service", plot: p, points: servicePoints}
 }
 
-// slowStartChart returns the chart of the loads in slow start, by server.
+// slowStartChart returns the chart of the highest load in slow start by server.
 func slowStartChart() chart {
-	const title = "highest load in slow start, of the overload limit (1: fails)"
-	return chart{name: "cold", plot: newPlot(title, "server, by its load", "of the limit"), points: slowStartPoints}
+	const title = "highest load in slow start (1: the server becomes overloaded)"
+	return chart{name: "cold", plot: newPlot(title, "server, by load", "fraction of limit"), points: slowStartPoints}
 }
 
-// viewsChart returns the chart of the least membership view, by second.
+// viewsChart returns the chart of the least membership view by second.
 func viewsChart() chart {
 	p := newPlot("least view of the sampled agents", "second", "agents seen")
 	return chart{name: "views", plot: p, points: viewPoints}
 }
 
-// servicePoints returns, for each second, the part of the requested value that was served in time in all runs.
+// servicePoints returns, for each second, the fraction of the requested value that was served in time over all runs.
 func servicePoints(runs []*Record) (points plotter.XYs) {
 	var totals []emulator.SecondTotals
 	for _, run := range runs {
@@ -99,7 +99,7 @@
 	return points
 }
 
-// slowStartPoints returns the loads of the servers in slow start in ascending order.
+// slowStartPoints returns the highest loads of servers in slow start over all runs, in ascending order.
 func slowStartPoints(runs []*Record) (points plotter.XYs) {
 	var loads []float64
 	for _, run := range runs {
@@ -116,7 +116,7 @@
 	return points
 }
 
-// viewPoints returns, for each second, the mean over the runs of the least view.
+// viewPoints returns, for each second, the mean of the least views over the runs.
 func viewPoints(runs []*Record) (points plotter.XYs) {
 	var sums, counts []float64
 	for _, run := range runs {
@@ -135,7 +135,7 @@
 	return points
 }
 
-// addLine adds a line with a color and a pattern of its own; without points there is none.
+// addLine adds a line with the color and dash pattern of an index, or nothing if there are no points.
 func addLine(p *plot.Plot, index int, name string, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -13,18 +13,17 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// queueCheckParallelism bounds how many seeds are measured at the same time; none takes more than a part of a
-// processor.
+// queueCheckParallelism is the number of seeds that are measured at the same time. Each takes less than one processor.
 const queueCheckParallelism = 6
 
 const (
-	// unlimitedCores is the number of cores of a server in which no request waits.
+	// unlimitedCores is a number of cores with which no request waits in a server.
 	unlimitedCores = 1000
-	// millisecondsPerSecond converts times.
+
 	millisecondsPerSecond = 1000
 )
 
-// QueueCheck compares the emulator with queueing theory: an M/G/k queue, made of one server with k cores and an
+// QueueCheck compares the emulator with queueing theory. It emulates an M/G/k queue as one server with k cores and an
 // unbounded queue, which the clients call without an agent.
 type QueueCheck struct {
 	Cores       int
@@ -33,7 +32,7 @@
 	ServiceCV   float64 // coefficient of variation of the service time
 }
 
-// queueChecks are the comparisons in docs/LAB.md.
+// queueChecks are the comparisons documented in docs/LAB.md.
 //
 //nolint:mnd // the fields name the numbers
 var queueChecks = []QueueCheck{
@@ -43,15 +42,15 @@
 	{Cores: 4, Load: 0.7, MeanService: 30 * time.Millisecond, ServiceCV: 1},
 }
 
-// QueueCheckRuns says on what each comparison is measured.
+// QueueCheckRuns configures the runs of each comparison.
 type QueueCheckRuns struct {
 	FirstSeed uint64
-	Seeds     int           // consecutive ones, with a run for each
+	Seeds     int           // number of consecutive seeds, with one run each
 	Length    time.Duration // of a run
 }
 
-// CheckQueues makes all comparisons and writes them as a Markdown table, row by row as they end. The error is that of
-// the first comparison that fails.
+// CheckQueues runs all comparisons and writes a Markdown table, adding a row as each comparison ends. It returns the
+// error of the first comparison that fails.
 func CheckQueues(ctx context.Context, out io.Writer, runs QueueCheckRuns) error {
 	const header = "| queue | theory, ms | measured, ms | |\n| --- | --- | --- | --- |"
 	if _, err := fmt.Fprintln(out, header); err != nil {
@@ -66,8 +65,9 @@
 	return firstError
 }
 
-// run measures in real time on sockets. It writes, as a row of a Markdown table, the mean wait by theory and the 95 %
-// interval of the measured one, both in ms. The error is a theoretical value outside of the interval.
+// run measures the mean wait in real time over sockets. It writes a row of a Markdown table with the mean wait by
+// theory and the measured one with its 95 % confidence interval, both in ms. It returns an error if the interval does
+// not include the theoretical value.
 func (q QueueCheck) run(ctx context.Context, out io.Writer, runs QueueCheckRuns) error {
 	theory := emulator.MeanWait(q.Cores, q.Load, q.MeanService.Seconds(), q.ServiceCV) * millisecondsPerSecond
 	measured, err := q.measureWaits(ctx, runs)
@@ -85,13 +85,13 @@
 		return err
 	}
 	if !agrees {
-		return fmt.Errorf("M/G/%d at load %g: a mean wait of %.2f ms, where theory has %.2f ms",
+		return fmt.Errorf("M/G/%d at load %g: measured a mean wait of %.2f ms; queueing theory predicts %.2f ms",
 			q.Cores, q.Load, measured.Mean, theory)
 	}
 	return nil
 }
 
-// measureWaits returns the interval of the mean waits in the runs, in ms.
+// measureWaits returns the mean of the runs' mean waits with its confidence interval, in ms.
 func (q QueueCheck) measureWaits(ctx context.Context, runs QueueCheckRuns) (Interval, error) {
 	waits := make([]float64, runs.Seeds)
 	var group errgroup.Group
@@ -108,8 +108,8 @@
 	return confidenceInterval(waits), nil
 }
 
-// measureWait returns the mean wait on a seed, in ms: the difference in sojourn time to a server with a core for each
-// request and the same calls, so that the cost of sockets and timers cancels out.
+// measureWait returns the mean wait in a run of a seed, in ms. It is the difference in mean sojourn time from a server
+// that gets the same requests and has a core for each of them, so that the cost of sockets and timers cancels out.
 func (q QueueCheck) measureWait(ctx context.Context, seed uint64, length time.Duration) (float64, error) {
 	var queued, unqueued float64
 	var group errgroup.Group
@@ -125,7 +125,7 @@
 	return queued - unqueued, err
 }
 
-// measureSojourn returns the mean sojourn time, in ms, in a server with a number of cores.
+// measureSojourn returns the mean sojourn time, in ms, in a server with the given number of cores.
 func (q QueueCheck) measureSojourn(
 	ctx context.Context, seed uint64, cores int, length time.Duration,
 ) (float64, error) {
@@ -136,12 +136,13 @@
 	defer e.Close()
 	result := e.Run(ctx, length)
 	if len(result.Errors) > 0 {
-		return 0, fmt.Errorf("the harness failed: %v", result.Errors)
+		return 0, fmt.Errorf("harness failed: %v", result.Errors)
 	}
 	return result.Metrics[emulator.MetricMeanSojourn], nil
 }
 
-// emulatorConfig returns the configuration of one server, with some cores and an unbounded queue, and its client.
+// emulatorConfig returns the configuration of a server with the given number of cores and an unbounded queue, which
+// its client calls directly.
 func (q QueueCheck) emulatorConfig(seed uint64, cores int) emulator.Config {
 	return emulator.Config{
 		Seed:        seed,
--- a/internal/experiment/ranking.go
+++ b/internal/experiment/ranking.go
@@ -10,11 +10,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// CheckRanking compares arms by the mean of a metric over their valid runs, greater being better, and writes a table of
-// them, each with its paired difference from the one before. It returns an error if the order is not the expected one,
-// best first.
+// CheckRanking ranks arms by the mean of a metric over their valid runs, where a greater mean is better. It writes a
+// table of the arms with their paired differences from the arm before, and returns an error if the ranking is not the
+// expected one, which has the best arm first.
 func CheckRanking(out io.Writer, records []*Record, metric Metric, expected []string) error {
-	table := newTable("arm", metric.String(), "against the one above, 95 %")
+	table := newTable("arm", metric.String(), "difference from the row above, 95 %")
 	means := map[string]float64{}
 	for i, arm := range expected {
 		mean, err := meanOf(records, arm, metric)
@@ -38,7 +38,7 @@
 	ranking := slices.Clone(expected)
 	slices.SortStableFunc(ranking, func(a, b string) int { return cmp.Compare(means[b], means[a]) })
 	if !slices.Equal(ranking, expected) {
-		return fmt.Errorf("the emulator ranks %v, where %v is known", ranking, expected)
+		return fmt.Errorf("the emulator ranks the arms %v; the expected ranking is %v", ranking, expected)
 	}
 	return nil
 }
@@ -55,7 +55,8 @@
 	return stat.Mean(values, nil), nil
 }
 
-// formatDifference returns the paired difference of an arm from a base arm in a metric; empty: no run has the metric.
+// formatDifference formats the paired difference in a metric between an arm and a base arm. It returns an empty string
+// if no run has the metric.
 func formatDifference(records []*Record, metric Metric, base, arm string) (string, error) {
 	differences, err := Compare(records, base, arm)
 	if err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -12,21 +12,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// maxViolations bounds how many violations a report prints.
+// maxViolations is the maximum number of violations that a report prints.
 const maxViolations = 20
 
-// Report writes, as Markdown, the runs that are not valid, the violations, and each arm against the first one.
+// Report writes a report in Markdown: the runs that are not valid, the violations, and the differences of each arm
+// from the first one.
 func Report(out io.Writer, records []*Record) error {
 	arms := Arms(records)
 	if len(arms) == 0 {
-		return errors.New("there are no records")
+		return errors.New("no records")
 	}
 	var text bytes.Buffer
 	writeRunErrors(&text, records)
 	for _, arm := range arms[1:] {
 		differences, err := Compare(records, arms[0], arm)
 		if err != nil {
-			fmt.Fprintf(&text, "\nno intervals: %v\n", err)
+			fmt.Fprintf(&text, "\nno confidence intervals: %v\n", err)
 			writeSummary(&text, records, arms[0])
 			writeSummary(&text, records, arm)
 			continue
@@ -41,7 +42,7 @@
 	return err
 }
 
-// ReportDifferences writes, as Markdown, how an arm differs from a base arm.
+// ReportDifferences writes the differences of an arm from a base arm as a Markdown table.
 func ReportDifferences(out io.Writer, records []*Record, base, arm string) error {
 	differences, err := Compare(records, base, arm)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return err
 }
 
-// writeRunErrors writes the runs that are not valid, the agents that failed, and the violations.
+// writeRunErrors writes the runs that are not valid, the agents that failed, and the violations, followed by their
+// numbers.
 func writeRunErrors(out *bytes.Buffer, records []*Record) {
 	violations, invalid := 0, 0
 	for _, record := range records {
@@ -93,7 +95,8 @@
 	fmt.Fprintf(out, "\nthe interval includes 0 for %d of %d metrics\n", equal, len(differences))
 }
 
-// writeSummary writes a table of an arm's metrics over its valid runs, or of one that is not valid if it has no other.
+// writeSummary writes a table of an arm's metrics over its valid runs. If it has none, the table has the last run that
+// is not valid.
 func writeSummary(out *bytes.Buffer, records []*Record, arm string) {
 	runs := validOf(records, arm)
 	switch len(runs) {
@@ -108,11 +111,11 @@
 	}
 }
 
-// writeInvalidRun writes the last run of an arm that has no valid one, marked as such.
+// writeInvalidRun writes the last run of an arm without valid runs, marked as not valid.
 func writeInvalidRun(out *bytes.Buffer, records []*Record, arm string) {
 	for _, record := range slices.Backward(records) {
 		if record.Arm == arm {
-			fmt.Fprintf(out, "\n%s has no valid run. Its last one, which is not valid:\n\n", arm)
+			fmt.Fprintf(out, "\n%s has no valid run. Its last run, which is not valid:\n\n", arm)
 			writeRun(out, record)
 			return
 		}
@@ -129,8 +132,8 @@
 	table.write(out)
 }
 
-// writeRuns writes a table of the metrics of several runs of an arm. A metric that not every run has, such as the
-// latency of served requests, is summed up over those that have it.
+// writeRuns writes a table of the metrics of several runs of an arm. A metric that some runs lack, such as the latency
+// of served requests, is summarized over the runs that have it.
 func writeRuns(out *bytes.Buffer, arm string, runs []*Record) {
 	table := newTable(arm, "runs", "least", "mean", "greatest", "unit")
 	for _, metric := range metricsIn(runs) {
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -19,8 +19,8 @@
 	return out.String()
 }
 
-// TestReportOfOneRun checks the whole report of one run: its rows in the table's order, with titles, one value and
-// units, and a metric of an older version at the end.
+// TestReportOfOneRun checks the report of a single run: the rows are in the order of metricTable with title, value and
+// unit, and a metric that is not in the table comes last.
 func TestReportOfOneRun(t *testing.T) {
 	record := recordOf("agent", 1, 7, true)
 	record.Result.Metrics[emulator.MetricCalls] = 12345
@@ -42,12 +42,12 @@
 | x                        | 7     |                        |
 `
 	if got := reportOf(t, record); got != want {
-		t.Errorf("printed:\n%s\nwant:\n%s", got, want)
+		t.Errorf("report is:\n%s\nwant:\n%s", got, want)
 	}
 }
 
-// TestReportOfSeveralRuns checks that several runs of an arm have the least, mean and greatest value of each metric,
-// and that a run that is not valid has no part in them.
+// TestReportOfSeveralRuns checks that the report of several runs of an arm has the least, mean and greatest value of
+// each metric, and that runs that are not valid are left out.
 func TestReportOfSeveralRuns(t *testing.T) {
 	got := reportOf(t, recordOf("agent", 1, 1, true), recordOf("agent", 2, 4, true), recordOf("agent", 3, 100, false))
 	for _, want := range []string{
@@ -56,36 +56,36 @@
 		"| x                        | 2    | 1     | 2.5  | 4        |       |\n",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("printed:\n%s\nwhich has no %q", got, want)
+			t.Errorf("report is:\n%s\nwant it to contain %q", got, want)
 		}
 	}
 }
 
-// TestReportOfInvalidRun checks that a run that is not valid is printed as such if its arm has no other, and not if it
-// has one.
+// TestReportOfInvalidRun checks that the metrics of a run that is not valid are printed, and marked, only if its arm
+// has no valid run.
 func TestReportOfInvalidRun(t *testing.T) {
 	invalid := recordOf("agent", 1, 7, false)
 	invalid.Result.Errors = []string{"late"}
 	const reason = "not valid: arm \"agent\", seed 1: late\n"
-	const heading = "agent has no valid run. Its last one, which is not valid:\n"
+	const heading = "agent has no valid run. Its last run, which is not valid:\n"
 	const row = "| x                        | 7     |       |\n"
 	got := reportOf(t, invalid)
 	if !strings.HasPrefix(got, reason) || !strings.Contains(got, heading) || !strings.Contains(got, row) {
-		t.Errorf("printed:\n%s\nwhich lacks one of\n%s%s%s", got, reason, heading, row)
+		t.Errorf("report is:\n%s\nwant it to start with %q and contain %q and %q", got, reason, heading, row)
 	}
 	got = reportOf(t, recordOf("agent", 2, 8, true), invalid)
 	if !strings.HasPrefix(got, reason) || strings.Contains(got, heading) || strings.Contains(got, row) {
-		t.Errorf("beside a valid run, printed:\n%s", got)
+		t.Errorf("with a valid run, the report has the table of the one that is not valid:\n%s", got)
 	}
 }
 
-// TestMetricTable checks that each row of the table is complete and unique, and is found by its title and by its key.
+// TestMetricTable checks that each metric of the table is complete and unique and is found by its title and its key.
 func TestMetricTable(t *testing.T) {
 	var keys []emulator.Metric
 	var titles []string
 	for _, metric := range metricTable {
 		if metric.Title == "" || metric.Unit == "" {
-			t.Errorf("%+v is not complete", metric)
+			t.Errorf("%+v lacks a title or a unit", metric)
 		}
 		keys = append(keys, metric.Key)
 		titles = append(titles, metric.Title)
@@ -93,11 +93,11 @@
 	slices.Sort(keys)
 	slices.Sort(titles)
 	if len(slices.Compact(keys)) != len(metricTable) || len(slices.Compact(titles)) != len(metricTable) {
-		t.Error("a key or a title stands twice")
+		t.Error("the table has a duplicate key or title")
 	}
 	for _, metric := range metricTable {
 		if FindMetric(metric.Title) != metric || FindMetric(string(metric.Key)) != metric {
-			t.Errorf("%v is not found by its title and its key", metric)
+			t.Errorf("FindMetric does not find %v by its title and its key", metric)
 		}
 	}
 }
--- a/internal/experiment/requirements.go
+++ b/internal/experiment/requirements.go
@@ -8,42 +8,43 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What a run takes.
+// Estimated resource needs of a run.
 const (
-	processorsPerRequestRate = 0.001 // for each request per second, in all processes
-	processorsPerAgent       = 0.001 // of an idle agent
+	processorsPerRequestRate = 0.001 // for each request per second, over all processes
+	processorsPerAgent       = 0.001 // when idle
 	processorsOfHarness      = 0.5
 	megabytesPerAgent        = 14
 	megabytesPerServer       = 4
 	megabytesOfHarness       = 200
-	descriptorsPerAgent      = 8 // besides one connection to each server
+	descriptorsPerAgent      = 8 // in addition to one connection to each server
 	descriptorsOfHarness     = 200
-	// descriptorsPerListener counts the listener and the connection that fills its backlog in a partition.
+	// descriptorsPerListener counts the listener and the connection that fills its backlog during a partition.
 	descriptorsPerListener = 2
 )
 
-// checkMachine returns an error, which says what the scenario needs, if this machine is too small. It raises the
-// process's limit of descriptors as far as it is needed and allowed.
+// checkMachine returns an error that states what the scenario needs if this machine is too small for it. It raises the
+// process's soft limit on open files if needed.
 func (s *Scenario) checkMachine() error {
 	agents, servers := s.Fleet.Agents, s.Fleet.Servers
 	available := float64(runtime.NumCPU())
 	needed := s.requestRate()*processorsPerRequestRate + float64(agents)*processorsPerAgent + processorsOfHarness
 	if needed > available {
-		return fmt.Errorf("%d agents and %.0f requests a second take some %.1f processors, and %.0f are here",
+		return fmt.Errorf("%d agents and %.0f requests per second need about %.1f processors; %.0f are available",
 			agents, s.requestRate(), needed, available)
 	}
 	megabytes := agents*megabytesPerAgent + servers*megabytesPerServer + megabytesOfHarness
 	if free := processtest.AvailableMemoryMB(); megabytes > free {
-		return fmt.Errorf("%d agents and %d servers take some %d MB, and %d MB are free",
+		return fmt.Errorf("%d agents and %d servers need about %d MB of memory; %d MB are available",
 			agents, servers, megabytes, free)
 	}
 	return s.raiseDescriptorLimit()
 }
 
-// raiseDescriptorLimit makes sure that the process may open the descriptors that the scenario needs.
+// raiseDescriptorLimit raises the soft limit on open files to the scenario's need. It returns an error if the hard
+// limit is lower.
 func (s *Scenario) raiseDescriptorLimit() error {
 	agents, servers := s.Fleet.Agents, s.Fleet.Servers
-	// A server has a listener for each zone; most agents keep one connection to each server.
+	// Each server has a listener for each zone. Most agents keep one connection to each server.
 	listeners := servers * len(s.Fleet.Zones)
 	needed := uint64(descriptorsOfHarness + listeners*descriptorsPerListener + agents*(descriptorsPerAgent+servers))
 	var limit syscall.Rlimit
@@ -51,7 +52,7 @@
 		return err
 	}
 	if needed > limit.Max {
-		return fmt.Errorf("%d agents and %d servers take some %d descriptors, and %d are allowed",
+		return fmt.Errorf("%d agents and %d servers need about %d file descriptors; %d are allowed",
 			agents, servers, needed, limit.Max)
 	}
 	if needed <= limit.Cur {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,22 +16,22 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// faultStream is the first of the streams of random numbers for the faults.
+// faultStream is the first stream of random numbers for faults; each fault has its own.
 const faultStream = 100
 
-// Config says how a scenario is run.
+// Config configures Run.
 type Config struct {
 	Scenario   *Scenario
-	Binary     string // the built agent, for arms without a commit
-	Repository string // the checkout from which commits are built; empty: none can be built
+	Binary     string // agent program for arms without a commit
+	Repository string // git checkout that commits are built from; if empty, arms can't name commits
 	Dir        string // for configurations, logs and builds
-	// Progress is called with what happens; it may be nil.
+	// Progress, if not nil, is called with progress messages.
 	Progress func(format string, args ...any)
-	// OnRecord is called with each run as it ends; its error ends the experiment.
+	// OnRecord is called with the record of each run when the run ends. If it returns an error, the experiment stops.
 	OnRecord func(*Record) error
 }
 
-// Run runs all arms on all seeds: on each seed the arms in turn, beginning with another one.
+// Run runs every arm with every seed. The arms run one after the other, starting with a different arm for each seed.
 func Run(ctx context.Context, config Config) error {
 	if config.Progress == nil {
 		config.Progress = func(string, ...any) {}
@@ -61,21 +61,21 @@
 	return nil
 }
 
-// armRun is one run: an arm on a seed.
+// armRun is the run of an arm with a seed.
 type armRun struct {
 	scenario       *Scenario
 	arm            Arm
 	seed           uint64
 	emulator       *emulator.Emulator
 	emulatorConfig emulator.Config
-	proxy          *faultproxy.Proxy // between the agents; nil: they have no membership section
+	proxy          *faultproxy.Proxy // between the agents; nil if they have no membership section
 	processes      *processtest.Cluster
-	names          []string // of the agents
-	agentIndex     map[string]int
-	finished       chan struct{} // closed when the traffic has ended
+	names          []string       // of the agents
+	agentIndex     map[string]int // by agent name
+	finished       chan struct{}  // closed when the traffic has ended
 }
 
-// newArmRun returns a run of an arm on a seed, with its emulator started and without agents.
+// newArmRun returns a run of an arm with a seed. Its emulator is started; its agents are not.
 func newArmRun(scenario *Scenario, arm Arm, seed uint64) (r *armRun, err error) {
 	r = &armRun{
 		scenario:       scenario,
@@ -93,7 +93,7 @@
 	return r, err
 }
 
-// runArm runs an arm on a seed.
+// runArm runs an arm with a seed and returns the record.
 func (cfg *Config) runArm(ctx context.Context, arm Arm, program string, seed uint64) (*Record, error) {
 	dir, err := os.MkdirTemp(cfg.Dir, "run")
 	if err != nil {
@@ -137,8 +137,8 @@
 	return record, nil
 }
 
-// runTraffic runs the clients and the faults, and fills in the result and the views. It returns when all is over; the
-// end of the context ends the traffic early.
+// runTraffic runs the clients and the faults and sets the record's result and views. It returns when the traffic and
+// all faults have ended. Cancelling the context ends the traffic early.
 func (r *armRun) runTraffic(ctx context.Context, record *Record) {
 	var background sync.WaitGroup
 	faultErrors := make(chan error, len(r.scenario.Faults))
@@ -164,8 +164,8 @@
 	}
 }
 
-// injectFaults sets the faults of the traffic and starts the others, each of which waits for its time in a goroutine
-// of the group.
+// injectFaults applies the faults that change the traffic and starts a goroutine of the group for each other fault,
+// which waits until the fault is due.
 func (r *armRun) injectFaults(group *sync.WaitGroup, faultErrors chan<- error) {
 	var changes []emulator.TrafficChange
 	for i, fault := range r.scenario.Faults {
@@ -174,7 +174,7 @@
 			changes = append(changes, effect.trafficChange(fault))
 			continue
 		}
-		// Each has random numbers of its own, so that what it hits does not depend on the times of the others.
+		// Each fault has its own random numbers, so that its targets do not depend on the timing of other faults.
 		random := rand.New(rand.NewPCG(r.seed, faultStream+uint64(i)))
 		group.Add(1)
 		go func() {
@@ -188,7 +188,7 @@
 	r.emulator.SetTrafficChanges(changes...)
 }
 
-// wait waits for a time, or until the traffic has ended.
+// wait waits for the given time or until the traffic has ended.
 func (r *armRun) wait(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -196,7 +196,8 @@
 	}
 }
 
-// processorSeconds returns the processor time of this process, or of its children that have ended.
+// processorSeconds returns the processor time of this process (syscall.RUSAGE_SELF) or of its terminated children
+// (syscall.RUSAGE_CHILDREN). It returns 0 on an error.
 func processorSeconds(who int) float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(who, &usage) != nil {
@@ -205,7 +206,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// machineDescription describes this machine for a record.
+// machineDescription returns a description of this machine for records.
 func machineDescription() string {
 	return fmt.Sprintf("%d processors, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,9 +1,9 @@
 // Package experiment runs fleets of the real agent in an emulator (internal/emulator) through scenarios with injected
-// faults. A scenario has arms, which are run in turn on the same seeds and compared.
+// faults. A scenario has arms, which run in turn with the same seeds and are compared.
 //
-// Its invariants: on the same seed every arm gets the same calls, servers and faults; a run in which the harness
-// itself was late or failed is marked as not valid and never compared; and a difference between arms is stated as a
-// confidence interval over pairs of the same seed.
+// Invariants: with the same seed, all arms get the same requests, servers and faults. A run in which the harness
+// itself was late or failed is marked as not valid and is never compared. A difference between arms is reported as a
+// confidence interval over pairs of runs with the same seed.
 package experiment
 
 import (
@@ -14,13 +14,13 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// Scenario describes an experiment: a fleet, its traffic, faults on a timeline, and the arms. In TOML its keys are the
-// tags, times are texts such as "300ms", and what is left out is as in default.toml.
+// Scenario describes an experiment: a fleet, its traffic, faults on a timeline, and the arms. In TOML files, durations
+// are strings such as "300ms", and keys that are not set have the values of default.toml.
 type Scenario struct {
 	Name     string           `toml:"name"`
 	Length   time.Duration    `toml:"length"` // of the traffic
-	Seed     uint64           `toml:"seed"`   // the first one
-	Seeds    int              `toml:"seeds"`  // how many consecutive seeds are run
+	Seed     uint64           `toml:"seed"`   // first seed
+	Seeds    int              `toml:"seeds"`  // number of consecutive seeds
 	Fleet    Fleet            `toml:"fleet"`
 	Traffic  Traffic          `toml:"traffic"`
 	Contract Contract         `toml:"rules"`
@@ -34,30 +34,30 @@
 type Fleet struct {
 	Agents    int                 `toml:"agents"`
 	Servers   int                 `toml:"nodes"`
-	CellSize  int                 `toml:"pod"` // servers of a cell
+	CellSize  int                 `toml:"pod"` // servers per cell
 	Zones     []string            `toml:"zones"`
-	ZoneDelay time.Duration       `toml:"cross"`      // one way between two zones
-	Cores     float64             `toml:"cores"`      // limit of an agent
-	MemoryMB  int                 `toml:"memory_mb"`  // limit of an agent
-	Sockets   int                 `toml:"sockets"`    // limit of an agent
-	ListDelay emulator.DelayRange `toml:"list_delay"` // of a change of the endpoint list
+	ZoneDelay time.Duration       `toml:"cross"`      // one-way delay between zones
+	Cores     float64             `toml:"cores"`      // limit of each agent
+	MemoryMB  int                 `toml:"memory_mb"`  // limit of each agent
+	Sockets   int                 `toml:"sockets"`    // limit of each agent
+	ListDelay emulator.DelayRange `toml:"list_delay"` // of changes to the endpoint list
 }
 
-// Traffic describes what the clients call.
+// Traffic describes the requests of the clients.
 type Traffic struct {
-	// Rate is in calls per second. If it is 0, Load gives it as a fraction of the servers' capacity.
+	// Rate is in requests per second. If it is 0, it follows from Load, a fraction of the servers' capacity.
 	Rate float64 `toml:"rate"`
 	Load float64 `toml:"load"`
-	// Imbalance spreads the agents' shares from 1 - Imbalance to 1 + Imbalance times the mean.
+	// Imbalance spreads the agents' shares of the requests from 1 - Imbalance to 1 + Imbalance times the mean.
 	Imbalance           float64       `toml:"uneven"`
 	Keys                int           `toml:"keys"`
-	Zipf                float64       `toml:"zipf"` // exponent of the keys' distribution
+	Zipf                float64       `toml:"zipf"` // exponent of the key distribution
 	Retries             int           `toml:"retries"`
 	RequestTimeoutShare float64       `toml:"try_share"` // of the class's total timeout
 	RetryDelay          time.Duration `toml:"retry_wait"`
 }
 
-// Contract has the parameters of the operating rules; see emulator.Contract.
+// Contract holds the parameters of the operating rules; see emulator.Contract.
 type Contract struct {
 	DrainGrace       time.Duration `toml:"drain_grace"`
 	SlowStartFrom    float64       `toml:"cold_from"`
@@ -66,13 +66,14 @@
 	OverloadWindow   time.Duration `toml:"fall_in"`
 }
 
-// Model is a model of servers and the share of the servers that have it.
+// Model is a server model and the share of the servers that have it.
 type Model struct {
 	Share float64 `toml:"share"`
 	emulator.Model
 }
 
-// Fault is a fault that is injected at a time. How it uses the other keys depends on its kind; see FaultDescriptions.
+// Fault is a fault that is injected at a given time. The use of the other keys depends on its kind; see
+// FaultDescriptions.
 type Fault struct {
 	At           time.Duration `toml:"at"` // from the start of the traffic
 	Kind         FaultKind     `toml:"kind"`
@@ -85,21 +86,21 @@
 	RestartAfter time.Duration `toml:"back"`
 }
 
-// Arm is one way to run the agents.
+// Arm is a variant of the agents to run: a version, a configuration, or both.
 type Arm struct {
 	Name string `toml:"name"`
-	// Commit is the commit whose agent is built and run; empty: the agent that Config names.
+	// Commit is the commit that the agent is built from; if it is empty, Config.Binary is run.
 	Commit string `toml:"commit"`
-	// Membership gives the agents a membership section, with connections through a fault proxy.
+	// Membership adds a membership section to the agents' configuration and connects the agents through a fault proxy.
 	Membership bool `toml:"fleet"`
-	// Config is merged into the agents' configuration, key by key.
+	// Config is merged into the agents' configuration key by key.
 	Config map[string]any `toml:"config"`
 }
 
-// socketSlack is the tolerance of the operating rules for sockets and timers.
+// socketSlack is the tolerance of the operating rules for delays of sockets and timers.
 const socketSlack = 50 * time.Millisecond
 
-// requestRate returns the calls per second of all clients.
+// requestRate returns the requests per second of all clients.
 func (s *Scenario) requestRate() float64 {
 	if s.Traffic.Rate > 0 {
 		return s.Traffic.Rate
@@ -149,17 +150,17 @@
 	return config
 }
 
-// weightStride is the step among the evenly spread weights from one agent to the next, so that the agents of each zone
-// get low and high ones.
+// weightStride is the step between the evenly spread weights of consecutive agents. With it, the agents of each zone
+// get low and high weights.
 const weightStride = 7
 
-// agents returns the agents with their zones and their shares of the calls.
+// agents returns the agents with their zones and shares of the requests.
 func (s *Scenario) agents() []emulator.Agent {
 	count := s.Fleet.Agents
 	weights := make([]float64, count)
 	sum := 0.0
 	for i := range weights {
-		position := 0.5 // among the evenly spread weights: 0 for the least, 1 for the greatest
+		position := 0.5 // in the range of weights: 0 for the lowest, 1 for the highest
 		if count > 1 {
 			position = float64(i*weightStride%count) / float64(count-1)
 		}
--- a/internal/experiment/scenario_test.go
+++ b/internal/experiment/scenario_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-func TestInvalidScenariosNameTheirLine(t *testing.T) {
+func TestParseErrorNamesLine(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"unknown key", "length = \"1s\"\nwidth = 3", "s.toml:2: unknown key \"width\""},
-		{"no duration", "length = \"long\"", "s.toml:1"},
+		{"invalid duration", "length = \"long\"", "s.toml:1"},
 		{"no agents", "[fleet]\n\nagents = 0", "s.toml:3: fleet.agents"},
 		{"unknown fault", "[[trouble]]\nat = \"1s\"\nkind = \"flood\"", "s.toml:3: trouble.kind"},
 		{"unknown zone", "[[trouble]]\nkind = \"zone cut\"\nzone = \"z\"", "s.toml:3: trouble.zone"},
-		{"arms of the same name", "[[arm]]\nname = \"a\"\n[[arm]]\nname = \"a\"", "s.toml:2: arm.name"},
+		{"duplicate arm name", "[[arm]]\nname = \"a\"\n[[arm]]\nname = \"a\"", "s.toml:2: arm.name"},
 		{"wrong type", "[fleet]\nagents = \"x\"", "s.toml:2: fleet.agents: "},
 		{"out of range", "[traffic]\nload = 0.5\nuneven = 1.5", "s.toml:3: traffic.uneven"},
 		{
@@ -26,13 +26,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, err := Parse("s.toml", test.text); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%q: %v, should name %s", test.text, err, test.want)
+				t.Errorf("Parse(%q) error is %v, want it to contain %q", test.text, err, test.want)
 			}
 		})
 	}
 }
 
-func TestGeneratedScenariosCanBeRead(t *testing.T) {
+func TestParseGeneratedScenarios(t *testing.T) {
 	for _, kind := range ScenarioKinds() {
 		t.Run(kind, func(t *testing.T) {
 			var text bytes.Buffer
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestDefaultScenario checks that the default scenario has no unknown keys and valid values, and that a scenario that
-// sets nothing is the default with one arm.
+// TestDefaultScenario checks that the default scenario is valid and has no unknown keys, and that an empty scenario
+// is the default with one arm.
 func TestDefaultScenario(t *testing.T) {
 	if _, err := Parse(defaultFile, defaultText); err != nil {
 		t.Error(err)
@@ -60,11 +60,11 @@
 	want := Default()
 	want.Arms = []Arm{{Name: defaultArm}}
 	if !reflect.DeepEqual(empty, want) {
-		t.Errorf("a scenario that sets nothing is\n%+v\nwant\n%+v", empty, want)
+		t.Errorf("empty scenario is\n%+v\nwant\n%+v", empty, want)
 	}
 }
 
-// TestDefaultIsNotShared checks that a caller who changes the default scenario changes none of another caller.
+// TestDefaultIsNotShared checks that changes to the result of Default do not affect other callers.
 func TestDefaultIsNotShared(t *testing.T) {
 	changed := Default()
 	changed.Fleet.Zones[0] = "changed"
@@ -72,7 +72,7 @@
 	changed.Models[0].Kind = "changed"
 	if other := Default(); other.Fleet.Zones[0] == "changed" || other.Classes[0].Name == "changed" ||
 		other.Models[0].Kind == "changed" {
-		t.Errorf("the default scenario became %+v", other)
+		t.Errorf("default scenario is changed: %+v", other)
 	}
 }
 
@@ -93,19 +93,19 @@
 	}
 	model := s.Models[0]
 	if model.Share != 1 || model.Cores != 4 || model.Congestion.OnsetTime != 2*time.Second {
-		t.Errorf("model: %+v", model)
+		t.Errorf("model is %+v", model)
 	}
 	if s.Classes[0].TotalTimeout != 3*time.Second {
-		t.Errorf("class: %+v", s.Classes[0])
+		t.Errorf("class is %+v", s.Classes[0])
 	}
 }
 
-func TestScenarioForALargerMachineIsRefused(t *testing.T) {
+func TestCheckMachineRejectsTooLargeScenario(t *testing.T) {
 	s, err := Parse("s.toml", "[fleet]\nagents = 50000\nnodes = 3000")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.checkMachine(); err == nil || !strings.Contains(err.Error(), "take some") {
-		t.Errorf("error: %v", err)
+	if err := s.checkMachine(); err == nil || !strings.Contains(err.Error(), "need about") {
+		t.Errorf("checkMachine() error is %v, want one that states the needs", err)
 	}
 }
--- a/internal/experiment/settings.go
+++ b/internal/experiment/settings.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// The settings of the site's agents that a scenario does not set.
+// Agent settings that a scenario can't set.
 const (
 	responseSlackMs  = 20
 	pollWithinMs     = 10_000
@@ -26,21 +26,21 @@
 	healthCheckCost = 0.0082
 	wastedWorkCost  = 0.032
 
-	// unusedDedupWindowMs is the deduplication window in the settings of a class that has no scope.
+	// unusedDedupWindowMs is the deduplication window of classes that have no deduplication scope.
 	unusedDedupWindowMs = 5000
-	// serviceFamily is the kind of the service, which the agent does not read.
+	// serviceFamily is the family of the service. The agent does not read it.
 	serviceFamily = "mesh"
 )
 
-// AgentLimits is the section "limits" of an agent's configuration: the resources of its process.
+// AgentLimits is the section "limits" of an agent's configuration: the resource limits of its process.
 type AgentLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// ServiceSettings are the settings that all agents of a service have in common; see balancer.Settings, whose keys they
-// have, with the names of the zones and the kinds of servers.
+// ServiceSettings are the settings that all agents of a service share. They have the keys of balancer.Settings, and
+// the names of the zones and the kinds of servers.
 type ServiceSettings struct {
 	Classes       []balancer.Class        `json:"classes"`
 	Clients       ClientSettings          `json:"clients"`
@@ -66,17 +66,17 @@
 	Zone  int `json:"zone"`
 }
 
-// ClientSettings say what clients do.
+// ClientSettings describe the behavior of clients.
 type ClientSettings struct {
 	MarksRetry bool `json:"marksRetry"`
 }
 
-// FamilyInfo says what servers do.
+// FamilyInfo describes the behavior of servers.
 type FamilyInfo struct {
 	WarmKeys bool `json:"warmKeys"`
 }
 
-// CostSettings are the costs that are not 0; see balancer.Costs.
+// CostSettings holds the costs that are not 0; see balancer.Costs.
 type CostSettings struct {
 	CrossZone   float64 `json:"crossZone"`
 	LateFailure float64 `json:"lateFail"`
@@ -84,18 +84,18 @@
 	WastedWork  float64 `json:"waste"`
 }
 
-// Limits returns the limits of each agent.
+// Limits returns the resource limits of each agent.
 func (s *Scenario) Limits() AgentLimits {
 	return AgentLimits{Cores: s.Fleet.Cores, MemoryMB: s.Fleet.MemoryMB, Sockets: s.Fleet.Sockets}
 }
 
-// Settings returns the settings of the agent with an index in the fleet, in the zone with an index. agents is the fleet
-// size.
+// Settings returns the settings of the agent with the given index in the fleet and the given zone index. agents is the
+// fleet size.
 func (s *Scenario) Settings(index, zone, agents int) AgentSettings {
 	return AgentSettings{ServiceSettings: s.ServiceSettings(agents), Index: index, Zone: zone}
 }
 
-// ServiceSettings returns the settings that all agents of a fleet have in common. agents is the fleet size.
+// ServiceSettings returns the settings that all agents of the fleet share. agents is the fleet size.
 func (s *Scenario) ServiceSettings(agents int) ServiceSettings {
 	return ServiceSettings{
 		Classes:       s.classSettings(),
@@ -125,7 +125,7 @@
 	}
 }
 
-// policyLimits returns what the site permits its agents to do.
+// policyLimits returns the limits that the site sets on the agents' policy.
 func policyLimits() balancer.Limits {
 	return balancer.Limits{
 		AttemptCancellation: true,
@@ -151,12 +151,12 @@
 	}
 }
 
-// cachesKeys tells whether any model of servers does less work for keys that it has served before.
+// cachesKeys reports whether any server model does less work for keys that it has served before.
 func (s *Scenario) cachesKeys() bool {
 	return slices.ContainsFunc(s.Models, func(model Model) bool { return model.CacheSaving > 0 })
 }
 
-// serverKinds returns the kinds under which discovery lists the models.
+// serverKinds returns the kinds of the server models, as discovery lists them.
 func (s *Scenario) serverKinds() (kinds []string) {
 	for _, model := range s.Models {
 		kinds = append(kinds, model.Kind)
@@ -164,7 +164,7 @@
 	return kinds
 }
 
-// classSettings returns the rules of the classes.
+// classSettings returns the settings of the classes.
 func (s *Scenario) classSettings() (classes []balancer.Class) {
 	for i := range s.Classes {
 		class := &s.Classes[i]
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -7,10 +7,10 @@
 	"unicode/utf8"
 )
 
-// minColumnWidth is the least width of a column in Markdown, whose rule has three dashes.
+// minColumnWidth is the minimum width of a column: the three dashes of the delimiter row in Markdown.
 const minColumnWidth = 3
 
-// table is a Markdown table whose columns are padded, so that it reads well as text too.
+// table is a Markdown table. Its columns are padded so that it is also readable as plain text.
 type table struct {
 	header []string
 	rows   [][]string
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// sampledAgents is how many agents are queried for their views each second.
+	// sampledAgents is the number of agents that are queried for their views each second.
 	sampledAgents = 8
-	// joinTimeout bounds the time until all agents see each other; it is checked every joinPollInterval.
+	// joinTimeout bounds the time until all agents see each other, which is checked every joinPollInterval.
 	joinTimeout      = time.Minute
 	joinPollInterval = 100 * time.Millisecond
-	// viewTimeout bounds a call for an agent's view.
+	// viewTimeout bounds the query of one agent's view.
 	viewTimeout = 200 * time.Millisecond
-	// viewQuery asks for the numbers alone: no members, and no changes, as none has a number so high.
+	// viewQuery requests only the counts: no members, and no changes, because none has a number this high.
 	viewQuery = "members=none&since=4611686018427387904"
 )
 
-// ViewRange is the least and the greatest number of agents that any of the sampled agents sees; both 0: none answered.
+// ViewRange holds the least and the greatest number of agents that a sampled agent sees. Both are 0 if no sampled
+// agent responded.
 type ViewRange [2]int
 
-// least returns the least number.
+// least returns the least number of agents seen.
 func (v *ViewRange) least() int { return v[0] }
 
-// add adds the number that one more agent sees.
+// add extends the range to the number of agents that another sampled agent sees.
 func (v *ViewRange) add(seen int) {
 	if *v == (ViewRange{}) {
 		v[0] = seen
@@ -37,7 +38,7 @@
 	v[1] = max(v[1], seen)
 }
 
-// sampleViews queries some agents each second for the number of agents they see, until the traffic has ended.
+// sampleViews samples the agents' views every second until the traffic has ended.
 func (r *armRun) sampleViews(ctx context.Context) (views []ViewRange) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -51,7 +52,7 @@
 	}
 }
 
-// sampleView returns what the sampled agents see; agents that are down or paused do not count.
+// sampleView queries the sampled agents. Agents that don't respond, such as paused ones, are left out.
 func (r *armRun) sampleView(ctx context.Context) (view ViewRange) {
 	for i := range min(sampledAgents, len(r.names)) {
 		name := r.names[i*len(r.names)/sampledAgents%len(r.names)]
@@ -62,7 +63,7 @@
 	return view
 }
 
-// agentsSeen returns how many agents an agent sees; 0: it does not answer.
+// agentsSeen returns the number of agents that an agent sees, or 0 if it does not respond.
 func (r *armRun) agentsSeen(ctx context.Context, name string) int {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
@@ -73,8 +74,8 @@
 	return status.Present
 }
 
-// awaitMembership waits until every agent sees all agents, for joinTimeout at most. It also returns without an error at
-// the end of the context.
+// awaitMembership waits until every agent sees all agents and returns an error after joinTimeout. If the context is
+// cancelled, it returns nil.
 func (r *armRun) awaitMembership(ctx context.Context) error {
 	ticker := time.NewTicker(joinPollInterval)
 	defer ticker.Stop()
@@ -87,14 +88,14 @@
 				return nil
 			}
 		case <-timeout.C:
-			return fmt.Errorf("the agents do not see each other within %v", joinTimeout)
+			return fmt.Errorf("agents do not all see each other after %v", joinTimeout)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// membershipComplete tells whether every agent sees all agents.
+// membershipComplete reports whether every agent sees all agents.
 func (r *armRun) membershipComplete(ctx context.Context) bool {
 	incomplete := func(name string) bool { return r.agentsSeen(ctx, name) != len(r.names) }
 	return !slices.ContainsFunc(r.names, incomplete)
