--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -14,8 +14,8 @@
 	return &Record{Arm: arm, Seed: seed, Valid: valid, Result: result}
 }
 
-// TestCompareIsPaired checks that what differs between seeds alike in both arms is no difference, that a run that is
-// not valid is left out, and that one pair is refused.
+// TestCompareIsPaired checks that variation between seeds that is the same in both arms does not count as a
+// difference, that runs that are not valid are left out, and that a single pair is an error.
 func TestCompareIsPaired(t *testing.T) {
 	var records []*Record
 	for seed, x := range []float64{1, 5, 9, 40} {
@@ -30,16 +30,16 @@
 	}
 	index := slices.IndexFunc(differences, func(d Difference) bool { return d.Metric.Key == "x" })
 	if index < 0 {
-		t.Fatalf("no difference of the metric: %+v", differences)
+		t.Fatalf("no difference for metric x: %+v", differences)
 	}
 	d := differences[index]
 	interval := d.Interval
-	// By hand: differences 1, 1.1, 1, 1.1; t of 3 degrees of freedom 3.182; standard deviation 0.0577.
+	// Computed by hand: differences 1, 1.1, 1, 1.1; standard deviation 0.0577; t = 3.182 for 3 degrees of freedom.
 	if math.Abs(interval.Mean-1.05) > 1e-9 || math.Abs(interval.HalfWidth-0.0919) > 1e-3 || interval.Includes(0) ||
 		d.Pairs != 4 {
-		t.Errorf("%+v", d)
+		t.Errorf("Compare() = %+v, want interval 1.05 ± 0.0919 over 4 pairs", d)
 	}
 	if _, err := Compare(records[:2], "a", "b"); err == nil {
-		t.Error("one pair makes an interval")
+		t.Error("Compare() with one pair returned no error")
 	}
 }
--- a/internal/experiment/record_test.go
+++ b/internal/experiment/record_test.go
@@ -8,8 +8,7 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// recordLine is a record as it is written, with one of everything; files of such lines are kept and have to stay
-// readable.
+// recordLine is an encoded record in which every key is set. Files of such lines are kept and must stay readable.
 const recordLine = `{"scenario":"s","arm":"a","seed":1,"commit":"c","machine":"m","length_ns":2,"counts":true,` +
 	`"result":{"Seconds":[{"Asked":1,"InTime":2,"Late":3,"Refused":4,"Failed":5}],"Figures":{"in time":1},` +
 	`"Nodes":[{"Node":"n","Requests":1,"Turned":2,"Handshakes":3,"Probes":4,"Work":5,"Busy":6,"Cold":7}],` +
@@ -18,8 +17,8 @@
 	`"Ended":5,"How":"turned away"}]}}],"Faults":["f"],"Attempts":9},"agents_cpu_s":1,"lab_cpu_s":2,` +
 	`"agent_fault":"x","views":[[1,2]]}` + "\n"
 
-// TestRecordFormIsStable reads a record and writes it again: no key may be lost or renamed.
-func TestRecordFormIsStable(t *testing.T) {
+// TestRecordFormatIsStable checks that decoding and encoding a record neither loses nor renames a key.
+func TestRecordFormatIsStable(t *testing.T) {
 	records, err := ReadRecords(strings.NewReader(recordLine))
 	if err != nil {
 		t.Fatal(err)
@@ -29,10 +28,10 @@
 		t.Fatal(err)
 	}
 	if out.String() != recordLine {
-		t.Errorf("written:\n%sread:\n%s", out.String(), recordLine)
+		t.Errorf("encoded record is\n%swant\n%s", out.String(), recordLine)
 	}
 	want := emulator.SecondTotals{Requested: 1, InTime: 2, Late: 3, Rejected: 4, Failed: 5}
 	if got := records[0].Result.Seconds[0]; got != want {
-		t.Errorf("second: %+v, want %+v", got, want)
+		t.Errorf("totals of the second: %+v, want %+v", got, want)
 	}
 }
--- a/internal/experiment/run_test.go
+++ b/internal/experiment/run_test.go
@@ -11,9 +11,9 @@
 	"fernbeam.example/fernbeam/internal/emulator"
 )
 
-// faultScenario is a small scenario with the faults that are hardest on the harness: agents that are killed with
-// requests in flight, terminated, and paused; servers that are replaced, partitioned, and partitioned from one zone;
-// and discovery that is unavailable. It ends while requests are open.
+// faultScenario is a small scenario with the faults that are hardest for the harness to handle: agents that are killed
+// with requests in flight, terminated, and paused; servers that are replaced, partitioned from all agents, and
+// partitioned from the agents of other zones; and an outage of discovery. It ends while requests are in flight.
 const faultScenario = `
 name = "hard"
 length = "6s"
@@ -68,10 +68,10 @@
 fleet = true
 `
 
-// TestFaultScenarioBreaksNoRule runs the scenario with both arms twice at the same time: no operating rule is broken,
-// every restarted agent serves, and both arms got the same calls. It judges no times: on a busy machine a run may be
-// not valid.
-func TestFaultScenarioBreaksNoRule(t *testing.T) {
+// TestFaultScenarioHasNoViolations runs both arms of faultScenario with two seeds in parallel. It checks that there
+// are no violations of the operating rules, that all agents are running at the end and serve, and that both arms got
+// the same number of requests. It checks no times and accepts runs that are not valid, since the machine may be busy.
+func TestFaultScenarioHasNoViolations(t *testing.T) {
 	binary := buildAgent(t)
 	for seed := uint64(1); seed <= 2; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -83,17 +83,17 @@
 				checkTitles(t, record)
 			}
 			if paths, err := Plot(records, t.TempDir(), "svg"); err != nil || len(paths) != 3 {
-				t.Errorf("plots: %v, %v", paths, err)
+				t.Errorf("Plot() = %v, %v, want 3 files", paths, err)
 			}
 			calls := func(r *Record) float64 { return r.Result.Metrics[emulator.MetricCalls] }
 			if a, b := calls(records[0]), calls(records[1]); a != b {
-				t.Errorf("one arm got %v calls, the other %v", a, b)
+				t.Errorf("arms got %v and %v requests, want the same number", a, b)
 			}
 		})
 	}
 }
 
-// buildAgent builds the agent and returns its path.
+// buildAgent builds the agent and returns the path of the program.
 func buildAgent(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "agent")
@@ -104,7 +104,7 @@
 	return binary
 }
 
-// runFaultScenario runs faultScenario on a seed and returns the records of its arms.
+// runFaultScenario runs faultScenario with a seed and returns the records of its arms.
 func runFaultScenario(t *testing.T, binary string, seed uint64) (records []*Record) {
 	t.Helper()
 	scenario, err := Parse("hard.toml", faultScenario)
@@ -127,7 +127,7 @@
 	return records
 }
 
-// checkServes checks that a run has no violations, and that its agents ran and served.
+// checkServes checks that a run has no violations and that its agents kept running and served requests.
 func checkServes(t *testing.T, record *Record) {
 	t.Helper()
 	for _, violation := range record.Result.Violations {
@@ -136,16 +136,17 @@
 	metrics := record.Result.Metrics
 	served := metrics[emulator.MetricInTime] + metrics[emulator.MetricLate]
 	if record.AgentError != "" || served < 0.2 || record.Result.Attempts == 0 {
-		t.Errorf("arm %q: %q, metrics %v", record.Arm, record.AgentError, metrics)
+		t.Errorf("arm %q: agent error %q, metrics %v", record.Arm, record.AgentError, metrics)
 	}
 }
 
-// checkViews checks that all agents saw all others at some time in the arm with a membership section, and only there.
+// checkViews checks that, at some time, all sampled agents saw all agents in the arm with a membership section, and
+// never in the other arm.
 func checkViews(t *testing.T, record *Record) {
 	t.Helper()
 	complete := func(view ViewRange) bool { return view == ViewRange{8, 8} }
 	if slices.ContainsFunc(record.Views, complete) != (record.Arm == "fleet") {
-		t.Errorf("arm %q: views %v", record.Arm, record.Views)
+		t.Errorf("arm %q: views are %v", record.Arm, record.Views)
 	}
 }
 
@@ -154,7 +155,7 @@
 	t.Helper()
 	for key := range record.Metrics() {
 		if metric := FindMetric(string(key)); metric.Unit == "" {
-			t.Errorf("arm %q: %q is not in the table of metrics", record.Arm, key)
+			t.Errorf("arm %q: metric %q is not in metricTable", record.Arm, key)
 		}
 	}
 }
