--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -19,7 +19,8 @@
 	records    []string
 }
 
-// defaultCapacityInput is what `experiment capacity` reads without flags, from the checkout's root.
+// defaultCapacityInput returns the files that `experiment capacity` reads by default, relative to the root of the
+// checkout.
 func defaultCapacityInput() capacityInput {
 	return capacityInput{
 		target:     "deploy/target.toml",
@@ -28,16 +29,16 @@
 	}
 }
 
-// capacityCmd is `experiment capacity`.
+// capacityCmd returns the command `experiment capacity`.
 func capacityCmd() *cobra.Command {
 	input := defaultCapacityInput()
 	page := ""
 	cmd := &cobra.Command{
 		Use:   "capacity [RECORD...]",
-		Short: "compare what was measured with the target size: the tables of docs/CAPACITY.md",
-		Long: "Prints the tables of docs/CAPACITY.md in Markdown: what each role takes at the target's size by the runs\n" +
-			"of the records that `experiment scale` wrote, the budget, the fit, and the mechanism that keeps it within\n" +
-			"the budget. Without records, or with benchmark files that don't exist, the rows say that nothing was measured.",
+		Short: "compare measurements with the target size: the tables of docs/CAPACITY.md",
+		Long: "Prints the tables of docs/CAPACITY.md in Markdown: the resources that each role needs at the target size\n" +
+			"by the runs in records of `experiment scale`, the budget, the fit, and the mechanism that keeps it within the\n" +
+			"budget. Without records, or with benchmark files that don't exist, the rows say that nothing was measured.",
 		RunE: func(cmd *cobra.Command, records []string) error {
 			input.records = records
 			tables, err := capacityTables(input)
@@ -51,16 +52,16 @@
 			return rewriteTables(page, tables)
 		}}
 	flags := cmd.Flags()
-	flags.StringVar(&input.target, "target", input.target, "the size that the system is designed for")
+	flags.StringVar(&input.target, "target", input.target, "file with the size that the system is designed for")
 	flags.StringSliceVar(&input.benchmarks, "bench", input.benchmarks,
-		"files of Go benchmark output; the rows of one that doesn't exist say so")
-	flags.StringVar(&input.mechanisms, "mechanisms", input.mechanisms, "the mechanism of each row")
+		"files of Go benchmark output; rows of missing files say that nothing was measured")
+	flags.StringVar(&input.mechanisms, "mechanisms", input.mechanisms, "file with the mechanism of each row")
 	flags.StringVar(&page, "page", page,
-		"file whose tables, between the markers, are replaced; nothing is printed")
+		"file in which the tables between the markers are replaced; nothing is printed")
 	return cmd
 }
 
-// command is the command line that prints the tables, without flags that have their default.
+// command returns the command line that prints the tables, without flags that have their default value.
 func (in capacityInput) command() string {
 	words := append([]string{"experiment capacity"}, in.records...)
 	defaults := defaultCapacityInput()
@@ -76,7 +77,7 @@
 	return strings.Join(words, " ")
 }
 
-// capacityTables computes the tables.
+// capacityTables returns the tables of docs/CAPACITY.md in Markdown.
 func capacityTables(in capacityInput) ([]byte, error) {
 	target, err := capacity.LoadTarget(in.target)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return out.Bytes(), err
 }
 
-// rewriteTables replaces the tables of a page.
+// rewriteTables replaces the tables between the markers of a page.
 func rewriteTables(page string, tables []byte) error {
 	before, err := os.ReadFile(page)
 	if err != nil {
--- a/cmd/experiment/capacity_test.go
+++ b/cmd/experiment/capacity_test.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	pageFile = "docs/CAPACITY.md"
-	madeUp   = "internal/capacity/testdata/made-up.jsonl"
+	pageFile        = "docs/CAPACITY.md"
+	syntheticRecord = "internal/capacity/testdata/made-up.jsonl"
 )
 
-// run is what `experiment` prints for arguments, from the checkout's root.
+// run runs `experiment` with arguments in the root of the checkout and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	t.Chdir("../..")
 	var out bytes.Buffer
-	cmd := root()
+	cmd := rootCmd()
 	cmd.SetOut(&out)
 	cmd.SetArgs(args)
 	err := cmd.Execute()
 	return out.String(), err
 }
 
-// TestPageIsWhatItsCommandPrints: the page's tables are, byte for byte, what the command in the page prints from the
-// committed records; `experiment capacity RECORD... --page docs/CAPACITY.md` writes them anew.
-func TestPageIsWhatItsCommandPrints(t *testing.T) {
+// TestPageMatchesCommandOutput checks that the tables of docs/CAPACITY.md are, byte for byte, the output of the
+// command that the page names, for the committed records. To rewrite the tables, run
+// `experiment capacity RECORD... --page docs/CAPACITY.md`.
+func TestPageMatchesCommandOutput(t *testing.T) {
 	tables := pageTables(t)
 	match := regexp.MustCompile("^Printed by `experiment (capacity[^`]*)`").FindStringSubmatch(tables)
 	if match == nil {
-		t.Fatal("the page does not say what printed its tables")
+		t.Fatal("the page does not name the command that printed its tables")
 	}
 	command := match[1]
 	printed, err := run(t, strings.Fields(command)...)
@@ -42,14 +43,14 @@
 		t.Fatal(err)
 	}
 	requireSameTables(t, tables, strings.TrimRight(printed, "\n")+"\n", command)
-	// What scale runs were committed has to be on the page.
+	// A committed record of scale runs must be on the page.
 	const scale = "docs/capacity/scale.jsonl"
 	if _, err := os.Stat(scale); err == nil && !strings.Contains(command, scale) {
-		t.Errorf("the page leaves out %s", scale)
+		t.Errorf("the page does not include %s", scale)
 	}
 }
 
-// pageTables returns the part of the page between the markers.
+// pageTables returns the text of the page between the markers.
 func pageTables(t *testing.T) string {
 	t.Helper()
 	page, err := os.ReadFile(filepath.Join("../..", pageFile))
@@ -59,12 +60,12 @@
 	_, rest, found := strings.Cut(string(page), capacity.BeginMarker+"\n")
 	tables, _, ended := strings.Cut(rest, capacity.EndMarker+"\n")
 	if !found || !ended {
-		t.Fatal("the page has no markers")
+		t.Fatal("the page lacks the markers of its tables")
 	}
 	return tables
 }
 
-// requireSameTables fails at the first line of the page's tables that differs from what the command printed.
+// requireSameTables fails the test at the first line of the page's tables that differs from the command's output.
 func requireSameTables(t *testing.T, tables, printed, command string) {
 	t.Helper()
 	if tables == printed {
@@ -73,11 +74,11 @@
 	pageLines, printedLines := strings.Split(tables, "\n"), strings.Split(printed, "\n")
 	for i := range min(len(pageLines), len(printedLines)) {
 		if pageLines[i] != printedLines[i] {
-			t.Fatalf("the page has drifted from its records: its line %d is\n%s\nand `experiment %s` prints\n%s",
+			t.Fatalf("the page differs from its records: line %d of its tables is\n%s\nbut `experiment %s` prints\n%s",
 				i+1, pageLines[i], command, printedLines[i])
 		}
 	}
-	t.Fatalf("the page has drifted from its records: %d lines for %d", len(pageLines), len(printedLines))
+	t.Fatalf("the page differs from its records: its tables have %d lines, want %d", len(pageLines), len(printedLines))
 }
 
 func TestCapacityRewritesOnlyTheTables(t *testing.T) {
@@ -86,31 +87,31 @@
 	if err := os.WriteFile(page, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	printed, err := run(t, "capacity", madeUp)
+	printed, err := run(t, "capacity", syntheticRecord)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := root()
+	cmd := rootCmd()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
-	cmd.SetArgs([]string{"capacity", madeUp, "--page", page})
+	cmd.SetArgs([]string{"capacity", syntheticRecord, "--page", page})
 	if err := cmd.Execute(); err != nil || out.Len() > 0 {
-		t.Fatalf("%v, %q", err, &out)
+		t.Fatalf("error %v, output %q, want neither", err, &out)
 	}
 	got, err := os.ReadFile(page)
 	want := "before\n\n" + capacity.BeginMarker + "\n" + strings.TrimRight(printed, "\n") + "\n" + capacity.EndMarker +
 		"\nafter\n"
 	if err != nil || string(got) != want {
-		t.Errorf("the page is not the printed tables between its text (%v)", err)
+		t.Errorf("the page is not its text with the printed tables between the markers (read error: %v)", err)
 	}
-	if !strings.HasPrefix(printed, "Printed by `experiment capacity "+madeUp+"`") {
-		t.Errorf("begins with %.80q", printed)
+	if !strings.HasPrefix(printed, "Printed by `experiment capacity "+syntheticRecord+"`") {
+		t.Errorf("output begins with %.80q", printed)
 	}
 }
 
-// TestCapacityRefusesBadInput: a malformed file is an error of one line that names it, and the page is not
-// changed.
-func TestCapacityRefusesBadInput(t *testing.T) {
+// TestCapacityRejectsInvalidInput checks that an invalid file leads to a one-line error that names it and leaves the
+// page unchanged.
+func TestCapacityRejectsInvalidInput(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -132,10 +133,10 @@
 		t.Run(name, func(t *testing.T) {
 			out, err := run(t, append([]string{"capacity", "--page", page}, args...)...)
 			if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") || out != "" {
-				t.Errorf("printed %q, error %v", out, err)
+				t.Errorf("output %q, error %v, want no output and a one-line error that names the file", out, err)
 			}
 			if got, err := os.ReadFile(page); err != nil || string(got) != tables {
-				t.Errorf("the page became %q, %v", got, err)
+				t.Errorf("the page is %q (read error: %v), want it unchanged", got, err)
 			}
 		})
 	}
--- a/cmd/experiment/draw.go
+++ b/cmd/experiment/draw.go
@@ -9,14 +9,14 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// What `experiment draw` generates without flags.
+// Defaults of the flags of `experiment draw`.
 const (
 	drawnAgents  = 12
 	drawnServers = 12
 	drawnLength  = 30 * time.Second
 )
 
-// drawCmd is `experiment draw`.
+// drawCmd returns the command `experiment draw`.
 func drawCmd() *cobra.Command {
 	var config experiment.GeneratorConfig
 	cmd := &cobra.Command{
@@ -28,7 +28,7 @@
 			return experiment.Generate(cmd.OutOrStdout(), config)
 		},
 	}
-	cmd.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the scenario's magnitudes")
+	cmd.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the scenario and of its random values")
 	cmd.Flags().IntVar(&config.Agents, "agents", drawnAgents, "number of agents")
 	cmd.Flags().IntVar(&config.Servers, "nodes", drawnServers, "number of servers")
 	cmd.Flags().DurationVar(&config.Length, "length", drawnLength, "length of the traffic")
--- a/cmd/experiment/example_test.go
+++ b/cmd/experiment/example_test.go
@@ -15,18 +15,18 @@
 
 const (
 	readmeFile = "../../README.md"
-	// exampleScenario is the scenario that README starts with, and exampleRoot the directory that README names it from.
+	// exampleScenario is the path of the example in the README, relative to exampleRoot.
 	exampleScenario = "deploy/example/one-agent.toml"
 	exampleRoot     = "../.."
 )
 
-// TestExampleScenarioRuns runs the example scenario, cut to two seconds, with a built agent. Its report begins with the
-// rows that README shows.
+// TestExampleScenarioRuns runs the example scenario, shortened to two seconds, with a freshly built agent. It checks
+// that the report begins with the rows that the README shows.
 func TestExampleScenarioRuns(t *testing.T) {
 	dir := t.TempDir()
 	agent := filepath.Join(dir, "agent")
 	if text, err := exec.CommandContext(t.Context(), "go", "build", "-o", agent, "../agent").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatalf("building the agent: %v\n%s", err, text)
 	}
 	scenario, err := experiment.Load(filepath.Join(exampleRoot, exampleScenario))
 	if err != nil {
@@ -48,20 +48,20 @@
 	}
 	shown, printed := tableRows(readme(t)), tableRows(report.String())
 	if len(shown) == 0 || len(printed) < len(shown) || !slices.Equal(printed[:len(shown)], shown) {
-		t.Errorf("README shows the rows\n%v\nand the report begins with\n%v", shown, printed)
+		t.Errorf("README shows the rows\n%v\nbut the report has\n%v", shown, printed)
 	}
 }
 
-// TestReadmeNamesTheExample checks that README has the commands that build the programs and run the example, in this
-// order and with the path that the other tests read.
-func TestReadmeNamesTheExample(t *testing.T) {
+// TestReadmeHasExampleCommands checks that the README has the commands that build the programs and run
+// exampleScenario, in this order.
+func TestReadmeHasExampleCommands(t *testing.T) {
 	const commands = "\n\n    go build -o bin/ ./cmd/...\n    bin/experiment run " + exampleScenario + "\n\n"
 	if !strings.Contains(readme(t), commands) {
 		t.Errorf("README has no%s", commands)
 	}
 }
 
-// readme returns the text of README.
+// readme returns the text of the README.
 func readme(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(readmeFile)
@@ -71,10 +71,10 @@
 	return string(text)
 }
 
-// tableRow is a row of a report without its value, which differs from run to run.
+// tableRow is a row of a report without its value, which varies between runs.
 type tableRow struct{ title, unit string }
 
-// tableRows returns the rows of the Markdown tables with three columns in a text, headers included.
+// tableRows returns the rows, including headers, of the three-column Markdown tables in a text.
 func tableRows(text string) (rows []tableRow) {
 	for line := range strings.Lines(text) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
--- a/cmd/experiment/files.go
+++ b/cmd/experiment/files.go
@@ -8,28 +8,28 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// outputFileMode is the mode of the files that the command creates.
+// outputFileMode is the permission mode of files that the command creates.
 const outputFileMode = 0o644
 
-// openAppend opens a file to which records or log lines are added.
+// openAppend opens a file for appending and creates it if necessary.
 func openAppend(path string) (*os.File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, outputFileMode)
 }
 
-// replaceFile writes a file anew, atomically: a reader finds the earlier text or the new one.
+// replaceFile atomically replaces the contents of a file: a reader sees either the old or the new text.
 func replaceFile(path, text string) error {
 	next := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
 	if err := os.WriteFile(next, []byte(text), outputFileMode); err != nil {
 		return err
 	}
 	if err := os.Rename(next, path); err != nil {
-		_ = os.Remove(next) // the error to report is that of the rename
+		_ = os.Remove(next) // the error of the rename is returned
 		return err
 	}
 	return nil
 }
 
-// readRecords reads the records of several files.
+// readRecords returns the records in several files.
 func readRecords(paths ...string) (records []*experiment.Record, err error) {
 	for _, path := range paths {
 		fromFile, err := readRecordFile(path)
@@ -41,22 +41,23 @@
 	return records, nil
 }
 
-// readRecordFile reads the records of one file.
+// readRecordFile returns the records in a file.
 func readRecordFile(path string) ([]*experiment.Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	records, err := experiment.ReadRecords(file)
-	_ = file.Close() // it was only read
+	_ = file.Close() // the file was only read
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return records, nil
 }
 
-// workDirectory creates a directory for the logs and configurations of a run: below parent, where it is kept, or, if
-// parent is empty, a temporary one that the returned function removes.
+// workDirectory creates a directory for logs, configurations and built programs. If parent is not empty, the
+// directory is created in parent and kept. Otherwise it is a temporary directory, which the returned function
+// removes.
 func workDirectory(parent string) (directory string, remove func(), err error) {
 	directory, err = os.MkdirTemp(parent, "experiment")
 	if err != nil {
@@ -65,5 +66,5 @@
 	if parent != "" {
 		return directory, func() {}, nil
 	}
-	return directory, func() { _ = os.RemoveAll(directory) }, nil // the system cleans up what stays
+	return directory, func() { _ = os.RemoveAll(directory) }, nil // the system cleans up leftover files
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,11 +1,11 @@
-// Command experiment runs fleets of the real agent in an emulator with injected faults, compares ways to run them, and
-// shows how far the emulator can be trusted. It also runs the scale tests and prints the capacity model. See
-// docs/LAB.md and docs/CAPACITY.md.
+// Command experiment runs fleets of the real agent in an emulator with injected faults, compares variants of them, and
+// validates the emulator. It also runs the scale tests and prints the capacity model. See docs/LAB.md and
+// docs/CAPACITY.md.
 //
-// It ends with status 0 when it has done what it was told, and with 1 after an error, which it prints to standard error
-// on one line: a file that cannot be read or has an error, a scenario or plan that this machine is too small for, a
-// check of "trust" that fails, or an interruption. A run that is not valid, or in which an operating rule was broken,
-// is no error: the report says so.
+// The exit status is 0 on success and 1 after an error, which is printed to standard error on one line. Errors are a
+// file that can't be read or is invalid, a scenario or plan that this machine is too small for, a failed check of
+// "trust", and an interruption. Runs that are not valid and violations of the operating rules are not errors; they are
+// listed in the report.
 package main
 
 import (
@@ -29,15 +29,15 @@
 	}
 }
 
-// execute runs the command line until it is done or interrupted.
+// execute runs the command line until it is done or interrupted by SIGINT or SIGTERM.
 func execute() error {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	return root().ExecuteContext(ctx)
+	return rootCmd().ExecuteContext(ctx)
 }
 
-// root returns the command with all its subcommands.
-func root() *cobra.Command {
+// rootCmd returns the root command with all subcommands.
+func rootCmd() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "experiment",
 		Short:         "run fleets of the real agent in an emulator",
@@ -49,7 +49,7 @@
 	return cmd
 }
 
-// progress returns a function that prints what happens if standard error is a terminal, else nil.
+// progress returns a function that prints progress messages to standard error, or nil if that is not a terminal.
 func progress() func(string, ...any) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) {
 		return nil
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkout returns the top directory of the checkout that the command runs in; empty: it runs in none.
+// checkout returns the root of the git checkout that the command runs in, or an empty string if it runs in none.
 func checkout(ctx context.Context) string {
 	top, err := exec.CommandContext(ctx, "git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
--- a/cmd/experiment/run.go
+++ b/cmd/experiment/run.go
@@ -17,24 +17,24 @@
 	logs   string
 }
 
-// runCmd is `experiment run`.
+// runCmd returns the command `experiment run`.
 func runCmd() *cobra.Command {
 	var flags runFlags
 	cmd := &cobra.Command{
 		Use:   "run FILE.toml",
-		Short: "run a scenario: each arm on each seed, in turn",
-		Long: "Runs a scenario, adds each run to the record, and prints the report. Times in a scenario are such as\n" +
-			"\"300ms\"; \"experiment draw\" prints complete scenarios. The faults:\n\n" + faultsHelp(),
+		Short: "run a scenario: each arm with each seed, in turn",
+		Long: "Runs a scenario, appends each run to the record, and prints a report. Durations in scenarios are strings\n" +
+			"such as \"300ms\"; \"experiment draw\" prints complete scenarios. Kinds of faults:\n\n" + faultsHelp(),
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return runScenario(cmd, args[0], flags) },
 	}
-	cmd.Flags().StringVar(&flags.binary, "binary", "bin/agent", "the built agent, for arms without a commit")
-	cmd.Flags().StringVar(&flags.record, "record", "experiment.jsonl", "file to which each run is added")
-	cmd.Flags().StringVar(&flags.logs, "logs", "", "directory in which the agents' logs are kept; default: none are")
+	cmd.Flags().StringVar(&flags.binary, "binary", "bin/agent", "agent program for arms without a commit")
+	cmd.Flags().StringVar(&flags.record, "record", "experiment.jsonl", "file to which runs are appended as lines of JSON")
+	cmd.Flags().StringVar(&flags.logs, "logs", "", "directory for the agents' logs (default: logs are removed)")
 	return cmd
 }
 
-// faultsHelp lists the kinds of faults with their descriptions.
+// faultsHelp returns the list of the kinds of faults with their descriptions.
 func faultsHelp() string {
 	var text strings.Builder
 	for _, fault := range experiment.FaultDescriptions() {
@@ -43,7 +43,7 @@
 	return text.String()
 }
 
-// runScenario runs a scenario from a file, records its runs and prints the report of those that ended.
+// runScenario runs a scenario from a file, records each run, and prints a report of the runs that completed.
 func runScenario(cmd *cobra.Command, path string, flags runFlags) (err error) {
 	scenario, err := experiment.Load(path)
 	if err != nil {
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -17,8 +17,8 @@
 	"fernbeam.example/fernbeam/internal/scaletest"
 )
 
-// earlierProfilesFlag is the name of the flag --profiles in earlier versions.
-const earlierProfilesFlag = "days"
+// deprecatedProfilesFlag is the former name of the flag --profiles, which is still accepted.
+const deprecatedProfilesFlag = "days"
 
 // scaleFlags are the flags of `experiment scale`.
 type scaleFlags struct {
@@ -28,20 +28,20 @@
 	programs string
 	logs     string
 	sizes    []int
-	profiles []string // of capacity.Profile
+	profiles []string // names of capacity.Profile values
 }
 
-// scaleCmd is `experiment scale`.
+// scaleCmd returns the command `experiment scale`.
 func scaleCmd() *cobra.Command {
 	var flags scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale [PLAN.toml]",
-		Short: "run load profiles on fleets of hollow and real agents and record what each role takes",
-		Long: "Carries out a plan: on fleets of each size, with real discovery instances, each load profile\n" +
+		Short: "run load profiles on fleets of hollow and real agents and record each role's resource usage",
+		Long: "Runs a plan: on fleets of each size, with real discovery instances, each load profile\n" +
 			"(" + capacity.JoinProfiles(capacity.Profiles) + ")\n" +
-			"at the target's rates for the size times the plan's factor. Adds each run to the record as it ends, and\n" +
+			"at the target's rates for the size times the plan's factor. Appends each run to the record as it ends, and\n" +
 			"prints the metrics of each role. A size that needs more than half of this machine's memory, or more than\n" +
-			"300 processes, is refused.",
+			"300 processes, is rejected.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := flags.config(cmd.Context(), args)
@@ -52,20 +52,20 @@
 		}}
 	f := cmd.Flags()
 	f.BoolVar(&flags.small, "small", false, "run the built-in plan: 30 hollow and 3 real agents, within 45 s")
-	f.StringVar(&flags.record, "record", "", "file to which each run is appended as a line of JSON; empty: none")
+	f.StringVar(&flags.record, "record", "", "file to which each run is appended as a line of JSON (default: none)")
 	f.StringVar(&flags.target, "target", defaultCapacityInput().target,
-		"the size that the system is designed for, with its rates")
-	f.StringVar(&flags.programs, "programs", "bin", "directory of the built agent and discovery")
-	f.StringVar(&flags.logs, "logs", "", "directory in which logs and configurations are left; default: they are removed")
+		"file with the size that the system is designed for, and its rates")
+	f.StringVar(&flags.programs, "programs", "bin", "directory of the agent and discovery programs")
+	f.StringVar(&flags.logs, "logs", "", "directory for logs and configurations (default: they are removed)")
 	f.IntSliceVar(&flags.sizes, "sizes", nil, "run only these of the plan's sizes")
 	const profilesUsage = "run only these of the plan's load profiles"
 	f.StringSliceVar(&flags.profiles, "profiles", nil, profilesUsage)
-	f.StringSliceVar(&flags.profiles, earlierProfilesFlag, nil, profilesUsage)
-	_ = f.MarkHidden(earlierProfilesFlag) // fails only for a flag that does not exist
+	f.StringSliceVar(&flags.profiles, deprecatedProfilesFlag, nil, profilesUsage)
+	_ = f.MarkHidden(deprecatedProfilesFlag) // fails only for a flag that does not exist
 	return cmd
 }
 
-// config is what the command line says to run.
+// config returns the configuration of the runs that the command line selects.
 func (flags *scaleFlags) config(ctx context.Context, args []string) (scaletest.Config, error) {
 	plan, err := flags.plan(args)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return scaletest.Config{}, err
 	}
-	if err := plan.CheckMachine(); err != nil { // before any file is created
+	if err := plan.CheckMachine(); err != nil { // checked before any file is created
 		return scaletest.Config{}, err
 	}
 	self, err := os.Executable()
@@ -94,22 +94,22 @@
 	}, nil
 }
 
-// plan is the plan that the command line names, restricted to its sizes and load profiles.
+// plan returns the plan that the command line names, restricted to the sizes and load profiles in flags.
 func (flags *scaleFlags) plan(args []string) (*scaletest.Plan, error) {
-	plan, err := flags.wholePlan(args)
+	plan, err := flags.loadPlan(args)
 	if err != nil {
 		return nil, err
 	}
 	for _, size := range flags.sizes {
 		if !slices.Contains(plan.Sizes, size) {
-			return nil, fmt.Errorf("--sizes: %d is no size of the plan, which has %v", size, plan.Sizes)
+			return nil, fmt.Errorf("--sizes: size %d is not in the plan, which has %v", size, plan.Sizes)
 		}
 	}
 	var profiles []capacity.Profile
 	for _, name := range flags.profiles {
 		profile := capacity.Profile(name)
 		if !slices.Contains(plan.Profiles, profile) {
-			return nil, fmt.Errorf("--profiles: %q is no load profile of the plan, which has %s",
+			return nil, fmt.Errorf("--profiles: load profile %q is not in the plan, which has %s",
 				name, capacity.JoinProfiles(plan.Profiles))
 		}
 		profiles = append(profiles, profile)
@@ -119,20 +119,20 @@
 	return plan, nil
 }
 
-// wholePlan is the plan that the command line names.
-func (flags *scaleFlags) wholePlan(args []string) (*scaletest.Plan, error) {
+// loadPlan returns the plan that the command line names, with all its sizes and load profiles.
+func (flags *scaleFlags) loadPlan(args []string) (*scaletest.Plan, error) {
 	switch {
 	case flags.small && len(args) > 0:
-		return nil, errors.New("--small has a plan of its own: no other can be named")
+		return nil, errors.New("--small can't be combined with a plan file")
 	case flags.small:
 		return scaletest.SmallPlan(), nil
 	case len(args) == 0:
-		return nil, errors.New("a plan is needed, or --small")
+		return nil, errors.New("a plan file or --small is required")
 	}
 	return scaletest.LoadPlan(args[0])
 }
 
-// restrict are the values that are selected; all if the selection is empty.
+// restrict returns the values that are selected, or all values if the selection is empty. It may modify values.
 func restrict[T comparable](values, selected []T) []T {
 	if len(selected) == 0 {
 		return values
@@ -140,13 +140,12 @@
 	return slices.DeleteFunc(values, func(v T) bool { return !slices.Contains(selected, v) })
 }
 
-// runScale carries out a plan, appends each run to the record as it ends, and prints the metrics of all. Logs
-// and configurations are created below logs, or, if it is empty, in a temporary directory that is
-// removed.
+// runScale runs a plan, appends each run to the record as it ends, and prints the metrics of all runs. Logs and
+// configurations are kept in a directory in logs; if logs is empty, they are in a temporary directory that is removed.
 func runScale(ctx context.Context, out io.Writer, cfg scaletest.Config, record, logs string) (err error) {
 	for _, program := range []string{cfg.Agent, cfg.Discovery} {
 		if _, err := os.Stat(program); err != nil {
-			return fmt.Errorf("a program that is run is not built: %w", err)
+			return fmt.Errorf("agent or discovery is not built: %w", err)
 		}
 	}
 	directory, removeDirectory, err := workDirectory(logs)
--- a/cmd/experiment/scalehost.go
+++ b/cmd/experiment/scalehost.go
@@ -9,21 +9,21 @@
 	"fernbeam.example/fernbeam/internal/scaletest"
 )
 
-// agentGCPercent is the garbage collector's setting in cmd/agent.
+// agentGCPercent is the GC percentage that cmd/agent sets.
 const agentGCPercent = 400
 
-// scaleHostCmd is `experiment scale-host`, a process of hollow agents that `experiment scale` starts and
-// controls.
+// scaleHostCmd returns the command `experiment scale-host`, a host process of hollow agents that `experiment scale`
+// starts and controls.
 func scaleHostCmd() *cobra.Command {
 	logPath := ""
 	cmd := &cobra.Command{
 		Use:    "scale-host",
-		Short:  "run hollow agents as commands on standard input say",
+		Short:  "run hollow agents as directed by commands on standard input",
 		Hidden: true,
 		Args:   cobra.NoArgs,
-		Long: "Runs agents without client traffic, many in this process. Commands are read as JSON, one a line, from\n" +
-			"standard input, and events are written to standard output: internal/scaletest/protocol.go has their\n" +
-			"forms. The end of the input ends all agents.",
+		Long: "Runs many agents without client traffic in this process. Commands are read from standard input and events\n" +
+			"are written to standard output, each as a line of JSON; internal/scaletest/protocol.go defines their\n" +
+			"formats. At the end of the input all agents are stopped.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			debug.SetGCPercent(agentGCPercent)
 			if logPath == "" {
@@ -33,10 +33,10 @@
 			if err != nil {
 				return err
 			}
-			defer func() { _ = log.Close() }() // a lost log line is no error of the run
+			defer func() { _ = log.Close() }() // losing log lines does not make the run fail
 			return scaletest.ServeHost(cmd.Context(), cmd.InOrStdin(), cmd.OutOrStdout(), log)
 		}}
 	cmd.Flags().StringVar(&logPath, "log", "",
-		"file to which the agents' log lines are appended; default: they are formatted and dropped")
+		"file to which the agents' log lines are appended (default: they are formatted and discarded)")
 	return cmd
 }
