--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -54,8 +54,8 @@
 	return err
 }
 
-// writeRunErrors writes the runs that are not valid, the agents that failed, and the violations, followed by their
-// numbers.
+// writeRunErrors writes the runs that are not valid, the agents that failed, and the violations, followed by the
+// numbers of runs, runs that are not valid, and violations.
 func writeRunErrors(out *bytes.Buffer, records []*Record) {
 	violations, invalid := 0, 0
 	for _, record := range records {
