--- a/internal/scaletest/agentlog.go
+++ b/internal/scaletest/agentlog.go
@@ -16,20 +16,21 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// agentLogState is how far an agent's log was read, and what its present process reported last.
+// agentLogState is the position up to which an agent's log has been read, and the last values that the agent's
+// current process logged.
 type agentLogState struct {
 	offset          int64
 	listVersion     uint64
 	settingsVersion uint64 // 0 while the settings are those of the configuration file
-	servers         int    // entries of the endpoint list, by the policy's states
+	servers         int    // entries of the endpoint list, summed over the policy's states
 	droppedLines    int    // log lines that the process dropped
-	// The counters of calls to discovery in the last "metrics" line, and that line's time.
+	// The counters of calls to discovery in the last "metrics" line, and the time of that line.
 	listIn, listOut, listCalls float64
 	countersAt                 time.Time
 }
 
-// The lines of an agent's log that are read (ON-CALL, "Reading the log"): "list", the answer to a poll or
-// watch that was put in force; "settings applied"; and "metrics".
+// The log lines that are evaluated (ON-CALL, "Reading the log"): "endpoint list", logged when the response to a
+// poll or watch comes into force; "settings applied"; and "metrics".
 var (
 	timePattern     = regexp.MustCompile(`^time=(\S+) `)
 	listPattern     = regexp.MustCompile(` msg="endpoint list" .*\bto=(\d+)\b`)
@@ -38,7 +39,7 @@
 		`.*\bunlogged:(\d+)\b.*\blistIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
 )
 
-// The groups of metricsPattern: the servers in each of the policy's states, and counters.
+// The groups of metricsPattern: the numbers of servers in each of the policy's states, followed by counters.
 const (
 	stateCount    = 4
 	droppedGroup  = 4
@@ -49,21 +50,21 @@
 )
 
 const (
-	// countersTimeout is how long an agent may take to log its counters: it does so each second (README,
-	// "Reading the log"), on a loaded machine later.
+	// countersTimeout is how long an agent may take to log its counters. It logs them every second (README,
+	// "Reading the log"), or later on a loaded machine.
 	countersTimeout = 5 * time.Second
 	// logPollInterval is the pause between two reads of a log.
 	logPollInterval = 20 * time.Millisecond
 )
 
-// state is what an agent's log has reported.
+// state returns what has been read from an agent's log.
 func (r *realAgents) state(name string) agentLogState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return *r.logs[name]
 }
 
-// finishLog reads the rest of the log of a process that has ended.
+// finishLog reads the rest of the log of a process that has ended, and resets the state for the next process.
 func (r *realAgents) finishLog(name string) error {
 	err := r.readLog(name)
 	r.trackers.forEach(func(t *tracker) { t.ended(name) })
@@ -74,7 +75,7 @@
 	return err
 }
 
-// awaitCounters waits until an agent has logged its counters after a time.
+// awaitCounters waits until an agent has logged its counters later than the time after.
 func (r *realAgents) awaitCounters(ctx context.Context, name string, after time.Time) error {
 	deadline := time.Now().Add(countersTimeout)
 	for {
@@ -85,7 +86,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s has not written its counts for %v", name, countersTimeout)
+			return fmt.Errorf("%s has not logged its counters within %v", name, countersTimeout)
 		}
 		select {
 		case <-time.After(logPollInterval):
@@ -95,7 +96,7 @@
 	}
 }
 
-// readLog reads the complete lines that an agent's log has beyond those read before.
+// readLog reads the complete lines that were added to an agent's log since the last call.
 func (r *realAgents) readLog(name string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,19 +113,19 @@
 	for {
 		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return nil // an incomplete line is read next time
+			return nil // the next call reads an incomplete line again
 		}
 		if err != nil {
 			return err
 		}
 		state.offset += int64(len(line))
 		if err := r.handleLine(name, state, bytes.TrimSuffix(line, []byte("\n"))); err != nil {
-			return fmt.Errorf("%s's log: %w", name, err)
+			return fmt.Errorf("log of %s: %w", name, err)
 		}
 	}
 }
 
-// handleLine handles one line; the caller has locked mu.
+// handleLine evaluates one line. The caller must hold r.mu.
 func (r *realAgents) handleLine(name string, state *agentLogState, line []byte) error {
 	if match := listPattern.FindSubmatch(line); match != nil {
 		return r.handleVersion(name, kindList, &state.listVersion, line, match[1])
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// handleVersion records that a version came into force.
+// handleVersion records that the version in text came into force at the time of the line.
 func (r *realAgents) handleVersion(
 	name string, kind capacity.ChangeKind, latest *uint64, line, text []byte,
 ) error {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// handleMetrics records an agent's counters.
+// handleMetrics records an agent's counters from the groups of a "metrics" line.
 func (r *realAgents) handleMetrics(name string, state *agentLogState, line []byte, texts [][]byte) error {
 	at, err := lineTime(line)
 	if err != nil {
@@ -182,11 +183,11 @@
 	return nil
 }
 
-// lineTime is the time of a line.
+// lineTime returns the time of a log line.
 func lineTime(line []byte) (time.Time, error) {
 	match := timePattern.FindSubmatch(line)
 	if match == nil {
-		return time.Time{}, fmt.Errorf("a line without a time: %s", line)
+		return time.Time{}, fmt.Errorf("line has no time: %s", line)
 	}
 	return time.Parse(time.RFC3339Nano, string(match[1]))
 }
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -9,18 +9,17 @@
 )
 
 const (
-	// weightSteps is the number of weights that a change selects from, in [0.5, 1.5).
+	// weightSteps is the number of different weights in [0.5, 1.5) that a change selects from.
 	weightSteps = 1_000_000
 	minWeight   = 0.5
-	// drainOneIn is the part of changes that drain a server, one in drainOneIn.
+	// One in drainOneIn changes to a server that is not draining drains it.
 	drainOneIn = 4
-	// The maxRetryAfterMs of settings cycles through retryAfterSteps values from minRetryAfterMs.
+	// The maxRetryAfterMs in settings cycles through retryAfterSteps values that begin at minRetryAfterMs.
 	minRetryAfterMs = 1000
 	retryAfterSteps = 1000
 )
 
-// changeServer writes a random server with another weight or state, and records when that was
-// acknowledged.
+// changeServer writes a new weight or state of a random server, and records when discovery acknowledged it.
 func (f *fleet) changeServer(ctx context.Context) error {
 	f.mu.Lock()
 	server := &f.servers[f.random.IntN(len(f.servers))]
@@ -36,14 +35,14 @@
 	f.mu.Unlock()
 	version, err := f.discovery.putServer(ctx, changed)
 	if err != nil {
-		return fmt.Errorf("change of %s: %w", changed.ID, err)
+		return fmt.Errorf("change server %s: %w", changed.ID, err)
 	}
 	f.trackers[kindList].acknowledged(version, time.Now())
 	return nil
 }
 
-// assignServices gives each member a service whose settings it uses, where settings change: as many
-// members to each, at random.
+// assignServices assigns each member the service whose settings it uses, if the plan changes settings. The members
+// are distributed evenly over the services in random order.
 func (f *fleet) assignServices() {
 	if f.settingsServices == 0 {
 		return
@@ -57,11 +56,11 @@
 	}
 }
 
-// serviceName is the i-th service's name in discovery.
+// serviceName returns the name of the i-th service in discovery.
 func serviceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// nextChangeIsSettings decides at random whether the next change is one of settings. A plan without
-// such changes draws no random number.
+// nextChangeIsSettings decides at random whether the next change is one of settings. It draws no random number if the
+// plan has no such changes.
 func (f *fleet) nextChangeIsSettings() bool {
 	if f.plan.SettingsFraction == 0 {
 		return false
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// changeSettings writes other settings of a random service, and records when that was acknowledged.
+// changeSettings writes new settings of a random service, and records when discovery acknowledged them.
 func (f *fleet) changeSettings(ctx context.Context) error {
 	f.mu.Lock()
 	service := serviceName(f.random.IntN(f.settingsServices))
@@ -89,8 +88,8 @@
 	return f.putSettings(ctx, service)
 }
 
-// putSettings writes all settings of a service: the deployment's, with a limit that has no effect
-// without requests. The limit is different at each write, as identical settings make no new version.
+// putSettings writes all settings of a service. They are those of the deployment except for maxRetryAfterMs, which has
+// no effect without requests. It differs from write to write, because identical settings make no new version.
 func (f *fleet) putSettings(ctx context.Context, service string) error {
 	f.mu.Lock()
 	f.settingsWrites++
@@ -100,7 +99,7 @@
 	settings.Limits.MaxRetryAfterMs = float64(retryAfterMs)
 	version, err := f.discovery.putSettings(ctx, service, &settings)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", service, err)
+		return fmt.Errorf("put settings of %s: %w", service, err)
 	}
 	f.trackers[kindSettings].acknowledgedFor(service, version, time.Now())
 	return nil
--- a/internal/scaletest/convergence.go
+++ b/internal/scaletest/convergence.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// convergenceTimeout is how long a fleet may take to have one membership snapshot and the last list.
+	// convergenceTimeout is how long a fleet may take to converge on one membership snapshot and the newest versions.
 	convergenceTimeout = 60 * time.Second
-	// convergencePollInterval is the pause between two observations, each of which has the hosts collect
-	// their garbage.
+	// convergencePollInterval is the pause between two observations. Each observation runs a garbage collection in
+	// every host process.
 	convergencePollInterval = time.Second
 )
 
-// observation is what a member reports of its membership snapshot and the versions in force.
+// observation is what a member reports about its membership snapshot and the versions in force.
 type observation struct {
 	digest          string
-	settled         bool // the snapshot has not changed for its settle time
+	settled         bool // the snapshot has not changed for the settle time
 	listVersion     uint64
 	settingsVersion uint64
 }
 
-// fleetState has the numbers of the members that run, by what they report.
+// fleetState counts the running members by what they report.
 type fleetState struct {
 	running     int
-	silent      string         // a member that does not report; "": all do
-	byDigest    map[string]int // by the digest of their membership snapshots
-	oldList     int            // without the last list
-	oldSettings int            // without their last settings
-	unsettled   int            // whose snapshots still change
+	silent      string         // a member that does not report; empty if all do
+	byDigest    map[string]int // members by the digest of their membership snapshots
+	oldList     int            // members without the newest list
+	oldSettings int            // members without the newest settings of their service
+	unsettled   int            // members whose snapshots still change
 }
 
-// divergence describes how the members differ from each other or lack what is last; it is empty if the fleet has
-// converged.
+// divergence describes how the members' snapshots differ, or which newest version they lack. It is empty if the fleet
+// has converged.
 func (s *fleetState) divergence() string {
 	switch {
 	case s.silent != "":
@@ -52,7 +52,8 @@
 	return ""
 }
 
-// divergenceOrChange is divergence, or else describes which members' snapshots still change.
+// divergenceOrChange returns divergence if the fleet has not converged, or else how many members' snapshots still
+// change.
 func (s *fleetState) divergenceOrChange() string {
 	problem := s.divergence()
 	if problem == "" && s.unsettled > 0 {
@@ -61,19 +62,20 @@
 	return problem
 }
 
-// awaitConvergence waits until all members that run have the last list, their last settings and the same membership
-// snapshot. problem says which members have not after convergenceTimeout; it is empty if the fleet has converged.
+// awaitConvergence waits until all running members have the newest list, the newest settings of their service and the
+// same membership snapshot. If they don't within convergenceTimeout, problem describes the divergence; otherwise it is
+// empty.
 func (f *fleet) awaitConvergence(ctx context.Context) (problem string, err error) {
 	return f.awaitState(ctx, (*fleetState).divergence)
 }
 
-// awaitSettled is awaitConvergence, and waits until no member's snapshot has changed for its settle time.
+// awaitSettled is like awaitConvergence, and also waits until no member's snapshot has changed for the settle time.
 func (f *fleet) awaitSettled(ctx context.Context) (problem string, err error) {
 	return f.awaitState(ctx, (*fleetState).divergenceOrChange)
 }
 
-// awaitState waits until describe finds no problem in the fleet's state, and returns the one that it finds after
-// convergenceTimeout.
+// awaitState waits until describe finds no problem in the fleet's state. After convergenceTimeout it returns the
+// problem that is left.
 func (f *fleet) awaitState(ctx context.Context, describe func(*fleetState) string) (problem string, err error) {
 	deadline := time.Now().Add(convergenceTimeout)
 	for {
@@ -93,7 +95,7 @@
 	}
 }
 
-// state observes all members that run.
+// state observes all running members and counts them by what they report.
 func (f *fleet) state(ctx context.Context) (*fleetState, error) {
 	observations, err := f.observe(ctx)
 	if err != nil {
@@ -121,7 +123,7 @@
 	return state, nil
 }
 
-// largest is the largest of some counts.
+// largest returns the largest of the counts.
 func largest(counts map[string]int) int {
 	most := 0
 	for _, n := range counts {
@@ -130,7 +132,7 @@
 	return most
 }
 
-// observe observes all members that run. A real agent that does not answer is left out.
+// observe returns the observations of all running members by name. A real agent that does not respond is left out.
 func (f *fleet) observe(ctx context.Context) (map[string]observation, error) {
 	var mu sync.Mutex
 	observations := map[string]observation{}
@@ -147,7 +149,7 @@
 		group.Go(func() error {
 			status, err := f.realAgents.status(ctx, m.address(adminPort))
 			if err != nil {
-				return nil // the agent is missing from the observations then
+				return nil // the agent is left out of the observations
 			}
 			if err := f.realAgents.readLog(m.name); err != nil {
 				return err
@@ -162,8 +164,8 @@
 	return observations, group.Wait()
 }
 
-// requestReports requests a report of each host, in the group, and calls handle with each, with mu
-// locked.
+// requestReports requests a report from each host in a goroutine of the group, and calls handle with each report while
+// it holds mu.
 func (f *fleet) requestReports(
 	ctx context.Context, group *errgroup.Group, mu *sync.Mutex, handle func(host string, r *HostReport),
 ) {
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -19,8 +19,8 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// discoveryCluster is a real discovery service: instances whose Raft links pass through proxies that
-// can be cut.
+// discoveryCluster is a real discovery service. The Raft connections between its instances pass through proxies, so
+// that they can be cut.
 type discoveryCluster struct {
 	*processtest.Cluster
 	client       *http.Client
@@ -28,19 +28,19 @@
 }
 
 const (
-	// writeTimeout of one write is longer than the service waits for a commit.
+	// writeTimeout is the timeout of one write. It is longer than the time that the service waits for a commit.
 	writeTimeout = 6 * time.Second
 	// leaderTimeout is how long an election may take on a loaded machine.
 	leaderTimeout = 30 * time.Second
 	// writeRetryInterval is the pause before a write that failed is sent to the next instance.
 	writeRetryInterval = 20 * time.Millisecond
-	// maxIdleConnections are kept to each instance.
+	// maxIdleConnections is the number of idle connections that are kept to each instance.
 	maxIdleConnections = 64
-	// maxWriteResponse is the part of a response to a write that is read.
+	// maxWriteResponse is the number of bytes that are read of the response to a write.
 	maxWriteResponse = 1 << 16
 )
 
-// startDiscovery starts a number of instances, each on an address of its own, and waits for a leader.
+// startDiscovery starts count instances, each on its own address, and waits until they have a leader.
 func startDiscovery(
 	ctx context.Context, program, directory string, count int, ip func(i int) string,
 ) (*discoveryCluster, error) {
@@ -76,8 +76,8 @@
 	return d, nil
 }
 
-// discoveryArguments writes an instance's configuration and returns its command line. Where the file
-// can't be written the program names the missing file.
+// discoveryArguments writes an instance's configuration file and returns the instance's command-line arguments. If the
+// file can't be written, the path is that of a missing file, so that the program fails with an error that names it.
 func discoveryArguments(c *processtest.Cluster, name, directory string) []string {
 	path := filepath.Join(directory, name+".toml")
 	if err := writeDiscoveryConfig(c, name, path); err != nil {
@@ -86,8 +86,8 @@
 	return []string{"serve", "--config", path}
 }
 
-// writeDiscoveryConfig writes an instance's configuration. It reaches each other instance by a link of
-// its own.
+// writeDiscoveryConfig writes an instance's configuration file. The instance reaches each of the others through a
+// separate proxied connection.
 func writeDiscoveryConfig(c *processtest.Cluster, name, path string) error {
 	file, err := c.DiscoveryFile(name)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return leader, errors.Join(err, ctx.Err())
 }
 
-// leader is the instance that reports to be the leader, or "".
+// leader returns the name of the instance that reports to be the leader, or "" if there is none.
 func (d *discoveryCluster) leader(ctx context.Context) string {
 	return d.FirstRunning(func(name string) bool {
 		status, err := d.status(ctx, name)
@@ -113,7 +113,7 @@
 	})
 }
 
-// status is the status of an instance by its admin endpoint.
+// status requests the status of an instance from its admin endpoint.
 func (d *discoveryCluster) status(ctx context.Context, name string) (server.Status, error) {
 	var status server.Status
 	url := "http://" + d.Addr(name, processtest.AdminPort) + endpoint.StatusPath
@@ -130,23 +130,23 @@
 	return status, err
 }
 
-// errRejected is returned for a write that no retry can make succeed.
+// errRejected is returned for a write that was rejected as invalid, which a retry can't change.
 var errRejected = errors.New("rejected")
 
-// putServer sets a server's entry and returns the version of the change.
+// putServer writes a server's entry and returns the version of the change.
 func (d *discoveryCluster) putServer(ctx context.Context, t endpoint.Endpoint) (uint64, error) {
 	return d.putAcknowledged(ctx, endpoint.ServerPath(t.ID), t)
 }
 
-// putSettings sets all settings of a service and returns the version of the change.
+// putSettings writes all settings of a service and returns the version of the change.
 func (d *discoveryCluster) putSettings(
 	ctx context.Context, service string, settings *experiment.ServiceSettings,
 ) (uint64, error) {
 	return d.putAcknowledged(ctx, endpoint.SettingsPath(service), settings)
 }
 
-// putAcknowledged puts a value as JSON by the admin endpoint of any instance. It retries with the next
-// instance until the write is acknowledged or rejected as invalid, or ctx ends.
+// putAcknowledged puts a value as JSON to the admin endpoint of an instance. It retries at the next instance until the
+// write is acknowledged or rejected as invalid, or until ctx ends.
 func (d *discoveryCluster) putAcknowledged(ctx context.Context, path string, value any) (uint64, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/scaletest/eventwriter.go
+++ b/internal/scaletest/eventwriter.go
@@ -9,25 +9,25 @@
 	"sync"
 )
 
-// eventWriter writes events in order, each as one line of JSON. write never waits for the reader, and
+// eventWriter writes events in order, each as one line of JSON. The method write never blocks on the reader, and
 // events that are queued at the same time are flushed together.
 type eventWriter struct {
-	pendingSignal chan struct{} // of capacity one: there is something to write
-	written       chan struct{} // closed once everything is written
+	pendingSignal chan struct{} // capacity 1; holds a value while there is something to write
+	written       chan struct{} // closed when the writing goroutine ends
 
 	mu    sync.Mutex
 	queue []HostEvent
 	ended bool
 }
 
-// newEventWriter starts the goroutine that writes, which close waits for. failed is called with an
-// error of the writer, after which nothing more is written.
+// newEventWriter starts the writing goroutine; close waits for its end. If a write fails, the goroutine calls failed
+// with the error and writes nothing more.
 func newEventWriter(to io.Writer, failed func(error)) *eventWriter {
 	w := &eventWriter{pendingSignal: make(chan struct{}, 1), written: make(chan struct{})}
 	go func() {
 		defer close(w.written)
 		if err := w.writeUntilEnd(to); err != nil {
-			failed(fmt.Errorf("scale: events: %w", err))
+			failed(fmt.Errorf("scale: write events: %w", err))
 		}
 	}()
 	return w
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// takeQueue empties the queue; ended says that nothing more follows.
+// takeQueue removes and returns the queued events. ended reports whether no more follow.
 func (w *eventWriter) takeQueue() (queue []HostEvent, ended bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +70,7 @@
 	w.signal()
 }
 
-// signal wakes the goroutine that writes.
+// signal wakes the writing goroutine.
 func (w *eventWriter) signal() {
 	select {
 	case w.pendingSignal <- struct{}{}:
@@ -78,7 +78,7 @@
 	}
 }
 
-// close writes what is queued and waits for it.
+// close waits until the queued events are written, and ends the writing goroutine.
 func (w *eventWriter) close() {
 	w.mu.Lock()
 	w.ended = true
