--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -16,31 +16,31 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// The regions and zones of a fleet. A zone's name begins with its region's.
+// The regions and zones of a fleet. The name of a zone begins with that of its region.
 var (
 	regionNames = []string{"r1", "r2"}
 	zoneNames   = []string{"r1-z1", "r1-z2", "r1-z3", "r2-z1", "r2-z2", "r2-z3"}
 )
 
-// zonesPerRegion zones follow each other in zoneNames.
+// zonesPerRegion is the number of consecutive zones of a region in zoneNames.
 var zonesPerRegion = len(zoneNames) / len(regionNames)
 
-// regionOf is the index of a zone's region.
+// regionOf returns the index of a zone's region.
 func regionOf(zone int) int { return zone / zonesPerRegion }
 
 const (
-	// concurrentWrites is the number of writes at once while the list is first filled.
+	// concurrentWrites is the number of concurrent writes that fill the endpoint list at the start.
 	concurrentWrites = 16
-	// concurrentMembers is the number of members that are started or stopped at once.
+	// concurrentMembers is the number of members that are started or stopped concurrently.
 	concurrentMembers = 64
-	// serversPerCell servers follow each other in a cell.
+	// serversPerCell is the number of consecutive servers in a cell.
 	serversPerCell = 6
-	// serverPort is the port of the listed servers. Nothing listens there: an agent connects to a server
-	// only with a request, and there are none.
+	// serverPort is the port of the listed servers. Nothing listens there: agents connect to servers only to forward
+	// requests, and a run has none.
 	serverPort = 9000
 )
 
-// addressKind selects a range of the fleet's loopback network.
+// addressKind selects a range of addresses in the fleet's loopback network.
 type addressKind int
 
 const (
@@ -54,20 +54,20 @@
 	addressesPerSubnet = 250
 )
 
-// fleet is a fleet of one size with its discovery service.
+// fleet is a fleet of agents together with its discovery service.
 type fleet struct {
 	plan             *Plan
-	size             int // hollow and real agents
+	size             int // number of hollow and real agents
 	listedServers    int
 	directory        string
 	network          faultproxy.Network // of the loopback addresses
-	packetRelay      *faultproxy.Proxy  // nil: membership packets pass no relay
+	packetRelay      *faultproxy.Proxy  // relays membership packets; nil if they are sent directly
 	discovery        *discoveryCluster
 	hosts            []*hostProcess
 	realAgents       *realAgents
 	trackers         trackers
 	carries          map[string]*counterCarry // of the processes that may be restarted
-	settingsServices int                      // services whose settings change; 0 where none do
+	settingsServices int                      // number of services whose settings change
 
 	mu             sync.Mutex
 	random         *rand.Rand
@@ -76,7 +76,7 @@
 	settingsWrites uint64
 }
 
-// start starts a fleet. The caller closes it, also after an error.
+// start starts a fleet. The caller must close it, also after an error.
 func (f *fleet) start(ctx context.Context, cfg *Config, hollow int) error {
 	var err error
 	f.network, err = faultproxy.ReserveNetwork()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// hostCount is the number of host processes for hollow agents.
+// hostCount returns the number of host processes that a number of hollow agents need.
 func hostCount(hollow, agentsPerHost int) int { return (hollow + agentsPerHost - 1) / agentsPerHost }
 
 // prepareRealAgents prepares the processes of the real agents, which startMember starts.
@@ -151,7 +151,7 @@
 	return err
 }
 
-// fillList puts all servers on the endpoint list.
+// fillList adds all servers to the endpoint list.
 func (f *fleet) fillList(ctx context.Context) error {
 	models := experiment.Default().Models
 	for i := range f.listedServers {
@@ -181,13 +181,13 @@
 	return group.Wait()
 }
 
-// address is one of the fleet's loopback addresses.
+// address returns the i-th loopback address of a kind.
 func (f *fleet) address(kind addressKind, i int) string {
 	subnet := subnetsPerKind*int(kind) + i/addressesPerSubnet
 	return fmt.Sprintf("127.%d.%d.%d", f.network.Number, subnet, i%addressesPerSubnet+1)
 }
 
-// forEach calls do for members, up to concurrentMembers at a time.
+// forEach calls do for each of the members, for up to concurrentMembers of them concurrently.
 func (f *fleet) forEach(ctx context.Context, members []*member, do func(context.Context, *member) error) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(concurrentMembers)
@@ -202,7 +202,7 @@
 	return group.Wait()
 }
 
-// close ends everything that was started.
+// close ends all processes of the fleet and releases its addresses.
 func (f *fleet) close() {
 	var group sync.WaitGroup
 	for _, h := range f.hosts {
--- a/internal/scaletest/hollowagent.go
+++ b/internal/scaletest/hollowagent.go
@@ -12,16 +12,16 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// hollowAgent is one agent of a host process.
+// hollowAgent is one of the agents in a host process.
 type hollowAgent struct {
 	agent   *agent.Agent
 	cancel  context.CancelFunc // stops it gracefully
-	ended   <-chan struct{}    // closed once it is stopped, or has ended
+	ended   <-chan struct{}    // closed once the agent is told to stop, or has ended
 	reloads chan *config.Config
-	config  *config.Config // in force
+	config  *config.Config // the configuration in force
 }
 
-// start starts an agent.
+// start starts the agent that a command names.
 func (h *hostServer) start(c *HostCommand, _ *hollowAgent) error {
 	cfg, err := h.agentConfig(c)
 	if err != nil {
@@ -35,7 +35,7 @@
 	a.agent, err = agent.New(cfg, listeners)
 	if err != nil {
 		if listeners.Admin != nil {
-			_ = listeners.Admin.Close() // the agent's error is the one to report
+			_ = listeners.Admin.Close() // the error of agent.New is the one to report
 		}
 		return err
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// agentConfig is the configuration of the agent that a command starts. Its calls to discovery come from the address of
-// its membership, or else from the one where it would take clients.
+// agentConfig returns the configuration of the agent that a command starts. The agent calls discovery from its
+// membership address, or without membership from the address where it would accept clients.
 func (h *hostServer) agentConfig(c *HostCommand) (*config.Config, error) {
 	cfg, err := config.Parse(c.Config)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return cfg, nil
 }
 
-// listen opens the listeners of an agent: it has no clients, and an admin endpoint where one is configured. It returns
-// false where the address can't be had: the command is valid, so this is written as the agent's end.
+// listen opens the listeners of an agent: none for clients, and one for the admin endpoint if that is configured.
+// It returns false if it can't listen. The command is valid nevertheless, so this is reported as the agent's end.
 func (h *hostServer) listen(name string, cfg *config.Config) (listeners agent.Listeners, ok bool) {
 	if cfg.AdminAddr == "" {
 		return listeners, true
@@ -74,7 +74,7 @@
 	return listeners, true
 }
 
-// spawn runs an agent in the background.
+// spawn starts a goroutine that runs an agent.
 func (h *hostServer) spawn(name string, a *hollowAgent) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
@@ -90,7 +90,7 @@
 	}()
 }
 
-// callAddress is the address that an agent's calls to discovery come from; nil: the system selects it.
+// callAddress returns the address from which an agent calls discovery. If it is nil, the system selects one.
 func callAddress(cfg *config.Config) net.IP {
 	address := cfg.Listen
 	if cfg.Membership != nil {
@@ -103,7 +103,7 @@
 	return net.ParseIP(ip)
 }
 
-// run runs an agent until it ends, or until the context does.
+// run runs an agent until it ends or ctx is canceled, and reports its end.
 func (h *hostServer) run(ctx context.Context, name string, a *hollowAgent) {
 	defer a.cancel()
 	event := HostEvent{Ended: name}
@@ -116,11 +116,11 @@
 	h.events.write(event)
 }
 
-// stop ends an agent gracefully.
+// stop starts the graceful shutdown of an agent.
 func (h *hostServer) stop(_ *HostCommand, a *hollowAgent) error {
 	select {
 	case <-a.ended:
-		return errAlreadyEnds
+		return errShuttingDown
 	default:
 	}
 	a.cancel()
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// reload puts another configuration in force at an agent.
+// reload applies another configuration to a running agent.
 func (h *hostServer) reload(c *HostCommand, a *hollowAgent) error {
 	cfg, err := config.ParseReload(c.Config, a.config)
 	if err != nil {
@@ -145,11 +145,11 @@
 		a.config = cfg
 		return nil
 	case <-a.ended:
-		return errAlreadyEnds
+		return errShuttingDown
 	}
 }
 
-// reportInForce writes the event that a version is in force at an agent.
+// reportInForce reports that a version is in force at an agent.
 func (h *hostServer) reportInForce(name string, kind capacity.ChangeKind, version uint64) {
 	now := time.Now().UnixMicro()
 	h.events.write(HostEvent{InForce: &VersionInForce{Agent: name, Kind: kind, Version: version, AtUs: now}})
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// waitTimeout bounds every wait of the tests; each needs a fraction of it.
+// waitTimeout bounds every wait in the tests. Each wait needs only a fraction of it.
 const waitTimeout = 3 * time.Minute
 
 // hostClient sends commands to a host and receives its events.
@@ -27,7 +27,7 @@
 	arrived chan struct{}
 }
 
-// startHostClient starts a host in this process. The test's end stops it.
+// startHostClient starts a host server in this process, and stops it at the end of the test.
 func startHostClient(t *testing.T) *hostClient {
 	t.Helper()
 	commands, stdin := io.Pipe()
@@ -51,7 +51,7 @@
 	return h
 }
 
-// close ends the host with its agents.
+// close ends the host and all of its agents.
 func (h *hostClient) close() {
 	_ = h.stdin.Close() // a pipe's Close never fails
 	select {
@@ -61,11 +61,11 @@
 		}
 		h.done <- nil
 	case <-time.After(waitTimeout):
-		h.t.Error("the host does not end")
+		h.t.Error("the host did not end in time")
 	}
 }
 
-// command sends a command; config may be nil.
+// command sends a command. config may be nil.
 func (h *hostClient) command(do commandName, name string, config any) {
 	h.t.Helper()
 	command := HostCommand{Command: do, Agent: name}
@@ -75,7 +75,7 @@
 	h.writeLine(string(marshal(h.t, command)))
 }
 
-// marshal is a value as JSON.
+// marshal returns a value as JSON.
 func marshal(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -85,7 +85,7 @@
 	return text
 }
 
-// writeLine sends a line.
+// writeLine writes a line to the host's standard input.
 func (h *hostClient) writeLine(text string) {
 	h.t.Helper()
 	if _, err := io.WriteString(h.stdin, text+"\n"); err != nil {
@@ -93,8 +93,7 @@
 	}
 }
 
-// await waits for an event that fits, among those from index since on, and returns it and the index after
-// it.
+// await waits for an event that fits among those from index since on. It returns the event and the index after it.
 func (h *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
 	h.t.Helper()
 	over := time.After(waitTimeout)
@@ -110,27 +109,27 @@
 		select {
 		case <-arrived:
 		case <-over:
-			h.t.Fatalf("no such event: %s", what)
+			h.t.Fatalf("event not received in time: %s", what)
 		}
 	}
 }
 
-// count is the number of events so far.
+// count returns the number of events received so far.
 func (h *hostClient) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.events)
 }
 
-// ended waits for an agent's end.
+// ended waits for the end of an agent and returns its event.
 func (h *hostClient) ended(name string) HostEvent {
 	h.t.Helper()
 	event, _ := h.await(0, name+" ended", func(event *HostEvent) bool { return event.Ended == name })
 	return event
 }
 
-// awaitInForce waits until a version or a later one is in force at a number of agents, which has to be reported at
-// once.
+// awaitInForce waits until a version or a later one is in force at a number of agents. It fails the test if the last
+// of their events has a time in the future or more than waitTimeout ago.
 func (h *hostClient) awaitInForce(agents int, kind capacity.ChangeKind, version uint64) {
 	h.t.Helper()
 	have := map[string]bool{}
@@ -149,7 +148,7 @@
 	}
 }
 
-// report requests a report and waits for it.
+// report requests a report and returns it.
 func (h *hostClient) report() *HostReport {
 	h.t.Helper()
 	since := h.count()
@@ -158,14 +157,14 @@
 	return event.Report
 }
 
-// The pause between two reports of awaitReport doubles from the first to the longest: a report collects garbage, and
-// the host's agents must have time to come to the wanted state.
+// The pause between two reports of awaitReport doubles from firstReportPause to longestReportPause: each report runs a
+// garbage collection, and the agents need time to reach the wanted state.
 const (
 	firstReportPause   = 200 * time.Millisecond
 	longestReportPause = 2 * time.Second
 )
 
-// awaitReport requests reports until one is as wanted.
+// awaitReport requests reports until isWanted accepts one, and returns it.
 func (h *hostClient) awaitReport(what string, isWanted func(*HostReport) bool) *HostReport {
 	h.t.Helper()
 	end := time.Now().Add(waitTimeout)
@@ -175,7 +174,7 @@
 			return report
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("no such report: %s: %+v", what, report)
+			h.t.Fatalf("no report in time with %s; the last one is %+v", what, report)
 		}
 		time.Sleep(pause)
 	}
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// hostProcess is the runner's side of a host process.
+// hostProcess is a host process as the runner sees it: the runner sends commands and receives events.
 type hostProcess struct {
 	name     string
 	cmd      *exec.Cmd
@@ -25,35 +25,35 @@
 	stdin   io.WriteCloser
 	waiters map[agentEvent]chan error // by the event waited for
 	reports chan *HostReport
-	err     error // the first error that the host reported, or how its events ended
+	err     error // the first error that the host reported, or that of reading its events
 
-	reporting  sync.Mutex // locked while a report is waited for
+	reportMu   sync.Mutex // held while waiting for a report
 	lastReport *HostReport
 }
 
 const (
-	// agentTimeout is how long a host may take to start or end an agent. The machine is loaded, and a
-	// graceful shutdown takes its 3 s (agent.Run).
+	// agentTimeout is how long a host may take to start or end an agent. It allows for a loaded machine, and for the
+	// 3 s that a graceful shutdown takes (agent.Run).
 	agentTimeout = 30 * time.Second
 	// reportTimeout is how long a host may take to report on all of its agents.
 	reportTimeout = 60 * time.Second
-	// hostStopTimeout is how long a host may take to end once its input has.
+	// hostStopTimeout is how long a host may take to end after its standard input is closed.
 	hostStopTimeout = 3 * time.Second
-	// maxReportAge is how old a report may be that has the counters of an agent before it ends: where many
-	// agents end at once, they share one report.
+	// maxReportAge is the maximum age of a report from which the counters of an agent are taken before the agent is
+	// ended. It lets agents that are ended at the same time share one report.
 	maxReportAge = 200 * time.Millisecond
 )
 
-// agentEvent identifies an event that a command waits for.
+// agentEvent identifies an event for which a command waits.
 type agentEvent struct {
 	kind  agentEventKind
 	agent string
 }
 
-// agentEventKind is what has happened to an agent.
+// agentEventKind is the kind of an agentEvent.
 type agentEventKind string
 
-// The kinds of events that commands wait for.
+// The kinds of events for which commands wait.
 const (
 	agentStarted agentEventKind = "started"
 	agentEnded   agentEventKind = "ended"
@@ -62,16 +62,17 @@
 func startedEvent(agent string) agentEvent { return agentEvent{agentStarted, agent} }
 func endedEvent(agent string) agentEvent   { return agentEvent{agentEnded, agent} }
 
-// String names the event in errors.
+// String returns the event as it is named in errors.
 func (e agentEvent) String() string { return string(e.kind) + " " + e.agent }
 
-// startHost starts a host process, with its log in a directory. It runs until close, beyond the end of the context.
+// startHost starts a host process whose log is NAME.log in a directory. The process runs until it is closed, even if
+// ctx ends before.
 func startHost(ctx context.Context, command []string, name, directory string, trackers trackers) (*hostProcess, error) {
 	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	h := &hostProcess{
 		name:     name,
 		cmd:      exec.CommandContext(context.WithoutCancel(ctx), command[0], command[1:]...),
@@ -81,7 +82,7 @@
 		reports:  make(chan *HostReport, 1),
 	}
 	h.cmd.Stderr = log
-	// However the runner ends, its hosts do too: their input ends, and the kernel kills them.
+	// The hosts end however the runner ends: their standard input is closed, and the kernel kills them.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if h.stdin, err = h.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -93,28 +94,28 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	go func() { // close waits for it
+	go func() { // hostProcess.close waits for it
 		defer close(h.done)
 		h.readEvents(stdout)
-		_ = h.cmd.Wait() // the end of its events was reported as an error already
+		_ = h.cmd.Wait() // readEvents has already reported the end of the events as an error
 	}()
 	return h, nil
 }
 
-// readEvents handles the host's events until they end, which fails all waiters.
+// readEvents handles the host's events until they can't be read any more, and then fails all waiters.
 func (h *hostProcess) readEvents(stdout io.Reader) {
 	decoder := json.NewDecoder(stdout)
 	for {
 		var event HostEvent
 		if err := decoder.Decode(&event); err != nil {
-			h.fail(fmt.Errorf("%s: no more events: %w", h.name, err))
+			h.fail(fmt.Errorf("%s: read events: %w", h.name, err))
 			return
 		}
 		h.handleEvent(&event)
 	}
 }
 
-// handleEvent records an event and ends the wait for it.
+// handleEvent records an event and notifies the command that waits for it.
 func (h *hostProcess) handleEvent(event *HostEvent) {
 	var err error
 	if event.Err != "" {
@@ -134,15 +135,14 @@
 	case event.Report != nil:
 		select {
 		case h.reports <- event.Report:
-		default: // the wait for it timed out
+		default: // nothing receives the report: its request timed out
 		}
 	case err != nil:
 		h.fail(err)
 	}
 }
 
-// handleEnded ends the wait for an agent's end, or, as the agent ended without a command, for its
-// start.
+// handleEnded handles the end of an agent. If no command waits for the end, one that waits for the agent's start fails.
 func (h *hostProcess) handleEnded(agent string, err error) {
 	h.trackers.forEach(func(t *tracker) { t.ended(agent) })
 	if h.resolve(endedEvent(agent), err) {
@@ -151,7 +151,7 @@
 	h.resolve(startedEvent(agent), errors.Join(err, fmt.Errorf("%s: %s has ended", h.name, agent)))
 }
 
-// fail fails all waiters.
+// fail records the host's first error and fails all waiters.
 func (h *hostProcess) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,7 +164,7 @@
 	}
 }
 
-// resolve ends the wait for an event, and reports whether there was one.
+// resolve notifies the command that waits for an event, and reports whether there was one.
 func (h *hostProcess) resolve(event agentEvent, err error) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,7 +177,7 @@
 	return true
 }
 
-// command sends a command and waits for an event.
+// command sends a command and waits for the event that confirms it.
 func (h *hostProcess) command(ctx context.Context, c HostCommand, event agentEvent) error {
 	waiter := make(chan error, 1)
 	h.mu.Lock()
@@ -190,7 +190,7 @@
 	case err := <-waiter:
 		return err
 	case <-time.After(agentTimeout):
-		return fmt.Errorf("%s: %q not within %v", h.name, event, agentTimeout)
+		return fmt.Errorf("%s: no event %q within %v", h.name, event, agentTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -211,27 +211,27 @@
 	return err
 }
 
-// recentReport is a report that is not older than maxReportAge.
+// recentReport returns a report that is not older than maxReportAge.
 func (h *hostProcess) recentReport(ctx context.Context) (*HostReport, error) {
-	h.reporting.Lock()
-	defer h.reporting.Unlock()
+	h.reportMu.Lock()
+	defer h.reportMu.Unlock()
 	if h.lastReport != nil && time.Since(time.UnixMicro(h.lastReport.AtUs)) < maxReportAge {
 		return h.lastReport, nil
 	}
 	return h.requestReport(ctx)
 }
 
-// report is a new report.
+// report requests a new report and returns it.
 func (h *hostProcess) report(ctx context.Context) (*HostReport, error) {
-	h.reporting.Lock()
-	defer h.reporting.Unlock()
+	h.reportMu.Lock()
+	defer h.reportMu.Unlock()
 	return h.requestReport(ctx)
 }
 
-// requestReport requests a report; the caller has locked reporting.
+// requestReport requests a report and waits for it. The caller must hold h.reportMu.
 func (h *hostProcess) requestReport(ctx context.Context) (*HostReport, error) {
 	select {
-	case <-h.reports: // one whose wait timed out
+	case <-h.reports: // discard a report whose request timed out
 	default:
 	}
 	if err := h.send(HostCommand{Command: commandReport}); err != nil {
@@ -251,11 +251,11 @@
 
 // close ends the host and all of its agents.
 func (h *hostProcess) close() {
-	_ = h.stdin.Close() // it fails only where the process has ended
+	_ = h.stdin.Close() // fails only if the process has ended
 	select {
 	case <-h.done:
 	case <-time.After(hostStopTimeout):
-		_ = h.cmd.Process.Kill() // it fails only where the process has ended
+		_ = h.cmd.Process.Kill() // fails only if the process has ended
 		<-h.done
 	}
 }
--- a/internal/scaletest/hostreport.go
+++ b/internal/scaletest/hostreport.go
@@ -14,7 +14,7 @@
 
 const bytesPerMB = 1 << 20
 
-// writeReport writes what the process and its agents have taken.
+// writeReport writes an event with the resource usage of the process and the counters of its agents.
 func (h *hostServer) writeReport() error {
 	report, err := h.report()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// report makes a report. What the report itself takes, above all its garbage collection, is left out of
-// the processor time, with what the agents do meanwhile; that is little if reports are rare.
+// report returns a report. The processor time in it excludes that spent while reports were made, most of which is
+// garbage collection. What the agents use meanwhile is excluded with it, which is little if reports are rare.
 func (h *hostServer) report() (*HostReport, error) {
 	before, err := processorTime()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return r, nil
 }
 
-// agentReports are the reports of the agents that run, by name.
+// agentReports returns the reports of the running agents by name.
 func (h *hostServer) agentReports() map[string]AgentReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,7 +64,7 @@
 	return reports
 }
 
-// agentReport is the report of an agent by its status.
+// agentReport returns the report of an agent with a status.
 func agentReport(s agent.Status) AgentReport {
 	r := AgentReport{
 		ListIn:          s.ListIn,
@@ -89,17 +89,17 @@
 	return r
 }
 
-// membershipBytesIn are the bytes that an agent's membership received.
+// membershipBytesIn returns the number of bytes that an agent's membership received.
 func membershipBytesIn(traffic membership.Traffic) uint64 {
 	return traffic[membership.BytesIn] + traffic[membership.StreamBytesIn]
 }
 
-// membershipBytesOut are the bytes that an agent's membership sent.
+// membershipBytesOut returns the number of bytes that an agent's membership sent.
 func membershipBytesOut(traffic membership.Traffic) uint64 {
 	return traffic[membership.BytesOut] + traffic[membership.StreamBytesOut]
 }
 
-// processorTime is the user and system time of this process.
+// processorTime returns the user and system time of this process.
 func processorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -108,7 +108,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// residentMB is the resident memory of this process (proc(5), statm).
+// residentMB returns the resident memory of this process in MB (proc(5), statm).
 func residentMB() (float64, error) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -121,8 +121,8 @@
 	return residentPages * float64(os.Getpagesize()) / bytesPerMB, nil
 }
 
-// openDescriptors is the number of open file descriptors of this process, without the one by which
-// they are read.
+// openDescriptors returns the number of open file descriptors of this process, without the one that reads the
+// directory of descriptors.
 func openDescriptors() (int, error) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/scaletest/hostserver.go
+++ b/internal/scaletest/hostserver.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	errAlreadyRuns  = errors.New("runs already")
-	errNotRunning   = errors.New("does not run")
-	errAlreadyEnds  = errors.New("ends already")
-	errNoAgentNamed = errors.New("no agent named")
+	errAlreadyRunning   = errors.New("agent is already running")
+	errNotRunning       = errors.New("agent is not running")
+	errShuttingDown     = errors.New("agent is already shutting down")
+	errMissingAgentName = errors.New("agent name is missing")
 )
 
 // hostServer runs the hollow agents of a host process.
@@ -28,13 +28,12 @@
 
 	mu         sync.Mutex
 	agents     map[string]*hollowAgent
-	reportTime time.Duration // processor time that reports took; used by the command loop alone
+	reportTime time.Duration // processor time spent on reports; used only by the command loop
 }
 
-// ServeHost runs hollow agents as the commands on in say, and writes events to out. At the end of in
-// or of ctx all agents are killed. What the agents log goes to log, with the agent's name on each
-// line. The error is one of reading commands or writing events; an invalid command is reported by an
-// event and has no effect.
+// ServeHost runs hollow agents as told by the commands that it reads from in, and writes events to out. At the end of
+// in or of ctx it kills all agents. The agents log to log, with the agent's name on each line. The returned error is
+// that of reading commands or writing events. An invalid command is reported by an event and has no effect.
 func ServeHost(ctx context.Context, in io.Reader, out, log io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -53,8 +52,8 @@
 	return nil
 }
 
-// readLines sends the lines of in that are not empty, and closes the channel at its end. It does not
-// wait for the goroutine: a read of standard input can't be interrupted.
+// readLines starts a goroutine that sends the non-empty lines of in, and closes the channel at the end of in. Nothing
+// waits for the goroutine, because a read of standard input can't be interrupted.
 func readLines(ctx context.Context, in io.Reader, failed func(error)) <-chan []byte {
 	lines := make(chan []byte)
 	go func() {
@@ -73,7 +72,7 @@
 				return
 			}
 			if err != nil {
-				failed(fmt.Errorf("scale: commands: %w", err))
+				failed(fmt.Errorf("scale: read commands: %w", err))
 				return
 			}
 		}
@@ -81,7 +80,7 @@
 	return lines
 }
 
-// serve executes commands until they or ctx end.
+// serve executes commands until lines is closed or ctx ends.
 func (h *hostServer) serve(ctx context.Context, lines <-chan []byte) {
 	for {
 		select {
@@ -98,7 +97,7 @@
 	}
 }
 
-// killAll kills all agents that run.
+// killAll kills all running agents.
 func (h *hostServer) killAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -107,7 +106,7 @@
 	}
 }
 
-// execute executes one command; the error says why it is invalid.
+// execute executes one command. It returns an error if the command is invalid.
 func (h *hostServer) execute(line []byte) error {
 	var c HostCommand
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -128,7 +127,7 @@
 	case commandReload:
 		handler = h.reload
 	default:
-		return fmt.Errorf("command: do: %q is none", c.Command)
+		return fmt.Errorf("command: do: unknown command %q", c.Command)
 	}
 	if err := h.executeOn(&c, handler); err != nil {
 		return fmt.Errorf("%s %s: %w", c.Command, c.Agent, err)
@@ -136,17 +135,17 @@
 	return nil
 }
 
-// executeOn calls the handler with the command's agent, which is nil for commandStart.
+// executeOn calls the handler with the agent that the command names, which is nil for commandStart.
 func (h *hostServer) executeOn(c *HostCommand, handler func(*HostCommand, *hollowAgent) error) error {
 	if c.Agent == "" {
-		return errNoAgentNamed
+		return errMissingAgentName
 	}
 	h.mu.Lock()
 	a := h.agents[c.Agent]
 	h.mu.Unlock()
 	starts := c.Command == commandStart
 	if starts && a != nil {
-		return errAlreadyRuns
+		return errAlreadyRunning
 	}
 	if !starts && a == nil {
 		return errNotRunning
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -12,8 +12,8 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// TestHollowFleetConverges: thirty agents in one process see each other and put a change of the list in
-// force, each from an address of its own.
+// TestHollowFleetConverges checks that thirty agents in one process converge on one membership snapshot and put a
+// change of the endpoint list in force, and that each calls discovery from its own address.
 func TestHollowFleetConverges(t *testing.T) {
 	const n = 30
 	discovery := newDiscoveryServer(t)
@@ -49,8 +49,8 @@
 		n, r.HeapMB, r.ResidentMB, r.Goroutines, r.Descriptors)
 }
 
-// agree reports whether a number of agents have the same settled snapshot of each other, and the second version of the
-// list.
+// agree reports whether a report has the given number of agents with the same settled membership snapshot and version 2
+// of the endpoint list.
 func agree(r *HostReport, agents int) bool {
 	digests := map[string]bool{}
 	for _, a := range r.Agents {
@@ -62,7 +62,7 @@
 	return len(r.Agents) == agents && len(digests) == 1
 }
 
-// checkTraffic checks that an agent has counted its membership's traffic and its calls to discovery.
+// checkTraffic checks that an agent has counted its membership traffic and its calls to discovery.
 func checkTraffic(t *testing.T, name string, a AgentReport) {
 	t.Helper()
 	noBytes := a.MembershipIn == 0 || a.MembershipOut == 0
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestKillAndStopInMembership: to the other agents a kill looks like SIGKILL, and a stop like SIGTERM.
+// TestKillAndStopInMembership checks that the other agents see a killed agent as after SIGKILL, and a stopped one as
+// after SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 4)
@@ -124,10 +125,10 @@
 	}
 }
 
-// resources are what this process has open.
+// resources counts what a process has open.
 type resources struct{ goroutines, descriptors int }
 
-// processResources are the resources of this process.
+// processResources returns the resources of this process.
 func processResources(t *testing.T) resources {
 	t.Helper()
 	descriptors, err := os.ReadDir("/proc/self/fd")
@@ -137,26 +138,26 @@
 	return resources{goroutines: runtime.NumGoroutine(), descriptors: len(descriptors)}
 }
 
-// isWithin reports whether a process has no more than other resources of either kind.
+// isWithin reports whether r has no more than other of either kind of resource.
 func (r resources) isWithin(other resources) bool {
 	return r.goroutines <= other.goroutines && r.descriptors <= other.descriptors
 }
 
-// max is the larger number of either kind.
+// max returns the larger number of each kind of resource.
 func (r resources) max(other resources) resources {
 	return resources{max(r.goroutines, other.goroutines), max(r.descriptors, other.descriptors)}
 }
 
 const (
-	// maxStackBytes is how much of the goroutines' stacks is printed.
+	// maxStackBytes is the number of bytes of the goroutines' stacks that are printed at most.
 	maxStackBytes = 1 << 20
-	// Nothing tells that a start has opened all that it opens: it has once stableSamples samples in a row, one each
-	// sampleInterval, have no more than those before.
+	// No event says that a started agent has opened all its resources. They are taken as stable once stableSamples
+	// consecutive samples, one every sampleInterval, are not above the maximum before.
 	stableSamples  = 10
 	sampleInterval = 100 * time.Millisecond
 )
 
-// awaitStableResources waits until this process opens nothing more, and returns what it had at the most.
+// awaitStableResources waits until this process opens no more resources, and returns the maximum that it had open.
 func awaitStableResources(t *testing.T) resources {
 	t.Helper()
 	most := processResources(t)
@@ -169,13 +170,13 @@
 	return most
 }
 
-// TestEndedAgentsReleaseResources: an agent that has ended leaves no goroutine and no descriptor,
-// whether it ended while it ran, just after its start or during its shutdown.
+// TestEndedAgentsReleaseResources checks that an agent that has ended leaves no goroutine and no descriptor open,
+// whether it was ended while it ran, just after its start or during its shutdown.
 func TestEndedAgentsReleaseResources(t *testing.T) {
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 8)
 	host := startHostClient(t)
-	// What the first agent opens for the whole process is part of the level before.
+	// The first agent opens resources that the whole process shares; they are part of the level before.
 	host.command(commandStart, "a0", configs.config(0))
 	host.await(0, "list in force", func(event *HostEvent) bool { return event.InForce != nil })
 	before := awaitStableResources(t)
@@ -212,7 +213,7 @@
 	}
 }
 
-// TestInvalidCommands: an invalid command is reported once and has no effect, and the host goes on.
+// TestInvalidCommands checks that an invalid command is reported once and has no effect, and that the host continues.
 func TestInvalidCommands(t *testing.T) {
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 2)
@@ -226,15 +227,15 @@
 	config := func(c processtest.AgentFile) string { return string(marshal(t, c)) }
 	for command, want := range map[string]string{
 		`{"do":`:                       "command: unexpected EOF",
-		`{"do":"dance","agent":"a0"}`:  `command: do: "dance" is none`,
+		`{"do":"dance","agent":"a0"}`:  `command: do: unknown command "dance"`,
 		`{"do":"stop","agnt":"a0"}`:    `unknown field "agnt"`,
-		`{"do":"stop"}`:                "stop : no agent named",
-		`{"do":"stop","agent":"a1"}`:   "stop a1: does not run",
-		`{"do":"kill","agent":"a1"}`:   "kill a1: does not run",
-		`{"do":"reload","agent":"a1"}`: "reload a1: does not run",
+		`{"do":"stop"}`:                "stop : agent name is missing",
+		`{"do":"stop","agent":"a1"}`:   "stop a1: agent is not running",
+		`{"do":"kill","agent":"a1"}`:   "kill a1: agent is not running",
+		`{"do":"reload","agent":"a1"}`: "reload a1: agent is not running",
 		`{"do":"start","agent":"a1","config":` + config(bad) + `}`:               "start a1: config: seed",
 		`{"do":"start","agent":"a1","config":{"name":3}}`:                        "start a1: config: json",
-		`{"do":"start","agent":"a0","config":` + config(configs.config(0)) + `}`: "start a0: runs already",
+		`{"do":"start","agent":"a0","config":` + config(configs.config(0)) + `}`: "start a0: agent is already running",
 		`{"do":"reload","agent":"a0","config":` + config(bare) + `}`:             "reload a0: config: management: missing",
 	} {
 		since := host.count()
@@ -254,7 +255,7 @@
 		}
 		host.mu.Unlock()
 	}
-	// An address in use is no invalid command: the agent ends.
+	// An address in use does not make the command invalid: the agent ends.
 	taken := configs.config(1)
 	taken.Management = configs.adminAddress(0)
 	host.command(commandStart, "a1", taken)
