--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -10,32 +10,32 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// What a process takes at most: its resident memory, by the size of its fleet, and its descriptors.
+// Upper bounds of what a process uses: resident memory, which grows with the size of the fleet, and descriptors.
 const (
-	hollowMB          = 1.5  // a hollow agent's part of its process
-	hollowMBPerMember = 0.01 // for each member of its fleet
+	hollowMB          = 1.5  // of a hollow agent, within its host process
+	hollowMBPerMember = 0.01 // of a hollow agent for each member of the fleet
 	realMB            = 15.0
 	realMBPerMember   = 0.06
 	discoveryMB       = 40.0
-	// hollowDescriptors are the descriptors of a hollow agent, with those that its membership may open while it
-	// joins. hostDescriptors are those of its process.
+	// hollowDescriptors is the number of descriptors of a hollow agent, including those that its membership may open
+	// while it joins. hostDescriptors is the number of those of the host process itself.
 	hollowDescriptors = 40
 	hostDescriptors   = 32
-	// memoryDivisor is the number that the machine's memory is divided by: a fleet may take half.
+	// memoryDivisor divides the machine's memory: a fleet may use half of it.
 	memoryDivisor = 2
 	kbPerMB       = 1024
-	// maxProcesses is the number of processes that the project may run on a machine.
+	// maxProcesses is the number of processes that a run may have on a machine.
 	maxProcesses = 300
 )
 
-// machineLimits is what a fleet may take of this machine.
+// machineLimits is what a fleet may use of this machine.
 type machineLimits struct {
 	memoryMB     int // half of the machine's memory
 	freeMemoryMB int
-	descriptors  uint64 // of a process
+	descriptors  uint64 // for each process
 }
 
-// readMachineLimits reads what a fleet may take of this machine.
+// readMachineLimits returns what a fleet may use of this machine.
 func readMachineLimits() (machineLimits, error) {
 	total, err := totalMemoryMB()
 	if err != nil {
@@ -52,8 +52,8 @@
 	}, nil
 }
 
-// CheckMachine returns an error if this machine can't run one of the plan's sizes: within half of its
-// memory, its free memory, 300 processes and the descriptors of a process.
+// CheckMachine returns an error if this machine can't run one of the plan's sizes within half of its memory, its free
+// memory, 300 processes and the limit of descriptors per process.
 func (p *Plan) CheckMachine() error {
 	limits, err := readMachineLimits()
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// checkSize compares what a size takes with limits; its error is a *keyError.
+// checkSize returns a *keyError if a fleet with a number of hollow agents exceeds the limits.
 func (p *Plan) checkSize(hollow int, limits machineLimits) error {
 	hosts := hostCount(hollow, p.AgentsPerHost)
 	memoryMB := p.memoryMB(hollow)
@@ -77,20 +77,21 @@
 		hollow, hosts, p.Real, p.DiscoveryInstances)
 	switch {
 	case processes > maxProcesses:
-		return invalid("sizes", "%s are %d processes with the runner, and %d are allowed", fleet, processes, maxProcesses)
+		return invalid("sizes", "%s need %d processes with the runner, but only %d are allowed",
+			fleet, processes, maxProcesses)
 	case memoryMB > limits.memoryMB:
-		return invalid("sizes", "%s take some %d MB, and half of this machine's memory is %d MB",
+		return invalid("sizes", "%s need about %d MB, but half of this machine's memory is %d MB",
 			fleet, memoryMB, limits.memoryMB)
 	case memoryMB > limits.freeMemoryMB:
-		return invalid("sizes", "%s take some %d MB, and %d MB are free", fleet, memoryMB, limits.freeMemoryMB)
+		return invalid("sizes", "%s need about %d MB, but only %d MB are free", fleet, memoryMB, limits.freeMemoryMB)
 	case descriptors > limits.descriptors:
-		return invalid("sizes", "%s take some %d descriptors a process, and %d are allowed",
+		return invalid("sizes", "%s need about %d descriptors per process, but only %d are allowed",
 			fleet, descriptors, limits.descriptors)
 	}
 	return nil
 }
 
-// memoryMB is the memory that a fleet with a number of hollow agents takes.
+// memoryMB returns the memory that a fleet with a number of hollow agents needs.
 func (p *Plan) memoryMB(hollow int) int {
 	size := float64(hollow + p.Real)
 	hollowAgents := float64(hollow) * (hollowMB + hollowMBPerMember*size)
@@ -98,7 +99,7 @@
 	return int(hollowAgents + realAgents + float64(p.DiscoveryInstances)*discoveryMB)
 }
 
-// totalMemoryMB is this machine's memory (proc(5), meminfo).
+// totalMemoryMB returns the size of this machine's memory (proc(5), meminfo).
 func totalMemoryMB() (int, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/scaletest/machinecheck_test.go
+++ b/internal/scaletest/machinecheck_test.go
@@ -9,17 +9,17 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// TestCheckMachine: a size that the machine can't run is refused in one line that says what it would take,
-// before anything is started.
+// TestCheckMachine checks that a size that the machine can't run is rejected before anything is started, by an error of
+// one line that says what the size needs.
 func TestCheckMachine(t *testing.T) {
 	limits := machineLimits{memoryMB: 12_000, freeMemoryMB: 12_000, descriptors: 20_000}
 	for _, c := range []struct {
 		hollow, real, host int
 		want               string
 	}{
-		{20_000, 20, 500, "MB, and half of this machine's memory is 12000 MB"},
-		{100, 400, 50, "are 406 processes with the runner, and 300 are allowed"},
-		{600, 20, 600, "descriptors a process, and 20000 are allowed"},
+		{20_000, 20, 500, "MB, but half of this machine's memory is 12000 MB"},
+		{100, 400, 50, "need 406 processes with the runner, but only 300 are allowed"},
+		{600, 20, 600, "descriptors per process, but only 20000 are allowed"},
 	} {
 		p := DefaultPlan()
 		p.Real, p.AgentsPerHost = c.real, c.host
@@ -33,7 +33,7 @@
 		t.Errorf("400 hollow agents within 12,000 MB: %v", err)
 	}
 	limits.freeMemoryMB = 500
-	if err := p.checkSize(400, limits); err == nil || !strings.Contains(err.Error(), "500 MB are free") {
+	if err := p.checkSize(400, limits); err == nil || !strings.Contains(err.Error(), "but only 500 MB are free") {
 		t.Errorf("with 500 MB free: %v", err)
 	}
 	dir := t.TempDir()
@@ -51,6 +51,6 @@
 		t.Errorf("a million agents: %v", err)
 	}
 	if left, _ := os.ReadDir(dir); len(left) > 0 {
-		t.Errorf("a refused plan left %v", left)
+		t.Errorf("a rejected plan left %v", left)
 	}
 }
--- a/internal/scaletest/machinemonitor.go
+++ b/internal/scaletest/machinemonitor.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// minIdleFraction is the part of the processor time that the machine has to be idle in a valid run.
+	// minIdleFraction is the minimum fraction of idle processor time in a valid run.
 	minIdleFraction = 0.10
-	// maxTimerDelay is how late this process's timers may be at p99 in a valid run.
+	// maxTimerDelay is the maximum p99 delay of this process's timers in a valid run.
 	maxTimerDelay = 20 * time.Millisecond
 	// timerInterval is the interval of the timers that are observed.
 	timerInterval = 10 * time.Millisecond
-	// maxRecordedDelayUs is the largest delay that is recorded, in µs.
+	// maxRecordedDelayUs is the largest delay in the histogram, in µs. Larger ones are recorded as this.
 	maxRecordedDelayUs = 60_000_000
-	// percent converts a fraction.
+	// percent converts a fraction to a percentage.
 	percent = 100
 )
 
-// The histograms of delays and latencies.
+// Precision and percentiles of the histograms of delays and latencies.
 const (
 	histogramDigits = 3 // significant digits
 	percentile50    = 50
 	percentile99    = 99
 )
 
-// machineMonitor observes whether this machine has enough processor time for a run: its idle time,
-// and how late this process's timers are.
+// machineMonitor observes whether this machine has enough processor time for a run, by the machine's idle time and by
+// the delays of this process's timers.
 type machineMonitor struct {
 	start       processorTicks
-	timerDelays *hdrhistogram.Histogram // µs; used by the goroutine until stopped is closed
+	timerDelays *hdrhistogram.Histogram // µs; owned by the goroutine until stopped is closed
 	stop        chan struct{}
 	stopped     chan struct{}
 }
 
-// startMachineMonitor starts the goroutine that observes timers, which finish waits for.
+// startMachineMonitor starts a goroutine that observes timers. The caller must call finish, which ends it.
 func startMachineMonitor() (*machineMonitor, error) {
 	ticks, err := machineTicks()
 	if err != nil {
@@ -65,14 +65,14 @@
 		select {
 		case <-time.After(timerInterval):
 			delay := min(maxRecordedDelayUs, max(1, time.Since(due).Microseconds()))
-			_ = m.timerDelays.RecordValue(delay) // it is within the histogram's range
+			_ = m.timerDelays.RecordValue(delay) // the value is within the histogram's range
 		case <-m.stop:
 			return
 		}
 	}
 }
 
-// finish ends the observation. problems say why the run is invalid, if it is.
+// finish ends the observation. problems are the reasons why the run is invalid; there are none if it is valid.
 func (m *machineMonitor) finish() (problems []string, err error) {
 	close(m.stop)
 	<-m.stopped
@@ -93,18 +93,18 @@
 	return problems, nil
 }
 
-// processorTicks is this machine's processor time since its start, in clock ticks.
+// processorTicks is the processor time of this machine since it started, in clock ticks.
 type processorTicks struct{ idle, total float64 }
 
-// The columns of the first line of /proc/stat (proc(5)). Those from guestColumn on are part of user and
-// nice already.
+// Columns of the first line of /proc/stat (proc(5)). The times from guestColumn on are already included in the user and
+// nice times.
 const (
 	idleColumn   = 3
 	ioWaitColumn = 4
 	guestColumn  = 8
 )
 
-// machineTicks reads the processor time (proc(5), stat).
+// machineTicks reads the processor time of this machine (proc(5), stat).
 func machineTicks() (processorTicks, error) {
 	var ticks processorTicks
 	text, err := os.ReadFile("/proc/stat")
@@ -125,7 +125,7 @@
 		}
 	}
 	if ticks.total == 0 {
-		return ticks, errors.New("/proc/stat: no times")
+		return ticks, errors.New("/proc/stat: processor times are missing")
 	}
 	return ticks, nil
 }
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// The ports of an agent, on an address of its own. They are below those that the system selects for
+// The ports of an agent. Each agent has its own address. The ports are below the range that the system selects from for
 // outgoing connections.
 const (
 	clientPort     = 8000
@@ -17,7 +17,7 @@
 	membershipPort = 19998
 )
 
-// member is one agent of a fleet.
+// member is a hollow or real agent of a fleet.
 type member struct {
 	name    string
 	index   int
@@ -25,22 +25,22 @@
 	host    *hostProcess // nil for a real agent
 	ip      string
 	config  json.RawMessage
-	service string // whose settings it uses; "": those of its configuration file
+	service string // the service whose settings it uses; empty: it uses those of its configuration file
 
 	running bool // guarded by fleet.mu
 	busy    bool // being started or ended; guarded by fleet.mu
 }
 
-// hollow reports whether the member shares a host process.
+// hollow reports whether the member is a hollow agent, which runs in a host process.
 func (m *member) hollow() bool { return m.host != nil }
 
-// idle reports whether the member runs and is not busy; the caller has locked fleet.mu.
+// idle reports whether the member runs and is not busy. The caller must hold fleet.mu.
 func (m *member) idle() bool { return m.running && !m.busy }
 
-// address is the member's address with a port.
+// address returns the member's address with a port.
 func (m *member) address(port int) string { return net.JoinHostPort(m.ip, strconv.Itoa(port)) }
 
-// startMember starts a member that does not run.
+// startMember starts a member that is not running.
 func (f *fleet) startMember(ctx context.Context, m *member) error {
 	var err error
 	if m.hollow() {
@@ -56,23 +56,23 @@
 	return err
 }
 
-// terminateMember ends a member that runs gracefully, as SIGTERM does.
+// terminateMember ends a running member gracefully, as SIGTERM does.
 func (f *fleet) terminateMember(ctx context.Context, m *member) error {
 	return f.endMember(ctx, m, commandStop, f.realAgents.Term)
 }
 
-// killMember ends a member that runs at once, as SIGKILL does.
+// killMember ends a running member immediately, as SIGKILL does.
 func (f *fleet) killMember(ctx context.Context, m *member) error {
 	return f.endMember(ctx, m, commandKill, f.realAgents.Kill)
 }
 
-// endMember ends a member that runs: a hollow one by a command, a real one by a signal, which endProcess sends. What
-// comes into force there from then on does not count.
+// endMember ends a running member: a hollow agent by a command, a real one by a signal that endProcess sends. Versions
+// that come into force at the member from then on are not counted.
 func (f *fleet) endMember(
 	ctx context.Context, m *member, command commandName, endProcess func(name string) error,
 ) error {
 	if err := f.carryOver(ctx, m); err != nil {
-		return fmt.Errorf("before its end: %w", err)
+		return fmt.Errorf("read counters before the end: %w", err)
 	}
 	f.trackers.forEach(func(t *tracker) { t.stopping(m.name) })
 	f.mu.Lock()
@@ -92,8 +92,7 @@
 	return f.startMember(ctx, m)
 }
 
-// takeIdleMember selects a random member that runs and is not busy, and marks it busy; nil: there is
-// none.
+// takeIdleMember selects a random idle member and marks it busy. It returns nil if no member is idle.
 func (f *fleet) takeIdleMember() *member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,7 +105,7 @@
 	return m
 }
 
-// takeZone are the members of a zone that run and are not busy, marked busy.
+// takeZone marks all idle members of a zone busy and returns them.
 func (f *fleet) takeZone(zone int) []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,21 +116,21 @@
 	return taken
 }
 
-// runningMembers are the members that run.
+// runningMembers returns the members that are running.
 func (f *fleet) runningMembers() []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.selectMembers(func(m *member) bool { return m.running })
 }
 
-// endedMembers are the members that do not run.
+// endedMembers returns the members that are not running.
 func (f *fleet) endedMembers() []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.selectMembers(func(m *member) bool { return !m.running })
 }
 
-// selectMembers are the members that fit; the caller has locked mu.
+// selectMembers returns the members that fit. The caller must hold f.mu.
 func (f *fleet) selectMembers(fits func(*member) bool) []*member {
 	var selected []*member
 	for _, m := range f.members {
--- a/internal/scaletest/memberconfig.go
+++ b/internal/scaletest/memberconfig.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// seedFactor keeps the agents' seeds of different plan seeds apart.
+	// seedFactor multiplies the plan's seed, so that plans with different seeds have no agent's seed in common.
 	seedFactor = 100_000
-	// agentConfigMode is the mode of a real agent's configuration file.
+	// agentConfigMode is the file mode of a real agent's configuration file.
 	agentConfigMode = 0o600
 )
 
-// createMembers creates the members with their configurations. The first are hollow, and the first
-// minHollowAgents of these are the seeds of membership.
+// createMembers creates the members with their configurations. The first members are the hollow agents, and the first
+// minHollowAgents of them are the membership seeds.
 func (f *fleet) createMembers(hollow int) error {
 	var seeds []string
 	var configs []membership.Config
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// membershipConfig is a member's membership without its seeds. With a packet relay, the member has the
-// address that the relay gives it.
+// membershipConfig returns the membership configuration of a member without the seeds. If the fleet has a packet relay,
+// it sets the member's address to the one that the relay assigns.
 func (f *fleet) membershipConfig(m *member) (membership.Config, error) {
 	c := membership.Config{
 		Bind:      m.address(membershipPort),
@@ -79,7 +79,7 @@
 	return c, err
 }
 
-// deployment is the scenario whose settings the agents have.
+// deployment returns the scenario whose settings the agents use.
 func deployment() *experiment.Scenario {
 	s := experiment.Default()
 	s.Fleet.Zones = zoneNames
@@ -97,10 +97,10 @@
 	KnownEndpoints endpoint.List            `json:"known"`
 	Membership     membership.Config        `json:"fleet"`
 	Settings       experiment.AgentSettings `json:"settings"`
-	Control        *config.Control          `json:"control,omitempty"` // nil: discovery has no settings for it
+	Control        *config.Control          `json:"control,omitempty"` // nil if discovery has no settings for the agent
 }
 
-// configure makes a member's configuration, and for a real agent its file.
+// configure sets a member's configuration, and writes it to a file for a real agent.
 func (f *fleet) configure(m *member, c membership.Config) error {
 	var err error
 	m.config, err = json.Marshal(f.agentConfig(m, c))
@@ -110,7 +110,7 @@
 	return os.WriteFile(filepath.Join(f.directory, m.name+".json"), m.config, agentConfigMode)
 }
 
-// agentConfig is a member's configuration.
+// agentConfig returns the configuration of a member.
 func (f *fleet) agentConfig(m *member, membershipConfig membership.Config) agentConfig {
 	s := deployment()
 	c := agentConfig{
@@ -130,13 +130,14 @@
 	return c
 }
 
-// discoveryInstance is the instance that a member's "discovery" names: those of its region in turn.
+// discoveryInstance returns the name of the instance for a member's "discovery" key. The members of a region are
+// distributed over its instances in turn.
 func (f *fleet) discoveryInstance(m *member) string {
 	names := f.instancesByRegion()[regionOf(m.zone)]
 	return names[m.index/len(zoneNames)%len(names)]
 }
 
-// instancesByRegion are the discovery instances of each region.
+// instancesByRegion returns the names of the discovery instances of each region.
 func (f *fleet) instancesByRegion() [][]string {
 	instances := make([][]string, len(regionNames))
 	for i, name := range f.discovery.Names() {
@@ -146,7 +147,7 @@
 	return instances
 }
 
-// discoveryAddresses are those of all discovery instances, host:port.
+// discoveryAddresses returns the addresses (host:port) of all discovery instances.
 func (f *fleet) discoveryAddresses() []string {
 	var addresses []string
 	for _, name := range f.discovery.Names() {
--- a/internal/scaletest/plan.go
+++ b/internal/scaletest/plan.go
@@ -13,39 +13,39 @@
 	"fernbeam.example/fernbeam/internal/experiment"
 )
 
-// Plan says what is run: fleets of some sizes, and load profiles on each. A key that is left out has the value of
-// DefaultPlan.
+// Plan describes a scale test: the sizes of the fleets, and the load profiles that run on each. A key that is left out
+// has the value from DefaultPlan.
 type Plan struct {
 	Name               string             `toml:"name"`
-	Sizes              []int              `toml:"sizes"`         // hollow agents of each fleet
-	Real               int                `toml:"real"`          // processes of the agent beside them
+	Sizes              []int              `toml:"sizes"`         // number of hollow agents of each fleet
+	Real               int                `toml:"real"`          // number of real agents in each fleet
 	DiscoveryInstances int                `toml:"lists"`         // 3 or 4
 	ListedServers      int                `toml:"listed"`        // servers on the endpoint list; 0: as many as agents
-	AgentsPerHost      int                `toml:"agents_a_host"` // hollow agents that share a process
-	Repeats            int                `toml:"repeats"`       // fleets of each size, one after the other
+	AgentsPerHost      int                `toml:"agents_a_host"` // hollow agents that share a host process
+	Repeats            int                `toml:"repeats"`       // number of successive fleets of each size
 	Seed               uint64             `toml:"seed"`          // of the first repeat
 	Profiles           []capacity.Profile `toml:"days"`          // run in order on one fleet
-	Seconds            float64            `toml:"seconds"`       // measured, of a run
-	// RateFactor multiplies the rates of changes and restarts that the target has at the size.
+	Seconds            float64            `toml:"seconds"`       // measured length of a run
+	// RateFactor multiplies the target's rates of changes and restarts, which are scaled to the size of the fleet.
 	RateFactor float64 `toml:"hurry"`
-	// SettingsFraction is the fraction of the changes, from 0 to 1, that are of a service's settings and not
-	// of the endpoint list. Above 0 the agents have the section "control", each with a service and all
-	// discovery instances.
+	// SettingsFraction is the fraction of the changes, from 0 to 1, that change a service's settings instead of the
+	// endpoint list. If it is above 0, the configuration of each agent has the section "control" with a service and
+	// all discovery instances.
 	SettingsFraction float64 `toml:"settings"`
 }
 
 const (
-	// minHollowAgents is the number of the fleet's membership seeds, which are hollow agents.
+	// minHollowAgents is the number of membership seeds, all of which are hollow agents.
 	minHollowAgents = 3
-	// minRunSeconds leaves time for the events of a load profile.
+	// minRunSeconds is long enough for the events of a load profile.
 	minRunSeconds = 5
 	maxRunSeconds = 3600
-	// Raft needs three instances; more than four are not expected.
+	// Raft needs at least three instances; more than four are not expected.
 	minDiscoveryInstances = 3
 	maxDiscoveryInstances = 4
 )
 
-// The plan of the keys that a file leaves out.
+// The values of keys that a plan file leaves out.
 const (
 	defaultName          = "plan"
 	defaultRealAgents    = 20
@@ -56,7 +56,7 @@
 	defaultRateFactor    = 200
 )
 
-// DefaultPlan is a plan without sizes.
+// DefaultPlan returns a plan that has the default of each key, and no sizes.
 func DefaultPlan() *Plan {
 	return &Plan{
 		Name:               defaultName,
@@ -71,7 +71,7 @@
 	}
 }
 
-// SmallPlan is a plan that takes less than 45 s.
+// SmallPlan returns a plan that takes less than 45 s.
 func SmallPlan() *Plan {
 	p := DefaultPlan()
 	p.Name = "small"
@@ -83,7 +83,7 @@
 	return p
 }
 
-// LoadPlan reads a plan from a file. A wrong key or value is an error that names the file and the line.
+// LoadPlan reads a plan from a file. The error for an invalid key or value names the file and the line.
 func LoadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return ParsePlan(path, string(text))
 }
 
-// ParsePlan reads a plan from a text; path is named in errors.
+// ParsePlan parses the text of a plan file. Errors name path.
 func ParsePlan(path, text string) (*Plan, error) {
 	p := DefaultPlan()
 	meta, err := toml.Decode(text, p)
@@ -114,7 +114,7 @@
 	return p, nil
 }
 
-// keyError is an invalid value of a key.
+// keyError is the error for an invalid value of a key.
 type keyError struct {
 	key     string
 	problem string
@@ -131,7 +131,7 @@
 func (p *Plan) check() error {
 	for _, n := range p.Sizes {
 		if n < minHollowAgents {
-			return invalid("sizes", "%d hollow agents: %d at least are needed, the fleet's seeds", n, minHollowAgents)
+			return invalid("sizes", "%d hollow agents: at least %d are needed as membership seeds", n, minHollowAgents)
 		}
 	}
 	if err := p.checkProfiles(); err != nil {
@@ -139,9 +139,9 @@
 	}
 	switch {
 	case p.Name == "":
-		return invalid("name", "must be there")
+		return invalid("name", "must not be empty")
 	case len(p.Sizes) == 0:
-		return invalid("sizes", "one at least is needed")
+		return invalid("sizes", "at least one is required")
 	case p.Real < 0:
 		return invalid("real", "must be 0 or more, is %d", p.Real)
 	case p.DiscoveryInstances < minDiscoveryInstances || p.DiscoveryInstances > maxDiscoveryInstances:
@@ -154,26 +154,26 @@
 	case p.Repeats < 1:
 		return invalid("repeats", "must be above 0, is %d", p.Repeats)
 	case len(p.Profiles) == 0:
-		return invalid("days", "one at least is needed")
+		return invalid("days", "at least one is required")
 	}
 	return p.checkRates()
 }
 
-// checkProfiles checks that each load profile exists and is named once.
+// checkProfiles checks that each load profile exists and is listed once.
 func (p *Plan) checkProfiles() error {
 	for i, name := range p.Profiles {
 		if loadProfiles[name] == nil {
-			return invalid("days", "there is no load profile %q, there are %s",
+			return invalid("days", "unknown load profile %q, there are %s",
 				name, capacity.JoinProfiles(capacity.Profiles))
 		}
 		if slices.Index(p.Profiles, name) < i {
-			return invalid("days", "%q is there twice", name)
+			return invalid("days", "%q is listed twice", name)
 		}
 	}
 	return nil
 }
 
-// checkRates checks the numbers that may be NaN, which no comparison is true for.
+// checkRates checks the numbers that may be NaN. It negates the valid range, because no comparison with NaN is true.
 func (p *Plan) checkRates() error {
 	switch {
 	case !(p.Seconds >= minRunSeconds && p.Seconds <= maxRunSeconds):
--- a/internal/scaletest/print.go
+++ b/internal/scaletest/print.go
@@ -19,7 +19,7 @@
 	title string // with the unit
 }
 
-// printedMetrics are the rows of a table, in order.
+// printedMetrics lists the rows of a table in order.
 var printedMetrics = []printedMetric{
 	{capacity.CPU, "processor, cores"},
 	{capacity.ResidentMB, "resident memory, MB"},
@@ -43,7 +43,7 @@
 	title string
 }
 
-// printedRoles are the columns of a table, in order.
+// printedRoles lists the columns of a table in order.
 var printedRoles = []printedRole{
 	{capacity.RoleHollow, "hollow agent"},
 	{capacity.RoleReal, "real agent"},
@@ -51,8 +51,8 @@
 	{capacity.RoleFollower, "discovery follower"},
 }
 
-// PrintRuns prints the metrics of runs as tables: a row for each metric and a column for each role, means
-// over the role's members; "-" is what was not measured.
+// PrintRuns prints the metrics of each run as a table with a row for each metric and a column for each role. The values
+// are means over the role's members, and "-" where nothing was measured.
 func PrintRuns(out io.Writer, runs []*capacity.Run) error {
 	var b bytes.Buffer
 	for _, r := range runs {
@@ -64,7 +64,7 @@
 	return err
 }
 
-// printRun prints one run.
+// printRun prints one run: a heading, the table of its metrics and the latencies of changes.
 func printRun(b *bytes.Buffer, r *capacity.Run) error {
 	fmt.Fprintf(b, "%s: %d hollow and %d real agents, %d discovery instances, %d servers, repeat %d:"+
 		" %.0f s at %g times the target's rates, %d changes\n",
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// printRoles prints the table of one run.
+// printRoles prints the table of a run's metrics.
 func printRoles(b *bytes.Buffer, roles map[capacity.Role]capacity.RoleMetrics) error {
 	var table strings.Builder
 	table.WriteString("\t")
