--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -66,8 +66,8 @@
 	hosts            []*hostProcess
 	realAgents       *realAgents
 	trackers         trackers
-	carries          map[string]*counterCarry // of the processes that may be restarted
-	settingsServices int                      // number of services whose settings change
+	endedCounters    map[string]*endedCounters // of the processes that may be restarted
+	settingsServices int                       // number of services whose settings change
 
 	mu             sync.Mutex
 	random         *rand.Rand
@@ -116,7 +116,7 @@
 		return err
 	}
 	for _, name := range f.discovery.Names() {
-		f.carries[name] = &counterCarry{}
+		f.endedCounters[name] = &endedCounters{}
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 func (f *fleet) prepareRealAgents(program string) error {
 	var names []string
 	for _, m := range f.members {
-		f.carries[m.name] = &counterCarry{}
+		f.endedCounters[m.name] = &endedCounters{}
 		if !m.hollow() {
 			names = append(names, m.name)
 		}
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -71,7 +71,7 @@
 func (f *fleet) endMember(
 	ctx context.Context, m *member, command commandName, endProcess func(name string) error,
 ) error {
-	if err := f.carryOver(ctx, m); err != nil {
+	if err := f.saveCounters(ctx, m); err != nil {
 		return fmt.Errorf("read counters before the end: %w", err)
 	}
 	f.trackers.forEach(func(t *tracker) { t.stopping(m.name) })
--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -13,30 +13,30 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// event is an action at a fraction of a run's length.
+// event is an action that is carried out at a given fraction of a run's length.
 type event struct {
 	at float64
 	do func(context.Context) error
 }
 
-// script has the events of a run, and what of the load profile this run can't measure.
+// script has the events of a run, and notes on what the run can't measure of its load profile.
 type script struct {
 	events  []event
 	missing []string
 }
 
-// add adds an action at each of some fractions of the run.
+// add adds an event with an action at each of the given fractions of the run.
 func (s *script) add(do func(context.Context) error, at ...float64) {
 	for _, fraction := range at {
 		s.events = append(s.events, event{fraction, do})
 	}
 }
 
-// loadProfile makes a load profile's script for a fleet.
+// loadProfile returns the script of a load profile for a fleet.
 type loadProfile func(f *fleet, t *capacity.Target) script
 
-// loadProfiles are all that can be run. All but the quiet one have changes of the list and of settings at the target's
-// rate, scaled to the size and multiplied by the plan's rate factor.
+// loadProfiles has all load profiles. All but the quiet one change the endpoint list and settings at the target's rate,
+// which is scaled to the size of the fleet and multiplied by the plan's rate factor.
 var loadProfiles = map[capacity.Profile]loadProfile{
 	capacity.ProfileQuiet:    quietProfile,
 	capacity.ProfileOrdinary: ordinaryProfile,
@@ -51,16 +51,16 @@
 	faultBegins    = 0.2
 	faultEnds      = 0.6
 	partitionHeals = 0.7
-	lastRestart    = 0.9 // in an ordinary run
+	lastRestart    = 0.9 // latest restart or failure in an ordinary run
 )
 
 // regionPartition is the name of the partition between the regions.
 const regionPartition = "region"
 
-// rolloutParts is the number of parts of a fleet that a rollout restarts one after the other.
+// rolloutParts is the number of parts of the fleet that a rollout restarts one after another.
 const rolloutParts = 10
 
-// What runs of some load profiles don't measure.
+// Notes on what runs of some load profiles don't measure.
 const (
 	missingInRollout = "traffic of agents that end, from up to 0.2 s before the command on"
 	missingInZone    = "the zone's discovery instance and its servers stay: only its agents are lost"
@@ -68,7 +68,8 @@
 		" that is no agent's"
 )
 
-// runEvents carries out events at their times, and returns when all are done and the run is over.
+// runEvents starts each event at its time without waiting for those before it. It returns once all events are done and
+// the run's length is over.
 func (f *fleet) runEvents(ctx context.Context, events []event) error {
 	slices.SortFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	length := time.Duration(f.plan.Seconds * float64(time.Second))
@@ -99,14 +100,14 @@
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// randomRound rounds x up or down at random, so that the mean is x.
+// randomRound rounds x up or down at random so that the expected value is x.
 func (f *fleet) randomRound(x float64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return int(math.Floor(x + f.random.Float64()))
 }
 
-// randomMoments are n random fractions of a run, from lo to hi.
+// randomMoments returns n random fractions of a run from lo to hi.
 func (f *fleet) randomMoments(n int, lo, hi float64) []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +118,7 @@
 	return moments
 }
 
-// changeScript has the changes of a run, of which the plan's fraction are of settings.
+// changeScript returns a script with the changes of a run. The plan's SettingsFraction of them are changes of settings.
 func (f *fleet) changeScript(t *capacity.Target) script {
 	var s script
 	changes := f.randomRound(expectedEvents(t, t.Changes.PerDay, f.size, f.plan))
@@ -140,7 +141,8 @@
 // quietProfile has no events.
 func quietProfile(*fleet, *capacity.Target) script { return script{} }
 
-// ordinaryProfile restarts agents, and kills those whose machine fails, which are not started again.
+// ordinaryProfile restarts random agents, and kills others as if their machine had failed. The killed agents are not
+// started again.
 func ordinaryProfile(f *fleet, t *capacity.Target) script {
 	s := f.changeScript(t)
 	expectedRestarts := expectedEvents(t, t.Daily.AgentsReplaced, f.size, f.plan)
@@ -158,7 +160,7 @@
 	return s
 }
 
-// onIdleMember is an action on a random member that runs and is not busy, if there is one.
+// onIdleMember returns an action that calls do for a random idle member, if there is one.
 func (f *fleet) onIdleMember(do func(context.Context, *member) error) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if m := f.takeIdleMember(); m != nil {
@@ -168,7 +170,7 @@
 	}
 }
 
-// rolloutProfile restarts all agents, a tenth at a time, each part once the one before has started again.
+// rolloutProfile restarts all agents, a tenth at a time. Each part follows once the one before has restarted.
 func rolloutProfile(f *fleet, t *capacity.Target) script {
 	members := f.runningMembers()
 	f.mu.Lock()
@@ -193,7 +195,7 @@
 	return s
 }
 
-// zoneFailureProfile kills the agents of one zone, and starts them again.
+// zoneFailureProfile kills all agents of a random zone, and starts them again later.
 func zoneFailureProfile(f *fleet, t *capacity.Target) script {
 	f.mu.Lock()
 	zone := f.random.IntN(len(zoneNames))
@@ -211,7 +213,7 @@
 	return s
 }
 
-// leaderFailureProfile kills the discovery instance that is the leader, and starts it again.
+// leaderFailureProfile kills the discovery leader, and starts it again later.
 func leaderFailureProfile(f *fleet, t *capacity.Target) script {
 	killed := make(chan string, 1)
 	s := f.changeScript(t)
@@ -229,8 +231,8 @@
 	return s
 }
 
-// killLeader kills the discovery instance that is the leader, once its counters are carried over, and returns its name;
-// "": none was killed.
+// killLeader kills the discovery leader after its counters were read, and returns its name. The name is empty if no
+// instance was killed.
 func (f *fleet) killLeader(ctx context.Context) (string, error) {
 	leader, err := f.discovery.awaitLeader(ctx)
 	if err != nil {
@@ -240,15 +242,15 @@
 	if err != nil {
 		return "", err
 	}
-	f.carries[leader].add(usage.counters)
+	f.endedCounters[leader].add(usage.counters)
 	if err := f.discovery.Kill(leader); err != nil {
 		return "", err
 	}
 	return leader, nil
 }
 
-// regionPartitionProfile cuts the regions from each other, for membership and between the discovery
-// instances, and heals that. Calls to discovery are not cut.
+// regionPartitionProfile partitions the regions from each other and heals the partition later. It applies to membership
+// traffic and to the Raft traffic between discovery instances, but not to the agents' calls to discovery.
 func regionPartitionProfile(f *fleet, t *capacity.Target) script {
 	members := make([][]string, len(regionNames))
 	for _, m := range f.members {
--- a/internal/scaletest/realagents.go
+++ b/internal/scaletest/realagents.go
@@ -10,9 +10,9 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// realAgents are the processes of the real agent, with what their logs say.
+// realAgents are the processes of the real agent, with the state read from their logs.
 type realAgents struct {
-	*processtest.Cluster // nil without real agents
+	*processtest.Cluster // nil if there are no real agents
 	directory            string
 	trackers             trackers
 	client               *http.Client
@@ -22,15 +22,15 @@
 }
 
 const (
-	// readyRequestTimeout is that of one request whether an agent is ready.
+	// readyRequestTimeout is the timeout of a readiness request to an agent.
 	readyRequestTimeout = time.Second
-	// statusTimeout is that of a request for an agent's membership status.
+	// statusTimeout is the timeout of a request for an agent's membership status.
 	statusTimeout = 3 * time.Second
-	// statusQuery asks for neither members nor changes: no snapshot has a number of 2^62.
+	// statusQuery requests a status without members and changes. No snapshot number reaches 2^62 (the value of since).
 	statusQuery = "members=none&since=4611686018427387904"
 )
 
-// newRealAgents prepares the processes, whose configurations NAME.json are in directory. None runs yet.
+// newRealAgents prepares the processes without starting them. Their configurations are the files NAME.json in directory.
 func newRealAgents(program, directory string, names []string, trackers trackers) (*realAgents, error) {
 	r := &realAgents{
 		directory: directory,
@@ -54,7 +54,7 @@
 	return r, err
 }
 
-// start starts an agent and waits until it is ready for clients at an address.
+// start starts an agent and waits until it is ready at its client address.
 func (r *realAgents) start(ctx context.Context, name, listen string) error {
 	if err := r.Start(name); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	return err
 }
 
-// ready reports whether an agent takes clients at an address.
+// ready reports whether the agent with a client address is ready.
 func (r *realAgents) ready(ctx context.Context, listen string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+listen+"/-/ready", http.NoBody)
 	if err != nil {
@@ -76,11 +76,11 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // the status is all that is read
+	_ = response.Body.Close() // only the status is used
 	return response.StatusCode == http.StatusOK
 }
 
-// runningCount is the number of processes that run.
+// runningCount returns the number of running processes.
 func (r *realAgents) runningCount() int {
 	if r.Cluster == nil {
 		return 0
@@ -94,7 +94,7 @@
 	return count
 }
 
-// status is an agent's membership status by its admin endpoint.
+// status requests an agent's membership status from its admin endpoint.
 func (r *realAgents) status(ctx context.Context, adminAddress string) (*membership.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -106,6 +106,6 @@
 	if r.Cluster == nil {
 		return
 	}
-	_ = processtest.Each(r.Names(), r.Kill) // Close ends those that could not be killed
+	_ = processtest.Each(r.Names(), r.Kill) // Close ends any that could not be killed
 	r.Close()
 }
--- a/internal/scaletest/rolemetrics.go
+++ b/internal/scaletest/rolemetrics.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// roleMetrics are the metrics of all roles between two samples.
+// roleMetrics returns the metrics of all roles between two samples.
 func (f *fleet) roleMetrics(ctx context.Context, before, after *sample) map[capacity.Role]capacity.RoleMetrics {
 	members := f.agentMetrics(before, after)
 	leader := f.discovery.leader(ctx)
@@ -29,8 +29,8 @@
 	return roles
 }
 
-// agentMetrics are the metrics, by role, of the agents that run and are in both samples. A hollow agent
-// has its part of its host's process.
+// agentMetrics returns the metrics, by role, of the running agents that are in both samples. Those of a hollow agent
+// include its equal part of the host process's metrics.
 func (f *fleet) agentMetrics(before, after *sample) map[capacity.Role][]metricValues {
 	perAgent := hostMetricsPerAgent(before, after)
 	f.mu.Lock()
@@ -55,7 +55,7 @@
 	return members
 }
 
-// hostMetricsPerAgent are the metrics of each host's process divided by its agents.
+// hostMetricsPerAgent returns the metrics of each host process divided by the number of its agents.
 func hostMetricsPerAgent(before, after *sample) map[string]metricValues {
 	perAgent := map[string]metricValues{}
 	for name, end := range after.hosts {
@@ -68,7 +68,7 @@
 	return perAgent
 }
 
-// summarize is the mean and the maximum of each metric over the members of a role.
+// summarize returns the mean and the maximum of each metric over the members of a role.
 func summarize(members []metricValues) capacity.RoleMetrics {
 	r := capacity.RoleMetrics{Count: len(members), Mean: metricValues{}, Max: metricValues{}}
 	for _, values := range members {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -13,7 +13,7 @@
 	"fernbeam.example/fernbeam/internal/faultproxy"
 )
 
-// Config says what Run runs, and with which programs.
+// Config has the parameters of Run.
 type Config struct {
 	Plan        *Plan
 	Target      *capacity.Target
@@ -21,28 +21,28 @@
 	Discovery   string                           // path of the built discovery service (bin/discovery)
 	HostCommand []string                         // command line of a host process
 	Directory   string                           // for configurations, logs and discovery's data
-	Commit      string                           // of the programs
-	Progress    func(format string, args ...any) // reports what happens; may be nil
-	OnRun       func(*capacity.Run) error        // called with each run as it ends
+	Commit      string                           // commit that the programs were built from
+	Progress    func(format string, args ...any) // called with progress messages; may be nil
+	OnRun       func(*capacity.Run) error        // called with the record of each run when it ends
 }
 
-// maxFleetStarts is the number of fleets that are started where each fails to converge before its first
-// run. Each such failure is recorded as an invalid run.
+// maxFleetStarts is the number of successive fleets that may fail to converge before their first run. After that the
+// remaining load profiles are not run. Each failure is recorded as an invalid run.
 const maxFleetStarts = 3
 
-// startDelay is the time from a fleet's convergence until the measured run begins.
+// startDelay is the time from the convergence of a fleet to the start of the measured run.
 const startDelay = 2 * time.Second
 
-// errInterrupted is returned when the context ends.
+// errInterrupted is returned by Run if the context ends.
 var errInterrupted = errors.New("interrupted")
 
 // runner carries out a plan.
 type runner struct{ Config }
 
-// Run carries out a plan: each repeat of each size on a fleet of its own, on which its load profiles follow each
-// other. The one with a partition of regions has another fleet, whose membership packets pass a relay. A size that this
-// machine can't run is an error before anything is started. When ctx ends, everything that was started
-// is ended; the runs done by then were given to OnRun.
+// Run carries out a plan. Each repeat of each size starts a new fleet and runs the load profiles on it in order. The
+// profile with a partition of regions runs on a separate fleet whose membership packets pass through a relay. Run
+// returns an error before it starts anything if this machine can't run one of the sizes. If ctx ends, Run ends all
+// processes that it started and returns an error; the runs completed by then have been passed to OnRun.
 func Run(ctx context.Context, cfg Config) error {
 	if cfg.Progress == nil {
 		cfg.Progress = func(string, ...any) {}
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// runProfiles runs load profiles on one fleet, and on a new one after each failure to converge before a run.
+// runProfiles runs load profiles on a fleet, and continues on a new one each time the fleet fails to converge before a
+// run.
 func (r *runner) runProfiles(ctx context.Context, hollow, repeat int, profiles []capacity.Profile) error {
 	failures := 0
 	for len(profiles) > 0 {
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// runOnFleet starts a fleet and runs load profiles on it until it fails to converge before one. done is the number of
-// those that were run.
+// runOnFleet starts a fleet and runs load profiles on it until the fleet fails to converge before one of them. done is
+// the number of profiles that were run.
 func (r *runner) runOnFleet(
 	ctx context.Context, hollow, repeat int, profiles []capacity.Profile,
 ) (done int, err error) {
@@ -117,7 +118,7 @@
 	}
 	r.Progress("%d hollow and %d real agents, repeat %d: starting", hollow, plan.Real, repeat)
 	if err := f.start(ctx, &r.Config, hollow); err != nil {
-		return 0, fmt.Errorf("start: %w", err)
+		return 0, fmt.Errorf("start the fleet: %w", err)
 	}
 	for _, profile := range profiles {
 		run := f.newRun()
@@ -140,7 +141,7 @@
 	return done, nil
 }
 
-// newFleet returns a fleet that is not started, with a directory of its own.
+// newFleet returns a fleet that is not started yet, with its own directory.
 func (r *runner) newFleet(hollow int, seed uint64) (*fleet, error) {
 	directory, err := os.MkdirTemp(r.Directory, "fleet")
 	if err != nil {
@@ -153,7 +154,7 @@
 		directory:     directory,
 		random:        rand.New(rand.NewPCG(seed, uint64(hollow))),
 		trackers:      newTrackers(),
-		carries:       map[string]*counterCarry{},
+		endedCounters: map[string]*endedCounters{},
 	}
 	if f.listedServers == 0 {
 		f.listedServers = f.size
@@ -161,7 +162,7 @@
 	return f, nil
 }
 
-// newRun is the record of a run on the fleet, with what all of its runs have in common.
+// newRun returns a record with the fields that all runs on the fleet have in common.
 func (f *fleet) newRun() *capacity.Run {
 	return &capacity.Run{
 		Plan:               f.plan.Name,
@@ -174,8 +175,8 @@
 	}
 }
 
-// runProfile runs one load profile on a fleet and fills its record. It returns false, and marks the run invalid, if the
-// fleet does not converge before.
+// runProfile runs one load profile on a fleet and fills in its record. If the fleet does not converge before the run,
+// it marks the record as invalid and returns false.
 func (f *fleet) runProfile(ctx context.Context, cfg *Config, run *capacity.Run) (bool, error) {
 	problem, err := f.prepareRun(ctx)
 	if err != nil {
@@ -203,8 +204,8 @@
 	return true, f.recordInForceTimes(run)
 }
 
-// prepareRun starts the members whose machine failed in the run before, and waits until the fleet has
-// converged; problem says why it has not.
+// prepareRun starts the members that the previous run left stopped, and waits until the fleet has converged. If it has
+// not, problem says why.
 func (f *fleet) prepareRun(ctx context.Context) (problem string, err error) {
 	if err := f.forEach(ctx, f.endedMembers(), f.startMember); err != nil {
 		return "", err
@@ -221,7 +222,7 @@
 	}
 }
 
-// measureRun carries out a load profile's events and records what each role took.
+// measureRun carries out a load profile's events and records the metrics of each role.
 func (f *fleet) measureRun(ctx context.Context, s script, run *capacity.Run) error {
 	before, err := f.sample(ctx)
 	if err != nil {
@@ -250,7 +251,7 @@
 	return nil
 }
 
-// recordUnsampled records how many of the running agents of a role have no metrics.
+// recordUnsampled records how many of the running agents of a role are without metrics.
 func (f *fleet) recordUnsampled(run *capacity.Run, role capacity.Role, running int) {
 	if sampled := run.Roles[role].Count; sampled < running {
 		run.Missing = append(run.Missing, fmt.Sprintf(
@@ -259,13 +260,13 @@
 	}
 }
 
-// neverMeasured is what no run can measure.
+// neverMeasured lists what no run can measure.
 var neverMeasured = []string{
 	"heap_mb, alloc_kb_s and goroutines of real agents: their process does not report them",
 	"servers of real agents are those that are not draining: their process reports no others",
 }
 
-// recordInForceTimes records the times from acknowledgement to in force.
+// recordInForceTimes records the times from the acknowledgement of changes until they were in force.
 func (f *fleet) recordInForceTimes(run *capacity.Run) error {
 	for _, m := range f.runningMembers() {
 		if m.hollow() {
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -14,22 +14,22 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// metricValues are values by the names of metrics in package capacity.
+// metricValues maps metrics to their values.
 type metricValues map[capacity.MetricKey]float64
 
-// usage is what a process or an agent has taken: counters since its start, from which rates are made,
-// and gauges.
+// usage is the resource usage of a process or an agent: counters since its start, from which rates are computed, and
+// gauges.
 type usage struct {
 	counters, gauges metricValues
 }
 
-// reading is a usage at a time.
+// reading is the usage at a point in time.
 type reading struct {
 	at time.Time
 	usage
 }
 
-// since is the rates from an earlier reading to this one, and this one's gauges.
+// since returns the rates of the counters between an earlier reading and this one, and the gauges of this one.
 func (r reading) since(before reading) metricValues {
 	values := maps.Clone(r.gauges)
 	seconds := r.at.Sub(before.at).Seconds()
@@ -39,27 +39,28 @@
 	return values
 }
 
-// counterCarry has the counters of the processes of a name that have ended.
-type counterCarry struct {
-	mu      sync.Mutex
-	carried metricValues
+// endedCounters sums the counters of the ended processes of an agent or discovery instance, so that its counters do not
+// restart with it.
+type endedCounters struct {
+	mu    sync.Mutex
+	total metricValues
 }
 
 // add adds the counters of a process that is about to end.
-func (c *counterCarry) add(counters metricValues) {
+func (c *endedCounters) add(counters metricValues) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carried = addValues(c.carried, counters)
+	c.total = addValues(c.total, counters)
 }
 
-// sum is the counters of the present process and of those before it.
-func (c *counterCarry) sum(counters metricValues) metricValues {
+// sum returns the counters of the current process added to those of the ended ones.
+func (c *endedCounters) sum(counters metricValues) metricValues {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return addValues(counters, c.carried)
+	return addValues(counters, c.total)
 }
 
-// addValues is the sum of two sets of values.
+// addValues returns the sums of the values of each metric.
 func addValues(a, b metricValues) metricValues {
 	sum := metricValues{}
 	maps.Copy(sum, a)
@@ -69,14 +70,14 @@
 	return sum
 }
 
-// sample has the readings of everything that runs.
+// sample has the readings of all running processes and agents by name.
 type sample struct {
 	hosts, hollow, real, discovery map[string]reading
 	agentsPerHost                  map[string]int
 }
 
-// sample reads everything that runs, concurrently. A real agent or discovery instance that can't be read
-// is left out.
+// sample reads all running processes and agents concurrently. A real agent or discovery instance that can't be read is
+// left out.
 func (f *fleet) sample(ctx context.Context) (*sample, error) {
 	s := &sample{
 		hosts:         map[string]reading{},
@@ -87,13 +88,13 @@
 	}
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.carries) })
-	// add has one process read and adds its reading to those of its role.
+	f.requestReports(ctx, group, &mu, func(host string, r *HostReport) { s.addHostReport(host, r, f.endedCounters) })
+	// add starts the reading of one process, and adds the result to the readings of its role.
 	add := func(readings map[string]reading, name string, read func() (reading, error)) {
 		group.Go(func() error {
 			r, err := read()
 			if err != nil {
-				return nil // the process is missing from the sample then
+				return nil // the process is left out of the sample
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -114,8 +115,8 @@
 	return s, group.Wait()
 }
 
-// addHostReport adds the readings of a host and of its agents.
-func (s *sample) addHostReport(host string, r *HostReport, carries map[string]*counterCarry) {
+// addHostReport adds the readings of a host process and of its agents.
+func (s *sample) addHostReport(host string, r *HostReport, ended map[string]*endedCounters) {
 	at := time.UnixMicro(r.AtUs)
 	s.hosts[host] = reading{at, usage{
 		counters: metricValues{
@@ -132,12 +133,12 @@
 	s.agentsPerHost[host] = len(r.Agents)
 	for name, a := range r.Agents {
 		gauges := metricValues{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}
-		s.hollow[name] = reading{at, usage{carries[name].sum(hollowCounters(a)), gauges}}
+		s.hollow[name] = reading{at, usage{ended[name].sum(hollowCounters(a)), gauges}}
 	}
 }
 
-// hollowCounters are the counters of a hollow agent. Each call to discovery is a message out, and its
-// response one in.
+// hollowCounters returns the counters of a hollow agent. Each call to discovery counts as a sent message, and its
+// response as a received one.
 func hollowCounters(a AgentReport) metricValues {
 	return metricValues{
 		capacity.BytesIn:         float64(a.MembershipIn + a.ListIn),
@@ -151,19 +152,19 @@
 
 const bytesPerKB = 1024
 
-// readRealAgent reads a real agent, with its processes that have ended, once it has logged its counters
-// again.
+// readRealAgent waits until a real agent has logged its counters again, and returns its reading including its ended
+// processes.
 func (f *fleet) readRealAgent(ctx context.Context, m *member) (reading, error) {
 	if err := f.realAgents.awaitCounters(ctx, m.name, time.Now()); err != nil {
 		return reading{}, err
 	}
 	u, err := f.realAgentUsage(ctx, m)
-	u.counters = f.carries[m.name].sum(u.counters)
+	u.counters = f.endedCounters[m.name].sum(u.counters)
 	return reading{time.Now(), u}, err
 }
 
-// realAgentUsage is the usage of a real agent's present process, from /proc, its admin endpoint and its
-// log.
+// realAgentUsage returns the usage of a real agent's current process, which it reads from /proc, the agent's admin
+// endpoint and its log.
 func (f *fleet) realAgentUsage(ctx context.Context, m *member) (usage, error) {
 	process, err := processtest.ProcessUsage(f.realAgents.Pid(m.name))
 	if err != nil {
@@ -201,33 +202,33 @@
 	}, nil
 }
 
-// carryOver carries over the counters of an agent that is about to be ended.
-func (f *fleet) carryOver(ctx context.Context, m *member) error {
+// saveCounters adds the counters of an agent that is about to be ended to those of its ended processes.
+func (f *fleet) saveCounters(ctx context.Context, m *member) error {
 	if m.hollow() {
 		r, err := m.host.recentReport(ctx)
 		if err != nil {
 			return err
 		}
-		f.carries[m.name].add(hollowCounters(r.Agents[m.name]))
+		f.endedCounters[m.name].add(hollowCounters(r.Agents[m.name]))
 		return nil
 	}
 	u, err := f.realAgentUsage(ctx, m)
 	if err != nil {
-		return fmt.Errorf("%s, before its end: %w", m.name, err)
+		return fmt.Errorf("usage of %s: %w", m.name, err)
 	}
-	f.carries[m.name].add(u.counters)
+	f.endedCounters[m.name].add(u.counters)
 	return nil
 }
 
-// readInstance reads a discovery instance, with its processes that have ended.
+// readInstance returns the reading of a discovery instance including its ended processes.
 func (f *fleet) readInstance(ctx context.Context, name string) (reading, error) {
 	u, err := f.instanceUsage(ctx, name)
-	u.counters = f.carries[name].sum(u.counters)
+	u.counters = f.endedCounters[name].sum(u.counters)
 	return reading{time.Now(), u}, err
 }
 
-// instanceUsage is the usage of a discovery instance's present process. Its admin endpoint is left out:
-// the runner's own requests are not part of the load.
+// instanceUsage returns the usage of a discovery instance's current process. The traffic of its admin endpoint is not
+// counted, because the runner's own requests are not part of the load.
 func (f *fleet) instanceUsage(ctx context.Context, name string) (usage, error) {
 	process, err := processtest.ProcessUsage(f.discovery.Pid(name))
 	if err != nil {
@@ -239,8 +240,8 @@
 	}
 	reads := status.Usage.Reads
 	raft := status.Usage.Raft
-	// A call is a message in and one out. Of Raft the writes are counted: its calls, and its responses to
-	// others' calls. As many come in, as each call has one response.
+	// Each call is one received and one sent message. For Raft only the writes are counted, which are the instance's calls
+	// and its responses to the calls of others. It receives as many messages, because each call has one response.
 	messages := float64(reads.Messages + raft.Messages)
 	return usage{
 		counters: metricValues{
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -10,17 +10,17 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// inForceTimeout is how long a change may take to come into force at an agent; after that it counts as
-// never in force there.
+// inForceTimeout is how long a change may take to come into force at an agent. After that it counts as never in force
+// there.
 const inForceTimeout = 20 * time.Second
 
-// The kinds of changes, in events of hosts and in records of runs.
+// The kinds of changes, as they are named in host events and in records of runs.
 const (
 	kindList     = capacity.ChangeList
 	kindSettings = capacity.ChangeSettings
 )
 
-// changeKinds are both kinds.
+// changeKinds lists all kinds of changes.
 var changeKinds = []capacity.ChangeKind{kindList, kindSettings}
 
 // trackers has a tracker for each kind of change.
@@ -40,48 +40,48 @@
 	}
 }
 
-// tracker records which changes of one kind were acknowledged, and which versions came into force
-// where. An agent may skip versions: a change is in force once the agent has its version or a later one.
+// tracker records when changes of one kind were acknowledged, and when versions came into force at each agent. An agent
+// may skip versions: a change is in force once the agent has its version or a later one.
 type tracker struct {
-	// serviceOf is each agent's service, where changes are of one; it is set before agents run.
+	// serviceOf maps agents to their services if each change belongs to a service. It is set before agents start.
 	serviceOf map[string]string
 
 	mu           sync.Mutex
 	changes      []acknowledgedChange
 	incarnations []*incarnation
-	current      map[string]*incarnation   // by agent, those that have not ended
-	pending      map[string]versionInForce // the last version of agents that are not known to run yet
+	current      map[string]*incarnation   // by agent; only those that have not ended
+	pending      map[string]versionInForce // last versions of agents that are not recorded as started yet
 }
 
 // acknowledgedChange is a change that discovery has acknowledged.
 type acknowledgedChange struct {
-	service        string // the change is for its agents; "": for all
+	service        string // the service whose agents get the change; empty: all agents get it
 	version        uint64
 	acknowledgedAt time.Time
 }
 
-// incarnation is one run of an agent.
+// incarnation is an agent from one of its starts to its end.
 type incarnation struct {
 	agent      string
 	start, end time.Time        // end is zero until it ends
-	versions   []versionInForce // in order
-	// incomplete says that the agent dropped log lines, so that a version that is not in versions may
-	// have been in force.
+	versions   []versionInForce // in ascending order
+	// incomplete reports that the agent dropped log lines, so that a version that is missing from versions may have
+	// been in force.
 	incomplete bool
 }
 
-// versionInForce is a version and when it came into force at an agent.
+// versionInForce is a version and the time when it came into force at an agent.
 type versionInForce struct {
 	version uint64
 	at      time.Time
 }
 
-// newTracker returns a tracker without agents and changes.
+// newTracker returns a tracker without any agents or changes.
 func newTracker() *tracker {
 	return &tracker{current: map[string]*incarnation{}, pending: map[string]versionInForce{}}
 }
 
-// started records that an agent runs.
+// started records that an agent has started.
 func (t *tracker) started(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,8 +94,7 @@
 	t.incarnations = append(t.incarnations, i)
 }
 
-// stopping records that an agent is about to end; what comes into force there afterwards does not
-// count.
+// stopping records that an agent is about to be ended. Versions that come into force at it afterwards are not counted.
 func (t *tracker) stopping(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// ended records that an agent has ended, and that everything it reported was recorded.
+// ended records that an agent has ended and that all of its reports have been recorded.
 func (t *tracker) ended(agent string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,24 +135,24 @@
 	}
 }
 
-// acknowledged records an acknowledged change for all agents.
+// acknowledged records an acknowledged change that is for all agents.
 func (t *tracker) acknowledged(version uint64, at time.Time) { t.acknowledgedFor("", version, at) }
 
-// acknowledgedFor records an acknowledged change for a service's agents.
+// acknowledgedFor records an acknowledged change that is for the agents of a service.
 func (t *tracker) acknowledgedFor(service string, version uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.changes = append(t.changes, acknowledgedChange{service, version, at})
 }
 
-// count is the number of acknowledged changes.
+// count returns the number of acknowledged changes.
 func (t *tracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.changes)
 }
 
-// latestVersion is the newest acknowledged version that is for an agent.
+// latestVersion returns the newest acknowledged version among the changes that are for an agent, or 0.
 func (t *tracker) latestVersion(agent string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +165,7 @@
 	return latest
 }
 
-// reset forgets everything but the agents that run and the versions in force at them.
+// reset discards everything except the running agents and the versions in force at them.
 func (t *tracker) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,14 +178,14 @@
 	}
 }
 
-// measuredLatencies are latencies, and what could not be measured.
+// measuredLatencies are latencies, with the number of those that could not be measured.
 type measuredLatencies struct {
 	capacity.Latencies
-	unknown int // pairs of change and agent without a result, as the agent dropped log lines
+	unknown int // pairs of a change and an agent without a result, because the agent dropped log lines
 }
 
-// latencies are the times from the acknowledgement of each change until it was in force, over all
-// agents that it was for and that ran then. An agent that ended before inForceTimeout without the change is
+// latencies returns the times from the acknowledgement of each change until it was in force, over all agents that the
+// change was for and that ran when it was acknowledged. An agent that ended before inForceTimeout without the change is
 // not counted.
 func (t *tracker) latencies() (measuredLatencies, error) {
 	var result measuredLatencies
@@ -217,7 +216,7 @@
 	return result, err
 }
 
-// summarizeLatencies sets the durations, in ms, from a histogram of µs.
+// summarizeLatencies fills in latencies, which are in ms, from a histogram of µs.
 func summarizeLatencies(l *capacity.Latencies, histogram *hdrhistogram.Histogram) error {
 	l.Count = histogram.TotalCount()
 	if l.Count == 0 {
@@ -232,12 +231,12 @@
 	return err
 }
 
-// ranAt reports whether the agent ran at a time.
+// ranAt reports whether the agent was running at a time.
 func (i *incarnation) ranAt(at time.Time) bool {
 	return !i.start.After(at) && (i.end.IsZero() || !i.end.Before(at))
 }
 
-// observedFor reports whether the agent ran for the whole inForceTimeout after a time.
+// observedFor reports whether the agent was running for the whole inForceTimeout after the time since.
 func (i *incarnation) observedFor(since, now time.Time) bool {
 	if !i.end.IsZero() && i.end.Sub(since) < inForceTimeout {
 		return false
@@ -245,7 +244,7 @@
 	return now.Sub(since) >= inForceTimeout
 }
 
-// inForceAt is when a version or a later one came into force.
+// inForceAt returns the time when a version or a later one came into force, and whether one did.
 func (i *incarnation) inForceAt(version uint64) (time.Time, bool) {
 	for _, v := range i.versions {
 		if v.version >= version {
