--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -66,7 +66,7 @@
 	hosts            []*hostProcess
 	realAgents       *realAgents
 	trackers         trackers
-	endedCounters    map[string]*endedCounters // of the processes that may be restarted
+	endedCounters    map[string]*counterTotals // of the processes that may be restarted
 	settingsServices int                       // number of services whose settings change
 
 	mu             sync.Mutex
@@ -116,7 +116,7 @@
 		return err
 	}
 	for _, name := range f.discovery.Names() {
-		f.endedCounters[name] = &endedCounters{}
+		f.endedCounters[name] = &counterTotals{}
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 func (f *fleet) prepareRealAgents(program string) error {
 	var names []string
 	for _, m := range f.members {
-		f.endedCounters[m.name] = &endedCounters{}
+		f.endedCounters[m.name] = &counterTotals{}
 		if !m.hollow() {
 			names = append(names, m.name)
 		}
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -105,8 +105,8 @@
 	return m
 }
 
-// takeZone marks all idle members of a zone busy and returns them.
-func (f *fleet) takeZone(zone int) []*member {
+// takeIdleInZone marks all idle members of a zone busy and returns them.
+func (f *fleet) takeIdleInZone(zone int) []*member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	taken := f.selectMembers(func(m *member) bool { return m.zone == zone && m.idle() })
--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -203,7 +203,7 @@
 	killed := make(chan []*member, 1)
 	s := f.changeScript(t)
 	s.add(func(ctx context.Context) error {
-		members := f.takeZone(zone)
+		members := f.takeIdleInZone(zone)
 		err := f.forEach(ctx, members, f.killMember)
 		killed <- members
 		return err
--- a/internal/scaletest/realagents.go
+++ b/internal/scaletest/realagents.go
@@ -26,11 +26,12 @@
 	readyRequestTimeout = time.Second
 	// statusTimeout is the timeout of a request for an agent's membership status.
 	statusTimeout = 3 * time.Second
-	// statusQuery requests a status without members and changes. No snapshot number reaches 2^62 (the value of since).
+	// statusQuery requests a status without members and changes: since is 2^62, which no snapshot number reaches.
 	statusQuery = "members=none&since=4611686018427387904"
 )
 
-// newRealAgents prepares the processes without starting them. Their configurations are the files NAME.json in directory.
+// newRealAgents prepares the processes without starting them. Each has its configuration in the file NAME.json in
+// directory.
 func newRealAgents(program, directory string, names []string, trackers trackers) (*realAgents, error) {
 	r := &realAgents{
 		directory: directory,
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -91,7 +91,7 @@
 		}
 		failures++
 		if failures == maxFleetStarts {
-			r.Progress("%d hollow agents: %d fleets did not converge, %s is not run",
+			r.Progress("%d hollow agents: %d fleets did not converge, skipping %s",
 				hollow, failures, capacity.JoinProfiles(profiles))
 			return nil
 		}
@@ -154,7 +154,7 @@
 		directory:     directory,
 		random:        rand.New(rand.NewPCG(seed, uint64(hollow))),
 		trackers:      newTrackers(),
-		endedCounters: map[string]*endedCounters{},
+		endedCounters: map[string]*counterTotals{},
 	}
 	if f.listedServers == 0 {
 		f.listedServers = f.size
@@ -199,7 +199,7 @@
 	}
 	run.Converged = problem == ""
 	if problem != "" {
-		cfg.Progress("%s: at its end, after %v, %s", run.Profile, convergenceTimeout, problem)
+		cfg.Progress("%s: not converged %v after its end: %s", run.Profile, convergenceTimeout, problem)
 	}
 	return true, f.recordInForceTimes(run)
 }
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -39,22 +39,22 @@
 	return values
 }
 
-// endedCounters sums the counters of the ended processes of an agent or discovery instance, so that its counters do not
-// restart with it.
-type endedCounters struct {
+// counterTotals has the summed counters of the ended processes of an agent or discovery instance. They are added to
+// those of its current process, so that a restart does not reset its counters.
+type counterTotals struct {
 	mu    sync.Mutex
 	total metricValues
 }
 
 // add adds the counters of a process that is about to end.
-func (c *endedCounters) add(counters metricValues) {
+func (c *counterTotals) add(counters metricValues) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total = addValues(c.total, counters)
 }
 
 // sum returns the counters of the current process added to those of the ended ones.
-func (c *endedCounters) sum(counters metricValues) metricValues {
+func (c *counterTotals) sum(counters metricValues) metricValues {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return addValues(counters, c.total)
@@ -116,7 +116,7 @@
 }
 
 // addHostReport adds the readings of a host process and of its agents.
-func (s *sample) addHostReport(host string, r *HostReport, ended map[string]*endedCounters) {
+func (s *sample) addHostReport(host string, r *HostReport, endedCounters map[string]*counterTotals) {
 	at := time.UnixMicro(r.AtUs)
 	s.hosts[host] = reading{at, usage{
 		counters: metricValues{
@@ -133,7 +133,7 @@
 	s.agentsPerHost[host] = len(r.Agents)
 	for name, a := range r.Agents {
 		gauges := metricValues{capacity.Members: float64(a.Members), capacity.Servers: float64(a.Servers)}
-		s.hollow[name] = reading{at, usage{ended[name].sum(hollowCounters(a)), gauges}}
+		s.hollow[name] = reading{at, usage{endedCounters[name].sum(hollowCounters(a)), gauges}}
 	}
 }
 
