--- a/internal/scaletest/agentlog_test.go
+++ b/internal/scaletest/agentlog_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestAgentLog: versions and counts are read from the agent's own lines, also where a line comes in two parts.
+// TestAgentLog checks that versions and counters are read from an agent's log lines, also if a line is written in two
+// parts.
 func TestAgentLog(t *testing.T) {
 	const (
 		listLine = `time=2026-12-02T04:23:10.125Z level=INFO msg="endpoint list" watch=true full=false` +
@@ -45,7 +46,7 @@
 	}
 }
 
-// agentLog is the log of an agent "a", and what reads it.
+// agentLog is the log of an agent "a", with the realAgents that read it.
 type agentLog struct{ agents *realAgents }
 
 // newAgentLog returns an empty log.
@@ -56,7 +57,7 @@
 	return agentLog{agents}
 }
 
-// write appends a text to the log, and reads it.
+// write appends a text to the log and has it read.
 func (l agentLog) write(t *testing.T, text string) {
 	t.Helper()
 	path := filepath.Join(l.agents.directory, "a.log")
@@ -75,5 +76,5 @@
 	}
 }
 
-// list is what was recorded of the endpoint list.
+// list returns what was recorded of the agent's endpoint list.
 func (l agentLog) list() *incarnation { return l.agents.trackers[kindList].current["a"] }
--- a/internal/scaletest/configurations_test.go
+++ b/internal/scaletest/configurations_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// agentCores is an agent's part of the machine, defaultMaxAttempts its number of attempts for a request.
+	// agentCores is the number of processor cores that an agent may use.
 	agentCores         = 0.2
 	defaultMaxAttempts = 3
 )
 
-// configurations makes the configurations of a fleet.
+// configurations creates the configurations of a fleet's agents.
 type configurations struct {
 	network   [2]byte
 	port      int
@@ -26,7 +26,8 @@
 	discovery string
 }
 
-// newConfigurations returns configurations on a random loopback network, for agents that call one discovery.
+// newConfigurations returns the configurations of size agents on a random loopback network, which call the discovery
+// service at an address.
 func newConfigurations(t *testing.T, discovery string, size int) *configurations {
 	t.Helper()
 	network := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// selectPort selects a port, and reports whether it is free for both protocols.
+// selectPort selects a port that is free for TCP, and reports whether it is free for UDP as well.
 func (c *configurations) selectPort(t *testing.T) bool {
 	t.Helper()
 	var config net.ListenConfig
@@ -59,20 +60,20 @@
 	return true
 }
 
-// ip is the address of an agent.
+// ip returns the IP address of an agent.
 func (c *configurations) ip(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", c.network[0], c.network[1], i+1)
 }
 
-// address is the address of an agent with a port.
+// address returns the address of an agent with a port.
 func (c *configurations) address(i, port int) string {
 	return net.JoinHostPort(c.ip(i), strconv.Itoa(port))
 }
 
-// adminAddress is the address of an agent's admin endpoint.
+// adminAddress returns the address of an agent's admin endpoint.
 func (c *configurations) adminAddress(i int) string { return c.address(i, c.port-1) }
 
-// config is the configuration of an agent, with settings by which discovery pushes lists to it.
+// config returns the configuration of an agent, with settings that have the agent watch the endpoint list.
 func (c *configurations) config(i int) processtest.AgentFile {
 	return processtest.AgentFile{
 		Name:       fmt.Sprintf("a%d", i),
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -17,19 +17,19 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// discoveryBytes are the bytes of an agent's calls to discovery, with HTTP headers.
+// discoveryBytes counts the bytes of an agent's calls to discovery, including HTTP headers.
 type discoveryBytes struct{ in, out uint64 }
 
 const (
-	// silentFrom is the version of the list from which the discovery of TestDiscoveryBytesMatchRealAgent is silent.
+	// silentFrom is the version of the list from which the silent discovery sends no more responses.
 	silentFrom = 20
-	// comparedCalls is the number of calls up to which the bytes are compared: those that get a version, and watches
-	// that time out.
+	// comparedCalls is the number of calls up to which the bytes are compared: those that return a version, and some
+	// watches that time out.
 	comparedCalls = silentFrom + 3
 )
 
-// TestDiscoveryBytesMatchRealAgent: a hollow agent's calls to discovery are those of the program, with the
-// same bytes for the same list.
+// TestDiscoveryBytesMatchRealAgent checks that a hollow agent's calls to discovery have as many bytes as those of the
+// agent program for the same list.
 func TestDiscoveryBytesMatchRealAgent(t *testing.T) {
 	configs := newConfigurations(t, newSilentDiscovery(t), 2)
 	config := configs.config(1)
@@ -52,8 +52,8 @@
 	}
 }
 
-// newSilentDiscovery starts a discovery that has silentFrom versions at once, one a call, and then sends no response:
-// watches time out and are made again. It returns the address.
+// newSilentDiscovery starts a fake discovery and returns its address. It returns silentFrom versions, one per call, and
+// then sends no more responses, so that watches time out and are repeated.
 func newSilentDiscovery(t *testing.T) string {
 	t.Helper()
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -72,26 +72,27 @@
 	return silent.Listener.Addr().String()
 }
 
-// programDiscoveryBytes runs the program with a configuration until it has made comparedCalls calls, and returns the
-// bytes that it logged, by the number of calls.
+// programDiscoveryBytes runs the agent program with a configuration until it has made comparedCalls calls. It returns
+// the bytes that the program logged, by the number of calls.
 func programDiscoveryBytes(t *testing.T, config processtest.AgentFile) map[uint64]discoveryBytes {
 	t.Helper()
 	log := startProgram(t, config)
 	read := make(chan map[uint64]discoveryBytes, 1)
 	go func() {
 		read <- readDiscoveryBytes(log)
-		_, _ = io.Copy(io.Discard, log) // so that the program does not wait
+		_, _ = io.Copy(io.Discard, log) // so that the program is not blocked
 	}()
 	select {
 	case bytes := <-read:
 		return bytes
 	case <-time.After(waitTimeout):
-		t.Fatalf("the program does not make %d calls", comparedCalls)
+		t.Fatalf("the program did not make %d calls in time", comparedCalls)
 		return nil
 	}
 }
 
-// startProgram starts the program with a configuration and returns its log. The test's end kills it.
+// startProgram starts the agent program with a configuration and returns its log. The program is killed at the end of
+// the test.
 func startProgram(t *testing.T, config processtest.AgentFile) io.Reader {
 	t.Helper()
 	dir := t.TempDir()
@@ -108,13 +109,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it fails only where the process has ended
-		_ = cmd.Wait()         // it was killed
+		_ = cmd.Process.Kill() // fails only if the process has ended
+		_ = cmd.Wait()         // returns an error because the process was killed
 	})
 	return log
 }
 
-// readDiscoveryBytes reads the counts of an agent's log until it has those of comparedCalls calls, or ends.
+// readDiscoveryBytes reads the counters in an agent's log until it finds those of comparedCalls calls, or the log ends.
 func readDiscoveryBytes(log io.Reader) map[uint64]discoveryBytes {
 	counts := regexp.MustCompile(`listIn:(\d+) listOut:(\d+) listCalls:(\d+)`)
 	byCalls := map[uint64]discoveryBytes{}
@@ -133,8 +134,8 @@
 	return byCalls
 }
 
-// hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls, and returns the
-// bytes that it reported, by the number of calls.
+// hollowDiscoveryBytes runs a hollow agent with a configuration until it has made comparedCalls calls. It returns the
+// bytes that the agent reported, by the number of calls.
 func hollowDiscoveryBytes(t *testing.T, config processtest.AgentFile) map[uint64]discoveryBytes {
 	t.Helper()
 	host := startHostClient(t)
--- a/internal/scaletest/discoveryserver_test.go
+++ b/internal/scaletest/discoveryserver_test.go
@@ -14,18 +14,17 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// discoveryServer is a fake discovery whose endpoint list grows by one server at each change. A watch
-// waits for a change.
+// discoveryServer is a fake discovery service whose endpoint list grows by one server with each version.
 type discoveryServer struct {
 	addr string
 
 	mu      sync.Mutex
 	version uint64
 	changed chan struct{}
-	callers map[string]bool // addresses that called
+	callers map[string]bool // IP addresses that have called
 }
 
-// newDiscoveryServer starts a discovery whose list has one server. The test's end stops it.
+// newDiscoveryServer starts a fake discovery service whose list has one server. It is stopped at the end of the test.
 func newDiscoveryServer(t *testing.T) *discoveryServer {
 	t.Helper()
 	d := &discoveryServer{version: 1, changed: make(chan struct{}), callers: map[string]bool{}}
@@ -38,7 +37,7 @@
 	return d
 }
 
-// ServeHTTP answers a poll at once, and a watch once there is a newer version or its time is over.
+// ServeHTTP responds to a poll immediately, and to a watch once there is a newer version or its wait time is over.
 func (d *discoveryServer) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	from, _, _ := net.SplitHostPort(request.RemoteAddr)
 	index, _ := strconv.ParseUint(request.FormValue("index"), 10, 64)
@@ -57,13 +56,13 @@
 		}
 		list.Full = index == 0
 		if version > index {
-			_ = json.NewEncoder(response).Encode(list) // an error: the agent has ended
+			_ = json.NewEncoder(response).Encode(list) // fails only if the agent has ended
 			return
 		}
 		select {
 		case <-wake:
 		case <-over:
-			_ = json.NewEncoder(response).Encode(list) // an error: the agent has ended
+			_ = json.NewEncoder(response).Encode(list) // fails only if the agent has ended
 			return
 		case <-request.Context().Done():
 			return
@@ -71,7 +70,7 @@
 	}
 }
 
-// addServer makes the next version of the list.
+// addServer adds a server to the list and returns the new version.
 func (d *discoveryServer) addServer() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scaletest/interrupted_test.go
+++ b/internal/scaletest/interrupted_test.go
@@ -18,7 +18,7 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// descendants are the child processes of a process, and theirs.
+// descendants returns the child processes of a process and all of their descendants.
 func descendants(pid int) []int {
 	children := childProcesses()
 	all := slices.Clone(children[pid])
@@ -28,14 +28,14 @@
 	return all
 }
 
-// childProcesses are the processes of this machine by their parent.
+// childProcesses returns the processes of this machine by their parent process.
 func childProcesses() map[int][]int {
 	children := map[int][]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // it has ended
+			continue // the process has ended
 		}
 		var child, parent int
 		var state string
@@ -48,7 +48,7 @@
 	return children
 }
 
-// haveEnded reports whether none of some processes runs.
+// haveEnded reports whether all processes have ended; zombies count as ended.
 func haveEnded(pids []int) bool {
 	return !slices.ContainsFunc(pids, func(pid int) bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -56,8 +56,8 @@
 	})
 }
 
-// TestInterrupted: a run that is interrupted, or killed, ends all its processes and keeps what it
-// has recorded.
+// TestInterrupted checks that a run that is interrupted or killed leaves no process behind, and that the runs recorded
+// before are complete.
 func TestInterrupted(t *testing.T) {
 	t.Parallel()
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
@@ -70,7 +70,7 @@
 			}
 			err := run.cmd.Wait()
 			if err == nil || sig == syscall.SIGINT && !strings.Contains(run.output.String(), "interrupted") {
-				t.Errorf("it ended with %v and printed:\n%s", err, &run.output)
+				t.Errorf("the run ended with error %v and printed:\n%s", err, &run.output)
 			}
 			ended := func() bool { return haveEnded(started) }
 			if err := processtest.Await(10*time.Second, "all its processes have ended", ended); err != nil {
@@ -81,14 +81,14 @@
 	}
 }
 
-// scaleRun is a process of `experiment scale`.
+// scaleRun is a process of "experiment scale".
 type scaleRun struct {
 	cmd    *exec.Cmd
-	record string       // path
-	output bytes.Buffer // of the process; complete once it has ended
+	record string       // path of the record file
+	output bytes.Buffer // output of the process; complete once it has ended
 }
 
-// startScaleRun starts a run of two profiles that is repeated several times. The test's end kills it.
+// startScaleRun starts a run of two load profiles with several repeats. It is killed at the end of the test.
 func startScaleRun(t *testing.T) *scaleRun {
 	t.Helper()
 	bin := programs(t)
@@ -107,11 +107,12 @@
 	if err := run.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = run.cmd.Process.Kill() }) // it fails only where the process has ended
+	t.Cleanup(func() { _ = run.cmd.Process.Kill() }) // fails only if the process has ended
 	return run
 }
 
-// awaitProcesses waits until the first run is recorded and all processes of a fleet run, and returns these.
+// awaitProcesses waits until the first run is recorded and all processes of a fleet are running, and returns their
+// process ids.
 func (run *scaleRun) awaitProcesses(t *testing.T) (started []int) {
 	t.Helper()
 	recorded := func() bool {
@@ -121,7 +122,7 @@
 	if err := processtest.Await(50*time.Second, "the first run is recorded", recorded); err != nil {
 		t.Fatalf("%v\n%s", err, &run.output)
 	}
-	// In the ordinary run an agent may be between its end and its next start.
+	// In the ordinary run an agent may be stopped for a restart.
 	err := processtest.Await(10*time.Second, "2 hosts, 2 agents and 3 discovery instances run", func() bool {
 		started = descendants(run.cmd.Process.Pid)
 		return len(started) == 2+2+3
@@ -143,7 +144,7 @@
 	for in := bufio.NewScanner(f); in.Scan(); {
 		var r capacity.Run
 		if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Profile == "" || len(r.Roles) != 4 {
-			t.Errorf("a record that can't be used (%v): %s", err, in.Text())
+			t.Errorf("invalid record (%v): %s", err, in.Text())
 		}
 	}
 }
--- a/internal/scaletest/profiles_test.go
+++ b/internal/scaletest/profiles_test.go
@@ -8,13 +8,13 @@
 	"fernbeam.example/fernbeam/internal/capacity"
 )
 
-// TestTargetRates checks the rates and services of a size against the deployment's target.
+// TestTargetRates checks how the target's rate of changes and number of services are scaled to a fleet size.
 func TestTargetRates(t *testing.T) {
 	target, err := capacity.LoadTarget(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// 4,800 changes a day of 1,500 agents: at a size of 150 and 100 times the rate, 5.6 in 10 s.
+	// The target has 4,800 changes per day with 1,500 agents. With 150 agents at 100 times the rate that is 5.6 in 10 s.
 	got := expectedEvents(target, target.Changes.PerDay, 150, &Plan{Seconds: 10, RateFactor: 100})
 	if math.Abs(got-5.5556) > 0.001 {
 		t.Errorf("%v changes, want 5.5556", got)
@@ -26,16 +26,16 @@
 	}
 }
 
-// TestNextChangeIsSettings: a plan without changes of settings draws no random number for them, and one
-// with a fraction draws that.
+// TestNextChangeIsSettings checks that a plan without changes of settings draws no random number for them, and that a
+// plan with a fraction of such changes draws that fraction.
 func TestNextChangeIsSettings(t *testing.T) {
 	f := &fleet{plan: DefaultPlan(), random: rand.New(rand.NewPCG(1, 2))}
 	for _, c := range []struct {
-		share float64
-		least int
-		most  int
+		fraction float64
+		least    int
+		most     int
 	}{{0, 0, 0}, {0.3, 2700, 3300}, {1, 10_000, 10_000}} {
-		f.plan.SettingsFraction = c.share
+		f.plan.SettingsFraction = c.fraction
 		n := 0
 		for range 10_000 {
 			if f.nextChangeIsSettings() {
@@ -43,10 +43,10 @@
 			}
 		}
 		if n < c.least || n > c.most {
-			t.Errorf("%v of 10,000 changes: %d", c.share, n)
+			t.Errorf("fraction %v: %d of 10,000 changes are of settings", c.fraction, n)
 		}
-		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.share == 0 && f.random.Uint64() != first {
-			t.Error("a plan without changes of settings draws for them")
+		if first := rand.New(rand.NewPCG(1, 2)).Uint64(); c.fraction == 0 && f.random.Uint64() != first {
+			t.Error("a plan without changes of settings draws a random number for them")
 		}
 	}
 }
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -15,15 +15,15 @@
 // targetFile is the deployment's target.
 const targetFile = "../../deploy/target.toml"
 
-// programsDir is the directory of the programs that tests start.
+// programsDir is the directory of the programs that the tests start.
 var programsDir string
 
-// buildPrograms builds the programs, once for all tests.
+// buildPrograms builds the programs once for all tests.
 var buildPrograms = sync.OnceValue(func() error {
 	return processtest.Build(context.Background(), programsDir, "agent", "discovery", "experiment")
 })
 
-// programs returns the directory of the built programs.
+// programs builds the programs if necessary and returns their directory.
 func programs(t *testing.T) string {
 	t.Helper()
 	if err := buildPrograms(); err != nil {
@@ -39,7 +39,7 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(programsDir) // the system cleans up what stays
+	_ = os.RemoveAll(programsDir) // a temporary directory that can't be removed does no harm
 	os.Exit(code)
 }
 
@@ -83,31 +83,33 @@
 	return runs
 }
 
-// requireConverged checks that a run's changes came into force at all agents, and that the fleet converged.
+// requireConverged checks that the changes of a run came into force at all agents, and that the fleet converged.
 func requireConverged(t *testing.T, r *capacity.Run) {
 	t.Helper()
 	if !r.Converged {
-		t.Errorf("%d hollow, %s: the agents do not have one view and the last list", r.Hollow, r.Profile)
+		t.Errorf("%d hollow, %s: the agents have not converged on one membership snapshot and the newest list",
+			r.Hollow, r.Profile)
 	}
 	if _, ok := r.InForce["settings"]; ok {
 		t.Errorf("%d hollow, %s: changes of settings in a plan without them", r.Hollow, r.Profile)
 	}
 	times := r.InForce["list"]
 	if times.NeverInForce > 0 {
-		t.Errorf("%d hollow, %s: %d pairs of change and agent without it", r.Hollow, r.Profile, times.NeverInForce)
+		t.Errorf("%d hollow, %s: %d pairs of a change and an agent where it never came into force",
+			r.Hollow, r.Profile, times.NeverInForce)
 	}
 	tooFew := r.Changes == 0 || times.Count < int64(r.Changes*r.Size/2) || times.Histogram == ""
 	if r.Profile != capacity.ProfileQuiet && tooFew {
-		t.Errorf("%d hollow, %s: %d changes, %d times", r.Hollow, r.Profile, r.Changes, times.Count)
+		t.Errorf("%d hollow, %s: %d changes with %d latencies", r.Hollow, r.Profile, r.Changes, times.Count)
 	}
 	if r.Roles[capacity.RoleHollow].Count < r.Hollow-1 || r.Roles[capacity.RoleReal].Count < r.Real-1 ||
 		r.Roles[capacity.RoleLeader].Count != 1 || r.Roles[capacity.RoleFollower].Count != r.DiscoveryInstances-1 {
-		t.Errorf("%d hollow, %s: roles of %v", r.Hollow, r.Profile, r.Roles)
+		t.Errorf("%d hollow, %s: too few or too many members in the roles %v", r.Hollow, r.Profile, r.Roles)
 	}
 }
 
-// TestGrowthWithSize runs two small sizes: the messages of a member do not grow with the fleet, none of its
-// metrics grows with the square of the size, and changes come into force everywhere.
+// TestGrowthWithSize runs two small fleet sizes and checks that the messages of an agent do not grow with the fleet,
+// that none of its metrics grows with the square of the size, and that changes come into force at all agents.
 func TestGrowthWithSize(t *testing.T) {
 	t.Parallel()
 	sizes := []int{12, 30}
@@ -153,32 +155,32 @@
 	}
 }
 
-// excessiveGrowth says what a metric grows with from a small to a large fleet, if it grows too much: messages
-// in a quiet run may not grow with the fleet, and nothing with its square.
+// excessiveGrowth returns what a metric grows with between a small and a large fleet, or "" if it does not grow too
+// much. Messages in a quiet run may not grow with the fleet, and no metric with the square of its size.
 func excessiveGrowth(small, large *capacity.Run, role capacity.Role, metric capacity.MetricKey, square float64) string {
 	before := small.Roles[role].Mean[metric]
 	after := large.Roles[role].Mean[metric]
 	tolerance := 1.0
 	switch metric {
 	case capacity.CPU:
-		return "" // a time: on a loaded machine it means nothing
+		return "" // processor time is meaningless on a loaded machine
 	case capacity.MessagesIn, capacity.MessagesOut:
 		if small.Profile == capacity.ProfileQuiet && after > 1.6*before+tolerance {
-			return "the fleet"
+			return "the fleet size"
 		}
 	case capacity.MembershipBytes, capacity.BytesIn, capacity.BytesOut:
-		// Full lists are exchanged rarely: one is a large part of a short run's bytes.
+		// Full lists are exchanged rarely, but one is a large part of the bytes of a short run.
 		tolerance = 2000
-	default: // the tolerance is that of a small value
+	default: // the tolerance of 1 is for small values
 	}
 	if after > 0.9*square*before+tolerance {
-		return "the fleet's square"
+		return "the square of the fleet size"
 	}
 	return ""
 }
 
-// TestSettingsReachAll makes changes of settings while the leader of discovery is killed: each pair of a
-// change and an agent of its service is timed, and all agents that run have their last settings at the end.
+// TestSettingsReachAll changes settings while the discovery leader is killed. It checks that there is a latency for
+// each pair of a change and an agent of its service, and that all running agents have the newest settings at the end.
 func TestSettingsReachAll(t *testing.T) {
 	t.Parallel()
 	p := SmallPlan()
@@ -193,9 +195,9 @@
 	if hasList || !r.Converged || times.NeverInForce > 0 || r.Changes == 0 || times.Histogram == "" {
 		t.Errorf("converged %v, %d changes, in force %+v", r.Converged, r.Changes, r.InForce)
 	}
-	// Two services share 15 agents, 3 of them real: a change has 7 or 8 pairs, 4 at least of hollow
-	// agents, which leave nothing out.
+	// Two services share 15 agents, 3 of them real. A change has 7 or 8 pairs, of which at least 4 are with hollow agents,
+	// which drop no reports.
 	if times.Count < int64(4*r.Changes) || times.Count > int64(8*r.Changes) {
-		t.Errorf("%d changes, %d times", r.Changes, times.Count)
+		t.Errorf("%d changes with %d latencies", r.Changes, times.Count)
 	}
 }
--- a/internal/scaletest/tracker_test.go
+++ b/internal/scaletest/tracker_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestTrackerLatencies: a change is in force with its version or a later one. An agent without it that ended
-// before the timeout is not counted, one that ran for the whole time is counted as never in force, and
-// one that dropped log lines as unknown.
+// TestTrackerLatencies checks that a change counts as in force with its version or a later one. An agent without the
+// change is not counted if it ended before the timeout, counts as never in force if it ran for the whole time, and
+// counts as unknown if it dropped log lines.
 func TestTrackerLatencies(t *testing.T) {
 	tr := newTracker()
 	now := time.Now()
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
-	tr.inForce("early", 7, at(-100)) // before it is known to run
-	for _, n := range []string{"early", "all", "over", "late", "never", "short", "blind", "new"} {
+	tr.inForce("early", 7, at(-100)) // before its start is recorded
+	for _, n := range []string{"early", "all", "skipping", "late", "never", "short", "dropping", "new"} {
 		tr.started(n)
 		tr.current[n].start = at(-100)
 	}
@@ -23,12 +23,12 @@
 	tr.acknowledged(7, at(-50))
 	tr.inForce("all", 5, at(-59))
 	tr.inForce("all", 7, at(-49.5))
-	tr.inForce("over", 7, at(-48)) // 5 was passed over: 12 s and 2 s
-	tr.inForce("late", 7, at(-29)) // 31 s and 21 s: never in force
-	tr.inForce("blind", 5, at(-59))
-	tr.markIncomplete("blind")
-	tr.current["new"].start = at(-55) // the change of version 5 was before it
-	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: at once
+	tr.inForce("skipping", 7, at(-48)) // skipped version 5: 12 s and 2 s
+	tr.inForce("late", 7, at(-29))     // 31 s and 21 s: never in force
+	tr.inForce("dropping", 5, at(-59))
+	tr.markIncomplete("dropping")
+	tr.current["new"].start = at(-55) // started after the change of version 5
+	tr.inForce("new", 7, at(-50.2))   // before the acknowledgement: 0 s
 	tr.stopping("short")
 	short := slices.IndexFunc(tr.incarnations, func(i *incarnation) bool { return i.agent == "short" })
 	tr.incarnations[short].end = at(-45)
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// early 0, 0; all 1 s, 0.5 s; over 12 s, 2 s; new 0.
+	// Latencies: early 0 s, 0 s; all 1 s, 0.5 s; skipping 12 s, 2 s; new 0 s.
 	if times.Count != 7 || times.NeverInForce != 4 || times.unknown != 2 || math.Abs(times.Max-12_000) > 12 ||
 		math.Abs(times.P50-500) > 1 {
 		t.Errorf("%+v", times)
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestTrackerOfService: a change of a service's settings is for its agents alone, and so is its version.
+// TestTrackerOfService checks that a change of a service's settings and its version count only for the agents of that
+// service.
 func TestTrackerOfService(t *testing.T) {
 	tr := newTrackers()[kindSettings]
 	tr.serviceOf["a"], tr.serviceOf["b"] = "one", "two"
@@ -62,6 +63,6 @@
 	times, err := tr.latencies()
 	if err != nil || times.Count != 2 || math.Abs(times.Max-3000) > 3 || tr.latestVersion("a") != 5 ||
 		tr.latestVersion("b") != 9 || tr.latestVersion("c") != 0 {
-		t.Errorf("%+v, %v; last %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
+		t.Errorf("%+v, %v; newest versions %d and %d", times, err, tr.latestVersion("a"), tr.latestVersion("b"))
 	}
 }
