--- a/internal/scaletest/agentlog.go
+++ b/internal/scaletest/agentlog.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // nothing was written to it
 	if _, err := file.Seek(state.offset, io.SeekStart); err != nil {
 		return err
 	}
--- a/internal/scaletest/discovery.go
+++ b/internal/scaletest/discovery.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		return status, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // nothing was written to it
 	err = json.NewDecoder(response.Body).Decode(&status)
 	return status, err
 }
@@ -177,7 +177,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // nothing was written to it
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxWriteResponse))
 	if err != nil {
 		return 0, err
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -63,7 +63,7 @@
 			return
 		}
 		_, _ = fmt.Fprintf(w, `{"version":%d,"full":%t,"servers":[{"id":"s-%[1]d","addr":"127.0.0.1:1","zone":"east",`+
-			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0) // an error: the agent has ended
+			`"kind":"big","state":"up","weight":1}]}`, index+1, index == 0) // fails only if the agent has ended
 	}))
 	t.Cleanup(func() {
 		silent.CloseClientConnections()
--- a/internal/scaletest/interrupted_test.go
+++ b/internal/scaletest/interrupted_test.go
@@ -48,7 +48,7 @@
 	return children
 }
 
-// haveEnded reports whether all processes have ended; zombies count as ended.
+// haveEnded reports whether all of the processes have ended. Zombies count as ended.
 func haveEnded(pids []int) bool {
 	return !slices.ContainsFunc(pids, func(pid int) bool {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // nothing was written to it
 	for in := bufio.NewScanner(f); in.Scan(); {
 		var r capacity.Run
 		if err := json.Unmarshal(in.Bytes(), &r); err != nil || r.Profile == "" || len(r.Roles) != 4 {
--- a/internal/scaletest/profiles.go
+++ b/internal/scaletest/profiles.go
@@ -138,7 +138,7 @@
 	return s
 }
 
-// quietProfile has no events.
+// quietProfile returns a script without events.
 func quietProfile(*fleet, *capacity.Target) script { return script{} }
 
 // ordinaryProfile restarts random agents, and kills others as if their machine had failed. The killed agents are not
