--- a/internal/capacity/benchmark.go
+++ b/internal/capacity/benchmark.go
@@ -14,11 +14,11 @@
 	"golang.org/x/perf/benchmath"
 )
 
-// confidence is the level of every interval of this package.
+// confidence is the confidence level of all intervals in this package.
 const confidence = 0.95
 
-// BenchmarkFile is a file of Go benchmark output: samples by benchmark name and unit, and the
-// configuration lines of the file.
+// BenchmarkFile is a parsed file of Go benchmark output: samples by benchmark name and unit, and the
+// file's configuration lines.
 type BenchmarkFile struct {
 	Path    string
 	Missing bool              // the file does not exist, so nothing was measured
@@ -27,11 +27,12 @@
 	samples map[string]samplesByUnit // by benchmark name, without "Benchmark" and the processor count
 }
 
-// samplesByUnit are the samples of one benchmark.
+// samplesByUnit holds the samples of one benchmark, keyed by unit.
 type samplesByUnit map[string][]float64
 
-// ReadBenchmarkFile reads a file of benchmark output. A file that does not exist is returned as
-// Missing. A malformed line or a failed benchmark is an error of one line that names file and line.
+// ReadBenchmarkFile reads a file of benchmark output. For a file that does not exist it
+// returns a BenchmarkFile with Missing set. A malformed line or a failed benchmark yields a one-line error that names
+// the file and the line.
 func ReadBenchmarkFile(path string) (*BenchmarkFile, error) {
 	b := &BenchmarkFile{Path: path, Config: map[string]string{}, samples: map[string]samplesByUnit{}}
 	text, err := os.ReadFile(path)
@@ -62,14 +63,14 @@
 	return b, reader.Err()
 }
 
-// reportsFailure reports whether a line of "go test" output says that a test or benchmark failed.
+// reportsFailure reports whether a line of "go test" output reports a failed test or benchmark.
 func reportsFailure(line string) bool {
 	return strings.HasPrefix(strings.TrimLeft(line, " "), "--- FAIL") ||
 		strings.HasPrefix(line, "FAIL") ||
 		strings.HasPrefix(line, "panic: ")
 }
 
-// add adds the values of one line of output.
+// add adds the values and the configuration of one result line.
 func (b *BenchmarkFile) add(result *benchfmt.Result) error {
 	for _, config := range result.Config {
 		if config.File {
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// benchmarkName is the name of a benchmark with its parameters ("/key=value"), without the processor
-// count ("-8") that may follow them.
+// benchmarkName returns the name of a benchmark with its parameters ("/key=value"), without the
+// processor count ("-8") that may follow them.
 func benchmarkName(result *benchfmt.Result) string {
 	base, parts := result.Name.Parts()
 	name := string(base)
@@ -106,11 +107,11 @@
 type Estimate struct {
 	Mean      float64
 	Interval  Interval
-	SingleRun bool // the estimate rests on one run; Interval is then the mean itself
+	SingleRun bool // the estimate is from one run, and Interval is the mean itself
 	Runs      int
 }
 
-// scaled converts an estimate to a unit that is smaller by a factor.
+// scaled returns the estimate multiplied by factor, to convert its unit.
 func (e Estimate) scaled(factor float64) Estimate {
 	e.Mean *= factor
 	e.Interval.Lo *= factor
@@ -118,8 +119,8 @@
 	return e
 }
 
-// Estimate returns a benchmark's mean over its runs. The unit is the one that benchfmt normalizes
-// to ("sec/op" for ns/op).
+// Estimate returns the mean of a benchmark over its runs, and false if it has no samples in that unit.
+// The unit is the one that benchfmt normalizes to ("sec/op" for ns/op).
 func (b *BenchmarkFile) Estimate(name, unit string) (Estimate, bool) {
 	values := b.samples[name][unit]
 	if len(values) == 0 {
@@ -136,8 +137,8 @@
 	return e, true
 }
 
-// ServerCounts returns the numbers of servers that the benchmarks of a name were run with, read from
-// the parameter "servers=N" of their names.
+// ServerCounts returns the numbers of servers that the named benchmark was run with, taken from the
+// parameter "servers=N" in the names of its sub-benchmarks.
 func (b *BenchmarkFile) ServerCounts(name string) map[int]bool {
 	counts := map[int]bool{}
 	for benchmark := range b.samples {
--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// noFit stands in the cells of a row without a fit.
+// noFit is the text in the cells of a row without a fit.
 const noFit = "no fit"
 
-// title names the row in a sentence.
+// title returns the row's name as used in lists and in the ranking.
 func (r *Row) title() string {
 	if r.Subject == subjectInForce {
 		return r.Metric + " in force everywhere, " + r.Condition + ", s"
@@ -17,7 +17,7 @@
 	return r.Subject + ", " + r.Condition + ", " + r.Metric + ", " + r.Unit
 }
 
-// targetCell is the row's value at the target, or why there is none.
+// targetCell returns the row's value at the target, or the reason why there is none.
 func (r *Row) targetCell() string {
 	switch {
 	case !r.Known && r.LargestSize > 0:
@@ -32,7 +32,7 @@
 	return formatEstimate(r.Value, r.Interval)
 }
 
-// budgetCell is the row's budget.
+// budgetCell returns the row's budget, or "none".
 func (r *Row) budgetCell() string {
 	if r.Budget == 0 {
 		return "none"
@@ -40,7 +40,7 @@
 	return formatNumber(r.Budget)
 }
 
-// usageCell is the fraction of the budget that is used, or why it is not known.
+// usageCell returns the fraction of the budget that is used, or the reason why it is not known.
 func (r *Row) usageCell() string {
 	use := r.Use()
 	text := "not known"
@@ -60,7 +60,7 @@
 	return text
 }
 
-// slopeCell is the slope with its shape, and the shapes that fit about as well.
+// slopeCell returns the slope with its shape, and the shapes that fit about as well.
 func (f *Fit) slopeCell() string {
 	if f == nil {
 		return noFit
@@ -82,7 +82,7 @@
 	return text
 }
 
-// sizesCell has the sizes that were fitted and the number of runs.
+// sizesCell returns the fitted sizes and the number of runs.
 func (f *Fit) sizesCell() string {
 	if f == nil {
 		return noFit
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("%s (%d)", joinInts(f.Sizes), f.Runs)
 }
 
-// errorCell is the prediction's error at the size held out.
+// errorCell returns the prediction error at the held-out size.
 func (f *Fit) errorCell() string {
 	if f == nil {
 		return noFit
@@ -110,7 +110,7 @@
 	return text
 }
 
-// sourceCell names the records and the agents that a row was computed from.
+// sourceCell returns the records and the kind of agents that a row was computed from.
 func (p *Page) sourceCell(r *Row) string {
 	var parts []string
 	for i, record := range p.Records {
@@ -127,7 +127,7 @@
 	return strings.Join(parts, " ")
 }
 
-// ratioCell is the ratio of hollow to real agents and what follows from it.
+// ratioCell returns the ratio of hollow to real agents and the source selected by it.
 func (s Source) ratioCell() string {
 	if !s.HasRatio {
 		return s.Description
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Shape is the way in which a metric grows with the number of agents n.
+// Shape is the functional form of a metric's growth with the number of agents n.
 type Shape string
 
-// The shapes, simplest first. ShapeQuadratic is an alarm, and is only selected where it fits
+// The shapes, simplest first. ShapeQuadratic raises an alarm and is selected only where it fits
 // better than every other shape.
 const (
 	ShapeFlat      Shape = "flat"
@@ -21,10 +21,10 @@
 	ShapeQuadratic Shape = "n²"
 )
 
-// shapes are all shapes, simplest first.
+// shapes lists all shapes, simplest first.
 var shapes = []Shape{ShapeFlat, ShapeLog, ShapeLinear, ShapePerChange, ShapeQuadratic}
 
-// regressor is the variable that the shape is linear in.
+// regressor returns the variable in which the shape is linear.
 func (s Shape) regressor(n, changes float64) float64 {
 	switch s {
 	case ShapeLog:
@@ -35,12 +35,12 @@
 		return n * changes
 	case ShapeQuadratic:
 		return n * n
-	default: // ShapeFlat has none
+	default: // ShapeFlat has no regressor
 		return 0
 	}
 }
 
-// Point is a metric of one run.
+// Point is the value of a metric in one run.
 type Point struct {
 	Size    int     // agents
 	Changes float64 // acknowledged changes a second
@@ -48,37 +48,37 @@
 }
 
 const (
-	minFitSizes = 3 // with more, the largest is held out
+	minFitSizes = 3 // with more sizes, the largest is held out
 	minFitRuns  = 5
-	// aiccTolerance is the difference of AICc that rounding can make; a simpler shape is kept.
+	// aiccTolerance is the AICc difference that rounding can cause; up to it, the simpler shape is kept.
 	aiccTolerance = 1e-9
 )
 
-// Fit is a metric as a function of the size: least squares with an intercept, by the shape with the
-// least AICc (Hurvich and Tsai 1989). AICc is used as its correction is made for few points. All
-// shapes but flat have as many parameters, so among these it compares the residuals alone. The
-// error of cross-validation by size would rest on the two or three sizes that remain.
+// Fit models a metric as a function of the size: least squares with an intercept, for the shape with
+// the lowest AICc (Hurvich and Tsai 1989). AICc is used because it corrects for small samples. All
+// shapes but flat have the same number of parameters, so among these AICc compares only the residuals.
+// A cross-validation by size would estimate its error from only the two or three remaining sizes.
 //
-// With more than three sizes the largest is held out, and its prediction compared with what was
-// measured there.
+// With more than three sizes the largest is held out, and its prediction is compared with the
+// measured value.
 type Fit struct {
 	Shape              Shape
 	Indistinguishable  []Shape // shapes that fit about as well (see distinctionThreshold)
 	Slope              float64 // per unit of the shape's regressor; 0 for flat
 	SlopeInterval      Interval
-	Sizes              []int // fitted
-	Runs               int   // fitted
+	Sizes              []int // sizes fitted
+	Runs               int   // number of runs fitted
 	GrowsQuadratically bool  // n² fits better than every other shape
 
-	HeldOutSize int        // 0 with three sizes, where none is held out
-	Measured    float64    // mean at the size held out
-	Predicted   Prediction // of that mean
+	HeldOutSize int        // 0 with three sizes, as none is held out then
+	Measured    float64    // mean at the held-out size
+	Predicted   Prediction // prediction of Measured
 
 	best         regression
 	alternatives []regression
 }
 
-// NewFit fits points; the error says why there is no fit.
+// NewFit fits the points. The error gives the reason why there is no fit.
 func NewFit(points []Point) (*Fit, error) {
 	sizes, err := distinctSizes(points)
 	if err != nil {
@@ -111,7 +111,8 @@
 	return f, nil
 }
 
-// distinctSizes are the sizes of points, in order; a point with an impossible value is an error.
+// distinctSizes returns the distinct sizes of the points in ascending order, or an error for a point
+// with an invalid value.
 func distinctSizes(points []Point) ([]int, error) {
 	var sizes []int
 	for _, p := range points {
@@ -124,13 +125,14 @@
 	return slices.Compact(sizes), nil
 }
 
-// selectShape selects the shape with the least AICc. ShapeQuadratic has to be distinguished from the
-// best of the others.
+// selectShape selects the shape with the lowest AICc. ShapeQuadratic is selected only if it can be
+// distinguished from the best of the others.
 func (f *Fit) selectShape(points []Point) {
 	linear, varies := fitRegression(ShapeLinear, points)
 	candidates := candidateRegressions(points)
 	if varies && linear.slopeInterval().Lo > 0 {
-		// The metric surely grows. With few points AICc asks for much more before it grants a slope.
+		// The growth is significant, so flat is not a candidate. With few points, AICc may prefer flat
+		// even to a clear slope.
 		candidates = candidates[1:]
 	}
 	best := leastAICc(candidates, func(line regression) bool { return line.shape != ShapeQuadratic })
@@ -148,15 +150,15 @@
 			f.alternatives = append(f.alternatives, line)
 		}
 	}
-	// Without a significant slope there may still be one: the interval of flat includes that of n.
+	// The slope may be nonzero although it is not significant, so the interval of flat includes that of n.
 	if best.shape == ShapeFlat && linear.sumSquaresX > 0 && !slices.Contains(f.Indistinguishable, ShapeLinear) {
 		f.alternatives = append(f.alternatives, linear)
 	}
 }
 
-// candidateRegressions are the regressions to select from, flat first. A shape that falls with the
-// size is left out, as flat is the safer assumption then, and so is one that is collinear with a
-// simpler one, such as n² where the rate of changes grows with n.
+// candidateRegressions returns the regressions to select from, flat first. It omits a shape that falls
+// with the size, as flat is the safer assumption then, and a shape that is collinear with a simpler
+// one, such as n² where the rate of changes grows with n.
 func candidateRegressions(points []Point) []regression {
 	var candidates []regression
 	for _, s := range shapes {
@@ -171,7 +173,7 @@
 	return candidates
 }
 
-// leastAICc is the first regression with the least AICc, of those allowed; nil allows all.
+// leastAICc returns the first regression with the lowest AICc among those allowed; nil allows all.
 func leastAICc(candidates []regression, allowed func(regression) bool) regression {
 	best := regression{aicc: math.Inf(1)}
 	for _, line := range candidates {
@@ -182,7 +184,7 @@
 	return best
 }
 
-// validate compares the fit with the runs of the size held out.
+// validate compares the fit with the runs of the held-out size.
 func (f *Fit) validate(heldOut []Point) {
 	var values, changes []float64
 	for _, p := range heldOut {
@@ -193,8 +195,8 @@
 	f.Predicted = f.predictMean(float64(f.HeldOutSize), stat.Mean(changes, nil), len(heldOut))
 }
 
-// RelativeError is the value measured at the size held out divided by the predicted one, less one;
-// false where no size was held out or the prediction is zero.
+// RelativeError returns the value measured at the held-out size divided by the predicted one, minus
+// one. It returns false if no size was held out or the prediction is zero.
 func (f *Fit) RelativeError() (float64, bool) {
 	if f.HeldOutSize == 0 || f.Predicted.Value <= 0 {
 		return 0, false
@@ -202,12 +204,12 @@
 	return f.Measured/f.Predicted.Value - 1, true
 }
 
-// Predict predicts the metric of one run of n agents with changes a second. The interval is the
-// prediction interval by Student's t. It includes those of the shapes that could not be distinguished,
-// and nothing of it is below zero.
+// Predict predicts the metric of one run with n agents and the given number of changes per second. The
+// interval is the prediction interval by Student's t, extended by the intervals of the shapes that
+// could not be distinguished and clamped at zero.
 func (f *Fit) Predict(n, changes float64) Prediction { return f.predictMean(n, changes, 1) }
 
-// predictMean predicts the mean over a number of runs; see Predict.
+// predictMean is like Predict for the mean over a number of runs.
 func (f *Fit) predictMean(n, changes float64, runs int) Prediction {
 	prediction := f.best.predictMean(n, changes, runs)
 	interval := prediction.Interval
@@ -217,19 +219,19 @@
 	return Prediction{Value: math.Max(prediction.Value, 0), Interval: interval.nonNegative()}
 }
 
-// outsideInterval reports whether the mean at the size held out lies outside of the prediction's
-// interval, by more than rounding.
+// outsideInterval reports whether the mean at the held-out size lies outside the prediction interval
+// by more than a rounding error.
 func (f *Fit) outsideInterval() bool {
 	return f.HeldOutSize > 0 && !f.Predicted.Interval.Contains(f.Measured) &&
 		math.Abs(f.Measured-f.Predicted.Value) > relativeRounding*f.Measured
 }
 
-// maxReliableError is the relative error at the size held out up to which a prediction for the
-// target is relied on.
+// maxReliableError is the largest relative error at the held-out size with which the prediction for
+// the target still counts as reliable.
 const maxReliableError = 0.1
 
-// unreliable reports whether the size held out contradicts the fit: it lies outside of its interval
-// and the prediction is off by more than maxReliableError.
+// unreliable reports whether the held-out size contradicts the fit: its mean lies outside the
+// prediction interval and differs from the prediction by more than maxReliableError.
 func (f *Fit) unreliable() bool {
 	return f.outsideInterval() && math.Abs(f.Measured-f.Predicted.Value) > maxReliableError*f.Predicted.Value
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// noValues stands in a cell for an empty list.
+// noValues is the cell text for an empty list.
 const noValues = "none"
 
-// joinReasons joins texts, each once.
+// joinReasons sorts reasons, drops duplicates and joins them for a table cell.
 func joinReasons(reasons []string) string {
 	slices.Sort(reasons)
 	reasons = slices.Compact(reasons)
@@ -21,12 +21,12 @@
 	return escapeCell(strings.Join(reasons, "; "))
 }
 
-// escapeCell replaces what would break a Markdown table.
+// escapeCell replaces the characters that would break a Markdown table.
 func escapeCell(text string) string {
 	return strings.NewReplacer("|", "/", "\n", " ", "`", "'").Replace(text)
 }
 
-// joinInts lists integers.
+// joinInts returns a comma-separated list of integers.
 func joinInts(values []int) string {
 	var texts []string
 	for _, v := range values {
@@ -35,7 +35,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// joinIntsOrNone lists integers, or says that there are none.
+// joinIntsOrNone is like joinInts, but returns noValues for an empty list.
 func joinIntsOrNone(values []int) string {
 	if len(values) == 0 {
 		return noValues
@@ -43,7 +43,7 @@
 	return joinInts(values)
 }
 
-// joinNumbersOrNone lists numbers, or says that there are none.
+// joinNumbersOrNone returns a comma-separated list of numbers, or noValues for an empty list.
 func joinNumbersOrNone(values []float64) string {
 	if len(values) == 0 {
 		return noValues
@@ -55,7 +55,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// formatRange is the range from the least to the largest value.
+// formatRange formats the range from the smallest to the largest value.
 func formatRange(values []float64) string {
 	if len(values) == 0 {
 		return noValues
@@ -68,7 +68,7 @@
 	return least + " to " + most
 }
 
-// formatEstimate is a value with its interval, which is left out where it is the value itself.
+// formatEstimate formats a value with its interval, which is omitted if both ends format like the value.
 func formatEstimate(v float64, interval Interval) string {
 	value := formatNumber(v)
 	lo := formatNumber(interval.Lo)
@@ -90,8 +90,7 @@
 	maxDecimal = 1e7
 )
 
-// formatNumber formats a number with three significant digits. NaN and infinity don't appear on the
-// page.
+// formatNumber formats a number with three significant digits. NaN and infinity are shown as "not known".
 func formatNumber(v float64) string {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return "not known"
@@ -103,7 +102,7 @@
 	return strconv.FormatFloat(rounded, 'f', 0, 64)
 }
 
-// joinNames lists names for a message.
+// joinNames returns a comma-separated list of names for a message.
 func joinNames[T ~string](names []T) string {
 	texts := make([]string, len(names))
 	for i, name := range names {
--- a/internal/capacity/interval.go
+++ b/internal/capacity/interval.go
@@ -14,12 +14,12 @@
 // Contains reports whether a value lies in the interval.
 func (i Interval) Contains(v float64) bool { return v >= i.Lo && v <= i.Hi }
 
-// union is the smallest interval that contains both.
+// union returns the smallest interval that contains both intervals.
 func (i Interval) union(other Interval) Interval {
 	return Interval{math.Min(i.Lo, other.Lo), math.Max(i.Hi, other.Hi)}
 }
 
-// nonNegative cuts off what lies below zero, where no metric can be.
+// nonNegative returns the interval clamped at zero, as no metric is negative.
 func (i Interval) nonNegative() Interval {
 	return Interval{math.Max(i.Lo, 0), math.Max(i.Hi, 0)}
 }
--- a/internal/capacity/markers.go
+++ b/internal/capacity/markers.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// The lines of a page between which the tables are.
+// The marker lines that enclose the generated tables in a page.
 const (
 	BeginMarker = "<!-- experiment capacity: begin -->"
 	EndMarker   = "<!-- experiment capacity: end -->"
 )
 
-// errMarkers is returned for a page without one pair of markers.
+// errMarkers is returned for a page without exactly one pair of markers.
 var errMarkers = errors.New("the markers " + BeginMarker + " and " + EndMarker + " are not there once each")
 
-// ReplaceTables returns a page's text with the tables between its markers replaced. Each marker has
-// to be there once, on a line of its own, in order.
+// ReplaceTables returns the page's text with the tables between its markers replaced. Each marker must
+// occur exactly once, on a line of its own, BeginMarker first.
 func ReplaceTables(page, tables string) (string, error) {
 	if strings.Count(page, BeginMarker) != 1 || strings.Count(page, EndMarker) != 1 {
 		return "", errMarkers
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// comparableRuns are the runs of a load profile with one rate factor, and that factor: 1 for the quiet one, which
-// has nothing to accelerate. For metrics of roles they are the first plan's runs; changes in force
-// come from all plans.
+// comparableRuns returns the runs of a load profile that share one rate factor, and that factor. It is 1
+// for the quiet profile, which has no changes to accelerate. Metrics of roles use only the first plan's
+// runs, changes in force those of all plans.
 func (p *Page) comparableRuns(subject string, profile Profile) ([]*Run, float64) {
 	all := p.firstPlanRuns
 	if subject == subjectInForce {
@@ -20,12 +20,12 @@
 	return mostCommonRateFactor(runs)
 }
 
-// selector selects the points of a row from runs, and says where they come from.
+// selector selects the points of a row from runs, and returns their source.
 type selector func([]*Run) ([]Point, Source)
 
-// measure fills a row from the runs of its load profile. A rate of the accelerated ordinary profile is scaled to the
-// target's rate of changes (see rescaleToTarget). In other profiles the traffic of the fault and that of
-// the accelerated changes can't be separated, and the metric is taken as it is.
+// measure fills a row from the runs of its load profile. A rate of the accelerated ordinary profile is
+// scaled to the target's rate of changes (see rescaleToTarget). In other profiles the traffic of the
+// fault and that of the accelerated changes can't be separated, so the metric is not scaled.
 func (p *Page) measure(r *Row, metric Metric, selectPoints selector) {
 	runs, rateFactor := p.comparableRuns(r.Subject, Profile(r.Condition))
 	points, source := selectPoints(runs)
@@ -50,15 +50,15 @@
 	}
 }
 
-// predictAtTarget predicts the metric at the target's size, with the runs' changes per agent times
-// the rate factor.
+// predictAtTarget predicts the metric at the target's size, for the runs' rate of changes per agent
+// multiplied by the rate factor.
 func (p *Page) predictAtTarget(fit *Fit, s Source, runs []*Run, rateFactor float64) Prediction {
 	n := float64(p.Target.Fleet.Agents)
 	return s.widen(fit.Predict(n, changesPerAgent(runs)*n*rateFactor))
 }
 
-// rescale converts a row's value from the accelerated rate of changes to the target's, where that can
-// be done, and says in the row's source what was done.
+// rescale converts a row's value from the accelerated rate of changes to the target's where that is
+// possible, and notes in the row's source whether it was.
 func (p *Page) rescale(r *Row, metric Metric, selectPoints selector, rateFactor float64) {
 	factor := formatNumber(rateFactor)
 	if !metric.Rate || r.Condition != string(ProfileOrdinary) {
@@ -77,8 +77,8 @@
 	r.appendSource(fmt.Sprintf("scaled from ×%s the rates", factor))
 }
 
-// rescaleToTarget is a profile's rate at the target's rate of changes: the quiet one's, and of what the
-// accelerated changes add to it, the part that is due without the acceleration.
+// rescaleToTarget returns a profile's rate at the target's rate of changes: the quiet profile's rate,
+// plus what the accelerated changes add to it divided by the rate factor.
 func rescaleToTarget(quiet, accelerated Prediction, rateFactor float64) Prediction {
 	part := 1 / rateFactor
 	value := math.Max(quiet.Value*(1-part)+accelerated.Value*part, 0)
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Mechanism says what keeps rows within their budget at the target.
+// Mechanism describes what keeps rows within their budget at the target.
 type Mechanism struct {
-	Rows []string `toml:"rows"` // patterns of path.Match for names of rows, such as "agent/*/bytes"
-	By   string   `toml:"by"`   // short, for the tables; "none" where nothing does
+	Rows []string `toml:"rows"` // path.Match patterns for row names, such as "agent/*/bytes"
+	By   string   `toml:"by"`   // short label for the tables; "none" if there is no mechanism
 	Why  string   `toml:"why"`  // explanation below the tables; may be empty
 }
 
-// Mechanisms are those of a file. The first that matches a row counts.
+// Mechanisms holds the mechanisms of a file. The first one that matches a row applies.
 type Mechanisms struct {
 	Path string
 	All  []Mechanism
 }
 
 // LoadMechanisms reads the mechanisms of a file: `[[mechanism]]` with rows, by and why. A wrong key or
-// value is an error of one line that names the file and the key.
+// value yields a one-line error that names the file and the key.
 func LoadMechanisms(file string) (*Mechanisms, error) {
 	var content struct {
 		Mechanism []Mechanism `toml:"mechanism"`
@@ -59,7 +59,7 @@
 // noMechanism is the label of a row that no mechanism keeps within its budget.
 const noMechanism = "**none**"
 
-// label is the mechanism in the tables.
+// label returns the mechanism's text in the tables.
 func (m Mechanism) label() string {
 	if m.By == "none" {
 		return noMechanism
@@ -67,13 +67,14 @@
 	return m.By
 }
 
-// matchRow reports whether a pattern, which was checked before, matches a row's name.
+// matchRow reports whether a pattern matches a row's name. The pattern must be valid (see
+// Mechanism.check).
 func matchRow(pattern, row string) bool {
 	ok, _ := path.Match(pattern, row)
 	return ok
 }
 
-// forRow is the label of a row's mechanism.
+// forRow returns the label of the mechanism of the named row.
 func (m *Mechanisms) forRow(row string) string {
 	for _, mechanism := range m.All {
 		if slices.ContainsFunc(mechanism.Rows, func(pattern string) bool { return matchRow(pattern, row) }) {
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -7,19 +7,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Metric is one row of the page's tables of a role.
+// Metric is a metric of a role, which has one row for each load profile in the page's tables.
 type Metric struct {
 	Name, Unit string
-	// Rate says that the metric grows with the rate of events, so that a run with accelerated
-	// changes has more of it than the target. What is not a rate is taken as it is.
+	// Rate is set if the metric grows with the rate of events, so that a run with accelerated changes
+	// has a higher value than the target. Other metrics are not rescaled.
 	Rate       bool
-	agentsOnly bool                  // discovery instances don't have it
-	parts      []MetricKey           // the metrics of a role that are summed
+	agentsOnly bool                  // discovery instances don't have this metric
+	parts      []MetricKey           // the recorded metrics that are summed
 	factor     float64               // from the parts' unit to Unit
-	budget     func(*Target) float64 // of an agent; nil: there is none
+	budget     func(*Target) float64 // budget of an agent; nil if there is none
 }
 
-// Metrics are those of each role, in the page's order.
+// Metrics lists the metrics of each role, in the page's order.
 var Metrics = []Metric{
 	{Name: "state", Unit: "entries", parts: []MetricKey{Members, Servers}, factor: 1},
 	{Name: "messages", Unit: "a second", Rate: true, parts: []MetricKey{MessagesIn, MessagesOut}, factor: 1},
@@ -33,7 +33,7 @@
 	{Name: "live heap", Unit: "MB", parts: []MetricKey{HeapMB}, factor: 1},
 }
 
-// percent converts a fraction.
+// percent converts a fraction to a percentage.
 const percent = 100
 
 // The budgets of an agent, in the units of the metrics.
@@ -41,7 +41,8 @@
 func cpuBudget(t *Target) float64    { return percent * t.Agent.ControlCPU }
 func memoryBudget(t *Target) float64 { return t.Agent.MemoryMB }
 
-// value is the metric of a role in one run, the mean over the role's members.
+// value returns the metric of a role in one run as the mean over the role's members, and false if it
+// was not measured.
 func (m Metric) value(r *Run, role Role) (float64, bool) {
 	sum := 0.0
 	for _, part := range m.parts {
@@ -54,8 +55,8 @@
 	return sum, r.Roles[role].Count > 0
 }
 
-// ValidRuns leaves out the runs that are marked invalid, and where a run was repeated with the same
-// plan, commit, profile, size, rate factor, repeat and seed, all but the last.
+// ValidRuns returns the runs that are not marked invalid. Of runs with the same plan, commit, profile,
+// size, rate factor, repeat and seed it considers only the last.
 func ValidRuns(runs []*Run) []*Run {
 	type identity struct {
 		plan, commit string
@@ -80,7 +81,7 @@
 	return valid
 }
 
-// runsOfProfile are the runs of a load profile.
+// runsOfProfile returns the runs of a load profile.
 func runsOfProfile(runs []*Run, profile Profile) []*Run {
 	var selected []*Run
 	for _, r := range runs {
@@ -91,7 +92,7 @@
 	return selected
 }
 
-// collectPoints are the points of the runs that have a value.
+// collectPoints returns a point for each run that has a value.
 func collectPoints(runs []*Run, value func(*Run) (float64, bool)) []Point {
 	var points []Point
 	for _, r := range runs {
@@ -102,8 +103,8 @@
 	return points
 }
 
-// changesPerAgent is the mean rate of changes of the runs for one agent, in changes a second at the
-// target's rate.
+// changesPerAgent returns the mean rate of changes per agent over the runs, in changes per second
+// without the acceleration.
 func changesPerAgent(runs []*Run) float64 {
 	var rates []float64
 	for _, r := range runs {
@@ -115,7 +116,7 @@
 	return stat.Mean(rates, nil)
 }
 
-// rateFactors are the distinct rate factors of runs, in order.
+// rateFactors returns the distinct rate factors of the runs in ascending order.
 func rateFactors(runs []*Run) []float64 {
 	factors := map[float64]bool{}
 	for _, r := range runs {
@@ -124,13 +125,13 @@
 	return slices.Sorted(maps.Keys(factors))
 }
 
-// runsWithRateFactor are the runs with one rate factor.
+// runsWithRateFactor returns the runs with the given rate factor.
 func runsWithRateFactor(runs []*Run, factor float64) []*Run {
 	return slices.DeleteFunc(slices.Clone(runs), func(r *Run) bool { return r.RateFactor != factor })
 }
 
-// mostCommonRateFactor are the runs of the rate factor that most runs have, the least of these, and
-// that factor.
+// mostCommonRateFactor returns the runs with the most common rate factor, and that factor. Of equally
+// common factors it takes the smallest.
 func mostCommonRateFactor(runs []*Run) ([]*Run, float64) {
 	factor := 1.0
 	most := 0
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// Page has everything that the tables of docs/CAPACITY.md are made of.
+// Page holds the data from which the tables of docs/CAPACITY.md are rendered.
 type Page struct {
 	Target     *Target
 	Mechanisms *Mechanisms
 	Records    []Record
 	Runs       []*Run // the valid runs of all records
 	Benchmarks []*BenchmarkFile
-	Command    string // that prints the page
+	Command    string // the command that prints the page
 
-	// firstPlanRuns are those of Runs that belong to the first one's plan: the metrics of roles are
-	// not taken from several plans.
+	// firstPlanRuns holds those of Runs that have the plan of the first one, as the metrics of roles
+	// are not combined from several plans.
 	firstPlanRuns []*Run
 	rows          []*Row
 }
 
-// Record is one file of runs.
+// Record is one record file with its runs.
 type Record struct {
 	Path string
-	Runs []*Run // as read
+	Runs []*Run // all runs of the file
 
-	valid []*Run
+	valid []*Run // see ValidRuns
 }
 
 // The load profiles and the kinds of change that the page has rows for.
@@ -40,8 +40,8 @@
 	changeKinds = []ChangeKind{ChangeSettings, ChangeList}
 )
 
-// NewPage makes the rows from records, benchmarks and mechanisms. A row without data says that
-// nothing was measured. A mechanism whose pattern matches no row is an error.
+// NewPage computes the rows from records, benchmarks and mechanisms. A row without data is shown as
+// not measured. A mechanism with a pattern that matches no row yields an error.
 func NewPage(t *Target, m *Mechanisms, records []Record, benches []*BenchmarkFile) (*Page, error) {
 	p := &Page{Target: t, Mechanisms: m, Benchmarks: benches}
 	for _, record := range records {
@@ -85,7 +85,7 @@
 	p.rows = append(p.rows, p.dataPathRows()...)
 }
 
-// agentRow is a metric of an agent, hollow or real (see selectSource).
+// agentRow returns the row for a metric of an agent, hollow or real (see selectSource).
 func (p *Page) agentRow(profile Profile, metric Metric) *Row {
 	r := &Row{Subject: subjectAgent, Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
 	if metric.budget != nil {
@@ -98,7 +98,7 @@
 	return r
 }
 
-// discoveryRow is a metric of a discovery instance.
+// discoveryRow returns the row for a metric of a discovery instance.
 func (p *Page) discoveryRow(role Role, profile Profile, metric Metric) *Row {
 	r := &Row{Subject: string(role), Condition: string(profile), Metric: metric.Name, Unit: metric.Unit}
 	p.measure(r, metric, func(runs []*Run) ([]Point, Source) {
@@ -107,7 +107,8 @@
 	return r
 }
 
-// inForceRow is the time from a change's acknowledgement until the last agent has it in force.
+// inForceRow returns the row for the time from a change's acknowledgement until it is in force at the
+// last agent.
 func (p *Page) inForceRow(kind ChangeKind, profile Profile) *Row {
 	r := &Row{
 		Subject:           subjectInForce,
@@ -135,27 +136,27 @@
 	usPerSecond = 1e6
 )
 
-// The benchmarks of the data path.
+// The names of the data path's benchmarks.
 const (
 	pathBenchmark     = "Path"
 	decisionBenchmark = "Decision"
 )
 
-// calmState is the balancer's state without overload, in which the data path was measured.
+// calmState is the balancer's state without overload, in which the data path is measured.
 const calmState = "calm"
 
-// decisionStates are the states of the balancer in which decisions were measured.
+// decisionStates lists the states of the balancer in which decisions are measured.
 var decisionStates = []string{calmState, "crowded", "demoted"}
 
-// pathName is the name of the data path's benchmark with a number of servers.
+// pathName returns the name of the data path's benchmark with a number of servers.
 func pathName(servers int) string { return fmt.Sprintf("%s/servers=%d", pathBenchmark, servers) }
 
-// decisionName is the name of the decision benchmark with a number of servers in a state.
+// decisionName returns the name of the decision benchmark with a number of servers in a state.
 func decisionName(servers int, state string) string {
 	return fmt.Sprintf("%s/servers=%d/state=%s", decisionBenchmark, servers, state)
 }
 
-// estimate is a benchmark's from the first file that has it.
+// estimate returns a benchmark's estimate from the first file that has it.
 func (p *Page) estimate(name, unit string) (Estimate, bool) {
 	for _, b := range p.Benchmarks {
 		if e, ok := b.Estimate(name, unit); ok {
@@ -165,10 +166,11 @@
 	return Estimate{}, false
 }
 
-// dataPathBudget is what the agent may add to a call, in µs at p99.
+// dataPathBudget returns the latency that an agent may add to a call, in µs at p99.
 func (p *Page) dataPathBudget() float64 { return usPerMs * p.Target.Agent.AddedP99MS }
 
-// dataPathRows are the rows of the data path with the target's servers. Nothing is extrapolated.
+// dataPathRows returns the rows of the data path with the target's number of servers: the added
+// latency first, then one row for each of decisionStates. Nothing is extrapolated.
 func (p *Page) dataPathRows() []*Row {
 	servers := p.Target.Fleet.Servers
 	added := &Row{Condition: calmState, Metric: "added", Unit: "µs at p99"}
@@ -182,7 +184,8 @@
 	return rows
 }
 
-// setEstimate fills a row of the data path from a benchmark, whose unit is converted by a factor.
+// setEstimate fills a row of the data path from a benchmark's estimate, multiplied by factor to convert
+// its unit.
 func (p *Page) setEstimate(r *Row, name, unit string, factor float64) {
 	r.Subject = subjectDataPath
 	r.Budget = p.dataPathBudget()
@@ -198,7 +201,7 @@
 	r.Runs = e.Runs
 }
 
-// usesRun reports whether a row is computed from a run, among others.
+// usesRun reports whether the run is among those that the row is computed from.
 func (p *Page) usesRun(run *Run, r *Row) bool {
 	if string(run.Profile) != r.Condition {
 		return false
--- a/internal/capacity/profile.go
+++ b/internal/capacity/profile.go
@@ -1,24 +1,24 @@
 package capacity
 
-// Profile is the load profile of a run: what changes and which faults happen in it. Records and plans know profiles by
-// these texts.
+// Profile is the load profile of a run: the changes and faults that happen in it. Records and plans
+// contain profiles under these names.
 type Profile string
 
-// The load profiles. ProfileQuiet has no changes; the others have those of the target, and all after ProfileOrdinary a
-// fault or a rollout as well.
+// The load profiles. ProfileQuiet has no changes. The others have the target's changes, and those after
+// ProfileOrdinary also a fault or a rollout.
 const (
 	ProfileQuiet    Profile = "quiet"
 	ProfileOrdinary Profile = "ordinary" // single agents restart or fail
-	ProfileRollout  Profile = "rollout"  // all agents restart, a part at a time
-	ProfileZone     Profile = "zone"     // the agents of a zone are lost and start again
+	ProfileRollout  Profile = "rollout"  // all agents restart, in batches
+	ProfileZone     Profile = "zone"     // the agents of a zone fail and restart
 	ProfileRegion   Profile = "region"   // the regions are partitioned
-	ProfileControl  Profile = "control"  // the leader of discovery is lost and starts again
+	ProfileControl  Profile = "control"  // the leader of discovery fails and restarts
 )
 
-// Profiles are all load profiles, in the order of the page.
+// Profiles lists all load profiles, in the page's order.
 var Profiles = []Profile{
 	ProfileQuiet, ProfileOrdinary, ProfileRollout, ProfileZone, ProfileRegion, ProfileControl,
 }
 
-// JoinProfiles lists profiles for a message.
+// JoinProfiles returns a comma-separated list of profiles for a message.
 func JoinProfiles(profiles []Profile) string { return joinNames(profiles) }
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// The groups of ranked rows, first ones first.
+// The groups of ranked rows, in the order of the ranking.
 const (
 	groupLacksMechanism = iota
 	groupNeverInForce
 	groupByUse
 )
 
-// Ranked returns the rows that have a budget or require a mechanism, worst first: those that lack the
-// required mechanism, then changes that never came into force at some agents, then by use of the budget. rest are the
-// rows that can't be ranked, as nothing was measured.
+// Ranked returns the rows that have a budget or require a mechanism, worst first: rows that lack a
+// required mechanism, then changes that never came into force at some agent, then the others by use of
+// their budget. rest has the rows with a budget that can't be ranked, as its use is not known.
 func (p *Page) Ranked() (ranked, rest []*Row) {
 	for _, r := range p.rows {
 		switch {
@@ -28,12 +28,13 @@
 	return ranked, rest
 }
 
-// compareRank orders rows by their group, and within it by the use of the budget, most first.
+// compareRank orders rows by their group, and within a group by the use of the budget in descending
+// order.
 func compareRank(a, b *Row) int {
 	return cmp.Or(cmp.Compare(a.rankGroup(), b.rankGroup()), cmp.Compare(b.Use().Fraction, a.Use().Fraction))
 }
 
-// rankGroup is lower for rows that are ranked first.
+// rankGroup returns the row's group in the ranking.
 func (r *Row) rankGroup() int {
 	switch {
 	case r.lacksRequiredMechanism():
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -14,23 +14,23 @@
 	"strings"
 )
 
-// knownRoles are the roles that a record may have.
+// knownRoles lists the roles that a record may contain.
 var knownRoles = []Role{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
 
-// requiredKeys are the JSON keys that each line of a record file has.
+// requiredKeys lists the JSON keys that each line of a record file must have.
 var requiredKeys = []string{
 	"plan", "commit", "day", "repeat", "seed", "size", "hollow", "real", "lists", "listed", "hurry", "seconds",
 	"changes", "settled", "roles", "in_force",
 }
 
-// ReadRuns reads the runs of a record file, including invalid ones. A malformed line is an error of
-// one line that names the file, the line and the key, and no runs are returned then.
+// ReadRuns reads the runs of a record file, including invalid ones. For a malformed line
+// it returns no runs and a one-line error that names the file, the line and the key.
 func ReadRuns(path string) ([]*Run, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	var runs []*Run
 	reader := bufio.NewReader(file)
 	for number := 1; ; number++ {
@@ -51,7 +51,7 @@
 	}
 }
 
-// parseRun reads one line of a record file.
+// parseRun parses one line of a record file.
 func parseRun(line []byte) (*Run, error) {
 	r := new(Run)
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -78,7 +78,7 @@
 	return r, r.check()
 }
 
-// check names the first key with an impossible value.
+// check returns an error that names the first key with an invalid value.
 func (r *Run) check() error {
 	if err := r.checkParameters(); err != nil {
 		return err
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// checkParameters checks the plain keys. An invalid run may have been broken off before anything was
-// measured.
+// checkParameters checks the top-level keys other than maps. A run marked invalid may have no rate
+// factor and no seconds, as it may have been interrupted before anything was measured.
 func (r *Run) checkParameters() error {
 	valid := len(r.Invalid) == 0
 	switch {
@@ -141,7 +141,7 @@
 	return checkMetrics("roles."+string(name)+".most", role.Max)
 }
 
-// checkMetrics checks the values of a map of metrics, whose key errors name.
+// checkMetrics checks the values of a map of metrics. Errors name the map by key.
 func checkMetrics(key string, metrics map[MetricKey]float64) error {
 	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
 		if invalidValue(metrics[metric]) {
@@ -151,11 +151,11 @@
 	return nil
 }
 
-// plausible reports whether no count or duration is below zero or not a number.
+// plausible reports whether all counts and durations are finite and not negative.
 func (l Latencies) plausible() bool {
 	return l.Count >= 0 && l.NeverInForce >= 0 && !invalidValue(l.P50) && !invalidValue(l.P99) && !invalidValue(l.Max)
 }
 
-// invalidValue reports whether no metric can have the value: all are counts, rates, sizes or
-// durations.
+// invalidValue reports whether a value is negative or not finite. No metric can have such a value, as
+// all are counts, rates, sizes or durations.
 func invalidValue(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// relativeRounding is the part of a value below which a difference is taken as rounding.
+	// relativeRounding is the relative difference below which values differ only by rounding.
 	relativeRounding = 1e-9
-	// collinearCorrelation is the correlation from which two regressors are taken as one.
+	// collinearCorrelation is the correlation above which two regressors count as collinear.
 	collinearCorrelation = 0.999
-	// quadraticCollinearCorrelation is the same where one of them is n²: the changes are drawn, and
-	// their scatter is no reason for an alarm.
+	// quadraticCollinearCorrelation is the limit where one of them is n². It is lower because the
+	// changes are random, and their variation must not raise an alarm.
 	quadraticCollinearCorrelation = 0.98
-	// lineParameters are the intercept and the slope.
+	// lineParameters is the number of parameters of a line: intercept and slope.
 	lineParameters = 2
-	// aiccFactor is that of the number of parameters in Akaike's criterion.
+	// aiccFactor is the factor of the number of parameters in Akaike's criterion.
 	aiccFactor = 2
 )
 
@@ -29,13 +29,14 @@
 	intercept, slope  float64
 	xs                []float64
 	meanX             float64
-	sumSquaresX       float64 // of xs about meanX
+	sumSquaresX       float64 // sum of squared deviations of xs from meanX
 	residualDeviation float64
 	degreesOfFreedom  float64
 	aicc              float64 // corrected Akaike information criterion
 }
 
-// fitRegression returns false where the shape's regressor is the same at all points.
+// fitRegression fits a shape to the points. It returns false if the shape's regressor has the same
+// value at all points.
 func fitRegression(s Shape, points []Point) (regression, bool) {
 	line := regression{shape: s}
 	var ys []float64
@@ -61,14 +62,14 @@
 	return line, true
 }
 
-// setResiduals sets what follows from the residuals: their deviation, and AICc.
+// setResiduals computes the residuals' deviation, the degrees of freedom and AICc.
 func (line *regression) setResiduals(ys []float64, parameters float64) {
-	residuals := 0.0 // sum of squares
+	residuals := 0.0 // residual sum of squares
 	for i, y := range ys {
 		r := y - line.intercept - line.slope*line.xs[i]
 		residuals += r * r
 	}
-	// Rounding of exact values must not select a shape.
+	// Rounding errors of an exact fit must not determine the shape.
 	floor := relativeRounding * relativeRounding * floats.Dot(ys, ys)
 	if residuals <= floor {
 		residuals = floor
@@ -83,7 +84,7 @@
 	}
 }
 
-// dropRoundingSlope returns zero for a slope that rounding alone explains.
+// dropRoundingSlope returns zero for a slope that is within the rounding error, else the slope itself.
 func dropRoundingSlope(slope float64, xs, ys []float64) float64 {
 	if math.Abs(slope)*(floats.Max(xs)-floats.Min(xs)) < relativeRounding*floats.Norm(ys, math.Inf(1)) {
 		return 0
@@ -91,9 +92,9 @@
 	return slope
 }
 
-// collinearWith reports whether the other's regressor is in effect a multiple of this one's, so
-// that the points can't distinguish them: n × changes and n where the rate of changes is the same at
-// each size, or n² where it grows with the size.
+// collinearWith reports whether the two regressors are nearly proportional, so that the points can't
+// distinguish them: n × changes and n where the rate of changes is the same at each size, or n × changes
+// and n² where it grows with the size.
 func (line regression) collinearWith(other regression) bool {
 	if line.shape == ShapeFlat || other.shape == ShapeFlat {
 		return false
@@ -108,8 +109,8 @@
 	return math.Abs(stat.Correlation(line.xs, other.xs, nil)) > limit
 }
 
-// distinctionThreshold is the difference of AICc from which two shapes are distinguished: that of a
-// 95 % interval by the profile likelihood, with F in place of chi-squared as there are few points.
+// distinctionThreshold returns the AICc difference from which two shapes count as distinguished: that
+// of a 95 % profile-likelihood interval, with F in place of chi-squared as there are few points.
 // It is 3.84 with many points, 4.8 with 12 and 6.4 with 6.
 func (line regression) distinctionThreshold() float64 {
 	n := float64(len(line.xs))
@@ -118,7 +119,7 @@
 	return n * math.Log1p(t*t/residualDegrees)
 }
 
-// slopeInterval is the 95 % interval of the slope.
+// slopeInterval returns the 95 % confidence interval of the slope.
 func (line regression) slopeInterval() Interval {
 	if line.shape == ShapeFlat {
 		return Interval{}
@@ -127,7 +128,7 @@
 	return Interval{line.slope - half, line.slope + half}
 }
 
-// predictMean predicts the mean of a number of runs at n agents.
+// predictMean predicts the mean over a number of runs with n agents.
 func (line regression) predictMean(n, changes float64, runs int) Prediction {
 	x := line.shape.regressor(n, changes)
 	value := line.intercept + line.slope*x
@@ -139,10 +140,11 @@
 	return Prediction{Value: value, Interval: Interval{value - half, value + half}}
 }
 
-// quantileCache has the quantiles computed so far, as gonum searches for each.
+// quantileCache holds the quantiles computed so far, as gonum finds each by a numerical search.
 var quantileCache sync.Map
 
-// studentQuantile is the 97.5 % quantile of Student's t, the half width of a 95 % interval.
+// studentQuantile returns the 97.5 % quantile of Student's t: the half width of a 95 % interval in
+// standard errors.
 func studentQuantile(degreesOfFreedom float64) float64 {
 	if q, ok := quantileCache.Load(degreesOfFreedom); ok {
 		return q.(float64)
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// notMeasured stands in a cell without a value.
+// notMeasured is the text of a cell without a value.
 const notMeasured = "not measured"
 
 // The texts between the tables.
@@ -49,7 +49,7 @@
 `
 )
 
-// Write writes the tables in Markdown.
+// Write writes the tables as Markdown.
 func (p *Page) Write(to io.Writer) error {
 	var b bytes.Buffer
 	p.writeHeader(&b)
@@ -67,7 +67,7 @@
 	return err
 }
 
-// tableHead is the head of a Markdown table with its rule.
+// tableHead returns the header row of a Markdown table and the delimiter row below it.
 func tableHead(columns ...string) string {
 	return "| " + strings.Join(columns, " | ") + " |\n" + strings.Repeat("| --- ", len(columns)) + "|\n"
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-// quadraticRows are the titles of the rows that grow with n².
+// quadraticRows returns the titles of the rows that grow with n².
 func (p *Page) quadraticRows() []string {
 	var titles []string
 	for _, r := range p.rows {
@@ -137,7 +137,7 @@
 	}
 }
 
-// writeTable writes the rows of a subject. A profile in which nothing of a discovery instance was
+// writeTable writes the rows of a subject. A profile in which no metric of a discovery instance was
 // measured has one line for all of its metrics.
 func (p *Page) writeTable(b *bytes.Buffer, title, subject string) {
 	fmt.Fprintf(b, "\n### %s\n\n", title)
@@ -163,7 +163,7 @@
 	}
 }
 
-// mechanismsOf are the mechanisms of the rows of a condition, each once.
+// mechanismsOf returns the distinct mechanisms of the rows of a condition.
 func (p *Page) mechanismsOf(subject, condition string) string {
 	var mechanisms []string
 	for _, r := range p.rows {
@@ -174,7 +174,8 @@
 	return strings.Join(mechanisms, "; ")
 }
 
-// unmeasuredProfiles are the profiles in which nothing of a discovery instance was measured.
+// unmeasuredProfiles returns the profiles in which no metric of a discovery instance was measured. It is
+// empty for other subjects.
 func (p *Page) unmeasuredProfiles(subject string) map[string]bool {
 	unmeasured := map[string]bool{}
 	if subject != string(RoleLeader) && subject != string(RoleFollower) {
@@ -189,8 +190,8 @@
 	return unmeasured
 }
 
-// writeMeasuredTimes writes the times from a change's acknowledgement until it was in force, as they
-// were measured at the largest size.
+// writeMeasuredTimes writes the times from a change's acknowledgement until it was in force, as
+// measured at the largest size.
 func (p *Page) writeMeasuredTimes(b *bytes.Buffer) {
 	b.WriteString(measuredTimesText)
 	b.WriteString(tableHead("change", "profile", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents",
@@ -202,10 +203,11 @@
 	}
 }
 
-// measuredTimesColumns is the number of the cells of measuredTimesCells.
+// measuredTimesColumns is the number of cells that measuredTimesCells returns.
 const measuredTimesColumns = 6
 
-// measuredTimesCells are the cells of a kind of change in runs of a profile: largest size, times and counts.
+// measuredTimesCells returns the cells of a kind of change in the runs of a profile: largest size,
+// times and counts.
 func (p *Page) measuredTimesCells(kind ChangeKind, profile Profile) string {
 	largest := 0
 	runs := 0
@@ -234,7 +236,7 @@
 		formatNumber(sum.P99/divisor), formatNumber(sum.Max/divisor), sum.Count, sum.NeverInForce)
 }
 
-// add adds the counts and the durations of another summary.
+// add adds the counts and durations of another summary, to compute means.
 func (l *Latencies) add(other Latencies) {
 	l.Count += other.Count
 	l.P50 += other.P50
@@ -243,7 +245,7 @@
 	l.NeverInForce += other.NeverInForce
 }
 
-// writeMechanisms describes the mechanisms whose label in the tables is not enough.
+// writeMechanisms writes the explanations of the mechanisms that have one.
 func (p *Page) writeMechanisms(b *bytes.Buffer) {
 	b.WriteString("\n### Mechanisms\n\n")
 	for _, m := range p.Mechanisms.All {
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -11,7 +11,7 @@
 
 // writeDataPath writes the benchmarks of the data path by the number of listed servers.
 func (p *Page) writeDataPath(b *bytes.Buffer) {
-	// The first row is that of the path, and one for each decision state follows.
+	// The first row is the added latency, followed by one row for each decision state.
 	rows := p.dataPathRows()
 	budget := formatNumber(p.dataPathBudget())
 	b.WriteString(dataPathText)
@@ -42,7 +42,7 @@
 	}
 }
 
-// describe says how a file of benchmark output was made.
+// describe returns how a file of benchmark output was produced, from its configuration lines.
 func (b *BenchmarkFile) describe() string {
 	if b.Missing {
 		return "no such file"
@@ -56,8 +56,7 @@
 	return text
 }
 
-// serverCounts are the numbers of servers that a benchmark was run with, and those that it should be
-// run with.
+// serverCounts returns the numbers of servers that a benchmark was run with or should be run with.
 func (p *Page) serverCounts(name string) []int {
 	counts := map[int]bool{10: true, 100: true, p.Target.Fleet.Servers: true}
 	for _, b := range p.Benchmarks {
@@ -66,7 +65,7 @@
 	return slices.Sorted(maps.Keys(counts))
 }
 
-// estimateCell is a benchmark's estimate, its unit converted by a factor.
+// estimateCell returns a benchmark's estimate, multiplied by factor to convert its unit.
 func (p *Page) estimateCell(name, unit string, factor float64) string {
 	e, ok := p.estimate(name, unit)
 	if !ok {
@@ -79,7 +78,7 @@
 	return formatEstimate(e.Mean, e.Interval)
 }
 
-// usageCell is the fraction of the data path's budget that a benchmark uses.
+// usageCell returns the fraction of the data path's budget that a benchmark uses.
 func (p *Page) usageCell(name, unit string, factor float64) string {
 	if e, ok := p.estimate(name, unit); ok {
 		return formatNumber(e.scaled(factor).Mean / p.dataPathBudget())
@@ -87,7 +86,7 @@
 	return notMeasured
 }
 
-// runCountCell is the number of runs of a benchmark.
+// runCountCell returns the number of runs of a benchmark.
 func (p *Page) runCountCell(name, unit string) string {
 	e, _ := p.estimate(name, unit)
 	return strconv.Itoa(e.Runs)
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -13,13 +13,13 @@
 	"github.com/BurntSushi/toml"
 )
 
-// runGroup identifies the runs of a record that share a line.
+// runGroup identifies the runs of a record that share a line of the table.
 type runGroup struct {
 	plan, commit string
 	profile      Profile
 }
 
-// writeRuns writes what was read, and which runs were left out.
+// writeRuns writes the records that were read, and the runs that were excluded.
 func (p *Page) writeRuns(b *bytes.Buffer) {
 	b.WriteString(runsText)
 	if len(p.Records) == 0 {
@@ -47,7 +47,8 @@
 	fmt.Fprintf(b, "\n%s\n", strings.Join(commands, "\n"))
 }
 
-// groupRuns groups runs; order has the groups by profile, and within one as they were first seen.
+// groupRuns groups runs. order has the groups sorted by profile, and within a profile in the order of
+// their first runs.
 func groupRuns(runs []*Run) (order []runGroup, groups map[runGroup][]*Run) {
 	groups = map[runGroup][]*Run{}
 	for _, r := range runs {
@@ -63,8 +64,8 @@
 	return order, groups
 }
 
-// planArgument is the argument of `experiment scale` for a plan: the file beside the record that has
-// the plan's name; the built-in plan has a flag.
+// planArgument returns the argument of `experiment scale` for a plan: the file in the record's directory
+// that contains the plan's name, or the flag of the built-in plan.
 func planArgument(record, plan string) string {
 	if plan == "small" {
 		return "--small"
@@ -79,7 +80,7 @@
 	return escapeCell(plan) + ".toml"
 }
 
-// runCells are the cells of one group of runs.
+// runCells returns the cells of one group of runs.
 func runCells(runs []*Run) string {
 	valid := ValidRuns(runs)
 	runsBySize := map[int]int{}
@@ -107,7 +108,7 @@
 	}, " | ")
 }
 
-// formatSizes lists sizes with the number of runs of each.
+// formatSizes returns a list of the sizes with the number of runs of each.
 func formatSizes(runsBySize map[int]int) string {
 	var sizes []string
 	for _, size := range slices.Sorted(maps.Keys(runsBySize)) {
@@ -119,7 +120,7 @@
 	return strings.Join(sizes, ", ")
 }
 
-// leftOutCell is the number of runs left out, and why runs are invalid.
+// leftOutCell returns the number of excluded runs, and the reasons why runs are invalid.
 func leftOutCell(runs []*Run, count int) string {
 	var invalid []string
 	for _, r := range runs {
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -1,50 +1,50 @@
 package capacity
 
-// Row is one requirement of the page: a metric of a subject under a condition, its value at the target, its
-// budget, and the mechanism that keeps it within the budget.
+// Row is one requirement of the page: a metric of a subject under a condition, its value at the target,
+// its budget, and the mechanism that keeps it within the budget.
 type Row struct {
 	Subject           string
 	Condition         string // the load profile, or the balancer's state for the data path
 	Metric, Unit      string
-	Budget            float64 // 0: there is none
+	Budget            float64 // 0 if there is none
 	Mechanism         string
-	MechanismRequired bool // a mechanism has to meet the requirement
+	MechanismRequired bool // the requirement must be met by a mechanism
 
-	Known           bool   // Prediction is the value at the target
-	Prediction             // for the data path: what was measured there
+	Known           bool   // Prediction holds the value at the target
+	Prediction             // for the data path, the value measured with the target's servers
 	Extrapolated    bool   // the target is larger than the largest size measured
 	UnknownReason   string // why there is no value at the target
-	LargestSize     int    // the largest size measured; 0: none was
+	LargestSize     int    // the largest size measured; 0 if none was
 	LargestSizeMean float64
 	NeverInForce    int64 // pairs of change and agent for which the change never came into force
 	Fit             *Fit
 	Runs            int
-	Source          string // the agents that it was taken from, and how
+	Source          string // the kind of agents that the value is from, and how it was derived
 }
 
-// The subjects of rows, beside RoleLeader and RoleFollower.
+// The subjects of rows, besides RoleLeader and RoleFollower.
 const (
 	subjectAgent    = "agent"
 	subjectInForce  = "in force"
 	subjectDataPath = "data path"
 )
 
-// Name identifies the row in the patterns of mechanisms.
+// Name returns the name that the patterns of mechanisms are matched against.
 func (r *Row) Name() string { return r.Subject + "/" + r.Condition + "/" + r.Metric }
 
 // HasMechanism reports whether a mechanism keeps the row within its budget.
 func (r *Row) HasMechanism() bool { return r.Mechanism != noMechanism }
 
-// BudgetUse is the part of a row's budget that is used. Its zero value says that it is not known.
+// BudgetUse is the fraction of a row's budget that is used. The zero value means that it is not known.
 type BudgetUse struct {
 	Known    bool
 	Fraction float64
-	// Size is the size at which the fraction was measured; 0: it is that at the target.
+	// Size is the size at which the fraction was measured, or 0 if the fraction is that at the target.
 	Size int
 }
 
-// Use is the part of the budget that is used at the target. Where that is not known but the largest size measured is
-// over the budget already, it is the part there.
+// Use returns the fraction of the budget that is used at the target. If that is not known but the
+// largest size measured already exceeds the budget, it returns the fraction at that size.
 func (r *Row) Use() BudgetUse {
 	switch {
 	case r.Budget <= 0:
@@ -60,7 +60,7 @@
 // lacksRequiredMechanism reports whether the row requires a mechanism and has none.
 func (r *Row) lacksRequiredMechanism() bool { return r.MechanismRequired && !r.HasMechanism() }
 
-// appendSource adds a remark to the row's source.
+// appendSource appends a remark to the row's source.
 func (r *Row) appendSource(remark string) {
 	if r.Source != "" {
 		r.Source += "; "
@@ -68,7 +68,7 @@
 	r.Source += remark
 }
 
-// setLargest sets the largest size measured and the mean there.
+// setLargest sets the largest size measured and the mean at that size.
 func (r *Row) setLargest(points []Point) {
 	for _, p := range points {
 		r.LargestSize = max(r.LargestSize, p.Size)
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -1,12 +1,13 @@
-// Package capacity compares what was measured of each role at several sizes with the size that the
-// system is designed for (deploy/target.toml): records of scale runs, fits over the size, and the
-// tables of docs/CAPACITY.md.
+// Package capacity extrapolates measurements of each role at several fleet sizes to the size that the
+// system is designed for (deploy/target.toml). It reads the records of scale runs, fits each metric
+// over the size, and renders the tables of docs/CAPACITY.md.
 package capacity
 
-// Run is one run of a load profile at one size by `experiment scale`. A record file has one JSON object a line.
+// Run is one run of a load profile at one size by `experiment scale`. A record file has one JSON object
+// per line.
 //
-// Hollow agents are the agent's own code without client traffic, many in one process (the term is that
-// of Kubernetes' kubemark); real agents are processes of bin/agent.
+// Hollow agents run the agent's code without client traffic, many in one process (the term is from
+// Kubernetes' kubemark). Real agents are processes of bin/agent.
 type Run struct {
 	Plan               string  `json:"plan"`   // the plan's name
 	Commit             string  `json:"commit"` // of the program measured, with "-dirty" if the tree was modified
@@ -19,19 +20,19 @@
 	DiscoveryInstances int     `json:"lists"`
 	ListedServers      int     `json:"listed"`  // servers in the endpoint list
 	RateFactor         float64 `json:"hurry"`   // rate of changes and restarts divided by the target's, scaled to Size
-	Seconds            float64 `json:"seconds"` // measured
+	Seconds            float64 `json:"seconds"` // duration of the measurement
 	Changes            int     `json:"changes"` // acknowledged within Seconds
-	// Converged says that at the end all agents had the last change and the same membership snapshot.
+	// Converged is set if at the end all agents had the last change and the same membership snapshot.
 	Converged bool                 `json:"settled"`
 	Roles     map[Role]RoleMetrics `json:"roles"`
-	// InForce has, by kind of change, the time from the acknowledgement of a change
-	// until it was in force at an agent.
+	// InForce has, by kind of change, the time from the acknowledgement of a change until it was in
+	// force at an agent.
 	InForce map[ChangeKind]Latencies `json:"in_force"`
 	Missing []string                 `json:"missing,omitempty"` // what could not be measured, and why
 	Invalid []string                 `json:"invalid,omitempty"` // why the run does not count
 }
 
-// Role is what a process of a run is. Records know roles by these texts.
+// Role is the role of a process in a run. Records contain roles under these names.
 type Role string
 
 // The roles of a run.
@@ -39,40 +40,40 @@
 	RoleHollow   Role = "hollow"        // one of the agents that share processes
 	RoleReal     Role = "real"          // one process of bin/agent
 	RoleLeader   Role = "list leader"   // the discovery instance that is the Raft leader at the end
-	RoleFollower Role = "list follower" // each other discovery instance
+	RoleFollower Role = "list follower" // any other discovery instance
 	RoleHost     Role = "host"          // the machine that a run was made on, with all of its processes
 )
 
-// ChangeKind is what a change is of. Records know the kinds by these texts.
+// ChangeKind is the kind of a change. Records contain the kinds under these names.
 type ChangeKind string
 
 // The kinds of changes.
 const (
-	ChangeSettings ChangeKind = "settings" // of a service's settings
-	ChangeList     ChangeKind = "list"     // of the endpoint list
+	ChangeSettings ChangeKind = "settings" // a change of a service's settings
+	ChangeList     ChangeKind = "list"     // a change of the endpoint list
 )
 
-// RoleMetrics is what the members of a role took over the run, by the names below. What was not
-// measured has no entry.
+// RoleMetrics holds the metrics of the members of a role over the run. A metric that was not measured
+// has no entry.
 type RoleMetrics struct {
-	Count int                   `json:"count"` // members
+	Count int                   `json:"count"` // number of members
 	Mean  map[MetricKey]float64 `json:"mean"`  // over the members
 	Max   map[MetricKey]float64 `json:"most"`  // the largest of any member
 }
 
-// MetricKey is the key of a metric of a role in records.
+// MetricKey is the key of a role's metric in records.
 type MetricKey string
 
-// The metrics of a role. Traffic is bytes and messages of control on its sockets (membership packets
-// and streams, calls to discovery, Raft), without headers below TCP and UDP.
+// The metrics of a role. Traffic is the bytes and messages of control on its sockets (membership packets
+// and streams, calls to discovery, Raft), without TCP, UDP and lower-layer headers.
 const (
 	CPU             MetricKey = "cpu"           // fraction of one core
 	ResidentMB      MetricKey = "resident_mb"   // of the process, divided by the agents in it
-	HeapMB          MetricKey = "heap_mb"       // live after a collection, divided by the agents in the process
-	AllocKBps       MetricKey = "alloc_kb_s"    // KB allocated a second
-	BytesIn         MetricKey = "bytes_in_s"    // a second
-	BytesOut        MetricKey = "bytes_out_s"   // a second
-	MessagesIn      MetricKey = "messages_in_s" // a second
+	HeapMB          MetricKey = "heap_mb"       // live heap after a collection, divided by the agents in the process
+	AllocKBps       MetricKey = "alloc_kb_s"    // KB allocated per second
+	BytesIn         MetricKey = "bytes_in_s"    // per second
+	BytesOut        MetricKey = "bytes_out_s"   // per second
+	MessagesIn      MetricKey = "messages_in_s" // per second
 	MessagesOut     MetricKey = "messages_out_s"
 	MembershipBytes MetricKey = "view_bytes_s"      // of these, membership's, in both directions
 	DiscoveryBytes  MetricKey = "discovery_bytes_s" // of these, calls to discovery, in both directions
@@ -88,9 +89,9 @@
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Max   float64 `json:"worst"`
-	// NeverInForce counts the pairs of change and agent where the agent ran for the whole time allowed and
-	// did not have the change in force.
+	// NeverInForce counts the pairs of change and agent where the agent ran until the deadline without
+	// having the change in force.
 	NeverInForce int64 `json:"absent"`
-	// Histogram is encoded by hdrhistogram (V2, compressed, base64), in µs.
+	// Histogram is an HDR histogram in µs (V2 encoding, compressed, base64).
 	Histogram string `json:"histogram,omitempty"`
 }
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -9,24 +9,25 @@
 )
 
 // Ratio is the metric of hollow agents divided by that of real ones in the same runs: the geometric
-// mean with its 95 % interval (Student's t on the logarithms).
+// mean with its 95 % confidence interval (Student's t on the logarithms).
 type Ratio struct {
 	Mean     float64
 	Interval Interval
 	Runs     int
-	Stable   bool // the means of no two sizes differ by more than maxUsableRatio, so it holds at other sizes
+	Stable   bool // the means of any two sizes differ by at most the factor maxUsableRatio
 }
 
-// The hollow agents' metric is used as it is where its ratio to the real one lies between these.
+// The hollow agents' metric is used uncorrected if its ratio to the real one lies between these.
 const (
 	minUsableRatio = 0.8
 	maxUsableRatio = 1.25
 )
 
-// minRatioRuns is the number of runs from which a ratio has an interval.
+// minRatioRuns is the least number of runs for which a ratio has a confidence interval.
 const minRatioRuns = 2
 
-// hollowRatio returns false without minRatioRuns runs in which both were measured and above zero.
+// hollowRatio returns the ratio of hollow to real agents for a metric. It returns false if fewer than
+// minRatioRuns runs have values above zero for both.
 func hollowRatio(runs []*Run, m Metric) (Ratio, bool) {
 	var logarithms []float64
 	bySize := map[int][]float64{}
@@ -54,7 +55,7 @@
 	}, true
 }
 
-// meansDifferBy is the difference of the largest and the least mean.
+// meansDifferBy returns the difference between the largest and the smallest mean of the groups.
 func meansDifferBy(groups map[int][]float64) float64 {
 	least := math.Inf(1)
 	most := math.Inf(-1)
@@ -66,18 +67,18 @@
 	return most - least
 }
 
-// Source says which agents a metric was taken from.
+// Source describes which agents a metric is taken from, and how.
 type Source struct {
 	Role        Role
-	Corrected   bool   // hollow, divided by the ratio
+	Corrected   bool   // the hollow agents' values are divided by Ratio
 	Description string // for the tables
 	Ratio       Ratio
 	HasRatio    bool
 }
 
-// selectSource selects hollow or real agents for a metric of some runs: hollow where their ratio is near one,
-// hollow divided by the ratio where it is stable over the sizes and its interval is no wider than
-// maxUsableRatio, else real.
+// selectSource selects hollow or real agents for a metric of some runs: hollow if their ratio is close
+// to one, hollow divided by the ratio if the ratio is stable over the sizes and its interval no wider
+// than the factor maxUsableRatio, otherwise real.
 func selectSource(runs []*Run, m Metric) Source {
 	ratio, hasRatio := hollowRatio(runs, m)
 	s := Source{Role: RoleHollow, Ratio: ratio, HasRatio: hasRatio}
@@ -113,7 +114,7 @@
 	return !slices.ContainsFunc(points, func(p Point) bool { return p.Value != 0 })
 }
 
-// collectPoints are the points of the source's agents, corrected by the ratio where it says so.
+// collectPoints returns the points of the source's agents, divided by the ratio if Corrected is set.
 func (s Source) collectPoints(runs []*Run, m Metric) []Point {
 	return collectPoints(runs, func(r *Run) (float64, bool) {
 		value, ok := m.value(r, s.Role)
@@ -124,7 +125,7 @@
 	})
 }
 
-// widen adds the uncertainty of the ratio that the points were divided by to a prediction's interval.
+// widen adds the uncertainty of the ratio to a prediction's interval if the points were divided by it.
 func (s Source) widen(prediction Prediction) Prediction {
 	if !s.Corrected {
 		return prediction
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -6,27 +6,27 @@
 	"reflect"
 )
 
-// Target is the size that the system is designed for, and what each agent may take there, from
-// deploy/target.toml. Every key is required.
+// Target is the fleet size that the system is designed for and the budgets of each agent at that size,
+// read from deploy/target.toml. Every key is required.
 type Target struct {
 	Fleet struct {
 		Agents          int     `toml:"agents"`
 		Servers         int     `toml:"backends"`
 		Services        int     `toml:"services"`
 		CallsPerS       float64 `toml:"calls_per_s"` // over the whole fleet
-		CallDepth       int     `toml:"call_depth"`  // the deepest chain
+		CallDepth       int     `toml:"call_depth"`  // longest chain of calls
 		Regions         int     `toml:"regions"`
 		Zones           int     `toml:"zones"`
 		ControlMachines int     `toml:"control_machines"`
 	} `toml:"fleet"`
 	Agent struct {
-		AddedP99MS float64 `toml:"added_p99_ms"` // to a call, ms
-		ControlCPU float64 `toml:"control_cpu"`  // fraction of one core, for control alone
+		AddedP99MS float64 `toml:"added_p99_ms"` // latency added to a call, ms
+		ControlCPU float64 `toml:"control_cpu"`  // fraction of one core, for control only
 		MemoryMB   float64 `toml:"memory_mb"`    // MB
-		BytesPerS  float64 `toml:"bytes_per_s"`  // of control, both directions together
+		BytesPerS  float64 `toml:"bytes_per_s"`  // control traffic, both directions together
 	} `toml:"agent"`
 	Changes struct {
-		PerDay   float64 `toml:"per_day"`    // of configuration
+		PerDay   float64 `toml:"per_day"`    // changes of the configuration
 		InForceS float64 `toml:"in_force_s"` // from the acknowledgement until in force everywhere, s
 	} `toml:"changes"`
 	Daily struct {
@@ -35,8 +35,8 @@
 	} `toml:"day"`
 }
 
-// LoadTarget reads a target. An unknown or missing key, or an impossible value, is an error of one
-// line that names the file and the key.
+// LoadTarget reads a target. An unknown or missing key, or an invalid value, yields a one-line
+// error that names the file and the key.
 func LoadTarget(path string) (*Target, error) {
 	t := new(Target)
 	meta, err := decodeTOML(path, t)
@@ -52,11 +52,11 @@
 	return t, nil
 }
 
-// dailyTable is the table whose values may be zero.
+// dailyTable is the only table in which values may be zero.
 const dailyTable = "day"
 
-// checkNumbers checks all keys, which are numbers in tables: each has to be there and above zero, or
-// not below zero in dailyTable.
+// checkNumbers checks all keys, which are numbers in tables: each must be present and positive, or not
+// negative in dailyTable.
 func (t *Target) checkNumbers(defined func(...string) bool) error {
 	tables := reflect.ValueOf(t).Elem()
 	for i := range tables.NumField() {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// checkRelations checks the sizes of the fleet against each other.
+// checkRelations checks the numbers of the fleet for consistency.
 func (t *Target) checkRelations() error {
 	switch f := t.Fleet; {
 	case f.Services > f.Servers:
--- a/internal/capacity/tomlfile.go
+++ b/internal/capacity/tomlfile.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML reads a TOML file into v. A syntax error, a value of a wrong type or an unknown key is an
-// error of one line that names the file.
+// decodeTOML reads a TOML file into v. A syntax error, a value of the wrong type or an unknown key
+// yields a one-line error that names the file.
 func decodeTOML(path string, v any) (toml.MetaData, error) {
 	meta, err := toml.DecodeFile(path, v)
 	var parseError toml.ParseError
@@ -25,5 +25,5 @@
 	return meta, nil
 }
 
-// oneLine is an error's text without line breaks.
+// oneLine returns an error's text with line breaks replaced by spaces.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
