--- a/internal/capacity/benchmark.go
+++ b/internal/capacity/benchmark.go
@@ -83,7 +83,7 @@
 	}
 	for _, v := range result.Values {
 		if math.IsNaN(v.Value) || math.IsInf(v.Value, 0) {
-			return fmt.Errorf("%s: %v is not a value", v.Unit, v.Value)
+			return fmt.Errorf("%s: %v is not a finite number", v.Unit, v.Value)
 		}
 		b.samples[name][v.Unit] = append(b.samples[name][v.Unit], v.Value)
 	}
--- a/internal/capacity/markers.go
+++ b/internal/capacity/markers.go
@@ -12,7 +12,8 @@
 )
 
 // errMarkers is returned for a page without exactly one pair of markers.
-var errMarkers = errors.New("the markers " + BeginMarker + " and " + EndMarker + " are not there once each")
+var errMarkers = errors.New("the markers " + BeginMarker + " and " + EndMarker +
+	" must each occur exactly once, in order, on lines of their own")
 
 // ReplaceTables returns the page's text with the tables between its markers replaced. Each marker must
 // occur exactly once, on a line of its own, BeginMarker first.
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -42,16 +42,16 @@
 func (m Mechanism) check() error {
 	for _, pattern := range m.Rows {
 		if _, err := path.Match(pattern, "x"); pattern == "" || err != nil {
-			return fmt.Errorf("rows: %q is no pattern", pattern)
+			return fmt.Errorf("rows: %q is not a valid pattern", pattern)
 		}
 	}
 	switch {
 	case len(m.Rows) == 0:
-		return errors.New("rows: names none")
+		return errors.New("rows: is empty")
 	case m.By == "":
 		return errors.New("by: is empty")
 	case strings.ContainsAny(m.By+m.Why, "|\n"):
-		return errors.New("by, why: hold what breaks a table")
+		return errors.New("by, why: must not contain | or a line break")
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 	for i, mechanism := range m.All {
 		for _, pattern := range mechanism.Rows {
 			if !slices.ContainsFunc(rows, func(r *Row) bool { return matchRow(pattern, r.Name()) }) {
-				return fmt.Errorf("%s: mechanism %d: rows: %q names no row", m.Path, i+1, pattern)
+				return fmt.Errorf("%s: mechanism %d: rows: %q matches no row", m.Path, i+1, pattern)
 			}
 		}
 	}
--- a/internal/capacity/mechanism_test.go
+++ b/internal/capacity/mechanism_test.go
@@ -10,11 +10,11 @@
 	const head = "[[mechanism]]\n"
 	for text, says := range map[string]string{
 		head + "rows = [\"agent/*/bytes\"]\n":                               "by: is empty",
-		head + "by = \"gossip\"\n":                                          "rows: names none",
-		head + "rows = [\"[\"]\nby = \"gossip\"\n":                          "is no pattern",
+		head + "by = \"gossip\"\n":                                          "rows: is empty",
+		head + "rows = [\"[\"]\nby = \"gossip\"\n":                          "is not a valid pattern",
 		head + "rows = [\"agent/*/bytes\"]\nby = \"a\"\nhow = 1\n":          "mechanism.how",
-		head + "rows = [\"agent/*/bytes\"]\nby = \"a | b\"\n":               "breaks a table",
-		head + "rows = [\"agent/*/bytes\", \"agent/*/byts\"]\nby = \"a\"\n": "names no row",
+		head + "rows = [\"agent/*/bytes\"]\nby = \"a | b\"\n":               "must not contain |",
+		head + "rows = [\"agent/*/bytes\", \"agent/*/byts\"]\nby = \"a\"\n": "matches no row",
 		head + "rows = 3\n":                                                 "rows",
 	} {
 		path := writeFile(t, "m.toml", text)
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -59,12 +59,12 @@
 	if err := decoder.Decode(r); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("%s: a JSON %s can't be its value", typeError.Field, typeError.Value)
+			return nil, fmt.Errorf("%s: a JSON %s is not a valid value", typeError.Field, typeError.Value)
 		}
 		return nil, errors.New(strings.TrimPrefix(err.Error(), "json: "))
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows the run's object")
+		return nil, errors.New("unexpected data after the run's object")
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(line, &keys); err != nil {
@@ -90,7 +90,7 @@
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.InForce)) {
 		if !r.InForce[kind].plausible() {
-			return fmt.Errorf("in_force.%s: counts and times can't be below 0", kind)
+			return fmt.Errorf("in_force.%s: counts and times must be finite and not negative", kind)
 		}
 	}
 	return nil
@@ -114,15 +114,15 @@
 	case r.Hollow < 0 || r.Real < 0 || r.Hollow+r.Real != r.Size:
 		return fmt.Errorf("size: %d is not the sum of %d hollow and %d real", r.Size, r.Hollow, r.Real)
 	case r.DiscoveryInstances < 0:
-		return fmt.Errorf("lists: can't be %d", r.DiscoveryInstances)
+		return fmt.Errorf("lists: must not be negative, is %d", r.DiscoveryInstances)
 	case r.ListedServers < 0:
-		return fmt.Errorf("listed: can't be %d", r.ListedServers)
+		return fmt.Errorf("listed: must not be negative, is %d", r.ListedServers)
 	case invalidValue(r.RateFactor) || r.RateFactor == 0 && valid:
 		return fmt.Errorf("hurry: must be above 0, is %v", r.RateFactor)
 	case invalidValue(r.Seconds) || r.Seconds == 0 && valid:
 		return fmt.Errorf("seconds: must be above 0, is %v", r.Seconds)
 	case r.Changes < 0:
-		return fmt.Errorf("changes: can't be %d", r.Changes)
+		return fmt.Errorf("changes: must not be negative, is %d", r.Changes)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 		return fmt.Errorf("roles: %q is none of %s", name, joinNames(knownRoles))
 	}
 	if role.Count < 0 {
-		return fmt.Errorf("roles.%s.count: can't be %d", name, role.Count)
+		return fmt.Errorf("roles.%s.count: must not be negative, is %d", name, role.Count)
 	}
 	if err := checkMetrics("roles."+string(name)+".mean", role.Mean); err != nil {
 		return err
@@ -145,7 +145,7 @@
 func checkMetrics(key string, metrics map[MetricKey]float64) error {
 	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
 		if invalidValue(metrics[metric]) {
-			return fmt.Errorf("%s.%s: can't be %v", key, metric, metrics[metric])
+			return fmt.Errorf("%s.%s: must be finite and not negative, is %v", key, metric, metrics[metric])
 		}
 	}
 	return nil
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -78,7 +78,7 @@
 		{`"cpu":0.002`, `"cpu":NaN`, ""},
 		{`"cpu":0.002`, `"cpu":-1`, "roles.real.mean.cpu"},
 		{`"in_force"`, `"in_farce"`, "in_farce"},
-		{"}\n", "} {}\n", "follows"},
+		{"}\n", "} {}\n", "unexpected data after"},
 		{"}\n", "", ""},
 	} {
 		if !strings.Contains(good, c.old) {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -70,7 +70,7 @@
 			case !defined(tableName, key):
 				return fmt.Errorf("key %q is missing", name)
 			case math.IsNaN(value) || math.IsInf(value, 0):
-				return fmt.Errorf("%s: %v is not a number to design for", name, value)
+				return fmt.Errorf("%s: %v is not a finite number", name, value)
 			case value < 0 || value == 0 && tableName != dailyTable:
 				return fmt.Errorf("%s: must be above 0, is %v", name, value)
 			}
