--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -80,9 +80,9 @@
 // rescaleToTarget returns a profile's rate at the target's rate of changes: the quiet profile's rate,
 // plus what the accelerated changes add to it divided by the rate factor.
 func rescaleToTarget(quiet, accelerated Prediction, rateFactor float64) Prediction {
-	part := 1 / rateFactor
-	value := math.Max(quiet.Value*(1-part)+accelerated.Value*part, 0)
-	below := math.Hypot((1-part)*(quiet.Value-quiet.Interval.Lo), part*(accelerated.Value-accelerated.Interval.Lo))
-	above := math.Hypot((1-part)*(quiet.Interval.Hi-quiet.Value), part*(accelerated.Interval.Hi-accelerated.Value))
+	fraction := 1 / rateFactor
+	value := math.Max(quiet.Value*(1-fraction)+accelerated.Value*fraction, 0)
+	below := math.Hypot((1-fraction)*(quiet.Value-quiet.Interval.Lo), fraction*(accelerated.Value-accelerated.Interval.Lo))
+	above := math.Hypot((1-fraction)*(quiet.Interval.Hi-quiet.Value), fraction*(accelerated.Interval.Hi-accelerated.Value))
 	return Prediction{Value: value, Interval: Interval{math.Max(value-below, 0), value + above}}
 }
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -24,18 +24,18 @@
 // LoadMechanisms reads the mechanisms of a file: `[[mechanism]]` with rows, by and why. A wrong key or
 // value yields a one-line error that names the file and the key.
 func LoadMechanisms(file string) (*Mechanisms, error) {
-	var content struct {
+	var contents struct {
 		Mechanism []Mechanism `toml:"mechanism"`
 	}
-	if _, err := decodeTOML(file, &content); err != nil {
+	if _, err := decodeTOML(file, &contents); err != nil {
 		return nil, err
 	}
-	for i, m := range content.Mechanism {
+	for i, m := range contents.Mechanism {
 		if err := m.check(); err != nil {
 			return nil, fmt.Errorf("%s: mechanism %d: %w", file, i+1, err)
 		}
 	}
-	return &Mechanisms{Path: file, All: content.Mechanism}, nil
+	return &Mechanisms{Path: file, All: contents.Mechanism}, nil
 }
 
 // check returns an error for the first key with an invalid value.
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -15,17 +15,17 @@
 // Ranked returns the rows that have a budget or require a mechanism, worst first: rows that lack a
 // required mechanism, then changes that never came into force at some agent, then the others by use of
 // their budget. rest has the rows with a budget that can't be ranked, as its use is not known.
-func (p *Page) Ranked() (ranked, rest []*Row) {
+func (p *Page) Ranked() (ranked, unranked []*Row) {
 	for _, r := range p.rows {
 		switch {
 		case r.lacksRequiredMechanism(), r.NeverInForce > 0, r.Use().Known:
 			ranked = append(ranked, r)
 		case r.Budget > 0:
-			rest = append(rest, r)
+			unranked = append(unranked, r)
 		}
 	}
 	slices.SortStableFunc(ranked, compareRank)
-	return ranked, rest
+	return ranked, unranked
 }
 
 // compareRank orders rows by their group, and within a group by the use of the budget in descending
--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -8,7 +8,7 @@
 
 func TestRanking(t *testing.T) {
 	_, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt")
-	ranked, rest := p.Ranked()
+	ranked, unranked := p.Ranked()
 	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
 		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
 	}
@@ -20,7 +20,7 @@
 		}
 		last = use.Fraction
 	}
-	for _, r := range rest {
+	for _, r := range unranked {
 		if r.Known {
 			t.Errorf("%s is known and not ranked", r.Name())
 		}
@@ -30,7 +30,7 @@
 		r.Mechanism = "watch"
 	}
 	settings := p.rowNamed(t, "in force/ordinary/settings")
-	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
+	if ranked, unranked := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(unranked, settings) {
 		t.Errorf("with a mechanism: %s is first", ranked[0].Name())
 	}
 }
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -64,23 +64,23 @@
 
 // setResiduals computes the residuals' deviation, the degrees of freedom and AICc.
 func (line *regression) setResiduals(ys []float64, parameters float64) {
-	residuals := 0.0 // residual sum of squares
+	residualSum := 0.0 // sum of squared residuals
 	for i, y := range ys {
 		r := y - line.intercept - line.slope*line.xs[i]
-		residuals += r * r
+		residualSum += r * r
 	}
 	// Rounding errors of an exact fit must not determine the shape.
 	floor := relativeRounding * relativeRounding * floats.Dot(ys, ys)
-	if residuals <= floor {
-		residuals = floor
+	if residualSum <= floor {
+		residualSum = floor
 		line.slope = dropRoundingSlope(line.slope, line.xs, ys)
 	}
 	n := float64(len(ys))
 	line.degreesOfFreedom = n - parameters + 1
-	line.residualDeviation = math.Sqrt(residuals / line.degreesOfFreedom)
+	line.residualDeviation = math.Sqrt(residualSum / line.degreesOfFreedom)
 	line.aicc = aiccFactor * (parameters + parameters*(parameters+1)/(n-parameters-1))
-	if residuals > 0 {
-		line.aicc += n * math.Log(residuals/n)
+	if residualSum > 0 {
+		line.aicc += n * math.Log(residualSum/n)
 	}
 }
 
@@ -124,20 +124,20 @@
 	if line.shape == ShapeFlat {
 		return Interval{}
 	}
-	half := studentQuantile(line.degreesOfFreedom) * line.residualDeviation / math.Sqrt(line.sumSquaresX)
-	return Interval{line.slope - half, line.slope + half}
+	halfWidth := studentQuantile(line.degreesOfFreedom) * line.residualDeviation / math.Sqrt(line.sumSquaresX)
+	return Interval{line.slope - halfWidth, line.slope + halfWidth}
 }
 
 // predictMean predicts the mean over a number of runs with n agents.
 func (line regression) predictMean(n, changes float64, runs int) Prediction {
 	x := line.shape.regressor(n, changes)
 	value := line.intercept + line.slope*x
-	spread := 1/float64(runs) + 1/float64(len(line.xs))
+	varianceFactor := 1/float64(runs) + 1/float64(len(line.xs))
 	if line.shape != ShapeFlat {
-		spread += (x - line.meanX) * (x - line.meanX) / line.sumSquaresX
+		varianceFactor += (x - line.meanX) * (x - line.meanX) / line.sumSquaresX
 	}
-	half := studentQuantile(line.degreesOfFreedom) * line.residualDeviation * math.Sqrt(spread)
-	return Prediction{Value: value, Interval: Interval{value - half, value + half}}
+	halfWidth := studentQuantile(line.degreesOfFreedom) * line.residualDeviation * math.Sqrt(varianceFactor)
+	return Prediction{Value: value, Interval: Interval{value - halfWidth, value + halfWidth}}
 }
 
 // quantileCache holds the quantiles computed so far, as gonum finds each by a numerical search.
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// tableHead returns the header row of a Markdown table and the delimiter row below it.
-func tableHead(columns ...string) string {
+// tableHeader returns the header row of a Markdown table and the delimiter row below it.
+func tableHeader(columns ...string) string {
 	return "| " + strings.Join(columns, " | ") + " |\n" + strings.Repeat("| --- ", len(columns)) + "|\n"
 }
 
@@ -98,9 +98,9 @@
 
 // writeRanking writes the rows that can be ranked, and lists the others.
 func (p *Page) writeRanking(b *bytes.Buffer) {
-	ranked, rest := p.Ranked()
+	ranked, unranked := p.Ranked()
 	b.WriteString(rankingText)
-	b.WriteString(tableHead("rank", "row", "at the target", "budget", "use", "mechanism"))
+	b.WriteString(tableHeader("rank", "row", "at the target", "budget", "use", "mechanism"))
 	for i, r := range ranked {
 		fmt.Fprintf(b, "| %d | %s | %s | %s | %s | %s |\n",
 			i+1, r.title(), r.targetCell(), r.budgetCell(), r.usageCell(), r.Mechanism)
@@ -108,7 +108,7 @@
 	if len(ranked) == 0 {
 		b.WriteString("| none | nothing that can be ranked | not measured | not measured | not measured | not measured |\n")
 	}
-	writeUnranked(b, rest)
+	writeUnranked(b, unranked)
 }
 
 // writeUnranked lists the rows that could not be ranked, grouped by subject and condition, or by the kind
@@ -141,7 +141,7 @@
 // measured has one line for all of its metrics.
 func (p *Page) writeTable(b *bytes.Buffer, title, subject string) {
 	fmt.Fprintf(b, "\n### %s\n\n", title)
-	b.WriteString(tableHead("profile", "metric", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
+	b.WriteString(tableHeader("profile", "metric", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
 		"largest held out: error", "source", "mechanism"))
 	unmeasured := p.unmeasuredProfiles(subject)
 	for _, r := range p.rows {
@@ -194,7 +194,7 @@
 // measured at the largest size.
 func (p *Page) writeMeasuredTimes(b *bytes.Buffer) {
 	b.WriteString(measuredTimesText)
-	b.WriteString(tableHead("change", "profile", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents",
+	b.WriteString(tableHeader("change", "profile", "agents (runs)", "p50, s", "p99, s", "last, s", "changes × agents",
 		"not in force"))
 	for _, kind := range changeKinds {
 		for _, profile := range inForceProfiles {
@@ -263,7 +263,7 @@
 	for _, profile := range agentProfiles {
 		columns = append(columns, string(profile))
 	}
-	b.WriteString(tableHead(columns...))
+	b.WriteString(tableHeader(columns...))
 	for _, metric := range Metrics {
 		fmt.Fprintf(b, "| %s ", metric.Name)
 		for _, profile := range agentProfiles {
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -15,7 +15,7 @@
 	rows := p.dataPathRows()
 	budget := formatNumber(p.dataPathBudget())
 	b.WriteString(dataPathText)
-	b.WriteString(tableHead("servers", "direct p99", "through the agent p99", "added p50", "added p99", "budget", "use",
+	b.WriteString(tableHeader("servers", "direct p99", "through the agent p99", "added p50", "added p99", "budget", "use",
 		"timer late p99", "connects a call", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(pathBenchmark) {
 		name := pathName(servers)
@@ -26,7 +26,7 @@
 			p.runCountCell(name, "added-p99-us"), p.Mechanisms.forRow(rows[0].Name()))
 	}
 	b.WriteString("\n")
-	b.WriteString(tableHead("servers", "state", "decisions for a request", "budget", "use", "runs", "mechanism"))
+	b.WriteString(tableHeader("servers", "state", "decisions for a request", "budget", "use", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(decisionBenchmark) {
 		for i, state := range decisionStates {
 			name := decisionName(servers, state)
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -26,7 +26,7 @@
 		b.WriteString("No record was given: nothing of the fleet was measured.\n")
 		return
 	}
-	b.WriteString(tableHead("record", "plan, commit", "profile", "agents × runs", "rate factor", "instances", "seconds",
+	b.WriteString(tableHeader("record", "plan, commit", "profile", "agents × runs", "rate factor", "instances", "seconds",
 		"not converged", "excluded", "missing"))
 	var commands []string
 	for i, record := range p.Records {
@@ -103,7 +103,7 @@
 		joinIntsOrNone(slices.Sorted(maps.Keys(instances))),
 		formatRange(seconds),
 		strconv.Itoa(unconverged),
-		leftOutCell(runs, len(runs)-len(valid)),
+		excludedCell(runs, len(runs)-len(valid)),
 		joinReasons(missing),
 	}, " | ")
 }
@@ -120,8 +120,8 @@
 	return strings.Join(sizes, ", ")
 }
 
-// leftOutCell returns the number of excluded runs, and the reasons why runs are invalid.
-func leftOutCell(runs []*Run, count int) string {
+// excludedCell returns the number of excluded runs, and the reasons why runs are invalid.
+func excludedCell(runs []*Run, count int) string {
 	var invalid []string
 	for _, r := range runs {
 		invalid = append(invalid, r.Invalid...)
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -46,17 +46,17 @@
 	}
 	mean, deviation := stat.MeanStdDev(logarithms, nil)
 	n := float64(len(logarithms))
-	half := studentQuantile(n-1) * deviation / math.Sqrt(n)
+	halfWidth := studentQuantile(n-1) * deviation / math.Sqrt(n)
 	return Ratio{
 		Mean:     math.Exp(mean),
-		Interval: Interval{math.Exp(mean - half), math.Exp(mean + half)},
+		Interval: Interval{math.Exp(mean - halfWidth), math.Exp(mean + halfWidth)},
 		Runs:     len(logarithms),
-		Stable:   meansDifferBy(bySize) <= math.Log(maxUsableRatio),
+		Stable:   spreadOfMeans(bySize) <= math.Log(maxUsableRatio),
 	}, true
 }
 
-// meansDifferBy returns the difference between the largest and the smallest mean of the groups.
-func meansDifferBy(groups map[int][]float64) float64 {
+// spreadOfMeans returns the difference between the largest and the smallest mean of the groups.
+func spreadOfMeans(groups map[int][]float64) float64 {
 	least := math.Inf(1)
 	most := math.Inf(-1)
 	for _, values := range groups {
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -81,13 +81,13 @@
 
 // checkRelations checks the numbers of the fleet for consistency.
 func (t *Target) checkRelations() error {
-	switch f := t.Fleet; {
-	case f.Services > f.Servers:
-		return fmt.Errorf("fleet.services: %d are more than the %d backends", f.Services, f.Servers)
-	case f.Regions > f.Zones:
-		return fmt.Errorf("fleet.regions: %d are more than the %d zones", f.Regions, f.Zones)
-	case f.Zones > f.Agents:
-		return fmt.Errorf("fleet.zones: %d are more than the %d agents", f.Zones, f.Agents)
+	switch fleet := t.Fleet; {
+	case fleet.Services > fleet.Servers:
+		return fmt.Errorf("fleet.services: %d are more than the %d backends", fleet.Services, fleet.Servers)
+	case fleet.Regions > fleet.Zones:
+		return fmt.Errorf("fleet.regions: %d are more than the %d zones", fleet.Regions, fleet.Zones)
+	case fleet.Zones > fleet.Agents:
+		return fmt.Errorf("fleet.zones: %d are more than the %d agents", fleet.Zones, fleet.Agents)
 	}
 	return nil
 }
