--- a/internal/capacity/benchmark_test.go
+++ b/internal/capacity/benchmark_test.go
@@ -18,7 +18,7 @@
 		b, err := ReadBenchmarkFile(path)
 		requireOneLineError(t, err, path+says)
 		if b != nil {
-			t.Errorf("%q: half read", text)
+			t.Errorf("%q: got a partial result", text)
 		}
 	}
 	const good = "commit: abc\nBenchmarkDecision/servers=10/state=calm-8 100 2500 ns/op\n"
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// samplePoints gives points of a known law: intercept and slope by a shape's x, with normal noise.
+// samplePoints draws points from a known law: a line over the shape's regressor with normal noise, and
+// no value below zero.
 func samplePoints(rng *rand.Rand, s Shape, intercept, slope, noise float64, repeats int, sizes ...int) []Point {
 	var points []Point
 	for _, n := range sizes {
 		for range repeats {
-			// A plan's changes grow with the size; some runs come to a few more than others.
+			// As in a plan, the changes grow with the size and vary by run.
 			p := Point{Size: n, Changes: float64(n) * (0.9 + 0.2*rng.Float64())}
 			if s != ShapePerChange {
 				p.Changes = 0
@@ -28,7 +29,8 @@
 	return points
 }
 
-// knownLaw is a law that points are drawn from, and the least rates at which a fit has to find it.
+// knownLaw is a law from which points are drawn, and the least fractions of draws in which the fit must
+// find the shape, and in which the intervals must contain the slope and the target's value.
 type knownLaw struct {
 	shape                    Shape
 	repeats                  int
@@ -36,20 +38,22 @@
 	found, inSlope, atTarget float64
 }
 
-// samplePoints gives points of the law at some sizes.
+// samplePoints draws points from the law at the given sizes.
 func (law knownLaw) samplePoints(rng *rand.Rand, repeats int, sizes ...int) []Point {
 	return samplePoints(rng, law.shape, law.intercept, law.slope, law.noise, repeats, sizes...)
 }
 
-// coverage counts the draws in which the shape was found, in which an interval contained the true slope (of those
-// with the shape), the target's value and the largest size, and in which an alarm was raised.
+// coverage counts the draws in which the shape was found, the draws in which the intervals contained the
+// true slope (only where the shape was found), the target's value and the largest size's mean, and the
+// draws that raised an alarm.
 type coverage struct{ found, slope, target, largest, alarms float64 }
 
-// coverageDraws is how often points are drawn from each law.
+// coverageDraws is the number of draws from each law.
 const coverageDraws = 1000
 
-// TestFitCoverageOfKnownLaws draws points from known laws. At the given rates or more the shape has to
-// be found, and the intervals have to contain the true slope, the largest size and the target's value.
+// TestFitCoverageOfKnownLaws checks on points drawn from known laws that the shape is found, and that
+// the intervals contain the true slope, the largest size's mean and the target's value, in at least the
+// required fraction of draws.
 func TestFitCoverageOfKnownLaws(t *testing.T) {
 	for _, law := range []knownLaw{
 		// shape, repeats, intercept, slope, noise, found, inSlope, atTarget
@@ -58,11 +62,11 @@
 		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
 		{ShapePerChange, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
 		{ShapeQuadratic, 4, 10, 0.01, 5, 0.95, 0.92, 0.93},
-		// Shapes that the noise hides: the predictions' intervals have to include it.
+		// Too noisy to find the shape: the prediction intervals must still cover the value.
 		{ShapeLinear, 4, 100, 0.5, 40, 0, 0, 0.93},
 		{ShapeLog, 4, 10, 3, 2, 0, 0, 0.93},
 		{ShapeLinear, 4, 100, 0.1, 20, 0, 0, 0.93},
-		// Two runs of a size.
+		// Two runs per size.
 		{ShapeFlat, 2, 5, 0, 0.2, 0.75, 0, 0.93},
 		{ShapeLinear, 2, 10, 0.5, 2, 0.95, 0.92, 0.93},
 		{ShapeLinear, 2, 100, 0.5, 20, 0, 0, 0.93},
@@ -74,7 +78,7 @@
 	}
 }
 
-// measureCoverage fits coverageDraws draws from a law.
+// measureCoverage fits coverageDraws draws from a law and counts the results.
 func measureCoverage(t *testing.T, law knownLaw) (c coverage) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(32, 1))
@@ -106,20 +110,20 @@
 	return c
 }
 
-// checkCoverage compares the counts with the rates that the law asks for.
+// checkCoverage compares the counts with the rates that the law requires.
 func checkCoverage(t *testing.T, law knownLaw, c coverage) {
 	t.Helper()
-	t.Logf("shape found in %.3f, slope in its interval in %.3f of these, target in %.3f,"+
-		" held out in %.3f, alarm in %.3f",
+	t.Logf("shape found in %.3f of the draws, slope covered in %.3f of these, target covered in %.3f,"+
+		" held-out size covered in %.3f, alarm in %.3f",
 		c.found/coverageDraws, c.slope/c.found, c.target/coverageDraws, c.largest/coverageDraws, c.alarms/coverageDraws)
 	if c.found/coverageDraws < law.found {
 		t.Errorf("shape found in %.3f of the draws, want %.3f", c.found/coverageDraws, law.found)
 	}
 	if rate := c.slope / c.found; law.inSlope > 0 && (rate < law.inSlope || rate > 0.98) {
-		t.Errorf("slope in its interval in %.3f of the draws, want 0.95", rate)
+		t.Errorf("slope covered in %.3f of the draws that found the shape, want 0.95", rate)
 	}
 	if c.target/coverageDraws < law.atTarget || c.largest/coverageDraws < law.atTarget {
-		t.Errorf("predictions cover %.3f at the target and %.3f at the size held out, want %.3f",
+		t.Errorf("prediction intervals cover %.3f at the target and %.3f at the held-out size, want %.3f",
 			c.target/coverageDraws, c.largest/coverageDraws, law.atTarget)
 	}
 	quadratic := law.shape == ShapeQuadratic
@@ -139,7 +143,7 @@
 			t.Errorf("exact %s: found %s, alarm %v", s, f.Shape, f.GrowsQuadratically)
 		}
 		if miss, ok := f.RelativeError(); !ok || math.Abs(miss) > 1e-6 {
-			t.Errorf("exact %s: misses by %v (%v)", s, miss, ok)
+			t.Errorf("exact %s: relative error %v (%v)", s, miss, ok)
 		}
 		if want := 3 + 0.25*s.regressor(1500, 0); s != ShapeFlat {
 			if v := f.Predict(1500, 0).Value; math.Abs(v/want-1) > 1e-6 {
@@ -149,20 +153,20 @@
 	}
 	none, err := NewFit(samplePoints(rand.New(rand.NewPCG(1, 1)), ShapeFlat, 0, 0, 0, 3, 50, 100, 200, 400))
 	if err != nil || none.Shape != ShapeFlat {
-		t.Errorf("nothing at all: %+v, %v", none, err)
+		t.Errorf("all values 0: %+v, %v", none, err)
 	}
 	if in := none.Predict(1500, 0).Interval; in != (Interval{}) {
-		t.Errorf("nothing at all: %v at 1500", in)
+		t.Errorf("all values 0: %v at 1500", in)
 	}
 }
 
-// TestCollinearShapesRaiseNoAlarm: where a plan's changes grow with the size, n × changes and n² are
-// collinear, and the simpler one is selected.
+// TestCollinearShapesRaiseNoAlarm checks that the simpler of n × changes and n² is selected where a
+// plan's changes grow with the size, which makes the two collinear.
 func TestCollinearShapesRaiseNoAlarm(t *testing.T) {
 	var points []Point
 	for _, n := range []int{50, 100, 200, 400} {
 		for r := range 3 {
-			changes := float64(n) / 100 * (1 + 0.05*float64(r-1)) // as drawn
+			changes := float64(n) / 100 * (1 + 0.05*float64(r-1)) // varies by run
 			points = append(points, Point{Size: n, Changes: changes, Value: 1 + float64(n*n)/1000 + float64(r%2)/10})
 		}
 	}
@@ -173,7 +177,7 @@
 	}
 }
 
-// TestFallingMetricIsFlat: a metric that falls with the size is not predicted to keep falling.
+// TestFallingMetricIsFlat checks that a metric that falls with the size is not extrapolated downwards.
 func TestFallingMetricIsFlat(t *testing.T) {
 	f, err := NewFit(samplePoints(rand.New(rand.NewPCG(2, 2)), ShapeLinear, 100, -0.2, 1, 3, 50, 100, 200, 400))
 	if err != nil || f.Shape != ShapeFlat {
@@ -201,12 +205,12 @@
 	}
 	f, err := NewFit(samplePoints(rng, ShapeLinear, 1, 1, 0.1, 2, 50, 100, 200))
 	if err != nil || f.HeldOutSize != 0 || len(f.Sizes) != 3 {
-		t.Errorf("three sizes: %+v, %v; want none held out", f, err)
+		t.Errorf("three sizes: %+v, %v; want no size held out", f, err)
 	}
 }
 
-// TestFitIsFinite: for arbitrary points all results of the fit are finite, and each interval contains its
-// own value.
+// TestFitIsFinite checks for arbitrary points that all results of the fit are finite, and that the
+// prediction interval contains the predicted value.
 func TestFitIsFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		points := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Point {
@@ -232,13 +236,13 @@
 			}
 		}
 		if !p.Interval.Contains(p.Value) || p.Value < 0 || p.Interval.Lo < 0 {
-			t.Fatalf("%v outside of %v", p.Value, p.Interval)
+			t.Fatalf("%v is outside %v", p.Value, p.Interval)
 		}
 	})
 }
 
-// TestSignificantGrowthIsNotFlat: a slope by n whose interval lies above zero is never fitted as flat,
-// however few the points are.
+// TestSignificantGrowthIsNotFlat checks that points with a significant slope over n are never fitted as
+// flat, even if there are few.
 func TestSignificantGrowthIsNotFlat(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	grown := 0
--- a/internal/capacity/helpers_test.go
+++ b/internal/capacity/helpers_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// writeFile writes a file to a new temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -16,19 +17,19 @@
 	return path
 }
 
-// requireOneLineError fails unless an error is one line that holds all the words.
+// requireOneLineError fails the test unless the error is one line that contains all the words.
 func requireOneLineError(t *testing.T, err error, words ...string) {
 	t.Helper()
 	if err == nil {
-		t.Errorf("no error; want one that names %q", words)
+		t.Errorf("no error, want one that contains %q", words)
 		return
 	}
 	if strings.Contains(err.Error(), "\n") {
-		t.Errorf("more than one line: %q", err)
+		t.Errorf("error has more than one line: %q", err)
 	}
 	for _, w := range words {
 		if !strings.Contains(err.Error(), w) {
-			t.Errorf("%q does not name %q", err, w)
+			t.Errorf("error %q does not contain %q", err, w)
 		}
 	}
 }
--- a/internal/capacity/main_test.go
+++ b/internal/capacity/main_test.go
@@ -6,5 +6,5 @@
 	"fernbeam.example/fernbeam/internal/rapidseed"
 )
 
-// TestMain fixes the points and runs that rapid draws.
+// TestMain fixes rapid's seed, so that all runs of the tests draw the same points and runs.
 func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/internal/capacity/markers_test.go
+++ b/internal/capacity/markers_test.go
@@ -18,7 +18,7 @@
 		"x" + page[len("# Page\n\n"):],
 	} {
 		if got, err := ReplaceTables(wrong, "new"); err == nil {
-			t.Errorf("%q made %q", wrong, got)
+			t.Errorf("%q: no error, result %q", wrong, got)
 		}
 	}
 }
--- a/internal/capacity/mechanism_test.go
+++ b/internal/capacity/mechanism_test.go
@@ -29,6 +29,6 @@
 		requireOneLineError(t, err, path, says)
 	}
 	if m := (&Mechanisms{}); m.forRow("agent/quiet/bytes") != noMechanism {
-		t.Errorf("a row that no pattern matches has %q", m.forRow("agent/quiet/bytes"))
+		t.Errorf("a row that no pattern matches has mechanism %q", m.forRow("agent/quiet/bytes"))
 	}
 }
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// renderTables makes a page from runs and benchmark files, and returns its tables.
+// renderTables makes a page from runs and benchmark files, and returns its tables and the page.
 func renderTables(t interface {
 	Fatal(...any)
 	Helper()
@@ -51,6 +51,7 @@
 	return b.String(), p
 }
 
+// syntheticRuns reads the runs of testdata, which are computed by known laws and not measured.
 func syntheticRuns(t *testing.T) []*Run {
 	t.Helper()
 	runs, err := ReadRuns("testdata/made-up.jsonl")
@@ -60,8 +61,9 @@
 	return runs
 }
 
-// tableDefect describes the first defect of a page: a number that is not finite, an empty cell, or a line
-// of a table with more or fewer cells than its head. It is empty if there is none.
+// tableDefect describes the first defect of a page: a number that is not finite, a formatting error, an
+// empty cell, or a line of a table with more or fewer cells than its header. It returns "" if there is
+// none.
 func tableDefect(text string) string {
 	if found := regexp.MustCompile(`NaN|\bInf|%!`).FindString(text); found != "" {
 		return found
@@ -88,6 +90,7 @@
 	return ""
 }
 
+// rowNamed returns the row with the given name, or fails the test.
 func (p *Page) rowNamed(t *testing.T, name string) *Row {
 	t.Helper()
 	for _, r := range p.rows {
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// requireLine fails unless one line of a text, and only one, contains all the words.
+// requireLine fails the test unless exactly one line of the text contains all the words.
 func requireLine(t *testing.T, text string, words ...string) {
 	t.Helper()
 	var found []string
@@ -126,7 +129,7 @@
 	ranked, _ := p.Ranked()
 	for _, r := range ranked {
 		if !r.MechanismRequired || r.HasMechanism() {
-			t.Errorf("%s is ranked with nothing measured", r.Name())
+			t.Errorf("%s is ranked without measurements", r.Name())
 		}
 	}
 }
@@ -136,12 +139,12 @@
 	if f := tableDefect(text); f != "" {
 		t.Error(f)
 	}
-	// The laws that the runs were made up by, at 1,500.
+	// The values at 1500 agents of the laws that the runs were computed by.
 	for name, want := range map[string]float64{
 		"agent/quiet/state":           3000,
 		"agent/quiet/bytes":           200 + 1.5*1500,
-		"agent/quiet/processor":       0.2 + 0.0005*1500, // hollow takes half
-		"agent/quiet/memory":          14 + 0.02*1500,    // hollow has less by what does not grow
+		"agent/quiet/processor":       0.2 + 0.0005*1500, // hollow agents use half of it
+		"agent/quiet/memory":          14 + 0.02*1500,    // hollow agents have a smaller constant part
 		"agent/rollout/bytes":         200 + 4.5*1500,
 		"agent/ordinary/bytes":        200 + 1.5*1500*(1+1.0/200), // accelerated by 200
 		"list leader/quiet/live heap": 8 + 0.03*1500,
@@ -149,7 +152,7 @@
 	} {
 		r := p.rowNamed(t, name)
 		if !r.Known || math.Abs(r.Value/want-1) > 0.15 || r.Extrapolated == (r.Subject == subjectDataPath) {
-			t.Errorf("%s: %s (known %v, extrapolated %v), want some %s",
+			t.Errorf("%s: %s (known %v, extrapolated %v), want about %s",
 				name, r.targetCell(), r.Known, r.Extrapolated, formatNumber(want))
 		}
 	}
@@ -163,7 +166,7 @@
 		"list follower/control/messages": "",
 	} {
 		if got := p.rowNamed(t, name).Source; got != want {
-			t.Errorf("%s is from %q, want %q", name, got, want)
+			t.Errorf("%s: source %q, want %q", name, got, want)
 		}
 	}
 	if r := p.rowNamed(t, "agent/region/bytes"); r.Known || !strings.Contains(r.targetCell(), "no fit: 2 of 3 sizes") {
@@ -179,7 +182,8 @@
 	requireLine(t, text, "| list | zone | 420 (3) |", "| 21 |")
 }
 
-// TestRolesUseFirstPlanOnly: a second plan adds its changes in force, and nothing to the metrics of roles.
+// TestRolesUseFirstPlanOnly checks that a second plan contributes its changes in force, but not to the
+// metrics of roles.
 func TestRolesUseFirstPlanOnly(t *testing.T) {
 	first, second := validRun(), validRun()
 	second.Plan, second.Profile, second.Size = "second", first.Profile, first.Size+1
@@ -201,7 +205,7 @@
 	}
 }
 
-// TestPageOfArbitraryRuns: for arbitrary runs, with any of the metrics missing, the page has no defect.
+// TestPageOfArbitraryRuns checks that the page has no defect for arbitrary runs with metrics missing.
 func TestPageOfArbitraryRuns(t *testing.T) {
 	names := []MetricKey{
 		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB,
--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -16,16 +16,16 @@
 	for _, r := range ranked[2:] {
 		use := r.Use()
 		if !use.Known || use.Fraction > last {
-			t.Errorf("%s has use %+v, below %v", r.Name(), use, last)
+			t.Errorf("%s has use %+v, ranked after %v", r.Name(), use, last)
 		}
 		last = use.Fraction
 	}
 	for _, r := range unranked {
 		if r.Known {
-			t.Errorf("%s is known and not ranked", r.Name())
+			t.Errorf("%s has a known value and is not ranked", r.Name())
 		}
 	}
-	// With a mechanism, settings are ranked as all else is.
+	// Once the settings have a mechanism, they are ranked like all other rows.
 	for _, r := range p.rows {
 		r.Mechanism = "watch"
 	}
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestUseOverBudgetAtMeasuredSize: a metric that is over its budget at a measured size needs no fit.
+// TestUseOverBudgetAtMeasuredSize checks that a metric that exceeds its budget at a measured size is
+// ranked without a fit.
 func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
 	runs := []*Run{validRun()}
 	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// validRun returns a run that passes Run.check.
 func validRun() *Run {
 	return &Run{Plan: "p", Commit: "abc", Profile: ProfileQuiet, Repeat: 1, Size: 50, Hollow: 30, Real: 20,
 		DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
@@ -19,7 +20,7 @@
 		InForce: map[ChangeKind]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
-// recordLines are runs as lines of a record, as `experiment scale` writes them.
+// recordLines returns runs as lines of a record file, as `experiment scale` writes them.
 func recordLines(t *testing.T, runs ...*Run) string {
 	t.Helper()
 	var text strings.Builder
@@ -45,7 +46,7 @@
 	}
 }
 
-// TestCheckNamesImpossibleValues has values that JSON can't have beside those that a record may.
+// TestCheckNamesImpossibleValues also covers values that JSON can't express, such as NaN.
 func TestCheckNamesImpossibleValues(t *testing.T) {
 	if err := validRun().check(); err != nil {
 		t.Fatal(err)
@@ -88,7 +89,7 @@
 		runs, err := ReadRuns(path)
 		requireOneLineError(t, err, path+":3:", c.names)
 		if runs != nil {
-			t.Errorf("%q for %q: half read", c.new, c.old)
+			t.Errorf("%q for %q: got a partial result", c.new, c.old)
 		}
 	}
 }
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -35,13 +35,13 @@
 		{[]*Run{run(50, 1, 2), run(50, 1, 2), run(100, 1, 4), run(100, 1, 4)}, "real; hollow not used", RoleReal},
 	} {
 		if s := selectSource(c.runs, cpu); s.Description != c.why || s.Role != c.role {
-			t.Errorf("%q of %s, want %q of %s", s.Description, s.Role, c.why, c.role)
+			t.Errorf("source %q, role %s; want %q, role %s", s.Description, s.Role, c.why, c.role)
 		}
 	}
 }
 
-// TestCorrectionWidensInterval: the uncertainty of the ratio that hollow agents' metrics are divided by is
-// part of the interval.
+// TestCorrectionWidensInterval checks that the interval includes the uncertainty of the ratio that the
+// hollow agents' metrics are divided by.
 func TestCorrectionWidensInterval(t *testing.T) {
 	s := Source{Corrected: true, Ratio: Ratio{Mean: 0.5, Interval: Interval{0.4, 0.625}}}
 	got := s.widen(Prediction{10, Interval{10, 10}})
@@ -53,6 +53,6 @@
 	runs, _ := p.comparableRuns(subjectAgent, "rollout")
 	plain := r.Fit.Predict(1500, changesPerAgent(runs)*1500*200).Interval
 	if r.Interval.Lo >= plain.Lo || r.Interval.Hi <= plain.Hi {
-		t.Errorf("%v, no wider than %v", r.Interval, plain)
+		t.Errorf("%v is not wider than %v", r.Interval, plain)
 	}
 }
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -51,7 +51,7 @@
 		got, err := LoadTarget(path)
 		requireOneLineError(t, err, path, c.names)
 		if got != nil {
-			t.Errorf("%q for %q: half a target", c.new, c.old)
+			t.Errorf("%q for %q: got a partial target", c.new, c.old)
 		}
 	}
 	_, err = LoadTarget(filepath.Join(t.TempDir(), "none.toml"))
