--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -32,10 +32,10 @@
 // knownLaw is a law from which points are drawn, and the least fractions of draws in which the fit must
 // find the shape, and in which the intervals must contain the slope and the target's value.
 type knownLaw struct {
-	shape                    Shape
-	repeats                  int
-	intercept, slope, noise  float64
-	found, inSlope, atTarget float64
+	shape                                         Shape
+	repeats                                       int
+	intercept, slope, noise                       float64
+	minFound, minSlopeCoverage, minTargetCoverage float64
 }
 
 // samplePoints draws points from the law at the given sizes.
@@ -46,7 +46,7 @@
 // coverage counts the draws in which the shape was found, the draws in which the intervals contained the
 // true slope (only where the shape was found), the target's value and the largest size's mean, and the
 // draws that raised an alarm.
-type coverage struct{ found, slope, target, largest, alarms float64 }
+type coverage struct{ found, slope, target, heldOut, alarms float64 }
 
 // coverageDraws is the number of draws from each law.
 const coverageDraws = 1000
@@ -56,7 +56,7 @@
 // required fraction of draws.
 func TestFitCoverageOfKnownLaws(t *testing.T) {
 	for _, law := range []knownLaw{
-		// shape, repeats, intercept, slope, noise, found, inSlope, atTarget
+		// shape, repeats, intercept, slope, noise, minFound, minSlopeCoverage, minTargetCoverage
 		{ShapeFlat, 4, 5, 0, 0.2, 0.75, 0, 0.93},
 		{ShapeLog, 4, 1, 3, 0.1, 0.95, 0.92, 0.93},
 		{ShapeLinear, 4, 10, 0.5, 2, 0.95, 0.92, 0.93},
@@ -98,7 +98,7 @@
 			c.target++
 		}
 		if f.Predicted.Interval.Contains(f.Measured) {
-			c.largest++
+			c.heldOut++
 		}
 		if f.Shape == law.shape {
 			c.found++
@@ -115,16 +115,16 @@
 	t.Helper()
 	t.Logf("shape found in %.3f of the draws, slope covered in %.3f of these, target covered in %.3f,"+
 		" held-out size covered in %.3f, alarm in %.3f",
-		c.found/coverageDraws, c.slope/c.found, c.target/coverageDraws, c.largest/coverageDraws, c.alarms/coverageDraws)
-	if c.found/coverageDraws < law.found {
-		t.Errorf("shape found in %.3f of the draws, want %.3f", c.found/coverageDraws, law.found)
+		c.found/coverageDraws, c.slope/c.found, c.target/coverageDraws, c.heldOut/coverageDraws, c.alarms/coverageDraws)
+	if c.found/coverageDraws < law.minFound {
+		t.Errorf("shape found in %.3f of the draws, want %.3f", c.found/coverageDraws, law.minFound)
 	}
-	if rate := c.slope / c.found; law.inSlope > 0 && (rate < law.inSlope || rate > 0.98) {
+	if rate := c.slope / c.found; law.minSlopeCoverage > 0 && (rate < law.minSlopeCoverage || rate > 0.98) {
 		t.Errorf("slope covered in %.3f of the draws that found the shape, want 0.95", rate)
 	}
-	if c.target/coverageDraws < law.atTarget || c.largest/coverageDraws < law.atTarget {
+	if c.target/coverageDraws < law.minTargetCoverage || c.heldOut/coverageDraws < law.minTargetCoverage {
 		t.Errorf("prediction intervals cover %.3f at the target and %.3f at the held-out size, want %.3f",
-			c.target/coverageDraws, c.largest/coverageDraws, law.atTarget)
+			c.target/coverageDraws, c.heldOut/coverageDraws, law.minTargetCoverage)
 	}
 	quadratic := law.shape == ShapeQuadratic
 	if rate := c.alarms / coverageDraws; quadratic && rate < 0.95 || !quadratic && rate > 0.05 {
@@ -142,8 +142,8 @@
 		if f.Shape != s || f.GrowsQuadratically != (s == ShapeQuadratic) {
 			t.Errorf("exact %s: found %s, alarm %v", s, f.Shape, f.GrowsQuadratically)
 		}
-		if miss, ok := f.RelativeError(); !ok || math.Abs(miss) > 1e-6 {
-			t.Errorf("exact %s: relative error %v (%v)", s, miss, ok)
+		if relativeError, ok := f.RelativeError(); !ok || math.Abs(relativeError) > 1e-6 {
+			t.Errorf("exact %s: relative error %v (%v)", s, relativeError, ok)
 		}
 		if want := 3 + 0.25*s.regressor(1500, 0); s != ShapeFlat {
 			if v := f.Predict(1500, 0).Value; math.Abs(v/want-1) > 1e-6 {
@@ -151,12 +151,12 @@
 			}
 		}
 	}
-	none, err := NewFit(samplePoints(rand.New(rand.NewPCG(1, 1)), ShapeFlat, 0, 0, 0, 3, 50, 100, 200, 400))
-	if err != nil || none.Shape != ShapeFlat {
-		t.Errorf("all values 0: %+v, %v", none, err)
+	zeroFit, err := NewFit(samplePoints(rand.New(rand.NewPCG(1, 1)), ShapeFlat, 0, 0, 0, 3, 50, 100, 200, 400))
+	if err != nil || zeroFit.Shape != ShapeFlat {
+		t.Errorf("all values 0: %+v, %v", zeroFit, err)
 	}
-	if in := none.Predict(1500, 0).Interval; in != (Interval{}) {
-		t.Errorf("all values 0: %v at 1500", in)
+	if interval := zeroFit.Predict(1500, 0).Interval; interval != (Interval{}) {
+		t.Errorf("all values 0: %v at 1500", interval)
 	}
 }
 
@@ -226,10 +226,10 @@
 			return
 		}
 		p := f.Predict(1500, 0.06)
-		miss, _ := f.RelativeError()
+		relativeError, _ := f.RelativeError()
 		for _, x := range []float64{
 			f.Slope, f.SlopeInterval.Lo, f.SlopeInterval.Hi, p.Value, p.Interval.Lo, p.Interval.Hi,
-			f.Measured, f.Predicted.Value, f.Predicted.Interval.Lo, f.Predicted.Interval.Hi, miss,
+			f.Measured, f.Predicted.Value, f.Predicted.Interval.Lo, f.Predicted.Interval.Hi, relativeError,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) {
 				t.Fatalf("%+v, %+v at 1500", f, p)
@@ -245,19 +245,19 @@
 // flat, even if there are few.
 func TestSignificantGrowthIsNotFlat(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
-	grown := 0
+	significant := 0
 	for range 500 {
 		points := samplePoints(rng, ShapeLinear, 100, 0.5, 30, 2, 50, 100, 200)
 		line, _ := fitRegression(ShapeLinear, points)
 		if line.slopeInterval().Lo <= 0 {
 			continue
 		}
-		grown++
+		significant++
 		if f, err := NewFit(points); err != nil || f.Shape == ShapeFlat || slices.Contains(f.Indistinguishable, ShapeFlat) {
 			t.Fatalf("%v, slope %v: %+v, %v", points, line.slopeInterval(), f, err)
 		}
 	}
-	if grown < 50 {
-		t.Errorf("%d draws have a significant slope", grown)
+	if significant < 50 {
+		t.Errorf("%d draws have a significant slope", significant)
 	}
 }
--- a/internal/capacity/helpers_test.go
+++ b/internal/capacity/helpers_test.go
@@ -18,16 +18,16 @@
 }
 
 // requireOneLineError fails the test unless the error is one line that contains all the words.
-func requireOneLineError(t *testing.T, err error, words ...string) {
+func requireOneLineError(t *testing.T, err error, want ...string) {
 	t.Helper()
 	if err == nil {
-		t.Errorf("no error, want one that contains %q", words)
+		t.Errorf("no error, want one that contains %q", want)
 		return
 	}
 	if strings.Contains(err.Error(), "\n") {
 		t.Errorf("error has more than one line: %q", err)
 	}
-	for _, w := range words {
+	for _, w := range want {
 		if !strings.Contains(err.Error(), w) {
 			t.Errorf("error %q does not contain %q", err, w)
 		}
--- a/internal/capacity/mechanism_test.go
+++ b/internal/capacity/mechanism_test.go
@@ -8,7 +8,7 @@
 
 func TestMechanismErrors(t *testing.T) {
 	const head = "[[mechanism]]\n"
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		head + "rows = [\"agent/*/bytes\"]\n":                               "by: is empty",
 		head + "by = \"gossip\"\n":                                          "rows: is empty",
 		head + "rows = [\"[\"]\nby = \"gossip\"\n":                          "is not a valid pattern",
@@ -20,13 +20,13 @@
 		path := writeFile(t, "m.toml", text)
 		m, err := LoadMechanisms(path)
 		if err == nil {
-			target, terr := LoadTarget(targetFile)
-			if terr != nil {
-				t.Fatal(terr)
+			target, targetErr := LoadTarget(targetFile)
+			if targetErr != nil {
+				t.Fatal(targetErr)
 			}
 			_, err = NewPage(target, m, nil, nil)
 		}
-		requireOneLineError(t, err, path, says)
+		requireOneLineError(t, err, path, want)
 	}
 	if m := (&Mechanisms{}); m.forRow("agent/quiet/bytes") != noMechanism {
 		t.Errorf("a row that no pattern matches has mechanism %q", m.forRow("agent/quiet/bytes"))
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -17,7 +17,7 @@
 func renderTables(t interface {
 	Fatal(...any)
 	Helper()
-}, runs []*Run, benches ...string) (string, *Page) {
+}, runs []*Run, benchmarkPaths ...string) (string, *Page) {
 	t.Helper()
 	target, err := LoadTarget(targetFile)
 	if err != nil {
@@ -27,19 +27,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read []*BenchmarkFile
-	for _, path := range benches {
+	var benchmarks []*BenchmarkFile
+	for _, path := range benchmarkPaths {
 		b, err := ReadBenchmarkFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		read = append(read, b)
+		benchmarks = append(benchmarks, b)
 	}
 	var records []Record
 	if runs != nil {
 		records = []Record{{Path: "made-up.jsonl", Runs: runs}}
 	}
-	p, err := NewPage(target, m, records, read)
+	p, err := NewPage(target, m, records, benchmarks)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,8 +118,8 @@
 
 func TestPageWithoutRuns(t *testing.T) {
 	text, p := renderTables(t, nil, "testdata/none.txt")
-	if f := tableDefect(text); f != "" {
-		t.Error(f)
+	if defect := tableDefect(text); defect != "" {
+		t.Error(defect)
 	}
 	for _, r := range p.rows {
 		if r.Known || r.targetCell() != "not measured" || r.Budget > 0 && r.usageCell() != "not measured" {
@@ -136,8 +136,8 @@
 
 func TestPageOfSyntheticRuns(t *testing.T) {
 	text, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt", "testdata/made-up-decision.txt")
-	if f := tableDefect(text); f != "" {
-		t.Error(f)
+	if defect := tableDefect(text); defect != "" {
+		t.Error(defect)
 	}
 	// The values at 1500 agents of the laws that the runs were computed by.
 	for name, want := range map[string]float64{
@@ -189,25 +189,25 @@
 	second.Plan, second.Profile, second.Size = "second", first.Profile, first.Size+1
 	first.Roles[RoleReal].Mean[ResidentMB], second.Roles[RoleReal].Mean[ResidentMB] = 10, 30
 	second.InForce = map[ChangeKind]Latencies{"settings": {Count: 5, P50: 1, P99: 2, Max: 3}}
-	_, alone := renderTables(t, []*Run{first})
-	_, both := renderTables(t, []*Run{first, second})
+	_, onePlan := renderTables(t, []*Run{first})
+	_, twoPlans := renderTables(t, []*Run{first, second})
 	const memory = "agent/quiet/memory"
-	if a, b := alone.rowNamed(t, memory).targetCell(), both.rowNamed(t, memory).targetCell(); a != b {
+	if a, b := onePlan.rowNamed(t, memory).targetCell(), twoPlans.rowNamed(t, memory).targetCell(); a != b {
 		t.Errorf("memory %q with a second plan, %q without", b, a)
 	}
-	if both.usesRun(second, both.rowNamed(t, memory)) {
+	if twoPlans.usesRun(second, twoPlans.rowNamed(t, memory)) {
 		t.Error("memory is attributed to the second plan")
 	}
 	second.Profile = "ordinary"
-	_, both = renderTables(t, []*Run{first, second})
-	if both.rowNamed(t, "in force/ordinary/settings").targetCell() == notMeasured {
+	_, twoPlans = renderTables(t, []*Run{first, second})
+	if twoPlans.rowNamed(t, "in force/ordinary/settings").targetCell() == notMeasured {
 		t.Error("the second plan's settings in force are missing")
 	}
 }
 
 // TestPageOfArbitraryRuns checks that the page has no defect for arbitrary runs with metrics missing.
 func TestPageOfArbitraryRuns(t *testing.T) {
-	names := []MetricKey{
+	keys := []MetricKey{
 		Members, Servers, BytesIn, BytesOut, MessagesIn, MessagesOut, CPU, ResidentMB, HeapMB,
 		MembershipBytes, DiscoveryBytes,
 	}
@@ -227,9 +227,9 @@
 			}
 			for _, role := range knownRoles {
 				mean := map[MetricKey]float64{}
-				for _, f := range names {
+				for _, key := range keys {
 					if rapid.IntRange(0, 4).Draw(t, "there") > 0 {
-						mean[f] = rapid.OneOf(rapid.Just(0.0), rapid.Just(3.0), rapid.Float64Range(0, 1e15)).Draw(t, string(f))
+						mean[key] = rapid.OneOf(rapid.Just(0.0), rapid.Just(3.0), rapid.Float64Range(0, 1e15)).Draw(t, string(key))
 					}
 				}
 				r.Roles[role] = RoleMetrics{Count: rapid.IntRange(0, 2).Draw(t, "count"), Mean: mean}
@@ -245,8 +245,8 @@
 			runs = append(runs, r)
 		}
 		text, _ := renderTables(t, runs)
-		if f := tableDefect(text); f != "" {
-			t.Fatal(f)
+		if defect := tableDefect(text); defect != "" {
+			t.Fatal(defect)
 		}
 	})
 }
--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -12,13 +12,13 @@
 	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
 		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
 	}
-	last := math.Inf(1)
+	previous := math.Inf(1)
 	for _, r := range ranked[2:] {
 		use := r.Use()
-		if !use.Known || use.Fraction > last {
-			t.Errorf("%s has use %+v, ranked after %v", r.Name(), use, last)
+		if !use.Known || use.Fraction > previous {
+			t.Errorf("%s has use %+v, ranked after %v", r.Name(), use, previous)
 		}
-		last = use.Fraction
+		previous = use.Fraction
 	}
 	for _, r := range unranked {
 		if r.Known {
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -24,9 +24,9 @@
 func recordLines(t *testing.T, runs ...*Run) string {
 	t.Helper()
 	var text strings.Builder
-	lines := json.NewEncoder(&text)
+	encoder := json.NewEncoder(&text)
 	for _, r := range runs {
-		if err := lines.Encode(r); err != nil {
+		if err := encoder.Encode(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -51,7 +51,7 @@
 	if err := validRun().check(); err != nil {
 		t.Fatal(err)
 	}
-	for names, spoil := range map[string]func(*Run){
+	for key, corrupt := range map[string]func(*Run){
 		"plan":                func(r *Run) { r.Plan = "" },
 		"day":                 func(r *Run) { r.Profile = "holiday" },
 		"repeat":              func(r *Run) { r.Repeat = 0 },
@@ -64,14 +64,14 @@
 		"in_force.list":       func(r *Run) { r.InForce["list"] = Latencies{P99: math.NaN()} },
 	} {
 		r := validRun()
-		spoil(r)
-		requireOneLineError(t, r.check(), names)
+		corrupt(r)
+		requireOneLineError(t, r.check(), key)
 	}
 }
 
 func TestReadRunsErrors(t *testing.T) {
-	good := recordLines(t, validRun())
-	for _, c := range []struct{ old, new, names string }{
+	valid := recordLines(t, validRun())
+	for _, c := range []struct{ old, new, want string }{
 		{`"size":50`, `"siez":50`, "siez"},
 		{`"size":50,`, ``, "size"},
 		{`"size":50`, `"size":"50"`, "size"},
@@ -82,12 +82,12 @@
 		{"}\n", "} {}\n", "unexpected data after"},
 		{"}\n", "", ""},
 	} {
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("no %q in %s", c.old, good)
+		if !strings.Contains(valid, c.old) {
+			t.Fatalf("no %q in %s", c.old, valid)
 		}
-		path := writeFile(t, "r.jsonl", good+"\n"+strings.Replace(good, c.old, c.new, 1))
+		path := writeFile(t, "r.jsonl", valid+"\n"+strings.Replace(valid, c.old, c.new, 1))
 		runs, err := ReadRuns(path)
-		requireOneLineError(t, err, path+":3:", c.names)
+		requireOneLineError(t, err, path+":3:", c.want)
 		if runs != nil {
 			t.Errorf("%q for %q: got a partial result", c.new, c.old)
 		}
--- a/internal/capacity/source_test.go
+++ b/internal/capacity/source_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSelectSource(t *testing.T) {
-	cpu := Metrics[slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == "processor" })]
+	cpu := Metrics[slices.IndexFunc(Metrics, func(m Metric) bool { return m.Name == "processor" })]
 	run := func(size int, hollowCPU, realCPU float64) *Run {
 		r := validRun()
 		r.Size, r.Hollow = size, size-r.Real
@@ -21,9 +21,9 @@
 		return r
 	}
 	for _, c := range []struct {
-		runs []*Run
-		why  string
-		role Role
+		runs        []*Run
+		description string
+		role        Role
 	}{
 		{nil, "not measured", RoleHollow},
 		{[]*Run{run(50, -1, 1), run(50, -1, 1)}, "real; hollow not measured", RoleReal},
@@ -34,8 +34,8 @@
 		{[]*Run{run(50, 1, 2), run(50, 1, 2.01), run(100, 2, 4)}, "hollow ÷ 0.499", RoleHollow},
 		{[]*Run{run(50, 1, 2), run(50, 1, 2), run(100, 1, 4), run(100, 1, 4)}, "real; hollow not used", RoleReal},
 	} {
-		if s := selectSource(c.runs, cpu); s.Description != c.why || s.Role != c.role {
-			t.Errorf("source %q, role %s; want %q, role %s", s.Description, s.Role, c.why, c.role)
+		if s := selectSource(c.runs, cpu); s.Description != c.description || s.Role != c.role {
+			t.Errorf("source %q, role %s; want %q, role %s", s.Description, s.Role, c.description, c.role)
 		}
 	}
 }
--- a/internal/capacity/target_test.go
+++ b/internal/capacity/target_test.go
@@ -21,11 +21,11 @@
 }
 
 func TestLoadTargetErrors(t *testing.T) {
-	whole, err := os.ReadFile(targetFile)
+	valid, err := os.ReadFile(targetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ old, new, names string }{
+	for _, c := range []struct{ old, new, want string }{
 		{"agents = 1500", "agents = 0", "fleet.agents"},
 		{"agents = 1500", "agents = -1", "fleet.agents"},
 		{"agents = 1500 ", "agents = 1500\nagenst = 1", "fleet.agenst"},
@@ -44,12 +44,12 @@
 		{"[day] ", "[days] ", "days"},
 		{"[day] ", "[day", ""},
 	} {
-		if !strings.Contains(string(whole), c.old) {
+		if !strings.Contains(string(valid), c.old) {
 			t.Fatalf("the target has no %q", c.old)
 		}
-		path := writeFile(t, "target.toml", strings.Replace(string(whole), c.old, c.new, 1))
+		path := writeFile(t, "target.toml", strings.Replace(string(valid), c.old, c.new, 1))
 		got, err := LoadTarget(path)
-		requireOneLineError(t, err, path, c.names)
+		requireOneLineError(t, err, path, c.want)
 		if got != nil {
 			t.Errorf("%q for %q: got a partial target", c.new, c.old)
 		}
