--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -9,7 +9,7 @@
 // noFit is the text in the cells of a row without a fit.
 const noFit = "no fit"
 
-// title returns the row's name as used in lists and in the ranking.
+// title returns the row's title in the ranking and in the alarm.
 func (r *Row) title() string {
 	if r.Subject == subjectInForce {
 		return r.Metric + " in force everywhere, " + r.Condition + ", s"
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestCheckNamesImpossibleValues also covers values that JSON can't express, such as NaN.
-func TestCheckNamesImpossibleValues(t *testing.T) {
+// TestRunCheckErrors also covers values that JSON can't express, such as NaN.
+func TestRunCheckErrors(t *testing.T) {
 	if err := validRun().check(); err != nil {
 		t.Fatal(err)
 	}
