--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -60,12 +60,12 @@
 	if len(values) == 0 {
 		return noValues
 	}
-	least := formatNumber(slices.Min(values))
-	most := formatNumber(slices.Max(values))
-	if least == most {
-		return least
+	smallest := formatNumber(slices.Min(values))
+	largest := formatNumber(slices.Max(values))
+	if smallest == largest {
+		return smallest
 	}
-	return least + " to " + most
+	return smallest + " to " + largest
 }
 
 // formatEstimate formats a value with its interval, which is omitted if both ends format like the value.
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -42,8 +42,8 @@
 
 // NewPage computes the rows from records, benchmarks and mechanisms. A row without data is shown as
 // not measured. A mechanism with a pattern that matches no row yields an error.
-func NewPage(t *Target, m *Mechanisms, records []Record, benches []*BenchmarkFile) (*Page, error) {
-	p := &Page{Target: t, Mechanisms: m, Benchmarks: benches}
+func NewPage(t *Target, m *Mechanisms, records []Record, benchmarks []*BenchmarkFile) (*Page, error) {
+	p := &Page{Target: t, Mechanisms: m, Benchmarks: benchmarks}
 	for _, record := range records {
 		record.valid = ValidRuns(record.Runs)
 		p.Runs = append(p.Runs, record.valid...)
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -33,15 +33,15 @@
 	defer func() { _ = file.Close() }() // the file was only read
 	var runs []*Run
 	reader := bufio.NewReader(file)
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, readErr := reader.ReadBytes('\n')
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
-			return nil, fmt.Errorf("%s:%d: %w", path, number, readErr)
+			return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, readErr)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
 			run, err := parseRun(line)
 			if err != nil {
-				return nil, fmt.Errorf("%s:%d: %w", path, number, err)
+				return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, err)
 			}
 			runs = append(runs, run)
 		}
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -57,14 +57,14 @@
 
 // spreadOfMeans returns the difference between the largest and the smallest mean of the groups.
 func spreadOfMeans(groups map[int][]float64) float64 {
-	least := math.Inf(1)
-	most := math.Inf(-1)
+	smallest := math.Inf(1)
+	largest := math.Inf(-1)
 	for _, values := range groups {
 		mean := stat.Mean(values, nil)
-		least = math.Min(least, mean)
-		most = math.Max(most, mean)
+		smallest = math.Min(smallest, mean)
+		largest = math.Max(largest, mean)
 	}
-	return most - least
+	return largest - smallest
 }
 
 // Source describes which agents a metric is taken from, and how.
@@ -131,9 +131,9 @@
 		return prediction
 	}
 	value, interval := prediction.Value, prediction.Interval
-	below := 1 - s.Ratio.Mean/s.Ratio.Interval.Hi
-	above := s.Ratio.Mean/s.Ratio.Interval.Lo - 1
-	lo := value - math.Hypot(value-interval.Lo, value*below)
-	hi := value + math.Hypot(interval.Hi-value, value*above)
+	relativeBelow := 1 - s.Ratio.Mean/s.Ratio.Interval.Hi
+	relativeAbove := s.Ratio.Mean/s.Ratio.Interval.Lo - 1
+	lo := value - math.Hypot(value-interval.Lo, value*relativeBelow)
+	hi := value + math.Hypot(interval.Hi-value, value*relativeAbove)
 	return Prediction{Value: value, Interval: Interval{math.Max(lo, 0), hi}}
 }
