--- a/internal/capacity/ranking_test.go
+++ b/internal/capacity/ranking_test.go
@@ -8,34 +8,35 @@
 
 func TestRanking(t *testing.T) {
 	_, p := renderTables(t, syntheticRuns(t), "testdata/made-up-path.txt")
-	ranked, rest := p.Ranked()
+	ranked, unranked := p.Ranked()
 	if len(ranked) < 5 || ranked[0].Name() != "in force/ordinary/settings" || ranked[1].Name() != "in force/zone/list" {
 		t.Fatalf("ranked first: %v, %v", ranked[0].Name(), ranked[1].Name())
 	}
-	last := math.Inf(1)
+	previous := math.Inf(1)
 	for _, r := range ranked[2:] {
 		use := r.Use()
-		if !use.Known || use.Fraction > last {
-			t.Errorf("%s has use %+v, below %v", r.Name(), use, last)
+		if !use.Known || use.Fraction > previous {
+			t.Errorf("%s has use %+v, ranked after %v", r.Name(), use, previous)
 		}
-		last = use.Fraction
+		previous = use.Fraction
 	}
-	for _, r := range rest {
+	for _, r := range unranked {
 		if r.Known {
-			t.Errorf("%s is known and not ranked", r.Name())
+			t.Errorf("%s has a known value and is not ranked", r.Name())
 		}
 	}
-	// With a mechanism, settings are ranked as all else is.
+	// Once the settings have a mechanism, they are ranked like all other rows.
 	for _, r := range p.rows {
 		r.Mechanism = "watch"
 	}
 	settings := p.rowNamed(t, "in force/ordinary/settings")
-	if ranked, rest := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(rest, settings) {
+	if ranked, unranked := p.Ranked(); ranked[0].Name() != "in force/zone/list" || !slices.Contains(unranked, settings) {
 		t.Errorf("with a mechanism: %s is first", ranked[0].Name())
 	}
 }
 
-// TestUseOverBudgetAtMeasuredSize: a metric that is over its budget at a measured size needs no fit.
+// TestUseOverBudgetAtMeasuredSize checks that a metric that exceeds its budget at a measured size is
+// ranked without a fit.
 func TestUseOverBudgetAtMeasuredSize(t *testing.T) {
 	runs := []*Run{validRun()}
 	runs[0].Roles[RoleReal].Mean[ResidentMB] = 128
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -14,34 +14,34 @@
 	"strings"
 )
 
-// knownRoles are the roles that a record may have.
+// knownRoles lists the roles that a record may contain.
 var knownRoles = []Role{RoleHollow, RoleReal, RoleLeader, RoleFollower, RoleHost}
 
-// requiredKeys are the JSON keys that each line of a record file has.
+// requiredKeys lists the JSON keys that each line of a record file must have.
 var requiredKeys = []string{
 	"plan", "commit", "day", "repeat", "seed", "size", "hollow", "real", "lists", "listed", "hurry", "seconds",
 	"changes", "settled", "roles", "in_force",
 }
 
-// ReadRuns reads the runs of a record file, including invalid ones. A malformed line is an error of
-// one line that names the file, the line and the key, and no runs are returned then.
+// ReadRuns reads the runs of a record file, including invalid ones. For a malformed line
+// it returns no runs and a one-line error that names the file, the line and the key.
 func ReadRuns(path string) ([]*Run, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	var runs []*Run
 	reader := bufio.NewReader(file)
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, readErr := reader.ReadBytes('\n')
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
-			return nil, fmt.Errorf("%s:%d: %w", path, number, readErr)
+			return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, readErr)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
 			run, err := parseRun(line)
 			if err != nil {
-				return nil, fmt.Errorf("%s:%d: %w", path, number, err)
+				return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, err)
 			}
 			runs = append(runs, run)
 		}
@@ -51,7 +51,7 @@
 	}
 }
 
-// parseRun reads one line of a record file.
+// parseRun parses one line of a record file.
 func parseRun(line []byte) (*Run, error) {
 	r := new(Run)
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -59,12 +59,12 @@
 	if err := decoder.Decode(r); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("%s: a JSON %s can't be its value", typeError.Field, typeError.Value)
+			return nil, fmt.Errorf("%s: a JSON %s is not a valid value", typeError.Field, typeError.Value)
 		}
 		return nil, errors.New(strings.TrimPrefix(err.Error(), "json: "))
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("something follows the run's object")
+		return nil, errors.New("unexpected data after the run's object")
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(line, &keys); err != nil {
@@ -78,7 +78,7 @@
 	return r, r.check()
 }
 
-// check names the first key with an impossible value.
+// check returns an error that names the first key with an invalid value.
 func (r *Run) check() error {
 	if err := r.checkParameters(); err != nil {
 		return err
@@ -90,14 +90,14 @@
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.InForce)) {
 		if !r.InForce[kind].plausible() {
-			return fmt.Errorf("in_force.%s: counts and times can't be below 0", kind)
+			return fmt.Errorf("in_force.%s: counts and times must be finite and not negative", kind)
 		}
 	}
 	return nil
 }
 
-// checkParameters checks the plain keys. An invalid run may have been broken off before anything was
-// measured.
+// checkParameters checks the top-level keys other than maps. A run marked invalid may have no rate
+// factor and no seconds, as it may have been interrupted before anything was measured.
 func (r *Run) checkParameters() error {
 	valid := len(r.Invalid) == 0
 	switch {
@@ -114,15 +114,15 @@
 	case r.Hollow < 0 || r.Real < 0 || r.Hollow+r.Real != r.Size:
 		return fmt.Errorf("size: %d is not the sum of %d hollow and %d real", r.Size, r.Hollow, r.Real)
 	case r.DiscoveryInstances < 0:
-		return fmt.Errorf("lists: can't be %d", r.DiscoveryInstances)
+		return fmt.Errorf("lists: must not be negative, is %d", r.DiscoveryInstances)
 	case r.ListedServers < 0:
-		return fmt.Errorf("listed: can't be %d", r.ListedServers)
+		return fmt.Errorf("listed: must not be negative, is %d", r.ListedServers)
 	case invalidValue(r.RateFactor) || r.RateFactor == 0 && valid:
 		return fmt.Errorf("hurry: must be above 0, is %v", r.RateFactor)
 	case invalidValue(r.Seconds) || r.Seconds == 0 && valid:
 		return fmt.Errorf("seconds: must be above 0, is %v", r.Seconds)
 	case r.Changes < 0:
-		return fmt.Errorf("changes: can't be %d", r.Changes)
+		return fmt.Errorf("changes: must not be negative, is %d", r.Changes)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 		return fmt.Errorf("roles: %q is none of %s", name, joinNames(knownRoles))
 	}
 	if role.Count < 0 {
-		return fmt.Errorf("roles.%s.count: can't be %d", name, role.Count)
+		return fmt.Errorf("roles.%s.count: must not be negative, is %d", name, role.Count)
 	}
 	if err := checkMetrics("roles."+string(name)+".mean", role.Mean); err != nil {
 		return err
@@ -141,21 +141,21 @@
 	return checkMetrics("roles."+string(name)+".most", role.Max)
 }
 
-// checkMetrics checks the values of a map of metrics, whose key errors name.
+// checkMetrics checks the values of a map of metrics. Errors name the map by key.
 func checkMetrics(key string, metrics map[MetricKey]float64) error {
 	for _, metric := range slices.Sorted(maps.Keys(metrics)) {
 		if invalidValue(metrics[metric]) {
-			return fmt.Errorf("%s.%s: can't be %v", key, metric, metrics[metric])
+			return fmt.Errorf("%s.%s: must be finite and not negative, is %v", key, metric, metrics[metric])
 		}
 	}
 	return nil
 }
 
-// plausible reports whether no count or duration is below zero or not a number.
+// plausible reports whether all counts and durations are finite and not negative.
 func (l Latencies) plausible() bool {
 	return l.Count >= 0 && l.NeverInForce >= 0 && !invalidValue(l.P50) && !invalidValue(l.P99) && !invalidValue(l.Max)
 }
 
-// invalidValue reports whether no metric can have the value: all are counts, rates, sizes or
-// durations.
+// invalidValue reports whether a value is negative or not finite. No metric can have such a value, as
+// all are counts, rates, sizes or durations.
 func invalidValue(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
--- a/internal/capacity/recordfile_test.go
+++ b/internal/capacity/recordfile_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// validRun returns a run that passes Run.check.
 func validRun() *Run {
 	return &Run{Plan: "p", Commit: "abc", Profile: ProfileQuiet, Repeat: 1, Size: 50, Hollow: 30, Real: 20,
 		DiscoveryInstances: 3, ListedServers: 50, RateFactor: 1, Seconds: 20, Converged: true,
@@ -19,13 +20,13 @@
 		InForce: map[ChangeKind]Latencies{"list": {Count: 9, P50: 1, P99: 2, Max: 3}}}
 }
 
-// recordLines are runs as lines of a record, as `experiment scale` writes them.
+// recordLines returns runs as lines of a record file, as `experiment scale` writes them.
 func recordLines(t *testing.T, runs ...*Run) string {
 	t.Helper()
 	var text strings.Builder
-	lines := json.NewEncoder(&text)
+	encoder := json.NewEncoder(&text)
 	for _, r := range runs {
-		if err := lines.Encode(r); err != nil {
+		if err := encoder.Encode(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -45,12 +46,12 @@
 	}
 }
 
-// TestCheckNamesImpossibleValues has values that JSON can't have beside those that a record may.
-func TestCheckNamesImpossibleValues(t *testing.T) {
+// TestRunCheckErrors also covers values that JSON can't express, such as NaN.
+func TestRunCheckErrors(t *testing.T) {
 	if err := validRun().check(); err != nil {
 		t.Fatal(err)
 	}
-	for names, spoil := range map[string]func(*Run){
+	for key, corrupt := range map[string]func(*Run){
 		"plan":                func(r *Run) { r.Plan = "" },
 		"day":                 func(r *Run) { r.Profile = "holiday" },
 		"repeat":              func(r *Run) { r.Repeat = 0 },
@@ -63,14 +64,14 @@
 		"in_force.list":       func(r *Run) { r.InForce["list"] = Latencies{P99: math.NaN()} },
 	} {
 		r := validRun()
-		spoil(r)
-		requireOneLineError(t, r.check(), names)
+		corrupt(r)
+		requireOneLineError(t, r.check(), key)
 	}
 }
 
 func TestReadRunsErrors(t *testing.T) {
-	good := recordLines(t, validRun())
-	for _, c := range []struct{ old, new, names string }{
+	valid := recordLines(t, validRun())
+	for _, c := range []struct{ old, new, want string }{
 		{`"size":50`, `"siez":50`, "siez"},
 		{`"size":50,`, ``, "size"},
 		{`"size":50`, `"size":"50"`, "size"},
@@ -78,17 +79,17 @@
 		{`"cpu":0.002`, `"cpu":NaN`, ""},
 		{`"cpu":0.002`, `"cpu":-1`, "roles.real.mean.cpu"},
 		{`"in_force"`, `"in_farce"`, "in_farce"},
-		{"}\n", "} {}\n", "follows"},
+		{"}\n", "} {}\n", "unexpected data after"},
 		{"}\n", "", ""},
 	} {
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("no %q in %s", c.old, good)
+		if !strings.Contains(valid, c.old) {
+			t.Fatalf("no %q in %s", c.old, valid)
 		}
-		path := writeFile(t, "r.jsonl", good+"\n"+strings.Replace(good, c.old, c.new, 1))
+		path := writeFile(t, "r.jsonl", valid+"\n"+strings.Replace(valid, c.old, c.new, 1))
 		runs, err := ReadRuns(path)
-		requireOneLineError(t, err, path+":3:", c.names)
+		requireOneLineError(t, err, path+":3:", c.want)
 		if runs != nil {
-			t.Errorf("%q for %q: half read", c.new, c.old)
+			t.Errorf("%q for %q: got a partial result", c.new, c.old)
 		}
 	}
 }
--- a/internal/capacity/render_datapath.go
+++ b/internal/capacity/render_datapath.go
@@ -11,11 +11,11 @@
 
 // writeDataPath writes the benchmarks of the data path by the number of listed servers.
 func (p *Page) writeDataPath(b *bytes.Buffer) {
-	// The first row is that of the path, and one for each decision state follows.
+	// The first row is the added latency, followed by one row for each decision state.
 	rows := p.dataPathRows()
 	budget := formatNumber(p.dataPathBudget())
 	b.WriteString(dataPathText)
-	b.WriteString(tableHead("servers", "direct p99", "through the agent p99", "added p50", "added p99", "budget", "use",
+	b.WriteString(tableHeader("servers", "direct p99", "through the agent p99", "added p50", "added p99", "budget", "use",
 		"timer late p99", "connects a call", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(pathBenchmark) {
 		name := pathName(servers)
@@ -26,7 +26,7 @@
 			p.runCountCell(name, "added-p99-us"), p.Mechanisms.forRow(rows[0].Name()))
 	}
 	b.WriteString("\n")
-	b.WriteString(tableHead("servers", "state", "decisions for a request", "budget", "use", "runs", "mechanism"))
+	b.WriteString(tableHeader("servers", "state", "decisions for a request", "budget", "use", "runs", "mechanism"))
 	for _, servers := range p.serverCounts(decisionBenchmark) {
 		for i, state := range decisionStates {
 			name := decisionName(servers, state)
@@ -42,7 +42,7 @@
 	}
 }
 
-// describe says how a file of benchmark output was made.
+// describe returns how a file of benchmark output was produced, from its configuration lines.
 func (b *BenchmarkFile) describe() string {
 	if b.Missing {
 		return "no such file"
@@ -56,8 +56,7 @@
 	return text
 }
 
-// serverCounts are the numbers of servers that a benchmark was run with, and those that it should be
-// run with.
+// serverCounts returns the numbers of servers that a benchmark was run with or should be run with.
 func (p *Page) serverCounts(name string) []int {
 	counts := map[int]bool{10: true, 100: true, p.Target.Fleet.Servers: true}
 	for _, b := range p.Benchmarks {
@@ -66,7 +65,7 @@
 	return slices.Sorted(maps.Keys(counts))
 }
 
-// estimateCell is a benchmark's estimate, its unit converted by a factor.
+// estimateCell returns a benchmark's estimate, multiplied by factor to convert its unit.
 func (p *Page) estimateCell(name, unit string, factor float64) string {
 	e, ok := p.estimate(name, unit)
 	if !ok {
@@ -79,7 +78,7 @@
 	return formatEstimate(e.Mean, e.Interval)
 }
 
-// usageCell is the fraction of the data path's budget that a benchmark uses.
+// usageCell returns the fraction of the data path's budget that a benchmark uses.
 func (p *Page) usageCell(name, unit string, factor float64) string {
 	if e, ok := p.estimate(name, unit); ok {
 		return formatNumber(e.scaled(factor).Mean / p.dataPathBudget())
@@ -87,7 +86,7 @@
 	return notMeasured
 }
 
-// runCountCell is the number of runs of a benchmark.
+// runCountCell returns the number of runs of a benchmark.
 func (p *Page) runCountCell(name, unit string) string {
 	e, _ := p.estimate(name, unit)
 	return strconv.Itoa(e.Runs)
