--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -47,8 +47,8 @@
 	Site string `json:"site"`
 	// Zone is the zone of this agent, at most 64 bytes; it is announced to the other agents.
 	Zone string `json:"zone"`
-	// Networks lists, in CIDR notation, the networks in which members may have their addresses and to which anything
-	// is sent; if empty, all networks are allowed.
+	// Networks lists, in CIDR notation, the networks in which members may have their addresses. Nothing is sent to any
+	// other network. If it is empty, all networks are allowed.
 	Networks []string `json:"networks"`
 
 	// ProbeIntervalMs is the interval at which one other member is probed; default 1,000, from 50 to 10,000.
@@ -223,14 +223,15 @@
 // milliseconds returns n milliseconds as a duration.
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// suspicionMultiplier returns memberlist's SuspicionMult, in probe intervals, with which a suspicion lasts at least
-// SuspectTimeoutMs: memberlist also multiplies it by the decimal logarithm of the number of members, if that is above
-// one.
+// suspicionMultiplier returns the SuspicionMult of memberlist, in probe intervals, with which a suspicion lasts at
+// least SuspectTimeoutMs. It may last longer, because memberlist also multiplies SuspicionMult by the decimal logarithm
+// of the number of members if that logarithm is above one.
 func (c *Config) suspicionMultiplier() int {
 	return int(math.Ceil(float64(c.SuspectTimeoutMs) / float64(c.ProbeIntervalMs)))
 }
 
-// halfSuspicion returns half of the minimum duration of a suspicion: a member that refutes has usually done so by then.
+// halfSuspicion returns half of the minimum duration of a suspicion. A member that refutes the suspicion has usually
+// done so by then.
 func (c *Config) halfSuspicion() time.Duration {
 	const parts = 2
 	return milliseconds(c.SuspectTimeoutMs) / parts
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -64,8 +64,8 @@
 	c.ProbeTimeout = c.ProbeInterval / probeTimeoutsPerInterval
 	c.SuspicionMult = m.cfg.suspicionMultiplier()
 	c.SuspicionMaxTimeoutMult = suspicionMaxMultiplier
-	// Rounds are frequent because a round without messages costs nothing, and because after a partition or a start
-	// there are messages about all members, whose delivery is limited by the gossip rounds and not by the processors.
+	// Rounds are frequent because a round without messages costs nothing, and because after a partition or a start there
+	// are messages about all members. The gossip rounds, not the processors, limit how fast these are delivered.
 	c.GossipInterval = max(c.ProbeInterval/gossipRoundsPerProbe, minGossipInterval)
 	c.GossipNodes = gossipNodes
 	c.RetransmitMult = retransmitMultiplier
@@ -82,8 +82,9 @@
 
 // acceptDeathReport reports whether to believe a member's report that another member is dead, and records the reporter
 // if so. A report is believed if the reporter itself is certainly present, as defined by Assessment. If the reporter
-// was dead or suspected for long before, the suspicions that it may have started on the other side of a partition must
-// have ended too. Any other death report is turned into a suspicion, which the accused member receives and refutes.
+// has returned after it was dead or suspected for a long time, the suspicions that it may have started on the other
+// side of a partition must have ended too. Any other death report is turned into a suspicion, which the accused member
+// receives and refutes.
 func (m *Membership) acceptDeathReport(reporter, accused string) bool {
 	snapshot := m.snapshot.Load()
 	member, ok := snapshot.Member(reporter)
@@ -202,15 +203,15 @@
 	m.differedAt = now
 }
 
-// digestSettleTime returns how long this process's digest must have been unchanged before a differing one leads to an
-// exchange of lists: the time of several gossip rounds. Suspicions don't change the digest, because with many members
-// there are always some.
+// digestSettleTime returns how long this process's digest must have been unchanged before a differing digest of a
+// member leads to an exchange of lists: the time of several gossip rounds. Suspicions are left out of the digest,
+// because with many members there are always some.
 func (m *Membership) digestSettleTime() time.Duration {
 	return digestSettleRounds * milliseconds(m.cfg.ProbeIntervalMs)
 }
 
-// unsettledTime returns the time since the last exchange of lists after which a differing digest leads to another one
-// even if this process's digest keeps changing, as it does while members are discovered one by one.
+// unsettledTime returns the time after an exchange of lists from which on a differing digest leads to another exchange
+// even if this process's digest keeps changing. The digest keeps changing while members are discovered one by one.
 func (m *Membership) unsettledTime() time.Duration { return unsettledFactor * m.digestSettleTime() }
 
 // NotifyMsg ignores user messages; agents send none.
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -6,7 +6,7 @@
 )
 
 // probeIntervalsPerSync is the average number of probe intervals between two exchanges of lists while a peer's digest
-// differs. Only some agents exchange lists in each interval, as the result also changes the digests of the others.
+// differs. Only some agents exchange lists in each interval, because the result also changes the digests of the others.
 const probeIntervalsPerSync = 2
 
 // peerAddress is the address of a member, or of a seed whose name is not known, with which to exchange lists.
@@ -45,8 +45,9 @@
 	}
 }
 
-// firstExchange exchanges lists with a known member if this process has not exchanged lists with any yet. Its seeds may
-// be on the other side of a partition, and members that discover it one by one only send messages about themselves.
+// firstExchange exchanges lists with a known member if this process has not exchanged lists with any yet. The exchange
+// is necessary because this process's seeds may be on the other side of a partition, and because members that discover
+// this process one by one only send messages about themselves.
 func (m *Membership) firstExchange() {
 	m.mu.Lock()
 	exchanged := !m.exchangedAt.IsZero()
@@ -102,8 +103,8 @@
 }
 
 // digestDifferedRecently reports whether this process's digest recently differed from that of a member that it probed.
-// The other members may then have decided about its suspects long ago: memberlist merges a dead member of a peer's list
-// as a suspect.
+// If so, the members that this process suspects may have been declared dead by the others long ago, because memberlist
+// merges a dead member of a peer's list as a suspect.
 func (m *Membership) digestDifferedRecently() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/membership/guard.go
+++ b/internal/membership/guard.go
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("unexpected message type %d", messageType(e))
 }
 
-// checkPacket checks a packet without its label; if it returns nil, the packet can be handed to memberlist. It calls
-// onMessage with each message in the packet, which onMessage may modify but not resize; checksums are updated after
-// that. Compressed and encrypted messages are rejected: agents never send any, and a small compressed message can
+// checkPacket checks a packet without its label. If it returns nil, the packet can be handed to memberlist. It calls
+// onMessage with each message in the packet. onMessage may modify the message but not resize it; checksums are updated
+// afterwards. Compressed and encrypted messages are rejected: agents never send any, and a small compressed message can
 // expand to any size.
 func checkPacket(b []byte, depth int, onMessage func(message []byte)) error {
 	if len(b) == 0 {
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -7,27 +7,28 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// incarnationStep is the step of the wall clock by which the first incarnation of a process grows by one. A uint32 of
-// quarters of a second lasts for 34 years.
+// incarnationStep is the wall-clock time in which the first incarnation of new processes grows by one. A uint32 that
+// counts quarters of a second overflows after 34 years.
 const incarnationStep = 250 * time.Millisecond
 
 // incarnationEpoch is the wall-clock time of incarnation zero.
 var incarnationEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // startIncarnation returns the base incarnation of a process that starts at the given wall-clock time. All processes of
-// an agent use the clock of the same machine. If that clock was set back, a process starts below its predecessors: it
-// refutes the messages that it receives about them, and liftRetirements corrects the members that took it for the
-// earlier process.
+// an agent use the clock of the same machine. If that clock was set back, a process starts with a lower incarnation
+// than its predecessors. It then refutes the messages that it receives about them, and liftRetirements corrects the
+// members that took it for an earlier process.
 func startIncarnation(wall time.Time) uint32 {
 	return uint32(max(0, wall.Sub(incarnationEpoch)/incarnationStep))
 }
 
-// raiseIncarnation raises this process's incarnation above baseIncarnation before it returns. memberlist itself starts
-// at one, so that messages about an earlier process of this name would be taken for messages about this one.
+// raiseIncarnation raises this process's incarnation above baseIncarnation, and returns when that is done. memberlist
+// itself starts at incarnation one, so messages about an earlier process of this name would be taken for messages about
+// this one.
 //
 // It gives memberlist a suspicion of this process, which memberlist refutes with a higher incarnation. The suspicion is
-// in a push/pull, which is merged synchronously. A packet would only be queued, and memberlist has no event for the
-// refutation by a member that is alone.
+// in a push/pull, which is merged synchronously. A packet would only be queued, and memberlist signals no event when a
+// member that is alone refutes a suspicion.
 func (m *Membership) raiseIncarnation(list *memberlist.Memberlist) error {
 	node := list.LocalNode()
 	suspicion := pushNode{
@@ -49,9 +50,9 @@
 // announce lets this process send and receive messages about members, once its incarnation is above those of earlier
 // processes.
 //
-// memberlist's queue still has the alive message with the first incarnation, one, besides the refutation. An update
-// replaces it. Otherwise a member that has just started itself would accept it, and would later take a message about an
-// earlier process for one about a later process.
+// Besides the refutation, memberlist's queue still has the alive message with the first incarnation, which is one. The
+// update of the metadata replaces that message. Otherwise another member that has just started would accept the
+// message, and would later take a message about an earlier process for one about a later process.
 func (m *Membership) announce() {
 	if err := m.list.Load().UpdateNode(updateTimeout); err != nil {
 		m.log.Warn("membership: announcing the start failed", "err", err)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,7 +17,7 @@
 //   - Two sides of a partition that declared each other dead find each other again.
 //   - Members compare digests, which are sent with the responses to probes, and exchange their lists if the digests
 //     stay different.
-//   - A process whose address refuses connections is declared dead at once.
+//   - A process whose address refuses connections is declared dead immediately.
 //   - A death report is believed only from a member that is certainly present itself.
 //   - Packets and streams are checked before memberlist reads them, because it trusts the lengths in them.
 package membership
--- a/internal/membership/membertable.go
+++ b/internal/membership/membertable.go
@@ -37,7 +37,8 @@
 	changes  []Change
 	// retired has the earlier processes of each name, the latest first, at most maxRetiredPerName of them.
 	retired map[string][]retiredProcess
-	// deathReporters has, by name, the member that last reported a member dead, until that is alive or forgotten.
+	// deathReporters has, by the name of a member that was reported dead, the name of its last reporter. An entry is kept
+	// until the reported member is alive or forgotten.
 	deathReporters map[string]string
 }
 
@@ -110,7 +111,8 @@
 	return true
 }
 
-// updateListed merges a member of memberlist's list with the snapshot's. The change is nil if there is none.
+// updateListed merges a member of memberlist's list with that of the snapshot. The returned change is nil if nothing
+// changed.
 func (t *memberTable) updateListed(member Member, now time.Time) (Member, *Change) {
 	old, known := t.snapshot.Member(member.Name)
 	sameProcess := known && old.Process == member.Process
@@ -151,8 +153,8 @@
 	return member, change
 }
 
-// hasReturned reports whether a member is present again after it was dead, or alive again after a long suspicion. The
-// latter may have been a partition too, with suspicions on its other side.
+// hasReturned reports whether a member is present again after it was dead, or alive again after a long suspicion. A
+// long suspicion counts because its cause may also have been a partition, with suspicions on the other side.
 func (t *memberTable) hasReturned(old, member *Member, now time.Time) bool {
 	if old.State == Dead {
 		return member.State.isPresent()
@@ -161,8 +163,8 @@
 }
 
 // updateUnlisted updates a member that memberlist has forgotten. A dead member is kept for ReconnectForMs, so that
-// reconnects can find it. One that left is forgotten, and the returned member is nil. The change is nil if there is
-// none.
+// reconnects can find it. One that left is forgotten, and the returned member is nil. The returned change is nil if
+// nothing changed.
 func (t *memberTable) updateUnlisted(member Member, now time.Time) (*Member, *Change) {
 	change := &Change{
 		Name:        member.Name,
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// demoteDeathReport turns a report that a member is dead into a suspicion in place, and reports whether it did. It
-// leaves a member's announcement that it leaves itself, and reports from trusted members. The two kinds of message
+// demoteDeathReport turns a report that a member is dead into a suspicion in place, and reports whether it did. It does
+// not change a member's announcement that it leaves, nor reports from trusted members. Death reports and suspicions
 // differ only in the first byte.
 func demoteDeathReport(message []byte, trusts func(reporter, accused string) bool) (demoted bool) {
 	if typeOf(message) != msgDead {
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -43,7 +43,7 @@
 	return parsed, nil
 }
 
-// metaCache caches parsed metadata, as each message about a member repeats the same bytes.
+// metaCache caches parsed metadata, because each message about a member repeats the same bytes.
 type metaCache struct {
 	mu     sync.Mutex
 	parsed map[string]meta
--- a/internal/membership/packets.go
+++ b/internal/membership/packets.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// deliver hands a packet to memberlist and reports whether that took it before Shutdown.
+// deliver hands a packet to memberlist, and reports whether memberlist took the packet before Shutdown.
 func (t *transport) deliver(packet *memberlist.Packet) bool {
 	select {
 	case t.packets <- packet:
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// A changed list is read at most once per minSnapshotInterval, and so rarely that reading takes at most
-	// maxSnapshotTimeFraction of the time, but at least once per maxSnapshotInterval. This bounds the cost of changes
-	// with any number of members, and reduces the work when the machine is overloaded.
+	// A changed list is read at most once per minSnapshotInterval and at least once per maxSnapshotInterval. Within these
+	// bounds it is read so rarely that reading takes at most maxSnapshotTimeFraction of the time. This bounds the cost of
+	// changes with any number of members, and reduces the work when the machine is overloaded.
 	minSnapshotInterval     = 100 * time.Millisecond
 	maxSnapshotInterval     = time.Second
 	maxSnapshotTimeFraction = 0.02
-	// stallThreshold is the delay of publishSnapshots above which this process counts as stalled. The list is stale
-	// right after a stall, as timers have expired while the responses to probes wait in the sockets, so nothing is
-	// published for stallQuietTime.
+	// stallThreshold is the delay of publishSnapshots above which this process counts as stalled. Nothing is published for
+	// stallQuietTime after a stall, because the list is stale then: timers have expired while the responses to probes were
+	// waiting in the sockets.
 	stallThreshold = time.Second
 	stallQuietTime = 500 * time.Millisecond
-	// maxLocalNodes is the limit for reading memberlist's own list, whose length is bounded by maxMembers already.
+	// maxLocalNodes bounds the number of members read from memberlist's own list. The list is never that long, because
+	// maxMembers bounds its length.
 	maxLocalNodes = 1 << 20
 )
 
@@ -79,8 +80,8 @@
 	}
 }
 
-// snapshotPause returns the minimum time from the start of one read of the list to the next, given the time that the
-// first one took.
+// snapshotPause returns the minimum time from the start of one read of the list to the next, given how long the first
+// read took.
 func snapshotPause(took time.Duration) time.Duration {
 	return min(maxSnapshotInterval, time.Duration(float64(took)/maxSnapshotTimeFraction))
 }
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -8,10 +8,11 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// runReconnects reconnects members that memberlist doesn't. It tries one random seed or dead member at a time, with
-// exponential backoff and full jitter: each wait is a random time below a bound that doubles up to ReconnectMs. It also
-// exchanges lists with members whose digest stays different. The work of each agent is bounded however many members are
-// missing. As all agents try, the first pair connects within milliseconds after a partition has ended.
+// runReconnects reconnects to members that memberlist itself does not reconnect to. It tries one random seed or dead
+// member at a time, with exponential backoff and full jitter: each wait is a random time below a bound that doubles up
+// to ReconnectMs. It also exchanges lists with members whose digest stays different. The work of each agent is bounded
+// however many members are missing. Because all agents try, the first pair connects within milliseconds after a
+// partition has ended.
 func (m *Membership) runReconnects(ctx context.Context) {
 	select {
 	case <-m.announced: // no member may learn of this process before its incarnation is above those of earlier ones
--- a/internal/membership/retired.go
+++ b/internal/membership/retired.go
@@ -43,10 +43,11 @@
 
 // liftRetirement ends the retirement of a process that has a higher incarnation than the one that replaced it.
 //
-// First incarnations are derived from the wall clock, so that all messages of an earlier process have lower
-// incarnations than its successor. If the clock was set back between the two starts, a process starts below its
-// predecessor, and a member that learns of the process first and of the predecessor after that takes the process for
-// the earlier one. The process refutes this with a higher incarnation, which shows that it is the running one.
+// First incarnations are derived from the wall clock, so that all messages about an earlier process have lower
+// incarnations than its successor. If the clock was set back between the two starts, the successor starts with a lower
+// incarnation than its predecessor. A member that learns first of the successor and then of the predecessor takes the
+// successor for the earlier process. The successor refutes this with a higher incarnation, which shows that it is the
+// running process.
 func (t *memberTable) liftRetirement(name, process string, incarnation uint32) {
 	current, ok := t.snapshot.Member(name)
 	if !ok || incarnation <= current.Incarnation {
--- a/internal/membership/shutdown.go
+++ b/internal/membership/shutdown.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Kill closes all sockets at once without an announcement; to other members it looks as if the process had been killed.
-// It may be called at any time, even during or after Leave, and returns once all goroutines have ended.
+// Kill closes all sockets immediately and without an announcement; to other members it looks as if the process had been
+// killed. It may be called at any time, even during or after Leave, and returns once all goroutines have ended.
 func (m *Membership) Kill() {
 	m.mu.Lock()
 	m.leaving = true
--- a/internal/membership/streams.go
+++ b/internal/membership/streams.go
@@ -91,7 +91,8 @@
 }
 
 // serveWatcher acknowledges a watch message and keeps the connection open until either side ends. Watchers don't count
-// towards maxStreams but towards maxWatchers. A watcher beyond that is acknowledged and closed, and retries.
+// towards maxStreams but towards maxWatchers. A connection beyond that limit is acknowledged and then closed, and the
+// watcher retries.
 func (t *transport) serveWatcher(s *framedStream) {
 	_, err := s.Write([]byte{byte(msgWatch)})
 	s.releaseSlot()
@@ -127,7 +128,7 @@
 	unread          []byte // rest of the last message that was received
 }
 
-// newFramedStream wraps a connection, which kill closes. Close calls releaseSlot.
+// newFramedStream wraps a connection. kill closes the connection, and the stream's Close calls releaseSlot.
 func (t *transport) newFramedStream(conn net.Conn, releaseSlot func()) *framedStream {
 	closeOnKill := func() { _ = conn.Close() } // the process is killed
 	return &framedStream{
@@ -170,8 +171,8 @@
 	return n, nil
 }
 
-// readFirstMessage reads a stream's label and first message, which it leaves unread. If there is no label, it returns
-// the first message in its place.
+// readFirstMessage reads a stream's label and first message, and keeps the message for Read. If there is no label, it
+// returns the first message in place of the label.
 func (s *framedStream) readFirstMessage() (label []byte, err error) {
 	if err := s.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return nil, err
@@ -186,7 +187,7 @@
 	return label, err
 }
 
-// readMessage reads and checks one message, which it leaves unread.
+// readMessage reads and checks one message, and keeps it for Read.
 func (s *framedStream) readMessage() error {
 	message, err := s.readFrame()
 	if err != nil {
--- a/internal/membership/suspects.go
+++ b/internal/membership/suspects.go
@@ -27,10 +27,10 @@
 
 // confirmSuspects checks suspects by connecting to them.
 //
-// If the address refuses connections or ends them without a response, the process is gone, and is declared dead without
-// waiting for the rest of the suspicion. A suspect that responds receives this process's list, which includes the
-// suspicion, so that it refutes it. For one that is stalled or partitioned there is no result and the suspicion
-// continues; once half of its minimum duration is over, lists are exchanged with another member.
+// If the address refuses connections or ends them without a response, the process is gone. It is then declared dead
+// without waiting for the rest of the suspicion. A suspect that responds receives this process's list, which includes
+// the suspicion, and refutes it. A suspect that is stalled or partitioned gives no result, and the suspicion continues.
+// Once half of the minimum duration of a suspicion is over, this process exchanges lists with another member.
 func (m *Membership) confirmSuspects(ctx context.Context) {
 	ticker := time.NewTicker(milliseconds(m.cfg.ProbeIntervalMs) / confirmRoundsPerProbe)
 	defer ticker.Stop()
@@ -75,14 +75,15 @@
 	}
 }
 
-// shouldCheckOverdue decides at random whether to check a suspect for which half of the minimum duration of a suspicion
-// is over. The other members may have received its refutation long ago, and this process may have missed it.
+// shouldCheckOverdue decides at random whether to check a suspect whose suspicion has lasted longer than half of the
+// minimum duration. The suspect may have refuted it long ago to the other members, and this process may have missed the
+// refutation.
 func (m *Membership) shouldCheckOverdue(suspect *Member) bool {
 	overdue := time.Since(suspect.stateSince) > m.cfg.halfSuspicion()
 	return overdue && rand.IntN(roundsPerOverdueCheck) == 0
 }
 
-// declareDead hands memberlist a message that a member is dead, which it also sends to the other members.
+// declareDead hands memberlist a message that a member is dead. memberlist also sends the message to the other members.
 func (m *Membership) declareDead(member *Member) {
 	m.counters.declaredDead.Add(1)
 	m.log.Info("membership: member declared dead, its address refuses connections",
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -37,8 +37,8 @@
 	streams  chan net.Conn
 	slots    chan struct{}
 	watchers chan struct{}
-	// ctx is canceled by Shutdown, killContext by kill, which also closes the streams that Shutdown lets finish. They
-	// are fields because memberlist calls a transport's methods without a context.
+	// ctx is canceled by Shutdown, and killContext by kill. kill also closes the streams that Shutdown lets finish. The
+	// contexts are fields because memberlist calls a transport's methods without a context.
 	ctx          context.Context //nolint:containedctx // memberlist calls a transport without a context
 	cancel       context.CancelFunc
 	killContext  context.Context //nolint:containedctx // memberlist calls a transport without a context
@@ -132,7 +132,7 @@
 	return t.closeSockets()
 }
 
-// kill closes all sockets and streams at once, as the kernel does for a killed process.
+// kill closes all sockets and streams immediately, as the kernel does for a killed process.
 func (t *transport) kill() {
 	t.cancelKill()
 	_ = t.Shutdown() // an error of closing makes no difference here
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// watchedSuccessors is the number of members that each one watches over an open connection: its successors on a
-	// ring of hashed names. The connections of a process end with it, so that up to this many others detect a crash at
-	// once. Probes only have to detect members that stop responding, and can be slow enough not to cause false
-	// positives under load.
+	// watchedSuccessors is the number of members that each member watches over an open connection: its successors on a
+	// ring of hashed names. The connections of a process end when the process ends, so up to this many other members
+	// detect a crash immediately. Probes only have to detect members that stop responding, and can be slow enough not to
+	// cause false positives under load.
 	watchedSuccessors = 3
 	// watchRoundsPerProbe is how many times per probe interval the connections are updated to the current successors.
 	watchRoundsPerProbe = 4
@@ -127,7 +127,7 @@
 }
 
 // successors appends to dst the members that this one watches: those whose hashed names follow its own, the nearest
-// first. As each round of watchSuccessors calls it, it makes a single pass and allocates nothing.
+// first. It makes a single pass and allocates nothing, because each round of watchSuccessors calls it.
 func (m *Membership) successors(dst []Member) []Member {
 	members := m.snapshot.Load().Members
 	own := xxhash.Sum64String(m.cfg.Name)
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -46,7 +46,7 @@
 	}, true
 }
 
-// dropLateRequests drops the pending requests whose loans would have expired.
+// dropLateRequests drops the pending requests whose loans would have expired already.
 func (q *Quotas) dropLateRequests(now time.Duration) {
 	for number, request := range q.pending {
 		if now-request.requestedAt >= q.cfg.atMost(q.cfg.LoanDuration) {
@@ -56,8 +56,8 @@
 }
 
 // GrantLoan handles a request of another process. It lends the requested amount, or as much as it can while it keeps
-// reserve for itself, and returns false if that is nothing. The right is lent from now until returnDelay has passed,
-// whether or not the grant reaches the borrower.
+// reserve for itself, and returns false if that is nothing. The amount counts as lent from now until returnDelay has
+// passed, whether or not the grant reaches the borrower.
 func (q *Quotas) GrantLoan(request Request, reserve Amount, now time.Duration) (Grant, bool) {
 	account := q.accounts[request.Budget]
 	if account == nil || request.Lender != q.cfg.Process || request.Borrower == q.cfg.Process || request.Amount <= 0 {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,7 +10,7 @@
 // The design is the bounded counter of Balegas et al. ("Extending Eventually Consistent Cloud Databases for Enforcing
 // Numeric Invariants", 2015): the budget is split into equal shares, one per configured agent, and only the owner of a
 // right can transfer it. In the paper, the rights of a crashed replica are lost until it returns. Here each loan has an
-// end that both sides determine by their own clocks, so that a right returns without a message.
+// end that both sides determine by their own clocks, so that a lent right returns to its owner without a message.
 //
 // The alternative of a lease holder that grants every spend was rejected: only the majority side of a partition could
 // spend, and each spend would have to wait for a response.
@@ -28,7 +28,7 @@
 // Unit is one unit of a budget.
 const Unit Amount = 1000
 
-// Quotas holds the rights of one process. All methods take the time of this process's monotonic clock, with any origin.
+// Quotas holds the quotas of one process. All methods take the time of this process's monotonic clock, with any origin.
 // It is not safe for concurrent use.
 type Quotas struct {
 	cfg          Config
@@ -45,11 +45,11 @@
 
 const (
 	noRule           rule = iota
-	startQuarantine       // a process spends and lends nothing until its predecessor's rights have expired
+	startQuarantine       // a process doesn't use what its predecessor may have spent or lent until that has expired
 	fullWindow            // a spend counts for the whole window
 	lendOnlyUnspent       // an amount that was spent is not lent
-	returnAfterSpend      // a lent right returns only once the borrower's spends have left the window
-	returnAfterLoan       // a lent right returns only after the end of the loan on the slowest clock
+	returnAfterSpend      // a lender uses a lent amount again only once the borrower's spends are outside the window
+	returnAfterLoan       // a lender uses a lent amount again only once the loan has ended by the slowest clock
 	loanFromRequest       // the duration of a loan counts from its request, not from its grant
 	grantOnce             // a grant is accepted at most once
 )
@@ -57,8 +57,8 @@
 // account is the state of one budget in a process.
 type account struct {
 	share    Amount
-	spent    []entry // each expires when it leaves the window on the slowest clock
-	lent     []entry // each expires when the right returns
+	spent    []entry // each expires when it is outside the window even by the slowest clock
+	lent     []entry // each expires when this process may use the amount again
 	borrowed []entry // each expires at the end of the loan
 }
 
@@ -78,7 +78,7 @@
 }
 
 // New returns the Quotas of a process that starts, or takes over from another process of its agent, at the given time.
-// It can't spend anything for one window, as its predecessor may have spent the agent's share.
+// It can't spend anything for one window, because its predecessor may have spent the agent's share.
 func New(cfg Config, now time.Duration) (*Quotas, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -110,8 +110,8 @@
 	return Amount(float64(account.share) * q.cfg.LendableFraction)
 }
 
-// returnDelay returns the time from a grant until the lent right returns. By then the loan has expired on the slowest
-// clock, and everything that was spent under it has left the window.
+// returnDelay returns how long after granting a loan the lender may use the lent amount again. By then the loan has
+// expired even by the slowest clock, and everything that was spent under it is outside the window.
 func (q *Quotas) returnDelay() time.Duration {
 	switch q.omitted {
 	case returnAfterSpend:
