--- a/cmd/discovery/admin_client.go
+++ b/cmd/discovery/admin_client.go
@@ -16,7 +16,8 @@
 const (
 	// defaultAdminAddress is the default of --admin.
 	defaultAdminAddress = "127.0.0.1:7401"
-	// callTimeout bounds a call to an admin address. It is longer than a write waits for its commit.
+	// callTimeout bounds a call to an admin address. It is longer than the time for which a write waits
+	// for its commit.
 	callTimeout = 10 * time.Second
 	// maxResponseBytes bounds the part of a response body that is read as text.
 	maxResponseBytes = 1 << 20
@@ -128,5 +129,5 @@
 
 // closeBody closes a response body that has been read.
 func closeBody(response *http.Response) {
-	_ = response.Body.Close() // an error is harmless, as nothing more is read
+	_ = response.Body.Close() // an error is harmless, because nothing more is read
 }
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -112,8 +112,8 @@
 	return h.outages
 }
 
-// recordLag records a slow write, which began at since and has ended, as an outage. It returns the
-// number of outages so far, for markCaughtUp.
+// recordLag counts a slow write as an outage. since is the start of the write, which has ended. It
+// returns the number of outages so far, for markCaughtUp.
 func (h *storeHealth) recordLag(since time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -4,8 +4,9 @@
 // Every process has its own loopback address, by which the proxy identifies the sender. The other processes use the
 // address of the process's relay. A cut is silent, like a network partition: packets are dropped, open connections stay
 // open but deliver nothing, and new connections get no response. When the cut ends, these connections are reset. If a
-// process is not running, its relay refuses connections too. The faults of a packet are chosen by a random number
-// generator for each ordered pair, which is seeded with the proxy's seed and the pair.
+// process is not running, its relay resets new connections, because the process's address refuses them. The faults of a
+// packet are chosen by a random number generator for each ordered pair, which is seeded with the proxy's seed and the
+// pair.
 package faultproxy
 
 import (
@@ -141,7 +142,7 @@
 	return r, nil
 }
 
-// Counts returns the present counters.
+// Counts returns the current counters.
 func (p *Proxy) Counts() Counts {
 	return Counts{
 		Packets: p.packets.Load(),
--- a/internal/faultproxy/rules.go
+++ b/internal/faultproxy/rules.go
@@ -8,7 +8,7 @@
 )
 
 // Rule has the faults of packets and connections from one process to another. A fraction, from 0 to 1, is the
-// probability of a fault for each packet. Connections lose no data: a lost or reordered chunk arrives later, by
+// probability of a fault for each packet. Connections lose no data: a lost or reordered chunk arrives later by
 // retransmitDelay.
 type Rule struct {
 	Cut            bool          // nothing is relayed
@@ -67,7 +67,7 @@
 	p.changed = make(chan struct{})
 }
 
-// rule returns the present rule of an ordered pair, with partitions applied. An unknown sender ("") has the default
+// rule returns the current rule of an ordered pair, with partitions applied. An unknown sender ("") has the default
 // rule.
 func (p *Proxy) rule(of pair) Rule {
 	p.mu.Lock()
--- a/internal/faultproxy/streams.go
+++ b/internal/faultproxy/streams.go
@@ -13,7 +13,7 @@
 const (
 	// dialTimeout bounds the time to connect a relay to its process.
 	dialTimeout = time.Second
-	// chunkBytes is the maximum size of a chunk that a relay forwards at once.
+	// chunkBytes is the maximum size of a chunk, which a relay reads and forwards as a whole.
 	chunkBytes = 64 << 10
 )
 
@@ -92,7 +92,7 @@
 }
 
 // pipe relays one direction of a connection. It forwards an orderly close of one side. After a reset, or a cut that has
-// ended, it ends both sides with a reset. end ends the connection.
+// ended, it ends both sides with a reset. The function end ends the connection.
 func (p *Proxy) pipe(d direction, end func()) {
 	buf := make([]byte, chunkBytes)
 	for {
@@ -171,8 +171,9 @@
 	}
 }
 
-// stallUntilHealed keeps a connection that a cut has interrupted open without sending anything. It returns when the
-// peer has closed the connection, or at Close, or resets the connection when neither direction is cut any more.
+// stallUntilHealed keeps open a connection that a cut has interrupted, without sending anything. It returns when the
+// peer has closed the connection, or at Close. When neither direction is cut any more, it resets the connection and
+// returns.
 func (p *Proxy) stallUntilHealed(conn *net.TCPConn, processes pair) {
 	gone := discardInput(conn)
 	for {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -26,7 +26,8 @@
 	// maxDelay is the upper bound of the backoff, which grows by backoffFactor while a resource is exhausted.
 	maxDelay      = 32 * time.Millisecond
 	backoffFactor = 2
-	// logInterval is the minimum time between two log lines of a FailureReporter of LogFailures.
+	// logInterval is the minimum time between two log lines of a FailureReporter that LogFailures
+	// returned.
 	logInterval = time.Second
 )
 
@@ -39,7 +40,8 @@
 	report   FailureReporter
 	failures atomic.Uint64
 	closed   chan struct{}
-	// closeOnce closes the wrapped listener at its first call and returns the same error at each.
+	// closeOnce closes the wrapped listener the first time it is called. Every call returns the error from
+	// that close.
 	closeOnce func() error
 }
 
@@ -115,7 +117,8 @@
 var exhaustionErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // permanentErrors are the errors of accept(2) that say that the descriptor can't accept connections, so
-// that a retry would fail too. EOPNOTSUPP is not one of them, as it may be the pending error of a connection.
+// that a retry would fail too. EOPNOTSUPP is not one of them, because it may be the pending error of a
+// connection.
 var permanentErrors = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK}
 
 // Temporary reports whether accept may succeed on a retry after err. That is so for all errors of the
--- a/internal/processtest/await.go
+++ b/internal/processtest/await.go
@@ -20,7 +20,7 @@
 	return AwaitEvery(awaitInterval, within, what, met)
 }
 
-// AwaitEvery is like Await with a given interval between two checks. A check may be an operation that is retried until
+// AwaitEvery is like Await with a given interval between two checks. met may also be an operation that is retried until
 // it succeeds.
 func AwaitEvery(interval, within time.Duration, what string, met func() bool) error {
 	end := time.Now().Add(within)
--- a/internal/processtest/cluster.go
+++ b/internal/processtest/cluster.go
@@ -72,8 +72,8 @@
 	return c.processes[name].addrs[port]
 }
 
-// Link returns the proxy from one process to a listener of another, which it starts at the first call. The caller has
-// to configure the first process with the proxy's address.
+// Link returns the proxy from one process to a listener of another. The first call for a link starts its proxy. The
+// caller has to configure the first process with the proxy's address.
 func (c *Cluster) Link(from, to, port string) (*Link, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/processtest/exemption.go
+++ b/internal/processtest/exemption.go
@@ -9,11 +9,13 @@
 // fault separates them.
 type Exemption struct {
 	From, To time.Time
-	// Applies reports whether the exemption is for an observer and a subject. Nil means for all.
+	// Applies reports whether the exemption is for what the observer reports about the subject. If it is nil, the
+	// exemption is for all observers and subjects.
 	Applies func(observer, subject string) bool
 }
 
-// Observers returns an Exemption.Applies for the named observers and any subject.
+// Observers returns a function for Exemption.Applies that reports true if the observer is one of names, whatever the
+// subject.
 func Observers(names ...string) func(observer, subject string) bool {
 	names = slices.Clone(names)
 	return func(observer, _ string) bool { return slices.Contains(names, observer) }
--- a/internal/processtest/link.go
+++ b/internal/processtest/link.go
@@ -13,13 +13,14 @@
 	linkIP = "127.0.0.1"
 	// linkDialTimeout bounds the time to connect to a link's target.
 	linkDialTimeout = time.Second
-	// linkChunkBytes is the maximum size of a chunk that a link relays at once.
+	// linkChunkBytes is the maximum size of a chunk, which a link reads and relays as a whole.
 	linkChunkBytes = 32 << 10
 )
 
-// Link is a TCP proxy from one process to a listener of another. A cut closes its connections, and each new one at
-// once. A delay holds back each chunk of bytes in either direction. A drop closes a fraction of the new connections at
-// once, as if lost packets had made them fail. The methods are safe for concurrent use.
+// Link is a TCP proxy from one process to a listener of another. A cut closes the link's open connections, and each new
+// one immediately after accepting it. A delay holds back each chunk of bytes in either direction. A drop closes a
+// fraction of the new connections immediately after accepting them, as if lost packets had made them fail. The methods
+// are safe for concurrent use.
 type Link struct {
 	target   string
 	ln       net.Listener
@@ -45,7 +46,8 @@
 // Addr returns the proxy's loopback address (host:port).
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Accepted returns the times at which connections were accepted, in order, including those that were closed at once.
+// Accepted returns, in order, the time at which each connection was accepted. Connections that the link closed
+// immediately after accepting them are included.
 func (l *Link) Accepted() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +73,7 @@
 	l.delay = d
 }
 
-// SetDrop sets the fraction (0 to 1) of new connections that are closed at once.
+// SetDrop sets the fraction (0 to 1) of new connections that are closed immediately after they are accepted.
 func (l *Link) SetDrop(fraction float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -10,8 +10,8 @@
 	endpointSize = 24
 )
 
-// Codes of event records. A trailing comment has the event's name in the protocol description where it
-// differs from the constant's. Error messages use the protocol's names.
+// Codes of event records. If the protocol description has another name for an event than the constant,
+// a trailing comment has that name. Error messages use the protocol's names.
 const (
 	codeClientGone      = 16 // dropped
 	codeRequest         = 17 // ask
