--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -210,8 +210,9 @@
 	return digestSettleRounds * milliseconds(m.cfg.ProbeIntervalMs)
 }
 
-// unsettledTime returns the time after an exchange of lists from which on a differing digest leads to another exchange
-// even if this process's digest keeps changing. The digest keeps changing while members are discovered one by one.
+// unsettledTime returns how long ago the last exchange of lists must have been for a differing digest to lead to
+// another one while this process's digest keeps changing. The digest keeps changing while members are discovered one by
+// one.
 func (m *Membership) unsettledTime() time.Duration { return unsettledFactor * m.digestSettleTime() }
 
 // NotifyMsg ignores user messages; agents send none.
--- a/internal/processtest/listeners.go
+++ b/internal/processtest/listeners.go
@@ -65,7 +65,7 @@
 	return nil, fmt.Errorf("processtest: no free port on %v: %w", ip, syscall.EADDRINUSE)
 }
 
-// randomLoopbackIP returns a random loopback address other than 127.0.0.1, from which outgoing connections come.
+// randomLoopbackIP returns a random loopback address other than 127.0.0.1, which is the source of outgoing connections.
 func randomLoopbackIP() net.IP {
 	const (
 		loopback    = 127
