--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -24,7 +24,7 @@
 	StatusReset         Status = 305 // the connection was lost
 	StatusCancelled     Status = 306 // cancelled by the agent
 	StatusUnsent        Status = 307 // not sent by the agent
-	StatusBadRequest    Status = 400 // the request is invalid; only real servers respond so
+	StatusBadRequest    Status = 400 // the request is invalid; only real servers return this status
 )
 
 // NotExecuted reports whether the status proves that the attempt was not executed.
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -34,7 +34,7 @@
 	DedupScope DedupScope `json:"group"`
 	// DedupWindowMs is how long after the first execution duplicates are dropped.
 	DedupWindowMs float64 `json:"keyTtlMs"`
-	// PriorityWeight is the value of a response in time.
+	// PriorityWeight is the value of a response that arrives within the latency objective.
 	PriorityWeight float64 `json:"credit"`
 	// LateFraction is the value of a late response as a fraction of PriorityWeight.
 	LateFraction float64 `json:"lateShare"`
@@ -82,7 +82,8 @@
 	OverloadWindowMs float64 `json:"tipAfterMs"`
 }
 
-// Costs are deducted from the result, each in proportion to a fraction of the requests or to a rate.
+// Costs holds the cost factors of the result. Each cost is deducted from the result, in proportion to a fraction of the
+// requests or to a rate.
 type Costs struct {
 	CrossZone    float64 `json:"crossZone"`
 	Handshake    float64 `json:"handshake"`
@@ -129,7 +130,8 @@
 	WeightByWork    WeightBasis = "work"    // by the work of the request
 )
 
-// Settings is the configuration of the policy, set when an agent starts and changed by UpdateSettings of the policy.
+// Settings is the configuration of the policy. It is set when the agent starts and can be changed later with the
+// policy's UpdateSettings method.
 type Settings struct {
 	Classes       []Class       `json:"classes"`
 	Limits        Limits        `json:"limits"`
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,8 +4,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// maxForwardFailures is the number of queued requests that may go to any server but find none with
-// capacity, after which the rest of the queue is skipped.
+// maxForwardFailures is the number of failures after which a dispatch skips the rest of the queue. A failure
+// is a queued request that may go to any server but finds none with capacity.
 const maxForwardFailures = 4
 
 // onRequest admits a new request to the queue, or rejects it to shed load.
@@ -26,8 +26,8 @@
 	}
 }
 
-// requestRules returns the rules that came with the request, or otherwise those in force for its class, or
-// nil if there is no such class.
+// requestRules returns the rules that came with the request. If none did, it returns the rules in force for
+// the request's class, or nil if there is no such class.
 func (b *Balancer) requestRules(ev *balancer.Event) *balancer.RequestRules {
 	if ev.Rules != nil {
 		return ev.Rules
@@ -69,8 +69,9 @@
 }
 
 // forwardQueued forwards the queued requests for which a server has capacity. A request that waits for the
-// preferred servers of its key is skipped if they are full, as the next request may find capacity
-// elsewhere. If a few requests that may go to any server find none, the servers are full, and it stops.
+// preferred servers of its key is skipped if they are full, because the next request may find capacity
+// elsewhere. After maxForwardFailures requests that may go to any server but found none with capacity, all
+// servers are considered full and forwardQueued stops.
 func (b *Balancer) forwardQueued() {
 	b.queue.saturated = false
 	unresponsive := b.endpoints.unresponsiveInFlight()
--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -15,7 +15,7 @@
 )
 
 // movingMean returns an exponentially weighted moving mean after a new value with the given weight (0 to
-// 1). A mean of 0 is one without values.
+// 1). A mean of 0 means that there was no value before.
 func movingMean(mean, value, weight float64) float64 {
 	if mean == 0 {
 		return value
@@ -54,8 +54,8 @@
 // withdraw takes the token of one action.
 func (t *tokenBucket) withdraw() { t.tokens-- }
 
-// forwardTimes records the times at which this agent forwarded attempts, to one server or to any. Times are
-// in milliseconds.
+// forwardTimes records the times at which this agent forwarded attempts, either to a single server or to all
+// servers. Times are in milliseconds.
 type forwardTimes struct {
 	lastAt         float64 // when the last attempt was forwarded; 0: none yet
 	meanIntervalMs float64 // moving mean of the interval between two attempts; 0: unknown
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -137,8 +137,8 @@
 }
 
 // responseWasLost reports whether an attempt timed out because its response was lost in the network,
-// which is no sign of a slow server. It requires that the server has responded to later attempts within
-// its latency limit, and to enough of them to know its current latency.
+// which is no sign of a slow server. This is assumed only if the server has responded to later attempts
+// within its latency limit, and to enough of them for its current latency to be known.
 func (b *Balancer) responseWasLost(a *attempt) bool {
 	s := a.server
 	return s.latency <= b.concurrency.serverLatencyLimit(s) && b.concurrency.presumedLost(a) &&
@@ -185,9 +185,9 @@
 	return outcome
 }
 
-// closeIdleConnections closes the idle connections to a server whose last attempt in flight has ended if,
-// by the costs in the settings, keeping them open until the next attempt costs more than a new handshake.
-// That is the case in large fleets, where each agent uses a given server rarely.
+// closeIdleConnections closes the idle connections to a server that has no attempt in flight anymore. It
+// does so only if, by the costs in the settings, keeping the connections open until the next attempt costs
+// more than a new handshake. That is the case in large fleets, where each agent uses a given server rarely.
 func (b *Balancer) closeIdleConnections(s *server) {
 	costs := &b.settings.Costs
 	servers := float64(len(b.endpoints.servers))
@@ -215,7 +215,7 @@
 }
 
 // mayRetry reports whether the request may be queued for another attempt after one that ended with the
-// given status. At which servers it may be attempted is decided by request.mayAttemptAt.
+// given status. request.mayAttemptAt decides which servers may be used.
 func (b *Balancer) mayRetry(r *request, status balancer.Status) bool {
 	if r.maybeExecuted > 0 && r.class.Idempotency == balancer.NonIdempotent {
 		return false
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -22,8 +22,8 @@
 	overloadDecrease  = 0.85
 	rejectionDecrease = 0.7
 	// limitStep is the additive increase of the limit for all servers, in attempts, per response without
-	// overload. The limit grows by a twentieth in one response time; if each of many agents added a whole
-	// attempt, that would undo a decrease.
+	// overload. With it, the limit grows by a twentieth per response time. If each of many agents added a
+	// whole attempt instead, they would undo a decrease at once.
 	limitStep = 0.05
 	// limitUsedMargin is the distance to a server's limit, in attempts, within which the limit counts as
 	// used: the attempt that has just ended, and one more.
@@ -74,7 +74,7 @@
 	forwards           forwardTimes
 }
 
-// addServer raises the limit for all servers by the part of a new one. In fleets of up to
+// addServer raises the limit for all servers by the share of a new server. In fleets of up to
 // initialFleetLimit agents the limit becomes infinite, and only the limits of each server apply.
 func (c *concurrencyLimits) addServer(s *server) {
 	furtherAgents := max(float64(c.env.settings.FleetSize-initialFleetLimit), 0)
@@ -132,7 +132,7 @@
 	inFlight := float64(c.inFlight - c.endpoints.unresponsiveInFlight() + 1) // including the one that ended
 	switch {
 	case c.overloadedFraction > overloadedMajority && a.startedAt >= c.limitDecreasedAt:
-		// One attempt at each server, of all agents together, cannot overload the servers.
+		// One attempt in flight per server, counted over all agents, cannot overload the servers.
 		floor := float64(len(c.endpoints.servers)) / c.env.fleetSize()
 		c.limit = max(min(c.limit, inFlight)*overloadDecrease, floor, minLimit)
 		c.limitDecreasedAt = c.env.now
@@ -146,8 +146,8 @@
 	return c.latency.serverLimit(s, c.slowStart.fraction(s))
 }
 
-// loadOf returns the load of a server inferred from the latency of one response; latencyLimit is the limit
-// of the server's mean latency.
+// loadOf infers the load of a server from the latency of one response. latencyLimit is the limit of the
+// server's mean latency.
 func (c *concurrencyLimits) loadOf(s *server, latency, latencyLimit float64) serverLoad {
 	responseLimit := max(latencyLimit, c.latency.fleetLimit()/c.slowStart.fraction(s))
 	return latency > min(responseLimit, 1)
@@ -183,8 +183,8 @@
 
 // serverAllows reports whether a server may have another attempt in flight. A server in slow start needs
 // credit, an unhealthy server gets one attempt at a time, and a healthy one as many as its limit
-// allows. A limit below one attempt is enforced by a pause between attempts: in a large fleet even one
-// attempt of each agent can keep an overloaded server from recovering.
+// allows. A limit below one attempt is enforced by a pause between attempts, because in a large fleet even
+// one attempt from each agent can keep an overloaded server from recovering.
 func (c *concurrencyLimits) serverAllows(s *server) bool {
 	if !c.slowStart.hasCredit(s) {
 		return false
@@ -217,9 +217,9 @@
 }
 
 // startCooldown makes this agent avoid an overloaded server for about the given number of mean intervals
-// between two of its attempts at one server, with jitter. An agent that uses a server rarely cannot
-// follow its overload with a concurrency limit; cooldowns reduce the load from all agents together,
-// as those that observe the overload skip the server.
+// between two of its attempts at one server, with jitter. If each agent uses a server rarely, their
+// concurrency limits cannot follow its overload. Cooldowns still reduce the load from all agents together,
+// because the agents that observe the overload skip the server.
 func (c *concurrencyLimits) startCooldown(s *server, intervals float64) {
 	cooldownMs := min(intervals*c.evenServerIntervalMs(), c.env.settings.Contract.SlowStartMs)
 	s.cooldownUntil = c.env.now + cooldownMs*(minCooldownFraction+c.env.random.Float64())
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -11,7 +11,7 @@
 	// initialLimit is the minimum initial concurrency limit of a new server, in attempts.
 	initialLimit = 2
 	// initialFleetLimit is the number of attempts that all agents together may have in flight at a new
-	// server. It is larger than the number of cores, as some requests wait for others.
+	// server. It is larger than the number of cores because some of the requests wait for others.
 	initialFleetLimit = 8
 )
 
--- a/policy/history.go
+++ b/policy/history.go
@@ -6,8 +6,8 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// fullTimeoutFraction is the fraction of the total timeout of its class above which the remaining time of a
-// request shows that clients give first requests the whole timeout.
+// fullTimeoutFraction is a fraction of the total timeout of a class. If a request arrives with more than that
+// remaining, clients are assumed to give first requests the whole total timeout.
 const fullTimeoutFraction = 0.95
 
 // unservedRequest is the record of a request that ended without a response, by which a retry of it is
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -14,7 +14,7 @@
 )
 
 // keyPartitions counts the requests of each affinity key and splits popular keys into partitions. The
-// load cap alone does not spread a popular key, as in a large fleet no agent has enough attempts in
+// load cap alone does not spread a popular key, because in a large fleet no agent has enough attempts in
 // flight to reach the cap.
 type keyPartitions struct {
 	env       *environment
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -16,7 +16,8 @@
 	// Until then the concurrency limits of the servers do not grow.
 	baselineResponses = 50
 	// maxInitialBaseline is the maximum baseline during the first baselineResponses responses. It keeps an
-	// overload at the start from becoming the baseline, as the mean does for a single fast response.
+	// overload at the start from becoming the baseline. A single fast response cannot become the baseline
+	// either, because the baseline follows the mean.
 	maxInitialBaseline = maxMeanLatency / 2
 	// fleetOverloadFactor is the multiple of the unloaded latency above which a response counts towards an
 	// overload of all servers. minFleetLatency and maxFleetLatency bound the result.
@@ -28,7 +29,7 @@
 	smallFleetAgents = 2
 	// maxLatency is the maximum of a single latency in all means, as a multiple of the objective.
 	maxLatency = 2
-	// unloadedSmoothing is the weight of one response in the unloaded latency while that rises.
+	// unloadedSmoothing is the weight of one response in the unloaded latency while that latency rises.
 	unloadedSmoothing = fleetSmoothing / 10
 	// minBaselineDelay and maxBaselineDelay bound the factor by which the baseline rises more slowly than
 	// fleetSmoothing. The factor grows with the fleet size to the power of baselineDelayExponent.
@@ -78,10 +79,10 @@
 	}
 }
 
-// riseSmoothing returns the weight of one response in the baseline while that rises. The weight is small,
-// as otherwise an overload would become the baseline. A response to the only attempt at a server has more
-// weight the fewer agents there are: if the baseline of a single agent stayed at a few fast first
-// responses, its servers would be left idle permanently.
+// riseSmoothing returns the weight of one response in the baseline while the baseline rises. The weight is
+// small because otherwise an overload would become the baseline. The fewer agents there are, the more weight
+// a response to the only attempt at a server has: if the baseline of a single agent stayed at the level of a
+// few fast first responses, its servers would be left idle permanently.
 func (l *latencyBaselines) riseSmoothing(soleAtServer bool) float64 {
 	if soleAtServer {
 		delay := minBaselineDelay * math.Pow(l.env.fleetSize(), baselineDelayExponent)
@@ -102,8 +103,8 @@
 
 // fleetLimit returns the latency above which a response counts towards an overload of all servers. With
 // the usual spread of response times, most responses exceed it at a mean latency of 1.5 times that
-// without load. In a small fleet each agent uses each server often, and the limits of the individual
-// servers are to react to an overload first.
+// without load. The limit is higher in a small fleet: there each agent uses each server often, and the limits
+// of the individual servers should react to an overload first.
 func (l *latencyBaselines) fleetLimit() float64 {
 	limit := min(max(fleetOverloadFactor*l.unloaded, minFleetLatency), maxFleetLatency)
 	return limit * l.fleetFactor()
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -50,9 +50,9 @@
 }
 
 // tierOf returns the server's tier for the request. A server that waits for a health check is used like a
-// healthy one, as an attempt checks it as well. It is in suspectTier, however, for requests that must not
-// execute twice, and for all requests during the first minObjectiveMs if health checks are permitted, as
-// a check is to be expected by then.
+// healthy one, because an attempt checks it just as well. There are two exceptions, in which it is in
+// suspectTier: for requests that must not execute twice, and for all requests during the first
+// minObjectiveMs if health checks are permitted, because a check is expected within that time.
 func (o *outlierDetector) tierOf(s *server, r *request) tier {
 	switch s.health {
 	case balancer.Unhealthy:
@@ -70,8 +70,9 @@
 }
 
 // ejectionMs returns the ejection time of a server, after which it is checked: one latency objective for
-// a single failure, doubled with each further level. While no other server has capacity it is 0 for a
-// server that does respond: a server that fails some requests is better than rejecting all of them.
+// a single failure, doubled with each further level. While no other server has capacity, the ejection time
+// of a server that does respond is 0, because using a server that fails some requests is better than
+// rejecting all of them.
 func (o *outlierDetector) ejectionMs(s *server) float64 {
 	if o.queue.saturated && !s.unresponsive {
 		return 0
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -10,8 +10,8 @@
 	// pollSpacingMs is the mean interval between the agents' calls for the endpoint list when all agents
 	// start together, in milliseconds.
 	pollSpacingMs = 50.0
-	// maxPollDelayMs is the maximum spread, in milliseconds. A call without a response times out after
-	// 2.25 s, so an agent gets a change within 6 s of the start of such a call.
+	// maxPollDelayMs is the maximum spread of the calls, in milliseconds. A call without a response times out
+	// after 2.25 s, so an agent gets a change within 6 s of the start of such a call.
 	maxPollDelayMs = 2500.0
 	// maxPollDelayFraction is the maximum spread as a fraction of the time within which a call is due.
 	maxPollDelayFraction = 0.5
@@ -68,9 +68,9 @@
 // recordSuccess records a call that returned the list or a change of it.
 func (p *listPoller) recordSuccess() { p.failures = 0 }
 
-// fetch calls for the full list, but not more often than the minimum interval allows, as watch events are
-// just as fresh. If agents poll discovery for changes, fetch does nothing: after the first failures of a
-// server all agents would call, and their full lists would delay the calls that return changes.
+// fetch calls for the full list. It does so at most once per minimum interval, because watch events are just
+// as fresh. If agents poll discovery for changes, fetch does nothing: after the first failures of a server
+// all agents would call, and their full lists would delay the calls that return changes.
 func (p *listPoller) fetch() {
 	settings := &p.env.settings
 	interval := max(settings.Contract.PollWithinMs, minFetchIntervalMs)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -33,8 +33,8 @@
 // last returns the last request of the queue; after sort it has the lowest priority.
 func (q *requestQueue) last() *request { return q.requests[len(q.requests)-1] }
 
-// sort orders the queue by descending priority. Of requests with equal priority the newest comes first, as
-// under overload the oldest would only be served late.
+// sort orders the queue by descending priority. Among requests of equal priority the newest comes first:
+// under overload the oldest have already waited so long that they would be served late anyway.
 func (q *requestQueue) sort() {
 	for _, r := range q.requests {
 		r.priority = q.priority(r)
@@ -48,8 +48,8 @@
 	})
 }
 
-// priority returns the value that a unit of server time for the request adds to the objective: its part
-// of the total and, if the request is of the worst-served class, that of the class.
+// priority returns the value that a unit of server time spent on the request adds to the objective. That is
+// the value for the total and, if the request is of the worst-served class, also the value for that class.
 func (q *requestQueue) priority(r *request) float64 {
 	settings := &q.env.settings
 	objective := &settings.Objective
@@ -67,8 +67,8 @@
 }
 
 // isExpired reports whether a response to a queued request would come too late to be of use. While the
-// queue is saturated, newer requests take precedence over a request that can only be late, until its
-// deadline passes, so such a request counts as expired at once.
+// queue is saturated, a request that can only be served late counts as expired at once, because newer
+// requests would take precedence over it until its deadline passes.
 func (q *requestQueue) isExpired(r *request) bool {
 	latestResponse := r.objectiveAt
 	if r.class.LateFraction > 0 && !q.saturated {
--- a/policy/request.go
+++ b/policy/request.go
@@ -85,8 +85,8 @@
 }
 
 // mayAttemptAt reports whether the previous attempts of the request permit another one at the server, one
-// of serverCount in the endpoint list. The server must be unused by the request as long as there are
-// unused ones, and if the request may have executed already, a second execution must be harmless.
+// of serverCount in the endpoint list. A server that the request has already used is not permitted while
+// there are unused ones. If the request may have executed already, a second execution must be harmless.
 func (r *request) mayAttemptAt(s *server, env *environment, serverCount int) bool {
 	for _, a := range r.attempts {
 		if a.server == s && serverCount > len(r.attempts) {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -4,11 +4,12 @@
 
 const (
 	// loadCapFactor is the load cap of a server, as a multiple of its even share of the agent's attempts
-	// in flight. A request with a key moves on to the next server in the key's order at that load.
+	// in flight. If a server is at its load cap, a request with a key moves on to the next server in the
+	// key's order.
 	loadCapFactor = 3.0
 	// keyWaitFraction is the part of its latency objective for which a request waits for one of the
-	// preferred servers of its key. Moving on at once would miss the server's cache for the key just
-	// when the servers have no capacity to spare.
+	// preferred servers of its key. Moving on at once would use a server that may not have the key in its
+	// cache, which costs more work just when the servers have no capacity to spare.
 	keyWaitFraction = 0.25
 	// preferredServers is the number of preferred servers of a key, the first in the key's order.
 	preferredServers = 2
@@ -35,9 +36,9 @@
 	hasCandidates bool
 }
 
-// serverSelector selects the server of an attempt. It takes the best health tier that has candidates
-// and selects the first one, in the order of weighted rendezvous hashing, that is under its load cap
-// and has capacity.
+// serverSelector selects the server of an attempt. It takes the best health tier that has candidates.
+// From these it selects the first server, in the order of weighted rendezvous hashing, that is under its
+// load cap and has capacity.
 type serverSelector struct {
 	env         *environment
 	endpoints   *endpointList
@@ -54,8 +55,8 @@
 	return s.ready && r.mayAttempt(sel.env.now) && r.mayAttemptAt(s, sel.env, len(sel.endpoints.servers))
 }
 
-// choose selects a server for the request, or returns nil if none has capacity. As there may be
-// thousands of servers, it sorts none of them and computes the full score only of those that may come
+// choose selects a server for the request, or returns nil if none has capacity. Because there may be
+// thousands of servers, it does not sort them, and it computes the full score only of those that may come
 // first.
 func (sel *serverSelector) choose(r *request) *server {
 	r.tierWeight = 0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// maxSlowStartCredit is the maximum slow-start credit of a server, in attempts. All agents may use
-	// their credits at the same time, while the server's budget applies to a short window.
+	// maxSlowStartCredit is the maximum slow-start credit of a server, in attempts. It is small because all
+	// agents may use their credits at the same time, and the server's budget applies to a short window.
 	maxSlowStartCredit = 1.0
 	// slowStartMargin is the maximum cost of an even share of the load for a server in slow start, as a
-	// multiple of its present capacity. Warm servers save up to three quarters of the work with their
-	// caches.
+	// multiple of its present capacity. The cost can be that high because the caches of warm servers save
+	// them up to three quarters of the work.
 	slowStartMargin = 4.0
 )
 
@@ -146,11 +146,11 @@
 // In a window W a server of capacity C serves at most 2.5 C W attempts, if their keys are in its caches.
 // So the credits of all agents for a server at slow-start fraction k grow by
 // 2.5 C W k OverloadMultiple/slowStartMargin, which is 5/8 of the budget N = C W k OverloadMultiple.
-// As each agent starts with a random part of one attempt, the agents use that amount and a sum of
+// Because each agent starts with a random part of one attempt, the agents use that amount and a sum of
 // rounded parts whose variance is below N, which adds at most about 2 sqrt(N) + 2 attempts by chance.
 //
-// Attempts without a response do not count, as most of them may be rejected. Late responses of servers
-// that are draining or have failed do not count either, as the warm weight does not include them.
+// Attempts without a response do not count, because most of them may be rejected. Late responses of servers
+// that are draining or have failed do not count either, because the warm weight excludes these servers.
 func (ss *slowStart) grantCredits(responder *server) {
 	warm := ss.warmWeight()
 	if warm == 0 || !ss.isWarm(responder) {
@@ -169,7 +169,7 @@
 // accruedCredit returns the credit, in attempts, that a server in slow start gains with time while there
 // are no warm servers whose responses would add to it. It grows at the rate at which the warm servers
 // last served, and at least by one attempt of all agents together per overload window. The time while
-// there were warm servers does not count, as their responses have been credited already.
+// there were warm servers does not count, because their responses have already been credited.
 func (ss *slowStart) accruedCredit(s *server) float64 {
 	if ss.warmWeight() > 0 {
 		return 0
@@ -196,8 +196,8 @@
 
 // recordReachable records a response to a request or a health check by the server. If connects to the
 // server have failed for longer than an overload window, it may be a new process that the endpoint list
-// does not show yet, so it is assumed to have started now. Timeouts alone do not indicate a restart, and
-// fast responses do not rule one out, as a server in slow start is fast while it has little load.
+// does not show yet, so it is assumed to have started now. Timeouts alone do not indicate a restart. Fast
+// responses do not rule one out, because a server in slow start is fast while it has little load.
 func (ss *slowStart) recordReachable(s *server) {
 	unreachableMs := ss.env.now - s.unreachableSince
 	if s.unreachableSince > 0 && unreachableMs > ss.env.settings.Contract.OverloadWindowMs {
--- a/policy/zone.go
+++ b/policy/zone.go
@@ -5,14 +5,14 @@
 	// traffic to another zone takes longer and may have a cost.
 	minZonePreference = 1.5
 	maxZonePreference = 8.0
-	// zonePreferenceStep scales the relative change of the zone preference by one attempt.
+	// zonePreferenceStep scales the relative change of the zone preference that one attempt causes.
 	zonePreferenceStep = 0.1
 )
 
 // zonePreference is the factor that increases the weight of the servers in the agent's own zone in the
 // order of a request. The factor is in equilibrium when the fraction of the zone's attempts that miss the
-// objective equals the cost of traffic to another zone. It grows while the fraction is lower, and shrinks
-// while it is higher, as the zone then gets more load than its servers can serve.
+// objective equals the cost of traffic to another zone. The factor grows while that fraction is lower. It
+// shrinks while the fraction is higher, because the zone then gets more load than its servers can serve.
 type zonePreference struct {
 	env    *environment
 	factor float64
