--- a/internal/agent/config/config.go
+++ b/internal/agent/config/config.go
@@ -35,7 +35,8 @@
 	Kinds []string
 	// Membership is the configuration of the membership view that the agents keep; nil if they keep none.
 	Membership *membership.Config
-	// Control selects what the discovery service sends in addition to the list, and from which addresses; nil if nothing.
+	// Control selects what the discovery service sends in addition to the list, and from which further addresses. It is
+	// nil if the file has no section "control".
 	Control *Control
 
 	// The fields below are not part of the file; the host process of the agent sets them before the start.
@@ -64,7 +65,7 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// Hooks are functions that are called on events of the agent, except those that are nil. They are called from
+// Hooks are functions that are called on events of the agent. A nil hook is not called. Hooks are called from
 // goroutines of the agent and must not block, because the agent waits for them.
 type Hooks struct {
 	// OnList is called with each version of the endpoint list after it has been passed to the policy, including the list
--- a/internal/agent/config/document.go
+++ b/internal/agent/config/document.go
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// missingWithin returns a key that is present within the value of a key but missing from its successor; ok is false if
-// the successor has another type.
+// missingWithin compares the value of a key with its successor. It returns a key that is present within the value but
+// missing from the successor, or "" if there is none. ok is false if the successor has another type.
 func missingWithin(key string, value, successor any) (within string, ok bool) {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/agent/config/limits.go
+++ b/internal/agent/config/limits.go
@@ -3,7 +3,8 @@
 import "fernbeam.example/fernbeam/internal/membership"
 
 const (
-	// minSockets is the smallest limit that leaves each side a few connections in addition to the reserve.
+	// minSockets is the smallest allowed limit on descriptors. It leaves a few connections to each side, in addition to
+	// the reserve.
 	minSockets = 64
 	// fixedSockets is the number of descriptors that a process always needs: three for the standard streams, two for the
 	// network poller, two for its listeners, one for the lock, four for calls to discovery, one for the file read at a
@@ -29,7 +30,8 @@
 	return (sockets - reserve) / 2
 }
 
-// MaxServerConns returns the maximum number of connections to servers: the other half.
+// MaxServerConns returns the maximum number of connections to servers: the other half of the descriptors outside the
+// reserve.
 func (c *Config) MaxServerConns() int { return c.MaxClientConns() }
 
 // MaxAdminConns returns the maximum number of admin connections of each process if the given number of processes share
--- a/internal/agent/config/settings.go
+++ b/internal/agent/config/settings.go
@@ -42,8 +42,8 @@
 }
 
 // WithServiceSettings returns a copy of the configuration with its settings, except agentOnlyKeys, replaced by those of
-// the discovery service. As with Reload, errors name the key that is invalid, or that the settings in force have and
-// the new ones lack.
+// the discovery service. Errors name the key that is invalid. As with Reload, it is also an error if the new settings
+// lack a key that those in force have.
 func (c *Config) WithServiceSettings(settings *endpoint.Settings) (*Config, error) {
 	var object document
 	if err := json.Unmarshal(settings.Value, &object); err != nil || object == nil {
@@ -66,15 +66,15 @@
 	return &next, nil
 }
 
-// KeepServiceSettings returns the configuration, which was read from a file, with the settings of the one in force if
-// those came from the discovery service: they take precedence over the settings of a file.
+// KeepServiceSettings returns c, which was read from a file. If the settings in force came from the discovery service,
+// the result has those settings, because they take precedence over the settings of a file.
 func (c *Config) KeepServiceSettings(inForce *Config) (*Config, error) {
 	if inForce.serviceSettings == nil {
 		return c, nil
 	}
 	next := *c
 	if ownObject, ok := c.document.section(settingsKey); ok {
-		// The file's other settings are not in force, so they are not required of the next settings.
+		// The file's other settings are not in force, so the next settings need not contain their keys.
 		next.document = c.document.withSection(settingsKey, ownObject.only(agentOnlyKeys))
 	}
 	return next.WithServiceSettings(inForce.serviceSettings)
--- a/internal/agent/discovery/client.go
+++ b/internal/agent/discovery/client.go
@@ -23,9 +23,9 @@
 
 const (
 	// watchWait is how long discovery may delay the response to a watch call while there is no change. After any
-	// failure, a change must reach the agent within 6 s from when discovery has it and is reachable. A call that is
-	// open when discovery stops responding times out after watchWait + callGrace, 2.25 s. The next one follows within
-	// maxWatchBackoff, or within 2.5 s if the policy schedules it, and has the rest of the 6 s.
+	// failure, a change must reach the agent within 6 s of the time at which discovery has the change and is reachable.
+	// A call that is open when discovery stops responding times out after watchWait + callGrace, 2.25 s. The next call
+	// follows within maxWatchBackoff, or within 2.5 s if the policy schedules it, and may take the rest of the 6 s.
 	watchWait = time.Second
 	// callGrace is the time allowed for a call in addition to its wait. Discovery drops calls that have been queued
 	// for a second.
@@ -46,8 +46,8 @@
 var errOlderVersion = errors.New("discovery: response with an older version")
 
 // Client makes the calls that the policy requests and passes on their responses. A failed call ends the watch and is
-// reported to the policy as ListFailed, and the policy decides when to call again, by a timer with exponential backoff
-// and jitter. If changes are pushed, the policy requests no calls, and KeepWatch maintains a watch.
+// reported to the policy as ListFailed. The policy then decides when to call again: it sets a timer with exponential
+// backoff and jitter. If changes are pushed, the policy requests no calls, and KeepWatch maintains a watch.
 type Client struct {
 	client     *http.Client
 	limit      *rate.Limiter
@@ -85,10 +85,12 @@
 // Options are the parameters of a Client besides the agent's configuration.
 type Options struct {
 	Clock clock.Clock
-	// OnResponse is called at the end of each call.
+	// OnResponse is called when a call to the discovery service ends, whether it succeeded or failed. It is not called
+	// for a watch response without changes (unless it is the first one of the watch), for a call that is repeated because
+	// of MoveTo, or once the context of the call is done.
 	OnResponse func(Response)
-	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration requests
-	// none.
+	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration does not
+	// request such settings.
 	ApplySettings ApplySettings
 }
 
@@ -134,15 +136,16 @@
 	}
 }
 
-// KeepsOwnWatch reports whether the client has the section "control", and so maintains its watch by itself.
+// KeepsOwnWatch reports whether the client maintains its watch by itself. It does so if the agent's configuration has
+// the section "control".
 func (c *Client) KeepsOwnWatch() bool { return c.backoff != nil }
 
 // ForgetRejectedSettings makes the client request and check rejected settings again.
 func (c *Client) ForgetRejectedSettings() { c.settingsWatch.forgetRejection() }
 
-// MoveTo makes the client call other addresses. Calls in flight are repeated there for the full list, as the new source
-// may have its own versions. Idle connections to the old source are closed. Which of several addresses is called first
-// depends on the agent's name.
+// MoveTo makes the client call other addresses. Calls in flight are repeated there and request the full list, because
+// the new source may have its own versions. Idle connections to the old source are closed. Which of several addresses
+// is called first depends on the agent's name.
 func (c *Client) MoveTo(addrs ...string) {
 	c.mu.Lock()
 	old := c.source
@@ -202,7 +205,7 @@
 		source.answered.Store(int64(c.clock.Monotonic()))
 		return list, nil
 	}
-	// Idle connections may have failed together with this one, so that the next call must open a new one.
+	// Idle connections may have failed together with this one, so the next call must open a new connection.
 	c.client.CloseIdleConnections()
 	if source.moved.Err() != nil {
 		return nil, errMoved
--- a/internal/agent/discovery/settings_watch.go
+++ b/internal/agent/discovery/settings_watch.go
@@ -18,8 +18,8 @@
 // ErrAgentStopping is the error of applying settings to an agent that is stopping.
 var ErrAgentStopping = errors.New("agent is stopping")
 
-// ApplySettings puts settings in force and returns when they are. If they are rejected, the error is the reason. It is
-// ErrAgentStopping once no settings are applied any more.
+// ApplySettings puts settings in force and returns once they are in force. If the settings are rejected, it returns the
+// reason as an error. Once the agent applies no more settings, that error is ErrAgentStopping.
 type ApplySettings func(context.Context, *endpoint.Settings) error
 
 // settingsWatch is the part of the discovery watch that requests the settings of a service and reports which version is
--- a/internal/agent/discovery/source.go
+++ b/internal/agent/discovery/source.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// addressRing holds the addresses of a source, and calls go to one of them until a call fails.
+// addressRing holds the addresses of a source. All calls go to the current address until one of them fails.
 type addressRing struct {
 	addrs   []string
 	current atomic.Uint32
--- a/internal/agent/discovery/watch.go
+++ b/internal/agent/discovery/watch.go
@@ -48,7 +48,7 @@
 		if settings == nil {
 			next = c.startWatchCall(ctx)
 		}
-		// An empty response has no changes, but the first one shows that the watch is open.
+		// A response without changes is passed on only if it is the first one, which shows that the watch is open.
 		if !answered || response.Complete || response.List.Full || len(response.List.Servers) > 0 {
 			c.onResponse(response)
 		}
--- a/internal/agent/dispatch/attempt.go
+++ b/internal/agent/dispatch/attempt.go
@@ -51,8 +51,8 @@
 	l.runAttempt(r, index, sendBy, deadline)
 }
 
-// checkForward returns the reason why an attempt must not be started, or nil if it may. It closes the request if its
-// client has disconnected, and logs a violation if the action breaks a rule.
+// checkForward returns the reason why an attempt must not be started, or nil if it may be started. It closes the
+// request if its client has disconnected, and logs a violation if the attempt breaks a rule.
 func (l *Loop) checkForward(r *request, server *listedServer, now, deadline time.Time) error {
 	if !r.closed && r.incoming.Context.Err() != nil {
 		// The downstream server's notification has not arrived yet.
@@ -82,9 +82,10 @@
 	})
 }
 
-// retryDeadline returns the time until which a retry of a request that is idempotent by key may be sent, because
-// servers detect duplicates only within the deduplication window. The policy's own check is not sufficient, as
-// connecting may take long. A round trip is left for the request to arrive. The zero time means no limit.
+// retryDeadline returns the latest time at which a retry of a request may be sent. A request that is idempotent by key
+// has such a limit, because servers detect duplicates only within the deduplication window. The policy's own check is
+// not sufficient, because connecting may take long. The limit leaves a round trip for the request to arrive. The zero
+// time means no limit.
 func (l *Loop) retryDeadline(r *request) time.Time {
 	rules := r.incoming.Rules
 	if r.mayHaveExecuted == 0 || rules.Idempotency != balancer.IdempotentByKey {
@@ -164,8 +165,8 @@
 	l.endpoints.forget(ended.server)
 }
 
-// respondTo sends the final response to a request if the attempt's result determines it. All other responses are left
-// to the policy.
+// respondTo sends the final response to a request if the attempt's result determines that response. Otherwise it leaves
+// the decision to the policy.
 func (l *Loop) respondTo(r *request, result *upstream.Result) {
 	switch {
 	case r.closed:
--- a/internal/agent/dispatch/dispatcher.go
+++ b/internal/agent/dispatch/dispatcher.go
@@ -7,7 +7,7 @@
 	"fernbeam.example/fernbeam/internal/membership"
 )
 
-// Loop implements the Dispatcher interface of the downstream server. Each method posts its work to the loop.
+// Loop implements the Dispatcher interface of the downstream server. Each of its methods posts its work to the loop.
 
 // Dispatch passes a client's request to the policy.
 func (l *Loop) Dispatch(incoming *message.Request) { l.Post(func() { l.startRequest(incoming) }) }
@@ -15,7 +15,7 @@
 // Abandon ends a request whose client no longer waits for the response.
 func (l *Loop) Abandon(incoming *message.Request) { l.Post(func() { l.abandonRequest(incoming) }) }
 
-// CancelStreaming cancels the attempts whose streamed body is still being sent to a server.
+// CancelStreaming cancels the attempts of requests whose streamed body is still being sent to a server.
 func (l *Loop) CancelStreaming() { l.Post(l.cancelStreaming) }
 
 // EndAll sends the final response to every open request.
--- a/internal/agent/dispatch/endpoint_list.go
+++ b/internal/agent/dispatch/endpoint_list.go
@@ -78,7 +78,8 @@
 	removed    []*listedServer
 }
 
-// apply applies a list and returns the changes. started returns the start time of a server's process as event time.
+// apply applies a list and returns the changes. The function started returns, in event time, when a server's process
+// started.
 func (l *endpointList) apply(
 	list *endpoint.List, update balancer.ListUpdate, started func(*endpoint.Endpoint) float64,
 ) listChanges {
@@ -158,7 +159,7 @@
 	return len(index)
 }
 
-// forget drops a removed server once nothing is in flight to it. The policy has already forgotten it by then.
+// forget drops a removed server once nothing is in flight to it. By then the policy has already dropped the server.
 func (l *endpointList) forget(server *listedServer) {
 	if server.removed && server.inFlight == 0 && l.byID[server.id] == server {
 		delete(l.byID, server.id)
--- a/internal/agent/dispatch/event_clock.go
+++ b/internal/agent/dispatch/event_clock.go
@@ -6,8 +6,8 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// eventClock provides event time, the timestamps of the policy's events in milliseconds: the Unix time at the agent's
-// start, advanced by the monotonic clock, so that steps of the wall clock have no effect.
+// eventClock provides event time, the time scale of the policy's events, in milliseconds. Event time is the Unix time
+// at the agent's start, advanced by the monotonic clock, so that later steps of the wall clock have no effect on it.
 type eventClock struct {
 	clock.Clock
 	baseMs float64
--- a/internal/agent/dispatch/list_updates.go
+++ b/internal/agent/dispatch/list_updates.go
@@ -8,7 +8,7 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// openWatch opens a watch unless one is open already, as a second one would return the same changes.
+// openWatch opens a watch unless one is already open, because a second one would return the same changes.
 func (l *Loop) openWatch() {
 	if !l.list.watching {
 		l.list.watching = true
@@ -67,8 +67,9 @@
 		"from", l.list.version, "to", list.Version, "endpoints", len(list.Servers))
 }
 
-// followSource reports whether a response comes from the source in use, and switches to the current source of discovery
-// at its first response, whose list replaces the one in force. Until then the previous source remains in use.
+// followSource reports whether a response comes from the source in use. After discovery has moved, the previous source
+// remains in use until the new one responds for the first time. followSource then switches to the new source, and the
+// list of that response replaces the one in force.
 func (l *Loop) followSource(response *discovery.Response) bool {
 	if response.Source == l.list.source {
 		return true
--- a/internal/agent/dispatch/loop.go
+++ b/internal/agent/dispatch/loop.go
@@ -72,8 +72,8 @@
 	Pool *upstream.Pool
 	// OnServersReady is called each time a list with a ready server comes into force.
 	OnServersReady func()
-	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration requests
-	// none.
+	// ApplySettings is called with settings from the discovery service. It may be nil if the configuration does not
+	// request such settings.
 	ApplySettings discovery.ApplySettings
 }
 
@@ -108,8 +108,8 @@
 	return l, nil
 }
 
-// Post queues a function for execution by the loop. It must not be called from the loop, as it blocks while the queue
-// is full.
+// Post queues a function for execution by the loop. It must not be called from the loop, because it blocks while the
+// queue is full.
 func (l *Loop) Post(task func()) {
 	select {
 	case l.inbox <- task:
--- a/internal/agent/dispatch/metrics.go
+++ b/internal/agent/dispatch/metrics.go
@@ -15,8 +15,8 @@
 type Metrics struct {
 	// Requests counts the requests that reached the event loop.
 	Requests int
-	// Served and ServedLate count the requests served within their latency objective and after it, Rejected and Failed
-	// those that were not served, and ClientsGone those abandoned by their client.
+	// Served counts the requests served within their latency objective, and ServedLate those served after it. Rejected
+	// and Failed count the requests that were not served, and ClientsGone those abandoned by their client.
 	Served, ServedLate, Rejected, Failed, ClientsGone int
 	// Invalid counts the requests that did not conform to the protocol.
 	Invalid int
@@ -38,7 +38,8 @@
 	AcceptFailures int
 	// Unlogged counts the log lines that were dropped.
 	Unlogged int
-	// ListIn and ListOut count the bytes of calls to discovery including headers, and ListCalls the calls.
+	// ListIn and ListOut count the bytes received and sent in calls to discovery, including headers. ListCalls counts the
+	// calls.
 	ListIn, ListOut, ListCalls uint64
 }
 
--- a/internal/agent/dispatch/request.go
+++ b/internal/agent/dispatch/request.go
@@ -13,8 +13,8 @@
 	// The backstop responds maxBackstopMargin before the client's deadline, well after the policy should have responded.
 	// The margin is at most the request's timeout divided by backstopTimeoutDivisor.
 	maxBackstopMargin, backstopTimeoutDivisor = 4 * time.Millisecond, 16
-	// maxPolicyMargin is subtracted from the remaining time of a request that is passed to the policy, because the result
-	// of the last attempt takes time to reach the client. The margin is at most the remaining time divided by
+	// maxPolicyMargin is subtracted from a request's remaining time before that time is passed to the policy, because the
+	// result of the last attempt takes time to reach the client. The margin is at most the remaining time divided by
 	// policyTimeLeftDivisor.
 	maxPolicyMargin, policyTimeLeftDivisor = 8 * time.Millisecond, 8
 )
@@ -60,8 +60,8 @@
 	r.mayHaveExecuted++
 }
 
-// startRequest passes a request to the policy. It rejects the request if the limit of open requests is exceeded, as the
-// simulator does, where such requests never reach the instance, or if no time is left.
+// startRequest passes a request to the policy. It rejects the request instead if no time is left or if the limit of
+// open requests is exceeded. The simulator also applies that limit: there, such requests never reach the agent.
 func (l *Loop) startRequest(incoming *message.Request) {
 	l.metrics.Requests++
 	r := l.requests.open(incoming)
@@ -87,7 +87,7 @@
 }
 
 // streamedBodySent is called when the last byte of a streamed body has been written. The request's timeout starts at
-// that byte, as the server can execute the request only then.
+// that byte, because the server can't execute the request before it.
 func (l *Loop) streamedBodySent(r *request, index int) {
 	r.sendingBody = false
 	if r.closed {
@@ -131,8 +131,8 @@
 	}
 }
 
-// cancelStreaming cancels the attempts whose streamed body is still being sent to a server. No server has received the
-// whole body, so the client can safely retry through another process.
+// cancelStreaming cancels the attempts of requests whose streamed body is still being sent to a server. No server has
+// received the whole body of such a request, so the client can safely retry the request through another agent process.
 func (l *Loop) cancelStreaming() {
 	for _, r := range l.requests.byID {
 		if len(r.attempts) > 0 && r.sendingBody {
@@ -141,8 +141,8 @@
 	}
 }
 
-// endAllRequests sends the final response to every open request, because the process is about to be killed and requests
-// without one would be lost. Requests that can't have executed are rejected, so that their clients can retry.
+// endAllRequests sends the final response to every open request. The process is about to be killed, and requests
+// without a response would be lost. Requests that can't have executed are rejected, so that their clients can retry.
 func (l *Loop) endAllRequests() {
 	for _, r := range l.requests.byID {
 		if r.closed {
@@ -181,8 +181,8 @@
 	l.handle(&balancer.Event{Kind: balancer.EventClientGone, Request: r.id})
 }
 
-// reject sends a rejection, which means that a retry is safe. The request fails instead if an attempt may have executed
-// and a retry could execute it again.
+// reject sends a rejection, which tells the client that a retry is safe. If an attempt may have executed and a retry
+// could execute the request again, reject sends a failure instead.
 func (l *Loop) reject(r *request, retryAfterMs float64) {
 	if r.mayHaveExecuted > 0 && !safeToRetryAnywhere(r.incoming.Rules) {
 		l.logViolation(errUnsafeRejection, "id", r.incoming.ID)
--- a/internal/agent/dispatch/request_rules.go
+++ b/internal/agent/dispatch/request_rules.go
@@ -20,7 +20,8 @@
 	errUnsafeRejection   = errors.New("rejection after an attempt that may have executed")
 )
 
-// checkRules returns the rule that an attempt would violate, or nil if it is allowed. It does not rely on the policy.
+// checkRules returns an error that names the rule that an attempt would violate, or nil if the attempt is allowed. It
+// also checks rules that the policy itself should respect.
 func checkRules(r *request, server *listedServer, now, deadline time.Time) error {
 	rules := r.incoming.Rules
 	switch {
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// safeToRetryAnywhere reports whether a request that has executed may be retried through any agent.
+// safeToRetryAnywhere reports whether a request with the given rules may be retried through any agent even if the
+// request has already executed.
 func safeToRetryAnywhere(rules *balancer.RequestRules) bool {
 	switch rules.Idempotency {
 	case balancer.NonIdempotent:
--- a/internal/agent/dispatch/settings.go
+++ b/internal/agent/dispatch/settings.go
@@ -13,8 +13,8 @@
 	l.Post(func() { _ = l.applyConfig(cfg) }) // errors are logged by applyConfig
 }
 
-// ApplyServiceSettings puts a configuration with settings of the discovery service in force, or rejects them, and calls
-// done with the result, all in a single step of the loop.
+// ApplyServiceSettings puts a configuration with settings of the discovery service in force, or rejects these settings.
+// It then calls done with the result. All of this happens in a single step of the loop.
 func (l *Loop) ApplyServiceSettings(cfg *config.Config, done func(error)) {
 	l.Post(func() {
 		err := l.applyConfig(cfg)
@@ -25,7 +25,8 @@
 	})
 }
 
-// RejectSettings counts and logs settings of the discovery service that can't be used, and calls done in the loop.
+// RejectSettings counts and logs settings of the discovery service that can't be used because of err. It calls done
+// with err in the loop.
 func (l *Loop) RejectSettings(version uint64, err error, done func(error)) {
 	l.Post(func() {
 		l.recordRejectedSettings(version, err)
@@ -33,7 +34,8 @@
 	})
 }
 
-// ForgetRejectedSettings causes rejected settings to be sent and checked again, as the reason may no longer exist.
+// ForgetRejectedSettings makes the agent request and check rejected settings again, because the reason for the
+// rejection may no longer exist.
 func (l *Loop) ForgetRejectedSettings() { l.discovery.ForgetRejectedSettings() }
 
 // applyConfig applies the parts of a configuration that can change at run time: the settings and the addresses of
--- a/internal/agent/dispatch/start_times.go
+++ b/internal/agent/dispatch/start_times.go
@@ -28,12 +28,13 @@
 // startTimeTable converts the start times of servers, which are listed as wall-clock times, to event time. The event
 // time of a process is determined when it is first listed, so later steps of a wall clock do not change it.
 //
-// At its first list an agent has to trust its own wall clock. A start time in the future counts as now. Later start
-// times may come from a clock that was stepped together with the agent's, or independently of it, so the lower of the
-// ages by the wall clock and by the event clock is used. An age is wrong if the process would have been listed at the
-// previous response, or if the process would be older than its predecessor. The process then counts as started now,
-// because too little traffic to a server for a time costs less than too much traffic to a server in slow start. An
-// error below maxListingDelay of a clock that has been wrong since the agent's start is not detected.
+// For its first list an agent has to trust its own wall clock. A start time in the future counts as now. Later start
+// times may come from a clock that was stepped together with the agent's clock, or independently of it. Therefore the
+// age of a process is computed both by the wall clock and by the event clock, and the lower age is used. That age must
+// be wrong if by it the process would already have been listed in the previous response, or would be older than its
+// predecessor. The process then counts as started now, because too little traffic to a server for a time costs less
+// than too much traffic to a server in slow start. If a clock has been wrong by less than maxListingDelay since the
+// agent's start, the error is not detected.
 type startTimeTable struct {
 	clock *eventClock
 	known map[string]processStart // by the server's id
@@ -87,8 +88,8 @@
 	return min(byEventClock, byWallClock)
 }
 
-// prune removes the start times of unlisted servers once there are more than maxUnlistedStarts. Until then they are
-// kept, as a server may be listed again with the same process.
+// prune removes the start times of unlisted servers once there are more than maxUnlistedStarts of them. Until then they
+// are kept, because a server may be listed again with the same process.
 func (t *startTimeTable) prune(listed map[string]*listedServer) {
 	if len(t.known) <= len(listed)+maxUnlistedStarts {
 		return
--- a/internal/agent/dispatch/status.go
+++ b/internal/agent/dispatch/status.go
@@ -7,8 +7,8 @@
 	Servers     int
 	// SettingsVersion is the version of the settings in force, or 0 if they come from a file.
 	SettingsVersion uint64
-	// ListIn and ListOut count the bytes of calls to discovery including headers, and ListCalls the calls, since the
-	// agent's start.
+	// ListIn and ListOut count the bytes received and sent in calls to discovery since the agent's start, including
+	// headers. ListCalls counts these calls.
 	ListIn, ListOut, ListCalls uint64
 }
 
--- a/internal/agent/downstream/conn.go
+++ b/internal/agent/downstream/conn.go
@@ -55,8 +55,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// wokenToClose reports whether the reader was woken to close the connection. If so it restores the reader's own
-// deadline, because nothing can be read after the expired one.
+// wokenToClose reports whether the reader was woken to close the connection. If so, it restores the reader's own
+// deadline, because nothing can be read while the expired one is set.
 func (c *clientConn) wokenToClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agent/downstream/conns.go
+++ b/internal/agent/downstream/conns.go
@@ -14,7 +14,7 @@
 const (
 	// drainSweepInterval is the interval at which idle connections are closed while the server drains.
 	drainSweepInterval = 50 * time.Millisecond
-	// openShareNumerator and openShareDenominator are the share of the connection limit above which idle connections are
+	// openShareNumerator/openShareDenominator is the fraction of the connection limit above which idle connections are
 	// closed.
 	openShareNumerator, openShareDenominator = 7, 8
 )
@@ -28,12 +28,13 @@
 )
 
 // clientConns tracks the client connections and closes those that have been idle longest when their number approaches
-// the limit. Clients keep idle connections indefinitely, and without this, clients that wait to be accepted would wait
-// as long.
+// the limit. Clients keep idle connections indefinitely. If the agent closed none of them, clients that wait to be
+// accepted would wait indefinitely too.
 //
-// It checks both when a connection is accepted and when one becomes idle: no connection is accepted at the limit, so if
-// all connections became idle only then, no descriptor would ever become free. A connection that is being closed is not
-// counted and not selected again. If a request turns out to have arrived on it, another connection is closed instead.
+// The number is checked both when a connection is accepted and when one becomes idle. A check at the accept alone would
+// not suffice: no connection is accepted at the limit, so if all connections became idle only then, no descriptor would
+// ever become free. A connection that is being closed is not counted and not selected again. If a request turns out to
+// have arrived on it, another connection is closed instead.
 type clientConns struct {
 	slots     message.Quota
 	mu        sync.Mutex
--- a/internal/agent/downstream/drain.go
+++ b/internal/agent/downstream/drain.go
@@ -12,12 +12,12 @@
 
 const (
 	// drainAcceptTime is how long new connections are expected after SIGTERM or the start of a drain: clients connect for
-	// up to 0.4 s, and the accept queue may still hold connections then. Idle connections are closed after it.
+	// up to 0.4 s, and the accept queue may still hold connections then. Idle connections are closed only after this time.
 	drainAcceptTime = 500 * time.Millisecond
 	// maxCoveredTimeout is the longest request timeout that the platform's delay between SIGTERM and SIGKILL covers.
 	maxCoveredTimeout = 3 * time.Second
-	// minDrainTime is added to drainAcceptTime if no class has a timeout. responseWriteTime is the time allowed for
-	// writing the last response.
+	// minDrainTime is the least time added to drainAcceptTime, even if no class has a timeout. responseWriteTime is the
+	// time allowed for writing the last response.
 	minDrainTime, responseWriteTime = 100 * time.Millisecond, 50 * time.Millisecond
 	// shutdownAdmitTime is how long after SIGTERM requests are admitted. A later request could still be unanswered at
 	// SIGKILL and be lost, while a rejected one can be sent to another process.
@@ -102,7 +102,8 @@
 	return s.awaitClients(drainTimer, drainTime)
 }
 
-// rejectNew rejects requests that are still arriving, and cancels those whose streamed body is still being received.
+// rejectNew makes the server reject requests that it has not read yet. It also cancels the attempts of requests whose
+// streamed body is still being received.
 func (s *Server) rejectNew() {
 	s.rejectingNew.Store(true)
 	s.dispatcher.CancelStreaming()
@@ -134,9 +135,9 @@
 	}
 }
 
-// acceptQueued accepts the connections that are still queued, which may have to wait for a slot: closing the listener
-// would reset them. If the timer fires first, the remaining ones are abandoned, and the timer is reset to fire again at
-// once.
+// acceptQueued accepts the connections that are still queued, because closing the listener would reset them. They may
+// have to wait for a slot. If the timer fires first, the remaining connections are abandoned, and the timer is reset to
+// fire again at once.
 func (s *Server) acceptQueued(drainTimer *time.Timer) {
 	if !s.listener.finishQueue() {
 		return
--- a/internal/agent/downstream/listener.go
+++ b/internal/agent/downstream/listener.go
@@ -10,8 +10,8 @@
 	"fernbeam.example/fernbeam/internal/agent/socket"
 )
 
-// queuePollInterval is the interval at which the accept queue is polled while no slot is free. It bounds the error of
-// the time that a request is known to have waited there.
+// queuePollInterval is the interval at which the accept queue is polled while no slot is free. It limits the error in
+// the time that a request is assumed to have waited in the queue.
 const queuePollInterval = 25 * time.Millisecond
 
 // clientListener accepts as many connections as there are slots. Further clients wait in the accept queue, where they
--- a/internal/agent/downstream/request.go
+++ b/internal/agent/downstream/request.go
@@ -52,7 +52,8 @@
 			return request, invalid
 		}
 	}
-	// The request's timeout starts when its last byte has arrived; for a streamed body it is restarted then.
+	// The request's timeout starts when its last byte has arrived. For a streamed body it starts now, and is restarted
+	// when the last byte has arrived.
 	request.ArrivedAt = time.Now()
 	if ok && !conn.queuedAt.IsZero() {
 		request.ArrivedAt = conn.queuedAt
--- a/internal/agent/downstream/server.go
+++ b/internal/agent/downstream/server.go
@@ -43,7 +43,7 @@
 	Dispatch(request *message.Request)
 	// Abandon ends a request whose client has stopped waiting for the response.
 	Abandon(request *message.Request)
-	// CancelStreaming cancels the attempts whose streamed body is still being sent.
+	// CancelStreaming cancels the attempts of requests whose streamed body is still being sent to a server.
 	CancelStreaming()
 	// EndAll gives every open request its final response.
 	EndAll()
@@ -145,8 +145,8 @@
 	s.classes.Store(classes)
 }
 
-// Start accepts clients in a new goroutine until the listener is closed, then sends the result of serving on ended. It
-// does not need the receiver to be ready.
+// Start accepts clients in a new goroutine until the listener is closed. The goroutine then sends the result of serving
+// on the channel ended. Start itself does not wait for a receiver.
 func (s *Server) Start(ended chan<- error) {
 	s.accepting.Add(1) // before a shutdown can wait for accepting
 	go func() { ended <- s.serve() }()
@@ -209,7 +209,7 @@
 		_ = control.SetReadDeadline(time.Now().Add(message.BodyGracePeriod)) // client connections support deadlines
 	}
 	// The HTTP server decodes a chunked body and ignores a Content-Length given along with it. By that length, the bytes
-	// after the chunks could still be body and must not be read as a request, so the connection is closed.
+	// after the chunks could still belong to the body. They must not be read as a request, so the connection is closed.
 	if len(req.TransferEncoding) > 0 || s.draining.Load() {
 		closeAfterResponse(w)
 	}
--- a/internal/agent/message/body_stream.go
+++ b/internal/agent/message/body_stream.go
@@ -82,8 +82,7 @@
 	})
 }
 
-// Detach ends a stream that has not been handed out, without calling OnEnd. The connection remains with the
-// attempt.
+// Detach ends a stream that has not been passed on, without calling OnEnd. The attempt keeps the connection.
 func (s *BodyStream) Detach() {
 	s.closeOnce.Do(func() { close(s.done) })
 }
@@ -95,8 +94,8 @@
 	return chunk.bytes, chunk.err
 }
 
-// Buffer collects chunks until the body ends, exceeds limit bytes or takes longer than timeout. It reserves no bytes
-// of a budget. The collected bytes are returned even with a non-nil error.
+// Buffer collects chunks until the body ends, exceeds limit bytes or takes longer than timeout. It reserves no bytes of
+// a budget; that is left to the caller. The collected bytes are returned even with a non-nil error.
 func (s *BodyStream) Buffer(limit int64, timeout time.Duration) (BufferedPart, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/agent/message/message.go
+++ b/internal/agent/message/message.go
@@ -40,7 +40,7 @@
 // The values of ResponseKind.
 const (
 	Served   ResponseKind = iota // a server responded with status 200
-	Rejected                     // a retry is safe, as no server has executed the request
+	Rejected                     // a retry is safe: the request has not executed, or may execute again
 	Failed                       // any other outcome
 )
 
--- a/internal/agent/message/quota.go
+++ b/internal/agent/message/quota.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// bodyBudgetDivisor is the divisor that gives the share of the memory limit for buffered bodies. The memory for streams
-// and the rest of the process grows with the number of connections, which is bounded by the descriptor limit.
+// bodyBudgetDivisor determines the budget for buffered bodies: 1/bodyBudgetDivisor of the memory limit. The memory for
+// streams and the rest of the process grows with the number of connections, which is bounded by the descriptor limit.
 const bodyBudgetDivisor = 6
 
 // Quota limits the process's use of a resource.
--- a/internal/agent/message/request_body.go
+++ b/internal/agent/message/request_body.go
@@ -14,16 +14,16 @@
 	MaxBufferedBody = 64 << 10
 	// MaxRequestBody is the size limit for request bodies: 1.5 times the largest that clients send.
 	MaxRequestBody = 48 << 20
-	// BodyGracePeriod and minBodyRate (bytes per second) limit the time that a client may take to send a body: the
-	// grace period plus the time for the received bytes at minBodyRate, which is half of the rate guaranteed to
-	// well-behaved clients. No pause may exceed the grace period, because stalled connections have to be closed
+	// BodyGracePeriod and minBodyRate (bytes per second) limit the time that a client may take to send a body. The limit
+	// is the grace period plus the time that the received bytes take at minBodyRate, which is half of the rate guaranteed
+	// to well-behaved clients. No pause may exceed the grace period, because stalled connections have to be closed
 	// within 3 s.
 	BodyGracePeriod, minBodyRate = 2500 * time.Millisecond, 32 << 10
 	// LingerTimeout limits how long the agent continues to read after a request that was not accepted, so that the
 	// client can read the response.
 	LingerTimeout = 300 * time.Millisecond
-	// StallTimeout is how long the transfer of a streamed body to or from a server, or to a client, may make no
-	// progress.
+	// StallTimeout is the maximum time without progress in the transfer of a streamed body to a server, from a server or
+	// to a client.
 	StallTimeout = 10 * time.Second
 )
 
@@ -39,7 +39,7 @@
 	end      atomic.Pointer[bodyEnd] // nil: the body is still arriving
 }
 
-// bodyEnd is the error that ended a body, io.EOF if it is complete, and the time.
+// bodyEnd is the error that ended a body (io.EOF if the body is complete) and the time at which it ended.
 type bodyEnd struct {
 	err error
 	at  time.Time
@@ -67,8 +67,8 @@
 }
 
 // readDeadlineAfter returns the read deadline of a client connection after a body that ended with err. After a complete
-// body there is none, as the server reads on to detect that the client closes the connection. After an incomplete one
-// the rest is read for LingerTimeout.
+// body there is no deadline, because the server reads on to detect that the client closes the connection. After an
+// incomplete body, the agent continues to read for LingerTimeout.
 func readDeadlineAfter(err error) time.Time {
 	if errors.Is(err, io.EOF) {
 		return time.Time{}
@@ -91,8 +91,8 @@
 	return end.err
 }
 
-// ResponseDeadline returns the deadline of the response, where timeout counts from the last byte of the body. While the
-// body is incomplete it counts from now, as the last byte may have arrived unread if the server has stopped reading.
+// ResponseDeadline returns the deadline of the response. The timeout counts from the last byte of the body. While the
+// body is incomplete, it counts from now: if the server has stopped reading, the last byte may have arrived unread.
 func (b *ClientBody) ResponseDeadline(timeout time.Duration) time.Time {
 	if end := b.end.Load(); end != nil {
 		return end.at.Add(timeout)
--- a/internal/agent/message/response_body.go
+++ b/internal/agent/message/response_body.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BufferingTime limits how long the first bytes of a response of unknown length are buffered before they are forwarded,
-// so that they are not held back if the response is long.
+// BufferingTime limits how long the first bytes of a response of unknown length are buffered before they are forwarded.
+// Without the limit, the first bytes of a response that takes long would be held back.
 const BufferingTime = 250 * time.Millisecond
 
 // ResponseBody is the body of a response to the client. Its last owner must call Release.
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -154,7 +154,7 @@
 	case result.reusable && !cancelled:
 		p.release(conn, server)
 	default:
-		// A cancellation that has begun may still set its expired deadline, which would fail the connection's next use.
+		// After a cancellation, the expired deadline may be set only now, and would make the connection's next use fail.
 		p.discard(conn)
 	}
 	return result
--- a/internal/agent/upstream/conn.go
+++ b/internal/agent/upstream/conn.go
@@ -28,7 +28,8 @@
 func (c *serverConn) setReadDeadline(t time.Time)  { _ = c.SetReadDeadline(t) }
 func (c *serverConn) setWriteDeadline(t time.Time) { _ = c.SetWriteDeadline(t) }
 
-// expire ends the reads and writes of the connection immediately; expireReads and expireWrites end only the one kind.
+// expire ends the reads and writes of the connection immediately. expireReads ends only the reads, and expireWrites
+// ends only the writes.
 func (c *serverConn) expire()       { c.setDeadline(socket.Expired) }
 func (c *serverConn) expireReads()  { c.setReadDeadline(socket.Expired) }
 func (c *serverConn) expireWrites() { c.setWriteDeadline(socket.Expired) }
--- a/internal/agent/upstream/connect_errors.go
+++ b/internal/agent/upstream/connect_errors.go
@@ -37,7 +37,7 @@
 }
 
 // localWriteErrors are the errors of a write for which this machine lacks memory (send(2)). Any other write error
-// means that the connection broke, including ENETUNREACH, as the connection had been established.
+// means that the connection broke. That includes ENETUNREACH, because the connection had already been established.
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
 // writeFailureStatus returns the status of an attempt whose last byte was not written.
--- a/internal/agent/upstream/idle_times.go
+++ b/internal/agent/upstream/idle_times.go
@@ -10,11 +10,12 @@
 	idleBins = 34
 	// idleMinSamples is the number of uses required before a range of idle times is evaluated.
 	idleMinSamples = 24
-	// idleLossExcess is by how much the loss rate of a range of idle times must exceed that of shorter ones, as a
-	// fraction of uses. A new connection costs a handshake; a lost one costs its request.
+	// idleLossExcess is the difference in loss rates, as a fraction of uses, above which a range of idle times is avoided:
+	// its loss rate then exceeds that of shorter idle times by more than this. The difference weighs two costs: a new
+	// connection costs a handshake, and a lost connection costs its request.
 	idleLossExcess = 0.15
-	// idleDecay lowers the weight of older uses, over about 5,000 uses: once the cause of early closes is gone,
-	// longer idle times must be allowed again.
+	// idleDecay is the factor by which each use lowers the weight of the earlier ones, so that about the last 5,000 uses
+	// count. Once the cause of early closes is gone, longer idle times must be allowed again.
 	idleDecay = 0.9998
 )
 
@@ -38,8 +39,8 @@
 	}
 }
 
-// limit returns the shortest idle time from which connections are lost clearly more often than after shorter ones, or
-// longest if there is none. Adjacent bins are merged until they have enough samples.
+// limit returns the idle time at which connections start to be lost clearly more often than after shorter idle times.
+// If there is no such time, it returns longest. Adjacent bins are merged until they have enough samples.
 func (m *idleTimeModel) limit(longest time.Duration) time.Duration {
 	var used, lost, shorterUsed, shorterLost float64
 	firstBin := 0
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -19,18 +19,20 @@
 
 const (
 	// minIdleTime is how long a connection stays idle before it carries another message. A server may send a second
-	// response some milliseconds late; one that came later than this would be taken for the next message's response.
+	// response to a message some milliseconds after the first. If the second one arrived after minIdleTime, it would be
+	// taken for the response to the next message.
 	minIdleTime = 20 * time.Millisecond
 	// defaultConnectTimeout and defaultKeepalive apply if the settings give no value.
 	defaultConnectTimeout, defaultKeepalive = time.Second, time.Second
 )
 
-// errNoDescriptor is the error of a connect at the limit on connections, which keeps the agent within its descriptors.
+// errNoDescriptor is the error of a connect when the limit on connections has been reached. That limit keeps the agent
+// within its limit on descriptors.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// Pool makes attempts and keeps idle connections. It does not use http.Transport, which retries by itself when a reused
-// connection is broken, and does not report whether the last byte was written, which decides whether an attempt may
-// have executed.
+// Pool makes attempts and keeps idle connections. It does not use http.Transport for two reasons: http.Transport
+// retries by itself when a reused connection is broken, and it does not report whether the last byte of a request was
+// written. An attempt can have executed only if that byte was written.
 type Pool struct {
 	budget message.Quota // for the bytes of buffered response bodies
 	dial   config.DialFunc
--- a/internal/agent/upstream/response.go
+++ b/internal/agent/upstream/response.go
@@ -131,9 +131,9 @@
 	return exchangeResult{Result: Result{Status: balancer.StatusOK, Header: resp.Header, Body: body}}
 }
 
-// brokenStatus maps the error of an attempt whose last byte was written, and which may have executed, to a status. Only
-// the deadline of this agent is a timeout: the kernel's ETIMEDOUT, whose Timeout method also returns true, means that
-// the connection broke.
+// brokenStatus maps the error of an attempt to a status. The last byte of the attempt was written, so it may have
+// executed. Only an expired deadline of this agent counts as a timeout. The kernel's ETIMEDOUT, whose Timeout method
+// also returns true, means that the connection broke.
 func brokenStatus(err error) balancer.Status {
 	var opError *net.OpError
 	switch {
--- a/internal/agent/upstream/streamed.go
+++ b/internal/agent/upstream/streamed.go
@@ -13,8 +13,8 @@
 	"fernbeam.example/fernbeam/internal/clock"
 )
 
-// earlyResponseWait is how long to wait for a response after writing the request failed, and for the write to end after
-// an early response.
+// earlyResponseWait is how long to wait for a response after the write of the request has failed. It is also how long
+// to wait for the write to end after an early response.
 const earlyResponseWait = 50 * time.Millisecond
 
 // errEarlyResponse is the error of a write during which the response arrived.
@@ -146,16 +146,16 @@
 	return result
 }
 
-// closeAndCheckSent closes a connection whose writer has not reported its progress, as it may be blocked, and reports
-// whether the last byte of the request may have been written. That takes a body that was read to its end before the
-// connection was closed.
+// closeAndCheckSent closes a connection whose writer may be blocked and has not reported how much it wrote. It reports
+// whether the last byte of the request may have been written. That is possible only if the body was read to its end
+// before the connection was closed.
 func closeAndCheckSent(conn *serverConn, body *message.StreamedBody) bool {
 	_ = conn.Close() // makes later writes fail; the pool stops counting the connection in discard
 	return body.Complete()
 }
 
 // serverWriter writes a streamed body to a server. The deadline applies to each chunk, not to the whole body. Once the
-// client's last byte has arrived, it is no later than the end of the response time.
+// client's last byte has arrived, the deadline is never after the end of the response time.
 type serverWriter struct {
 	//nolint:containedctx // io.Writer has no context
 	ctx          context.Context // cancels the attempt
