--- a/internal/agent/dispatch/health_check.go
+++ b/internal/agent/dispatch/health_check.go
@@ -8,7 +8,7 @@
 )
 
 // startHealthCheck starts a health check of a server in the background. The policy expects exactly one result per
-// health check, so one that can't be sent ends immediately with StatusUnsent.
+// health check, so a health check that can't be sent ends immediately with StatusUnsent.
 func (l *Loop) startHealthCheck(policyAddr balancer.Addr) {
 	server := l.endpoints.byAddr[policyAddr]
 	if server == nil || server.addr == "" || !server.IsAvailable() || !l.cfg.Settings.Limits.HealthChecks {
--- a/internal/agent/upstream/attempt.go
+++ b/internal/agent/upstream/attempt.go
@@ -154,7 +154,8 @@
 	case result.reusable && !cancelled:
 		p.release(conn, server)
 	default:
-		// After a cancellation, the expired deadline may be set only now, and would make the connection's next use fail.
+		// A cancellation that has begun may not have set its expired deadline yet. If the connection were kept, that
+		// deadline would make its next use fail.
 		p.discard(conn)
 	}
 	return result
--- a/internal/agent/upstream/idle_times.go
+++ b/internal/agent/upstream/idle_times.go
@@ -10,8 +10,8 @@
 	idleBins = 34
 	// idleMinSamples is the number of uses required before a range of idle times is evaluated.
 	idleMinSamples = 24
-	// idleLossExcess is the difference in loss rates, as a fraction of uses, above which a range of idle times is avoided:
-	// its loss rate then exceeds that of shorter idle times by more than this. The difference weighs two costs: a new
+	// idleLossExcess is the maximum by which the loss rate of a range of idle times may exceed that of shorter idle times,
+	// as a fraction of uses. Above it, connections are no longer used after such idle times. It weighs two costs: a new
 	// connection costs a handshake, and a lost connection costs its request.
 	idleLossExcess = 0.15
 	// idleDecay is the factor by which each use lowers the weight of the earlier ones, so that about the last 5,000 uses
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -62,7 +62,7 @@
 	MaxOpenRequests     int     `json:"openCap"`          // open requests per agent
 }
 
-// Contract holds the guarantees of the agents about responses, the endpoint list, slow start and drains.
+// Contract holds the parameters of the agents' guarantees about responses, the endpoint list, slow start and drains.
 type Contract struct {
 	// ResponseSlackMs is the time after its deadline within which a request may still be answered.
 	ResponseSlackMs float64 `json:"answerSlackMs"`
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// initialFleetAttempts is the number of attempts by which a new server raises the limits of all
-	// agents together.
+	// initialFleetAttempts is the number of attempts by which a new server raises the sum of the limits of
+	// all agents.
 	initialFleetAttempts = 6.0
 	// minLimit is the minimum concurrency limit, in attempts. It leaves enough attempts to detect the end
 	// of an overload.
