--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -236,7 +236,8 @@
 }
 
 // prepareAccepting makes the preparations that don't require a usable server. A value on the returned channel means
-// that the agent is to report that it is ready although it knows no server; the channel is nil if it never should.
+// that the agent must report that it is ready although it knows no server. The channel is nil if the agent must never
+// do so.
 func (a *Agent) prepareAccepting(limits *sharedLimits, failed chan<- error) (timeout <-chan time.Time, err error) {
 	if !a.listeners.Shared {
 		// Requests are rejected until a server is known.
--- a/internal/agent/agenttest/server.go
+++ b/internal/agent/agenttest/server.go
@@ -29,7 +29,7 @@
 	maxConns int // the maximum of conns so far
 }
 
-// NewServer starts a server that answers requests by respond.
+// NewServer starts a server that answers requests with respond.
 func NewServer(tb testing.TB, respond Responder) *Server {
 	tb.Helper()
 	ln := Listen(tb)
--- a/internal/agent/blocking_fixture_test.go
+++ b/internal/agent/blocking_fixture_test.go
@@ -45,8 +45,8 @@
 	return 0, syscall.EPIPE
 }
 
-// startWithBlockedConn starts an agent with one idle connection to a server, whose next write blocks. The request that
-// opened the connection is not included in the counts of the server.
+// startWithBlockedConn starts an agent with one idle connection to a server. The next write on that connection blocks.
+// The request that opened the connection is not included in the counts of the server.
 func startWithBlockedConn(t *testing.T, server *agenttest.Server) (*testAgent, *blockedConn) {
 	t.Helper()
 	blocked := &blockedConn{
--- a/internal/agent/client_close_test.go
+++ b/internal/agent/client_close_test.go
@@ -17,7 +17,8 @@
 	longTimeoutMs = 30_000 // ms, longer than any of these tests waits for a response
 	// closeArrivalDelay is well above the time that a client's FIN or RST needs to arrive.
 	closeArrivalDelay = 50 * time.Millisecond
-	// connectRetryDelay is enough for the retry of a connect that found the accept queue full, which is after 1 s.
+	// connectRetryDelay is long enough for the kernel to retry a connect that found the accept queue full, which it
+	// does after 1 s.
 	connectRetryDelay = 2500 * time.Millisecond
 	// longConnectTimeoutMs is longer than any connect of these tests takes.
 	longConnectTimeoutMs = 10_000
@@ -43,7 +44,7 @@
 	},
 }
 
-// closeScenario is a running agent, and the state of it in which a client ends its connection.
+// closeScenario is a running agent in the state in which a client ends its connection.
 type closeScenario struct {
 	agent     *testAgent
 	requests  string      // what the client sends before it ends the connection
@@ -143,9 +144,9 @@
 	}
 }
 
-// closeOnBrokenReusedConn is a close while the request is written to a reused connection that breaks, after which the
-// agent would open another. The byte after the request hides the close from net/http, which reads one byte in the
-// background.
+// closeOnBrokenReusedConn is a close while the request is written to a reused connection. This connection then breaks,
+// after which the agent would normally open another. The byte after the request hides the close from net/http, which
+// reads one byte in the background.
 func closeOnBrokenReusedConn(t *testing.T) closeScenario {
 	t.Helper()
 	server := agenttest.NewServer(t, agenttest.RespondOK)
--- a/internal/agent/connection_reuse_test.go
+++ b/internal/agent/connection_reuse_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// The agent must notice that a server has closed an idle connection before it sends a request on it: a non-idempotent
-// request would fail because of the reset, as it may have executed.
+// The agent must notice that a server has closed an idle connection before it sends a request on it. Otherwise the
+// reset would make a non-idempotent request fail, because the request may have executed.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	agent, server := startWithServer(t, func(conn net.Conn, req *http.Request, n int) bool {
 		agenttest.RespondOK(conn, req, n)
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -19,7 +19,7 @@
 // crashFault is the crash of a server process: open connections are reset, and no more are accepted.
 const crashFault = "crash"
 
-// serverFaults are faults of a server in requests that it has received.
+// serverFaults are the ways in which a server fails after it has received a request.
 var serverFaults = map[string]agenttest.Responder{
 	"hang":                      sendText(""),
 	crashFault:                  sendTextAndReset(""),
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -182,8 +182,8 @@
 // metricsNow returns the current metrics of the event loop.
 func (agent *testAgent) metricsNow() dispatch.Metrics { return agent.statsNow().Metrics }
 
-// wantNoViolationsOrBackstops checks that the agent did not have to prevent an action of the policy, nor to end a
-// request in place of it.
+// wantNoViolationsOrBackstops checks that the agent did not have to prevent an action of the policy, and did not have
+// to end a request that the policy should have ended.
 func (agent *testAgent) wantNoViolationsOrBackstops() {
 	agent.tb.Helper()
 	if metrics := agent.metricsNow(); metrics.Violations+metrics.Backstops > 0 {
--- a/internal/agent/health_check_test.go
+++ b/internal/agent/health_check_test.go
@@ -10,8 +10,8 @@
 	"fernbeam.example/fernbeam/internal/agent/config"
 )
 
-// If the settings allow health checks a successful one restores a demoted server. It goes to the health path and has no
-// headers of a client's request.
+// If the settings allow health checks, a successful one restores a demoted server. The health check goes to the health
+// path and has no headers of a client's request.
 func TestHealthCheckRestoresADemotedServer(t *testing.T) {
 	checks := make(chan *http.Request, 100)
 	var healthy atomic.Bool // set by the first health check; all requests before it fail
--- a/internal/agent/invalid_requests_test.go
+++ b/internal/agent/invalid_requests_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkInvalidRequests checks that requests are rejected that are valid HTTP but violate the agent's rules.
+// checkInvalidRequests checks that requests that are valid HTTP but violate the agent's rules are rejected.
 func checkInvalidRequests(t *testing.T, agent *testAgent) {
 	t.Helper()
 	set := func(name, value string) func(*http.Request) {
--- a/internal/agent/late_write_test.go
+++ b/internal/agent/late_write_test.go
@@ -15,8 +15,8 @@
 	"fernbeam.example/fernbeam/internal/agent/message"
 )
 
-// lateWriteConn is a connection whose server receives a complete request and then resets the connection, while the
-// write of the last byte does not return until the connection is closed.
+// lateWriteConn is a connection whose server receives a complete request and then resets the connection. The write of
+// the last byte does not return until the connection is closed.
 type lateWriteConn struct {
 	net.Conn // nil: the other methods are not called
 	lastByte byte
--- a/internal/agent/path_bench_test.go
+++ b/internal/agent/path_bench_test.go
@@ -32,21 +32,22 @@
 // pathRate each. With -benchtime 2400x a run takes 20 s and has 24 calls above each p99; -count shows the spread.
 //
 // What could distort the results, and how the benchmark deals with it:
-//   - Cold start: the initial concurrency limits, the responses that determine the baseline latency and the first
-//     connections precede the measurement (see warmUpCalls).
+//   - Cold start: the agent has its initial concurrency limits, no baseline latency and no connections. The calls of
+//     warmUpCalls precede the measurement for this reason.
 //   - Affinity keys are random, so that calls are spread evenly over the servers. With 1,500 servers and 120 calls per
 //     second a server is called every 12.5 s on average, and connections stay idle for 15 s at most (half of
 //     keepaliveMs): a fraction of e^-1.2, about 0.3, of the calls opens a connection. The direct client selects servers
-//     at random and has the same idle timeout, so that it opens as many; both counts are reported. The agent does not
-//     reuse a connection within 20 ms of its last call (minIdleTime of the upstream package); the direct client does.
+//     at random and has the same idle timeout, so it opens as many connections; both counts are reported. The agent
+//     does not reuse a connection within 20 ms of its last call (minIdleTime of the upstream package); the direct
+//     client does.
 //   - The descriptor limit does not limit idle connections (see maxDescriptors).
 //   - FleetSize is the number of servers, as if each had its own agent. The concurrency limits depend on it.
 //   - Client, agent and servers are one process that uses GOMAXPROCS processors (the suffix of the benchmark names).
 //     They share a garbage collector, and the agent is not limited to one core. The results include no context
 //     switches between processes, and no other load of a shared machine.
 //   - Servers respond immediately, so that the direct path is the bare cost of a loopback call. The latency of a call
-//     counts from its start and not from when it was due. late-p99-us is the difference, which is the same on both
-//     paths and so not part of the added latency.
+//     counts from its start and not from when it was due. late-p99-us is the p99 of the difference, which is the
+//     same on both paths and so not part of the added latency.
 //   - added-p99-us is the difference of the two p99 of one run, not the p99 of the differences.
 func BenchmarkPath(b *testing.B) {
 	defer slog.SetDefault(slog.Default())
@@ -66,8 +67,8 @@
 	}
 }
 
-// warmUpCalls returns how many calls are made before the measurement, so that the number of connections is steady:
-// after at most 15 s as many are closed as are opened.
+// warmUpCalls returns how many calls are made before the measurement. They suffice for a steady number of connections:
+// after at most 15 s (1,800 calls), as many connections are closed as are opened.
 func warmUpCalls(servers int) int { return min(240+5*servers, 1800) }
 
 // pathComparison is a client that calls the same servers through an agent and directly.
@@ -77,7 +78,8 @@
 	direct  *requestPath
 }
 
-// requestPath is one of the two paths: an open loop of calls and its measurements.
+// requestPath is either the path through the agent or the direct path. It makes an open loop of calls and holds their
+// measurements.
 type requestPath struct {
 	client   *http.Client
 	random   *rand.Rand
--- a/internal/agent/request_body_test.go
+++ b/internal/agent/request_body_test.go
@@ -98,8 +98,8 @@
 	agent.wantNoViolationsOrBackstops()
 }
 
-// If a server responds before the end of a streamed body, its response ends the attempt. The body is not sent again,
-// and as the server did not execute the request the client gets a rejection.
+// If a server responds before the end of a streamed body, its response ends the attempt. The body is not sent again.
+// The client gets a rejection, because the server did not execute the request.
 func TestStreamedBodyRejectedHalfway(t *testing.T) {
 	listener := agenttest.Listen(t)
 	defer func() { _ = listener.Close() }()
--- a/internal/agent/retry_window_test.go
+++ b/internal/agent/retry_window_test.go
@@ -16,7 +16,8 @@
 func TestRetryIsNotSentAfterTheDeduplicationWindow(t *testing.T) {
 	t.Parallel()
 	failing := agenttest.NewServer(t, respondWith(http.StatusInternalServerError, "", ""))
-	// The policy selects the first server by a hash of its ID: for one order of the IDs that is the failing one.
+	// The policy selects the first server by a hash of its ID. In one of the two orders of each pair of IDs, that is
+	// the failing server.
 	for _, ids := range [][2]string{{"s-1", "s-2"}, {"s-2", "s-1"}, {"s-3", "s-4"}, {"s-4", "s-3"}} {
 		if checkLateRetry(t, failing, ids[0], ids[1]) {
 			return
--- a/internal/agent/syscall_faults_test.go
+++ b/internal/agent/syscall_faults_test.go
@@ -29,7 +29,7 @@
 	syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EMFILE,
 }
 
-// faultScenario has the connection faults of one agent, and the requests that it receives one after another.
+// faultScenario has the connection faults of one agent, and the requests that the agent receives one after another.
 type faultScenario struct {
 	Clients  []agenttest.CallFault // of client connections, in accept order
 	Servers  []agenttest.CallFault // of server connections, in dial order
@@ -113,7 +113,7 @@
 	return New(cfg, Listeners{Clients: listener})
 }
 
-// scenarioClient sends one request after another on a connection, and opens a new one if it has ended.
+// scenarioClient sends one request after another on a connection. If the connection has ended, it opens a new one.
 type scenarioClient struct {
 	env    *faultEnvironment
 	plan   *agenttest.FaultPlan
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -22,8 +22,9 @@
 	t.Error("request was not answered while the endpoint list was empty")
 }
 
-// Load is shed when responses are late: overloaded servers would work for clients that have given up, and
-// each rejection by a server causes a retry. Errors and queued requests do not indicate overload.
+// Load is shed when responses are late. Otherwise overloaded servers would work for clients that have
+// given up, and each rejection by a server would cause a retry. Errors and queued requests do not
+// indicate overload.
 func TestLoadIsShedWhenResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -198,9 +199,10 @@
 	}
 }
 
-// Requests of the worst-served class get a higher priority in the queue, according to the part of the
-// objective for the worst class. Of two queued requests, the one is forwarded first whose class lost half of
-// its clients before their responses, whichever of the two classes that is.
+// The objective has a part for the worst-served class, which gives requests of that class a higher
+// priority in the queue. One request of each of two classes is queued, after half of the clients of one
+// class have left before their responses. The request of that class is forwarded first, whichever of the
+// two it is.
 func TestWorstClassHasPriorityInTheQueue(t *testing.T) {
 	for starved := range 2 {
 		if got := firstServedClass(t, starved); got != starved {
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -72,7 +72,8 @@
 }
 
 // An attempt that many later ones have overtaken is presumed lost: it does not count against the limit of
-// its server (two attempts for one of three agents), and its end does not free capacity.
+// its server, and its end does not free capacity. The limit is two attempts, because the agent is one of
+// three.
 func TestLostAttemptDoesNotCountAgainstTheServerLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	lost, s := h.mustForward(nonIdempotentClass, 0)
@@ -105,11 +106,11 @@
 	}
 }
 
-// If many later attempts have overtaken one that timed out, and the server responds to them well, only the
-// response was lost: the server keeps its limit and its health state, and has no cooldown. A few later
-// attempts are not enough, as an agent of a large fleet sees a server too rarely to know how it responds
-// now. The response is not presumed lost either if the later attempts are slow as well. In both of these
-// cases the server is in cooldown, like any slow server.
+// If an attempt times out after many later ones have overtaken it, and the server responds to those well,
+// only the response was lost. The server then keeps its limit and its health state, and has no cooldown.
+// A few later attempts are not enough, because an agent of a large fleet sees a server too rarely to know
+// how it responds now. The response is not presumed lost either if the later attempts are slow as well.
+// In both of these cases the server is in cooldown, like any slow server.
 func TestLostResponseDoesNotIndicateOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.serve(50, 20)
@@ -138,8 +139,8 @@
 	}
 }
 
-// loseResponse makes an attempt time out that many later ones have overtaken. It checks that the limit and
-// the health state of its server stay unchanged, and returns the server.
+// loseResponse makes an attempt time out after many later ones have overtaken it. It checks that the
+// limit and the health state of the attempt's server stay unchanged, and returns the server.
 func (h *harness) loseResponse() balancer.Addr {
 	h.t.Helper()
 	lost, s := h.mustForward(idempotentClass, h.random.Uint64()|1)
@@ -154,9 +155,9 @@
 	return s
 }
 
-// timeOutAttempt forwards an attempt to a server, calls meanwhile, which serves others, and then makes the
-// attempt time out. The other one of the harness's two servers is draining until then, so that all requests
-// go to this server.
+// timeOutAttempt forwards an attempt to server s, calls meanwhile, which serves other requests, and then
+// makes the attempt time out. Until then the other one of the harness's two servers is draining, so that
+// all requests go to s.
 func (h *harness) timeOutAttempt(s balancer.Addr, meanwhile func(), tookMs float64) {
 	h.t.Helper()
 	other := 0
--- a/policy/cooldown_test.go
+++ b/policy/cooldown_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// A server that was overloaded or late is in cooldown: requests of new keys skip it. If most servers were,
-// the fleet as a whole is overloaded, and cooldowns are ignored.
+// A server that was overloaded or late is in cooldown: requests of new keys skip it. If most servers were
+// overloaded or late, the fleet as a whole is overloaded, and cooldowns are ignored.
 func TestServerIsInCooldownUnlessMostAreOverloaded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/policy/decision_bench_test.go
+++ b/policy/decision_bench_test.go
@@ -181,7 +181,8 @@
 	return s
 }
 
-// endWithoutEffect ends a request without effect on the state of its server s, which is zero if it is queued.
+// endWithoutEffect ends a request without effect on the state of its server s. If the request is queued,
+// s is zero.
 func (d *decisionBenchmark) endWithoutEffect(id balancer.RequestID, s balancer.Addr) {
 	if s == (balancer.Addr{}) {
 		d.handle(balancer.Event{Kind: balancer.EventClientGone, Request: id})
--- a/policy/fleet_slowstart_test.go
+++ b/policy/fleet_slowstart_test.go
@@ -44,8 +44,8 @@
 	return worst
 }
 
-// worstOverloadOf returns the worst overload of one server. As the capacity only grows, the budget of a
-// window is determined by the capacity at its first attempt.
+// worstOverloadOf returns the worst overload of one server. The budget of a window is determined by the
+// capacity at its first attempt, because the capacity only grows.
 func (s *fleetSimulation) worstOverloadOf(index int, server *simulatedServer) overload {
 	contract := &s.settings.Contract
 	warmBudget := contract.OverloadMultiple * server.requestsPerMs * contract.OverloadWindowMs
@@ -296,8 +296,9 @@
 	}
 }
 
-// After the last warm server starts to drain, credit accrues with time, but not for the time before, in which
-// the responses of warm servers added to it. The rate is that of the warm servers, measured over a long time.
+// After the last warm server starts to drain, credit accrues with time. It does not accrue for the time
+// before that, because then the responses of warm servers added to the credit. The rate is that of the
+// warm servers, measured over a long time.
 func TestSlowStartBoundsTheCreditAfterTheLossOfAllWarmServers(t *testing.T) {
 	t.Parallel()
 	for _, agents := range []int{12, 300} {
--- a/policy/history_test.go
+++ b/policy/history_test.go
@@ -15,8 +15,8 @@
 	notMarked retryMark = false
 )
 
-// The latency objective of a client's retry counts from the client's first request: a retry that stays queued
-// is rejected when the objective of the first request has passed, not one objective later.
+// The latency objective of a client's retry counts from the client's first request: a retry that stays
+// queued is rejected one objective after the first request, not one objective after its own arrival.
 func TestMarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	// The client has waited 200 ms for its first request, so its retry is rejected 200 ms earlier.
 	retry, first := queuedRetryMs(t, marked), queuedRetryMs(t, notMarked)
@@ -26,8 +26,8 @@
 	}
 }
 
-// queuedRetryMs returns how long a request is queued whose client has waited 200 ms for another request of
-// the same key before. The only server is at its limit.
+// queuedRetryMs returns how long a request is queued if its client has already waited 200 ms for an
+// earlier request of the same key. The only server is at its limit.
 func queuedRetryMs(t *testing.T, mark retryMark) float64 {
 	t.Helper()
 	h := newHarness(t, testSettings(), 1)
@@ -52,9 +52,9 @@
 	return ms
 }
 
-// If clients do not mark their retries, a request with less remaining time than others of its class counts
-// as a retry, and the difference as the time since the first request. If clients give their requests less
-// time than the total timeout, a shorter remaining time does not indicate a retry.
+// If clients do not mark their retries, a request with less remaining time than others of its class
+// counts as a retry. The difference counts as the time since the first request. If clients give their
+// requests less time than the total timeout, a shorter remaining time does not indicate a retry.
 func TestUnmarkedRetryIsJudgedByItsFirstRequest(t *testing.T) {
 	first := queuedRequestMs(t, 1000, 1000)
 	second := queuedRequestMs(t, 1000, 800)
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// closedOf200 returns after how many of 200 served requests the idle connections of the server are closed.
+// closedOf200 serves 200 requests. It returns the number of them after which the policy closed the idle
+// connections of the server that had served the request.
 func closedOf200(t *testing.T, settings balancer.Settings) int {
 	t.Helper()
 	h := newHarness(t, settings, 8)
--- a/policy/large_fleet_bench_test.go
+++ b/policy/large_fleet_bench_test.go
@@ -85,11 +85,11 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkLargeFleetDay simulates fleets without faults, with agents in proportion to servers. It reports
-// the fraction of the requests that are served, the mean number of servers that an agent has forwarded to,
-// each of which takes at least one connection, and the memory per Balancer at the end, including its share
-// of the simulation. There are 40 keys per server. They are equally popular, or skewed so that the share of
-// a key decreases with its rank.
+// BenchmarkLargeFleetDay simulates fleets without faults, with agents in proportion to servers. It
+// reports the fraction of the requests that are served, and the mean number of servers to which an agent
+// has forwarded requests; each of these servers takes at least one connection. It also reports the memory
+// per Balancer at the end, which includes the Balancer's share of the simulation. There are 40 keys per
+// server. Either all keys are equally popular, or the share of a key decreases with its rank.
 func BenchmarkLargeFleetDay(b *testing.B) {
 	for _, fleet := range []struct{ agents, servers int }{{56, 200}, {largeFleetAgents, 3200}} {
 		for _, keys := range []string{"even", "skewed"} {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// A server that is always slow is compared with its own baseline, not with the common one. Its limit stays
-// the same at four times the response time of the other server, which is over 1.5 times the common baseline,
-// and is decreased at twice its own baseline.
+// A server that is always slow is compared with its own baseline, not with the common one. Its limit
+// stays the same while its responses take four times as long as those of the other server, although that
+// is over 1.5 times the common baseline. The limit is decreased when they take twice its own baseline.
 func TestSlowServerIsJudgedByItsOwnBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	serve := func(requests int, slowMs float64) {
@@ -98,8 +98,9 @@
 }
 
 // A single agent whose first responses were fast, such as those of a few popular keys, must not treat all
-// later ones as an overload. Its baseline has to rise to responses that take 0.4 of the objective, which is
-// above its minimum latency limit of a third, so that its limits grow again under load.
+// later ones as an overload. The later responses take 0.4 of the objective, which is above the agent's
+// minimum latency limit, a third of the objective. The baseline has to rise to them, so that the limits grow
+// again under load.
 func TestSingleAgentRaisesItsBaseline(t *testing.T) {
 	settings := testSettings()
 	settings.FleetSize = 1
@@ -114,9 +115,10 @@
 	}
 }
 
-// An agent may be restarted while the fleet is overloaded, so its initial baseline is at most a quarter of
-// the objective. After a few fast responses and then responses that take 0.9 of the objective, responses
-// that take 0.47 of it still count as an overload, and the server's limit does not grow under load.
+// An agent may be restarted while the fleet is overloaded, so its initial baseline is at most a quarter
+// of the objective. Here a few fast responses are followed by responses that take 0.9 of the objective.
+// After these, responses that take 0.47 of it still count as an overload, and the server's limit does not
+// grow under load.
 func TestOverloadAtTheStartDoesNotBecomeTheBaseline(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	h.serve(12, 20)  // gives the server a low baseline of its own
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -166,8 +166,8 @@
 }
 
 // A server that failed three times in a row is ejected for four latency objectives. If the other servers
-// have no capacity, it is checked after one objective: a server that fails some requests is better than
-// rejecting all of them.
+// have no capacity, it is checked after one objective, because using a server that fails some requests is
+// better than rejecting all of them.
 func TestEjectionEndsEarlyWhileOthersAreSaturated(t *testing.T) {
 	for _, saturated := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -41,7 +41,7 @@
 }
 
 // Eighty agents that start at the same time, as in a mass restart, or whose calls fail at the same time,
-// spread their next calls to discovery over time. A small fleet does not need to.
+// spread their next calls to discovery over time. The agents of a small fleet do not need to.
 func TestPollsAreSpreadByFleetSize(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
@@ -74,9 +74,10 @@
 	}
 }
 
-// An agent must get a change within 6 s after discovery has become reachable. A call without a response times
-// out after 2.25 s. The delay of the next call must leave one second of the rest for its response, regardless
-// of the number of previous failures and of agents.
+// An agent must get a change within 6 s after discovery has become reachable. A call without a response
+// may take 2.25 s of that time before it times out, and one second must remain for the response to the
+// next call. The delay between the two calls must fit into the rest, regardless of the number of previous
+// failures and of agents.
 func TestFailedPollIsRepeatedInTimeForTheContract(t *testing.T) {
 	settings := testSettings()
 	settings.DiscoveryMode = balancer.DiscoveryOnRequest
--- a/policy/random_attempts_test.go
+++ b/policy/random_attempts_test.go
@@ -33,8 +33,8 @@
 	ended       bool
 }
 
-// addRequest passes a random request to the policy. Some requests have rules that were in force earlier, as
-// if the settings had changed while they were being received.
+// addRequest passes a random request to the policy. Some requests have rules that were in force earlier,
+// as if the settings had changed while the requests were being received.
 func (s *randomScenario) addRequest() {
 	s.lastRequest++
 	remainingMs := 20 + 800*s.random.Float64()
--- a/policy/random_scenario_test.go
+++ b/policy/random_scenario_test.go
@@ -31,8 +31,8 @@
 	Fatalf(format string, args ...any)
 }
 
-// randomScenario simulates random clients, servers and endpoint lists of one Balancer, and checks the rules
-// only by the actions of the Balancer.
+// randomScenario simulates random clients, servers and endpoint lists of one Balancer. It checks the
+// rules using only the actions of the Balancer.
 type randomScenario struct {
 	t             testingT
 	random        *rand.Rand
--- a/policy/reference_test.go
+++ b/policy/reference_test.go
@@ -10,8 +10,9 @@
 	"fernbeam.example/fernbeam/internal/balancer"
 )
 
-// The reference implementations compute without caches and bounds what the policy computes with them: they
-// visit all servers and score all candidates. The results of the policy must be bit-identical.
+// The reference implementations compute the same results as the policy, but without its caches and
+// bounds: they visit all servers and score all candidates. The results of the policy must be
+// bit-identical to theirs.
 
 // referenceChoose selects a server like serverSelector.choose.
 func (b *Balancer) referenceChoose(r *request) *server {
@@ -219,8 +220,9 @@
 	}
 }
 
-// In the states of random scenarios, the values that the policy caches between events, and the choice that
-// scores only the servers that may come first, equal the reference.
+// In the states of random scenarios the policy agrees with the reference in two respects: the values that
+// it caches between events, and its choice of a server, for which it scores only the servers that may
+// come first.
 func TestDecisionsEqualTheReference(t *testing.T) {
 	choices := map[string]int{}
 	for seed := range uint64(60) {
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -9,8 +9,9 @@
 // clockStepsMs contains steps of a wall clock by a few seconds and by an hour, in milliseconds.
 var clockStepsMs = []float64{-3_600_000, -5000, 5000, 3_600_000}
 
-// forwardsAfterRestart returns how many of 400 requests a server gets after its restart is listed with the
-// time of a clock that was stepped by stepMs. Before, the server was listed as started beforeMs ago.
+// forwardsAfterRestart lists the restart of a server with the time of a clock that was stepped by stepMs,
+// and returns how many of the next 400 requests the server gets. Before the restart the server was listed
+// as started beforeMs ago.
 func forwardsAfterRestart(t *testing.T, beforeMs, stepMs float64) int {
 	t.Helper()
 	h := newHarness(t, testSettings(), 5)
@@ -23,9 +24,9 @@
 	return h.serveAndCount(400, 2, serverAddress(4))
 }
 
-// A restart is detected even if the wall clock was stepped before the restart was listed: the server gets as
-// few requests as with an accurate clock. This includes a previous start only seconds ago, which is later
-// than the restart if the clock was set back by more than that.
+// A restart is detected even if the wall clock was stepped before the restart was listed: the server gets
+// as few requests as with an accurate clock. This also holds if the previous start was only seconds ago.
+// Its time is later than that of the restart if the clock was set back by more than these seconds.
 func TestRestartIsDetectedAfterClockStep(t *testing.T) {
 	for _, beforeMs := range []float64{1000, 1_800_000} {
 		trueShare := forwardsAfterRestart(t, beforeMs, 0)
@@ -35,8 +36,8 @@
 		}
 		for _, stepMs := range clockStepsMs {
 			if stepMs == -5000 && beforeMs > 5000 {
-				// The listed start is still later than the previous one, and the policy uses it as it is:
-				// internal/agent bounds the age.
+				// The listed start is still later than the previous one. The policy uses it as it is,
+				// because internal/agent bounds the age.
 				continue
 			}
 			if got := forwardsAfterRestart(t, beforeMs, stepMs); got != trueShare {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -77,7 +77,7 @@
 				}
 				return balancer.StatusOverloaded, 1
 			})
-			// A request may have no attempt, as load is shed while few requests are served in time.
+			// A request may have no attempt, because load is shed while few requests are served in time.
 			retries += max(len(servers)-1, 0)
 		}
 		// The retry budget holds at most four tokens.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -66,8 +66,8 @@
 	warming := serverAddress(2)
 	h.updateList(balancer.ListDelta, startedEndpoint(2, h.now))
 	// During its first two seconds it gets its share of the 100 requests per second that the two warm
-	// servers served: 50 x (0.2 to 0.36) x 3/4 per second. It does not get all of them at once, as the
-	// other agents have their shares too.
+	// servers served: 50 x (0.2 to 0.36) x 3/4 per second. It does not get all of them at once, because
+	// the other agents have their shares too.
 	var firstMs, got float64
 	for i := range 200 {
 		h.now += 10
@@ -126,8 +126,8 @@
 	}
 }
 
-// A server that was unreachable for long counts as restarted before the endpoint list shows it: it gets a
-// smaller share of new keys than a warm server.
+// A server that was unreachable for a long time counts as restarted before the endpoint list shows the
+// restart: it gets a smaller share of new keys than a warm server.
 func TestServerThatWasUnreachableIsInSlowStart(t *testing.T) {
 	share := func(unresponsive bool) int {
 		h := newHarness(t, testSettings(), 3)
