--- a/internal/emulator/addresses.go
+++ b/internal/emulator/addresses.go
@@ -17,7 +17,7 @@
 	subnetsPerZone = 12
 )
 
-// Address returns the host and port at which the agent with the given index has the given port.
+// Address returns, as host:port, the address of the given port of the agent with the given index.
 func (e *Emulator) Address(agentIndex, port int) string {
 	subnet := agentIndex / hostsPerSubnet
 	host := agentIndex%hostsPerSubnet + 1
--- a/internal/emulator/class.go
+++ b/internal/emulator/class.go
@@ -10,15 +10,16 @@
 type Class struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // fraction of the calls
-	// Work is the mean work on a standard core, WorkCV its coefficient of variation (0 makes the work constant).
+	// Work is the mean work on a standard core. WorkCV is its coefficient of variation; if it is 0, the work is
+	// constant.
 	Work   time.Duration `toml:"work"`
 	WorkCV float64       `toml:"work_cv"`
 	// DependencyWait is how long a server waits for its dependencies after the work.
 	DependencyWait   time.Duration `toml:"wait"`
 	LatencyObjective time.Duration `toml:"aim"`
 	TotalTimeout     time.Duration `toml:"give_up"`
-	// PriorityWeight is the value of a response within the latency objective, LateFraction the fraction of it that a
-	// later response is worth.
+	// PriorityWeight is the value of a response within the latency objective. LateFraction is the fraction of this
+	// value that a later response has.
 	PriorityWeight float64              `toml:"worth"`
 	LateFraction   float64              `toml:"late_worth"`
 	Idempotency    balancer.Idempotency `toml:"effect"`
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -14,7 +14,7 @@
 const minRequestTimeout = 5 * time.Millisecond
 
 // clients are the client applications, one for each agent. They form an open loop: the time of a call does not depend
-// on the outcome of earlier calls. A client retries up to Config.Retries times.
+// on the outcome of earlier calls. A client retries a call up to Config.Retries times.
 type clients struct {
 	emulator   *Emulator
 	byAgent    map[string]*client
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -16,8 +16,8 @@
 )
 
 // TestOutageDoesNotDelayEarlierChange checks that a waiting watch gets a change that has reached the agent's view, even
-// if an outage begins at that moment: the agent already counts as notified. The test can't tell whether the watch is
-// waiting yet, so it makes several attempts. One answered watch is enough, because without the rule none is answered.
+// if an outage begins at that moment, because the agent already counts as notified. The test can't tell whether the
+// watch is waiting yet, so it makes several attempts. One answered watch is enough: without the rule, none is answered.
 func TestOutageDoesNotDelayEarlierChange(t *testing.T) {
 	const rounds = 10
 	for round := range rounds {
--- a/internal/emulator/endpoint_list.go
+++ b/internal/emulator/endpoint_list.go
@@ -12,8 +12,8 @@
 // discoveryStream is the random number stream of the first agent's delays. The streams of the other agents follow it.
 const discoveryStream = 2000
 
-// endpointList emulates discovery. Each agent has a view of its own, which changes reach in order and each after a
-// random delay (PROTOCOL, "Discovery"). An agent counts as notified of a change once it has reached the agent's view.
+// endpointList emulates discovery. Each agent has its own view. Changes reach a view in order, each after a random
+// delay (PROTOCOL, "Discovery"). An agent counts as notified of a change once the change has reached the agent's view.
 type endpointList struct {
 	emulator *Emulator
 
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// conditionDuration returns how long a condition has held without interruption. It keeps the start in since and returns
-// a negative duration if the condition does not hold.
+// conditionDuration returns how long a condition has held without interruption, or a negative duration if the condition
+// does not hold. It stores the time since which the condition holds in *since.
 func (e *engine) conditionDuration(since *time.Duration, holds bool) time.Duration {
 	if !holds {
 		*since = unset
--- a/internal/emulator/exchange.go
+++ b/internal/emulator/exchange.go
@@ -89,8 +89,8 @@
 	return AgentUnreachable
 }
 
-// exchange sends a request and reads its response, then returns the connection to the idle ones or closes it. It asks
-// for a resend if a reused connection was closed before any response and no server has received the request.
+// exchange sends a request and reads its response. Then it keeps the connection for the next request or closes it. It
+// returns resend if a reused connection was closed before any response and no server has received the request.
 func (c *client) exchange(conn *clientConn, request *liveRequest) (outcome Outcome, resend bool) {
 	reusable := false
 	defer func() {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -18,9 +18,9 @@
 	}()
 }
 
-// recordOverload records the overload of a running server and adds the removal to the background group. It returns
-// false if the server is no longer running. Both happen under e.mu, because Close unregisters all servers before it
-// waits for the group.
+// recordOverload records the overload of a running server and adds the server's removal to the background group. It
+// returns false if the server is no longer running. It holds e.mu for the check and the addition, because Close
+// unregisters all servers before it waits for the group.
 func (e *Emulator) recordOverload(s *server, byNotified bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,8 +56,8 @@
 	}
 }
 
-// ServerFault slows a server down by a factor of at least 1, with no progress at all if it is infinite, and makes a
-// fraction of its requests fail immediately.
+// ServerFault slows a server down by SlowFactor, which is at least 1, and makes the fraction FailureRate of its
+// requests fail immediately. With an infinite SlowFactor, the server makes no progress at all.
 type ServerFault struct{ SlowFactor, FailureRate float64 }
 
 // noServerFault describes a server without a fault.
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -47,8 +47,8 @@
 // mayHaveExecuted reports whether the server may have executed the request.
 func (a *Attempt) mayHaveExecuted() bool { return a.Outcome != AttemptRejected }
 
-// Request is a request from a client to its agent: the first one of a call or a retry, which has its own ID. Times
-// count from the emulator's start.
+// Request is a request from a client to its agent. It is the first request of a call or one of its retries; each has
+// its own ID. Times count from the emulator's start.
 type Request struct {
 	ID           string        `json:"ID"`
 	Agent        string        `json:"Agent"`
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -90,8 +90,9 @@
 }
 
 // checkDuplicates checks that no two attempts are in flight at the same time, and that an attempt that may have
-// executed is followed only by attempts that the class allows. It checks rejections likewise, because clients retry
-// after them.
+// executed is followed only by attempts that the class allows. It also checks that a request is not rejected after an
+// attempt that may have executed, because clients retry after a rejection. The last check does not apply to classes
+// whose requests any server may execute again.
 func (j *judge) checkDuplicates(request *Request, class *Class) {
 	for i := range request.Attempts {
 		for k := range request.Attempts[:i] {
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -19,8 +19,8 @@
 	notifiedNumerator, notifiedDenominator = 2, 3
 )
 
-// machine runs an engine in real time. It adds the cache of keys, the requests that fail immediately, and the overload
-// of a server in slow start. Its methods are safe for concurrent use.
+// machine runs an engine in real time. It also emulates what the engine does not: the cache of keys, requests that fail
+// immediately, and the overload of a server in slow start. Its methods are safe for concurrent use.
 type machine struct {
 	emulator *Emulator
 
@@ -138,10 +138,11 @@
 	})
 }
 
-// recordArrival records a request that reaches a server in slow start. The server is overloaded when more than
-// N + 3 sqrt(N) + 3 requests of mean work arrive within the contract's overload window, where N is
-// Contract.SlowStartLimit (the definition of the operators' acceptance test). byNotified reports whether more than two
-// thirds of them came from agents that had been notified of the start.
+// recordArrival records a request that reaches a server in slow start. It returns overloaded if more than N + 3 sqrt(N)
+// + 3 requests of mean work have arrived within the contract's overload window. N is the number that
+// Contract.SlowStartLimit allows in this window. The formula is the definition of overload in the operators' acceptance
+// test. byNotified reports whether more than two thirds of the work in the window came from agents that had been
+// notified of the start. Both results are false if the server is not in slow start.
 func (m *machine) recordArrival(seconds float64, notified bool) (overloaded, byNotified bool) {
 	contract := &m.emulator.config.Contract
 	mean := m.emulator.meanWorkSeconds
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -37,9 +37,9 @@
 	ErrorRate float64 `toml:"error_rate"`
 }
 
-// Congestion describes how a server slows down after a long overload. After more than OnsetLoad requests per core for
-// OnsetTime, the server is slower by Factor. This ends after less than RecoveryLoad requests per core for RecoveryTime,
-// or after MaxTime.
+// Congestion describes how a server slows down after a long overload. When the server has had more than OnsetLoad
+// requests per core for OnsetTime, it becomes slower by Factor. This ends when it has had less than RecoveryLoad
+// requests per core for RecoveryTime, or after MaxTime.
 type Congestion struct {
 	OnsetLoad    float64       `toml:"at"`
 	RecoveryLoad float64       `toml:"below"`
--- a/internal/emulator/partition_listener.go
+++ b/internal/emulator/partition_listener.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// partitionListener is a server's listener for the agents of one zone. It can emulate a network partition: open
-// connections stay open without transferring data, and new ones are not established. At the end of the partition, the
-// open ones are reset (PROTOCOL, "The network").
+// partitionListener is a server's listener for the agents of one zone. It can emulate a network partition. During a
+// partition, open connections stay open without transferring data, and new connections are not established. At the end
+// of the partition, the open connections are reset (PROTOCOL, "The network").
 type partitionListener struct {
 	*net.TCPListener
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -23,7 +23,7 @@
 	seed      uint64
 }
 
-// server emulates a server process: one machine behind a listener for the agents of each zone, each with its own
+// server emulates a server process. It has one machine and, for the agents of each zone, a listener with its own
 // address.
 type server struct {
 	emulator    *Emulator
--- a/internal/emulator/server_metrics.go
+++ b/internal/emulator/server_metrics.go
@@ -11,8 +11,8 @@
 	WorkReceived float64 `json:"Work"`
 	// BusyCoreSeconds is the time during which cores were busy, summed over the cores, in seconds.
 	BusyCoreSeconds float64 `json:"Busy"`
-	// SlowStartLoad is the highest load in slow start, as a fraction of the overload limit. A server with more than 1
-	// failed.
+	// SlowStartLoad is the highest load in slow start, as a fraction of the overload limit. If it is above 1, the
+	// server failed.
 	SlowStartLoad float64 `json:"Cold"`
 }
 
--- a/internal/emulator/servers.go
+++ b/internal/emulator/servers.go
@@ -40,7 +40,7 @@
 	return e.servers[id]
 }
 
-// findServers yields the running servers among the given IDs. It looks up each when its turn comes.
+// findServers yields the running servers among the given IDs. It looks up each ID only when the iteration reaches it.
 func (e *Emulator) findServers(ids []string) iter.Seq[*server] {
 	return func(yield func(*server) bool) {
 		for _, id := range ids {
@@ -128,7 +128,7 @@
 	}
 }
 
-// removeServer stops a server and publishes its removal unless it is already stopped.
+// removeServer stops a server and publishes its removal. It does nothing if the server is already stopped.
 func (e *Emulator) removeServer(s *server) {
 	if e.stopServer(s) {
 		s.endpoint.State = endpoint.StateRemoved
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// TrafficChange multiplies the rate of the calls by RateFactor and gives a fraction HotKeyShare of them the most
-// popular key. It is in force from From until To, which count from the start of the traffic.
+// TrafficChange multiplies the rate of the calls by RateFactor and gives the most popular key to the fraction
+// HotKeyShare of the calls. It is in force from From until To; both count from the start of the traffic.
 type TrafficChange struct {
 	From, To                time.Duration
 	RateFactor, HotKeyShare float64
 }
 
-// SetTrafficChanges sets the changes of the traffic. It must be called before Run, so that the calls follow from the
-// seed alone.
+// SetTrafficChanges sets the changes of the traffic. It must be called before Run, because the calls must follow from
+// the seed alone.
 func (e *Emulator) SetTrafficChanges(changes ...TrafficChange) { e.trafficChanges = changes }
 
 // trafficAt returns the rate factor and the fraction of calls that are given the most popular key, at a time since the
--- a/internal/emulator/workload.go
+++ b/internal/emulator/workload.go
@@ -15,7 +15,7 @@
 // mostPopularKey is the key of rank 1 in Zipf's distribution, which a TrafficChange's HotKeyShare refers to.
 const mostPopularKey = 1
 
-// call is a call of a client application, as drawn from the seed. The client makes it with a request and its retries.
+// call is a call of a client application, drawn from the seed. The client sends a request for it and possibly retries.
 type call struct {
 	due            time.Duration
 	class          int
@@ -57,8 +57,9 @@
 	}
 }
 
-// next draws the next call of a Poisson process, due at a time from the start of the traffic. It returns false if the
-// traffic ends before then. The calls of a seed depend on the order of the draws.
+// next draws the next call of a Poisson process. The time at which a call is due counts from the start of the traffic.
+// next returns false if the call would not be due within the given length of the traffic. The order of the draws must
+// not change, because it determines the calls of a seed.
 func (w *workload) next(length time.Duration) (call, bool) {
 	config := &w.emulator.config
 	rateFactor, hotKeyShare := w.emulator.trafficAt(w.due)
@@ -95,8 +96,8 @@
 	return secondsToDuration(distribution.Rand())
 }
 
-// pickShare returns the index of the share into which x falls, a number from 0 to below 1. Shares are relative to their
-// sum.
+// pickShare returns the index of the share into which x falls. x is a number from 0 to below 1. The shares are relative
+// to their sum.
 func pickShare(x float64, shares []float64) int {
 	sum := 0.0
 	for _, share := range shares {
--- a/internal/experiment/agents.go
+++ b/internal/experiment/agents.go
@@ -62,7 +62,8 @@
 	return addresses, nil
 }
 
-// startAgents starts all agents and waits until they are ready and, with a membership section, see each other.
+// startAgents starts all agents and waits until they are ready. If their configuration has a membership section, it
+// also waits until every agent sees all agents.
 func (r *armRun) startAgents(ctx context.Context) error {
 	if err := processtest.Each(r.names, r.start); err != nil {
 		return err
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -37,8 +37,8 @@
 	return programs, nil
 }
 
-// agentProgram builds the agent of a commit and returns its path, or that of the configured program if the commit is
-// empty.
+// agentProgram builds the agent of a commit and returns the path of the program. If the commit is empty, it returns the
+// path of the configured program.
 func (cfg *Config) agentProgram(ctx context.Context, commit string) (string, error) {
 	if commit == "" {
 		return filepath.Abs(cfg.Binary)
@@ -78,7 +78,8 @@
 	return errors.Join(archive.Run(), extract.Wait())
 }
 
-// agentPackage returns the path of the agent's main package in a checkout, which has another name in older commits.
+// agentPackage returns the path of the agent's main package in a checkout. The package has another name in older
+// commits.
 func agentPackage(checkout string) string {
 	const current, legacy = "./cmd/agent", "./cmd/ringtrack"
 	if _, err := os.Stat(filepath.Join(checkout, legacy)); err == nil {
@@ -87,9 +88,9 @@
 	return current
 }
 
-// Revision returns the commit that a program was built from: the given one if it is not empty, else the one embedded
-// in the program, else that of the repository, or "unknown". The suffix "-dirty" marks a tree with uncommitted
-// changes.
+// Revision returns the commit that a program was built from. It is the given commit if that is not empty, else the
+// commit embedded in the program, else that of the repository, or "unknown". The suffix "-dirty" marks a tree with
+// uncommitted changes.
 func Revision(ctx context.Context, commit, program, repository string) string {
 	if commit != "" {
 		return commit
--- a/internal/experiment/defaults.go
+++ b/internal/experiment/defaults.go
@@ -37,8 +37,8 @@
 	return &s
 }
 
-// defaultWithoutTables returns the default scenario without classes and models: those of a scenario file replace the
-// defaults instead of being appended to them.
+// defaultWithoutTables returns the default scenario without classes and models. The classes and models of a scenario
+// file replace the defaults instead of being appended to them.
 func defaultWithoutTables() *Scenario {
 	s := Default()
 	s.Classes = nil
--- a/internal/experiment/generate.go
+++ b/internal/experiment/generate.go
@@ -37,8 +37,8 @@
 	Faults []faultTemplate `toml:"trouble"`
 }
 
-// faultTemplate is the template of a fault in a generated scenario. The duration is Duration in seconds or, if
-// DurationFraction is above 0, that fraction of the scenario's length.
+// faultTemplate is the template of a fault in a generated scenario. The fault lasts for Duration seconds. If
+// DurationFraction is above 0, the fault lasts for that fraction of the scenario's length instead.
 type faultTemplate struct {
 	At               float64    `toml:"at"` // fraction of the scenario's length
 	Kind             FaultKind  `toml:"kind"`
--- a/internal/experiment/inject.go
+++ b/internal/experiment/inject.go
@@ -122,7 +122,8 @@
 	return processtest.Each(names, r.processes.Resume)
 }
 
-// partitionAgents partitions each agent of a share from all other agents for the fault's duration.
+// partitionAgents selects a share of the agents and partitions each of them from all other agents for the fault's
+// duration.
 func (r *armRun) partitionAgents(fault Fault, random *rand.Rand) error {
 	if r.proxy == nil {
 		return nil // without a membership section there are no connections to partition
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -67,8 +67,9 @@
 	return m.Title + " (" + m.Unit + ")"
 }
 
-// FindMetric returns the metric with the given title or record key. Keys are accepted for command lines from before
-// metrics had titles. A metric that is not in the table gets its name as key and title.
+// FindMetric returns the metric with the given title or record key. Keys are accepted because metrics once had no
+// titles, and command lines from that time name them by key. A metric that is not in the table gets its name as key and
+// title.
 func FindMetric(name string) Metric {
 	for _, metric := range metricTable {
 		if metric.Title == name || string(metric.Key) == name {
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -44,11 +44,12 @@
 	return s, nil
 }
 
-// typeErrorPattern matches the TOML library's error for a value of the wrong type, which has no Go type of its own.
+// typeErrorPattern matches the message of the TOML library's error for a value of the wrong type. The library has no Go
+// type for this error.
 var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "(.*?)"\): `)
 
-// TOMLError converts an error of toml.Decode to one that names the file and the line, and, for a value of the wrong
-// type, the key.
+// TOMLError converts an error of toml.Decode to one that names the file and the line. For a value of the wrong type,
+// the new error also names the key.
 func TOMLError(path string, err error) error {
 	if parseError := (toml.ParseError{}); errors.As(err, &parseError) {
 		return fmt.Errorf("%s:%d: %s", path, parseError.Position.Line, parseError.Message)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -26,10 +26,11 @@
 	points func(runs []*Record) plotter.XYs
 }
 
-// Plot draws plots of the valid records into a directory and returns the paths of the files: by second, the fraction
-// of the requested value that was served in time, over all seeds of each arm; for each arm, the highest load of each
-// server in slow start, as a fraction of the overload limit; and, by second, the least view of the sampled agents.
-// The format is a file extension that gonum/plot supports, such as "svg" or "png".
+// Plot draws plots of the valid records into a directory and returns the paths of the files. The first plot shows, by
+// second, the fraction of the requested value that was served in time, over all seeds of each arm. The second shows,
+// for each arm, the highest load of each server in slow start, as a fraction of the overload limit. The third shows, by
+// second, the least view of the sampled agents. The format is a file extension that gonum/plot supports, such as "svg"
+// or "png".
 func Plot(records []*Record, directory, format string) (files []string, err error) {
 	charts := []chart{serviceChart(), slowStartChart(), viewsChart()}
 	for i, arm := range Arms(records) {
--- a/internal/experiment/queue_check.go
+++ b/internal/experiment/queue_check.go
@@ -108,8 +108,9 @@
 	return confidenceInterval(waits), nil
 }
 
-// measureWait returns the mean wait in a run of a seed, in ms. It is the difference in mean sojourn time from a server
-// that gets the same requests and has a core for each of them, so that the cost of sockets and timers cancels out.
+// measureWait returns the mean wait, in ms, in a run with the given seed. It measures the mean sojourn time in the
+// server and in another server that gets the same requests but has a core for each of them. The wait is the difference,
+// in which the cost of sockets and timers cancels out.
 func (q QueueCheck) measureWait(ctx context.Context, seed uint64, length time.Duration) (float64, error) {
 	var queued, unqueued float64
 	var group errgroup.Group
--- a/internal/experiment/ranking.go
+++ b/internal/experiment/ranking.go
@@ -11,8 +11,8 @@
 )
 
 // CheckRanking ranks arms by the mean of a metric over their valid runs, where a greater mean is better. It writes a
-// table of the arms with their paired differences from the arm before, and returns an error if the ranking is not the
-// expected one, which has the best arm first.
+// table of the arms in which each has its paired difference from the arm before it. It returns an error if the ranking
+// is not the expected one, which lists the best arm first.
 func CheckRanking(out io.Writer, records []*Record, metric Metric, expected []string) error {
 	table := newTable("arm", metric.String(), "difference from the row above, 95 %")
 	means := map[string]float64{}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -95,8 +95,8 @@
 	fmt.Fprintf(out, "\nthe interval includes 0 for %d of %d metrics\n", equal, len(differences))
 }
 
-// writeSummary writes a table of an arm's metrics over its valid runs. If it has none, the table has the last run that
-// is not valid.
+// writeSummary writes a table of an arm's metrics over its valid runs. If the arm has no valid run, the table shows its
+// last run and marks it as not valid.
 func writeSummary(out *bytes.Buffer, records []*Record, arm string) {
 	runs := validOf(records, arm)
 	switch len(runs) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// injectFaults applies the faults that change the traffic and starts a goroutine of the group for each other fault,
-// which waits until the fault is due.
+// injectFaults sets the traffic changes of the faults that change the traffic. For each other fault, it starts a
+// goroutine in the group, which waits until the fault is due and injects it.
 func (r *armRun) injectFaults(group *sync.WaitGroup, faultErrors chan<- error) {
 	var changes []emulator.TrafficChange
 	for i, fault := range r.scenario.Faults {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -150,8 +150,8 @@
 	return config
 }
 
-// weightStride is the step between the evenly spread weights of consecutive agents. With it, the agents of each zone
-// get low and high weights.
+// weightStride spreads the weights over the zones. The weights are evenly spaced, and consecutive agents get weights
+// that are weightStride steps apart, so that the agents of each zone have both low and high weights.
 const weightStride = 7
 
 // agents returns the agents with their zones and shares of the requests.
