--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -57,7 +57,7 @@
 // Fit models a metric as a function of the size: least squares with an intercept, for the shape with
 // the lowest AICc (Hurvich and Tsai 1989). AICc is used because it corrects for small samples. All
 // shapes but flat have the same number of parameters, so among these AICc compares only the residuals.
-// A cross-validation by size would estimate its error from only the two or three remaining sizes.
+// Cross-validation by size is not used, because each of its fits would have only two or three sizes left.
 //
 // With more than three sizes the largest is held out, and its prediction is compared with the
 // measured value.
@@ -131,8 +131,8 @@
 	linear, varies := fitRegression(ShapeLinear, points)
 	candidates := candidateRegressions(points)
 	if varies && linear.slopeInterval().Lo > 0 {
-		// The growth is significant, so flat is not a candidate. With few points, AICc may prefer flat
-		// even to a clear slope.
+		// The growth is significant, so flat is not a candidate: with few points, AICc may prefer flat
+		// although the slope is clear.
 		candidates = candidates[1:]
 	}
 	best := leastAICc(candidates, func(line regression) bool { return line.shape != ShapeQuadratic })
@@ -150,15 +150,15 @@
 			f.alternatives = append(f.alternatives, line)
 		}
 	}
-	// The slope may be nonzero although it is not significant, so the interval of flat includes that of n.
+	// A slope that is not significant may still be nonzero, so flat's interval includes that of n.
 	if best.shape == ShapeFlat && linear.sumSquaresX > 0 && !slices.Contains(f.Indistinguishable, ShapeLinear) {
 		f.alternatives = append(f.alternatives, linear)
 	}
 }
 
-// candidateRegressions returns the regressions to select from, flat first. It omits a shape that falls
-// with the size, as flat is the safer assumption then, and a shape that is collinear with a simpler
-// one, such as n² where the rate of changes grows with n.
+// candidateRegressions returns the regressions to select from, flat first. It omits a shape with a negative
+// slope, because flat is the safer assumption then. It also omits a shape that is collinear with a simpler
+// one: for example, n² is collinear with n × changes if the rate of changes grows with n.
 func candidateRegressions(points []Point) []regression {
 	var candidates []regression
 	for _, s := range shapes {
@@ -173,7 +173,8 @@
 	return candidates
 }
 
-// leastAICc returns the first regression with the lowest AICc among those allowed; nil allows all.
+// leastAICc returns the regression with the lowest AICc among those that allowed accepts, or the first of
+// several within aiccTolerance. If allowed is nil, all are accepted.
 func leastAICc(candidates []regression, allowed func(regression) bool) regression {
 	best := regression{aicc: math.Inf(1)}
 	for _, line := range candidates {
@@ -205,8 +206,8 @@
 }
 
 // Predict predicts the metric of one run with n agents and the given number of changes per second. The
-// interval is the prediction interval by Student's t, extended by the intervals of the shapes that
-// could not be distinguished and clamped at zero.
+// interval is the prediction interval by Student's t. It is extended to include the intervals of the
+// shapes that could not be distinguished, and clamped at zero.
 func (f *Fit) Predict(n, changes float64) Prediction { return f.predictMean(n, changes, 1) }
 
 // predictMean is like Predict for the mean over a number of runs.
@@ -226,8 +227,8 @@
 		math.Abs(f.Measured-f.Predicted.Value) > relativeRounding*f.Measured
 }
 
-// maxReliableError is the largest relative error at the held-out size with which the prediction for
-// the target still counts as reliable.
+// maxReliableError is the largest relative error at the held-out size for which the prediction at the
+// target always counts as reliable.
 const maxReliableError = 0.1
 
 // unreliable reports whether the held-out size contradicts the fit: its mean lies outside the
--- a/internal/capacity/interval.go
+++ b/internal/capacity/interval.go
@@ -19,7 +19,7 @@
 	return Interval{math.Min(i.Lo, other.Lo), math.Max(i.Hi, other.Hi)}
 }
 
-// nonNegative returns the interval clamped at zero, as no metric is negative.
+// nonNegative returns the interval clamped at zero, because no metric is negative.
 func (i Interval) nonNegative() Interval {
 	return Interval{math.Max(i.Lo, 0), math.Max(i.Hi, 0)}
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -5,9 +5,10 @@
 	"math"
 )
 
-// comparableRuns returns the runs of a load profile that share one rate factor, and that factor. It is 1
-// for the quiet profile, which has no changes to accelerate. Metrics of roles use only the first plan's
-// runs, changes in force those of all plans.
+// comparableRuns returns the runs of a load profile that share the most common rate factor, and that
+// factor. For the quiet profile it returns all runs and the factor 1, because this profile has no changes
+// to accelerate. The times until changes are in force are taken from the runs of all plans, and the
+// metrics of roles only from those of the first plan.
 func (p *Page) comparableRuns(subject string, profile Profile) ([]*Run, float64) {
 	all := p.firstPlanRuns
 	if subject == subjectInForce {
@@ -23,9 +24,10 @@
 // selector selects the points of a row from runs, and returns their source.
 type selector func([]*Run) ([]Point, Source)
 
-// measure fills a row from the runs of its load profile. A rate of the accelerated ordinary profile is
-// scaled to the target's rate of changes (see rescaleToTarget). In other profiles the traffic of the
-// fault and that of the accelerated changes can't be separated, so the metric is not scaled.
+// measure fills a row from the runs of its load profile. If the changes of the ordinary profile were
+// accelerated, a metric with Rate set is scaled to the target's rate of changes (see rescaleToTarget). In
+// the profiles with a fault or a rollout, the traffic of the fault can't be separated from that of the
+// accelerated changes, so no metric is scaled.
 func (p *Page) measure(r *Row, metric Metric, selectPoints selector) {
 	runs, rateFactor := p.comparableRuns(r.Subject, Profile(r.Condition))
 	points, source := selectPoints(runs)
@@ -50,15 +52,15 @@
 	}
 }
 
-// predictAtTarget predicts the metric at the target's size, for the runs' rate of changes per agent
-// multiplied by the rate factor.
+// predictAtTarget predicts the metric at the target's size. It assumes the rate of changes per agent that
+// the runs have without acceleration (see changesPerAgent), multiplied by rateFactor.
 func (p *Page) predictAtTarget(fit *Fit, s Source, runs []*Run, rateFactor float64) Prediction {
 	n := float64(p.Target.Fleet.Agents)
 	return s.widen(fit.Predict(n, changesPerAgent(runs)*n*rateFactor))
 }
 
-// rescale converts a row's value from the accelerated rate of changes to the target's where that is
-// possible, and notes in the row's source whether it was.
+// rescale converts a row's value from the accelerated rate of changes to the target's rate if it can. The
+// row's source notes whether the value was converted.
 func (p *Page) rescale(r *Row, metric Metric, selectPoints selector, rateFactor float64) {
 	factor := formatNumber(rateFactor)
 	if !metric.Rate || r.Condition != string(ProfileOrdinary) {
@@ -77,8 +79,8 @@
 	r.appendSource(fmt.Sprintf("scaled from ×%s the rates", factor))
 }
 
-// rescaleToTarget returns a profile's rate at the target's rate of changes: the quiet profile's rate,
-// plus what the accelerated changes add to it divided by the rate factor.
+// rescaleToTarget returns a metric at the target's rate of changes. This is the metric of the quiet profile
+// plus the part that the accelerated changes add, with the added part divided by the rate factor.
 func rescaleToTarget(quiet, accelerated Prediction, rateFactor float64) Prediction {
 	fraction := 1 / rateFactor
 	value := math.Max(quiet.Value*(1-fraction)+accelerated.Value*fraction, 0)
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -84,7 +84,7 @@
 	return noMechanism
 }
 
-// checkPatterns returns an error for a pattern that matches no row, as it would have no effect.
+// checkPatterns returns an error for a pattern that matches no row, because such a pattern has no effect.
 func (m *Mechanisms) checkPatterns(rows []*Row) error {
 	for i, mechanism := range m.All {
 		for _, pattern := range mechanism.Rows {
--- a/internal/capacity/metric.go
+++ b/internal/capacity/metric.go
@@ -10,8 +10,8 @@
 // Metric is a metric of a role, which has one row for each load profile in the page's tables.
 type Metric struct {
 	Name, Unit string
-	// Rate is set if the metric grows with the rate of events, so that a run with accelerated changes
-	// has a higher value than the target. Other metrics are not rescaled.
+	// Rate is set if the metric grows with the rate of events. A run with accelerated changes then has a
+	// higher value than the target's rate of changes would give. Other metrics are not rescaled.
 	Rate       bool
 	agentsOnly bool                  // discovery instances don't have this metric
 	parts      []MetricKey           // the recorded metrics that are summed
@@ -41,8 +41,8 @@
 func cpuBudget(t *Target) float64    { return percent * t.Agent.ControlCPU }
 func memoryBudget(t *Target) float64 { return t.Agent.MemoryMB }
 
-// value returns the metric of a role in one run as the mean over the role's members, and false if it
-// was not measured.
+// value returns the mean of the metric over the members of a role in one run. It returns false if the
+// metric was not measured.
 func (m Metric) value(r *Run, role Role) (float64, bool) {
 	sum := 0.0
 	for _, part := range m.parts {
@@ -55,8 +55,9 @@
 	return sum, r.Roles[role].Count > 0
 }
 
-// ValidRuns returns the runs that are not marked invalid. Of runs with the same plan, commit, profile,
-// size, rate factor, repeat and seed it considers only the last.
+// ValidRuns first selects the last of the runs that have the same plan, commit, profile, size, rate factor,
+// repeat and seed. Of the selected runs it returns those that are not marked invalid. An invalid last run
+// therefore also excludes the earlier runs, even if they are valid.
 func ValidRuns(runs []*Run) []*Run {
 	type identity struct {
 		plan, commit string
@@ -130,8 +131,8 @@
 	return slices.DeleteFunc(slices.Clone(runs), func(r *Run) bool { return r.RateFactor != factor })
 }
 
-// mostCommonRateFactor returns the runs with the most common rate factor, and that factor. Of equally
-// common factors it takes the smallest.
+// mostCommonRateFactor returns the runs with the most common rate factor, and that factor. If several
+// factors are equally common, it selects the smallest.
 func mostCommonRateFactor(runs []*Run) ([]*Run, float64) {
 	factor := 1.0
 	most := 0
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -14,8 +14,8 @@
 	Benchmarks []*BenchmarkFile
 	Command    string // the command that prints the page
 
-	// firstPlanRuns holds those of Runs that have the plan of the first one, as the metrics of roles
-	// are not combined from several plans.
+	// firstPlanRuns holds the runs with the same plan as the first of Runs, because metrics of roles are
+	// not combined from several plans.
 	firstPlanRuns []*Run
 	rows          []*Row
 }
@@ -169,8 +169,8 @@
 // dataPathBudget returns the latency that an agent may add to a call, in µs at p99.
 func (p *Page) dataPathBudget() float64 { return usPerMs * p.Target.Agent.AddedP99MS }
 
-// dataPathRows returns the rows of the data path with the target's number of servers: the added
-// latency first, then one row for each of decisionStates. Nothing is extrapolated.
+// dataPathRows returns the rows of the data path: the added latency first, then one row for each of
+// decisionStates. The benchmarks run with the target's number of servers, so nothing is extrapolated.
 func (p *Page) dataPathRows() []*Row {
 	servers := p.Target.Fleet.Servers
 	added := &Row{Condition: calmState, Metric: "added", Unit: "µs at p99"}
--- a/internal/capacity/profile.go
+++ b/internal/capacity/profile.go
@@ -4,8 +4,8 @@
 // contain profiles under these names.
 type Profile string
 
-// The load profiles. ProfileQuiet has no changes. The others have the target's changes, and those after
-// ProfileOrdinary also a fault or a rollout.
+// The load profiles. ProfileQuiet has no changes, and all others have the target's changes. The profiles
+// listed after ProfileOrdinary also have a fault or a rollout.
 const (
 	ProfileQuiet    Profile = "quiet"
 	ProfileOrdinary Profile = "ordinary" // single agents restart or fail
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -12,9 +12,9 @@
 	groupByUse
 )
 
-// Ranked returns the rows that have a budget or require a mechanism, worst first: rows that lack a
-// required mechanism, then changes that never came into force at some agent, then the others by use of
-// their budget. rest has the rows with a budget that can't be ranked, as its use is not known.
+// Ranked returns the ranked rows, worst first. Rows that lack a required mechanism come first, then rows
+// with changes that never came into force at some agent, then all other rows whose use of the budget is
+// known, in descending order of that use. unranked has the rows with a budget whose use is not known.
 func (p *Page) Ranked() (ranked, unranked []*Row) {
 	for _, r := range p.rows {
 		switch {
--- a/internal/capacity/recordfile.go
+++ b/internal/capacity/recordfile.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// checkParameters checks the top-level keys other than maps. A run marked invalid may have no rate
-// factor and no seconds, as it may have been interrupted before anything was measured.
+// checkParameters checks the top-level keys other than maps. A run marked invalid may lack the rate factor
+// and the seconds, because it may have been interrupted before anything was measured.
 func (r *Run) checkParameters() error {
 	valid := len(r.Invalid) == 0
 	switch {
@@ -156,6 +156,6 @@
 	return l.Count >= 0 && l.NeverInForce >= 0 && !invalidValue(l.P50) && !invalidValue(l.P99) && !invalidValue(l.Max)
 }
 
-// invalidValue reports whether a value is negative or not finite. No metric can have such a value, as
-// all are counts, rates, sizes or durations.
+// invalidValue reports whether a value is negative or not finite. No metric can have such a value, because
+// all metrics are counts, rates, sizes or durations.
 func invalidValue(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) || v < 0 }
--- a/internal/capacity/regression.go
+++ b/internal/capacity/regression.go
@@ -14,8 +14,8 @@
 	relativeRounding = 1e-9
 	// collinearCorrelation is the correlation above which two regressors count as collinear.
 	collinearCorrelation = 0.999
-	// quadraticCollinearCorrelation is the limit where one of them is n². It is lower because the
-	// changes are random, and their variation must not raise an alarm.
+	// quadraticCollinearCorrelation replaces collinearCorrelation if one of the two regressors is n². It is
+	// lower because the number of changes varies at random, and this variation must not raise an alarm.
 	quadraticCollinearCorrelation = 0.98
 	// lineParameters is the number of parameters of a line: intercept and slope.
 	lineParameters = 2
@@ -84,7 +84,7 @@
 	}
 }
 
-// dropRoundingSlope returns zero for a slope that is within the rounding error, else the slope itself.
+// dropRoundingSlope returns the slope, or zero if the slope is within the rounding error.
 func dropRoundingSlope(slope float64, xs, ys []float64) float64 {
 	if math.Abs(slope)*(floats.Max(xs)-floats.Min(xs)) < relativeRounding*floats.Norm(ys, math.Inf(1)) {
 		return 0
@@ -92,9 +92,9 @@
 	return slope
 }
 
-// collinearWith reports whether the two regressors are nearly proportional, so that the points can't
-// distinguish them: n × changes and n where the rate of changes is the same at each size, or n × changes
-// and n² where it grows with the size.
+// collinearWith reports whether the regressors of the two shapes are so nearly proportional that the points
+// can't distinguish the shapes. Only n × changes can be collinear with another shape: with n if the rate of
+// changes is the same at every size, and with n² if the rate of changes grows in proportion to the size.
 func (line regression) collinearWith(other regression) bool {
 	if line.shape == ShapeFlat || other.shape == ShapeFlat {
 		return false
@@ -109,9 +109,9 @@
 	return math.Abs(stat.Correlation(line.xs, other.xs, nil)) > limit
 }
 
-// distinctionThreshold returns the AICc difference from which two shapes count as distinguished: that
-// of a 95 % profile-likelihood interval, with F in place of chi-squared as there are few points.
-// It is 3.84 with many points, 4.8 with 12 and 6.4 with 6.
+// distinctionThreshold returns the least AICc difference at which two shapes count as distinguished. It is
+// the threshold of a 95 % profile-likelihood interval, computed with the F distribution instead of
+// chi-squared because there are few points. It is 3.84 with many points, 4.8 with 12 and 6.4 with 6.
 func (line regression) distinctionThreshold() float64 {
 	n := float64(len(line.xs))
 	residualDegrees := n - lineParameters
@@ -140,7 +140,7 @@
 	return Prediction{Value: value, Interval: Interval{value - halfWidth, value + halfWidth}}
 }
 
-// quantileCache holds the quantiles computed so far, as gonum finds each by a numerical search.
+// quantileCache holds the quantiles computed so far, because gonum finds each by a numerical search.
 var quantileCache sync.Map
 
 // studentQuantile returns the 97.5 % quantile of Student's t: the half width of a 95 % interval in
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -111,8 +111,8 @@
 	writeUnranked(b, unranked)
 }
 
-// writeUnranked lists the rows that could not be ranked, grouped by subject and condition, or by the kind
-// of change.
+// writeUnranked lists the rows that could not be ranked. Rows for the time until a change is in force are
+// grouped by the kind of change, all others by subject and condition.
 func writeUnranked(b *bytes.Buffer, rows []*Row) {
 	if len(rows) == 0 {
 		return
@@ -137,8 +137,8 @@
 	}
 }
 
-// writeTable writes the rows of a subject. A profile in which no metric of a discovery instance was
-// measured has one line for all of its metrics.
+// writeTable writes the rows of a subject. If no metric of a discovery instance was measured in a profile,
+// one line stands for all metrics of this profile.
 func (p *Page) writeTable(b *bytes.Buffer, title, subject string) {
 	fmt.Fprintf(b, "\n### %s\n\n", title)
 	b.WriteString(tableHeader("profile", "metric", "at the target", "budget", "use", "slope, shape", "sizes fitted (runs)",
@@ -206,8 +206,8 @@
 // measuredTimesColumns is the number of cells that measuredTimesCells returns.
 const measuredTimesColumns = 6
 
-// measuredTimesCells returns the cells of a kind of change in the runs of a profile: largest size,
-// times and counts.
+// measuredTimesCells returns the cells for a kind of change in a profile: the largest size at which it was
+// measured, and the times and counts of the runs at that size.
 func (p *Page) measuredTimesCells(kind ChangeKind, profile Profile) string {
 	largest := 0
 	runs := 0
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -39,12 +39,13 @@
 type BudgetUse struct {
 	Known    bool
 	Fraction float64
-	// Size is the size at which the fraction was measured, or 0 if the fraction is that at the target.
+	// Size is the size at which the fraction was measured, or 0 if Fraction is for the target.
 	Size int
 }
 
-// Use returns the fraction of the budget that is used at the target. If that is not known but the
-// largest size measured already exceeds the budget, it returns the fraction at that size.
+// Use returns the fraction of the budget that is used at the target. If the value at the target is not
+// known, but the mean at the largest size measured already exceeds the budget, Use returns the fraction
+// at that size.
 func (r *Row) Use() BudgetUse {
 	switch {
 	case r.Budget <= 0:
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -19,7 +19,7 @@
 	Real               int     `json:"real"`
 	DiscoveryInstances int     `json:"lists"`
 	ListedServers      int     `json:"listed"`  // servers in the endpoint list
-	RateFactor         float64 `json:"hurry"`   // rate of changes and restarts divided by the target's, scaled to Size
+	RateFactor         float64 `json:"hurry"`   // rate of changes and restarts, divided by the target's scaled to Size
 	Seconds            float64 `json:"seconds"` // duration of the measurement
 	Changes            int     `json:"changes"` // acknowledged within Seconds
 	// Converged is set if at the end all agents had the last change and the same membership snapshot.
@@ -89,8 +89,8 @@
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Max   float64 `json:"worst"`
-	// NeverInForce counts the pairs of change and agent where the agent ran until the deadline without
-	// having the change in force.
+	// NeverInForce counts the pairs of a change and an agent in which the change was not in force at the
+	// agent by the deadline, although the agent ran until then.
 	NeverInForce int64 `json:"absent"`
 	// Histogram is an HDR histogram in µs (V2 encoding, compressed, base64).
 	Histogram string `json:"histogram,omitempty"`
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -76,9 +76,15 @@
 	HasRatio    bool
 }
 
-// selectSource selects hollow or real agents for a metric of some runs: hollow if their ratio is close
-// to one, hollow divided by the ratio if the ratio is stable over the sizes and its interval no wider
-// than the factor maxUsableRatio, otherwise real.
+// selectSource selects the agents from which a metric of the runs is taken. If both kinds were measured and
+// have a ratio, it selects
+//   - the hollow agents, if the ratio of hollow to real is close to one;
+//   - the hollow agents divided by the ratio, if the ratio is stable over the sizes and the ends of its
+//     interval differ by at most the factor maxUsableRatio;
+//   - the real agents otherwise.
+//
+// Without a ratio it selects the real agents, or the hollow ones if the real ones were not measured or all
+// values of both are 0.
 func selectSource(runs []*Run, m Metric) Source {
 	ratio, hasRatio := hollowRatio(runs, m)
 	s := Source{Role: RoleHollow, Ratio: ratio, HasRatio: hasRatio}
@@ -125,7 +131,8 @@
 	})
 }
 
-// widen adds the uncertainty of the ratio to a prediction's interval if the points were divided by it.
+// widen adds the uncertainty of the ratio to a prediction's interval if the points were divided by the
+// ratio.
 func (s Source) widen(prediction Prediction) Prediction {
 	if !s.Corrected {
 		return prediction
--- a/internal/capacity/target.go
+++ b/internal/capacity/target.go
@@ -55,8 +55,8 @@
 // dailyTable is the only table in which values may be zero.
 const dailyTable = "day"
 
-// checkNumbers checks all keys, which are numbers in tables: each must be present and positive, or not
-// negative in dailyTable.
+// checkNumbers checks all keys. Each key is a number in a table, and must be present, finite and positive.
+// In dailyTable, zero is also valid.
 func (t *Target) checkNumbers(defined func(...string) bool) error {
 	tables := reflect.ValueOf(t).Elem()
 	for i := range tables.NumField() {
--- a/internal/scaletest/changes.go
+++ b/internal/scaletest/changes.go
@@ -12,7 +12,7 @@
 	// weightSteps is the number of different weights in [0.5, 1.5) that a change selects from.
 	weightSteps = 1_000_000
 	minWeight   = 0.5
-	// One in drainOneIn changes to a server that is not draining drains it.
+	// Of the changes to a server that is not draining, one in drainOneIn drains the server.
 	drainOneIn = 4
 	// The maxRetryAfterMs in settings cycles through retryAfterSteps values that begin at minRetryAfterMs.
 	minRetryAfterMs = 1000
@@ -88,8 +88,9 @@
 	return f.putSettings(ctx, service)
 }
 
-// putSettings writes all settings of a service. They are those of the deployment except for maxRetryAfterMs, which has
-// no effect without requests. It differs from write to write, because identical settings make no new version.
+// putSettings writes all settings of a service. They are the deployment's settings with another maxRetryAfterMs. Its
+// value differs from write to write, because identical settings make no new version. It has no effect on the run, which
+// has no requests.
 func (f *fleet) putSettings(ctx context.Context, service string) error {
 	f.mu.Lock()
 	f.settingsWrites++
--- a/internal/scaletest/discoverybytes_test.go
+++ b/internal/scaletest/discoverybytes_test.go
@@ -21,10 +21,10 @@
 type discoveryBytes struct{ in, out uint64 }
 
 const (
-	// silentFrom is the version of the list from which the silent discovery sends no more responses.
+	// silentFrom is the last version of the list that the silent discovery sends.
 	silentFrom = 20
-	// comparedCalls is the number of calls up to which the bytes are compared: those that return a version, and some
-	// watches that time out.
+	// comparedCalls is the number of calls up to which the bytes are compared. It includes all calls that return a
+	// version, and some watches that time out.
 	comparedCalls = silentFrom + 3
 )
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// newSilentDiscovery starts a fake discovery and returns its address. It returns silentFrom versions, one per call, and
-// then sends no more responses, so that watches time out and are repeated.
+// newSilentDiscovery starts a fake discovery and returns its address. The fake responds to the first silentFrom calls
+// with one version each. It responds to no later call, so that watches time out and are repeated.
 func newSilentDiscovery(t *testing.T) string {
 	t.Helper()
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -35,8 +35,8 @@
 	concurrentMembers = 64
 	// serversPerCell is the number of consecutive servers in a cell.
 	serversPerCell = 6
-	// serverPort is the port of the listed servers. Nothing listens there: agents connect to servers only to forward
-	// requests, and a run has none.
+	// serverPort is the port of the listed servers. Nothing listens there, because agents connect to servers only to
+	// forward requests, and a run has no requests.
 	serverPort = 9000
 )
 
--- a/internal/scaletest/hollowagent.go
+++ b/internal/scaletest/hollowagent.go
@@ -59,7 +59,7 @@
 }
 
 // listen opens the listeners of an agent: none for clients, and one for the admin endpoint if that is configured.
-// It returns false if it can't listen. The command is valid nevertheless, so this is reported as the agent's end.
+// It returns false if it can't listen. It reports this as the agent's end, because the command itself is valid.
 func (h *hostServer) listen(name string, cfg *config.Config) (listeners agent.Listeners, ok bool) {
 	if cfg.AdminAddr == "" {
 		return listeners, true
--- a/internal/scaletest/hostclient_test.go
+++ b/internal/scaletest/hostclient_test.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// await waits for an event that fits among those from index since on. It returns the event and the index after it.
+// await waits for an event for which fits returns true, beginning at the index since. It returns the event and the
+// index after it.
 func (h *hostClient) await(since int, what string, fits func(*HostEvent) bool) (HostEvent, int) {
 	h.t.Helper()
 	over := time.After(waitTimeout)
--- a/internal/scaletest/hostprocess.go
+++ b/internal/scaletest/hostprocess.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// hostProcess is a host process as the runner sees it: the runner sends commands and receives events.
+// hostProcess is the runner's side of a host process. It sends commands to the process and receives its events.
 type hostProcess struct {
 	name     string
 	cmd      *exec.Cmd
@@ -39,8 +39,8 @@
 	reportTimeout = 60 * time.Second
 	// hostStopTimeout is how long a host may take to end after its standard input is closed.
 	hostStopTimeout = 3 * time.Second
-	// maxReportAge is the maximum age of a report from which the counters of an agent are taken before the agent is
-	// ended. It lets agents that are ended at the same time share one report.
+	// maxReportAge is the maximum age of the report from which an agent's counters are saved before the agent is ended.
+	// It allows agents that are ended at the same time to share one report.
 	maxReportAge = 200 * time.Millisecond
 )
 
@@ -142,7 +142,8 @@
 	}
 }
 
-// handleEnded handles the end of an agent. If no command waits for the end, one that waits for the agent's start fails.
+// handleEnded handles the end of an agent. If no command waits for the end, but a command waits for the agent's start,
+// that command fails.
 func (h *hostProcess) handleEnded(agent string, err error) {
 	h.trackers.forEach(func(t *tracker) { t.ended(agent) })
 	if h.resolve(endedEvent(agent), err) {
--- a/internal/scaletest/hostreport.go
+++ b/internal/scaletest/hostreport.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// report returns a report. The processor time in it excludes that spent while reports were made, most of which is
-// garbage collection. What the agents use meanwhile is excluded with it, which is little if reports are rare.
+// report returns a report. Its processor time excludes the time in which reports were made, because most of that is
+// spent on garbage collection. What the agents use in that time is excluded too, which is little if reports are rare.
 func (h *hostServer) report() (*HostReport, error) {
 	before, err := processorTime()
 	if err != nil {
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -149,10 +149,10 @@
 }
 
 const (
-	// maxStackBytes is the number of bytes of the goroutines' stacks that are printed at most.
+	// maxStackBytes is the maximum number of bytes of the goroutines' stacks that are printed.
 	maxStackBytes = 1 << 20
-	// No event says that a started agent has opened all its resources. They are taken as stable once stableSamples
-	// consecutive samples, one every sampleInterval, are not above the maximum before.
+	// No event says that a started agent has opened all its resources. The resources count as stable once none of
+	// stableSamples consecutive samples, one every sampleInterval, exceeds the maximum of the samples before them.
 	stableSamples  = 10
 	sampleInterval = 100 * time.Millisecond
 )
--- a/internal/scaletest/machinecheck.go
+++ b/internal/scaletest/machinecheck.go
@@ -18,7 +18,7 @@
 	realMBPerMember   = 0.06
 	discoveryMB       = 40.0
 	// hollowDescriptors is the number of descriptors of a hollow agent, including those that its membership may open
-	// while it joins. hostDescriptors is the number of those of the host process itself.
+	// while it joins. hostDescriptors is the number of descriptors that the host process itself needs in addition.
 	hollowDescriptors = 40
 	hostDescriptors   = 32
 	// memoryDivisor divides the machine's memory: a fleet may use half of it.
--- a/internal/scaletest/machinemonitor.go
+++ b/internal/scaletest/machinemonitor.go
@@ -17,7 +17,7 @@
 	maxTimerDelay = 20 * time.Millisecond
 	// timerInterval is the interval of the timers that are observed.
 	timerInterval = 10 * time.Millisecond
-	// maxRecordedDelayUs is the largest delay in the histogram, in µs. Larger ones are recorded as this.
+	// maxRecordedDelayUs is the largest delay in the histogram, in µs. Longer delays are recorded with this value.
 	maxRecordedDelayUs = 60_000_000
 	// percent converts a fraction to a percentage.
 	percent = 100
--- a/internal/scaletest/member.go
+++ b/internal/scaletest/member.go
@@ -130,7 +130,7 @@
 	return f.selectMembers(func(m *member) bool { return !m.running })
 }
 
-// selectMembers returns the members that fit. The caller must hold f.mu.
+// selectMembers returns the members for which fits returns true. The caller must hold f.mu.
 func (f *fleet) selectMembers(fits func(*member) bool) []*member {
 	var selected []*member
 	for _, m := range f.members {
--- a/internal/scaletest/protocol.go
+++ b/internal/scaletest/protocol.go
@@ -29,7 +29,7 @@
 	commandStop   commandName = "stop"   // stop Agent gracefully, as SIGTERM does
 	commandKill   commandName = "kill"   // close Agent's sockets and send nothing, as SIGKILL does
 	commandReload commandName = "reload" // reload Agent with Config, as SIGHUP does
-	commandReport commandName = "report" // report on all agents; should be rare, as it first collects garbage
+	commandReport commandName = "report" // report on all agents; should be rare, because it first collects garbage
 )
 
 // HostEvent is an event of a host process. One field is set, except that Ended may come with Err.
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -26,8 +26,8 @@
 	OnRun       func(*capacity.Run) error        // called with the record of each run when it ends
 }
 
-// maxFleetStarts is the number of successive fleets that may fail to converge before their first run. After that the
-// remaining load profiles are not run. Each failure is recorded as an invalid run.
+// maxFleetStarts is the number of successive fleets that may fail to converge before their first run. After so many
+// failures, each of which is recorded as an invalid run, the remaining load profiles are not run.
 const maxFleetStarts = 3
 
 // startDelay is the time from the convergence of a fleet to the start of the measured run.
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// recordUnsampled records how many of the running agents of a role are without metrics.
+// recordUnsampled records for how many of the running agents of a role there are no metrics.
 func (f *fleet) recordUnsampled(run *capacity.Run, role capacity.Role, running int) {
 	if sampled := run.Roles[role].Count; sampled < running {
 		run.Missing = append(run.Missing, fmt.Sprintf(
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -155,8 +155,9 @@
 	}
 }
 
-// excessiveGrowth returns what a metric grows with between a small and a large fleet, or "" if it does not grow too
-// much. Messages in a quiet run may not grow with the fleet, and no metric with the square of its size.
+// excessiveGrowth compares a metric of a small and a large fleet. If the metric grows too much, it returns what the
+// metric grows with, otherwise "". Messages in a quiet run must not grow with the size of the fleet, and no metric may
+// grow with the square of the size.
 func excessiveGrowth(small, large *capacity.Run, role capacity.Role, metric capacity.MetricKey, square float64) string {
 	before := small.Roles[role].Mean[metric]
 	after := large.Roles[role].Mean[metric]
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -39,8 +39,8 @@
 	return values
 }
 
-// counterTotals has the summed counters of the ended processes of an agent or discovery instance. They are added to
-// those of its current process, so that a restart does not reset its counters.
+// counterTotals has the summed counters of the ended processes of an agent or discovery instance. These sums are added
+// to the counters of its current process, so that a restart does not reset the totals.
 type counterTotals struct {
 	mu    sync.Mutex
 	total metricValues
@@ -202,7 +202,8 @@
 	}, nil
 }
 
-// saveCounters adds the counters of an agent that is about to be ended to those of its ended processes.
+// saveCounters must be called before an agent is ended. It adds the counters of the agent's current process to those of
+// its ended processes.
 func (f *fleet) saveCounters(ctx context.Context, m *member) error {
 	if m.hollow() {
 		r, err := m.host.recentReport(ctx)
@@ -240,8 +241,8 @@
 	}
 	reads := status.Usage.Reads
 	raft := status.Usage.Raft
-	// Each call is one received and one sent message. For Raft only the writes are counted, which are the instance's calls
-	// and its responses to the calls of others. It receives as many messages, because each call has one response.
+	// Each call is one received and one sent message. For Raft only the messages that the instance writes are counted:
+	// its calls, and its responses to the calls of others. It receives as many, because each call has one response.
 	messages := float64(reads.Messages + raft.Messages)
 	return usage{
 		counters: metricValues{
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -65,8 +65,7 @@
 	agent      string
 	start, end time.Time        // end is zero until it ends
 	versions   []versionInForce // in ascending order
-	// incomplete reports that the agent dropped log lines, so that a version that is missing from versions may have
-	// been in force.
+	// incomplete is set if the agent dropped log lines. A version that is not in versions may then have been in force.
 	incomplete bool
 }
 
@@ -184,9 +183,9 @@
 	unknown int // pairs of a change and an agent without a result, because the agent dropped log lines
 }
 
-// latencies returns the times from the acknowledgement of each change until it was in force, over all agents that the
-// change was for and that ran when it was acknowledged. An agent that ended before inForceTimeout without the change is
-// not counted.
+// latencies returns the times from the acknowledgement of each change until the change was in force at an agent. It
+// includes all agents that the change was for and that ran when it was acknowledged, except for an agent that ended
+// within inForceTimeout without having the change in force.
 func (t *tracker) latencies() (measuredLatencies, error) {
 	var result measuredLatencies
 	t.mu.Lock()
