--- a/internal/capacity/cells.go
+++ b/internal/capacity/cells.go
@@ -127,7 +127,7 @@
 	return strings.Join(parts, " ")
 }
 
-// ratioCell returns the ratio of hollow to real agents and the source selected by it.
+// ratioCell returns the ratio of hollow to real agents, and the source that was selected because of it.
 func (s Source) ratioCell() string {
 	if !s.HasRatio {
 		return s.Description
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -29,8 +29,9 @@
 	return points
 }
 
-// knownLaw is a law from which points are drawn, and the least fractions of draws in which the fit must
-// find the shape, and in which the intervals must contain the slope and the target's value.
+// knownLaw is a law from which points are drawn, with the fractions of draws that the test requires:
+// minFound is the least fraction in which the fit finds the shape. minSlopeCoverage and minTargetCoverage
+// are the least fractions in which the intervals contain the slope and the target's value.
 type knownLaw struct {
 	shape                                         Shape
 	repeats                                       int
@@ -43,9 +44,9 @@
 	return samplePoints(rng, law.shape, law.intercept, law.slope, law.noise, repeats, sizes...)
 }
 
-// coverage counts the draws in which the shape was found, the draws in which the intervals contained the
-// true slope (only where the shape was found), the target's value and the largest size's mean, and the
-// draws that raised an alarm.
+// coverage counts the draws in which the shape was found, and the draws that raised an alarm. It also counts
+// the draws in which each interval contained the true value: the slope (only where the shape was found), the
+// target's value and the largest size's mean.
 type coverage struct{ found, slope, target, heldOut, alarms float64 }
 
 // coverageDraws is the number of draws from each law.
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -84,8 +84,8 @@
 
 const (
 	significantDigits = 3
-	// Numbers from minRounded (the least that rounds to four digits) to maxDecimal are written out
-	// with zeros, others as %g does.
+	// Numbers from minRounded to maxDecimal are written out with zeros, and all others as %g does.
+	// minRounded is the least number that rounds to four digits.
 	minRounded = 999.5
 	maxDecimal = 1e7
 )
--- a/internal/capacity/render_runs.go
+++ b/internal/capacity/render_runs.go
@@ -64,8 +64,9 @@
 	return order, groups
 }
 
-// planArgument returns the argument of `experiment scale` for a plan: the file in the record's directory
-// that contains the plan's name, or the flag of the built-in plan.
+// planArgument returns the argument that makes `experiment scale` run a plan. This is the flag of the
+// built-in plan, or the plan file in the record's directory that has the plan's name as its key "name". If
+// there is no such file, it is the plan's name with ".toml".
 func planArgument(record, plan string) string {
 	if plan == "small" {
 		return "--small"
--- a/internal/capacity/source.go
+++ b/internal/capacity/source.go
@@ -17,7 +17,7 @@
 	Stable   bool // the means of any two sizes differ by at most the factor maxUsableRatio
 }
 
-// The hollow agents' metric is used uncorrected if its ratio to the real one lies between these.
+// The hollow agents' metric is used uncorrected if its ratio to the real agents' metric lies between these bounds.
 const (
 	minUsableRatio = 0.8
 	maxUsableRatio = 1.25
--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestKillAndStopInMembership checks that the other agents see a killed agent as after SIGKILL, and a stopped one as
-// after SIGTERM.
+// TestKillAndStopInMembership checks that the other agents see a killed agent as dead, as after SIGKILL, and a stopped
+// agent as left, as after SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 4)
