--- a/internal/scaletest/convergence.go
+++ b/internal/scaletest/convergence.go
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// divergenceOrChange returns the divergence if the fleet has not converged. If it has, but some members' snapshots still
-// change, it returns how many. Otherwise it returns "".
+// divergenceOrChange returns the divergence if the fleet has not converged. If it has, but some members' snapshots
+// still change, it returns how many. Otherwise it returns "".
 func (s *fleetState) divergenceOrChange() string {
 	problem := s.divergence()
 	if problem == "" && s.unsettled > 0 {
