--- a/internal/scaletest/hostserver_test.go
+++ b/internal/scaletest/hostserver_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestKillAndStopInMembership checks that the other agents see a killed agent as after SIGKILL, and a stopped one as
-// after SIGTERM.
+// TestKillAndStopInMembership checks that the other agents see a killed agent as dead, as after SIGKILL, and a stopped
+// agent as left, as after SIGTERM.
 func TestKillAndStopInMembership(t *testing.T) {
 	discovery := newDiscoveryServer(t)
 	configs := newConfigurations(t, discovery.addr, 4)
@@ -149,10 +149,10 @@
 }
 
 const (
-	// maxStackBytes is the number of bytes of the goroutines' stacks that are printed at most.
+	// maxStackBytes is the maximum number of bytes of the goroutines' stacks that are printed.
 	maxStackBytes = 1 << 20
-	// No event says that a started agent has opened all its resources. They are taken as stable once stableSamples
-	// consecutive samples, one every sampleInterval, are not above the maximum before.
+	// No event says that a started agent has opened all its resources. The resources count as stable once none of
+	// stableSamples consecutive samples, one every sampleInterval, exceeds the maximum of the samples before them.
 	stableSamples  = 10
 	sampleInterval = 100 * time.Millisecond
 )
