--- a/internal/configtest/cases.go
+++ b/internal/configtest/cases.go
@@ -10,7 +10,7 @@
 const (
 	// pollInterval is the interval at which awaitLastChange reads the logs.
 	pollInterval = 50 * time.Millisecond
-	// settleMargin is how much longer than Config.Within awaitLastChange waits.
+	// settleMargin is the time that awaitLastChange waits in addition to Config.Within.
 	settleMargin = time.Second
 )
 
--- a/internal/configtest/collect.go
+++ b/internal/configtest/collect.go
@@ -68,8 +68,8 @@
 	return settings.Limits.MaxAttempts, err
 }
 
-// exemptUntilNow records that, from the given time until now, the agents could not reach any instance with newer
-// settings than their own.
+// exemptUntilNow exempts the agents from the time limit for changes during the period from the given time until now,
+// because they could not reach any instance with newer settings than their own. See History.Exemptions.
 func (h *Harness) exemptUntilNow(from time.Time, agents []string) {
 	h.exemptions.Add(processtest.Exemption{From: from, To: time.Now(), Applies: processtest.Observers(agents...)})
 }
--- a/internal/configtest/faults.go
+++ b/internal/configtest/faults.go
@@ -22,7 +22,8 @@
 	regions = 3
 	// regionChanges is the number of changes made while a region is cut off.
 	regionChanges = 3
-	// cutGrace is how long after a partition starts an agent may still put in force settings sent to it before.
+	// cutGrace is the time after the start of a partition in which an agent may still put in force settings that were
+	// sent to it before the partition.
 	cutGrace = time.Second
 	// peakWindow is the length of the time window in which peakCalls counts calls.
 	peakWindow = 100 * time.Millisecond
@@ -199,8 +200,8 @@
 }
 
 // allDown kills all instances and restarts a tenth of the agents during the outage. Then it starts the instances again
-// and makes a change. The agents must spread their calls, both during and after the outage: fewer calls than there are
-// agents may occur within any peakWindow.
+// and makes a change. The agents must spread their calls, both during and after the outage: the number of calls within
+// any peakWindow must be smaller than the number of agents.
 func (h *Harness) allDown() (processtest.Metrics, error) {
 	downAt := time.Now()
 	if err := processtest.Each(h.Instances, h.discovery.Kill); err != nil {
--- a/internal/configtest/harness.go
+++ b/internal/configtest/harness.go
@@ -58,13 +58,13 @@
 	cfg       Config
 	Instances []string
 	Agents    []string
-	discovery *processtest.Cluster // has also the links from the agents
+	discovery *processtest.Cluster // also has the links from the agents
 	agents    *processtest.Cluster
 	random    *rand.Rand
 	client    *http.Client
 
 	writes     processtest.Records[Write]
-	exemptions processtest.Exemptions // periods that extend the time at which a change is due at an agent
+	exemptions processtest.Exemptions // periods that postpone when a change is due at an agent
 
 	mu         sync.Mutex
 	lastMarker int
--- a/internal/configtest/history.go
+++ b/internal/configtest/history.go
@@ -65,8 +65,9 @@
 	Writes       []Write
 	Stored       []StoredVersion // versions in the service's history, which keeps the last 20
 	Incarnations []*ProcessIncarnation
-	// Exemptions are periods in which agents, as observers, could not reach any instance with newer settings than their
-	// own. If the time for a change overlaps such a period, it starts again at the end of the period.
+	// Exemptions are periods in which some agents could not reach any instance with newer settings than their own. The
+	// agents are the observers of the exemption. If the time limit for a change overlaps such a period, the limit starts
+	// again at the end of the period.
 	Exemptions []processtest.Exemption
 }
 
@@ -104,9 +105,9 @@
 }
 
 // Delays returns, in ascending order, the delays from the acknowledgement of each write since the given time until it
-// was in force at each process. It leaves out processes that started later, that rejected the version or that never put
-// it or a newer one in force. A delay is 0 if the version was in force before its acknowledgement. For an exempt
-// process, the delay counts from the end of its exemption.
+// was in force at each process. For each write, it leaves out processes that started after the acknowledgement, that
+// rejected the version or that never put it or a newer one in force. A delay is 0 if the version was in force before
+// its acknowledgement. For an exempt process, the delay counts from the end of its exemption.
 func (h *History) Delays(since time.Time) []time.Duration {
 	var delays []time.Duration
 	for _, w := range h.Writes {
--- a/internal/configtest/logs.go
+++ b/internal/configtest/logs.go
@@ -90,8 +90,8 @@
 }
 
 // incarnations returns the incarnations of an agent's process. An incarnation starts when the process logs that it
-// listens. It gets the end that the harness recorded only once its successor listens, so that all changes stay due at
-// an agent that fails to start again.
+// listens. The end that the harness recorded is set only once the next incarnation listens. Otherwise later changes
+// would not be due at an agent that fails to start again.
 func (h *Harness) incarnations(agent string) ([]*ProcessIncarnation, error) {
 	entries, err := h.readLog(agent)
 	if err != nil {
--- a/internal/configtest/settings.go
+++ b/internal/configtest/settings.go
@@ -21,15 +21,15 @@
 	return processtest.AgentSettings{Agents: replicas, MaxAttempts: marker, SlowStartMs: slowStartMs}
 }
 
-// hasSlowStartInFile reports whether the agent with the given number has the key in its file that the first change
-// lacks. Every second agent has it.
+// hasSlowStartInFile reports whether the file of the agent with the given number has the key that the first change
+// lacks. The files of every second agent have it.
 func hasSlowStartInFile(number int) bool {
 	const every = 2
 	return number%every == 1
 }
 
 // settingsWithoutSlowStart returns settings without a key that every second agent has in its file. Those agents reject
-// them.
+// the settings.
 func settingsWithoutSlowStart(marker int) processtest.AgentSettings {
 	without := settings(marker)
 	without.SlowStartMs = 0
--- a/internal/discovery/server/client_test.go
+++ b/internal/discovery/server/client_test.go
@@ -18,7 +18,8 @@
 const (
 	// retryInterval is the time between two attempts at a write.
 	retryInterval = 20 * time.Millisecond
-	// requestTimeout bounds a request. It is longer than a write waits for its commit.
+	// requestTimeout bounds a request. It is longer than the time for which an instance waits until a write
+	// is committed.
 	requestTimeout = 6 * time.Second
 )
 
@@ -72,7 +73,7 @@
 
 // closeBody closes a response body.
 func closeBody(resp *http.Response) {
-	_ = resp.Body.Close() // an error is harmless, as nothing more is read
+	_ = resp.Body.Close() // an error is harmless, because nothing more is read
 }
 
 // version returns the version of a write, or 0 if the write was not acknowledged.
--- a/internal/discovery/server/faulty_store_test.go
+++ b/internal/discovery/server/faulty_store_test.go
@@ -18,7 +18,7 @@
 	Stable   bool          // writes of the term and the vote fail
 	Read     bool          // log reads fail
 	Applied  bool          // failing writes reach the file, as after a failed sync
-	Unsynced bool          // appends succeed without reaching the file, which the history check must find
+	Unsynced bool          // appends succeed without reaching the file; the history check must find this
 	Hang     bool          // failing writes block instead, until the fault changes
 	Err      syscall.Errno // returned by failing calls
 }
@@ -58,7 +58,7 @@
 }
 
 // hangPollInterval is the time between two checks whether a hanging call may continue. The control file
-// is polled, as there is no notification of its changes.
+// is polled because there is no notification of its changes.
 const hangPollInterval = 10 * time.Millisecond
 
 // write runs a write, which fails if failing returns true for the current fault.
--- a/internal/discovery/server/history_checker_test.go
+++ b/internal/discovery/server/history_checker_test.go
@@ -54,8 +54,8 @@
 	return acknowledged
 }
 
-// check returns an error if the history is not that of a single list with totally ordered writes, which
-// is the case if
+// check returns an error if the history can't be that of a single list with totally ordered writes. It
+// can't be if
 //
 //   - two writes have the same version, or versions that contradict their order in time,
 //   - a list lacks an acknowledged write of its version or an earlier one, or has a later one,
--- a/internal/discovery/server/settings_http_test.go
+++ b/internal/discovery/server/settings_http_test.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestWatchReturnsSettings checks that a watch with a service gets the service's newer settings,
-// immediately or when they are written, that other watches stay open, and that the agent's report is
-// recorded.
+// TestWatchReturnsSettings checks that a watch that names a service gets the service's newer settings,
+// either immediately or once they are written. It also checks that other watches stay open and that the
+// agent's report is recorded.
 func TestWatchReturnsSettings(t *testing.T) {
 	httpAddr, adminAddr := startSingleNode(t, t.TempDir())
 	listVersion := putServer(adminAddr, "s-1")
--- a/internal/discovery/server/settings_state_test.go
+++ b/internal/discovery/server/settings_state_test.go
@@ -87,8 +87,8 @@
 // settingsModel. Two writers write settings, with or without the version that they replace. Between the
 // writes a server is changed, and the state machine is restored from a snapshot. Versions must increase,
 // a repeated write must return the existing version, a write that replaces an outdated version must be
-// rejected, and the last 20 versions must be stored. Watches without a service must only see changes of
-// servers.
+// rejected, and the last 20 versions must be stored. A watch that names no service must be notified of
+// server changes only, never of settings changes.
 func TestSettingsStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := newStateMachine(8)
@@ -129,8 +129,8 @@
 	})
 }
 
-// checkServerWatches checks the responses to watches without a service while the list has the given
-// version.
+// checkServerWatches checks the responses to watches that name no service, given the current version of
+// the list. They must have no settings.
 func checkServerWatches(t *rapid.T, state *stateMachine, version uint64) {
 	t.Helper()
 	for _, query := range []watchQuery{{full: true}, {version: version}, {version: version / 2}} {
--- a/internal/discovery/server/start_time_test.go
+++ b/internal/discovery/server/start_time_test.go
@@ -9,10 +9,10 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// TestWatchReturnsStartTimesAsWrittenAfterWallClockStep guards against an order of changes that depends
-// on the servers' start times, which may decrease after a step of the wall clock: changes are ordered by
-// version only. It checks that an open watch returns each restart and drain of a server as it was
-// written, whether its start time is before or after the previous one.
+// TestWatchReturnsStartTimesAsWrittenAfterWallClockStep guards against ordering changes by the servers'
+// start times, because these may decrease after a step of the wall clock. Changes are ordered by version
+// only. The test checks that an open watch returns each restart and drain of a server as it was written,
+// whether the server's start time is before or after the previous one.
 func TestWatchReturnsStartTimesAsWrittenAfterWallClockStep(t *testing.T) {
 	httpAddr, adminAddr := startSingleNode(t, t.TempDir())
 	const startedMs = 1_800_000_000_000
--- a/internal/discovery/server/store_outage_test.go
+++ b/internal/discovery/server/store_outage_test.go
@@ -15,8 +15,8 @@
 // and 3 s for delays on a busy machine.
 const maxReadAge = 4500 * time.Millisecond
 
-// timeBeforeOutage is how long the clients run before an outage, so that the history has writes and reads
-// at all instances from before it.
+// timeBeforeOutage is how long the clients run before an outage. The history then has writes and reads
+// at all instances from before the outage.
 const timeBeforeOutage = time.Second
 
 // failoverDuration is the time within which the other instances elect a leader and acknowledge writes
@@ -28,8 +28,8 @@
 	name          string
 	fault         server.StoreFault
 	selectFailing func(cluster *faultCluster) []string
-	// restart reports whether the leader is killed and started again at the start of the outage, so that
-	// terms and votes must be saved during it.
+	// restart reports whether the leader is killed and started again at the start of the outage. Terms and
+	// votes must then be saved during the outage.
 	restart bool
 	// shortOutage is the length of the outage unless longTestsVariable is set. An outage longer than
 	// maxReadAge also checks that instances stop serving stale reads.
--- a/internal/discovery/server/store_test.go
+++ b/internal/discovery/server/store_test.go
@@ -77,9 +77,9 @@
 	return done
 }
 
-// TestStoreRetriesUntilOutageEnds checks that operations whose failure would make raft panic, or would
-// leave its state inconsistent, are retried until the outage ends and then succeed, and that saving a
-// vote fails immediately.
+// TestStoreRetriesUntilOutageEnds checks that operations are retried until the outage ends, and then
+// succeed, if their failure would make raft panic or leave its state inconsistent. Saving a vote must
+// fail immediately.
 func TestStoreRetriesUntilOutageEnds(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestFailedAppendLeavesNoEntries checks that the entries of a leader's append that failed but reached
-// the file are removed before the next append, which is shorter.
+// TestFailedAppendLeavesNoEntries makes a leader's append fail although its entries reach the file. It
+// checks that these entries are removed before the next append, which is shorter.
 func TestFailedAppendLeavesNoEntries(t *testing.T) {
 	store, faulty := openFaultyStore(t)
 	if err := store.StoreLogs(logEntries(1, 1, 3)); err != nil {
--- a/internal/discovery/server/watch_test.go
+++ b/internal/discovery/server/watch_test.go
@@ -64,8 +64,9 @@
 }
 
 // TestWatchFromUnknownVersion checks that a watch from a version that never existed gets the full list
-// from the leader and from the followers, and that a watch from a version that a follower has not applied
-// yet, as its connection to the leader is slow, never gets an older list from the follower.
+// from the leader and from the followers. It also watches at a follower from a version that the follower
+// has not applied yet, because its connection to the leader is slow. The follower must never return an
+// older list.
 func TestWatchFromUnknownVersion(t *testing.T) {
 	cluster := startCluster(t)
 	leaderName := ""
--- a/internal/membershiptest/cases.go
+++ b/internal/membershiptest/cases.go
@@ -98,8 +98,8 @@
 	return err
 }
 
-// measureConvergence waits until the cluster has converged and returns the time this took since the given time as a
-// metric.
+// measureConvergence waits until the cluster has converged. It returns how long this took, counted from the given time,
+// as a metric.
 func (h *Harness) measureConvergence(ctx context.Context, since time.Time, scale Scale) (processtest.Metrics, error) {
 	took, err := h.AwaitConvergence(ctx, since, scale.ConvergeWithin)
 	return processtest.Metrics{"settle ms": float64(took.Milliseconds())}, err
--- a/internal/membershiptest/collect.go
+++ b/internal/membershiptest/collect.go
@@ -27,7 +27,8 @@
 // statuses has the statuses of processes by process name. A process that did not respond has none.
 type statuses map[string]*membership.Status
 
-// Status fetches the status of a process without the members, but with the changes after the given snapshot number.
+// Status fetches the status of a process. It leaves out the members and includes the changes after the snapshot with
+// the number since.
 func (h *Harness) Status(ctx context.Context, name string, since uint64) (*membership.Status, error) {
 	return h.fetchStatus(ctx, name, fmt.Sprintf("members=none&since=%d", since))
 }
@@ -85,7 +86,7 @@
 }
 
 // AwaitConvergence waits until each running process that takes part in the membership sees exactly the others that do.
-// It returns the time from since until the last of them reached its final snapshot.
+// It returns how long this took, counted from since until the last of them reached its final snapshot.
 func (h *Harness) AwaitConvergence(ctx context.Context, since time.Time, within time.Duration) (time.Duration, error) {
 	var last statuses
 	var disagreement error
--- a/internal/membershiptest/faults_network.go
+++ b/internal/membershiptest/faults_network.go
@@ -23,9 +23,9 @@
 	replayedFraction = 0.3
 	// replayRestarts is the number of restarts while packets are replayed.
 	replayRestarts = 4
-	// pairsPerCut is the number of pairs of which one, on average, has a direction cut.
+	// oneWayCuts selects, on average, one in pairsPerCut pairs of processes.
 	pairsPerCut = 3
-	// pausesPerShortPartition divides the time of a short partition into the pauses between restarts.
+	// pausesPerShortPartition is the number of pauses between restarts that together last Scale.ShortPartition.
 	pausesPerShortPartition = 4
 )
 
@@ -37,8 +37,8 @@
 	return running[:end], running[end:]
 }
 
-// duringPartition calls do while the groups are partitioned. It exempts the deaths that processes declare across the
-// partition until the cluster must have converged after it.
+// duringPartition calls do while the groups are partitioned. It records an exemption for processes that declare
+// processes of other groups dead. The exemption ends when the cluster must have converged after the partition.
 func (h *Harness) duringPartition(scale Scale, do func() error, groups ...[]string) (healedAt time.Time, err error) {
 	partitionedAt := time.Now()
 	h.Proxy.Partition(partitionName, groups...)
@@ -97,7 +97,7 @@
 	return h.measureFlaps(ctx, partitionedAt, scale)
 }
 
-// oneWayCuts cuts one direction between the processes of about a third of all pairs.
+// oneWayCuts selects about a third of all pairs of processes and blocks the traffic of each pair in one direction.
 func oneWayCuts(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	cutAt := time.Now()
 	running := h.Running()
@@ -151,8 +151,8 @@
 	return h.measureHealing(ctx, scale, churn, first, second)
 }
 
-// replayedPackets replays a fraction of all packets after a delay, while processes are killed, leave and restart. So
-// messages from and about replaced processes reach their successors and all other processes.
+// replayedPackets replays a fraction of all packets after a delay, while processes are killed, leave and restart. As a
+// result, old messages from and about replaced processes reach their successors and all other processes.
 func replayedPackets(ctx context.Context, h *Harness, scale Scale) (processtest.Metrics, error) {
 	h.Proxy.SetAll(faultproxy.Rule{Replay: replayedFraction, MaxReplayDelay: scale.FaultTime})
 	for i := range replayRestarts {
--- a/internal/membershiptest/harness.go
+++ b/internal/membershiptest/harness.go
@@ -1,7 +1,7 @@
 // Package membershiptest runs clusters of the real agent on one machine, connected through a proxy that injects faults,
-// and checks their memberships. A checker checks safety rules on the merged histories of all processes, which also show
-// how long changes took to reach all of them. The package's own test runs the cases on a small cluster; the membership
-// command runs them on clusters of any size.
+// and checks their memberships. It merges the histories of all processes, checks that they satisfy safety rules, and
+// measures how long changes took to reach all processes. The package's own test runs the cases on a small cluster; the
+// membership command runs them on clusters of any size.
 package membershiptest
 
 import (
--- a/internal/membershiptest/history.go
+++ b/internal/membershiptest/history.go
@@ -110,7 +110,7 @@
 	return records
 }
 
-// timeline returns the timeline of a process: its start, its end and the changes of it that all processes saw.
+// timeline returns the timeline of a process: its start, its end and its changes as recorded by all observers.
 func (h *Harness) timeline(process string) string {
 	timeline := new(processtest.Timeline)
 	for _, incarnation := range h.incarnations() {
--- a/internal/processtest/violation.go
+++ b/internal/processtest/violation.go
@@ -11,7 +11,7 @@
 // Rule is the name of a rule that the history of every case has to follow.
 type Rule string
 
-// Violation is a violation of a rule by a history.
+// Violation describes a place where a recorded history breaks a rule.
 type Violation struct {
 	Rule    Rule
 	Subject string // the process that it concerns
