--- a/cmd/agent/program_test.go
+++ b/cmd/agent/program_test.go
@@ -15,7 +15,7 @@
 	"fernbeam.example/fernbeam/internal/processtest"
 )
 
-// programName is the name of the configuration file without its extension.
+// programName is the name of the program. Its configuration file has the same name with an extension.
 const programName = "agent"
 
 // listening matches the first line of the log, which contains the addresses of the client and admin listeners.
--- a/internal/agent/config/control.go
+++ b/internal/agent/config/control.go
@@ -16,12 +16,12 @@
 // maxServiceName is the maximum length of a service name, in bytes. The discovery service has the same limit.
 const maxServiceName = 128
 
-// Control is the section "control" of the configuration: which settings the agent takes from the discovery service, and
-// the further addresses of that service.
+// Control is the section "control" of the configuration. It names the service whose settings the agent gets from
+// discovery, and lists addresses of discovery in addition to the main one.
 type Control struct {
 	// Service is the service whose settings the agent takes; empty if it uses only those of its file.
 	Service string `json:"service"`
-	// Addresses are further addresses of discovery, as host:port, of instances that return the same list.
+	// Addresses are additional host:port addresses of discovery. All its instances return the same list.
 	Addresses []string `json:"addresses"`
 }
 
--- a/internal/agent/downstream/drain.go
+++ b/internal/agent/downstream/drain.go
@@ -42,8 +42,8 @@
 	return drainAcceptTime + longest
 }
 
-// StartDrain starts draining: the readiness check fails, every response closes its connection, and idle connections are
-// closed once no more connections are expected.
+// StartDrain starts draining: the readiness check fails, and each connection is closed after its next response. Idle
+// connections are closed after drainAcceptTime, because clients may still send on them until then.
 func (s *Server) StartDrain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/fault_isolation_test.go
+++ b/internal/agent/fault_isolation_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// misbehavingClients are clients that violate the protocol or break off, each on its own connection.
+// misbehavingClients are clients that violate the protocol or disconnect in the middle of a request, each on its own
+// connection.
 var misbehavingClients = []func(conn *net.TCPConn){
 	func(conn *net.TCPConn) { send(conn, "GET /api/a HT") },
 	func(conn *net.TCPConn) { send(conn, "\x00\xff\r\n\r\n"+readRequest) },
--- a/internal/agent/upstream/connect_errors.go
+++ b/internal/agent/upstream/connect_errors.go
@@ -36,8 +36,8 @@
 	return Result{Status: status, Reason: err.Error()}
 }
 
-// localWriteErrors are the errors of a write for which this machine lacks memory (send(2)). Any other write error
-// means that the connection broke. That includes ENETUNREACH, because the connection had already been established.
+// localWriteErrors are the errors that a write returns if this machine is out of memory or buffers (send(2)). Any other
+// write error means that the connection broke, even ENETUNREACH, because the connection had already been established.
 var localWriteErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM}
 
 // writeFailureStatus returns the status of an attempt whose last byte was not written.
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -125,15 +125,15 @@
 	return peer, nil
 }
 
-// awaitVersion decides how to respond to a watch whose version is newer than the list applied by this
-// instance. This instance may lag behind the one that returned the version, so it first waits until it
-// has applied everything committed. Otherwise a client could get a list older than the one that it has.
+// awaitVersion decides how to respond to a watch that names a version newer than this instance's own.
+// This instance may lag behind the one that returned the version, so it first waits until it has
+// applied everything committed. Otherwise a client could get a list older than the one that it has.
 // If the version is newer even then, no instance has returned it (for example, because the service was
 // restored from older data). In that case awaitVersion returns true, and the watch gets the full list.
 //
 // It returns errVersionUnknown if that can't be decided within readIndexTimeout, because no leader
-// responds or this instance does not catch up. If no instance returned the version but the log has
-// since passed it, awaitVersion can't distinguish it from a version that was returned.
+// responds or this instance does not catch up. Limitation: if no instance ever returned the version, but
+// later changes have since reached it, awaitVersion takes it for one that was returned.
 func (n *Node) awaitVersion(ctx context.Context, version uint64) (fullList bool, err error) {
 	if version <= n.state.currentVersion() {
 		return false, nil
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -104,7 +104,8 @@
 	return append(body, '\n')
 }
 
-// endpointsSince returns the response to a query, without settings. The caller holds mu.
+// endpointsSince returns the entries that changed after key.version, or all entries if key.full is set. Settings are
+// left out. The caller holds mu.
 func (m *stateMachine) endpointsSince(key responseKey) endpoint.List {
 	if key.full {
 		return endpoint.List{Version: m.version, Full: true, Servers: m.allEndpoints()}
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -221,7 +221,8 @@
 	return nil
 }
 
-// readInstance returns the reading of a discovery instance including its ended processes.
+// readInstance reads the resource usage of a discovery instance. Its counters include those of the instance's earlier
+// processes, which have ended.
 func (f *fleet) readInstance(ctx context.Context, name string) (reading, error) {
 	u, err := f.instanceUsage(ctx, name)
 	u.counters = f.endedCounters[name].sum(u.counters)
--- a/policy/arithmetic.go
+++ b/policy/arithmetic.go
@@ -45,7 +45,7 @@
 	return &tokenBucket{tokens: capacity, refill: refill, capacity: capacity}
 }
 
-// deposit adds the tokens of one event.
+// deposit adds the tokens for one event that refills the bucket, up to its capacity.
 func (t *tokenBucket) deposit() { t.tokens = min(t.tokens+t.refill, t.capacity) }
 
 // hasToken reports whether there is a token for an action.
