--- a/internal/discovery/server/agent_reports.go
+++ b/internal/discovery/server/agent_reports.go
@@ -13,21 +13,21 @@
 const (
 	// maxReasonBytes bounds the reason that an agent gives for rejecting settings.
 	maxReasonBytes = 200
-	// maxReports bounds the agents that an instance remembers. Beyond it the report that is the
-	// oldest is evicted.
+	// maxReports bounds the number of reports that an instance stores. When it is reached, the
+	// oldest report is evicted.
 	maxReports = 8192
-	// reportRetention is how long a report is remembered. It is longer than regions lose contact
-	// with each other, so that an agent that left without the newest settings is still listed.
+	// reportRetention is how long a report is stored. It is longer than regions lose contact with
+	// each other, so that an agent that left without the newest settings is still listed.
 	reportRetention = 2 * time.Hour
 )
 
-// SettingsReport is what a watch request says about the settings of its agent.
+// SettingsReport is the state of an agent's settings as reported by its watch request.
 type SettingsReport struct {
-	// InForce is the version in force; 0: the settings of the agent's own configuration file.
+	// InForce is the version in force; 0: the settings in the agent's configuration file.
 	InForce uint64 `json:"in_force"`
 	// Rejected is the last version that the agent rejected, if it is newer than InForce.
 	Rejected uint64 `json:"refused,omitempty"`
-	// Reason says why it was rejected, on one line of at most 200 bytes.
+	// Reason is the reason for the rejection, on one line of at most 200 bytes.
 	Reason string `json:"why,omitempty"`
 }
 
@@ -39,35 +39,34 @@
 }
 
 // AgentReports lists the agents of one service that have called one instance within the last two
-// hours. It is the body of GET /v1/settings/{service}/heard.
+// hours. It is the response body of GET /v1/settings/{service}/heard.
 type AgentReports struct {
 	ID      string            `json:"id"`      // of the instance
 	Service string            `json:"service"` // of the agents
-	Version uint64            `json:"version"` // of the newest settings applied here; 0: there are none
+	Version uint64            `json:"version"` // of the newest settings applied by the instance; 0: none
 	Agents  []AgentReport     `json:"agents"`  // ordered by name
 	Peers   map[string]string `json:"peers"`   // the other instances' admin addresses by id
 }
 
-// reportRegistry remembers the last report of each agent by the agent's name. It is in memory
-// only: an instance starts with an empty one. It is safe for concurrent use.
+// reportRegistry stores the last report of each agent, by the agent's name. It is kept in memory
+// only, so it is empty after a restart. It is safe for concurrent use.
 type reportRegistry struct {
 	mu     sync.Mutex
 	agents map[string]receivedReport
 }
 
-// receivedReport is one agent's last report and the time at which it was received.
+// receivedReport is an agent's last report and the time at which it was received.
 type receivedReport struct {
 	service string
 	SettingsReport
 	receivedAt time.Time
 }
 
-// newReportRegistry returns an empty registry.
 func newReportRegistry() *reportRegistry {
 	return &reportRegistry{agents: map[string]receivedReport{}}
 }
 
-// record remembers a report, and evicts others if there are too many.
+// record stores an agent's report, and evicts others if the registry is full.
 func (r *reportRegistry) record(service, agent string, report SettingsReport, now time.Time) {
 	agent = oneLine(agent, maxNameBytes)
 	r.mu.Lock()
@@ -79,8 +78,7 @@
 	r.agents[agent] = receivedReport{service: service, SettingsReport: report, receivedAt: now}
 }
 
-// evict drops the reports that have expired or, if there are none, the oldest report. The caller
-// holds mu.
+// evict removes the expired reports or, if there are none, the oldest report. The caller holds mu.
 func (r *reportRegistry) evict(now time.Time) {
 	oldestAgent := ""
 	oldestTime := now
@@ -98,7 +96,7 @@
 	}
 }
 
-// ofService returns the reports of a service's agents that have not expired, ordered by name.
+// ofService returns the unexpired reports of a service's agents, ordered by agent name.
 func (r *reportRegistry) ofService(service string, now time.Time) []AgentReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,8 +116,8 @@
 	return reports
 }
 
-// oneLine replaces each control character of a text by a space and cuts the text to at most limit
-// bytes, between two characters.
+// oneLine replaces each control character of a text with a space and truncates the text to at most
+// limit bytes, at a character boundary.
 func oneLine(text string, limit int) string {
 	text = strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// catchUpTimeout is how long an instance may take after an outage of its store to apply what
-	// the leader had committed, before it requests the leader's progress again.
+	// catchUpTimeout bounds how long an instance waits after a store outage until it has applied
+	// what the leader had committed. After that it requests the leader's progress again.
 	catchUpTimeout = 10 * time.Second
-	// catchUpInterval is the time between two checks of what is applied.
+	// catchUpInterval is the time between two checks of the applied index.
 	catchUpInterval = 50 * time.Millisecond
-	// readWaitInterval is the time between two checks of a read that waits for the catch-up.
+	// readWaitInterval is the time between two checks by a read that waits for the catch-up.
 	readWaitInterval = catchUpInterval / 10
 )
 
-// catchUp waits, after the numbered outage of the store, until this instance has applied all that
-// the leader has committed; from then on the list no longer counts as stale because of the outage.
-// A heartbeat of the leader does not suffice, as it arrives before the entries that were missed.
+// catchUp waits after a store outage until this instance has applied everything that the leader has
+// committed; from then on the list no longer counts as stale because of the outage. A heartbeat from
+// the leader is not enough, as it arrives before the missed entries. outages is the number of outages
+// so far; see storeHealth.caughtUp.
 func (n *Node) catchUp(outages int) {
 	for !n.appliedAllCommitted() {
 		select {
@@ -29,8 +30,8 @@
 	n.store.health.caughtUp(outages)
 }
 
-// appliedAllCommitted requests the leader's progress, and reports whether this instance has applied
-// as much within catchUpTimeout.
+// appliedAllCommitted requests the leader's progress and reports whether this instance reaches it
+// within catchUpTimeout.
 func (n *Node) appliedAllCommitted() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), readIndexTimeout)
 	defer cancel()
@@ -44,17 +45,18 @@
 	return n.poll(context.Background(), catchUpTimeout, catchUpInterval, hasApplied)
 }
 
-// awaitCaughtUp gives an instance whose store works up to readIndexTimeout to catch up, as after a
-// start, and reports whether it has. It ends early with ctx.
+// awaitCaughtUp waits up to readIndexTimeout for this instance to catch up, for example after a
+// start, and reports whether it has. It returns early if the store is unavailable or ctx is done.
 func (n *Node) awaitCaughtUp(ctx context.Context) bool {
 	caughtUp := func() bool { return n.store.behindSince().IsZero() }
 	caughtUpOrOutage := func() bool { return caughtUp() || n.store.available() != nil }
 	return n.poll(ctx, readIndexTimeout, readWaitInterval, caughtUpOrOutage) && caughtUp()
 }
 
-// poll checks a condition at once and then at an interval, and reports whether it was met before the
-// timeout, the end of ctx and the close of the instance. It serves where what is waited for has no
-// event: hashicorp/raft signals no applied index, and a hanging write counts as an outage by its age.
+// poll checks a condition immediately and then at an interval. It reports whether the condition was
+// met before the timeout, before ctx was done and before the instance was closed. It is for conditions
+// without an event: hashicorp/raft does not signal changes of the applied index, and a hanging write
+// becomes an outage by its duration alone.
 func (n *Node) poll(ctx context.Context, timeout, interval time.Duration, met func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -19,15 +19,15 @@
 	defaultTrailingLogs    = 1024
 )
 
-// Peer is another instance of the cluster. Raft is its Raft address as this instance reaches it;
-// Admin is its admin address, to which writes are redirected while it leads.
+// Peer is another instance of the cluster. Raft is the Raft address at which this instance reaches
+// it; Admin is its admin address, to which writes are redirected while it is the leader.
 type Peer struct {
 	ID    string `toml:"id"`
 	Raft  string `toml:"raft"`
 	Admin string `toml:"admin"`
 }
 
-// Config is the configuration of one instance, which Load reads from a TOML file. An address is
+// Config is the configuration of an instance, which Load reads from a TOML file. An address is
 // host:port, or "fd:N" for a listener inherited as file descriptor N.
 type Config struct {
 	ID        string `toml:"id"`
@@ -35,40 +35,42 @@
 	RaftAddr  string `toml:"raft_addr"`  // for the other instances
 	HTTPAddr  string `toml:"http_addr"`  // GET /api/targets: reads and watches
 	AdminAddr string `toml:"admin_addr"` // writes, settings and status
-	// Bootstrap makes this instance found the cluster of itself and Peers. It has no effect on a
-	// data directory that has Raft state.
+	// Bootstrap makes this instance bootstrap the cluster, which consists of it and Peers. It has
+	// no effect if the data directory already has Raft state.
 	Bootstrap bool `toml:"bootstrap"`
-	// MaxStale bounds how old a follower's read may be: a follower without contact with a leader
-	// for longer answers 503. Default 2 s. A leader that is cut off from the majority steps down
-	// within Raft's leader lease (0.5 s), so reads are at most MaxStale + 0.5 s old.
+	// MaxStale bounds the staleness of a follower's reads: a follower without contact with a leader
+	// for longer responds with 503. The default is 2 s. A leader that is partitioned from the
+	// majority steps down within Raft's leader lease (0.5 s by default), so reads are at most
+	// MaxStale + 0.5 s old.
 	MaxStale time.Duration `toml:"max_stale"`
 	// ElectionTimeout is Raft's heartbeat and election timeout; the leader lease is half of it. A
-	// shorter one fails over sooner but causes needless elections on a busy machine. Default 1 s.
+	// shorter timeout makes failover faster but causes unnecessary elections on a busy machine. The
+	// default is 1 s.
 	ElectionTimeout time.Duration `toml:"election_timeout"`
-	// KeepChanges bounds the changes that are kept for watches; a watch from a version before them
-	// gets the full list. Default 4096.
+	// KeepChanges bounds the number of changes that are kept for watches; a watch from an older
+	// version gets the full list. The default is 4096.
 	KeepChanges int `toml:"keep_changes"`
-	// SnapshotEvery is the number of log entries after which a snapshot is taken and the log
-	// compacted to the last TrailingLogs entries. Defaults 8192 and 1024.
+	// SnapshotEvery is the number of log entries after which a snapshot is taken and the log is
+	// compacted to the last TrailingLogs entries. The defaults are 8192 and 1024.
 	SnapshotEvery uint64 `toml:"snapshot_every"`
 	TrailingLogs  uint64 `toml:"trailing_logs"`
 	Peers         []Peer `toml:"peers"`
-	// WrapStore, if not nil, wraps the store that the instance opened; tests inject faults with
-	// it. It is not part of the file.
+	// WrapStore, if not nil, wraps the instance's store. Tests use it to inject faults. It is not
+	// part of the configuration file.
 	WrapStore func(Store) Store `toml:"-"`
 }
 
-// KeyError says that a key of the configuration is missing or invalid.
+// KeyError reports a configuration key that is missing or invalid.
 type KeyError struct {
 	Key     string // such as "peers[0].raft"
 	Problem string
 }
 
-// Error names the key and what is wrong with it.
+// Error returns the key and what is wrong with it.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %s: %s", e.Key, e.Problem) }
 
-// Load reads a Config from a TOML file, sets its defaults and validates it. The error names the key
-// that is unknown, missing or invalid.
+// Load reads a Config from a TOML file, applies the defaults and validates it. The error includes the
+// key that is unknown, missing or invalid.
 func Load(path string) (Config, error) {
 	var c Config
 	metadata, err := toml.DecodeFile(path, &c)
@@ -85,7 +87,7 @@
 	return c, nil
 }
 
-// setDefaults sets the keys that have a default and are absent.
+// setDefaults sets each absent key that has a default.
 func (c *Config) setDefaults() {
 	if c.MaxStale == 0 {
 		c.MaxStale = defaultMaxStale
@@ -130,7 +132,7 @@
 	return c.validatePeers()
 }
 
-// validatePeers checks the peers' ids and addresses.
+// validatePeers returns a KeyError for the first invalid id or address of a peer.
 func (c *Config) validatePeers() error {
 	ids := map[string]bool{c.ID: true}
 	for i, peer := range c.Peers {
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// validateAddress checks the address of a key.
+// validateAddress returns a KeyError if the key's value is not an address.
 func validateAddress(key, address string) error {
 	if strings.HasPrefix(address, inheritedPrefix) {
 		return nil
--- a/internal/discovery/server/data_dir.go
+++ b/internal/discovery/server/data_dir.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// dataFormat is the format of the data directory that this program writes. It reads this one
-	// and older ones. Format 2 has settings in the log and in snapshots; a program that knows only
-	// format 1 would drop them.
+	// dataFormat is the version of the data directory's format that this program writes. It reads
+	// this version and older ones. Format 2 added settings to the log and the snapshots, which a
+	// program that supports only format 1 would drop.
 	dataFormat = 2
-	// formatFile is the file of the data directory that has the number of its format.
+	// formatFile is the file in the data directory that contains the format version.
 	formatFile = "FORMAT"
 	// dataDirMode and dataFileMode are the permissions of the data directory and of the files in it.
 	dataDirMode  = 0o755
 	dataFileMode = 0o644
 )
 
-// DataFormatError says that a data directory has a format that this program does not read.
+// DataFormatError reports a data directory whose format this program does not support.
 type DataFormatError struct {
 	Dir    string
-	Format string // as the directory names it
+	Format string // content of the directory's format file
 }
 
-// Error names the directory, its format and the formats that this program reads.
+// Error returns the directory, its format and the supported formats.
 func (e *DataFormatError) Error() string {
 	return fmt.Sprintf("data_dir %s: format %q, this program reads %d or older", e.Dir, e.Format, dataFormat)
 }
 
-// claimDataDir creates the data directory, or checks that this program can read its format, and
-// marks it as being of this program's format.
+// claimDataDir creates the data directory or, if it exists, checks that its format is supported. It
+// then records this program's format in it.
 func claimDataDir(dir string) error {
 	if err := os.MkdirAll(dir, dataDirMode); err != nil {
 		return fmt.Errorf("data_dir: %w", err)
@@ -57,7 +57,8 @@
 	return writeFormat(path)
 }
 
-// writeFormat replaces the file atomically, as an empty one would be rejected at the next start.
+// writeFormat replaces the format file atomically, as an empty file would be rejected at the next
+// start.
 func writeFormat(path string) error {
 	temporary := path + ".new"
 	if err := os.WriteFile(temporary, []byte(strconv.Itoa(dataFormat)+"\n"), dataFileMode); err != nil {
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -8,12 +8,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// freshnessMargin is added to the time until the list becomes stale, so that it is stale if it is
-// checked again after that time.
+// freshnessMargin is added to the time until the list becomes stale, so that a check after that time
+// finds it stale.
 const freshnessMargin = time.Millisecond
 
-// rejectStale answers 503 where this instance may not serve reads, and reports whether it did. If
-// it did not, it also returns for how long this instance may serve them. ctx is that of the request.
+// rejectStale responds with 503 if this instance may not serve reads, and reports whether it did. If
+// it did not, it also returns how long this instance may serve reads. ctx is the request's context.
 func (n *Node) rejectStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
 	remaining, err := n.freshness()
 	if err != nil && n.awaitCaughtUp(ctx) {
@@ -25,12 +25,12 @@
 	return remaining, err != nil
 }
 
-// freshness returns for how long this instance may serve reads if it has no further contact with
-// the leader, or an error if it may not serve them. It may as the leader, or within MaxStale of its
-// last contact with a leader.
+// freshness returns how long this instance may serve reads without further contact with the leader,
+// or an error if it may not serve reads. It may serve them while it is the leader, and for MaxStale
+// after its last contact with a leader.
 //
-// After an outage of the store the list counts as stale since the begin of the outage, and after a
-// start as older than MaxStale, until this instance has caught up.
+// Until this instance has caught up, the list counts as stale since the start of a store outage, and
+// as older than MaxStale after a start of the instance.
 func (n *Node) freshness() (time.Duration, error) {
 	freshAt := n.raft.LastContact()
 	behindSince := n.store.behindSince()
@@ -50,7 +50,7 @@
 	return remaining + freshnessMargin, nil
 }
 
-// staleError says why this instance may not serve reads.
+// staleError returns the reason why this instance may not serve reads.
 func (n *Node) staleError(behindSince time.Time) error {
 	if behindSince.IsZero() {
 		return n.instanceError("no leader heard within %v", n.cfg.MaxStale)
@@ -58,11 +58,11 @@
 	return n.instanceError("not caught up with the leader after a start or an outage of the store")
 }
 
-// isLeader reports whether this instance leads the cluster as far as it knows.
+// isLeader reports whether this instance considers itself the leader.
 func (n *Node) isLeader() bool { return n.raft.State() == raft.Leader }
 
 // leasesPerElectionTimeout is the ratio of the election timeout to the leader lease.
 const leasesPerElectionTimeout = 2
 
-// leaderLease is how long a leader that has no contact with a majority remains leader.
+// leaderLease returns how long a leader remains leader without contact with a majority.
 func (n *Node) leaderLease() time.Duration { return n.cfg.ElectionTimeout / leasesPerElectionTimeout }
--- a/internal/discovery/server/gated_transport.go
+++ b/internal/discovery/server/gated_transport.go
@@ -6,27 +6,28 @@
 	"github.com/hashicorp/raft"
 )
 
-// gatedTransport is Raft's transport of an instance that takes part in the cluster only while its
-// store is available. Raft's heartbeats, sent and received, do not use the store and continue while
-// Raft's main loop waits for it: followers would keep a leader that can't write, and an instance
-// that writes nothing would count as fresh. So while the store is unavailable no request is sent to
-// a peer and each request of a peer is answered with an error: nothing is acknowledged, no vote is
-// requested or granted, and the others elect a leader after their election timeout.
+// gatedTransport is a Raft transport that lets an instance take part in the cluster only while its
+// store is available. Sending and receiving heartbeats does not use the store and continues while
+// Raft's main loop waits for the store, so without the gate followers would keep a leader that can't
+// write, and an instance that writes nothing would count as fresh. While the store is unavailable, no
+// request is sent to a peer and each request from a peer gets an error response: nothing is
+// acknowledged, no vote is requested or granted, and the other instances elect a leader after their
+// election timeout.
 type gatedTransport struct {
 	*raft.NetworkTransport
 	store    *retryingStore
-	requests chan raft.RPC // of peers, for Raft's main loop
+	requests chan raft.RPC // from peers, for Raft's main loop
 	closed   <-chan struct{}
 }
 
-// newGatedTransport wraps a transport. Its goroutine ends when closed is closed.
+// newGatedTransport wraps a transport and starts a goroutine that ends when closed is closed.
 func newGatedTransport(inner *raft.NetworkTransport, store *retryingStore, closed <-chan struct{}) *gatedTransport {
 	t := &gatedTransport{NetworkTransport: inner, store: store, requests: make(chan raft.RPC), closed: closed}
 	go t.forward()
 	return t
 }
 
-// forward delivers the requests of peers until the instance is closed.
+// forward delivers requests from peers until the instance is closed.
 func (t *gatedTransport) forward() {
 	for {
 		select {
@@ -38,7 +39,7 @@
 	}
 }
 
-// deliver passes a peer's request to Raft's main loop, or answers it with an error.
+// deliver passes a peer's request to Raft's main loop, or responds with an error.
 func (t *gatedTransport) deliver(request raft.RPC) {
 	if err := t.store.available(); err != nil {
 		request.Respond(nil, err)
@@ -51,11 +52,11 @@
 	}
 }
 
-// Consumer returns the channel from which Raft's main loop receives the requests of peers.
+// Consumer returns the channel from which Raft's main loop receives requests from peers.
 func (t *gatedTransport) Consumer() <-chan raft.RPC { return t.requests }
 
-// SetHeartbeatHandler sets the function that handles heartbeats outside of Raft's main loop. One
-// with another term than the saved one is delivered to the main loop, so that terms are saved in
+// SetHeartbeatHandler sets the function that handles heartbeats outside Raft's main loop. Heartbeats
+// whose term differs from the saved term are delivered to the main loop, so that terms are saved in
 // order.
 func (t *gatedTransport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(request raft.RPC) {
@@ -83,7 +84,7 @@
 	return t.NetworkTransport.AppendEntries(id, address, request, response)
 }
 
-// AppendEntriesPipeline opens a pipeline of appends, which ends at its first append in an outage.
+// AppendEntriesPipeline opens a pipeline of appends, which fails at its first append during an outage.
 func (t *gatedTransport) AppendEntriesPipeline(
 	id raft.ServerID, address raft.ServerAddress,
 ) (raft.AppendPipeline, error) {
@@ -108,7 +109,7 @@
 	return t.NetworkTransport.RequestVote(id, address, request, response)
 }
 
-// RequestPreVote requests whether a peer would vote for this instance.
+// RequestPreVote asks a peer whether it would vote for this instance.
 func (t *gatedTransport) RequestPreVote(
 	id raft.ServerID, address raft.ServerAddress,
 	request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse,
--- a/internal/discovery/server/http.go
+++ b/internal/discovery/server/http.go
@@ -9,14 +9,14 @@
 	"fernbeam.example/fernbeam/internal/endpoint"
 )
 
-// readMux serves the discovery protocol, on Config.HTTPAddr.
+// readMux returns the handler of the discovery protocol, for Config.HTTPAddr.
 func (n *Node) readMux() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+endpoint.ListPath, n.serveEndpoints)
 	return mux
 }
 
-// adminMux serves writes, settings and status, on Config.AdminAddr.
+// adminMux returns the handler of writes, settings and status, for Config.AdminAddr.
 func (n *Node) adminMux() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+endpoint.ServerPattern, n.servePutEndpoint)
@@ -29,31 +29,31 @@
 	return mux
 }
 
-// serverID returns the server's id in the path of a request.
+// serverID returns the server id in a request's path.
 func serverID(r *http.Request) string { return r.PathValue(endpoint.WildcardID) }
 
-// serviceName returns the service's name in the path of a request.
+// serviceName returns the service name in a request's path.
 func serviceName(r *http.Request) string { return r.PathValue(endpoint.WildcardService) }
 
-// instanceError returns an error whose text begins with the instance's id. The text is part of
-// response bodies, so its prefix is that of the first version.
+// instanceError returns an error whose message includes the instance's id. The message is part of
+// response bodies, so it keeps the prefix "listsvc" of the first version.
 func (n *Node) instanceError(format string, args ...any) error {
 	return fmt.Errorf("listsvc %s: %w", n.cfg.ID, fmt.Errorf(format, args...))
 }
 
-// writeUnavailable answers 503 with the error's text, and Retry-After of one second.
+// writeUnavailable responds with 503, the error's message and a Retry-After of one second.
 func writeUnavailable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, err.Error(), http.StatusServiceUnavailable)
 }
 
-// writeJSON answers 200 with a value as JSON.
+// writeJSON responds with 200 and a value encoded as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
 
-// parseUint parses a query parameter; an absent one is 0.
+// parseUint parses a query parameter. It returns 0 if the parameter is empty or absent.
 func parseUint(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -65,8 +65,8 @@
 	return value, nil
 }
 
-// rejectWithoutStore answers a write with 503 while the store is unavailable, and reports whether
-// it did.
+// rejectWithoutStore responds to a write with 503 if the store is unavailable, and reports whether it
+// did.
 func (n *Node) rejectWithoutStore(w http.ResponseWriter) bool {
 	err := n.store.available()
 	if err == nil {
@@ -76,9 +76,9 @@
 	return true
 }
 
-// redirectToLeader redirects a write to the leader's admin address with 307, or answers 503 while
-// no leader is known or this instance's store is unavailable. It reports whether it answered: if
-// not, this instance leads.
+// redirectToLeader redirects a write to the leader's admin address with 307, or responds with 503 if
+// no leader is known or this instance's store is unavailable. It reports whether it responded; if
+// not, this instance is the leader.
 func (n *Node) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if n.rejectWithoutStore(w) {
 		return true
--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -1,10 +1,10 @@
-// Package server is one instance of the discovery service. It serves the discovery protocol of
-// PROTOCOL-fernbeam.md ("Discovery": GET /api/targets, watches by ?index=N&wait=MS, full lists or
+// Package server implements an instance of the discovery service. It serves the discovery protocol of
+// PROTOCOL-fernbeam.md ("Discovery": GET /api/targets, watches with ?index=N&wait=MS, full lists or
 // changes) from an endpoint list that three to five instances replicate with Raft (Ongaro and
 // Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014;
 // github.com/hashicorp/raft). The version of the list is the Raft index of its last change.
 //
-// A Node is made of a Raft member (raft_member.go) over a store that survives outages of its disk
+// A Node consists of a Raft member (raft_member.go) with a store that tolerates disk failures
 // (store_retry.go), the replicated state (state_machine.go), and two HTTP servers: one for reads and
 // watches (watch.go), one for writes, settings and status (writes.go, settings_http.go, status.go).
 package server
@@ -23,15 +23,15 @@
 )
 
 const (
-	// httpServerCount is the number of an instance's HTTP servers.
+	// httpServerCount is the number of HTTP servers of an instance.
 	httpServerCount = 2
-	// readHeaderTimeout bounds the time in which a client sends the header of a request.
+	// readHeaderTimeout bounds how long a client may take to send a request's header.
 	readHeaderTimeout = 5 * time.Second
-	// shutdownTimeout bounds how long Close waits for Raft, which may wait for a failing disk.
+	// shutdownTimeout bounds how long Close waits for Raft, which may be blocked by a failing disk.
 	shutdownTimeout = 5 * time.Second
 )
 
-// Node is one running instance of the discovery service.
+// Node is a running instance of the discovery service.
 type Node struct {
 	cfg       Config
 	log       *slog.Logger
@@ -44,7 +44,7 @@
 
 	httpServers []*http.Server
 	serving     sync.WaitGroup // the goroutines that run httpServers
-	failed      chan error     // why a goroutine of serving ended early
+	failed      chan error     // receives the error of an HTTP server that stopped before Close
 	closed      chan struct{}  // closed by Close
 
 	readTraffic  trafficCounters
@@ -54,10 +54,10 @@
 
 var _ io.Closer = (*Node)(nil)
 
-// Start opens the data directory, founds the cluster or joins it, and serves reads on cfg.HTTPAddr
-// and writes on cfg.AdminAddr until Close. Its errors name what failed: a key of the configuration
-// (KeyError), a data directory of a newer format (DataFormatError), a listener, or the store
-// (StoreDamageError if it is damaged).
+// Start opens the data directory, bootstraps or joins the cluster, and serves reads on cfg.HTTPAddr
+// and writes on cfg.AdminAddr until Close. It returns a KeyError for an invalid configuration, a
+// DataFormatError for a data directory of a newer format, a StoreDamageError for a damaged store, or
+// the error of a listener or the store.
 func Start(cfg Config, log *slog.Logger) (*Node, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// newNode returns an instance that is not started yet.
+// newNode returns an instance that has not been started.
 func newNode(cfg Config, log *slog.Logger) *Node {
 	n := &Node{
 		cfg:     cfg,
@@ -94,13 +94,13 @@
 	return n
 }
 
-// Failed returns the channel that receives why the instance no longer accepts connections on one of
-// its addresses. It can't serve from then on and should be closed.
+// Failed returns a channel that receives an error if the instance stops accepting connections on one
+// of its addresses. The instance should then be closed.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Close stops the HTTP servers and the Raft member. Everything that was acknowledged is in the data
-// directory. Close waits for the goroutines that it ends, except for those that wait for a disk:
-// it returns an error if Raft has not stopped within shutdownTimeout.
+// Close stops the HTTP servers and the Raft member. All acknowledged writes are in the data
+// directory. Close waits for the goroutines that it stops, except those blocked by the disk: it
+// returns an error if Raft has not stopped within shutdownTimeout.
 func (n *Node) Close() error {
 	if n.isClosed() {
 		return nil
@@ -120,7 +120,7 @@
 	}
 }
 
-// isClosed reports whether Close was called.
+// isClosed reports whether Close has been called.
 func (n *Node) isClosed() bool {
 	select {
 	case <-n.closed:
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint defines what the discovery service and its clients agree on: the messages of the
-// discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), which are the answer to GET /api/targets
-// and a server's entry in it, the paths of the service, and the query parameters.
+// Package endpoint defines the interface between the discovery service and its clients: the messages
+// of the discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), which are the response to
+// GET /api/targets and a server's entry in it, the URL paths of the service, and the query parameters.
 package endpoint
 
 import "encoding/json"
@@ -14,33 +14,33 @@
 	StateUp State = "up"
 	// StateDraining is the state of a server that takes no new requests.
 	StateDraining State = "draining"
-	// StateRemoved marks the change by which a server was removed from the list. It appears only
-	// in a List that is not Full.
+	// StateRemoved marks the removal of a server from the list. It appears only in a List that is
+	// not Full.
 	StateRemoved State = "removed"
 )
 
-// List is discovery's answer to a poll or a watch: the full endpoint list (Full), or the entries
-// that have changed since the version that the watch named. Version never decreases.
+// List is the discovery service's response to a poll or a watch: the full endpoint list (Full), or
+// the entries that have changed since the version given by the watch. Version never decreases.
 type List struct {
 	Version uint64     `json:"version"`
 	Full    bool       `json:"full"`
 	Servers []Endpoint `json:"servers"`
-	// Settings are those of the service that the request named, if they are newer than the ones
-	// that the agent has in force or has rejected. Otherwise, or if it named none, nil.
+	// Settings are the settings of the service given in the request, if they are newer than those
+	// that the agent has in force or has rejected; nil otherwise, or if no service is given.
 	Settings *Settings `json:"settings,omitempty"`
 }
 
-// Settings are all settings of a service's agents, in the form of the agent's configuration without
-// index and zone, which each agent has of its own.
+// Settings are the complete settings for the agents of a service, in the format of the agent's
+// configuration, but without index and zone, which are set per agent.
 type Settings struct {
 	Service string          `json:"service"`
-	Version uint64          `json:"version"` // of the write, in the same sequence as a List's
+	Version uint64          `json:"version"` // of the write, in the same sequence as List.Version
 	Value   json.RawMessage `json:"value"`
 }
 
 // Query parameters of ListPath.
 const (
-	// QueryIndex is the list version from which on a watch wants changes; absent: a poll of the full list.
+	// QueryIndex is the list version since which a watch requests changes; absent: a poll of the full list.
 	QueryIndex = "index"
 	// QueryWait is how long a watch waits for a change, in milliseconds.
 	QueryWait = "wait"
@@ -48,24 +48,24 @@
 
 // Query parameters of the other paths.
 const (
-	// QueryConsistent requests the leader's status after all that was committed is applied, if it is "true".
+	// QueryConsistent, if "true", requests the leader's status after it has applied all committed writes.
 	QueryConsistent = "consistent"
 	// QueryVersion requests a stored version of a service's settings; absent: the newest.
 	QueryVersion = "version"
 )
 
-// Query parameters by which a watch requests settings and reports those that its agent has. Without
-// QueryService the discovery service ignores the others.
+// Query parameters with which a watch requests settings and reports the state of its agent's
+// settings. Without QueryService the discovery service ignores the others.
 const (
 	// QueryService names the service whose settings are requested.
 	QueryService = "service"
 	// QueryAgent is the agent's name.
 	QueryAgent = "agent"
-	// QueryInForce is the version in force; 0 or absent: the settings of the agent's own file.
+	// QueryInForce is the version in force; 0 or absent: the settings in the agent's configuration file.
 	QueryInForce = "in_force"
-	// QueryRejected is the last version that the agent rejected, if it is newer.
+	// QueryRejected is the last version that the agent rejected, if it is newer than QueryInForce.
 	QueryRejected = "refused"
-	// QueryReason says why it was rejected, on one line of at most 200 bytes.
+	// QueryReason is the reason for the rejection, on one line of at most 200 bytes.
 	QueryReason = "why"
 )
 
@@ -74,13 +74,13 @@
 	ID   string `json:"id"`
 	Addr string `json:"addr"` // host:port
 	Zone string `json:"zone"`
-	// Region is optional. Agents that do not know the field ignore it.
+	// Region is optional. Agents of versions without this field ignore it.
 	Region string `json:"region,omitempty"`
-	Kind   string `json:"kind"` // the kind of machine
+	Kind   string `json:"kind"` // machine kind
 	Cell   int    `json:"cell"`
 	State  State  `json:"state"`
-	// Weight is the server's capacity relative to others of the list.
+	// Weight is the server's capacity relative to the other servers in the list.
 	Weight float64 `json:"weight"`
-	// StartedMs is the Unix time in milliseconds of the server's last start; 0: long ago.
+	// StartedMs is the Unix time of the server's last start in milliseconds; 0: not recent.
 	StartedMs float64 `json:"started_ms"`
 }
--- a/internal/endpoint/wire_test.go
+++ b/internal/endpoint/wire_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestNamesOnTheWire has each path and query parameter as a literal: clients and instances of other versions
-// use them.
+// TestNamesOnTheWire compares each path and query parameter with a literal. Clients and instances of other
+// versions use these names, so a change of one breaks them.
 func TestNamesOnTheWire(t *testing.T) {
 	for _, name := range []struct{ got, want string }{
 		{ListPath, "/api/targets"},
