--- a/internal/discovery/server/agent_reports.go
+++ b/internal/discovery/server/agent_reports.go
@@ -16,8 +16,9 @@
 	// maxReports bounds the number of reports that an instance stores. When it is reached, the
 	// oldest report is evicted.
 	maxReports = 8192
-	// reportRetention is how long a report is stored. It is longer than regions lose contact with
-	// each other, so that an agent that left without the newest settings is still listed.
+	// reportRetention is how long a report is stored. It exceeds the time for which regions lose contact
+	// with each other, so that an agent that stopped calling before it had the newest settings is still
+	// listed.
 	reportRetention = 2 * time.Hour
 )
 
--- a/internal/discovery/server/catch_up.go
+++ b/internal/discovery/server/catch_up.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// catchUpTimeout bounds how long an instance waits after a store outage until it has applied
-	// what the leader had committed. After that it requests the leader's progress again.
+	// catchUpTimeout bounds how long an instance waits, after a store outage, to apply what the leader had
+	// committed. If it has not applied that in time, it requests the leader's progress again.
 	catchUpTimeout = 10 * time.Second
 	// catchUpInterval is the time between two checks of the applied index.
 	catchUpInterval = 50 * time.Millisecond
@@ -16,9 +16,9 @@
 )
 
 // catchUp waits after a store outage until this instance has applied everything that the leader has
-// committed; from then on the list no longer counts as stale because of the outage. A heartbeat from
-// the leader is not enough, as it arrives before the missed entries. outages is the number of outages
-// so far; see storeHealth.markCaughtUp.
+// committed. From then on, the list no longer counts as stale because of the outage. A heartbeat from
+// the leader is not enough, because it arrives before the missed entries. outages is the number of
+// outages so far; see storeHealth.markCaughtUp.
 func (n *Node) catchUp(outages int) {
 	for !n.appliedAllCommitted() {
 		select {
@@ -55,8 +55,8 @@
 
 // awaitCondition checks a condition immediately and then at an interval. It reports whether the
 // condition was met before the timeout, before ctx was done and before the instance was closed. It is
-// for conditions without an event: hashicorp/raft does not signal changes of the applied index, and a
-// hanging write becomes an outage by its duration alone.
+// for conditions whose change causes no event: hashicorp/raft does not signal changes of the applied
+// index, and a hanging write counts as an outage only because of its duration.
 func (n *Node) awaitCondition(ctx context.Context, timeout, interval time.Duration, met func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/discovery/server/config.go
+++ b/internal/discovery/server/config.go
@@ -38,10 +38,10 @@
 	// Bootstrap makes this instance bootstrap the cluster, which consists of it and Peers. It has
 	// no effect if the data directory already has Raft state.
 	Bootstrap bool `toml:"bootstrap"`
-	// MaxStale bounds the staleness of a follower's reads: a follower without contact with a leader
-	// for longer responds with 503. The default is 2 s. A leader that is partitioned from the
-	// majority steps down within Raft's leader lease (0.5 s by default), so reads are at most
-	// MaxStale + 0.5 s old.
+	// MaxStale bounds the staleness of a follower's reads: a follower that has had no contact with a
+	// leader for longer than this responds with 503. The default is 2 s. A leader that is partitioned from
+	// the majority steps down within Raft's leader lease (0.5 s by default), so reads are at most MaxStale
+	// + 0.5 s old.
 	MaxStale time.Duration `toml:"max_stale"`
 	// ElectionTimeout is Raft's heartbeat and election timeout; the leader lease is half of it. A
 	// shorter timeout makes failover faster but causes unnecessary elections on a busy machine. The
--- a/internal/discovery/server/data_dir.go
+++ b/internal/discovery/server/data_dir.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// dataFormat is the version of the data directory's format that this program writes. It reads
-	// this version and older ones. Format 2 added settings to the log and the snapshots, which a
-	// program that supports only format 1 would drop.
+	// dataFormat is the version of the data directory's format that this program writes. It reads this
+	// version and older ones. Format 2 added settings to the log and the snapshots. A program that
+	// supports only format 1 would drop these settings.
 	dataFormat = 2
 	// formatFile is the file in the data directory that contains the format version.
 	formatFile = "FORMAT"
@@ -57,7 +57,7 @@
 	return writeFormat(path)
 }
 
-// writeFormat replaces the format file atomically, as an empty file would be rejected at the next
+// writeFormat replaces the format file atomically, because an empty file would be rejected at the next
 // start.
 func writeFormat(path string) error {
 	temporary := path + ".new"
--- a/internal/discovery/server/freshness.go
+++ b/internal/discovery/server/freshness.go
@@ -8,12 +8,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// freshnessMargin is added to the time until the list becomes stale, so that a check after that time
-// finds it stale.
+// freshnessMargin is added to the time until the list becomes stale, so that a check at the end of the
+// extended time finds it stale.
 const freshnessMargin = time.Millisecond
 
-// rejectIfStale responds with 503 if this instance may not serve reads, and reports whether it did. If
-// it did not, it also returns how long this instance may serve reads. ctx is the request's context.
+// rejectIfStale responds with 503 if this instance may not serve reads, and reports whether it
+// responded. If it did not respond, the duration is how long this instance may serve reads. ctx is the
+// request's context.
 func (n *Node) rejectIfStale(ctx context.Context, w http.ResponseWriter) (time.Duration, bool) {
 	remaining, err := n.freshness()
 	if err != nil && n.awaitCaughtUp(ctx) {
@@ -29,8 +30,9 @@
 // or an error if it may not serve reads. It may serve them while it is the leader, and for MaxStale
 // after its last contact with a leader.
 //
-// Until this instance has caught up, the list counts as stale since the start of a store outage, and
-// as older than MaxStale after a start of the instance.
+// From the start of a store outage until this instance has caught up, the list counts as last updated
+// at the start of the outage. From a start of the instance until it has caught up, the list counts as
+// older than MaxStale.
 func (n *Node) freshness() (time.Duration, error) {
 	freshAt := n.raft.LastContact()
 	behindSince := n.store.behindSince()
--- a/internal/discovery/server/gated_transport.go
+++ b/internal/discovery/server/gated_transport.go
@@ -7,10 +7,10 @@
 )
 
 // gatedTransport is a Raft transport that lets an instance take part in the cluster only while its
-// store is available. Sending and receiving heartbeats does not use the store and continues while
-// Raft's main loop waits for the store, so without the gate followers would keep a leader that can't
-// write, and an instance that writes nothing would count as fresh. While the store is unavailable, no
-// request is sent to a peer and each request from a peer gets an error response: nothing is
+// store is available. Heartbeats do not use the store, and they continue while Raft's main loop waits
+// for the store. Without the gate, followers would therefore keep a leader that can't write, and an
+// instance that writes nothing would count as fresh. While the store is unavailable, the transport
+// sends no request to a peer and responds to each request from a peer with an error. So nothing is
 // acknowledged, no vote is requested or granted, and the other instances elect a leader after their
 // election timeout.
 type gatedTransport struct {
@@ -84,7 +84,8 @@
 	return t.NetworkTransport.AppendEntries(id, address, request, response)
 }
 
-// AppendEntriesPipeline opens a pipeline of appends, which fails at its first append during an outage.
+// AppendEntriesPipeline opens a pipeline of appends. Opening it fails during an outage, and so does
+// each append to it.
 func (t *gatedTransport) AppendEntriesPipeline(
 	id raft.ServerID, address raft.ServerAddress,
 ) (raft.AppendPipeline, error) {
--- a/internal/discovery/server/node.go
+++ b/internal/discovery/server/node.go
@@ -98,16 +98,16 @@
 // of its addresses. The instance should then be closed.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Close stops the HTTP servers and the Raft member. All acknowledged writes are in the data
-// directory. Close waits for the goroutines that it stops, except those blocked by the disk: it
-// returns an error if Raft has not stopped within shutdownTimeout.
+// Close stops the HTTP servers and the Raft member. All acknowledged writes are already in the data
+// directory. Close waits for the goroutines that it stops, except for those that the disk blocks: if
+// Raft has not stopped within shutdownTimeout, Close returns an error.
 func (n *Node) Close() error {
 	if n.isClosed() {
 		return nil
 	}
 	close(n.closed)
 	for _, server := range n.httpServers {
-		_ = server.Close() // its listener is released with the process at the latest
+		_ = server.Close() // if this fails, the listener is released when the process ends
 	}
 	n.serving.Wait()
 	stopped := make(chan error, 1)
--- a/internal/discovery/server/read_index.go
+++ b/internal/discovery/server/read_index.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// readIndexTimeout bounds how long an instance waits for a read index, and then how long it
-	// waits until it has applied the log up to it.
+	// readIndexTimeout bounds how long an instance waits for a read index, and then how long it waits to
+	// apply the log up to that index.
 	readIndexTimeout = 500 * time.Millisecond
 	// readIndexesPerSecond bounds the rate of the barriers that read indexes add to the Raft log.
 	// Requests beyond that rate share a barrier.
@@ -38,7 +38,8 @@
 	applied uint64 // Raft index
 }
 
-// readIndexCache is the last read index that an instance requested; concurrent requests share it.
+// readIndexCache is the result of an instance's last request for a read index. Concurrent calls share
+// it.
 type readIndexCache struct {
 	mu          sync.Mutex
 	limiter     *rate.Limiter
@@ -49,8 +50,8 @@
 
 // committedVersion returns a version of the list that is at least as new as any version that an
 // instance returned before the call. It is the read index of Ongaro's thesis ("Consensus: Bridging
-// Theory and Practice", 2014, section 6.4). A call that waits for a concurrent call uses the result
-// of that call if it was requested after this call began.
+// Theory and Practice", 2014, section 6.4). A call that waits for a concurrent call uses that call's
+// result if the result was requested after the waiting call began.
 func (n *Node) committedVersion(ctx context.Context) (uint64, error) {
 	startedAt := time.Now()
 	cache := &n.readIndex
@@ -75,7 +76,7 @@
 // committedProgress returns the leader's progress after a barrier in the Raft log, which ensures that
 // the leader has applied everything committed before. A follower requests it from the leader's admin
 // address (GET /v1/status?consistent=true). The barrier replaces the round of heartbeats described in
-// the thesis, which hashicorp/raft has no call for. Each barrier adds a log entry.
+// the thesis, because hashicorp/raft has no call for such a round. Each barrier adds a log entry.
 func (n *Node) committedProgress(ctx context.Context) (progress, error) {
 	if n.isLeader() {
 		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
@@ -125,14 +126,14 @@
 }
 
 // awaitVersion decides how to respond to a watch whose version is newer than the list applied by this
-// instance. If this instance lags behind the one that returned the version, it waits until it has
-// applied everything committed, so that no client gets an older list than it has. If the version is
-// newer even then, no instance has returned it (for example, because the service was restored from
-// older data), and the watch gets the full list (true).
+// instance. This instance may lag behind the one that returned the version, so it first waits until it
+// has applied everything committed. Otherwise a client could get a list older than the one that it has.
+// If the version is newer even then, no instance has returned it (for example, because the service was
+// restored from older data). In that case awaitVersion returns true, and the watch gets the full list.
 //
 // It returns errVersionUnknown if that can't be decided within readIndexTimeout, because no leader
-// responds or this instance does not catch up. A version that no instance returned but that the log
-// has since passed can't be distinguished from one that was returned.
+// responds or this instance does not catch up. If no instance returned the version but the log has
+// since passed it, awaitVersion can't distinguish it from a version that was returned.
 func (n *Node) awaitVersion(ctx context.Context, version uint64) (fullList bool, err error) {
 	if version <= n.state.currentVersion() {
 		return false, nil
--- a/internal/discovery/server/settings_http.go
+++ b/internal/discovery/server/settings_http.go
@@ -16,11 +16,12 @@
 // maxSettingsBytes bounds the size of a service's settings.
 const maxSettingsBytes = 64 << 10
 
-// servePutSettings replaces a service's settings. The body is the text of the settings, at most
-// 64 KiB, in the format of the agent's configuration but without index and zone. The response to
-// settings that agents would reject is 400 with one line that includes the key. With If-Match:
-// VERSION (0: there are none yet), the response is 412 if the newest version is a different one.
-// Otherwise the response is {"version": N}; N is the newest version if its text is the same.
+// servePutSettings replaces a service's settings. The body is the text of the settings, at most 64 KiB,
+// in the format of the agent's configuration but without index and zone. The response to settings that
+// agents would reject is 400 with one line that includes the key. If the newest version has the same
+// text, nothing is written and the response is {"version": N} with that version. Otherwise, with
+// If-Match: VERSION (0: there are none yet), the response is 412 if the newest version is a different
+// one. In all other cases the response is {"version": N} with the version of this write.
 func (n *Node) servePutSettings(w http.ResponseWriter, r *http.Request) {
 	if n.redirectToLeader(w, r) {
 		return
@@ -145,7 +146,7 @@
 		Agents:  n.reports.forService(service, time.Now()),
 		Peers:   map[string]string{},
 	}
-	// Read after the reports, so that no agent in them has a newer version than this one.
+	// The version is read after the reports, so that no agent in the reports has a newer one.
 	reports.Version = newestSettings(n.state.history(service)).Version
 	for _, peer := range n.cfg.Peers {
 		reports.Peers[peer.ID] = peer.AdminAddr
--- a/internal/discovery/server/settings_state.go
+++ b/internal/discovery/server/settings_state.go
@@ -56,7 +56,7 @@
 	}
 	written := SettingsVersion{Version: index, WrittenAtMs: c.WrittenAtMs, Bytes: len(c.Text), Text: c.Text}
 	versions = append(versions, written)
-	// Cloned, as history returns the previous slice to concurrent readers.
+	// The slice is cloned because history returns the previous slice to concurrent readers.
 	m.settings[c.Service] = slices.Clone(versions[max(0, len(versions)-maxSettingsVersions):])
 	closeAndReplace(m.settingsChannel(c.Service))
 	return index, nil
--- a/internal/discovery/server/settings_validation.go
+++ b/internal/discovery/server/settings_validation.go
@@ -40,7 +40,7 @@
 	return settings.Validate()
 }
 
-// rejectAgentKeys returns an error if a key is one that is set per agent. It ignores case, as
+// rejectAgentKeys returns an error if a key is one that is set per agent. It ignores case, because
 // encoding/json matches field names case-insensitively.
 func rejectAgentKeys(keys map[string]json.RawMessage) error {
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
--- a/internal/discovery/server/state_machine.go
+++ b/internal/discovery/server/state_machine.go
@@ -70,9 +70,9 @@
 	maxChanges       int
 	changed          chan struct{} // closed and replaced at each change of a server
 
-	// responses caches the encoded responses of the current version by responseKey. Readers, which
-	// hold mu for reading, also lock responsesMu; a change, which replaces responses, holds mu for
-	// writing, which is sufficient.
+	// responses caches the encoded responses of the current version by responseKey. Readers hold mu for
+	// reading and also lock responsesMu. A change replaces responses without responsesMu, because it holds
+	// mu for writing.
 	responsesMu sync.Mutex
 	responses   map[responseKey][]byte
 
@@ -120,8 +120,9 @@
 }
 
 // applyServer applies a write of a server's entry and returns its version. The version is the write's
-// own index; for a put that changes nothing, the index of the write that last changed the entry; for
-// the removal of a server that is not listed, the current version. The caller holds mu.
+// own index, with two exceptions: for a put that changes nothing, it is the index of the write that
+// last changed the entry, and for the removal of a server that is not listed, it is the current
+// version. The caller holds mu.
 func (m *stateMachine) applyServer(c command, index uint64) uint64 {
 	id := c.Server.ID
 	listed, isListed := m.servers[id]
--- a/internal/discovery/server/state_query.go
+++ b/internal/discovery/server/state_query.go
@@ -14,8 +14,9 @@
 // versions that most watches have.
 const maxCachedResponses = 64
 
-// watchQuery is what a watch requests: the changes since a version, or the full list; and, if it
-// specifies a service, that service's settings if they are newer than those that its agent has.
+// watchQuery is what a watch requests: either the changes since a version or the full list. A watch
+// that specifies a service also requests that service's settings if they are newer than those that its
+// agent has.
 type watchQuery struct {
 	version       uint64
 	full          bool
@@ -23,7 +24,7 @@
 	knownSettings uint64 // version
 }
 
-// responseKey identifies the servers in a response, together with the list's version.
+// responseKey and the list's version together identify the servers in a response.
 type responseKey struct {
 	version uint64 // of the query; 0 for the full list
 	full    bool
@@ -43,9 +44,10 @@
 	settingsChanged <-chan struct{}
 }
 
-// changesSince returns the response to a query: the changes since its version, with only the last
-// change of each server, or the full list if some of the changes have been discarded; and newer
-// settings.
+// changesSince returns the response to a query. It has the changes since the query's version, with only
+// the last change of each server. It has the full list instead if the query requests that or if some of
+// the changes have been discarded. If the query has a service, the response also has the service's
+// settings if they are newer.
 func (m *stateMachine) changesSince(query watchQuery) watchResponse {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -70,7 +72,7 @@
 }
 
 // withSettings returns a copy of an encoded endpoint.List with settings added. The list must not have
-// settings yet; they are the last field of a List.
+// settings yet. They can be appended because they are the last field of a List.
 func withSettings(body []byte, settings *endpoint.Settings) []byte {
 	const listEnd = "}\n"
 	text, _ := json.Marshal(settings) // the stored text is valid JSON: validateSettings has accepted it
--- a/internal/discovery/server/state_snapshot.go
+++ b/internal/discovery/server/state_snapshot.go
@@ -83,5 +83,5 @@
 	return sink.Close()
 }
 
-// Release does nothing, as an image holds no resources (raft.FSMSnapshot).
+// Release does nothing, because an image holds no resources (raft.FSMSnapshot).
 func (image snapshotImage) Release() {}
--- a/internal/discovery/server/status.go
+++ b/internal/discovery/server/status.go
@@ -28,8 +28,8 @@
 }
 
 // serveStatus responds with this instance's Status. With ?consistent=true it first waits for a barrier,
-// which ensures that the leader has applied everything committed before; an instance that is not the
-// leader then responds with 503.
+// which ensures that the leader has applied everything committed before. With this parameter, an
+// instance that is not the leader responds with 503.
 func (n *Node) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get(endpoint.QueryConsistent) == "true" {
 		if err := n.raft.Barrier(readIndexTimeout).Error(); err != nil {
--- a/internal/discovery/server/store_health.go
+++ b/internal/discovery/server/store_health.go
@@ -12,8 +12,8 @@
 	mu      sync.Mutex
 	outage  *storeOutage // nil while the store works
 	outages int          // number of outages started so far, including slow writes
-	// laggingSince is the time since which the list may lack entries because of an outage; zero: it
-	// lacks none.
+	// laggingSince is the start of the first outage after which this instance has not caught up yet, so
+	// that the list may lack entries; zero: the list is up to date.
 	laggingSince time.Time
 	// writeOperation is the write that has been running since writeStarted. A zero writeStarted means
 	// that no write is running.
@@ -112,8 +112,8 @@
 	return h.outages
 }
 
-// recordLag records a period since which the store was slow, and which has ended, as an outage. It
-// returns the number of outages so far, for markCaughtUp.
+// recordLag records a slow write, which began at since and has ended, as an outage. It returns the
+// number of outages so far, for markCaughtUp.
 func (h *storeHealth) recordLag(since time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,8 +136,8 @@
 	}
 }
 
-// markCaughtUp records that the list has everything committed by the end of an outage. outages is the
-// number of outages at that time: if another one has started since, markCaughtUp does nothing.
+// markCaughtUp records that the list has everything that was committed by the end of an outage. outages
+// is the number of outages at that end. If another outage has started since, markCaughtUp does nothing.
 func (h *storeHealth) markCaughtUp(outages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,8 +146,8 @@
 	}
 }
 
-// behindSince returns the time since which the list may lack entries because of an outage or a hanging
-// write, or the zero time if it lacks none.
+// behindSince returns when the list began to fall behind (it may lack entries because of an outage or a
+// hanging write), or the zero time if the list is up to date.
 func (h *storeHealth) behindSince(now time.Time, limit time.Duration) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/discovery/server/store_repair.go
+++ b/internal/discovery/server/store_repair.go
@@ -9,7 +9,8 @@
 // repairInterval is the time between two attempts to repair a failing store.
 const repairInterval = 50 * time.Millisecond
 
-// beginOutage makes every write fail until the store is repaired and check, if not nil, succeeds.
+// beginOutage starts an outage, during which every write fails. The outage ends once the store is
+// repaired and check, if not nil, has succeeded.
 func (s *retryingStore) beginOutage(cause *StoreError, check func() error) {
 	startedAt := time.Now()
 	if !s.health.beginOutage(cause, startedAt) {
--- a/internal/discovery/server/store_retry.go
+++ b/internal/discovery/server/store_retry.go
@@ -18,9 +18,9 @@
 // of these errors leave its state inconsistent. So a failed operation starts an outage, during which
 // no write reaches the disk until a repair has succeeded. The operation itself
 //
-//   - is retried after the repair if it saves the term or reads an entry (raft would panic), removes
-//     entries, or is a follower's append (if it failed, raft would lose track of having truncated the
-//     log before it);
+//   - is retried after the repair if it saves the term or reads an entry (because raft would panic on
+//     an error), if it removes entries, or if it is a follower's append (because on an error raft would
+//     lose track of having truncated the log before the append);
 //   - returns a StoreError immediately if it saves a vote (which is then not granted) or is a leader's
 //     append (raft fails the writes and steps down, so that the other instances elect a leader).
 //
@@ -29,9 +29,10 @@
 //
 // While the store is unavailable, gatedTransport keeps the instance out of the cluster.
 //
-// A failed commit may still be in the file, as its last step is to sync a page that is already
-// written. The repair removes the entries of a failed append, so that none of them remains after a
-// shorter append, and rewrites the pages that the failed sync may have dropped (see rewriteMetaPages).
+// A failed commit may still be in the file, because the last step of a commit is to sync a page that is
+// already written. The repair removes the entries of a failed append, so that none of them remains
+// after a shorter append, and rewrites the pages that the failed sync may have dropped (see
+// rewriteMetaPages).
 type retryingStore struct {
 	Store
 	log *slog.Logger
@@ -92,8 +93,8 @@
 // outageLimit.
 func (s *retryingStore) available() error { return s.health.check(time.Now(), s.outageLimit) }
 
-// behindSince returns the time since which the list may lack entries because of an outage or a hanging
-// write, or the zero time if it lacks none.
+// behindSince returns when the list began to fall behind (it may lack entries because of an outage or a
+// hanging write), or the zero time if the list is up to date.
 func (s *retryingStore) behindSince() time.Time {
 	return s.health.behindSince(time.Now(), s.outageLimit)
 }
@@ -109,8 +110,8 @@
 	return s.writeUntilDone(OpAppendEntries, s.appendEntries(entries))
 }
 
-// appendEntries returns a function for write that appends entries. If it fails, it records which
-// entries the repair has to remove.
+// appendEntries returns a function that appends entries, for write to run. If the append fails, the
+// function records which entries the repair has to remove.
 func (s *retryingStore) appendEntries(entries []*raft.Log) func() error {
 	return func() error {
 		err := s.Store.StoreLogs(entries)
@@ -188,8 +189,8 @@
 	}
 }
 
-// catchPageFaults runs a read of the memory-mapped file and returns an error if a page can't be read
-// (SIGBUS), which would otherwise crash the process.
+// catchPageFaults runs a read of the memory-mapped file and returns an error if a page can't be read.
+// Otherwise such a page fault (SIGBUS) would crash the process.
 func catchPageFaults(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -200,8 +201,8 @@
 	return read()
 }
 
-// write runs a write. A failure starts an outage and is returned as a StoreError. During an outage it
-// returns a StoreError without running the write.
+// write runs do, which writes to the store. A failure of do starts an outage and is returned as a
+// StoreError. During an outage, write returns a StoreError without running do.
 func (s *retryingStore) write(operation StoreOperation, do func() error) error {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
--- a/internal/discovery/server/store_verify.go
+++ b/internal/discovery/server/store_verify.go
@@ -28,7 +28,7 @@
 )
 
 // StoreDamageError reports a damaged file in the data directory. The instance does not start with such
-// a file, as it might serve a list that lacks acknowledged writes.
+// a file, because it might serve a list that lacks acknowledged writes.
 type StoreDamageError struct {
 	Path string // of the file
 	Err  error  // what is wrong with it
@@ -42,9 +42,9 @@
 
 // openBolt opens the data directory's store, or creates it in a new directory. It returns a
 // StoreDamageError for a file that is truncated or has unreadable pages. bbolt has checksums only for
-// its two meta pages; for the other pages the structure is checked, and for the log entries the
-// encoding. A single invalid meta page is treated as a write interrupted by a kill, and the other meta
-// page is used.
+// its two meta pages. Of the other pages the structure is checked, and of the log entries the encoding.
+// If only one meta page is invalid, a kill is assumed to have interrupted the write of that page, and
+// the other meta page is used.
 func openBolt(dir string, log *slog.Logger) (*raftboltdb.BoltStore, error) {
 	path := filepath.Join(dir, storeFile)
 	info, err := os.Stat(path)
@@ -89,8 +89,8 @@
 // checkFile reads all pages of the database and returns an error if one is invalid.
 func checkFile(path string, size int64) error {
 	return catchPageFaults(func() error {
-		// Read-only, as bbolt then does not load the list of free pages, which may be missing from a
-		// truncated file.
+		// Open the file read-only, because bbolt then does not load the list of free pages, which may be
+		// missing from a truncated file.
 		readOnly := &bbolt.Options{ReadOnly: true}
 		err := viewDatabase(path, readOnly, func(tx *bbolt.Tx) error { return checkSize(tx, size) })
 		if err != nil {
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// checkPages reads every key and value before it runs bbolt's own check, which runs in a goroutine
-// whose panics can't be recovered here.
+// checkPages reads every key and value and then runs bbolt's own check. The reads come first because
+// bbolt's check runs in a goroutine, whose panics can't be recovered here.
 func checkPages(tx *bbolt.Tx) error {
 	err := tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error { return checkKeys(bucket) })
 	if err != nil {
--- a/internal/discovery/server/watch.go
+++ b/internal/discovery/server/watch.go
@@ -61,13 +61,14 @@
 	return SettingsReport{InForce: inForce, Rejected: rejected, Reason: reason}, nil
 }
 
-// serveEndpoints responds to GET /api/targets: without index with the full list, otherwise with the
-// changes since the version index, after waiting up to wait milliseconds (at most 60,000) for a change.
+// serveEndpoints responds to GET /api/targets. Without the parameter index it responds with the full
+// list. With index it waits up to wait milliseconds (at most 60,000) for a change, and responds with
+// the changes since the version index.
 //
-// If the request has a service, it also gets a response once the service's settings are newer than
-// those that its agent has, and the agent's report is recorded. A follower that has had no contact
-// with a leader within MaxStale responds with 503, also to an open watch. For an index that is newer
-// than the list applied by this instance, see awaitVersion.
+// If the request has a service, the agent's report is recorded, and the watch also ends once the
+// service's settings are newer than those that the agent has. A follower that has had no contact with a
+// leader within MaxStale responds with 503, even to a watch that is already waiting. For an index that
+// is newer than the list applied by this instance, see awaitVersion.
 func (n *Node) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatchRequest(r.URL.Query())
 	if err == nil && request.service != "" && request.agent != "" {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint defines the interface between the discovery service and its clients: the messages
-// of the discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), which are the response to
-// GET /api/targets and a server's entry in it, the URL paths of the service, and the query parameters.
+// Package endpoint defines the interface between the discovery service and its clients: the messages of
+// the discovery protocol (PROTOCOL-fernbeam.md, "Discovery"), the URL paths of the service, and the
+// query parameters. The messages are the response to GET /api/targets and a server's entry in it.
 package endpoint
 
 import "encoding/json"
--- a/internal/endpoint/paths.go
+++ b/internal/endpoint/paths.go
@@ -5,7 +5,7 @@
 // URL paths of the discovery service. An instance serves ListPath at its read address and all other
 // paths at its admin address.
 const (
-	// ListPath returns a List: to a poll without QueryIndex, to a watch with it.
+	// ListPath returns a List. A request with QueryIndex is a watch, a request without it is a poll.
 	ListPath = "/api/targets"
 	// StatusPath returns the status of an instance.
 	StatusPath = "/v1/status"
